--- a/app/src/test/java/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/amberpath/OwnerProcessesTest.java
@@ -48,7 +48,7 @@
         + "probe = yes\n" + by));
     rig.startAll();
     on(() -> vertx.setPeriodic(100, tick -> registry.write(Map.of(PREFIX + KeyForm.PURGES + ++purges,
-        KeyForm.write(new Content.Purge(0xf000_0000L + purges, 0, System.currentTimeMillis() - 3_600_000))))));
+        KeyForm.write(new Content.Purge(0xf000_0000L + purges, 0, System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
   private <T> T on(Callable<T> what) throws Exception {
--- a/lab/src/main/java/amberpath/lab/owner/OwnerDay.java
+++ b/lab/src/main/java/amberpath/lab/owner/OwnerDay.java
@@ -146,11 +146,11 @@
 
   // ---- The registry: what is written there, and what is seen.
 
-  /** An old purge, of an object that nobody asks for. */
+  /** A purge that is old by any clock within an hour of this one, of an object that nobody asks for. */
   private void purge() {
     Map<String, byte[]> both = new TreeMap<>();
     both.put(PREFIX + KeyForm.PURGES + ++purges, KeyForm.write(new Content.Purge(0xf000_0000L + purges, 0,
-        System.currentTimeMillis() - HOUR_MS)));
+        System.currentTimeMillis() - 3L * HOUR_MS)));
     both.put(PREFIX + KeyForm.TIP, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
     registry.write(both);
     writtenAt.put(PREFIX + KeyForm.PURGES + purges, System.nanoTime());
--- a/lab/src/test/java/amberpath/lab/owner/FencedSweepTest.java
+++ b/lab/src/test/java/amberpath/lab/owner/FencedSweepTest.java
@@ -53,18 +53,23 @@
         PREFIX, null, null, null, null, null, null, null, SECOND, SECOND, RETENTION, 1000, 1 << 20);
     Sweep sweep = new Sweep(RETENTION, SECOND);
     purge("old", 60_000);
-    purge("young", 1000);
     try (RegistryDesk desk = new RegistryDesk(vertx, access)) {
       // The first owner reads, and stands still.
+      assertEquals(List.of(), sweep.old(Loops.await(desk.list()), 0, NOW_MS));
+      purge("young", 1000);
       List<Held> read = Loops.await(desk.list());
       Held fence = Sweep.fence(read, KEY);
-      List<Held> old = sweep.old(read, NOW_MS);
+      List<Held> old = sweep.old(read, RETENTION + 1, NOW_MS);
       assertEquals(List.of(PREFIX + KeyForm.PURGES + "old"), old.stream().map(Held::key).toList());
 
       // The second acts under a higher term; another purge grows old.
       assertTrue(Loops.await(desk.sweep(Sweep.TASK, new Content.Task(20, "g2"), fence, old)));
       purge("older", 90_000);
-      List<Held> late = sweep.old(Loops.await(desk.list()), NOW_MS);
+      List<Held> left = Loops.await(desk.list());
+      assertEquals(List.of(), sweep.old(left, RETENTION + 2, NOW_MS));
+      List<Held> late = sweep.old(left, 2 * RETENTION + 3, NOW_MS).stream()
+          .filter(one -> one.key().endsWith("/older")).toList();
+      assertEquals(1, late.size());
 
       // The first wakes up, and goes on with what it read.
       assertFalse(Loops.await(desk.sweep(Sweep.TASK, new Content.Task(10, "g1"), fence, late)));
--- a/owner/src/main/java/amberpath/owner/Sweep.java
+++ b/owner/src/main/java/amberpath/owner/Sweep.java
@@ -3,18 +3,25 @@
 import amberpath.registry.Content;
 import amberpath.registry.Held;
 import java.util.Comparator;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Map;
 
 /**
  * The task of taking purges' keys out of a registry that are past their retention: which, and when to look. Bounds:
- * {@value #MOST} keys at a time.
+ * {@value #MOST} keys at a time; one entry for each purge that the registry holds.
  */
 public final class Sweep {
   public static final String TASK = "sweep";
   private static final int MOST = 31;
-  private static final long MS = 1_000_000;
+  private static final long MS = 1_000_000, LONGEST_STEP_MILLIS = 3_600_000;
+
+  /** One key as it was written, and since when it is known to be there. */
+  private record Seen(long changed, long since) {
+  }
 
   private final long retention, every;
+  private Map<String, Seen> seen = Map.of();
   private long due;
   private boolean out;
 
@@ -39,11 +46,29 @@
     due = gone == MOST ? now : now + every;
   }
 
-  /** What may go, the oldest first. Times of purges are Unix milliseconds by the clocks of those who wrote them. */
-  public List<Held> old(List<Held> all, long nowMs) {
+  /**
+   * What may go, the oldest first: keys that were there for longer than the retention as this process saw it, and those
+   * whose stamp says so even if its writer's wall clock and this one are a step off, each to its own side. Guards
+   * against a purge that goes while gateways have not heard of it; owners that follow one another need not wait.
+   *
+   * @param all what the registry holds
+   * @param now when that had come, by a clock that only goes forward
+   * @param wallMillis the wall clock then
+   */
+  public List<Held> old(List<Held> all, long now, long wallMillis) {
+    long stampedBefore = wallMillis - retention / MS - 2 * LONGEST_STEP_MILLIS;
+    Map<String, Seen> there = new HashMap<>();
+    for (Held one : all) {
+      if (one.content() instanceof Content.Purge) {
+        Seen before = seen.get(one.key());
+        there.put(one.key(), before != null && before.changed == one.changed() ? before
+            : new Seen(one.changed(), now));
+      }
+    }
+    seen = there;
     return all.stream().filter(one -> one.content() instanceof Content.Purge purge
-            && nowMs - purge.atMs() > retention / MS)
-        .sorted(Comparator.comparingLong(one -> ((Content.Purge) one.content()).atMs())).limit(MOST).toList();
+            && (purge.atMs() < stampedBefore || now - there.get(one.key()).since > retention))
+        .sorted(Comparator.comparingLong(Held::changed)).limit(MOST).toList();
   }
 
   /** The fence, if it stands there. */
--- a/owner/src/main/java/amberpath/owner/live/SweepWork.java
+++ b/owner/src/main/java/amberpath/owner/live/SweepWork.java
@@ -49,7 +49,7 @@
     registry.list().compose(all -> {
       Held fence = Sweep.fence(all, key);
       long seen = fence == null ? 0 : ((Content.Task) fence.content()).term();
-      List<Held> old = sweep.old(all, System.currentTimeMillis());
+      List<Held> old = sweep.old(all, company.now(), System.currentTimeMillis());
       if (seen > term) {
         refused++;
         tenure.outranked(company.now(), seen);
--- /dev/null
+++ b/owner/src/test/java/amberpath/owner/SweepClockTest.java
@@ -0,0 +1,45 @@
+package amberpath.owner;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import amberpath.registry.Content;
+import amberpath.registry.Held;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** A purge's key goes once it was seen for the retention, whatever the wall clocks of writers and owners say. */
+class SweepClockTest {
+  private static final long SECOND = 1_000_000_000, RETENTION = 600 * SECOND, WALL_MS = 1_700_000_000_000L;
+
+  private final Sweep sweep = new Sweep(RETENTION, SECOND);
+
+  private static Held purge(long atMs, long changed) {
+    return new Held("p/purges/1", new Content.Purge(7, 0, atMs), changed, changed);
+  }
+
+  @ParameterizedTest
+  @CsvSource({"0,0", "-5000,0", "0,5000", "-3600000,3600000", "3600000,-3600000", "100000000000,0"})
+  void noStepMakesAKeyGoEarlierOrStay(long writers, long owners) {
+    List<Held> all = List.of(purge(WALL_MS + writers, 5), new Held("p/tip", new Content.Other(), 1, 5));
+    long start = WALL_MS * 1_000_000, retentionMs = RETENTION / 1_000_000;
+    assertEquals(List.of(), sweep.old(all, start, WALL_MS + owners));
+    assertEquals(List.of(), sweep.old(all, start + RETENTION, WALL_MS + retentionMs + owners));
+    assertEquals(all.subList(0, 1), sweep.old(all, start + RETENTION + 1, WALL_MS + retentionMs + owners));
+  }
+
+  @Test
+  void whatIsOldByAnyStepGoesAtOnceSoThatOwnersThatChangeLeaveNothing() {
+    List<Held> all = List.of(purge(WALL_MS - RETENTION / 1_000_000 - 2 * 3_600_000 - 1, 5));
+    assertEquals(all, sweep.old(all, 0, WALL_MS));
+  }
+
+  @Test
+  void aKeyThatWasWrittenAnewCountsAnew() {
+    sweep.old(List.of(purge(0, 5)), 0, 0);
+    assertEquals(List.of(), sweep.old(List.of(purge(0, 6)), RETENTION + 1, 0), "written again under its name");
+    assertEquals(List.of(), sweep.old(List.of(), RETENTION + 2, 0));
+    assertEquals(List.of(), sweep.old(List.of(purge(0, 6)), 2 * RETENTION + 3, 0), "it was away meanwhile");
+  }
+}
