--- a/registry/src/main/java/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/amberpath/registry/RegistryView.java
@@ -5,8 +5,10 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
@@ -20,7 +22,7 @@
  * being followed.
  */
 public final class RegistryView {
-  /** By how much the clock of who wrote a purge may be behind this one. */
+  /** By how much the clock of another process may be behind this one without a step. */
   static final long SKEW = 2_000_000_000;
 
   private static final long MS = 1_000_000;
@@ -30,6 +32,7 @@
   private final long retention;
   private final String tipKey;
   private final Consumer<String> complaints;
+  private final Starts starts = new Starts();
   private Map<String, Held> keys = new TreeMap<>();
   private String cluster = "";
   private long applied, provenAt;
@@ -95,7 +98,7 @@
     cluster = ofCluster;
     applied = revision;
     provenAt = asOf;
-    tellWhole(now, false);
+    tellWhole(now, true);
   }
 
   /**
@@ -242,17 +245,20 @@
   private void tellWhole(long now, boolean withPurges) {
     known = true;
     to.listing(true);
+    Set<String> ids = new HashSet<>();
     for (Held one : keys.values()) {
       if (one.content() instanceof Content.Cache cache) {
-        member(cache, cache.state());
+        ids.add(cache.id());
+        member(cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
       }
     }
+    starts.retain(ids);
     to.listed();
     if (withPurges) {
       for (Held one : keys.values()) {
         if (one.content() instanceof Content.Purge purge) {
-          // Guards against the writer's clock being behind: when it happened can't be known better than that.
-          to.purged(purge.object(), purge.group(), Math.min(now, purge.atMs() * MS + SKEW) / MS);
+          // Guards against the writer's clock or this one, which may have stepped: it happened at the latest now.
+          to.purged(purge.object(), purge.group(), now / MS);
         }
       }
     }
@@ -276,13 +282,15 @@
     }
     if (!replaced.isEmpty()) {
       to.listing(false);
-      replaced.forEach(cache -> member(cache, State.GONE));
+      replaced.forEach(this::gone);
       to.listed();
     }
     if (!gone.isEmpty() || !there.isEmpty()) {
       to.listing(false);
-      gone.forEach(cache -> member(cache, State.GONE));
-      there.forEach(cache -> member(cache, cache.state()));
+      gone.forEach(this::gone);
+      // One that this view saw come started since, whatever its writer's clock had: within a step of it.
+      there.forEach(cache -> member(cache, cache.state(),
+          starts.at(cache.id(), cache.startedAtMs(), now / MS, Starts.LONGEST_STEP_MILLIS)));
       to.listed();
     }
     for (String key : touched) {
@@ -302,8 +310,13 @@
     }
   }
 
-  private void member(Content.Cache cache, State state) {
+  private void gone(Content.Cache cache) {
+    starts.gone(cache.id());
+    member(cache, State.GONE, 0);
+  }
+
+  private void member(Content.Cache cache, State state, long startedAtMs) {
     to.member(cache.id(), cache.address(), cache.zone(), cache.kind(), cache.cell(), state, cache.weight(),
-        cache.startedAtMs());
+        startedAtMs);
   }
 }
--- a/registry/src/main/java/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/amberpath/registry/Snapshot.java
@@ -8,6 +8,17 @@
  * @param provenAt when it was all that the registry held, in nanoseconds of Unix time
  */
 public record Snapshot(String prefix, String cluster, long revision, long provenAt, List<Held> keys) {
+  private static final long LONGEST_STEP_NANOS = Starts.LONGEST_STEP_MILLIS * 1_000_000;
+
+  /**
+   * How old it is, at most: one from the future shows that a clock was set back by at least as much, and a step is an
+   * hour at most. Negative where no such step explains it.
+   */
+  public long age(long now) {
+    long age = now - provenAt;
+    return age >= 0 ? age : age >= -RegistryView.SKEW ? 0 : age + LONGEST_STEP_NANOS;
+  }
+
   /** Why it is not to be served from; null where it may be. */
   public String refusal(long now, String ofPrefix, long oldest) {
     if (!prefix.equals(ofPrefix)) {
@@ -17,6 +28,6 @@
       return "it is " + (now - provenAt) / 1_000_000_000 + " s old";
     }
     // Guards against a clock that was set back: its age would be less than it is.
-    return provenAt > now + RegistryView.SKEW ? "it is from the future" : null;
+    return age(now) < 0 || age(now) > oldest ? "it is from the future" : null;
   }
 }
--- a/registry/src/main/java/amberpath/registry/live/RegistryDesk.java
+++ b/registry/src/main/java/amberpath/registry/live/RegistryDesk.java
@@ -20,7 +20,7 @@
  */
 public final class RegistryDesk implements AutoCloseable {
   private static final int PAGE = 1000, MOST_WRITES = 32;
-  private static final long PATIENCE_MS = 3000, SECOND = 1_000_000_000;
+  private static final long PATIENCE_MS = 3000, SECOND = 1_000_000_000, LONGEST_STEP_MILLIS = 3_600_000;
 
   /** What a person is told when nothing can be read or written. */
   public static final class Refused extends RuntimeException {
@@ -104,16 +104,21 @@
     }
     return list().compose(all -> {
       List<Form.Write> writes = new ArrayList<>(List.of(made));
-      for (Held held : all) {
-        if (held.content() instanceof Content.Purge old && writes.size() < MOST_WRITES
-            && (purge.atMs() - old.atMs()) * (SECOND / 1000) > access.retention()) {
-          writes.add(new Form.Write(held.key(), null, held.changed()));
-        }
-      }
+      lapsed(all, purge.atMs(), access.retention()).stream().limit(MOST_WRITES - 1)
+          .forEach(held -> writes.add(new Form.Write(held.key(), null, held.changed())));
       return write(writes, false);
     });
   }
 
+  /**
+   * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else to tell it by here,
+   * so both may be a step off, each to its own side.
+   */
+  static List<Held> lapsed(List<Held> all, long nowMs, long retention) {
+    long before = nowMs - retention / (SECOND / 1000) - 2 * LONGEST_STEP_MILLIS;
+    return all.stream().filter(one -> one.content() instanceof Content.Purge old && old.atMs() < before).toList();
+  }
+
   /**
    * Deletes keys for the fleet, or nothing: the task's fence moves with them, so an owner that was overtaken meanwhile
    * deletes nothing.
--- /dev/null
+++ b/registry/src/test/java/amberpath/registry/WallClockTest.java
@@ -0,0 +1,90 @@
+package amberpath.registry;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import amberpath.Arrivals.State;
+import amberpath.Membership;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Stamps of wall clocks that have stepped, by seconds or an hour: purges stay young, starts late, snapshots usable. */
+class WallClockTest {
+  private static final long MS = 1_000_000, SECOND = 1000 * MS, NOW = 1_000_000_000_000L * MS, DAY = 86_400 * SECOND;
+
+  private final List<String> told = new ArrayList<>();
+  private final RegistryView view = new RegistryView(new Membership() {
+    @Override public void listing(boolean whole) {
+    }
+
+    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
+        double weight, long startedAtMs) {
+      told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
+    }
+
+    @Override public void listed() {
+    }
+
+    @Override public void purged(long object, int group, long atMs) {
+      told.add("purged " + object + " " + (atMs - NOW / MS));
+    }
+  }, "p/tip", 100, 600 * SECOND, line -> { });
+
+  private static Held cache(String id, State state, long startedMs, long created, long changed) {
+    long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
+    Content content = new Content.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
+    return new Held("p/caches/" + id, content, created, changed);
+  }
+
+  private static Change put(Held held) {
+    return new Change(held.changed(), held.key(), held);
+  }
+
+  private List<String> told() {
+    List<String> all = List.copyOf(told);
+    told.clear();
+    return all;
+  }
+
+  @ParameterizedTest
+  @CsvSource({"-5000,0", "-3600000,0", "3600000,0", "0,0", "-7200000,-3600000"})
+  void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
+    view.whole(NOW, List.of(), "c", 1, NOW, false);
+    view.changes(NOW, List.of(put(cache("a", State.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
+    assertEquals(List.of("a " + start), told());
+  }
+
+  @Test
+  void aStartStaysWhatItWasToldAsUntilTheCacheIsAnotherOne() {
+    view.whole(NOW, List.of(cache("a", State.UP, 3_600_000, 1, 1), cache("b", State.UP, -9000, 1, 1),
+        cache("c", State.UP, 0, 1, 1)), "c", 1, NOW, false);
+    assertEquals(List.of("a 0", "b -7000", "c long ago"), told());
+    long later = NOW + 60 * SECOND;
+    view.changes(later, List.of(put(cache("a", State.DRAINING, 3_600_000, 1, 2)),
+        put(cache("b", State.DRAINING, -9000, 1, 2))));
+    assertEquals(List.of("a 0", "b -7000"), told());
+    view.changes(later, List.of(put(cache("a", State.UP, -3_000_000, 1, 3))));
+    assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
+    view.changes(later, List.of(put(cache("b", State.UP, -9000, 4, 4))));
+    assertEquals(List.of("b long ago", "b 60000"), told(), "gone, and another one under its id");
+  }
+
+  @Test
+  void aPurgeInASnapshotCountsFromTheStart() {
+    Held purge = new Held("p/purges/1", new Content.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
+    view.remember(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
+    assertEquals(List.of("purged 7 0"), told());
+    view.whole(NOW, List.of(purge), "c", 10, NOW, false);
+    assertEquals(List.of(), told());
+  }
+
+  @ParameterizedTest
+  @CsvSource({"-10,10", "-3610,3610", "1,0", "10,3590", "3590,10", "3700,-100"})
+  void aSnapshotIsAsOldAsAStepOfTheClockAllows(long provenS, long ageS) {
+    Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
+    assertEquals(ageS * SECOND, snapshot.age(NOW));
+    assertEquals(ageS < 0 ? "it is from the future" : null, snapshot.refusal(NOW, "p/", DAY));
+  }
+}
