--- a/registry/src/main/java/amberpath/registry/live/RegistrySource.java
+++ b/registry/src/main/java/amberpath/registry/live/RegistrySource.java
@@ -11,10 +11,12 @@
 import amberpath.registry.Snapshot;
 import io.vertx.core.Vertx;
 import io.vertx.core.MultiMap;
+import java.io.IOException;
 import java.nio.file.Files;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
 
 /**
@@ -25,7 +27,7 @@
   private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
   private static final long BLOCKING = 10_000_000_000L, MS = 1_000_000;
   private static final int LOG_LINES = 8;
-  private static final long LOG_MS = 1000;
+  private static final long LOG_MS = 1000, READ_MILLIS = 1000;
 
   /** What staff may want to know of the view. Ages are nanoseconds, the revision the registry's. */
   public record Status(Recovery.Phase phase, boolean known, long revision, long age, int keys, int watches) {
@@ -36,12 +38,14 @@
   private final Clock clock = new Clock();
   private final Form form;
   private final Wires wires;
+  private final WallTimes times;
+  private final SnapshotKeeper keeper;
   private final RegistryView view;
   private final Recovery recovery;
   private final Map<Long, Wires.Sent> calls = new HashMap<>();
-  private long timer = -1, ticker = -1, armedFor = Long.MAX_VALUE, keptAt;
+  private long timer = -1, ticker = -1, armedFor = Long.MAX_VALUE;
   private int lines, muted;
-  private boolean running, keeping;
+  private boolean running;
 
   /** Makes a source that has asked for nothing yet; the seed gives all its chance. */
   public RegistrySource(Vertx vertx, RegistryAccess access, Membership to, long seed) {
@@ -50,7 +54,10 @@
     boolean blocking = access.form() == RegistryAccess.Form.CONSUL;
     form = form(access);
     wires = new Wires(vertx, access, form);
-    view = new RegistryView(to, access.tipKey(), access.mostKeys(), access.retention(), this::note);
+    times = new WallTimes(to, clock::now, System::currentTimeMillis);
+    keeper = access.snapshot() == null ? null : new SnapshotKeeper(access.snapshot(), FileOperations.DISK,
+        access.snapshotEvery(), write -> vertx.executeBlocking(write, false), clock::now, seed, this::note);
+    view = new RegistryView(times, access.tipKey(), access.mostKeys(), access.retention(), this::note);
     // The server may hold a read for a sixteenth longer than it is asked to.
     recovery = new Recovery(view, this, access.endpoints().size(), access.mostKeys(),
         blocking ? BLOCKING + BLOCKING / 16 : 0, seed, this::note);
@@ -84,8 +91,8 @@
       begin();
       return;
     }
-    vertx.executeBlocking(() -> Files.exists(access.snapshot())
-        ? SnapshotFile.read(access.snapshot(), access.longestAnswer()) : null).onComplete(read -> {
+    // Guards the start against a disk that answers nothing: then it begins without.
+    vertx.executeBlocking(this::kept, false).timeout(READ_MILLIS, TimeUnit.MILLISECONDS).onComplete(read -> {
           if (read.failed()) {
             LOG.warning("registry: the snapshot is passed over: " + read.cause().getMessage());
           } else if (read.result() != null) {
@@ -95,15 +102,21 @@
         });
   }
 
+  /** What the file keeps; null where there is none. */
+  private Snapshot kept() throws IOException {
+    SnapshotFile.clean(access.snapshot(), FileOperations.DISK);
+    return Files.exists(access.snapshot()) ? SnapshotFile.read(access.snapshot(), access.longestAnswer()) : null;
+  }
+
   private void remember(Snapshot kept) {
     long now = clock.now();
     String refusal = kept.refusal(now, access.prefix(), access.snapshotOldest());
     if (refusal != null) {
       LOG.warning("registry: the snapshot is passed over: " + refusal);
     } else {
-      view.remember(now, kept.keys(), kept.cluster(), kept.revision(), kept.provenAt());
+      view.remember(now, kept.keys(), kept.cluster(), kept.revision(), now - kept.age(now));
       LOG.info("registry: serves from a snapshot of revision " + kept.revision() + ", "
-          + (now - kept.provenAt()) / MS + " ms old");
+          + kept.age(now) / MS + " ms old");
     }
   }
 
@@ -158,24 +171,16 @@
   }
 
   private void keep() {
-    long now = clock.now();
-    if (access.snapshot() == null || keeping || !view.known() || recovery.phase() != Recovery.Phase.CURRENT
-        || now - keptAt < access.snapshotEvery()) {
-      return;
+    if (keeper != null) {
+      keeper.tick(this::latest);
     }
-    keeping = true;
-    keptAt = now;
-    Snapshot snapshot = new Snapshot(access.prefix(), view.cluster(), view.applied(), view.provenAt(),
-        List.copyOf(view.held()));
-    vertx.executeBlocking(() -> {
-      SnapshotFile.write(access.snapshot(), snapshot);
-      return null;
-    }).onComplete(done -> {
-      keeping = false;
-      if (done.failed()) {
-        note("the snapshot can't be written: " + done.cause());
-      }
-    });
+  }
+
+  /** The view for the file, its age by the wall clock as it stands; null while it is not the registry's. */
+  private Snapshot latest() {
+    return !view.known() || recovery.phase() != Recovery.Phase.CURRENT ? null
+        : new Snapshot(access.prefix(), view.cluster(), view.applied(), times.unix(view.provenAt()),
+            List.copyOf(view.held()));
   }
 
   // ---- Orders.
--- a/registry/src/main/java/amberpath/registry/live/SnapshotFile.java
+++ b/registry/src/main/java/amberpath/registry/live/SnapshotFile.java
@@ -11,13 +11,15 @@
 import java.nio.ByteBuffer;
 import java.nio.channels.FileChannel;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.DirectoryIteratorException;
+import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.nio.file.StandardCopyOption;
-import java.nio.file.StandardOpenOption;
+import java.security.SecureRandom;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
 
 /**
@@ -27,28 +29,56 @@
 final class SnapshotFile {
   private static final String MAGIC = "amberpath-registry-snapshot";
   private static final int VERSION = 1;
+  private static final String BESIDE = ".new", OWN = Long.toHexString(new SecureRandom().nextLong());
 
   private SnapshotFile() {
   }
 
   static void write(Path file, Snapshot snapshot) throws IOException {
+    write(file, snapshot, FileOperations.DISK);
+  }
+
+  /** Writes the whole of it, or leaves the file as it was. */
+  static void write(Path file, Snapshot snapshot, FileOperations files) throws IOException {
     byte[] body = body(snapshot);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes((MAGIC + " " + VERSION + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII));
     all.writeBytes(body);
-    Path beside = file.resolveSibling(file.getFileName() + ".new");
-    try (FileChannel out = FileChannel.open(beside, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-        StandardOpenOption.TRUNCATE_EXISTING)) {
-      ByteBuffer bytes = ByteBuffer.wrap(all.toByteArray());
-      while (bytes.hasRemaining()) {
-        out.write(bytes);
+    // Guards against a process that is not quite gone yet and writes beside the same file.
+    Path beside = file.resolveSibling(file.getFileName() + BESIDE + "-" + OWN);
+    try {
+      try (FileChannel out = files.open(beside)) {
+        ByteBuffer bytes = ByteBuffer.wrap(all.toByteArray());
+        while (bytes.hasRemaining()) {
+          files.write(out, bytes);
+        }
+        files.force(out);
       }
-      out.force(true);
+      files.move(beside, file);
+    } catch (IOException e) {
+      deleteQuietly(beside, files);
+      throw e;
     }
-    Files.move(beside, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     // Guards the move itself against a loss of power.
-    try (FileChannel folder = FileChannel.open(file.toAbsolutePath().getParent(), StandardOpenOption.READ)) {
-      folder.force(true);
+    files.forceFolder(file.toAbsolutePath().getParent());
+  }
+
+  /** Removes what writes that were cut short have left beside the file. */
+  static void clean(Path file, FileOperations files) {
+    Pattern stale = Pattern.compile(Pattern.quote(file.getFileName() + BESIDE) + "(-[0-9a-f]{1,16})?");
+    try (DirectoryStream<Path> all = Files.newDirectoryStream(file.toAbsolutePath().getParent(),
+        one -> stale.matcher(one.getFileName().toString()).matches() && !one.toString().endsWith(OWN))) {
+      all.forEach(one -> deleteQuietly(one, files));
+    } catch (IOException | DirectoryIteratorException e) {
+      return; // They take place and do no other harm; the next start looks again.
+    }
+  }
+
+  private static void deleteQuietly(Path file, FileOperations files) {
+    try {
+      files.delete(file);
+    } catch (IOException e) {
+      return; // It stays beside, is never read, and goes with the next start.
     }
   }
 
--- /dev/null
+++ b/registry/src/main/java/amberpath/registry/live/WallTimes.java
@@ -0,0 +1,49 @@
+package amberpath.registry.live;
+
+import amberpath.Arrivals.State;
+import amberpath.Membership;
+import java.util.function.LongSupplier;
+
+/**
+ * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall clock as it stands
+ * in that moment, which is what {@link Membership} has: so a wall clock that has stepped since the start makes nothing
+ * older or younger. A purge is told as no older than it is by either clock.
+ */
+final class WallTimes implements Membership {
+  private static final long MS = 1_000_000;
+
+  private final Membership to;
+  private final LongSupplier forwardNanos, wallMillis;
+
+  WallTimes(Membership to, LongSupplier forwardNanos, LongSupplier wallMillis) {
+    this.to = to;
+    this.forwardNanos = forwardNanos;
+    this.wallMillis = wallMillis;
+  }
+
+  /** A time of the clock that only goes forward as a Unix time, both in nanoseconds. */
+  long unix(long nanos) {
+    return nanos + aheadMillis() * MS;
+  }
+
+  private long aheadMillis() {
+    return wallMillis.getAsLong() - forwardNanos.getAsLong() / MS;
+  }
+
+  @Override public void listing(boolean whole) {
+    to.listing(whole);
+  }
+
+  @Override public void member(String id, String address, String zone, String kind, int cell, State state,
+      double weight, long startedAtMs) {
+    to.member(id, address, zone, kind, cell, state, weight, startedAtMs == 0 ? 0 : startedAtMs + aheadMillis());
+  }
+
+  @Override public void listed() {
+    to.listed();
+  }
+
+  @Override public void purged(long object, int group, long atMs) {
+    to.purged(object, group, atMs + Math.max(0, aheadMillis()));
+  }
+}
--- /dev/null
+++ b/registry/src/test/java/amberpath/registry/live/HungDiskTest.java
@@ -0,0 +1,67 @@
+package amberpath.registry.live;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.State;
+import amberpath.Membership;
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import io.vertx.core.net.SocketAddress;
+import java.net.InetAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/** A disk that answers nothing, as a pipe does that nobody writes to: the start goes on without the snapshot. */
+class HungDiskTest {
+  private static final long SECOND = 1_000_000_000;
+  private static final int PATIENCE_MILLIS = 30_000;
+
+  /** Takes no news. */
+  private static final class Nobody implements Membership {
+    @Override public void listing(boolean whole) {
+    }
+
+    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
+        double weight, long startedAtMs) {
+    }
+
+    @Override public void listed() {
+    }
+
+    @Override public void purged(long object, int group, long atMs) {
+    }
+  }
+
+  @Test
+  @Timeout(120)
+  void theRegistryIsAskedThoughTheSnapshotsReadNeverEnds(@TempDir Path folder) throws Exception {
+    Path pipe = folder.resolve("view");
+    assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
+    Vertx vertx = Vertx.vertx();
+    try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
+      endpoint.setSoTimeout(PATIENCE_MILLIS);
+      RegistryAccess access = new RegistryAccess(RegistryAccess.Form.ETCD,
+          List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")), "p/", null, null, null, null,
+          null, null, pipe, SECOND, SECOND, 600 * SECOND, 100, 1 << 20);
+      Context loop = vertx.getOrCreateContext();
+      RegistrySource source = new RegistrySource(vertx, access, new Nobody(), 7);
+      loop.runOnContext(now -> source.start());
+      try (Socket asked = endpoint.accept()) {
+        assertTrue(asked.isConnected());
+      } finally {
+        Files.newOutputStream(pipe).close(); // Ends the read that still waits.
+        loop.runOnContext(now -> source.close());
+      }
+    } finally {
+      vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+    }
+  }
+}
--- /dev/null
+++ b/registry/src/test/java/amberpath/registry/live/SnapshotFailureTest.java
@@ -0,0 +1,224 @@
+package amberpath.registry.live;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.State;
+import amberpath.registry.Content;
+import amberpath.registry.Held;
+import amberpath.registry.Snapshot;
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.FileChannel;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.List;
+import java.util.concurrent.Callable;
+import java.util.function.Function;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** A disk that fails, or a kill in the middle of a write: the last good snapshot stays, nothing torn is read. */
+class SnapshotFailureTest {
+  private static final long SECOND = 1_000_000_000;
+  private static final int LONGEST = 10_000;
+
+  @TempDir
+  private Path folder;
+  private Path file;
+  private final List<String> log = new ArrayList<>();
+  private final FailingDisk disk = new FailingDisk();
+  private long now = SECOND;
+
+  /** Fails at one kind of call, after half of the bytes were written; a killed one can't even tidy up. */
+  private static final class FailingDisk implements FileOperations {
+    final List<String> calls = new ArrayList<>();
+    String failing = "";
+    boolean killed;
+
+    private void call(String what) throws IOException {
+      calls.add(what);
+      if (what.equals(failing) || killed && what.equals("delete")) {
+        throw new IOException("No space left on device");
+      }
+    }
+
+    @Override public FileChannel open(Path at) throws IOException {
+      call("open");
+      return FileOperations.super.open(at);
+    }
+
+    @Override public void write(FileChannel to, ByteBuffer bytes) throws IOException {
+      int end = bytes.limit();
+      bytes.limit(bytes.position() + (bytes.remaining() + 1) / 2);
+      FileOperations.super.write(to, bytes);
+      bytes.limit(end);
+      call("write");
+    }
+
+    @Override public void force(FileChannel of) throws IOException {
+      call("force");
+      FileOperations.super.force(of);
+    }
+
+    @Override public void move(Path from, Path to) throws IOException {
+      call("move");
+      FileOperations.super.move(from, to);
+    }
+
+    @Override public void forceFolder(Path of) throws IOException {
+      call("forceFolder");
+      FileOperations.super.forceFolder(of);
+    }
+
+    @Override public void delete(Path of) throws IOException {
+      call("delete");
+      FileOperations.super.delete(of);
+    }
+  }
+
+  private static Snapshot snapshot(long revision) {
+    return new Snapshot("p/", "12", revision, 1_700_000_005_000_000_000L, List.of(
+        new Held("p/caches/c1", new Content.Cache("c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4,
+            1_700_000_000_000L), 3, 9),
+        new Held("p/caches/c2", new Content.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0), 4, 4),
+        new Held("p/purges/1", new Content.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L), 12, 12),
+        new Held("p/tasks/sweep", new Content.Task(20, "g2"), 5, 30),
+        new Held("p/tip", new Content.Other(), 1, 40)));
+  }
+
+  @BeforeEach
+  void keepOne() throws IOException {
+    file = folder.resolve("view");
+    SnapshotFile.write(file, snapshot(1));
+  }
+
+  private SnapshotKeeper keeper(Function<Callable<Void>, Future<Void>> worker) {
+    return new SnapshotKeeper(file, disk, 5 * SECOND, worker, () -> now, 7, log::add);
+  }
+
+  private static Future<Void> atOnce(Callable<Void> write) {
+    try {
+      return Future.succeededFuture(write.call());
+    } catch (Exception e) {
+      return Future.failedFuture(e);
+    }
+  }
+
+  private List<String> names() throws IOException {
+    try (var all = Files.list(folder)) {
+      return all.map(one -> one.getFileName().toString()).toList();
+    }
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"open", "write", "force", "move"})
+  void theLastGoodOneStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing) throws IOException {
+    SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
+    disk.failing = failing;
+    int ticks = 600;
+    for (int tick = 0; tick < ticks; tick++, now += SECOND) {
+      keeper.tick(() -> snapshot(2));
+      assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
+    }
+    long tries = disk.calls.stream().filter("open"::equals).count();
+    assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
+    assertEquals(List.of("view"), names());
+    assertEquals(1, log.size(), () -> "" + log);
+
+    disk.failing = "";
+    for (int tick = 0; tick < 61; tick++, now += SECOND) {
+      keeper.tick(() -> null); // Cut off meanwhile: what is pending is still owed.
+    }
+    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+    assertEquals(2, log.size(), () -> "" + log);
+    assertTrue(log.get(1).endsWith("after " + tries + " failures"), log.get(1));
+  }
+
+  @Test
+  void aFolderThatCantBeForcedIsAFailureToo() throws IOException {
+    SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
+    disk.failing = "forceFolder";
+    keeper.tick(() -> snapshot(2));
+    assertEquals(1, log.size());
+    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+  }
+
+  @Test
+  void bytesAreForcedBeforeTheMoveAndTheFolderAfterIt() throws IOException {
+    SnapshotFile.write(file, snapshot(2), disk);
+    assertEquals(List.of("open", "write", "force", "move", "forceFolder"), disk.calls.stream().distinct().toList());
+    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+  }
+
+  @Test
+  void whatAKillLeftBesideIsNeverReadAndGoesWithTheNextStart() throws IOException {
+    disk.failing = "write";
+    disk.killed = true;
+    assertThrows(IOException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
+    String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
+    Files.move(folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
+    Files.writeString(folder.resolve("view.new"), "half");
+    Files.writeString(folder.resolve("view.newer"), "another's");
+    assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
+    SnapshotFile.clean(file, FileOperations.DISK);
+    assertEquals(List.of("view", "view.newer"), names().stream().sorted().toList());
+  }
+
+  @Test
+  void oneWriteIsUnderWayAndTheLatestFollowsIt() throws Exception {
+    Deque<Callable<Void>> writes = new ArrayDeque<>();
+    List<Promise<Void>> promises = new ArrayList<>();
+    SnapshotKeeper keeper = keeper(write -> {
+      writes.add(write);
+      promises.add(Promise.promise());
+      return promises.get(promises.size() - 1).future();
+    });
+    for (int revision = 2; revision < 100; revision++, now += SECOND) {
+      long of = revision;
+      keeper.tick(() -> snapshot(of));
+    }
+    assertEquals(1, writes.size(), "a slow disk is given nothing more");
+    writes.remove().call();
+    promises.get(0).complete();
+    keeper.tick(() -> snapshot(100));
+    writes.remove().call();
+    assertEquals(snapshot(100), SnapshotFile.read(file, LONGEST));
+  }
+
+  @Test
+  void aSnapshotWithAnyByteFlippedOrMissingIsRefused() throws IOException {
+    byte[] whole = Files.readAllBytes(file);
+    for (int length = 0; length < whole.length; length++) {
+      Files.write(file, java.util.Arrays.copyOf(whole, length));
+      assertThrows(IOException.class, () -> SnapshotFile.read(file, LONGEST), "of length " + length);
+    }
+    for (int at = 0; at < whole.length; at++) {
+      for (int flip : new int[] {1, 0x20, 0x80, 0xff}) {
+        byte[] torn = whole.clone();
+        torn[at] ^= (byte) flip;
+        Files.write(file, torn);
+        String where = "byte " + at + " by " + flip;
+        assertThrows(IOException.class, () -> SnapshotFile.read(file, LONGEST), where);
+      }
+    }
+  }
+
+  /** The resource was written by the text of 2026-12-02, before the writer was changed. */
+  @Test
+  void theStoredFormStaysReadableBothWays() throws Exception {
+    Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
+    assertEquals(snapshot(40), SnapshotFile.read(kept, LONGEST));
+    SnapshotFile.write(file, snapshot(40));
+    assertEquals(-1, Files.mismatch(kept, file), "the text before reads what this one writes: the same bytes");
+  }
+}
--- /dev/null
+++ b/registry/src/test/java/amberpath/registry/live/WallTimesTest.java
@@ -0,0 +1,63 @@
+package amberpath.registry.live;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.State;
+import amberpath.Membership;
+import amberpath.registry.Content;
+import amberpath.registry.Held;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** A wall clock that steps while a gateway runs, or before somebody writes: by seconds or an hour, both ways. */
+class WallTimesTest {
+  private static final long MS = 1_000_000, START = 1_700_000_000_000L, HOUR = 3_600_000, SECOND = 1_000_000_000;
+
+  private long wall = START, forward = START * MS;
+  private final List<Long> ages = new ArrayList<>();
+  /** Ages by the wall clock as it stands, as the gateway has them. */
+  private final WallTimes times = new WallTimes(new Membership() {
+    @Override public void listing(boolean whole) {
+    }
+
+    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
+        double weight, long startedAtMs) {
+      ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
+    }
+
+    @Override public void listed() {
+    }
+
+    @Override public void purged(long object, int group, long atMs) {
+      ages.add(Math.max(0, wall - atMs));
+    }
+  }, () -> forward, () -> wall);
+
+  @ParameterizedTest
+  @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
+  void aStepMakesNothingOlderOrYounger(long step) {
+    wall += 1000 + step;
+    forward += 1000 * MS;
+    times.purged(7, 0, START + 1000);
+    times.member("a", "", "z", "k", 0, State.UP, 1, START);
+    times.member("b", "", "z", "k", 0, State.UP, 1, 0);
+    assertEquals(List.of(0L, 1000L, -1L), ages);
+    assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
+  }
+
+  @ParameterizedTest
+  @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
+  void aPurgeTakesNoKeyAlongThatIsYoungWhicheverClockHasStepped(long step) {
+    long retention = 600 * SECOND;
+    List<Held> all = new ArrayList<>();
+    for (long written : new long[] {START + step, START - 600_000 - 2 * HOUR - 1}) {
+      all.add(new Held("p/purges/" + written, new Content.Purge(7, 0, written), 1, 1));
+    }
+    List<Held> lapsed = RegistryDesk.lapsed(all, START, retention);
+    assertEquals(all.subList(1, 2), lapsed);
+    assertTrue(RegistryDesk.lapsed(all.subList(0, 1), START + HOUR, retention).isEmpty());
+  }
+}
