--- /dev/null
+++ b/core/src/test/java/amberpath/RequestTimesTest.java
@@ -0,0 +1,76 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** What is known of a request's time where the event loop was late. Times are milliseconds here. */
+class RequestTimesTest {
+  private static final long MS = 1_000_000;
+
+  @ParameterizedTest
+  @CsvSource({"0, 0", "60, 30", "200, 100", "300, 200", "900, 800"})
+  void ofALagHalfIsTakenOffAndOfALongOneAllButATenthOfASecond(long lag, long off) {
+    assertEquals(5000 + 1500 - off, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
+  }
+
+  @Test
+  void noAttemptBeginsWithFiveMillisecondsLeft() {
+    assertTrue(RequestDeadline.isTooShort(5 * MS));
+    assertTrue(RequestDeadline.isTooShort(-MS));
+    assertFalse(RequestDeadline.isTooShort(6 * MS));
+  }
+
+  @Test
+  void socketsAreFreshForFiftyMillisecondsWhateverTheGrace() {
+    SocketReads reads = new SocketReads(0);
+    reads.read(100 * MS);
+    reads.read(90 * MS);
+    assertTrue(reads.isFresh(150 * MS));
+    assertFalse(reads.isFresh(151 * MS));
+  }
+
+  @Test
+  void aConnectionIsSettledOnceItWasReadAfterItsLastRequestOrForLong() {
+    SocketReads reads = new SocketReads(0);
+    assertFalse(SocketReads.mustSettle(24 * MS));
+    assertTrue(SocketReads.mustSettle(25 * MS));
+    reads.read(10 * MS);
+    assertTrue(reads.isSettled(9 * MS, 10 * MS));
+    assertFalse(reads.isSettled(9 * MS, 11 * MS));
+    reads.read(60 * MS);
+    assertTrue(reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
+    assertTrue(new SocketReads.Backlog(0, 900 * MS).mayGoOn(950 * MS));
+    assertFalse(new SocketReads.Backlog(0, 900 * MS).mayGoOn(951 * MS));
+  }
+
+  @Test
+  void connectionsThatWaitedToBeAcceptedAreAsOldAsTheLagUntilTheQueueIsEmpty() {
+    AcceptLag<Integer> lag = new AcceptLag<>();
+    accept(lag, 1, 1, 1000, 0);
+    assertEquals(0, lag.lag(1, 1000 * MS));
+    lag.turn(1000 * MS);
+    accept(lag, 2, 17, 2000, 900); // The first pass after the event loop lag.
+    lag.turn(2000 * MS);
+    accept(lag, 18, 33, 2030, 0);
+    lag.turn(2030 * MS);
+    accept(lag, 34, 40, 2060, 0); // Fewer than one pass takes: the queue is empty.
+    assertEquals(960, lag.lag(40, 2060 * MS) / MS);
+    assertEquals(960, lag.lag(18, 2060 * MS) / MS);
+    lag.turn(2060 * MS);
+    accept(lag, 41, 41, 2061, 0);
+    assertEquals(0, lag.lag(41, 2061 * MS));
+    lag.turn(2090 * MS);
+    assertEquals(0, lag.lag(40, 2090 * MS), "what comes later on it was not waiting");
+  }
+
+  private static void accept(AcceptLag<Integer> lag, int first, int last, long now, long late) {
+    for (int connection = first; connection <= last; connection++) {
+      lag.accepted(connection, now * MS, late * MS);
+    }
+  }
+}
--- a/gateway/src/main/java/amberpath/gateway/Admit.java
+++ b/gateway/src/main/java/amberpath/gateway/Admit.java
@@ -1,5 +1,7 @@
 package amberpath.gateway;
 
+import amberpath.RequestDeadline;
+import amberpath.SocketReads;
 import amberpath.json.JsonSite;
 import amberpath.msgpack.ClientConnection;
 import amberpath.msgpack.ClientGet;
@@ -14,6 +16,7 @@
 
   /** Own GETs are made of what it lets in; null where none are made. */
   private OwnGets own;
+  private SocketReads.Backlog lastBacklog;
 
   Admit(JsonSite site, int mostOpen, Book book, Route route) {
     this.site = site;
@@ -26,7 +29,10 @@
     own = to;
   }
 
-  void get(ClientConnection from, long number, ClientGet asked, long due) {
+  /** A request that was read now, by a loop that was so late. */
+  void get(ClientConnection from, long number, ClientGet asked, long now, long lag) {
+    SocketReads.Backlog backlog = backlog(from, now, lag);
+    long due = RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
     int ds = site.service(asked.service());
     if (ds < 0) {
       from.refuse(number, "no delivery service " + asked.service());
@@ -35,8 +41,12 @@
       from.refuse(number, "ref: open already");
     } else if (book.unanswered() >= mostOpen) {
       from.shed(number, 0);
+    } else if (RequestDeadline.isTooShort(due - now)) {
+      from.shed(number, 0);
     } else {
       OpenGet get = new OpenGet(book.nextId(), from, number, asked, ds, due);
+      get.takenAt = now;
+      get.backlog = backlog;
       book.open(get);
       route.get(get);
       if (own != null) {
@@ -44,4 +54,13 @@
       }
     }
   }
+
+  /** With what a request waited unread, if the loop was late just now or the rest of that is still being read. */
+  private SocketReads.Backlog backlog(ClientConnection from, long now, long lag) {
+    if (SocketReads.mustSettle(lag)) {
+      lastBacklog = new SocketReads.Backlog(now - lag, now);
+      return lastBacklog;
+    }
+    return lastBacklog != null && lastBacklog.mayGoOn(now) ? book.backlog(from, now) : null;
+  }
 }
--- a/gateway/src/main/java/amberpath/gateway/Book.java
+++ b/gateway/src/main/java/amberpath/gateway/Book.java
@@ -1,5 +1,6 @@
 package amberpath.gateway;
 
+import amberpath.SocketReads;
 import amberpath.msgpack.ClientConnection;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -56,6 +57,19 @@
     return new ArrayList<>(unanswered.getOrDefault(client, Map.of()).values());
   }
 
+  /** What waited unread at a client's connection, if that may not have been read to its end; null otherwise. */
+  SocketReads.Backlog backlog(ClientConnection client, long now) {
+    return unanswered.getOrDefault(client, Map.of()).values().stream()
+        .filter(one -> one.backlog != null && !one.settled && one.backlog.mayGoOn(now))
+        .map(one -> one.backlog).findFirst().orElse(null);
+  }
+
+  /** When the last of a client's open requests was taken. */
+  long lastTaken(ClientConnection client) {
+    return unanswered.getOrDefault(client, Map.of()).values().stream().mapToLong(one -> one.takenAt).max()
+        .orElse(Long.MIN_VALUE);
+  }
+
   List<OpenGet> allUnanswered() {
     return gets.values().stream().filter(get -> !get.answered).toList();
   }
--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -6,6 +6,7 @@
 import amberpath.NewsAge;
 import amberpath.Pace;
 import amberpath.Site;
+import amberpath.SocketReads;
 import amberpath.Strictest;
 import amberpath.journal.Entries;
 import amberpath.journal.JournalClient;
@@ -80,12 +81,13 @@
     age = new NewsAge(options.newsGrace(), options.journal() != null, clock.now());
     Site site = options.site();
     Pace pace = new Pace(site.seed(), site.retryAfter() ? site.maxRetryAfter() : 0);
-    standstill = new Standstill(clock, age, pace);
+    SocketReads reads = new SocketReads(clock.now());
+    standstill = new Standstill(clock, age, reads, pace);
     relay = new Relay(vertx, book);
     clients = new Clients(vertx, options.mostClients(), clock);
     caches = new Caches(vertx, options, clock, complaints);
     Send send = new Send(vertx, clock, standstill, caches, relay, book, options.site());
-    route = new Route(vertx, clock, decisions, age, book, send, relay);
+    route = new Route(vertx, clock, decisions, age, reads, book, send, relay);
     send.endingsTo(route);
     caches.newsTo(route);
     Admit admit = new Admit(options.site(), options.mostOpen(), book, route);
@@ -167,7 +169,11 @@
       }
       server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(1024));
       Unread queues = new Unread(options.unreadOfOne(), options.unreadOfAll());
-      server.connectHandler(socket -> clients.add(new ClientConnection(socket, queues, clock::now, takeIn)));
+      server.connectHandler(socket -> {
+        ClientConnection client = new ClientConnection(socket, queues, clock::now, takeIn);
+        standstill.accepted(client);
+        clients.add(client);
+      });
       server.listen(options.listen()).onComplete(listening -> {
         if (listening.failed()) {
           started.tryFail(new IOException("PROXY_LISTEN: can't listen at " + options.listen() + ": "
--- a/gateway/src/main/java/amberpath/gateway/OpenGet.java
+++ b/gateway/src/main/java/amberpath/gateway/OpenGet.java
@@ -1,5 +1,6 @@
 package amberpath.gateway;
 
+import amberpath.SocketReads;
 import amberpath.msgpack.ClientConnection;
 import amberpath.msgpack.ClientGet;
 import java.nio.charset.StandardCharsets;
@@ -20,6 +21,11 @@
   /** Forwards out, and events on the way to the decisions. */
   int out, events;
   boolean answered;
+  /** When it was read. */
+  long takenAt;
+  /** With what it waited unread, if it did; and whether its connection was read on since. */
+  SocketReads.Backlog backlog;
+  boolean settled;
   long backstop = -1;
   /** When the last forward may begin. */
   long sendBy = Long.MAX_VALUE;
--- a/gateway/src/main/java/amberpath/gateway/Route.java
+++ b/gateway/src/main/java/amberpath/gateway/Route.java
@@ -4,6 +4,7 @@
 import amberpath.Arrivals.Events;
 import amberpath.Decisions;
 import amberpath.NewsAge;
+import amberpath.SocketReads;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,6 +35,7 @@
   private final Clock clock;
   private final Rounds decisions;
   private final NewsAge age;
+  private final SocketReads reads;
   private final Book book;
   private final Send send;
   private final Relay relay;
@@ -43,11 +45,13 @@
   private boolean due, reading, held;
   private Told told;
 
-  Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, Book book, Send send, Relay relay) {
+  Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, SocketReads reads, Book book, Send send,
+      Relay relay) {
     this.vertx = vertx;
     this.clock = clock;
     this.decisions = decisions;
     this.age = age;
+    this.reads = reads;
     this.book = book;
     this.send = send;
     this.relay = relay;
@@ -97,7 +101,7 @@
 
   /** Whether a forward may be written now; one that may not is taken up again before the next round. */
   boolean mayWrite() {
-    boolean may = age.decides(clock.now());
+    boolean may = decides();
     if (!may) {
       held = true;
       soon();
@@ -105,6 +109,12 @@
     return may;
   }
 
+  /** Whether what is known of caches, purges and clients is young enough to decide and to write by. */
+  private boolean decides() {
+    long now = clock.now();
+    return age.decides(now) && reads.isFresh(now);
+  }
+
   private void soon() {
     if (!due) {
       due = true;
@@ -127,6 +137,7 @@
       vertx.setTimer(1, read -> { // A timer set now comes after the loop has read once more.
         reading = false;
         age.read(by);
+        reads.read(by);
         round();
       });
     }
@@ -136,23 +147,26 @@
     if (!due) {
       return;
     }
-    if (!age.decides(clock.now())) {
+    List<Arrival> ready = new ArrayList<>(), rest = new ArrayList<>();
+    for (Arrival arrival : arrivals) {
+      (ready.size() < MOST && isSettled(arrival.get) ? ready : rest).add(arrival);
+    }
+    if (!decides() || ready.isEmpty() && !rest.isEmpty() && news.isEmpty() && !held) {
       readFirst();
       return;
     }
     due = false;
+    arrivals = rest;
     if (held) {
       held = false;
       send.again();
     }
-    int taken = Math.min(MOST, arrivals.size());
-    news.addAll(arrivals.subList(0, taken));
+    news.addAll(ready);
     round = news;
     news = new ArrayList<>();
-    arrivals = new ArrayList<>(arrivals.subList(taken, arrivals.size()));
     if (!arrivals.isEmpty()) { // Guards those who have left meanwhile: the loop reads before it decides on more.
       due = true;
-      vertx.setTimer(1, next -> round());
+      readFirst();
     }
     try {
       decisions.round(clock.now(), this, this);
@@ -161,6 +175,15 @@
     }
   }
 
+  /** Whether a GET's connection was read on where the loop was late: guards against a close behind a pipeline. */
+  private boolean isSettled(OpenGet get) {
+    if (get != null && get.backlog != null && !get.settled) {
+      get.settled = get.answered || reads.isSettled(get.takenAt, book.lastTaken(get.client));
+      return get.settled;
+    }
+    return true;
+  }
+
   /** A failure in the decisions on one GET ends that GET and no other. */
   @Override public void replay(Events to) {
     for (Arrival arrival : round) {
--- a/gateway/src/main/java/amberpath/gateway/Send.java
+++ b/gateway/src/main/java/amberpath/gateway/Send.java
@@ -118,13 +118,14 @@
     final OpenGet get;
     final int copy, cache, source;
     private final CachePool pool;
-    private final long sentAt, stoodBefore, sendBy;
+    private final long sentAt, stoodBefore, sendBy, end;
     private long timer = -1;
     private boolean ended;
 
     Sent(OpenGet get, int copy, int cache, int source, long sentAt, long until, byte[] fields) {
       super(get.asked.ref(), fields, get.asked.known(), get.asked.body(), until, get.forwards);
       sendBy = get.sendBy;
+      end = until;
       this.get = get;
       this.copy = copy;
       this.cache = cache;
@@ -144,7 +145,7 @@
     }
 
     @Override protected boolean isOver(long now) {
-      return get.answered || now > sendBy;
+      return get.answered || now > sendBy || now >= end;
     }
 
     private void late() {
--- a/gateway/src/main/java/amberpath/gateway/Standstill.java
+++ b/gateway/src/main/java/amberpath/gateway/Standstill.java
@@ -1,7 +1,10 @@
 package amberpath.gateway;
 
+import amberpath.AcceptLag;
 import amberpath.NewsAge;
 import amberpath.Pace;
+import amberpath.SocketReads;
+import amberpath.msgpack.ClientConnection;
 import io.vertx.core.Vertx;
 
 /** How long this gateway itself stood still, for want of CPU or in a pause of the runtime: a tick that comes late. */
@@ -10,12 +13,17 @@
 
   private final Clock clock;
   private final NewsAge news;
+  private final SocketReads reads;
   private final Pace pace;
-  private long due = Long.MAX_VALUE, total, ticked, last, lastUntil;
+  private final AcceptLag<ClientConnection> accepts = new AcceptLag<>();
+  private long due = Long.MAX_VALUE, total, ticked, began;
+  /** Whether the last tick was late: what came before it is read only now. */
+  private boolean behind;
 
-  Standstill(Clock clock, NewsAge news, Pace pace) {
+  Standstill(Clock clock, NewsAge news, SocketReads reads, Pace pace) {
     this.clock = clock;
     this.news = news;
+    this.reads = reads;
     this.pace = pace;
   }
 
@@ -27,23 +35,33 @@
       total = soFar();
       long late = clock.now() - due;
       news.read(ticked); // Between two ticks the loop has read all of its sockets.
+      reads.read(ticked);
+      accepts.turn(clock.now());
       pace.turn(clock.now(), Math.max(0, clock.now() - due));
+      behind = late > SEEN_NS;
+      began = due;
       ticked = clock.now();
       due = ticked + TICK_MS * 1_000_000;
-      if (late > SEEN_NS) {
-        last = late;
-        lastUntil = due;
-      }
     });
   }
 
   /**
-   * For how long it has stood still just now: what is read at this moment came at some time in that. It counts for
-   * one tick more, since a connection that came meanwhile is read for the first time after the late one.
+   * For how long it has stood still just now: what is read at this moment came at some time in that. It counts up to
+   * the tick after the late one, since the sockets are read between the two, however long that takes.
    */
   long late() {
-    long now = clock.now();
-    return Math.max(now - due > SEEN_NS ? now - due : 0, now < lastUntil ? last : 0);
+    long late = clock.now() - (behind ? began : due);
+    return late > SEEN_NS ? late : 0;
+  }
+
+  /** The same for what is read now from one client, whose connection may have waited to be accepted. */
+  long late(ClientConnection from, long now) {
+    return Math.max(late(), accepts.lag(from, now));
+  }
+
+  /** A client's connection was accepted. */
+  void accepted(ClientConnection client) {
+    accepts.accepted(client, clock.now(), late());
   }
 
   /** In all, up to now: also while the late tick has not come yet. */
--- a/gateway/src/main/java/amberpath/gateway/TakeIn.java
+++ b/gateway/src/main/java/amberpath/gateway/TakeIn.java
@@ -42,8 +42,8 @@
   }
 
   @Override public void get(ClientConnection from, long number, ClientGet get) {
-    // Guards against answers past the viewer timeout: what waited unread came half way through that time, by and large.
-    admit.get(from, number, get, clock.now() - standstill.late() / 2 + get.allow());
+    long now = clock.now();
+    admit.get(from, number, get, now, standstill.late(from, now));
   }
 
   @Override public void withdrawn(ClientConnection from, long number) {
--- a/gateway/src/test/java/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/amberpath/gateway/EndingsTest.java
@@ -143,7 +143,7 @@
   }
 
   @Test
-  void whatWaitedUnreadIsAnsweredAsIfItHadComeHalfWayThroughThat() throws Exception {
+  void whatWaitedUnreadHasNoMoreTimeThanItsClientAndHardlyLess() throws Exception {
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     BlockingQueue<Long> left = new LinkedBlockingQueue<>();
@@ -157,10 +157,13 @@
     })));
     world.client().get(1, "parts", 4000, 1);
     Thread.sleep(STANDS_MS / 4);
-    world.client().get(2, "parts", 900, 2);
+    world.client().get(2, "parts", 4000, 2);
+    Client late = world.client().get(3, "parts", 900, 3);
     assertTrue(left.take() > 3000);
     long second = left.take();
-    assertTrue(second < 900 - STANDS_MS / 4, second + " ms"); // A gateway that counts from its reading has all of them.
+    assertTrue(second < 4000 - STANDS_MS * 3 / 4 + 150, second + " ms"); // Its client has waited for so long.
+    assertTrue(second > 4000 - 2 * STANDS_MS, second + " ms");
+    assertEquals("Overloaded", late.answer().error()); // Its time was over, or may have been.
   }
 
   @Test
--- a/gateway/src/test/java/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/amberpath/gateway/StandIns.java
@@ -385,4 +385,16 @@
       }
     }
   }
+
+  /** The same with some of its text replaced: pairs of what is there and what stands there instead. */
+  Map<String, String> environment(Path folder, String... changes) throws IOException {
+    Map<String, String> environment = environment(folder);
+    Path file = Path.of(environment.get("PROXY_CONFIG"));
+    String text = Files.readString(file);
+    for (int at = 0; at < changes.length; at += 2) {
+      text = text.replace(changes[at], changes[at + 1]);
+    }
+    Files.writeString(file, text);
+    return environment;
+  }
 }
