--- a/gateway/src/main/java/amberpath/gateway/Admit.java
+++ b/gateway/src/main/java/amberpath/gateway/Admit.java
@@ -6,9 +6,13 @@
 import amberpath.msgpack.ClientConnection;
 import amberpath.msgpack.ClientGet;
 import java.nio.charset.StandardCharsets;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 
 /** Second stage: what can't be meant for the decisions, or passes the bound told, is answered here. */
 final class Admit {
+  private static final Logger LOG = Logger.getLogger(Admit.class.getName());
+
   private final JsonSite site;
   private final int mostOpen;
   private final Book book;
@@ -29,7 +33,7 @@
     own = to;
   }
 
-  /** A request that was read now, by a loop that was so late. */
+  /** A request that was read now, by a loop that was so late. Its failure takes no other request's answer. */
   void get(ClientConnection from, long number, ClientGet asked, long now, long lag) {
     SocketReads.Backlog backlog = backlog(from, now, lag);
     long due = RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
@@ -49,9 +53,7 @@
       get.backlog = backlog;
       book.open(get);
       route.get(get);
-      if (own != null) {
-        own.saw(get);
-      }
+      saw(get);
     }
   }
 
@@ -63,4 +65,14 @@
     }
     return lastBacklog != null && lastBacklog.mayGoOn(now) ? book.backlog(from, now) : null;
   }
+
+  private void saw(OpenGet get) {
+    try {
+      if (own != null) {
+        own.saw(get);
+      }
+    } catch (RuntimeException e) {
+      LOG.log(Level.SEVERE, "a request was not kept for synthetic ones", e);
+    }
+  }
 }
--- a/gateway/src/main/java/amberpath/gateway/Route.java
+++ b/gateway/src/main/java/amberpath/gateway/Route.java
@@ -43,6 +43,7 @@
   private List<Arrival> news = new ArrayList<>(), arrivals = new ArrayList<>();
   private List<Arrival> round = List.of();
   private boolean due, reading, held;
+  private int replayed;
   private Told told;
 
   Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, SocketReads reads, Book book, Send send,
@@ -157,10 +158,7 @@
     }
     due = false;
     arrivals = rest;
-    if (held) {
-      held = false;
-      send.again();
-    }
+    sendHeld();
     news.addAll(ready);
     round = news;
     news = new ArrayList<>();
@@ -168,10 +166,16 @@
       due = true;
       readFirst();
     }
+    replayed = 0;
     try {
       decisions.round(clock.now(), this, this);
-    } catch (RuntimeException e) {
+    } catch (RuntimeException | StackOverflowError | AssertionError e) {
       LOG.log(Level.SEVERE, "a round failed", e);
+      while (replayed < round.size()) {
+        Arrival arrival = round.get(replayed++);
+        failed(arrival.get);
+        replayed(arrival.get);
+      }
     }
   }
 
@@ -184,21 +188,44 @@
     return true;
   }
 
+  private void sendHeld() {
+    if (held) {
+      held = false;
+      try {
+        send.again();
+      } catch (RuntimeException e) { // Guards what has come meanwhile against a failure of what was held back.
+        LOG.log(Level.SEVERE, "sending what was held back failed", e);
+      }
+    }
+  }
+
+  /** Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time ends it. */
+  private void failed(OpenGet get) {
+    if (get != null && get.out == 0 && !get.answered) {
+      relay.errored(get, "internal error");
+      arrived(get, to -> to.left(get.id));
+    }
+  }
+
+  /** The decisions have heard of one event more, or never will. */
+  private void replayed(OpenGet get) {
+    if (get != null) {
+      get.events--;
+      book.close(get);
+    }
+  }
+
   /** A failure in the decisions on one GET ends that GET and no other. */
   @Override public void replay(Events to) {
-    for (Arrival arrival : round) {
+    while (replayed < round.size()) {
+      Arrival arrival = round.get(replayed++);
       try {
         arrival.event.accept(to);
-      } catch (RuntimeException e) {
+      } catch (RuntimeException | StackOverflowError | AssertionError e) {
         LOG.log(Level.SEVERE, "the decisions failed", e);
-        if (arrival.get != null && arrival.get.out == 0) {
-          relay.errored(arrival.get, "internal error");
-        }
+        failed(arrival.get);
       } finally {
-        if (arrival.get != null) {
-          arrival.get.events--;
-          book.close(arrival.get);
-        }
+        replayed(arrival.get);
       }
     }
   }
--- a/gateway/src/main/java/amberpath/gateway/Send.java
+++ b/gateway/src/main/java/amberpath/gateway/Send.java
@@ -10,9 +10,12 @@
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 
 /** Fourth stage: forwards go to the caches, and each ends once with its outcome. */
 final class Send {
+  private static final Logger LOG = Logger.getLogger(Send.class.getName());
   private static final String[] SWITCHES = {"join", "held", "nocopy", "renew"};
 
   private final Vertx vertx;
@@ -53,7 +56,12 @@
       return;
     }
     sent.timer = vertx.setTimer(Math.max(1, (end - now + 999_999) / 1_000_000), late -> sent.late());
-    sent.pool.send(sent);
+    try {
+      sent.pool.send(sent);
+    } catch (RuntimeException e) { // Guards the GET against an attempt that neither goes out nor ends.
+      LOG.log(Level.SEVERE, "sending failed", e);
+      sent.givenUp(sent.isWritten() ? Outcome.LOST : Outcome.NOT_SENT, false);
+    }
   }
 
   /** What was held back while news was too old goes on. */
@@ -154,11 +162,24 @@
 
     private void givenUp(Outcome outcome, boolean late) {
       if (!ended) {
-        pool.giveUp(this, late);
+        try {
+          pool.giveUp(this, late);
+        } catch (RuntimeException e) {
+          LOG.log(Level.SEVERE, "giving an attempt up failed", e);
+        }
         ended(outcome, Note.NOTHING, null);
       }
     }
 
+    /** Guards the connection to the cache, and what else is open on it, against trouble at one client. */
+    private void returned(Buffer body) {
+      try {
+        relay.returned(get, body);
+      } catch (RuntimeException e) {
+        LOG.log(Level.SEVERE, "an answer was not written", e);
+      }
+    }
+
     /** The first good answer goes to the client; the decisions hear of every ending. */
     @Override protected void ended(Outcome outcome, Note note, Buffer body) {
       if (ended) {
@@ -169,7 +190,7 @@
       get.out--;
       get.heard |= outcome == Outcome.RETURNED || outcome == Outcome.NOT_STORED;
       if (outcome == Outcome.RETURNED) {
-        relay.returned(get, body);
+        returned(body);
       }
       // Guards caches against the blame for what this gateway read late.
       long took = Math.max(0, clock.now() - sentAt - (standstill.soFar() - stoodBefore));
--- a/gateway/src/test/java/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/amberpath/gateway/RequestDeadlineTest.java
@@ -1,6 +1,7 @@
 package amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberpath.Control;
@@ -23,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request's time counts from its last byte, for caches too. */
+/** A request's time counts from its last byte, for caches too, and by its end there is an answer, whatever fails. */
 @Timeout(60)
 class RequestDeadlineTest {
   private static final long LAG_MS = 900, TOLERANCE_MS = 150, ALLOWANCE_MS = 15_000, PATIENCE_S = 20;
@@ -140,4 +141,43 @@
     assertEquals(PausingDecisions.REF, cache.next().word(1));
     assertEquals("0000000000000002", cache.next().word(1));
   }
+
+  /** What goes wrong beside two requests of one turn: each has its answer in its time, and nothing of them stays. */
+  @ParameterizedTest
+  @ValueSource(strings = {"round", "recursion", "assertion"})
+  void troubleFreesNoRequestOfItsAnswer(String trouble) throws Exception {
+    world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> {
+      if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
+        throw new IllegalStateException("a round");
+      }
+      in.replay(PausingDecisions.events((name, told) -> {
+        if (name.equals("get")) {
+          throw trouble.equals("recursion") ? new StackOverflowError() : new AssertionError("an event");
+        }
+      }));
+    });
+    int held = world.gateway.held();
+    Client client = world.client();
+    long allowance = 500;
+    long sent = System.nanoTime();
+    client.send(concat(Client.request(1, "parts", Client.fields(1, allowance, 1), new byte[0]),
+        Client.request(2, "parts", Client.fields(2, allowance, 2), new byte[0])));
+    for (int answer = 0; answer < 2; answer++) {
+      assertNotNull(client.answer().error());
+    }
+    long took = (System.nanoTime() - sent) / 1_000_000;
+    assertTrue(took < 10 * allowance, took + " ms");
+    assertTrue(client.status().status());
+    client.close();
+    for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S); world.gateway.held() > held;) {
+      assertTrue(System.nanoTime() < by, "held for ever: " + world.gateway.held());
+      Thread.sleep(20);
+    }
+  }
+
+  private static byte[] concat(byte[] first, byte[] second) {
+    byte[] both = Arrays.copyOf(first, first.length + second.length);
+    System.arraycopy(second, 0, both, first.length, second.length);
+    return both;
+  }
 }
