--- a/gateway/src/main/java/amberpath/gateway/Admit.java
+++ b/gateway/src/main/java/amberpath/gateway/Admit.java
@@ -1,12 +1,18 @@
 package amberpath.gateway;
 
+import amberpath.RequestDeadline;
+import amberpath.SocketReads;
 import amberpath.json.JsonSite;
 import amberpath.msgpack.ClientConnection;
 import amberpath.msgpack.ClientGet;
 import java.nio.charset.StandardCharsets;
+import java.util.logging.Level;
+import java.util.logging.Logger;
 
 /** Second stage: what can't be meant for the decisions, or passes the bound told, is answered here. */
 final class Admit {
+  private static final Logger LOG = Logger.getLogger(Admit.class.getName());
+
   private final JsonSite site;
   private final int mostOpen;
   private final Book book;
@@ -14,6 +20,7 @@
 
   /** Own GETs are made of what it lets in; null where none are made. */
   private OwnGets own;
+  private SocketReads.Backlog lastBacklog;
 
   Admit(JsonSite site, int mostOpen, Book book, Route route) {
     this.site = site;
@@ -26,7 +33,10 @@
     own = to;
   }
 
-  void get(ClientConnection from, long number, ClientGet asked, long due) {
+  /** A request that was read now, by a loop that was so late. Its failure takes no other request's answer. */
+  void get(ClientConnection from, long number, ClientGet asked, long now, long lag) {
+    SocketReads.Backlog backlog = backlog(from, now, lag);
+    long due = RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
     int ds = site.service(asked.service());
     if (ds < 0) {
       from.refuse(number, "no delivery service " + asked.service());
@@ -35,13 +45,34 @@
       from.refuse(number, "ref: open already");
     } else if (book.unanswered() >= mostOpen) {
       from.shed(number, 0);
+    } else if (RequestDeadline.isTooShort(due - now)) {
+      from.shed(number, 0);
     } else {
       OpenGet get = new OpenGet(book.nextId(), from, number, asked, ds, due);
+      get.takenAt = now;
+      get.backlog = backlog;
       book.open(get);
       route.get(get);
+      saw(get);
+    }
+  }
+
+  /** With what a request waited unread, if the loop was late just now or the rest of that is still being read. */
+  private SocketReads.Backlog backlog(ClientConnection from, long now, long lag) {
+    if (SocketReads.mustSettle(lag)) {
+      lastBacklog = new SocketReads.Backlog(now - lag, now);
+      return lastBacklog;
+    }
+    return lastBacklog != null && lastBacklog.mayGoOn(now) ? book.backlog(from, now) : null;
+  }
+
+  private void saw(OpenGet get) {
+    try {
       if (own != null) {
         own.saw(get);
       }
+    } catch (RuntimeException e) {
+      LOG.log(Level.SEVERE, "a request was not kept for synthetic ones", e);
     }
   }
 }
--- a/gateway/src/main/java/amberpath/gateway/Route.java
+++ b/gateway/src/main/java/amberpath/gateway/Route.java
@@ -4,6 +4,7 @@
 import amberpath.Arrivals.Events;
 import amberpath.Decisions;
 import amberpath.NewsAge;
+import amberpath.SocketReads;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
@@ -34,6 +35,7 @@
   private final Clock clock;
   private final Rounds decisions;
   private final NewsAge age;
+  private final SocketReads reads;
   private final Book book;
   private final Send send;
   private final Relay relay;
@@ -41,13 +43,16 @@
   private List<Arrival> news = new ArrayList<>(), arrivals = new ArrayList<>();
   private List<Arrival> round = List.of();
   private boolean due, reading, held;
+  private int replayed;
   private Told told;
 
-  Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, Book book, Send send, Relay relay) {
+  Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, SocketReads reads, Book book, Send send,
+      Relay relay) {
     this.vertx = vertx;
     this.clock = clock;
     this.decisions = decisions;
     this.age = age;
+    this.reads = reads;
     this.book = book;
     this.send = send;
     this.relay = relay;
@@ -97,7 +102,7 @@
 
   /** Whether a forward may be written now; one that may not is taken up again before the next round. */
   boolean mayWrite() {
-    boolean may = age.decides(clock.now());
+    boolean may = decides();
     if (!may) {
       held = true;
       soon();
@@ -105,6 +110,12 @@
     return may;
   }
 
+  /** Whether what is known of caches, purges and clients is young enough to decide and to write by. */
+  private boolean decides() {
+    long now = clock.now();
+    return age.decides(now) && reads.isFresh(now);
+  }
+
   private void soon() {
     if (!due) {
       due = true;
@@ -127,6 +138,7 @@
       vertx.setTimer(1, read -> { // A timer set now comes after the loop has read once more.
         reading = false;
         age.read(by);
+        reads.read(by);
         round();
       });
     }
@@ -136,46 +148,84 @@
     if (!due) {
       return;
     }
-    if (!age.decides(clock.now())) {
+    List<Arrival> ready = new ArrayList<>(), rest = new ArrayList<>();
+    for (Arrival arrival : arrivals) {
+      (ready.size() < MOST && isSettled(arrival.get) ? ready : rest).add(arrival);
+    }
+    if (!decides() || ready.isEmpty() && !rest.isEmpty() && news.isEmpty() && !held) {
       readFirst();
       return;
     }
     due = false;
-    if (held) {
-      held = false;
-      send.again();
-    }
-    int taken = Math.min(MOST, arrivals.size());
-    news.addAll(arrivals.subList(0, taken));
+    arrivals = rest;
+    sendHeld();
+    news.addAll(ready);
     round = news;
     news = new ArrayList<>();
-    arrivals = new ArrayList<>(arrivals.subList(taken, arrivals.size()));
     if (!arrivals.isEmpty()) { // Guards those who have left meanwhile: the loop reads before it decides on more.
       due = true;
-      vertx.setTimer(1, next -> round());
+      readFirst();
     }
+    replayed = 0;
     try {
       decisions.round(clock.now(), this, this);
-    } catch (RuntimeException e) {
+    } catch (RuntimeException | StackOverflowError | AssertionError e) {
       LOG.log(Level.SEVERE, "a round failed", e);
+      while (replayed < round.size()) {
+        Arrival arrival = round.get(replayed++);
+        failed(arrival.get);
+        replayed(arrival.get);
+      }
+    }
+  }
+
+  /** Whether a GET's connection was read on where the loop was late: guards against a close behind a pipeline. */
+  private boolean isSettled(OpenGet get) {
+    if (get != null && get.backlog != null && !get.settled) {
+      get.settled = get.answered || reads.isSettled(get.takenAt, book.lastTaken(get.client));
+      return get.settled;
+    }
+    return true;
+  }
+
+  private void sendHeld() {
+    if (held) {
+      held = false;
+      try {
+        send.again();
+      } catch (RuntimeException e) { // Guards what has come meanwhile against a failure of what was held back.
+        LOG.log(Level.SEVERE, "sending what was held back failed", e);
+      }
+    }
+  }
+
+  /** Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time ends it. */
+  private void failed(OpenGet get) {
+    if (get != null && get.out == 0 && !get.answered) {
+      relay.errored(get, "internal error");
+      arrived(get, to -> to.left(get.id));
+    }
+  }
+
+  /** The decisions have heard of one event more, or never will. */
+  private void replayed(OpenGet get) {
+    if (get != null) {
+      get.events--;
+      book.close(get);
     }
   }
 
   /** A failure in the decisions on one GET ends that GET and no other. */
   @Override public void replay(Events to) {
-    for (Arrival arrival : round) {
+    while (replayed < round.size()) {
+      Arrival arrival = round.get(replayed++);
       try {
         arrival.event.accept(to);
-      } catch (RuntimeException e) {
+      } catch (RuntimeException | StackOverflowError | AssertionError e) {
         LOG.log(Level.SEVERE, "the decisions failed", e);
-        if (arrival.get != null && arrival.get.out == 0) {
-          relay.errored(arrival.get, "internal error");
-        }
+        failed(arrival.get);
       } finally {
-        if (arrival.get != null) {
-          arrival.get.events--;
-          book.close(arrival.get);
-        }
+        replayed(arrival.get);
       }
     }
   }
