--- a/gateway/src/main/java/amberpath/gateway/Clients.java
+++ b/gateway/src/main/java/amberpath/gateway/Clients.java
@@ -2,7 +2,6 @@
 
 import amberpath.msgpack.ClientConnection;
 import io.vertx.core.Vertx;
-import java.util.HashSet;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -13,16 +12,18 @@
   private static final long MESSAGE_NS = 2_000_000_000L;
 
   private static final long READ_MS = 2;
+  /** Connections held beside the bound: those about to go, and those whose clients read their last answers. */
+  static final int SPARE = 8;
 
   private final Vertx vertx;
   private final int most;
   private final Clock clock;
   private final Set<ClientConnection> all = new LinkedHashSet<>();
   /** Those that go as soon as all is read that had come by now. */
-  private final Set<ClientConnection> leaving = new HashSet<>();
+  private final Set<ClientConnection> leaving = new LinkedHashSet<>();
   /** Those that take nothing more and still hold a descriptor, the oldest first. */
   private final Set<ClientConnection> ending = new LinkedHashSet<>();
-  private boolean over;
+  private boolean rejects, over;
 
   Clients(Vertx vertx, int most, Clock clock) {
     this.vertx = vertx;
@@ -30,43 +31,70 @@
     this.clock = clock;
   }
 
-  /** Guards the descriptors: past their bound the connection of least use goes, not the newest good one. */
+  /**
+   * Guards the descriptors: past their bound the connection of least use goes, not the newest good one. At every
+   * instant no more are held than the bound and SPARE, beside the one that has just come.
+   */
   void add(ClientConnection fresh) {
     all.add(fresh);
+    if (rejects) {
+      fresh.reject();
+    }
     if (over) {
       fresh.end();
+      if (size() > most + SPARE) {
+        fresh.close(); // It is owed nothing: nothing of it was read.
+      }
       return;
     }
-    while (!ending.isEmpty() && all.size() + ending.size() > most) {
-      ending.iterator().next().close();
-    }
     if (all.size() - leaving.size() > most) {
-      ClientConnection least = null;
-      for (ClientConnection one : all) {
-        // Guards GETs that are open: half a message after them makes a connection none of the least use.
-        if (one != fresh && !leaving.contains(one) && one.isFree() && (least == null || one.use() < least.use()
-            || one.use() == least.use() && one.heardAt() < least.heardAt())) {
-          least = one;
-        }
+      leave(leastUseful(fresh));
+    }
+    while (size() > most + SPARE) {
+      if (!ending.isEmpty()) {
+        ending.iterator().next().close();
+      } else if (!leaving.isEmpty()) {
+        evict(leaving.iterator().next());
+      } else {
+        fresh.close();
+      }
+    }
+  }
+
+  /** The one that goes for another, which goes itself where all others have something open. */
+  private ClientConnection leastUseful(ClientConnection fresh) {
+    ClientConnection least = null;
+    for (ClientConnection one : all) {
+      // Guards GETs that are open: half a message after them makes a connection none of the least use.
+      if (one != fresh && !leaving.contains(one) && one.isFree() && (least == null || one.use() < least.use()
+          || one.use() == least.use() && one.heardAt() < least.heardAt())) {
+        least = one;
       }
-      leave(least == null ? fresh : least);
     }
+    return least == null ? fresh : least;
   }
 
   /** Guards requests that crossed this: a connection goes only once the loop has read and still finds nothing open. */
   private void leave(ClientConnection one) {
     if (one.owes()) {
-      one.close();
+      one.letGo();
       return;
     }
     leaving.add(one);
     vertx.setTimer(READ_MS, read -> {
-      if (leaving.remove(one) && one.isFree()) {
-        one.end();
+      if (leaving.contains(one)) {
+        evict(one);
       }
     });
   }
 
+  private void evict(ClientConnection one) {
+    leaving.remove(one);
+    if (one.isFree()) {
+      one.letGo();
+    }
+  }
+
   void remove(ClientConnection one) {
     leaving.remove(one);
     if (all.remove(one)) {
@@ -78,12 +106,30 @@
     ending.remove(one);
   }
 
-  /** Ends all, and whatever connects from now on. */
+  /** From now on each request is rejected, on whatever connects too: the gateway stops. */
+  void reject() {
+    if (!rejects) {
+      rejects = true;
+      all.forEach(ClientConnection::reject);
+    }
+  }
+
+  /** Ends all, and whatever connects from now on: once nothing is owed on any. */
   void end() {
     over = true;
     List.copyOf(all).forEach(ClientConnection::end);
   }
 
+  /** Whether all were ended. */
+  boolean ended() {
+    return over;
+  }
+
+  /** Whether no answer waits to be written to a connection that was ended. */
+  boolean allWritten() {
+    return ending.stream().allMatch(ClientConnection::isWritten);
+  }
+
   /** Whether a client has begun a message that has not come whole. */
   boolean midway() {
     return all.stream().anyMatch(ClientConnection::midway);
--- a/gateway/src/main/java/amberpath/msgpack/ClientConnection.java
+++ b/gateway/src/main/java/amberpath/msgpack/ClientConnection.java
@@ -25,11 +25,31 @@
   private static final int REQUEST = 0, RESPONSE = 1, NOTIFICATION = 2;
   private static final int LONGEST = LONGEST_BODY + 16_384, MOST_OPEN = 32, LONGEST_METHOD = 64;
   private static final long MOST_NUMBER = 0xffff_ffffL;
-  /** How long, and for how many bytes, what still comes is read after this side has said that it ends. */
-  private static final long LINGER_MS = 300, LINGER_BYTES = 1 << 20;
+  /** How long a client has to read its last answers once they are written, and how long the writing may take. */
+  private static final long LINGER_MILLIS = 300, FLUSH_MILLIS = 2000;
+  private static final long LINGER_NANOS = LINGER_MILLIS * 1_000_000;
   private static final byte NO_FIELDS = (byte) 0x80;
   private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(128);
 
+  /** What becomes of a connection, in this order; it may skip some, and never goes back. */
+  private enum State {
+    /** Requests are read and answered. */
+    OPEN(true),
+    /** The protocol is broken: nothing more is read, and what was read with that gets an error each. */
+    FAILING(true),
+    /** Nothing more is read or owed; the answers are being written. */
+    FLUSHING(false),
+    /** They are written, and the client has heard of the end; it is given time to read them. */
+    HALF_CLOSED(false),
+    CLOSED(false);
+
+    private final boolean answers;
+
+    State(boolean answers) {
+      this.answers = answers;
+    }
+  }
+
   private final NetSocket socket;
   private final ClientHandler handler;
   private final LongSupplier clock;
@@ -38,8 +58,9 @@
   private final Unread queues;
   long unread;
   private long heardAt;
-  private boolean known, asked, broken, closed, ending, released;
-  private long thrownAway;
+  private boolean known, asked, broken, reading, answered, rejects, begun;
+  private long answeredAt;
+  private State state = State.OPEN;
 
   public ClientConnection(NetSocket socket, Unread queues, LongSupplier clock, ClientHandler handler) {
     this.socket = socket;
@@ -48,19 +69,23 @@
     this.handler = handler;
     heardAt = clock.getAsLong();
     socket.handler(bytes -> {
-      if (closed) {
-        throwAway(bytes.length());
-        return;
+      if (state.answers) {
+        read(bytes);
       }
-      boolean begins = !reader.midway();
-      reader.handle(bytes);
-      heardAt = known && (begins || !reader.midway()) ? clock.getAsLong() : heardAt;
     });
     socket.exceptionHandler(e -> { }); // The close that follows says it all.
-    socket.closeHandler(v -> {
-      gone();
-      release();
-    });
+    socket.closeHandler(v -> enter(State.CLOSED));
+  }
+
+  private void read(Buffer bytes) {
+    boolean begins = !reader.midway();
+    reading = true;
+    reader.handle(bytes);
+    reading = false;
+    heardAt = known && (begins || !reader.midway()) ? clock.getAsLong() : heardAt;
+    if (state == State.FAILING) { // Guards the requests that were read with what can't be used: each has its error now.
+      letGo();
+    }
   }
 
   /** Whether a message has begun and not come whole. */
@@ -100,15 +125,26 @@
         throw new IOException("no message of type " + type + " and " + size + " elements");
       }
       known = true;
+      begun = false;
     } catch (IOException | RuntimeException e) {
       unreadable(e.getMessage() == null ? e.toString() : e.getMessage());
     }
-    return !closed;
+    return state.answers;
+  }
+
+  /** From now on each request is rejected, but for one of which a part has come already. */
+  public void reject() {
+    rejects = true;
+    begun = reader.midway();
   }
 
   private void request(MessageUnpacker in, long number) throws IOException {
-    if (number < 0 || number > MOST_NUMBER || open.size() == MOST_OPEN || !open.add(number)) {
-      throw new IOException("message id " + number + " is none, open already, or one too many");
+    if (number < 0 || number > MOST_NUMBER || !open.add(number)) {
+      throw new IOException("message id " + number + " is none or open already");
+    }
+    if (open.size() > MOST_OPEN) {
+      errored(number, "more than " + MOST_OPEN + " requests are open");
+      throw new IOException("message id " + number + " is one too many");
     }
     if (broken) {
       errored(number, "the protocol was broken on this connection");
@@ -127,7 +163,7 @@
             .packMapHeader(0)));
         return;
       }
-      if (!handler.takes()) { // Guards what was taken against what can't be borne beside it.
+      if (rejects && !begun || !handler.takes()) { // Guards what was taken against what can't be borne beside it.
         asked = true;
         shed(number, handler.away());
         return;
@@ -163,20 +199,20 @@
   }
 
   @Override public void unreadable(String why) {
-    if (!closed) {
-      boolean owed = asked; // Guards the CPU: who has had no answer that could be on its way is not waited for.
+    if (state == State.OPEN) {
+      broken = true;
+      enter(State.FAILING);
+      stopReading();
       handler.broken(this, why);
-      if (owed) {
-        end();
-      } else {
-        close();
+      if (!reading) {
+        letGo();
       }
     }
   }
 
   /** It leaves its answers unread: the memory that they take is needed at once. */
   void abandon(String why) {
-    if (!closed) {
+    if (state.answers) {
       handler.broken(this, why);
     }
     close();
@@ -235,47 +271,76 @@
 
   private void send(Buffer answer) {
     heardAt = known && !reader.midway() ? clock.getAsLong() : heardAt;
-    if (!closed) {
+    if (state.answers) {
       queues.add(this, answer.length()); // First: a write may be done at once.
-      if (closed) {
-        written(answer.length());
-      } else {
+      if (state.answers) {
+        answered = true;
         socket.write(answer).onComplete(done -> written(answer.length()));
+      } else {
+        written(answer.length());
       }
     }
   }
 
   private void written(long bytes) {
     queues.read(this, bytes);
-    shut();
+    answeredAt = clock.getAsLong();
+    halfClose();
+  }
+
+  /** Whether all that it was answered has been written. */
+  public boolean isWritten() {
+    return unread == 0;
+  }
+
+  /** Whether its client has had time to read all that it was answered: a close takes no answer with it. */
+  public boolean isSettled() {
+    return unread == 0 && (!answered || clock.getAsLong() - answeredAt > LINGER_NANOS);
+  }
+
+  /** Lets go of it, at once where no answer can still be on its way. */
+  public void letGo() {
+    if (isSettled()) { // Guards the CPU and the descriptors: who has had no answer is not waited for.
+      close();
+    } else {
+      end();
+    }
   }
 
   /**
-   * Ends it in order: nothing more is taken, what was answered goes out, the client is told of the end, and what it
-   * says meanwhile is read and thrown away, for a bounded time. Guards answers on their way: a close over bytes that
-   * nobody read resets the connection, and takes with it what the client has not read.
+   * Ends it in order: nothing more is read, what was answered goes out, the client hears of the end and has a bounded
+   * time to read. What it sends meanwhile stays unread, so that it may be sent again elsewhere. Guards answers on their
+   * way: a close over bytes that nobody read resets the connection, and takes with it what the client has not read.
    */
   public void end() {
-    if (!closed) {
-      ending = true;
-      gone();
-      channel().executor().schedule(this::close, LINGER_MS, TimeUnit.MILLISECONDS);
-      shut();
+    if (state.answers) {
+      stopReading();
+      enter(State.FLUSHING);
+      halfClose();
+      if (state == State.FLUSHING) {
+        closeIn(FLUSH_MILLIS);
+      }
     }
   }
 
-  private void shut() {
-    if (ending && unread == 0) {
-      ending = false;
+  /**
+   * Guards requests that could get no answer any more, and the CPU: bytes stay with the kernel, also the rest of a read
+   * that is under way, and a connection that is not asked about wakes nobody. Vert.x's own pause reads on and queues.
+   */
+  private void stopReading() {
+    channel().channel().config().setAutoRead(false);
+  }
+
+  private void halfClose() {
+    if (state == State.FLUSHING && unread == 0) {
+      enter(State.HALF_CLOSED);
       ((DuplexChannel) channel().channel()).shutdownOutput();
+      closeIn(LINGER_MILLIS);
     }
   }
 
-  private void throwAway(int bytes) {
-    thrownAway += bytes;
-    if (thrownAway > LINGER_BYTES) { // Guards the CPU against who never stops sending.
-      close();
-    }
+  private void closeIn(long millis) {
+    channel().executor().schedule(this::close, millis, TimeUnit.MILLISECONDS);
   }
 
   private ChannelHandlerContext channel() {
@@ -286,21 +351,20 @@
   public void close() {
     // Guards against a peer that does not read: a plain close would wait until it has.
     channel().close();
-    gone();
-    release();
+    enter(State.CLOSED);
   }
 
-  private void gone() {
-    if (!closed) {
-      closed = true;
+  private void enter(State next) {
+    State from = state;
+    if (next.compareTo(from) <= 0) {
+      return;
+    }
+    state = next;
+    if (from.answers && !next.answers) {
       open.clear();
       handler.closed(this);
     }
-  }
-
-  private void release() {
-    if (!released) {
-      released = true;
+    if (next == State.CLOSED) {
       handler.released(this);
     }
   }
--- a/gateway/src/test/java/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/amberpath/gateway/GatewayTest.java
@@ -606,7 +606,7 @@
       flood.writeBytes(Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]));
     }
     client.send(flood.toByteArray());
-    for (int number = 1; number <= 32; number++) {
+    for (int number = 1; number <= 33; number++) {
       assertEquals("Internal", client.answer().error());
     }
     assertTrue(client.isClosed());
