--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -31,10 +31,11 @@
   public enum Phase { NEW, STARTING, SERVING, DRAINING, STOPPED }
 
   private static final Logger LOG = Logger.getLogger(Gateway.class.getName());
-  /** How long connections and requests come after the word to stop. */
-  private static final long STILL_COMING_MS = 750, CHECK_MS = 20, FLUSH_MS = 100, SWEEP_MS = 250, STILL_OWED_MS = 5;
-  /** How long clients may take to close after all is answered; only so long where the kill may come soon after. */
-  private static final long ENDING_MS = 350, ENDING_LATE_MS = 80;
+  private static final long SWEEP_MS = 250, STILL_OWED_MS = 5;
+  /** How often a shutdown looks what is due; and how long the loop reads once more before it stops to. */
+  private static final long SHUTDOWN_CHECK_MILLIS = 10, LAST_READ_MILLIS = 1;
+  /** How long the sockets' close is waited for at most. */
+  private static final long CLOSE_NANOS = 100_000_000;
   /** How often, and how far apart, a configuration is read that can't be read. */
   private static final int READINGS = 5;
   private static final long READ_AGAIN_MS = 200;
@@ -249,52 +250,68 @@
     return book.size() + caches.size() + clients.size();
   }
 
+  /** The event loop that all of it runs on. */
+  Context context() {
+    return context;
+  }
+
   public int port() {
     return server.actualPort();
   }
 
-  /** Answers what still comes and all that was taken, then lets go of everything. */
+  /** Answers what still comes and all that was taken, then lets go of everything; all before the kill may come. */
   public Future<Void> stop() {
+    // Guards against a loop that is late: the time runs from the word to stop, not from when the loop gets to it.
+    ShutdownSchedule schedule = new ShutdownSchedule(clock.now(), options.longestDeadline());
     context.runOnContext(loop -> {
       if (phase == Phase.NEW || server == null) {
-        close();
+        close(schedule);
       } else if (phase.compareTo(Phase.SERVING) <= 0) { // Also a start that listens may have taken GETs.
         enter(Phase.DRAINING);
         if (company != null) {
           company.draining();
         }
-        long since = clock.now(), last = options.lastAnswers() / 1_000_000;
-        vertx.setPeriodic(CHECK_MS, timer -> {
-          long passed = (clock.now() - since) / 1_000_000;
-          if (passed > last) {
-            book.allUnanswered().forEach(get -> {
-              relay.errored(get, "stopping");
-              route.arrived(get, to -> to.left(get.id));
-            });
-          }
-          // Half a GET is waited for as long as a client may take to send the rest of it.
-          if (passed > STILL_COMING_MS && book.unanswered() == 0 && (passed > last || !clients.midway())) {
-            vertx.cancelTimer(timer);
-            endClients(clock.now() + (passed > last ? ENDING_LATE_MS : ENDING_MS) * 1_000_000);
-          }
-        });
+        vertx.setPeriodic(SHUTDOWN_CHECK_MILLIS, timer -> shutDown(schedule, timer));
       }
     });
     return stopped.future();
   }
 
-  /** Takes nothing more from anyone, and goes once all clients have read what they were answered. */
-  private void endClients(long by) {
-    clients.end();
-    vertx.setPeriodic(CHECK_MS, timer -> {
-      if (clients.size() == 0 || clock.now() > by) {
-        vertx.cancelTimer(timer);
-        close();
-      }
-    });
+  /** Does what is due of a shutdown by now. */
+  private void shutDown(ShutdownSchedule schedule, long timer) {
+    if (schedule.rejects(clock.now())) {
+      clients.reject();
+    }
+    if (schedule.answersAll(clock.now())) {
+      book.allUnanswered().forEach(get -> {
+        relay.errored(get, "stopping");
+        route.arrived(get, to -> to.left(get.id));
+      });
+    }
+    if (schedule.exits(clock.now(), clients.allWritten(), clients.size() == 0)) {
+      vertx.cancelTimer(timer);
+      endClients(schedule);
+      close(schedule);
+    } else if (schedule.halfCloses(clock.now(), owesNothing())) {
+      // Guards requests that came while the loop stood still: a timer set now comes after it has read once more.
+      vertx.setTimer(LAST_READ_MILLIS, read -> endClients(schedule));
+    }
+  }
+
+  /** Whether all that was read has its answer. Half a GET is waited for, while a client may still send the rest. */
+  private boolean owesNothing() {
+    return book.unanswered() == 0 && !clients.midway();
+  }
+
+  /** Reads nothing more from anyone, if that is still due: the loop may have read another request meanwhile. */
+  private void endClients(ShutdownSchedule schedule) {
+    if (!clients.ended() && schedule.halfCloses(clock.now(), owesNothing())) {
+      clients.end();
+      schedule.halfClosed(clock.now());
+    }
   }
 
-  private void close() {
+  private void close(ShutdownSchedule schedule) {
     enter(Phase.STOPPED);
     vertx.cancelTimer(sweeper);
     vertx.cancelTimer(watch);
@@ -308,7 +325,7 @@
     Future<Void> left = company == null ? Future.succeededFuture() : company.close();
     // A client that does not read keeps nobody waiting.
     Future.join(left, server == null ? Future.succeededFuture() : server.close())
-        .timeout(FLUSH_MS, TimeUnit.MILLISECONDS)
+        .timeout(Math.min(CLOSE_NANOS, schedule.timeLeft(clock.now())), TimeUnit.NANOSECONDS)
         .onComplete(closed -> stopped.complete());
   }
 }
--- a/gateway/src/main/java/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/amberpath/gateway/GatewayOptions.java
@@ -18,15 +18,15 @@
 public final class GatewayOptions {
   private static final int LEAST_DESCRIPTORS = 128, RUNTIME_DESCRIPTORS = 56, LEAST_MEMORY_MB = 32;
   private static final int LONGEST_ANSWER = 240_000;
-  /** From the word to stop to the kill: the longest viewer timeout, or this where it is longer; then some more. */
-  private static final long LONGEST_STOP = 3_000_000_000L, KILL_AFTER_THAT = 500_000_000;
+  /** The longest viewer timeout, where a class tells none or a longer one. */
+  private static final long LONGEST_DEADLINE_NANOS = 3_000_000_000L;
   private static final long DRAIN_GRACE = 250_000_000, PURGE_GRACE = 300_000_000;
 
   private final String name;
   private final SocketAddress listen, journal;
   private final JsonSite site;
   private final Fields known;
-  private final long connectTimeout, connectionIdle, lastAnswers, newsGrace;
+  private final long connectTimeout, connectionIdle, longestDeadline, newsGrace;
   private final int wantsOnConnection, mostOpen, descriptors;
   private final long memory;
 
@@ -50,9 +50,9 @@
     mostOpen = Math.max(1, bounds.place("max-open", Integer.MAX_VALUE));
     long longest = 0;
     for (Fields service : settings.each("classes")) {
-      longest = Math.max(longest, service.timeOr("hard-limit-s", LONGEST_STOP));
+      longest = Math.max(longest, service.timeOr("hard-limit-s", LONGEST_DEADLINE_NANOS));
     }
-    lastAnswers = Math.min(longest, LONGEST_STOP) + KILL_AFTER_THAT;
+    longestDeadline = Math.min(longest, LONGEST_DEADLINE_NANOS);
   }
 
   /** Reads what the environment names. A message of {@link Fields.Malformed} names the faulty key. */
@@ -157,9 +157,9 @@
     return mostOpen;
   }
 
-  /** How long after the word to stop all must be answered: a little before the kill may come. */
-  public long lastAnswers() {
-    return lastAnswers;
+  /** The longest viewer timeout of all classes, in nanoseconds: a kill may come some time after that. */
+  public long longestDeadline() {
+    return longestDeadline;
   }
 
   /** Connections that clients may hold: usual ones hold a third of the descriptors, half as many more while another
--- a/gateway/src/main/java/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/amberpath/gateway/Server.java
@@ -19,7 +19,7 @@
 /** A gateway as a process of its own: one event loop, stopped by the runtime's word to end. */
 public final class Server {
   private static final Logger LOG = Logger.getLogger(Server.class.getName());
-  private static final long STOP_S = 10, LOOK_MS = 1000;
+  private static final long LOOK_MS = 1000;
   private static final String FORMAT = "java.util.logging.SimpleFormatter.format";
 
   private Server() {
@@ -46,6 +46,7 @@
         .setFileSystemOptions(new FileSystemOptions().setClassPathResolvingEnabled(false)
             .setFileCachingEnabled(false))).build();
     Gateway gateway = new Gateway(vertx, options, beside);
+    long stopWithin = new ShutdownSchedule(0, options.longestDeadline()).timeLeft(0);
     Supplier<GatewayOptions> anew = () -> GatewayOptions.read(environment, withJournal);
     if (Signal.handle(new Signal("HUP"), signal -> gateway.reload(anew)) == SignalHandler.SIG_IGN) {
       LOG.warning("SIGHUP is ignored by what started this process: PROXY_CONFIG is looked at each second instead");
@@ -54,7 +55,8 @@
     // The runtime ends only after its hooks: all that was taken is answered in this one, set before any can come.
     Runtime.getRuntime().addShutdownHook(new Thread(() -> {
       try {
-        gateway.stop().toCompletionStage().toCompletableFuture().get(STOP_S, TimeUnit.SECONDS);
+        // Guards against a loop that stands still: the kill may come soon after.
+        gateway.stop().toCompletionStage().toCompletableFuture().get(stopWithin, TimeUnit.NANOSECONDS);
       } catch (Exception e) {
         err.println("stop: " + e);
       }
--- /dev/null
+++ b/gateway/src/test/java/amberpath/gateway/ShutdownScheduleTest.java
@@ -0,0 +1,63 @@
+package amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The steps of a shutdown come in order and end before the kill, however short the deadlines and late the loop. */
+class ShutdownScheduleTest {
+  private static final long MILLI = 1_000_000, SIGTERM = 5_000_000_000_000L;
+
+  /** Looks each so many milliseconds while a request is open that is never answered; when each step came. */
+  @ParameterizedTest
+  @CsvSource({"10, 10", "100, 10", "100, 35", "350, 10", "1000, 10", "1000, 90", "3000, 10", "3000, 90"})
+  void allStepsComeInOrderBeforeTheKill(long deadlineMillis, long lookMillis) {
+    long kill = deadlineMillis + 700;
+    ShutdownSchedule schedule = new ShutdownSchedule(SIGTERM, deadlineMillis * MILLI);
+    long rejected = -1, answered = -1, halfClosed = -1, exited = -1;
+    for (long at = 0; exited < 0; at += lookMillis) {
+      long now = SIGTERM + at * MILLI;
+      assertTrue(now + schedule.timeLeft(now) < SIGTERM + kill * MILLI, "time left at " + at);
+      rejected = rejected < 0 && schedule.rejects(now) ? at : rejected;
+      answered = answered < 0 && schedule.answersAll(now) ? at : answered;
+      if (halfClosed < 0 && schedule.halfCloses(now, false)) {
+        halfClosed = at;
+        schedule.halfClosed(now);
+      }
+      exited = schedule.exits(now, true, false) ? at : exited;
+    }
+    assertTrue(rejected >= Math.min(400, kill - 310), "rejects from " + rejected);
+    assertTrue(rejected <= 750 + lookMillis, "rejects from " + rejected);
+    assertTrue(rejected <= answered && answered <= halfClosed && halfClosed <= exited,
+        rejected + " " + answered + " " + halfClosed + " " + exited);
+    assertTrue(answered >= kill - 200, "no answer sooner than it has to be: " + answered);
+    assertTrue(exited < kill, "exits at " + exited);
+  }
+
+  @Test
+  void whatOwesNothingIsHalfClosedOnceRequestsAreRejectedAndExitsOnceClientsCouldRead() {
+    ShutdownSchedule schedule = new ShutdownSchedule(0, 3000 * MILLI);
+    assertFalse(schedule.halfCloses(740 * MILLI, true));
+    assertTrue(schedule.halfCloses(750 * MILLI, true));
+    assertFalse(schedule.exits(750 * MILLI, true, true), "not half-closed yet");
+    schedule.halfClosed(750 * MILLI);
+    assertTrue(schedule.exits(751 * MILLI, true, true), "no connection is left");
+    assertFalse(schedule.exits(1000 * MILLI, true, false), "clients still read");
+    assertTrue(schedule.exits(1100 * MILLI, true, false));
+    assertFalse(schedule.exits(1100 * MILLI, false, false), "an answer is not written yet");
+    assertTrue(schedule.exits(3600 * MILLI, false, false));
+  }
+
+  @Test
+  void aLoopThatStoodStillPastAllStepsDoesThemAtOnce() {
+    ShutdownSchedule schedule = new ShutdownSchedule(0, 100 * MILLI);
+    long late = 900 * MILLI;
+    assertTrue(schedule.rejects(late) && schedule.answersAll(late) && schedule.halfCloses(late, false)
+        && schedule.exits(late, false, false));
+    assertEquals(MILLI, schedule.timeLeft(late));
+  }
+}
--- a/gateway/src/test/java/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/amberpath/gateway/StandIns.java
@@ -385,4 +385,9 @@
       }
     }
   }
+
+  /** Runs something on the event loop of the gateway, which stands still meanwhile. */
+  void loop(Runnable what) {
+    gateway.context().runOnContext(turn -> what.run());
+  }
 }
