--- a/gateway/src/test/java/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/amberpath/gateway/StandIns.java
@@ -397,4 +397,9 @@
     Files.writeString(file, text);
     return environment;
   }
+
+  /** Runs something on the event loop of the gateway, which stands still meanwhile. */
+  void loop(Runnable what) {
+    gateway.context().runOnContext(turn -> what.run());
+  }
 }
