--- a/gateway/src/test/java/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/amberpath/gateway/StandIns.java
@@ -9,10 +9,12 @@
 import java.io.DataInputStream;
 import java.io.IOException;
 import java.io.OutputStream;
+import java.net.BindException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,11 +22,15 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Queue;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -385,4 +391,202 @@
       }
     }
   }
+
+  // ---- Faults that endpoints and the journal play by themselves.
+
+  /** What a cache does with each want, by itself. */
+  interface Reaction {
+    void to(Command want) throws Exception;
+  }
+
+  /** A want and when it had come. */
+  record Seen(Command want, long atNanos) {
+  }
+
+  /** Has a cache react by itself from now on; what is returned grows with the commands that come. */
+  List<Seen> react(Cache cache, Reaction reaction) {
+    List<Seen> seen = new CopyOnWriteArrayList<>();
+    threads.execute(() -> {
+      try {
+        while (true) {
+          Command next = cache.commands.take();
+          seen.add(new Seen(next, System.nanoTime()));
+          if (next.word(0).equals("want")) {
+            threads.execute(() -> once(reaction, next));
+          }
+        }
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+    });
+    return seen;
+  }
+
+  private static void once(Reaction reaction, Command want) {
+    try {
+      reaction.to(want);
+    } catch (Exception e) {
+      // The gateway has closed this connection, or the test is over.
+    }
+  }
+
+  /** A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the given address. */
+  List<Cache> start(Path folder, int many, String journalAddress) throws Exception {
+    List<Cache> caches = new ArrayList<>();
+    for (int at = 0; at < many; at++) {
+      caches.add(cache());
+      journal.host("c" + at, caches.get(at).address(), "box", "ready");
+    }
+    origin = cache();
+    journal.host("o0", origin.address(), "origin", "ready");
+    start(options(folder, journalAddress), null);
+    return caches;
+  }
+
+  /** What a configuration says that names this journal. */
+  GatewayOptions options(Path folder, String journalAddress) throws IOException {
+    Path file = Path.of(environment(folder).get("PROXY_CONFIG"));
+    Path next = Files.createTempFile(folder, "config", ".json");
+    Files.writeString(next, Files.readString(file).replace("\"journal\":\"" + journal.address(),
+        "\"journal\":\"" + journalAddress));
+    return GatewayOptions.read(Map.of("PROXY_CONFIG", next.toString()));
+  }
+
+  /** Another journal service, which holds what the first one holds now. */
+  Journal secondJournal() throws IOException {
+    Journal second = new Journal();
+    synchronized (journal) {
+      second.entries.addAll(journal.entries);
+    }
+    open.add(() -> second.server.stop(0));
+    return second;
+  }
+
+  /** An address that refuses connections, and that nobody else takes meanwhile. */
+  String refusingAddress() throws IOException {
+    Socket reserved = new Socket();
+    open.add(reserved);
+    reserved.bind(new InetSocketAddress(LOOPBACK, 0));
+    return "127.0.0.1:" + reserved.getLocalPort();
+  }
+
+  JournalRelay relay(Journal to) throws IOException {
+    JournalRelay relay = new JournalRelay(to);
+    open.add(relay);
+    return relay;
+  }
+
+  /** A way to a journal that can be slow, crowded or closed. */
+  final class JournalRelay implements AutoCloseable {
+    private static final int CHUNK_BYTES = 65_536;
+
+    private final Journal to;
+    /** Bound and never used: keeps the port while nothing listens there. */
+    private final Socket reserved = new Socket();
+    private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
+    private ServerSocket server;
+    private int accepted;
+    /** How much longer each reply takes. */
+    volatile long delayMillis;
+    /** Of so many connections one is served, with one reply, and the others are reset; 0: all are served. */
+    volatile int crowd;
+
+    JournalRelay(Journal to) throws IOException {
+      this.to = to;
+      reserved.setReuseAddress(true);
+      reserved.bind(new InetSocketAddress(LOOPBACK, 0));
+      open();
+    }
+
+    String address() {
+      return "127.0.0.1:" + reserved.getLocalPort();
+    }
+
+    /** Listens, for the first time or again. */
+    void open() throws IOException {
+      ServerSocket listening = new ServerSocket();
+      listening.setReuseAddress(true);
+      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+      while (!listening.isBound()) {
+        try {
+          listening.bind(new InetSocketAddress(LOOPBACK, reserved.getLocalPort()));
+        } catch (BindException e) {
+          if (System.nanoTime() > until) { // The one before is being let go by the thread that accepts there.
+            throw e;
+          }
+          Thread.onSpinWait();
+        }
+      }
+      server = listening;
+      threads.execute(() -> {
+        try {
+          while (true) {
+            accepted(listening.accept());
+          }
+        } catch (IOException e) {
+          // Closed.
+        }
+      });
+    }
+
+    /** Refuses connections from now on, and resets those that are open. */
+    void leave() throws IOException {
+      server.close();
+      cut();
+    }
+
+    /** Resets the connections that are open. */
+    void cut() throws IOException {
+      for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
+        reset(one);
+      }
+    }
+
+    private void accepted(Socket from) throws IOException {
+      if (crowd > 0 && accepted++ % crowd != 0) {
+        reset(from);
+        return;
+      }
+      Socket on = new Socket(LOOPBACK, to.server.getAddress().getPort());
+      sockets.add(from);
+      sockets.add(on);
+      AtomicBoolean asked = new AtomicBoolean();
+      threads.execute(() -> pump(from, on, () -> asked.set(true)));
+      threads.execute(() -> pump(on, from, () -> {
+        if (asked.getAndSet(false)) {
+          Thread.sleep(delayMillis);
+        }
+      }));
+    }
+
+    private void pump(Socket from, Socket on, BeforeChunk before) {
+      try (from; on) {
+        byte[] bytes = new byte[CHUNK_BYTES];
+        for (int read = from.getInputStream().read(bytes); read >= 0; read = from.getInputStream().read(bytes)) {
+          before.call();
+          on.getOutputStream().write(bytes, 0, read);
+        }
+      } catch (Exception e) {
+        // One side is gone.
+      }
+    }
+
+    private static void reset(Socket socket) throws IOException {
+      try {
+        socket.setSoLinger(true, 0);
+      } catch (SocketException e) {
+        // It is closed already.
+      }
+      socket.close();
+    }
+
+    @Override public void close() throws IOException {
+      leave();
+      reserved.close();
+    }
+  }
+
+  private interface BeforeChunk {
+    void call() throws Exception;
+  }
 }
