--- a/core/src/main/java/amberpath/Control.java
+++ b/core/src/main/java/amberpath/Control.java
@@ -42,7 +42,7 @@
   private static final double TRICKLE = 1.0 / 16, LATE = 2;
 
   // Cold ramp: parts of what the guarantee allows; the rest is for what others do unseen. AHEAD: for all.
-  private static final double SLICE = 0.9, BUDGET = 0.5, AHEAD = 0.25, SURE = 1.5, CARRIED_OVER = 4e9;
+  private static final double SLICE = 0.9, BUDGET = 0.5, AHEAD = 0.25, WARM_PEERS = 0.25, CARRIED_OVER = 4e9;
 
   private static final double FURTHER_SHARE = 0.2, FURTHER_SAVED = 40, LEAST_LEFT = 20 * MS;
 
@@ -76,9 +76,9 @@
   private final Map<Long, Long> purges = new TreeMap<>();
   private final Load originLoad = new Load(), link = new Load();
   private double further = FURTHER_SAVED;
-  private boolean sweeping, watching;
+  private boolean sweeping, watching, cachesWarm = true, parentsWarm = true;
 
-  private long now;
+  private long now, firstRoundAt = Long.MIN_VALUE;
   private Decisions out;
 
   public Control(Site site) {
@@ -92,6 +92,7 @@
 
   public void round(long time, Arrivals in, Decisions to) {
     now = time;
+    firstRoundAt = firstRoundAt == Long.MIN_VALUE ? time : firstRoundAt;
     out = to;
     if (!watching && site.listOnRequest()) {
       watching = true;
@@ -285,7 +286,9 @@
       out.sendBy(get.id, get.ran.sentAt + site.window(get.service.ds));
     }
     out.forward(get.id, cache.index, get.due, from.index, age, get.rank, switches);
-    Forward sent = new Forward(get, get.forwards.size(), cache, from, heldOnly, now);
+    boolean askedIfMissed = from != cache && cache.ramp(now) >= 1 && from.ramp(now) < 1;
+    Forward sent = new Forward(get, get.forwards.size(), cache, from, heldOnly, now,
+        askedIfMissed ? get.service.work / 1e9 : 0);
     get.forwards.add(sent);
     get.out++;
     open.add(sent);
@@ -295,8 +298,7 @@
     charge(cache, get.ahead ? 0 : get.service.work / 1e9);
     if (from != cache) {
       count(sent, get.service.missShare());
-      double sure = cache.ramp(now) < 1 ? 1 : Math.min(1, SURE * get.service.missShare());
-      charge(from, get.service.work / 1e9 * sure);
+      charge(from, get.service.work / 1e9);
     }
     if (!sweeping) {
       sweeping = true;
@@ -358,6 +360,9 @@
         seen[2] = seen[2] == 0 ? took : Math.min(seen[2], took);
         boolean hit = note == Note.HIT || note == Note.NOTHING;
         boolean byOrigin = note == Note.FILLED_BY_ORIGIN;
+        if (hit) {
+          refund(forward.source, forward.refundable);
+        }
         if (hit && !forward.get.told) {
           service.measure(took);
         } else if (!hit) {
@@ -538,8 +543,31 @@
   /** Whether this gateway's part of what a cold member can bear has room for one more. A part under one GET
    * lets one through when nothing is owed, which is owed for after: the sum over all gateways is kept. */
   private boolean affords(Member member, Service service) {
-    double spare = rate(member, now) * site.fallTime() / 1e9 - service.work / 1e9;
-    return member.ramp(now) >= 1 || spent(member) <= Math.max(0, spare);
+    double work = service.work / 1e9, spare = borne(member, now) - work;
+    return member.ramp(now) >= 1 || spent(member) <= Math.max(0, spare) && (spare >= 0 || inTurn(member, work));
+  }
+
+  /** Work that this gateway may send in a fall time. */
+  private double borne(Member member, long time) {
+    return rate(member, time) * site.fallTime() / 1e9;
+  }
+
+  /** Guards against all gateways that owe nothing at once, when demand sets in: where more than the endpoint bears
+   * could, and its peers don't carry the most of it, what was not used in a fall time comes back a turn later. */
+  private boolean inTurn(Member member, double work) {
+    double together = borne(member, now) / BUDGET / work / Math.max(member.cold.part, 1e-9);
+    boolean few = 1 / Math.max(member.cold.part, 1e-9) <= together + 2 * Math.sqrt(together) + 2;
+    return few || (member.edge ? cachesWarm : parentsWarm) || -balance(member) % work <= borne(member, now);
+  }
+
+  /** Whether enough of these are warm that no flood of what they would take comes to those that are cold. */
+  private boolean warm(Member[] among) {
+    double all = 0, warm = 0;
+    for (Member member : among) {
+      all += member.up ? member.weight : 0;
+      warm += member.up && member.share(now) > 0 && member.ramp(now) >= 1 ? member.weight : 0;
+    }
+    return warm >= WARM_PEERS * all;
   }
 
   /** Work a second that this gateway may send: by size where told, else by what warm peers usually return. */
@@ -550,13 +578,41 @@
 
   /** What is owed of the work sent: it is paid off at a rate that rises with the ramp. */
   private double spent(Member member) {
+    return Math.max(0, balance(member));
+  }
+
+  /** The same, and below 0 for how long nothing has been owed. */
+  private double balance(Member member) {
     double paid = (rate(member, member.spentAt) + rate(member, now)) / 2 * (now - member.spentAt) / 1e9;
-    return Math.max(0, member.spent - paid);
+    return (member.chance >= 0 ? firstDebt(member) : member.spent) - paid;
+  }
+
+  /** By chance, so that not all gateways send their first at once, and by the work as it is known by now. A gateway
+   * that began after the endpoint follows one that may have sent all that it could: it has nothing saved up. */
+  private double firstDebt(Member member) {
+    double dearest = Arrays.stream(services).mapToDouble(one -> one.work).max().orElse(0) / 1e9;
+    double borne = borne(member, member.spentAt);
+    return member.chance * dearest + (member.startedAt < firstRoundAt ? Math.max(0, borne - dearest) : -borne);
   }
 
   private void charge(Member member, double work) {
-    member.spent = member.ramp(now) < 1 ? spent(member) + work : 0;
+    if (work > 0) {
+      settle(member, spent(member) + work);
+    }
+  }
+
+  private void settle(Member member, double owed) {
+    member.spent = member.ramp(now) < 1 ? owed : 0;
     member.spentAt = now;
+    member.chance = -1;
+  }
+
+  /** A source was not asked after all. */
+  private void refund(Member member, double work) {
+    if (work > 0 && member.ramp(now) < 1) {
+      double owed = balance(member);
+      settle(member, Math.max(Math.min(0, owed), owed - work));
+    }
   }
 
   @Override public void woken(String handle) {
@@ -589,6 +645,8 @@
     members.values().forEach(one -> link.held += one.edge ? 0 : Math.min(one.held, one.most));
     judge(caches);
     judge(parents);
+    cachesWarm = warm(caches);
+    parentsWarm = warm(parents);
     for (Forward forward : new ArrayList<>(open)) {
       Get get = forward.get;
       boolean aside = forward.cache.share(now) == 0;
@@ -650,9 +708,7 @@
     if (startedAt > member.startedAt) {
       member.startedAt = startedAt;
       member.most = 0;
-      double dearest = Arrays.stream(services).mapToDouble(one -> one.work).max().orElse(0);
-      double first = random.nextDouble() * dearest - rate(member, now) * site.fallTime();
-      member.spent = Math.max(0, first / 1e9); // Not all gateways send their first at once.
+      member.chance = random.nextDouble();
       member.spentAt = now;
       member.setAsideAt = 0;
       if (member.edge && member.ramp(now) < 1 && zone.equals(site.zone())) {
@@ -669,6 +725,8 @@
     caches = members(member -> member.edge && member.zone.equals(site.zone()));
     parents = members(member -> member.mid);
     origin = members.values().stream().filter(member -> member.origin).findFirst().orElse(null);
+    cachesWarm = warm(caches);
+    parentsWarm = warm(parents);
     double ofAll = members(member -> member.edge && member.up).length / EACH / all * (granted ? 1 : 0);
     double first = FIRST_LIMIT * (1 + 1.0 / here) / 2; // Where many share, each learns more slowly.
     originLoad.part(ofAll, first);
@@ -820,7 +878,7 @@
     boolean up, gone, mid, origin, edge, doubted;
     Cold cold;
     long startedAt, heardAt, setAsideAt, trialAt, provedAt, spentAt, aheadAt, carriedAt, pause = PAUSE;
-    double weight, spent, carried;
+    double weight, spent, chance = -1, carried;
 
     Member(int index, String address) {
       this.index = index;
@@ -869,5 +927,6 @@
     }
   }
 
-  private record Forward(Get get, int copy, Member cache, Member source, boolean heldOnly, long sentAt) { }
+  private record Forward(Get get, int copy, Member cache, Member source, boolean heldOnly, long sentAt,
+      double refundable) { }
 }
