--- a/gateway/src/main/java/amberpath/gateway/Caches.java
+++ b/gateway/src/main/java/amberpath/gateway/Caches.java
@@ -17,6 +17,7 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
+import java.util.function.LongFunction;
 
 /** The caches that the journal told of, by the small indices under which the decisions know them. */
 final class Caches implements Membership {
@@ -26,6 +27,10 @@
     SocketAddress address;
     State state;
     CachePool pool;
+    /** The start as it was told, and by this gateway's clock: the age of one that was heard of stays by that clock. */
+    long startedAtMs, startedAt;
+    /** What was told of it last, but for when it started. */
+    LongFunction<Consumer<Events>> telling;
 
     Entry(String id, int index) {
       this.id = id;
@@ -33,6 +38,9 @@
     }
   }
 
+  /** By how much a start has to be later than was told to be told anew: each word of a start begins a ramp. */
+  private static final long CORRECTED_NANOS = 1_000_000_000L;
+
   private final GatewayOptions options;
   private final Clock clock;
   private final NetClient client;
@@ -109,8 +117,12 @@
       }
       entry.address = now;
     }
-    list.add(to -> to.member(entry.index, id, zone, kind, cell, state, weight,
-        startedAtMs == 0 ? 0 : clock.now() - clock.since(startedAtMs)));
+    if (startedAtMs != entry.startedAtMs) {
+      entry.startedAtMs = startedAtMs;
+      entry.startedAt = startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(startedAtMs);
+    }
+    entry.telling = startedAt -> to -> to.member(entry.index, id, zone, kind, cell, state, weight, startedAt);
+    list.add(entry.telling.apply(entry.startedAt));
   }
 
   /** Whether a list has come: before that nothing can be decided. */
@@ -140,11 +152,32 @@
   }
 
   @Override public void purged(long object, int group, long atMs) {
-    route.told(to -> to.purged(object, group, Math.max(0, clock.since(atMs))));
+    long purgedAt = clock.now() - clock.sincePurge(atMs);
+    if (clock.corrected()) {
+      tellStarts();
+    }
+    route.told(to -> to.purged(object, group, clock.now() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done before.
     pools().forEach(pool -> pool.fail(want -> ((Send.Sent) want).isPurged(object, group), Outcome.HELD_BACK));
   }
 
+  /** Guards slow starts against a wall clock that was ahead when this gateway began, and made them look old. */
+  private void tellStarts() {
+    List<Consumer<Events>> later = new ArrayList<>();
+    for (Entry entry : byId.values()) {
+      long startedAt = entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
+      if (startedAt > entry.startedAt + CORRECTED_NANOS) {
+        entry.startedAt = startedAt;
+        later.add(entry.telling.apply(startedAt));
+      }
+    }
+    route.told(to -> {
+      to.listing(Listing.CHANGES);
+      later.forEach(one -> one.accept(to));
+      to.listed();
+    });
+  }
+
   /** Sends what pools held back. */
   void again() {
     pools().forEach(CachePool::again);
@@ -156,6 +189,7 @@
 
   /** Leaves idle connections, and lets go of caches that are gone once nothing of theirs is open. */
   void sweep() {
+    clock.watch();
     for (Entry entry : List.copyOf(byId.values())) {
       boolean gone = entry.state == State.GONE;
       if (entry.pool != null && gone && entry.pool.isFree()) {
--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -42,7 +42,7 @@
   private final Vertx vertx;
   private final Context context;
   private final GatewayOptions options;
-  private final Clock clock = new Clock();
+  private final Clock clock;
   private final Book book = new Book();
   private final Promise<Void> stopped = Promise.promise();
   private final Complaints complaints = new Complaints();
@@ -58,7 +58,7 @@
   private final Membership journalNews;
   private final NewsSource news;
   private final Company company;
-  private final Entries entries = new Entries();
+  private final Entries entries;
   private NetServer server;
   private long sweeper = -1, watch = -1;
   private volatile Phase phase = Phase.NEW;
@@ -73,10 +73,16 @@
   }
 
   Gateway(Vertx vertx, GatewayOptions options, Beside beside, Route.Rounds decisions) {
+    this(vertx, options, beside, decisions, new Clock());
+  }
+
+  Gateway(Vertx vertx, GatewayOptions options, Beside beside, Route.Rounds decisions, Clock clock) {
     NewsSource.Maker source = beside.news();
     this.vertx = vertx;
     context = vertx.getOrCreateContext();
     this.options = options;
+    this.clock = clock;
+    entries = new Entries(clock);
     age = new NewsAge(options.newsGrace(), options.journal() != null, clock.now());
     Site site = options.site();
     Pace pace = new Pace(site.seed(), site.retryAfter() ? site.maxRetryAfter() : 0);
@@ -154,7 +160,7 @@
       enter(Phase.STARTING);
       try {
         if (journal != null) {
-          entries.play(options.known(), journalNews);
+          entries.playKnown(options.known(), journalNews);
         }
       } catch (Fields.Malformed e) {
         started.fail(e);
@@ -229,7 +235,7 @@
         company.renewed();
       }
       if (journal != null) {
-        entries.play(next.known(), journalNews);
+        entries.playKnown(next.known(), journalNews);
         journal.moveTo(next.journal());
         LOG.info(options.name() + ": the journal is asked at " + next.journal());
       }
