--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -38,6 +38,8 @@
   /** How often, and how far apart, a configuration is read that can't be read. */
   private static final int READINGS = 5;
   private static final long READ_AGAIN_MS = 200;
+  /** Accepted beside the clients' bound: without a place for a newcomer none of least use would ever go for it. */
+  private static final int NEWCOMERS = 2;
 
   private final Vertx vertx;
   private final Context context;
@@ -168,6 +170,7 @@
       server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(1024));
       Unread queues = new Unread(options.unreadOfOne(), options.unreadOfAll());
       server.connectHandler(socket -> clients.add(new ClientConnection(socket, queues, clock::now, takeIn)));
+      OneLoop.limitNext(vertx, new AcceptLimit(options.mostClients() + NEWCOMERS, clock::now));
       server.listen(options.listen()).onComplete(listening -> {
         if (listening.failed()) {
           started.tryFail(new IOException("PROXY_LISTEN: can't listen at " + options.listen() + ": "
--- a/gateway/src/main/java/amberpath/gateway/OneLoop.java
+++ b/gateway/src/main/java/amberpath/gateway/OneLoop.java
@@ -1,7 +1,12 @@
 package amberpath.gateway;
 
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFactory;
 import io.netty.channel.EventLoopGroup;
+import io.netty.channel.ServerChannel;
+import io.vertx.core.Vertx;
 import io.vertx.core.impl.transports.NioTransport;
+import io.vertx.core.internal.VertxInternal;
 import io.vertx.core.transport.Transport;
 import java.util.concurrent.ThreadFactory;
 
@@ -10,10 +15,21 @@
  * with a thread of its own runs ahead of a loop that is busy, past any bound that is kept there.
  */
 final class OneLoop extends NioTransport {
+  private final SystemCalls calls;
   private EventLoopGroup loop;
+  private AcceptLimit next;
+
+  private OneLoop(SystemCalls calls) {
+    this.calls = calls;
+  }
 
   static Transport transport() {
-    OneLoop made = new OneLoop();
+    return transport(new SystemCalls());
+  }
+
+  /** The same with other system calls, for tests of those that fail. */
+  static Transport transport(SystemCalls calls) {
+    OneLoop made = new OneLoop(calls);
     return new Transport() {
       @Override public String name() {
         return "one loop";
@@ -37,4 +53,24 @@
     loop = loop == null ? super.eventLoopGroup(type, 1, factory, ioRatio) : loop;
     return loop;
   }
+
+  /** The server that listens next accepts within that limit; other transports know of none. */
+  static void limitNext(Vertx vertx, AcceptLimit limit) {
+    if (((VertxInternal) vertx).transport() instanceof OneLoop own) {
+      own.next = limit;
+    }
+  }
+
+  @Override public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
+    if (domainSocket) {
+      return super.serverChannelFactory(true);
+    }
+    AcceptLimit limit = next == null ? new AcceptLimit(Integer.MAX_VALUE, System::nanoTime) : next;
+    next = null;
+    return () -> new BoundedServerChannel(calls, limit);
+  }
+
+  @Override public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
+    return domainSocket ? super.channelFactory(true) : calls::socket;
+  }
 }
--- /dev/null
+++ b/gateway/src/test/java/amberpath/gateway/DescriptorBoundTest.java
@@ -0,0 +1,118 @@
+package amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.gateway.StandIns.Client;
+import java.io.BufferedReader;
+import java.io.File;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.nio.ByteBuffer;
+import java.nio.channels.SocketChannel;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** How many descriptors a gateway holds while far more clients connect than it may hold. */
+@Timeout(60)
+class DescriptorBoundTest {
+  private static final int LIMIT = 128;
+  private static final int CLIENTS = 900;
+
+  @TempDir
+  private Path folder;
+
+  /** Also while it ends: those that connect then hold a descriptor each until they are told so. */
+  @ParameterizedTest
+  @ValueSource(booleans = {false, true})
+  void aGatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnectAndRest(boolean stopping) throws Exception {
+    List<SocketChannel> resting = new ArrayList<>();
+    AtomicBoolean ends = new AtomicBoolean();
+    AtomicInteger held = new AtomicInteger();
+    try (StandIns world = new StandIns()) {
+      Process process = program(Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG",
+          world.environment(folder).get("PROXY_CONFIG")));
+      try {
+        int port = awaitServing(process.inputReader());
+        File descriptors = new File("/proc/" + process.pid() + "/fd");
+        Future<?> count = world.threads.submit(() -> {
+          while (!ends.get()) {
+            String[] open = descriptors.list();
+            held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
+          }
+        });
+        Client first = world.client(port);
+        for (int many = 0; many < LIMIT / 2 - 1; many++) {
+          assertEquals(9999, world.client(port).status().number());
+        }
+        first.status();
+        if (stopping) {
+          process.destroy();
+          assertTrue(first.isClosed());
+        } else {
+          signal(process, "STOP"); // All that connect now are found at once, as after a pause of the machine.
+        }
+        connect(port, resting);
+        if (!stopping) {
+          signal(process, "CONT");
+          assertEquals(9999, world.client(port).status().number(), "a newcomer has a place");
+        } else {
+          assertTrue(process.waitFor(StandIns.PATIENCE_S, TimeUnit.SECONDS));
+        }
+        ends.set(true);
+        count.get();
+        assertTrue(held.get() > LIMIT / 2 && held.get() <= LIMIT, held + " descriptors");
+      } finally {
+        ends.set(true);
+        process.destroyForcibly();
+        for (SocketChannel one : resting) {
+          one.close();
+        }
+      }
+    }
+  }
+
+  private static void connect(int port, List<SocketChannel> resting) throws Exception {
+    byte[] status = Client.request(1, "status", Map.of(), null);
+    try {
+      for (int many = 0; many < CLIENTS; many++) {
+        SocketChannel one = SocketChannel.open(new InetSocketAddress(StandIns.LOOPBACK, port));
+        resting.add(one);
+        one.write(ByteBuffer.wrap(status));
+      }
+    } catch (IOException e) {
+      // It listens no more.
+    }
+  }
+
+  private static Process program(Map<String, String> environment) throws Exception {
+    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        "-cp", System.getProperty("java.class.path"), ServeProcess.class.getName()).redirectErrorStream(true);
+    builder.environment().putAll(environment);
+    return builder.start();
+  }
+
+  private static void signal(Process process, String name) throws Exception {
+    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+  }
+
+  private static int awaitServing(BufferedReader log) throws Exception {
+    String line = "";
+    while (!line.contains("listens at ")) {
+      line = log.readLine();
+      assertNotNull(line);
+    }
+    return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
+  }
+}
