--- a/gateway/src/main/java/amberpath/gateway/Send.java
+++ b/gateway/src/main/java/amberpath/gateway/Send.java
@@ -148,7 +148,7 @@
     }
 
     private void late() {
-      givenUp(isWritten() ? Outcome.NO_ANSWER : Outcome.NO_CONNECTION, true);
+      givenUp(isWritten() ? Outcome.NO_ANSWER : pool.unsentOutcome(), true);
     }
 
     private void givenUp(Outcome outcome, boolean late) {
--- a/gateway/src/main/java/amberpath/resp/CachePool.java
+++ b/gateway/src/main/java/amberpath/resp/CachePool.java
@@ -2,6 +2,10 @@
 
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
+import amberpath.ConnectFailure;
+import amberpath.LocalBackoff;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
@@ -12,6 +16,7 @@
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
+import java.util.logging.Logger;
 
 /** The connections to one cache, within its part of the descriptors; as few wants as may be share one. */
 public final class CachePool {
@@ -19,6 +24,8 @@
   public record Bounds(IntSupplier connections, int wants, long connect, long idle, int longest) {
   }
 
+  private static final Logger LOG = Logger.getLogger(CachePool.class.getName());
+
   private final String name;
   private final SocketAddress address;
   private final NetClient client;
@@ -28,7 +35,9 @@
   private final BiConsumer<Object, String> complaints;
   private final List<CacheConnection> connections = new ArrayList<>();
   private final List<Want> waiting = new ArrayList<>();
+  private final LocalBackoff backoff = new LocalBackoff();
   private int connecting;
+  private boolean backingOff;
   private boolean closed;
 
   /** Complaints are told of answers that can't be used; wants wait for {@link #again} while none may be written. */
@@ -73,7 +82,7 @@
     CacheConnection best = best(want, now);
     if (best != null) {
       best.send(want, now);
-    } else if (connecting == 0 && !mayConnect()) {
+    } else if (connecting == 0 && !hasPlace()) {
       want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
       return;
     } else {
@@ -87,6 +96,10 @@
   }
 
   private boolean mayConnect() {
+    return !backingOff && hasPlace();
+  }
+
+  private boolean hasPlace() {
     return connections.size() + connecting < bounds.connections.getAsInt();
   }
 
@@ -105,9 +118,15 @@
 
   private void connect() {
     connecting++;
-    client.connect(address).onComplete(result -> {
+    opened().onComplete(result -> {
       connecting--;
-      if (result.succeeded()) {
+      ConnectFailure failure = result.succeeded() ? null : ConnectFailure.of(result.cause());
+      if (failure != null && failure.isLocal()) {
+        failedHere(failure, result.cause());
+        return;
+      }
+      backoff.ended();
+      if (failure == null) {
         connected(result.result());
       } else {
         refused();
@@ -115,6 +134,42 @@
     });
   }
 
+  /** Guards the count of those that come up against a call that throws. */
+  private Future<NetSocket> opened() {
+    try {
+      return client.connect(address);
+    } catch (RuntimeException e) {
+      return Future.failedFuture(e);
+    }
+  }
+
+  /**
+   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after a pause, and goes
+   * elsewhere once that has failed for long.
+   */
+  private void failedHere(ConnectFailure failure, Throwable cause) {
+    if (!backoff.isFailing()) {
+      LOG.warning(this + ": no connection, " + failure + ": " + cause.getMessage());
+    }
+    if (!backingOff) { // Several that fail together are one failure.
+      backingOff = true;
+      Vertx.currentContext().owner().setTimer(backoff.failed(), retry -> {
+        backingOff = false;
+        again();
+      });
+    }
+    if (backoff.isExhausted()) {
+      long now = now();
+      fail(want -> best(want, now) == null, Outcome.NOT_SENT);
+    }
+    again();
+  }
+
+  /** How a want ends whose time is over before it was sent: only a cache that was asked in vain is to blame. */
+  public Outcome unsentOutcome() {
+    return backoff.isFailing() || connecting == 0 ? Outcome.HELD_BACK : Outcome.NO_CONNECTION;
+  }
+
   private void connected(NetSocket socket) {
     if (closed) {
       socket.close();
--- /dev/null
+++ b/gateway/src/test/java/amberpath/gateway/SystemCallFailuresTest.java
@@ -0,0 +1,313 @@
+package amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals;
+import amberpath.Arrivals.Outcome;
+import amberpath.Control;
+import amberpath.gateway.StandIns.Answer;
+import amberpath.gateway.StandIns.Cache;
+import amberpath.gateway.StandIns.Client;
+import amberpath.gateway.StandIns.Command;
+import io.netty.buffer.ByteBuf;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelException;
+import io.netty.channel.ChannelOutboundBuffer;
+import io.netty.channel.nio.NioIoOps;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.vertx.core.Vertx;
+import io.vertx.core.VertxOptions;
+import java.io.IOException;
+import java.lang.reflect.Proxy;
+import java.net.BindException;
+import java.net.ConnectException;
+import java.net.InetSocketAddress;
+import java.net.NoRouteToHostException;
+import java.net.SocketAddress;
+import java.net.SocketException;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Path;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.Predicate;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What clients get and endpoints are charged with while system calls fail (docs/design/endings.md). */
+@Timeout(60)
+class SystemCallFailuresTest {
+  private static final int FOREVER = Integer.MAX_VALUE;
+
+  /** System calls that fail, or do little, as long as they are told to. */
+  private static final class Failing extends SystemCalls {
+    final AtomicInteger accepts = new AtomicInteger();
+    final AtomicInteger opens = new AtomicInteger();
+    final AtomicInteger connects = new AtomicInteger();
+    volatile int acceptFailures;
+    volatile int openFailures;
+    volatile int connectFailures;
+    volatile Predicate<Integer> ports = port -> true;
+    volatile IOException failure = new SocketException("Too many open files");
+    volatile IOException readFailure;
+    volatile boolean little;
+
+    @Override SocketChannel accept(ServerSocketChannel from) throws IOException {
+      if (accepts.getAndIncrement() < acceptFailures) {
+        throw failure;
+      }
+      return super.accept(from);
+    }
+
+    @Override Channel socket() {
+      if (opens.getAndIncrement() < openFailures) {
+        throw new ChannelException("Failed to open a socket.", failure);
+      }
+      return new Socket(this);
+    }
+  }
+
+  /** A connection to an endpoint on which calls fail, move one byte, or are interrupted every other time. */
+  private static final class Socket extends NioSocketChannel {
+    private final Failing calls;
+    private boolean interrupted;
+
+    Socket(Failing calls) {
+      this.calls = calls;
+    }
+
+    @Override protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+      if (calls.ports.test(((InetSocketAddress) remote).getPort())
+          && calls.connects.getAndIncrement() < calls.connectFailures) {
+        doClose();
+        throw calls.failure;
+      }
+      return super.doConnect(remote, local);
+    }
+
+    @Override protected int doReadBytes(ByteBuf into) throws Exception {
+      if (calls.readFailure != null) {
+        throw calls.readFailure;
+      }
+      interrupted ^= calls.little;
+      return !calls.little ? super.doReadBytes(into) : interrupted ? 0 : into.writeBytes(javaChannel(), 1);
+    }
+
+    @Override protected void doWrite(ChannelOutboundBuffer out) throws Exception {
+      if (!calls.little) {
+        super.doWrite(out);
+        return;
+      }
+      interrupted ^= true;
+      ByteBuf next = (ByteBuf) out.current();
+      if (next != null && !interrupted) {
+        out.removeBytes(next.getBytes(next.readerIndex(), javaChannel(), 1));
+      }
+      if (out.isEmpty()) {
+        removeAndSubmit(NioIoOps.WRITE);
+      } else {
+        addAndSubmit(NioIoOps.WRITE);
+      }
+    }
+  }
+
+  @TempDir
+  private Path folder;
+  private final Failing calls = new Failing();
+  private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
+  private StandIns world;
+  private Vertx vertx;
+  private Cache cache;
+
+  @BeforeEach
+  void start() throws Exception {
+    world = new StandIns();
+    vertx = Vertx.builder().withTransport(OneLoop.transport(calls)).with(new VertxOptions().setEventLoopPoolSize(1))
+        .build();
+    cache = world.cache();
+    world.journal.host("c0", cache.address(), "box", "ready");
+  }
+
+  @AfterEach
+  void end() throws Exception {
+    world.close();
+    vertx.close().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+  }
+
+  private Client serve() throws Exception {
+    serve(GatewayOptions.read(world.environment(folder)));
+    return world.client();
+  }
+
+  private void serve(GatewayOptions options) throws Exception {
+    Control control = new Control(options.site());
+    world.gateway = new Gateway(vertx, options, Beside.NOTHING,
+        (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
+    world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+  }
+
+  /** Notes how each attempt ended before the decisions hear of it. */
+  private Arrivals.Events heard(Arrivals.Events to) {
+    return (Arrivals.Events) Proxy.newProxyInstance(SystemCallFailuresTest.class.getClassLoader(),
+        new Class<?>[] {Arrivals.Events.class}, (proxy, event, told) -> {
+          if (event.getName().equals("ended")) {
+            outcomes.add((Outcome) told[3]);
+          }
+          return event.invoke(to, told);
+        });
+  }
+
+  private static String text(Answer answer) {
+    assertNull(answer.error());
+    return new String(answer.body(), StandardCharsets.UTF_8);
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"Too many open files", "Too many open files in system", "No buffer space available",
+      "Cannot allocate memory", "Software caused connection abort"})
+  void afterAFailedAcceptTheNextIsTriedWithinMillisecondsAndInNoBusyLoop(String text) throws Exception {
+    serve();
+    calls.failure = new IOException(text);
+    calls.accepts.set(0);
+    calls.acceptFailures = 6;
+    long began = System.nanoTime();
+    assertEquals(9999, world.client().status().number());
+    long tookMillis = (System.nanoTime() - began) / 1_000_000;
+    assertTrue(tookMillis >= 10 + 20 + 40 + 80 + 100 + 100 && tookMillis < 3000, tookMillis + " ms");
+    assertTrue(calls.accepts.get() <= 12, calls.accepts + " calls");
+  }
+
+  @Test
+  void aConnectionThatWaitedThroughAPauseSaysForHowLongAndTheNextDoesNot() throws Exception {
+    Queue<Long> waited = new ConcurrentLinkedQueue<>();
+    OneLoop.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
+    int port = vertx.createNetServer().connectHandler(socket -> waited.add(AcceptLimit.queuedNanos(socket)))
+        .listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS)
+        .actualPort();
+    calls.acceptFailures = 4;
+    try (Client first = world.client(port); Client second = world.client(port)) {
+      await(() -> waited.size() == 2);
+      assertTrue(waited.remove() >= 150_000_000 && waited.remove() >= 150_000_000);
+      try (Client later = world.client(port)) {
+        await(() -> waited.size() == 1);
+        assertEquals(0, waited.remove());
+      }
+    }
+  }
+
+  private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
+    long until = System.nanoTime() + StandIns.PATIENCE_S * 1_000_000_000L;
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < until, "it did not come");
+      Thread.sleep(1);
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({"true, Too many open files", "true, Too many open files in system", "true, Cannot allocate memory",
+      "false, No buffer space available", "false, Network is unreachable", "false, Cannot assign requested address"})
+  void aConnectThatFailsHereIsTriedAgainAndSaysNothingOfTheEndpoint(boolean open, String text) throws Exception {
+    Client client = serve();
+    calls.failure = text.startsWith("Cannot assign") ? new BindException(text) : new SocketException(text);
+    calls.opens.set(0);
+    calls.connects.set(0);
+    calls.openFailures = open ? 3 : 0;
+    calls.connectFailures = open ? 0 : 3;
+    client.get(1, "orders", 5000, 0);
+    cache.next().ok("served");
+    assertEquals("served", text(client.answer()));
+    await(() -> !outcomes.isEmpty());
+    assertEquals("[RETURNED]", outcomes.toString());
+  }
+
+  @Test
+  void whatCantBeConnectedToFromHereForLongIsAnsweredByAnotherEndpoint() throws Exception {
+    Cache other = world.cache();
+    world.journal.host("c1", other.address(), "box", "ready");
+    Client client = serve();
+    int[] only = {0};
+    calls.ports = port -> (only[0] = only[0] == 0 ? port : only[0]) == port;
+    calls.connects.set(0);
+    calls.connectFailures = FOREVER;
+    client.get(1, "orders", 5000, 0);
+    await(() -> !cache.commands.isEmpty() || !other.commands.isEmpty());
+    Command sent = cache.commands.isEmpty() ? other.next() : cache.next();
+    assertFalse(sent.from().getLocalPort() == only[0]);
+    sent.ok("served");
+    assertEquals("served", text(client.answer()));
+    await(() -> outcomes.size() == 2);
+    assertEquals("[NOT_SENT, RETURNED]", outcomes.toString());
+    assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
+  }
+
+  @Test
+  void anAttemptWhoseTimeEndsWhileConnectsFailHereIsHeldAgainstNoEndpoint() throws Exception {
+    Client client = serve();
+    calls.connects.set(0);
+    calls.connectFailures = FOREVER;
+    client.get(1, "orders", 120, 0);
+    assertNotNull(client.answer().error());
+    await(() -> !outcomes.isEmpty());
+    assertFalse(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+    calls.connectFailures = 0;
+    client.get(2, "orders", 5000, 0);
+    cache.next().ok("served");
+    assertEquals("served", text(client.answer()));
+  }
+
+  @Test
+  void aRefusedConnectIsStillHeldAgainstItsEndpoint() throws Exception {
+    Client client = serve();
+    calls.failure = new ConnectException("Connection refused");
+    calls.connects.set(0);
+    calls.connectFailures = FOREVER;
+    client.get(1, "orders", 5000, 0);
+    assertEquals("Overloaded", client.answer().error());
+    assertTrue(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"Connection timed out", "No route to host", "Connection reset by peer"})
+  void aConnectionThatFailsUnderARequestMayHaveRunIt(String text) throws Exception {
+    Client client = serve();
+    client.get(1, "orders", 5000, 0);
+    Command sent = cache.next();
+    calls.readFailure = text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
+    sent.ok("read by nobody");
+    assertEquals("Internal", client.answer().error());
+    assertEquals("[LOST]", outcomes.toString());
+  }
+
+  @Test
+  void shortAndInterruptedReadsAndWritesChangeNothing() throws Exception {
+    Client client = serve();
+    calls.little = true;
+    client.get(1, "orders", 9000, 0);
+    String part = "p".repeat(3000);
+    cache.next().ok(part);
+    assertEquals(part, text(client.answer()));
+  }
+
+  @Test
+  void aJournalThatCouldNotBeAskedForWantOfSomethingHereIsWaitedFor() throws Exception {
+    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+    int journal = world.journal.server.getAddress().getPort();
+    calls.ports = port -> port == journal;
+    calls.connectFailures = 3;
+    serve(options);
+    assertNotNull(world.journal.polls.poll(), "it serves by what it knew, and never asked");
+  }
+}
