--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -38,8 +38,11 @@
   /** How often, and how far apart, a configuration is read that can't be read. */
   private static final int READINGS = 5;
   private static final long READ_AGAIN_MS = 200;
-  /** Accepted beside the clients' bound: without a place for a newcomer none of least use would ever go for it. */
-  private static final int NEWCOMERS = 2;
+  /**
+   * Accepted beside the clients' bound, out of what is kept for the runtime: without a place for a newcomer none of
+   * least use would ever go for it, which takes 2 ms; with few of them a crowd is long in the accept queue.
+   */
+  private static final int NEWCOMERS = 12;
 
   private final Vertx vertx;
   private final Context context;
--- a/gateway/src/main/java/amberpath/resp/CachePool.java
+++ b/gateway/src/main/java/amberpath/resp/CachePool.java
@@ -2,7 +2,6 @@
 
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
-import amberpath.ConnectFailure;
 import amberpath.LocalBackoff;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -26,6 +25,10 @@
 
   private static final Logger LOG = Logger.getLogger(CachePool.class.getName());
 
+  static {
+    ConnectFailure.of(null); // Guards against a class that can't be loaded when there is no descriptor to read it.
+  }
+
   private final String name;
   private final SocketAddress address;
   private final NetClient client;
--- a/core/src/main/java/amberpath/ConnectFailure.java
+++ b/gateway/src/main/java/amberpath/resp/ConnectFailure.java
@@ -1,4 +1,4 @@
-package amberpath;
+package amberpath.resp;
 
 import java.net.BindException;
 import java.net.NoRouteToHostException;
--- a/core/src/test/java/amberpath/ConnectFailureTest.java
+++ b/gateway/src/test/java/amberpath/resp/ConnectFailureTest.java
@@ -1,9 +1,10 @@
-package amberpath;
+package amberpath.resp;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberpath.LocalBackoff;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.ConnectException;
