--- a/core/src/main/java/amberpath/AcceptLag.java
+++ b/core/src/main/java/amberpath/AcceptLag.java
@@ -24,10 +24,10 @@
   private long rotatedAt;
   private int accepted;
 
-  /** A connection was accepted, by a loop that was so late just now. */
+  /** A connection was accepted, by a loop that was so late just now or had not accepted for so long. */
   public void accepted(K connection, long now, long lag) {
     accepted++;
-    if (backlogSince == NONE && lag > 0) {
+    if (lag > 0 && (backlogSince == NONE || now - lag < backlogSince)) {
       backlogSince = now - lag;
     }
     if (backlogSince != NONE) {
--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -40,6 +40,11 @@
   /** How often, and how far apart, a configuration is read that can't be read. */
   private static final int READINGS = 5;
   private static final long READ_AGAIN_MS = 200;
+  /**
+   * Accepted beside the clients' bound, out of what is kept for the runtime: without a place for a newcomer none of
+   * least use would ever go for it, which takes 2 ms; with few of them a crowd is long in the accept queue.
+   */
+  private static final int NEWCOMERS = 12;
 
   private final Vertx vertx;
   private final Context context;
@@ -178,9 +183,10 @@
       Unread queues = new Unread(options.unreadOfOne(), options.unreadOfAll());
       server.connectHandler(socket -> {
         ClientConnection client = new ClientConnection(socket, queues, clock::now, takeIn);
-        standstill.accepted(client);
+        standstill.accepted(client, AcceptLimit.queuedNanos(socket));
         clients.add(client);
       });
+      OneLoop.limitNext(vertx, new AcceptLimit(options.mostClients() + NEWCOMERS, clock::now));
       server.listen(options.listen()).onComplete(listening -> {
         if (listening.failed()) {
           started.tryFail(new IOException("PROXY_LISTEN: can't listen at " + options.listen() + ": "
--- a/gateway/src/main/java/amberpath/gateway/Standstill.java
+++ b/gateway/src/main/java/amberpath/gateway/Standstill.java
@@ -59,9 +59,9 @@
     return Math.max(late(), accepts.lag(from, now));
   }
 
-  /** A client's connection was accepted. */
-  void accepted(ClientConnection client) {
-    accepts.accepted(client, clock.now(), late());
+  /** A client's connection was accepted, after accepting had paused for so many nanoseconds. */
+  void accepted(ClientConnection client, long pausedNanos) {
+    accepts.accepted(client, clock.now(), Math.max(late(), pausedNanos));
   }
 
   /** In all, up to now: also while the late tick has not come yet. */
