--- /dev/null
+++ b/core/src/test/java/amberpath/SeededWorld.java
@@ -0,0 +1,566 @@
+package amberpath;
+
+import amberpath.Arrivals.Events;
+import amberpath.Arrivals.Listing;
+import amberpath.Arrivals.Note;
+import amberpath.Arrivals.Outcome;
+import amberpath.Arrivals.State;
+import java.nio.ByteBuffer;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+
+/**
+ * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O or clock. Every
+ * action that the decisions take is hashed in order with all its arguments. Random numbers are drawn from the world's
+ * own generator, and only basic arithmetic is done with them, so that a seed gives the same events everywhere.
+ */
+final class SeededWorld implements Site, Decisions {
+  /** A round of decisions: what drives the module under test, built anew for each world. */
+  interface Module {
+    void round(long nowNanos, Arrivals in, Decisions to);
+  }
+
+  /** What the gateway is told at its start, and how much comes in. */
+  enum Setting {
+    /** One gateway; hedging, call-off, load weights, flow size, a wide catalogue. */
+    ALONE,
+    /** One of twenty gateways in the zone and sixty in all; everything, copies that age, own GETs. */
+    TWENTY,
+    /** No weights, no call-off, no flow size, no Retry-After; a list that is asked for, straight ways to parents. */
+    PLAIN,
+    /** Neither hedging nor parents nor joins; four caches that are mostly overloaded. */
+    NARROW
+  }
+
+  private enum Behaviour { WELL, SLOW, HUNG, RESETTING, REFUSING, UNREACHABLE, ERRORING, NEVER_WRITTEN }
+
+  private record Planned(long at, long order, Consumer<Events> event) { }
+
+  private record Copy(long request, int number, int cache, long sentAt) { }
+
+  static final int ROUNDS = 10_000;
+  private static final long MS = 1_000_000L;
+  private static final int CLASSES = 6;
+  private static final int ORIGIN = 40;
+  private static final int FIRST_PARENT = 30;
+
+  /** How often each action, outcome and note came; a reader sees by it what the world reaches. */
+  final Map<String, Integer> counts = new TreeMap<>();
+
+  private final Setting setting;
+  private final SplittableRandom random;
+  private final long seed;
+  private final MessageDigest digest = sha256();
+  private final ByteBuffer buffer = ByteBuffer.allocate(8 * Long.BYTES);
+  private final List<Consumer<Events>> events = new ArrayList<>();
+  private final PriorityQueue<Planned> planned =
+      new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+  private final Map<Integer, Behaviour> behaviours = new HashMap<>();
+  private final Map<Integer, State> states = new TreeMap<>();
+  private final Map<Integer, Integer> lives = new HashMap<>();
+  private final Map<Long, List<Copy>> open = new TreeMap<>();
+  private final Map<Long, Integer> copies = new HashMap<>();
+  private long now = 5_000 * MS;
+  private long order;
+  private long ids;
+  private int requestsARound = 3;
+
+  SeededWorld(Setting setting, long seed) {
+    this.setting = setting;
+    this.seed = seed;
+    random = new SplittableRandom(seed * 31 + setting.ordinal());
+  }
+
+  /** Plays all rounds; the digest of all actions, as hexadecimal digits. */
+  String play(Module module) {
+    if (is(Setting.NARROW)) {
+      events.add(to -> to.sharers(gateways(), 0)); // The first kinds are listed while nothing is granted.
+    }
+    wholeList();
+    for (int round = 0; round < ROUNDS; round++) {
+      if (round == ROUNDS / 50) {
+        events.add(to -> to.sharers(gateways(), 1.0 / gateways()));
+      }
+      now += chance(0.002) ? 400 * MS : MS / 2 + random.nextLong(9 * MS);
+      while (!planned.isEmpty() && planned.peek().at <= now) {
+        events.add(planned.poll().event);
+      }
+      changeSomething();
+      int many = random.nextInt(requestsARound + 1);
+      for (int one = 0; one < many; one++) {
+        request();
+      }
+      List<Consumer<Events>> batch = List.copyOf(events);
+      events.clear();
+      module.round(now, to -> batch.forEach(event -> event.accept(to)), this);
+    }
+    return HexFormat.of().formatHex(digest.digest());
+  }
+
+  private void changeSomething() {
+    if (chance(0.01)) {
+      requestsARound = chance(0.15) ? 25 : 1 + random.nextInt(setting == Setting.NARROW ? 12 : 6);
+    }
+    if (chance(0.03)) {
+      Behaviour[] all = Behaviour.values();
+      behaviours.put(anyEndpoint(), chance(0.6) ? Behaviour.WELL : all[random.nextInt(all.length)]);
+    }
+    if (chance(0.006)) {
+      changeList(1);
+    }
+    if (chance(0.0008)) {
+      changeList(5);
+    }
+    if (chance(0.0008)) {
+      wholeList();
+    }
+    if (chance(0.0005)) {
+      events.add(to -> to.listing(Listing.NONE));
+    }
+    purge();
+    if (chance(0.03)) {
+      leave();
+    }
+    wordsOfTheFleet();
+  }
+
+  private void purge() {
+    if (chance(0.02)) {
+      long object = object();
+      long ago = random.nextLong(300 * MS);
+      events.add(to -> to.purged(object, group(object), ago));
+    }
+    if (chance(0.001)) {
+      int group = chance(0.2) ? Membership.EVERYTHING : random.nextInt(7);
+      events.add(to -> to.purged(0, group, 20 * MS));
+    }
+  }
+
+  private void leave() {
+    if (!open.isEmpty()) {
+      long request = open.keySet().stream().skip(random.nextInt(open.size())).findFirst().orElseThrow();
+      events.add(to -> to.left(request));
+      count("event left");
+    }
+  }
+
+  private void wordsOfTheFleet() {
+    if (chance(0.001)) {
+      int many = gateways() * (1 + random.nextInt(3)) - random.nextInt(2);
+      double part = chance(0.3) ? 0 : 1.0 / Math.max(1, many);
+      events.add(to -> to.sharers(many, part));
+      count(part > 0 ? "event sharers" : "event sharers none");
+    }
+    if (chance(0.002)) {
+      boolean forAll = random.nextBoolean();
+      events.add(to -> to.tried(forAll));
+    }
+    if (chance(0.02)) {
+      int cache = chance(0.05) ? 99 : anyEndpoint();
+      boolean answers = chance(0.7);
+      long ago = random.nextLong(2000 * MS);
+      events.add(to -> to.vouched(cache, answers, ago));
+    }
+    if (chance(0.2)) {
+      long id = ++ids;
+      int cache = chance(0.6) ? -1 : anyEndpoint();
+      int kind = chance(0.8) ? 0 : random.nextInt(CLASSES);
+      long object = object();
+      int part = part();
+      events.add(to -> to.own(id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
+    }
+  }
+
+  private void request() {
+    long id = ++ids;
+    int kind = chance(0.7) ? 0 : random.nextInt(CLASSES);
+    long object = object();
+    int part = part();
+    long timeLeft = chance(0.02) ? 10 * MS : chance(0.2) ? 300 * MS : 2000 * MS;
+    boolean write = chance(0.02);
+    events.add(to -> to.get(id, kind, object, group(object), part, timeLeft, kilobytes(id), write));
+  }
+
+  private double kilobytes(long id) {
+    return id % 5 == 0 ? 0 : 20 + id % 200;
+  }
+
+  private static int group(long object) {
+    return (int) (object % 7);
+  }
+
+  private long object() {
+    if (setting == Setting.ALONE && chance(0.6)) {
+      return 1000 + random.nextInt(40_000);
+    }
+    double skewed = random.nextDouble();
+    return 1 + (int) (skewed * skewed * skewed * 500);
+  }
+
+  private int part() {
+    return chance(0.4) ? 0 : chance(0.4) ? random.nextInt(4) : random.nextInt(60);
+  }
+
+  // ---- The list.
+
+  private int edges() {
+    return setting == Setting.NARROW ? 4 : setting == Setting.PLAIN ? 7 : 14;
+  }
+
+  private int parents() {
+    return setting == Setting.NARROW ? 0 : setting == Setting.PLAIN ? 1 : 3;
+  }
+
+  private List<Integer> endpoints() {
+    List<Integer> all = new ArrayList<>();
+    for (int edge = 0; edge < edges() + 2; edge++) {
+      all.add(edge);
+    }
+    for (int parent = 0; parent < parents(); parent++) {
+      all.add(FIRST_PARENT + parent);
+    }
+    all.add(ORIGIN);
+    return all;
+  }
+
+  private int anyEndpoint() {
+    List<Integer> all = endpoints();
+    return chance(0.1) ? ORIGIN : all.get(random.nextInt(all.size()));
+  }
+
+  private void wholeList() {
+    events.add(to -> to.listing(Listing.FULL));
+    for (int endpoint : endpoints()) {
+      if (!chance(0.05)) {
+        tell(endpoint, State.UP, chance(0.1) && order > 0 ? now : 0);
+      }
+    }
+    events.add(Events::listed);
+  }
+
+  private void changeList(int many) {
+    events.add(to -> to.listing(Listing.CHANGES));
+    for (int one = 0; one < many; one++) {
+      int endpoint = anyEndpoint();
+      State state = states.getOrDefault(endpoint, State.UP) == State.UP && chance(0.4)
+          ? State.values()[1 + random.nextInt(2)] : State.UP;
+      long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
+      tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
+    }
+    events.add(Events::listed);
+  }
+
+  private void tell(int endpoint, State state, long startedAt) {
+    if (states.put(endpoint, state) == State.GONE) {
+      lives.merge(endpoint, 1, Integer::sum);
+    }
+    count("event member " + state + (startedAt > 0 ? " cold" : ""));
+    String address = "10.0." + lives.getOrDefault(endpoint, 0) + "." + endpoint + ":90";
+    String zone = endpoint >= FIRST_PARENT ? "hub" : endpoint < edges() ? "here" : "there";
+    String kind = endpoint == ORIGIN ? "origin" : endpoint >= FIRST_PARENT ? "parent"
+        : endpoint % 3 == 0 ? "small" : "box";
+    double weight = endpoint >= FIRST_PARENT ? 24 : endpoint % 3 == 0 ? 2 : 6;
+    events.add(to -> to.member(endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
+  }
+
+  // ---- What becomes of a copy.
+
+  private void plan(long at, Consumer<Events> event) {
+    planned.add(new Planned(at, ++order, event));
+  }
+
+  private void answer(Copy copy, long until, int source, boolean heldOnly) {
+    boolean hit = chance(setting == Setting.NARROW ? 0.4 : 0.65);
+    Behaviour cache = behaviours.getOrDefault(copy.cache, Behaviour.WELL);
+    Behaviour behind = source == copy.cache ? Behaviour.WELL : behaviours.getOrDefault(source, Behaviour.WELL);
+    Behaviour whose = cache != Behaviour.WELL || hit || heldOnly ? cache : behind;
+    long took = (15 + random.nextInt(60)) * MS + (hit ? 0 : 30 * MS);
+    boolean atSource = cache == Behaviour.WELL && !hit && !heldOnly && source != copy.cache;
+    switch (whose) {
+      case WELL -> whenWell(copy, until, took, hit, heldOnly, source);
+      case SLOW -> whenWell(copy, until, 15 * took, hit, heldOnly, source);
+      case HUNG -> end(copy, until, until - now, Outcome.NO_ANSWER, Note.NOTHING);
+      case RESETTING -> end(copy, until, took, atSource ? Outcome.ERRORED : Outcome.LOST,
+          atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+      case REFUSING -> end(copy, until, MS, Outcome.TURNED_AWAY,
+          atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
+      case UNREACHABLE -> end(copy, until, 2 * MS, atSource ? Outcome.ERRORED : Outcome.NO_CONNECTION,
+          atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+      case ERRORING -> end(copy, until, took, Outcome.ERRORED,
+          atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
+      default -> end(copy, until, MS, chance(0.5) ? Outcome.NOT_SENT : Outcome.HELD_BACK, Note.NOTHING);
+    }
+  }
+
+  private void whenWell(Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
+    if (!hit && heldOnly) {
+      end(copy, until, 3 * MS, Outcome.NOT_STORED, Note.NOTHING);
+    } else if (chance(0.01)) {
+      end(copy, until, 5 * MS, chance(0.5) ? Outcome.ERRORED : Outcome.NOT_STORED,
+          chance(0.5) ? Note.SOURCE_LACKS : Note.NO_PLACE);
+    } else {
+      Note note = hit ? chance(0.9) ? Note.HIT : chance(0.5) ? Note.PAST_FRESH : Note.NOTHING
+          : source == ORIGIN || chance(0.4) ? Note.FILLED_BY_ORIGIN : chance(0.2) ? Note.JOINED : Note.FILLED;
+      if (chance(0.1)) {
+        long halfway = now + Math.min(took, until - now) / 2;
+        plan(halfway, to -> to.begun(copy.request, copy.number));
+      }
+      end(copy, until, took, Outcome.RETURNED, note);
+    }
+  }
+
+  private void end(Copy copy, long until, long took, Outcome planned, Note told) {
+    boolean late = now + took >= until;
+    Outcome outcome = late ? Outcome.NO_ANSWER : planned;
+    Note note = late ? Note.NOTHING : told;
+    long at = late ? until : now + took;
+    plan(at, to -> ended(to, copy, outcome, at - copy.sentAt, note));
+  }
+
+  private void ended(Events to, Copy copy, Outcome outcome, long took, Note note) {
+    List<Copy> still = open.getOrDefault(copy.request, List.of());
+    if (!still.contains(copy)) {
+      return;
+    }
+    still.remove(copy);
+    if (still.isEmpty()) {
+      open.remove(copy.request);
+    }
+    count("outcome " + outcome);
+    count("note " + note);
+    to.ended(copy.request, copy.number, copy.cache, outcome, took, outcome == Outcome.RETURNED, note);
+    if (chance(0.001)) {
+      to.ended(copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
+    }
+  }
+
+  // ---- What was decided.
+
+  private void hash(String action, long... arguments) {
+    count("action " + action);
+    buffer.clear();
+    buffer.putLong(action.hashCode());
+    for (long argument : arguments) {
+      buffer.putLong(argument);
+    }
+    digest.update(buffer.flip());
+  }
+
+  private void count(String what) {
+    counts.merge(what, 1, Integer::sum);
+  }
+
+  @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+    hash("forward", get, cache, until, source, age, rank, switches);
+    count("rank " + rank);
+    count("switches " + switches);
+    count(source == cache ? "no source" : source == ORIGIN ? "source is the origin" : "source is a parent");
+    int number = copies.merge(get, 1, Integer::sum) - 1;
+    count("copy " + number);
+    Copy copy = new Copy(get, number, cache, now);
+    open.computeIfAbsent(get, id -> new ArrayList<>()).add(copy);
+    answer(copy, until, source, (switches & HELD_ONLY) != 0);
+  }
+
+  @Override public void sendBy(long get, long time) {
+    hash("sendBy", get, time);
+  }
+
+  @Override public void shed(long get, long wait) {
+    hash("shed", get, wait);
+  }
+
+  @Override public void errored(long get) {
+    hash("errored", get);
+  }
+
+  @Override public void callOff(long get, int number) {
+    hash("callOff", get, number);
+    for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
+      if (copy.number == number) {
+        plan(now, to -> ended(to, copy, Outcome.CALLED_OFF, now - copy.sentAt, Note.NOTHING));
+      }
+    }
+  }
+
+  @Override public void wake(long delay, String handle) {
+    hash("wake", delay, handle.hashCode());
+    plan(now + delay, to -> to.woken(handle));
+  }
+
+  @Override public void watchList() {
+    hash("watchList");
+  }
+
+  @Override public void health(int cache, Health health) {
+    hash("health " + health, cache);
+  }
+
+  @Override public void cold(int cache, long until) {
+    hash("cold", cache, until);
+  }
+
+  private boolean chance(double probability) {
+    return random.nextDouble() < probability;
+  }
+
+  private static MessageDigest sha256() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  // ---- The site.
+
+  private boolean is(Setting one) {
+    return setting == one;
+  }
+
+  @Override public long seed() {
+    return seed;
+  }
+
+  @Override public int gateways() {
+    return is(Setting.ALONE) ? 1 : is(Setting.TWENTY) ? 60 : 3;
+  }
+
+  @Override public int gatewaysHere() {
+    return is(Setting.TWENTY) ? 20 : 1;
+  }
+
+  @Override public String zone() {
+    return "here";
+  }
+
+  @Override public String midKind() {
+    return is(Setting.NARROW) ? null : "parent";
+  }
+
+  @Override public String originKind() {
+    return "origin";
+  }
+
+  @Override public boolean weighsSizes() {
+    return !is(Setting.PLAIN);
+  }
+
+  @Override public boolean listOnRequest() {
+    return is(Setting.PLAIN);
+  }
+
+  @Override public int deliveryServices() {
+    return CLASSES;
+  }
+
+  @Override public Effect effect(int ds) {
+    return ds == 0 || ds == 5 ? Effect.IDEMPOTENT : ds == 4 ? Effect.NON_IDEMPOTENT : Effect.TOKENED;
+  }
+
+  @Override public Group group(int ds) {
+    return ds == 1 ? Group.ALL : ds == 2 ? Group.ZONE : Group.CELL;
+  }
+
+  @Override public long window(int ds) {
+    return ds == 3 ? 100 * MS : 1000 * MS;
+  }
+
+  @Override public long latencyObjective(int ds) {
+    return (100 + 50L * ds) * MS;
+  }
+
+  @Override public double stretch(int ds) {
+    return 2;
+  }
+
+  @Override public double revenue(int ds) {
+    return 1 + ds % 3;
+  }
+
+  @Override public boolean neverKept(int ds) {
+    return ds == 5;
+  }
+
+  @Override public long fresh(int ds) {
+    return is(Setting.TWENTY) ? (ds + 1) * 1000 * MS : 0;
+  }
+
+  @Override public long grace(int ds) {
+    return is(Setting.TWENTY) ? 4000 * MS : 0;
+  }
+
+  @Override public int maxForwards() {
+    return is(Setting.NARROW) ? 2 : 4;
+  }
+
+  @Override public boolean secondCopies() {
+    return !is(Setting.NARROW);
+  }
+
+  @Override public boolean callOff() {
+    return !is(Setting.PLAIN);
+  }
+
+  @Override public boolean retryAfter() {
+    return !is(Setting.PLAIN);
+  }
+
+  @Override public long maxRetryAfter() {
+    return 500 * MS;
+  }
+
+  @Override public boolean bypass() {
+    return is(Setting.PLAIN) || is(Setting.TWENTY);
+  }
+
+  @Override public boolean joins() {
+    return !is(Setting.NARROW);
+  }
+
+  @Override public double flowKbPerSecond() {
+    return is(Setting.PLAIN) ? 0 : 1500;
+  }
+
+  @Override public long purgeTakes() {
+    return 6000 * MS;
+  }
+
+  @Override public double coldShare() {
+    return 0.1;
+  }
+
+  @Override public long coldTime() {
+    return 8_000 * MS;
+  }
+
+  @Override public double fallMultiple() {
+    return 3;
+  }
+
+  @Override public long fallTime() {
+    return 1000 * MS;
+  }
+
+  @Override public double parentColdShare() {
+    return 0.2;
+  }
+
+  @Override public long parentColdTime() {
+    return 5_000 * MS;
+  }
+
+  @Override public double parentFallMultiple() {
+    return 2;
+  }
+}
