--- /dev/null
+++ b/core/src/main/java/amberpath/AttemptRecorder.java
@@ -0,0 +1,124 @@
+package amberpath;
+
+import amberpath.Arrivals.Note;
+import amberpath.Arrivals.Outcome;
+import amberpath.InFlightRequest.Purpose;
+
+/** Tells of each attempt all that count or learn: traffic classes, limits, outlier detection and slow start. */
+final class AttemptRecorder {
+  /** An answer within this part of its request's patience counts as in time. */
+  private static final double PROMPT_FRACTION = 0.75;
+  /** A fill counts for more than its likelihood with a source that is warming up. */
+  private static final double FILL_CHARGE_FACTOR = 1.5;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  private final EndpointTable endpoints;
+  private final ObjectHistory history;
+  private final ConcurrencyLimiter limiter;
+  private final OutlierDetector outlierDetector;
+  private final SlowStart slowStart;
+
+  /** A recorder that tells these. */
+  AttemptRecorder(EndpointTable endpoints, ObjectHistory history, ConcurrencyLimiter limiter,
+      OutlierDetector outlierDetector, SlowStart slowStart) {
+    this.endpoints = endpoints;
+    this.history = history;
+    this.limiter = limiter;
+    this.outlierDetector = outlierDetector;
+    this.slowStart = slowStart;
+  }
+
+  /** An attempt is sent: it counts at its endpoint and, as far as it is likely a fill, at its source. */
+  void recordSent(Attempt attempt, long nowNanos) {
+    Endpoint endpoint = attempt.endpoint();
+    InFlightRequest request = attempt.request();
+    double workSeconds = request.trafficClass.workNanos() / NANOS_PER_SECOND;
+    if (endpoint.limit.inFlight++ == 0) {
+      endpoint.health.lastHeardNanos = nowNanos;
+    }
+    slowStart.charge(endpoint, request.purpose == Purpose.PREFETCH ? 0 : workSeconds, nowNanos);
+    if (attempt.hasSource()) {
+      double missFraction = request.trafficClass.missFraction();
+      limiter.addFill(attempt, missFraction, nowNanos);
+      boolean isFillSure = !endpoint.warmUp.isComplete(nowNanos);
+      slowStart.charge(attempt.source(),
+          workSeconds * (isFillSure ? 1 : Math.min(1, FILL_CHARGE_FACTOR * missFraction)), nowNanos);
+    }
+  }
+
+  /** An attempt has ended; it took so many nanoseconds. */
+  void recordEnded(Attempt attempt, Outcome outcome, long tookNanos, Note note, Batch batch) {
+    attempt.endpoint().limit.inFlight--;
+    switch (outcome) {
+      case RETURNED -> recordReturned(attempt, tookNanos, note, batch);
+      case TURNED_AWAY, NOT_STORED, ERRORED -> recordRejected(attempt, outcome, note, batch);
+      case NO_ANSWER -> recordUnanswered(attempt, batch.nowNanos());
+      case LOST -> attempt.endpoint().health.failures++; // Guards against resets of single answers: no outage.
+      case NO_CONNECTION -> outlierDetector.eject(attempt.endpoint(), batch);
+      default -> { }
+    }
+  }
+
+  private void recordReturned(Attempt attempt, long tookNanos, Note note, Batch batch) {
+    InFlightRequest request = attempt.request();
+    TrafficClass trafficClass = request.trafficClass;
+    boolean isHit = note == Note.HIT || note == Note.NOTHING;
+    trafficClass.recordRoute(note);
+    recordWork(attempt, attempt.endpoint(), batch);
+    history.recordAnswer(request.object, tookNanos);
+    if (!isHit) {
+      recordWork(attempt, attempt.source(), batch);
+    } else if (!request.sizeKnown) {
+      trafficClass.recordDuration(tookNanos);
+    }
+    if (request.durationKnown) {
+      recordLatency(attempt, tookNanos, isHit, note == Note.FILLED_BY_ORIGIN, batch.nowNanos());
+    }
+  }
+
+  private void recordWork(Attempt attempt, Endpoint endpoint, Batch batch) {
+    double workSeconds = attempt.request().trafficClass.workNanos() / NANOS_PER_SECOND;
+    endpoint.warmUp.recordReturned(workSeconds, batch.nowNanos());
+    outlierDetector.onAnswer(endpoint, attempt.sentAtNanos(), batch);
+  }
+
+  private void recordLatency(Attempt attempt, long tookNanos, boolean isHit, boolean isByOrigin, long nowNanos) {
+    boolean inTime = tookNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
+    ConcurrencyLimit limit = isByOrigin ? limiter.originLimit()
+        : isHit ? attempt.endpoint().limit : attempt.source().limit;
+    limit.onAnswer(nowNanos, inTime);
+    if (inTime) {
+      limit.lastPromptSentNanos = Math.max(limit.lastPromptSentNanos, attempt.sentAtNanos());
+    }
+    if (!isHit && !isByOrigin) {
+      limiter.uplinkLimit().onAnswer(nowNanos, inTime);
+    }
+  }
+
+  private void recordRejected(Attempt attempt, Outcome outcome, Note note, Batch batch) {
+    long nowNanos = batch.nowNanos();
+    attempt.endpoint().health.lastHeardNanos = nowNanos;
+    if (attempt.request().isSynthetic() && outcome == Outcome.NOT_STORED) {
+      outlierDetector.onAnswer(attempt.endpoint(), attempt.sentAtNanos(), batch);
+    }
+    if (RetryPolicy.isSourceFault(note)) {
+      attempt.request().trafficClass.recordRoute(note);
+    }
+    if (note == Note.SOURCE_UNREACHED) {
+      attempt.source().health.failures++;
+      attempt.source().limit.onAnswer(nowNanos, false);
+    } else if (note == Note.ORIGIN_ERRORED || note == Note.SOURCE_TURNED_AWAY) {
+      boolean isOrigins = note == Note.ORIGIN_ERRORED || attempt.source() == endpoints.origin();
+      (isOrigins ? limiter.originLimit() : attempt.source().limit).onRejected(nowNanos);
+    } else if (outcome == Outcome.TURNED_AWAY) {
+      attempt.endpoint().limit.onRejected(nowNanos);
+    }
+  }
+
+  /** Guards a source against the blame for answers that got lost on the way from a silent endpoint. */
+  private static void recordUnanswered(Attempt attempt, long nowNanos) {
+    Endpoint source = attempt.source();
+    source.limit.onAnswer(nowNanos, !attempt.hasSource()
+        || source.health.lastHeardNanos > attempt.sentAtNanos() + attempt.request().patienceNanos);
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/ClusterManager.java
@@ -0,0 +1,94 @@
+package amberpath;
+
+import amberpath.Arrivals.Listing;
+import amberpath.Arrivals.State;
+import amberpath.Decisions.Health;
+import java.util.Arrays;
+import java.util.SplittableRandom;
+
+/** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
+final class ClusterManager {
+  private static final double MIN_WEIGHT = 1e-3;
+
+  private final Site site;
+  private final EndpointTable endpoints;
+  private final GatewayShare share;
+  private final SlowStart slowStart;
+  private final ConcurrencyLimiter limiter;
+  private final TrafficClass[] trafficClasses;
+  private final SplittableRandom random;
+
+  /** A manager of the given table and of those that keep state by its endpoints. */
+  ClusterManager(Site site, GatewayShare share, EndpointTable endpoints, SlowStart slowStart,
+      ConcurrencyLimiter limiter, TrafficClass[] trafficClasses, SplittableRandom random) {
+    this.site = site;
+    this.share = share;
+    this.endpoints = endpoints;
+    this.slowStart = slowStart;
+    this.limiter = limiter;
+    this.trafficClasses = trafficClasses;
+    this.random = random;
+  }
+
+  /** A list begins: a full one replaces all endpoints that it does not name. */
+  void beginList(Listing listing) {
+    if (listing == Listing.FULL) {
+      for (Endpoint endpoint : endpoints.all()) {
+        endpoint.state = State.GONE;
+      }
+    }
+  }
+
+  /** One endpoint of the list that has begun. */
+  void update(EndpointDescription description, Batch batch) {
+    Endpoint endpoint = endpoints.getOrAdd(description.index(), description.id());
+    endpoint.zone = description.zone();
+    endpoint.cell = description.cell();
+    endpoint.state = description.state();
+    endpoint.weight = site.weighsSizes() ? Math.max(description.weight(), MIN_WEIGHT) : 1;
+    endpoint.role = roleOf(description.kind());
+    endpoint.warmUp.profile = slowStart.profileOf(description.kind(), endpoint.role);
+    if (description.startedAtNanos() > endpoint.warmUp.startedAtNanos) {
+      restart(endpoint, description.startedAtNanos(), batch);
+    }
+    if (endpoint.isEdge()) {
+      boolean isEjected = endpoint.isUp() && endpoint.health.isEjected();
+      batch.actions().health(endpoint.index, isEjected ? Health.DOUBTED : Health.WELL);
+    }
+  }
+
+  private Endpoint.Role roleOf(String kind) {
+    return kind.equals(site.midKind()) ? Endpoint.Role.PARENT
+        : kind.equals(site.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
+  }
+
+  private void restart(Endpoint endpoint, long startedAtNanos, Batch batch) {
+    endpoint.warmUp.startedAtNanos = startedAtNanos;
+    endpoint.limit.reset();
+    long longestWorkNanos = Arrays.stream(trafficClasses).mapToLong(TrafficClass::workNanos).max().orElse(0);
+    slowStart.onStart(endpoint, longestWorkNanos, random, batch.nowNanos());
+    endpoint.health.restart();
+    if (endpoint.isEdge() && !endpoint.warmUp.isComplete(batch.nowNanos()) && endpoint.zone.equals(site.zone())) {
+      batch.actions().cold(endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
+    }
+  }
+
+  /** The list that had begun is complete. */
+  void endList() {
+    endpoints.rebuild();
+    limiter.assignShares(share);
+  }
+
+  /** The fleet's word: what all share shrinks at once, and grows by answers. */
+  void updateShare(int gateways, boolean mayTake) {
+    double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
+    double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
+    share.update(gateways, mayTake);
+    limiter.originLimit().rescale(otherBefore, share.fractionOf(Endpoint.Role.ORIGIN));
+    for (Endpoint endpoint : endpoints.all()) {
+      endpoint.limit.rescale(endpoint.isEdge() ? edgeBefore : otherBefore, share.fractionOf(endpoint.role));
+      slowStart.onShareChange(endpoint);
+    }
+    endList();
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/ConcurrencyLimit.java
@@ -0,0 +1,104 @@
+package amberpath;
+
+import java.util.function.LongToDoubleFunction;
+
+/**
+ * How many requests are and may be in flight at once towards one target. Guards against overload: late answers cut
+ * the limit, prompt ones widen it. A limit under one request is kept over time: what was in flight beyond it is a
+ * debt to be paid off before the next may go. Source: docs/design.md, "The six mechanisms beside the design".
+ */
+final class ConcurrencyLimit {
+  /** Rooms below this priority factor leave none for one more request while there is a debt. */
+  static final double UNCACHED_FACTOR = 0.8;
+
+  private static final double MIN_SHARE = 1e-3;
+  private static final double MIN_LIMIT = 3;
+  private static final double DECREASE_FACTOR = 0.8;
+  private static final long DECREASE_INTERVAL_NANOS = 200_000_000L;
+  private static final double SMOOTHING_SECONDS = 2;
+  private static final double REJECTION_DEBT = 1;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** How many are in flight; a fraction where it is only likely that a request is at this target. */
+  double inFlight;
+  /** When the limit was last cut, in nanoseconds. */
+  long lastDecreaseNanos;
+  /** When the latest request was sent that has been answered in time, in nanoseconds. */
+  long lastPromptSentNanos;
+
+  private final LongToDoubleFunction capacityFraction;
+  private double gatewayShare;
+  private double limit;
+  private double smoothedInFlight;
+  private double debt;
+  private long settledAtNanos;
+
+  /**
+   * A limit that has yet to be given its share.
+   *
+   * @param capacityFraction by time, the fraction of the limit that the target bears while it warms up, 0 to 1
+   */
+  ConcurrencyLimit(LongToDoubleFunction capacityFraction) {
+    this.capacityFraction = capacityFraction;
+  }
+
+  /** How many may be in flight once the target is warm. */
+  double limit() {
+    return limit;
+  }
+
+  /**
+   * Guards against the sum of many gateways' limits: this gateway's share follows from the list and the fleet.
+   *
+   * @param share this gateway's part of the target, in targets
+   * @param initialLimit where to begin, a whole target being this gateway's
+   */
+  void setShare(double share, double initialLimit) {
+    gatewayShare = Math.max(share, MIN_SHARE);
+    limit = limit == 0 ? initialLimit * gatewayShare : limit;
+  }
+
+  /** A share that was taken away and came back begins anew; one that shrank takes the limit along. */
+  void rescale(double fromShare, double toShare) {
+    limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
+  }
+
+  /** Forgets what was learnt, for a target that has restarted. */
+  void reset() {
+    limit = 0;
+  }
+
+  /** Accounts for the time that has passed since the last call. */
+  void settle(long nowNanos) {
+    double passedSeconds = (nowNanos - settledAtNanos) / NANOS_PER_SECOND;
+    smoothedInFlight += (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
+    debt = Math.max(0, debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
+    settledAtNanos = nowNanos;
+  }
+
+  /** Whether one more may be sent, by a request that may pass the limit by the given factor. */
+  boolean hasRoom(long nowNanos, double priorityFactor) {
+    settle(nowNanos);
+    double room = limit * capacityFraction.applyAsDouble(nowNanos);
+    return inFlight < room * priorityFactor && (inFlight + 1 <= room * priorityFactor
+        || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
+  }
+
+  /** Counted as long in flight: a quick rejection would leave the limit free to ask again at once. */
+  void onRejected(long nowNanos) {
+    onAnswer(nowNanos, false);
+    debt += REJECTION_DEBT;
+  }
+
+  /** A late answer cuts from what is used, so that a limit that was never reached binds at once. */
+  void onAnswer(long nowNanos, boolean inTime) {
+    settle(nowNanos);
+    if (inTime) {
+      limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
+    } else if (nowNanos - lastDecreaseNanos > DECREASE_INTERVAL_NANOS) {
+      limit = Math.max(MIN_LIMIT * gatewayShare,
+          Math.min(limit, 2 * smoothedInFlight + gatewayShare) * DECREASE_FACTOR);
+      lastDecreaseNanos = nowNanos;
+    }
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/GatewayShare.java
@@ -0,0 +1,52 @@
+package amberpath;
+
+/**
+ * This gateway's part of what all gateways share: the number told at the start or, where the fleet knows of more,
+ * that. Guards limits against more gateways than were told. All that came beyond the told number may be in this zone.
+ */
+final class GatewayShare {
+  private final Site site;
+  private int inZone;
+  private int inAll;
+  private boolean granted = true;
+
+  /** The share by the numbers that the site tells. */
+  GatewayShare(Site site) {
+    this.site = site;
+    inZone = Math.max(1, site.gatewaysHere());
+    inAll = Math.max(1, site.gateways());
+  }
+
+  /** The fleet's word: how many gateways there are, and whether this one may take a part at all. */
+  void update(int gateways, boolean mayTake) {
+    int beyond = Math.max(0, gateways - Math.max(1, site.gateways()));
+    inAll = Math.max(1, site.gateways()) + beyond;
+    inZone = Math.max(1, site.gatewaysHere()) + beyond;
+    granted = mayTake;
+  }
+
+  /** How many gateways serve the zone, this one too. */
+  int gatewaysInZone() {
+    return inZone;
+  }
+
+  /** How many gateways there are in all zones. */
+  int gatewaysInAll() {
+    return inAll;
+  }
+
+  /** Whether others serve the zone. */
+  boolean isZoneShared() {
+    return inZone > 1;
+  }
+
+  /** Whether this gateway may take anything of what is shared. */
+  boolean isGranted() {
+    return granted;
+  }
+
+  /** This gateway's part of an endpoint of that role, 0 to 1: zones have edge caches, all zones the others. */
+  double fractionOf(Endpoint.Role role) {
+    return granted ? 1.0 / (role == Endpoint.Role.EDGE ? inZone : inAll) : 0;
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/LatencyHistogram.java
@@ -0,0 +1,33 @@
+package amberpath;
+
+import java.util.Arrays;
+import java.util.stream.IntStream;
+
+/**
+ * Durations by bins of equal ratio, two to a doubling from 4 ms on. All counts are halved when it is full, so that
+ * newer samples weigh more.
+ */
+final class LatencyHistogram {
+  private static final int BINS = 24;
+  private static final int FULL_AT_SAMPLES = 512;
+  private static final int BINS_PER_DOUBLING = 2;
+  private static final double LOWEST_NANOS = 4.0 * 1_000_000L;
+
+  private final int[] counts = new int[BINS];
+
+  /** Counts a duration, in nanoseconds; what lies outside goes to the first or the last bin. */
+  void record(long durationNanos) {
+    double bin = BINS_PER_DOUBLING * Math.log(durationNanos / LOWEST_NANOS) / Math.log(2);
+    counts[(int) Math.max(0, Math.min(BINS - 1, bin))]++;
+    if (Arrays.stream(counts).sum() >= FULL_AT_SAMPLES) {
+      Arrays.setAll(counts, index -> counts[index] / 2);
+    }
+  }
+
+  /** The mean duration in nanoseconds, each sample taken for the middle of its bin; there must be a sample. */
+  long meanNanos() {
+    double sum = IntStream.range(0, BINS)
+        .mapToDouble(bin -> counts[bin] * Math.pow(2, (bin + 0.5) / BINS_PER_DOUBLING)).sum();
+    return (long) (LOWEST_NANOS * sum / Arrays.stream(counts).sum());
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/ObjectHistory.java
@@ -0,0 +1,71 @@
+package amberpath;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** What is remembered of the objects started last: bounded, the one that was started longest ago goes first. */
+final class ObjectHistory {
+  private static final int MAX_OBJECTS = 8192;
+
+  private static final class Entry {
+    long lastStartNanos;
+    long previousStartNanos;
+    long shortestAnswerNanos;
+    long lastPart;
+  }
+
+  private final Map<Long, Entry> entries = new LinkedHashMap<>();
+
+  /**
+   * Notes a request. Where gateways share the zone, a part that does not follow the last one seen is of another
+   * viewing and counts as a start (docs/design.md, "Changed").
+   *
+   * @param sharedZone whether other gateways take requests for the same zone
+   * @return time of the object's start before the current one, in nanoseconds; 0 for none
+   */
+  long observe(long object, int part, boolean sharedZone, long nowNanos) {
+    Entry entry = entries.get(object);
+    boolean otherViewing = sharedZone && (entry == null || part <= entry.lastPart);
+    if (part == 0 || otherViewing) {
+      entry = start(object, nowNanos);
+    }
+    if (entry == null) {
+      return 0;
+    }
+    entry.lastPart = part;
+    return entry.previousStartNanos;
+  }
+
+  private Entry start(long object, long nowNanos) {
+    Entry entry = entries.remove(object);
+    entry = entry == null ? new Entry() : entry;
+    entry.previousStartNanos = entry.lastStartNanos;
+    entry.lastStartNanos = nowNanos;
+    entries.put(object, entry);
+    if (entries.size() > MAX_OBJECTS) {
+      entries.remove(entries.keySet().iterator().next());
+    }
+    return entry;
+  }
+
+  /** Time of the object's start before the last one, in nanoseconds; 0 where it has none. */
+  long previousStartNanos(long object) {
+    Entry entry = entries.get(object);
+    return entry == null ? 0 : entry.previousStartNanos;
+  }
+
+  /** Notes how long an answer took, in nanoseconds. */
+  void recordAnswer(long object, long tookNanos) {
+    Entry entry = entries.get(object);
+    if (entry != null) {
+      entry.shortestAnswerNanos =
+          entry.shortestAnswerNanos == 0 ? tookNanos : Math.min(entry.shortestAnswerNanos, tookNanos);
+    }
+  }
+
+  /** The shortest answer seen, in nanoseconds, for an object whose size is not told; 0 where there is none. */
+  long shortestAnswerNanos(long object) {
+    Entry entry = entries.get(object);
+    return entry == null ? 0 : entry.shortestAnswerNanos;
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/RequestRouter.java
@@ -0,0 +1,311 @@
+package amberpath;
+
+import amberpath.Arrivals.Listing;
+import amberpath.Arrivals.Note;
+import amberpath.Arrivals.Outcome;
+import amberpath.Arrivals.State;
+import amberpath.InFlightRequest.Purpose;
+import amberpath.Site.Effect;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.LinkedHashSet;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+
+/**
+ * Decides, for one gateway, where each request is returned from, filled from and cached. {@link #round} takes a batch
+ * of all events that came in and writes the actions that follow from them, in order. {@link Site} says what the
+ * gateway was told at its start; there is no I/O, and the only clock is the batch's time, in nanoseconds.
+ *
+ * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its answer is cached,
+ * {@link RouteSelector} where it goes. What departs from that path lies in {@link OutlierDetector}, {@link
+ * SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The design is docs/design.md.
+ */
+public final class RequestRouter implements Arrivals.Events {
+  private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
+  private static final String SWEEP_HANDLE = "sweep";
+
+  private final Site site;
+  private final SplittableRandom random;
+  private final TrafficClass[] trafficClasses;
+  private final GatewayShare share;
+  private final EndpointTable endpoints;
+  private final ObjectHistory history = new ObjectHistory();
+  private final SegmentAdmission admission = new SegmentAdmission(history);
+  private final PatienceEstimator patience;
+  private final PurgeLog purges;
+  private final SlowStart slowStart;
+  private final OutlierDetector outlierDetector;
+  private final ConcurrencyLimiter limiter;
+  private final RetryPolicy retryPolicy;
+  private final RetryBudget retryBudget = new RetryBudget();
+  private final RouteSelector routes;
+  private final SyntheticRouteSelector syntheticRoutes;
+  private final AttemptRecorder recorder;
+  private final ClusterManager cluster;
+
+  private final Map<Long, InFlightRequest> requests = new TreeMap<>();
+  private final Set<Attempt> openAttempts = new LinkedHashSet<>();
+  private boolean sweepScheduled;
+  private boolean watching;
+  /** The batch that is decided at present, and its time. */
+  private Batch batch;
+  private long nowNanos;
+
+  /** A router that knows no endpoint yet. */
+  public RequestRouter(Site site) {
+    this.site = site;
+    random = new SplittableRandom(site.seed());
+    trafficClasses = new TrafficClass[site.deliveryServices()];
+    Arrays.setAll(trafficClasses, index -> new TrafficClass(site, index));
+    share = new GatewayShare(site);
+    endpoints = new EndpointTable(site.zone());
+    patience = new PatienceEstimator(history, site.flowKbPerSecond());
+    purges = new PurgeLog(site.purgeTakes());
+    slowStart = new SlowStart(site, share);
+    outlierDetector = new OutlierDetector(site.seed(), endpoints, share, slowStart, random);
+    limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
+    retryPolicy = new RetryPolicy(site);
+    RendezvousSelector rendezvous = new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
+    routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
+    syntheticRoutes =
+        new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
+    recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
+    cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, trafficClasses, random);
+  }
+
+  /** Decides on all events of a batch, at one time in nanoseconds; the actions are written as they are decided. */
+  public void round(long time, Arrivals in, Decisions to) {
+    nowNanos = time;
+    batch = new Batch(time, to);
+    if (!watching && site.listOnRequest()) {
+      watching = true;
+      to.watchList();
+    }
+    in.replay(this);
+  }
+
+  // ---- Requests.
+
+  /** The ordinary path of a request: note its start, decide whether it is cached, choose its way, send it. */
+  @Override public void get(long id, int ds, long object, int group, int part, long timeLeft, double kb,
+      boolean write) {
+    InFlightRequest request = open(new RequestDetails(id, ds, object, group, part, timeLeft, kb));
+    request.uncacheable = write || request.trafficClass.isNeverCached();
+    retryBudget.deposit();
+    boolean sharedZone = share.isZoneShared();
+    long previousStartNanos = history.observe(object, part, sharedZone, nowNanos);
+    if (!request.uncacheable) {
+      request.rank = admission.rankOf(object, request.segment, previousStartNanos, sharedZone, nowNanos);
+    }
+    if (!route(request)) {
+      giveUp(request);
+    }
+  }
+
+  /** A request of this gateway's own, on behalf of the fleet: a health check or, with no cache named, a prefetch. */
+  @Override public void own(long id, int ds, long object, int group, int part, long timeLeft, double kb,
+      int cache) {
+    InFlightRequest request = open(new RequestDetails(id, ds, object, group, part, timeLeft, kb));
+    request.purpose = cache < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
+    Route route;
+    if (request.purpose == Purpose.PREFETCH) {
+      request.rank = admission.prefetchRankOf(object);
+      route = syntheticRoutes.selectPrefetch(request, nowNanos);
+    } else {
+      route = syntheticRoutes.selectHealthCheck(request, cache, nowNanos);
+    }
+    if (route == null) {
+      giveUp(request);
+    } else {
+      send(request, route);
+    }
+  }
+
+  private InFlightRequest open(RequestDetails details) {
+    InFlightRequest request = new InFlightRequest(details, trafficClasses[details.trafficClass()], nowNanos);
+    requests.put(details.id(), request);
+    patience.estimate(request, details.kilobytes());
+    return request;
+  }
+
+  // ---- Attempts.
+
+  private boolean route(InFlightRequest request) {
+    Route route = routes.select(request, nowNanos);
+    if (route != null) {
+      send(request, route);
+    }
+    return route != null;
+  }
+
+  private void send(InFlightRequest request, Route route) {
+    Endpoint endpoint = route.endpoint();
+    Endpoint source = route.source() == null ? endpoint : route.source();
+    TrafficClass trafficClass = request.trafficClass;
+    if (request.firstExecuted != null && trafficClass.effect() == Effect.TOKENED) {
+      batch.actions().sendBy(request.id,
+          request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
+    }
+    long oldestNanos = trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
+    batch.actions().forward(request.id, endpoint.index, request.deadlineNanos, source.index,
+        purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos), request.rank,
+        switches(request, source, route.cachedOnly()));
+    Attempt attempt =
+        new Attempt(request, request.attempts.size(), endpoint, source, route.cachedOnly(), nowNanos);
+    request.attempts.add(attempt);
+    request.openAttempts++;
+    openAttempts.add(attempt);
+    recorder.recordSent(attempt, nowNanos);
+    if (!sweepScheduled) {
+      sweepScheduled = true;
+      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+    }
+  }
+
+  private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
+    boolean renews = !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
+    return (site.joins() ? Decisions.JOIN : 0) + (cachedOnly ? Decisions.HELD_ONLY : 0)
+        + (renews ? Decisions.RENEW : 0);
+  }
+
+  @Override public void begun(long id, int copy) {
+    if (requests.containsKey(id)) {
+      requests.get(id).streaming = true;
+    }
+  }
+
+  @Override public void ended(long id, int copy, int cache, Outcome outcome, long took, boolean settled,
+      Note note) {
+    InFlightRequest request = requests.get(id);
+    if (request == null || copy >= request.attempts.size() || !openAttempts.remove(request.attempts.get(copy))) {
+      return;
+    }
+    Attempt attempt = request.attempts.get(copy);
+    request.openAttempts--;
+    recorder.recordEnded(attempt, outcome, took, note, batch);
+    if (!outcome.notRun) {
+      request.recordExecuted(attempt);
+    }
+    if (settled) {
+      finish(request);
+    } else if (!request.done && request.openAttempts == 0) {
+      retryOrGiveUp(attempt, outcome, note);
+    } else if (request.done && request.openAttempts == 0) {
+      requests.remove(id);
+    }
+  }
+
+  /** A retry where the request's kind, its time and the budget permit; else the final answer, at once. */
+  private void retryOrGiveUp(Attempt last, Outcome outcome, Note note) {
+    InFlightRequest request = last.request();
+    request.originFailed |= note == Note.ORIGIN_ERRORED;
+    boolean lackedCopy = last.cachedOnly() && outcome == Outcome.NOT_STORED;
+    boolean neverSent = outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: it asked nothing.
+    if (lackedCopy || request.originFailed || neverSent) {
+      retryBudget.refund();
+    } else {
+      request.triedEndpoints.add(RetryPolicy.isSourceFault(note) ? last.source() : last.endpoint());
+    }
+    boolean isFillHopeless = lackedCopy && (routes.selectSource(request, nowNanos) == null
+        || limiter.isOriginSaturated(request, nowNanos));
+    if (isFillHopeless || outcome == Outcome.NO_ANSWER || !retry(request)) {
+      giveUp(request);
+    }
+  }
+
+  private boolean retry(InFlightRequest request) {
+    return retryPolicy.permitsAnother(request, nowNanos) && retryBudget.tryWithdraw() && route(request);
+  }
+
+  /** The final answer of a request that is not returned: a shed promises that nothing ran, an error nothing. */
+  private void giveUp(InFlightRequest request) {
+    if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
+      long shortestNanos = site.retryAfter() ? site.maxRetryAfter() / 2 : 0;
+      batch.actions().shed(request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
+    } else {
+      batch.actions().errored(request.id);
+    }
+    finish(request);
+  }
+
+  private void finish(InFlightRequest request) {
+    request.done = true;
+    if (site.callOff() && !request.streaming) {
+      request.attempts.stream().filter(openAttempts::contains)
+          .forEach(attempt -> batch.actions().callOff(request.id, attempt.number()));
+    }
+    if (request.openAttempts == 0) {
+      requests.remove(request.id);
+    }
+  }
+
+  @Override public void left(long id) {
+    if (requests.containsKey(id) && !requests.get(id).done) {
+      finish(requests.get(id));
+    }
+  }
+
+  @Override public void woken(String handle) {
+    sweepScheduled = !openAttempts.isEmpty();
+    if (sweepScheduled) {
+      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+    }
+    limiter.recountFills(openAttempts, nowNanos);
+    outlierDetector.recountOverdue(openAttempts, nowNanos);
+    for (Endpoint[] peers : new Endpoint[][] {endpoints.zoneEdges(), endpoints.parents()}) {
+      outlierDetector.judge(peers, batch);
+      slowStart.learnThroughput(peers, nowNanos);
+    }
+    for (Attempt attempt : new ArrayList<>(openAttempts)) {
+      hedgeIfStuck(attempt);
+    }
+  }
+
+  private void hedgeIfStuck(Attempt attempt) {
+    boolean isEndpointEjected = attempt.endpoint().health.isEjected();
+    boolean isStuck = isEndpointEjected || limiter.isOvertaken(attempt)
+        || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
+    if (isStuck && retryPolicy.permitsHedging(attempt, nowNanos)) {
+      attempt.request().triedEndpoints.add(isEndpointEjected ? attempt.endpoint() : attempt.source());
+      retry(attempt.request());
+    }
+  }
+
+  // ---- What is told of endpoints, copies and the fleet.
+
+  @Override public void listing(Listing what) {
+    cluster.beginList(what);
+    watching = what != Listing.NONE;
+  }
+
+  @Override public void member(int cache, String address, String zone, String kind, int cell, State state,
+      double weight, long startedAt) {
+    cluster.update(new EndpointDescription(cache, address, zone, kind, cell, state, weight, startedAt), batch);
+  }
+
+  @Override public void listed() {
+    cluster.endList();
+  }
+
+  @Override public void purged(long object, int group, long ago) {
+    purges.record(object, group, nowNanos - ago, nowNanos);
+  }
+
+  @Override public void sharers(int many, double part) {
+    cluster.updateShare(many, part > 0);
+  }
+
+  @Override public void tried(boolean once) {
+    outlierDetector.setDelegated(once);
+  }
+
+  @Override public void vouched(int cache, boolean answers, long ago) {
+    Endpoint endpoint = endpoints.get(cache);
+    if (endpoint != null) {
+      outlierDetector.onFleetReport(endpoint, answers, ago, batch);
+    }
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/RetryPolicy.java
@@ -0,0 +1,63 @@
+package amberpath;
+
+import amberpath.Arrivals.Note;
+import amberpath.Site.Effect;
+import amberpath.Site.Group;
+
+/** Whether a request may be attempted again, and where: never so that it might have its effect twice. */
+final class RetryPolicy {
+  private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
+
+  private final Site site;
+
+  /** The policy that a site tells by its traffic classes and its bound on attempts. */
+  RetryPolicy(Site site) {
+    this.site = site;
+  }
+
+  /** Guards against an effect twice: what may have run is repeated only where its repeats are dropped. */
+  boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
+    Attempt executed = request.firstExecuted;
+    if (executed == null) {
+      return true;
+    }
+    TrafficClass trafficClass = request.trafficClass;
+    return trafficClass.effect() == Effect.IDEMPOTENT || trafficClass.effect() == Effect.TOKENED
+        && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
+        && sharesIdempotencyGroup(trafficClass.idempotencyGroup(), endpoint, executed.endpoint());
+  }
+
+  private static boolean sharesIdempotencyGroup(Group group, Endpoint one, Endpoint other) {
+    return group == Group.ALL || one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell);
+  }
+
+  /** Whether a request's state leaves room for a further attempt, wherever it goes. */
+  boolean permitsAnother(InFlightRequest request, long nowNanos) {
+    return !request.streaming && !request.isSynthetic() && hasTimeLeft(request, nowNanos)
+        && request.attempts.size() < site.maxForwards();
+  }
+
+  /** Whether the time to its deadline is worth an answer that invites more. */
+  boolean hasTimeLeft(InFlightRequest request, long nowNanos) {
+    return request.timeLeftNanos(nowNanos) >= MIN_TIME_LEFT_NANOS;
+  }
+
+  /** Whether a request that waits may be sent to a second endpoint beside the first. */
+  boolean permitsHedging(Attempt attempt, long nowNanos) {
+    InFlightRequest request = attempt.request();
+    return !request.done && request.openAttempts == 1 && attempt.isOverdue(nowNanos) && site.secondCopies()
+        && request.trafficClass.effect() == Effect.IDEMPOTENT;
+  }
+
+  /** Whether whoever asks may repeat a request that got no answer: nothing ran, or repeats are dropped everywhere. */
+  boolean isSafeToRepeat(InFlightRequest request) {
+    Effect effect = request.trafficClass.effect();
+    return request.firstExecuted == null && request.openAttempts == 0 || effect == Effect.IDEMPOTENT
+        || effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL;
+  }
+
+  /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
+  static boolean isSourceFault(Note note) {
+    return note.compareTo(Note.SOURCE_TURNED_AWAY) >= 0 && note != Note.NO_PLACE;
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/Route.java
@@ -0,0 +1,10 @@
+package amberpath;
+
+/**
+ * Where an attempt goes.
+ *
+ * @param endpoint where it is sent
+ * @param source who fills a miss; null where nothing is filled
+ * @param cachedOnly whether only a copy that is held already may be returned
+ */
+record Route(Endpoint endpoint, Endpoint source, boolean cachedOnly) { }
--- /dev/null
+++ b/core/src/main/java/amberpath/TrafficClass.java
@@ -0,0 +1,111 @@
+package amberpath;
+
+import amberpath.Arrivals.Note;
+import amberpath.Site.Effect;
+import amberpath.Site.Group;
+
+/** One delivery service: what the site tells of it, and what its answers have shown so far. */
+final class TrafficClass {
+  private static final int FULL_AT_ANSWERS = 512;
+  private static final double ASSUMED_MISSES = 4.0;
+  private static final double ASSUMED_ANSWERS = 8.0;
+  private static final double ASSUMED_ORIGIN_FILLS = 1.0;
+  private static final double ASSUMED_FILLS = 2.0;
+
+  private final Site site;
+  private final int index;
+  private final LatencyHistogram durations = new LatencyHistogram();
+  /** The histogram's mean, stored: it is read many times a request. */
+  private long meanWorkNanos;
+  private int returnedFromCache;
+  private int filledByParent;
+  private int filledByOrigin;
+
+  /** A delivery service by its index in the site; until there are answers its objective stands for its work. */
+  TrafficClass(Site site, int index) {
+    this.site = site;
+    this.index = index;
+    meanWorkNanos = site.latencyObjective(index);
+  }
+
+  /** Whether a repeat may have an effect of its own. */
+  Effect effect() {
+    return site.effect(index);
+  }
+
+  /** Which endpoints drop the repeat of a request with an idempotency key. */
+  Group idempotencyGroup() {
+    return site.group(index);
+  }
+
+  /** How long an idempotency key is remembered, in nanoseconds. */
+  long idempotencyWindowNanos() {
+    return site.window(index);
+  }
+
+  /** How long an answer may take at best, in nanoseconds. */
+  long latencyObjectiveNanos() {
+    return site.latencyObjective(index);
+  }
+
+  /** By how much the latency objective grows with a request's own duration. */
+  double latencyStretch() {
+    return site.stretch(index);
+  }
+
+  /** Whether no answer of this class is ever cached. */
+  boolean isNeverCached() {
+    return site.neverKept(index);
+  }
+
+  /** How long a copy is fresh, in nanoseconds; 0 until it is purged. */
+  long freshNanos() {
+    return site.fresh(index);
+  }
+
+  /** How long past its fresh time a copy may still be returned, in nanoseconds. */
+  long staleGraceNanos() {
+    return site.grace(index);
+  }
+
+  /** The revenue of one request, in the site's unit. */
+  double revenue() {
+    return site.revenue(index);
+  }
+
+  /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
+  long workNanos() {
+    return meanWorkNanos;
+  }
+
+  /** Counts how long a cache was, or will be, busy with a request, in nanoseconds. */
+  void recordDuration(long durationNanos) {
+    durations.record(durationNanos);
+    meanWorkNanos = durations.meanNanos();
+  }
+
+  /** Counts which way an answer came. All counts are halved when they are full. */
+  void recordRoute(Note note) {
+    switch (note) {
+      case HIT, PAST_FRESH -> returnedFromCache++;
+      case FILLED_BY_ORIGIN -> filledByOrigin++;
+      default -> filledByParent++;
+    }
+    if (returnedFromCache + filledByParent + filledByOrigin >= FULL_AT_ANSWERS) {
+      returnedFromCache /= 2;
+      filledByParent /= 2;
+      filledByOrigin /= 2;
+    }
+  }
+
+  /** The likely fraction of requests that need a fill, 0 to 1. */
+  double missFraction() {
+    int fills = filledByParent + filledByOrigin;
+    return (fills + ASSUMED_MISSES) / (returnedFromCache + fills + ASSUMED_ANSWERS);
+  }
+
+  /** The likely fraction of fills that reach the origin, 0 to 1. */
+  double originFraction() {
+    return (filledByOrigin + ASSUMED_ORIGIN_FILLS) / (filledByParent + filledByOrigin + ASSUMED_FILLS);
+  }
+}
--- /dev/null
+++ b/core/src/main/java/amberpath/WarmUp.java
@@ -0,0 +1,46 @@
+package amberpath;
+
+/** How far one endpoint has warmed up since it started, and the work that is on its account. */
+final class WarmUp {
+  private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** The profile of the endpoint's kind. */
+  SlowStartProfile profile;
+  /** When it started, in nanoseconds; 0 for long ago. */
+  long startedAtNanos;
+  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}. */
+  double debtSeconds;
+  /** When the debt was last changed, in nanoseconds. */
+  long debtAtNanos;
+  /** The earliest time of the next prefetch, in nanoseconds. */
+  long nextPrefetchNanos;
+
+  private double throughput;
+  private long throughputAtNanos;
+
+  /** The fraction of its capacity that the endpoint is sure to have, 0 to 1. */
+  double capacityFraction(long nowNanos) {
+    long sinceNanos = Math.max(0, nowNanos - startedAtNanos);
+    return startedAtNanos == 0 || sinceNanos >= profile.durationNanos ? 1
+        : profile.initialFraction + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
+  }
+
+  /** Whether it has all of its capacity. */
+  boolean isComplete(long nowNanos) {
+    return capacityFraction(nowNanos) >= 1;
+  }
+
+  /** Notes work that it has returned, in seconds: what is only sent tells nothing of what it can bear. */
+  void recordReturned(double workSeconds, long nowNanos) {
+    throughput = throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
+        + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
+    throughputAtNanos = nowNanos;
+  }
+
+  /** Work returned a second, over the last few. */
+  double throughput(long nowNanos) {
+    recordReturned(0, nowNanos);
+    return throughput;
+  }
+}
--- a/core/src/test/java/amberpath/RecordedDecisionsTest.java
+++ b/core/src/test/java/amberpath/RecordedDecisionsTest.java
@@ -24,7 +24,7 @@
 
   /** The one place that knows the class under test. */
   private static SeededWorld.Module module(Site site) {
-    return new Control(site)::round;
+    return new RequestRouter(site)::round;
   }
 
   private static String digest(Setting setting, long seed) {
--- a/core/src/test/java/amberpath/ControlTest.java
+++ b/core/src/test/java/amberpath/RequestRouterTest.java
@@ -1,6 +1,6 @@
 package amberpath;
 
-import static amberpath.ControlTest.FakeHost.MS;
+import static amberpath.RequestRouterTest.FakeHost.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -10,7 +10,7 @@
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
 import amberpath.Arrivals.State;
-import amberpath.ControlTest.FakeHost.Sent;
+import amberpath.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Short stories: the design's path, one for each rule, and one for each failure met. */
-class ControlTest {
+class RequestRouterTest {
   private final FakeHost host = new FakeHost().list();
   private long ids;
 
@@ -717,7 +717,7 @@
     final List<String> calledOff = new ArrayList<>();
     final List<Integer> aside = new ArrayList<>(), heard = new ArrayList<>(), cold = new ArrayList<>();
     long now = 1_000_000 * MS, sendBy;
-    private Control control;
+    private RequestRouter router;
     private final List<Consumer<Arrivals.Events>> events = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
@@ -807,8 +807,8 @@
     }
 
     FakeHost round() {
-      control = control == null ? new Control(this) : control;
-      control.round(now, to -> events.forEach(event -> event.accept(to)), this);
+      router = router == null ? new RequestRouter(this) : router;
+      router.round(now, to -> events.forEach(event -> event.accept(to)), this);
       events.clear();
       return this;
     }
--- a/gateway/src/main/java/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/amberpath/gateway/Gateway.java
@@ -1,10 +1,10 @@
 package amberpath.gateway;
 
-import amberpath.Control;
 import amberpath.Decisions;
 import amberpath.Membership;
 import amberpath.NewsAge;
 import amberpath.Pace;
+import amberpath.RequestRouter;
 import amberpath.Site;
 import amberpath.Strictest;
 import amberpath.journal.Entries;
@@ -69,7 +69,7 @@
 
   /** A gateway that hears of caches from another source too, or only from there if its options name no journal. */
   public Gateway(Vertx vertx, GatewayOptions options, Beside beside) {
-    this(vertx, options, beside, new Control(options.site())::round);
+    this(vertx, options, beside, new RequestRouter(options.site())::round);
   }
 
   Gateway(Vertx vertx, GatewayOptions options, Beside beside, Route.Rounds decisions) {
--- a/gateway/src/main/java/amberpath/gateway/Rehearsal.java
+++ b/gateway/src/main/java/amberpath/gateway/Rehearsal.java
@@ -5,8 +5,8 @@
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
 import amberpath.Arrivals.State;
-import amberpath.Control;
 import amberpath.Decisions;
+import amberpath.RequestRouter;
 import amberpath.Site;
 import amberpath.msgpack.RequestRehearsal;
 import amberpath.resp.ReplyRehearsal;
@@ -29,7 +29,7 @@
 
   private final Vertx vertx;
   private final Site site;
-  private final Control control;
+  private final RequestRouter router;
   private final Promise<Void> done = Promise.promise();
   private final long start = System.nanoTime();
   private long now = start;
@@ -38,12 +38,12 @@
   Rehearsal(Vertx vertx, Site site) {
     this.vertx = vertx;
     this.site = site;
-    control = new Control(site);
+    router = new RequestRouter(site);
   }
 
   /** Before anything listens: decisions and codecs. Nothing else runs by now, so the loop may be held. */
   void play() {
-    control.round(now, this::list, this);
+    router.round(now, this::list, this);
     for (int batch = 0; batch < BATCHES && System.nanoTime() - start < LONGEST; batch++) {
       for (int in = 0; in < BATCH; in++) {
         decide(++round);
@@ -84,8 +84,8 @@
     int ds = number % site.deliveryServices();
     Note note = number % 3 == 0 ? Note.FILLED : Note.HIT;
     now += APART;
-    control.round(now, to -> to.get(id, ds, id % 40 + 1, 0, (int) (id % 9), 40 * TOOK, 100, false), this);
-    control.round(now + APART / 2, to -> {
+    router.round(now, to -> to.get(id, ds, id % 40 + 1, 0, (int) (id % 9), 40 * TOOK, 100, false), this);
+    router.round(now + APART / 2, to -> {
       to.woken("sweep");
       to.ended(id, 0, cache, Outcome.RETURNED, TOOK, true, note);
     }, this);
--- a/gateway/src/main/java/amberpath/wire/WireGateway.java
+++ b/gateway/src/main/java/amberpath/wire/WireGateway.java
@@ -1,8 +1,8 @@
 package amberpath.wire;
 
 import amberpath.Arrivals;
-import amberpath.Control;
 import amberpath.Decisions;
+import amberpath.RequestRouter;
 import amberpath.json.Fields;
 import amberpath.json.JsonSite;
 import com.fasterxml.jackson.core.JsonGenerator;
@@ -18,7 +18,7 @@
 final class WireGateway implements Decisions {
   private final int number;
   private final JsonSite site;
-  private final Control control;
+  private final RequestRouter router;
   private final Map<String, Integer> caches = new HashMap<>();
   private final List<String> addresses = new ArrayList<>();
   private JsonGenerator reply;
@@ -27,7 +27,7 @@
   WireGateway(int number, Fields up) {
     this.number = number;
     site = new JsonSite(up.whole("seed"), up.fields("profile-data"));
-    control = new Control(site);
+    router = new RequestRouter(site);
   }
 
   /** Plays a round's events and writes the part of the reply that answers them, if any. */
@@ -35,7 +35,7 @@
     reply = to;
     begun = false;
     try {
-      control.round(now, events -> news.forEach(event -> decode(event, events)), this);
+      router.round(now, events -> news.forEach(event -> decode(event, events)), this);
     } catch (Fields.Malformed | UncheckedIOException e) {
       throw e;
     } catch (RuntimeException e) {
--- a/gateway/src/test/java/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/amberpath/gateway/GatewayTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import amberpath.Arrivals;
-import amberpath.Control;
+import amberpath.RequestRouter;
 import amberpath.gateway.StandIns.Answer;
 import amberpath.gateway.StandIns.Cache;
 import amberpath.gateway.StandIns.Client;
@@ -271,7 +271,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    Control control = new Control(options.site());
+    RequestRouter control = new RequestRouter(options.site());
     BlockingQueue<Long> times = new LinkedBlockingQueue<>();
     CountDownLatch still = new CountDownLatch(1);
     world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
@@ -330,7 +330,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    Control control = new Control(options.site());
+    RequestRouter control = new RequestRouter(options.site());
     world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
       @Override public void get(long id, int ds, long object, int group, int part, long left, double kb, boolean w) {
         to.forward(id, 0, now + left, 0, 0, 1, 0);
@@ -704,7 +704,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    Control control = new Control(options.site());
+    RequestRouter control = new RequestRouter(options.site());
     world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
       @Override public void get(long id, int ds, long object, int group, int part, long left, double kb, boolean w) {
         if (part == 13) {
@@ -932,7 +932,7 @@
     volatile boolean armed;
 
     Standing(GatewayOptions options) {
-      decisions = new Control(options.site())::round;
+      decisions = new RequestRouter(options.site())::round;
     }
 
     @Override public void round(long now, Arrivals in, amberpath.Decisions to) {
--- a/lab/src/main/java/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/amberpath/lab/VirtualFleet.java
@@ -6,9 +6,9 @@
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
 import amberpath.Arrivals.State;
-import amberpath.Control;
 import amberpath.Decisions;
 import amberpath.Recent;
+import amberpath.RequestRouter;
 import amberpath.Site;
 import amberpath.owner.Ahead;
 import amberpath.owner.Trials;
@@ -322,7 +322,7 @@
   protected final class One implements Arrivals, Decisions {
     final int index;
     private final Site site;
-    private Control control;
+    private RequestRouter router;
     private Reopening opening;
     private boolean up;
     private long life, openAt;
@@ -352,7 +352,7 @@
     public void start(boolean loss) {
       up = true;
       life++;
-      control = new Control(site);
+      router = new RequestRouter(site);
       trials = new Trials();
       ahead = new Ahead();
       recent = new Recent<>(RECENT);
@@ -406,7 +406,7 @@
           due = false;
           round = List.copyOf(came);
           came.clear();
-          control.round(agenda.now(), this, this);
+          router.round(agenda.now(), this, this);
         });
       }
     }
