--- a/core/src/main/java/amberpath/Attempt.java
+++ b/core/src/main/java/amberpath/Attempt.java
@@ -6,7 +6,7 @@
  * @param number its place among the request's attempts, from 0
  * @param endpoint where it was sent
  * @param source who fills a miss; the endpoint itself where nothing is filled
- * @param cachedOnly whether only a copy that is held already may be returned
+ * @param cachedOnly whether only a copy that is cached already may be returned
  * @param sentAtNanos when it was decided
  */
 record Attempt(InFlightRequest request, int number, Endpoint endpoint, Endpoint source, boolean cachedOnly,
--- a/core/src/main/java/amberpath/AttemptRecorder.java
+++ b/core/src/main/java/amberpath/AttemptRecorder.java
@@ -4,7 +4,7 @@
 import amberpath.Arrivals.Outcome;
 import amberpath.InFlightRequest.Purpose;
 
-/** Tells of each attempt all that count or learn: traffic classes, limits, outlier detection and slow start. */
+/** Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and slow start. */
 final class AttemptRecorder {
   /** An answer within this part of its request's patience counts as in time. */
   private static final double PROMPT_FRACTION = 0.75;
@@ -18,7 +18,7 @@
   private final OutlierDetector outlierDetector;
   private final SlowStart slowStart;
 
-  /** A recorder that tells these. */
+  /** A recorder that reports to these. */
   AttemptRecorder(EndpointTable endpoints, ObjectHistory history, ConcurrencyLimiter limiter,
       OutlierDetector outlierDetector, SlowStart slowStart) {
     this.endpoints = endpoints;
@@ -34,7 +34,7 @@
     InFlightRequest request = attempt.request();
     double workSeconds = request.trafficClass.workNanos() / NANOS_PER_SECOND;
     if (endpoint.limit.inFlight++ == 0) {
-      endpoint.health.lastHeardNanos = nowNanos;
+      endpoint.health.lastResponseNanos = nowNanos;
     }
     slowStart.charge(endpoint, request.purpose == Purpose.PREFETCH ? 0 : workSeconds, nowNanos);
     if (attempt.hasSource()) {
@@ -97,7 +97,7 @@
 
   private void recordRejected(Attempt attempt, Outcome outcome, Note note, Batch batch) {
     long nowNanos = batch.nowNanos();
-    attempt.endpoint().health.lastHeardNanos = nowNanos;
+    attempt.endpoint().health.lastResponseNanos = nowNanos;
     if (attempt.request().isSynthetic() && outcome == Outcome.NOT_STORED) {
       outlierDetector.onAnswer(attempt.endpoint(), attempt.sentAtNanos(), batch);
     }
@@ -115,10 +115,10 @@
     }
   }
 
-  /** Guards a source against the blame for answers that got lost on the way from a silent endpoint. */
+  /** Guards a source against the blame for answers that got lost behind a silent endpoint. */
   private static void recordUnanswered(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
     source.limit.onAnswer(nowNanos, !attempt.hasSource()
-        || source.health.lastHeardNanos > attempt.sentAtNanos() + attempt.request().patienceNanos);
+        || source.health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos);
   }
 }
--- a/core/src/main/java/amberpath/ClusterManager.java
+++ b/core/src/main/java/amberpath/ClusterManager.java
@@ -79,7 +79,7 @@
     limiter.assignShares(share);
   }
 
-  /** The fleet's word: what all share shrinks at once, and grows by answers. */
+  /** The number of gateways has changed: limits of what all share shrink at once, and grow by answers. */
   void updateShare(int gateways, boolean mayTake) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
     double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
--- a/core/src/main/java/amberpath/ConcurrencyLimit.java
+++ b/core/src/main/java/amberpath/ConcurrencyLimit.java
@@ -8,7 +8,7 @@
  * debt to be paid off before the next may go. Source: docs/design.md, "The six mechanisms beside the design".
  */
 final class ConcurrencyLimit {
-  /** Rooms below this priority factor leave none for one more request while there is a debt. */
+  /** The priority factor of what is not cached; up to it, no debt at all may be left where a limit is under one. */
   static final double UNCACHED_FACTOR = 0.8;
 
   private static final double MIN_SHARE = 1e-3;
@@ -31,12 +31,12 @@
   private double limit;
   private double smoothedInFlight;
   private double debt;
-  private long settledAtNanos;
+  private long advancedAtNanos;
 
   /**
    * A limit that has yet to be given its share.
    *
-   * @param capacityFraction by time, the fraction of the limit that the target bears while it warms up, 0 to 1
+   * @param capacityFraction by time, the fraction of the limit that the target can serve while it warms up, 0 to 1
    */
   ConcurrencyLimit(LongToDoubleFunction capacityFraction) {
     this.capacityFraction = capacityFraction;
@@ -69,16 +69,16 @@
   }
 
   /** Accounts for the time that has passed since the last call. */
-  void settle(long nowNanos) {
-    double passedSeconds = (nowNanos - settledAtNanos) / NANOS_PER_SECOND;
+  void advanceTo(long nowNanos) {
+    double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
     smoothedInFlight += (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
     debt = Math.max(0, debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
-    settledAtNanos = nowNanos;
+    advancedAtNanos = nowNanos;
   }
 
   /** Whether one more may be sent, by a request that may pass the limit by the given factor. */
   boolean hasRoom(long nowNanos, double priorityFactor) {
-    settle(nowNanos);
+    advanceTo(nowNanos);
     double room = limit * capacityFraction.applyAsDouble(nowNanos);
     return inFlight < room * priorityFactor && (inFlight + 1 <= room * priorityFactor
         || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
@@ -92,7 +92,7 @@
 
   /** A late answer cuts from what is used, so that a limit that was never reached binds at once. */
   void onAnswer(long nowNanos, boolean inTime) {
-    settle(nowNanos);
+    advanceTo(nowNanos);
     if (inTime) {
       limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
     } else if (nowNanos - lastDecreaseNanos > DECREASE_INTERVAL_NANOS) {
--- a/core/src/main/java/amberpath/ConcurrencyLimiter.java
+++ b/core/src/main/java/amberpath/ConcurrencyLimiter.java
@@ -85,7 +85,7 @@
     return endpoint.limit.hasRoom(nowNanos, priorityFactor(trafficClass));
   }
 
-  /** Whether the way into the zone has room for a request's fill; what can't be cached needs it in any case. */
+  /** Whether the uplink into the zone has room for a request's fill; what is never cached is sent regardless. */
   boolean hasUplinkRoom(InFlightRequest request, long nowNanos) {
     return request.uncacheable || uplinkLimit.hasRoom(nowNanos, fillPriorityFactor(request));
   }
@@ -129,12 +129,12 @@
    */
   void recountFills(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
-      endpoint.limit.settle(nowNanos);
+      endpoint.limit.advanceTo(nowNanos);
       endpoint.limit.inFlight = endpoint.isEdge() ? endpoint.limit.inFlight : 0;
     }
-    originLimit.settle(nowNanos);
+    originLimit.advanceTo(nowNanos);
     originLimit.inFlight = 0;
-    uplinkLimit.settle(nowNanos);
+    uplinkLimit.advanceTo(nowNanos);
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
       if (attempt.hasSource() && !isOvertaken(attempt)) {
@@ -143,7 +143,7 @@
         addFill(attempt, isLikely ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
     }
-    // A source past its limit is stuck itself: what waits there does not use the link.
+    // A source past its limit is stalled itself: what waits there does not use the link.
     for (Endpoint endpoint : endpoints.all()) {
       uplinkLimit.inFlight += endpoint.isEdge() ? 0 : Math.min(endpoint.limit.inFlight, endpoint.limit.limit());
     }
--- a/core/src/main/java/amberpath/Endpoint.java
+++ b/core/src/main/java/amberpath/Endpoint.java
@@ -2,7 +2,7 @@
 
 import amberpath.Arrivals.State;
 
-/** A cache, a parent or the origin, as the list tells of it, with what this gateway has learnt about it. */
+/** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
 final class Endpoint {
   /** What an endpoint is to the gateway, by the kind that it is listed under. */
   enum Role { EDGE, PARENT, ORIGIN }
@@ -22,10 +22,10 @@
   State state;
   String zone;
   int cell;
-  /** Its size in transfers at full pace where sizes are told, else 1. */
+  /** Its size in transfers at full pace where the site lists sizes, else 1. */
   double weight;
 
-  /** An endpoint under a stable id, before the list has told the rest. */
+  /** An endpoint under a stable id, before the rest of its description is known. */
   Endpoint(int index, String id) {
     this.index = index;
     hash = RendezvousSelector.mix(id.hashCode());
--- a/core/src/main/java/amberpath/EndpointHealth.java
+++ b/core/src/main/java/amberpath/EndpointHealth.java
@@ -6,7 +6,7 @@
  * doubles.
  */
 final class EndpointHealth {
-  /** HEALTHY takes all of its keys, EJECTED none but a request on trial, PROBATION a part that grows. */
+  /** HEALTHY takes all of its keys, EJECTED none but single health checks, PROBATION a part that grows. */
   enum State { HEALTHY, EJECTED, PROBATION }
 
   private static final long FIRST_BACKOFF_NANOS = 250_000_000L;
@@ -15,22 +15,22 @@
   private static final double FIRST_PROBATION_FRACTION = 1.0 / 16;
   private static final double OVERDUE_LIMIT = 2;
 
-  /** When the endpoint was last heard of, in nanoseconds. */
-  long lastHeardNanos;
+  /** When the endpoint last gave a sign of life, in nanoseconds. */
+  long lastResponseNanos;
   /** Whether others were asked to look at it: too little to go by alone. */
   boolean suspected;
   /** How many requests wait for it past their time; counted anew in each sweep. */
   int overdue;
-  /** Connections lost or not made since it was last heard of. */
+  /** Attempts lost, or without a connection, since it last answered. */
   int failures;
 
   private State state = State.HEALTHY;
   private long ejectedAtNanos;
   private long probationSinceNanos;
-  private long nextTrialNanos;
+  private long nextHealthCheckNanos;
   private long backoffNanos = FIRST_BACKOFF_NANOS;
 
-  /** The longest pause between two trials of an ejected endpoint, in nanoseconds. */
+  /** The longest pause between two checks of an ejected endpoint, in nanoseconds. */
   static long maxBackoffNanos() {
     return MAX_BACKOFF_NANOS;
   }
@@ -52,19 +52,19 @@
     return keyFraction(nowNanos) > 0;
   }
 
-  /** Whether it gets single requests on trial only. */
+  /** Whether it gets single requests as health checks only. */
   boolean isEjected() {
     return state == State.EJECTED;
   }
 
   /** Whether the pause since it was ejected last is over; also true if it never was. */
   boolean isBackoffOver(long nowNanos) {
-    return nowNanos >= nextTrialNanos;
+    return nowNanos >= nextHealthCheckNanos;
   }
 
   /** The same of a pause that is longer by so many nanoseconds. */
   boolean isBackoffOver(long nowNanos, double longerByNanos) {
-    return nowNanos >= nextTrialNanos + longerByNanos;
+    return nowNanos >= nextHealthCheckNanos + longerByNanos;
   }
 
   /** Whether enough of its requests are overdue or failed to take it for an outlier. */
@@ -81,7 +81,7 @@
   void eject(long nowNanos, long randomPartNanos) {
     failures = 0;
     ejectedAtNanos = nowNanos;
-    nextTrialNanos = nowNanos + backoffNanos / 2 + randomPartNanos;
+    nextHealthCheckNanos = nowNanos + backoffNanos / 2 + randomPartNanos;
     backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
     state = State.EJECTED;
   }
@@ -102,7 +102,7 @@
     backoffNanos = FIRST_BACKOFF_NANOS;
   }
 
-  /** It has restarted: what was held against it is of another life, but for the length of the pause. */
+  /** It has restarted: earlier failures no longer count, but the backoff stays as long as it was. */
   void restart() {
     state = State.HEALTHY;
   }
--- a/core/src/main/java/amberpath/GatewayShare.java
+++ b/core/src/main/java/amberpath/GatewayShare.java
@@ -1,8 +1,8 @@
 package amberpath;
 
 /**
- * This gateway's part of what all gateways share: the number told at the start or, where the fleet knows of more,
- * that. Guards limits against more gateways than were told. All that came beyond the told number may be in this zone.
+ * This gateway's part of what all gateways share: by the configured number of gateways or, where the fleet
+ * has more, by that. Guards limits against more gateways than are configured, all of which may be in this zone.
  */
 final class GatewayShare {
   private final Site site;
@@ -10,14 +10,14 @@
   private int inAll;
   private boolean granted = true;
 
-  /** The share by the numbers that the site tells. */
+  /** The share by the configured numbers. */
   GatewayShare(Site site) {
     this.site = site;
     inZone = Math.max(1, site.gatewaysHere());
     inAll = Math.max(1, site.gateways());
   }
 
-  /** The fleet's word: how many gateways there are, and whether this one may take a part at all. */
+  /** The fleet has counted its gateways; also, whether this one may take a part at all. */
   void update(int gateways, boolean mayTake) {
     int beyond = Math.max(0, gateways - Math.max(1, site.gateways()));
     inAll = Math.max(1, site.gateways()) + beyond;
--- a/core/src/main/java/amberpath/InFlightRequest.java
+++ b/core/src/main/java/amberpath/InFlightRequest.java
@@ -6,7 +6,7 @@
 /** A request between its arrival and the end of its last attempt. Times are nanoseconds. */
 final class InFlightRequest {
   /**
-   * Who wants the answer: a client, or the fleet, to see whether an endpoint lives or to fill one that has started.
+   * Who wants the answer: a client, or the fleet, to check an endpoint or to fill one that has started.
    */
   enum Purpose { CLIENT, HEALTH_CHECK, PREFETCH }
 
@@ -29,7 +29,7 @@
   int openAttempts;
   /** Whether its answer is never cached. */
   boolean uncacheable;
-  /** Whether its size was told. */
+  /** Whether its size is known. */
   boolean sizeKnown;
   /** Whether its patience follows from a size or an earlier answer, so that its answer can be called late. */
   boolean durationKnown;
--- a/core/src/main/java/amberpath/ObjectHistory.java
+++ b/core/src/main/java/amberpath/ObjectHistory.java
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The shortest answer seen, in nanoseconds, for an object whose size is not told; 0 where there is none. */
+  /** The shortest answer seen, in nanoseconds, for an object whose size is not known; 0 where there is none. */
   long shortestAnswerNanos(long object) {
     Entry entry = entries.get(object);
     return entry == null ? 0 : entry.shortestAnswerNanos;
--- a/core/src/main/java/amberpath/OutlierDetector.java
+++ b/core/src/main/java/amberpath/OutlierDetector.java
@@ -5,7 +5,7 @@
 
 /**
  * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a trickle. Guards
- * against crashed, hung and cut-off endpoints, of which the list tells seconds late. Source: docs/design.md, "The six
+ * against crashed, hung and cut-off endpoints, which the list shows seconds late. Source: docs/design.md, "The six
  * mechanisms beside the design" and "Told by one for all".
  */
 final class OutlierDetector {
@@ -20,7 +20,7 @@
   private final SplittableRandom random;
   private boolean isChecking = true;
 
-  /** A detector of endpoints none of which is ejected; seed and random numbers spread the trials of many gateways. */
+  /** A detector of endpoints none of which is ejected; seed and random numbers spread the checks of many gateways. */
   OutlierDetector(long seed, EndpointTable endpoints, GatewayShare share, SlowStart slowStart,
       SplittableRandom random) {
     this.seed = seed;
@@ -52,7 +52,7 @@
   /** An answer has come from an endpoint, to a request that was sent then, in nanoseconds. */
   void onAnswer(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
-    health.lastHeardNanos = batch.nowNanos();
+    health.lastResponseNanos = batch.nowNanos();
     health.failures = 0;
     if (health.suspected) {
       health.suspected = false;
@@ -66,8 +66,8 @@
   }
 
   /**
-   * The fleet's checker has asked an endpoint that others ejected. Guards against word that what was seen here since
-   * belies, and against most endpoints being ejected by it.
+   * The fleet's checker has asked an endpoint that others ejected. Guards against reports that newer
+   * answers contradict, and against most endpoints being ejected by it.
    */
   void onFleetReport(Endpoint endpoint, boolean answers, long agoNanos, Batch batch) {
     long seenAtNanos = batch.nowNanos() - agoNanos;
@@ -77,7 +77,7 @@
     EndpointHealth health = endpoint.health;
     if (answers && health.isBackoffOver(batch.nowNanos())) {
       readmit(endpoint, seenAtNanos, batch);
-    } else if (!answers && health.isServing(batch.nowNanos()) && health.lastHeardNanos < seenAtNanos
+    } else if (!answers && health.isServing(batch.nowNanos()) && health.lastResponseNanos < seenAtNanos
         && isMajorityHealthy(endpoints.zoneEdges(), batch.nowNanos())) {
       eject(endpoint, batch);
     }
@@ -99,8 +99,8 @@
   }
 
   private double delegatedPauseNanos(Endpoint endpoint) {
-    double turn = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
-    return turn * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
+    double place = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
+    return place * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
   }
 
   /** Whether a health check may be sent: to an ejected endpoint one at a time, after its pause. */
@@ -119,18 +119,18 @@
         EndpointHealth health = attempt.endpoint().health;
         health.overdue++;
         boolean isEndpointWell =
-            health.lastHeardNanos > attempt.sentAtNanos() + attempt.request().patienceNanos;
+            health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos;
         attempt.source().health.overdue += attempt.hasSource() && isEndpointWell ? 1 : 0;
       }
     }
   }
 
   /** Ejects those who keep requests waiting and give no sign of life, unless most of their peers do the same. */
-  void judge(Endpoint[] peers, Batch batch) {
+  void detectOutliers(Endpoint[] peers, Batch batch) {
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
-      boolean isSilent = endpoint.isUp() && batch.nowNanos() - health.lastHeardNanos > SILENCE_NANOS;
+      boolean isSilent = endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
       if (isSilent && health.isUnresponsive() && isMajorityHealthy) {
         eject(endpoint, batch);
       } else if (endpoint.isEdge() && health.isServing(batch.nowNanos())
--- a/core/src/main/java/amberpath/PatienceEstimator.java
+++ b/core/src/main/java/amberpath/PatienceEstimator.java
@@ -7,13 +7,13 @@
   private final ObjectHistory history;
   private final double kilobytesPerSecond;
 
-  /** An estimator for transfers of that pace; 0 where the pace is not told. */
+  /** An estimator for transfers of that pace; 0 where the pace is not known. */
   PatienceEstimator(ObjectHistory history, double kilobytesPerSecond) {
     this.history = history;
     this.kilobytesPerSecond = kilobytesPerSecond;
   }
 
-  /** Sets a request's patience; its class learns the duration where that follows from the size (0: not told). */
+  /** Sets a request's patience; its class learns the duration where that follows from the size (0: not known). */
   void estimate(InFlightRequest request, double kilobytes) {
     TrafficClass trafficClass = request.trafficClass;
     long transferNanos = kilobytes > 0 && kilobytesPerSecond > 0
--- a/core/src/main/java/amberpath/PurgeLog.java
+++ b/core/src/main/java/amberpath/PurgeLog.java
@@ -4,7 +4,7 @@
 import java.util.TreeMap;
 
 /**
- * The purges of the last seconds, by object and group: while caches may still hold older copies, age tells them
+ * The purges of the last seconds, by object and group: while caches may still have older copies, age tells them
  * apart.
  */
 final class PurgeLog {
@@ -36,8 +36,8 @@
     long purged = Math.max(purgedAt.getOrDefault(object, 0L), Math.max(
         purgedAt.getOrDefault(groupKey(group), 0L), purgedAt.getOrDefault(groupKey(Membership.EVERYTHING), 0L)));
     long boundNanos = Math.max(MARGIN_NANOS, nowNanos - purged - MARGIN_NANOS);
-    boolean mayBeHeld = nowNanos - purged <= propagationNanos;
-    return mayBeHeld && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
+    boolean mayBeCached = nowNanos - purged <= propagationNanos;
+    return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
   }
 
   private static long groupKey(int group) {
--- a/core/src/main/java/amberpath/RequestRouter.java
+++ b/core/src/main/java/amberpath/RequestRouter.java
@@ -16,8 +16,8 @@
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link #round} takes a batch
- * of all events that came in and writes the actions that follow from them, in order. {@link Site} says what the
- * gateway was told at its start; there is no I/O, and the only clock is the batch's time, in nanoseconds.
+ * of all events that came in and writes the actions that follow from them, in order. {@link Site} is the
+ * configuration; there is no I/O, and the only clock is the batch's time, in nanoseconds.
  *
  * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its answer is cached,
  * {@link RouteSelector} where it goes. What departs from that path lies in {@link OutlierDetector}, {@link
@@ -77,23 +77,24 @@
   }
 
   /** Decides on all events of a batch, at one time in nanoseconds; the actions are written as they are decided. */
-  public void round(long time, Arrivals in, Decisions to) {
+  public void round(long time, Arrivals events, Decisions actions) {
     nowNanos = time;
-    batch = new Batch(time, to);
+    batch = new Batch(time, actions);
     if (!watching && site.listOnRequest()) {
       watching = true;
-      to.watchList();
+      actions.watchList();
     }
-    in.replay(this);
+    events.replay(this);
   }
 
   // ---- Requests.
 
-  /** The ordinary path of a request: note its start, decide whether it is cached, choose its way, send it. */
-  @Override public void get(long id, int ds, long object, int group, int part, long timeLeft, double kb,
-      boolean write) {
-    InFlightRequest request = open(new RequestDetails(id, ds, object, group, part, timeLeft, kb));
-    request.uncacheable = write || request.trafficClass.isNeverCached();
+  /** The ordinary path of a request: note its start, decide whether it is cached, choose its route, send it. */
+  @Override public void get(long id, int trafficClass, long object, int group, int part, long timeLeftNanos,
+      double kilobytes, boolean neverCached) {
+    InFlightRequest request =
+        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
+    request.uncacheable = neverCached || request.trafficClass.isNeverCached();
     retryBudget.deposit();
     boolean sharedZone = share.isZoneShared();
     long previousStartNanos = history.observe(object, part, sharedZone, nowNanos);
@@ -106,16 +107,17 @@
   }
 
   /** A request of this gateway's own, on behalf of the fleet: a health check or, with no cache named, a prefetch. */
-  @Override public void own(long id, int ds, long object, int group, int part, long timeLeft, double kb,
-      int cache) {
-    InFlightRequest request = open(new RequestDetails(id, ds, object, group, part, timeLeft, kb));
-    request.purpose = cache < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
+  @Override public void own(long id, int trafficClass, long object, int group, int part, long timeLeftNanos,
+      double kilobytes, int endpoint) {
+    InFlightRequest request =
+        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
+    request.purpose = endpoint < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
     Route route;
     if (request.purpose == Purpose.PREFETCH) {
       request.rank = admission.prefetchRankOf(object);
       route = syntheticRoutes.selectPrefetch(request, nowNanos);
     } else {
-      route = syntheticRoutes.selectHealthCheck(request, cache, nowNanos);
+      route = syntheticRoutes.selectHealthCheck(request, endpoint, nowNanos);
     }
     if (route == null) {
       giveUp(request);
@@ -171,21 +173,22 @@
         + (renews ? Decisions.RENEW : 0);
   }
 
-  @Override public void begun(long id, int copy) {
+  @Override public void begun(long id, int attemptNumber) {
     if (requests.containsKey(id)) {
       requests.get(id).streaming = true;
     }
   }
 
-  @Override public void ended(long id, int copy, int cache, Outcome outcome, long took, boolean settled,
-      Note note) {
+  @Override public void ended(long id, int attemptNumber, int endpoint, Outcome outcome, long tookNanos,
+      boolean settled, Note note) {
     InFlightRequest request = requests.get(id);
-    if (request == null || copy >= request.attempts.size() || !openAttempts.remove(request.attempts.get(copy))) {
+    if (request == null || attemptNumber >= request.attempts.size()
+        || !openAttempts.remove(request.attempts.get(attemptNumber))) {
       return;
     }
-    Attempt attempt = request.attempts.get(copy);
+    Attempt attempt = request.attempts.get(attemptNumber);
     request.openAttempts--;
-    recorder.recordEnded(attempt, outcome, took, note, batch);
+    recorder.recordEnded(attempt, outcome, tookNanos, note, batch);
     if (!outcome.notRun) {
       request.recordExecuted(attempt);
     }
@@ -203,7 +206,7 @@
     InFlightRequest request = last.request();
     request.originFailed |= note == Note.ORIGIN_ERRORED;
     boolean lackedCopy = last.cachedOnly() && outcome == Outcome.NOT_STORED;
-    boolean neverSent = outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: it asked nothing.
+    boolean neverSent = outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: nothing was sent.
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
@@ -256,56 +259,56 @@
     limiter.recountFills(openAttempts, nowNanos);
     outlierDetector.recountOverdue(openAttempts, nowNanos);
     for (Endpoint[] peers : new Endpoint[][] {endpoints.zoneEdges(), endpoints.parents()}) {
-      outlierDetector.judge(peers, batch);
+      outlierDetector.detectOutliers(peers, batch);
       slowStart.learnThroughput(peers, nowNanos);
     }
     for (Attempt attempt : new ArrayList<>(openAttempts)) {
-      hedgeIfStuck(attempt);
+      hedgeIfStalled(attempt);
     }
   }
 
-  private void hedgeIfStuck(Attempt attempt) {
+  private void hedgeIfStalled(Attempt attempt) {
     boolean isEndpointEjected = attempt.endpoint().health.isEjected();
-    boolean isStuck = isEndpointEjected || limiter.isOvertaken(attempt)
+    boolean isStalled = isEndpointEjected || limiter.isOvertaken(attempt)
         || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
-    if (isStuck && retryPolicy.permitsHedging(attempt, nowNanos)) {
+    if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
       attempt.request().triedEndpoints.add(isEndpointEjected ? attempt.endpoint() : attempt.source());
       retry(attempt.request());
     }
   }
 
-  // ---- What is told of endpoints, copies and the fleet.
+  // ---- Changes of endpoints, copies and the fleet.
 
-  @Override public void listing(Listing what) {
-    cluster.beginList(what);
-    watching = what != Listing.NONE;
+  @Override public void listing(Listing listing) {
+    cluster.beginList(listing);
+    watching = listing != Listing.NONE;
   }
 
-  @Override public void member(int cache, String address, String zone, String kind, int cell, State state,
-      double weight, long startedAt) {
-    cluster.update(new EndpointDescription(cache, address, zone, kind, cell, state, weight, startedAt), batch);
+  @Override public void member(int index, String id, String zone, String kind, int cell, State state,
+      double weight, long startedAtNanos) {
+    cluster.update(new EndpointDescription(index, id, zone, kind, cell, state, weight, startedAtNanos), batch);
   }
 
   @Override public void listed() {
     cluster.endList();
   }
 
-  @Override public void purged(long object, int group, long ago) {
-    purges.record(object, group, nowNanos - ago, nowNanos);
+  @Override public void purged(long object, int group, long agoNanos) {
+    purges.record(object, group, nowNanos - agoNanos, nowNanos);
   }
 
-  @Override public void sharers(int many, double part) {
-    cluster.updateShare(many, part > 0);
+  @Override public void sharers(int gateways, double granted) {
+    cluster.updateShare(gateways, granted > 0);
   }
 
-  @Override public void tried(boolean once) {
-    outlierDetector.setDelegated(once);
+  @Override public void tried(boolean delegated) {
+    outlierDetector.setDelegated(delegated);
   }
 
-  @Override public void vouched(int cache, boolean answers, long ago) {
-    Endpoint endpoint = endpoints.get(cache);
+  @Override public void vouched(int index, boolean answers, long agoNanos) {
+    Endpoint endpoint = endpoints.get(index);
     if (endpoint != null) {
-      outlierDetector.onFleetReport(endpoint, answers, ago, batch);
+      outlierDetector.onFleetReport(endpoint, answers, agoNanos, batch);
     }
   }
 }
--- a/core/src/main/java/amberpath/RetryPolicy.java
+++ b/core/src/main/java/amberpath/RetryPolicy.java
@@ -10,7 +10,7 @@
 
   private final Site site;
 
-  /** The policy that a site tells by its traffic classes and its bound on attempts. */
+  /** The policy of a site's traffic classes and its bound on attempts. */
   RetryPolicy(Site site) {
     this.site = site;
   }
--- a/core/src/main/java/amberpath/Route.java
+++ b/core/src/main/java/amberpath/Route.java
@@ -5,6 +5,6 @@
  *
  * @param endpoint where it is sent
  * @param source who fills a miss; null where nothing is filled
- * @param cachedOnly whether only a copy that is held already may be returned
+ * @param cachedOnly whether only a copy that is cached already may be returned
  */
 record Route(Endpoint endpoint, Endpoint source, boolean cachedOnly) { }
--- a/core/src/main/java/amberpath/RouteSelector.java
+++ b/core/src/main/java/amberpath/RouteSelector.java
@@ -20,7 +20,7 @@
     this.retryPolicy = retryPolicy;
   }
 
-  /** The way of a request's next attempt; null if nothing may take it. */
+  /** The route of a request's next attempt; null if no endpoint may take it. */
   Route select(InFlightRequest request, long nowNanos) {
     Endpoint source = selectSource(request, nowNanos);
     Endpoint endpoint = request.uncacheable && site.bypass() && source != null ? source
--- a/core/src/main/java/amberpath/SlowStart.java
+++ b/core/src/main/java/amberpath/SlowStart.java
@@ -7,11 +7,11 @@
 
 /**
  * Endpoints that have just started get a thin slice of their keys that widens, and a budget of work a second: all
- * gateways together stay within what such an endpoint is sure to bear. The bound is paid for as a debt, since a part
+ * gateways together stay within what such an endpoint can surely serve. The bound is kept as a debt, since a part
  * of less than one request must still let one through at times. Source: docs/design.md, "The six mechanisms".
  */
 final class SlowStart {
-  /** Parts of what the endpoint is sure to bear; the rest is for what others do unseen. */
+  /** Parts of what the endpoint can surely serve; the rest is for what others do unseen. */
   private static final double KEY_FRACTION = 0.9;
   private static final double BUDGET_FRACTION = 0.5;
   private static final double PREFETCH_FRACTION = 0.25;
@@ -28,7 +28,7 @@
     this.share = share;
   }
 
-  /** The profile of a kind of endpoints; what the site tells of it at the first sight of the kind. */
+  /** The profile of a kind of endpoints; as the site configures it, made when the kind is listed first. */
   SlowStartProfile profileOf(String kind, Endpoint.Role role) {
     return profiles.computeIfAbsent(kind, name -> role == Endpoint.Role.EDGE
         ? new SlowStartProfile(site.coldShare(), site.coldTime(), site.fallMultiple(), share.fractionOf(role))
@@ -50,8 +50,8 @@
   }
 
   /**
-   * Whether this gateway's part of what an endpoint can bear has room for one more request. A part under one request
-   * lets one through while nothing is owed, which is owed for after: the sum over all gateways is kept.
+   * Whether this gateway's part of what an endpoint can serve has room for one more request. A part under one request
+   * lets one through while there is no debt, which becomes a debt in turn: the sum over all gateways is kept.
    */
   boolean affords(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     if (endpoint.warmUp.isComplete(nowNanos)) {
@@ -69,7 +69,7 @@
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
-  /** Whether an endpoint bears one more request ahead of its clients; if so, the next is put off. */
+  /** Whether an endpoint can serve one more request ahead of its clients; if so, the next is put off. */
   boolean tryPrefetch(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
     if (!share.isGranted() || warmUp.isComplete(nowNanos) || endpoint.health.keyFraction(nowNanos) != 1
@@ -84,7 +84,7 @@
 
   /**
    * Learns from warm peers what an endpoint of each kind returns. Guards against small caches that restarted
-   * together: the large ones left carry more than they can.
+   * together: the large ones left serve more than they can.
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
@@ -107,14 +107,14 @@
         share.isGranted() ? Math.max(profile.gatewayFraction, profile.typicalThroughput) : 0;
   }
 
-  /** Work a second that this gateway may send: by size where told, else by what warm peers usually return. */
+  /** Work a second that this gateway may send: by size where that is listed, else by what warm peers usually return. */
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
     double warm = site.weighsSizes() ? endpoint.weight * profile.gatewayFraction : profile.typicalThroughput;
     return BUDGET_FRACTION * profile.overloadFactor * endpoint.warmUp.capacityFraction(atNanos) * warm;
   }
 
-  /** What is owed of the work sent, in seconds: it is paid off at a rate that rises with the ramp. */
+  /** The debt for the work sent, in seconds: it is paid off at a rate that rises with the ramp. */
   private double debtSeconds(Endpoint endpoint, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
     double paidSeconds = (budget(endpoint, warmUp.debtAtNanos) + budget(endpoint, nowNanos)) / 2
--- a/core/src/main/java/amberpath/SlowStartProfile.java
+++ b/core/src/main/java/amberpath/SlowStartProfile.java
@@ -6,7 +6,7 @@
   final double initialFraction;
   /** After how long it has all of it, in nanoseconds. */
   final long durationNanos;
-  /** How much more than its warm capacity's part an endpoint is sure to bear. */
+  /** How much more than its warm capacity's part an endpoint can surely serve. */
   final double overloadFactor;
   /** This gateway's part of an endpoint of the kind, 0 to 1; 0 while it may send nothing. */
   double gatewayFraction;
--- a/core/src/main/java/amberpath/SyntheticRouteSelector.java
+++ b/core/src/main/java/amberpath/SyntheticRouteSelector.java
@@ -3,7 +3,7 @@
 import amberpath.Site.Effect;
 
 /**
- * The ways of requests that this gateway makes by itself, on behalf of the fleet: only what may be repeated, only to
+ * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may be repeated, only to
  * edge caches, and only within what slow start leaves. Source: docs/design.md, "Told by one for all".
  */
 final class SyntheticRouteSelector {
@@ -23,7 +23,7 @@
     this.limiter = limiter;
   }
 
-  /** The way of an object's start to the edge cache that is warming up, if the object is that cache's; else null. */
+  /** The route of an object's start to the edge cache that is warming up, if the object is that cache's; else null. */
   Route selectPrefetch(InFlightRequest request, long nowNanos) {
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
     Endpoint source = routes.selectSource(request, nowNanos);
@@ -33,7 +33,7 @@
   }
 
   /**
-   * The way of a health check, out of this gateway's budget and for no more than is cached; null if it may not go.
+   * The route of a health check, out of this gateway's budget and for no more than is cached; null if it may not go.
    */
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
--- a/core/src/main/java/amberpath/TrafficClass.java
+++ b/core/src/main/java/amberpath/TrafficClass.java
@@ -4,7 +4,7 @@
 import amberpath.Site.Effect;
 import amberpath.Site.Group;
 
-/** One delivery service: what the site tells of it, and what its answers have shown so far. */
+/** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
   private static final int FULL_AT_ANSWERS = 512;
   private static final double ASSUMED_MISSES = 4.0;
@@ -84,7 +84,7 @@
     meanWorkNanos = durations.meanNanos();
   }
 
-  /** Counts which way an answer came. All counts are halved when they are full. */
+  /** Counts which route an answer came by. All counts are halved when they are full. */
   void recordRoute(Note note) {
     switch (note) {
       case HIT, PAST_FRESH -> returnedFromCache++;
--- a/core/src/main/java/amberpath/WarmUp.java
+++ b/core/src/main/java/amberpath/WarmUp.java
@@ -31,7 +31,7 @@
     return capacityFraction(nowNanos) >= 1;
   }
 
-  /** Notes work that it has returned, in seconds: what is only sent tells nothing of what it can bear. */
+  /** Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve. */
   void recordReturned(double workSeconds, long nowNanos) {
     throughput = throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
         + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
