--- /dev/null
+++ b/core/src/test/java/amberpath/AttemptRecorderTest.java
@@ -0,0 +1,66 @@
+package amberpath;
+
+import static amberpath.RoutingParts.MS;
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.Note;
+import amberpath.Arrivals.Outcome;
+import org.junit.jupiter.api.Test;
+
+class AttemptRecorderTest {
+  private static final long LATER = START + 50 * MS;
+  private final RoutingParts parts = new RoutingParts();
+  private final Attempt attempt = parts.attempt(parts.request(5), 1, 5);
+  private final Endpoint endpoint = attempt.endpoint();
+  private final Endpoint source = attempt.source();
+
+  private void end(Outcome outcome, long tookMillis, Note note) {
+    parts.recorder.recordSent(attempt, START);
+    parts.recorder.recordEnded(attempt, outcome, tookMillis * MS, note, parts.batch(LATER));
+    assertEquals(0, endpoint.limit.inFlight);
+  }
+
+  @Test
+  void anAttemptCountsAtItsEndpointAndInPartAtItsSource() {
+    parts.recorder.recordSent(attempt, START);
+    assertEquals(1, endpoint.limit.inFlight);
+    assertEquals(0.5, source.limit.inFlight);
+    assertEquals(START, endpoint.health.lastResponseNanos, "silence counts from the first request on");
+  }
+
+  @Test
+  void aFilledAnswerIsASignOfLifeOfBoth() {
+    end(Outcome.RETURNED, 50, Note.FILLED);
+    assertEquals(LATER, endpoint.health.lastResponseNanos);
+    assertEquals(LATER, source.health.lastResponseNanos);
+    assertEquals(START, source.limit.lastPromptSentNanos);
+  }
+
+  @Test
+  void aLateFillCutsTheSourcesLimitAndTheUplinks() {
+    end(Outcome.RETURNED, 90, Note.FILLED);
+    assertEquals(LATER, source.limit.lastDecreaseNanos);
+    assertEquals(LATER, parts.limiter.uplinkLimit().lastDecreaseNanos);
+    assertEquals(0, endpoint.limit.lastDecreaseNanos);
+  }
+
+  @Test
+  void aRejectionCutsTheLimitOfWhoeverRejected() {
+    end(Outcome.TURNED_AWAY, 1, Note.NOTHING);
+    assertEquals(LATER, endpoint.limit.lastDecreaseNanos);
+    Attempt again = parts.attempt(attempt.request(), 2, 5);
+    parts.recorder.recordEnded(again, Outcome.ERRORED, MS, Note.ORIGIN_ERRORED, parts.batch(LATER));
+    assertEquals(LATER, parts.limiter.originLimit().lastDecreaseNanos);
+    assertEquals(0, source.limit.lastDecreaseNanos);
+  }
+
+  @Test
+  void aRefusedConnectionEjectsAndALostOneIsAFailure() {
+    end(Outcome.LOST, 1, Note.NOTHING);
+    assertEquals(1, endpoint.health.failures);
+    end(Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    assertTrue(endpoint.health.isEjected());
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/ClusterManagerTest.java
@@ -0,0 +1,50 @@
+package amberpath;
+
+import static amberpath.RoutingParts.MS;
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.Listing;
+import amberpath.Arrivals.State;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class ClusterManagerTest {
+  private final RoutingParts parts = new RoutingParts();
+
+  @Test
+  void aFullListReplacesAndChangesAdd() {
+    parts.cluster.beginList(Listing.CHANGES);
+    parts.cluster.endList();
+    assertEquals(8, parts.endpoints.all().size());
+    parts.cluster.beginList(Listing.FULL);
+    parts.update(2, State.UP, 0);
+    parts.cluster.endList();
+    assertEquals(1, parts.endpoints.all().size());
+  }
+
+  @Test
+  void anEndpointThatRestartsIsColdAndNoLongerEjected() {
+    Endpoint endpoint = parts.endpoint(1);
+    parts.detector.eject(endpoint, parts.batch(START));
+    parts.update(1, State.UP, START);
+    assertFalse(endpoint.health.isEjected());
+    assertEquals(0.1, endpoint.warmUp.capacityFraction(START), 1e-9);
+    assertEquals(List.of(1), parts.site.cold);
+    parts.update(1, State.UP, START - 100 * MS);
+    assertEquals(List.of(1), parts.site.cold, "an older start is known already");
+  }
+
+  @Test
+  void moreGatewaysShrinkTheLimitsAtOnce() {
+    double edge = parts.endpoint(0).limit.limit();
+    double origin = parts.limiter.originLimit().limit();
+    parts.cluster.updateShare(5, true);
+    assertEquals(edge / 3, parts.endpoint(0).limit.limit(), 1e-9);
+    assertEquals(origin * 3 / 5, parts.limiter.originLimit().limit(), 1e-9);
+    parts.cluster.updateShare(5, false);
+    assertTrue(parts.endpoint(0).limit.limit() < 0.01, "nothing is granted");
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/ConcurrencyLimitTest.java
@@ -0,0 +1,68 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class ConcurrencyLimitTest {
+  private static final long MS = 1_000_000L;
+  private static final long NOW = 1_000_000 * MS;
+
+  private static ConcurrencyLimit limit(double share) {
+    ConcurrencyLimit limit = new ConcurrencyLimit(nowNanos -> 1);
+    limit.setShare(share, 24);
+    limit.advanceTo(NOW);
+    return limit;
+  }
+
+  @Test
+  void itIsFullAtItsLimitAndPriorityPassesIt() {
+    ConcurrencyLimit limit = limit(1);
+    limit.inFlight = 24;
+    assertFalse(limit.hasRoom(NOW, 1));
+    assertTrue(limit.hasRoom(NOW, 1.5));
+  }
+
+  @Test
+  void lateAnswersCutOnceInAnIntervalAndPromptOnesWiden() {
+    ConcurrencyLimit limit = limit(1);
+    limit.onAnswer(NOW, false);
+    double cut = limit.limit();
+    assertEquals(0.8, cut, 2.4, "from what is used, not from what is allowed");
+    limit.onAnswer(NOW + MS, false);
+    assertEquals(cut, limit.limit());
+    limit.inFlight = cut;
+    limit.onAnswer(NOW + 2 * MS, true);
+    assertTrue(limit.limit() > cut);
+  }
+
+  @Test
+  void aLimitUnderOneIsKeptOverTime() {
+    ConcurrencyLimit limit = limit(0.01);
+    assertTrue(limit.hasRoom(NOW, 1), "nothing is owed yet");
+    limit.inFlight = 1;
+    assertFalse(limit.hasRoom(NOW + 100 * MS, 1));
+    limit.inFlight = 0;
+    assertFalse(limit.hasRoom(NOW + 100 * MS, 1), "0.1 s of one request against 0.24");
+    assertTrue(limit.hasRoom(NOW + 500 * MS, 1));
+  }
+
+  @Test
+  void aRejectionCountsAsLongInFlight() {
+    ConcurrencyLimit limit = limit(0.01);
+    limit.onRejected(NOW);
+    assertFalse(limit.hasRoom(NOW + MS, 1));
+  }
+
+  @Test
+  void aSmallerShareTakesTheLimitAlongAndALostOneBeginsAnew() {
+    ConcurrencyLimit limit = limit(1);
+    limit.rescale(1, 0.5);
+    assertEquals(12, limit.limit());
+    limit.rescale(0, 1);
+    limit.setShare(1, 24);
+    assertEquals(24, limit.limit());
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/ConcurrencyLimiterTest.java
@@ -0,0 +1,66 @@
+package amberpath;
+
+import static amberpath.RoutingParts.MS;
+import static amberpath.RoutingParts.ORIGIN;
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class ConcurrencyLimiterTest {
+  private final RoutingParts parts = new RoutingParts();
+  private final ConcurrencyLimiter limiter = parts.limiter;
+
+  @Test
+  void aFillCountsInFullAtItsSourceAndInPartAtTheOrigin() {
+    Attempt attempt = parts.attempt(parts.request(5), 0, 5);
+    limiter.addFill(attempt, 1, START);
+    assertEquals(1, parts.endpoint(5).limit.inFlight);
+    assertEquals(0.5, limiter.originLimit().inFlight);
+    limiter.addFill(parts.attempt(parts.request(5), 0, ORIGIN), 1, START);
+    assertEquals(1.5, limiter.originLimit().inFlight);
+  }
+
+  @Test
+  void aLateOriginTakesTheBlameForWhatWaitsLong() {
+    limiter.originLimit().onAnswer(START + 150 * MS, false);
+    limiter.addFill(parts.attempt(parts.request(5), 0, 5), 1, START + 200 * MS);
+    assertEquals(1, limiter.originLimit().inFlight);
+  }
+
+  @Test
+  void whatIsOvertakenIsNotCountedAnew() {
+    Attempt attempt = parts.attempt(parts.request(5), 0, 5);
+    limiter.recountFills(List.of(attempt), START + 50 * MS);
+    assertEquals(1, parts.endpoint(5).limit.inFlight, "it has waited for long enough to be a fill");
+    assertEquals(1, limiter.uplinkLimit().inFlight);
+    parts.endpoint(5).limit.lastPromptSentNanos = START + 200 * MS;
+    limiter.originLimit().lastPromptSentNanos = START + 200 * MS;
+    assertTrue(limiter.isOvertaken(attempt));
+    limiter.recountFills(List.of(attempt), START + 300 * MS);
+    assertEquals(0, parts.endpoint(5).limit.inFlight);
+  }
+
+  @Test
+  void aSaturatedOriginStopsFillsButNotWhatIsNeverCached() {
+    InFlightRequest request = parts.request(5);
+    assertFalse(limiter.isOriginSaturated(request, START));
+    limiter.originLimit().inFlight = 1000;
+    assertTrue(limiter.isOriginSaturated(request, START));
+    request.uncacheable = true;
+    assertFalse(limiter.isOriginSaturated(request, START));
+    request.originFailed = true;
+    assertTrue(limiter.isOriginSaturated(request, START));
+  }
+
+  @Test
+  void theBoundForSpillingOverGrowsWithWhatPeersCarry() {
+    double idle = limiter.spillOverBound(parts.endpoints.zoneEdges());
+    assertEquals(4.0 / 16, idle);
+    parts.endpoint(0).limit.inFlight = 16;
+    assertEquals(idle + 1.75, limiter.spillOverBound(parts.endpoints.zoneEdges()));
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/EndpointHealthTest.java
@@ -0,0 +1,51 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class EndpointHealthTest {
+  private static final long MS = 1_000_000L;
+  private static final long NOW = 1_000_000 * MS;
+  private final EndpointHealth health = new EndpointHealth();
+
+  @Test
+  void anEjectedEndpointComesBackByATrickleThatDoubles() {
+    health.eject(NOW, 0);
+    assertEquals(0, health.keyFraction(NOW));
+    assertFalse(health.beginProbation(NOW - 1, NOW + 10 * MS), "it lived before, not since");
+    assertTrue(health.beginProbation(NOW, NOW + 10 * MS));
+    assertEquals(1.0 / 16, health.keyFraction(NOW + 10 * MS));
+    assertEquals(1.0 / 8, health.keyFraction(NOW + 510 * MS));
+    assertEquals(1, health.keyFraction(NOW + 2010 * MS));
+  }
+
+  @Test
+  void eachEjectionDoublesThePauseUntilItRecovers() {
+    health.eject(NOW, 0);
+    assertFalse(health.isBackoffOver(NOW + 124 * MS));
+    assertTrue(health.isBackoffOver(NOW + 125 * MS));
+    health.eject(NOW, 0);
+    assertTrue(health.isBackoffOver(NOW + 250 * MS));
+    assertFalse(health.isBackoffOver(NOW + 250 * MS, 1e9));
+    for (int more = 0; more < 9; more++) {
+      health.eject(NOW, 0);
+    }
+    assertEquals(EndpointHealth.maxBackoffNanos(), health.backoffNanos());
+    health.recover();
+    assertEquals(250 * MS, health.backoffNanos());
+    assertEquals(1, health.keyFraction(NOW));
+  }
+
+  @Test
+  void oneFailureIsEnoughOnlyWhileItIsEjected() {
+    health.overdue = 1;
+    assertFalse(health.isUnresponsive());
+    health.failures = 1;
+    assertTrue(health.isUnresponsive());
+    health.eject(NOW, 0);
+    assertTrue(health.isUnresponsive(), "overdue alone, since an ejection forgets failures");
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/GatewayShareTest.java
@@ -0,0 +1,35 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class GatewayShareTest {
+  private final GatewayShare share = new GatewayShare(new RequestRouterTest.FakeHost());
+
+  @Test
+  void edgesAreSharedByTheZoneAndTheOthersByAll() {
+    assertFalse(share.isZoneShared());
+    assertEquals(1, share.fractionOf(Endpoint.Role.EDGE));
+    assertEquals(1.0 / 3, share.fractionOf(Endpoint.Role.PARENT));
+  }
+
+  @Test
+  void gatewaysBeyondTheConfiguredNumberMayAllBeInTheZone() {
+    share.update(5, true);
+    assertEquals(3, share.gatewaysInZone());
+    assertEquals(5, share.gatewaysInAll());
+    assertTrue(share.isZoneShared());
+    share.update(1, true);
+    assertEquals(3, share.gatewaysInAll(), "never under the configured number");
+  }
+
+  @Test
+  void withoutAGrantThereIsNoShare() {
+    share.update(3, false);
+    assertFalse(share.isGranted());
+    assertEquals(0, share.fractionOf(Endpoint.Role.EDGE));
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/OutlierDetectorTest.java
@@ -0,0 +1,94 @@
+package amberpath;
+
+import static amberpath.RoutingParts.MS;
+import static amberpath.RoutingParts.ORIGIN;
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+class OutlierDetectorTest {
+  private final RoutingParts parts = new RoutingParts();
+  private final OutlierDetector detector = parts.detector;
+  private final Endpoint endpoint = parts.endpoint(1);
+
+  private void detect(int... silent) {
+    for (Endpoint peer : parts.endpoints.zoneEdges()) {
+      peer.health.overdue = 0;
+      peer.health.lastResponseNanos = START;
+    }
+    for (int index : silent) {
+      parts.endpoint(index).health.overdue = 2;
+      parts.endpoint(index).health.lastResponseNanos = START - 700 * MS;
+    }
+    detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START));
+  }
+
+  @Test
+  void whoIsSilentAndKeepsRequestsWaitingIsEjected() {
+    detect(1);
+    assertTrue(endpoint.health.isEjected());
+    assertEquals(List.of(1), parts.site.aside);
+  }
+
+  @Test
+  void noneIsEjectedWhileMostOfItsPeersAreSilentToo() {
+    detect(0, 1, 2);
+    assertFalse(endpoint.health.isEjected());
+    assertEquals(List.of(0, 1, 2), parts.site.aside, "but the fleet is asked to look at them");
+  }
+
+  @Test
+  void theOriginIsNeverEjected() {
+    detector.eject(parts.endpoint(ORIGIN), parts.batch(START));
+    assertFalse(parts.endpoint(ORIGIN).health.isEjected());
+  }
+
+  @Test
+  void anAnswerToARequestSentSinceBeginsProbation() {
+    detector.eject(endpoint, parts.batch(START));
+    detector.onAnswer(endpoint, START - MS, parts.batch(START + MS));
+    assertTrue(endpoint.health.isEjected());
+    detector.onAnswer(endpoint, START + MS, parts.batch(START + 2 * MS));
+    assertFalse(endpoint.health.isEjected());
+    assertTrue(detector.takesKey(endpoint, 0.05, START + 2 * MS));
+    assertFalse(detector.takesKey(endpoint, 0.1, START + 2 * MS));
+  }
+
+  @Test
+  void anEjectedEndpointGetsOneRequestAtATimeAfterItsPauseUnlessAnotherGatewayChecks() {
+    detector.eject(endpoint, parts.batch(START));
+    assertFalse(detector.takesKey(endpoint, 0, START));
+    assertTrue(detector.takesKey(endpoint, 0, START + 400 * MS));
+    assertTrue(detector.permitsHealthCheck(endpoint, START + 400 * MS));
+    detector.setDelegated(true);
+    assertFalse(detector.takesKey(endpoint, 0, START + 400 * MS));
+    assertTrue(detector.permitsHealthCheck(endpoint, START + 400 * MS));
+    endpoint.limit.inFlight = 1;
+    assertFalse(detector.permitsHealthCheck(endpoint, START + 400 * MS));
+  }
+
+  @Test
+  void aReportOfSilenceCountsUnlessSomethingWasReceivedSince() {
+    endpoint.health.lastResponseNanos = START - 100 * MS;
+    detector.onFleetReport(endpoint, false, 200 * MS, parts.batch(START));
+    assertFalse(endpoint.health.isEjected());
+    detector.onFleetReport(endpoint, false, 50 * MS, parts.batch(START));
+    assertTrue(endpoint.health.isEjected());
+    detector.onFleetReport(endpoint, true, 0, parts.batch(START + 500 * MS));
+    assertFalse(endpoint.health.isEjected());
+  }
+
+  @Test
+  void anOverdueFillIsTheSourcesFaultOnlyWhereTheEndpointAnswers() {
+    Attempt attempt = parts.attempt(parts.request(5), 1, 5);
+    detector.recountOverdue(List.of(attempt), START + 150 * MS);
+    assertEquals(List.of(1, 0), List.of(endpoint.health.overdue, parts.endpoint(5).health.overdue));
+    endpoint.health.lastResponseNanos = START + 140 * MS;
+    detector.recountOverdue(List.of(attempt), START + 150 * MS);
+    assertEquals(List.of(1, 1), List.of(endpoint.health.overdue, parts.endpoint(5).health.overdue));
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/RendezvousSelectorTest.java
@@ -0,0 +1,62 @@
+package amberpath;
+
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.State;
+import amberpath.RendezvousSelector.Eligibility;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+
+class RendezvousSelectorTest {
+  private final RoutingParts parts = new RoutingParts();
+
+  private Endpoint select(InFlightRequest request, Eligibility eligibility) {
+    return parts.rendezvous.select(parts.endpoints.zoneEdges(), request, 0, eligibility, START);
+  }
+
+  private Endpoint select(long object) {
+    return select(parts.request(object), Eligibility.WITH_ROOM);
+  }
+
+  @Test
+  void anEndpointThatDrainsMovesItsOwnKeysOnly() {
+    int[] before = LongStream.range(0, 200).mapToInt(object -> select(object).index).toArray();
+    parts.update(1, State.DRAINING, 0);
+    for (int object = 0; object < 200; object++) {
+      int after = select(object).index;
+      assertTrue(before[object] == 1 ? after != 1 : after == before[object], "object " + object);
+    }
+  }
+
+  @Test
+  void weightsDivideTheKeys() {
+    parts.endpoint(0).weight = 12;
+    long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
+    assertEquals(300, large, 60);
+  }
+
+  @Test
+  void triedEndpointsAreLeftOutUntilNoneIsLeft() {
+    InFlightRequest request = parts.request(5);
+    for (int left = 4; left > 0; left--) {
+      request.triedEndpoints.add(select(request, Eligibility.WITH_ROOM));
+    }
+    assertEquals(4, request.triedEndpoints.stream().distinct().count());
+    assertNull(select(request, Eligibility.ANY));
+  }
+
+  @Test
+  void aFullEndpointSpillsOverAndAnEjectedOneIsTheLastResort() {
+    Endpoint first = select(5);
+    first.limit.inFlight = 100;
+    assertNotEquals(first, select(5));
+    assertEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    parts.detector.eject(first, parts.batch(START));
+    assertNotEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    assertEquals(first, select(parts.request(5), Eligibility.ANY));
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/RetryBudgetTest.java
@@ -0,0 +1,39 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+class RetryBudgetTest {
+  private final RetryBudget budget = new RetryBudget();
+
+  private int drain() {
+    int withdrawn = 0;
+    while (budget.tryWithdraw()) {
+      withdrawn++;
+    }
+    return withdrawn;
+  }
+
+  @Test
+  void aFifthOfTheRequestsMayBeRetriedAndFortyAreSavedUp() {
+    for (int request = 0; request < 1000; request++) {
+      budget.deposit();
+    }
+    assertEquals(40, drain());
+    for (int request = 0; request < 51; request++) {
+      budget.deposit();
+    }
+    assertEquals(10, drain());
+  }
+
+  @Test
+  void aRefundMakesTheNextAttemptFree() {
+    drain();
+    assertFalse(budget.tryWithdraw());
+    budget.refund();
+    assertTrue(budget.tryWithdraw());
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/RoutingParts.java
@@ -0,0 +1,75 @@
+package amberpath;
+
+import amberpath.Arrivals.Listing;
+import amberpath.Arrivals.State;
+import amberpath.RequestRouterTest.FakeHost;
+import java.util.SplittableRandom;
+
+/** The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by itself. */
+final class RoutingParts {
+  static final long MS = 1_000_000L;
+  static final long START = 1_000_000 * MS;
+  static final int ORIGIN = 7;
+
+  final FakeHost site = new FakeHost();
+  final TrafficClass trafficClass = new TrafficClass(site, 0);
+  final ObjectHistory history = new ObjectHistory();
+  final GatewayShare share = new GatewayShare(site);
+  final EndpointTable endpoints = new EndpointTable(site.zone());
+  final SlowStart slowStart = new SlowStart(site, share);
+  final OutlierDetector detector =
+      new OutlierDetector(1, endpoints, share, slowStart, new SplittableRandom(1));
+  final ConcurrencyLimiter limiter = new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
+  final RetryPolicy retryPolicy = new RetryPolicy(site);
+  final RendezvousSelector rendezvous = new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
+  final RouteSelector routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
+  final SyntheticRouteSelector syntheticRoutes =
+      new SyntheticRouteSelector(endpoints, routes, slowStart, detector, limiter);
+  final AttemptRecorder recorder = new AttemptRecorder(endpoints, history, limiter, detector, slowStart);
+  final ClusterManager cluster = new ClusterManager(site, share, endpoints, slowStart, limiter,
+      new TrafficClass[] {trafficClass}, new SplittableRandom(1));
+  private long ids;
+
+  /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
+  RoutingParts() {
+    cluster.beginList(Listing.FULL);
+    for (int index = 0; index <= ORIGIN; index++) {
+      update(index, State.UP, 0);
+    }
+    cluster.endList();
+  }
+
+  void update(int index, State state, long startedAtNanos) {
+    String kind = index == ORIGIN ? "origin" : index > 4 ? "parent" : "box";
+    String zone = index > 4 ? "hub" : index == 4 ? "other" : "here";
+    cluster.update(new EndpointDescription(index, "10.0.0." + index + ":90", zone, kind, index % 2, state, 4,
+        startedAtNanos), batch(START));
+  }
+
+  Endpoint endpoint(int index) {
+    return endpoints.get(index);
+  }
+
+  Batch batch(long nowNanos) {
+    return new Batch(nowNanos, site);
+  }
+
+  /** A request with two seconds left and a patience of 100 ms. */
+  InFlightRequest request(long object) {
+    InFlightRequest request =
+        new InFlightRequest(new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100), trafficClass, START);
+    request.patienceNanos = 100 * MS;
+    request.durationKnown = true;
+    request.rank = SegmentAdmission.STANDARD_RANK;
+    return request;
+  }
+
+  /** A request's next attempt, sent at the start. */
+  Attempt attempt(InFlightRequest request, int endpoint, int source) {
+    Attempt attempt =
+        new Attempt(request, request.attempts.size(), endpoint(endpoint), endpoint(source), false, START);
+    request.attempts.add(attempt);
+    request.openAttempts++;
+    return attempt;
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/SyntheticRouteSelectorTest.java
@@ -0,0 +1,47 @@
+package amberpath;
+
+import static amberpath.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+
+import amberpath.Arrivals.State;
+import amberpath.InFlightRequest.Purpose;
+import amberpath.Site.Effect;
+import java.util.Objects;
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Test;
+
+class SyntheticRouteSelectorTest {
+  private final RoutingParts parts = new RoutingParts();
+
+  private Route prefetch(long object) {
+    InFlightRequest request = parts.request(object);
+    request.purpose = Purpose.PREFETCH;
+    return parts.syntheticRoutes.selectPrefetch(request, START);
+  }
+
+  @Test
+  void aHealthCheckGoesToAnEdgeForWhatIsCached() {
+    Route route = parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START);
+    assertEquals(new Route(parts.endpoint(1), null, true), route);
+    assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 5, START), "a parent");
+    assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 99, START), "unknown");
+  }
+
+  @Test
+  void aPrefetchGoesOnlyToTheColdEdgeThatTheObjectBelongsTo() {
+    assertNull(prefetch(5), "all are warm");
+    parts.update(1, State.UP, START);
+    Route route = LongStream.range(0, 50).mapToObj(this::prefetch).filter(Objects::nonNull).findFirst().orElse(null);
+    assertNotNull(route);
+    assertEquals(parts.endpoint(1), route.endpoint());
+    assertEquals(Endpoint.Role.PARENT, route.source().role);
+  }
+
+  @Test
+  void nothingIsAskedThatMayNotBeRepeated() {
+    parts.site.effect = Effect.NON_IDEMPOTENT;
+    assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START));
+  }
+}
--- /dev/null
+++ b/core/src/test/java/amberpath/TrafficClassTest.java
@@ -0,0 +1,30 @@
+package amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import amberpath.Arrivals.Note;
+import org.junit.jupiter.api.Test;
+
+class TrafficClassTest {
+  private static final long MS = 1_000_000L;
+  private final TrafficClass trafficClass = new TrafficClass(new RequestRouterTest.FakeHost(), 0);
+
+  @Test
+  void theObjectiveStandsForTheWorkUntilThereAreAnswers() {
+    assertEquals(300 * MS, trafficClass.workNanos());
+    trafficClass.recordDuration(50 * MS);
+    assertEquals(50 * MS, trafficClass.workNanos(), 10 * MS);
+  }
+
+  @Test
+  void fractionsFollowTheRoutesThatAnswersCameBy() {
+    assertEquals(0.5, trafficClass.missFraction());
+    assertEquals(0.5, trafficClass.originFraction());
+    for (int answer = 0; answer < 400; answer++) {
+      trafficClass.recordRoute(answer % 4 == 0 ? Note.FILLED_BY_ORIGIN : Note.HIT);
+    }
+    assertEquals(0.25, trafficClass.missFraction(), 0.02);
+    assertTrue(trafficClass.originFraction() > 0.95);
+  }
+}
