--- a/core/src/test/java/amberpath/RetryBudgetTest.java
+++ b/core/src/test/java/amberpath/RetryBudgetTest.java
@@ -23,7 +23,7 @@
       budget.deposit();
     }
     assertEquals(40, drain());
-    for (int request = 0; request < 51; request++) {
+    for (int request = 0; request < 54; request++) {
       budget.deposit();
     }
     assertEquals(10, drain());
