--- a/core/src/main/java/amberpath/AttemptRecorder.java
+++ b/core/src/main/java/amberpath/AttemptRecorder.java
@@ -8,8 +8,6 @@
 final class AttemptRecorder {
   /** An answer within this part of its request's patience counts as in time. */
   private static final double PROMPT_FRACTION = 0.75;
-  /** A fill counts for more than its likelihood with a source that is warming up. */
-  private static final double FILL_CHARGE_FACTOR = 1.5;
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final EndpointTable endpoints;
@@ -38,11 +36,8 @@
     }
     slowStart.charge(endpoint, request.purpose == Purpose.PREFETCH ? 0 : workSeconds, nowNanos);
     if (attempt.hasSource()) {
-      double missFraction = request.trafficClass.missFraction();
-      limiter.addFill(attempt, missFraction, nowNanos);
-      boolean isFillSure = !endpoint.warmUp.isComplete(nowNanos);
-      slowStart.charge(attempt.source(),
-          workSeconds * (isFillSure ? 1 : Math.min(1, FILL_CHARGE_FACTOR * missFraction)), nowNanos);
+      limiter.addFill(attempt, request.trafficClass.missFraction(), nowNanos);
+      slowStart.charge(attempt.source(), workSeconds, nowNanos);
     }
   }
 
@@ -66,9 +61,12 @@
     trafficClass.recordRoute(note);
     recordWork(attempt, attempt.endpoint(), batch);
     history.recordAnswer(request.object, tookNanos);
-    if (!isHit) {
+    if (isHit) {
+      slowStart.refund(attempt.source(), attempt.refundableWorkSeconds(), batch.nowNanos());
+    } else {
       recordWork(attempt, attempt.source(), batch);
-    } else if (!request.sizeKnown) {
+    }
+    if (isHit && !request.sizeKnown) {
       trafficClass.recordDuration(tookNanos);
     }
     if (request.durationKnown) {
--- a/core/src/main/java/amberpath/ClusterManager.java
+++ b/core/src/main/java/amberpath/ClusterManager.java
@@ -3,7 +3,6 @@
 import amberpath.Arrivals.Listing;
 import amberpath.Arrivals.State;
 import amberpath.Decisions.Health;
-import java.util.Arrays;
 import java.util.SplittableRandom;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
@@ -15,18 +14,16 @@
   private final GatewayShare share;
   private final SlowStart slowStart;
   private final ConcurrencyLimiter limiter;
-  private final TrafficClass[] trafficClasses;
   private final SplittableRandom random;
 
   /** A manager of the given table and of those that keep state by its endpoints. */
   ClusterManager(Site site, GatewayShare share, EndpointTable endpoints, SlowStart slowStart,
-      ConcurrencyLimiter limiter, TrafficClass[] trafficClasses, SplittableRandom random) {
+      ConcurrencyLimiter limiter, SplittableRandom random) {
     this.site = site;
     this.share = share;
     this.endpoints = endpoints;
     this.slowStart = slowStart;
     this.limiter = limiter;
-    this.trafficClasses = trafficClasses;
     this.random = random;
   }
 
@@ -65,8 +62,7 @@
   private void restart(Endpoint endpoint, long startedAtNanos, Batch batch) {
     endpoint.warmUp.startedAtNanos = startedAtNanos;
     endpoint.limit.reset();
-    long longestWorkNanos = Arrays.stream(trafficClasses).mapToLong(TrafficClass::workNanos).max().orElse(0);
-    slowStart.onStart(endpoint, longestWorkNanos, random, batch.nowNanos());
+    slowStart.onStart(endpoint, random, batch.nowNanos());
     endpoint.health.restart();
     if (endpoint.isEdge() && !endpoint.warmUp.isComplete(batch.nowNanos()) && endpoint.zone.equals(site.zone())) {
       batch.actions().cold(endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
@@ -74,13 +70,14 @@
   }
 
   /** The list that had begun is complete. */
-  void endList() {
+  void endList(long nowNanos) {
     endpoints.rebuild();
+    slowStart.updateWarmPeers(endpoints, nowNanos);
     limiter.assignShares(share);
   }
 
   /** The number of gateways has changed: limits of what all share shrink at once, and grow by answers. */
-  void updateShare(int gateways, boolean mayTake) {
+  void updateShare(int gateways, boolean mayTake, long nowNanos) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
     double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
     share.update(gateways, mayTake);
@@ -89,6 +86,6 @@
       endpoint.limit.rescale(endpoint.isEdge() ? edgeBefore : otherBefore, share.fractionOf(endpoint.role));
       slowStart.onShareChange(endpoint);
     }
-    endList();
+    endList(nowNanos);
   }
 }
--- a/core/src/main/java/amberpath/RequestRouter.java
+++ b/core/src/main/java/amberpath/RequestRouter.java
@@ -64,7 +64,7 @@
     endpoints = new EndpointTable(site.zone());
     patience = new PatienceEstimator(history, site.flowKbPerSecond());
     purges = new PurgeLog(site.purgeTakes());
-    slowStart = new SlowStart(site, share);
+    slowStart = new SlowStart(site, share, trafficClasses);
     outlierDetector = new OutlierDetector(site.seed(), endpoints, share, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
     retryPolicy = new RetryPolicy(site);
@@ -73,13 +73,14 @@
     syntheticRoutes =
         new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
-    cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, trafficClasses, random);
+    cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, random);
   }
 
   /** Decides on all events of a batch, at one time in nanoseconds; the actions are written as they are decided. */
   public void round(long time, Arrivals events, Decisions actions) {
     nowNanos = time;
     batch = new Batch(time, actions);
+    slowStart.beginBatch(time);
     if (!watching && site.listOnRequest()) {
       watching = true;
       actions.watchList();
@@ -155,8 +156,8 @@
     batch.actions().forward(request.id, endpoint.index, request.deadlineNanos, source.index,
         purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos), request.rank,
         switches(request, source, route.cachedOnly()));
-    Attempt attempt =
-        new Attempt(request, request.attempts.size(), endpoint, source, route.cachedOnly(), nowNanos);
+    Attempt attempt = new Attempt(request, request.attempts.size(), route, nowNanos,
+        slowStart.refundableSeconds(route, trafficClass, nowNanos));
     request.attempts.add(attempt);
     request.openAttempts++;
     openAttempts.add(attempt);
@@ -262,6 +263,7 @@
       outlierDetector.detectOutliers(peers, batch);
       slowStart.learnThroughput(peers, nowNanos);
     }
+    slowStart.updateWarmPeers(endpoints, nowNanos);
     for (Attempt attempt : new ArrayList<>(openAttempts)) {
       hedgeIfStalled(attempt);
     }
@@ -290,7 +292,7 @@
   }
 
   @Override public void listed() {
-    cluster.endList();
+    cluster.endList(nowNanos);
   }
 
   @Override public void purged(long object, int group, long agoNanos) {
@@ -298,7 +300,7 @@
   }
 
   @Override public void sharers(int gateways, double granted) {
-    cluster.updateShare(gateways, granted > 0);
+    cluster.updateShare(gateways, granted > 0, nowNanos);
   }
 
   @Override public void tried(boolean delegated) {
--- a/core/src/main/java/amberpath/WarmUp.java
+++ b/core/src/main/java/amberpath/WarmUp.java
@@ -2,6 +2,9 @@
 
 /** How far one endpoint has warmed up since it started, and the work that is on its account. */
 final class WarmUp {
+  /** Stands for a first debt that has been replaced by a debt for work sent. */
+  static final double NO_DRAW = -1;
+
   private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -9,8 +12,10 @@
   SlowStartProfile profile;
   /** When it started, in nanoseconds; 0 for long ago. */
   long startedAtNanos;
-  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}. */
+  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for what is saved up. */
   double debtSeconds;
+  /** Until something is sent the debt follows from this random number, 0 to 1; else {@link #NO_DRAW}. */
+  double firstDebtDraw = NO_DRAW;
   /** When the debt was last changed, in nanoseconds. */
   long debtAtNanos;
   /** The earliest time of the next prefetch, in nanoseconds. */
--- a/core/src/test/java/amberpath/SlowStartTest.java
+++ b/core/src/test/java/amberpath/SlowStartTest.java
@@ -31,6 +31,19 @@
     assertTrue(slowStart.affords(cold, parts.trafficClass, START + 2000 * MS));
   }
 
+  @Test
+  void aSourceThatWasNotAskedGetsItsWorkBackButSavesNothingUpByIt() {
+    parts.update(1, State.UP, START);
+    slowStart.charge(cold, 1, START);
+    slowStart.refund(cold, 0.9, START);
+    assertEquals(0.1, cold.warmUp.debtSeconds, 1e-9);
+    slowStart.refund(cold, 0.9, START);
+    assertEquals(0, cold.warmUp.debtSeconds);
+    Route route = new Route(parts.endpoint(0), cold, false);
+    assertEquals(0.3, slowStart.refundableSeconds(route, parts.trafficClass, START), 1e-9);
+    assertEquals(0, slowStart.refundableSeconds(new Route(cold, cold, false), parts.trafficClass, START));
+  }
+
   @Test
   void onlyAColdHealthyEndpointIsPrefetchedToAndNotAtOnceAgain() {
     assertFalse(slowStart.tryPrefetch(cold, parts.trafficClass, START), "warm");
