--- /dev/null
+++ b/core/src/main/java/amberpath/WarmUp.java
@@ -0,0 +1,51 @@
+package amberpath;
+
+/** How far one endpoint has warmed up since it started, and the work that is on its account. */
+final class WarmUp {
+  /** Stands for a first debt that has been replaced by a debt for work sent. */
+  static final double NO_DRAW = -1;
+
+  private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
+  private static final double NANOS_PER_SECOND = 1e9;
+
+  /** The profile of the endpoint's kind. */
+  SlowStartProfile profile;
+  /** When it started, in nanoseconds; 0 for long ago. */
+  long startedAtNanos;
+  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for what is saved up. */
+  double debtSeconds;
+  /** Until something is sent the debt follows from this random number, 0 to 1; else {@link #NO_DRAW}. */
+  double firstDebtDraw = NO_DRAW;
+  /** When the debt was last changed, in nanoseconds. */
+  long debtAtNanos;
+  /** The earliest time of the next prefetch, in nanoseconds. */
+  long nextPrefetchNanos;
+
+  private double throughput;
+  private long throughputAtNanos;
+
+  /** The fraction of its capacity that the endpoint is sure to have, 0 to 1. */
+  double capacityFraction(long nowNanos) {
+    long sinceNanos = Math.max(0, nowNanos - startedAtNanos);
+    return startedAtNanos == 0 || sinceNanos >= profile.durationNanos ? 1
+        : profile.initialFraction + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
+  }
+
+  /** Whether it has all of its capacity. */
+  boolean isComplete(long nowNanos) {
+    return capacityFraction(nowNanos) >= 1;
+  }
+
+  /** Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve. */
+  void recordReturned(double workSeconds, long nowNanos) {
+    throughput = throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
+        + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
+    throughputAtNanos = nowNanos;
+  }
+
+  /** Work returned a second, over the last few. */
+  double throughput(long nowNanos) {
+    recordReturned(0, nowNanos);
+    return throughput;
+  }
+}
--- a/core/src/test/java/amberpath/SlowStartBoundTest.java
+++ b/core/src/test/java/amberpath/SlowStartBoundTest.java
@@ -152,7 +152,7 @@
     private record Answer(long at, long get, int cache, Note note) {
     }
 
-    private final Control control;
+    private final RequestRouter control;
     private final List<Consumer<Arrivals.Events>> events = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
@@ -167,7 +167,8 @@
           Map.entry("coldTime", COLD_TIME), Map.entry("fallMultiple", 3.0), Map.entry("fallTime", FALL),
           Map.entry("parentColdShare", SHARE), Map.entry("parentColdTime", COLD_TIME),
           Map.entry("parentFallMultiple", 3.0));
-      control = new Control((Site) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Site.class},
+      control = new RequestRouter((Site) Proxy.newProxyInstance(getClass().getClassLoader(),
+          new Class<?>[] {Site.class},
           (proxy, asked, arguments) -> told.getOrDefault(asked.getName(),
               asked.getReturnType() == boolean.class ? (Object) false : (Object) 0L)));
     }
