--- a/core/src/test/java/amberpath/QuietThenFaultTest.java
+++ b/core/src/test/java/amberpath/QuietThenFaultTest.java
@@ -1,6 +1,6 @@
 package amberpath;
 
-import static amberpath.ControlTest.FakeHost.MS;
+import static amberpath.RequestRouterTest.FakeHost.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -10,8 +10,8 @@
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
 import amberpath.Arrivals.State;
-import amberpath.ControlTest.FakeHost;
-import amberpath.ControlTest.FakeHost.Sent;
+import amberpath.RequestRouterTest.FakeHost;
+import amberpath.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/gateway/src/main/java/amberpath/resp/CachePool.java
+++ b/gateway/src/main/java/amberpath/resp/CachePool.java
@@ -2,6 +2,7 @@
 
 import amberpath.Arrivals.Note;
 import amberpath.Arrivals.Outcome;
+import amberpath.ConnectPatience;
 import amberpath.LocalBackoff;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -40,6 +41,8 @@
   private final List<Want> waiting = new ArrayList<>();
   private final LocalBackoff backoff = new LocalBackoff();
   private int connecting;
+  /** When the oldest connect was begun, at the latest, of those that are under way. */
+  private long connectingSinceNanos;
   private boolean backingOff;
   private boolean closed;
 
@@ -120,6 +123,7 @@
   }
 
   private void connect() {
+    connectingSinceNanos = connecting == 0 ? now() : connectingSinceNanos;
     connecting++;
     opened().onComplete(result -> {
       connecting--;
@@ -170,7 +174,9 @@
 
   /** How a want ends whose time is over before it was sent: only a cache that was asked in vain is to blame. */
   public Outcome unsentOutcome() {
-    return backoff.isFailing() || connecting == 0 ? Outcome.HELD_BACK : Outcome.NO_CONNECTION;
+    boolean blamed = !backoff.isFailing() && connecting > 0
+        && ConnectPatience.isEvidence(now() - connectingSinceNanos, bounds.connect);
+    return blamed ? Outcome.NO_CONNECTION : Outcome.HELD_BACK;
   }
 
   private void connected(NetSocket socket) {
--- a/gateway/src/test/java/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/amberpath/gateway/ClientGoneTest.java
@@ -56,7 +56,7 @@
   @ParameterizedTest
   @CsvSource({"close, 0", "reset, 0", "withdraw, 0", "close, 60000", "withdraw, 60000"})
   void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes) throws Exception {
-    PausingDecisions decisions = new PausingDecisions(new amberpath.Control(options().site())::round);
+    PausingDecisions decisions = new PausingDecisions(new amberpath.RequestRouter(options().site())::round);
     world.start(options(), decisions);
     Client client = world.client();
     assertTrue(client.status().status());
--- a/gateway/src/test/java/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/amberpath/gateway/ProductionFaultsTest.java
@@ -4,6 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import amberpath.Decisions;
+import amberpath.RequestRouter;
 import amberpath.gateway.StandIns.Answer;
 import amberpath.gateway.StandIns.Cache;
 import amberpath.gateway.StandIns.Client;
@@ -12,6 +14,7 @@
 import amberpath.gateway.StandIns.JournalRelay;
 import amberpath.gateway.StandIns.Reaction;
 import amberpath.gateway.StandIns.Seen;
+import java.lang.reflect.Proxy;
 import java.net.Socket;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -546,4 +549,25 @@
     }
     assertNoFurtherAnswer(client);
   }
+
+  /** Met with requests that have little time left: what ends while its connection comes up says nothing of a fault. */
+  @Test
+  void aRequestWhoseTimeEndsWhileItsConnectionComesUpEjectsNoEndpoint() throws Exception {
+    world.journal.host("c0", world.fullAddress(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+    RequestRouter router = new RequestRouter(options.site());
+    List<Decisions.Health> told = new CopyOnWriteArrayList<>();
+    world.start(options, (now, in, to) -> router.round(now, in, (Decisions) Proxy.newProxyInstance(
+        getClass().getClassLoader(), new Class<?>[] {Decisions.class}, (proxy, method, values) -> {
+          if (method.getName().equals("health")) {
+            told.add((Decisions.Health) values[1]);
+          }
+          return method.invoke(to, values);
+        })));
+    Client client = world.client();
+    client.get(1, "parts", 30, 0);
+    assertNotNull(client.answer().error());
+    client.status();
+    assertEquals(List.of(Decisions.Health.WELL), told, "as the list said at the start");
+  }
 }
--- a/gateway/src/test/java/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/amberpath/gateway/RequestDeadlineTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Control;
+import amberpath.RequestRouter;
 import amberpath.gateway.StandIns.Cache;
 import amberpath.gateway.StandIns.Client;
 import io.vertx.core.Vertx;
@@ -127,7 +127,7 @@
 
   @Test
   void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
-    PausingDecisions decisions = new PausingDecisions(new Control(GatewayOptions.read(world.environment(folder))
+    PausingDecisions decisions = new PausingDecisions(new RequestRouter(GatewayOptions.read(world.environment(folder))
         .site())::round);
     world.start(GatewayOptions.read(world.environment(folder)), decisions);
     Client client = world.client();
--- a/gateway/src/test/java/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/amberpath/gateway/SystemCallFailuresTest.java
@@ -8,7 +8,7 @@
 
 import amberpath.Arrivals;
 import amberpath.Arrivals.Outcome;
-import amberpath.Control;
+import amberpath.RequestRouter;
 import amberpath.gateway.StandIns.Answer;
 import amberpath.gateway.StandIns.Cache;
 import amberpath.gateway.StandIns.Client;
@@ -153,7 +153,7 @@
   }
 
   private void serve(GatewayOptions options) throws Exception {
-    Control control = new Control(options.site());
+    RequestRouter control = new RequestRouter(options.site());
     world.gateway = new Gateway(vertx, options, Beside.NOTHING,
         (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
     world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
