--- a/app/src/main/java/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/amberpath/cli/LabCommand.java
@@ -5,6 +5,7 @@
 import amberpath.lab.Experiment;
 import amberpath.lab.Flood;
 import amberpath.lab.Runs;
+import amberpath.lab.endpoints.EndpointsSizeExperiment;
 import amberpath.lab.fleet.FleetDay;
 import amberpath.lab.fleet.FleetModel;
 import amberpath.lab.fleet.FleetSize;
@@ -41,7 +42,7 @@
         LabCommand.FleetDayCommand.class, LabCommand.FleetSizeCommand.class, LabCommand.OwnerModelCommand.class,
         LabCommand.OwnerDayCommand.class, LabCommand.OwnerWorthCommand.class, LabCommand.PowerLossCommand.class,
         LabCommand.PlannersModelCommand.class, LabCommand.Size.class,
-        LabCommand.StandIn.class})
+        LabCommand.EndpointsSizeCommand.class, LabCommand.StandIn.class})
 final class LabCommand {
   /** Held here, since the runtime forgets a logger's level with the logger. */
   private static final List<Logger> HUSHED = List.of(Logger.getLogger("amberpath"),
@@ -93,6 +94,7 @@
         owner-model     who owns a task, by lease and by votes, on a virtual clock; wrong ways too
         planners-model  terms, grants and shares of planners and forwarders on a virtual clock
         registry-size   many caches, changes and watching clients on the virtual clock; a herd after an outage
+        endpoints-size  what a real gateway needs at the usual number of caches and at 16 times as many
         standin         a stand-in to try things against: registry""");
     return AmberpathCommand.DONE;
   }
@@ -298,6 +300,35 @@
     }
   }
 
+  @Command(name = "endpoints-size", mixinStandardHelpOptions = true,
+      description = "What one real gateway needs at the usual number of caches and at many times as many.")
+  static final class EndpointsSizeCommand extends SocketsCommand {
+    private static final int DEFAULT_SECONDS = 30;
+
+    @Option(names = "--caches", defaultValue = "200",
+        description = "The usual number, parents among them. Default: ${DEFAULT-VALUE}.")
+    private int caches;
+
+    @Option(names = "--times", defaultValue = "16", description = "How many times as many. Default: ${DEFAULT-VALUE}.")
+    private int times;
+
+    @Option(names = "--gateways", defaultValue = "100",
+        description = "That the settings tell of; one runs. Default: ${DEFAULT-VALUE}.")
+    private int gateways;
+
+    @Option(names = "--rate", defaultValue = "30",
+        description = "Requests a second to that one. Default: ${DEFAULT-VALUE}.")
+    private int rate;
+
+    @Option(names = "--out", description = "Where settings and logs go. Default: a new folder for a while.")
+    private Path out;
+
+    @Override Experiment run(Integer seconds) throws Exception {
+      return EndpointsSizeExperiment.run(new EndpointsSizeExperiment.Plan(seed, caches, times, gateways, rate,
+          seconds == null ? DEFAULT_SECONDS : seconds, folder(out)), System.out);
+    }
+  }
+
   @Command(name = "standin", mixinStandardHelpOptions = true,
       description = "Runs a stand-in registry until it is stopped; both forms, on the ports given.")
   static final class StandIn implements Callable<Integer> {
--- a/lab/src/main/java/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/amberpath/lab/StandInCache.java
@@ -45,7 +45,7 @@
   private int port;
   private boolean hangs;
   private Consumer<Wanted> listener = wanted -> { };
-  private long lastWantAt, wants, hits, fills;
+  private long lastWantAt, wants, hits, fills, connections;
 
   /**
    * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has given the part.
@@ -97,6 +97,11 @@
     return hits;
   }
 
+  /** How many connections were made to it. */
+  public long connections() {
+    return connections;
+  }
+
   /** How many parts it gave to others. */
   public long fills() {
     return fills;
@@ -120,6 +125,7 @@
   }
 
   private void take(NetSocket socket) {
+    connections++;
     sockets.add(socket);
     socket.closeHandler(closed -> sockets.remove(socket));
     socket.exceptionHandler(e -> { });
--- a/lab/src/main/java/amberpath/lab/Tills.java
+++ b/lab/src/main/java/amberpath/lab/Tills.java
@@ -61,6 +61,7 @@
   /** The protocol's own bound of what may be open on a connection. */
   private static final int MOST_OPEN = 32;
   private static final int LONGEST = 400_000, OBJECTS = 64, AGAIN_MS = 100;
+  private static final double SKEW = 2;
   private static final long MS = 1_000_000, GRACE = 50 * MS, HIGHEST_US = 10_000_000;
 
   private final Vertx vertx;
@@ -81,6 +82,8 @@
   private LongConsumer sending = at -> { };
   private long excused, unsent, settledAt = System.nanoTime();
   private boolean stopped;
+  private int objects = OBJECTS;
+  private double skew = SKEW;
   private long last, next, interval, timer = -1;
 
   /** Clients of one delivery service, who wait allowMs for each GET; each that is returned is told. */
@@ -105,6 +108,13 @@
     return this;
   }
 
+  /** Asks for so many objects; the first are asked for the more, the greater skew is over 1. */
+  public Tills spread(int many, double much) {
+    objects = many;
+    skew = much;
+    return this;
+  }
+
   public long excused() {
     return excused;
   }
@@ -203,7 +213,7 @@
   private void send(long intended, long now) {
     long number = ++last & 0xffff_ffffL;
     double skewed = chance.nextDouble();
-    String object = String.format("%016x", 1 + (long) (skewed * skewed * OBJECTS));
+    String object = String.format("%016x", 1 + (long) (Math.pow(skewed, skew) * objects));
     Line line = lines.get((int) (number % lines.size()));
     if (line.socket == null || line.open >= MOST_OPEN) {
       unsent++;
--- /dev/null
+++ b/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -0,0 +1,273 @@
+package amberpath.lab.endpoints;
+
+import amberpath.Arrivals.State;
+import amberpath.lab.LabSite;
+import amberpath.lab.Loops;
+import amberpath.lab.StandInCache;
+import amberpath.lab.Tills;
+import amberpath.lab.rig.Auditor;
+import amberpath.lab.rig.GatewayProcess;
+import amberpath.lab.rig.StandInJournal;
+import amberpath.lab.rig.StandInJournal.Instance;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import io.vertx.core.VertxOptions;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * One real gateway among stand-in endpoints, half of which are replaced in steps while clients ask. Bounds: the
+ * endpoints of one size and those that replace half of them, two descriptors each and the gateway's connections.
+ */
+final class EndpointsTestbed implements AutoCloseable {
+  /** One endpoint in twenty is a parent, from which caches are filled. */
+  private static final int ENDPOINTS_PER_PARENT = 20;
+  /** The capacity of all endpoints together, for each gateway that the settings tell of. */
+  private static final double CAPACITY_PER_GATEWAY = 1;
+  private static final String ORIGIN_ID = "o0";
+  private static final double ORIGIN_WEIGHT = 1000;
+  private static final int HIT_MILLIS = 2;
+  private static final int FILL_MILLIS = 8;
+  private static final int ORIGIN_MILLIS = 10;
+  private static final int OBJECTS = 4000;
+  private static final double OBJECT_SKEW = 3;
+  private static final int CLIENT_CONNECTIONS = 8;
+  private static final int ORDERS_PART = 10;
+  private static final long ALLOW_MILLIS = 1500;
+  private static final long STEP_MILLIS = 500;
+  /** Replacement begins after this part of the time, and takes this part of it. */
+  private static final double REPLACEMENT_START = 0.2;
+  private static final double REPLACEMENT_LENGTH = 0.6;
+  private static final long DRAIN_MILLIS = 1000;
+  private static final long SAMPLE_MILLIS = 50;
+  private static final long START_TIMEOUT_SECONDS = 30;
+  private static final long MILLIS_PER_SECOND = 1000;
+
+  private final EndpointsSizeExperiment.Plan plan;
+  private final int endpoints;
+  private final Path folder;
+  private final String name;
+  private final double weight;
+  private final SplittableRandom random;
+  private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final StandInJournal journal = new StandInJournal(vertx);
+  private final Map<String, StandInCache> caches = new HashMap<>();
+  private final ArrayDeque<String> toReplace = new ArrayDeque<>();
+  private final List<Tills> clients = new ArrayList<>();
+  private final Auditor auditor;
+  private final Map<String, Object> details = new LinkedHashMap<>();
+  private final Thread onExit = new Thread(this::killGateway, "endpoints testbed");
+  private GatewayProcess gateway;
+  private ProcessUsage usage;
+  private int nextId;
+
+  EndpointsTestbed(EndpointsSizeExperiment.Plan plan, int endpoints, String name) throws Exception {
+    this.plan = plan;
+    this.endpoints = endpoints;
+    this.name = name;
+    folder = plan.folder();
+    weight = CAPACITY_PER_GATEWAY * plan.gateways() / endpoints;
+    random = new SplittableRandom(plan.seed());
+    Runtime.getRuntime().addShutdownHook(onExit);
+    auditor = onLoop(() -> new Auditor(vertx));
+    Loops.await(onLoop(journal::listen));
+    listen();
+  }
+
+  private <T> T onLoop(Callable<T> what) throws Exception {
+    return Loops.on(vertx, what);
+  }
+
+  private void listen() throws Exception {
+    Loops.await(onLoop(() -> {
+      List<Future<?>> listening = new ArrayList<>(List.of(open(ORIGIN_ID)));
+      for (int index = 0; index < endpoints; index++) {
+        listening.add(open(newId(index % ENDPOINTS_PER_PARENT == 0)));
+      }
+      return Future.all(listening);
+    }));
+    onLoop(() -> {
+      List<String> ids = caches.keySet().stream().sorted().toList();
+      journal.hosts(true, ids.stream().map(id -> instance(id, State.UP, 0)).toList());
+      ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
+      shuffle();
+      return null;
+    });
+  }
+
+  /** Half of them, in an order from the seed. */
+  private void shuffle() {
+    List<String> ids = new ArrayList<>(toReplace);
+    java.util.Collections.shuffle(ids, new java.util.Random(random.nextLong()));
+    toReplace.clear();
+    toReplace.addAll(ids.subList(0, endpoints / 2));
+  }
+
+  private String newId(boolean parent) {
+    return (parent ? "h" : "e") + nextId++;
+  }
+
+  private Future<StandInCache> open(String id) {
+    boolean origin = id.equals(ORIGIN_ID);
+    StandInCache cache = new StandInCache(vertx, id, origin ? ORIGIN_MILLIS : HIT_MILLIS, origin ? 0 : FILL_MILLIS,
+        caches::get).telling(auditor::wanted);
+    caches.put(id, cache);
+    return cache.listen();
+  }
+
+  private Instance instance(String id, State state, long startedAtMillis) {
+    String kind = id.startsWith("e") ? LabSite.EDGE : id.startsWith("h") ? LabSite.HUB : LabSite.ORIGIN;
+    return new Instance(id, caches.get(id).address(), kind, id.equals(ORIGIN_ID) ? ORIGIN_WEIGHT : weight, state,
+        startedAtMillis);
+  }
+
+  /** Starts the gateway, lets clients ask while endpoints are replaced, and says what the gateway needed. */
+  GatewayUsage measure() throws Exception {
+    int port = startGateway();
+    long sampler = onLoop(() -> vertx.setPeriodic(SAMPLE_MILLIS, tick -> usage.sampleDescriptors()));
+    details.put("cpu_s_at_start", usage.cpuSeconds());
+    details.put("memory_mb_at_start", usage.peakMemoryMegabytes());
+    long bytesAtStart = onLoop(journal::bytesSent);
+    startClients(port);
+    long replacer = onLoop(this::replaceInSteps);
+    Thread.sleep(plan.seconds() * MILLIS_PER_SECOND);
+    onLoop(() -> {
+      vertx.cancelTimer(replacer);
+      clients.forEach(Tills::stop);
+      return null;
+    });
+    Thread.sleep(ALLOW_MILLIS + DRAIN_MILLIS);
+    onLoop(() -> vertx.cancelTimer(sampler));
+    double cpuSeconds = usage.cpuSeconds();
+    double peakMemory = usage.peakMemoryMegabytes();
+    GatewayUsage needed = onLoop(() -> new GatewayUsage(endpoints, cpuSeconds, peakMemory, usage.peakDescriptors(),
+        caches.values().stream().mapToLong(StandInCache::connections).sum(), journal.bytesSent() - bytesAtStart,
+        shareServed()));
+    finish();
+    return needed;
+  }
+
+  private int startGateway() throws Exception {
+    Path config = folder.resolve(name + ".json");
+    Path log = folder.resolve(name + ".log");
+    Files.deleteIfExists(log);
+    Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(),
+        onLoop(journal::known)));
+    gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("amberpath.Main", "serve"),
+        Map.of("PROXY_CONFIG", config.toString()), log);
+    usage = new ProcessUsage(gateway.processId());
+    return gateway.clients().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+  }
+
+  private void startClients(int port) throws Exception {
+    Loops.await(onLoop(() -> {
+      List<Future<?>> connecting = new ArrayList<>();
+      for (String service : List.of(LabSite.CLIPS, LabSite.ORDERS)) {
+        Tills tills = new Tills(vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
+            .spread(OBJECTS, OBJECT_SKEW);
+        clients.add(tills);
+        boolean orders = service.equals(LabSite.ORDERS);
+        int rate = Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
+        connecting.add(tills.start(port, CLIENT_CONNECTIONS, rate));
+      }
+      return Future.all(connecting);
+    }));
+  }
+
+  // ---- Replacing endpoints.
+
+  private long replaceInSteps() {
+    long lengthMillis = (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_LENGTH);
+    long steps = Math.max(1, lengthMillis / STEP_MILLIS);
+    int atOnce = (int) Math.ceil((double) toReplace.size() / steps);
+    long firstMillis = Math.max(1, (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_START));
+    return vertx.setPeriodic(firstMillis, STEP_MILLIS, tick -> {
+      for (int one = 0; one < atOnce && !toReplace.isEmpty(); one++) {
+        replace(toReplace.remove());
+      }
+    });
+  }
+
+  private void replace(String old) {
+    String fresh = newId(old.startsWith("h"));
+    open(fresh).onSuccess(up -> {
+      long now = System.currentTimeMillis();
+      tell(instance(fresh, State.UP, now));
+      auditor.startedCold(fresh, weight);
+      tell(instance(old, State.DRAINING, 0));
+      auditor.drained(old);
+      vertx.setTimer(DRAIN_MILLIS, over -> {
+        tell(instance(old, State.GONE, 0));
+        caches.get(old).close();
+      });
+    });
+  }
+
+  /** Each change is an event of its own. */
+  private void tell(Instance changed) {
+    journal.hosts(false, List.of(changed));
+  }
+
+  // ---- What came of it.
+
+  private long ended(Tills.End how) {
+    return clients.stream().mapToLong(one -> one.ended(how)).sum();
+  }
+
+  private double shareServed() {
+    long all = clients.stream().mapToLong(one -> one.unsent() + one.open()).sum();
+    for (Tills.End end : Tills.End.values()) {
+      long many = ended(end);
+      details.put(end.name().toLowerCase(Locale.ROOT), many);
+      all += end == Tills.End.TWICE ? 0 : many;
+    }
+    details.put("left_to_replace", toReplace.size());
+    details.put("hits", caches.values().stream().mapToLong(StandInCache::hits).sum());
+    details.put("caches_asked", caches.values().stream().filter(one -> one.wants() > 0).count());
+    return all == 0 ? 0 : UsageBounds.rounded((double) ended(Tills.End.RETURNED) / all);
+  }
+
+  private void finish() throws Exception {
+    gateway.term();
+    details.put("exit_code", gateway.ended());
+    details.put("failures_in_log", gateway.severe());
+    details.putAll(onLoop(auditor::figures));
+  }
+
+  Map<String, Object> details() {
+    return details;
+  }
+
+  List<String> violations() throws Exception {
+    return onLoop(() -> List.copyOf(auditor.wrongs()));
+  }
+
+  long lostOrTwice() throws Exception {
+    return onLoop(() -> ended(Tills.End.LOST) + ended(Tills.End.TWICE));
+  }
+
+  private void killGateway() {
+    if (gateway != null) {
+      gateway.kill();
+    }
+  }
+
+  @Override public void close() throws Exception {
+    if (gateway != null && gateway.isAlive()) {
+      gateway.term();
+      gateway.ended();
+    }
+    Runtime.getRuntime().removeShutdownHook(onExit);
+    Loops.await(vertx.close());
+  }
+}
--- a/lab/src/main/java/amberpath/lab/rig/Auditor.java
+++ b/lab/src/main/java/amberpath/lab/rig/Auditor.java
@@ -45,7 +45,7 @@
   private long tickAt = began, stood, wants, worstDrain, worstPurgeMs, most, wrongs;
   private double worstCold;
 
-  Auditor(Vertx vertx) {
+  public Auditor(Vertx vertx) {
     vertx.setPeriodic(TICK_MS, tick -> {
       long now = System.nanoTime();
       stood += now - tickAt > STALL ? now - tickAt : 0;
@@ -79,7 +79,7 @@
 
   // ---- What the rig did.
 
-  void drained(String cache) {
+  public void drained(String cache) {
     drainedAt.put(cache, System.nanoTime());
   }
 
@@ -91,13 +91,13 @@
     purgedAtMs.put(object, atMs);
   }
 
-  void startedCold(String cache, double weight) {
+  public void startedCold(String cache, double weight) {
     cold.put(cache, new Cold(System.nanoTime(), weight));
   }
 
   // ---- What others saw.
 
-  void wanted(StandInCache.Wanted want) {
+  public void wanted(StandInCache.Wanted want) {
     wants++;
     for (String cache : List.of(want.cache(), want.source())) {
       Long at = drainedAt.get(cache);
@@ -142,7 +142,7 @@
     }
   }
 
-  void returned(Tills.Returned got) {
+  public void returned(Tills.Returned got) {
     Long purged = purgedAtMs.get(got.object());
     long sentMs = System.currentTimeMillis() - (System.nanoTime() - got.sentAt()) / MS;
     if (purged != null && got.issuedMs() < purged && sentMs > purged) {
--- a/lab/src/main/java/amberpath/lab/rig/GatewayProcess.java
+++ b/lab/src/main/java/amberpath/lab/rig/GatewayProcess.java
@@ -26,6 +26,13 @@
   private static final Pattern DESK = Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
   private static final List<String> JAVA = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx64m",
       "-Xss512k", "-Djava.net.preferIPv4Stack=true", "-Dvertx.disableDnsResolver=true");
+  /** The runtime's flags on the run line of deploy/balancer.toml. */
+  public static final List<String> DEPLOYED_FLAGS = List.of("-Djava.net.preferIPv4Stack=true", "-XX:-UsePerfData",
+      "-XX:+UseSerialGC", "-Xms64m", "-Xmx64m", "-XX:MaxDirectMemorySize=24m", "-XX:ReservedCodeCacheSize=24m",
+      "-XX:MaxMetaspaceSize=48m", "-Xss512k", "-XX:TieredStopAtLevel=1", "-Dio.netty.allocator.type=pooled",
+      "-Dio.netty.allocator.numDirectArenas=1", "-Dio.netty.allocator.numHeapArenas=0",
+      "-Dio.netty.jfr.enabled=false", "-Dvertx.disableDnsResolver=true",
+      "-XX:SharedArchiveFile=target/amberpath.jsa");
   private static final long STOP_S = 8;
 
   private final Process process;
@@ -41,9 +48,15 @@
    * @param log where its log goes, after what is there
    */
   public GatewayProcess(List<String> main, Map<String, String> environment, Path log) throws IOException {
+    this(JAVA, main, environment, log);
+  }
+
+  /** Starts the same with the given flags of the runtime. */
+  public GatewayProcess(List<String> flags, List<String> main, Map<String, String> environment, Path log)
+      throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(JAVA);
+    command.addAll(flags);
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), Tether.class.getName()));
     command.addAll(main);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
@@ -100,6 +113,11 @@
     return severe;
   }
 
+  /** The process id under which the system counts what it uses. */
+  public long processId() {
+    return process.pid();
+  }
+
   public boolean isAlive() {
     return process.isAlive();
   }
--- a/lab/src/main/java/amberpath/lab/rig/StandInJournal.java
+++ b/lab/src/main/java/amberpath/lab/rig/StandInJournal.java
@@ -9,14 +9,25 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
+import java.util.stream.Collectors;
 
 /**
  * The platform's journal service for many gateways: numbered events by long poll. Only for its event loop. Bounds: the
  * events of one experiment; a poll a connection.
  */
-final class StandInJournal {
+public final class StandInJournal {
   private static final int MOST_EVENTS = 100_000;
 
+  /** One cache in an event; startedAtMs is when it started cold, or 0. */
+  public record Instance(String id, String address, String kind, double weight, State state, long startedAtMs) {
+    private String json() {
+      return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"" + amberpath.lab.LabSite.ZONE
+          + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\""
+          + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone") + "\",\"weight\":" + weight
+          + ",\"startedAtMs\":" + startedAtMs + "}";
+    }
+  }
+
   private record Poll(HttpServerRequest request, int tail) {
   }
 
@@ -24,28 +35,41 @@
   private final HttpServer server;
   private final List<String> entries = new ArrayList<>();
   private final List<Poll> polls = new ArrayList<>();
+  private long bytesSent;
 
-  StandInJournal(Vertx vertx) {
+  public StandInJournal(Vertx vertx) {
     this.vertx = vertx;
     server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
     server.requestHandler(this::asked);
   }
 
-  Future<StandInJournal> listen() {
+  public Future<StandInJournal> listen() {
     return server.listen().map(this);
   }
 
-  String address() {
+  public String address() {
     return "127.0.0.1:" + server.actualPort();
   }
 
   /** A cache's state; startedAtMs is when it started cold, or 0. */
   void host(String id, String address, String kind, double weight, State state, long startedAtMs) {
-    add("\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\"" + id + "\",\"hostPort\":\""
-        + address + "\",\"zone\":\"" + amberpath.lab.LabSite.ZONE + "\",\"machineType\":\"" + kind
-        + "\",\"cell\":0,\"lifecycle\":\""
-        + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone") + "\",\"weight\":" + weight
-        + ",\"startedAtMs\":" + startedAtMs + "}]}");
+    hosts(false, List.of(new Instance(id, address, kind, weight, state, startedAtMs)));
+  }
+
+  /** One event of caches: the whole list, or what has changed of it. */
+  public void hosts(boolean whole, List<Instance> instances) {
+    add("\"hosts\":{\"generation\":1,\"reset\":" + whole + ",\"instances\":["
+        + instances.stream().map(Instance::json).collect(Collectors.joining(",")) + "]}");
+  }
+
+  /** All events so far, in the form in which a configuration holds them. */
+  public String known() {
+    return after(0);
+  }
+
+  /** Bytes of the answers so far, without their heads. */
+  public long bytesSent() {
+    return bytesSent;
   }
 
   void purge(String object, long atMs) {
@@ -81,7 +105,13 @@
   }
 
   private void reply(Poll poll) {
-    poll.request.response().end("{\"pos\":" + entries.size() + ",\"entries\":["
-        + String.join(",", entries.subList(Math.min(poll.tail, entries.size()), entries.size())) + "]}");
+    String body = after(poll.tail);
+    bytesSent += body.length();
+    poll.request.response().end(body);
+  }
+
+  private String after(int tail) {
+    return "{\"pos\":" + entries.size() + ",\"entries\":["
+        + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size())) + "]}";
   }
 }
