--- a/app/src/main/java/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/amberpath/cli/LabCommand.java
@@ -320,12 +320,16 @@
         description = "Requests a second to that one. Default: ${DEFAULT-VALUE}.")
     private int rate;
 
+    @Option(names = "--sockets", defaultValue = "1024",
+        description = "Its limit of descriptors. Default: ${DEFAULT-VALUE}.")
+    private int sockets;
+
     @Option(names = "--out", description = "Where settings and logs go. Default: a new folder for a while.")
     private Path out;
 
     @Override Experiment run(Integer seconds) throws Exception {
       return EndpointsSizeExperiment.run(new EndpointsSizeExperiment.Plan(seed, caches, times, gateways, rate,
-          seconds == null ? DEFAULT_SECONDS : seconds, folder(out)), System.out);
+          sockets, seconds == null ? DEFAULT_SECONDS : seconds, folder(out)), System.out);
     }
   }
 
--- a/lab/src/main/java/amberpath/lab/LabSite.java
+++ b/lab/src/main/java/amberpath/lab/LabSite.java
@@ -50,15 +50,14 @@
 
   /** What the platform would tell one of so many gateways. */
   public static String json(String name, long seed, String journal, int gateways) {
-    return json(name, seed, journal, gateways, null);
+    return json(name, seed, journal, gateways, "");
   }
 
-  /** The same with the journal's entries so far; null for none. */
-  public static String json(String name, long seed, String journal, int gateways, String known) {
+  /** The same with more keys of the configuration, each followed by a comma. */
+  public static String json(String name, long seed, String journal, int gateways, String more) {
     return "{\"name\":\"" + name + "\",\"seed\":\"" + Long.toHexString(seed)
         + "\",\"listen\":\"127.0.0.1:0\"," + (journal == null ? "" : "\"journal\":\"" + journal + "\",")
-        + (known == null ? "" : "\"known\":" + known + ",")
-        + "\"settings\":" + String.format(Locale.ROOT, SETTINGS, gateways, COLD_SHARE, COLD_S, FALL_MULTIPLE, FALL_S)
+        + more + "\"settings\":" + String.format(Locale.ROOT, SETTINGS, gateways, COLD_SHARE, COLD_S, FALL_MULTIPLE, FALL_S)
         + "}";
   }
 }
--- a/lab/src/main/java/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/amberpath/lab/StandInCache.java
@@ -42,6 +42,7 @@
     }
   };
   private NetServer server;
+  private String host = "127.0.0.1";
   private int port;
   private boolean hangs;
   private Consumer<Wanted> listener = wanted -> { };
@@ -60,9 +61,15 @@
     this.fillMs = fillMs;
   }
 
+  /** Listens at another address of loopback. */
+  public StandInCache at(String address) {
+    host = address;
+    return this;
+  }
+
   /** Listens on a port from the system, or on the one that it had. */
   public Future<StandInCache> listen() {
-    server = vertx.createNetServer(new NetServerOptions().setHost("127.0.0.1").setPort(port));
+    server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
     server.connectHandler(this::take);
     return server.listen().map(up -> {
       port = up.actualPort();
@@ -81,7 +88,7 @@
   }
 
   public String address() {
-    return "127.0.0.1:" + port;
+    return host + ":" + port;
   }
 
   /** When the last GET came, by System.nanoTime. */
--- a/lab/src/main/java/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -16,10 +16,12 @@
    * @param times how many times as many are tried beside it
    * @param gateways how many the settings tell of, of which one runs
    * @param requestRate requests a second to that one
+   * @param sockets its limit of descriptors
    * @param seconds how long at each size
    * @param folder where settings and logs go
    */
-  public record Plan(long seed, int endpoints, int times, int gateways, int requestRate, int seconds, Path folder) {
+  public record Plan(long seed, int endpoints, int times, int gateways, int requestRate, int sockets, int seconds,
+      Path folder) {
   }
 
   private EndpointsSizeExperiment() {
@@ -28,7 +30,7 @@
   /** Measures both sizes, one after the other, and compares them. */
   public static Experiment run(Plan plan, PrintStream out) throws Exception {
     Experiment result = new Experiment(plan.seed()).figure("gateways", plan.gateways())
-        .figure("request_rate", plan.requestRate()).figure("seconds", plan.seconds());
+        .figure("request_rate", plan.requestRate()).figure("sockets", plan.sockets()).figure("seconds", plan.seconds());
     GatewayUsage usual = measure(plan, plan.endpoints(), "usual", result, out);
     GatewayUsage many = measure(plan, plan.endpoints() * plan.times(), "many", result, out);
     UsageBounds.compare(usual, many, result);
--- a/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -30,6 +30,8 @@
  * endpoints of one size and those that replace half of them, two descriptors each and the gateway's connections.
  */
 final class EndpointsTestbed implements AutoCloseable {
+  /** Not 127.0.0.1: with so many ports, other processes on this machine would meet one that was theirs before. */
+  private static final String LOOPBACK = "127.83." + ProcessHandle.current().pid() % 250 + ".1";
   /** One endpoint in twenty is a parent, from which caches are filled. */
   private static final int ENDPOINTS_PER_PARENT = 20;
   /** The capacity of all endpoints together, for each gateway that the settings tell of. */
@@ -120,7 +122,7 @@
   private Future<StandInCache> open(String id) {
     boolean origin = id.equals(ORIGIN_ID);
     StandInCache cache = new StandInCache(vertx, id, origin ? ORIGIN_MILLIS : HIT_MILLIS, origin ? 0 : FILL_MILLIS,
-        caches::get).telling(auditor::wanted);
+        caches::get).telling(auditor::wanted).at(LOOPBACK);
     caches.put(id, cache);
     return cache.listen();
   }
@@ -162,7 +164,7 @@
     Path log = folder.resolve(name + ".log");
     Files.deleteIfExists(log);
     Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(),
-        onLoop(journal::known)));
+        "\"limits\":{\"sockets\":" + plan.sockets() + "},\"known\":" + onLoop(journal::known) + ","));
     gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("amberpath.Main", "serve"),
         Map.of("PROXY_CONFIG", config.toString()), log);
     usage = new ProcessUsage(gateway.processId());
