--- a/lab/src/main/java/amberpath/lab/Tills.java
+++ b/lab/src/main/java/amberpath/lab/Tills.java
@@ -10,6 +10,7 @@
 import java.io.UncheckedIOException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -61,7 +62,6 @@
   /** The protocol's own bound of what may be open on a connection. */
   private static final int MOST_OPEN = 32;
   private static final int LONGEST = 400_000, OBJECTS = 64, AGAIN_MS = 100;
-  private static final double SKEW = 2;
   private static final long MS = 1_000_000, GRACE = 50 * MS, HIGHEST_US = 10_000_000;
 
   private final Vertx vertx;
@@ -82,8 +82,8 @@
   private LongConsumer sending = at -> { };
   private long excused, unsent, settledAt = System.nanoTime();
   private boolean stopped;
-  private int objects = OBJECTS;
-  private double skew = SKEW;
+  /** Of each object, how likely it or one before it is asked for; null for the usual few. */
+  private double[] cumulative;
   private long last, next, interval, timer = -1;
 
   /** Clients of one delivery service, who wait allowMs for each GET; each that is returned is told. */
@@ -108,13 +108,28 @@
     return this;
   }
 
-  /** Asks for so many objects; the first are asked for the more, the greater skew is over 1. */
-  public Tills spread(int many, double much) {
-    objects = many;
-    skew = much;
+  /** Asks for so many objects, by Zipf's law with this exponent. */
+  public Tills spread(int objects, double exponent) {
+    cumulative = new double[objects];
+    double sum = 0;
+    for (int object = 0; object < objects; object++) {
+      sum += Math.pow(object + 1, -exponent);
+      cumulative[object] = sum;
+    }
+    for (int object = 0; object < objects; object++) {
+      cumulative[object] /= sum;
+    }
     return this;
   }
 
+  private long object(double drawn) {
+    if (cumulative == null) {
+      return 1 + (long) (drawn * drawn * OBJECTS);
+    }
+    int at = Arrays.binarySearch(cumulative, drawn);
+    return 1 + Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at);
+  }
+
   public long excused() {
     return excused;
   }
@@ -212,8 +227,7 @@
 
   private void send(long intended, long now) {
     long number = ++last & 0xffff_ffffL;
-    double skewed = chance.nextDouble();
-    String object = String.format("%016x", 1 + (long) (Math.pow(skewed, skew) * objects));
+    String object = String.format("%016x", object(chance.nextDouble()));
     Line line = lines.get((int) (number % lines.size()));
     if (line.socket == null || line.open >= MOST_OPEN) {
       unsent++;
--- a/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -42,7 +42,8 @@
   private static final int FILL_MILLIS = 8;
   private static final int ORIGIN_MILLIS = 10;
   private static final int OBJECTS = 4000;
-  private static final double OBJECT_SKEW = 3;
+  private static final double ZIPF_EXPONENT = 1.05;
+  private static final int IDLE_SECONDS = 12;
   private static final int CLIENT_CONNECTIONS = 8;
   private static final int ORDERS_PART = 10;
   private static final long ALLOW_MILLIS = 1500;
@@ -163,7 +164,7 @@
     Path config = folder.resolve(name + ".json");
     Path log = folder.resolve(name + ".log");
     Files.deleteIfExists(log);
-    Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(),
+    Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(), IDLE_SECONDS,
         "\"limits\":{\"sockets\":" + plan.sockets() + "},\"known\":" + onLoop(journal::known) + ","));
     gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("amberpath.Main", "serve"),
         Map.of("PROXY_CONFIG", config.toString()), log);
@@ -176,7 +177,7 @@
       List<Future<?>> connecting = new ArrayList<>();
       for (String service : List.of(LabSite.CLIPS, LabSite.ORDERS)) {
         Tills tills = new Tills(vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
-            .spread(OBJECTS, OBJECT_SKEW);
+            .spread(OBJECTS, ZIPF_EXPONENT);
         clients.add(tills);
         boolean orders = service.equals(LabSite.ORDERS);
         int rate = Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
