--- a/lab/src/main/java/amberpath/lab/LabSite.java
+++ b/lab/src/main/java/amberpath/lab/LabSite.java
@@ -58,7 +58,8 @@
   public static String json(String name, long seed, String journal, int gateways, int idleSeconds, String more) {
     return "{\"name\":\"" + name + "\",\"seed\":\"" + Long.toHexString(seed)
         + "\",\"listen\":\"127.0.0.1:0\"," + (journal == null ? "" : "\"journal\":\"" + journal + "\",")
-        + more + "\"settings\":" + String.format(Locale.ROOT, SETTINGS, gateways, idleSeconds, COLD_SHARE, COLD_S, FALL_MULTIPLE, FALL_S)
+        + more + "\"settings\":" + String.format(Locale.ROOT, SETTINGS, gateways, idleSeconds,
+            COLD_SHARE, COLD_S, FALL_MULTIPLE, FALL_S)
         + "}";
   }
 }
--- a/lab/src/main/java/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/amberpath/lab/endpoints/UsageBounds.java
@@ -30,7 +30,8 @@
         CPU_TIMES * usual.cpuSeconds() + CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * thousands);
     atMost(result, "peak_memory_mb", many.peakMemoryMegabytes(),
         MEMORY_TIMES * usual.peakMemoryMegabytes() + MEMORY_MEGABYTES + MEMORY_MEGABYTES_PER_THOUSAND * thousands);
-    atMost(result, "peak_descriptors", many.peakDescriptors(), DESCRIPTOR_TIMES * usual.peakDescriptors() + DESCRIPTORS);
+    atMost(result, "peak_descriptors", many.peakDescriptors(),
+        DESCRIPTOR_TIMES * usual.peakDescriptors() + DESCRIPTORS);
     atMost(result, "cache_connections", many.cacheConnections(),
         CONNECTION_TIMES * usual.cacheConnections() + CONNECTIONS);
     atMost(result, "discovery_bytes", many.discoveryBytes(),
