--- a/lab/src/main/java/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/amberpath/lab/StandInCache.java
@@ -42,10 +42,11 @@
     }
   };
   private NetServer server;
+  private String host = "127.0.0.1";
   private int port;
   private boolean hangs;
   private Consumer<Wanted> listener = wanted -> { };
-  private long lastWantAt, wants, hits, fills;
+  private long lastWantAt, wants, hits, fills, connections;
 
   /**
    * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has given the part.
@@ -60,9 +61,15 @@
     this.fillMs = fillMs;
   }
 
+  /** Listens at another address of loopback. */
+  public StandInCache at(String address) {
+    host = address;
+    return this;
+  }
+
   /** Listens on a port from the system, or on the one that it had. */
   public Future<StandInCache> listen() {
-    server = vertx.createNetServer(new NetServerOptions().setHost("127.0.0.1").setPort(port));
+    server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
     server.connectHandler(this::take);
     return server.listen().map(up -> {
       port = up.actualPort();
@@ -81,7 +88,7 @@
   }
 
   public String address() {
-    return "127.0.0.1:" + port;
+    return host + ":" + port;
   }
 
   /** When the last GET came, by System.nanoTime. */
@@ -97,6 +104,11 @@
     return hits;
   }
 
+  /** How many connections were made to it. */
+  public long connections() {
+    return connections;
+  }
+
   /** How many parts it gave to others. */
   public long fills() {
     return fills;
@@ -120,6 +132,7 @@
   }
 
   private void take(NetSocket socket) {
+    connections++;
     sockets.add(socket);
     socket.closeHandler(closed -> sockets.remove(socket));
     socket.exceptionHandler(e -> { });
