--- a/app/src/main/java/amberpath/cli/AskedDesk.java
+++ b/app/src/main/java/org/amberpath/cli/AskedDesk.java
@@ -1,7 +1,7 @@
-package amberpath.cli;
+package org.amberpath.cli;
 
-import amberpath.fleet.live.FleetAccess;
-import amberpath.json.Fields;
+import org.amberpath.membership.runtime.FleetAccess;
+import org.amberpath.gateway.settings.Fields;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.net.URI;
--- a/app/src/main/java/amberpath/cli/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/DeploymentFile.java
@@ -1,12 +1,12 @@
-package amberpath.cli;
+package org.amberpath.cli;
 
-import amberpath.fleet.live.FleetAccess;
-import amberpath.gateway.GatewayOptions;
-import amberpath.json.Fields;
-import amberpath.owner.Electorate;
-import amberpath.owner.OwnerRules;
-import amberpath.owner.live.OwnerAccess;
-import amberpath.registry.live.RegistryAccess;
+import org.amberpath.membership.runtime.FleetAccess;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.leadership.Electorate;
+import org.amberpath.leadership.OwnerRules;
+import org.amberpath.leadership.runtime.OwnerAccess;
+import org.amberpath.registry.runtime.RegistryAccess;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
 import java.io.Reader;
--- a/app/src/main/java/amberpath/cli/FleetCommand.java
+++ b/app/src/main/java/org/amberpath/cli/FleetCommand.java
@@ -1,6 +1,6 @@
-package amberpath.cli;
+package org.amberpath.cli;
 
-import amberpath.fleet.live.FleetDesk;
+import org.amberpath.membership.runtime.FleetDesk;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
--- a/app/src/main/java/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -1,24 +1,24 @@
-package amberpath.cli;
-
-import amberpath.json.Fields;
-import amberpath.lab.Demo;
-import amberpath.lab.Experiment;
-import amberpath.lab.Flood;
-import amberpath.lab.Runs;
-import amberpath.lab.endpoints.EndpointsSizeExperiment;
-import amberpath.lab.fleet.FleetDay;
-import amberpath.lab.fleet.FleetModel;
-import amberpath.lab.fleet.FleetSize;
-import amberpath.lab.owner.OwnerDay;
-import amberpath.lab.owner.OwnerModel;
-import amberpath.lab.owner.OwnerWorth;
-import amberpath.lab.plan.PlannersModel;
-import amberpath.lab.recovery.PowerLossSize;
-import amberpath.lab.registry.RegistryDay;
-import amberpath.lab.registry.RegistryModel;
-import amberpath.lab.registry.RegistrySize;
-import amberpath.lab.registry.StandInRegistry;
-import amberpath.registry.live.RegistryAccess;
+package org.amberpath.cli;
+
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.lab.Demo;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.Flood;
+import org.amberpath.lab.Runs;
+import org.amberpath.lab.endpoints.EndpointsSizeExperiment;
+import org.amberpath.lab.membership.FleetDay;
+import org.amberpath.lab.membership.FleetModel;
+import org.amberpath.lab.membership.FleetSize;
+import org.amberpath.lab.leadership.OwnerDay;
+import org.amberpath.lab.leadership.OwnerModel;
+import org.amberpath.lab.leadership.OwnerWorth;
+import org.amberpath.lab.planning.PlannersModel;
+import org.amberpath.lab.recovery.PowerLossSize;
+import org.amberpath.lab.registry.RegistryDay;
+import org.amberpath.lab.registry.RegistryModel;
+import org.amberpath.lab.registry.RegistrySize;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.registry.runtime.RegistryAccess;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -46,7 +46,7 @@
 final class LabCommand {
   /** Held here, since the runtime forgets a logger's level with the logger. */
   private static final List<Logger> HUSHED = List.of(Logger.getLogger("amberpath"),
-      Logger.getLogger("amberpath.registry"), Logger.getLogger("amberpath.gateway.Complaints"),
+      Logger.getLogger("org.amberpath.registry"), Logger.getLogger("org.amberpath.gateway.Complaints"),
       Logger.getLogger("io.vertx"), Logger.getLogger("io.netty"));
 
   private static final int DEMO_S = 9, FLOOD_S = 4, REGISTRY_S = 16, FLEET_S = 20;
--- a/app/src/main/java/amberpath/Main.java
+++ b/app/src/main/java/org/amberpath/cli/Main.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.cli;
 
-import amberpath.cli.AmberpathCommand;
-import amberpath.gateway.Server;
-import amberpath.wire.WireHost;
+import org.amberpath.cli.AmberpathCommand;
+import org.amberpath.gateway.Server;
+import org.amberpath.gateway.simulation.WireHost;
 import java.io.IOException;
 import java.util.Map;
 
--- a/app/src/main/java/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -1,14 +1,14 @@
-package amberpath.cli;
-
-import amberpath.Arrivals.State;
-import amberpath.Membership;
-import amberpath.json.Fields;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
-import amberpath.registry.live.KeyForm;
-import amberpath.registry.live.RegistryAccess;
-import amberpath.registry.live.RegistryDesk;
-import amberpath.registry.live.RegistrySource;
+package org.amberpath.cli;
+
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistryDesk;
+import org.amberpath.registry.runtime.RegistrySource;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/app/src/test/java/amberpath/EndpointsSizeProcessTest.java
+++ b/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
@@ -1,10 +1,10 @@
-package amberpath;
+package org.amberpath;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.endpoints.EndpointsSizeExperiment;
-import amberpath.lab.rig.GatewayProcess;
+import org.amberpath.lab.endpoints.EndpointsSizeExperiment;
+import org.amberpath.lab.testbed.GatewayProcess;
 import io.vertx.core.json.JsonObject;
 import java.io.OutputStream;
 import java.io.PrintStream;
--- a/app/src/test/java/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -1,10 +1,10 @@
-package amberpath;
+package org.amberpath;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.rig.Links.Way;
-import amberpath.lab.rig.Rig;
+import org.amberpath.lab.testbed.Links.Way;
+import org.amberpath.lab.testbed.Rig;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
 import java.util.Map;
--- a/app/src/test/java/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -1,14 +1,14 @@
-package amberpath;
+package org.amberpath;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.Loops;
-import amberpath.lab.registry.StandInRegistry;
-import amberpath.lab.rig.Rig;
-import amberpath.registry.Content;
-import amberpath.registry.live.KeyForm;
+import org.amberpath.lab.Loops;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.lab.testbed.Rig;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.runtime.KeyForm;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
--- a/app/src/test/java/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath;
 
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/app/src/test/java/amberpath/cli/CommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/CommandTest.java
@@ -1,10 +1,10 @@
-package amberpath.cli;
+package org.amberpath.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.registry.live.RegistryAccess;
+import org.amberpath.registry.runtime.RegistryAccess;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.nio.file.Files;
--- a/gateway/src/main/java/amberpath/gateway/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
@@ -1,6 +1,6 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.LocalBackoff;
+import org.amberpath.routing.LocalBackoff;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.util.AttributeKey;
 import io.vertx.core.internal.net.NetSocketInternal;
--- a/gateway/src/main/java/amberpath/gateway/Admit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Admit.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.RequestDeadline;
-import amberpath.SocketReads;
-import amberpath.json.JsonSite;
-import amberpath.msgpack.ClientConnection;
-import amberpath.msgpack.ClientGet;
+import org.amberpath.routing.RequestDeadline;
+import org.amberpath.routing.SocketReads;
+import org.amberpath.gateway.settings.JsonSite;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientGet;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
--- a/gateway/src/main/java/amberpath/gateway/Beside.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Beside.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 /**
  * What an installation has beside the platform's own: another source of news of caches, and knowledge of the other
--- a/gateway/src/main/java/amberpath/gateway/Book.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Book.java
@@ -1,7 +1,7 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.SocketReads;
-import amberpath.msgpack.ClientConnection;
+import org.amberpath.routing.SocketReads;
+import org.amberpath.gateway.client.ClientConnection;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
--- a/gateway/src/main/java/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
--- a/gateway/src/main/java/amberpath/gateway/Caches.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Caches.java
@@ -1,11 +1,11 @@
-package amberpath.gateway;
-
-import amberpath.Arrivals.Events;
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
-import amberpath.Membership;
-import amberpath.resp.CachePool;
+package org.amberpath.gateway;
+
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.gateway.cache.CachePool;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
--- a/gateway/src/main/java/amberpath/gateway/Clients.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clients.java
@@ -1,6 +1,6 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.msgpack.ClientConnection;
+import org.amberpath.gateway.client.ClientConnection;
 import io.vertx.core.Vertx;
 import java.util.LinkedHashSet;
 import java.util.List;
--- a/gateway/src/main/java/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -1,7 +1,7 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.EventAge;
-import amberpath.journal.Entries;
+import org.amberpath.routing.EventAge;
+import org.amberpath.gateway.discovery.Entries;
 import java.util.function.LongSupplier;
 
 /** Time that only goes forward, and what it makes of Unix times. */
--- a/gateway/src/main/java/amberpath/gateway/Company.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Company.java
@@ -1,6 +1,6 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Decisions;
+import org.amberpath.routing.Decisions;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.function.Consumer;
--- a/gateway/src/main/java/amberpath/gateway/Complaints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Complaints.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import java.util.logging.Logger;
 
--- a/gateway/src/main/java/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -1,7 +1,7 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.json.Fields;
-import amberpath.json.JsonSite;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonSite;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
--- a/gateway/src/main/java/amberpath/gateway/NewsSource.java
+++ b/gateway/src/main/java/org/amberpath/gateway/NewsSource.java
@@ -1,6 +1,6 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Membership;
+import org.amberpath.routing.Membership;
 import io.vertx.core.Vertx;
 
 /**
--- a/gateway/src/main/java/amberpath/gateway/OpenGet.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OpenGet.java
@@ -1,8 +1,8 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.SocketReads;
-import amberpath.msgpack.ClientConnection;
-import amberpath.msgpack.ClientGet;
+import org.amberpath.routing.SocketReads;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientGet;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
--- a/gateway/src/main/java/amberpath/gateway/OwnGets.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OwnGets.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Arrivals.Events;
-import amberpath.Recent;
-import amberpath.Site;
-import amberpath.Site.Effect;
-import amberpath.msgpack.ClientGet;
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Recent;
+import org.amberpath.routing.Site;
+import org.amberpath.routing.Site.Effect;
+import org.amberpath.gateway.client.ClientGet;
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
--- a/gateway/src/main/java/amberpath/gateway/Rehearsal.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Rehearsal.java
@@ -1,15 +1,15 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Arrivals.Events;
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
-import amberpath.Decisions;
-import amberpath.RequestRouter;
-import amberpath.Site;
-import amberpath.msgpack.RequestRehearsal;
-import amberpath.resp.ReplyRehearsal;
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.Site;
+import org.amberpath.gateway.client.RequestRehearsal;
+import org.amberpath.gateway.cache.ReplyRehearsal;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
--- a/gateway/src/main/java/amberpath/gateway/Relay.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Relay.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/gateway/src/main/java/amberpath/gateway/Route.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Route.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Arrivals;
-import amberpath.Arrivals.Events;
-import amberpath.Decisions;
-import amberpath.NewsAge;
-import amberpath.SocketReads;
+import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Decisions;
+import org.amberpath.routing.NewsAge;
+import org.amberpath.routing.SocketReads;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
--- a/gateway/src/main/java/amberpath/gateway/Send.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Send.java
@@ -1,11 +1,11 @@
-package amberpath.gateway;
-
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Membership;
-import amberpath.Site;
-import amberpath.resp.CachePool;
-import amberpath.resp.Want;
+package org.amberpath.gateway;
+
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Membership;
+import org.amberpath.routing.Site;
+import org.amberpath.gateway.cache.CachePool;
+import org.amberpath.gateway.cache.Want;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
--- a/gateway/src/main/java/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -1,6 +1,6 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.json.Fields;
+import org.amberpath.gateway.settings.Fields;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.file.FileSystemOptions;
--- a/gateway/src/main/java/amberpath/gateway/ShutdownSchedule.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ShutdownSchedule.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 /**
  * When each step of a shutdown is due, so that all of them end before the kill that may follow SIGTERM. Told the time,
--- a/gateway/src/main/java/amberpath/gateway/Standstill.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Standstill.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.AcceptLag;
-import amberpath.NewsAge;
-import amberpath.Pace;
-import amberpath.SocketReads;
-import amberpath.msgpack.ClientConnection;
+import org.amberpath.routing.AcceptLag;
+import org.amberpath.routing.NewsAge;
+import org.amberpath.routing.Pace;
+import org.amberpath.routing.SocketReads;
+import org.amberpath.gateway.client.ClientConnection;
 import io.vertx.core.Vertx;
 
 /** How long this gateway itself stood still, for want of CPU or in a pause of the runtime: a tick that comes late. */
--- a/gateway/src/main/java/amberpath/gateway/TakeIn.java
+++ b/gateway/src/main/java/org/amberpath/gateway/TakeIn.java
@@ -1,9 +1,9 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
-import amberpath.Pace;
-import amberpath.msgpack.ClientConnection;
-import amberpath.msgpack.ClientGet;
-import amberpath.msgpack.ClientHandler;
+import org.amberpath.routing.Pace;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.ClientHandler;
 import java.util.function.BooleanSupplier;
 
 /** First stage: what clients say, with the time at which it had come whole. */
--- a/gateway/src/main/java/amberpath/resp/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -1,9 +1,9 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.ConnectPatience;
-import amberpath.LocalBackoff;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.ConnectPatience;
+import org.amberpath.routing.LocalBackoff;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
--- a/gateway/src/main/java/amberpath/resp/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -1,4 +1,4 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
 import java.net.BindException;
 import java.net.NoRouteToHostException;
--- a/gateway/src/main/java/amberpath/resp/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -1,4 +1,4 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
 import io.vertx.core.Handler;
 import io.vertx.core.buffer.Buffer;
--- a/gateway/src/main/java/amberpath/resp/Want.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/Want.java
@@ -1,7 +1,7 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/gateway/src/main/java/amberpath/msgpack/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.socket.DuplexChannel;
--- a/gateway/src/main/java/amberpath/msgpack/ClientGet.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientGet.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 /**
  * What a client asked for. The arrays are the bytes that came; known, token and body may be empty.
--- a/gateway/src/main/java/amberpath/msgpack/ClientHandler.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 /** Takes what clients say. */
 public interface ClientHandler {
--- a/gateway/src/main/java/amberpath/msgpack/MessageReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 import io.vertx.core.Handler;
 import io.vertx.core.buffer.Buffer;
--- a/gateway/src/main/java/amberpath/msgpack/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -1,6 +1,6 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
-import amberpath.msgpack.ClientConnection.Unusable;
+import org.amberpath.gateway.client.ClientConnection.Unusable;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
--- a/gateway/src/main/java/amberpath/msgpack/Unread.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/Unread.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 import java.util.Comparator;
 import java.util.LinkedHashSet;
--- a/gateway/src/main/java/amberpath/journal/Entries.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Entries.java
@@ -0,0 +1,115 @@
+package org.amberpath.gateway.discovery;
+
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.gateway.settings.Fields;
+
+/** Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known at start. */
+public final class Entries {
+  /** Is told when a reply is about to be played and when it has been. */
+  public interface Replies {
+    /** Live, or known from before; newestPurgeMillis is the latest stamp of a purge in it, 0 where there is none. */
+    void begins(boolean live, long newestPurgeMillis);
+
+    void ends();
+  }
+
+  private final Replies replies;
+  private long pos;
+
+  public Entries(Replies replies) {
+    this.replies = replies;
+  }
+
+  /** The number of the last event heard of. */
+  public long pos() {
+    return pos;
+  }
+
+  /** Plays the entries that are new. An unreadable one is thrown before any of the reply is played. */
+  public void play(Fields reply, Membership to) {
+    play(reply, to, true);
+  }
+
+  /** The same for what is known from a file, of any age. */
+  public void playKnown(Fields reply, Membership to) {
+    play(reply, to, false);
+  }
+
+  private void play(Fields reply, Membership to, boolean live) {
+    long last = reply.wholeOr("pos", 0);
+    Scout scout = new Scout();
+    tell(reply, scout);
+    replies.begins(live, scout.newestPurge);
+    try {
+      pos = Math.max(tell(reply, to), last);
+    } finally {
+      replies.ends();
+    }
+  }
+
+  /** Returns the number of the last event that is known then. */
+  private long tell(Fields reply, Membership target) {
+    long at = pos;
+    for (Fields entry : reply.each("entries")) {
+      long number = entry.wholeOr("pos", 0);
+      if (number > at) {
+        entry(entry, target);
+        at = number;
+      }
+    }
+    return at;
+  }
+
+  private static void entry(Fields entry, Membership to) {
+    if (entry.has("hosts")) {
+      Fields hosts = entry.fields("hosts");
+      to.listing(hosts.flag("reset"));
+      for (Fields one : hosts.each("instances")) {
+        to.member(one.text("instanceId"), one.has("hostPort") ? one.text("hostPort") : "",
+            one.has("zone") ? one.text("zone") : "", one.has("machineType") ? one.text("machineType") : "",
+            one.place("cell", 0), state(one), one.numberOr("weight", 1), one.wholeOr("startedAtMs", 0));
+      }
+      to.listed();
+    } else if (entry.has("expire")) {
+      Fields purge = entry.fields("expire");
+      to.purged(purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
+    }
+  }
+
+  private static long object(Fields purge) {
+    try {
+      return Long.parseUnsignedLong(purge.text("name"), 16);
+    } catch (NumberFormatException e) {
+      throw purge.wrong("name", "not an object's id: " + purge.text("name"));
+    }
+  }
+
+  private static State state(Fields one) {
+    return switch (one.text("lifecycle")) {
+      case "ready" -> State.UP;
+      case "draining" -> State.DRAINING;
+      case "gone" -> State.GONE;
+      default -> throw one.wrong("lifecycle", "of no known kind: " + one.text("lifecycle"));
+    };
+  }
+
+  /** Reads a reply through before it is told. */
+  private static final class Scout implements Membership {
+    private long newestPurge;
+
+    @Override public void listing(boolean whole) {
+    }
+
+    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
+        double weight, long startedAtMs) {
+    }
+
+    @Override public void listed() {
+    }
+
+    @Override public void purged(long object, int group, long atMs) {
+      newestPurge = Math.max(newestPurge, atMs);
+    }
+  }
+}
--- a/gateway/src/main/java/amberpath/json/Fields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/Fields.java
@@ -1,4 +1,4 @@
-package amberpath.json;
+package org.amberpath.gateway.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/gateway/src/main/java/amberpath/json/JsonSite.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonSite.java
@@ -1,6 +1,6 @@
-package amberpath.json;
+package org.amberpath.gateway.settings;
 
-import amberpath.Site;
+import org.amberpath.routing.Site;
 import java.util.List;
 
 /** The settings that a gateway is started with, decoded once. */
--- a/gateway/src/main/java/amberpath/wire/WireGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/WireGateway.java
@@ -1,10 +1,10 @@
-package amberpath.wire;
+package org.amberpath.gateway.simulation;
 
-import amberpath.Arrivals;
-import amberpath.Decisions;
-import amberpath.RequestRouter;
-import amberpath.json.Fields;
-import amberpath.json.JsonSite;
+import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonSite;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/gateway/src/main/java/amberpath/wire/WireHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/WireHost.java
@@ -1,6 +1,6 @@
-package amberpath.wire;
+package org.amberpath.gateway.simulation;
 
-import amberpath.json.Fields;
+import org.amberpath.gateway.settings.Fields;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/gateway/src/test/java/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -1,14 +1,14 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.gateway.StandIns.Client;
-import amberpath.msgpack.ClientConnection;
-import amberpath.msgpack.ClientGet;
-import amberpath.msgpack.ClientHandler;
-import amberpath.msgpack.Unread;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.ClientHandler;
+import org.amberpath.gateway.client.Unread;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.io.ByteArrayOutputStream;
--- a/gateway/src/test/java/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Client;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
--- a/gateway/src/test/java/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -1,14 +1,14 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
-import amberpath.json.Fields;
+import org.amberpath.routing.Arrivals;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.settings.Fields;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.net.Socket;
--- a/gateway/src/test/java/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.json.Fields;
+import org.amberpath.gateway.settings.Fields;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/gateway/src/test/java/amberpath/gateway/OwnGetsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/OwnGetsTest.java
@@ -1,14 +1,14 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Decisions;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
-import amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.Decisions;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.nio.file.Path;
--- a/gateway/src/test/java/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals;
-import amberpath.Decisions;
-import amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.Decisions;
+import org.amberpath.gateway.StandIns.Client;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/gateway/src/test/java/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -1,19 +1,19 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Decisions;
-import amberpath.RequestRouter;
-import amberpath.gateway.StandIns.Answer;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
-import amberpath.gateway.StandIns.Command;
-import amberpath.gateway.StandIns.Journal;
-import amberpath.gateway.StandIns.JournalRelay;
-import amberpath.gateway.StandIns.Reaction;
-import amberpath.gateway.StandIns.Seen;
+import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.StandIns.Journal;
+import org.amberpath.gateway.StandIns.JournalRelay;
+import org.amberpath.gateway.StandIns.Reaction;
+import org.amberpath.gateway.StandIns.Seen;
 import java.lang.reflect.Proxy;
 import java.net.Socket;
 import java.nio.file.Path;
--- a/gateway/src/test/java/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -1,12 +1,12 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.RequestRouter;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.nio.file.Path;
--- a/gateway/src/test/java/amberpath/gateway/ServeProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ServeProcess.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 /** A gateway as a process of its own, without the command line round it. */
 public final class ServeProcess {
--- a/gateway/src/test/java/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/gateway/src/test/java/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -7,10 +7,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.gateway.StandIns.Answer;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
-import amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/gateway/src/test/java/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -1,4 +1,4 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals;
-import amberpath.Arrivals.Outcome;
-import amberpath.RequestRouter;
-import amberpath.gateway.StandIns.Answer;
-import amberpath.gateway.StandIns.Cache;
-import amberpath.gateway.StandIns.Client;
-import amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
--- a/gateway/src/test/java/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -1,10 +1,10 @@
-package amberpath.gateway;
+package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals;
+import org.amberpath.routing.Arrivals;
 import java.lang.reflect.Proxy;
 import java.nio.file.Path;
 import java.util.concurrent.BlockingQueue;
--- a/gateway/src/test/java/amberpath/resp/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -1,9 +1,9 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/gateway/src/test/java/amberpath/resp/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -1,10 +1,10 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.LocalBackoff;
+import org.amberpath.routing.LocalBackoff;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.ConnectException;
--- a/gateway/src/test/java/amberpath/resp/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -1,10 +1,10 @@
-package amberpath.resp;
+package org.amberpath.gateway.cache;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
 import io.vertx.core.Promise;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
--- a/gateway/src/test/java/amberpath/msgpack/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -1,4 +1,4 @@
-package amberpath.msgpack;
+package org.amberpath.gateway.client;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/gateway/src/test/java/amberpath/wire/WireHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/WireHostTest.java
@@ -1,4 +1,4 @@
-package amberpath.wire;
+package org.amberpath.gateway.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/lab/src/main/java/amberpath/lab/Agenda.java
+++ b/lab/src/main/java/org/amberpath/lab/Agenda.java
@@ -1,4 +1,4 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
 import java.util.PriorityQueue;
 
--- a/lab/src/main/java/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -1,8 +1,8 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
-import amberpath.Arrivals.State;
-import amberpath.registry.live.RegistryAccess;
-import amberpath.registry.live.RegistrySource;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistrySource;
 import java.io.PrintStream;
 import java.util.Locale;
 
--- a/lab/src/main/java/amberpath/lab/Experiment.java
+++ b/lab/src/main/java/org/amberpath/lab/Experiment.java
@@ -1,4 +1,4 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
 import io.vertx.core.json.JsonObject;
 import java.util.LinkedHashMap;
--- a/lab/src/main/java/amberpath/lab/Flood.java
+++ b/lab/src/main/java/org/amberpath/lab/Flood.java
@@ -1,7 +1,7 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
-import amberpath.registry.live.RegistryAccess;
-import amberpath.registry.live.RegistrySource;
+import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistrySource;
 import java.io.PrintStream;
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
--- a/lab/src/main/java/amberpath/lab/LabSite.java
+++ b/lab/src/main/java/org/amberpath/lab/LabSite.java
@@ -1,6 +1,6 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
-import amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.GatewayOptions;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/lab/src/main/java/amberpath/lab/Loops.java
+++ b/lab/src/main/java/org/amberpath/lab/Loops.java
@@ -1,4 +1,4 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/lab/src/main/java/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -1,6 +1,6 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
-import amberpath.resp.ReplyReader;
+import org.amberpath.gateway.cache.ReplyReader;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/lab/src/main/java/amberpath/lab/Tills.java
+++ b/lab/src/main/java/org/amberpath/lab/Tills.java
@@ -1,6 +1,6 @@
-package amberpath.lab;
+package org.amberpath.lab;
 
-import amberpath.msgpack.MessageReader;
+import org.amberpath.gateway.client.MessageReader;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/lab/src/main/java/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -1,18 +1,18 @@
-package amberpath.lab;
-
-import amberpath.Arrivals;
-import amberpath.Arrivals.Events;
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
-import amberpath.Decisions;
-import amberpath.Recent;
-import amberpath.RequestRouter;
-import amberpath.Site;
-import amberpath.owner.Ahead;
-import amberpath.owner.Trials;
-import amberpath.recovery.Reopening;
+package org.amberpath.lab;
+
+import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Decisions;
+import org.amberpath.routing.Recent;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.Site;
+import org.amberpath.leadership.Ahead;
+import org.amberpath.leadership.Trials;
+import org.amberpath.recovery.Reopening;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/lab/src/main/java/amberpath/lab/World.java
+++ b/lab/src/main/java/org/amberpath/lab/World.java
@@ -1,13 +1,13 @@
-package amberpath.lab;
-
-import amberpath.Arrivals.State;
-import amberpath.gateway.Beside;
-import amberpath.gateway.Gateway;
-import amberpath.gateway.NewsSource;
-import amberpath.lab.registry.StandInRegistry;
-import amberpath.registry.Content;
-import amberpath.registry.live.KeyForm;
-import amberpath.registry.live.RegistryAccess;
+package org.amberpath.lab;
+
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.gateway.Beside;
+import org.amberpath.gateway.Gateway;
+import org.amberpath.gateway.NewsSource;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.registry.runtime.RegistryAccess;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
--- a/lab/src/main/java/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -1,6 +1,6 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
-import amberpath.lab.Experiment;
+import org.amberpath.lab.Experiment;
 import java.io.PrintStream;
 import java.nio.file.Path;
 
--- a/lab/src/main/java/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -1,14 +1,14 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
-import amberpath.Arrivals.State;
-import amberpath.lab.LabSite;
-import amberpath.lab.Loops;
-import amberpath.lab.StandInCache;
-import amberpath.lab.Tills;
-import amberpath.lab.rig.Auditor;
-import amberpath.lab.rig.GatewayProcess;
-import amberpath.lab.rig.StandInJournal;
-import amberpath.lab.rig.StandInJournal.Instance;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.lab.LabSite;
+import org.amberpath.lab.Loops;
+import org.amberpath.lab.StandInCache;
+import org.amberpath.lab.Tills;
+import org.amberpath.lab.testbed.Auditor;
+import org.amberpath.lab.testbed.GatewayProcess;
+import org.amberpath.lab.testbed.StandInJournal;
+import org.amberpath.lab.testbed.StandInJournal.Instance;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -166,7 +166,7 @@
     Files.deleteIfExists(log);
     Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(), IDLE_SECONDS,
         "\"limits\":{\"sockets\":" + plan.sockets() + "},\"known\":" + onLoop(journal::known) + ","));
-    gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("amberpath.Main", "serve"),
+    gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("org.amberpath.cli.Main", "serve"),
         Map.of("PROXY_CONFIG", config.toString()), log);
     usage = new ProcessUsage(gateway.processId());
     return gateway.clients().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
--- a/lab/src/main/java/amberpath/lab/endpoints/GatewayUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/GatewayUsage.java
@@ -1,4 +1,4 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/lab/src/main/java/amberpath/lab/endpoints/ProcessUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
@@ -1,4 +1,4 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/lab/src/main/java/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -1,6 +1,6 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
-import amberpath.lab.Experiment;
+import org.amberpath.lab.Experiment;
 
 /** How far the needs of a gateway may grow with the number of endpoints, at the same traffic. */
 public final class UsageBounds {
--- a/lab/src/main/java/amberpath/lab/owner/LowestAlive.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestAlive.java
@@ -1,6 +1,6 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
-import amberpath.owner.Tenure;
+import org.amberpath.leadership.Tenure;
 import java.util.Map;
 import java.util.TreeMap;
 
--- a/lab/src/main/java/amberpath/lab/owner/OwnerDay.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/OwnerDay.java
@@ -1,14 +1,14 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
-import amberpath.lab.Experiment;
-import amberpath.lab.Loops;
-import amberpath.lab.registry.StandInRegistry;
-import amberpath.lab.registry.StandInRegistry.Endpoint;
-import amberpath.lab.registry.StandInRegistry.Way;
-import amberpath.lab.rig.Links;
-import amberpath.lab.rig.Rig;
-import amberpath.registry.Content;
-import amberpath.registry.live.KeyForm;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.Loops;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.lab.registry.StandInRegistry.Endpoint;
+import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.lab.testbed.Links;
+import org.amberpath.lab.testbed.Rig;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.runtime.KeyForm;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
--- a/lab/src/main/java/amberpath/lab/owner/OwnerModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/OwnerModel.java
@@ -1,6 +1,6 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 
 /** Ownership of tasks on a virtual clock, the right way and wrong ones. */
 public final class OwnerModel {
--- a/lab/src/main/java/amberpath/lab/owner/OwnerRun.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/OwnerRun.java
@@ -1,16 +1,16 @@
-package amberpath.lab.owner;
-
-import amberpath.lab.Agenda;
-import amberpath.lab.VirtualProcess;
-import amberpath.lab.owner.OwnerModel.Way;
-import amberpath.owner.Electorate;
-import amberpath.owner.Fence;
-import amberpath.owner.LeasedTenure;
-import amberpath.owner.OwnerRules;
-import amberpath.owner.Tenure;
-import amberpath.owner.Vote;
-import amberpath.owner.VotedTenure;
-import amberpath.owner.Voter;
+package org.amberpath.lab.leadership;
+
+import org.amberpath.lab.Agenda;
+import org.amberpath.lab.VirtualProcess;
+import org.amberpath.lab.leadership.OwnerModel.Way;
+import org.amberpath.leadership.Electorate;
+import org.amberpath.leadership.Fence;
+import org.amberpath.leadership.LeasedTenure;
+import org.amberpath.leadership.OwnerRules;
+import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Vote;
+import org.amberpath.leadership.VotedTenure;
+import org.amberpath.leadership.Voter;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
--- a/lab/src/main/java/amberpath/lab/owner/OwnerWorth.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/OwnerWorth.java
@@ -1,6 +1,6 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
-import amberpath.lab.Experiment;
+import org.amberpath.lab.Experiment;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
--- a/lab/src/main/java/amberpath/lab/owner/WorthRun.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/WorthRun.java
@@ -1,7 +1,7 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
-import amberpath.Arrivals.State;
-import amberpath.lab.VirtualFleet;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
--- a/lab/src/main/java/amberpath/lab/fleet/FleetDay.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/FleetDay.java
@@ -1,8 +1,8 @@
-package amberpath.lab.fleet;
+package org.amberpath.lab.membership;
 
-import amberpath.lab.Experiment;
-import amberpath.lab.rig.Links.Way;
-import amberpath.lab.rig.Rig;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.testbed.Links.Way;
+import org.amberpath.lab.testbed.Rig;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/lab/src/main/java/amberpath/lab/fleet/FleetModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/FleetModel.java
@@ -1,6 +1,6 @@
-package amberpath.lab.fleet;
+package org.amberpath.lab.membership;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 
 /** The pure half of the fleet's view on a virtual clock. */
 public final class FleetModel {
--- a/lab/src/main/java/amberpath/lab/fleet/FleetRun.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/FleetRun.java
@@ -1,12 +1,12 @@
-package amberpath.lab.fleet;
+package org.amberpath.lab.membership;
 
-import amberpath.fleet.FleetDoor;
-import amberpath.fleet.FleetRules;
-import amberpath.fleet.FleetView;
-import amberpath.fleet.Message;
-import amberpath.fleet.Rumour;
-import amberpath.fleet.Standing;
-import amberpath.lab.Agenda;
+import org.amberpath.membership.FleetDoor;
+import org.amberpath.membership.FleetRules;
+import org.amberpath.membership.FleetView;
+import org.amberpath.membership.Message;
+import org.amberpath.membership.Rumour;
+import org.amberpath.membership.Standing;
+import org.amberpath.lab.Agenda;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/lab/src/main/java/amberpath/lab/fleet/FleetSize.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/FleetSize.java
@@ -1,15 +1,15 @@
-package amberpath.lab.fleet;
-
-import amberpath.fleet.FleetDoor;
-import amberpath.fleet.FleetRules;
-import amberpath.fleet.FleetView;
-import amberpath.fleet.Message;
-import amberpath.fleet.Rumour;
-import amberpath.fleet.Standing;
-import amberpath.fleet.live.FleetForm;
-import amberpath.fleet.live.FleetKeys;
-import amberpath.lab.Agenda;
-import amberpath.lab.Experiment;
+package org.amberpath.lab.membership;
+
+import org.amberpath.membership.FleetDoor;
+import org.amberpath.membership.FleetRules;
+import org.amberpath.membership.FleetView;
+import org.amberpath.membership.Message;
+import org.amberpath.membership.Rumour;
+import org.amberpath.membership.Standing;
+import org.amberpath.membership.runtime.FleetForm;
+import org.amberpath.membership.runtime.FleetKeys;
+import org.amberpath.lab.Agenda;
+import org.amberpath.lab.Experiment;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/amberpath/lab/plan/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -1,6 +1,6 @@
-package amberpath.lab.plan;
+package org.amberpath.lab.planning;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 
 /** The pure halves of planners and forwarders on a virtual clock. */
 public final class PlannersModel {
--- a/lab/src/main/java/amberpath/lab/plan/PlannersRun.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersRun.java
@@ -1,15 +1,15 @@
-package amberpath.lab.plan;
-
-import amberpath.lab.Agenda;
-import amberpath.lab.VirtualProcess;
-import amberpath.owner.LeasedTenure;
-import amberpath.owner.Tenure;
-import amberpath.plan.Ask;
-import amberpath.plan.Grant;
-import amberpath.plan.Holding;
-import amberpath.plan.LeaseRules;
-import amberpath.plan.Ledger;
-import amberpath.plan.Shares;
+package org.amberpath.lab.planning;
+
+import org.amberpath.lab.Agenda;
+import org.amberpath.lab.VirtualProcess;
+import org.amberpath.leadership.LeasedTenure;
+import org.amberpath.leadership.Tenure;
+import org.amberpath.planning.Ask;
+import org.amberpath.planning.Grant;
+import org.amberpath.planning.Holding;
+import org.amberpath.planning.LeaseRules;
+import org.amberpath.planning.Ledger;
+import org.amberpath.planning.Shares;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/lab/src/main/java/amberpath/lab/recovery/LossRun.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/LossRun.java
@@ -1,7 +1,7 @@
-package amberpath.lab.recovery;
+package org.amberpath.lab.recovery;
 
-import amberpath.Arrivals.State;
-import amberpath.lab.VirtualFleet;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
--- a/lab/src/main/java/amberpath/lab/recovery/PowerLossSize.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSize.java
@@ -1,8 +1,8 @@
-package amberpath.lab.recovery;
+package org.amberpath.lab.recovery;
 
-import amberpath.lab.Experiment;
-import amberpath.lab.VirtualFleet.Opening;
-import amberpath.lab.VirtualFleet.Plan;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.VirtualFleet.Opening;
+import org.amberpath.lab.VirtualFleet.Plan;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
--- a/lab/src/main/java/amberpath/lab/registry/History.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/History.java
@@ -1,4 +1,4 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/lab/src/main/java/amberpath/lab/registry/ModelRun.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/ModelRun.java
@@ -1,11 +1,11 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
-import amberpath.lab.Agenda;
-import amberpath.Arrivals.State;
-import amberpath.lab.registry.VirtualRegistry.Node;
-import amberpath.lab.registry.VirtualRegistry.Way;
-import amberpath.registry.Content;
-import amberpath.registry.RegistryView;
+import org.amberpath.lab.Agenda;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.lab.registry.VirtualRegistry.Node;
+import org.amberpath.lab.registry.VirtualRegistry.Way;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/lab/src/main/java/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -1,6 +1,6 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 
 /** The registry's pure half on a virtual clock. */
 public final class RegistryModel {
--- a/lab/src/main/java/amberpath/lab/registry/RegistrySize.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySize.java
@@ -1,13 +1,13 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
-import amberpath.lab.Agenda;
-import amberpath.Arrivals.State;
-import amberpath.Membership;
-import amberpath.lab.Experiment;
-import amberpath.lab.registry.VirtualRegistry.Way;
-import amberpath.registry.Content;
-import amberpath.registry.Recovery;
-import amberpath.registry.RegistryView;
+import org.amberpath.lab.Agenda;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.registry.VirtualRegistry.Way;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Recovery;
+import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/lab/src/main/java/amberpath/lab/registry/StandInRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
@@ -1,4 +1,4 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/lab/src/main/java/amberpath/lab/registry/ToldList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/ToldList.java
@@ -1,8 +1,8 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
-import amberpath.registry.Content;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.registry.Content;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
--- a/lab/src/main/java/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -1,14 +1,14 @@
-package amberpath.lab.registry;
-
-import amberpath.lab.Agenda;
-import amberpath.registry.Change;
-import amberpath.registry.Content;
-import amberpath.registry.Failure;
-import amberpath.registry.Held;
-import amberpath.registry.Orders;
-import amberpath.registry.Recovery;
-import amberpath.registry.Recovery.Header;
-import amberpath.registry.RegistryView;
+package org.amberpath.lab.registry;
+
+import org.amberpath.lab.Agenda;
+import org.amberpath.registry.Change;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Orders;
+import org.amberpath.registry.Recovery;
+import org.amberpath.registry.Recovery.Header;
+import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
--- a/lab/src/main/java/amberpath/lab/rig/Auditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Auditor.java
@@ -1,8 +1,8 @@
-package amberpath.lab.rig;
+package org.amberpath.lab.testbed;
 
-import amberpath.lab.LabSite;
-import amberpath.lab.StandInCache;
-import amberpath.lab.Tills;
+import org.amberpath.lab.LabSite;
+import org.amberpath.lab.StandInCache;
+import org.amberpath.lab.Tills;
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/lab/src/main/java/amberpath/lab/rig/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -1,4 +1,4 @@
-package amberpath.lab.rig;
+package org.amberpath.lab.testbed;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/lab/src/main/java/amberpath/lab/rig/Links.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Links.java
@@ -1,4 +1,4 @@
-package amberpath.lab.rig;
+package org.amberpath.lab.testbed;
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
--- a/lab/src/main/java/amberpath/lab/rig/Rig.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Rig.java
@@ -1,10 +1,10 @@
-package amberpath.lab.rig;
+package org.amberpath.lab.testbed;
 
-import amberpath.Arrivals.State;
-import amberpath.lab.LabSite;
-import amberpath.lab.Loops;
-import amberpath.lab.StandInCache;
-import amberpath.lab.Tills;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.lab.LabSite;
+import org.amberpath.lab.Loops;
+import org.amberpath.lab.StandInCache;
+import org.amberpath.lab.Tills;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -173,7 +173,7 @@
   private void begin(Place one) throws IOException {
     Path config = plan.folder().resolve(one.name + ".json"), ini = plan.folder().resolve(one.name + ".ini");
     Files.writeString(config, LabSite.json(one.name, plan.seed() + one.index, journal.address(), plan.gateways()));
-    List<String> main = new ArrayList<>(List.of("amberpath.Main", "serve"));
+    List<String> main = new ArrayList<>(List.of("org.amberpath.cli.Main", "serve"));
     if (plan.told() > 0) {
       write(one);
       main.addAll(List.of("--file", ini.toString()));
--- a/lab/src/main/java/amberpath/lab/rig/Tether.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Tether.java
@@ -1,4 +1,4 @@
-package amberpath.lab.rig;
+package org.amberpath.lab.testbed;
 
 import java.io.IOException;
 import java.lang.reflect.Method;
--- a/lab/src/test/java/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -1,9 +1,9 @@
-package amberpath.lab.endpoints;
+package org.amberpath.lab.endpoints;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.Experiment;
+import org.amberpath.lab.Experiment;
 import io.vertx.core.json.JsonObject;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
--- a/lab/src/test/java/amberpath/lab/owner/FencedSweepTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedSweepTest.java
@@ -1,17 +1,17 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.Loops;
-import amberpath.lab.registry.StandInRegistry;
-import amberpath.owner.Sweep;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
-import amberpath.registry.live.KeyForm;
-import amberpath.registry.live.RegistryAccess;
-import amberpath.registry.live.RegistryDesk;
+import org.amberpath.lab.Loops;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.leadership.Sweep;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistryDesk;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
--- a/lab/src/test/java/amberpath/lab/owner/OwnerModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/OwnerModelTest.java
@@ -1,10 +1,10 @@
-package amberpath.lab.owner;
+package org.amberpath.lab.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.Runs;
-import amberpath.lab.owner.OwnerModel.Way;
+import org.amberpath.lab.Runs;
+import org.amberpath.lab.leadership.OwnerModel.Way;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/lab/src/test/java/amberpath/lab/fleet/FleetModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/FleetModelTest.java
@@ -1,8 +1,8 @@
-package amberpath.lab.fleet;
+package org.amberpath.lab.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/lab/src/test/java/amberpath/lab/plan/PlannersModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelTest.java
@@ -1,8 +1,8 @@
-package amberpath.lab.plan;
+package org.amberpath.lab.planning;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.lab.Runs;
+import org.amberpath.lab.Runs;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/lab/src/test/java/amberpath/lab/registry/RegistryModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelTest.java
@@ -1,10 +1,10 @@
-package amberpath.lab.registry;
+package org.amberpath.lab.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.lab.Experiment;
-import amberpath.lab.Runs;
+import org.amberpath.lab.Experiment;
+import org.amberpath.lab.Runs;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/leadership/src/main/java/amberpath/owner/Ahead.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Ahead.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import java.util.Map;
 import java.util.TreeMap;
--- a/leadership/src/main/java/amberpath/owner/Electorate.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Electorate.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import java.util.Collection;
 import java.util.List;
--- a/leadership/src/main/java/amberpath/owner/Fence.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Fence.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
--- a/leadership/src/main/java/amberpath/owner/OwnerRules.java
+++ b/leadership/src/main/java/org/amberpath/leadership/OwnerRules.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 /**
  * What all owners, candidates and voters agree on beforehand. Nanoseconds; no two clocks need to agree, only to run at
--- a/leadership/src/main/java/amberpath/owner/Sweep.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Sweep.java
@@ -1,7 +1,7 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
-import amberpath.registry.Content;
-import amberpath.registry.Held;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
--- a/leadership/src/main/java/amberpath/owner/Tenure.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Tenure.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 /**
  * Whether a named task is this process's own for now. Two sources tell: a lease in the registry, and votes. Times are
--- a/leadership/src/main/java/amberpath/owner/Vote.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Vote.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 /**
  * One message between a candidate and a voter, on one task.
--- a/leadership/src/main/java/amberpath/owner/live/AheadWork.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/AheadWork.java
@@ -1,9 +1,9 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.fleet.live.FleetCompany;
-import amberpath.gateway.Company;
-import amberpath.owner.Ahead;
-import amberpath.owner.Tenure;
+import org.amberpath.membership.runtime.FleetCompany;
+import org.amberpath.gateway.Company;
+import org.amberpath.leadership.Ahead;
+import org.amberpath.leadership.Tenure;
 import io.vertx.core.json.JsonObject;
 
 /** What viewers will ask for is filled into caches that have just started, by one gateway, by GETs of its own. */
--- a/leadership/src/main/java/amberpath/owner/live/OwnerAccess.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnerAccess.java
@@ -1,8 +1,8 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.owner.Electorate;
-import amberpath.owner.OwnerRules;
-import amberpath.registry.live.RegistryAccess;
+import org.amberpath.leadership.Electorate;
+import org.amberpath.leadership.OwnerRules;
+import org.amberpath.registry.runtime.RegistryAccess;
 import java.util.function.Supplier;
 
 /**
--- a/leadership/src/main/java/amberpath/owner/live/Ownership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/Ownership.java
@@ -1,16 +1,16 @@
-package amberpath.owner.live;
-
-import amberpath.Decisions;
-import amberpath.fleet.live.FleetCompany;
-import amberpath.fleet.live.Guest;
-import amberpath.owner.Electorate;
-import amberpath.owner.Spread;
-import amberpath.owner.Tenure;
-import amberpath.owner.Vote;
-import amberpath.owner.VotedTenure;
-import amberpath.owner.Voter;
-import amberpath.owner.live.WordForm.Kind;
-import amberpath.owner.live.WordForm.Word;
+package org.amberpath.leadership.runtime;
+
+import org.amberpath.routing.Decisions;
+import org.amberpath.membership.runtime.FleetCompany;
+import org.amberpath.membership.runtime.Guest;
+import org.amberpath.leadership.Electorate;
+import org.amberpath.leadership.Spread;
+import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Vote;
+import org.amberpath.leadership.VotedTenure;
+import org.amberpath.leadership.Voter;
+import org.amberpath.leadership.runtime.WordForm.Kind;
+import org.amberpath.leadership.runtime.WordForm.Word;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
--- a/leadership/src/main/java/amberpath/owner/live/Post.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/Post.java
@@ -1,6 +1,6 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.owner.Tenure;
+import org.amberpath.leadership.Tenure;
 import io.vertx.core.json.JsonObject;
 import java.util.Locale;
 import java.util.logging.Logger;
--- a/leadership/src/main/java/amberpath/owner/live/SweepWork.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/SweepWork.java
@@ -1,13 +1,13 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.fleet.live.FleetCompany;
-import amberpath.owner.Sweep;
-import amberpath.owner.Tenure;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
-import amberpath.registry.live.KeyForm;
-import amberpath.registry.live.RegistryAccess;
-import amberpath.registry.live.RegistryDesk;
+import org.amberpath.membership.runtime.FleetCompany;
+import org.amberpath.leadership.Sweep;
+import org.amberpath.leadership.Tenure;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistryDesk;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
--- a/leadership/src/main/java/amberpath/owner/live/TrialWork.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TrialWork.java
@@ -1,13 +1,13 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.Decisions;
-import amberpath.fleet.live.FleetCompany;
-import amberpath.gateway.Company;
-import amberpath.owner.Spread;
-import amberpath.owner.Tenure;
-import amberpath.owner.Trials;
-import amberpath.owner.live.WordForm.Kind;
-import amberpath.owner.live.WordForm.Word;
+import org.amberpath.routing.Decisions;
+import org.amberpath.membership.runtime.FleetCompany;
+import org.amberpath.gateway.Company;
+import org.amberpath.leadership.Spread;
+import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Trials;
+import org.amberpath.leadership.runtime.WordForm.Kind;
+import org.amberpath.leadership.runtime.WordForm.Word;
 import io.vertx.core.json.JsonObject;
 import java.util.List;
 import java.util.Map;
--- a/leadership/src/main/java/amberpath/owner/live/VoteForm.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/VoteForm.java
@@ -1,6 +1,6 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.owner.Vote;
+import org.amberpath.leadership.Vote;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import org.msgpack.core.MessageBufferPacker;
--- a/leadership/src/main/java/amberpath/owner/live/WordForm.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/WordForm.java
@@ -1,6 +1,6 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.owner.Trials.Said;
+import org.amberpath.leadership.Trials.Said;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
--- a/leadership/src/main/java/amberpath/owner/live/Work.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/Work.java
@@ -1,6 +1,6 @@
-package amberpath.owner.live;
+package org.amberpath.leadership.runtime;
 
-import amberpath.owner.Tenure;
+import org.amberpath.leadership.Tenure;
 import io.vertx.core.json.JsonObject;
 
 /** What is done under one task, by whoever owns it. Belief is looked at again in the moment of each act. */
--- a/leadership/src/test/java/amberpath/owner/AheadTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/AheadTest.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/leadership/src/test/java/amberpath/owner/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
@@ -1,9 +1,9 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.registry.Content;
-import amberpath.registry.Held;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/leadership/src/test/java/amberpath/owner/TrialsTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/TrialsTest.java
@@ -1,11 +1,11 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.owner.Trials.Said;
+import org.amberpath.leadership.Trials.Said;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/leadership/src/test/java/amberpath/owner/VotedTenureTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VotedTenureTest.java
@@ -1,4 +1,4 @@
-package amberpath.owner;
+package org.amberpath.leadership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.owner.Vote.Kind;
+import org.amberpath.leadership.Vote.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/membership/src/main/java/amberpath/fleet/FleetRules.java
+++ b/membership/src/main/java/org/amberpath/membership/FleetRules.java
@@ -1,4 +1,4 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 /**
  * What the operators may set of a fleet's view. Times are nanoseconds.
--- a/membership/src/main/java/amberpath/fleet/FleetView.java
+++ b/membership/src/main/java/org/amberpath/membership/FleetView.java
@@ -1,6 +1,6 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
-import amberpath.fleet.Message.Kind;
+import org.amberpath.membership.Message.Kind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
--- a/membership/src/main/java/amberpath/fleet/Message.java
+++ b/membership/src/main/java/org/amberpath/membership/Message.java
@@ -1,4 +1,4 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 import java.util.List;
 
--- a/membership/src/main/java/amberpath/fleet/Rumour.java
+++ b/membership/src/main/java/org/amberpath/membership/Rumour.java
@@ -1,4 +1,4 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 /**
  * What one gateway says of another, or of itself.
--- a/membership/src/main/java/amberpath/fleet/Standing.java
+++ b/membership/src/main/java/org/amberpath/membership/Standing.java
@@ -1,4 +1,4 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 /** What is said of a gateway. Of two sayings under one incarnation, the later in this order holds. */
 public enum Standing {
--- a/membership/src/main/java/amberpath/fleet/live/FleetAccess.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetAccess.java
@@ -1,4 +1,4 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
 import io.vertx.core.net.SocketAddress;
 import java.nio.file.Path;
--- a/membership/src/main/java/amberpath/fleet/live/FleetCompany.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetCompany.java
@@ -1,15 +1,15 @@
-package amberpath.fleet.live;
-
-import amberpath.Decisions;
-import amberpath.fleet.FleetDoor;
-import amberpath.fleet.FleetRules;
-import amberpath.fleet.FleetView;
-import amberpath.fleet.Message;
-import amberpath.fleet.Rumour;
-import amberpath.fleet.Standing;
-import amberpath.gateway.Clock;
-import amberpath.gateway.Company;
-import amberpath.gateway.GatewayOptions;
+package org.amberpath.membership.runtime;
+
+import org.amberpath.routing.Decisions;
+import org.amberpath.membership.FleetDoor;
+import org.amberpath.membership.FleetRules;
+import org.amberpath.membership.FleetView;
+import org.amberpath.membership.Message;
+import org.amberpath.membership.Rumour;
+import org.amberpath.membership.Standing;
+import org.amberpath.gateway.Clock;
+import org.amberpath.gateway.Company;
+import org.amberpath.gateway.GatewayOptions;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
--- a/membership/src/main/java/amberpath/fleet/live/FleetDesk.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetDesk.java
@@ -1,6 +1,6 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
-import amberpath.fleet.FleetView;
+import org.amberpath.membership.FleetView;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpMethod;
--- a/membership/src/main/java/amberpath/fleet/live/FleetForm.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetForm.java
@@ -1,8 +1,8 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
-import amberpath.fleet.Message;
-import amberpath.fleet.Rumour;
-import amberpath.fleet.Standing;
+import org.amberpath.membership.Message;
+import org.amberpath.membership.Rumour;
+import org.amberpath.membership.Standing;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
--- a/membership/src/main/java/amberpath/fleet/live/FleetKeys.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetKeys.java
@@ -1,4 +1,4 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/membership/src/main/java/amberpath/fleet/live/Guest.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/Guest.java
@@ -1,6 +1,6 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
-import amberpath.Decisions;
+import org.amberpath.routing.Decisions;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
 
--- a/membership/src/test/java/amberpath/fleet/FleetClockTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FleetClockTest.java
@@ -1,9 +1,9 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.fleet.Message.Kind;
+import org.amberpath.membership.Message.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/membership/src/test/java/amberpath/fleet/FleetDoorTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FleetDoorTest.java
@@ -1,10 +1,10 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.fleet.FleetDoor.Verdict;
+import org.amberpath.membership.FleetDoor.Verdict;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/membership/src/test/java/amberpath/fleet/FleetViewTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FleetViewTest.java
@@ -1,11 +1,11 @@
-package amberpath.fleet;
+package org.amberpath.membership;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.fleet.Message.Kind;
+import org.amberpath.membership.Message.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/membership/src/test/java/amberpath/fleet/live/FleetFormTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/FleetFormTest.java
@@ -1,16 +1,16 @@
-package amberpath.fleet.live;
+package org.amberpath.membership.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.fleet.FleetRules;
-import amberpath.fleet.Message;
-import amberpath.fleet.Message.Kind;
-import amberpath.fleet.Rumour;
-import amberpath.fleet.Standing;
-import amberpath.fleet.live.FleetForm.Fault;
+import org.amberpath.membership.FleetRules;
+import org.amberpath.membership.Message;
+import org.amberpath.membership.Message.Kind;
+import org.amberpath.membership.Rumour;
+import org.amberpath.membership.Standing;
+import org.amberpath.membership.runtime.FleetForm.Fault;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
--- a/planning/src/main/java/amberpath/plan/Ask.java
+++ b/planning/src/main/java/org/amberpath/planning/Ask.java
@@ -1,4 +1,4 @@
-package amberpath.plan;
+package org.amberpath.planning;
 
 /**
  * What a forwarder tells its planner to be granted a share.
--- a/planning/src/main/java/amberpath/plan/Grant.java
+++ b/planning/src/main/java/org/amberpath/planning/Grant.java
@@ -1,4 +1,4 @@
-package amberpath.plan;
+package org.amberpath.planning;
 
 /**
  * A forwarder's shares of all resources, by one planner.
--- a/planning/src/main/java/amberpath/plan/LeaseRules.java
+++ b/planning/src/main/java/org/amberpath/planning/LeaseRules.java
@@ -1,6 +1,6 @@
-package amberpath.plan;
+package org.amberpath.planning;
 
-import amberpath.owner.OwnerRules;
+import org.amberpath.leadership.OwnerRules;
 
 /**
  * What planners and forwarders of an installation agree on beforehand. Nanoseconds; no two clocks need to agree,
--- a/planning/src/main/java/amberpath/plan/Shares.java
+++ b/planning/src/main/java/org/amberpath/planning/Shares.java
@@ -1,4 +1,4 @@
-package amberpath.plan;
+package org.amberpath.planning;
 
 import java.util.Arrays;
 
--- a/planning/src/test/java/amberpath/plan/LedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/LedgerTest.java
@@ -1,4 +1,4 @@
-package amberpath.plan;
+package org.amberpath.planning;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/recovery/src/main/java/amberpath/recovery/Reopening.java
+++ b/recovery/src/main/java/org/amberpath/recovery/Reopening.java
@@ -1,4 +1,4 @@
-package amberpath.recovery;
+package org.amberpath.recovery;
 
 import java.util.SplittableRandom;
 
--- a/recovery/src/test/java/amberpath/recovery/ReopeningTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/ReopeningTest.java
@@ -1,10 +1,10 @@
-package amberpath.recovery;
+package org.amberpath.recovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.recovery.Reopening.Phase;
+import org.amberpath.recovery.Reopening.Phase;
 import org.junit.jupiter.api.Test;
 
 /** Stories of one start, with viewers that ask a hundred times a second. */
--- a/registry/src/main/java/amberpath/registry/Backoff.java
+++ b/registry/src/main/java/org/amberpath/registry/Backoff.java
@@ -1,4 +1,4 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 import java.util.SplittableRandom;
 
--- a/registry/src/main/java/amberpath/registry/Change.java
+++ b/registry/src/main/java/org/amberpath/registry/Change.java
@@ -1,4 +1,4 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 /** One event of a watch; held is null where the key was deleted. */
 public record Change(long revision, String key, Held held) {
--- a/registry/src/main/java/amberpath/registry/Content.java
+++ b/registry/src/main/java/org/amberpath/registry/Content.java
@@ -1,6 +1,6 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 
 /** What the value of one key says. Keys and values are those of docs/operate/registry.md. */
 public sealed interface Content {
--- a/registry/src/main/java/amberpath/registry/Failure.java
+++ b/registry/src/main/java/org/amberpath/registry/Failure.java
@@ -1,4 +1,4 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 /** Why a call to an endpoint ended without what it was made for. */
 public enum Failure {
--- a/registry/src/main/java/amberpath/registry/Held.java
+++ b/registry/src/main/java/org/amberpath/registry/Held.java
@@ -1,4 +1,4 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 /**
  * One key as the registry holds it.
--- a/registry/src/main/java/amberpath/registry/Orders.java
+++ b/registry/src/main/java/org/amberpath/registry/Orders.java
@@ -1,4 +1,4 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 /** What the recovery has the live half do. A call is known by its number, and ends with one outcome or is dropped. */
 public interface Orders {
--- a/registry/src/main/java/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -1,7 +1,7 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
--- a/registry/src/main/java/amberpath/registry/live/ConsulForm.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulForm.java
@@ -1,10 +1,10 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.json.Fields;
-import amberpath.json.Fields.Malformed;
-import amberpath.registry.Failure;
-import amberpath.registry.Held;
-import amberpath.registry.Recovery.Header;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.Fields.Malformed;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Recovery.Header;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/registry/src/main/java/amberpath/registry/live/FileOperations.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
@@ -1,4 +1,4 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
--- a/registry/src/main/java/amberpath/registry/live/Form.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/Form.java
@@ -1,10 +1,10 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.registry.Change;
-import amberpath.registry.Content;
-import amberpath.registry.Failure;
-import amberpath.registry.Held;
-import amberpath.registry.Recovery.Header;
+import org.amberpath.registry.Change;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Recovery.Header;
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpMethod;
 import java.util.List;
@@ -15,7 +15,7 @@
   record Ask(HttpMethod method, String uri, byte[] body) {
   }
 
-  /** A part of a list; count as {@link amberpath.registry.Recovery#page} has it. */
+  /** A part of a list; count as {@link org.amberpath.registry.Recovery#page} has it. */
   record Page(Header header, List<Held> items, boolean more, long count) {
   }
 
--- a/registry/src/main/java/amberpath/registry/live/KeyForm.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/KeyForm.java
@@ -1,9 +1,9 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.Arrivals.State;
-import amberpath.gateway.GatewayOptions;
-import amberpath.json.Fields;
-import amberpath.registry.Content;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.registry.Content;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
--- a/registry/src/main/java/amberpath/registry/live/RegistryAccess.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAccess.java
@@ -1,4 +1,4 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import io.vertx.core.net.SocketAddress;
 import java.nio.file.Path;
--- a/registry/src/main/java/amberpath/registry/live/RegistryDesk.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryDesk.java
@@ -1,8 +1,8 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.registry.Content;
-import amberpath.registry.Failure;
-import amberpath.registry.Held;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Held;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
--- a/registry/src/main/java/amberpath/registry/live/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -1,14 +1,14 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.Membership;
-import amberpath.gateway.Clock;
-import amberpath.gateway.NewsSource;
-import amberpath.json.Fields;
-import amberpath.registry.Failure;
-import amberpath.registry.Orders;
-import amberpath.registry.Recovery;
-import amberpath.registry.RegistryView;
-import amberpath.registry.Snapshot;
+import org.amberpath.routing.Membership;
+import org.amberpath.gateway.Clock;
+import org.amberpath.gateway.NewsSource;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Orders;
+import org.amberpath.registry.Recovery;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.registry.Snapshot;
 import io.vertx.core.Vertx;
 import io.vertx.core.MultiMap;
 import java.io.IOException;
--- a/registry/src/main/java/amberpath/registry/live/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -1,9 +1,9 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.json.Fields;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
-import amberpath.registry.Snapshot;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Snapshot;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.ByteArrayOutputStream;
--- a/registry/src/main/java/amberpath/registry/live/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
@@ -1,7 +1,7 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.registry.Backoff;
-import amberpath.registry.Snapshot;
+import org.amberpath.registry.Backoff;
+import org.amberpath.registry.Snapshot;
 import io.vertx.core.Future;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
--- a/registry/src/main/java/amberpath/registry/live/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -1,7 +1,7 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
 import java.util.function.LongSupplier;
 
 /**
--- a/registry/src/main/java/amberpath/registry/live/Wires.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/Wires.java
@@ -1,7 +1,7 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
-import amberpath.json.Fields;
-import amberpath.registry.Failure;
+import org.amberpath.gateway.settings.Fields;
+import org.amberpath.registry.Failure;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
--- a/registry/src/test/java/amberpath/registry/RecoveryTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RecoveryTest.java
@@ -1,12 +1,12 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.registry.Recovery.Header;
-import amberpath.registry.Recovery.Phase;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.registry.Recovery.Header;
+import org.amberpath.registry.Recovery.Phase;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
--- a/registry/src/test/java/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -1,11 +1,11 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
--- a/registry/src/test/java/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -1,9 +1,9 @@
-package amberpath.registry;
+package org.amberpath.registry;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/registry/src/test/java/amberpath/registry/live/FormsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/FormsTest.java
@@ -1,4 +1,4 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.json.Fields.Malformed;
-import amberpath.registry.Content;
-import amberpath.registry.Failure;
-import amberpath.registry.Held;
-import amberpath.registry.Snapshot;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.gateway.settings.Fields.Malformed;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Failure;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Snapshot;
 import io.vertx.core.MultiMap;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/registry/src/test/java/amberpath/registry/live/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -1,10 +1,10 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
--- a/registry/src/test/java/amberpath/registry/live/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -1,13 +1,13 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
-import amberpath.registry.Snapshot;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
+import org.amberpath.registry.Snapshot;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.io.IOException;
--- a/registry/src/test/java/amberpath/registry/live/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -1,12 +1,12 @@
-package amberpath.registry.live;
+package org.amberpath.registry.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.Membership;
-import amberpath.registry.Content;
-import amberpath.registry.Held;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Membership;
+import org.amberpath.registry.Content;
+import org.amberpath.registry.Held;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/routing/src/main/java/amberpath/Arrivals.java
+++ b/routing/src/main/java/org/amberpath/routing/Arrivals.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** All that came in at a gateway in one round, in order. Small indices stand for caches and services. */
 public interface Arrivals {
--- a/routing/src/main/java/amberpath/Attempt.java
+++ b/routing/src/main/java/org/amberpath/routing/Attempt.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * One copy of a request, sent by a route.
--- a/routing/src/main/java/amberpath/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.InFlightRequest.Purpose;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.InFlightRequest.Purpose;
 
 /** Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and slow start. */
 final class AttemptRecorder {
--- a/routing/src/main/java/amberpath/Batch.java
+++ b/routing/src/main/java/org/amberpath/routing/Batch.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * What every step of one batch of events shares.
--- a/routing/src/main/java/amberpath/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.State;
-import amberpath.Decisions.Health;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Decisions.Health;
 import java.util.SplittableRandom;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
--- a/routing/src/main/java/amberpath/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 import java.util.function.LongToDoubleFunction;
 
--- a/routing/src/main/java/amberpath/ConnectPatience.java
+++ b/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Whether a connect that did not come up in a request's time is held against the endpoint. Guards endpoints against
--- a/routing/src/main/java/amberpath/Decisions.java
+++ b/routing/src/main/java/org/amberpath/routing/Decisions.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** Takes a gateway's decisions, in the order in which they are to be carried out. Times are nanoseconds. */
 public interface Decisions {
--- a/routing/src/main/java/amberpath/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 
 /** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
 final class Endpoint {
--- a/routing/src/main/java/amberpath/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 
 /**
  * An endpoint as it is listed.
--- a/routing/src/main/java/amberpath/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * How one endpoint is, by the signs of life that this gateway has seen. An ejected endpoint gets single requests,
--- a/routing/src/main/java/amberpath/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * How old an event is that carries a Unix time, where the wall clock may step by seconds or an hour, both ways, at any
--- a/routing/src/main/java/amberpath/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * This gateway's part of what all gateways share: by the configured number of gateways or, where the fleet
--- a/routing/src/main/java/amberpath/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * How long to wait after a system call that failed for want of something on this host: briefly, since it is often
--- a/routing/src/main/java/amberpath/Membership.java
+++ b/routing/src/main/java/org/amberpath/routing/Membership.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 
 /**
  * Takes news of caches and purges, in order, whatever their source: the journal or a registry. Times are Unix
--- a/routing/src/main/java/amberpath/NewsAge.java
+++ b/routing/src/main/java/org/amberpath/routing/NewsAge.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Whether what a gateway knows of drains and purges is young enough to decide and to send by. An event counts as told
--- a/routing/src/main/java/amberpath/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Decisions.Health;
+import org.amberpath.routing.Decisions.Health;
 import java.util.SplittableRandom;
 
 /**
--- a/routing/src/main/java/amberpath/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** How long a request's answer may take before its attempt counts as overdue: by size, else by earlier answers. */
 final class PatienceEstimator {
--- a/routing/src/main/java/amberpath/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Highest random weight over endpoints (rendezvous hashing): gateways agree without talking, a change of the list
--- a/routing/src/main/java/amberpath/RequestDeadline.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * By when a request has its final answer: its client's allowance counts from when its last byte came, which is not
--- a/routing/src/main/java/amberpath/RequestDetails.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDetails.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * A request as it arrives.
--- a/routing/src/main/java/amberpath/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -1,11 +1,11 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
-import amberpath.InFlightRequest.Purpose;
-import amberpath.Site.Effect;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.InFlightRequest.Purpose;
+import org.amberpath.routing.Site.Effect;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
--- a/routing/src/main/java/amberpath/RetryBudget.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryBudget.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** Tokens for further attempts: each request brings a part of one, each attempt past the first costs one. */
 final class RetryBudget {
--- a/routing/src/main/java/amberpath/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Note;
-import amberpath.Site.Effect;
-import amberpath.Site.Group;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.Site.Group;
 
 /** Whether a request may be attempted again, and where: never so that it might have its effect twice. */
 final class RetryPolicy {
--- a/routing/src/main/java/amberpath/Route.java
+++ b/routing/src/main/java/org/amberpath/routing/Route.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Where an attempt goes.
--- a/routing/src/main/java/amberpath/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.RendezvousSelector.Eligibility;
+import org.amberpath.routing.RendezvousSelector.Eligibility;
 
 /** Chooses the edge cache of a request and the source of its fill, each with its fallbacks in order. */
 final class RouteSelector {
--- a/routing/src/main/java/amberpath/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy Caching of
--- a/routing/src/main/java/amberpath/Site.java
+++ b/routing/src/main/java/org/amberpath/routing/Site.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
 public interface Site {
--- a/routing/src/main/java/amberpath/SlowStartProfile.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** How endpoints of one kind warm up, and what this gateway may send them meanwhile. */
 final class SlowStartProfile {
--- a/routing/src/main/java/amberpath/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /**
  * Whether the sockets have been read recently enough to begin an attempt. Guards against attempts for clients that have
--- a/routing/src/main/java/amberpath/Strictest.java
+++ b/routing/src/main/java/org/amberpath/routing/Strictest.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
--- a/routing/src/main/java/amberpath/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Site.Effect;
+import org.amberpath.routing.Site.Effect;
 
 /**
  * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may be repeated, only to
--- a/routing/src/main/java/amberpath/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Note;
-import amberpath.Site.Effect;
-import amberpath.Site.Group;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.Site.Group;
 
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
--- a/routing/src/main/java/amberpath/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 /** How far one endpoint has warmed up since it started, and the work that is on its account. */
 final class WarmUp {
--- a/routing/src/test/java/amberpath/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -1,12 +1,12 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.MS;
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
 import org.junit.jupiter.api.Test;
 
 class AttemptRecorderTest {
--- a/routing/src/test/java/amberpath/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -1,13 +1,13 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.MS;
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/routing/src/test/java/amberpath/ConcurrencyLimiterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.MS;
-import static amberpath.RoutingParts.ORIGIN;
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.ORIGIN;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/routing/src/test/java/amberpath/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -1,11 +1,11 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.ORIGIN;
+import static org.amberpath.routing.RoutingParts.ORIGIN;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/amberpath/PatienceEstimatorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PatienceEstimatorTest.java
@@ -1,6 +1,6 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/routing/src/test/java/amberpath/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -1,17 +1,17 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RequestRouterTest.FakeHost.MS;
+import static org.amberpath.routing.RequestRouterTest.FakeHost.MS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
-import amberpath.RequestRouterTest.FakeHost;
-import amberpath.RequestRouterTest.FakeHost.Sent;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RequestRouterTest.FakeHost;
+import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
--- a/routing/src/test/java/amberpath/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -1,11 +1,11 @@
-package amberpath;
+package org.amberpath.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.SeededWorld.Setting;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.SeededWorld.Setting;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/amberpath/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -1,13 +1,13 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.RendezvousSelector.Eligibility;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RendezvousSelector.Eligibility;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
--- a/routing/src/test/java/amberpath/RetryBudgetTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryBudgetTest.java
@@ -1,4 +1,4 @@
-package amberpath;
+package org.amberpath.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/routing/src/test/java/amberpath/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -1,14 +1,14 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.MS;
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
-import amberpath.Site.Effect;
-import amberpath.Site.Group;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.Site.Group;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/routing/src/test/java/amberpath/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -1,14 +1,14 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.ORIGIN;
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.ORIGIN;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.State;
-import amberpath.Site.Effect;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.Site.Effect;
 import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
--- a/routing/src/test/java/amberpath/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.State;
-import amberpath.RequestRouterTest.FakeHost;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RequestRouterTest.FakeHost;
 import java.util.SplittableRandom;
 
 /** The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by itself. */
--- a/routing/src/test/java/amberpath/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -1,10 +1,10 @@
-package amberpath;
+package org.amberpath.routing;
 
-import amberpath.Arrivals.Events;
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.Events;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
--- a/routing/src/test/java/amberpath/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -1,11 +1,11 @@
-package amberpath;
+package org.amberpath.routing;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Listing;
-import amberpath.Arrivals.Note;
-import amberpath.Arrivals.Outcome;
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.Listing;
+import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.Arrivals.State;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.List;
--- a/routing/src/test/java/amberpath/StrictestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/StrictestTest.java
@@ -1,8 +1,8 @@
-package amberpath;
+package org.amberpath.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import amberpath.Arrivals.State;
+import org.amberpath.routing.Arrivals.State;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/amberpath/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -1,13 +1,13 @@
-package amberpath;
+package org.amberpath.routing;
 
-import static amberpath.RoutingParts.START;
+import static org.amberpath.routing.RoutingParts.START;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import amberpath.Arrivals.State;
-import amberpath.InFlightRequest.Purpose;
-import amberpath.Site.Effect;
+import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.InFlightRequest.Purpose;
+import org.amberpath.routing.Site.Effect;
 import java.util.Objects;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/amberpath/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -1,9 +1,9 @@
-package amberpath;
+package org.amberpath.routing;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import amberpath.Arrivals.Note;
+import org.amberpath.routing.Arrivals.Note;
 import org.junit.jupiter.api.Test;
 
 class TrafficClassTest {
