--- a/app/src/main/java/org/amberpath/cli/AskedDesk.java
+++ b/app/src/main/java/org/amberpath/cli/AdminRequest.java
@@ -1,7 +1,7 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.FleetAccess;
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.membership.runtime.MembershipSettings;
+import org.amberpath.gateway.settings.JsonReader;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.net.URI;
@@ -12,16 +12,16 @@
 import java.time.Duration;
 
 /** A running gateway's operators' desk, at the address that its [fleet] names. */
-final class AskedDesk {
+final class AdminRequest {
   static final int OK = 200;
   private static final Duration PATIENCE = Duration.ofSeconds(5);
 
   private final HttpClient client = HttpClient.newBuilder().connectTimeout(PATIENCE).build();
 
   HttpResponse<String> ask(Path file, String method, String path) throws IOException, InterruptedException {
-    FleetAccess fleet = DeploymentFile.read(file).fleet();
+    MembershipSettings fleet = DeploymentFile.read(file).fleet();
     if (fleet == null || fleet.operators() == null) {
-      throw new Fields.Malformed(file + ": [fleet] operators: missing");
+      throw new JsonReader.Malformed(file + ": [fleet] operators: missing");
     }
     URI at = URI.create("http://" + fleet.operators().hostAddress() + ":" + fleet.operators().port() + path);
     try {
--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -1,19 +1,19 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.FleetAccess;
-import org.amberpath.membership.runtime.FleetCompany;
-import org.amberpath.membership.runtime.Guest;
-import org.amberpath.gateway.Beside;
-import org.amberpath.gateway.Company;
+import org.amberpath.membership.runtime.MembershipSettings;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.membership.runtime.FleetMessageHandler;
+import org.amberpath.gateway.GatewayExtensions;
+import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.NewsSource;
+import org.amberpath.gateway.EndpointSource;
 import org.amberpath.gateway.Server;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.leadership.runtime.OwnerAccess;
-import org.amberpath.leadership.runtime.Ownership;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.leadership.runtime.LeadershipSettings;
+import org.amberpath.leadership.runtime.LeadershipService;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.gateway.simulation.WireHost;
+import org.amberpath.gateway.simulation.SimulationHost;
 import co.elastic.logging.jul.EcsFormatter;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
     description = "Routes GETs of cached objects.", synopsisSubcommandLabel = "COMMAND",
     footer = "Exit codes: 0 done, 1 failed, 2 usage or settings, 3 an experiment's bar missed.",
     subcommands = {AmberpathCommand.Serve.class, AmberpathCommand.Wire.class, AmberpathCommand.Check.class,
-        RegistryCommand.class, FleetCommand.class, OwnerCommand.class, LabCommand.class})
+        RegistryCommand.class, MembershipCommand.class, LeadershipCommand.class, LabCommand.class})
 public final class AmberpathCommand {
   /** Exit codes, the same for all commands. */
   static final int DONE = 0, FAILED = 1, USAGE = 2, MISSED = 3;
@@ -67,7 +67,7 @@
     CommandLine line = new CommandLine(new AmberpathCommand());
     line.setExecutionExceptionHandler((e, of, parsed) -> {
       of.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
-      return e instanceof DeploymentFile.Faulty || e instanceof Fields.Malformed ? USAGE : FAILED;
+      return e instanceof DeploymentFile.Faulty || e instanceof JsonReader.Malformed ? USAGE : FAILED;
     });
     return line;
   }
@@ -86,19 +86,19 @@
         return GOES_ON;
       }
       DeploymentFile settings = DeploymentFile.read(file);
-      RegistryAccess registry = settings.registry();
-      NewsSource.Maker source = registry == null ? null
+      RegistrySettings registry = settings.registry();
+      EndpointSource.Maker source = registry == null ? null
           : (vertx, to, seed) -> new RegistrySource(vertx, registry, to, seed);
-      FleetAccess fleet = settings.fleet();
-      Company.Maker company = fleet == null ? null
-          : (vertx, options, to) -> new FleetCompany(vertx, fleet, options, to, guest(settings.owner()));
-      Server.run(System.getenv(), System.err, new Beside(source, company),
+      MembershipSettings fleet = settings.fleet();
+      FleetCoordinator.Maker company = fleet == null ? null
+          : (vertx, options, to) -> new MembershipService(vertx, fleet, options, to, guest(settings.owner()));
+      Server.run(System.getenv(), System.err, new GatewayExtensions(source, company),
           registry == null || settings.journalBeside());
       return GOES_ON;
     }
 
-    private static Guest.Maker guest(OwnerAccess owner) {
-      return owner == null ? null : (vertx, company) -> new Ownership(vertx, owner, company);
+    private static FleetMessageHandler.Maker guest(LeadershipSettings owner) {
+      return owner == null ? null : (vertx, company) -> new LeadershipService(vertx, owner, company);
     }
   }
 
@@ -106,7 +106,7 @@
       description = "Runs many gateways' decisions on the bench's wire.")
   static final class Wire implements Callable<Integer> {
     @Override public Integer call() throws IOException {
-      return new WireHost(System.in, System.out, System.err).run();
+      return new SimulationHost(System.in, System.out, System.err).run();
     }
   }
 
--- a/app/src/main/java/org/amberpath/cli/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/DeploymentFile.java
@@ -1,12 +1,12 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.FleetAccess;
+import org.amberpath.membership.runtime.MembershipSettings;
 import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.leadership.Electorate;
-import org.amberpath.leadership.OwnerRules;
-import org.amberpath.leadership.runtime.OwnerAccess;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.runtime.LeadershipSettings;
+import org.amberpath.registry.runtime.RegistrySettings;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
 import java.io.Reader;
@@ -48,10 +48,10 @@
 
   private final Path file;
   private final INIConfiguration all = new INIConfiguration();
-  private final RegistryAccess registry;
+  private final RegistrySettings registry;
   private final boolean journalBeside;
-  private final FleetAccess fleet;
-  private final OwnerAccess owner;
+  private final MembershipSettings fleet;
+  private final LeadershipSettings owner;
 
   private DeploymentFile(Path file) {
     this.file = file;
@@ -88,7 +88,7 @@
   }
 
   /** Null where no registry is asked. */
-  public RegistryAccess registry() {
+  public RegistrySettings registry() {
     return registry;
   }
 
@@ -98,9 +98,9 @@
         : journalBeside;
   }
 
-  private RegistryAccess access() {
+  private RegistrySettings access() {
     String section = "registry";
-    RegistryAccess.Form form = RegistryAccess.Form.valueOf(
+    RegistrySettings.Form form = RegistrySettings.Form.valueOf(
         choice(section, "form", null, "etcd", "consul").toUpperCase(Locale.ROOT));
     Path trust = path(section, "trust", true), certificate = path(section, "certificate", true);
     Path key = path(section, "key", true), token = path(section, "token", true);
@@ -116,10 +116,10 @@
     if ((user == null) != (password == null)) {
       throw wrong(section, user == null ? "user" : "password", "missing: both or neither");
     }
-    if (user != null && (token != null || form == RegistryAccess.Form.CONSUL)) {
+    if (user != null && (token != null || form == RegistrySettings.Form.CONSUL)) {
       throw wrong(section, "user", "only with form = etcd and without 'token'");
     }
-    return new RegistryAccess(form, endpoints, prefix(section), trust, certificate, key, token, user, password,
+    return new RegistrySettings(form, endpoints, prefix(section), trust, certificate, key, token, user, password,
         path(section, "snapshot", false), seconds(section, "snapshot-every-s", "5", 1, 3600),
         seconds(section, "snapshot-oldest-s", "86400", 1, 31_536_000),
         seconds(section, "retention-s", "600", 10, 86_400), whole(section, "most-keys", "20000", 10, 1_000_000),
@@ -127,11 +127,11 @@
   }
 
   /** Null where the other gateways are not looked for. */
-  public FleetAccess fleet() {
+  public MembershipSettings fleet() {
     return fleet;
   }
 
-  private FleetAccess company() {
+  private MembershipSettings company() {
     String section = "fleet", name = text(section, "name", "amberpath");
     if (!name.matches("[A-Za-z0-9._-]{1,32}")) {
       throw wrong(section, "name", "not 1 to 32 letters, digits, ._-: " + name);
@@ -148,17 +148,17 @@
     if (listen.hostAddress().equals("0.0.0.0") && advertised == null) {
       throw wrong(section, "advertise", "missing: nobody can answer " + listen.hostAddress());
     }
-    return new FleetAccess(name, listen, advertised, addresses(section, "seeds", MOST_ENDPOINTS),
+    return new MembershipSettings(name, listen, advertised, addresses(section, "seeds", MOST_ENDPOINTS),
         whole(section, "told", "0", 0, MOST_GATEWAYS), seconds(section, "period-s", "0.5", 0.1, 10), key,
         operators);
   }
 
   /** Null where this gateway neither votes nor owns. */
-  public OwnerAccess owner() {
+  public LeadershipSettings owner() {
     return owner;
   }
 
-  private OwnerAccess ownership() {
+  private LeadershipSettings ownership() {
     String section = "owner";
     boolean sweeps = choice(section, "sweep", "no", "yes", "no").equals("yes");
     boolean probes = choice(section, "probe", "no", "yes", "no").equals("yes");
@@ -170,12 +170,12 @@
     if (sweeps && registry == null) {
       throw wrong(section, "sweep", "needs [registry]");
     }
-    if (leases && (registry == null || registry.form() != RegistryAccess.Form.ETCD)) {
+    if (leases && (registry == null || registry.form() != RegistrySettings.Form.ETCD)) {
       throw wrong(section, "by", "lease needs [registry] of the form etcd");
     }
-    Electorate electorate = null;
+    VoterConfiguration electorate = null;
     try {
-      electorate = leases ? null : new Electorate(names(section, "voters"), names(section, "next-voters"));
+      electorate = leases ? null : new VoterConfiguration(names(section, "voters"), names(section, "next-voters"));
     } catch (IllegalArgumentException e) {
       throw wrong(section, "voters", e.getMessage());
     }
@@ -184,8 +184,8 @@
     if ((probes || warms) && (settle < LEAST_ACT || 2 * settle > lease)) {
       throw wrong(section, "settle-s", "with probe or warm from " + LEAST_ACT / 1e9 + " to half of lease-s");
     }
-    return new OwnerAccess(electorate, () -> read(file).owner().electorate(), leases ? registry : null,
-        new OwnerRules(lease, settle, DRIFT_PPM), sweeps ? registry : null,
+    return new LeadershipSettings(electorate, () -> read(file).owner().electorate(), leases ? registry : null,
+        new LeaseTimings(lease, settle, DRIFT_PPM), sweeps ? registry : null,
         seconds(section, "sweep-every-s", "5", 0.1, 3600), probes, warms);
   }
 
@@ -211,7 +211,7 @@
       if (address.hostAddress().matches("[0-9.]+")) {
         return address;
       }
-    } catch (Fields.Malformed e) {
+    } catch (JsonReader.Malformed e) {
       // Said below.
     }
     throw wrong(section, key, "no numeric IPv4 address:port: " + value);
@@ -231,7 +231,7 @@
             throw wrong(section, key, one + " is given twice");
           }
           addresses.add(address);
-        } catch (Fields.Malformed e) {
+        } catch (JsonReader.Malformed e) {
           throw wrong(section, key, "no numeric address:port: " + one);
         }
       }
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -1,24 +1,24 @@
 package org.amberpath.cli;
 
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.lab.Demo;
-import org.amberpath.lab.Experiment;
-import org.amberpath.lab.Flood;
-import org.amberpath.lab.Runs;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.OverloadExperiment;
+import org.amberpath.lab.SeededRuns;
 import org.amberpath.lab.endpoints.EndpointsSizeExperiment;
-import org.amberpath.lab.membership.FleetDay;
-import org.amberpath.lab.membership.FleetModel;
-import org.amberpath.lab.membership.FleetSize;
-import org.amberpath.lab.leadership.OwnerDay;
-import org.amberpath.lab.leadership.OwnerModel;
-import org.amberpath.lab.leadership.OwnerWorth;
-import org.amberpath.lab.planning.PlannersModel;
-import org.amberpath.lab.recovery.PowerLossSize;
-import org.amberpath.lab.registry.RegistryDay;
-import org.amberpath.lab.registry.RegistryModel;
-import org.amberpath.lab.registry.RegistrySize;
+import org.amberpath.lab.membership.MembershipExperiment;
+import org.amberpath.lab.membership.MembershipModelExperiment;
+import org.amberpath.lab.membership.MembershipSizeExperiment;
+import org.amberpath.lab.leadership.LeadershipExperiment;
+import org.amberpath.lab.leadership.LeadershipModelExperiment;
+import org.amberpath.lab.leadership.LeadershipValueExperiment;
+import org.amberpath.lab.planning.PlannersModelExperiment;
+import org.amberpath.lab.recovery.PowerLossSizeExperiment;
+import org.amberpath.lab.registry.RegistryExperiment;
+import org.amberpath.lab.registry.RegistryModelExperiment;
+import org.amberpath.lab.registry.RegistrySizeExperiment;
 import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistrySettings;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -46,7 +46,7 @@
 final class LabCommand {
   /** Held here, since the runtime forgets a logger's level with the logger. */
   private static final List<Logger> HUSHED = List.of(Logger.getLogger("amberpath"),
-      Logger.getLogger("org.amberpath.registry"), Logger.getLogger("org.amberpath.gateway.Complaints"),
+      Logger.getLogger("org.amberpath.registry"), Logger.getLogger("org.amberpath.gateway.ProtocolErrorLog"),
       Logger.getLogger("io.vertx"), Logger.getLogger("io.netty"));
 
   private static final int DEMO_S = 9, FLOOD_S = 4, REGISTRY_S = 16, FLEET_S = 20;
@@ -58,14 +58,14 @@
     long seed;
   }
 
-  private static int done(Experiment result) {
+  private static int done(ExperimentReport result) {
     System.out.println(result.json());
     return result.holds() ? AmberpathCommand.DONE : AmberpathCommand.MISSED;
   }
 
   private static int gatewaysIn(int many) {
     if (many < LEAST_GATEWAYS || many > MOST_GATEWAYS) {
-      throw new Fields.Malformed("--gateways: from " + LEAST_GATEWAYS + " to " + MOST_GATEWAYS);
+      throw new JsonReader.Malformed("--gateways: from " + LEAST_GATEWAYS + " to " + MOST_GATEWAYS);
     }
     return many;
   }
@@ -104,7 +104,7 @@
     @Option(names = "--seconds", description = "How long, for each stretch. Default: the experiment's own.")
     private Integer seconds;
 
-    abstract Experiment run(Integer seconds) throws Exception;
+    abstract ExperimentReport run(Integer seconds) throws Exception;
 
     @Override public Integer call() throws Exception {
       quietly();
@@ -114,15 +114,15 @@
 
   @Command(name = "demo", mixinStandardHelpOptions = true, description = "The main job, seen.")
   static final class DemoCommand extends SocketsCommand {
-    @Override Experiment run(Integer seconds) throws Exception {
+    @Override ExperimentReport run(Integer seconds) throws Exception {
       return Demo.run(seed, seconds == null ? DEMO_S : seconds, System.out);
     }
   }
 
   @Command(name = "flood", mixinStandardHelpOptions = true, description = "More GETs than a gateway can bear.")
   static final class FloodCommand extends SocketsCommand {
-    @Override Experiment run(Integer seconds) throws Exception {
-      return Flood.run(seed, seconds == null ? FLOOD_S : seconds, System.out);
+    @Override ExperimentReport run(Integer seconds) throws Exception {
+      return OverloadExperiment.run(seed, seconds == null ? FLOOD_S : seconds, System.out);
     }
   }
 
@@ -132,9 +132,9 @@
     @Option(names = "--form", defaultValue = "etcd", description = "etcd or consul. Default: ${DEFAULT-VALUE}.")
     private String form;
 
-    @Override Experiment run(Integer seconds) throws Exception {
-      return RegistryDay.run(seed, seconds == null ? REGISTRY_S : seconds,
-          RegistryAccess.Form.valueOf(form.toUpperCase(Locale.ROOT)));
+    @Override ExperimentReport run(Integer seconds) throws Exception {
+      return RegistryExperiment.run(seed, seconds == null ? REGISTRY_S : seconds,
+          RegistrySettings.Form.valueOf(form.toUpperCase(Locale.ROOT)));
     }
   }
 
@@ -144,16 +144,16 @@
         + "${DEFAULT-VALUE}.")
     private int runs;
 
-    abstract Runs.Model model();
+    abstract SeededRuns.Model model();
 
     @Override public Integer call() {
-      Experiment result = new Experiment(seed);
+      ExperimentReport result = new ExperimentReport(seed);
       if (runs == 1) {
-        Runs.Result one = Runs.one(model(), seed, System.out::println);
+        SeededRuns.Result one = SeededRuns.one(model(), seed, System.out::println);
         return done(result.figure("missed", String.valueOf(one.missed())).bar("all bars", one.missed() == null));
       }
       long since = System.nanoTime();
-      Map<String, Object> sums = Runs.many(model(), seed, runs);
+      Map<String, Object> sums = SeededRuns.many(model(), seed, runs);
       sums.forEach(result::figure);
       return done(result.figure("took_ms", (System.nanoTime() - since) / 1_000_000)
           .bar("all bars in all runs", sums.get("failed").equals(0L)));
@@ -163,16 +163,16 @@
   @Command(name = "registry-model", mixinStandardHelpOptions = true,
       description = "The registry's pure half on a virtual clock, faults in any order.")
   static final class RegistryModelCommand extends ModelCommand {
-    @Override Runs.Model model() {
-      return RegistryModel.MODEL;
+    @Override SeededRuns.Model model() {
+      return RegistryModelExperiment.MODEL;
     }
   }
 
   @Command(name = "fleet-model", mixinStandardHelpOptions = true,
       description = "The pure half of the fleet's view on a virtual clock, faults in any order.")
   static final class FleetModelCommand extends ModelCommand {
-    @Override Runs.Model model() {
-      return FleetModel.MODEL;
+    @Override SeededRuns.Model model() {
+      return MembershipModelExperiment.MODEL;
     }
   }
 
@@ -188,8 +188,8 @@
     @Option(names = "--out", description = "Where settings and logs go. Default: a new folder for a while.")
     private Path out;
 
-    @Override Experiment run(Integer seconds) throws Exception {
-      return FleetDay.run(new FleetDay.Plan(seed, gatewaysIn(gateways), seconds == null ? FLEET_S : seconds, !alone,
+    @Override ExperimentReport run(Integer seconds) throws Exception {
+      return MembershipExperiment.run(new MembershipExperiment.Plan(seed, gatewaysIn(gateways), seconds == null ? FLEET_S : seconds, !alone,
           folder(out)), System.out);
     }
   }
@@ -205,7 +205,7 @@
     private List<Integer> periods;
 
     @Override public Integer call() {
-      return done(FleetSize.run(seed, sizes, periods, System.out));
+      return done(MembershipSizeExperiment.run(seed, sizes, periods, System.out));
     }
   }
 
@@ -218,8 +218,8 @@
     @Option(names = "--out", description = "Where settings and logs go. Default: a new folder for a while.")
     private Path out;
 
-    @Override Experiment run(Integer seconds) throws Exception {
-      return OwnerDay.run(new OwnerDay.Plan(seed, gatewaysIn(gateways), seconds == null ? FLEET_S : seconds,
+    @Override ExperimentReport run(Integer seconds) throws Exception {
+      return LeadershipExperiment.run(new LeadershipExperiment.Plan(seed, gatewaysIn(gateways), seconds == null ? FLEET_S : seconds,
           folder(out)), System.out);
     }
   }
@@ -238,7 +238,7 @@
     private int pairs;
 
     @Override public Integer call() {
-      return done(OwnerWorth.run(seed, gateways, caches, pairs, System.out));
+      return done(LeadershipValueExperiment.run(seed, gateways, caches, pairs, System.out));
     }
   }
 
@@ -247,10 +247,10 @@
   static final class OwnerModelCommand extends ModelCommand {
     @Option(names = "--way", defaultValue = "RIGHT", description = "${COMPLETION-CANDIDATES}. All but the first are "
         + "wrong, to see the model catch them. Default: ${DEFAULT-VALUE}.")
-    private OwnerModel.Way way;
+    private LeadershipModelExperiment.Way way;
 
-    @Override Runs.Model model() {
-      return OwnerModel.model(way);
+    @Override SeededRuns.Model model() {
+      return LeadershipModelExperiment.model(way);
     }
   }
 
@@ -271,15 +271,15 @@
     private double origin;
 
     @Override public Integer call() {
-      return done(PowerLossSize.run(seed, gateways, caches, pairs, origin, System.out));
+      return done(PowerLossSizeExperiment.run(seed, gateways, caches, pairs, origin, System.out));
     }
   }
 
   @Command(name = "planners-model", mixinStandardHelpOptions = true,
       description = "Terms, grants and shares of planners and forwarders on a virtual clock.")
   static final class PlannersModelCommand extends ModelCommand {
-    @Override Runs.Model model() {
-      return PlannersModel.MODEL;
+    @Override SeededRuns.Model model() {
+      return PlannersModelExperiment.MODEL;
     }
   }
 
@@ -296,7 +296,7 @@
     private int changes;
 
     @Override public Integer call() {
-      return done(RegistrySize.run(seed, caches, clients, changes));
+      return done(RegistrySizeExperiment.run(seed, caches, clients, changes));
     }
   }
 
@@ -327,7 +327,7 @@
     @Option(names = "--out", description = "Where settings and logs go. Default: a new folder for a while.")
     private Path out;
 
-    @Override Experiment run(Integer seconds) throws Exception {
+    @Override ExperimentReport run(Integer seconds) throws Exception {
       return EndpointsSizeExperiment.run(new EndpointsSizeExperiment.Plan(seed, caches, times, gateways, rate,
           sockets, seconds == null ? DEFAULT_SECONDS : seconds, folder(out)), System.out);
     }
--- a/app/src/main/java/org/amberpath/cli/OwnerCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -1,6 +1,6 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.FleetDesk;
+import org.amberpath.membership.runtime.AdminEndpoint;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
 import picocli.CommandLine.Command;
@@ -10,7 +10,7 @@
 /** What operators ask a running gateway about the tasks that it owns for the fleet. */
 @Command(name = "owner", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
     description = "Asks a running gateway what it owns for the fleet, or takes it away.")
-final class OwnerCommand {
+final class LeadershipCommand {
   @Option(names = "--file", required = true, defaultValue = "${AMBERPATH_FILE}", paramLabel = "INI",
       description = "The gateway's settings, with [fleet] operators; AMBERPATH_FILE otherwise.")
   private Path file;
@@ -18,11 +18,11 @@
   @Option(names = "--json", description = "One JSON object a line.")
   private boolean json;
 
-  private final AskedDesk desk = new AskedDesk();
+  private final AdminRequest desk = new AdminRequest();
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "Its tasks, and whether it owns them.")
   int list() throws Exception {
-    JsonObject page = desk.page(file, FleetDesk.TASKS);
+    JsonObject page = desk.page(file, AdminEndpoint.TASKS);
     if (json) {
       System.out.println(page.encode());
       return AmberpathCommand.DONE;
@@ -43,7 +43,7 @@
       description = "Takes a task from this gateway, and leaves it to others for the time of a lease.")
   int release(@Parameters(paramLabel = "TASK") String task) throws Exception {
     if (task.matches("[a-z-]{1,32}")
-        && desk.ask(file, "POST", FleetDesk.RELEASE + task).statusCode() == AskedDesk.OK) {
+        && desk.ask(file, "POST", AdminEndpoint.RELEASE + task).statusCode() == AdminRequest.OK) {
       JsonObject said = new JsonObject().put("task", task).put("released", true);
       System.out.println(json ? said.encode() : task + ": released");
       return AmberpathCommand.DONE;
--- a/app/src/main/java/org/amberpath/cli/Main.java
+++ b/app/src/main/java/org/amberpath/cli/Main.java
@@ -2,7 +2,7 @@
 
 import org.amberpath.cli.AmberpathCommand;
 import org.amberpath.gateway.Server;
-import org.amberpath.gateway.simulation.WireHost;
+import org.amberpath.gateway.simulation.SimulationHost;
 import java.io.IOException;
 import java.util.Map;
 
@@ -20,7 +20,7 @@
     if (command.equals("serve") && !environment.containsKey("AMBERPATH_FILE")) {
       Server.run(environment, System.err);
     } else if (command.equals("wirehost")) {
-      System.exit(new WireHost(System.in, System.out, System.err).run());
+      System.exit(new SimulationHost(System.in, System.out, System.err).run());
     } else {
       AmberpathCommand.run(args);
     }
--- a/app/src/main/java/org/amberpath/cli/FleetCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -1,6 +1,6 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.FleetDesk;
+import org.amberpath.membership.runtime.AdminEndpoint;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 /** What operators ask a running gateway about its fleet, at the address that its [fleet] names. */
 @Command(name = "fleet", mixinStandardHelpOptions = true, synopsisSubcommandLabel = "COMMAND",
     description = "Asks a running gateway what it knows of the others.")
-final class FleetCommand {
+final class MembershipCommand {
   private static final int CONFLICT = 409, PAUSE_MS = 500;
 
   @Option(names = "--file", required = true, defaultValue = "${AMBERPATH_FILE}", paramLabel = "INI",
@@ -25,10 +25,10 @@
   @Option(names = "--json", description = "One JSON object a line.")
   private boolean json;
 
-  private final AskedDesk desk = new AskedDesk();
+  private final AdminRequest desk = new AdminRequest();
 
   private JsonObject view() throws IOException, InterruptedException {
-    return desk.page(file, FleetDesk.VIEW);
+    return desk.page(file, AdminEndpoint.VIEW);
   }
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "The view as it is.")
@@ -80,9 +80,9 @@
   @Command(name = "forget", mixinStandardHelpOptions = true,
       description = "A lost gateway is not coming back: its part falls to the others.")
   int forget(@Parameters(paramLabel = "NAME") String name) throws Exception {
-    int status = name.matches("[A-Za-z0-9._-]{1,32}") ? desk.ask(file, "POST", FleetDesk.FORGET + name).statusCode()
+    int status = name.matches("[A-Za-z0-9._-]{1,32}") ? desk.ask(file, "POST", AdminEndpoint.FORGET + name).statusCode()
         : CONFLICT;
-    if (status == AskedDesk.OK) {
+    if (status == AdminRequest.OK) {
       System.out.println(json ? new JsonObject().put("name", name).put("is", "left").encode() : name + ": left");
       return AmberpathCommand.DONE;
     }
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -1,13 +1,13 @@
 package org.amberpath.cli;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.runtime.KeyForm;
-import org.amberpath.registry.runtime.RegistryAccess;
-import org.amberpath.registry.runtime.RegistryDesk;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySource;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
@@ -36,21 +36,21 @@
 
   /** What is done with a registry that answers. */
   private interface Work {
-    Future<Integer> at(RegistryDesk desk, RegistryAccess access) throws Exception;
+    Future<Integer> at(RegistryAdminClient desk, RegistrySettings access) throws Exception;
   }
 
-  private RegistryAccess access() {
-    RegistryAccess access = DeploymentFile.read(file).registry();
+  private RegistrySettings access() {
+    RegistrySettings access = DeploymentFile.read(file).registry();
     if (access == null) {
-      throw new Fields.Malformed(file + ": [registry]: missing");
+      throw new JsonReader.Malformed(file + ": [registry]: missing");
     }
     return access;
   }
 
   private int with(Work work) throws Exception {
-    RegistryAccess access = access();
+    RegistrySettings access = access();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    try (RegistryDesk desk = new RegistryDesk(vertx, access)) {
+    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, access)) {
       return work.at(desk, access).toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
       System.err.println(e.getCause().getMessage());
@@ -68,16 +68,16 @@
     }));
   }
 
-  private void print(Held held, String prefix) {
+  private void print(RegistryEntry held, String prefix) {
     String key = held.key().substring(prefix.length());
     JsonObject line = new JsonObject().put("key", key).put("revision", held.changed());
-    if (held.content() instanceof Content.Cache cache) {
+    if (held.content() instanceof RegistryRecord.Cache cache) {
       line.put("state", say(cache.state())).put("address", cache.address()).put("zone", cache.zone())
           .put("kind", cache.kind()).put("weight", cache.weight());
-    } else if (held.content() instanceof Content.Purge purge) {
+    } else if (held.content() instanceof RegistryRecord.Purge purge) {
       line.put("purge", purge.object() != 0 ? String.format("%016x", purge.object()) : "group " + purge.group())
           .put("at_ms", purge.atMs());
-    } else if (held.content() instanceof Content.Unreadable unreadable) {
+    } else if (held.content() instanceof RegistryRecord.Unreadable unreadable) {
       line.put("unreadable", unreadable.why());
     } else {
       return;
@@ -108,13 +108,13 @@
   /** Changes a cache that is there. */
   private int change(String id, State to) throws Exception {
     return with((desk, access) -> desk.list().compose(all -> {
-      String key = access.prefix() + KeyForm.CACHES + id;
-      Held held = all.stream().filter(one -> one.key().equals(key)).findFirst().orElse(null);
-      if (held == null || !(held.content() instanceof Content.Cache was)) {
+      String key = access.prefix() + RecordCodec.CACHES + id;
+      RegistryEntry held = all.stream().filter(one -> one.key().equals(key)).findFirst().orElse(null);
+      if (held == null || !(held.content() instanceof RegistryRecord.Cache was)) {
         System.err.println(id + ": " + (held == null ? "no such cache" : "its value can't be read"));
         return Future.succeededFuture(AmberpathCommand.FAILED);
       }
-      Content.Cache now = to == State.GONE ? null : new Content.Cache(id, was.address(), was.zone(), was.kind(),
+      RegistryRecord.Cache now = to == State.GONE ? null : new RegistryRecord.Cache(id, was.address(), was.zone(), was.kind(),
           was.cell(), to, was.weight(), was.startedAtMs());
       return desk.write(key, now, held.changed()).map(done -> written(id, say(to), done));
     }));
@@ -153,14 +153,14 @@
       @Option(names = "--cell", defaultValue = "0", description = "Its shelf. Default: 0.") int cell,
       @Option(names = "--cold", description = "It has just started and holds nothing.") boolean cold)
       throws Exception {
-    Content.Cache cache = new Content.Cache(id, address, zone, kind, cell, State.UP, weight,
+    RegistryRecord.Cache cache = new RegistryRecord.Cache(id, address, zone, kind, cell, State.UP, weight,
         cold ? System.currentTimeMillis() : 0);
-    String fault = KeyForm.fault(cache);
+    String fault = RecordCodec.fault(cache);
     if (fault != null) {
       System.err.println("add: gateways would not take that: " + fault);
       return AmberpathCommand.USAGE;
     }
-    return with((desk, access) -> desk.write(access.prefix() + KeyForm.CACHES + id, cache, 0)
+    return with((desk, access) -> desk.write(access.prefix() + RecordCodec.CACHES + id, cache, 0)
         .map(done -> written(id, "ready", done)));
   }
 
@@ -182,15 +182,15 @@
     }
     long now = System.currentTimeMillis();
     String name = now + "-" + Long.toHexString(System.nanoTime());
-    return with((desk, access) -> desk.purge(name, new Content.Purge(id, group, now))
-        .map(done -> written(KeyForm.PURGES + name, "purged", done)));
+    return with((desk, access) -> desk.purge(name, new RegistryRecord.Purge(id, group, now))
+        .map(done -> written(RecordCodec.PURGES + name, "purged", done)));
   }
 
   @Command(name = "watch", mixinStandardHelpOptions = true,
       description = "Follows the registry as a gateway does, and prints what it would be told.")
   int watch(@Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.") int seconds)
       throws Exception {
-    RegistryAccess access = access();
+    RegistrySettings access = access();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Context context = vertx.getOrCreateContext();
     RegistrySource source = new RegistrySource(vertx, access, new Printer(), System.nanoTime());
@@ -202,7 +202,7 @@
   }
 
   /** Prints what a gateway would be told. */
-  private final class Printer implements Membership {
+  private final class Printer implements EndpointListener {
     @Override public void listing(boolean whole) {
       if (whole) {
         say(new JsonObject().put("key", "list").put("whole", true));
--- a/app/src/test/java/org/amberpath/HouseTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 
 /** What keeps the rooms of the house apart: arrows point one way, and what decides does no I/O and reads no clock. */
-class HouseTest {
+class ArchitectureTest {
   private static final JavaClasses ALL = new ClassFileImporter()
       .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("amberpath");
   /** Every package that decides: a new subsystem's pure half is added here. */
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.testbed.Links.Way;
-import org.amberpath.lab.testbed.Rig;
+import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.ProcessTestbed;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
 import java.util.Map;
@@ -20,11 +20,11 @@
   private static final long PATIENCE_MS = 40_000;
   @TempDir
   private Path folder;
-  private Rig rig;
+  private ProcessTestbed rig;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new Rig(new Rig.Plan(11, MANY, MANY, 20, folder));
+    rig = new ProcessTestbed(new ProcessTestbed.Plan(11, MANY, MANY, 20, folder));
     rig.startAll();
   }
 
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.Loops;
+import org.amberpath.lab.EventLoopWaiter;
 import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.lab.testbed.Rig;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.lab.testbed.ProcessTestbed;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -26,33 +26,33 @@
 class OwnerProcessesTest {
   private static final int MANY = 4;
   private static final long PATIENCE_MS = 40_000;
-  private static final String PREFIX = "amberpath/test/", FENCE = PREFIX + KeyForm.TASKS + "sweep";
+  private static final String PREFIX = "amberpath/test/", FENCE = PREFIX + RecordCodec.TASKS + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   @TempDir
   private Path folder;
-  private Rig rig;
+  private ProcessTestbed rig;
   private long purges;
 
   @AfterEach
   void stop() throws Exception {
     rig.close();
-    Loops.await(vertx.close());
+    EventLoopWaiter.await(vertx.close());
   }
 
   private void start(String by) throws Exception {
-    int port = Loops.await(on(() -> registry.open(0))).port();
-    rig = new Rig(new Rig.Plan(5, MANY, MANY, 20, folder, "[registry]\nform = etcd\nendpoints = 127.0.0.1:" + port
+    int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
+    rig = new ProcessTestbed(new ProcessTestbed.Plan(5, MANY, MANY, 20, folder, "[registry]\nform = etcd\nendpoints = 127.0.0.1:" + port
         + "\nprefix = " + PREFIX + "\njournal = beside\n[owner]\nlease-s = 2\nsweep = yes\nsweep-every-s = 0.2\n"
         + "probe = yes\n" + by));
     rig.startAll();
-    on(() -> vertx.setPeriodic(100, tick -> registry.write(Map.of(PREFIX + KeyForm.PURGES + ++purges,
-        KeyForm.write(new Content.Purge(0xf000_0000L + purges, 0, System.currentTimeMillis() - 3 * 3_600_000))))));
+    on(() -> vertx.setPeriodic(100, tick -> registry.write(Map.of(PREFIX + RecordCodec.PURGES + ++purges,
+        RecordCodec.write(new RegistryRecord.Purge(0xf000_0000L + purges, 0, System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
   private <T> T on(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
   /** What the fence of the sweep holds: the term, and who acted last under it. */
--- a/app/src/test/java/org/amberpath/cli/CommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/CommandTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistrySettings;
 import java.io.PrintWriter;
 import java.io.StringWriter;
 import java.nio.file.Files;
@@ -28,7 +28,7 @@
   @Test
   void aFileThatIsGoodHasItsDefaults() throws Exception {
     DeploymentFile read = DeploymentFile.read(file(GOOD));
-    assertEquals(RegistryAccess.Form.ETCD, read.registry().form());
+    assertEquals(RegistrySettings.Form.ETCD, read.registry().form());
     assertEquals(2, read.registry().endpoints().size());
     assertEquals("amberpath/", read.registry().prefix());
     assertEquals(600_000_000_000L, read.registry().retention());
--- a/gateway/src/main/java/org/amberpath/gateway/Admit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -2,39 +2,39 @@
 
 import org.amberpath.routing.RequestDeadline;
 import org.amberpath.routing.SocketReads;
-import org.amberpath.gateway.settings.JsonSite;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.DecodedRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
 /** Second stage: what can't be meant for the decisions, or passes the bound told, is answered here. */
-final class Admit {
-  private static final Logger LOG = Logger.getLogger(Admit.class.getName());
+final class AdmissionControl {
+  private static final Logger LOG = Logger.getLogger(AdmissionControl.class.getName());
 
-  private final JsonSite site;
+  private final JsonRoutingConfig site;
   private final int mostOpen;
-  private final Book book;
-  private final Route route;
+  private final InFlightRequests book;
+  private final RoutingStage route;
 
   /** Own GETs are made of what it lets in; null where none are made. */
-  private OwnGets own;
+  private SyntheticRequests own;
   private SocketReads.Backlog lastBacklog;
 
-  Admit(JsonSite site, int mostOpen, Book book, Route route) {
+  AdmissionControl(JsonRoutingConfig site, int mostOpen, InFlightRequests book, RoutingStage route) {
     this.site = site;
     this.mostOpen = mostOpen;
     this.book = book;
     this.route = route;
   }
 
-  void showTo(OwnGets to) {
+  void showTo(SyntheticRequests to) {
     own = to;
   }
 
   /** A request that was read now, by a loop that was so late. Its failure takes no other request's answer. */
-  void get(ClientConnection from, long number, ClientGet asked, long now, long lag) {
+  void get(ClientConnection from, long number, DecodedRequest asked, long now, long lag) {
     SocketReads.Backlog backlog = backlog(from, now, lag);
     long due = RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
     int ds = site.service(asked.service());
@@ -48,7 +48,7 @@
     } else if (RequestDeadline.isTooShort(due - now)) {
       from.shed(number, 0);
     } else {
-      OpenGet get = new OpenGet(book.nextId(), from, number, asked, ds, due);
+      ClientRequest get = new ClientRequest(book.nextId(), from, number, asked, ds, due);
       get.takenAt = now;
       get.backlog = backlog;
       book.open(get);
@@ -66,7 +66,7 @@
     return lastBacklog != null && lastBacklog.mayGoOn(now) ? book.backlog(from, now) : null;
   }
 
-  private void saw(OpenGet get) {
+  private void saw(ClientRequest get) {
     try {
       if (own != null) {
         own.saw(get);
--- a/gateway/src/main/java/org/amberpath/gateway/Send.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -1,11 +1,11 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Membership;
-import org.amberpath.routing.Site;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingConfig;
 import org.amberpath.gateway.cache.CachePool;
-import org.amberpath.gateway.cache.Want;
+import org.amberpath.gateway.cache.CacheCommand;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
@@ -14,20 +14,20 @@
 import java.util.logging.Logger;
 
 /** Fourth stage: forwards go to the caches, and each ends once with its outcome. */
-final class Send {
-  private static final Logger LOG = Logger.getLogger(Send.class.getName());
+final class AttemptSender {
+  private static final Logger LOG = Logger.getLogger(AttemptSender.class.getName());
   private static final String[] SWITCHES = {"join", "held", "nocopy", "renew"};
 
   private final Vertx vertx;
   private final Clock clock;
-  private final Standstill standstill;
-  private final Caches caches;
-  private final Relay relay;
-  private final Book book;
-  private final Site site;
-  private Route route;
-
-  Send(Vertx vertx, Clock clock, Standstill standstill, Caches caches, Relay relay, Book book, Site site) {
+  private final EventLoopLagMonitor standstill;
+  private final CacheEndpoints caches;
+  private final ResponseWriter relay;
+  private final InFlightRequests book;
+  private final RoutingConfig site;
+  private RoutingStage route;
+
+  AttemptSender(Vertx vertx, Clock clock, EventLoopLagMonitor standstill, CacheEndpoints caches, ResponseWriter relay, InFlightRequests book, RoutingConfig site) {
     this.vertx = vertx;
     this.clock = clock;
     this.standstill = standstill;
@@ -37,11 +37,11 @@
     this.site = site;
   }
 
-  void endingsTo(Route to) {
+  void endingsTo(RoutingStage to) {
     route = to;
   }
 
-  void forward(OpenGet get, int cache, long until, int source, long age, int rank, int switches) {
+  void forward(ClientRequest get, int cache, long until, int source, long age, int rank, int switches) {
     if (get == null) {
       return;
     }
@@ -69,7 +69,7 @@
     caches.again();
   }
 
-  private byte[] fields(OpenGet get, int cache, int source, long age, int rank, int switches) {
+  private byte[] fields(ClientRequest get, int cache, int source, long age, int rank, int switches) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(160);
     put(out, "kind=", get.asked.service().getBytes(StandardCharsets.UTF_8));
     put(out, ",obj=", get.asked.object());
@@ -109,28 +109,28 @@
   }
 
   /** No forward of this GET begins after that. */
-  void sendBy(OpenGet get, long time) {
+  void sendBy(ClientRequest get, long time) {
     if (get != null) {
       get.sendBy = time;
     }
   }
 
-  void callOff(OpenGet get, int copy) {
+  void callOff(ClientRequest get, int copy) {
     if (get != null && copy < get.forwards.size()) {
       get.forwards.get(copy).givenUp(Outcome.CALLED_OFF, false);
     }
   }
 
   /** One forward, from the decision to its one outcome. */
-  final class Sent extends Want {
-    final OpenGet get;
+  final class Sent extends CacheCommand {
+    final ClientRequest get;
     final int copy, cache, source;
     private final CachePool pool;
     private final long sentAt, stoodBefore, sendBy, end;
     private long timer = -1;
     private boolean ended;
 
-    Sent(OpenGet get, int copy, int cache, int source, long sentAt, long until, byte[] fields) {
+    Sent(ClientRequest get, int copy, int cache, int source, long sentAt, long until, byte[] fields) {
       super(get.asked.ref(), fields, get.asked.known(), get.asked.body(), until, get.forwards);
       sendBy = get.sendBy;
       end = until;
@@ -144,7 +144,7 @@
     }
 
     boolean isPurged(long object, int group) {
-      return group == Membership.EVERYTHING || (object != 0 ? object == get.asked.objectId()
+      return group == EndpointListener.EVERYTHING || (object != 0 ? object == get.asked.objectId()
           : group == get.asked.group());
     }
 
--- a/gateway/src/main/java/org/amberpath/gateway/Caches.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -1,10 +1,10 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Arrivals.Events;
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import org.amberpath.gateway.cache.CachePool;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
@@ -20,7 +20,7 @@
 import java.util.function.LongFunction;
 
 /** The caches that the journal told of, by the small indices under which the decisions know them. */
-final class Caches implements Membership {
+final class CacheEndpoints implements EndpointListener {
   private static final class Entry {
     final String id;
     final int index;
@@ -44,17 +44,17 @@
   private final GatewayOptions options;
   private final Clock clock;
   private final NetClient client;
-  private final Complaints complaints;
+  private final ProtocolErrorLog complaints;
   /** Those that are there, and those gone on whose connections something is still open. */
   private final Map<String, Entry> byId = new HashMap<>();
   private final List<Entry> entries = new ArrayList<>();
   private final ArrayDeque<Integer> unused = new ArrayDeque<>();
   private final List<Consumer<Events>> list = new ArrayList<>();
-  private Route route;
+  private RoutingStage route;
   private int most;
   private boolean told;
 
-  Caches(Vertx vertx, GatewayOptions options, Clock clock, Complaints complaints) {
+  CacheEndpoints(Vertx vertx, GatewayOptions options, Clock clock, ProtocolErrorLog complaints) {
     this.options = options;
     this.clock = clock;
     this.complaints = complaints;
@@ -62,7 +62,7 @@
         .setConnectTimeout((int) Math.max(1, options.connectTimeout() / 1_000_000)));
   }
 
-  void newsTo(Route to) {
+  void newsTo(RoutingStage to) {
     route = to;
   }
 
@@ -140,13 +140,13 @@
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
     for (Entry entry : byId.values()) {
       if (entry.pool != null) {
-        entry.pool.fail(want -> entry.state != State.UP || !up((Send.Sent) want), Outcome.HELD_BACK);
+        entry.pool.fail(want -> entry.state != State.UP || !up((AttemptSender.Sent) want), Outcome.HELD_BACK);
       }
     }
     most = options.connectionsToEach((int) byId.values().stream().filter(one -> one.state != State.GONE).count());
   }
 
-  private boolean up(Send.Sent sent) {
+  private boolean up(AttemptSender.Sent sent) {
     Entry source = entries.get(sent.source);
     return source != null && source.state == State.UP;
   }
@@ -158,7 +158,7 @@
     }
     route.told(to -> to.purged(object, group, clock.now() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done before.
-    pools().forEach(pool -> pool.fail(want -> ((Send.Sent) want).isPurged(object, group), Outcome.HELD_BACK));
+    pools().forEach(pool -> pool.fail(want -> ((AttemptSender.Sent) want).isPurged(object, group), Outcome.HELD_BACK));
   }
 
   /** Guards slow starts against a wall clock that was ahead when this gateway began, and made them look old. */
--- a/gateway/src/main/java/org/amberpath/gateway/Clients.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** The clients' connections: bounded in number, and in the time for a whole message that is owed. */
-final class Clients {
+final class ClientConnections {
   /** Clients that break the protocol are owed a close within 3 s; this and one sweep stay below. */
   private static final long MESSAGE_NS = 2_000_000_000L;
 
@@ -25,7 +25,7 @@
   private final Set<ClientConnection> ending = new LinkedHashSet<>();
   private boolean rejects, over;
 
-  Clients(Vertx vertx, int most, Clock clock) {
+  ClientConnections(Vertx vertx, int most, Clock clock) {
     this.vertx = vertx;
     this.most = most;
     this.clock = clock;
--- a/gateway/src/main/java/org/amberpath/gateway/OpenGet.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -2,22 +2,22 @@
 
 import org.amberpath.routing.SocketReads;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.DecodedRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** One GET from its last byte to its final answer and the end of its last forward. */
-final class OpenGet {
+final class ClientRequest {
   final long id;
   final ClientConnection client;
   final long number;
-  final ClientGet asked;
+  final DecodedRequest asked;
   final String ref;
   final int ds;
   final long due;
-  final List<Send.Sent> forwards = new ArrayList<>(1);
+  final List<AttemptSender.Sent> forwards = new ArrayList<>(1);
   /** Forwards out, and events on the way to the decisions. */
   int out, events;
   boolean answered;
@@ -32,19 +32,19 @@
   /** Whether a cache has answered it, also that it has not what was asked for. */
   boolean heard;
   /** Hears how it ended, where it is of this gateway's own and no client's; null otherwise. */
-  final Consumer<Company.Own> own;
+  final Consumer<FleetCoordinator.Own> own;
 
-  OpenGet(long id, ClientConnection client, long number, ClientGet asked, int ds, long due) {
+  ClientRequest(long id, ClientConnection client, long number, DecodedRequest asked, int ds, long due) {
     this(id, client, number, asked, ds, due, null);
   }
 
   /** One of this gateway's own. */
-  OpenGet(long id, ClientGet asked, int ds, long due, Consumer<Company.Own> own) {
+  ClientRequest(long id, DecodedRequest asked, int ds, long due, Consumer<FleetCoordinator.Own> own) {
     this(id, null, id, asked, ds, due, own);
   }
 
-  private OpenGet(long id, ClientConnection client, long number, ClientGet asked, int ds, long due,
-      Consumer<Company.Own> own) {
+  private ClientRequest(long id, ClientConnection client, long number, DecodedRequest asked, int ds, long due,
+      Consumer<FleetCoordinator.Own> own) {
     this.own = own;
     this.id = id;
     this.client = client;
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -1,11 +1,11 @@
 package org.amberpath.gateway;
 
 import org.amberpath.routing.EventAge;
-import org.amberpath.gateway.discovery.Entries;
+import org.amberpath.gateway.discovery.JournalDecoder;
 import java.util.function.LongSupplier;
 
 /** Time that only goes forward, and what it makes of Unix times. */
-public final class Clock implements Entries.Replies {
+public final class Clock implements JournalDecoder.Replies {
   private final LongSupplier monotonicNanos, wallMillis;
   private final long origin;
   private final EventAge ages;
--- a/gateway/src/main/java/org/amberpath/gateway/NewsSource.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointSource.java
@@ -1,16 +1,16 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.EndpointListener;
 import io.vertx.core.Vertx;
 
 /**
  * A source of news of caches and purges beside the journal. It is called on the gateway's event loop, and tells on
  * it.
  */
-public interface NewsSource {
+public interface EndpointSource {
   /** Makes the source of one gateway. */
   interface Maker {
-    NewsSource make(Vertx vertx, Membership to, long seed);
+    EndpointSource make(Vertx vertx, EndpointListener to, long seed);
   }
 
   void start();
--- a/gateway/src/main/java/org/amberpath/gateway/Standstill.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
@@ -1,26 +1,26 @@
 package org.amberpath.gateway;
 
 import org.amberpath.routing.AcceptLag;
-import org.amberpath.routing.NewsAge;
-import org.amberpath.routing.Pace;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.LoadShedder;
 import org.amberpath.routing.SocketReads;
 import org.amberpath.gateway.client.ClientConnection;
 import io.vertx.core.Vertx;
 
 /** How long this gateway itself stood still, for want of CPU or in a pause of the runtime: a tick that comes late. */
-final class Standstill {
+final class EventLoopLagMonitor {
   private static final long TICK_MS = 10, SEEN_NS = 5_000_000;
 
   private final Clock clock;
-  private final NewsAge news;
+  private final DiscoveryFreshness news;
   private final SocketReads reads;
-  private final Pace pace;
+  private final LoadShedder pace;
   private final AcceptLag<ClientConnection> accepts = new AcceptLag<>();
   private long due = Long.MAX_VALUE, total, ticked, began;
   /** Whether the last tick was late: what came before it is read only now. */
   private boolean behind;
 
-  Standstill(Clock clock, NewsAge news, SocketReads reads, Pace pace) {
+  EventLoopLagMonitor(Clock clock, DiscoveryFreshness news, SocketReads reads, LoadShedder pace) {
     this.clock = clock;
     this.news = news;
     this.reads = reads;
--- a/gateway/src/main/java/org/amberpath/gateway/Company.java
+++ b/gateway/src/main/java/org/amberpath/gateway/FleetCoordinator.java
@@ -1,6 +1,6 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingActions;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.function.Consumer;
@@ -8,10 +8,10 @@
 /**
  * The other gateways, as far as this one knows them. It runs on the gateway's event loop, and tells there.
  */
-public interface Company {
+public interface FleetCoordinator {
   /** Makes the company of one gateway. */
   interface Maker {
-    Company make(Vertx vertx, GatewayOptions options, Ways to);
+    FleetCoordinator make(Vertx vertx, GatewayOptions options, Ways to);
   }
 
   /** What came of a GET of this gateway's own: the cache answered it, with the part or without; or not. */
@@ -43,7 +43,7 @@
   Future<Void> start();
 
   /** How an edge cache is, as far as the decisions see it. */
-  void health(String cache, Decisions.Health health);
+  void health(String cache, RoutingActions.Health health);
 
   /** An edge cache of the zone has just started, and bears less than all until this time. */
   void cold(String cache, long until);
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -1,18 +1,18 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Decisions;
-import org.amberpath.routing.Membership;
-import org.amberpath.routing.NewsAge;
-import org.amberpath.routing.Pace;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.LoadShedder;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.Site;
+import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.SocketReads;
-import org.amberpath.routing.Strictest;
-import org.amberpath.gateway.discovery.Entries;
+import org.amberpath.routing.MergedEndpointLists;
+import org.amberpath.gateway.discovery.JournalDecoder;
 import org.amberpath.gateway.discovery.JournalClient;
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.Unread;
+import org.amberpath.gateway.client.WriteBufferAccounting;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -50,63 +50,63 @@
   private final Context context;
   private final GatewayOptions options;
   private final Clock clock;
-  private final Book book = new Book();
+  private final InFlightRequests book = new InFlightRequests();
   private final Promise<Void> stopped = Promise.promise();
-  private final Complaints complaints = new Complaints();
-  private final NewsAge age;
-  private final Standstill standstill;
-  private final Clients clients;
-  private final Caches caches;
-  private final Relay relay;
-  private final Route route;
-  private final TakeIn takeIn;
+  private final ProtocolErrorLog complaints = new ProtocolErrorLog();
+  private final DiscoveryFreshness age;
+  private final EventLoopLagMonitor standstill;
+  private final ClientConnections clients;
+  private final CacheEndpoints caches;
+  private final ResponseWriter relay;
+  private final RoutingStage route;
+  private final RequestReceiver takeIn;
   /** Null where another source tells of caches in its place. */
   private final JournalClient journal;
-  private final Membership journalNews;
-  private final NewsSource news;
-  private final Company company;
-  private final Entries entries;
+  private final EndpointListener journalNews;
+  private final EndpointSource news;
+  private final FleetCoordinator company;
+  private final JournalDecoder entries;
   private NetServer server;
   private long sweeper = -1, watch = -1;
   private volatile Phase phase = Phase.NEW;
 
   public Gateway(Vertx vertx, GatewayOptions options) {
-    this(vertx, options, Beside.NOTHING);
+    this(vertx, options, GatewayExtensions.NOTHING);
   }
 
   /** A gateway that hears of caches from another source too, or only from there if its options name no journal. */
-  public Gateway(Vertx vertx, GatewayOptions options, Beside beside) {
+  public Gateway(Vertx vertx, GatewayOptions options, GatewayExtensions beside) {
     this(vertx, options, beside, new RequestRouter(options.site())::round);
   }
 
-  Gateway(Vertx vertx, GatewayOptions options, Beside beside, Route.Rounds decisions) {
+  Gateway(Vertx vertx, GatewayOptions options, GatewayExtensions beside, RoutingStage.Rounds decisions) {
     this(vertx, options, beside, decisions, new Clock());
   }
 
-  Gateway(Vertx vertx, GatewayOptions options, Beside beside, Route.Rounds decisions, Clock clock) {
-    NewsSource.Maker source = beside.news();
+  Gateway(Vertx vertx, GatewayOptions options, GatewayExtensions beside, RoutingStage.Rounds decisions, Clock clock) {
+    EndpointSource.Maker source = beside.news();
     this.vertx = vertx;
     context = vertx.getOrCreateContext();
     this.options = options;
     this.clock = clock;
-    entries = new Entries(clock);
-    age = new NewsAge(options.newsGrace(), options.journal() != null, clock.now());
-    Site site = options.site();
-    Pace pace = new Pace(site.seed(), site.retryAfter() ? site.maxRetryAfter() : 0);
+    entries = new JournalDecoder(clock);
+    age = new DiscoveryFreshness(options.newsGrace(), options.journal() != null, clock.now());
+    RoutingConfig site = options.site();
+    LoadShedder pace = new LoadShedder(site.seed(), site.retryAfter() ? site.maxRetryAfter() : 0);
     SocketReads reads = new SocketReads(clock.now());
-    standstill = new Standstill(clock, age, reads, pace);
-    relay = new Relay(vertx, book);
-    clients = new Clients(vertx, options.mostClients(), clock);
-    caches = new Caches(vertx, options, clock, complaints);
-    Send send = new Send(vertx, clock, standstill, caches, relay, book, options.site());
-    route = new Route(vertx, clock, decisions, age, reads, book, send, relay);
+    standstill = new EventLoopLagMonitor(clock, age, reads, pace);
+    relay = new ResponseWriter(vertx, book);
+    clients = new ClientConnections(vertx, options.mostClients(), clock);
+    caches = new CacheEndpoints(vertx, options, clock, complaints);
+    AttemptSender send = new AttemptSender(vertx, clock, standstill, caches, relay, book, options.site());
+    route = new RoutingStage(vertx, clock, decisions, age, reads, book, send, relay);
     send.endingsTo(route);
     caches.newsTo(route);
-    Admit admit = new Admit(options.site(), options.mostOpen(), book, route);
-    takeIn = new TakeIn(clock, standstill, book, admit, route, relay, clients, complaints, pace,
+    AdmissionControl admit = new AdmissionControl(options.site(), options.mostOpen(), book, route);
+    takeIn = new RequestReceiver(clock, standstill, book, admit, route, relay, clients, complaints, pace,
         () -> phase == Phase.SERVING && caches.told());
-    Strictest both = new Strictest(caches);
-    Membership sourceNews = source == null || options.journal() == null ? caches : both.port();
+    MergedEndpointLists both = new MergedEndpointLists(caches);
+    EndpointListener sourceNews = source == null || options.journal() == null ? caches : both.port();
     journalNews = source == null ? caches : both.port();
     news = source == null ? null : source.make(vertx, sourceNews, options.site().seed());
     journal = options.journal() == null ? null : new JournalClient(vertx, options.journal(), entries, journalNews,
@@ -114,10 +114,10 @@
     company = beside.company() == null ? null : accompanied(beside.company(), admit);
   }
 
-  private Company accompanied(Company.Maker maker, Admit admit) {
-    OwnGets own = new OwnGets(options.site(), clock, book, route, caches);
+  private FleetCoordinator accompanied(FleetCoordinator.Maker maker, AdmissionControl admit) {
+    SyntheticRequests own = new SyntheticRequests(options.site(), clock, book, route, caches);
     admit.showTo(own);
-    Company made = maker.make(vertx, options, new Company.Ways() {
+    FleetCoordinator made = maker.make(vertx, options, new FleetCoordinator.Ways() {
       @Override public void shared(int many, double part) {
         route.told(to -> to.sharers(many, part));
       }
@@ -136,12 +136,12 @@
         });
       }
 
-      @Override public boolean own(String cache, long within, Consumer<Company.Own> end) {
+      @Override public boolean own(String cache, long within, Consumer<FleetCoordinator.Own> end) {
         return phase == Phase.SERVING && own.make(cache, within, end);
       }
     });
-    route.tellOf(new Route.Told() {
-      @Override public void health(int cache, Decisions.Health health) {
+    route.tellOf(new RoutingStage.Told() {
+      @Override public void health(int cache, RoutingActions.Health health) {
         made.health(caches.id(cache), health);
       }
 
@@ -170,23 +170,23 @@
         if (journal != null) {
           entries.playKnown(options.known(), journalNews);
         }
-      } catch (Fields.Malformed e) {
+      } catch (JsonReader.Malformed e) {
         started.fail(e);
         return;
       }
-      Rehearsal rehearsal = new Rehearsal(vertx, options.site());
+      StartupWarmUp rehearsal = new StartupWarmUp(vertx, options.site());
       rehearsal.play();
       if (company != null) {
         company.start().onFailure(started::tryFail);
       }
       server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(1024));
-      Unread queues = new Unread(options.unreadOfOne(), options.unreadOfAll());
+      WriteBufferAccounting queues = new WriteBufferAccounting(options.unreadOfOne(), options.unreadOfAll());
       server.connectHandler(socket -> {
         ClientConnection client = new ClientConnection(socket, queues, clock::now, takeIn);
         standstill.accepted(client, AcceptLimit.queuedNanos(socket));
         clients.add(client);
       });
-      OneLoop.limitNext(vertx, new AcceptLimit(options.mostClients() + NEWCOMERS, clock::now));
+      SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(options.mostClients() + NEWCOMERS, clock::now));
       server.listen(options.listen()).onComplete(listening -> {
         if (listening.failed()) {
           started.tryFail(new IOException("PROXY_LISTEN: can't listen at " + options.listen() + ": "
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway;
 
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.gateway.settings.JsonSite;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -24,24 +24,24 @@
 
   private final String name;
   private final SocketAddress listen, journal;
-  private final JsonSite site;
-  private final Fields known;
+  private final JsonRoutingConfig site;
+  private final JsonReader known;
   private final long connectTimeout, connectionIdle, longestDeadline, newsGrace;
   private final int wantsOnConnection, mostOpen, descriptors;
   private final long memory;
 
-  private GatewayOptions(Map<String, String> environment, Fields all, boolean withJournal) {
+  private GatewayOptions(Map<String, String> environment, JsonReader all, boolean withJournal) {
     name = environment.getOrDefault("PROXY_NAME", all.has("name") ? all.text("name") : "gateway");
     String address = environment.get("PROXY_LISTEN");
     listen = address != null ? address("PROXY_LISTEN", address) : address(all, "listen");
     journal = withJournal ? address(all, "journal") : null;
-    known = all.has("known") ? all.fields("known") : new Fields("known", Map.of());
-    Fields limits = all.fieldsOr("limits");
+    known = all.has("known") ? all.fields("known") : new JsonReader("known", Map.of());
+    JsonReader limits = all.fieldsOr("limits");
     descriptors = atLeast(limits, "sockets", 1024, LEAST_DESCRIPTORS);
     memory = (long) atLeast(limits, "memory_mb", 192, LEAST_MEMORY_MB) << 20;
-    Fields settings = all.fields("settings");
-    site = new JsonSite(seed(all), settings);
-    Fields bounds = settings.fieldsOr("bounds");
+    JsonReader settings = all.fields("settings");
+    site = new JsonRoutingConfig(seed(all), settings);
+    JsonReader bounds = settings.fieldsOr("bounds");
     connectTimeout = bounds.timeOr("connect-timeout-s", 400_000_000);
     connectionIdle = bounds.timeOr("conn-idle-s", 30_000_000_000L);
     newsGrace = Math.min(settings.fieldsOr("guarantees").timeOr("drain-grace-s", DRAIN_GRACE),
@@ -49,13 +49,13 @@
     wantsOnConnection = Math.max(1, bounds.place("multiplex", 1));
     mostOpen = Math.max(1, bounds.place("max-open", Integer.MAX_VALUE));
     long longest = 0;
-    for (Fields service : settings.each("classes")) {
+    for (JsonReader service : settings.each("classes")) {
       longest = Math.max(longest, service.timeOr("hard-limit-s", LONGEST_DEADLINE_NANOS));
     }
     longestDeadline = Math.min(longest, LONGEST_DEADLINE_NANOS);
   }
 
-  /** Reads what the environment names. A message of {@link Fields.Malformed} names the faulty key. */
+  /** Reads what the environment names. A message of {@link JsonReader.Malformed} names the faulty key. */
   public static GatewayOptions read(Map<String, String> environment) {
     return read(environment, true);
   }
@@ -64,18 +64,18 @@
   public static GatewayOptions read(Map<String, String> environment, boolean withJournal) {
     String path = environment.get("PROXY_CONFIG");
     if (path == null) {
-      throw new Fields.Malformed("environment: PROXY_CONFIG is missing");
+      throw new JsonReader.Malformed("environment: PROXY_CONFIG is missing");
     }
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(Path.of(path)))) {
-      return new GatewayOptions(environment, Fields.read("configuration", parser), withJournal);
+      return new GatewayOptions(environment, JsonReader.read("configuration", parser), withJournal);
     } catch (JsonProcessingException e) {
-      throw new Fields.Malformed("PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
+      throw new JsonReader.Malformed("PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new Fields.Malformed("PROXY_CONFIG: " + path + " can't be read: " + e);
+      throw new JsonReader.Malformed("PROXY_CONFIG: " + path + " can't be read: " + e);
     }
   }
 
-  private static int atLeast(Fields from, String key, int absent, int least) {
+  private static int atLeast(JsonReader from, String key, int absent, int least) {
     int value = from.place(key, absent);
     if (value < least) {
       throw from.wrong(key, "under " + least);
@@ -83,7 +83,7 @@
     return value;
   }
 
-  private static long seed(Fields all) {
+  private static long seed(JsonReader all) {
     try {
       return Long.parseUnsignedLong(all.text("seed"), 16);
     } catch (NumberFormatException e) {
@@ -91,10 +91,10 @@
     }
   }
 
-  private static SocketAddress address(Fields from, String key) {
+  private static SocketAddress address(JsonReader from, String key) {
     try {
       return address(key, from.text(key));
-    } catch (Fields.Malformed e) {
+    } catch (JsonReader.Malformed e) {
       throw e.getMessage().startsWith(key) ? from.wrong(key, e.getMessage().substring(key.length() + 1)) : e;
     }
   }
@@ -111,7 +111,7 @@
     } catch (NumberFormatException | UnknownHostException e) {
       // Said below.
     }
-    throw new Fields.Malformed(key + " no address:port: " + text);
+    throw new JsonReader.Malformed(key + " no address:port: " + text);
   }
 
   public String name() {
@@ -127,11 +127,11 @@
     return journal;
   }
 
-  public JsonSite site() {
+  public JsonRoutingConfig site() {
     return site;
   }
 
-  public Fields known() {
+  public JsonReader known() {
     return known;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/Book.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -10,14 +10,14 @@
 import java.util.Set;
 
 /** Last stage: which GETs are open, until each is answered and its last forward has ended. */
-final class Book {
-  private final Map<Long, OpenGet> gets = new LinkedHashMap<>();
-  private final Map<ClientConnection, Map<Long, OpenGet>> unanswered = new LinkedHashMap<>();
+final class InFlightRequests {
+  private final Map<Long, ClientRequest> gets = new LinkedHashMap<>();
+  private final Map<ClientConnection, Map<Long, ClientRequest>> unanswered = new LinkedHashMap<>();
   private final Set<String> refs = new HashSet<>();
   private long last;
   private int waiting;
 
-  OpenGet get(long id) {
+  ClientRequest get(long id) {
     return gets.get(id);
   }
 
@@ -30,7 +30,7 @@
     return refs.contains(ref);
   }
 
-  void open(OpenGet get) {
+  void open(ClientRequest get) {
     gets.put(get.id, get);
     refs.add(get.ref);
     if (get.own != null) {
@@ -49,11 +49,11 @@
     return gets.size();
   }
 
-  OpenGet unanswered(ClientConnection client, long number) {
+  ClientRequest unanswered(ClientConnection client, long number) {
     return unanswered.getOrDefault(client, Map.of()).get(number);
   }
 
-  List<OpenGet> unanswered(ClientConnection client) {
+  List<ClientRequest> unanswered(ClientConnection client) {
     return new ArrayList<>(unanswered.getOrDefault(client, Map.of()).values());
   }
 
@@ -70,15 +70,15 @@
         .orElse(Long.MIN_VALUE);
   }
 
-  List<OpenGet> allUnanswered() {
+  List<ClientRequest> allUnanswered() {
     return gets.values().stream().filter(get -> !get.answered).toList();
   }
 
-  void answered(OpenGet get) {
+  void answered(ClientRequest get) {
     get.answered = true;
     if (get.own == null) {
       waiting--;
-      Map<Long, OpenGet> ofClient = unanswered.get(get.client);
+      Map<Long, ClientRequest> ofClient = unanswered.get(get.client);
       ofClient.remove(get.number);
       if (ofClient.isEmpty()) {
         unanswered.remove(get.client);
@@ -88,7 +88,7 @@
   }
 
   /** Guards against decisions on a GET that was forgotten: it stays until they have heard all of it. */
-  void close(OpenGet get) {
+  void close(ClientRequest get) {
     if (get.answered && get.out == 0 && get.events == 0) {
       gets.remove(get.id);
       refs.remove(get.ref);
--- a/gateway/src/main/java/org/amberpath/gateway/Complaints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
@@ -3,8 +3,8 @@
 import java.util.logging.Logger;
 
 /** What peers did wrong: counted, and told in one line a sweep at most, so that no peer can flood the log. */
-final class Complaints {
-  private static final Logger LOG = Logger.getLogger(Complaints.class.getName());
+final class ProtocolErrorLog {
+  private static final Logger LOG = Logger.getLogger(ProtocolErrorLog.class.getName());
   private static final int LONGEST = 200;
 
   private long many;
--- a/gateway/src/main/java/org/amberpath/gateway/TakeIn.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -1,26 +1,26 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Pace;
+import org.amberpath.routing.LoadShedder;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.ClientHandler;
 import java.util.function.BooleanSupplier;
 
 /** First stage: what clients say, with the time at which it had come whole. */
-final class TakeIn implements ClientHandler {
+final class RequestReceiver implements ClientHandler {
   private final Clock clock;
-  private final Standstill standstill;
-  private final Book book;
-  private final Admit admit;
-  private final Route route;
-  private final Relay relay;
-  private final Clients clients;
-  private final Complaints complaints;
-  private final Pace pace;
+  private final EventLoopLagMonitor standstill;
+  private final InFlightRequests book;
+  private final AdmissionControl admit;
+  private final RoutingStage route;
+  private final ResponseWriter relay;
+  private final ClientConnections clients;
+  private final ProtocolErrorLog complaints;
+  private final LoadShedder pace;
   private final BooleanSupplier ready;
 
-  TakeIn(Clock clock, Standstill standstill, Book book, Admit admit, Route route, Relay relay, Clients clients,
-      Complaints complaints, Pace pace, BooleanSupplier ready) {
+  RequestReceiver(Clock clock, EventLoopLagMonitor standstill, InFlightRequests book, AdmissionControl admit, RoutingStage route, ResponseWriter relay, ClientConnections clients,
+      ProtocolErrorLog complaints, LoadShedder pace, BooleanSupplier ready) {
     this.clock = clock;
     this.standstill = standstill;
     this.book = book;
@@ -41,7 +41,7 @@
     return pace.away();
   }
 
-  @Override public void get(ClientConnection from, long number, ClientGet get) {
+  @Override public void get(ClientConnection from, long number, DecodedRequest get) {
     long now = clock.now();
     admit.get(from, number, get, now, standstill.late(from, now));
   }
@@ -56,7 +56,7 @@
 
   @Override public void broken(ClientConnection from, String why) {
     complaints.add(from, why);
-    for (OpenGet get : book.unanswered(from)) {
+    for (ClientRequest get : book.unanswered(from)) {
       relay.errored(get, "the protocol was broken on this connection");
       route.arrived(get, to -> to.left(get.id));
     }
@@ -71,7 +71,7 @@
     clients.released(from);
   }
 
-  private void left(OpenGet get) {
+  private void left(ClientRequest get) {
     if (get != null) {
       relay.left(get);
       route.arrived(get, to -> to.left(get.id));
--- a/gateway/src/main/java/org/amberpath/gateway/Relay.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -4,17 +4,17 @@
 import io.vertx.core.buffer.Buffer;
 
 /** Fifth stage: the one final answer of each GET goes to its client. */
-final class Relay {
+final class ResponseWriter {
   private final Vertx vertx;
-  private final Book book;
+  private final InFlightRequests book;
 
-  Relay(Vertx vertx, Book book) {
+  ResponseWriter(Vertx vertx, InFlightRequests book) {
     this.vertx = vertx;
     this.book = book;
   }
 
   /** The bytes as they came; null says that the client's own copy is the one. */
-  void returned(OpenGet get, Buffer body) {
+  void returned(ClientRequest get, Buffer body) {
     if (end(get)) {
       if (body == null) {
         get.client.returnedSame(get.number);
@@ -24,33 +24,33 @@
     }
   }
 
-  void shed(OpenGet get, long wait) {
+  void shed(ClientRequest get, long wait) {
     if (end(get)) {
       get.client.shed(get.number, wait);
     }
   }
 
-  void errored(OpenGet get, String why) {
+  void errored(ClientRequest get, String why) {
     if (end(get)) {
       get.client.errored(get.number, why);
     }
   }
 
   /** No answer is owed any more. */
-  void left(OpenGet get) {
+  void left(ClientRequest get) {
     end(get);
   }
 
   /** Whether a client is to hear of it. */
-  private boolean end(OpenGet get) {
+  private boolean end(ClientRequest get) {
     if (get == null || get.answered) {
       return false;
     }
     vertx.cancelTimer(get.backstop);
     book.answered(get);
     if (get.own != null) {
-      get.own.accept(get.heard ? Company.Own.ANSWERED : get.forwards.isEmpty() ? Company.Own.NOT_SENT
-          : Company.Own.SILENT);
+      get.own.accept(get.heard ? FleetCoordinator.Own.ANSWERED : get.forwards.isEmpty() ? FleetCoordinator.Own.NOT_SENT
+          : FleetCoordinator.Own.SILENT);
     }
     return get.own == null;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/Route.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -1,9 +1,9 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Arrivals;
-import org.amberpath.routing.Arrivals.Events;
-import org.amberpath.routing.Decisions;
-import org.amberpath.routing.NewsAge;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.SocketReads;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -14,31 +14,31 @@
 
 /**
  * Third stage: what a turn of the loop brought is one round of the decisions, carried out at once. While news of
- * caches and purges may be too old to decide by, rounds wait, for no longer than {@link NewsAge} says; news goes first
+ * caches and purges may be too old to decide by, rounds wait, for no longer than {@link DiscoveryFreshness} says; news goes first
  * in each.
  */
-final class Route implements Decisions, Arrivals {
-  private static final Logger LOG = Logger.getLogger(Route.class.getName());
+final class RoutingStage implements RoutingActions, RoutingEvents {
+  private static final Logger LOG = Logger.getLogger(RoutingStage.class.getName());
   private static final long BACKSTOP_MS = 25;
   /** What one round takes at most, as much as one client may have open. */
   private static final int MOST = 32;
 
   /** The decisions: one call a round. */
   interface Rounds {
-    void round(long now, Arrivals in, Decisions to);
+    void round(long now, RoutingEvents in, RoutingActions to);
   }
 
-  private record Arrival(OpenGet get, Consumer<Events> event) {
+  private record Arrival(ClientRequest get, Consumer<Events> event) {
   }
 
   private final Vertx vertx;
   private final Clock clock;
   private final Rounds decisions;
-  private final NewsAge age;
+  private final DiscoveryFreshness age;
   private final SocketReads reads;
-  private final Book book;
-  private final Send send;
-  private final Relay relay;
+  private final InFlightRequests book;
+  private final AttemptSender send;
+  private final ResponseWriter relay;
   /** Bounded by the open GETs, their forwards and timers, and by the length of a reply of the journal. */
   private List<Arrival> news = new ArrayList<>(), arrivals = new ArrayList<>();
   private List<Arrival> round = List.of();
@@ -46,8 +46,8 @@
   private int replayed;
   private Told told;
 
-  Route(Vertx vertx, Clock clock, Rounds decisions, NewsAge age, SocketReads reads, Book book, Send send,
-      Relay relay) {
+  RoutingStage(Vertx vertx, Clock clock, Rounds decisions, DiscoveryFreshness age, SocketReads reads, InFlightRequests book, AttemptSender send,
+      ResponseWriter relay) {
     this.vertx = vertx;
     this.clock = clock;
     this.decisions = decisions;
@@ -70,13 +70,13 @@
     told = of;
   }
 
-  void get(OpenGet get) {
+  void get(ClientRequest get) {
     open(get, to -> to.get(get.id, get.ds, get.asked.objectId(), get.asked.group(), get.asked.partNumber(),
         get.due - clock.now(), get.asked.kb(), false));
   }
 
   /** A GET goes to the decisions, as the event says, and has its answer by its time at the latest. */
-  void open(OpenGet get, Consumer<Events> event) {
+  void open(ClientRequest get, Consumer<Events> event) {
     long left = get.due - clock.now();
     get.backstop = vertx.setTimer(Math.max(1, left / 1_000_000) + BACKSTOP_MS, late -> {
       relay.errored(get, "late");
@@ -86,7 +86,7 @@
   }
 
   /** Takes an event into this turn's round; get is the one that it belongs to, if any. */
-  void arrived(OpenGet get, Consumer<Events> event) {
+  void arrived(ClientRequest get, Consumer<Events> event) {
     arrivals.add(new Arrival(get, event));
     if (get != null) {
       get.events++;
@@ -180,7 +180,7 @@
   }
 
   /** Whether a GET's connection was read on where the loop was late: guards against a close behind a pipeline. */
-  private boolean isSettled(OpenGet get) {
+  private boolean isSettled(ClientRequest get) {
     if (get != null && get.backlog != null && !get.settled) {
       get.settled = get.answered || reads.isSettled(get.takenAt, book.lastTaken(get.client));
       return get.settled;
@@ -200,7 +200,7 @@
   }
 
   /** Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time ends it. */
-  private void failed(OpenGet get) {
+  private void failed(ClientRequest get) {
     if (get != null && get.out == 0 && !get.answered) {
       relay.errored(get, "internal error");
       arrived(get, to -> to.left(get.id));
@@ -208,7 +208,7 @@
   }
 
   /** The decisions have heard of one event more, or never will. */
-  private void replayed(OpenGet get) {
+  private void replayed(ClientRequest get) {
     if (get != null) {
       get.events--;
       book.close(get);
--- a/gateway/src/main/java/org/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -1,6 +1,6 @@
 package org.amberpath.gateway;
 
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.file.FileSystemOptions;
@@ -27,21 +27,21 @@
 
   /** Starts a gateway; what keeps it from starting is one plain message and exit code 1. */
   public static void run(Map<String, String> environment, PrintStream err) {
-    run(environment, err, Beside.NOTHING, true);
+    run(environment, err, GatewayExtensions.NOTHING, true);
   }
 
   /** The same with what an installation has beside the platform's own. */
-  public static void run(Map<String, String> environment, PrintStream err, Beside beside, boolean withJournal) {
+  public static void run(Map<String, String> environment, PrintStream err, GatewayExtensions beside, boolean withJournal) {
     System.setProperty(FORMAT, System.getProperty(FORMAT, "%1$tF %1$tT.%1$tL %4$s %5$s%6$s%n"));
     GatewayOptions options;
     try {
       options = GatewayOptions.read(environment, withJournal);
-    } catch (Fields.Malformed e) {
+    } catch (JsonReader.Malformed e) {
       err.println(e.getMessage());
       System.exit(1);
       return;
     }
-    Vertx vertx = Vertx.builder().withTransport(OneLoop.transport()).with(new VertxOptions()
+    Vertx vertx = Vertx.builder().withTransport(SingleEventLoopTransport.transport()).with(new VertxOptions()
         .setEventLoopPoolSize(1).setWorkerPoolSize(1).setInternalBlockingPoolSize(1)
         .setFileSystemOptions(new FileSystemOptions().setClassPathResolvingEnabled(false)
             .setFileCachingEnabled(false))).build();
--- a/gateway/src/main/java/org/amberpath/gateway/OneLoop.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
@@ -14,12 +14,12 @@
  * Sockets whose connections are accepted on the event loop that also serves them. Guards the descriptors: an acceptor
  * with a thread of its own runs ahead of a loop that is busy, past any bound that is kept there.
  */
-final class OneLoop extends NioTransport {
+final class SingleEventLoopTransport extends NioTransport {
   private final SystemCalls calls;
   private EventLoopGroup loop;
   private AcceptLimit next;
 
-  private OneLoop(SystemCalls calls) {
+  private SingleEventLoopTransport(SystemCalls calls) {
     this.calls = calls;
   }
 
@@ -29,7 +29,7 @@
 
   /** The same with other system calls, for tests of those that fail. */
   static Transport transport(SystemCalls calls) {
-    OneLoop made = new OneLoop(calls);
+    SingleEventLoopTransport made = new SingleEventLoopTransport(calls);
     return new Transport() {
       @Override public String name() {
         return "one loop";
@@ -56,7 +56,7 @@
 
   /** The server that listens next accepts within that limit; other transports know of none. */
   static void limitNext(Vertx vertx, AcceptLimit limit) {
-    if (((VertxInternal) vertx).transport() instanceof OneLoop own) {
+    if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport own) {
       own.next = limit;
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/Rehearsal.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -1,15 +1,15 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.Arrivals.Events;
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.Site;
-import org.amberpath.gateway.client.RequestRehearsal;
-import org.amberpath.gateway.cache.ReplyRehearsal;
+import org.amberpath.routing.RoutingConfig;
+import org.amberpath.gateway.client.RequestWarmUp;
+import org.amberpath.gateway.cache.ReplyWarmUp;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -22,20 +22,20 @@
  * GETs that nobody asked for, before clients are let in: the first real ones find warm code. Guards against a gateway
  * that, short of CPU, answers late while its code is cold and takes its own lateness for that of the caches.
  */
-final class Rehearsal implements Decisions {
+final class StartupWarmUp implements RoutingActions {
   private static final int BATCHES = 75, BATCH = 20, ASKED = 100;
   private static final long LONGEST = 1_000_000_000, LONGEST_ASKED_MS = 250, APART = 5_000_000, TOOK = 50_000_000;
-  private static final Logger LOG = Logger.getLogger(Rehearsal.class.getName());
+  private static final Logger LOG = Logger.getLogger(StartupWarmUp.class.getName());
 
   private final Vertx vertx;
-  private final Site site;
+  private final RoutingConfig site;
   private final RequestRouter router;
   private final Promise<Void> done = Promise.promise();
   private final long start = System.nanoTime();
   private long now = start;
   private int cache, round, asked;
 
-  Rehearsal(Vertx vertx, Site site) {
+  StartupWarmUp(Vertx vertx, RoutingConfig site) {
     this.vertx = vertx;
     this.site = site;
     router = new RequestRouter(site);
@@ -48,8 +48,8 @@
       for (int in = 0; in < BATCH; in++) {
         decide(++round);
       }
-      RequestRehearsal.play(BATCH);
-      ReplyRehearsal.play(BATCH);
+      RequestWarmUp.play(BATCH);
+      ReplyWarmUp.play(BATCH);
     }
   }
 
@@ -75,7 +75,7 @@
     if (++asked > ASKED) {
       done.tryComplete();
     } else if (!done.future().isComplete()) {
-      self.write(RequestRehearsal.status());
+      self.write(RequestWarmUp.status());
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/Want.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -1,20 +1,20 @@
 package org.amberpath.gateway.cache;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
 /** One forward on its way to a cache. The subclass is told how it ended, once, unless it was given up. */
-public abstract class Want {
+public abstract class CacheCommand {
   final String key;
   private final byte[] id;
   private final byte[] fields;
   private final String known;
   private final byte[] body;
   private final long until;
-  private final List<? extends Want> siblings;
+  private final List<? extends CacheCommand> siblings;
   CacheConnection on;
   long writtenAt;
 
@@ -28,7 +28,7 @@
    * @param until clock time until which the answer is waited for
    * @param siblings all forwards of the request
    */
-  protected Want(byte[] id, byte[] fields, byte[] known, byte[] body, long until, List<? extends Want> siblings) {
+  protected CacheCommand(byte[] id, byte[] fields, byte[] known, byte[] body, long until, List<? extends CacheCommand> siblings) {
     this.key = new String(id, StandardCharsets.ISO_8859_1);
     this.id = id;
     this.fields = fields;
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway.cache;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import io.netty.channel.Channel;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.internal.net.NetSocketInternal;
@@ -20,7 +20,7 @@
 
   private final CachePool pool;
   private final NetSocket socket;
-  private final Map<String, Want> open = new LinkedHashMap<>();
+  private final Map<String, CacheCommand> open = new LinkedHashMap<>();
   private final ReplyReader reader;
   /** Silent: a want was waited for in vain and nothing has come since, so the peer may have vanished. */
   private boolean closed, silent;
@@ -63,7 +63,7 @@
     return channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
   }
 
-  void send(Want want, long now) {
+  void send(CacheCommand want, long now) {
     want.on = this;
     want.writtenAt = now;
     usedAt = now;
@@ -72,7 +72,7 @@
   }
 
   /** Gives one up; an answer that crosses this is dropped. */
-  void neverMind(Want want, boolean late, long patience) {
+  void neverMind(CacheCommand want, boolean late, long patience) {
     if (open.remove(want.key, want) && !closed) {
       // Guards against a peer that vanished: a dead connection takes no new wants. One slow answer is no proof,
       // so what is open on it goes on.
@@ -88,7 +88,7 @@
 
   /** Only what is whole, readable and meant for what is open here is an answer; more than that is dropped. */
   @Override public void reply(List<Buffer> elements) {
-    Want want = open.get(text(elements.get(0)));
+    CacheCommand want = open.get(text(elements.get(0)));
     if (want == null) {
       return;
     }
@@ -163,7 +163,7 @@
     if (!closed) {
       closed = true;
       pool.closed(this);
-      List<Want> lost = new ArrayList<>(open.values());
+      List<CacheCommand> lost = new ArrayList<>(open.values());
       open.clear();
       lost.forEach(want -> want.ended(Outcome.LOST, Note.NOTHING, null));
     }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway.cache;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.ConnectPatience;
 import org.amberpath.routing.LocalBackoff;
 import io.vertx.core.Future;
@@ -38,7 +38,7 @@
   private final BooleanSupplier mayWrite;
   private final BiConsumer<Object, String> complaints;
   private final List<CacheConnection> connections = new ArrayList<>();
-  private final List<Want> waiting = new ArrayList<>();
+  private final List<CacheCommand> waiting = new ArrayList<>();
   private final LocalBackoff backoff = new LocalBackoff();
   private int connecting;
   /** When the oldest connect was begun, at the latest, of those that are under way. */
@@ -71,7 +71,7 @@
   }
 
   /** Sends a want, at once where a connection is up. None carries two wants of one request. */
-  public void send(Want want) {
+  public void send(CacheCommand want) {
     if (closed) {
       want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
       return;
@@ -110,7 +110,7 @@
   }
 
   /** The one with the least on it; of free ones the last used, so that the rest may be left when idle for long. */
-  private CacheConnection best(Want want, long now) {
+  private CacheConnection best(CacheCommand want, long now) {
     CacheConnection best = null;
     for (CacheConnection one : connections) {
       if (one.takes() && one.load() < bounds.wants && one.idle(now) < bounds.idle && want.mayUse(one)
@@ -197,20 +197,20 @@
 
   /** Takes up again what waits. */
   public void again() {
-    List<Want> ready = new ArrayList<>(waiting);
+    List<CacheCommand> ready = new ArrayList<>(waiting);
     waiting.clear();
     ready.forEach(this::send);
   }
 
   /** Ends those that wait for a connection and so have not begun to be sent. */
-  public void fail(Predicate<Want> which, Outcome outcome) {
-    List<Want> failed = waiting.stream().filter(which).toList();
+  public void fail(Predicate<CacheCommand> which, Outcome outcome) {
+    List<CacheCommand> failed = waiting.stream().filter(which).toList();
     waiting.removeAll(failed);
     failed.forEach(want -> want.ended(outcome, Note.NOTHING, null));
   }
 
   /** Gives a want up, late where its answer was waited for in vain; it is told nothing more. */
-  public void giveUp(Want want, boolean late) {
+  public void giveUp(CacheCommand want, boolean late) {
     if (!waiting.remove(want) && want.on != null) {
       want.on.neverMind(want, late, bounds.connect);
     }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -55,14 +55,14 @@
   private final LongSupplier clock;
   private final MessageReader reader = new MessageReader(LONGEST, this);
   private final Set<Long> open = new HashSet<>();
-  private final Unread queues;
+  private final WriteBufferAccounting queues;
   long unread;
   private long heardAt;
   private boolean known, asked, broken, reading, answered, rejects, begun;
   private long answeredAt;
   private State state = State.OPEN;
 
-  public ClientConnection(NetSocket socket, Unread queues, LongSupplier clock, ClientHandler handler) {
+  public ClientConnection(NetSocket socket, WriteBufferAccounting queues, LongSupplier clock, ClientHandler handler) {
     this.socket = socket;
     this.queues = queues;
     this.clock = clock;
@@ -171,7 +171,7 @@
       if (params < 1 || params > 2) {
         throw new Unusable("not fields and a body");
       }
-      ClientGet get = RequestFields.read(method, in, params > 1);
+      DecodedRequest get = RequestFields.read(method, in, params > 1);
       asked = true;
       handler.get(this, number, get);
     } catch (Unusable e) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
@@ -9,7 +9,7 @@
   long away();
 
   /** A GET that can be read; the client's number for it is open until it is answered or withdrawn. */
-  void get(ClientConnection from, long number, ClientGet get);
+  void get(ClientConnection from, long number, DecodedRequest get);
 
   void withdrawn(ClientConnection from, long number);
 
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -20,7 +20,7 @@
   private RequestFields() {
   }
 
-  static ClientGet read(String method, MessageUnpacker in, boolean withBody) throws IOException, Unusable {
+  static DecodedRequest read(String method, MessageUnpacker in, boolean withBody) throws IOException, Unusable {
     RequestFields fields = new RequestFields();
     if (in.getNextFormat().getValueType() != ValueType.MAP) {
       throw new Unusable("fields: not a map");
@@ -47,7 +47,7 @@
     if (allow < 1) {
       throw new Unusable("allow: not a time to wait");
     }
-    return new ClientGet(method, fields.hex("ref"), object, part, known, fields.token(), body,
+    return new DecodedRequest(method, fields.hex("ref"), object, part, known, fields.token(), body,
         Long.parseUnsignedLong(ClientConnection.ascii(object), 16), (int) fields.whole("chunk", -1, MOST_PARTS),
         (int) fields.whole("tag", 0, MOST_GROUP), (long) (allow * 1e6), fields.real("room", 0, MOST_KB));
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestRehearsal.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -7,7 +7,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** Requests that nobody sent, read and answered to nobody: the code is warm when the first one comes. */
-public final class RequestRehearsal implements MessageReader.Sink {
+public final class RequestWarmUp implements MessageReader.Sink {
   private static final byte[] STATUS = text("\u0094\0\u0009\u00a6status\u0091\u0080");
   private static final byte[] REQUEST = text("\u0094\0\7\u00a5parts\u0092\u0086"
       + "\u00a3ref\u00b09b1f03aa5c7e2d41\u00a5allow\u00a41500\u00a6lookup\u00b07f3a9c21e0b4d655\u00a5chunk\u00a13"
@@ -15,7 +15,7 @@
 
   private int read;
 
-  private RequestRehearsal() {
+  private RequestWarmUp() {
   }
 
   private static byte[] text(String bytes) {
@@ -29,7 +29,7 @@
 
   /** Reads and answers so many; returns how many could be read. */
   public static int play(int many) {
-    RequestRehearsal sink = new RequestRehearsal();
+    RequestWarmUp sink = new RequestWarmUp();
     MessageReader reader = new MessageReader(REQUEST.length, sink);
     for (int number = 0; number < many; number++) {
       reader.handle(Buffer.buffer(REQUEST));
--- a/gateway/src/main/java/org/amberpath/gateway/client/Unread.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 
 /** What clients have not yet read of their answers: bounded for each, and for all together. */
-public final class Unread {
+public final class WriteBufferAccounting {
   private final long mostOfOne, mostOfAll;
   private final Set<ClientConnection> behind = new LinkedHashSet<>();
   private long all;
 
-  public Unread(long mostOfOne, long mostOfAll) {
+  public WriteBufferAccounting(long mostOfOne, long mostOfAll) {
     this.mostOfOne = mostOfOne;
     this.mostOfAll = mostOfAll;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -1,9 +1,9 @@
 package org.amberpath.gateway.discovery;
 
 import org.amberpath.routing.LocalBackoff;
-import org.amberpath.routing.Membership;
-import org.amberpath.routing.NewsAge;
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.cache.ConnectFailure;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -35,9 +35,9 @@
   private static final long NO_WAIT_MS = 1;
 
   private final Vertx vertx;
-  private final Entries entries;
-  private final Membership listener;
-  private final NewsAge age;
+  private final JournalDecoder entries;
+  private final EndpointListener listener;
+  private final DiscoveryFreshness age;
   private final LongSupplier clock;
   private final Runnable heard;
   private final HttpClient client;
@@ -51,8 +51,8 @@
   private final LocalBackoff backoff = new LocalBackoff();
 
   /** A reply may hold longest bytes; heard is run after each, and after each failure. */
-  public JournalClient(Vertx vertx, SocketAddress address, Entries entries, Membership listener, long waitMs,
-      long longest, NewsAge age, LongSupplier clock, Runnable heard) {
+  public JournalClient(Vertx vertx, SocketAddress address, JournalDecoder entries, EndpointListener listener, long waitMs,
+      long longest, DiscoveryFreshness age, LongSupplier clock, Runnable heard) {
     this.vertx = vertx;
     this.address = address;
     this.entries = entries;
@@ -169,7 +169,7 @@
 
   private boolean read(Buffer body) {
     try (JsonParser parser = JSON.createParser(body.getBytes())) {
-      Fields reply = Fields.read("journal", parser);
+      JsonReader reply = JsonReader.read("journal", parser);
       entries.play(reply, listener);
       return true;
     } catch (IOException | RuntimeException e) {
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/Entries.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -1,11 +1,11 @@
 package org.amberpath.gateway.discovery;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.gateway.settings.JsonReader;
 
 /** Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known at start. */
-public final class Entries {
+public final class JournalDecoder {
   /** Is told when a reply is about to be played and when it has been. */
   public interface Replies {
     /** Live, or known from before; newestPurgeMillis is the latest stamp of a purge in it, 0 where there is none. */
@@ -17,7 +17,7 @@
   private final Replies replies;
   private long pos;
 
-  public Entries(Replies replies) {
+  public JournalDecoder(Replies replies) {
     this.replies = replies;
   }
 
@@ -27,16 +27,16 @@
   }
 
   /** Plays the entries that are new. An unreadable one is thrown before any of the reply is played. */
-  public void play(Fields reply, Membership to) {
+  public void play(JsonReader reply, EndpointListener to) {
     play(reply, to, true);
   }
 
   /** The same for what is known from a file, of any age. */
-  public void playKnown(Fields reply, Membership to) {
+  public void playKnown(JsonReader reply, EndpointListener to) {
     play(reply, to, false);
   }
 
-  private void play(Fields reply, Membership to, boolean live) {
+  private void play(JsonReader reply, EndpointListener to, boolean live) {
     long last = reply.wholeOr("pos", 0);
     Scout scout = new Scout();
     tell(reply, scout);
@@ -49,9 +49,9 @@
   }
 
   /** Returns the number of the last event that is known then. */
-  private long tell(Fields reply, Membership target) {
+  private long tell(JsonReader reply, EndpointListener target) {
     long at = pos;
-    for (Fields entry : reply.each("entries")) {
+    for (JsonReader entry : reply.each("entries")) {
       long number = entry.wholeOr("pos", 0);
       if (number > at) {
         entry(entry, target);
@@ -61,23 +61,23 @@
     return at;
   }
 
-  private static void entry(Fields entry, Membership to) {
+  private static void entry(JsonReader entry, EndpointListener to) {
     if (entry.has("hosts")) {
-      Fields hosts = entry.fields("hosts");
+      JsonReader hosts = entry.fields("hosts");
       to.listing(hosts.flag("reset"));
-      for (Fields one : hosts.each("instances")) {
+      for (JsonReader one : hosts.each("instances")) {
         to.member(one.text("instanceId"), one.has("hostPort") ? one.text("hostPort") : "",
             one.has("zone") ? one.text("zone") : "", one.has("machineType") ? one.text("machineType") : "",
             one.place("cell", 0), state(one), one.numberOr("weight", 1), one.wholeOr("startedAtMs", 0));
       }
       to.listed();
     } else if (entry.has("expire")) {
-      Fields purge = entry.fields("expire");
+      JsonReader purge = entry.fields("expire");
       to.purged(purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
     }
   }
 
-  private static long object(Fields purge) {
+  private static long object(JsonReader purge) {
     try {
       return Long.parseUnsignedLong(purge.text("name"), 16);
     } catch (NumberFormatException e) {
@@ -85,7 +85,7 @@
     }
   }
 
-  private static State state(Fields one) {
+  private static State state(JsonReader one) {
     return switch (one.text("lifecycle")) {
       case "ready" -> State.UP;
       case "draining" -> State.DRAINING;
@@ -95,7 +95,7 @@
   }
 
   /** Reads a reply through before it is told. */
-  private static final class Scout implements Membership {
+  private static final class Scout implements EndpointListener {
     private long newestPurge;
 
     @Override public void listing(boolean whole) {
--- a/gateway/src/main/java/org/amberpath/gateway/settings/Fields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -9,18 +9,18 @@
 import java.util.Map;
 
 /** The fields of one JSON object, read with plain messages on what is missing or of the wrong type. */
-public final class Fields {
+public final class JsonReader {
   private final String name;
   private final Map<String, Object> values;
 
-  public Fields(String name, Map<String, Object> values) {
+  public JsonReader(String name, Map<String, Object> values) {
     this.name = name;
     this.values = values;
   }
 
   /** The same fields under the name of the message that they make up. */
-  public Fields named(String other) {
-    return new Fields(other, values);
+  public JsonReader named(String other) {
+    return new JsonReader(other, values);
   }
 
   public boolean has(String key) {
@@ -72,22 +72,22 @@
     return Math.round(seconds * 1e6) * 1000;
   }
 
-  public Fields fields(String key) {
-    return new Fields(name + " " + key, map(take(key, Map.class, "an object")));
+  public JsonReader fields(String key) {
+    return new JsonReader(name + " " + key, map(take(key, Map.class, "an object")));
   }
 
-  public Fields fieldsOr(String key) {
-    return has(key) ? fields(key) : new Fields(name + " " + key, Map.of());
+  public JsonReader fieldsOr(String key) {
+    return has(key) ? fields(key) : new JsonReader(name + " " + key, Map.of());
   }
 
   /** The objects of an array; none where it is absent. */
-  public List<Fields> each(String key) {
-    List<Fields> all = new ArrayList<>();
+  public List<JsonReader> each(String key) {
+    List<JsonReader> all = new ArrayList<>();
     for (Object one : list(key)) {
       if (!(one instanceof Map)) {
         throw wrong(key, "not an array of objects");
       }
-      all.add(new Fields(name + " " + key, map(one)));
+      all.add(new JsonReader(name + " " + key, map(one)));
     }
     return all;
   }
@@ -129,11 +129,11 @@
   }
 
   /** Reads the one JSON object that a text holds. */
-  public static Fields read(String name, JsonParser parser) throws IOException {
+  public static JsonReader read(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
       throw new Malformed(name + ": not an object");
     }
-    Fields all = new Fields(name, map(value(parser)));
+    JsonReader all = new JsonReader(name, map(value(parser)));
     if (parser.nextToken() != null) {
       throw new Malformed(name + ": more than one value");
     }
@@ -141,11 +141,11 @@
   }
 
   /** Reads the objects of the one array that a text holds. */
-  public static List<Fields> readEach(String name, JsonParser parser) throws IOException {
+  public static List<JsonReader> readEach(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_ARRAY) {
       throw new Malformed(name + ": not an array");
     }
-    List<Fields> all = new Fields(name, Map.of("all", value(parser))).each("all");
+    List<JsonReader> all = new JsonReader(name, Map.of("all", value(parser))).each("all");
     if (parser.nextToken() != null) {
       throw new Malformed(name + ": more than one value");
     }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonSite.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -1,10 +1,10 @@
 package org.amberpath.gateway.settings;
 
-import org.amberpath.routing.Site;
+import org.amberpath.routing.RoutingConfig;
 import java.util.List;
 
 /** The settings that a gateway is started with, decoded once. */
-public final class JsonSite implements Site {
+public final class JsonRoutingConfig implements RoutingConfig {
   private final long seed;
   private final String zone;
   private final int gateways;
@@ -36,10 +36,10 @@
   private final double[] stretches, revenues;
   private final boolean[] neverKept;
 
-  public JsonSite(long seed, Fields all) {
-    Fields family = all.fieldsOr("family-info");
-    Fields bounds = all.fieldsOr("bounds");
-    Fields rules = all.fieldsOr("guarantees");
+  public JsonRoutingConfig(long seed, JsonReader all) {
+    JsonReader family = all.fieldsOr("family-info");
+    JsonReader bounds = all.fieldsOr("bounds");
+    JsonReader rules = all.fieldsOr("guarantees");
     this.seed = seed;
     zone = all.text("my-zone");
     gateways = all.place("replicas-of-me", 1);
@@ -65,7 +65,7 @@
     parentColdShare = family.numberOr("parent-cold-from", 1);
     parentColdTime = family.timeOr("parent-ramp-s", 0);
     parentFallMultiple = family.numberOr("parent-limit-factor", 1);
-    List<Fields> services = all.each("classes");
+    List<JsonReader> services = all.each("classes");
     int count = services.size();
     names = new String[count];
     effects = new Effect[count];
@@ -78,21 +78,21 @@
     revenues = new double[count];
     neverKept = new boolean[count];
     for (int ds = 0; ds < count; ds++) {
-      Fields service = services.get(ds);
+      JsonReader service = services.get(ds);
       names[ds] = service.text("name");
       effects[ds] = effect(service);
       groups[ds] = group(service);
       windows[ds] = service.timeOr("window-s", 0);
       objectives[ds] = service.time("target-s");
-      fresh[ds] = Fields.nanos(family.at("class-fresh-s", ds, Number.class, 0).doubleValue());
-      grace[ds] = Fields.nanos(family.at("class-grace-s", ds, Number.class, 0).doubleValue());
+      fresh[ds] = JsonReader.nanos(family.at("class-fresh-s", ds, Number.class, 0).doubleValue());
+      grace[ds] = JsonReader.nanos(family.at("class-grace-s", ds, Number.class, 0).doubleValue());
       stretches[ds] = service.numberOr("aim-stretch", 0);
       revenues[ds] = service.numberOr("points", 1);
       neverKept[ds] = family.at("never-kept", ds, Boolean.class, false);
     }
   }
 
-  private static Effect effect(Fields service) {
+  private static Effect effect(JsonReader service) {
     return switch (service.text("idempotency")) {
       case "repeatable" -> Effect.IDEMPOTENT;
       case "by_key" -> Effect.TOKENED;
@@ -101,7 +101,7 @@
     };
   }
 
-  private static Group group(Fields service) {
+  private static Group group(JsonReader service) {
     return switch (service.has("group") ? service.text("group") : "cell") {
       case "all" -> Group.ALL;
       case "zone" -> Group.ZONE;
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/WireGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -1,10 +1,10 @@
 package org.amberpath.gateway.simulation;
 
-import org.amberpath.routing.Arrivals;
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.gateway.settings.JsonSite;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -15,28 +15,28 @@
 import java.util.Map;
 
 /** One gateway on the bench's wire: decodes its events into callbacks and writes its decisions down. */
-final class WireGateway implements Decisions {
+final class SimulatedGateway implements RoutingActions {
   private final int number;
-  private final JsonSite site;
+  private final JsonRoutingConfig site;
   private final RequestRouter router;
   private final Map<String, Integer> caches = new HashMap<>();
   private final List<String> addresses = new ArrayList<>();
   private JsonGenerator reply;
   private boolean begun;
 
-  WireGateway(int number, Fields up) {
+  SimulatedGateway(int number, JsonReader up) {
     this.number = number;
-    site = new JsonSite(up.whole("seed"), up.fields("profile-data"));
+    site = new JsonRoutingConfig(up.whole("seed"), up.fields("profile-data"));
     router = new RequestRouter(site);
   }
 
   /** Plays a round's events and writes the part of the reply that answers them, if any. */
-  void round(long now, List<Fields> news, JsonGenerator to) throws IOException {
+  void round(long now, List<JsonReader> news, JsonGenerator to) throws IOException {
     reply = to;
     begun = false;
     try {
       router.round(now, events -> news.forEach(event -> decode(event, events)), this);
-    } catch (Fields.Malformed | UncheckedIOException e) {
+    } catch (JsonReader.Malformed | UncheckedIOException e) {
       throw e;
     } catch (RuntimeException e) {
       e.printStackTrace();
@@ -48,7 +48,7 @@
     }
   }
 
-  private void decode(Fields event, Arrivals.Events to) {
+  private void decode(JsonReader event, RoutingEvents.Events to) {
     switch (event.text("verb")) {
       case "view":
         view(event.named("view"), to);
@@ -57,19 +57,19 @@
         order(event.named("order"), to);
         break;
       case "verdict":
-        Fields verdict = event.named("verdict");
+        JsonReader verdict = event.named("verdict");
         to.ended(verdict.whole("op-id"), verdict.place("copy", 0), cache(verdict), outcome(verdict),
             verdict.timeOr("rtt-s", 0), verdict.flag("settled"), note(verdict));
         break;
       case "head-received":
-        Fields head = event.named("head-received");
+        JsonReader head = event.named("head-received");
         to.begun(head.whole("op-id"), head.place("copy", 0));
         break;
       case "cancelled-by-client":
         to.left(event.named("cancelled-by-client").whole("op-id"));
         break;
       case "expired-now":
-        Fields purge = event.named("expired-now");
+        JsonReader purge = event.named("expired-now");
         to.purged(purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
         break;
       case "ring":
@@ -83,23 +83,23 @@
     }
   }
 
-  private void view(Fields view, Arrivals.Events to) {
+  private void view(JsonReader view, RoutingEvents.Events to) {
     String scope = view.text("scope");
     switch (scope) {
       case "D":
-        to.listing(Arrivals.Listing.CHANGES);
+        to.listing(RoutingEvents.Listing.CHANGES);
         break;
       case "F":
       case "C":
-        to.listing(Arrivals.Listing.FULL);
+        to.listing(RoutingEvents.Listing.FULL);
         break;
       case "X":
-        to.listing(Arrivals.Listing.NONE);
+        to.listing(RoutingEvents.Listing.NONE);
         break;
       default:
         throw view.wrong("scope", "of no known kind: " + scope);
     }
-    for (Fields entry : view.each("members-list")) {
+    for (JsonReader entry : view.each("members-list")) {
       int place = caches.computeIfAbsent(entry.text("cache"), address -> {
         addresses.add(address);
         return addresses.size() - 1;
@@ -111,7 +111,7 @@
     to.listed();
   }
 
-  private void order(Fields order, Arrivals.Events to) {
+  private void order(JsonReader order, RoutingEvents.Events to) {
     int ds = site.service(order.text("tier-class"));
     if (ds < 0) {
       throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
@@ -121,7 +121,7 @@
         order.flag("is-write"));
   }
 
-  private int cache(Fields event) {
+  private int cache(JsonReader event) {
     Integer place = caches.get(event.text("cache"));
     if (place == null) {
       throw event.wrong("cache", "no known cache: " + event.text("cache"));
@@ -129,48 +129,48 @@
     return place;
   }
 
-  private static Arrivals.State state(Fields entry) {
+  private static RoutingEvents.State state(JsonReader entry) {
     switch (entry.text("state")) {
       case "U":
-        return Arrivals.State.UP;
+        return RoutingEvents.State.UP;
       case "L":
-        return Arrivals.State.DRAINING;
+        return RoutingEvents.State.DRAINING;
       case "D":
-        return Arrivals.State.GONE;
+        return RoutingEvents.State.GONE;
       default:
         throw entry.wrong("state", "of no known kind: " + entry.text("state"));
     }
   }
 
-  private static Arrivals.Outcome outcome(Fields verdict) {
+  private static RoutingEvents.Outcome outcome(JsonReader verdict) {
     switch (verdict.text("rc")) {
       case "served":
-        return Arrivals.Outcome.RETURNED;
+        return RoutingEvents.Outcome.RETURNED;
       case "server_error":
-        return Arrivals.Outcome.ERRORED;
+        return RoutingEvents.Outcome.ERRORED;
       case "turned_away":
-        return Arrivals.Outcome.TURNED_AWAY;
+        return RoutingEvents.Outcome.TURNED_AWAY;
       case "no_answer":
-        return Arrivals.Outcome.NO_ANSWER;
+        return RoutingEvents.Outcome.NO_ANSWER;
       case "no_connection":
-        return Arrivals.Outcome.NO_CONNECTION;
+        return RoutingEvents.Outcome.NO_CONNECTION;
       case "connection_lost":
-        return Arrivals.Outcome.LOST;
+        return RoutingEvents.Outcome.LOST;
       case "called_off":
-        return Arrivals.Outcome.CALLED_OFF;
+        return RoutingEvents.Outcome.CALLED_OFF;
       case "not_sent":
-        return Arrivals.Outcome.NOT_SENT;
+        return RoutingEvents.Outcome.NOT_SENT;
       case "not_stored":
-        return Arrivals.Outcome.NOT_STORED;
+        return RoutingEvents.Outcome.NOT_STORED;
       default:
         throw verdict.wrong("rc", "of no known kind: " + verdict.text("rc"));
     }
   }
 
-  private static Arrivals.Note note(Fields verdict) {
+  private static RoutingEvents.Note note(JsonReader verdict) {
     int note = verdict.place("remark", 0);
-    Arrivals.Note[] all = Arrivals.Note.values();
-    return note > 0 && note < all.length ? all[note] : Arrivals.Note.NOTHING;
+    RoutingEvents.Note[] all = RoutingEvents.Note.values();
+    return note > 0 && note < all.length ? all[note] : RoutingEvents.Note.NOTHING;
   }
 
   @Override public void forward(long get, int cache, long until, int source, long age, int rank,
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/WireHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -1,6 +1,6 @@
 package org.amberpath.gateway.simulation;
 
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -18,14 +18,14 @@
 import java.util.Map;
 
 /** Hosts many gateways on the bench's wire: one line in, one line out, until the input ends. */
-public final class WireHost {
+public final class SimulationHost {
   private final JsonFactory json = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final PrintStream err;
-  private final Map<Integer, WireGateway> gateways = new HashMap<>();
+  private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-  public WireHost(InputStream in, OutputStream out, PrintStream err) {
+  public SimulationHost(InputStream in, OutputStream out, PrintStream err) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = out;
     this.err = err;
@@ -41,7 +41,7 @@
       } catch (JsonProcessingException e) {
         err.println("batch: not JSON: " + e.getOriginalMessage());
         return 1;
-      } catch (Fields.Malformed e) {
+      } catch (JsonReader.Malformed e) {
         err.println(e.getMessage());
         return 1;
       }
@@ -53,15 +53,15 @@
   }
 
   private void answer(String line, OutputStream reply) throws IOException {
-    Fields batch;
+    JsonReader batch;
     try (JsonParser parser = json.createParser(line)) {
-      batch = Fields.read("batch", parser);
+      batch = JsonReader.read("batch", parser);
     }
     long now = batch.time("wall-s");
     try (JsonGenerator to = json.createGenerator(reply)) {
       to.writeStartObject();
       to.writeArrayFieldStart("parts");
-      for (Fields part : batch.each("parts")) {
+      for (JsonReader part : batch.each("parts")) {
         play(now, part.place("i", 0), part.each("news"), to);
       }
       to.writeEndArray();
@@ -70,19 +70,19 @@
   }
 
   /** What came before a gateway's last start or stop in the round died with it. */
-  private void play(long now, int number, List<Fields> news, JsonGenerator to) throws IOException {
+  private void play(long now, int number, List<JsonReader> news, JsonGenerator to) throws IOException {
     int from = 0;
     for (int at = 0; at < news.size(); at++) {
       String verb = news.get(at).text("verb");
       if (verb.equals("up")) {
-        gateways.put(number, new WireGateway(number, news.get(at).named("up")));
+        gateways.put(number, new SimulatedGateway(number, news.get(at).named("up")));
         from = at + 1;
       } else if (verb.equals("stop")) {
         gateways.remove(number);
         from = at + 1;
       }
     }
-    WireGateway gateway = gateways.get(number);
+    SimulatedGateway gateway = gateways.get(number);
     if (gateway != null) {
       gateway.round(now, news.subList(from, news.size()), to);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -6,9 +6,9 @@
 
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.ClientGet;
+import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.ClientHandler;
-import org.amberpath.gateway.client.Unread;
+import org.amberpath.gateway.client.WriteBufferAccounting;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.io.ByteArrayOutputStream;
@@ -35,7 +35,7 @@
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
-  private final Clients clients = new Clients(vertx, MOST, clock);
+  private final ClientConnections clients = new ClientConnections(vertx, MOST, clock);
   private final List<Client> all = new ArrayList<>();
   /** How many connections were held at most, how many are, and how many requests were read. */
   private final AtomicInteger most = new AtomicInteger(), held = new AtomicInteger(), read = new AtomicInteger();
@@ -44,7 +44,7 @@
 
   @BeforeEach
   void listen() throws Exception {
-    Unread queues = new Unread(1 << 20, 1 << 20);
+    WriteBufferAccounting queues = new WriteBufferAccounting(1 << 20, 1 << 20);
     port = vertx.createNetServer().connectHandler(socket -> {
       loop = Thread.currentThread();
       held.incrementAndGet();
@@ -69,7 +69,7 @@
     return 0;
   }
 
-  @Override public void get(ClientConnection from, long number, ClientGet get) {
+  @Override public void get(ClientConnection from, long number, DecodedRequest get) {
     read.incrementAndGet();
     from.returnedSame(number);
   }
@@ -188,7 +188,7 @@
       assertTrue(one.answer().status());
     }
     awaitHeld(MOST);
-    assertTrue(most.get() <= MOST + Clients.SPARE, "held " + most);
+    assertTrue(most.get() <= MOST + ClientConnections.SPARE, "held " + most);
   }
 
   private static void await(CountDownLatch latch) {
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import java.io.ByteArrayOutputStream;
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -5,10 +5,10 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.RoutingEvents;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -174,7 +174,7 @@
       AtomicInteger readings = new AtomicInteger();
       world.gateway.reload(() -> {
         if (readings.incrementAndGet() <= 2) {
-          throw new Fields.Malformed("PROXY_CONFIG: can't be read: too many open files");
+          throw new JsonReader.Malformed("PROXY_CONFIG: can't be read: too many open files");
         }
         return next;
       });
@@ -205,9 +205,9 @@
     }
   }
 
-  private static Arrivals.Events events(BiConsumer<String, Object[]> hear) {
-    return (Arrivals.Events) Proxy.newProxyInstance(EndingsTest.class.getClassLoader(),
-        new Class<?>[] {Arrivals.Events.class}, (proxy, event, told) -> {
+  private static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
+    return (RoutingEvents.Events) Proxy.newProxyInstance(EndingsTest.class.getClassLoader(),
+        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
           hear.accept(event.getName(), told);
           return null;
         });
@@ -217,17 +217,17 @@
   void aForwardWhoseTimeToBeginIsOverIsNeverSent() throws Exception {
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
-    BlockingQueue<Arrivals.Outcome> outcomes = new LinkedBlockingQueue<>();
+    BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
     world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> in.replay(events((event, told) -> {
       if (event.equals("get")) {
         to.sendBy((long) told[0], now - 1);
         to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
       } else if (event.equals("ended")) {
-        outcomes.add((Arrivals.Outcome) told[3]);
+        outcomes.add((RoutingEvents.Outcome) told[3]);
       }
     })));
     world.client().get(1, "parts", 4000, 0);
-    assertEquals(Arrivals.Outcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertEquals(RoutingEvents.Outcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.gateway.settings.Fields;
+import org.amberpath.gateway.settings.JsonReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -64,15 +64,15 @@
       "{'name'                               | {{'name'                  | is not JSON"}, quoteCharacter = '"')
   void aFaultyKeyIsNamed(String good, String bad, String message) {
     String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
-    Fields.Malformed wrong = assertThrows(Fields.Malformed.class, () -> read(json));
+    JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> read(json));
     assertTrue(wrong.getMessage().contains(message), wrong.getMessage());
   }
 
   @Test
   void aMissingFileIsNamed() {
     Map<String, String> environment = Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
-    Fields.Malformed wrong = assertThrows(Fields.Malformed.class, () -> GatewayOptions.read(environment));
+    JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(environment));
     assertTrue(wrong.getMessage().startsWith("PROXY_CONFIG: "), wrong.getMessage());
-    assertThrows(Fields.Malformed.class, () -> GatewayOptions.read(Map.of()));
+    assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(Map.of()));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.gateway.StandIns.Answer;
 import org.amberpath.gateway.StandIns.Cache;
@@ -286,8 +286,8 @@
         super.get(id, ds, object, group, part, left, kb, w);
       }
 
-      @Override public void ended(long id, int copy, int at, Arrivals.Outcome outcome, long took, boolean settled,
-          Arrivals.Note note) {
+      @Override public void ended(long id, int copy, int at, RoutingEvents.Outcome outcome, long took, boolean settled,
+          RoutingEvents.Note note) {
         times.add(took);
         super.ended(id, copy, at, outcome, took, settled, note);
       }
@@ -845,18 +845,18 @@
   }
 
   /** Passes on what it is told, if to anybody. */
-  private static class Ear implements Arrivals.Events {
-    private final Arrivals.Events to;
+  private static class Ear implements RoutingEvents.Events {
+    private final RoutingEvents.Events to;
 
-    Ear(Arrivals.Events to) {
+    Ear(RoutingEvents.Events to) {
       this.to = to;
     }
 
-    @Override public void listing(Arrivals.Listing what) {
+    @Override public void listing(RoutingEvents.Listing what) {
       to.listing(what);
     }
 
-    @Override public void member(int cache, String id, String zone, String kind, int cell, Arrivals.State state,
+    @Override public void member(int cache, String id, String zone, String kind, int cell, RoutingEvents.State state,
         double weight, long startedAt) {
       to.member(cache, id, zone, kind, cell, state, weight, startedAt);
     }
@@ -874,8 +874,8 @@
       to.begun(id, copy);
     }
 
-    @Override public void ended(long id, int copy, int cache, Arrivals.Outcome outcome, long took, boolean settled,
-        Arrivals.Note note) {
+    @Override public void ended(long id, int copy, int cache, RoutingEvents.Outcome outcome, long took, boolean settled,
+        RoutingEvents.Note note) {
       to.ended(id, copy, cache, outcome, took, settled, note);
     }
 
@@ -926,8 +926,8 @@
   // ---- News that is too old to decide by.
 
   /** Decisions in whose next round the loop stands still until it is let go. */
-  private final class Standing implements Route.Rounds {
-    private final Route.Rounds decisions;
+  private final class Standing implements RoutingStage.Rounds {
+    private final RoutingStage.Rounds decisions;
     final CountDownLatch stands = new CountDownLatch(1), letGo = new CountDownLatch(1);
     volatile boolean armed;
 
@@ -935,7 +935,7 @@
       decisions = new RequestRouter(options.site())::round;
     }
 
-    @Override public void round(long now, Arrivals in, org.amberpath.routing.Decisions to) {
+    @Override public void round(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
       decisions.round(now, in, to);
       if (armed) {
         armed = false;
@@ -1057,20 +1057,20 @@
     try (StandIns other = new StandIns()) {
       other.journal.host("c0", other.fullAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      BlockingQueue<Arrivals.Outcome> outcomes = new LinkedBlockingQueue<>();
-      other.start(options, (now, in, to) -> in.replay((Arrivals.Events) Proxy.newProxyInstance(
-          getClass().getClassLoader(), new Class<?>[] {Arrivals.Events.class}, (proxy, event, told) -> {
+      BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
+      other.start(options, (now, in, to) -> in.replay((RoutingEvents.Events) Proxy.newProxyInstance(
+          getClass().getClassLoader(), new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
             if (event.getName().equals("get")) {
               to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
             } else if (event.getName().equals("ended")) {
-              outcomes.add((Arrivals.Outcome) told[3]);
+              outcomes.add((RoutingEvents.Outcome) told[3]);
             }
             return null;
           })));
       other.client().get(1, "parts", 4000, 0);
       Thread.sleep(STANDS_MS / 4);
       other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
-      assertEquals(Arrivals.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertEquals(RoutingEvents.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals;
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingActions;
 import org.amberpath.gateway.StandIns.Client;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CountDownLatch;
@@ -11,21 +11,21 @@
 import java.util.function.BiConsumer;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
-final class PausingDecisions implements Route.Rounds {
+final class PausingDecisions implements RoutingStage.Rounds {
   /** The request at which it stands. */
   static final String REF = "00000000000003e7";
   private static final long PATIENCE_S = 20;
 
-  private final Route.Rounds decisions;
+  private final RoutingStage.Rounds decisions;
   private final CountDownLatch stands = new CountDownLatch(1);
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  PausingDecisions(Route.Rounds decisions) {
+  PausingDecisions(RoutingStage.Rounds decisions) {
     this.decisions = decisions;
   }
 
-  @Override public void round(long now, Arrivals in, Decisions to) {
+  @Override public void round(long now, RoutingEvents in, RoutingActions to) {
     decisions.round(now, in, to);
     if (armed) {
       armed = false;
@@ -59,9 +59,9 @@
   }
 
   /** Hears each event by its name, with its arguments. */
-  static Arrivals.Events events(BiConsumer<String, Object[]> hear) {
-    return (Arrivals.Events) Proxy.newProxyInstance(PausingDecisions.class.getClassLoader(),
-        new Class<?>[] {Arrivals.Events.class}, (proxy, event, told) -> {
+  static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
+    return (RoutingEvents.Events) Proxy.newProxyInstance(PausingDecisions.class.getClassLoader(),
+        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
           hear.accept(event.getName(), told);
           return null;
         });
--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.gateway.StandIns.Answer;
 import org.amberpath.gateway.StandIns.Cache;
@@ -556,11 +556,11 @@
     world.journal.host("c0", world.fullAddress(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
     RequestRouter router = new RequestRouter(options.site());
-    List<Decisions.Health> told = new CopyOnWriteArrayList<>();
-    world.start(options, (now, in, to) -> router.round(now, in, (Decisions) Proxy.newProxyInstance(
-        getClass().getClassLoader(), new Class<?>[] {Decisions.class}, (proxy, method, values) -> {
+    List<RoutingActions.Health> told = new CopyOnWriteArrayList<>();
+    world.start(options, (now, in, to) -> router.round(now, in, (RoutingActions) Proxy.newProxyInstance(
+        getClass().getClassLoader(), new Class<?>[] {RoutingActions.class}, (proxy, method, values) -> {
           if (method.getName().equals("health")) {
-            told.add((Decisions.Health) values[1]);
+            told.add((RoutingActions.Health) values[1]);
           }
           return method.invoke(to, values);
         })));
@@ -568,6 +568,6 @@
     client.get(1, "parts", 30, 0);
     assertNotNull(client.answer().error());
     client.status();
-    assertEquals(List.of(Decisions.Health.WELL), told, "as the list said at the start");
+    assertEquals(List.of(RoutingActions.Health.WELL), told, "as the list said at the start");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -52,10 +52,10 @@
   }
 
   /** A gateway whose connections are accepted on its event loop, as those of the program are. */
-  private void startOnOneLoop(Route.Rounds decisions) throws Exception {
-    oneLoop = Vertx.builder().withTransport(OneLoop.transport()).with(new VertxOptions().setEventLoopPoolSize(1))
+  private void startOnOneLoop(RoutingStage.Rounds decisions) throws Exception {
+    oneLoop = Vertx.builder().withTransport(SingleEventLoopTransport.transport()).with(new VertxOptions().setEventLoopPoolSize(1))
         .build();
-    world.gateway = new Gateway(oneLoop, GatewayOptions.read(world.environment(folder)), Beside.NOTHING, decisions);
+    world.gateway = new Gateway(oneLoop, GatewayOptions.read(world.environment(folder)), GatewayExtensions.NOTHING, decisions);
     world.gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -71,8 +71,8 @@
     return cache;
   }
 
-  void start(GatewayOptions options, Route.Rounds decisions) throws Exception {
-    gateway = decisions == null ? new Gateway(vertx, options) : new Gateway(vertx, options, Beside.NOTHING, decisions);
+  void start(GatewayOptions options, RoutingStage.Rounds decisions) throws Exception {
+    gateway = decisions == null ? new Gateway(vertx, options) : new Gateway(vertx, options, GatewayExtensions.NOTHING, decisions);
     gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/OwnGetsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingActions;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
@@ -22,7 +22,7 @@
 
 /** GETs of a gateway's own, on behalf of the fleet: what comes of them, and that neither client nor stop waits. */
 @Timeout(30)
-class OwnGetsTest {
+class SyntheticRequestsTest {
   private static final long ACT = 400_000_000;
 
   @TempDir
@@ -30,16 +30,16 @@
   private StandIns world;
   private Cache cache;
   private Client client;
-  private Company.Ways ways;
+  private FleetCoordinator.Ways ways;
   private boolean draining;
 
   /** A company that does nothing but keep what it may ask for. */
-  private final class Kept implements Company {
+  private final class Kept implements FleetCoordinator {
     @Override public Future<Void> start() {
       return Future.succeededFuture();
     }
 
-    @Override public void health(String id, Decisions.Health health) {
+    @Override public void health(String id, RoutingActions.Health health) {
     }
 
     @Override public void cold(String id, long until) {
@@ -64,8 +64,8 @@
     world.journal.host("c0", cache.address(), "box", "ready");
     world.journal.host("o0", world.cache().address(), "origin", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    world.gateway = new Gateway(world.vertx, options, new Beside(null, (Vertx vertx, GatewayOptions of,
-        Company.Ways to) -> {
+    world.gateway = new Gateway(world.vertx, options, new GatewayExtensions(null, (Vertx vertx, GatewayOptions of,
+        FleetCoordinator.Ways to) -> {
       ways = to;
       return new Kept();
     }));
@@ -78,8 +78,8 @@
     world.close();
   }
 
-  private CompletableFuture<Company.Own> own(String id) {
-    CompletableFuture<Company.Own> end = new CompletableFuture<>();
+  private CompletableFuture<FleetCoordinator.Own> own(String id) {
+    CompletableFuture<FleetCoordinator.Own> end = new CompletableFuture<>();
     ways.own(id, ACT, end::complete);
     return end;
   }
@@ -95,12 +95,12 @@
     assertFalse(ways.own("c0", ACT, end -> { }), "nobody has asked for anything yet");
     viewed();
     assertFalse(ways.own("c9", ACT, end -> { }), "there is no such cache");
-    CompletableFuture<Company.Own> end = own("c0");
+    CompletableFuture<FleetCoordinator.Own> end = own("c0");
     Command want = cache.next();
     assertNotEquals("0000000000000001", want.word(1));
     assertEquals("kind=parts,obj=" + StandIns.OBJECT + ",seg=3,f=join+held", want.word(2).replaceFirst("ms=\\d+,", ""));
     want.answer("nothing", "res=n", new byte[0]);
-    assertEquals(Company.Own.ANSWERED, end.get(5, TimeUnit.SECONDS), "that it has not the part is an answer too");
+    assertEquals(FleetCoordinator.Own.ANSWERED, end.get(5, TimeUnit.SECONDS), "that it has not the part is an answer too");
     client.get(2, "parts", 1500, 3);
     cache.next().ok("next");
     assertEquals(2, client.answer().number(), "the client has heard of nothing but its own");
@@ -110,13 +110,13 @@
   void onesThatNobodyAnswersEndAtTheirTimeAndAreNotSentAgain() throws Exception {
     viewed();
     long began = System.nanoTime();
-    CompletableFuture<Company.Own> end = own("c0");
+    CompletableFuture<FleetCoordinator.Own> end = own("c0");
     cache.next();
-    assertEquals(Company.Own.SILENT, end.get(5, TimeUnit.SECONDS));
+    assertEquals(FleetCoordinator.Own.SILENT, end.get(5, TimeUnit.SECONDS));
     assertTrue(System.nanoTime() - began < 2 * ACT);
     Command next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
     assertTrue(next == null || !next.word(0).equals("want"), "nothing but that it is given up");
-    assertEquals(Company.Own.NOT_SENT, own("o0").get(5, TimeUnit.SECONDS), "the origin is not tried");
+    assertEquals(FleetCoordinator.Own.NOT_SENT, own("o0").get(5, TimeUnit.SECONDS), "the origin is not tried");
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.gateway.StandIns.Answer;
 import org.amberpath.gateway.StandIns.Cache;
@@ -135,7 +135,7 @@
   @BeforeEach
   void start() throws Exception {
     world = new StandIns();
-    vertx = Vertx.builder().withTransport(OneLoop.transport(calls)).with(new VertxOptions().setEventLoopPoolSize(1))
+    vertx = Vertx.builder().withTransport(SingleEventLoopTransport.transport(calls)).with(new VertxOptions().setEventLoopPoolSize(1))
         .build();
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
@@ -154,15 +154,15 @@
 
   private void serve(GatewayOptions options) throws Exception {
     RequestRouter control = new RequestRouter(options.site());
-    world.gateway = new Gateway(vertx, options, Beside.NOTHING,
+    world.gateway = new Gateway(vertx, options, GatewayExtensions.NOTHING,
         (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
     world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
   }
 
   /** Notes how each attempt ended before the decisions hear of it. */
-  private Arrivals.Events heard(Arrivals.Events to) {
-    return (Arrivals.Events) Proxy.newProxyInstance(SystemCallFailuresTest.class.getClassLoader(),
-        new Class<?>[] {Arrivals.Events.class}, (proxy, event, told) -> {
+  private RoutingEvents.Events heard(RoutingEvents.Events to) {
+    return (RoutingEvents.Events) Proxy.newProxyInstance(SystemCallFailuresTest.class.getClassLoader(),
+        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
           if (event.getName().equals("ended")) {
             outcomes.add((Outcome) told[3]);
           }
@@ -193,7 +193,7 @@
   @Test
   void aConnectionThatWaitedThroughAPauseSaysForHowLongAndTheNextDoesNot() throws Exception {
     Queue<Long> waited = new ConcurrentLinkedQueue<>();
-    OneLoop.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
+    SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
     int port = vertx.createNetServer().connectHandler(socket -> waited.add(AcceptLimit.queuedNanos(socket)))
         .listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS)
         .actualPort();
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals;
+import org.amberpath.routing.RoutingEvents;
 import java.lang.reflect.Proxy;
 import java.nio.file.Path;
 import java.util.concurrent.BlockingQueue;
@@ -43,8 +43,8 @@
   }
 
   private void start() throws Exception {
-    Route.Rounds decisions = (now, in, to) -> in.replay((Arrivals.Events) Proxy.newProxyInstance(
-        getClass().getClassLoader(), new Class<?>[] {Arrivals.Events.class}, (proxy, event, with) -> {
+    RoutingStage.Rounds decisions = (now, in, to) -> in.replay((RoutingEvents.Events) Proxy.newProxyInstance(
+        getClass().getClassLoader(), new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, with) -> {
           if (event.getName().equals("member") && (long) with[7] != 0) {
             told.add(new Told((String) with[1], (now - (long) with[7]) / 1_000_000, (long) with[7]));
           } else if (event.getName().equals("purged")) {
@@ -52,7 +52,7 @@
           }
           return null;
         }));
-    world.gateway = new Gateway(world.vertx, GatewayOptions.read(world.environment(folder)), Beside.NOTHING, decisions,
+    world.gateway = new Gateway(world.vertx, GatewayOptions.read(world.environment(folder)), GatewayExtensions.NOTHING, decisions,
         new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
     world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
   }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -32,7 +32,7 @@
     try {
       CachePool pool = new CachePool("c", SocketAddress.inetSocketAddress(1, "127.0.0.1"), client,
           new CachePool.Bounds(() -> 4, 1, 1, 1, 1), () -> 0, () -> may, (of, why) -> { });
-      pool.send(new Want(ID, ID, ID, ID, 1000, List.of()) {
+      pool.send(new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
         @Override protected void ended(Outcome outcome, Note note, Buffer body) {
           outcomes.add(outcome);
         }
@@ -82,8 +82,8 @@
     }
   }
 
-  private static Want want(byte[] body) {
-    return new Want(ID, ID, ID, body, 1000, List.of()) {
+  private static CacheCommand want(byte[] body) {
+    return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
       @Override protected void ended(Outcome outcome, Note note, Buffer body) {
       }
     };
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import io.vertx.core.Promise;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -61,11 +61,11 @@
 
   @Test
   void theRehearsalReadsWhatItPlays() {
-    assertEquals(20, ReplyRehearsal.play(20));
+    assertEquals(20, ReplyWarmUp.play(20));
   }
 
-  private Want want() {
-    return new Want(new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
+  private CacheCommand want() {
+    return new CacheCommand(new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
       @Override protected void ended(Outcome outcome, Note note, Buffer body) {
         outcomes.add(outcome);
       }
@@ -79,7 +79,7 @@
         new Class<?>[] {NetClient.class}, (proxy, method, arguments) -> connection.future());
     CachePool pool = new CachePool("c0", SocketAddress.inetSocketAddress(1, "127.0.0.1"), client,
         new CachePool.Bounds(() -> 1, 100, 1, 1, 100), () -> 0, () -> true, (from, why) -> { });
-    Want drained = want();
+    CacheCommand drained = want();
     pool.send(drained);
     pool.send(want());
     pool.fail(one -> one == drained, Outcome.NOT_SENT);
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -60,7 +60,7 @@
       }
     }
     byte[] bytes = HexFormat.of().parseHex(hex + bin + "020d0a");
-    ClientGet get = RequestFields.read("parts", MessagePack.newDefaultUnpacker(bytes), true);
+    DecodedRequest get = RequestFields.read("parts", MessagePack.newDefaultUnpacker(bytes), true);
     assertEquals(-1, get.objectId());
     assertEquals(List.of(3, 17, 1_500_000_000L, 412.5), List.of(get.partNumber(), get.group(), get.allow(), get.kb()));
     assertArrayEquals(new byte[] {13, 10}, get.body());
@@ -85,7 +85,7 @@
 
   @Test
   void theRehearsalReadsWhatItPlays() {
-    assertEquals(20, RequestRehearsal.play(20));
+    assertEquals(20, RequestWarmUp.play(20));
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/WireHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The bench's wire: what is answered, and what ends the process with a plain message. */
-class WireHostTest {
+class SimulationHostTest {
   private static final String UP = """
       {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],"classes":[{"name":"pages",
       "idempotency":"repeatable","target-s":0.2}],"bounds":{"max-attempts":2}}},
@@ -28,7 +28,7 @@
 
   private int run(String... lines) throws IOException {
     byte[] in = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
-    return new WireHost(new ByteArrayInputStream(in), out, new PrintStream(err, true, StandardCharsets.UTF_8)).run();
+    return new SimulationHost(new ByteArrayInputStream(in), out, new PrintStream(err, true, StandardCharsets.UTF_8)).run();
   }
 
   private static String batch(String news) {
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -1,7 +1,7 @@
 package org.amberpath.lab;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
 import java.io.PrintStream;
 import java.util.Locale;
@@ -16,15 +16,15 @@
   private Demo() {
   }
 
-  public static Experiment run(long seed, int seconds, PrintStream out) throws Exception {
-    Experiment result = new Experiment(seed);
-    try (World world = new World(seed)) {
+  public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
+    ExperimentReport result = new ExperimentReport(seed);
+    try (LoopbackTestbed world = new LoopbackTestbed(seed)) {
       world.open(1, 4);
-      world.serve((vertx, to, chance) -> new RegistrySource(vertx, world.access(RegistryAccess.Form.ETCD), to, chance));
+      world.serve((vertx, to, chance) -> new RegistrySource(vertx, world.access(RegistrySettings.Form.ETCD), to, chance));
       out.println("a gateway at 127.0.0.1:" + world.gateway.port() + ", 4 edge caches, a hub, the origin; " + RATE
           + " GETs/s for " + seconds + " s");
-      Tills tills = new Tills(world.vertx, LabSite.CLIPS, 1500, seed, got -> { });
-      World.await(world.on(() -> tills.start(world.gateway.port(), TILLS, RATE)));
+      LoadGenerator tills = new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, got -> { });
+      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, RATE)));
       Thread.sleep(seconds * 1000L / 3);
       out.println("cache e1 dies");
       world.on(() -> {
@@ -47,14 +47,14 @@
         table(tills, world, out);
         long last = world.caches.get("e2").lastWantAt() - drainedAt;
         out.printf("last GET to e2 %.1f ms after its drain was written%n", last / 1e6);
-        for (Tills.End end : Tills.End.values()) {
+        for (LoadGenerator.End end : LoadGenerator.End.values()) {
           result.figure(end.name().toLowerCase(Locale.ROOT), tills.ended(end));
         }
         result.figure("p50_ms", tills.latency().getValueAtPercentile(50) / 1000.0)
             .figure("p99_ms", tills.latency().getValueAtPercentile(99) / 1000.0)
             .figure("drained_after_ms", last / 1_000_000)
-            .bar("no GET lost", tills.ended(Tills.End.LOST) == 0)
-            .bar("one answer each", tills.ended(Tills.End.TWICE) == 0)
+            .bar("no GET lost", tills.ended(LoadGenerator.End.LOST) == 0)
+            .bar("one answer each", tills.ended(LoadGenerator.End.TWICE) == 0)
             .bar("nothing new 250 ms after a drain", last < 300_000_000);
         return null;
       });
@@ -62,10 +62,10 @@
     return result;
   }
 
-  private static void table(Tills tills, World world, PrintStream out) {
+  private static void table(LoadGenerator tills, LoopbackTestbed world, PrintStream out) {
     String[] why = {"a cache made it", "not run; told when to come back", "may have run, not returned",
         "no answer in time", "more than one answer"};
-    for (Tills.End end : Tills.End.values()) {
+    for (LoadGenerator.End end : LoadGenerator.End.values()) {
       out.printf("  %-9s %6d  %s%n", end, tills.ended(end), why[end.ordinal()]);
     }
     out.printf("  latency   p50 %.1f ms, p99 %.1f ms, max %.1f ms%n", tills.latency().getValueAtPercentile(50) / 1e3,
--- a/lab/src/main/java/org/amberpath/lab/Loops.java
+++ b/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 
 /** Waits, from a thread of an experiment's own, for what its event loop does. */
-public final class Loops {
+public final class EventLoopWaiter {
   private static final long PATIENCE_S = 30;
 
-  private Loops() {
+  private EventLoopWaiter() {
   }
 
   /** Runs on the event loop, and waits for what comes of it. */
--- a/lab/src/main/java/org/amberpath/lab/Experiment.java
+++ b/lab/src/main/java/org/amberpath/lab/ExperimentReport.java
@@ -5,20 +5,20 @@
 import java.util.Map;
 
 /** What an experiment came to: its figures, and its bars with whether each holds. */
-public final class Experiment {
+public final class ExperimentReport {
   private final Map<String, Object> figures = new LinkedHashMap<>();
   private final Map<String, Boolean> bars = new LinkedHashMap<>();
 
-  public Experiment(long seed) {
+  public ExperimentReport(long seed) {
     figures.put("seed", seed);
   }
 
-  public Experiment figure(String name, Object value) {
+  public ExperimentReport figure(String name, Object value) {
     figures.put(name, value);
     return this;
   }
 
-  public Experiment bar(String name, boolean holds) {
+  public ExperimentReport bar(String name, boolean holds) {
     bars.put(name, holds);
     return this;
   }
--- a/lab/src/main/java/org/amberpath/lab/LabSite.java
+++ b/lab/src/main/java/org/amberpath/lab/LabSettings.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** The site that a laboratory's gateway is told of: one store with edge caches, hubs and the origin. */
-public final class LabSite {
+public final class LabSettings {
   /** The kinds that its caches are listed under. */
   public static final String EDGE = "edge", HUB = "hub", ORIGIN = "origin", ZONE = "lab";
   /** Its delivery services: one whose GETs may be sent again, and one whose may not. */
@@ -26,7 +26,7 @@
       "collapses":true,"bypass-allowed":true,"purge-takes-s":2,"class-fresh-s":[0,0]},
       "guarantees":{"cold-share":%s,"cold-s":%s,"fall-multiple":%s,"fall-s":%s}}""";
 
-  private LabSite() {
+  private LabSettings() {
   }
 
   /**
--- a/lab/src/main/java/org/amberpath/lab/Tills.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -27,7 +27,7 @@
  *
  * <p>Bounds: GETs that are open, since each ends at its viewer timeout and some more.
  */
-public final class Tills {
+public final class LoadGenerator {
   /** How GETs ended, in the order of how good that is. */
   public enum End { RETURNED, SHED, ERRORED, LOST, TWICE }
 
@@ -87,7 +87,7 @@
   private long last, next, interval, timer = -1;
 
   /** Clients of one delivery service, who wait allowMs for each GET; each that is returned is told. */
-  public Tills(Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
+  public LoadGenerator(Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
     this.vertx = vertx;
     this.service = service;
     this.allowMs = allowMs;
@@ -97,19 +97,19 @@
   }
 
   /** GETs whose loss is excused are counted apart. */
-  public Tills excusing(Excuse one) {
+  public LoadGenerator excusing(Excuse one) {
     excuse = one;
     return this;
   }
 
   /** Tells when each GET was to be sent (nanoTime). */
-  public Tills counting(LongConsumer one) {
+  public LoadGenerator counting(LongConsumer one) {
     sending = one;
     return this;
   }
 
   /** Asks for so many objects, by Zipf's law with this exponent. */
-  public Tills spread(int objects, double exponent) {
+  public LoadGenerator spread(int objects, double exponent) {
     cumulative = new double[objects];
     double sum = 0;
     for (int object = 0; object < objects; object++) {
--- a/lab/src/main/java/org/amberpath/lab/World.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -1,13 +1,13 @@
 package org.amberpath.lab;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.gateway.Beside;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.gateway.GatewayExtensions;
 import org.amberpath.gateway.Gateway;
-import org.amberpath.gateway.NewsSource;
+import org.amberpath.gateway.EndpointSource;
 import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.runtime.KeyForm;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistrySettings;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -26,7 +26,7 @@
  * A gateway on loopback among stand-ins: a registry of several endpoints, edge caches, hubs and the origin,
  * clients. The gateway has an event loop of its own, the stand-ins share another.
  */
-public final class World implements AutoCloseable {
+public final class LoopbackTestbed implements AutoCloseable {
   public static final String PREFIX = "amberpath/lab/";
   private static final long SECOND = 1_000_000_000, LONGEST_SPENT = SECOND / 10;
   private static final int MOST_KEYS = 20_000, LONGEST = 8 << 20;
@@ -39,18 +39,18 @@
   private long writes;
   public Gateway gateway;
 
-  public World(long seed) {
+  public LoopbackTestbed(long seed) {
     this.seed = seed;
     registry = new StandInRegistry(vertx, new HttpServerOptions());
   }
 
   /** Runs on the stand-ins' event loop, and waits for what comes of it. */
   public <T> T on(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
   public static <T> T await(Future<T> future) throws Exception {
-    return Loops.await(future);
+    return EventLoopWaiter.await(future);
   }
 
   /** Opens the registry's endpoints and so many edge caches, a hub and the origin, all in the registry. */
@@ -82,30 +82,30 @@
 
   /** Writes a cache's state into the registry, with the tip. Null deletes it. */
   public void put(String id, State state) {
-    String kind = id.startsWith("e") ? LabSite.EDGE : id.startsWith("h") ? LabSite.HUB : LabSite.ORIGIN;
-    write(PREFIX + KeyForm.CACHES + id, state == null ? null : KeyForm.write(new Content.Cache(id,
-        caches.get(id).address(), LabSite.ZONE, kind, 0, state, 4, 0)));
+    String kind = id.startsWith("e") ? LabSettings.EDGE : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
+    write(PREFIX + RecordCodec.CACHES + id, state == null ? null : RecordCodec.write(new RegistryRecord.Cache(id,
+        caches.get(id).address(), LabSettings.ZONE, kind, 0, state, 4, 0)));
   }
 
   /** Writes one key and the tip in one transaction. */
   public long write(String key, byte[] value) {
     Map<String, byte[]> both = new TreeMap<>();
     both.put(key, value);
-    both.put(PREFIX + KeyForm.TIP, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
+    both.put(PREFIX + RecordCodec.TIP, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
     return registry.write(both);
   }
 
   /** How the gateway reaches the registry. */
-  public RegistryAccess access(RegistryAccess.Form form) {
+  public RegistrySettings access(RegistrySettings.Form form) {
     List<SocketAddress> endpoints = registry.endpoints().stream()
         .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1")).toList();
-    return new RegistryAccess(form, endpoints, PREFIX, null, null, null, null, null, null, null, SECOND, SECOND,
+    return new RegistrySettings(form, endpoints, PREFIX, null, null, null, null, null, null, null, SECOND, SECOND,
         600 * SECOND, MOST_KEYS, LONGEST);
   }
 
   /** Starts the gateway, which hears of caches from the source that the maker makes. */
-  public void serve(NewsSource.Maker source) throws Exception {
-    gateway = new Gateway(own, LabSite.options(seed, null), new Beside(source, null));
+  public void serve(EndpointSource.Maker source) throws Exception {
+    gateway = new Gateway(own, LabSettings.options(seed, null), new GatewayExtensions(source, null));
     await(gateway.start());
   }
 
--- a/lab/src/main/java/org/amberpath/lab/Flood.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab;
 
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
 import java.io.PrintStream;
 import java.util.Locale;
@@ -10,12 +10,12 @@
  * More GETs than a gateway can bear: first the rate is doubled until its loop is late, then three times what it bore.
  * Clients send on a schedule whatever comes back. The gateway has a quarter of a core, so that the clients have enough.
  */
-public final class Flood {
+public final class OverloadExperiment {
   private static final int FIRST = 500, MOST = 16_000, TILLS = 192, OVER = 3, PARTS = 4;
   private static final long TICK_MS = 10, HIGHEST_US = 10_000_000, LAG_US = 50_000, BORNE_US = 40_000;
   private static final double SERVED = 0.98, KEPT = 0.5;
 
-  private Flood() {
+  private OverloadExperiment() {
   }
 
   /** What came of one rate. */
@@ -23,8 +23,8 @@
   }
 
   /** Plays each rate for so many seconds. */
-  public static Experiment run(long seed, int seconds, PrintStream out) throws Exception {
-    Experiment result = new Experiment(seed);
+  public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
+    ExperimentReport result = new ExperimentReport(seed);
     Stretch borne = null;
     out.println("first with cold code, which counts for nothing:");
     play(seed, FIRST, seconds, out);
@@ -48,12 +48,12 @@
   }
 
   private static Stretch play(long seed, int rate, int seconds, PrintStream out) throws Exception {
-    try (World world = new World(seed)) {
+    try (LoopbackTestbed world = new LoopbackTestbed(seed)) {
       world.open(1, 4);
-      world.serve((vertx, to, chance) -> new RegistrySource(vertx, world.access(RegistryAccess.Form.ETCD), to, chance));
+      world.serve((vertx, to, chance) -> new RegistrySource(vertx, world.access(RegistrySettings.Form.ETCD), to, chance));
       world.slowGateway(PARTS);
-      Tills tills = new Tills(world.vertx, LabSite.CLIPS, 1500, seed, got -> { });
-      World.await(world.on(() -> tills.start(world.gateway.port(), TILLS, rate)));
+      LoadGenerator tills = new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, got -> { });
+      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, rate)));
       Thread.sleep(seconds * 500L); // Its code is cold at first.
       long[] before = world.on(() -> ends(tills));
       Histogram lag = new Histogram(HIGHEST_US, 3);
@@ -67,7 +67,7 @@
       Thread.sleep(1700);
       return world.on(() -> {
         Stretch one = new Stretch(rate, (after[0] - before[0]) / (double) seconds,
-            (after[1] - before[1]) / (double) seconds, tills.ended(Tills.End.LOST),
+            (after[1] - before[1]) / (double) seconds, tills.ended(LoadGenerator.End.LOST),
             lag.getValueAtPercentile(99), tills.latency().getValueAtPercentile(99));
         out.printf(Locale.ROOT, "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f ms%n",
             rate, one.returned, one.shed, one.lost, one.lagUs / 1e3, one.latencyUs / 1e3);
@@ -76,7 +76,7 @@
     }
   }
 
-  private static long[] ends(Tills tills) {
-    return new long[] {tills.ended(Tills.End.RETURNED), tills.ended(Tills.End.SHED)};
+  private static long[] ends(LoadGenerator tills) {
+    return new long[] {tills.ended(LoadGenerator.End.RETURNED), tills.ended(LoadGenerator.End.SHED)};
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/Runs.java
+++ b/lab/src/main/java/org/amberpath/lab/SeededRuns.java
@@ -8,7 +8,7 @@
 import java.util.stream.LongStream;
 
 /** Many runs of a model, each from a seed of its own. */
-public final class Runs {
+public final class SeededRuns {
   private static final int MOST_LINES = 10;
 
   /** A model: plays one seed, tells its story line by line, and throws where a bar is missed. */
@@ -20,7 +20,7 @@
   public record Result(long seed, Map<String, Long> figures, String missed) {
   }
 
-  private Runs() {
+  private SeededRuns() {
   }
 
   /** One run; the same seed tells the same story, line by line. */
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -1,18 +1,18 @@
 package org.amberpath.lab;
 
-import org.amberpath.routing.Arrivals;
-import org.amberpath.routing.Arrivals.Events;
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Decisions;
-import org.amberpath.routing.Recent;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.Site;
-import org.amberpath.leadership.Ahead;
-import org.amberpath.leadership.Trials;
-import org.amberpath.recovery.Reopening;
+import org.amberpath.routing.RoutingConfig;
+import org.amberpath.leadership.CachePrefetch;
+import org.amberpath.leadership.HealthCheckCoordinator;
+import org.amberpath.recovery.RecoveryRamp;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -54,7 +54,7 @@
 
   protected final Plan plan;
   protected final SplittableRandom chance;
-  protected final Agenda agenda = new Agenda(START);
+  protected final VirtualScheduler agenda = new VirtualScheduler(START);
   /** Edges, then hubs, then the origin. */
   protected final List<Cache> caches = new ArrayList<>();
   protected final List<One> gateways = new ArrayList<>();
@@ -78,14 +78,14 @@
       popular[one] = sum;
     }
     for (int one = 0; one < plan.caches(); one++) {
-      caches.add(new Cache(one, LabSite.EDGE, weight));
+      caches.add(new Cache(one, LabSettings.EDGE, weight));
     }
     for (int one = 0; one < HUBS; one++) {
-      caches.add(new Cache(caches.size(), LabSite.HUB, weight * plan.caches()));
+      caches.add(new Cache(caches.size(), LabSettings.HUB, weight * plan.caches()));
     }
-    caches.add(new Cache(caches.size(), LabSite.ORIGIN, weight * plan.caches() * plan.origin()));
+    caches.add(new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
     for (int one = 0; one < plan.gateways(); one++) {
-      gateways.add(new One(one, LabSite.options(chance.nextLong(), null, plan.gateways()).site()));
+      gateways.add(new One(one, LabSettings.options(chance.nextLong(), null, plan.gateways()).site()));
     }
   }
 
@@ -296,14 +296,14 @@
 
     /** How much of what it bears in the time that the site names it gets while cold, all gateways together. */
     private void bound() {
-      double ramp = startedAt == 0 ? 1 : Math.min(1, LabSite.COLD_SHARE
-          + (1 - LabSite.COLD_SHARE) * (agenda.now() - startedAt) / (LabSite.COLD_S * SECOND));
+      double ramp = startedAt == 0 ? 1 : Math.min(1, LabSettings.COLD_SHARE
+          + (1 - LabSettings.COLD_SHARE) * (agenda.now() - startedAt) / (LabSettings.COLD_S * SECOND));
       lately.add(agenda.now());
-      while (lately.peek() < agenda.now() - (long) (LabSite.FALL_S * SECOND)) {
+      while (lately.peek() < agenda.now() - (long) (LabSettings.FALL_S * SECOND)) {
         lately.poll();
       }
       if (startedAt > 0 && ramp < 1) {
-        double may = LabSite.FALL_MULTIPLE * ramp * size / WORK * LabSite.FALL_S;
+        double may = LabSettings.FALL_MULTIPLE * ramp * size / WORK * LabSettings.FALL_S;
         coldMost = Math.max(coldMost, (long) (1000 * lately.size() / (may + 3 * Math.sqrt(may) + 3)));
         coldFell += lately.size() > may + 3 * Math.sqrt(may) + 3 ? 1 : 0;
       }
@@ -319,30 +319,30 @@
   }
 
   /** A gateway: its decisions, its viewers, and what it does for the fleet. */
-  protected final class One implements Arrivals, Decisions {
+  protected final class One implements RoutingEvents, RoutingActions {
     final int index;
-    private final Site site;
+    private final RoutingConfig site;
     private RequestRouter router;
-    private Reopening opening;
+    private RecoveryRamp opening;
     private boolean up;
     private long life, openAt;
     private final List<Consumer<Events>> came = new ArrayList<>();
     private List<Consumer<Events>> round = List.of();
     private boolean due;
     private final Map<Long, Viewer> viewers = new HashMap<>();
-    private final Map<Long, Consumer<Trials.End>> own = new HashMap<>();
+    private final Map<Long, Consumer<HealthCheckCoordinator.End>> own = new HashMap<>();
     private final Map<Long, Long> keys = new HashMap<>();
     private final Map<Long, Integer> copies = new HashMap<>();
     private final Set<String> open = new HashSet<>();
-    private Trials trials = new Trials();
-    private Ahead ahead = new Ahead();
-    private Recent<Asked, Asked> recent = new Recent<>(RECENT);
+    private HealthCheckCoordinator trials = new HealthCheckCoordinator();
+    private CachePrefetch ahead = new CachePrefetch();
+    private RecentRequests<Asked, Asked> recent = new RecentRequests<>(RECENT);
     private boolean forAll;
     private long ids;
     /** Some gateways get several times the mean. */
     private final double share;
 
-    One(int index, Site site) {
+    One(int index, RoutingConfig site) {
       this.index = index;
       this.site = site;
       share = 0.25 + 1.5 * chance.nextDouble();
@@ -353,20 +353,20 @@
       up = true;
       life++;
       router = new RequestRouter(site);
-      trials = new Trials();
-      ahead = new Ahead();
-      recent = new Recent<>(RECENT);
+      trials = new HealthCheckCoordinator();
+      ahead = new CachePrefetch();
+      recent = new RecentRequests<>(RECENT);
       forAll = false;
       openAt = loss && plan.opening() == Opening.STAGGERED ? agenda.now() + chance.nextLong(STAGGER) : agenda.now();
-      opening = new Reopening(chance.nextLong(), SECOND, agenda.now());
+      opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
       tell(to -> {
         to.listing(Listing.FULL);
         caches.forEach(cache -> member(to, cache, cache.down ? State.GONE : State.UP, cache.startedAt));
         to.listed();
       });
       // Of what its part of the cold budgets bears it knows the caches that are there.
-      double bears = caches.stream().filter(cache -> cache.kind.equals(LabSite.EDGE)).mapToDouble(cache -> cache.size)
-          .sum() / WORK * LabSite.COLD_SHARE / plan.gateways();
+      double bears = caches.stream().filter(cache -> cache.kind.equals(LabSettings.EDGE)).mapToDouble(cache -> cache.size)
+          .sum() / WORK * LabSettings.COLD_SHARE / plan.gateways();
       opening.learned(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
       tick();
     }
@@ -392,7 +392,7 @@
 
     void member(Events to, Cache cache, State state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
-      to.member(cache.index, address, LabSite.ZONE, cache.kind, 0, state, cache.size, startedAt);
+      to.member(cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
     }
 
     void tell(Consumer<Events> event) {
@@ -485,7 +485,7 @@
       }
       boolean returned = outcome == Outcome.RETURNED;
       Viewer viewer = returned ? viewers.remove(wanted.get) : null;
-      Consumer<Trials.End> ends = returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
+      Consumer<HealthCheckCoordinator.End> ends = returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
       if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
         count("good", viewer.began);
       }
@@ -493,7 +493,7 @@
         opening.returned();
       }
       if (ends != null) {
-        ends.accept(Trials.End.ANSWERED);
+        ends.accept(HealthCheckCoordinator.End.ANSWERED);
       }
       long took = LIMIT; // The decisions look at it for what was returned alone.
       tell(to -> to.ended(wanted.get, wanted.copy, cache, outcome, returned ? (long) (WORK * SECOND) : took, returned
@@ -511,9 +511,9 @@
 
     @Override public void errored(long get) {
       viewers.remove(get);
-      Consumer<Trials.End> ends = own.remove(get);
+      Consumer<HealthCheckCoordinator.End> ends = own.remove(get);
       if (ends != null) {
-        ends.accept(copies.containsKey(get) ? Trials.End.SILENT : Trials.End.NOT_SENT);
+        ends.accept(copies.containsKey(get) ? HealthCheckCoordinator.End.SILENT : HealthCheckCoordinator.End.NOT_SENT);
       }
     }
 
@@ -551,14 +551,14 @@
     private void tick() {
       long now = agenda.now();
       if (plan.probe()) {
-        Trials.Ask ask = trials.due(now, gateways.size(), () -> gateways.stream().filter(one -> one != this)
+        HealthCheckCoordinator.Ask ask = trials.due(now, gateways.size(), () -> gateways.stream().filter(one -> one != this)
             .map(one -> Integer.toString(one.index)).toList(), owns(true));
         if (ask != null) {
           post(Integer.parseInt(ask.to()), to -> to.asked(this, ask));
         }
         if (owns(true)) {
           attempt();
-          Map<String, Trials.Said> news = trials.news(now);
+          Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
           if (!news.isEmpty()) {
             List<String> there = gateways.stream().map(one -> Integer.toString(one.index)).toList();
             trials.toldNow(now, there).forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
@@ -586,16 +586,16 @@
       }
     }
 
-    private void asked(One by, Trials.Ask ask) {
+    private void asked(One by, HealthCheckCoordinator.Ask ask) {
       if (owns(plan.probe())) {
-        Map<String, Trials.Said> said = trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
+        Map<String, HealthCheckCoordinator.Said> said = trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
         attempt();
         post(by.index, to -> to.word(ask.stamp(), said));
       }
     }
 
-    private void word(long stamp, Map<String, Trials.Said> said) {
-      Map<String, Trials.Said> taken = trials.word(agenda.now(), "0", 1, stamp, said);
+    private void word(long stamp, Map<String, HealthCheckCoordinator.Said> said) {
+      Map<String, HealthCheckCoordinator.Said> taken = trials.word(agenda.now(), "0", 1, stamp, said);
       trust();
       taken.forEach((cache, one) -> tell(to -> to.vouched(Integer.parseInt(cache), one.answers(), one.ago())));
     }
@@ -622,15 +622,15 @@
       }
     }
 
-    private void own(Asked like, int cache, Consumer<Trials.End> ends) {
+    private void own(Asked like, int cache, Consumer<HealthCheckCoordinator.End> ends) {
       long id = ++ids;
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
       tell(to -> to.own(id, 0, like.object, 0, like.part, ACT, KB, cache));
       agenda.at(agenda.now() + ACT, () -> {
-        Consumer<Trials.End> late = own.remove(id);
+        Consumer<HealthCheckCoordinator.End> late = own.remove(id);
         if (late != null) {
-          late.accept(Trials.End.SILENT);
+          late.accept(HealthCheckCoordinator.End.SILENT);
           tell(to -> to.left(id));
         }
       });
--- a/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
@@ -14,11 +14,11 @@
   protected final double speed;
   public boolean up;
   public long frozenUntil, life;
-  private final Agenda agenda;
+  private final VirtualScheduler agenda;
   private final long start;
 
   /** One that does not run yet, with a clock by chance. */
-  protected VirtualProcess(Agenda agenda, long start, SplittableRandom chance) {
+  protected VirtualProcess(VirtualScheduler agenda, long start, SplittableRandom chance) {
     this.agenda = agenda;
     this.start = start;
     offset = chance.nextLong(-OFF, OFF);
--- a/lab/src/main/java/org/amberpath/lab/Agenda.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.PriorityQueue;
 
 /** A virtual clock: what is due, in the order of its time and, within one nanosecond, in that of its coming. */
-public final class Agenda {
+public final class VirtualScheduler {
   private record Entry(long at, long order, Runnable what) implements Comparable<Entry> {
     @Override public int compareTo(Entry other) {
       int byTime = Long.compare(at, other.at);
@@ -15,7 +15,7 @@
   private long now, order;
 
   /** Begins at a time. */
-  public Agenda(long start) {
+  public VirtualScheduler(long start) {
     now = start;
   }
 
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.endpoints;
 
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.ExperimentReport;
 import java.io.PrintStream;
 import java.nio.file.Path;
 
@@ -28,8 +28,8 @@
   }
 
   /** Measures both sizes, one after the other, and compares them. */
-  public static Experiment run(Plan plan, PrintStream out) throws Exception {
-    Experiment result = new Experiment(plan.seed()).figure("gateways", plan.gateways())
+  public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
+    ExperimentReport result = new ExperimentReport(plan.seed()).figure("gateways", plan.gateways())
         .figure("request_rate", plan.requestRate()).figure("sockets", plan.sockets()).figure("seconds", plan.seconds());
     GatewayUsage usual = measure(plan, plan.endpoints(), "usual", result, out);
     GatewayUsage many = measure(plan, plan.endpoints() * plan.times(), "many", result, out);
@@ -37,7 +37,7 @@
     return result;
   }
 
-  private static GatewayUsage measure(Plan plan, int endpoints, String name, Experiment result, PrintStream out)
+  private static GatewayUsage measure(Plan plan, int endpoints, String name, ExperimentReport result, PrintStream out)
       throws Exception {
     try (EndpointsTestbed testbed = new EndpointsTestbed(plan, endpoints, name)) {
       GatewayUsage usage = testbed.measure();
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -1,11 +1,11 @@
 package org.amberpath.lab.endpoints;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.lab.LabSite;
-import org.amberpath.lab.Loops;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.lab.LabSettings;
+import org.amberpath.lab.EventLoopWaiter;
 import org.amberpath.lab.StandInCache;
-import org.amberpath.lab.Tills;
-import org.amberpath.lab.testbed.Auditor;
+import org.amberpath.lab.LoadGenerator;
+import org.amberpath.lab.testbed.RuleAuditor;
 import org.amberpath.lab.testbed.GatewayProcess;
 import org.amberpath.lab.testbed.StandInJournal;
 import org.amberpath.lab.testbed.StandInJournal.Instance;
@@ -66,8 +66,8 @@
   private final StandInJournal journal = new StandInJournal(vertx);
   private final Map<String, StandInCache> caches = new HashMap<>();
   private final ArrayDeque<String> toReplace = new ArrayDeque<>();
-  private final List<Tills> clients = new ArrayList<>();
-  private final Auditor auditor;
+  private final List<LoadGenerator> clients = new ArrayList<>();
+  private final RuleAuditor auditor;
   private final Map<String, Object> details = new LinkedHashMap<>();
   private final Thread onExit = new Thread(this::killGateway, "endpoints testbed");
   private GatewayProcess gateway;
@@ -82,17 +82,17 @@
     weight = CAPACITY_PER_GATEWAY * plan.gateways() / endpoints;
     random = new SplittableRandom(plan.seed());
     Runtime.getRuntime().addShutdownHook(onExit);
-    auditor = onLoop(() -> new Auditor(vertx));
-    Loops.await(onLoop(journal::listen));
+    auditor = onLoop(() -> new RuleAuditor(vertx));
+    EventLoopWaiter.await(onLoop(journal::listen));
     listen();
   }
 
   private <T> T onLoop(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
   private void listen() throws Exception {
-    Loops.await(onLoop(() -> {
+    EventLoopWaiter.await(onLoop(() -> {
       List<Future<?>> listening = new ArrayList<>(List.of(open(ORIGIN_ID)));
       for (int index = 0; index < endpoints; index++) {
         listening.add(open(newId(index % ENDPOINTS_PER_PARENT == 0)));
@@ -129,7 +129,7 @@
   }
 
   private Instance instance(String id, State state, long startedAtMillis) {
-    String kind = id.startsWith("e") ? LabSite.EDGE : id.startsWith("h") ? LabSite.HUB : LabSite.ORIGIN;
+    String kind = id.startsWith("e") ? LabSettings.EDGE : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
     return new Instance(id, caches.get(id).address(), kind, id.equals(ORIGIN_ID) ? ORIGIN_WEIGHT : weight, state,
         startedAtMillis);
   }
@@ -146,7 +146,7 @@
     Thread.sleep(plan.seconds() * MILLIS_PER_SECOND);
     onLoop(() -> {
       vertx.cancelTimer(replacer);
-      clients.forEach(Tills::stop);
+      clients.forEach(LoadGenerator::stop);
       return null;
     });
     Thread.sleep(ALLOW_MILLIS + DRAIN_MILLIS);
@@ -164,7 +164,7 @@
     Path config = folder.resolve(name + ".json");
     Path log = folder.resolve(name + ".log");
     Files.deleteIfExists(log);
-    Files.writeString(config, LabSite.json(name, plan.seed(), journal.address(), plan.gateways(), IDLE_SECONDS,
+    Files.writeString(config, LabSettings.json(name, plan.seed(), journal.address(), plan.gateways(), IDLE_SECONDS,
         "\"limits\":{\"sockets\":" + plan.sockets() + "},\"known\":" + onLoop(journal::known) + ","));
     gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("org.amberpath.cli.Main", "serve"),
         Map.of("PROXY_CONFIG", config.toString()), log);
@@ -173,13 +173,13 @@
   }
 
   private void startClients(int port) throws Exception {
-    Loops.await(onLoop(() -> {
+    EventLoopWaiter.await(onLoop(() -> {
       List<Future<?>> connecting = new ArrayList<>();
-      for (String service : List.of(LabSite.CLIPS, LabSite.ORDERS)) {
-        Tills tills = new Tills(vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
+      for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
+        LoadGenerator tills = new LoadGenerator(vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
             .spread(OBJECTS, ZIPF_EXPONENT);
         clients.add(tills);
-        boolean orders = service.equals(LabSite.ORDERS);
+        boolean orders = service.equals(LabSettings.ORDERS);
         int rate = Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
         connecting.add(tills.start(port, CLIENT_CONNECTIONS, rate));
       }
@@ -223,21 +223,21 @@
 
   // ---- What came of it.
 
-  private long ended(Tills.End how) {
+  private long ended(LoadGenerator.End how) {
     return clients.stream().mapToLong(one -> one.ended(how)).sum();
   }
 
   private double shareServed() {
     long all = clients.stream().mapToLong(one -> one.unsent() + one.open()).sum();
-    for (Tills.End end : Tills.End.values()) {
+    for (LoadGenerator.End end : LoadGenerator.End.values()) {
       long many = ended(end);
       details.put(end.name().toLowerCase(Locale.ROOT), many);
-      all += end == Tills.End.TWICE ? 0 : many;
+      all += end == LoadGenerator.End.TWICE ? 0 : many;
     }
     details.put("left_to_replace", toReplace.size());
     details.put("hits", caches.values().stream().mapToLong(StandInCache::hits).sum());
     details.put("caches_asked", caches.values().stream().filter(one -> one.wants() > 0).count());
-    return all == 0 ? 0 : UsageBounds.rounded((double) ended(Tills.End.RETURNED) / all);
+    return all == 0 ? 0 : UsageBounds.rounded((double) ended(LoadGenerator.End.RETURNED) / all);
   }
 
   private void finish() throws Exception {
@@ -256,7 +256,7 @@
   }
 
   long lostOrTwice() throws Exception {
-    return onLoop(() -> ended(Tills.End.LOST) + ended(Tills.End.TWICE));
+    return onLoop(() -> ended(LoadGenerator.End.LOST) + ended(LoadGenerator.End.TWICE));
   }
 
   private void killGateway() {
@@ -271,6 +271,6 @@
       gateway.ended();
     }
     Runtime.getRuntime().removeShutdownHook(onExit);
-    Loops.await(vertx.close());
+    EventLoopWaiter.await(vertx.close());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.endpoints;
 
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.ExperimentReport;
 
 /** How far the needs of a gateway may grow with the number of endpoints, at the same traffic. */
 public final class UsageBounds {
@@ -24,7 +24,7 @@
   }
 
   /** Adds a bar for each row of the table, with the bound that it came to. */
-  public static void compare(GatewayUsage usual, GatewayUsage many, Experiment result) {
+  public static void compare(GatewayUsage usual, GatewayUsage many, ExperimentReport result) {
     double thousands = many.endpoints() / 1000.0;
     atMost(result, "cpu_s", many.cpuSeconds(),
         CPU_TIMES * usual.cpuSeconds() + CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * thousands);
@@ -41,7 +41,7 @@
         .bar("share_served", many.shareServed() >= leastServed - ROUNDING);
   }
 
-  private static void atMost(Experiment result, String name, double value, double bound) {
+  private static void atMost(ExperimentReport result, String name, double value, double bound) {
     result.figure("most_" + name, rounded(bound)).bar(name, value <= bound + ROUNDING);
   }
 
