--- a/lab/src/main/java/org/amberpath/lab/leadership/OwnerDay.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -1,14 +1,14 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.lab.Experiment;
-import org.amberpath.lab.Loops;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.EventLoopWaiter;
 import org.amberpath.lab.registry.StandInRegistry;
 import org.amberpath.lab.registry.StandInRegistry.Endpoint;
 import org.amberpath.lab.registry.StandInRegistry.Way;
-import org.amberpath.lab.testbed.Links;
-import org.amberpath.lab.testbed.Rig;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.runtime.KeyForm;
+import org.amberpath.lab.testbed.NetworkLinks;
+import org.amberpath.lab.testbed.ProcessTestbed;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -34,7 +34,7 @@
  * cut off one way and both, votes are lost and late, and endpoints of the registry are away. The registry's own history
  * judges: terms of the task's fence never fall, one term is one owner's, and what is old goes.
  */
-public final class OwnerDay {
+public final class LeadershipExperiment {
   private static final long MS = 1_000_000, WARM_MS = 7000, WRITE_MS = 100, LOOK_MS = 10, CALM_MS = 14_000;
   /** A lease, and two seconds more: by then a task that lost its owner has one again, if voters are there. */
   private static final long LEASE_MS = 3000, SETTLE_MS = 600, OWNED_AGAIN_MS = LEASE_MS + 2000 + SETTLE_MS;
@@ -67,27 +67,27 @@
   private long endedAt, longestHeir, callsAtHung;
   private String common;
   private byte[] fence = new byte[0];
-  private Rig rig;
+  private ProcessTestbed rig;
 
-  private OwnerDay(Plan plan) {
+  private LeadershipExperiment(Plan plan) {
     this.plan = plan;
     chance = new SplittableRandom(plan.seed());
   }
 
   /** Plays a timetable from the seed. */
-  public static Experiment run(Plan plan, PrintStream out) throws Exception {
-    return new OwnerDay(plan).play(out);
+  public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
+    return new LeadershipExperiment(plan).play(out);
   }
 
   private <T> T on(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
-  private Experiment play(PrintStream out) throws Exception {
-    Experiment result = new Experiment(plan.seed()).figure("gateways", plan.gateways());
+  private ExperimentReport play(PrintStream out) throws Exception {
+    ExperimentReport result = new ExperimentReport(plan.seed()).figure("gateways", plan.gateways());
     List<String> endpoints = new ArrayList<>();
     for (int one = 0; one < ENDPOINTS; one++) {
-      endpoints.add("127.0.0.1:" + Loops.await(on(() -> registry.open(0))).port());
+      endpoints.add("127.0.0.1:" + EventLoopWaiter.await(on(() -> registry.open(0))).port());
     }
     common = "[registry]\nform = etcd\nendpoints = " + String.join(", ", endpoints) + "\nprefix = " + PREFIX
         + "\njournal = beside\n[owner]\nlease-s = " + LEASE_MS / 1000 + "\nsettle-s = " + SETTLE_MS / 1000.0
@@ -96,7 +96,7 @@
     boolean leases = plan.seed() % 3 == 0;
     String more = common + (leases ? "by = lease\n" : "voters = " + FIRST + "\n");
     Path folder = Files.createDirectories(plan.folder().resolve("owner-" + plan.seed()));
-    try (Rig made = new Rig(new Rig.Plan(plan.seed(), plan.gateways(), plan.gateways(), RATE, folder, more))) {
+    try (ProcessTestbed made = new ProcessTestbed(new ProcessTestbed.Plan(plan.seed(), plan.gateways(), plan.gateways(), RATE, folder, more))) {
       rig = made;
       rig.startAll();
       on(() -> vertx.setPeriodic(WRITE_MS, tick -> purge()));
@@ -139,7 +139,7 @@
           .bar("not void: four fifths judged", rig.auditor().unjudged() <= UNJUDGED)
           .bar("no failure in the logs", rig.severe() == 0);
     } finally {
-      Loops.await(vertx.close());
+      EventLoopWaiter.await(vertx.close());
     }
     return result;
   }
@@ -149,11 +149,11 @@
   /** A purge that is old by any clock within an hour of this one, of an object that nobody asks for. */
   private void purge() {
     Map<String, byte[]> both = new TreeMap<>();
-    both.put(PREFIX + KeyForm.PURGES + ++purges, KeyForm.write(new Content.Purge(0xf000_0000L + purges, 0,
+    both.put(PREFIX + RecordCodec.PURGES + ++purges, RecordCodec.write(new RegistryRecord.Purge(0xf000_0000L + purges, 0,
         System.currentTimeMillis() - 3L * HOUR_MS)));
-    both.put(PREFIX + KeyForm.TIP, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
+    both.put(PREFIX + RecordCodec.TIP, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
     registry.write(both);
-    writtenAt.put(PREFIX + KeyForm.PURGES + purges, System.nanoTime());
+    writtenAt.put(PREFIX + RecordCodec.PURGES + purges, System.nanoTime());
   }
 
   /** Of each purge that is still there, when it was written: bounded by the purges of one day. */
@@ -170,7 +170,7 @@
     writtenAt.keySet().removeIf(key -> !now.containsKey(key));
     long oldest = writtenAt.values().stream().mapToLong(at -> at).min().orElse(System.nanoTime());
     oldestMs = (System.nanoTime() - oldest) / MS;
-    byte[] value = now.getOrDefault(PREFIX + KeyForm.TASKS + "sweep", fence);
+    byte[] value = now.getOrDefault(PREFIX + RecordCodec.TASKS + "sweep", fence);
     if (!Arrays.equals(value, fence)) {
       fence = value;
       written++;
@@ -238,14 +238,14 @@
         case 3 -> add(at, ms, "cut off " + whom, () -> {
           int one = target(drawn, owner);
           for (int each = 0; each < plan.gateways(); each++) {
-            rig.link(one, each, Links.Way.CUT);
+            rig.link(one, each, NetworkLinks.Way.CUT);
             if (each % 2 == 0 || chance.nextBoolean()) {
-              rig.link(each, one, Links.Way.CUT);
+              rig.link(each, one, NetworkLinks.Way.CUT);
             }
           }
-        }, () -> rig.links(Links.Way.WELL));
-        case 4 -> add(at, ms, "lossy, late by up to 3 s", () -> rig.links(new Links.Way(false, 0.2, 0.1, 3000)),
-            () -> rig.links(Links.Way.WELL));
+        }, () -> rig.links(NetworkLinks.Way.WELL));
+        case 4 -> add(at, ms, "lossy, late by up to 3 s", () -> rig.links(new NetworkLinks.Way(false, 0.2, 0.1, 3000)),
+            () -> rig.links(NetworkLinks.Way.WELL));
         case 5, 6 -> {
           String cache = "e" + chance.nextInt(CACHES);
           long[] before = new long[1];
--- a/lab/src/main/java/org/amberpath/lab/leadership/OwnerRun.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -1,16 +1,16 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.lab.Agenda;
+import org.amberpath.lab.VirtualScheduler;
 import org.amberpath.lab.VirtualProcess;
-import org.amberpath.lab.leadership.OwnerModel.Way;
-import org.amberpath.leadership.Electorate;
-import org.amberpath.leadership.Fence;
-import org.amberpath.leadership.LeasedTenure;
-import org.amberpath.leadership.OwnerRules;
-import org.amberpath.leadership.Tenure;
-import org.amberpath.leadership.Vote;
-import org.amberpath.leadership.VotedTenure;
-import org.amberpath.leadership.Voter;
+import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.FencingGuard;
+import org.amberpath.leadership.RegistryLeadership;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseMessage;
+import org.amberpath.leadership.QuorumLeadership;
+import org.amberpath.leadership.LeaseAcceptor;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -27,12 +27,12 @@
  * step one process at most holds a task; at each recipient nothing of an older term takes effect after a newer; where
  * terms can't be compared acts of two owners do not lie within one another's time.
  */
-final class OwnerRun {
+final class LeadershipModel {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
   private static final long BUSY = 60 * SECOND, LEASE = 3 * SECOND, ACT = 300 * MS, LATE = 3 * SECOND;
   /** What a message to a cache may take once it is written, and what a new owner waits for. */
   private static final long PIPE = 200 * MS, SETTLE = ACT + PIPE + 100 * MS;
-  private static final OwnerRules RULES = new OwnerRules(LEASE, SETTLE, 1000);
+  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
   /** By when a task has an owner again: voters wait a lease, tries come within another half, then it settles. */
   private static final long OWNED_AGAIN = 2 * LEASE + LEASE / 2 + 2 * SECOND + SETTLE, CALM = OWNED_AGAIN + 5 * SECOND;
   private static final List<String> TASKS = List.of("probe", "sweep");
@@ -48,7 +48,7 @@
   }
 
   private final SplittableRandom chance;
-  private final Agenda agenda = new Agenda(START);
+  private final VirtualScheduler agenda = new VirtualScheduler(START);
   private final Consumer<String> story;
   private final Way way;
   private final boolean registry;
@@ -57,15 +57,15 @@
   private final long busyUntil = START + BUSY;
   /** Of each task, what a place that compares no terms was asked for last; the fence that outlives all power losses. */
   private final Act[] last = new Act[TASKS.size()];
-  private final Fence lasting = new Fence();
+  private final FencingGuard lasting = new FencingGuard();
   private final long[] lastingTerm = new long[TASKS.size()], vacantSince = new long[TASKS.size()];
-  private final List<Electorate> stages = new ArrayList<>();
+  private final List<VoterConfiguration> stages = new ArrayList<>();
   private int stage, knownFor = 1;
   private long steps, acts, refused, windowActs, dropped, handed, terms, outranked, longestVacancy;
   private final long[][] registryKey = new long[TASKS.size()][4]; // holder + 1, term, changed, expiry
   private boolean registryAway;
 
-  OwnerRun(long seed, Way way, Consumer<String> story) {
+  LeadershipModel(long seed, Way way, Consumer<String> story) {
     this.way = way;
     chance = new SplittableRandom(seed);
     this.story = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
@@ -74,11 +74,11 @@
     cut = new boolean[many][many];
     List<String> names = IntStream.range(0, many).mapToObj(one -> "g" + one).toList();
     List<String> first = names.subList(0, many >= 5 && chance.nextBoolean() ? 5 : 3);
-    stages.add(new Electorate(first, List.of()));
+    stages.add(new VoterConfiguration(first, List.of()));
     if (many >= 5 && chance.nextBoolean()) {
       List<String> next = names.subList(many - 3, many);
-      stages.add(new Electorate(first, next));
-      stages.add(new Electorate(next, List.of()));
+      stages.add(new VoterConfiguration(first, next));
+      stages.add(new VoterConfiguration(next, List.of()));
     }
     names.forEach(name -> all.add(new Process(all.size())));
   }
@@ -151,13 +151,13 @@
 
   private final class Process extends VirtualProcess implements LeasedTenureHost {
     final int index;
-    final List<Tenure> tenures = new ArrayList<>();
+    final List<Leadership> tenures = new ArrayList<>();
     private final long[] armed = new long[TASKS.size()], actsUntil = new long[TASKS.size()];
     private final boolean[] quits = new boolean[TASKS.size()];
     long wallOffset = chance.nextLong(-300, 300), votesFrom, votedAt = Long.MIN_VALUE;
     int knows;
-    Voter voter;
-    Fence fence;
+    LeaseAcceptor voter;
+    FencingGuard fence;
 
     Process(int index) {
       super(agenda, START, chance);
@@ -168,9 +168,9 @@
       life++;
       up = true;
       knows = stage;
-      fence = new Fence();
+      fence = new FencingGuard();
       long muted = way == Way.NO_WAIT_AFTER_RESTART ? 0 : RULES.longest(LEASE);
-      voter = new Voter(RULES, clock(), muted);
+      voter = new LeaseAcceptor(RULES, clock(), muted);
       votesFrom = clock() + muted;
       tenures.clear();
       Arrays.fill(quits, false);
@@ -184,20 +184,20 @@
       }
     }
 
-    private Tenure tenure(int task) {
+    private Leadership tenure(int task) {
       if (way == Way.LOWEST_ALIVE) {
-        return new LowestAlive("g" + index, 1500 * MS, clock());
+        return new LowestIdLeadership("g" + index, 1500 * MS, clock());
       }
       if (registry) {
-        LeasedTenure made = new LeasedTenure(RULES, new Key(this, task), chance.nextLong());
+        RegistryLeadership made = new RegistryLeadership(RULES, new Key(this, task), chance.nextLong());
         long[] key = registryKey[task];
         made.seen(clock(), key[1], key[0] != 0, key[2]);
         return made;
       }
-      VotedTenure.Orders orders = (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
-      Electorate electorate = stages.get(knows);
+      QuorumLeadership.Orders orders = (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
+      VoterConfiguration electorate = stages.get(knows);
       long seed = chance.nextLong();
-      VotedTenure made = new VotedTenure(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
+      QuorumLeadership made = new QuorumLeadership(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
         @Override protected long believedFrom(long proposedAt, long acceptedAt) {
           return way == Way.BELIEF_FROM_ANSWER ? acceptedAt : super.believedFrom(proposedAt, acceptedAt);
         }
@@ -221,20 +221,20 @@
 
     private void beat() {
       all.forEach(other -> other.arrive(index, () ->
-          other.tenures.forEach(one -> ((LowestAlive) one).heard(other.clock(), "g" + index))));
+          other.tenures.forEach(one -> ((LowestIdLeadership) one).heard(other.clock(), "g" + index))));
       at(agenda.now() + 300 * MS, this::beat);
     }
 
     @Override public void arm(int task) {
-      Tenure of = tenures.get(task);
+      Leadership of = tenures.get(task);
       long due = of.due(), mine = ++armed[task];
       if (due < Long.MAX_VALUE / 4) {
         at(agenda.now() + Math.max(MS, due - clock()), () -> {
           if (tenures.get(task) == of && armed[task] == mine) {
-            if (of instanceof VotedTenure voted) {
+            if (of instanceof QuorumLeadership voted) {
               voted.wall((agenda.now() / MS) + wallOffset);
             }
-            Tenure.State before = of.state();
+            Leadership.State before = of.state();
             of.tick(clock());
             told(task, before);
             arm(task);
@@ -243,23 +243,23 @@
       }
     }
 
-    private void told(int task, Tenure.State before) {
-      Tenure of = tenures.get(task);
+    private void told(int task, Leadership.State before) {
+      Leadership of = tenures.get(task);
       if (of.state() != before) {
         story.accept("g" + index + ": " + TASKS.get(task) + " " + before + " -> " + of.state() + " " + of.term());
-        terms += of.state() == Tenure.State.WAITING ? 1 : 0;
+        terms += of.state() == Leadership.State.WAITING ? 1 : 0;
       }
     }
 
-    private void ask(int voter, int task, Vote vote) {
+    private void ask(int voter, int task, LeaseMessage vote) {
       Process other = all.get(voter);
       other.arrive(index, () -> {
-        Vote answer = other.voter.asked(other.clock(), "g" + index, vote);
+        LeaseMessage answer = other.voter.asked(other.clock(), "g" + index, vote);
         if (answer != null) {
           arrive(voter, () -> {
-            Tenure of = tenures.get(task);
-            Tenure.State before = of.state();
-            ((VotedTenure) of).answered(clock(), "g" + voter, answer);
+            Leadership of = tenures.get(task);
+            Leadership.State before = of.state();
+            ((QuorumLeadership) of).answered(clock(), "g" + voter, answer);
             told(task, before);
             arm(task);
           });
@@ -275,7 +275,7 @@
 
     private void act(int task) {
       at(agenda.now() + chance.nextLong(100 * MS, 300 * MS), () -> {
-        Tenure of = tenures.get(task);
+        Leadership of = tenures.get(task);
         if (of.holdsFor(clock(), ACT) && !quits[task]) {
           long term = of.term();
           // It may stand still between deciding and sending; it looks again, and may stand still after that, too.
@@ -300,15 +300,15 @@
 
     /** Says that it has stopped, once what it did last is surely over; its word may be late, or lost. */
     private void handOver(int task) {
-      Tenure of = tenures.get(task);
+      Leadership of = tenures.get(task);
       if (of.holds(clock()) && agenda.now() >= actsUntil[task]) {
         long term = of.term();
         handed++;
         for (Process other : all) {
           if (other != this) {
             other.arrive(index, () -> {
-              Tenure there = other.tenures.get(task);
-              Tenure.State before = there.state();
+              Leadership there = other.tenures.get(task);
+              Leadership.State before = there.state();
               there.handedOver(other.clock(), term);
               other.told(task, before);
               other.arm(task);
@@ -354,10 +354,10 @@
       }
       refused++;
       Runnable tell = () -> {
-        Tenure of = tenures.get(task);
+        Leadership of = tenures.get(task);
         if (of.term() < seen) {
           outranked++;
-          Tenure.State before = of.state();
+          Leadership.State before = of.state();
           of.outranked(clock(), seen);
           told(task, before);
           arm(task);
@@ -393,7 +393,7 @@
     long life();
   }
 
-  private final class Key implements LeasedTenure.Orders {
+  private final class Key implements RegistryLeadership.Orders {
     private final Process of;
     private final int task;
 
@@ -402,8 +402,8 @@
       this.task = task;
     }
 
-    private LeasedTenure tenure() {
-      return (LeasedTenure) of.tenures.get(task);
+    private RegistryLeadership tenure() {
+      return (RegistryLeadership) of.tenures.get(task);
     }
 
     private void there(Runnable what) {
@@ -416,7 +416,7 @@
 
     private void back(Runnable what) {
       of.at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-        Tenure.State before = tenure().state();
+        Leadership.State before = tenure().state();
         what.run();
         of.told(task, before);
         of.arm(task);
@@ -502,7 +502,7 @@
   private void tell(int task) {
     long[] key = registryKey[task].clone();
     all.forEach(one -> one.at(agenda.now() + chance.nextLong(MS, 50 * MS), () -> {
-      ((LeasedTenure) one.tenures.get(task)).seen(one.clock(), key[1], key[0] != 0, key[2]);
+      ((RegistryLeadership) one.tenures.get(task)).seen(one.clock(), key[1], key[0] != 0, key[2]);
       one.arm(task);
     }));
   }
@@ -517,7 +517,7 @@
       for (int task = 0; task < TASKS.size(); task++) {
         registryKey[task] = new long[] {0, Math.max(0, registryKey[task][1] - back), registryKey[task][2] + 1, 0};
         int of = task;
-        all.forEach(one -> one.at(agenda.now(), () -> ((LeasedTenure) one.tenures.get(of)).restored()));
+        all.forEach(one -> one.at(agenda.now(), () -> ((RegistryLeadership) one.tenures.get(of)).restored()));
         tell(task);
       }
     });
@@ -562,7 +562,7 @@
     if (one.knows != stage) {
       one.knows = stage;
       for (int task = 0; task < TASKS.size(); task++) {
-        if (one.tenures.get(task) instanceof VotedTenure voted) {
+        if (one.tenures.get(task) instanceof QuorumLeadership voted) {
           voted.electorate(stages.get(stage));
           one.arm(task);
         }
--- a/lab/src/main/java/org/amberpath/lab/leadership/OwnerWorth.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.ExperimentReport;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.io.UncheckedIOException;
@@ -12,23 +12,23 @@
 import java.util.stream.LongStream;
 
 /** The same days with nobody, with {@code probe}, and with {@code probe} and {@code warm} owned: paired by seed. */
-public final class OwnerWorth {
+public final class LeadershipValueExperiment {
   private static final int FEWER = 5, AFTER_S = 5;
   private static final double NOISE = 0.01;
   private static final String CALLS = "calls_while_out_from_5s", AFTER = "after_5s";
 
   private enum Way { ALONE, PROBE, PROBE_AND_WARM }
 
-  private OwnerWorth() {
+  private LeadershipValueExperiment() {
   }
 
   /** Plays so many seeds, each in all ways, and prints the means; figures are of the whole fleet. */
-  public static Experiment run(long seed, int gateways, int caches, int pairs, PrintStream out) {
+  public static ExperimentReport run(long seed, int gateways, int caches, int pairs, PrintStream out) {
     List<Map<Way, Map<String, Double>>> played = LongStream.range(seed, seed + pairs).parallel().mapToObj(each -> {
       Map<Way, Map<String, Double>> one = new TreeMap<>();
       for (Way way : Way.values()) {
         try {
-          one.put(way, new WorthRun(new WorthRun.Plan(each, gateways, caches, way != Way.ALONE,
+          one.put(way, new LeadershipValueModel(new LeadershipValueModel.Plan(each, gateways, caches, way != Way.ALONE,
               way == Way.PROBE_AND_WARM)).run());
         } catch (IOException e) {
           throw new UncheckedIOException(e);
@@ -36,7 +36,7 @@
       }
       return one;
     }).toList();
-    Experiment result = new Experiment(seed).figure("gateways", gateways).figure("caches", caches)
+    ExperimentReport result = new ExperimentReport(seed).figure("gateways", gateways).figure("caches", caches)
         .figure("pairs", pairs);
     List<String> names = new ArrayList<>(played.get(0).get(Way.ALONE).keySet());
     out.printf(Locale.ROOT, "%-36s %12s %12s %16s   each seed's gain by probe, by both%n", "", "alone", "probe",
@@ -61,7 +61,7 @@
   }
 
   private static double whole(List<Map<Way, Map<String, Double>>> of, Way way) {
-    return (WorthRun.OUT_S * mean(of, way, "while_out") + AFTER_S * mean(of, way, AFTER)) / (WorthRun.OUT_S + AFTER_S);
+    return (LeadershipValueModel.OUT_S * mean(of, way, "while_out") + AFTER_S * mean(of, way, AFTER)) / (LeadershipValueModel.OUT_S + AFTER_S);
   }
 
   private static double mean(List<Map<Way, Map<String, Double>>> of, Way way, String name) {
--- a/lab/src/main/java/org/amberpath/lab/leadership/WorthRun.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -1,20 +1,20 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** A fifth of the caches hang and come back, and one dies and comes back cold. */
-final class WorthRun extends VirtualFleet {
+final class LeadershipValueModel extends VirtualFleet {
   static final int WARM_S = 20, OUT_S = 12, AFTER_S = 25;
   private static final int BACK_S = WARM_S + OUT_S, END_S = BACK_S + AFTER_S;
   private static final long TOLD_LATE = 500 * MS;
 
   private final int hung;
 
-  WorthRun(Plan plan) throws IOException {
+  LeadershipValueModel(Plan plan) throws IOException {
     super(plan, END_S);
     hung = Math.max(1, plan.caches() / 5);
   }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestAlive.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -1,17 +1,17 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Leadership;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** The way that is wrong, as a baseline: who has the lowest name of all that it hears of owns every task. */
-final class LowestAlive implements Tenure {
+final class LowestIdLeadership implements Leadership {
   private final String own;
   private final long patience;
   private final Map<String, Long> heardAt = new TreeMap<>();
   private long since = Long.MAX_VALUE, term, now;
 
-  LowestAlive(String own, long patience, long now) {
+  LowestIdLeadership(String own, long patience, long now) {
     this.own = own;
     this.patience = patience;
     since = now;
--- a/lab/src/main/java/org/amberpath/lab/membership/FleetDay.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -1,8 +1,8 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.lab.Experiment;
-import org.amberpath.lab.testbed.Links.Way;
-import org.amberpath.lab.testbed.Rig;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.ProcessTestbed;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -21,7 +21,7 @@
  * Real gateways that know one another, while processes are killed, stopped, ended and started anew, and links between
  * them are cut, lossy and late, from a seed. The timetable is drawn before anything starts.
  */
-public final class FleetDay {
+public final class MembershipExperiment {
   private static final long MS = 1_000_000, WARM_MS = 8000, NEWS_MS = 400, LOOK_MS = 200;
   private static final long SETTLED_MS = 10_000, TOUCHED_MS = 15_000, HIGHEST_MS = 60_000;
   /**
@@ -63,9 +63,9 @@
   private final int told;
   private long healedMs = -1, lastFaultAt, partsSeen;
   private double mostParts;
-  private Rig rig;
+  private ProcessTestbed rig;
 
-  private FleetDay(Plan plan) {
+  private MembershipExperiment(Plan plan) {
     this.plan = plan;
     // On one day of three one gateway more runs than the operators told.
     told = plan.seed % 3 == 0 ? plan.gateways - 1 : plan.gateways;
@@ -120,14 +120,14 @@
   }
 
   /** Plays the day, and the same day with [fleet] off beside it if so planned. */
-  public static Experiment run(Plan plan, PrintStream out) throws Exception {
-    FleetDay day = new FleetDay(plan);
+  public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
+    MembershipExperiment day = new MembershipExperiment(plan);
     day.faults.forEach(out::println);
-    Experiment result = new Experiment(plan.seed).figure("gateways", plan.gateways).figure("told", day.told)
+    ExperimentReport result = new ExperimentReport(plan.seed).figure("gateways", plan.gateways).figure("told", day.told)
         .figure("faults", day.faults.size());
     double served = day.play(true, result, out);
     if (plan.baseline) {
-      double without = new FleetDay(plan).play(false, new Experiment(plan.seed), out);
+      double without = new MembershipExperiment(plan).play(false, new ExperimentReport(plan.seed), out);
       result.figure("served_without", rounded(without));
       if (day.told == plan.gateways) {
         result.bar("served within 0.02 of a day without", served >= without - APART);
@@ -140,10 +140,10 @@
     return Math.round(value * 10_000) / 10_000.0;
   }
 
-  private double play(boolean on, Experiment result, PrintStream out) throws Exception {
+  private double play(boolean on, ExperimentReport result, PrintStream out) throws Exception {
     Path folder = Files.createDirectories(plan.folder.resolve((on ? "fleet-" : "without-") + plan.seed));
     clean(folder);
-    try (Rig made = new Rig(new Rig.Plan(plan.seed, plan.gateways, on ? told : 0, 40, folder))) {
+    try (ProcessTestbed made = new ProcessTestbed(new ProcessTestbed.Plan(plan.seed, plan.gateways, on ? told : 0, 40, folder))) {
       rig = made;
       rig.startAll();
       Thread.sleep(WARM_MS);
@@ -272,7 +272,7 @@
     double parts = 0;
     long now = System.nanoTime();
     partsSeen++;
-    for (Rig.Place place : rig.places()) {
+    for (ProcessTestbed.Place place : rig.places()) {
       JsonObject view = place.view();
       if (view == null || !place.runs()) {
         continue;
@@ -280,7 +280,7 @@
       parts += view.getDouble("part");
       for (Object one : view.getJsonArray("gateways")) {
         JsonObject other = (JsonObject) one;
-        Rig.Place of = rig.places().get(Integer.parseInt(other.getString("name").substring(1)));
+        ProcessTestbed.Place of = rig.places().get(Integer.parseInt(other.getString("name").substring(1)));
         if (other.getString("standing").equals(LOSS) && untouched(place, now) && untouched(of, now)) {
           rig.auditor().wrong(place.name() + " calls " + of.name() + " lost, which runs");
         }
@@ -295,7 +295,7 @@
     }
   }
 
-  private boolean untouched(Rig.Place place, long now) {
+  private boolean untouched(ProcessTestbed.Place place, long now) {
     return place.runs() && now - place.runsSince() > TOUCHED_MS * MS && now - lastFaultAt > TOUCHED_MS * MS;
   }
 
@@ -310,7 +310,7 @@
     return rig.places().stream().allMatch(this::isWhole);
   }
 
-  private boolean isWhole(Rig.Place place) {
+  private boolean isWhole(ProcessTestbed.Place place) {
     JsonObject view = place.view();
     return place.runs() && view != null && view.getString("phase").equals("settled") && there(view).size()
         == plan.gateways;
--- a/lab/src/main/java/org/amberpath/lab/membership/FleetRun.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -1,12 +1,12 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.membership.FleetDoor;
-import org.amberpath.membership.FleetRules;
-import org.amberpath.membership.FleetView;
-import org.amberpath.membership.Message;
-import org.amberpath.membership.Rumour;
-import org.amberpath.membership.Standing;
-import org.amberpath.lab.Agenda;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.SwimProtocol;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.lab.VirtualScheduler;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
  * one run of six a gateway that says of others that they are gone. After each step the shares of all that run sum
  * to one at most; once it has been calm for a while, each view holds those that run and nobody else.
  */
-final class FleetRun {
+final class MembershipModel {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
   private static final long WARM = 15 * SECOND, BUSY = 40 * SECOND, CALM = 30 * SECOND, HEALED = 15 * SECOND;
   private static final long TICK = 100 * MS;
@@ -35,11 +35,11 @@
   }
 
   /** One gateway's place: the process that runs there, if one does. */
-  private final class Place implements FleetView.Out {
+  private final class Place implements SwimProtocol.Out {
     final int index;
     final String name, address;
-    FleetView view;
-    private FleetDoor door;
+    SwimProtocol view;
+    private ReplayFilter door;
     /** Which process of this place: datagrams and ticks of an older one go nowhere. */
     int process;
     long incarnation, frozenUntil, second, sent;
@@ -57,8 +57,8 @@
       // Its clock is all that a process remembers of the starts before it, and the clock may have gone back.
       incarnation = Math.max(1, (agenda.now() - START) / SECOND + chance.nextInt(-5, 5));
       long birth = chance.nextLong();
-      door = new FleetDoor(birth, rules.period(), agenda.now());
-      view = new FleetView(rules, new Rumour(name, address, incarnation, birth, Standing.ALIVE, name),
+      door = new ReplayFilter(birth, rules.period(), agenda.now());
+      view = new SwimProtocol(rules, new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
           List.of("a0", "a1", "a2"), chance.nextLong(), agenda.now(), this);
       int mine = process;
       agenda.at(agenda.now() + chance.nextLong(TICK), () -> tick(mine));
@@ -73,8 +73,8 @@
       }
     }
 
-    @Override public void send(String to, Message said) {
-      Message message = this == liar && calmSince == 0 ? lied(said) : said;
+    @Override public void send(String to, GossipMessage said) {
+      GossipMessage message = this == liar && calmSince == 0 ? lied(said) : said;
       long now = agenda.now() / SECOND;
       sent = now == second ? sent + 1 : 1;
       second = now;
@@ -103,7 +103,7 @@
       }
     }
 
-    private void come(int of, Message message) {
+    private void come(int of, GossipMessage message) {
       if (of != process || view == null) {
         return;
       }
@@ -119,24 +119,24 @@
     }
 
     /** Says of another, whom it knows to run, that it is gone. */
-    private Message lied(Message said) {
-      List<FleetView.Seen> others = view.others();
+    private GossipMessage lied(GossipMessage said) {
+      List<SwimProtocol.Seen> others = view.others();
       if (others.isEmpty() || chance.nextInt(LIES_ONE_IN) > 0 || said.rumours().size() == rules.rumours()) {
         return said;
       }
-      Rumour of = others.get(chance.nextInt(others.size())).said();
-      List<Rumour> all = new ArrayList<>(said.rumours());
-      all.add(new Rumour(of.name(), of.address(), of.incarnation() + chance.nextInt(2), of.birth(),
-          chance.nextBoolean() ? Standing.LOST : Standing.LEFT, name));
+      MemberUpdate of = others.get(chance.nextInt(others.size())).said();
+      List<MemberUpdate> all = new ArrayList<>(said.rumours());
+      all.add(new MemberUpdate(of.name(), of.address(), of.incarnation() + chance.nextInt(2), of.birth(),
+          chance.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT, name));
       lies++;
-      return new Message(said.kind(), said.from(), said.to(), said.serial(), said.number(), said.names(),
+      return new GossipMessage(said.kind(), said.from(), said.to(), said.serial(), said.number(), said.names(),
           said.there(), said.about(), said.more(), said.whole(), all);
     }
 
-    @Override public void news(String who, Standing standing) {
+    @Override public void news(String who, MemberStatus standing) {
       story.accept(name + ": " + who + " " + standing);
-      falseLosses += standing == Standing.LOST && runs(who) ? 1 : 0;
-      if (calmSince > 0 && agenda.now() - calmSince > HEALED && standing == Standing.LOST && runs(who)) {
+      falseLosses += standing == MemberStatus.LOST && runs(who) ? 1 : 0;
+      if (calmSince > 0 && agenda.now() - calmSince > HEALED && standing == MemberStatus.LOST && runs(who)) {
         throw new Missed(name + " holds " + who + " for lost, which runs and can be reached");
       }
     }
@@ -146,7 +146,7 @@
       return one.view != null && !one.left;
     }
 
-    @Override public void phase(FleetView.Phase from, FleetView.Phase to) {
+    @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
       story.accept(name + ": " + from + " -> " + to);
     }
 
@@ -156,28 +156,28 @@
   }
 
   private final SplittableRandom chance;
-  private final Agenda agenda = new Agenda(START);
+  private final VirtualScheduler agenda = new VirtualScheduler(START);
   private final Consumer<String> story;
   private final List<Place> places = new ArrayList<>();
   private final boolean[][] cut;
-  private final FleetRules rules;
+  private final SwimTimings rules;
   private final int first;
   /** What a stranger on the network kept of all that went by, to send it again. */
-  private final List<Message> recorded = new ArrayList<>();
+  private final List<GossipMessage> recorded = new ArrayList<>();
   private Place liar;
   private double loss, doubled;
   private boolean beyond;
   private long delay = 2 * MS, calmSince, datagrams, most, falseLosses, faults, steps;
   private long turnedAway, lies;
 
-  FleetRun(long seed, Consumer<String> story) {
+  MembershipModel(long seed, Consumer<String> story) {
     chance = new SplittableRandom(seed);
     this.story = line -> story.accept((agenda.now() - START) / MS + " ms: " + line);
     int many = LEAST + chance.nextInt(MOST - LEAST + 1);
     // In one run of three, more come than the operators told, once those before them have settled.
     boolean grows = chance.nextInt(3) == 0;
     first = grows ? Math.max(2, many - 1 - chance.nextInt(many / 2)) : many;
-    rules = FleetRules.usual(grows ? first : many + chance.nextInt(3));
+    rules = SwimTimings.usual(grows ? first : many + chance.nextInt(3));
     cut = new boolean[many][many];
     for (int index = 0; index < many; index++) {
       places.add(new Place(index));
@@ -201,7 +201,7 @@
       if (one.view != null && !one.view.there().equals(running())) {
         throw new Missed("calm, and " + one.name + " holds " + one.view.there() + " of " + running());
       }
-      if (one.view != null && one.view.phase() != FleetView.Phase.SETTLED && running().size() * 2 > places.size()
+      if (one.view != null && one.view.phase() != SwimProtocol.Phase.SETTLED && running().size() * 2 > places.size()
           && one.view.counted() < 2 * running().size()) {
         throw new Missed("calm, and " + one.name + " is " + one.view.phase());
       }
@@ -218,7 +218,7 @@
     double sum = 0;
     for (Place one : places) {
       // One beyond the told number that has reached nobody serves as before: what is promised ends there.
-      sum += one.view == null || beyond && one.view.phase() == FleetView.Phase.ALONE ? 0 : one.view.share();
+      sum += one.view == null || beyond && one.view.phase() == SwimProtocol.Phase.ALONE ? 0 : one.view.share();
     }
     if (sum > 1 + SLACK) {
       throw new Missed("shares sum to " + sum + ": " + places.stream().filter(one -> one.view != null)
@@ -291,7 +291,7 @@
       }
       case 8 -> {
         for (int again = 0; again < REPLAYED && !recorded.isEmpty(); again++) {
-          Message old = recorded.get(chance.nextInt(recorded.size()));
+          GossipMessage old = recorded.get(chance.nextInt(recorded.size()));
           Place target = places.get(chance.nextInt(places.size()));
           int process = target.process;
           agenda.at(agenda.now() + chance.nextLong(SECOND), () -> target.come(process, old));
@@ -311,7 +311,7 @@
 
   /** Whether a gateway beyond the told number may come: those before it are one fleet. */
   private boolean settled() {
-    return places.stream().allMatch(one -> one.view == null || one.view.phase() == FleetView.Phase.SETTLED);
+    return places.stream().allMatch(one -> one.view == null || one.view.phase() == SwimProtocol.Phase.SETTLED);
   }
 
   private void partition() {
--- a/lab/src/main/java/org/amberpath/lab/membership/FleetSize.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -1,15 +1,15 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.membership.FleetDoor;
-import org.amberpath.membership.FleetRules;
-import org.amberpath.membership.FleetView;
-import org.amberpath.membership.Message;
-import org.amberpath.membership.Rumour;
-import org.amberpath.membership.Standing;
-import org.amberpath.membership.runtime.FleetForm;
-import org.amberpath.membership.runtime.FleetKeys;
-import org.amberpath.lab.Agenda;
-import org.amberpath.lab.Experiment;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.SwimProtocol;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.runtime.DatagramCodec;
+import org.amberpath.membership.runtime.HmacKeyring;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.lab.ExperimentReport;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
  * What a fleet's view costs and how soon it knows, by the fleet's size, on the virtual clock: a start of all, a minute
  * of five datagrams lost in a hundred, a crash, a join, a partition's healing. Beside it, heartbeats to all.
  */
-public final class FleetSize {
+public final class MembershipSizeExperiment {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
   private static final long DELAY = 2 * MS, HIGHEST_MS = 1_000_000, CUT = 20 * SECOND;
   private static final int SAMPLE = 64, TICKS = 5, SEEDS = 3;
@@ -30,11 +30,11 @@
   /** One size and setting; figures of it. */
   private static final class Trial {
     final SplittableRandom chance;
-    final Agenda agenda = new Agenda(START);
-    final FleetRules rules;
+    final VirtualScheduler agenda = new VirtualScheduler(START);
+    final SwimTimings rules;
     final int many;
-    final FleetForm form = new FleetForm("size", 10);
-    final FleetKeys keys = FleetKeys.of("k1", new byte[32]);
+    final DatagramCodec form = new DatagramCodec("size", 10);
+    final HmacKeyring keys = HmacKeyring.of("k1", new byte[32]);
     final List<One> all = new ArrayList<>();
     long datagrams, sampled, sampledBytes, work, most, writing, reading;
     double loss;
@@ -45,18 +45,18 @@
     Trial(long seed, int many, long period) {
       chance = new SplittableRandom(seed);
       this.many = many;
-      rules = FleetRules.every(many, period);
+      rules = SwimTimings.every(many, period);
       for (int one = 0; one < many; one++) {
         all.add(new One(one));
       }
     }
 
     /** One gateway. */
-    final class One implements FleetView.Out {
+    final class One implements SwimProtocol.Out {
       final int index;
       final String name, address;
-      FleetView view;
-      FleetDoor door;
+      SwimProtocol view;
+      ReplayFilter door;
       long second, inSecond;
 
       One(int index) {
@@ -68,14 +68,14 @@
       void start() {
         long birth = chance.nextLong(), now = agenda.now();
         List<String> seeds = all.subList(0, Math.min(SEEDS, many)).stream().map(one -> one.address).toList();
-        door = new FleetDoor(birth, rules.period(), now);
-        view = new FleetView(rules, new Rumour(name, address, now / SECOND, birth, Standing.ALIVE, name), seeds,
+        door = new ReplayFilter(birth, rules.period(), now);
+        view = new SwimProtocol(rules, new MemberUpdate(name, address, now / SECOND, birth, MemberStatus.ALIVE, name), seeds,
             chance.nextLong(), now, this);
-        FleetView mine = view;
+        SwimProtocol mine = view;
         agenda.at(now + chance.nextLong(rules.period() / TICKS), () -> tick(mine));
       }
 
-      private void tick(FleetView of) {
+      private void tick(SwimProtocol of) {
         if (view == of) {
           long since = System.nanoTime();
           view.tick(agenda.now());
@@ -84,7 +84,7 @@
         }
       }
 
-      private void come(Message message) {
+      private void come(GossipMessage message) {
         if (view == null) {
           return;
         }
@@ -99,7 +99,7 @@
         work += System.nanoTime() - since;
       }
 
-      @Override public void send(String to, Message message) {
+      @Override public void send(String to, GossipMessage message) {
         inSecond = agenda.now() / SECOND == second ? inSecond + 1 : 1;
         second = agenda.now() / SECOND;
         most = Math.max(most, inSecond);
@@ -122,12 +122,12 @@
         }
       }
 
-      @Override public void news(String who, Standing standing) {
-        falseSuspicions += quiet && standing == Standing.SUSPECTED ? 1 : 0;
-        falseLosses += quiet && standing == Standing.LOST ? 1 : 0;
+      @Override public void news(String who, MemberStatus standing) {
+        falseSuspicions += quiet && standing == MemberStatus.SUSPECTED ? 1 : 0;
+        falseLosses += quiet && standing == MemberStatus.LOST ? 1 : 0;
       }
 
-      @Override public void phase(FleetView.Phase from, FleetView.Phase to) {
+      @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
       }
 
       @Override public void twin(String at) {
@@ -162,12 +162,12 @@
     }
   }
 
-  private FleetSize() {
+  private MembershipSizeExperiment() {
   }
 
   /** Plays each size with each period (ms), and prints a row for each. */
-  public static Experiment run(long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
-    Experiment result = new Experiment(seed);
+  public static ExperimentReport run(long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
+    ExperimentReport result = new ExperimentReport(seed);
     out.println("figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 % loss");
     out.println("size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  "
         + "crash p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram sent, read");
@@ -185,7 +185,7 @@
   /** A datagram that says no more than who sends it: what the form's header and its MAC take. */
   private static final int BEAT = 130;
 
-  private static void row(Trial trial, int size, long period, Experiment result, PrintStream out) {
+  private static void row(Trial trial, int size, long period, ExperimentReport result, PrintStream out) {
     for (Trial.One one : trial.all) {
       trial.agenda.at(START + trial.chance.nextLong(2 * SECOND), one::start);
     }
--- a/lab/src/main/java/org/amberpath/lab/recovery/LossRun.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -1,18 +1,18 @@
 package org.amberpath.lab.recovery;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
 
 /** All gateways, caches and hubs lose power in one moment and come back within some seconds, cold, in any order. */
-final class LossRun extends VirtualFleet {
+final class PowerLossModel extends VirtualFleet {
   static final int WARM_S = 20;
   private static final int AWAY_S = 6, END_S = 60;
   private static final long SHORTEST = 500 * MS, TOLD = 50 * MS;
 
-  LossRun(Plan plan) throws IOException {
+  PowerLossModel(Plan plan) throws IOException {
     super(plan, END_S);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSize.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossSizeExperiment.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.recovery;
 
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.VirtualFleet.Opening;
 import org.amberpath.lab.VirtualFleet.Plan;
 import java.io.IOException;
@@ -13,25 +13,25 @@
 import java.util.stream.LongStream;
 
 /** A power loss of all, with three ways of opening, paired by seed, on the virtual clock. */
-public final class PowerLossSize {
-  private PowerLossSize() {
+public final class PowerLossSizeExperiment {
+  private PowerLossSizeExperiment() {
   }
 
   /** Plays so many seeds, each in all ways; the origin bears that part of all GETs at once. */
-  public static Experiment run(long seed, int gateways, int caches, int pairs, double origin, PrintStream out) {
+  public static ExperimentReport run(long seed, int gateways, int caches, int pairs, double origin, PrintStream out) {
     List<Map<Opening, Map<String, Double>>> played = LongStream.range(seed, seed + pairs).parallel()
         .mapToObj(each -> {
           Map<Opening, Map<String, Double>> one = new TreeMap<>();
           for (Opening way : Opening.values()) {
             try {
-              one.put(way, new LossRun(new Plan(each, gateways, caches, false, false, way, origin)).run());
+              one.put(way, new PowerLossModel(new Plan(each, gateways, caches, false, false, way, origin)).run());
             } catch (IOException e) {
               throw new UncheckedIOException(e);
             }
           }
           return one;
         }).toList();
-    Experiment result = new Experiment(seed).figure("gateways", gateways).figure("caches", caches)
+    ExperimentReport result = new ExperimentReport(seed).figure("gateways", gateways).figure("caches", caches)
         .figure("pairs", pairs).figure("origin_bears", origin);
     out.printf(Locale.ROOT, "%-40s %12s %12s %12s   by returns against at once, each seed%n", "", "at once",
         "staggered", "by returns");
--- a/lab/src/main/java/org/amberpath/lab/registry/ToldList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -1,8 +1,8 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
-import org.amberpath.registry.Content;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.registry.RegistryRecord;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -12,36 +12,36 @@
 import java.util.function.LongSupplier;
 
 /** The caches as a registry's view has told them, and what is wrong with the way it did. */
-final class ToldList implements Membership {
+final class RecordedEndpointList implements EndpointListener {
   private final LongSupplier clock;
   private final Consumer<String> story, wrong;
-  private final Map<String, Content.Cache> caches = new TreeMap<>();
+  private final Map<String, RegistryRecord.Cache> caches = new TreeMap<>();
   private final Map<Long, Long> purgedAt = new HashMap<>();
   private final Set<Long> purgedHere = new HashSet<>();
-  private Membership next;
+  private EndpointListener next;
   private long everythingAt = Long.MIN_VALUE, listings;
   private boolean listing, whole, changed, purgedOften;
 
-  ToldList(LongSupplier clock, Consumer<String> story, Consumer<String> wrong) {
+  RecordedEndpointList(LongSupplier clock, Consumer<String> story, Consumer<String> wrong) {
     this.clock = clock;
     this.story = story;
     this.wrong = wrong;
   }
 
   /** One object may be purged more than once. */
-  ToldList purgedOften() {
+  RecordedEndpointList purgedOften() {
     purgedOften = true;
     return this;
   }
 
   /** Passes all on to another listener too. */
-  ToldList to(Membership other) {
+  RecordedEndpointList to(EndpointListener other) {
     next = other;
     return this;
   }
 
   /** Only for the thread that is told. */
-  Map<String, Content.Cache> caches() {
+  Map<String, RegistryRecord.Cache> caches() {
     return caches;
   }
 
@@ -92,7 +92,7 @@
 
   @Override public synchronized void member(String id, String address, String zone, String kind, int cell, State state,
       double weight, long startedAtMs) {
-    Content.Cache cache = new Content.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
+    RegistryRecord.Cache cache = new RegistryRecord.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
     if (state == State.GONE) {
       if (caches.remove(id) == null) {
         wrong.accept(id + " is told gone, and was not there");
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryDay.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -1,16 +1,16 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.lab.Experiment;
-import org.amberpath.lab.LabSite;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.LabSettings;
 import org.amberpath.lab.StandInCache;
-import org.amberpath.lab.Tills;
-import org.amberpath.lab.World;
+import org.amberpath.lab.LoadGenerator;
+import org.amberpath.lab.LoopbackTestbed;
 import org.amberpath.lab.registry.StandInRegistry.Endpoint;
 import org.amberpath.lab.registry.StandInRegistry.Way;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.runtime.KeyForm;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,7 +27,7 @@
  * silent and disconnects at random, from a seed. What the gateway was told is held against what the registry holds
  * each time that it is quiet, and what caches and clients saw against the rules.
  */
-public final class RegistryDay {
+public final class RegistryExperiment {
   private static final long MS = 1_000_000, REACHED = 1250 * MS, ON_SOCKETS = 50 * MS;
   private static final long DRAIN = 250 * MS + ON_SOCKETS, PURGE_MS = 300;
   private static final int EDGES = 8, TILLS = 8, MOST_LINES = 10;
@@ -37,9 +37,9 @@
   private static final double VOID = 0.2;
 
   private final SplittableRandom chance;
-  private final World world;
+  private final LoopbackTestbed world;
   private final List<String> wrong = new ArrayList<>();
-  private final ToldList told;
+  private final RecordedEndpointList told;
   /** Of each drained cache, when that was written; forgotten when it is ready again. */
   private final Map<String, Long> drainedAt = new HashMap<>();
   private final Map<String, Long> purgedAtMs = new HashMap<>();
@@ -51,10 +51,10 @@
   private volatile long stalledAt = System.nanoTime();
   private boolean busy, restoring;
 
-  private RegistryDay(long seed) {
+  private RegistryExperiment(long seed) {
     chance = new SplittableRandom(seed);
-    world = new World(seed);
-    told = new ToldList(System::nanoTime, line -> { }, this::wrong).purgedOften();
+    world = new LoopbackTestbed(seed);
+    told = new RecordedEndpointList(System::nanoTime, line -> { }, this::wrong).purgedOften();
   }
 
   private synchronized void wrong(String what) {
@@ -64,17 +64,17 @@
   }
 
   /** Plays so many seconds. */
-  public static Experiment run(long seed, int seconds, RegistryAccess.Form form) throws Exception {
-    return new RegistryDay(seed).play(seed, seconds, form);
+  public static ExperimentReport run(long seed, int seconds, RegistrySettings.Form form) throws Exception {
+    return new RegistryExperiment(seed).play(seed, seconds, form);
   }
 
-  private Experiment play(long seed, int seconds, RegistryAccess.Form form) throws Exception {
-    Experiment result = new Experiment(seed).figure("form", form.name());
+  private ExperimentReport play(long seed, int seconds, RegistrySettings.Form form) throws Exception {
+    ExperimentReport result = new ExperimentReport(seed).figure("form", form.name());
     try (world) {
       world.open(3, EDGES);
       world.serve((vertx, to, own) -> new RegistrySource(vertx, world.access(form), told.to(to), own));
-      Tills tills = new Tills(world.vertx, LabSite.CLIPS, 1500, seed, this::returned);
-      World.await(world.on(() -> tills.start(world.gateway.port(), TILLS, 150)));
+      LoadGenerator tills = new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, this::returned);
+      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, 150)));
       // Cold code is slow, and no fault of what is tried.
       Thread.sleep(WARM_MS);
       long until = System.nanoTime() + seconds * 1000 * MS;
@@ -104,7 +104,7 @@
         return null;
       });
       Thread.sleep(1700);
-      for (Tills.End end : Tills.End.values()) {
+      for (LoadGenerator.End end : LoadGenerator.End.values()) {
         result.figure(end.name().toLowerCase(Locale.ROOT), tills.ended(end));
       }
       result.figure("changes", changes).figure("faults", faults).figure("restores", restores)
@@ -114,8 +114,8 @@
           .figure("p99_ms", tills.latency().getValueAtPercentile(99) / 1000.0).figure("wrong", wrong)
           .bar("view equals registry, drains, purges, order", wrong.isEmpty())
           .bar("not void: four fifths judged", unjudged <= (System.nanoTime() - since) * VOID)
-          .bar("no GET lost", tills.ended(Tills.End.LOST) == 0)
-          .bar("one answer each", tills.ended(Tills.End.TWICE) == 0);
+          .bar("no GET lost", tills.ended(LoadGenerator.End.LOST) == 0)
+          .bar("one answer each", tills.ended(LoadGenerator.End.TWICE) == 0);
     }
     return result;
   }
@@ -160,15 +160,15 @@
       case 4 -> {
         long object = 1 + chance.nextInt(20);
         long at = System.currentTimeMillis();
-        String name = String.format("%016x", object), key = World.PREFIX + KeyForm.PURGES + ++lastPurge;
-        world.write(key, KeyForm.write(new Content.Purge(object, 0, at)));
+        String name = String.format("%016x", object), key = LoopbackTestbed.PREFIX + RecordCodec.PURGES + ++lastPurge;
+        world.write(key, RecordCodec.write(new RegistryRecord.Purge(object, 0, at)));
         purgedAtMs.put(name, at);
         purges++;
         for (StandInCache cache : world.caches.values()) {
           world.vertx.setTimer(1 + chance.nextLong(1500), late -> cache.drop(name));
         }
       }
-      case 5 -> world.write(World.PREFIX + KeyForm.CACHES + "spoilt", new byte[] {'{', (byte) chance.nextInt(256)});
+      case 5 -> world.write(LoopbackTestbed.PREFIX + RecordCodec.CACHES + "spoilt", new byte[] {'{', (byte) chance.nextInt(256)});
       default -> {
         drainedAt.remove(id);
         absent.remove(id);
@@ -243,8 +243,8 @@
     world.on(() -> {
       quiets++;
       Map<String, State> there = new HashMap<>();
-      world.registry.now().keySet().stream().filter(key -> key.startsWith(World.PREFIX + KeyForm.CACHES))
-          .map(key -> key.substring((World.PREFIX + KeyForm.CACHES).length())).filter(id -> !id.equals("spoilt"))
+      world.registry.now().keySet().stream().filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES))
+          .map(key -> key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES).length())).filter(id -> !id.equals("spoilt"))
           .forEach(id -> there.put(id, drainedAt.containsKey(id) ? State.DRAINING : State.UP));
       Map<String, State> seen = told.states();
       if (!there.equals(seen)) {
@@ -280,7 +280,7 @@
   }
 
   /** A copy from before a purge, for a GET that was sent after the grace. */
-  private void returned(Tills.Returned got) {
+  private void returned(LoadGenerator.Returned got) {
     Long purged = purgedAtMs.get(got.object());
     long sentMs = System.currentTimeMillis() - (System.nanoTime() - got.sentAt()) / MS;
     if (purged != null && got.issuedMs() < purged && sentMs > purged + PURGE_MS + ON_SOCKETS / MS
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySize.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -1,12 +1,12 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.lab.Agenda;
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.registry.VirtualRegistry.Way;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Recovery;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.WatchSession;
 import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.List;
@@ -19,16 +19,16 @@
  * The registry's pure half at size on the virtual clock: time to apply a change, cost a client, a herd after an
  * outage.
  */
-public final class RegistrySize {
+public final class RegistrySizeExperiment {
   private static final long MS = VirtualRegistry.MS, SECOND = VirtualRegistry.SECOND, START = 1_700_000_000L * SECOND;
   private static final int ENDPOINTS = 3, BYTES_A_KEY = 300, HERD = 500;
   private static final long BUSY = 10 * SECOND, OUTAGE = 5 * SECOND, BIN = 100 * MS, HIGHEST_US = 60_000_000;
 
-  private RegistrySize() {
+  private RegistrySizeExperiment() {
   }
 
   /** Who is told nothing but when. */
-  private static final class Listener implements Membership {
+  private static final class Listener implements EndpointListener {
     private final Runnable told;
 
     Listener(Runnable told) {
@@ -50,29 +50,29 @@
     }
   }
 
-  private static Content.Cache cache(int number, State state) {
-    return new Content.Cache("c" + number, "127.0.0.1:" + (1000 + number % 60_000), "z", "box", 0, state, 1, 0);
+  private static RegistryRecord.Cache cache(int number, State state) {
+    return new RegistryRecord.Cache("c" + number, "127.0.0.1:" + (1000 + number % 60_000), "z", "box", 0, state, 1, 0);
   }
 
   private static void write(VirtualRegistry registry, int number, State state) {
-    Map<String, Content> writes = new TreeMap<>();
+    Map<String, RegistryRecord> writes = new TreeMap<>();
     writes.put(VirtualRegistry.PREFIX + "caches/c" + number, cache(number, state));
-    writes.put(VirtualRegistry.TIP, new Content.Other());
+    writes.put(VirtualRegistry.TIP, new RegistryRecord.Other());
     registry.write(writes);
   }
 
   /** So many caches, watched by so many clients, with so many changes a second. */
-  public static Experiment run(long seed, int caches, int clients, int changes) {
-    Experiment result = new Experiment(seed).figure("caches", caches).figure("clients", clients)
+  public static ExperimentReport run(long seed, int caches, int clients, int changes) {
+    ExperimentReport result = new ExperimentReport(seed).figure("caches", caches).figure("clients", clients)
         .figure("changes_a_second", changes);
     applied(seed, caches, clients, changes, result);
     herd(seed, result);
     return result;
   }
 
-  private static void applied(long seed, int caches, int clients, int changes, Experiment result) {
+  private static void applied(long seed, int caches, int clients, int changes, ExperimentReport result) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Agenda agenda = new Agenda(START);
+    VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < caches; number++) {
       write(registry, number, State.UP);
@@ -135,9 +135,9 @@
    * Hundreds of clients lose all endpoints for some seconds: how many calls come in the dearest moment of the
    * return.
    */
-  private static void herd(long seed, Experiment result) {
+  private static void herd(long seed, ExperimentReport result) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Agenda agenda = new Agenda(START);
+    VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < 50; number++) {
       write(registry, number, State.UP);
@@ -169,7 +169,7 @@
         dearest = Math.max(dearest, calls);
         steady = at >= back + 7 * SECOND ? Math.max(steady, calls) : steady;
       }
-      boolean there = all.stream().allMatch(one -> one.recovery.phase() == Recovery.Phase.CURRENT
+      boolean there = all.stream().allMatch(one -> one.recovery.phase() == WatchSession.Phase.CURRENT
           && one.view.applied() == registry.history.revision());
       current = there && current == 0 ? at + BIN - back : current;
     }
--- a/lab/src/main/java/org/amberpath/lab/registry/History.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -11,7 +11,7 @@
  *
  * @param <V> a key's value
  */
-final class History<V> {
+final class RevisionedStore<V> {
   /** A key at some revision. */
   record Kept<V>(V value, long created, long changed) {
   }
@@ -27,13 +27,13 @@
   private final TreeMap<String, Kept<V>> base = new TreeMap<>();
   private long revision = 1, compacted;
 
-  History(String cluster) {
+  RevisionedStore(String cluster) {
     this.cluster = cluster;
   }
 
   /** The same as it was, under another cluster's id or its own: what a backup is. */
-  History<V> copy(String other) {
-    History<V> copy = new History<>(other);
+  RevisionedStore<V> copy(String other) {
+    RevisionedStore<V> copy = new RevisionedStore<>(other);
     copy.events.addAll(events);
     copy.now.putAll(now);
     copy.base.putAll(base);
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
@@ -36,7 +36,7 @@
   private final HttpServerOptions options;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final Map<Long, Lease> leases = new HashMap<>();
-  private History<byte[]> history = new History<>("101");
+  private RevisionedStore<byte[]> history = new RevisionedStore<>("101");
   private long lastLease;
   /** The token that is asked for; empty for none. */
   private String token = "";
@@ -90,7 +90,7 @@
 
   /** A backup as of now, to be restored under its own id or another one. */
   public Runnable backup(String cluster) {
-    History<byte[]> copy = history.copy(cluster.isEmpty() ? history.cluster : cluster);
+    RevisionedStore<byte[]> copy = history.copy(cluster.isEmpty() ? history.cluster : cluster);
     return () -> history = copy;
   }
 
@@ -298,7 +298,7 @@
     return Long.parseLong(from.getString(name, "0"));
   }
 
-  private static JsonObject kv(String key, History.Kept<byte[]> kept) {
+  private static JsonObject kv(String key, RevisionedStore.Kept<byte[]> kept) {
     return new JsonObject().put("key", base64(key.getBytes(StandardCharsets.UTF_8)))
         .put("create_revision", Long.toString(kept.created())).put("mod_revision", Long.toString(kept.changed()))
         .put("version", "1").put("value", base64(kept.value()));
@@ -313,7 +313,7 @@
       return;
     }
     String from = text(ask, "key"), to = text(ask, "range_end");
-    TreeMap<String, History.Kept<byte[]>> all = history.at(revision == 0 ? history.revision() : revision);
+    TreeMap<String, RevisionedStore.Kept<byte[]>> all = history.at(revision == 0 ? history.revision() : revision);
     var found = to.isEmpty() ? all.subMap(from, true, from, true) : all.subMap(from, true, to, false);
     JsonArray kvs = new JsonArray();
     boolean more = false;
@@ -337,7 +337,7 @@
     boolean holds = true;
     for (Object one : ask.getJsonArray("compare", new JsonArray())) {
       JsonObject compare = (JsonObject) one;
-      History.Kept<byte[]> kept = history.now().get(text(compare, "key"));
+      RevisionedStore.Kept<byte[]> kept = history.now().get(text(compare, "key"));
       holds &= wide(compare, "mod_revision") == (kept == null ? 0 : kept.changed());
     }
     if (holds) {
@@ -396,7 +396,7 @@
         return;
       }
       JsonArray events = new JsonArray();
-      for (History.Event<byte[]> event : history.between(next, history.revision())) {
+      for (RevisionedStore.Event<byte[]> event : history.between(next, history.revision())) {
         if (event.key().compareTo(from) < 0 || event.key().compareTo(to) >= 0) {
           continue;
         }
@@ -461,7 +461,7 @@
     for (Object one : ask) {
       JsonObject verb = ((JsonObject) one).getJsonObject("KV");
       String key = verb.getString("Key");
-      History.Kept<byte[]> kept = history.now().get(key);
+      RevisionedStore.Kept<byte[]> kept = history.now().get(key);
       if (verb.getString("Verb").endsWith("cas") && verb.getLong("Index") != (kept == null ? 0 : kept.changed())) {
         response.setStatusCode(409).end(new JsonObject().put("Errors", new JsonArray().add(key)).encode());
         return;
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -1,13 +1,13 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.lab.Agenda;
-import org.amberpath.registry.Change;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.Orders;
-import org.amberpath.registry.Recovery;
-import org.amberpath.registry.Recovery.Header;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.WatchCommands;
+import org.amberpath.registry.WatchSession;
+import org.amberpath.registry.WatchSession.Header;
 import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -78,14 +78,14 @@
       heldBack.clear();
       for (Client.Open call : List.copyOf(open)) {
         call.broken = true;
-        call.fail(Failure.BROKEN, 0);
+        call.fail(RegistryFailure.BROKEN, 0);
       }
     }
   }
 
-  final Agenda agenda;
+  final VirtualScheduler agenda;
   final List<Node> nodes = new ArrayList<>();
-  History<Content> history = new History<>("c1");
+  RevisionedStore<RegistryRecord> history = new RevisionedStore<>("c1");
   private final SplittableRandom chance;
   private final boolean blocking;
   private final List<Client> clients = new ArrayList<>();
@@ -94,7 +94,7 @@
   /** What happened, a line each, for who replays a seed. */
   Consumer<String> story = line -> { };
 
-  VirtualRegistry(Agenda agenda, int endpoints, boolean blocking, long seed) {
+  VirtualRegistry(VirtualScheduler agenda, int endpoints, boolean blocking, long seed) {
     this.agenda = agenda;
     this.blocking = blocking;
     chance = new SplittableRandom(seed);
@@ -108,7 +108,7 @@
     return nodes.stream().anyMatch(node -> node.goodFor(time));
   }
 
-  void write(Map<String, Content> writes) {
+  void write(Map<String, RegistryRecord> writes) {
     long before = history.revision();
     history.write(writes);
     if (history.revision() > before) {
@@ -117,7 +117,7 @@
   }
 
   /** All that was written since a copy was made is gone; connections break. */
-  void restore(History<Content> backup) {
+  void restore(RevisionedStore<RegistryRecord> backup) {
     history = backup;
     story.accept("restored to " + backup.cluster + " " + backup.revision());
     nodes.forEach(Node::cut);
@@ -128,15 +128,15 @@
   }
 
   /** One gateway's recovery and view. */
-  final class Client implements Orders {
+  final class Client implements WatchCommands {
     final RegistryView view;
-    final Recovery recovery;
+    final WatchSession recovery;
     private final Map<Long, Open> open = new LinkedHashMap<>();
     private long wakes = Long.MAX_VALUE;
 
     Client(RegistryView view, int mostKeys, long seed, Consumer<String> notes) {
       this.view = view;
-      recovery = new Recovery(view, this, nodes.size(), mostKeys, blocking ? SECOND : 0, seed, notes);
+      recovery = new WatchSession(view, this, nodes.size(), mostKeys, blocking ? SECOND : 0, seed, notes);
       clients.add(this);
     }
 
@@ -181,9 +181,9 @@
           switch (node.way) {
             case ANSWERS -> what.run();
             case SILENT -> node.heldBack.add(() -> agenda.at(agenda.now() + oneWay(), what));
-            case REFUSES -> fail(Failure.REFUSED, 0);
-            case UNAVAILABLE -> fail(chance.nextBoolean() ? Failure.UNAVAILABLE : Failure.THROTTLED, 50 * MS);
-            default -> fail(Failure.UNAUTHORISED, 0);
+            case REFUSES -> fail(RegistryFailure.REFUSED, 0);
+            case UNAVAILABLE -> fail(chance.nextBoolean() ? RegistryFailure.UNAVAILABLE : RegistryFailure.THROTTLED, 50 * MS);
+            default -> fail(RegistryFailure.UNAUTHORISED, 0);
           }
         });
       }
@@ -207,7 +207,7 @@
         arm();
       }
 
-      void fail(Failure why, long retryAfter) {
+      void fail(RegistryFailure why, long retryAfter) {
         agenda.at(agenda.now() + oneWay(), () -> {
           if (end()) {
             story.accept("call " + call + ": " + why);
@@ -234,10 +234,10 @@
           }
           return;
         }
-        List<Change> changes = new ArrayList<>();
-        for (History.Event<Content> event : history.between(next, history.revision())) {
+        List<WatchEvent> changes = new ArrayList<>();
+        for (RevisionedStore.Event<RegistryRecord> event : history.between(next, history.revision())) {
           if (event.key().startsWith(PREFIX)) {
-            changes.add(new Change(event.revision(), event.key(), event.kept() == null ? null : held(event.key(),
+            changes.add(new WatchEvent(event.revision(), event.key(), event.kept() == null ? null : held(event.key(),
                 event.kept())));
           }
         }
@@ -246,7 +246,7 @@
         items += changes.size();
         if (changes.size() > 1 && chance.nextInt(4) == 0) {
           int cut = chance.nextInt(1, changes.size());
-          List<Change> first = changes.subList(0, cut), rest = changes.subList(cut, changes.size());
+          List<WatchEvent> first = changes.subList(0, cut), rest = changes.subList(cut, changes.size());
           back(node.lag, () -> recovery.told(agenda.now(), call, header, first, true));
           back(node.lag, () -> recovery.told(agenda.now(), call, header, rest, false));
         } else if (!changes.isEmpty() || chance.nextInt(8) == 0) {
@@ -259,12 +259,12 @@
       return new Header(blocking ? "" : history.cluster, history.revision());
     }
 
-    private Held held(String key, History.Kept<Content> kept) {
-      return new Held(key, kept.value(), kept.created(), kept.changed());
+    private RegistryEntry held(String key, RevisionedStore.Kept<RegistryRecord> kept) {
+      return new RegistryEntry(key, kept.value(), kept.created(), kept.changed());
     }
 
-    private List<Held> all(Map<String, History.Kept<Content>> state, String after, long since) {
-      List<Held> found = new ArrayList<>();
+    private List<RegistryEntry> all(Map<String, RevisionedStore.Kept<RegistryRecord>> state, String after, long since) {
+      List<RegistryEntry> found = new ArrayList<>();
       state.forEach((key, kept) -> {
         if (key.startsWith(PREFIX) && key.compareTo(after) > 0 && kept.changed() >= since) {
           found.add(held(key, kept));
@@ -274,7 +274,7 @@
     }
 
     private void answerAll(long call, Open to, boolean ends) {
-      List<Held> found = all(history.now(), "", 0);
+      List<RegistryEntry> found = all(history.now(), "", 0);
       Header header = header();
       items += found.size();
       to.back(to.node.lag, () -> {
@@ -301,11 +301,11 @@
           });
           return;
         }
-        Map<String, History.Kept<Content>> state = history.at(revision == 0 ? history.revision() : revision);
-        List<Held> found = all(state, after, since);
+        Map<String, RevisionedStore.Kept<RegistryRecord>> state = history.at(revision == 0 ? history.revision() : revision);
+        List<RegistryEntry> found = all(state, after, since);
         long count = state.keySet().stream().filter(key -> key.startsWith(PREFIX) && key.compareTo(after) > 0).count();
         boolean more = found.size() > limit;
-        List<Held> part = more ? found.subList(0, limit) : found;
+        List<RegistryEntry> part = more ? found.subList(0, limit) : found;
         Header header = header();
         items += part.size();
         // What a majority has is known to one that lags only when it has caught up.
@@ -356,7 +356,7 @@
       story.accept("call " + call + ": pulse at " + endpoint);
       Open to = new Open(call, endpoint);
       to.there(() -> {
-        History.Kept<Content> tip = history.now().get(TIP);
+        RevisionedStore.Kept<RegistryRecord> tip = history.now().get(TIP);
         Header header = blocking ? new Header("", 0) : header();
         to.back(to.node.lag, () -> {
           if (to.end()) {
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -57,7 +57,7 @@
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), Tether.class.getName()));
+    command.addAll(List.of("-cp", System.getProperty("java.class.path"), ParentWatchdog.class.getName()));
     command.addAll(main);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().remove("AMBERPATH_FILE");
--- a/lab/src/main/java/org/amberpath/lab/testbed/Links.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -16,7 +16,7 @@
  * sender by its port, and drops, delays, doubles, reorders or cuts as the link has it now, one way. Only for its event
  * loop.
  */
-public final class Links {
+public final class NetworkLinks {
   private static final int NOBODY = -1, SLACK_MS = 1;
 
   /** How a link is: parts of all datagrams, and the longest delay. */
@@ -35,7 +35,7 @@
   private final long[] second, datagrams, bytes;
   private long mostDatagrams, mostBytes, carried, dropped, unknown;
 
-  Links(Vertx vertx, int many, long seed) {
+  NetworkLinks(Vertx vertx, int many, long seed) {
     this.vertx = vertx;
     chance = new SplittableRandom(seed);
     ports = new int[many];
--- a/lab/src/main/java/org/amberpath/lab/testbed/Tether.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -7,8 +7,8 @@
  * Runs a program's main method, and ends the process when the rig that started it is gone: what a rig started does not
  * outlive it, however it ends.
  */
-public final class Tether {
-  private Tether() {
+public final class ParentWatchdog {
+  private ParentWatchdog() {
   }
 
   /** The class whose main is run, then its own arguments. */
--- a/lab/src/main/java/org/amberpath/lab/testbed/Rig.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -1,10 +1,10 @@
 package org.amberpath.lab.testbed;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.lab.LabSite;
-import org.amberpath.lab.Loops;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.lab.LabSettings;
+import org.amberpath.lab.EventLoopWaiter;
 import org.amberpath.lab.StandInCache;
-import org.amberpath.lab.Tills;
+import org.amberpath.lab.LoadGenerator;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -29,7 +29,7 @@
  * schedule, with a relay on every link between two gateways. A scenario calls what is public here from one thread of
  * its own; nothing that was started outlives the rig.
  */
-public final class Rig implements AutoCloseable {
+public final class ProcessTestbed implements AutoCloseable {
   private static final long PATIENCE_S = 30, MS = 1_000_000, POLL_MS = 200, DROP_MS = 1500, ALLOW_MS = 1500;
   private static final long WOKEN = 1000 * MS;
   private static final int EDGES = 8, OBJECTS = 64;
@@ -54,7 +54,7 @@
   public final class Place {
     final int index;
     final String name;
-    final List<Tills> tills = new ArrayList<>();
+    final List<LoadGenerator> tills = new ArrayList<>();
     /** When it could answer nobody, from and to, by nanoTime. */
     final List<long[]> away = new ArrayList<>();
     GatewayProcess process;
@@ -100,30 +100,30 @@
   private final HttpClient client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(1000));
   private final List<Place> places = new ArrayList<>();
   private final long began = System.nanoTime();
-  private Auditor auditor;
-  private final Links links;
+  private RuleAuditor auditor;
+  private final NetworkLinks links;
   private int severe;
   private String more;
   /** Of each second since the rig began: GETs that were to be sent and came back, while no gateway was away. */
   private final long[] offered = new long[3600], came = new long[3600];
   private final Thread hook = new Thread(this::killAll, "rig");
 
-  public Rig(Plan plan) throws Exception {
+  public ProcessTestbed(Plan plan) throws Exception {
     this.plan = plan;
     more = plan.more();
     chance = new SplittableRandom(plan.seed());
-    links = new Links(vertx, plan.gateways(), chance.nextLong());
+    links = new NetworkLinks(vertx, plan.gateways(), chance.nextLong());
     IntStream.range(0, plan.gateways()).forEach(one -> places.add(new Place(one)));
     Runtime.getRuntime().addShutdownHook(hook);
     List<Future<?>> opening = on(() -> {
-      auditor = new Auditor(vertx);
+      auditor = new RuleAuditor(vertx);
       List<Future<?>> all = new ArrayList<>(List.of(journal.listen(), links.open()));
       IntStream.range(0, EDGES).forEach(one -> all.add(cache("e" + one, 2, 8)));
       all.add(cache("h0", 2, 10));
       all.add(cache("o0", 10, 0));
       return all;
     });
-    Loops.await(Future.all(opening));
+    EventLoopWaiter.await(Future.all(opening));
     on(() -> {
       caches.keySet().forEach(id -> host(id, State.UP, 0));
       return null;
@@ -138,7 +138,7 @@
   }
 
   private static String kind(String id) {
-    return id.startsWith("e") ? LabSite.EDGE : id.startsWith("h") ? LabSite.HUB : LabSite.ORIGIN;
+    return id.startsWith("e") ? LabSettings.EDGE : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
   }
 
   private void host(String id, State state, long startedAtMs) {
@@ -148,7 +148,7 @@
 
   /** Runs on the rig's event loop, and waits for what comes of it. */
   public <T> T on(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
   // ---- What a scenario does.
@@ -172,7 +172,7 @@
 
   private void begin(Place one) throws IOException {
     Path config = plan.folder().resolve(one.name + ".json"), ini = plan.folder().resolve(one.name + ".ini");
-    Files.writeString(config, LabSite.json(one.name, plan.seed() + one.index, journal.address(), plan.gateways()));
+    Files.writeString(config, LabSettings.json(one.name, plan.seed() + one.index, journal.address(), plan.gateways()));
     List<String> main = new ArrayList<>(List.of("org.amberpath.cli.Main", "serve"));
     if (plan.told() > 0) {
       write(one);
@@ -205,19 +205,19 @@
         one.away.get(one.away.size() - 1)[1] = System.nanoTime();
       }
       List<Future<?>> all = new ArrayList<>();
-      for (String service : List.of(LabSite.CLIPS, LabSite.ORDERS)) {
-        Tills tills = new Tills(vertx, service, ALLOW_MS, chance.nextLong(), got -> returned(one, got))
+      for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
+        LoadGenerator tills = new LoadGenerator(vertx, service, ALLOW_MS, chance.nextLong(), got -> returned(one, got))
             .excusing(one::wasAway).counting(sentAt -> bin(one, offered, sentAt));
         one.tills.add(tills);
-        int rate = service.equals(LabSite.CLIPS) ? plan.rate() : Math.max(1, plan.rate() / 10);
+        int rate = service.equals(LabSettings.CLIPS) ? plan.rate() : Math.max(1, plan.rate() / 10);
         all.add(tills.start(port, 4, rate));
       }
       return all;
     });
-    Loops.await(Future.all(connecting));
+    EventLoopWaiter.await(Future.all(connecting));
   }
 
-  private void returned(Place one, Tills.Returned got) {
+  private void returned(Place one, LoadGenerator.Returned got) {
     auditor.returned(got);
     bin(one, came, got.sentAt());
   }
@@ -242,7 +242,7 @@
 
   private void gone(Place one) throws Exception {
     on(() -> {
-      one.tills.subList(Math.max(0, one.tills.size() - 2), one.tills.size()).forEach(Tills::stop);
+      one.tills.subList(Math.max(0, one.tills.size() - 2), one.tills.size()).forEach(LoadGenerator::stop);
       one.runsSince = 0;
       one.view = null;
       one.away.add(new long[] {System.nanoTime(), 0});
@@ -262,7 +262,7 @@
   public void term(int index) throws Exception {
     Place one = places.get(index);
     on(() -> {
-      one.tills.subList(one.tills.size() - 2, one.tills.size()).forEach(Tills::stop);
+      one.tills.subList(one.tills.size() - 2, one.tills.size()).forEach(LoadGenerator::stop);
       one.runsSince = 0;
       one.view = null;
       return null;
@@ -324,7 +324,7 @@
   }
 
   /** Sets a link, one way. */
-  public void link(int from, int to, Links.Way way) throws Exception {
+  public void link(int from, int to, NetworkLinks.Way way) throws Exception {
     on(() -> {
       links.way(from, to, way);
       return null;
@@ -332,7 +332,7 @@
   }
 
   /** Sets all links. */
-  public void links(Links.Way way) throws Exception {
+  public void links(NetworkLinks.Way way) throws Exception {
     on(() -> {
       for (int from = 0; from < places.size(); from++) {
         for (int to = 0; to < places.size(); to++) {
@@ -389,7 +389,7 @@
   /** A page of a gateway's desk; fails where it does not answer. */
   public JsonObject page(int index, String path) throws Exception {
     // On the loop: elsewhere an answer may come before anybody listens to it.
-    return Loops.await(on(() -> client.request(HttpMethod.GET, places.get(index).deskPort, "127.0.0.1", path)
+    return EventLoopWaiter.await(on(() -> client.request(HttpMethod.GET, places.get(index).deskPort, "127.0.0.1", path)
         .compose(request -> request.send()).compose(answer -> answer.body()))).toJsonObject();
   }
 
@@ -397,11 +397,11 @@
     return places;
   }
 
-  public Auditor auditor() {
+  public RuleAuditor auditor() {
     return auditor;
   }
 
-  public Links links() {
+  public NetworkLinks links() {
     return links;
   }
 
@@ -425,20 +425,20 @@
   /** Clients send nothing more, and all that is open is waited for; then how GETs ended, by name, over all gateways. */
   public Map<String, Long> settle() throws Exception {
     on(() -> {
-      places.forEach(one -> one.tills.forEach(Tills::stop));
+      places.forEach(one -> one.tills.forEach(LoadGenerator::stop));
       return null;
     });
     Thread.sleep(ALLOW_MS + 2 * POLL_MS);
     return on(() -> {
       Map<String, Long> ends = new LinkedHashMap<>();
-      for (Tills.End end : Tills.End.values()) {
+      for (LoadGenerator.End end : LoadGenerator.End.values()) {
         ends.put(end.name().toLowerCase(java.util.Locale.ROOT), 0L);
       }
       ends.put("excused", 0L);
       ends.put("unsent", 0L);
       for (Place place : places) {
-        for (Tills tills : place.tills) {
-          for (Tills.End end : Tills.End.values()) {
+        for (LoadGenerator tills : place.tills) {
+          for (LoadGenerator.End end : LoadGenerator.End.values()) {
             ends.merge(end.name().toLowerCase(java.util.Locale.ROOT), tills.ended(end), Long::sum);
           }
           ends.merge("excused", tills.excused(), Long::sum);
@@ -465,6 +465,6 @@
       }
     }
     Runtime.getRuntime().removeShutdownHook(hook);
-    Loops.await(vertx.close());
+    EventLoopWaiter.await(vertx.close());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/Auditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -1,8 +1,8 @@
 package org.amberpath.lab.testbed;
 
-import org.amberpath.lab.LabSite;
+import org.amberpath.lab.LabSettings;
 import org.amberpath.lab.StandInCache;
-import org.amberpath.lab.Tills;
+import org.amberpath.lab.LoadGenerator;
 import io.vertx.core.Vertx;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
  *
  * <p>Bounds: the requests of one experiment that may run once, and {@value #MOST_LINES} lines of what is wrong.
  */
-public final class Auditor {
+public final class RuleAuditor {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, ON_SOCKETS = 50 * MS, TICK_MS = 5;
   private static final long DRAIN = 250 * MS + ON_SOCKETS, PURGE_MS = 350, STALL = 25 * MS;
   private static final int MOST_LINES = 20;
@@ -45,7 +45,7 @@
   private long tickAt = began, stood, wants, worstDrain, worstPurgeMs, most, wrongs;
   private double worstCold;
 
-  public Auditor(Vertx vertx) {
+  public RuleAuditor(Vertx vertx) {
     vertx.setPeriodic(TICK_MS, tick -> {
       long now = System.nanoTime();
       stood += now - tickAt > STALL ? now - tickAt : 0;
@@ -109,7 +109,7 @@
         }
       }
     }
-    if (LabSite.ORDERS.equals(want.service()) && want.runs()) {
+    if (LabSettings.ORDERS.equals(want.service()) && want.runs()) {
       String before = once.putIfAbsent(want.request(), want.cache());
       if (before != null) {
         wrong("rule 2: " + want.request() + " ran at " + before + " and again at " + want.cache());
@@ -125,16 +125,16 @@
   private void cold(Cold one, String cache) {
     long now = System.nanoTime();
     double age = (now - one.at) / 1e9;
-    if (age > LabSite.COLD_S) {
+    if (age > LabSettings.COLD_S) {
       cold.remove(cache);
       return;
     }
     one.came.add(now);
-    while (now - one.came.peek() > LabSite.FALL_S * SECOND) {
+    while (now - one.came.peek() > LabSettings.FALL_S * SECOND) {
       one.came.remove();
     }
-    double ramp = LabSite.COLD_SHARE + (1 - LabSite.COLD_SHARE) * age / LabSite.COLD_S;
-    double allowed = LabSite.FALL_MULTIPLE * ramp * one.weight * LabSite.FALL_S / WORK_S;
+    double ramp = LabSettings.COLD_SHARE + (1 - LabSettings.COLD_SHARE) * age / LabSettings.COLD_S;
+    double allowed = LabSettings.FALL_MULTIPLE * ramp * one.weight * LabSettings.FALL_S / WORK_S;
     double bound = allowed + 3 * Math.sqrt(allowed) + 3;
     worstCold = Math.max(worstCold, one.came.size() / bound);
     if (one.came.size() > bound) {
@@ -142,7 +142,7 @@
     }
   }
 
-  public void returned(Tills.Returned got) {
+  public void returned(LoadGenerator.Returned got) {
     Long purged = purgedAtMs.get(got.object());
     long sentMs = System.currentTimeMillis() - (System.nanoTime() - got.sentAt()) / MS;
     if (purged != null && got.issuedMs() < purged && sentMs > purged) {
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.testbed;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
@@ -21,7 +21,7 @@
   /** One cache in an event; startedAtMs is when it started cold, or 0. */
   public record Instance(String id, String address, String kind, double weight, State state, long startedAtMs) {
     private String json() {
-      return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"" + org.amberpath.lab.LabSite.ZONE
+      return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"" + org.amberpath.lab.LabSettings.ZONE
           + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\""
           + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone") + "\",\"weight\":" + weight
           + ",\"startedAtMs\":" + startedAtMs + "}";
--- a/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.Experiment;
+import org.amberpath.lab.ExperimentReport;
 import io.vertx.core.json.JsonObject;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
@@ -16,7 +16,7 @@
 
   private static JsonObject compared(double cpu, double memory, int descriptors, long connections, long bytes,
       double served) {
-    Experiment result = new Experiment(1);
+    ExperimentReport result = new ExperimentReport(1);
     UsageBounds.compare(USUAL, new GatewayUsage(3200, cpu, memory, descriptors, connections, bytes, served), result);
     return new JsonObject(result.json());
   }
--- a/lab/src/test/java/org/amberpath/lab/leadership/OwnerModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -3,17 +3,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.Runs;
-import org.amberpath.lab.leadership.OwnerModel.Way;
+import org.amberpath.lab.SeededRuns;
+import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Ownership on a virtual clock: the right way holds, and each wrong one is caught. */
-class OwnerModelTest {
+class LeadershipModelExperimentTest {
   private static Map<String, Object> play(Way way, int runs) {
-    return Runs.many(OwnerModel.model(way), 1, runs);
+    return SeededRuns.many(LeadershipModelExperiment.model(way), 1, runs);
   }
 
   @Test
--- a/lab/src/test/java/org/amberpath/lab/membership/FleetModelTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -2,25 +2,25 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.lab.Runs;
+import org.amberpath.lab.SeededRuns;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 /** The fleet's view on a virtual clock: the same seeds meet the same faults each time. */
-class FleetModelTest {
+class MembershipModelExperimentTest {
   @Test
   void viewsSettleAndSharesSumToOneAtMost() {
-    Map<String, Object> sums = Runs.many(FleetModel.MODEL, 4001, 60);
+    Map<String, Object> sums = SeededRuns.many(MembershipModelExperiment.MODEL, 4001, 60);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
   }
 
   @Test
   void aSeedTellsTheSameStoryEachTime() {
     List<String> first = new ArrayList<>(), second = new ArrayList<>();
-    Runs.one(FleetModel.MODEL, 77, first::add);
-    Runs.one(FleetModel.MODEL, 77, second::add);
+    SeededRuns.one(MembershipModelExperiment.MODEL, 77, first::add);
+    SeededRuns.one(MembershipModelExperiment.MODEL, 77, second::add);
     assertEquals(first, second);
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -5,16 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.lab.Loops;
-import org.amberpath.lab.World;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.LoopbackTestbed;
 import org.amberpath.lab.registry.StandInRegistry.Way;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Recovery.Phase;
-import org.amberpath.registry.runtime.KeyForm;
-import org.amberpath.registry.runtime.RegistryAccess;
-import org.amberpath.registry.runtime.RegistryAccess.Form;
-import org.amberpath.registry.runtime.RegistryDesk;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.WatchSession.Phase;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistrySettings.Form;
+import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySource;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -52,7 +52,7 @@
   private static final long SECOND = 1_000_000_000;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-  private final ToldList told = new ToldList(System::nanoTime, line -> { }, line -> { }).purgedOften();
+  private final RecordedEndpointList told = new RecordedEndpointList(System::nanoTime, line -> { }, line -> { }).purgedOften();
   private final List<String> logged = new ArrayList<>();
   private final Logger logger = Logger.getLogger("org.amberpath.registry");
   private final Handler handler = new Handler() {
@@ -82,11 +82,11 @@
       return null;
     });
     logger.removeHandler(handler);
-    World.await(vertx.close());
+    LoopbackTestbed.await(vertx.close());
   }
 
   private <T> T on(Callable<T> what) throws Exception {
-    return Loops.on(vertx, what);
+    return EventLoopWaiter.on(vertx, what);
   }
 
   private void await(Callable<Boolean> what) throws Exception {
@@ -98,22 +98,22 @@
 
   private void endpoints(int many) throws Exception {
     for (int one = 0; one < many; one++) {
-      World.await(on(() -> registry.open(0)));
+      LoopbackTestbed.await(on(() -> registry.open(0)));
     }
   }
 
-  private RegistryAccess access(Form form, Path trust, Path token, String user, Path password, Path snapshot) {
+  private RegistrySettings access(Form form, Path trust, Path token, String user, Path password, Path snapshot) {
     List<SocketAddress> all = registry.endpoints().stream()
         .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1")).toList();
-    return new RegistryAccess(form, all, PREFIX, trust, null, null, token, user, password, snapshot, 0,
+    return new RegistrySettings(form, all, PREFIX, trust, null, null, token, user, password, snapshot, 0,
         3600 * SECOND, 600 * SECOND, 1000, 1 << 20);
   }
 
-  private RegistryAccess plain(Form form) {
+  private RegistrySettings plain(Form form) {
     return access(form, null, null, null, null, null);
   }
 
-  private void start(RegistryAccess access) throws Exception {
+  private void start(RegistrySettings access) throws Exception {
     logger.addHandler(handler);
     on(() -> {
       source = new RegistrySource(vertx, access, told, 7);
@@ -124,9 +124,9 @@
 
   private void put(String id, State state) throws Exception {
     Map<String, byte[]> writes = new TreeMap<>();
-    writes.put(PREFIX + KeyForm.CACHES + id, state == null ? null : KeyForm.write(
-        new Content.Cache(id, "127.0.0.1:7001", "z", "box", 0, state, 1, 0)));
-    writes.put(PREFIX + KeyForm.TIP, Long.toString(System.nanoTime()).getBytes());
+    writes.put(PREFIX + RecordCodec.CACHES + id, state == null ? null : RecordCodec.write(
+        new RegistryRecord.Cache(id, "127.0.0.1:7001", "z", "box", 0, state, 1, 0)));
+    writes.put(PREFIX + RecordCodec.TIP, Long.toString(System.nanoTime()).getBytes());
     on(() -> registry.write(writes));
   }
 
@@ -155,7 +155,7 @@
     });
     await(() -> is("b", State.UP) && is("a", null));
     on(() -> {
-      registry.write(new TreeMap<>(Map.of(PREFIX + KeyForm.CACHES + "bad", new byte[] {1})));
+      registry.write(new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES + "bad", new byte[] {1})));
       return null;
     });
     put("c", State.UP);
@@ -280,12 +280,12 @@
     endpoints(1);
     put("a", State.UP);
     Path trust = folder.resolve("server.crt");
-    RegistryAccess without = access(Form.ETCD, trust, null, null, null, null);
-    start(new RegistryAccess(Form.ETCD, without.endpoints(), PREFIX, trust, folder.resolve("client.crt"),
+    RegistrySettings without = access(Form.ETCD, trust, null, null, null, null);
+    start(new RegistrySettings(Form.ETCD, without.endpoints(), PREFIX, trust, folder.resolve("client.crt"),
         folder.resolve("client.key"), null, null, null, null, 0, SECOND, 600 * SECOND, 1000, 1 << 20));
     await(() -> is("a", State.UP));
-    try (RegistryDesk desk = new RegistryDesk(vertx, without)) {
-      assertThrows(ExecutionException.class, () -> World.await(desk.list()));
+    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, without)) {
+      assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
     }
   }
 
@@ -333,17 +333,17 @@
   void aWriteFailsIfItsKeyMovedMeanwhile(Form form) throws Exception {
     endpoints(1);
     put("a", State.UP);
-    try (RegistryDesk desk = new RegistryDesk(vertx, plain(form))) {
-      long seen = World.await(desk.list()).stream().filter(one -> one.key().endsWith("/a")).findFirst().orElseThrow()
+    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
+      long seen = LoopbackTestbed.await(desk.list()).stream().filter(one -> one.key().endsWith("/a")).findFirst().orElseThrow()
           .changed();
       put("a", State.DRAINING);
-      Content.Cache other = new Content.Cache("a", "127.0.0.1:1", "z", "box", 0, State.UP, 1, 0);
-      assertFalse(World.await(desk.write(PREFIX + KeyForm.CACHES + "a", other, seen)));
+      RegistryRecord.Cache other = new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, State.UP, 1, 0);
+      assertFalse(LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "a", other, seen)));
       long tip = on(() -> registry.revision());
-      assertTrue(World.await(desk.write(PREFIX + KeyForm.CACHES + "b", other, 0)));
-      assertTrue(World.await(desk.purge("x", new Content.Purge(5, 0, System.currentTimeMillis()))));
+      assertTrue(LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "b", other, 0)));
+      assertTrue(LoopbackTestbed.await(desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
       assertTrue(on(() -> registry.revision()) > tip);
-      assertEquals(4, World.await(desk.list()).size());
+      assertEquals(4, LoopbackTestbed.await(desk.list()).size());
     }
   }
 
@@ -354,8 +354,8 @@
       registry.endpoints().get(0).become(Way.REFUSES);
       return null;
     });
-    try (RegistryDesk desk = new RegistryDesk(vertx, plain(Form.ETCD))) {
-      ExecutionException e = assertThrows(ExecutionException.class, () -> World.await(desk.list()));
+    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(Form.ETCD))) {
+      ExecutionException e = assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
       assertTrue(e.getCause().getMessage().endsWith("nothing listens there"), e.getCause().getMessage());
     }
   }
--- a/leadership/src/main/java/org/amberpath/leadership/Ahead.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -9,7 +9,7 @@
  *
  * <p>Bounds: {@value #MOST} caches that are cold at a time, {@value #MOST_OUT} GETs out, {@value #A_TICK} asks a tick.
  */
-public final class Ahead {
+public final class CachePrefetch {
   public static final String TASK = "warm";
   private static final int MOST = 64, MOST_OUT = 8, A_TICK = 64;
   private static final long MS = 1_000_000, REST = 250 * MS;
--- a/leadership/src/main/java/org/amberpath/leadership/Spread.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /** Which gateway a task falls to first: by highest hash of both names, so that all agree and tasks are spread. */
-public final class Spread {
-  private Spread() {
+public final class CandidateOrder {
+  private CandidateOrder() {
   }
 
   /** How many of these come before one, for a task. */
--- a/leadership/src/main/java/org/amberpath/leadership/Fence.java
+++ b/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
@@ -8,7 +8,7 @@
  * term is refused, with what was seen; so is a second owner's under the same. Bounds: {@value #MOST} tasks, those heard
  * of last.
  */
-public final class Fence {
+public final class FencingGuard {
   private static final int MOST = 256;
 
   private record Seen(long term, String by) {
--- a/leadership/src/main/java/org/amberpath/leadership/Trials.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -21,7 +21,7 @@
  * an owner is asked about {@value #ASKS_A_SECOND} times a second by the whole fleet, whatever its size, and tells
  * {@value #TOLD_A_TICK} a tick of what is silent, each once in {@value #TOLD_EVERY_MS} ms.
  */
-public final class Trials {
+public final class HealthCheckCoordinator {
   public static final String TASK = "probe";
   /** How many caches are named in a letter. */
   public static final int MOST_NAMED = 10;
@@ -73,7 +73,7 @@
     }
   };
   private final Map<String, Wanted> wanted = new LinkedHashMap<>();
-  private final Fence fence = new Fence();
+  private final FencingGuard fence = new FencingGuard();
   private String prober = "";
   private long askedAt = Long.MIN_VALUE / 2, nextAsk, wordAt = Long.MIN_VALUE / 2, interval = EACH;
   private int turn, out, next, round;
--- a/leadership/src/main/java/org/amberpath/leadership/Tenure.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Leadership.java
@@ -7,7 +7,7 @@
  * <p>Whoever acts asks {@link #holds} in the moment of acting and again in the moment of sending: belief from before
  * is worth nothing, since the process may have stood still in between.
  */
-public interface Tenure {
+public interface Leadership {
   /**
    * FOLLOWING: another owns it, or nobody. ASKING: a try is out. WAITING: owns it, and lets what older owners began run
    * out first. HOLDING: may act. RESIGNED: is to end, and tries no more.
--- a/leadership/src/main/java/org/amberpath/leadership/Voter.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -10,7 +10,7 @@
  *
  * <p>Bounds: {@value #MOST} tasks; more are refused. Times are nanoseconds of the voter's own clock.
  */
-public final class Voter {
+public final class LeaseAcceptor {
   private static final int MOST = 64;
 
   private static final class Held {
@@ -18,23 +18,23 @@
     String to = "", by = "";
   }
 
-  private final OwnerRules rules;
+  private final LeaseTimings rules;
   private final long mutedUntil;
   private final Map<String, Held> tasks = new TreeMap<>();
 
   /** A voter that has just started, and remembers nothing. */
-  public Voter(OwnerRules rules, long now) {
+  public LeaseAcceptor(LeaseTimings rules, long now) {
     this(rules, now, rules.longest(rules.lease()));
   }
 
   /** One that votes for nobody for so long: less than the rules have it is a model's way to show why. */
-  public Voter(OwnerRules rules, long now, long muted) {
+  public LeaseAcceptor(LeaseTimings rules, long now, long muted) {
     this.rules = rules;
     mutedUntil = now + muted;
   }
 
   /** The answer to a candidate's message; null where there is none. */
-  public Vote asked(long now, String by, Vote vote) {
+  public LeaseMessage asked(long now, String by, LeaseMessage vote) {
     if (now < mutedUntil) {
       return null;
     }
@@ -52,25 +52,25 @@
       case PREPARE -> {
         if (owned && !by.equals(held.by)) {
           // Binds itself to nobody. Guards an owner against candidates whose numbers would refuse its renewal.
-          yield new Vote(Vote.Kind.PROMISE, vote.task(), vote.ballot(), held.until - now);
+          yield new LeaseMessage(LeaseMessage.Kind.PROMISE, vote.task(), vote.ballot(), held.until - now);
         }
         if (bound) {
-          yield new Vote(Vote.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
+          yield new LeaseMessage(LeaseMessage.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
         }
         held.promised = vote.ballot();
         held.to = by;
-        yield new Vote(Vote.Kind.PROMISE, vote.task(), vote.ballot(), 0, held.accepted);
+        yield new LeaseMessage(LeaseMessage.Kind.PROMISE, vote.task(), vote.ballot(), 0, held.accepted);
       }
       case PROPOSE -> {
         if (bound || owned && !by.equals(held.by)) {
-          yield new Vote(Vote.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
+          yield new LeaseMessage(LeaseMessage.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
         }
         held.promised = vote.ballot();
         held.to = by;
         held.accepted = vote.ballot();
         held.by = by;
         held.until = now + rules.longest(rules.lease());
-        yield new Vote(Vote.Kind.ACCEPTED, vote.task(), vote.ballot(), vote.other());
+        yield new LeaseMessage(LeaseMessage.Kind.ACCEPTED, vote.task(), vote.ballot(), vote.other());
       }
       case RELEASE -> {
         if (by.equals(held.by) && vote.ballot() == held.accepted) {
--- a/leadership/src/main/java/org/amberpath/leadership/Vote.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
@@ -8,12 +8,12 @@
  *     the task, 0 for nobody; of REFUSED: the number that the voter is bound to
  * @param last of PROMISE: the number that this voter accepted last, 0 for none that it remembers
  */
-public record Vote(Kind kind, String task, long ballot, long other, long last) {
+public record LeaseMessage(Kind kind, String task, long ballot, long other, long last) {
   /** No number is above this. Guards against one that leaves none above it. */
   public static final long HIGHEST = 1L << 62;
 
   /** One that tells of no number before. */
-  public Vote(Kind kind, String task, long ballot, long other) {
+  public LeaseMessage(Kind kind, String task, long ballot, long other) {
     this(kind, task, ballot, other, 0);
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/OwnerRules.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
@@ -9,11 +9,11 @@
  *     and what a message may take that was sent in the last moment
  * @param driftPpm by how many millionths a clock may run fast or slow
  */
-public record OwnerRules(long lease, long settle, int driftPpm) {
+public record LeaseTimings(long lease, long settle, int driftPpm) {
   private static final long MILLION = 1_000_000;
 
   /** Checks what the rules depend on. */
-  public OwnerRules {
+  public LeaseTimings {
     if (lease < MILLION || settle < 0 || driftPpm < 0 || driftPpm > MILLION / 20) {
       throw new IllegalArgumentException("lease " + lease + ", settle " + settle + ", drift " + driftPpm);
     }
--- a/leadership/src/main/java/org/amberpath/leadership/Sweep.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -1,7 +1,7 @@
 package org.amberpath.leadership;
 
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
@@ -11,7 +11,7 @@
  * The task of taking purges' keys out of a registry that are past their retention: which, and when to look. Bounds:
  * {@value #MOST} keys at a time; one entry for each purge that the registry holds.
  */
-public final class Sweep {
+public final class PurgeRetention {
   public static final String TASK = "sweep";
   private static final int MOST = 31;
   private static final long MS = 1_000_000, LONGEST_STEP_MILLIS = 3_600_000;
@@ -26,7 +26,7 @@
   private boolean out;
 
   /** Keys that are older than the retention go; it is looked for them every so often. */
-  public Sweep(long retention, long every) {
+  public PurgeRetention(long retention, long every) {
     this.retention = retention;
     this.every = every;
   }
@@ -55,25 +55,25 @@
    * @param now when that had come, by a clock that only goes forward
    * @param wallMillis the wall clock then
    */
-  public List<Held> old(List<Held> all, long now, long wallMillis) {
+  public List<RegistryEntry> old(List<RegistryEntry> all, long now, long wallMillis) {
     long stampedBefore = wallMillis - retention / MS - 2 * LONGEST_STEP_MILLIS;
     Map<String, Seen> there = new HashMap<>();
-    for (Held one : all) {
-      if (one.content() instanceof Content.Purge) {
+    for (RegistryEntry one : all) {
+      if (one.content() instanceof RegistryRecord.Purge) {
         Seen before = seen.get(one.key());
         there.put(one.key(), before != null && before.changed == one.changed() ? before
             : new Seen(one.changed(), now));
       }
     }
     seen = there;
-    return all.stream().filter(one -> one.content() instanceof Content.Purge purge
+    return all.stream().filter(one -> one.content() instanceof RegistryRecord.Purge purge
             && (purge.atMs() < stampedBefore || now - there.get(one.key()).since > retention))
-        .sorted(Comparator.comparingLong(Held::changed)).limit(MOST).toList();
+        .sorted(Comparator.comparingLong(RegistryEntry::changed)).limit(MOST).toList();
   }
 
   /** The fence, if it stands there. */
-  public static Held fence(List<Held> all, String key) {
-    return all.stream().filter(one -> one.key().equals(key) && one.content() instanceof Content.Task).findFirst()
+  public static RegistryEntry fence(List<RegistryEntry> all, String key) {
+    return all.stream().filter(one -> one.key().equals(key) && one.content() instanceof RegistryRecord.Task).findFirst()
         .orElse(null);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/VotedTenure.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -13,20 +13,20 @@
  * restart of all voters at once; where a clock was set back, recipients refuse it and say what they have seen, and the
  * next is above that.
  */
-public class VotedTenure implements Tenure {
+public class QuorumLeadership implements Leadership {
   /** Where messages go. */
   public interface Orders {
-    void send(String voter, Vote vote);
+    void send(String voter, LeaseMessage vote);
   }
 
   private static final int MARGIN = 8, PATIENCE = 4, RENEWALS = 3, MOST_TURNS = 4, TURNS = 4;
 
-  private final OwnerRules rules;
+  private final LeaseTimings rules;
   private final Orders orders;
   private final String task;
   private final SplittableRandom chance;
   private final long margin;
-  private Electorate electorate;
+  private VoterConfiguration electorate;
   private State state = State.FOLLOWING;
   /** Who has promised, accepted; of the number that is out. */
   private final Set<String> promised = new TreeSet<>(), accepted = new TreeSet<>();
@@ -39,7 +39,7 @@
   private int place;
 
   /** One that follows, and tries once it hears of nobody. */
-  public VotedTenure(OwnerRules rules, String task, Electorate electorate, Orders orders, long seed, long now) {
+  public QuorumLeadership(LeaseTimings rules, String task, VoterConfiguration electorate, Orders orders, long seed, long now) {
     this.rules = rules;
     this.task = task;
     this.electorate = electorate;
@@ -66,7 +66,7 @@
   }
 
   /** The operators' next stage: majorities are counted by it from now on. */
-  public void electorate(Electorate next) {
+  public void electorate(VoterConfiguration next) {
     electorate = next;
     promised.clear();
     accepted.clear();
@@ -109,7 +109,7 @@
       promised.clear();
       accepted.clear();
       sentAt = now;
-      tell(Vote.Kind.PREPARE);
+      tell(LeaseMessage.Kind.PREPARE);
     } else if (owns && now < believedUntil) {
       if (state == State.WAITING && now >= waitUntil) {
         state = State.HOLDING;
@@ -122,8 +122,8 @@
     }
   }
 
-  private void tell(Vote.Kind kind) {
-    electorate.all().forEach(voter -> orders.send(voter, new Vote(kind, task, ballot, round)));
+  private void tell(LeaseMessage.Kind kind) {
+    electorate.all().forEach(voter -> orders.send(voter, new LeaseMessage(kind, task, ballot, round)));
   }
 
   private void propose(long now) {
@@ -131,7 +131,7 @@
     round++;
     accepted.clear();
     sentAt = now;
-    tell(Vote.Kind.PROPOSE);
+    tell(LeaseMessage.Kind.PROPOSE);
   }
 
   /** Its place among those that may own this task: the first try first, so that tasks are spread over all. */
@@ -144,12 +144,12 @@
   }
 
   /** A voter's answer. */
-  public void answered(long now, String voter, Vote vote) {
-    highest = Math.max(highest, vote.kind() == Vote.Kind.REFUSED ? vote.other() : 0);
+  public void answered(long now, String voter, LeaseMessage vote) {
+    highest = Math.max(highest, vote.kind() == LeaseMessage.Kind.REFUSED ? vote.other() : 0);
     if (vote.ballot() != ballot || !vote.task().equals(task) || !electorate.all().contains(voter)) {
       return;
     }
-    if (vote.kind() == Vote.Kind.PROMISE && state == State.ASKING && !proposed) {
+    if (vote.kind() == LeaseMessage.Kind.PROMISE && state == State.ASKING && !proposed) {
       if (vote.other() > 0) {
         // It is another's: the next try comes when that may be over.
         nextTry = Math.max(nextTry, now + vote.other() + turn());
@@ -160,7 +160,7 @@
           propose(now);
         }
       }
-    } else if (vote.kind() == Vote.Kind.ACCEPTED && vote.other() == round && proposed && accepted.add(voter)
+    } else if (vote.kind() == LeaseMessage.Kind.ACCEPTED && vote.other() == round && proposed && accepted.add(voter)
         && electorate.majority(accepted)) {
       own(now);
     }
@@ -227,7 +227,7 @@
 
   private void release(long now) {
     if ((state == State.HOLDING || state == State.WAITING) && now < believedUntil) {
-      tell(Vote.Kind.RELEASE);
+      tell(LeaseMessage.Kind.RELEASE);
     }
     believedUntil = now;
     proposed = renewing = false;
--- a/leadership/src/main/java/org/amberpath/leadership/LeasedTenure.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -11,7 +11,7 @@
  * next one win. One that stood still believes nothing when it wakes, since belief is looked at when it acts;
  * and what it sent before is passed over for its term or its time.
  */
-public final class LeasedTenure implements Tenure {
+public final class RegistryLeadership implements Leadership {
   /** What a live half carries out at the registry. */
   public interface Orders {
     /** Takes a lease, and with it the key, if that was last written at changed: 0 where there is none. */
@@ -24,7 +24,7 @@
     void resign();
   }
 
-  private final OwnerRules rules;
+  private final LeaseTimings rules;
   private final Orders orders;
   private final SplittableRandom chance;
   private final long leaseTime, margin;
@@ -34,7 +34,7 @@
   private boolean vacant, keeping;
 
   /** One that follows. The lease's time is for how long the registry keeps the key without a sign of life. */
-  public LeasedTenure(OwnerRules rules, Orders orders, long seed) {
+  public RegistryLeadership(LeaseTimings rules, Orders orders, long seed) {
     this.rules = rules;
     this.orders = orders;
     leaseTime = rules.lease();
--- a/leadership/src/main/java/org/amberpath/leadership/Electorate.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -12,11 +12,11 @@
  * @param now the voters
  * @param next those that follow; empty while nothing changes
  */
-public record Electorate(List<String> now, List<String> next) {
+public record VoterConfiguration(List<String> now, List<String> next) {
   private static final int MOST = 9;
 
   /** Checks that each list is odd, and bounded. */
-  public Electorate {
+  public VoterConfiguration {
     now = List.copyOf(now);
     next = List.copyOf(next);
     for (List<String> one : List.of(now, next)) {
@@ -29,12 +29,12 @@
     }
   }
 
-  public static Electorate of(String... names) {
-    return new Electorate(List.of(names), List.of());
+  public static VoterConfiguration of(String... names) {
+    return new VoterConfiguration(List.of(names), List.of());
   }
 
   /** Whether this is the next stage of another, or the one before it: their majorities have a voter in common. */
-  public boolean follows(Electorate other) {
+  public boolean follows(VoterConfiguration other) {
     return now.equals(other.now) && (next.isEmpty() || other.next.isEmpty()) || next.isEmpty() && now.equals(other.next)
         || other.next.isEmpty() && next.equals(other.now);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/AheadWork.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -1,26 +1,26 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.membership.runtime.FleetCompany;
-import org.amberpath.gateway.Company;
-import org.amberpath.leadership.Ahead;
-import org.amberpath.leadership.Tenure;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.gateway.FleetCoordinator;
+import org.amberpath.leadership.CachePrefetch;
+import org.amberpath.leadership.Leadership;
 import io.vertx.core.json.JsonObject;
 
 /** What viewers will ask for is filled into caches that have just started, by one gateway, by GETs of its own. */
-final class AheadWork implements Work {
-  private final FleetCompany company;
-  private final Ahead ahead = new Ahead();
+final class CachePrefetchTask implements TaskRunner {
+  private final MembershipService company;
+  private final CachePrefetch ahead = new CachePrefetch();
   private final long act;
   private boolean draining;
   private long made, filled;
 
-  AheadWork(FleetCompany company, long act) {
+  CachePrefetchTask(MembershipService company, long act) {
     this.company = company;
     this.act = act;
   }
 
   @Override public String task() {
-    return Ahead.TASK;
+    return CachePrefetch.TASK;
   }
 
   @Override public boolean isIdle() {
@@ -35,16 +35,16 @@
     draining = true;
   }
 
-  @Override public void tick(long now, Tenure tenure) {
+  @Override public void tick(long now, Leadership tenure) {
     ahead.tick();
     go(tenure);
   }
 
-  private void go(Tenure tenure) {
+  private void go(Leadership tenure) {
     long now = company.now();
     while (!draining && tenure.holdsFor(now, act) && ahead.next(now)) {
       boolean begun = company.ways().own(null, act, what -> {
-        filled += what == Company.Own.ANSWERED ? 1 : 0;
+        filled += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
         ahead.ended();
         go(tenure);
       });
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/WordForm.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
@@ -1,6 +1,6 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Trials.Said;
+import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -13,7 +13,7 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** What gateways tell one another of tasks, besides votes, as letters: MessagePack values one after another. */
-final class WordForm {
+final class HealthReportCodec {
   /** ASK: which caches are to be tried. HEARD: which answer. WORD: what came of their trials. OUTRANKED: a higher term
    * was seen. STOPPED: the owner of a term does nothing more under it. */
   enum Kind { ASK, HEARD, WORD, OUTRANKED, STOPPED }
@@ -39,7 +39,7 @@
   private static final int VERSION = 101, MOST = 16, LONGEST_NAME = 64;
   private static final Kind[] KINDS = Kind.values();
 
-  private WordForm() {
+  private HealthReportCodec() {
   }
 
   /** Whether a cache's name fits into a letter. */
@@ -67,8 +67,8 @@
       String task = in.unpackString();
       long term = in.unpackLong(), stamp = in.unpackLong();
       int many = in.unpackArrayHeader();
-      if (version != VERSION || kind < 0 || kind >= KINDS.length || !task.matches(VoteForm.TASK)
-          || !VoteForm.isNumber(term) || many > MOST) {
+      if (version != VERSION || kind < 0 || kind >= KINDS.length || !task.matches(LeaseMessageCodec.TASK)
+          || !LeaseMessageCodec.isNumber(term) || many > MOST) {
         return null;
       }
       Map<String, Said> caches = new TreeMap<>();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/Ownership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -1,16 +1,16 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.routing.Decisions;
-import org.amberpath.membership.runtime.FleetCompany;
-import org.amberpath.membership.runtime.Guest;
-import org.amberpath.leadership.Electorate;
-import org.amberpath.leadership.Spread;
-import org.amberpath.leadership.Tenure;
-import org.amberpath.leadership.Vote;
-import org.amberpath.leadership.VotedTenure;
-import org.amberpath.leadership.Voter;
-import org.amberpath.leadership.runtime.WordForm.Kind;
-import org.amberpath.leadership.runtime.WordForm.Word;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.membership.runtime.FleetMessageHandler;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.CandidateOrder;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseMessage;
+import org.amberpath.leadership.QuorumLeadership;
+import org.amberpath.leadership.LeaseAcceptor;
+import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
+import org.amberpath.leadership.runtime.HealthReportCodec.Word;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -23,25 +23,25 @@
  * Owns tasks of the fleet, by votes that go as letters between gateways or by leases in the registry, votes if it is
  * one of the electorate, and carries out what it owns. Bounds: three tasks.
  */
-public final class Ownership implements Guest {
-  private static final Logger LOG = Logger.getLogger(Ownership.class.getName());
+public final class LeadershipService implements FleetMessageHandler {
+  private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
   /** Who is told first that an owner has stopped. */
   private static final int HEIRS = 4;
   /** What is left of the wait of a new owner for a message's way: an act takes the rest at most. */
   private static final long ON_THE_WAY = 100_000_000;
 
   private final Vertx vertx;
-  private final OwnerAccess access;
-  private final FleetCompany company;
-  private final Map<String, Post> posts = new LinkedHashMap<>();
-  private Electorate electorate;
-  private Voter voter;
-  private LeaseDesk leases;
-  private TrialWork trials;
-  private AheadWork ahead;
+  private final LeadershipSettings access;
+  private final MembershipService company;
+  private final Map<String, OwnedTask> posts = new LinkedHashMap<>();
+  private VoterConfiguration electorate;
+  private LeaseAcceptor voter;
+  private RegistryLeaseClient leases;
+  private HealthCheckTask trials;
+  private CachePrefetchTask ahead;
   private boolean draining;
 
-  public Ownership(Vertx vertx, OwnerAccess access, FleetCompany company) {
+  public LeadershipService(Vertx vertx, LeadershipSettings access, MembershipService company) {
     this.vertx = vertx;
     this.access = access;
     this.company = company;
@@ -50,42 +50,42 @@
 
   @Override public void begin(long now) {
     if (electorate != null && electorate.all().contains(company.name())) {
-      voter = new Voter(access.rules(), now);
+      voter = new LeaseAcceptor(access.rules(), now);
     }
-    leases = access.lease() == null ? null : new LeaseDesk(vertx, access.lease(), access.rules(), company);
+    leases = access.lease() == null ? null : new RegistryLeaseClient(vertx, access.lease(), access.rules(), company);
     long act = access.rules().settle() - ON_THE_WAY;
     if (access.sweep() != null) {
-      post(now, new SweepWork(vertx, company, access.sweep(), access.sweepEvery()));
+      post(now, new PurgeRetentionTask(vertx, company, access.sweep(), access.sweepEvery()));
     }
     if (access.probe()) {
-      trials = new TrialWork(company, act);
+      trials = new HealthCheckTask(company, act);
       post(now, trials);
     }
     if (access.warm()) {
-      ahead = new AheadWork(company, act);
+      ahead = new CachePrefetchTask(company, act);
       post(now, ahead);
     }
   }
 
-  private void post(long now, Work work) {
-    Tenure tenure = leases != null ? leases.tenure(work.task())
-        : new VotedTenure(access.rules(), work.task(), electorate, this::send, company.seed(), now);
-    posts.put(work.task(), new Post(company.name(), work, tenure));
+  private void post(long now, TaskRunner work) {
+    Leadership tenure = leases != null ? leases.tenure(work.task())
+        : new QuorumLeadership(access.rules(), work.task(), electorate, this::send, company.seed(), now);
+    posts.put(work.task(), new OwnedTask(company.name(), work, tenure));
   }
 
   // ---- Letters.
 
-  private void send(String to, Vote vote) {
+  private void send(String to, LeaseMessage vote) {
     if (to.equals(company.name())) {
       vertx.runOnContext(turn -> vote(company.now(), to, vote)); // Its own voter is asked as any other.
     } else {
-      company.post(to, VoteForm.write(vote));
+      company.post(to, LeaseMessageCodec.write(vote));
     }
   }
 
   @Override public void letter(long now, String from, byte[] body) {
-    Vote vote = VoteForm.read(body);
-    Word word = vote == null ? WordForm.read(body) : null;
+    LeaseMessage vote = LeaseMessageCodec.read(body);
+    Word word = vote == null ? HealthReportCodec.read(body) : null;
     if (vote != null) {
       vote(now, from, vote);
     } else if (word != null && posts.containsKey(word.task())) {
@@ -93,17 +93,17 @@
     }
   }
 
-  private void vote(long now, String from, Vote vote) {
+  private void vote(long now, String from, LeaseMessage vote) {
     switch (vote.kind()) {
       case PREPARE, PROPOSE, RELEASE -> {
-        Vote answer = voter == null ? null : voter.asked(now, from, vote);
+        LeaseMessage answer = voter == null ? null : voter.asked(now, from, vote);
         if (answer != null) {
           send(from, answer);
         }
       }
       default -> {
-        Post post = posts.get(vote.task());
-        if (post != null && post.tenure instanceof VotedTenure voted) {
+        OwnedTask post = posts.get(vote.task());
+        if (post != null && post.tenure instanceof QuorumLeadership voted) {
           voted.answered(now, from, vote);
           post.told();
         }
@@ -111,7 +111,7 @@
     }
   }
 
-  private void word(long now, String from, Word word, Post post) {
+  private void word(long now, String from, Word word, OwnedTask post) {
     switch (word.kind()) {
       case OUTRANKED -> post.tenure.outranked(now, word.term());
       case STOPPED -> post.tenure.handedOver(now, word.term());
@@ -128,10 +128,10 @@
 
   @Override public void tick(long now) {
     List<String> there = company.there();
-    for (Post post : posts.values()) {
-      if (post.tenure instanceof VotedTenure voted) {
+    for (OwnedTask post : posts.values()) {
+      if (post.tenure instanceof QuorumLeadership voted) {
         voted.wall(System.currentTimeMillis());
-        voted.place(Spread.place(post.work.task(), company.name(), there));
+        voted.place(CandidateOrder.place(post.work.task(), company.name(), there));
       }
       post.tick(now);
       if (draining) {
@@ -143,7 +143,7 @@
     }
   }
 
-  @Override public void health(long now, String cache, Decisions.Health health) {
+  @Override public void health(long now, String cache, RoutingActions.Health health) {
     if (trials != null) {
       trials.health(now, cache, health);
     }
@@ -172,8 +172,8 @@
       long now = company.now();
       electorate = next;
       boolean votes = next.all().contains(company.name());
-      voter = !votes ? null : voter == null ? new Voter(access.rules(), now) : voter;
-      posts.values().forEach(post -> ((VotedTenure) post.tenure).electorate(next));
+      voter = !votes ? null : voter == null ? new LeaseAcceptor(access.rules(), now) : voter;
+      posts.values().forEach(post -> ((QuorumLeadership) post.tenure).electorate(next));
       LOG.info(company.name() + ": owner: voters " + next.now() + ", next " + next.next());
     }).onFailure(e -> LOG.warning(company.name() + ": owner: the voters stay: " + e.getMessage()));
   }
@@ -190,8 +190,8 @@
     posts.values().forEach(post -> handOver(now, post));
   }
 
-  private void handOver(long now, Post post) {
-    if (post.tenure.state() == Tenure.State.RESIGNED) {
+  private void handOver(long now, OwnedTask post) {
+    if (post.tenure.state() == Leadership.State.RESIGNED) {
       return;
     }
     if (post.work.isIdle()) {
@@ -200,8 +200,8 @@
       post.tenure.resign(now);
       if (held) {
         // The first in line take over; whoever else tries waits as after a loss.
-        byte[] word = WordForm.write(Word.of(Kind.STOPPED, post.work.task(), term));
-        Spread.order(post.work.task(), company.there()).stream().filter(one -> !one.equals(company.name()))
+        byte[] word = HealthReportCodec.write(Word.of(Kind.STOPPED, post.work.task(), term));
+        CandidateOrder.order(post.work.task(), company.there()).stream().filter(one -> !one.equals(company.name()))
             .limit(HEIRS).forEach(one -> company.post(one, word));
       }
       post.told();
@@ -217,7 +217,7 @@
   }
 
   @Override public boolean release(long now, String name) {
-    Post post = posts.get(name);
+    OwnedTask post = posts.get(name);
     boolean held = post != null && post.tenure.holds(now);
     if (held) {
       post.tenure.letGo(now);
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnerAccess.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
@@ -1,8 +1,8 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Electorate;
-import org.amberpath.leadership.OwnerRules;
-import org.amberpath.registry.runtime.RegistryAccess;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.registry.runtime.RegistrySettings;
 import java.util.function.Supplier;
 
 /**
@@ -16,6 +16,6 @@
  * @param probe whether caches that were set aside are tried by one for all
  * @param warm whether caches that have just started are filled ahead by one
  */
-public record OwnerAccess(Electorate electorate, Supplier<Electorate> electorateNow, RegistryAccess lease,
-    OwnerRules rules, RegistryAccess sweep, long sweepEvery, boolean probe, boolean warm) {
+public record LeadershipSettings(VoterConfiguration electorate, Supplier<VoterConfiguration> electorateNow, RegistrySettings lease,
+    LeaseTimings rules, RegistrySettings sweep, long sweepEvery, boolean probe, boolean warm) {
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/VoteForm.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -1,6 +1,6 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Vote;
+import org.amberpath.leadership.LeaseMessage;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import org.msgpack.core.MessageBufferPacker;
@@ -9,15 +9,15 @@
 import org.msgpack.core.MessageUnpacker;
 
 /** A vote as a letter: MessagePack values one after another, the version first. */
-final class VoteForm {
+final class LeaseMessageCodec {
   private static final int VERSION = 2;
   static final String TASK = "[a-z-]{1,32}";
-  private static final Vote.Kind[] KINDS = Vote.Kind.values();
+  private static final LeaseMessage.Kind[] KINDS = LeaseMessage.Kind.values();
 
-  private VoteForm() {
+  private LeaseMessageCodec() {
   }
 
-  static byte[] write(Vote vote) {
+  static byte[] write(LeaseMessage vote) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packInt(vote.kind().ordinal()).packString(vote.task()).packLong(vote.ballot())
           .packLong(vote.other()).packLong(vote.last());
@@ -28,18 +28,18 @@
   }
 
   static boolean isNumber(long value) {
-    return value >= 0 && value <= Vote.HIGHEST;
+    return value >= 0 && value <= LeaseMessage.HIGHEST;
   }
 
   /** Null where it can't be read. */
-  static Vote read(byte[] body) {
+  static LeaseMessage read(byte[] body) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
       int version = in.unpackInt(), kind = in.unpackInt();
       String task = in.unpackString();
       long ballot = in.unpackLong(), other = in.unpackLong(), last = in.unpackLong();
       boolean good = version == VERSION && kind >= 0 && kind < KINDS.length && task.matches(TASK) && isNumber(ballot)
           && isNumber(other) && isNumber(last) && !in.hasNext();
-      return good ? new Vote(KINDS[kind], task, ballot, other, last) : null;
+      return good ? new LeaseMessage(KINDS[kind], task, ballot, other, last) : null;
     } catch (IOException | MessagePackException e) {
       return null;
     }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/Post.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -1,21 +1,21 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Leadership;
 import io.vertx.core.json.JsonObject;
 import java.util.Locale;
 import java.util.logging.Logger;
 
 /** One task at one gateway: its tenure, and what is done under it. */
-final class Post {
-  private static final Logger LOG = Logger.getLogger(Ownership.class.getName());
+final class OwnedTask {
+  private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
   private static final long MS = 1_000_000;
 
-  final Work work;
-  final Tenure tenure;
+  final TaskRunner work;
+  final Leadership tenure;
   private final String name;
-  private Tenure.State said = Tenure.State.FOLLOWING;
+  private Leadership.State said = Leadership.State.FOLLOWING;
 
-  Post(String name, Work work, Tenure tenure) {
+  OwnedTask(String name, TaskRunner work, Leadership tenure) {
     this.name = name;
     this.work = work;
     this.tenure = tenure;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseDesk.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -1,13 +1,13 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.membership.runtime.FleetCompany;
-import org.amberpath.leadership.LeasedTenure;
-import org.amberpath.leadership.OwnerRules;
-import org.amberpath.leadership.Tenure;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.runtime.RegistryAccess;
-import org.amberpath.registry.runtime.RegistryDesk;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.leadership.RegistryLeadership;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistryAdminClient;
 import io.vertx.core.Vertx;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -17,39 +17,39 @@
  * Tenures by leases in the registry: a task's key that goes with its lease says that somebody has it, another that
  * stays holds the term. Both are looked at all the time, by one read for all tasks.
  */
-final class LeaseDesk {
+final class RegistryLeaseClient {
   private static final long SECOND = 1_000_000_000;
   private static final int LOOKS = 8;
 
-  private final RegistryDesk registry;
-  private final OwnerRules rules;
-  private final FleetCompany company;
+  private final RegistryAdminClient registry;
+  private final LeaseTimings rules;
+  private final MembershipService company;
   private final Map<String, Mine> mine = new LinkedHashMap<>();
   private long nextLook;
   private boolean looking;
   /** How often something was seen, for word that is late. */
   private long looks;
 
-  LeaseDesk(Vertx vertx, RegistryAccess access, OwnerRules rules, FleetCompany company) {
+  RegistryLeaseClient(Vertx vertx, RegistrySettings access, LeaseTimings rules, MembershipService company) {
     this.rules = rules;
     this.company = company;
-    registry = new RegistryDesk(vertx, access);
+    registry = new RegistryAdminClient(vertx, access);
   }
 
   /** One task at this gateway. */
-  private final class Mine implements LeasedTenure.Orders {
+  private final class Mine implements RegistryLeadership.Orders {
     final String task;
-    final LeasedTenure tenure;
+    final RegistryLeadership tenure;
     private long lease, revision, outSince;
 
     Mine(String task) {
       this.task = task;
-      tenure = new LeasedTenure(rules, this, company.seed() ^ task.hashCode());
+      tenure = new RegistryLeadership(rules, this, company.seed() ^ task.hashCode());
     }
 
     @Override public void campaign(long term, long changed) {
       outSince = looks;
-      registry.campaign(task, new Content.Task(term, company.name()), changed, rules.lease() / SECOND)
+      registry.campaign(task, new RegistryRecord.Task(term, company.name()), changed, rules.lease() / SECOND)
           .onComplete(done -> {
             outSince = looks;
             if (done.failed() || done.result() == 0) {
@@ -81,7 +81,7 @@
     }
 
     /** What the registry says; what was read before this one's own try was answered is passed over. */
-    void seen(long now, long readSince, Held term, boolean held) {
+    void seen(long now, long readSince, RegistryEntry term, boolean held) {
       if (readSince <= outSince && outSince > 0) {
         return;
       }
@@ -90,11 +90,11 @@
         tenure.restored(); // The registry goes on from an older state of it.
       }
       revision = changed;
-      tenure.seen(now, term == null ? 0 : ((Content.Task) term.content()).term(), held, changed);
+      tenure.seen(now, term == null ? 0 : ((RegistryRecord.Task) term.content()).term(), held, changed);
     }
   }
 
-  Tenure tenure(String task) {
+  Leadership tenure(String task) {
     Mine one = mine.computeIfAbsent(task, Mine::new);
     return one.tenure;
   }
@@ -115,11 +115,11 @@
     });
   }
 
-  private void look(List<Held> keys, long since) {
+  private void look(List<RegistryEntry> keys, long since) {
     for (Mine one : mine.values()) {
-      Held term = null;
+      RegistryEntry term = null;
       boolean held = false;
-      for (Held key : keys) {
+      for (RegistryEntry key : keys) {
         term = one.task.equals(registry.taskOf(key, false)) ? key : term;
         held |= one.task.equals(registry.taskOf(key, true));
       }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/Work.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
@@ -1,14 +1,14 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Tenure;
+import org.amberpath.leadership.Leadership;
 import io.vertx.core.json.JsonObject;
 
 /** What is done under one task, by whoever owns it. Belief is looked at again in the moment of each act. */
-interface Work {
+interface TaskRunner {
   String task();
 
   /** Several times a period, in every gateway; it acts only as far as the tenure lets it. */
-  void tick(long now, Tenure tenure);
+  void tick(long now, Leadership tenure);
 
   /** Whether nothing of it is under way. */
   boolean isIdle();
--- a/leadership/src/test/java/org/amberpath/leadership/AheadTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -6,9 +6,9 @@
 
 import org.junit.jupiter.api.Test;
 
-class AheadTest {
+class CachePrefetchTest {
   private static final long MS = 1_000_000;
-  private final Ahead ahead = new Ahead();
+  private final CachePrefetch ahead = new CachePrefetch();
 
   private int asks(long now) {
     int asks = 0;
--- a/leadership/src/test/java/org/amberpath/leadership/TrialsTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.leadership.Trials.Said;
+import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,17 +14,17 @@
 import org.junit.jupiter.api.Test;
 
 /** A gateway that asks, and an owner that is asked. */
-class TrialsTest {
+class HealthCheckCoordinatorTest {
   private static final long MS = 1_000_000;
   private static final List<String> OTHERS = List.of("a", "b", "c", "d");
 
   private static final Said NONE = new Said(false, -1), NOW = new Said(true, 0);
 
-  private final Trials asker = new Trials(), owner = new Trials();
+  private final HealthCheckCoordinator asker = new HealthCheckCoordinator(), owner = new HealthCheckCoordinator();
   private long now = 1000 * MS;
 
-  private Trials.Ask ask() {
-    Trials.Ask ask = asker.due(now, 5, () -> OTHERS, false);
+  private HealthCheckCoordinator.Ask ask() {
+    HealthCheckCoordinator.Ask ask = asker.due(now, 5, () -> OTHERS, false);
     for (int ms = 0; ask == null && ms < 5000; ms++) {
       now += MS;
       ask = asker.due(now, 5, () -> OTHERS, false);
@@ -38,7 +38,7 @@
     asker.standing(now, "x", false);
     assertEquals(List.of("a", "b", "c", "a"), IntStream.range(0, 4).mapToObj(one -> ask().to()).toList());
     assertFalse(asker.forAll(now, false));
-    Trials.Ask ask = ask();
+    HealthCheckCoordinator.Ask ask = ask();
     assertEquals("b", ask.to());
     asker.word(now + MS, "b", 7, ask.stamp(), Map.of("x", NONE));
     assertTrue(asker.forAll(now + MS, false));
@@ -51,15 +51,15 @@
   @Test
   void oneGatewayTriesForAllAndSaysHowLongAgoItAnswered() {
     asker.standing(now, "x", false);
-    Trials.Ask ask = ask();
+    HealthCheckCoordinator.Ask ask = ask();
     assertEquals(Map.of("x", NONE), owner.asked(now, "a", ask.caches()));
     assertEquals(List.of("x"), owner.tries(now));
     assertEquals(List.of(), owner.tries(now), "one at a time");
-    owner.tried(now + 30 * MS, "x", Trials.End.ANSWERED);
+    owner.tried(now + 30 * MS, "x", HealthCheckCoordinator.End.ANSWERED);
     now += 100 * MS;
     Map<String, Said> ago = owner.asked(now, "a", ask.caches());
     assertEquals(Map.of("x", new Said(true, 70 * MS)), ago);
-    Trials.Ask next = ask();
+    HealthCheckCoordinator.Ask next = ask();
     assertEquals(Map.of("x", new Said(true, 75 * MS)),
         asker.word(next.stamp() + 5 * MS, next.to(), 3, next.stamp(), ago),
         "the way there and back may have been all before the word");
@@ -76,7 +76,7 @@
       }
       for (String cache : owner.tries(now)) {
         tries++;
-        owner.tried(now, cache, Trials.End.SILENT);
+        owner.tried(now, cache, HealthCheckCoordinator.End.SILENT);
       }
     }
     assertTrue(tries >= 5 && tries <= 10, tries + " in 20 s");
@@ -92,7 +92,7 @@
       owner.asked(now, "a", List.of("x"));
       for (String cache : owner.tries(now)) {
         tries++;
-        owner.tried(now, cache, Trials.End.SILENT);
+        owner.tried(now, cache, HealthCheckCoordinator.End.SILENT);
       }
     }
     assertTrue(tries >= 20 && tries <= 25, tries + " in 20 s");
@@ -101,9 +101,9 @@
   @Test
   void wordOfAnOlderTermOrToAnotherQuestionIsWorthNothing() {
     asker.standing(now, "x", false);
-    Trials.Ask first = ask();
+    HealthCheckCoordinator.Ask first = ask();
     assertEquals(1, asker.word(now, "a", 9, first.stamp(), Map.of("x", NOW)).size());
-    Trials.Ask second = ask();
+    HealthCheckCoordinator.Ask second = ask();
     assertNull(asker.word(now, "b", 8, second.stamp(), Map.of("x", NOW)));
     assertEquals(9, asker.seen());
     assertNull(asker.word(now, "b", 9, second.stamp(), Map.of("x", NOW)), "one term is one owner's");
@@ -117,7 +117,7 @@
     asker.standing(now, "x", false);
     int asks = 0;
     for (int ms = 0; ms < 60_000; ms += 10, now += 10 * MS) {
-      Trials.Ask ask = asker.due(now, 1001, () -> many, false);
+      HealthCheckCoordinator.Ask ask = asker.due(now, 1001, () -> many, false);
       if (ask != null) {
         asks++;
         asker.word(now, ask.to(), 1, ask.stamp(), Map.of("x", NONE));
@@ -128,7 +128,7 @@
       asker.standing(now, "cache-" + one, false);
       owner.asked(now, "a", List.of("cache-" + one));
     });
-    assertEquals(Trials.MOST_NAMED, ask().caches().size());
+    assertEquals(HealthCheckCoordinator.MOST_NAMED, ask().caches().size());
     assertEquals(8, owner.tries(now).size());
   }
 
@@ -137,7 +137,7 @@
     for (String one : by) {
       owner.asked(now, one, List.of("x"));
     }
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, Trials.End.SILENT));
+    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 400 * MS;
   }
 
@@ -145,7 +145,7 @@
   void silenceIsToldToAllOnceTwoHaveSetItAsideAndTwoTrialsFoundItToo() {
     silentTrial("a", "b");
     assertEquals(Map.of(), owner.news(now), "one trial");
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, Trials.End.SILENT));
+    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 400 * MS;
     Map<String, Said> silent = owner.news(now);
     assertEquals(Map.of("x", new Said(false, 400 * MS)), silent, "from when it was asked");
@@ -164,7 +164,7 @@
   void oneThatHasSetACacheAsideCondemnsItForNobodyElse() {
     for (int one = 0; one < 6; one++, now += 1000 * MS) {
       owner.asked(now, "a", List.of("x"));
-      owner.tries(now).forEach(cache -> owner.tried(now, cache, Trials.End.SILENT));
+      owner.tries(now).forEach(cache -> owner.tried(now, cache, HealthCheckCoordinator.End.SILENT));
     }
     assertEquals(Map.of(), owner.news(now));
   }
@@ -172,7 +172,7 @@
   @Test
   void aCacheThatOnlyTheOwnerCantReachIsNotSilentForAll() {
     silentTrial("a", "b");
-    owner.tries(now).forEach(cache -> owner.tried(now, cache, Trials.End.SILENT));
+    owner.tries(now).forEach(cache -> owner.tried(now, cache, HealthCheckCoordinator.End.SILENT));
     Map<String, Said> silent = owner.news(now);
     assertFalse(silent.get("x").answers());
     assertEquals("", asker.answers(now, "x"), "nobody has said otherwise");
@@ -183,7 +183,7 @@
     assertTrue(owner.news(now).get("x").answers());
     for (int one = 0; one < 6; one++, now += 1000 * MS) {
       owner.asked(now, "b", List.of("x"));
-      owner.tries(now).forEach(cache -> owner.tried(now, cache, Trials.End.SILENT));
+      owner.tries(now).forEach(cache -> owner.tried(now, cache, HealthCheckCoordinator.End.SILENT));
     }
     assertTrue(owner.news(now).get("x").answers(), "the owner's own silence is worth nothing for a while");
     asker.word(now, "o", 1, 0, owner.news(now));
@@ -193,7 +193,7 @@
   @Test
   void aTrialThatIsStillOutMakesTheOneBeforeNoYounger() {
     silentTrial("a", "b");
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, Trials.End.SILENT));
+    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 1000 * MS;
     owner.asked(now, "a", List.of("x"));
     assertEquals(List.of("x"), owner.tries(now));
@@ -204,12 +204,12 @@
   void moreSilentCachesThanALetterHoldsAreToldInTurn() {
     List<String> all = IntStream.range(0, 25).mapToObj(one -> "c" + one).toList();
     for (int one = 0; one < 200; one++, now += 50 * MS) {
-      for (int at = 0; at < all.size(); at += Trials.MOST_NAMED) {
-        List<String> some = all.subList(at, Math.min(all.size(), at + Trials.MOST_NAMED));
+      for (int at = 0; at < all.size(); at += HealthCheckCoordinator.MOST_NAMED) {
+        List<String> some = all.subList(at, Math.min(all.size(), at + HealthCheckCoordinator.MOST_NAMED));
         owner.asked(now, "a", some);
         owner.asked(now, "b", some);
       }
-      owner.tries(now).forEach(cache -> owner.tried(now, cache, Trials.End.SILENT));
+      owner.tries(now).forEach(cache -> owner.tried(now, cache, HealthCheckCoordinator.End.SILENT));
     }
     Set<String> told = new TreeSet<>();
     for (int one = 0; one < 100; one++, now += 500 * MS) {
--- a/leadership/src/test/java/org/amberpath/leadership/VotedTenureTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.leadership.Vote.Kind;
+import org.amberpath.leadership.LeaseMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -14,37 +14,37 @@
 import org.junit.jupiter.api.Test;
 
 /** Stories of one candidate among three voters, and of what recipients believe. */
-class VotedTenureTest {
+class QuorumLeadershipTest {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, LEASE = 3 * SECOND, SETTLE = SECOND / 2;
-  private static final OwnerRules RULES = new OwnerRules(LEASE, SETTLE, 1000);
+  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
   private static final String TASK = "sweep";
 
-  private record Sent(String voter, Vote vote) {
+  private record Sent(String voter, LeaseMessage vote) {
   }
 
   private final List<Sent> sent = new ArrayList<>();
-  private final Map<String, Voter> voters = new TreeMap<>();
-  private final VotedTenure owner = candidate(Electorate.of("a", "b", "c"));
+  private final Map<String, LeaseAcceptor> voters = new TreeMap<>();
+  private final QuorumLeadership owner = candidate(VoterConfiguration.of("a", "b", "c"));
   private long now;
 
-  VotedTenureTest() {
-    List.of("a", "b", "c", "d", "e").forEach(name -> voters.put(name, new Voter(RULES, 0)));
+  QuorumLeadershipTest() {
+    List.of("a", "b", "c", "d", "e").forEach(name -> voters.put(name, new LeaseAcceptor(RULES, 0)));
     now = RULES.longest(LEASE);
   }
 
-  private VotedTenure candidate(Electorate electorate) {
-    return new VotedTenure(RULES, TASK, electorate, (voter, vote) -> sent.add(new Sent(voter, vote)), 7, 0);
+  private QuorumLeadership candidate(VoterConfiguration electorate) {
+    return new QuorumLeadership(RULES, TASK, electorate, (voter, vote) -> sent.add(new Sent(voter, vote)), 7, 0);
   }
 
-  private Vote answer(Sent one, String by) {
+  private LeaseMessage answer(Sent one, String by) {
     return voters.get(one.voter).asked(now, by, one.vote);
   }
 
   /** Has what was sent answered by these voters, and what follows from that. */
-  private void heardBy(VotedTenure of, String by, String... names) {
+  private void heardBy(QuorumLeadership of, String by, String... names) {
     while (!sent.isEmpty()) {
       Sent one = sent.remove(0);
-      Vote answer = List.of(names).contains(one.voter) ? answer(one, by) : null;
+      LeaseMessage answer = List.of(names).contains(one.voter) ? answer(one, by) : null;
       if (answer != null) {
         of.answered(now, one.voter, answer);
       }
@@ -56,20 +56,20 @@
     heardBy(owner, "me", "a", "b");
     now += RULES.longest(SETTLE) + 1;
     owner.tick(now);
-    assertEquals(Tenure.State.HOLDING, owner.state());
+    assertEquals(Leadership.State.HOLDING, owner.state());
   }
 
   @Test
   void aMajorityMakesAnOwnerWhichWaitsForWhatOlderOnesBegan() {
     owner.tick(now);
     heardBy(owner, "me", "a");
-    assertEquals(Tenure.State.ASKING, owner.state(), "one of three");
+    assertEquals(Leadership.State.ASKING, owner.state(), "one of three");
     now += LEASE;
     owner.tick(now);
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "a", "b");
-    assertEquals(Tenure.State.WAITING, owner.state());
+    assertEquals(Leadership.State.WAITING, owner.state());
     assertFalse(owner.holds(now));
     now += RULES.longest(SETTLE);
     owner.tick(now);
@@ -78,8 +78,8 @@
 
   @Test
   void aVoterThatStartedAnewVotesForNobodyForTheLongestLease() {
-    Voter fresh = new Voter(RULES, now);
-    Vote ask = new Vote(Kind.PREPARE, TASK, 5, 0);
+    LeaseAcceptor fresh = new LeaseAcceptor(RULES, now);
+    LeaseMessage ask = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
     assertNull(fresh.asked(now + LEASE, "me", ask));
     assertEquals(Kind.PROMISE, fresh.asked(now + RULES.longest(LEASE), "me", ask).kind());
   }
@@ -93,7 +93,7 @@
     now += RULES.longest(SETTLE);
     owner.tick(now);
     assertTrue(owner.until() < asked + SECOND + LEASE);
-    Vote other = voters.get("a").asked(owner.until(), "other", new Vote(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+    LeaseMessage other = voters.get("a").asked(owner.until(), "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
     assertTrue(other.other() > 0, "it is still kept for the owner");
     assertFalse(owner.holds(owner.until()));
   }
@@ -121,10 +121,10 @@
   void aCandidateDisturbsNoOwner() {
     own();
     for (String voter : List.of("a", "b")) {
-      Vote answer = voters.get(voter).asked(now, "other", new Vote(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+      LeaseMessage answer = voters.get(voter).asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
       assertTrue(answer.kind() == Kind.PROMISE && answer.other() > 0);
       assertEquals(Kind.REFUSED,
-          voters.get(voter).asked(now, "other", new Vote(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1)).kind());
+          voters.get(voter).asked(now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1)).kind());
     }
     now = owner.due();
     owner.tick(now);
@@ -134,18 +134,18 @@
 
   @Test
   void whileOneListFollowsAnotherBothMajoritiesAreNeeded() {
-    owner.electorate(new Electorate(List.of("a", "b", "c"), List.of("c", "d", "e")));
+    owner.electorate(new VoterConfiguration(List.of("a", "b", "c"), List.of("c", "d", "e")));
     owner.tick(now);
     heardBy(owner, "me", "a", "b", "c");
-    assertEquals(Tenure.State.ASKING, owner.state());
+    assertEquals(Leadership.State.ASKING, owner.state());
     now += 2 * LEASE;
     owner.tick(now);
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "a", "c", "d");
-    assertEquals(Tenure.State.WAITING, owner.state());
-    assertThrows(IllegalArgumentException.class, () -> Electorate.of("a", "b"));
-    assertThrows(IllegalArgumentException.class, () -> Electorate.of("a", "b", "a"));
+    assertEquals(Leadership.State.WAITING, owner.state());
+    assertThrows(IllegalArgumentException.class, () -> VoterConfiguration.of("a", "b"));
+    assertThrows(IllegalArgumentException.class, () -> VoterConfiguration.of("a", "b", "a"));
   }
 
   @Test
@@ -154,7 +154,7 @@
     owner.resign(now);
     assertFalse(owner.holds(now));
     sent.forEach(one -> answer(one, "me"));
-    Vote answer = voters.get("a").asked(now, "other", new Vote(Kind.PREPARE, TASK, owner.term() + 1, 0));
+    LeaseMessage answer = voters.get("a").asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
     assertEquals(0, answer.other());
   }
 
@@ -172,9 +172,9 @@
 
   @Test
   void termsRiseOverARestartOfAllByTheWallClockAndWhereThatWentBackByWhatRecipientsHaveSeen() {
-    Fence fence = new Fence();
+    FencingGuard fence = new FencingGuard();
     assertTrue(fence.passes(TASK, 1_700_000_000_500L, "old"));
-    VotedTenure anew = candidate(Electorate.of("a", "b", "c"));
+    QuorumLeadership anew = candidate(VoterConfiguration.of("a", "b", "c"));
     anew.wall(1_700_000_000_100L);
     anew.tick(now);
     assertEquals(1_700_000_000_100L, sent.get(0).vote.ballot());
@@ -188,7 +188,7 @@
 
   @Test
   void oneTermIsOneOwners() {
-    Fence fence = new Fence();
+    FencingGuard fence = new FencingGuard();
     assertTrue(fence.passes(TASK, 5, "me"));
     assertTrue(fence.passes(TASK, 5, "me"));
     assertFalse(fence.passes(TASK, 5, "other"));
@@ -201,11 +201,11 @@
 
   /** Another owner is elected by these voters, and lets the task go. */
   private long ownedAndLetGo(String... by) {
-    VotedTenure other = candidate(Electorate.of("a", "b", "c"));
+    QuorumLeadership other = candidate(VoterConfiguration.of("a", "b", "c"));
     other.wall(wall += 10);
     other.tick(now);
     heardBy(other, "other", by);
-    assertEquals(Tenure.State.WAITING, other.state());
+    assertEquals(Leadership.State.WAITING, other.state());
     owner.wall(wall += 10);
     other.resign(now);
     heardBy(other, "other", "a", "b", "c");
@@ -219,18 +219,18 @@
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "b", "c");
-    assertEquals(Tenure.State.WAITING, owner.state(), "c has never heard of the one before");
+    assertEquals(Leadership.State.WAITING, owner.state(), "c has never heard of the one before");
     owner.resign(now);
     heardBy(owner, "me", "a", "b", "c");
     sent.clear();
 
     long next = ownedAndLetGo("a", "b", "c");
-    VotedTenure heir = candidate(Electorate.of("a", "b", "c"));
+    QuorumLeadership heir = candidate(VoterConfiguration.of("a", "b", "c"));
     heir.wall(wall);
     heir.handedOver(now, next);
     heir.tick(now);
     heardBy(heir, "heir", "a", "b");
-    assertEquals(Tenure.State.HOLDING, heir.state());
+    assertEquals(Leadership.State.HOLDING, heir.state());
   }
 
   @Test
@@ -241,17 +241,17 @@
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "a", "b", "c");
-    assertEquals(Tenure.State.WAITING, owner.state());
+    assertEquals(Leadership.State.WAITING, owner.state());
     owner.handedOver(now, first);
-    assertEquals(Tenure.State.WAITING, owner.state());
+    assertEquals(Leadership.State.WAITING, owner.state());
   }
 
   @Test
   void aListOfVotersFollowsAnotherOnlyByWayOfBoth() {
-    Electorate first = Electorate.of("a", "b", "c"), last = Electorate.of("c", "d", "e");
-    Electorate both = new Electorate(first.now(), last.now());
+    VoterConfiguration first = VoterConfiguration.of("a", "b", "c"), last = VoterConfiguration.of("c", "d", "e");
+    VoterConfiguration both = new VoterConfiguration(first.now(), last.now());
     assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
     assertFalse(last.follows(first));
-    assertFalse(new Electorate(last.now(), first.now()).follows(both));
+    assertFalse(new VoterConfiguration(last.now(), first.now()).follows(both));
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/LeasedTenureTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.Test;
 
 /** Who owns a task by a lease, and who must believe that it does no more. */
-class LeasedTenureTest {
+class RegistryLeadershipTest {
   private static final long SECOND = 1_000_000_000, LEASE = 3 * SECOND;
-  private static final OwnerRules RULES = new OwnerRules(LEASE, 2 * SECOND, 1000);
+  private static final LeaseTimings RULES = new LeaseTimings(LEASE, 2 * SECOND, 1000);
 
   private final List<String> orders = new ArrayList<>();
-  private final LeasedTenure owner = new LeasedTenure(RULES, new LeasedTenure.Orders() {
+  private final RegistryLeadership owner = new RegistryLeadership(RULES, new RegistryLeadership.Orders() {
     @Override public void campaign(long term, long changed) {
       orders.add("campaign " + term + " " + changed);
     }
@@ -50,7 +50,7 @@
   @Test
   void aNewOwnerDoesNothingUntilWhatOlderOnesBeganHasRunOut() {
     long now = won();
-    assertEquals(Tenure.State.WAITING, owner.state());
+    assertEquals(Leadership.State.WAITING, owner.state());
     assertFalse(owner.holds(now));
     owner.tick(now + SECOND);
     owner.kept(now + SECOND, now + SECOND);
@@ -83,7 +83,7 @@
     owner.handedOver(now, 4);
     assertFalse(owner.holds(now + 10 * SECOND));
     owner.tick(now + 10 * SECOND);
-    assertEquals(Tenure.State.FOLLOWING, owner.state());
+    assertEquals(Leadership.State.FOLLOWING, owner.state());
   }
 
   @Test
--- a/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -13,16 +13,16 @@
 class SweepClockTest {
   private static final long SECOND = 1_000_000_000, RETENTION = 600 * SECOND, WALL_MS = 1_700_000_000_000L;
 
-  private final Sweep sweep = new Sweep(RETENTION, SECOND);
+  private final PurgeRetention sweep = new PurgeRetention(RETENTION, SECOND);
 
-  private static Held purge(long atMs, long changed) {
-    return new Held("p/purges/1", new Content.Purge(7, 0, atMs), changed, changed);
+  private static RegistryEntry purge(long atMs, long changed) {
+    return new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, atMs), changed, changed);
   }
 
   @ParameterizedTest
   @CsvSource({"0,0", "-5000,0", "0,5000", "-3600000,3600000", "3600000,-3600000", "100000000000,0"})
   void noStepMakesAKeyGoEarlierOrStay(long writers, long owners) {
-    List<Held> all = List.of(purge(WALL_MS + writers, 5), new Held("p/tip", new Content.Other(), 1, 5));
+    List<RegistryEntry> all = List.of(purge(WALL_MS + writers, 5), new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 5));
     long start = WALL_MS * 1_000_000, retentionMs = RETENTION / 1_000_000;
     assertEquals(List.of(), sweep.old(all, start, WALL_MS + owners));
     assertEquals(List.of(), sweep.old(all, start + RETENTION, WALL_MS + retentionMs + owners));
@@ -31,7 +31,7 @@
 
   @Test
   void whatIsOldByAnyStepGoesAtOnceSoThatOwnersThatChangeLeaveNothing() {
-    List<Held> all = List.of(purge(WALL_MS - RETENTION / 1_000_000 - 2 * 3_600_000 - 1, 5));
+    List<RegistryEntry> all = List.of(purge(WALL_MS - RETENTION / 1_000_000 - 2 * 3_600_000 - 1, 5));
     assertEquals(all, sweep.old(all, 0, WALL_MS));
   }
 
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
@@ -12,19 +12,19 @@
 /** A candidate's wall clock steps while it leads: its lease and its renewals are another clock's, terms only rise. */
 class VoteClockTest {
   private static final long SECOND = 1_000_000_000, LEASE = 3 * SECOND, WALL_MS = 1_700_000_000_000L;
-  private static final OwnerRules RULES = new OwnerRules(LEASE, SECOND / 2, 1000);
+  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SECOND / 2, 1000);
 
-  private final Voter voter = new Voter(RULES, 0);
-  private final Deque<Vote> sent = new ArrayDeque<>();
-  private final VotedTenure owner =
-      new VotedTenure(RULES, "sweep", Electorate.of("a"), (to, vote) -> sent.add(vote), 7, 0);
+  private final LeaseAcceptor voter = new LeaseAcceptor(RULES, 0);
+  private final Deque<LeaseMessage> sent = new ArrayDeque<>();
+  private final QuorumLeadership owner =
+      new QuorumLeadership(RULES, "sweep", VoterConfiguration.of("a"), (to, vote) -> sent.add(vote), 7, 0);
   private long now = RULES.longest(LEASE);
 
   private void passes(long time) {
     for (long until = now + time; now < until; now += SECOND / 20) {
       owner.tick(now);
       while (!sent.isEmpty()) {
-        Vote answer = voter.asked(now, "me", sent.remove());
+        LeaseMessage answer = voter.asked(now, "me", sent.remove());
         if (answer != null) {
           owner.answered(now, "a", answer);
         }
--- a/membership/src/main/java/org/amberpath/membership/Message.java
+++ b/membership/src/main/java/org/amberpath/membership/GossipMessage.java
@@ -15,8 +15,8 @@
  * @param whole whether its sender has heard a whole list itself
  * @param more of {@link Kind#PAGE}: whether the sender's list goes on
  */
-public record Message(Kind kind, Rumour from, long to, long serial, long number, long names, long there,
-    String about, boolean more, boolean whole, List<Rumour> rumours) {
+public record GossipMessage(Kind kind, MemberUpdate from, long to, long serial, long number, long names, long there,
+    String about, boolean more, boolean whole, List<MemberUpdate> rumours) {
   /** Probe, its answer, a probe on another's behalf, word that there was no answer so far, and lists both ways. */
   public enum Kind { PING, ACK, ASK, NACK, SYNC, PAGE }
 }
--- a/membership/src/main/java/org/amberpath/membership/Standing.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberStatus.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
 /** What is said of a gateway. Of two sayings under one incarnation, the later in this order holds. */
-public enum Standing {
+public enum MemberStatus {
   ALIVE, SUSPECTED, LOST, LEFT
 }
--- a/membership/src/main/java/org/amberpath/membership/FleetDoor.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * What is let in to a {@link FleetView} of the datagrams that come: none that was recorded before, none meant for
+ * What is let in to a {@link SwimProtocol} of the datagrams that come: none that was recorded before, none meant for
  * another process or for one that ran here before, and not more than a bounded number, in all and of each sender.
  *
  * <p>A datagram is believed if it names this process's birth, which is drawn by chance at its start: what was sent to
@@ -14,7 +14,7 @@
  *
  * <p>Bounds: {@value #MOST_SENDERS} senders, the ones heard last. Times are nanoseconds of the gateway's own clock.
  */
-public final class FleetDoor {
+public final class ReplayFilter {
   /** What becomes of a datagram. */
   public enum Verdict { TAKEN, GREETED, REPEATED, TOO_MANY }
 
@@ -37,7 +37,7 @@
   }
 
   /** A door that nobody has come to, of the process of one birth. */
-  public FleetDoor(long own, long period, long now) {
+  public ReplayFilter(long own, long period, long now) {
     this.own = own;
     this.period = period;
     since = now;
@@ -54,7 +54,7 @@
   }
 
   /** What becomes of one whose sender is proved. */
-  public Verdict judge(long now, Message message) {
+  public Verdict judge(long now, GossipMessage message) {
     return judge(now, message.from().birth(), message.to(), message.serial());
   }
 
--- a/membership/src/main/java/org/amberpath/membership/FleetView.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import org.amberpath.membership.Message.Kind;
+import org.amberpath.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -27,16 +27,16 @@
  * <p>Bounds: {@value #MOST} gateways; a rumour a gateway; one own probe and {@value #MOST_HELP} for others at a time;
  * answers a period by their number. Times are nanoseconds of this gateway's own clock.
  */
-public final class FleetView {
+public final class SwimProtocol {
   /** The view as a whole. */
   public enum Phase { JOINING, ALONE, SETTLING, SETTLED, CUT_OFF, LEAVING }
 
   /** Where datagrams and news go. */
   public interface Out {
-    void send(String address, Message message);
+    void send(String address, GossipMessage message);
 
     /** A gateway's standing has changed. */
-    void news(String name, Standing standing);
+    void news(String name, MemberStatus standing);
 
     void phase(Phase from, Phase to);
 
@@ -58,7 +58,7 @@
   private static final int MOST_TO_ONE = 8;
   private static final int MOST_TWINS = 16, RISES = 4, SEEDS_ONE_IN = 4, SEED_ASKERS = 8;
 
-  private final FleetRules rules;
+  private final SwimTimings rules;
   private final List<String> seeds;
   private final SplittableRandom chance;
   private final Out out;
@@ -71,7 +71,7 @@
   private final Set<Long> twins = new HashSet<>();
   /** How often another birth under this name rose above this one. */
   private final Map<Long, Integer> risen = new HashMap<>();
-  private Rumour self;
+  private MemberUpdate self;
   private Probe probe;
   private Phase phase = Phase.JOINING;
   private long now, startedAt, tickedAt, probeDue, syncDue, tryDue, changedAt, number, refutedAt = Long.MIN_VALUE;
@@ -82,19 +82,19 @@
   private String cursor;
 
   private static final class Peer {
-    Rumour said;
+    MemberUpdate said;
     final long mixed;
     long until, changedAt, names, answeredSince;
     int answered;
     final Set<String> accusers = new HashSet<>();
 
-    Peer(Rumour said) {
+    Peer(MemberUpdate said) {
       this.said = said;
       mixed = mix(said.name());
     }
 
     boolean isThere() {
-      return said.standing() == Standing.ALIVE || said.standing() == Standing.SUSPECTED;
+      return said.standing() == MemberStatus.ALIVE || said.standing() == MemberStatus.SUSPECTED;
     }
   }
 
@@ -111,11 +111,11 @@
     }
   }
 
-  private record Help(Rumour asker, long number, long until) {
+  private record Help(MemberUpdate asker, long number, long until) {
   }
 
   /** What is held of one gateway, and since when. */
-  public record Seen(Rumour said, long since) {
+  public record Seen(MemberUpdate said, long since) {
   }
 
   /**
@@ -124,7 +124,7 @@
    * @param self this process: its incarnation is above that of its starts before, as far as its clock can tell
    * @param seeds addresses of which any may answer; its own is passed over
    */
-  public FleetView(FleetRules rules, Rumour self, List<String> seeds, long seed, long now, Out out) {
+  public SwimProtocol(SwimTimings rules, MemberUpdate self, List<String> seeds, long seed, long now, Out out) {
     this.rules = rules;
     this.self = self;
     this.seeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
@@ -146,7 +146,7 @@
   }
 
   /** What this gateway says of itself. */
-  public Rumour self() {
+  public MemberUpdate self() {
     return self;
   }
 
@@ -164,7 +164,7 @@
   }
 
   /** What is held of a gateway that is there; null otherwise. */
-  public Rumour find(String name) {
+  public MemberUpdate find(String name) {
     Peer peer = peers.get(name);
     return peer != null && peer.isThere() ? peer.said : null;
   }
@@ -180,9 +180,9 @@
   }
 
   /** What is held of another gateway; null if it was never heard of. */
-  public Standing standing(String name) {
+  public MemberStatus standing(String name) {
     Peer peer = peers.get(name);
-    return name.equals(self.name()) ? Standing.ALIVE : peer == null ? null : peer.said.standing();
+    return name.equals(self.name()) ? MemberStatus.ALIVE : peer == null ? null : peer.said.standing();
   }
 
   /** By how many shared bounds are divided: rises when a name is heard of, falls when one left, never by a loss. */
@@ -197,7 +197,7 @@
   }
 
   private boolean counts(Peer peer) {
-    return peer.said.standing() != Standing.LEFT || now - peer.changedAt < STILL_COUNTED * rules.period();
+    return peer.said.standing() != MemberStatus.LEFT || now - peer.changedAt < STILL_COUNTED * rules.period();
   }
 
   /** Guards against a liar's word that another left: for a while it counts on, and may say otherwise itself. */
@@ -230,9 +230,9 @@
   // ---- What comes.
 
   /** Another's datagram, checked and decoded. */
-  public void received(long time, Message message) {
+  public void received(long time, GossipMessage message) {
     now = time;
-    Rumour from = message.from();
+    MemberUpdate from = message.from();
     if (phase == Phase.LEAVING || from.name().equals(self.name())) {
       twin(from);
       return;
@@ -285,7 +285,7 @@
   }
 
   /** Answers one that knows this gateway's address and not its birth, or an older one: nothing it said counts yet. */
-  public void greet(long time, Rumour to) {
+  public void greet(long time, MemberUpdate to) {
     now = time;
     if (phase != Phase.LEAVING && !to.name().equals(self.name())) {
       send(to, Kind.NACK, 0, null, false, List.of());
@@ -293,7 +293,7 @@
   }
 
   /** Guards against two processes that push one another out for ever: both are told, neither refutes at speed. */
-  private void twin(Rumour from) {
+  private void twin(MemberUpdate from) {
     if (phase != Phase.LEAVING && from.birth() != self.birth() && twins.size() < MOST_TWINS
         && twins.add(from.birth())) {
       out.twin(from.address());
@@ -311,7 +311,7 @@
     }
   }
 
-  private void help(Peer asker, Message ask) {
+  private void help(Peer asker, GossipMessage ask) {
     Peer of = peers.get(ask.about());
     if (of != null && helping.size() < MOST_HELP) {
       long own = ++number;
@@ -321,14 +321,14 @@
   }
 
   /** A saying is believed if it beats what is held; one against this gateway itself is refuted. */
-  private void take(Rumour rumour) {
+  private void take(MemberUpdate rumour) {
     if (rumour.incarnation() > now / SECOND + AHEAD) {
       return; // Guards against a saying that could never be refuted.
     }
     if (rumour.name().equals(self.name())) {
       if (rumour.birth() != self.birth()) {
         outlive(rumour);
-      } else if (rumour.standing() != Standing.ALIVE && rumour.incarnation() >= self.incarnation()) {
+      } else if (rumour.standing() != MemberStatus.ALIVE && rumour.incarnation() >= self.incarnation()) {
         doubt = Math.min(MOST_DOUBT, doubt + 1);
         refute(rumour.incarnation() + 1);
       }
@@ -343,11 +343,11 @@
         changed(held, null);
       }
     } else if (rumour.beats(held.said)) {
-      Standing before = held.said.standing();
+      MemberStatus before = held.said.standing();
       held.said = rumour;
       held.accusers.clear();
       changed(held, before);
-    } else if (rumour.standing() == Standing.SUSPECTED && held.said.standing() == Standing.SUSPECTED
+    } else if (rumour.standing() == MemberStatus.SUSPECTED && held.said.standing() == MemberStatus.SUSPECTED
         && rumour.incarnation() == held.said.incarnation() && held.accusers.size() < CONFIRMED
         && held.accusers.add(rumour.by())) {
       // Guards against late word of a crash: each further accuser shortens the suspicion.
@@ -358,11 +358,11 @@
   }
 
   /** What is remembered of a start before this one, or of a twin: this start is above it. */
-  private void outlive(Rumour other) {
+  private void outlive(MemberUpdate other) {
     boolean above = other.incarnation() > self.incarnation()
-        || other.incarnation() == self.incarnation() && other.standing() != Standing.ALIVE;
+        || other.incarnation() == self.incarnation() && other.standing() != MemberStatus.ALIVE;
     if (above && (risen.size() < MOST_TWINS || risen.containsKey(other.birth()))
-        && risen.merge(other.birth(), 1, Integer::sum) >= RISES && other.standing() == Standing.ALIVE) {
+        && risen.merge(other.birth(), 1, Integer::sum) >= RISES && other.standing() == MemberStatus.ALIVE) {
       twin(other); // One that has ended does not rise above what outlived it, but for what is still on its way.
     }
     if (above && (refutedAt == Long.MIN_VALUE || now - refutedAt > rules.period() * STOOD || twins.isEmpty())) {
@@ -372,13 +372,13 @@
 
   private void refute(long incarnation) {
     refutedAt = now;
-    self = new Rumour(self.name(), self.address(), incarnation, self.birth(), Standing.ALIVE, self.name());
+    self = new MemberUpdate(self.name(), self.address(), incarnation, self.birth(), MemberStatus.ALIVE, self.name());
     spreading.put(self.name(), 0);
   }
 
-  private void changed(Peer peer, Standing before) {
-    Standing after = peer.said.standing();
-    if (after == Standing.SUSPECTED) {
+  private void changed(Peer peer, MemberStatus before) {
+    MemberStatus after = peer.said.standing();
+    if (after == MemberStatus.SUSPECTED) {
       peer.accusers.add(peer.said.by());
       peer.until = now + suspicion(peer.accusers.size());
     }
@@ -403,15 +403,15 @@
 
   // ---- What goes.
 
-  private void send(Rumour to, Kind kind, long number, String about, boolean more, List<Rumour> rumours) {
-    out.send(to.address(), new Message(kind, self, to.birth(), ++serial, number, digest, there, about, more, synced,
+  private void send(MemberUpdate to, Kind kind, long number, String about, boolean more, List<MemberUpdate> rumours) {
+    out.send(to.address(), new GossipMessage(kind, self, to.birth(), ++serial, number, digest, there, about, more, synced,
         rumours));
   }
 
   /** What rides on a datagram: first what is said of the one that it goes to, then what was sent least. */
-  private List<Rumour> rumoursFor(Peer to) {
-    List<Rumour> some = new ArrayList<>();
-    if (to != null && to.said.standing() != Standing.ALIVE) {
+  private List<MemberUpdate> rumoursFor(Peer to) {
+    List<MemberUpdate> some = new ArrayList<>();
+    if (to != null && to.said.standing() != MemberStatus.ALIVE) {
       some.add(to.said);
     }
     int often = SPREAD * (32 - Integer.numberOfLeadingZeros(names));
@@ -433,8 +433,8 @@
   }
 
   /** A stretch of all that is known, by name: lists both ways mend what rumours missed. */
-  private void page(Rumour to, Kind kind, long number, String after) {
-    List<Rumour> some = new ArrayList<>();
+  private void page(MemberUpdate to, Kind kind, long number, String after) {
+    List<MemberUpdate> some = new ArrayList<>();
     boolean more = false;
     for (Peer peer : peers.tailMap(after == null ? "" : after, false).values()) {
       more = some.size() == rules.rumours();
@@ -450,7 +450,7 @@
    * A list goes on where it ended, with whoever is asked next: one asker gets a bounded number of answers a period, and
    * while all hold the same, one stretch each few periods is enough.
    */
-  private void synced(Rumour from, Message page) {
+  private void synced(MemberUpdate from, GossipMessage page) {
     if (page.number() != chain || !Objects.equals(page.about(), cursor)) {
       return;
     }
@@ -499,8 +499,8 @@
       return over;
     });
     for (Peer peer : peers.values()) {
-      if (peer.said.standing() == Standing.SUSPECTED && now >= peer.until) {
-        say(peer, Standing.LOST);
+      if (peer.said.standing() == MemberStatus.SUSPECTED && now >= peer.until) {
+        say(peer, MemberStatus.LOST);
       }
     }
     forgetLeft();
@@ -512,7 +512,7 @@
     }
     if (now >= tryDue) {
       tryDue = now + TRY_LOST * rules.period() / 2 + chance.nextLong(TRY_LOST * rules.period());
-      Peer lost = any(one -> one.said.standing() == Standing.LOST);
+      Peer lost = any(one -> one.said.standing() == MemberStatus.LOST);
       if (lost != null) {
         page(lost.said, Kind.SYNC, ++number, null);
         send(lost.said, Kind.PING, ++number, null, false, rumoursFor(lost));
@@ -524,7 +524,7 @@
 
   /** Guards memory against names that come and go for ever: one that left is remembered until all have heard of it. */
   private void forgetLeft() {
-    if (peers.values().removeIf(one -> one.said.standing() == Standing.LEFT
+    if (peers.values().removeIf(one -> one.said.standing() == MemberStatus.LEFT
         && now - one.changedAt > REMEMBERED * rules.period())) {
       order.removeIf(one -> peers.get(one.said.name()) != one);
       at = Math.min(at, order.size());
@@ -554,7 +554,7 @@
       probe.asked = true;
       Peer of = probe.of;
       for (int one = 0; one < HELPERS; one++) {
-        Peer helper = any(each -> each != of && each.said.standing() == Standing.ALIVE);
+        Peer helper = any(each -> each != of && each.said.standing() == MemberStatus.ALIVE);
         if (helper != null) {
           probe.owing++;
           send(helper.said, Kind.ASK, probe.number, of.said.name(), false, List.of());
@@ -565,17 +565,17 @@
       // Nobody that was asked says a word: it may be this gateway that hears nothing.
       doubt = probe.owing > 0 ? Math.min(MOST_DOUBT, doubt + 1) : doubt;
       probe = null;
-      if (of.said.standing() == Standing.ALIVE) {
-        say(of, Standing.SUSPECTED);
-      } else if (of.said.standing() == Standing.SUSPECTED) {
-        take(new Rumour(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(),
-            Standing.SUSPECTED, self.name()));
+      if (of.said.standing() == MemberStatus.ALIVE) {
+        say(of, MemberStatus.SUSPECTED);
+      } else if (of.said.standing() == MemberStatus.SUSPECTED) {
+        take(new MemberUpdate(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(),
+            MemberStatus.SUSPECTED, self.name()));
       }
     }
   }
 
-  private void say(Peer of, Standing standing) {
-    take(new Rumour(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(), standing,
+  private void say(Peer of, MemberStatus standing) {
+    take(new MemberUpdate(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(), standing,
         self.name()));
   }
 
@@ -627,8 +627,8 @@
     }
   }
 
-  private Rumour unknown(List<String> addresses) {
-    return new Rumour("", addresses.get(chance.nextInt(addresses.size())), 0, 0, Standing.ALIVE, "");
+  private MemberUpdate unknown(List<String> addresses) {
+    return new MemberUpdate("", addresses.get(chance.nextInt(addresses.size())), 0, 0, MemberStatus.ALIVE, "");
   }
 
   private Peer any(Predicate<Peer> which) {
@@ -637,7 +637,7 @@
   }
 
   private void settle() {
-    boolean suspects = peers.values().stream().anyMatch(one -> one.said.standing() == Standing.SUSPECTED);
+    boolean suspects = peers.values().stream().anyMatch(one -> one.said.standing() == MemberStatus.SUSPECTED);
     if (present == 1 && names == 1) {
       boolean waited = phase == Phase.ALONE || now - startedAt > ALONE_AFTER * rules.period();
       enter(waited ? Phase.ALONE : Phase.JOINING);
@@ -662,7 +662,7 @@
   public void leave(long time) {
     now = time;
     enter(Phase.LEAVING);
-    self = new Rumour(self.name(), self.address(), self.incarnation(), self.birth(), Standing.LEFT, self.name());
+    self = new MemberUpdate(self.name(), self.address(), self.incarnation(), self.birth(), MemberStatus.LEFT, self.name());
     List<Peer> some = new ArrayList<>(peers.values().stream().filter(Peer::isThere).toList());
     for (int one = 0; one < 2 * HELPERS && !some.isEmpty(); one++) {
       send(some.remove(chance.nextInt(some.size())).said, Kind.NACK, 0, null, false, List.of());
@@ -673,9 +673,9 @@
   public boolean forget(long time, String name) {
     now = time;
     Peer peer = peers.get(name);
-    boolean lost = peer != null && peer.said.standing() == Standing.LOST;
+    boolean lost = peer != null && peer.said.standing() == MemberStatus.LOST;
     if (lost) {
-      say(peer, Standing.LEFT);
+      say(peer, MemberStatus.LEFT);
     }
     return lost;
   }
--- a/membership/src/main/java/org/amberpath/membership/FleetRules.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimTimings.java
@@ -8,22 +8,22 @@
  * @param answer how long the answer to a probe may take, before others are asked to try
  * @param rumours how many fit into one datagram
  */
-public record FleetRules(int told, long period, long answer, int rumours) {
+public record SwimTimings(int told, long period, long answer, int rumours) {
   private static final long MS = 1_000_000;
 
-  public FleetRules {
+  public SwimTimings {
     if (told < 1 || period < 10 * MS || answer < MS || 3 * answer > period || rumours < 4) {
       throw new IllegalArgumentException("told at least 1, a period of three answers and 10 ms at least, 4 rumours");
     }
   }
 
   /** A probe each half second. */
-  public static FleetRules usual(int told) {
+  public static SwimTimings usual(int told) {
     return every(told, 500 * MS);
   }
 
   /** A probe each period, three tenths of it for an answer, and as many rumours as fit with the longest names. */
-  public static FleetRules every(int told, long period) {
-    return new FleetRules(told, period, period * 3 / 10, 10);
+  public static SwimTimings every(int told, long period) {
+    return new SwimTimings(told, period, period * 3 / 10, 10);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetDesk.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.membership.FleetView;
+import org.amberpath.membership.SwimProtocol;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpMethod;
@@ -18,18 +18,18 @@
  * tasks that it owns: GET {@value #TASKS}, POST {@value #RELEASE}TASK. Bounds:
  * {@value #MOST} connections at a time, which are closed when idle.
  */
-public final class FleetDesk {
+public final class AdminEndpoint {
   public static final String VIEW = "/fleet", FORGET = "/fleet/forget/", TASKS = "/owner", RELEASE = "/owner/release/";
-  private static final Logger LOG = Logger.getLogger(FleetDesk.class.getName());
+  private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
   private static final int MOST = 8, IDLE_S = 10, LONGEST_LINE = 512, LONGEST_HEADERS = 4096;
   private static final long MS = 1_000_000;
 
-  private final FleetCompany company;
-  private final Guest guest;
+  private final MembershipService company;
+  private final FleetMessageHandler guest;
   private final HttpServer server;
   private int open;
 
-  FleetDesk(Vertx vertx, FleetCompany company, Guest guest) {
+  AdminEndpoint(Vertx vertx, MembershipService company, FleetMessageHandler guest) {
     this.company = company;
     this.guest = guest;
     server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(IDLE_S)
@@ -54,7 +54,7 @@
   }
 
   private void answer(HttpServerRequest request) {
-    FleetView view = company.view();
+    SwimProtocol view = company.view();
     String path = request.path();
     if (view == null) {
       request.response().setStatusCode(503).end();
@@ -73,10 +73,10 @@
     }
   }
 
-  private JsonObject json(FleetView view) {
+  private JsonObject json(SwimProtocol view) {
     JsonArray others = new JsonArray();
     long now = company.now();
-    for (FleetView.Seen one : view.others()) {
+    for (SwimProtocol.Seen one : view.others()) {
       others.add(new JsonObject().put("name", one.said().name()).put("address", one.said().address())
           .put("standing", low(one.said().standing())).put("incarnation", one.said().incarnation())
           .put("since_ms", (now - one.since()) / MS));
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetForm.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -1,8 +1,8 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.membership.Message;
-import org.amberpath.membership.Rumour;
-import org.amberpath.membership.Standing;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.MemberStatus;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -17,37 +17,37 @@
  * A datagram's form: MessagePack values one after another, then {@value FleetKeys#LENGTH} bytes that prove who made
  * them. First come version, fleet and the key's id; nothing behind them is read before the proof.
  */
-public final class FleetForm {
+public final class DatagramCodec {
   /** What a datagram is worth that tells nothing. */
   public enum Fault { UNREADABLE, OTHER_VERSION, OTHER_FLEET, OTHER_KEY, FORGED }
 
   /** Something that one gateway writes to another by way of the fleet's datagrams. */
-  public record Letter(Rumour from, long to, long serial, byte[] body) {
+  public record Letter(MemberUpdate from, long to, long serial, byte[] body) {
   }
 
   /** What came of one: a message, a letter, or what is wrong with it. */
-  public record Read(Message message, Letter letter, Fault fault) {
+  public record Read(GossipMessage message, Letter letter, Fault fault) {
   }
 
   public static final int LONGEST = 1400, LONGEST_LETTER = 1000;
   static final String NAME = "[A-Za-z0-9._-]{1,32}";
   private static final String ADDRESS = "[0-9.]{7,15}:[0-9]{1,5}";
   private static final int VERSION = 1, MORE = 1, WHOLE = 2;
-  private static final Message.Kind[] KINDS = Message.Kind.values();
+  private static final GossipMessage.Kind[] KINDS = GossipMessage.Kind.values();
   private static final int LETTER = KINDS.length;
-  private static final Standing[] STANDINGS = Standing.values();
+  private static final MemberStatus[] STANDINGS = MemberStatus.values();
 
   private final String fleet;
   private final int mostRumours;
 
   /** The form of one fleet, with so many rumours in a datagram at most. */
-  public FleetForm(String fleet, int mostRumours) {
+  public DatagramCodec(String fleet, int mostRumours) {
     this.fleet = fleet;
     this.mostRumours = mostRumours;
   }
 
   /** A datagram of this message, signed. */
-  public byte[] write(Message message, FleetKeys keys) {
+  public byte[] write(GossipMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packString(fleet).packString(keys.first());
       out.packInt(message.kind().ordinal()).packLong(message.to()).packLong(message.serial())
@@ -60,7 +60,7 @@
       out.packInt((message.more() ? MORE : 0) + (message.whole() ? WHOLE : 0));
       out.packArrayHeader(message.rumours().size());
       write(out, message.from());
-      for (Rumour rumour : message.rumours()) {
+      for (MemberUpdate rumour : message.rumours()) {
         write(out, rumour);
       }
       return signed(out.toByteArray(), keys);
@@ -70,7 +70,7 @@
   }
 
   /** A datagram of this letter, signed. */
-  public byte[] write(Letter letter, FleetKeys keys) {
+  public byte[] write(Letter letter, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packString(fleet).packString(keys.first());
       out.packInt(LETTER).packLong(letter.to()).packLong(letter.serial());
@@ -82,20 +82,20 @@
     }
   }
 
-  private static byte[] signed(byte[] bytes, FleetKeys keys) {
-    byte[] whole = Arrays.copyOf(bytes, bytes.length + FleetKeys.LENGTH);
-    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, FleetKeys.LENGTH);
+  private static byte[] signed(byte[] bytes, HmacKeyring keys) {
+    byte[] whole = Arrays.copyOf(bytes, bytes.length + HmacKeyring.LENGTH);
+    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, HmacKeyring.LENGTH);
     return whole;
   }
 
-  private static void write(MessageBufferPacker out, Rumour rumour) throws IOException {
+  private static void write(MessageBufferPacker out, MemberUpdate rumour) throws IOException {
     out.packString(rumour.name()).packString(rumour.address()).packLong(rumour.incarnation())
         .packLong(rumour.birth()).packInt(rumour.standing().ordinal()).packString(rumour.by());
   }
 
   /** What a datagram says, if it is whole, of this fleet and proved. */
-  public Read read(byte[] bytes, FleetKeys keys) {
-    int length = bytes.length - FleetKeys.LENGTH;
+  public Read read(byte[] bytes, HmacKeyring keys) {
+    int length = bytes.length - HmacKeyring.LENGTH;
     if (length <= 0 || bytes.length > LONGEST) {
       return new Read(null, null, Fault.UNREADABLE);
     }
@@ -122,7 +122,7 @@
 
   private static Letter letter(MessageUnpacker in) throws IOException {
     long to = in.unpackLong(), serial = in.unpackLong();
-    Rumour from = rumour(in);
+    MemberUpdate from = rumour(in);
     byte[] body = in.readPayload(below(in.unpackBinaryHeader(), LONGEST_LETTER + 1));
     if (in.hasNext() || serial <= 0) {
       throw new IllegalArgumentException();
@@ -130,33 +130,33 @@
     return new Letter(from, to, serial, body);
   }
 
-  private Message message(Message.Kind kind, MessageUnpacker in) throws IOException {
+  private GossipMessage message(GossipMessage.Kind kind, MessageUnpacker in) throws IOException {
     long to = in.unpackLong(), serial = in.unpackLong(), number = in.unpackLong(), names = in.unpackLong();
     long there = in.unpackLong();
     String about = in.tryUnpackNil() ? null : text(in, NAME);
     int flags = below(in.unpackInt(), MORE + WHOLE + 1);
     int many = below(in.unpackArrayHeader(), mostRumours + 1);
-    Rumour from = rumour(in);
-    List<Rumour> rumours = new ArrayList<>(many);
+    MemberUpdate from = rumour(in);
+    List<MemberUpdate> rumours = new ArrayList<>(many);
     for (int one = 0; one < many; one++) {
       rumours.add(rumour(in));
     }
-    boolean asks = kind == Message.Kind.ASK;
-    if (in.hasNext() || serial <= 0 || asks && about == null || kind == Message.Kind.PAGE && many == 0
+    boolean asks = kind == GossipMessage.Kind.ASK;
+    if (in.hasNext() || serial <= 0 || asks && about == null || kind == GossipMessage.Kind.PAGE && many == 0
         && (flags & MORE) != 0) {
       throw new IllegalArgumentException();
     }
-    return new Message(kind, from, to, serial, number, names, there, about, (flags & MORE) != 0, (flags & WHOLE) != 0,
+    return new GossipMessage(kind, from, to, serial, number, names, there, about, (flags & MORE) != 0, (flags & WHOLE) != 0,
         rumours);
   }
 
-  private static Rumour rumour(MessageUnpacker in) throws IOException {
+  private static MemberUpdate rumour(MessageUnpacker in) throws IOException {
     String name = text(in, NAME), address = text(in, ADDRESS);
     long incarnation = in.unpackLong(), birth = in.unpackLong();
     if (incarnation < 0) {
       throw new IllegalArgumentException();
     }
-    return new Rumour(name, address, incarnation, birth, STANDINGS[below(in.unpackInt(), STANDINGS.length)],
+    return new MemberUpdate(name, address, incarnation, birth, STANDINGS[below(in.unpackInt(), STANDINGS.length)],
         text(in, NAME));
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/Guest.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.routing.Decisions;
+import org.amberpath.routing.RoutingActions;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
 
@@ -8,10 +8,10 @@
  * Something that a gateway does together with others of its fleet, by letters to them. It is called on the gateway's
  * event loop.
  */
-public interface Guest {
+public interface FleetMessageHandler {
   /** Makes the guest of one gateway. */
   interface Maker {
-    Guest make(Vertx vertx, FleetCompany company);
+    FleetMessageHandler make(Vertx vertx, MembershipService company);
   }
 
   /** The fleet's view has begun. */
@@ -24,7 +24,7 @@
   void letter(long now, String from, byte[] body);
 
   /** How an edge cache is, as far as this gateway's decisions see it. */
-  void health(long now, String cache, Decisions.Health health);
+  void health(long now, String cache, RoutingActions.Health health);
 
   /** An edge cache has just started, and bears less than all until this time. */
   void cold(long now, String cache, long until);
