--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetKeys.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -16,7 +16,7 @@
  * The keys of a fleet: the first of a file signs, each is believed, so that one follows another without a gap. HMAC
  * with SHA-256 (RFC 2104), of which the first {@value #LENGTH} bytes are sent. Only for one thread.
  */
-public final class FleetKeys {
+public final class HmacKeyring {
   public static final int LENGTH = 16;
   private static final int MOST = 4, LEAST_BYTES = 16, LONGEST_FILE = 4096;
   private static final String ID = "[A-Za-z0-9._-]{1,16}";
@@ -31,11 +31,11 @@
   private final Map<String, Mac> byId = new LinkedHashMap<>();
   private final String first;
 
-  private FleetKeys(String first) {
+  private HmacKeyring(String first) {
     this.first = first;
   }
 
-  private FleetKeys(Path file) throws IOException {
+  private HmacKeyring(Path file) throws IOException {
     if (Files.size(file) > LONGEST_FILE) {
       throw new Faulty("[fleet] key: " + file + ": over " + LONGEST_FILE + " bytes");
     }
@@ -83,13 +83,13 @@
   }
 
   /** Reads a file; a message of {@link Faulty} names file and line, and never a key. */
-  public static FleetKeys read(Path file) throws IOException {
-    return new FleetKeys(file);
+  public static HmacKeyring read(Path file) throws IOException {
+    return new HmacKeyring(file);
   }
 
   /** One key alone. */
-  public static FleetKeys of(String id, byte[] key) {
-    FleetKeys keys = new FleetKeys(id);
+  public static HmacKeyring of(String id, byte[] key) {
+    HmacKeyring keys = new HmacKeyring(id);
     keys.byId.put(id, mac(key));
     return keys;
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetCompany.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -1,14 +1,14 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.routing.Decisions;
-import org.amberpath.membership.FleetDoor;
-import org.amberpath.membership.FleetRules;
-import org.amberpath.membership.FleetView;
-import org.amberpath.membership.Message;
-import org.amberpath.membership.Rumour;
-import org.amberpath.membership.Standing;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.SwimProtocol;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.MemberStatus;
 import org.amberpath.gateway.Clock;
-import org.amberpath.gateway.Company;
+import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.gateway.GatewayOptions;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
@@ -23,13 +23,13 @@
 import java.util.logging.Logger;
 
 /**
- * Carries out what a {@link FleetView} says: datagrams on the gateway's loop, the view's news in the log, this
+ * Carries out what a {@link SwimProtocol} says: datagrams on the gateway's loop, the view's news in the log, this
  * gateway's part of shared bounds to the decisions.
  *
- * <p>Bounds: what {@link FleetDoor} lets be looked at; {@value #MOST_LINES} log lines a second.
+ * <p>Bounds: what {@link ReplayFilter} lets be looked at; {@value #MOST_LINES} log lines a second.
  */
-public final class FleetCompany implements Company, FleetView.Out {
-  private static final Logger LOG = Logger.getLogger(FleetCompany.class.getName());
+public final class MembershipService implements FleetCoordinator, SwimProtocol.Out {
+  private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
   private static final int TICKS = 5, MOST_LINES = 5;
   private static final long MS = 1_000_000, SECOND = 1000 * MS;
 
@@ -38,18 +38,18 @@
     FORGED }
 
   private final Vertx vertx;
-  private final FleetAccess access;
+  private final MembershipSettings access;
   private final GatewayOptions options;
   private final Ways ways;
-  private final FleetRules rules;
-  private final FleetForm form;
-  private final FleetDesk desk;
-  private final Guest guest;
+  private final SwimTimings rules;
+  private final DatagramCodec form;
+  private final AdminEndpoint desk;
+  private final FleetMessageHandler guest;
   private final Clock clock = new Clock();
   private final Map<Count, Long> counts = new EnumMap<>(Count.class);
-  private FleetKeys keys;
-  private FleetView view;
-  private FleetDoor door;
+  private HmacKeyring keys;
+  private SwimProtocol view;
+  private ReplayFilter door;
   private DatagramSocket socket;
   private Future<Void> lastSent = Future.succeededFuture();
   private long timer = -1, linesSince, unsaid;
@@ -57,26 +57,26 @@
   private double part = -1;
 
   /** The company of one gateway, which must have a name that fits into a datagram. */
-  public FleetCompany(Vertx vertx, FleetAccess access, GatewayOptions options, Ways ways, Guest.Maker guests) {
+  public MembershipService(Vertx vertx, MembershipSettings access, GatewayOptions options, Ways ways, FleetMessageHandler.Maker guests) {
     this.vertx = vertx;
     this.access = access;
     this.options = options;
     this.ways = ways;
-    rules = FleetRules.every(access.told() == 0 ? Math.max(1, options.site().gateways()) : access.told(),
+    rules = SwimTimings.every(access.told() == 0 ? Math.max(1, options.site().gateways()) : access.told(),
         access.period());
-    form = new FleetForm(access.fleet(), rules.rumours());
+    form = new DatagramCodec(access.fleet(), rules.rumours());
     guest = guests == null ? null : guests.make(vertx, this);
-    desk = access.operators() == null ? null : new FleetDesk(vertx, this, guest);
+    desk = access.operators() == null ? null : new AdminEndpoint(vertx, this, guest);
     for (Count one : Count.values()) {
       counts.put(one, 0L);
     }
   }
 
   @Override public Future<Void> start() {
-    if (!options.name().matches(FleetForm.NAME)) {
+    if (!options.name().matches(DatagramCodec.NAME)) {
       return Future.failedFuture("PROXY_NAME: with [fleet] 1 to 32 letters, digits, ._- and not " + options.name());
     }
-    return vertx.executeBlocking(() -> FleetKeys.read(access.key())).compose(read -> {
+    return vertx.executeBlocking(() -> HmacKeyring.read(access.key())).compose(read -> {
       keys = read;
       socket = vertx.createDatagramSocket();
       return socket.listen(access.listen().port(), access.listen().hostAddress());
@@ -84,7 +84,7 @@
       String own = access.listen().hostAddress() + ":" + up.localAddress().port();
       begin(access.advertised() == null ? own : text(access.advertised()), own);
       return desk == null ? Future.succeededFuture() : desk.listen(access.operators());
-    }).recover(e -> Future.failedFuture(new IOException(e instanceof FleetKeys.Faulty ? e.getMessage()
+    }).recover(e -> Future.failedFuture(new IOException(e instanceof HmacKeyring.Faulty ? e.getMessage()
         : "[fleet]: " + e, e)));
   }
 
@@ -94,9 +94,9 @@
 
   private void begin(String address, String own) {
     long now = clock.now(), birth = new SecureRandom().nextLong();
-    Rumour self = new Rumour(options.name(), address, now / SECOND, birth, Standing.ALIVE, options.name());
-    door = new FleetDoor(birth, rules.period(), now);
-    view = new FleetView(rules, self, access.seeds().stream().map(FleetCompany::text).toList(),
+    MemberUpdate self = new MemberUpdate(options.name(), address, now / SECOND, birth, MemberStatus.ALIVE, options.name());
+    door = new ReplayFilter(birth, rules.period(), now);
+    view = new SwimProtocol(rules, self, access.seeds().stream().map(MembershipService::text).toList(),
         options.site().seed() ^ birth, now, this);
     LOG.info(options.name() + ": fleet " + access.fleet() + ", key " + keys.first() + ": hears at " + own
         + ", told as " + address + ", at most " + rules.told() + " gateways");
@@ -129,21 +129,21 @@
       add(Count.TOO_MANY);
       return;
     }
-    FleetForm.Read read = form.read(data.getBytes(), keys);
+    DatagramCodec.Read read = form.read(data.getBytes(), keys);
     if (read.fault() != null) {
       add(Count.valueOf(read.fault().name()));
       return;
     }
-    Message message = read.message();
-    FleetForm.Letter letter = read.letter();
-    FleetDoor.Verdict verdict = letter == null ? door.judge(now, message)
+    GossipMessage message = read.message();
+    DatagramCodec.Letter letter = read.letter();
+    ReplayFilter.Verdict verdict = letter == null ? door.judge(now, message)
         : door.judge(now, letter.from().birth(), letter.to(), letter.serial());
     add(Count.valueOf(verdict.name()));
-    if (verdict == FleetDoor.Verdict.GREETED) {
+    if (verdict == ReplayFilter.Verdict.GREETED) {
       view.greet(now, letter == null ? message.from() : letter.from());
-    } else if (verdict == FleetDoor.Verdict.TAKEN && letter == null) {
+    } else if (verdict == ReplayFilter.Verdict.TAKEN && letter == null) {
       view.received(now, message);
-    } else if (verdict == FleetDoor.Verdict.TAKEN && guest != null) {
+    } else if (verdict == ReplayFilter.Verdict.TAKEN && guest != null) {
       guest.letter(now, letter.from().name(), letter.body());
     }
     share();
@@ -151,9 +151,9 @@
 
   /** Sends a letter to a gateway that is there; whether it is. It may be lost on the way, as any datagram. */
   public boolean post(String to, byte[] body) {
-    Rumour peer = view.find(to);
-    if (peer != null && body.length <= FleetForm.LONGEST_LETTER) {
-      send(peer.address(), form.write(new FleetForm.Letter(view.self(), peer.birth(), view.stamp(), body), keys));
+    MemberUpdate peer = view.find(to);
+    if (peer != null && body.length <= DatagramCodec.LONGEST_LETTER) {
+      send(peer.address(), form.write(new DatagramCodec.Letter(view.self(), peer.birth(), view.stamp(), body), keys));
     }
     return peer != null;
   }
@@ -205,7 +205,7 @@
     }
   }
 
-  @Override public void send(String address, Message message) {
+  @Override public void send(String address, GossipMessage message) {
     send(address, form.write(message, keys));
   }
 
@@ -216,11 +216,11 @@
     lastSent.onComplete(done -> add(done.succeeded() ? Count.SENT : Count.NOT_SENT));
   }
 
-  @Override public void news(String name, Standing standing) {
+  @Override public void news(String name, MemberStatus standing) {
     say(options.name() + ": fleet: " + name + " " + standing);
   }
 
-  @Override public void phase(FleetView.Phase from, FleetView.Phase to) {
+  @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
     say(options.name() + ": fleet: " + from + " -> " + to);
   }
 
@@ -228,7 +228,7 @@
     LOG.warning(options.name() + ": fleet: another process goes by this name at " + address);
   }
 
-  @Override public void health(String cache, Decisions.Health health) {
+  @Override public void health(String cache, RoutingActions.Health health) {
     if (guest != null && timer >= 0) {
       guest.health(clock.now(), cache, health);
     }
@@ -251,7 +251,7 @@
     if (guest != null && timer >= 0) {
       guest.renewed();
     }
-    vertx.executeBlocking(() -> FleetKeys.read(access.key())).onSuccess(read -> {
+    vertx.executeBlocking(() -> HmacKeyring.read(access.key())).onSuccess(read -> {
       keys = read;
       LOG.info(options.name() + ": fleet: signs by key " + keys.first());
     }).onFailure(e -> LOG.warning(options.name() + ": fleet: the keys stay: " + e.getMessage()));
@@ -275,7 +275,7 @@
   // ---- For the operators.
 
   /** Null until it has begun. */
-  FleetView view() {
+  SwimProtocol view() {
     return view;
   }
 
@@ -283,7 +283,7 @@
     return counts;
   }
 
-  FleetRules rules() {
+  SwimTimings rules() {
     return rules;
   }
 
--- a/membership/src/test/java/org/amberpath/membership/FleetDoorTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -4,18 +4,18 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.FleetDoor.Verdict;
+import org.amberpath.membership.ReplayFilter.Verdict;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Stories of what is let in. */
-class FleetDoorTest {
+class ReplayFilterTest {
   private static final long MS = 1_000_000, PERIOD = 500 * MS, OWN = 7;
 
-  private final FleetDoor door = new FleetDoor(OWN, PERIOD, 0);
+  private final ReplayFilter door = new ReplayFilter(OWN, PERIOD, 0);
 
-  private static Message from(long birth, long to, long serial) {
-    return new Message(Message.Kind.PING, new Rumour("g" + birth, "at-g" + birth, 1, birth, Standing.ALIVE, ""), to,
+  private static GossipMessage from(long birth, long to, long serial) {
+    return new GossipMessage(GossipMessage.Kind.PING, new MemberUpdate("g" + birth, "at-g" + birth, 1, birth, MemberStatus.ALIVE, ""), to,
         serial, 1, 0, 0, null, false, true, List.of());
   }
 
--- a/membership/src/test/java/org/amberpath/membership/FleetViewTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -5,40 +5,40 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.Message.Kind;
+import org.amberpath.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** Stories of one gateway's view, told datagrams by hand. */
-class FleetViewTest implements FleetView.Out {
+class SwimProtocolTest implements SwimProtocol.Out {
   private static final long MS = 1_000_000, PERIOD = 500 * MS;
 
-  private record Sent(String to, Message message) {
+  private record Sent(String to, GossipMessage message) {
   }
 
   private final List<Sent> sent = new ArrayList<>();
   private final List<String> news = new ArrayList<>();
   private final List<String> twins = new ArrayList<>();
   private long now;
-  private FleetView view = view(2);
+  private SwimProtocol view = view(2);
 
-  private FleetView view(int told) {
-    return new FleetView(FleetRules.usual(told), saying("me", 5, Standing.ALIVE), List.of("at-me", "at-seed"), 7, now,
+  private SwimProtocol view(int told) {
+    return new SwimProtocol(SwimTimings.usual(told), saying("me", 5, MemberStatus.ALIVE), List.of("at-me", "at-seed"), 7, now,
         this);
   }
 
-  private static Rumour saying(String name, long incarnation, Standing standing) {
-    return new Rumour(name, "at-" + name, incarnation, name.hashCode(), standing, name);
+  private static MemberUpdate saying(String name, long incarnation, MemberStatus standing) {
+    return new MemberUpdate(name, "at-" + name, incarnation, name.hashCode(), standing, name);
   }
 
-  private void comes(Kind kind, String from, long number, boolean whole, Rumour... rumours) {
-    view.received(now, new Message(kind, saying(from, 1, Standing.ALIVE), 0, number, number, 0, 0, null, false, whole,
+  private void comes(Kind kind, String from, long number, boolean whole, MemberUpdate... rumours) {
+    view.received(now, new GossipMessage(kind, saying(from, 1, MemberStatus.ALIVE), 0, number, number, 0, 0, null, false, whole,
         List.of(rumours)));
   }
 
   /** The whole list, in answer to what was asked last. */
-  private void lists(String from, boolean whole, Rumour... rumours) {
+  private void lists(String from, boolean whole, MemberUpdate... rumours) {
     if (last(Kind.SYNC) == null) {
       view.tick(now);
     }
@@ -52,7 +52,7 @@
     }
   }
 
-  private Message last(Kind kind) {
+  private GossipMessage last(Kind kind) {
     return sent.stream().map(Sent::message).filter(one -> one.kind() == kind).reduce((a, b) -> b).orElse(null);
   }
 
@@ -74,8 +74,8 @@
   void aListGoesOnWhereItEndedAndWhileViewsDiffer() {
     view.tick(now);
     long number = last(Kind.SYNC).number();
-    Message more = new Message(Kind.PAGE, saying("other", 1, Standing.ALIVE), 0, 1, number, 0, 0, null, true, true,
-        List.of(saying("third", 1, Standing.ALIVE)));
+    GossipMessage more = new GossipMessage(Kind.PAGE, saying("other", 1, MemberStatus.ALIVE), 0, 1, number, 0, 0, null, true, true,
+        List.of(saying("third", 1, MemberStatus.ALIVE)));
     view.received(now, more);
     assertEquals("third", last(Kind.SYNC).about(), "asked on at once, since the list is not whole yet");
     sent.clear();
@@ -87,7 +87,7 @@
   @Test
   void whoHearsNobodyServesAsBefore() {
     pass(12 * PERIOD);
-    assertEquals(FleetView.Phase.ALONE, view.phase());
+    assertEquals(SwimProtocol.Phase.ALONE, view.phase());
     assertEquals(0.5, view.share());
   }
 
@@ -114,21 +114,21 @@
       }
     }
     assertEquals(List.of("other ALIVE", "third ALIVE", "other SUSPECTED", "other LOST"), news);
-    assertEquals(FleetView.Phase.SETTLED, view.phase());
+    assertEquals(SwimProtocol.Phase.SETTLED, view.phase());
     assertEquals(3, view.counted(), "a loss takes nobody's part");
   }
 
   @Test
   void whatIsSaidAgainstItIsRefuted() {
-    comes(Kind.PING, "other", 1, true, saying("me", 5, Standing.SUSPECTED));
+    comes(Kind.PING, "other", 1, true, saying("me", 5, MemberStatus.SUSPECTED));
     assertEquals(6, last(Kind.ACK).from().incarnation());
-    comes(Kind.PING, "other", 2, true, saying("me", 5, Standing.LOST));
+    comes(Kind.PING, "other", 2, true, saying("me", 5, MemberStatus.LOST));
     assertEquals(6, last(Kind.ACK).from().incarnation(), "old news of it is passed over");
   }
 
   @Test
   void aStartAnewIsAboveWhatTheFleetRemembersOfItAndNoTwin() {
-    comes(Kind.PING, "other", 1, true, new Rumour("me", "at-me", 40, 99, Standing.LOST, "other"));
+    comes(Kind.PING, "other", 1, true, new MemberUpdate("me", "at-me", 40, 99, MemberStatus.LOST, "other"));
     assertEquals(41, last(Kind.ACK).from().incarnation());
     assertTrue(twins.isEmpty());
   }
@@ -137,8 +137,8 @@
   void aTwinIsToldOnceAndDrivesUpNoIncarnation() {
     for (int time = 0; time < 50; time++) {
       now += MS;
-      Rumour twin = new Rumour("me", "at-twin", 100 + time, 99, Standing.ALIVE, "me");
-      view.received(now, new Message(Kind.PING, twin, 0, 1, 1, 0, 0, null, false, true, List.of()));
+      MemberUpdate twin = new MemberUpdate("me", "at-twin", 100 + time, 99, MemberStatus.ALIVE, "me");
+      view.received(now, new GossipMessage(Kind.PING, twin, 0, 1, 1, 0, 0, null, false, true, List.of()));
       comes(Kind.PING, "other", 1, true, twin);
     }
     assertEquals(List.of("at-twin"), twins);
@@ -147,7 +147,7 @@
 
   @Test
   void theCountFallsByWordAloneAndNeverByLoss() {
-    lists("other", true, saying("third", 1, Standing.LOST));
+    lists("other", true, saying("third", 1, MemberStatus.LOST));
     assertEquals(3, view.counted());
     assertEquals(0, view.share(), "beyond the told number, and not counted by all yet");
     assertTrue(view.forget(now, "third"));
@@ -155,7 +155,7 @@
     pass(30 * PERIOD);
     assertEquals(2, view.counted());
     assertFalse(view.forget(now, "third"), "it is not lost any more");
-    comes(Kind.PING, "other", 1, true, saying("other", 1, Standing.LEFT));
+    comes(Kind.PING, "other", 1, true, saying("other", 1, MemberStatus.LEFT));
     assertEquals(2, view.counted(), "never under the told number");
   }
 
@@ -167,7 +167,7 @@
     now += 20 * PERIOD;
     view.tick(now);
     assertTrue(news.isEmpty(), news.toString());
-    assertEquals(FleetView.Phase.SETTLING, view.phase());
+    assertEquals(SwimProtocol.Phase.SETTLING, view.phase());
   }
 
   @Test
@@ -175,7 +175,7 @@
     lists("other", true);
     view.leave(now);
     assertEquals(0, view.share());
-    assertEquals(Standing.LEFT, last(Kind.NACK).from().standing());
+    assertEquals(MemberStatus.LEFT, last(Kind.NACK).from().standing());
     sent.clear();
     comes(Kind.PING, "other", 1, true);
     assertTrue(sent.isEmpty());
@@ -195,27 +195,27 @@
 
   @Test
   void aLiarsWordThatAnotherLeftTakesNoPartBeforeThatOneHasSpoken() {
-    lists("other", true, saying("third", 1, Standing.ALIVE));
+    lists("other", true, saying("third", 1, MemberStatus.ALIVE));
     assertEquals(3, view.counted());
-    comes(Kind.PING, "liar", 2, true, saying("third", 2, Standing.LEFT));
+    comes(Kind.PING, "liar", 2, true, saying("third", 2, MemberStatus.LEFT));
     pass(10 * PERIOD);
     assertEquals(4, view.counted());
-    comes(Kind.PING, "other", 3, true, saying("third", 3, Standing.ALIVE));
+    comes(Kind.PING, "other", 3, true, saying("third", 3, MemberStatus.ALIVE));
     pass(30 * PERIOD);
     assertEquals(4, view.counted(), "it has spoken");
   }
 
   @Test
   void aSayingThatCouldNeverBeRefutedIsPassedOver() {
-    lists("other", true, saying("third", Long.MAX_VALUE, Standing.LOST),
-        saying("me", Long.MAX_VALUE, Standing.LOST));
+    lists("other", true, saying("third", Long.MAX_VALUE, MemberStatus.LOST),
+        saying("me", Long.MAX_VALUE, MemberStatus.LOST));
     assertNull(view.standing("third"));
     assertEquals(5, view.self().incarnation());
   }
 
   @Test
   void aStartThatNobodyBelievesIsToldWhatIsHeldOfIt() {
-    comes(Kind.PING, "other", 1, true, new Rumour("third", "at-third", 900, 77, Standing.ALIVE, "third"));
+    comes(Kind.PING, "other", 1, true, new MemberUpdate("third", "at-third", 900, 77, MemberStatus.ALIVE, "third"));
     sent.clear();
     comes(Kind.SYNC, "third", 2, false);
     assertEquals(900, last(Kind.NACK).rumours().get(0).incarnation());
@@ -223,30 +223,30 @@
 
   @Test
   void whoKnowsAnAddressAloneIsGreetedAndBelievedInNothing() {
-    view.greet(now, saying("other", 1, Standing.ALIVE));
+    view.greet(now, saying("other", 1, MemberStatus.ALIVE));
     assertEquals(List.of("at-other"), sent.stream().map(Sent::to).toList());
     assertNull(view.standing("other"));
-    view.greet(now, new Rumour("me", "at-twin", 1, 99, Standing.ALIVE, "me"));
+    view.greet(now, new MemberUpdate("me", "at-twin", 1, 99, MemberStatus.ALIVE, "me"));
     assertEquals(1, sent.size(), "an old datagram of its own is nobody's");
   }
 
   @Test
   void namesThatComeAndGoAreForgotten() {
-    lists("other", true, saying("third", 1, Standing.LEFT));
-    assertEquals(Standing.LEFT, view.standing("third"));
+    lists("other", true, saying("third", 1, MemberStatus.LEFT));
+    assertEquals(MemberStatus.LEFT, view.standing("third"));
     pass(250 * PERIOD);
     assertNull(view.standing("third"));
   }
 
-  @Override public void send(String address, Message message) {
+  @Override public void send(String address, GossipMessage message) {
     sent.add(new Sent(address, message));
   }
 
-  @Override public void news(String name, Standing standing) {
+  @Override public void news(String name, MemberStatus standing) {
     news.add(name + " " + standing);
   }
 
-  @Override public void phase(FleetView.Phase from, FleetView.Phase to) {
+  @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
   }
 
   @Override public void twin(String address) {
--- a/membership/src/test/java/org/amberpath/membership/runtime/FleetFormTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.FleetRules;
-import org.amberpath.membership.Message;
-import org.amberpath.membership.Message.Kind;
-import org.amberpath.membership.Rumour;
-import org.amberpath.membership.Standing;
-import org.amberpath.membership.runtime.FleetForm.Fault;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.GossipMessage.Kind;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.runtime.DatagramCodec.Fault;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -23,42 +23,42 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A datagram's form: what goes in comes out, and nothing else does. */
-class FleetFormTest {
+class DatagramCodecTest {
   private static final String KEY = "0123456789abcdef0123456789abcdef", OTHER = "ff".repeat(16);
-  private final FleetForm form = new FleetForm("stores", FleetRules.usual(1).rumours());
+  private final DatagramCodec form = new DatagramCodec("stores", SwimTimings.usual(1).rumours());
   @TempDir
   private Path folder;
 
-  private FleetKeys keys(String text) throws Exception {
-    return FleetKeys.read(Files.writeString(folder.resolve("keys"), text));
+  private HmacKeyring keys(String text) throws Exception {
+    return HmacKeyring.read(Files.writeString(folder.resolve("keys"), text));
   }
 
-  private static Rumour longest(Standing standing) {
+  private static MemberUpdate longest(MemberStatus standing) {
     String name = "n".repeat(32);
-    return new Rumour(name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, standing, name);
+    return new MemberUpdate(name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, standing, name);
   }
 
-  private static Message longest(int rumours) {
-    return new Message(Kind.PAGE, longest(Standing.ALIVE), Long.MIN_VALUE, Long.MAX_VALUE, Long.MIN_VALUE,
+  private static GossipMessage longest(int rumours) {
+    return new GossipMessage(Kind.PAGE, longest(MemberStatus.ALIVE), Long.MIN_VALUE, Long.MAX_VALUE, Long.MIN_VALUE,
         Long.MIN_VALUE, Long.MIN_VALUE, "n".repeat(32), true, true,
-        Collections.nCopies(rumours, longest(Standing.LOST)));
+        Collections.nCopies(rumours, longest(MemberStatus.LOST)));
   }
 
   @Test
   void theLongestFitsAndComesBackAsItWas() throws Exception {
-    FleetForm longest = new FleetForm("f".repeat(32), FleetRules.usual(1).rumours());
-    FleetKeys keys = keys("k".repeat(16) + " " + KEY);
-    Message message = longest(FleetRules.usual(1).rumours());
+    DatagramCodec longest = new DatagramCodec("f".repeat(32), SwimTimings.usual(1).rumours());
+    HmacKeyring keys = keys("k".repeat(16) + " " + KEY);
+    GossipMessage message = longest(SwimTimings.usual(1).rumours());
     byte[] bytes = longest.write(message, keys);
-    assertTrue(bytes.length <= FleetForm.LONGEST, "" + bytes.length);
+    assertTrue(bytes.length <= DatagramCodec.LONGEST, "" + bytes.length);
     assertEquals(message, longest.read(bytes, keys).message());
   }
 
   @Test
   void whatIsOfAnotherFleetOrKeyOrChangedIsToldApart() throws Exception {
-    FleetKeys keys = keys("k1 " + KEY);
+    HmacKeyring keys = keys("k1 " + KEY);
     byte[] bytes = form.write(longest(2), keys);
-    assertEquals(Fault.OTHER_FLEET, new FleetForm("other", 10).read(bytes, keys).fault());
+    assertEquals(Fault.OTHER_FLEET, new DatagramCodec("other", 10).read(bytes, keys).fault());
     assertEquals(Fault.OTHER_KEY, form.read(bytes, keys("k2 " + KEY)).fault());
     assertEquals(Fault.FORGED, form.read(bytes, keys("k1 " + OTHER)).fault());
     for (int at = 0; at < bytes.length; at++) {
@@ -72,7 +72,7 @@
 
   @Test
   void oneKeyFollowsAnotherWithoutAGap() throws Exception {
-    FleetKeys before = keys("k1 " + KEY), both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
+    HmacKeyring before = keys("k1 " + KEY), both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
     assertNotNull(form.read(form.write(longest(1), before), both).message());
     assertEquals("k2", both.first());
   }
@@ -81,7 +81,7 @@
   void aFileOfKeysIsReadStrictly() {
     for (String wrong : List.of("", "k1", "k1 xyz", "k1 0011", "k1 " + KEY + " more", "k/1 " + KEY,
         "k1 " + KEY + "\nk1 " + KEY, ("k1 " + KEY + "\n").repeat(200))) {
-      FleetKeys.Faulty faulty = assertThrows(FleetKeys.Faulty.class, () -> keys(wrong), wrong);
+      HmacKeyring.Faulty faulty = assertThrows(HmacKeyring.Faulty.class, () -> keys(wrong), wrong);
       assertTrue(faulty.getMessage().startsWith("[fleet] key: ") && !faulty.getMessage().contains(KEY),
           faulty.getMessage());
     }
@@ -90,13 +90,13 @@
   /** A holder of the key may still send what can't be read. */
   @Property(tries = 500)
   void whatIsSignedAndUnreadableCostsNothingButACount(@ForAll @Size(max = 200) byte[] behind) throws Exception {
-    FleetKeys keys = FleetKeys.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
+    HmacKeyring keys = HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
     byte[] good = form.write(longest(0), keys);
     int header = "stores".length() + "k1".length() + 3;
     byte[] bytes = Arrays.copyOf(good, header + behind.length);
     System.arraycopy(behind, 0, bytes, header, behind.length);
-    byte[] whole = Arrays.copyOf(bytes, bytes.length + FleetKeys.LENGTH);
-    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, FleetKeys.LENGTH);
+    byte[] whole = Arrays.copyOf(bytes, bytes.length + HmacKeyring.LENGTH);
+    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, HmacKeyring.LENGTH);
     assertEquals(Fault.UNREADABLE, form.read(whole, keys).fault());
   }
 }
--- a/planning/src/main/java/org/amberpath/planning/Shares.java
+++ b/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /** How a bound is shared among those who ask: the most even way in which nobody has more than it wants. */
-public final class Shares {
-  private Shares() {
+public final class MaxMinFairShare {
+  private MaxMinFairShare() {
   }
 
   /**
--- a/planning/src/main/java/org/amberpath/planning/Holding.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
@@ -11,13 +11,13 @@
  *
  * <p>Bounds: the last MOST asks are remembered; an answer to an older one is passed over.
  */
-public final class Holding {
+public final class QuotaHolder {
   private static final int MOST = 32;
 
   /** Why a grant was not taken. */
   public enum Refusal { TAKEN, OLD_TERM, OLD_NUMBER, OLD_ASK, UNKNOWN_ASK, OTHERS, OVER }
 
-  private final LeaseRules rules;
+  private final QuotaTimings rules;
   private final int member;
   private final long run, startedAt;
   private final double[] usual;
@@ -35,7 +35,7 @@
    *
    * @param run grows from start to start
    */
-  public Holding(LeaseRules rules, int member, long run, double[] usual, long now) {
+  public QuotaHolder(QuotaTimings rules, int member, long run, double[] usual, long now) {
     this.rules = rules;
     this.member = member;
     this.run = run;
@@ -44,13 +44,13 @@
   }
 
   /** The next ask; its grant's time counts from now. */
-  public Ask ask(long now, double[] wanted) {
+  public QuotaRequest ask(long now, double[] wanted) {
     asked.put(++seq, now);
-    return new Ask(member, run, seq, term, number, echo, wanted.clone());
+    return new QuotaRequest(member, run, seq, term, number, echo, wanted.clone());
   }
 
   /** Takes a grant into force, unless it is not for this start, older than what is known, or past its time. */
-  public Refusal take(long now, Grant grant) {
+  public Refusal take(long now, QuotaGrant grant) {
     if (grant.member() != member || grant.run() != run || grant.amounts().length != usual.length) {
       return Refusal.OTHERS;
     }
--- a/planning/src/main/java/org/amberpath/planning/Ledger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -18,7 +18,7 @@
  * <p>Bounds: members as told; MOST outstanding grants a member, past which it is granted nothing until it is
  * heard.
  */
-public final class Ledger {
+public final class QuotaLedger {
   private static final int MOST = 16;
 
   /** A grant as it is remembered: above until mostUntil, below from when it is told in force until leastUntil. */
@@ -52,14 +52,14 @@
       boolean inForce) {
   }
 
-  private final LeaseRules rules;
+  private final QuotaTimings rules;
   private final long term;
   private final double[] bounds, usual;
   private final Member[] members;
   private long last;
 
   /** A ledger of a term that begins with nobody holding more than the usual part. */
-  public Ledger(LeaseRules rules, long term, double[] bounds, int members) {
+  public QuotaLedger(QuotaTimings rules, long term, double[] bounds, int members) {
     this.rules = rules;
     this.term = term;
     this.bounds = bounds.clone();
@@ -79,9 +79,9 @@
    *
    * @param askedAt when that was: what was told is of no earlier time
    */
-  public static Ledger after(LeaseRules rules, long term, double[] bounds, int members, List<Left> left, long askedAt,
+  public static QuotaLedger after(QuotaTimings rules, long term, double[] bounds, int members, List<Left> left, long askedAt,
       long now) {
-    Ledger ledger = new Ledger(rules, term, bounds, members);
+    QuotaLedger ledger = new QuotaLedger(rules, term, bounds, members);
     for (Left one : left) {
       Member member = ledger.members[one.member()];
       member.run = Math.max(member.run, one.run());
@@ -157,7 +157,7 @@
    * * Takes what an ask tells of the grants before it. Returns whether it is to be answered: not if it came late
    * or twice.
    */
-  public boolean heard(Ask ask) {
+  public boolean heard(QuotaRequest ask) {
     if (ask.member() < 0 || ask.member() >= members.length) {
       return false;
     }
@@ -190,7 +190,7 @@
    * @param wished shares that a plan would give, at least the thin ones
    * @return null where nothing may be granted until the member is heard
    */
-  public Grant grant(long now, Ask ask, double[] wished) {
+  public QuotaGrant grant(long now, QuotaRequest ask, double[] wished) {
     Member member = members[ask.member()];
     long mostUntil = now + rules.longest(rules.grantTime());
     forget(now);
@@ -214,7 +214,7 @@
         : member.after + rules.shortest(rules.holdTime());
     Given given = new Given(++last, mostUntil, leastUntil, amounts);
     member.given.add(given);
-    return new Grant(ask.member(), ask.run(), ask.seq(), term, given.number, now, amounts.clone());
+    return new QuotaGrant(ask.member(), ask.run(), ask.seq(), term, given.number, now, amounts.clone());
   }
 
   /** What can't be in force any more is let go of; the one in force stays, as it tells what came after. */
--- a/planning/src/main/java/org/amberpath/planning/Ask.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
@@ -10,5 +10,5 @@
  * @param echo the planner's time in that grant, {@link Long#MIN_VALUE} for none: the ask was made after it
  * @param wanted how much of each resource it could use
  */
-public record Ask(int member, long run, long seq, long term, long number, long echo, double[] wanted) {
+public record QuotaRequest(int member, long run, long seq, long term, long number, long echo, double[] wanted) {
 }
--- a/planning/src/main/java/org/amberpath/planning/LeaseRules.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
@@ -1,6 +1,6 @@
 package org.amberpath.planning;
 
-import org.amberpath.leadership.OwnerRules;
+import org.amberpath.leadership.LeaseTimings;
 
 /**
  * What planners and forwarders of an installation agree on beforehand. Nanoseconds; no two clocks need to agree,
@@ -12,11 +12,11 @@
  * @param driftPpm by how many millionths a clock may run fast or slow
  * @param thin the least share, as a part of the usual one; what a forwarder that has just started keeps to
  */
-public record LeaseRules(long grantTime, long holdTime, int driftPpm, double thin) {
+public record QuotaTimings(long grantTime, long holdTime, int driftPpm, double thin) {
   private static final long MILLION = 1_000_000;
 
   /** Checks what the rules depend on. */
-  public LeaseRules {
+  public QuotaTimings {
     if (grantTime <= 0 || holdTime < 2 * grantTime || driftPpm < 0 || driftPpm > MILLION / 10 || !(thin > 0)
         || thin > 1) {
       throw new IllegalArgumentException("grant " + grantTime + ", hold " + holdTime + ", drift " + driftPpm
@@ -35,7 +35,7 @@
   }
 
   /** By what planners lead: a new one waits until what older ones granted has run out. */
-  public OwnerRules leading(long lease) {
-    return new OwnerRules(lease, grantTime, driftPpm);
+  public LeaseTimings leading(long lease) {
+    return new LeaseTimings(lease, grantTime, driftPpm);
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/LedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -14,21 +14,21 @@
 import org.junit.jupiter.api.Test;
 
 /** What is granted and what is held, one story for each way in which the sum could pass the bound. */
-class LedgerTest {
+class QuotaLedgerTest {
   private static final long SECOND = 1_000_000_000, D = 2 * SECOND, H = 8 * SECOND;
-  private static final LeaseRules RULES = new LeaseRules(D, H, 1000, 0.125);
+  private static final QuotaTimings RULES = new QuotaTimings(D, H, 1000, 0.125);
   private static final double[] USUAL = {10}, LOW = {2}, HIGH = {30};
 
   private final double[] bound = {20};
-  private Ledger ledger = new Ledger(RULES, 1, bound, 2);
-  private final Holding giver = new Holding(RULES, 0, 1, USUAL, 0), taker = new Holding(RULES, 1, 1, USUAL, 0);
+  private QuotaLedger ledger = new QuotaLedger(RULES, 1, bound, 2);
+  private final QuotaHolder giver = new QuotaHolder(RULES, 0, 1, USUAL, 0), taker = new QuotaHolder(RULES, 1, 1, USUAL, 0);
 
   /** An ask, heard, granted and taken at once; returns what was granted. */
-  private double grant(long now, Holding to, double... wished) {
-    Ask ask = to.ask(now, wished);
+  private double grant(long now, QuotaHolder to, double... wished) {
+    QuotaRequest ask = to.ask(now, wished);
     assertTrue(ledger.heard(ask));
-    Grant grant = ledger.grant(now, ask, wished);
-    assertEquals(Holding.Refusal.TAKEN, to.take(now, grant));
+    QuotaGrant grant = ledger.grant(now, ask, wished);
+    assertEquals(QuotaHolder.Refusal.TAKEN, to.take(now, grant));
     return grant.amounts()[0];
   }
 
@@ -77,7 +77,7 @@
   void whoStartsAnewKeepsToTheThinShareWhileOthersMayCountOnIt() {
     lend(SECOND);
     grant(SECOND, taker, HIGH);
-    Holding anew = new Holding(RULES, 0, 2, USUAL, 2 * SECOND);
+    QuotaHolder anew = new QuotaHolder(RULES, 0, 2, USUAL, 2 * SECOND);
     assertEquals(1.25, anew.share(0, 2 * SECOND));
     assertEquals(1.25, anew.share(0, 10 * SECOND - 1));
   }
@@ -86,7 +86,7 @@
   void whoStartedAnewAndWasNotHeardBeforeRaisesNothing() {
     lend(SECOND);
     grant(2 * SECOND, taker, HIGH);
-    Holding anew = new Holding(RULES, 0, 2, USUAL, 2 * SECOND);
+    QuotaHolder anew = new QuotaHolder(RULES, 0, 2, USUAL, 2 * SECOND);
     assertEquals(2, grant(2 * SECOND, anew, LOW));
     assertTrue(ledger.heard(anew.ask(2 * SECOND, LOW)));
     assertTrue(ledger.inUse(0, 2 * SECOND) <= 20 + 1e-9);
@@ -94,31 +94,31 @@
 
   @Test
   void aGrantOfAnOlderTermNumberOrAskIsPassedOver() {
-    Ask first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
-    assertEquals(Holding.Refusal.TAKEN, giver.take(SECOND, new Grant(0, 1, second.seq(), 3, 7, 0, LOW)));
-    Ask third = giver.ask(SECOND, LOW);
-    assertEquals(Holding.Refusal.OLD_TERM, giver.take(SECOND, new Grant(0, 1, third.seq(), 2, 9, 0, LOW)));
-    assertEquals(Holding.Refusal.OLD_NUMBER, giver.take(SECOND, new Grant(0, 1, third.seq(), 3, 7, 0, LOW)));
-    assertEquals(Holding.Refusal.OLD_ASK, giver.take(SECOND, new Grant(0, 1, first.seq(), 3, 8, 0, LOW)));
-    assertEquals(Holding.Refusal.UNKNOWN_ASK, giver.take(SECOND, new Grant(0, 1, 99, 3, 8, 0, LOW)));
-    assertEquals(Holding.Refusal.OTHERS, giver.take(SECOND, new Grant(0, 2, third.seq(), 3, 8, 0, LOW)));
-    assertEquals(Holding.Refusal.OVER, giver.take(3 * SECOND, new Grant(0, 1, third.seq(), 3, 8, 0, LOW)));
+    QuotaRequest first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
+    assertEquals(QuotaHolder.Refusal.TAKEN, giver.take(SECOND, new QuotaGrant(0, 1, second.seq(), 3, 7, 0, LOW)));
+    QuotaRequest third = giver.ask(SECOND, LOW);
+    assertEquals(QuotaHolder.Refusal.OLD_TERM, giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 2, 9, 0, LOW)));
+    assertEquals(QuotaHolder.Refusal.OLD_NUMBER, giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 3, 7, 0, LOW)));
+    assertEquals(QuotaHolder.Refusal.OLD_ASK, giver.take(SECOND, new QuotaGrant(0, 1, first.seq(), 3, 8, 0, LOW)));
+    assertEquals(QuotaHolder.Refusal.UNKNOWN_ASK, giver.take(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
+    assertEquals(QuotaHolder.Refusal.OTHERS, giver.take(SECOND, new QuotaGrant(0, 2, third.seq(), 3, 8, 0, LOW)));
+    assertEquals(QuotaHolder.Refusal.OVER, giver.take(3 * SECOND, new QuotaGrant(0, 1, third.seq(), 3, 8, 0, LOW)));
   }
 
   @Test
   void aPlannerThatLiesCanStarveNobody() {
-    Ask ask = giver.ask(SECOND, LOW);
-    giver.take(SECOND, new Grant(0, 1, ask.seq(), 1, 1, 0, new double[] {Double.NaN}));
+    QuotaRequest ask = giver.ask(SECOND, LOW);
+    giver.take(SECOND, new QuotaGrant(0, 1, ask.seq(), 1, 1, 0, new double[] {Double.NaN}));
     assertEquals(1.25, giver.share(0, SECOND));
   }
 
   @Test
   void anAskThatComesTwiceOrLateIsNotAnswered() {
-    Ask first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
+    QuotaRequest first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
     assertTrue(ledger.heard(second));
     assertFalse(ledger.heard(second));
     assertFalse(ledger.heard(first));
-    assertFalse(ledger.heard(new Ask(7, 1, 9, 0, 0, Long.MIN_VALUE, LOW)));
+    assertFalse(ledger.heard(new QuotaRequest(7, 1, 9, 0, 0, Long.MIN_VALUE, LOW)));
   }
 
   @Test
@@ -126,12 +126,12 @@
     lend(SECOND);
     grant(SECOND, taker, HIGH);
     ledger.heard(giver.ask(SECOND, LOW));
-    List<Ledger.Left> left = ledger.left(SECOND);
+    List<QuotaLedger.Left> left = ledger.left(SECOND);
     // By a clock that shows another time.
     long other = 1000 * SECOND;
-    Ledger next = Ledger.after(RULES, 2, bound, 2, left, other, other);
+    QuotaLedger next = QuotaLedger.after(RULES, 2, bound, 2, left, other, other);
     assertEquals(20, next.inUse(0, other), 1e-9);
-    Ask ask = taker.ask(SECOND + 1, HIGH);
+    QuotaRequest ask = taker.ask(SECOND + 1, HIGH);
     assertTrue(next.heard(ask));
     assertEquals(18, next.grant(other, ask, HIGH).amounts()[0], 1e-9);
   }
@@ -140,8 +140,8 @@
   void aMemberThatIsNeverHeardIsGrantedNoMoreAfterABoundedNumber() {
     int granted = 0;
     for (int one = 0; one < 100; one++) {
-      Ask ask = giver.ask(SECOND, LOW);
-      ledger.heard(new Ask(0, 1, ask.seq(), 0, 0, Long.MIN_VALUE, LOW));
+      QuotaRequest ask = giver.ask(SECOND, LOW);
+      ledger.heard(new QuotaRequest(0, 1, ask.seq(), 0, 0, Long.MIN_VALUE, LOW));
       granted += ledger.grant(SECOND, ask, LOW) == null ? 0 : 1;
     }
     assertEquals(16, granted);
@@ -152,7 +152,7 @@
       List<@DoubleRange(min = 0, max = 50) Double> wanted) {
     double[] all = wanted.stream().mapToDouble(one -> one).toArray();
     double bound = all.length * 10, floor = 1;
-    double[] shares = Shares.of(bound, all, floor);
+    double[] shares = MaxMinFairShare.of(bound, all, floor);
     assertTrue(Arrays.stream(shares).sum() <= bound + 1e-9);
     double most = Arrays.stream(shares).max().orElseThrow();
     for (int one = 0; one < all.length; one++) {
@@ -164,7 +164,7 @@
 
   @Test
   void rulesThatCouldNotHoldAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new LeaseRules(D, D, 1000, 0.5));
-    assertThrows(IllegalArgumentException.class, () -> new LeaseRules(D, H, 1000, 0));
+    assertThrows(IllegalArgumentException.class, () -> new QuotaTimings(D, D, 1000, 0.5));
+    assertThrows(IllegalArgumentException.class, () -> new QuotaTimings(D, H, 1000, 0));
   }
 }
--- a/recovery/src/main/java/org/amberpath/recovery/Reopening.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -10,7 +10,7 @@
  * part of the cold budgets bears. RAMP: as many as came back in time, and half as many again each half second. SERVING:
  * all, once nothing had to be shed for two seconds, or at once where others ran on or caches are warm.
  */
-public final class Reopening {
+public final class RecoveryRamp {
   /** The phases, in order; none is entered again in one life. */
   public enum Phase { LEARNING, TRICKLE, RAMP, SERVING }
 
@@ -26,7 +26,7 @@
   private int taken, takenBefore, good, shed, shedBefore;
 
   /** A start; those that are turned away are told to stay away for longestWait at most, 0 where they can't be told. */
-  public Reopening(long seed, long longestWait, long now) {
+  public RecoveryRamp(long seed, long longestWait, long now) {
     chance = new SplittableRandom(seed);
     this.longestWait = longestWait;
     began = now;
--- a/recovery/src/test/java/org/amberpath/recovery/ReopeningTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -4,14 +4,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.recovery.Reopening.Phase;
+import org.amberpath.recovery.RecoveryRamp.Phase;
 import org.junit.jupiter.api.Test;
 
 /** Stories of one start, with viewers that ask a hundred times a second. */
-class ReopeningTest {
+class RecoveryRampTest {
   private static final long MS = 1_000_000, SECOND = 1000 * MS;
   private long now = SECOND;
-  private final Reopening opening = new Reopening(7, SECOND, now);
+  private final RecoveryRamp opening = new RecoveryRamp(7, SECOND, now);
 
   /** Lets time pass; of those let in, each so many-th comes back. Answers how many were let in. */
   private int pass(long ms, int askedASecond, int oneBackOf, boolean halfway) {
@@ -100,6 +100,6 @@
       near += opening.away(true);
     }
     assertTrue(near < 0.6 * sum);
-    assertFalse(new Reopening(7, 0, now).away(false) > 0, "where they can't be told");
+    assertFalse(new RecoveryRamp(7, 0, now).away(false) > 0, "where they can't be told");
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/Failure.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
@@ -1,7 +1,7 @@
 package org.amberpath.registry;
 
 /** Why a call to an endpoint ended without what it was made for. */
-public enum Failure {
+public enum RegistryFailure {
   /** Nothing listens there, or the way there is shut. */
   REFUSED,
   /** Nothing was heard within the time that the call had. */
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -1,7 +1,7 @@
 package org.amberpath.registry;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -27,13 +27,13 @@
 
   private static final long MS = 1_000_000;
 
-  private final Membership to;
+  private final EndpointListener to;
   private final int mostKeys;
   private final long retention;
   private final String tipKey;
   private final Consumer<String> complaints;
   private final Starts starts = new Starts();
-  private Map<String, Held> keys = new TreeMap<>();
+  private Map<String, RegistryEntry> keys = new TreeMap<>();
   private String cluster = "";
   private long applied, provenAt;
   private boolean known, surplus;
@@ -45,7 +45,7 @@
    * @param retention how long the registry keeps the key of a purge at least
    * @param complaints takes a line for each value that can't be read, the key first
    */
-  public RegistryView(Membership to, String tipKey, int mostKeys, long retention, Consumer<String> complaints) {
+  public RegistryView(EndpointListener to, String tipKey, int mostKeys, long retention, Consumer<String> complaints) {
     this.to = to;
     this.tipKey = tipKey;
     this.mostKeys = mostKeys;
@@ -65,7 +65,7 @@
 
   /** The revision of the last write of which the view knows. */
   public long tip() {
-    Held tip = keys.get(tipKey);
+    RegistryEntry tip = keys.get(tipKey);
     return tip == null ? 0 : tip.changed();
   }
 
@@ -84,7 +84,7 @@
   }
 
   /** What is held, by key. */
-  public Collection<Held> held() {
+  public Collection<RegistryEntry> held() {
     return Collections.unmodifiableCollection(keys.values());
   }
 
@@ -93,7 +93,7 @@
   }
 
   /** The view as it was kept at another time: told as a whole list, with its true age. */
-  public void remember(long now, Collection<Held> kept, String ofCluster, long revision, long asOf) {
+  public void remember(long now, Collection<RegistryEntry> kept, String ofCluster, long revision, long asOf) {
     keys = bounded(kept);
     cluster = ofCluster;
     applied = revision;
@@ -108,10 +108,10 @@
    * @param asOf when that list was asked for
    * @param restored whether it is known to be another history of revisions
    */
-  public void whole(long now, Collection<Held> all, String ofCluster, long revision, long asOf, boolean restored) {
+  public void whole(long now, Collection<RegistryEntry> all, String ofCluster, long revision, long asOf, boolean restored) {
     boolean other = restored || known && !ofCluster.equals(cluster) || isOtherHistory(all);
     boolean gap = known && asOf - provenAt > retention;
-    Map<String, Held> before = keys;
+    Map<String, RegistryEntry> before = keys;
     boolean first = !known;
     keys = bounded(all);
     keepLastGood(before, other);
@@ -129,15 +129,15 @@
     }
     // Guards against purges that came and went unseen: their keys are no longer there to be told.
     if (gap || other && !first) {
-      to.purged(0, Membership.EVERYTHING, now / MS);
+      to.purged(0, EndpointListener.EVERYTHING, now / MS);
     }
     provenAt = asOf;
   }
 
   /** A key that was written earlier than it is known to have been: revisions were given anew. */
-  private boolean isOtherHistory(Collection<Held> all) {
-    for (Held one : all) {
-      Held before = keys.get(one.key());
+  private boolean isOtherHistory(Collection<RegistryEntry> all) {
+    for (RegistryEntry one : all) {
+      RegistryEntry before = keys.get(one.key());
       if (before != null && one.changed() < before.changed()) {
         return known;
       }
@@ -151,12 +151,12 @@
    * @param count how many keys there are in all at that revision
    * @return whether that is the whole difference; otherwise keys were deleted too, and nothing was taken
    */
-  public boolean written(long now, Collection<Held> since, long count, long revision, long asOf) {
+  public boolean written(long now, Collection<RegistryEntry> since, long count, long revision, long asOf) {
     long more = since.stream().filter(one -> !keys.containsKey(one.key())).count();
     if (surplus || keys.size() + more != count) {
       return false;
     }
-    Map<String, Held> before = new TreeMap<>();
+    Map<String, RegistryEntry> before = new TreeMap<>();
     since.forEach(one -> put(before, one));
     applied = Math.max(applied, revision);
     tell(before, before.keySet(), now);
@@ -165,14 +165,14 @@
   }
 
   /** Takes the events of a watch, in the order of their revisions; those that are known are passed over. */
-  public void changes(long now, List<Change> events) {
+  public void changes(long now, List<WatchEvent> events) {
     int at = 0;
     while (at < events.size()) {
       long revision = events.get(at).revision();
-      Map<String, Held> before = new TreeMap<>();
+      Map<String, RegistryEntry> before = new TreeMap<>();
       int end = at;
       for (; end < events.size() && events.get(end).revision() == revision; end++) {
-        Change change = events.get(end);
+        WatchEvent change = events.get(end);
         if (revision <= applied) {
           continue;
         }
@@ -195,8 +195,8 @@
     applied = Math.max(applied, revision);
   }
 
-  private void put(Map<String, Held> before, Held one) {
-    Held old = keys.get(one.key());
+  private void put(Map<String, RegistryEntry> before, RegistryEntry one) {
+    RegistryEntry old = keys.get(one.key());
     if (old == null && keys.size() >= mostKeys) {
       overfull();
       return;
@@ -212,10 +212,10 @@
     }
   }
 
-  private Map<String, Held> bounded(Collection<Held> all) {
-    Map<String, Held> made = new TreeMap<>();
+  private Map<String, RegistryEntry> bounded(Collection<RegistryEntry> all) {
+    Map<String, RegistryEntry> made = new TreeMap<>();
     surplus = false;
-    for (Held one : all) {
+    for (RegistryEntry one : all) {
       if (made.size() < mostKeys || made.containsKey(one.key())) {
         made.put(one.key(), one);
       } else {
@@ -225,15 +225,15 @@
     return made;
   }
 
-  private void keepLastGood(Map<String, Held> before, boolean other) {
-    for (Map.Entry<String, Held> entry : keys.entrySet()) {
+  private void keepLastGood(Map<String, RegistryEntry> before, boolean other) {
+    for (Map.Entry<String, RegistryEntry> entry : keys.entrySet()) {
       entry.setValue(lastGood(other ? null : before.get(entry.getKey()), entry.getValue()));
     }
   }
 
   /** A value that can't be read spoils its own key alone, and that only until it was good once. */
-  private Held lastGood(Held old, Held one) {
-    if (!(one.content() instanceof Content.Unreadable spoilt)) {
+  private RegistryEntry lastGood(RegistryEntry old, RegistryEntry one) {
+    if (!(one.content() instanceof RegistryRecord.Unreadable spoilt)) {
       return one;
     }
     if (old == null || old.changed() != one.changed()) {
@@ -246,8 +246,8 @@
     known = true;
     to.listing(true);
     Set<String> ids = new HashSet<>();
-    for (Held one : keys.values()) {
-      if (one.content() instanceof Content.Cache cache) {
+    for (RegistryEntry one : keys.values()) {
+      if (one.content() instanceof RegistryRecord.Cache cache) {
         ids.add(cache.id());
         member(cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
       }
@@ -255,8 +255,8 @@
     starts.retain(ids);
     to.listed();
     if (withPurges) {
-      for (Held one : keys.values()) {
-        if (one.content() instanceof Content.Purge purge) {
+      for (RegistryEntry one : keys.values()) {
+        if (one.content() instanceof RegistryRecord.Purge purge) {
           // Guards against the writer's clock or this one, which may have stepped: it happened at the latest now.
           to.purged(purge.object(), purge.group(), now / MS);
         }
@@ -265,12 +265,12 @@
   }
 
   /** One listing with what differs; a cache that was created anew goes in one of its own before it. */
-  private void tell(Map<String, Held> before, Collection<String> touched, long now) {
-    List<Content.Cache> replaced = new ArrayList<>(), gone = new ArrayList<>(), there = new ArrayList<>();
+  private void tell(Map<String, RegistryEntry> before, Collection<String> touched, long now) {
+    List<RegistryRecord.Cache> replaced = new ArrayList<>(), gone = new ArrayList<>(), there = new ArrayList<>();
     for (String key : touched) {
-      Held old = before.get(key), held = keys.get(key);
-      Content.Cache was = old != null && old.content() instanceof Content.Cache cache ? cache : null;
-      Content.Cache is = held != null && held.content() instanceof Content.Cache cache ? cache : null;
+      RegistryEntry old = before.get(key), held = keys.get(key);
+      RegistryRecord.Cache was = old != null && old.content() instanceof RegistryRecord.Cache cache ? cache : null;
+      RegistryRecord.Cache is = held != null && held.content() instanceof RegistryRecord.Cache cache ? cache : null;
       if (was != null && is == null) {
         gone.add(was);
       } else if (is != null && was != null && old.created() != held.created()) {
@@ -298,24 +298,24 @@
     }
   }
 
-  private void tellPurges(Map<String, Held> before, long now) {
+  private void tellPurges(Map<String, RegistryEntry> before, long now) {
     keys.forEach((key, held) -> purged(before.get(key), held, now));
   }
 
   /** A purge that is new to the view was committed since it was last proven: at the latest now. */
-  private void purged(Held old, Held held, long now) {
-    if (held != null && held.content() instanceof Content.Purge purge
+  private void purged(RegistryEntry old, RegistryEntry held, long now) {
+    if (held != null && held.content() instanceof RegistryRecord.Purge purge
         && (old == null || !purge.equals(old.content()))) {
       to.purged(purge.object(), purge.group(), now / MS);
     }
   }
 
-  private void gone(Content.Cache cache) {
+  private void gone(RegistryRecord.Cache cache) {
     starts.gone(cache.id());
     member(cache, State.GONE, 0);
   }
 
-  private void member(Content.Cache cache, State state, long startedAtMs) {
+  private void member(RegistryRecord.Cache cache, State state, long startedAtMs) {
     to.member(cache.id(), cache.address(), cache.zone(), cache.kind(), cache.cell(), state, cache.weight(),
         startedAtMs);
   }
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -7,7 +7,7 @@
  *
  * @param provenAt when it was all that the registry held, in nanoseconds of Unix time
  */
-public record Snapshot(String prefix, String cluster, long revision, long provenAt, List<Held> keys) {
+public record Snapshot(String prefix, String cluster, long revision, long provenAt, List<RegistryEntry> keys) {
   private static final long LONGEST_STEP_NANOS = Starts.LONGEST_STEP_MILLIS * 1_000_000;
 
   /**
--- a/registry/src/main/java/org/amberpath/registry/Orders.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchCommands.java
@@ -1,7 +1,7 @@
 package org.amberpath.registry;
 
 /** What the recovery has the live half do. A call is known by its number, and ends with one outcome or is dropped. */
-public interface Orders {
+public interface WatchCommands {
   /**
    * Reads keys, in the order of their names.
    *
--- a/registry/src/main/java/org/amberpath/registry/Change.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchEvent.java
@@ -1,5 +1,5 @@
 package org.amberpath.registry;
 
 /** One event of a watch; held is null where the key was deleted. */
-public record Change(long revision, String key, Held held) {
+public record WatchEvent(long revision, String key, RegistryEntry held) {
 }
--- a/registry/src/main/java/org/amberpath/registry/Recovery.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -19,7 +19,7 @@
  *
  * <p>Bounds: endpoints as told; a list, two watches and one pulse an endpoint open at once; connects a second.
  */
-public final class Recovery {
+public final class WatchSession {
   /**
    * EMPTY: nothing known. CURRENT: as new as the last pulse. BEHIND: a gap is being closed. CUT_OFF: nobody
    * answers.
@@ -81,8 +81,8 @@
     boolean open, whole;
     String cluster = "";
     int limit = FIRST_PAGE;
-    final List<Held> items = new ArrayList<>();
-    final List<Change> parts = new ArrayList<>();
+    final List<RegistryEntry> items = new ArrayList<>();
+    final List<WatchEvent> parts = new ArrayList<>();
 
     Call(long id, Kind kind, Endpoint at, long now, long deadline, RegistryView view) {
       this.id = id;
@@ -96,7 +96,7 @@
   }
 
   private final RegistryView view;
-  private final Orders orders;
+  private final WatchCommands orders;
   private final SplittableRandom chance;
   private final Consumer<String> notes;
   private final int mostKeys;
@@ -121,7 +121,7 @@
    *     with all keys; 0 for one that tells changes
    * @param notes takes a line for each change of phase and each endpoint that gave cause
    */
-  public Recovery(RegistryView view, Orders orders, int endpoints, int mostKeys, long blockingTime, long seed,
+  public WatchSession(RegistryView view, WatchCommands orders, int endpoints, int mostKeys, long blockingTime, long seed,
       Consumer<String> notes) {
     this.view = view;
     this.orders = orders;
@@ -196,7 +196,7 @@
     for (Call call : List.copyOf(calls.values())) {
       if (now >= call.deadline && calls.containsKey(call.id)) {
         orders.drop(call.id);
-        failed(now, call, Failure.SILENT, 0);
+        failed(now, call, RegistryFailure.SILENT, 0);
       }
     }
     if (now - heardAt > LONE && phase != Phase.CUT_OFF) {
@@ -357,7 +357,7 @@
           && now >= Math.max(at.watch.openedAt, at.watch.sentAt) + LAG) {
         Call late = at.watch;
         orders.drop(late.id);
-        failed(now, late, Failure.LAGGING, 0);
+        failed(now, late, RegistryFailure.LAGGING, 0);
       }
     }
   }
@@ -368,7 +368,7 @@
         && answeredAt > list.askedAt) {
       Call silent = list;
       orders.drop(silent.id);
-      failed(now, silent, Failure.SILENT, 0);
+      failed(now, silent, RegistryFailure.SILENT, 0);
     }
   }
 
@@ -497,7 +497,7 @@
    *
    * @param count how many keys there are in all; negative where the answer tells all keys whatever was asked for
    */
-  public void page(long now, long id, Header header, List<Held> items, boolean more, long count) {
+  public void page(long now, long id, Header header, List<RegistryEntry> items, boolean more, long count) {
     Call call = take(now, id, Kind.LIST, Kind.WATCH);
     if (call == null) {
       return;
@@ -520,7 +520,7 @@
     call.items.addAll(items);
     if (call.items.size() > mostKeys + (long) call.limit) {
       orders.drop(call.id);
-      failed(now, call, Failure.UNREADABLE, 0);
+      failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (more && !items.isEmpty()) {
       call.askedAt = now;
       call.deadline = now + WHOLE_TIMES * listTime;
@@ -554,7 +554,7 @@
   }
 
   /** A blocking read came back: all keys, and an index that is to be reset when it went back. */
-  private void read(long now, Call call, Header header, List<Held> items) {
+  private void read(long now, Call call, Header header, List<RegistryEntry> items) {
     end(call);
     if (isOwn(now, call, header) && goesOn(now, call, header.revision(), -1) && !restored && !wholeNeeded) {
       if (header.revision() > view.applied()) {
@@ -589,7 +589,7 @@
    *
    * @param partial whether more of the same revisions follows
    */
-  public void told(long now, long id, Header header, List<Change> changes, boolean partial) {
+  public void told(long now, long id, Header header, List<WatchEvent> changes, boolean partial) {
     Call call = take(now, id, Kind.WATCH);
     if (call == null || !call.open) {
       return;
@@ -608,7 +608,7 @@
     call.parts.addAll(changes);
     if (call.parts.size() > mostKeys) {
       orders.drop(id);
-      failed(now, call, Failure.UNREADABLE, 0);
+      failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (!partial) {
       if (call.parts.isEmpty()) {
         call.position = Math.max(call.position, header.revision());
@@ -638,7 +638,7 @@
   }
 
   /** A call ended without what it was for. */
-  public void ended(long now, long id, Failure why, long retryAfter) {
+  public void ended(long now, long id, RegistryFailure why, long retryAfter) {
     Call call = calls.get(id);
     if (call != null) {
       failed(now, call, why, retryAfter);
@@ -646,24 +646,24 @@
     tick(now);
   }
 
-  private void failed(long now, Call call, Failure why, long retryAfter) {
+  private void failed(long now, Call call, RegistryFailure why, long retryAfter) {
     end(call);
     Endpoint at = call.at;
     if (call.kind == Kind.WATCH) {
       at.watching.failed(now, retryAfter);
     }
-    if (why != Failure.LAGGING && !(call.kind == Kind.WATCH && why == Failure.BROKEN)) {
+    if (why != RegistryFailure.LAGGING && !(call.kind == Kind.WATCH && why == RegistryFailure.BROKEN)) {
       at.reach.failed(now, Math.max(retryAfter, why.needsPeople() ? PEOPLE : 0));
     }
-    if (call.kind == Kind.LIST && why == Failure.SILENT) {
+    if (call.kind == Kind.LIST && why == RegistryFailure.SILENT) {
       listTime = Math.min(MOST_LIST_TIME, listTime * 2);
     }
-    if (call.kind == Kind.PULSE && why == Failure.SILENT) {
+    if (call.kind == Kind.PULSE && why == RegistryFailure.SILENT) {
       at.took = at.lastTook = Math.max(at.took, PULSE_TIME);
     } else if (call.kind == Kind.PULSE) {
       refusals++;
     }
-    if (why.needsPeople() && !at.needsPeople || why == Failure.UNREADABLE || why == Failure.LAGGING) {
+    if (why.needsPeople() && !at.needsPeople || why == RegistryFailure.UNREADABLE || why == RegistryFailure.LAGGING) {
       notes.accept("endpoint " + at.index + ": " + call.kind + " " + why);
     }
     at.needsPeople = why.needsPeople();
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulForm.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -1,10 +1,10 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.gateway.settings.Fields.Malformed;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.Recovery.Header;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.WatchSession.Header;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -20,7 +20,7 @@
  * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index passes the one told,
  * and brings all keys under the prefix. Reads are made consistent, so that an index that goes back is the registry's.
  */
-final class ConsulForm implements Form {
+final class ConsulProtocol implements RegistryProtocol {
   private static final JsonFactory JSON = new JsonFactory();
   private static final int CONFLICT = 409;
   private static final String INDEX = "X-Consul-Index", WHOLE_PREFIX = "?recurse=true&consistent=true";
@@ -29,7 +29,7 @@
   private final long waitMs;
 
   /** A read is held back for waitMs, and up to a sixteenth more, as the server's own jitter has it. */
-  ConsulForm(String prefix, long waitMs) {
+  ConsulProtocol(String prefix, long waitMs) {
     this.prefix = prefix;
     this.waitMs = waitMs;
   }
@@ -44,14 +44,14 @@
 
   @Override public Page page(int status, MultiMap headers, byte[] body) {
     long index = index(headers);
-    List<Held> items = new ArrayList<>();
+    List<RegistryEntry> items = new ArrayList<>();
     if (status == 200) {
-      for (Fields one : each(body)) {
+      for (JsonReader one : each(body)) {
         String key = one.text("Key");
         if (!key.startsWith(prefix)) {
           throw one.wrong("Key", "not under " + prefix);
         }
-        items.add(new Held(key, KeyForm.read(key.substring(prefix.length()), EtcdForm.bytes(one, "Value")),
+        items.add(new RegistryEntry(key, RecordCodec.read(key.substring(prefix.length()), EtcdProtocol.bytes(one, "Value")),
             one.whole("CreateIndex"), one.whole("ModifyIndex")));
       }
     }
@@ -70,9 +70,9 @@
     throw new Malformed("registry: no index above 0 in " + INDEX);
   }
 
-  private static List<Fields> each(byte[] body) {
+  private static List<JsonReader> each(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
-      return Fields.readEach("registry", parser);
+      return JsonReader.readEach("registry", parser);
     } catch (IOException e) {
       throw new Malformed("registry: not JSON");
     }
@@ -87,11 +87,11 @@
   }
 
   @Override public Ask pulse() {
-    return get("/v1/kv/" + prefix + KeyForm.TIP + "?consistent=true");
+    return get("/v1/kv/" + prefix + RecordCodec.TIP + "?consistent=true");
   }
 
   @Override public Tip tip(int status, MultiMap headers, byte[] body) {
-    List<Fields> found = status == 200 ? each(body) : List.of();
+    List<JsonReader> found = status == 200 ? each(body) : List.of();
     return new Tip(new Header("", 0), found.isEmpty() ? 0 : found.get(0).whole("ModifyIndex"));
   }
 
@@ -99,24 +99,24 @@
     return false;
   }
 
-  @Override public Failure failure(int status, byte[] body) {
+  @Override public RegistryFailure failure(int status, byte[] body) {
     return switch (status) {
       // Nothing stands under the prefix or there is no tip yet; a key moved before a transaction.
       case 200, 404, CONFLICT -> null;
-      case 401, 403 -> Failure.UNAUTHORISED;
-      case 429 -> Failure.THROTTLED;
-      default -> status >= 500 ? Failure.UNAVAILABLE : Failure.UNREADABLE;
+      case 401, 403 -> RegistryFailure.UNAUTHORISED;
+      case 429 -> RegistryFailure.THROTTLED;
+      default -> status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE;
     };
   }
 
   @Override public Ask write(List<Write> writes, long lease, byte[] tip) {
-    return new Ask(HttpMethod.PUT, "/v1/txn", EtcdForm.json(to -> {
+    return new Ask(HttpMethod.PUT, "/v1/txn", EtcdProtocol.json(to -> {
       to.writeStartArray();
       for (Write write : writes) {
         verb(to, write.content() == null ? "delete-cas" : "cas", write.key(),
-            write.content() == null ? null : KeyForm.write(write.content()), write.changed());
+            write.content() == null ? null : RecordCodec.write(write.content()), write.changed());
       }
-      verb(to, "set", prefix + KeyForm.TIP, tip, 0);
+      verb(to, "set", prefix + RecordCodec.TIP, tip, 0);
       to.writeEndArray();
     }));
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdForm.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -1,11 +1,11 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.gateway.settings.Fields.Malformed;
-import org.amberpath.registry.Change;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.Recovery.Header;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.WatchSession.Header;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -24,14 +24,14 @@
  * strings, absent where they are zero; a watch is a stream of lines. Status codes are those that the published mapping
  * of gRPC codes to HTTP gives.
  */
-final class EtcdForm implements Form {
+final class EtcdProtocol implements RegistryProtocol {
   private static final JsonFactory JSON = new JsonFactory();
   private static final int OUT_OF_RANGE = 11, UNAUTHENTICATED = 16, PERMISSION_DENIED = 7, EXHAUSTED = 8;
   private static final int MOST_TASKS = 256;
 
   private final String prefix;
 
-  EtcdForm(String prefix) {
+  EtcdProtocol(String prefix) {
     this.prefix = prefix;
   }
 
@@ -79,9 +79,9 @@
   }
 
   @Override public Page page(int status, MultiMap headers, byte[] body) {
-    Fields answer = read(body);
-    List<Held> items = new ArrayList<>();
-    for (Fields kv : answer.each("kvs")) {
+    JsonReader answer = read(body);
+    List<RegistryEntry> items = new ArrayList<>();
+    for (JsonReader kv : answer.each("kvs")) {
       items.add(held(kv));
     }
     return new Page(header(answer), items, answer.flag("more"), wide(answer, "count"));
@@ -100,40 +100,40 @@
   }
 
   @Override public Frame frame(byte[] line) {
-    Fields all = read(line);
+    JsonReader all = read(line);
     if (all.has("error")) {
-      Fields error = all.fields("error");
+      JsonReader error = all.fields("error");
       return new Frame.Ended(ofCode(error.place("grpc_code", error.place("code", 0))));
     }
-    Fields result = all.fields("result");
+    JsonReader result = all.fields("result");
     if (wide(result, "compact_revision") > 0) {
       return new Frame.Compacted();
     }
     if (result.flag("canceled")) {
-      return new Frame.Ended(Failure.BROKEN);
+      return new Frame.Ended(RegistryFailure.BROKEN);
     }
     if (result.flag("created")) {
       return new Frame.Opened(header(result));
     }
-    List<Change> changes = new ArrayList<>();
-    for (Fields event : result.each("events")) {
-      Fields kv = event.fields("kv");
+    List<WatchEvent> changes = new ArrayList<>();
+    for (JsonReader event : result.each("events")) {
+      JsonReader kv = event.fields("kv");
       boolean deleted = event.has("type") && event.text("type").equals("DELETE");
-      changes.add(new Change(wide(kv, "mod_revision"), key(kv), deleted ? null : held(kv)));
+      changes.add(new WatchEvent(wide(kv, "mod_revision"), key(kv), deleted ? null : held(kv)));
     }
     return new Frame.Told(header(result), changes, result.flag("fragment"));
   }
 
   @Override public Ask pulse() {
     return post("/v3/kv/range", to -> {
-      bytes(to, "key", prefix + KeyForm.TIP);
+      bytes(to, "key", prefix + RecordCodec.TIP);
       to.writeBooleanField("keys_only", true);
     });
   }
 
   @Override public Tip tip(int status, MultiMap headers, byte[] body) {
-    Fields answer = read(body);
-    List<Fields> kvs = answer.each("kvs");
+    JsonReader answer = read(body);
+    List<JsonReader> kvs = answer.each("kvs");
     return new Tip(header(answer), kvs.isEmpty() ? 0 : wide(kvs.get(0), "mod_revision"));
   }
 
@@ -141,13 +141,13 @@
     return status == 400 && code(body) == OUT_OF_RANGE;
   }
 
-  @Override public Failure failure(int status, byte[] body) {
+  @Override public RegistryFailure failure(int status, byte[] body) {
     return switch (status) {
       case 200 -> null;
-      case 401, 403 -> Failure.UNAUTHORISED;
-      case 429 -> Failure.THROTTLED;
+      case 401, 403 -> RegistryFailure.UNAUTHORISED;
+      case 429 -> RegistryFailure.THROTTLED;
       case 400 -> ofCode(code(body));
-      default -> status >= 500 ? Failure.UNAVAILABLE : Failure.UNREADABLE;
+      default -> status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE;
     };
   }
 
@@ -159,11 +159,11 @@
     }
   }
 
-  private static Failure ofCode(int code) {
+  private static RegistryFailure ofCode(int code) {
     return switch (code) {
-      case UNAUTHENTICATED, PERMISSION_DENIED -> Failure.UNAUTHORISED;
-      case EXHAUSTED -> Failure.THROTTLED;
-      default -> Failure.UNAVAILABLE;
+      case UNAUTHENTICATED, PERMISSION_DENIED -> RegistryFailure.UNAUTHORISED;
+      case EXHAUSTED -> RegistryFailure.THROTTLED;
+      default -> RegistryFailure.UNAVAILABLE;
     };
   }
 
@@ -173,7 +173,7 @@
 
   /** Takes a task: its term stays, its owner goes with the lease; nothing if either key has moved. */
   Ask campaign(Write term, Write owner, long lease) {
-    return transaction(List.of(term, owner), lease, null, prefix + KeyForm.OWNERS);
+    return transaction(List.of(term, owner), lease, null, prefix + RecordCodec.OWNERS);
   }
 
   /** The lease is for keys that begin so; the tip may be null. */
@@ -195,7 +195,7 @@
         to.writeObjectFieldStart(write.content() == null ? "request_delete_range" : "request_put");
         bytes(to, "key", write.key());
         if (write.content() != null) {
-          to.writeBinaryField("value", KeyForm.write(write.content()));
+          to.writeBinaryField("value", RecordCodec.write(write.content()));
           to.writeStringField("lease", write.key().startsWith(leased) ? Long.toString(lease) : "0");
         }
         to.writeEndObject();
@@ -204,7 +204,7 @@
       if (tip != null) {
         to.writeStartObject();
         to.writeObjectFieldStart("request_put");
-        bytes(to, "key", prefix + KeyForm.TIP);
+        bytes(to, "key", prefix + RecordCodec.TIP);
         to.writeBinaryField("value", tip);
         to.writeEndObject();
         to.writeEndObject();
@@ -233,7 +233,7 @@
 
   /** Whether the lease was there to be kept: one that is over has no time left. */
   static boolean kept(byte[] body) {
-    Fields answer = read(body);
+    JsonReader answer = read(body);
     return answer.has("result") && wide(answer.fields("result"), "TTL") > 0;
   }
 
@@ -244,8 +244,8 @@
   /** All tasks' terms and owners. */
   Ask tasks() {
     return post("/v3/kv/range", to -> {
-      bytes(to, "key", prefix + KeyForm.OWNERS);
-      bytes(to, "range_end", prefix + KeyForm.TASKS.substring(0, KeyForm.TASKS.length() - 1) + (char) ('/' + 1));
+      bytes(to, "key", prefix + RecordCodec.OWNERS);
+      bytes(to, "range_end", prefix + RecordCodec.TASKS.substring(0, RecordCodec.TASKS.length() - 1) + (char) ('/' + 1));
       to.writeStringField("limit", Integer.toString(MOST_TASKS));
     });
   }
@@ -261,26 +261,26 @@
     return read(body).text("token");
   }
 
-  private static Fields read(byte[] body) {
+  private static JsonReader read(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
-      return Fields.read("registry", parser);
+      return JsonReader.read("registry", parser);
     } catch (IOException e) {
       throw new Malformed("registry: not JSON");
     }
   }
 
-  private static Header header(Fields answer) {
-    Fields header = answer.fields("header");
+  private static Header header(JsonReader answer) {
+    JsonReader header = answer.fields("header");
     return new Header(header.has("cluster_id") ? header.text("cluster_id") : "", wide(header, "revision"));
   }
 
-  private Held held(Fields kv) {
+  private RegistryEntry held(JsonReader kv) {
     String key = key(kv);
-    return new Held(key, KeyForm.read(key.substring(prefix.length()), bytes(kv, "value")),
+    return new RegistryEntry(key, RecordCodec.read(key.substring(prefix.length()), bytes(kv, "value")),
         wide(kv, "create_revision"), wide(kv, "mod_revision"));
   }
 
-  private String key(Fields kv) {
+  private String key(JsonReader kv) {
     String key = new String(bytes(kv, "key"), StandardCharsets.UTF_8);
     if (!key.startsWith(prefix)) {
       throw kv.wrong("key", "not under " + prefix);
@@ -288,7 +288,7 @@
     return key;
   }
 
-  static byte[] bytes(Fields from, String name) {
+  static byte[] bytes(JsonReader from, String name) {
     try {
       return from.has(name) ? Base64.getDecoder().decode(from.text(name)) : new byte[0];
     } catch (IllegalArgumentException e) {
@@ -296,7 +296,7 @@
     }
   }
 
-  private static long wide(Fields from, String name) {
+  private static long wide(JsonReader from, String name) {
     if (!from.has(name)) {
       return 0;
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/KeyForm.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -1,9 +1,9 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.registry.Content;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryRecord;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,42 +15,42 @@
  * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is {@link
  * Content.Unreadable}, never an exception.
  */
-public final class KeyForm {
+public final class RecordCodec {
   public static final String CACHES = "caches/", PURGES = "purges/", TASKS = "tasks/", TIP = "tip";
   /** Who owns a task for now: gone with its lease. Beside {@link #TASKS}, so that one range has both. */
   static final String OWNERS = "task-owners/";
   private static final int VERSION = 1, LONGEST_VALUE = 4096, LONGEST_NAME = 128;
   private static final JsonFactory JSON = new JsonFactory();
 
-  private KeyForm() {
+  private RecordCodec() {
   }
 
   /** Reads what stands under a key, given without the prefix. */
-  static Content read(String key, byte[] value) {
+  static RegistryRecord read(String key, byte[] value) {
     boolean task = key.startsWith(TASKS) || key.startsWith(OWNERS);
     if (!key.startsWith(CACHES) && !key.startsWith(PURGES) && !task) {
-      return new Content.Other();
+      return new RegistryRecord.Other();
     }
     if (value.length > LONGEST_VALUE) {
-      return new Content.Unreadable("a value of " + value.length + " bytes");
+      return new RegistryRecord.Unreadable("a value of " + value.length + " bytes");
     }
     try (JsonParser parser = JSON.createParser(value)) {
-      Fields fields = Fields.read("value", parser);
+      JsonReader fields = JsonReader.read("value", parser);
       if (fields.whole("v") != VERSION) {
-        return new Content.Unreadable("version " + fields.whole("v"));
+        return new RegistryRecord.Unreadable("version " + fields.whole("v"));
       }
       if (task) {
-        return new Content.Task(fields.whole("term"), name(fields, "by", fields.text("by")));
+        return new RegistryRecord.Task(fields.whole("term"), name(fields, "by", fields.text("by")));
       }
       return key.startsWith(CACHES) ? cache(key.substring(CACHES.length()), fields) : purge(fields);
     } catch (IOException e) {
-      return new Content.Unreadable("not JSON");
-    } catch (Fields.Malformed e) {
-      return new Content.Unreadable(e.getMessage());
+      return new RegistryRecord.Unreadable("not JSON");
+    } catch (JsonReader.Malformed e) {
+      return new RegistryRecord.Unreadable(e.getMessage());
     }
   }
 
-  private static Content cache(String id, Fields fields) {
+  private static RegistryRecord cache(String id, JsonReader fields) {
     State state = switch (fields.text("state")) {
       case "ready" -> State.UP;
       case "draining" -> State.DRAINING;
@@ -62,19 +62,19 @@
     if (!(weight > 0) || Double.isInfinite(weight)) {
       throw fields.wrong("weight", "no size");
     }
-    return new Content.Cache(name(fields, "id", id), address, name(fields, "zone", fields.text("zone")),
+    return new RegistryRecord.Cache(name(fields, "id", id), address, name(fields, "zone", fields.text("zone")),
         name(fields, "kind", fields.text("kind")), fields.place("cell", 0), state, weight,
         fields.wholeOr("started_at_ms", 0));
   }
 
-  private static String name(Fields fields, String key, String name) {
+  private static String name(JsonReader fields, String key, String name) {
     if (name.isEmpty() || name.length() > LONGEST_NAME || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
       throw fields.wrong(key, "no name");
     }
     return name;
   }
 
-  private static Content purge(Fields fields) {
+  private static RegistryRecord purge(JsonReader fields) {
     long object = 0;
     if (fields.has("object")) {
       try {
@@ -90,21 +90,21 @@
     if (group < 0) {
       throw fields.wrong("group", "negative");
     }
-    return new Content.Purge(object, group, fields.whole("at_ms"));
+    return new RegistryRecord.Purge(object, group, fields.whole("at_ms"));
   }
 
   /** Why gateways would not read this of a cache; null where they would. */
-  public static String fault(Content.Cache cache) {
-    return read(CACHES + cache.id(), write(cache)) instanceof Content.Unreadable unreadable ? unreadable.why() : null;
+  public static String fault(RegistryRecord.Cache cache) {
+    return read(CACHES + cache.id(), write(cache)) instanceof RegistryRecord.Unreadable unreadable ? unreadable.why() : null;
   }
 
   /** The value that says this of a cache or a purge. */
-  public static byte[] write(Content content) {
+  public static byte[] write(RegistryRecord content) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (JsonGenerator to = JSON.createGenerator(out)) {
       to.writeStartObject();
       to.writeNumberField("v", VERSION);
-      if (content instanceof Content.Cache cache) {
+      if (content instanceof RegistryRecord.Cache cache) {
         to.writeStringField("address", cache.address());
         to.writeStringField("zone", cache.zone());
         to.writeStringField("kind", cache.kind());
@@ -112,13 +112,13 @@
         to.writeStringField("state", cache.state() == State.UP ? "ready" : "draining");
         to.writeNumberField("weight", cache.weight());
         to.writeNumberField("started_at_ms", cache.startedAtMs());
-      } else if (content instanceof Content.Purge purge) {
+      } else if (content instanceof RegistryRecord.Purge purge) {
         if (purge.object() != 0) {
           to.writeStringField("object", String.format("%016x", purge.object()));
         }
         to.writeNumberField("group", purge.group());
         to.writeNumberField("at_ms", purge.atMs());
-      } else if (content instanceof Content.Task task) {
+      } else if (content instanceof RegistryRecord.Task task) {
         to.writeNumberField("term", task.term());
         to.writeStringField("by", task.by());
       }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryDesk.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -1,8 +1,8 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
@@ -18,7 +18,7 @@
  * Reads and writes a registry for people: each read from the first endpoint that answers, each write one transaction
  * together with the tip, which is not tried again when it may have been carried out.
  */
-public final class RegistryDesk implements AutoCloseable {
+public final class RegistryAdminClient implements AutoCloseable {
   private static final int PAGE = 1000, MOST_WRITES = 32;
   private static final long PATIENCE_MS = 3000, SECOND = 1_000_000_000, LONGEST_STEP_MILLIS = 3_600_000;
 
@@ -32,32 +32,32 @@
   private record Got(int status, MultiMap headers, byte[] body) {
   }
 
-  private final RegistryAccess access;
-  private final Form form;
-  private final Wires wires;
+  private final RegistrySettings access;
+  private final RegistryProtocol form;
+  private final RegistryHttpClient wires;
   private final Context loop;
 
   /** Asked from any thread; works on the event loop of the one that makes it, or on one of Vert.x's. */
-  public RegistryDesk(Vertx vertx, RegistryAccess access) {
+  public RegistryAdminClient(Vertx vertx, RegistrySettings access) {
     loop = vertx.getOrCreateContext();
     this.access = access;
     form = RegistrySource.form(access);
-    wires = new Wires(vertx, access, form);
+    wires = new RegistryHttpClient(vertx, access, form);
   }
 
   /** All keys at one revision; fails with what staff can act on. */
-  public Future<List<Held>> list() {
+  public Future<List<RegistryEntry>> list() {
     return list(0);
   }
 
-  private Future<List<Held>> list(int endpoint) {
+  private Future<List<RegistryEntry>> list(int endpoint) {
     return pages(endpoint, 0, "", new ArrayList<>()).recover(e -> endpoint + 1 < access.endpoints().size()
         ? list(endpoint + 1) : Future.failedFuture(e));
   }
 
-  private Future<List<Held>> pages(int endpoint, long revision, String after, List<Held> all) {
+  private Future<List<RegistryEntry>> pages(int endpoint, long revision, String after, List<RegistryEntry> all) {
     return ask(endpoint, form.list(revision, after, 0, PAGE)).compose(got -> {
-      Form.Page page = form.page(got.status, got.headers, got.body);
+      RegistryProtocol.Page page = form.page(got.status, got.headers, got.body);
       all.addAll(page.items());
       if (all.size() > access.mostKeys()) {
         return Future.failedFuture(new Refused("more than " + access.mostKeys() + " keys"));
@@ -76,36 +76,36 @@
    * @param leased whether the keys go by themselves after the retention, where the registry can do that
    * @return whether nothing had moved meanwhile
    */
-  private Future<Boolean> write(List<Form.Write> writes, boolean leased) {
+  private Future<Boolean> write(List<RegistryProtocol.Write> writes, boolean leased) {
     byte[] tip = (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
         .getBytes(StandardCharsets.US_ASCII);
-    boolean grants = leased && access.form() == RegistryAccess.Form.ETCD;
+    boolean grants = leased && access.form() == RegistrySettings.Form.ETCD;
     return reached(0).compose(endpoint -> {
-      Future<Long> lease = grants ? ask(endpoint, EtcdForm.grant(access.retention() / SECOND))
-          .map(got -> EtcdForm.granted(got.body)) : Future.succeededFuture(0L);
+      Future<Long> lease = grants ? ask(endpoint, EtcdProtocol.grant(access.retention() / SECOND))
+          .map(got -> EtcdProtocol.granted(got.body)) : Future.succeededFuture(0L);
       return lease.compose(id -> ask(endpoint, form.write(writes, id, tip)))
           .map(got -> form.written(got.status, got.body));
     });
   }
 
   /** Changes one key from what it was when it was read, or makes it: 0 for a key that is not there. */
-  public Future<Boolean> write(String key, Content content, long changed) {
-    return write(List.of(new Form.Write(key, content, changed)), false);
+  public Future<Boolean> write(String key, RegistryRecord content, long changed) {
+    return write(List.of(new RegistryProtocol.Write(key, content, changed)), false);
   }
 
   /**
    * Writes a purge that stays for the retention; those that are past it go with it where nothing else lets them
    * go.
    */
-  public Future<Boolean> purge(String name, Content.Purge purge) {
-    Form.Write made = new Form.Write(access.prefix() + KeyForm.PURGES + name, purge, 0);
-    if (access.form() == RegistryAccess.Form.ETCD) {
+  public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
+    RegistryProtocol.Write made = new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES + name, purge, 0);
+    if (access.form() == RegistrySettings.Form.ETCD) {
       return write(List.of(made), true);
     }
     return list().compose(all -> {
-      List<Form.Write> writes = new ArrayList<>(List.of(made));
+      List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
       lapsed(all, purge.atMs(), access.retention()).stream().limit(MOST_WRITES - 1)
-          .forEach(held -> writes.add(new Form.Write(held.key(), null, held.changed())));
+          .forEach(held -> writes.add(new RegistryProtocol.Write(held.key(), null, held.changed())));
       return write(writes, false);
     });
   }
@@ -114,9 +114,9 @@
    * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else to tell it by here,
    * so both may be a step off, each to its own side.
    */
-  static List<Held> lapsed(List<Held> all, long nowMs, long retention) {
+  static List<RegistryEntry> lapsed(List<RegistryEntry> all, long nowMs, long retention) {
     long before = nowMs - retention / (SECOND / 1000) - 2 * LONGEST_STEP_MILLIS;
-    return all.stream().filter(one -> one.content() instanceof Content.Purge old && old.atMs() < before).toList();
+    return all.stream().filter(one -> one.content() instanceof RegistryRecord.Purge old && old.atMs() < before).toList();
   }
 
   /**
@@ -125,17 +125,17 @@
    *
    * @param fence what the task's key holds by what was read; null where there is none
    */
-  public Future<Boolean> sweep(String task, Content.Task as, Held fence, List<Held> old) {
-    List<Form.Write> writes = new ArrayList<>();
-    writes.add(new Form.Write(access.prefix() + KeyForm.TASKS + task, as, fence == null ? 0 : fence.changed()));
-    old.stream().limit(MOST_WRITES).forEach(one -> writes.add(new Form.Write(one.key(), null, one.changed())));
+  public Future<Boolean> sweep(String task, RegistryRecord.Task as, RegistryEntry fence, List<RegistryEntry> old) {
+    List<RegistryProtocol.Write> writes = new ArrayList<>();
+    writes.add(new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, fence == null ? 0 : fence.changed()));
+    old.stream().limit(MOST_WRITES).forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.changed())));
     return write(writes, false);
   }
 
   // ---- Leases, of the form that has them.
 
   /** The keys that say who owns which task, and under which term. */
-  public Future<List<Held>> tasks() {
+  public Future<List<RegistryEntry>> tasks() {
     return each(0, endpoint -> ask(endpoint, etcd().tasks())
         .map(got -> form.page(got.status, got.headers, got.body).items()));
   }
@@ -146,27 +146,27 @@
    * @param changed at what revision the term's key was read; 0 for none
    * @return the lease; 0 where another was first
    */
-  public Future<Long> campaign(String task, Content.Task as, long changed, long seconds) {
-    Form.Write term = new Form.Write(access.prefix() + KeyForm.TASKS + task, as, changed);
-    Form.Write owner = new Form.Write(access.prefix() + KeyForm.OWNERS + task, as, 0);
-    return reached(0).compose(endpoint -> ask(endpoint, EtcdForm.grant(seconds))
-        .map(got -> EtcdForm.granted(got.body))
+  public Future<Long> campaign(String task, RegistryRecord.Task as, long changed, long seconds) {
+    RegistryProtocol.Write term = new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, changed);
+    RegistryProtocol.Write owner = new RegistryProtocol.Write(access.prefix() + RecordCodec.OWNERS + task, as, 0);
+    return reached(0).compose(endpoint -> ask(endpoint, EtcdProtocol.grant(seconds))
+        .map(got -> EtcdProtocol.granted(got.body))
         .compose(lease -> ask(endpoint, etcd().campaign(term, owner, lease))
             .map(got -> form.written(got.status, got.body) ? lease : 0L)));
   }
 
   /** Whether the lease was there to be kept. */
   public Future<Boolean> keepAlive(long lease) {
-    return each(0, endpoint -> ask(endpoint, EtcdForm.keepAlive(lease)).map(got -> EtcdForm.kept(got.body)));
+    return each(0, endpoint -> ask(endpoint, EtcdProtocol.keepAlive(lease)).map(got -> EtcdProtocol.kept(got.body)));
   }
 
   /** Gives a lease back, and with it what hangs on it. */
   public Future<Void> revoke(long lease) {
-    return each(0, endpoint -> ask(endpoint, EtcdForm.revoke(lease)).mapEmpty());
+    return each(0, endpoint -> ask(endpoint, EtcdProtocol.revoke(lease)).mapEmpty());
   }
 
-  private EtcdForm etcd() {
-    return (EtcdForm) form;
+  private EtcdProtocol etcd() {
+    return (EtcdProtocol) form;
   }
 
   /** The first endpoint that answers; for what may be said twice. */
@@ -176,9 +176,9 @@
   }
 
   /** The task that a key is of, its owner's or its term's; null for another key. */
-  public String taskOf(Held held, boolean owner) {
-    String begins = access.prefix() + (owner ? KeyForm.OWNERS : KeyForm.TASKS);
-    return held.key().startsWith(begins) && held.content() instanceof Content.Task
+  public String taskOf(RegistryEntry held, boolean owner) {
+    String begins = access.prefix() + (owner ? RecordCodec.OWNERS : RecordCodec.TASKS);
+    return held.key().startsWith(begins) && held.content() instanceof RegistryRecord.Task
         ? held.key().substring(begins.length()) : null;
   }
 
@@ -188,19 +188,19 @@
         ? reached(endpoint + 1) : Future.failedFuture(e));
   }
 
-  private Future<Got> ask(int endpoint, Form.Ask ask) {
+  private Future<Got> ask(int endpoint, RegistryProtocol.Ask ask) {
     // Guards against an answer that comes while a thread of its own is still about to listen to it.
     return Future.future(asked -> loop.runOnContext(now -> askHere(endpoint, ask).onComplete(asked)));
   }
 
-  private Future<Got> askHere(int endpoint, Form.Ask ask) {
+  private Future<Got> askHere(int endpoint, RegistryProtocol.Ask ask) {
     Promise<Got> got = Promise.promise();
-    Wires.Sent sent = wires.send(endpoint, ask, false, new Wires.Answer() {
+    RegistryHttpClient.Sent sent = wires.send(endpoint, ask, false, new RegistryHttpClient.Answer() {
       @Override public void whole(int status, MultiMap headers, byte[] body) {
         got.tryComplete(new Got(status, headers, body));
       }
 
-      @Override public void failed(Failure why, long retryAfter) {
+      @Override public void failed(RegistryFailure why, long retryAfter) {
         got.tryFail(new Refused(access.endpoints().get(endpoint) + ": " + say(why)));
       }
     });
@@ -211,7 +211,7 @@
     });
   }
 
-  private static String say(Failure why) {
+  private static String say(RegistryFailure why) {
     return switch (why) {
       case REFUSED -> "nothing listens there";
       case SILENT -> "no connection in time";
--- a/registry/src/main/java/org/amberpath/registry/runtime/Wires.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -1,7 +1,7 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.registry.Failure;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryFailure;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
@@ -30,7 +30,7 @@
  * Requests to the endpoints of a registry, with what lets a client in: TLS from PEM files, a token from a file
  * or from a log-in. Secrets are in no message of a failure, since none is made from what was sent or read.
  */
-final class Wires {
+final class RegistryHttpClient {
   private static final int CONNECT_MS = 400, IDLE_S = 30, CONNECTIONS = 12, WAITING = 64, LONGEST_SECRET = 16_384;
   private static final int UNAUTHORISED = 401, FORBIDDEN = 403;
   private static final long SECOND = 1_000_000_000, LONGEST_RETRY_S = 60;
@@ -43,19 +43,19 @@
     default void line(byte[] line) {
     }
 
-    void failed(Failure why, long retryAfter);
+    void failed(RegistryFailure why, long retryAfter);
   }
 
   /** A request under way. */
   final class Sent {
     private final SocketAddress to;
-    private final Form.Ask ask;
+    private final RegistryProtocol.Ask ask;
     private final boolean lines;
     private final Answer answer;
     private HttpClientRequest request;
     private boolean over, renewed;
 
-    private Sent(SocketAddress to, Form.Ask ask, boolean lines, Answer answer) {
+    private Sent(SocketAddress to, RegistryProtocol.Ask ask, boolean lines, Answer answer) {
       this.to = to;
       this.ask = ask;
       this.lines = lines;
@@ -93,7 +93,7 @@
         parser.maxRecordSize(access.longestAnswer());
         parser.exceptionHandler(e -> unreadable());
         response.handler(parser::handle);
-        response.endHandler(end -> end(Failure.BROKEN, 0));
+        response.endHandler(end -> end(RegistryFailure.BROKEN, 0));
         return;
       }
       Buffer body = Buffer.buffer();
@@ -119,12 +119,12 @@
           if (!over && done.succeeded() && done.result()) {
             go();
           } else {
-            end(Failure.UNAUTHORISED, 0);
+            end(RegistryFailure.UNAUTHORISED, 0);
           }
         });
         return;
       }
-      Failure why = form.isCompacted(status, body) ? null : form.failure(status, body);
+      RegistryFailure why = form.isCompacted(status, body) ? null : form.failure(status, body);
       if (why != null) {
         end(why, retryAfter(response.getHeader("Retry-After")));
       } else {
@@ -136,27 +136,27 @@
     private void unreadable() {
       if (!over) {
         request.reset();
-        end(Failure.UNREADABLE, 0);
+        end(RegistryFailure.UNREADABLE, 0);
       }
     }
 
     private void failed(Throwable why) {
       for (Throwable cause = why; cause != null; cause = cause.getCause()) {
         if (cause instanceof SSLException) {
-          end(Failure.UNTRUSTED, 0);
+          end(RegistryFailure.UNTRUSTED, 0);
           return;
         } else if (cause instanceof io.netty.channel.ConnectTimeoutException) {
-          end(Failure.SILENT, 0);
+          end(RegistryFailure.SILENT, 0);
           return;
         } else if (cause instanceof ConnectException) {
-          end(Failure.REFUSED, 0);
+          end(RegistryFailure.REFUSED, 0);
           return;
         }
       }
-      end(Failure.BROKEN, 0);
+      end(RegistryFailure.BROKEN, 0);
     }
 
-    private void end(Failure why, long retryAfter) {
+    private void end(RegistryFailure why, long retryAfter) {
       if (!over) {
         over = true;
         answer.failed(why, retryAfter);
@@ -165,14 +165,14 @@
   }
 
   private final Vertx vertx;
-  private final RegistryAccess access;
-  private final Form form;
+  private final RegistrySettings access;
+  private final RegistryProtocol form;
   private HttpClientAgent client;
   /** The client before the files were read anew: its connections stay until they end. */
   private HttpClientAgent retired;
   private String token = "";
 
-  Wires(Vertx vertx, RegistryAccess access, Form form) {
+  RegistryHttpClient(Vertx vertx, RegistrySettings access, RegistryProtocol form) {
     this.vertx = vertx;
     this.access = access;
     this.form = form;
@@ -203,7 +203,7 @@
    * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an answer may come
    * before anybody listens to it, and is then lost.
    */
-  Sent send(int endpoint, Form.Ask ask, boolean lines, Answer answer) {
+  Sent send(int endpoint, RegistryProtocol.Ask ask, boolean lines, Answer answer) {
     if (!Context.isOnEventLoopThread()) {
       throw new IllegalStateException("not on an event loop");
     }
@@ -212,10 +212,10 @@
       renew(sent.to).onComplete(done -> {
         if (!sent.over && done.succeeded() && done.result()) {
           sent.go();
-        } else if (done.failed() && !(done.cause() instanceof Fields.Malformed)) {
+        } else if (done.failed() && !(done.cause() instanceof JsonReader.Malformed)) {
           sent.failed(done.cause());
         } else {
-          sent.end(Failure.UNAUTHORISED, 0);
+          sent.end(RegistryFailure.UNAUTHORISED, 0);
         }
       });
     } else {
@@ -224,14 +224,14 @@
     return sent;
   }
 
-  private RequestOptions options(SocketAddress to, Form.Ask ask, String shown) {
+  private RequestOptions options(SocketAddress to, RegistryProtocol.Ask ask, String shown) {
     RequestOptions options = new RequestOptions().setServer(to).setHost(to.hostAddress()).setPort(to.port())
         .setMethod(ask.method()).setURI(ask.uri());
     if (ask.body() != null) {
       options.putHeader("Content-Type", "application/json");
     }
     if (!shown.isEmpty()) {
-      options.putHeader(access.form() == RegistryAccess.Form.ETCD ? "Authorization" : "X-Consul-Token", shown);
+      options.putHeader(access.form() == RegistrySettings.Form.ETCD ? "Authorization" : "X-Consul-Token", shown);
     }
     return options;
   }
@@ -243,7 +243,7 @@
     if (access.token() != null) {
       next = secret(access.token());
     } else if (access.user() != null) {
-      next = secret(access.password()).compose(password -> login(from, EtcdForm.login(access.user(), password)));
+      next = secret(access.password()).compose(password -> login(from, EtcdProtocol.login(access.user(), password)));
     } else {
       return Future.succeededFuture(false);
     }
@@ -253,12 +253,12 @@
     });
   }
 
-  private Future<String> login(SocketAddress from, Form.Ask ask) {
+  private Future<String> login(SocketAddress from, RegistryProtocol.Ask ask) {
     Promise<String> token = Promise.promise();
     client.request(options(from, ask, "")).compose(request -> request.send(Buffer.buffer(ask.body())))
         .compose(response -> response.statusCode() == 200 ? response.body()
-            : Future.failedFuture(new Fields.Malformed("log-in: status " + response.statusCode())))
-        .map(body -> EtcdForm.loggedIn(body.getBytes())).onComplete(token);
+            : Future.failedFuture(new JsonReader.Malformed("log-in: status " + response.statusCode())))
+        .map(body -> EtcdProtocol.loggedIn(body.getBytes())).onComplete(token);
     return token.future();
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/Form.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -1,22 +1,22 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.registry.Change;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
-import org.amberpath.registry.Recovery.Header;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.WatchSession.Header;
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpMethod;
 import java.util.List;
 
 /** The codec of one published protocol: where its words end. What can't be read is a Malformed of the JSON fields. */
-interface Form {
+interface RegistryProtocol {
   /** A request to be sent; body null for none. */
   record Ask(HttpMethod method, String uri, byte[] body) {
   }
 
-  /** A part of a list; count as {@link org.amberpath.registry.Recovery#page} has it. */
-  record Page(Header header, List<Held> items, boolean more, long count) {
+  /** A part of a list; count as {@link org.amberpath.registry.WatchSession#page} has it. */
+  record Page(Header header, List<RegistryEntry> items, boolean more, long count) {
   }
 
   /** The answer to a pulse. */
@@ -28,18 +28,18 @@
     record Opened(Header header) implements Frame {
     }
 
-    record Told(Header header, List<Change> changes, boolean partial) implements Frame {
+    record Told(Header header, List<WatchEvent> changes, boolean partial) implements Frame {
     }
 
     record Compacted() implements Frame {
     }
 
-    record Ended(Failure why) implements Frame {
+    record Ended(RegistryFailure why) implements Frame {
     }
   }
 
   /** One key's write in a transaction; content null deletes. It holds only if the key was last written at changed. */
-  record Write(String key, Content content, long changed) {
+  record Write(String key, RegistryRecord content, long changed) {
   }
 
   Ask list(long revision, String after, long since, int limit);
@@ -59,7 +59,7 @@
   boolean isCompacted(int status, byte[] body);
 
   /** Why an answer of this status is no answer; null where it is one. */
-  Failure failure(int status, byte[] body);
+  RegistryFailure failure(int status, byte[] body);
 
   /** A transaction: all writes and one to the tip, or none. A lease of 0 is none. */
   Ask write(List<Write> writes, long lease, byte[] tip);
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAccess.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -21,7 +21,7 @@
  * @param mostKeys how many keys are held at most
  * @param longestAnswer how long an answer may be
  */
-public record RegistryAccess(Form form, List<SocketAddress> endpoints, String prefix, Path trust, Path certificate,
+public record RegistrySettings(Form form, List<SocketAddress> endpoints, String prefix, Path trust, Path certificate,
     Path key, Path token, String user, Path password, Path snapshot, long snapshotEvery, long snapshotOldest,
     long retention, int mostKeys, int longestAnswer) {
   /** The published protocols. */
@@ -33,6 +33,6 @@
   }
 
   public String tipKey() {
-    return prefix + KeyForm.TIP;
+    return prefix + RecordCodec.TIP;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -1,12 +1,12 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.EndpointListener;
 import org.amberpath.gateway.Clock;
-import org.amberpath.gateway.NewsSource;
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Orders;
-import org.amberpath.registry.Recovery;
+import org.amberpath.gateway.EndpointSource;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.WatchCommands;
+import org.amberpath.registry.WatchSession;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.Snapshot;
 import io.vertx.core.Vertx;
@@ -20,52 +20,52 @@
 import java.util.logging.Logger;
 
 /**
- * A registry as a gateway's source of news: carries out what {@link Recovery} orders and tells it what came. All of it
+ * A registry as a gateway's source of news: carries out what {@link WatchSession} orders and tells it what came. All of it
  * runs on the event loop that starts it.
  */
-public final class RegistrySource implements NewsSource, Orders {
+public final class RegistrySource implements EndpointSource, WatchCommands {
   private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
   private static final long BLOCKING = 10_000_000_000L, MS = 1_000_000;
   private static final int LOG_LINES = 8;
   private static final long LOG_MS = 1000, READ_MILLIS = 1000;
 
   /** What staff may want to know of the view. Ages are nanoseconds, the revision the registry's. */
-  public record Status(Recovery.Phase phase, boolean known, long revision, long age, int keys, int watches) {
+  public record Status(WatchSession.Phase phase, boolean known, long revision, long age, int keys, int watches) {
   }
 
   private final Vertx vertx;
-  private final RegistryAccess access;
+  private final RegistrySettings access;
   private final Clock clock = new Clock();
-  private final Form form;
-  private final Wires wires;
+  private final RegistryProtocol form;
+  private final RegistryHttpClient wires;
   private final WallTimes times;
   private final SnapshotKeeper keeper;
   private final RegistryView view;
-  private final Recovery recovery;
-  private final Map<Long, Wires.Sent> calls = new HashMap<>();
+  private final WatchSession recovery;
+  private final Map<Long, RegistryHttpClient.Sent> calls = new HashMap<>();
   private long timer = -1, ticker = -1, armedFor = Long.MAX_VALUE;
   private int lines, muted;
   private boolean running;
 
   /** Makes a source that has asked for nothing yet; the seed gives all its chance. */
-  public RegistrySource(Vertx vertx, RegistryAccess access, Membership to, long seed) {
+  public RegistrySource(Vertx vertx, RegistrySettings access, EndpointListener to, long seed) {
     this.vertx = vertx;
     this.access = access;
-    boolean blocking = access.form() == RegistryAccess.Form.CONSUL;
+    boolean blocking = access.form() == RegistrySettings.Form.CONSUL;
     form = form(access);
-    wires = new Wires(vertx, access, form);
+    wires = new RegistryHttpClient(vertx, access, form);
     times = new WallTimes(to, clock::now, System::currentTimeMillis);
     keeper = access.snapshot() == null ? null : new SnapshotKeeper(access.snapshot(), FileOperations.DISK,
         access.snapshotEvery(), write -> vertx.executeBlocking(write, false), clock::now, seed, this::note);
     view = new RegistryView(times, access.tipKey(), access.mostKeys(), access.retention(), this::note);
     // The server may hold a read for a sixteenth longer than it is asked to.
-    recovery = new Recovery(view, this, access.endpoints().size(), access.mostKeys(),
+    recovery = new WatchSession(view, this, access.endpoints().size(), access.mostKeys(),
         blocking ? BLOCKING + BLOCKING / 16 : 0, seed, this::note);
   }
 
-  static Form form(RegistryAccess access) {
-    return access.form() == RegistryAccess.Form.ETCD ? new EtcdForm(access.prefix())
-        : new ConsulForm(access.prefix(), BLOCKING / MS);
+  static RegistryProtocol form(RegistrySettings access) {
+    return access.form() == RegistrySettings.Form.ETCD ? new EtcdProtocol(access.prefix())
+        : new ConsulProtocol(access.prefix(), BLOCKING / MS);
   }
 
   /** Guards the log against a registry that gives cause for a line with every call. */
@@ -143,7 +143,7 @@
     running = false;
     vertx.cancelTimer(timer);
     vertx.cancelTimer(ticker);
-    calls.values().forEach(Wires.Sent::drop);
+    calls.values().forEach(RegistryHttpClient.Sent::drop);
     calls.clear();
     wires.close();
   }
@@ -178,7 +178,7 @@
 
   /** The view for the file, its age by the wall clock as it stands; null while it is not the registry's. */
   private Snapshot latest() {
-    return !view.known() || recovery.phase() != Recovery.Phase.CURRENT ? null
+    return !view.known() || recovery.phase() != WatchSession.Phase.CURRENT ? null
         : new Snapshot(access.prefix(), view.cluster(), view.applied(), times.unix(view.provenAt()),
             List.copyOf(view.held()));
   }
@@ -186,7 +186,7 @@
   // ---- Orders.
 
   /** One answer, told to the recovery with what it was for. */
-  private abstract class Told implements Wires.Answer {
+  private abstract class Told implements RegistryHttpClient.Answer {
     final long call;
 
     Told(long call) {
@@ -210,39 +210,39 @@
     void taken(Runnable reading) {
       try {
         reading.run();
-      } catch (Fields.Malformed e) {
+      } catch (JsonReader.Malformed e) {
         note(e.getMessage());
         drop(call);
-        recovery.ended(clock.now(), call, Failure.UNREADABLE, 0);
+        recovery.ended(clock.now(), call, RegistryFailure.UNREADABLE, 0);
       }
       arm();
     }
 
-    @Override public void failed(Failure why, long retryAfter) {
+    @Override public void failed(RegistryFailure why, long retryAfter) {
       calls.remove(call);
       recovery.ended(clock.now(), call, why, retryAfter);
       arm();
     }
   }
 
-  private void send(int endpoint, Form.Ask ask, boolean lines, Told answer) {
+  private void send(int endpoint, RegistryProtocol.Ask ask, boolean lines, Told answer) {
     calls.put(answer.call, wires.send(endpoint, ask, lines, answer));
   }
 
   @Override public void list(long call, int endpoint, long revision, String after, long since, int limit) {
     send(endpoint, form.list(revision, after, since, limit), false, new Told(call) {
       @Override void read(int status, MultiMap headers, byte[] body) {
-        Form.Page page = form.page(status, headers, body);
+        RegistryProtocol.Page page = form.page(status, headers, body);
         recovery.page(clock.now(), call, page.header(), page.items(), page.more(), page.count());
       }
     });
   }
 
   @Override public void watch(long call, int endpoint, long from) {
-    boolean lines = access.form() == RegistryAccess.Form.ETCD;
+    boolean lines = access.form() == RegistrySettings.Form.ETCD;
     send(endpoint, form.watch(from), lines, new Told(call) {
       @Override void read(int status, MultiMap headers, byte[] body) {
-        Form.Page page = form.page(status, headers, body);
+        RegistryProtocol.Page page = form.page(status, headers, body);
         recovery.page(clock.now(), call, page.header(), page.items(), page.more(), page.count());
       }
 
@@ -252,17 +252,17 @@
     });
   }
 
-  private void frame(long call, Form.Frame frame) {
+  private void frame(long call, RegistryProtocol.Frame frame) {
     long now = clock.now();
-    if (frame instanceof Form.Frame.Opened opened) {
+    if (frame instanceof RegistryProtocol.Frame.Opened opened) {
       recovery.opened(now, call, opened.header());
-    } else if (frame instanceof Form.Frame.Told told) {
+    } else if (frame instanceof RegistryProtocol.Frame.Told told) {
       recovery.told(now, call, told.header(), told.changes(), told.partial());
     } else {
       drop(call);
-      if (frame instanceof Form.Frame.Compacted) {
+      if (frame instanceof RegistryProtocol.Frame.Compacted) {
         recovery.compacted(now, call);
-      } else if (frame instanceof Form.Frame.Ended ended) {
+      } else if (frame instanceof RegistryProtocol.Frame.Ended ended) {
         recovery.ended(now, call, ended.why(), 0);
       }
     }
@@ -271,14 +271,14 @@
   @Override public void pulse(long call, int endpoint) {
     send(endpoint, form.pulse(), false, new Told(call) {
       @Override void read(int status, MultiMap headers, byte[] body) {
-        Form.Tip tip = form.tip(status, headers, body);
+        RegistryProtocol.Tip tip = form.tip(status, headers, body);
         recovery.pulsed(clock.now(), call, tip.header(), tip.tip());
       }
     });
   }
 
   @Override public void drop(long call) {
-    Wires.Sent sent = calls.remove(call);
+    RegistryHttpClient.Sent sent = calls.remove(call);
     if (sent != null) {
       sent.drop();
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -1,8 +1,8 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.Fields;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.Snapshot;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -89,23 +89,23 @@
   }
 
   private static byte[] body(Snapshot snapshot) {
-    return EtcdForm.json(to -> {
+    return EtcdProtocol.json(to -> {
       to.writeStartObject();
       to.writeStringField("prefix", snapshot.prefix());
       to.writeStringField("cluster", snapshot.cluster());
       to.writeNumberField("revision", snapshot.revision());
       to.writeNumberField("proven_at", snapshot.provenAt());
       to.writeArrayFieldStart("keys");
-      for (Held held : snapshot.keys()) {
-        if (held.content() instanceof Content.Unreadable) {
+      for (RegistryEntry held : snapshot.keys()) {
+        if (held.content() instanceof RegistryRecord.Unreadable) {
           continue;
         }
         to.writeStartObject();
         to.writeStringField("key", held.key());
         to.writeNumberField("created", held.created());
         to.writeNumberField("changed", held.changed());
-        if (!(held.content() instanceof Content.Other)) {
-          to.writeStringField("value", new String(KeyForm.write(held.content()), StandardCharsets.UTF_8));
+        if (!(held.content() instanceof RegistryRecord.Other)) {
+          to.writeStringField("value", new String(RecordCodec.write(held.content()), StandardCharsets.UTF_8));
         }
         to.writeEndObject();
       }
@@ -136,17 +136,17 @@
       throw new IOException("torn: its checksum is another one");
     }
     try (JsonParser parser = new JsonFactory().createParser(body)) {
-      Fields fields = Fields.read("snapshot", parser);
+      JsonReader fields = JsonReader.read("snapshot", parser);
       String prefix = fields.text("prefix");
-      List<Held> keys = new ArrayList<>();
-      for (Fields one : fields.each("keys")) {
+      List<RegistryEntry> keys = new ArrayList<>();
+      for (JsonReader one : fields.each("keys")) {
         String key = one.text("key");
-        Content content = !one.has("value") || !key.startsWith(prefix) ? new Content.Other()
-            : KeyForm.read(key.substring(prefix.length()), one.text("value").getBytes(StandardCharsets.UTF_8));
-        keys.add(new Held(key, content, one.whole("created"), one.whole("changed")));
+        RegistryRecord content = !one.has("value") || !key.startsWith(prefix) ? new RegistryRecord.Other()
+            : RecordCodec.read(key.substring(prefix.length()), one.text("value").getBytes(StandardCharsets.UTF_8));
+        keys.add(new RegistryEntry(key, content, one.whole("created"), one.whole("changed")));
       }
       return new Snapshot(prefix, fields.text("cluster"), fields.whole("revision"), fields.whole("proven_at"), keys);
-    } catch (Fields.Malformed e) {
+    } catch (JsonReader.Malformed e) {
       throw new IOException(e.getMessage(), e);
     }
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -1,21 +1,21 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import java.util.function.LongSupplier;
 
 /**
  * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall clock as it stands
- * in that moment, which is what {@link Membership} has: so a wall clock that has stepped since the start makes nothing
+ * in that moment, which is what {@link EndpointListener} has: so a wall clock that has stepped since the start makes nothing
  * older or younger. A purge is told as no older than it is by either clock.
  */
-final class WallTimes implements Membership {
+final class WallTimes implements EndpointListener {
   private static final long MS = 1_000_000;
 
-  private final Membership to;
+  private final EndpointListener to;
   private final LongSupplier forwardNanos, wallMillis;
 
-  WallTimes(Membership to, LongSupplier forwardNanos, LongSupplier wallMillis) {
+  WallTimes(EndpointListener to, LongSupplier forwardNanos, LongSupplier wallMillis) {
     this.to = to;
     this.forwardNanos = forwardNanos;
     this.wallMillis = wallMillis;
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -20,7 +20,7 @@
   private final RegistryView view = new RegistryView(new Written(told), "p/tip", 6, RETENTION, complaints::add);
 
   /** Writes down what is told: a list in brackets, of all where it begins with an equals sign. */
-  static final class Written implements Membership {
+  static final class Written implements EndpointListener {
     private final List<String> to;
     private StringBuilder list;
 
@@ -46,16 +46,16 @@
     }
   }
 
-  static Held cache(String id, State state, long created, long changed) {
-    return new Held("p/" + id, new Content.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0), created, changed);
+  static RegistryEntry cache(String id, State state, long created, long changed) {
+    return new RegistryEntry("p/" + id, new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0), created, changed);
   }
 
-  private static Held purge(long object, long agoMs, long changed) {
-    return new Held("p/purge" + object, new Content.Purge(object, 0, NOW / MS - agoMs), changed, changed);
+  private static RegistryEntry purge(long object, long agoMs, long changed) {
+    return new RegistryEntry("p/purge" + object, new RegistryRecord.Purge(object, 0, NOW / MS - agoMs), changed, changed);
   }
 
-  private static Change put(Held held) {
-    return new Change(held.changed(), held.key(), held);
+  private static WatchEvent put(RegistryEntry held) {
+    return new WatchEvent(held.changed(), held.key(), held);
   }
 
   private List<String> told() {
@@ -64,7 +64,7 @@
     return all;
   }
 
-  private void starts(Held... all) {
+  private void starts(RegistryEntry... all) {
     view.whole(NOW, Arrays.asList(all), "c", 10, NOW, false);
     told();
   }
@@ -117,8 +117,8 @@
   @Test
   void aValueThatCantBeReadSpoilsItsOwnKeyAloneAndTheLastGoodOneStays() {
     starts(cache("a", State.UP, 1, 1));
-    Held spoilt = new Held("p/a", new Content.Unreadable("not JSON"), 1, 11);
-    view.changes(NOW, List.of(put(spoilt), new Change(11, "p/b", cache("b", State.UP, 11, 11))));
+    RegistryEntry spoilt = new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
+    view.changes(NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", State.UP, 11, 11))));
     assertEquals(List.of("[b+]"), told());
     assertEquals(List.of("p/a: not JSON"), complaints);
     view.whole(NOW, List.of(spoilt, cache("b", State.UP, 11, 11)), "c", 12, NOW, false);
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -2,8 +2,8 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -15,7 +15,7 @@
   private static final long MS = 1_000_000, SECOND = 1000 * MS, NOW = 1_000_000_000_000L * MS, DAY = 86_400 * SECOND;
 
   private final List<String> told = new ArrayList<>();
-  private final RegistryView view = new RegistryView(new Membership() {
+  private final RegistryView view = new RegistryView(new EndpointListener() {
     @Override public void listing(boolean whole) {
     }
 
@@ -32,14 +32,14 @@
     }
   }, "p/tip", 100, 600 * SECOND, line -> { });
 
-  private static Held cache(String id, State state, long startedMs, long created, long changed) {
+  private static RegistryEntry cache(String id, State state, long startedMs, long created, long changed) {
     long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
-    Content content = new Content.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
-    return new Held("p/caches/" + id, content, created, changed);
+    RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
+    return new RegistryEntry("p/caches/" + id, content, created, changed);
   }
 
-  private static Change put(Held held) {
-    return new Change(held.changed(), held.key(), held);
+  private static WatchEvent put(RegistryEntry held) {
+    return new WatchEvent(held.changed(), held.key(), held);
   }
 
   private List<String> told() {
@@ -73,7 +73,7 @@
 
   @Test
   void aPurgeInASnapshotCountsFromTheStart() {
-    Held purge = new Held("p/purges/1", new Content.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
+    RegistryEntry purge = new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
     view.remember(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
     assertEquals(List.of("purged 7 0"), told());
     view.whole(NOW, List.of(purge), "c", 10, NOW, false);
--- a/registry/src/test/java/org/amberpath/registry/RecoveryTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.registry.Recovery.Header;
-import org.amberpath.registry.Recovery.Phase;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.registry.WatchSession.Header;
+import org.amberpath.registry.WatchSession.Phase;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What is asked of which endpoint when the registry fails, one story for each failure. */
-class RecoveryTest {
+class WatchSessionTest {
   private static final long MS = 1_000_000, START = 1_000_000_000_000L * MS;
 
   /** An order that was given; from is a watch's revision or a list's since. */
@@ -28,10 +28,10 @@
   private final List<Long> dropped = new ArrayList<>();
   private final RegistryView view = new RegistryView(new RegistryViewTest.Written(told), "p/tip", 100, 60_000 * MS,
       notes::add);
-  private Recovery recovery;
+  private WatchSession recovery;
   private long now = START;
 
-  private final Orders taking = new Orders() {
+  private final WatchCommands taking = new WatchCommands() {
     @Override public void list(long call, int endpoint, long revision, String after, long since, int limit) {
       orders.add(new Order("list", call, endpoint, since));
     }
@@ -50,7 +50,7 @@
   };
 
   private void start(int endpoints) {
-    recovery = new Recovery(view, taking, endpoints, 100, 0, 5, notes::add);
+    recovery = new WatchSession(view, taking, endpoints, 100, 0, 5, notes::add);
     recovery.start(now);
   }
 
@@ -80,16 +80,16 @@
     }
   }
 
-  private static Held tip(long changed) {
-    return new Held("p/tip", new Content.Other(), 2, changed);
+  private static RegistryEntry tip(long changed) {
+    return new RegistryEntry("p/tip", new RegistryRecord.Other(), 2, changed);
   }
 
-  private void list(Order list, long revision, Held... all) {
+  private void list(Order list, long revision, RegistryEntry... all) {
     recovery.page(now, list.call, new Header("c", revision), List.of(all), false, all.length);
   }
 
-  private static Change put(Held held) {
-    return new Change(held.changed(), held.key(), held);
+  private static WatchEvent put(RegistryEntry held) {
+    return new WatchEvent(held.changed(), held.key(), held);
   }
 
   /** Three endpoints, a list of one cache, two watches. */
@@ -121,7 +121,7 @@
   void gatewaysBeginWithDifferentEndpoints() {
     List<Integer> first = new ArrayList<>();
     for (int seed = 0; seed < 20; seed++) {
-      new Recovery(view, taking, 3, 100, 0, seed, notes::add).start(now);
+      new WatchSession(view, taking, 3, 100, 0, seed, notes::add).start(now);
       first.add(take("list").get(0).endpoint);
     }
     assertEquals(3, first.stream().distinct().count());
@@ -142,7 +142,7 @@
     List<Order> watches = watching();
     recovery.told(now, watches.get(0).call, new Header("c", 14),
         List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 14))), false);
-    recovery.ended(now, watches.get(0).call, Failure.BROKEN, 0);
+    recovery.ended(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
     pass(200, ALL, 14, 9);
     assertEquals(15, take("watch").get(0).from);
   }
@@ -165,7 +165,7 @@
   @Test
   void aDrainThatNoWatchBringsIsReadInTimeWhicheverEndpointAnswers() {
     for (int alive = 0; alive < 5; alive++) {
-      RecoveryTest story = new RecoveryTest();
+      WatchSessionTest story = new WatchSessionTest();
       story.watching(5);
       int only = alive;
       story.pass(1000, ALL, 10, 9);
@@ -252,8 +252,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(value = Failure.class, names = {"UNAUTHORISED", "UNTRUSTED"})
-  void whatPeopleMustMendIsNotRetriedAtSpeed(Failure why) {
+  @EnumSource(value = RegistryFailure.class, names = {"UNAUTHORISED", "UNTRUSTED"})
+  void whatPeopleMustMendIsNotRetriedAtSpeed(RegistryFailure why) {
     start(1);
     int asked = 0;
     for (int step = 0; step < 1000; step++) {
@@ -274,7 +274,7 @@
     pass(1500, NONE, 0, 0);
     assertEquals(Phase.CUT_OFF, recovery.phase());
     assertEquals(List.of(), told);
-    assertEquals(1, view.held().stream().filter(one -> one.content() instanceof Content.Cache).count());
+    assertEquals(1, view.held().stream().filter(one -> one.content() instanceof RegistryRecord.Cache).count());
   }
 
   @Test
@@ -286,7 +286,7 @@
       recovery.tick(now);
       for (Order order : List.copyOf(orders)) {
         asked++;
-        recovery.ended(now, order.call, Failure.REFUSED, 0);
+        recovery.ended(now, order.call, RegistryFailure.REFUSED, 0);
       }
       orders.clear();
     }
@@ -317,9 +317,9 @@
   @Test
   void aServerThatAsksForFewerCallsIsLeftAloneForThatLong() {
     start(1);
-    recovery.ended(now, take("list").get(0).call, Failure.THROTTLED, 700 * MS);
+    recovery.ended(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
     long since = now;
-    take("pulse").forEach(one -> recovery.ended(now, one.call, Failure.THROTTLED, 700 * MS));
+    take("pulse").forEach(one -> recovery.ended(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
     while (orders.isEmpty()) {
       now = Math.max(now + MS, recovery.due());
       recovery.tick(now);
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
@@ -25,7 +25,7 @@
   private static final int PATIENCE_MILLIS = 30_000;
 
   /** Takes no news. */
-  private static final class Nobody implements Membership {
+  private static final class Nobody implements EndpointListener {
     @Override public void listing(boolean whole) {
     }
 
@@ -48,7 +48,7 @@
     Vertx vertx = Vertx.vertx();
     try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
       endpoint.setSoTimeout(PATIENCE_MILLIS);
-      RegistryAccess access = new RegistryAccess(RegistryAccess.Form.ETCD,
+      RegistrySettings access = new RegistrySettings(RegistrySettings.Form.ETCD,
           List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")), "p/", null, null, null, null,
           null, null, pipe, SECOND, SECOND, 600 * SECOND, 100, 1 << 20);
       Context loop = vertx.getOrCreateContext();
--- a/registry/src/test/java/org/amberpath/registry/runtime/FormsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.gateway.settings.Fields.Malformed;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Failure;
-import org.amberpath.registry.Held;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.Snapshot;
 import io.vertx.core.MultiMap;
 import java.io.IOException;
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** The codecs and the snapshot's file: what they take, and what they refuse without harm. */
-class FormsTest {
+class RegistryProtocolsTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
-  private static final Content.Cache CACHE = new Content.Cache("c1", "127.0.0.1:7001", "z", "box", 3,
+  private static final RegistryRecord.Cache CACHE = new RegistryRecord.Cache("c1", "127.0.0.1:7001", "z", "box", 3,
       State.DRAINING, 4, 1_700_000_000_000L);
 
-  private final EtcdForm etcd = new EtcdForm("p/");
-  private final ConsulForm consul = new ConsulForm("p/", 1000);
+  private final EtcdProtocol etcd = new EtcdProtocol("p/");
+  private final ConsulProtocol consul = new ConsulProtocol("p/", 1000);
 
   private static String base64(String text) {
     return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
@@ -50,9 +50,9 @@
 
   @Test
   void aCacheReadsAsItWasWritten() {
-    assertEquals(CACHE, KeyForm.read("caches/c1", KeyForm.write(CACHE)));
-    Content.Purge purge = new Content.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
-    assertEquals(purge, KeyForm.read("purges/1", KeyForm.write(purge)));
+    assertEquals(CACHE, RecordCodec.read("caches/c1", RecordCodec.write(CACHE)));
+    RegistryRecord.Purge purge = new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
+    assertEquals(purge, RecordCodec.read("purges/1", RecordCodec.write(purge)));
   }
 
   @ParameterizedTest
@@ -62,19 +62,19 @@
       "{'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'}",
       "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"})
   void aValueThatIsNotAsThePageHasItIsUnreadableAndNoMore(String value) {
-    assertInstanceOf(Content.Unreadable.class, KeyForm.read("caches/c1", bytes(value)));
+    assertInstanceOf(RegistryRecord.Unreadable.class, RecordCodec.read("caches/c1", bytes(value)));
   }
 
   @Property(tries = 500)
   void noValueIsThrownOver(@ForAll byte[] value) {
-    KeyForm.read("caches/c1", value);
-    KeyForm.read("purges/1", value);
+    RecordCodec.read("caches/c1", value);
+    RecordCodec.read("purges/1", value);
   }
 
   @Property(tries = 500)
   void noLineIsThrownOverButAsMalformed(@ForAll byte[] line) {
     try {
-      new EtcdForm("p/").frame(line);
+      new EtcdProtocol("p/").frame(line);
     } catch (Malformed e) {
       assertTrue(e.getMessage().length() < 200);
     }
@@ -82,14 +82,14 @@
 
   @Test
   void aRangeIsAskedAndReadByThePublishedForm() {
-    Form.Ask ask = etcd.list(7, "p/caches/a", 5, 100);
+    RegistryProtocol.Ask ask = etcd.list(7, "p/caches/a", 5, 100);
     assertEquals("/v3/kv/range", ask.uri());
     assertEquals("{'key':'" + base64("p/caches/a\0") + "','range_end':'" + base64("p0") + "','limit':'100',"
         + "'revision':'7','min_mod_revision':'5'}", text(ask.body()).replace('"', '\''));
-    Form.Page page = etcd.page(200, NONE, bytes("{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
+    RegistryProtocol.Page page = etcd.page(200, NONE, bytes("{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
         + base64("p/caches/c1") + "','create_revision':'3','mod_revision':'9','value':'"
-        + Base64.getEncoder().encodeToString(KeyForm.write(CACHE)) + "'}],'more':true,'count':'2'}"));
-    assertEquals(List.of(new Held("p/caches/c1", CACHE, 3, 9)), page.items());
+        + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE)) + "'}],'more':true,'count':'2'}"));
+    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertEquals(40, page.header().revision());
     assertTrue(page.more());
     assertEquals(2, page.count());
@@ -98,12 +98,12 @@
   @Test
   void aWatchsLinesSayWhatThePublishedFormHas() {
     String header = "'header':{'cluster_id':'12','revision':'40'}";
-    assertInstanceOf(Form.Frame.Opened.class, etcd.frame(bytes("{'result':{" + header + ",'created':true}}")));
-    assertInstanceOf(Form.Frame.Compacted.class,
+    assertInstanceOf(RegistryProtocol.Frame.Opened.class, etcd.frame(bytes("{'result':{" + header + ",'created':true}}")));
+    assertInstanceOf(RegistryProtocol.Frame.Compacted.class,
         etcd.frame(bytes("{'result':{" + header + ",'canceled':true,'compact_revision':'33'}}")));
-    assertEquals(new Form.Frame.Ended(Failure.UNAUTHORISED),
+    assertEquals(new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
         etcd.frame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
-    Form.Frame.Told told = (Form.Frame.Told) etcd.frame(bytes("{'result':{" + header + ",'fragment':true,'events':["
+    RegistryProtocol.Frame.Told told = (RegistryProtocol.Frame.Told) etcd.frame(bytes("{'result':{" + header + ",'fragment':true,'events':["
         + "{'type':'DELETE','kv':{'key':'" + base64("p/caches/c1") + "','mod_revision':'40'}}]}}"));
     assertTrue(told.partial());
     assertNull(told.changes().get(0).held());
@@ -120,7 +120,7 @@
   @ParameterizedTest
   @CsvSource({"401,0,UNAUTHORISED", "403,7,UNAUTHORISED", "429,8,THROTTLED", "503,14,UNAVAILABLE",
       "400,16,UNAUTHORISED", "404,5,UNREADABLE"})
-  void aStatusSaysWhyItIsNoAnswer(int status, int code, Failure why) {
+  void aStatusSaysWhyItIsNoAnswer(int status, int code, RegistryFailure why) {
     assertEquals(why, etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
   }
@@ -129,9 +129,9 @@
   void aBlockingReadIsAskedAndReadByThePublishedForm() {
     assertEquals("/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms", consul.watch(41).uri());
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
-    Form.Page page = consul.page(200, headers, bytes("[{'Key':'p/caches/c1','Value':'"
-        + Base64.getEncoder().encodeToString(KeyForm.write(CACHE)) + "','CreateIndex':3,'ModifyIndex':9}]"));
-    assertEquals(List.of(new Held("p/caches/c1", CACHE, 3, 9)), page.items());
+    RegistryProtocol.Page page = consul.page(200, headers, bytes("[{'Key':'p/caches/c1','Value':'"
+        + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE)) + "','CreateIndex':3,'ModifyIndex':9}]"));
+    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertTrue(page.count() < 0);
     assertEquals(List.of(), consul.page(404, headers, new byte[0]).items());
     assertThrows(Malformed.class, () -> consul.page(404, NONE, new byte[0]));
@@ -140,8 +140,8 @@
   // ---- The snapshot's file.
 
   private static Snapshot snapshot() {
-    return new Snapshot("p/", "12", 40, 5, List.of(new Held("p/caches/c1", CACHE, 3, 9),
-        new Held("p/tip", new Content.Other(), 1, 40)));
+    return new Snapshot("p/", "12", 40, 5, List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9),
+        new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
   }
 
   @Test
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.Snapshot;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -88,12 +88,12 @@
 
   private static Snapshot snapshot(long revision) {
     return new Snapshot("p/", "12", revision, 1_700_000_005_000_000_000L, List.of(
-        new Held("p/caches/c1", new Content.Cache("c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4,
+        new RegistryEntry("p/caches/c1", new RegistryRecord.Cache("c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4,
             1_700_000_000_000L), 3, 9),
-        new Held("p/caches/c2", new Content.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0), 4, 4),
-        new Held("p/purges/1", new Content.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L), 12, 12),
-        new Held("p/tasks/sweep", new Content.Task(20, "g2"), 5, 30),
-        new Held("p/tip", new Content.Other(), 1, 40)));
+        new RegistryEntry("p/caches/c2", new RegistryRecord.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0), 4, 4),
+        new RegistryEntry("p/purges/1", new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L), 12, 12),
+        new RegistryEntry("p/tasks/sweep", new RegistryRecord.Task(20, "g2"), 5, 30),
+        new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
   }
 
   @BeforeEach
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Membership;
-import org.amberpath.registry.Content;
-import org.amberpath.registry.Held;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryEntry;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -19,7 +19,7 @@
   private long wall = START, forward = START * MS;
   private final List<Long> ages = new ArrayList<>();
   /** Ages by the wall clock as it stands, as the gateway has them. */
-  private final WallTimes times = new WallTimes(new Membership() {
+  private final WallTimes times = new WallTimes(new EndpointListener() {
     @Override public void listing(boolean whole) {
     }
 
@@ -52,12 +52,12 @@
   @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
   void aPurgeTakesNoKeyAlongThatIsYoungWhicheverClockHasStepped(long step) {
     long retention = 600 * SECOND;
-    List<Held> all = new ArrayList<>();
+    List<RegistryEntry> all = new ArrayList<>();
     for (long written : new long[] {START + step, START - 600_000 - 2 * HOUR - 1}) {
-      all.add(new Held("p/purges/" + written, new Content.Purge(7, 0, written), 1, 1));
+      all.add(new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
     }
-    List<Held> lapsed = RegistryDesk.lapsed(all, START, retention);
+    List<RegistryEntry> lapsed = RegistryAdminClient.lapsed(all, START, retention);
     assertEquals(all.subList(1, 2), lapsed);
-    assertTrue(RegistryDesk.lapsed(all.subList(0, 1), START + HOUR, retention).isEmpty());
+    assertTrue(RegistryAdminClient.lapsed(all.subList(0, 1), START + HOUR, retention).isEmpty());
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.InFlightRequest.Purpose;
 
 /** Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and slow start. */
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -1,15 +1,15 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.State;
-import org.amberpath.routing.Decisions.Health;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.RoutingActions.Health;
 import java.util.SplittableRandom;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
 final class ClusterManager {
   private static final double MIN_WEIGHT = 1e-3;
 
-  private final Site site;
+  private final RoutingConfig site;
   private final EndpointTable endpoints;
   private final GatewayShare share;
   private final SlowStart slowStart;
@@ -17,7 +17,7 @@
   private final SplittableRandom random;
 
   /** A manager of the given table and of those that keep state by its endpoints. */
-  ClusterManager(Site site, GatewayShare share, EndpointTable endpoints, SlowStart slowStart,
+  ClusterManager(RoutingConfig site, GatewayShare share, EndpointTable endpoints, SlowStart slowStart,
       ConcurrencyLimiter limiter, SplittableRandom random) {
     this.site = site;
     this.share = share;
--- a/routing/src/main/java/org/amberpath/routing/NewsAge.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -10,7 +10,7 @@
  * that reply is asked for once more, with no waiting, and decisions wait for it. A journal that fails, breaks off or
  * falls silent is no lateness of this gateway's: nobody waits for it (docs/design.md).
  */
-public final class NewsAge {
+public final class DiscoveryFreshness {
   /** Parts of the grace that a gap in reading, a reply's way, and deciding and sending may each take. */
   private static final int PARTS = 4;
   /** Replies in a row that took long, and questions in a row that failed, after which nobody waits for more. */
@@ -27,7 +27,7 @@
    * @param grace the shortest time within which a drain or a purge has to be heeded
    * @param asks whether a journal is asked for news; other sources tell unasked
    */
-  public NewsAge(long grace, boolean asks, long now) {
+  public DiscoveryFreshness(long grace, boolean asks, long now) {
     bound = Math.max(1, grace / PARTS);
     owed = asks; // What was known at the start is as old as the start took.
     readAt = now;
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 
 /** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
 final class Endpoint {
--- a/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * An endpoint as it is listed.
--- a/routing/src/main/java/org/amberpath/routing/Membership.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -1,12 +1,12 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Takes news of caches and purges, in order, whatever their source: the journal or a registry. Times are Unix
  * milliseconds.
  */
-public interface Membership {
+public interface EndpointListener {
   /** The group of a purge that means all objects of all groups. */
   int EVERYTHING = -1;
 
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -55,7 +55,7 @@
 
   /** A list is complete: drops what is gone. Guards against ids that come and go for ever. */
   void rebuild() {
-    all.values().removeIf(endpoint -> endpoint.state == Arrivals.State.GONE);
+    all.values().removeIf(endpoint -> endpoint.state == RoutingEvents.State.GONE);
     zoneEdges = select(endpoint -> endpoint.isEdge() && endpoint.zone.equals(zone));
     parents = select(endpoint -> endpoint.role == Endpoint.Role.PARENT);
     Endpoint[] origins = select(endpoint -> endpoint.role == Endpoint.Role.ORIGIN);
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -5,13 +5,13 @@
  * has more, by that. Guards limits against more gateways than are configured, all of which may be in this zone.
  */
 final class GatewayShare {
-  private final Site site;
+  private final RoutingConfig site;
   private int inZone;
   private int inAll;
   private boolean granted = true;
 
   /** The share by the configured numbers. */
-  GatewayShare(Site site) {
+  GatewayShare(RoutingConfig site) {
     this.site = site;
     inZone = Math.max(1, site.gatewaysHere());
     inAll = Math.max(1, site.gateways());
--- a/routing/src/main/java/org/amberpath/routing/Pace.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -11,7 +11,7 @@
  * after the other are a load that can't be borne. Then the GETs of a turn are halved while turns are late and grow by
  * one while they are not, until for some time none had to be shed.
  */
-public final class Pace {
+public final class LoadShedder {
   private static final long MS = 1_000_000L;
   /** What a turn always takes: so few GETs are not why it was late, and a gateway with little traffic sheds none. */
   private static final int LEAST = 8;
@@ -23,7 +23,7 @@
   private int taken, shed, allowed = Integer.MAX_VALUE;
 
   /** Clients that are shed are told to stay away for longestWait at most; 0 where they can't be told. */
-  public Pace(long seed, long longestWait) {
+  public LoadShedder(long seed, long longestWait) {
     this.longestWait = longestWait;
     random = new SplittableRandom(seed);
   }
--- a/routing/src/main/java/org/amberpath/routing/Strictest.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -16,22 +16,22 @@
  *
  * <p>Bounds: as many caches as the sources tell of.
  */
-public final class Strictest {
+public final class MergedEndpointLists {
   private record Member(String address, String zone, String kind, int cell, State state, double weight,
       long startedAtMs) {
   }
 
-  private final Membership to;
+  private final EndpointListener to;
   private final List<Port> ports = new ArrayList<>();
   private final Map<String, Member> told = new HashMap<>();
   private boolean first = true;
 
-  public Strictest(Membership to) {
+  public MergedEndpointLists(EndpointListener to) {
     this.to = to;
   }
 
   /** Another source; of two that agree on a cache's state, what the earlier one says else is taken. */
-  public Membership port() {
+  public EndpointListener port() {
     Port port = new Port();
     ports.add(port);
     return port;
@@ -56,7 +56,7 @@
     }
   }
 
-  private final class Port implements Membership {
+  private final class Port implements EndpointListener {
     private final Map<String, Member> members = new HashMap<>();
     private final Set<String> touched = new LinkedHashSet<>();
 
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Decisions.Health;
+import org.amberpath.routing.RoutingActions.Health;
 import java.util.SplittableRandom;
 
 /**
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -34,7 +34,7 @@
    */
   long maxCopyAgeNanos(long object, int group, long oldestNanos, long nowNanos) {
     long purged = Math.max(purgedAt.getOrDefault(object, 0L), Math.max(
-        purgedAt.getOrDefault(groupKey(group), 0L), purgedAt.getOrDefault(groupKey(Membership.EVERYTHING), 0L)));
+        purgedAt.getOrDefault(groupKey(group), 0L), purgedAt.getOrDefault(groupKey(EndpointListener.EVERYTHING), 0L)));
     long boundNanos = Math.max(MARGIN_NANOS, nowNanos - purged - MARGIN_NANOS);
     boolean mayBeCached = nowNanos - purged <= propagationNanos;
     return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
--- a/routing/src/main/java/org/amberpath/routing/Recent.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -13,7 +13,7 @@
  * <p>Bounds: as many keys as told; the one asked for longest ago goes. Counts are halved at each new turn, so that what
  * was asked for long ago wears off.
  */
-public final class Recent<K, V> {
+public final class RecentRequests<K, V> {
   private static final class Asked<V> {
     V value;
     int times;
@@ -24,7 +24,7 @@
   private V latest;
 
   /** Keeps so many at most. */
-  public Recent(int most) {
+  public RecentRequests(int most) {
     asked = new LinkedHashMap<>(16, 0.75f, true) {
       @Override protected boolean removeEldestEntry(Map.Entry<K, Asked<V>> eldest) {
         return size() > most;
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -1,11 +1,11 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.RoutingConfig.Effect;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -16,18 +16,18 @@
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link #round} takes a batch
- * of all events that came in and writes the actions that follow from them, in order. {@link Site} is the
+ * of all events that came in and writes the actions that follow from them, in order. {@link RoutingConfig} is the
  * configuration; there is no I/O, and the only clock is the batch's time, in nanoseconds.
  *
  * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its answer is cached,
  * {@link RouteSelector} where it goes. What departs from that path lies in {@link OutlierDetector}, {@link
  * SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The design is docs/design.md.
  */
-public final class RequestRouter implements Arrivals.Events {
+public final class RequestRouter implements RoutingEvents.Events {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
   private static final String SWEEP_HANDLE = "sweep";
 
-  private final Site site;
+  private final RoutingConfig site;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
   private final GatewayShare share;
@@ -55,7 +55,7 @@
   private long nowNanos;
 
   /** A router that knows no endpoint yet. */
-  public RequestRouter(Site site) {
+  public RequestRouter(RoutingConfig site) {
     this.site = site;
     random = new SplittableRandom(site.seed());
     trafficClasses = new TrafficClass[site.deliveryServices()];
@@ -77,7 +77,7 @@
   }
 
   /** Decides on all events of a batch, at one time in nanoseconds; the actions are written as they are decided. */
-  public void round(long time, Arrivals events, Decisions actions) {
+  public void round(long time, RoutingEvents events, RoutingActions actions) {
     nowNanos = time;
     batch = new Batch(time, actions);
     slowStart.beginBatch(time);
@@ -170,8 +170,8 @@
 
   private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
     boolean renews = !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (site.joins() ? Decisions.JOIN : 0) + (cachedOnly ? Decisions.HELD_ONLY : 0)
-        + (renews ? Decisions.RENEW : 0);
+    return (site.joins() ? RoutingActions.JOIN : 0) + (cachedOnly ? RoutingActions.HELD_ONLY : 0)
+        + (renews ? RoutingActions.RENEW : 0);
   }
 
   @Override public void begun(long id, int attemptNumber) {
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,17 +1,17 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Site.Effect;
-import org.amberpath.routing.Site.Group;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingConfig.Group;
 
 /** Whether a request may be attempted again, and where: never so that it might have its effect twice. */
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
-  private final Site site;
+  private final RoutingConfig site;
 
   /** The policy of a site's traffic classes and its bound on attempts. */
-  RetryPolicy(Site site) {
+  RetryPolicy(RoutingConfig site) {
     this.site = site;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -4,14 +4,14 @@
 
 /** Chooses the edge cache of a request and the source of its fill, each with its fallbacks in order. */
 final class RouteSelector {
-  private final Site site;
+  private final RoutingConfig site;
   private final EndpointTable endpoints;
   private final RendezvousSelector rendezvous;
   private final ConcurrencyLimiter limiter;
   private final RetryPolicy retryPolicy;
 
   /** A selector over the endpoints of the table. */
-  RouteSelector(Site site, EndpointTable endpoints, RendezvousSelector rendezvous, ConcurrencyLimiter limiter,
+  RouteSelector(RoutingConfig site, EndpointTable endpoints, RendezvousSelector rendezvous, ConcurrencyLimiter limiter,
       RetryPolicy retryPolicy) {
     this.site = site;
     this.endpoints = endpoints;
--- a/routing/src/main/java/org/amberpath/routing/Decisions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
 /** Takes a gateway's decisions, in the order in which they are to be carried out. Times are nanoseconds. */
-public interface Decisions {
+public interface RoutingActions {
   /** Switches of a forward, to be added up. */
   int JOIN = 1;
   int HELD_ONLY = 2;
--- a/routing/src/main/java/org/amberpath/routing/Site.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
 /** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
-public interface Site {
+public interface RoutingConfig {
   enum Effect { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
 
   /** The caches that drop a tokened GET's repeats. */
--- a/routing/src/main/java/org/amberpath/routing/Arrivals.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
 /** All that came in at a gateway in one round, in order. Small indices stand for caches and services. */
-public interface Arrivals {
+public interface RoutingEvents {
   void replay(Events to);
 
   enum Listing { CHANGES, FULL, NONE }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -22,7 +22,7 @@
   private static final long UNKNOWN = Long.MIN_VALUE;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final Site site;
+  private final RoutingConfig site;
   private final GatewayShare share;
   private final TrafficClass[] trafficClasses;
   private final Map<String, SlowStartProfile> profiles = new TreeMap<>();
@@ -31,7 +31,7 @@
   private long gatewayStartedAtNanos = UNKNOWN;
 
   /** Slow start as the site bounds it, for this gateway's share of it. */
-  SlowStart(Site site, GatewayShare share, TrafficClass[] trafficClasses) {
+  SlowStart(RoutingConfig site, GatewayShare share, TrafficClass[] trafficClasses) {
     this.site = site;
     this.share = share;
     this.trafficClasses = trafficClasses;
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.RoutingConfig.Effect;
 
 /**
  * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may be repeated, only to
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Site.Effect;
-import org.amberpath.routing.Site.Group;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingConfig.Group;
 
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
@@ -12,7 +12,7 @@
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
-  private final Site site;
+  private final RoutingConfig site;
   private final int index;
   private final LatencyHistogram durations = new LatencyHistogram();
   /** The histogram's mean, stored: it is read many times a request. */
@@ -22,7 +22,7 @@
   private int filledByOrigin;
 
   /** A delivery service by its index in the site; until there are answers its objective stands for its work. */
-  TrafficClass(Site site, int index) {
+  TrafficClass(RoutingConfig site, int index) {
     this.site = site;
     this.index = index;
     meanWorkNanos = site.latencyObjective(index);
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.Test;
 
 class AttemptRecorderTest {
--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.State;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
--- a/routing/src/test/java/org/amberpath/routing/NewsAgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Stories of news that may be too old to decide by. Times are milliseconds. */
-class NewsAgeTest {
+class DiscoveryFreshnessTest {
   private static final long GRACE = 250;
 
-  private final NewsAge age = new NewsAge(GRACE, true, 0);
+  private final DiscoveryFreshness age = new DiscoveryFreshness(GRACE, true, 0);
 
   @Test
   void whatWasKnownAtTheStartIsNotEnough() {
@@ -29,7 +29,7 @@
 
   @Test
   void aGatewayWithoutAJournalWaitsForNone() {
-    NewsAge told = new NewsAge(GRACE, false, 0);
+    DiscoveryFreshness told = new DiscoveryFreshness(GRACE, false, 0);
     assertTrue(told.decides(10));
     assertFalse(told.decides(400), "its loop stood still");
     told.read(400);
@@ -104,7 +104,7 @@
 
     final SplittableRandom random;
     final long away;
-    final NewsAge age = new NewsAge(GRACE, true, 0);
+    final DiscoveryFreshness age = new DiscoveryFreshness(GRACE, true, 0);
     final List<Long> events = new ArrayList<>();
     long now, tickDue, ticked, stoodAt;
     int known;
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/org/amberpath/routing/PaceTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Stories of a loop with too much to do. */
-class PaceTest {
+class LoadShedderTest {
   private static final long MS = 1_000_000, TICK = 10 * MS, WAIT = 1000 * MS;
 
-  private final Pace pace = new Pace(7, WAIT);
+  private final LoadShedder pace = new LoadShedder(7, WAIT);
   private long now;
 
   @Test
@@ -86,7 +86,7 @@
     long first = pace.away();
     assertTrue(first >= WAIT / 2 && first <= WAIT);
     assertTrue(first != pace.away());
-    assertEquals(0, new Pace(7, 0).away());
+    assertEquals(0, new LoadShedder(7, 0).away());
   }
 
   private void turn(long late) {
--- a/routing/src/test/java/org/amberpath/routing/StrictestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -2,15 +2,15 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import java.util.Map;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
 /** Two sources that are both believed while members move from one to the other. */
-class StrictestTest {
+class MergedEndpointListsTest {
   private final Map<String, State> told = new TreeMap<>();
-  private final Strictest strictest = new Strictest(new Membership() {
+  private final MergedEndpointLists strictest = new MergedEndpointLists(new EndpointListener() {
     @Override public void listing(boolean whole) {
       if (whole) {
         told.clear();
@@ -28,9 +28,9 @@
     @Override public void purged(long object, int group, long atMs) {
     }
   });
-  private final Membership registry = strictest.port(), journal = strictest.port();
+  private final EndpointListener registry = strictest.port(), journal = strictest.port();
 
-  private static void list(Membership from, boolean whole, Object... idsAndStates) {
+  private static void list(EndpointListener from, boolean whole, Object... idsAndStates) {
     from.listing(whole);
     for (int at = 0; at < idsAndStates.length; at += 2) {
       from.member((String) idsAndStates[at], "127.0.0.1:1", "z", "k", 0, (State) idsAndStates[at + 1], 1, 0);
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -7,9 +7,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
--- a/routing/src/test/java/org/amberpath/routing/RecentTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -5,8 +5,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class RecentTest {
-  private final Recent<Integer, String> recent = new Recent<>(3);
+class RecentRequestsTest {
+  private final RecentRequests<Integer, String> recent = new RecentRequests<>(3);
 
   private void ask(int... keys) {
     for (int key : keys) {
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.SeededWorld.Setting;
 import java.util.Map;
 import java.util.TreeMap;
@@ -23,7 +23,7 @@
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   /** The one place that knows the class under test. */
-  private static SeededWorld.Module module(Site site) {
+  private static SeededWorld.Module module(RoutingConfig site) {
     return new RequestRouter(site)::round;
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -6,10 +6,10 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -212,7 +212,7 @@
 
   @Test
   void whatMayNotBeRepeatedIsNeverAskedForByItself() {
-    host.effect = Site.Effect.NON_IDEMPOTENT;
+    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     host.change(1, State.UP, host.now);
     for (int one = 0; one < 50; one++) {
       assertEquals(null, host.own(++ids, one, 0, one % 2 == 0 ? -1 : 0));
@@ -246,7 +246,7 @@
       "NON_IDEMPOTENT, TURNED_AWAY, ALL, again",
       "NON_IDEMPOTENT, LOST, ALL, errored", "NON_IDEMPOTENT, ERRORED, ALL, errored",
       "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"})
-  void noEffectTwice(Site.Effect effect, Outcome outcome, Site.Group group, String expected) {
+  void noEffectTwice(RoutingConfig.Effect effect, Outcome outcome, RoutingConfig.Group group, String expected) {
     host.effect = effect;
     host.group = group;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
@@ -258,7 +258,7 @@
   @ParameterizedTest
   @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
   void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(Outcome outcome, int sent) {
-    host.effect = Site.Effect.NON_IDEMPOTENT;
+    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     host.bypass = host.neverKept = true;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
@@ -270,8 +270,8 @@
 
   @Test
   void aTokenedGetThatMayHaveRunStaysInItsCellAndWindow() {
-    host.effect = Site.Effect.TOKENED;
-    host.group = Site.Group.CELL;
+    host.effect = RoutingConfig.Effect.TOKENED;
+    host.group = RoutingConfig.Group.CELL;
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
     host.ended(first, Outcome.ERRORED, 10, Note.NOTHING);
@@ -334,7 +334,7 @@
   @Test
   void whatPeersAreSentButDoNotReturnGivesAColdCacheNoBudget() {
     host.sized = false;
-    host.effect = Site.Effect.NON_IDEMPOTENT;
+    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     for (int i = 0; i < 300; i++) {
       host.ended(host.get(++ids, i, 0), Outcome.ERRORED, 1, Note.NOTHING).pass(10);
     }
@@ -585,7 +585,7 @@
     host.fresh = 5000 * MS;
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      assertTrue(sent.has(Decisions.RENEW) && sent.age() == host.fresh);
+      assertTrue(sent.has(RoutingActions.RENEW) && sent.age() == host.fresh);
       host.pass(250).returned(sent, 1500, Note.FILLED_BY_ORIGIN);
       host.returned(host.get(++ids, i, 0), 50, Note.FILLED);
     }
@@ -593,7 +593,7 @@
       host.get(++ids, i, 0);
     }
     Sent held = host.last(ids);
-    assertTrue(held.has(Decisions.HELD_ONLY) && !held.has(Decisions.RENEW));
+    assertTrue(held.has(RoutingActions.HELD_ONLY) && !held.has(RoutingActions.RENEW));
     assertEquals(2 * host.fresh, held.age());
   }
 
@@ -694,7 +694,7 @@
   }
 
   /** A host for one gateway: tells it of a small site, plays events to it and writes down what it decides. */
-  static final class FakeHost implements Site, Decisions {
+  static final class FakeHost implements RoutingConfig, RoutingActions {
     static final long MS = 1_000_000L;
 
     record Sent(long get, int copy, int cache, long until, int source, long age, int rank, int switches) {
@@ -718,7 +718,7 @@
     final List<Integer> aside = new ArrayList<>(), heard = new ArrayList<>(), cold = new ArrayList<>();
     long now = 1_000_000 * MS, sendBy;
     private RequestRouter router;
-    private final List<Consumer<Arrivals.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
     /** Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order. */
@@ -727,7 +727,7 @@
       for (int cache : order) {
         events.add(to -> member(to, cache, State.UP, 0));
       }
-      events.add(Arrivals.Events::listed);
+      events.add(RoutingEvents.Events::listed);
       return this;
     }
 
@@ -738,11 +738,11 @@
     FakeHost change(int cache, State state, long startedAt) {
       events.add(to -> to.listing(Listing.CHANGES));
       events.add(to -> member(to, cache, state, startedAt));
-      events.add(Arrivals.Events::listed);
+      events.add(RoutingEvents.Events::listed);
       return round();
     }
 
-    private void member(Arrivals.Events to, int cache, State state, long startedAt) {
+    private void member(RoutingEvents.Events to, int cache, State state, long startedAt) {
       String kind = cache == 7 ? "origin" : cache > 4 ? "parent" : cache == 0 ? coldKind : "box";
       String zone = cache > 4 ? "hub" : cache == 4 ? "other" : "here";
       to.member(cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
@@ -769,7 +769,7 @@
       return ended(one, Outcome.RETURNED, tookMs, note);
     }
 
-    FakeHost event(Consumer<Arrivals.Events> event) {
+    FakeHost event(Consumer<RoutingEvents.Events> event) {
       events.add(event);
       return round();
     }
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Site.Effect;
-import org.amberpath.routing.Site.Group;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingConfig.Group;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import java.util.SplittableRandom;
 
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -1,10 +1,10 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.Arrivals.Events;
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -24,10 +24,10 @@
  * action that the decisions take is hashed in order with all its arguments. Random numbers are drawn from the world's
  * own generator, and only basic arithmetic is done with them, so that a seed gives the same events everywhere.
  */
-final class SeededWorld implements Site, Decisions {
+final class SeededWorld implements RoutingConfig, RoutingActions {
   /** A round of decisions: what drives the module under test, built anew for each world. */
   interface Module {
-    void round(long nowNanos, Arrivals in, Decisions to);
+    void round(long nowNanos, RoutingEvents in, RoutingActions to);
   }
 
   /** What the gateway is told at its start, and how much comes in. */
@@ -141,7 +141,7 @@
       events.add(to -> to.purged(object, group(object), ago));
     }
     if (chance(0.001)) {
-      int group = chance(0.2) ? Membership.EVERYTHING : random.nextInt(7);
+      int group = chance(0.2) ? EndpointListener.EVERYTHING : random.nextInt(7);
       events.add(to -> to.purged(0, group, 20 * MS));
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Listing;
-import org.amberpath.routing.Arrivals.Note;
-import org.amberpath.routing.Arrivals.Outcome;
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.List;
@@ -148,12 +148,12 @@
         + " borne, " + (now - startedAt) / MS + " ms after the start");
   }
 
-  private final class Instance implements Decisions {
+  private final class Instance implements RoutingActions {
     private record Answer(long at, long get, int cache, Note note) {
     }
 
     private final RequestRouter control;
-    private final List<Consumer<Arrivals.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
@@ -161,14 +161,14 @@
       Map<String, Object> told = Map.ofEntries(Map.entry("seed", (long) ++seeds), Map.entry("gateways", count),
           Map.entry("gatewaysHere", count), Map.entry("zone", "z"), Map.entry("midKind", "parent"),
           Map.entry("originKind", "origin"), Map.entry("weighsSizes", true), Map.entry("deliveryServices", 1),
-          Map.entry("effect", Site.Effect.IDEMPOTENT), Map.entry("group", Site.Group.ALL),
+          Map.entry("effect", RoutingConfig.Effect.IDEMPOTENT), Map.entry("group", RoutingConfig.Group.ALL),
           Map.entry("latencyObjective", objective), Map.entry("stretch", 2.0), Map.entry("revenue", 1.0),
           Map.entry("maxForwards", 1), Map.entry("flowKbPerSecond", 1000.0), Map.entry("coldShare", SHARE),
           Map.entry("coldTime", COLD_TIME), Map.entry("fallMultiple", 3.0), Map.entry("fallTime", FALL),
           Map.entry("parentColdShare", SHARE), Map.entry("parentColdTime", COLD_TIME),
           Map.entry("parentFallMultiple", 3.0));
-      control = new RequestRouter((Site) Proxy.newProxyInstance(getClass().getClassLoader(),
-          new Class<?>[] {Site.class},
+      control = new RequestRouter((RoutingConfig) Proxy.newProxyInstance(getClass().getClassLoader(),
+          new Class<?>[] {RoutingConfig.class},
           (proxy, asked, arguments) -> told.getOrDefault(asked.getName(),
               asked.getReturnType() == boolean.class ? (Object) false : (Object) 0L)));
     }
@@ -183,7 +183,7 @@
             cold == PARENT ? started : 0));
         events.add(to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, State.UP, 400, 0));
       }
-      events.add(Arrivals.Events::listed);
+      events.add(RoutingEvents.Events::listed);
     }
 
     void step(int gets) {
@@ -203,7 +203,7 @@
         long id = ++ids;
         events.add(to -> to.get(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false));
       }
-      List<Consumer<Arrivals.Events>> round = List.copyOf(events);
+      List<Consumer<RoutingEvents.Events>> round = List.copyOf(events);
       events.clear();
       control.round(now, to -> round.forEach(event -> event.accept(to)), this);
     }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import org.amberpath.routing.Arrivals.State;
+import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.Site.Effect;
+import org.amberpath.routing.RoutingConfig.Effect;
 import java.util.Objects;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.Arrivals.Note;
+import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 
 class TrafficClassTest {
