--- a/app/src/main/java/org/amberpath/cli/AdminRequest.java
+++ b/app/src/main/java/org/amberpath/cli/AdminRequest.java
@@ -1,7 +1,5 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.MembershipSettings;
-import org.amberpath.gateway.settings.JsonReader;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.net.URI;
@@ -10,6 +8,8 @@
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
 import java.time.Duration;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.membership.runtime.MembershipSettings;
 
 /** A running gateway's operators' desk, at the address that its [fleet] names. */
 final class AdminRequest {
@@ -18,15 +18,22 @@
 
   private final HttpClient client = HttpClient.newBuilder().connectTimeout(PATIENCE).build();
 
-  HttpResponse<String> ask(Path file, String method, String path) throws IOException, InterruptedException {
+  HttpResponse<String> ask(Path file, String method, String path)
+      throws IOException, InterruptedException {
     MembershipSettings fleet = DeploymentFile.read(file).fleet();
     if (fleet == null || fleet.operators() == null) {
       throw new JsonReader.Malformed(file + ": [fleet] operators: missing");
     }
-    URI at = URI.create("http://" + fleet.operators().hostAddress() + ":" + fleet.operators().port() + path);
+    URI at =
+        URI.create(
+            "http://" + fleet.operators().hostAddress() + ":" + fleet.operators().port() + path);
     try {
-      return client.send(HttpRequest.newBuilder(at).timeout(PATIENCE)
-          .method(method, HttpRequest.BodyPublishers.noBody()).build(), HttpResponse.BodyHandlers.ofString());
+      return client.send(
+          HttpRequest.newBuilder(at)
+              .timeout(PATIENCE)
+              .method(method, HttpRequest.BodyPublishers.noBody())
+              .build(),
+          HttpResponse.BodyHandlers.ofString());
     } catch (IOException e) {
       throw new IOException("no gateway answers at " + at.getAuthority() + ": " + e, e);
     }
--- a/app/src/main/java/org/amberpath/cli/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/DeploymentFile.java
@@ -1,12 +1,5 @@
 package org.amberpath.cli;
 
-import org.amberpath.membership.runtime.MembershipSettings;
-import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.leadership.VoterConfiguration;
-import org.amberpath.leadership.LeaseTimings;
-import org.amberpath.leadership.runtime.LeadershipSettings;
-import org.amberpath.registry.runtime.RegistrySettings;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
 import java.io.Reader;
@@ -19,25 +12,65 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.runtime.LeadershipSettings;
+import org.amberpath.membership.runtime.MembershipSettings;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.apache.commons.configuration2.INIConfiguration;
 import org.apache.commons.configuration2.SubnodeConfiguration;
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * What is set for an installation beside the platform's JSON: one INI file, read, checked and given defaults here and
- * nowhere else. deploy/amberpath.ini holds every key. A section that is absent leaves its feature off.
+ * What is set for an installation beside the platform's JSON: one INI file, read, checked and given
+ * defaults here and nowhere else. deploy/amberpath.ini holds every key. A section that is absent
+ * leaves its feature off.
  */
 public final class DeploymentFile {
   private static final long SECOND = 1_000_000_000;
-  private static final int MOST_ENDPOINTS = 9, MOST_GATEWAYS = 2000, DRIFT_PPM = 1000, PREFIX_LENGTH = 128;
+  private static final int MOST_ENDPOINTS = 9,
+      MOST_GATEWAYS = 2000,
+      DRIFT_PPM = 1000,
+      PREFIX_LENGTH = 128;
+
   /** What is left of a wait after a message's way is for an act: less than this is none. */
   private static final long LEAST_ACT = 300_000_000;
-  private static final Map<String, Set<String>> KEYS = Map.of("registry", Set.of("form", "endpoints", "prefix",
-      "journal", "trust", "certificate", "key", "token", "user", "password", "snapshot", "snapshot-every-s",
-      "snapshot-oldest-s", "retention-s", "most-keys", "longest-answer-kb"),
-      "fleet", Set.of("name", "listen", "advertise", "seeds", "told", "key", "operators", "period-s"),
-      "owner", Set.of("voters", "next-voters", "by", "lease-s", "settle-s", "sweep", "sweep-every-s",
-          "probe", "warm"));
+
+  private static final Map<String, Set<String>> KEYS =
+      Map.of(
+          "registry",
+          Set.of(
+              "form",
+              "endpoints",
+              "prefix",
+              "journal",
+              "trust",
+              "certificate",
+              "key",
+              "token",
+              "user",
+              "password",
+              "snapshot",
+              "snapshot-every-s",
+              "snapshot-oldest-s",
+              "retention-s",
+              "most-keys",
+              "longest-answer-kb"),
+          "fleet",
+          Set.of("name", "listen", "advertise", "seeds", "told", "key", "operators", "period-s"),
+          "owner",
+          Set.of(
+              "voters",
+              "next-voters",
+              "by",
+              "lease-s",
+              "settle-s",
+              "sweep",
+              "sweep-every-s",
+              "probe",
+              "warm"));
 
   /** What is wrong with a file, as one message that names file, section and key. */
   public static final class Faulty extends RuntimeException {
@@ -67,15 +100,18 @@
         throw new Faulty(file + ": [" + (section == null ? "" : section) + "]: no such section");
       }
       Set<String> seen = new HashSet<>();
-      all.getSection(section).getKeys().forEachRemaining(key -> {
-        String plain = key.replace("..", ".");
-        if (!KEYS.get(section).contains(plain)) {
-          throw wrong(section, plain, "no such key");
-        }
-        if (!seen.add(plain) || all.getSection(section).getList(key).size() > 1) {
-          throw wrong(section, plain, "given twice");
-        }
-      });
+      all.getSection(section)
+          .getKeys()
+          .forEachRemaining(
+              key -> {
+                String plain = key.replace("..", ".");
+                if (!KEYS.get(section).contains(plain)) {
+                  throw wrong(section, plain, "no such key");
+                }
+                if (!seen.add(plain) || all.getSection(section).getList(key).size() > 1) {
+                  throw wrong(section, plain, "given twice");
+                }
+              });
     }
     journalBeside = all.getSections().contains("registry") && journalBeside();
     registry = all.getSections().contains("registry") ? access() : null;
@@ -94,14 +130,16 @@
 
   /** Whether the journal is believed beside the registry, or not asked at all. */
   public boolean journalBeside() {
-    return registry == null ? choice("registry", "journal", "instead", "instead", "beside").equals("beside")
+    return registry == null
+        ? choice("registry", "journal", "instead", "instead", "beside").equals("beside")
         : journalBeside;
   }
 
   private RegistrySettings access() {
     String section = "registry";
-    RegistrySettings.Form form = RegistrySettings.Form.valueOf(
-        choice(section, "form", null, "etcd", "consul").toUpperCase(Locale.ROOT));
+    RegistrySettings.Form form =
+        RegistrySettings.Form.valueOf(
+            choice(section, "form", null, "etcd", "consul").toUpperCase(Locale.ROOT));
     Path trust = path(section, "trust", true), certificate = path(section, "certificate", true);
     Path key = path(section, "key", true), token = path(section, "token", true);
     Path password = path(section, "password", true);
@@ -119,10 +157,21 @@
     if (user != null && (token != null || form == RegistrySettings.Form.CONSUL)) {
       throw wrong(section, "user", "only with form = etcd and without 'token'");
     }
-    return new RegistrySettings(form, endpoints, prefix(section), trust, certificate, key, token, user, password,
-        path(section, "snapshot", false), seconds(section, "snapshot-every-s", "5", 1, 3600),
+    return new RegistrySettings(
+        form,
+        endpoints,
+        prefix(section),
+        trust,
+        certificate,
+        key,
+        token,
+        user,
+        password,
+        path(section, "snapshot", false),
+        seconds(section, "snapshot-every-s", "5", 1, 3600),
         seconds(section, "snapshot-oldest-s", "86400", 1, 31_536_000),
-        seconds(section, "retention-s", "600", 10, 86_400), whole(section, "most-keys", "20000", 10, 1_000_000),
+        seconds(section, "retention-s", "600", 10, 86_400),
+        whole(section, "most-keys", "20000", 10, 1_000_000),
         whole(section, "longest-answer-kb", "8192", 64, 262_144) << 10);
   }
 
@@ -144,12 +193,19 @@
     if (key == null) {
       throw wrong(section, "key", "missing");
     }
-    SocketAddress listen = address(section, "listen", true), advertised = address(section, "advertise", false);
+    SocketAddress listen = address(section, "listen", true),
+        advertised = address(section, "advertise", false);
     if (listen.hostAddress().equals("0.0.0.0") && advertised == null) {
       throw wrong(section, "advertise", "missing: nobody can answer " + listen.hostAddress());
     }
-    return new MembershipSettings(name, listen, advertised, addresses(section, "seeds", MOST_ENDPOINTS),
-        whole(section, "told", "0", 0, MOST_GATEWAYS), seconds(section, "period-s", "0.5", 0.1, 10), key,
+    return new MembershipSettings(
+        name,
+        listen,
+        advertised,
+        addresses(section, "seeds", MOST_ENDPOINTS),
+        whole(section, "told", "0", 0, MOST_GATEWAYS),
+        seconds(section, "period-s", "0.5", 0.1, 10),
+        key,
         operators);
   }
 
@@ -175,22 +231,39 @@
     }
     VoterConfiguration electorate = null;
     try {
-      electorate = leases ? null : new VoterConfiguration(names(section, "voters"), names(section, "next-voters"));
+      electorate =
+          leases
+              ? null
+              : new VoterConfiguration(names(section, "voters"), names(section, "next-voters"));
     } catch (IllegalArgumentException e) {
       throw wrong(section, "voters", e.getMessage());
     }
-    long lease = leases ? whole(section, "lease-s", "3", 2, 60) * SECOND : seconds(section, "lease-s", "3", 1, 60);
+    long lease =
+        leases
+            ? whole(section, "lease-s", "3", 2, 60) * SECOND
+            : seconds(section, "lease-s", "3", 1, 60);
     long settle = seconds(section, "settle-s", "0.6", 0, 60);
     if ((probes || warms) && (settle < LEAST_ACT || 2 * settle > lease)) {
-      throw wrong(section, "settle-s", "with probe or warm from " + LEAST_ACT / 1e9 + " to half of lease-s");
+      throw wrong(
+          section,
+          "settle-s",
+          "with probe or warm from " + LEAST_ACT / 1e9 + " to half of lease-s");
     }
-    return new LeadershipSettings(electorate, () -> read(file).owner().electorate(), leases ? registry : null,
-        new LeaseTimings(lease, settle, DRIFT_PPM), sweeps ? registry : null,
-        seconds(section, "sweep-every-s", "5", 0.1, 3600), probes, warms);
+    return new LeadershipSettings(
+        electorate,
+        () -> read(file).owner().electorate(),
+        leases ? registry : null,
+        new LeaseTimings(lease, settle, DRIFT_PPM),
+        sweeps ? registry : null,
+        seconds(section, "sweep-every-s", "5", 0.1, 3600),
+        probes,
+        warms);
   }
 
   private List<String> names(String section, String key) {
-    return java.util.Arrays.stream(text(section, key, "").split("[,\\s]+")).filter(one -> !one.isEmpty()).toList();
+    return java.util.Arrays.stream(text(section, key, "").split("[,\\s]+"))
+        .filter(one -> !one.isEmpty())
+        .toList();
   }
 
   /** One numeric IPv4 address: others hold room for no longer one. */
@@ -245,7 +318,8 @@
   private String prefix(String section) {
     String prefix = text(section, "prefix", "amberpath/");
     if (!prefix.matches("[A-Za-z0-9._-][A-Za-z0-9._/-]*/") || prefix.length() > PREFIX_LENGTH) {
-      throw wrong(section, "prefix", "not of letters, digits and ._-/ with a slash at its end: " + prefix);
+      throw wrong(
+          section, "prefix", "not of letters, digits and ._-/ with a slash at its end: " + prefix);
     }
     return prefix;
   }
@@ -283,8 +357,9 @@
     if (mustBe && !Files.isReadable(path)) {
       throw wrong(section, key, "can't be read: " + value);
     }
-    if (!mustBe && (path.toAbsolutePath().getParent() == null
-        || !Files.isDirectory(path.toAbsolutePath().getParent()))) {
+    if (!mustBe
+        && (path.toAbsolutePath().getParent() == null
+            || !Files.isDirectory(path.toAbsolutePath().getParent()))) {
       throw wrong(section, key, "in no folder that is there: " + value);
     }
     return path;
@@ -294,13 +369,15 @@
     String value = text(section, key, absent);
     try {
       BigDecimal number = new BigDecimal(value);
-      if (number.compareTo(BigDecimal.valueOf(least)) >= 0 && number.compareTo(BigDecimal.valueOf(most)) <= 0) {
+      if (number.compareTo(BigDecimal.valueOf(least)) >= 0
+          && number.compareTo(BigDecimal.valueOf(most)) <= 0) {
         return number;
       }
     } catch (NumberFormatException e) {
       // Said below.
     }
-    throw wrong(section, key, "no number from " + plain(least) + " to " + plain(most) + ": " + value);
+    throw wrong(
+        section, key, "no number from " + plain(least) + " to " + plain(most) + ": " + value);
   }
 
   private static String plain(double number) {
@@ -308,7 +385,9 @@
   }
 
   private long seconds(String section, String key, String absent, double least, double most) {
-    return number(section, key, absent, least, most).multiply(BigDecimal.valueOf(SECOND)).longValue();
+    return number(section, key, absent, least, most)
+        .multiply(BigDecimal.valueOf(SECOND))
+        .longValue();
   }
 
   private int whole(String section, String key, String absent, int least, int most) {
--- a/app/src/main/java/org/amberpath/cli/Main.java
+++ b/app/src/main/java/org/amberpath/cli/Main.java
@@ -1,18 +1,16 @@
 package org.amberpath.cli;
 
-import org.amberpath.cli.AmberpathCommand;
-import org.amberpath.gateway.Server;
-import org.amberpath.gateway.simulation.SimulationHost;
 import java.io.IOException;
 import java.util.Map;
+import org.amberpath.gateway.Server;
+import org.amberpath.gateway.simulation.SimulationHost;
 
 /**
- * The way in. What the platform starts is told apart here, before any class of the command line is loaded: a gateway's
- * start and memory owe nothing to the tools.
+ * The way in. What the platform starts is told apart here, before any class of the command line is
+ * loaded: a gateway's start and memory owe nothing to the tools.
  */
 public final class Main {
-  private Main() {
-  }
+  private Main() {}
 
   public static void main(String[] args) throws IOException {
     Map<String, String> environment = System.getenv();
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -3,23 +3,25 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.testbed.NetworkLinks.Way;
-import org.amberpath.lab.testbed.ProcessTestbed;
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.Predicate;
+import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.ProcessTestbed;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Four gateways as real processes that know one another: a cut, a crash, a restart, a standstill, a leave. */
+/**
+ * Four gateways as real processes that know one another: a cut, a crash, a restart, a standstill, a
+ * leave.
+ */
 class FleetProcessesTest {
   private static final int MANY = 4;
   private static final long PATIENCE_MS = 40_000;
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private ProcessTestbed rig;
 
   @BeforeEach
@@ -36,9 +38,14 @@
   /** What one gateway holds of another. */
   private String held(int of, int other) {
     JsonObject view = rig.places().get(of).view();
-    return view == null ? "" : view.getJsonArray("gateways").stream().map(JsonObject.class::cast)
-        .filter(one -> one.getString("name").equals("g" + other)).map(one -> one.getString("standing")).findFirst()
-        .orElse("");
+    return view == null
+        ? ""
+        : view.getJsonArray("gateways").stream()
+            .map(JsonObject.class::cast)
+            .filter(one -> one.getString("name").equals("g" + other))
+            .map(one -> one.getString("standing"))
+            .findFirst()
+            .orElse("");
   }
 
   private String phase(int of) {
@@ -50,16 +57,24 @@
     long end = System.currentTimeMillis() + PATIENCE_MS;
     for (int one : gateways) {
       while (!each.test(one)) {
-        assertTrue(System.currentTimeMillis() < end, "not in time: " + what + ", g" + one + ": "
-            + rig.places().get(one).view());
+        assertTrue(
+            System.currentTimeMillis() < end,
+            "not in time: " + what + ", g" + one + ": " + rig.places().get(one).view());
         Thread.sleep(50);
       }
     }
   }
 
   private void settled(String when) throws Exception {
-    until("settled " + when, one -> phase(one).equals("settled")
-        && rig.places().get(one).view().getInteger("there") == MANY, 0, 1, 2, 3);
+    until(
+        "settled " + when,
+        one ->
+            phase(one).equals("settled")
+                && rig.places().get(one).view().getInteger("there") == MANY,
+        0,
+        1,
+        2,
+        3);
   }
 
   @Test
@@ -72,7 +87,10 @@
     }
     until("cut off", one -> phase(one).equals("cut_off"), 0);
     until("the others lost it", one -> held(one, 0).equals("lost"), 1, 2, 3);
-    assertEquals(0.25, rig.places().get(0).view().getDouble("part"), "a side of a partition takes no larger part");
+    assertEquals(
+        0.25,
+        rig.places().get(0).view().getDouble("part"),
+        "a side of a partition takes no larger part");
     assertEquals(0.25, rig.places().get(1).view().getDouble("part"));
     rig.links(Way.WELL);
     settled("after the cut");
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.lab.testbed.ProcessTestbed;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.runtime.RecordCodec;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -18,20 +13,28 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.lab.testbed.ProcessTestbed;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Real gateways of which one owns what is done for all: stopped and continued, told to end, trying for the others. */
+/**
+ * Real gateways of which one owns what is done for all: stopped and continued, told to end, trying
+ * for the others.
+ */
 class OwnerProcessesTest {
   private static final int MANY = 4;
   private static final long PATIENCE_MS = 40_000;
-  private static final String PREFIX = "amberpath/test/", FENCE = PREFIX + RecordCodec.TASKS + "sweep";
+  private static final String PREFIX = "amberpath/test/",
+      FENCE = PREFIX + RecordCodec.TASKS + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private ProcessTestbed rig;
   private long purges;
 
@@ -43,12 +46,35 @@
 
   private void start(String by) throws Exception {
     int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
-    rig = new ProcessTestbed(new ProcessTestbed.Plan(5, MANY, MANY, 20, folder, "[registry]\nform = etcd\nendpoints = 127.0.0.1:" + port
-        + "\nprefix = " + PREFIX + "\njournal = beside\n[owner]\nlease-s = 2\nsweep = yes\nsweep-every-s = 0.2\n"
-        + "probe = yes\n" + by));
+    rig =
+        new ProcessTestbed(
+            new ProcessTestbed.Plan(
+                5,
+                MANY,
+                MANY,
+                20,
+                folder,
+                "[registry]\nform = etcd\nendpoints = 127.0.0.1:"
+                    + port
+                    + "\nprefix = "
+                    + PREFIX
+                    + "\njournal = beside\n[owner]\nlease-s = 2\nsweep = yes\nsweep-every-s = 0.2\n"
+                    + "probe = yes\n"
+                    + by));
     rig.startAll();
-    on(() -> vertx.setPeriodic(100, tick -> registry.write(Map.of(PREFIX + RecordCodec.PURGES + ++purges,
-        RecordCodec.write(new RegistryRecord.Purge(0xf000_0000L + purges, 0, System.currentTimeMillis() - 3 * 3_600_000))))));
+    on(
+        () ->
+            vertx.setPeriodic(
+                100,
+                tick ->
+                    registry.write(
+                        Map.of(
+                            PREFIX + RecordCodec.PURGES + ++purges,
+                            RecordCodec.write(
+                                new RegistryRecord.Purge(
+                                    0xf000_0000L + purges,
+                                    0,
+                                    System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
   private <T> T on(Callable<T> what) throws Exception {
@@ -58,8 +84,9 @@
   /** What the fence of the sweep holds: the term, and who acted last under it. */
   private JsonObject fence() throws Exception {
     byte[] value = on(() -> registry.now().get(FENCE));
-    return value == null ? new JsonObject().put("term", 0L).put("by", "") : new JsonObject(new String(value,
-        StandardCharsets.UTF_8));
+    return value == null
+        ? new JsonObject().put("term", 0L).put("by", "")
+        : new JsonObject(new String(value, StandardCharsets.UTF_8));
   }
 
   private void until(String what, Callable<Boolean> holds) throws Exception {
@@ -71,8 +98,11 @@
   }
 
   private JsonObject task(int gateway, String name) throws Exception {
-    return rig.page(gateway, "/owner").getJsonArray("tasks").stream().map(JsonObject.class::cast)
-        .filter(one -> one.getString("task").equals(name)).findFirst().orElseThrow();
+    return rig.page(gateway, "/owner").getJsonArray("tasks").stream()
+        .map(JsonObject.class::cast)
+        .filter(one -> one.getString("task").equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
   private int holder(String name) throws Exception {
@@ -120,13 +150,15 @@
     until("somebody may try", () -> holder("probe") >= 0);
     int owner = holder("probe");
     rig.hang("e3", true);
-    until("the others leave it to the owner", () -> {
-      int leave = 0;
-      for (int one = 0; one < MANY; one++) {
-        leave += one != owner && task(one, "probe").getBoolean("for_all") ? 1 : 0;
-      }
-      return leave == MANY - 1;
-    });
+    until(
+        "the others leave it to the owner",
+        () -> {
+          int leave = 0;
+          for (int one = 0; one < MANY; one++) {
+            leave += one != owner && task(one, "probe").getBoolean("for_all") ? 1 : 0;
+          }
+          return leave == MANY - 1;
+        });
     long before = rig.wants("e3");
     Thread.sleep(4000);
     long calls = rig.wants("e3") - before;
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -11,7 +11,10 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** What the platform's pages ask of the line that starts a gateway, held without any of its programs. */
+/**
+ * What the platform's pages ask of the line that starts a gateway, held without any of its
+ * programs.
+ */
 class RunLineTest {
   private final String deploy, run;
 
@@ -30,7 +33,8 @@
   void itIsOneProcessThatTakesTheShellsPlace() {
     assertTrue(run.startsWith("exec java "), run);
     assertFalse(run.matches(".*[;&|<>`$()].*"), "starts or feeds a second program: " + run);
-    assertFalse(run.contains("OnError") || run.contains("OnOutOfMemory") || run.contains("-agent"), run);
+    assertFalse(
+        run.contains("OnError") || run.contains("OnOutOfMemory") || run.contains("-agent"), run);
   }
 
   @Test
@@ -42,8 +46,16 @@
   @Test
   void whatIsOffThereIsNotNamed() {
     assertTrue(run.endsWith(" -jar target/amberpath.jar serve"), run);
-    for (String off : List.of("AMBERPATH_FILE", "--file", "amberpath.ini", "registry", "planner", "fleet", "owner",
-        "recovery")) {
+    for (String off :
+        List.of(
+            "AMBERPATH_FILE",
+            "--file",
+            "amberpath.ini",
+            "registry",
+            "planner",
+            "fleet",
+            "owner",
+            "recovery")) {
       assertFalse(run.contains(off), off);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.LocalBackoff;
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.util.AttributeKey;
 import io.vertx.core.internal.net.NetSocketInternal;
@@ -11,20 +10,24 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.LongSupplier;
+import org.amberpath.routing.LocalBackoff;
 
 /**
- * How many accepted connections may hold a descriptor at a time, and since when others may have waited in the accept
- * queue. All of it is used on the event loop that accepts.
+ * How many accepted connections may hold a descriptor at a time, and since when others may have
+ * waited in the accept queue. All of it is used on the event loop that accepts.
  */
 final class AcceptLimit {
-  private static final AttributeKey<Long> QUEUED_NANOS = AttributeKey.valueOf("amberpath.queuedNanos");
+  private static final AttributeKey<Long> QUEUED_NANOS =
+      AttributeKey.valueOf("amberpath.queuedNanos");
 
   private final int most;
   private final LongSupplier clock;
   private final LocalBackoff backoff = new LocalBackoff();
   private final Map<SocketChannel, DuplexChannel> open = new LinkedHashMap<>();
+
   /** Closed ones whose descriptor the selector holds until it selects again. */
   private final List<SocketChannel> closing = new ArrayList<>();
+
   private boolean paused;
   private long pausedAt;
 
@@ -33,13 +36,20 @@
     this.clock = clock;
   }
 
-  /** For how long a connection may have waited in the accept queue while nothing was accepted; 0 mostly. */
+  /**
+   * For how long a connection may have waited in the accept queue while nothing was accepted; 0
+   * mostly.
+   */
   static long queuedNanos(NetSocket socket) {
-    Long waited = ((NetSocketInternal) socket).channelHandlerContext().channel().attr(QUEUED_NANOS).get();
+    Long waited =
+        ((NetSocketInternal) socket).channelHandlerContext().channel().attr(QUEUED_NANOS).get();
     return waited == null ? 0 : waited;
   }
 
-  /** For how long whatever waits in the accept queue may have waited there; 0 where it was seen to be empty since. */
+  /**
+   * For how long whatever waits in the accept queue may have waited there; 0 where it was seen to
+   * be empty since.
+   */
   long pausedNanos(long now) {
     return paused ? Math.max(0, now - pausedAt) : 0;
   }
@@ -56,11 +66,13 @@
   }
 
   /**
-   * The oldest one whose client has been told of its end, if newcomers are to have its place; else null. They are not
-   * where most have been ended: the gateway stops then, and what is on its way to clients goes before newcomers.
+   * The oldest one whose client has been told of its end, if newcomers are to have its place; else
+   * null. They are not where most have been ended: the gateway stops then, and what is on its way
+   * to clients goes before newcomers.
    */
   DuplexChannel oldestEnded() {
-    List<DuplexChannel> ended = open.values().stream().filter(DuplexChannel::isOutputShutdown).toList();
+    List<DuplexChannel> ended =
+        open.values().stream().filter(DuplexChannel::isOutputShutdown).toList();
     return ended.isEmpty() || ended.size() > most / 2 ? null : ended.get(0);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -1,15 +1,17 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.RequestDeadline;
-import org.amberpath.routing.SocketReads;
-import org.amberpath.gateway.settings.JsonRoutingConfig;
-import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.DecodedRequest;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
+import org.amberpath.routing.RequestDeadline;
+import org.amberpath.routing.SocketReads;
 
-/** Second stage: what can't be meant for the decisions, or passes the bound told, is answered here. */
+/**
+ * Second stage: what can't be meant for the decisions, or passes the bound told, is answered here.
+ */
 final class AdmissionControl {
   private static final Logger LOG = Logger.getLogger(AdmissionControl.class.getName());
 
@@ -20,9 +22,11 @@
 
   /** Own GETs are made of what it lets in; null where none are made. */
   private SyntheticRequests own;
+
   private SocketReads.Backlog lastBacklog;
 
-  AdmissionControl(JsonRoutingConfig site, int mostOpen, InFlightRequests book, RoutingStage route) {
+  AdmissionControl(
+      JsonRoutingConfig site, int mostOpen, InFlightRequests book, RoutingStage route) {
     this.site = site;
     this.mostOpen = mostOpen;
     this.book = book;
@@ -33,10 +37,14 @@
     own = to;
   }
 
-  /** A request that was read now, by a loop that was so late. Its failure takes no other request's answer. */
+  /**
+   * A request that was read now, by a loop that was so late. Its failure takes no other request's
+   * answer.
+   */
   void get(ClientConnection from, long number, DecodedRequest asked, long now, long lag) {
     SocketReads.Backlog backlog = backlog(from, now, lag);
-    long due = RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
+    long due =
+        RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
     int ds = site.service(asked.service());
     if (ds < 0) {
       from.refuse(number, "no delivery service " + asked.service());
@@ -57,7 +65,10 @@
     }
   }
 
-  /** With what a request waited unread, if the loop was late just now or the rest of that is still being read. */
+  /**
+   * With what a request waited unread, if the loop was late just now or the rest of that is still
+   * being read.
+   */
   private SocketReads.Backlog backlog(ClientConnection from, long now, long lag) {
     if (SocketReads.mustSettle(lag)) {
       lastBacklog = new SocketReads.Backlog(now - lag, now);
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -1,17 +1,17 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingConfig;
-import org.amberpath.gateway.cache.CachePool;
-import org.amberpath.gateway.cache.CacheCommand;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import org.amberpath.gateway.cache.CacheCommand;
+import org.amberpath.gateway.cache.CachePool;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingConfig;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 
 /** Fourth stage: forwards go to the caches, and each ends once with its outcome. */
 final class AttemptSender {
@@ -27,7 +27,14 @@
   private final RoutingConfig site;
   private RoutingStage route;
 
-  AttemptSender(Vertx vertx, Clock clock, EventLoopLagMonitor standstill, CacheEndpoints caches, ResponseWriter relay, InFlightRequests book, RoutingConfig site) {
+  AttemptSender(
+      Vertx vertx,
+      Clock clock,
+      EventLoopLagMonitor standstill,
+      CacheEndpoints caches,
+      ResponseWriter relay,
+      InFlightRequests book,
+      RoutingConfig site) {
     this.vertx = vertx;
     this.clock = clock;
     this.standstill = standstill;
@@ -41,7 +48,8 @@
     route = to;
   }
 
-  void forward(ClientRequest get, int cache, long until, int source, long age, int rank, int switches) {
+  void forward(
+      ClientRequest get, int cache, long until, int source, long age, int rank, int switches) {
     if (get == null) {
       return;
     }
@@ -55,10 +63,12 @@
       sent.ended(Outcome.NOT_SENT, Note.NOTHING, null);
       return;
     }
-    sent.timer = vertx.setTimer(Math.max(1, (end - now + 999_999) / 1_000_000), late -> sent.late());
+    sent.timer =
+        vertx.setTimer(Math.max(1, (end - now + 999_999) / 1_000_000), late -> sent.late());
     try {
       sent.pool.send(sent);
-    } catch (RuntimeException e) { // Guards the GET against an attempt that neither goes out nor ends.
+    } catch (
+        RuntimeException e) { // Guards the GET against an attempt that neither goes out nor ends.
       LOG.log(Level.SEVERE, "sending failed", e);
       sent.givenUp(sent.isWritten() ? Outcome.LOST : Outcome.NOT_SENT, false);
     }
@@ -69,7 +79,8 @@
     caches.again();
   }
 
-  private byte[] fields(ClientRequest get, int cache, int source, long age, int rank, int switches) {
+  private byte[] fields(
+      ClientRequest get, int cache, int source, long age, int rank, int switches) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(160);
     put(out, "kind=", get.asked.service().getBytes(StandardCharsets.UTF_8));
     put(out, ",obj=", get.asked.object());
@@ -130,7 +141,14 @@
     private long timer = -1;
     private boolean ended;
 
-    Sent(ClientRequest get, int copy, int cache, int source, long sentAt, long until, byte[] fields) {
+    Sent(
+        ClientRequest get,
+        int copy,
+        int cache,
+        int source,
+        long sentAt,
+        long until,
+        byte[] fields) {
       super(get.asked.ref(), fields, get.asked.known(), get.asked.body(), until, get.forwards);
       sendBy = get.sendBy;
       end = until;
@@ -144,15 +162,17 @@
     }
 
     boolean isPurged(long object, int group) {
-      return group == EndpointListener.EVERYTHING || (object != 0 ? object == get.asked.objectId()
-          : group == get.asked.group());
+      return group == EndpointListener.EVERYTHING
+          || (object != 0 ? object == get.asked.objectId() : group == get.asked.group());
     }
 
-    @Override protected boolean asksForCopy() {
+    @Override
+    protected boolean asksForCopy() {
       return !site.neverKept(get.ds);
     }
 
-    @Override protected boolean isOver(long now) {
+    @Override
+    protected boolean isOver(long now) {
       return get.answered || now > sendBy || now >= end;
     }
 
@@ -171,7 +191,10 @@
       }
     }
 
-    /** Guards the connection to the cache, and what else is open on it, against trouble at one client. */
+    /**
+     * Guards the connection to the cache, and what else is open on it, against trouble at one
+     * client.
+     */
     private void returned(Buffer body) {
       try {
         relay.returned(get, body);
@@ -181,7 +204,8 @@
     }
 
     /** The first good answer goes to the client; the decisions hear of every ending. */
-    @Override protected void ended(Outcome outcome, Note note, Buffer body) {
+    @Override
+    protected void ended(Outcome outcome, Note note, Buffer body) {
       if (ended) {
         return;
       }
--- a/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
@@ -13,8 +13,9 @@
 import java.util.logging.Logger;
 
 /**
- * A listening socket that accepts no connection past a bound and goes on as soon as one is gone. After an accept that
- * failed it tries again within milliseconds; the library's own answer is to accept nothing for a whole second.
+ * A listening socket that accepts no connection past a bound and goes on as soon as one is gone.
+ * After an accept that failed it tries again within milliseconds; the library's own answer is to
+ * accept nothing for a whole second.
  */
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
@@ -30,7 +31,8 @@
     this.limit = limit;
   }
 
-  @Override protected int doReadMessages(List<Object> accepted) throws Exception {
+  @Override
+  protected int doReadMessages(List<Object> accepted) throws Exception {
     if (!limit.hasRoom()) {
       full = true;
       pause();
@@ -57,8 +59,12 @@
     return take(socket, accepted);
   }
 
-  /** After a pause the queue is read to its end, so that later connections are not taken for ones that waited. */
-  @Override protected boolean continueReading(RecvByteBufAllocator.Handle handle) {
+  /**
+   * After a pause the queue is read to its end, so that later connections are not taken for ones
+   * that waited.
+   */
+  @Override
+  protected boolean continueReading(RecvByteBufAllocator.Handle handle) {
     return limit.isPaused() || super.continueReading(handle);
   }
 
@@ -88,10 +94,14 @@
     pause();
     if (!retrying) {
       retrying = true;
-      eventLoop().schedule(() -> {
-        retrying = false;
-        resume();
-      }, pauseMillis, TimeUnit.MILLISECONDS);
+      eventLoop()
+          .schedule(
+              () -> {
+                retrying = false;
+                resume();
+              },
+              pauseMillis,
+              TimeUnit.MILLISECONDS);
     }
   }
 
@@ -103,7 +113,10 @@
     }
   }
 
-  /** Guards newcomers against connections that have been ended and only wait for their clients to close. */
+  /**
+   * Guards newcomers against connections that have been ended and only wait for their clients to
+   * close.
+   */
   private void makeRoom() {
     if (full && !limit.hasRoom()) {
       Channel ended = limit.oldestEnded();
@@ -113,7 +126,10 @@
     }
   }
 
-  /** Goes on once the selector has let go of a descriptor, which it does when it selects: by the loop's next turn. */
+  /**
+   * Goes on once the selector has let go of a descriptor, which it does when it selects: by the
+   * loop's next turn.
+   */
   private void release() {
     if (full && !releasing && isOpen() && limit.isReleasing()) {
       releasing = true;
@@ -140,7 +156,8 @@
       this.socket = socket;
     }
 
-    @Override protected void doClose() throws Exception {
+    @Override
+    protected void doClose() throws Exception {
       try {
         super.doClose();
       } finally {
@@ -149,7 +166,8 @@
       }
     }
 
-    @Override public ChannelFuture shutdownOutput(ChannelPromise promise) {
+    @Override
+    public ChannelFuture shutdownOutput(ChannelPromise promise) {
       ChannelFuture told = super.shutdownOutput(promise);
       makeRoom();
       return told;
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -1,11 +1,5 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.gateway.cache.CachePool;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
@@ -18,8 +12,16 @@
 import java.util.Objects;
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
+import org.amberpath.gateway.cache.CachePool;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 
-/** The caches that the journal told of, by the small indices under which the decisions know them. */
+/**
+ * The caches that the journal told of, by the small indices under which the decisions know them.
+ */
 final class CacheEndpoints implements EndpointListener {
   private static final class Entry {
     final String id;
@@ -27,8 +29,13 @@
     SocketAddress address;
     State state;
     CachePool pool;
-    /** The start as it was told, and by this gateway's clock: the age of one that was heard of stays by that clock. */
+
+    /**
+     * The start as it was told, and by this gateway's clock: the age of one that was heard of stays
+     * by that clock.
+     */
     long startedAtMs, startedAt;
+
     /** What was told of it last, but for when it started. */
     LongFunction<Consumer<Events>> telling;
 
@@ -38,15 +45,20 @@
     }
   }
 
-  /** By how much a start has to be later than was told to be told anew: each word of a start begins a ramp. */
+  /**
+   * By how much a start has to be later than was told to be told anew: each word of a start begins
+   * a ramp.
+   */
   private static final long CORRECTED_NANOS = 1_000_000_000L;
 
   private final GatewayOptions options;
   private final Clock clock;
   private final NetClient client;
   private final ProtocolErrorLog complaints;
+
   /** Those that are there, and those gone on whose connections something is still open. */
   private final Map<String, Entry> byId = new HashMap<>();
+
   private final List<Entry> entries = new ArrayList<>();
   private final ArrayDeque<Integer> unused = new ArrayDeque<>();
   private final List<Consumer<Events>> list = new ArrayList<>();
@@ -58,8 +70,10 @@
     this.options = options;
     this.clock = clock;
     this.complaints = complaints;
-    client = vertx.createNetClient(new NetClientOptions()
-        .setConnectTimeout((int) Math.max(1, options.connectTimeout() / 1_000_000)));
+    client =
+        vertx.createNetClient(
+            new NetClientOptions()
+                .setConnectTimeout((int) Math.max(1, options.connectTimeout() / 1_000_000)));
   }
 
   void newsTo(RoutingStage to) {
@@ -79,15 +93,28 @@
   CachePool pool(int cache) {
     Entry entry = entries.get(cache);
     if (entry.pool == null) {
-      CachePool.Bounds bounds = new CachePool.Bounds(() -> entry.state == State.GONE ? 1 : most,
-          options.wantsOnConnection(), options.connectTimeout(), options.connectionIdle(), options.longestAnswer());
-      entry.pool = new CachePool(entry.id, entry.address, client, bounds, clock::now, route::mayWrite,
-          complaints::add);
+      CachePool.Bounds bounds =
+          new CachePool.Bounds(
+              () -> entry.state == State.GONE ? 1 : most,
+              options.wantsOnConnection(),
+              options.connectTimeout(),
+              options.connectionIdle(),
+              options.longestAnswer());
+      entry.pool =
+          new CachePool(
+              entry.id,
+              entry.address,
+              client,
+              bounds,
+              clock::now,
+              route::mayWrite,
+              complaints::add);
     }
     return entry.pool;
   }
 
-  @Override public void listing(boolean whole) {
+  @Override
+  public void listing(boolean whole) {
     list.clear();
     list.add(to -> to.listing(whole ? Listing.FULL : Listing.CHANGES));
     if (whole) {
@@ -95,19 +122,30 @@
     }
   }
 
-  @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-      double weight, long startedAtMs) {
+  @Override
+  public void member(
+      String id,
+      String address,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
+      long startedAtMs) {
     if (state == State.GONE && !byId.containsKey(id)) {
       return;
     }
-    Entry entry = byId.computeIfAbsent(id, fresh -> {
-      Entry made = new Entry(fresh, unused.isEmpty() ? entries.size() : unused.pop());
-      if (made.index == entries.size()) {
-        entries.add(made);
-      }
-      entries.set(made.index, made);
-      return made;
-    });
+    Entry entry =
+        byId.computeIfAbsent(
+            id,
+            fresh -> {
+              Entry made = new Entry(fresh, unused.isEmpty() ? entries.size() : unused.pop());
+              if (made.index == entries.size()) {
+                entries.add(made);
+              }
+              entries.set(made.index, made);
+              return made;
+            });
     entry.state = state;
     if (!address.isEmpty()) {
       SocketAddress now = GatewayOptions.address("journal: hostPort is", address);
@@ -121,7 +159,8 @@
       entry.startedAtMs = startedAtMs;
       entry.startedAt = startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(startedAtMs);
     }
-    entry.telling = startedAt -> to -> to.member(entry.index, id, zone, kind, cell, state, weight, startedAt);
+    entry.telling =
+        startedAt -> to -> to.member(entry.index, id, zone, kind, cell, state, weight, startedAt);
     list.add(entry.telling.apply(entry.startedAt));
   }
 
@@ -130,20 +169,25 @@
     return told;
   }
 
-  @Override public void listed() {
+  @Override
+  public void listed() {
     told = true;
     List<Consumer<Events>> news = List.copyOf(list);
-    route.told(to -> {
-      news.forEach(one -> one.accept(to));
-      to.listed();
-    });
+    route.told(
+        to -> {
+          news.forEach(one -> one.accept(to));
+          to.listed();
+        });
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
     for (Entry entry : byId.values()) {
       if (entry.pool != null) {
-        entry.pool.fail(want -> entry.state != State.UP || !up((AttemptSender.Sent) want), Outcome.HELD_BACK);
+        entry.pool.fail(
+            want -> entry.state != State.UP || !up((AttemptSender.Sent) want), Outcome.HELD_BACK);
       }
     }
-    most = options.connectionsToEach((int) byId.values().stream().filter(one -> one.state != State.GONE).count());
+    most =
+        options.connectionsToEach(
+            (int) byId.values().stream().filter(one -> one.state != State.GONE).count());
   }
 
   private boolean up(AttemptSender.Sent sent) {
@@ -151,31 +195,43 @@
     return source != null && source.state == State.UP;
   }
 
-  @Override public void purged(long object, int group, long atMs) {
+  @Override
+  public void purged(long object, int group, long atMs) {
     long purgedAt = clock.now() - clock.sincePurge(atMs);
     if (clock.corrected()) {
       tellStarts();
     }
     route.told(to -> to.purged(object, group, clock.now() - purgedAt));
-    // Guards purges: what waits for a connection was given the age of a copy that would have done before.
-    pools().forEach(pool -> pool.fail(want -> ((AttemptSender.Sent) want).isPurged(object, group), Outcome.HELD_BACK));
+    // Guards purges: what waits for a connection was given the age of a copy that would have done
+    // before.
+    pools()
+        .forEach(
+            pool ->
+                pool.fail(
+                    want -> ((AttemptSender.Sent) want).isPurged(object, group),
+                    Outcome.HELD_BACK));
   }
 
-  /** Guards slow starts against a wall clock that was ahead when this gateway began, and made them look old. */
+  /**
+   * Guards slow starts against a wall clock that was ahead when this gateway began, and made them
+   * look old.
+   */
   private void tellStarts() {
     List<Consumer<Events>> later = new ArrayList<>();
     for (Entry entry : byId.values()) {
-      long startedAt = entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
+      long startedAt =
+          entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
       if (startedAt > entry.startedAt + CORRECTED_NANOS) {
         entry.startedAt = startedAt;
         later.add(entry.telling.apply(startedAt));
       }
     }
-    route.told(to -> {
-      to.listing(Listing.CHANGES);
-      later.forEach(one -> one.accept(to));
-      to.listed();
-    });
+    route.told(
+        to -> {
+          to.listing(Listing.CHANGES);
+          later.forEach(one -> one.accept(to));
+          to.listed();
+        });
   }
 
   /** Sends what pools held back. */
@@ -187,7 +243,9 @@
     return byId.values().stream().map(entry -> entry.pool).filter(Objects::nonNull).toList();
   }
 
-  /** Leaves idle connections, and lets go of caches that are gone once nothing of theirs is open. */
+  /**
+   * Leaves idle connections, and lets go of caches that are gone once nothing of theirs is open.
+   */
   void sweep() {
     clock.watch();
     for (Entry entry : List.copyOf(byId.values())) {
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -1,28 +1,37 @@
 package org.amberpath.gateway;
 
-import org.amberpath.gateway.client.ClientConnection;
 import io.vertx.core.Vertx;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import org.amberpath.gateway.client.ClientConnection;
 
-/** The clients' connections: bounded in number, and in the time for a whole message that is owed. */
+/**
+ * The clients' connections: bounded in number, and in the time for a whole message that is owed.
+ */
 final class ClientConnections {
   /** Clients that break the protocol are owed a close within 3 s; this and one sweep stay below. */
   private static final long MESSAGE_NS = 2_000_000_000L;
 
   private static final long READ_MS = 2;
-  /** Connections held beside the bound: those about to go, and those whose clients read their last answers. */
+
+  /**
+   * Connections held beside the bound: those about to go, and those whose clients read their last
+   * answers.
+   */
   static final int SPARE = 8;
 
   private final Vertx vertx;
   private final int most;
   private final Clock clock;
   private final Set<ClientConnection> all = new LinkedHashSet<>();
+
   /** Those that go as soon as all is read that had come by now. */
   private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+
   /** Those that take nothing more and still hold a descriptor, the oldest first. */
   private final Set<ClientConnection> ending = new LinkedHashSet<>();
+
   private boolean rejects, over;
 
   ClientConnections(Vertx vertx, int most, Clock clock) {
@@ -32,8 +41,9 @@
   }
 
   /**
-   * Guards the descriptors: past their bound the connection of least use goes, not the newest good one. At every
-   * instant no more are held than the bound and SPARE, beside the one that has just come.
+   * Guards the descriptors: past their bound the connection of least use goes, not the newest good
+   * one. At every instant no more are held than the bound and SPARE, beside the one that has just
+   * come.
    */
   void add(ClientConnection fresh) {
     all.add(fresh);
@@ -65,27 +75,37 @@
   private ClientConnection leastUseful(ClientConnection fresh) {
     ClientConnection least = null;
     for (ClientConnection one : all) {
-      // Guards GETs that are open: half a message after them makes a connection none of the least use.
-      if (one != fresh && !leaving.contains(one) && one.isFree() && (least == null || one.use() < least.use()
-          || one.use() == least.use() && one.heardAt() < least.heardAt())) {
+      // Guards GETs that are open: half a message after them makes a connection none of the least
+      // use.
+      if (one != fresh
+          && !leaving.contains(one)
+          && one.isFree()
+          && (least == null
+              || one.use() < least.use()
+              || one.use() == least.use() && one.heardAt() < least.heardAt())) {
         least = one;
       }
     }
     return least == null ? fresh : least;
   }
 
-  /** Guards requests that crossed this: a connection goes only once the loop has read and still finds nothing open. */
+  /**
+   * Guards requests that crossed this: a connection goes only once the loop has read and still
+   * finds nothing open.
+   */
   private void leave(ClientConnection one) {
     if (one.owes()) {
       one.letGo();
       return;
     }
     leaving.add(one);
-    vertx.setTimer(READ_MS, read -> {
-      if (leaving.contains(one)) {
-        evict(one);
-      }
-    });
+    vertx.setTimer(
+        READ_MS,
+        read -> {
+          if (leaving.contains(one)) {
+            evict(one);
+          }
+        });
   }
 
   private void evict(ClientConnection one) {
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -1,8 +1,8 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.EventAge;
-import org.amberpath.gateway.discovery.JournalDecoder;
 import java.util.function.LongSupplier;
+import org.amberpath.gateway.discovery.JournalDecoder;
+import org.amberpath.routing.EventAge;
 
 /** Time that only goes forward, and what it makes of Unix times. */
 public final class Clock implements JournalDecoder.Replies {
@@ -49,12 +49,14 @@
     return ages.corrected();
   }
 
-  @Override public void begins(boolean live, long newestPurgeMillis) {
+  @Override
+  public void begins(boolean live, long newestPurgeMillis) {
     watch();
     ages.begins(now(), live, newestPurgeMillis);
   }
 
-  @Override public void ends() {
+  @Override
+  public void ends() {
     ages.ends();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointSource.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointSource.java
@@ -1,11 +1,11 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.EndpointListener;
 import io.vertx.core.Vertx;
+import org.amberpath.routing.EndpointListener;
 
 /**
- * A source of news of caches and purges beside the journal. It is called on the gateway's event loop, and tells on
- * it.
+ * A source of news of caches and purges beside the journal. It is called on the gateway's event
+ * loop, and tells on it.
  */
 public interface EndpointSource {
   /** Makes the source of one gateway. */
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -1,7 +1,5 @@
 package org.amberpath.gateway;
 
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonRoutingConfig;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -13,13 +11,20 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
 
-/** All that a gateway is told when it starts: read, checked and given defaults here, and nowhere else. */
+/**
+ * All that a gateway is told when it starts: read, checked and given defaults here, and nowhere
+ * else.
+ */
 public final class GatewayOptions {
   private static final int LEAST_DESCRIPTORS = 128, RUNTIME_DESCRIPTORS = 56, LEAST_MEMORY_MB = 32;
   private static final int LONGEST_ANSWER = 240_000;
+
   /** The longest viewer timeout, where a class tells none or a longer one. */
   private static final long LONGEST_DEADLINE_NANOS = 3_000_000_000L;
+
   private static final long DRAIN_GRACE = 250_000_000, PURGE_GRACE = 300_000_000;
 
   private final String name;
@@ -44,8 +49,10 @@
     JsonReader bounds = settings.fieldsOr("bounds");
     connectTimeout = bounds.timeOr("connect-timeout-s", 400_000_000);
     connectionIdle = bounds.timeOr("conn-idle-s", 30_000_000_000L);
-    newsGrace = Math.min(settings.fieldsOr("guarantees").timeOr("drain-grace-s", DRAIN_GRACE),
-        settings.fieldsOr("family-info").timeOr("heed-within-s", PURGE_GRACE));
+    newsGrace =
+        Math.min(
+            settings.fieldsOr("guarantees").timeOr("drain-grace-s", DRAIN_GRACE),
+            settings.fieldsOr("family-info").timeOr("heed-within-s", PURGE_GRACE));
     wantsOnConnection = Math.max(1, bounds.place("multiplex", 1));
     mostOpen = Math.max(1, bounds.place("max-open", Integer.MAX_VALUE));
     long longest = 0;
@@ -55,7 +62,10 @@
     longestDeadline = Math.min(longest, LONGEST_DEADLINE_NANOS);
   }
 
-  /** Reads what the environment names. A message of {@link JsonReader.Malformed} names the faulty key. */
+  /**
+   * Reads what the environment names. A message of {@link JsonReader.Malformed} names the faulty
+   * key.
+   */
   public static GatewayOptions read(Map<String, String> environment) {
     return read(environment, true);
   }
@@ -69,7 +79,8 @@
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(Path.of(path)))) {
       return new GatewayOptions(environment, JsonReader.read("configuration", parser), withJournal);
     } catch (JsonProcessingException e) {
-      throw new JsonReader.Malformed("PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
+      throw new JsonReader.Malformed(
+          "PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
       throw new JsonReader.Malformed("PROXY_CONFIG: " + path + " can't be read: " + e);
     }
@@ -95,7 +106,9 @@
     try {
       return address(key, from.text(key));
     } catch (JsonReader.Malformed e) {
-      throw e.getMessage().startsWith(key) ? from.wrong(key, e.getMessage().substring(key.length() + 1)) : e;
+      throw e.getMessage().startsWith(key)
+          ? from.wrong(key, e.getMessage().substring(key.length() + 1))
+          : e;
     }
   }
 
@@ -106,7 +119,8 @@
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
       if (!host.isEmpty() && host.matches("[0-9a-fA-F.:]+") && port >= 0 && port < 1 << 16) {
-        return SocketAddress.inetSocketAddress(new InetSocketAddress(InetAddress.getByName(host), port));
+        return SocketAddress.inetSocketAddress(
+            new InetSocketAddress(InetAddress.getByName(host), port));
       }
     } catch (NumberFormatException | UnknownHostException e) {
       // Said below.
@@ -139,7 +153,9 @@
     return connectTimeout;
   }
 
-  /** When an idle connection is left: well before the cache closes it, so that no GET crosses that. */
+  /**
+   * When an idle connection is left: well before the cache closes it, so that no GET crosses that.
+   */
   public long connectionIdle() {
     return connectionIdle * 3 / 4;
   }
@@ -157,13 +173,18 @@
     return mostOpen;
   }
 
-  /** The longest viewer timeout of all classes, in nanoseconds: a kill may come some time after that. */
+  /**
+   * The longest viewer timeout of all classes, in nanoseconds: a kill may come some time after
+   * that.
+   */
   public long longestDeadline() {
     return longestDeadline;
   }
 
-  /** Connections that clients may hold: usual ones hold a third of the descriptors, half as many more while another
-   * gateway restarts, and others come beside them. */
+  /**
+   * Connections that clients may hold: usual ones hold a third of the descriptors, half as many
+   * more while another gateway restarts, and others come beside them.
+   */
   public int mostClients() {
     return descriptors / 2;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -1,13 +1,13 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.SocketReads;
-import org.amberpath.gateway.client.ClientConnection;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.routing.SocketReads;
 
 /** Last stage: which GETs are open, until each is answered and its last forward has ended. */
 final class InFlightRequests {
@@ -57,16 +57,23 @@
     return new ArrayList<>(unanswered.getOrDefault(client, Map.of()).values());
   }
 
-  /** What waited unread at a client's connection, if that may not have been read to its end; null otherwise. */
+  /**
+   * What waited unread at a client's connection, if that may not have been read to its end; null
+   * otherwise.
+   */
   SocketReads.Backlog backlog(ClientConnection client, long now) {
     return unanswered.getOrDefault(client, Map.of()).values().stream()
         .filter(one -> one.backlog != null && !one.settled && one.backlog.mayGoOn(now))
-        .map(one -> one.backlog).findFirst().orElse(null);
+        .map(one -> one.backlog)
+        .findFirst()
+        .orElse(null);
   }
 
   /** When the last of a client's open requests was taken. */
   long lastTaken(ClientConnection client) {
-    return unanswered.getOrDefault(client, Map.of()).values().stream().mapToLong(one -> one.takenAt).max()
+    return unanswered.getOrDefault(client, Map.of()).values().stream()
+        .mapToLong(one -> one.takenAt)
+        .max()
         .orElse(Long.MIN_VALUE);
   }
 
@@ -87,7 +94,9 @@
     close(get);
   }
 
-  /** Guards against decisions on a GET that was forgotten: it stays until they have heard all of it. */
+  /**
+   * Guards against decisions on a GET that was forgotten: it stays until they have heard all of it.
+   */
   void close(ClientRequest get) {
     if (get.answered && get.out == 0 && get.events == 0) {
       gets.remove(get.id);
--- a/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
@@ -2,7 +2,10 @@
 
 import java.util.logging.Logger;
 
-/** What peers did wrong: counted, and told in one line a sweep at most, so that no peer can flood the log. */
+/**
+ * What peers did wrong: counted, and told in one line a sweep at most, so that no peer can flood
+ * the log.
+ */
 final class ProtocolErrorLog {
   private static final Logger LOG = Logger.getLogger(ProtocolErrorLog.class.getName());
   private static final int LONGEST = 200;
@@ -20,7 +23,9 @@
   void sweep() {
     if (many > 0) {
       String line = from + ": " + why;
-      LOG.warning((many == 1 ? "" : many + " times, last: ") + line.substring(0, Math.min(line.length(), LONGEST)));
+      LOG.warning(
+          (many == 1 ? "" : many + " times, last: ")
+              + line.substring(0, Math.min(line.length(), LONGEST)));
       many = 0;
       from = null;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -1,10 +1,10 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.LoadShedder;
+import java.util.function.BooleanSupplier;
 import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.ClientHandler;
-import java.util.function.BooleanSupplier;
+import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.routing.LoadShedder;
 
 /** First stage: what clients say, with the time at which it had come whole. */
 final class RequestReceiver implements ClientHandler {
@@ -19,8 +19,17 @@
   private final LoadShedder pace;
   private final BooleanSupplier ready;
 
-  RequestReceiver(Clock clock, EventLoopLagMonitor standstill, InFlightRequests book, AdmissionControl admit, RoutingStage route, ResponseWriter relay, ClientConnections clients,
-      ProtocolErrorLog complaints, LoadShedder pace, BooleanSupplier ready) {
+  RequestReceiver(
+      Clock clock,
+      EventLoopLagMonitor standstill,
+      InFlightRequests book,
+      AdmissionControl admit,
+      RoutingStage route,
+      ResponseWriter relay,
+      ClientConnections clients,
+      ProtocolErrorLog complaints,
+      LoadShedder pace,
+      BooleanSupplier ready) {
     this.clock = clock;
     this.standstill = standstill;
     this.book = book;
@@ -33,28 +42,34 @@
     this.ready = ready;
   }
 
-  @Override public boolean takes() {
+  @Override
+  public boolean takes() {
     return pace.takes();
   }
 
-  @Override public long away() {
+  @Override
+  public long away() {
     return pace.away();
   }
 
-  @Override public void get(ClientConnection from, long number, DecodedRequest get) {
+  @Override
+  public void get(ClientConnection from, long number, DecodedRequest get) {
     long now = clock.now();
     admit.get(from, number, get, now, standstill.late(from, now));
   }
 
-  @Override public void withdrawn(ClientConnection from, long number) {
+  @Override
+  public void withdrawn(ClientConnection from, long number) {
     left(book.unanswered(from, number));
   }
 
-  @Override public boolean ready() {
+  @Override
+  public boolean ready() {
     return ready.getAsBoolean();
   }
 
-  @Override public void broken(ClientConnection from, String why) {
+  @Override
+  public void broken(ClientConnection from, String why) {
     complaints.add(from, why);
     for (ClientRequest get : book.unanswered(from)) {
       relay.errored(get, "the protocol was broken on this connection");
@@ -62,12 +77,14 @@
     }
   }
 
-  @Override public void closed(ClientConnection from) {
+  @Override
+  public void closed(ClientConnection from) {
     clients.remove(from);
     book.unanswered(from).forEach(this::left);
   }
 
-  @Override public void released(ClientConnection from) {
+  @Override
+  public void released(ClientConnection from) {
     clients.released(from);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -49,8 +49,12 @@
     vertx.cancelTimer(get.backstop);
     book.answered(get);
     if (get.own != null) {
-      get.own.accept(get.heard ? FleetCoordinator.Own.ANSWERED : get.forwards.isEmpty() ? FleetCoordinator.Own.NOT_SENT
-          : FleetCoordinator.Own.SILENT);
+      get.own.accept(
+          get.heard
+              ? FleetCoordinator.Own.ANSWERED
+              : get.forwards.isEmpty()
+                  ? FleetCoordinator.Own.NOT_SENT
+                  : FleetCoordinator.Own.SILENT);
     }
     return get.own == null;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -1,25 +1,26 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.routing.DiscoveryFreshness;
-import org.amberpath.routing.SocketReads;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.logging.Level;
 import java.util.logging.Logger;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.SocketReads;
 
 /**
- * Third stage: what a turn of the loop brought is one round of the decisions, carried out at once. While news of
- * caches and purges may be too old to decide by, rounds wait, for no longer than {@link DiscoveryFreshness} says; news goes first
- * in each.
+ * Third stage: what a turn of the loop brought is one round of the decisions, carried out at once.
+ * While news of caches and purges may be too old to decide by, rounds wait, for no longer than
+ * {@link DiscoveryFreshness} says; news goes first in each.
  */
 final class RoutingStage implements RoutingActions, RoutingEvents {
   private static final Logger LOG = Logger.getLogger(RoutingStage.class.getName());
   private static final long BACKSTOP_MS = 25;
+
   /** What one round takes at most, as much as one client may have open. */
   private static final int MOST = 32;
 
@@ -28,8 +29,7 @@
     void round(long now, RoutingEvents in, RoutingActions to);
   }
 
-  private record Arrival(ClientRequest get, Consumer<Events> event) {
-  }
+  private record Arrival(ClientRequest get, Consumer<Events> event) {}
 
   private final Vertx vertx;
   private final Clock clock;
@@ -39,14 +39,26 @@
   private final InFlightRequests book;
   private final AttemptSender send;
   private final ResponseWriter relay;
-  /** Bounded by the open GETs, their forwards and timers, and by the length of a reply of the journal. */
+
+  /**
+   * Bounded by the open GETs, their forwards and timers, and by the length of a reply of the
+   * journal.
+   */
   private List<Arrival> news = new ArrayList<>(), arrivals = new ArrayList<>();
+
   private List<Arrival> round = List.of();
   private boolean due, reading, held;
   private int replayed;
   private Told told;
 
-  RoutingStage(Vertx vertx, Clock clock, Rounds decisions, DiscoveryFreshness age, SocketReads reads, InFlightRequests book, AttemptSender send,
+  RoutingStage(
+      Vertx vertx,
+      Clock clock,
+      Rounds decisions,
+      DiscoveryFreshness age,
+      SocketReads reads,
+      InFlightRequests book,
+      AttemptSender send,
       ResponseWriter relay) {
     this.vertx = vertx;
     this.clock = clock;
@@ -71,17 +83,32 @@
   }
 
   void get(ClientRequest get) {
-    open(get, to -> to.get(get.id, get.ds, get.asked.objectId(), get.asked.group(), get.asked.partNumber(),
-        get.due - clock.now(), get.asked.kb(), false));
+    open(
+        get,
+        to ->
+            to.get(
+                get.id,
+                get.ds,
+                get.asked.objectId(),
+                get.asked.group(),
+                get.asked.partNumber(),
+                get.due - clock.now(),
+                get.asked.kb(),
+                false));
   }
 
-  /** A GET goes to the decisions, as the event says, and has its answer by its time at the latest. */
+  /**
+   * A GET goes to the decisions, as the event says, and has its answer by its time at the latest.
+   */
   void open(ClientRequest get, Consumer<Events> event) {
     long left = get.due - clock.now();
-    get.backstop = vertx.setTimer(Math.max(1, left / 1_000_000) + BACKSTOP_MS, late -> {
-      relay.errored(get, "late");
-      arrived(get, to -> to.left(get.id));
-    });
+    get.backstop =
+        vertx.setTimer(
+            Math.max(1, left / 1_000_000) + BACKSTOP_MS,
+            late -> {
+              relay.errored(get, "late");
+              arrived(get, to -> to.left(get.id));
+            });
     arrived(get, event);
   }
 
@@ -94,13 +121,18 @@
     soon();
   }
 
-  /** The same for news of caches and purges. Guards against GETs that came with it and would be decided without it. */
+  /**
+   * The same for news of caches and purges. Guards against GETs that came with it and would be
+   * decided without it.
+   */
   void told(Consumer<Events> event) {
     news.add(new Arrival(null, event));
     soon();
   }
 
-  /** Whether a forward may be written now; one that may not is taken up again before the next round. */
+  /**
+   * Whether a forward may be written now; one that may not is taken up again before the next round.
+   */
   boolean mayWrite() {
     boolean may = decides();
     if (!may) {
@@ -110,7 +142,9 @@
     return may;
   }
 
-  /** Whether what is known of caches, purges and clients is young enough to decide and to write by. */
+  /**
+   * Whether what is known of caches, purges and clients is young enough to decide and to write by.
+   */
   private boolean decides() {
     long now = clock.now();
     return age.decides(now) && reads.isFresh(now);
@@ -130,17 +164,22 @@
     }
   }
 
-  /** Reads the sockets before the next round. Guards against decisions by what was read before the loop stood still. */
+  /**
+   * Reads the sockets before the next round. Guards against decisions by what was read before the
+   * loop stood still.
+   */
   private void readFirst() {
     if (!reading && !age.owed()) {
       reading = true;
       long by = clock.now();
-      vertx.setTimer(1, read -> { // A timer set now comes after the loop has read once more.
-        reading = false;
-        age.read(by);
-        reads.read(by);
-        round();
-      });
+      vertx.setTimer(
+          1,
+          read -> { // A timer set now comes after the loop has read once more.
+            reading = false;
+            age.read(by);
+            reads.read(by);
+            round();
+          });
     }
   }
 
@@ -162,7 +201,9 @@
     news.addAll(ready);
     round = news;
     news = new ArrayList<>();
-    if (!arrivals.isEmpty()) { // Guards those who have left meanwhile: the loop reads before it decides on more.
+    if (!arrivals
+        .isEmpty()) { // Guards those who have left meanwhile: the loop reads before it decides on
+      // more.
       due = true;
       readFirst();
     }
@@ -179,7 +220,10 @@
     }
   }
 
-  /** Whether a GET's connection was read on where the loop was late: guards against a close behind a pipeline. */
+  /**
+   * Whether a GET's connection was read on where the loop was late: guards against a close behind a
+   * pipeline.
+   */
   private boolean isSettled(ClientRequest get) {
     if (get != null && get.backlog != null && !get.settled) {
       get.settled = get.answered || reads.isSettled(get.takenAt, book.lastTaken(get.client));
@@ -193,13 +237,18 @@
       held = false;
       try {
         send.again();
-      } catch (RuntimeException e) { // Guards what has come meanwhile against a failure of what was held back.
+      } catch (
+          RuntimeException
+              e) { // Guards what has come meanwhile against a failure of what was held back.
         LOG.log(Level.SEVERE, "sending what was held back failed", e);
       }
     }
   }
 
-  /** Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time ends it. */
+  /**
+   * Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time
+   * ends it.
+   */
   private void failed(ClientRequest get) {
     if (get != null && get.out == 0 && !get.answered) {
       relay.errored(get, "internal error");
@@ -216,7 +265,8 @@
   }
 
   /** A failure in the decisions on one GET ends that GET and no other. */
-  @Override public void replay(Events to) {
+  @Override
+  public void replay(Events to) {
     while (replayed < round.size()) {
       Arrival arrival = round.get(replayed++);
       try {
@@ -230,43 +280,52 @@
     }
   }
 
-  @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+  @Override
+  public void forward(
+      long get, int cache, long until, int source, long age, int rank, int switches) {
     send.forward(book.get(get), cache, until, source, age, rank, switches);
   }
 
-  @Override public void sendBy(long get, long time) {
+  @Override
+  public void sendBy(long get, long time) {
     send.sendBy(book.get(get), time);
   }
 
-  @Override public void shed(long get, long wait) {
+  @Override
+  public void shed(long get, long wait) {
     relay.shed(book.get(get), wait);
   }
 
-  @Override public void errored(long get) {
+  @Override
+  public void errored(long get) {
     relay.errored(book.get(get), "not returned");
   }
 
-  @Override public void callOff(long get, int copy) {
+  @Override
+  public void callOff(long get, int copy) {
     send.callOff(book.get(get), copy);
   }
 
-  @Override public void wake(long delay, String handle) {
+  @Override
+  public void wake(long delay, String handle) {
     vertx.setTimer(Math.max(1, delay / 1_000_000), due -> arrived(null, to -> to.woken(handle)));
   }
 
-  @Override public void health(int cache, Health health) {
+  @Override
+  public void health(int cache, Health health) {
     if (told != null) {
       told.health(cache, health);
     }
   }
 
-  @Override public void cold(int cache, long until) {
+  @Override
+  public void cold(int cache, long until) {
     if (told != null) {
       told.cold(cache, until);
     }
   }
 
   /** The journal is always followed. */
-  @Override public void watchList() {
-  }
+  @Override
+  public void watchList() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
@@ -11,8 +11,9 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Sockets whose connections are accepted on the event loop that also serves them. Guards the descriptors: an acceptor
- * with a thread of its own runs ahead of a loop that is busy, past any bound that is kept there.
+ * Sockets whose connections are accepted on the event loop that also serves them. Guards the
+ * descriptors: an acceptor with a thread of its own runs ahead of a loop that is busy, past any
+ * bound that is kept there.
  */
 final class SingleEventLoopTransport extends NioTransport {
   private final SystemCalls calls;
@@ -31,25 +32,30 @@
   static Transport transport(SystemCalls calls) {
     SingleEventLoopTransport made = new SingleEventLoopTransport(calls);
     return new Transport() {
-      @Override public String name() {
+      @Override
+      public String name() {
         return "one loop";
       }
 
-      @Override public boolean available() {
+      @Override
+      public boolean available() {
         return true;
       }
 
-      @Override public Throwable unavailabilityCause() {
+      @Override
+      public Throwable unavailabilityCause() {
         return null;
       }
 
-      @Override public io.vertx.core.spi.transport.Transport implementation() {
+      @Override
+      public io.vertx.core.spi.transport.Transport implementation() {
         return made;
       }
     };
   }
 
-  @Override public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
+  @Override
+  public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
     loop = loop == null ? super.eventLoopGroup(type, 1, factory, ioRatio) : loop;
     return loop;
   }
@@ -61,7 +67,8 @@
     }
   }
 
-  @Override public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
+  @Override
+  public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
     if (domainSocket) {
       return super.serverChannelFactory(true);
     }
@@ -70,7 +77,8 @@
     return () -> new BoundedServerChannel(calls, limit);
   }
 
-  @Override public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
+  @Override
+  public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
     return domainSocket ? super.channelFactory(true) : calls::socket;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SystemCalls.java
@@ -6,7 +6,10 @@
 import java.nio.channels.ServerSocketChannel;
 import java.nio.channels.SocketChannel;
 
-/** The system calls that the transport makes for new connections; tests put calls that fail in their place. */
+/**
+ * The system calls that the transport makes for new connections; tests put calls that fail in their
+ * place.
+ */
 class SystemCalls {
   /** Takes a waiting connection; null where none waits. */
   SocketChannel accept(ServerSocketChannel from) throws IOException {
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -1,7 +1,5 @@
 package org.amberpath.gateway.cache;
 
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import io.netty.channel.Channel;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.internal.net.NetSocketInternal;
@@ -11,6 +9,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 
 /** One connection to a cache: many wants at once, answers in any order. */
 final class CacheConnection implements ReplyReader.Sink {
@@ -22,8 +22,13 @@
   private final NetSocket socket;
   private final Map<String, CacheCommand> open = new LinkedHashMap<>();
   private final ReplyReader reader;
-  /** Silent: a want was waited for in vain and nothing has come since, so the peer may have vanished. */
+
+  /**
+   * Silent: a want was waited for in vain and nothing has come since, so the peer may have
+   * vanished.
+   */
   private boolean closed, silent;
+
   private long heardAt, usedAt;
 
   CacheConnection(CachePool pool, NetSocket socket, int longest, long now) {
@@ -32,12 +37,13 @@
     heardAt = now;
     usedAt = now;
     reader = new ReplyReader(longest, this);
-    socket.handler(bytes -> {
-      heardAt = pool.now();
-      silent = false;
-      reader.handle(bytes);
-    });
-    socket.exceptionHandler(e -> { }); // The close that follows says it all.
+    socket.handler(
+        bytes -> {
+          heardAt = pool.now();
+          silent = false;
+          reader.handle(bytes);
+        });
+    socket.exceptionHandler(e -> {}); // The close that follows says it all.
     socket.closeHandler(v -> gone());
   }
 
@@ -51,8 +57,9 @@
   }
 
   /**
-   * Whether a new want may go on it. Guards against a peer that does not read, behind whose bytes a want would be sent
-   * at a time of its own, past drains and withdrawals; and against half an answer to nobody, which spoils the next.
+   * Whether a new want may go on it. Guards against a peer that does not read, behind whose bytes a
+   * want would be sent at a time of its own, past drains and withdrawals; and against half an
+   * answer to nobody, which spoils the next.
    */
   boolean takes() {
     return !silent && !(open.isEmpty() && reader.midway()) && !stuck();
@@ -74,10 +81,12 @@
   /** Gives one up; an answer that crosses this is dropped. */
   void neverMind(CacheCommand want, boolean late, long patience) {
     if (open.remove(want.key, want) && !closed) {
-      // Guards against a peer that vanished: a dead connection takes no new wants. One slow answer is no proof,
+      // Guards against a peer that vanished: a dead connection takes no new wants. One slow answer
+      // is no proof,
       // so what is open on it goes on.
       silent |= heardAt < want.writtenAt && pool.now() - want.writtenAt > patience;
-      // Guards against answers that stop short: what would come next on that connection is of no use.
+      // Guards against answers that stop short: what would come next on that connection is of no
+      // use.
       if (open.isEmpty() && (late || silent || reader.midway())) {
         close();
       } else {
@@ -86,22 +95,30 @@
     }
   }
 
-  /** Only what is whole, readable and meant for what is open here is an answer; more than that is dropped. */
-  @Override public void reply(List<Buffer> elements) {
+  /**
+   * Only what is whole, readable and meant for what is open here is an answer; more than that is
+   * dropped.
+   */
+  @Override
+  public void reply(List<Buffer> elements) {
     CacheCommand want = open.get(text(elements.get(0)));
     if (want == null) {
       return;
     }
     Outcome outcome = outcome(elements, want.asksForCopy());
     // Guards clients against word that a copy is current which the cache did not name.
-    if (outcome == null || text(elements.get(1)).equals("current")
-        && !want.isKnown(value(text(elements.get(2)), "entity="))) {
+    if (outcome == null
+        || text(elements.get(1)).equals("current")
+            && !want.isKnown(value(text(elements.get(2)), "entity="))) {
       unreadable("an answer that can't be read");
       return;
     }
     open.remove(want.key);
     usedAt = heardAt;
-    want.ended(outcome, note(text(elements.get(2))), text(elements.get(1)).equals("ok") ? elements.get(3) : null);
+    want.ended(
+        outcome,
+        note(text(elements.get(2))),
+        text(elements.get(1)).equals("ok") ? elements.get(3) : null);
   }
 
   /** What an answer says; null where it is not whole or of no known kind. */
@@ -120,7 +137,8 @@
     };
   }
 
-  @Override public void unreadable(String why) {
+  @Override
+  public void unreadable(String why) {
     if (!closed) {
       pool.complain(why);
       close();
@@ -130,7 +148,8 @@
   /** A copy has a tag and the time at which the origin gave it out. */
   private static boolean isCopy(String fields) {
     String issued = value(fields, "issued=");
-    return !value(fields, "entity=").isEmpty() && !issued.isEmpty()
+    return !value(fields, "entity=").isEmpty()
+        && !issued.isEmpty()
         && issued.chars().allMatch(one -> one >= '0' && one <= '9');
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -1,9 +1,5 @@
 package org.amberpath.gateway.cache;
 
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.ConnectPatience;
-import org.amberpath.routing.LocalBackoff;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
@@ -17,17 +13,28 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import java.util.logging.Logger;
+import org.amberpath.routing.ConnectPatience;
+import org.amberpath.routing.LocalBackoff;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 
-/** The connections to one cache, within its part of the descriptors; as few wants as may be share one. */
+/**
+ * The connections to one cache, within its part of the descriptors; as few wants as may be share
+ * one.
+ */
 public final class CachePool {
-  /** What bounds a pool: connections, wants on one, times to connect and to leave an idle one, the longest body. */
-  public record Bounds(IntSupplier connections, int wants, long connect, long idle, int longest) {
-  }
+  /**
+   * What bounds a pool: connections, wants on one, times to connect and to leave an idle one, the
+   * longest body.
+   */
+  public record Bounds(IntSupplier connections, int wants, long connect, long idle, int longest) {}
 
   private static final Logger LOG = Logger.getLogger(CachePool.class.getName());
 
   static {
-    ConnectFailure.of(null); // Guards against a class that can't be loaded when there is no descriptor to read it.
+    ConnectFailure.of(
+        null); // Guards against a class that can't be loaded when there is no descriptor to read
+    // it.
   }
 
   private final String name;
@@ -41,14 +48,25 @@
   private final List<CacheCommand> waiting = new ArrayList<>();
   private final LocalBackoff backoff = new LocalBackoff();
   private int connecting;
+
   /** When the oldest connect was begun, at the latest, of those that are under way. */
   private long connectingSinceNanos;
+
   private boolean backingOff;
   private boolean closed;
 
-  /** Complaints are told of answers that can't be used; wants wait for {@link #again} while none may be written. */
-  public CachePool(String name, SocketAddress address, NetClient client, Bounds bounds, LongSupplier clock,
-      BooleanSupplier mayWrite, BiConsumer<Object, String> complaints) {
+  /**
+   * Complaints are told of answers that can't be used; wants wait for {@link #again} while none may
+   * be written.
+   */
+  public CachePool(
+      String name,
+      SocketAddress address,
+      NetClient client,
+      Bounds bounds,
+      LongSupplier clock,
+      BooleanSupplier mayWrite,
+      BiConsumer<Object, String> complaints) {
     this.name = name;
     this.address = address;
     this.client = client;
@@ -76,11 +94,13 @@
       want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
       return;
     }
-    if (want.isOver(now())) { // Guards against what waited here while its client left or its window ended.
+    if (want.isOver(
+        now())) { // Guards against what waited here while its client left or its window ended.
       want.ended(Outcome.NOT_SENT, Note.NOTHING, null);
       return;
     }
-    if (!mayWrite.getAsBoolean()) { // Guards against a drain or a purge that came after the decision.
+    if (!mayWrite
+        .getAsBoolean()) { // Guards against a drain or a purge that came after the decision.
       waiting.add(want);
       return;
     }
@@ -94,9 +114,12 @@
     } else {
       waiting.add(want);
     }
-    // Guards against many wants that share the fate of one connection: one is always free, where there may be more.
-    if (mayConnect() && (best == null ? connecting < waiting.size()
-        : connecting == 0 && connections.stream().noneMatch(one -> one.load() == 0))) {
+    // Guards against many wants that share the fate of one connection: one is always free, where
+    // there may be more.
+    if (mayConnect()
+        && (best == null
+            ? connecting < waiting.size()
+            : connecting == 0 && connections.stream().noneMatch(one -> one.load() == 0))) {
       connect();
     }
   }
@@ -109,13 +132,20 @@
     return connections.size() + connecting < bounds.connections.getAsInt();
   }
 
-  /** The one with the least on it; of free ones the last used, so that the rest may be left when idle for long. */
+  /**
+   * The one with the least on it; of free ones the last used, so that the rest may be left when
+   * idle for long.
+   */
   private CacheConnection best(CacheCommand want, long now) {
     CacheConnection best = null;
     for (CacheConnection one : connections) {
-      if (one.takes() && one.load() < bounds.wants && one.idle(now) < bounds.idle && want.mayUse(one)
-          && (best == null || one.load() < best.load() || one.load() == best.load()
-          && one.idle(now) < best.idle(now))) {
+      if (one.takes()
+          && one.load() < bounds.wants
+          && one.idle(now) < bounds.idle
+          && want.mayUse(one)
+          && (best == null
+              || one.load() < best.load()
+              || one.load() == best.load() && one.idle(now) < best.idle(now))) {
         best = one;
       }
     }
@@ -125,20 +155,23 @@
   private void connect() {
     connectingSinceNanos = connecting == 0 ? now() : connectingSinceNanos;
     connecting++;
-    opened().onComplete(result -> {
-      connecting--;
-      ConnectFailure failure = result.succeeded() ? null : ConnectFailure.of(result.cause());
-      if (failure != null && failure.isLocal()) {
-        failedHere(failure, result.cause());
-        return;
-      }
-      backoff.ended();
-      if (failure == null) {
-        connected(result.result());
-      } else {
-        refused();
-      }
-    });
+    opened()
+        .onComplete(
+            result -> {
+              connecting--;
+              ConnectFailure failure =
+                  result.succeeded() ? null : ConnectFailure.of(result.cause());
+              if (failure != null && failure.isLocal()) {
+                failedHere(failure, result.cause());
+                return;
+              }
+              backoff.ended();
+              if (failure == null) {
+                connected(result.result());
+              } else {
+                refused();
+              }
+            });
   }
 
   /** Guards the count of those that come up against a call that throws. */
@@ -151,8 +184,8 @@
   }
 
   /**
-   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after a pause, and goes
-   * elsewhere once that has failed for long.
+   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after
+   * a pause, and goes elsewhere once that has failed for long.
    */
   private void failedHere(ConnectFailure failure, Throwable cause) {
     if (!backoff.isFailing()) {
@@ -160,10 +193,14 @@
     }
     if (!backingOff) { // Several that fail together are one failure.
       backingOff = true;
-      Vertx.currentContext().owner().setTimer(backoff.failed(), retry -> {
-        backingOff = false;
-        again();
-      });
+      Vertx.currentContext()
+          .owner()
+          .setTimer(
+              backoff.failed(),
+              retry -> {
+                backingOff = false;
+                again();
+              });
     }
     if (backoff.isExhausted()) {
       long now = now();
@@ -172,10 +209,15 @@
     again();
   }
 
-  /** How a want ends whose time is over before it was sent: only a cache that was asked in vain is to blame. */
+  /**
+   * How a want ends whose time is over before it was sent: only a cache that was asked in vain is
+   * to blame.
+   */
   public Outcome unsentOutcome() {
-    boolean blamed = !backoff.isFailing() && connecting > 0
-        && ConnectPatience.isEvidence(now() - connectingSinceNanos, bounds.connect);
+    boolean blamed =
+        !backoff.isFailing()
+            && connecting > 0
+            && ConnectPatience.isEvidence(now() - connectingSinceNanos, bounds.connect);
     return blamed ? Outcome.NO_CONNECTION : Outcome.HELD_BACK;
   }
 
@@ -216,12 +258,16 @@
     }
   }
 
-  /** Leaves connections that nobody used for long, before the cache does, and free ones past its part. */
+  /**
+   * Leaves connections that nobody used for long, before the cache does, and free ones past its
+   * part.
+   */
   public void sweep() {
     long now = now();
     int most = bounds.connections.getAsInt();
     for (CacheConnection one : List.copyOf(connections)) {
-      if (one.load() == 0 && (!one.takes() || one.idle(now) >= bounds.idle || connections.size() > most)) {
+      if (one.load() == 0
+          && (!one.takes() || one.idle(now) >= bounds.idle || connections.size() > most)) {
         one.close();
       }
     }
@@ -242,7 +288,8 @@
     List.copyOf(connections).forEach(CacheConnection::close);
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     return name + " at " + address;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Why a connection did not come up, classified here and nowhere else from the exceptions that Java gives. */
+/**
+ * Why a connection did not come up, classified here and nowhere else from the exceptions that Java
+ * gives.
+ */
 public enum ConnectFailure {
   /** This host is short of descriptors, buffers or memory: nothing was asked of the endpoint. */
   LOCAL_RESOURCE(true),
@@ -22,15 +25,27 @@
   OTHER(false);
 
   private static final int MAX_CAUSES = 16;
+
   /** What the system says of EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
-  private static final List<String> RESOURCE_TEXTS = List.of("too many open files", "no buffer space available",
-      "cannot allocate memory", "resource temporarily unavailable", "operation not permitted",
-      "interrupted system call");
+  private static final List<String> RESOURCE_TEXTS =
+      List.of(
+          "too many open files",
+          "no buffer space available",
+          "cannot allocate memory",
+          "resource temporarily unavailable",
+          "operation not permitted",
+          "interrupted system call");
+
   /** The same of EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
-  private static final List<String> NETWORK_TEXTS = List.of("cannot assign requested address",
-      "address already in use", "network is unreachable", "network is down");
-  private static final List<String> UNREACHABLE_TEXTS = List.of("no route to host", "host is down",
-      "host is unreachable");
+  private static final List<String> NETWORK_TEXTS =
+      List.of(
+          "cannot assign requested address",
+          "address already in use",
+          "network is unreachable",
+          "network is down");
+
+  private static final List<String> UNREACHABLE_TEXTS =
+      List.of("no route to host", "host is down", "host is unreachable");
 
   private final boolean local;
 
@@ -43,7 +58,10 @@
     return local;
   }
 
-  /** Classifies a failed connect by the first cause that says why; libraries wrap causes and append addresses. */
+  /**
+   * Classifies a failed connect by the first cause that says why; libraries wrap causes and append
+   * addresses.
+   */
   public static ConnectFailure of(Throwable failure) {
     Throwable cause = failure;
     for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -24,6 +24,7 @@
   private List<Buffer> elements = new ArrayList<>(4);
   private int missing;
   private boolean inBulk, ended;
+
   /** Bytes that came and are no whole line or string yet. */
   private long pending;
 
@@ -41,7 +42,8 @@
     return missing > 0 || pending > 0;
   }
 
-  @Override public void handle(Buffer came) {
+  @Override
+  public void handle(Buffer came) {
     if (!ended) {
       pending += came.length();
       parser.handle(came);
@@ -88,7 +90,8 @@
   }
 
   private int length(Buffer line, char kind, int most) {
-    int length = line.length() > 1 && line.length() < DIGITS && line.getByte(0) == kind ? 0 : most + 1;
+    int length =
+        line.length() > 1 && line.length() < DIGITS && line.getByte(0) == kind ? 0 : most + 1;
     for (int at = 1; at < line.length() && length <= most; at++) {
       int digit = line.getByte(at) - '0';
       length = digit >= 0 && digit <= 9 ? 10 * length + digit : most + 1;
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -25,17 +25,25 @@
   private static final int REQUEST = 0, RESPONSE = 1, NOTIFICATION = 2;
   private static final int LONGEST = LONGEST_BODY + 16_384, MOST_OPEN = 32, LONGEST_METHOD = 64;
   private static final long MOST_NUMBER = 0xffff_ffffL;
-  /** How long a client has to read its last answers once they are written, and how long the writing may take. */
+
+  /**
+   * How long a client has to read its last answers once they are written, and how long the writing
+   * may take.
+   */
   private static final long LINGER_MILLIS = 300, FLUSH_MILLIS = 2000;
+
   private static final long LINGER_NANOS = LINGER_MILLIS * 1_000_000;
   private static final byte NO_FIELDS = (byte) 0x80;
-  private static final MessagePack.PackerConfig PACKER = new MessagePack.PackerConfig().withBufferSize(128);
+  private static final MessagePack.PackerConfig PACKER =
+      new MessagePack.PackerConfig().withBufferSize(128);
 
   /** What becomes of a connection, in this order; it may skip some, and never goes back. */
   private enum State {
     /** Requests are read and answered. */
     OPEN(true),
-    /** The protocol is broken: nothing more is read, and what was read with that gets an error each. */
+    /**
+     * The protocol is broken: nothing more is read, and what was read with that gets an error each.
+     */
     FAILING(true),
     /** Nothing more is read or owed; the answers are being written. */
     FLUSHING(false),
@@ -62,18 +70,20 @@
   private long answeredAt;
   private State state = State.OPEN;
 
-  public ClientConnection(NetSocket socket, WriteBufferAccounting queues, LongSupplier clock, ClientHandler handler) {
+  public ClientConnection(
+      NetSocket socket, WriteBufferAccounting queues, LongSupplier clock, ClientHandler handler) {
     this.socket = socket;
     this.queues = queues;
     this.clock = clock;
     this.handler = handler;
     heardAt = clock.getAsLong();
-    socket.handler(bytes -> {
-      if (state.answers) {
-        read(bytes);
-      }
-    });
-    socket.exceptionHandler(e -> { }); // The close that follows says it all.
+    socket.handler(
+        bytes -> {
+          if (state.answers) {
+            read(bytes);
+          }
+        });
+    socket.exceptionHandler(e -> {}); // The close that follows says it all.
     socket.closeHandler(v -> enter(State.CLOSED));
   }
 
@@ -83,7 +93,10 @@
     reader.handle(bytes);
     reading = false;
     heardAt = known && (begins || !reader.midway()) ? clock.getAsLong() : heardAt;
-    if (state == State.FAILING) { // Guards the requests that were read with what can't be used: each has its error now.
+    if (state
+        == State
+            .FAILING) { // Guards the requests that were read with what can't be used: each has its
+      // error now.
       letGo();
     }
   }
@@ -113,7 +126,8 @@
     return heardAt;
   }
 
-  @Override public boolean message(byte[] bytes, int start, int end) {
+  @Override
+  public boolean message(byte[] bytes, int start, int end) {
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
       int size = in.unpackArrayHeader();
       int type = in.unpackInt();
@@ -151,19 +165,29 @@
       return;
     }
     try {
-      int length = in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
+      int length =
+          in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
       if (length < 0 || length > LONGEST_METHOD) {
         throw new Unusable("method: not a string of up to " + LONGEST_METHOD + " bytes");
       }
       String method = new String(in.readPayload(length), StandardCharsets.UTF_8);
-      int params = in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
+      int params =
+          in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
       if (method.equals("status")) {
         open.remove(number);
-        send(answer(number, packer -> packer.packNil().packArrayHeader(2).packBoolean(handler.ready())
-            .packMapHeader(0)));
+        send(
+            answer(
+                number,
+                packer ->
+                    packer
+                        .packNil()
+                        .packArrayHeader(2)
+                        .packBoolean(handler.ready())
+                        .packMapHeader(0)));
         return;
       }
-      if (rejects && !begun || !handler.takes()) { // Guards what was taken against what can't be borne beside it.
+      if (rejects && !begun
+          || !handler.takes()) { // Guards what was taken against what can't be borne beside it.
         asked = true;
         shed(number, handler.away());
         return;
@@ -179,7 +203,9 @@
     }
   }
 
-  /** Guards against a client that breaks the protocol: an error, and nothing more is returned to it. */
+  /**
+   * Guards against a client that breaks the protocol: an error, and nothing more is returned to it.
+   */
   public void refuse(long number, String why) {
     errored(number, why);
     broken = true;
@@ -189,8 +215,9 @@
 
   private void notification(MessageUnpacker in) throws IOException {
     String method = in.unpackString();
-    if (method.equals("withdraw") && in.unpackArrayHeader() > 0 && in.getNextFormat().getValueType()
-        == ValueType.INTEGER) {
+    if (method.equals("withdraw")
+        && in.unpackArrayHeader() > 0
+        && in.getNextFormat().getValueType() == ValueType.INTEGER) {
       long number = in.unpackLong();
       if (open.remove(number)) {
         handler.withdrawn(this, number);
@@ -198,7 +225,8 @@
     }
   }
 
-  @Override public void unreadable(String why) {
+  @Override
+  public void unreadable(String why) {
     if (state == State.OPEN) {
       broken = true;
       enter(State.FAILING);
@@ -221,22 +249,39 @@
   /** The bytes of a part, as they came. */
   public void returned(long number, Buffer body) {
     if (open.remove(number)) {
-      send(answer(number, packer -> packer.packNil().packArrayHeader(2).packBinaryHeader(body.length()))
-          .appendBuffer(body).appendByte(NO_FIELDS));
+      send(
+          answer(
+                  number,
+                  packer -> packer.packNil().packArrayHeader(2).packBinaryHeader(body.length()))
+              .appendBuffer(body)
+              .appendByte(NO_FIELDS));
     }
   }
 
   /** The client's own copy is the one. */
   public void returnedSame(long number) {
     if (open.remove(number)) {
-      send(answer(number, packer -> packer.packNil().packArrayHeader(2).packBinaryHeader(0).packMapHeader(1)
-          .packString("valid").packString("1")));
+      send(
+          answer(
+              number,
+              packer ->
+                  packer
+                      .packNil()
+                      .packArrayHeader(2)
+                      .packBinaryHeader(0)
+                      .packMapHeader(1)
+                      .packString("valid")
+                      .packString("1")));
     }
   }
 
   /** Not run; wait is in nanoseconds, 0 for no advice. */
   public void shed(long number, long wait) {
-    error(number, "Overloaded", "cooldown", wait > 0 ? Long.toString((wait + 999_999) / 1_000_000) : null);
+    error(
+        number,
+        "Overloaded",
+        "cooldown",
+        wait > 0 ? Long.toString((wait + 999_999) / 1_000_000) : null);
   }
 
   public void errored(long number, String why) {
@@ -245,13 +290,16 @@
 
   private void error(long number, String code, String key, String value) {
     if (open.remove(number)) {
-      send(answer(number, packer -> {
-        packer.packArrayHeader(2).packString(code).packMapHeader(value == null ? 0 : 1);
-        if (value != null) {
-          packer.packString(key).packString(value);
-        }
-        packer.packNil();
-      }));
+      send(
+          answer(
+              number,
+              packer -> {
+                packer.packArrayHeader(2).packString(code).packMapHeader(value == null ? 0 : 1);
+                if (value != null) {
+                  packer.packString(key).packString(value);
+                }
+                packer.packNil();
+              }));
     }
   }
 
@@ -293,14 +341,18 @@
     return unread == 0;
   }
 
-  /** Whether its client has had time to read all that it was answered: a close takes no answer with it. */
+  /**
+   * Whether its client has had time to read all that it was answered: a close takes no answer with
+   * it.
+   */
   public boolean isSettled() {
     return unread == 0 && (!answered || clock.getAsLong() - answeredAt > LINGER_NANOS);
   }
 
   /** Lets go of it, at once where no answer can still be on its way. */
   public void letGo() {
-    if (isSettled()) { // Guards the CPU and the descriptors: who has had no answer is not waited for.
+    if (isSettled()) { // Guards the CPU and the descriptors: who has had no answer is not waited
+      // for.
       close();
     } else {
       end();
@@ -308,9 +360,10 @@
   }
 
   /**
-   * Ends it in order: nothing more is read, what was answered goes out, the client hears of the end and has a bounded
-   * time to read. What it sends meanwhile stays unread, so that it may be sent again elsewhere. Guards answers on their
-   * way: a close over bytes that nobody read resets the connection, and takes with it what the client has not read.
+   * Ends it in order: nothing more is read, what was answered goes out, the client hears of the end
+   * and has a bounded time to read. What it sends meanwhile stays unread, so that it may be sent
+   * again elsewhere. Guards answers on their way: a close over bytes that nobody read resets the
+   * connection, and takes with it what the client has not read.
    */
   public void end() {
     if (state.answers) {
@@ -324,8 +377,9 @@
   }
 
   /**
-   * Guards requests that could get no answer any more, and the CPU: bytes stay with the kernel, also the rest of a read
-   * that is under way, and a connection that is not asked about wakes nobody. Vert.x's own pause reads on and queues.
+   * Guards requests that could get no answer any more, and the CPU: bytes stay with the kernel,
+   * also the rest of a read that is under way, and a connection that is not asked about wakes
+   * nobody. Vert.x's own pause reads on and queues.
    */
   private void stopReading() {
     channel().channel().config().setAutoRead(false);
@@ -369,7 +423,8 @@
     }
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     return "client " + socket.remoteAddress();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
@@ -8,7 +8,9 @@
   /** How long a client that is shed so is asked to stay away, in nanoseconds; 0 for no advice. */
   long away();
 
-  /** A GET that can be read; the client's number for it is open until it is answered or withdrawn. */
+  /**
+   * A GET that can be read; the client's number for it is open until it is answered or withdrawn.
+   */
   void get(ClientConnection from, long number, DecodedRequest get);
 
   void withdrawn(ClientConnection from, long number);
--- a/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
@@ -6,6 +6,16 @@
  * @param allow how long the client waits, in nanoseconds
  * @param kb size as it is counted, 0 where it is not told
  */
-public record DecodedRequest(String service, byte[] ref, byte[] object, byte[] part, byte[] known, byte[] token,
-    byte[] body, long objectId, int partNumber, int group, long allow, double kb) {
-}
+public record DecodedRequest(
+    String service,
+    byte[] ref,
+    byte[] object,
+    byte[] part,
+    byte[] known,
+    byte[] token,
+    byte[] body,
+    long objectId,
+    int partNumber,
+    int group,
+    long allow,
+    double kb) {}
--- a/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
@@ -37,7 +37,8 @@
     return size > 0;
   }
 
-  @Override public void handle(Buffer came) {
+  @Override
+  public void handle(Buffer came) {
     if (ended) {
       return;
     }
@@ -77,7 +78,8 @@
     MessageUnpacker in = MessagePack.newDefaultUnpacker(held, start, size - start);
     long left = 1;
     try {
-      // Guards against deep nesting, and against many values that come byte by byte and are read anew each time.
+      // Guards against deep nesting, and against many values that come byte by byte and are read
+      // anew each time.
       for (int values = 0; left > 0; values++, left--) {
         if (values == MOST_VALUES) {
           throw new IOException("message of more than " + MOST_VALUES + " values");
@@ -97,7 +99,10 @@
     }
   }
 
-  /** Guards against lengths that no client sends: they are refused when they are told, not when the bytes have come. */
+  /**
+   * Guards against lengths that no client sends: they are refused when they are told, not when the
+   * bytes have come.
+   */
   private void skip(MessageUnpacker in, int length) throws IOException {
     if (length < 0 || length + in.getTotalReadBytes() > longest) {
       throw new IOException("message longer than " + longest + " bytes");
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -1,9 +1,9 @@
 package org.amberpath.gateway.client;
 
-import org.amberpath.gateway.client.ClientConnection.Unusable;
 import java.io.IOException;
 import java.util.HashMap;
 import java.util.Map;
+import org.amberpath.gateway.client.ClientConnection.Unusable;
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
@@ -11,16 +11,21 @@
 /** Decodes of a request's fields what decisions need; the rest stays the bytes that came. */
 final class RequestFields {
   private static final int MOST = 64, LONGEST_KEY = 64, LONGEST_NUMBER = 24, LONGEST_TOKEN = 64;
+
   /** The protocol's figures at most; where it names none, an hour, an index and a terabyte. */
-  private static final long MOST_GROUP = 255, LONGEST_MS = 3_600_000, MOST_PARTS = Integer.MAX_VALUE, MOST_KB = 1 << 30;
+  private static final long MOST_GROUP = 255,
+      LONGEST_MS = 3_600_000,
+      MOST_PARTS = Integer.MAX_VALUE,
+      MOST_KB = 1 << 30;
+
   private static final byte[] NONE = {};
 
   private final Map<String, byte[]> values = new HashMap<>();
 
-  private RequestFields() {
-  }
+  private RequestFields() {}
 
-  static DecodedRequest read(String method, MessageUnpacker in, boolean withBody) throws IOException, Unusable {
+  static DecodedRequest read(String method, MessageUnpacker in, boolean withBody)
+      throws IOException, Unusable {
     RequestFields fields = new RequestFields();
     if (in.getNextFormat().getValueType() != ValueType.MAP) {
       throw new Unusable("fields: not a map");
@@ -47,9 +52,19 @@
     if (allow < 1) {
       throw new Unusable("allow: not a time to wait");
     }
-    return new DecodedRequest(method, fields.hex("ref"), object, part, known, fields.token(), body,
-        Long.parseUnsignedLong(ClientConnection.ascii(object), 16), (int) fields.whole("chunk", -1, MOST_PARTS),
-        (int) fields.whole("tag", 0, MOST_GROUP), (long) (allow * 1e6), fields.real("room", 0, MOST_KB));
+    return new DecodedRequest(
+        method,
+        fields.hex("ref"),
+        object,
+        part,
+        known,
+        fields.token(),
+        body,
+        Long.parseUnsignedLong(ClientConnection.ascii(object), 16),
+        (int) fields.whole("chunk", -1, MOST_PARTS),
+        (int) fields.whole("tag", 0, MOST_GROUP),
+        (long) (allow * 1e6),
+        fields.real("room", 0, MOST_KB));
   }
 
   private static byte[] text(MessageUnpacker in, String name) throws IOException, Unusable {
@@ -95,7 +110,10 @@
     return value;
   }
 
-  /** What marks a GET's repeats, if anything: it goes on as it came, so it may not read as more than one field. */
+  /**
+   * What marks a GET's repeats, if anything: it goes on as it came, so it may not read as more than
+   * one field.
+   */
   private byte[] token() throws Unusable {
     byte[] value = values.getOrDefault("replay", NONE);
     boolean good = value.length <= LONGEST_TOKEN;
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -23,7 +23,9 @@
     if (client.unread > mostOfOne) {
       client.abandon("reads too slowly");
     } else if (all > mostOfAll) {
-      behind.stream().max(Comparator.comparingLong(one -> one.unread)).orElse(client)
+      behind.stream()
+          .max(Comparator.comparingLong(one -> one.unread))
+          .orElse(client)
           .abandon("reads most slowly of all");
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -1,10 +1,5 @@
 package org.amberpath.gateway.discovery;
 
-import org.amberpath.routing.LocalBackoff;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.DiscoveryFreshness;
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.cache.ConnectFailure;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import io.vertx.core.Future;
@@ -22,15 +17,25 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
+import org.amberpath.gateway.cache.ConnectFailure;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.LocalBackoff;
 
 /** Asks the journal service for news again and again. What it fails to bring changes nothing. */
 public final class JournalClient {
   private static final Logger LOG = Logger.getLogger(JournalClient.class.getName());
   private static final JsonFactory JSON = new JsonFactory();
-  /** How long the service may hold a reply back. What a stop kept back counts as told 2 s after that. */
+
+  /**
+   * How long the service may hold a reply back. What a stop kept back counts as told 2 s after
+   * that.
+   */
   public static final long WAIT_MS = 2000;
 
   private static final long MARGIN_MS = 600, PAUSE_MS = 100;
+
   /** How long a reply may be held back that is waited for. */
   private static final long NO_WAIT_MS = 1;
 
@@ -44,15 +49,25 @@
   private final long waitMs, longest;
   private SocketAddress address;
   private HttpClientRequest asked;
+
   /** Which run of polls is the present one: an older one ends unheard. */
   private int run;
+
   private boolean started;
   private int failures;
   private final LocalBackoff backoff = new LocalBackoff();
 
   /** A reply may hold longest bytes; heard is run after each, and after each failure. */
-  public JournalClient(Vertx vertx, SocketAddress address, JournalDecoder entries, EndpointListener listener, long waitMs,
-      long longest, DiscoveryFreshness age, LongSupplier clock, Runnable heard) {
+  public JournalClient(
+      Vertx vertx,
+      SocketAddress address,
+      JournalDecoder entries,
+      EndpointListener listener,
+      long waitMs,
+      long longest,
+      DiscoveryFreshness age,
+      LongSupplier clock,
+      Runnable heard) {
     this.vertx = vertx;
     this.address = address;
     this.entries = entries;
@@ -62,8 +77,9 @@
     this.age = age;
     this.clock = clock;
     this.heard = heard;
-    client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout((int) MARGIN_MS)
-        .setKeepAliveTimeout(30));
+    client =
+        vertx.createHttpClient(
+            new HttpClientOptions().setConnectTimeout((int) MARGIN_MS).setKeepAliveTimeout(30));
   }
 
   public void start() {
@@ -91,44 +107,55 @@
     if (of != run) {
       return;
     }
-    RequestOptions options = new RequestOptions().setServer(address).setHost(address.hostAddress())
-        .setPort(address.port()).setMethod(HttpMethod.GET);
-    Future<Buffer> reply = opened(options).compose(request -> {
-      backoff.ended();
-      if (of != run) {
-        request.reset();
-        return Future.failedFuture("asked elsewhere by now");
-      }
-      asked = request;
-      age.asked(clock.getAsLong());
-      long wait = age.owed() ? NO_WAIT_MS : waitMs;
-      request.setURI("/journal?tail=" + entries.pos() + "&max_wait=" + wait);
-      return request.send()
-          // Guards against a reply that stops short and stays open: it counts as told 2 s after that.
-          .compose(response -> body(response).timeout(MARGIN_MS, TimeUnit.MILLISECONDS))
-          .timeout(wait + MARGIN_MS, TimeUnit.MILLISECONDS)
-          // Guards against a journal that fell silent or broke off: its connection is not used again.
-          .onFailure(e -> request.reset());
-    });
-    reply.onComplete(done -> {
-      if (of != run) {
-        return;
-      }
-      if (done.succeeded() && read(done.result())) {
-        if (failures > 0) {
-          LOG.info("journal: answers again, after " + failures + " failed questions");
-          failures = 0;
-        }
-        age.replied(clock.getAsLong());
-        poll(of);
-      } else {
-        if (done.failed()) {
-          failed(String.valueOf(done.cause().getMessage()));
-        }
-        vertx.setTimer(pause(done.cause()), again -> poll(of));
-      }
-      heard.run();
-    });
+    RequestOptions options =
+        new RequestOptions()
+            .setServer(address)
+            .setHost(address.hostAddress())
+            .setPort(address.port())
+            .setMethod(HttpMethod.GET);
+    Future<Buffer> reply =
+        opened(options)
+            .compose(
+                request -> {
+                  backoff.ended();
+                  if (of != run) {
+                    request.reset();
+                    return Future.failedFuture("asked elsewhere by now");
+                  }
+                  asked = request;
+                  age.asked(clock.getAsLong());
+                  long wait = age.owed() ? NO_WAIT_MS : waitMs;
+                  request.setURI("/journal?tail=" + entries.pos() + "&max_wait=" + wait);
+                  return request
+                      .send()
+                      // Guards against a reply that stops short and stays open: it counts as told 2
+                      // s after that.
+                      .compose(response -> body(response).timeout(MARGIN_MS, TimeUnit.MILLISECONDS))
+                      .timeout(wait + MARGIN_MS, TimeUnit.MILLISECONDS)
+                      // Guards against a journal that fell silent or broke off: its connection is
+                      // not used again.
+                      .onFailure(e -> request.reset());
+                });
+    reply.onComplete(
+        done -> {
+          if (of != run) {
+            return;
+          }
+          if (done.succeeded() && read(done.result())) {
+            if (failures > 0) {
+              LOG.info("journal: answers again, after " + failures + " failed questions");
+              failures = 0;
+            }
+            age.replied(clock.getAsLong());
+            poll(of);
+          } else {
+            if (done.failed()) {
+              failed(String.valueOf(done.cause().getMessage()));
+            }
+            vertx.setTimer(pause(done.cause()), again -> poll(of));
+          }
+          heard.run();
+        });
   }
 
   /** Guards against a call that throws, after which nothing would be asked any more. */
@@ -140,7 +167,10 @@
     }
   }
 
-  /** A question that could not be asked for want of something here is no failure of the journal's, unless it lasts. */
+  /**
+   * A question that could not be asked for want of something here is no failure of the journal's,
+   * unless it lasts.
+   */
   private long pause(Throwable cause) {
     boolean local = cause != null && ConnectFailure.of(cause).isLocal();
     long pause = local ? backoff.failed() : PAUSE_MS;
@@ -157,13 +187,17 @@
     }
     Promise<Buffer> whole = Promise.promise();
     Buffer body = Buffer.buffer();
-    response.exceptionHandler(whole::tryFail).endHandler(end -> whole.tryComplete(body)).handler(more -> {
-      if (body.length() + (long) more.length() <= longest) {
-        body.appendBuffer(more);
-      } else {
-        whole.tryFail("a reply of more than " + longest + " bytes");
-      }
-    });
+    response
+        .exceptionHandler(whole::tryFail)
+        .endHandler(end -> whole.tryComplete(body))
+        .handler(
+            more -> {
+              if (body.length() + (long) more.length() <= longest) {
+                body.appendBuffer(more);
+              } else {
+                whole.tryFail("a reply of more than " + longest + " bytes");
+              }
+            });
     return whole.future();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -1,14 +1,20 @@
 package org.amberpath.gateway.discovery;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 
-/** Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known at start. */
+/**
+ * Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known
+ * at start.
+ */
 public final class JournalDecoder {
   /** Is told when a reply is about to be played and when it has been. */
   public interface Replies {
-    /** Live, or known from before; newestPurgeMillis is the latest stamp of a purge in it, 0 where there is none. */
+    /**
+     * Live, or known from before; newestPurgeMillis is the latest stamp of a purge in it, 0 where
+     * there is none.
+     */
     void begins(boolean live, long newestPurgeMillis);
 
     void ends();
@@ -26,7 +32,9 @@
     return pos;
   }
 
-  /** Plays the entries that are new. An unreadable one is thrown before any of the reply is played. */
+  /**
+   * Plays the entries that are new. An unreadable one is thrown before any of the reply is played.
+   */
   public void play(JsonReader reply, EndpointListener to) {
     play(reply, to, true);
   }
@@ -66,9 +74,15 @@
       JsonReader hosts = entry.fields("hosts");
       to.listing(hosts.flag("reset"));
       for (JsonReader one : hosts.each("instances")) {
-        to.member(one.text("instanceId"), one.has("hostPort") ? one.text("hostPort") : "",
-            one.has("zone") ? one.text("zone") : "", one.has("machineType") ? one.text("machineType") : "",
-            one.place("cell", 0), state(one), one.numberOr("weight", 1), one.wholeOr("startedAtMs", 0));
+        to.member(
+            one.text("instanceId"),
+            one.has("hostPort") ? one.text("hostPort") : "",
+            one.has("zone") ? one.text("zone") : "",
+            one.has("machineType") ? one.text("machineType") : "",
+            one.place("cell", 0),
+            state(one),
+            one.numberOr("weight", 1),
+            one.wholeOr("startedAtMs", 0));
       }
       to.listed();
     } else if (entry.has("expire")) {
@@ -98,17 +112,25 @@
   private static final class Scout implements EndpointListener {
     private long newestPurge;
 
-    @Override public void listing(boolean whole) {
-    }
-
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
-    }
-
-    @Override public void listed() {
-    }
-
-    @Override public void purged(long object, int group, long atMs) {
+    @Override
+    public void listing(boolean whole) {}
+
+    @Override
+    public void member(
+        String id,
+        String address,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
+        long startedAtMs) {}
+
+    @Override
+    public void listed() {}
+
+    @Override
+    public void purged(long object, int group, long atMs) {
       newestPurge = Math.max(newestPurge, atMs);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** The fields of one JSON object, read with plain messages on what is missing or of the wrong type. */
+/**
+ * The fields of one JSON object, read with plain messages on what is missing or of the wrong type.
+ */
 public final class JsonReader {
   private final String name;
   private final Map<String, Object> values;
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway.settings;
 
-import org.amberpath.routing.RoutingConfig;
 import java.util.List;
+import org.amberpath.routing.RoutingConfig;
 
 /** The settings that a gateway is started with, decoded once. */
 public final class JsonRoutingConfig implements RoutingConfig {
@@ -43,8 +43,10 @@
     this.seed = seed;
     zone = all.text("my-zone");
     gateways = all.place("replicas-of-me", 1);
-    gatewaysHere = family.at("zone-balancers", all.list("zones").indexOf(zone),
-        Long.class, (long) gateways).intValue();
+    gatewaysHere =
+        family
+            .at("zone-balancers", all.list("zones").indexOf(zone), Long.class, (long) gateways)
+            .intValue();
     midKind = all.at("kinds", family.place("mid-kind", -1), String.class, null);
     originKind = all.at("kinds", family.place("store-kind", -1), String.class, null);
     weighsSizes = all.has("weights") && all.text("weights").equals("nominal");
@@ -97,7 +99,8 @@
       case "repeatable" -> Effect.IDEMPOTENT;
       case "by_key" -> Effect.TOKENED;
       case "once" -> Effect.NON_IDEMPOTENT;
-      default -> throw service.wrong("idempotency", "of no known kind: " + service.text("idempotency"));
+      default ->
+          throw service.wrong("idempotency", "of no known kind: " + service.text("idempotency"));
     };
   }
 
@@ -115,139 +118,173 @@
     return List.of(names).indexOf(name);
   }
 
-  @Override public long seed() {
+  @Override
+  public long seed() {
     return seed;
   }
 
-  @Override public String zone() {
+  @Override
+  public String zone() {
     return zone;
   }
 
-  @Override public int gateways() {
+  @Override
+  public int gateways() {
     return gateways;
   }
 
-  @Override public int gatewaysHere() {
+  @Override
+  public int gatewaysHere() {
     return gatewaysHere;
   }
 
-  @Override public String midKind() {
+  @Override
+  public String midKind() {
     return midKind;
   }
 
-  @Override public String originKind() {
+  @Override
+  public String originKind() {
     return originKind;
   }
 
-  @Override public boolean weighsSizes() {
+  @Override
+  public boolean weighsSizes() {
     return weighsSizes;
   }
 
-  @Override public boolean listOnRequest() {
+  @Override
+  public boolean listOnRequest() {
     return listOnRequest;
   }
 
-  @Override public int maxForwards() {
+  @Override
+  public int maxForwards() {
     return maxForwards;
   }
 
-  @Override public boolean secondCopies() {
+  @Override
+  public boolean secondCopies() {
     return secondCopies;
   }
 
-  @Override public boolean callOff() {
+  @Override
+  public boolean callOff() {
     return callOff;
   }
 
-  @Override public boolean retryAfter() {
+  @Override
+  public boolean retryAfter() {
     return retryAfter;
   }
 
-  @Override public long maxRetryAfter() {
+  @Override
+  public long maxRetryAfter() {
     return maxRetryAfter;
   }
 
-  @Override public boolean bypass() {
+  @Override
+  public boolean bypass() {
     return bypass;
   }
 
-  @Override public boolean joins() {
+  @Override
+  public boolean joins() {
     return joins;
   }
 
-  @Override public double flowKbPerSecond() {
+  @Override
+  public double flowKbPerSecond() {
     return flowKbPerSecond;
   }
 
-  @Override public long purgeTakes() {
+  @Override
+  public long purgeTakes() {
     return purgeTakes;
   }
 
-  @Override public double coldShare() {
+  @Override
+  public double coldShare() {
     return coldShare;
   }
 
-  @Override public long coldTime() {
+  @Override
+  public long coldTime() {
     return coldTime;
   }
 
-  @Override public double fallMultiple() {
+  @Override
+  public double fallMultiple() {
     return fallMultiple;
   }
 
-  @Override public long fallTime() {
+  @Override
+  public long fallTime() {
     return fallTime;
   }
 
-  @Override public double parentColdShare() {
+  @Override
+  public double parentColdShare() {
     return parentColdShare;
   }
 
-  @Override public long parentColdTime() {
+  @Override
+  public long parentColdTime() {
     return parentColdTime;
   }
 
-  @Override public double parentFallMultiple() {
+  @Override
+  public double parentFallMultiple() {
     return parentFallMultiple;
   }
 
-  @Override public int deliveryServices() {
+  @Override
+  public int deliveryServices() {
     return names.length;
   }
 
-  @Override public Effect effect(int ds) {
+  @Override
+  public Effect effect(int ds) {
     return effects[ds];
   }
 
-  @Override public Group group(int ds) {
+  @Override
+  public Group group(int ds) {
     return groups[ds];
   }
 
-  @Override public long window(int ds) {
+  @Override
+  public long window(int ds) {
     return windows[ds];
   }
 
-  @Override public long latencyObjective(int ds) {
+  @Override
+  public long latencyObjective(int ds) {
     return objectives[ds];
   }
 
-  @Override public double stretch(int ds) {
+  @Override
+  public double stretch(int ds) {
     return stretches[ds];
   }
 
-  @Override public double revenue(int ds) {
+  @Override
+  public double revenue(int ds) {
     return revenues[ds];
   }
 
-  @Override public boolean neverKept(int ds) {
+  @Override
+  public boolean neverKept(int ds) {
     return neverKept[ds];
   }
 
-  @Override public long fresh(int ds) {
+  @Override
+  public long fresh(int ds) {
     return fresh[ds];
   }
 
-  @Override public long grace(int ds) {
+  @Override
+  public long grace(int ds) {
     return grace[ds];
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -1,10 +1,5 @@
 package org.amberpath.gateway.simulation;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.routing.RequestRouter;
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonRoutingConfig;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,8 +8,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEvents;
 
-/** One gateway on the bench's wire: decodes its events into callbacks and writes its decisions down. */
+/**
+ * One gateway on the bench's wire: decodes its events into callbacks and writes its decisions down.
+ */
 final class SimulatedGateway implements RoutingActions {
   private final int number;
   private final JsonRoutingConfig site;
@@ -58,8 +60,14 @@
         break;
       case "verdict":
         JsonReader verdict = event.named("verdict");
-        to.ended(verdict.whole("op-id"), verdict.place("copy", 0), cache(verdict), outcome(verdict),
-            verdict.timeOr("rtt-s", 0), verdict.flag("settled"), note(verdict));
+        to.ended(
+            verdict.whole("op-id"),
+            verdict.place("copy", 0),
+            cache(verdict),
+            outcome(verdict),
+            verdict.timeOr("rtt-s", 0),
+            verdict.flag("settled"),
+            note(verdict));
         break;
       case "head-received":
         JsonReader head = event.named("head-received");
@@ -70,7 +78,8 @@
         break;
       case "expired-now":
         JsonReader purge = event.named("expired-now");
-        to.purged(purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
+        to.purged(
+            purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
         break;
       case "ring":
         to.woken(event.named("ring").text("handle"));
@@ -100,13 +109,22 @@
         throw view.wrong("scope", "of no known kind: " + scope);
     }
     for (JsonReader entry : view.each("members-list")) {
-      int place = caches.computeIfAbsent(entry.text("cache"), address -> {
-        addresses.add(address);
-        return addresses.size() - 1;
-      });
-      to.member(place, entry.text("cache"), entry.has("az") ? entry.text("az") : "",
-          entry.has("flavor") ? entry.text("flavor") : "", entry.place("cohort", 0), state(entry),
-          entry.numberOr("power-hint", 1), entry.timeOr("came-up-s", 0));
+      int place =
+          caches.computeIfAbsent(
+              entry.text("cache"),
+              address -> {
+                addresses.add(address);
+                return addresses.size() - 1;
+              });
+      to.member(
+          place,
+          entry.text("cache"),
+          entry.has("az") ? entry.text("az") : "",
+          entry.has("flavor") ? entry.text("flavor") : "",
+          entry.place("cohort", 0),
+          state(entry),
+          entry.numberOr("power-hint", 1),
+          entry.timeOr("came-up-s", 0));
     }
     to.listed();
   }
@@ -116,8 +134,14 @@
     if (ds < 0) {
       throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
     }
-    to.get(order.whole("op-id"), ds, order.wholeOr("resource", 0), order.place("batch-id", 0),
-        order.place("range-no", 0), order.time("time-budget-s"), order.numberOr("kb", 0),
+    to.get(
+        order.whole("op-id"),
+        ds,
+        order.wholeOr("resource", 0),
+        order.place("batch-id", 0),
+        order.place("range-no", 0),
+        order.time("time-budget-s"),
+        order.numberOr("kb", 0),
         order.flag("is-write"));
   }
 
@@ -173,49 +197,63 @@
     return note > 0 && note < all.length ? all[note] : RoutingEvents.Note.NOTHING;
   }
 
-  @Override public void forward(long get, int cache, long until, int source, long age, int rank,
-      int switches) {
-    act("serve-via", () -> {
-      reply.writeNumberField("op-id", get);
-      reply.writeStringField("cache", addresses.get(cache));
-      time("try-until-s", until);
-      reply.writeStringField("supplier", addresses.get(source));
-      if (age > 0) {
-        time("oldness-s", age);
-      }
-      reply.writeNumberField("hold-rank", rank);
-      reply.writeNumberField("switches", switches);
-    });
+  @Override
+  public void forward(
+      long get, int cache, long until, int source, long age, int rank, int switches) {
+    act(
+        "serve-via",
+        () -> {
+          reply.writeNumberField("op-id", get);
+          reply.writeStringField("cache", addresses.get(cache));
+          time("try-until-s", until);
+          reply.writeStringField("supplier", addresses.get(source));
+          if (age > 0) {
+            time("oldness-s", age);
+          }
+          reply.writeNumberField("hold-rank", rank);
+          reply.writeNumberField("switches", switches);
+        });
   }
 
-  @Override public void shed(long get, long wait) {
-    act("overload-reply", () -> {
-      reply.writeNumberField("op-id", get);
-      if (wait > 0) {
-        time("wait-s", wait);
-      }
-    });
+  @Override
+  public void shed(long get, long wait) {
+    act(
+        "overload-reply",
+        () -> {
+          reply.writeNumberField("op-id", get);
+          if (wait > 0) {
+            time("wait-s", wait);
+          }
+        });
   }
 
-  @Override public void errored(long get) {
+  @Override
+  public void errored(long get) {
     act("abort", () -> reply.writeNumberField("op-id", get));
   }
 
-  @Override public void callOff(long get, int copy) {
-    act("call-off", () -> {
-      reply.writeNumberField("op-id", get);
-      reply.writeNumberField("copy", copy);
-    });
+  @Override
+  public void callOff(long get, int copy) {
+    act(
+        "call-off",
+        () -> {
+          reply.writeNumberField("op-id", get);
+          reply.writeNumberField("copy", copy);
+        });
   }
 
-  @Override public void wake(long delay, String handle) {
-    act("remind", () -> {
-      time("delay-s", delay);
-      reply.writeStringField("handle", handle);
-    });
+  @Override
+  public void wake(long delay, String handle) {
+    act(
+        "remind",
+        () -> {
+          time("delay-s", delay);
+          reply.writeStringField("handle", handle);
+        });
   }
 
-  @Override public void watchList() {
+  @Override
+  public void watchList() {
     act("keep-informed", () -> reply.writeBooleanField("enable", true));
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway.simulation;
 
-import org.amberpath.gateway.settings.JsonReader;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -16,6 +15,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.gateway.settings.JsonReader;
 
 /** Hosts many gateways on the bench's wire: one line in, one line out, until the input ends. */
 public final class SimulationHost {
@@ -70,7 +70,8 @@
   }
 
   /** What came before a gateway's last start or stop in the round died with it. */
-  private void play(long now, int number, List<JsonReader> news, JsonGenerator to) throws IOException {
+  private void play(long now, int number, List<JsonReader> news, JsonGenerator to)
+      throws IOException {
     int from = 0;
     for (int at = 0; at < news.size(); at++) {
       String verb = news.get(at).text("verb");
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -4,11 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.client.ClientConnection;
-import org.amberpath.gateway.client.DecodedRequest;
-import org.amberpath.gateway.client.ClientHandler;
-import org.amberpath.gateway.client.WriteBufferAccounting;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.io.ByteArrayOutputStream;
@@ -20,6 +15,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientHandler;
+import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.client.WriteBufferAccounting;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -28,7 +28,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** However a client's connection ends, what was read has an answer, and what has none stays unread. */
+/**
+ * However a client's connection ends, what was read has an answer, and what has none stays unread.
+ */
 @Timeout(30)
 class ClientConnectionEndingsTest implements ClientHandler {
   private static final int MOST = 20;
@@ -37,20 +39,33 @@
   private final Clock clock = new Clock();
   private final ClientConnections clients = new ClientConnections(vertx, MOST, clock);
   private final List<Client> all = new ArrayList<>();
+
   /** How many connections were held at most, how many are, and how many requests were read. */
-  private final AtomicInteger most = new AtomicInteger(), held = new AtomicInteger(), read = new AtomicInteger();
+  private final AtomicInteger most = new AtomicInteger(),
+      held = new AtomicInteger(),
+      read = new AtomicInteger();
+
   private Thread loop;
   private int port;
 
   @BeforeEach
   void listen() throws Exception {
     WriteBufferAccounting queues = new WriteBufferAccounting(1 << 20, 1 << 20);
-    port = vertx.createNetServer().connectHandler(socket -> {
-      loop = Thread.currentThread();
-      held.incrementAndGet();
-      clients.add(new ClientConnection(socket, queues, clock::now, this));
-      most.accumulateAndGet(clients.size(), Math::max);
-    }).listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS).actualPort();
+    port =
+        vertx
+            .createNetServer()
+            .connectHandler(
+                socket -> {
+                  loop = Thread.currentThread();
+                  held.incrementAndGet();
+                  clients.add(new ClientConnection(socket, queues, clock::now, this));
+                  most.accumulateAndGet(clients.size(), Math::max);
+                })
+            .listen(0, "127.0.0.1")
+            .toCompletionStage()
+            .toCompletableFuture()
+            .get(10, TimeUnit.SECONDS)
+            .actualPort();
   }
 
   @AfterEach
@@ -61,34 +76,40 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  @Override public boolean takes() {
+  @Override
+  public boolean takes() {
     return true;
   }
 
-  @Override public long away() {
+  @Override
+  public long away() {
     return 0;
   }
 
-  @Override public void get(ClientConnection from, long number, DecodedRequest get) {
+  @Override
+  public void get(ClientConnection from, long number, DecodedRequest get) {
     read.incrementAndGet();
     from.returnedSame(number);
   }
 
-  @Override public void withdrawn(ClientConnection from, long number) {
-  }
+  @Override
+  public void withdrawn(ClientConnection from, long number) {}
 
-  @Override public boolean ready() {
+  @Override
+  public boolean ready() {
     return true;
   }
 
-  @Override public void broken(ClientConnection from, String why) {
-  }
+  @Override
+  public void broken(ClientConnection from, String why) {}
 
-  @Override public void closed(ClientConnection from) {
+  @Override
+  public void closed(ClientConnection from) {
     clients.remove(from);
   }
 
-  @Override public void released(ClientConnection from) {
+  @Override
+  public void released(ClientConnection from) {
     clients.released(from);
     held.decrementAndGet();
   }
@@ -101,10 +122,11 @@
 
   private void onLoop(Runnable what) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
-    vertx.runOnContext(turn -> {
-      what.run();
-      done.countDown();
-    });
+    vertx.runOnContext(
+        turn -> {
+          what.run();
+          done.countDown();
+        });
     assertTrue(done.await(10, TimeUnit.SECONDS));
   }
 
@@ -112,7 +134,8 @@
     while (held.get() > many) {
       Thread.sleep(5);
     }
-    CountDownLatch selected = new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
+    CountDownLatch selected =
+        new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
     await(selected);
   }
@@ -145,7 +168,12 @@
   }
 
   /** Ways in which a connection ends on which nothing is open. */
-  private enum End { UNREADABLE, PAST_THE_BOUND, STOPPED, NEW_WHEN_STOPPED }
+  private enum End {
+    UNREADABLE,
+    PAST_THE_BOUND,
+    STOPPED,
+    NEW_WHEN_STOPPED
+  }
 
   @ParameterizedTest
   @EnumSource
@@ -210,7 +238,8 @@
     if (clientEndsToo) {
       client.socket.shutdownOutput();
     }
-    long since = System.nanoTime(), before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
+    long since = System.nanoTime(),
+        before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
     awaitHeld(0); // It is closed in time all the same.
     long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
     long took = System.nanoTime() - since;
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -5,9 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -16,6 +13,9 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -30,8 +30,7 @@
   private static final long GONE_MS = 300, PATIENCE_S = 20;
   private static final int PIPELINE = 32;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
   private Cache cache;
 
@@ -49,47 +48,60 @@
 
   /** Settings under which news of caches may be far older than a client's close. */
   private GatewayOptions options() throws IOException {
-    return GatewayOptions.read(world.environment(folder, "\"guarantees\":{", "\"guarantees\":{\"drain-grace-s\":20,",
-        "\"family-info\":{", "\"family-info\":{\"heed-within-s\":20,"));
+    return GatewayOptions.read(
+        world.environment(
+            folder,
+            "\"guarantees\":{",
+            "\"guarantees\":{\"drain-grace-s\":20,",
+            "\"family-info\":{",
+            "\"family-info\":{\"heed-within-s\":20,"));
   }
 
   @ParameterizedTest
   @CsvSource({"close, 0", "reset, 0", "withdraw, 0", "close, 60000", "withdraw, 60000"})
-  void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes) throws Exception {
-    PausingDecisions decisions = new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::round);
+  void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes)
+      throws Exception {
+    PausingDecisions decisions =
+        new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::round);
     world.start(options(), decisions);
     Client client = world.client();
     assertTrue(client.status().status());
     decisions.pause(world.client());
     ByteArrayOutputStream pipeline = new ByteArrayOutputStream();
     for (int number = 1; number <= PIPELINE; number++) {
-      pipeline.writeBytes(Client.request(number, "parts", Client.fields(number, 15_000, number), new byte[bytes]));
+      pipeline.writeBytes(
+          Client.request(number, "parts", Client.fields(number, 15_000, number), new byte[bytes]));
     }
     for (int number = 1; number <= PIPELINE && how.equals("withdraw"); number++) {
       pipeline.writeBytes(Client.withdrawal(number));
     }
-    var written = world.threads.submit(() -> {
-      client.send(pipeline.toByteArray());
-      if (how.equals("reset")) {
-        client.socket.setSoLinger(true, 0);
-      }
-      if (!how.equals("withdraw")) {
-        client.close();
-      }
-      return null;
-    });
+    var written =
+        world.threads.submit(
+            () -> {
+              client.send(pipeline.toByteArray());
+              if (how.equals("reset")) {
+                client.socket.setSoLinger(true, 0);
+              }
+              if (!how.equals("withdraw")) {
+                client.close();
+              }
+              return null;
+            });
     Thread.sleep(GONE_MS);
     decisions.resume();
     written.get(PATIENCE_S, TimeUnit.SECONDS);
     Set<String> sent = ConcurrentHashMap.newKeySet();
-    world.threads.submit(() -> {
-      while (true) {
-        StandIns.Command command = cache.commands.take();
-        sent.add(command.word(1));
-        command.ok("part");
-      }
-    });
-    Client last = world.client(); // What it asks for is sent after all that came before it, unless it is shed.
+    world.threads.submit(
+        () -> {
+          while (true) {
+            StandIns.Command command = cache.commands.take();
+            sent.add(command.word(1));
+            command.ok("part");
+          }
+        });
+    Client last =
+        world
+            .client(); // What it asks for is sent after all that came before it, unless it is shed.
     int number = PIPELINE;
     do {
       last.get(++number, "parts", 15_000, 0);
@@ -99,24 +111,33 @@
     }
   }
 
-  /** In a long round the client of the last attempt may leave: the first attempt, and a retry after its end. */
+  /**
+   * In a long round the client of the last attempt may leave: the first attempt, and a retry after
+   * its end.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"get", "ended"})
   void anAttemptAtTheEndOfALongRoundWaitsUntilTheSocketsAreRead(String event) throws Exception {
     BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     PausingDecisions pause = new PausingDecisions(null);
-    world.start(options(), (now, in, to) -> in.replay(PausingDecisions.events((name, told) -> {
-      if (name.equals("ended")) {
-        outcomes.add((Outcome) told[3]);
-      }
-      boolean begins = name.equals("get") || name.equals("ended") && (int) told[1] == 0;
-      if (name.equals(event) && begins) {
-        pause.stand();
-      }
-      if (begins) {
-        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-      }
-    })));
+    world.start(
+        options(),
+        (now, in, to) ->
+            in.replay(
+                PausingDecisions.events(
+                    (name, told) -> {
+                      if (name.equals("ended")) {
+                        outcomes.add((Outcome) told[3]);
+                      }
+                      boolean begins =
+                          name.equals("get") || name.equals("ended") && (int) told[1] == 0;
+                      if (name.equals(event) && begins) {
+                        pause.stand();
+                      }
+                      if (begins) {
+                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                      }
+                    })));
     Client client = world.client();
     client.get(1, "parts", 15_000, 0);
     if (event.equals("ended")) {
@@ -126,7 +147,8 @@
     client.close();
     Thread.sleep(GONE_MS);
     pause.resume();
-    assertEquals(event.equals("get") ? Outcome.NOT_SENT : Outcome.TURNED_AWAY,
+    assertEquals(
+        event.equals("get") ? Outcome.NOT_SENT : Outcome.TURNED_AWAY,
         outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertEquals(Outcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.gateway.StandIns.Client;
 import java.io.BufferedReader;
 import java.io.File;
 import java.io.IOException;
@@ -19,6 +18,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
+import org.amberpath.gateway.StandIns.Client;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,28 +30,35 @@
   private static final int LIMIT = 128;
   private static final int CLIENTS = 900;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   /** Also while it ends: those that connect then hold a descriptor each until they are told so. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aGatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnectAndRest(boolean stopping) throws Exception {
+  void aGatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnectAndRest(boolean stopping)
+      throws Exception {
     List<SocketChannel> resting = new ArrayList<>();
     AtomicBoolean ends = new AtomicBoolean();
     AtomicInteger held = new AtomicInteger();
     try (StandIns world = new StandIns()) {
-      Process process = program(Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG",
-          world.environment(folder).get("PROXY_CONFIG")));
+      Process process =
+          program(
+              Map.of(
+                  "PROXY_LISTEN",
+                  "127.0.0.1:0",
+                  "PROXY_CONFIG",
+                  world.environment(folder).get("PROXY_CONFIG")));
       try {
         int port = awaitServing(process.inputReader());
         File descriptors = new File("/proc/" + process.pid() + "/fd");
-        Future<?> count = world.threads.submit(() -> {
-          while (!ends.get()) {
-            String[] open = descriptors.list();
-            held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
-          }
-        });
+        Future<?> count =
+            world.threads.submit(
+                () -> {
+                  while (!ends.get()) {
+                    String[] open = descriptors.list();
+                    held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
+                  }
+                });
         Client first = world.client(port);
         for (int many = 0; many < LIMIT / 2 - 1; many++) {
           assertEquals(9999, world.client(port).status().number());
@@ -61,7 +68,9 @@
           process.destroy();
           assertTrue(first.isClosed());
         } else {
-          signal(process, "STOP"); // All that connect now are found at once, as after a pause of the machine.
+          signal(
+              process,
+              "STOP"); // All that connect now are found at once, as after a pause of the machine.
         }
         connect(port, resting);
         if (!stopping) {
@@ -97,14 +106,20 @@
   }
 
   private static Process program(Map<String, String> environment) throws Exception {
-    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-cp", System.getProperty("java.class.path"), ServeProcess.class.getName()).redirectErrorStream(true);
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                ServeProcess.class.getName())
+            .redirectErrorStream(true);
     builder.environment().putAll(environment);
     return builder.start();
   }
 
   private static void signal(Process process, String name) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
   private static int awaitServing(BufferedReader log) throws Exception {
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -5,10 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.settings.JsonReader;
 import java.lang.reflect.Proxy;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -19,6 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -30,8 +30,7 @@
 class EndingsTest {
   private static final long PATIENCE_MS = 5000;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
 
   @BeforeEach
@@ -72,7 +71,8 @@
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    world.journal.instead = ""; // What came since the start is not known, so nothing is decided yet.
+    world.journal.instead =
+        ""; // What came since the start is not known, so nothing is decided yet.
     world.gateway = new Gateway(world.vertx, options);
     world.gateway.start();
     assertNotNull(world.journal.polls.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
@@ -108,7 +108,10 @@
     StandIns.Command first = cache.next();
     first.ok("first");
     assertEquals("first", text(client.answer()));
-    first.from().getOutputStream().write("*4\r\n$16\r\n00000000".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+    first
+        .from()
+        .getOutputStream()
+        .write("*4\r\n$16\r\n00000000".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
     Thread.sleep(100);
     client.get(2, "orders", 4000, 0);
     cache.next().ok("second");
@@ -120,22 +123,26 @@
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     BlockingQueue<Integer> rounds = new LinkedBlockingQueue<>();
-    world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> {
-      int[] gets = new int[1];
-      in.replay(events((event, told) -> {
-        if (event.equals("get") && gets[0]++ == 0 && (long) told[0] == 1) {
-          stand();
-        }
-      }));
-      rounds.add(gets[0]);
-    });
+    world.start(
+        GatewayOptions.read(world.environment(folder)),
+        (now, in, to) -> {
+          int[] gets = new int[1];
+          in.replay(
+              events(
+                  (event, told) -> {
+                    if (event.equals("get") && gets[0]++ == 0 && (long) told[0] == 1) {
+                      stand();
+                    }
+                  }));
+          rounds.add(gets[0]);
+        });
     Client[] clients = {world.client(), world.client()};
     clients[0].get(1, "parts", 4000, 1);
     Thread.sleep(STANDS_MS / 4);
     for (int number = 2; number <= 48; number++) { // As many as may be open.
       clients[number % 2].get(number, "parts", 4000, number);
     }
-    for (int seen = 0; seen < 48;) {
+    for (int seen = 0; seen < 48; ) {
       int round = rounds.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
       assertTrue(round <= 32, "a round of " + round);
       seen += round;
@@ -147,21 +154,28 @@
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     BlockingQueue<Long> left = new LinkedBlockingQueue<>();
-    world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> in.replay(events((event, told) -> {
-      if (event.equals("get")) {
-        left.add((long) told[5] / 1_000_000);
-        if (left.size() == 1) {
-          stand();
-        }
-      }
-    })));
+    world.start(
+        GatewayOptions.read(world.environment(folder)),
+        (now, in, to) ->
+            in.replay(
+                events(
+                    (event, told) -> {
+                      if (event.equals("get")) {
+                        left.add((long) told[5] / 1_000_000);
+                        if (left.size() == 1) {
+                          stand();
+                        }
+                      }
+                    })));
     world.client().get(1, "parts", 4000, 1);
     Thread.sleep(STANDS_MS / 4);
     world.client().get(2, "parts", 4000, 2);
     Client late = world.client().get(3, "parts", 900, 3);
     assertTrue(left.take() > 3000);
     long second = left.take();
-    assertTrue(second < 4000 - STANDS_MS * 3 / 4 + 150, second + " ms"); // Its client has waited for so long.
+    assertTrue(
+        second < 4000 - STANDS_MS * 3 / 4 + 150,
+        second + " ms"); // Its client has waited for so long.
     assertTrue(second > 4000 - 2 * STANDS_MS, second + " ms");
     assertEquals("Overloaded", late.answer().error()); // Its time was over, or may have been.
   }
@@ -172,12 +186,13 @@
     try (StandIns other = new StandIns()) {
       GatewayOptions next = GatewayOptions.read(other.environment(folder));
       AtomicInteger readings = new AtomicInteger();
-      world.gateway.reload(() -> {
-        if (readings.incrementAndGet() <= 2) {
-          throw new JsonReader.Malformed("PROXY_CONFIG: can't be read: too many open files");
-        }
-        return next;
-      });
+      world.gateway.reload(
+          () -> {
+            if (readings.incrementAndGet() <= 2) {
+              throw new JsonReader.Malformed("PROXY_CONFIG: can't be read: too many open files");
+            }
+            return next;
+          });
       assertNotNull(other.journal.polls.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
@@ -206,11 +221,14 @@
   }
 
   private static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
-    return (RoutingEvents.Events) Proxy.newProxyInstance(EndingsTest.class.getClassLoader(),
-        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
-          hear.accept(event.getName(), told);
-          return null;
-        });
+    return (RoutingEvents.Events)
+        Proxy.newProxyInstance(
+            EndingsTest.class.getClassLoader(),
+            new Class<?>[] {RoutingEvents.Events.class},
+            (proxy, event, told) -> {
+              hear.accept(event.getName(), told);
+              return null;
+            });
   }
 
   @Test
@@ -218,14 +236,19 @@
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
-    world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> in.replay(events((event, told) -> {
-      if (event.equals("get")) {
-        to.sendBy((long) told[0], now - 1);
-        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-      } else if (event.equals("ended")) {
-        outcomes.add((RoutingEvents.Outcome) told[3]);
-      }
-    })));
+    world.start(
+        GatewayOptions.read(world.environment(folder)),
+        (now, in, to) ->
+            in.replay(
+                events(
+                    (event, told) -> {
+                      if (event.equals("get")) {
+                        to.sendBy((long) told[0], now - 1);
+                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                      } else if (event.equals("ended")) {
+                        outcomes.add((RoutingEvents.Outcome) told[3]);
+                      }
+                    })));
     world.client().get(1, "parts", 4000, 0);
     assertEquals(RoutingEvents.Outcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertNull(cache.commands.poll());
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.gateway.settings.JsonReader;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.amberpath.gateway.settings.JsonReader;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -15,17 +15,19 @@
 
 /** What a gateway is told: defaults, and one plain message that names the faulty key. */
 class GatewayOptionsTest {
-  private static final String GOOD = "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
-      + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},'settings':{'my-zone':'z','classes':[{'name':'p',"
-      + "'idempotency':'once','target-s':0.25}],'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
-  @TempDir
-  private Path folder;
+  private static final String GOOD =
+      "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
+          + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},'settings':{'my-zone':'z','classes':[{'name':'p',"
+          + "'idempotency':'once','target-s':0.25}],'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
+  @TempDir private Path folder;
 
   private GatewayOptions read(String json, String... environment) throws Exception {
     Path file = folder.resolve("config.json");
     Files.writeString(file, json.replace('\'', '"'));
-    return GatewayOptions.read(environment.length == 0 ? Map.of("PROXY_CONFIG", file.toString())
-        : Map.of("PROXY_CONFIG", file.toString(), environment[0], environment[1]));
+    return GatewayOptions.read(
+        environment.length == 0
+            ? Map.of("PROXY_CONFIG", file.toString())
+            : Map.of("PROXY_CONFIG", file.toString(), environment[0], environment[1]));
   }
 
   @Test
@@ -44,24 +46,29 @@
   void clientsAndCachesTogetherStayUnderTheDescriptors() throws Exception {
     for (int caches : new int[] {1, 20, 60, 400}) {
       GatewayOptions options = read(GOOD);
-      assertTrue(options.connectionsToEach(caches) * caches + 1024 / 3 < 1024 - 32, "caches " + caches);
+      assertTrue(
+          options.connectionsToEach(caches) * caches + 1024 / 3 < 1024 - 32, "caches " + caches);
     }
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "'listen':'127.0.0.1:7'                | 'listen':'nowhere'        | field 'listen' is no address:port",
-      "'listen':'127.0.0.1:7'                | 'listen':'a.example:1'    | field 'listen' is no address:port",
-      "'journal':'127.0.0.1:8'               | 'journal':8               | field 'journal' is not a string",
-      "'journal':'127.0.0.1:8',              | ''                        | field 'journal' is missing",
-      "'seed':'ff'                           | 'seed':'xyz'              | field 'seed' is not a hexadecimal",
-      "'memory_mb':192                       | 'memory_mb':1             | limits: field 'memory_mb' is under 32",
-      "'sockets':1024                        | 'sockets':'x'             | limits: field 'sockets' is not a whole",
-      "'my-zone':'z',                        | ''                        | settings: field 'my-zone' is missing",
-      "'idempotency':'once'                  | 'idempotency':'twice'     | field 'idempotency' is of no known kind",
-      "'target-s':0.25                       | 'target-s':'soon'         | field 'target-s' is not a number",
-      "'multiplex':100                       | 'multiplex':'many'        | bounds: field 'multiplex' is not a whole",
-      "{'name'                               | {{'name'                  | is not JSON"}, quoteCharacter = '"')
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "'listen':'127.0.0.1:7'                | 'listen':'nowhere'        | field 'listen' is no address:port",
+        "'listen':'127.0.0.1:7'                | 'listen':'a.example:1'    | field 'listen' is no address:port",
+        "'journal':'127.0.0.1:8'               | 'journal':8               | field 'journal' is not a string",
+        "'journal':'127.0.0.1:8',              | ''                        | field 'journal' is missing",
+        "'seed':'ff'                           | 'seed':'xyz'              | field 'seed' is not a hexadecimal",
+        "'memory_mb':192                       | 'memory_mb':1             | limits: field 'memory_mb' is under 32",
+        "'sockets':1024                        | 'sockets':'x'             | limits: field 'sockets' is not a whole",
+        "'my-zone':'z',                        | ''                        | settings: field 'my-zone' is missing",
+        "'idempotency':'once'                  | 'idempotency':'twice'     | field 'idempotency' is of no known kind",
+        "'target-s':0.25                       | 'target-s':'soon'         | field 'target-s' is not a number",
+        "'multiplex':100                       | 'multiplex':'many'        | bounds: field 'multiplex' is not a whole",
+        "{'name'                               | {{'name'                  | is not JSON"
+      },
+      quoteCharacter = '"')
   void aFaultyKeyIsNamed(String good, String bad, String message) {
     String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
     JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> read(json));
@@ -70,8 +77,10 @@
 
   @Test
   void aMissingFileIsNamed() {
-    Map<String, String> environment = Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
-    JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(environment));
+    Map<String, String> environment =
+        Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
+    JsonReader.Malformed wrong =
+        assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(environment));
     assertTrue(wrong.getMessage().startsWith("PROXY_CONFIG: "), wrong.getMessage());
     assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(Map.of()));
   }
