--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -9,12 +9,6 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RequestRouter;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
 import java.io.BufferedReader;
 import java.io.ByteArrayOutputStream;
 import java.lang.reflect.Proxy;
@@ -29,6 +23,12 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -41,8 +41,7 @@
 /** Stories of one gateway among clients, caches and a journal. */
 @Timeout(30)
 class GatewayTest {
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
   private Cache cache;
   private Client client;
@@ -60,7 +59,9 @@
   }
 
   private static String text(Answer answer) {
-    return answer.body() == null ? answer.error() : new String(answer.body(), StandardCharsets.UTF_8);
+    return answer.body() == null
+        ? answer.error()
+        : new String(answer.body(), StandardCharsets.UTF_8);
   }
 
   // ---- The way of a GET.
@@ -77,8 +78,12 @@
     assertEquals("0000000000000051", want.word(1));
     int left = Integer.parseInt(want.field("ms"));
     assertTrue(left > 1000 && left <= 1500, want.word(2));
-    assertEquals("kind=parts,obj=" + StandIns.OBJECT + ",seg=3,miss=o0,prio=1,f=join,mine=4be0c1927d55a6f3,"
-        + "token=till-4/receipt=17", want.word(2).replaceFirst("ms=\\d+,", ""));
+    assertEquals(
+        "kind=parts,obj="
+            + StandIns.OBJECT
+            + ",seg=3,miss=o0,prio=1,f=join,mine=4be0c1927d55a6f3,"
+            + "token=till-4/receipt=17",
+        want.word(2).replaceFirst("ms=\\d+,", ""));
     assertArrayEquals(body, want.elements().get(3));
     byte[] part = new byte[240_000];
     part[100_000] = 7;
@@ -243,8 +248,14 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"ok|res=h", "ok|entity=1,issued=x", "fine|entity=1,issued=1", "current|-",
-      "current|entity=1,issued=1"})
+  @ValueSource(
+      strings = {
+        "ok|res=h",
+        "ok|entity=1,issued=x",
+        "fine|entity=1,issued=1",
+        "current|-",
+        "current|entity=1,issued=1"
+      })
   void anAnswerThatIsNotWholeMayHaveRun(String spoilt) throws Exception {
     client.get(1, "orders", 1500, 0);
     cache.next().answer(spoilt.split("[|]")[0], spoilt.split("[|]")[1], new byte[3]);
@@ -274,24 +285,48 @@
     RequestRouter control = new RequestRouter(options.site());
     BlockingQueue<Long> times = new LinkedBlockingQueue<>();
     CountDownLatch still = new CountDownLatch(1);
-    world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
-      @Override public void get(long id, int ds, long object, int group, int part, long left, double kb, boolean w) {
-        if (part == 13) {
-          still.countDown();
-          long until = System.nanoTime() + 600_000_000;
-          while (System.nanoTime() < until) {
-            Thread.onSpinWait();
-          }
-        }
-        super.get(id, ds, object, group, part, left, kb, w);
-      }
-
-      @Override public void ended(long id, int copy, int at, RoutingEvents.Outcome outcome, long took, boolean settled,
-          RoutingEvents.Note note) {
-        times.add(took);
-        super.ended(id, copy, at, outcome, took, settled, note);
-      }
-    }), to));
+    world.start(
+        options,
+        (now, in, to) ->
+            control.round(
+                now,
+                events ->
+                    in.replay(
+                        new Ear(events) {
+                          @Override
+                          public void get(
+                              long id,
+                              int ds,
+                              long object,
+                              int group,
+                              int part,
+                              long left,
+                              double kb,
+                              boolean w) {
+                            if (part == 13) {
+                              still.countDown();
+                              long until = System.nanoTime() + 600_000_000;
+                              while (System.nanoTime() < until) {
+                                Thread.onSpinWait();
+                              }
+                            }
+                            super.get(id, ds, object, group, part, left, kb, w);
+                          }
+
+                          @Override
+                          public void ended(
+                              long id,
+                              int copy,
+                              int at,
+                              RoutingEvents.Outcome outcome,
+                              long took,
+                              boolean settled,
+                              RoutingEvents.Note note) {
+                            times.add(took);
+                            super.ended(id, copy, at, outcome, took, settled, note);
+                          }
+                        }),
+                to));
     client = world.client();
     client.get(1, "parts", 5000, 0);
     Command want = cache.next();
@@ -316,7 +351,10 @@
   void anAnswerToWhatIsNotOpenIsDropped() throws Exception {
     client.get(1, "parts", 1500, 0);
     Command want = cache.next();
-    new Command(want.from(), List.of(new byte[0], "ffffffffffffffff".getBytes(StandardCharsets.US_ASCII))).ok("?");
+    new Command(
+            want.from(),
+            List.of(new byte[0], "ffffffffffffffff".getBytes(StandardCharsets.US_ASCII)))
+        .ok("?");
     want.ok("this");
     want.ok("again");
     assertEquals("this", text(client.answer()));
@@ -331,12 +369,29 @@
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
     RequestRouter control = new RequestRouter(options.site());
-    world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
-      @Override public void get(long id, int ds, long object, int group, int part, long left, double kb, boolean w) {
-        to.forward(id, 0, now + left, 0, 0, 1, 0);
-        to.forward(id, 0, now + left, 0, 0, 2, 0);
-      }
-    }), to));
+    world.start(
+        options,
+        (now, in, to) ->
+            control.round(
+                now,
+                events ->
+                    in.replay(
+                        new Ear(events) {
+                          @Override
+                          public void get(
+                              long id,
+                              int ds,
+                              long object,
+                              int group,
+                              int part,
+                              long left,
+                              double kb,
+                              boolean w) {
+                            to.forward(id, 0, now + left, 0, 0, 1, 0);
+                            to.forward(id, 0, now + left, 0, 0, 2, 0);
+                          }
+                        }),
+                to));
     world.client().get(1, "parts", 1500, 0);
     Command first = cache.next();
     Command second = cache.next();
@@ -353,7 +408,9 @@
     world.journal.host("c0", cache.address(), "box", "draining");
     world.journal.host("c1", other.address(), "box", "ready");
     String last = "tail=5&max_wait=2000";
-    for (String poll = ""; !last.equals(poll); poll = world.journal.polls.poll(10, TimeUnit.SECONDS)) {
+    for (String poll = "";
+        !last.equals(poll);
+        poll = world.journal.polls.poll(10, TimeUnit.SECONDS)) {
       assertNotNull(poll);
     }
     client.get(1, "parts", 1500, 0);
@@ -373,7 +430,9 @@
       world.journal.host("o0", origin.address(), "origin", "ready");
       Map<String, String> environment = world.environment(folder);
       Path file = Path.of(environment.get("PROXY_CONFIG"));
-      Files.writeString(file, Files.readString(file).replace("\"connect-timeout-s\":0.4", "\"connect-timeout-s\":9"));
+      Files.writeString(
+          file,
+          Files.readString(file).replace("\"connect-timeout-s\":0.4", "\"connect-timeout-s\":9"));
       world.start(GatewayOptions.read(environment), null);
       client = world.client();
       client.get(1, "orders", 3000, 0);
@@ -381,7 +440,8 @@
       cache = world.cache();
       world.journal.host("c1", cache.address(), "box", "ready");
       boolean edge = drained.equals("c0");
-      world.journal.host(drained, edge ? full : origin.address(), edge ? "box" : "origin", "draining");
+      world.journal.host(
+          drained, edge ? full : origin.address(), edge ? "box" : "origin", "draining");
       cache.next().ok("elsewhere");
       assertEquals("elsewhere", text(client.answer()));
     }
@@ -389,8 +449,12 @@
 
   @Test
   void aPurgeBoundsTheAgeOfWhatIsAskedForNext() throws Exception {
-    world.journal.add("\"expire\":{\"name\":\"" + StandIns.OBJECT + "\",\"stamp\":"
-        + (System.currentTimeMillis() - 200) + "}");
+    world.journal.add(
+        "\"expire\":{\"name\":\""
+            + StandIns.OBJECT
+            + "\",\"stamp\":"
+            + (System.currentTimeMillis() - 200)
+            + "}");
     String within = null;
     for (int number = 1; within == null; number++) {
       client.get(number, "parts", 1500, 0);
@@ -423,8 +487,10 @@
     Command old = cache.next();
     old.ok("old");
     client.answer();
-    world.journal.add("\"hosts\":{\"reset\":true,\"instances\":[{\"instanceId\":\"c9\",\"hostPort\":\""
-        + cache.address() + "\",\"zone\":\"z\",\"machineType\":\"box\",\"lifecycle\":\"ready\"}]}");
+    world.journal.add(
+        "\"hosts\":{\"reset\":true,\"instances\":[{\"instanceId\":\"c9\",\"hostPort\":\""
+            + cache.address()
+            + "\",\"zone\":\"z\",\"machineType\":\"box\",\"lifecycle\":\"ready\"}]}");
     awaitPoll("tail=3&");
     client.get(2, "parts", 1500, 0);
     Command fresh = cache.next();
@@ -477,21 +543,33 @@
     }
   }
 
-  /** Met on a roll day of the fleet bench that was started by nohup: no new configuration was ever taken. */
+  /**
+   * Met on a roll day of the fleet bench that was started by nohup: no new configuration was ever
+   * taken.
+   */
   @Test
   void aNewConfigurationIsTakenAlsoWhereSighupIsIgnored() throws Exception {
     StandIns other = new StandIns();
     Path file = Path.of(world.environment(folder).get("PROXY_CONFIG"));
-    ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" -cp \"$1\" \"$2\"",
-        Path.of(System.getProperty("java.home"), "bin", "java").toString(), System.getProperty("java.class.path"),
-        ServeProcess.class.getName()).redirectErrorStream(true);
-    builder.environment().putAll(Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG", file.toString()));
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                "sh",
+                "-c",
+                "trap '' HUP; exec \"$0\" -cp \"$1\" \"$2\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                System.getProperty("java.class.path"),
+                ServeProcess.class.getName())
+            .redirectErrorStream(true);
+    builder
+        .environment()
+        .putAll(Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG", file.toString()));
     Process process = builder.start();
     try (BufferedReader log = process.inputReader()) {
       awaitLine(log, "SIGHUP is ignored");
       awaitServing(log);
       hangUp(process);
-      Files.writeString(file, Files.readString(file).replace(world.journal.address(), other.journal.address()));
+      Files.writeString(
+          file, Files.readString(file).replace(world.journal.address(), other.journal.address()));
       awaitLine(log, "the journal is asked at");
       assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
     } finally {
@@ -501,7 +579,8 @@
   }
 
   private static void hangUp(Process process) throws Exception {
-    assertEquals(0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
+    assertEquals(
+        0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
   private static void awaitLine(BufferedReader log, String part) throws Exception {
@@ -539,7 +618,16 @@
   // ---- Bad input.
 
   @ParameterizedTest
-  @ValueSource(strings = {"c1", "93", "9502c0c0c0c0", "940001a9", "c6ffffffff", "91919191919191", "93020000"})
+  @ValueSource(
+      strings = {
+        "c1",
+        "93",
+        "9502c0c0c0c0",
+        "940001a9",
+        "c6ffffffff",
+        "91919191919191",
+        "93020000"
+      })
   void aClientThatCantBeReadLosesItsConnectionAndNoOther(String hex) throws Exception {
     Client bad = world.client();
     byte[] bytes = new byte[hex.length() / 2];
@@ -569,8 +657,20 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"lookup, 7f3", "lookup, 7f3a9c21e0b4d65z", "lookup,", "ref, 12", "chunk, -1", "chunk, x", "allow,",
-      "allow, NaN", "room, big", "tag, x", "known, '1,2'", "replay, 'a,seg=9'"})
+  @CsvSource({
+    "lookup, 7f3",
+    "lookup, 7f3a9c21e0b4d65z",
+    "lookup,",
+    "ref, 12",
+    "chunk, -1",
+    "chunk, x",
+    "allow,",
+    "allow, NaN",
+    "room, big",
+    "tag, x",
+    "known, '1,2'",
+    "replay, 'a,seg=9'"
+  })
   void aFieldThatCantBeUsedIsNamed(String field, String value) throws Exception {
     Map<String, String> fields = new HashMap<>(Client.fields(1, 1500, 0));
     fields.remove(field);
@@ -603,7 +703,8 @@
   void moreThanAConnectionCarriesEndsItAndNothingOfItIsSent() throws Exception {
     ByteArrayOutputStream flood = new ByteArrayOutputStream();
     for (int number = 1; number <= 33; number++) {
-      flood.writeBytes(Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]));
+      flood.writeBytes(
+          Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]));
     }
     client.send(flood.toByteArray());
     for (int number = 1; number <= 33; number++) {
@@ -652,22 +753,25 @@
     assertTrue(silent.isClosed());
     want.ok("still there");
     assertEquals("still there", text(client.answer()));
-    assertTrue(idle.status().status(), "one that asks for GETs does not go for many that ask for the status");
+    assertTrue(
+        idle.status().status(),
+        "one that asks for GETs does not go for many that ask for the status");
   }
 
   @Test
   void aClientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
     Client deaf = world.client();
     byte[] part = new byte[240_000];
-    world.threads.execute(() -> {
-      try {
-        while (true) {
-          cache.commands.take().answer("ok", "res=h,entity=1,issued=2", part);
-        }
-      } catch (Exception e) {
-        // The end of the test.
-      }
-    });
+    world.threads.execute(
+        () -> {
+          try {
+            while (true) {
+              cache.commands.take().answer("ok", "res=h,entity=1,issued=2", part);
+            }
+          } catch (Exception e) {
+            // The end of the test.
+          }
+        });
     List<Integer> open = new ArrayList<>();
     try {
       for (int number = 1; number < 5000; number++) {
@@ -705,14 +809,31 @@
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
     RequestRouter control = new RequestRouter(options.site());
-    world.start(options, (now, in, to) -> control.round(now, events -> in.replay(new Ear(events) {
-      @Override public void get(long id, int ds, long object, int group, int part, long left, double kb, boolean w) {
-        if (part == 13) {
-          throw new IllegalStateException("part 13");
-        }
-        super.get(id, ds, object, group, part, left, kb, w);
-      }
-    }), to));
+    world.start(
+        options,
+        (now, in, to) ->
+            control.round(
+                now,
+                events ->
+                    in.replay(
+                        new Ear(events) {
+                          @Override
+                          public void get(
+                              long id,
+                              int ds,
+                              long object,
+                              int group,
+                              int part,
+                              long left,
+                              double kb,
+                              boolean w) {
+                            if (part == 13) {
+                              throw new IllegalStateException("part 13");
+                            }
+                            super.get(id, ds, object, group, part, left, kb, w);
+                          }
+                        }),
+                to));
     client = world.client();
     client.get(1, "parts", 1500, 13).get(2, "parts", 1500, 2);
     assertEquals("Internal", client.answer().error());
@@ -772,7 +893,8 @@
       assertTrue(outside.status().status());
       outside.get(1, "parts", 2500, 0);
       Command want = cache.next();
-      hangUp(process); // A reload that is under way, and the same word once more, change nothing in that.
+      hangUp(process); // A reload that is under way, and the same word once more, change nothing in
+      // that.
       process.destroy();
       process.destroy();
       while (outside.status().status()) {
@@ -803,18 +925,27 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"listen, no-address, PROXY_LISTEN no address:port: no-address",
-      "listen, taken, PROXY_LISTEN: can't listen at",
-      "known, asleep, configuration known entries hosts instances: field 'lifecycle' is of no known kind: asleep",
-      "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"})
-  void whatKeepsAGatewayFromStartingIsOneMessage(String key, String value, String message) throws Exception {
+  @CsvSource({
+    "listen, no-address, PROXY_LISTEN no address:port: no-address",
+    "listen, taken, PROXY_LISTEN: can't listen at",
+    "known, asleep, configuration known entries hosts instances: field 'lifecycle' is of no known kind: asleep",
+    "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
+  })
+  void whatKeepsAGatewayFromStartingIsOneMessage(String key, String value, String message)
+      throws Exception {
     Path file = Path.of(world.environment(folder).get("PROXY_CONFIG"));
     if (key.equals("known")) {
       Files.writeString(file, Files.readString(file).replace("ready", value));
     }
-    String listen = value.equals("taken") ? cache.address() : key.equals("listen") ? value : "127.0.0.1:0";
-    Process process = program(Map.of("PROXY_LISTEN", listen, "PROXY_CONFIG",
-        key.equals("config") ? value : file.toString()));
+    String listen =
+        value.equals("taken") ? cache.address() : key.equals("listen") ? value : "127.0.0.1:0";
+    Process process =
+        program(
+            Map.of(
+                "PROXY_LISTEN",
+                listen,
+                "PROXY_CONFIG",
+                key.equals("config") ? value : file.toString()));
     try (BufferedReader log = process.inputReader()) {
       List<String> said = log.lines().filter(line -> !line.contains(" INFO ")).toList();
       assertTrue(said.size() == 1 && said.get(0).startsWith(message), said.toString());
@@ -823,13 +954,22 @@
   }
 
   private Process program(int port) throws Exception {
-    return program(Map.of("PROXY_LISTEN", "127.0.0.1:" + port,
-        "PROXY_CONFIG", world.environment(folder).get("PROXY_CONFIG")));
+    return program(
+        Map.of(
+            "PROXY_LISTEN",
+            "127.0.0.1:" + port,
+            "PROXY_CONFIG",
+            world.environment(folder).get("PROXY_CONFIG")));
   }
 
   private static Process program(Map<String, String> environment) throws Exception {
-    ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-        "-cp", System.getProperty("java.class.path"), ServeProcess.class.getName()).redirectErrorStream(true);
+    ProcessBuilder builder =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                ServeProcess.class.getName())
+            .redirectErrorStream(true);
     builder.environment().putAll(environment);
     return builder.start();
   }
@@ -852,59 +992,92 @@
       this.to = to;
     }
 
-    @Override public void listing(RoutingEvents.Listing what) {
+    @Override
+    public void listing(RoutingEvents.Listing what) {
       to.listing(what);
     }
 
-    @Override public void member(int cache, String id, String zone, String kind, int cell, RoutingEvents.State state,
-        double weight, long startedAt) {
+    @Override
+    public void member(
+        int cache,
+        String id,
+        String zone,
+        String kind,
+        int cell,
+        RoutingEvents.State state,
+        double weight,
+        long startedAt) {
       to.member(cache, id, zone, kind, cell, state, weight, startedAt);
     }
 
-    @Override public void listed() {
+    @Override
+    public void listed() {
       to.listed();
     }
 
-    @Override public void get(long id, int ds, long object, int group, int part, long timeLeft, double kb,
+    @Override
+    public void get(
+        long id,
+        int ds,
+        long object,
+        int group,
+        int part,
+        long timeLeft,
+        double kb,
         boolean write) {
       to.get(id, ds, object, group, part, timeLeft, kb, write);
     }
 
-    @Override public void begun(long id, int copy) {
+    @Override
+    public void begun(long id, int copy) {
       to.begun(id, copy);
     }
 
-    @Override public void ended(long id, int copy, int cache, RoutingEvents.Outcome outcome, long took, boolean settled,
+    @Override
+    public void ended(
+        long id,
+        int copy,
+        int cache,
+        RoutingEvents.Outcome outcome,
+        long took,
+        boolean settled,
         RoutingEvents.Note note) {
       to.ended(id, copy, cache, outcome, took, settled, note);
     }
 
-    @Override public void left(long id) {
+    @Override
+    public void left(long id) {
       to.left(id);
     }
 
-    @Override public void purged(long object, int group, long ago) {
+    @Override
+    public void purged(long object, int group, long ago) {
       to.purged(object, group, ago);
     }
 
-    @Override public void woken(String handle) {
+    @Override
+    public void woken(String handle) {
       to.woken(handle);
     }
 
-    @Override public void sharers(int many, double part) {
+    @Override
+    public void sharers(int many, double part) {
       to.sharers(many, part);
     }
 
-    @Override public void tried(boolean forAll) {
+    @Override
+    public void tried(boolean forAll) {
       to.tried(forAll);
     }
 
-    @Override public void vouched(int cache, boolean answers, long ago) {
+    @Override
+    public void vouched(int cache, boolean answers, long ago) {
       to.vouched(cache, answers, ago);
     }
 
-    @Override public void own(long id, int ds, long object, int group, int part, long timeLeft, double kb,
-        int cache) {
+    @Override
+    public void own(
+        long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache) {
       to.own(id, ds, object, group, part, timeLeft, kb, cache);
     }
   }
@@ -935,7 +1108,8 @@
       decisions = new RequestRouter(options.site())::round;
     }
 
-    @Override public void round(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
+    @Override
+    public void round(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
       decisions.round(now, in, to);
       if (armed) {
         armed = false;
@@ -962,8 +1136,12 @@
     return decisions;
   }
 
-  /** GET 2 makes the loop stand; GET 3 and news come meanwhile, the news after the poll had ended if that is said. */
-  private static void whileItStands(StandIns other, Standing decisions, boolean pollEnded, Client till, Runnable news)
+  /**
+   * GET 2 makes the loop stand; GET 3 and news come meanwhile, the news after the poll had ended if
+   * that is said.
+   */
+  private static void whileItStands(
+      StandIns other, Standing decisions, boolean pollEnded, Client till, Runnable news)
       throws Exception {
     decisions.armed = true;
     other.client().get(2, "parts", 4000, 0);
@@ -980,7 +1158,8 @@
 
   @ParameterizedTest
   @CsvSource({"draining, false", "gone, false", "draining, true", "gone, true"})
-  void afterAStandstillNewsIsHeardBeforeGetsAreDecided(String state, boolean pollEnded) throws Exception {
+  void afterAStandstillNewsIsHeardBeforeGetsAreDecided(String state, boolean pollEnded)
+      throws Exception {
     try (StandIns other = new StandIns()) {
       Cache[] caches = {other.cache(), other.cache()};
       Standing decisions = standing(other, caches);
@@ -993,13 +1172,19 @@
       int hashed = caches[0].server.getLocalPort() == first.from().getLocalPort() ? 0 : 1;
       first.ok("before");
       assertEquals("before", text(till.answer()));
-      whileItStands(other, decisions, pollEnded, till,
+      whileItStands(
+          other,
+          decisions,
+          pollEnded,
+          till,
           () -> other.journal.host("c" + hashed, caches[hashed].address(), "box", state));
       Command late = caches[1 - hashed].next();
       assertEquals("0000000000000003", late.word(1));
       late.ok("after");
       assertEquals("after", text(till.answer()));
-      assertTrue(caches[hashed].commands.stream().noneMatch(one -> one.word(1).equals("0000000000000003")));
+      assertTrue(
+          caches[hashed].commands.stream()
+              .noneMatch(one -> one.word(1).equals("0000000000000003")));
     }
   }
 
@@ -1009,8 +1194,14 @@
     try (StandIns other = new StandIns()) {
       Cache only = other.cache();
       Standing decisions = standing(other, only);
-      whileItStands(other, decisions, pollEnded, other.client(),
-          () -> other.journal.add("\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}"));
+      whileItStands(
+          other,
+          decisions,
+          pollEnded,
+          other.client(),
+          () ->
+              other.journal.add(
+                  "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}"));
       assertNotNull(only.next().field("within"), "it waited for its connection");
       assertNotNull(only.next().field("within"));
     }
@@ -1058,19 +1249,27 @@
       other.journal.host("c0", other.fullAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
       BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
-      other.start(options, (now, in, to) -> in.replay((RoutingEvents.Events) Proxy.newProxyInstance(
-          getClass().getClassLoader(), new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
-            if (event.getName().equals("get")) {
-              to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-            } else if (event.getName().equals("ended")) {
-              outcomes.add((RoutingEvents.Outcome) told[3]);
-            }
-            return null;
-          })));
+      other.start(
+          options,
+          (now, in, to) ->
+              in.replay(
+                  (RoutingEvents.Events)
+                      Proxy.newProxyInstance(
+                          getClass().getClassLoader(),
+                          new Class<?>[] {RoutingEvents.Events.class},
+                          (proxy, event, told) -> {
+                            if (event.getName().equals("get")) {
+                              to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                            } else if (event.getName().equals("ended")) {
+                              outcomes.add((RoutingEvents.Outcome) told[3]);
+                            }
+                            return null;
+                          })));
       other.client().get(1, "parts", 4000, 0);
       Thread.sleep(STANDS_MS / 4);
       other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
-      assertEquals(RoutingEvents.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertEquals(
+          RoutingEvents.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -2,18 +2,19 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.gateway.StandIns.Client;
 import java.lang.reflect.Proxy;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
 final class PausingDecisions implements RoutingStage.Rounds {
   /** The request at which it stands. */
   static final String REF = "00000000000003e7";
+
   private static final long PATIENCE_S = 20;
 
   private final RoutingStage.Rounds decisions;
@@ -25,7 +26,8 @@
     this.decisions = decisions;
   }
 
-  @Override public void round(long now, RoutingEvents in, RoutingActions to) {
+  @Override
+  public void round(long now, RoutingEvents in, RoutingActions to) {
     decisions.round(now, in, to);
     if (armed) {
       armed = false;
@@ -60,10 +62,13 @@
 
   /** Hears each event by its name, with its arguments. */
   static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
-    return (RoutingEvents.Events) Proxy.newProxyInstance(PausingDecisions.class.getClassLoader(),
-        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
-          hear.accept(event.getName(), told);
-          return null;
-        });
+    return (RoutingEvents.Events)
+        Proxy.newProxyInstance(
+            PausingDecisions.class.getClassLoader(),
+            new Class<?>[] {RoutingEvents.Events.class},
+            (proxy, event, told) -> {
+              hear.accept(event.getName(), told);
+              return null;
+            });
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -4,9 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RequestRouter;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.nio.file.Path;
@@ -16,6 +13,9 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.RequestRouter;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -24,14 +24,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request's time counts from its last byte, for caches too, and by its end there is an answer, whatever fails. */
+/**
+ * A request's time counts from its last byte, for caches too, and by its end there is an answer,
+ * whatever fails.
+ */
 @Timeout(60)
 class RequestDeadlineTest {
-  private static final long LAG_MS = 900, TOLERANCE_MS = 150, ALLOWANCE_MS = 15_000, PATIENCE_S = 20;
+  private static final long LAG_MS = 900,
+      TOLERANCE_MS = 150,
+      ALLOWANCE_MS = 15_000,
+      PATIENCE_S = 20;
   private static final int CONNECTIONS = 40;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
   private Cache cache;
   private Vertx oneLoop;
@@ -53,25 +58,44 @@
 
   /** A gateway whose connections are accepted on its event loop, as those of the program are. */
   private void startOnOneLoop(RoutingStage.Rounds decisions) throws Exception {
-    oneLoop = Vertx.builder().withTransport(SingleEventLoopTransport.transport()).with(new VertxOptions().setEventLoopPoolSize(1))
-        .build();
-    world.gateway = new Gateway(oneLoop, GatewayOptions.read(world.environment(folder)), GatewayExtensions.NOTHING, decisions);
-    world.gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    oneLoop =
+        Vertx.builder()
+            .withTransport(SingleEventLoopTransport.transport())
+            .with(new VertxOptions().setEventLoopPoolSize(1))
+            .build();
+    world.gateway =
+        new Gateway(
+            oneLoop,
+            GatewayOptions.read(world.environment(folder)),
+            GatewayExtensions.NOTHING,
+            decisions);
+    world
+        .gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"connected", "connecting", "half sent"})
   void afterEventLoopLagACacheIsToldOfNoMoreTimeThanTheClientHas(String state) throws Exception {
-    PausingDecisions decisions = new PausingDecisions((now, in, to) ->
-        in.replay(PausingDecisions.events((name, told) -> {
-          if (name.equals("get")) { // With no limits, so that each comes to the cache.
-            to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-          }
-        })));
+    PausingDecisions decisions =
+        new PausingDecisions(
+            (now, in, to) ->
+                in.replay(
+                    PausingDecisions.events(
+                        (name, told) -> {
+                          if (name.equals(
+                              "get")) { // With no limits, so that each comes to the cache.
+                            to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                          }
+                        })));
     startOnOneLoop(decisions);
     byte[][] requests = new byte[CONNECTIONS][];
     for (int at = 0; at < CONNECTIONS; at++) {
-      requests[at] = Client.request(at + 1, "parts", Client.fields(at + 1, ALLOWANCE_MS, at + 1), new byte[0]);
+      requests[at] =
+          Client.request(at + 1, "parts", Client.fields(at + 1, ALLOWANCE_MS, at + 1), new byte[0]);
     }
     List<Client> clients = new ArrayList<>();
     for (int at = 0; at < CONNECTIONS && !state.equals("connecting"); at++) {
@@ -94,15 +118,16 @@
     long most = ALLOWANCE_MS - (System.nanoTime() - sentBy) / 1_000_000 + TOLERANCE_MS;
     decisions.resume();
     Map<String, Long> told = new ConcurrentHashMap<>();
-    world.threads.submit(() -> {
-      while (true) {
-        StandIns.Command command = cache.commands.take();
-        if (!command.word(1).equals(PausingDecisions.REF)) {
-          told.put(command.word(1), Long.parseLong(command.field("ms")));
-          command.ok("part");
-        }
-      }
-    });
+    world.threads.submit(
+        () -> {
+          while (true) {
+            StandIns.Command command = cache.commands.take();
+            if (!command.word(1).equals(PausingDecisions.REF)) {
+              told.put(command.word(1), Long.parseLong(command.field("ms")));
+              command.ok("part");
+            }
+          }
+        });
     int served = 0;
     for (Client client : clients) { // On a machine that is busy all along some may be shed.
       String error = client.answer().error();
@@ -127,8 +152,9 @@
 
   @Test
   void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
-    PausingDecisions decisions = new PausingDecisions(new RequestRouter(GatewayOptions.read(world.environment(folder))
-        .site())::round);
+    PausingDecisions decisions =
+        new PausingDecisions(
+            new RequestRouter(GatewayOptions.read(world.environment(folder)).site())::round);
     world.start(GatewayOptions.read(world.environment(folder)), decisions);
     Client client = world.client();
     client.status();
@@ -142,26 +168,37 @@
     assertEquals("0000000000000002", cache.next().word(1));
   }
 
-  /** What goes wrong beside two requests of one turn: each has its answer in its time, and nothing of them stays. */
+  /**
+   * What goes wrong beside two requests of one turn: each has its answer in its time, and nothing
+   * of them stays.
+   */
   @ParameterizedTest
   @ValueSource(strings = {"round", "recursion", "assertion"})
   void troubleFreesNoRequestOfItsAnswer(String trouble) throws Exception {
-    world.start(GatewayOptions.read(world.environment(folder)), (now, in, to) -> {
-      if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
-        throw new IllegalStateException("a round");
-      }
-      in.replay(PausingDecisions.events((name, told) -> {
-        if (name.equals("get")) {
-          throw trouble.equals("recursion") ? new StackOverflowError() : new AssertionError("an event");
-        }
-      }));
-    });
+    world.start(
+        GatewayOptions.read(world.environment(folder)),
+        (now, in, to) -> {
+          if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
+            throw new IllegalStateException("a round");
+          }
+          in.replay(
+              PausingDecisions.events(
+                  (name, told) -> {
+                    if (name.equals("get")) {
+                      throw trouble.equals("recursion")
+                          ? new StackOverflowError()
+                          : new AssertionError("an event");
+                    }
+                  }));
+        });
     int held = world.gateway.held();
     Client client = world.client();
     long allowance = 500;
     long sent = System.nanoTime();
-    client.send(concat(Client.request(1, "parts", Client.fields(1, allowance, 1), new byte[0]),
-        Client.request(2, "parts", Client.fields(2, allowance, 2), new byte[0])));
+    client.send(
+        concat(
+            Client.request(1, "parts", Client.fields(1, allowance, 1), new byte[0]),
+            Client.request(2, "parts", Client.fields(2, allowance, 2), new byte[0])));
     for (int answer = 0; answer < 2; answer++) {
       assertNotNull(client.answer().error());
     }
@@ -169,7 +206,8 @@
     assertTrue(took < 10 * allowance, took + " ms");
     assertTrue(client.status().status());
     client.close();
-    for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S); world.gateway.held() > held;) {
+    for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+        world.gateway.held() > held; ) {
       assertTrue(System.nanoTime() < by, "held for ever: " + world.gateway.held());
       Thread.sleep(20);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -8,20 +8,36 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The steps of a shutdown come in order and end before the kill, however short the deadlines and late the loop. */
+/**
+ * The steps of a shutdown come in order and end before the kill, however short the deadlines and
+ * late the loop.
+ */
 class ShutdownScheduleTest {
   private static final long MILLI = 1_000_000, SIGTERM = 5_000_000_000_000L;
 
-  /** Looks each so many milliseconds while a request is open that is never answered; when each step came. */
+  /**
+   * Looks each so many milliseconds while a request is open that is never answered; when each step
+   * came.
+   */
   @ParameterizedTest
-  @CsvSource({"10, 10", "100, 10", "100, 35", "350, 10", "1000, 10", "1000, 40", "3000, 10", "3000, 40"})
+  @CsvSource({
+    "10, 10",
+    "100, 10",
+    "100, 35",
+    "350, 10",
+    "1000, 10",
+    "1000, 40",
+    "3000, 10",
+    "3000, 40"
+  })
   void allStepsComeInOrderBeforeTheKill(long deadlineMillis, long lookMillis) {
     long kill = deadlineMillis + 700;
     ShutdownSchedule schedule = new ShutdownSchedule(SIGTERM, deadlineMillis * MILLI);
     long rejected = -1, answered = -1, halfClosed = -1, exited = -1;
     for (long at = 0; exited < 0; at += lookMillis) {
       long now = SIGTERM + at * MILLI;
-      assertTrue(now + schedule.timeLeft(now) <= SIGTERM + (kill - 139) * MILLI, "time left at " + at);
+      assertTrue(
+          now + schedule.timeLeft(now) <= SIGTERM + (kill - 139) * MILLI, "time left at " + at);
       rejected = rejected < 0 && schedule.rejects(now) ? at : rejected;
       answered = answered < 0 && schedule.answersAll(now) ? at : answered;
       if (halfClosed < 0 && schedule.halfCloses(now, false)) {
@@ -32,7 +48,8 @@
     }
     assertTrue(rejected >= Math.min(750, kill - 350), "rejects from " + rejected);
     assertTrue(rejected < 750 + lookMillis, "rejects from " + rejected);
-    assertTrue(rejected <= answered && answered <= halfClosed && halfClosed <= exited,
+    assertTrue(
+        rejected <= answered && answered <= halfClosed && halfClosed <= exited,
         rejected + " " + answered + " " + halfClosed + " " + exited);
     assertTrue(answered >= kill - 250, "no answer sooner than it has to be: " + answered);
     assertTrue(exited < kill - 170 + lookMillis, "exits at " + exited);
@@ -56,8 +73,11 @@
   void aLoopThatStoodStillPastAllStepsDoesThemAtOnce() {
     ShutdownSchedule schedule = new ShutdownSchedule(0, 100 * MILLI);
     long late = 900 * MILLI;
-    assertTrue(schedule.rejects(late) && schedule.answersAll(late) && schedule.halfCloses(late, false)
-        && schedule.exits(late, false, false));
+    assertTrue(
+        schedule.rejects(late)
+            && schedule.answersAll(late)
+            && schedule.halfCloses(late, false)
+            && schedule.exits(late, false, false));
     assertEquals(MILLI, schedule.timeLeft(late));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -7,10 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -19,19 +15,25 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** While it shuts down, a gateway answers each request that it reads, and is gone before the kill may come. */
+/**
+ * While it shuts down, a gateway answers each request that it reads, and is gone before the kill
+ * may come.
+ */
 @Timeout(30)
 class ShutdownTest {
   private static final int RESTING = 6;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
 
   @BeforeEach
@@ -73,11 +75,15 @@
       one.get(31, "parts", 1500, 0); // Clients go on sending until they have heard.
     }
     stopped.get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
-    CountDownLatch selected = new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
+    CountDownLatch selected =
+        new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
     world.loop(() -> world.vertx.setTimer(20, later -> selected.countDown()));
     assertTrue(selected.await(StandIns.PATIENCE_S, TimeUnit.SECONDS));
     for (Client one : resting) {
-      assertThrows(IOException.class, () -> one.get(32, "parts", 1500, 0), "a request was read after the end");
+      assertThrows(
+          IOException.class,
+          () -> one.get(32, "parts", 1500, 0),
+          "a request was read after the end");
     }
   }
 
@@ -87,7 +93,9 @@
     world.journal.host("c0", cache.address(), "box", "ready");
     Map<String, String> environment = world.environment(folder);
     Path file = Path.of(environment.get("PROXY_CONFIG"));
-    Files.writeString(file, Files.readString(file).replace("\"target-s\":0.4", "\"target-s\":0.4,\"hard-limit-s\":1"));
+    Files.writeString(
+        file,
+        Files.readString(file).replace("\"target-s\":0.4", "\"target-s\":0.4,\"hard-limit-s\":1"));
     world.start(GatewayOptions.read(environment), null);
     Client client = world.client();
     client.get(1, "parts", 9000, 0);
@@ -99,7 +107,9 @@
     stopped.get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
     long took = (System.nanoTime() - since) / 1_000_000;
     assertEquals("Internal", client.answer().error());
-    assertTrue(took < 3200, "took " + took + " ms"); // A second and a half later, were the loop's lateness left out.
+    assertTrue(
+        took < 3200,
+        "took " + took + " ms"); // A second and a half later, were the loop's lateness left out.
   }
 
   private static void pause(long millis) {
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -35,12 +35,15 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** Clients, caches and the journal service, as the protocol has them, round one gateway on loopback. */
+/**
+ * Clients, caches and the journal service, as the protocol has them, round one gateway on loopback.
+ */
 final class StandIns implements AutoCloseable {
   static final String OBJECT = "7f3a9c21e0b4d655";
   static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   static final long PATIENCE_S = 10;
-  private static final String SETTINGS = """
+  private static final String SETTINGS =
+      """
       {"my-zone":"z","zones":["z"],"kinds":["box","parent","origin"],"replicas-of-me":1,"weights":"nominal",
       "classes":[{"name":"parts","idempotency":"repeatable","target-s":0.4,"points":2},
       {"name":"orders","idempotency":"once","target-s":0.4},
@@ -58,8 +61,7 @@
   Gateway gateway;
   Cache origin;
 
-  StandIns() throws IOException {
-  }
+  StandIns() throws IOException {}
 
   /** A gateway that knows one edge cache and the origin; both listen. */
   Cache start(Path folder) throws Exception {
@@ -72,16 +74,26 @@
   }
 
   void start(GatewayOptions options, RoutingStage.Rounds decisions) throws Exception {
-    gateway = decisions == null ? new Gateway(vertx, options) : new Gateway(vertx, options, GatewayExtensions.NOTHING, decisions);
+    gateway =
+        decisions == null
+            ? new Gateway(vertx, options)
+            : new Gateway(vertx, options, GatewayExtensions.NOTHING, decisions);
     gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
   /** The environment of a gateway that is told of what the journal holds now. */
   Map<String, String> environment(Path folder) throws IOException {
     Path file = folder.resolve("config.json");
-    Files.writeString(file, "{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":64,"
-        + "\"sockets\":128},\"listen\":\"127.0.0.1:0\",\"journal\":\"" + journal.address() + "\",\"known\":"
-        + journal.since(0) + ",\"settings\":" + SETTINGS + "}");
+    Files.writeString(
+        file,
+        "{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":64,"
+            + "\"sockets\":128},\"listen\":\"127.0.0.1:0\",\"journal\":\""
+            + journal.address()
+            + "\",\"known\":"
+            + journal.since(0)
+            + ",\"settings\":"
+            + SETTINGS
+            + "}");
     return Map.of("PROXY_CONFIG", file.toString());
   }
 
@@ -116,7 +128,8 @@
     return client;
   }
 
-  @Override public void close() throws Exception {
+  @Override
+  public void close() throws Exception {
     for (AutoCloseable one : open) {
       one.close();
     }
@@ -126,8 +139,8 @@
   }
 
   /** What a client got for one request: an error's code, or the body. */
-  record Answer(long number, String error, byte[] body, boolean status, Map<String, String> fields) {
-  }
+  record Answer(
+      long number, String error, byte[] body, boolean status, Map<String, String> fields) {}
 
   static final class Client implements AutoCloseable {
     final Socket socket;
@@ -145,14 +158,33 @@
     }
 
     static Map<String, String> fields(int ref, long allowMs, int part) {
-      Map<String, String> fields = new LinkedHashMap<>(Map.of("ref", String.format("%016x", ref), "lookup", OBJECT,
-          "allow", Long.toString(allowMs), "chunk", Integer.toString(part), "tag", "17", "room", "412.5"));
+      Map<String, String> fields =
+          new LinkedHashMap<>(
+              Map.of(
+                  "ref",
+                  String.format("%016x", ref),
+                  "lookup",
+                  OBJECT,
+                  "allow",
+                  Long.toString(allowMs),
+                  "chunk",
+                  Integer.toString(part),
+                  "tag",
+                  "17",
+                  "room",
+                  "412.5"));
       return fields;
     }
 
-    static byte[] request(long number, String method, Map<String, String> fields, byte[] body) throws IOException {
+    static byte[] request(long number, String method, Map<String, String> fields, byte[] body)
+        throws IOException {
       MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
-      packer.packArrayHeader(4).packInt(0).packLong(number).packString(method).packArrayHeader(body == null ? 1 : 2)
+      packer
+          .packArrayHeader(4)
+          .packInt(0)
+          .packLong(number)
+          .packString(method)
+          .packArrayHeader(body == null ? 1 : 2)
           .packMapHeader(fields.size());
       for (Map.Entry<String, String> field : fields.entrySet()) {
         packer.packString(field.getKey()).packString(field.getValue());
@@ -174,7 +206,12 @@
 
     static byte[] withdrawal(int number) throws IOException {
       MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
-      packer.packArrayHeader(3).packInt(2).packString("withdraw").packArrayHeader(1).packInt(number);
+      packer
+          .packArrayHeader(3)
+          .packInt(2)
+          .packString("withdraw")
+          .packArrayHeader(1)
+          .packInt(number);
       return packer.toByteArray();
     }
 
@@ -228,7 +265,8 @@
       }
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
       socket.close();
     }
   }
@@ -251,8 +289,12 @@
     void answer(String word, String fields, byte[] body) throws IOException {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
-      for (byte[] one : List.of(elements.get(1), word.getBytes(StandardCharsets.ISO_8859_1),
-          fields.getBytes(StandardCharsets.ISO_8859_1), body)) {
+      for (byte[] one :
+          List.of(
+              elements.get(1),
+              word.getBytes(StandardCharsets.ISO_8859_1),
+              fields.getBytes(StandardCharsets.ISO_8859_1),
+              body)) {
         out.writeBytes(("$" + one.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
         out.writeBytes(one);
         out.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -261,7 +303,10 @@
     }
 
     void ok(String text) throws IOException {
-      answer("ok", "res=h,entity=4be0c1927d55a6f3,issued=1764576000123", text.getBytes(StandardCharsets.UTF_8));
+      answer(
+          "ok",
+          "res=h,entity=4be0c1927d55a6f3,issued=1764576000123",
+          text.getBytes(StandardCharsets.UTF_8));
     }
 
     void reset() throws IOException {
@@ -275,16 +320,17 @@
     final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
 
     Cache() throws IOException {
-      threads.execute(() -> {
-        try {
-          while (true) {
-            Socket socket = server.accept();
-            threads.execute(() -> read(socket));
-          }
-        } catch (IOException e) {
-          // Closed.
-        }
-      });
+      threads.execute(
+          () -> {
+            try {
+              while (true) {
+                Socket socket = server.accept();
+                threads.execute(() -> read(socket));
+              }
+            } catch (IOException e) {
+              // Closed.
+            }
+          });
     }
 
     String address() {
@@ -321,7 +367,8 @@
       return next;
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
       server.close();
     }
   }
@@ -331,8 +378,10 @@
     final HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
     final BlockingQueue<String> polls = new LinkedBlockingQueue<>();
     private final List<String> entries = new ArrayList<>();
+
     /** What replies are instead, while it is set: an empty one never comes. */
     volatile String instead;
+
     /** Whether the next reply stops in its midst, on a connection that stays open. */
     volatile boolean stopsShort;
 
@@ -347,8 +396,11 @@
     }
 
     synchronized String since(int tail) {
-      return "{\"pos\":" + entries.size() + ",\"entries\":["
-          + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size())) + "]}";
+      return "{\"pos\":"
+          + entries.size()
+          + ",\"entries\":["
+          + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size()))
+          + "]}";
     }
 
     synchronized void add(String event) {
@@ -357,20 +409,30 @@
     }
 
     void host(String id, String address, String kind, String state) {
-      add("\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\"" + id + "\",\"hostPort\":\""
-          + address + "\",\"zone\":\"z\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\"" + state
-          + "\",\"weight\":4,\"startedAtMs\":0}]}");
+      add(
+          "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
+              + id
+              + "\",\"hostPort\":\""
+              + address
+              + "\",\"zone\":\"z\",\"machineType\":\""
+              + kind
+              + "\",\"cell\":0,\"lifecycle\":\""
+              + state
+              + "\",\"weight\":4,\"startedAtMs\":0}]}");
     }
 
     private void answer(HttpExchange exchange) throws IOException {
       String query = exchange.getRequestURI().getQuery();
       polls.add(query);
       int tail = Integer.parseInt(query.replaceAll(".*tail=(\\d+).*", "$1"));
-      long until = System.nanoTime() + Long.parseLong(query.replaceAll(".*max_wait=(\\d+).*", "$1")) * 1_000_000;
+      long until =
+          System.nanoTime()
+              + Long.parseLong(query.replaceAll(".*max_wait=(\\d+).*", "$1")) * 1_000_000;
       String reply = instead;
       try {
         synchronized (this) {
-          while (reply == null && entries.size() <= tail && System.nanoTime() < until || "".equals(reply)) {
+          while (reply == null && entries.size() <= tail && System.nanoTime() < until
+              || "".equals(reply)) {
             wait(20);
             reply = instead;
           }
@@ -392,7 +454,9 @@
     }
   }
 
-  /** The same with some of its text replaced: pairs of what is there and what stands there instead. */
+  /**
+   * The same with some of its text replaced: pairs of what is there and what stands there instead.
+   */
   Map<String, String> environment(Path folder, String... changes) throws IOException {
     Map<String, String> environment = environment(folder);
     Path file = Path.of(environment.get("PROXY_CONFIG"));
@@ -417,25 +481,27 @@
   }
 
   /** A want and when it had come. */
-  record Seen(Command want, long atNanos) {
-  }
+  record Seen(Command want, long atNanos) {}
 
-  /** Has a cache react by itself from now on; what is returned grows with the commands that come. */
+  /**
+   * Has a cache react by itself from now on; what is returned grows with the commands that come.
+   */
   List<Seen> react(Cache cache, Reaction reaction) {
     List<Seen> seen = new CopyOnWriteArrayList<>();
-    threads.execute(() -> {
-      try {
-        while (true) {
-          Command next = cache.commands.take();
-          seen.add(new Seen(next, System.nanoTime()));
-          if (next.word(0).equals("want")) {
-            threads.execute(() -> once(reaction, next));
+    threads.execute(
+        () -> {
+          try {
+            while (true) {
+              Command next = cache.commands.take();
+              seen.add(new Seen(next, System.nanoTime()));
+              if (next.word(0).equals("want")) {
+                threads.execute(() -> once(reaction, next));
+              }
+            }
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
           }
-        }
-      } catch (InterruptedException e) {
-        Thread.currentThread().interrupt();
-      }
-    });
+        });
     return seen;
   }
 
@@ -447,7 +513,10 @@
     }
   }
 
-  /** A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the given address. */
+  /**
+   * A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the
+   * given address.
+   */
   List<Cache> start(Path folder, int many, String journalAddress) throws Exception {
     List<Cache> caches = new ArrayList<>();
     for (int at = 0; at < many; at++) {
@@ -464,8 +533,10 @@
   GatewayOptions options(Path folder, String journalAddress) throws IOException {
     Path file = Path.of(environment(folder).get("PROXY_CONFIG"));
     Path next = Files.createTempFile(folder, "config", ".json");
-    Files.writeString(next, Files.readString(file).replace("\"journal\":\"" + journal.address(),
-        "\"journal\":\"" + journalAddress));
+    Files.writeString(
+        next,
+        Files.readString(file)
+            .replace("\"journal\":\"" + journal.address(), "\"journal\":\"" + journalAddress));
     return GatewayOptions.read(Map.of("PROXY_CONFIG", next.toString()));
   }
 
@@ -498,14 +569,21 @@
     private static final int CHUNK_BYTES = 65_536;
 
     private final Journal to;
+
     /** Bound and never used: keeps the port while nothing listens there. */
     private final Socket reserved = new Socket();
+
     private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
     private ServerSocket server;
     private int accepted;
+
     /** How much longer each reply takes. */
     volatile long delayMillis;
-    /** Of so many connections one is served, with one reply, and the others are reset; 0: all are served. */
+
+    /**
+     * Of so many connections one is served, with one reply, and the others are reset; 0: all are
+     * served.
+     */
     volatile int crowd;
 
     JournalRelay(Journal to) throws IOException {
@@ -528,22 +606,24 @@
         try {
           listening.bind(new InetSocketAddress(LOOPBACK, reserved.getLocalPort()));
         } catch (BindException e) {
-          if (System.nanoTime() > until) { // The one before is being let go by the thread that accepts there.
+          if (System.nanoTime()
+              > until) { // The one before is being let go by the thread that accepts there.
             throw e;
           }
           Thread.onSpinWait();
         }
       }
       server = listening;
-      threads.execute(() -> {
-        try {
-          while (true) {
-            accepted(listening.accept());
-          }
-        } catch (IOException e) {
-          // Closed.
-        }
-      });
+      threads.execute(
+          () -> {
+            try {
+              while (true) {
+                accepted(listening.accept());
+              }
+            } catch (IOException e) {
+              // Closed.
+            }
+          });
     }
 
     /** Refuses connections from now on, and resets those that are open. */
@@ -569,17 +649,25 @@
       sockets.add(on);
       AtomicBoolean asked = new AtomicBoolean();
       threads.execute(() -> pump(from, on, () -> asked.set(true)));
-      threads.execute(() -> pump(on, from, () -> {
-        if (asked.getAndSet(false)) {
-          Thread.sleep(delayMillis);
-        }
-      }));
+      threads.execute(
+          () ->
+              pump(
+                  on,
+                  from,
+                  () -> {
+                    if (asked.getAndSet(false)) {
+                      Thread.sleep(delayMillis);
+                    }
+                  }));
     }
 
     private void pump(Socket from, Socket on, BeforeChunk before) {
-      try (from; on) {
+      try (from;
+          on) {
         byte[] bytes = new byte[CHUNK_BYTES];
-        for (int read = from.getInputStream().read(bytes); read >= 0; read = from.getInputStream().read(bytes)) {
+        for (int read = from.getInputStream().read(bytes);
+            read >= 0;
+            read = from.getInputStream().read(bytes)) {
           before.call();
           on.getOutputStream().write(bytes, 0, read);
         }
@@ -597,7 +685,8 @@
       socket.close();
     }
 
-    @Override public void close() throws IOException {
+    @Override
+    public void close() throws IOException {
       leave();
       reserved.close();
     }
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -5,28 +5,30 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.RoutingActions;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** GETs of a gateway's own, on behalf of the fleet: what comes of them, and that neither client nor stop waits. */
+/**
+ * GETs of a gateway's own, on behalf of the fleet: what comes of them, and that neither client nor
+ * stop waits.
+ */
 @Timeout(30)
 class SyntheticRequestsTest {
   private static final long ACT = 400_000_000;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private StandIns world;
   private Cache cache;
   private Client client;
@@ -35,24 +37,27 @@
 
   /** A company that does nothing but keep what it may ask for. */
   private final class Kept implements FleetCoordinator {
-    @Override public Future<Void> start() {
+    @Override
+    public Future<Void> start() {
       return Future.succeededFuture();
     }
 
-    @Override public void health(String id, RoutingActions.Health health) {
-    }
+    @Override
+    public void health(String id, RoutingActions.Health health) {}
 
-    @Override public void cold(String id, long until) {
-    }
+    @Override
+    public void cold(String id, long until) {}
 
-    @Override public void renewed() {
-    }
+    @Override
+    public void renewed() {}
 
-    @Override public void draining() {
+    @Override
+    public void draining() {
       draining = true;
     }
 
-    @Override public Future<Void> close() {
+    @Override
+    public Future<Void> close() {
       return Future.succeededFuture();
     }
   }
@@ -64,12 +69,22 @@
     world.journal.host("c0", cache.address(), "box", "ready");
     world.journal.host("o0", world.cache().address(), "origin", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    world.gateway = new Gateway(world.vertx, options, new GatewayExtensions(null, (Vertx vertx, GatewayOptions of,
-        FleetCoordinator.Ways to) -> {
-      ways = to;
-      return new Kept();
-    }));
-    world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    world.gateway =
+        new Gateway(
+            world.vertx,
+            options,
+            new GatewayExtensions(
+                null,
+                (Vertx vertx, GatewayOptions of, FleetCoordinator.Ways to) -> {
+                  ways = to;
+                  return new Kept();
+                }));
+    world
+        .gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
     client = world.client();
   }
 
@@ -92,15 +107,20 @@
 
   @Test
   void aTrialAsksForWhatAViewerAskedForButOnlyIfItIsHeldAndUnderAnotherName() throws Exception {
-    assertFalse(ways.own("c0", ACT, end -> { }), "nobody has asked for anything yet");
+    assertFalse(ways.own("c0", ACT, end -> {}), "nobody has asked for anything yet");
     viewed();
-    assertFalse(ways.own("c9", ACT, end -> { }), "there is no such cache");
+    assertFalse(ways.own("c9", ACT, end -> {}), "there is no such cache");
     CompletableFuture<FleetCoordinator.Own> end = own("c0");
     Command want = cache.next();
     assertNotEquals("0000000000000001", want.word(1));
-    assertEquals("kind=parts,obj=" + StandIns.OBJECT + ",seg=3,f=join+held", want.word(2).replaceFirst("ms=\\d+,", ""));
+    assertEquals(
+        "kind=parts,obj=" + StandIns.OBJECT + ",seg=3,f=join+held",
+        want.word(2).replaceFirst("ms=\\d+,", ""));
     want.answer("nothing", "res=n", new byte[0]);
-    assertEquals(FleetCoordinator.Own.ANSWERED, end.get(5, TimeUnit.SECONDS), "that it has not the part is an answer too");
+    assertEquals(
+        FleetCoordinator.Own.ANSWERED,
+        end.get(5, TimeUnit.SECONDS),
+        "that it has not the part is an answer too");
     client.get(2, "parts", 1500, 3);
     cache.next().ok("next");
     assertEquals(2, client.answer().number(), "the client has heard of nothing but its own");
@@ -116,7 +136,10 @@
     assertTrue(System.nanoTime() - began < 2 * ACT);
     Command next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
     assertTrue(next == null || !next.word(0).equals("want"), "nothing but that it is given up");
-    assertEquals(FleetCoordinator.Own.NOT_SENT, own("o0").get(5, TimeUnit.SECONDS), "the origin is not tried");
+    assertEquals(
+        FleetCoordinator.Own.NOT_SENT,
+        own("o0").get(5, TimeUnit.SECONDS),
+        "the origin is not tried");
   }
 
   @Test
@@ -127,7 +150,7 @@
     long began = System.nanoTime();
     world.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     assertTrue(draining);
-    assertFalse(ways.own("c0", ACT, late -> { }), "nothing is begun any more");
+    assertFalse(ways.own("c0", ACT, late -> {}), "nothing is begun any more");
     assertTrue(System.nanoTime() - began < 3_000_000_000L);
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -6,13 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RequestRouter;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -38,6 +31,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Predicate;
+import org.amberpath.gateway.StandIns.Answer;
+import org.amberpath.gateway.StandIns.Cache;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -47,7 +47,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What clients get and endpoints are charged with while system calls fail (docs/design/endings.md). */
+/**
+ * What clients get and endpoints are charged with while system calls fail (docs/design/endings.md).
+ */
 @Timeout(60)
 class SystemCallFailuresTest {
   private static final int FOREVER = Integer.MAX_VALUE;
@@ -65,14 +67,16 @@
     volatile IOException readFailure;
     volatile boolean little;
 
-    @Override SocketChannel accept(ServerSocketChannel from) throws IOException {
+    @Override
+    SocketChannel accept(ServerSocketChannel from) throws IOException {
       if (accepts.getAndIncrement() < acceptFailures) {
         throw failure;
       }
       return super.accept(from);
     }
 
-    @Override Channel socket() {
+    @Override
+    Channel socket() {
       if (opens.getAndIncrement() < openFailures) {
         throw new ChannelException("Failed to open a socket.", failure);
       }
@@ -80,7 +84,10 @@
     }
   }
 
-  /** A connection to an endpoint on which calls fail, move one byte, or are interrupted every other time. */
+  /**
+   * A connection to an endpoint on which calls fail, move one byte, or are interrupted every other
+   * time.
+   */
   private static final class Socket extends NioSocketChannel {
     private final Failing calls;
     private boolean interrupted;
@@ -89,7 +96,8 @@
       this.calls = calls;
     }
 
-    @Override protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
+    @Override
+    protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
       if (calls.ports.test(((InetSocketAddress) remote).getPort())
           && calls.connects.getAndIncrement() < calls.connectFailures) {
         doClose();
@@ -98,15 +106,19 @@
       return super.doConnect(remote, local);
     }
 
-    @Override protected int doReadBytes(ByteBuf into) throws Exception {
+    @Override
+    protected int doReadBytes(ByteBuf into) throws Exception {
       if (calls.readFailure != null) {
         throw calls.readFailure;
       }
       interrupted ^= calls.little;
-      return !calls.little ? super.doReadBytes(into) : interrupted ? 0 : into.writeBytes(javaChannel(), 1);
+      return !calls.little
+          ? super.doReadBytes(into)
+          : interrupted ? 0 : into.writeBytes(javaChannel(), 1);
     }
 
-    @Override protected void doWrite(ChannelOutboundBuffer out) throws Exception {
+    @Override
+    protected void doWrite(ChannelOutboundBuffer out) throws Exception {
       if (!calls.little) {
         super.doWrite(out);
         return;
@@ -124,8 +136,7 @@
     }
   }
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private final Failing calls = new Failing();
   private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
   private StandIns world;
@@ -135,8 +146,11 @@
   @BeforeEach
   void start() throws Exception {
     world = new StandIns();
-    vertx = Vertx.builder().withTransport(SingleEventLoopTransport.transport(calls)).with(new VertxOptions().setEventLoopPoolSize(1))
-        .build();
+    vertx =
+        Vertx.builder()
+            .withTransport(SingleEventLoopTransport.transport(calls))
+            .with(new VertxOptions().setEventLoopPoolSize(1))
+            .build();
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
   }
@@ -144,7 +158,11 @@
   @AfterEach
   void end() throws Exception {
     world.close();
-    vertx.close().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    vertx
+        .close()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
   }
 
   private Client serve() throws Exception {
@@ -154,20 +172,32 @@
 
   private void serve(GatewayOptions options) throws Exception {
     RequestRouter control = new RequestRouter(options.site());
-    world.gateway = new Gateway(vertx, options, GatewayExtensions.NOTHING,
-        (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
-    world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    world.gateway =
+        new Gateway(
+            vertx,
+            options,
+            GatewayExtensions.NOTHING,
+            (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
+    world
+        .gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
   }
 
   /** Notes how each attempt ended before the decisions hear of it. */
   private RoutingEvents.Events heard(RoutingEvents.Events to) {
-    return (RoutingEvents.Events) Proxy.newProxyInstance(SystemCallFailuresTest.class.getClassLoader(),
-        new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, told) -> {
-          if (event.getName().equals("ended")) {
-            outcomes.add((Outcome) told[3]);
-          }
-          return event.invoke(to, told);
-        });
+    return (RoutingEvents.Events)
+        Proxy.newProxyInstance(
+            SystemCallFailuresTest.class.getClassLoader(),
+            new Class<?>[] {RoutingEvents.Events.class},
+            (proxy, event, told) -> {
+              if (event.getName().equals("ended")) {
+                outcomes.add((Outcome) told[3]);
+              }
+              return event.invoke(to, told);
+            });
   }
 
   private static String text(Answer answer) {
@@ -176,9 +206,16 @@
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"Too many open files", "Too many open files in system", "No buffer space available",
-      "Cannot allocate memory", "Software caused connection abort"})
-  void afterAFailedAcceptTheNextIsTriedWithinMillisecondsAndInNoBusyLoop(String text) throws Exception {
+  @ValueSource(
+      strings = {
+        "Too many open files",
+        "Too many open files in system",
+        "No buffer space available",
+        "Cannot allocate memory",
+        "Software caused connection abort"
+      })
+  void afterAFailedAcceptTheNextIsTriedWithinMillisecondsAndInNoBusyLoop(String text)
+      throws Exception {
     serve();
     calls.failure = new IOException(text);
     calls.accepts.set(0);
@@ -186,7 +223,8 @@
     long began = System.nanoTime();
     assertEquals(9999, world.client().status().number());
     long tookMillis = (System.nanoTime() - began) / 1_000_000;
-    assertTrue(tookMillis >= 10 + 20 + 40 + 80 + 100 + 100 && tookMillis < 3000, tookMillis + " ms");
+    assertTrue(
+        tookMillis >= 10 + 20 + 40 + 80 + 100 + 100 && tookMillis < 3000, tookMillis + " ms");
     assertTrue(calls.accepts.get() <= 12, calls.accepts + " calls");
   }
 
@@ -194,11 +232,18 @@
   void aConnectionThatWaitedThroughAPauseSaysForHowLongAndTheNextDoesNot() throws Exception {
     Queue<Long> waited = new ConcurrentLinkedQueue<>();
     SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
-    int port = vertx.createNetServer().connectHandler(socket -> waited.add(AcceptLimit.queuedNanos(socket)))
-        .listen(0, "127.0.0.1").toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS)
-        .actualPort();
+    int port =
+        vertx
+            .createNetServer()
+            .connectHandler(socket -> waited.add(AcceptLimit.queuedNanos(socket)))
+            .listen(0, "127.0.0.1")
+            .toCompletionStage()
+            .toCompletableFuture()
+            .get(StandIns.PATIENCE_S, TimeUnit.SECONDS)
+            .actualPort();
     calls.acceptFailures = 4;
-    try (Client first = world.client(port); Client second = world.client(port)) {
+    try (Client first = world.client(port);
+        Client second = world.client(port)) {
       await(() -> waited.size() == 2);
       assertTrue(waited.remove() >= 150_000_000 && waited.remove() >= 150_000_000);
       try (Client later = world.client(port)) {
@@ -208,7 +253,8 @@
     }
   }
 
-  private static void await(java.util.function.BooleanSupplier condition) throws InterruptedException {
+  private static void await(java.util.function.BooleanSupplier condition)
+      throws InterruptedException {
     long until = System.nanoTime() + StandIns.PATIENCE_S * 1_000_000_000L;
     while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < until, "it did not come");
@@ -217,11 +263,19 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"true, Too many open files", "true, Too many open files in system", "true, Cannot allocate memory",
-      "false, No buffer space available", "false, Network is unreachable", "false, Cannot assign requested address"})
-  void aConnectThatFailsHereIsTriedAgainAndSaysNothingOfTheEndpoint(boolean open, String text) throws Exception {
+  @CsvSource({
+    "true, Too many open files",
+    "true, Too many open files in system",
+    "true, Cannot allocate memory",
+    "false, No buffer space available",
+    "false, Network is unreachable",
+    "false, Cannot assign requested address"
+  })
+  void aConnectThatFailsHereIsTriedAgainAndSaysNothingOfTheEndpoint(boolean open, String text)
+      throws Exception {
     Client client = serve();
-    calls.failure = text.startsWith("Cannot assign") ? new BindException(text) : new SocketException(text);
+    calls.failure =
+        text.startsWith("Cannot assign") ? new BindException(text) : new SocketException(text);
     calls.opens.set(0);
     calls.connects.set(0);
     calls.openFailures = open ? 3 : 0;
@@ -285,7 +339,8 @@
     Client client = serve();
     client.get(1, "orders", 5000, 0);
     Command sent = cache.next();
-    calls.readFailure = text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
+    calls.readFailure =
+        text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
     sent.ok("read by nobody");
     assertEquals("Internal", client.answer().error());
     assertEquals("[LOST]", outcomes.toString());
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents;
 import java.lang.reflect.Proxy;
 import java.nio.file.Path;
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -22,12 +22,12 @@
 class WallClockTest {
   private static final long HOUR_MS = 3_600_000, SOON_MS = 60_000;
 
-  /** What a cache or a purge was told with: how long ago it was, and for a cache when it started. */
-  private record Told(String what, long agoMs, long at) {
-  }
+  /**
+   * What a cache or a purge was told with: how long ago it was, and for a cache when it started.
+   */
+  private record Told(String what, long agoMs, long at) {}
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private final AtomicLong step = new AtomicLong();
   private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
   private StandIns world;
@@ -43,18 +43,38 @@
   }
 
   private void start() throws Exception {
-    RoutingStage.Rounds decisions = (now, in, to) -> in.replay((RoutingEvents.Events) Proxy.newProxyInstance(
-        getClass().getClassLoader(), new Class<?>[] {RoutingEvents.Events.class}, (proxy, event, with) -> {
-          if (event.getName().equals("member") && (long) with[7] != 0) {
-            told.add(new Told((String) with[1], (now - (long) with[7]) / 1_000_000, (long) with[7]));
-          } else if (event.getName().equals("purged")) {
-            told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
-          }
-          return null;
-        }));
-    world.gateway = new Gateway(world.vertx, GatewayOptions.read(world.environment(folder)), GatewayExtensions.NOTHING, decisions,
-        new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
-    world.gateway.start().toCompletionStage().toCompletableFuture().get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    RoutingStage.Rounds decisions =
+        (now, in, to) ->
+            in.replay(
+                (RoutingEvents.Events)
+                    Proxy.newProxyInstance(
+                        getClass().getClassLoader(),
+                        new Class<?>[] {RoutingEvents.Events.class},
+                        (proxy, event, with) -> {
+                          if (event.getName().equals("member") && (long) with[7] != 0) {
+                            told.add(
+                                new Told(
+                                    (String) with[1],
+                                    (now - (long) with[7]) / 1_000_000,
+                                    (long) with[7]));
+                          } else if (event.getName().equals("purged")) {
+                            told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
+                          }
+                          return null;
+                        }));
+    world.gateway =
+        new Gateway(
+            world.vertx,
+            GatewayOptions.read(world.environment(folder)),
+            GatewayExtensions.NOTHING,
+            decisions,
+            new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
+    world
+        .gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
   }
 
   private Told next(String what) throws InterruptedException {
@@ -72,14 +92,21 @@
 
   /** Tells of a cache, with a start so long ago by a clock that does not step. */
   private void cache(String id, String state, long startedAtMs) throws Exception {
-    world.journal.add("\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\"" + id
-        + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"box\",\"cell\":0,"
-        + "\"lifecycle\":\"" + state + "\",\"weight\":4,\"startedAtMs\":" + startedAtMs + "}]}");
+    world.journal.add(
+        "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
+            + id
+            + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"box\",\"cell\":0,"
+            + "\"lifecycle\":\""
+            + state
+            + "\",\"weight\":4,\"startedAtMs\":"
+            + startedAtMs
+            + "}]}");
   }
 
   @ParameterizedTest
   @CsvSource({"3600000, false", "3600000, true", "-3600000, false", "-3600000, true"})
-  void aPurgeAndAStartThatAreHeardOfAreAsYoungAsTheyCanBe(long ms, boolean beforeTheStart) throws Exception {
+  void aPurgeAndAStartThatAreHeardOfAreAsYoungAsTheyCanBe(long ms, boolean beforeTheStart)
+      throws Exception {
     step.set(beforeTheStart ? ms : 0);
     start();
     step.set(ms);
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -2,8 +2,6 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -15,11 +13,14 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.Test;
 
 /** Stories of forwards that wait to be sent. */
 class CachePoolTest {
-  private static final byte[] ID = "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
+  private static final byte[] ID =
+      "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
 
   private boolean may, left;
   private int most = 1;
@@ -30,17 +31,27 @@
     Vertx vertx = Vertx.vertx();
     NetClient client = vertx.createNetClient();
     try {
-      CachePool pool = new CachePool("c", SocketAddress.inetSocketAddress(1, "127.0.0.1"), client,
-          new CachePool.Bounds(() -> 4, 1, 1, 1, 1), () -> 0, () -> may, (of, why) -> { });
-      pool.send(new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
-        @Override protected void ended(Outcome outcome, Note note, Buffer body) {
-          outcomes.add(outcome);
-        }
+      CachePool pool =
+          new CachePool(
+              "c",
+              SocketAddress.inetSocketAddress(1, "127.0.0.1"),
+              client,
+              new CachePool.Bounds(() -> 4, 1, 1, 1, 1),
+              () -> 0,
+              () -> may,
+              (of, why) -> {});
+      pool.send(
+          new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
+            @Override
+            protected void ended(Outcome outcome, Note note, Buffer body) {
+              outcomes.add(outcome);
+            }
 
-        @Override protected boolean isOver(long now) {
-          return left;
-        }
-      });
+            @Override
+            protected boolean isOver(long now) {
+              return left;
+            }
+          });
       assertEquals(List.of(), outcomes);
       left = true;
       may = true;
@@ -60,17 +71,26 @@
       Context loop = vertx.getOrCreateContext();
       NetClient client = vertx.createNetClient();
       CachePool[] pool = new CachePool[1];
-      loop.runOnContext(v -> {
-        pool[0] = new CachePool("c", SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"), client,
-            new CachePool.Bounds(() -> most, 100, 1, Long.MAX_VALUE, 1), () -> 0, () -> true, (of, why) -> { });
-        pool[0].send(want(new byte[64 << 20]));
-      });
+      loop.runOnContext(
+          v -> {
+            pool[0] =
+                new CachePool(
+                    "c",
+                    SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"),
+                    client,
+                    new CachePool.Bounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
+                    () -> 0,
+                    () -> true,
+                    (of, why) -> {});
+            pool[0].send(want(new byte[64 << 20]));
+          });
       Socket first = cache.accept();
       Thread.sleep(200); // It is sent as far as the peer takes it.
-      loop.runOnContext(v -> {
-        most = 2;
-        pool[0].send(want(ID));
-      });
+      loop.runOnContext(
+          v -> {
+            most = 2;
+            pool[0].send(want(ID));
+          });
       cache.setSoTimeout(5000);
       try (Socket second = cache.accept()) {
         second.setSoTimeout(5000);
@@ -84,8 +104,8 @@
 
   private static CacheCommand want(byte[] body) {
     return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
-      @Override protected void ended(Outcome outcome, Note note, Buffer body) {
-      }
+      @Override
+      protected void ended(Outcome outcome, Note note, Buffer body) {}
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.LocalBackoff;
 import java.io.IOException;
 import java.net.BindException;
 import java.net.ConnectException;
 import java.net.NoRouteToHostException;
 import java.net.SocketException;
+import org.amberpath.routing.LocalBackoff;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,23 +17,38 @@
 /** What each failed system call is taken for, and how long it is not made again. */
 class ConnectFailureTest {
   @ParameterizedTest
-  @CsvSource({"Too many open files, LOCAL_RESOURCE", "Too many open files in system, LOCAL_RESOURCE",
-      "No buffer space available, LOCAL_RESOURCE", "Cannot allocate memory, LOCAL_RESOURCE",
-      "Interrupted system call, LOCAL_RESOURCE", "Cannot assign requested address, LOCAL_NETWORK",
-      "Network is unreachable, LOCAL_NETWORK", "Connection refused, REFUSED", "Connection timed out, TIMED_OUT",
-      "connection timed out after 400 ms, TIMED_OUT", "No route to host, UNREACHABLE",
-      "Connection reset by peer, OTHER"})
+  @CsvSource({
+    "Too many open files, LOCAL_RESOURCE",
+    "Too many open files in system, LOCAL_RESOURCE",
+    "No buffer space available, LOCAL_RESOURCE",
+    "Cannot allocate memory, LOCAL_RESOURCE",
+    "Interrupted system call, LOCAL_RESOURCE",
+    "Cannot assign requested address, LOCAL_NETWORK",
+    "Network is unreachable, LOCAL_NETWORK",
+    "Connection refused, REFUSED",
+    "Connection timed out, TIMED_OUT",
+    "connection timed out after 400 ms, TIMED_OUT",
+    "No route to host, UNREACHABLE",
+    "Connection reset by peer, OTHER"
+  })
   void whatTheSystemSaysIsClassifiedThroughWrappersAndAddresses(String text, ConnectFailure kind) {
     assertEquals(kind, ConnectFailure.of(new ConnectException(text + ": /127.0.0.1:6379")));
-    assertEquals(kind, ConnectFailure.of(new IllegalStateException("no channel", new SocketException(text))));
+    assertEquals(
+        kind,
+        ConnectFailure.of(new IllegalStateException("no channel", new SocketException(text))));
     assertEquals(kind.isLocal(), kind.name().startsWith("LOCAL"));
   }
 
   @Test
   void classesTellWhereTextsAreInAnotherLanguage() {
-    assertEquals(ConnectFailure.LOCAL_NETWORK, ConnectFailure.of(new SocketException().initCause(
-        new BindException("Die angeforderte Adresse kann nicht zugewiesen werden"))));
-    assertEquals(ConnectFailure.UNREACHABLE, ConnectFailure.of(new NoRouteToHostException("Keine Route")));
+    assertEquals(
+        ConnectFailure.LOCAL_NETWORK,
+        ConnectFailure.of(
+            new SocketException()
+                .initCause(
+                    new BindException("Die angeforderte Adresse kann nicht zugewiesen werden"))));
+    assertEquals(
+        ConnectFailure.UNREACHABLE, ConnectFailure.of(new NoRouteToHostException("Keine Route")));
     Throwable loop = new IOException("a");
     loop.initCause(new IOException("b", loop));
     assertEquals(ConnectFailure.OTHER, ConnectFailure.of(loop));
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import io.vertx.core.Promise;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
@@ -15,6 +13,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -26,11 +26,15 @@
   private final List<Outcome> outcomes = new ArrayList<>();
   private final ReplyReader reader = new ReplyReader(100, this);
 
-  @Override public void reply(List<Buffer> elements) {
-    replies.add(String.join("|", elements.stream().map(one -> one.toString(StandardCharsets.ISO_8859_1)).toList()));
+  @Override
+  public void reply(List<Buffer> elements) {
+    replies.add(
+        String.join(
+            "|", elements.stream().map(one -> one.toString(StandardCharsets.ISO_8859_1)).toList()));
   }
 
-  @Override public void unreadable(String why) {
+  @Override
+  public void unreadable(String why) {
     unreadable.add(why);
   }
 
@@ -44,16 +48,29 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 5, 1000})
   void repliesComeWholeHoweverTheyAreCut(int size) {
-    read("*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n*2\r\n$2\r\nid\r\n$0\r\n\r\n", size);
+    read(
+        "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n*2\r\n$2\r\nid\r\n$0\r\n\r\n",
+        size);
     assertEquals(List.of("id|ok|res=h|a\r\n$0\r\n", "id|"), replies);
     assertTrue(unreadable.isEmpty());
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"+OK\r\n", "*0\r\n", "*-1\r\n", "*99\r\n", "*x\r\n", "*1\r\n$101\r\n", "*1\r\n$-1\r\n",
-      "*1\r\n:1\r\n", "*1\r\n$1\r\nabc", "*"})
+  @ValueSource(
+      strings = {
+        "+OK\r\n",
+        "*0\r\n",
+        "*-1\r\n",
+        "*99\r\n",
+        "*x\r\n",
+        "*1\r\n$101\r\n",
+        "*1\r\n$-1\r\n",
+        "*1\r\n:1\r\n",
+        "*1\r\n$1\r\nabc",
+        "*"
+      })
   void whatIsNoArrayOfBulkStringsIsUnreadable(String text) {
-    read(text + (text.equals("*") ? "1".repeat(200) : "") , 3);
+    read(text + (text.equals("*") ? "1".repeat(200) : ""), 3);
     read("*1\r\n$2\r\nok\r\n", 100);
     assertEquals(1, unreadable.size());
     assertTrue(replies.isEmpty());
@@ -65,8 +82,10 @@
   }
 
   private CacheCommand want() {
-    return new CacheCommand(new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
-      @Override protected void ended(Outcome outcome, Note note, Buffer body) {
+    return new CacheCommand(
+        new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
+      @Override
+      protected void ended(Outcome outcome, Note note, Buffer body) {
         outcomes.add(outcome);
       }
     };
@@ -75,10 +94,21 @@
   @Test
   void whatWaitsForAConnectionWhenItsCacheDrainsIsNeverSent() {
     Promise<NetSocket> connection = Promise.promise();
-    NetClient client = (NetClient) Proxy.newProxyInstance(getClass().getClassLoader(),
-        new Class<?>[] {NetClient.class}, (proxy, method, arguments) -> connection.future());
-    CachePool pool = new CachePool("c0", SocketAddress.inetSocketAddress(1, "127.0.0.1"), client,
-        new CachePool.Bounds(() -> 1, 100, 1, 1, 100), () -> 0, () -> true, (from, why) -> { });
+    NetClient client =
+        (NetClient)
+            Proxy.newProxyInstance(
+                getClass().getClassLoader(),
+                new Class<?>[] {NetClient.class},
+                (proxy, method, arguments) -> connection.future());
+    CachePool pool =
+        new CachePool(
+            "c0",
+            SocketAddress.inetSocketAddress(1, "127.0.0.1"),
+            client,
+            new CachePool.Bounds(() -> 1, 100, 1, 1, 100),
+            () -> 0,
+            () -> true,
+            (from, why) -> {});
     CacheCommand drained = want();
     pool.send(drained);
     pool.send(want());
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -24,20 +24,23 @@
   private final List<String> unreadable = new ArrayList<>();
   private final MessageReader reader = new MessageReader(5000, this);
 
-  @Override public boolean message(byte[] bytes, int start, int end) {
+  @Override
+  public boolean message(byte[] bytes, int start, int end) {
     messages.add(Arrays.copyOfRange(bytes, start, end));
     return true;
   }
 
-  @Override public void unreadable(String why) {
+  @Override
+  public void unreadable(String why) {
     unreadable.add(why);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 64, 4000})
   void messagesComeWholeHoweverTheyAreCut(int size) {
-    byte[] all = HexFormat.of().parseHex("9301a3616263c4020d0a" + "94000793c0c2c380" + "c0"
-        + "dd00000002a0c400");
+    byte[] all =
+        HexFormat.of()
+            .parseHex("9301a3616263c4020d0a" + "94000793c0c2c380" + "c0" + "dd00000002a0c400");
     for (int at = 0; at < all.length; at += size) {
       reader.handle(Buffer.buffer(Arrays.copyOfRange(all, at, Math.min(all.length, at + size))));
     }
@@ -49,11 +52,19 @@
 
   @ParameterizedTest
   @CsvSource({"d9, c4, 81", "da00, c500, de0001", "db000000, c6000000, df00000001"})
-  void everyWidthOfAStringABinAndAMapIsRead(String string, String bin, String map) throws Exception {
+  void everyWidthOfAStringABinAndAMapIsRead(String string, String bin, String map)
+      throws Exception {
     String fields = map.substring(0, map.length() - 1) + "6";
     StringBuilder hex = new StringBuilder(fields);
-    for (String[] field : new String[][] {{"ref", "9b1f03aa5c7e2d41"}, {"allow", "1500"}, {"tag", "17"},
-        {"lookup", "ffffffffffffffff"}, {"chunk", "3"}, {"room", "412.5"}}) {
+    for (String[] field :
+        new String[][] {
+          {"ref", "9b1f03aa5c7e2d41"},
+          {"allow", "1500"},
+          {"tag", "17"},
+          {"lookup", "ffffffffffffffff"},
+          {"chunk", "3"},
+          {"room", "412.5"}
+        }) {
       for (String text : field) {
         hex.append(string).append(String.format("%02x", text.length()));
         hex.append(HexFormat.of().formatHex(text.getBytes(StandardCharsets.US_ASCII)));
@@ -62,7 +73,9 @@
     byte[] bytes = HexFormat.of().parseHex(hex + bin + "020d0a");
     DecodedRequest get = RequestFields.read("parts", MessagePack.newDefaultUnpacker(bytes), true);
     assertEquals(-1, get.objectId());
-    assertEquals(List.of(3, 17, 1_500_000_000L, 412.5), List.of(get.partNumber(), get.group(), get.allow(), get.kb()));
+    assertEquals(
+        List.of(3, 17, 1_500_000_000L, 412.5),
+        List.of(get.partNumber(), get.group(), get.allow(), get.kb()));
     assertArrayEquals(new byte[] {13, 10}, get.body());
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -15,7 +15,8 @@
 
 /** The bench's wire: what is answered, and what ends the process with a plain message. */
 class SimulationHostTest {
-  private static final String UP = """
+  private static final String UP =
+      """
       {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],"classes":[{"name":"pages",
       "idempotency":"repeatable","target-s":0.2}],"bounds":{"max-attempts":2}}},
       {"verb":"view","scope":"C","rev":1,"members-list":[{"cache":"10.0.0.1:90","az":"z","flavor":"box",
@@ -28,7 +29,9 @@
 
   private int run(String... lines) throws IOException {
     byte[] in = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
-    return new SimulationHost(new ByteArrayInputStream(in), out, new PrintStream(err, true, StandardCharsets.UTF_8)).run();
+    return new SimulationHost(
+            new ByteArrayInputStream(in), out, new PrintStream(err, true, StandardCharsets.UTF_8))
+        .run();
   }
 
   private static String batch(String news) {
@@ -40,8 +43,11 @@
     assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP + "," + ORDER)));
     String[] replies = out.toString(StandardCharsets.UTF_8).split("\n");
     assertEquals("{\"parts\":[]}", replies[0]);
-    assertTrue(replies[1].startsWith("{\"parts\":[{\"i\":3,\"cmds\":[{\"verb\":\"serve-via\",\"op-id\":77,"
-        + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,\"supplier\":\"10.0.0.1:90\""), replies[1]);
+    assertTrue(
+        replies[1].startsWith(
+            "{\"parts\":[{\"i\":3,\"cmds\":[{\"verb\":\"serve-via\",\"op-id\":77,"
+                + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,\"supplier\":\"10.0.0.1:90\""),
+        replies[1]);
   }
 
   @Test
@@ -51,14 +57,17 @@
   }
 
   @ParameterizedTest
-  @CsvSource(delimiter = '|', value = {
-      "{nonsense | batch: not JSON",
-      "[] | batch: not an object",
-      "{\"parts\":[]} | batch: field 'wall-s' is missing",
-      "{\"verb\":\"dance\"} | unknown: dance",
-      "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} | order: field 'op-id' is not a whole number",
-      "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} | order: field 'tier-class' is no known",
-      "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} | field 'cache' is no known"})
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "{nonsense | batch: not JSON",
+        "[] | batch: not an object",
+        "{\"parts\":[]} | batch: field 'wall-s' is missing",
+        "{\"verb\":\"dance\"} | unknown: dance",
+        "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} | order: field 'op-id' is not a whole number",
+        "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} | order: field 'tier-class' is no known",
+        "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} | field 'cache' is no known"
+      })
   void whatIsNotAsAgreedEndsWithOnePlainMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
     String said = err.toString(StandardCharsets.UTF_8);
--- a/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
+++ b/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
@@ -10,19 +10,21 @@
 public final class EventLoopWaiter {
   private static final long PATIENCE_S = 30;
 
-  private EventLoopWaiter() {
-  }
+  private EventLoopWaiter() {}
 
   /** Runs on the event loop, and waits for what comes of it. */
   public static <T> T on(Vertx vertx, Callable<T> what) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
-    vertx.getOrCreateContext().runOnContext(loop -> {
-      try {
-        done.complete(what.call());
-      } catch (Exception e) {
-        done.completeExceptionally(e);
-      }
-    });
+    vertx
+        .getOrCreateContext()
+        .runOnContext(
+            loop -> {
+              try {
+                done.complete(what.call());
+              } catch (Exception e) {
+                done.completeExceptionally(e);
+              }
+            });
     return done.get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/ExperimentReport.java
+++ b/lab/src/main/java/org/amberpath/lab/ExperimentReport.java
@@ -30,6 +30,8 @@
   /** One JSON object: figures, bars, and whether all hold. */
   public String json() {
     return new JsonObject(new LinkedHashMap<>(figures))
-        .put("bars", new JsonObject(new LinkedHashMap<>(bars))).put("holds", holds()).encode();
+        .put("bars", new JsonObject(new LinkedHashMap<>(bars)))
+        .put("holds", holds())
+        .encode();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -1,6 +1,5 @@
 package org.amberpath.lab;
 
-import org.amberpath.gateway.client.MessageReader;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -18,23 +17,33 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.HdrHistogram.Histogram;
+import org.amberpath.gateway.client.MessageReader;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Clients of one gateway that send on a schedule whatever comes back. Latency counts from when a GET was to be sent.
+ * Clients of one gateway that send on a schedule whatever comes back. Latency counts from when a
+ * GET was to be sent.
  *
  * <p>Bounds: GETs that are open, since each ends at its viewer timeout and some more.
  */
 public final class LoadGenerator {
   /** How GETs ended, in the order of how good that is. */
-  public enum End { RETURNED, SHED, ERRORED, LOST, TWICE }
-
-  /** One GET that was returned: its object, when the copy was given out (Unix ms) and when it came (nanoTime). */
-  public record Returned(String object, long issuedMs, long cameAt, long sentAt) {
+  public enum End {
+    RETURNED,
+    SHED,
+    ERRORED,
+    LOST,
+    TWICE
   }
 
+  /**
+   * One GET that was returned: its object, when the copy was given out (Unix ms) and when it came
+   * (nanoTime).
+   */
+  public record Returned(String object, long issuedMs, long cameAt, long sentAt) {}
+
   /** Whether a GET that got no answer is nobody's fault, by when it was sent and due (nanoTime). */
   public interface Excuse {
     boolean holds(long sentAt, long due);
@@ -61,6 +70,7 @@
 
   /** The protocol's own bound of what may be open on a connection. */
   private static final int MOST_OPEN = 32;
+
   private static final int LONGEST = 400_000, OBJECTS = 64, AGAIN_MS = 100;
   private static final long MS = 1_000_000, GRACE = 50 * MS, HIGHEST_US = 10_000_000;
 
@@ -68,8 +78,10 @@
   private final SplittableRandom chance;
   private final String service;
   private final long allowMs;
+
   /** The first half of all ids: those of other tills are others. */
   private final int mine;
+
   private final Consumer<Returned> returned;
   private final List<Line> lines = new ArrayList<>();
   private final Map<Long, Open> open = new HashMap<>();
@@ -79,15 +91,20 @@
   private final Histogram lateness = new Histogram(HIGHEST_US, 3);
   private NetClient client;
   private Excuse excuse = (sentAt, due) -> false;
-  private LongConsumer sending = at -> { };
+  private LongConsumer sending = at -> {};
   private long excused, unsent, settledAt = System.nanoTime();
   private boolean stopped;
+
   /** Of each object, how likely it or one before it is asked for; null for the usual few. */
   private double[] cumulative;
+
   private long last, next, interval, timer = -1;
 
-  /** Clients of one delivery service, who wait allowMs for each GET; each that is returned is told. */
-  public LoadGenerator(Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
+  /**
+   * Clients of one delivery service, who wait allowMs for each GET; each that is returned is told.
+   */
+  public LoadGenerator(
+      Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
     this.vertx = vertx;
     this.service = service;
     this.allowMs = allowMs;
@@ -148,16 +165,20 @@
       lines.add(line);
       all.add(connect(port, line));
     }
-    return Future.all(all).map(up -> {
-      interval = 1_000_000_000L / rate;
-      next = System.nanoTime();
-      timer = vertx.setPeriodic(1, tick -> tick());
-      return null;
-    });
+    return Future.all(all)
+        .map(
+            up -> {
+              interval = 1_000_000_000L / rate;
+              next = System.nanoTime();
+              timer = vertx.setPeriodic(1, tick -> tick());
+              return null;
+            });
   }
 
   private Future<NetSocket> connect(int port, Line line) {
-    return client.connect(port, "127.0.0.1").onSuccess(socket -> take(socket, port, line))
+    return client
+        .connect(port, "127.0.0.1")
+        .onSuccess(socket -> take(socket, port, line))
         .onFailure(e -> vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line)));
   }
 
@@ -173,23 +194,25 @@
   }
 
   /**
-   * Ends those whose time was over when this was called before. Guards against blame for answers that wait to be read
-   * while these clients themselves stand still.
+   * Ends those whose time was over when this was called before. Guards against blame for answers
+   * that wait to be read while these clients themselves stand still.
    */
   private void settle() {
     long now = settledAt;
     settledAt = System.nanoTime();
-    open.entrySet().removeIf(entry -> {
-      boolean over = now > entry.getValue().due + GRACE;
-      boolean lost = over && !excuse.holds(entry.getValue().sentAt, entry.getValue().due);
-      entry.getValue().on.open -= over ? 1 : 0;
-      excused += over && !lost ? 1 : 0;
-      if (lost) {
-        ends[End.LOST.ordinal()]++;
-        answered.put(entry.getKey(), now);
-      }
-      return over;
-    });
+    open.entrySet()
+        .removeIf(
+            entry -> {
+              boolean over = now > entry.getValue().due + GRACE;
+              boolean lost = over && !excuse.holds(entry.getValue().sentAt, entry.getValue().due);
+              entry.getValue().on.open -= over ? 1 : 0;
+              excused += over && !lost ? 1 : 0;
+              if (lost) {
+                ends[End.LOST.ordinal()]++;
+                answered.put(entry.getKey(), now);
+              }
+              return over;
+            });
     // An answer that comes this long after the first is counted no more.
     answered.values().removeIf(at -> now - at > 10_000 * MS);
   }
@@ -236,9 +259,26 @@
     line.open++;
     open.put(number, new Open(now + allowMs * MS, intended, object, line));
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      Map<String, String> fields = Map.of("ref", String.format("%08x%08x", mine, number), "lookup", object, "allow",
-          Long.toString(allowMs), "chunk", Integer.toString(chance.nextInt(4)), "tag", "17", "room", "4.5");
-      packer.packArrayHeader(4).packInt(0).packLong(number).packString(service).packArrayHeader(2)
+      Map<String, String> fields =
+          Map.of(
+              "ref",
+              String.format("%08x%08x", mine, number),
+              "lookup",
+              object,
+              "allow",
+              Long.toString(allowMs),
+              "chunk",
+              Integer.toString(chance.nextInt(4)),
+              "tag",
+              "17",
+              "room",
+              "4.5");
+      packer
+          .packArrayHeader(4)
+          .packInt(0)
+          .packLong(number)
+          .packString(service)
+          .packArrayHeader(2)
           .packMapHeader(fields.size());
       for (Map.Entry<String, String> field : fields.entrySet()) {
         packer.packString(field.getKey()).packString(field.getValue());
@@ -252,25 +292,32 @@
 
   private void take(NetSocket socket, int port, Line line) {
     line.socket = socket;
-    socket.exceptionHandler(e -> { });
-    socket.closeHandler(closed -> {
-      line.socket = null;
-      vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line));
-    });
-    socket.handler(new MessageReader(LONGEST, new MessageReader.Sink() {
-      @Override public boolean message(byte[] bytes, int start, int end) {
-        try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
-          answer(in);
-          return true;
-        } catch (IOException e) {
-          throw new UncheckedIOException(e);
-        }
-      }
+    socket.exceptionHandler(e -> {});
+    socket.closeHandler(
+        closed -> {
+          line.socket = null;
+          vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line));
+        });
+    socket.handler(
+        new MessageReader(
+            LONGEST,
+            new MessageReader.Sink() {
+              @Override
+              public boolean message(byte[] bytes, int start, int end) {
+                try (MessageUnpacker in =
+                    MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
+                  answer(in);
+                  return true;
+                } catch (IOException e) {
+                  throw new UncheckedIOException(e);
+                }
+              }
 
-      @Override public void unreadable(String why) {
-        socket.close();
-      }
-    }));
+              @Override
+              public void unreadable(String why) {
+                socket.close();
+              }
+            }));
   }
 
   private void answer(MessageUnpacker in) throws IOException {
@@ -293,7 +340,8 @@
     String body = new String(in.readPayload(in.unpackBinaryHeader()), StandardCharsets.ISO_8859_1);
     ends[End.RETURNED.ordinal()]++;
     latency.recordValue(Math.min(HIGHEST_US, (now - get.sentAt) / 1000));
-    returned.accept(new Returned(get.object, Long.parseLong(body.substring(body.indexOf('@') + 1)), now,
-        get.sentAt));
+    returned.accept(
+        new Returned(
+            get.object, Long.parseLong(body.substring(body.indexOf('@') + 1)), now, get.sentAt));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/SeededRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/SeededRuns.java
@@ -17,11 +17,9 @@
   }
 
   /** What a run came to: its figures, or the bar that it missed. */
-  public record Result(long seed, Map<String, Long> figures, String missed) {
-  }
+  public record Result(long seed, Map<String, Long> figures, String missed) {}
 
-  private SeededRuns() {
-  }
+  private SeededRuns() {}
 
   /** One run; the same seed tells the same story, line by line. */
   public static Result one(Model model, long seed, Consumer<String> story) {
@@ -34,13 +32,18 @@
 
   /** Sums over the runs from one seed on, and what the first few that missed a bar have to say. */
   public static Map<String, Object> many(Model model, long seed, int runs) {
-    List<Result> results = LongStream.range(seed, seed + runs).parallel()
-        .mapToObj(each -> one(model, each, line -> { })).toList();
+    List<Result> results =
+        LongStream.range(seed, seed + runs)
+            .parallel()
+            .mapToObj(each -> one(model, each, line -> {}))
+            .toList();
     Map<String, Object> sums = new TreeMap<>();
     List<String> missed = new ArrayList<>();
     long failed = 0;
     for (Result result : results) {
-      result.figures().forEach((name, value) -> sums.merge(name, value, (a, b) -> (long) a + (long) b));
+      result
+          .figures()
+          .forEach((name, value) -> sums.merge(name, value, (a, b) -> (long) a + (long) b));
       if (result.missed() != null && failed++ < MOST_LINES) {
         missed.add(result.seed() + ": " + result.missed());
       }
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -1,6 +1,5 @@
 package org.amberpath.lab;
 
-import org.amberpath.gateway.cache.ReplyReader;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -17,17 +16,20 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import java.util.function.LongConsumer;
+import org.amberpath.gateway.cache.ReplyReader;
 
 /**
- * A cache, parent or origin on loopback. It holds copies by object and part, each with the time at which the
- * origin gave it out, fills a miss in some milliseconds, and keeps what came when.
+ * A cache, parent or origin on loopback. It holds copies by object and part, each with the time at
+ * which the origin gave it out, fills a miss in some milliseconds, and keeps what came when.
  *
  * <p>Bounds: the copies that its clients ask for, at most 10,000, the oldest forgotten first.
  */
 public final class StandInCache implements AutoCloseable {
-  /** What came to a cache: the request's id, its delivery service, the source to fill from, and whether it runs. */
-  public record Wanted(String cache, String request, String service, String source, boolean runs) {
-  }
+  /**
+   * What came to a cache: the request's id, its delivery service, the source to fill from, and
+   * whether it runs.
+   */
+  public record Wanted(String cache, String request, String service, String source, boolean runs) {}
 
   private static final int LONGEST = 300_000, MOST_COPIES = 10_000, WORDS = 4;
 
@@ -36,24 +38,28 @@
   private final long answerMs, fillMs;
   private final Function<String, StandInCache> others;
   private final Set<NetSocket> sockets = new LinkedHashSet<>();
-  private final Map<String, Long> copies = new LinkedHashMap<>() {
-    @Override protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-      return size() > MOST_COPIES;
-    }
-  };
+  private final Map<String, Long> copies =
+      new LinkedHashMap<>() {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
+          return size() > MOST_COPIES;
+        }
+      };
   private NetServer server;
   private String host = "127.0.0.1";
   private int port;
   private boolean hangs;
-  private Consumer<Wanted> listener = wanted -> { };
+  private Consumer<Wanted> listener = wanted -> {};
   private long lastWantAt, wants, hits, fills, connections;
 
   /**
-   * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has given the part.
+   * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has
+   * given the part.
    *
    * @param others finds a source by its id
    */
-  public StandInCache(Vertx vertx, String id, long answerMs, long fillMs, Function<String, StandInCache> others) {
+  public StandInCache(
+      Vertx vertx, String id, long answerMs, long fillMs, Function<String, StandInCache> others) {
     this.others = others;
     this.vertx = vertx;
     this.id = id;
@@ -71,10 +77,13 @@
   public Future<StandInCache> listen() {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
     server.connectHandler(this::take);
-    return server.listen().map(up -> {
-      port = up.actualPort();
-      return this;
-    });
+    return server
+        .listen()
+        .map(
+            up -> {
+              port = up.actualPort();
+              return this;
+            });
   }
 
   /** Tells each GET as it comes. */
@@ -125,7 +134,8 @@
   }
 
   /** Dies: connections are reset, copies are gone. */
-  @Override public void close() {
+  @Override
+  public void close() {
     server.close();
     copies.clear();
     new HashSet<>(sockets).forEach(NetSocket::close);
@@ -135,23 +145,28 @@
     connections++;
     sockets.add(socket);
     socket.closeHandler(closed -> sockets.remove(socket));
-    socket.exceptionHandler(e -> { });
+    socket.exceptionHandler(e -> {});
     Set<String> open = new HashSet<>();
-    socket.handler(new ReplyReader(LONGEST, new ReplyReader.Sink() {
-      @Override public void reply(List<Buffer> elements) {
-        String word = elements.get(0).toString(), request = elements.get(1).toString();
-        if (word.equals("want") && elements.size() == WORDS) {
-          open.add(request);
-          want(socket, open, request, elements.get(2).toString());
-        } else {
-          open.remove(request);
-        }
-      }
+    socket.handler(
+        new ReplyReader(
+            LONGEST,
+            new ReplyReader.Sink() {
+              @Override
+              public void reply(List<Buffer> elements) {
+                String word = elements.get(0).toString(), request = elements.get(1).toString();
+                if (word.equals("want") && elements.size() == WORDS) {
+                  open.add(request);
+                  want(socket, open, request, elements.get(2).toString());
+                } else {
+                  open.remove(request);
+                }
+              }
 
-      @Override public void unreadable(String why) {
-        socket.close();
-      }
-    }));
+              @Override
+              public void unreadable(String why) {
+                socket.close();
+              }
+            }));
   }
 
   private void want(NetSocket socket, Set<String> open, String request, String list) {
@@ -170,21 +185,37 @@
     long oldest = Long.parseLong(fields.getOrDefault("within", "0"));
     boolean hit = issued != null && (oldest == 0 || now - issued <= oldest);
     StandInCache source = others.apply(fields.getOrDefault("miss", ""));
-    listener.accept(new Wanted(id, request, fields.get("kind"), fields.getOrDefault("miss", ""),
-        hit || source != null));
+    listener.accept(
+        new Wanted(
+            id,
+            request,
+            fields.get("kind"),
+            fields.getOrDefault("miss", ""),
+            hit || source != null));
     if (!hit && source == null) {
       answer(socket, open, request, "nothing", "res=n", "");
       return;
     }
-    LongConsumer given = issuedMs -> {
-      if (hit) {
-        hits++;
-      } else if (Integer.parseInt(fields.getOrDefault("prio", "0")) > 0) {
-        copies.put(key, issuedMs);
-      }
-      answer(socket, open, request, "ok", "res=" + (hit ? "h" : "f") + ",entity=" + Long.toHexString(issuedMs)
-          + ",issued=" + issuedMs, key + "@" + issuedMs);
-    };
+    LongConsumer given =
+        issuedMs -> {
+          if (hit) {
+            hits++;
+          } else if (Integer.parseInt(fields.getOrDefault("prio", "0")) > 0) {
+            copies.put(key, issuedMs);
+          }
+          answer(
+              socket,
+              open,
+              request,
+              "ok",
+              "res="
+                  + (hit ? "h" : "f")
+                  + ",entity="
+                  + Long.toHexString(issuedMs)
+                  + ",issued="
+                  + issuedMs,
+              key + "@" + issuedMs);
+        };
     if (hit) {
       vertx.setTimer(answerMs, done -> given.accept(issued));
     } else {
@@ -192,7 +223,10 @@
     }
   }
 
-  /** Gives a part to another one: its own copy if that is young enough, or as the origin gives it out now. */
+  /**
+   * Gives a part to another one: its own copy if that is young enough, or as the origin gives it
+   * out now.
+   */
   private void fill(String key, long oldest, LongConsumer to) {
     fills++;
     lastWantAt = System.nanoTime();
@@ -201,16 +235,23 @@
     StandInCache origin = others.apply("o0");
     boolean holds = issued != null && (oldest == 0 || now - issued <= oldest);
     if (!holds && origin != null && origin != this) {
-      vertx.setTimer(fillMs, asked -> origin.fill(key, oldest, issuedMs -> {
-        copies.put(key, issuedMs);
-        to.accept(issuedMs);
-      }));
+      vertx.setTimer(
+          fillMs,
+          asked ->
+              origin.fill(
+                  key,
+                  oldest,
+                  issuedMs -> {
+                    copies.put(key, issuedMs);
+                    to.accept(issuedMs);
+                  }));
     } else if (!hangs) {
       vertx.setTimer(answerMs, done -> to.accept(holds ? issued : System.currentTimeMillis()));
     }
   }
 
-  private void answer(NetSocket socket, Set<String> open, String request, String word, String fields, String body) {
+  private void answer(
+      NetSocket socket, Set<String> open, String request, String word, String fields, String body) {
     if (!hangs && open.remove(request)) {
       socket.write(bulk(bulk(bulk(bulk(Buffer.buffer("*4\r\n"), request), word), fields), body));
     }
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -1,18 +1,5 @@
 package org.amberpath.lab;
 
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.routing.RecentRequests;
-import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.RoutingConfig;
-import org.amberpath.leadership.CachePrefetch;
-import org.amberpath.leadership.HealthCheckCoordinator;
-import org.amberpath.recovery.RecoveryRamp;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,11 +12,24 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.amberpath.leadership.CachePrefetch;
+import org.amberpath.leadership.HealthCheckCoordinator;
+import org.amberpath.recovery.RecoveryRamp;
+import org.amberpath.routing.RecentRequests;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingConfig;
+import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * A fleet of real decisions on the virtual clock among simulated caches, hubs and an origin, and viewers that ask on a
- * schedule. Tasks of the fleet, if any, are owned by gateway 0 all the time: whether tenure holds is another model's
- * matter. A scenario is a class on it.
+ * A fleet of real decisions on the virtual clock among simulated caches, hubs and an origin, and
+ * viewers that ask on a schedule. Tasks of the fleet, if any, are owned by gateway 0 all the time:
+ * whether tenure holds is another model's matter. A scenario is a class on it.
  *
  * <p>Bounds: the GETs of one day, at {@value #RATE} a second and gateway.
  */
@@ -37,15 +37,36 @@
   protected static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
   protected static final int HUBS = 2, RATE = 10;
   protected static final double WORK = 0.05;
-  private static final long LIMIT = 2 * SECOND, OBJECTIVE = 400 * MS, ACT = 500 * MS, STAGGER = 8 * SECOND;
+  private static final long LIMIT = 2 * SECOND,
+      OBJECTIVE = 400 * MS,
+      ACT = 500 * MS,
+      STAGGER = 8 * SECOND;
   private static final double KB = 5000, BUSY = 0.55, SKEW = 0.9;
-  private static final int OBJECTS = 3000, FIRST_PARTS = 4, NO_HINT_MS = 300, TENTHS = 10, RECENT = 256;
-
-  /** How a gateway opens after its start: all at once, at a time by its name, or by what comes back in time. */
-  public enum Opening { AT_ONCE, STAGGERED, BY_RETURNS }
+  private static final int OBJECTS = 3000,
+      FIRST_PARTS = 4,
+      NO_HINT_MS = 300,
+      TENTHS = 10,
+      RECENT = 256;
+
+  /**
+   * How a gateway opens after its start: all at once, at a time by its name, or by what comes back
+   * in time.
+   */
+  public enum Opening {
+    AT_ONCE,
+    STAGGERED,
+    BY_RETURNS
+  }
 
   /** What is to be played. */
-  public record Plan(long seed, int gateways, int caches, boolean probe, boolean warm, Opening opening, double origin) {
+  public record Plan(
+      long seed,
+      int gateways,
+      int caches,
+      boolean probe,
+      boolean warm,
+      Opening opening,
+      double origin) {
     /** One whose origin bears all, and whose gateways open at once. */
     public Plan(long seed, int gateways, int caches, boolean probe, boolean warm) {
       this(seed, gateways, caches, probe, warm, Opening.AT_ONCE, 1);
@@ -55,12 +76,16 @@
   protected final Plan plan;
   protected final SplittableRandom chance;
   protected final VirtualScheduler agenda = new VirtualScheduler(START);
+
   /** Edges, then hubs, then the origin. */
   protected final List<Cache> caches = new ArrayList<>();
+
   protected final List<One> gateways = new ArrayList<>();
   private final double[] popular = new double[OBJECTS];
+
   /** By second: GETs begun, returned within the objective, and what a scenario counts. */
   private final Map<String, long[]> seconds = new TreeMap<>();
+
   private final long end;
   private final int[] originTenths;
   protected long coldMost, coldFell;
@@ -83,9 +108,11 @@
     for (int one = 0; one < HUBS; one++) {
       caches.add(new Cache(caches.size(), LabSettings.HUB, weight * plan.caches()));
     }
-    caches.add(new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
+    caches.add(
+        new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
     for (int one = 0; one < plan.gateways(); one++) {
-      gateways.add(new One(one, LabSettings.options(chance.nextLong(), null, plan.gateways()).site()));
+      gateways.add(
+          new One(one, LabSettings.options(chance.nextLong(), null, plan.gateways()).site()));
     }
   }
 
@@ -95,16 +122,17 @@
   protected abstract Map<String, Double> figures();
 
   /** A GET has come to a cache. */
-  protected void came(Cache to, boolean own) {
-  }
+  protected void came(Cache to, boolean own) {}
 
   /** Figures, by name. */
   public final Map<String, Double> run() {
     for (One one : gateways) {
-      agenda.at(START + chance.nextLong(100 * MS), () -> {
-        one.start(false);
-        one.asks();
-      });
+      agenda.at(
+          START + chance.nextLong(100 * MS),
+          () -> {
+            one.start(false);
+            one.asks();
+          });
     }
     script();
     while (agenda.step(START + end)) {
@@ -144,7 +172,9 @@
   /** How long from a second on until service stays at 0.95 of what it was before. */
   protected final double secondsBack(int from, int to, double before) {
     double back = to - from;
-    for (int second = to - 1; second >= from && share(second, second + 1) >= 0.95 * before; second--) {
+    for (int second = to - 1;
+        second >= from && share(second, second + 1) >= 0.95 * before;
+        second--) {
       back = second - from;
     }
     return back;
@@ -157,20 +187,30 @@
 
   protected final void tell(int cache, State state, long startedAt) {
     for (One one : gateways) {
-      agenda.at(agenda.now() + chance.nextLong(50 * MS), () -> one.tell(to -> {
-        to.listing(Listing.CHANGES);
-        one.member(to, caches.get(cache), state, startedAt);
-        to.listed();
-      }));
+      agenda.at(
+          agenda.now() + chance.nextLong(50 * MS),
+          () ->
+              one.tell(
+                  to -> {
+                    to.listing(Listing.CHANGES);
+                    one.member(to, caches.get(cache), state, startedAt);
+                    to.listed();
+                  }));
     }
   }
 
   // ---- Caches.
 
   /** What a gateway has asked of a cache. */
-  private record Wanted(One by, long get, int copy, long key, boolean heldOnly, boolean keeps, Cache source,
-      boolean own) {
-  }
+  private record Wanted(
+      One by,
+      long get,
+      int copy,
+      long key,
+      boolean heldOnly,
+      boolean keeps,
+      Cache source,
+      boolean own) {}
 
   /** An edge cache, a hub or the origin. */
   protected final class Cache {
@@ -216,18 +256,21 @@
     /** Work for one transfer; what finds no place waits. */
     private void work(Runnable done) {
       long of = life;
-      Runnable begin = () -> {
-        busy++;
-        agenda.at(agenda.now() + (long) (WORK * SECOND * (0.8 + 0.4 * chance.nextDouble())), () -> {
-          if (life == of && !hangs) {
-            busy--;
-            if (!waiting.isEmpty()) {
-              waiting.poll().run();
-            }
-            done.run();
-          }
-        });
-      };
+      Runnable begin =
+          () -> {
+            busy++;
+            agenda.at(
+                agenda.now() + (long) (WORK * SECOND * (0.8 + 0.4 * chance.nextDouble())),
+                () -> {
+                  if (life == of && !hangs) {
+                    busy--;
+                    if (!waiting.isEmpty()) {
+                      waiting.poll().run();
+                    }
+                    done.run();
+                  }
+                });
+          };
       if (busy < Math.max(1, size)) {
         begin.run();
       } else {
@@ -254,12 +297,15 @@
         wanted.by.back(wanted, Outcome.NOT_STORED, Note.NOTHING);
         return;
       }
-      Runnable served = () -> work(() -> {
-        if (life == of && wanted.keeps) {
-          holds.add(wanted.key);
-        }
-        wanted.by.back(wanted, Outcome.RETURNED, hit ? Note.HIT : Note.FILLED);
-      });
+      Runnable served =
+          () ->
+              work(
+                  () -> {
+                    if (life == of && wanted.keeps) {
+                      holds.add(wanted.key);
+                    }
+                    wanted.by.back(wanted, Outcome.RETURNED, hit ? Note.HIT : Note.FILLED);
+                  });
       if (hit) {
         served.run();
       } else {
@@ -275,7 +321,9 @@
       if (holds.contains(key) || this == origin) {
         if (this == origin) {
           count("origin", agenda.now());
-          originTenths[(int) Math.min(originTenths.length - 1, (agenda.now() - START) / (SECOND / TENTHS))]++;
+          originTenths[
+              (int)
+                  Math.min(originTenths.length - 1, (agenda.now() - START) / (SECOND / TENTHS))]++;
         }
         work(filled);
       } else if (filling.containsKey(key)) {
@@ -284,27 +332,43 @@
         List<Runnable> all = new ArrayList<>(List.of(filled));
         filling.put(key, all);
         long of = life;
-        agenda.at(agenda.now() + 20 * MS, () -> origin.fill(key, () -> {
-          if (life == of) {
-            holds.add(key);
-            filling.remove(key);
-            all.forEach(Runnable::run);
-          }
-        }));
+        agenda.at(
+            agenda.now() + 20 * MS,
+            () ->
+                origin.fill(
+                    key,
+                    () -> {
+                      if (life == of) {
+                        holds.add(key);
+                        filling.remove(key);
+                        all.forEach(Runnable::run);
+                      }
+                    }));
       }
     }
 
-    /** How much of what it bears in the time that the site names it gets while cold, all gateways together. */
+    /**
+     * How much of what it bears in the time that the site names it gets while cold, all gateways
+     * together.
+     */
     private void bound() {
-      double ramp = startedAt == 0 ? 1 : Math.min(1, LabSettings.COLD_SHARE
-          + (1 - LabSettings.COLD_SHARE) * (agenda.now() - startedAt) / (LabSettings.COLD_S * SECOND));
+      double ramp =
+          startedAt == 0
+              ? 1
+              : Math.min(
+                  1,
+                  LabSettings.COLD_SHARE
+                      + (1 - LabSettings.COLD_SHARE)
+                          * (agenda.now() - startedAt)
+                          / (LabSettings.COLD_S * SECOND));
       lately.add(agenda.now());
       while (lately.peek() < agenda.now() - (long) (LabSettings.FALL_S * SECOND)) {
         lately.poll();
       }
       if (startedAt > 0 && ramp < 1) {
         double may = LabSettings.FALL_MULTIPLE * ramp * size / WORK * LabSettings.FALL_S;
-        coldMost = Math.max(coldMost, (long) (1000 * lately.size() / (may + 3 * Math.sqrt(may) + 3)));
+        coldMost =
+            Math.max(coldMost, (long) (1000 * lately.size() / (may + 3 * Math.sqrt(may) + 3)));
         coldFell += lately.size() > may + 3 * Math.sqrt(may) + 3 ? 1 : 0;
       }
     }
@@ -312,11 +376,9 @@
 
   // ---- Gateways.
 
-  private record Viewer(long key, long began, int tries) {
-  }
+  private record Viewer(long key, long began, int tries) {}
 
-  private record Asked(long object, int part) {
-  }
+  private record Asked(long object, int part) {}
 
   /** A gateway: its decisions, its viewers, and what it does for the fleet. */
   protected final class One implements RoutingEvents, RoutingActions {
@@ -339,6 +401,7 @@
     private RecentRequests<Asked, Asked> recent = new RecentRequests<>(RECENT);
     private boolean forAll;
     private long ids;
+
     /** Some gateways get several times the mean. */
     private final double share;
 
@@ -357,16 +420,27 @@
       ahead = new CachePrefetch();
       recent = new RecentRequests<>(RECENT);
       forAll = false;
-      openAt = loss && plan.opening() == Opening.STAGGERED ? agenda.now() + chance.nextLong(STAGGER) : agenda.now();
+      openAt =
+          loss && plan.opening() == Opening.STAGGERED
+              ? agenda.now() + chance.nextLong(STAGGER)
+              : agenda.now();
       opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
-      tell(to -> {
-        to.listing(Listing.FULL);
-        caches.forEach(cache -> member(to, cache, cache.down ? State.GONE : State.UP, cache.startedAt));
-        to.listed();
-      });
+      tell(
+          to -> {
+            to.listing(Listing.FULL);
+            caches.forEach(
+                cache -> member(to, cache, cache.down ? State.GONE : State.UP, cache.startedAt));
+            to.listed();
+          });
       // Of what its part of the cold budgets bears it knows the caches that are there.
-      double bears = caches.stream().filter(cache -> cache.kind.equals(LabSettings.EDGE)).mapToDouble(cache -> cache.size)
-          .sum() / WORK * LabSettings.COLD_SHARE / plan.gateways();
+      double bears =
+          caches.stream()
+                  .filter(cache -> cache.kind.equals(LabSettings.EDGE))
+                  .mapToDouble(cache -> cache.size)
+                  .sum()
+              / WORK
+              * LabSettings.COLD_SHARE
+              / plan.gateways();
       opening.learned(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
       tick();
     }
@@ -386,13 +460,15 @@
 
     private void again(Viewer viewer, long wait) {
       if (agenda.now() + wait < viewer.began + LIMIT - 100 * MS) {
-        agenda.at(agenda.now() + wait, () -> ask(new Viewer(viewer.key, viewer.began, viewer.tries + 1)));
+        agenda.at(
+            agenda.now() + wait, () -> ask(new Viewer(viewer.key, viewer.began, viewer.tries + 1)));
       }
     }
 
     void member(Events to, Cache cache, State state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
-      to.member(cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
+      to.member(
+          cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
     }
 
     void tell(Consumer<Events> event) {
@@ -402,39 +478,46 @@
       came.add(event);
       if (!due) {
         due = true;
-        later(0, () -> {
-          due = false;
-          round = List.copyOf(came);
-          came.clear();
-          router.round(agenda.now(), this, this);
-        });
+        later(
+            0,
+            () -> {
+              due = false;
+              round = List.copyOf(came);
+              came.clear();
+              router.round(agenda.now(), this, this);
+            });
       }
     }
 
     /** Something of this life. */
     private void later(long wait, Runnable what) {
       long of = life;
-      agenda.at(agenda.now() + wait, () -> {
-        if (life == of) {
-          what.run();
-        }
-      });
+      agenda.at(
+          agenda.now() + wait,
+          () -> {
+            if (life == of) {
+              what.run();
+            }
+          });
     }
 
-    @Override public void replay(Events to) {
+    @Override
+    public void replay(Events to) {
       round.forEach(event -> event.accept(to));
     }
 
     private void asks() {
-      agenda.at(agenda.now() + (long) (-Math.log(1 - chance.nextDouble()) / (RATE * share) * SECOND), () -> {
-        if (agenda.now() < START + end - 3 * SECOND) {
-          double at = chance.nextDouble() * popular[OBJECTS - 1];
-          int found = Arrays.binarySearch(popular, at);
-          long object = 1 + (found < 0 ? -found - 1 : found);
-          ask(new Viewer(object * FIRST_PARTS + chance.nextInt(FIRST_PARTS), agenda.now(), 0));
-          asks();
-        }
-      });
+      agenda.at(
+          agenda.now() + (long) (-Math.log(1 - chance.nextDouble()) / (RATE * share) * SECOND),
+          () -> {
+            if (agenda.now() < START + end - 3 * SECOND) {
+              double at = chance.nextDouble() * popular[OBJECTS - 1];
+              int found = Arrays.binarySearch(popular, at);
+              long object = 1 + (found < 0 ? -found - 1 : found);
+              ask(new Viewer(object * FIRST_PARTS + chance.nextInt(FIRST_PARTS), agenda.now(), 0));
+              asks();
+            }
+          });
     }
 
     private void ask(Viewer viewer) {
@@ -457,19 +540,31 @@
       recent.add(new Asked(object, part), new Asked(object, part));
       keys.put(id, viewer.key);
       tell(to -> to.get(id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false));
-      agenda.at(viewer.began + LIMIT, () -> {
-        if (viewers.remove(id) != null) {
-          tell(to -> to.left(id));
-        }
-      });
+      agenda.at(
+          viewer.began + LIMIT,
+          () -> {
+            if (viewers.remove(id) != null) {
+              tell(to -> to.left(id));
+            }
+          });
     }
 
     // ---- What the decisions say.
 
-    @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+    @Override
+    public void forward(
+        long get, int cache, long until, int source, long age, int rank, int switches) {
       int copy = copies.merge(get, 1, Integer::sum) - 1;
-      Wanted wanted = new Wanted(this, get, copy, keys.get(get), (switches & HELD_ONLY) != 0, rank > 0,
-          caches.get(source), own.containsKey(get));
+      Wanted wanted =
+          new Wanted(
+              this,
+              get,
+              copy,
+              keys.get(get),
+              (switches & HELD_ONLY) != 0,
+              rank > 0,
+              caches.get(source),
+              own.containsKey(get));
       open.add(get + "/" + copy);
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> caches.get(cache).want(wanted));
       agenda.at(until, () -> end(wanted, cache, Outcome.NO_ANSWER, Note.NOTHING));
@@ -485,7 +580,8 @@
       }
       boolean returned = outcome == Outcome.RETURNED;
       Viewer viewer = returned ? viewers.remove(wanted.get) : null;
-      Consumer<HealthCheckCoordinator.End> ends = returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
+      Consumer<HealthCheckCoordinator.End> ends =
+          returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
       if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
         count("good", viewer.began);
       }
@@ -496,11 +592,20 @@
         ends.accept(HealthCheckCoordinator.End.ANSWERED);
       }
       long took = LIMIT; // The decisions look at it for what was returned alone.
-      tell(to -> to.ended(wanted.get, wanted.copy, cache, outcome, returned ? (long) (WORK * SECOND) : took, returned
-          || !viewers.containsKey(wanted.get) && !own.containsKey(wanted.get), note));
-    }
-
-    @Override public void shed(long get, long wait) {
+      tell(
+          to ->
+              to.ended(
+                  wanted.get,
+                  wanted.copy,
+                  cache,
+                  outcome,
+                  returned ? (long) (WORK * SECOND) : took,
+                  returned || !viewers.containsKey(wanted.get) && !own.containsKey(wanted.get),
+                  note));
+    }
+
+    @Override
+    public void shed(long get, long wait) {
       Viewer viewer = viewers.remove(get);
       if (viewer != null) {
         count("shed", agenda.now());
@@ -509,25 +614,31 @@
       errored(get);
     }
 
-    @Override public void errored(long get) {
+    @Override
+    public void errored(long get) {
       viewers.remove(get);
       Consumer<HealthCheckCoordinator.End> ends = own.remove(get);
       if (ends != null) {
-        ends.accept(copies.containsKey(get) ? HealthCheckCoordinator.End.SILENT : HealthCheckCoordinator.End.NOT_SENT);
+        ends.accept(
+            copies.containsKey(get)
+                ? HealthCheckCoordinator.End.SILENT
+                : HealthCheckCoordinator.End.NOT_SENT);
       }
     }
 
-    @Override public void callOff(long get, int copy) {
+    @Override
+    public void callOff(long get, int copy) {
       open.remove(get + "/" + copy);
       tell(to -> to.ended(get, copy, 0, Outcome.CALLED_OFF, 0, true, Note.NOTHING));
     }
 
-    @Override public void wake(long delay, String handle) {
+    @Override
+    public void wake(long delay, String handle) {
       later(delay, () -> tell(to -> to.woken(handle)));
     }
 
-    @Override public void watchList() {
-    }
+    @Override
+    public void watchList() {}
 
     // ---- What is done for the fleet, by gateway 0.
 
@@ -535,7 +646,8 @@
       return task && index == 0;
     }
 
-    @Override public void health(int cache, Health health) {
+    @Override
+    public void health(int cache, Health health) {
       String name = Integer.toString(cache);
       String owner = health == Health.HEARD ? trials.answers(agenda.now(), name) : "";
       if (!owner.isEmpty()) {
@@ -544,15 +656,24 @@
       trials.standing(agenda.now(), name, health != Health.DOUBTED);
     }
 
-    @Override public void cold(int cache, long until) {
+    @Override
+    public void cold(int cache, long until) {
       ahead.cold(agenda.now(), Integer.toString(cache), until);
     }
 
     private void tick() {
       long now = agenda.now();
       if (plan.probe()) {
-        HealthCheckCoordinator.Ask ask = trials.due(now, gateways.size(), () -> gateways.stream().filter(one -> one != this)
-            .map(one -> Integer.toString(one.index)).toList(), owns(true));
+        HealthCheckCoordinator.Ask ask =
+            trials.due(
+                now,
+                gateways.size(),
+                () ->
+                    gateways.stream()
+                        .filter(one -> one != this)
+                        .map(one -> Integer.toString(one.index))
+                        .toList(),
+                owns(true));
         if (ask != null) {
           post(Integer.parseInt(ask.to()), to -> to.asked(this, ask));
         }
@@ -561,7 +682,9 @@
           Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
           if (!news.isEmpty()) {
             List<String> there = gateways.stream().map(one -> Integer.toString(one.index)).toList();
-            trials.toldNow(now, there).forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
+            trials
+                .toldNow(now, there)
+                .forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
           }
         }
         trust();
@@ -588,16 +711,20 @@
 
     private void asked(One by, HealthCheckCoordinator.Ask ask) {
       if (owns(plan.probe())) {
-        Map<String, HealthCheckCoordinator.Said> said = trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
+        Map<String, HealthCheckCoordinator.Said> said =
+            trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
         attempt();
         post(by.index, to -> to.word(ask.stamp(), said));
       }
     }
 
     private void word(long stamp, Map<String, HealthCheckCoordinator.Said> said) {
-      Map<String, HealthCheckCoordinator.Said> taken = trials.word(agenda.now(), "0", 1, stamp, said);
+      Map<String, HealthCheckCoordinator.Said> taken =
+          trials.word(agenda.now(), "0", 1, stamp, said);
       trust();
-      taken.forEach((cache, one) -> tell(to -> to.vouched(Integer.parseInt(cache), one.answers(), one.ago())));
+      taken.forEach(
+          (cache, one) ->
+              tell(to -> to.vouched(Integer.parseInt(cache), one.answers(), one.ago())));
     }
 
     private void attempt() {
@@ -615,10 +742,13 @@
           ahead.turnOver(agenda.now());
           return;
         }
-        own(like, -1, end -> {
-          ahead.ended();
-          fill();
-        });
+        own(
+            like,
+            -1,
+            end -> {
+              ahead.ended();
+              fill();
+            });
       }
     }
 
@@ -627,13 +757,15 @@
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
       tell(to -> to.own(id, 0, like.object, 0, like.part, ACT, KB, cache));
-      agenda.at(agenda.now() + ACT, () -> {
-        Consumer<HealthCheckCoordinator.End> late = own.remove(id);
-        if (late != null) {
-          late.accept(HealthCheckCoordinator.End.SILENT);
-          tell(to -> to.left(id));
-        }
-      });
+      agenda.at(
+          agenda.now() + ACT,
+          () -> {
+            Consumer<HealthCheckCoordinator.End> late = own.remove(id);
+            if (late != null) {
+              late.accept(HealthCheckCoordinator.End.SILENT);
+              tell(to -> to.left(id));
+            }
+          });
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
@@ -3,8 +3,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A process on a virtual clock: it has a clock of its own that is off and runs fast or slow, ends and starts anew, and
- * stands still; what is due meanwhile happens when it wakes, and what was meant for an earlier life never does.
+ * A process on a virtual clock: it has a clock of its own that is off and runs fast or slow, ends
+ * and starts anew, and stands still; what is due meanwhile happens when it wakes, and what was
+ * meant for an earlier life never does.
  */
 public abstract class VirtualProcess {
   private static final long MS = 1_000_000, OFF = 300 * MS;
@@ -33,14 +34,16 @@
   /** Runs something of this life at a time, or when it wakes. */
   public final void at(long time, Runnable what) {
     long of = life;
-    agenda.at(time, () -> {
-      if (up && life == of) {
-        if (agenda.now() < frozenUntil) {
-          at(frozenUntil, what);
-        } else {
-          what.run();
-        }
-      }
-    });
+    agenda.at(
+        time,
+        () -> {
+          if (up && life == of) {
+            if (agenda.now() < frozenUntil) {
+              at(frozenUntil, what);
+            } else {
+              what.run();
+            }
+          }
+        });
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
@@ -2,10 +2,14 @@
 
 import java.util.PriorityQueue;
 
-/** A virtual clock: what is due, in the order of its time and, within one nanosecond, in that of its coming. */
+/**
+ * A virtual clock: what is due, in the order of its time and, within one nanosecond, in that of its
+ * coming.
+ */
 public final class VirtualScheduler {
   private record Entry(long at, long order, Runnable what) implements Comparable<Entry> {
-    @Override public int compareTo(Entry other) {
+    @Override
+    public int compareTo(Entry other) {
       int byTime = Long.compare(at, other.at);
       return byTime != 0 ? byTime : Long.compare(order, other.order);
     }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -1,14 +1,5 @@
 package org.amberpath.lab.endpoints;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.lab.LabSettings;
-import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.StandInCache;
-import org.amberpath.lab.LoadGenerator;
-import org.amberpath.lab.testbed.RuleAuditor;
-import org.amberpath.lab.testbed.GatewayProcess;
-import org.amberpath.lab.testbed.StandInJournal;
-import org.amberpath.lab.testbed.StandInJournal.Instance;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -24,18 +15,34 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.LabSettings;
+import org.amberpath.lab.LoadGenerator;
+import org.amberpath.lab.StandInCache;
+import org.amberpath.lab.testbed.GatewayProcess;
+import org.amberpath.lab.testbed.RuleAuditor;
+import org.amberpath.lab.testbed.StandInJournal;
+import org.amberpath.lab.testbed.StandInJournal.Instance;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * One real gateway among stand-in endpoints, half of which are replaced in steps while clients ask. Bounds: the
- * endpoints of one size and those that replace half of them, two descriptors each and the gateway's connections.
+ * One real gateway among stand-in endpoints, half of which are replaced in steps while clients ask.
+ * Bounds: the endpoints of one size and those that replace half of them, two descriptors each and
+ * the gateway's connections.
  */
 final class EndpointsTestbed implements AutoCloseable {
-  /** Not 127.0.0.1: with so many ports, other processes on this machine would meet one that was theirs before. */
+  /**
+   * Not 127.0.0.1: with so many ports, other processes on this machine would meet one that was
+   * theirs before.
+   */
   private static final String LOOPBACK = "127.83." + ProcessHandle.current().pid() % 250 + ".1";
+
   /** One endpoint in twenty is a parent, from which caches are filled. */
   private static final int ENDPOINTS_PER_PARENT = 20;
+
   /** The capacity of all endpoints together, for each gateway that the settings tell of. */
   private static final double CAPACITY_PER_GATEWAY = 1;
+
   private static final String ORIGIN_ID = "o0";
   private static final double ORIGIN_WEIGHT = 1000;
   private static final int HIT_MILLIS = 2;
@@ -48,8 +55,10 @@
   private static final int ORDERS_PART = 10;
   private static final long ALLOW_MILLIS = 1500;
   private static final long STEP_MILLIS = 500;
+
   /** Replacement begins after this part of the time, and takes this part of it. */
   private static final double REPLACEMENT_START = 0.2;
+
   private static final double REPLACEMENT_LENGTH = 0.6;
   private static final long DRAIN_MILLIS = 1000;
   private static final long SAMPLE_MILLIS = 50;
@@ -92,20 +101,23 @@
   }
 
   private void listen() throws Exception {
-    EventLoopWaiter.await(onLoop(() -> {
-      List<Future<?>> listening = new ArrayList<>(List.of(open(ORIGIN_ID)));
-      for (int index = 0; index < endpoints; index++) {
-        listening.add(open(newId(index % ENDPOINTS_PER_PARENT == 0)));
-      }
-      return Future.all(listening);
-    }));
-    onLoop(() -> {
-      List<String> ids = caches.keySet().stream().sorted().toList();
-      journal.hosts(true, ids.stream().map(id -> instance(id, State.UP, 0)).toList());
-      ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
-      shuffle();
-      return null;
-    });
+    EventLoopWaiter.await(
+        onLoop(
+            () -> {
+              List<Future<?>> listening = new ArrayList<>(List.of(open(ORIGIN_ID)));
+              for (int index = 0; index < endpoints; index++) {
+                listening.add(open(newId(index % ENDPOINTS_PER_PARENT == 0)));
+              }
+              return Future.all(listening);
+            }));
+    onLoop(
+        () -> {
+          List<String> ids = caches.keySet().stream().sorted().toList();
+          journal.hosts(true, ids.stream().map(id -> instance(id, State.UP, 0)).toList());
+          ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
+          shuffle();
+          return null;
+        });
   }
 
   /** Half of them, in an order from the seed. */
@@ -122,40 +134,68 @@
 
   private Future<StandInCache> open(String id) {
     boolean origin = id.equals(ORIGIN_ID);
-    StandInCache cache = new StandInCache(vertx, id, origin ? ORIGIN_MILLIS : HIT_MILLIS, origin ? 0 : FILL_MILLIS,
-        caches::get).telling(auditor::wanted).at(LOOPBACK);
+    StandInCache cache =
+        new StandInCache(
+                vertx,
+                id,
+                origin ? ORIGIN_MILLIS : HIT_MILLIS,
+                origin ? 0 : FILL_MILLIS,
+                caches::get)
+            .telling(auditor::wanted)
+            .at(LOOPBACK);
     caches.put(id, cache);
     return cache.listen();
   }
 
   private Instance instance(String id, State state, long startedAtMillis) {
-    String kind = id.startsWith("e") ? LabSettings.EDGE : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
-    return new Instance(id, caches.get(id).address(), kind, id.equals(ORIGIN_ID) ? ORIGIN_WEIGHT : weight, state,
+    String kind =
+        id.startsWith("e")
+            ? LabSettings.EDGE
+            : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
+    return new Instance(
+        id,
+        caches.get(id).address(),
+        kind,
+        id.equals(ORIGIN_ID) ? ORIGIN_WEIGHT : weight,
+        state,
         startedAtMillis);
   }
 
-  /** Starts the gateway, lets clients ask while endpoints are replaced, and says what the gateway needed. */
+  /**
+   * Starts the gateway, lets clients ask while endpoints are replaced, and says what the gateway
+   * needed.
+   */
   GatewayUsage measure() throws Exception {
     int port = startGateway();
-    long sampler = onLoop(() -> vertx.setPeriodic(SAMPLE_MILLIS, tick -> usage.sampleDescriptors()));
+    long sampler =
+        onLoop(() -> vertx.setPeriodic(SAMPLE_MILLIS, tick -> usage.sampleDescriptors()));
     details.put("cpu_s_at_start", usage.cpuSeconds());
     details.put("memory_mb_at_start", usage.peakMemoryMegabytes());
     long bytesAtStart = onLoop(journal::bytesSent);
     startClients(port);
     long replacer = onLoop(this::replaceInSteps);
     Thread.sleep(plan.seconds() * MILLIS_PER_SECOND);
-    onLoop(() -> {
-      vertx.cancelTimer(replacer);
-      clients.forEach(LoadGenerator::stop);
-      return null;
-    });
+    onLoop(
+        () -> {
+          vertx.cancelTimer(replacer);
+          clients.forEach(LoadGenerator::stop);
+          return null;
+        });
     Thread.sleep(ALLOW_MILLIS + DRAIN_MILLIS);
     onLoop(() -> vertx.cancelTimer(sampler));
     double cpuSeconds = usage.cpuSeconds();
     double peakMemory = usage.peakMemoryMegabytes();
-    GatewayUsage needed = onLoop(() -> new GatewayUsage(endpoints, cpuSeconds, peakMemory, usage.peakDescriptors(),
-        caches.values().stream().mapToLong(StandInCache::connections).sum(), journal.bytesSent() - bytesAtStart,
-        shareServed()));
+    GatewayUsage needed =
+        onLoop(
+            () ->
+                new GatewayUsage(
+                    endpoints,
+                    cpuSeconds,
+                    peakMemory,
+                    usage.peakDescriptors(),
+                    caches.values().stream().mapToLong(StandInCache::connections).sum(),
+                    journal.bytesSent() - bytesAtStart,
+                    shareServed()));
     finish();
     return needed;
   }
@@ -164,27 +204,47 @@
     Path config = folder.resolve(name + ".json");
     Path log = folder.resolve(name + ".log");
     Files.deleteIfExists(log);
-    Files.writeString(config, LabSettings.json(name, plan.seed(), journal.address(), plan.gateways(), IDLE_SECONDS,
-        "\"limits\":{\"sockets\":" + plan.sockets() + "},\"known\":" + onLoop(journal::known) + ","));
-    gateway = new GatewayProcess(GatewayProcess.DEPLOYED_FLAGS, List.of("org.amberpath.cli.Main", "serve"),
-        Map.of("PROXY_CONFIG", config.toString()), log);
+    Files.writeString(
+        config,
+        LabSettings.json(
+            name,
+            plan.seed(),
+            journal.address(),
+            plan.gateways(),
+            IDLE_SECONDS,
+            "\"limits\":{\"sockets\":"
+                + plan.sockets()
+                + "},\"known\":"
+                + onLoop(journal::known)
+                + ","));
+    gateway =
+        new GatewayProcess(
+            GatewayProcess.DEPLOYED_FLAGS,
+            List.of("org.amberpath.cli.Main", "serve"),
+            Map.of("PROXY_CONFIG", config.toString()),
+            log);
     usage = new ProcessUsage(gateway.processId());
     return gateway.clients().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private void startClients(int port) throws Exception {
-    EventLoopWaiter.await(onLoop(() -> {
-      List<Future<?>> connecting = new ArrayList<>();
-      for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
-        LoadGenerator tills = new LoadGenerator(vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
-            .spread(OBJECTS, ZIPF_EXPONENT);
-        clients.add(tills);
-        boolean orders = service.equals(LabSettings.ORDERS);
-        int rate = Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
-        connecting.add(tills.start(port, CLIENT_CONNECTIONS, rate));
-      }
-      return Future.all(connecting);
-    }));
+    EventLoopWaiter.await(
+        onLoop(
+            () -> {
+              List<Future<?>> connecting = new ArrayList<>();
+              for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
+                LoadGenerator tills =
+                    new LoadGenerator(
+                            vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
+                        .spread(OBJECTS, ZIPF_EXPONENT);
+                clients.add(tills);
+                boolean orders = service.equals(LabSettings.ORDERS);
+                int rate =
+                    Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
+                connecting.add(tills.start(port, CLIENT_CONNECTIONS, rate));
+              }
+              return Future.all(connecting);
+            }));
   }
 
   // ---- Replacing endpoints.
@@ -194,26 +254,33 @@
     long steps = Math.max(1, lengthMillis / STEP_MILLIS);
     int atOnce = (int) Math.ceil((double) toReplace.size() / steps);
     long firstMillis = Math.max(1, (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_START));
-    return vertx.setPeriodic(firstMillis, STEP_MILLIS, tick -> {
-      for (int one = 0; one < atOnce && !toReplace.isEmpty(); one++) {
-        replace(toReplace.remove());
-      }
-    });
+    return vertx.setPeriodic(
+        firstMillis,
+        STEP_MILLIS,
+        tick -> {
+          for (int one = 0; one < atOnce && !toReplace.isEmpty(); one++) {
+            replace(toReplace.remove());
+          }
+        });
   }
 
   private void replace(String old) {
     String fresh = newId(old.startsWith("h"));
-    open(fresh).onSuccess(up -> {
-      long now = System.currentTimeMillis();
-      tell(instance(fresh, State.UP, now));
-      auditor.startedCold(fresh, weight);
-      tell(instance(old, State.DRAINING, 0));
-      auditor.drained(old);
-      vertx.setTimer(DRAIN_MILLIS, over -> {
-        tell(instance(old, State.GONE, 0));
-        caches.get(old).close();
-      });
-    });
+    open(fresh)
+        .onSuccess(
+            up -> {
+              long now = System.currentTimeMillis();
+              tell(instance(fresh, State.UP, now));
+              auditor.startedCold(fresh, weight);
+              tell(instance(old, State.DRAINING, 0));
+              auditor.drained(old);
+              vertx.setTimer(
+                  DRAIN_MILLIS,
+                  over -> {
+                    tell(instance(old, State.GONE, 0));
+                    caches.get(old).close();
+                  });
+            });
   }
 
   /** Each change is an event of its own. */
@@ -265,7 +332,8 @@
     }
   }
 
-  @Override public void close() throws Exception {
+  @Override
+  public void close() throws Exception {
     if (gateway != null && gateway.isAlive()) {
       gateway.term();
       gateway.ended();
--- a/lab/src/main/java/org/amberpath/lab/endpoints/GatewayUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/GatewayUsage.java
@@ -14,8 +14,14 @@
  * @param discoveryBytes of answers from the journal after the list of the start
  * @param shareServed requests returned, of those that were to be sent
  */
-public record GatewayUsage(int endpoints, double cpuSeconds, double peakMemoryMegabytes, int peakDescriptors,
-    long cacheConnections, long discoveryBytes, double shareServed) {
+public record GatewayUsage(
+    int endpoints,
+    double cpuSeconds,
+    double peakMemoryMegabytes,
+    int peakDescriptors,
+    long cacheConnections,
+    long discoveryBytes,
+    double shareServed) {
   /** For a report, each figure under its name. */
   public Map<String, Object> figures() {
     Map<String, Object> figures = new LinkedHashMap<>();
--- a/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
@@ -38,15 +38,20 @@
   }
 
   double cpuSeconds() throws IOException {
-    Duration total = ProcessHandle.of(processId).flatMap(process -> process.info().totalCpuDuration())
-        .orElseThrow(() -> new IOException("no processor time of process " + processId));
+    Duration total =
+        ProcessHandle.of(processId)
+            .flatMap(process -> process.info().totalCpuDuration())
+            .orElseThrow(() -> new IOException("no processor time of process " + processId));
     return total.toMillis() / MILLIS_PER_SECOND;
   }
 
   double peakMemoryMegabytes() throws IOException {
     List<String> lines = Files.readAllLines(file("status"));
-    String line = lines.stream().filter(one -> one.startsWith(PEAK_MEMORY)).findFirst()
-        .orElseThrow(() -> new IOException("no " + PEAK_MEMORY + " of process " + processId));
+    String line =
+        lines.stream()
+            .filter(one -> one.startsWith(PEAK_MEMORY))
+            .findFirst()
+            .orElseThrow(() -> new IOException("no " + PEAK_MEMORY + " of process " + processId));
     return UsageBounds.rounded(Long.parseLong(line.replaceAll("\\D", "")) / KILOBYTES_PER_MEGABYTE);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -20,24 +20,43 @@
   private static final double SERVED_TIMES = 0.85;
   private static final double ROUNDING = 1e-9;
 
-  private UsageBounds() {
-  }
+  private UsageBounds() {}
 
   /** Adds a bar for each row of the table, with the bound that it came to. */
   public static void compare(GatewayUsage usual, GatewayUsage many, ExperimentReport result) {
     double thousands = many.endpoints() / 1000.0;
-    atMost(result, "cpu_s", many.cpuSeconds(),
+    atMost(
+        result,
+        "cpu_s",
+        many.cpuSeconds(),
         CPU_TIMES * usual.cpuSeconds() + CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * thousands);
-    atMost(result, "peak_memory_mb", many.peakMemoryMegabytes(),
-        MEMORY_TIMES * usual.peakMemoryMegabytes() + MEMORY_MEGABYTES + MEMORY_MEGABYTES_PER_THOUSAND * thousands);
-    atMost(result, "peak_descriptors", many.peakDescriptors(),
+    atMost(
+        result,
+        "peak_memory_mb",
+        many.peakMemoryMegabytes(),
+        MEMORY_TIMES * usual.peakMemoryMegabytes()
+            + MEMORY_MEGABYTES
+            + MEMORY_MEGABYTES_PER_THOUSAND * thousands);
+    atMost(
+        result,
+        "peak_descriptors",
+        many.peakDescriptors(),
         DESCRIPTOR_TIMES * usual.peakDescriptors() + DESCRIPTORS);
-    atMost(result, "cache_connections", many.cacheConnections(),
+    atMost(
+        result,
+        "cache_connections",
+        many.cacheConnections(),
         CONNECTION_TIMES * usual.cacheConnections() + CONNECTIONS);
-    atMost(result, "discovery_bytes", many.discoveryBytes(),
-        DISCOVERY_TIMES * usual.discoveryBytes() + DISCOVERY_BYTES + DISCOVERY_BYTES_PER_THOUSAND * thousands);
+    atMost(
+        result,
+        "discovery_bytes",
+        many.discoveryBytes(),
+        DISCOVERY_TIMES * usual.discoveryBytes()
+            + DISCOVERY_BYTES
+            + DISCOVERY_BYTES_PER_THOUSAND * thousands);
     double leastServed = SERVED_TIMES * usual.shareServed();
-    result.figure("least_share_served", rounded(leastServed))
+    result
+        .figure("least_share_served", rounded(leastServed))
         .bar("share_served", many.shareServed() >= leastServed - ROUNDING);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -1,14 +1,5 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.lab.ExperimentReport;
-import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.lab.registry.StandInRegistry.Endpoint;
-import org.amberpath.lab.registry.StandInRegistry.Way;
-import org.amberpath.lab.testbed.NetworkLinks;
-import org.amberpath.lab.testbed.ProcessTestbed;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.runtime.RecordCodec;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -28,16 +19,37 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.concurrent.Callable;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.lab.registry.StandInRegistry.Endpoint;
+import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.lab.testbed.NetworkLinks;
+import org.amberpath.lab.testbed.ProcessTestbed;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
 
 /**
- * Real gateways of which one at a time sweeps old purges out of a registry, while owners are killed, stopped, ended,
- * cut off one way and both, votes are lost and late, and endpoints of the registry are away. The registry's own history
- * judges: terms of the task's fence never fall, one term is one owner's, and what is old goes.
+ * Real gateways of which one at a time sweeps old purges out of a registry, while owners are
+ * killed, stopped, ended, cut off one way and both, votes are lost and late, and endpoints of the
+ * registry are away. The registry's own history judges: terms of the task's fence never fall, one
+ * term is one owner's, and what is old goes.
  */
 public final class LeadershipExperiment {
-  private static final long MS = 1_000_000, WARM_MS = 7000, WRITE_MS = 100, LOOK_MS = 10, CALM_MS = 14_000;
-  /** A lease, and two seconds more: by then a task that lost its owner has one again, if voters are there. */
-  private static final long LEASE_MS = 3000, SETTLE_MS = 600, OWNED_AGAIN_MS = LEASE_MS + 2000 + SETTLE_MS;
+  private static final long MS = 1_000_000,
+      WARM_MS = 7000,
+      WRITE_MS = 100,
+      LOOK_MS = 10,
+      CALM_MS = 14_000;
+
+  /**
+   * A lease, and two seconds more: by then a task that lost its owner has one again, if voters are
+   * there.
+   */
+  private static final long LEASE_MS = 3000,
+      SETTLE_MS = 600,
+      OWNED_AGAIN_MS = LEASE_MS + 2000 + SETTLE_MS;
+
   private static final int RATE = 20, CACHES = 8, LEAST_TO_CHANGE = 5;
   private static final String FIRST = "g0, g1, g2", LATER = "g2, g3, g4";
   private static final int ENDPOINTS = 3, MOST_LINES = 20, HOUR_MS = 3_600_000;
@@ -45,11 +57,9 @@
   private static final double UNJUDGED = 0.2;
 
   /** What is to be tried. */
-  public record Plan(long seed, int gateways, int seconds, Path folder) {
-  }
+  public record Plan(long seed, int gateways, int seconds, Path folder) {}
 
-  private record Step(long atMs, String what, Work work) {
-  }
+  private record Step(long atMs, String what, Work work) {}
 
   private interface Work {
     void run() throws Exception;
@@ -63,8 +73,10 @@
   private final Map<Long, String> owners = new TreeMap<>();
   private final List<String> wrong = new ArrayList<>();
   private long term, written, purges, oldestMs, calmSince, ownerlessSince, longestOwnerless;
+
   /** When the owner was last told to end, until the next acts; and the longest of such times. */
   private long endedAt, longestHeir, callsAtHung;
+
   private String common;
   private byte[] fence = new byte[0];
   private ProcessTestbed rig;
@@ -89,14 +101,24 @@
     for (int one = 0; one < ENDPOINTS; one++) {
       endpoints.add("127.0.0.1:" + EventLoopWaiter.await(on(() -> registry.open(0))).port());
     }
-    common = "[registry]\nform = etcd\nendpoints = " + String.join(", ", endpoints) + "\nprefix = " + PREFIX
-        + "\njournal = beside\n[owner]\nlease-s = " + LEASE_MS / 1000 + "\nsettle-s = " + SETTLE_MS / 1000.0
-        + "\nsweep = yes\nsweep-every-s = 0.2\nprobe = yes\nwarm = yes\n";
+    common =
+        "[registry]\nform = etcd\nendpoints = "
+            + String.join(", ", endpoints)
+            + "\nprefix = "
+            + PREFIX
+            + "\njournal = beside\n[owner]\nlease-s = "
+            + LEASE_MS / 1000
+            + "\nsettle-s = "
+            + SETTLE_MS / 1000.0
+            + "\nsweep = yes\nsweep-every-s = 0.2\nprobe = yes\nwarm = yes\n";
     // On one day of three the registry's leases say who owns what.
     boolean leases = plan.seed() % 3 == 0;
     String more = common + (leases ? "by = lease\n" : "voters = " + FIRST + "\n");
     Path folder = Files.createDirectories(plan.folder().resolve("owner-" + plan.seed()));
-    try (ProcessTestbed made = new ProcessTestbed(new ProcessTestbed.Plan(plan.seed(), plan.gateways(), plan.gateways(), RATE, folder, more))) {
+    try (ProcessTestbed made =
+        new ProcessTestbed(
+            new ProcessTestbed.Plan(
+                plan.seed(), plan.gateways(), plan.gateways(), RATE, folder, more))) {
       rig = made;
       rig.startAll();
       on(() -> vertx.setPeriodic(WRITE_MS, tick -> purge()));
@@ -125,17 +147,29 @@
       Map<String, Long> ends = rig.settle();
       ends.forEach(result::figure);
       rig.auditor().figures().forEach(result::figure);
-      result.figure("faults", steps.size() / 2).figure("owners", owners.size()).figure("terms_that_acted", written)
-          .figure("by", leases ? "lease" : "votes").figure("done", new JsonObject(new LinkedHashMap<>(done)))
-          .figure("calls_at_hung_caches", callsAtHung).figure("longest_until_heir_acts_ms", longestHeir / MS)
-          .figure("purges", purges).figure("longest_unswept_in_calm_ms", longestOwnerless / MS)
-          .figure("unjudged", rig.auditor().unjudged()).figure("wrong", wrong)
+      result
+          .figure("faults", steps.size() / 2)
+          .figure("owners", owners.size())
+          .figure("terms_that_acted", written)
+          .figure("by", leases ? "lease" : "votes")
+          .figure("done", new JsonObject(new LinkedHashMap<>(done)))
+          .figure("calls_at_hung_caches", callsAtHung)
+          .figure("longest_until_heir_acts_ms", longestHeir / MS)
+          .figure("purges", purges)
+          .figure("longest_unswept_in_calm_ms", longestOwnerless / MS)
+          .figure("unjudged", rig.auditor().unjudged())
+          .figure("wrong", wrong)
           .figure("wrong_by_rules", rig.auditor().wrongs())
           .bar("terms never fall, one term is one owner's", wrong.isEmpty())
-          .bar("one owner of each task in the end", holders.values().stream().allMatch(one -> one == 1))
-          .bar("owned again within a lease and 2 s, once calm", longestOwnerless / MS <= OWNED_AGAIN_MS && left < 3000)
+          .bar(
+              "one owner of each task in the end",
+              holders.values().stream().allMatch(one -> one == 1))
+          .bar(
+              "owned again within a lease and 2 s, once calm",
+              longestOwnerless / MS <= OWNED_AGAIN_MS && left < 3000)
           .bar("rules kept", rig.auditor().wrongs().isEmpty())
-          .bar("no GET lost", ends.get("lost") == 0).bar("one answer each", ends.get("twice") == 0)
+          .bar("no GET lost", ends.get("lost") == 0)
+          .bar("one answer each", ends.get("twice") == 0)
           .bar("not void: four fifths judged", rig.auditor().unjudged() <= UNJUDGED)
           .bar("no failure in the logs", rig.severe() == 0);
     } finally {
@@ -146,11 +180,16 @@
 
   // ---- The registry: what is written there, and what is seen.
 
-  /** A purge that is old by any clock within an hour of this one, of an object that nobody asks for. */
+  /**
+   * A purge that is old by any clock within an hour of this one, of an object that nobody asks for.
+   */
   private void purge() {
     Map<String, byte[]> both = new TreeMap<>();
-    both.put(PREFIX + RecordCodec.PURGES + ++purges, RecordCodec.write(new RegistryRecord.Purge(0xf000_0000L + purges, 0,
-        System.currentTimeMillis() - 3L * HOUR_MS)));
+    both.put(
+        PREFIX + RecordCodec.PURGES + ++purges,
+        RecordCodec.write(
+            new RegistryRecord.Purge(
+                0xf000_0000L + purges, 0, System.currentTimeMillis() - 3L * HOUR_MS)));
     both.put(PREFIX + RecordCodec.TIP, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
     registry.write(both);
     writtenAt.put(PREFIX + RecordCodec.PURGES + purges, System.nanoTime());
@@ -192,7 +231,8 @@
     // Only once calm: without a majority, or with the registry away, nobody may sweep.
     if (calmSince > 0 && oldestMs > 1000) {
       ownerlessSince = ownerlessSince == 0 ? System.nanoTime() : ownerlessSince;
-      longestOwnerless = Math.max(longestOwnerless, System.nanoTime() - Math.max(calmSince, ownerlessSince));
+      longestOwnerless =
+          Math.max(longestOwnerless, System.nanoTime() - Math.max(calmSince, ownerlessSince));
     } else {
       ownerlessSince = 0;
     }
@@ -200,7 +240,10 @@
 
   // ---- The timetable.
 
-  /** Faults follow the owner of the moment in half of all cases: it is looked for when the fault begins. */
+  /**
+   * Faults follow the owner of the moment in half of all cases: it is looked for when the fault
+   * begins.
+   */
   private int target(int drawn, boolean owner) {
     String by = owners.getOrDefault(term, "");
     return owner && !by.isEmpty() ? Integer.parseInt(by.substring(1)) : drawn;
@@ -209,10 +252,17 @@
   private void draw(PrintStream out, boolean change) {
     if (change) {
       long half = plan.seconds() * 500L;
-      steps.add(new Step(half, "voters: " + FIRST + ", next " + LATER, () -> rig.settings(common + "voters = " + FIRST
-          + "\nnext-voters = " + LATER + "\n")));
-      steps.add(new Step(half + 2 * LEASE_MS, "voters: " + LATER, () -> rig.settings(common + "voters = " + LATER
-          + "\n")));
+      steps.add(
+          new Step(
+              half,
+              "voters: " + FIRST + ", next " + LATER,
+              () ->
+                  rig.settings(common + "voters = " + FIRST + "\nnext-voters = " + LATER + "\n")));
+      steps.add(
+          new Step(
+              half + 2 * LEASE_MS,
+              "voters: " + LATER,
+              () -> rig.settings(common + "voters = " + LATER + "\n")));
     }
     long at = 500;
     while (at < plan.seconds() * 1000L) {
@@ -222,46 +272,84 @@
       int[] which = new int[1];
       String whom = owner ? "the owner" : "g" + drawn;
       switch (chance.nextInt(8)) {
-        case 0 -> add(at, ms, "kill " + whom, () -> {
-          which[0] = target(drawn, owner);
-          rig.kill(which[0]);
-        }, () -> rig.start(which[0]));
-        case 1 -> add(at, ms, "stand " + whom, () -> rig.stand(target(drawn, owner), ms), () -> { });
-        case 2 -> add(at, Math.max(ms, 3000), "term " + whom, () -> {
-          which[0] = target(drawn, owner);
-          on(() -> endedAt = owners.getOrDefault(term, "").equals("g" + which[0]) ? System.nanoTime() : 0);
-          rig.term(which[0]);
-        }, () -> {
-          rig.end(which[0]);
-          rig.start(which[0]);
-        });
-        case 3 -> add(at, ms, "cut off " + whom, () -> {
-          int one = target(drawn, owner);
-          for (int each = 0; each < plan.gateways(); each++) {
-            rig.link(one, each, NetworkLinks.Way.CUT);
-            if (each % 2 == 0 || chance.nextBoolean()) {
-              rig.link(each, one, NetworkLinks.Way.CUT);
-            }
-          }
-        }, () -> rig.links(NetworkLinks.Way.WELL));
-        case 4 -> add(at, ms, "lossy, late by up to 3 s", () -> rig.links(new NetworkLinks.Way(false, 0.2, 0.1, 3000)),
-            () -> rig.links(NetworkLinks.Way.WELL));
+        case 0 ->
+            add(
+                at,
+                ms,
+                "kill " + whom,
+                () -> {
+                  which[0] = target(drawn, owner);
+                  rig.kill(which[0]);
+                },
+                () -> rig.start(which[0]));
+        case 1 -> add(at, ms, "stand " + whom, () -> rig.stand(target(drawn, owner), ms), () -> {});
+        case 2 ->
+            add(
+                at,
+                Math.max(ms, 3000),
+                "term " + whom,
+                () -> {
+                  which[0] = target(drawn, owner);
+                  on(
+                      () ->
+                          endedAt =
+                              owners.getOrDefault(term, "").equals("g" + which[0])
+                                  ? System.nanoTime()
+                                  : 0);
+                  rig.term(which[0]);
+                },
+                () -> {
+                  rig.end(which[0]);
+                  rig.start(which[0]);
+                });
+        case 3 ->
+            add(
+                at,
+                ms,
+                "cut off " + whom,
+                () -> {
+                  int one = target(drawn, owner);
+                  for (int each = 0; each < plan.gateways(); each++) {
+                    rig.link(one, each, NetworkLinks.Way.CUT);
+                    if (each % 2 == 0 || chance.nextBoolean()) {
+                      rig.link(each, one, NetworkLinks.Way.CUT);
+                    }
+                  }
+                },
+                () -> rig.links(NetworkLinks.Way.WELL));
+        case 4 ->
+            add(
+                at,
+                ms,
+                "lossy, late by up to 3 s",
+                () -> rig.links(new NetworkLinks.Way(false, 0.2, 0.1, 3000)),
+                () -> rig.links(NetworkLinks.Way.WELL));
         case 5, 6 -> {
           String cache = "e" + chance.nextInt(CACHES);
           long[] before = new long[1];
-          add(at, ms, cache + " hangs", () -> {
-            rig.hang(cache, true);
-            before[0] = rig.wants(cache);
-          }, () -> {
-            callsAtHung += rig.wants(cache) - before[0];
-            rig.hang(cache, false);
-          });
+          add(
+              at,
+              ms,
+              cache + " hangs",
+              () -> {
+                rig.hang(cache, true);
+                before[0] = rig.wants(cache);
+              },
+              () -> {
+                callsAtHung += rig.wants(cache) - before[0];
+                rig.hang(cache, false);
+              });
           if (chance.nextBoolean()) {
             steps.add(new Step(at + ms / 2, "news of caches", rig::news));
           }
         }
-        default -> add(at, ms, "endpoint " + other % ENDPOINTS + " silent", () -> become(other % ENDPOINTS, Way.SILENT),
-            () -> become(other % ENDPOINTS, Way.ANSWERS));
+        default ->
+            add(
+                at,
+                ms,
+                "endpoint " + other % ENDPOINTS + " silent",
+                () -> become(other % ENDPOINTS, Way.SILENT),
+                () -> become(other % ENDPOINTS, Way.ANSWERS));
       }
       // One fault of a process at a time: most voters stay.
       at += ms + chance.nextLong(500, 4000);
@@ -271,11 +359,12 @@
   }
 
   private void become(int endpoint, Way way) throws Exception {
-    on(() -> {
-      Endpoint one = registry.endpoints().get(endpoint);
-      one.become(way);
-      return null;
-    });
+    on(
+        () -> {
+          Endpoint one = registry.endpoints().get(endpoint);
+          one.become(way);
+          return null;
+        });
   }
 
   private void add(long at, long ms, String what, Work begin, Work end) {
