--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -1,16 +1,5 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.VirtualProcess;
-import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
-import org.amberpath.leadership.VoterConfiguration;
-import org.amberpath.leadership.FencingGuard;
-import org.amberpath.leadership.RegistryLeadership;
-import org.amberpath.leadership.LeaseTimings;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.leadership.LeaseMessage;
-import org.amberpath.leadership.QuorumLeadership;
-import org.amberpath.leadership.LeaseAcceptor;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collections;
@@ -19,22 +8,45 @@
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
+import org.amberpath.lab.VirtualProcess;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
+import org.amberpath.leadership.FencingGuard;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseAcceptor;
+import org.amberpath.leadership.LeaseMessage;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.QuorumLeadership;
+import org.amberpath.leadership.RegistryLeadership;
+import org.amberpath.leadership.VoterConfiguration;
 
 /**
- * One run of owners, candidates, voters and recipients on a virtual clock: processes killed, stopped between deciding,
- * looking again, sending and arriving, cut off one way and both, messages lost, doubled and late, wall clocks told
- * wrongly, power lost by all at once, the electorate changed, a registry away and restored from a backup. After each
- * step one process at most holds a task; at each recipient nothing of an older term takes effect after a newer; where
- * terms can't be compared acts of two owners do not lie within one another's time.
+ * One run of owners, candidates, voters and recipients on a virtual clock: processes killed,
+ * stopped between deciding, looking again, sending and arriving, cut off one way and both, messages
+ * lost, doubled and late, wall clocks told wrongly, power lost by all at once, the electorate
+ * changed, a registry away and restored from a backup. After each step one process at most holds a
+ * task; at each recipient nothing of an older term takes effect after a newer; where terms can't be
+ * compared acts of two owners do not lie within one another's time.
  */
 final class LeadershipModel {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long BUSY = 60 * SECOND, LEASE = 3 * SECOND, ACT = 300 * MS, LATE = 3 * SECOND;
+  private static final long BUSY = 60 * SECOND,
+      LEASE = 3 * SECOND,
+      ACT = 300 * MS,
+      LATE = 3 * SECOND;
+
   /** What a message to a cache may take once it is written, and what a new owner waits for. */
   private static final long PIPE = 200 * MS, SETTLE = ACT + PIPE + 100 * MS;
+
   private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
-  /** By when a task has an owner again: voters wait a lease, tries come within another half, then it settles. */
-  private static final long OWNED_AGAIN = 2 * LEASE + LEASE / 2 + 2 * SECOND + SETTLE, CALM = OWNED_AGAIN + 5 * SECOND;
+
+  /**
+   * By when a task has an owner again: voters wait a lease, tries come within another half, then it
+   * settles.
+   */
+  private static final long OWNED_AGAIN = 2 * LEASE + LEASE / 2 + 2 * SECOND + SETTLE,
+      CALM = OWNED_AGAIN + 5 * SECOND;
+
   private static final List<String> TASKS = List.of("probe", "sweep");
 
   /** A bar that was missed. */
@@ -44,8 +56,7 @@
     }
   }
 
-  private record Act(int by, long term, long from, long to, boolean stood) {
-  }
+  private record Act(int by, long term, long from, long to, boolean stood) {}
 
   private final SplittableRandom chance;
   private final VirtualScheduler agenda = new VirtualScheduler(START);
@@ -55,14 +66,20 @@
   private final List<Process> all = new ArrayList<>();
   private final boolean[][] cut;
   private final long busyUntil = START + BUSY;
-  /** Of each task, what a place that compares no terms was asked for last; the fence that outlives all power losses. */
+
+  /**
+   * Of each task, what a place that compares no terms was asked for last; the fence that outlives
+   * all power losses.
+   */
   private final Act[] last = new Act[TASKS.size()];
+
   private final FencingGuard lasting = new FencingGuard();
   private final long[] lastingTerm = new long[TASKS.size()], vacantSince = new long[TASKS.size()];
   private final List<VoterConfiguration> stages = new ArrayList<>();
   private int stage, knownFor = 1;
   private long steps, acts, refused, windowActs, dropped, handed, terms, outranked, longestVacancy;
-  private final long[][] registryKey = new long[TASKS.size()][4]; // holder + 1, term, changed, expiry
+  private final long[][] registryKey =
+      new long[TASKS.size()][4]; // holder + 1, term, changed, expiry
   private boolean registryAway;
 
   LeadershipModel(long seed, Way way, Consumer<String> story) {
@@ -96,14 +113,35 @@
     }
     for (int task = 0; task < TASKS.size(); task++) {
       int of = task;
-      long owners = all.stream().filter(one -> one.up && one.tenures.get(of).holds(one.clock())).count();
+      long owners =
+          all.stream().filter(one -> one.up && one.tenures.get(of).holds(one.clock())).count();
       if (owners != 1 && way != Way.LOWEST_ALIVE) {
-        throw new Missed("calm, and " + TASKS.get(task) + " has " + owners + " owners: "
-            + all.stream().map(one -> one.up ? one.tenures.get(of).state() : null).toList());
+        throw new Missed(
+            "calm, and "
+                + TASKS.get(task)
+                + " has "
+                + owners
+                + " owners: "
+                + all.stream().map(one -> one.up ? one.tenures.get(of).state() : null).toList());
       }
     }
-    return Map.of("steps", steps, "acts", acts, "refused", refused, "acts_in_the_window", windowActs, "dropped",
-        dropped, "handed_over", handed, "terms", terms, "outranked", outranked);
+    return Map.of(
+        "steps",
+        steps,
+        "acts",
+        acts,
+        "refused",
+        refused,
+        "acts_in_the_window",
+        windowActs,
+        "dropped",
+        dropped,
+        "handed_over",
+        handed,
+        "terms",
+        terms,
+        "outranked",
+        outranked);
   }
 
   private void check() {
@@ -121,13 +159,17 @@
         throw new Missed("two hold " + TASKS.get(task) + ":" + who);
       }
       if (holders > 0 && !registry && !majority) {
-        throw new Missed("no majority of voters within a lease, and" + who + " holds " + TASKS.get(task));
+        throw new Missed(
+            "no majority of voters within a lease, and" + who + " holds " + TASKS.get(task));
       }
       if (agenda.now() > busyUntil) {
-        vacantSince[task] = holders > 0 ? 0 : vacantSince[task] == 0 ? agenda.now() : vacantSince[task];
-        longestVacancy = Math.max(longestVacancy, vacantSince[task] == 0 ? 0 : agenda.now() - vacantSince[task]);
+        vacantSince[task] =
+            holders > 0 ? 0 : vacantSince[task] == 0 ? agenda.now() : vacantSince[task];
+        longestVacancy =
+            Math.max(longestVacancy, vacantSince[task] == 0 ? 0 : agenda.now() - vacantSince[task]);
         if (longestVacancy > OWNED_AGAIN && way != Way.LOWEST_ALIVE) {
-          throw new Missed("calm, and " + TASKS.get(task) + " had no owner for " + longestVacancy / MS + " ms");
+          throw new Missed(
+              "calm, and " + TASKS.get(task) + " had no owner for " + longestVacancy / MS + " ms");
         }
       }
     }
@@ -189,19 +231,25 @@
         return new LowestIdLeadership("g" + index, 1500 * MS, clock());
       }
       if (registry) {
-        RegistryLeadership made = new RegistryLeadership(RULES, new Key(this, task), chance.nextLong());
+        RegistryLeadership made =
+            new RegistryLeadership(RULES, new Key(this, task), chance.nextLong());
         long[] key = registryKey[task];
         made.seen(clock(), key[1], key[0] != 0, key[2]);
         return made;
       }
-      QuorumLeadership.Orders orders = (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
+      QuorumLeadership.Orders orders =
+          (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
       VoterConfiguration electorate = stages.get(knows);
       long seed = chance.nextLong();
-      QuorumLeadership made = new QuorumLeadership(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
-        @Override protected long believedFrom(long proposedAt, long acceptedAt) {
-          return way == Way.BELIEF_FROM_ANSWER ? acceptedAt : super.believedFrom(proposedAt, acceptedAt);
-        }
-      };
+      QuorumLeadership made =
+          new QuorumLeadership(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
+            @Override
+            protected long believedFrom(long proposedAt, long acceptedAt) {
+              return way == Way.BELIEF_FROM_ANSWER
+                  ? acceptedAt
+                  : super.believedFrom(proposedAt, acceptedAt);
+            }
+          };
       made.wall((agenda.now() / MS) + wallOffset);
       return made;
     }
@@ -213,82 +261,113 @@
       if (busy && kind < 5 || cut[from][index]) {
         return;
       }
-      at(agenda.now() + (busy && kind < 12 ? chance.nextLong(LATE) : chance.nextLong(MS, 20 * MS)), what);
+      at(
+          agenda.now() + (busy && kind < 12 ? chance.nextLong(LATE) : chance.nextLong(MS, 20 * MS)),
+          what);
       if (busy && kind > 96) {
         at(agenda.now() + chance.nextLong(SECOND), what);
       }
     }
 
     private void beat() {
-      all.forEach(other -> other.arrive(index, () ->
-          other.tenures.forEach(one -> ((LowestIdLeadership) one).heard(other.clock(), "g" + index))));
+      all.forEach(
+          other ->
+              other.arrive(
+                  index,
+                  () ->
+                      other.tenures.forEach(
+                          one -> ((LowestIdLeadership) one).heard(other.clock(), "g" + index))));
       at(agenda.now() + 300 * MS, this::beat);
     }
 
-    @Override public void arm(int task) {
+    @Override
+    public void arm(int task) {
       Leadership of = tenures.get(task);
       long due = of.due(), mine = ++armed[task];
       if (due < Long.MAX_VALUE / 4) {
-        at(agenda.now() + Math.max(MS, due - clock()), () -> {
-          if (tenures.get(task) == of && armed[task] == mine) {
-            if (of instanceof QuorumLeadership voted) {
-              voted.wall((agenda.now() / MS) + wallOffset);
-            }
-            Leadership.State before = of.state();
-            of.tick(clock());
-            told(task, before);
-            arm(task);
-          }
-        });
+        at(
+            agenda.now() + Math.max(MS, due - clock()),
+            () -> {
+              if (tenures.get(task) == of && armed[task] == mine) {
+                if (of instanceof QuorumLeadership voted) {
+                  voted.wall((agenda.now() / MS) + wallOffset);
+                }
+                Leadership.State before = of.state();
+                of.tick(clock());
+                told(task, before);
+                arm(task);
+              }
+            });
       }
     }
 
     private void told(int task, Leadership.State before) {
       Leadership of = tenures.get(task);
       if (of.state() != before) {
-        story.accept("g" + index + ": " + TASKS.get(task) + " " + before + " -> " + of.state() + " " + of.term());
+        story.accept(
+            "g"
+                + index
+                + ": "
+                + TASKS.get(task)
+                + " "
+                + before
+                + " -> "
+                + of.state()
+                + " "
+                + of.term());
         terms += of.state() == Leadership.State.WAITING ? 1 : 0;
       }
     }
 
     private void ask(int voter, int task, LeaseMessage vote) {
       Process other = all.get(voter);
-      other.arrive(index, () -> {
-        LeaseMessage answer = other.voter.asked(other.clock(), "g" + index, vote);
-        if (answer != null) {
-          arrive(voter, () -> {
-            Leadership of = tenures.get(task);
-            Leadership.State before = of.state();
-            ((QuorumLeadership) of).answered(clock(), "g" + voter, answer);
-            told(task, before);
-            arm(task);
+      other.arrive(
+          index,
+          () -> {
+            LeaseMessage answer = other.voter.asked(other.clock(), "g" + index, vote);
+            if (answer != null) {
+              arrive(
+                  voter,
+                  () -> {
+                    Leadership of = tenures.get(task);
+                    Leadership.State before = of.state();
+                    ((QuorumLeadership) of).answered(clock(), "g" + voter, answer);
+                    told(task, before);
+                    arm(task);
+                  });
+            }
           });
-        }
-      });
     }
 
-    @Override public long life() {
+    @Override
+    public long life() {
       return life;
     }
 
     // ---- What an owner does.
 
     private void act(int task) {
-      at(agenda.now() + chance.nextLong(100 * MS, 300 * MS), () -> {
-        Leadership of = tenures.get(task);
-        if (of.holdsFor(clock(), ACT) && !quits[task]) {
-          long term = of.term();
-          // It may stand still between deciding and sending; it looks again, and may stand still after that, too.
-          still(40, () -> {
-            if (way != Way.NO_SECOND_LOOK && !(of.holdsFor(clock(), ACT) && of.term() == term && !quits[task])) {
-              dropped++;
-            } else {
-              send(task, term);
+      at(
+          agenda.now() + chance.nextLong(100 * MS, 300 * MS),
+          () -> {
+            Leadership of = tenures.get(task);
+            if (of.holdsFor(clock(), ACT) && !quits[task]) {
+              long term = of.term();
+              // It may stand still between deciding and sending; it looks again, and may stand
+              // still after that, too.
+              still(
+                  40,
+                  () -> {
+                    if (way != Way.NO_SECOND_LOOK
+                        && !(of.holdsFor(clock(), ACT) && of.term() == term && !quits[task])) {
+                      dropped++;
+                    } else {
+                      send(task, term);
+                    }
+                  });
             }
+            act(task);
           });
-        }
-        act(task);
-      });
     }
 
     private void still(int oneIn, Runnable then) {
@@ -298,7 +377,10 @@
       at(Math.max(agenda.now(), frozenUntil), then);
     }
 
-    /** Says that it has stopped, once what it did last is surely over; its word may be late, or lost. */
+    /**
+     * Says that it has stopped, once what it did last is surely over; its word may be late, or
+     * lost.
+     */
     private void handOver(int task) {
       Leadership of = tenures.get(task);
       if (of.holds(clock()) && agenda.now() >= actsUntil[task]) {
@@ -306,13 +388,15 @@
         handed++;
         for (Process other : all) {
           if (other != this) {
-            other.arrive(index, () -> {
-              Leadership there = other.tenures.get(task);
-              Leadership.State before = there.state();
-              there.handedOver(other.clock(), term);
-              other.told(task, before);
-              other.arm(task);
-            });
+            other.arrive(
+                index,
+                () -> {
+                  Leadership there = other.tenures.get(task);
+                  Leadership.State before = there.state();
+                  there.handedOver(other.clock(), term);
+                  other.told(task, before);
+                  other.arm(task);
+                });
           }
         }
       }
@@ -328,23 +412,40 @@
       }
       long arrives = leaves + chance.nextLong(PIPE);
       actsUntil[task] = Math.max(actsUntil[task], arrives + ACT);
-      agenda.at(arrives, () -> unfenced(task, new Act(index, term, agenda.now(), agenda.now() + ACT, stood)));
+      agenda.at(
+          arrives,
+          () -> unfenced(task, new Act(index, term, agenda.now(), agenda.now() + ACT, stood)));
       Process to = all.get(chance.nextInt(all.size()));
-      agenda.at(leaves, () -> to.arrive(index, () -> {
-        boolean passes = way == Way.NO_FENCE || to.fence.passes(TASKS.get(task), term, "g" + index);
-        refuse(task, term, passes, to.index, to.fence.seen(TASKS.get(task)));
-      }));
-      agenda.at(arrives, () -> {
-        boolean passes = way == Way.NO_FENCE || lasting.passes(TASKS.get(task), term, "g" + index);
-        if (passes) {
-          if (term < lastingTerm[task]) {
-            throw new Missed(TASKS.get(task) + ": g" + index + "'s term " + term + " took effect after "
-                + lastingTerm[task]);
-          }
-          lastingTerm[task] = term;
-        }
-        refuse(task, term, passes, -1, lasting.seen(TASKS.get(task)));
-      });
+      agenda.at(
+          leaves,
+          () ->
+              to.arrive(
+                  index,
+                  () -> {
+                    boolean passes =
+                        way == Way.NO_FENCE || to.fence.passes(TASKS.get(task), term, "g" + index);
+                    refuse(task, term, passes, to.index, to.fence.seen(TASKS.get(task)));
+                  }));
+      agenda.at(
+          arrives,
+          () -> {
+            boolean passes =
+                way == Way.NO_FENCE || lasting.passes(TASKS.get(task), term, "g" + index);
+            if (passes) {
+              if (term < lastingTerm[task]) {
+                throw new Missed(
+                    TASKS.get(task)
+                        + ": g"
+                        + index
+                        + "'s term "
+                        + term
+                        + " took effect after "
+                        + lastingTerm[task]);
+              }
+              lastingTerm[task] = term;
+            }
+            refuse(task, term, passes, -1, lasting.seen(TASKS.get(task)));
+          });
     }
 
     /** Recipients tell with a refusal what they have seen. */
@@ -353,16 +454,17 @@
         return;
       }
       refused++;
-      Runnable tell = () -> {
-        Leadership of = tenures.get(task);
-        if (of.term() < seen) {
-          outranked++;
-          Leadership.State before = of.state();
-          of.outranked(clock(), seen);
-          told(task, before);
-          arm(task);
-        }
-      };
+      Runnable tell =
+          () -> {
+            Leadership of = tenures.get(task);
+            if (of.term() < seen) {
+              outranked++;
+              Leadership.State before = of.state();
+              of.outranked(clock(), seen);
+              told(task, before);
+              arm(task);
+            }
+          };
       if (by < 0) {
         at(agenda.now() + chance.nextLong(MS, 20 * MS), tell);
       } else {
@@ -376,8 +478,15 @@
     Act before = last[task];
     if (before != null && before.by != act.by && act.from < before.to) {
       if (!act.stood && !before.stood) {
-        throw new Missed(TASKS.get(task) + ": acts of g" + before.by + " and g" + act.by + " within "
-            + (before.to - act.from) / MS + " ms");
+        throw new Missed(
+            TASKS.get(task)
+                + ": acts of g"
+                + before.by
+                + " and g"
+                + act.by
+                + " within "
+                + (before.to - act.from) / MS
+                + " ms");
       }
       windowActs++;
     }
@@ -407,80 +516,94 @@
     }
 
     private void there(Runnable what) {
-      agenda.at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-        if (!registryAway && (chance.nextInt(20) > 0 || agenda.now() > busyUntil)) {
-          what.run();
-        }
-      });
+      agenda.at(
+          agenda.now() + chance.nextLong(MS, 10 * MS),
+          () -> {
+            if (!registryAway && (chance.nextInt(20) > 0 || agenda.now() > busyUntil)) {
+              what.run();
+            }
+          });
     }
 
     private void back(Runnable what) {
-      of.at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-        Leadership.State before = tenure().state();
-        what.run();
-        of.told(task, before);
-        of.arm(task);
-      });
+      of.at(
+          agenda.now() + chance.nextLong(MS, 10 * MS),
+          () -> {
+            Leadership.State before = tenure().state();
+            what.run();
+            of.told(task, before);
+            of.arm(task);
+          });
     }
 
-    @Override public void campaign(long term, long changed) {
+    @Override
+    public void campaign(long term, long changed) {
       long life = of.life();
-      there(() -> {
-        long[] key = registryKey[task];
-        boolean won = key[0] == 0 && key[2] == changed && term > key[1];
-        if (won) {
-          key[0] = of.index + 1;
-          key[1] = term;
-          key[2]++;
-          lease(task);
-          tell(task);
-        }
-        if (of.life() == life) {
-          back(() -> {
+      there(
+          () -> {
+            long[] key = registryKey[task];
+            boolean won = key[0] == 0 && key[2] == changed && term > key[1];
             if (won) {
-              tenure().won(of.clock(), term);
-            } else {
-              tenure().lost(of.clock());
+              key[0] = of.index + 1;
+              key[1] = term;
+              key[2]++;
+              lease(task);
+              tell(task);
+            }
+            if (of.life() == life) {
+              back(
+                  () -> {
+                    if (won) {
+                      tenure().won(of.clock(), term);
+                    } else {
+                      tenure().lost(of.clock());
+                    }
+                  });
             }
           });
-        }
-      });
     }
 
-    @Override public void keepAlive(long askedAt) {
+    @Override
+    public void keepAlive(long askedAt) {
       long term = tenure().term();
       boolean[] heard = {false};
-      there(() -> {
-        boolean kept = registryKey[task][0] == of.index + 1 && registryKey[task][1] == term;
-        if (kept) {
-          lease(task);
-        }
-        back(() -> {
-          heard[0] = true;
-          if (kept) {
-            tenure().kept(of.clock(), askedAt);
-          } else {
-            tenure().lost(of.clock());
-          }
-        });
-      });
-      of.at(agenda.now() + LEASE / 6, () -> {
-        if (!heard[0] && tenure().term() == term) {
-          tenure().unheard(of.clock());
-          of.arm(task);
-        }
-      });
+      there(
+          () -> {
+            boolean kept = registryKey[task][0] == of.index + 1 && registryKey[task][1] == term;
+            if (kept) {
+              lease(task);
+            }
+            back(
+                () -> {
+                  heard[0] = true;
+                  if (kept) {
+                    tenure().kept(of.clock(), askedAt);
+                  } else {
+                    tenure().lost(of.clock());
+                  }
+                });
+          });
+      of.at(
+          agenda.now() + LEASE / 6,
+          () -> {
+            if (!heard[0] && tenure().term() == term) {
+              tenure().unheard(of.clock());
+              of.arm(task);
+            }
+          });
     }
 
-    @Override public void resign() {
+    @Override
+    public void resign() {
       long term = tenure().term();
-      there(() -> {
-        if (registryKey[task][0] == of.index + 1 && registryKey[task][1] == term) {
-          registryKey[task][0] = 0;
-          registryKey[task][2]++;
-          tell(task);
-        }
-      });
+      there(
+          () -> {
+            if (registryKey[task][0] == of.index + 1 && registryKey[task][1] == term) {
+              registryKey[task][0] = 0;
+              registryKey[task][2]++;
+              tell(task);
+            }
+          });
     }
   }
 
@@ -501,26 +624,41 @@
 
   private void tell(int task) {
     long[] key = registryKey[task].clone();
-    all.forEach(one -> one.at(agenda.now() + chance.nextLong(MS, 50 * MS), () -> {
-      ((RegistryLeadership) one.tenures.get(task)).seen(one.clock(), key[1], key[0] != 0, key[2]);
-      one.arm(task);
-    }));
+    all.forEach(
+        one ->
+            one.at(
+                agenda.now() + chance.nextLong(MS, 50 * MS),
+                () -> {
+                  ((RegistryLeadership) one.tenures.get(task))
+                      .seen(one.clock(), key[1], key[0] != 0, key[2]);
+                  one.arm(task);
+                }));
   }
 
-  /** A restored registry begins with an older term, and answers nobody before a lease has passed. */
+  /**
+   * A restored registry begins with an older term, and answers nobody before a lease has passed.
+   */
   private void restore() {
     registryAway = true;
     long back = chance.nextLong(8);
     story.accept("the registry is restored from a backup, " + back + " terms back");
-    agenda.at(agenda.now() + RULES.longest(LEASE) + chance.nextLong(SECOND), () -> {
-      registryAway = false;
-      for (int task = 0; task < TASKS.size(); task++) {
-        registryKey[task] = new long[] {0, Math.max(0, registryKey[task][1] - back), registryKey[task][2] + 1, 0};
-        int of = task;
-        all.forEach(one -> one.at(agenda.now(), () -> ((RegistryLeadership) one.tenures.get(of)).restored()));
-        tell(task);
-      }
-    });
+    agenda.at(
+        agenda.now() + RULES.longest(LEASE) + chance.nextLong(SECOND),
+        () -> {
+          registryAway = false;
+          for (int task = 0; task < TASKS.size(); task++) {
+            registryKey[task] =
+                new long[] {
+                  0, Math.max(0, registryKey[task][1] - back), registryKey[task][2] + 1, 0
+                };
+            int of = task;
+            all.forEach(
+                one ->
+                    one.at(
+                        agenda.now(), () -> ((RegistryLeadership) one.tenures.get(of)).restored()));
+            tell(task);
+          }
+        });
   }
 
   // ---- What goes wrong.
@@ -531,18 +669,20 @@
       Arrays.fill(row, false);
     }
     stage = stages.size() - 1;
-    all.forEach(one -> {
-      one.frozenUntil = Math.min(one.frozenUntil, agenda.now());
-      if (!one.up) {
-        one.start();
-      }
-      know(one);
-    });
+    all.forEach(
+        one -> {
+          one.frozenUntil = Math.min(one.frozenUntil, agenda.now());
+          if (!one.up) {
+            one.start();
+          }
+          know(one);
+        });
   }
 
   /**
-   * The operators tell the next list, each gateway in its own time; the one after comes a lease after all have it.
-   * Guards against an owner that was elected by the list before, in the last moment.
+   * The operators tell the next list, each gateway in its own time; the one after comes a lease
+   * after all have it. Guards against an owner that was elected by the list before, in the last
+   * moment.
    */
   private void nextStage() {
     if (stage + 1 < stages.size() && agenda.now() < busyUntil - 10 * SECOND) {
@@ -579,7 +719,8 @@
       case 0, 1 -> kill(one);
       case 2, 3 -> {
         one.frozenUntil = Math.max(one.frozenUntil, agenda.now() + chance.nextLong(8 * SECOND));
-        story.accept("g" + one.index + " stands still for " + (one.frozenUntil - agenda.now()) / MS + " ms");
+        story.accept(
+            "g" + one.index + " stands still for " + (one.frozenUntil - agenda.now()) / MS + " ms");
       }
       case 4 -> {
         int task = chance.nextInt(TASKS.size());
@@ -615,21 +756,25 @@
         }
       }
     }
-    agenda.at(agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(4 * SECOND)), this::fault);
+    agenda.at(
+        agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(4 * SECOND)), this::fault);
   }
 
   private void kill(Process one) {
     if (one.up) {
       story.accept("g" + one.index + " is killed");
       one.up = false;
-      one.wallOffset -= chance.nextInt(3) == 0 ? chance.nextLong(2000) : 0; // Its clock may be set back.
-        long of = one.life;
-      agenda.at(agenda.now() + chance.nextLong(50 * MS, 5 * SECOND), () -> {
-        if (one.life == of && !one.up) {
-          one.frozenUntil = 0;
-          one.start();
-        }
-      });
+      one.wallOffset -=
+          chance.nextInt(3) == 0 ? chance.nextLong(2000) : 0; // Its clock may be set back.
+      long of = one.life;
+      agenda.at(
+          agenda.now() + chance.nextLong(50 * MS, 5 * SECOND),
+          () -> {
+            if (one.life == of && !one.up) {
+              one.frozenUntil = 0;
+              one.start();
+            }
+          });
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -1,10 +1,10 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
+import org.amberpath.lab.VirtualFleet;
+import org.amberpath.routing.RoutingEvents.State;
 
 /** A fifth of the caches hang and come back, and one dies and comes back cold. */
 final class LeadershipValueModel extends VirtualFleet {
@@ -19,27 +19,35 @@
     hung = Math.max(1, plan.caches() / 5);
   }
 
-  @Override protected void script() {
+  @Override
+  protected void script() {
     int cold = plan.caches() - 1;
-    agenda.at(START + WARM_S * SECOND, () -> {
-      caches.subList(0, hung).forEach(cache -> cache.hangs = true);
-      caches.get(cold).dies();
-    });
+    agenda.at(
+        START + WARM_S * SECOND,
+        () -> {
+          caches.subList(0, hung).forEach(cache -> cache.hangs = true);
+          caches.get(cold).dies();
+        });
     agenda.at(START + WARM_S * SECOND + TOLD_LATE, () -> tell(cold, State.GONE, 0));
-    agenda.at(START + BACK_S * SECOND, () -> {
-      caches.subList(0, hung).forEach(Cache::wakes);
-      caches.get(cold).starts();
-    });
-    agenda.at(START + BACK_S * SECOND + 50 * MS, () -> tell(cold, State.UP, START + BACK_S * SECOND));
+    agenda.at(
+        START + BACK_S * SECOND,
+        () -> {
+          caches.subList(0, hung).forEach(Cache::wakes);
+          caches.get(cold).starts();
+        });
+    agenda.at(
+        START + BACK_S * SECOND + 50 * MS, () -> tell(cold, State.UP, START + BACK_S * SECOND));
   }
 
-  @Override protected void came(Cache to, boolean own) {
+  @Override
+  protected void came(Cache to, boolean own) {
     if (to.index < hung && agenda.now() >= START + WARM_S * SECOND) {
       count("hung", agenda.now());
     }
   }
 
-  @Override protected Map<String, Double> figures() {
+  @Override
+  protected Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
     double before = share(WARM_S - 8, WARM_S - 1);
     figures.put("before", before);
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -1,10 +1,13 @@
 package org.amberpath.lab.leadership;
 
-import org.amberpath.leadership.Leadership;
 import java.util.Map;
 import java.util.TreeMap;
+import org.amberpath.leadership.Leadership;
 
-/** The way that is wrong, as a baseline: who has the lowest name of all that it hears of owns every task. */
+/**
+ * The way that is wrong, as a baseline: who has the lowest name of all that it hears of owns every
+ * task.
+ */
 final class LowestIdLeadership implements Leadership {
   private final String own;
   private final long patience;
@@ -22,45 +25,56 @@
     tick(time);
   }
 
-  @Override public State state() {
+  @Override
+  public State state() {
     return holds(now) ? State.HOLDING : State.FOLLOWING;
   }
 
-  @Override public long term() {
+  @Override
+  public long term() {
     return term;
   }
 
-  @Override public boolean holds(long time) {
-    return time - since > patience && heardAt.entrySet().stream()
-        .noneMatch(one -> one.getKey().compareTo(own) < 0 && time - one.getValue() < patience);
+  @Override
+  public boolean holds(long time) {
+    return time - since > patience
+        && heardAt.entrySet().stream()
+            .noneMatch(one -> one.getKey().compareTo(own) < 0 && time - one.getValue() < patience);
   }
 
-  @Override public long until() {
+  @Override
+  public long until() {
     return Long.MAX_VALUE / 2;
   }
 
-  @Override public long due() {
+  @Override
+  public long due() {
     return now + patience / 4;
   }
 
-  @Override public void tick(long time) {
+  @Override
+  public void tick(long time) {
     now = time;
     term = time / 1_000_000;
   }
 
-  @Override public void outranked(long time, long seen) {
+  @Override
+  public void outranked(long time, long seen) {
     term = Math.max(term, seen + 1);
   }
 
-  @Override public void handedOver(long time, long ofTerm) {
+  @Override
+  public void handedOver(long time, long ofTerm) {
     tick(time);
   }
 
-  @Override public void letGo(long time) {
+  @Override
+  public void letGo(long time) {
     resign(time);
   }
 
-  @Override public void resign(long time) {
+  @Override
+  public void resign(long time) {
     since = Long.MAX_VALUE / 2;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -1,8 +1,5 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.lab.ExperimentReport;
-import org.amberpath.lab.testbed.NetworkLinks.Way;
-import org.amberpath.lab.testbed.ProcessTestbed;
 import io.vertx.core.json.JsonObject;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -16,32 +13,42 @@
 import java.util.TreeSet;
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.ProcessTestbed;
 
 /**
- * Real gateways that know one another, while processes are killed, stopped, ended and started anew, and links between
- * them are cut, lossy and late, from a seed. The timetable is drawn before anything starts.
+ * Real gateways that know one another, while processes are killed, stopped, ended and started anew,
+ * and links between them are cut, lossy and late, from a seed. The timetable is drawn before
+ * anything starts.
  */
 public final class MembershipExperiment {
   private static final long MS = 1_000_000, WARM_MS = 8000, NEWS_MS = 400, LOOK_MS = 200;
   private static final long SETTLED_MS = 10_000, TOUCHED_MS = 15_000, HIGHEST_MS = 60_000;
+
   /**
-   * Bars of a day: how far service may be off, and what one gateway may send in any second. That is what the view's
-   * own bounds come to: forty answers in each of two periods, eight stretches of a list in each, probes and those for
-   * others.
+   * Bars of a day: how far service may be off, and what one gateway may send in any second. That is
+   * what the view's own bounds come to: forty answers in each of two periods, eight stretches of a
+   * list in each, probes and those for others.
    */
   private static final long MOST_DATAGRAMS = 120, MOST_BYTES = 48 << 10;
+
   private static final double UNJUDGED = 0.2, APART = 0.02, SLACK = 1e-9;
   private static final String LOSS = "lost";
 
   /** What is to be tried. */
-  public record Plan(long seed, int gateways, int seconds, boolean baseline, Path folder) {
-  }
+  public record Plan(long seed, int gateways, int seconds, boolean baseline, Path folder) {}
 
   /** One fault, and for how long; one and other are gateways, side is a set of them by bits. */
   private record Fault(long atMs, String what, int one, int other, long side, long ms) {
-    @Override public String toString() {
-      String whom = what.equals("partition") ? Long.toBinaryString(side) : what.equals("lossy") ? "all"
-          : what.equals("oneway") ? "g" + one + " to g" + other : "g" + one;
+    @Override
+    public String toString() {
+      String whom =
+          what.equals("partition")
+              ? Long.toBinaryString(side)
+              : what.equals("lossy")
+                  ? "all"
+                  : what.equals("oneway") ? "g" + one + " to g" + other : "g" + one;
       return String.format(Locale.ROOT, "%6d ms  %-9s %s for %d ms", atMs, what, whom, ms);
     }
 
@@ -50,8 +57,7 @@
     }
   }
 
-  private record Step(long atMs, Work work) {
-  }
+  private record Step(long atMs, Work work) {}
 
   private interface Work {
     void run() throws Exception;
@@ -86,7 +92,8 @@
         case 2 -> add(at, "term", one, chance.nextLong(2500, 6000), free, busyUntil);
         case 3 -> {
           if (linksUntil <= at) {
-            long ms = chance.nextLong(1000, 8000), side = 1 + chance.nextLong((1L << plan.gateways) - 2);
+            long ms = chance.nextLong(1000, 8000),
+                side = 1 + chance.nextLong((1L << plan.gateways) - 2);
             faults.add(new Fault(at, "partition", 0, 0, side, ms));
             linksUntil = at + ms;
           }
@@ -123,11 +130,15 @@
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     MembershipExperiment day = new MembershipExperiment(plan);
     day.faults.forEach(out::println);
-    ExperimentReport result = new ExperimentReport(plan.seed).figure("gateways", plan.gateways).figure("told", day.told)
-        .figure("faults", day.faults.size());
+    ExperimentReport result =
+        new ExperimentReport(plan.seed)
+            .figure("gateways", plan.gateways)
+            .figure("told", day.told)
+            .figure("faults", day.faults.size());
     double served = day.play(true, result, out);
     if (plan.baseline) {
-      double without = new MembershipExperiment(plan).play(false, new ExperimentReport(plan.seed), out);
+      double without =
+          new MembershipExperiment(plan).play(false, new ExperimentReport(plan.seed), out);
       result.figure("served_without", rounded(without));
       if (day.told == plan.gateways) {
         result.bar("served within 0.02 of a day without", served >= without - APART);
@@ -141,16 +152,20 @@
   }
 
   private double play(boolean on, ExperimentReport result, PrintStream out) throws Exception {
-    Path folder = Files.createDirectories(plan.folder.resolve((on ? "fleet-" : "without-") + plan.seed));
+    Path folder =
+        Files.createDirectories(plan.folder.resolve((on ? "fleet-" : "without-") + plan.seed));
     clean(folder);
-    try (ProcessTestbed made = new ProcessTestbed(new ProcessTestbed.Plan(plan.seed, plan.gateways, on ? told : 0, 40, folder))) {
+    try (ProcessTestbed made =
+        new ProcessTestbed(
+            new ProcessTestbed.Plan(plan.seed, plan.gateways, on ? told : 0, 40, folder))) {
       rig = made;
       rig.startAll();
       Thread.sleep(WARM_MS);
       long began = System.nanoTime();
       busy(began, on);
       long calm = System.nanoTime();
-      for (long until = calm + SETTLED_MS * MS; System.nanoTime() < until && (healedMs < 0 || !on);) {
+      for (long until = calm + SETTLED_MS * MS;
+          System.nanoTime() < until && (healedMs < 0 || !on); ) {
         Thread.sleep(LOOK_MS);
         look(on);
         healedMs = on && healedMs < 0 && whole() ? (System.nanoTime() - calm) / MS : healedMs;
@@ -160,21 +175,34 @@
       var ends = rig.settle();
       ends.forEach(result::figure);
       rig.auditor().figures().forEach(result::figure);
-      result.figure("served", rounded(served)).figure("unjudged", rounded(rig.auditor().unjudged()));
+      result
+          .figure("served", rounded(served))
+          .figure("unjudged", rounded(rig.auditor().unjudged()));
       if (on) {
-        result.figure("settled_after_ms", healedMs).figure("heard_of_a_kill_p50_ms", heard.getValueAtPercentile(50))
-            .figure("heard_of_a_kill_max_ms", heard.getMaxValue()).figure("kills_heard_of", heard.getTotalCount())
-            .figure("datagrams", rig.links().carried()).figure("datagrams_dropped", rig.links().dropped())
+        result
+            .figure("settled_after_ms", healedMs)
+            .figure("heard_of_a_kill_p50_ms", heard.getValueAtPercentile(50))
+            .figure("heard_of_a_kill_max_ms", heard.getMaxValue())
+            .figure("kills_heard_of", heard.getTotalCount())
+            .figure("datagrams", rig.links().carried())
+            .figure("datagrams_dropped", rig.links().dropped())
             .figure("most_datagrams_in_a_second", rig.links().mostDatagrams())
-            .figure("most_bytes_in_a_second", rig.links().mostBytes()).figure("most_parts", rounded(mostParts))
-            .figure("looks", partsSeen).figure("wrong", rig.auditor().wrongs())
-            .bar("every view is those that run within 10 s of the last fault" + (views.isEmpty() ? "" : ": " + views),
+            .figure("most_bytes_in_a_second", rig.links().mostBytes())
+            .figure("most_parts", rounded(mostParts))
+            .figure("looks", partsSeen)
+            .figure("wrong", rig.auditor().wrongs())
+            .bar(
+                "every view is those that run within 10 s of the last fault"
+                    + (views.isEmpty() ? "" : ": " + views),
                 healedMs >= 0)
             .bar("no rule broken, nobody there called lost", rig.auditor().wrongs().isEmpty())
-            .bar("under the ceiling in every second", rig.links().mostDatagrams() <= MOST_DATAGRAMS
-                && rig.links().mostBytes() <= MOST_BYTES)
+            .bar(
+                "under the ceiling in every second",
+                rig.links().mostDatagrams() <= MOST_DATAGRAMS
+                    && rig.links().mostBytes() <= MOST_BYTES)
             .bar("parts sum to one at most", mostParts <= 1 + SLACK)
-            .bar("no GET lost", ends.get("lost") == 0).bar("one answer each", ends.get("twice") == 0)
+            .bar("no GET lost", ends.get("lost") == 0)
+            .bar("one answer each", ends.get("twice") == 0)
             .bar("not void: four fifths judged", rig.auditor().unjudged() <= UNJUDGED)
             .bar("no failure in the logs", rig.severe() == 0);
       } else {
@@ -245,7 +273,7 @@
         rig.end(fault.one);
         rig.start(fault.one);
       }
-      case "stand" -> { }
+      case "stand" -> {}
       default -> rig.links(Way.WELL);
     }
   }
@@ -264,7 +292,10 @@
 
   private final long[] killedAt = new long[64];
 
-  /** The parts of all views that are there, and who is called lost that runs and that no fault touches. */
+  /**
+   * The parts of all views that are there, and who is called lost that runs and that no fault
+   * touches.
+   */
   private void look(boolean on) {
     if (!on) {
       return;
@@ -280,8 +311,11 @@
       parts += view.getDouble("part");
       for (Object one : view.getJsonArray("gateways")) {
         JsonObject other = (JsonObject) one;
-        ProcessTestbed.Place of = rig.places().get(Integer.parseInt(other.getString("name").substring(1)));
-        if (other.getString("standing").equals(LOSS) && untouched(place, now) && untouched(of, now)) {
+        ProcessTestbed.Place of =
+            rig.places().get(Integer.parseInt(other.getString("name").substring(1)));
+        if (other.getString("standing").equals(LOSS)
+            && untouched(place, now)
+            && untouched(of, now)) {
           rig.auditor().wrong(place.name() + " calls " + of.name() + " lost, which runs");
         }
       }
@@ -296,14 +330,23 @@
   }
 
   private boolean untouched(ProcessTestbed.Place place, long now) {
-    return place.runs() && now - place.runsSince() > TOUCHED_MS * MS && now - lastFaultAt > TOUCHED_MS * MS;
+    return place.runs()
+        && now - place.runsSince() > TOUCHED_MS * MS
+        && now - lastFaultAt > TOUCHED_MS * MS;
   }
 
   private boolean allHeardOf(int gone) {
-    return rig.places().stream().filter(one -> one.view() != null && one.runs()).allMatch(one ->
-        one.view().getJsonArray("gateways").stream().map(JsonObject.class::cast).noneMatch(other ->
-            other.getString("name").equals("g" + gone) && !other.getString("standing").equals(LOSS)
-                && !other.getString("standing").equals("left")));
+    return rig.places().stream()
+        .filter(one -> one.view() != null && one.runs())
+        .allMatch(
+            one ->
+                one.view().getJsonArray("gateways").stream()
+                    .map(JsonObject.class::cast)
+                    .noneMatch(
+                        other ->
+                            other.getString("name").equals("g" + gone)
+                                && !other.getString("standing").equals(LOSS)
+                                && !other.getString("standing").equals("left")));
   }
 
   private boolean whole() {
@@ -312,23 +355,40 @@
 
   private boolean isWhole(ProcessTestbed.Place place) {
     JsonObject view = place.view();
-    return place.runs() && view != null && view.getString("phase").equals("settled") && there(view).size()
-        == plan.gateways;
+    return place.runs()
+        && view != null
+        && view.getString("phase").equals("settled")
+        && there(view).size() == plan.gateways;
   }
 
   private static TreeSet<String> there(JsonObject view) {
-    return view.getJsonArray("gateways").stream().map(JsonObject.class::cast)
-        .filter(one -> one.getString("standing").equals("alive") || one.getString("standing").equals("suspected"))
-        .map(one -> one.getString("name")).collect(Collectors.toCollection(() -> {
-          TreeSet<String> names = new TreeSet<>();
-          names.add(view.getString("name"));
-          return names;
-        }));
+    return view.getJsonArray("gateways").stream()
+        .map(JsonObject.class::cast)
+        .filter(
+            one ->
+                one.getString("standing").equals("alive")
+                    || one.getString("standing").equals("suspected"))
+        .map(one -> one.getString("name"))
+        .collect(
+            Collectors.toCollection(
+                () -> {
+                  TreeSet<String> names = new TreeSet<>();
+                  names.add(view.getString("name"));
+                  return names;
+                }));
   }
 
   private String views() {
-    return rig.places().stream().filter(one -> !isWhole(one)).map(one -> one.name() + " "
-        + (one.view() == null ? "no view" : one.view().getString("phase") + " " + there(one.view()))).toList()
+    return rig.places().stream()
+        .filter(one -> !isWhole(one))
+        .map(
+            one ->
+                one.name()
+                    + " "
+                    + (one.view() == null
+                        ? "no view"
+                        : one.view().getString("phase") + " " + there(one.view())))
+        .toList()
         .toString();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -1,30 +1,37 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.membership.ReplayFilter;
-import org.amberpath.membership.SwimTimings;
-import org.amberpath.membership.SwimProtocol;
-import org.amberpath.membership.GossipMessage;
-import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.MemberStatus;
-import org.amberpath.lab.VirtualScheduler;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimProtocol;
+import org.amberpath.membership.SwimTimings;
 
 /**
- * One run of the fleet's views on a virtual clock: datagrams lost, late and doubled, links cut one way and both,
- * partitions, processes killed, stopped, ended, restarted with nothing, old datagrams sent again by a stranger, and in
- * one run of six a gateway that says of others that they are gone. After each step the shares of all that run sum
- * to one at most; once it has been calm for a while, each view holds those that run and nobody else.
+ * One run of the fleet's views on a virtual clock: datagrams lost, late and doubled, links cut one
+ * way and both, partitions, processes killed, stopped, ended, restarted with nothing, old datagrams
+ * sent again by a stranger, and in one run of six a gateway that says of others that they are gone.
+ * After each step the shares of all that run sum to one at most; once it has been calm for a while,
+ * each view holds those that run and nobody else.
  */
 final class MembershipModel {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long WARM = 15 * SECOND, BUSY = 40 * SECOND, CALM = 30 * SECOND, HEALED = 15 * SECOND;
+  private static final long WARM = 15 * SECOND,
+      BUSY = 40 * SECOND,
+      CALM = 30 * SECOND,
+      HEALED = 15 * SECOND;
   private static final long TICK = 100 * MS;
   private static final int LEAST = 3, MOST = 30, MOST_A_SECOND = 200, SEEDS = 3;
-  private static final int MOST_RECORDED = 300, RECORDED_ONE_IN = 20, REPLAYED = 60, LIES_ONE_IN = 4;
+  private static final int MOST_RECORDED = 300,
+      RECORDED_ONE_IN = 20,
+      REPLAYED = 60,
+      LIES_ONE_IN = 4;
   private static final double SLACK = 1e-9;
 
   /** A bar that was missed. */
@@ -40,8 +47,10 @@
     final String name, address;
     SwimProtocol view;
     private ReplayFilter door;
+
     /** Which process of this place: datagrams and ticks of an older one go nowhere. */
     int process;
+
     long incarnation, frozenUntil, second, sent;
     boolean left;
 
@@ -54,12 +63,19 @@
     void start() {
       process++;
       left = false;
-      // Its clock is all that a process remembers of the starts before it, and the clock may have gone back.
+      // Its clock is all that a process remembers of the starts before it, and the clock may have
+      // gone back.
       incarnation = Math.max(1, (agenda.now() - START) / SECOND + chance.nextInt(-5, 5));
       long birth = chance.nextLong();
       door = new ReplayFilter(birth, rules.period(), agenda.now());
-      view = new SwimProtocol(rules, new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
-          List.of("a0", "a1", "a2"), chance.nextLong(), agenda.now(), this);
+      view =
+          new SwimProtocol(
+              rules,
+              new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
+              List.of("a0", "a1", "a2"),
+              chance.nextLong(),
+              agenda.now(),
+              this);
       int mine = process;
       agenda.at(agenda.now() + chance.nextLong(TICK), () -> tick(mine));
     }
@@ -73,7 +89,8 @@
       }
     }
 
-    @Override public void send(String to, GossipMessage said) {
+    @Override
+    public void send(String to, GossipMessage said) {
       GossipMessage message = this == liar && calmSince == 0 ? lied(said) : said;
       long now = agenda.now() / SECOND;
       sent = now == second ? sent + 1 : 1;
@@ -99,7 +116,8 @@
       int copies = chance.nextDouble() < doubled ? 2 : 1;
       for (int copy = 0; copy < copies; copy++) {
         int process = target.process;
-        agenda.at(agenda.now() + MS / 5 + chance.nextLong(delay), () -> target.come(process, message));
+        agenda.at(
+            agenda.now() + MS / 5 + chance.nextLong(delay), () -> target.come(process, message));
       }
     }
 
@@ -121,22 +139,44 @@
     /** Says of another, whom it knows to run, that it is gone. */
     private GossipMessage lied(GossipMessage said) {
       List<SwimProtocol.Seen> others = view.others();
-      if (others.isEmpty() || chance.nextInt(LIES_ONE_IN) > 0 || said.rumours().size() == rules.rumours()) {
+      if (others.isEmpty()
+          || chance.nextInt(LIES_ONE_IN) > 0
+          || said.rumours().size() == rules.rumours()) {
         return said;
       }
       MemberUpdate of = others.get(chance.nextInt(others.size())).said();
       List<MemberUpdate> all = new ArrayList<>(said.rumours());
-      all.add(new MemberUpdate(of.name(), of.address(), of.incarnation() + chance.nextInt(2), of.birth(),
-          chance.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT, name));
+      all.add(
+          new MemberUpdate(
+              of.name(),
+              of.address(),
+              of.incarnation() + chance.nextInt(2),
+              of.birth(),
+              chance.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT,
+              name));
       lies++;
-      return new GossipMessage(said.kind(), said.from(), said.to(), said.serial(), said.number(), said.names(),
-          said.there(), said.about(), said.more(), said.whole(), all);
+      return new GossipMessage(
+          said.kind(),
+          said.from(),
+          said.to(),
+          said.serial(),
+          said.number(),
+          said.names(),
+          said.there(),
+          said.about(),
+          said.more(),
+          said.whole(),
+          all);
     }
 
-    @Override public void news(String who, MemberStatus standing) {
+    @Override
+    public void news(String who, MemberStatus standing) {
       story.accept(name + ": " + who + " " + standing);
       falseLosses += standing == MemberStatus.LOST && runs(who) ? 1 : 0;
-      if (calmSince > 0 && agenda.now() - calmSince > HEALED && standing == MemberStatus.LOST && runs(who)) {
+      if (calmSince > 0
+          && agenda.now() - calmSince > HEALED
+          && standing == MemberStatus.LOST
+          && runs(who)) {
         throw new Missed(name + " holds " + who + " for lost, which runs and can be reached");
       }
     }
@@ -146,11 +186,13 @@
       return one.view != null && !one.left;
     }
 
-    @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+    @Override
+    public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
       story.accept(name + ": " + from + " -> " + to);
     }
 
-    @Override public void twin(String at) {
+    @Override
+    public void twin(String at) {
       throw new Missed(name + " was told of a twin at " + at);
     }
   }
@@ -162,8 +204,10 @@
   private final boolean[][] cut;
   private final SwimTimings rules;
   private final int first;
+
   /** What a stranger on the network kept of all that went by, to send it again. */
   private final List<GossipMessage> recorded = new ArrayList<>();
+
   private Place liar;
   private double loss, doubled;
   private boolean beyond;
@@ -199,31 +243,68 @@
     }
     for (Place one : places) {
       if (one.view != null && !one.view.there().equals(running())) {
-        throw new Missed("calm, and " + one.name + " holds " + one.view.there() + " of " + running());
+        throw new Missed(
+            "calm, and " + one.name + " holds " + one.view.there() + " of " + running());
       }
-      if (one.view != null && one.view.phase() != SwimProtocol.Phase.SETTLED && running().size() * 2 > places.size()
+      if (one.view != null
+          && one.view.phase() != SwimProtocol.Phase.SETTLED
+          && running().size() * 2 > places.size()
           && one.view.counted() < 2 * running().size()) {
         throw new Missed("calm, and " + one.name + " is " + one.view.phase());
       }
     }
-    return Map.of("steps", steps, "datagrams", datagrams, "most_in_a_second", most, "losses_of_running", falseLosses,
-        "faults", faults, "turned_away", turnedAway, "lies", lies);
+    return Map.of(
+        "steps",
+        steps,
+        "datagrams",
+        datagrams,
+        "most_in_a_second",
+        most,
+        "losses_of_running",
+        falseLosses,
+        "faults",
+        faults,
+        "turned_away",
+        turnedAway,
+        "lies",
+        lies);
   }
 
   private List<String> running() {
-    return places.stream().filter(one -> one.view != null && !one.left).map(one -> one.name).sorted().toList();
+    return places.stream()
+        .filter(one -> one.view != null && !one.left)
+        .map(one -> one.name)
+        .sorted()
+        .toList();
   }
 
   private void check() {
     double sum = 0;
     for (Place one : places) {
-      // One beyond the told number that has reached nobody serves as before: what is promised ends there.
-      sum += one.view == null || beyond && one.view.phase() == SwimProtocol.Phase.ALONE ? 0 : one.view.share();
+      // One beyond the told number that has reached nobody serves as before: what is promised ends
+      // there.
+      sum +=
+          one.view == null || beyond && one.view.phase() == SwimProtocol.Phase.ALONE
+              ? 0
+              : one.view.share();
     }
     if (sum > 1 + SLACK) {
-      throw new Missed("shares sum to " + sum + ": " + places.stream().filter(one -> one.view != null)
-          .map(one -> one.name + " " + one.view.phase() + " of " + one.view.counted() + ": " + one.view.share())
-          .toList());
+      throw new Missed(
+          "shares sum to "
+              + sum
+              + ": "
+              + places.stream()
+                  .filter(one -> one.view != null)
+                  .map(
+                      one ->
+                          one.name
+                              + " "
+                              + one.view.phase()
+                              + " of "
+                              + one.view.counted()
+                              + ": "
+                              + one.view.share())
+                  .toList());
     }
   }
 
@@ -258,7 +339,8 @@
       }
       case 2, 3 -> {
         // Beyond the told number a start that remembers nothing must find those before it as one.
-        if (one.view == null && (first == places.size() || !beyond && !grown || grown && settled())) {
+        if (one.view == null
+            && (first == places.size() || !beyond && !grown || grown && settled())) {
           story.accept(one.name + " starts");
           one.frozenUntil = 0;
           one.start();
@@ -273,13 +355,17 @@
         }
       }
       case 5 -> {
-        one.frozenUntil = Math.min(agenda.now() + chance.nextLong(12 * SECOND), START + WARM + BUSY);
+        one.frozenUntil =
+            Math.min(agenda.now() + chance.nextLong(12 * SECOND), START + WARM + BUSY);
         story.accept(one.name + " stands still");
       }
       case 6 -> {
-        // Beyond the told number it is promised to those that were admitted before. Who is cut off can't refute a liar.
+        // Beyond the told number it is promised to those that were admitted before. Who is cut off
+        // can't refute a liar.
         if (liar == null
-            && (!beyond || places.stream().allMatch(place -> place.view == null || place.view.share() > 0))) {
+            && (!beyond
+                || places.stream()
+                    .allMatch(place -> place.view == null || place.view.share() > 0))) {
           partition();
         }
       }
@@ -306,12 +392,14 @@
       }
     }
     // Two faults in one moment among them.
-    agenda.at(agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(3 * SECOND)), this::fault);
+    agenda.at(
+        agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(3 * SECOND)), this::fault);
   }
 
   /** Whether a gateway beyond the told number may come: those before it are one fleet. */
   private boolean settled() {
-    return places.stream().allMatch(one -> one.view == null || one.view.phase() == SwimProtocol.Phase.SETTLED);
+    return places.stream()
+        .allMatch(one -> one.view == null || one.view.phase() == SwimProtocol.Phase.SETTLED);
   }
 
   private void partition() {
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModelExperiment.java
@@ -4,8 +4,8 @@
 
 /** The pure half of the fleet's view on a virtual clock. */
 public final class MembershipModelExperiment {
-  public static final SeededRuns.Model MODEL = (seed, story) -> new MembershipModel(seed, story).run();
+  public static final SeededRuns.Model MODEL =
+      (seed, story) -> new MembershipModel(seed, story).run();
 
-  private MembershipModelExperiment() {
-  }
+  private MembershipModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -1,25 +1,26 @@
 package org.amberpath.lab.membership;
 
-import org.amberpath.membership.ReplayFilter;
-import org.amberpath.membership.SwimTimings;
-import org.amberpath.membership.SwimProtocol;
-import org.amberpath.membership.GossipMessage;
-import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.MemberStatus;
-import org.amberpath.membership.runtime.DatagramCodec;
-import org.amberpath.membership.runtime.HmacKeyring;
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.ExperimentReport;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimProtocol;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.runtime.DatagramCodec;
+import org.amberpath.membership.runtime.HmacKeyring;
 
 /**
- * What a fleet's view costs and how soon it knows, by the fleet's size, on the virtual clock: a start of all, a minute
- * of five datagrams lost in a hundred, a crash, a join, a partition's healing. Beside it, heartbeats to all.
+ * What a fleet's view costs and how soon it knows, by the fleet's size, on the virtual clock: a
+ * start of all, a minute of five datagrams lost in a hundred, a crash, a join, a partition's
+ * healing. Beside it, heartbeats to all.
  */
 public final class MembershipSizeExperiment {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
@@ -67,10 +68,17 @@
 
       void start() {
         long birth = chance.nextLong(), now = agenda.now();
-        List<String> seeds = all.subList(0, Math.min(SEEDS, many)).stream().map(one -> one.address).toList();
+        List<String> seeds =
+            all.subList(0, Math.min(SEEDS, many)).stream().map(one -> one.address).toList();
         door = new ReplayFilter(birth, rules.period(), now);
-        view = new SwimProtocol(rules, new MemberUpdate(name, address, now / SECOND, birth, MemberStatus.ALIVE, name), seeds,
-            chance.nextLong(), now, this);
+        view =
+            new SwimProtocol(
+                rules,
+                new MemberUpdate(name, address, now / SECOND, birth, MemberStatus.ALIVE, name),
+                seeds,
+                chance.nextLong(),
+                now,
+                this);
         SwimProtocol mine = view;
         agenda.at(now + chance.nextLong(rules.period() / TICKS), () -> tick(mine));
       }
@@ -93,13 +101,14 @@
           switch (door.judge(agenda.now(), message)) {
             case TAKEN -> view.received(agenda.now(), message);
             case GREETED -> view.greet(agenda.now(), message.from());
-            default -> { }
+            default -> {}
           }
         }
         work += System.nanoTime() - since;
       }
 
-      @Override public void send(String to, GossipMessage message) {
+      @Override
+      public void send(String to, GossipMessage message) {
         inSecond = agenda.now() / SECOND == second ? inSecond + 1 : 1;
         second = agenda.now() / SECOND;
         most = Math.max(most, inSecond);
@@ -115,23 +124,27 @@
           sampledBytes += bytes.length;
         }
         String[] parts = to.substring(0, to.indexOf(':')).split("\\.");
-        One target = all.get(Integer.parseInt(parts[1]) << 16 | Integer.parseInt(parts[2]) << 8
-            | Integer.parseInt(parts[3]));
+        One target =
+            all.get(
+                Integer.parseInt(parts[1]) << 16
+                    | Integer.parseInt(parts[2]) << 8
+                    | Integer.parseInt(parts[3]));
         if (chance.nextDouble() >= loss && (!apart || index % 2 == target.index % 2)) {
           agenda.at(agenda.now() + MS / 5 + chance.nextLong(DELAY), () -> target.come(message));
         }
       }
 
-      @Override public void news(String who, MemberStatus standing) {
+      @Override
+      public void news(String who, MemberStatus standing) {
         falseSuspicions += quiet && standing == MemberStatus.SUSPECTED ? 1 : 0;
         falseLosses += quiet && standing == MemberStatus.LOST ? 1 : 0;
       }
 
-      @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-      }
+      @Override
+      public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
 
-      @Override public void twin(String at) {
-      }
+      @Override
+      public void twin(String at) {}
     }
 
     void pass(long time) {
@@ -141,7 +154,9 @@
       }
     }
 
-    /** Plays on until each that runs holds so many for there; the times at which each did, in ms. */
+    /**
+     * Plays on until each that runs holds so many for there; the times at which each did, in ms.
+     */
     Histogram until(int there, long longest) {
       Histogram took = new Histogram(HIGHEST_MS, 3);
       List<One> waiting = new ArrayList<>(all.stream().filter(one -> one.view != null).toList());
@@ -149,35 +164,43 @@
       while (!waiting.isEmpty() && agenda.now() - began < longest) {
         pass(rules.period() / TICKS);
         long ms = (agenda.now() - began) / MS;
-        waiting.removeIf(one -> {
-          boolean done = one.view.present() == there;
-          if (done) {
-            took.recordValue(ms);
-          }
-          return done;
-        });
+        waiting.removeIf(
+            one -> {
+              boolean done = one.view.present() == there;
+              if (done) {
+                took.recordValue(ms);
+              }
+              return done;
+            });
       }
       waiting.forEach(one -> took.recordValue(longest / MS));
       return took;
     }
   }
 
-  private MembershipSizeExperiment() {
-  }
+  private MembershipSizeExperiment() {}
 
   /** Plays each size with each period (ms), and prints a row for each. */
-  public static ExperimentReport run(long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
+  public static ExperimentReport run(
+      long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
-    out.println("figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 % loss");
-    out.println("size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  "
-        + "crash p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram sent, read");
+    out.println(
+        "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 % loss");
+    out.println(
+        "size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  "
+            + "crash p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram sent, read");
     for (int size : sizes) {
       for (long period : periods) {
         row(new Trial(seed, size, period * MS), size, period * MS, result, out);
       }
       double beats = size - 1;
-      out.printf(Locale.ROOT, "%4d  heartbeats to all, one each 0.5 s, lost after 5 missed: %.0f datagrams/s, "
-          + "%.0f bytes/s a gateway; crash heard of after 2.5 to 3 s by each%n", size, 2 * beats, 2 * beats * BEAT);
+      out.printf(
+          Locale.ROOT,
+          "%4d  heartbeats to all, one each 0.5 s, lost after 5 missed: %.0f datagrams/s, "
+              + "%.0f bytes/s a gateway; crash heard of after 2.5 to 3 s by each%n",
+          size,
+          2 * beats,
+          2 * beats * BEAT);
     }
     return result;
   }
@@ -185,7 +208,8 @@
   /** A datagram that says no more than who sends it: what the form's header and its MAC take. */
   private static final int BEAT = 130;
 
-  private static void row(Trial trial, int size, long period, ExperimentReport result, PrintStream out) {
+  private static void row(
+      Trial trial, int size, long period, ExperimentReport result, PrintStream out) {
     for (Trial.One one : trial.all) {
       trial.agenda.at(START + trial.chance.nextLong(2 * SECOND), one::start);
     }
@@ -212,17 +236,34 @@
     trial.apart = false;
     Histogram healed = trial.until(size, 600 * SECOND);
     double each = trial.sampledBytes / (double) Math.max(1, trial.sampled);
-    double writing = trial.writing / 1e3 / Math.max(1, trial.sampled), reading = trial.reading / 1e3
-        / Math.max(1, trial.sampled);
+    double writing = trial.writing / 1e3 / Math.max(1, trial.sampled),
+        reading = trial.reading / 1e3 / Math.max(1, trial.sampled);
     String key = size + "_" + period / MS + "ms";
-    out.printf(Locale.ROOT, "%4d  %4d ms  %6.1f s  %9.1f  %9.0f  %5d, %4d  %11.1f  %8.1f  ", size, period / MS,
-        known.getMaxValue() / 1e3, second, second * each, lossyMost, trial.most, trial.falseSuspicions * 60.0 / size,
+    out.printf(
+        Locale.ROOT,
+        "%4d  %4d ms  %6.1f s  %9.1f  %9.0f  %5d, %4d  %11.1f  %8.1f  ",
+        size,
+        period / MS,
+        known.getMaxValue() / 1e3,
+        second,
+        second * each,
+        lossyMost,
+        trial.most,
+        trial.falseSuspicions * 60.0 / size,
         trial.falseLosses * 60.0 / size);
-    out.printf(Locale.ROOT, "%6.1f, %.1f, %.1f s  %6.1f s  %6.1f s  %8.0f, %.1f, %.1f%n",
-        crash.getValueAtPercentile(50) / 1e3, crash.getValueAtPercentile(99) / 1e3, crash.getMaxValue() / 1e3,
+    out.printf(
+        Locale.ROOT,
+        "%6.1f, %.1f, %.1f s  %6.1f s  %6.1f s  %8.0f, %.1f, %.1f%n",
+        crash.getValueAtPercentile(50) / 1e3,
+        crash.getValueAtPercentile(99) / 1e3,
+        crash.getMaxValue() / 1e3,
         join.getValueAtPercentile(99) / 1e3,
-        healed.getValueAtPercentile(99) / 1e3, cpu, writing, reading);
-    result.figure(key + "_codec_us_sent", Math.round(writing * 10) / 10.0)
+        healed.getValueAtPercentile(99) / 1e3,
+        cpu,
+        writing,
+        reading);
+    result
+        .figure(key + "_codec_us_sent", Math.round(writing * 10) / 10.0)
         .figure(key + "_codec_us_read", Math.round(reading * 10) / 10.0)
         .figure(key + "_datagrams_a_second", Math.round(second * 10) / 10.0)
         .figure(key + "_bytes_a_second", Math.round(second * each))
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -1,29 +1,33 @@
 package org.amberpath.lab.planning;
 
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.VirtualProcess;
-import org.amberpath.leadership.RegistryLeadership;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.planning.QuotaRequest;
-import org.amberpath.planning.QuotaGrant;
-import org.amberpath.planning.QuotaHolder;
-import org.amberpath.planning.QuotaTimings;
-import org.amberpath.planning.QuotaLedger;
-import org.amberpath.planning.MaxMinFairShare;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import org.amberpath.lab.VirtualProcess;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.RegistryLeadership;
+import org.amberpath.planning.MaxMinFairShare;
+import org.amberpath.planning.QuotaGrant;
+import org.amberpath.planning.QuotaHolder;
+import org.amberpath.planning.QuotaLedger;
+import org.amberpath.planning.QuotaRequest;
+import org.amberpath.planning.QuotaTimings;
 
 /**
- * One run of the pure halves of planners and forwarders on a virtual clock: messages lost, late and doubled, planners
- * killed, frozen and stopped, forwarders restarted, clocks that differ and drift. After each step the sum of what all
- * forwarders may use stays within the bound, and one planner at most may grant.
+ * One run of the pure halves of planners and forwarders on a virtual clock: messages lost, late and
+ * doubled, planners killed, frozen and stopped, forwarders restarted, clocks that differ and drift.
+ * After each step the sum of what all forwarders may use stays within the bound, and one planner at
+ * most may grant.
  */
 final class PlannersModel {
   private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long BUSY = 60 * SECOND, CALM = 20 * SECOND, LEASE = 3 * SECOND, ASKS = 300 * MS;
+  private static final long BUSY = 60 * SECOND,
+      CALM = 20 * SECOND,
+      LEASE = 3 * SECOND,
+      ASKS = 300 * MS;
   private static final QuotaTimings RULES = new QuotaTimings(2 * SECOND, 8 * SECOND, 1000, 0.125);
   private static final double SLACK = 1e-6;
 
@@ -68,11 +72,27 @@
     }
     long granted = forwarders.stream().filter(one -> one.holding.isGranted(one.clock())).count();
     if (granted < forwarders.size()) {
-      throw new Missed("calm, and only " + granted + " of " + forwarders.size() + " are granted: "
-          + planners.stream().map(one -> one.leadership.state()).toList());
+      throw new Missed(
+          "calm, and only "
+              + granted
+              + " of "
+              + forwarders.size()
+              + " are granted: "
+              + planners.stream().map(one -> one.leadership.state()).toList());
     }
-    return Map.of("steps", steps, "grants", grants, "terms", terms, "above_usual", above, "handed_over", handedOver,
-        "refused", refused);
+    return Map.of(
+        "steps",
+        steps,
+        "grants",
+        grants,
+        "terms",
+        terms,
+        "above_usual",
+        above,
+        "handed_over",
+        handedOver,
+        "refused",
+        refused);
   }
 
   private void check() {
@@ -82,7 +102,8 @@
         sum += one.up ? one.holding.share(resource, one.clock()) : 0;
       }
       if (sum > bounds[resource] + SLACK) {
-        throw new Missed("resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
+        throw new Missed(
+            "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
       }
     }
     if (planners.stream().filter(one -> one.up && one.leadership.holds(one.clock())).count() > 1) {
@@ -105,7 +126,10 @@
       if (agenda.now() < busyUntil && kind < 5) {
         return;
       }
-      long late = agenda.now() < busyUntil && kind < 12 ? chance.nextLong(4 * SECOND) : chance.nextLong(MS, 20 * MS);
+      long late =
+          agenda.now() < busyUntil && kind < 12
+              ? chance.nextLong(4 * SECOND)
+              : chance.nextLong(MS, 20 * MS);
       at(agenda.now() + late, what);
       if (kind > 96) {
         at(agenda.now() + late + chance.nextLong(SECOND), what);
@@ -114,21 +138,27 @@
 
     /** Asks the registry, which does something; the answer may be lost on the way back. */
     void registry(Runnable there) {
-      agenda.at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-        if (chance.nextInt(20) > 0 || agenda.now() > busyUntil) {
-          there.run();
-        }
-      });
+      agenda.at(
+          agenda.now() + chance.nextLong(MS, 10 * MS),
+          () -> {
+            if (chance.nextInt(20) > 0 || agenda.now() > busyUntil) {
+              there.run();
+            }
+          });
     }
   }
 
   private void tell() {
     long ofTerm = term, at = changed;
     boolean held = holder >= 0;
-    planners.forEach(one -> one.at(agenda.now() + chance.nextLong(MS, 50 * MS), () -> {
-      one.leadership.seen(one.clock(), ofTerm, held, at);
-      one.arm();
-    }));
+    planners.forEach(
+        one ->
+            one.at(
+                agenda.now() + chance.nextLong(MS, 50 * MS),
+                () -> {
+                  one.leadership.seen(one.clock(), ofTerm, held, at);
+                  one.arm();
+                }));
   }
 
   private void expire(long of) {
@@ -174,72 +204,86 @@
     void arm() {
       long due = leadership.due();
       if (due != Long.MAX_VALUE) {
-        at(agenda.now() + Math.max(MS, due - clock()), () -> {
-          leadership.tick(clock());
-          arm();
-        });
+        at(
+            agenda.now() + Math.max(MS, due - clock()),
+            () -> {
+              leadership.tick(clock());
+              arm();
+            });
       }
     }
 
-    @Override public void campaign(long asTerm, long seenChanged) {
-      registry(() -> {
-        boolean won = holder < 0 && changed == seenChanged && term + 1 == asTerm;
-        if (won) {
-          holder = index;
-          term = asTerm;
-          changed++;
-          terms++;
-          lease();
-          story.accept("planner " + index + " holds the key under term " + term);
-          tell();
-        }
-        at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-          if (won) {
-            leadership.won(clock(), asTerm);
-            askHandover(asTerm);
-          } else {
-            leadership.lost(clock());
-          }
-          arm();
-        });
-      });
+    @Override
+    public void campaign(long asTerm, long seenChanged) {
+      registry(
+          () -> {
+            boolean won = holder < 0 && changed == seenChanged && term + 1 == asTerm;
+            if (won) {
+              holder = index;
+              term = asTerm;
+              changed++;
+              terms++;
+              lease();
+              story.accept("planner " + index + " holds the key under term " + term);
+              tell();
+            }
+            at(
+                agenda.now() + chance.nextLong(MS, 10 * MS),
+                () -> {
+                  if (won) {
+                    leadership.won(clock(), asTerm);
+                    askHandover(asTerm);
+                  } else {
+                    leadership.lost(clock());
+                  }
+                  arm();
+                });
+          });
     }
 
-    @Override public void keepAlive(long askedAt) {
+    @Override
+    public void keepAlive(long askedAt) {
       long of = leadership.term();
       boolean[] heard = {false};
-      registry(() -> {
-        boolean kept = holder == index && term == of;
-        if (kept) {
-          lease();
-        }
-        at(agenda.now() + chance.nextLong(MS, 10 * MS), () -> {
-          heard[0] = true;
-          if (kept) {
-            leadership.kept(clock(), askedAt);
-          } else {
-            leadership.lost(clock());
-          }
-          arm();
-        });
-      });
-      at(agenda.now() + LEASE / 6, () -> {
-        if (!heard[0] && leadership.term() == of) {
-          leadership.unheard(clock());
-          arm();
-        }
-      });
+      registry(
+          () -> {
+            boolean kept = holder == index && term == of;
+            if (kept) {
+              lease();
+            }
+            at(
+                agenda.now() + chance.nextLong(MS, 10 * MS),
+                () -> {
+                  heard[0] = true;
+                  if (kept) {
+                    leadership.kept(clock(), askedAt);
+                  } else {
+                    leadership.lost(clock());
+                  }
+                  arm();
+                });
+          });
+      at(
+          agenda.now() + LEASE / 6,
+          () -> {
+            if (!heard[0] && leadership.term() == of) {
+              leadership.unheard(clock());
+              arm();
+            }
+          });
     }
 
-    @Override public void resign() {
+    @Override
+    public void resign() {
       long of = leadership.term();
-      registry(() -> {
-        if (holder == index && term == of) {
-          holder = -1;
-          changed++;
-          tell();
-        }
-      });
+      registry(
+          () -> {
+            if (holder == index && term == of) {
+              holder = -1;
+              changed++;
+              tell();
+            }
+          });
     }
 
     /** Asks the planner before for what it granted; it answers once it has stopped. */
@@ -247,21 +291,27 @@
       long askedAt = clock();
       for (Planner other : planners) {
         if (other != this) {
-          other.arrive(() -> {
-            if (other.leadership.state() == Leadership.State.RESIGNED && other.ledger != null
-                && other.ledgerTerm == asTerm - 1) {
-              List<QuotaLedger.Left> left = other.ledger.left(other.clock());
-              arrive(() -> {
-                if (leadership.state() == Leadership.State.WAITING && leadership.term() == asTerm) {
-                  ledger = QuotaLedger.after(RULES, asTerm, bounds, forwarders.size(), left, askedAt, clock());
-                  ledgerTerm = asTerm;
-                  leadership.handedOver(clock(), asTerm - 1);
-                  handedOver++;
-                  arm();
+          other.arrive(
+              () -> {
+                if (other.leadership.state() == Leadership.State.RESIGNED
+                    && other.ledger != null
+                    && other.ledgerTerm == asTerm - 1) {
+                  List<QuotaLedger.Left> left = other.ledger.left(other.clock());
+                  arrive(
+                      () -> {
+                        if (leadership.state() == Leadership.State.WAITING
+                            && leadership.term() == asTerm) {
+                          ledger =
+                              QuotaLedger.after(
+                                  RULES, asTerm, bounds, forwarders.size(), left, askedAt, clock());
+                          ledgerTerm = asTerm;
+                          leadership.handedOver(clock(), asTerm - 1);
+                          handedOver++;
+                          arm();
+                        }
+                      });
                 }
               });
-            }
-          });
         }
       }
     }
@@ -286,14 +336,16 @@
         for (int member = 0; member < wants.length; member++) {
           wanted[member] = wants[member] == null ? usual : wants[member][resource];
         }
-        wished[resource] = MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.thin())[ask.member()];
+        wished[resource] =
+            MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.thin())[ask.member()];
       }
       QuotaGrant grant = ledger.grant(clock(), ask, wished);
       if (grant != null) {
         grants++;
         above += grant.amounts()[0] > bounds[0] / wants.length ? 1 : 0;
         // It may stand still between deciding and sending.
-        long still = chance.nextInt(50) == 0 && agenda.now() < busyUntil ? chance.nextLong(6 * SECOND) : 0;
+        long still =
+            chance.nextInt(50) == 0 && agenda.now() < busyUntil ? chance.nextLong(6 * SECOND) : 0;
         agenda.at(agenda.now() + still, () -> from.arrive(() -> from.granted(grant)));
       }
     }
@@ -321,8 +373,10 @@
     private void ask() {
       double[] wanted = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
-        wanted[resource] = chance.nextInt(3) == 0 ? bounds[resource] * chance.nextDouble()
-            : bounds[resource] / forwarders.size() * chance.nextDouble();
+        wanted[resource] =
+            chance.nextInt(3) == 0
+                ? bounds[resource] * chance.nextDouble()
+                : bounds[resource] / forwarders.size() * chance.nextDouble();
       }
       QuotaRequest ask = holding.ask(clock(), wanted);
       planners.forEach(planner -> planner.arrive(() -> planner.asked(this, ask)));
@@ -332,8 +386,17 @@
     void granted(QuotaGrant grant) {
       QuotaHolder.Refusal refusal = holding.take(clock(), grant);
       refused += refusal == QuotaHolder.Refusal.TAKEN ? 0 : 1;
-      story.accept("forwarder " + index + ": grant " + grant.term() + "/" + grant.number() + " "
-          + grant.amounts()[0] + " " + refusal);
+      story.accept(
+          "forwarder "
+              + index
+              + ": grant "
+              + grant.term()
+              + "/"
+              + grant.number()
+              + " "
+              + grant.amounts()[0]
+              + " "
+              + refusal);
     }
   }
 
@@ -353,16 +416,22 @@
       }
       case 1, 2 -> {
         planner.frozenUntil = agenda.now() + chance.nextLong(8 * SECOND);
-        story.accept("planner " + planner.index + " stands still until " + (planner.frozenUntil - START) / 1000);
+        story.accept(
+            "planner "
+                + planner.index
+                + " stands still until "
+                + (planner.frozenUntil - START) / 1000);
       }
       case 3 -> {
         if (planner.up && agenda.now() >= planner.frozenUntil) {
           story.accept("planner " + planner.index + " is told to stop");
           planner.leadership.resign(planner.clock());
-          restart(planner, () -> {
-            planner.up = false;
-            planner.start();
-          });
+          restart(
+              planner,
+              () -> {
+                planner.up = false;
+                planner.start();
+              });
         }
       }
       case 4 -> {
@@ -376,10 +445,12 @@
 
   private void restart(Process process, Runnable start) {
     long of = process.life;
-    agenda.at(agenda.now() + chance.nextLong(50 * MS, 5 * SECOND), () -> {
-      if (process.life == of) {
-        start.run();
-      }
-    });
+    agenda.at(
+        agenda.now() + chance.nextLong(50 * MS, 5 * SECOND),
+        () -> {
+          if (process.life == of) {
+            start.run();
+          }
+        });
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
@@ -4,8 +4,8 @@
 
 /** The pure halves of planners and forwarders on a virtual clock. */
 public final class PlannersModelExperiment {
-  public static final SeededRuns.Model MODEL = (seed, story) -> new PlannersModel(seed, story).run();
+  public static final SeededRuns.Model MODEL =
+      (seed, story) -> new PlannersModel(seed, story).run();
 
-  private PlannersModelExperiment() {
-  }
+  private PlannersModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -1,12 +1,15 @@
 package org.amberpath.lab.recovery;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.lab.VirtualFleet;
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
+import org.amberpath.lab.VirtualFleet;
+import org.amberpath.routing.RoutingEvents.State;
 
-/** All gateways, caches and hubs lose power in one moment and come back within some seconds, cold, in any order. */
+/**
+ * All gateways, caches and hubs lose power in one moment and come back within some seconds, cold,
+ * in any order.
+ */
 final class PowerLossModel extends VirtualFleet {
   static final int WARM_S = 20;
   private static final int AWAY_S = 6, END_S = 60;
@@ -20,26 +23,32 @@
     return SHORTEST + chance.nextLong(AWAY_S * SECOND - SHORTEST);
   }
 
-  @Override protected void script() {
+  @Override
+  protected void script() {
     long loss = START + WARM_S * SECOND;
     hubsHoldAll();
-    agenda.at(loss, () -> {
-      gateways.forEach(One::dies);
-      caches.subList(0, caches.size() - 1).forEach(Cache::dies);
-    });
+    agenda.at(
+        loss,
+        () -> {
+          gateways.forEach(One::dies);
+          caches.subList(0, caches.size() - 1).forEach(Cache::dies);
+        });
     for (Cache cache : caches.subList(0, caches.size() - 1)) {
-      agenda.at(loss + away(), () -> {
-        cache.starts();
-        long startedAt = agenda.now();
-        agenda.at(agenda.now() + TOLD, () -> tell(cache.index, State.UP, startedAt));
-      });
+      agenda.at(
+          loss + away(),
+          () -> {
+            cache.starts();
+            long startedAt = agenda.now();
+            agenda.at(agenda.now() + TOLD, () -> tell(cache.index, State.UP, startedAt));
+          });
     }
     for (One one : gateways) {
       agenda.at(loss + away(), () -> one.start(true));
     }
   }
 
-  @Override protected Map<String, Double> figures() {
+  @Override
+  protected Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
     double before = share(WARM_S - 8, WARM_S - 1);
     int back = WARM_S + AWAY_S, last = END_S - 4;
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -1,8 +1,5 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.registry.RegistryRecord;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -10,6 +7,9 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 
 /** The caches as a registry's view has told them, and what is wrong with the way it did. */
 final class RecordedEndpointList implements EndpointListener {
@@ -72,7 +72,8 @@
     purgedHere.clear();
   }
 
-  @Override public synchronized void listing(boolean all) {
+  @Override
+  public synchronized void listing(boolean all) {
     if (listing) {
       wrong.accept("a listing within a listing");
     }
@@ -90,9 +91,18 @@
     }
   }
 
-  @Override public synchronized void member(String id, String address, String zone, String kind, int cell, State state,
-      double weight, long startedAtMs) {
-    RegistryRecord.Cache cache = new RegistryRecord.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
+  @Override
+  public synchronized void member(
+      String id,
+      String address,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
+      long startedAtMs) {
+    RegistryRecord.Cache cache =
+        new RegistryRecord.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
     if (state == State.GONE) {
       if (caches.remove(id) == null) {
         wrong.accept(id + " is told gone, and was not there");
@@ -105,14 +115,16 @@
     }
   }
 
-  @Override public synchronized void listed() {
+  @Override
+  public synchronized void listed() {
     listing = false;
     if (next != null) {
       next.listed();
     }
   }
 
-  @Override public synchronized void purged(long object, int group, long atMs) {
+  @Override
+  public synchronized void purged(long object, int group, long atMs) {
     story.accept("told purge of " + object + ", group " + group);
     if (group == EVERYTHING) {
       everythingAt = clock.getAsLong();
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -1,11 +1,5 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.lab.registry.VirtualRegistry.Node;
-import org.amberpath.lab.registry.VirtualRegistry.Way;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -14,15 +8,24 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.lab.registry.VirtualRegistry.Node;
+import org.amberpath.lab.registry.VirtualRegistry.Way;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * One run of the registry's pure half on a virtual clock: changes and faults in any order from a seed, with all bars
- * checked after each step. Everything in it follows from the seed alone.
+ * One run of the registry's pure half on a virtual clock: changes and faults in any order from a
+ * seed, with all bars checked after each step. Everything in it follows from the seed alone.
  */
 final class RegistryModel {
   private static final long MS = VirtualRegistry.MS, SECOND = VirtualRegistry.SECOND;
   private static final long START = 1_700_000_000L * SECOND, BUSY = 20 * SECOND, QUIET = 5 * SECOND;
-  private static final long RETENTION = 4 * SECOND, REACHED = 1250 * MS, DRAIN = 250 * MS, PURGE = 300 * MS;
+  private static final long RETENTION = 4 * SECOND,
+      REACHED = 1250 * MS,
+      DRAIN = 250 * MS,
+      PURGE = 300 * MS;
   private static final int CACHES = 12, MOST_KEYS = 400, LATEST_TRUTHS = 400;
 
   /** A bar that was missed. */
@@ -33,8 +36,7 @@
   }
 
   /** What the caches were at a revision; a value of null is one that can't be read. */
-  private record Truth(long revision, Map<String, RegistryRecord.Cache> caches) {
-  }
+  private record Truth(long revision, Map<String, RegistryRecord.Cache> caches) {}
 
   private final SplittableRandom chance;
   private final VirtualScheduler agenda = new VirtualScheduler(START);
@@ -55,9 +57,13 @@
     registry = new VirtualRegistry(agenda, chance.nextInt(1, 5), blocking, chance.nextLong());
     Consumer<String> timed = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
     registry.story = timed;
-    told = new RecordedEndpointList(agenda::now, timed, what -> {
-      throw new Missed(what);
-    });
+    told =
+        new RecordedEndpointList(
+            agenda::now,
+            timed,
+            what -> {
+              throw new Missed(what);
+            });
     RegistryView view = new RegistryView(told, VirtualRegistry.TIP, MOST_KEYS, RETENTION, timed);
     client = registry.new Client(view, MOST_KEYS, chance.nextLong(), timed);
   }
@@ -77,22 +83,40 @@
       check();
     }
     boolean judged = registry.goodFor(REACHED);
-    if (judged && (client.view.applied() < lastOfOurs() || !matches(truths.get(truths.size() - 1)))) {
-      throw new Missed("quiet, but the view is at " + client.view.applied() + " of "
-          + registry.history.revision() + ": " + client.recovery.phase());
+    if (judged
+        && (client.view.applied() < lastOfOurs() || !matches(truths.get(truths.size() - 1)))) {
+      throw new Missed(
+          "quiet, but the view is at "
+              + client.view.applied()
+              + " of "
+              + registry.history.revision()
+              + ": "
+              + client.recovery.phase());
     }
-    return Map.of("steps", steps, "drains", drains, "quiet_judged", judged ? 1L : 0L, "listings", told.listings());
+    return Map.of(
+        "steps",
+        steps,
+        "drains",
+        drains,
+        "quiet_judged",
+        judged ? 1L : 0L,
+        "listings",
+        told.listings());
   }
 
   private long lastOfOurs() {
-    return registry.history.now().entrySet().stream().filter(one -> one.getKey().startsWith(VirtualRegistry.PREFIX))
-        .mapToLong(one -> one.getValue().changed()).max().orElse(0);
+    return registry.history.now().entrySet().stream()
+        .filter(one -> one.getKey().startsWith(VirtualRegistry.PREFIX))
+        .mapToLong(one -> one.getValue().changed())
+        .max()
+        .orElse(0);
   }
 
   // ---- What is written.
 
   private RegistryRecord.Cache cache(int number, State state) {
-    return new RegistryRecord.Cache("c" + number, "127.0.0.1:" + (1000 + chance.nextInt(9000)), "z", "box", 0, state, 1, 0);
+    return new RegistryRecord.Cache(
+        "c" + number, "127.0.0.1:" + (1000 + chance.nextInt(9000)), "z", "box", 0, state, 1, 0);
   }
 
   private void write(String id, RegistryRecord content, boolean touchesTip) {
@@ -112,13 +136,17 @@
 
   private void truth() {
     Map<String, RegistryRecord.Cache> caches = new TreeMap<>();
-    registry.history.now().forEach((key, kept) -> {
-      if (kept.value() instanceof RegistryRecord.Cache cache) {
-        caches.put(cache.id(), cache);
-      } else if (kept.value() instanceof RegistryRecord.Unreadable) {
-        caches.put(key.substring(key.lastIndexOf('/') + 1), null);
-      }
-    });
+    registry
+        .history
+        .now()
+        .forEach(
+            (key, kept) -> {
+              if (kept.value() instanceof RegistryRecord.Cache cache) {
+                caches.put(cache.id(), cache);
+              } else if (kept.value() instanceof RegistryRecord.Unreadable) {
+                caches.put(key.substring(key.lastIndexOf('/') + 1), null);
+              }
+            });
     truths.add(new Truth(registry.history.revision(), caches));
     if (truths.size() > LATEST_TRUTHS) {
       truths.remove(0);
@@ -132,7 +160,8 @@
     if (!restoring) {
       changeOne();
     }
-    agenda.at(agenda.now() + chance.nextLong(chance.nextInt(5) == 0 ? SECOND : 120 * MS), this::change);
+    agenda.at(
+        agenda.now() + chance.nextLong(chance.nextInt(5) == 0 ? SECOND : 120 * MS), this::change);
   }
 
   private void changeOne() {
@@ -161,7 +190,8 @@
       }
       case 9 -> write(id, new RegistryRecord.Unreadable("spoilt"), tip);
       case 10 -> purge();
-      default -> registry.write(new TreeMap<>(Map.of("other/" + number, new RegistryRecord.Other())));
+      default ->
+          registry.write(new TreeMap<>(Map.of("other/" + number, new RegistryRecord.Other())));
     }
     if (chance.nextInt(6) == 0) {
       registry.history.compact(registry.history.revision() - chance.nextLong(20));
@@ -176,25 +206,28 @@
     write(writes, true);
     long at = agenda.now();
     RevisionedStore<RegistryRecord> of = registry.history;
-    agenda.at(at + RETENTION, () -> {
-      // Who never had a list by then has served nothing that it could be about.
-      if (!client.view.known()) {
-        unserved.add(object);
-      }
-      if (of == registry.history) {
-        Map<String, RegistryRecord> over = new TreeMap<>();
-        over.put(key, null);
-        registry.write(over);
-        truth();
-      }
-    });
+    agenda.at(
+        at + RETENTION,
+        () -> {
+          // Who never had a list by then has served nothing that it could be about.
+          if (!client.view.known()) {
+            unserved.add(object);
+          }
+          if (of == registry.history) {
+            Map<String, RegistryRecord> over = new TreeMap<>();
+            over.put(key, null);
+            registry.write(over);
+            truth();
+          }
+        });
     agenda.at(at + PURGE, () -> duePurge(object, at, of));
   }
 
   private void duePurge(long object, long at, RevisionedStore<RegistryRecord> of) {
     // What a restored registry never held, nobody can hear of.
     if (unserved.contains(object)
-        || of != registry.history && !registry.history.now().containsKey(VirtualRegistry.PREFIX + "purges/" + object)
+        || of != registry.history
+            && !registry.history.now().containsKey(VirtualRegistry.PREFIX + "purges/" + object)
         || told.purgedSince(object, at)) {
       return;
     }
@@ -219,13 +252,24 @@
     if (of != registry.history) {
       return;
     }
-    if (client.view.applied() >= revision && client.view.cluster().equals(client.view.cluster().isEmpty() ? ""
-        : of.cluster)) {
+    if (client.view.applied() >= revision
+        && client.view.cluster().equals(client.view.cluster().isEmpty() ? "" : of.cluster)) {
       return;
     }
     if (registry.goodFor(REACHED)) {
-      throw new Missed("drain of " + id + " at revision " + revision + ", " + at + ", view at "
-          + client.view.applied() + " by " + agenda.now() + ": " + client.recovery.phase());
+      throw new Missed(
+          "drain of "
+              + id
+              + " at revision "
+              + revision
+              + ", "
+              + at
+              + ", view at "
+              + client.view.applied()
+              + " by "
+              + agenda.now()
+              + ": "
+              + client.recovery.phase());
     }
     agenda.at(agenda.now() + 10 * MS, () -> dueDrain(id, revision, at, of));
   }
@@ -254,55 +298,67 @@
     long next = chance.nextInt(4) == 0 ? 0 : chance.nextLong(1500 * MS);
     agenda.at(agenda.now() + next, this::fault);
     if (chance.nextInt(2) == 0) {
-      agenda.at(agenda.now() + chance.nextLong(2 * SECOND), () -> {
-        if (!restoring) {
-          node.slowness(0, 0);
-          node.become(Way.ANSWERS);
-        }
-      });
+      agenda.at(
+          agenda.now() + chance.nextLong(2 * SECOND),
+          () -> {
+            if (!restoring) {
+              node.slowness(0, 0);
+              node.become(Way.ANSWERS);
+            }
+          });
     }
   }
 
   private void away(Node node, Way way) {
     node.become(way);
-    agenda.at(agenda.now() + chance.nextLong(chance.nextInt(4) == 0 ? 7 * SECOND : SECOND), () -> {
-      if (!restoring) {
-        node.become(Way.ANSWERS);
-      }
-    });
+    agenda.at(
+        agenda.now() + chance.nextLong(chance.nextInt(4) == 0 ? 7 * SECOND : SECOND),
+        () -> {
+          if (!restoring) {
+            node.become(Way.ANSWERS);
+          }
+        });
   }
 
-  /** The registry goes down, and comes back as it was some writes ago: under its id or another one. */
+  /**
+   * The registry goes down, and comes back as it was some writes ago: under its id or another one.
+   */
   private void restore() {
     if (restoring || agenda.now() > busyUntil - 5 * SECOND || chance.nextInt(2) == 0) {
       return;
     }
     String id = chance.nextBoolean() ? registry.history.cluster : "c" + (2 + ++fresh);
     RevisionedStore<RegistryRecord> backup = registry.history.copy(id);
-    agenda.at(agenda.now() + chance.nextLong(3 * SECOND), () -> {
-      if (restoring || agenda.now() > busyUntil - 4 * SECOND) {
-        return;
-      }
-      restoring = true;
-      registry.nodes.forEach(node -> node.become(Way.REFUSES));
-      agenda.at(agenda.now() + 1200 * MS + chance.nextLong(SECOND), () -> {
-        restoring = false;
-        registry.restore(backup);
-        told.otherHistory();
-        truth();
-        registry.nodes.forEach(node -> {
-          node.slowness(0, 0);
-          node.become(Way.ANSWERS);
+    agenda.at(
+        agenda.now() + chance.nextLong(3 * SECOND),
+        () -> {
+          if (restoring || agenda.now() > busyUntil - 4 * SECOND) {
+            return;
+          }
+          restoring = true;
+          registry.nodes.forEach(node -> node.become(Way.REFUSES));
+          agenda.at(
+              agenda.now() + 1200 * MS + chance.nextLong(SECOND),
+              () -> {
+                restoring = false;
+                registry.restore(backup);
+                told.otherHistory();
+                truth();
+                registry.nodes.forEach(
+                    node -> {
+                      node.slowness(0, 0);
+                      node.become(Way.ANSWERS);
+                    });
+              });
         });
-      });
-    });
   }
 
   private void heal() {
-    registry.nodes.forEach(node -> {
-      node.slowness(0, 0);
-      node.become(Way.ANSWERS);
-    });
+    registry.nodes.forEach(
+        node -> {
+          node.slowness(0, 0);
+          node.become(Way.ANSWERS);
+        });
   }
 
   // ---- What is told, and the bars.
@@ -315,8 +371,10 @@
     for (int at = truths.size() - 1; at >= 0; at--) {
       // The last truth at or under the revision, in this history or one before it.
       Truth truth = truths.get(at);
-      boolean last = at == truths.size() - 1 || truths.get(at + 1).revision > revision
-          || truths.get(at + 1).revision <= truth.revision;
+      boolean last =
+          at == truths.size() - 1
+              || truths.get(at + 1).revision > revision
+              || truths.get(at + 1).revision <= truth.revision;
       if (truth.revision <= revision && last && matches(truth)) {
         return;
       }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
@@ -4,8 +4,8 @@
 
 /** The registry's pure half on a virtual clock. */
 public final class RegistryModelExperiment {
-  public static final SeededRuns.Model MODEL = (seed, story) -> new RegistryModel(seed, story).run();
+  public static final SeededRuns.Model MODEL =
+      (seed, story) -> new RegistryModel(seed, story).run();
 
-  private RegistryModelExperiment() {
-  }
+  private RegistryModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -6,25 +6,25 @@
 import java.util.TreeMap;
 
 /**
- * What a key-value registry with revisions holds: every change in order, from which any state that is not compacted can
- * be had. One revision may change several keys.
+ * What a key-value registry with revisions holds: every change in order, from which any state that
+ * is not compacted can be had. One revision may change several keys.
  *
  * @param <V> a key's value
  */
 final class RevisionedStore<V> {
   /** A key at some revision. */
-  record Kept<V>(V value, long created, long changed) {
-  }
+  record Kept<V>(V value, long created, long changed) {}
 
   /** A key that was written at a revision, or deleted where kept is null. */
-  record Event<V>(long revision, String key, Kept<V> kept) {
-  }
+  record Event<V>(long revision, String key, Kept<V> kept) {}
 
   final String cluster;
   private final List<Event<V>> events = new ArrayList<>();
   private final TreeMap<String, Kept<V>> now = new TreeMap<>();
+
   /** The state at the revision below which nothing is kept. */
   private final TreeMap<String, Kept<V>> base = new TreeMap<>();
+
   private long revision = 1, compacted;
 
   RevisionedStore(String cluster) {
@@ -54,22 +54,26 @@
     return now;
   }
 
-  /** Writes keys in one transaction; a null value deletes. A deletion of what is not there is no change. */
+  /**
+   * Writes keys in one transaction; a null value deletes. A deletion of what is not there is no
+   * change.
+   */
   long write(Map<String, V> writes) {
     long next = revision + 1;
-    writes.forEach((key, value) -> {
-      Kept<V> before = now.get(key);
-      if (value != null) {
-        Kept<V> kept = new Kept<>(value, before == null ? next : before.created, next);
-        now.put(key, kept);
-        events.add(new Event<>(next, key, kept));
-        revision = next;
-      } else if (before != null) {
-        now.remove(key);
-        events.add(new Event<>(next, key, null));
-        revision = next;
-      }
-    });
+    writes.forEach(
+        (key, value) -> {
+          Kept<V> before = now.get(key);
+          if (value != null) {
+            Kept<V> kept = new Kept<>(value, before == null ? next : before.created, next);
+            now.put(key, kept);
+            events.add(new Event<>(next, key, kept));
+            revision = next;
+          } else if (before != null) {
+            now.remove(key);
+            events.add(new Event<>(next, key, null));
+            revision = next;
+          }
+        });
     return revision;
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
@@ -21,14 +21,20 @@
 import java.util.TreeMap;
 
 /**
- * A registry on loopback: several endpoints over one history, speaking both published forms, with the failures
- * that they have in service. Runs on the event loop of a Vert.x with one.
+ * A registry on loopback: several endpoints over one history, speaking both published forms, with
+ * the failures that they have in service. Runs on the event loop of a Vert.x with one.
  *
  * <p>Bounds: what the history is told to keep, and the connections that its clients open.
  */
 public final class StandInRegistry {
   /** How an endpoint treats what is asked of it. */
-  public enum Way { ANSWERS, SILENT, REFUSES, UNAVAILABLE, UNAUTHORISED }
+  public enum Way {
+    ANSWERS,
+    SILENT,
+    REFUSES,
+    UNAVAILABLE,
+    UNAUTHORISED
+  }
 
   private static final int OUT_OF_RANGE = 11, UNAVAILABLE = 14, UNAUTHENTICATED = 16;
 
@@ -38,6 +44,7 @@
   private final Map<Long, Lease> leases = new HashMap<>();
   private RevisionedStore<byte[]> history = new RevisionedStore<>("101");
   private long lastLease;
+
   /** The token that is asked for; empty for none. */
   private String token = "";
 
@@ -144,15 +151,22 @@
     }
 
     private Future<Void> listen() {
-      server = vertx.createHttpServer(new HttpServerOptions(options).setPort(port).setHost("127.0.0.1"))
-          .connectionHandler(connection -> {
-            connections.add(connection);
-            connection.closeHandler(closed -> connections.remove(connection));
-          }).requestHandler(this::take);
-      return server.listen().map(up -> {
-        port = up.actualPort();
-        return null;
-      });
+      server =
+          vertx
+              .createHttpServer(new HttpServerOptions(options).setPort(port).setHost("127.0.0.1"))
+              .connectionHandler(
+                  connection -> {
+                    connections.add(connection);
+                    connection.closeHandler(closed -> connections.remove(connection));
+                  })
+              .requestHandler(this::take);
+      return server
+          .listen()
+          .map(
+              up -> {
+                port = up.actualPort();
+                return null;
+              });
     }
 
     /** Changes how it treats what is asked. */
@@ -185,7 +199,10 @@
       List.copyOf(connections).forEach(HttpConnection::close);
     }
 
-    /** Ends its side of all watches in good order; the connections stay open for what clients still say. */
+    /**
+     * Ends its side of all watches in good order; the connections stay open for what clients still
+     * say.
+     */
     public void finish() {
       List<Watcher> ended = List.copyOf(watchers);
       watchers.clear();
@@ -193,28 +210,33 @@
     }
 
     private void take(HttpServerRequest request) {
-      request.body().onSuccess(body -> {
-        if (way == Way.SILENT) {
-          return;
-        }
-        Runnable answer = () -> {
-          try {
-            answer(request, body);
-          } catch (RuntimeException e) {
-            error(request.response(), 400, 3, String.valueOf(e.getMessage()));
-          }
-        };
-        if (lagMs > 0) {
-          vertx.setTimer(lagMs, late -> answer.run());
-        } else {
-          answer.run();
-        }
-      });
+      request
+          .body()
+          .onSuccess(
+              body -> {
+                if (way == Way.SILENT) {
+                  return;
+                }
+                Runnable answer =
+                    () -> {
+                      try {
+                        answer(request, body);
+                      } catch (RuntimeException e) {
+                        error(request.response(), 400, 3, String.valueOf(e.getMessage()));
+                      }
+                    };
+                if (lagMs > 0) {
+                  vertx.setTimer(lagMs, late -> answer.run());
+                } else {
+                  answer.run();
+                }
+              });
     }
 
     private void answer(HttpServerRequest request, Buffer body) {
       HttpServerResponse response = request.response();
-      String shown = request.getHeader(request.path().startsWith("/v1") ? "X-Consul-Token" : "Authorization");
+      String shown =
+          request.getHeader(request.path().startsWith("/v1") ? "X-Consul-Token" : "Authorization");
       if (way == Way.UNAVAILABLE) {
         error(response, 503, UNAVAILABLE, "no leader");
       } else if (request.path().equals("/v3/auth/authenticate")) {
@@ -224,13 +246,18 @@
       } else {
         switch (request.path()) {
           case "/v3/kv/range" -> range(response, new JsonObject(body));
-          case "/v3/watch" -> new Watcher(this, response, new JsonObject(body).getJsonObject("create_request"));
+          case "/v3/watch" ->
+              new Watcher(this, response, new JsonObject(body).getJsonObject("create_request"));
           case "/v3/kv/txn" -> transaction(response, new JsonObject(body));
           case "/v3/lease/grant" -> {
             long ttl = Long.parseLong(new JsonObject(body).getString("TTL"));
             leases.put(++lastLease, new Lease(lastLease, ttl));
-            response.end(new JsonObject().put("header", header()).put("ID", Long.toString(lastLease))
-                .put("TTL", Long.toString(ttl)).encode());
+            response.end(
+                new JsonObject()
+                    .put("header", header())
+                    .put("ID", Long.toString(lastLease))
+                    .put("TTL", Long.toString(ttl))
+                    .encode());
           }
           case "/v3/lease/keepalive" -> {
             long id = wide(new JsonObject(body), "ID");
@@ -238,9 +265,14 @@
             if (lease != null) {
               lease.keep(id);
             }
-            JsonObject result = new JsonObject().put("header", header()).put("ID", Long.toString(id));
-            response.end(new JsonObject().put("result", lease == null ? result
-                : result.put("TTL", Long.toString(lease.seconds))).encode());
+            JsonObject result =
+                new JsonObject().put("header", header()).put("ID", Long.toString(id));
+            response.end(
+                new JsonObject()
+                    .put(
+                        "result",
+                        lease == null ? result : result.put("TTL", Long.toString(lease.seconds)))
+                    .encode());
           }
           case "/v3/lease/revoke" -> {
             long id = wide(new JsonObject(body), "ID");
@@ -262,24 +294,35 @@
     }
 
     private void offer() {
-      List.copyOf(watchers).forEach(watcher -> {
-        if (lagMs > 0) {
-          vertx.setTimer(lagMs, late -> watcher.offer());
-        } else {
-          watcher.offer();
-        }
-      });
+      List.copyOf(watchers)
+          .forEach(
+              watcher -> {
+                if (lagMs > 0) {
+                  vertx.setTimer(lagMs, late -> watcher.offer());
+                } else {
+                  watcher.offer();
+                }
+              });
     }
   }
 
   private static void error(HttpServerResponse response, int status, int code, String message) {
-    response.setStatusCode(status).end(new JsonObject().put("error", message).put("code", code)
-        .put("message", message).encode());
+    response
+        .setStatusCode(status)
+        .end(
+            new JsonObject()
+                .put("error", message)
+                .put("code", code)
+                .put("message", message)
+                .encode());
   }
 
   private JsonObject header() {
-    return new JsonObject().put("cluster_id", history.cluster).put("member_id", "1")
-        .put("revision", Long.toString(history.revision())).put("raft_term", "2");
+    return new JsonObject()
+        .put("cluster_id", history.cluster)
+        .put("member_id", "1")
+        .put("revision", Long.toString(history.revision()))
+        .put("raft_term", "2");
   }
 
   private static String base64(byte[] bytes) {
@@ -299,22 +342,29 @@
   }
 
   private static JsonObject kv(String key, RevisionedStore.Kept<byte[]> kept) {
-    return new JsonObject().put("key", base64(key.getBytes(StandardCharsets.UTF_8)))
-        .put("create_revision", Long.toString(kept.created())).put("mod_revision", Long.toString(kept.changed()))
-        .put("version", "1").put("value", base64(kept.value()));
+    return new JsonObject()
+        .put("key", base64(key.getBytes(StandardCharsets.UTF_8)))
+        .put("create_revision", Long.toString(kept.created()))
+        .put("mod_revision", Long.toString(kept.changed()))
+        .put("version", "1")
+        .put("value", base64(kept.value()));
   }
 
   // ---- The JSON form of the API with ranges and watches.
 
   private void range(HttpServerResponse response, JsonObject ask) {
-    long revision = wide(ask, "revision"), limit = wide(ask, "limit"), since = wide(ask, "min_mod_revision");
+    long revision = wide(ask, "revision"),
+        limit = wide(ask, "limit"),
+        since = wide(ask, "min_mod_revision");
     if (revision != 0 && revision < history.compacted()) {
       error(response, 400, OUT_OF_RANGE, "required revision has been compacted");
       return;
     }
     String from = text(ask, "key"), to = text(ask, "range_end");
-    TreeMap<String, RevisionedStore.Kept<byte[]>> all = history.at(revision == 0 ? history.revision() : revision);
-    var found = to.isEmpty() ? all.subMap(from, true, from, true) : all.subMap(from, true, to, false);
+    TreeMap<String, RevisionedStore.Kept<byte[]>> all =
+        history.at(revision == 0 ? history.revision() : revision);
+    var found =
+        to.isEmpty() ? all.subMap(from, true, from, true) : all.subMap(from, true, to, false);
     JsonArray kvs = new JsonArray();
     boolean more = false;
     for (var one : found.entrySet()) {
@@ -326,7 +376,8 @@
         kvs.add(kv(one.getKey(), one.getValue()));
       }
     }
-    JsonObject answer = new JsonObject().put("header", header()).put("count", Integer.toString(found.size()));
+    JsonObject answer =
+        new JsonObject().put("header", header()).put("count", Integer.toString(found.size()));
     if (!kvs.isEmpty()) {
       answer.put("kvs", kvs);
     }
@@ -376,8 +427,11 @@
       response.setChunked(true);
       line(new JsonObject().put("header", header()).put("created", true));
       if (next <= history.compacted()) {
-        line(new JsonObject().put("header", header()).put("canceled", true)
-            .put("compact_revision", Long.toString(history.compacted())));
+        line(
+            new JsonObject()
+                .put("header", header())
+                .put("canceled", true)
+                .put("compact_revision", Long.toString(history.compacted())));
         response.end();
         return;
       }
@@ -401,17 +455,25 @@
           continue;
         }
         if (event.kept() == null) {
-          events.add(new JsonObject().put("type", "DELETE").put("kv", new JsonObject().put("key",
-              base64(event.key().getBytes(StandardCharsets.UTF_8))).put("mod_revision",
-              Long.toString(event.revision()))));
+          events.add(
+              new JsonObject()
+                  .put("type", "DELETE")
+                  .put(
+                      "kv",
+                      new JsonObject()
+                          .put("key", base64(event.key().getBytes(StandardCharsets.UTF_8)))
+                          .put("mod_revision", Long.toString(event.revision()))));
         } else {
           events.add(new JsonObject().put("kv", kv(event.key(), event.kept())));
         }
       }
       next = history.revision() + 1;
       if (events.size() > 2) {
-        line(new JsonObject().put("header", header()).put("fragment", true)
-            .put("events", new JsonArray(events.getList().subList(0, 2))));
+        line(
+            new JsonObject()
+                .put("header", header())
+                .put("fragment", true)
+                .put("events", new JsonArray(events.getList().subList(0, 2))));
         events = new JsonArray(events.getList().subList(2, events.size()));
       }
       if (!events.isEmpty()) {
@@ -432,26 +494,36 @@
     }
     // Held back until something changes or the wait is over.
     long until = System.nanoTime() + Long.parseLong(wait.replaceAll("\\D", "")) * 1_000_000;
-    vertx.setPeriodic(5, timer -> {
-      boolean over = System.nanoTime() > until || request.response().closed();
-      if (over || index != history.revision()) {
-        vertx.cancelTimer(timer);
-        if (!request.response().closed()) {
-          answerRead(request.response(), key, many);
-        }
-      }
-    });
+    vertx.setPeriodic(
+        5,
+        timer -> {
+          boolean over = System.nanoTime() > until || request.response().closed();
+          if (over || index != history.revision()) {
+            vertx.cancelTimer(timer);
+            if (!request.response().closed()) {
+              answerRead(request.response(), key, many);
+            }
+          }
+        });
   }
 
   private void answerRead(HttpServerResponse response, String key, boolean many) {
     JsonArray found = new JsonArray();
-    history.now().forEach((name, kept) -> {
-      if (many ? name.startsWith(key) : name.equals(key)) {
-        found.add(new JsonObject().put("LockIndex", 0).put("Key", name).put("Flags", 0)
-            .put("Value", base64(kept.value())).put("CreateIndex", kept.created())
-            .put("ModifyIndex", kept.changed()));
-      }
-    });
+    history
+        .now()
+        .forEach(
+            (name, kept) -> {
+              if (many ? name.startsWith(key) : name.equals(key)) {
+                found.add(
+                    new JsonObject()
+                        .put("LockIndex", 0)
+                        .put("Key", name)
+                        .put("Flags", 0)
+                        .put("Value", base64(kept.value()))
+                        .put("CreateIndex", kept.created())
+                        .put("ModifyIndex", kept.changed()));
+              }
+            });
     response.putHeader("X-Consul-Index", Long.toString(history.revision()));
     response.setStatusCode(found.isEmpty() ? 404 : 200).end(found.isEmpty() ? "" : found.encode());
   }
@@ -462,8 +534,11 @@
       JsonObject verb = ((JsonObject) one).getJsonObject("KV");
       String key = verb.getString("Key");
       RevisionedStore.Kept<byte[]> kept = history.now().get(key);
-      if (verb.getString("Verb").endsWith("cas") && verb.getLong("Index") != (kept == null ? 0 : kept.changed())) {
-        response.setStatusCode(409).end(new JsonObject().put("Errors", new JsonArray().add(key)).encode());
+      if (verb.getString("Verb").endsWith("cas")
+          && verb.getLong("Index") != (kept == null ? 0 : kept.changed())) {
+        response
+            .setStatusCode(409)
+            .end(new JsonObject().put("Errors", new JsonArray().add(key)).encode());
         return;
       }
       writes.put(key, verb.getString("Verb").startsWith("delete") ? null : bytes(verb, "Value"));
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -1,14 +1,5 @@
 package org.amberpath.lab.registry;
 
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.registry.WatchEvent;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.WatchCommands;
-import org.amberpath.registry.WatchSession;
-import org.amberpath.registry.WatchSession.Header;
-import org.amberpath.registry.RegistryView;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -17,10 +8,19 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import org.amberpath.lab.VirtualScheduler;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.registry.WatchCommands;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.WatchSession;
+import org.amberpath.registry.WatchSession.Header;
 
 /**
- * * Several endpoints over one history on a virtual clock, and clients that ask them. A call goes there and back
- * in half a millisecond to three, on every way that an endpoint may have.
+ * * Several endpoints over one history on a virtual clock, and clients that ask them. A call goes
+ * there and back in half a millisecond to three, on every way that an endpoint may have.
  */
 final class VirtualRegistry {
   static final String PREFIX = "p/", TIP = PREFIX + "tip";
@@ -28,14 +28,22 @@
   private static final long REFUSED_FOR = 14 * SECOND;
 
   /** How an endpoint treats what is asked of it. */
-  enum Way { ANSWERS, SILENT, REFUSES, UNAVAILABLE, UNAUTHORISED }
+  enum Way {
+    ANSWERS,
+    SILENT,
+    REFUSES,
+    UNAVAILABLE,
+    UNAUTHORISED
+  }
 
   /** One endpoint. */
   final class Node {
     Way way = Way.ANSWERS;
     long lag, slow;
+
     /** Since when it has answered well. */
     long goodSince;
+
     long connects;
     private long excusedUntil;
     private final Set<Client.Open> open = new LinkedHashSet<>();
@@ -44,8 +52,10 @@
     void become(Way other) {
       story.accept(nodes.indexOf(this) + " becomes " + other);
       // Who was not let in does not ask again soon.
-      excusedUntil = other == Way.UNAUTHORISED ? Long.MAX_VALUE / 2 : way == Way.UNAUTHORISED
-          ? agenda.now() + REFUSED_FOR : excusedUntil;
+      excusedUntil =
+          other == Way.UNAUTHORISED
+              ? Long.MAX_VALUE / 2
+              : way == Way.UNAUTHORISED ? agenda.now() + REFUSED_FOR : excusedUntil;
       way = other;
       if (way == Way.ANSWERS) {
         goodSince = lag + slow > 0 ? Long.MAX_VALUE / 2 : Math.max(agenda.now(), excusedUntil);
@@ -58,7 +68,13 @@
     }
 
     void slowness(long lagging, long slower) {
-      story.accept(nodes.indexOf(this) + " lags " + lagging / MS + " ms, is slower by " + slower / MS + " ms");
+      story.accept(
+          nodes.indexOf(this)
+              + " lags "
+              + lagging / MS
+              + " ms, is slower by "
+              + slower / MS
+              + " ms");
       lag = lagging;
       slow = slower;
       if (lag + slow > 0) {
@@ -89,10 +105,15 @@
   private final SplittableRandom chance;
   private final boolean blocking;
   private final List<Client> clients = new ArrayList<>();
-  /** What went over the wire in all, by the size of the published forms: a key and its value take some 300 bytes. */
+
+  /**
+   * What went over the wire in all, by the size of the published forms: a key and its value take
+   * some 300 bytes.
+   */
   long items, answers;
+
   /** What happened, a line each, for who replays a seed. */
-  Consumer<String> story = line -> { };
+  Consumer<String> story = line -> {};
 
   VirtualRegistry(VirtualScheduler agenda, int endpoints, boolean blocking, long seed) {
     this.agenda = agenda;
@@ -136,7 +157,8 @@
 
     Client(RegistryView view, int mostKeys, long seed, Consumer<String> notes) {
       this.view = view;
-      recovery = new WatchSession(view, this, nodes.size(), mostKeys, blocking ? SECOND : 0, seed, notes);
+      recovery =
+          new WatchSession(view, this, nodes.size(), mostKeys, blocking ? SECOND : 0, seed, notes);
       clients.add(this);
     }
 
@@ -150,13 +172,15 @@
       long due = recovery.due();
       if (due < wakes) {
         wakes = due;
-        agenda.at(due, () -> {
-          if (wakes == due) {
-            wakes = Long.MAX_VALUE;
-            recovery.tick(agenda.now());
-            arm();
-          }
-        });
+        agenda.at(
+            due,
+            () -> {
+              if (wakes == due) {
+                wakes = Long.MAX_VALUE;
+                recovery.tick(agenda.now());
+                arm();
+              }
+            });
       }
     }
 
@@ -177,18 +201,28 @@
       /** Runs at the endpoint, if it takes calls now. */
       void there(Runnable what) {
         node.connects++;
-        agenda.at(agenda.now() + oneWay(), () -> {
-          switch (node.way) {
-            case ANSWERS -> what.run();
-            case SILENT -> node.heldBack.add(() -> agenda.at(agenda.now() + oneWay(), what));
-            case REFUSES -> fail(RegistryFailure.REFUSED, 0);
-            case UNAVAILABLE -> fail(chance.nextBoolean() ? RegistryFailure.UNAVAILABLE : RegistryFailure.THROTTLED, 50 * MS);
-            default -> fail(RegistryFailure.UNAUTHORISED, 0);
-          }
-        });
+        agenda.at(
+            agenda.now() + oneWay(),
+            () -> {
+              switch (node.way) {
+                case ANSWERS -> what.run();
+                case SILENT -> node.heldBack.add(() -> agenda.at(agenda.now() + oneWay(), what));
+                case REFUSES -> fail(RegistryFailure.REFUSED, 0);
+                case UNAVAILABLE ->
+                    fail(
+                        chance.nextBoolean()
+                            ? RegistryFailure.UNAVAILABLE
+                            : RegistryFailure.THROTTLED,
+                        50 * MS);
+                default -> fail(RegistryFailure.UNAUTHORISED, 0);
+              }
+            });
       }
 
-      /** Runs at the client, in order, unless the call has ended; while the endpoint is silent it waits. */
+      /**
+       * Runs at the client, in order, unless the call has ended; while the endpoint is silent it
+       * waits.
+       */
       void back(long extra, Runnable what) {
         lastArrival = Math.max(lastArrival, agenda.now() + oneWay() + node.slow + extra);
         agenda.at(lastArrival, () -> arrive(what));
@@ -208,13 +242,15 @@
       }
 
       void fail(RegistryFailure why, long retryAfter) {
-        agenda.at(agenda.now() + oneWay(), () -> {
-          if (end()) {
-            story.accept("call " + call + ": " + why);
-            recovery.ended(agenda.now(), call, why, retryAfter);
-            arm();
-          }
-        });
+        agenda.at(
+            agenda.now() + oneWay(),
+            () -> {
+              if (end()) {
+                story.accept("call " + call + ": " + why);
+                recovery.ended(agenda.now(), call, why, retryAfter);
+                arm();
+              }
+            });
       }
 
       boolean end() {
@@ -235,10 +271,14 @@
           return;
         }
         List<WatchEvent> changes = new ArrayList<>();
-        for (RevisionedStore.Event<RegistryRecord> event : history.between(next, history.revision())) {
+        for (RevisionedStore.Event<RegistryRecord> event :
+            history.between(next, history.revision())) {
           if (event.key().startsWith(PREFIX)) {
-            changes.add(new WatchEvent(event.revision(), event.key(), event.kept() == null ? null : held(event.key(),
-                event.kept())));
+            changes.add(
+                new WatchEvent(
+                    event.revision(),
+                    event.key(),
+                    event.kept() == null ? null : held(event.key(), event.kept())));
           }
         }
         next = history.revision() + 1;
@@ -246,7 +286,8 @@
         items += changes.size();
         if (changes.size() > 1 && chance.nextInt(4) == 0) {
           int cut = chance.nextInt(1, changes.size());
-          List<WatchEvent> first = changes.subList(0, cut), rest = changes.subList(cut, changes.size());
+          List<WatchEvent> first = changes.subList(0, cut),
+              rest = changes.subList(cut, changes.size());
           back(node.lag, () -> recovery.told(agenda.now(), call, header, first, true));
           back(node.lag, () -> recovery.told(agenda.now(), call, header, rest, false));
         } else if (!changes.isEmpty() || chance.nextInt(8) == 0) {
@@ -263,13 +304,15 @@
       return new RegistryEntry(key, kept.value(), kept.created(), kept.changed());
     }
 
-    private List<RegistryEntry> all(Map<String, RevisionedStore.Kept<RegistryRecord>> state, String after, long since) {
+    private List<RegistryEntry> all(
+        Map<String, RevisionedStore.Kept<RegistryRecord>> state, String after, long since) {
       List<RegistryEntry> found = new ArrayList<>();
-      state.forEach((key, kept) -> {
-        if (key.startsWith(PREFIX) && key.compareTo(after) > 0 && kept.changed() >= since) {
-          found.add(held(key, kept));
-        }
-      });
+      state.forEach(
+          (key, kept) -> {
+            if (key.startsWith(PREFIX) && key.compareTo(after) > 0 && kept.changed() >= since) {
+              found.add(held(key, kept));
+            }
+          });
       return found;
     }
 
@@ -277,97 +320,127 @@
       List<RegistryEntry> found = all(history.now(), "", 0);
       Header header = header();
       items += found.size();
-      to.back(to.node.lag, () -> {
-        if (!ends || to.end()) {
-          recovery.page(agenda.now(), call, header, found, false, -1);
-        }
-      });
+      to.back(
+          to.node.lag,
+          () -> {
+            if (!ends || to.end()) {
+              recovery.page(agenda.now(), call, header, found, false, -1);
+            }
+          });
     }
 
-    @Override public void list(long call, int endpoint, long revision, String after, long since, int limit) {
-      story.accept("call " + call + ": list at " + endpoint + " revision " + revision + " since " + since);
+    @Override
+    public void list(long call, int endpoint, long revision, String after, long since, int limit) {
+      story.accept(
+          "call " + call + ": list at " + endpoint + " revision " + revision + " since " + since);
       Open last = open.get(call);
       Open to = last == null ? new Open(call, endpoint) : last;
-      to.there(() -> {
-        if (blocking) {
-          answerAll(call, to, true);
-          return;
-        }
-        if (revision != 0 && revision < history.compacted() || revision > history.revision()) {
-          to.back(0, () -> {
-            if (to.end()) {
-              recovery.compacted(agenda.now(), call);
+      to.there(
+          () -> {
+            if (blocking) {
+              answerAll(call, to, true);
+              return;
+            }
+            if (revision != 0 && revision < history.compacted() || revision > history.revision()) {
+              to.back(
+                  0,
+                  () -> {
+                    if (to.end()) {
+                      recovery.compacted(agenda.now(), call);
+                    }
+                  });
+              return;
             }
+            Map<String, RevisionedStore.Kept<RegistryRecord>> state =
+                history.at(revision == 0 ? history.revision() : revision);
+            List<RegistryEntry> found = all(state, after, since);
+            long count =
+                state.keySet().stream()
+                    .filter(key -> key.startsWith(PREFIX) && key.compareTo(after) > 0)
+                    .count();
+            boolean more = found.size() > limit;
+            List<RegistryEntry> part = more ? found.subList(0, limit) : found;
+            Header header = header();
+            items += part.size();
+            // What a majority has is known to one that lags only when it has caught up.
+            to.back(
+                revision == 0 ? to.node.lag : 0,
+                () -> {
+                  if (more || to.end()) {
+                    recovery.page(agenda.now(), call, header, part, more, count);
+                  }
+                });
           });
-          return;
-        }
-        Map<String, RevisionedStore.Kept<RegistryRecord>> state = history.at(revision == 0 ? history.revision() : revision);
-        List<RegistryEntry> found = all(state, after, since);
-        long count = state.keySet().stream().filter(key -> key.startsWith(PREFIX) && key.compareTo(after) > 0).count();
-        boolean more = found.size() > limit;
-        List<RegistryEntry> part = more ? found.subList(0, limit) : found;
-        Header header = header();
-        items += part.size();
-        // What a majority has is known to one that lags only when it has caught up.
-        to.back(revision == 0 ? to.node.lag : 0, () -> {
-          if (more || to.end()) {
-            recovery.page(agenda.now(), call, header, part, more, count);
-          }
-        });
-      });
     }
 
-    @Override public void watch(long call, int endpoint, long from) {
+    @Override
+    public void watch(long call, int endpoint, long from) {
       story.accept("call " + call + ": watch at " + endpoint + " from " + from);
       Open to = new Open(call, endpoint);
-      to.there(() -> {
-        if (blocking) {
-          to.next = from;
-          to.watching = true;
-          to.offer();
-          agenda.at(agenda.now() + SECOND, () -> {
-            if (to.watching && open.get(call) == to && to.node.way == Way.ANSWERS) {
-              to.watching = false;
-              answerAll(call, to, true);
+      to.there(
+          () -> {
+            if (blocking) {
+              to.next = from;
+              to.watching = true;
+              to.offer();
+              agenda.at(
+                  agenda.now() + SECOND,
+                  () -> {
+                    if (to.watching && open.get(call) == to && to.node.way == Way.ANSWERS) {
+                      to.watching = false;
+                      answerAll(call, to, true);
+                    }
+                  });
+              if (history.revision() < from - 1 && to.watching) {
+                // An index past what there is: the answer comes at once.
+                to.watching = false;
+                answerAll(call, to, true);
+              }
+            } else if (from <= history.compacted()) {
+              to.back(
+                  0,
+                  () -> {
+                    if (to.end()) {
+                      recovery.compacted(agenda.now(), call);
+                    }
+                  });
+            } else {
+              Header header = header();
+              to.back(0, () -> recovery.opened(agenda.now(), call, header));
+              to.next = from;
+              to.watching = true;
+              to.offer();
             }
           });
-          if (history.revision() < from - 1 && to.watching) {
-            // An index past what there is: the answer comes at once.
-            to.watching = false;
-            answerAll(call, to, true);
-          }
-        } else if (from <= history.compacted()) {
-          to.back(0, () -> {
-            if (to.end()) {
-              recovery.compacted(agenda.now(), call);
-            }
-          });
-        } else {
-          Header header = header();
-          to.back(0, () -> recovery.opened(agenda.now(), call, header));
-          to.next = from;
-          to.watching = true;
-          to.offer();
-        }
-      });
     }
 
-    @Override public void pulse(long call, int endpoint) {
+    @Override
+    public void pulse(long call, int endpoint) {
       story.accept("call " + call + ": pulse at " + endpoint);
       Open to = new Open(call, endpoint);
-      to.there(() -> {
-        RevisionedStore.Kept<RegistryRecord> tip = history.now().get(TIP);
-        Header header = blocking ? new Header("", 0) : header();
-        to.back(to.node.lag, () -> {
-          if (to.end()) {
-            story.accept("call " + call + ": tip " + (tip == null ? 0 : tip.changed()) + " " + header);
-            recovery.pulsed(agenda.now(), call, header, tip == null ? 0 : tip.changed());
-          }
-        });
-      });
+      to.there(
+          () -> {
+            RevisionedStore.Kept<RegistryRecord> tip = history.now().get(TIP);
+            Header header = blocking ? new Header("", 0) : header();
+            to.back(
+                to.node.lag,
+                () -> {
+                  if (to.end()) {
+                    story.accept(
+                        "call "
+                            + call
+                            + ": tip "
+                            + (tip == null ? 0 : tip.changed())
+                            + " "
+                            + header);
+                    recovery.pulsed(agenda.now(), call, header, tip == null ? 0 : tip.changed());
+                  }
+                });
+          });
     }
 
-    @Override public void drop(long call) {
+    @Override
+    public void drop(long call) {
       story.accept("call " + call + ": dropped");
       Open dropped = open.get(call);
       if (dropped != null) {
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -17,26 +17,48 @@
 import java.util.regex.Pattern;
 
 /**
- * One process of a gateway, from its start to its end. What it says of its ports is read from its log, which goes to a
- * file. Ended by its own id alone.
+ * One process of a gateway, from its start to its end. What it says of its ports is read from its
+ * log, which goes to a file. Ended by its own id alone.
  */
 public final class GatewayProcess {
   private static final Pattern CLIENTS = Pattern.compile(": listens at 127\\.0\\.0\\.1:(\\d+)$");
   private static final Pattern FLEET = Pattern.compile(": hears at 127\\.0\\.0\\.1:(\\d+),");
   private static final Pattern DESK = Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
-  private static final List<String> JAVA = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-Xms48m", "-Xmx64m",
-      "-Xss512k", "-Djava.net.preferIPv4Stack=true", "-Dvertx.disableDnsResolver=true");
+  private static final List<String> JAVA =
+      List.of(
+          "-XX:+UseSerialGC",
+          "-XX:TieredStopAtLevel=1",
+          "-Xms48m",
+          "-Xmx64m",
+          "-Xss512k",
+          "-Djava.net.preferIPv4Stack=true",
+          "-Dvertx.disableDnsResolver=true");
+
   /** The runtime's flags on the run line of deploy/balancer.toml. */
-  public static final List<String> DEPLOYED_FLAGS = List.of("-Djava.net.preferIPv4Stack=true", "-XX:-UsePerfData",
-      "-XX:+UseSerialGC", "-Xms64m", "-Xmx64m", "-XX:MaxDirectMemorySize=24m", "-XX:ReservedCodeCacheSize=24m",
-      "-XX:MaxMetaspaceSize=48m", "-Xss512k", "-XX:TieredStopAtLevel=1", "-Dio.netty.allocator.type=pooled",
-      "-Dio.netty.allocator.numDirectArenas=1", "-Dio.netty.allocator.numHeapArenas=0",
-      "-Dio.netty.jfr.enabled=false", "-Dvertx.disableDnsResolver=true",
-      "-XX:SharedArchiveFile=target/amberpath.jsa");
+  public static final List<String> DEPLOYED_FLAGS =
+      List.of(
+          "-Djava.net.preferIPv4Stack=true",
+          "-XX:-UsePerfData",
+          "-XX:+UseSerialGC",
+          "-Xms64m",
+          "-Xmx64m",
+          "-XX:MaxDirectMemorySize=24m",
+          "-XX:ReservedCodeCacheSize=24m",
+          "-XX:MaxMetaspaceSize=48m",
+          "-Xss512k",
+          "-XX:TieredStopAtLevel=1",
+          "-Dio.netty.allocator.type=pooled",
+          "-Dio.netty.allocator.numDirectArenas=1",
+          "-Dio.netty.allocator.numHeapArenas=0",
+          "-Dio.netty.jfr.enabled=false",
+          "-Dvertx.disableDnsResolver=true",
+          "-XX:SharedArchiveFile=target/amberpath.jsa");
+
   private static final long STOP_S = 8;
 
   private final Process process;
-  private final CompletableFuture<Integer> clients = new CompletableFuture<>(), fleet = new CompletableFuture<>(),
+  private final CompletableFuture<Integer> clients = new CompletableFuture<>(),
+      fleet = new CompletableFuture<>(),
       desk = new CompletableFuture<>();
   private final Thread reader;
   private volatile int severe;
@@ -47,17 +69,20 @@
    * @param main its main class, then its arguments
    * @param log where its log goes, after what is there
    */
-  public GatewayProcess(List<String> main, Map<String, String> environment, Path log) throws IOException {
+  public GatewayProcess(List<String> main, Map<String, String> environment, Path log)
+      throws IOException {
     this(JAVA, main, environment, log);
   }
 
   /** Starts the same with the given flags of the runtime. */
-  public GatewayProcess(List<String> flags, List<String> main, Map<String, String> environment, Path log)
+  public GatewayProcess(
+      List<String> flags, List<String> main, Map<String, String> environment, Path log)
       throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
     command.addAll(flags);
-    command.addAll(List.of("-cp", System.getProperty("java.class.path"), ParentWatchdog.class.getName()));
+    command.addAll(
+        List.of("-cp", System.getProperty("java.class.path"), ParentWatchdog.class.getName()));
     command.addAll(main);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().remove("AMBERPATH_FILE");
@@ -69,9 +94,14 @@
   }
 
   private void read(Path log) {
-    try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-        StandardCharsets.UTF_8)); BufferedWriter out = Files.newBufferedWriter(log,
-        java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
+    try (BufferedReader in =
+            new BufferedReader(
+                new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
+        BufferedWriter out =
+            Files.newBufferedWriter(
+                log,
+                java.nio.file.StandardOpenOption.CREATE,
+                java.nio.file.StandardOpenOption.APPEND)) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         out.write(line);
         out.newLine();
--- a/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -12,9 +12,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Every link between two gateways: one relay for each, at which the others send what is for it. A relay knows the
- * sender by its port, and drops, delays, doubles, reorders or cuts as the link has it now, one way. Only for its event
- * loop.
+ * Every link between two gateways: one relay for each, at which the others send what is for it. A
+ * relay knows the sender by its port, and drops, delays, doubles, reorders or cuts as the link has
+ * it now, one way. Only for its event loop.
  */
 public final class NetworkLinks {
   private static final int NOBODY = -1, SLACK_MS = 1;
@@ -31,8 +31,10 @@
   private final Way[][] ways;
   private final Map<Integer, Integer> senders = new HashMap<>();
   private final int[] real;
+
   /** Of each gateway, in the present second: what it sent; and the most in any second. */
   private final long[] second, datagrams, bytes;
+
   private long mostDatagrams, mostBytes, carried, dropped, unknown;
 
   NetworkLinks(Vertx vertx, int many, long seed) {
@@ -55,10 +57,14 @@
       int to = one;
       DatagramSocket relay = vertx.createDatagramSocket();
       relays.add(relay);
-      all.add(relay.listen(0, "127.0.0.1").onSuccess(up -> {
-        ports[to] = up.localAddress().port();
-        up.handler(packet -> come(to, packet));
-      }));
+      all.add(
+          relay
+              .listen(0, "127.0.0.1")
+              .onSuccess(
+                  up -> {
+                    ports[to] = up.localAddress().port();
+                    up.handler(packet -> come(to, packet));
+                  }));
     }
     return Future.all(all);
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -4,25 +4,27 @@
 import java.lang.reflect.Method;
 
 /**
- * Runs a program's main method, and ends the process when the rig that started it is gone: what a rig started does not
- * outlive it, however it ends.
+ * Runs a program's main method, and ends the process when the rig that started it is gone: what a
+ * rig started does not outlive it, however it ends.
  */
 public final class ParentWatchdog {
-  private ParentWatchdog() {
-  }
+  private ParentWatchdog() {}
 
   /** The class whose main is run, then its own arguments. */
   public static void main(String[] args) throws Exception {
-    Thread watch = new Thread(() -> {
-      try {
-        while (System.in.read() >= 0) {
-          continue;
-        }
-      } catch (IOException e) {
-        // Gone, too.
-      }
-      Runtime.getRuntime().halt(1);
-    }, "tether");
+    Thread watch =
+        new Thread(
+            () -> {
+              try {
+                while (System.in.read() >= 0) {
+                  continue;
+                }
+              } catch (IOException e) {
+                // Gone, too.
+              }
+              Runtime.getRuntime().halt(1);
+            },
+            "tether");
     watch.setDaemon(true);
     watch.start();
     Method main = Class.forName(args[0]).getMethod("main", String[].class);
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -1,6 +1,5 @@
 package org.amberpath.lab.testbed;
 
-import org.amberpath.routing.RoutingEvents.State;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpServer;
@@ -10,26 +9,38 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.stream.Collectors;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * The platform's journal service for many gateways: numbered events by long poll. Only for its event loop. Bounds: the
- * events of one experiment; a poll a connection.
+ * The platform's journal service for many gateways: numbered events by long poll. Only for its
+ * event loop. Bounds: the events of one experiment; a poll a connection.
  */
 public final class StandInJournal {
   private static final int MOST_EVENTS = 100_000;
 
   /** One cache in an event; startedAtMs is when it started cold, or 0. */
-  public record Instance(String id, String address, String kind, double weight, State state, long startedAtMs) {
+  public record Instance(
+      String id, String address, String kind, double weight, State state, long startedAtMs) {
     private String json() {
-      return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"" + address + "\",\"zone\":\"" + org.amberpath.lab.LabSettings.ZONE
-          + "\",\"machineType\":\"" + kind + "\",\"cell\":0,\"lifecycle\":\""
-          + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone") + "\",\"weight\":" + weight
-          + ",\"startedAtMs\":" + startedAtMs + "}";
+      return "{\"instanceId\":\""
+          + id
+          + "\",\"hostPort\":\""
+          + address
+          + "\",\"zone\":\""
+          + org.amberpath.lab.LabSettings.ZONE
+          + "\",\"machineType\":\""
+          + kind
+          + "\",\"cell\":0,\"lifecycle\":\""
+          + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone")
+          + "\",\"weight\":"
+          + weight
+          + ",\"startedAtMs\":"
+          + startedAtMs
+          + "}";
     }
   }
 
-  private record Poll(HttpServerRequest request, int tail) {
-  }
+  private record Poll(HttpServerRequest request, int tail) {}
 
   private final Vertx vertx;
   private final HttpServer server;
@@ -58,8 +69,12 @@
 
   /** One event of caches: the whole list, or what has changed of it. */
   public void hosts(boolean whole, List<Instance> instances) {
-    add("\"hosts\":{\"generation\":1,\"reset\":" + whole + ",\"instances\":["
-        + instances.stream().map(Instance::json).collect(Collectors.joining(",")) + "]}");
+    add(
+        "\"hosts\":{\"generation\":1,\"reset\":"
+            + whole
+            + ",\"instances\":["
+            + instances.stream().map(Instance::json).collect(Collectors.joining(","))
+            + "]}");
   }
 
   /** All events so far, in the form in which a configuration holds them. */
@@ -81,7 +96,7 @@
       throw new IllegalStateException("more than " + MOST_EVENTS + " events");
     }
     entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
-    for (Iterator<Poll> each = polls.iterator(); each.hasNext();) {
+    for (Iterator<Poll> each = polls.iterator(); each.hasNext(); ) {
       Poll poll = each.next();
       each.remove();
       reply(poll);
@@ -97,11 +112,13 @@
     }
     polls.add(poll);
     request.connection().closeHandler(closed -> polls.remove(poll));
-    vertx.setTimer(Math.max(1, wait), over -> {
-      if (polls.remove(poll)) {
-        reply(poll);
-      }
-    });
+    vertx.setTimer(
+        Math.max(1, wait),
+        over -> {
+          if (polls.remove(poll)) {
+            reply(poll);
+          }
+        });
   }
 
   private void reply(Poll poll) {
@@ -111,7 +128,10 @@
   }
 
   private String after(int tail) {
-    return "{\"pos\":" + entries.size() + ",\"entries\":["
-        + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size())) + "]}";
+    return "{\"pos\":"
+        + entries.size()
+        + ",\"entries\":["
+        + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size()))
+        + "]}";
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.ExperimentReport;
 import io.vertx.core.json.JsonObject;
 import java.util.Map;
+import org.amberpath.lab.ExperimentReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -14,10 +14,13 @@
 class UsageBoundsTest {
   private static final GatewayUsage USUAL = new GatewayUsage(200, 2, 80, 100, 200, 50_000, 0.9);
 
-  private static JsonObject compared(double cpu, double memory, int descriptors, long connections, long bytes,
-      double served) {
+  private static JsonObject compared(
+      double cpu, double memory, int descriptors, long connections, long bytes, double served) {
     ExperimentReport result = new ExperimentReport(1);
-    UsageBounds.compare(USUAL, new GatewayUsage(3200, cpu, memory, descriptors, connections, bytes, served), result);
+    UsageBounds.compare(
+        USUAL,
+        new GatewayUsage(3200, cpu, memory, descriptors, connections, bytes, served),
+        result);
     return new JsonObject(result.json());
   }
 
@@ -27,12 +30,24 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"cpu_s,3.21,80,100,200,50000,0.9", "peak_memory_mb,2,141,100,200,50000,0.9",
-      "peak_descriptors,2,80,241,200,50000,0.9", "cache_connections,2,80,100,541,50000,0.9",
-      "discovery_bytes,2,80,100,200,1764001,0.9", "share_served,2,80,100,200,50000,0.764"})
-  void whatIsJustBeyondOneRowMissesThatOneAlone(String row, double cpu, double memory, int descriptors,
-      long connections, long bytes, double served) {
-    JsonObject bars = compared(cpu, memory, descriptors, connections, bytes, served).getJsonObject("bars");
+  @CsvSource({
+    "cpu_s,3.21,80,100,200,50000,0.9",
+    "peak_memory_mb,2,141,100,200,50000,0.9",
+    "peak_descriptors,2,80,241,200,50000,0.9",
+    "cache_connections,2,80,100,541,50000,0.9",
+    "discovery_bytes,2,80,100,200,1764001,0.9",
+    "share_served,2,80,100,200,50000,0.764"
+  })
+  void whatIsJustBeyondOneRowMissesThatOneAlone(
+      String row,
+      double cpu,
+      double memory,
+      int descriptors,
+      long connections,
+      long bytes,
+      double served) {
+    JsonObject bars =
+        compared(cpu, memory, descriptors, connections, bytes, served).getJsonObject("bars");
     for (Map.Entry<String, Object> bar : bars) {
       assertEquals(!bar.getKey().equals(row), bar.getValue(), bar.getKey());
     }
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -4,14 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.registry.StandInRegistry;
-import org.amberpath.leadership.PurgeRetention;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.runtime.RecordCodec;
-import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.registry.runtime.RegistryAdminClient;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.HttpServerOptions;
@@ -19,14 +11,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.leadership.PurgeRetention;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistryAdminClient;
+import org.amberpath.registry.runtime.RegistrySettings;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** An owner that stood still between reading and deleting, while another took over: its late act deletes nothing. */
+/**
+ * An owner that stood still between reading and deleting, while another took over: its late act
+ * deletes nothing.
+ */
 class FencedPurgeRetentionTest {
   private static final String PREFIX = "p/", KEY = PREFIX + RecordCodec.TASKS + PurgeRetention.TASK;
-  private static final long SECOND = 1_000_000_000, RETENTION = 10 * SECOND, NOW_MS = 1_800_000_000_000L;
+  private static final long SECOND = 1_000_000_000,
+      RETENTION = 10 * SECOND,
+      NOW_MS = 1_800_000_000_000L;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
@@ -36,8 +41,12 @@
   }
 
   private void purge(String name, long agoMs) throws Exception {
-    on(() -> registry.write(Map.of(PREFIX + RecordCodec.PURGES + name,
-        RecordCodec.write(new RegistryRecord.Purge(7, 0, NOW_MS - agoMs)))));
+    on(
+        () ->
+            registry.write(
+                Map.of(
+                    PREFIX + RecordCodec.PURGES + name,
+                    RecordCodec.write(new RegistryRecord.Purge(7, 0, NOW_MS - agoMs)))));
   }
 
   @AfterEach
@@ -49,8 +58,23 @@
   @EnumSource(RegistrySettings.Form.class)
   void aLateActOfAnOlderTermDeletesNothing(RegistrySettings.Form form) throws Exception {
     int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
-    RegistrySettings access = new RegistrySettings(form, List.of(SocketAddress.inetSocketAddress(port, "127.0.0.1")),
-        PREFIX, null, null, null, null, null, null, null, SECOND, SECOND, RETENTION, 1000, 1 << 20);
+    RegistrySettings access =
+        new RegistrySettings(
+            form,
+            List.of(SocketAddress.inetSocketAddress(port, "127.0.0.1")),
+            PREFIX,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            null,
+            SECOND,
+            SECOND,
+            RETENTION,
+            1000,
+            1 << 20);
     PurgeRetention sweep = new PurgeRetention(RETENTION, SECOND);
     purge("old", 60_000);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, access)) {
@@ -60,26 +84,44 @@
       List<RegistryEntry> read = EventLoopWaiter.await(desk.list());
       RegistryEntry fence = PurgeRetention.fence(read, KEY);
       List<RegistryEntry> old = sweep.old(read, RETENTION + 1, NOW_MS);
-      assertEquals(List.of(PREFIX + RecordCodec.PURGES + "old"), old.stream().map(RegistryEntry::key).toList());
+      assertEquals(
+          List.of(PREFIX + RecordCodec.PURGES + "old"),
+          old.stream().map(RegistryEntry::key).toList());
 
       // The second acts under a higher term; another purge grows old.
-      assertTrue(EventLoopWaiter.await(desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
+      assertTrue(
+          EventLoopWaiter.await(
+              desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
       purge("older", 90_000);
       List<RegistryEntry> left = EventLoopWaiter.await(desk.list());
       assertEquals(List.of(), sweep.old(left, RETENTION + 2, NOW_MS));
-      List<RegistryEntry> late = sweep.old(left, 2 * RETENTION + 3, NOW_MS).stream()
-          .filter(one -> one.key().endsWith("/older")).toList();
+      List<RegistryEntry> late =
+          sweep.old(left, 2 * RETENTION + 3, NOW_MS).stream()
+              .filter(one -> one.key().endsWith("/older"))
+              .toList();
       assertEquals(1, late.size());
 
       // The first wakes up, and goes on with what it read.
-      assertFalse(EventLoopWaiter.await(desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
+      assertFalse(
+          EventLoopWaiter.await(
+              desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
       List<RegistryEntry> now = EventLoopWaiter.await(desk.list());
       assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.fence(now, KEY).content());
       assertTrue(now.stream().anyMatch(one -> one.key().endsWith("/older")));
 
       // The second goes on by its own fence.
-      assertTrue(EventLoopWaiter.await(desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), PurgeRetention.fence(now, KEY), late)));
-      assertEquals(1, EventLoopWaiter.await(desk.list()).stream().filter(one -> one.content() instanceof RegistryRecord.Purge).count());
+      assertTrue(
+          EventLoopWaiter.await(
+              desk.sweep(
+                  PurgeRetention.TASK,
+                  new RegistryRecord.Task(20, "g2"),
+                  PurgeRetention.fence(now, KEY),
+                  late)));
+      assertEquals(
+          1,
+          EventLoopWaiter.await(desk.list()).stream()
+              .filter(one -> one.content() instanceof RegistryRecord.Purge)
+              .count());
     }
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Map;
 import org.amberpath.lab.SeededRuns;
 import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
-import java.util.Map;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -2,10 +2,10 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.lab.SeededRuns;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.lab.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** The fleet's view on a virtual clock: the same seeds meet the same faults each time. */
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.lab.SeededRuns;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.lab.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** Planners and forwarders that fail in any order, always from the same seeds. */
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.lab.ExperimentReport;
-import org.amberpath.lab.SeededRuns;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** The pure half against a registry that fails in any order, always from the same seeds. */
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -5,17 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.LoopbackTestbed;
-import org.amberpath.lab.registry.StandInRegistry.Way;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.WatchSession.Phase;
-import org.amberpath.registry.runtime.RecordCodec;
-import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.registry.runtime.RegistrySettings.Form;
-import org.amberpath.registry.runtime.RegistryAdminClient;
-import org.amberpath.registry.runtime.RegistrySource;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import io.vertx.core.http.ClientAuth;
@@ -38,6 +27,17 @@
 import java.util.logging.Handler;
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
+import org.amberpath.lab.EventLoopWaiter;
+import org.amberpath.lab.LoopbackTestbed;
+import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.WatchSession.Phase;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistryAdminClient;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistrySettings.Form;
+import org.amberpath.registry.runtime.RegistrySource;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -45,42 +45,48 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The live half on sockets against a stand-in registry: what only sockets, files and TLS can get wrong. */
+/**
+ * The live half on sockets against a stand-in registry: what only sockets, files and TLS can get
+ * wrong.
+ */
 @Timeout(60)
 class RegistrySourceTest {
   private static final String SECRET = "s3cr3t-of-the-house", PREFIX = "amberpath/";
   private static final long SECOND = 1_000_000_000;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-  private final RecordedEndpointList told = new RecordedEndpointList(System::nanoTime, line -> { }, line -> { }).purgedOften();
+  private final RecordedEndpointList told =
+      new RecordedEndpointList(System::nanoTime, line -> {}, line -> {}).purgedOften();
   private final List<String> logged = new ArrayList<>();
   private final Logger logger = Logger.getLogger("org.amberpath.registry");
-  private final Handler handler = new Handler() {
-    @Override public void publish(LogRecord record) {
-      synchronized (logged) {
-        logged.add(record.getMessage());
-      }
-    }
+  private final Handler handler =
+      new Handler() {
+        @Override
+        public void publish(LogRecord record) {
+          synchronized (logged) {
+            logged.add(record.getMessage());
+          }
+        }
 
-    @Override public void flush() {
-    }
+        @Override
+        public void flush() {}
 
-    @Override public void close() {
-    }
-  };
-  @TempDir
-  private Path folder;
+        @Override
+        public void close() {}
+      };
+  @TempDir private Path folder;
   private StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   private RegistrySource source;
 
   @AfterEach
   void end() throws Exception {
-    on(() -> {
-      if (source != null) {
-        source.close();
-      }
-      return null;
-    });
+    on(
+        () -> {
+          if (source != null) {
+            source.close();
+          }
+          return null;
+        });
     logger.removeHandler(handler);
     LoopbackTestbed.await(vertx.close());
   }
@@ -91,7 +97,8 @@
 
   private void await(Callable<Boolean> what) throws Exception {
     for (int left = 2000; !on(what); left--) {
-      assertTrue(left > 0, () -> "not in time; " + told.states() + " " + source.status() + " " + logged);
+      assertTrue(
+          left > 0, () -> "not in time; " + told.states() + " " + source.status() + " " + logged);
       Thread.sleep(5);
     }
   }
@@ -102,11 +109,28 @@
     }
   }
 
-  private RegistrySettings access(Form form, Path trust, Path token, String user, Path password, Path snapshot) {
-    List<SocketAddress> all = registry.endpoints().stream()
-        .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1")).toList();
-    return new RegistrySettings(form, all, PREFIX, trust, null, null, token, user, password, snapshot, 0,
-        3600 * SECOND, 600 * SECOND, 1000, 1 << 20);
+  private RegistrySettings access(
+      Form form, Path trust, Path token, String user, Path password, Path snapshot) {
+    List<SocketAddress> all =
+        registry.endpoints().stream()
+            .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
+            .toList();
+    return new RegistrySettings(
+        form,
+        all,
+        PREFIX,
+        trust,
+        null,
+        null,
+        token,
+        user,
+        password,
+        snapshot,
+        0,
+        3600 * SECOND,
+        600 * SECOND,
+        1000,
+        1 << 20);
   }
 
   private RegistrySettings plain(Form form) {
@@ -115,17 +139,22 @@
 
   private void start(RegistrySettings access) throws Exception {
     logger.addHandler(handler);
-    on(() -> {
-      source = new RegistrySource(vertx, access, told, 7);
-      source.start();
-      return null;
-    });
+    on(
+        () -> {
+          source = new RegistrySource(vertx, access, told, 7);
+          source.start();
+          return null;
+        });
   }
 
   private void put(String id, State state) throws Exception {
     Map<String, byte[]> writes = new TreeMap<>();
-    writes.put(PREFIX + RecordCodec.CACHES + id, state == null ? null : RecordCodec.write(
-        new RegistryRecord.Cache(id, "127.0.0.1:7001", "z", "box", 0, state, 1, 0)));
+    writes.put(
+        PREFIX + RecordCodec.CACHES + id,
+        state == null
+            ? null
+            : RecordCodec.write(
+                new RegistryRecord.Cache(id, "127.0.0.1:7001", "z", "box", 0, state, 1, 0)));
     writes.put(PREFIX + RecordCodec.TIP, Long.toString(System.nanoTime()).getBytes());
     on(() -> registry.write(writes));
   }
@@ -143,21 +172,25 @@
     await(() -> is("a", State.UP));
     put("a", State.DRAINING);
     await(() -> is("a", State.DRAINING));
-    on(() -> {
-      registry.endpoints().forEach(StandInRegistry.Endpoint::cut);
-      return null;
-    });
+    on(
+        () -> {
+          registry.endpoints().forEach(StandInRegistry.Endpoint::cut);
+          return null;
+        });
     put("b", State.UP);
     put("a", null);
-    on(() -> {
-      registry.compact(0);
-      return null;
-    });
+    on(
+        () -> {
+          registry.compact(0);
+          return null;
+        });
     await(() -> is("b", State.UP) && is("a", null));
-    on(() -> {
-      registry.write(new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES + "bad", new byte[] {1})));
-      return null;
-    });
+    on(
+        () -> {
+          registry.write(
+              new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES + "bad", new byte[] {1})));
+          return null;
+        });
     put("c", State.UP);
     await(() -> is("c", State.UP) && is("bad", null));
   }
@@ -171,10 +204,11 @@
     await(() -> is("a", State.UP) && source.status().watches() == 2);
     // Warm, and steady for longer than a lone endpoint must be.
     Thread.sleep(1500);
-    on(() -> {
-      registry.endpoints().subList(0, 2).forEach(one -> one.become(Way.SILENT));
-      return null;
-    });
+    on(
+        () -> {
+          registry.endpoints().subList(0, 2).forEach(one -> one.become(Way.SILENT));
+          return null;
+        });
     long written = System.nanoTime();
     put("a", State.DRAINING);
     await(() -> is("a", State.DRAINING));
@@ -187,26 +221,29 @@
     endpoints(1);
     Path token = folder.resolve("token");
     Files.writeString(token, SECRET + "-1\n");
-    on(() -> {
-      registry.askFor(SECRET + "-1");
-      return null;
-    });
+    on(
+        () -> {
+          registry.askFor(SECRET + "-1");
+          return null;
+        });
     put("a", State.UP);
     start(access(Form.ETCD, null, token, null, null, null));
     await(() -> is("a", State.UP));
     Files.writeString(token, SECRET + "-2\n");
-    on(() -> {
-      registry.askFor(SECRET + "-2");
-      registry.endpoints().get(0).cut();
-      return null;
-    });
+    on(
+        () -> {
+          registry.askFor(SECRET + "-2");
+          registry.endpoints().get(0).cut();
+          return null;
+        });
     put("a", State.DRAINING);
     await(() -> is("a", State.DRAINING));
-    on(() -> {
-      registry.askFor(SECRET + "-3");
-      registry.endpoints().get(0).cut();
-      return null;
-    });
+    on(
+        () -> {
+          registry.askFor(SECRET + "-3");
+          registry.endpoints().get(0).cut();
+          return null;
+        });
     await(() -> logged.stream().anyMatch(line -> line.contains("UNAUTHORISED")));
     assertFalse(logged.toString().contains(SECRET), logged.toString());
   }
@@ -216,10 +253,11 @@
     endpoints(1);
     Path password = folder.resolve("password");
     Files.writeString(password, SECRET);
-    on(() -> {
-      registry.askFor("given");
-      return null;
-    });
+    on(
+        () -> {
+          registry.askFor("given");
+          return null;
+        });
     put("a", State.UP);
     start(access(Form.ETCD, null, null, "reader", password, null));
     await(() -> is("a", State.UP));
@@ -229,25 +267,54 @@
   /** Makes a key and a certificate for 127.0.0.1 with the JDK's own tool, as PEM files. */
   private PemKeyCertOptions certificate(String name) throws Exception {
     Path store = folder.resolve(name + ".p12");
-    Process made = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
-        "-genkeypair", "-alias", "a", "-keyalg", "EC", "-storetype", "PKCS12", "-keystore", store.toString(),
-        "-storepass", "password", "-dname", "CN=stand-in", "-ext", "SAN=IP:127.0.0.1").inheritIO().start();
+    Process made =
+        new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "keytool").toString(),
+                "-genkeypair",
+                "-alias",
+                "a",
+                "-keyalg",
+                "EC",
+                "-storetype",
+                "PKCS12",
+                "-keystore",
+                store.toString(),
+                "-storepass",
+                "password",
+                "-dname",
+                "CN=stand-in",
+                "-ext",
+                "SAN=IP:127.0.0.1")
+            .inheritIO()
+            .start();
     assertEquals(0, made.waitFor());
     KeyStore keys = KeyStore.getInstance(store.toFile(), "password".toCharArray());
     Key key = keys.getKey("a", "password".toCharArray());
     Path certificate = pem(name + ".crt", "CERTIFICATE", keys.getCertificate("a").getEncoded());
     Path secret = pem(name + ".key", "PRIVATE KEY", key.getEncoded());
-    return new PemKeyCertOptions().setCertPath(certificate.toString()).setKeyPath(secret.toString());
+    return new PemKeyCertOptions()
+        .setCertPath(certificate.toString())
+        .setKeyPath(secret.toString());
   }
 
   private Path pem(String name, String what, byte[] bytes) throws IOException {
-    return Files.writeString(folder.resolve(name), "-----BEGIN " + what + "-----\n"
-        + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes) + "\n-----END " + what + "-----\n");
+    return Files.writeString(
+        folder.resolve(name),
+        "-----BEGIN "
+            + what
+            + "-----\n"
+            + Base64.getMimeEncoder(64, new byte[] {'\n'}).encodeToString(bytes)
+            + "\n-----END "
+            + what
+            + "-----\n");
   }
 
   @Test
-  void aServerThatIsNotTheOneMeantIsToldApartAndTakenOnceItsAuthorityIsInTheFile() throws Exception {
-    registry = new StandInRegistry(vertx, new HttpServerOptions().setSsl(true).setKeyCertOptions(certificate("one")));
+  void aServerThatIsNotTheOneMeantIsToldApartAndTakenOnceItsAuthorityIsInTheFile()
+      throws Exception {
+    registry =
+        new StandInRegistry(
+            vertx, new HttpServerOptions().setSsl(true).setKeyCertOptions(certificate("one")));
     endpoints(1);
     certificate("other");
     Path trust = Files.copy(folder.resolve("other.crt"), folder.resolve("trust.pem"));
@@ -256,16 +323,18 @@
     await(() -> logged.stream().anyMatch(line -> line.contains("UNTRUSTED")));
     assertEquals(Map.of(), told.states());
     Files.writeString(trust, Files.readString(folder.resolve("one.crt")));
-    on(() -> {
-      source.renewed();
-      return null;
-    });
+    on(
+        () -> {
+          source.renewed();
+          return null;
+        });
     await(() -> is("a", State.UP));
     // Read again, files leave an open watch alone.
-    on(() -> {
-      source.renewed();
-      return null;
-    });
+    on(
+        () -> {
+          source.renewed();
+          return null;
+        });
     put("a", State.DRAINING);
     await(() -> is("a", State.DRAINING));
   }
@@ -274,15 +343,36 @@
   void aServerThatAsksForAClientsCertificateIsShownOne() throws Exception {
     PemKeyCertOptions server = certificate("server");
     certificate("client");
-    registry = new StandInRegistry(vertx, new HttpServerOptions().setSsl(true).setKeyCertOptions(server)
-        .setClientAuth(ClientAuth.REQUIRED)
-        .setTrustOptions(new PemTrustOptions().addCertPath(folder.resolve("client.crt").toString())));
+    registry =
+        new StandInRegistry(
+            vertx,
+            new HttpServerOptions()
+                .setSsl(true)
+                .setKeyCertOptions(server)
+                .setClientAuth(ClientAuth.REQUIRED)
+                .setTrustOptions(
+                    new PemTrustOptions().addCertPath(folder.resolve("client.crt").toString())));
     endpoints(1);
     put("a", State.UP);
     Path trust = folder.resolve("server.crt");
     RegistrySettings without = access(Form.ETCD, trust, null, null, null, null);
-    start(new RegistrySettings(Form.ETCD, without.endpoints(), PREFIX, trust, folder.resolve("client.crt"),
-        folder.resolve("client.key"), null, null, null, null, 0, SECOND, 600 * SECOND, 1000, 1 << 20));
+    start(
+        new RegistrySettings(
+            Form.ETCD,
+            without.endpoints(),
+            PREFIX,
+            trust,
+            folder.resolve("client.crt"),
+            folder.resolve("client.key"),
+            null,
+            null,
+            null,
+            null,
+            0,
+            SECOND,
+            600 * SECOND,
+            1000,
+            1 << 20));
     await(() -> is("a", State.UP));
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, without)) {
       assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
@@ -295,10 +385,11 @@
     put("a", State.UP);
     start(plain(Form.ETCD));
     await(() -> is("a", State.UP) && source.status().watches() == 1);
-    on(() -> {
-      registry.endpoints().get(0).finish();
-      return null;
-    });
+    on(
+        () -> {
+          registry.endpoints().get(0).finish();
+          return null;
+        });
     put("a", State.DRAINING);
     await(() -> is("a", State.DRAINING) && source.status().watches() == 1);
   }
@@ -310,21 +401,23 @@
     Path file = folder.resolve("view");
     start(access(Form.ETCD, null, null, null, null, file));
     await(() -> Files.exists(file));
-    on(() -> {
-      source.close();
-      registry.endpoints().get(0).become(Way.REFUSES);
-      return null;
-    });
+    on(
+        () -> {
+          source.close();
+          registry.endpoints().get(0).become(Way.REFUSES);
+          return null;
+        });
     told.listing(true);
     told.listed();
     start(access(Form.ETCD, null, null, null, null, file));
     await(() -> is("a", State.UP));
     assertTrue(on(() -> source.status().age() > 0 && source.status().phase() != Phase.CURRENT));
     put("a", State.DRAINING);
-    on(() -> {
-      registry.endpoints().get(0).become(Way.ANSWERS);
-      return null;
-    });
+    on(
+        () -> {
+          registry.endpoints().get(0).become(Way.ANSWERS);
+          return null;
+        });
     await(() -> is("a", State.DRAINING));
   }
 
@@ -334,14 +427,22 @@
     endpoints(1);
     put("a", State.UP);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
-      long seen = LoopbackTestbed.await(desk.list()).stream().filter(one -> one.key().endsWith("/a")).findFirst().orElseThrow()
-          .changed();
+      long seen =
+          LoopbackTestbed.await(desk.list()).stream()
+              .filter(one -> one.key().endsWith("/a"))
+              .findFirst()
+              .orElseThrow()
+              .changed();
       put("a", State.DRAINING);
-      RegistryRecord.Cache other = new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, State.UP, 1, 0);
-      assertFalse(LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "a", other, seen)));
+      RegistryRecord.Cache other =
+          new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, State.UP, 1, 0);
+      assertFalse(
+          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "a", other, seen)));
       long tip = on(() -> registry.revision());
       assertTrue(LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "b", other, 0)));
-      assertTrue(LoopbackTestbed.await(desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
+      assertTrue(
+          LoopbackTestbed.await(
+              desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
       assertTrue(on(() -> registry.revision()) > tip);
       assertEquals(4, LoopbackTestbed.await(desk.list()).size());
     }
@@ -350,13 +451,16 @@
   @Test
   void staffAreToldWhatTheyCanActOn() throws Exception {
     endpoints(1);
-    on(() -> {
-      registry.endpoints().get(0).become(Way.REFUSES);
-      return null;
-    });
+    on(
+        () -> {
+          registry.endpoints().get(0).become(Way.REFUSES);
+          return null;
+        });
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(Form.ETCD))) {
-      ExecutionException e = assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
-      assertTrue(e.getCause().getMessage().endsWith("nothing listens there"), e.getCause().getMessage());
+      ExecutionException e =
+          assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
+      assertTrue(
+          e.getCause().getMessage().endsWith("nothing listens there"), e.getCause().getMessage());
     }
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -4,10 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * The task of filling what viewers will ask for into caches that have just started: when, and how many at a time.
- * Which, and whether a cache bears it, the gateway's decisions say for each.
+ * The task of filling what viewers will ask for into caches that have just started: when, and how
+ * many at a time. Which, and whether a cache bears it, the gateway's decisions say for each.
  *
- * <p>Bounds: {@value #MOST} caches that are cold at a time, {@value #MOST_OUT} GETs out, {@value #A_TICK} asks a tick.
+ * <p>Bounds: {@value #MOST} caches that are cold at a time, {@value #MOST_OUT} GETs out, {@value
+ * #A_TICK} asks a tick.
  */
 public final class CachePrefetch {
   public static final String TASK = "warm";
@@ -33,8 +34,11 @@
 
   /** Whether one more is to be asked for now; it counts as out until {@link #ended}. */
   public boolean next(long now) {
-    boolean may = now >= restUntil && asked < A_TICK && out < MOST_OUT
-        && coldUntil.values().stream().anyMatch(until -> until > now);
+    boolean may =
+        now >= restUntil
+            && asked < A_TICK
+            && out < MOST_OUT
+            && coldUntil.values().stream().anyMatch(until -> until > now);
     if (may) {
       asked++;
       out++;
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -11,44 +11,67 @@
 import java.util.function.Supplier;
 
 /**
- * The task of trying caches that were set aside, once for the fleet. A gateway that has set one aside asks whoever may
- * own the task; the owner tries each cache that it is asked for, and says how long ago each answered or did not. While
- * such word comes, gateways leave trying to the owner. Once a cache that several have set aside was silent in trials of
- * the owner's too, all are told, since where each sees little each would find it out by itself, late. What the word is
- * worth against what a gateway sees itself is decided by its own decisions.
+ * The task of trying caches that were set aside, once for the fleet. A gateway that has set one
+ * aside asks whoever may own the task; the owner tries each cache that it is asked for, and says
+ * how long ago each answered or did not. While such word comes, gateways leave trying to the owner.
+ * Once a cache that several have set aside was silent in trials of the owner's too, all are told,
+ * since where each sees little each would find it out by itself, late. What the word is worth
+ * against what a gateway sees itself is decided by its own decisions.
  *
- * <p>Bounds: {@value #MOST} caches each way, {@value #MOST_NAMED} a letter, {@value #MOST_OUT} trials out at a time;
- * an owner is asked about {@value #ASKS_A_SECOND} times a second by the whole fleet, whatever its size, and tells
- * {@value #TOLD_A_TICK} a tick of what is silent, each once in {@value #TOLD_EVERY_MS} ms.
+ * <p>Bounds: {@value #MOST} caches each way, {@value #MOST_NAMED} a letter, {@value #MOST_OUT}
+ * trials out at a time; an owner is asked about {@value #ASKS_A_SECOND} times a second by the whole
+ * fleet, whatever its size, and tells {@value #TOLD_A_TICK} a tick of what is silent, each once in
+ * {@value #TOLD_EVERY_MS} ms.
  */
 public final class HealthCheckCoordinator {
   public static final String TASK = "probe";
+
   /** How many caches are named in a letter. */
   public static final int MOST_NAMED = 10;
-  private static final int MOST = 64, MOST_OUT = 8, ASKS_A_SECOND = 200, CANDIDATES = 3, TRUSTED = 3;
+
+  private static final int MOST = 64,
+      MOST_OUT = 8,
+      ASKS_A_SECOND = 200,
+      CANDIDATES = 3,
+      TRUSTED = 3;
   private static final long MS = 1_000_000, EACH = 500 * MS, SOON = 50 * MS;
-  private static final long PAUSE = 125 * MS, SHORTEST = 1000 * MS, LONGEST_PAUSE = 4000 * MS, AGAIN = 500 * MS;
+  private static final long PAUSE = 125 * MS,
+      SHORTEST = 1000 * MS,
+      LONGEST_PAUSE = 4000 * MS,
+      AGAIN = 500 * MS;
   private static final long LONGEST_WAY = 1000 * MS, HEARD_LASTS = 30_000 * MS;
-  private static final int WITNESSES = 2, SILENCES = 2, FEWER = 10, TOLD_A_TICK = 20, TOLD_EVERY_MS = 4000;
+  private static final int WITNESSES = 2,
+      SILENCES = 2,
+      FEWER = 10,
+      TOLD_A_TICK = 20,
+      TOLD_EVERY_MS = 4000;
 
   /** A question of caches, under a stamp that its answer brings back. */
-  public record Ask(String to, long stamp, List<String> caches) {
-  }
+  public record Ask(String to, long stamp, List<String> caches) {}
 
-  /** What came of the last trial of a cache: whether it answered, and how long ago; none yet with -1. */
-  public record Said(boolean answers, long ago) {
-  }
+  /**
+   * What came of the last trial of a cache: whether it answered, and how long ago; none yet with
+   * -1.
+   */
+  public record Said(boolean answers, long ago) {}
 
   /** How a trial ended: nothing was sent where the gateway's decisions let none go. */
-  public enum End { ANSWERED, SILENT, NOT_SENT }
+  public enum End {
+    ANSWERED,
+    SILENT,
+    NOT_SENT
+  }
 
   /** One cache that an owner may try. */
   private static final class Wanted {
     /** The first who have set it aside: two are enough to know. */
     final Set<String> by = new TreeSet<>();
+
     long askedAt, sentAt, nextTry, heardUntil, pause = PAUSE;
+
     /** Of the last trial that has ended, not of one that is out. */
     long endedAt, endedSentAt;
+
     int silences;
     boolean out, answers, wasSilent;
 
@@ -64,29 +87,43 @@
     }
   }
 
-  /** Set aside by this gateway, or silent as far as it sees; what finds no room is tried alone, as without an owner. */
+  /**
+   * Set aside by this gateway, or silent as far as it sees; what finds no room is tried alone, as
+   * without an owner.
+   */
   private final Map<String, Boolean> aside = new TreeMap<>();
+
   /** What the last word was of each cache, of {@value #MOST}. */
-  private final Map<String, Boolean> silentByWord = new LinkedHashMap<>() {
-    @Override protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-      return size() > MOST;
-    }
-  };
+  private final Map<String, Boolean> silentByWord =
+      new LinkedHashMap<>() {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
+          return size() > MOST;
+        }
+      };
+
   private final Map<String, Wanted> wanted = new LinkedHashMap<>();
   private final FencingGuard fence = new FencingGuard();
   private String prober = "";
   private long askedAt = Long.MIN_VALUE / 2, nextAsk, wordAt = Long.MIN_VALUE / 2, interval = EACH;
   private int turn, out, next, round;
   private boolean answered = true;
+
   /** Who is still to be told. */
   private final ArrayDeque<String> toTell = new ArrayDeque<>();
+
   private long tellFrom;
-  /** Between two trials of one that is silent: by all together a tenth of what each would, alone. */
+
+  /**
+   * Between two trials of one that is silent: by all together a tenth of what each would, alone.
+   */
   private long longest = LONGEST_PAUSE;
 
   // ---- As any gateway.
 
-  /** A cache was set aside here, or is silent as far as is seen here; or need not be tried any more. */
+  /**
+   * A cache was set aside here, or is silent as far as is seen here; or need not be tried any more.
+   */
   public void standing(long now, String cache, boolean well) {
     if (well) {
       aside.remove(cache);
@@ -95,8 +132,10 @@
     }
   }
 
-  /** A cache answers this gateway: to whom it has to be told, if to anybody. Guards against an owner whose own link to
-   * it is cut, and that has told all that it is silent. */
+  /**
+   * A cache answers this gateway: to whom it has to be told, if to anybody. Guards against an owner
+   * whose own link to it is cut, and that has told all that it is silent.
+   */
   public String answers(long now, String cache) {
     boolean told = Boolean.TRUE.equals(silentByWord.remove(cache));
     return told && now - wordAt < TRUSTED * interval ? prober : "";
@@ -108,16 +147,18 @@
   }
 
   /**
-   * The question that is due, or null. It goes to the one that answered last, else in turn to those that would own the
-   * task first.
+   * The question that is due, or null. It goes to the one that answered last, else in turn to those
+   * that would own the task first.
    *
    * @param many how many gateways there are
-   * @param order those that are there, in the order in which they would own it; this one is none of them
+   * @param order those that are there, in the order in which they would own it; this one is none of
+   *     them
    * @param own whether this gateway owns it, and so asks itself
    */
   public Ask due(long now, int many, Supplier<List<String>> order, boolean own) {
     interval = Math.max(EACH, many * (1000 * MS / ASKS_A_SECOND));
-    longest = Math.max(SHORTEST, Math.min(LONGEST_PAUSE, FEWER * LONGEST_PAUSE / Math.max(1, many)));
+    longest =
+        Math.max(SHORTEST, Math.min(LONGEST_PAUSE, FEWER * LONGEST_PAUSE / Math.max(1, many)));
     if (aside.isEmpty() || now < nextAsk) {
       return null;
     }
@@ -149,13 +190,16 @@
   }
 
   /**
-   * Word of an owner. Guards: a term below one that was seen here, and that a cache answers as the answer to another
-   * question than the last, are worth nothing. What was not asked for is older than it says.
+   * Word of an owner. Guards: a term below one that was seen here, and that a cache answers as the
+   * answer to another question than the last, are worth nothing. What was not asked for is older
+   * than it says.
    *
    * @param stamp of the question that it answers; 0 for none
-   * @return what it says of caches, by this clock: of answers how long ago at the longest; null where it is passed over
+   * @return what it says of caches, by this clock: of answers how long ago at the longest; null
+   *     where it is passed over
    */
-  public Map<String, Said> word(long now, String from, long term, long stamp, Map<String, Said> said) {
+  public Map<String, Said> word(
+      long now, String from, long term, long stamp, Map<String, Said> said) {
     if (!fence.passes(TASK, term, from)) {
       return null;
     }
@@ -169,13 +213,16 @@
       wordAt = now;
     }
     Map<String, Said> taken = new TreeMap<>();
-    said.forEach((cache, one) -> {
-      if (one.ago >= 0 && (!one.answers || (last || stamp == 0) && aside.containsKey(cache))) {
-        // Guards against word of an answer that was long on its way: it is older than it says.
-        silentByWord.put(cache, !one.answers);
-        taken.put(cache, one.answers ? new Said(true, one.ago + (last ? now - stamp : LONGEST_WAY)) : one);
-      }
-    });
+    said.forEach(
+        (cache, one) -> {
+          if (one.ago >= 0 && (!one.answers || (last || stamp == 0) && aside.containsKey(cache))) {
+            // Guards against word of an answer that was long on its way: it is older than it says.
+            silentByWord.put(cache, !one.answers);
+            taken.put(
+                cache,
+                one.answers ? new Said(true, one.ago + (last ? now - stamp : LONGEST_WAY)) : one);
+          }
+        });
     return taken;
   }
 
@@ -184,7 +231,10 @@
     return fence.seen(TASK);
   }
 
-  /** Whether what is set aside here is tried for the fleet: by another that may be trusted to, or by this one. */
+  /**
+   * Whether what is set aside here is tried for the fleet: by another that may be trusted to, or by
+   * this one.
+   */
   public boolean forAll(long now, boolean own) {
     return own || now - wordAt < TRUSTED * interval;
   }
@@ -208,7 +258,10 @@
     return one;
   }
 
-  /** What came of the trials of each of these that another has set aside. They are tried from now on. */
+  /**
+   * What came of the trials of each of these that another has set aside. They are tried from now
+   * on.
+   */
   public Map<String, Said> asked(long now, String by, List<String> caches) {
     Map<String, Said> said = new TreeMap<>();
     for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
@@ -236,7 +289,10 @@
     return due;
   }
 
-  /** Another gateway has an answer from these: what the owner can't reach itself is not silent for all. */
+  /**
+   * Another gateway has an answer from these: what the owner can't reach itself is not silent for
+   * all.
+   */
   public void heard(long now, List<String> caches) {
     for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
       Wanted one = wanted.get(cache);
@@ -278,16 +334,18 @@
   }
 
   /**
-   * What all are to know, for those that {@link #toldNow} names: caches that are silent, or were and answer now. More
-   * than fit into a letter take turns, from one time that all are told to the next.
+   * What all are to know, for those that {@link #toldNow} names: caches that are silent, or were
+   * and answer now. More than fit into a letter take turns, from one time that all are told to the
+   * next.
    */
   public Map<String, Said> news(long now) {
     List<String> all = new ArrayList<>();
-    wanted.forEach((cache, one) -> {
-      if (one.isNews() && now - one.askedAt <= (TRUSTED + 1) * interval) {
-        all.add(cache);
-      }
-    });
+    wanted.forEach(
+        (cache, one) -> {
+          if (one.isNews() && now - one.askedAt <= (TRUSTED + 1) * interval) {
+            all.add(cache);
+          }
+        });
     Map<String, Said> news = new TreeMap<>();
     for (int at = 0; at < Math.min(MOST_NAMED, all.size()); at++) {
       String cache = all.get((round * MOST_NAMED + at) % all.size());
