--- a/leadership/src/main/java/org/amberpath/leadership/Leadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Leadership.java
@@ -1,18 +1,24 @@
 package org.amberpath.leadership;
 
 /**
- * Whether a named task is this process's own for now. Two sources tell: a lease in the registry, and votes. Times are
- * nanoseconds of this process's own clock.
+ * Whether a named task is this process's own for now. Two sources tell: a lease in the registry,
+ * and votes. Times are nanoseconds of this process's own clock.
  *
- * <p>Whoever acts asks {@link #holds} in the moment of acting and again in the moment of sending: belief from before
- * is worth nothing, since the process may have stood still in between.
+ * <p>Whoever acts asks {@link #holds} in the moment of acting and again in the moment of sending:
+ * belief from before is worth nothing, since the process may have stood still in between.
  */
 public interface Leadership {
   /**
-   * FOLLOWING: another owns it, or nobody. ASKING: a try is out. WAITING: owns it, and lets what older owners began run
-   * out first. HOLDING: may act. RESIGNED: is to end, and tries no more.
+   * FOLLOWING: another owns it, or nobody. ASKING: a try is out. WAITING: owns it, and lets what
+   * older owners began run out first. HOLDING: may act. RESIGNED: is to end, and tries no more.
    */
-  enum State { FOLLOWING, ASKING, WAITING, HOLDING, RESIGNED }
+  enum State {
+    FOLLOWING,
+    ASKING,
+    WAITING,
+    HOLDING,
+    RESIGNED
+  }
 
   State state();
 
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
@@ -4,8 +4,8 @@
  * One message between a candidate and a voter, on one task.
  *
  * @param ballot the candidate's number
- * @param other of PROPOSE and ACCEPTED: which proposal under that number; of PROMISE: for how long another still owns
- *     the task, 0 for nobody; of REFUSED: the number that the voter is bound to
+ * @param other of PROPOSE and ACCEPTED: which proposal under that number; of PROMISE: for how long
+ *     another still owns the task, 0 for nobody; of REFUSED: the number that the voter is bound to
  * @param last of PROMISE: the number that this voter accepted last, 0 for none that it remembers
  */
 public record LeaseMessage(Kind kind, String task, long ballot, long other, long last) {
@@ -18,5 +18,12 @@
   }
 
   /** Asked and answered in this order; RELEASE lets go what was accepted. */
-  public enum Kind { PREPARE, PROMISE, PROPOSE, ACCEPTED, REFUSED, RELEASE }
+  public enum Kind {
+    PREPARE,
+    PROMISE,
+    PROPOSE,
+    ACCEPTED,
+    REFUSED,
+    RELEASE
+  }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
@@ -1,12 +1,12 @@
 package org.amberpath.leadership;
 
 /**
- * What all owners, candidates and voters agree on beforehand. Nanoseconds; no two clocks need to agree, only to run at
- * nearly the same speed.
+ * What all owners, candidates and voters agree on beforehand. Nanoseconds; no two clocks need to
+ * agree, only to run at nearly the same speed.
  *
  * @param lease for how long a task is somebody's without a sign of life
- * @param settle how long a new owner waits before it acts, so that what older ones began has run out: the longest act,
- *     and what a message may take that was sent in the last moment
+ * @param settle how long a new owner waits before it acts, so that what older ones began has run
+ *     out: the longest act, and what a message may take that was sent in the last moment
  * @param driftPpm by how many millionths a clock may run fast or slow
  */
 public record LeaseTimings(long lease, long settle, int driftPpm) {
@@ -15,7 +15,8 @@
   /** Checks what the rules depend on. */
   public LeaseTimings {
     if (lease < MILLION || settle < 0 || driftPpm < 0 || driftPpm > MILLION / 20) {
-      throw new IllegalArgumentException("lease " + lease + ", settle " + settle + ", drift " + driftPpm);
+      throw new IllegalArgumentException(
+          "lease " + lease + ", settle " + settle + ", drift " + driftPpm);
     }
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -1,15 +1,15 @@
 package org.amberpath.leadership;
 
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
 
 /**
- * The task of taking purges' keys out of a registry that are past their retention: which, and when to look. Bounds:
- * {@value #MOST} keys at a time; one entry for each purge that the registry holds.
+ * The task of taking purges' keys out of a registry that are past their retention: which, and when
+ * to look. Bounds: {@value #MOST} keys at a time; one entry for each purge that the registry holds.
  */
 public final class PurgeRetention {
   public static final String TASK = "sweep";
@@ -17,8 +17,7 @@
   private static final long MS = 1_000_000, LONGEST_STEP_MILLIS = 3_600_000;
 
   /** One key as it was written, and since when it is known to be there. */
-  private record Seen(long changed, long since) {
-  }
+  private record Seen(long changed, long since) {}
 
   private final long retention, every;
   private Map<String, Seen> seen = Map.of();
@@ -47,9 +46,10 @@
   }
 
   /**
-   * What may go, the oldest first: keys that were there for longer than the retention as this process saw it, and those
-   * whose stamp says so even if its writer's wall clock and this one are a step off, each to its own side. Guards
-   * against a purge that goes while gateways have not heard of it; owners that follow one another need not wait.
+   * What may go, the oldest first: keys that were there for longer than the retention as this
+   * process saw it, and those whose stamp says so even if its writer's wall clock and this one are
+   * a step off, each to its own side. Guards against a purge that goes while gateways have not
+   * heard of it; owners that follow one another need not wait.
    *
    * @param all what the registry holds
    * @param now when that had come, by a clock that only goes forward
@@ -61,19 +61,30 @@
     for (RegistryEntry one : all) {
       if (one.content() instanceof RegistryRecord.Purge) {
         Seen before = seen.get(one.key());
-        there.put(one.key(), before != null && before.changed == one.changed() ? before
-            : new Seen(one.changed(), now));
+        there.put(
+            one.key(),
+            before != null && before.changed == one.changed()
+                ? before
+                : new Seen(one.changed(), now));
       }
     }
     seen = there;
-    return all.stream().filter(one -> one.content() instanceof RegistryRecord.Purge purge
-            && (purge.atMs() < stampedBefore || now - there.get(one.key()).since > retention))
-        .sorted(Comparator.comparingLong(RegistryEntry::changed)).limit(MOST).toList();
+    return all.stream()
+        .filter(
+            one ->
+                one.content() instanceof RegistryRecord.Purge purge
+                    && (purge.atMs() < stampedBefore
+                        || now - there.get(one.key()).since > retention))
+        .sorted(Comparator.comparingLong(RegistryEntry::changed))
+        .limit(MOST)
+        .toList();
   }
 
   /** The fence, if it stands there. */
   public static RegistryEntry fence(List<RegistryEntry> all, String key) {
-    return all.stream().filter(one -> one.key().equals(key) && one.content() instanceof RegistryRecord.Task).findFirst()
+    return all.stream()
+        .filter(one -> one.key().equals(key) && one.content() instanceof RegistryRecord.Task)
+        .findFirst()
         .orElse(null);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -5,13 +5,14 @@
 import java.util.TreeSet;
 
 /**
- * Who owns a task by votes of a stated electorate, without a registry and without disks. A candidate asks for promises
- * under a number above all that it knows, and once a majority is free proposes itself; what a majority accepts is its
- * own from when it proposed, for less than the voters keep to it. A renewal is proposed under the same number.
+ * Who owns a task by votes of a stated electorate, without a registry and without disks. A
+ * candidate asks for promises under a number above all that it knows, and once a majority is free
+ * proposes itself; what a majority accepts is its own from when it proposed, for less than the
+ * voters keep to it. A renewal is proposed under the same number.
  *
- * <p>The term is the number. It begins with the candidate's wall clock in milliseconds, so that it rises also over a
- * restart of all voters at once; where a clock was set back, recipients refuse it and say what they have seen, and the
- * next is above that.
+ * <p>The term is the number. It begins with the candidate's wall clock in milliseconds, so that it
+ * rises also over a restart of all voters at once; where a clock was set back, recipients refuse it
+ * and say what they have seen, and the next is above that.
  */
 public class QuorumLeadership implements Leadership {
   /** Where messages go. */
@@ -28,18 +29,33 @@
   private final long margin;
   private VoterConfiguration electorate;
   private State state = State.FOLLOWING;
+
   /** Who has promised, accepted; of the number that is out. */
   private final Set<String> promised = new TreeSet<>(), accepted = new TreeSet<>();
+
   private long ballot, term, highest, sentAt, believedUntil, waitUntil, nextTry, wall;
+
   /** The last owner's term by the voters that promised, the last that said it has stopped. */
   private long before, handed;
+
   private boolean proposed, renewing, forgot;
-  /** Which proposal under this number is out. Guards against late answers to one before, which promise less time. */
+
+  /**
+   * Which proposal under this number is out. Guards against late answers to one before, which
+   * promise less time.
+   */
   private long round;
+
   private int place;
 
   /** One that follows, and tries once it hears of nobody. */
-  public QuorumLeadership(LeaseTimings rules, String task, VoterConfiguration electorate, Orders orders, long seed, long now) {
+  public QuorumLeadership(
+      LeaseTimings rules,
+      String task,
+      VoterConfiguration electorate,
+      Orders orders,
+      long seed,
+      long now) {
     this.rules = rules;
     this.task = task;
     this.electorate = electorate;
@@ -49,19 +65,23 @@
     nextTry = now + chance.nextLong(margin);
   }
 
-  @Override public State state() {
+  @Override
+  public State state() {
     return state;
   }
 
-  @Override public long term() {
+  @Override
+  public long term() {
     return term;
   }
 
-  @Override public boolean holds(long now) {
+  @Override
+  public boolean holds(long now) {
     return state == State.HOLDING && now < believedUntil;
   }
 
-  @Override public long until() {
+  @Override
+  public long until() {
     return believedUntil;
   }
 
@@ -79,7 +99,8 @@
     wall = ms;
   }
 
-  @Override public long due() {
+  @Override
+  public long due() {
     return switch (state) {
       case FOLLOWING -> nextTry;
       case ASKING -> sentAt + rules.lease() / PATIENCE;
@@ -89,7 +110,8 @@
     };
   }
 
-  @Override public void tick(long now) {
+  @Override
+  public void tick(long now) {
     boolean owns = state == State.HOLDING || state == State.WAITING;
     if (owns && now >= believedUntil) {
       state = State.FOLLOWING;
@@ -123,7 +145,9 @@
   }
 
   private void tell(LeaseMessage.Kind kind) {
-    electorate.all().forEach(voter -> orders.send(voter, new LeaseMessage(kind, task, ballot, round)));
+    electorate
+        .all()
+        .forEach(voter -> orders.send(voter, new LeaseMessage(kind, task, ballot, round)));
   }
 
   private void propose(long now) {
@@ -134,7 +158,10 @@
     tell(LeaseMessage.Kind.PROPOSE);
   }
 
-  /** Its place among those that may own this task: the first try first, so that tasks are spread over all. */
+  /**
+   * Its place among those that may own this task: the first try first, so that tasks are spread
+   * over all.
+   */
   public void place(int of) {
     place = Math.min(of, MOST_TURNS);
   }
@@ -160,7 +187,10 @@
           propose(now);
         }
       }
-    } else if (vote.kind() == LeaseMessage.Kind.ACCEPTED && vote.other() == round && proposed && accepted.add(voter)
+    } else if (vote.kind() == LeaseMessage.Kind.ACCEPTED
+        && vote.other() == round
+        && proposed
+        && accepted.add(voter)
         && electorate.majority(accepted)) {
       own(now);
     }
@@ -175,7 +205,9 @@
       waitUntil = now + (hasStopped() ? 0 : rules.longest(rules.settle()));
       believedUntil = until;
       nextTry = sentAt + rules.lease() / RENEWALS;
-    } else if (renewing && (state == State.HOLDING || state == State.WAITING) && now < believedUntil) {
+    } else if (renewing
+        && (state == State.HOLDING || state == State.WAITING)
+        && now < believedUntil) {
       renewing = false;
       believedUntil = until;
       nextTry = sentAt + rules.lease() / RENEWALS;
@@ -183,12 +215,16 @@
     tick(now);
   }
 
-  /** From when it proposed, since voters count from later: from any later time two may believe at once. */
+  /**
+   * From when it proposed, since voters count from later: from any later time two may believe at
+   * once.
+   */
   protected long believedFrom(long proposedAt, long acceptedAt) {
     return proposedAt;
   }
 
-  @Override public void outranked(long now, long seen) {
+  @Override
+  public void outranked(long now, long seen) {
     highest = Math.max(highest, seen);
     if (state != State.RESIGNED && term < seen) {
       release(now);
@@ -197,13 +233,16 @@
     }
   }
 
-  /** Whether who had it last has said that it has stopped. Guards against word of an older owner than the last, and
-   * against a voter that has forgotten who was the last: then the wait is whole. */
+  /**
+   * Whether who had it last has said that it has stopped. Guards against word of an older owner
+   * than the last, and against a voter that has forgotten who was the last: then the wait is whole.
+   */
   private boolean hasStopped() {
     return handed > 0 && handed == before && !forgot;
   }
 
-  @Override public void handedOver(long now, long ofTerm) {
+  @Override
+  public void handedOver(long now, long ofTerm) {
     handed = Math.max(handed, ofTerm);
     if (state == State.WAITING && hasStopped()) {
       waitUntil = Math.min(waitUntil, now);
@@ -214,13 +253,15 @@
     }
   }
 
-  @Override public void letGo(long now) {
+  @Override
+  public void letGo(long now) {
     release(now);
     state = state == State.RESIGNED ? state : State.FOLLOWING;
     nextTry = now + rules.lease() + chance.nextLong(margin);
   }
 
-  @Override public void resign(long now) {
+  @Override
+  public void resign(long now) {
     release(now);
     state = State.RESIGNED;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -3,18 +3,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Who owns a task by a lease in the registry: it is held, by its own clock, for less time than the registry gives it.
- * Every term has a number, one more than the last in the registry's key, taken by compare-and-set, or more where a
- * recipient has seen a higher one: a registry that was restored from a backup begins below.
+ * Who owns a task by a lease in the registry: it is held, by its own clock, for less time than the
+ * registry gives it. Every term has a number, one more than the last in the registry's key, taken
+ * by compare-and-set, or more where a recipient has seen a higher one: a registry that was restored
+ * from a backup begins below.
  *
- * <p>An owner believes in its lease from when it asked for it, so its belief ends before the registry lets the
- * next one win. One that stood still believes nothing when it wakes, since belief is looked at when it acts;
- * and what it sent before is passed over for its term or its time.
+ * <p>An owner believes in its lease from when it asked for it, so its belief ends before the
+ * registry lets the next one win. One that stood still believes nothing when it wakes, since belief
+ * is looked at when it acts; and what it sent before is passed over for its term or its time.
  */
 public final class RegistryLeadership implements Leadership {
   /** What a live half carries out at the registry. */
   public interface Orders {
-    /** Takes a lease, and with it the key, if that was last written at changed: 0 where there is none. */
+    /**
+     * Takes a lease, and with it the key, if that was last written at changed: 0 where there is
+     * none.
+     */
     void campaign(long term, long changed);
 
     /** Says that it lives; the time goes back with the answer. */
@@ -33,7 +37,10 @@
   private long outranked, before, askedTerm, handed;
   private boolean vacant, keeping;
 
-  /** One that follows. The lease's time is for how long the registry keeps the key without a sign of life. */
+  /**
+   * One that follows. The lease's time is for how long the registry keeps the key without a sign of
+   * life.
+   */
   public RegistryLeadership(LeaseTimings rules, Orders orders, long seed) {
     this.rules = rules;
     this.orders = orders;
@@ -42,17 +49,19 @@
     chance = new SplittableRandom(seed);
   }
 
-  @Override public State state() {
+  @Override
+  public State state() {
     return state;
   }
 
-  @Override public long term() {
+  @Override
+  public long term() {
     return term;
   }
 
   /**
-   * What the registry's key says: the last term taken, whether somebody holds it, and the revision it was written
-   * at.
+   * What the registry's key says: the last term taken, whether somebody holds it, and the revision
+   * it was written at.
    */
   public void seen(long now, long ofTerm, boolean held, long changed) {
     if (ofTerm < seenTerm) {
@@ -61,7 +70,8 @@
     before = ofTerm > seenTerm ? seenTerm : before;
     seenTerm = ofTerm;
     seenChanged = changed;
-    // Guards against a try that is given up when the key's news comes before the answer: it may be this one's own.
+    // Guards against a try that is given up when the key's news comes before the answer: it may be
+    // this one's own.
     boolean maybeOwn = state == State.ASKING && ofTerm == askedTerm;
     if (held && ofTerm > term && state != State.RESIGNED && !maybeOwn) {
       state = State.FOLLOWING;
@@ -74,14 +84,19 @@
     tick(now);
   }
 
-  /** The registry is another one, or an older state of it: what it says counts anew, and terms go on above. */
+  /**
+   * The registry is another one, or an older state of it: what it says counts anew, and terms go on
+   * above.
+   */
   public void restored() {
     outranked = Math.max(outranked, seenTerm);
     seenTerm = 0;
-    handed = 0; // Terms come again: word that one had stopped is of another owner (model, seed 2414).
+    handed =
+        0; // Terms come again: word that one had stopped is of another owner (model, seed 2414).
   }
 
-  @Override public void tick(long now) {
+  @Override
+  public void tick(long now) {
     if ((state == State.HOLDING || state == State.WAITING) && now >= believedUntil) {
       state = State.FOLLOWING;
       keeping = false;
@@ -107,7 +122,10 @@
     }
   }
 
-  /** A try went well: the key is this one's, under this term. What older owners began runs out before it acts. */
+  /**
+   * A try went well: the key is this one's, under this term. What older owners began runs out
+   * before it acts.
+   */
   public void won(long now, long asTerm) {
     if (state != State.ASKING) {
       return;
@@ -123,8 +141,11 @@
     tick(now);
   }
 
-  /** The owner before this one has stopped, and told all that it did: there is nothing to wait for. */
-  @Override public void handedOver(long now, long ofTerm) {
+  /**
+   * The owner before this one has stopped, and told all that it did: there is nothing to wait for.
+   */
+  @Override
+  public void handedOver(long now, long ofTerm) {
     handed = Math.max(handed, ofTerm);
     if (state == State.WAITING && ofTerm == before) {
       waitUntil = Math.min(waitUntil, now);
@@ -141,7 +162,9 @@
     tick(now);
   }
 
-  /** A sign of life was taken, that was given at a time: guards against late word of an older one. */
+  /**
+   * A sign of life was taken, that was given at a time: guards against late word of an older one.
+   */
   public void kept(long now, long asked) {
     if (state == State.HOLDING || state == State.WAITING) {
       keeping &= asked != askedAt;
@@ -163,16 +186,21 @@
     believedUntil = Math.max(believedUntil, asked + rules.shortest(leaseTime) - margin);
   }
 
-  @Override public boolean holds(long now) {
+  @Override
+  public boolean holds(long now) {
     return state == State.HOLDING && now < believedUntil;
   }
 
-  @Override public long until() {
+  @Override
+  public long until() {
     return believedUntil;
   }
 
-  /** Guards against a registry from a backup, whose terms begin below those that were acted under. */
-  @Override public void outranked(long now, long seen) {
+  /**
+   * Guards against a registry from a backup, whose terms begin below those that were acted under.
+   */
+  @Override
+  public void outranked(long now, long seen) {
     outranked = Math.max(outranked, seen);
     if (state != State.RESIGNED && term < seen) {
       boolean held = state == State.HOLDING || state == State.WAITING;
@@ -184,7 +212,8 @@
     }
   }
 
-  @Override public void letGo(long now) {
+  @Override
+  public void letGo(long now) {
     boolean held = state == State.HOLDING || state == State.WAITING;
     state = state == State.RESIGNED ? state : State.FOLLOWING;
     keeping = false;
@@ -194,7 +223,8 @@
     }
   }
 
-  @Override public void resign(long now) {
+  @Override
+  public void resign(long now) {
     boolean held = (state == State.HOLDING || state == State.WAITING) && now < believedUntil;
     state = State.RESIGNED;
     if (held) {
@@ -202,11 +232,13 @@
     }
   }
 
-  @Override public long due() {
+  @Override
+  public long due() {
     return switch (state) {
       case FOLLOWING -> vacant ? nextTry : Long.MAX_VALUE;
       case ASKING -> askedAt + leaseTime;
-      case WAITING -> Math.min(Math.min(waitUntil, believedUntil), keeping ? Long.MAX_VALUE : nextKeep);
+      case WAITING ->
+          Math.min(Math.min(waitUntil, believedUntil), keeping ? Long.MAX_VALUE : nextKeep);
       case HOLDING -> Math.min(believedUntil, keeping ? Long.MAX_VALUE : nextKeep);
       default -> Long.MAX_VALUE;
     };
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -6,8 +6,9 @@
 import java.util.TreeSet;
 
 /**
- * Who votes, by name, as the operators told: never taken from who is there at the moment. While one list follows
- * another, a majority of each is needed, so that no two majorities of adjacent stages are without a voter in common.
+ * Who votes, by name, as the operators told: never taken from who is there at the moment. While one
+ * list follows another, a majority of each is needed, so that no two majorities of adjacent stages
+ * are without a voter in common.
  *
  * @param now the voters
  * @param next those that follow; empty while nothing changes
@@ -20,8 +21,11 @@
     now = List.copyOf(now);
     next = List.copyOf(next);
     for (List<String> one : List.of(now, next)) {
-      if (one.size() > MOST || !one.isEmpty() && one.size() % 2 == 0 || Set.copyOf(one).size() != one.size()) {
-        throw new IllegalArgumentException("an odd number of voters, " + MOST + " at most, each once: " + one);
+      if (one.size() > MOST
+          || !one.isEmpty() && one.size() % 2 == 0
+          || Set.copyOf(one).size() != one.size()) {
+        throw new IllegalArgumentException(
+            "an odd number of voters, " + MOST + " at most, each once: " + one);
       }
     }
     if (now.isEmpty()) {
@@ -33,9 +37,13 @@
     return new VoterConfiguration(List.of(names), List.of());
   }
 
-  /** Whether this is the next stage of another, or the one before it: their majorities have a voter in common. */
+  /**
+   * Whether this is the next stage of another, or the one before it: their majorities have a voter
+   * in common.
+   */
   public boolean follows(VoterConfiguration other) {
-    return now.equals(other.now) && (next.isEmpty() || other.next.isEmpty()) || next.isEmpty() && now.equals(other.next)
+    return now.equals(other.now) && (next.isEmpty() || other.next.isEmpty())
+        || next.isEmpty() && now.equals(other.next)
         || other.next.isEmpty() && next.equals(other.now);
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -1,12 +1,15 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.membership.runtime.MembershipService;
+import io.vertx.core.json.JsonObject;
 import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.Leadership;
-import io.vertx.core.json.JsonObject;
+import org.amberpath.membership.runtime.MembershipService;
 
-/** What viewers will ask for is filled into caches that have just started, by one gateway, by GETs of its own. */
+/**
+ * What viewers will ask for is filled into caches that have just started, by one gateway, by GETs
+ * of its own.
+ */
 final class CachePrefetchTask implements TaskRunner {
   private final MembershipService company;
   private final CachePrefetch ahead = new CachePrefetch();
@@ -19,11 +22,13 @@
     this.act = act;
   }
 
-  @Override public String task() {
+  @Override
+  public String task() {
     return CachePrefetch.TASK;
   }
 
-  @Override public boolean isIdle() {
+  @Override
+  public boolean isIdle() {
     return ahead.isIdle();
   }
 
@@ -35,7 +40,8 @@
     draining = true;
   }
 
-  @Override public void tick(long now, Leadership tenure) {
+  @Override
+  public void tick(long now, Leadership tenure) {
     ahead.tick();
     go(tenure);
   }
@@ -43,11 +49,17 @@
   private void go(Leadership tenure) {
     long now = company.now();
     while (!draining && tenure.holdsFor(now, act) && ahead.next(now)) {
-      boolean begun = company.ways().own(null, act, what -> {
-        filled += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
-        ahead.ended();
-        go(tenure);
-      });
+      boolean begun =
+          company
+              .ways()
+              .own(
+                  null,
+                  act,
+                  what -> {
+                    filled += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
+                    ahead.ended();
+                    go(tenure);
+                  });
       if (!begun) {
         ahead.turnOver(now);
         return;
@@ -56,7 +68,8 @@
     }
   }
 
-  @Override public void page(JsonObject to) {
+  @Override
+  public void page(JsonObject to) {
     to.put("done", filled).put("looked_at", made);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -1,23 +1,25 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.membership.runtime.MembershipService;
+import io.vertx.core.json.JsonObject;
+import java.util.List;
+import java.util.Map;
 import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.leadership.CandidateOrder;
-import org.amberpath.leadership.Leadership;
 import org.amberpath.leadership.HealthCheckCoordinator;
+import org.amberpath.leadership.Leadership;
 import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
 import org.amberpath.leadership.runtime.HealthReportCodec.Word;
-import io.vertx.core.json.JsonObject;
-import java.util.List;
-import java.util.Map;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.routing.RoutingActions;
 
 /** Caches that were set aside are tried by one gateway, by GETs of its own; the others are told. */
 final class HealthCheckTask implements TaskRunner {
   private final MembershipService company;
   private final HealthCheckCoordinator trials = new HealthCheckCoordinator();
+
   /** How long a trial may take: it is over before another owner may begin. */
   private final long act;
+
   private boolean forAll, draining;
   private long made, answered, words, refused;
 
@@ -26,11 +28,13 @@
     this.act = act;
   }
 
-  @Override public String task() {
+  @Override
+  public String task() {
     return HealthCheckCoordinator.TASK;
   }
 
-  @Override public boolean isIdle() {
+  @Override
+  public boolean isIdle() {
     return trials.isIdle();
   }
 
@@ -40,8 +44,11 @@
     }
     String owner = health == RoutingActions.Health.HEARD ? trials.answers(now, cache) : "";
     if (!owner.isEmpty()) {
-      Map<String, HealthCheckCoordinator.Said> said = Map.of(cache, new HealthCheckCoordinator.Said(true, 0));
-      company.post(owner, HealthReportCodec.write(new Word(Kind.HEARD, HealthCheckCoordinator.TASK, 0, 0, said)));
+      Map<String, HealthCheckCoordinator.Said> said =
+          Map.of(cache, new HealthCheckCoordinator.Said(true, 0));
+      company.post(
+          owner,
+          HealthReportCodec.write(new Word(Kind.HEARD, HealthCheckCoordinator.TASK, 0, 0, said)));
     }
     trials.standing(now, cache, health != RoutingActions.Health.DOUBTED);
   }
@@ -50,19 +57,32 @@
     draining = true;
   }
 
-  @Override public void tick(long now, Leadership tenure) {
+  @Override
+  public void tick(long now, Leadership tenure) {
     boolean own = tenure.holds(now);
     List<String> there = company.there();
-    HealthCheckCoordinator.Ask ask = trials.due(now, there.size(), () -> CandidateOrder.order(HealthCheckCoordinator.TASK, there).stream()
-        .filter(one -> !one.equals(company.name())).toList(), own);
+    HealthCheckCoordinator.Ask ask =
+        trials.due(
+            now,
+            there.size(),
+            () ->
+                CandidateOrder.order(HealthCheckCoordinator.TASK, there).stream()
+                    .filter(one -> !one.equals(company.name()))
+                    .toList(),
+            own);
     if (ask != null) {
-      company.post(ask.to(), HealthReportCodec.write(Word.ask(HealthCheckCoordinator.TASK, ask.stamp(), ask.caches())));
+      company.post(
+          ask.to(),
+          HealthReportCodec.write(
+              Word.ask(HealthCheckCoordinator.TASK, ask.stamp(), ask.caches())));
     }
     if (own && !draining) {
       trials.tries(now).forEach(cache -> attempt(cache, tenure));
       Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
       if (!news.isEmpty()) {
-        byte[] word = HealthReportCodec.write(new Word(Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), 0, news));
+        byte[] word =
+            HealthReportCodec.write(
+                new Word(Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), 0, news));
         trials.toldNow(now, there).forEach(one -> tellNews(one, word, news));
       }
     } else if (!own) {
@@ -87,11 +107,19 @@
   }
 
   private void attempt(String cache, Leadership tenure) {
-    // Looked at in the moment of sending; what leaves is over, at the cache too, before another may own the task.
-    if (!tenure.holdsFor(company.now(), act) || !company.ways().own(cache, act, what -> {
-      answered += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
-      trials.tried(company.now(), cache, HealthCheckCoordinator.End.valueOf(what.name()));
-    })) {
+    // Looked at in the moment of sending; what leaves is over, at the cache too, before another may
+    // own the task.
+    if (!tenure.holdsFor(company.now(), act)
+        || !company
+            .ways()
+            .own(
+                cache,
+                act,
+                what -> {
+                  answered += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
+                  trials.tried(
+                      company.now(), cache, HealthCheckCoordinator.End.valueOf(what.name()));
+                })) {
       trials.tried(company.now(), cache, HealthCheckCoordinator.End.NOT_SENT);
     } else {
       made++;
@@ -104,7 +132,11 @@
       case ASK -> {
         if (tenure.holds(now) && !draining) {
           Map<String, HealthCheckCoordinator.Said> said = trials.asked(now, from, word.names());
-          company.post(from, HealthReportCodec.write(new Word(Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), word.stamp(), said)));
+          company.post(
+              from,
+              HealthReportCodec.write(
+                  new Word(
+                      Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), word.stamp(), said)));
           trials.tries(now).forEach(cache -> attempt(cache, tenure));
         }
       }
@@ -114,22 +146,30 @@
         }
       }
       case WORD -> {
-        Map<String, HealthCheckCoordinator.Said> said = trials.word(now, from, word.term(), word.stamp(), word.caches());
+        Map<String, HealthCheckCoordinator.Said> said =
+            trials.word(now, from, word.term(), word.stamp(), word.caches());
         if (said == null) {
           refused++;
-          company.post(from, HealthReportCodec.write(Word.of(Kind.OUTRANKED, HealthCheckCoordinator.TASK, trials.seen())));
+          company.post(
+              from,
+              HealthReportCodec.write(
+                  Word.of(Kind.OUTRANKED, HealthCheckCoordinator.TASK, trials.seen())));
         } else {
           words++;
           tell(trials.forAll(now, tenure.holds(now)));
           said.forEach((cache, one) -> company.ways().vouched(cache, one.answers(), one.ago()));
         }
       }
-      default -> { }
+      default -> {}
     }
   }
 
-  @Override public void page(JsonObject to) {
-    to.put("done", made).put("answered", answered).put("words", words).put("refused", refused)
+  @Override
+  public void page(JsonObject to) {
+    to.put("done", made)
+        .put("answered", answered)
+        .put("words", words)
+        .put("refused", refused)
         .put("for_all", forAll);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
@@ -1,24 +1,38 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** What gateways tell one another of tasks, besides votes, as letters: MessagePack values one after another. */
+/**
+ * What gateways tell one another of tasks, besides votes, as letters: MessagePack values one after
+ * another.
+ */
 final class HealthReportCodec {
-  /** ASK: which caches are to be tried. HEARD: which answer. WORD: what came of their trials. OUTRANKED: a higher term
-   * was seen. STOPPED: the owner of a term does nothing more under it. */
-  enum Kind { ASK, HEARD, WORD, OUTRANKED, STOPPED }
+  /**
+   * ASK: which caches are to be tried. HEARD: which answer. WORD: what came of their trials.
+   * OUTRANKED: a higher term was seen. STOPPED: the owner of a term does nothing more under it.
+   */
+  enum Kind {
+    ASK,
+    HEARD,
+    WORD,
+    OUTRANKED,
+    STOPPED
+  }
 
-  /** Of ASK: stamp and caches. Of WORD: term, what came of the trials of each, and the stamp that it answers or 0. */
+  /**
+   * Of ASK: stamp and caches. Of WORD: term, what came of the trials of each, and the stamp that it
+   * answers or 0.
+   */
   record Word(Kind kind, String task, long term, long stamp, Map<String, Said> caches) {
     static Word of(Kind kind, String task, long term) {
       return new Word(kind, task, term, 0, Map.of());
@@ -37,10 +51,10 @@
 
   /** Votes are of another number, so that neither is taken for the other. */
   private static final int VERSION = 101, MOST = 16, LONGEST_NAME = 64;
+
   private static final Kind[] KINDS = Kind.values();
 
-  private HealthReportCodec() {
-  }
+  private HealthReportCodec() {}
 
   /** Whether a cache's name fits into a letter. */
   static boolean fits(String cache) {
@@ -49,10 +63,16 @@
 
   static byte[] write(Word word) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION).packInt(word.kind.ordinal()).packString(word.task).packLong(word.term)
-          .packLong(word.stamp).packArrayHeader(word.caches.size());
+      out.packInt(VERSION)
+          .packInt(word.kind.ordinal())
+          .packString(word.task)
+          .packLong(word.term)
+          .packLong(word.stamp)
+          .packArrayHeader(word.caches.size());
       for (Map.Entry<String, Said> one : word.caches.entrySet()) {
-        out.packString(one.getKey()).packBoolean(one.getValue().answers()).packLong(one.getValue().ago());
+        out.packString(one.getKey())
+            .packBoolean(one.getValue().answers())
+            .packLong(one.getValue().ago());
       }
       return out.toByteArray();
     } catch (IOException e) {
@@ -67,8 +87,12 @@
       String task = in.unpackString();
       long term = in.unpackLong(), stamp = in.unpackLong();
       int many = in.unpackArrayHeader();
-      if (version != VERSION || kind < 0 || kind >= KINDS.length || !task.matches(LeaseMessageCodec.TASK)
-          || !LeaseMessageCodec.isNumber(term) || many > MOST) {
+      if (version != VERSION
+          || kind < 0
+          || kind >= KINDS.length
+          || !task.matches(LeaseMessageCodec.TASK)
+          || !LeaseMessageCodec.isNumber(term)
+          || many > MOST) {
         return null;
       }
       Map<String, Said> caches = new TreeMap<>();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -1,16 +1,5 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.routing.RoutingActions;
-import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.membership.runtime.FleetMessageHandler;
-import org.amberpath.leadership.VoterConfiguration;
-import org.amberpath.leadership.CandidateOrder;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.leadership.LeaseMessage;
-import org.amberpath.leadership.QuorumLeadership;
-import org.amberpath.leadership.LeaseAcceptor;
-import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
-import org.amberpath.leadership.runtime.HealthReportCodec.Word;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
@@ -18,15 +7,29 @@
 import java.util.List;
 import java.util.Map;
 import java.util.logging.Logger;
+import org.amberpath.leadership.CandidateOrder;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseAcceptor;
+import org.amberpath.leadership.LeaseMessage;
+import org.amberpath.leadership.QuorumLeadership;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
+import org.amberpath.leadership.runtime.HealthReportCodec.Word;
+import org.amberpath.membership.runtime.FleetMessageHandler;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.routing.RoutingActions;
 
 /**
- * Owns tasks of the fleet, by votes that go as letters between gateways or by leases in the registry, votes if it is
- * one of the electorate, and carries out what it owns. Bounds: three tasks.
+ * Owns tasks of the fleet, by votes that go as letters between gateways or by leases in the
+ * registry, votes if it is one of the electorate, and carries out what it owns. Bounds: three
+ * tasks.
  */
 public final class LeadershipService implements FleetMessageHandler {
   private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
+
   /** Who is told first that an owner has stopped. */
   private static final int HEIRS = 4;
+
   /** What is left of the wait of a new owner for a message's way: an act takes the rest at most. */
   private static final long ON_THE_WAY = 100_000_000;
 
@@ -48,11 +51,15 @@
     electorate = access.electorate();
   }
 
-  @Override public void begin(long now) {
+  @Override
+  public void begin(long now) {
     if (electorate != null && electorate.all().contains(company.name())) {
       voter = new LeaseAcceptor(access.rules(), now);
     }
-    leases = access.lease() == null ? null : new RegistryLeaseClient(vertx, access.lease(), access.rules(), company);
+    leases =
+        access.lease() == null
+            ? null
+            : new RegistryLeaseClient(vertx, access.lease(), access.rules(), company);
     long act = access.rules().settle() - ON_THE_WAY;
     if (access.sweep() != null) {
       post(now, new PurgeRetentionTask(vertx, company, access.sweep(), access.sweepEvery()));
@@ -68,8 +75,11 @@
   }
 
   private void post(long now, TaskRunner work) {
-    Leadership tenure = leases != null ? leases.tenure(work.task())
-        : new QuorumLeadership(access.rules(), work.task(), electorate, this::send, company.seed(), now);
+    Leadership tenure =
+        leases != null
+            ? leases.tenure(work.task())
+            : new QuorumLeadership(
+                access.rules(), work.task(), electorate, this::send, company.seed(), now);
     posts.put(work.task(), new OwnedTask(company.name(), work, tenure));
   }
 
@@ -77,13 +87,15 @@
 
   private void send(String to, LeaseMessage vote) {
     if (to.equals(company.name())) {
-      vertx.runOnContext(turn -> vote(company.now(), to, vote)); // Its own voter is asked as any other.
+      vertx.runOnContext(
+          turn -> vote(company.now(), to, vote)); // Its own voter is asked as any other.
     } else {
       company.post(to, LeaseMessageCodec.write(vote));
     }
   }
 
-  @Override public void letter(long now, String from, byte[] body) {
+  @Override
+  public void letter(long now, String from, byte[] body) {
     LeaseMessage vote = LeaseMessageCodec.read(body);
     Word word = vote == null ? HealthReportCodec.read(body) : null;
     if (vote != null) {
@@ -126,7 +138,8 @@
 
   // ---- What the gateway tells.
 
-  @Override public void tick(long now) {
+  @Override
+  public void tick(long now) {
     List<String> there = company.there();
     for (OwnedTask post : posts.values()) {
       if (post.tenure instanceof QuorumLeadership voted) {
@@ -143,43 +156,60 @@
     }
   }
 
-  @Override public void health(long now, String cache, RoutingActions.Health health) {
+  @Override
+  public void health(long now, String cache, RoutingActions.Health health) {
     if (trials != null) {
       trials.health(now, cache, health);
     }
   }
 
-  @Override public void cold(long now, String cache, long until) {
+  @Override
+  public void cold(long now, String cache, long until) {
     if (ahead != null) {
       ahead.cold(now, cache, until);
     }
   }
 
-  /** Who votes may have changed: to the next stage of the list and no further. What can't be read changes nothing. */
-  @Override public void renewed() {
+  /**
+   * Who votes may have changed: to the next stage of the list and no further. What can't be read
+   * changes nothing.
+   */
+  @Override
+  public void renewed() {
     if (electorate == null) {
       return;
     }
-    vertx.executeBlocking(access.electorateNow()::get).onSuccess(next -> {
-      if (next.equals(electorate)) {
-        return;
-      }
-      if (!next.follows(electorate)) {
-        LOG.warning(company.name() + ": owner: the voters stay " + electorate.all() + ": from one list to another"
-            + " only by way of next-voters");
-        return;
-      }
-      long now = company.now();
-      electorate = next;
-      boolean votes = next.all().contains(company.name());
-      voter = !votes ? null : voter == null ? new LeaseAcceptor(access.rules(), now) : voter;
-      posts.values().forEach(post -> ((QuorumLeadership) post.tenure).electorate(next));
-      LOG.info(company.name() + ": owner: voters " + next.now() + ", next " + next.next());
-    }).onFailure(e -> LOG.warning(company.name() + ": owner: the voters stay: " + e.getMessage()));
+    vertx
+        .executeBlocking(access.electorateNow()::get)
+        .onSuccess(
+            next -> {
+              if (next.equals(electorate)) {
+                return;
+              }
+              if (!next.follows(electorate)) {
+                LOG.warning(
+                    company.name()
+                        + ": owner: the voters stay "
+                        + electorate.all()
+                        + ": from one list to another"
+                        + " only by way of next-voters");
+                return;
+              }
+              long now = company.now();
+              electorate = next;
+              boolean votes = next.all().contains(company.name());
+              voter =
+                  !votes ? null : voter == null ? new LeaseAcceptor(access.rules(), now) : voter;
+              posts.values().forEach(post -> ((QuorumLeadership) post.tenure).electorate(next));
+              LOG.info(company.name() + ": owner: voters " + next.now() + ", next " + next.next());
+            })
+        .onFailure(
+            e -> LOG.warning(company.name() + ": owner: the voters stay: " + e.getMessage()));
   }
 
   /** Nothing more is begun; each task is handed over once nothing of it is under way. */
-  @Override public void draining(long now) {
+  @Override
+  public void draining(long now) {
     draining = true;
     if (trials != null) {
       trials.draining();
@@ -201,22 +231,29 @@
       if (held) {
         // The first in line take over; whoever else tries waits as after a loss.
         byte[] word = HealthReportCodec.write(Word.of(Kind.STOPPED, post.work.task(), term));
-        CandidateOrder.order(post.work.task(), company.there()).stream().filter(one -> !one.equals(company.name()))
-            .limit(HEIRS).forEach(one -> company.post(one, word));
+        CandidateOrder.order(post.work.task(), company.there()).stream()
+            .filter(one -> !one.equals(company.name()))
+            .limit(HEIRS)
+            .forEach(one -> company.post(one, word));
       }
       post.told();
     }
   }
 
-  @Override public JsonObject page(long now) {
+  @Override
+  public JsonObject page(long now) {
     JsonArray tasks = new JsonArray();
     posts.values().forEach(post -> tasks.add(post.page(now)));
-    return new JsonObject().put("name", company.name()).put("votes", voter != null)
-        .put("voters", new JsonArray(electorate == null ? List.of() : List.copyOf(electorate.all())))
+    return new JsonObject()
+        .put("name", company.name())
+        .put("votes", voter != null)
+        .put(
+            "voters", new JsonArray(electorate == null ? List.of() : List.copyOf(electorate.all())))
         .put("tasks", tasks);
   }
 
-  @Override public boolean release(long now, String name) {
+  @Override
+  public boolean release(long now, String name) {
     OwnedTask post = posts.get(name);
     boolean held = post != null && post.tenure.holds(now);
     if (held) {
@@ -226,11 +263,15 @@
     return held;
   }
 
-  @Override public void leave(long now) {
-    posts.values().forEach(post -> {
-      post.tenure.resign(now);
-      post.work.close();
-    });
+  @Override
+  public void leave(long now) {
+    posts
+        .values()
+        .forEach(
+            post -> {
+              post.tenure.resign(now);
+              post.work.close();
+            });
     if (leases != null) {
       leases.close();
     }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
@@ -1,9 +1,9 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.VoterConfiguration;
+import java.util.function.Supplier;
 import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.VoterConfiguration;
 import org.amberpath.registry.runtime.RegistrySettings;
-import java.util.function.Supplier;
 
 /**
  * What the operators set of ownership.
@@ -16,6 +16,12 @@
  * @param probe whether caches that were set aside are tried by one for all
  * @param warm whether caches that have just started are filled ahead by one
  */
-public record LeadershipSettings(VoterConfiguration electorate, Supplier<VoterConfiguration> electorateNow, RegistrySettings lease,
-    LeaseTimings rules, RegistrySettings sweep, long sweepEvery, boolean probe, boolean warm) {
-}
+public record LeadershipSettings(
+    VoterConfiguration electorate,
+    Supplier<VoterConfiguration> electorateNow,
+    RegistrySettings lease,
+    LeaseTimings rules,
+    RegistrySettings sweep,
+    long sweepEvery,
+    boolean probe,
+    boolean warm) {}
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -1,8 +1,8 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.LeaseMessage;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import org.amberpath.leadership.LeaseMessage;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -14,13 +14,16 @@
   static final String TASK = "[a-z-]{1,32}";
   private static final LeaseMessage.Kind[] KINDS = LeaseMessage.Kind.values();
 
-  private LeaseMessageCodec() {
-  }
+  private LeaseMessageCodec() {}
 
   static byte[] write(LeaseMessage vote) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION).packInt(vote.kind().ordinal()).packString(vote.task()).packLong(vote.ballot())
-          .packLong(vote.other()).packLong(vote.last());
+      out.packInt(VERSION)
+          .packInt(vote.kind().ordinal())
+          .packString(vote.task())
+          .packLong(vote.ballot())
+          .packLong(vote.other())
+          .packLong(vote.last());
       return out.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -37,8 +40,15 @@
       int version = in.unpackInt(), kind = in.unpackInt();
       String task = in.unpackString();
       long ballot = in.unpackLong(), other = in.unpackLong(), last = in.unpackLong();
-      boolean good = version == VERSION && kind >= 0 && kind < KINDS.length && task.matches(TASK) && isNumber(ballot)
-          && isNumber(other) && isNumber(last) && !in.hasNext();
+      boolean good =
+          version == VERSION
+              && kind >= 0
+              && kind < KINDS.length
+              && task.matches(TASK)
+              && isNumber(ballot)
+              && isNumber(other)
+              && isNumber(last)
+              && !in.hasNext();
       return good ? new LeaseMessage(KINDS[kind], task, ballot, other, last) : null;
     } catch (IOException | MessagePackException e) {
       return null;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -1,9 +1,9 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Leadership;
 import io.vertx.core.json.JsonObject;
 import java.util.Locale;
 import java.util.logging.Logger;
+import org.amberpath.leadership.Leadership;
 
 /** One task at one gateway: its tenure, and what is done under it. */
 final class OwnedTask {
@@ -24,7 +24,16 @@
   /** Says what has changed. Bounds: no more than a few changes a lease. */
   void told() {
     if (tenure.state() != said) {
-      LOG.info(name + ": owner: " + work.task() + " " + said + " -> " + tenure.state() + ", term " + tenure.term());
+      LOG.info(
+          name
+              + ": owner: "
+              + work.task()
+              + " "
+              + said
+              + " -> "
+              + tenure.state()
+              + ", term "
+              + tenure.term());
       said = tenure.state();
     }
   }
@@ -38,9 +47,13 @@
   }
 
   JsonObject page(long now) {
-    JsonObject page = new JsonObject().put("task", work.task())
-        .put("state", tenure.state().name().toLowerCase(Locale.ROOT)).put("holds", tenure.holds(now))
-        .put("term", tenure.term()).put("left_ms", tenure.holds(now) ? (tenure.until() - now) / MS : 0);
+    JsonObject page =
+        new JsonObject()
+            .put("task", work.task())
+            .put("state", tenure.state().name().toLowerCase(Locale.ROOT))
+            .put("holds", tenure.holds(now))
+            .put("term", tenure.term())
+            .put("left_ms", tenure.holds(now) ? (tenure.until() - now) / MS : 0);
     work.page(page);
     return page;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
@@ -1,19 +1,22 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.leadership.PurgeRetention;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.runtime.RecordCodec;
-import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.registry.runtime.RegistryAdminClient;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
 import java.util.List;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.PurgeRetention;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RecordCodec;
+import org.amberpath.registry.runtime.RegistryAdminClient;
+import org.amberpath.registry.runtime.RegistrySettings;
 
-/** Takes purges' keys that are past their retention out of the registry; each deletion moves the task's fence. */
+/**
+ * Takes purges' keys that are past their retention out of the registry; each deletion moves the
+ * task's fence.
+ */
 final class PurgeRetentionTask implements TaskRunner {
   private final MembershipService company;
   private final RegistrySettings access;
@@ -29,16 +32,22 @@
     sweep = new PurgeRetention(access.retention(), every);
   }
 
-  @Override public String task() {
+  @Override
+  public String task() {
     return PurgeRetention.TASK;
   }
 
-  @Override public boolean isIdle() {
+  @Override
+  public boolean isIdle() {
     return !out;
   }
 
-  /** Belief is looked at again before the deletion is written; what is written under an older term deletes nothing. */
-  @Override public void tick(long now, Leadership tenure) {
+  /**
+   * Belief is looked at again before the deletion is written; what is written under an older term
+   * deletes nothing.
+   */
+  @Override
+  public void tick(long now, Leadership tenure) {
     if (!tenure.holds(now) || !sweep.isDue(now)) {
       return;
     }
@@ -46,35 +55,49 @@
     String key = access.prefix() + RecordCodec.TASKS + PurgeRetention.TASK;
     sweep.began();
     out = true;
-    registry.list().compose(all -> {
-      RegistryEntry fence = PurgeRetention.fence(all, key);
-      long seen = fence == null ? 0 : ((RegistryRecord.Task) fence.content()).term();
-      List<RegistryEntry> old = sweep.old(all, company.now(), System.currentTimeMillis());
-      if (seen > term) {
-        refused++;
-        tenure.outranked(company.now(), seen);
-        return Future.succeededFuture(0);
-      }
-      if (old.isEmpty() || !tenure.holds(company.now()) || tenure.term() != term) {
-        return Future.succeededFuture(0);
-      }
-      return registry.sweep(PurgeRetention.TASK, new RegistryRecord.Task(term, company.name()), fence, old).map(done -> {
-        swept += done ? old.size() : 0;
-        refused += done ? 0 : 1;
-        return done ? old.size() : 0;
-      });
-    }).onComplete(done -> {
-      failed += done.failed() ? 1 : 0;
-      out = false;
-      sweep.ended(company.now(), done.succeeded() ? done.result() : 0);
-    });
+    registry
+        .list()
+        .compose(
+            all -> {
+              RegistryEntry fence = PurgeRetention.fence(all, key);
+              long seen = fence == null ? 0 : ((RegistryRecord.Task) fence.content()).term();
+              List<RegistryEntry> old = sweep.old(all, company.now(), System.currentTimeMillis());
+              if (seen > term) {
+                refused++;
+                tenure.outranked(company.now(), seen);
+                return Future.succeededFuture(0);
+              }
+              if (old.isEmpty() || !tenure.holds(company.now()) || tenure.term() != term) {
+                return Future.succeededFuture(0);
+              }
+              return registry
+                  .sweep(
+                      PurgeRetention.TASK,
+                      new RegistryRecord.Task(term, company.name()),
+                      fence,
+                      old)
+                  .map(
+                      done -> {
+                        swept += done ? old.size() : 0;
+                        refused += done ? 0 : 1;
+                        return done ? old.size() : 0;
+                      });
+            })
+        .onComplete(
+            done -> {
+              failed += done.failed() ? 1 : 0;
+              out = false;
+              sweep.ended(company.now(), done.succeeded() ? done.result() : 0);
+            });
   }
 
-  @Override public void page(JsonObject to) {
+  @Override
+  public void page(JsonObject to) {
     to.put("done", swept).put("refused", refused).put("failed", failed);
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     registry.close();
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -1,21 +1,22 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.leadership.RegistryLeadership;
-import org.amberpath.leadership.LeaseTimings;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.registry.runtime.RegistryAdminClient;
 import io.vertx.core.Vertx;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.RegistryLeadership;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.runtime.RegistryAdminClient;
+import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * Tenures by leases in the registry: a task's key that goes with its lease says that somebody has it, another that
- * stays holds the term. Both are looked at all the time, by one read for all tasks.
+ * Tenures by leases in the registry: a task's key that goes with its lease says that somebody has
+ * it, another that stays holds the term. Both are looked at all the time, by one read for all
+ * tasks.
  */
 final class RegistryLeaseClient {
   private static final long SECOND = 1_000_000_000;
@@ -27,10 +28,12 @@
   private final Map<String, Mine> mine = new LinkedHashMap<>();
   private long nextLook;
   private boolean looking;
+
   /** How often something was seen, for word that is late. */
   private long looks;
 
-  RegistryLeaseClient(Vertx vertx, RegistrySettings access, LeaseTimings rules, MembershipService company) {
+  RegistryLeaseClient(
+      Vertx vertx, RegistrySettings access, LeaseTimings rules, MembershipService company) {
     this.rules = rules;
     this.company = company;
     registry = new RegistryAdminClient(vertx, access);
@@ -47,40 +50,51 @@
       tenure = new RegistryLeadership(rules, this, company.seed() ^ task.hashCode());
     }
 
-    @Override public void campaign(long term, long changed) {
+    @Override
+    public void campaign(long term, long changed) {
       outSince = looks;
-      registry.campaign(task, new RegistryRecord.Task(term, company.name()), changed, rules.lease() / SECOND)
-          .onComplete(done -> {
-            outSince = looks;
-            if (done.failed() || done.result() == 0) {
-              tenure.lost(company.now());
-            } else {
-              lease = done.result();
-              tenure.won(company.now(), term);
-            }
-          });
+      registry
+          .campaign(
+              task, new RegistryRecord.Task(term, company.name()), changed, rules.lease() / SECOND)
+          .onComplete(
+              done -> {
+                outSince = looks;
+                if (done.failed() || done.result() == 0) {
+                  tenure.lost(company.now());
+                } else {
+                  lease = done.result();
+                  tenure.won(company.now(), term);
+                }
+              });
     }
 
-    @Override public void keepAlive(long askedAt) {
-      registry.keepAlive(lease).onComplete(done -> {
-        if (done.failed()) {
-          tenure.unheard(company.now());
-        } else if (done.result()) {
-          tenure.kept(company.now(), askedAt);
-        } else {
-          tenure.lost(company.now());
-        }
-      });
+    @Override
+    public void keepAlive(long askedAt) {
+      registry
+          .keepAlive(lease)
+          .onComplete(
+              done -> {
+                if (done.failed()) {
+                  tenure.unheard(company.now());
+                } else if (done.result()) {
+                  tenure.kept(company.now(), askedAt);
+                } else {
+                  tenure.lost(company.now());
+                }
+              });
     }
 
-    @Override public void resign() {
+    @Override
+    public void resign() {
       if (lease != 0) {
         registry.revoke(lease);
         lease = 0;
       }
     }
 
-    /** What the registry says; what was read before this one's own try was answered is passed over. */
+    /**
+     * What the registry says; what was read before this one's own try was answered is passed over.
+     */
     void seen(long now, long readSince, RegistryEntry term, boolean held) {
       if (readSince <= outSince && outSince > 0) {
         return;
@@ -90,7 +104,8 @@
         tenure.restored(); // The registry goes on from an older state of it.
       }
       revision = changed;
-      tenure.seen(now, term == null ? 0 : ((RegistryRecord.Task) term.content()).term(), held, changed);
+      tenure.seen(
+          now, term == null ? 0 : ((RegistryRecord.Task) term.content()).term(), held, changed);
     }
   }
 
@@ -107,12 +122,15 @@
     looking = true;
     long since = ++looks;
     nextLook = now + rules.lease() / LOOKS;
-    registry.tasks().onComplete(done -> {
-      looking = false;
-      if (done.succeeded()) {
-        look(done.result(), since);
-      }
-    });
+    registry
+        .tasks()
+        .onComplete(
+            done -> {
+              looking = false;
+              if (done.succeeded()) {
+                look(done.result(), since);
+              }
+            });
   }
 
   private void look(List<RegistryEntry> keys, long since) {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
@@ -1,9 +1,12 @@
 package org.amberpath.leadership.runtime;
 
-import org.amberpath.leadership.Leadership;
 import io.vertx.core.json.JsonObject;
+import org.amberpath.leadership.Leadership;
 
-/** What is done under one task, by whoever owns it. Belief is looked at again in the moment of each act. */
+/**
+ * What is done under one task, by whoever owns it. Belief is looked at again in the moment of each
+ * act.
+ */
 interface TaskRunner {
   String task();
 
@@ -16,6 +19,5 @@
   /** Adds what operators see of it. */
   void page(JsonObject to);
 
-  default void close() {
-  }
+  default void close() {}
 }
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -5,12 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
+import org.amberpath.leadership.HealthCheckCoordinator.Said;
 import org.junit.jupiter.api.Test;
 
 /** A gateway that asks, and an owner that is asked. */
@@ -19,8 +19,8 @@
   private static final List<String> OTHERS = List.of("a", "b", "c", "d");
 
   private static final Said NONE = new Said(false, -1), NOW = new Said(true, 0);
-
-  private final HealthCheckCoordinator asker = new HealthCheckCoordinator(), owner = new HealthCheckCoordinator();
+  private final HealthCheckCoordinator asker = new HealthCheckCoordinator(),
+      owner = new HealthCheckCoordinator();
   private long now = 1000 * MS;
 
   private HealthCheckCoordinator.Ask ask() {
@@ -36,7 +36,8 @@
   void nobodyIsAskedWhileNothingIsAsideAndThenTheFirstThreeInTurnUntilOneAnswers() {
     assertNull(asker.due(now, 5, () -> OTHERS, false));
     asker.standing(now, "x", false);
-    assertEquals(List.of("a", "b", "c", "a"), IntStream.range(0, 4).mapToObj(one -> ask().to()).toList());
+    assertEquals(
+        List.of("a", "b", "c", "a"), IntStream.range(0, 4).mapToObj(one -> ask().to()).toList());
     assertFalse(asker.forAll(now, false));
     HealthCheckCoordinator.Ask ask = ask();
     assertEquals("b", ask.to());
@@ -60,7 +61,8 @@
     Map<String, Said> ago = owner.asked(now, "a", ask.caches());
     assertEquals(Map.of("x", new Said(true, 70 * MS)), ago);
     HealthCheckCoordinator.Ask next = ask();
-    assertEquals(Map.of("x", new Said(true, 75 * MS)),
+    assertEquals(
+        Map.of("x", new Said(true, 75 * MS)),
         asker.word(next.stamp() + 5 * MS, next.to(), 3, next.stamp(), ago),
         "the way there and back may have been all before the word");
     asker.standing(now, "x", true);
@@ -106,9 +108,13 @@
     HealthCheckCoordinator.Ask second = ask();
     assertNull(asker.word(now, "b", 8, second.stamp(), Map.of("x", NOW)));
     assertEquals(9, asker.seen());
-    assertNull(asker.word(now, "b", 9, second.stamp(), Map.of("x", NOW)), "one term is one owner's");
+    assertNull(
+        asker.word(now, "b", 9, second.stamp(), Map.of("x", NOW)), "one term is one owner's");
     assertEquals(Map.of(), asker.word(now, "a", 9, first.stamp(), Map.of("x", NOW)));
-    assertEquals(Map.of(), asker.word(now, "a", 9, second.stamp(), Map.of("y", NOW)), "nobody asked for that");
+    assertEquals(
+        Map.of(),
+        asker.word(now, "a", 9, second.stamp(), Map.of("y", NOW)),
+        "nobody asked for that");
   }
 
   @Test
@@ -124,10 +130,12 @@
       }
     }
     assertTrue(asks <= 13, asks + " a minute, of a thousand each");
-    IntStream.range(0, 500).forEach(one -> {
-      asker.standing(now, "cache-" + one, false);
-      owner.asked(now, "a", List.of("cache-" + one));
-    });
+    IntStream.range(0, 500)
+        .forEach(
+            one -> {
+              asker.standing(now, "cache-" + one, false);
+              owner.asked(now, "a", List.of("cache-" + one));
+            });
     assertEquals(HealthCheckCoordinator.MOST_NAMED, ask().caches().size());
     assertEquals(8, owner.tries(now).size());
   }
@@ -137,7 +145,9 @@
     for (String one : by) {
       owner.asked(now, one, List.of("x"));
     }
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
+    owner
+        .tries(now)
+        .forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 400 * MS;
   }
 
@@ -145,18 +155,24 @@
   void silenceIsToldToAllOnceTwoHaveSetItAsideAndTwoTrialsFoundItToo() {
     silentTrial("a", "b");
     assertEquals(Map.of(), owner.news(now), "one trial");
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
+    owner
+        .tries(now)
+        .forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 400 * MS;
     Map<String, Said> silent = owner.news(now);
     assertEquals(Map.of("x", new Said(false, 400 * MS)), silent, "from when it was asked");
     List<String> many = IntStream.range(0, 25).mapToObj(one -> "g" + one).toList();
-    assertEquals(List.of(20, 5, 0), IntStream.range(0, 3).mapToObj(one -> owner.toldNow(now, many).size()).toList());
+    assertEquals(
+        List.of(20, 5, 0),
+        IntStream.range(0, 3).mapToObj(one -> owner.toldNow(now, many).size()).toList());
 
     assertEquals(silent, asker.word(now, "o", 1, 0, silent));
     assertTrue(asker.forAll(now, false));
     asker.standing(now, "x", false);
     assertEquals(silent, asker.word(now, "o", 1, 0, silent));
-    assertEquals(Map.of("x", new Said(true, 1000 * MS)), asker.word(now, "o", 1, 0, Map.of("x", NOW)),
+    assertEquals(
+        Map.of("x", new Said(true, 1000 * MS)),
+        asker.word(now, "o", 1, 0, Map.of("x", NOW)),
         "unasked, it may have been on its way for long");
   }
 
@@ -185,7 +201,8 @@
       owner.asked(now, "b", List.of("x"));
       owner.tries(now).forEach(cache -> owner.tried(now, cache, HealthCheckCoordinator.End.SILENT));
     }
-    assertTrue(owner.news(now).get("x").answers(), "the owner's own silence is worth nothing for a while");
+    assertTrue(
+        owner.news(now).get("x").answers(), "the owner's own silence is worth nothing for a while");
     asker.word(now, "o", 1, 0, owner.news(now));
     assertEquals("", asker.answers(now, "x"), "the owner knows");
   }
@@ -193,11 +210,16 @@
   @Test
   void aTrialThatIsStillOutMakesTheOneBeforeNoYounger() {
     silentTrial("a", "b");
-    owner.tries(now).forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
+    owner
+        .tries(now)
+        .forEach(cache -> owner.tried(now + 400 * MS, cache, HealthCheckCoordinator.End.SILENT));
     now += 1000 * MS;
     owner.asked(now, "a", List.of("x"));
     assertEquals(List.of("x"), owner.tries(now));
-    assertEquals(new Said(false, 1100 * MS), owner.news(now + 100 * MS).get("x"), "what came since is not belied");
+    assertEquals(
+        new Said(false, 1100 * MS),
+        owner.news(now + 100 * MS).get("x"),
+        "what came since is not belied");
   }
 
   @Test
@@ -205,7 +227,8 @@
     List<String> all = IntStream.range(0, 25).mapToObj(one -> "c" + one).toList();
     for (int one = 0; one < 200; one++, now += 50 * MS) {
       for (int at = 0; at < all.size(); at += HealthCheckCoordinator.MOST_NAMED) {
-        List<String> some = all.subList(at, Math.min(all.size(), at + HealthCheckCoordinator.MOST_NAMED));
+        List<String> some =
+            all.subList(at, Math.min(all.size(), at + HealthCheckCoordinator.MOST_NAMED));
         owner.asked(now, "a", some);
         owner.asked(now, "b", some);
       }
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -6,21 +6,23 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.leadership.LeaseMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import org.amberpath.leadership.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
 /** Stories of one candidate among three voters, and of what recipients believe. */
 class QuorumLeadershipTest {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, LEASE = 3 * SECOND, SETTLE = SECOND / 2;
+  private static final long MS = 1_000_000,
+      SECOND = 1000 * MS,
+      LEASE = 3 * SECOND,
+      SETTLE = SECOND / 2;
   private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
   private static final String TASK = "sweep";
 
-  private record Sent(String voter, LeaseMessage vote) {
-  }
+  private record Sent(String voter, LeaseMessage vote) {}
 
   private final List<Sent> sent = new ArrayList<>();
   private final Map<String, LeaseAcceptor> voters = new TreeMap<>();
@@ -33,7 +35,8 @@
   }
 
   private QuorumLeadership candidate(VoterConfiguration electorate) {
-    return new QuorumLeadership(RULES, TASK, electorate, (voter, vote) -> sent.add(new Sent(voter, vote)), 7, 0);
+    return new QuorumLeadership(
+        RULES, TASK, electorate, (voter, vote) -> sent.add(new Sent(voter, vote)), 7, 0);
   }
 
   private LeaseMessage answer(Sent one, String by) {
@@ -93,7 +96,10 @@
     now += RULES.longest(SETTLE);
     owner.tick(now);
     assertTrue(owner.until() < asked + SECOND + LEASE);
-    LeaseMessage other = voters.get("a").asked(owner.until(), "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+    LeaseMessage other =
+        voters
+            .get("a")
+            .asked(owner.until(), "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
     assertTrue(other.other() > 0, "it is still kept for the owner");
     assertFalse(owner.holds(owner.until()));
   }
@@ -121,10 +127,17 @@
   void aCandidateDisturbsNoOwner() {
     own();
     for (String voter : List.of("a", "b")) {
-      LeaseMessage answer = voters.get(voter).asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+      LeaseMessage answer =
+          voters
+              .get(voter)
+              .asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
       assertTrue(answer.kind() == Kind.PROMISE && answer.other() > 0);
-      assertEquals(Kind.REFUSED,
-          voters.get(voter).asked(now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1)).kind());
+      assertEquals(
+          Kind.REFUSED,
+          voters
+              .get(voter)
+              .asked(now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1))
+              .kind());
     }
     now = owner.due();
     owner.tick(now);
@@ -154,7 +167,10 @@
     owner.resign(now);
     assertFalse(owner.holds(now));
     sent.forEach(one -> answer(one, "me"));
-    LeaseMessage answer = voters.get("a").asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
+    LeaseMessage answer =
+        voters
+            .get("a")
+            .asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
     assertEquals(0, answer.other());
   }
 
@@ -248,7 +264,8 @@
 
   @Test
   void aListOfVotersFollowsAnotherOnlyByWayOfBoth() {
-    VoterConfiguration first = VoterConfiguration.of("a", "b", "c"), last = VoterConfiguration.of("c", "d", "e");
+    VoterConfiguration first = VoterConfiguration.of("a", "b", "c"),
+        last = VoterConfiguration.of("c", "d", "e");
     VoterConfiguration both = new VoterConfiguration(first.now(), last.now());
     assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
     assertFalse(last.follows(first));
--- a/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
@@ -14,19 +14,26 @@
   private static final LeaseTimings RULES = new LeaseTimings(LEASE, 2 * SECOND, 1000);
 
   private final List<String> orders = new ArrayList<>();
-  private final RegistryLeadership owner = new RegistryLeadership(RULES, new RegistryLeadership.Orders() {
-    @Override public void campaign(long term, long changed) {
-      orders.add("campaign " + term + " " + changed);
-    }
-
-    @Override public void keepAlive(long askedAt) {
-      orders.add("keep");
-    }
-
-    @Override public void resign() {
-      orders.add("resign");
-    }
-  }, 5);
+  private final RegistryLeadership owner =
+      new RegistryLeadership(
+          RULES,
+          new RegistryLeadership.Orders() {
+            @Override
+            public void campaign(long term, long changed) {
+              orders.add("campaign " + term + " " + changed);
+            }
+
+            @Override
+            public void keepAlive(long askedAt) {
+              orders.add("keep");
+            }
+
+            @Override
+            public void resign() {
+              orders.add("resign");
+            }
+          },
+          5);
 
   /** Wins a term, with the try made at once. */
   private long won() {
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
@@ -9,15 +9,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A candidate's wall clock steps while it leads: its lease and its renewals are another clock's, terms only rise. */
+/**
+ * A candidate's wall clock steps while it leads: its lease and its renewals are another clock's,
+ * terms only rise.
+ */
 class VoteClockTest {
-  private static final long SECOND = 1_000_000_000, LEASE = 3 * SECOND, WALL_MS = 1_700_000_000_000L;
+  private static final long SECOND = 1_000_000_000,
+      LEASE = 3 * SECOND,
+      WALL_MS = 1_700_000_000_000L;
   private static final LeaseTimings RULES = new LeaseTimings(LEASE, SECOND / 2, 1000);
 
   private final LeaseAcceptor voter = new LeaseAcceptor(RULES, 0);
   private final Deque<LeaseMessage> sent = new ArrayDeque<>();
   private final QuorumLeadership owner =
-      new QuorumLeadership(RULES, "sweep", VoterConfiguration.of("a"), (to, vote) -> sent.add(vote), 7, 0);
+      new QuorumLeadership(
+          RULES, "sweep", VoterConfiguration.of("a"), (to, vote) -> sent.add(vote), 7, 0);
   private long now = RULES.longest(LEASE);
 
   private void passes(long time) {
--- a/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
@@ -9,7 +9,8 @@
  * @param birth by chance, one to a process: tells two processes under one name apart
  * @param by who says so first: counts accusers of a suspected gateway apart
  */
-public record MemberUpdate(String name, String address, long incarnation, long birth, MemberStatus standing, String by) {
+public record MemberUpdate(
+    String name, String address, long incarnation, long birth, MemberStatus standing, String by) {
   boolean beats(MemberUpdate other) {
     return incarnation > other.incarnation
         || incarnation == other.incarnation && standing.compareTo(other.standing) > 0;
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,30 +4,41 @@
 import java.util.Map;
 
 /**
- * What is let in to a {@link SwimProtocol} of the datagrams that come: none that was recorded before, none meant for
- * another process or for one that ran here before, and not more than a bounded number, in all and of each sender.
+ * What is let in to a {@link SwimProtocol} of the datagrams that come: none that was recorded
+ * before, none meant for another process or for one that ran here before, and not more than a
+ * bounded number, in all and of each sender.
  *
- * <p>A datagram is believed if it names this process's birth, which is drawn by chance at its start: what was sent to
- * an older process, also before the whole fleet was restarted, is worth nothing now. One that names no birth or another
- * is greeted, so that its sender learns of this one. Of those that are believed each serial counts once, as in the
- * anti-replay window of RFC 4303.
+ * <p>A datagram is believed if it names this process's birth, which is drawn by chance at its
+ * start: what was sent to an older process, also before the whole fleet was restarted, is worth
+ * nothing now. One that names no birth or another is greeted, so that its sender learns of this
+ * one. Of those that are believed each serial counts once, as in the anti-replay window of RFC
+ * 4303.
  *
- * <p>Bounds: {@value #MOST_SENDERS} senders, the ones heard last. Times are nanoseconds of the gateway's own clock.
+ * <p>Bounds: {@value #MOST_SENDERS} senders, the ones heard last. Times are nanoseconds of the
+ * gateway's own clock.
  */
 public final class ReplayFilter {
   /** What becomes of a datagram. */
-  public enum Verdict { TAKEN, GREETED, REPEATED, TOO_MANY }
+  public enum Verdict {
+    TAKEN,
+    GREETED,
+    REPEATED,
+    TOO_MANY
+  }
 
   private static final int MOST_SENDERS = 4000, WINDOW = Long.SIZE;
+
   /** A period: datagrams that are looked at, of one sender that are let in, and greetings. */
   private static final int MOST = 2000, MOST_OF_ONE = 60, MOST_GREETINGS = 8;
 
   private final long own, period;
-  private final Map<Long, Sender> senders = new LinkedHashMap<>(16, 0.75f, true) {
-    @Override protected boolean removeEldestEntry(Map.Entry<Long, Sender> eldest) {
-      return size() > MOST_SENDERS;
-    }
-  };
+  private final Map<Long, Sender> senders =
+      new LinkedHashMap<>(16, 0.75f, true) {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, Sender> eldest) {
+          return size() > MOST_SENDERS;
+        }
+      };
   private long since;
   private int looked, greeted;
 
@@ -43,7 +54,10 @@
     since = now;
   }
 
-  /** Whether one more may be looked at, before anything of it is checked: bounds what strangers cost. */
+  /**
+   * Whether one more may be looked at, before anything of it is checked: bounds what strangers
+   * cost.
+   */
   public boolean mayLook(long now) {
     if (now - since > period) {
       since = now;
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -1,6 +1,5 @@
 package org.amberpath.membership;
 
-import org.amberpath.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -14,22 +13,32 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Predicate;
+import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * One gateway's view of its fleet: told datagrams and the time, it answers with datagrams and with news of who is
- * there. Probes, indirect probes, suspicion, incarnations and rumours that ride on probes are those of SWIM (Das,
- * Gupta, Motivala 2002); from Lifeguard (Dadgar, Phillips, Currey 2017) come a gateway's doubt in itself, suspicions
- * that shorten as others confirm them, and that a suspect is told first. Lists both ways mend what rumours missed.
+ * One gateway's view of its fleet: told datagrams and the time, it answers with datagrams and with
+ * news of who is there. Probes, indirect probes, suspicion, incarnations and rumours that ride on
+ * probes are those of SWIM (Das, Gupta, Motivala 2002); from Lifeguard (Dadgar, Phillips, Currey
+ * 2017) come a gateway's doubt in itself, suspicions that shorten as others confirm them, and that
+ * a suspect is told first. Lists both ways mend what rumours missed.
  *
- * <p>{@link #share} is what shared bounds are multiplied by; docs/design/fleet-view.md has the proof that the shares of
- * all running gateways never sum to more than one.
+ * <p>{@link #share} is what shared bounds are multiplied by; docs/design/fleet-view.md has the
+ * proof that the shares of all running gateways never sum to more than one.
  *
- * <p>Bounds: {@value #MOST} gateways; a rumour a gateway; one own probe and {@value #MOST_HELP} for others at a time;
- * answers a period by their number. Times are nanoseconds of this gateway's own clock.
+ * <p>Bounds: {@value #MOST} gateways; a rumour a gateway; one own probe and {@value #MOST_HELP} for
+ * others at a time; answers a period by their number. Times are nanoseconds of this gateway's own
+ * clock.
  */
 public final class SwimProtocol {
   /** The view as a whole. */
-  public enum Phase { JOINING, ALONE, SETTLING, SETTLED, CUT_OFF, LEAVING }
+  public enum Phase {
+    JOINING,
+    ALONE,
+    SETTLING,
+    SETTLED,
+    CUT_OFF,
+    LEAVING
+  }
 
   /** Where datagrams and news go. */
   public interface Out {
@@ -45,17 +54,35 @@
   }
 
   private static final int MOST = 2000, MOST_HELP = 64, HELPERS = 3, MOST_DOUBT = 6, CONFIRMED = 3;
+
   /** Probes go so often as a rumour is sent: times the doublings of the fleet's size. */
   private static final int SPREAD = 3;
+
   /** In periods: a suspicion's least and greatest length, for ten gateways. */
   private static final int LEAST = 4, GREATEST = 12;
-  private static final int STOOD = 3, ALONE_AFTER = 8, QUIET = 4, SYNC_EVERY = 8, TRY_LOST = 3, MOST_ANSWERS = 40;
-  /** For how long one that left is remembered, and counted: the time to refute word that was not its own. */
+
+  private static final int STOOD = 3,
+      ALONE_AFTER = 8,
+      QUIET = 4,
+      SYNC_EVERY = 8,
+      TRY_LOST = 3,
+      MOST_ANSWERS = 40;
+
+  /**
+   * For how long one that left is remembered, and counted: the time to refute word that was not its
+   * own.
+   */
   private static final int REMEMBERED = 240, STILL_COUNTED = 24;
-  /** Incarnations begin with the clock's seconds: one this far ahead of this gateway's clock is nobody's. */
+
+  /**
+   * Incarnations begin with the clock's seconds: one this far ahead of this gateway's clock is
+   * nobody's.
+   */
   private static final long SECOND = 1_000_000_000, AHEAD = 2 * 86_400;
+
   /** Answers a period to one asker, of those to all. */
   private static final int MOST_TO_ONE = 8;
+
   private static final int MOST_TWINS = 16, RISES = 4, SEEDS_ONE_IN = 4, SEED_ASKERS = 8;
 
   private final SwimTimings rules;
@@ -63,21 +90,36 @@
   private final SplittableRandom chance;
   private final Out out;
   private final NavigableMap<String, Peer> peers = new TreeMap<>();
+
   /** What is still to be sent, by name, with how often it was. */
   private final Map<String, Integer> spreading = new LinkedHashMap<>();
+
   private final List<Peer> order = new ArrayList<>();
+
   /** Probes on behalf of others: own number to who asked, under which number, and until when. */
   private final Map<Long, Help> helping = new LinkedHashMap<>();
+
   private final Set<Long> twins = new HashSet<>();
+
   /** How often another birth under this name rose above this one. */
   private final Map<Long, Integer> risen = new HashMap<>();
+
   private MemberUpdate self;
   private Probe probe;
   private Phase phase = Phase.JOINING;
-  private long now, startedAt, tickedAt, probeDue, syncDue, tryDue, changedAt, number, refutedAt = Long.MIN_VALUE;
+  private long now,
+      startedAt,
+      tickedAt,
+      probeDue,
+      syncDue,
+      tryDue,
+      changedAt,
+      number,
+      refutedAt = Long.MIN_VALUE;
   private long answersSince, serial, digest, there, chain;
   private int doubt, at, answers, names = 1, present = 1;
   private boolean synced, admitted, differs, chainWhole = true;
+
   /** The name after which the list that is being asked for goes on. */
   private String cursor;
 
@@ -111,20 +153,20 @@
     }
   }
 
-  private record Help(MemberUpdate asker, long number, long until) {
-  }
+  private record Help(MemberUpdate asker, long number, long until) {}
 
   /** What is held of one gateway, and since when. */
-  public record Seen(MemberUpdate said, long since) {
-  }
+  public record Seen(MemberUpdate said, long since) {}
 
   /**
    * A view that knows of nobody.
    *
-   * @param self this process: its incarnation is above that of its starts before, as far as its clock can tell
+   * @param self this process: its incarnation is above that of its starts before, as far as its
+   *     clock can tell
    * @param seeds addresses of which any may answer; its own is passed over
    */
-  public SwimProtocol(SwimTimings rules, MemberUpdate self, List<String> seeds, long seed, long now, Out out) {
+  public SwimProtocol(
+      SwimTimings rules, MemberUpdate self, List<String> seeds, long seed, long now, Out out) {
     this.rules = rules;
     this.self = self;
     this.seeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
@@ -150,7 +192,10 @@
     return self;
   }
 
-  /** All others that it has heard of, by name: those that are there, and for a while those that left. */
+  /**
+   * All others that it has heard of, by name: those that are there, and for a while those that
+   * left.
+   */
   public List<Seen> others() {
     return peers.values().stream().map(one -> new Seen(one.said, one.changedAt)).toList();
   }
@@ -182,25 +227,37 @@
   /** What is held of another gateway; null if it was never heard of. */
   public MemberStatus standing(String name) {
     Peer peer = peers.get(name);
-    return name.equals(self.name()) ? MemberStatus.ALIVE : peer == null ? null : peer.said.standing();
+    return name.equals(self.name())
+        ? MemberStatus.ALIVE
+        : peer == null ? null : peer.said.standing();
   }
 
-  /** By how many shared bounds are divided: rises when a name is heard of, falls when one left, never by a loss. */
+  /**
+   * By how many shared bounds are divided: rises when a name is heard of, falls when one left,
+   * never by a loss.
+   */
   public int counted() {
     return Math.max(rules.told(), names);
   }
 
-  /** This gateway's part of what all share, 0 to 1. A gateway beyond the told number has none until all count it. */
+  /**
+   * This gateway's part of what all share, 0 to 1. A gateway beyond the told number has none until
+   * all count it.
+   */
   public double share() {
     boolean few = names <= rules.told() && (synced || phase == Phase.ALONE);
     return phase != Phase.LEAVING && (admitted || few) ? 1.0 / counted() : 0;
   }
 
   private boolean counts(Peer peer) {
-    return peer.said.standing() != MemberStatus.LEFT || now - peer.changedAt < STILL_COUNTED * rules.period();
+    return peer.said.standing() != MemberStatus.LEFT
+        || now - peer.changedAt < STILL_COUNTED * rules.period();
   }
 
-  /** Guards against a liar's word that another left: for a while it counts on, and may say otherwise itself. */
+  /**
+   * Guards against a liar's word that another left: for a while it counts on, and may say otherwise
+   * itself.
+   */
   private void count() {
     names = 1;
     digest = mix(self.name());
@@ -251,10 +308,14 @@
     syncDue = first && !synced ? now : syncDue;
     peer.names = message.names();
     differs = message.there() != there;
-    boolean heeded = message.kind() == Kind.ACK || message.kind() == Kind.NACK || message.kind() == Kind.PAGE
-        || mayAnswer(peer);
+    boolean heeded =
+        message.kind() == Kind.ACK
+            || message.kind() == Kind.NACK
+            || message.kind() == Kind.PAGE
+            || mayAnswer(peer);
     if (peer.said.birth() != from.birth() && mayAnswer(peer)) {
-      // Guards against a start that nobody believes, since its clock went back: it is told what is held of it.
+      // Guards against a start that nobody believes, since its clock went back: it is told what is
+      // held of it.
       send(from, Kind.NACK, 0, null, false, List.of(peer.said));
     }
     if (heeded) {
@@ -269,7 +330,7 @@
         }
         case SYNC -> page(from, Kind.PAGE, message.number(), message.about());
         case PAGE -> synced(from, message);
-        default -> { }
+        default -> {}
       }
     }
     admit();
@@ -284,7 +345,10 @@
     return ++asker.answered <= MOST_TO_ONE && ++answers <= MOST_ANSWERS;
   }
 
-  /** Answers one that knows this gateway's address and not its birth, or an older one: nothing it said counts yet. */
+  /**
+   * Answers one that knows this gateway's address and not its birth, or an older one: nothing it
+   * said counts yet.
+   */
   public void greet(long time, MemberUpdate to) {
     now = time;
     if (phase != Phase.LEAVING && !to.name().equals(self.name())) {
@@ -292,9 +356,14 @@
     }
   }
 
-  /** Guards against two processes that push one another out for ever: both are told, neither refutes at speed. */
+  /**
+   * Guards against two processes that push one another out for ever: both are told, neither refutes
+   * at speed.
+   */
   private void twin(MemberUpdate from) {
-    if (phase != Phase.LEAVING && from.birth() != self.birth() && twins.size() < MOST_TWINS
+    if (phase != Phase.LEAVING
+        && from.birth() != self.birth()
+        && twins.size() < MOST_TWINS
         && twins.add(from.birth())) {
       out.twin(from.address());
     }
@@ -328,7 +397,8 @@
     if (rumour.name().equals(self.name())) {
       if (rumour.birth() != self.birth()) {
         outlive(rumour);
-      } else if (rumour.standing() != MemberStatus.ALIVE && rumour.incarnation() >= self.incarnation()) {
+      } else if (rumour.standing() != MemberStatus.ALIVE
+          && rumour.incarnation() >= self.incarnation()) {
         doubt = Math.min(MOST_DOUBT, doubt + 1);
         refute(rumour.incarnation() + 1);
       }
@@ -347,8 +417,10 @@
       held.said = rumour;
       held.accusers.clear();
       changed(held, before);
-    } else if (rumour.standing() == MemberStatus.SUSPECTED && held.said.standing() == MemberStatus.SUSPECTED
-        && rumour.incarnation() == held.said.incarnation() && held.accusers.size() < CONFIRMED
+    } else if (rumour.standing() == MemberStatus.SUSPECTED
+        && held.said.standing() == MemberStatus.SUSPECTED
+        && rumour.incarnation() == held.said.incarnation()
+        && held.accusers.size() < CONFIRMED
         && held.accusers.add(rumour.by())) {
       // Guards against late word of a crash: each further accuser shortens the suspicion.
       long began = held.until - suspicion(held.accusers.size() - 1);
@@ -359,20 +431,34 @@
 
   /** What is remembered of a start before this one, or of a twin: this start is above it. */
   private void outlive(MemberUpdate other) {
-    boolean above = other.incarnation() > self.incarnation()
-        || other.incarnation() == self.incarnation() && other.standing() != MemberStatus.ALIVE;
-    if (above && (risen.size() < MOST_TWINS || risen.containsKey(other.birth()))
-        && risen.merge(other.birth(), 1, Integer::sum) >= RISES && other.standing() == MemberStatus.ALIVE) {
-      twin(other); // One that has ended does not rise above what outlived it, but for what is still on its way.
-    }
-    if (above && (refutedAt == Long.MIN_VALUE || now - refutedAt > rules.period() * STOOD || twins.isEmpty())) {
+    boolean above =
+        other.incarnation() > self.incarnation()
+            || other.incarnation() == self.incarnation() && other.standing() != MemberStatus.ALIVE;
+    if (above
+        && (risen.size() < MOST_TWINS || risen.containsKey(other.birth()))
+        && risen.merge(other.birth(), 1, Integer::sum) >= RISES
+        && other.standing() == MemberStatus.ALIVE) {
+      twin(other); // One that has ended does not rise above what outlived it, but for what is still
+      // on its way.
+    }
+    if (above
+        && (refutedAt == Long.MIN_VALUE
+            || now - refutedAt > rules.period() * STOOD
+            || twins.isEmpty())) {
       refute(other.incarnation() + 1);
     }
   }
 
   private void refute(long incarnation) {
     refutedAt = now;
-    self = new MemberUpdate(self.name(), self.address(), incarnation, self.birth(), MemberStatus.ALIVE, self.name());
+    self =
+        new MemberUpdate(
+            self.name(),
+            self.address(),
+            incarnation,
+            self.birth(),
+            MemberStatus.ALIVE,
+            self.name());
     spreading.put(self.name(), 0);
   }
 
@@ -403,12 +489,23 @@
 
   // ---- What goes.
 
-  private void send(MemberUpdate to, Kind kind, long number, String about, boolean more, List<MemberUpdate> rumours) {
-    out.send(to.address(), new GossipMessage(kind, self, to.birth(), ++serial, number, digest, there, about, more, synced,
-        rumours));
+  private void send(
+      MemberUpdate to,
+      Kind kind,
+      long number,
+      String about,
+      boolean more,
+      List<MemberUpdate> rumours) {
+    out.send(
+        to.address(),
+        new GossipMessage(
+            kind, self, to.birth(), ++serial, number, digest, there, about, more, synced, rumours));
   }
 
-  /** What rides on a datagram: first what is said of the one that it goes to, then what was sent least. */
+  /**
+   * What rides on a datagram: first what is said of the one that it goes to, then what was sent
+   * least.
+   */
   private List<MemberUpdate> rumoursFor(Peer to) {
     List<MemberUpdate> some = new ArrayList<>();
     if (to != null && to.said.standing() != MemberStatus.ALIVE) {
@@ -447,8 +544,8 @@
   }
 
   /**
-   * A list goes on where it ended, with whoever is asked next: one asker gets a bounded number of answers a period, and
-   * while all hold the same, one stretch each few periods is enough.
+   * A list goes on where it ended, with whoever is asked next: one asker gets a bounded number of
+   * answers a period, and while all hold the same, one stretch each few periods is enough.
    */
   private void synced(MemberUpdate from, GossipMessage page) {
     if (page.number() != chain || !Objects.equals(page.about(), cursor)) {
@@ -471,7 +568,8 @@
   /** Admitted for good once every gateway that counts has said that it counts the same names. */
   private void admit() {
     if (!admitted && synced) {
-      admitted = names > 1 && peers.values().stream().allMatch(one -> !counts(one) || one.names == digest);
+      admitted =
+          names > 1 && peers.values().stream().allMatch(one -> !counts(one) || one.names == digest);
     }
   }
 
@@ -491,13 +589,23 @@
     }
     long patience = rules.answer() * (1 + doubt);
     judge(patience);
-    helping.entrySet().removeIf(entry -> {
-      boolean over = now > entry.getValue().until;
-      if (over) { // Says that the helper is well, and that it is not the asker's link that fails.
-        send(entry.getValue().asker, Kind.NACK, entry.getValue().number, null, false, List.of());
-      }
-      return over;
-    });
+    helping
+        .entrySet()
+        .removeIf(
+            entry -> {
+              boolean over = now > entry.getValue().until;
+              if (over) { // Says that the helper is well, and that it is not the asker's link that
+                // fails.
+                send(
+                    entry.getValue().asker,
+                    Kind.NACK,
+                    entry.getValue().number,
+                    null,
+                    false,
+                    List.of());
+              }
+              return over;
+            });
     for (Peer peer : peers.values()) {
       if (peer.said.standing() == MemberStatus.SUSPECTED && now >= peer.until) {
         say(peer, MemberStatus.LOST);
@@ -522,16 +630,26 @@
     settle();
   }
 
-  /** Guards memory against names that come and go for ever: one that left is remembered until all have heard of it. */
+  /**
+   * Guards memory against names that come and go for ever: one that left is remembered until all
+   * have heard of it.
+   */
   private void forgetLeft() {
-    if (peers.values().removeIf(one -> one.said.standing() == MemberStatus.LEFT
-        && now - one.changedAt > REMEMBERED * rules.period())) {
+    if (peers
+        .values()
+        .removeIf(
+            one ->
+                one.said.standing() == MemberStatus.LEFT
+                    && now - one.changedAt > REMEMBERED * rules.period())) {
       order.removeIf(one -> peers.get(one.said.name()) != one);
       at = Math.min(at, order.size());
     }
   }
 
-  /** Guards the fleet against one that slept: what it did not hear proves nothing, and its own view is old. */
+  /**
+   * Guards the fleet against one that slept: what it did not hear proves nothing, and its own view
+   * is old.
+   */
   private void stood(long passed) {
     probe = null;
     helping.clear();
@@ -568,18 +686,33 @@
       if (of.said.standing() == MemberStatus.ALIVE) {
         say(of, MemberStatus.SUSPECTED);
       } else if (of.said.standing() == MemberStatus.SUSPECTED) {
-        take(new MemberUpdate(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(),
-            MemberStatus.SUSPECTED, self.name()));
+        take(
+            new MemberUpdate(
+                of.said.name(),
+                of.said.address(),
+                of.said.incarnation(),
+                of.said.birth(),
+                MemberStatus.SUSPECTED,
+                self.name()));
       }
     }
   }
 
   private void say(Peer of, MemberStatus standing) {
-    take(new MemberUpdate(of.said.name(), of.said.address(), of.said.incarnation(), of.said.birth(), standing,
-        self.name()));
+    take(
+        new MemberUpdate(
+            of.said.name(),
+            of.said.address(),
+            of.said.incarnation(),
+            of.said.birth(),
+            standing,
+            self.name()));
   }
 
-  /** Each in turn, in an order by chance that is drawn anew after each round: bounds the time to hear of a crash. */
+  /**
+   * Each in turn, in an order by chance that is drawn anew after each round: bounds the time to
+   * hear of a crash.
+   */
   private void probeNext() {
     probeDue = now + rules.period();
     for (int tried = 0; tried < order.size(); tried++) {
@@ -605,7 +738,10 @@
     long every = synced && !differs ? SYNC_EVERY * rules.period() : rules.period();
     syncDue = now + every / 2 + chance.nextLong(every);
     Peer with = any(Peer::isThere);
-    int oneIn = synced ? Math.max(SEEDS_ONE_IN, names / SEED_ASKERS) : SEEDS_ONE_IN; // Guards seeds of large fleets.
+    int oneIn =
+        synced
+            ? Math.max(SEEDS_ONE_IN, names / SEED_ASKERS)
+            : SEEDS_ONE_IN; // Guards seeds of large fleets.
     if (with != null && (seeds.isEmpty() || chance.nextInt(oneIn) > 0)) {
       chain = ++number;
       page(with.said, Kind.SYNC, chain, cursor);
@@ -616,19 +752,26 @@
   }
 
   /**
-   * Asks a seed address at which nobody is, a few times a second by the whole fleet. Guards against one that starts
-   * there and asks seeds that are down: it can be found only by those that know its address.
+   * Asks a seed address at which nobody is, a few times a second by the whole fleet. Guards against
+   * one that starts there and asks seeds that are down: it can be found only by those that know its
+   * address.
    */
   private void askEmptySeed() {
-    List<String> empty = seeds.stream().filter(seed -> peers.values().stream()
-        .noneMatch(one -> one.isThere() && one.said.address().equals(seed))).toList();
+    List<String> empty =
+        seeds.stream()
+            .filter(
+                seed ->
+                    peers.values().stream()
+                        .noneMatch(one -> one.isThere() && one.said.address().equals(seed)))
+            .toList();
     if (!empty.isEmpty() && chance.nextInt(names) < SEED_ASKERS) {
       page(unknown(empty), Kind.SYNC, ++number, null);
     }
   }
 
   private MemberUpdate unknown(List<String> addresses) {
-    return new MemberUpdate("", addresses.get(chance.nextInt(addresses.size())), 0, 0, MemberStatus.ALIVE, "");
+    return new MemberUpdate(
+        "", addresses.get(chance.nextInt(addresses.size())), 0, 0, MemberStatus.ALIVE, "");
   }
 
   private Peer any(Predicate<Peer> which) {
@@ -637,14 +780,18 @@
   }
 
   private void settle() {
-    boolean suspects = peers.values().stream().anyMatch(one -> one.said.standing() == MemberStatus.SUSPECTED);
+    boolean suspects =
+        peers.values().stream().anyMatch(one -> one.said.standing() == MemberStatus.SUSPECTED);
     if (present == 1 && names == 1) {
       boolean waited = phase == Phase.ALONE || now - startedAt > ALONE_AFTER * rules.period();
       enter(waited ? Phase.ALONE : Phase.JOINING);
     } else if (2 * present <= names) {
       enter(Phase.CUT_OFF);
     } else {
-      enter(synced && !suspects && now - changedAt > QUIET * rules.period() ? Phase.SETTLED : Phase.SETTLING);
+      enter(
+          synced && !suspects && now - changedAt > QUIET * rules.period()
+              ? Phase.SETTLED
+              : Phase.SETTLING);
     }
   }
 
@@ -658,11 +805,21 @@
 
   // ---- What operators say.
 
-  /** Orderly: from now on this gateway has no share, and some hear that it leaves; the others hear it from them. */
+  /**
+   * Orderly: from now on this gateway has no share, and some hear that it leaves; the others hear
+   * it from them.
+   */
   public void leave(long time) {
     now = time;
     enter(Phase.LEAVING);
-    self = new MemberUpdate(self.name(), self.address(), self.incarnation(), self.birth(), MemberStatus.LEFT, self.name());
+    self =
+        new MemberUpdate(
+            self.name(),
+            self.address(),
+            self.incarnation(),
+            self.birth(),
+            MemberStatus.LEFT,
+            self.name());
     List<Peer> some = new ArrayList<>(peers.values().stream().filter(Peer::isThere).toList());
     for (int one = 0; one < 2 * HELPERS && !some.isEmpty(); one++) {
       send(some.remove(chance.nextInt(some.size())).said, Kind.NACK, 0, null, false, List.of());
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -1,6 +1,5 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.membership.SwimProtocol;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpMethod;
@@ -12,14 +11,18 @@
 import io.vertx.core.net.SocketAddress;
 import java.util.Locale;
 import java.util.logging.Logger;
+import org.amberpath.membership.SwimProtocol;
 
 /**
- * Where operators ask a gateway for its view, on loopback: GET {@value #VIEW}, POST {@value #FORGET}NAME; and for the
- * tasks that it owns: GET {@value #TASKS}, POST {@value #RELEASE}TASK. Bounds:
- * {@value #MOST} connections at a time, which are closed when idle.
+ * Where operators ask a gateway for its view, on loopback: GET {@value #VIEW}, POST {@value
+ * #FORGET}NAME; and for the tasks that it owns: GET {@value #TASKS}, POST {@value #RELEASE}TASK.
+ * Bounds: {@value #MOST} connections at a time, which are closed when idle.
  */
 public final class AdminEndpoint {
-  public static final String VIEW = "/fleet", FORGET = "/fleet/forget/", TASKS = "/owner", RELEASE = "/owner/release/";
+  public static final String VIEW = "/fleet",
+      FORGET = "/fleet/forget/",
+      TASKS = "/owner",
+      RELEASE = "/owner/release/";
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
   private static final int MOST = 8, IDLE_S = 10, LONGEST_LINE = 512, LONGEST_HEADERS = 4096;
   private static final long MS = 1_000_000;
@@ -32,21 +35,29 @@
   AdminEndpoint(Vertx vertx, MembershipService company, FleetMessageHandler guest) {
     this.company = company;
     this.guest = guest;
-    server = vertx.createHttpServer(new HttpServerOptions().setIdleTimeout(IDLE_S)
-        .setMaxInitialLineLength(LONGEST_LINE).setMaxHeaderSize(LONGEST_HEADERS));
-    server.connectionHandler(connection -> {
-      open++;
-      connection.closeHandler(closed -> open--);
-      if (open > MOST) {
-        connection.close();
-      }
-    });
+    server =
+        vertx.createHttpServer(
+            new HttpServerOptions()
+                .setIdleTimeout(IDLE_S)
+                .setMaxInitialLineLength(LONGEST_LINE)
+                .setMaxHeaderSize(LONGEST_HEADERS));
+    server.connectionHandler(
+        connection -> {
+          open++;
+          connection.closeHandler(closed -> open--);
+          if (open > MOST) {
+            connection.close();
+          }
+        });
     server.requestHandler(this::answer);
   }
 
   Future<Void> listen(SocketAddress at) {
-    return server.listen(at).onSuccess(up -> LOG.info("fleet: operators ask at " + at.hostAddress() + ":"
-        + up.actualPort())).mapEmpty();
+    return server
+        .listen(at)
+        .onSuccess(
+            up -> LOG.info("fleet: operators ask at " + at.hostAddress() + ":" + up.actualPort()))
+        .mapEmpty();
   }
 
   void close() {
@@ -64,7 +75,10 @@
       boolean forgotten = view.forget(company.now(), path.substring(FORGET.length()));
       request.response().setStatusCode(forgotten ? 200 : 409).end();
     } else if (guest != null && request.method() == HttpMethod.GET && path.equals(TASKS)) {
-      request.response().putHeader("Content-Type", "application/json").end(guest.page(company.now()).toBuffer());
+      request
+          .response()
+          .putHeader("Content-Type", "application/json")
+          .end(guest.page(company.now()).toBuffer());
     } else if (guest != null && request.method() == HttpMethod.POST && path.startsWith(RELEASE)) {
       boolean released = guest.release(company.now(), path.substring(RELEASE.length()));
       request.response().setStatusCode(released ? 200 : 409).end();
@@ -77,16 +91,28 @@
     JsonArray others = new JsonArray();
     long now = company.now();
     for (SwimProtocol.Seen one : view.others()) {
-      others.add(new JsonObject().put("name", one.said().name()).put("address", one.said().address())
-          .put("standing", low(one.said().standing())).put("incarnation", one.said().incarnation())
-          .put("since_ms", (now - one.since()) / MS));
+      others.add(
+          new JsonObject()
+              .put("name", one.said().name())
+              .put("address", one.said().address())
+              .put("standing", low(one.said().standing()))
+              .put("incarnation", one.said().incarnation())
+              .put("since_ms", (now - one.since()) / MS));
     }
     JsonObject counts = new JsonObject();
     company.counts().forEach((what, many) -> counts.put(low(what), many));
-    return new JsonObject().put("name", view.self().name()).put("fleet", company.fleet())
-        .put("phase", low(view.phase())).put("there", view.present()).put("told", company.rules().told())
-        .put("counted", view.counted()).put("part", view.share()).put("address", view.self().address())
-        .put("incarnation", view.self().incarnation()).put("gateways", others).put("datagrams", counts);
+    return new JsonObject()
+        .put("name", view.self().name())
+        .put("fleet", company.fleet())
+        .put("phase", low(view.phase()))
+        .put("there", view.present())
+        .put("told", company.rules().told())
+        .put("counted", view.counted())
+        .put("part", view.share())
+        .put("address", view.self().address())
+        .put("incarnation", view.self().incarnation())
+        .put("gateways", others)
+        .put("datagrams", counts);
   }
 
   private static String low(Enum<?> one) {
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -1,33 +1,38 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.membership.GossipMessage;
-import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.MemberStatus;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.MemberUpdate;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A datagram's form: MessagePack values one after another, then {@value FleetKeys#LENGTH} bytes that prove who made
- * them. First come version, fleet and the key's id; nothing behind them is read before the proof.
+ * A datagram's form: MessagePack values one after another, then {@value FleetKeys#LENGTH} bytes
+ * that prove who made them. First come version, fleet and the key's id; nothing behind them is read
+ * before the proof.
  */
 public final class DatagramCodec {
   /** What a datagram is worth that tells nothing. */
-  public enum Fault { UNREADABLE, OTHER_VERSION, OTHER_FLEET, OTHER_KEY, FORGED }
+  public enum Fault {
+    UNREADABLE,
+    OTHER_VERSION,
+    OTHER_FLEET,
+    OTHER_KEY,
+    FORGED
+  }
 
   /** Something that one gateway writes to another by way of the fleet's datagrams. */
-  public record Letter(MemberUpdate from, long to, long serial, byte[] body) {
-  }
+  public record Letter(MemberUpdate from, long to, long serial, byte[] body) {}
 
   /** What came of one: a message, a letter, or what is wrong with it. */
-  public record Read(GossipMessage message, Letter letter, Fault fault) {
-  }
+  public record Read(GossipMessage message, Letter letter, Fault fault) {}
 
   public static final int LONGEST = 1400, LONGEST_LETTER = 1000;
   static final String NAME = "[A-Za-z0-9._-]{1,32}";
@@ -50,8 +55,12 @@
   public byte[] write(GossipMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packString(fleet).packString(keys.first());
-      out.packInt(message.kind().ordinal()).packLong(message.to()).packLong(message.serial())
-          .packLong(message.number()).packLong(message.names()).packLong(message.there());
+      out.packInt(message.kind().ordinal())
+          .packLong(message.to())
+          .packLong(message.serial())
+          .packLong(message.number())
+          .packLong(message.names())
+          .packLong(message.there());
       if (message.about() == null) {
         out.packNil();
       } else {
@@ -89,8 +98,12 @@
   }
 
   private static void write(MessageBufferPacker out, MemberUpdate rumour) throws IOException {
-    out.packString(rumour.name()).packString(rumour.address()).packLong(rumour.incarnation())
-        .packLong(rumour.birth()).packInt(rumour.standing().ordinal()).packString(rumour.by());
+    out.packString(rumour.name())
+        .packString(rumour.address())
+        .packLong(rumour.incarnation())
+        .packLong(rumour.birth())
+        .packInt(rumour.standing().ordinal())
+        .packString(rumour.by());
   }
 
   /** What a datagram says, if it is whole, of this fleet and proved. */
@@ -114,7 +127,9 @@
         return new Read(null, null, Fault.FORGED);
       }
       int kind = below(in.unpackInt(), KINDS.length + 1);
-      return kind == LETTER ? new Read(null, letter(in), null) : new Read(message(KINDS[kind], in), null, null);
+      return kind == LETTER
+          ? new Read(null, letter(in), null)
+          : new Read(message(KINDS[kind], in), null, null);
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
       return new Read(null, null, Fault.UNREADABLE);
     }
@@ -131,7 +146,10 @@
   }
 
   private GossipMessage message(GossipMessage.Kind kind, MessageUnpacker in) throws IOException {
-    long to = in.unpackLong(), serial = in.unpackLong(), number = in.unpackLong(), names = in.unpackLong();
+    long to = in.unpackLong(),
+        serial = in.unpackLong(),
+        number = in.unpackLong(),
+        names = in.unpackLong();
     long there = in.unpackLong();
     String about = in.tryUnpackNil() ? null : text(in, NAME);
     int flags = below(in.unpackInt(), MORE + WHOLE + 1);
@@ -142,11 +160,23 @@
       rumours.add(rumour(in));
     }
     boolean asks = kind == GossipMessage.Kind.ASK;
-    if (in.hasNext() || serial <= 0 || asks && about == null || kind == GossipMessage.Kind.PAGE && many == 0
-        && (flags & MORE) != 0) {
+    if (in.hasNext()
+        || serial <= 0
+        || asks && about == null
+        || kind == GossipMessage.Kind.PAGE && many == 0 && (flags & MORE) != 0) {
       throw new IllegalArgumentException();
     }
-    return new GossipMessage(kind, from, to, serial, number, names, there, about, (flags & MORE) != 0, (flags & WHOLE) != 0,
+    return new GossipMessage(
+        kind,
+        from,
+        to,
+        serial,
+        number,
+        names,
+        there,
+        about,
+        (flags & MORE) != 0,
+        (flags & WHOLE) != 0,
         rumours);
   }
 
@@ -156,7 +186,12 @@
     if (incarnation < 0) {
       throw new IllegalArgumentException();
     }
-    return new MemberUpdate(name, address, incarnation, birth, STANDINGS[below(in.unpackInt(), STANDINGS.length)],
+    return new MemberUpdate(
+        name,
+        address,
+        incarnation,
+        birth,
+        STANDINGS[below(in.unpackInt(), STANDINGS.length)],
         text(in, NAME));
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -1,12 +1,12 @@
 package org.amberpath.membership.runtime;
 
-import org.amberpath.routing.RoutingActions;
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
+import org.amberpath.routing.RoutingActions;
 
 /**
- * Something that a gateway does together with others of its fleet, by letters to them. It is called on the gateway's
- * event loop.
+ * Something that a gateway does together with others of its fleet, by letters to them. It is called
+ * on the gateway's event loop.
  */
 public interface FleetMessageHandler {
   /** Makes the guest of one gateway. */
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -13,8 +13,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys of a fleet: the first of a file signs, each is believed, so that one follows another without a gap. HMAC
- * with SHA-256 (RFC 2104), of which the first {@value #LENGTH} bytes are sent. Only for one thread.
+ * The keys of a fleet: the first of a file signs, each is believed, so that one follows another
+ * without a gap. HMAC with SHA-256 (RFC 2104), of which the first {@value #LENGTH} bytes are sent.
+ * Only for one thread.
  */
 public final class HmacKeyring {
   public static final int LENGTH = 16;
@@ -48,10 +49,12 @@
       }
       String where = "[fleet] key: " + file + ", line " + number + ": ";
       if (words.length != 2 || !words[0].matches(ID)) {
-        throw new Faulty(where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
+        throw new Faulty(
+            where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
       }
       if (byId.size() == MOST || byId.put(words[0], mac(words[1], where)) != null) {
-        throw new Faulty(where + (byId.size() == MOST ? "more than " + MOST + " keys" : "an id given twice"));
+        throw new Faulty(
+            where + (byId.size() == MOST ? "more than " + MOST + " keys" : "an id given twice"));
       }
     }
     if (byId.isEmpty()) {
@@ -110,7 +113,8 @@
   /** Whether the last bytes are those that the key makes of the others. */
   boolean proves(String id, byte[] bytes) {
     int signed = bytes.length - LENGTH;
-    return MessageDigest.isEqual(mac(id, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length));
+    return MessageDigest.isEqual(
+        mac(id, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length));
   }
 
   private byte[] mac(String id, byte[] bytes, int length) {
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -16,6 +16,12 @@
  * @param key a file of lines "ID HEX": the first signs, each is believed
  * @param operators where operators may ask, on loopback; null for nowhere
  */
-public record MembershipSettings(String fleet, SocketAddress listen, SocketAddress advertised, List<SocketAddress> seeds,
-    int told, long period, Path key, SocketAddress operators) {
-}
+public record MembershipSettings(
+    String fleet,
+    SocketAddress listen,
+    SocketAddress advertised,
+    List<SocketAddress> seeds,
+    int told,
+    long period,
+    Path key,
+    SocketAddress operators) {}
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.ReplayFilter.Verdict;
 import java.util.List;
+import org.amberpath.membership.ReplayFilter.Verdict;
 import org.junit.jupiter.api.Test;
 
 /** Stories of what is let in. */
@@ -15,8 +15,18 @@
   private final ReplayFilter door = new ReplayFilter(OWN, PERIOD, 0);
 
   private static GossipMessage from(long birth, long to, long serial) {
-    return new GossipMessage(GossipMessage.Kind.PING, new MemberUpdate("g" + birth, "at-g" + birth, 1, birth, MemberStatus.ALIVE, ""), to,
-        serial, 1, 0, 0, null, false, true, List.of());
+    return new GossipMessage(
+        GossipMessage.Kind.PING,
+        new MemberUpdate("g" + birth, "at-g" + birth, 1, birth, MemberStatus.ALIVE, ""),
+        to,
+        serial,
+        1,
+        0,
+        0,
+        null,
+        false,
+        true,
+        List.of());
   }
 
   private Verdict comes(long now, long birth, long to, long serial) {
@@ -38,7 +48,10 @@
     }
     assertEquals(Verdict.REPEATED, comes(0, 1, OWN, 6), "older than the window: it may have come");
     assertEquals(Verdict.TAKEN, comes(0, 1, OWN, 7));
-    assertEquals(Verdict.REPEATED, comes(0, 1, OWN, Long.MIN_VALUE + 3), "no number is so old that it is new");
+    assertEquals(
+        Verdict.REPEATED,
+        comes(0, 1, OWN, Long.MIN_VALUE + 3),
+        "no number is so old that it is new");
     assertEquals(Verdict.TAKEN, comes(0, 2, OWN, 5), "another sender's numbers are its own");
   }
 
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -5,17 +5,16 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.GossipMessage.Kind;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
 /** Stories of one gateway's view, told datagrams by hand. */
 class SwimProtocolTest implements SwimProtocol.Out {
   private static final long MS = 1_000_000, PERIOD = 500 * MS;
 
-  private record Sent(String to, GossipMessage message) {
-  }
+  private record Sent(String to, GossipMessage message) {}
 
   private final List<Sent> sent = new ArrayList<>();
   private final List<String> news = new ArrayList<>();
@@ -24,7 +23,12 @@
   private SwimProtocol view = view(2);
 
   private SwimProtocol view(int told) {
-    return new SwimProtocol(SwimTimings.usual(told), saying("me", 5, MemberStatus.ALIVE), List.of("at-me", "at-seed"), 7, now,
+    return new SwimProtocol(
+        SwimTimings.usual(told),
+        saying("me", 5, MemberStatus.ALIVE),
+        List.of("at-me", "at-seed"),
+        7,
+        now,
         this);
   }
 
@@ -33,8 +37,20 @@
   }
 
   private void comes(Kind kind, String from, long number, boolean whole, MemberUpdate... rumours) {
-    view.received(now, new GossipMessage(kind, saying(from, 1, MemberStatus.ALIVE), 0, number, number, 0, 0, null, false, whole,
-        List.of(rumours)));
+    view.received(
+        now,
+        new GossipMessage(
+            kind,
+            saying(from, 1, MemberStatus.ALIVE),
+            0,
+            number,
+            number,
+            0,
+            0,
+            null,
+            false,
+            whole,
+            List.of(rumours)));
   }
 
   /** The whole list, in answer to what was asked last. */
@@ -46,14 +62,18 @@
   }
 
   private void pass(long time) {
-    for (long until = now + time; now < until;) {
+    for (long until = now + time; now < until; ) {
       now += 100 * MS;
       view.tick(now);
     }
   }
 
   private GossipMessage last(Kind kind) {
-    return sent.stream().map(Sent::message).filter(one -> one.kind() == kind).reduce((a, b) -> b).orElse(null);
+    return sent.stream()
+        .map(Sent::message)
+        .filter(one -> one.kind() == kind)
+        .reduce((a, b) -> b)
+        .orElse(null);
   }
 
   @Test
@@ -74,13 +94,26 @@
   void aListGoesOnWhereItEndedAndWhileViewsDiffer() {
     view.tick(now);
     long number = last(Kind.SYNC).number();
-    GossipMessage more = new GossipMessage(Kind.PAGE, saying("other", 1, MemberStatus.ALIVE), 0, 1, number, 0, 0, null, true, true,
-        List.of(saying("third", 1, MemberStatus.ALIVE)));
+    GossipMessage more =
+        new GossipMessage(
+            Kind.PAGE,
+            saying("other", 1, MemberStatus.ALIVE),
+            0,
+            1,
+            number,
+            0,
+            0,
+            null,
+            true,
+            true,
+            List.of(saying("third", 1, MemberStatus.ALIVE)));
     view.received(now, more);
-    assertEquals("third", last(Kind.SYNC).about(), "asked on at once, since the list is not whole yet");
+    assertEquals(
+        "third", last(Kind.SYNC).about(), "asked on at once, since the list is not whole yet");
     sent.clear();
     pass(3 * PERIOD);
-    assertTrue(sent.stream().anyMatch(one -> "third".equals(one.message().about())),
+    assertTrue(
+        sent.stream().anyMatch(one -> "third".equals(one.message().about())),
         "the rest was lost: it is asked for again, and not the whole");
   }
 
@@ -109,7 +142,11 @@
       view.tick(now);
       for (Sent one : List.copyOf(sent)) {
         if (one.to().equals("at-third")) {
-          comes(one.message().kind() == Kind.ASK ? Kind.NACK : Kind.ACK, "third", one.message().number(), true);
+          comes(
+              one.message().kind() == Kind.ASK ? Kind.NACK : Kind.ACK,
+              "third",
+              one.message().number(),
+              true);
         }
       }
     }
@@ -128,7 +165,12 @@
 
   @Test
   void aStartAnewIsAboveWhatTheFleetRemembersOfItAndNoTwin() {
-    comes(Kind.PING, "other", 1, true, new MemberUpdate("me", "at-me", 40, 99, MemberStatus.LOST, "other"));
+    comes(
+        Kind.PING,
+        "other",
+        1,
+        true,
+        new MemberUpdate("me", "at-me", 40, 99, MemberStatus.LOST, "other"));
     assertEquals(41, last(Kind.ACK).from().incarnation());
     assertTrue(twins.isEmpty());
   }
@@ -137,12 +179,15 @@
   void aTwinIsToldOnceAndDrivesUpNoIncarnation() {
     for (int time = 0; time < 50; time++) {
       now += MS;
-      MemberUpdate twin = new MemberUpdate("me", "at-twin", 100 + time, 99, MemberStatus.ALIVE, "me");
-      view.received(now, new GossipMessage(Kind.PING, twin, 0, 1, 1, 0, 0, null, false, true, List.of()));
+      MemberUpdate twin =
+          new MemberUpdate("me", "at-twin", 100 + time, 99, MemberStatus.ALIVE, "me");
+      view.received(
+          now, new GossipMessage(Kind.PING, twin, 0, 1, 1, 0, 0, null, false, true, List.of()));
       comes(Kind.PING, "other", 1, true, twin);
     }
     assertEquals(List.of("at-twin"), twins);
-    assertTrue(last(Kind.ACK).from().incarnation() <= 102, "" + last(Kind.ACK).from().incarnation());
+    assertTrue(
+        last(Kind.ACK).from().incarnation() <= 102, "" + last(Kind.ACK).from().incarnation());
   }
 
   @Test
@@ -207,7 +252,10 @@
 
   @Test
   void aSayingThatCouldNeverBeRefutedIsPassedOver() {
-    lists("other", true, saying("third", Long.MAX_VALUE, MemberStatus.LOST),
+    lists(
+        "other",
+        true,
+        saying("third", Long.MAX_VALUE, MemberStatus.LOST),
         saying("me", Long.MAX_VALUE, MemberStatus.LOST));
     assertNull(view.standing("third"));
     assertEquals(5, view.self().incarnation());
@@ -215,7 +263,12 @@
 
   @Test
   void aStartThatNobodyBelievesIsToldWhatIsHeldOfIt() {
-    comes(Kind.PING, "other", 1, true, new MemberUpdate("third", "at-third", 900, 77, MemberStatus.ALIVE, "third"));
+    comes(
+        Kind.PING,
+        "other",
+        1,
+        true,
+        new MemberUpdate("third", "at-third", 900, 77, MemberStatus.ALIVE, "third"));
     sent.clear();
     comes(Kind.SYNC, "third", 2, false);
     assertEquals(900, last(Kind.NACK).rumours().get(0).incarnation());
@@ -238,18 +291,21 @@
     assertNull(view.standing("third"));
   }
 
-  @Override public void send(String address, GossipMessage message) {
+  @Override
+  public void send(String address, GossipMessage message) {
     sent.add(new Sent(address, message));
   }
 
-  @Override public void news(String name, MemberStatus standing) {
+  @Override
+  public void news(String name, MemberStatus standing) {
     news.add(name + " " + standing);
   }
 
-  @Override public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-  }
+  @Override
+  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
 
-  @Override public void twin(String address) {
+  @Override
+  public void twin(String address) {
     twins.add(address);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -5,12 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.membership.SwimTimings;
-import org.amberpath.membership.GossipMessage;
-import org.amberpath.membership.GossipMessage.Kind;
-import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.MemberStatus;
-import org.amberpath.membership.runtime.DatagramCodec.Fault;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -19,6 +13,12 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.GossipMessage.Kind;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.SwimTimings;
+import org.amberpath.membership.runtime.DatagramCodec.Fault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -26,8 +26,7 @@
 class DatagramCodecTest {
   private static final String KEY = "0123456789abcdef0123456789abcdef", OTHER = "ff".repeat(16);
   private final DatagramCodec form = new DatagramCodec("stores", SwimTimings.usual(1).rumours());
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
 
   private HmacKeyring keys(String text) throws Exception {
     return HmacKeyring.read(Files.writeString(folder.resolve("keys"), text));
@@ -35,12 +34,22 @@
 
   private static MemberUpdate longest(MemberStatus standing) {
     String name = "n".repeat(32);
-    return new MemberUpdate(name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, standing, name);
+    return new MemberUpdate(
+        name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, standing, name);
   }
 
   private static GossipMessage longest(int rumours) {
-    return new GossipMessage(Kind.PAGE, longest(MemberStatus.ALIVE), Long.MIN_VALUE, Long.MAX_VALUE, Long.MIN_VALUE,
-        Long.MIN_VALUE, Long.MIN_VALUE, "n".repeat(32), true, true,
+    return new GossipMessage(
+        Kind.PAGE,
+        longest(MemberStatus.ALIVE),
+        Long.MIN_VALUE,
+        Long.MAX_VALUE,
+        Long.MIN_VALUE,
+        Long.MIN_VALUE,
+        Long.MIN_VALUE,
+        "n".repeat(32),
+        true,
+        true,
         Collections.nCopies(rumours, longest(MemberStatus.LOST)));
   }
 
@@ -72,25 +81,37 @@
 
   @Test
   void oneKeyFollowsAnotherWithoutAGap() throws Exception {
-    HmacKeyring before = keys("k1 " + KEY), both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
+    HmacKeyring before = keys("k1 " + KEY),
+        both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
     assertNotNull(form.read(form.write(longest(1), before), both).message());
     assertEquals("k2", both.first());
   }
 
   @Test
   void aFileOfKeysIsReadStrictly() {
-    for (String wrong : List.of("", "k1", "k1 xyz", "k1 0011", "k1 " + KEY + " more", "k/1 " + KEY,
-        "k1 " + KEY + "\nk1 " + KEY, ("k1 " + KEY + "\n").repeat(200))) {
+    for (String wrong :
+        List.of(
+            "",
+            "k1",
+            "k1 xyz",
+            "k1 0011",
+            "k1 " + KEY + " more",
+            "k/1 " + KEY,
+            "k1 " + KEY + "\nk1 " + KEY,
+            ("k1 " + KEY + "\n").repeat(200))) {
       HmacKeyring.Faulty faulty = assertThrows(HmacKeyring.Faulty.class, () -> keys(wrong), wrong);
-      assertTrue(faulty.getMessage().startsWith("[fleet] key: ") && !faulty.getMessage().contains(KEY),
+      assertTrue(
+          faulty.getMessage().startsWith("[fleet] key: ") && !faulty.getMessage().contains(KEY),
           faulty.getMessage());
     }
   }
 
   /** A holder of the key may still send what can't be read. */
   @Property(tries = 500)
-  void whatIsSignedAndUnreadableCostsNothingButACount(@ForAll @Size(max = 200) byte[] behind) throws Exception {
-    HmacKeyring keys = HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
+  void whatIsSignedAndUnreadableCostsNothingButACount(@ForAll @Size(max = 200) byte[] behind)
+      throws Exception {
+    HmacKeyring keys =
+        HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
     byte[] good = form.write(longest(0), keys);
     int header = "stores".length() + "k1".length() + 3;
     byte[] bytes = Arrays.copyOf(good, header + behind.length);
--- a/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
+++ b/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
@@ -2,10 +2,12 @@
 
 import java.util.Arrays;
 
-/** How a bound is shared among those who ask: the most even way in which nobody has more than it wants. */
+/**
+ * How a bound is shared among those who ask: the most even way in which nobody has more than it
+ * wants.
+ */
 public final class MaxMinFairShare {
-  private MaxMinFairShare() {
-  }
+  private MaxMinFairShare() {}
 
   /**
    * Max-min fair shares by water-filling.
@@ -18,7 +20,8 @@
     int many = wanted.length;
     Integer[] order = new Integer[many];
     Arrays.setAll(order, place -> place);
-    Arrays.sort(order, (a, b) -> wanted[a] != wanted[b] ? Double.compare(wanted[a], wanted[b]) : a - b);
+    Arrays.sort(
+        order, (a, b) -> wanted[a] != wanted[b] ? Double.compare(wanted[a], wanted[b]) : a - b);
     double[] shares = new double[many];
     double left = bound;
     for (int place = 0; place < many; place++) {
--- a/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * * A forwarder's shares: what it asks for, which grant is in force, and how much of each resource it may use now.
- * A share above the usual part ends with its time; one below is kept to for longer, and the usual part comes back
- * over a ramp. It needs no planner to be alive: without a grant it comes to the usual part, which is what a
- * gateway alone takes.
+ * * A forwarder's shares: what it asks for, which grant is in force, and how much of each resource
+ * it may use now. A share above the usual part ends with its time; one below is kept to for longer,
+ * and the usual part comes back over a ramp. It needs no planner to be alive: without a grant it
+ * comes to the usual part, which is what a gateway alone takes.
  *
  * <p>Bounds: the last MOST asks are remembered; an answer to an older one is passed over.
  */
@@ -15,23 +15,33 @@
   private static final int MOST = 32;
 
   /** Why a grant was not taken. */
-  public enum Refusal { TAKEN, OLD_TERM, OLD_NUMBER, OLD_ASK, UNKNOWN_ASK, OTHERS, OVER }
+  public enum Refusal {
+    TAKEN,
+    OLD_TERM,
+    OLD_NUMBER,
+    OLD_ASK,
+    UNKNOWN_ASK,
+    OTHERS,
+    OVER
+  }
 
   private final QuotaTimings rules;
   private final int member;
   private final long run, startedAt;
   private final double[] usual;
-  private final Map<Long, Long> asked = new LinkedHashMap<>() {
-    @Override protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
-      return size() > MOST;
-    }
-  };
+  private final Map<Long, Long> asked =
+      new LinkedHashMap<>() {
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Long, Long> eldest) {
+          return size() > MOST;
+        }
+      };
   private long seq, answered, term, number, echo = Long.MIN_VALUE, since;
   private double[] amounts;
 
   /**
-   * A forwarder that has just started, and so keeps to the thin share until it is granted more or nobody can count on
-   * what it may have promised before.
+   * A forwarder that has just started, and so keeps to the thin share until it is granted more or
+   * nobody can count on what it may have promised before.
    *
    * @param run grows from start to start
    */
@@ -49,7 +59,10 @@
     return new QuotaRequest(member, run, seq, term, number, echo, wanted.clone());
   }
 
-  /** Takes a grant into force, unless it is not for this start, older than what is known, or past its time. */
+  /**
+   * Takes a grant into force, unless it is not for this start, older than what is known, or past
+   * its time.
+   */
   public Refusal take(long now, QuotaGrant grant) {
     if (grant.member() != member || grant.run() != run || grant.amounts().length != usual.length) {
       return Refusal.OTHERS;
@@ -60,7 +73,8 @@
     if (grant.term() == term && grant.number() <= number) {
       return Refusal.OLD_NUMBER;
     }
-    // Guards a promise to keep to less against an answer that came the long way round: its time would end sooner.
+    // Guards a promise to keep to less against an answer that came the long way round: its time
+    // would end sooner.
     if (grant.answers() <= answered) {
       return Refusal.OLD_ASK;
     }
@@ -77,7 +91,8 @@
     since = from;
     answered = grant.answers();
     amounts = grant.amounts().clone();
-    // Guards against a planner that lies: less than the thin share would starve, no figure at all would break.
+    // Guards against a planner that lies: less than the thin share would starve, no figure at all
+    // would break.
     for (int resource = 0; resource < amounts.length; resource++) {
       double least = usual[resource] * rules.thin();
       amounts[resource] = amounts[resource] >= least ? amounts[resource] : least;
@@ -98,7 +113,10 @@
     return ramp(amount, whole, now - since);
   }
 
-  /** From a lower share back to the usual one, over the time of a grant, once nobody can count on the lower one. */
+  /**
+   * From a lower share back to the usual one, over the time of a grant, once nobody can count on
+   * the lower one.
+   */
   private double ramp(double from, double to, long age) {
     double gone = (double) (age - rules.holdTime()) / rules.grantTime();
     return from + (to - from) * Math.max(0, Math.min(1, gone));
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -7,21 +7,26 @@
 import java.util.List;
 
 /**
- * * What a planner has granted, and what it may grant: the sum of what all forwarders may hold at any moment from
- * now on stays within the bound of each resource, whatever is lost, late or doubled on the way, and whoever
- * restarts or is never heard of. A forwarder without a grant holds its usual part, an equal part of the bound.
+ * * What a planner has granted, and what it may grant: the sum of what all forwarders may hold at
+ * any moment from now on stays within the bound of each resource, whatever is lost, late or doubled
+ * on the way, and whoever restarts or is never heard of. A forwarder without a grant holds its
+ * usual part, an equal part of the bound.
  *
- * <p>A share above the usual part is counted until it must have run out; one below counts only once its forwarder
- * has said that it is in force, and only as long as it must still be. Who restarts keeps to the thin share for as
- * long as a share below the usual part could have held, so a grant never goes below that.
+ * <p>A share above the usual part is counted until it must have run out; one below counts only once
+ * its forwarder has said that it is in force, and only as long as it must still be. Who restarts
+ * keeps to the thin share for as long as a share below the usual part could have held, so a grant
+ * never goes below that.
  *
- * <p>Bounds: members as told; MOST outstanding grants a member, past which it is granted nothing until it is
- * heard.
+ * <p>Bounds: members as told; MOST outstanding grants a member, past which it is granted nothing
+ * until it is heard.
  */
 public final class QuotaLedger {
   private static final int MOST = 16;
 
-  /** A grant as it is remembered: above until mostUntil, below from when it is told in force until leastUntil. */
+  /**
+   * A grant as it is remembered: above until mostUntil, below from when it is told in force until
+   * leastUntil.
+   */
   private static final class Given {
     final long number, mostUntil, leastUntil;
     final double[] amounts;
@@ -38,6 +43,7 @@
   private static final class Member {
     final Deque<Given> given = new ArrayDeque<>();
     long run = Long.MIN_VALUE, seq = Long.MIN_VALUE;
+
     /** Whatever is asked from here on is asked after this time. */
     long after = Long.MIN_VALUE;
   }
@@ -48,9 +54,15 @@
    * @param mostLeft by when a share above the usual part must have run out
    * @param leastLeft until when one below must be in force
    */
-  public record Left(int member, long run, long seq, long number, double[] amounts, long mostLeft, long leastLeft,
-      boolean inForce) {
-  }
+  public record Left(
+      int member,
+      long run,
+      long seq,
+      long number,
+      double[] amounts,
+      long mostLeft,
+      long leastLeft,
+      boolean inForce) {}
 
   private final QuotaTimings rules;
   private final long term;
@@ -74,20 +86,30 @@
   }
 
   /**
-   * * A ledger that goes on from the one of the term before, whose planner had stopped granting when it was asked
-   * for it.
+   * * A ledger that goes on from the one of the term before, whose planner had stopped granting
+   * when it was asked for it.
    *
    * @param askedAt when that was: what was told is of no earlier time
    */
-  public static QuotaLedger after(QuotaTimings rules, long term, double[] bounds, int members, List<Left> left, long askedAt,
+  public static QuotaLedger after(
+      QuotaTimings rules,
+      long term,
+      double[] bounds,
+      int members,
+      List<Left> left,
+      long askedAt,
       long now) {
     QuotaLedger ledger = new QuotaLedger(rules, term, bounds, members);
     for (Left one : left) {
       Member member = ledger.members[one.member()];
       member.run = Math.max(member.run, one.run());
       // Numbers of that term come before all of this one.
-      Given given = new Given(one.number() - Long.MAX_VALUE, now + rules.longest(one.mostLeft()),
-          one.leastLeft() == 0 ? Long.MIN_VALUE : askedAt + rules.shortest(one.leastLeft()), one.amounts().clone());
+      Given given =
+          new Given(
+              one.number() - Long.MAX_VALUE,
+              now + rules.longest(one.mostLeft()),
+              one.leastLeft() == 0 ? Long.MIN_VALUE : askedAt + rules.shortest(one.leastLeft()),
+              one.amounts().clone());
       given.inForce = one.inForce();
       if (given.inForce && given.leastUntil != Long.MIN_VALUE) {
         member.after = Math.max(member.after, given.leastUntil - rules.shortest(rules.holdTime()));
@@ -110,7 +132,8 @@
         most = Math.max(most, usual[resource]);
         certain = true;
       } else {
-        // One that may not have come leaves the one before it in force: what that holds is counted by itself.
+        // One that may not have come leaves the one before it in force: what that holds is counted
+        // by itself.
         most = Math.max(most, amount);
         certain |= one.inForce;
       }
@@ -140,7 +163,10 @@
     return sum;
   }
 
-  /** What a member is counted for at the least until the end: granting it as much takes nothing from anybody. */
+  /**
+   * What a member is counted for at the least until the end: granting it as much takes nothing from
+   * anybody.
+   */
   private double ownLeast(int member, int resource, long now, long end) {
     double least = most(member, resource, now);
     for (Given one : members[member].given) {
@@ -154,8 +180,8 @@
   }
 
   /**
-   * * Takes what an ask tells of the grants before it. Returns whether it is to be answered: not if it came late
-   * or twice.
+   * * Takes what an ask tells of the grants before it. Returns whether it is to be answered: not if
+   * it came late or twice.
    */
   public boolean heard(QuotaRequest ask) {
     if (ask.member() < 0 || ask.member() >= members.length) {
@@ -166,13 +192,14 @@
       return false;
     }
     if (ask.run() > member.run) {
-      // Guards against one that started anew: it holds to the thin share, and no longer than to what it had before.
+      // Guards against one that started anew: it holds to the thin share, and no longer than to
+      // what it had before.
       member.run = ask.run();
     }
     member.seq = ask.seq();
     if (ask.term() == term) {
       member.after = Math.max(member.after, ask.echo());
-      for (Iterator<Given> each = member.given.iterator(); each.hasNext();) {
+      for (Iterator<Given> each = member.given.iterator(); each.hasNext(); ) {
         Given one = each.next();
         if (one.number < ask.number()) {
           each.remove();
@@ -199,40 +226,64 @@
     }
     double[] amounts = new double[bounds.length];
     for (int resource = 0; resource < bounds.length; resource++) {
-      double most = usual[resource], free = bounds[resource] - others(ask.member(), resource, now, mostUntil);
+      double most = usual[resource],
+          free = bounds[resource] - others(ask.member(), resource, now, mostUntil);
       if (wished[resource] > most && free > most) {
         amounts[resource] = Math.min(wished[resource], free);
       } else {
         long end = now + rules.longest(rules.holdTime());
-        double allowed = Math.max(ownLeast(ask.member(), resource, now, end),
-            bounds[resource] - others(ask.member(), resource, now, end));
-        amounts[resource] = Math.max(most * rules.thin(), Math.min(Math.min(wished[resource], most), allowed));
+        double allowed =
+            Math.max(
+                ownLeast(ask.member(), resource, now, end),
+                bounds[resource] - others(ask.member(), resource, now, end));
+        amounts[resource] =
+            Math.max(most * rules.thin(), Math.min(Math.min(wished[resource], most), allowed));
       }
     }
-    // Guards against one that started anew and has heard no planner: what was heard before tells how old its ask is.
-    long leastUntil = member.after == Long.MIN_VALUE ? Long.MIN_VALUE
-        : member.after + rules.shortest(rules.holdTime());
+    // Guards against one that started anew and has heard no planner: what was heard before tells
+    // how old its ask is.
+    long leastUntil =
+        member.after == Long.MIN_VALUE
+            ? Long.MIN_VALUE
+            : member.after + rules.shortest(rules.holdTime());
     Given given = new Given(++last, mostUntil, leastUntil, amounts);
     member.given.add(given);
-    return new QuotaGrant(ask.member(), ask.run(), ask.seq(), term, given.number, now, amounts.clone());
+    return new QuotaGrant(
+        ask.member(), ask.run(), ask.seq(), term, given.number, now, amounts.clone());
   }
 
-  /** What can't be in force any more is let go of; the one in force stays, as it tells what came after. */
+  /**
+   * What can't be in force any more is let go of; the one in force stays, as it tells what came
+   * after.
+   */
   private void forget(long now) {
     for (Member member : members) {
-      member.given.removeIf(one -> !one.inForce && now > one.mostUntil
-          && now > one.mostUntil + rules.longest(rules.holdTime()));
+      member.given.removeIf(
+          one ->
+              !one.inForce
+                  && now > one.mostUntil
+                  && now > one.mostUntil + rules.longest(rules.holdTime()));
     }
   }
 
-  /** All that is outstanding, for the planner after this one: to be asked for once nothing more is granted. */
+  /**
+   * All that is outstanding, for the planner after this one: to be asked for once nothing more is
+   * granted.
+   */
   public List<Left> left(long now) {
     List<Left> all = new ArrayList<>();
     for (int member = 0; member < members.length; member++) {
       for (Given one : members[member].given) {
-        all.add(new Left(member, members[member].run, members[member].seq, one.number, one.amounts.clone(),
-            Math.max(0, one.mostUntil - now), one.leastUntil == Long.MIN_VALUE ? 0 : Math.max(0, one.leastUntil - now),
-            one.inForce));
+        all.add(
+            new Left(
+                member,
+                members[member].run,
+                members[member].seq,
+                one.number,
+                one.amounts.clone(),
+                Math.max(0, one.mostUntil - now),
+                one.leastUntil == Long.MIN_VALUE ? 0 : Math.max(0, one.leastUntil - now),
+                one.inForce));
       }
     }
     return all;
--- a/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
@@ -7,8 +7,9 @@
  * @param run which start of the forwarder it is from: a later start knows of no grant
  * @param term the term of the last grant taken; 0 for none
  * @param number its number: in force, and all before it void
- * @param echo the planner's time in that grant, {@link Long#MIN_VALUE} for none: the ask was made after it
+ * @param echo the planner's time in that grant, {@link Long#MIN_VALUE} for none: the ask was made
+ *     after it
  * @param wanted how much of each resource it could use
  */
-public record QuotaRequest(int member, long run, long seq, long term, long number, long echo, double[] wanted) {
-}
+public record QuotaRequest(
+    int member, long run, long seq, long term, long number, long echo, double[] wanted) {}
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -13,7 +13,9 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 
-/** What is granted and what is held, one story for each way in which the sum could pass the bound. */
+/**
+ * What is granted and what is held, one story for each way in which the sum could pass the bound.
+ */
 class QuotaLedgerTest {
   private static final long SECOND = 1_000_000_000, D = 2 * SECOND, H = 8 * SECOND;
   private static final QuotaTimings RULES = new QuotaTimings(D, H, 1000, 0.125);
@@ -21,7 +23,8 @@
 
   private final double[] bound = {20};
   private QuotaLedger ledger = new QuotaLedger(RULES, 1, bound, 2);
-  private final QuotaHolder giver = new QuotaHolder(RULES, 0, 1, USUAL, 0), taker = new QuotaHolder(RULES, 1, 1, USUAL, 0);
+  private final QuotaHolder giver = new QuotaHolder(RULES, 0, 1, USUAL, 0),
+      taker = new QuotaHolder(RULES, 1, 1, USUAL, 0);
 
   /** An ask, heard, granted and taken at once; returns what was granted. */
   private double grant(long now, QuotaHolder to, double... wished) {
@@ -42,7 +45,8 @@
   @Test
   void nobodyIsGrantedMoreUntilWhoGivesHasSaidThatItIsInForce() {
     assertEquals(2, grant(SECOND, giver, LOW));
-    assertEquals(10, grant(SECOND, taker, HIGH), "it is not known yet that the low share was taken");
+    assertEquals(
+        10, grant(SECOND, taker, HIGH), "it is not known yet that the low share was taken");
     assertEquals(2, grant(2 * SECOND, giver, LOW));
     assertEquals(10, grant(2 * SECOND, taker, HIGH), "it is not known yet when it was asked for");
     assertTrue(ledger.heard(giver.ask(2 * SECOND, LOW)));
@@ -95,14 +99,28 @@
   @Test
   void aGrantOfAnOlderTermNumberOrAskIsPassedOver() {
     QuotaRequest first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
-    assertEquals(QuotaHolder.Refusal.TAKEN, giver.take(SECOND, new QuotaGrant(0, 1, second.seq(), 3, 7, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.TAKEN,
+        giver.take(SECOND, new QuotaGrant(0, 1, second.seq(), 3, 7, 0, LOW)));
     QuotaRequest third = giver.ask(SECOND, LOW);
-    assertEquals(QuotaHolder.Refusal.OLD_TERM, giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 2, 9, 0, LOW)));
-    assertEquals(QuotaHolder.Refusal.OLD_NUMBER, giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 3, 7, 0, LOW)));
-    assertEquals(QuotaHolder.Refusal.OLD_ASK, giver.take(SECOND, new QuotaGrant(0, 1, first.seq(), 3, 8, 0, LOW)));
-    assertEquals(QuotaHolder.Refusal.UNKNOWN_ASK, giver.take(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
-    assertEquals(QuotaHolder.Refusal.OTHERS, giver.take(SECOND, new QuotaGrant(0, 2, third.seq(), 3, 8, 0, LOW)));
-    assertEquals(QuotaHolder.Refusal.OVER, giver.take(3 * SECOND, new QuotaGrant(0, 1, third.seq(), 3, 8, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.OLD_TERM,
+        giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 2, 9, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.OLD_NUMBER,
+        giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 3, 7, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.OLD_ASK,
+        giver.take(SECOND, new QuotaGrant(0, 1, first.seq(), 3, 8, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.UNKNOWN_ASK,
+        giver.take(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.OTHERS,
+        giver.take(SECOND, new QuotaGrant(0, 2, third.seq(), 3, 8, 0, LOW)));
+    assertEquals(
+        QuotaHolder.Refusal.OVER,
+        giver.take(3 * SECOND, new QuotaGrant(0, 1, third.seq(), 3, 8, 0, LOW)));
   }
 
   @Test
@@ -148,8 +166,8 @@
   }
 
   @Property(tries = 300)
-  void sharesNeitherPassTheBoundNorWhatIsWanted(@ForAll @Size(min = 1, max = 30)
-      List<@DoubleRange(min = 0, max = 50) Double> wanted) {
+  void sharesNeitherPassTheBoundNorWhatIsWanted(
+      @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 50) Double> wanted) {
     double[] all = wanted.stream().mapToDouble(one -> one).toArray();
     double bound = all.length * 10, floor = 1;
     double[] shares = MaxMinFairShare.of(bound, all, floor);
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -3,21 +3,27 @@
 import java.util.SplittableRandom;
 
 /**
- * In which order a gateway opens that has come back with all others: how many GETs it lets in, by what came back in
- * time of those that it let in before. Told the time, in nanoseconds; it decides on no cache and no source.
+ * In which order a gateway opens that has come back with all others: how many GETs it lets in, by
+ * what came back in time of those that it let in before. Told the time, in nanoseconds; it decides
+ * on no cache and no source.
  *
- * <p>LEARNING: lists and purges are not known yet, or whether others ran before; all is shed. TRICKLE: as many as its
- * part of the cold budgets bears. RAMP: as many as came back in time, and half as many again each half second. SERVING:
- * all, once nothing had to be shed for two seconds, or at once where others ran on or caches are warm.
+ * <p>LEARNING: lists and purges are not known yet, or whether others ran before; all is shed.
+ * TRICKLE: as many as its part of the cold budgets bears. RAMP: as many as came back in time, and
+ * half as many again each half second. SERVING: all, once nothing had to be shed for two seconds,
+ * or at once where others ran on or caches are warm.
  */
 public final class RecoveryRamp {
   /** The phases, in order; none is entered again in one life. */
-  public enum Phase { LEARNING, TRICKLE, RAMP, SERVING }
+  public enum Phase {
+    LEARNING,
+    TRICKLE,
+    RAMP,
+    SERVING
+  }
 
   private static final long MS = 1_000_000, SECOND = 1000 * MS, STEP = 500 * MS, CALM = 2 * SECOND;
   private static final long LONGEST_LEARNING = 3 * SECOND, LEAST_AWAY = 100 * MS;
   private static final double MORE = 1.5, WELL = 0.8, BADLY = 0.5, BOUND = 0.8, BURST_S = 0.25;
-
   private final long longestWait, began;
   private final SplittableRandom chance;
   private Phase phase = Phase.LEARNING;
@@ -25,7 +31,10 @@
   private long filledAt, stepAt, lastShedAt, doneAt;
   private int taken, takenBefore, good, shed, shedBefore;
 
-  /** A start; those that are turned away are told to stay away for longestWait at most, 0 where they can't be told. */
+  /**
+   * A start; those that are turned away are told to stay away for longestWait at most, 0 where they
+   * can't be told.
+   */
   public RecoveryRamp(long seed, long longestWait, long now) {
     chance = new SplittableRandom(seed);
     this.longestWait = longestWait;
@@ -57,7 +66,10 @@
     }
   }
 
-  /** Several times a step. Guards against a source that neither answers nor fails: then it opens by what it has. */
+  /**
+   * Several times a step. Guards against a source that neither answers nor fails: then it opens by
+   * what it has.
+   */
   public void tick(long now) {
     if (phase == Phase.LEARNING && now - began >= LONGEST_LEARNING) {
       learned(now, true, 1);
@@ -112,13 +124,18 @@
     good++;
   }
 
-  /** How long one that was turned away stays away, by what is turned away and what is let in; spread. */
+  /**
+   * How long one that was turned away stays away, by what is turned away and what is let in;
+   * spread.
+   */
   public long away(boolean halfway) {
     if (longestWait == 0) {
       return 0;
     }
-    double backlog = Math.max(shed, shedBefore) / Math.max(1, phase == Phase.LEARNING ? 1 : rate) * 2;
-    long span = (long) Math.max(Math.min(LEAST_AWAY, longestWait), Math.min(longestWait, backlog * SECOND));
+    double backlog =
+        Math.max(shed, shedBefore) / Math.max(1, phase == Phase.LEARNING ? 1 : rate) * 2;
+    long span =
+        (long) Math.max(Math.min(LEAST_AWAY, longestWait), Math.min(longestWait, backlog * SECOND));
     long wait = span / 2 + chance.nextLong(Math.max(1, span / 2));
     return halfway ? wait / 2 : wait;
   }
--- a/registry/src/main/java/org/amberpath/registry/Backoff.java
+++ b/registry/src/main/java/org/amberpath/registry/Backoff.java
@@ -2,7 +2,10 @@
 
 import java.util.SplittableRandom;
 
-/** When something that failed may be tried again: full jitter under a bound that doubles. Nanoseconds. */
+/**
+ * When something that failed may be tried again: full jitter under a bound that doubles.
+ * Nanoseconds.
+ */
 public final class Backoff {
   private static final int MOST_DOUBLINGS = 20;
 
@@ -28,7 +31,10 @@
     return now >= notBefore;
   }
 
-  /** Another failure: the next try comes after at least the given time, and by chance up to the bound after that. */
+  /**
+   * Another failure: the next try comes after at least the given time, and by chance up to the
+   * bound after that.
+   */
   public void failed(long now, long atLeast) {
     long bound = Math.min(most, first << Math.min(failures, MOST_DOUBLINGS));
     failures++;
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -1,7 +1,5 @@
 package org.amberpath.registry;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.Collections;
@@ -12,14 +10,16 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * What a gateway believes of the registry, and the news that it makes of every difference: each told once, in the order
- * of revisions, all keys of one revision in one listing. Times are nanoseconds since the Unix epoch by one clock that
- * only goes forward.
+ * What a gateway believes of the registry, and the news that it makes of every difference: each
+ * told once, in the order of revisions, all keys of one revision in one listing. Times are
+ * nanoseconds since the Unix epoch by one clock that only goes forward.
  *
- * <p>Bounds: mostKeys keys are held; one that would be past it is passed over with a complaint, while those held go on
- * being followed.
+ * <p>Bounds: mostKeys keys are held; one that would be past it is passed over with a complaint,
+ * while those held go on being followed.
  */
 public final class RegistryView {
   /** By how much the clock of another process may be behind this one without a step. */
@@ -45,7 +45,12 @@
    * @param retention how long the registry keeps the key of a purge at least
    * @param complaints takes a line for each value that can't be read, the key first
    */
-  public RegistryView(EndpointListener to, String tipKey, int mostKeys, long retention, Consumer<String> complaints) {
+  public RegistryView(
+      EndpointListener to,
+      String tipKey,
+      int mostKeys,
+      long retention,
+      Consumer<String> complaints) {
     this.to = to;
     this.tipKey = tipKey;
     this.mostKeys = mostKeys;
@@ -93,7 +98,8 @@
   }
 
   /** The view as it was kept at another time: told as a whole list, with its true age. */
-  public void remember(long now, Collection<RegistryEntry> kept, String ofCluster, long revision, long asOf) {
+  public void remember(
+      long now, Collection<RegistryEntry> kept, String ofCluster, long revision, long asOf) {
     keys = bounded(kept);
     cluster = ofCluster;
     applied = revision;
@@ -102,13 +108,19 @@
   }
 
   /**
-   * Takes all keys at one revision. Tells the difference, or all where nothing was known or the registry is not the one
-   * that it was.
+   * Takes all keys at one revision. Tells the difference, or all where nothing was known or the
+   * registry is not the one that it was.
    *
    * @param asOf when that list was asked for
    * @param restored whether it is known to be another history of revisions
    */
-  public void whole(long now, Collection<RegistryEntry> all, String ofCluster, long revision, long asOf, boolean restored) {
+  public void whole(
+      long now,
+      Collection<RegistryEntry> all,
+      String ofCluster,
+      long revision,
+      long asOf,
+      boolean restored) {
     boolean other = restored || known && !ofCluster.equals(cluster) || isOtherHistory(all);
     boolean gap = known && asOf - provenAt > retention;
     Map<String, RegistryEntry> before = keys;
@@ -149,9 +161,11 @@
    * Takes all keys that were written after {@link #applied}, as they stand at a revision.
    *
    * @param count how many keys there are in all at that revision
-   * @return whether that is the whole difference; otherwise keys were deleted too, and nothing was taken
+   * @return whether that is the whole difference; otherwise keys were deleted too, and nothing was
+   *     taken
    */
-  public boolean written(long now, Collection<RegistryEntry> since, long count, long revision, long asOf) {
+  public boolean written(
+      long now, Collection<RegistryEntry> since, long count, long revision, long asOf) {
     long more = since.stream().filter(one -> !keys.containsKey(one.key())).count();
     if (surplus || keys.size() + more != count) {
       return false;
@@ -164,7 +178,10 @@
     return true;
   }
 
-  /** Takes the events of a watch, in the order of their revisions; those that are known are passed over. */
+  /**
+   * Takes the events of a watch, in the order of their revisions; those that are known are passed
+   * over.
+   */
   public void changes(long now, List<WatchEvent> events) {
     int at = 0;
     while (at < events.size()) {
@@ -249,7 +266,8 @@
     for (RegistryEntry one : keys.values()) {
       if (one.content() instanceof RegistryRecord.Cache cache) {
         ids.add(cache.id());
-        member(cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
+        member(
+            cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
       }
     }
     starts.retain(ids);
@@ -257,20 +275,27 @@
     if (withPurges) {
       for (RegistryEntry one : keys.values()) {
         if (one.content() instanceof RegistryRecord.Purge purge) {
-          // Guards against the writer's clock or this one, which may have stepped: it happened at the latest now.
+          // Guards against the writer's clock or this one, which may have stepped: it happened at
+          // the latest now.
           to.purged(purge.object(), purge.group(), now / MS);
         }
       }
     }
   }
 
-  /** One listing with what differs; a cache that was created anew goes in one of its own before it. */
+  /**
+   * One listing with what differs; a cache that was created anew goes in one of its own before it.
+   */
   private void tell(Map<String, RegistryEntry> before, Collection<String> touched, long now) {
-    List<RegistryRecord.Cache> replaced = new ArrayList<>(), gone = new ArrayList<>(), there = new ArrayList<>();
+    List<RegistryRecord.Cache> replaced = new ArrayList<>(),
+        gone = new ArrayList<>(),
+        there = new ArrayList<>();
     for (String key : touched) {
       RegistryEntry old = before.get(key), held = keys.get(key);
-      RegistryRecord.Cache was = old != null && old.content() instanceof RegistryRecord.Cache cache ? cache : null;
-      RegistryRecord.Cache is = held != null && held.content() instanceof RegistryRecord.Cache cache ? cache : null;
+      RegistryRecord.Cache was =
+          old != null && old.content() instanceof RegistryRecord.Cache cache ? cache : null;
+      RegistryRecord.Cache is =
+          held != null && held.content() instanceof RegistryRecord.Cache cache ? cache : null;
       if (was != null && is == null) {
         gone.add(was);
       } else if (is != null && was != null && old.created() != held.created()) {
@@ -288,9 +313,15 @@
     if (!gone.isEmpty() || !there.isEmpty()) {
       to.listing(false);
       gone.forEach(this::gone);
-      // One that this view saw come started since, whatever its writer's clock had: within a step of it.
-      there.forEach(cache -> member(cache, cache.state(),
-          starts.at(cache.id(), cache.startedAtMs(), now / MS, Starts.LONGEST_STEP_MILLIS)));
+      // One that this view saw come started since, whatever its writer's clock had: within a step
+      // of it.
+      there.forEach(
+          cache ->
+              member(
+                  cache,
+                  cache.state(),
+                  starts.at(
+                      cache.id(), cache.startedAtMs(), now / MS, Starts.LONGEST_STEP_MILLIS)));
       to.listed();
     }
     for (String key : touched) {
@@ -304,7 +335,8 @@
 
   /** A purge that is new to the view was committed since it was last proven: at the latest now. */
   private void purged(RegistryEntry old, RegistryEntry held, long now) {
-    if (held != null && held.content() instanceof RegistryRecord.Purge purge
+    if (held != null
+        && held.content() instanceof RegistryRecord.Purge purge
         && (old == null || !purge.equals(old.content()))) {
       to.purged(purge.object(), purge.group(), now / MS);
     }
@@ -316,7 +348,14 @@
   }
 
   private void member(RegistryRecord.Cache cache, State state, long startedAtMs) {
-    to.member(cache.id(), cache.address(), cache.zone(), cache.kind(), cache.cell(), state, cache.weight(),
+    to.member(
+        cache.id(),
+        cache.address(),
+        cache.zone(),
+        cache.kind(),
+        cache.cell(),
+        state,
+        cache.weight(),
         startedAtMs);
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -7,12 +7,13 @@
  *
  * @param provenAt when it was all that the registry held, in nanoseconds of Unix time
  */
-public record Snapshot(String prefix, String cluster, long revision, long provenAt, List<RegistryEntry> keys) {
+public record Snapshot(
+    String prefix, String cluster, long revision, long provenAt, List<RegistryEntry> keys) {
   private static final long LONGEST_STEP_NANOS = Starts.LONGEST_STEP_MILLIS * 1_000_000;
 
   /**
-   * How old it is, at most: one from the future shows that a clock was set back by at least as much, and a step is an
-   * hour at most. Negative where no such step explains it.
+   * How old it is, at most: one from the future shows that a clock was set back by at least as
+   * much, and a step is an hour at most. Negative where no such step explains it.
    */
   public long age(long now) {
     long age = now - provenAt;
--- a/registry/src/main/java/org/amberpath/registry/Starts.java
+++ b/registry/src/main/java/org/amberpath/registry/Starts.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * When caches started, by this process's clock: as late as it can be by the stamps of those who wrote them, whose wall
- * clocks may have stepped, and the same each time it is told. Bounds: one entry for each cache that is held.
+ * When caches started, by this process's clock: as late as it can be by the stamps of those who
+ * wrote them, whose wall clocks may have stepped, and the same each time it is told. Bounds: one
+ * entry for each cache that is held.
  */
 final class Starts {
   /** By how much a wall clock steps at most. */
   static final long LONGEST_STEP_MILLIS = 3_600_000;
 
-  private record Start(long stampMs, long atMs) {
-  }
+  private record Start(long stampMs, long atMs) {}
 
   private final Map<String, Start> known = new HashMap<>();
 
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -9,65 +9,102 @@
 import java.util.function.Consumer;
 
 /**
- * * Decides what is asked of which endpoint, and when, so that the view stays what the registry holds: told what
- * came and when, it orders the next calls. It holds no socket, thread or clock. Times are nanoseconds.
+ * * Decides what is asked of which endpoint, and when, so that the view stays what the registry
+ * holds: told what came and when, it orders the next calls. It holds no socket, thread or clock.
+ * Times are nanoseconds.
  *
- * <p>Two watches on two endpoints tell each change; what is told once is passed over the second time. Beside them
- * a pulse asks every tenth of a second what the last write was, so that watches that fell silent are found out.
- * Gaps are closed by what was written since or, where keys may have been deleted or revisions given anew, by a
- * whole list.
+ * <p>Two watches on two endpoints tell each change; what is told once is passed over the second
+ * time. Beside them a pulse asks every tenth of a second what the last write was, so that watches
+ * that fell silent are found out. Gaps are closed by what was written since or, where keys may have
+ * been deleted or revisions given anew, by a whole list.
  *
- * <p>Bounds: endpoints as told; a list, two watches and one pulse an endpoint open at once; connects a second.
+ * <p>Bounds: endpoints as told; a list, two watches and one pulse an endpoint open at once;
+ * connects a second.
  */
 public final class WatchSession {
   /**
-   * EMPTY: nothing known. CURRENT: as new as the last pulse. BEHIND: a gap is being closed. CUT_OFF: nobody
-   * answers.
+   * EMPTY: nothing known. CURRENT: as new as the last pulse. BEHIND: a gap is being closed.
+   * CUT_OFF: nobody answers.
    */
-  public enum Phase { EMPTY, CURRENT, BEHIND, CUT_OFF }
+  public enum Phase {
+    EMPTY,
+    CURRENT,
+    BEHIND,
+    CUT_OFF
+  }
 
   /** What an answer tells of the one who gave it; revision 0 where it tells none. */
-  public record Header(String cluster, long revision) {
-  }
+  public record Header(String cluster, long revision) {}
 
   private static final long MS = 1_000_000;
+
   /** All endpoints together are asked within one more pulse's time, whoever of them is silent. */
   private static final long PULSE = 100 * MS, LONGEST_HOP = 50 * MS;
+
   private static final long PULSE_TIME = 400 * MS, OPEN_TIME = 500 * MS;
-  /** A gap is read within so long or, at the next try, within twice that; a whole list has so many times as long. */
+
+  /**
+   * A gap is read within so long or, at the next try, within twice that; a whole list has so many
+   * times as long.
+   */
   private static final long FIRST_LIST_TIME = 50 * MS, MOST_LIST_TIME = 800 * MS;
+
   private static final int WHOLE_TIMES = 6, TOOK_TIMES = 3;
+
   /** What a watch may still bring by itself before the gap is read instead. */
   private static final long SETTLE = 20 * MS;
+
   private static final long LAG = 150 * MS;
+
   /** How long a change may stay unheard that touched no tip, while all watches are silent. */
   private static final long AUDIT = 5000 * MS;
-  /** Without contact for this long the registry may have become another one under the same revisions. */
+
+  /**
+   * Without contact for this long the registry may have become another one under the same
+   * revisions.
+   */
   private static final long LONE = 1000 * MS;
-  private static final long FIRST_BACKOFF = 50 * MS, MOST_BACKOFF = 8000 * MS, MOST_CUT_OFF = 1000 * MS;
+
+  private static final long FIRST_BACKOFF = 50 * MS,
+      MOST_BACKOFF = 8000 * MS,
+      MOST_CUT_OFF = 1000 * MS;
   private static final long PEOPLE = 5000 * MS, STEADY = 1000 * MS;
   private static final int CONNECTS = 10, WATCHES = 2, ASIDE = 10;
   private static final int FIRST_PAGE = 1000, MOST_PAGE = 16_000;
+
   /** An endpoint this much slower than the quickest is left. */
   private static final long SLOWER = 25 * MS;
 
-  private enum Kind { LIST, WATCH, PULSE }
+  private enum Kind {
+    LIST,
+    WATCH,
+    PULSE
+  }
 
   private final class Endpoint {
     final int index;
     final Backoff reach = new Backoff(chance, FIRST_BACKOFF, MOST_BACKOFF);
     final Backoff watching = new Backoff(chance, FIRST_BACKOFF, MOST_BACKOFF);
     Call watch, pulse;
+
     /** The registry that it showed last. */
     String shown = "";
-    long took, lastTook, answeredAt = Long.MIN_VALUE / 2, heardAt = Long.MIN_VALUE / 2, triedAt = Long.MIN_VALUE / 2;
+
+    long took,
+        lastTook,
+        answeredAt = Long.MIN_VALUE / 2,
+        heardAt = Long.MIN_VALUE / 2,
+        triedAt = Long.MIN_VALUE / 2;
     boolean needsPeople;
 
     Endpoint(int index) {
       this.index = index;
     }
 
-    /** Guards against one that came back unseen, when it is all that is left: each may be tried once in that time. */
+    /**
+     * Guards against one that came back unseen, when it is all that is left: each may be tried once
+     * in that time.
+     */
     boolean allows(long now) {
       return reach.allows(now) || now - answeredAt >= hop && now - triedAt >= LONE && !needsPeople;
     }
@@ -106,7 +143,16 @@
   private final Map<Long, Call> calls = new LinkedHashMap<>();
   private Phase phase = Phase.EMPTY;
   private Call list;
-  private long ticked, lastCall, nextPulse, lastPulse, heardAt, answeredAt, ownAt, listedAt, tokens, tokensAt;
+  private long ticked,
+      lastCall,
+      nextPulse,
+      lastPulse,
+      heardAt,
+      answeredAt,
+      ownAt,
+      listedAt,
+      tokens,
+      tokensAt;
   private long tipSeen, tipSeenAt, backwardsAt;
   private long listTime = FIRST_LIST_TIME;
   private int pulses, refusals, asked, page = FIRST_PAGE;
@@ -117,11 +163,17 @@
    *
    * @param endpoints how many there are
    * @param mostKeys how many keys are taken at most
-   * @param blockingTime how long a blocking read is held at most, for a source whose watches are reads that come back
-   *     with all keys; 0 for one that tells changes
+   * @param blockingTime how long a blocking read is held at most, for a source whose watches are
+   *     reads that come back with all keys; 0 for one that tells changes
    * @param notes takes a line for each change of phase and each endpoint that gave cause
    */
-  public WatchSession(RegistryView view, WatchCommands orders, int endpoints, int mostKeys, long blockingTime, long seed,
+  public WatchSession(
+      RegistryView view,
+      WatchCommands orders,
+      int endpoints,
+      int mostKeys,
+      long blockingTime,
+      long seed,
       Consumer<String> notes) {
     this.view = view;
     this.orders = orders;
@@ -161,7 +213,9 @@
     tick(now);
   }
 
-  /** Asks all again from what is known: addresses, keys or tokens may be others now. Watches go on. */
+  /**
+   * Asks all again from what is known: addresses, keys or tokens may be others now. Watches go on.
+   */
   public void renewed(long now) {
     for (Endpoint one : endpoints) {
       one.needsPeople = false;
@@ -204,7 +258,9 @@
       enter(Phase.CUT_OFF);
     }
     if (now - answeredAt > PULSE) {
-      endpoints.stream().filter(one -> !one.needsPeople).forEach(one -> one.reach.hasten(now, MOST_CUT_OFF));
+      endpoints.stream()
+          .filter(one -> !one.needsPeople)
+          .forEach(one -> one.reach.hasten(now, MOST_CUT_OFF));
     }
     pulse(now);
     if (tipSeen > view.applied() && (now >= tipSeenAt + SETTLE || watches() == 0)) {
@@ -228,7 +284,8 @@
   private void pulse(long now) {
     boolean due = now >= nextPulse;
     boolean unheard = lastPulse > answeredAt && now >= lastPulse + hop;
-    // Guards the time to hear of a drain: who says no at once is no reason to wait for the next one's turn.
+    // Guards the time to hear of a drain: who says no at once is no reason to wait for the next
+    // one's turn.
     boolean refused = refusals > asked && refusals < endpoints.size();
     if (due) {
       refusals = asked = 0;
@@ -243,12 +300,16 @@
       return;
     }
     asked = refusals;
-    // Guards against a slow endpoint that is kept, or a quick one never found: now and then another is asked.
-    Endpoint aside = due && ++pulses % ASIDE == 0 ? ready.get(chance.nextInt(ready.size())) : ready.get(0);
+    // Guards against a slow endpoint that is kept, or a quick one never found: now and then another
+    // is asked.
+    Endpoint aside =
+        due && ++pulses % ASIDE == 0 ? ready.get(chance.nextInt(ready.size())) : ready.get(0);
     ask(now, aside);
     ready.remove(aside);
-    if (!ready.isEmpty() && (watches() == 0 || endpoints.stream().anyMatch(one -> one.pulse != null
-        && now - one.pulse.sentAt >= hop))) {
+    if (!ready.isEmpty()
+        && (watches() == 0
+            || endpoints.stream()
+                .anyMatch(one -> one.pulse != null && now - one.pulse.sentAt >= hop))) {
       // While contact is unsure, two are asked.
       ask(now, ready.get(0));
     }
@@ -269,11 +330,13 @@
     }
     List<Endpoint> ready = ready(now);
     // Guards the time that a gap may last: who answered last is the likeliest to answer.
-    ready.sort(Comparator.comparing((Endpoint one) -> one.lastTook > hop)
-        .thenComparingLong(one -> -one.answeredAt));
+    ready.sort(
+        Comparator.comparing((Endpoint one) -> one.lastTook > hop)
+            .thenComparingLong(one -> -one.answeredAt));
     for (Endpoint at : ready) {
       boolean whole = wholeNeeded || !view.known() || restored;
-      // Guards against a registry that is far away: a read that takes its usual time is not given up.
+      // Guards against a registry that is far away: a read that takes its usual time is not given
+      // up.
       long time = Math.max(listTime, TOOK_TIMES * at.lastTook);
       Call call = call(Kind.LIST, at, now, whole ? WHOLE_TIMES * time : time);
       if (call == null) {
@@ -292,7 +355,8 @@
   }
 
   private void watch(long now) {
-    // Guards against a watch that takes up where another history of revisions left off, or where none is kept any more.
+    // Guards against a watch that takes up where another history of revisions left off, or where
+    // none is kept any more.
     if (!view.known() || wholeNeeded || compacted) {
       return;
     }
@@ -315,7 +379,10 @@
     }
   }
 
-  /** A call, or none while the budget of connects is used up. One to an endpoint that is in contact costs nothing. */
+  /**
+   * A call, or none while the budget of connects is used up. One to an endpoint that is in contact
+   * costs nothing.
+   */
   private Call call(Kind kind, Endpoint at, long now, long time) {
     if (now - at.heardAt > LONE || kind == Kind.WATCH && !blocking) {
       long whole = (now - tokensAt) * CONNECTS / (1000 * MS);
@@ -338,22 +405,34 @@
   private List<Endpoint> ready(long now) {
     List<Endpoint> ready = new ArrayList<>(endpoints);
     ready.removeIf(one -> !one.allows(now));
-    long quickest = ready.stream().filter(one -> now - one.heardAt <= LONE).mapToLong(one -> one.took).min().orElse(0);
-    ready.sort(Comparator.comparingInt(one -> (one.pulse != null && now - one.pulse.sentAt >= hop ? 8 : 0)
-        + (now - one.heardAt > LONE ? 4 : 0) + (one.reach.isFailing() ? 2 : 0)
-        + (one.took > quickest + SLOWER ? 1 : 0)));
+    long quickest =
+        ready.stream()
+            .filter(one -> now - one.heardAt <= LONE)
+            .mapToLong(one -> one.took)
+            .min()
+            .orElse(0);
+    ready.sort(
+        Comparator.comparingInt(
+            one ->
+                (one.pulse != null && now - one.pulse.sentAt >= hop ? 8 : 0)
+                    + (now - one.heardAt > LONE ? 4 : 0)
+                    + (one.reach.isFailing() ? 2 : 0)
+                    + (one.took > quickest + SLOWER ? 1 : 0)));
     return ready;
   }
 
   /**
-   * A watch that has not brought what a pulse told of is left: it is silent though open, or follows one that lags.
+   * A watch that has not brought what a pulse told of is left: it is silent though open, or follows
+   * one that lags.
    */
   private void dropLate(long now) {
     if (now < tipSeenAt + LAG) {
       return;
     }
     for (Endpoint at : endpoints) {
-      if (at.watch != null && at.watch.open && at.watch.position < tipSeen
+      if (at.watch != null
+          && at.watch.open
+          && at.watch.position < tipSeen
           && now >= Math.max(at.watch.openedAt, at.watch.sentAt) + LAG) {
         Call late = at.watch;
         orders.drop(late.id);
@@ -364,7 +443,9 @@
 
   /** A list at an endpoint that fell silent is read elsewhere, if anybody has answered since. */
   private void leaveSilent(long now) {
-    if (list != null && now - list.askedAt >= 2 * hop && list.at.heardAt < list.askedAt
+    if (list != null
+        && now - list.askedAt >= 2 * hop
+        && list.at.heardAt < list.askedAt
         && answeredAt > list.askedAt) {
       Call silent = list;
       orders.drop(silent.id);
@@ -392,7 +473,10 @@
   private boolean isOwn(long now, Call call, Header header) {
     heard(now, call.at);
     call.at.shown = header.cluster();
-    if (!view.known() || restored || view.cluster().isEmpty() || header.cluster().equals(view.cluster())) {
+    if (!view.known()
+        || restored
+        || view.cluster().isEmpty()
+        || header.cluster().equals(view.cluster())) {
       ownAt = now;
       return true;
     }
@@ -406,7 +490,10 @@
     return false;
   }
 
-  /** Whether an answer that a majority stands behind goes on from what was known when it was asked for. */
+  /**
+   * Whether an answer that a majority stands behind goes on from what was known when it was asked
+   * for.
+   */
   private boolean goesOn(long now, Call call, long revision, long tip) {
     if ((revision == 0 || revision >= call.applied) && (tip < 0 || tip >= call.tip)) {
       if (call.sentAt >= backwardsAt) {
@@ -495,9 +582,11 @@
   /**
    * A part of a list or, for a blocking read, all of it.
    *
-   * @param count how many keys there are in all; negative where the answer tells all keys whatever was asked for
+   * @param count how many keys there are in all; negative where the answer tells all keys whatever
+   *     was asked for
    */
-  public void page(long now, long id, Header header, List<RegistryEntry> items, boolean more, long count) {
+  public void page(
+      long now, long id, Header header, List<RegistryEntry> items, boolean more, long count) {
     Call call = take(now, id, Kind.LIST, Kind.WATCH);
     if (call == null) {
       return;
@@ -524,7 +613,13 @@
     } else if (more && !items.isEmpty()) {
       call.askedAt = now;
       call.deadline = now + WHOLE_TIMES * listTime;
-      orders.list(call.id, call.at.index, call.revision, items.get(items.size() - 1).key(), call.since, call.limit);
+      orders.list(
+          call.id,
+          call.at.index,
+          call.revision,
+          items.get(items.size() - 1).key(),
+          call.since,
+          call.limit);
     } else {
       end(call);
       listed(now, call);
@@ -556,7 +651,10 @@
   /** A blocking read came back: all keys, and an index that is to be reset when it went back. */
   private void read(long now, Call call, Header header, List<RegistryEntry> items) {
     end(call);
-    if (isOwn(now, call, header) && goesOn(now, call, header.revision(), -1) && !restored && !wholeNeeded) {
+    if (isOwn(now, call, header)
+        && goesOn(now, call, header.revision(), -1)
+        && !restored
+        && !wholeNeeded) {
       if (header.revision() > view.applied()) {
         view.whole(now, items, header.cluster(), header.revision(), call.sentAt, false);
       }
@@ -622,7 +720,9 @@
     tick(now);
   }
 
-  /** What was asked for is no longer kept: a watch's start, or the revision at which a list is read. */
+  /**
+   * What was asked for is no longer kept: a watch's start, or the revision at which a list is read.
+   */
   public void compacted(long now, long id) {
     Call call = take(now, id, Kind.LIST, Kind.WATCH);
     if (call != null) {
@@ -630,7 +730,8 @@
       listNeeded = compacted = true;
       heard(now, call.at);
       if (call.kind == Kind.LIST) {
-        // Guards against a list that is never read to its end while the registry compacts: larger parts.
+        // Guards against a list that is never read to its end while the registry compacts: larger
+        // parts.
         page = Math.min(MOST_PAGE, call.limit * 2);
       }
     }
@@ -652,7 +753,8 @@
     if (call.kind == Kind.WATCH) {
       at.watching.failed(now, retryAfter);
     }
-    if (why != RegistryFailure.LAGGING && !(call.kind == Kind.WATCH && why == RegistryFailure.BROKEN)) {
+    if (why != RegistryFailure.LAGGING
+        && !(call.kind == Kind.WATCH && why == RegistryFailure.BROKEN)) {
       at.reach.failed(now, Math.max(retryAfter, why.needsPeople() ? PEOPLE : 0));
     }
     if (call.kind == Kind.LIST && why == RegistryFailure.SILENT) {
@@ -663,7 +765,9 @@
     } else if (call.kind == Kind.PULSE) {
       refusals++;
     }
-    if (why.needsPeople() && !at.needsPeople || why == RegistryFailure.UNREADABLE || why == RegistryFailure.LAGGING) {
+    if (why.needsPeople() && !at.needsPeople
+        || why == RegistryFailure.UNREADABLE
+        || why == RegistryFailure.LAGGING) {
       notes.accept("endpoint " + at.index + ": " + call.kind + " " + why);
     }
     at.needsPeople = why.needsPeople();
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -1,10 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.WatchSession.Header;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -15,20 +10,29 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index passes the one told,
- * and brings all keys under the prefix. Reads are made consistent, so that an index that goes back is the registry's.
+ * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index
+ * passes the one told, and brings all keys under the prefix. Reads are made consistent, so that an
+ * index that goes back is the registry's.
  */
 final class ConsulProtocol implements RegistryProtocol {
   private static final JsonFactory JSON = new JsonFactory();
   private static final int CONFLICT = 409;
-  private static final String INDEX = "X-Consul-Index", WHOLE_PREFIX = "?recurse=true&consistent=true";
+  private static final String INDEX = "X-Consul-Index",
+      WHOLE_PREFIX = "?recurse=true&consistent=true";
 
   private final String prefix;
   private final long waitMs;
 
-  /** A read is held back for waitMs, and up to a sixteenth more, as the server's own jitter has it. */
+  /**
+   * A read is held back for waitMs, and up to a sixteenth more, as the server's own jitter has it.
+   */
   ConsulProtocol(String prefix, long waitMs) {
     this.prefix = prefix;
     this.waitMs = waitMs;
@@ -38,11 +42,13 @@
     return new Ask(HttpMethod.GET, uri, null);
   }
 
-  @Override public Ask list(long revision, String after, long since, int limit) {
+  @Override
+  public Ask list(long revision, String after, long since, int limit) {
     return get("/v1/kv/" + prefix + WHOLE_PREFIX);
   }
 
-  @Override public Page page(int status, MultiMap headers, byte[] body) {
+  @Override
+  public Page page(int status, MultiMap headers, byte[] body) {
     long index = index(headers);
     List<RegistryEntry> items = new ArrayList<>();
     if (status == 200) {
@@ -51,8 +57,12 @@
         if (!key.startsWith(prefix)) {
           throw one.wrong("Key", "not under " + prefix);
         }
-        items.add(new RegistryEntry(key, RecordCodec.read(key.substring(prefix.length()), EtcdProtocol.bytes(one, "Value")),
-            one.whole("CreateIndex"), one.whole("ModifyIndex")));
+        items.add(
+            new RegistryEntry(
+                key,
+                RecordCodec.read(key.substring(prefix.length()), EtcdProtocol.bytes(one, "Value")),
+                one.whole("CreateIndex"),
+                one.whole("ModifyIndex")));
       }
     }
     return new Page(new Header("", index), items, false, -1);
@@ -78,28 +88,35 @@
     }
   }
 
-  @Override public Ask watch(long from) {
-    return get("/v1/kv/" + prefix + WHOLE_PREFIX + "&index=" + (from - 1) + "&wait=" + waitMs + "ms");
+  @Override
+  public Ask watch(long from) {
+    return get(
+        "/v1/kv/" + prefix + WHOLE_PREFIX + "&index=" + (from - 1) + "&wait=" + waitMs + "ms");
   }
 
-  @Override public Frame frame(byte[] line) {
+  @Override
+  public Frame frame(byte[] line) {
     throw new Malformed("registry: no stream is asked for");
   }
 
-  @Override public Ask pulse() {
+  @Override
+  public Ask pulse() {
     return get("/v1/kv/" + prefix + RecordCodec.TIP + "?consistent=true");
   }
 
-  @Override public Tip tip(int status, MultiMap headers, byte[] body) {
+  @Override
+  public Tip tip(int status, MultiMap headers, byte[] body) {
     List<JsonReader> found = status == 200 ? each(body) : List.of();
     return new Tip(new Header("", 0), found.isEmpty() ? 0 : found.get(0).whole("ModifyIndex"));
   }
 
-  @Override public boolean isCompacted(int status, byte[] body) {
+  @Override
+  public boolean isCompacted(int status, byte[] body) {
     return false;
   }
 
-  @Override public RegistryFailure failure(int status, byte[] body) {
+  @Override
+  public RegistryFailure failure(int status, byte[] body) {
     return switch (status) {
       // Nothing stands under the prefix or there is no tip yet; a key moved before a transaction.
       case 200, 404, CONFLICT -> null;
@@ -109,32 +126,44 @@
     };
   }
 
-  @Override public Ask write(List<Write> writes, long lease, byte[] tip) {
-    return new Ask(HttpMethod.PUT, "/v1/txn", EtcdProtocol.json(to -> {
-      to.writeStartArray();
-      for (Write write : writes) {
-        verb(to, write.content() == null ? "delete-cas" : "cas", write.key(),
-            write.content() == null ? null : RecordCodec.write(write.content()), write.changed());
-      }
-      verb(to, "set", prefix + RecordCodec.TIP, tip, 0);
-      to.writeEndArray();
-    }));
+  @Override
+  public Ask write(List<Write> writes, long lease, byte[] tip) {
+    return new Ask(
+        HttpMethod.PUT,
+        "/v1/txn",
+        EtcdProtocol.json(
+            to -> {
+              to.writeStartArray();
+              for (Write write : writes) {
+                verb(
+                    to,
+                    write.content() == null ? "delete-cas" : "cas",
+                    write.key(),
+                    write.content() == null ? null : RecordCodec.write(write.content()),
+                    write.changed());
+              }
+              verb(to, "set", prefix + RecordCodec.TIP, tip, 0);
+              to.writeEndArray();
+            }));
   }
 
-  private static void verb(JsonGenerator to, String verb, String key, byte[] value, long index) throws IOException {
+  private static void verb(JsonGenerator to, String verb, String key, byte[] value, long index)
+      throws IOException {
     to.writeStartObject();
     to.writeObjectFieldStart("KV");
     to.writeStringField("Verb", verb);
     to.writeStringField("Key", key);
     if (value != null) {
-      to.writeStringField("Value", new String(Base64.getEncoder().encode(value), StandardCharsets.ISO_8859_1));
+      to.writeStringField(
+          "Value", new String(Base64.getEncoder().encode(value), StandardCharsets.ISO_8859_1));
     }
     to.writeNumberField("Index", index);
     to.writeEndObject();
     to.writeEndObject();
   }
 
-  @Override public boolean written(int status, byte[] body) {
+  @Override
+  public boolean written(int status, byte[] body) {
     return status == 200;
   }
 }
