--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -1,11 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
-import org.amberpath.registry.WatchEvent;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.WatchSession.Header;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
@@ -18,15 +12,24 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The JSON form of etcd's API, version 3 (rpc.proto and its HTTP annotations): bytes in base64, 64-bit numbers as
- * strings, absent where they are zero; a watch is a stream of lines. Status codes are those that the published mapping
- * of gRPC codes to HTTP gives.
+ * The JSON form of etcd's API, version 3 (rpc.proto and its HTTP annotations): bytes in base64,
+ * 64-bit numbers as strings, absent where they are zero; a watch is a stream of lines. Status codes
+ * are those that the published mapping of gRPC codes to HTTP gives.
  */
 final class EtcdProtocol implements RegistryProtocol {
   private static final JsonFactory JSON = new JsonFactory();
-  private static final int OUT_OF_RANGE = 11, UNAUTHENTICATED = 16, PERMISSION_DENIED = 7, EXHAUSTED = 8;
+  private static final int OUT_OF_RANGE = 11,
+      UNAUTHENTICATED = 16,
+      PERMISSION_DENIED = 7,
+      EXHAUSTED = 8;
   private static final int MOST_TASKS = 256;
 
   private final String prefix;
@@ -51,34 +54,44 @@
   }
 
   private static Ask post(String uri, Body body) {
-    return new Ask(HttpMethod.POST, uri, json(to -> {
-      to.writeStartObject();
-      body.to(to);
-      to.writeEndObject();
-    }));
+    return new Ask(
+        HttpMethod.POST,
+        uri,
+        json(
+            to -> {
+              to.writeStartObject();
+              body.to(to);
+              to.writeEndObject();
+            }));
   }
 
   private static void bytes(JsonGenerator to, String name, String value) throws IOException {
-    to.writeStringField(name, Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8)));
+    to.writeStringField(
+        name, Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8)));
   }
 
   /** The first key past all that begin with the prefix. */
   private String end() {
-    return prefix.substring(0, prefix.length() - 1) + (char) (prefix.charAt(prefix.length() - 1) + 1);
-  }
-
-  @Override public Ask list(long revision, String after, long since, int limit) {
-    return post("/v3/kv/range", to -> {
-      // The least key after another one is that one with a zero byte.
-      bytes(to, "key", after.isEmpty() ? prefix : after + '\0');
-      bytes(to, "range_end", end());
-      to.writeStringField("limit", Integer.toString(limit));
-      to.writeStringField("revision", Long.toString(revision));
-      to.writeStringField("min_mod_revision", Long.toString(since));
-    });
-  }
-
-  @Override public Page page(int status, MultiMap headers, byte[] body) {
+    return prefix.substring(0, prefix.length() - 1)
+        + (char) (prefix.charAt(prefix.length() - 1) + 1);
+  }
+
+  @Override
+  public Ask list(long revision, String after, long since, int limit) {
+    return post(
+        "/v3/kv/range",
+        to -> {
+          // The least key after another one is that one with a zero byte.
+          bytes(to, "key", after.isEmpty() ? prefix : after + '\0');
+          bytes(to, "range_end", end());
+          to.writeStringField("limit", Integer.toString(limit));
+          to.writeStringField("revision", Long.toString(revision));
+          to.writeStringField("min_mod_revision", Long.toString(since));
+        });
+  }
+
+  @Override
+  public Page page(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
     List<RegistryEntry> items = new ArrayList<>();
     for (JsonReader kv : answer.each("kvs")) {
@@ -87,19 +100,23 @@
     return new Page(header(answer), items, answer.flag("more"), wide(answer, "count"));
   }
 
-  @Override public Ask watch(long from) {
-    return post("/v3/watch", to -> {
-      to.writeObjectFieldStart("create_request");
-      bytes(to, "key", prefix);
-      bytes(to, "range_end", end());
-      to.writeStringField("start_revision", Long.toString(from));
-      to.writeBooleanField("progress_notify", true);
-      to.writeBooleanField("fragment", true);
-      to.writeEndObject();
-    });
+  @Override
+  public Ask watch(long from) {
+    return post(
+        "/v3/watch",
+        to -> {
+          to.writeObjectFieldStart("create_request");
+          bytes(to, "key", prefix);
+          bytes(to, "range_end", end());
+          to.writeStringField("start_revision", Long.toString(from));
+          to.writeBooleanField("progress_notify", true);
+          to.writeBooleanField("fragment", true);
+          to.writeEndObject();
+        });
   }
 
-  @Override public Frame frame(byte[] line) {
+  @Override
+  public Frame frame(byte[] line) {
     JsonReader all = read(line);
     if (all.has("error")) {
       JsonReader error = all.fields("error");
@@ -124,24 +141,30 @@
     return new Frame.Told(header(result), changes, result.flag("fragment"));
   }
 
-  @Override public Ask pulse() {
-    return post("/v3/kv/range", to -> {
-      bytes(to, "key", prefix + RecordCodec.TIP);
-      to.writeBooleanField("keys_only", true);
-    });
+  @Override
+  public Ask pulse() {
+    return post(
+        "/v3/kv/range",
+        to -> {
+          bytes(to, "key", prefix + RecordCodec.TIP);
+          to.writeBooleanField("keys_only", true);
+        });
   }
 
-  @Override public Tip tip(int status, MultiMap headers, byte[] body) {
+  @Override
+  public Tip tip(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
     List<JsonReader> kvs = answer.each("kvs");
     return new Tip(header(answer), kvs.isEmpty() ? 0 : wide(kvs.get(0), "mod_revision"));
   }
 
-  @Override public boolean isCompacted(int status, byte[] body) {
+  @Override
+  public boolean isCompacted(int status, byte[] body) {
     return status == 400 && code(body) == OUT_OF_RANGE;
   }
 
-  @Override public RegistryFailure failure(int status, byte[] body) {
+  @Override
+  public RegistryFailure failure(int status, byte[] body) {
     return switch (status) {
       case 200 -> null;
       case 401, 403 -> RegistryFailure.UNAUTHORISED;
@@ -167,53 +190,61 @@
     };
   }
 
-  @Override public Ask write(List<Write> writes, long lease, byte[] tip) {
+  @Override
+  public Ask write(List<Write> writes, long lease, byte[] tip) {
     return transaction(writes, lease, tip, "");
   }
 
-  /** Takes a task: its term stays, its owner goes with the lease; nothing if either key has moved. */
+  /**
+   * Takes a task: its term stays, its owner goes with the lease; nothing if either key has moved.
+   */
   Ask campaign(Write term, Write owner, long lease) {
     return transaction(List.of(term, owner), lease, null, prefix + RecordCodec.OWNERS);
   }
 
   /** The lease is for keys that begin so; the tip may be null. */
   private Ask transaction(List<Write> writes, long lease, byte[] tip, String leased) {
-    return post("/v3/kv/txn", to -> {
-      to.writeArrayFieldStart("compare");
-      for (Write write : writes) {
-        to.writeStartObject();
-        bytes(to, "key", write.key());
-        to.writeStringField("target", "MOD");
-        to.writeStringField("result", "EQUAL");
-        to.writeStringField("mod_revision", Long.toString(write.changed()));
-        to.writeEndObject();
-      }
-      to.writeEndArray();
-      to.writeArrayFieldStart("success");
-      for (Write write : writes) {
-        to.writeStartObject();
-        to.writeObjectFieldStart(write.content() == null ? "request_delete_range" : "request_put");
-        bytes(to, "key", write.key());
-        if (write.content() != null) {
-          to.writeBinaryField("value", RecordCodec.write(write.content()));
-          to.writeStringField("lease", write.key().startsWith(leased) ? Long.toString(lease) : "0");
-        }
-        to.writeEndObject();
-        to.writeEndObject();
-      }
-      if (tip != null) {
-        to.writeStartObject();
-        to.writeObjectFieldStart("request_put");
-        bytes(to, "key", prefix + RecordCodec.TIP);
-        to.writeBinaryField("value", tip);
-        to.writeEndObject();
-        to.writeEndObject();
-      }
-      to.writeEndArray();
-    });
-  }
-
-  @Override public boolean written(int status, byte[] body) {
+    return post(
+        "/v3/kv/txn",
+        to -> {
+          to.writeArrayFieldStart("compare");
+          for (Write write : writes) {
+            to.writeStartObject();
+            bytes(to, "key", write.key());
+            to.writeStringField("target", "MOD");
+            to.writeStringField("result", "EQUAL");
+            to.writeStringField("mod_revision", Long.toString(write.changed()));
+            to.writeEndObject();
+          }
+          to.writeEndArray();
+          to.writeArrayFieldStart("success");
+          for (Write write : writes) {
+            to.writeStartObject();
+            to.writeObjectFieldStart(
+                write.content() == null ? "request_delete_range" : "request_put");
+            bytes(to, "key", write.key());
+            if (write.content() != null) {
+              to.writeBinaryField("value", RecordCodec.write(write.content()));
+              to.writeStringField(
+                  "lease", write.key().startsWith(leased) ? Long.toString(lease) : "0");
+            }
+            to.writeEndObject();
+            to.writeEndObject();
+          }
+          if (tip != null) {
+            to.writeStartObject();
+            to.writeObjectFieldStart("request_put");
+            bytes(to, "key", prefix + RecordCodec.TIP);
+            to.writeBinaryField("value", tip);
+            to.writeEndObject();
+            to.writeEndObject();
+          }
+          to.writeEndArray();
+        });
+  }
+
+  @Override
+  public boolean written(int status, byte[] body) {
     return status == 200 && read(body).flag("succeeded");
   }
 
@@ -243,18 +274,27 @@
 
   /** All tasks' terms and owners. */
   Ask tasks() {
-    return post("/v3/kv/range", to -> {
-      bytes(to, "key", prefix + RecordCodec.OWNERS);
-      bytes(to, "range_end", prefix + RecordCodec.TASKS.substring(0, RecordCodec.TASKS.length() - 1) + (char) ('/' + 1));
-      to.writeStringField("limit", Integer.toString(MOST_TASKS));
-    });
+    return post(
+        "/v3/kv/range",
+        to -> {
+          bytes(to, "key", prefix + RecordCodec.OWNERS);
+          bytes(
+              to,
+              "range_end",
+              prefix
+                  + RecordCodec.TASKS.substring(0, RecordCodec.TASKS.length() - 1)
+                  + (char) ('/' + 1));
+          to.writeStringField("limit", Integer.toString(MOST_TASKS));
+        });
   }
 
   static Ask login(String user, String password) {
-    return post("/v3/auth/authenticate", to -> {
-      to.writeStringField("name", user);
-      to.writeStringField("password", password);
-    });
+    return post(
+        "/v3/auth/authenticate",
+        to -> {
+          to.writeStringField("name", user);
+          to.writeStringField("password", password);
+        });
   }
 
   static String loggedIn(byte[] body) {
@@ -271,13 +311,17 @@
 
   private static Header header(JsonReader answer) {
     JsonReader header = answer.fields("header");
-    return new Header(header.has("cluster_id") ? header.text("cluster_id") : "", wide(header, "revision"));
+    return new Header(
+        header.has("cluster_id") ? header.text("cluster_id") : "", wide(header, "revision"));
   }
 
   private RegistryEntry held(JsonReader kv) {
     String key = key(kv);
-    return new RegistryEntry(key, RecordCodec.read(key.substring(prefix.length()), bytes(kv, "value")),
-        wide(kv, "create_revision"), wide(kv, "mod_revision"));
+    return new RegistryEntry(
+        key,
+        RecordCodec.read(key.substring(prefix.length()), bytes(kv, "value")),
+        wide(kv, "create_revision"),
+        wide(kv, "mod_revision"));
   }
 
   private String key(JsonReader kv) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
@@ -11,12 +11,14 @@
 /** What a snapshot needs of a disk, each call of which may fail: a test's disk fails on purpose. */
 interface FileOperations {
   /** The machine's own disk. */
-  FileOperations DISK = new FileOperations() {
-  };
+  FileOperations DISK = new FileOperations() {};
 
   /** An empty file that is written to. */
   default FileChannel open(Path file) throws IOException {
-    return FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+    return FileChannel.open(
+        file,
+        StandardOpenOption.CREATE,
+        StandardOpenOption.WRITE,
         StandardOpenOption.TRUNCATE_EXISTING);
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -1,29 +1,33 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.registry.RegistryRecord;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is {@link
- * Content.Unreadable}, never an exception.
+ * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is
+ * {@link Content.Unreadable}, never an exception.
  */
 public final class RecordCodec {
   public static final String CACHES = "caches/", PURGES = "purges/", TASKS = "tasks/", TIP = "tip";
-  /** Who owns a task for now: gone with its lease. Beside {@link #TASKS}, so that one range has both. */
+
+  /**
+   * Who owns a task for now: gone with its lease. Beside {@link #TASKS}, so that one range has
+   * both.
+   */
   static final String OWNERS = "task-owners/";
+
   private static final int VERSION = 1, LONGEST_VALUE = 4096, LONGEST_NAME = 128;
   private static final JsonFactory JSON = new JsonFactory();
 
-  private RecordCodec() {
-  }
+  private RecordCodec() {}
 
   /** Reads what stands under a key, given without the prefix. */
   static RegistryRecord read(String key, byte[] value) {
@@ -51,24 +55,33 @@
   }
 
   private static RegistryRecord cache(String id, JsonReader fields) {
-    State state = switch (fields.text("state")) {
-      case "ready" -> State.UP;
-      case "draining" -> State.DRAINING;
-      default -> throw fields.wrong("state", "neither ready nor draining");
-    };
+    State state =
+        switch (fields.text("state")) {
+          case "ready" -> State.UP;
+          case "draining" -> State.DRAINING;
+          default -> throw fields.wrong("state", "neither ready nor draining");
+        };
     String address = fields.text("address");
     GatewayOptions.address("value: field 'address' is", address);
     double weight = fields.numberOr("weight", 1);
     if (!(weight > 0) || Double.isInfinite(weight)) {
       throw fields.wrong("weight", "no size");
     }
-    return new RegistryRecord.Cache(name(fields, "id", id), address, name(fields, "zone", fields.text("zone")),
-        name(fields, "kind", fields.text("kind")), fields.place("cell", 0), state, weight,
+    return new RegistryRecord.Cache(
+        name(fields, "id", id),
+        address,
+        name(fields, "zone", fields.text("zone")),
+        name(fields, "kind", fields.text("kind")),
+        fields.place("cell", 0),
+        state,
+        weight,
         fields.wholeOr("started_at_ms", 0));
   }
 
   private static String name(JsonReader fields, String key, String name) {
-    if (name.isEmpty() || name.length() > LONGEST_NAME || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
+    if (name.isEmpty()
+        || name.length() > LONGEST_NAME
+        || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
       throw fields.wrong(key, "no name");
     }
     return name;
@@ -95,7 +108,9 @@
 
   /** Why gateways would not read this of a cache; null where they would. */
   public static String fault(RegistryRecord.Cache cache) {
-    return read(CACHES + cache.id(), write(cache)) instanceof RegistryRecord.Unreadable unreadable ? unreadable.why() : null;
+    return read(CACHES + cache.id(), write(cache)) instanceof RegistryRecord.Unreadable unreadable
+        ? unreadable.why()
+        : null;
   }
 
   /** The value that says this of a cache or a purge. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -1,8 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
@@ -13,14 +10,20 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryRecord;
 
 /**
- * Reads and writes a registry for people: each read from the first endpoint that answers, each write one transaction
- * together with the tip, which is not tried again when it may have been carried out.
+ * Reads and writes a registry for people: each read from the first endpoint that answers, each
+ * write one transaction together with the tip, which is not tried again when it may have been
+ * carried out.
  */
 public final class RegistryAdminClient implements AutoCloseable {
   private static final int PAGE = 1000, MOST_WRITES = 32;
-  private static final long PATIENCE_MS = 3000, SECOND = 1_000_000_000, LONGEST_STEP_MILLIS = 3_600_000;
+  private static final long PATIENCE_MS = 3000,
+      SECOND = 1_000_000_000,
+      LONGEST_STEP_MILLIS = 3_600_000;
 
   /** What a person is told when nothing can be read or written. */
   public static final class Refused extends RuntimeException {
@@ -29,15 +32,16 @@
     }
   }
 
-  private record Got(int status, MultiMap headers, byte[] body) {
-  }
+  private record Got(int status, MultiMap headers, byte[] body) {}
 
   private final RegistrySettings access;
   private final RegistryProtocol form;
   private final RegistryHttpClient wires;
   private final Context loop;
 
-  /** Asked from any thread; works on the event loop of the one that makes it, or on one of Vert.x's. */
+  /**
+   * Asked from any thread; works on the event loop of the one that makes it, or on one of Vert.x's.
+   */
   public RegistryAdminClient(Vertx vertx, RegistrySettings access) {
     loop = vertx.getOrCreateContext();
     this.access = access;
@@ -51,84 +55,117 @@
   }
 
   private Future<List<RegistryEntry>> list(int endpoint) {
-    return pages(endpoint, 0, "", new ArrayList<>()).recover(e -> endpoint + 1 < access.endpoints().size()
-        ? list(endpoint + 1) : Future.failedFuture(e));
+    return pages(endpoint, 0, "", new ArrayList<>())
+        .recover(
+            e ->
+                endpoint + 1 < access.endpoints().size()
+                    ? list(endpoint + 1)
+                    : Future.failedFuture(e));
   }
 
-  private Future<List<RegistryEntry>> pages(int endpoint, long revision, String after, List<RegistryEntry> all) {
-    return ask(endpoint, form.list(revision, after, 0, PAGE)).compose(got -> {
-      RegistryProtocol.Page page = form.page(got.status, got.headers, got.body);
-      all.addAll(page.items());
-      if (all.size() > access.mostKeys()) {
-        return Future.failedFuture(new Refused("more than " + access.mostKeys() + " keys"));
-      }
-      if (!page.more() || page.items().isEmpty()) {
-        return Future.succeededFuture(all);
-      }
-      return pages(endpoint, revision == 0 ? page.header().revision() : revision,
-          page.items().get(page.items().size() - 1).key(), all);
-    });
+  private Future<List<RegistryEntry>> pages(
+      int endpoint, long revision, String after, List<RegistryEntry> all) {
+    return ask(endpoint, form.list(revision, after, 0, PAGE))
+        .compose(
+            got -> {
+              RegistryProtocol.Page page = form.page(got.status, got.headers, got.body);
+              all.addAll(page.items());
+              if (all.size() > access.mostKeys()) {
+                return Future.failedFuture(new Refused("more than " + access.mostKeys() + " keys"));
+              }
+              if (!page.more() || page.items().isEmpty()) {
+                return Future.succeededFuture(all);
+              }
+              return pages(
+                  endpoint,
+                  revision == 0 ? page.header().revision() : revision,
+                  page.items().get(page.items().size() - 1).key(),
+                  all);
+            });
   }
 
   /**
    * Writes keys and the tip, or nothing.
    *
-   * @param leased whether the keys go by themselves after the retention, where the registry can do that
+   * @param leased whether the keys go by themselves after the retention, where the registry can do
+   *     that
    * @return whether nothing had moved meanwhile
    */
   private Future<Boolean> write(List<RegistryProtocol.Write> writes, boolean leased) {
-    byte[] tip = (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
-        .getBytes(StandardCharsets.US_ASCII);
+    byte[] tip =
+        (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
+            .getBytes(StandardCharsets.US_ASCII);
     boolean grants = leased && access.form() == RegistrySettings.Form.ETCD;
-    return reached(0).compose(endpoint -> {
-      Future<Long> lease = grants ? ask(endpoint, EtcdProtocol.grant(access.retention() / SECOND))
-          .map(got -> EtcdProtocol.granted(got.body)) : Future.succeededFuture(0L);
-      return lease.compose(id -> ask(endpoint, form.write(writes, id, tip)))
-          .map(got -> form.written(got.status, got.body));
-    });
+    return reached(0)
+        .compose(
+            endpoint -> {
+              Future<Long> lease =
+                  grants
+                      ? ask(endpoint, EtcdProtocol.grant(access.retention() / SECOND))
+                          .map(got -> EtcdProtocol.granted(got.body))
+                      : Future.succeededFuture(0L);
+              return lease
+                  .compose(id -> ask(endpoint, form.write(writes, id, tip)))
+                  .map(got -> form.written(got.status, got.body));
+            });
   }
 
-  /** Changes one key from what it was when it was read, or makes it: 0 for a key that is not there. */
+  /**
+   * Changes one key from what it was when it was read, or makes it: 0 for a key that is not there.
+   */
   public Future<Boolean> write(String key, RegistryRecord content, long changed) {
     return write(List.of(new RegistryProtocol.Write(key, content, changed)), false);
   }
 
   /**
-   * Writes a purge that stays for the retention; those that are past it go with it where nothing else lets them
-   * go.
+   * Writes a purge that stays for the retention; those that are past it go with it where nothing
+   * else lets them go.
    */
   public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
-    RegistryProtocol.Write made = new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES + name, purge, 0);
+    RegistryProtocol.Write made =
+        new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES + name, purge, 0);
     if (access.form() == RegistrySettings.Form.ETCD) {
       return write(List.of(made), true);
     }
-    return list().compose(all -> {
-      List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
-      lapsed(all, purge.atMs(), access.retention()).stream().limit(MOST_WRITES - 1)
-          .forEach(held -> writes.add(new RegistryProtocol.Write(held.key(), null, held.changed())));
-      return write(writes, false);
-    });
+    return list()
+        .compose(
+            all -> {
+              List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
+              lapsed(all, purge.atMs(), access.retention()).stream()
+                  .limit(MOST_WRITES - 1)
+                  .forEach(
+                      held ->
+                          writes.add(new RegistryProtocol.Write(held.key(), null, held.changed())));
+              return write(writes, false);
+            });
   }
 
   /**
-   * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else to tell it by here,
-   * so both may be a step off, each to its own side.
+   * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else
+   * to tell it by here, so both may be a step off, each to its own side.
    */
   static List<RegistryEntry> lapsed(List<RegistryEntry> all, long nowMs, long retention) {
     long before = nowMs - retention / (SECOND / 1000) - 2 * LONGEST_STEP_MILLIS;
-    return all.stream().filter(one -> one.content() instanceof RegistryRecord.Purge old && old.atMs() < before).toList();
+    return all.stream()
+        .filter(one -> one.content() instanceof RegistryRecord.Purge old && old.atMs() < before)
+        .toList();
   }
 
   /**
-   * Deletes keys for the fleet, or nothing: the task's fence moves with them, so an owner that was overtaken meanwhile
-   * deletes nothing.
+   * Deletes keys for the fleet, or nothing: the task's fence moves with them, so an owner that was
+   * overtaken meanwhile deletes nothing.
    *
    * @param fence what the task's key holds by what was read; null where there is none
    */
-  public Future<Boolean> sweep(String task, RegistryRecord.Task as, RegistryEntry fence, List<RegistryEntry> old) {
+  public Future<Boolean> sweep(
+      String task, RegistryRecord.Task as, RegistryEntry fence, List<RegistryEntry> old) {
     List<RegistryProtocol.Write> writes = new ArrayList<>();
-    writes.add(new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, fence == null ? 0 : fence.changed()));
-    old.stream().limit(MOST_WRITES).forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.changed())));
+    writes.add(
+        new RegistryProtocol.Write(
+            access.prefix() + RecordCodec.TASKS + task, as, fence == null ? 0 : fence.changed()));
+    old.stream()
+        .limit(MOST_WRITES)
+        .forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.changed())));
     return write(writes, false);
   }
 
@@ -136,8 +173,11 @@
 
   /** The keys that say who owns which task, and under which term. */
   public Future<List<RegistryEntry>> tasks() {
-    return each(0, endpoint -> ask(endpoint, etcd().tasks())
-        .map(got -> form.page(got.status, got.headers, got.body).items()));
+    return each(
+        0,
+        endpoint ->
+            ask(endpoint, etcd().tasks())
+                .map(got -> form.page(got.status, got.headers, got.body).items()));
   }
 
   /**
@@ -147,17 +187,27 @@
    * @return the lease; 0 where another was first
    */
   public Future<Long> campaign(String task, RegistryRecord.Task as, long changed, long seconds) {
-    RegistryProtocol.Write term = new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, changed);
-    RegistryProtocol.Write owner = new RegistryProtocol.Write(access.prefix() + RecordCodec.OWNERS + task, as, 0);
-    return reached(0).compose(endpoint -> ask(endpoint, EtcdProtocol.grant(seconds))
-        .map(got -> EtcdProtocol.granted(got.body))
-        .compose(lease -> ask(endpoint, etcd().campaign(term, owner, lease))
-            .map(got -> form.written(got.status, got.body) ? lease : 0L)));
+    RegistryProtocol.Write term =
+        new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, changed);
+    RegistryProtocol.Write owner =
+        new RegistryProtocol.Write(access.prefix() + RecordCodec.OWNERS + task, as, 0);
+    return reached(0)
+        .compose(
+            endpoint ->
+                ask(endpoint, EtcdProtocol.grant(seconds))
+                    .map(got -> EtcdProtocol.granted(got.body))
+                    .compose(
+                        lease ->
+                            ask(endpoint, etcd().campaign(term, owner, lease))
+                                .map(got -> form.written(got.status, got.body) ? lease : 0L)));
   }
 
   /** Whether the lease was there to be kept. */
   public Future<Boolean> keepAlive(long lease) {
-    return each(0, endpoint -> ask(endpoint, EtcdProtocol.keepAlive(lease)).map(got -> EtcdProtocol.kept(got.body)));
+    return each(
+        0,
+        endpoint ->
+            ask(endpoint, EtcdProtocol.keepAlive(lease)).map(got -> EtcdProtocol.kept(got.body)));
   }
 
   /** Gives a lease back, and with it what hangs on it. */
@@ -171,44 +221,71 @@
 
   /** The first endpoint that answers; for what may be said twice. */
   private <T> Future<T> each(int endpoint, Function<Integer, Future<T>> what) {
-    return what.apply(endpoint).recover(e -> endpoint + 1 < access.endpoints().size() ? each(endpoint + 1, what)
-        : Future.failedFuture(e));
+    return what.apply(endpoint)
+        .recover(
+            e ->
+                endpoint + 1 < access.endpoints().size()
+                    ? each(endpoint + 1, what)
+                    : Future.failedFuture(e));
   }
 
   /** The task that a key is of, its owner's or its term's; null for another key. */
   public String taskOf(RegistryEntry held, boolean owner) {
     String begins = access.prefix() + (owner ? RecordCodec.OWNERS : RecordCodec.TASKS);
     return held.key().startsWith(begins) && held.content() instanceof RegistryRecord.Task
-        ? held.key().substring(begins.length()) : null;
+        ? held.key().substring(begins.length())
+        : null;
   }
 
   /** The first endpoint that answers a read. */
   private Future<Integer> reached(int endpoint) {
-    return ask(endpoint, form.pulse()).map(endpoint).recover(e -> endpoint + 1 < access.endpoints().size()
-        ? reached(endpoint + 1) : Future.failedFuture(e));
+    return ask(endpoint, form.pulse())
+        .map(endpoint)
+        .recover(
+            e ->
+                endpoint + 1 < access.endpoints().size()
+                    ? reached(endpoint + 1)
+                    : Future.failedFuture(e));
   }
 
   private Future<Got> ask(int endpoint, RegistryProtocol.Ask ask) {
     // Guards against an answer that comes while a thread of its own is still about to listen to it.
-    return Future.future(asked -> loop.runOnContext(now -> askHere(endpoint, ask).onComplete(asked)));
+    return Future.future(
+        asked -> loop.runOnContext(now -> askHere(endpoint, ask).onComplete(asked)));
   }
 
   private Future<Got> askHere(int endpoint, RegistryProtocol.Ask ask) {
     Promise<Got> got = Promise.promise();
-    RegistryHttpClient.Sent sent = wires.send(endpoint, ask, false, new RegistryHttpClient.Answer() {
-      @Override public void whole(int status, MultiMap headers, byte[] body) {
-        got.tryComplete(new Got(status, headers, body));
-      }
-
-      @Override public void failed(RegistryFailure why, long retryAfter) {
-        got.tryFail(new Refused(access.endpoints().get(endpoint) + ": " + say(why)));
-      }
-    });
-    return got.future().timeout(PATIENCE_MS, TimeUnit.MILLISECONDS).recover(e -> {
-      sent.drop();
-      return Future.failedFuture(e instanceof Refused ? e : new Refused(access.endpoints().get(endpoint)
-          + ": no answer in " + PATIENCE_MS + " ms; a write may have been carried out"));
-    });
+    RegistryHttpClient.Sent sent =
+        wires.send(
+            endpoint,
+            ask,
+            false,
+            new RegistryHttpClient.Answer() {
+              @Override
+              public void whole(int status, MultiMap headers, byte[] body) {
+                got.tryComplete(new Got(status, headers, body));
+              }
+
+              @Override
+              public void failed(RegistryFailure why, long retryAfter) {
+                got.tryFail(new Refused(access.endpoints().get(endpoint) + ": " + say(why)));
+              }
+            });
+    return got.future()
+        .timeout(PATIENCE_MS, TimeUnit.MILLISECONDS)
+        .recover(
+            e -> {
+              sent.drop();
+              return Future.failedFuture(
+                  e instanceof Refused
+                      ? e
+                      : new Refused(
+                          access.endpoints().get(endpoint)
+                              + ": no answer in "
+                              + PATIENCE_MS
+                              + " ms; a write may have been carried out"));
+            });
   }
 
   private static String say(RegistryFailure why) {
@@ -223,7 +300,8 @@
     };
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     wires.close();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -1,7 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.registry.RegistryFailure;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.MultiMap;
@@ -25,13 +23,20 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import javax.net.ssl.SSLException;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryFailure;
 
 /**
- * Requests to the endpoints of a registry, with what lets a client in: TLS from PEM files, a token from a file
- * or from a log-in. Secrets are in no message of a failure, since none is made from what was sent or read.
+ * Requests to the endpoints of a registry, with what lets a client in: TLS from PEM files, a token
+ * from a file or from a log-in. Secrets are in no message of a failure, since none is made from
+ * what was sent or read.
  */
 final class RegistryHttpClient {
-  private static final int CONNECT_MS = 400, IDLE_S = 30, CONNECTIONS = 12, WAITING = 64, LONGEST_SECRET = 16_384;
+  private static final int CONNECT_MS = 400,
+      IDLE_S = 30,
+      CONNECTIONS = 12,
+      WAITING = 64,
+      LONGEST_SECRET = 16_384;
   private static final int UNAUTHORISED = 401, FORBIDDEN = 403;
   private static final long SECOND = 1_000_000_000, LONGEST_RETRY_S = 60;
 
@@ -40,8 +45,7 @@
     void whole(int status, MultiMap headers, byte[] body);
 
     /** A line of a stream; only where lines were asked for. */
-    default void line(byte[] line) {
-    }
+    default void line(byte[] line) {}
 
     void failed(RegistryFailure why, long retryAfter);
   }
@@ -71,24 +75,32 @@
     }
 
     private void go() {
-      client.request(options(to, ask, token)).compose(made -> {
-        request = made;
-        if (over) {
-          made.reset();
-          return Future.failedFuture("dropped");
-        }
-        return ask.body() == null ? made.send() : made.send(Buffer.buffer(ask.body()));
-      }).onSuccess(this::read).onFailure(this::failed);
+      client
+          .request(options(to, ask, token))
+          .compose(
+              made -> {
+                request = made;
+                if (over) {
+                  made.reset();
+                  return Future.failedFuture("dropped");
+                }
+                return ask.body() == null ? made.send() : made.send(Buffer.buffer(ask.body()));
+              })
+          .onSuccess(this::read)
+          .onFailure(this::failed);
     }
 
     private void read(HttpClientResponse response) {
       response.exceptionHandler(this::failed);
       if (lines && response.statusCode() == 200) {
-        RecordParser parser = RecordParser.newDelimited("\n", line -> {
-          if (!over) {
-            answer.line(line.getBytes());
-          }
-        });
+        RecordParser parser =
+            RecordParser.newDelimited(
+                "\n",
+                line -> {
+                  if (!over) {
+                    answer.line(line.getBytes());
+                  }
+                });
         // Guards against a line without end.
         parser.maxRecordSize(access.longestAnswer());
         parser.exceptionHandler(e -> unreadable());
@@ -97,13 +109,14 @@
         return;
       }
       Buffer body = Buffer.buffer();
-      response.handler(more -> {
-        if (body.length() + (long) more.length() > access.longestAnswer()) {
-          unreadable();
-        } else {
-          body.appendBuffer(more);
-        }
-      });
+      response.handler(
+          more -> {
+            if (body.length() + (long) more.length() > access.longestAnswer()) {
+              unreadable();
+            } else {
+              body.appendBuffer(more);
+            }
+          });
       response.endHandler(end -> whole(response, body.getBytes()));
     }
 
@@ -115,13 +128,15 @@
       if ((status == UNAUTHORISED || status == FORBIDDEN) && !renewed) {
         // Guards against a token that ran out: a new one is fetched, once.
         renewed = true;
-        renew(to).onComplete(done -> {
-          if (!over && done.succeeded() && done.result()) {
-            go();
-          } else {
-            end(RegistryFailure.UNAUTHORISED, 0);
-          }
-        });
+        renew(to)
+            .onComplete(
+                done -> {
+                  if (!over && done.succeeded() && done.result()) {
+                    go();
+                  } else {
+                    end(RegistryFailure.UNAUTHORISED, 0);
+                  }
+                });
         return;
       }
       RegistryFailure why = form.isCompacted(status, body) ? null : form.failure(status, body);
@@ -168,8 +183,10 @@
   private final RegistrySettings access;
   private final RegistryProtocol form;
   private HttpClientAgent client;
+
   /** The client before the files were read anew: its connections stay until they end. */
   private HttpClientAgent retired;
+
   private String token = "";
 
   RegistryHttpClient(Vertx vertx, RegistrySettings access, RegistryProtocol form) {
@@ -180,15 +197,16 @@
   }
 
   private HttpClientAgent client() {
-    HttpClientOptions options = new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAliveTimeout(IDLE_S);
+    HttpClientOptions options =
+        new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAliveTimeout(IDLE_S);
     if (access.trust() != null) {
       options.setSsl(true).setTrustOptions(trust());
       if (access.certificate() != null) {
         options.setKeyCertOptions(certificate());
       }
     }
-    return vertx.createHttpClient(options,
-        new PoolOptions().setHttp1MaxSize(CONNECTIONS).setMaxWaitQueueSize(WAITING));
+    return vertx.createHttpClient(
+        options, new PoolOptions().setHttp1MaxSize(CONNECTIONS).setMaxWaitQueueSize(WAITING));
   }
 
   private PemTrustOptions trust() {
@@ -196,12 +214,14 @@
   }
 
   private PemKeyCertOptions certificate() {
-    return new PemKeyCertOptions().setCertPath(access.certificate().toString()).setKeyPath(access.key().toString());
+    return new PemKeyCertOptions()
+        .setCertPath(access.certificate().toString())
+        .setKeyPath(access.key().toString());
   }
 
   /**
-   * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an answer may come
-   * before anybody listens to it, and is then lost.
+   * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an
+   * answer may come before anybody listens to it, and is then lost.
    */
   Sent send(int endpoint, RegistryProtocol.Ask ask, boolean lines, Answer answer) {
     if (!Context.isOnEventLoopThread()) {
@@ -209,15 +229,17 @@
     }
     Sent sent = new Sent(access.endpoints().get(endpoint), ask, lines, answer);
     if (token.isEmpty() && (access.token() != null || access.user() != null)) {
-      renew(sent.to).onComplete(done -> {
-        if (!sent.over && done.succeeded() && done.result()) {
-          sent.go();
-        } else if (done.failed() && !(done.cause() instanceof JsonReader.Malformed)) {
-          sent.failed(done.cause());
-        } else {
-          sent.end(RegistryFailure.UNAUTHORISED, 0);
-        }
-      });
+      renew(sent.to)
+          .onComplete(
+              done -> {
+                if (!sent.over && done.succeeded() && done.result()) {
+                  sent.go();
+                } else if (done.failed() && !(done.cause() instanceof JsonReader.Malformed)) {
+                  sent.failed(done.cause());
+                } else {
+                  sent.end(RegistryFailure.UNAUTHORISED, 0);
+                }
+              });
     } else {
       sent.go();
     }
@@ -225,13 +247,19 @@
   }
 
   private RequestOptions options(SocketAddress to, RegistryProtocol.Ask ask, String shown) {
-    RequestOptions options = new RequestOptions().setServer(to).setHost(to.hostAddress()).setPort(to.port())
-        .setMethod(ask.method()).setURI(ask.uri());
+    RequestOptions options =
+        new RequestOptions()
+            .setServer(to)
+            .setHost(to.hostAddress())
+            .setPort(to.port())
+            .setMethod(ask.method())
+            .setURI(ask.uri());
     if (ask.body() != null) {
       options.putHeader("Content-Type", "application/json");
     }
     if (!shown.isEmpty()) {
-      options.putHeader(access.form() == RegistrySettings.Form.ETCD ? "Authorization" : "X-Consul-Token", shown);
+      options.putHeader(
+          access.form() == RegistrySettings.Form.ETCD ? "Authorization" : "X-Consul-Token", shown);
     }
     return options;
   }
@@ -243,60 +271,82 @@
     if (access.token() != null) {
       next = secret(access.token());
     } else if (access.user() != null) {
-      next = secret(access.password()).compose(password -> login(from, EtcdProtocol.login(access.user(), password)));
+      next =
+          secret(access.password())
+              .compose(password -> login(from, EtcdProtocol.login(access.user(), password)));
     } else {
       return Future.succeededFuture(false);
     }
-    return next.map(now -> {
-      token = now;
-      return !now.equals(before);
-    });
+    return next.map(
+        now -> {
+          token = now;
+          return !now.equals(before);
+        });
   }
 
   private Future<String> login(SocketAddress from, RegistryProtocol.Ask ask) {
     Promise<String> token = Promise.promise();
-    client.request(options(from, ask, "")).compose(request -> request.send(Buffer.buffer(ask.body())))
-        .compose(response -> response.statusCode() == 200 ? response.body()
-            : Future.failedFuture(new JsonReader.Malformed("log-in: status " + response.statusCode())))
-        .map(body -> EtcdProtocol.loggedIn(body.getBytes())).onComplete(token);
+    client
+        .request(options(from, ask, ""))
+        .compose(request -> request.send(Buffer.buffer(ask.body())))
+        .compose(
+            response ->
+                response.statusCode() == 200
+                    ? response.body()
+                    : Future.failedFuture(
+                        new JsonReader.Malformed("log-in: status " + response.statusCode())))
+        .map(body -> EtcdProtocol.loggedIn(body.getBytes()))
+        .onComplete(token);
     return token.future();
   }
 
   private Future<String> secret(Path file) {
-    return vertx.executeBlocking(() -> {
-      try {
-        if (Files.size(file) > LONGEST_SECRET) {
-          throw new IOException("too long");
-        }
-        return Files.readString(file, StandardCharsets.UTF_8).strip();
-      } catch (IOException e) {
-        throw new UncheckedIOException("can't be read", e);
-      }
-    });
+    return vertx.executeBlocking(
+        () -> {
+          try {
+            if (Files.size(file) > LONGEST_SECRET) {
+              throw new IOException("too long");
+            }
+            return Files.readString(file, StandardCharsets.UTF_8).strip();
+          } catch (IOException e) {
+            throw new UncheckedIOException("can't be read", e);
+          }
+        });
   }
 
-  /** Takes files anew: for connections to come; those that are open stay. What can't be read changes nothing. */
+  /**
+   * Takes files anew: for connections to come; those that are open stay. What can't be read changes
+   * nothing.
+   */
   Future<Void> renewed() {
     token = "";
     if (access.trust() == null) {
       return Future.succeededFuture();
     }
-    return vertx.executeBlocking(() -> {
-      trust().getTrustManagerFactory(vertx);
-      return access.certificate() == null ? null : certificate().getKeyManagerFactory(vertx);
-    }).map(good -> {
-      if (retired != null) {
-        retired.close();
-      }
-      retired = client;
-      client = client();
-      return null;
-    });
+    return vertx
+        .executeBlocking(
+            () -> {
+              trust().getTrustManagerFactory(vertx);
+              return access.certificate() == null
+                  ? null
+                  : certificate().getKeyManagerFactory(vertx);
+            })
+        .map(
+            good -> {
+              if (retired != null) {
+                retired.close();
+              }
+              retired = client;
+              client = client();
+              return null;
+            });
   }
 
   private static long retryAfter(String header) {
     try {
-      return header == null ? 0 : Math.max(0, Math.min(LONGEST_RETRY_S, Long.parseLong(header.strip()))) * SECOND;
+      return header == null
+          ? 0
+          : Math.max(0, Math.min(LONGEST_RETRY_S, Long.parseLong(header.strip()))) * SECOND;
     } catch (NumberFormatException e) {
       return 0;
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -1,46 +1,44 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.registry.WatchEvent;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.WatchSession.Header;
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpMethod;
 import java.util.List;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.WatchSession.Header;
 
-/** The codec of one published protocol: where its words end. What can't be read is a Malformed of the JSON fields. */
+/**
+ * The codec of one published protocol: where its words end. What can't be read is a Malformed of
+ * the JSON fields.
+ */
 interface RegistryProtocol {
   /** A request to be sent; body null for none. */
-  record Ask(HttpMethod method, String uri, byte[] body) {
-  }
+  record Ask(HttpMethod method, String uri, byte[] body) {}
 
   /** A part of a list; count as {@link org.amberpath.registry.WatchSession#page} has it. */
-  record Page(Header header, List<RegistryEntry> items, boolean more, long count) {
-  }
+  record Page(Header header, List<RegistryEntry> items, boolean more, long count) {}
 
   /** The answer to a pulse. */
-  record Tip(Header header, long tip) {
-  }
+  record Tip(Header header, long tip) {}
 
   /** What a line of a watch's stream says. */
   sealed interface Frame {
-    record Opened(Header header) implements Frame {
-    }
+    record Opened(Header header) implements Frame {}
 
-    record Told(Header header, List<WatchEvent> changes, boolean partial) implements Frame {
-    }
+    record Told(Header header, List<WatchEvent> changes, boolean partial) implements Frame {}
 
-    record Compacted() implements Frame {
-    }
+    record Compacted() implements Frame {}
 
-    record Ended(RegistryFailure why) implements Frame {
-    }
+    record Ended(RegistryFailure why) implements Frame {}
   }
 
-  /** One key's write in a transaction; content null deletes. It holds only if the key was last written at changed. */
-  record Write(String key, RegistryRecord content, long changed) {
-  }
+  /**
+   * One key's write in a transaction; content null deletes. It holds only if the key was last
+   * written at changed.
+   */
+  record Write(String key, RegistryRecord content, long changed) {}
 
   Ask list(long revision, String after, long since, int limit);
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -1,16 +1,7 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.gateway.Clock;
-import org.amberpath.gateway.EndpointSource;
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.WatchCommands;
-import org.amberpath.registry.WatchSession;
-import org.amberpath.registry.RegistryView;
-import org.amberpath.registry.Snapshot;
-import io.vertx.core.Vertx;
 import io.vertx.core.MultiMap;
+import io.vertx.core.Vertx;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.util.HashMap;
@@ -18,10 +9,19 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import java.util.logging.Logger;
+import org.amberpath.gateway.Clock;
+import org.amberpath.gateway.EndpointSource;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.registry.Snapshot;
+import org.amberpath.registry.WatchCommands;
+import org.amberpath.registry.WatchSession;
+import org.amberpath.routing.EndpointListener;
 
 /**
- * A registry as a gateway's source of news: carries out what {@link WatchSession} orders and tells it what came. All of it
- * runs on the event loop that starts it.
+ * A registry as a gateway's source of news: carries out what {@link WatchSession} orders and tells
+ * it what came. All of it runs on the event loop that starts it.
  */
 public final class RegistrySource implements EndpointSource, WatchCommands {
   private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
@@ -30,8 +30,8 @@
   private static final long LOG_MS = 1000, READ_MILLIS = 1000;
 
   /** What staff may want to know of the view. Ages are nanoseconds, the revision the registry's. */
-  public record Status(WatchSession.Phase phase, boolean known, long revision, long age, int keys, int watches) {
-  }
+  public record Status(
+      WatchSession.Phase phase, boolean known, long revision, long age, int keys, int watches) {}
 
   private final Vertx vertx;
   private final RegistrySettings access;
@@ -55,16 +55,34 @@
     form = form(access);
     wires = new RegistryHttpClient(vertx, access, form);
     times = new WallTimes(to, clock::now, System::currentTimeMillis);
-    keeper = access.snapshot() == null ? null : new SnapshotKeeper(access.snapshot(), FileOperations.DISK,
-        access.snapshotEvery(), write -> vertx.executeBlocking(write, false), clock::now, seed, this::note);
-    view = new RegistryView(times, access.tipKey(), access.mostKeys(), access.retention(), this::note);
+    keeper =
+        access.snapshot() == null
+            ? null
+            : new SnapshotKeeper(
+                access.snapshot(),
+                FileOperations.DISK,
+                access.snapshotEvery(),
+                write -> vertx.executeBlocking(write, false),
+                clock::now,
+                seed,
+                this::note);
+    view =
+        new RegistryView(times, access.tipKey(), access.mostKeys(), access.retention(), this::note);
     // The server may hold a read for a sixteenth longer than it is asked to.
-    recovery = new WatchSession(view, this, access.endpoints().size(), access.mostKeys(),
-        blocking ? BLOCKING + BLOCKING / 16 : 0, seed, this::note);
+    recovery =
+        new WatchSession(
+            view,
+            this,
+            access.endpoints().size(),
+            access.mostKeys(),
+            blocking ? BLOCKING + BLOCKING / 16 : 0,
+            seed,
+            this::note);
   }
 
   static RegistryProtocol form(RegistrySettings access) {
-    return access.form() == RegistrySettings.Form.ETCD ? new EtcdProtocol(access.prefix())
+    return access.form() == RegistrySettings.Form.ETCD
+        ? new EtcdProtocol(access.prefix())
         : new ConsulProtocol(access.prefix(), BLOCKING / MS);
   }
 
@@ -78,34 +96,44 @@
     }
   }
 
-  @Override public void start() {
+  @Override
+  public void start() {
     running = true;
-    ticker = vertx.setPeriodic(LOG_MS, tick -> {
-      if (muted > 0) {
-        LOG.info("registry: " + muted + " more lines");
-      }
-      lines = muted = 0;
-      keep();
-    });
+    ticker =
+        vertx.setPeriodic(
+            LOG_MS,
+            tick -> {
+              if (muted > 0) {
+                LOG.info("registry: " + muted + " more lines");
+              }
+              lines = muted = 0;
+              keep();
+            });
     if (access.snapshot() == null) {
       begin();
       return;
     }
     // Guards the start against a disk that answers nothing: then it begins without.
-    vertx.executeBlocking(this::kept, false).timeout(READ_MILLIS, TimeUnit.MILLISECONDS).onComplete(read -> {
-          if (read.failed()) {
-            LOG.warning("registry: the snapshot is passed over: " + read.cause().getMessage());
-          } else if (read.result() != null) {
-            remember(read.result());
-          }
-          begin();
-        });
+    vertx
+        .executeBlocking(this::kept, false)
+        .timeout(READ_MILLIS, TimeUnit.MILLISECONDS)
+        .onComplete(
+            read -> {
+              if (read.failed()) {
+                LOG.warning("registry: the snapshot is passed over: " + read.cause().getMessage());
+              } else if (read.result() != null) {
+                remember(read.result());
+              }
+              begin();
+            });
   }
 
   /** What the file keeps; null where there is none. */
   private Snapshot kept() throws IOException {
     SnapshotFile.clean(access.snapshot(), FileOperations.DISK);
-    return Files.exists(access.snapshot()) ? SnapshotFile.read(access.snapshot(), access.longestAnswer()) : null;
+    return Files.exists(access.snapshot())
+        ? SnapshotFile.read(access.snapshot(), access.longestAnswer())
+        : null;
   }
 
   private void remember(Snapshot kept) {
@@ -115,8 +143,12 @@
       LOG.warning("registry: the snapshot is passed over: " + refusal);
     } else {
       view.remember(now, kept.keys(), kept.cluster(), kept.revision(), now - kept.age(now));
-      LOG.info("registry: serves from a snapshot of revision " + kept.revision() + ", "
-          + kept.age(now) / MS + " ms old");
+      LOG.info(
+          "registry: serves from a snapshot of revision "
+              + kept.revision()
+              + ", "
+              + kept.age(now) / MS
+              + " ms old");
     }
   }
 
@@ -127,19 +159,24 @@
     }
   }
 
-  @Override public void renewed() {
-    wires.renewed().onComplete(done -> {
-      if (done.failed()) {
-        LOG.warning("registry: the files for TLS can't be taken; those read before stay");
-      }
-      if (running) {
-        recovery.renewed(clock.now());
-        arm();
-      }
-    });
+  @Override
+  public void renewed() {
+    wires
+        .renewed()
+        .onComplete(
+            done -> {
+              if (done.failed()) {
+                LOG.warning("registry: the files for TLS can't be taken; those read before stay");
+              }
+              if (running) {
+                recovery.renewed(clock.now());
+                arm();
+              }
+            });
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     running = false;
     vertx.cancelTimer(timer);
     vertx.cancelTimer(ticker);
@@ -150,8 +187,13 @@
 
   /** The view as it stands. */
   public Status status() {
-    return new Status(recovery.phase(), view.known(), view.applied(), Math.max(0, clock.now() - view.provenAt()),
-        view.size(), recovery.watches());
+    return new Status(
+        recovery.phase(),
+        view.known(),
+        view.applied(),
+        Math.max(0, clock.now() - view.provenAt()),
+        view.size(),
+        recovery.watches());
   }
 
   /** Wakes the recovery when it wants to be; one timer at a time. */
@@ -163,11 +205,14 @@
     vertx.cancelTimer(timer);
     armedFor = due;
     long delay = Math.max(1, (due - clock.now() + MS - 1) / MS);
-    timer = vertx.setTimer(delay, now -> {
-      armedFor = Long.MAX_VALUE;
-      recovery.tick(clock.now());
-      arm();
-    });
+    timer =
+        vertx.setTimer(
+            delay,
+            now -> {
+              armedFor = Long.MAX_VALUE;
+              recovery.tick(clock.now());
+              arm();
+            });
   }
 
   private void keep() {
@@ -176,10 +221,18 @@
     }
   }
 
-  /** The view for the file, its age by the wall clock as it stands; null while it is not the registry's. */
+  /**
+   * The view for the file, its age by the wall clock as it stands; null while it is not the
+   * registry's.
+   */
   private Snapshot latest() {
-    return !view.known() || recovery.phase() != WatchSession.Phase.CURRENT ? null
-        : new Snapshot(access.prefix(), view.cluster(), view.applied(), times.unix(view.provenAt()),
+    return !view.known() || recovery.phase() != WatchSession.Phase.CURRENT
+        ? null
+        : new Snapshot(
+            access.prefix(),
+            view.cluster(),
+            view.applied(),
+            times.unix(view.provenAt()),
             List.copyOf(view.held()));
   }
 
@@ -195,15 +248,17 @@
 
     abstract void read(int status, MultiMap headers, byte[] body);
 
-    @Override public void whole(int status, MultiMap headers, byte[] body) {
+    @Override
+    public void whole(int status, MultiMap headers, byte[] body) {
       calls.remove(call);
-      taken(() -> {
-        if (form.isCompacted(status, body)) {
-          recovery.compacted(clock.now(), call);
-        } else {
-          read(status, headers, body);
-        }
-      });
+      taken(
+          () -> {
+            if (form.isCompacted(status, body)) {
+              recovery.compacted(clock.now(), call);
+            } else {
+              read(status, headers, body);
+            }
+          });
     }
 
     /** What can't be read ends this call alone. */
@@ -218,7 +273,8 @@
       arm();
     }
 
-    @Override public void failed(RegistryFailure why, long retryAfter) {
+    @Override
+    public void failed(RegistryFailure why, long retryAfter) {
       calls.remove(call);
       recovery.ended(clock.now(), call, why, retryAfter);
       arm();
@@ -229,27 +285,42 @@
     calls.put(answer.call, wires.send(endpoint, ask, lines, answer));
   }
 
-  @Override public void list(long call, int endpoint, long revision, String after, long since, int limit) {
-    send(endpoint, form.list(revision, after, since, limit), false, new Told(call) {
-      @Override void read(int status, MultiMap headers, byte[] body) {
-        RegistryProtocol.Page page = form.page(status, headers, body);
-        recovery.page(clock.now(), call, page.header(), page.items(), page.more(), page.count());
-      }
-    });
+  @Override
+  public void list(long call, int endpoint, long revision, String after, long since, int limit) {
+    send(
+        endpoint,
+        form.list(revision, after, since, limit),
+        false,
+        new Told(call) {
+          @Override
+          void read(int status, MultiMap headers, byte[] body) {
+            RegistryProtocol.Page page = form.page(status, headers, body);
+            recovery.page(
+                clock.now(), call, page.header(), page.items(), page.more(), page.count());
+          }
+        });
   }
 
-  @Override public void watch(long call, int endpoint, long from) {
+  @Override
+  public void watch(long call, int endpoint, long from) {
     boolean lines = access.form() == RegistrySettings.Form.ETCD;
-    send(endpoint, form.watch(from), lines, new Told(call) {
-      @Override void read(int status, MultiMap headers, byte[] body) {
-        RegistryProtocol.Page page = form.page(status, headers, body);
-        recovery.page(clock.now(), call, page.header(), page.items(), page.more(), page.count());
-      }
+    send(
+        endpoint,
+        form.watch(from),
+        lines,
+        new Told(call) {
+          @Override
+          void read(int status, MultiMap headers, byte[] body) {
+            RegistryProtocol.Page page = form.page(status, headers, body);
+            recovery.page(
+                clock.now(), call, page.header(), page.items(), page.more(), page.count());
+          }
 
-      @Override public void line(byte[] line) {
-        taken(() -> frame(call, form.frame(line)));
-      }
-    });
+          @Override
+          public void line(byte[] line) {
+            taken(() -> frame(call, form.frame(line)));
+          }
+        });
   }
 
   private void frame(long call, RegistryProtocol.Frame frame) {
@@ -268,16 +339,23 @@
     }
   }
 
-  @Override public void pulse(long call, int endpoint) {
-    send(endpoint, form.pulse(), false, new Told(call) {
-      @Override void read(int status, MultiMap headers, byte[] body) {
-        RegistryProtocol.Tip tip = form.tip(status, headers, body);
-        recovery.pulsed(clock.now(), call, tip.header(), tip.tip());
-      }
-    });
+  @Override
+  public void pulse(long call, int endpoint) {
+    send(
+        endpoint,
+        form.pulse(),
+        false,
+        new Told(call) {
+          @Override
+          void read(int status, MultiMap headers, byte[] body) {
+            RegistryProtocol.Tip tip = form.tip(status, headers, body);
+            recovery.pulsed(clock.now(), call, tip.header(), tip.tip());
+          }
+        });
   }
 
-  @Override public void drop(long call) {
+  @Override
+  public void drop(long call) {
     RegistryHttpClient.Sent sent = calls.remove(call);
     if (sent != null) {
       sent.drop();
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -1,9 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.Snapshot;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.io.ByteArrayOutputStream;
@@ -21,18 +17,22 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.Snapshot;
 
 /**
- * * The file of a snapshot: a first line with its version and checksum, then JSON. It is written beside and moved
- * into its place, so that a crash leaves the one before.
+ * * The file of a snapshot: a first line with its version and checksum, then JSON. It is written
+ * beside and moved into its place, so that a crash leaves the one before.
  */
 final class SnapshotFile {
   private static final String MAGIC = "amberpath-registry-snapshot";
   private static final int VERSION = 1;
-  private static final String BESIDE = ".new", OWN = Long.toHexString(new SecureRandom().nextLong());
+  private static final String BESIDE = ".new",
+      OWN = Long.toHexString(new SecureRandom().nextLong());
 
-  private SnapshotFile() {
-  }
+  private SnapshotFile() {}
 
   static void write(Path file, Snapshot snapshot) throws IOException {
     write(file, snapshot, FileOperations.DISK);
@@ -42,7 +42,8 @@
   static void write(Path file, Snapshot snapshot, FileOperations files) throws IOException {
     byte[] body = body(snapshot);
     ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes((MAGIC + " " + VERSION + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII));
+    all.writeBytes(
+        (MAGIC + " " + VERSION + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII));
     all.writeBytes(body);
     // Guards against a process that is not quite gone yet and writes beside the same file.
     Path beside = file.resolveSibling(file.getFileName() + BESIDE + "-" + OWN);
@@ -65,9 +66,14 @@
 
   /** Removes what writes that were cut short have left beside the file. */
   static void clean(Path file, FileOperations files) {
-    Pattern stale = Pattern.compile(Pattern.quote(file.getFileName() + BESIDE) + "(-[0-9a-f]{1,16})?");
-    try (DirectoryStream<Path> all = Files.newDirectoryStream(file.toAbsolutePath().getParent(),
-        one -> stale.matcher(one.getFileName().toString()).matches() && !one.toString().endsWith(OWN))) {
+    Pattern stale =
+        Pattern.compile(Pattern.quote(file.getFileName() + BESIDE) + "(-[0-9a-f]{1,16})?");
+    try (DirectoryStream<Path> all =
+        Files.newDirectoryStream(
+            file.toAbsolutePath().getParent(),
+            one ->
+                stale.matcher(one.getFileName().toString()).matches()
+                    && !one.toString().endsWith(OWN))) {
       all.forEach(one -> deleteQuietly(one, files));
     } catch (IOException | DirectoryIteratorException e) {
       return; // They take place and do no other harm; the next start looks again.
@@ -89,29 +95,31 @@
   }
 
   private static byte[] body(Snapshot snapshot) {
-    return EtcdProtocol.json(to -> {
-      to.writeStartObject();
-      to.writeStringField("prefix", snapshot.prefix());
-      to.writeStringField("cluster", snapshot.cluster());
-      to.writeNumberField("revision", snapshot.revision());
-      to.writeNumberField("proven_at", snapshot.provenAt());
-      to.writeArrayFieldStart("keys");
-      for (RegistryEntry held : snapshot.keys()) {
-        if (held.content() instanceof RegistryRecord.Unreadable) {
-          continue;
-        }
-        to.writeStartObject();
-        to.writeStringField("key", held.key());
-        to.writeNumberField("created", held.created());
-        to.writeNumberField("changed", held.changed());
-        if (!(held.content() instanceof RegistryRecord.Other)) {
-          to.writeStringField("value", new String(RecordCodec.write(held.content()), StandardCharsets.UTF_8));
-        }
-        to.writeEndObject();
-      }
-      to.writeEndArray();
-      to.writeEndObject();
-    });
+    return EtcdProtocol.json(
+        to -> {
+          to.writeStartObject();
+          to.writeStringField("prefix", snapshot.prefix());
+          to.writeStringField("cluster", snapshot.cluster());
+          to.writeNumberField("revision", snapshot.revision());
+          to.writeNumberField("proven_at", snapshot.provenAt());
+          to.writeArrayFieldStart("keys");
+          for (RegistryEntry held : snapshot.keys()) {
+            if (held.content() instanceof RegistryRecord.Unreadable) {
+              continue;
+            }
+            to.writeStartObject();
+            to.writeStringField("key", held.key());
+            to.writeNumberField("created", held.created());
+            to.writeNumberField("changed", held.changed());
+            if (!(held.content() instanceof RegistryRecord.Other)) {
+              to.writeStringField(
+                  "value", new String(RecordCodec.write(held.content()), StandardCharsets.UTF_8));
+            }
+            to.writeEndObject();
+          }
+          to.writeEndArray();
+          to.writeEndObject();
+        });
   }
 
   /** Reads a file; what is wrong with it is the message of an IOException. */
@@ -141,11 +149,20 @@
       List<RegistryEntry> keys = new ArrayList<>();
       for (JsonReader one : fields.each("keys")) {
         String key = one.text("key");
-        RegistryRecord content = !one.has("value") || !key.startsWith(prefix) ? new RegistryRecord.Other()
-            : RecordCodec.read(key.substring(prefix.length()), one.text("value").getBytes(StandardCharsets.UTF_8));
+        RegistryRecord content =
+            !one.has("value") || !key.startsWith(prefix)
+                ? new RegistryRecord.Other()
+                : RecordCodec.read(
+                    key.substring(prefix.length()),
+                    one.text("value").getBytes(StandardCharsets.UTF_8));
         keys.add(new RegistryEntry(key, content, one.whole("created"), one.whole("changed")));
       }
-      return new Snapshot(prefix, fields.text("cluster"), fields.whole("revision"), fields.whole("proven_at"), keys);
+      return new Snapshot(
+          prefix,
+          fields.text("cluster"),
+          fields.whole("revision"),
+          fields.whole("proven_at"),
+          keys);
     } catch (JsonReader.Malformed e) {
       throw new IOException(e.getMessage(), e);
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
@@ -1,7 +1,5 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.registry.Backoff;
-import org.amberpath.registry.Snapshot;
 import io.vertx.core.Future;
 import java.nio.file.Path;
 import java.util.SplittableRandom;
@@ -10,13 +8,17 @@
 import java.util.function.Function;
 import java.util.function.LongSupplier;
 import java.util.function.Supplier;
+import org.amberpath.registry.Backoff;
+import org.amberpath.registry.Snapshot;
 
 /**
- * Writes snapshots to a file off the event loop, and again where that failed. Bounds: one write under way, one
- * snapshot pending, which is the latest; one line of log for each run of failures and one for its end.
+ * Writes snapshots to a file off the event loop, and again where that failed. Bounds: one write
+ * under way, one snapshot pending, which is the latest; one line of log for each run of failures
+ * and one for its end.
  */
 final class SnapshotKeeper {
-  private static final long FIRST_RETRY_NANOS = 1_000_000_000, LONGEST_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
+  private static final long FIRST_RETRY_NANOS = 1_000_000_000,
+      LONGEST_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
   private static final long LEAST_RETRY_NANOS = 250_000_000;
 
   private final Path file;
@@ -32,8 +34,14 @@
   private int failures;
 
   /** Keeps nothing yet; a file is written every so often at most. */
-  SnapshotKeeper(Path file, FileOperations files, long every, Function<Callable<Void>, Future<Void>> worker,
-      LongSupplier clock, long seed, Consumer<String> log) {
+  SnapshotKeeper(
+      Path file,
+      FileOperations files,
+      long every,
+      Function<Callable<Void>, Future<Void>> worker,
+      LongSupplier clock,
+      long seed,
+      Consumer<String> log) {
     this.file = file;
     this.files = files;
     this.every = every;
@@ -46,7 +54,8 @@
   /**
    * Begins a write if one is due.
    *
-   * @param latest the view as it stands; null where it is not to be kept now: then only what is pending is written
+   * @param latest the view as it stands; null where it is not to be kept now: then only what is
+   *     pending is written
    */
   void tick(Supplier<Snapshot> latest) {
     long now = clock.getAsLong();
@@ -65,17 +74,21 @@
     writing = true;
     hasBegun = true;
     begunAt = now;
-    worker.apply(() -> {
-      SnapshotFile.write(file, snapshot, files);
-      return null;
-    }).onComplete(done -> {
-      writing = false;
-      if (done.succeeded()) {
-        succeeded();
-      } else {
-        failed(done.cause());
-      }
-    });
+    worker
+        .apply(
+            () -> {
+              SnapshotFile.write(file, snapshot, files);
+              return null;
+            })
+        .onComplete(
+            done -> {
+              writing = false;
+              if (done.succeeded()) {
+                succeeded();
+              } else {
+                failed(done.cause());
+              }
+            });
   }
 
   private void succeeded() {
@@ -89,7 +102,8 @@
 
   private void failed(Throwable why) {
     if (failures++ == 0) {
-      log.accept("the snapshot can't be written, the one before stays and it is tried again: " + why);
+      log.accept(
+          "the snapshot can't be written, the one before stays and it is tried again: " + why);
     }
     backoff.failed(clock.getAsLong(), LEAST_RETRY_NANOS);
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -1,13 +1,14 @@
 package org.amberpath.registry.runtime;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import java.util.function.LongSupplier;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall clock as it stands
- * in that moment, which is what {@link EndpointListener} has: so a wall clock that has stepped since the start makes nothing
- * older or younger. A purge is told as no older than it is by either clock.
+ * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall
+ * clock as it stands in that moment, which is what {@link EndpointListener} has: so a wall clock
+ * that has stepped since the start makes nothing older or younger. A purge is told as no older than
+ * it is by either clock.
  */
 final class WallTimes implements EndpointListener {
   private static final long MS = 1_000_000;
@@ -30,20 +31,39 @@
     return wallMillis.getAsLong() - forwardNanos.getAsLong() / MS;
   }
 
-  @Override public void listing(boolean whole) {
+  @Override
+  public void listing(boolean whole) {
     to.listing(whole);
   }
 
-  @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-      double weight, long startedAtMs) {
-    to.member(id, address, zone, kind, cell, state, weight, startedAtMs == 0 ? 0 : startedAtMs + aheadMillis());
+  @Override
+  public void member(
+      String id,
+      String address,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
+      long startedAtMs) {
+    to.member(
+        id,
+        address,
+        zone,
+        kind,
+        cell,
+        state,
+        weight,
+        startedAtMs == 0 ? 0 : startedAtMs + aheadMillis());
   }
 
-  @Override public void listed() {
+  @Override
+  public void listed() {
     to.listed();
   }
 
-  @Override public void purged(long object, int group, long atMs) {
+  @Override
+  public void purged(long object, int group, long atMs) {
     to.purged(object, group, atMs + Math.max(0, aheadMillis()));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 /** What a view tells of what a registry holds, one story for each way to get it wrong. */
@@ -17,7 +17,8 @@
 
   private final List<String> told = new ArrayList<>();
   private final List<String> complaints = new ArrayList<>();
-  private final RegistryView view = new RegistryView(new Written(told), "p/tip", 6, RETENTION, complaints::add);
+  private final RegistryView view =
+      new RegistryView(new Written(told), "p/tip", 6, RETENTION, complaints::add);
 
   /** Writes down what is told: a list in brackets, of all where it begins with an equals sign. */
   static final class Written implements EndpointListener {
@@ -28,30 +29,49 @@
       this.to = to;
     }
 
-    @Override public void listing(boolean whole) {
+    @Override
+    public void listing(boolean whole) {
       list = new StringBuilder(whole ? "=[" : "[");
     }
 
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
+    @Override
+    public void member(
+        String id,
+        String address,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
+        long startedAtMs) {
       list.append(id).append(state == State.UP ? '+' : state == State.DRAINING ? '~' : '-');
     }
 
-    @Override public void listed() {
+    @Override
+    public void listed() {
       to.add(list + "]");
     }
 
-    @Override public void purged(long object, int group, long atMs) {
+    @Override
+    public void purged(long object, int group, long atMs) {
       to.add("purged " + object + "/" + group + " " + (atMs - NOW / MS));
     }
   }
 
   static RegistryEntry cache(String id, State state, long created, long changed) {
-    return new RegistryEntry("p/" + id, new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0), created, changed);
+    return new RegistryEntry(
+        "p/" + id,
+        new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0),
+        created,
+        changed);
   }
 
   private static RegistryEntry purge(long object, long agoMs, long changed) {
-    return new RegistryEntry("p/purge" + object, new RegistryRecord.Purge(object, 0, NOW / MS - agoMs), changed, changed);
+    return new RegistryEntry(
+        "p/purge" + object,
+        new RegistryRecord.Purge(object, 0, NOW / MS - agoMs),
+        changed,
+        changed);
   }
 
   private static WatchEvent put(RegistryEntry held) {
@@ -71,7 +91,13 @@
 
   @Test
   void theFirstListIsToldWhole() {
-    view.whole(NOW, List.of(cache("a", State.UP, 1, 1), cache("b", State.DRAINING, 2, 3)), "c", 10, NOW, false);
+    view.whole(
+        NOW,
+        List.of(cache("a", State.UP, 1, 1), cache("b", State.DRAINING, 2, 3)),
+        "c",
+        10,
+        NOW,
+        false);
     assertEquals(List.of("=[a+b~]"), told());
     assertEquals(10, view.applied());
   }
@@ -79,8 +105,12 @@
   @Test
   void allKeysOfARevisionAreOneListingAndRevisionsAreToldApart() {
     starts(cache("a", State.UP, 1, 1));
-    view.changes(NOW, List.of(put(cache("b", State.UP, 11, 11)), put(cache("a", State.DRAINING, 1, 11)),
-        put(cache("a", State.UP, 1, 12))));
+    view.changes(
+        NOW,
+        List.of(
+            put(cache("b", State.UP, 11, 11)),
+            put(cache("a", State.DRAINING, 1, 11)),
+            put(cache("a", State.UP, 1, 12))));
     assertEquals(List.of("[a~b+]", "[a+]"), told());
   }
 
@@ -88,7 +118,8 @@
   void whatASecondWatchTellsAgainIsPassedOver() {
     starts(cache("a", State.UP, 1, 1));
     view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 11))));
-    view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 11)), put(cache("a", State.UP, 1, 12))));
+    view.changes(
+        NOW, List.of(put(cache("a", State.DRAINING, 1, 11)), put(cache("a", State.UP, 1, 12))));
     assertEquals(List.of("[a~]", "[a+]"), told());
   }
 
@@ -117,8 +148,10 @@
   @Test
   void aValueThatCantBeReadSpoilsItsOwnKeyAloneAndTheLastGoodOneStays() {
     starts(cache("a", State.UP, 1, 1));
-    RegistryEntry spoilt = new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
-    view.changes(NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", State.UP, 11, 11))));
+    RegistryEntry spoilt =
+        new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
+    view.changes(
+        NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", State.UP, 11, 11))));
     assertEquals(List.of("[b+]"), told());
     assertEquals(List.of("p/a: not JSON"), complaints);
     view.whole(NOW, List.of(spoilt, cache("b", State.UP, 11, 11)), "c", 12, NOW, false);
@@ -136,7 +169,13 @@
 
   @Test
   void aPurgeFromBeforeTheStartCountsFromNowWhateverItsWritersClockSays() {
-    view.whole(NOW, List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)), "c", 10, NOW, false);
+    view.whole(
+        NOW,
+        List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)),
+        "c",
+        10,
+        NOW,
+        false);
     assertEquals(List.of("=[]", "purged 7/0 0", "purged 8/0 0", "purged 9/0 0"), told());
   }
 
@@ -160,7 +199,13 @@
   @Test
   void anOlderWriteOfAKnownKeyShowsThatRevisionsWereGivenAnew() {
     starts(cache("b", State.UP, 2, 9));
-    view.whole(NOW, List.of(cache("b", State.UP, 2, 5), cache("d", State.UP, 11, 11)), "c", 12, NOW, false);
+    view.whole(
+        NOW,
+        List.of(cache("b", State.UP, 2, 5), cache("d", State.UP, 11, 11)),
+        "c",
+        12,
+        NOW,
+        false);
     assertEquals(List.of("=[b+d+]", "purged 0/-1 0"), told());
   }
 
@@ -179,10 +224,21 @@
 
   @Test
   void aSnapshotIsToldWithItsTrueAgeAndTheRegistryOnlyWhatDiffers() {
-    view.remember(NOW, List.of(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2)), "c", 10, NOW - 50 * MS);
+    view.remember(
+        NOW,
+        List.of(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2)),
+        "c",
+        10,
+        NOW - 50 * MS);
     assertEquals(List.of("=[a+b+]"), told());
     assertEquals(NOW - 50 * MS, view.provenAt());
-    view.whole(NOW, List.of(cache("a", State.DRAINING, 1, 12), cache("b", State.UP, 2, 2)), "c", 12, NOW, false);
+    view.whole(
+        NOW,
+        List.of(cache("a", State.DRAINING, 1, 12), cache("b", State.UP, 2, 2)),
+        "c",
+        12,
+        NOW,
+        false);
     assertEquals(List.of("[a~]"), told());
   }
 
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -2,37 +2,59 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Stamps of wall clocks that have stepped, by seconds or an hour: purges stay young, starts late, snapshots usable. */
+/**
+ * Stamps of wall clocks that have stepped, by seconds or an hour: purges stay young, starts late,
+ * snapshots usable.
+ */
 class WallClockTest {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, NOW = 1_000_000_000_000L * MS, DAY = 86_400 * SECOND;
+  private static final long MS = 1_000_000,
+      SECOND = 1000 * MS,
+      NOW = 1_000_000_000_000L * MS,
+      DAY = 86_400 * SECOND;
 
   private final List<String> told = new ArrayList<>();
-  private final RegistryView view = new RegistryView(new EndpointListener() {
-    @Override public void listing(boolean whole) {
-    }
+  private final RegistryView view =
+      new RegistryView(
+          new EndpointListener() {
+            @Override
+            public void listing(boolean whole) {}
 
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
-      told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
-    }
+            @Override
+            public void member(
+                String id,
+                String address,
+                String zone,
+                String kind,
+                int cell,
+                State state,
+                double weight,
+                long startedAtMs) {
+              told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
+            }
 
-    @Override public void listed() {
-    }
+            @Override
+            public void listed() {}
 
-    @Override public void purged(long object, int group, long atMs) {
-      told.add("purged " + object + " " + (atMs - NOW / MS));
-    }
-  }, "p/tip", 100, 600 * SECOND, line -> { });
+            @Override
+            public void purged(long object, int group, long atMs) {
+              told.add("purged " + object + " " + (atMs - NOW / MS));
+            }
+          },
+          "p/tip",
+          100,
+          600 * SECOND,
+          line -> {});
 
-  private static RegistryEntry cache(String id, State state, long startedMs, long created, long changed) {
+  private static RegistryEntry cache(
+      String id, State state, long startedMs, long created, long changed) {
     long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
     RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
     return new RegistryEntry("p/caches/" + id, content, created, changed);
@@ -58,12 +80,23 @@
 
   @Test
   void aStartStaysWhatItWasToldAsUntilTheCacheIsAnotherOne() {
-    view.whole(NOW, List.of(cache("a", State.UP, 3_600_000, 1, 1), cache("b", State.UP, -9000, 1, 1),
-        cache("c", State.UP, 0, 1, 1)), "c", 1, NOW, false);
+    view.whole(
+        NOW,
+        List.of(
+            cache("a", State.UP, 3_600_000, 1, 1),
+            cache("b", State.UP, -9000, 1, 1),
+            cache("c", State.UP, 0, 1, 1)),
+        "c",
+        1,
+        NOW,
+        false);
     assertEquals(List.of("a 0", "b -7000", "c long ago"), told());
     long later = NOW + 60 * SECOND;
-    view.changes(later, List.of(put(cache("a", State.DRAINING, 3_600_000, 1, 2)),
-        put(cache("b", State.DRAINING, -9000, 1, 2))));
+    view.changes(
+        later,
+        List.of(
+            put(cache("a", State.DRAINING, 3_600_000, 1, 2)),
+            put(cache("b", State.DRAINING, -9000, 1, 2))));
     assertEquals(List.of("a 0", "b -7000"), told());
     view.changes(later, List.of(put(cache("a", State.UP, -3_000_000, 1, 3))));
     assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
@@ -73,7 +106,8 @@
 
   @Test
   void aPurgeInASnapshotCountsFromTheStart() {
-    RegistryEntry purge = new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
+    RegistryEntry purge =
+        new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
     view.remember(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
     assertEquals(List.of("purged 7 0"), told());
     view.whole(NOW, List.of(purge), "c", 10, NOW, false);
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.registry.WatchSession.Header;
-import org.amberpath.registry.WatchSession.Phase;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
+import org.amberpath.registry.WatchSession.Header;
+import org.amberpath.registry.WatchSession.Phase;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -19,35 +19,40 @@
   private static final long MS = 1_000_000, START = 1_000_000_000_000L * MS;
 
   /** An order that was given; from is a watch's revision or a list's since. */
-  private record Order(String what, long call, int endpoint, long from) {
-  }
+  private record Order(String what, long call, int endpoint, long from) {}
 
   private final List<String> told = new ArrayList<>();
   private final List<String> notes = new ArrayList<>();
   private final List<Order> orders = new ArrayList<>();
   private final List<Long> dropped = new ArrayList<>();
-  private final RegistryView view = new RegistryView(new RegistryViewTest.Written(told), "p/tip", 100, 60_000 * MS,
-      notes::add);
+  private final RegistryView view =
+      new RegistryView(new RegistryViewTest.Written(told), "p/tip", 100, 60_000 * MS, notes::add);
   private WatchSession recovery;
   private long now = START;
 
-  private final WatchCommands taking = new WatchCommands() {
-    @Override public void list(long call, int endpoint, long revision, String after, long since, int limit) {
-      orders.add(new Order("list", call, endpoint, since));
-    }
+  private final WatchCommands taking =
+      new WatchCommands() {
+        @Override
+        public void list(
+            long call, int endpoint, long revision, String after, long since, int limit) {
+          orders.add(new Order("list", call, endpoint, since));
+        }
 
-    @Override public void watch(long call, int endpoint, long from) {
-      orders.add(new Order("watch", call, endpoint, from));
-    }
+        @Override
+        public void watch(long call, int endpoint, long from) {
+          orders.add(new Order("watch", call, endpoint, from));
+        }
 
-    @Override public void pulse(long call, int endpoint) {
-      orders.add(new Order("pulse", call, endpoint, 0));
-    }
+        @Override
+        public void pulse(long call, int endpoint) {
+          orders.add(new Order("pulse", call, endpoint, 0));
+        }
 
-    @Override public void drop(long call) {
-      dropped.add(call);
-    }
-  };
+        @Override
+        public void drop(long call) {
+          dropped.add(call);
+        }
+      };
 
   private void start(int endpoints) {
     recovery = new WatchSession(view, taking, endpoints, 100, 0, 5, notes::add);
@@ -131,17 +136,31 @@
   void aFrameThatSplitsARevisionIsToldWhenItIsWhole() {
     Order watch = watching().get(0);
     Header header = new Header("c", 12);
-    recovery.told(now, watch.call, header, List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 11))), true);
+    recovery.told(
+        now,
+        watch.call,
+        header,
+        List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 11))),
+        true);
     assertEquals(List.of(), told);
-    recovery.told(now, watch.call, header, List.of(put(RegistryViewTest.cache("b", State.UP, 11, 11))), false);
+    recovery.told(
+        now,
+        watch.call,
+        header,
+        List.of(put(RegistryViewTest.cache("b", State.UP, 11, 11))),
+        false);
     assertEquals(List.of("[a~b+]"), told);
   }
 
   @Test
   void aWatchThatBreaksResumesAtTheNextRevision() {
     List<Order> watches = watching();
-    recovery.told(now, watches.get(0).call, new Header("c", 14),
-        List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 14))), false);
+    recovery.told(
+        now,
+        watches.get(0).call,
+        new Header("c", 14),
+        List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 14))),
+        false);
     recovery.ended(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
     pass(200, ALL, 14, 9);
     assertEquals(15, take("watch").get(0).from);
@@ -171,13 +190,19 @@
       story.pass(1000, ALL, 10, 9);
       long committed = story.now + MS;
       // From here on all but one endpoint of five are silent, and their watches stay open.
-      // A pulse's time, that of all hops, and what a watch has to bring it by itself; answers take no time here.
+      // A pulse's time, that of all hops, and what a watch has to bring it by itself; answers take
+      // no time here.
       while (story.told.isEmpty() && story.now - committed < 240 * MS) {
         story.pass(1, one -> one.endpoint == only, 11, 11);
         for (Order list : story.take("list")) {
           if (list.endpoint == only) {
-            story.recovery.page(story.now, list.call, new Header("c", 11),
-                List.of(RegistryViewTest.cache("a", State.DRAINING, 1, 11), tip(11)), false, 2);
+            story.recovery.page(
+                story.now,
+                list.call,
+                new Header("c", 11),
+                List.of(RegistryViewTest.cache("a", State.DRAINING, 1, 11), tip(11)),
+                false,
+                2);
           }
         }
       }
@@ -202,14 +227,18 @@
     pass(2000, one -> true, 10, 9);
     now += MS;
     recovery.tick(now);
-    pass(110, one -> {
-      boolean old = once[0];
-      once[0] = false;
-      if (old) {
-        recovery.pulsed(now, one.call, new Header("c", 4), 4);
-      }
-      return !old;
-    }, 10, 9);
+    pass(
+        110,
+        one -> {
+          boolean old = once[0];
+          once[0] = false;
+          if (old) {
+            recovery.pulsed(now, one.call, new Header("c", 4), 4);
+          }
+          return !old;
+        },
+        10,
+        9);
     pass(1000, ALL, 10, 9);
     assertEquals(List.of(), take("list"));
   }
@@ -229,12 +258,16 @@
   @Test
   void anEndpointOfAnotherRegistryIsPassedOverWhileTheOthersAreOwn() {
     watching();
-    pass(20_000, one -> {
-      if (one.endpoint == 2) {
-        recovery.pulsed(now, one.call, new Header("other", 900), 900);
-      }
-      return one.endpoint != 2;
-    }, 10, 9);
+    pass(
+        20_000,
+        one -> {
+          if (one.endpoint == 2) {
+            recovery.pulsed(now, one.call, new Header("other", 900), 900);
+          }
+          return one.endpoint != 2;
+        },
+        10,
+        9);
     assertEquals(List.of(), take("list"));
     assertEquals(List.of(), told);
   }
@@ -242,17 +275,23 @@
   @Test
   void anotherRegistryAtMostEndpointsIsAFullNewList() {
     watching();
-    pass(600, one -> {
-      recovery.pulsed(now, one.call, new Header("other", 5), 5);
-      return false;
-    }, 0, 0);
+    pass(
+        600,
+        one -> {
+          recovery.pulsed(now, one.call, new Header("other", 5), 5);
+          return false;
+        },
+        0,
+        0);
     Order whole = last("list");
     recovery.page(now, whole.call, new Header("other", 5), List.of(), false, 0);
     assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), told);
   }
 
   @ParameterizedTest
-  @EnumSource(value = RegistryFailure.class, names = {"UNAUTHORISED", "UNTRUSTED"})
+  @EnumSource(
+      value = RegistryFailure.class,
+      names = {"UNAUTHORISED", "UNTRUSTED"})
   void whatPeopleMustMendIsNotRetriedAtSpeed(RegistryFailure why) {
     start(1);
     int asked = 0;
@@ -274,7 +313,9 @@
     pass(1500, NONE, 0, 0);
     assertEquals(Phase.CUT_OFF, recovery.phase());
     assertEquals(List.of(), told);
-    assertEquals(1, view.held().stream().filter(one -> one.content() instanceof RegistryRecord.Cache).count());
+    assertEquals(
+        1,
+        view.held().stream().filter(one -> one.content() instanceof RegistryRecord.Cache).count());
   }
 
   @Test
@@ -297,11 +338,21 @@
   void aListIsReadByPagesAtOneRevisionAndAnewInLargerPartsWhenThatIsCompacted() {
     start(1);
     Order list = take("list").get(0);
-    recovery.page(now, list.call, new Header("c", 10), List.of(RegistryViewTest.cache("a", State.UP, 1, 1)), true, 2);
+    recovery.page(
+        now,
+        list.call,
+        new Header("c", 10),
+        List.of(RegistryViewTest.cache("a", State.UP, 1, 1)),
+        true,
+        2);
     assertEquals(1, take("list").size());
     recovery.compacted(now, list.call);
     Order again = take("list").get(0);
-    list(again, 12, RegistryViewTest.cache("a", State.UP, 1, 1), RegistryViewTest.cache("b", State.UP, 2, 2));
+    list(
+        again,
+        12,
+        RegistryViewTest.cache("a", State.UP, 1, 1),
+        RegistryViewTest.cache("b", State.UP, 2, 2));
     assertEquals(List.of("=[a+b+]"), told);
   }
 
@@ -319,7 +370,8 @@
     start(1);
     recovery.ended(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
     long since = now;
-    take("pulse").forEach(one -> recovery.ended(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
+    take("pulse")
+        .forEach(one -> recovery.ended(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
     while (orders.isEmpty()) {
       now = Math.max(now + MS, recovery.due());
       recovery.tick(now);
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -3,8 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.SocketAddress;
@@ -15,29 +13,41 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A disk that answers nothing, as a pipe does that nobody writes to: the start goes on without the snapshot. */
+/**
+ * A disk that answers nothing, as a pipe does that nobody writes to: the start goes on without the
+ * snapshot.
+ */
 class HungDiskTest {
   private static final long SECOND = 1_000_000_000;
   private static final int PATIENCE_MILLIS = 30_000;
 
   /** Takes no news. */
   private static final class Nobody implements EndpointListener {
-    @Override public void listing(boolean whole) {
-    }
+    @Override
+    public void listing(boolean whole) {}
 
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
-    }
+    @Override
+    public void member(
+        String id,
+        String address,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
+        long startedAtMs) {}
 
-    @Override public void listed() {
-    }
+    @Override
+    public void listed() {}
 
-    @Override public void purged(long object, int group, long atMs) {
-    }
+    @Override
+    public void purged(long object, int group, long atMs) {}
   }
 
   @Test
@@ -48,9 +58,23 @@
     Vertx vertx = Vertx.vertx();
     try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
       endpoint.setSoTimeout(PATIENCE_MILLIS);
-      RegistrySettings access = new RegistrySettings(RegistrySettings.Form.ETCD,
-          List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")), "p/", null, null, null, null,
-          null, null, pipe, SECOND, SECOND, 600 * SECOND, 100, 1 << 20);
+      RegistrySettings access =
+          new RegistrySettings(
+              RegistrySettings.Form.ETCD,
+              List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")),
+              "p/",
+              null,
+              null,
+              null,
+              null,
+              null,
+              null,
+              pipe,
+              SECOND,
+              SECOND,
+              600 * SECOND,
+              100,
+              1 << 20);
       Context loop = vertx.getOrCreateContext();
       RegistrySource source = new RegistrySource(vertx, access, new Nobody(), 7);
       loop.runOnContext(now -> source.start());
@@ -61,7 +85,11 @@
         loop.runOnContext(now -> source.close());
       }
     } finally {
-      vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+      vertx
+          .close()
+          .toCompletionStage()
+          .toCompletableFuture()
+          .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -6,12 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.Snapshot;
 import io.vertx.core.MultiMap;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -21,6 +15,12 @@
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
+import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.Snapshot;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -30,8 +30,9 @@
 /** The codecs and the snapshot's file: what they take, and what they refuse without harm. */
 class RegistryProtocolsTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
-  private static final RegistryRecord.Cache CACHE = new RegistryRecord.Cache("c1", "127.0.0.1:7001", "z", "box", 3,
-      State.DRAINING, 4, 1_700_000_000_000L);
+  private static final RegistryRecord.Cache CACHE =
+      new RegistryRecord.Cache(
+          "c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4, 1_700_000_000_000L);
 
   private final EtcdProtocol etcd = new EtcdProtocol("p/");
   private final ConsulProtocol consul = new ConsulProtocol("p/", 1000);
@@ -51,16 +52,23 @@
   @Test
   void aCacheReadsAsItWasWritten() {
     assertEquals(CACHE, RecordCodec.read("caches/c1", RecordCodec.write(CACHE)));
-    RegistryRecord.Purge purge = new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
+    RegistryRecord.Purge purge =
+        new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
     assertEquals(purge, RecordCodec.read("purges/1", RecordCodec.write(purge)));
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"", "[]", "{'v':2}", "{'v':1,'address':'host:1','zone':'z','kind':'k','state':'ready'}",
-      "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'gone'}",
-      "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','weight':0}",
-      "{'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'}",
-      "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"})
+  @ValueSource(
+      strings = {
+        "",
+        "[]",
+        "{'v':2}",
+        "{'v':1,'address':'host:1','zone':'z','kind':'k','state':'ready'}",
+        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'gone'}",
+        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','weight':0}",
+        "{'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'}",
+        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"
+      })
   void aValueThatIsNotAsThePageHasItIsUnreadableAndNoMore(String value) {
     assertInstanceOf(RegistryRecord.Unreadable.class, RecordCodec.read("caches/c1", bytes(value)));
   }
@@ -84,11 +92,24 @@
   void aRangeIsAskedAndReadByThePublishedForm() {
     RegistryProtocol.Ask ask = etcd.list(7, "p/caches/a", 5, 100);
     assertEquals("/v3/kv/range", ask.uri());
-    assertEquals("{'key':'" + base64("p/caches/a\0") + "','range_end':'" + base64("p0") + "','limit':'100',"
-        + "'revision':'7','min_mod_revision':'5'}", text(ask.body()).replace('"', '\''));
-    RegistryProtocol.Page page = etcd.page(200, NONE, bytes("{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
-        + base64("p/caches/c1") + "','create_revision':'3','mod_revision':'9','value':'"
-        + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE)) + "'}],'more':true,'count':'2'}"));
+    assertEquals(
+        "{'key':'"
+            + base64("p/caches/a\0")
+            + "','range_end':'"
+            + base64("p0")
+            + "','limit':'100',"
+            + "'revision':'7','min_mod_revision':'5'}",
+        text(ask.body()).replace('"', '\''));
+    RegistryProtocol.Page page =
+        etcd.page(
+            200,
+            NONE,
+            bytes(
+                "{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
+                    + base64("p/caches/c1")
+                    + "','create_revision':'3','mod_revision':'9','value':'"
+                    + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE))
+                    + "'}],'more':true,'count':'2'}"));
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertEquals(40, page.header().revision());
     assertTrue(page.more());
@@ -98,28 +119,52 @@
   @Test
   void aWatchsLinesSayWhatThePublishedFormHas() {
     String header = "'header':{'cluster_id':'12','revision':'40'}";
-    assertInstanceOf(RegistryProtocol.Frame.Opened.class, etcd.frame(bytes("{'result':{" + header + ",'created':true}}")));
-    assertInstanceOf(RegistryProtocol.Frame.Compacted.class,
+    assertInstanceOf(
+        RegistryProtocol.Frame.Opened.class,
+        etcd.frame(bytes("{'result':{" + header + ",'created':true}}")));
+    assertInstanceOf(
+        RegistryProtocol.Frame.Compacted.class,
         etcd.frame(bytes("{'result':{" + header + ",'canceled':true,'compact_revision':'33'}}")));
-    assertEquals(new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
+    assertEquals(
+        new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
         etcd.frame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
-    RegistryProtocol.Frame.Told told = (RegistryProtocol.Frame.Told) etcd.frame(bytes("{'result':{" + header + ",'fragment':true,'events':["
-        + "{'type':'DELETE','kv':{'key':'" + base64("p/caches/c1") + "','mod_revision':'40'}}]}}"));
+    RegistryProtocol.Frame.Told told =
+        (RegistryProtocol.Frame.Told)
+            etcd.frame(
+                bytes(
+                    "{'result':{"
+                        + header
+                        + ",'fragment':true,'events':["
+                        + "{'type':'DELETE','kv':{'key':'"
+                        + base64("p/caches/c1")
+                        + "','mod_revision':'40'}}]}}"));
     assertTrue(told.partial());
     assertNull(told.changes().get(0).held());
     assertEquals(40, told.changes().get(0).revision());
   }
 
   @ParameterizedTest
-  @ValueSource(strings = {"{'header':{'revision':'-4'}}", "{'header':{'revision':'4x'}}", "{'kvs':[]}",
-      "{'header':{'revision':'4'},'kvs':[{'key':'!!'}]}", "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]}"})
+  @ValueSource(
+      strings = {
+        "{'header':{'revision':'-4'}}",
+        "{'header':{'revision':'4x'}}",
+        "{'kvs':[]}",
+        "{'header':{'revision':'4'},'kvs':[{'key':'!!'}]}",
+        "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]}"
+      })
   void aPageThatIsNotAsPublishedIsMalformed(String body) {
     assertThrows(Malformed.class, () -> etcd.page(200, NONE, bytes(body)));
   }
 
   @ParameterizedTest
-  @CsvSource({"401,0,UNAUTHORISED", "403,7,UNAUTHORISED", "429,8,THROTTLED", "503,14,UNAVAILABLE",
-      "400,16,UNAUTHORISED", "404,5,UNREADABLE"})
+  @CsvSource({
+    "401,0,UNAUTHORISED",
+    "403,7,UNAUTHORISED",
+    "429,8,THROTTLED",
+    "503,14,UNAVAILABLE",
+    "400,16,UNAUTHORISED",
+    "404,5,UNREADABLE"
+  })
   void aStatusSaysWhyItIsNoAnswer(int status, int code, RegistryFailure why) {
     assertEquals(why, etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
@@ -127,10 +172,17 @@
 
   @Test
   void aBlockingReadIsAskedAndReadByThePublishedForm() {
-    assertEquals("/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms", consul.watch(41).uri());
+    assertEquals(
+        "/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms", consul.watch(41).uri());
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
-    RegistryProtocol.Page page = consul.page(200, headers, bytes("[{'Key':'p/caches/c1','Value':'"
-        + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE)) + "','CreateIndex':3,'ModifyIndex':9}]"));
+    RegistryProtocol.Page page =
+        consul.page(
+            200,
+            headers,
+            bytes(
+                "[{'Key':'p/caches/c1','Value':'"
+                    + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE))
+                    + "','CreateIndex':3,'ModifyIndex':9}]"));
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertTrue(page.count() < 0);
     assertEquals(List.of(), consul.page(404, headers, new byte[0]).items());
@@ -140,8 +192,14 @@
   // ---- The snapshot's file.
 
   private static Snapshot snapshot() {
-    return new Snapshot("p/", "12", 40, 5, List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9),
-        new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
+    return new Snapshot(
+        "p/",
+        "12",
+        40,
+        5,
+        List.of(
+            new RegistryEntry("p/caches/c1", CACHE, 3, 9),
+            new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
   }
 
   @Test
@@ -170,6 +228,8 @@
     SnapshotFile.write(file, snapshot());
     assertThrows(IOException.class, () -> SnapshotFile.read(file, 20));
     Files.writeString(file, Files.readString(file).replaceFirst("snapshot 1 ", "snapshot 2 "));
-    assertEquals("of version 2", assertThrows(IOException.class, () -> SnapshotFile.read(file, 10_000)).getMessage());
+    assertEquals(
+        "of version 2",
+        assertThrows(IOException.class, () -> SnapshotFile.read(file, 10_000)).getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -4,10 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.Snapshot;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import java.io.IOException;
@@ -21,25 +17,34 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import java.util.function.Function;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.Snapshot;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A disk that fails, or a kill in the middle of a write: the last good snapshot stays, nothing torn is read. */
+/**
+ * A disk that fails, or a kill in the middle of a write: the last good snapshot stays, nothing torn
+ * is read.
+ */
 class SnapshotFailureTest {
   private static final long SECOND = 1_000_000_000;
   private static final int LONGEST = 10_000;
 
-  @TempDir
-  private Path folder;
+  @TempDir private Path folder;
   private Path file;
   private final List<String> log = new ArrayList<>();
   private final FailingDisk disk = new FailingDisk();
   private long now = SECOND;
 
-  /** Fails at one kind of call, after half of the bytes were written; a killed one can't even tidy up. */
+  /**
+   * Fails at one kind of call, after half of the bytes were written; a killed one can't even tidy
+   * up.
+   */
   private static final class FailingDisk implements FileOperations {
     final List<String> calls = new ArrayList<>();
     String failing = "";
@@ -52,12 +57,14 @@
       }
     }
 
-    @Override public FileChannel open(Path at) throws IOException {
+    @Override
+    public FileChannel open(Path at) throws IOException {
       call("open");
       return FileOperations.super.open(at);
     }
 
-    @Override public void write(FileChannel to, ByteBuffer bytes) throws IOException {
+    @Override
+    public void write(FileChannel to, ByteBuffer bytes) throws IOException {
       int end = bytes.limit();
       bytes.limit(bytes.position() + (bytes.remaining() + 1) / 2);
       FileOperations.super.write(to, bytes);
@@ -65,35 +72,56 @@
       call("write");
     }
 
-    @Override public void force(FileChannel of) throws IOException {
+    @Override
+    public void force(FileChannel of) throws IOException {
       call("force");
       FileOperations.super.force(of);
     }
 
-    @Override public void move(Path from, Path to) throws IOException {
+    @Override
+    public void move(Path from, Path to) throws IOException {
       call("move");
       FileOperations.super.move(from, to);
     }
 
-    @Override public void forceFolder(Path of) throws IOException {
+    @Override
+    public void forceFolder(Path of) throws IOException {
       call("forceFolder");
       FileOperations.super.forceFolder(of);
     }
 
-    @Override public void delete(Path of) throws IOException {
+    @Override
+    public void delete(Path of) throws IOException {
       call("delete");
       FileOperations.super.delete(of);
     }
   }
 
   private static Snapshot snapshot(long revision) {
-    return new Snapshot("p/", "12", revision, 1_700_000_005_000_000_000L, List.of(
-        new RegistryEntry("p/caches/c1", new RegistryRecord.Cache("c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4,
-            1_700_000_000_000L), 3, 9),
-        new RegistryEntry("p/caches/c2", new RegistryRecord.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0), 4, 4),
-        new RegistryEntry("p/purges/1", new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L), 12, 12),
-        new RegistryEntry("p/tasks/sweep", new RegistryRecord.Task(20, "g2"), 5, 30),
-        new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
+    return new Snapshot(
+        "p/",
+        "12",
+        revision,
+        1_700_000_005_000_000_000L,
+        List.of(
+            new RegistryEntry(
+                "p/caches/c1",
+                new RegistryRecord.Cache(
+                    "c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4, 1_700_000_000_000L),
+                3,
+                9),
+            new RegistryEntry(
+                "p/caches/c2",
+                new RegistryRecord.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0),
+                4,
+                4),
+            new RegistryEntry(
+                "p/purges/1",
+                new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L),
+                12,
+                12),
+            new RegistryEntry("p/tasks/sweep", new RegistryRecord.Task(20, "g2"), 5, 30),
+            new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
   }
 
   @BeforeEach
@@ -122,7 +150,8 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"open", "write", "force", "move"})
-  void theLastGoodOneStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing) throws IOException {
+  void theLastGoodOneStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
+      throws IOException {
     SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
     disk.failing = failing;
     int ticks = 600;
@@ -156,7 +185,9 @@
   @Test
   void bytesAreForcedBeforeTheMoveAndTheFolderAfterIt() throws IOException {
     SnapshotFile.write(file, snapshot(2), disk);
-    assertEquals(List.of("open", "write", "force", "move", "forceFolder"), disk.calls.stream().distinct().toList());
+    assertEquals(
+        List.of("open", "write", "force", "move", "forceFolder"),
+        disk.calls.stream().distinct().toList());
     assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
   }
 
@@ -166,7 +197,8 @@
     disk.killed = true;
     assertThrows(IOException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
     String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
-    Files.move(folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
+    Files.move(
+        folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
     assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
@@ -178,11 +210,13 @@
   void oneWriteIsUnderWayAndTheLatestFollowsIt() throws Exception {
     Deque<Callable<Void>> writes = new ArrayDeque<>();
     List<Promise<Void>> promises = new ArrayList<>();
-    SnapshotKeeper keeper = keeper(write -> {
-      writes.add(write);
-      promises.add(Promise.promise());
-      return promises.get(promises.size() - 1).future();
-    });
+    SnapshotKeeper keeper =
+        keeper(
+            write -> {
+              writes.add(write);
+              promises.add(Promise.promise());
+              return promises.get(promises.size() - 1).future();
+            });
     for (int revision = 2; revision < 100; revision++, now += SECOND) {
       long of = revision;
       keeper.tick(() -> snapshot(of));
@@ -200,7 +234,8 @@
     byte[] whole = Files.readAllBytes(file);
     for (int length = 0; length < whole.length; length++) {
       Files.write(file, java.util.Arrays.copyOf(whole, length));
-      assertThrows(IOException.class, () -> SnapshotFile.read(file, LONGEST), "of length " + length);
+      assertThrows(
+          IOException.class, () -> SnapshotFile.read(file, LONGEST), "of length " + length);
     }
     for (int at = 0; at < whole.length; at++) {
       for (int flip : new int[] {1, 0x20, 0x80, 0xff}) {
@@ -219,6 +254,9 @@
     Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
     assertEquals(snapshot(40), SnapshotFile.read(kept, LONGEST));
     SnapshotFile.write(file, snapshot(40));
-    assertEquals(-1, Files.mismatch(kept, file), "the text before reads what this one writes: the same bytes");
+    assertEquals(
+        -1,
+        Files.mismatch(kept, file),
+        "the text before reads what this one writes: the same bytes");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -3,38 +3,57 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.RegistryEntry;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A wall clock that steps while a gateway runs, or before somebody writes: by seconds or an hour, both ways. */
+/**
+ * A wall clock that steps while a gateway runs, or before somebody writes: by seconds or an hour,
+ * both ways.
+ */
 class WallTimesTest {
-  private static final long MS = 1_000_000, START = 1_700_000_000_000L, HOUR = 3_600_000, SECOND = 1_000_000_000;
-
+  private static final long MS = 1_000_000,
+      START = 1_700_000_000_000L,
+      HOUR = 3_600_000,
+      SECOND = 1_000_000_000;
   private long wall = START, forward = START * MS;
   private final List<Long> ages = new ArrayList<>();
+
   /** Ages by the wall clock as it stands, as the gateway has them. */
-  private final WallTimes times = new WallTimes(new EndpointListener() {
-    @Override public void listing(boolean whole) {
-    }
+  private final WallTimes times =
+      new WallTimes(
+          new EndpointListener() {
+            @Override
+            public void listing(boolean whole) {}
 
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
-      ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
-    }
+            @Override
+            public void member(
+                String id,
+                String address,
+                String zone,
+                String kind,
+                int cell,
+                State state,
+                double weight,
+                long startedAtMs) {
+              ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
+            }
 
-    @Override public void listed() {
-    }
+            @Override
+            public void listed() {}
 
-    @Override public void purged(long object, int group, long atMs) {
-      ages.add(Math.max(0, wall - atMs));
-    }
-  }, () -> forward, () -> wall);
+            @Override
+            public void purged(long object, int group, long atMs) {
+              ages.add(Math.max(0, wall - atMs));
+            }
+          },
+          () -> forward,
+          () -> wall);
 
   @ParameterizedTest
   @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
@@ -54,7 +73,8 @@
     long retention = 600 * SECOND;
     List<RegistryEntry> all = new ArrayList<>();
     for (long written : new long[] {START + step, START - 600_000 - 2 * HOUR - 1}) {
-      all.add(new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
+      all.add(
+          new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
     }
     List<RegistryEntry> lapsed = RegistryAdminClient.lapsed(all, START, retention);
     assertEquals(all.subList(1, 2), lapsed);
--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 
 /**
- * How long connections may have waited in the kernel's accept queue, and their first requests with them. An event loop
- * that was late takes the queue in parts, so the last ones wait on while it is late no more. Times are nanoseconds.
+ * How long connections may have waited in the kernel's accept queue, and their first requests with
+ * them. An event loop that was late takes the queue in parts, so the last ones wait on while it is
+ * late no more. Times are nanoseconds.
  *
  * <p>Bounded by the connections that are accepted in a few turns.
  *
@@ -14,8 +15,10 @@
 public final class AcceptLag<K> {
   /** What one pass of the loop accepts at most; a turn that brought fewer has emptied the queue. */
   private static final int ACCEPTS_PER_PASS = 16;
+
   /** How long after it was accepted a connection's first bytes are read, at least. */
   private static final long FIRST_READ_NANOS = 20_000_000L;
+
   private static final long NONE = Long.MIN_VALUE;
 
   private Map<K, Long> recent = new HashMap<>();
@@ -24,7 +27,9 @@
   private long rotatedAt;
   private int accepted;
 
-  /** A connection was accepted, by a loop that was so late just now or had not accepted for so long. */
+  /**
+   * A connection was accepted, by a loop that was so late just now or had not accepted for so long.
+   */
   public void accepted(K connection, long now, long lag) {
     accepted++;
     if (lag > 0 && (backlogSince == NONE || now - lag < backlogSince)) {
@@ -35,7 +40,9 @@
     }
   }
 
-  /** A turn of the loop has ended, in which it has accepted at least once where anything was there. */
+  /**
+   * A turn of the loop has ended, in which it has accepted at least once where anything was there.
+   */
   public void turn(long now) {
     if (accepted < ACCEPTS_PER_PASS) {
       backlogSince = NONE;
@@ -48,7 +55,10 @@
     }
   }
 
-  /** How long what is read now from a connection may have waited with it; 0 where it was not accepted late. */
+  /**
+   * How long what is read now from a connection may have waited with it; 0 where it was not
+   * accepted late.
+   */
   public long lag(K connection, long now) {
     Long since = recent.containsKey(connection) ? recent.get(connection) : earlier.get(connection);
     return since == null ? 0 : now - since;
--- a/routing/src/main/java/org/amberpath/routing/Attempt.java
+++ b/routing/src/main/java/org/amberpath/routing/Attempt.java
@@ -5,9 +5,15 @@
  *
  * @param number its place among the request's attempts, from 0
  * @param sentAtNanos when it was decided
- * @param refundableWorkSeconds the work charged to a source that is warming up, to be given back if it was not asked
+ * @param refundableWorkSeconds the work charged to a source that is warming up, to be given back if
+ *     it was not asked
  */
-record Attempt(InFlightRequest request, int number, Route route, long sentAtNanos, double refundableWorkSeconds) {
+record Attempt(
+    InFlightRequest request,
+    int number,
+    Route route,
+    long sentAtNanos,
+    double refundableWorkSeconds) {
 
   /** Where it was sent. */
   Endpoint endpoint() {
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -1,13 +1,17 @@
 package org.amberpath.routing;
 
+import org.amberpath.routing.InFlightRequest.Purpose;
 import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.InFlightRequest.Purpose;
 
-/** Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and slow start. */
+/**
+ * Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and
+ * slow start.
+ */
 final class AttemptRecorder {
   /** An answer within this part of its request's patience counts as in time. */
   private static final double PROMPT_FRACTION = 0.75;
+
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final EndpointTable endpoints;
@@ -17,8 +21,12 @@
   private final SlowStart slowStart;
 
   /** A recorder that reports to these. */
-  AttemptRecorder(EndpointTable endpoints, ObjectHistory history, ConcurrencyLimiter limiter,
-      OutlierDetector outlierDetector, SlowStart slowStart) {
+  AttemptRecorder(
+      EndpointTable endpoints,
+      ObjectHistory history,
+      ConcurrencyLimiter limiter,
+      OutlierDetector outlierDetector,
+      SlowStart slowStart) {
     this.endpoints = endpoints;
     this.history = history;
     this.limiter = limiter;
@@ -26,7 +34,10 @@
     this.slowStart = slowStart;
   }
 
-  /** An attempt is sent: it counts at its endpoint and, as far as it is likely a fill, at its source. */
+  /**
+   * An attempt is sent: it counts at its endpoint and, as far as it is likely a fill, at its
+   * source.
+   */
   void recordSent(Attempt attempt, long nowNanos) {
     Endpoint endpoint = attempt.endpoint();
     InFlightRequest request = attempt.request();
@@ -48,9 +59,12 @@
       case RETURNED -> recordReturned(attempt, tookNanos, note, batch);
       case TURNED_AWAY, NOT_STORED, ERRORED -> recordRejected(attempt, outcome, note, batch);
       case NO_ANSWER -> recordUnanswered(attempt, batch.nowNanos());
-      case LOST -> attempt.endpoint().health.failures++; // Guards against resets of single answers: no outage.
+      case LOST ->
+          attempt.endpoint()
+              .health
+              .failures++; // Guards against resets of single answers: no outage.
       case NO_CONNECTION -> outlierDetector.eject(attempt.endpoint(), batch);
-      default -> { }
+      default -> {}
     }
   }
 
@@ -80,10 +94,13 @@
     outlierDetector.onAnswer(endpoint, attempt.sentAtNanos(), batch);
   }
 
-  private void recordLatency(Attempt attempt, long tookNanos, boolean isHit, boolean isByOrigin, long nowNanos) {
+  private void recordLatency(
+      Attempt attempt, long tookNanos, boolean isHit, boolean isByOrigin, long nowNanos) {
     boolean inTime = tookNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
-    ConcurrencyLimit limit = isByOrigin ? limiter.originLimit()
-        : isHit ? attempt.endpoint().limit : attempt.source().limit;
+    ConcurrencyLimit limit =
+        isByOrigin
+            ? limiter.originLimit()
+            : isHit ? attempt.endpoint().limit : attempt.source().limit;
     limit.onAnswer(nowNanos, inTime);
     if (inTime) {
       limit.lastPromptSentNanos = Math.max(limit.lastPromptSentNanos, attempt.sentAtNanos());
@@ -116,7 +133,10 @@
   /** Guards a source against the blame for answers that got lost behind a silent endpoint. */
   private static void recordUnanswered(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
-    source.limit.onAnswer(nowNanos, !attempt.hasSource()
-        || source.health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos);
+    source.limit.onAnswer(
+        nowNanos,
+        !attempt.hasSource()
+            || source.health.lastResponseNanos
+                > attempt.sentAtNanos() + attempt.request().patienceNanos);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/Batch.java
+++ b/routing/src/main/java/org/amberpath/routing/Batch.java
@@ -6,4 +6,4 @@
  * @param nowNanos the time at which the whole batch is decided, in nanoseconds
  * @param actions takes what is decided, in order
  */
-record Batch(long nowNanos, RoutingActions actions) { }
+record Batch(long nowNanos, RoutingActions actions) {}
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
+import java.util.SplittableRandom;
+import org.amberpath.routing.RoutingActions.Health;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RoutingActions.Health;
-import java.util.SplittableRandom;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
 final class ClusterManager {
@@ -17,8 +17,13 @@
   private final SplittableRandom random;
 
   /** A manager of the given table and of those that keep state by its endpoints. */
-  ClusterManager(RoutingConfig site, GatewayShare share, EndpointTable endpoints, SlowStart slowStart,
-      ConcurrencyLimiter limiter, SplittableRandom random) {
+  ClusterManager(
+      RoutingConfig site,
+      GatewayShare share,
+      EndpointTable endpoints,
+      SlowStart slowStart,
+      ConcurrencyLimiter limiter,
+      SplittableRandom random) {
     this.site = site;
     this.share = share;
     this.endpoints = endpoints;
@@ -55,7 +60,8 @@
   }
 
   private Endpoint.Role roleOf(String kind) {
-    return kind.equals(site.midKind()) ? Endpoint.Role.PARENT
+    return kind.equals(site.midKind())
+        ? Endpoint.Role.PARENT
         : kind.equals(site.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
   }
 
@@ -64,7 +70,9 @@
     endpoint.limit.reset();
     slowStart.onStart(endpoint, random, batch.nowNanos());
     endpoint.health.restart();
-    if (endpoint.isEdge() && !endpoint.warmUp.isComplete(batch.nowNanos()) && endpoint.zone.equals(site.zone())) {
+    if (endpoint.isEdge()
+        && !endpoint.warmUp.isComplete(batch.nowNanos())
+        && endpoint.zone.equals(site.zone())) {
       batch.actions().cold(endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
     }
   }
@@ -76,14 +84,18 @@
     limiter.assignShares(share);
   }
 
-  /** The number of gateways has changed: limits of what all share shrink at once, and grow by answers. */
+  /**
+   * The number of gateways has changed: limits of what all share shrink at once, and grow by
+   * answers.
+   */
   void updateShare(int gateways, boolean mayTake, long nowNanos) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
     double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
     share.update(gateways, mayTake);
     limiter.originLimit().rescale(otherBefore, share.fractionOf(Endpoint.Role.ORIGIN));
     for (Endpoint endpoint : endpoints.all()) {
-      endpoint.limit.rescale(endpoint.isEdge() ? edgeBefore : otherBefore, share.fractionOf(endpoint.role));
+      endpoint.limit.rescale(
+          endpoint.isEdge() ? edgeBefore : otherBefore, share.fractionOf(endpoint.role));
       slowStart.onShareChange(endpoint);
     }
     endList(nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -3,12 +3,16 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * How many requests are and may be in flight at once towards one target. Guards against overload: late answers cut
- * the limit, prompt ones widen it. A limit under one request is kept over time: what was in flight beyond it is a
- * debt to be paid off before the next may go. Source: docs/design.md, "The six mechanisms beside the design".
+ * How many requests are and may be in flight at once towards one target. Guards against overload:
+ * late answers cut the limit, prompt ones widen it. A limit under one request is kept over time:
+ * what was in flight beyond it is a debt to be paid off before the next may go. Source:
+ * docs/design.md, "The six mechanisms beside the design".
  */
 final class ConcurrencyLimit {
-  /** The priority factor of what is not cached; up to it, no debt at all may be left where a limit is under one. */
+  /**
+   * The priority factor of what is not cached; up to it, no debt at all may be left where a limit
+   * is under one.
+   */
   static final double UNCACHED_FACTOR = 0.8;
 
   private static final double MIN_SHARE = 1e-3;
@@ -19,10 +23,14 @@
   private static final double REJECTION_DEBT = 1;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  /** How many are in flight; a fraction where it is only likely that a request is at this target. */
+  /**
+   * How many are in flight; a fraction where it is only likely that a request is at this target.
+   */
   double inFlight;
+
   /** When the limit was last cut, in nanoseconds. */
   long lastDecreaseNanos;
+
   /** When the latest request was sent that has been answered in time, in nanoseconds. */
   long lastPromptSentNanos;
 
@@ -36,7 +44,8 @@
   /**
    * A limit that has yet to be given its share.
    *
-   * @param capacityFraction by time, the fraction of the limit that the target can serve while it warms up, 0 to 1
+   * @param capacityFraction by time, the fraction of the limit that the target can serve while it
+   *     warms up, 0 to 1
    */
   ConcurrencyLimit(LongToDoubleFunction capacityFraction) {
     this.capacityFraction = capacityFraction;
@@ -48,7 +57,8 @@
   }
 
   /**
-   * Guards against the sum of many gateways' limits: this gateway's share follows from the list and the fleet.
+   * Guards against the sum of many gateways' limits: this gateway's share follows from the list and
+   * the fleet.
    *
    * @param share this gateway's part of the target, in targets
    * @param initialLimit where to begin, a whole target being this gateway's
@@ -58,7 +68,9 @@
     limit = limit == 0 ? initialLimit * gatewayShare : limit;
   }
 
-  /** A share that was taken away and came back begins anew; one that shrank takes the limit along. */
+  /**
+   * A share that was taken away and came back begins anew; one that shrank takes the limit along.
+   */
   void rescale(double fromShare, double toShare) {
     limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
   }
@@ -71,8 +83,12 @@
   /** Accounts for the time that has passed since the last call. */
   void advanceTo(long nowNanos) {
     double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
-    smoothedInFlight += (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
-    debt = Math.max(0, debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
+    smoothedInFlight +=
+        (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
+    debt =
+        Math.max(
+            0,
+            debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
     advancedAtNanos = nowNanos;
   }
 
@@ -80,11 +96,14 @@
   boolean hasRoom(long nowNanos, double priorityFactor) {
     advanceTo(nowNanos);
     double room = limit * capacityFraction.applyAsDouble(nowNanos);
-    return inFlight < room * priorityFactor && (inFlight + 1 <= room * priorityFactor
-        || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
+    return inFlight < room * priorityFactor
+        && (inFlight + 1 <= room * priorityFactor
+            || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
   }
 
-  /** Counted as long in flight: a quick rejection would leave the limit free to ask again at once. */
+  /**
+   * Counted as long in flight: a quick rejection would leave the limit free to ask again at once.
+   */
   void onRejected(long nowNanos) {
     onAnswer(nowNanos, false);
     debt += REJECTION_DEBT;
@@ -96,8 +115,10 @@
     if (inTime) {
       limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
     } else if (nowNanos - lastDecreaseNanos > DECREASE_INTERVAL_NANOS) {
-      limit = Math.max(MIN_LIMIT * gatewayShare,
-          Math.min(limit, 2 * smoothedInFlight + gatewayShare) * DECREASE_FACTOR);
+      limit =
+          Math.max(
+              MIN_LIMIT * gatewayShare,
+              Math.min(limit, 2 * smoothedInFlight + gatewayShare) * DECREASE_FACTOR);
       lastDecreaseNanos = nowNanos;
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -3,23 +3,33 @@
 import java.util.Arrays;
 
 /**
- * This gateway's part of what comes back in time: requests at an endpoint, fills into the zone and fills that reach
- * the origin. Past a limit the next endpoint takes over, then only cached copies are returned, then requests are
- * shed. Source: docs/design.md, "The six mechanisms beside the design".
+ * This gateway's part of what comes back in time: requests at an endpoint, fills into the zone and
+ * fills that reach the origin. Past a limit the next endpoint takes over, then only cached copies
+ * are returned, then requests are shed. Source: docs/design.md, "The six mechanisms beside the
+ * design".
  */
 final class ConcurrencyLimiter {
-  /** The limits begin right for a gateway that has so many edge caches, and as many parents, to itself. */
+  /**
+   * The limits begin right for a gateway that has so many edge caches, and as many parents, to
+   * itself.
+   */
   private static final double EDGES_PER_GATEWAY = 3;
+
   private static final double PARENTS_PER_GATEWAY = 2;
   private static final double INITIAL_LIMIT = 24;
 
-  /** An endpoint spills over past this multiple of its part of what is in flight, and some more for all. */
+  /**
+   * An endpoint spills over past this multiple of its part of what is in flight, and some more for
+   * all.
+   */
   private static final double SPILL_OVER_FACTOR = 1.75;
+
   private static final double SPILL_OVER_ALLOWANCE = 4;
   private static final double MIN_WEIGHT = 1e-3;
 
   private static final double PRIORITY_FACTOR = 1.5;
   private static final double PRIORITY_REVENUE_FACTOR = 1.5;
+
   /** An origin that was late longer ago than this is not suspected. */
   private static final long ORIGIN_SUSPICION_NANOS = 1_000_000_000L;
 
@@ -47,13 +57,19 @@
   /** Gives each limit its share after a change of the list or of the fleet. */
   void assignShares(GatewayShare share) {
     int inZone = share.gatewaysInZone();
-    double originShare = endpoints.count(endpoint -> endpoint.isEdge() && endpoint.isUp()) / EDGES_PER_GATEWAY
-        / share.gatewaysInAll() * (share.isGranted() ? 1 : 0);
-    double sharedInitial = INITIAL_LIMIT * (1 + 1.0 / inZone) / 2; // Where many share, each learns more slowly.
+    double originShare =
+        endpoints.count(endpoint -> endpoint.isEdge() && endpoint.isUp())
+            / EDGES_PER_GATEWAY
+            / share.gatewaysInAll()
+            * (share.isGranted() ? 1 : 0);
+    double sharedInitial =
+        INITIAL_LIMIT * (1 + 1.0 / inZone) / 2; // Where many share, each learns more slowly.
     originLimit.setShare(originShare, sharedInitial);
     uplinkLimit.setShare(endpoints.zoneEdges().length / EDGES_PER_GATEWAY / inZone, sharedInitial);
     double parentShare =
-        originShare * PARENTS_PER_GATEWAY / Math.max(PARENTS_PER_GATEWAY, endpoints.parents().length);
+        originShare
+            * PARENTS_PER_GATEWAY
+            / Math.max(PARENTS_PER_GATEWAY, endpoints.parents().length);
     for (Endpoint endpoint : endpoints.all()) {
       if (endpoint.isEdge()) {
         endpoint.limit.setShare(1.0 / inZone, INITIAL_LIMIT);
@@ -63,7 +79,10 @@
     }
   }
 
-  /** By how much a class may pass a limit: those with the most revenue for the work come last to be shed. */
+  /**
+   * By how much a class may pass a limit: those with the most revenue for the work come last to be
+   * shed.
+   */
   double priorityFactor(TrafficClass trafficClass) {
     double bound = PRIORITY_REVENUE_FACTOR * trafficClass.revenue() / trafficClass.workNanos();
     for (TrafficClass other : trafficClasses) {
@@ -85,47 +104,65 @@
     return endpoint.limit.hasRoom(nowNanos, priorityFactor(trafficClass));
   }
 
-  /** Whether the uplink into the zone has room for a request's fill; what is never cached is sent regardless. */
+  /**
+   * Whether the uplink into the zone has room for a request's fill; what is never cached is sent
+   * regardless.
+   */
   boolean hasUplinkRoom(InFlightRequest request, long nowNanos) {
     return request.uncacheable || uplinkLimit.hasRoom(nowNanos, fillPriorityFactor(request));
   }
 
-  /** Guards against a slow origin: past its limit only what caches hold is returned, ageing copies too. */
+  /**
+   * Guards against a slow origin: past its limit only what caches hold is returned, ageing copies
+   * too.
+   */
   boolean isOriginSaturated(InFlightRequest request, long nowNanos) {
     return request.originFailed
         || !request.uncacheable && !originLimit.hasRoom(nowNanos, fillPriorityFactor(request));
   }
 
-  /** How many in flight, a unit of weight, are too many: guards against hot segments and slow caches. */
+  /**
+   * How many in flight, a unit of weight, are too many: guards against hot segments and slow
+   * caches.
+   */
   double spillOverBound(Endpoint[] peers) {
-    double inFlight = Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.limit.inFlight : 0).sum();
+    double inFlight =
+        Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.limit.inFlight : 0).sum();
     double weights = Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.weight : 0).sum();
     return (SPILL_OVER_FACTOR * inFlight + SPILL_OVER_ALLOWANCE) / Math.max(weights, MIN_WEIGHT);
   }
 
-  /** Whether later fills have come back, by source and origin: guards limits against answers that never come. */
+  /**
+   * Whether later fills have come back, by source and origin: guards limits against answers that
+   * never come.
+   */
   boolean isOvertaken(Attempt attempt) {
     return Math.min(attempt.source().limit.lastPromptSentNanos, originLimit.lastPromptSentNanos)
         > attempt.sentAtNanos() + attempt.request().patienceNanos;
   }
 
   /**
-   * Counts a fill with its source and, as far as that is likely, with the origin. What waits long is at the origin if
-   * that was late last: guards parents against the blame for a slow origin.
+   * Counts a fill with its source and, as far as that is likely, with the origin. What waits long
+   * is at the origin if that was late last: guards parents against the blame for a slow origin.
    *
    * @param likelihood how likely the attempt needs a fill, 0 to 1
    */
   void addFill(Attempt attempt, double likelihood, long nowNanos) {
-    long suspectedSince = Math.max(attempt.source().limit.lastDecreaseNanos, nowNanos - ORIGIN_SUSPICION_NANOS);
-    boolean isOriginLate = originLimit.lastDecreaseNanos > suspectedSince && attempt.isOverdue(nowNanos);
-    double originFraction = isOriginLate || attempt.source() == endpoints.origin() ? 1
-        : attempt.request().trafficClass.originFraction();
+    long suspectedSince =
+        Math.max(attempt.source().limit.lastDecreaseNanos, nowNanos - ORIGIN_SUSPICION_NANOS);
+    boolean isOriginLate =
+        originLimit.lastDecreaseNanos > suspectedSince && attempt.isOverdue(nowNanos);
+    double originFraction =
+        isOriginLate || attempt.source() == endpoints.origin()
+            ? 1
+            : attempt.request().trafficClass.originFraction();
     attempt.source().limit.inFlight += likelihood;
     originLimit.inFlight += attempt.cachedOnly() ? 0 : likelihood * originFraction;
   }
 
   /**
-   * Counts all fills anew, from the attempts that have not ended: the longer one takes the more likely it is a fill.
+   * Counts all fills anew, from the attempts that have not ended: the longer one takes the more
+   * likely it is a fill.
    */
   void recountFills(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
@@ -145,7 +182,8 @@
     }
     // A source past its limit is stalled itself: what waits there does not use the link.
     for (Endpoint endpoint : endpoints.all()) {
-      uplinkLimit.inFlight += endpoint.isEdge() ? 0 : Math.min(endpoint.limit.inFlight, endpoint.limit.limit());
+      uplinkLimit.inFlight +=
+          endpoint.isEdge() ? 0 : Math.min(endpoint.limit.inFlight, endpoint.limit.limit());
     }
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
+++ b/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
@@ -1,16 +1,16 @@
 package org.amberpath.routing;
 
 /**
- * Whether a connect that did not come up in a request's time is held against the endpoint. Guards endpoints against
- * requests with little time left: on the networks that gateways and caches share a connection comes up in milliseconds,
- * so only one that takes a good part of the connect timeout is a sign that nobody answers there.
+ * Whether a connect that did not come up in a request's time is held against the endpoint. Guards
+ * endpoints against requests with little time left: on the networks that gateways and caches share
+ * a connection comes up in milliseconds, so only one that takes a good part of the connect timeout
+ * is a sign that nobody answers there.
  */
 public final class ConnectPatience {
   /** The part of the connect timeout after which an unanswered connect is evidence. */
   private static final int TIMEOUT_DIVISOR = 4;
 
-  private ConnectPatience() {
-  }
+  private ConnectPatience() {}
 
   /** Whether a connect that has been under way for that long is evidence against the endpoint. */
   public static boolean isEvidence(long underWayNanos, long connectTimeoutNanos) {
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -1,19 +1,28 @@
 package org.amberpath.routing;
 
 /**
- * Whether what a gateway knows of drains and purges is young enough to decide and to send by. An event counts as told
- * when the journal has it, whether this gateway has read it or not; so a gateway that was late, or has just started,
- * reads first and decides then. Told what was read and asked, and when; times are nanoseconds of one clock.
+ * Whether what a gateway knows of drains and purges is young enough to decide and to send by. An
+ * event counts as told when the journal has it, whether this gateway has read it or not; so a
+ * gateway that was late, or has just started, reads first and decides then. Told what was read and
+ * asked, and when; times are nanoseconds of one clock.
  *
- * <p>Two things make news old. The loop stood still: then all that waits on the sockets is read before anything is
- * decided. A reply was found after the loop stood, or there was none since the start: what came to the journal after
- * that reply is asked for once more, with no waiting, and decisions wait for it. A journal that fails, breaks off or
- * falls silent is no lateness of this gateway's: nobody waits for it (docs/design.md).
+ * <p>Two things make news old. The loop stood still: then all that waits on the sockets is read
+ * before anything is decided. A reply was found after the loop stood, or there was none since the
+ * start: what came to the journal after that reply is asked for once more, with no waiting, and
+ * decisions wait for it. A journal that fails, breaks off or falls silent is no lateness of this
+ * gateway's: nobody waits for it (docs/design.md).
  */
 public final class DiscoveryFreshness {
-  /** Parts of the grace that a gap in reading, a reply's way, and deciding and sending may each take. */
+  /**
+   * Parts of the grace that a gap in reading, a reply's way, and deciding and sending may each
+   * take.
+   */
   private static final int PARTS = 4;
-  /** Replies in a row that took long, and questions in a row that failed, after which nobody waits for more. */
+
+  /**
+   * Replies in a row that took long, and questions in a row that failed, after which nobody waits
+   * for more.
+   */
   private static final int MOST_LATE = 3, MOST_FAILED = 2;
 
   private final long bound;
@@ -45,7 +54,10 @@
     askedAt = now;
   }
 
-  /** Its reply was read: it holds all that came before it was asked, or before the sockets were last read. */
+  /**
+   * Its reply was read: it holds all that came before it was asked, or before the sockets were last
+   * read.
+   */
   public void replied(long now) {
     failed = 0;
     late = isLate(now) ? late + 1 : 0;
@@ -62,7 +74,10 @@
     return now - Math.max(readAt, askedAt) > bound;
   }
 
-  /** Whether a reply is owed without waiting at the journal: guards against what came there meanwhile. */
+  /**
+   * Whether a reply is owed without waiting at the journal: guards against what came there
+   * meanwhile.
+   */
   public boolean owed() {
     return owed;
   }
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -5,16 +5,24 @@
 /** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
 final class Endpoint {
   /** What an endpoint is to the gateway, by the kind that it is listed under. */
-  enum Role { EDGE, PARENT, ORIGIN }
+  enum Role {
+    EDGE,
+    PARENT,
+    ORIGIN
+  }
 
   /** The number under which the gateway's socket side knows it. */
   final int index;
+
   /** Of its stable id, so that all gateways agree on the order of endpoints for a key. */
   final long hash;
+
   /** What it may be sent at once. */
   final ConcurrencyLimit limit;
+
   /** How far it has warmed up. */
   final WarmUp warmUp = new WarmUp();
+
   /** Whether it answers. */
   final EndpointHealth health = new EndpointHealth();
 
@@ -22,6 +30,7 @@
   State state;
   String zone;
   int cell;
+
   /** Its size in transfers at full pace where the site lists sizes, else 1. */
   double weight;
 
--- a/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -12,5 +12,12 @@
  * @param weight its size in the site's measure
  * @param startedAtNanos when it started cold, 0 for long ago
  */
-record EndpointDescription(int index, String id, String zone, String kind, int cell, State state, double weight,
-    long startedAtNanos) { }
+record EndpointDescription(
+    int index,
+    String id,
+    String zone,
+    String kind,
+    int cell,
+    State state,
+    double weight,
+    long startedAtNanos) {}
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -1,13 +1,20 @@
 package org.amberpath.routing;
 
 /**
- * How one endpoint is, by the signs of life that this gateway has seen. An ejected endpoint gets single requests,
- * after pauses that double; once one has shown that it answers it is on probation, with a part of its keys that
- * doubles.
+ * How one endpoint is, by the signs of life that this gateway has seen. An ejected endpoint gets
+ * single requests, after pauses that double; once one has shown that it answers it is on probation,
+ * with a part of its keys that doubles.
  */
 final class EndpointHealth {
-  /** HEALTHY takes all of its keys, EJECTED none but single health checks, PROBATION a part that grows. */
-  enum State { HEALTHY, EJECTED, PROBATION }
+  /**
+   * HEALTHY takes all of its keys, EJECTED none but single health checks, PROBATION a part that
+   * grows.
+   */
+  enum State {
+    HEALTHY,
+    EJECTED,
+    PROBATION
+  }
 
   private static final long FIRST_BACKOFF_NANOS = 250_000_000L;
   private static final long MAX_BACKOFF_NANOS = 4_000_000_000L;
@@ -17,10 +24,13 @@
 
   /** When the endpoint last gave a sign of life, in nanoseconds. */
   long lastResponseNanos;
+
   /** Whether others were asked to look at it: too little to go by alone. */
   boolean suspected;
+
   /** How many requests wait for it past their time; counted anew in each sweep. */
   int overdue;
+
   /** Attempts lost, or without a connection, since it last answered. */
   int failures;
 
@@ -36,14 +46,18 @@
   }
 
   /**
-   * The fraction of its keys that it gets. A trickle doubles with time: a thin slice would bring no answers for long.
+   * The fraction of its keys that it gets. A trickle doubles with time: a thin slice would bring no
+   * answers for long.
    */
   double keyFraction(long nowNanos) {
     return switch (state) {
       case HEALTHY -> 1;
       case EJECTED -> 0;
-      case PROBATION -> Math.min(1,
-          FIRST_PROBATION_FRACTION * (1L << (nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS));
+      case PROBATION ->
+          Math.min(
+              1,
+              FIRST_PROBATION_FRACTION
+                  * (1L << (nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS));
     };
   }
 
@@ -77,7 +91,10 @@
     return backoffNanos;
   }
 
-  /** Takes all keys away, and doubles the pause: from half the last one and this random part of it on. */
+  /**
+   * Takes all keys away, and doubles the pause: from half the last one and this random part of it
+   * on.
+   */
   void eject(long nowNanos, long randomPartNanos) {
     failures = 0;
     ejectedAtNanos = nowNanos;
@@ -102,7 +119,9 @@
     backoffNanos = FIRST_BACKOFF_NANOS;
   }
 
-  /** It has restarted: earlier failures no longer count, but the backoff stays as long as it was. */
+  /**
+   * It has restarted: earlier failures no longer count, but the backoff stays as long as it was.
+   */
   void restart() {
     state = State.HEALTHY;
   }
--- a/routing/src/main/java/org/amberpath/routing/EndpointListener.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -3,8 +3,8 @@
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * Takes news of caches and purges, in order, whatever their source: the journal or a registry. Times are Unix
- * milliseconds.
+ * Takes news of caches and purges, in order, whatever their source: the journal or a registry.
+ * Times are Unix milliseconds.
  */
 public interface EndpointListener {
   /** The group of a purge that means all objects of all groups. */
@@ -22,7 +22,14 @@
    * @param weight its size, in the site's measure; 1 where none is told
    * @param startedAtMs when it started cold, 0 for long ago
    */
-  void member(String id, String address, String zone, String kind, int cell, State state, double weight,
+  void member(
+      String id,
+      String address,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
       long startedAtMs);
 
   void listed();
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -1,8 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * This gateway's part of what all gateways share: by the configured number of gateways or, where the fleet
- * has more, by that. Guards limits against more gateways than are configured, all of which may be in this zone.
+ * This gateway's part of what all gateways share: by the configured number of gateways or, where
+ * the fleet has more, by that. Guards limits against more gateways than are configured, all of
+ * which may be in this zone.
  */
 final class GatewayShare {
   private final RoutingConfig site;
@@ -45,7 +46,10 @@
     return granted;
   }
 
-  /** This gateway's part of an endpoint of that role, 0 to 1: zones have edge caches, all zones the others. */
+  /**
+   * This gateway's part of an endpoint of that role, 0 to 1: zones have edge caches, all zones the
+   * others.
+   */
   double fractionOf(Endpoint.Role role) {
     return granted ? 1.0 / (role == Endpoint.Role.EDGE ? inZone : inAll) : 0;
   }
--- a/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
+++ b/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Durations by bins of equal ratio, two to a doubling from 4 ms on. All counts are halved when it is full, so that
- * newer samples weigh more.
+ * Durations by bins of equal ratio, two to a doubling from 4 ms on. All counts are halved when it
+ * is full, so that newer samples weigh more.
  */
 final class LatencyHistogram {
   private static final int BINS = 24;
@@ -24,10 +24,15 @@
     }
   }
 
-  /** The mean duration in nanoseconds, each sample taken for the middle of its bin; there must be a sample. */
+  /**
+   * The mean duration in nanoseconds, each sample taken for the middle of its bin; there must be a
+   * sample.
+   */
   long meanNanos() {
-    double sum = IntStream.range(0, BINS)
-        .mapToDouble(bin -> counts[bin] * Math.pow(2, (bin + 0.5) / BINS_PER_DOUBLING)).sum();
+    double sum =
+        IntStream.range(0, BINS)
+            .mapToDouble(bin -> counts[bin] * Math.pow(2, (bin + 0.5) / BINS_PER_DOUBLING))
+            .sum();
     return (long) (LOWEST_NANOS * sum / Arrays.stream(counts).sum());
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/LoadShedder.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -3,18 +3,24 @@
 import java.util.SplittableRandom;
 
 /**
- * How many GETs a gateway that is out of CPU takes a turn: what it takes it can answer, the rest is shed as soon as it
- * is told from anything else, before it is read and decided in full. Told when a turn of the loop begins and how late
- * that is; times are nanoseconds.
+ * How many GETs a gateway that is out of CPU takes a turn: what it takes it can answer, the rest is
+ * shed as soon as it is told from anything else, before it is read and decided in full. Told when a
+ * turn of the loop begins and how late that is; times are nanoseconds.
  *
- * <p>One late turn is a pause (a collection, CPU that went elsewhere) and sheds nothing: only turns that are late one
- * after the other are a load that can't be borne. Then the GETs of a turn are halved while turns are late and grow by
- * one while they are not, until for some time none had to be shed.
+ * <p>One late turn is a pause (a collection, CPU that went elsewhere) and sheds nothing: only turns
+ * that are late one after the other are a load that can't be borne. Then the GETs of a turn are
+ * halved while turns are late and grow by one while they are not, until for some time none had to
+ * be shed.
  */
 public final class LoadShedder {
   private static final long MS = 1_000_000L;
-  /** What a turn always takes: so few GETs are not why it was late, and a gateway with little traffic sheds none. */
+
+  /**
+   * What a turn always takes: so few GETs are not why it was late, and a gateway with little
+   * traffic sheds none.
+   */
   private static final int LEAST = 8;
+
   private static final long LATE = 15 * MS, SUSTAINED = 100 * MS, CALM = 500 * MS;
 
   private final long longestWait;
@@ -22,7 +28,10 @@
   private long lateSince = Long.MIN_VALUE, shedAt;
   private int taken, shed, allowed = Integer.MAX_VALUE;
 
-  /** Clients that are shed are told to stay away for longestWait at most; 0 where they can't be told. */
+  /**
+   * Clients that are shed are told to stay away for longestWait at most; 0 where they can't be
+   * told.
+   */
   public LoadShedder(long seed, long longestWait) {
     this.longestWait = longestWait;
     random = new SplittableRandom(seed);
@@ -61,7 +70,9 @@
     return allowed < Integer.MAX_VALUE;
   }
 
-  /** How long a client that was shed stays away, or 0: spread, so that not all come back at once. */
+  /**
+   * How long a client that was shed stays away, or 0: spread, so that not all come back at once.
+   */
   public long away() {
     return longestWait < 2 ? 0 : longestWait / 2 + random.nextLong(longestWait / 2);
   }
--- a/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -1,13 +1,17 @@
 package org.amberpath.routing;
 
 /**
- * How long to wait after a system call that failed for want of something on this host: briefly, since it is often
- * there again within milliseconds, and longer with each failure in a row, so that no loop spins.
+ * How long to wait after a system call that failed for want of something on this host: briefly,
+ * since it is often there again within milliseconds, and longer with each failure in a row, so that
+ * no loop spins.
  */
 public final class LocalBackoff {
   private static final long FIRST_MILLIS = 10;
   private static final long MAX_MILLIS = 100;
-  /** Failures in a row after which who waits is better served elsewhere: by then 150 ms have passed. */
+
+  /**
+   * Failures in a row after which who waits is better served elsewhere: by then 150 ms have passed.
+   */
   private static final int MAX_FAILURES = 5;
 
   private long nextMillis = FIRST_MILLIS;
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -1,6 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashSet;
@@ -8,18 +7,25 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * Makes one source of news of several that are all believed, while members move from one to another: of what they say
- * of a cache the stricter state holds. A cache that only some know is believed as they tell it; one that any of them
- * had and let go of is gone until it is told there anew, or nobody has it any more.
+ * Makes one source of news of several that are all believed, while members move from one to
+ * another: of what they say of a cache the stricter state holds. A cache that only some know is
+ * believed as they tell it; one that any of them had and let go of is gone until it is told there
+ * anew, or nobody has it any more.
  *
  * <p>Bounds: as many caches as the sources tell of.
  */
 public final class MergedEndpointLists {
-  private record Member(String address, String zone, String kind, int cell, State state, double weight,
-      long startedAtMs) {
-  }
+  private record Member(
+      String address,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
+      long startedAtMs) {}
 
   private final EndpointListener to;
   private final List<Port> ports = new ArrayList<>();
@@ -30,7 +36,9 @@
     this.to = to;
   }
 
-  /** Another source; of two that agree on a cache's state, what the earlier one says else is taken. */
+  /**
+   * Another source; of two that agree on a cache's state, what the earlier one says else is taken.
+   */
   public EndpointListener port() {
     Port port = new Port();
     ports.add(port);
@@ -50,7 +58,9 @@
   }
 
   private void forget(String id) {
-    if (ports.stream().map(port -> port.members.get(id)).filter(Objects::nonNull)
+    if (ports.stream()
+        .map(port -> port.members.get(id))
+        .filter(Objects::nonNull)
         .allMatch(one -> one.state == State.GONE)) {
       ports.forEach(port -> port.members.remove(id));
     }
@@ -60,7 +70,8 @@
     private final Map<String, Member> members = new HashMap<>();
     private final Set<String> touched = new LinkedHashSet<>();
 
-    @Override public void listing(boolean whole) {
+    @Override
+    public void listing(boolean whole) {
       touched.clear();
       if (whole) {
         members.forEach((id, one) -> touched.add(id));
@@ -72,8 +83,16 @@
       return new Member("", one.zone, one.kind, one.cell, State.GONE, one.weight, one.startedAtMs);
     }
 
-    @Override public void member(String id, String address, String zone, String kind, int cell, State state,
-        double weight, long startedAtMs) {
+    @Override
+    public void member(
+        String id,
+        String address,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
+        long startedAtMs) {
       Member before = members.get(id);
       if (state != State.GONE || before != null) {
         String known = address.isEmpty() && before != null ? before.address : address;
@@ -82,7 +101,8 @@
       }
     }
 
-    @Override public void listed() {
+    @Override
+    public void listed() {
       to.listing(first);
       first = false;
       for (String id : touched) {
@@ -91,7 +111,8 @@
           forget(id);
           continue;
         }
-        to.member(id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
+        to.member(
+            id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
         if (now.state == State.GONE) {
           told.remove(id);
         } else {
@@ -103,7 +124,8 @@
       touched.clear();
     }
 
-    @Override public void purged(long object, int group, long atMs) {
+    @Override
+    public void purged(long object, int group, long atMs) {
       to.purged(object, group, atMs);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -3,7 +3,10 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What is remembered of the objects started last: bounded, the one that was started longest ago goes first. */
+/**
+ * What is remembered of the objects started last: bounded, the one that was started longest ago
+ * goes first.
+ */
 final class ObjectHistory {
   private static final int MAX_OBJECTS = 8192;
 
@@ -17,8 +20,8 @@
   private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
   /**
-   * Notes a request. Where gateways share the zone, a part that does not follow the last one seen is of another
-   * viewing and counts as a start (docs/design.md, "Changed").
+   * Notes a request. Where gateways share the zone, a part that does not follow the last one seen
+   * is of another viewing and counts as a start (docs/design.md, "Changed").
    *
    * @param sharedZone whether other gateways take requests for the same zone
    * @return time of the object's start before the current one, in nanoseconds; 0 for none
@@ -59,11 +62,16 @@
     Entry entry = entries.get(object);
     if (entry != null) {
       entry.shortestAnswerNanos =
-          entry.shortestAnswerNanos == 0 ? tookNanos : Math.min(entry.shortestAnswerNanos, tookNanos);
+          entry.shortestAnswerNanos == 0
+              ? tookNanos
+              : Math.min(entry.shortestAnswerNanos, tookNanos);
     }
   }
 
-  /** The shortest answer seen, in nanoseconds, for an object whose size is not known; 0 where there is none. */
+  /**
+   * The shortest answer seen, in nanoseconds, for an object whose size is not known; 0 where there
+   * is none.
+   */
   long shortestAnswerNanos(long object) {
     Entry entry = entries.get(object);
     return entry == null ? 0 : entry.shortestAnswerNanos;
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -1,16 +1,20 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingActions.Health;
 import java.util.SplittableRandom;
+import org.amberpath.routing.RoutingActions.Health;
 
 /**
- * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a trickle. Guards
- * against crashed, hung and cut-off endpoints, which the list shows seconds late. Source: docs/design.md, "The six
- * mechanisms beside the design" and "Told by one for all".
+ * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a
+ * trickle. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
+ * Source: docs/design.md, "The six mechanisms beside the design" and "Told by one for all".
  */
 final class OutlierDetector {
   private static final long SILENCE_NANOS = 600_000_000L;
-  /** While one gateway checks for all, the others wait so much longer, by turns, before they try by themselves. */
+
+  /**
+   * While one gateway checks for all, the others wait so much longer, by turns, before they try by
+   * themselves.
+   */
   private static final long DELEGATED_PAUSE_NANOS = 4 * EndpointHealth.maxBackoffNanos();
 
   private final long seed;
@@ -20,8 +24,15 @@
   private final SplittableRandom random;
   private boolean isChecking = true;
 
-  /** A detector of endpoints none of which is ejected; seed and random numbers spread the checks of many gateways. */
-  OutlierDetector(long seed, EndpointTable endpoints, GatewayShare share, SlowStart slowStart,
+  /**
+   * A detector of endpoints none of which is ejected; seed and random numbers spread the checks of
+   * many gateways.
+   */
+  OutlierDetector(
+      long seed,
+      EndpointTable endpoints,
+      GatewayShare share,
+      SlowStart slowStart,
       SplittableRandom random) {
     this.seed = seed;
     this.endpoints = endpoints;
@@ -35,7 +46,10 @@
     isChecking = !delegated;
   }
 
-  /** Takes an endpoint's keys away, unless it is the origin or is ejected already and still in its pause. */
+  /**
+   * Takes an endpoint's keys away, unless it is the origin or is ejected already and still in its
+   * pause.
+   */
   void eject(Endpoint endpoint, Batch batch) {
     EndpointHealth health = endpoint.health;
     if (endpoint == endpoints.origin()
@@ -66,8 +80,8 @@
   }
 
   /**
-   * The fleet's checker has asked an endpoint that others ejected. Guards against reports that newer
-   * answers contradict, and against most endpoints being ejected by it.
+   * The fleet's checker has asked an endpoint that others ejected. Guards against reports that
+   * newer answers contradict, and against most endpoints being ejected by it.
    */
   void onFleetReport(Endpoint endpoint, boolean answers, long agoNanos, Batch batch) {
     long seenAtNanos = batch.nowNanos() - agoNanos;
@@ -77,7 +91,9 @@
     EndpointHealth health = endpoint.health;
     if (answers && health.isBackoffOver(batch.nowNanos())) {
       readmit(endpoint, seenAtNanos, batch);
-    } else if (!answers && health.isServing(batch.nowNanos()) && health.lastResponseNanos < seenAtNanos
+    } else if (!answers
+        && health.isServing(batch.nowNanos())
+        && health.lastResponseNanos < seenAtNanos
         && isMajorityHealthy(endpoints.zoneEdges(), batch.nowNanos())) {
       eject(endpoint, batch);
     }
@@ -89,13 +105,17 @@
     }
   }
 
-  /** Whether an endpoint takes a key, by the key's place in the shared hash: slow start's slice, and the trickle. */
+  /**
+   * Whether an endpoint takes a key, by the key's place in the shared hash: slow start's slice, and
+   * the trickle.
+   */
   boolean takesKey(Endpoint endpoint, double place, long nowNanos) {
     if (endpoint.health.isEjected()) {
       double laterNanos = isChecking ? 0 : delegatedPauseNanos(endpoint);
       return endpoint.health.isBackoffOver(nowNanos, laterNanos) && endpoint.limit.inFlight == 0;
     }
-    return place < endpoint.health.keyFraction(nowNanos) && slowStart.takesKey(endpoint, place, nowNanos);
+    return place < endpoint.health.keyFraction(nowNanos)
+        && slowStart.takesKey(endpoint, place, nowNanos);
   }
 
   private double delegatedPauseNanos(Endpoint endpoint) {
@@ -125,17 +145,23 @@
     }
   }
 
-  /** Ejects those who keep requests waiting and give no sign of life, unless most of their peers do the same. */
+  /**
+   * Ejects those who keep requests waiting and give no sign of life, unless most of their peers do
+   * the same.
+   */
   void detectOutliers(Endpoint[] peers, Batch batch) {
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
-      boolean isSilent = endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
+      boolean isSilent =
+          endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
       if (isSilent && health.isUnresponsive() && isMajorityHealthy) {
         eject(endpoint, batch);
-      } else if (endpoint.isEdge() && health.isServing(batch.nowNanos())
+      } else if (endpoint.isEdge()
+          && health.isServing(batch.nowNanos())
           && health.suspected != (isSilent && health.overdue > 0)) {
-        health.suspected = !health.suspected; // Too little to go by alone; others may have seen the same.
+        health.suspected =
+            !health.suspected; // Too little to go by alone; others may have seen the same.
         batch.actions().health(endpoint.index, health.suspected ? Health.DOUBTED : Health.WELL);
       }
     }
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
@@ -1,6 +1,9 @@
 package org.amberpath.routing;
 
-/** How long a request's answer may take before its attempt counts as overdue: by size, else by earlier answers. */
+/**
+ * How long a request's answer may take before its attempt counts as overdue: by size, else by
+ * earlier answers.
+ */
 final class PatienceEstimator {
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -13,16 +16,25 @@
     this.kilobytesPerSecond = kilobytesPerSecond;
   }
 
-  /** Sets a request's patience; its class learns the duration where that follows from the size (0: not known). */
+  /**
+   * Sets a request's patience; its class learns the duration where that follows from the size (0:
+   * not known).
+   */
   void estimate(InFlightRequest request, double kilobytes) {
     TrafficClass trafficClass = request.trafficClass;
-    long transferNanos = kilobytes > 0 && kilobytesPerSecond > 0
-        ? (long) (kilobytes / kilobytesPerSecond * NANOS_PER_SECOND) : 0;
-    long workNanos = transferNanos > 0 ? transferNanos : history.shortestAnswerNanos(request.object);
+    long transferNanos =
+        kilobytes > 0 && kilobytesPerSecond > 0
+            ? (long) (kilobytes / kilobytesPerSecond * NANOS_PER_SECOND)
+            : 0;
+    long workNanos =
+        transferNanos > 0 ? transferNanos : history.shortestAnswerNanos(request.object);
     request.sizeKnown = transferNanos > 0;
     request.durationKnown = workNanos > 0;
-    request.patienceNanos = trafficClass.latencyObjectiveNanos() + (long) (trafficClass.latencyStretch()
-        * (request.durationKnown ? workNanos : trafficClass.workNanos()));
+    request.patienceNanos =
+        trafficClass.latencyObjectiveNanos()
+            + (long)
+                (trafficClass.latencyStretch()
+                    * (request.durationKnown ? workNanos : trafficClass.workNanos()));
     if (request.sizeKnown) {
       trafficClass.recordDuration(transferNanos);
     }
--- a/routing/src/main/java/org/amberpath/routing/RecentRequests.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * What was asked for lately, for GETs of a gateway's own: the latest for a trial, and all of it in turn, what was asked
- * for most first, for what is filled ahead.
+ * What was asked for lately, for GETs of a gateway's own: the latest for a trial, and all of it in
+ * turn, what was asked for most first, for what is filled ahead.
  *
- * <p>Bounds: as many keys as told; the one asked for longest ago goes. Counts are halved at each new turn, so that what
- * was asked for long ago wears off.
+ * <p>Bounds: as many keys as told; the one asked for longest ago goes. Counts are halved at each
+ * new turn, so that what was asked for long ago wears off.
  */
 public final class RecentRequests<K, V> {
   private static final class Asked<V> {
@@ -25,11 +25,13 @@
 
   /** Keeps so many at most. */
   public RecentRequests(int most) {
-    asked = new LinkedHashMap<>(16, 0.75f, true) {
-      @Override protected boolean removeEldestEntry(Map.Entry<K, Asked<V>> eldest) {
-        return size() > most;
-      }
-    };
+    asked =
+        new LinkedHashMap<>(16, 0.75f, true) {
+          @Override
+          protected boolean removeEldestEntry(Map.Entry<K, Asked<V>> eldest) {
+            return size() > most;
+          }
+        };
   }
 
   public void add(K key, V value) {
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -1,14 +1,19 @@
 package org.amberpath.routing;
 
 /**
- * Highest random weight over endpoints (rendezvous hashing): gateways agree without talking, a change of the list
- * moves only the keys that it must, and each key's second choice is the same everywhere. Source: docs/design.md,
- * "Added to make it a router".
+ * Highest random weight over endpoints (rendezvous hashing): gateways agree without talking, a
+ * change of the list moves only the keys that it must, and each key's second choice is the same
+ * everywhere. Source: docs/design.md, "Added to make it a router".
  */
 final class RendezvousSelector {
-  /** Which endpoints may be chosen, from the strictest on; the budgets of slow start bind in any case. */
+  /**
+   * Which endpoints may be chosen, from the strictest on; the budgets of slow start bind in any
+   * case.
+   */
   enum Eligibility {
-    /** Those that take the key, have room, and hold no more than their part of what is in flight. */
+    /**
+     * Those that take the key, have room, and hold no more than their part of what is in flight.
+     */
     WITH_ROOM,
     /** Those that take the key. */
     TAKES_KEY,
@@ -16,8 +21,12 @@
     ANY
   }
 
-  private record Criteria(InFlightRequest request, Eligibility eligibility, double spillOverBound,
-      double priorityFactor, long nowNanos) { }
+  private record Criteria(
+      InFlightRequest request,
+      Eligibility eligibility,
+      double spillOverBound,
+      double priorityFactor,
+      long nowNanos) {}
 
   private final RetryPolicy retryPolicy;
   private final OutlierDetector outlierDetector;
@@ -25,7 +34,10 @@
   private final SlowStart slowStart;
 
   /** A selector over endpoints that these four let pass. */
-  RendezvousSelector(RetryPolicy retryPolicy, OutlierDetector outlierDetector, ConcurrencyLimiter limiter,
+  RendezvousSelector(
+      RetryPolicy retryPolicy,
+      OutlierDetector outlierDetector,
+      ConcurrencyLimiter limiter,
       SlowStart slowStart) {
     this.retryPolicy = retryPolicy;
     this.outlierDetector = outlierDetector;
@@ -34,19 +46,26 @@
   }
 
   /**
-   * The first eligible endpoint by the hash of object and segment, that was not tried before; null for none.
+   * The first eligible endpoint by the hash of object and segment, that was not tried before; null
+   * for none.
    *
    * @param segment 0 where the object alone decides
    */
-  Endpoint select(Endpoint[] candidates, InFlightRequest request, int segment, Eligibility eligibility,
+  Endpoint select(
+      Endpoint[] candidates,
+      InFlightRequest request,
+      int segment,
+      Eligibility eligibility,
       long nowNanos) {
     double bound = eligibility == Eligibility.WITH_ROOM ? limiter.spillOverBound(candidates) : 0;
-    Criteria criteria = new Criteria(request, eligibility, bound,
-        limiter.priorityFactor(request.trafficClass), nowNanos);
+    Criteria criteria =
+        new Criteria(
+            request, eligibility, bound, limiter.priorityFactor(request.trafficClass), nowNanos);
     Endpoint best = null;
     double highest = -1;
     for (Endpoint endpoint : candidates) {
-      if (!endpoint.isUp() || request.triedEndpoints.contains(endpoint)
+      if (!endpoint.isUp()
+          || request.triedEndpoints.contains(endpoint)
           || !retryPolicy.permits(request, endpoint, nowNanos)) {
         continue;
       }
@@ -65,19 +84,27 @@
     long nowNanos = criteria.nowNanos;
     boolean needsRoom = criteria.eligibility == Eligibility.WITH_ROOM;
     return (criteria.eligibility == Eligibility.ANY
-        || outlierDetector.takesKey(endpoint, toUnit(mix(key + 1)), nowNanos))
-        && (!needsRoom || endpoint.limit.hasRoom(nowNanos, criteria.priorityFactor)
-        && !isSpillingOver(endpoint, criteria.spillOverBound))
+            || outlierDetector.takesKey(endpoint, toUnit(mix(key + 1)), nowNanos))
+        && (!needsRoom
+            || endpoint.limit.hasRoom(nowNanos, criteria.priorityFactor)
+                && !isSpillingOver(endpoint, criteria.spillOverBound))
         && (request.purpose == InFlightRequest.Purpose.PREFETCH && endpoint.isEdge()
-        || slowStart.affords(endpoint, request.trafficClass, nowNanos));
+            || slowStart.affords(endpoint, request.trafficClass, nowNanos));
   }
 
-  /** Where many gateways share an endpoint, two in flight are chance: this one's part bounds it from below. */
+  /**
+   * Where many gateways share an endpoint, two in flight are chance: this one's part bounds it from
+   * below.
+   */
   private static boolean isSpillingOver(Endpoint endpoint, double bound) {
-    return endpoint.limit.inFlight > bound * endpoint.weight + 1 - endpoint.warmUp.profile.gatewayFraction;
+    return endpoint.limit.inFlight
+        > bound * endpoint.weight + 1 - endpoint.warmUp.profile.gatewayFraction;
   }
 
-  /** Spreads all bits of a value over all bits; hashes are on stable ids, so that all gateways agree. */
+  /**
+   * Spreads all bits of a value over all bits; hashes are on stable ids, so that all gateways
+   * agree.
+   */
   static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
@@ -1,21 +1,21 @@
 package org.amberpath.routing;
 
 /**
- * By when a request has its final answer: its client's allowance counts from when its last byte came, which is not
- * known where the event loop was late. Times are nanoseconds.
+ * By when a request has its final answer: its client's allowance counts from when its last byte
+ * came, which is not known where the event loop was late. Times are nanoseconds.
  */
 public final class RequestDeadline {
   /** How much of an event loop lag may be left on a request's time; clients bear 50 ms more. */
   private static final long KEPT_LAG_NANOS = 100_000_000L;
+
   /** With no more time than that left no attempt begins: it would outlive the request. */
   private static final long SHORTEST_ATTEMPT_NANOS = 5_000_000L;
 
-  private RequestDeadline() {
-  }
+  private RequestDeadline() {}
 
   /**
-   * The deadline of a request that was read now, and lay unread for the lag at most: half of that is taken off, which
-   * is what it lost in the mean, and of a long lag all but what a client bears.
+   * The deadline of a request that was read now, and lay unread for the lag at most: half of that
+   * is taken off, which is what it lost in the mean, and of a long lag all but what a client bears.
    */
   public static long of(long now, long lag, long allowance) {
     return now - Math.max(lag / 2, lag - KEPT_LAG_NANOS) + allowance;
--- a/routing/src/main/java/org/amberpath/routing/RequestDetails.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDetails.java
@@ -8,5 +8,11 @@
  * @param timeLeftNanos how long its viewer still waits
  * @param kilobytes its size; 0 where that is not known
  */
-record RequestDetails(long id, int trafficClass, long object, int group, int part, long timeLeftNanos,
-    double kilobytes) { }
+record RequestDetails(
+    long id,
+    int trafficClass,
+    long object,
+    int group,
+    int part,
+    long timeLeftNanos,
+    double kilobytes) {}
