--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -1,11 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.LinkedHashSet;
@@ -13,15 +7,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import org.amberpath.routing.InFlightRequest.Purpose;
+import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * Decides, for one gateway, where each request is returned from, filled from and cached. {@link #round} takes a batch
- * of all events that came in and writes the actions that follow from them, in order. {@link RoutingConfig} is the
- * configuration; there is no I/O, and the only clock is the batch's time, in nanoseconds.
+ * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
+ * #round} takes a batch of all events that came in and writes the actions that follow from them, in
+ * order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
+ * batch's time, in nanoseconds.
  *
- * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its answer is cached,
- * {@link RouteSelector} where it goes. What departs from that path lies in {@link OutlierDetector}, {@link
- * SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The design is docs/design.md.
+ * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its
+ * answer is cached, {@link RouteSelector} where it goes. What departs from that path lies in {@link
+ * OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The
+ * design is docs/design.md.
  */
 public final class RequestRouter implements RoutingEvents.Events {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
@@ -50,8 +52,10 @@
   private final Set<Attempt> openAttempts = new LinkedHashSet<>();
   private boolean sweepScheduled;
   private boolean watching;
+
   /** The batch that is decided at present, and its time. */
   private Batch batch;
+
   private long nowNanos;
 
   /** A router that knows no endpoint yet. */
@@ -68,7 +72,8 @@
     outlierDetector = new OutlierDetector(site.seed(), endpoints, share, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
     retryPolicy = new RetryPolicy(site);
-    RendezvousSelector rendezvous = new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
+    RendezvousSelector rendezvous =
+        new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
     routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
     syntheticRoutes =
         new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
@@ -76,7 +81,10 @@
     cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, random);
   }
 
-  /** Decides on all events of a batch, at one time in nanoseconds; the actions are written as they are decided. */
+  /**
+   * Decides on all events of a batch, at one time in nanoseconds; the actions are written as they
+   * are decided.
+   */
   public void round(long time, RoutingEvents events, RoutingActions actions) {
     nowNanos = time;
     batch = new Batch(time, actions);
@@ -90,9 +98,20 @@
 
   // ---- Requests.
 
-  /** The ordinary path of a request: note its start, decide whether it is cached, choose its route, send it. */
-  @Override public void get(long id, int trafficClass, long object, int group, int part, long timeLeftNanos,
-      double kilobytes, boolean neverCached) {
+  /**
+   * The ordinary path of a request: note its start, decide whether it is cached, choose its route,
+   * send it.
+   */
+  @Override
+  public void get(
+      long id,
+      int trafficClass,
+      long object,
+      int group,
+      int part,
+      long timeLeftNanos,
+      double kilobytes,
+      boolean neverCached) {
     InFlightRequest request =
         open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
     request.uncacheable = neverCached || request.trafficClass.isNeverCached();
@@ -100,16 +119,28 @@
     boolean sharedZone = share.isZoneShared();
     long previousStartNanos = history.observe(object, part, sharedZone, nowNanos);
     if (!request.uncacheable) {
-      request.rank = admission.rankOf(object, request.segment, previousStartNanos, sharedZone, nowNanos);
+      request.rank =
+          admission.rankOf(object, request.segment, previousStartNanos, sharedZone, nowNanos);
     }
     if (!route(request)) {
       giveUp(request);
     }
   }
 
-  /** A request of this gateway's own, on behalf of the fleet: a health check or, with no cache named, a prefetch. */
-  @Override public void own(long id, int trafficClass, long object, int group, int part, long timeLeftNanos,
-      double kilobytes, int endpoint) {
+  /**
+   * A request of this gateway's own, on behalf of the fleet: a health check or, with no cache
+   * named, a prefetch.
+   */
+  @Override
+  public void own(
+      long id,
+      int trafficClass,
+      long object,
+      int group,
+      int part,
+      long timeLeftNanos,
+      double kilobytes,
+      int endpoint) {
     InFlightRequest request =
         open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
     request.purpose = endpoint < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
@@ -128,7 +159,8 @@
   }
 
   private InFlightRequest open(RequestDetails details) {
-    InFlightRequest request = new InFlightRequest(details, trafficClasses[details.trafficClass()], nowNanos);
+    InFlightRequest request =
+        new InFlightRequest(details, trafficClasses[details.trafficClass()], nowNanos);
     requests.put(details.id(), request);
     patience.estimate(request, details.kilobytes());
     return request;
@@ -149,15 +181,31 @@
     Endpoint source = route.source() == null ? endpoint : route.source();
     TrafficClass trafficClass = request.trafficClass;
     if (request.firstExecuted != null && trafficClass.effect() == Effect.TOKENED) {
-      batch.actions().sendBy(request.id,
-          request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
+      batch
+          .actions()
+          .sendBy(
+              request.id,
+              request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
     }
-    long oldestNanos = trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
-    batch.actions().forward(request.id, endpoint.index, request.deadlineNanos, source.index,
-        purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos), request.rank,
-        switches(request, source, route.cachedOnly()));
-    Attempt attempt = new Attempt(request, request.attempts.size(), route, nowNanos,
-        slowStart.refundableSeconds(route, trafficClass, nowNanos));
+    long oldestNanos =
+        trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
+    batch
+        .actions()
+        .forward(
+            request.id,
+            endpoint.index,
+            request.deadlineNanos,
+            source.index,
+            purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
+            request.rank,
+            switches(request, source, route.cachedOnly()));
+    Attempt attempt =
+        new Attempt(
+            request,
+            request.attempts.size(),
+            route,
+            nowNanos,
+            slowStart.refundableSeconds(route, trafficClass, nowNanos));
     request.attempts.add(attempt);
     request.openAttempts++;
     openAttempts.add(attempt);
@@ -169,21 +217,32 @@
   }
 
   private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
-    boolean renews = !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (site.joins() ? RoutingActions.JOIN : 0) + (cachedOnly ? RoutingActions.HELD_ONLY : 0)
+    boolean renews =
+        !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
+    return (site.joins() ? RoutingActions.JOIN : 0)
+        + (cachedOnly ? RoutingActions.HELD_ONLY : 0)
         + (renews ? RoutingActions.RENEW : 0);
   }
 
-  @Override public void begun(long id, int attemptNumber) {
+  @Override
+  public void begun(long id, int attemptNumber) {
     if (requests.containsKey(id)) {
       requests.get(id).streaming = true;
     }
   }
 
-  @Override public void ended(long id, int attemptNumber, int endpoint, Outcome outcome, long tookNanos,
-      boolean settled, Note note) {
+  @Override
+  public void ended(
+      long id,
+      int attemptNumber,
+      int endpoint,
+      Outcome outcome,
+      long tookNanos,
+      boolean settled,
+      Note note) {
     InFlightRequest request = requests.get(id);
-    if (request == null || attemptNumber >= request.attempts.size()
+    if (request == null
+        || attemptNumber >= request.attempts.size()
         || !openAttempts.remove(request.attempts.get(attemptNumber))) {
       return;
     }
@@ -202,33 +261,47 @@
     }
   }
 
-  /** A retry where the request's kind, its time and the budget permit; else the final answer, at once. */
+  /**
+   * A retry where the request's kind, its time and the budget permit; else the final answer, at
+   * once.
+   */
   private void retryOrGiveUp(Attempt last, Outcome outcome, Note note) {
     InFlightRequest request = last.request();
     request.originFailed |= note == Note.ORIGIN_ERRORED;
     boolean lackedCopy = last.cachedOnly() && outcome == Outcome.NOT_STORED;
-    boolean neverSent = outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: nothing was sent.
+    boolean neverSent =
+        outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: nothing was sent.
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
       request.triedEndpoints.add(RetryPolicy.isSourceFault(note) ? last.source() : last.endpoint());
     }
-    boolean isFillHopeless = lackedCopy && (routes.selectSource(request, nowNanos) == null
-        || limiter.isOriginSaturated(request, nowNanos));
+    boolean isFillHopeless =
+        lackedCopy
+            && (routes.selectSource(request, nowNanos) == null
+                || limiter.isOriginSaturated(request, nowNanos));
     if (isFillHopeless || outcome == Outcome.NO_ANSWER || !retry(request)) {
       giveUp(request);
     }
   }
 
   private boolean retry(InFlightRequest request) {
-    return retryPolicy.permitsAnother(request, nowNanos) && retryBudget.tryWithdraw() && route(request);
+    return retryPolicy.permitsAnother(request, nowNanos)
+        && retryBudget.tryWithdraw()
+        && route(request);
   }
 
-  /** The final answer of a request that is not returned: a shed promises that nothing ran, an error nothing. */
+  /**
+   * The final answer of a request that is not returned: a shed promises that nothing ran, an error
+   * nothing.
+   */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
       long shortestNanos = site.retryAfter() ? site.maxRetryAfter() / 2 : 0;
-      batch.actions().shed(request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
+      batch
+          .actions()
+          .shed(
+              request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
     } else {
       batch.actions().errored(request.id);
     }
@@ -238,7 +311,8 @@
   private void finish(InFlightRequest request) {
     request.done = true;
     if (site.callOff() && !request.streaming) {
-      request.attempts.stream().filter(openAttempts::contains)
+      request.attempts.stream()
+          .filter(openAttempts::contains)
           .forEach(attempt -> batch.actions().callOff(request.id, attempt.number()));
     }
     if (request.openAttempts == 0) {
@@ -246,13 +320,15 @@
     }
   }
 
-  @Override public void left(long id) {
+  @Override
+  public void left(long id) {
     if (requests.containsKey(id) && !requests.get(id).done) {
       finish(requests.get(id));
     }
   }
 
-  @Override public void woken(String handle) {
+  @Override
+  public void woken(String handle) {
     sweepScheduled = !openAttempts.isEmpty();
     if (sweepScheduled) {
       batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
@@ -271,43 +347,63 @@
 
   private void hedgeIfStalled(Attempt attempt) {
     boolean isEndpointEjected = attempt.endpoint().health.isEjected();
-    boolean isStalled = isEndpointEjected || limiter.isOvertaken(attempt)
-        || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
+    boolean isStalled =
+        isEndpointEjected
+            || limiter.isOvertaken(attempt)
+            || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
-      attempt.request().triedEndpoints.add(isEndpointEjected ? attempt.endpoint() : attempt.source());
+      attempt
+          .request()
+          .triedEndpoints
+          .add(isEndpointEjected ? attempt.endpoint() : attempt.source());
       retry(attempt.request());
     }
   }
 
   // ---- Changes of endpoints, copies and the fleet.
 
-  @Override public void listing(Listing listing) {
+  @Override
+  public void listing(Listing listing) {
     cluster.beginList(listing);
     watching = listing != Listing.NONE;
   }
 
-  @Override public void member(int index, String id, String zone, String kind, int cell, State state,
-      double weight, long startedAtNanos) {
-    cluster.update(new EndpointDescription(index, id, zone, kind, cell, state, weight, startedAtNanos), batch);
+  @Override
+  public void member(
+      int index,
+      String id,
+      String zone,
+      String kind,
+      int cell,
+      State state,
+      double weight,
+      long startedAtNanos) {
+    cluster.update(
+        new EndpointDescription(index, id, zone, kind, cell, state, weight, startedAtNanos), batch);
   }
 
-  @Override public void listed() {
+  @Override
+  public void listed() {
     cluster.endList(nowNanos);
   }
 
-  @Override public void purged(long object, int group, long agoNanos) {
+  @Override
+  public void purged(long object, int group, long agoNanos) {
     purges.record(object, group, nowNanos - agoNanos, nowNanos);
   }
 
-  @Override public void sharers(int gateways, double granted) {
+  @Override
+  public void sharers(int gateways, double granted) {
     cluster.updateShare(gateways, granted > 0, nowNanos);
   }
 
-  @Override public void tried(boolean delegated) {
+  @Override
+  public void tried(boolean delegated) {
     outlierDetector.setDelegated(delegated);
   }
 
-  @Override public void vouched(int index, boolean answers, long agoNanos) {
+  @Override
+  public void vouched(int index, boolean answers, long agoNanos) {
     Endpoint endpoint = endpoints.get(index);
     if (endpoint != null) {
       outlierDetector.onFleetReport(endpoint, answers, agoNanos, batch);
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,10 +1,13 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
+import org.amberpath.routing.RoutingEvents.Note;
 
-/** Whether a request may be attempted again, and where: never so that it might have its effect twice. */
+/**
+ * Whether a request may be attempted again, and where: never so that it might have its effect
+ * twice.
+ */
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
@@ -15,25 +18,33 @@
     this.site = site;
   }
 
-  /** Guards against an effect twice: what may have run is repeated only where its repeats are dropped. */
+  /**
+   * Guards against an effect twice: what may have run is repeated only where its repeats are
+   * dropped.
+   */
   boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
     Attempt executed = request.firstExecuted;
     if (executed == null) {
       return true;
     }
     TrafficClass trafficClass = request.trafficClass;
-    return trafficClass.effect() == Effect.IDEMPOTENT || trafficClass.effect() == Effect.TOKENED
-        && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
-        && sharesIdempotencyGroup(trafficClass.idempotencyGroup(), endpoint, executed.endpoint());
+    return trafficClass.effect() == Effect.IDEMPOTENT
+        || trafficClass.effect() == Effect.TOKENED
+            && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
+            && sharesIdempotencyGroup(
+                trafficClass.idempotencyGroup(), endpoint, executed.endpoint());
   }
 
   private static boolean sharesIdempotencyGroup(Group group, Endpoint one, Endpoint other) {
-    return group == Group.ALL || one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell);
+    return group == Group.ALL
+        || one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell);
   }
 
   /** Whether a request's state leaves room for a further attempt, wherever it goes. */
   boolean permitsAnother(InFlightRequest request, long nowNanos) {
-    return !request.streaming && !request.isSynthetic() && hasTimeLeft(request, nowNanos)
+    return !request.streaming
+        && !request.isSynthetic()
+        && hasTimeLeft(request, nowNanos)
         && request.attempts.size() < site.maxForwards();
   }
 
@@ -45,14 +56,21 @@
   /** Whether a request that waits may be sent to a second endpoint beside the first. */
   boolean permitsHedging(Attempt attempt, long nowNanos) {
     InFlightRequest request = attempt.request();
-    return !request.done && request.openAttempts == 1 && attempt.isOverdue(nowNanos) && site.secondCopies()
+    return !request.done
+        && request.openAttempts == 1
+        && attempt.isOverdue(nowNanos)
+        && site.secondCopies()
         && request.trafficClass.effect() == Effect.IDEMPOTENT;
   }
 
-  /** Whether whoever asks may repeat a request that got no answer: nothing ran, or repeats are dropped everywhere. */
+  /**
+   * Whether whoever asks may repeat a request that got no answer: nothing ran, or repeats are
+   * dropped everywhere.
+   */
   boolean isSafeToRepeat(InFlightRequest request) {
     Effect effect = request.trafficClass.effect();
-    return request.firstExecuted == null && request.openAttempts == 0 || effect == Effect.IDEMPOTENT
+    return request.firstExecuted == null && request.openAttempts == 0
+        || effect == Effect.IDEMPOTENT
         || effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/Route.java
+++ b/routing/src/main/java/org/amberpath/routing/Route.java
@@ -7,4 +7,4 @@
  * @param source who fills a miss; null where nothing is filled
  * @param cachedOnly whether only a copy that is cached already may be returned
  */
-record Route(Endpoint endpoint, Endpoint source, boolean cachedOnly) { }
+record Route(Endpoint endpoint, Endpoint source, boolean cachedOnly) {}
--- a/routing/src/main/java/org/amberpath/routing/RoutingActions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -1,9 +1,13 @@
 package org.amberpath.routing;
 
-/** Takes a gateway's decisions, in the order in which they are to be carried out. Times are nanoseconds. */
+/**
+ * Takes a gateway's decisions, in the order in which they are to be carried out. Times are
+ * nanoseconds.
+ */
 public interface RoutingActions {
   /** Switches of a forward, to be added up. */
   int JOIN = 1;
+
   int HELD_ONLY = 2;
   int PARENT_KEEPS_NONE = 4;
   int RENEW = 8;
@@ -18,9 +22,11 @@
    */
   void forward(long get, int cache, long until, int source, long age, int rank, int switches);
 
-  /** Forwards of this GET that follow begin by this clock time or not at all, however long one waits to be sent. */
-  default void sendBy(long get, long time) {
-  }
+  /**
+   * Forwards of this GET that follow begin by this clock time or not at all, however long one waits
+   * to be sent.
+   */
+  default void sendBy(long get, long time) {}
 
   /** Final answer: not run, safe to try again, best after the given wait (0: no advice). */
   void shed(long get, long wait);
@@ -35,14 +41,19 @@
   /** Asks for changes of the list from now on. */
   void watchList();
 
-  /** DOUBTED: set aside, or keeps a GET waiting and is not heard of. WELL: need not be tried. HEARD: it answers. */
-  enum Health { DOUBTED, WELL, HEARD }
+  /**
+   * DOUBTED: set aside, or keeps a GET waiting and is not heard of. WELL: need not be tried. HEARD:
+   * it answers.
+   */
+  enum Health {
+    DOUBTED,
+    WELL,
+    HEARD
+  }
 
   /** How an edge cache is, as far as is seen here; told when it changes, or may have. */
-  default void health(int cache, Health health) {
-  }
+  default void health(int cache, Health health) {}
 
   /** An edge cache of the zone has just started, and bears less than all until this clock time. */
-  default void cold(int cache, long until) {
-  }
+  default void cold(int cache, long until) {}
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -2,10 +2,18 @@
 
 /** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
 public interface RoutingConfig {
-  enum Effect { IDEMPOTENT, TOKENED, NON_IDEMPOTENT }
+  enum Effect {
+    IDEMPOTENT,
+    TOKENED,
+    NON_IDEMPOTENT
+  }
 
   /** The caches that drop a tokened GET's repeats. */
-  enum Group { ALL, ZONE, CELL }
+  enum Group {
+    ALL,
+    ZONE,
+    CELL
+  }
 
   long seed();
 
@@ -44,7 +52,10 @@
 
   boolean neverKept(int ds);
 
-  /** How long a copy is fresh (0: until it is purged) and how long after that it may still be returned. */
+  /**
+   * How long a copy is fresh (0: until it is purged) and how long after that it may still be
+   * returned.
+   */
   long fresh(int ds);
 
   long grace(int ds);
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -1,18 +1,39 @@
 package org.amberpath.routing;
 
-/** All that came in at a gateway in one round, in order. Small indices stand for caches and services. */
+/**
+ * All that came in at a gateway in one round, in order. Small indices stand for caches and
+ * services.
+ */
 public interface RoutingEvents {
   void replay(Events to);
 
-  enum Listing { CHANGES, FULL, NONE }
+  enum Listing {
+    CHANGES,
+    FULL,
+    NONE
+  }
 
-  enum State { UP, DRAINING, GONE }
+  enum State {
+    UP,
+    DRAINING,
+    GONE
+  }
 
   /** How a forward ended. */
   enum Outcome {
-    RETURNED(false), ERRORED(false), TURNED_AWAY(true), NO_ANSWER(false), NO_CONNECTION(true), LOST(false),
-    CALLED_OFF(false), NOT_SENT(true), NOT_STORED(true),
-    /** Never written, since news came before its connection: its cache is as good as before, if it is still up. */
+    RETURNED(false),
+    ERRORED(false),
+    TURNED_AWAY(true),
+    NO_ANSWER(false),
+    NO_CONNECTION(true),
+    LOST(false),
+    CALLED_OFF(false),
+    NOT_SENT(true),
+    NOT_STORED(true),
+    /**
+     * Never written, since news came before its connection: its cache is as good as before, if it
+     * is still up.
+     */
     HELD_BACK(true);
 
     /** Whether the outcome proves that the GET had no effect. */
@@ -25,8 +46,17 @@
 
   /** What an answer tells of the way it came. */
   enum Note {
-    NOTHING, HIT, FILLED, FILLED_BY_ORIGIN, JOINED, PAST_FRESH, SOURCE_TURNED_AWAY, SOURCE_UNREACHED,
-    SOURCE_LACKS, NO_PLACE, ORIGIN_ERRORED
+    NOTHING,
+    HIT,
+    FILLED,
+    FILLED_BY_ORIGIN,
+    JOINED,
+    PAST_FRESH,
+    SOURCE_TURNED_AWAY,
+    SOURCE_UNREACHED,
+    SOURCE_LACKS,
+    NO_PLACE,
+    ORIGIN_ERRORED
   }
 
   /** The callbacks. */
@@ -34,19 +64,34 @@
     /** A list of caches begins; its members follow under stable ids, then {@link #listed}. */
     void listing(Listing what);
 
-    void member(int cache, String id, String zone, String kind, int cell, State state, double weight,
+    void member(
+        int cache,
+        String id,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
         long startedAt);
 
     void listed();
 
-    /** A GET came in. timeLeft is how long its viewer still waits; kb is 0 where the size is not told. */
-    void get(long id, int ds, long object, int group, int part, long timeLeft, double kb, boolean write);
+    /**
+     * A GET came in. timeLeft is how long its viewer still waits; kb is 0 where the size is not
+     * told.
+     */
+    void get(
+        long id, int ds, long object, int group, int part, long timeLeft, double kb, boolean write);
 
     /** A streamed answer has begun. */
     void begun(long id, int copy);
 
-    /** A forward has ended; took is without what the gateway stood still; settled tells that the GET has ended, too. */
-    void ended(long id, int copy, int cache, Outcome outcome, long took, boolean settled, Note note);
+    /**
+     * A forward has ended; took is without what the gateway stood still; settled tells that the GET
+     * has ended, too.
+     */
+    void ended(
+        long id, int copy, int cache, Outcome outcome, long took, boolean settled, Note note);
 
     /** The viewer left. */
     void left(long id);
@@ -57,21 +102,26 @@
     void woken(String handle);
 
     /**
-     * How many gateways share what the site bounds, the told number or more, and this one's part of it: 0 while it may
-     * take none. Until this comes, the site's own number holds.
+     * How many gateways share what the site bounds, the told number or more, and this one's part of
+     * it: 0 while it may take none. Until this comes, the site's own number holds.
      */
     void sharers(int many, double part);
 
     /** Whether one gateway tries for all, by GETs of its own, the caches that are set aside. */
     void tried(boolean forAll);
 
-    /** Whoever tries for the fleet asked a cache this long ago, after others had set it aside; whether it answered. */
+    /**
+     * Whoever tries for the fleet asked a cache this long ago, after others had set it aside;
+     * whether it answered.
+     */
     void vouched(int cache, boolean answers, long ago);
 
     /**
-     * A GET of this gateway's own, on behalf of the fleet, of a delivery service that may be repeated: to a cache that
-     * is to be tried, or with cache -1 to one that has just started, if that is the object's by the hash.
+     * A GET of this gateway's own, on behalf of the fleet, of a delivery service that may be
+     * repeated: to a cache that is to be tried, or with cache -1 to one that has just started, if
+     * that is the object's by the hash.
      */
-    void own(long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache);
+    void own(
+        long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -1,20 +1,23 @@
 package org.amberpath.routing;
 
 /**
- * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy Caching of
- * Multimedia Streams", sections 2.2 to 2.4. First segments always are; a later one is only while it is contiguous
- * and, the table being full, is worth more than the least in it.
+ * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy
+ * Caching of Multimedia Streams", sections 2.2 to 2.4. First segments always are; a later one is
+ * only while it is contiguous and, the table being full, is worth more than the least in it.
  */
 final class SegmentAdmission {
   /** The rank of what is not cached. */
   static final int NOT_CACHED = 0;
+
   /** The rank of the first segments of an object that was never started before. */
   static final int FIRST_START_RANK = 1;
+
   /** The rank of all else that is cached. */
   static final int STANDARD_RANK = 2;
 
   /** Kmin of the paper: the segments before it are cached on every start. */
   private static final int FIRST_SELECTIVE_SEGMENT = 3;
+
   private static final int TABLE_SIZE = 256;
 
   private final ObjectHistory history;
@@ -47,7 +50,9 @@
     if (isStart(segment)) {
       return previousStartNanos == 0 ? FIRST_START_RANK : STANDARD_RANK;
     }
-    return admits(object, segment, previousStartNanos, sharedZone, nowNanos) ? STANDARD_RANK : NOT_CACHED;
+    return admits(object, segment, previousStartNanos, sharedZone, nowNanos)
+        ? STANDARD_RANK
+        : NOT_CACHED;
   }
 
   /** The rank at which an object's start is cached that no client asked for. */
@@ -55,9 +60,11 @@
     return history.previousStartNanos(object) == 0 ? FIRST_START_RANK : STANDARD_RANK;
   }
 
-  private boolean admits(long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
-    boolean contiguous = isStart(segment - 1)
-        || sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos);
+  private boolean admits(
+      long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
+    boolean contiguous =
+        isStart(segment - 1)
+            || sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos);
     int lowest = -1;
     double lowestValue = Double.MAX_VALUE;
     for (int i = 0; i < tableUsed; i++) {
@@ -65,7 +72,8 @@
         return true;
       }
       contiguous |= tableObjects[i] == object && tableSegments[i] == segment - 1;
-      double value = cachingValue(history.previousStartNanos(tableObjects[i]), tableSegments[i], nowNanos);
+      double value =
+          cachingValue(history.previousStartNanos(tableObjects[i]), tableSegments[i], nowNanos);
       if (value < lowestValue) {
         lowestValue = value;
         lowest = i;
@@ -86,6 +94,8 @@
 
   /** 1/((T - T') * i) of the paper, with T' the previous start and i the segment. */
   private static double cachingValue(long previousStartNanos, int segment, long nowNanos) {
-    return previousStartNanos == 0 ? 0 : 1.0 / (Math.max(1, nowNanos - previousStartNanos) * (double) segment);
+    return previousStartNanos == 0
+        ? 0
+        : 1.0 / (Math.max(1, nowNanos - previousStartNanos) * (double) segment);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
+import org.amberpath.routing.RoutingEvents.Note;
 
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
@@ -15,13 +15,18 @@
   private final RoutingConfig site;
   private final int index;
   private final LatencyHistogram durations = new LatencyHistogram();
+
   /** The histogram's mean, stored: it is read many times a request. */
   private long meanWorkNanos;
+
   private int returnedFromCache;
   private int filledByParent;
   private int filledByOrigin;
 
-  /** A delivery service by its index in the site; until there are answers its objective stands for its work. */
+  /**
+   * A delivery service by its index in the site; until there are answers its objective stands for
+   * its work.
+   */
   TrafficClass(RoutingConfig site, int index) {
     this.site = site;
     this.index = index;
@@ -106,6 +111,7 @@
 
   /** The likely fraction of fills that reach the origin, 0 to 1. */
   double originFraction() {
-    return (filledByOrigin + ASSUMED_ORIGIN_FILLS) / (filledByParent + filledByOrigin + ASSUMED_FILLS);
+    return (filledByOrigin + ASSUMED_ORIGIN_FILLS)
+        / (filledByParent + filledByOrigin + ASSUMED_FILLS);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -10,14 +10,25 @@
 
   /** The profile of the endpoint's kind. */
   SlowStartProfile profile;
+
   /** When it started, in nanoseconds; 0 for long ago. */
   long startedAtNanos;
-  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for what is saved up. */
+
+  /**
+   * Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for what is
+   * saved up.
+   */
   double debtSeconds;
-  /** Until something is sent the debt follows from this random number, 0 to 1; else {@link #NO_DRAW}. */
+
+  /**
+   * Until something is sent the debt follows from this random number, 0 to 1; else {@link
+   * #NO_DRAW}.
+   */
   double firstDebtDraw = NO_DRAW;
+
   /** When the debt was last changed, in nanoseconds. */
   long debtAtNanos;
+
   /** The earliest time of the next prefetch, in nanoseconds. */
   long nextPrefetchNanos;
 
@@ -27,8 +38,10 @@
   /** The fraction of its capacity that the endpoint is sure to have, 0 to 1. */
   double capacityFraction(long nowNanos) {
     long sinceNanos = Math.max(0, nowNanos - startedAtNanos);
-    return startedAtNanos == 0 || sinceNanos >= profile.durationNanos ? 1
-        : profile.initialFraction + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
+    return startedAtNanos == 0 || sinceNanos >= profile.durationNanos
+        ? 1
+        : profile.initialFraction
+            + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
   }
 
   /** Whether it has all of its capacity. */
@@ -36,10 +49,13 @@
     return capacityFraction(nowNanos) >= 1;
   }
 
-  /** Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve. */
+  /**
+   * Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve.
+   */
   void recordReturned(double workSeconds, long nowNanos) {
-    throughput = throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
-        + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
+    throughput =
+        throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
+            + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
     throughputAtNanos = nowNanos;
   }
 
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -27,7 +27,8 @@
     parts.recorder.recordSent(attempt, START);
     assertEquals(1, endpoint.limit.inFlight);
     assertEquals(0.5, source.limit.inFlight);
-    assertEquals(START, endpoint.health.lastResponseNanos, "silence counts from the first request on");
+    assertEquals(
+        START, endpoint.health.lastResponseNanos, "silence counts from the first request on");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.List;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.State;
-import java.util.List;
 import org.junit.jupiter.api.Test;
 
 class ClusterManagerTest {
--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -85,8 +85,9 @@
   }
 
   /**
-   * A loop that stands still now and then, at any point, for up to a second, and a journal some milliseconds away whose
-   * events come whenever they like: nothing is ever decided without what came more than the grace ago.
+   * A loop that stands still now and then, at any point, for up to a second, and a journal some
+   * milliseconds away whose events come whenever they like: nothing is ever decided without what
+   * came more than the grace ago.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -108,8 +109,10 @@
     final List<Long> events = new ArrayList<>();
     long now, tickDue, ticked, stoodAt;
     int known;
+
     /** The poll that is out: when its reply is there, and what it holds. */
     long replyAt = -1;
+
     int reply;
 
     Play(SplittableRandom random) {
@@ -155,8 +158,10 @@
       age.asked(now);
       long comes = now + away / 2;
       long until = comes + (age.owed() ? 1 : WAIT);
-      long answered = heededBy(comes) > known ? comes
-          : Math.min(until, known < events.size() ? events.get(known) : until);
+      long answered =
+          heededBy(comes) > known
+              ? comes
+              : Math.min(until, known < events.size() ? events.get(known) : until);
       reply = heededBy(answered);
       replyAt = answered + away / 2;
     }
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import org.amberpath.routing.RoutingEvents.State;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class EndpointTableTest {
@@ -16,7 +16,8 @@
 
   @Test
   void endpointsAreGroupedByRoleAndZone() {
-    assertEquals(List.of(0, 1, 2, 3), Arrays.stream(table.zoneEdges()).map(one -> one.index).toList());
+    assertEquals(
+        List.of(0, 1, 2, 3), Arrays.stream(table.zoneEdges()).map(one -> one.index).toList());
     assertEquals(List.of(5, 6), Arrays.stream(table.parents()).map(one -> one.index).toList());
     assertEquals(ORIGIN, table.origin().index);
   }
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -35,7 +35,10 @@
     assertFalse(pace.sheds());
   }
 
-  /** A loop whose GETs cost so much that it bears so many a second, and to which some times as many come. */
+  /**
+   * A loop whose GETs cost so much that it bears so many a second, and to which some times as many
+   * come.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {1.2, 3, 10})
   void underManyTimesWhatItBearsTheLoopIsSoonOnTimeAndStaysBusy(double times) {
--- a/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
@@ -19,7 +19,8 @@
   void inASharedZoneAPartThatDoesNotFollowIsAStart() {
     history.observe(5, 7, true, 100);
     assertEquals(0, history.observe(5, 8, true, 150));
-    assertEquals(100, history.observe(5, 8, true, 200), "the same part again is of another viewing");
+    assertEquals(
+        100, history.observe(5, 8, true, 200), "the same part again is of another viewing");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -7,19 +7,24 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.ArrayList;
+import java.util.List;
+import org.amberpath.routing.RequestRouterTest.FakeHost;
+import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RequestRouterTest.FakeHost;
-import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import java.util.ArrayList;
-import java.util.List;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** After ten quiet minutes a fault is met as it is at the start: at the start, with no request, one in 5 s or in 50. */
+/**
+ * After ten quiet minutes a fault is met as it is at the start: at the start, with no request, one
+ * in 5 s or in 50.
+ */
 class QuietThenFaultTest {
-  private static final long QUIET_MILLIS = 10 * 60_000, STEP_MILLIS = 10, PATIENCE_MILLIS = 300 + 2 * 100;
+  private static final long QUIET_MILLIS = 10 * 60_000,
+      STEP_MILLIS = 10,
+      PATIENCE_MILLIS = 300 + 2 * 100;
   private static final int ENDPOINTS = 4;
 
   private final FakeHost host = new FakeHost();
@@ -39,7 +44,9 @@
     }
   }
 
-  /** A request for an object of its own, answered at once unless it goes to the endpoint that hangs. */
+  /**
+   * A request for an object of its own, answered at once unless it goes to the endpoint that hangs.
+   */
   private Sent ask(int hung) {
     Sent sent = host.get(++ids, 100_000 + ids, 0);
     if (sent.cache() != hung) {
@@ -114,9 +121,20 @@
     }
   }
 
-  /** A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which a part is this gateway's. */
+  /**
+   * A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which a part is
+   * this gateway's.
+   */
   @ParameterizedTest
-  @CsvSource({"-1, true", "0, true", "5000, true", "50000, true", "-1, false", "0, false", "5000, false"})
+  @CsvSource({
+    "-1, true",
+    "0, true",
+    "5000, true",
+    "50000, true",
+    "-1, false",
+    "0, false",
+    "5000, false"
+  })
   void anEndpointThatStartsColdAloneIsHeldToItsBudget(long everyMillis, boolean sized) {
     host.sized = sized;
     quiet(everyMillis);
@@ -133,7 +151,10 @@
     assertEquals(200, sent + host.shed.size());
   }
 
-  /** Among warm peers: a thin slice of the keys at first, most of its part half way through its start. */
+  /**
+   * Among warm peers: a thin slice of the keys at first, most of its part half way through its
+   * start.
+   */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
   void anEndpointThatStartsColdGetsASliceThatWidens(long everyMillis) {
@@ -159,7 +180,8 @@
 
   @ParameterizedTest
   @CsvSource({"-1, 5, 0", "0, 5, 0", "5000, 5, 0", "50000, 0, 9", "5000, 0, -1"})
-  void aPurgeBoundsTheAgeOfCopiesUntilAllHaveDroppedTheirs(long everyMillis, long object, int group) {
+  void aPurgeBoundsTheAgeOfCopiesUntilAllHaveDroppedTheirs(
+      long everyMillis, long object, int group) {
     quiet(everyMillis);
     Sent before = host.get(++ids, 5, 0);
     assertEquals(0, before.age());
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -3,20 +3,21 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.util.Map;
+import java.util.TreeMap;
 import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.SeededWorld.Setting;
-import java.util.Map;
-import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every decision where it was: 10,000 rounds of random events a seed give the actions recorded here, one digest a
- * seed, to the last argument and in the same order. A change that is meant to keep behaviour must not alter a digest; a
- * change of behaviour records new ones and says why. The decisions use logarithms and powers, whose last bit may differ
- * on another kind of processor: the digests were recorded on x86-64.
+ * Holds every decision where it was: 10,000 rounds of random events a seed give the actions
+ * recorded here, one digest a seed, to the last argument and in the same order. A change that is
+ * meant to keep behaviour must not alter a digest; a change of behaviour records new ones and says
+ * why. The decisions use logarithms and powers, whose last bit may differ on another kind of
+ * processor: the digests were recorded on x86-64.
  */
 class RecordedDecisionsTest {
   private static final Map<String, SeededWorld> PLAYED = new TreeMap<>();
@@ -29,11 +30,13 @@
 
   private static String digest(Setting setting, long seed) {
     String key = setting + " " + seed;
-    return DIGESTS.computeIfAbsent(key, missing -> {
-      SeededWorld world = new SeededWorld(setting, seed);
-      PLAYED.put(key, world);
-      return world.play(module(world));
-    });
+    return DIGESTS.computeIfAbsent(
+        key,
+        missing -> {
+          SeededWorld world = new SeededWorld(setting, seed);
+          PLAYED.put(key, world);
+          return world.play(module(world));
+        });
   }
 
   @ParameterizedTest
@@ -49,21 +52,43 @@
     "PLAIN, 3, 539a8a224e70e7b579c7d62ab79360a4409db1be43d7f26c8b13725ecbeae041",
     "NARROW, 1, af3c7d140f69898ed3e086913704abbd376f87966195afd34fe533cab0d1145d",
     "NARROW, 2, 5183e2540e8a1a9c05ae5886cc6e0e6fdaef84a217c8bbac3d793437c9d6e99d",
-    "NARROW, 3, 34e043bb4df7bc888701ad73de60d5cfb4631eafb87deb0acf7a870e21ac6d8e"})
+    "NARROW, 3, 34e043bb4df7bc888701ad73de60d5cfb4631eafb87deb0acf7a870e21ac6d8e"
+  })
   void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
-    assertEquals(recorded, digest(setting, seed), () -> "counted: " + PLAYED.get(setting + " " + seed).counts);
+    assertEquals(
+        recorded,
+        digest(setting, seed),
+        () -> "counted: " + PLAYED.get(setting + " " + seed).counts);
   }
 
-  /** A digest of events that reach little would hold little: what the worlds must reach, over one seed each. */
+  /**
+   * A digest of events that reach little would hold little: what the worlds must reach, over one
+   * seed each.
+   */
   @Test
   void theRecordedEventsReachEveryActionOutcomeAndNote() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
-      PLAYED.get(setting + " 1").counts.forEach((what, many) -> counts.merge(what, many, Integer::sum));
+      PLAYED
+          .get(setting + " 1")
+          .counts
+          .forEach((what, many) -> counts.merge(what, many, Integer::sum));
     }
-    for (String action : new String[] {"forward", "sendBy", "shed", "errored", "callOff", "wake", "watchList", "cold",
-        "health DOUBTED", "health WELL", "health HEARD"}) {
+    for (String action :
+        new String[] {
+          "forward",
+          "sendBy",
+          "shed",
+          "errored",
+          "callOff",
+          "wake",
+          "watchList",
+          "cold",
+          "health DOUBTED",
+          "health WELL",
+          "health HEARD"
+        }) {
       assertTrue(counts.getOrDefault("action " + action, 0) > 0, action + " of " + counts);
     }
     for (Outcome outcome : Outcome.values()) {
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RendezvousSelector.Eligibility;
 import java.util.stream.LongStream;
+import org.amberpath.routing.RendezvousSelector.Eligibility;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class RendezvousSelectorTest {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -6,11 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -18,6 +13,11 @@
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
+import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -200,14 +200,20 @@
       }
       host.pass(5);
     }
-    // Weight 4 at 0.1 s a GET is 40 a second; a quarter of three times a fifth to a quarter of it, beside the viewers'.
+    // Weight 4 at 0.1 s a GET is 40 a second; a quarter of three times a fifth to a quarter of it,
+    // beside the viewers'.
     assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " in a second");
     assertTrue(refused > 100, "what the hash gives to others is not filled: " + refused);
     for (int object = 1; object < 97; object++) {
       assertEquals(null, host.pass(20).own(++ids, object, 9, -1), "no later segment");
     }
-    assertNotNull(IntStream.range(1, 97).mapToObj(object -> host.pass(10).own(++ids, object, 3, -1))
-        .filter(java.util.Objects::nonNull).findFirst().orElse(null), "the first ones still");
+    assertNotNull(
+        IntStream.range(1, 97)
+            .mapToObj(object -> host.pass(10).own(++ids, object, 3, -1))
+            .filter(java.util.Objects::nonNull)
+            .findFirst()
+            .orElse(null),
+        "the first ones still");
   }
 
   @Test
@@ -241,12 +247,18 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"IDEMPOTENT, ERRORED, ALL, again", "IDEMPOTENT, TURNED_AWAY, ALL, again",
-      "TOKENED, LOST, ALL, again", "TOKENED, TURNED_AWAY, CELL, again",
-      "NON_IDEMPOTENT, TURNED_AWAY, ALL, again",
-      "NON_IDEMPOTENT, LOST, ALL, errored", "NON_IDEMPOTENT, ERRORED, ALL, errored",
-      "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"})
-  void noEffectTwice(RoutingConfig.Effect effect, Outcome outcome, RoutingConfig.Group group, String expected) {
+  @CsvSource({
+    "IDEMPOTENT, ERRORED, ALL, again",
+    "IDEMPOTENT, TURNED_AWAY, ALL, again",
+    "TOKENED, LOST, ALL, again",
+    "TOKENED, TURNED_AWAY, CELL, again",
+    "NON_IDEMPOTENT, TURNED_AWAY, ALL, again",
+    "NON_IDEMPOTENT, LOST, ALL, errored",
+    "NON_IDEMPOTENT, ERRORED, ALL, errored",
+    "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
+  })
+  void noEffectTwice(
+      RoutingConfig.Effect effect, Outcome outcome, RoutingConfig.Group group, String expected) {
     host.effect = effect;
     host.group = group;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
@@ -257,7 +269,8 @@
 
   @ParameterizedTest
   @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
-  void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(Outcome outcome, int sent) {
+  void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(
+      Outcome outcome, int sent) {
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     host.bypass = host.neverKept = true;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
@@ -280,11 +293,14 @@
     host.now += 1100 * MS;
     host.ended(host.last(1), Outcome.ERRORED, 10, Note.NOTHING);
     assertEquals(2, host.sent.size());
-    assertEquals(List.of(1L), host.errored, "past the window, and a shed would invite a repeat elsewhere");
+    assertEquals(
+        List.of(1L), host.errored, "past the window, and a shed would invite a repeat elsewhere");
   }
 
   @ParameterizedTest
-  @EnumSource(value = State.class, names = {"DRAINING", "GONE"})
+  @EnumSource(
+      value = State.class,
+      names = {"DRAINING", "GONE"})
   void nothingNewGoesToOrThroughWhatDrains(State state) {
     host.change(1, state, 0).change(6, state, 0);
     for (long object = 1; object <= 60; object++) {
@@ -325,12 +341,16 @@
     for (long id = 1; id <= 200; id++) {
       host.get(id, id, 0);
     }
-    // A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which a part is ours.
+    // A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which a part
+    // is ours.
     assertTrue(host.sent.size() >= 2 && host.sent.size() <= 12, "sent " + host.sent.size());
     assertEquals(200, host.sent.size() + host.shed.size());
   }
 
-  /** Met on a hunted day: in a jam peers are sent more than they return, and a cold cache got its part. */
+  /**
+   * Met on a hunted day: in a jam peers are sent more than they return, and a cold cache got its
+   * part.
+   */
   @Test
   void whatPeersAreSentButDoNotReturnGivesAColdCacheNoBudget() {
     host.sized = false;
@@ -347,7 +367,10 @@
     assertTrue(cold >= 1 && cold <= 2, "sent " + cold);
   }
 
-  /** Met on a hunted day: small caches restarted together, and the large ones left gave them their budget. */
+  /**
+   * Met on a hunted day: small caches restarted together, and the large ones left gave them their
+   * budget.
+   */
   @Test
   void aColdCachesBudgetIsWhatItsOwnKindReturns() {
     int[] sent = new int[2];
@@ -365,10 +388,15 @@
         sent[kind] += get != null && get.cache() == 0 ? 1 : 0;
       }
     }
-    assertTrue(sent[0] > sent[1] && sent[1] > 0, "like the others " + sent[0] + ", of its own kind " + sent[1]);
+    assertTrue(
+        sent[0] > sent[1] && sent[1] > 0,
+        "like the others " + sent[0] + ", of its own kind " + sent[1]);
   }
 
-  /** Met at full size: a hundred gateways' parts of a cold cache's budget are each less than one GET. */
+  /**
+   * Met at full size: a hundred gateways' parts of a cold cache's budget are each less than one
+   * GET.
+   */
   @Test
   void manyGatewaysTogetherKeepAColdCachesBudgetAndUseIt() {
     int sent = 0;
@@ -389,7 +417,10 @@
     assertTrue(sent >= 5 && sent <= 30, "sent " + sent);
   }
 
-  /** How many GETs a cold cache gets in two seconds of so many gateways that know that they are more than told. */
+  /**
+   * How many GETs a cold cache gets in two seconds of so many gateways that know that they are more
+   * than told.
+   */
   private static int sentToACold(int gateways, int told, double part) {
     int sent = 0;
     for (int gateway = 0; gateway < gateways; gateway++) {
@@ -425,7 +456,9 @@
     assertNotNull(host.get(++ids, 5, 0), "it serves again once it has one");
   }
 
-  /** Met on a hunted day: caches and parents came back together, and nearly every GET was a fill. */
+  /**
+   * Met on a hunted day: caches and parents came back together, and nearly every GET was a fill.
+   */
   @Test
   void aColdParentIsChargedInFullForWhatColdCachesAsk() {
     for (int i = 0; i < 200; i++) {
@@ -441,7 +474,8 @@
       }
     }
     long asked = host.sent.stream().skip(before).filter(sent -> sent.source() == 5).count();
-    // A tenth of 4 transfers, times 2, for a second: 0.8 s of work of 0.1 s each, less than a third is ours.
+    // A tenth of 4 transfers, times 2, for a second: 0.8 s of work of 0.1 s each, less than a third
+    // is ours.
     assertTrue(asked <= 2, "asked " + asked);
   }
 
@@ -501,7 +535,10 @@
     assertEquals(sent.cache(), hit(5, 0).cache(), "all went well, though hardly a GET came");
   }
 
-  /** Met on incident ie243ac: single answers were cut off everywhere, and each time a cache was set aside. */
+  /**
+   * Met on incident ie243ac: single answers were cut off everywhere, and each time a cache was set
+   * aside.
+   */
   @Test
   void aCacheThatLosesSingleAnswersButReturnsOthersStays() {
     Sent sent = host.get(++ids, 5, 0);
@@ -537,7 +574,8 @@
         host.returned(sent, 50, Note.HIT);
       }
     }
-    long well = host.sent.stream().skip(host.sent.size() - 15).filter(sent -> sent.cache() == 3).count();
+    long well =
+        host.sent.stream().skip(host.sent.size() - 15).filter(sent -> sent.cache() == 3).count();
     assertTrue(well <= 13, "sent to the one that answers " + well);
   }
 
@@ -549,7 +587,10 @@
     assertNotEquals(first.source(), host.last(1).source());
   }
 
-  /** Met on a day with a slow origin: both parents' fills timed out, and all fills went to the origin. */
+  /**
+   * Met on a day with a slow origin: both parents' fills timed out, and all fills went to the
+   * origin.
+   */
   @Test
   void parentsBehindWhichTheOriginFailsStayTheSources() {
     int ended = 0;
@@ -563,7 +604,10 @@
     assertTrue(host.get(++ids, 500, 0).source() != 7);
   }
 
-  /** Met on the overload days and all three first incidents: misses queued and hits waited behind them. */
+  /**
+   * Met on the overload days and all three first incidents: misses queued and hits waited behind
+   * them.
+   */
   @Test
   void whenFillsComeLateOnlyWhatIsHeldIsReturnedAndMissesAreShed() {
     for (int i = 0; i < 60; i++) {
@@ -579,7 +623,10 @@
     assertEquals(List.of(held.get()), host.shed);
   }
 
-  /** Met on days with a slow origin: every expired copy was shed though an ageing one would have done. */
+  /**
+   * Met on days with a slow origin: every expired copy was shed though an ageing one would have
+   * done.
+   */
   @Test
   void whenTheOriginIsLateAgeingCopiesAndTheParentsOwnWillDo() {
     host.fresh = 5000 * MS;
@@ -641,7 +688,10 @@
     assertEquals(400, host.shed.size());
   }
 
-  /** Met on a day on which one answer in a hundred never came: the parents' limits closed and a sixth was shed. */
+  /**
+   * Met on a day on which one answer in a hundred never came: the parents' limits closed and a
+   * sixth was shed.
+   */
   @Test
   void answersThatGetLostDoNotCloseTheLimitOfASourceThatIsHeard() {
     for (int i = 0; i < 30; i++) {
@@ -655,7 +705,12 @@
     for (int i = 0; i < 24; i++) {
       host.get(++ids, 9000 + i, 0);
     }
-    assertEquals(24, host.sent.stream().skip(before).filter(one -> one.source() == 5 || one.source() == 6).count());
+    assertEquals(
+        24,
+        host.sent.stream()
+            .skip(before)
+            .filter(one -> one.source() == 5 || one.source() == 6)
+            .count());
   }
 
   /** Met on the same day: what would never come stood in the limits until its viewer timeout. */
@@ -680,24 +735,33 @@
   void anIndexThatComesBackIsAnotherCache() {
     Set<Long> before = new HashSet<>();
     Set<Long> both = new HashSet<>();
-    LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(before::add);
+    LongStream.rangeClosed(1, 200)
+        .filter(object -> hit(object, 0).cache() == 0)
+        .forEach(before::add);
     host.change(0, State.GONE, 0);
-    host.event(to -> {
-      to.listing(Listing.CHANGES);
-      to.member(0, "10.9.9.9:90", "here", "box", 0, State.UP, 4, 0);
-      to.listed();
-    });
+    host.event(
+        to -> {
+          to.listing(Listing.CHANGES);
+          to.member(0, "10.9.9.9:90", "here", "box", 0, State.UP, 4, 0);
+          to.listed();
+        });
     LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(both::add);
     assertTrue(both.size() > 20);
     both.retainAll(before);
-    assertTrue(both.size() < before.size() * 2 / 3, both.size() + " of " + before.size() + " keys are still its own");
+    assertTrue(
+        both.size() < before.size() * 2 / 3,
+        both.size() + " of " + before.size() + " keys are still its own");
   }
 
-  /** A host for one gateway: tells it of a small site, plays events to it and writes down what it decides. */
+  /**
+   * A host for one gateway: tells it of a small site, plays events to it and writes down what it
+   * decides.
+   */
   static final class FakeHost implements RoutingConfig, RoutingActions {
     static final long MS = 1_000_000L;
 
-    record Sent(long get, int copy, int cache, long until, int source, long age, int rank, int switches) {
+    record Sent(
+        long get, int copy, int cache, long until, int source, long age, int rank, int switches) {
       boolean has(int wanted) {
         return (switches & wanted) != 0;
       }
@@ -715,13 +779,17 @@
     final List<Long> shed = new ArrayList<>();
     final List<Long> errored = new ArrayList<>();
     final List<String> calledOff = new ArrayList<>();
-    final List<Integer> aside = new ArrayList<>(), heard = new ArrayList<>(), cold = new ArrayList<>();
+    final List<Integer> aside = new ArrayList<>(),
+        heard = new ArrayList<>(),
+        cold = new ArrayList<>();
     long now = 1_000_000 * MS, sendBy;
     private RequestRouter router;
     private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
-    /** Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order. */
+    /**
+     * Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order.
+     */
     FakeHost list(int... order) {
       events.add(to -> to.listing(Listing.FULL));
       for (int cache : order) {
@@ -774,7 +842,8 @@
       return round();
     }
 
-    @Override public void health(int cache, Health health) {
+    @Override
+    public void health(int cache, Health health) {
       aside.remove((Integer) cache);
       if (health == Health.HEARD) {
         heard.add(cache);
@@ -784,7 +853,8 @@
       }
     }
 
-    @Override public void cold(int cache, long until) {
+    @Override
+    public void cold(int cache, long until) {
       cold.add(cache);
     }
 
@@ -813,67 +883,209 @@
       return this;
     }
 
-    @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+    @Override
+    public void forward(
+        long get, int cache, long until, int source, long age, int rank, int switches) {
       int copy = (int) sent.stream().filter(one -> one.get == get).count();
       sent.add(new Sent(get, copy, cache, until, source, age, rank, switches));
     }
 
-    @Override public void sendBy(long get, long time) {
+    @Override
+    public void sendBy(long get, long time) {
       sendBy = time;
     }
 
-    @Override public void shed(long get, long wait) {
+    @Override
+    public void shed(long get, long wait) {
       shed.add(get);
     }
 
-    @Override public void errored(long get) {
+    @Override
+    public void errored(long get) {
       errored.add(get);
     }
 
-    @Override public void callOff(long get, int copy) {
+    @Override
+    public void callOff(long get, int copy) {
       calledOff.add(get + "/" + copy);
     }
 
-    @Override public void wake(long delay, String handle) {
+    @Override
+    public void wake(long delay, String handle) {
       wakeAt = now + delay;
     }
 
-    @Override public void watchList() {
-    }
-
-    @Override public long seed() { return seed; }
-    @Override public int gateways() { return 3 * gateways; }
-    @Override public int gatewaysHere() { return gateways; }
-    @Override public String zone() { return "here"; }
-    @Override public String midKind() { return "parent"; }
-    @Override public String originKind() { return "origin"; }
-    @Override public boolean weighsSizes() { return sized; }
-    @Override public boolean listOnRequest() { return false; }
-    @Override public int deliveryServices() { return 1; }
-    @Override public Effect effect(int ds) { return effect; }
-    @Override public Group group(int ds) { return group; }
-    @Override public long window(int ds) { return 1000 * MS; }
-    @Override public long latencyObjective(int ds) { return 300 * MS; }
-    @Override public double stretch(int ds) { return 2; }
-    @Override public double revenue(int ds) { return 1; }
-    @Override public boolean neverKept(int ds) { return neverKept; }
-    @Override public long fresh(int ds) { return fresh; }
-    @Override public long grace(int ds) { return fresh; }
-    @Override public int maxForwards() { return 4; }
-    @Override public boolean secondCopies() { return true; }
-    @Override public boolean callOff() { return true; }
-    @Override public boolean retryAfter() { return true; }
-    @Override public long maxRetryAfter() { return 500 * MS; }
-    @Override public boolean bypass() { return bypass; }
-    @Override public boolean joins() { return true; }
-    @Override public double flowKbPerSecond() { return 1000; }
-    @Override public long purgeTakes() { return 6000 * MS; }
-    @Override public double coldShare() { return 0.1; }
-    @Override public long coldTime() { return 10_000 * MS; }
-    @Override public double fallMultiple() { return 3; }
-    @Override public long fallTime() { return 1000 * MS; }
-    @Override public double parentColdShare() { return 0.1; }
-    @Override public long parentColdTime() { return 10_000 * MS; }
-    @Override public double parentFallMultiple() { return 2; }
+    @Override
+    public void watchList() {}
+
+    @Override
+    public long seed() {
+      return seed;
+    }
+
+    @Override
+    public int gateways() {
+      return 3 * gateways;
+    }
+
+    @Override
+    public int gatewaysHere() {
+      return gateways;
+    }
+
+    @Override
+    public String zone() {
+      return "here";
+    }
+
+    @Override
+    public String midKind() {
+      return "parent";
+    }
+
+    @Override
+    public String originKind() {
+      return "origin";
+    }
+
+    @Override
+    public boolean weighsSizes() {
+      return sized;
+    }
+
+    @Override
+    public boolean listOnRequest() {
+      return false;
+    }
+
+    @Override
+    public int deliveryServices() {
+      return 1;
+    }
+
+    @Override
+    public Effect effect(int ds) {
+      return effect;
+    }
+
+    @Override
+    public Group group(int ds) {
+      return group;
+    }
+
+    @Override
+    public long window(int ds) {
+      return 1000 * MS;
+    }
+
+    @Override
+    public long latencyObjective(int ds) {
+      return 300 * MS;
+    }
+
+    @Override
+    public double stretch(int ds) {
+      return 2;
+    }
+
+    @Override
+    public double revenue(int ds) {
+      return 1;
+    }
+
+    @Override
+    public boolean neverKept(int ds) {
+      return neverKept;
+    }
+
+    @Override
+    public long fresh(int ds) {
+      return fresh;
+    }
+
+    @Override
+    public long grace(int ds) {
+      return fresh;
+    }
+
+    @Override
+    public int maxForwards() {
+      return 4;
+    }
+
+    @Override
+    public boolean secondCopies() {
+      return true;
+    }
+
+    @Override
+    public boolean callOff() {
+      return true;
+    }
+
+    @Override
+    public boolean retryAfter() {
+      return true;
+    }
+
+    @Override
+    public long maxRetryAfter() {
+      return 500 * MS;
+    }
+
+    @Override
+    public boolean bypass() {
+      return bypass;
+    }
+
+    @Override
+    public boolean joins() {
+      return true;
+    }
+
+    @Override
+    public double flowKbPerSecond() {
+      return 1000;
+    }
+
+    @Override
+    public long purgeTakes() {
+      return 6000 * MS;
+    }
+
+    @Override
+    public double coldShare() {
+      return 0.1;
+    }
+
+    @Override
+    public long coldTime() {
+      return 10_000 * MS;
+    }
+
+    @Override
+    public double fallMultiple() {
+      return 3;
+    }
+
+    @Override
+    public long fallTime() {
+      return 1000 * MS;
+    }
+
+    @Override
+    public double parentColdShare() {
+      return 0.1;
+    }
+
+    @Override
+    public long parentColdTime() {
+      return 10_000 * MS;
+    }
+
+    @Override
+    public double parentFallMultiple() {
+      return 2;
+    }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -43,7 +43,8 @@
     assertTrue(reads.isSettled(9 * MS, 10 * MS));
     assertFalse(reads.isSettled(9 * MS, 11 * MS));
     reads.read(60 * MS);
-    assertTrue(reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
+    assertTrue(
+        reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
     assertTrue(new SocketReads.Backlog(0, 900 * MS).mayGoOn(950 * MS));
     assertFalse(new SocketReads.Backlog(0, 900 * MS).mayGoOn(951 * MS));
   }
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -6,9 +6,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
+import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,12 +17,20 @@
   private final RoutingParts parts = new RoutingParts();
   private final RetryPolicy policy = parts.retryPolicy;
 
-  /** After an attempt at endpoint 0 that may have run: endpoint 2 is of its cell, 1 of its zone, 5 of neither. */
+  /**
+   * After an attempt at endpoint 0 that may have run: endpoint 2 is of its cell, 1 of its zone, 5
+   * of neither.
+   */
   @ParameterizedTest
-  @CsvSource({"IDEMPOTENT, ALL, true, true, true", "NON_IDEMPOTENT, ALL, false, false, false",
-      "TOKENED, ALL, true, true, true", "TOKENED, ZONE, true, true, false", "TOKENED, CELL, true, false, false"})
-  void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(Effect effect, Group group, boolean sameCell,
-      boolean sameZone, boolean elsewhere) {
+  @CsvSource({
+    "IDEMPOTENT, ALL, true, true, true",
+    "NON_IDEMPOTENT, ALL, false, false, false",
+    "TOKENED, ALL, true, true, true",
+    "TOKENED, ZONE, true, true, false",
+    "TOKENED, CELL, true, false, false"
+  })
+  void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(
+      Effect effect, Group group, boolean sameCell, boolean sameZone, boolean elsewhere) {
     parts.site.effect = effect;
     parts.site.group = group;
     InFlightRequest request = parts.request(5);
@@ -31,7 +39,8 @@
     assertEquals(sameCell, policy.permits(request, parts.endpoint(2), START));
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
     assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
-    assertEquals(effect == Effect.IDEMPOTENT, policy.permits(request, parts.endpoint(2), START + 1000 * MS));
+    assertEquals(
+        effect == Effect.IDEMPOTENT, policy.permits(request, parts.endpoint(2), START + 1000 * MS));
   }
 
   @Test
@@ -67,8 +76,13 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"JOINED, false", "SOURCE_TURNED_AWAY, true", "SOURCE_LACKS, true", "NO_PLACE, false",
-      "ORIGIN_ERRORED, true"})
+  @CsvSource({
+    "JOINED, false",
+    "SOURCE_TURNED_AWAY, true",
+    "SOURCE_LACKS, true",
+    "NO_PLACE, false",
+    "ORIGIN_ERRORED, true"
+  })
   void faultsBehindTheEndpointAreTheSources(Note note, boolean isSourceFault) {
     assertEquals(isSourceFault, RetryPolicy.isSourceFault(note));
   }
--- a/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
 import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -1,11 +1,14 @@
 package org.amberpath.routing;
 
+import java.util.SplittableRandom;
+import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.RequestRouterTest.FakeHost;
-import java.util.SplittableRandom;
 
-/** The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by itself. */
+/**
+ * The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by
+ * itself.
+ */
 final class RoutingParts {
   static final long MS = 1_000_000L;
   static final long START = 1_000_000 * MS;
@@ -19,15 +22,18 @@
   final SlowStart slowStart = new SlowStart(site, share, new TrafficClass[] {trafficClass});
   final OutlierDetector detector =
       new OutlierDetector(1, endpoints, share, slowStart, new SplittableRandom(1));
-  final ConcurrencyLimiter limiter = new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
+  final ConcurrencyLimiter limiter =
+      new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
   final RetryPolicy retryPolicy = new RetryPolicy(site);
-  final RendezvousSelector rendezvous = new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
+  final RendezvousSelector rendezvous =
+      new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
   final RouteSelector routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
   final SyntheticRouteSelector syntheticRoutes =
       new SyntheticRouteSelector(endpoints, routes, slowStart, detector, limiter);
-  final AttemptRecorder recorder = new AttemptRecorder(endpoints, history, limiter, detector, slowStart);
-  final ClusterManager cluster = new ClusterManager(site, share, endpoints, slowStart, limiter,
-      new SplittableRandom(1));
+  final AttemptRecorder recorder =
+      new AttemptRecorder(endpoints, history, limiter, detector, slowStart);
+  final ClusterManager cluster =
+      new ClusterManager(site, share, endpoints, slowStart, limiter, new SplittableRandom(1));
   private long ids;
 
   /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
@@ -42,8 +48,10 @@
   void update(int index, State state, long startedAtNanos) {
     String kind = index == ORIGIN ? "origin" : index > 4 ? "parent" : "box";
     String zone = index > 4 ? "hub" : index == 4 ? "other" : "here";
-    cluster.update(new EndpointDescription(index, "10.0.0." + index + ":90", zone, kind, index % 2, state, 4,
-        startedAtNanos), batch(START));
+    cluster.update(
+        new EndpointDescription(
+            index, "10.0.0." + index + ":90", zone, kind, index % 2, state, 4, startedAtNanos),
+        batch(START));
   }
 
   Endpoint endpoint(int index) {
@@ -57,7 +65,8 @@
   /** A request with two seconds left and a patience of 100 ms. */
   InFlightRequest request(long object) {
     InFlightRequest request =
-        new InFlightRequest(new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100), trafficClass, START);
+        new InFlightRequest(
+            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100), trafficClass, START);
     request.patienceNanos = 100 * MS;
     request.durationKnown = true;
     request.rank = SegmentAdmission.STANDARD_RANK;
@@ -67,8 +76,13 @@
   /** A request's next attempt, sent at the start. */
   Attempt attempt(InFlightRequest request, int endpoint, int source) {
     Route route = new Route(endpoint(endpoint), endpoint(source), false);
-    Attempt attempt = new Attempt(request, request.attempts.size(), route, START,
-        slowStart.refundableSeconds(route, trafficClass, START));
+    Attempt attempt =
+        new Attempt(
+            request,
+            request.attempts.size(),
+            route,
+            START,
+            slowStart.refundableSeconds(route, trafficClass, START));
     request.attempts.add(attempt);
     request.openAttempts++;
     return attempt;
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -1,10 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 import java.nio.ByteBuffer;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
@@ -18,11 +13,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O or clock. Every
- * action that the decisions take is hashed in order with all its arguments. Random numbers are drawn from the world's
- * own generator, and only basic arithmetic is done with them, so that a seed gives the same events everywhere.
+ * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O
+ * or clock. Every action that the decisions take is hashed in order with all its arguments. Random
+ * numbers are drawn from the world's own generator, and only basic arithmetic is done with them, so
+ * that a seed gives the same events everywhere.
  */
 final class SeededWorld implements RoutingConfig, RoutingActions {
   /** A round of decisions: what drives the module under test, built anew for each world. */
@@ -34,19 +35,33 @@
   enum Setting {
     /** One gateway; hedging, call-off, load weights, flow size, a wide catalogue. */
     ALONE,
-    /** One of twenty gateways in the zone and sixty in all; everything, copies that age, own GETs. */
+    /**
+     * One of twenty gateways in the zone and sixty in all; everything, copies that age, own GETs.
+     */
     TWENTY,
-    /** No weights, no call-off, no flow size, no Retry-After; a list that is asked for, straight ways to parents. */
+    /**
+     * No weights, no call-off, no flow size, no Retry-After; a list that is asked for, straight
+     * ways to parents.
+     */
     PLAIN,
     /** Neither hedging nor parents nor joins; four caches that are mostly overloaded. */
     NARROW
   }
 
-  private enum Behaviour { WELL, SLOW, HUNG, RESETTING, REFUSING, UNREACHABLE, ERRORING, NEVER_WRITTEN }
+  private enum Behaviour {
+    WELL,
+    SLOW,
+    HUNG,
+    RESETTING,
+    REFUSING,
+    UNREACHABLE,
+    ERRORING,
+    NEVER_WRITTEN
+  }
 
-  private record Planned(long at, long order, Consumer<Events> event) { }
+  private record Planned(long at, long order, Consumer<Events> event) {}
 
-  private record Copy(long request, int number, int cache, long sentAt) { }
+  private record Copy(long request, int number, int cache, long sentAt) {}
 
   static final int ROUNDS = 10_000;
   private static final long MS = 1_000_000L;
@@ -84,7 +99,8 @@
   /** Plays all rounds; the digest of all actions, as hexadecimal digits. */
   String play(Module module) {
     if (is(Setting.NARROW)) {
-      events.add(to -> to.sharers(gateways(), 0)); // The first kinds are listed while nothing is granted.
+      events.add(
+          to -> to.sharers(gateways(), 0)); // The first kinds are listed while nothing is granted.
     }
     wholeList();
     for (int round = 0; round < ROUNDS; round++) {
@@ -148,7 +164,8 @@
 
   private void leave() {
     if (!open.isEmpty()) {
-      long request = open.keySet().stream().skip(random.nextInt(open.size())).findFirst().orElseThrow();
+      long request =
+          open.keySet().stream().skip(random.nextInt(open.size())).findFirst().orElseThrow();
       events.add(to -> to.left(request));
       count("event left");
     }
@@ -177,7 +194,8 @@
       int kind = chance(0.8) ? 0 : random.nextInt(CLASSES);
       long object = object();
       int part = part();
-      events.add(to -> to.own(id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
+      events.add(
+          to -> to.own(id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
     }
   }
 
@@ -252,8 +270,10 @@
     events.add(to -> to.listing(Listing.CHANGES));
     for (int one = 0; one < many; one++) {
       int endpoint = anyEndpoint();
-      State state = states.getOrDefault(endpoint, State.UP) == State.UP && chance(0.4)
-          ? State.values()[1 + random.nextInt(2)] : State.UP;
+      State state =
+          states.getOrDefault(endpoint, State.UP) == State.UP && chance(0.4)
+              ? State.values()[1 + random.nextInt(2)]
+              : State.UP;
       long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
       tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
     }
@@ -267,10 +287,13 @@
     count("event member " + state + (startedAt > 0 ? " cold" : ""));
     String address = "10.0." + lives.getOrDefault(endpoint, 0) + "." + endpoint + ":90";
     String zone = endpoint >= FIRST_PARENT ? "hub" : endpoint < edges() ? "here" : "there";
-    String kind = endpoint == ORIGIN ? "origin" : endpoint >= FIRST_PARENT ? "parent"
-        : endpoint % 3 == 0 ? "small" : "box";
+    String kind =
+        endpoint == ORIGIN
+            ? "origin"
+            : endpoint >= FIRST_PARENT ? "parent" : endpoint % 3 == 0 ? "small" : "box";
     double weight = endpoint >= FIRST_PARENT ? 24 : endpoint % 3 == 0 ? 2 : 6;
-    events.add(to -> to.member(endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
+    events.add(
+        to -> to.member(endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
   }
 
   // ---- What becomes of a copy.
@@ -282,7 +305,8 @@
   private void answer(Copy copy, long until, int source, boolean heldOnly) {
     boolean hit = chance(setting == Setting.NARROW ? 0.4 : 0.65);
     Behaviour cache = behaviours.getOrDefault(copy.cache, Behaviour.WELL);
-    Behaviour behind = source == copy.cache ? Behaviour.WELL : behaviours.getOrDefault(source, Behaviour.WELL);
+    Behaviour behind =
+        source == copy.cache ? Behaviour.WELL : behaviours.getOrDefault(source, Behaviour.WELL);
     Behaviour whose = cache != Behaviour.WELL || hit || heldOnly ? cache : behind;
     long took = (15 + random.nextInt(60)) * MS + (hit ? 0 : 30 * MS);
     boolean atSource = cache == Behaviour.WELL && !hit && !heldOnly && source != copy.cache;
@@ -290,27 +314,57 @@
       case WELL -> whenWell(copy, until, took, hit, heldOnly, source);
       case SLOW -> whenWell(copy, until, 15 * took, hit, heldOnly, source);
       case HUNG -> end(copy, until, until - now, Outcome.NO_ANSWER, Note.NOTHING);
-      case RESETTING -> end(copy, until, took, atSource ? Outcome.ERRORED : Outcome.LOST,
-          atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
-      case REFUSING -> end(copy, until, MS, Outcome.TURNED_AWAY,
-          atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
-      case UNREACHABLE -> end(copy, until, 2 * MS, atSource ? Outcome.ERRORED : Outcome.NO_CONNECTION,
-          atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
-      case ERRORING -> end(copy, until, took, Outcome.ERRORED,
-          atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
-      default -> end(copy, until, MS, chance(0.5) ? Outcome.NOT_SENT : Outcome.HELD_BACK, Note.NOTHING);
+      case RESETTING ->
+          end(
+              copy,
+              until,
+              took,
+              atSource ? Outcome.ERRORED : Outcome.LOST,
+              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+      case REFUSING ->
+          end(
+              copy,
+              until,
+              MS,
+              Outcome.TURNED_AWAY,
+              atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
+      case UNREACHABLE ->
+          end(
+              copy,
+              until,
+              2 * MS,
+              atSource ? Outcome.ERRORED : Outcome.NO_CONNECTION,
+              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+      case ERRORING ->
+          end(
+              copy,
+              until,
+              took,
+              Outcome.ERRORED,
+              atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
+      default ->
+          end(copy, until, MS, chance(0.5) ? Outcome.NOT_SENT : Outcome.HELD_BACK, Note.NOTHING);
     }
   }
 
-  private void whenWell(Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
+  private void whenWell(
+      Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
     if (!hit && heldOnly) {
       end(copy, until, 3 * MS, Outcome.NOT_STORED, Note.NOTHING);
     } else if (chance(0.01)) {
-      end(copy, until, 5 * MS, chance(0.5) ? Outcome.ERRORED : Outcome.NOT_STORED,
+      end(
+          copy,
+          until,
+          5 * MS,
+          chance(0.5) ? Outcome.ERRORED : Outcome.NOT_STORED,
           chance(0.5) ? Note.SOURCE_LACKS : Note.NO_PLACE);
     } else {
-      Note note = hit ? chance(0.9) ? Note.HIT : chance(0.5) ? Note.PAST_FRESH : Note.NOTHING
-          : source == ORIGIN || chance(0.4) ? Note.FILLED_BY_ORIGIN : chance(0.2) ? Note.JOINED : Note.FILLED;
+      Note note =
+          hit
+              ? chance(0.9) ? Note.HIT : chance(0.5) ? Note.PAST_FRESH : Note.NOTHING
+              : source == ORIGIN || chance(0.4)
+                  ? Note.FILLED_BY_ORIGIN
+                  : chance(0.2) ? Note.JOINED : Note.FILLED;
       if (chance(0.1)) {
         long halfway = now + Math.min(took, until - now) / 2;
         plan(halfway, to -> to.begun(copy.request, copy.number));
@@ -338,9 +392,11 @@
     }
     count("outcome " + outcome);
     count("note " + note);
-    to.ended(copy.request, copy.number, copy.cache, outcome, took, outcome == Outcome.RETURNED, note);
+    to.ended(
+        copy.request, copy.number, copy.cache, outcome, took, outcome == Outcome.RETURNED, note);
     if (chance(0.001)) {
-      to.ended(copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
+      to.ended(
+          copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
     }
   }
 
@@ -360,11 +416,16 @@
     counts.merge(what, 1, Integer::sum);
   }
 
-  @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+  @Override
+  public void forward(
+      long get, int cache, long until, int source, long age, int rank, int switches) {
     hash("forward", get, cache, until, source, age, rank, switches);
     count("rank " + rank);
     count("switches " + switches);
-    count(source == cache ? "no source" : source == ORIGIN ? "source is the origin" : "source is a parent");
+    count(
+        source == cache
+            ? "no source"
+            : source == ORIGIN ? "source is the origin" : "source is a parent");
     int number = copies.merge(get, 1, Integer::sum) - 1;
     count("copy " + number);
     Copy copy = new Copy(get, number, cache, now);
@@ -372,19 +433,23 @@
     answer(copy, until, source, (switches & HELD_ONLY) != 0);
   }
 
-  @Override public void sendBy(long get, long time) {
+  @Override
+  public void sendBy(long get, long time) {
     hash("sendBy", get, time);
   }
 
-  @Override public void shed(long get, long wait) {
+  @Override
+  public void shed(long get, long wait) {
     hash("shed", get, wait);
   }
 
-  @Override public void errored(long get) {
+  @Override
+  public void errored(long get) {
     hash("errored", get);
   }
 
-  @Override public void callOff(long get, int number) {
+  @Override
+  public void callOff(long get, int number) {
     hash("callOff", get, number);
     for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
       if (copy.number == number) {
@@ -393,20 +458,24 @@
     }
   }
 
-  @Override public void wake(long delay, String handle) {
+  @Override
+  public void wake(long delay, String handle) {
     hash("wake", delay, handle.hashCode());
     plan(now + delay, to -> to.woken(handle));
   }
 
-  @Override public void watchList() {
+  @Override
+  public void watchList() {
     hash("watchList");
   }
 
-  @Override public void health(int cache, Health health) {
+  @Override
+  public void health(int cache, Health health) {
     hash("health " + health, cache);
   }
 
-  @Override public void cold(int cache, long until) {
+  @Override
+  public void cold(int cache, long until) {
     hash("cold", cache, until);
   }
 
@@ -428,139 +497,175 @@
     return setting == one;
   }
 
-  @Override public long seed() {
+  @Override
+  public long seed() {
     return seed;
   }
 
-  @Override public int gateways() {
+  @Override
+  public int gateways() {
     return is(Setting.ALONE) ? 1 : is(Setting.TWENTY) ? 60 : 3;
   }
 
-  @Override public int gatewaysHere() {
+  @Override
+  public int gatewaysHere() {
     return is(Setting.TWENTY) ? 20 : 1;
   }
 
-  @Override public String zone() {
+  @Override
+  public String zone() {
     return "here";
   }
 
-  @Override public String midKind() {
+  @Override
+  public String midKind() {
     return is(Setting.NARROW) ? null : "parent";
   }
 
-  @Override public String originKind() {
+  @Override
+  public String originKind() {
     return "origin";
   }
 
-  @Override public boolean weighsSizes() {
+  @Override
+  public boolean weighsSizes() {
     return !is(Setting.PLAIN);
   }
 
-  @Override public boolean listOnRequest() {
+  @Override
+  public boolean listOnRequest() {
     return is(Setting.PLAIN);
   }
 
-  @Override public int deliveryServices() {
+  @Override
+  public int deliveryServices() {
     return CLASSES;
   }
 
-  @Override public Effect effect(int ds) {
-    return ds == 0 || ds == 5 ? Effect.IDEMPOTENT : ds == 4 ? Effect.NON_IDEMPOTENT : Effect.TOKENED;
+  @Override
+  public Effect effect(int ds) {
+    return ds == 0 || ds == 5
+        ? Effect.IDEMPOTENT
+        : ds == 4 ? Effect.NON_IDEMPOTENT : Effect.TOKENED;
   }
 
-  @Override public Group group(int ds) {
+  @Override
+  public Group group(int ds) {
     return ds == 1 ? Group.ALL : ds == 2 ? Group.ZONE : Group.CELL;
   }
 
-  @Override public long window(int ds) {
+  @Override
+  public long window(int ds) {
     return ds == 3 ? 100 * MS : 1000 * MS;
   }
 
-  @Override public long latencyObjective(int ds) {
+  @Override
+  public long latencyObjective(int ds) {
     return (100 + 50L * ds) * MS;
   }
 
-  @Override public double stretch(int ds) {
+  @Override
+  public double stretch(int ds) {
     return 2;
   }
 
-  @Override public double revenue(int ds) {
+  @Override
+  public double revenue(int ds) {
     return 1 + ds % 3;
   }
 
-  @Override public boolean neverKept(int ds) {
+  @Override
+  public boolean neverKept(int ds) {
     return ds == 5;
   }
 
-  @Override public long fresh(int ds) {
+  @Override
+  public long fresh(int ds) {
     return is(Setting.TWENTY) ? (ds + 1) * 1000 * MS : 0;
   }
 
-  @Override public long grace(int ds) {
+  @Override
+  public long grace(int ds) {
     return is(Setting.TWENTY) ? 4000 * MS : 0;
   }
 
-  @Override public int maxForwards() {
+  @Override
+  public int maxForwards() {
     return is(Setting.NARROW) ? 2 : 4;
   }
 
-  @Override public boolean secondCopies() {
+  @Override
+  public boolean secondCopies() {
     return !is(Setting.NARROW);
   }
 
-  @Override public boolean callOff() {
+  @Override
+  public boolean callOff() {
     return !is(Setting.PLAIN);
   }
 
-  @Override public boolean retryAfter() {
+  @Override
+  public boolean retryAfter() {
     return !is(Setting.PLAIN);
   }
 
-  @Override public long maxRetryAfter() {
+  @Override
+  public long maxRetryAfter() {
     return 500 * MS;
   }
 
-  @Override public boolean bypass() {
+  @Override
+  public boolean bypass() {
     return is(Setting.PLAIN) || is(Setting.TWENTY);
   }
 
-  @Override public boolean joins() {
+  @Override
+  public boolean joins() {
     return !is(Setting.NARROW);
   }
 
-  @Override public double flowKbPerSecond() {
+  @Override
+  public double flowKbPerSecond() {
     return is(Setting.PLAIN) ? 0 : 1500;
   }
 
-  @Override public long purgeTakes() {
+  @Override
+  public long purgeTakes() {
     return 6000 * MS;
   }
 
-  @Override public double coldShare() {
+  @Override
+  public double coldShare() {
     return 0.1;
   }
 
-  @Override public long coldTime() {
+  @Override
+  public long coldTime() {
     return 8_000 * MS;
   }
 
-  @Override public double fallMultiple() {
+  @Override
+  public double fallMultiple() {
     return 3;
   }
 
-  @Override public long fallTime() {
+  @Override
+  public long fallTime() {
     return 1000 * MS;
   }
 
-  @Override public double parentColdShare() {
+  @Override
+  public double parentColdShare() {
     return 0.2;
   }
 
-  @Override public long parentColdTime() {
+  @Override
+  public long parentColdTime() {
     return 5_000 * MS;
   }
 
-  @Override public double parentFallMultiple() {
+  @Override
+  public double parentFallMultiple() {
     return 2;
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -2,30 +2,30 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 import java.lang.reflect.Proxy;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
+import org.amberpath.routing.RoutingEvents.Listing;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Slow start: what any number of gateways together send an endpoint that has just started, in any fall time, against
- * the bound at which it falls. Virtual time; more demand than the endpoint can bear.
+ * Slow start: what any number of gateways together send an endpoint that has just started, in any
+ * fall time, against the bound at which it falls. Virtual time; more demand than the endpoint can
+ * bear.
  */
 class SlowStartBoundTest {
   private static final long MS = 1_000_000L, STEP = 10 * MS, SECOND = 1000 * MS;
   private static final long FALL = SECOND, COLD_TIME = 30 * SECOND, WORK = 100 * MS;
   private static final double SHARE = 0.2;
   private static final int COLD = 0, WARM = 1, PARENT = 2, ORIGIN = 3;
-
   private long objective = WORK, now = 1000 * SECOND, startedAt, ids;
   private double weight = 4, warm = 400;
   private int cold = COLD, seeds, sent;
@@ -34,7 +34,9 @@
   private final List<Long> sends = new ArrayList<>();
 
   @ParameterizedTest
-  @CsvSource({"1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "1, 40", "2, 40", "10, 40", "40, 40", "100, 40"})
+  @CsvSource({
+    "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "1, 40", "2, 40", "10, 40", "40, 40", "100, 40"
+  })
   void afterAStartThatAllHear(int count, double size) {
     weight = size;
     fleet(count);
@@ -60,8 +62,18 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"1, 300", "2, 300", "10, 300", "40, 300", "100, 300", "1, 1500", "2, 1500", "10, 1500", "40, 1500",
-      "100, 1500"})
+  @CsvSource({
+    "1, 300",
+    "2, 300",
+    "10, 300",
+    "40, 300",
+    "100, 300",
+    "1, 1500",
+    "2, 1500",
+    "10, 1500",
+    "40, 1500",
+    "100, 1500"
+  })
   void gatewaysThatRestartRememberNothingOfWhatTheySent(int count, int afterMs) {
     weight = 40;
     fleet(count);
@@ -94,7 +106,9 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"1, 1", "2, 1", "10, 1", "40, 1", "100, 1", "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "100, 8"})
+  @CsvSource({
+    "1, 1", "2, 1", "10, 1", "40, 1", "100, 1", "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "100, 8"
+  })
   void demandThatSetsInLate(int count, double size) {
     weight = size;
     fleet(count);
@@ -104,8 +118,18 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"1, false", "2, false", "10, false", "40, false", "100, false", "1, true", "2, true", "10, true",
-      "40, true", "100, true"})
+  @CsvSource({
+    "1, false",
+    "2, false",
+    "10, false",
+    "40, false",
+    "100, false",
+    "1, true",
+    "2, true",
+    "10, true",
+    "40, true",
+    "100, true"
+  })
   void aParentUnderFills(int count, boolean afterHits) {
     weight = 40;
     cold = PARENT;
@@ -134,23 +158,31 @@
 
   private void play(long time, int getsAStep) {
     for (long end = now + time; now < end; now += STEP) {
-      gateways.forEach(one -> one.step(getsAStep == 0 ? 0 : Math.max(getsAStep, 30 / gateways.size())));
+      gateways.forEach(
+          one -> one.step(getsAStep == 0 ? 0 : Math.max(getsAStep, 30 / gateways.size())));
       check();
     }
   }
 
   private void check() {
     sends.removeIf(at -> at <= now - FALL);
-    double ramp = SHARE + (1 - SHARE) * Math.min(1, Math.max(0, now - startedAt) / (double) COLD_TIME);
+    double ramp =
+        SHARE + (1 - SHARE) * Math.min(1, Math.max(0, now - startedAt) / (double) COLD_TIME);
     double allowed = 3 * ramp * weight * FALL / WORK;
-    double bound = allowed < 30 ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
-    assertTrue(startedAt == 0 || sends.size() <= bound, sends.size() + " requests in a fall time, " + bound
-        + " borne, " + (now - startedAt) / MS + " ms after the start");
+    double bound =
+        allowed < 30 ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
+    assertTrue(
+        startedAt == 0 || sends.size() <= bound,
+        sends.size()
+            + " requests in a fall time, "
+            + bound
+            + " borne, "
+            + (now - startedAt) / MS
+            + " ms after the start");
   }
 
   private final class Instance implements RoutingActions {
-    private record Answer(long at, long get, int cache, Note note) {
-    }
+    private record Answer(long at, long get, int cache, Note note) {}
 
     private final RequestRouter control;
     private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
@@ -158,29 +190,64 @@
     private long wakeAt = Long.MAX_VALUE;
 
     Instance(int count) {
-      Map<String, Object> told = Map.ofEntries(Map.entry("seed", (long) ++seeds), Map.entry("gateways", count),
-          Map.entry("gatewaysHere", count), Map.entry("zone", "z"), Map.entry("midKind", "parent"),
-          Map.entry("originKind", "origin"), Map.entry("weighsSizes", true), Map.entry("deliveryServices", 1),
-          Map.entry("effect", RoutingConfig.Effect.IDEMPOTENT), Map.entry("group", RoutingConfig.Group.ALL),
-          Map.entry("latencyObjective", objective), Map.entry("stretch", 2.0), Map.entry("revenue", 1.0),
-          Map.entry("maxForwards", 1), Map.entry("flowKbPerSecond", 1000.0), Map.entry("coldShare", SHARE),
-          Map.entry("coldTime", COLD_TIME), Map.entry("fallMultiple", 3.0), Map.entry("fallTime", FALL),
-          Map.entry("parentColdShare", SHARE), Map.entry("parentColdTime", COLD_TIME),
-          Map.entry("parentFallMultiple", 3.0));
-      control = new RequestRouter((RoutingConfig) Proxy.newProxyInstance(getClass().getClassLoader(),
-          new Class<?>[] {RoutingConfig.class},
-          (proxy, asked, arguments) -> told.getOrDefault(asked.getName(),
-              asked.getReturnType() == boolean.class ? (Object) false : (Object) 0L)));
+      Map<String, Object> told =
+          Map.ofEntries(
+              Map.entry("seed", (long) ++seeds),
+              Map.entry("gateways", count),
+              Map.entry("gatewaysHere", count),
+              Map.entry("zone", "z"),
+              Map.entry("midKind", "parent"),
+              Map.entry("originKind", "origin"),
+              Map.entry("weighsSizes", true),
+              Map.entry("deliveryServices", 1),
+              Map.entry("effect", RoutingConfig.Effect.IDEMPOTENT),
+              Map.entry("group", RoutingConfig.Group.ALL),
+              Map.entry("latencyObjective", objective),
+              Map.entry("stretch", 2.0),
+              Map.entry("revenue", 1.0),
+              Map.entry("maxForwards", 1),
+              Map.entry("flowKbPerSecond", 1000.0),
+              Map.entry("coldShare", SHARE),
+              Map.entry("coldTime", COLD_TIME),
+              Map.entry("fallMultiple", 3.0),
+              Map.entry("fallTime", FALL),
+              Map.entry("parentColdShare", SHARE),
+              Map.entry("parentColdTime", COLD_TIME),
+              Map.entry("parentFallMultiple", 3.0));
+      control =
+          new RequestRouter(
+              (RoutingConfig)
+                  Proxy.newProxyInstance(
+                      getClass().getClassLoader(),
+                      new Class<?>[] {RoutingConfig.class},
+                      (proxy, asked, arguments) ->
+                          told.getOrDefault(
+                              asked.getName(),
+                              asked.getReturnType() == boolean.class
+                                  ? (Object) false
+                                  : (Object) 0L)));
     }
 
     void list(Listing what) {
       events.add(to -> to.listing(what));
       long started = startedAt;
-      events.add(to -> to.member(COLD, "10.0.0.1:9", "z", "box", 0, State.UP, weight, cold == COLD ? started : 0));
+      events.add(
+          to ->
+              to.member(
+                  COLD, "10.0.0.1:9", "z", "box", 0, State.UP, weight, cold == COLD ? started : 0));
       if (warmUp) {
         events.add(to -> to.member(WARM, "10.0.0.2:9", "z", "box", 0, State.UP, warm, 0));
-        events.add(to -> to.member(PARENT, "10.0.0.3:9", "hub", "parent", 0, State.UP, weight,
-            cold == PARENT ? started : 0));
+        events.add(
+            to ->
+                to.member(
+                    PARENT,
+                    "10.0.0.3:9",
+                    "hub",
+                    "parent",
+                    0,
+                    State.UP,
+                    weight,
+                    cold == PARENT ? started : 0));
         events.add(to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, State.UP, 400, 0));
       }
       events.add(RoutingEvents.Events::listed);
@@ -191,8 +258,16 @@
         if (answer.at <= now) {
           answers.remove(answer);
           boolean has = answer.note != Note.NOTHING;
-          events.add(to -> to.ended(answer.get, 0, answer.cache, has ? Outcome.RETURNED : Outcome.NOT_STORED, 50 * MS,
-              has, answer.note));
+          events.add(
+              to ->
+                  to.ended(
+                      answer.get,
+                      0,
+                      answer.cache,
+                      has ? Outcome.RETURNED : Outcome.NOT_STORED,
+                      50 * MS,
+                      has,
+                      answer.note));
         }
       }
       if (wakeAt <= now) {
@@ -208,29 +283,34 @@
       control.round(now, to -> round.forEach(event -> event.accept(to)), this);
     }
 
-    @Override public void forward(long get, int cache, long until, int source, long age, int rank, int switches) {
+    @Override
+    public void forward(
+        long get, int cache, long until, int source, long age, int rank, int switches) {
       boolean filled = misses && source != cache;
       if (cache == cold || filled && source == cold) {
         sends.add(now);
         sent++;
       }
-      answers.add(new Answer(now + 50 * MS, get, cache, filled ? Note.FILLED : misses ? Note.NOTHING : Note.HIT));
+      answers.add(
+          new Answer(
+              now + 50 * MS, get, cache, filled ? Note.FILLED : misses ? Note.NOTHING : Note.HIT));
     }
 
-    @Override public void shed(long get, long wait) {
-    }
+    @Override
+    public void shed(long get, long wait) {}
 
-    @Override public void errored(long get) {
-    }
+    @Override
+    public void errored(long get) {}
 
-    @Override public void callOff(long get, int copy) {
-    }
+    @Override
+    public void callOff(long get, int copy) {}
 
-    @Override public void wake(long delay, String handle) {
+    @Override
+    public void wake(long delay, String handle) {
       wakeAt = now + delay;
     }
 
-    @Override public void watchList() {
-    }
+    @Override
+    public void watchList() {}
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -41,7 +41,8 @@
     assertEquals(0, cold.warmUp.debtSeconds);
     Route route = new Route(parts.endpoint(0), cold, false);
     assertEquals(0.3, slowStart.refundableSeconds(route, parts.trafficClass, START), 1e-9);
-    assertEquals(0, slowStart.refundableSeconds(new Route(cold, cold, false), parts.trafficClass, START));
+    assertEquals(
+        0, slowStart.refundableSeconds(new Route(cold, cold, false), parts.trafficClass, START));
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
 
-import org.amberpath.routing.RoutingEvents.State;
-import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
 import java.util.Objects;
 import java.util.stream.LongStream;
+import org.amberpath.routing.InFlightRequest.Purpose;
+import org.amberpath.routing.RoutingConfig.Effect;
+import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class SyntheticRouteSelectorTest {
@@ -33,7 +33,12 @@
   void aPrefetchGoesOnlyToTheColdEdgeThatTheObjectBelongsTo() {
     assertNull(prefetch(5), "all are warm");
     parts.update(1, State.UP, START);
-    Route route = LongStream.range(0, 50).mapToObj(this::prefetch).filter(Objects::nonNull).findFirst().orElse(null);
+    Route route =
+        LongStream.range(0, 50)
+            .mapToObj(this::prefetch)
+            .filter(Objects::nonNull)
+            .findFirst()
+            .orElse(null);
     assertNotNull(route);
     assertEquals(parts.endpoint(1), route.endpoint());
     assertEquals(Endpoint.Role.PARENT, route.source().role);
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -8,10 +8,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How old events are taken to be while the wall clock, or that of who stamps them, steps. Milliseconds. */
+/**
+ * How old events are taken to be while the wall clock, or that of who stamps them, steps.
+ * Milliseconds.
+ */
 class WallClockStepTest {
   private static final long MS = 1_000_000L, EPOCH = 1_764_576_000_000L, SLACK = 200;
-
   private long passed, step, stampStep;
   private EventAge ages = new EventAge(0, EPOCH);
 
@@ -57,8 +59,17 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"3600000, 0", "5000, 0", "3600000, 3600000", "5000, 5000", "-3600000, 0", "-5000, 0",
-      "-3600000, -3600000", "-5000, -5000", "0, -3600000"})
+  @CsvSource({
+    "3600000, 0",
+    "5000, 0",
+    "3600000, 3600000",
+    "5000, 5000",
+    "-3600000, 0",
+    "-5000, 0",
+    "-3600000, -3600000",
+    "-5000, -5000",
+    "0, -3600000"
+  })
   void afterAStepNothingLooksOlderThanItIs(long wall, long stamps) {
     pass(1000);
     purge(30, true);
