--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.base.DescribedPredicate.describe;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.tngtech.archunit.base.DescribedPredicate;
 import com.tngtech.archunit.core.domain.JavaClass;
@@ -11,51 +12,41 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import java.util.List;
 import java.util.Set;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * What keeps the rooms of the house apart: arrows point one way, and what decides does no I/O and
- * reads no clock.
- */
+/** The arrows between modules point one way; code that decides does no I/O and reads no clock. */
 class ArchitectureTest {
+  private static final String ROOT = "org.amberpath.";
   private static final JavaClasses ALL =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
-          .importPackages("amberpath");
+          .importPackages("org.amberpath");
 
-  /** Every package that decides: a new subsystem's pure half is added here. */
-  private static final String[] PURE = {
-    "amberpath",
-    "org.amberpath.registry",
-    "org.amberpath.membership",
-    "org.amberpath.leadership",
-    "org.amberpath.planning",
-    "org.amberpath.recovery"
-  };
+  /** Every package that decides: the pure half of a new subsystem is added here. */
+  private static final List<String> PURE =
+      List.of(
+          ROOT + "routing",
+          ROOT + "registry",
+          ROOT + "membership",
+          ROOT + "leadership",
+          ROOT + "planning",
+          ROOT + "recovery");
 
-  private static final String[] TOOLS = {"org.amberpath.cli..", "org.amberpath.lab.."};
-  private static final String[] SOCKETS = {
-    "org.amberpath.gateway..",
-    "org.amberpath.gateway.client..",
-    "org.amberpath.gateway.cache..",
-    "org.amberpath.gateway.discovery..",
-    "org.amberpath.gateway.simulation..",
-    "org.amberpath.gateway.settings.."
-  };
+  private static final String[] TOOLS = {ROOT + "cli..", ROOT + "lab.."};
+  private static final String GATEWAY = ROOT + "gateway..";
 
-  /** Main is the way in and decides nothing. */
   private static final DescribedPredicate<JavaClass> PURE_CLASS =
-      describe(
-          "in a pure package",
-          one ->
-              List.of(PURE).contains(one.getPackageName())
-                  && !one.getName().equals("org.amberpath.cli.Main"));
+      describe("in a pure package", one -> PURE.contains(one.getPackageName()));
 
   private static final DescribedPredicate<JavaClass> OUTSIDE =
       describe(
           "does I/O, threads or sockets",
           one -> {
-            String in = one.getPackageName(), name = one.getName();
+            String in = one.getPackageName();
+            String name = one.getName();
             return in.startsWith("io.")
                 || in.startsWith("java.net")
                 || in.startsWith("java.nio")
@@ -63,11 +54,11 @@
                 || in.startsWith("java.util.logging")
                 || in.startsWith("sun.")
                 || in.startsWith("com.")
-                || in.startsWith("org.")
+                || (in.startsWith("org.") && !in.startsWith(ROOT))
                 || name.equals("java.lang.Thread")
-                || in.equals("java.io")
+                || (in.equals("java.io")
                     && !name.equals("java.io.Serializable")
-                    && !name.startsWith("java.io.Print")
+                    && !name.startsWith("java.io.Print"))
                 || name.equals("java.util.Random")
                 || name.equals("java.time.Instant")
                 || name.equals("java.time.Clock");
@@ -82,114 +73,71 @@
                       .contains(call.getName()));
 
   @Test
-  void whatDecidesDoesNoInputOrOutput() {
-    noClasses().that(PURE_CLASS).should().dependOnClassesThat(OUTSIDE).check(ALL);
+  void everyPurePackageIsThere() {
+    for (String pure : PURE) {
+      assertTrue(ALL.stream().anyMatch(one -> one.getPackageName().equals(pure)), pure);
+    }
   }
 
   @Test
-  void whatDecidesIsToldTheTime() {
-    noClasses().that(PURE_CLASS).should().callMethodWhere(CLOCK).check(ALL);
-  }
-
-  @Test
-  void whatDecidesKnowsNoLiveHalf() {
-    noClasses()
-        .that(PURE_CLASS)
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "..live..",
-            "org.amberpath.gateway..",
-            "org.amberpath.gateway.client..",
-            "org.amberpath.gateway.cache..",
-            "org.amberpath.gateway.discovery..",
-            "org.amberpath.gateway.simulation..",
-            "org.amberpath.gateway.settings..")
-        .check(ALL);
-  }
-
-  @Test
-  void theCoreKnowsNothingElseOfTheHouse() {
-    noClasses()
-        .that(
-            describe(
-                "of the core",
-                one ->
-                    one.getPackageName().equals("amberpath")
-                        && !one.getName().equals("org.amberpath.cli.Main")))
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage("amberpath.*..")
-        .check(ALL);
+  void pureCodeDoesNoInputOrOutput() {
+    noClasses().that(PURE_CLASS).should().dependOnClassesThat(OUTSIDE).check(ALL);
   }
 
   @Test
-  void theGatewayKnowsNoSubsystemAboveIt() {
-    noClasses()
-        .that()
-        .resideInAnyPackage(SOCKETS)
-        .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "org.amberpath.registry..",
-            "org.amberpath.membership..",
-            "org.amberpath.leadership..",
-            "org.amberpath.planning..",
-            "org.amberpath.cli..",
-            "org.amberpath.lab..")
-        .check(ALL);
+  void pureCodeIsToldTheTime() {
+    noClasses().that(PURE_CLASS).should().callMethodWhere(CLOCK).check(ALL);
   }
 
   @Test
-  void theFleetKnowsNeitherRegistryNorPlanner() {
+  void pureCodeKnowsNoRuntimeHalf() {
     noClasses()
-        .that()
-        .resideInAnyPackage("org.amberpath.membership..")
+        .that(PURE_CLASS)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(
-            "org.amberpath.registry..",
-            "org.amberpath.leadership..",
-            "org.amberpath.planning..",
-            "org.amberpath.cli..",
-            "org.amberpath.lab..")
+        .resideInAnyPackage("..runtime..", GATEWAY)
         .check(ALL);
   }
 
   @Test
-  void theRegistryKnowsNoPlanner() {
+  void routingKnowsNoOtherModule() {
     noClasses()
         .that()
-        .resideInAnyPackage("org.amberpath.registry..")
+        .resideInAPackage(ROOT + "routing..")
         .should()
-        .dependOnClassesThat()
-        .resideInAnyPackage(
-            "org.amberpath.leadership..",
-            "org.amberpath.planning..",
-            "org.amberpath.cli..",
-            "org.amberpath.lab..")
+        .dependOnClassesThat(
+            describe(
+                "in another module",
+                one ->
+                    one.getPackageName().startsWith(ROOT)
+                        && !one.getPackageName().startsWith(ROOT + "routing")))
         .check(ALL);
   }
 
-  @Test
-  void theOwnerKnowsNoPlanner() {
+  @ParameterizedTest
+  @CsvSource({
+    "gateway, registry membership leadership planning recovery cli lab",
+    "membership, registry leadership planning cli lab",
+    "registry, leadership planning cli lab",
+    "leadership, planning cli lab",
+  })
+  void aModuleKnowsNoneAboveIt(String module, String above) {
+    String[] packages =
+        Stream.of(above.split(" ", -1)).map(one -> ROOT + one + "..").toArray(String[]::new);
     noClasses()
         .that()
-        .resideInAnyPackage("org.amberpath.leadership..")
+        .resideInAPackage(ROOT + module + "..")
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(
-            "org.amberpath.planning..", "org.amberpath.cli..", "org.amberpath.lab..")
+        .resideInAnyPackage(packages)
         .check(ALL);
   }
 
   @Test
-  void nothingButTheCommandLineKnowsTheLaboratory() {
+  void onlyTheCommandLineKnowsTheLab() {
     noClasses()
         .that()
         .resideOutsideOfPackages(TOOLS)
-        .and()
-        .doNotHaveFullyQualifiedName("org.amberpath.cli.Main")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(TOOLS)
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -7,8 +7,11 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -65,4 +68,27 @@
     assertTrue(line("build").startsWith("mvn -q -DskipTests package"));
     assertTrue(deploy.contains("\npackages = [] "));
   }
+
+  /** The interfaces between decisions and the rest hold none themselves. */
+  private static final Set<String> INTERFACES =
+      Set.of("RoutingEvents", "RoutingActions", "RoutingConfig", "EndpointListener");
+
+  @Test
+  void theFilesOfDecisionsAreAllNamedAndThere() throws IOException {
+    Matcher list = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deploy);
+    assertTrue(list.find());
+    Set<String> named = new TreeSet<>();
+    Matcher path = Pattern.compile("\"(.+?)\"").matcher(list.group(1));
+    while (path.find()) {
+      assertTrue(Files.exists(Path.of("..", path.group(1))), path.group(1));
+      named.add(path.group(1));
+    }
+    String folder = "routing/src/main/java/org/amberpath/routing";
+    try (Stream<Path> files = Files.list(Path.of("..", folder))) {
+      files
+          .map(file -> file.getFileName().toString())
+          .filter(name -> !INTERFACES.contains(name.replace(".java", "")))
+          .forEach(name -> assertTrue(named.contains(folder + "/" + name), name));
+    }
+  }
 }
