--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -113,12 +113,12 @@
       }
       DeploymentFile settings = DeploymentFile.read(file);
       RegistrySettings registry = settings.registry();
-      EndpointSource.Maker source =
+      EndpointSource.Factory source =
           registry == null
               ? null
               : (vertx, to, seed) -> new RegistrySource(vertx, registry, to, seed);
       MembershipSettings fleet = settings.fleet();
-      FleetCoordinator.Maker company =
+      FleetCoordinator.Factory company =
           fleet == null
               ? null
               : (vertx, options, to) ->
@@ -127,7 +127,9 @@
           System.getenv(),
           System.err,
           new GatewayExtensions(source, company),
-          registry == null || settings.journalBeside());
+          registry == null || settings.journalBeside()
+              ? Server.JournalMode.POLLED
+              : Server.JournalMode.UNUSED);
       return GOES_ON;
     }
 
--- a/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
@@ -13,45 +13,46 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * How many accepted connections may hold a descriptor at a time, and since when others may have
- * waited in the accept queue. All of it is used on the event loop that accepts.
+ * Bounds how many accepted connections hold a descriptor at a time, and knows since when others may
+ * have waited in the accept queue. Confined to the event loop that accepts. Times are nanoseconds
+ * of the clock it is given.
  */
 final class AcceptLimit {
   private static final AttributeKey<Long> QUEUED_NANOS =
       AttributeKey.valueOf("amberpath.queuedNanos");
 
-  private final int most;
+  private final int maxConnections;
   private final LongSupplier clock;
   private final LocalBackoff backoff = new LocalBackoff();
-  private final Map<SocketChannel, DuplexChannel> open = new LinkedHashMap<>();
+  private final Map<SocketChannel, DuplexChannel> openChannels = new LinkedHashMap<>();
 
-  /** Closed ones whose descriptor the selector holds until it selects again. */
-  private final List<SocketChannel> closing = new ArrayList<>();
+  /** Closed sockets whose descriptor the selector holds until it selects again. */
+  private final List<SocketChannel> releasing = new ArrayList<>();
 
   private boolean paused;
-  private long pausedAt;
+  private long pausedAtNanos;
 
-  AcceptLimit(int most, LongSupplier clock) {
-    this.most = most;
+  AcceptLimit(int maxConnections, LongSupplier clock) {
+    this.maxConnections = maxConnections;
     this.clock = clock;
   }
 
   /**
-   * For how long a connection may have waited in the accept queue while nothing was accepted; 0
-   * mostly.
+   * For how long a connection may have waited in the accept queue through a pause; 0 where there
+   * was none.
    */
   static long queuedNanos(NetSocket socket) {
-    Long waited =
+    Long queuedNanos =
         ((NetSocketInternal) socket).channelHandlerContext().channel().attr(QUEUED_NANOS).get();
-    return waited == null ? 0 : waited;
+    return queuedNanos == null ? 0 : queuedNanos;
   }
 
   /**
-   * For how long whatever waits in the accept queue may have waited there; 0 where it was seen to
-   * be empty since.
+   * For how long what waits in the accept queue may have waited there; 0 where the queue was empty
+   * since the last pause.
    */
-  long pausedNanos(long now) {
-    return paused ? Math.max(0, now - pausedAt) : 0;
+  long pausedNanos(long nowNanos) {
+    return paused ? Math.max(0, nowNanos - pausedAtNanos) : 0;
   }
 
   /** Whether what is accepted now may have waited through a pause. */
@@ -59,57 +60,61 @@
     return paused;
   }
 
-  /** Whether one more may be accepted now. */
-  boolean hasRoom() {
-    closing.removeIf(one -> !one.isRegistered());
-    return open.size() + closing.size() < most;
+  /** Whether one more connection may be accepted now. */
+  boolean hasCapacity() {
+    releasing.removeIf(socket -> !socket.isRegistered());
+    return openChannels.size() + releasing.size() < maxConnections;
   }
 
   /**
-   * The oldest one whose client has been told of its end, if newcomers are to have its place; else
-   * null. They are not where most have been ended: the gateway stops then, and what is on its way
-   * to clients goes before newcomers.
+   * The oldest half-closed connection, if a new one may take its descriptor; else null. It may not
+   * where most connections are half-closed: the gateway shuts down then, and what is on its way to
+   * clients goes before new connections.
    */
-  DuplexChannel oldestEnded() {
-    List<DuplexChannel> ended =
-        open.values().stream().filter(DuplexChannel::isOutputShutdown).toList();
-    return ended.isEmpty() || ended.size() > most / 2 ? null : ended.get(0);
+  DuplexChannel oldestHalfClosed() {
+    List<DuplexChannel> halfClosed =
+        openChannels.values().stream().filter(DuplexChannel::isOutputShutdown).toList();
+    return halfClosed.isEmpty() || halfClosed.size() > maxConnections / 2
+        ? null
+        : halfClosed.get(0);
   }
 
-  /** Whether closed ones still hold a descriptor. */
+  /** Whether closed connections still hold a descriptor. */
   boolean isReleasing() {
-    return !closing.isEmpty();
+    return !releasing.isEmpty();
   }
 
-  /** Nothing is accepted from now on, though connections may wait. */
-  void paused() {
+  /** Accepting pauses from now on, though connections may wait in the queue. */
+  void pause() {
     if (!paused) {
       paused = true;
-      pausedAt = clock.getAsLong();
+      pausedAtNanos = clock.getAsLong();
     }
   }
 
-  /** The accept queue was seen to be empty. */
-  void emptied() {
+  /** The accept queue is empty: whatever comes from now on has not waited through a pause. */
+  void queueEmptied() {
     paused = false;
     backoff.ended();
   }
 
-  /** An accept failed; returns for how many milliseconds none is tried. */
-  long failed() {
-    paused();
+  /** An accept failed; returns the backoff in milliseconds. */
+  long acceptFailed() {
+    pause();
     return backoff.failed();
   }
 
+  /** A connection was accepted and holds a descriptor from now on. */
   void accepted(DuplexChannel channel, SocketChannel socket) {
-    open.put(socket, channel);
+    openChannels.put(socket, channel);
     channel.attr(QUEUED_NANOS).set(pausedNanos(clock.getAsLong()));
     backoff.ended();
   }
 
+  /** A connection was closed; its descriptor is free after the next select. */
   void closed(SocketChannel socket) {
-    if (open.remove(socket) != null) {
-      closing.add(socket);
+    if (openChannels.remove(socket) != null) {
+      releasing.add(socket);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.amberpath.gateway.client.ClientConnection;
@@ -10,80 +9,94 @@
 import org.amberpath.routing.SocketReads;
 
 /**
- * Second stage: what can't be meant for the decisions, or passes the bound told, is answered here.
+ * Second stage: answers requests that the router cannot decide on, or that exceed the bound on
+ * requests in flight, and admits the others.
  */
 final class AdmissionControl {
   private static final Logger LOG = Logger.getLogger(AdmissionControl.class.getName());
 
-  private final JsonRoutingConfig site;
-  private final int mostOpen;
-  private final InFlightRequests book;
-  private final RoutingStage route;
+  private final JsonRoutingConfig config;
+  private final int maxInFlight;
+  private final InFlightRequests inFlight;
+  private final RoutingStage routingStage;
 
-  /** Own GETs are made of what it lets in; null where none are made. */
-  private SyntheticRequests own;
+  /** Learns from admitted requests; null where the gateway makes no synthetic ones. */
+  private SyntheticRequests syntheticRequests;
 
   private SocketReads.Backlog lastBacklog;
 
   AdmissionControl(
-      JsonRoutingConfig site, int mostOpen, InFlightRequests book, RoutingStage route) {
-    this.site = site;
-    this.mostOpen = mostOpen;
-    this.book = book;
-    this.route = route;
+      JsonRoutingConfig config,
+      int maxInFlight,
+      InFlightRequests inFlight,
+      RoutingStage routingStage) {
+    this.config = config;
+    this.maxInFlight = maxInFlight;
+    this.inFlight = inFlight;
+    this.routingStage = routingStage;
   }
 
-  void showTo(SyntheticRequests to) {
-    own = to;
+  /** From now on admitted requests are shown to these. */
+  void setSyntheticRequests(SyntheticRequests synthetic) {
+    syntheticRequests = synthetic;
   }
 
   /**
-   * A request that was read now, by a loop that was so late. Its failure takes no other request's
-   * answer.
+   * Admits, rejects or fails a request that was read now. A failure on it affects no other request.
+   *
+   * @param lagNanos the event loop's lag for this client
    */
-  void get(ClientConnection from, long number, DecodedRequest asked, long now, long lag) {
-    SocketReads.Backlog backlog = backlog(from, now, lag);
-    long due =
-        RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
-    int ds = site.service(asked.service());
-    if (ds < 0) {
-      from.refuse(number, "no delivery service " + asked.service());
-    } else if (book.holds(new String(asked.ref(), StandardCharsets.ISO_8859_1))) {
-      // Guards against an answer to one GET that is taken for another's.
-      from.refuse(number, "ref: open already");
-    } else if (book.unanswered() >= mostOpen) {
-      from.shed(number, 0);
-    } else if (RequestDeadline.isTooShort(due - now)) {
-      from.shed(number, 0);
+  void receive(
+      ClientConnection client,
+      long messageId,
+      DecodedRequest decoded,
+      long nowNanos,
+      long lagNanos) {
+    SocketReads.Backlog backlog = backlog(client, nowNanos, lagNanos);
+    long waitedNanos = backlog == null ? lagNanos : nowNanos - backlog.since();
+    long deadlineNanos = RequestDeadline.of(nowNanos, waitedNanos, decoded.allow());
+    int trafficClass = config.service(decoded.service());
+    if (trafficClass < 0) {
+      client.refuse(messageId, "no delivery service " + decoded.service());
+    } else if (inFlight.containsReference(ClientRequest.referenceOf(decoded))) {
+      // Guards against a response to one request that is taken for another's.
+      client.refuse(messageId, "ref: open already");
+    } else if (inFlight.unansweredCount() >= maxInFlight
+        || RequestDeadline.isTooShort(deadlineNanos - nowNanos)) {
+      client.shed(messageId, 0);
     } else {
-      ClientRequest get = new ClientRequest(book.nextId(), from, number, asked, ds, due);
-      get.takenAt = now;
-      get.backlog = backlog;
-      book.open(get);
-      route.get(get);
-      saw(get);
+      ClientRequest request =
+          new ClientRequest(
+              inFlight.nextId(), client, messageId, decoded, trafficClass, deadlineNanos);
+      request.receivedAtNanos = nowNanos;
+      request.backlog = backlog;
+      inFlight.add(request);
+      routingStage.route(request);
+      recordForSyntheticRequests(request);
     }
   }
 
   /**
-   * With what a request waited unread, if the loop was late just now or the rest of that is still
-   * being read.
+   * What a request waited with, unread, if the loop lagged just now or the rest of that is still
+   * being read; null otherwise.
    */
-  private SocketReads.Backlog backlog(ClientConnection from, long now, long lag) {
-    if (SocketReads.mustSettle(lag)) {
-      lastBacklog = new SocketReads.Backlog(now - lag, now);
+  private SocketReads.Backlog backlog(ClientConnection client, long nowNanos, long lagNanos) {
+    if (SocketReads.mustSettle(lagNanos)) {
+      lastBacklog = new SocketReads.Backlog(nowNanos - lagNanos, nowNanos);
       return lastBacklog;
     }
-    return lastBacklog != null && lastBacklog.mayGoOn(now) ? book.backlog(from, now) : null;
+    return lastBacklog != null && lastBacklog.mayGoOn(nowNanos)
+        ? inFlight.backlog(client, nowNanos)
+        : null;
   }
 
-  private void saw(ClientRequest get) {
+  private void recordForSyntheticRequests(ClientRequest request) {
     try {
-      if (own != null) {
-        own.saw(get);
+      if (syntheticRequests != null) {
+        syntheticRequests.addRecent(request);
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a request was not kept for synthetic ones", e);
+      LOG.log(Level.SEVERE, "a request was not recorded for synthetic requests", e);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -1,115 +1,134 @@
 package org.amberpath.gateway;
 
-import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import org.amberpath.gateway.cache.CacheCommand;
-import org.amberpath.gateway.cache.CachePool;
-import org.amberpath.routing.EndpointListener;
+import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.Outcome;
 
-/** Fourth stage: forwards go to the caches, and each ends once with its outcome. */
-final class AttemptSender {
+/** Fourth stage: sends attempts to endpoints; each ends once, with its outcome. */
+final class AttemptSender implements OutboundAttempt.Listener {
   private static final Logger LOG = Logger.getLogger(AttemptSender.class.getName());
-  private static final String[] SWITCHES = {"join", "held", "nocopy", "renew"};
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final int USUAL_FIELDS_BYTES = 160;
 
-  private final Vertx vertx;
-  private final Clock clock;
-  private final EventLoopLagMonitor standstill;
-  private final CacheEndpoints caches;
-  private final ResponseWriter relay;
-  private final InFlightRequests book;
-  private final RoutingConfig site;
-  private RoutingStage route;
+  /** The endpoints' names for the bits of {@link AttemptParameters#flags()}. */
+  private static final String[] FLAG_NAMES = {"join", "held", "nocopy", "renew"};
+
+  private final PipelineContext context;
+  private final CacheEndpoints endpoints;
+  private final ResponseWriter responseWriter;
+  private final RoutingConfig config;
+  private RoutingStage routingStage;
 
   AttemptSender(
-      Vertx vertx,
-      Clock clock,
-      EventLoopLagMonitor standstill,
-      CacheEndpoints caches,
-      ResponseWriter relay,
-      InFlightRequests book,
-      RoutingConfig site) {
-    this.vertx = vertx;
-    this.clock = clock;
-    this.standstill = standstill;
-    this.caches = caches;
-    this.relay = relay;
-    this.book = book;
-    this.site = site;
+      PipelineContext context,
+      CacheEndpoints endpoints,
+      ResponseWriter responseWriter,
+      RoutingConfig config) {
+    this.context = context;
+    this.endpoints = endpoints;
+    this.responseWriter = responseWriter;
+    this.config = config;
   }
 
-  void endingsTo(RoutingStage to) {
-    route = to;
+  /** Sets the stage that is notified of outcomes; called once, before anything is sent. */
+  void setRoutingStage(RoutingStage stage) {
+    routingStage = stage;
   }
 
-  void forward(
-      ClientRequest get, int cache, long until, int source, long age, int rank, int switches) {
-    if (get == null) {
+  /**
+   * Makes an attempt; does nothing for a request that is finished (null). One past the bound on
+   * attempts, or of an answered request, ends as not sent.
+   */
+  void send(ClientRequest request, AttemptParameters parameters) {
+    if (request == null) {
       return;
     }
-    long now = clock.now();
-    long end = until <= 0 ? get.due : Math.min(until, get.due);
-    byte[] fields = fields(get, cache, source, age, rank, switches);
-    Sent sent = new Sent(get, get.forwards.size(), cache, source, now, end, fields);
-    get.forwards.add(sent);
-    get.out++;
-    if (get.answered || sent.copy >= site.maxForwards()) {
-      sent.ended(Outcome.NOT_SENT, Note.NOTHING, null);
+    long nowNanos = context.clock().now();
+    OutboundAttempt attempt = create(request, parameters, nowNanos);
+    request.attempts.add(attempt);
+    request.pendingAttempts++;
+    if (request.answered || attempt.plan.index() >= config.maxForwards()) {
+      attempt.skip();
       return;
     }
-    sent.timer =
-        vertx.setTimer(Math.max(1, (end - now + 999_999) / 1_000_000), late -> sent.late());
-    try {
-      sent.pool.send(sent);
-    } catch (
-        RuntimeException e) { // Guards the GET against an attempt that neither goes out nor ends.
-      LOG.log(Level.SEVERE, "sending failed", e);
-      sent.givenUp(sent.isWritten() ? Outcome.LOST : Outcome.NOT_SENT, false);
-    }
+    attempt.timeoutTimer =
+        context
+            .vertx()
+            .setTimer(
+                millisRoundedUp(attempt.plan.deadlineNanos() - nowNanos),
+                timer -> attempt.timeOut());
+    attempt.send();
   }
 
-  /** What was held back while news was too old goes on. */
-  void again() {
-    caches.again();
+  private static long millisRoundedUp(long nanos) {
+    return Math.max(1, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 
-  private byte[] fields(
-      ClientRequest get, int cache, int source, long age, int rank, int switches) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream(160);
-    put(out, "kind=", get.asked.service().getBytes(StandardCharsets.UTF_8));
-    put(out, ",obj=", get.asked.object());
-    put(out, ",seg=", get.asked.part());
-    if (source != cache) {
-      put(out, ",miss=", caches.id(source));
-    }
-    if (rank > 0) {
-      put(out, ",prio=", Integer.toString(rank));
+  private OutboundAttempt create(
+      ClientRequest request, AttemptParameters parameters, long nowNanos) {
+    long untilNanos = parameters.untilNanos();
+    OutboundAttempt.Plan plan =
+        new OutboundAttempt.Plan(
+            request,
+            request.attempts.size(),
+            parameters.endpoint(),
+            parameters.source(),
+            nowNanos,
+            context.lagMonitor().totalLagNanos(),
+            untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
+            !config.neverKept(request.trafficClass));
+    return new OutboundAttempt(
+        plan, encodeFields(request, parameters), endpoints.pool(parameters.endpoint()), this);
+  }
+
+  /** Sends what was deferred while discovery or the sockets had to be read first. */
+  void sendDeferred() {
+    endpoints.again();
+  }
+
+  /** The fields of the endpoints' protocol, without the time that is left. */
+  private byte[] encodeFields(ClientRequest request, AttemptParameters parameters) {
+    DecodedRequest decoded = request.decoded;
+    ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_FIELDS_BYTES);
+    put(out, "kind=", decoded.service());
+    put(out, ",obj=", decoded.object());
+    put(out, ",seg=", decoded.part());
+    if (parameters.source() != parameters.endpoint()) {
+      put(out, ",miss=", endpoints.id(parameters.source()));
     }
-    if (age > 0) {
-      put(out, ",within=", Long.toString(Math.max(1, age / 1_000_000)));
+    if (parameters.priority() > 0) {
+      put(out, ",prio=", Integer.toString(parameters.priority()));
     }
-    String word = ",f=";
-    for (int bit = 0; bit < SWITCHES.length; bit++) {
-      if ((switches & 1 << bit) != 0) {
-        put(out, word, SWITCHES[bit]);
-        word = "+";
-      }
+    if (parameters.maxAgeNanos() > 0) {
+      long maxAgeMillis = Math.max(1, parameters.maxAgeNanos() / NANOS_PER_MILLI);
+      put(out, ",within=", Long.toString(maxAgeMillis));
     }
-    if (get.asked.known().length > 0) {
-      put(out, ",mine=", get.asked.known());
+    putFlags(out, parameters.flags());
+    if (decoded.known().length > 0) {
+      put(out, ",mine=", decoded.known());
     }
-    if (get.asked.token().length > 0) { // Caches know by it what they have run already.
-      put(out, ",token=", get.asked.token());
+    if (decoded.token().length > 0) { // The idempotency key: endpoints know by it what they ran.
+      put(out, ",token=", decoded.token());
     }
     return out.toByteArray();
   }
 
+  private static void putFlags(ByteArrayOutputStream out, int flags) {
+    String separator = ",f=";
+    for (int bit = 0; bit < FLAG_NAMES.length; bit++) {
+      if ((flags & 1 << bit) != 0) {
+        put(out, separator, FLAG_NAMES[bit]);
+        separator = "+";
+      }
+    }
+  }
+
   private static void put(ByteArrayOutputStream out, String name, String value) {
     put(out, name, value.getBytes(StandardCharsets.UTF_8));
   }
@@ -119,108 +138,51 @@
     out.writeBytes(value);
   }
 
-  /** No forward of this GET begins after that. */
-  void sendBy(ClientRequest get, long time) {
-    if (get != null) {
-      get.sendBy = time;
+  /** Lets no attempt of a request that is made from now on begin after a clock time. */
+  void setSendBy(ClientRequest request, long timeNanos) {
+    if (request != null) {
+      request.sendByNanos = timeNanos;
     }
   }
 
-  void callOff(ClientRequest get, int copy) {
-    if (get != null && copy < get.forwards.size()) {
-      get.forwards.get(copy).givenUp(Outcome.CALLED_OFF, false);
+  /** Cancels one attempt of a request, if it has not ended. */
+  void cancel(ClientRequest request, int index) {
+    if (request != null && index < request.attempts.size()) {
+      request.attempts.get(index).cancel();
     }
   }
 
-  /** One forward, from the decision to its one outcome. */
-  final class Sent extends CacheCommand {
-    final ClientRequest get;
-    final int copy, cache, source;
-    private final CachePool pool;
-    private final long sentAt, stoodBefore, sendBy, end;
-    private long timer = -1;
-    private boolean ended;
-
-    Sent(
-        ClientRequest get,
-        int copy,
-        int cache,
-        int source,
-        long sentAt,
-        long until,
-        byte[] fields) {
-      super(get.asked.ref(), fields, get.asked.known(), get.asked.body(), until, get.forwards);
-      sendBy = get.sendBy;
-      end = until;
-      this.get = get;
-      this.copy = copy;
-      this.cache = cache;
-      this.source = source;
-      pool = caches.pool(cache);
-      this.sentAt = sentAt;
-      stoodBefore = standstill.soFar();
-    }
-
-    boolean isPurged(long object, int group) {
-      return group == EndpointListener.EVERYTHING
-          || (object != 0 ? object == get.asked.objectId() : group == get.asked.group());
-    }
-
-    @Override
-    protected boolean asksForCopy() {
-      return !site.neverKept(get.ds);
-    }
-
-    @Override
-    protected boolean isOver(long now) {
-      return get.answered || now > sendBy || now >= end;
-    }
-
-    private void late() {
-      givenUp(isWritten() ? Outcome.NO_ANSWER : pool.unsentOutcome(), true);
-    }
-
-    private void givenUp(Outcome outcome, boolean late) {
-      if (!ended) {
-        try {
-          pool.giveUp(this, late);
-        } catch (RuntimeException e) {
-          LOG.log(Level.SEVERE, "giving an attempt up failed", e);
-        }
-        ended(outcome, Note.NOTHING, null);
-      }
-    }
-
-    /**
-     * Guards the connection to the cache, and what else is open on it, against trouble at one
-     * client.
-     */
-    private void returned(Buffer body) {
-      try {
-        relay.returned(get, body);
-      } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "an answer was not written", e);
-      }
-    }
+  /** The first response goes to the client; the router is notified of every outcome. */
+  @Override
+  public void attemptEnded(OutboundAttempt attempt, Outcome outcome, Note note, Buffer body) {
+    OutboundAttempt.Plan plan = attempt.plan;
+    ClientRequest request = plan.request();
+    context.vertx().cancelTimer(attempt.timeoutTimer);
+    request.pendingAttempts--;
+    request.endpointResponded |= outcome == Outcome.RETURNED || outcome == Outcome.NOT_STORED;
+    if (outcome == Outcome.RETURNED) {
+      writeResponse(request, body);
+    }
+    // Guards endpoints against the blame for what this gateway read late.
+    long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagBeforeNanos();
+    long tookNanos = Math.max(0, context.clock().now() - plan.startedAtNanos() - lagNanos);
+    boolean answered = request.answered;
+    routingStage.enqueue(
+        request,
+        events ->
+            events.ended(
+                request.id, plan.index(), plan.endpoint(), outcome, tookNanos, answered, note));
+    context.inFlight().removeIfFinished(request);
+  }
 
-    /** The first good answer goes to the client; the decisions hear of every ending. */
-    @Override
-    protected void ended(Outcome outcome, Note note, Buffer body) {
-      if (ended) {
-        return;
-      }
-      ended = true;
-      vertx.cancelTimer(timer);
-      get.out--;
-      get.heard |= outcome == Outcome.RETURNED || outcome == Outcome.NOT_STORED;
-      if (outcome == Outcome.RETURNED) {
-        returned(body);
-      }
-      // Guards caches against the blame for what this gateway read late.
-      long took = Math.max(0, clock.now() - sentAt - (standstill.soFar() - stoodBefore));
-      boolean settled = get.answered;
-      route.arrived(get, to -> to.ended(get.id, copy, cache, outcome, took, settled, note));
-      book.close(get);
+  /**
+   * Guards the endpoint's connection, and what else is in flight on it, against a client's fault.
+   */
+  private void writeResponse(ClientRequest request, Buffer body) {
+    try {
+      responseWriter.returned(request, body);
+    } catch (RuntimeException e) {
+      LOG.log(Level.SEVERE, "a response could not be written", e);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
@@ -13,18 +13,26 @@
 import java.util.logging.Logger;
 
 /**
- * A listening socket that accepts no connection past a bound and goes on as soon as one is gone.
- * After an accept that failed it tries again within milliseconds; the library's own answer is to
+ * A listening socket that accepts no connection past an {@link AcceptLimit} and resumes as soon as
+ * a descriptor is free. It retries a failed accept within milliseconds, where the library would
  * accept nothing for a whole second.
  */
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
   private final SystemCalls calls;
   private final AcceptLimit limit;
+
+  /** Whether the last accept failed: the failure is logged once. */
   private boolean failing;
+
+  /** Whether the limit was reached, and no descriptor has become free since. */
   private boolean full;
-  private boolean releasing;
-  private boolean retrying;
+
+  /** Whether {@link #afterSelect} is scheduled. */
+  private boolean awaitingSelect;
+
+  /** Whether a retry of a failed accept is scheduled. */
+  private boolean retryScheduled;
 
   BoundedServerChannel(SystemCalls calls, AcceptLimit limit) {
     this.calls = calls;
@@ -33,11 +41,11 @@
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
-    if (!limit.hasRoom()) {
+    if (!limit.hasCapacity()) {
       full = true;
       pause();
-      makeRoom();
-      release();
+      closeOldestHalfClosed();
+      resumeAfterSelect();
       return 0;
     }
     SocketChannel socket;
@@ -51,107 +59,106 @@
       return 0;
     }
     if (socket == null) {
-      limit.emptied();
+      limit.queueEmptied();
       failing = false;
       return 0;
     }
     failing = false;
-    return take(socket, accepted);
+    return register(socket, accepted);
   }
 
   /**
-   * After a pause the queue is read to its end, so that later connections are not taken for ones
-   * that waited.
+   * After a pause the accept queue is read to its end, so that later connections are not taken for
+   * ones that waited through it.
    */
   @Override
   protected boolean continueReading(RecvByteBufAllocator.Handle handle) {
     return limit.isPaused() || super.continueReading(handle);
   }
 
-  private int take(SocketChannel socket, List<Object> accepted) throws IOException {
+  private int register(SocketChannel socket, List<Object> accepted) throws IOException {
     try {
-      Accepted child = new Accepted(socket);
-      limit.accepted(child, socket);
-      accepted.add(child);
+      ClientChannel channel = new ClientChannel(socket);
+      limit.accepted(channel, socket);
+      accepted.add(channel);
       return 1;
-    } catch (RuntimeException e) { // It was reset meanwhile, so its options can't be set.
+    } catch (RuntimeException e) { // The client has reset it, so its options can't be set.
       socket.close();
       return 0;
     }
   }
 
   private void pause() {
-    limit.paused();
+    limit.pause();
     config().setAutoRead(false);
   }
 
   private void retry(IOException failure) {
     if (!failing) {
       failing = true;
-      LOG.warning("accept: " + failure.getMessage() + "; tried again within milliseconds");
+      LOG.warning("accept: " + failure.getMessage() + "; retried within milliseconds");
     }
-    long pauseMillis = limit.failed();
+    long backoffMillis = limit.acceptFailed();
     pause();
-    if (!retrying) {
-      retrying = true;
+    if (!retryScheduled) {
+      retryScheduled = true;
       eventLoop()
           .schedule(
               () -> {
-                retrying = false;
+                retryScheduled = false;
                 resume();
               },
-              pauseMillis,
+              backoffMillis,
               TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Goes on, and looks at the queue at once: so it is known whether anything waited there. */
+  /** Resumes, and reads the queue at once: so it is known whether anything waited there. */
   private void resume() {
-    if (isOpen() && !retrying) {
+    if (isOpen() && !retryScheduled) {
       config().setAutoRead(true);
       unsafe().read();
     }
   }
 
   /**
-   * Guards newcomers against connections that have been ended and only wait for their clients to
-   * close.
+   * Guards new connections against half-closed ones, which only wait for their clients to close.
    */
-  private void makeRoom() {
-    if (full && !limit.hasRoom()) {
-      Channel ended = limit.oldestEnded();
-      if (ended != null) {
-        ended.close();
+  private void closeOldestHalfClosed() {
+    if (full && !limit.hasCapacity()) {
+      Channel halfClosed = limit.oldestHalfClosed();
+      if (halfClosed != null) {
+        halfClosed.close();
       }
     }
   }
 
   /**
-   * Goes on once the selector has let go of a descriptor, which it does when it selects: by the
+   * Resumes once the selector has released a descriptor, which it does when it selects: by the
    * loop's next turn.
    */
-  private void release() {
-    if (full && !releasing && isOpen() && limit.isReleasing()) {
-      releasing = true;
-      eventLoop().schedule(this::released, 0, TimeUnit.MILLISECONDS);
+  private void resumeAfterSelect() {
+    if (full && !awaitingSelect && isOpen() && limit.isReleasing()) {
+      awaitingSelect = true;
+      eventLoop().schedule(this::afterSelect, 0, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void released() {
-    releasing = false;
-    if (limit.hasRoom()) {
+  private void afterSelect() {
+    awaitingSelect = false;
+    if (limit.hasCapacity()) {
       full = false;
       resume();
     } else {
-      release();
+      resumeAfterSelect();
     }
   }
 
-  /** A client's connection, which counts until its descriptor is gone. */
-  private final class Accepted extends NioSocketChannel {
+  /** A client's connection, which counts against the limit until its descriptor is released. */
+  private final class ClientChannel extends NioSocketChannel {
     private final SocketChannel socket;
 
-    Accepted(SocketChannel socket) {
+    ClientChannel(SocketChannel socket) {
       super(BoundedServerChannel.this, socket);
       this.socket = socket;
     }
@@ -162,15 +169,15 @@
         super.doClose();
       } finally {
         limit.closed(socket);
-        release();
+        resumeAfterSelect();
       }
     }
 
     @Override
     public ChannelFuture shutdownOutput(ChannelPromise promise) {
-      ChannelFuture told = super.shutdownOutput(promise);
-      makeRoom();
-      return told;
+      ChannelFuture halfClosed = super.shutdownOutput(promise);
+      closeOldestHalfClosed();
+      return halfClosed;
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -173,7 +173,7 @@
   public void listed() {
     told = true;
     List<Consumer<Events>> news = List.copyOf(list);
-    route.told(
+    route.enqueueDiscovery(
         to -> {
           news.forEach(one -> one.accept(to));
           to.listed();
@@ -182,7 +182,7 @@
     for (Entry entry : byId.values()) {
       if (entry.pool != null) {
         entry.pool.fail(
-            want -> entry.state != State.UP || !up((AttemptSender.Sent) want), Outcome.HELD_BACK);
+            want -> entry.state != State.UP || !up((OutboundAttempt) want), Outcome.HELD_BACK);
       }
     }
     most =
@@ -190,8 +190,8 @@
             (int) byId.values().stream().filter(one -> one.state != State.GONE).count());
   }
 
-  private boolean up(AttemptSender.Sent sent) {
-    Entry source = entries.get(sent.source);
+  private boolean up(OutboundAttempt sent) {
+    Entry source = entries.get(sent.plan.source());
     return source != null && source.state == State.UP;
   }
 
@@ -201,15 +201,14 @@
     if (clock.corrected()) {
       tellStarts();
     }
-    route.told(to -> to.purged(object, group, clock.now() - purgedAt));
+    route.enqueueDiscovery(to -> to.purged(object, group, clock.now() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done
     // before.
     pools()
         .forEach(
             pool ->
                 pool.fail(
-                    want -> ((AttemptSender.Sent) want).isPurged(object, group),
-                    Outcome.HELD_BACK));
+                    want -> ((OutboundAttempt) want).isPurged(object, group), Outcome.HELD_BACK));
   }
 
   /**
@@ -226,7 +225,7 @@
         later.add(entry.telling.apply(startedAt));
       }
     }
-    route.told(
+    route.enqueueDiscovery(
         to -> {
           to.listing(Listing.CHANGES);
           later.forEach(one -> one.accept(to));
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -7,164 +7,184 @@
 import org.amberpath.gateway.client.ClientConnection;
 
 /**
- * The clients' connections: bounded in number, and in the time for a whole message that is owed.
+ * All connections of clients: bounded in their number, and in the time that a client may take for
+ * one whole message.
  */
 final class ClientConnections {
-  /** Clients that break the protocol are owed a close within 3 s; this and one sweep stay below. */
-  private static final long MESSAGE_NS = 2_000_000_000L;
+  /** What is done with requests and with new connections. */
+  private enum Mode {
+    /** Requests are taken. */
+    SERVING,
+    /** Each request that is read is rejected. */
+    REJECTING,
+    /** All connections are half-closed, new ones at once. */
+    ENDED
+  }
+
+  /** Clients that break the protocol are closed within 3 s; this and one sweep stay below that. */
+  private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
 
-  private static final long READ_MS = 2;
+  /** How long the loop reads once more from a connection that is to be evicted. */
+  private static final long LAST_READ_MILLIS = 2;
 
   /**
-   * Connections held beside the bound: those about to go, and those whose clients read their last
-   * answers.
+   * Connections held in addition to the bound: those about to be evicted, and those whose clients
+   * read their last responses.
    */
-  static final int SPARE = 8;
+  static final int SPARE_CONNECTIONS = 8;
 
   private final Vertx vertx;
-  private final int most;
+  private final int maxConnections;
   private final Clock clock;
-  private final Set<ClientConnection> all = new LinkedHashSet<>();
+  private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** Those that go as soon as all is read that had come by now. */
-  private final Set<ClientConnection> leaving = new LinkedHashSet<>();
+  /** Open ones that are evicted as soon as all is read that had come by then. */
+  private final Set<ClientConnection> evicting = new LinkedHashSet<>();
 
   /** Those that take nothing more and still hold a descriptor, the oldest first. */
-  private final Set<ClientConnection> ending = new LinkedHashSet<>();
+  private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
-  private boolean rejects, over;
+  private Mode mode = Mode.SERVING;
 
-  ClientConnections(Vertx vertx, int most, Clock clock) {
+  ClientConnections(Vertx vertx, int maxConnections, Clock clock) {
     this.vertx = vertx;
-    this.most = most;
+    this.maxConnections = maxConnections;
     this.clock = clock;
   }
 
   /**
-   * Guards the descriptors: past their bound the connection of least use goes, not the newest good
-   * one. At every instant no more are held than the bound and SPARE, beside the one that has just
-   * come.
+   * Adds a connection that was accepted. Guards the descriptors: past their bound the least useful
+   * connection is evicted, not the newest good one. At every instant no more are held than the
+   * bound and {@link #SPARE_CONNECTIONS}, beside the one that was just accepted.
    */
-  void add(ClientConnection fresh) {
-    all.add(fresh);
-    if (rejects) {
-      fresh.reject();
+  void add(ClientConnection added) {
+    open.add(added);
+    if (mode != Mode.SERVING) {
+      added.reject();
     }
-    if (over) {
-      fresh.end();
-      if (size() > most + SPARE) {
-        fresh.close(); // It is owed nothing: nothing of it was read.
+    if (mode == Mode.ENDED) {
+      added.end();
+      if (isOverSpare()) {
+        added.close(); // It is owed nothing: nothing of it was read.
       }
       return;
     }
-    if (all.size() - leaving.size() > most) {
-      leave(leastUseful(fresh));
+    if (open.size() - evicting.size() > maxConnections) {
+      startEvicting(leastUseful(added));
     }
-    while (size() > most + SPARE) {
-      if (!ending.isEmpty()) {
-        ending.iterator().next().close();
-      } else if (!leaving.isEmpty()) {
-        evict(leaving.iterator().next());
+    while (isOverSpare()) {
+      if (!closing.isEmpty()) {
+        closing.iterator().next().close();
+      } else if (!evicting.isEmpty()) {
+        evict(evicting.iterator().next());
       } else {
-        fresh.close();
+        added.close();
       }
     }
   }
 
-  /** The one that goes for another, which goes itself where all others have something open. */
-  private ClientConnection leastUseful(ClientConnection fresh) {
+  private boolean isOverSpare() {
+    return size() > maxConnections + SPARE_CONNECTIONS;
+  }
+
+  /** The one to evict: the added one itself where all others have requests in flight. */
+  private ClientConnection leastUseful(ClientConnection added) {
     ClientConnection least = null;
-    for (ClientConnection one : all) {
-      // Guards GETs that are open: half a message after them makes a connection none of the least
-      // use.
-      if (one != fresh
-          && !leaving.contains(one)
-          && one.isFree()
-          && (least == null
-              || one.use() < least.use()
-              || one.use() == least.use() && one.heardAt() < least.heardAt())) {
-        least = one;
+    for (ClientConnection candidate : open) {
+      // Guards requests in flight: half a message behind them does not make a connection useless.
+      if (candidate != added
+          && !evicting.contains(candidate)
+          && candidate.isFree()
+          && (least == null || isLessUseful(candidate, least))) {
+        least = candidate;
       }
     }
-    return least == null ? fresh : least;
+    return least == null ? added : least;
+  }
+
+  private static boolean isLessUseful(ClientConnection one, ClientConnection other) {
+    return one.use() < other.use() || one.use() == other.use() && one.heardAt() < other.heardAt();
   }
 
   /**
-   * Guards requests that crossed this: a connection goes only once the loop has read and still
-   * finds nothing open.
+   * Guards requests that are on their way: a connection is closed only once the loop has read again
+   * and still finds nothing in flight on it.
    */
-  private void leave(ClientConnection one) {
-    if (one.owes()) {
-      one.letGo();
+  private void startEvicting(ClientConnection connection) {
+    if (connection.owes()) {
+      connection.letGo();
       return;
     }
-    leaving.add(one);
+    evicting.add(connection);
     vertx.setTimer(
-        READ_MS,
-        read -> {
-          if (leaving.contains(one)) {
-            evict(one);
+        LAST_READ_MILLIS,
+        timer -> {
+          if (evicting.contains(connection)) {
+            evict(connection);
           }
         });
   }
 
-  private void evict(ClientConnection one) {
-    leaving.remove(one);
-    if (one.isFree()) {
-      one.letGo();
+  private void evict(ClientConnection connection) {
+    evicting.remove(connection);
+    if (connection.isFree()) {
+      connection.letGo();
     }
   }
 
-  void remove(ClientConnection one) {
-    leaving.remove(one);
-    if (all.remove(one)) {
-      ending.add(one);
+  /** A connection takes nothing more; it holds its descriptor until {@link #released}. */
+  void remove(ClientConnection connection) {
+    evicting.remove(connection);
+    if (open.remove(connection)) {
+      closing.add(connection);
     }
   }
 
-  void released(ClientConnection one) {
-    ending.remove(one);
+  /** A connection's descriptor is free again. */
+  void released(ClientConnection connection) {
+    closing.remove(connection);
   }
 
-  /** From now on each request is rejected, on whatever connects too: the gateway stops. */
+  /** From now on each request is rejected, on new connections too: the gateway shuts down. */
   void reject() {
-    if (!rejects) {
-      rejects = true;
-      all.forEach(ClientConnection::reject);
+    if (mode == Mode.SERVING) {
+      mode = Mode.REJECTING;
+      open.forEach(ClientConnection::reject);
     }
   }
 
-  /** Ends all, and whatever connects from now on: once nothing is owed on any. */
+  /** Half-closes all connections, and each new one from now on; no response is pending on any. */
   void end() {
-    over = true;
-    List.copyOf(all).forEach(ClientConnection::end);
+    mode = Mode.ENDED;
+    List.copyOf(open).forEach(ClientConnection::end);
   }
 
-  /** Whether all were ended. */
-  boolean ended() {
-    return over;
+  /** Whether all connections were half-closed. */
+  boolean isEnded() {
+    return mode == Mode.ENDED;
   }
 
-  /** Whether no answer waits to be written to a connection that was ended. */
+  /** Whether no response waits to be written to a connection that is closing. */
   boolean allWritten() {
-    return ending.stream().allMatch(ClientConnection::isWritten);
+    return closing.stream().allMatch(ClientConnection::isWritten);
   }
 
-  /** Whether a client has begun a message that has not come whole. */
-  boolean midway() {
-    return all.stream().anyMatch(ClientConnection::midway);
+  /** Whether a client has sent part of a message, and not the rest of it. */
+  boolean hasPartialMessage() {
+    return open.stream().anyMatch(ClientConnection::midway);
   }
 
+  /** How many descriptors clients hold. */
   int size() {
-    return all.size() + ending.size();
+    return open.size() + closing.size();
   }
 
-  /** Guards against clients that say nothing, or half a message. */
+  /** Guards against clients that send nothing, or half a message. */
   void sweep() {
-    long now = clock.now();
-    for (ClientConnection one : List.copyOf(all)) {
-      if (one.owes() && now - one.heardAt() > MESSAGE_NS) {
-        one.unreadable("no whole message in time");
+    long nowNanos = clock.now();
+    for (ClientConnection connection : List.copyOf(open)) {
+      if (connection.owes() && nowNanos - connection.heardAt() > MESSAGE_TIMEOUT_NANOS) {
+        connection.unreadable("no whole message in time");
       }
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -4,70 +4,111 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
+import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.SocketReads;
 
-/** One GET from its last byte to its final answer and the end of its last forward. */
+/**
+ * The state of one request, from its last byte to its final response and the end of its last
+ * attempt.
+ */
 final class ClientRequest {
+  /** The gateway's own number for it, never reused. */
   final long id;
+
+  /** Null for a synthetic request. */
   final ClientConnection client;
-  final long number;
-  final DecodedRequest asked;
-  final String ref;
-  final int ds;
-  final long due;
-  final List<AttemptSender.Sent> forwards = new ArrayList<>(1);
 
-  /** Forwards out, and events on the way to the decisions. */
-  int out, events;
+  /** The client's number for it, unique among those open on its connection. */
+  final long messageId;
+
+  final DecodedRequest decoded;
+
+  /** The id under which endpoints know it. */
+  final String reference;
+
+  /** The index of its traffic class. */
+  final int trafficClass;
+
+  /** The clock time by which it has its response. */
+  final long deadlineNanos;
+
+  /** All attempts that were made for it, by their index. */
+  final List<OutboundAttempt> attempts = new ArrayList<>(1);
 
+  /** Attempts that have not ended. */
+  int pendingAttempts;
+
+  /** Events that the router has not been given yet. */
+  int pendingEvents;
+
+  /** Whether its final response is written, or none is owed any more. */
   boolean answered;
 
-  /** When it was read. */
-  long takenAt;
+  /** The clock time at which it was read. */
+  long receivedAtNanos;
 
-  /** With what it waited unread, if it did; and whether its connection was read on since. */
+  /** What it waited with, unread, behind an event loop that lagged; null if it did not. */
   SocketReads.Backlog backlog;
 
+  /** Whether its connection was read again after that backlog; see {@link SocketReads}. */
   boolean settled;
-  long backstop = -1;
 
-  /** When the last forward may begin. */
-  long sendBy = Long.MAX_VALUE;
+  /** The timer that answers it if nothing else has by its deadline; -1 before there is one. */
+  long backstopTimer = -1;
 
-  /** Whether a cache has answered it, also that it has not what was asked for. */
-  boolean heard;
+  /** The clock time after which no attempt may begin. */
+  long sendByNanos = Long.MAX_VALUE;
 
-  /** Hears how it ended, where it is of this gateway's own and no client's; null otherwise. */
-  final Consumer<FleetCoordinator.Own> own;
+  /** Whether an endpoint has responded, be it that it does not hold the segment. */
+  boolean endpointResponded;
 
-  ClientRequest(
-      long id, ClientConnection client, long number, DecodedRequest asked, int ds, long due) {
-    this(id, client, number, asked, ds, due, null);
-  }
+  /** Is called with the outcome of a synthetic request; null for a client's. */
+  final Consumer<SyntheticOutcome> completion;
 
-  /** One of this gateway's own. */
+  /** A client's request. */
   ClientRequest(
-      long id, DecodedRequest asked, int ds, long due, Consumer<FleetCoordinator.Own> own) {
-    this(id, null, id, asked, ds, due, own);
-  }
-
-  private ClientRequest(
       long id,
       ClientConnection client,
-      long number,
-      DecodedRequest asked,
-      int ds,
-      long due,
-      Consumer<FleetCoordinator.Own> own) {
-    this.own = own;
+      long messageId,
+      DecodedRequest decoded,
+      int trafficClass,
+      long deadlineNanos) {
     this.id = id;
     this.client = client;
-    this.number = number;
-    this.asked = asked;
-    ref = new String(asked.ref(), StandardCharsets.ISO_8859_1);
-    this.ds = ds;
-    this.due = due;
+    this.messageId = messageId;
+    this.decoded = decoded;
+    this.reference = referenceOf(decoded);
+    this.trafficClass = trafficClass;
+    this.deadlineNanos = deadlineNanos;
+    this.completion = null;
+  }
+
+  /** A synthetic request, whose outcome goes to {@code completion}. */
+  ClientRequest(
+      long id,
+      DecodedRequest decoded,
+      int trafficClass,
+      long deadlineNanos,
+      Consumer<SyntheticOutcome> completion) {
+    this.id = id;
+    this.client = null;
+    this.messageId = id;
+    this.decoded = decoded;
+    this.reference = referenceOf(decoded);
+    this.trafficClass = trafficClass;
+    this.deadlineNanos = deadlineNanos;
+    this.completion = completion;
+  }
+
+  /** The id under which endpoints know a request: they know it by no other. */
+  static String referenceOf(DecodedRequest decoded) {
+    return new String(decoded.ref(), StandardCharsets.ISO_8859_1);
+  }
+
+  /** Whether this gateway made it itself, so that no client waits for a response. */
+  boolean isSynthetic() {
+    return completion != null;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -4,59 +4,74 @@
 import org.amberpath.gateway.discovery.JournalDecoder;
 import org.amberpath.routing.EventAge;
 
-/** Time that only goes forward, and what it makes of Unix times. */
+/**
+ * The gateway's time: monotonic, and comparable with Unix times that others state. {@link #now()}
+ * may be called from any thread, all else on the event loop.
+ */
 public final class Clock implements JournalDecoder.Replies {
-  private final LongSupplier monotonicNanos, wallMillis;
-  private final long origin;
-  private final EventAge ages;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
+  private final LongSupplier monotonicNanos;
+  private final LongSupplier wallMillis;
+  private final long originNanos;
+  private final EventAge eventAge;
+
+  /** The system's clocks. */
   public Clock() {
     this(System::nanoTime, System::currentTimeMillis);
   }
 
-  /** A clock that is told the time by others: what goes only forward, and the wall clock. */
+  /**
+   * A clock on other sources.
+   *
+   * @param monotonicNanos nanoseconds of any origin, which never go back
+   * @param wallMillis Unix milliseconds, which may be stepped
+   */
   public Clock(LongSupplier monotonicNanos, LongSupplier wallMillis) {
     this.monotonicNanos = monotonicNanos;
     this.wallMillis = wallMillis;
-    origin = wallMillis.getAsLong() * 1_000_000L - monotonicNanos.getAsLong();
-    ages = new EventAge(now(), wallMillis.getAsLong());
+    originNanos = wallMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
+    eventAge = new EventAge(now(), wallMillis.getAsLong());
   }
 
-  /** Nanoseconds since the Unix epoch, as the wall clock had it at the start. */
+  /** Monotonic nanoseconds since the Unix epoch, by the wall clock as it was at the start. */
   public long now() {
-    return monotonicNanos.getAsLong() + origin;
+    return monotonicNanos.getAsLong() + originNanos;
   }
 
-  /** Compares the two clocks; called at least once a second. */
+  /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
   void watch() {
-    ages.read(now(), wallMillis.getAsLong());
+    eventAge.read(now(), wallMillis.getAsLong());
   }
 
-  /** How long ago a purge of this stamp was, as little as it can be. */
-  long sincePurge(long unixMs) {
+  /** The least possible age, in nanoseconds, of a purge with this timestamp. */
+  long sincePurge(long unixMillis) {
     watch();
-    return ages.ofPurge(now(), unixMs);
+    return eventAge.ofPurge(now(), unixMillis);
   }
 
-  /** How long ago an endpoint started, as little as it can be. */
-  long sinceStart(long unixMs) {
+  /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
+  long sinceStart(long unixMillis) {
     watch();
-    return ages.ofStart(now(), unixMs);
+    return eventAge.ofStart(now(), unixMillis);
   }
 
-  /** Whether starts that were told may be later than was told, since this was asked last. */
+  /**
+   * Whether the wall clock was corrected since the last call, so that endpoints may have started
+   * later than {@link #sinceStart} said.
+   */
   boolean corrected() {
-    return ages.corrected();
+    return eventAge.corrected();
   }
 
   @Override
   public void begins(boolean live, long newestPurgeMillis) {
     watch();
-    ages.begins(now(), live, newestPurgeMillis);
+    eventAge.begins(now(), live, newestPurgeMillis);
   }
 
   @Override
   public void ends() {
-    ages.ends();
+    eventAge.ends();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
@@ -8,74 +8,94 @@
 import org.amberpath.routing.SocketReads;
 
 /**
- * How long this gateway itself stood still, for want of CPU or in a pause of the runtime: a tick
- * that comes late.
+ * Measures the event loop's lag, for want of CPU or in a pause of the runtime, by a periodic tick
+ * that comes late. All values are nanoseconds.
  */
 final class EventLoopLagMonitor {
-  private static final long TICK_MS = 10, SEEN_NS = 5_000_000;
+  private static final long TICK_MILLIS = 10;
+  private static final long TICK_NANOS = TICK_MILLIS * 1_000_000;
+
+  /** A tick that is late by no more than this is no lag. */
+  private static final long MIN_LAG_NANOS = 5_000_000;
 
   private final Clock clock;
-  private final DiscoveryFreshness news;
-  private final SocketReads reads;
-  private final LoadShedder pace;
-  private final AcceptLag<ClientConnection> accepts = new AcceptLag<>();
-  private long due = Long.MAX_VALUE, total, ticked, began;
+  private final DiscoveryFreshness discoveryFreshness;
+  private final SocketReads socketReads;
+  private final LoadShedder loadShedder;
+  private final AcceptLag<ClientConnection> acceptLag = new AcceptLag<>();
+
+  /** When the next tick is due. */
+  private long nextTickAt = Long.MAX_VALUE;
+
+  /** When the last tick was due, and when it ran. */
+  private long lastTickDueAt;
+
+  private long lastTickAt;
+  private long totalLagNanos;
 
   /** Whether the last tick was late: what came before it is read only now. */
-  private boolean behind;
+  private boolean lastTickWasLate;
 
-  EventLoopLagMonitor(Clock clock, DiscoveryFreshness news, SocketReads reads, LoadShedder pace) {
+  EventLoopLagMonitor(
+      Clock clock,
+      DiscoveryFreshness discoveryFreshness,
+      SocketReads socketReads,
+      LoadShedder loadShedder) {
     this.clock = clock;
-    this.news = news;
-    this.reads = reads;
-    this.pace = pace;
+    this.discoveryFreshness = discoveryFreshness;
+    this.socketReads = socketReads;
+    this.loadShedder = loadShedder;
+  }
+
+  /** Starts the tick; returns its timer's id. */
+  long start(Vertx vertx) {
+    scheduled(clock.now());
+    return vertx.setPeriodic(TICK_MILLIS, timer -> tick());
+  }
+
+  private void scheduled(long tickedAt) {
+    lastTickAt = tickedAt;
+    nextTickAt = tickedAt + TICK_NANOS;
   }
 
-  /** Returns the timer's id. */
-  long watch(Vertx vertx) {
-    ticked = clock.now();
-    due = ticked + TICK_MS * 1_000_000;
-    return vertx.setPeriodic(
-        TICK_MS,
-        tick -> {
-          total = soFar();
-          long late = clock.now() - due;
-          news.read(ticked); // Between two ticks the loop has read all of its sockets.
-          reads.read(ticked);
-          accepts.turn(clock.now());
-          pace.turn(clock.now(), Math.max(0, clock.now() - due));
-          behind = late > SEEN_NS;
-          began = due;
-          ticked = clock.now();
-          due = ticked + TICK_MS * 1_000_000;
-        });
+  private void tick() {
+    totalLagNanos = totalLagNanos();
+    long lateNanos = clock.now() - nextTickAt;
+    discoveryFreshness.read(lastTickAt); // Between two ticks the loop has read all of its sockets.
+    socketReads.read(lastTickAt);
+    acceptLag.turn(clock.now());
+    loadShedder.turn(clock.now(), Math.max(0, clock.now() - nextTickAt));
+    lastTickWasLate = lateNanos > MIN_LAG_NANOS;
+    lastTickDueAt = nextTickAt;
+    scheduled(clock.now());
   }
 
   /**
-   * For how long it has stood still just now: what is read at this moment came at some time in
-   * that. It counts up to the tick after the late one, since the sockets are read between the two,
-   * however long that takes.
+   * The lag just now; 0 for none. What is read at this moment came at some time within it. It
+   * counts up to the tick after the late one, since the sockets are read between the two, however
+   * long that takes.
    */
-  long late() {
-    long late = clock.now() - (behind ? began : due);
-    return late > SEEN_NS ? late : 0;
+  long currentLagNanos() {
+    long lateNanos = clock.now() - (lastTickWasLate ? lastTickDueAt : nextTickAt);
+    return lateNanos > MIN_LAG_NANOS ? lateNanos : 0;
   }
 
   /**
-   * The same for what is read now from one client, whose connection may have waited to be accepted.
+   * The same for what is read now from one client, whose connection may have waited in the accept
+   * queue.
    */
-  long late(ClientConnection from, long now) {
-    return Math.max(late(), accepts.lag(from, now));
+  long lagNanos(ClientConnection client, long nowNanos) {
+    return Math.max(currentLagNanos(), acceptLag.lag(client, nowNanos));
   }
 
   /** A client's connection was accepted, after accepting had paused for so many nanoseconds. */
   void accepted(ClientConnection client, long pausedNanos) {
-    accepts.accepted(client, clock.now(), Math.max(late(), pausedNanos));
+    acceptLag.accepted(client, clock.now(), Math.max(currentLagNanos(), pausedNanos));
   }
 
-  /** In all, up to now: also while the late tick has not come yet. */
-  long soFar() {
-    long late = clock.now() - due;
-    return late > SEEN_NS ? total + late : total;
+  /** The sum of all lags up to now, one that has not ended included. */
+  long totalLagNanos() {
+    long lateNanos = clock.now() - nextTickAt;
+    return lateNanos > MIN_LAG_NANOS ? totalLagNanos + lateNanos : totalLagNanos;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayExtensions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayExtensions.java
@@ -1,9 +1,13 @@
 package org.amberpath.gateway;
 
 /**
- * What an installation has beside the platform's own: another source of news of caches, and
- * knowledge of the other gateways. Null where there is none.
+ * What a deployment adds to the platform's own parts.
+ *
+ * @param endpointSource creates a second source of endpoints; null where there is none
+ * @param fleetCoordinator creates the link to the other gateways; null where there is none
  */
-public record GatewayExtensions(EndpointSource.Maker news, FleetCoordinator.Maker company) {
-  public static final GatewayExtensions NOTHING = new GatewayExtensions(null, null);
+public record GatewayExtensions(
+    EndpointSource.Factory endpointSource, FleetCoordinator.Factory fleetCoordinator) {
+  /** No extensions: the journal alone, and no knowledge of other gateways. */
+  public static final GatewayExtensions NONE = new GatewayExtensions(null, null);
 }
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -9,98 +9,122 @@
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.routing.SocketReads;
 
-/** Last stage: which GETs are open, until each is answered and its last forward has ended. */
+/**
+ * All requests in flight: each from its admission until it is answered, its last attempt has ended
+ * and the router was given all of its events. Bounded by {@link AdmissionControl} and by {@link
+ * SyntheticRequests}.
+ */
 final class InFlightRequests {
-  private final Map<Long, ClientRequest> gets = new LinkedHashMap<>();
+  private final Map<Long, ClientRequest> byId = new LinkedHashMap<>();
   private final Map<ClientConnection, Map<Long, ClientRequest>> unanswered = new LinkedHashMap<>();
-  private final Set<String> refs = new HashSet<>();
-  private long last;
-  private int waiting;
+  private final Set<String> references = new HashSet<>();
+  private long lastId;
+  private int unansweredCount;
 
-  ClientRequest get(long id) {
-    return gets.get(id);
+  /** The request of this id; null if it is finished. */
+  ClientRequest find(long id) {
+    return byId.get(id);
   }
 
+  /** A new request id. */
   long nextId() {
-    return ++last;
+    return ++lastId;
   }
 
-  /** Whether a GET under this id is open here: caches know it by no other name. */
-  boolean holds(String ref) {
-    return refs.contains(ref);
+  /** Whether a request under this reference is in flight: endpoints know it by no other name. */
+  boolean containsReference(String reference) {
+    return references.contains(reference);
   }
 
-  void open(ClientRequest get) {
-    gets.put(get.id, get);
-    refs.add(get.ref);
-    if (get.own != null) {
-      return; // Nobody is owed its answer.
+  /** Adds a request. */
+  void add(ClientRequest request) {
+    byId.put(request.id, request);
+    references.add(request.reference);
+    if (request.isSynthetic()) {
+      return; // No client waits for its response.
     }
-    unanswered.computeIfAbsent(get.client, client -> new LinkedHashMap<>()).put(get.number, get);
-    waiting++;
+    unanswered
+        .computeIfAbsent(request.client, client -> new LinkedHashMap<>())
+        .put(request.messageId, request);
+    unansweredCount++;
   }
 
-  /** How many owe an answer. */
-  int unanswered() {
-    return waiting;
+  /** How many clients' requests have no response yet. */
+  int unansweredCount() {
+    return unansweredCount;
   }
 
+  /** How many requests are in flight, answered ones whose attempts have not ended included. */
   int size() {
-    return gets.size();
+    return byId.size();
   }
 
-  ClientRequest unanswered(ClientConnection client, long number) {
-    return unanswered.getOrDefault(client, Map.of()).get(number);
+  /** A client's request without a response; null if there is none of this message id. */
+  ClientRequest findUnanswered(ClientConnection client, long messageId) {
+    return of(client).get(messageId);
   }
 
-  List<ClientRequest> unanswered(ClientConnection client) {
-    return new ArrayList<>(unanswered.getOrDefault(client, Map.of()).values());
+  /** A client's requests without a response, oldest first; a copy. */
+  List<ClientRequest> unansweredOf(ClientConnection client) {
+    return new ArrayList<>(of(client).values());
+  }
+
+  private Map<Long, ClientRequest> of(ClientConnection client) {
+    return unanswered.getOrDefault(client, Map.of());
   }
 
   /**
    * What waited unread at a client's connection, if that may not have been read to its end; null
    * otherwise.
    */
-  SocketReads.Backlog backlog(ClientConnection client, long now) {
-    return unanswered.getOrDefault(client, Map.of()).values().stream()
-        .filter(one -> one.backlog != null && !one.settled && one.backlog.mayGoOn(now))
-        .map(one -> one.backlog)
+  SocketReads.Backlog backlog(ClientConnection client, long nowNanos) {
+    return of(client).values().stream()
+        .filter(
+            request ->
+                request.backlog != null && !request.settled && request.backlog.mayGoOn(nowNanos))
+        .map(request -> request.backlog)
         .findFirst()
         .orElse(null);
   }
 
-  /** When the last of a client's open requests was taken. */
-  long lastTaken(ClientConnection client) {
-    return unanswered.getOrDefault(client, Map.of()).values().stream()
-        .mapToLong(one -> one.takenAt)
+  /**
+   * When the last of a client's requests without a response was read; {@link Long#MIN_VALUE} if
+   * there is none.
+   */
+  long lastReceivedAtNanos(ClientConnection client) {
+    return of(client).values().stream()
+        .mapToLong(request -> request.receivedAtNanos)
         .max()
         .orElse(Long.MIN_VALUE);
   }
 
+  /** All requests without a response, synthetic ones included, oldest first. */
   List<ClientRequest> allUnanswered() {
-    return gets.values().stream().filter(get -> !get.answered).toList();
+    return byId.values().stream().filter(request -> !request.answered).toList();
   }
 
-  void answered(ClientRequest get) {
-    get.answered = true;
-    if (get.own == null) {
-      waiting--;
-      Map<Long, ClientRequest> ofClient = unanswered.get(get.client);
-      ofClient.remove(get.number);
+  /** Records that a request has its final response, or that none is owed any more. */
+  void markAnswered(ClientRequest request) {
+    request.answered = true;
+    if (!request.isSynthetic()) {
+      unansweredCount--;
+      Map<Long, ClientRequest> ofClient = unanswered.get(request.client);
+      ofClient.remove(request.messageId);
       if (ofClient.isEmpty()) {
-        unanswered.remove(get.client);
+        unanswered.remove(request.client);
       }
     }
-    close(get);
+    removeIfFinished(request);
   }
 
   /**
-   * Guards against decisions on a GET that was forgotten: it stays until they have heard all of it.
+   * Removes a request once it is finished. Guards against routing decisions on a request that is
+   * gone: it stays until the router was given all of its events.
    */
-  void close(ClientRequest get) {
-    if (get.answered && get.out == 0 && get.events == 0) {
-      gets.remove(get.id);
-      refs.remove(get.ref);
+  void removeIfFinished(ClientRequest request) {
+    if (request.answered && request.pendingAttempts == 0 && request.pendingEvents == 0) {
+      byId.remove(request.id);
+      references.remove(request.reference);
     }
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
@@ -0,0 +1,49 @@
+package org.amberpath.gateway;
+
+import io.vertx.core.Vertx;
+import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.LoadShedder;
+import org.amberpath.routing.SocketReads;
+
+/**
+ * What the stages of a gateway's pipeline share.
+ *
+ * @param vertx timers and the event loop
+ * @param clock the gateway's time
+ * @param inFlight all requests in flight
+ * @param lagMonitor the event loop's lag
+ * @param discoveryFreshness whether endpoints and purges are known recently enough to decide by
+ * @param socketReads whether sockets were read recently enough to begin an attempt
+ * @param loadShedder sheds load when the gateway is out of CPU
+ * @param protocolErrors the log of peers' protocol errors
+ */
+record PipelineContext(
+    Vertx vertx,
+    Clock clock,
+    InFlightRequests inFlight,
+    EventLoopLagMonitor lagMonitor,
+    DiscoveryFreshness discoveryFreshness,
+    SocketReads socketReads,
+    LoadShedder loadShedder,
+    ProtocolErrorLog protocolErrors) {
+
+  /** The shared parts of a gateway that starts now. */
+  static PipelineContext create(Vertx vertx, Clock clock, GatewayOptions options) {
+    DiscoveryFreshness freshness =
+        new DiscoveryFreshness(options.newsGrace(), options.journal() != null, clock.now());
+    LoadShedder loadShedder =
+        new LoadShedder(
+            options.site().seed(),
+            options.site().retryAfter() ? options.site().maxRetryAfter() : 0);
+    SocketReads socketReads = new SocketReads(clock.now());
+    return new PipelineContext(
+        vertx,
+        clock,
+        new InFlightRequests(),
+        new EventLoopLagMonitor(clock, freshness, socketReads, loadShedder),
+        freshness,
+        socketReads,
+        loadShedder,
+        new ProtocolErrorLog());
+  }
+}
--- a/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
@@ -3,31 +3,33 @@
 import java.util.logging.Logger;
 
 /**
- * What peers did wrong: counted, and told in one line a sweep at most, so that no peer can flood
- * the log.
+ * Protocol errors of peers: counted, and logged in at most one line a sweep, so that no peer can
+ * flood the log.
  */
 final class ProtocolErrorLog {
   private static final Logger LOG = Logger.getLogger(ProtocolErrorLog.class.getName());
-  private static final int LONGEST = 200;
+  private static final int MAX_LINE_CHARS = 200;
 
-  private long many;
-  private Object from;
-  private String why;
+  private long count;
+  private Object lastPeer;
+  private String lastError;
 
-  void add(Object whose, String what) {
-    many++;
-    from = whose;
-    why = what;
+  /** Counts an error; only the last one of a sweep is logged in full. */
+  void add(Object peer, String error) {
+    count++;
+    lastPeer = peer;
+    lastError = error;
   }
 
+  /** Logs what was added since the last sweep, if anything was. */
   void sweep() {
-    if (many > 0) {
-      String line = from + ": " + why;
+    if (count > 0) {
+      String line = lastPeer + ": " + lastError;
       LOG.warning(
-          (many == 1 ? "" : many + " times, last: ")
-              + line.substring(0, Math.min(line.length(), LONGEST)));
-      many = 0;
-      from = null;
+          (count == 1 ? "" : count + " times, last: ")
+              + line.substring(0, Math.min(line.length(), MAX_LINE_CHARS)));
+      count = 0;
+      lastPeer = null;
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -4,63 +4,54 @@
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
-import org.amberpath.routing.LoadShedder;
 
-/** First stage: what clients say, with the time at which it had come whole. */
+/**
+ * First stage: takes each request when its last byte has been read, and each cancellation and close
+ * of a client.
+ */
 final class RequestReceiver implements ClientHandler {
-  private final Clock clock;
-  private final EventLoopLagMonitor standstill;
-  private final InFlightRequests book;
-  private final AdmissionControl admit;
-  private final RoutingStage route;
-  private final ResponseWriter relay;
+  private final PipelineContext context;
+  private final AdmissionControl admissionControl;
+  private final RoutingStage routingStage;
+  private final ResponseWriter responseWriter;
   private final ClientConnections clients;
-  private final ProtocolErrorLog complaints;
-  private final LoadShedder pace;
   private final BooleanSupplier ready;
 
   RequestReceiver(
-      Clock clock,
-      EventLoopLagMonitor standstill,
-      InFlightRequests book,
-      AdmissionControl admit,
-      RoutingStage route,
-      ResponseWriter relay,
+      PipelineContext context,
+      AdmissionControl admissionControl,
+      RoutingStage routingStage,
+      ResponseWriter responseWriter,
       ClientConnections clients,
-      ProtocolErrorLog complaints,
-      LoadShedder pace,
       BooleanSupplier ready) {
-    this.clock = clock;
-    this.standstill = standstill;
-    this.book = book;
-    this.admit = admit;
-    this.route = route;
-    this.relay = relay;
+    this.context = context;
+    this.admissionControl = admissionControl;
+    this.routingStage = routingStage;
+    this.responseWriter = responseWriter;
     this.clients = clients;
-    this.complaints = complaints;
-    this.pace = pace;
     this.ready = ready;
   }
 
   @Override
   public boolean takes() {
-    return pace.takes();
+    return context.loadShedder().takes();
   }
 
   @Override
   public long away() {
-    return pace.away();
+    return context.loadShedder().away();
   }
 
   @Override
-  public void get(ClientConnection from, long number, DecodedRequest get) {
-    long now = clock.now();
-    admit.get(from, number, get, now, standstill.late(from, now));
+  public void get(ClientConnection client, long messageId, DecodedRequest decoded) {
+    long nowNanos = context.clock().now();
+    long lagNanos = context.lagMonitor().lagNanos(client, nowNanos);
+    admissionControl.receive(client, messageId, decoded, nowNanos, lagNanos);
   }
 
   @Override
-  public void withdrawn(ClientConnection from, long number) {
-    left(book.unanswered(from, number));
+  public void withdrawn(ClientConnection client, long messageId) {
+    cancel(context.inFlight().findUnanswered(client, messageId));
   }
 
   @Override
@@ -69,29 +60,29 @@
   }
 
   @Override
-  public void broken(ClientConnection from, String why) {
-    complaints.add(from, why);
-    for (ClientRequest get : book.unanswered(from)) {
-      relay.errored(get, "the protocol was broken on this connection");
-      route.arrived(get, to -> to.left(get.id));
+  public void broken(ClientConnection client, String error) {
+    context.protocolErrors().add(client, error);
+    for (ClientRequest request : context.inFlight().unansweredOf(client)) {
+      responseWriter.errored(request, "protocol error on this connection");
+      routingStage.enqueueCancelled(request);
     }
   }
 
   @Override
-  public void closed(ClientConnection from) {
-    clients.remove(from);
-    book.unanswered(from).forEach(this::left);
+  public void closed(ClientConnection client) {
+    clients.remove(client);
+    context.inFlight().unansweredOf(client).forEach(this::cancel);
   }
 
   @Override
-  public void released(ClientConnection from) {
-    clients.released(from);
+  public void released(ClientConnection client) {
+    clients.released(client);
   }
 
-  private void left(ClientRequest get) {
-    if (get != null) {
-      relay.left(get);
-      route.arrived(get, to -> to.left(get.id));
+  private void cancel(ClientRequest request) {
+    if (request != null) {
+      responseWriter.cancelled(request);
+      routingStage.enqueueCancelled(request);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -2,60 +2,68 @@
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
+import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 
-/** Fifth stage: the one final answer of each GET goes to its client. */
+/**
+ * Fifth stage: writes the one final response of each request. Each method does nothing for a
+ * request that is null or already answered.
+ */
 final class ResponseWriter {
   private final Vertx vertx;
-  private final InFlightRequests book;
+  private final InFlightRequests inFlight;
 
-  ResponseWriter(Vertx vertx, InFlightRequests book) {
+  ResponseWriter(Vertx vertx, InFlightRequests inFlight) {
     this.vertx = vertx;
-    this.book = book;
+    this.inFlight = inFlight;
   }
 
-  /** The bytes as they came; null says that the client's own copy is the one. */
-  void returned(ClientRequest get, Buffer body) {
-    if (end(get)) {
+  /** Relays an endpoint's bytes unchanged; a null body says that the client's copy is current. */
+  void returned(ClientRequest request, Buffer body) {
+    if (finish(request)) {
       if (body == null) {
-        get.client.returnedSame(get.number);
+        request.client.returnedSame(request.messageId);
       } else {
-        get.client.returned(get.number, body);
+        request.client.returned(request.messageId, body);
       }
     }
   }
 
-  void shed(ClientRequest get, long wait) {
-    if (end(get)) {
-      get.client.shed(get.number, wait);
+  /** Rejects a request that had no effect; the client may retry after so many nanoseconds. */
+  void shed(ClientRequest request, long retryAfterNanos) {
+    if (finish(request)) {
+      request.client.shed(request.messageId, retryAfterNanos);
     }
   }
 
-  void errored(ClientRequest get, String why) {
-    if (end(get)) {
-      get.client.errored(get.number, why);
+  /** Fails a request, which may have had an effect. */
+  void errored(ClientRequest request, String reason) {
+    if (finish(request)) {
+      request.client.errored(request.messageId, reason);
     }
   }
 
-  /** No answer is owed any more. */
-  void left(ClientRequest get) {
-    end(get);
+  /** The client has cancelled the request or closed its connection: no response is written. */
+  void cancelled(ClientRequest request) {
+    finish(request);
   }
 
-  /** Whether a client is to hear of it. */
-  private boolean end(ClientRequest get) {
-    if (get == null || get.answered) {
+  /** Marks a request answered; returns whether a response is to be written to a client. */
+  private boolean finish(ClientRequest request) {
+    if (request == null || request.answered) {
       return false;
     }
-    vertx.cancelTimer(get.backstop);
-    book.answered(get);
-    if (get.own != null) {
-      get.own.accept(
-          get.heard
-              ? FleetCoordinator.Own.ANSWERED
-              : get.forwards.isEmpty()
-                  ? FleetCoordinator.Own.NOT_SENT
-                  : FleetCoordinator.Own.SILENT);
+    vertx.cancelTimer(request.backstopTimer);
+    inFlight.markAnswered(request);
+    if (request.isSynthetic()) {
+      request.completion.accept(syntheticOutcome(request));
     }
-    return get.own == null;
+    return !request.isSynthetic();
+  }
+
+  private static SyntheticOutcome syntheticOutcome(ClientRequest request) {
+    if (request.endpointResponded) {
+      return SyntheticOutcome.ANSWERED;
+    }
+    return request.attempts.isEmpty() ? SyntheticOutcome.NOT_SENT : SyntheticOutcome.SILENT;
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -0,0 +1,106 @@
+package org.amberpath.gateway;
+
+import org.amberpath.routing.RoutingActions;
+
+/** Carries out what the router decides, at once. */
+final class RoutingActionExecutor implements RoutingActions {
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** Is notified of what the router decides about endpoints. */
+  interface EndpointObserver {
+    /** An endpoint's health state has changed. */
+    void healthChanged(int endpoint, Health health);
+
+    /** An endpoint is in slow start until a clock time. */
+    void warmingUp(int endpoint, long untilNanos);
+  }
+
+  private final PipelineContext context;
+  private final RoutingStage routingStage;
+  private final AttemptSender attemptSender;
+  private final ResponseWriter responseWriter;
+
+  /** Null where nobody observes endpoints. */
+  private EndpointObserver observer;
+
+  RoutingActionExecutor(
+      PipelineContext context,
+      RoutingStage routingStage,
+      AttemptSender attemptSender,
+      ResponseWriter responseWriter) {
+    this.context = context;
+    this.routingStage = routingStage;
+    this.attemptSender = attemptSender;
+    this.responseWriter = responseWriter;
+  }
+
+  /** Sets the one observer. */
+  void setObserver(EndpointObserver endpointObserver) {
+    observer = endpointObserver;
+  }
+
+  private ClientRequest find(long requestId) {
+    return context.inFlight().find(requestId);
+  }
+
+  @Override
+  public void forward(
+      long requestId,
+      int endpoint,
+      long untilNanos,
+      int source,
+      long maxAgeNanos,
+      int priority,
+      int flags) {
+    attemptSender.send(
+        find(requestId),
+        new AttemptParameters(endpoint, untilNanos, source, maxAgeNanos, priority, flags));
+  }
+
+  @Override
+  public void sendBy(long requestId, long timeNanos) {
+    attemptSender.setSendBy(find(requestId), timeNanos);
+  }
+
+  @Override
+  public void shed(long requestId, long retryAfterNanos) {
+    responseWriter.shed(find(requestId), retryAfterNanos);
+  }
+
+  @Override
+  public void errored(long requestId) {
+    responseWriter.errored(find(requestId), "upstream request failed");
+  }
+
+  @Override
+  public void callOff(long requestId, int attemptIndex) {
+    attemptSender.cancel(find(requestId), attemptIndex);
+  }
+
+  @Override
+  public void wake(long delayNanos, String handle) {
+    context
+        .vertx()
+        .setTimer(
+            Math.max(1, delayNanos / NANOS_PER_MILLI),
+            timer -> routingStage.enqueue(null, events -> events.woken(handle)));
+  }
+
+  @Override
+  public void health(int endpoint, Health health) {
+    if (observer != null) {
+      observer.healthChanged(endpoint, health);
+    }
+  }
+
+  @Override
+  public void cold(int endpoint, long untilNanos) {
+    if (observer != null) {
+      observer.warmingUp(endpoint, untilNanos);
+    }
+  }
+
+  /** Does nothing: discovery is always watched. */
+  @Override
+  public void watchList() {}
+}
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-import io.vertx.core.Vertx;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -9,323 +8,293 @@
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.SocketReads;
 
 /**
- * Third stage: what a turn of the loop brought is one round of the decisions, carried out at once.
- * While news of caches and purges may be too old to decide by, rounds wait, for no longer than
- * {@link DiscoveryFreshness} says; news goes first in each.
+ * Third stage: gives the router what one turn of the event loop brought as one batch, whose actions
+ * are carried out at once. While endpoints and purges may be known too late to decide by, batches
+ * wait, for no longer than {@link DiscoveryFreshness} says. Discovery events come first in each
+ * batch.
  */
-final class RoutingStage implements RoutingActions, RoutingEvents {
+final class RoutingStage implements RoutingEvents {
   private static final Logger LOG = Logger.getLogger(RoutingStage.class.getName());
-  private static final long BACKSTOP_MS = 25;
+  private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** What one round takes at most, as much as one client may have open. */
-  private static final int MOST = 32;
+  /** How long after its deadline a request is answered that nothing else has answered. */
+  private static final long BACKSTOP_MILLIS = 25;
 
-  /** The decisions: one call a round. */
-  interface Rounds {
-    void round(long now, RoutingEvents in, RoutingActions to);
+  /** How long the loop reads the sockets once more: a timer set now comes after that. */
+  private static final long READ_SOCKETS_MILLIS = 1;
+
+  /** Requests' events in one batch at most: as many as one client may have in flight. */
+  private static final int MAX_BATCH_EVENTS = 32;
+
+  /** The router: one call for each batch. */
+  interface BatchRouter {
+    /** Decides on a batch; the actions are carried out within the call. */
+    void routeBatch(long nowNanos, RoutingEvents events, RoutingActions actions);
   }
 
-  private record Arrival(ClientRequest get, Consumer<Events> event) {}
+  /** An event, and the request that it belongs to; null where it belongs to none. */
+  private record QueuedEvent(ClientRequest request, Consumer<Events> event) {}
 
-  private final Vertx vertx;
-  private final Clock clock;
-  private final Rounds decisions;
-  private final DiscoveryFreshness age;
-  private final SocketReads reads;
-  private final InFlightRequests book;
-  private final AttemptSender send;
-  private final ResponseWriter relay;
+  private final PipelineContext context;
+  private final DiscoveryFreshness discoveryFreshness;
+  private final SocketReads socketReads;
+  private final BatchRouter router;
+  private final AttemptSender attemptSender;
+  private final ResponseWriter responseWriter;
+  private final RoutingActionExecutor actions;
 
-  /**
-   * Bounded by the open GETs, their forwards and timers, and by the length of a reply of the
-   * journal.
-   */
-  private List<Arrival> news = new ArrayList<>(), arrivals = new ArrayList<>();
+  /** Bounded by the length of one reply of the journal. */
+  private List<QueuedEvent> discoveryEvents = new ArrayList<>();
 
-  private List<Arrival> round = List.of();
-  private boolean due, reading, held;
-  private int replayed;
-  private Told told;
+  /** Bounded by the requests in flight, their attempts and timers. */
+  private List<QueuedEvent> requestEvents = new ArrayList<>();
 
-  RoutingStage(
-      Vertx vertx,
-      Clock clock,
-      Rounds decisions,
-      DiscoveryFreshness age,
-      SocketReads reads,
-      InFlightRequests book,
-      AttemptSender send,
-      ResponseWriter relay) {
-    this.vertx = vertx;
-    this.clock = clock;
-    this.decisions = decisions;
-    this.age = age;
-    this.reads = reads;
-    this.book = book;
-    this.send = send;
-    this.relay = relay;
-  }
+  private List<QueuedEvent> batch = List.of();
+
+  /** How many events of the batch the router has been given. */
+  private int replayed;
 
-  /** What the decisions say of caches, beside what is to be done with GETs. */
-  interface Told {
-    void health(int cache, Health health);
+  private boolean batchScheduled;
+  private boolean readingSockets;
+  private boolean attemptsDeferred;
 
-    void cold(int cache, long until);
+  RoutingStage(
+      PipelineContext context,
+      BatchRouter router,
+      AttemptSender attemptSender,
+      ResponseWriter responseWriter) {
+    this.context = context;
+    this.discoveryFreshness = context.discoveryFreshness();
+    this.socketReads = context.socketReads();
+    this.router = router;
+    this.attemptSender = attemptSender;
+    this.responseWriter = responseWriter;
+    actions = new RoutingActionExecutor(context, this, attemptSender, responseWriter);
   }
 
-  /** Hears that from now on. */
-  void tellOf(Told of) {
-    told = of;
+  /** Sets the one observer of the router's decisions about endpoints. */
+  void setObserver(RoutingActionExecutor.EndpointObserver observer) {
+    actions.setObserver(observer);
   }
 
-  void get(ClientRequest get) {
-    open(
-        get,
-        to ->
-            to.get(
-                get.id,
-                get.ds,
-                get.asked.objectId(),
-                get.asked.group(),
-                get.asked.partNumber(),
-                get.due - clock.now(),
-                get.asked.kb(),
+  /** Routes a client's request. */
+  void route(ClientRequest request) {
+    submit(
+        request,
+        events ->
+            events.get(
+                request.id,
+                request.trafficClass,
+                request.decoded.objectId(),
+                request.decoded.group(),
+                request.decoded.partNumber(),
+                request.deadlineNanos - context.clock().now(),
+                request.decoded.kb(),
                 false));
   }
 
   /**
-   * A GET goes to the decisions, as the event says, and has its answer by its time at the latest.
+   * Gives a new request to the router by an event, and lets it be answered soon after its deadline
+   * at the latest.
    */
-  void open(ClientRequest get, Consumer<Events> event) {
-    long left = get.due - clock.now();
-    get.backstop =
-        vertx.setTimer(
-            Math.max(1, left / 1_000_000) + BACKSTOP_MS,
-            late -> {
-              relay.errored(get, "late");
-              arrived(get, to -> to.left(get.id));
-            });
-    arrived(get, event);
+  void submit(ClientRequest request, Consumer<Events> event) {
+    long leftNanos = request.deadlineNanos - context.clock().now();
+    request.backstopTimer =
+        context
+            .vertx()
+            .setTimer(
+                Math.max(1, leftNanos / NANOS_PER_MILLI) + BACKSTOP_MILLIS,
+                timer -> {
+                  responseWriter.errored(request, "deadline exceeded");
+                  enqueueCancelled(request);
+                });
+    enqueue(request, event);
   }
 
-  /** Takes an event into this turn's round; get is the one that it belongs to, if any. */
-  void arrived(ClientRequest get, Consumer<Events> event) {
-    arrivals.add(new Arrival(get, event));
-    if (get != null) {
-      get.events++;
+  /** Queues an event for this turn's batch; the request is null where it belongs to none. */
+  void enqueue(ClientRequest request, Consumer<Events> event) {
+    requestEvents.add(new QueuedEvent(request, event));
+    if (request != null) {
+      request.pendingEvents++;
     }
-    soon();
+    scheduleBatch();
+  }
+
+  /** Notifies the router that no response of a request is owed any more. */
+  void enqueueCancelled(ClientRequest request) {
+    enqueue(request, events -> events.left(request.id));
   }
 
   /**
-   * The same for news of caches and purges. Guards against GETs that came with it and would be
-   * decided without it.
+   * Queues an event about endpoints or purges. It goes ahead of all others: guards requests that
+   * came with it against decisions without it.
    */
-  void told(Consumer<Events> event) {
-    news.add(new Arrival(null, event));
-    soon();
+  void enqueueDiscovery(Consumer<Events> event) {
+    discoveryEvents.add(new QueuedEvent(null, event));
+    scheduleBatch();
   }
 
   /**
-   * Whether a forward may be written now; one that may not is taken up again before the next round.
+   * Whether an attempt may be written now. One that may not is deferred: it is tried again before
+   * the next batch.
    */
   boolean mayWrite() {
-    boolean may = decides();
-    if (!may) {
-      held = true;
-      soon();
+    boolean fresh = isFresh();
+    if (!fresh) {
+      attemptsDeferred = true;
+      scheduleBatch();
     }
-    return may;
+    return fresh;
   }
 
   /**
-   * Whether what is known of caches, purges and clients is young enough to decide and to write by.
+   * Whether endpoints, purges and clients are known recently enough to decide and to send by that.
    */
-  private boolean decides() {
-    long now = clock.now();
-    return age.decides(now) && reads.isFresh(now);
+  private boolean isFresh() {
+    long nowNanos = context.clock().now();
+    return discoveryFreshness.decides(nowNanos) && socketReads.isFresh(nowNanos);
   }
 
-  private void soon() {
-    if (!due) {
-      due = true;
-      vertx.runOnContext(turn -> round());
+  private void scheduleBatch() {
+    if (!batchScheduled) {
+      batchScheduled = true;
+      context.vertx().runOnContext(turn -> runBatch());
     }
   }
 
-  /** The journal has replied or failed: what waited for that need not any more. */
-  void heard() {
-    if (due) {
-      vertx.runOnContext(turn -> round());
+  /** The journal has replied or failed: batches that waited for that may run. */
+  void discoveryPolled() {
+    if (batchScheduled) {
+      context.vertx().runOnContext(turn -> runBatch());
     }
   }
 
   /**
-   * Reads the sockets before the next round. Guards against decisions by what was read before the
-   * loop stood still.
+   * Reads the sockets before the next batch. Guards against decisions by what was read before the
+   * event loop stalled.
    */
-  private void readFirst() {
-    if (!reading && !age.owed()) {
-      reading = true;
-      long by = clock.now();
-      vertx.setTimer(
-          1,
-          read -> { // A timer set now comes after the loop has read once more.
-            reading = false;
-            age.read(by);
-            reads.read(by);
-            round();
-          });
+  private void readSocketsFirst() {
+    if (!readingSockets && !discoveryFreshness.owed()) {
+      readingSockets = true;
+      long byNanos = context.clock().now();
+      context
+          .vertx()
+          .setTimer(
+              READ_SOCKETS_MILLIS,
+              timer -> {
+                readingSockets = false;
+                discoveryFreshness.read(byNanos);
+                socketReads.read(byNanos);
+                runBatch();
+              });
     }
   }
 
-  private void round() {
-    if (!due) {
+  private void runBatch() {
+    if (!batchScheduled) {
       return;
     }
-    List<Arrival> ready = new ArrayList<>(), rest = new ArrayList<>();
-    for (Arrival arrival : arrivals) {
-      (ready.size() < MOST && isSettled(arrival.get) ? ready : rest).add(arrival);
+    List<QueuedEvent> ready = new ArrayList<>();
+    List<QueuedEvent> waiting = new ArrayList<>();
+    for (QueuedEvent queued : requestEvents) {
+      (ready.size() < MAX_BATCH_EVENTS && isSettled(queued.request) ? ready : waiting).add(queued);
     }
-    if (!decides() || ready.isEmpty() && !rest.isEmpty() && news.isEmpty() && !held) {
-      readFirst();
+    boolean nothingReady =
+        ready.isEmpty() && !waiting.isEmpty() && discoveryEvents.isEmpty() && !attemptsDeferred;
+    if (!isFresh() || nothingReady) {
+      readSocketsFirst();
       return;
     }
-    due = false;
-    arrivals = rest;
-    sendHeld();
-    news.addAll(ready);
-    round = news;
-    news = new ArrayList<>();
-    if (!arrivals
-        .isEmpty()) { // Guards those who have left meanwhile: the loop reads before it decides on
-      // more.
-      due = true;
-      readFirst();
+    batchScheduled = false;
+    requestEvents = waiting;
+    sendDeferredAttempts();
+    discoveryEvents.addAll(ready);
+    batch = discoveryEvents;
+    discoveryEvents = new ArrayList<>();
+    if (!requestEvents.isEmpty()) {
+      // Guards clients that have left meanwhile: the loop reads before more is decided.
+      batchScheduled = true;
+      readSocketsFirst();
     }
+    routeBatch();
+  }
+
+  private void routeBatch() {
     replayed = 0;
     try {
-      decisions.round(clock.now(), this, this);
+      router.routeBatch(context.clock().now(), this, actions);
     } catch (RuntimeException | StackOverflowError | AssertionError e) {
-      LOG.log(Level.SEVERE, "a round failed", e);
-      while (replayed < round.size()) {
-        Arrival arrival = round.get(replayed++);
-        failed(arrival.get);
-        replayed(arrival.get);
+      LOG.log(Level.SEVERE, "routing a batch of events failed", e);
+      while (replayed < batch.size()) {
+        QueuedEvent queued = batch.get(replayed++);
+        failRequest(queued.request);
+        eventReplayed(queued.request);
       }
     }
   }
 
   /**
-   * Whether a GET's connection was read on where the loop was late: guards against a close behind a
-   * pipeline.
+   * Whether a request's connection was read again, if the loop lagged before the request was read.
+   * Guards against a close behind a pipeline of requests.
    */
-  private boolean isSettled(ClientRequest get) {
-    if (get != null && get.backlog != null && !get.settled) {
-      get.settled = get.answered || reads.isSettled(get.takenAt, book.lastTaken(get.client));
-      return get.settled;
+  private boolean isSettled(ClientRequest request) {
+    if (request != null && request.backlog != null && !request.settled) {
+      request.settled =
+          request.answered
+              || socketReads.isSettled(
+                  request.receivedAtNanos, context.inFlight().lastReceivedAtNanos(request.client));
+      return request.settled;
     }
     return true;
   }
 
-  private void sendHeld() {
-    if (held) {
-      held = false;
+  private void sendDeferredAttempts() {
+    if (attemptsDeferred) {
+      attemptsDeferred = false;
       try {
-        send.again();
-      } catch (
-          RuntimeException
-              e) { // Guards what has come meanwhile against a failure of what was held back.
-        LOG.log(Level.SEVERE, "sending what was held back failed", e);
+        attemptSender.sendDeferred();
+      } catch (RuntimeException e) {
+        // Guards what has come meanwhile against a failure of what was deferred.
+        LOG.log(Level.SEVERE, "deferred attempts could not be sent", e);
       }
     }
   }
 
   /**
-   * Ends a GET on which the decisions failed, unless an attempt of it is out, whose end or time
-   * ends it.
+   * Ends a request whose routing failed, unless an attempt of it is in flight: the end or the
+   * timeout of that ends the request too.
    */
-  private void failed(ClientRequest get) {
-    if (get != null && get.out == 0 && !get.answered) {
-      relay.errored(get, "internal error");
-      arrived(get, to -> to.left(get.id));
+  private void failRequest(ClientRequest request) {
+    if (request != null && request.pendingAttempts == 0 && !request.answered) {
+      responseWriter.errored(request, "internal error");
+      enqueueCancelled(request);
     }
   }
 
-  /** The decisions have heard of one event more, or never will. */
-  private void replayed(ClientRequest get) {
-    if (get != null) {
-      get.events--;
-      book.close(get);
+  /** The router has been given one more event of a request, or never will be. */
+  private void eventReplayed(ClientRequest request) {
+    if (request != null) {
+      request.pendingEvents--;
+      context.inFlight().removeIfFinished(request);
     }
   }
 
-  /** A failure in the decisions on one GET ends that GET and no other. */
+  /** Gives the batch to the router. A failure on one request's event ends that request alone. */
   @Override
-  public void replay(Events to) {
-    while (replayed < round.size()) {
-      Arrival arrival = round.get(replayed++);
+  public void replay(Events events) {
+    while (replayed < batch.size()) {
+      QueuedEvent queued = batch.get(replayed++);
       try {
-        arrival.event.accept(to);
+        queued.event.accept(events);
       } catch (RuntimeException | StackOverflowError | AssertionError e) {
-        LOG.log(Level.SEVERE, "the decisions failed", e);
-        failed(arrival.get);
+        LOG.log(Level.SEVERE, "routing an event failed", e);
+        failRequest(queued.request);
       } finally {
-        replayed(arrival.get);
+        eventReplayed(queued.request);
       }
     }
   }
-
-  @Override
-  public void forward(
-      long get, int cache, long until, int source, long age, int rank, int switches) {
-    send.forward(book.get(get), cache, until, source, age, rank, switches);
-  }
-
-  @Override
-  public void sendBy(long get, long time) {
-    send.sendBy(book.get(get), time);
-  }
-
-  @Override
-  public void shed(long get, long wait) {
-    relay.shed(book.get(get), wait);
-  }
-
-  @Override
-  public void errored(long get) {
-    relay.errored(book.get(get), "not returned");
-  }
-
-  @Override
-  public void callOff(long get, int copy) {
-    send.callOff(book.get(get), copy);
-  }
-
-  @Override
-  public void wake(long delay, String handle) {
-    vertx.setTimer(Math.max(1, delay / 1_000_000), due -> arrived(null, to -> to.woken(handle)));
-  }
-
-  @Override
-  public void health(int cache, Health health) {
-    if (told != null) {
-      told.health(cache, health);
-    }
-  }
-
-  @Override
-  public void cold(int cache, long until) {
-    if (told != null) {
-      told.cold(cache, until);
-    }
-  }
-
-  /** The journal is always followed. */
-  @Override
-  public void watchList() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
@@ -11,30 +11,31 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Sockets whose connections are accepted on the event loop that also serves them. Guards the
- * descriptors: an acceptor with a thread of its own runs ahead of a loop that is busy, past any
- * bound that is kept there.
+ * A transport that accepts connections on the event loop that also serves them. Guards the bound on
+ * descriptors: an acceptor with a thread of its own runs ahead of a busy event loop, past any bound
+ * that is kept there.
  */
 final class SingleEventLoopTransport extends NioTransport {
   private final SystemCalls calls;
-  private EventLoopGroup loop;
-  private AcceptLimit next;
+  private EventLoopGroup eventLoop;
+  private AcceptLimit nextLimit;
 
   private SingleEventLoopTransport(SystemCalls calls) {
     this.calls = calls;
   }
 
+  /** A transport for one Vert.x instance. */
   static Transport transport() {
     return transport(new SystemCalls());
   }
 
-  /** The same with other system calls, for tests of those that fail. */
+  /** The same with other system calls, for tests of failing ones. */
   static Transport transport(SystemCalls calls) {
-    SingleEventLoopTransport made = new SingleEventLoopTransport(calls);
+    SingleEventLoopTransport implementation = new SingleEventLoopTransport(calls);
     return new Transport() {
       @Override
       public String name() {
-        return "one loop";
+        return "single event loop";
       }
 
       @Override
@@ -49,21 +50,23 @@
 
       @Override
       public io.vertx.core.spi.transport.Transport implementation() {
-        return made;
+        return implementation;
       }
     };
   }
 
   @Override
   public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
-    loop = loop == null ? super.eventLoopGroup(type, 1, factory, ioRatio) : loop;
-    return loop;
+    if (eventLoop == null) {
+      eventLoop = super.eventLoopGroup(type, 1, factory, ioRatio);
+    }
+    return eventLoop;
   }
 
-  /** The server that listens next accepts within that limit; other transports know of none. */
+  /** Limits the server that listens next; does nothing where another transport is used. */
   static void limitNext(Vertx vertx, AcceptLimit limit) {
-    if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport own) {
-      own.next = limit;
+    if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport transport) {
+      transport.nextLimit = limit;
     }
   }
 
@@ -72,8 +75,9 @@
     if (domainSocket) {
       return super.serverChannelFactory(true);
     }
-    AcceptLimit limit = next == null ? new AcceptLimit(Integer.MAX_VALUE, System::nanoTime) : next;
-    next = null;
+    AcceptLimit limit =
+        nextLimit == null ? new AcceptLimit(Integer.MAX_VALUE, System::nanoTime) : nextLimit;
+    nextLimit = null;
     return () -> new BoundedServerChannel(calls, limit);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -19,131 +19,161 @@
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
- * GETs that nobody asked for, before clients are let in: the first real ones find warm code. Guards
- * against a gateway that, short of CPU, answers late while its code is cold and takes its own
- * lateness for that of the caches.
+ * Runs made-up requests before clients are let in, so that the first real ones find compiled code.
+ * Guards against a gateway that, short of CPU, answers late while its code is interpreted, and
+ * takes its own lateness for that of the endpoints. They run through a router of its own, and are
+ * seen nowhere else.
  */
 final class StartupWarmUp implements RoutingActions {
-  private static final int BATCHES = 75, BATCH = 20, ASKED = 100;
-  private static final long LONGEST = 1_000_000_000,
-      LONGEST_ASKED_MS = 250,
-      APART = 5_000_000,
-      TOOK = 50_000_000;
   private static final Logger LOG = Logger.getLogger(StartupWarmUp.class.getName());
+  private static final int BATCHES = 75;
+  private static final int BATCH_SIZE = 20;
+  private static final int MAX_STATUS_REQUESTS = 100;
+  private static final long IN_PROCESS_TIMEOUT_NANOS = 1_000_000_000;
+  private static final long SOCKETS_TIMEOUT_MILLIS = 250;
+
+  /** The made-up requests: the time between two, how long an endpoint takes, how long they wait. */
+  private static final long REQUEST_INTERVAL_NANOS = 5_000_000;
+
+  private static final long RESPONSE_TIME_NANOS = 50_000_000;
+  private static final long REQUEST_TIMEOUT_NANOS = 40 * RESPONSE_TIME_NANOS;
+  private static final int ENDPOINTS = 8;
+  private static final int OBJECTS = 40;
+  private static final int PARTS = 9;
+  private static final int SEGMENT_KB = 100;
 
   private final Vertx vertx;
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final RequestRouter router;
   private final Promise<Void> done = Promise.promise();
-  private final long start = System.nanoTime();
-  private long now = start;
-  private int cache, round, asked;
+  private final long startNanos = System.nanoTime();
+  private long nowNanos = startNanos;
+  private int chosenEndpoint;
+  private int requests;
+  private int statusRequests;
 
-  StartupWarmUp(Vertx vertx, RoutingConfig site) {
+  StartupWarmUp(Vertx vertx, RoutingConfig config) {
     this.vertx = vertx;
-    this.site = site;
-    router = new RequestRouter(site);
+    this.config = config;
+    router = new RequestRouter(config);
   }
 
   /**
-   * Before anything listens: decisions and codecs. Nothing else runs by now, so the loop may be
-   * held.
+   * Warms up the router and the codecs, for one second at most. It blocks the event loop, so it
+   * runs before anything listens.
    */
-  void play() {
-    router.round(now, this::list, this);
-    for (int batch = 0; batch < BATCHES && System.nanoTime() - start < LONGEST; batch++) {
-      for (int in = 0; in < BATCH; in++) {
-        decide(++round);
+  void runInProcess() {
+    router.round(nowNanos, this::listEndpoints, this);
+    for (int batch = 0; batch < BATCHES && !isTimeOver(); batch++) {
+      for (int request = 0; request < BATCH_SIZE; request++) {
+        routeOne(++requests);
       }
-      RequestWarmUp.play(BATCH);
-      ReplyWarmUp.play(BATCH);
+      RequestWarmUp.play(BATCH_SIZE);
+      ReplyWarmUp.play(BATCH_SIZE);
     }
   }
 
+  private boolean isTimeOver() {
+    return System.nanoTime() - startNanos >= IN_PROCESS_TIMEOUT_NANOS;
+  }
+
   /**
-   * Then sockets, on a connection to this gateway's own address; no failure of it keeps the gateway
-   * from serving.
+   * Then warms up the sockets, over a connection to this gateway's own address. Completes in every
+   * case: no failure of it keeps the gateway from serving.
    */
-  Future<Void> play(SocketAddress own) {
+  Future<Void> runOverSockets(SocketAddress ownAddress) {
     NetClient client = vertx.createNetClient();
     client
-        .connect(own)
-        .onComplete(
-            up -> {
-              if (up.failed()) {
-                done.tryComplete();
-              } else {
-                up.result()
-                    .handler(answer -> ask(up.result()))
-                    .closeHandler(closed -> done.tryComplete());
-                ask(up.result());
-              }
+        .connect(ownAddress)
+        .onFailure(e -> done.tryComplete())
+        .onSuccess(
+            socket -> {
+              socket
+                  .handler(response -> requestStatus(socket))
+                  .closeHandler(closed -> done.tryComplete());
+              requestStatus(socket);
             });
-    vertx.setTimer(LONGEST_ASKED_MS, late -> done.tryComplete());
+    vertx.setTimer(SOCKETS_TIMEOUT_MILLIS, timer -> done.tryComplete());
     return done.future()
         .onComplete(
             end -> {
               client.close();
-              LOG.info(
-                  "rehearsed "
-                      + round
-                      + " GETs in "
-                      + (System.nanoTime() - start) / 1_000_000
-                      + " ms");
+              long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
+              LOG.info("warm-up: " + requests + " requests in " + tookMillis + " ms");
             });
   }
 
-  private void ask(NetSocket self) {
-    if (++asked > ASKED) {
+  private void requestStatus(NetSocket socket) {
+    if (++statusRequests > MAX_STATUS_REQUESTS) {
       done.tryComplete();
     } else if (!done.future().isComplete()) {
-      self.write(RequestWarmUp.status());
+      socket.write(RequestWarmUp.status());
     }
   }
 
-  private void decide(int number) {
+  private void routeOne(int number) {
     long id = number;
-    int ds = number % site.deliveryServices();
+    int trafficClass = number % config.deliveryServices();
+    long objectId = id % OBJECTS + 1;
+    int partNumber = (int) (id % PARTS);
     Note note = number % 3 == 0 ? Note.FILLED : Note.HIT;
-    now += APART;
+    nowNanos += REQUEST_INTERVAL_NANOS;
     router.round(
-        now, to -> to.get(id, ds, id % 40 + 1, 0, (int) (id % 9), 40 * TOOK, 100, false), this);
+        nowNanos,
+        events ->
+            events.get(
+                id,
+                trafficClass,
+                objectId,
+                0,
+                partNumber,
+                REQUEST_TIMEOUT_NANOS,
+                SEGMENT_KB,
+                false),
+        this);
     router.round(
-        now + APART / 2,
-        to -> {
-          to.woken("sweep");
-          to.ended(id, 0, cache, Outcome.RETURNED, TOOK, true, note);
+        nowNanos + REQUEST_INTERVAL_NANOS / 2,
+        events -> {
+          events.woken("sweep");
+          events.ended(id, 0, chosenEndpoint, Outcome.RETURNED, RESPONSE_TIME_NANOS, true, note);
         },
         this);
   }
 
-  private void list(Events to) {
-    to.listing(Listing.FULL);
-    for (int member = 0; member < 8; member++) {
-      to.member(member, "m" + member, site.zone(), "m", 0, State.UP, 1, 0);
+  private void listEndpoints(Events events) {
+    events.listing(Listing.FULL);
+    for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
+      events.member(endpoint, "m" + endpoint, config.zone(), "m", 0, State.UP, 1, 0);
     }
-    if (site.midKind() != null) {
-      to.member(8, "m8", site.zone(), site.midKind(), 0, State.UP, 1, 0);
+    if (config.midKind() != null) {
+      events.member(ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, State.UP, 1, 0);
     }
-    to.listed();
+    events.listed();
   }
 
   @Override
-  public void forward(long get, int to, long until, int source, long age, int rank, int switches) {
-    cache = to;
+  public void forward(
+      long requestId,
+      int endpoint,
+      long untilNanos,
+      int source,
+      long maxAgeNanos,
+      int priority,
+      int flags) {
+    chosenEndpoint = endpoint;
   }
 
   @Override
-  public void shed(long get, long wait) {}
+  public void shed(long requestId, long retryAfterNanos) {}
 
   @Override
-  public void errored(long get) {}
+  public void errored(long requestId) {}
 
   @Override
-  public void callOff(long get, int copy) {}
+  public void callOff(long requestId, int attemptIndex) {}
 
   @Override
-  public void wake(long delay, String handle) {}
+  public void wake(long delayNanos, String handle) {}
 
   @Override
   public void watchList() {}
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -3,6 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
+import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RoutingConfig;
@@ -10,102 +11,116 @@
 import org.amberpath.routing.RoutingEvents.Events;
 
 /**
- * GETs of this gateway's own, on behalf of the fleet: made of what viewers asked for lately. They
- * take the ordinary way from {@link RoutingStage} on, and nobody is owed their answer.
+ * Requests that this gateway makes itself on behalf of the fleet, modelled on what clients asked
+ * for recently. From {@link RoutingStage} on they are processed like any other, and no client waits
+ * for the response.
  *
- * <p>Bounds: {@value #MOST} asks of viewers are kept, of {@value #LARGEST} bytes at most beside
- * their object's name; {@value #MOST_OUT} own GETs are out at a time.
+ * <p>Bounds: {@value #MAX_RECENT} recent requests are kept, each with {@value #MAX_BODY_BYTES}
+ * bytes of body at most; {@value #MAX_IN_FLIGHT} synthetic requests are in flight at a time.
  */
 final class SyntheticRequests {
-  private static final int MOST = 256, LARGEST = 1024, MOST_OUT = 16;
+  private static final int MAX_RECENT = 256;
+  private static final int MAX_BODY_BYTES = 1024;
+  private static final int MAX_IN_FLIGHT = 16;
+  private static final byte[] EMPTY = new byte[0];
 
-  private record Key(long object, int part) {}
+  /** What makes two recent requests the same. */
+  private record SegmentKey(long objectId, int partNumber) {}
 
-  private record Asked(DecodedRequest get, int ds) {}
+  /** A client's request that may be made again. */
+  private record Template(DecodedRequest decoded, int trafficClass) {}
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final Clock clock;
-  private final InFlightRequests book;
-  private final RoutingStage route;
-  private final CacheEndpoints caches;
-  private final SplittableRandom chance;
-  private final RecentRequests<Key, Asked> seen = new RecentRequests<>(MOST);
-  private int out;
+  private final InFlightRequests inFlight;
+  private final RoutingStage routingStage;
+  private final CacheEndpoints endpoints;
+  private final SplittableRandom random;
+  private final RecentRequests<SegmentKey, Template> recent = new RecentRequests<>(MAX_RECENT);
+  private int inFlightCount;
 
   SyntheticRequests(
-      RoutingConfig site,
+      RoutingConfig config,
       Clock clock,
-      InFlightRequests book,
-      RoutingStage route,
-      CacheEndpoints caches) {
-    this.site = site;
+      InFlightRequests inFlight,
+      RoutingStage routingStage,
+      CacheEndpoints endpoints) {
+    this.config = config;
     this.clock = clock;
-    this.book = book;
-    this.route = route;
-    this.caches = caches;
-    chance = new SplittableRandom(site.seed() ^ clock.now());
+    this.inFlight = inFlight;
+    this.routingStage = routingStage;
+    this.endpoints = endpoints;
+    random = new SplittableRandom(config.seed() ^ clock.now());
   }
 
-  /** Keeps what a viewer asked for, if it may be asked for again. */
-  void saw(ClientRequest get) {
-    DecodedRequest asked = get.asked;
-    if (site.effect(get.ds) == Effect.IDEMPOTENT
-        && !site.neverKept(get.ds)
-        && asked.body().length <= LARGEST) {
-      seen.add(new Key(asked.objectId(), asked.partNumber()), new Asked(asked, get.ds));
+  /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
+  void addRecent(ClientRequest request) {
+    DecodedRequest decoded = request.decoded;
+    if (config.effect(request.trafficClass) == Effect.IDEMPOTENT
+        && !config.neverKept(request.trafficClass)
+        && decoded.body().length <= MAX_BODY_BYTES) {
+      recent.add(
+          new SegmentKey(decoded.objectId(), decoded.partNumber()),
+          new Template(decoded, request.trafficClass));
     }
   }
 
-  /** As {@link FleetCoordinator.Ways#own} has it. */
-  boolean make(String cache, long within, Consumer<FleetCoordinator.Own> end) {
-    Asked like = cache == null ? seen.next() : seen.latest();
-    int index = cache == null ? -1 : caches.index(cache);
-    if (like == null && cache == null) {
-      seen.turn();
+  /** Makes a request as {@link FleetCallbacks#sendSyntheticRequest} specifies. */
+  boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
+    boolean prefetch = endpointId == null;
+    Template template = prefetch ? recent.next() : recent.latest();
+    int endpoint = prefetch ? -1 : endpoints.index(endpointId);
+    if (template == null && prefetch) {
+      recent.turn();
     }
-    if (like == null || cache != null && index < 0 || out == MOST_OUT) {
+    if (template == null || !prefetch && endpoint < 0 || inFlightCount == MAX_IN_FLIGHT) {
       return false;
     }
-    byte[] ref = String.format("%016x", chance.nextLong()).getBytes(StandardCharsets.US_ASCII);
-    DecodedRequest of = like.get;
-    DecodedRequest asked =
-        new DecodedRequest(
-            of.service(),
-            ref,
-            of.object(),
-            of.part(),
-            new byte[0],
-            new byte[0],
-            of.body(),
-            of.objectId(),
-            of.partNumber(),
-            of.group(),
-            within,
-            of.kb());
-    out++;
-    ClientRequest get =
+    DecodedRequest decoded = copyOf(template.decoded, timeoutNanos);
+    inFlightCount++;
+    ClientRequest request =
         new ClientRequest(
-            book.nextId(),
-            asked,
-            like.ds,
-            clock.now() + within,
-            what -> {
-              out--;
-              end.accept(what);
+            inFlight.nextId(),
+            decoded,
+            template.trafficClass,
+            clock.now() + timeoutNanos,
+            outcome -> {
+              inFlightCount--;
+              completion.accept(outcome);
             });
-    book.open(get);
-    route.open(
-        get,
-        (Events to) ->
-            to.own(
-                get.id,
-                get.ds,
-                of.objectId(),
-                of.group(),
-                of.partNumber(),
-                get.due - clock.now(),
-                of.kb(),
-                index));
+    inFlight.add(request);
+    routingStage.submit(request, events -> offer(events, request, endpoint));
     return true;
   }
+
+  private void offer(Events events, ClientRequest request, int endpoint) {
+    DecodedRequest decoded = request.decoded;
+    events.own(
+        request.id,
+        request.trafficClass,
+        decoded.objectId(),
+        decoded.group(),
+        decoded.partNumber(),
+        request.deadlineNanos - clock.now(),
+        decoded.kb(),
+        endpoint);
+  }
+
+  /** The same request under a new reference, without the client's copy and token. */
+  private DecodedRequest copyOf(DecodedRequest original, long timeoutNanos) {
+    String reference = String.format("%016x", random.nextLong());
+    return new DecodedRequest(
+        original.service(),
+        reference.getBytes(StandardCharsets.US_ASCII),
+        original.object(),
+        original.part(),
+        EMPTY,
+        EMPTY,
+        original.body(),
+        original.objectId(),
+        original.partNumber(),
+        original.group(),
+        timeoutNanos,
+        original.kb());
+  }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SystemCalls.java
@@ -7,16 +7,16 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The system calls that the transport makes for new connections; tests put calls that fail in their
- * place.
+ * The system calls that the transport makes for new connections; tests replace them by failing
+ * ones.
  */
 class SystemCalls {
-  /** Takes a waiting connection; null where none waits. */
-  SocketChannel accept(ServerSocketChannel from) throws IOException {
-    return from.accept();
+  /** Accepts a waiting connection without blocking; null where none waits. */
+  SocketChannel accept(ServerSocketChannel listening) throws IOException {
+    return listening.accept();
   }
 
-  /** Opens a socket for a connection to an endpoint. */
+  /** Opens a socket for an outbound connection. */
   Channel socket() {
     return new NioSocketChannel();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -216,7 +216,7 @@
       assertTrue(one.answer().status());
     }
     awaitHeld(MOST);
-    assertTrue(most.get() <= MOST + ClientConnections.SPARE, "held " + most);
+    assertTrue(most.get() <= MOST + ClientConnections.SPARE_CONNECTIONS, "held " + most);
   }
 
   private static void await(CountDownLatch latch) {
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -509,11 +509,11 @@
     client.get(1, "parts", 1500, 0);
     cache.next().ok("still known");
     assertEquals("still known", text(client.answer()));
-    for (int many = 0; many < 300 && world.gateway.held() > here; many++) {
+    for (int many = 0; many < 300 && world.gateway.resourceCount() > here; many++) {
       client.status();
       Thread.sleep(10);
     }
-    assertEquals(here, world.gateway.held());
+    assertEquals(here, world.gateway.resourceCount());
   }
 
   @Test
@@ -528,11 +528,11 @@
         for (String bad : List.of("{", good.replace("\"journal\":\"", "\"journal\":\"x"))) {
           Files.writeString(file, bad);
           hangUp(process);
-          awaitLine(log, "SIGHUP: nothing changes: ");
+          awaitLine(log, "SIGHUP: configuration unchanged: ");
         }
         Files.writeString(file, good.replace(world.journal.address(), other.journal.address()));
         hangUp(process);
-        awaitLine(log, "the journal is asked at");
+        awaitLine(log, "journal polled at");
         String poll = other.journal.polls.poll(10, TimeUnit.SECONDS);
         assertTrue(poll != null && poll.startsWith("tail=2&"), poll);
       } finally {
@@ -570,7 +570,7 @@
       hangUp(process);
       Files.writeString(
           file, Files.readString(file).replace(world.journal.address(), other.journal.address()));
-      awaitLine(log, "the journal is asked at");
+      awaitLine(log, "journal polled at");
       assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
@@ -847,7 +847,7 @@
   void clientsAreLetInAfterARehearsalOverTheGatewaysOwnAddress() throws Exception {
     Process process = program(0);
     try (BufferedReader log = process.inputReader()) {
-      awaitLine(log, "rehearsed ");
+      awaitLine(log, "warm-up: ");
       awaitServing(log);
     } finally {
       process.destroyForcibly();
@@ -1099,8 +1099,8 @@
   // ---- News that is too old to decide by.
 
   /** Decisions in whose next round the loop stands still until it is let go. */
-  private final class Standing implements RoutingStage.Rounds {
-    private final RoutingStage.Rounds decisions;
+  private final class Standing implements RoutingStage.BatchRouter {
+    private final RoutingStage.BatchRouter decisions;
     final CountDownLatch stands = new CountDownLatch(1), letGo = new CountDownLatch(1);
     volatile boolean armed;
 
@@ -1109,8 +1109,8 @@
     }
 
     @Override
-    public void round(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
-      decisions.round(now, in, to);
+    public void routeBatch(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
+      decisions.routeBatch(now, in, to);
       if (armed) {
         armed = false;
         stands.countDown();
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -11,24 +11,24 @@
 import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
-final class PausingDecisions implements RoutingStage.Rounds {
+final class PausingDecisions implements RoutingStage.BatchRouter {
   /** The request at which it stands. */
   static final String REF = "00000000000003e7";
 
   private static final long PATIENCE_S = 20;
 
-  private final RoutingStage.Rounds decisions;
+  private final RoutingStage.BatchRouter decisions;
   private final CountDownLatch stands = new CountDownLatch(1);
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  PausingDecisions(RoutingStage.Rounds decisions) {
+  PausingDecisions(RoutingStage.BatchRouter decisions) {
     this.decisions = decisions;
   }
 
   @Override
-  public void round(long now, RoutingEvents in, RoutingActions to) {
-    decisions.round(now, in, to);
+  public void routeBatch(long now, RoutingEvents in, RoutingActions to) {
+    decisions.routeBatch(now, in, to);
     if (armed) {
       armed = false;
       stand();
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -57,7 +57,7 @@
   }
 
   /** A gateway whose connections are accepted on its event loop, as those of the program are. */
-  private void startOnOneLoop(RoutingStage.Rounds decisions) throws Exception {
+  private void startOnOneLoop(RoutingStage.BatchRouter decisions) throws Exception {
     oneLoop =
         Vertx.builder()
             .withTransport(SingleEventLoopTransport.transport())
@@ -67,7 +67,7 @@
         new Gateway(
             oneLoop,
             GatewayOptions.read(world.environment(folder)),
-            GatewayExtensions.NOTHING,
+            GatewayExtensions.NONE,
             decisions);
     world
         .gateway
@@ -191,7 +191,7 @@
                     }
                   }));
         });
-    int held = world.gateway.held();
+    int held = world.gateway.resourceCount();
     Client client = world.client();
     long allowance = 500;
     long sent = System.nanoTime();
@@ -207,8 +207,8 @@
     assertTrue(client.status().status());
     client.close();
     for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        world.gateway.held() > held; ) {
-      assertTrue(System.nanoTime() < by, "held for ever: " + world.gateway.held());
+        world.gateway.resourceCount() > held; ) {
+      assertTrue(System.nanoTime() < by, "held for ever: " + world.gateway.resourceCount());
       Thread.sleep(20);
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -39,7 +39,7 @@
       assertTrue(
           now + schedule.timeLeft(now) <= SIGTERM + (kill - 139) * MILLI, "time left at " + at);
       rejected = rejected < 0 && schedule.rejects(now) ? at : rejected;
-      answered = answered < 0 && schedule.answersAll(now) ? at : answered;
+      answered = answered < 0 && schedule.failsInFlight(now) ? at : answered;
       if (halfClosed < 0 && schedule.halfCloses(now, false)) {
         halfClosed = at;
         schedule.halfClosed(now);
@@ -75,7 +75,7 @@
     long late = 900 * MILLI;
     assertTrue(
         schedule.rejects(late)
-            && schedule.answersAll(late)
+            && schedule.failsInFlight(late)
             && schedule.halfCloses(late, false)
             && schedule.exits(late, false, false));
     assertEquals(MILLI, schedule.timeLeft(late));
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -73,11 +73,11 @@
     return cache;
   }
 
-  void start(GatewayOptions options, RoutingStage.Rounds decisions) throws Exception {
+  void start(GatewayOptions options, RoutingStage.BatchRouter decisions) throws Exception {
     gateway =
         decisions == null
             ? new Gateway(vertx, options)
-            : new Gateway(vertx, options, GatewayExtensions.NOTHING, decisions);
+            : new Gateway(vertx, options, GatewayExtensions.NONE, decisions);
     gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -32,27 +32,27 @@
   private StandIns world;
   private Cache cache;
   private Client client;
-  private FleetCoordinator.Ways ways;
+  private FleetCallbacks callbacks;
   private boolean draining;
 
-  /** A company that does nothing but keep what it may ask for. */
-  private final class Kept implements FleetCoordinator {
+  /** A coordinator that does nothing but keep its callbacks. */
+  private final class IdleCoordinator implements FleetCoordinator {
     @Override
     public Future<Void> start() {
       return Future.succeededFuture();
     }
 
     @Override
-    public void health(String id, RoutingActions.Health health) {}
+    public void endpointHealthChanged(String id, RoutingActions.Health health) {}
 
     @Override
-    public void cold(String id, long until) {}
+    public void endpointWarmingUp(String id, long until) {}
 
     @Override
-    public void renewed() {}
+    public void reload() {}
 
     @Override
-    public void draining() {
+    public void beginDraining() {
       draining = true;
     }
 
@@ -75,9 +75,9 @@
             options,
             new GatewayExtensions(
                 null,
-                (Vertx vertx, GatewayOptions of, FleetCoordinator.Ways to) -> {
-                  ways = to;
-                  return new Kept();
+                (Vertx vertx, GatewayOptions of, FleetCallbacks to) -> {
+                  callbacks = to;
+                  return new IdleCoordinator();
                 }));
     world
         .gateway
@@ -93,9 +93,9 @@
     world.close();
   }
 
-  private CompletableFuture<FleetCoordinator.Own> own(String id) {
-    CompletableFuture<FleetCoordinator.Own> end = new CompletableFuture<>();
-    ways.own(id, ACT, end::complete);
+  private CompletableFuture<FleetCallbacks.SyntheticOutcome> own(String id) {
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = new CompletableFuture<>();
+    callbacks.sendSyntheticRequest(id, ACT, end::complete);
     return end;
   }
 
@@ -107,10 +107,11 @@
 
   @Test
   void aTrialAsksForWhatAViewerAskedForButOnlyIfItIsHeldAndUnderAnotherName() throws Exception {
-    assertFalse(ways.own("c0", ACT, end -> {}), "nobody has asked for anything yet");
+    assertFalse(
+        callbacks.sendSyntheticRequest("c0", ACT, end -> {}), "nobody has asked for anything yet");
     viewed();
-    assertFalse(ways.own("c9", ACT, end -> {}), "there is no such cache");
-    CompletableFuture<FleetCoordinator.Own> end = own("c0");
+    assertFalse(callbacks.sendSyntheticRequest("c9", ACT, end -> {}), "there is no such cache");
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
     Command want = cache.next();
     assertNotEquals("0000000000000001", want.word(1));
     assertEquals(
@@ -118,7 +119,7 @@
         want.word(2).replaceFirst("ms=\\d+,", ""));
     want.answer("nothing", "res=n", new byte[0]);
     assertEquals(
-        FleetCoordinator.Own.ANSWERED,
+        FleetCallbacks.SyntheticOutcome.ANSWERED,
         end.get(5, TimeUnit.SECONDS),
         "that it has not the part is an answer too");
     client.get(2, "parts", 1500, 3);
@@ -130,14 +131,14 @@
   void onesThatNobodyAnswersEndAtTheirTimeAndAreNotSentAgain() throws Exception {
     viewed();
     long began = System.nanoTime();
-    CompletableFuture<FleetCoordinator.Own> end = own("c0");
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
     cache.next();
-    assertEquals(FleetCoordinator.Own.SILENT, end.get(5, TimeUnit.SECONDS));
+    assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, end.get(5, TimeUnit.SECONDS));
     assertTrue(System.nanoTime() - began < 2 * ACT);
     Command next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
     assertTrue(next == null || !next.word(0).equals("want"), "nothing but that it is given up");
     assertEquals(
-        FleetCoordinator.Own.NOT_SENT,
+        FleetCallbacks.SyntheticOutcome.NOT_SENT,
         own("o0").get(5, TimeUnit.SECONDS),
         "the origin is not tried");
   }
@@ -150,7 +151,7 @@
     long began = System.nanoTime();
     world.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     assertTrue(draining);
-    assertFalse(ways.own("c0", ACT, late -> {}), "nothing is begun any more");
+    assertFalse(callbacks.sendSyntheticRequest("c0", ACT, late -> {}), "nothing is begun any more");
     assertTrue(System.nanoTime() - began < 3_000_000_000L);
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -176,7 +176,7 @@
         new Gateway(
             vertx,
             options,
-            GatewayExtensions.NOTHING,
+            GatewayExtensions.NONE,
             (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
     world
         .gateway
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -43,7 +43,7 @@
   }
 
   private void start() throws Exception {
-    RoutingStage.Rounds decisions =
+    RoutingStage.BatchRouter decisions =
         (now, in, to) ->
             in.replay(
                 (RoutingEvents.Events)
@@ -66,7 +66,7 @@
         new Gateway(
             world.vertx,
             GatewayOptions.read(world.environment(folder)),
-            GatewayExtensions.NOTHING,
+            GatewayExtensions.NONE,
             decisions,
             new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
     world
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -134,7 +134,7 @@
   }
 
   /** Starts the gateway, which hears of caches from the source that the maker makes. */
-  public void serve(EndpointSource.Maker source) throws Exception {
+  public void serve(EndpointSource.Factory source) throws Exception {
     gateway =
         new Gateway(own, LabSettings.options(seed, null), new GatewayExtensions(source, null));
     await(gateway.start());
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -325,14 +325,14 @@
     Files.writeString(trust, Files.readString(folder.resolve("one.crt")));
     on(
         () -> {
-          source.renewed();
+          source.reload();
           return null;
         });
     await(() -> is("a", State.UP));
     // Read again, files leave an open watch alone.
     on(
         () -> {
-          source.renewed();
+          source.reload();
           return null;
         });
     put("a", State.DRAINING);
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -1,7 +1,7 @@
 package org.amberpath.leadership.runtime;
 
 import io.vertx.core.json.JsonObject;
-import org.amberpath.gateway.FleetCoordinator;
+import org.amberpath.gateway.FleetCallbacks;
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.Leadership;
 import org.amberpath.membership.runtime.MembershipService;
@@ -51,12 +51,12 @@
     while (!draining && tenure.holdsFor(now, act) && ahead.next(now)) {
       boolean begun =
           company
-              .ways()
-              .own(
+              .callbacks()
+              .sendSyntheticRequest(
                   null,
                   act,
                   what -> {
-                    filled += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
+                    filled += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
                     ahead.ended();
                     go(tenure);
                   });
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import java.util.List;
 import java.util.Map;
-import org.amberpath.gateway.FleetCoordinator;
+import org.amberpath.gateway.FleetCallbacks;
 import org.amberpath.leadership.CandidateOrder;
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.leadership.Leadership;
@@ -93,7 +93,9 @@
 
   private void tellNews(String to, byte[] word, Map<String, HealthCheckCoordinator.Said> news) {
     if (to.equals(company.name())) {
-      news.forEach((cache, said) -> company.ways().vouched(cache, said.answers(), said.ago()));
+      news.forEach(
+          (cache, said) ->
+              company.callbacks().healthCheckReported(cache, said.answers(), said.ago()));
     } else {
       company.post(to, word);
     }
@@ -102,7 +104,7 @@
   private void tell(boolean now) {
     if (now != forAll) {
       forAll = now;
-      company.ways().tried(now);
+      company.callbacks().healthChecksCentralized(now);
     }
   }
 
@@ -111,12 +113,12 @@
     // own the task.
     if (!tenure.holdsFor(company.now(), act)
         || !company
-            .ways()
-            .own(
+            .callbacks()
+            .sendSyntheticRequest(
                 cache,
                 act,
                 what -> {
-                  answered += what == FleetCoordinator.Own.ANSWERED ? 1 : 0;
+                  answered += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
                   trials.tried(
                       company.now(), cache, HealthCheckCoordinator.End.valueOf(what.name()));
                 })) {
@@ -157,7 +159,9 @@
         } else {
           words++;
           tell(trials.forAll(now, tenure.holds(now)));
-          said.forEach((cache, one) -> company.ways().vouched(cache, one.answers(), one.ago()));
+          said.forEach(
+              (cache, one) ->
+                  company.callbacks().healthCheckReported(cache, one.answers(), one.ago()));
         }
       }
       default -> {}
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -12,6 +12,7 @@
 import java.util.Map;
 import java.util.logging.Logger;
 import org.amberpath.gateway.Clock;
+import org.amberpath.gateway.FleetCallbacks;
 import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.gateway.GatewayOptions;
 import org.amberpath.membership.GossipMessage;
@@ -51,7 +52,7 @@
   private final Vertx vertx;
   private final MembershipSettings access;
   private final GatewayOptions options;
-  private final Ways ways;
+  private final FleetCallbacks callbacks;
   private final SwimTimings rules;
   private final DatagramCodec form;
   private final AdminEndpoint desk;
@@ -72,12 +73,12 @@
       Vertx vertx,
       MembershipSettings access,
       GatewayOptions options,
-      Ways ways,
+      FleetCallbacks callbacks,
       FleetMessageHandler.Maker guests) {
     this.vertx = vertx;
     this.access = access;
     this.options = options;
-    this.ways = ways;
+    this.callbacks = callbacks;
     rules =
         SwimTimings.every(
             access.told() == 0 ? Math.max(1, options.site().gateways()) : access.told(),
@@ -233,8 +234,8 @@
   }
 
   /** What a guest may tell the gateway's decisions, and ask of it. */
-  public Ways ways() {
-    return ways;
+  public FleetCallbacks callbacks() {
+    return callbacks;
   }
 
   /** Unix nanoseconds that only go forward. */
@@ -255,7 +256,7 @@
           options.name()
               + ": fleet: "
               + (part > 0 ? "one part of " + told : "no part yet of what " + told + " share"));
-      ways.shared(told, part);
+      callbacks.quotaShareChanged(told, part);
     }
   }
 
@@ -298,21 +299,21 @@
   }
 
   @Override
-  public void health(String cache, RoutingActions.Health health) {
+  public void endpointHealthChanged(String cache, RoutingActions.Health health) {
     if (guest != null && timer >= 0) {
       guest.health(clock.now(), cache, health);
     }
   }
 
   @Override
-  public void cold(String cache, long until) {
+  public void endpointWarmingUp(String cache, long until) {
     if (guest != null && timer >= 0) {
       guest.cold(clock.now(), cache, until);
     }
   }
 
   @Override
-  public void draining() {
+  public void beginDraining() {
     if (guest != null && timer >= 0) {
       guest.draining(clock.now());
     }
@@ -320,7 +321,7 @@
 
   /** Keys may have been changed; a file that can't be read leaves those that hold. */
   @Override
-  public void renewed() {
+  public void reload() {
     if (guest != null && timer >= 0) {
       guest.renewed();
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -160,7 +160,7 @@
   }
 
   @Override
-  public void renewed() {
+  public void reload() {
     wires
         .renewed()
         .onComplete(
