--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -163,7 +163,7 @@
     if (outcome == Outcome.RETURNED) {
       writeResponse(request, body);
     }
-    // Guards endpoints against the blame for what this gateway read late.
+    // Guards endpoints against the blame for this gateway's own lag.
     long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagBeforeNanos();
     long tookNanos = Math.max(0, context.clock().now() - plan.startedAtNanos() - lagNanos);
     boolean answered = request.answered;
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -65,7 +65,7 @@
     if (mode == Mode.ENDED) {
       added.end();
       if (isOverSpare()) {
-        added.close(); // It is owed nothing: nothing of it was read.
+        added.close(); // Nothing of it was read, so no response is pending.
       }
       return;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -43,7 +43,7 @@
   /** Events that the router has not been given yet. */
   int pendingEvents;
 
-  /** Whether its final response is written, or none is owed any more. */
+  /** Whether its final response is written, or its client no longer waits for one. */
   boolean answered;
 
   /** The clock time at which it was read. */
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -19,7 +19,7 @@
   /** Null where there is the journal alone. */
   private final EndpointSource source;
 
-  /** Connects both to the pipeline; nothing is asked before {@link #start()}. */
+  /** Connects both to the pipeline; nothing is polled before {@link #start()}. */
   EndpointDiscovery(
       RequestPipeline pipeline, GatewayOptions options, EndpointSource.Factory sourceFactory) {
     PipelineContext context = pipeline.context;
--- a/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
@@ -24,11 +24,11 @@
   private final LoadShedder loadShedder;
   private final AcceptLag<ClientConnection> acceptLag = new AcceptLag<>();
 
-  /** When the next tick is due. */
+  /** The time for which the next tick is scheduled. */
   private long nextTickAt = Long.MAX_VALUE;
 
-  /** When the last tick was due, and when it ran. */
-  private long lastTickDueAt;
+  /** The time for which the last tick was scheduled, and the time at which it ran. */
+  private long lastTickScheduledAt;
 
   private long lastTickAt;
   private long totalLagNanos;
@@ -66,7 +66,7 @@
     acceptLag.turn(clock.now());
     loadShedder.turn(clock.now(), Math.max(0, clock.now() - nextTickAt));
     lastTickWasLate = lateNanos > MIN_LAG_NANOS;
-    lastTickDueAt = nextTickAt;
+    lastTickScheduledAt = nextTickAt;
     scheduled(clock.now());
   }
 
@@ -76,7 +76,7 @@
    * long that takes.
    */
   long currentLagNanos() {
-    long lateNanos = clock.now() - (lastTickWasLate ? lastTickDueAt : nextTickAt);
+    long lateNanos = clock.now() - (lastTickWasLate ? lastTickScheduledAt : nextTickAt);
     return lateNanos > MIN_LAG_NANOS ? lateNanos : 0;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -103,7 +103,7 @@
     return byId.values().stream().filter(request -> !request.answered).toList();
   }
 
-  /** Records that a request has its final response, or that none is owed any more. */
+  /** Records that a request has its final response, or that its client no longer waits for one. */
   void markAnswered(ClientRequest request) {
     request.answered = true;
     if (!request.isSynthetic()) {
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -123,7 +123,7 @@
     scheduleBatch();
   }
 
-  /** Notifies the router that no response of a request is owed any more. */
+  /** Notifies the router that nobody waits for a request's response any more. */
   void enqueueCancelled(ClientRequest request) {
     enqueue(request, events -> events.left(request.id));
   }
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void aTrialAsksForWhatAViewerAskedForButOnlyIfItIsHeldAndUnderAnotherName() throws Exception {
+  void aHealthCheckRepeatsAClientsRequestUnderANewReference() throws Exception {
     assertFalse(
         callbacks.sendSyntheticRequest("c0", ACT, end -> {}), "nobody has asked for anything yet");
     viewed();
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void onesThatNobodyAnswersEndAtTheirTimeAndAreNotSentAgain() throws Exception {
+  void oneWithoutAResponseTimesOutAndIsNotRetried() throws Exception {
     viewed();
     long began = System.nanoTime();
     CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
@@ -144,7 +144,7 @@
   }
 
   @Test
-  void aStopIsToldOfAndWaitsForNoneOfThem() throws Exception {
+  void aShutdownNotifiesTheCoordinatorAndWaitsForNoSyntheticRequest() throws Exception {
     viewed();
     own("c0");
     cache.next();
