--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -179,15 +179,15 @@
           to.listed();
         });
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
+    int listed = 0;
     for (Entry entry : byId.values()) {
+      listed += entry.state == State.GONE ? 0 : 1;
       if (entry.pool != null) {
         entry.pool.fail(
             want -> entry.state != State.UP || !up((AttemptSender.Sent) want), Outcome.HELD_BACK);
       }
     }
-    most =
-        options.connectionsToEach(
-            (int) byId.values().stream().filter(one -> one.state != State.GONE).count());
+    most = options.connectionsToEach(listed);
   }
 
   private boolean up(AttemptSender.Sent sent) {
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -11,6 +11,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.regex.Pattern;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 
@@ -27,6 +28,8 @@
 
   private static final long DRAIN_GRACE = 250_000_000, PURGE_GRACE = 300_000_000;
 
+  private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9a-fA-F.:]+");
+
   private final String name;
   private final SocketAddress listen, journal;
   private final JsonRoutingConfig site;
@@ -118,7 +121,7 @@
     String host = colon < 0 ? "" : text.substring(0, colon).replace("[", "").replace("]", "");
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      if (!host.isEmpty() && host.matches("[0-9a-fA-F.:]+") && port >= 0 && port < 1 << 16) {
+      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < 1 << 16) {
         return SocketAddress.inetSocketAddress(
             new InetSocketAddress(InetAddress.getByName(host), port));
       }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -246,6 +246,9 @@
 
   /** Ends those that wait for a connection and so have not begun to be sent. */
   public void fail(Predicate<CacheCommand> which, Outcome outcome) {
+    if (waiting.isEmpty()) {
+      return;
+    }
     List<CacheCommand> failed = waiting.stream().filter(which).toList();
     waiting.removeAll(failed);
     failed.forEach(want -> want.ended(outcome, Note.NOTHING, null));
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -1,5 +1,8 @@
 package org.amberpath.gateway.discovery;
 
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.State;
@@ -59,38 +62,44 @@
   /** Returns the number of the last event that is known then. */
   private long tell(JsonReader reply, EndpointListener target) {
     long at = pos;
-    for (JsonReader entry : reply.each("entries")) {
-      long number = entry.wholeOr("pos", 0);
-      if (number > at) {
-        entry(entry, target);
-        at = number;
+    ListingRun run = new ListingRun(target);
+    try {
+      for (JsonReader entry : reply.each("entries")) {
+        long number = entry.wholeOr("pos", 0);
+        if (number > at) {
+          entry(entry, target, run);
+          at = number;
+        }
       }
+    } finally {
+      run.end(); // Also before an entry that can't be used: what came before it counts.
     }
     return at;
   }
 
-  private static void entry(JsonReader entry, EndpointListener to) {
+  private static void entry(JsonReader entry, EndpointListener to, ListingRun run) {
     if (entry.has("hosts")) {
       JsonReader hosts = entry.fields("hosts");
-      to.listing(hosts.flag("reset"));
-      for (JsonReader one : hosts.each("instances")) {
-        to.member(
-            one.text("instanceId"),
-            one.has("hostPort") ? one.text("hostPort") : "",
-            one.has("zone") ? one.text("zone") : "",
-            one.has("machineType") ? one.text("machineType") : "",
-            one.place("cell", 0),
-            state(one),
-            one.numberOr("weight", 1),
-            one.wholeOr("startedAtMs", 0));
-      }
-      to.listed();
+      run.add(hosts.flag("reset"), hosts.each("instances"));
     } else if (entry.has("expire")) {
+      run.end();
       JsonReader purge = entry.fields("expire");
       to.purged(purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
     }
   }
 
+  private static void member(JsonReader one, EndpointListener to) {
+    to.member(
+        one.text("instanceId"),
+        one.has("hostPort") ? one.text("hostPort") : "",
+        one.has("zone") ? one.text("zone") : "",
+        one.has("machineType") ? one.text("machineType") : "",
+        one.place("cell", 0),
+        state(one),
+        one.numberOr("weight", 1),
+        one.wholeOr("startedAtMs", 0));
+  }
+
   private static long object(JsonReader purge) {
     try {
       return Long.parseUnsignedLong(purge.text("name"), 16);
@@ -108,6 +117,54 @@
     };
   }
 
+  /**
+   * Tells a run of changes of the list as one listing, since whoever hears of one goes through all
+   * endpoints. A full list begins a listing of its own, and so does an id that had left: what comes
+   * back is another endpoint, of which nothing is known.
+   */
+  private static final class ListingRun {
+    private final EndpointListener to;
+    private final Set<String> left = new HashSet<>();
+    private boolean isOpen;
+
+    ListingRun(EndpointListener to) {
+      this.to = to;
+    }
+
+    void add(boolean whole, List<JsonReader> instances) {
+      if (whole || isReturn(instances)) {
+        end();
+      }
+      if (!isOpen) {
+        to.listing(whole);
+      }
+      for (JsonReader one : instances) {
+        member(one, to);
+        if (state(one) == State.GONE) {
+          left.add(one.text("instanceId"));
+        }
+      }
+      isOpen = true;
+    }
+
+    private boolean isReturn(List<JsonReader> instances) {
+      for (JsonReader one : left.isEmpty() ? List.<JsonReader>of() : instances) {
+        if (left.contains(one.text("instanceId")) && state(one) != State.GONE) {
+          return true;
+        }
+      }
+      return false;
+    }
+
+    void end() {
+      if (isOpen) {
+        isOpen = false;
+        left.clear();
+        to.listed();
+      }
+    }
+  }
+
   /** Reads a reply through before it is told. */
   private static final class Scout implements EndpointListener {
     private long newestPurge;
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -0,0 +1,125 @@
+package org.amberpath.gateway.discovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import com.fasterxml.jackson.core.JsonFactory;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.RoutingEvents.State;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Which entries of one reply of the journal are told as one listing. */
+class JournalListingTest {
+  private final List<String> told = new ArrayList<>();
+
+  /**
+   * Entries are words: R a full list, C changes, P a purge, O another kind; then ids, "-" before
+   * one that is gone.
+   */
+  private static JsonReader reply(String entries) throws IOException {
+    StringBuilder text = new StringBuilder("{'pos':9,'entries':[");
+    int pos = 0;
+    for (String entry : entries.split(" ")) {
+      text.append(pos == 0 ? "" : ",").append("{'pos':").append(++pos).append(',');
+      switch (entry.charAt(0)) {
+        case 'P' -> text.append("'expire':{'set':0,'stamp':5}}");
+        case 'O' -> text.append("'other':{}}");
+        default -> {
+          text.append("'hosts':{'reset':").append(entry.charAt(0) == 'R').append(",'instances':[");
+          String separator = "";
+          for (String id : entry.substring(1).split(",")) {
+            text.append(separator).append("{'instanceId':'").append(id.replace("-", ""));
+            text.append("','lifecycle':'").append(id.startsWith("-") ? "gone'}" : "ready'}");
+            separator = ",";
+          }
+          text.append("]}}");
+        }
+      }
+    }
+    String json = text.append("]}").toString().replace('\'', '"');
+    return JsonReader.read("reply", new JsonFactory().createParser(json));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "Ca Cb Cc, changes a b c listed",
+    "Ca O Cb, changes a b listed",
+    "Ca Rb Cc, changes a listed whole b c listed",
+    "Ca P Cb, changes a listed purge changes b listed",
+    "Ra P, whole a listed purge",
+    "Ca Cb C-a, changes a b -a listed",
+    "'C-a Cb Ca,c Cd', changes -a b listed changes a c d listed",
+    "C-a C-a P Ca, changes -a -a listed purge changes a listed"
+  })
+  void aRunOfChangesIsOneListing(String entries, String listings) throws Exception {
+    new JournalDecoder(new Ignored()).play(reply(entries), new Listener(""));
+    assertEquals(listings, String.join(" ", told));
+  }
+
+  @Test
+  void whatCameBeforeAMemberThatCannotBeUsedCounts() throws Exception {
+    JsonReader reply = reply("Ca Cbad Cc");
+    JournalDecoder decoder = new JournalDecoder(new Ignored());
+    assertThrows(
+        JsonReader.Malformed.class, () -> decoder.play(reply, new Listener("bad")), "as before");
+    assertEquals("changes a listed", String.join(" ", told));
+    told.clear();
+    assertThrows(
+        JsonReader.Malformed.class, () -> decoder.play(reply("Rbad"), new Listener("bad")));
+    assertEquals("whole", String.join(" ", told), "a full list with a hole is none");
+  }
+
+  private static final class Ignored implements JournalDecoder.Replies {
+    @Override
+    public void begins(boolean live, long newestPurgeMillis) {}
+
+    @Override
+    public void ends() {}
+  }
+
+  /** Writes down what it is told, and can't use one id. */
+  private final class Listener implements EndpointListener {
+    private final String unusable;
+
+    Listener(String unusable) {
+      this.unusable = unusable;
+    }
+
+    @Override
+    public void listing(boolean whole) {
+      told.add(whole ? "whole" : "changes");
+    }
+
+    @Override
+    public void member(
+        String id,
+        String address,
+        String zone,
+        String kind,
+        int cell,
+        State state,
+        double weight,
+        long startedAtMs) {
+      if (id.equals(unusable)) {
+        throw new JsonReader.Malformed("unusable");
+      }
+      told.add(state == State.GONE ? "-" + id : id);
+    }
+
+    @Override
+    public void listed() {
+      told.add("listed");
+    }
+
+    @Override
+    public void purged(long object, int group, long atMs) {
+      told.add("purge");
+    }
+  }
+}
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -58,7 +58,7 @@
   void assignShares(GatewayShare share) {
     int inZone = share.gatewaysInZone();
     double originShare =
-        endpoints.count(endpoint -> endpoint.isEdge() && endpoint.isUp())
+        endpoints.upEdges()
             / EDGES_PER_GATEWAY
             / share.gatewaysInAll()
             * (share.isGranted() ? 1 : 0);
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -1,9 +1,11 @@
 package org.amberpath.routing;
 
+import java.util.ArrayList;
 import java.util.Collection;
+import java.util.Iterator;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import java.util.function.Predicate;
 
 /** The endpoints of the list by index, and those among them that requests of this zone can use. */
 final class EndpointTable {
@@ -12,6 +14,7 @@
   private Endpoint[] zoneEdges = {};
   private Endpoint[] parents = {};
   private Endpoint origin;
+  private int upEdges;
 
   /** An empty table of a gateway in that zone. */
   EndpointTable(String zone) {
@@ -43,26 +46,41 @@
     return all.get(index);
   }
 
+  /** How many edge caches of all zones were up when the list was complete. */
+  int upEdges() {
+    return upEdges;
+  }
+
   /** The endpoint of that index, made if it is not known yet. */
   Endpoint getOrAdd(int index, String id) {
     return all.computeIfAbsent(index, missing -> new Endpoint(missing, id));
   }
 
-  /** How many endpoints answer to that. */
-  int count(Predicate<Endpoint> which) {
-    return (int) all.values().stream().filter(which).count();
-  }
-
-  /** A list is complete: drops what is gone. Guards against ids that come and go for ever. */
+  /**
+   * A list is complete: drops what is gone, in one pass. Guards against ids that come and go for
+   * ever.
+   */
   void rebuild() {
-    all.values().removeIf(endpoint -> endpoint.state == RoutingEvents.State.GONE);
-    zoneEdges = select(endpoint -> endpoint.isEdge() && endpoint.zone.equals(zone));
-    parents = select(endpoint -> endpoint.role == Endpoint.Role.PARENT);
-    Endpoint[] origins = select(endpoint -> endpoint.role == Endpoint.Role.ORIGIN);
-    origin = origins.length == 0 ? null : origins[0];
-  }
-
-  private Endpoint[] select(Predicate<Endpoint> which) {
-    return all.values().stream().filter(which).toArray(Endpoint[]::new);
+    List<Endpoint> edges = new ArrayList<>();
+    List<Endpoint> parentsOfAll = new ArrayList<>();
+    origin = null;
+    upEdges = 0;
+    for (Iterator<Endpoint> each = all.values().iterator(); each.hasNext(); ) {
+      Endpoint endpoint = each.next();
+      if (endpoint.state == RoutingEvents.State.GONE) {
+        each.remove();
+      } else if (endpoint.isEdge()) {
+        upEdges += endpoint.isUp() ? 1 : 0;
+        if (endpoint.zone.equals(zone)) {
+          edges.add(endpoint);
+        }
+      } else if (endpoint.role == Endpoint.Role.PARENT) {
+        parentsOfAll.add(endpoint);
+      } else if (origin == null) {
+        origin = endpoint;
+      }
+    }
+    zoneEdges = edges.toArray(Endpoint[]::new);
+    parents = parentsOfAll.toArray(Endpoint[]::new);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -20,6 +20,12 @@
         List.of(0, 1, 2, 3), Arrays.stream(table.zoneEdges()).map(one -> one.index).toList());
     assertEquals(List.of(5, 6), Arrays.stream(table.parents()).map(one -> one.index).toList());
     assertEquals(ORIGIN, table.origin().index);
+    assertEquals(5, table.upEdges(), "of all zones");
+    parts.update(4, State.DRAINING, 0);
+    parts.update(ORIGIN, State.GONE, 0);
+    table.rebuild();
+    assertEquals(4, table.upEdges());
+    assertNull(table.origin());
   }
 
   @Test
