--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import java.util.Arrays;
-
 /**
  * This gateway's part of what comes back in time: requests at an endpoint, fills into the zone and
  * fills that reach the origin. Past a limit the next endpoint takes over, then only cached copies
@@ -126,9 +124,14 @@
    * caches.
    */
   double spillOverBound(Endpoint[] peers) {
-    double inFlight =
-        Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.limit.inFlight : 0).sum();
-    double weights = Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.weight : 0).sum();
+    double inFlight = 0;
+    double weights = 0;
+    for (Endpoint peer : peers) {
+      if (peer.isUp()) {
+        inFlight += peer.limit.inFlight;
+        weights += peer.weight;
+      }
+    }
     return (SPILL_OVER_FACTOR * inFlight + SPILL_OVER_ALLOWANCE) / Math.max(weights, MIN_WEIGHT);
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -21,6 +21,9 @@
     ANY
   }
 
+  /** Far more than what logarithms and exponentials round by. */
+  private static final double ROUNDING = 1e-9;
+
   private record Criteria(
       InFlightRequest request,
       Eligibility eligibility,
@@ -63,6 +66,8 @@
             request, eligibility, bound, limiter.priorityFactor(request.trafficClass), nowNanos);
     Endpoint best = null;
     double highest = -1;
+    double heaviest = 0;
+    double lowestPlace = 0;
     for (Endpoint endpoint : candidates) {
       if (!endpoint.isUp()
           || request.triedEndpoints.contains(endpoint)
@@ -70,10 +75,16 @@
         continue;
       }
       long key = mix(request.object * 31 + segment ^ endpoint.hash);
-      double score = endpoint.weight / -Math.log(toUnit(key));
+      double place = toUnit(key);
+      if (place < lowestPlace && endpoint.weight <= heaviest) {
+        continue; // It can't pass the highest score: spares the logarithm for all but a few.
+      }
+      double score = endpoint.weight / -Math.log(place);
       if (score > highest && isEligible(endpoint, key, criteria)) {
         best = endpoint;
         highest = score;
+        heaviest = Math.max(heaviest, endpoint.weight);
+        lowestPlace = Math.exp(-heaviest / highest) - ROUNDING;
       }
     }
     return best;
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -39,6 +39,30 @@
     assertEquals(300, large, 60);
   }
 
+  /** What is spared on the way must not change who is chosen: compared with the score itself. */
+  @Test
+  void theHighestScoreIsChosenAmongEndpointsOfManyWeights() {
+    Endpoint[] candidates = new Endpoint[300];
+    for (int index = 0; index < candidates.length; index++) {
+      candidates[index] = new Endpoint(index, "e" + index);
+      candidates[index].state = State.UP;
+      candidates[index].weight = index % 7 == 0 ? 40 : 0.5 + index % 5;
+    }
+    for (int object = 0; object < 500; object++) {
+      InFlightRequest request = parts.request(object);
+      Endpoint expected = null;
+      double highest = -1;
+      for (Endpoint one : candidates) {
+        long key = RendezvousSelector.mix(object * 31L ^ one.hash);
+        double score = one.weight / -Math.log(RendezvousSelector.toUnit(key));
+        expected = score > highest ? one : expected;
+        highest = Math.max(score, highest);
+      }
+      assertEquals(
+          expected, parts.rendezvous.select(candidates, request, 0, Eligibility.ANY, START));
+    }
+  }
+
   @Test
   void triedEndpointsAreLeftOutUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
