--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -83,13 +83,17 @@
   /** Accounts for the time that has passed since the last call. */
   void advanceTo(long nowNanos) {
     double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
-    smoothedInFlight +=
-        (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
-    debt =
-        Math.max(
-            0,
-            debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
     advancedAtNanos = nowNanos;
+    if (inFlight != 0 || smoothedInFlight != 0) {
+      smoothedInFlight +=
+          (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
+    }
+    if (inFlight != 0 || debt != 0) { // Most of many targets carry nothing: there it stays 0.
+      debt =
+          Math.max(
+              0,
+              debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
+    }
   }
 
   /** Whether one more may be sent, by a request that may pass the limit by the given factor. */
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -63,7 +63,7 @@
 
   /** Whether it has any keys. */
   boolean isServing(long nowNanos) {
-    return keyFraction(nowNanos) > 0;
+    return state == State.HEALTHY || keyFraction(nowNanos) > 0;
   }
 
   /** Whether it gets single requests as health checks only. */
@@ -86,6 +86,11 @@
     return overdue + failures >= (isEjected() ? 1 : OVERDUE_LIMIT);
   }
 
+  /** Whether there is nothing to eject it or to suspect it for, nor a suspicion to take back. */
+  boolean isUnremarkable() {
+    return overdue == 0 && failures == 0 && !suspected;
+  }
+
   /** The pause that the next ejection begins with, in nanoseconds. */
   long backoffNanos() {
     return backoffNanos;
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -153,6 +153,9 @@
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
+      if (health.isUnremarkable()) {
+        continue; // Most of many endpoints: nothing waits for them past its time.
+      }
       boolean isSilent =
           endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
       if (isSilent && health.isUnresponsive() && isMajorityHealthy) {
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -1,6 +1,5 @@
 package org.amberpath.routing;
 
-import java.util.Arrays;
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -174,21 +173,23 @@
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
-      profile.typicalThroughput =
-          Arrays.stream(peers)
-              .filter(
-                  peer ->
-                      peer.warmUp.profile == profile
-                          && peer.isUp()
-                          && peer.health.isServing(nowNanos))
-              .filter(peer -> peer.warmUp.isComplete(nowNanos))
-              .mapToDouble(peer -> peer.warmUp.throughput(nowNanos))
-              .average()
-              .orElse(profile.typicalThroughput);
+      double sum = 0;
+      int warm = 0;
+      for (Endpoint peer : peers) {
+        if (peer.warmUp.profile == profile && isWarm(peer, nowNanos)) {
+          sum += peer.warmUp.throughput(nowNanos);
+          warm++;
+        }
+      }
+      profile.typicalThroughput = warm == 0 ? profile.typicalThroughput : sum / warm;
       boundThroughput(profile);
     }
   }
 
+  private static boolean isWarm(Endpoint peer, long nowNanos) {
+    return peer.isUp() && peer.health.isServing(nowNanos) && peer.warmUp.isComplete(nowNanos);
+  }
+
   /** Looks which peers are warm, after a change of the list and in each sweep. */
   void updateWarmPeers(EndpointTable endpoints, long nowNanos) {
     hasWarmEdges = areEnoughWarm(endpoints.zoneEdges(), nowNanos);
@@ -203,10 +204,8 @@
     double allWeights = 0;
     double warmWeights = 0;
     for (Endpoint peer : peers) {
-      boolean isWarm =
-          peer.isUp() && peer.health.isServing(nowNanos) && peer.warmUp.isComplete(nowNanos);
       allWeights += peer.isUp() ? peer.weight : 0;
-      warmWeights += isWarm ? peer.weight : 0;
+      warmWeights += isWarm(peer, nowNanos) ? peer.weight : 0;
     }
     return warmWeights >= ENOUGH_WARM_WEIGHT * allWeights;
   }
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -53,9 +53,11 @@
    * Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve.
    */
   void recordReturned(double workSeconds, long nowNanos) {
-    throughput =
-        throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
-            + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
+    if (throughput != 0 || workSeconds != 0) { // Most of many endpoints return nothing.
+      throughput =
+          throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
+              + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
+    }
     throughputAtNanos = nowNanos;
   }
 
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -0,0 +1,63 @@
+package org.amberpath.routing;
+
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** What sweeps spare for endpoints that carry nothing is as if it had been reckoned. */
+class SweepOfUnusedEndpointsTest {
+  private static final int SWEEPS = 500;
+
+  private final RoutingParts parts = new RoutingParts();
+
+  @Test
+  void timeThatPassedUnusedIsNotMadeUpForWhenALimitIsUsedAgain() {
+    ConcurrencyLimit idle = new ConcurrencyLimit(nowNanos -> 1);
+    idle.setShare(0.01, 24);
+    for (int sweep = 0; sweep < SWEEPS; sweep++) {
+      idle.advanceTo(START + sweep * 20 * MS);
+    }
+    long lastNanos = START + (SWEEPS - 1) * 20 * MS;
+    idle.inFlight = 1;
+    assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1));
+    idle.inFlight = 0;
+    assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1), "0.1 s of one request against 0.24");
+    assertTrue(idle.hasRoom(lastNanos + 500 * MS, 1));
+  }
+
+  @Test
+  void workReturnedAfterALongPauseCountsFromThenOn() {
+    WarmUp warmUp = parts.endpoint(0).warmUp;
+    for (int sweep = 0; sweep < SWEEPS; sweep++) {
+      assertEquals(0, warmUp.throughput(START + sweep * 20 * MS));
+    }
+    long lastNanos = START + SWEEPS * 20 * MS;
+    warmUp.recordReturned(4, lastNanos);
+    assertEquals(1, warmUp.throughput(lastNanos), 1e-12, "4 s of work over 4 s");
+    assertEquals(Math.exp(-1), warmUp.throughput(lastNanos + 4000 * MS), 1e-12);
+  }
+
+  /** Endpoints that are warm, in their kind's mean; those that are unused count too. */
+  @Test
+  void theTypicalThroughputIsTheMeanOverWarmPeersOfAKind() {
+    parts.endpoint(0).warmUp.recordReturned(40, START);
+    parts.endpoint(1).warmUp.recordReturned(20, START);
+    parts.slowStart.learnThroughput(parts.endpoints.zoneEdges(), START);
+    assertEquals(15.0 / 4, parts.endpoint(0).warmUp.profile.typicalThroughput, 1e-12);
+  }
+
+  @Test
+  void aSuspicionIsTakenBackOnceNothingIsOverdue() {
+    Endpoint endpoint = parts.endpoint(0);
+    endpoint.health.overdue = 1;
+    parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START));
+    assertTrue(endpoint.health.suspected);
+    endpoint.health.overdue = 0;
+    parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + 20 * MS));
+    assertFalse(endpoint.health.suspected);
+  }
+}
