--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -13,6 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.LongFunction;
 import org.amberpath.gateway.cache.CachePool;
+import org.amberpath.gateway.cache.ConnectionBudget;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
@@ -55,6 +56,7 @@
   private final Clock clock;
   private final NetClient client;
   private final ProtocolErrorLog complaints;
+  private final ConnectionBudget budget;
 
   /** Those that are there, and those gone on whose connections something is still open. */
   private final Map<String, Entry> byId = new HashMap<>();
@@ -70,6 +72,7 @@
     this.options = options;
     this.clock = clock;
     this.complaints = complaints;
+    budget = new ConnectionBudget(options.connectionsToAll(), this::closeLongestFree);
     client =
         vertx.createNetClient(
             new NetClientOptions()
@@ -106,6 +109,7 @@
               entry.address,
               client,
               bounds,
+              budget,
               clock::now,
               route::mayWrite,
               complaints::add);
@@ -113,6 +117,22 @@
     return entry.pool;
   }
 
+  /** Closes the connection to any cache that has been free longest, if one is free. */
+  private void closeLongestFree() {
+    long longestNanos = -1;
+    CachePool longest = null;
+    for (Entry entry : byId.values()) {
+      long freeNanos = entry.pool == null ? -1 : entry.pool.longestFreeNanos();
+      if (freeNanos > longestNanos) {
+        longestNanos = freeNanos;
+        longest = entry.pool;
+      }
+    }
+    if (longest != null) {
+      longest.closeLongestFree();
+    }
+  }
+
   @Override
   public void listing(boolean whole) {
     list.clear();
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -192,9 +192,14 @@
     return descriptors / 2;
   }
 
-  /** Connections to each of so many caches, of what clients and the runtime leave. */
+  /** Connections to all caches together: what clients and the runtime leave. */
+  public int connectionsToAll() {
+    return descriptors - mostClients() - RUNTIME_DESCRIPTORS;
+  }
+
+  /** Connections to each of so many caches, while there are not more than may be had in all. */
   public int connectionsToEach(int caches) {
-    return Math.max(1, (descriptors - mostClients() - RUNTIME_DESCRIPTORS) / Math.max(1, caches));
+    return Math.max(1, connectionsToAll() / Math.max(1, caches));
   }
 
   /** The longest part that a cache answers with. */
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -41,6 +41,7 @@
   private final SocketAddress address;
   private final NetClient client;
   private final Bounds bounds;
+  private final ConnectionBudget budget;
   private final LongSupplier clock;
   private final BooleanSupplier mayWrite;
   private final BiConsumer<Object, String> complaints;
@@ -64,6 +65,7 @@
       SocketAddress address,
       NetClient client,
       Bounds bounds,
+      ConnectionBudget budget,
       LongSupplier clock,
       BooleanSupplier mayWrite,
       BiConsumer<Object, String> complaints) {
@@ -71,6 +73,7 @@
     this.address = address;
     this.client = client;
     this.bounds = bounds;
+    this.budget = budget;
     this.clock = clock;
     this.mayWrite = mayWrite;
     this.complaints = complaints;
@@ -106,10 +109,14 @@
     }
     long now = now();
     CacheConnection best = best(want, now);
+    if (connections.isEmpty() && connecting == 0 && !backingOff) {
+      budget.makeRoom();
+    }
     if (best != null) {
       best.send(want, now);
     } else if (connecting == 0 && !hasPlace()) {
-      want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
+      // A cache that could not be asked for want of room has nothing held against it.
+      want.ended(hasPart() ? Outcome.NOT_SENT : Outcome.NO_CONNECTION, Note.NOTHING, null);
       return;
     } else {
       waiting.add(want);
@@ -129,6 +136,10 @@
   }
 
   private boolean hasPlace() {
+    return hasPart() && budget.hasRoom();
+  }
+
+  private boolean hasPart() {
     return connections.size() + connecting < bounds.connections.getAsInt();
   }
 
@@ -155,10 +166,14 @@
   private void connect() {
     connectingSinceNanos = connecting == 0 ? now() : connectingSinceNanos;
     connecting++;
+    budget.opened();
     opened()
         .onComplete(
             result -> {
               connecting--;
+              if (closed || result.failed()) {
+                budget.closed();
+              }
               ConnectFailure failure =
                   result.succeeded() ? null : ConnectFailure.of(result.cause());
               if (failure != null && failure.isLocal()) {
@@ -282,7 +297,34 @@
   }
 
   void closed(CacheConnection one) {
-    connections.remove(one);
+    if (connections.remove(one)) {
+      budget.closed();
+    }
+  }
+
+  /** How long the connection has been free that has been so longest, in nanoseconds; -1: none. */
+  public long longestFreeNanos() {
+    CacheConnection longest = longestFree();
+    return longest == null ? -1 : longest.idle(now());
+  }
+
+  /** Closes the connection that has been free longest, if one is free. */
+  public void closeLongestFree() {
+    CacheConnection longest = longestFree();
+    if (longest != null) {
+      longest.close();
+    }
+  }
+
+  private CacheConnection longestFree() {
+    long now = now();
+    CacheConnection longest = null;
+    for (CacheConnection one : connections) {
+      if (one.load() == 0 && (longest == null || one.idle(now) > longest.idle(now))) {
+        longest = one;
+      }
+    }
+    return longest;
   }
 
   public void close() {
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -0,0 +1,132 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.function.BooleanSupplier;
+import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.StandIns.Seen;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.api.io.TempDir;
+
+/**
+ * How many connections a gateway holds that knows more caches than its descriptors have room for.
+ */
+@Timeout(60)
+class CacheConnectionBoundTest {
+  private static final int CACHES = 60;
+  private static final int REQUESTS = 120;
+
+  /** Of 128 descriptors, less half for clients and 56 for the runtime. */
+  private static final int BOUND = 8;
+
+  private static final int ALLOWED_MILLIS = 3000;
+
+  @TempDir private Path folder;
+  private final Queue<Command> held = new ConcurrentLinkedQueue<>();
+  private final AtomicBoolean holds = new AtomicBoolean();
+  private StandIns world;
+  private List<Seen> seen;
+
+  /** One stand-in listens for all caches: the gateway knows them apart by their ids. */
+  @BeforeEach
+  void start() throws Exception {
+    world = new StandIns();
+    StandIns.Cache cache = world.cache();
+    for (int at = 0; at < CACHES; at++) {
+      world.journal.host("c" + at, cache.address(), "box", "ready");
+    }
+    world.journal.host("o0", cache.address(), "origin", "ready");
+    seen =
+        world.react(
+            cache,
+            want -> {
+              if (holds.get()) {
+                held.add(want);
+              } else {
+                want.ok("served");
+              }
+            });
+    world.start(GatewayOptions.read(world.environment(folder)), null);
+  }
+
+  @AfterEach
+  void end() throws Exception {
+    world.close();
+  }
+
+  private Client send(Client client, int number) throws Exception {
+    Map<String, String> fields = Client.fields(number, ALLOWED_MILLIS, 0);
+    fields.put("lookup", String.format("%016x", number));
+    return client.send(Client.request(number, "orders", fields, new byte[0]));
+  }
+
+  private List<Socket> connections() {
+    return seen.stream().map(one -> one.want().from()).distinct().toList();
+  }
+
+  private long open() {
+    return connections().stream().filter(one -> !one.isClosed()).count();
+  }
+
+  private static void await(BooleanSupplier condition, String what) throws InterruptedException {
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StandIns.PATIENCE_S);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < end, what);
+      Thread.sleep(1);
+    }
+  }
+
+  @Test
+  void theConnectionThatWasFreeLongestIsClosedBeforeACacheWithoutOneIsAsked() throws Exception {
+    Client client = world.client();
+    for (int number = 1; number <= REQUESTS; number++) {
+      assertEquals(null, send(client, number).answer().error());
+      await(() -> open() <= BOUND, "more connections than the bound");
+    }
+    List<Socket> all = connections();
+    assertTrue(all.size() > 2 * BOUND, "caches were asked in turn: " + all.size());
+    assertEquals(BOUND, open(), "none is closed before the bound is reached");
+    assertTrue(all.get(0).isClosed());
+    assertFalse(seen.get(seen.size() - 1).want().from().isClosed(), "the last used stays");
+  }
+
+  /** What finds no room goes to a cache that has a connection, or is turned away at once. */
+  @Test
+  void whileAllAreBusyNoneIsOpenedPastTheBound() throws Exception {
+    holds.set(true);
+    AtomicInteger answered = new AtomicInteger();
+    for (int number = 1; number <= BOUND * 4; number++) {
+      Client client = send(world.client(), number);
+      world.threads.submit(
+          () -> {
+            client.answer();
+            return answered.incrementAndGet();
+          });
+    }
+    await(() -> held.size() + answered.get() == BOUND * 4, "all are sent or turned away");
+    assertTrue(held.size() >= BOUND, "as many as have a connection are sent");
+    assertTrue(connections().size() <= BOUND, connections().size() + " connections");
+    holds.set(false);
+    for (Command want : held) {
+      want.ok("served");
+    }
+    await(() -> answered.get() == BOUND * 4, "what was held is answered");
+    assertEquals(null, send(world.client(), REQUESTS).answer().error(), "there is room again");
+    assertTrue(connections().size() <= BOUND + 1, connections().size() + " connections");
+  }
+}
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -37,6 +37,7 @@
               SocketAddress.inetSocketAddress(1, "127.0.0.1"),
               client,
               new CachePool.Bounds(() -> 4, 1, 1, 1, 1),
+              new ConnectionBudget(4, () -> {}),
               () -> 0,
               () -> may,
               (of, why) -> {});
@@ -79,6 +80,7 @@
                     SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"),
                     client,
                     new CachePool.Bounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
+                    new ConnectionBudget(2, () -> {}),
                     () -> 0,
                     () -> true,
                     (of, why) -> {});
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -106,6 +106,7 @@
             SocketAddress.inetSocketAddress(1, "127.0.0.1"),
             client,
             new CachePool.Bounds(() -> 1, 100, 1, 1, 100),
+            new ConnectionBudget(1, () -> {}),
             () -> 0,
             () -> true,
             (from, why) -> {});
