--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -679,4 +679,25 @@
     client.status();
     assertEquals(List.of(RoutingActions.Health.WELL), told, "as the list said at the start");
   }
+
+  /**
+   * The connection that it takes has been forgotten: its first attempt waits for nothing, and
+   * another is answered.
+   */
+  @Test
+  void aRepeatableRequestThatWaitsAloneOnAForgottenConnectionIsServedByARetry() throws Exception {
+    Set<String> attempted = ConcurrentHashMap.newKeySet();
+    for (Cache cache : world.start(folder, 2, world.journal.address())) {
+      world.react(
+          cache,
+          want -> {
+            if (!attempted.add(want.word(1))) {
+              want.ok("served");
+            }
+          });
+    }
+    Client client = world.client();
+    client.get(1, "parts", LONG_MILLIS, 0);
+    assertEquals(null, client.answer().error());
+  }
 }
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -130,9 +130,15 @@
     }
   }
 
-  /** Guards a source against the blame for answers that got lost behind a silent endpoint. */
+  /**
+   * Guards a source against the blame for answers that got lost behind a silent endpoint, and for
+   * attempts that were sent so late that their deadline came before they could be overdue.
+   */
   private static void recordUnanswered(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
+    if (attempt.number() > 0 && !attempt.isOverdue(nowNanos)) {
+      return;
+    }
     source.limit.onAnswer(
         nowNanos,
         !attempt.hasSource()
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -177,8 +177,9 @@
     uplinkLimit.advanceTo(nowNanos);
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
-      if (attempt.hasSource() && !isOvertaken(attempt)) {
-        InFlightRequest request = attempt.request();
+      InFlightRequest request = attempt.request();
+      boolean isExpired = nowNanos >= request.deadlineNanos; // Whoever fills has given it up.
+      if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
         boolean isLikely = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
         addFill(attempt, isLikely ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -145,6 +145,17 @@
     }
   }
 
+  /**
+   * Whether an attempt's endpoint is ejected or, since it was sent, has given no sign of life for
+   * long. Guards a request that waits alone on a connection that its endpoint has forgotten: one is
+   * too little to eject by, yet another endpoint would serve it.
+   */
+  boolean isSilentSince(Attempt attempt) {
+    EndpointHealth health = attempt.endpoint().health;
+    return health.isEjected()
+        || health.suspected && health.lastResponseNanos <= attempt.sentAtNanos();
+  }
+
   /**
    * Ejects those who keep requests waiting and give no sign of life, unless most of their peers do
    * the same.
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -346,16 +346,16 @@
   }
 
   private void hedgeIfStalled(Attempt attempt) {
-    boolean isEndpointEjected = attempt.endpoint().health.isEjected();
+    boolean isEndpointSilent = outlierDetector.isSilentSince(attempt);
     boolean isStalled =
-        isEndpointEjected
+        isEndpointSilent
             || limiter.isOvertaken(attempt)
             || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
       attempt
           .request()
           .triedEndpoints
-          .add(isEndpointEjected ? attempt.endpoint() : attempt.source());
+          .add(isEndpointSilent ? attempt.endpoint() : attempt.source());
       retry(attempt.request());
     }
   }
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -0,0 +1,66 @@
+package org.amberpath.routing;
+
+import static org.amberpath.routing.RoutingParts.MS;
+import static org.amberpath.routing.RoutingParts.START;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * An attempt that waits alone at an endpoint that gives no sign of life, and what its hedge costs.
+ */
+class SilentEndpointHedgeTest {
+  private static final long WAITED_NANOS = 700 * MS;
+
+  private final RoutingParts parts = new RoutingParts();
+  private final Attempt attempt = parts.attempt(parts.request(1), 1, 5);
+
+  /**
+   * One overdue request is too little to eject by; an answer since it was sent is a sign of life.
+   */
+  @ParameterizedTest
+  @CsvSource({"0, true", "-1, true", "50, false"})
+  void anEndpointIsSilentForAnAttemptIfNothingWasHeardSinceItWasSent(
+      long heardMillis, boolean silent) {
+    EndpointHealth health = attempt.endpoint().health;
+    for (Endpoint peer : parts.endpoints.zoneEdges()) {
+      peer.health.lastResponseNanos = START + WAITED_NANOS;
+    }
+    health.lastResponseNanos = START + heardMillis * MS;
+    assertFalse(parts.detector.isSilentSince(attempt), "not yet overdue for long");
+    parts.detector.recountOverdue(List.of(attempt), START + WAITED_NANOS);
+    parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + WAITED_NANOS));
+    assertFalse(health.isEjected());
+    assertEquals(silent, parts.detector.isSilentSince(attempt));
+  }
+
+  @Test
+  void anAttemptPastItsDeadlineCountsAtNoSource() {
+    long deadlineNanos = attempt.request().deadlineNanos;
+    parts.limiter.recountFills(List.of(attempt), deadlineNanos - MS);
+    assertTrue(attempt.source().limit.inFlight > 0);
+    parts.limiter.recountFills(List.of(attempt), deadlineNanos);
+    assertEquals(0, attempt.source().limit.inFlight);
+    assertEquals(0, parts.limiter.uplinkLimit().inFlight);
+  }
+
+  /** A hedge sent shortly before the deadline: its source had no time to be late. */
+  @ParameterizedTest
+  @CsvSource({"50, false", "150, true"})
+  void anUnansweredHedgeCutsItsSourcesLimitOnlyIfItWasOverdue(long waitedMillis, boolean cut) {
+    Attempt hedge = parts.attempt(attempt.request(), 2, 6);
+    double before = hedge.source().limit.limit();
+    long nowNanos = START + waitedMillis * MS;
+    parts.recorder.recordSent(hedge, START);
+    parts.recorder.recordEnded(
+        hedge, Outcome.NO_ANSWER, waitedMillis * MS, Note.NOTHING, parts.batch(nowNanos));
+    assertEquals(cut, hedge.source().limit.limit() < before);
+  }
+}
