--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import java.util.Arrays;
-
 /**
  * This gateway's part of what comes back in time: requests at an endpoint, fills into the zone and
  * fills that reach the origin. Past a limit the next endpoint takes over, then only cached copies
@@ -58,7 +56,7 @@
   void assignShares(GatewayShare share) {
     int inZone = share.gatewaysInZone();
     double originShare =
-        endpoints.count(endpoint -> endpoint.isEdge() && endpoint.isUp())
+        endpoints.upEdges()
             / EDGES_PER_GATEWAY
             / share.gatewaysInAll()
             * (share.isGranted() ? 1 : 0);
@@ -126,9 +124,14 @@
    * caches.
    */
   double spillOverBound(Endpoint[] peers) {
-    double inFlight =
-        Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.limit.inFlight : 0).sum();
-    double weights = Arrays.stream(peers).mapToDouble(peer -> peer.isUp() ? peer.weight : 0).sum();
+    double inFlight = 0;
+    double weights = 0;
+    for (Endpoint peer : peers) {
+      if (peer.isUp()) {
+        inFlight += peer.limit.inFlight;
+        weights += peer.weight;
+      }
+    }
     return (SPILL_OVER_FACTOR * inFlight + SPILL_OVER_ALLOWANCE) / Math.max(weights, MIN_WEIGHT);
   }
 
@@ -174,8 +177,9 @@
     uplinkLimit.advanceTo(nowNanos);
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
-      if (attempt.hasSource() && !isOvertaken(attempt)) {
-        InFlightRequest request = attempt.request();
+      InFlightRequest request = attempt.request();
+      boolean isExpired = nowNanos >= request.deadlineNanos; // Whoever fills has given it up.
+      if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
         boolean isLikely = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
         addFill(attempt, isLikely ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
