--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -0,0 +1,71 @@
+package org.amberpath.registry.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.io.IOException;
+import java.io.InputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.RoutingEvents.State;
+import org.junit.jupiter.api.Test;
+
+/** Keys and values of version 1, as released code wrote them, stay readable and are written alike. */
+class RecordCodecGoldenTest {
+  /** A key and its value to a line; written by the code of 7587aa7, never by this one. */
+  private static final String GOLDEN = "/registry-records-1";
+
+  private static final Map<String, RegistryRecord> SAID = said();
+
+  private static Map<String, RegistryRecord> said() {
+    Map<String, RegistryRecord> said = new LinkedHashMap<>();
+    said.put(
+        "caches/c-1",
+        new RegistryRecord.Cache(
+            "c-1", "192.0.2.1:8080", "z1", "memory", 0, State.UP, 1, 1700000000123L));
+    said.put(
+        "caches/c-2",
+        new RegistryRecord.Cache(
+            "c-2", "[2001:db8::1]:8081", "z-2", "disk", 7, State.DRAINING, 0.25, 0));
+    said.put("purges/one", new RegistryRecord.Purge(0xfedcba9876543210L, 0, 1700000000456L));
+    said.put("purges/group", new RegistryRecord.Purge(0, 12, 1700000000789L));
+    said.put("tasks/sweep", new RegistryRecord.Task(5, "g-1"));
+    said.put("task-owners/sweep", new RegistryRecord.Task(Long.MAX_VALUE, "g-2"));
+    return said;
+  }
+
+  private static Map<String, byte[]> golden() throws IOException {
+    Map<String, byte[]> values = new LinkedHashMap<>();
+    try (InputStream in = RecordCodecGoldenTest.class.getResourceAsStream(GOLDEN)) {
+      String text = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+      text.lines()
+          .forEach(
+              line -> {
+                int end = line.indexOf(' ');
+                values.put(
+                    line.substring(0, end),
+                    line.substring(end + 1).getBytes(StandardCharsets.UTF_8));
+              });
+    }
+    return values;
+  }
+
+  @Test
+  void valuesOfAnEarlierReleaseAreReadAsWhatTheySaid() throws IOException {
+    Map<String, RegistryRecord> read = new LinkedHashMap<>();
+    golden().forEach((key, value) -> read.put(key, RecordCodec.read(key, value)));
+    assertEquals(SAID, read);
+  }
+
+  @Test
+  void theSameBytesAreWritten() throws IOException {
+    golden()
+        .forEach(
+            (key, value) ->
+                assertEquals(
+                    new String(value, StandardCharsets.UTF_8),
+                    new String(RecordCodec.write(SAID.get(key)), StandardCharsets.UTF_8),
+                    key));
+  }
+}
