--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -118,7 +118,7 @@
    */
   boolean isOriginSaturated(InFlightRequest request, long nowNanos) {
     return request.originFailed
-        || !request.uncacheable && !originLimit.hasRoom(nowNanos, fillPriorityFactor(request));
+        || (!request.uncacheable && !originLimit.hasRoom(nowNanos, fillPriorityFactor(request)));
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -57,7 +57,7 @@
           Math.min(
               1,
               FIRST_PROBATION_FRACTION
-                  * (1L << (nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS));
+                  * (1L << ((nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS)));
     };
   }
 
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -107,7 +107,7 @@
       first = false;
       for (String id : touched) {
         Member now = together(id), before = told.get(id);
-        if (now == null || now.equals(before) || now.state == State.GONE && before == null) {
+        if (now == null || now.equals(before) || (now.state == State.GONE && before == null)) {
           forget(id);
           continue;
         }
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -53,7 +53,7 @@
   void eject(Endpoint endpoint, Batch batch) {
     EndpointHealth health = endpoint.health;
     if (endpoint == endpoints.origin()
-        || !health.isServing(batch.nowNanos()) && !health.isBackoffOver(batch.nowNanos())) {
+        || (!health.isServing(batch.nowNanos()) && !health.isBackoffOver(batch.nowNanos()))) {
       return;
     }
     health.eject(batch.nowNanos(), random.nextLong(health.backoffNanos()));
@@ -126,7 +126,7 @@
   /** Whether a health check may be sent: to an ejected endpoint one at a time, after its pause. */
   boolean permitsHealthCheck(Endpoint endpoint, long nowNanos) {
     return endpoint.health.isServing(nowNanos)
-        || endpoint.health.isBackoffOver(nowNanos) && endpoint.limit.inFlight == 0;
+        || (endpoint.health.isBackoffOver(nowNanos) && endpoint.limit.inFlight == 0);
   }
 
   /** Counts anew how many requests wait for each endpoint past their time. */
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -86,9 +86,9 @@
     return (criteria.eligibility == Eligibility.ANY
             || outlierDetector.takesKey(endpoint, toUnit(mix(key + 1)), nowNanos))
         && (!needsRoom
-            || endpoint.limit.hasRoom(nowNanos, criteria.priorityFactor)
-                && !isSpillingOver(endpoint, criteria.spillOverBound))
-        && (request.purpose == InFlightRequest.Purpose.PREFETCH && endpoint.isEdge()
+            || (endpoint.limit.hasRoom(nowNanos, criteria.priorityFactor)
+                && !isSpillingOver(endpoint, criteria.spillOverBound)))
+        && ((request.purpose == InFlightRequest.Purpose.PREFETCH && endpoint.isEdge())
             || slowStart.affords(endpoint, request.trafficClass, nowNanos));
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -350,7 +350,7 @@
     boolean isStalled =
         isEndpointEjected
             || limiter.isOvertaken(attempt)
-            || attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0;
+            || (attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
       attempt
           .request()
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -29,15 +29,15 @@
     }
     TrafficClass trafficClass = request.trafficClass;
     return trafficClass.effect() == Effect.IDEMPOTENT
-        || trafficClass.effect() == Effect.TOKENED
+        || (trafficClass.effect() == Effect.TOKENED
             && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
             && sharesIdempotencyGroup(
-                trafficClass.idempotencyGroup(), endpoint, executed.endpoint());
+                trafficClass.idempotencyGroup(), endpoint, executed.endpoint()));
   }
 
   private static boolean sharesIdempotencyGroup(Group group, Endpoint one, Endpoint other) {
     return group == Group.ALL
-        || one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell);
+        || (one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell));
   }
 
   /** Whether a request's state leaves room for a further attempt, wherever it goes. */
@@ -69,9 +69,9 @@
    */
   boolean isSafeToRepeat(InFlightRequest request) {
     Effect effect = request.trafficClass.effect();
-    return request.firstExecuted == null && request.openAttempts == 0
+    return (request.firstExecuted == null && request.openAttempts == 0)
         || effect == Effect.IDEMPOTENT
-        || effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL;
+        || (effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL);
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -64,7 +64,7 @@
       long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
     boolean contiguous =
         isStart(segment - 1)
-            || sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos);
+            || (sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos));
     int lowest = -1;
     double lowestValue = Double.MAX_VALUE;
     for (int i = 0; i < tableUsed; i++) {
@@ -80,7 +80,7 @@
       }
     }
     double value = cachingValue(previousStartNanos, segment, nowNanos);
-    if (!contiguous || value <= 0 || tableUsed == TABLE_SIZE && value <= lowestValue) {
+    if (!contiguous || value <= 0 || (tableUsed == TABLE_SIZE && value <= lowestValue)) {
       return false;
     }
     enter(tableUsed < TABLE_SIZE ? tableUsed++ : lowest, object, segment);
--- a/routing/src/test/java/org/amberpath/routing/LatencyHistogramTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LatencyHistogramTest.java
@@ -14,7 +14,7 @@
     for (int sample = 0; sample < 100; sample++) {
       histogram.record(100 * MS);
     }
-    assertEquals(100 * MS, histogram.meanNanos(), 20 * MS);
+    assertEquals(100.0 * MS, (double) histogram.meanNanos(), 20.0 * MS);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -21,6 +21,7 @@
  * After ten quiet minutes a fault is met as it is at the start: at the start, with no request, one
  * in 5 s or in 50.
  */
+@SuppressWarnings("ReferenceEquality") // Whether it is the very same object.
 class QuietThenFaultTest {
   private static final long QUIET_MILLIS = 10 * 60_000,
       STEP_MILLIS = 10,
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -36,7 +36,7 @@
   void weightsDivideTheKeys() {
     parts.endpoint(0).weight = 12;
     long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
-    assertEquals(300, large, 60);
+    assertEquals(300, (float) large, 60);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -25,6 +25,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Short stories: the design's path, one for each rule, and one for each failure met. */
+@SuppressWarnings("ReferenceEquality") // Whether it is the very same object.
 class RequestRouterTest {
   private final FakeHost host = new FakeHost().list();
   private long ids;
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -25,6 +25,7 @@
  * numbers are drawn from the world's own generator, and only basic arithmetic is done with them, so
  * that a seed gives the same events everywhere.
  */
+@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
 final class SeededWorld implements RoutingConfig, RoutingActions {
   /** A round of decisions: what drives the module under test, built anew for each world. */
   interface Module {
@@ -219,10 +220,10 @@
 
   private long object() {
     if (setting == Setting.ALONE && chance(0.6)) {
-      return 1000 + random.nextInt(40_000);
+      return 1000L + random.nextInt(40_000);
     }
     double skewed = random.nextDouble();
-    return 1 + (int) (skewed * skewed * skewed * 500);
+    return 1L + (int) (skewed * skewed * skewed * 500);
   }
 
   private int part() {
@@ -581,7 +582,7 @@
 
   @Override
   public long fresh(int ds) {
-    return is(Setting.TWENTY) ? (ds + 1) * 1000 * MS : 0;
+    return is(Setting.TWENTY) ? (ds + 1) * 1000L * MS : 0;
   }
 
   @Override
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -287,7 +287,7 @@
     public void forward(
         long get, int cache, long until, int source, long age, int rank, int switches) {
       boolean filled = misses && source != cache;
-      if (cache == cold || filled && source == cold) {
+      if (cache == cold || (filled && source == cold)) {
         sends.add(now);
         sent++;
       }
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -14,7 +14,7 @@
   void theObjectiveStandsForTheWorkUntilThereAreAnswers() {
     assertEquals(300 * MS, trafficClass.workNanos());
     trafficClass.recordDuration(50 * MS);
-    assertEquals(50 * MS, trafficClass.workNanos(), 10 * MS);
+    assertEquals(50.0 * MS, (double) trafficClass.workNanos(), 10.0 * MS);
   }
 
   @Test
