--- a/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
@@ -17,6 +17,7 @@
  * After an accept that failed it tries again within milliseconds; the library's own answer is to
  * accept nothing for a whole second.
  */
+@SuppressWarnings("deprecation") // Netty has no other type for what it hands over here.
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
   private final SystemCalls calls;
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -82,7 +82,7 @@
           && one.isFree()
           && (least == null
               || one.use() < least.use()
-              || one.use() == least.use() && one.heardAt() < least.heardAt())) {
+              || (one.use() == least.use() && one.heardAt() < least.heardAt()))) {
         least = one;
       }
     }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -191,7 +191,7 @@
     for (Arrival arrival : arrivals) {
       (ready.size() < MOST && isSettled(arrival.get) ? ready : rest).add(arrival);
     }
-    if (!decides() || ready.isEmpty() && !rest.isEmpty() && news.isEmpty() && !held) {
+    if (!decides() || (ready.isEmpty() && !rest.isEmpty() && news.isEmpty() && !held)) {
       readFirst();
       return;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/ShutdownSchedule.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ShutdownSchedule.java
@@ -65,7 +65,7 @@
    * Whether nothing more is read from now on: nobody is owed an answer, or would get one in time.
    */
   boolean halfCloses(long now, boolean owesNothing) {
-    return rejects(now) && owesNothing || now >= halfCloseAt;
+    return (rejects(now) && owesNothing) || now >= halfCloseAt;
   }
 
   /** Connections are half-closed by now. */
@@ -79,8 +79,8 @@
    */
   boolean exits(long now, boolean allWritten, boolean noneLeft) {
     return now >= exitAt
-        || allWritten && now >= lingerUntil
-        || noneLeft && lingerUntil < Long.MAX_VALUE;
+        || (allWritten && now >= lingerUntil)
+        || (noneLeft && lingerUntil < Long.MAX_VALUE);
   }
 
   /** How long the exit may still be waited for: never nothing, since it is also a time limit. */
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -63,7 +63,7 @@
     if (like == null && cache == null) {
       seen.turn();
     }
-    if (like == null || cache != null && index < 0 || out == MOST_OUT) {
+    if (like == null || (cache != null && index < 0) || out == MOST_OUT) {
       return false;
     }
     byte[] ref = String.format("%016x", chance.nextLong()).getBytes(StandardCharsets.US_ASCII);
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -108,8 +108,8 @@
     Outcome outcome = outcome(elements, want.asksForCopy());
     // Guards clients against word that a copy is current which the cache did not name.
     if (outcome == null
-        || text(elements.get(1)).equals("current")
-            && !want.isKnown(value(text(elements.get(2)), "entity="))) {
+        || (text(elements.get(1)).equals("current")
+            && !want.isKnown(value(text(elements.get(2)), "entity=")))) {
       unreadable("an answer that can't be read");
       return;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -145,7 +145,7 @@
           && want.mayUse(one)
           && (best == null
               || one.load() < best.load()
-              || one.load() == best.load() && one.idle(now) < best.idle(now))) {
+              || (one.load() == best.load() && one.idle(now) < best.idle(now)))) {
         best = one;
       }
     }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -186,7 +186,7 @@
                         .packMapHeader(0)));
         return;
       }
-      if (rejects && !begun
+      if ((rejects && !begun)
           || !handler.takes()) { // Guards what was taken against what can't be borne beside it.
         asked = true;
         shed(number, handler.away());
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -127,7 +127,7 @@
   }
 
   private long whole(String name, long absent, long most) throws Unusable {
-    double value = real(name, absent, most);
+    double value = real(name, (double) absent, (double) most);
     if (values.containsKey(name) && ClientConnection.ascii(values.get(name)).indexOf('.') >= 0) {
       throw new Unusable(name + ": not a whole number");
     }
@@ -144,7 +144,7 @@
     int points = 0;
     for (byte one : value) {
       points += one == '.' ? 1 : 0;
-      good &= one >= '0' && one <= '9' || one == '.' && points == 1;
+      good &= (one >= '0' && one <= '9') || (one == '.' && points == 1);
     }
     double number = good ? Double.parseDouble(ClientConnection.ascii(value)) : -1;
     if (number < 0 || number > most) {
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -130,7 +130,7 @@
                         outcomes.add((Outcome) told[3]);
                       }
                       boolean begins =
-                          name.equals("get") || name.equals("ended") && (int) told[1] == 0;
+                          name.equals("get") || (name.equals("ended") && (int) told[1] == 0);
                       if (name.equals(event) && begins) {
                         pause.stand();
                       }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -17,7 +17,8 @@
 class GatewayOptionsTest {
   private static final String GOOD =
       "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
-          + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},'settings':{'my-zone':'z','classes':[{'name':'p',"
+          + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},"
+          + "'settings':{'my-zone':'z','classes':[{'name':'p',"
           + "'idempotency':'once','target-s':0.25}],'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
   @TempDir private Path folder;
 
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -431,7 +431,7 @@
       String reply = instead;
       try {
         synchronized (this) {
-          while (reply == null && entries.size() <= tail && System.nanoTime() < until
+          while ((reply == null && entries.size() <= tail && System.nanoTime() < until)
               || "".equals(reply)) {
             wait(20);
             reply = instead;
