--- a/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
@@ -17,6 +17,7 @@
  * a descriptor is free. It retries a failed accept within milliseconds, where the library would
  * accept nothing for a whole second.
  */
+@SuppressWarnings("deprecation") // Netty has no other type for what it hands over here.
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
   private final SystemCalls calls;
