--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -20,6 +20,7 @@
   private static final long MAX_BACKOFF_NANOS = 4_000_000_000L;
   private static final long PROBATION_STEP_NANOS = 500_000_000L;
   private static final double FIRST_PROBATION_FRACTION = 1.0 / 16;
+  private static final long MAX_PROBATION_DOUBLINGS = 32;
   private static final double OVERDUE_LIMIT = 2;
 
   /** When the endpoint last gave a sign of life, in nanoseconds. */
@@ -54,13 +55,16 @@
       case HEALTHY -> 1;
       case EJECTED -> 0;
       case PROBATION ->
-          Math.min(
-              1,
-              FIRST_PROBATION_FRACTION
-                  * (1L << ((nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS)));
+          Math.min(1, FIRST_PROBATION_FRACTION * (1L << probationDoublings(nowNanos)));
     };
   }
 
+  /** How often its part of the keys has doubled; bounded, since no shift may pass a long. */
+  private long probationDoublings(long nowNanos) {
+    return Math.min(
+        MAX_PROBATION_DOUBLINGS, (nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS);
+  }
+
   /** Whether it has any keys. */
   boolean isServing(long nowNanos) {
     return state == State.HEALTHY || keyFraction(nowNanos) > 0;
--- a/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
@@ -22,6 +22,16 @@
     assertEquals(1, health.keyFraction(NOW + 2010 * MS));
   }
 
+  @Test
+  void anEndpointOnProbationKeepsAllKeysHoweverLongItIsNotAsked() {
+    health.eject(NOW, 0);
+    health.beginProbation(NOW, NOW);
+    for (long seconds = 3; seconds < 200; seconds++) {
+      assertEquals(1, health.keyFraction(NOW + seconds * 1000 * MS), seconds + " s");
+      assertEquals(1, health.keyFraction(NOW + seconds * 1000 * MS + 500 * MS), seconds + ".5 s");
+    }
+  }
+
   @Test
   void eachEjectionDoublesThePauseUntilItRecovers() {
     health.eject(NOW, 0);
