--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -103,7 +103,7 @@
   }
 
   private static boolean isLessUseful(ClientConnection one, ClientConnection other) {
-    return one.use() < other.use() || one.use() == other.use() && one.heardAt() < other.heardAt();
+    return one.use() < other.use() || (one.use() == other.use() && one.heardAt() < other.heardAt());
   }
 
   /**
--- a/gateway/src/main/java/org/amberpath/gateway/ShutdownSchedule.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ShutdownSchedule.java
@@ -78,7 +78,7 @@
    * @param drained whether every request that was read has its response
    */
   boolean halfCloses(long now, boolean drained) {
-    return rejects(now) && drained || now >= halfCloseAt;
+    return (rejects(now) && drained) || now >= halfCloseAt;
   }
 
   /** Connections were half-closed: clients have some time from now on to read. */
@@ -94,8 +94,8 @@
    */
   boolean exits(long now, boolean allWritten, boolean noClients) {
     return now >= exitAt
-        || allWritten && now >= lingerUntil
-        || noClients && lingerUntil < Long.MAX_VALUE;
+        || (allWritten && now >= lingerUntil)
+        || (noClients && lingerUntil < Long.MAX_VALUE);
   }
 
   /** How long the exit may still be waited for, in nanoseconds; at least the shortest timeout. */
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -73,7 +73,7 @@
     if (template == null && prefetch) {
       recent.turn();
     }
-    if (template == null || !prefetch && endpoint < 0 || inFlightCount == MAX_IN_FLIGHT) {
+    if (template == null || (!prefetch && endpoint < 0) || inFlightCount == MAX_IN_FLIGHT) {
       return false;
     }
     DecodedRequest decoded = copyOf(template.decoded, timeoutNanos);
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -153,7 +153,7 @@
   boolean isSilentSince(Attempt attempt) {
     EndpointHealth health = attempt.endpoint().health;
     return health.isEjected()
-        || health.suspected && health.lastResponseNanos <= attempt.sentAtNanos();
+        || (health.suspected && health.lastResponseNanos <= attempt.sentAtNanos());
   }
 
   /**
