--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -44,17 +44,18 @@
   void get(ClientConnection from, long number, DecodedRequest asked, long now, long lag) {
     SocketReads.Backlog backlog = backlog(from, now, lag);
     long due =
-        RequestDeadline.of(now, backlog == null ? lag : now - backlog.since(), asked.allow());
-    int ds = site.service(asked.service());
+        RequestDeadline.of(
+            now, backlog == null ? lag : now - backlog.since(), asked.timeoutNanos());
+    int ds = site.service(asked.trafficClass());
     if (ds < 0) {
-      from.refuse(number, "no delivery service " + asked.service());
-    } else if (book.holds(new String(asked.ref(), StandardCharsets.ISO_8859_1))) {
+      from.rejectInvalidRequest(number, "no delivery service " + asked.trafficClass());
+    } else if (book.holds(new String(asked.requestId(), StandardCharsets.ISO_8859_1))) {
       // Guards against an answer to one GET that is taken for another's.
-      from.refuse(number, "ref: open already");
+      from.rejectInvalidRequest(number, "ref: open already");
     } else if (book.unanswered() >= mostOpen) {
-      from.shed(number, 0);
+      from.sendOverloaded(number, 0);
     } else if (RequestDeadline.isTooShort(due - now)) {
-      from.shed(number, 0);
+      from.sendOverloaded(number, 0);
     } else {
       ClientRequest get = new ClientRequest(book.nextId(), from, number, asked, ds, due);
       get.takenAt = now;
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -82,9 +82,9 @@
   private byte[] fields(
       ClientRequest get, int cache, int source, long age, int rank, int switches) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(160);
-    put(out, "kind=", get.asked.service().getBytes(StandardCharsets.UTF_8));
-    put(out, ",obj=", get.asked.object());
-    put(out, ",seg=", get.asked.part());
+    put(out, "kind=", get.asked.trafficClass().getBytes(StandardCharsets.UTF_8));
+    put(out, ",obj=", get.asked.objectName());
+    put(out, ",seg=", get.asked.partName());
     if (source != cache) {
       put(out, ",miss=", caches.id(source));
     }
@@ -101,11 +101,11 @@
         word = "+";
       }
     }
-    if (get.asked.known().length > 0) {
-      put(out, ",mine=", get.asked.known());
+    if (get.asked.knownTag().length > 0) {
+      put(out, ",mine=", get.asked.knownTag());
     }
-    if (get.asked.token().length > 0) { // Caches know by it what they have run already.
-      put(out, ",token=", get.asked.token());
+    if (get.asked.idempotencyKey().length > 0) { // Caches know by it what they have run already.
+      put(out, ",token=", get.asked.idempotencyKey());
     }
     return out.toByteArray();
   }
@@ -149,7 +149,13 @@
         long sentAt,
         long until,
         byte[] fields) {
-      super(get.asked.ref(), fields, get.asked.known(), get.asked.body(), until, get.forwards);
+      super(
+          get.asked.requestId(),
+          fields,
+          get.asked.knownTag(),
+          get.asked.body(),
+          until,
+          get.forwards);
       sendBy = get.sendBy;
       end = until;
       this.get = get;
@@ -163,7 +169,7 @@
 
     boolean isPurged(long object, int group) {
       return group == EndpointListener.EVERYTHING
-          || (object != 0 ? object == get.asked.objectId() : group == get.asked.group());
+          || (object != 0 ? object == get.asked.objectId() : group == get.asked.purgeGroup());
     }
 
     @Override
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -48,10 +48,10 @@
   void add(ClientConnection fresh) {
     all.add(fresh);
     if (rejects) {
-      fresh.reject();
+      fresh.rejectNewRequests();
     }
     if (over) {
-      fresh.end();
+      fresh.closeAfterFlush();
       if (size() > most + SPARE) {
         fresh.close(); // It is owed nothing: nothing of it was read.
       }
@@ -79,10 +79,11 @@
       // use.
       if (one != fresh
           && !leaving.contains(one)
-          && one.isFree()
+          && one.isIdle()
           && (least == null
-              || one.use() < least.use()
-              || one.use() == least.use() && one.heardAt() < least.heardAt())) {
+              || one.activity().compareTo(least.activity()) < 0
+              || one.activity() == least.activity()
+                  && one.lastActivityNanos() < least.lastActivityNanos())) {
         least = one;
       }
     }
@@ -94,8 +95,8 @@
    * finds nothing open.
    */
   private void leave(ClientConnection one) {
-    if (one.owes()) {
-      one.letGo();
+    if (one.isAwaitingMessage()) {
+      one.closeOrFlush();
       return;
     }
     leaving.add(one);
@@ -110,8 +111,8 @@
 
   private void evict(ClientConnection one) {
     leaving.remove(one);
-    if (one.isFree()) {
-      one.letGo();
+    if (one.isIdle()) {
+      one.closeOrFlush();
     }
   }
 
@@ -130,14 +131,14 @@
   void reject() {
     if (!rejects) {
       rejects = true;
-      all.forEach(ClientConnection::reject);
+      all.forEach(ClientConnection::rejectNewRequests);
     }
   }
 
   /** Ends all, and whatever connects from now on: once nothing is owed on any. */
   void end() {
     over = true;
-    List.copyOf(all).forEach(ClientConnection::end);
+    List.copyOf(all).forEach(ClientConnection::closeAfterFlush);
   }
 
   /** Whether all were ended. */
@@ -147,12 +148,12 @@
 
   /** Whether no answer waits to be written to a connection that was ended. */
   boolean allWritten() {
-    return ending.stream().allMatch(ClientConnection::isWritten);
+    return ending.stream().allMatch(ClientConnection::isFlushed);
   }
 
   /** Whether a client has begun a message that has not come whole. */
   boolean midway() {
-    return all.stream().anyMatch(ClientConnection::midway);
+    return all.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
   int size() {
@@ -163,8 +164,8 @@
   void sweep() {
     long now = clock.now();
     for (ClientConnection one : List.copyOf(all)) {
-      if (one.owes() && now - one.heardAt() > MESSAGE_NS) {
-        one.unreadable("no whole message in time");
+      if (one.isAwaitingMessage() && now - one.lastActivityNanos() > MESSAGE_NS) {
+        one.onProtocolError("no whole message in time");
       }
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -66,7 +66,7 @@
     this.client = client;
     this.number = number;
     this.asked = asked;
-    ref = new String(asked.ref(), StandardCharsets.ISO_8859_1);
+    ref = new String(asked.requestId(), StandardCharsets.ISO_8859_1);
     this.ds = ds;
     this.due = due;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -43,48 +43,48 @@
   }
 
   @Override
-  public boolean takes() {
+  public boolean admitsRequest() {
     return pace.takes();
   }
 
   @Override
-  public long away() {
+  public long retryAfterNanos() {
     return pace.away();
   }
 
   @Override
-  public void get(ClientConnection from, long number, DecodedRequest get) {
+  public void requestReceived(ClientConnection from, long number, DecodedRequest get) {
     long now = clock.now();
     admit.get(from, number, get, now, standstill.late(from, now));
   }
 
   @Override
-  public void withdrawn(ClientConnection from, long number) {
+  public void requestCancelled(ClientConnection from, long number) {
     left(book.unanswered(from, number));
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return ready.getAsBoolean();
   }
 
   @Override
-  public void broken(ClientConnection from, String why) {
+  public void protocolViolated(ClientConnection from, String why) {
     complaints.add(from, why);
     for (ClientRequest get : book.unanswered(from)) {
-      relay.errored(get, "the protocol was broken on this connection");
+      relay.errored(get, "the protocol was violated on this connection");
       route.arrived(get, to -> to.left(get.id));
     }
   }
 
   @Override
-  public void closed(ClientConnection from) {
+  public void connectionEnded(ClientConnection from) {
     clients.remove(from);
     book.unanswered(from).forEach(this::left);
   }
 
   @Override
-  public void released(ClientConnection from) {
+  public void descriptorReleased(ClientConnection from) {
     clients.released(from);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -17,22 +17,22 @@
   void returned(ClientRequest get, Buffer body) {
     if (end(get)) {
       if (body == null) {
-        get.client.returnedSame(get.number);
+        get.client.sendNotModified(get.number);
       } else {
-        get.client.returned(get.number, body);
+        get.client.sendBody(get.number, body);
       }
     }
   }
 
   void shed(ClientRequest get, long wait) {
     if (end(get)) {
-      get.client.shed(get.number, wait);
+      get.client.sendOverloaded(get.number, wait);
     }
   }
 
   void errored(ClientRequest get, String why) {
     if (end(get)) {
-      get.client.errored(get.number, why);
+      get.client.sendError(get.number, why);
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -90,10 +90,10 @@
                 get.id,
                 get.ds,
                 get.asked.objectId(),
-                get.asked.group(),
+                get.asked.purgeGroup(),
                 get.asked.partNumber(),
                 get.due - clock.now(),
-                get.asked.kb(),
+                get.asked.sizeKb(),
                 false));
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -97,7 +97,7 @@
     if (++asked > ASKED) {
       done.tryComplete();
     } else if (!done.future().isComplete()) {
-      self.write(RequestWarmUp.status());
+      self.write(RequestWarmUp.statusRequest());
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -70,18 +70,18 @@
     DecodedRequest of = like.get;
     DecodedRequest asked =
         new DecodedRequest(
-            of.service(),
+            of.trafficClass(),
             ref,
-            of.object(),
-            of.part(),
+            of.objectName(),
+            of.partName(),
             new byte[0],
             new byte[0],
             of.body(),
             of.objectId(),
             of.partNumber(),
-            of.group(),
+            of.purgeGroup(),
             within,
-            of.kb());
+            of.sizeKb());
     out++;
     ClientRequest get =
         new ClientRequest(
@@ -101,10 +101,10 @@
                 get.id,
                 get.ds,
                 of.objectId(),
-                of.group(),
+                of.purgeGroup(),
                 of.partNumber(),
                 get.due - clock.now(),
-                of.kb(),
+                of.sizeKb(),
                 index));
     return true;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -6,420 +6,341 @@
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
 import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.nio.charset.StandardCharsets;
-import java.util.HashSet;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
-import org.msgpack.core.MessageBufferPacker;
-import org.msgpack.core.MessagePack;
-import org.msgpack.core.MessageUnpacker;
-import org.msgpack.value.ValueType;
 
-/** One client's connection: MessagePack-RPC requests in, answers out, in any order. */
+/**
+ * One client's connection: MessagePack-RPC requests in, responses out, in any order. Used on the
+ * event loop of its socket alone. At most 32 requests are in flight; bytes that the client does not
+ * read are bounded by {@link WriteBufferAccounting}.
+ */
 public final class ClientConnection implements MessageReader.Sink {
-  /** The longest body that clients send or get. */
-  public static final int LONGEST_BODY = 240_000;
+  /** The longest body that clients send or receive. */
+  public static final int MAX_BODY_BYTES = 240_000;
 
-  private static final int REQUEST = 0, RESPONSE = 1, NOTIFICATION = 2;
-  private static final int LONGEST = LONGEST_BODY + 16_384, MOST_OPEN = 32, LONGEST_METHOD = 64;
-  private static final long MOST_NUMBER = 0xffff_ffffL;
+  private static final int MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 16_384;
 
-  /**
-   * How long a client has to read its last answers once they are written, and how long the writing
-   * may take.
-   */
-  private static final long LINGER_MILLIS = 300, FLUSH_MILLIS = 2000;
+  /** How long a client has to read its last responses once they are written. */
+  private static final long LINGER_MILLIS = 300;
 
-  private static final long LINGER_NANOS = LINGER_MILLIS * 1_000_000;
-  private static final byte NO_FIELDS = (byte) 0x80;
-  private static final MessagePack.PackerConfig PACKER =
-      new MessagePack.PackerConfig().withBufferSize(128);
+  private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS);
 
-  /** What becomes of a connection, in this order; it may skip some, and never goes back. */
+  /** How long writing the last responses may take. */
+  private static final long FLUSH_TIMEOUT_MILLIS = 2000;
+
+  /** What the client has sent so far; a connection of lower activity is closed first. */
+  public enum Activity {
+    /** No complete message, or half of the next one. */
+    AWAITING_MESSAGE,
+    /** Messages, but no valid request. */
+    NO_REQUEST,
+    /** Requests. */
+    REQUESTS
+  }
+
+  /** The states of a connection, in this order; it may skip some, and never goes back. */
   private enum State {
     /** Requests are read and answered. */
     OPEN(true),
     /**
-     * The protocol is broken: nothing more is read, and what was read with that gets an error each.
+     * The protocol was violated: nothing more is read, and each request that was received in the
+     * same read gets an error.
      */
     FAILING(true),
-    /** Nothing more is read or owed; the answers are being written. */
+    /** Nothing more is read and no response is outstanding; the last ones are being written. */
     FLUSHING(false),
-    /** They are written, and the client has heard of the end; it is given time to read them. */
+    /** They are written and the output is shut down; the client is given time to read them. */
     HALF_CLOSED(false),
+    /** The socket is closed. */
     CLOSED(false);
 
-    private final boolean answers;
+    private final boolean sendsResponses;
 
-    State(boolean answers) {
-      this.answers = answers;
+    State(boolean sendsResponses) {
+      this.sendsResponses = sendsResponses;
     }
   }
 
   private final NetSocket socket;
   private final ClientHandler handler;
   private final LongSupplier clock;
-  private final MessageReader reader = new MessageReader(LONGEST, this);
-  private final Set<Long> open = new HashSet<>();
-  private final WriteBufferAccounting queues;
-  long unread;
-  private long heardAt;
-  private boolean known, asked, broken, reading, answered, rejects, begun;
-  private long answeredAt;
+  private final MessageReader reader = new MessageReader(MAX_MESSAGE_BYTES, this);
+  private final RequestSession requests;
+  private final WriteBufferAccounting accounting;
   private State state = State.OPEN;
 
+  /** Whether a read is being decoded; a violation in it ends the connection after its end. */
+  private boolean decoding;
+
+  private boolean responded;
+  private long lastActivityNanos;
+  private long lastWriteNanos;
+
+  /** Bytes of responses that are not written yet; counted by the accounting. */
+  long unreadBytes;
+
+  /**
+   * Takes over a socket that was accepted.
+   *
+   * @param accounting bounds the bytes that clients leave unread
+   * @param clock monotonic nanoseconds
+   */
   public ClientConnection(
-      NetSocket socket, WriteBufferAccounting queues, LongSupplier clock, ClientHandler handler) {
+      NetSocket socket,
+      WriteBufferAccounting accounting,
+      LongSupplier clock,
+      ClientHandler handler) {
     this.socket = socket;
-    this.queues = queues;
+    this.accounting = accounting;
     this.clock = clock;
     this.handler = handler;
-    heardAt = clock.getAsLong();
+    requests = new RequestSession(this, handler);
+    lastActivityNanos = clock.getAsLong();
     socket.handler(
         bytes -> {
-          if (state.answers) {
+          if (state.sendsResponses) {
             read(bytes);
           }
         });
-    socket.exceptionHandler(e -> {}); // The close that follows says it all.
+    socket.exceptionHandler(e -> {}); // The close event that follows covers it.
     socket.closeHandler(v -> enter(State.CLOSED));
   }
 
   private void read(Buffer bytes) {
-    boolean begins = !reader.midway();
-    reading = true;
+    boolean startsMessage = !reader.hasPartialMessage();
+    decoding = true;
     reader.handle(bytes);
-    reading = false;
-    heardAt = known && (begins || !reader.midway()) ? clock.getAsLong() : heardAt;
-    if (state
-        == State
-            .FAILING) { // Guards the requests that were read with what can't be used: each has its
-      // error now.
-      letGo();
+    decoding = false;
+    if (requests.hasReceivedMessage() && (startsMessage || !reader.hasPartialMessage())) {
+      lastActivityNanos = clock.getAsLong();
+    }
+    if (state == State.FAILING) {
+      // Guards the requests that were received with the violation: each has its error by now.
+      closeOrFlush();
     }
   }
 
-  /** Whether a message has begun and not come whole. */
-  public boolean midway() {
-    return reader.midway();
+  /** Whether a message has been received in part. */
+  public boolean hasPartialMessage() {
+    return reader.hasPartialMessage();
   }
 
-  /** Whether a whole message is owed: the first, or the rest of one that has begun. */
-  public boolean owes() {
-    return !known || reader.midway();
+  /** Whether a complete message is due: the first one, or the rest of a partial one. */
+  public boolean isAwaitingMessage() {
+    return !requests.hasReceivedMessage() || reader.hasPartialMessage();
   }
 
-  /** How useful it has been: nothing yet, no GET yet, or GETs. */
-  public int use() {
-    return owes() ? 0 : asked ? 2 : 1;
+  /** What the client has sent so far. */
+  public Activity activity() {
+    if (isAwaitingMessage()) {
+      return Activity.AWAITING_MESSAGE;
+    }
+    return requests.hasReceivedRequest() ? Activity.REQUESTS : Activity.NO_REQUEST;
   }
 
-  /** Whether nothing is open on it. */
-  public boolean isFree() {
-    return open.isEmpty();
+  /** Whether no request is in flight. */
+  public boolean isIdle() {
+    return requests.isIdle();
   }
 
-  /** Since when it is owed, or else when it last said something. */
-  public long heardAt() {
-    return heardAt;
+  /**
+   * Since when a complete message is due, if one is; else when the last message or response passed.
+   * Nanoseconds of the connection's clock.
+   */
+  public long lastActivityNanos() {
+    return lastActivityNanos;
   }
 
   @Override
-  public boolean message(byte[] bytes, int start, int end) {
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
-      int size = in.unpackArrayHeader();
-      int type = in.unpackInt();
-      if (type == REQUEST && size == 4) {
-        request(in, in.unpackLong());
-      } else if (type == NOTIFICATION && size == 3) {
-        notification(in);
-      } else {
-        throw new IOException("no message of type " + type + " and " + size + " elements");
-      }
-      known = true;
-      begun = false;
+  public boolean onMessage(byte[] bytes, int start, int end) {
+    try {
+      requests.handle(bytes, start, end);
     } catch (IOException | RuntimeException e) {
-      unreadable(e.getMessage() == null ? e.toString() : e.getMessage());
+      onProtocolError(ProtocolException.reasonOf(e));
     }
-    return state.answers;
+    return state.sendsResponses;
   }
 
-  /** From now on each request is rejected, but for one of which a part has come already. */
-  public void reject() {
-    rejects = true;
-    begun = reader.midway();
-  }
-
-  private void request(MessageUnpacker in, long number) throws IOException {
-    if (number < 0 || number > MOST_NUMBER || !open.add(number)) {
-      throw new IOException("message id " + number + " is none or open already");
-    }
-    if (open.size() > MOST_OPEN) {
-      errored(number, "more than " + MOST_OPEN + " requests are open");
-      throw new IOException("message id " + number + " is one too many");
-    }
-    if (broken) {
-      errored(number, "the protocol was broken on this connection");
-      return;
-    }
-    try {
-      int length =
-          in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
-      if (length < 0 || length > LONGEST_METHOD) {
-        throw new Unusable("method: not a string of up to " + LONGEST_METHOD + " bytes");
-      }
-      String method = new String(in.readPayload(length), StandardCharsets.UTF_8);
-      int params =
-          in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
-      if (method.equals("status")) {
-        open.remove(number);
-        send(
-            answer(
-                number,
-                packer ->
-                    packer
-                        .packNil()
-                        .packArrayHeader(2)
-                        .packBoolean(handler.ready())
-                        .packMapHeader(0)));
-        return;
-      }
-      if (rejects && !begun
-          || !handler.takes()) { // Guards what was taken against what can't be borne beside it.
-        asked = true;
-        shed(number, handler.away());
-        return;
-      }
-      if (params < 1 || params > 2) {
-        throw new Unusable("not fields and a body");
-      }
-      DecodedRequest get = RequestFields.read(method, in, params > 1);
-      asked = true;
-      handler.get(this, number, get);
-    } catch (Unusable e) {
-      refuse(number, e.getMessage());
-    }
+  /** Rejects each request from now on, except one that has been received in part already. */
+  public void rejectNewRequests() {
+    requests.rejectNewRequests(reader.hasPartialMessage());
   }
 
   /**
-   * Guards against a client that breaks the protocol: an error, and nothing more is returned to it.
+   * Answers an invalid request with an error. Guards against clients that violate the protocol: no
+   * body is sent to this one any more.
    */
-  public void refuse(long number, String why) {
-    errored(number, why);
-    broken = true;
-    asked = false;
-    handler.broken(this, why);
-  }
-
-  private void notification(MessageUnpacker in) throws IOException {
-    String method = in.unpackString();
-    if (method.equals("withdraw")
-        && in.unpackArrayHeader() > 0
-        && in.getNextFormat().getValueType() == ValueType.INTEGER) {
-      long number = in.unpackLong();
-      if (open.remove(number)) {
-        handler.withdrawn(this, number);
-      }
-    }
+  public void rejectInvalidRequest(long messageId, String reason) {
+    requests.rejectInvalidRequest(messageId, reason);
   }
 
+  /**
+   * The stream cannot be used any more: reads nothing more, and ends once each request has its
+   * error.
+   */
   @Override
-  public void unreadable(String why) {
+  public void onProtocolError(String reason) {
     if (state == State.OPEN) {
-      broken = true;
+      requests.markViolated();
       enter(State.FAILING);
       stopReading();
-      handler.broken(this, why);
-      if (!reading) {
-        letGo();
+      handler.protocolViolated(this, reason);
+      if (!decoding) {
+        closeOrFlush();
       }
     }
   }
 
-  /** It leaves its answers unread: the memory that they take is needed at once. */
-  void abandon(String why) {
-    if (state.answers) {
-      handler.broken(this, why);
+  /** Closes at once, since the client leaves its responses unread and their memory is needed. */
+  void abort(String reason) {
+    if (state.sendsResponses) {
+      handler.protocolViolated(this, reason);
     }
     close();
   }
 
-  /** The bytes of a part, as they came. */
-  public void returned(long number, Buffer body) {
-    if (open.remove(number)) {
-      send(
-          answer(
-                  number,
-                  packer -> packer.packNil().packArrayHeader(2).packBinaryHeader(body.length()))
-              .appendBuffer(body)
-              .appendByte(NO_FIELDS));
+  /** Answers a status request. */
+  void sendStatus(long messageId, boolean ready) {
+    if (requests.finish(messageId)) {
+      send(ResponseEncoder.status(messageId, ready));
     }
   }
 
-  /** The client's own copy is the one. */
-  public void returnedSame(long number) {
-    if (open.remove(number)) {
-      send(
-          answer(
-              number,
-              packer ->
-                  packer
-                      .packNil()
-                      .packArrayHeader(2)
-                      .packBinaryHeader(0)
-                      .packMapHeader(1)
-                      .packString("valid")
-                      .packString("1")));
+  /** Answers a request that is in flight with the body of a part. */
+  public void sendBody(long messageId, Buffer body) {
+    if (requests.finish(messageId)) {
+      send(ResponseEncoder.body(messageId, body));
     }
   }
 
-  /** Not run; wait is in nanoseconds, 0 for no advice. */
-  public void shed(long number, long wait) {
-    error(
-        number,
-        "Overloaded",
-        "cooldown",
-        wait > 0 ? Long.toString((wait + 999_999) / 1_000_000) : null);
-  }
-
-  public void errored(long number, String why) {
-    error(number, "Internal", "why", why);
-  }
-
-  private void error(long number, String code, String key, String value) {
-    if (open.remove(number)) {
-      send(
-          answer(
-              number,
-              packer -> {
-                packer.packArrayHeader(2).packString(code).packMapHeader(value == null ? 0 : 1);
-                if (value != null) {
-                  packer.packString(key).packString(value);
-                }
-                packer.packNil();
-              }));
+  /** Answers a request that is in flight: the copy that the client holds is current. */
+  public void sendNotModified(long messageId) {
+    if (requests.finish(messageId)) {
+      send(ResponseEncoder.notModified(messageId));
     }
   }
 
-  interface Rest {
-    void pack(MessageBufferPacker packer) throws IOException;
+  /**
+   * Rejects a request that is in flight and has not run.
+   *
+   * @param retryAfterNanos the Retry-After in nanoseconds; 0 for none
+   */
+  public void sendOverloaded(long messageId, long retryAfterNanos) {
+    if (requests.finish(messageId)) {
+      send(ResponseEncoder.overloaded(messageId, retryAfterNanos));
+    }
   }
 
-  static Buffer answer(long number, Rest rest) {
-    try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
-      packer.packArrayHeader(4).packInt(RESPONSE).packLong(number);
-      rest.pack(packer);
-      return Buffer.buffer(packer.toByteArray());
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+  /** Answers a request that is in flight with an error and its reason. */
+  public void sendError(long messageId, String reason) {
+    if (requests.finish(messageId)) {
+      send(ResponseEncoder.internalError(messageId, reason));
     }
   }
 
-  private void send(Buffer answer) {
-    heardAt = known && !reader.midway() ? clock.getAsLong() : heardAt;
-    if (state.answers) {
-      queues.add(this, answer.length()); // First: a write may be done at once.
-      if (state.answers) {
-        answered = true;
-        socket.write(answer).onComplete(done -> written(answer.length()));
-      } else {
-        written(answer.length());
-      }
+  private void send(Buffer response) {
+    if (requests.hasReceivedMessage() && !reader.hasPartialMessage()) {
+      lastActivityNanos = clock.getAsLong();
+    }
+    if (!state.sendsResponses) {
+      return;
+    }
+    accounting.add(this, response.length()); // First: a write may complete at once.
+    if (state.sendsResponses) {
+      responded = true;
+      socket.write(response).onComplete(done -> written(response.length()));
+    } else {
+      written(response.length());
     }
   }
 
   private void written(long bytes) {
-    queues.read(this, bytes);
-    answeredAt = clock.getAsLong();
-    halfClose();
+    accounting.remove(this, bytes);
+    lastWriteNanos = clock.getAsLong();
+    halfCloseWhenFlushed();
   }
 
-  /** Whether all that it was answered has been written. */
-  public boolean isWritten() {
-    return unread == 0;
+  /** Whether all responses have been written to the socket. */
+  public boolean isFlushed() {
+    return unreadBytes == 0;
   }
 
-  /**
-   * Whether its client has had time to read all that it was answered: a close takes no answer with
-   * it.
-   */
-  public boolean isSettled() {
-    return unread == 0 && (!answered || clock.getAsLong() - answeredAt > LINGER_NANOS);
+  /** Whether the client has had time to read all its responses, so that a close loses none. */
+  public boolean hasLingered() {
+    return isFlushed() && (!responded || clock.getAsLong() - lastWriteNanos > LINGER_NANOS);
   }
 
-  /** Lets go of it, at once where no answer can still be on its way. */
-  public void letGo() {
-    if (isSettled()) { // Guards the CPU and the descriptors: who has had no answer is not waited
-      // for.
+  /** Closes at once where no response can still be on its way, else after flushing. */
+  public void closeOrFlush() {
+    if (hasLingered()) {
+      // Guards the CPU and the descriptors: a client without a response is not waited for.
       close();
     } else {
-      end();
+      closeAfterFlush();
     }
   }
 
   /**
-   * Ends it in order: nothing more is read, what was answered goes out, the client hears of the end
-   * and has a bounded time to read. What it sends meanwhile stays unread, so that it may be sent
-   * again elsewhere. Guards answers on their way: a close over bytes that nobody read resets the
-   * connection, and takes with it what the client has not read.
+   * Closes gracefully: nothing more is read, the responses are written, the output is shut down and
+   * the client has a bounded time to read. What it sends meanwhile stays unread, so that it may be
+   * sent again elsewhere. Guards responses on their way: a close over unread bytes resets the
+   * connection, and discards what the client has not read.
    */
-  public void end() {
-    if (state.answers) {
+  public void closeAfterFlush() {
+    if (state.sendsResponses) {
       stopReading();
       enter(State.FLUSHING);
-      halfClose();
+      halfCloseWhenFlushed();
       if (state == State.FLUSHING) {
-        closeIn(FLUSH_MILLIS);
+        closeAfter(FLUSH_TIMEOUT_MILLIS);
       }
     }
   }
 
   /**
-   * Guards requests that could get no answer any more, and the CPU: bytes stay with the kernel,
-   * also the rest of a read that is under way, and a connection that is not asked about wakes
-   * nobody. Vert.x's own pause reads on and queues.
+   * Guards requests that could not be answered any more, and the CPU: bytes stay with the kernel,
+   * also the rest of a read that is under way, and a connection without read interest wakes no
+   * loop. Vert.x's own pause reads on and queues.
    */
   private void stopReading() {
-    channel().channel().config().setAutoRead(false);
+    context().channel().config().setAutoRead(false);
   }
 
-  private void halfClose() {
-    if (state == State.FLUSHING && unread == 0) {
+  private void halfCloseWhenFlushed() {
+    if (state == State.FLUSHING && isFlushed()) {
       enter(State.HALF_CLOSED);
-      ((DuplexChannel) channel().channel()).shutdownOutput();
-      closeIn(LINGER_MILLIS);
+      ((DuplexChannel) context().channel()).shutdownOutput();
+      closeAfter(LINGER_MILLIS);
     }
   }
 
-  private void closeIn(long millis) {
-    channel().executor().schedule(this::close, millis, TimeUnit.MILLISECONDS);
+  private void closeAfter(long millis) {
+    context().executor().schedule(this::close, millis, TimeUnit.MILLISECONDS);
   }
 
-  private ChannelHandlerContext channel() {
+  private ChannelHandlerContext context() {
     return ((NetSocketInternal) socket).channelHandlerContext();
   }
 
-  /** Lets go of it at once, whatever the client has not read. */
+  /** Closes at once, whatever the client has not read. */
   public void close() {
     // Guards against a peer that does not read: a plain close would wait until it has.
-    channel().close();
+    context().close();
     enter(State.CLOSED);
   }
 
   private void enter(State next) {
-    State from = state;
-    if (next.compareTo(from) <= 0) {
+    State previous = state;
+    if (next.compareTo(previous) <= 0) {
       return;
     }
     state = next;
-    if (from.answers && !next.answers) {
-      open.clear();
-      handler.closed(this);
+    if (previous.sendsResponses && !next.sendsResponses) {
+      requests.dropAll();
+      handler.connectionEnded(this);
     }
     if (next == State.CLOSED) {
-      handler.released(this);
+      handler.descriptorReleased(this);
     }
   }
 
@@ -427,17 +348,4 @@
   public String toString() {
     return "client " + socket.remoteAddress();
   }
-
-  /** A request that is read but can't be used; the message says what is wrong. */
-  static final class Unusable extends Exception {
-    private static final long serialVersionUID = 1;
-
-    Unusable(String why) {
-      super(why);
-    }
-  }
-
-  static String ascii(byte[] bytes) {
-    return new String(bytes, StandardCharsets.ISO_8859_1);
-  }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
@@ -1,29 +1,43 @@
 package org.amberpath.gateway.client;
 
-/** Takes what clients say. */
+/** Handles what clients send; called on the event loop of the connection. */
 public interface ClientHandler {
-  /** Whether one more GET is taken now; one that is not is shed before the rest of it is read. */
-  boolean takes();
+  /**
+   * Whether one more request is admitted now. One that is not is rejected before its fields are
+   * decoded.
+   */
+  boolean admitsRequest();
 
-  /** How long a client that is shed so is asked to stay away, in nanoseconds; 0 for no advice. */
-  long away();
+  /** The Retry-After of a request that is rejected so, in nanoseconds; 0 for none. */
+  long retryAfterNanos();
 
   /**
-   * A GET that can be read; the client's number for it is open until it is answered or withdrawn.
+   * A request was decoded. Its message id is in flight until it is answered or cancelled.
+   *
+   * @param connection the connection that it arrived on
+   * @param messageId the client's message id, unique among those in flight on the connection
    */
-  void get(ClientConnection from, long number, DecodedRequest get);
+  void requestReceived(ClientConnection connection, long messageId, DecodedRequest request);
 
-  void withdrawn(ClientConnection from, long number);
+  /** The client cancelled a request that was in flight; it must not be answered. */
+  void requestCancelled(ClientConnection connection, long messageId);
 
-  /** Whether clients may come. */
-  boolean ready();
+  /** Whether the gateway is ready for requests, as its status says. */
+  boolean isReady();
 
-  /** The client broke the protocol: nothing more of it is returned. */
-  void broken(ClientConnection from, String why);
+  /**
+   * The client violated the protocol. Requests that are in flight may only end with an error.
+   *
+   * @param reason what was wrong, for the log
+   */
+  void protocolViolated(ClientConnection connection, String reason);
 
-  /** The connection takes and brings nothing more, and with it is gone all that was open on it. */
-  void closed(ClientConnection from);
+  /**
+   * The connection reads and writes nothing more; all that was in flight on it is dropped. Its
+   * descriptor may still be open.
+   */
+  void connectionEnded(ClientConnection connection);
 
-  /** Its descriptor is free again. */
-  void released(ClientConnection from);
+  /** The descriptor of an ended connection is closed. */
+  void descriptorReleased(ClientConnection connection);
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
@@ -1,21 +1,33 @@
 package org.amberpath.gateway.client;
 
 /**
- * What a client asked for. The arrays are the bytes that came; known, token and body may be empty.
+ * A client's request. The arrays are the bytes that were received, and shared: they must not be
+ * changed.
  *
- * @param allow how long the client waits, in nanoseconds
- * @param kb size as it is counted, 0 where it is not told
+ * @param trafficClass name of the traffic class (the RPC method)
+ * @param requestId the request's id, 16 hex digits
+ * @param objectName id of the object, 16 hex digits
+ * @param partName number of the part, in decimal
+ * @param knownTag entity tag of the copy that the client holds, 16 hex digits; empty for none
+ * @param idempotencyKey key by which repeats are recognised, at most 64 printable characters; empty
+ *     for none
+ * @param body the body, at most {@link ClientConnection#MAX_BODY_BYTES}; may be empty
+ * @param objectId the same as objectName, as an unsigned number
+ * @param partNumber the same as partName, as a number
+ * @param purgeGroup group by which the object can be purged, 0 to 255
+ * @param timeoutNanos how long the client waits for the answer, in nanoseconds
+ * @param sizeKb expected size of the answer in KB, 0 where it is not known
  */
 public record DecodedRequest(
-    String service,
-    byte[] ref,
-    byte[] object,
-    byte[] part,
-    byte[] known,
-    byte[] token,
+    String trafficClass,
+    byte[] requestId,
+    byte[] objectName,
+    byte[] partName,
+    byte[] knownTag,
+    byte[] idempotencyKey,
     byte[] body,
     long objectId,
     int partNumber,
-    int group,
-    long allow,
-    double kb) {}
+    int purgeGroup,
+    long timeoutNanos,
+    double sizeKb) {}
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -1,155 +1,197 @@
 package org.amberpath.gateway.client;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
-import org.amberpath.gateway.client.ClientConnection.Unusable;
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 
-/** Decodes of a request's fields what decisions need; the rest stays the bytes that came. */
+/**
+ * The fields of one request: decodes what decisions need, and leaves the rest as the bytes that
+ * were received.
+ */
 final class RequestFields {
-  private static final int MOST = 64, LONGEST_KEY = 64, LONGEST_NUMBER = 24, LONGEST_TOKEN = 64;
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_KEY_BYTES = 64;
+  private static final int MAX_NUMBER_BYTES = 24;
+  private static final int MAX_IDEMPOTENCY_KEY_BYTES = 64;
+  private static final int ID_HEX_DIGITS = 16;
+  private static final int HEX_RADIX = 16;
 
-  /** The protocol's figures at most; where it names none, an hour, an index and a terabyte. */
-  private static final long MOST_GROUP = 255,
-      LONGEST_MS = 3_600_000,
-      MOST_PARTS = Integer.MAX_VALUE,
-      MOST_KB = 1 << 30;
+  /** The protocol's bounds; where it states none, an hour, an index and a terabyte. */
+  private static final long MAX_PURGE_GROUP = 255;
 
-  private static final byte[] NONE = {};
+  private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+  private static final long MAX_PARTS = Integer.MAX_VALUE;
+  private static final long MAX_SIZE_KB = 1 << 30;
+
+  /** Default of a number that must be present. */
+  private static final long REQUIRED = -1;
+
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final byte[] EMPTY = {};
+
+  private static final String REQUEST_ID_KEY = "ref";
+  private static final String OBJECT_KEY = "lookup";
+  private static final String PART_KEY = "chunk";
+  private static final String KNOWN_TAG_KEY = "known";
+  private static final String IDEMPOTENCY_KEY = "replay";
+  private static final String TIMEOUT_KEY = "allow";
+  private static final String PURGE_GROUP_KEY = "tag";
+  private static final String SIZE_KEY = "room";
 
   private final Map<String, byte[]> values = new HashMap<>();
 
   private RequestFields() {}
 
-  static DecodedRequest read(String method, MessageUnpacker in, boolean withBody)
-      throws IOException, Unusable {
+  /**
+   * Reads a map of fields and, if there is one, the body behind it.
+   *
+   * @throws InvalidRequestException if a field is missing, of the wrong form or out of bounds
+   * @throws IOException if the bytes are no MessagePack
+   */
+  static DecodedRequest read(String trafficClass, MessageUnpacker in, boolean withBody)
+      throws IOException, InvalidRequestException {
     RequestFields fields = new RequestFields();
+    fields.readMap(in);
+    byte[] body = withBody ? readBody(in) : EMPTY;
+    byte[] objectName = fields.hex(OBJECT_KEY);
+    byte[] partName = fields.required(PART_KEY);
+    byte[] knownTag = fields.values.containsKey(KNOWN_TAG_KEY) ? fields.hex(KNOWN_TAG_KEY) : EMPTY;
+    double timeoutMillis = fields.decimal(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
+    if (timeoutMillis < 1) {
+      throw new InvalidRequestException("allow: not a time to wait");
+    }
+    return new DecodedRequest(
+        trafficClass,
+        fields.hex(REQUEST_ID_KEY),
+        objectName,
+        partName,
+        knownTag,
+        fields.idempotencyKey(),
+        body,
+        Long.parseUnsignedLong(ascii(objectName), HEX_RADIX),
+        (int) fields.integer(PART_KEY, REQUIRED, MAX_PARTS),
+        (int) fields.integer(PURGE_GROUP_KEY, 0, MAX_PURGE_GROUP),
+        (long) (timeoutMillis * NANOS_PER_MILLI),
+        fields.decimal(SIZE_KEY, 0, MAX_SIZE_KB));
+  }
+
+  private void readMap(MessageUnpacker in) throws IOException, InvalidRequestException {
     if (in.getNextFormat().getValueType() != ValueType.MAP) {
-      throw new Unusable("fields: not a map");
+      throw new InvalidRequestException("fields: not a map");
     }
     int count = in.unpackMapHeader();
-    if (count > MOST) {
-      throw new Unusable("fields: more than " + MOST);
+    if (count > MAX_FIELDS) {
+      throw new InvalidRequestException("fields: more than " + MAX_FIELDS);
     }
     for (int i = 0; i < count; i++) {
-      byte[] key = text(in, "fields: a key");
-      if (key.length > LONGEST_KEY) {
-        throw new Unusable("fields: a key longer than " + LONGEST_KEY + " bytes");
+      byte[] key = readString(in, "fields: a key");
+      if (key.length > MAX_KEY_BYTES) {
+        throw new InvalidRequestException("fields: a key longer than " + MAX_KEY_BYTES + " bytes");
       }
-      String name = ClientConnection.ascii(key);
-      if (fields.values.put(name, text(in, name)) != null) {
-        throw new Unusable("fields: one key twice");
+      String name = ascii(key);
+      if (values.put(name, readString(in, name)) != null) {
+        throw new InvalidRequestException("fields: one key twice");
       }
     }
-    byte[] body = withBody ? body(in) : NONE;
-    byte[] object = fields.hex("lookup");
-    byte[] part = fields.present("chunk");
-    byte[] known = fields.values.containsKey("known") ? fields.hex("known") : NONE;
-    double allow = fields.real("allow", -1, LONGEST_MS);
-    if (allow < 1) {
-      throw new Unusable("allow: not a time to wait");
-    }
-    return new DecodedRequest(
-        method,
-        fields.hex("ref"),
-        object,
-        part,
-        known,
-        fields.token(),
-        body,
-        Long.parseUnsignedLong(ClientConnection.ascii(object), 16),
-        (int) fields.whole("chunk", -1, MOST_PARTS),
-        (int) fields.whole("tag", 0, MOST_GROUP),
-        (long) (allow * 1e6),
-        fields.real("room", 0, MOST_KB));
   }
 
-  private static byte[] text(MessageUnpacker in, String name) throws IOException, Unusable {
+  private static byte[] readString(MessageUnpacker in, String name)
+      throws IOException, InvalidRequestException {
     MessageFormat format = in.getNextFormat();
     if (format.getValueType() != ValueType.STRING) {
-      throw new Unusable(name + ": not a string");
+      throw new InvalidRequestException(name + ": not a string");
     }
     return in.readPayload(in.unpackRawStringHeader());
   }
 
-  private static byte[] body(MessageUnpacker in) throws IOException, Unusable {
+  private static byte[] readBody(MessageUnpacker in) throws IOException, InvalidRequestException {
     ValueType type = in.getNextFormat().getValueType();
     if (type == ValueType.NIL) {
-      return NONE;
+      return EMPTY;
     }
     if (type != ValueType.BINARY) {
-      throw new Unusable("body: not bytes");
+      throw new InvalidRequestException("body: not bytes");
     }
     int length = in.unpackBinaryHeader();
-    if (length > ClientConnection.LONGEST_BODY) {
-      throw new Unusable("body: longer than " + ClientConnection.LONGEST_BODY + " bytes");
+    if (length > ClientConnection.MAX_BODY_BYTES) {
+      throw new InvalidRequestException(
+          "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes");
     }
     return in.readPayload(length);
   }
 
-  private byte[] present(String name) throws Unusable {
-    byte[] value = values.get(name);
+  private byte[] required(String key) throws InvalidRequestException {
+    byte[] value = values.get(key);
     if (value == null) {
-      throw new Unusable(name + ": missing");
+      throw new InvalidRequestException(key + ": missing");
     }
     return value;
   }
 
-  private byte[] hex(String name) throws Unusable {
-    byte[] value = present(name);
-    boolean good = value.length == 16;
-    for (byte one : value) {
-      good &= Character.digit(one, 16) >= 0;
+  private byte[] hex(String key) throws InvalidRequestException {
+    byte[] value = required(key);
+    boolean valid = value.length == ID_HEX_DIGITS;
+    for (byte digit : value) {
+      valid &= Character.digit(digit, HEX_RADIX) >= 0;
     }
-    if (!good) {
-      throw new Unusable(name + ": not 16 hex digits");
+    if (!valid) {
+      throw new InvalidRequestException(key + ": not 16 hex digits");
     }
     return value;
   }
 
   /**
-   * What marks a GET's repeats, if anything: it goes on as it came, so it may not read as more than
-   * one field.
+   * The key by which repeats are recognised, if any. It is forwarded as it was received, so it must
+   * not contain what separates fields there.
    */
-  private byte[] token() throws Unusable {
-    byte[] value = values.getOrDefault("replay", NONE);
-    boolean good = value.length <= LONGEST_TOKEN;
-    for (byte one : value) {
-      good &= one > ' ' && one < 0x7f && one != ',';
+  private byte[] idempotencyKey() throws InvalidRequestException {
+    byte[] value = values.getOrDefault(IDEMPOTENCY_KEY, EMPTY);
+    boolean valid = value.length <= MAX_IDEMPOTENCY_KEY_BYTES;
+    for (byte character : value) {
+      valid &= character > ' ' && character < 0x7f && character != ',';
     }
-    if (!good) {
-      throw new Unusable("replay: not up to " + LONGEST_TOKEN + " plain characters");
+    if (!valid) {
+      throw new InvalidRequestException(
+          IDEMPOTENCY_KEY + ": not up to " + MAX_IDEMPOTENCY_KEY_BYTES + " plain characters");
     }
     return value;
   }
 
-  private long whole(String name, long absent, long most) throws Unusable {
-    double value = real(name, absent, most);
-    if (values.containsKey(name) && ClientConnection.ascii(values.get(name)).indexOf('.') >= 0) {
-      throw new Unusable(name + ": not a whole number");
+  private long integer(String key, long absent, long max) throws InvalidRequestException {
+    double value = decimal(key, absent, max);
+    if (values.containsKey(key) && ascii(values.get(key)).indexOf('.') >= 0) {
+      throw new InvalidRequestException(key + ": not a whole number");
     }
     return (long) value;
   }
 
-  /** Plain decimals from 0 to a bound; what a runtime reads beyond these is no number here. */
-  private double real(String name, double absent, double most) throws Unusable {
-    if (absent >= 0 && !values.containsKey(name)) {
+  /**
+   * A plain decimal from 0 to a bound; signs, exponents and the like, which the JDK would parse,
+   * are invalid.
+   */
+  private double decimal(String key, double absent, double max) throws InvalidRequestException {
+    if (absent >= 0 && !values.containsKey(key)) {
       return absent;
     }
-    byte[] value = present(name);
-    boolean good = value.length > 0 && value.length <= LONGEST_NUMBER && value[0] != '.';
+    byte[] value = required(key);
+    boolean valid = value.length > 0 && value.length <= MAX_NUMBER_BYTES && value[0] != '.';
     int points = 0;
-    for (byte one : value) {
-      points += one == '.' ? 1 : 0;
-      good &= one >= '0' && one <= '9' || one == '.' && points == 1;
+    for (byte character : value) {
+      points += character == '.' ? 1 : 0;
+      valid &= character >= '0' && character <= '9' || character == '.' && points == 1;
     }
-    double number = good ? Double.parseDouble(ClientConnection.ascii(value)) : -1;
-    if (number < 0 || number > most) {
-      throw new Unusable(name + ": not a number from 0 to " + (long) most);
+    double number = valid ? Double.parseDouble(ascii(value)) : -1;
+    if (number < 0 || number > max) {
+      throw new InvalidRequestException(key + ": not a number from 0 to " + (long) max);
     }
     return number;
   }
+
+  private static String ascii(byte[] bytes) {
+    return new String(bytes, StandardCharsets.ISO_8859_1);
+  }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -0,0 +1,149 @@
+package org.amberpath.gateway.client;
+
+import java.io.IOException;
+import java.util.HashSet;
+import java.util.OptionalLong;
+import java.util.Set;
+
+/**
+ * The requests of one connection, from decoding to response: which message ids are in flight, and
+ * which requests are admitted. Knows nothing of the socket. Used on the connection's event loop.
+ */
+final class RequestSession {
+  private static final int MAX_IN_FLIGHT = 32;
+  private static final long MAX_MESSAGE_ID = 0xffff_ffffL;
+  private static final String STATUS_METHOD = "status";
+
+  /** Which requests are admitted here, before the handler is asked. */
+  private enum Admission {
+    /** Each one. */
+    ALL,
+    /** Only the one that had been received in part when rejection began. */
+    PARTIAL_MESSAGE,
+    /** None. */
+    NONE
+  }
+
+  private final ClientConnection connection;
+  private final ClientHandler handler;
+  private final Set<Long> inFlight = new HashSet<>();
+  private Admission admission = Admission.ALL;
+  private boolean messageReceived;
+  private boolean requestReceived;
+
+  /** Whether the client violated the protocol, so that each further request gets an error. */
+  private boolean violated;
+
+  RequestSession(ClientConnection connection, ClientHandler handler) {
+    this.connection = connection;
+    this.handler = handler;
+  }
+
+  /** Whether a complete and valid message has been received. */
+  boolean hasReceivedMessage() {
+    return messageReceived;
+  }
+
+  /** Whether a request has been received, and no invalid one since. */
+  boolean hasReceivedRequest() {
+    return requestReceived;
+  }
+
+  /** Whether no request is in flight. */
+  boolean isIdle() {
+    return inFlight.isEmpty();
+  }
+
+  /** Drops what is in flight: none of it can be answered any more. */
+  void dropAll() {
+    inFlight.clear();
+  }
+
+  /** Each request from now on gets an error, since the client violated the protocol. */
+  void markViolated() {
+    violated = true;
+  }
+
+  /**
+   * Rejects each request from now on.
+   *
+   * @param partialMessage whether a message has been received in part, which is still admitted
+   */
+  void rejectNewRequests(boolean partialMessage) {
+    admission = partialMessage ? Admission.PARTIAL_MESSAGE : Admission.NONE;
+  }
+
+  /**
+   * Handles one complete message.
+   *
+   * @throws IOException if it violates the protocol, so that the rest of the stream is unusable
+   */
+  void handle(byte[] bytes, int start, int end) throws IOException {
+    try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
+      switch (decoder.readKind()) {
+        case REQUEST -> request(decoder);
+        case NOTIFICATION -> notification(decoder);
+      }
+    }
+    messageReceived = true;
+    if (admission == Admission.PARTIAL_MESSAGE) {
+      admission = Admission.NONE;
+    }
+  }
+
+  private void request(RequestDecoder decoder) throws IOException {
+    long messageId = decoder.readMessageId();
+    addInFlight(messageId);
+    if (violated) {
+      connection.sendError(messageId, "the protocol was violated on this connection");
+      return;
+    }
+    try {
+      String method = decoder.readMethod();
+      if (method.equals(STATUS_METHOD)) {
+        connection.sendStatus(messageId, handler.isReady());
+      } else if (admission == Admission.NONE || !handler.admitsRequest()) {
+        // Guards what was admitted against what the gateway has no capacity for.
+        requestReceived = true;
+        connection.sendOverloaded(messageId, handler.retryAfterNanos());
+      } else {
+        DecodedRequest request = decoder.readRequest(method);
+        requestReceived = true;
+        handler.requestReceived(connection, messageId, request);
+      }
+    } catch (InvalidRequestException e) {
+      rejectInvalidRequest(messageId, e.getMessage());
+    }
+  }
+
+  private void addInFlight(long messageId) throws ProtocolException {
+    if (messageId < 0 || messageId > MAX_MESSAGE_ID || !inFlight.add(messageId)) {
+      throw new ProtocolException(
+          "message id " + messageId + " is out of range or in flight already");
+    }
+    if (inFlight.size() > MAX_IN_FLIGHT) {
+      connection.sendError(messageId, "more than " + MAX_IN_FLIGHT + " requests are in flight");
+      throw new ProtocolException("message id " + messageId + " is one request too many");
+    }
+  }
+
+  private void notification(RequestDecoder decoder) throws IOException {
+    OptionalLong cancelled = decoder.readCancelledId();
+    if (cancelled.isPresent() && inFlight.remove(cancelled.getAsLong())) {
+      handler.requestCancelled(connection, cancelled.getAsLong());
+    }
+  }
+
+  /** As {@link ClientConnection#rejectInvalidRequest}. */
+  void rejectInvalidRequest(long messageId, String reason) {
+    connection.sendError(messageId, reason);
+    violated = true;
+    requestReceived = false;
+    handler.protocolViolated(connection, reason);
+  }
+
+  /** Ends a request; whether it was in flight, so that its one response may be sent. */
+  boolean finish(long messageId) {
+    return inFlight.remove(messageId);
+  }
+}
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -3,63 +3,56 @@
 import io.vertx.core.buffer.Buffer;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import org.msgpack.core.MessagePack;
-import org.msgpack.core.MessageUnpacker;
 
 /**
- * Requests that nobody sent, read and answered to nobody: the code is warm when the first one
- * comes.
+ * Decodes and answers synthetic requests without a connection, so that the codec is compiled before
+ * the first client connects.
  */
 public final class RequestWarmUp implements MessageReader.Sink {
-  private static final byte[] STATUS = text("\u0094\0\u0009\u00a6status\u0091\u0080");
-  private static final byte[] REQUEST =
-      text(
+  private static final byte[] STATUS_REQUEST = bytes("\u0094\0\u0009\u00a6status\u0091\u0080");
+  private static final byte[] PART_REQUEST =
+      bytes(
           "\u0094\0\7\u00a5parts\u0092\u0086"
               + "\u00a3ref\u00b09b1f03aa5c7e2d41\u00a5allow\u00a41500\u00a6lookup\u00b07f3a9c21e0b4d655\u00a5chunk\u00a13"
               + "\u00a3tag\u00a217\u00a4room\u00a5412.5\u00c4\0");
 
-  private int read;
+  private int decoded;
 
   private RequestWarmUp() {}
 
-  private static byte[] text(String bytes) {
-    return bytes.getBytes(StandardCharsets.ISO_8859_1);
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** Asks whether clients may come. */
-  public static Buffer status() {
-    return Buffer.buffer(STATUS);
+  /** An encoded status request, which asks whether the gateway is ready. */
+  public static Buffer statusRequest() {
+    return Buffer.buffer(STATUS_REQUEST);
   }
 
-  /** Reads and answers so many; returns how many could be read. */
-  public static int play(int many) {
+  /** Decodes and answers this many requests; returns how many could be decoded. */
+  public static int play(int requests) {
     RequestWarmUp sink = new RequestWarmUp();
-    MessageReader reader = new MessageReader(REQUEST.length, sink);
-    for (int number = 0; number < many; number++) {
-      reader.handle(Buffer.buffer(REQUEST));
+    MessageReader reader = new MessageReader(PART_REQUEST.length, sink);
+    for (int request = 0; request < requests; request++) {
+      reader.handle(Buffer.buffer(PART_REQUEST));
     }
-    return sink.read;
+    return sink.decoded;
   }
 
   @Override
-  public boolean message(byte[] bytes, int start, int end) {
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
-      in.unpackArrayHeader();
-      in.unpackInt();
-      long number = in.unpackLong();
-      String method = in.unpackString();
-      in.unpackArrayHeader();
-      RequestFields.read(method, in, true);
-      ClientConnection.answer(
-              number, packer -> packer.packNil().packArrayHeader(2).packBinaryHeader(0))
-          .appendBuffer(Buffer.buffer(REQUEST));
-      read++;
+  public boolean onMessage(byte[] bytes, int start, int end) {
+    try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
+      decoder.readKind();
+      long messageId = decoder.readMessageId();
+      decoder.readRequest(decoder.readMethod());
+      ResponseEncoder.body(messageId, Buffer.buffer(PART_REQUEST));
+      decoded++;
       return true;
-    } catch (IOException | ClientConnection.Unusable e) {
+    } catch (IOException | InvalidRequestException e) {
       return false;
     }
   }
 
   @Override
-  public void unreadable(String why) {}
+  public void onProtocolError(String reason) {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -4,37 +4,46 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** What clients have not yet read of their answers: bounded for each, and for all together. */
+/**
+ * Bounds the bytes of responses that clients have not read yet, for each connection and for all
+ * together. Used on one event loop.
+ */
 public final class WriteBufferAccounting {
-  private final long mostOfOne, mostOfAll;
-  private final Set<ClientConnection> behind = new LinkedHashSet<>();
-  private long all;
+  private final long maxBytesPerConnection;
+  private final long maxBytesTotal;
+  private final Set<ClientConnection> pending = new LinkedHashSet<>();
+  private long totalBytes;
 
-  public WriteBufferAccounting(long mostOfOne, long mostOfAll) {
-    this.mostOfOne = mostOfOne;
-    this.mostOfAll = mostOfAll;
+  /** Bounds in bytes; a connection past them is aborted. */
+  public WriteBufferAccounting(long maxBytesPerConnection, long maxBytesTotal) {
+    this.maxBytesPerConnection = maxBytesPerConnection;
+    this.maxBytesTotal = maxBytesTotal;
   }
 
-  /** Guards against clients that do not read: the one furthest behind loses its connection. */
-  void add(ClientConnection client, long bytes) {
-    all += bytes;
-    client.unread += bytes;
-    behind.add(client);
-    if (client.unread > mostOfOne) {
-      client.abandon("reads too slowly");
-    } else if (all > mostOfAll) {
-      behind.stream()
-          .max(Comparator.comparingLong(one -> one.unread))
-          .orElse(client)
-          .abandon("reads most slowly of all");
+  /**
+   * Counts bytes that are about to be written. Guards against clients that do not read: the one
+   * with the most unread bytes loses its connection.
+   */
+  void add(ClientConnection connection, long bytes) {
+    totalBytes += bytes;
+    connection.unreadBytes += bytes;
+    pending.add(connection);
+    if (connection.unreadBytes > maxBytesPerConnection) {
+      connection.abort("reads too slowly");
+    } else if (totalBytes > maxBytesTotal) {
+      pending.stream()
+          .max(Comparator.comparingLong(one -> one.unreadBytes))
+          .orElse(connection)
+          .abort("reads most slowly of all");
     }
   }
 
-  void read(ClientConnection client, long bytes) {
-    all -= bytes;
-    client.unread -= bytes;
-    if (client.unread == 0) {
-      behind.remove(client);
+  /** Counts bytes off that have been written to the socket or dropped. */
+  void remove(ClientConnection connection, long bytes) {
+    totalBytes -= bytes;
+    connection.unreadBytes -= bytes;
+    if (connection.unreadBytes == 0) {
+      pending.remove(connection);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -77,39 +77,39 @@
   }
 
   @Override
-  public boolean takes() {
+  public boolean admitsRequest() {
     return true;
   }
 
   @Override
-  public long away() {
+  public long retryAfterNanos() {
     return 0;
   }
 
   @Override
-  public void get(ClientConnection from, long number, DecodedRequest get) {
+  public void requestReceived(ClientConnection from, long number, DecodedRequest get) {
     read.incrementAndGet();
-    from.returnedSame(number);
+    from.sendNotModified(number);
   }
 
   @Override
-  public void withdrawn(ClientConnection from, long number) {}
+  public void requestCancelled(ClientConnection from, long number) {}
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return true;
   }
 
   @Override
-  public void broken(ClientConnection from, String why) {}
+  public void protocolViolated(ClientConnection from, String why) {}
 
   @Override
-  public void closed(ClientConnection from) {
+  public void connectionEnded(ClientConnection from) {
     clients.remove(from);
   }
 
   @Override
-  public void released(ClientConnection from) {
+  public void descriptorReleased(ClientConnection from) {
     clients.released(from);
     held.decrementAndGet();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -21,18 +21,18 @@
 /** MessagePack from clients: every width, cut anywhere. */
 class MessageReaderTest implements MessageReader.Sink {
   private final List<byte[]> messages = new ArrayList<>();
-  private final List<String> unreadable = new ArrayList<>();
+  private final List<String> protocolErrors = new ArrayList<>();
   private final MessageReader reader = new MessageReader(5000, this);
 
   @Override
-  public boolean message(byte[] bytes, int start, int end) {
+  public boolean onMessage(byte[] bytes, int start, int end) {
     messages.add(Arrays.copyOfRange(bytes, start, end));
     return true;
   }
 
   @Override
-  public void unreadable(String why) {
-    unreadable.add(why);
+  public void onProtocolError(String reason) {
+    protocolErrors.add(reason);
   }
 
   @ParameterizedTest
@@ -75,16 +75,16 @@
     assertEquals(-1, get.objectId());
     assertEquals(
         List.of(3, 17, 1_500_000_000L, 412.5),
-        List.of(get.partNumber(), get.group(), get.allow(), get.kb()));
+        List.of(get.partNumber(), get.purgeGroup(), get.timeoutNanos(), get.sizeKb()));
     assertArrayEquals(new byte[] {13, 10}, get.body());
   }
 
   @Test
   void aMessageLongerThanAnyClientSendsIsNotWaitedFor() {
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("92c67fffff")));
-    assertTrue(unreadable.isEmpty());
+    assertTrue(protocolErrors.isEmpty());
     reader.handle(Buffer.buffer(new byte[1]));
-    assertEquals(List.of("message longer than 5000 bytes"), unreadable);
+    assertEquals(List.of("message longer than 5000 bytes"), protocolErrors);
   }
 
   @ParameterizedTest
@@ -93,11 +93,11 @@
     for (int at = 0; at < 600; at++) {
       reader.handle(Buffer.buffer(HexFormat.of().parseHex(part)));
     }
-    assertEquals(List.of("message of more than 512 values"), unreadable);
+    assertEquals(List.of("message of more than 512 values"), protocolErrors);
   }
 
   @Test
-  void theRehearsalReadsWhatItPlays() {
+  void theWarmUpDecodesWhatItPlays() {
     assertEquals(20, RequestWarmUp.play(20));
   }
 
@@ -105,7 +105,7 @@
   void nothingIsReadAfterSomethingUnreadable() throws IOException {
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("c1")));
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("c0")));
-    assertEquals(1, unreadable.size());
+    assertEquals(1, protocolErrors.size());
     assertTrue(messages.isEmpty());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -303,7 +303,7 @@
             LONGEST,
             new MessageReader.Sink() {
               @Override
-              public boolean message(byte[] bytes, int start, int end) {
+              public boolean onMessage(byte[] bytes, int start, int end) {
                 try (MessageUnpacker in =
                     MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
                   answer(in);
@@ -314,7 +314,7 @@
               }
 
               @Override
-              public void unreadable(String why) {
+              public void onProtocolError(String reason) {
                 socket.close();
               }
             }));
