--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -173,12 +173,12 @@
     }
 
     @Override
-    protected boolean asksForCopy() {
+    protected boolean expectsCopy() {
       return !site.neverKept(get.ds);
     }
 
     @Override
-    protected boolean isOver(long now) {
+    protected boolean isExpired(long now) {
       return get.answered || now > sendBy || now >= end;
     }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -7,102 +7,118 @@
 import org.amberpath.routing.RoutingEvents.Outcome;
 
 /**
- * One forward on its way to a cache. The subclass is told how it ended, once, unless it was given
- * up.
+ * One attempt on its way to a cache. The subclass is notified of its outcome, once, unless it was
+ * cancelled. Used on the event loop of the pool.
  */
 public abstract class CacheCommand {
-  final String key;
-  private final byte[] id;
+  private static final int ENCODING_OVERHEAD_BYTES = 96;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  final String requestId;
+  private final byte[] requestIdBytes;
   private final byte[] fields;
-  private final String known;
+  private final String knownTag;
   private final byte[] body;
-  private final long until;
-  private final List<? extends CacheCommand> siblings;
-  CacheConnection on;
-  long writtenAt;
+  private final long deadlineNanos;
+  private final List<? extends CacheCommand> attempts;
+
+  /** The connection that it was written to; null before that. */
+  CacheConnection connection;
+
+  long writtenAtNanos;
 
   /**
-   * A forward.
+   * An attempt.
    *
-   * @param id the request's id, which its siblings share
-   * @param fields the list without the time that is left
-   * @param known the tag of the copy that the client holds, which stands in the fields too; empty
-   *     for none
-   * @param body the body as it came
-   * @param until clock time until which the answer is waited for
-   * @param siblings all forwards of the request
+   * @param requestId the request's id, which all attempts of the request share
+   * @param fields the fields of the command, without the time that is left
+   * @param knownTag the entity tag of the copy that the client holds, which is in the fields too;
+   *     empty for none
+   * @param body the body as it was received
+   * @param deadlineNanos clock time until which the reply is waited for
+   * @param attempts all attempts of the request
    */
   protected CacheCommand(
-      byte[] id,
+      byte[] requestId,
       byte[] fields,
-      byte[] known,
+      byte[] knownTag,
       byte[] body,
-      long until,
-      List<? extends CacheCommand> siblings) {
-    this.key = new String(id, StandardCharsets.ISO_8859_1);
-    this.id = id;
+      long deadlineNanos,
+      List<? extends CacheCommand> attempts) {
+    this.requestId = new String(requestId, StandardCharsets.ISO_8859_1);
+    this.requestIdBytes = requestId;
     this.fields = fields;
-    this.known = new String(known, StandardCharsets.ISO_8859_1);
+    this.knownTag = new String(knownTag, StandardCharsets.ISO_8859_1);
     this.body = body;
-    this.until = until;
-    this.siblings = siblings;
+    this.deadlineNanos = deadlineNanos;
+    this.attempts = attempts;
   }
 
   /**
-   * How it ended; body is null unless the bytes were returned (null too when the client's copy is
-   * the one).
+   * The attempt ended.
+   *
+   * @param body the body where one was returned; null for any other outcome, and where the client's
+   *     copy is current
    */
   protected abstract void ended(Outcome outcome, Note note, Buffer body);
 
   /**
-   * Whether it may not begin any more: its GET is over, or the time in which it might be sent is.
+   * Whether it must not be sent any more: its request has been answered, or its time to be sent is
+   * over.
+   *
+   * @param nowNanos the clock's time
    */
-  protected boolean isOver(long now) {
+  protected boolean isExpired(long nowNanos) {
     return false;
   }
 
   /** Whether any of it may have reached the cache. */
   public final boolean isWritten() {
-    return on != null;
+    return connection != null;
   }
 
   /**
-   * Whether what is returned is a copy, which has a tag and a time; what is never kept has neither.
+   * Whether a body that is returned is a copy, with a tag and a time; uncacheable ones have none.
    */
-  protected boolean asksForCopy() {
+  protected boolean expectsCopy() {
     return true;
   }
 
-  /** Whether the client holds the copy of this tag. */
-  boolean isKnown(String tag) {
-    return !tag.isEmpty() && tag.equals(known);
+  /** Whether the client holds the copy of this entity tag. */
+  boolean isKnownTag(String tag) {
+    return !tag.isEmpty() && tag.equals(knownTag);
   }
 
-  /** Guards against an answer to one forward that is taken for its sibling's: they share an id. */
-  boolean mayUse(CacheConnection connection) {
-    return siblings.stream().noneMatch(one -> one.on == connection);
+  /**
+   * Whether it may be sent on a connection. Guards against a reply to one attempt that is taken for
+   * another's: all attempts of a request share its id.
+   */
+  boolean mayUse(CacheConnection candidate) {
+    return attempts.stream().noneMatch(attempt -> attempt.connection == candidate);
   }
 
-  Buffer encode(long now) {
-    Buffer out = Buffer.buffer(fields.length + body.length + 96);
+  /** The command in RESP, with the time that is left, in milliseconds and at least 1. */
+  Buffer encode(long nowNanos) {
+    Buffer out = Buffer.buffer(fields.length + body.length + ENCODING_OVERHEAD_BYTES);
     out.appendString("*4\r\n$4\r\nwant\r\n");
-    bulk(out, id);
-    byte[] left =
-        ("ms=" + Math.max(1, (until - now + 999_999) / 1_000_000) + ",")
-            .getBytes(StandardCharsets.ISO_8859_1);
+    appendBulk(out, requestIdBytes);
+    long leftMillis =
+        Math.max(1, (deadlineNanos - nowNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
+    byte[] left = ("ms=" + leftMillis + ",").getBytes(StandardCharsets.ISO_8859_1);
     out.appendString("$" + (left.length + fields.length) + "\r\n")
         .appendBytes(left)
         .appendBytes(fields);
     out.appendString("\r\n");
-    bulk(out, body);
+    appendBulk(out, body);
     return out;
   }
 
-  Buffer encodeNeverMind() {
-    return bulk(Buffer.buffer("*2\r\n$10\r\nnever_mind\r\n"), id);
+  /** The command that cancels this one, in RESP. */
+  Buffer encodeCancel() {
+    return appendBulk(Buffer.buffer("*2\r\n$10\r\nnever_mind\r\n"), requestIdBytes);
   }
 
-  private static Buffer bulk(Buffer out, byte[] bytes) {
+  private static Buffer appendBulk(Buffer out, byte[] bytes) {
     return out.appendString("$" + bytes.length + "\r\n").appendBytes(bytes).appendString("\r\n");
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -4,7 +4,6 @@
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -12,179 +11,151 @@
 import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.Outcome;
 
-/** One connection to a cache: many wants at once, answers in any order. */
+/**
+ * One connection to a cache: many commands in flight, replies in any order. Used on the event loop
+ * of its pool. Times are nanoseconds of the pool's clock.
+ */
 final class CacheConnection implements ReplyReader.Sink {
-  private static final String NOTES = "hfojsrblnx";
-  private static final Note[] NOTE = Note.values();
-  private static final int ELEMENTS = 4;
+  /** The states of a connection. */
+  private enum State {
+    /** Commands are sent and replies read. */
+    OPEN,
+    /** A command was waited for in vain and nothing received since: the peer may have vanished. */
+    UNRESPONSIVE,
+    /** The socket is closed, or being closed. */
+    CLOSED
+  }
 
   private final CachePool pool;
   private final NetSocket socket;
-  private final Map<String, CacheCommand> open = new LinkedHashMap<>();
+  private final Map<String, CacheCommand> inFlight = new LinkedHashMap<>();
   private final ReplyReader reader;
+  private State state = State.OPEN;
+  private long lastReadNanos;
+  private long lastUsedNanos;
 
-  /**
-   * Silent: a want was waited for in vain and nothing has come since, so the peer may have
-   * vanished.
-   */
-  private boolean closed, silent;
-
-  private long heardAt, usedAt;
-
-  CacheConnection(CachePool pool, NetSocket socket, int longest, long now) {
+  /** Takes over a socket that is connected; replies have bodies of maxBodyBytes at most. */
+  CacheConnection(CachePool pool, NetSocket socket, int maxBodyBytes, long nowNanos) {
     this.pool = pool;
     this.socket = socket;
-    heardAt = now;
-    usedAt = now;
-    reader = new ReplyReader(longest, this);
-    socket.handler(
-        bytes -> {
-          heardAt = pool.now();
-          silent = false;
-          reader.handle(bytes);
-        });
-    socket.exceptionHandler(e -> {}); // The close that follows says it all.
-    socket.closeHandler(v -> gone());
+    lastReadNanos = nowNanos;
+    lastUsedNanos = nowNanos;
+    reader = new ReplyReader(maxBodyBytes, this);
+    socket.handler(this::read);
+    socket.exceptionHandler(e -> {}); // The close event that follows covers it.
+    socket.closeHandler(v -> ended());
+  }
+
+  private void read(Buffer bytes) {
+    lastReadNanos = pool.now();
+    if (state == State.UNRESPONSIVE) {
+      state = State.OPEN;
+    }
+    reader.handle(bytes);
   }
 
+  /** How many commands are in flight. */
   int load() {
-    return open.size();
+    return inFlight.size();
   }
 
-  /** How long nobody has used it. */
-  long idle(long now) {
-    return open.isEmpty() ? now - usedAt : 0;
+  /** For how many nanoseconds it has been idle; 0 while a command is in flight. */
+  long idleNanos(long nowNanos) {
+    return inFlight.isEmpty() ? nowNanos - lastUsedNanos : 0;
   }
 
   /**
-   * Whether a new want may go on it. Guards against a peer that does not read, behind whose bytes a
-   * want would be sent at a time of its own, past drains and withdrawals; and against half an
-   * answer to nobody, which spoils the next.
+   * Whether a further command may be sent on it. Guards against a peer that does not read, behind
+   * whose bytes a command would be sent at an unknown time, after drains and cancels; and against
+   * half a reply to a command that is not in flight any more, which would corrupt the next.
    */
-  boolean takes() {
-    return !silent && !(open.isEmpty() && reader.midway()) && !stuck();
+  boolean isUsable() {
+    return state == State.OPEN
+        && !(inFlight.isEmpty() && reader.hasPartialReply())
+        && !hasUnwrittenBytes();
   }
 
-  private boolean stuck() {
+  private boolean hasUnwrittenBytes() {
     Channel channel = ((NetSocketInternal) socket).channelHandlerContext().channel();
     return channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
   }
 
-  void send(CacheCommand want, long now) {
-    want.on = this;
-    want.writtenAt = now;
-    usedAt = now;
-    open.put(want.key, want);
-    socket.write(want.encode(now));
-  }
-
-  /** Gives one up; an answer that crosses this is dropped. */
-  void neverMind(CacheCommand want, boolean late, long patience) {
-    if (open.remove(want.key, want) && !closed) {
-      // Guards against a peer that vanished: a dead connection takes no new wants. One slow answer
-      // is no proof,
-      // so what is open on it goes on.
-      silent |= heardAt < want.writtenAt && pool.now() - want.writtenAt > patience;
-      // Guards against answers that stop short: what would come next on that connection is of no
-      // use.
-      if (open.isEmpty() && (late || silent || reader.midway())) {
-        close();
-      } else {
-        socket.write(want.encodeNeverMind());
-      }
-    }
+  /** Sends a command; its outcome is reported to it. */
+  void send(CacheCommand command, long nowNanos) {
+    command.connection = this;
+    command.writtenAtNanos = nowNanos;
+    lastUsedNanos = nowNanos;
+    inFlight.put(command.requestId, command);
+    socket.write(command.encode(nowNanos));
   }
 
   /**
-   * Only what is whole, readable and meant for what is open here is an answer; more than that is
-   * dropped.
+   * Cancels a command that is in flight; a reply that crosses this is dropped.
+   *
+   * @param timedOut whether its reply was waited for in vain
+   * @param timeoutNanos after how long without any byte the peer counts as unresponsive
    */
-  @Override
-  public void reply(List<Buffer> elements) {
-    CacheCommand want = open.get(text(elements.get(0)));
-    if (want == null) {
+  void cancel(CacheCommand command, boolean timedOut, long timeoutNanos) {
+    if (!inFlight.remove(command.requestId, command) || state == State.CLOSED) {
       return;
     }
-    Outcome outcome = outcome(elements, want.asksForCopy());
-    // Guards clients against word that a copy is current which the cache did not name.
-    if (outcome == null
-        || text(elements.get(1)).equals("current")
-            && !want.isKnown(value(text(elements.get(2)), "entity="))) {
-      unreadable("an answer that can't be read");
-      return;
+    // Guards against a peer that vanished: a dead connection gets no new commands. One slow reply
+    // is no proof, so what is in flight on it goes on.
+    if (lastReadNanos < command.writtenAtNanos
+        && pool.now() - command.writtenAtNanos > timeoutNanos) {
+      state = State.UNRESPONSIVE;
     }
-    open.remove(want.key);
-    usedAt = heardAt;
-    want.ended(
-        outcome,
-        note(text(elements.get(2))),
-        text(elements.get(1)).equals("ok") ? elements.get(3) : null);
-  }
-
-  /** What an answer says; null where it is not whole or of no known kind. */
-  static Outcome outcome(List<Buffer> elements, boolean copy) {
-    if (elements.size() != ELEMENTS) {
-      return null;
+    // Guards against replies that stop in the middle: what would follow on that connection is
+    // unusable.
+    if (inFlight.isEmpty()
+        && (timedOut || state == State.UNRESPONSIVE || reader.hasPartialReply())) {
+      close();
+    } else {
+      socket.write(command.encodeCancel());
     }
-    return switch (text(elements.get(1))) {
-      case "ok" -> !copy || isCopy(text(elements.get(2))) ? Outcome.RETURNED : null;
-      case "current" -> isCopy(text(elements.get(2))) ? Outcome.RETURNED : null;
-      case "nothing" -> Outcome.NOT_STORED;
-      case "refused" -> Outcome.TURNED_AWAY;
-      case "error" -> Outcome.ERRORED;
-      case "stale" -> Outcome.NOT_SENT;
-      default -> null;
-    };
   }
 
+  /** Ends the command that a reply is for; replies to commands not in flight are dropped. */
   @Override
-  public void unreadable(String why) {
-    if (!closed) {
-      pool.complain(why);
-      close();
+  public void onReply(List<Buffer> elements) {
+    CacheCommand command = inFlight.get(CacheReply.requestId(elements));
+    if (command == null) {
+      return;
     }
-  }
-
-  /** A copy has a tag and the time at which the origin gave it out. */
-  private static boolean isCopy(String fields) {
-    String issued = value(fields, "issued=");
-    return !value(fields, "entity=").isEmpty()
-        && !issued.isEmpty()
-        && issued.chars().allMatch(one -> one >= '0' && one <= '9');
-  }
-
-  static Note note(String fields) {
-    String note = value(fields, "res=");
-    int place = note.length() == 1 ? NOTES.indexOf(note) : -1;
-    return place < 0 ? Note.NOTHING : NOTE[place + 1];
-  }
-
-  private static String value(String fields, String name) {
-    int at = fields.startsWith(name) ? 0 : fields.indexOf("," + name) + 1;
-    if (at == 0 && !fields.startsWith(name)) {
-      return "";
+    CacheReply reply;
+    try {
+      reply = CacheReply.decode(elements, command);
+    } catch (InvalidReplyException e) {
+      onProtocolError(e.getMessage());
+      return;
     }
-    int end = fields.indexOf(',', at);
-    return fields.substring(at + name.length(), end < 0 ? fields.length() : end);
+    inFlight.remove(command.requestId);
+    lastUsedNanos = lastReadNanos;
+    command.ended(reply.outcome(), reply.note(), reply.body());
   }
 
-  static String text(Buffer bytes) {
-    return bytes.toString(StandardCharsets.ISO_8859_1);
+  @Override
+  public void onProtocolError(String reason) {
+    if (state != State.CLOSED) {
+      pool.complain(reason);
+      close();
+    }
   }
 
+  /** Closes at once; commands in flight are lost: the cache may have run them. */
   void close() {
     // Guards against a peer that vanished: a plain close would wait until it has read all.
     ((NetSocketInternal) socket).channelHandlerContext().close();
-    gone();
+    ended();
   }
 
-  private void gone() {
-    if (!closed) {
-      closed = true;
+  private void ended() {
+    if (state != State.CLOSED) {
+      state = State.CLOSED;
       pool.closed(this);
-      List<CacheCommand> lost = new ArrayList<>(open.values());
-      open.clear();
-      lost.forEach(want -> want.ended(Outcome.LOST, Note.NOTHING, null));
+      List<CacheCommand> lost = new ArrayList<>(inFlight.values());
+      inFlight.clear();
+      lost.forEach(command -> command.ended(Outcome.LOST, Note.NOTHING, null));
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -94,7 +94,7 @@
       want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
       return;
     }
-    if (want.isOver(
+    if (want.isExpired(
         now())) { // Guards against what waited here while its client left or its window ended.
       want.ended(Outcome.NOT_SENT, Note.NOTHING, null);
       return;
@@ -139,13 +139,13 @@
   private CacheConnection best(CacheCommand want, long now) {
     CacheConnection best = null;
     for (CacheConnection one : connections) {
-      if (one.takes()
+      if (one.isUsable()
           && one.load() < bounds.wants
-          && one.idle(now) < bounds.idle
+          && one.idleNanos(now) < bounds.idle
           && want.mayUse(one)
           && (best == null
               || one.load() < best.load()
-              || one.load() == best.load() && one.idle(now) < best.idle(now))) {
+              || one.load() == best.load() && one.idleNanos(now) < best.idleNanos(now))) {
         best = one;
       }
     }
@@ -253,8 +253,8 @@
 
   /** Gives a want up, late where its answer was waited for in vain; it is told nothing more. */
   public void giveUp(CacheCommand want, boolean late) {
-    if (!waiting.remove(want) && want.on != null) {
-      want.on.neverMind(want, late, bounds.connect);
+    if (!waiting.remove(want) && want.connection != null) {
+      want.connection.cancel(want, late, bounds.connect);
     }
   }
 
@@ -267,7 +267,7 @@
     int most = bounds.connections.getAsInt();
     for (CacheConnection one : List.copyOf(connections)) {
       if (one.load() == 0
-          && (!one.takes() || one.idle(now) >= bounds.idle || connections.size() > most)) {
+          && (!one.isUsable() || one.idleNanos(now) >= bounds.idle || connections.size() > most)) {
         one.close();
       }
     }
--- /dev/null
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -0,0 +1,110 @@
+package org.amberpath.gateway.cache;
+
+import io.vertx.core.buffer.Buffer;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import org.amberpath.routing.RoutingEvents.Note;
+import org.amberpath.routing.RoutingEvents.Outcome;
+
+/**
+ * A cache's reply to one command, on the wire an array of request id, status, fields ({@code
+ * name=value}, separated by commas) and body.
+ *
+ * @param outcome how the attempt ended
+ * @param note how the cache came by its answer
+ * @param body the body; null where there is none, also where the client's copy is current
+ */
+record CacheReply(Outcome outcome, Note note, Buffer body) {
+  private static final int ELEMENTS = 4;
+  private static final int REQUEST_ID = 0;
+  private static final int STATUS = 1;
+  private static final int FIELDS = 2;
+  private static final int BODY = 3;
+  private static final String WITH_BODY = "ok";
+  private static final String NOT_MODIFIED = "current";
+  private static final String TAG_FIELD = "entity=";
+  private static final String ISSUED_FIELD = "issued=";
+  private static final String NOTE_FIELD = "res=";
+
+  /** The letters of the notes, in the order of the notes behind NOTHING. */
+  private static final String NOTE_LETTERS = "hfojsrblnx";
+
+  private static final Note[] NOTES = Note.values();
+
+  /** The id of the request that a reply is for; the array has one element at least. */
+  static String requestId(List<Buffer> elements) {
+    return text(elements.get(REQUEST_ID));
+  }
+
+  /**
+   * Decodes the reply to a command.
+   *
+   * @throws InvalidReplyException if it is incomplete, of an unknown status, without the tag and
+   *     time that a copy has, or confirms a copy that the client does not hold
+   */
+  static CacheReply decode(List<Buffer> elements, CacheCommand command)
+      throws InvalidReplyException {
+    if (elements.size() != ELEMENTS) {
+      throw invalid();
+    }
+    String status = text(elements.get(STATUS));
+    String fields = text(elements.get(FIELDS));
+    Outcome outcome =
+        switch (status) {
+          case WITH_BODY -> {
+            check(!command.expectsCopy() || isCopy(fields));
+            yield Outcome.RETURNED;
+          }
+          case NOT_MODIFIED -> {
+            // Guards clients against a confirmation of a copy that the cache did not name.
+            check(isCopy(fields) && command.isKnownTag(field(fields, TAG_FIELD)));
+            yield Outcome.RETURNED;
+          }
+          case "nothing" -> Outcome.NOT_STORED;
+          case "refused" -> Outcome.TURNED_AWAY;
+          case "error" -> Outcome.ERRORED;
+          case "stale" -> Outcome.NOT_SENT;
+          default -> throw invalid();
+        };
+    return new CacheReply(
+        outcome, note(fields), status.equals(WITH_BODY) ? elements.get(BODY) : null);
+  }
+
+  private static void check(boolean valid) throws InvalidReplyException {
+    if (!valid) {
+      throw invalid();
+    }
+  }
+
+  private static InvalidReplyException invalid() {
+    return new InvalidReplyException("an invalid reply");
+  }
+
+  /** A copy has a tag and the time at which the origin issued it, in decimal. */
+  private static boolean isCopy(String fields) {
+    String issued = field(fields, ISSUED_FIELD);
+    return !field(fields, TAG_FIELD).isEmpty()
+        && !issued.isEmpty()
+        && issued.chars().allMatch(digit -> digit >= '0' && digit <= '9');
+  }
+
+  private static Note note(String fields) {
+    String letter = field(fields, NOTE_FIELD);
+    int index = letter.length() == 1 ? NOTE_LETTERS.indexOf(letter) : -1;
+    return index < 0 ? Note.NOTHING : NOTES[index + 1];
+  }
+
+  /** The value behind a name with its equals sign; empty where the name is missing. */
+  private static String field(String fields, String name) {
+    int start = fields.startsWith(name) ? 0 : fields.indexOf("," + name) + 1;
+    if (start == 0 && !fields.startsWith(name)) {
+      return "";
+    }
+    int end = fields.indexOf(',', start);
+    return fields.substring(start + name.length(), end < 0 ? fields.length() : end);
+  }
+
+  private static String text(Buffer bytes) {
+    return bytes.toString(StandardCharsets.ISO_8859_1);
+  }
+}
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -11,22 +11,22 @@
  * gives.
  */
 public enum ConnectFailure {
-  /** This host is short of descriptors, buffers or memory: nothing was asked of the endpoint. */
+  /** This host is short of descriptors, buffers or memory: the endpoint was not reached. */
   LOCAL_RESOURCE(true),
-  /** This host has no address, port or route to connect from: nothing was asked of the endpoint. */
+  /** This host has no address, port or route to connect from: the endpoint was not reached. */
   LOCAL_NETWORK(true),
-  /** The endpoint's host answered that nobody listens there. */
+  /** The endpoint's host answered that no process listens there. */
   REFUSED(false),
   /** No answer came in time. */
   TIMED_OUT(false),
   /** The network answered that the endpoint's host can't be reached. */
   UNREACHABLE(false),
-  /** Whatever else; it is held against the endpoint. */
+  /** Any other failure; it counts as a fault of the endpoint. */
   OTHER(false);
 
   private static final int MAX_CAUSES = 16;
 
-  /** What the system says of EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
+  /** The system's messages for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
   private static final List<String> RESOURCE_TEXTS =
       List.of(
           "too many open files",
@@ -36,7 +36,7 @@
           "operation not permitted",
           "interrupted system call");
 
-  /** The same of EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
+  /** The same for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
   private static final List<String> NETWORK_TEXTS =
       List.of(
           "cannot assign requested address",
@@ -53,19 +53,19 @@
     this.local = local;
   }
 
-  /** Whether it says nothing of the endpoint, since the attempt never left this host. */
+  /** Whether it is no fault of the endpoint, since the attempt never left this host. */
   public boolean isLocal() {
     return local;
   }
 
   /**
-   * Classifies a failed connect by the first cause that says why; libraries wrap causes and append
+   * Classifies a failed connect by the first cause that is known; libraries wrap causes and append
    * addresses.
    */
   public static ConnectFailure of(Throwable failure) {
     Throwable cause = failure;
     for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
-      ConnectFailure kind = ofOne(cause);
+      ConnectFailure kind = classify(cause);
       if (kind != OTHER) {
         return kind;
       }
@@ -74,13 +74,13 @@
     return OTHER;
   }
 
-  private static ConnectFailure ofOne(Throwable cause) {
+  private static ConnectFailure classify(Throwable cause) {
     String text = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
-    if (cause instanceof OutOfMemoryError || says(text, RESOURCE_TEXTS)) {
+    if (cause instanceof OutOfMemoryError || containsAny(text, RESOURCE_TEXTS)) {
       return LOCAL_RESOURCE;
-    } else if (cause instanceof BindException || says(text, NETWORK_TEXTS)) {
+    } else if (cause instanceof BindException || containsAny(text, NETWORK_TEXTS)) {
       return LOCAL_NETWORK;
-    } else if (cause instanceof NoRouteToHostException || says(text, UNREACHABLE_TEXTS)) {
+    } else if (cause instanceof NoRouteToHostException || containsAny(text, UNREACHABLE_TEXTS)) {
       return UNREACHABLE;
     } else if (cause instanceof SocketTimeoutException || text.contains("timed out")) {
       return TIMED_OUT;
@@ -88,7 +88,7 @@
     return text.contains("connection refused") ? REFUSED : OTHER;
   }
 
-  private static boolean says(String text, List<String> any) {
-    return any.stream().anyMatch(text::contains);
+  private static boolean containsAny(String text, List<String> fragments) {
+    return fragments.stream().anyMatch(text::contains);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -6,107 +6,145 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads RESP arrays of bulk strings. */
+/** Parses a stream of RESP arrays of bulk strings. Used on one event loop. */
 public final class ReplyReader implements Handler<Buffer> {
-  private static final int ELEMENTS = 16, LINE = 32, DIGITS = 10;
-  private static final byte[] END = {'\r', '\n'};
+  private static final int MAX_ELEMENTS = 16;
+  private static final int USUAL_ELEMENTS = 4;
+  private static final int MAX_HEADER_BYTES = 32;
 
-  /** Takes what was read, or why nothing more will be. */
+  /** A header of this length or more is invalid: a type character and its digits are shorter. */
+  private static final int HEADER_LENGTH_LIMIT = 10;
+
+  private static final String LINE_END = "\r\n";
+  private static final int LINE_END_BYTES = 2;
+  private static final char ARRAY_TYPE = '*';
+  private static final char BULK_TYPE = '$';
+  private static final int RADIX = 10;
+
+  /** What the next record is. */
+  private enum State {
+    ARRAY_HEADER,
+    BULK_HEADER,
+    BULK_STRING,
+    /** The stream was invalid; nothing more is parsed. */
+    FAILED
+  }
+
+  /** Receives replies, or the reason why no further one will be parsed. */
   public interface Sink {
-    void reply(List<Buffer> elements);
+    /** A complete array; it has one element at least. */
+    void onReply(List<Buffer> elements);
 
-    void unreadable(String why);
+    /** The stream violates the protocol; nothing more is read from it. */
+    void onProtocolError(String reason);
   }
 
   private final Sink sink;
-  private final int longest;
-  private final RecordParser parser = RecordParser.newDelimited("\r\n");
-  private List<Buffer> elements = new ArrayList<>(4);
-  private int missing;
-  private boolean inBulk, ended;
-
-  /** Bytes that came and are no whole line or string yet. */
-  private long pending;
-
-  /** A bulk string may hold longest bytes. */
-  public ReplyReader(int longest, Sink sink) {
-    this.longest = longest;
+  private final int maxStringBytes;
+  private final RecordParser parser = RecordParser.newDelimited(LINE_END);
+  private List<Buffer> elements = new ArrayList<>(USUAL_ELEMENTS);
+  private int missingElements;
+  private State state = State.ARRAY_HEADER;
+
+  /** Bytes that were received and are no complete line or string yet. */
+  private long pendingBytes;
+
+  /**
+   * A reader of one stream.
+   *
+   * @param maxStringBytes the longest bulk string that is accepted
+   */
+  public ReplyReader(int maxStringBytes, Sink sink) {
+    this.maxStringBytes = maxStringBytes;
     this.sink = sink;
-    parser.maxRecordSize(LINE);
+    parser.maxRecordSize(MAX_HEADER_BYTES);
     parser.handler(this::record);
     parser.exceptionHandler(e -> fail(e.getMessage()));
   }
 
-  /** Whether a part of an answer has come, and the rest has not. */
-  boolean midway() {
-    return missing > 0 || pending > 0;
+  /** Whether a reply has been received in part. */
+  boolean hasPartialReply() {
+    return missingElements > 0 || pendingBytes > 0;
   }
 
+  /** Parses what was read and hands over each reply that is complete. */
   @Override
-  public void handle(Buffer came) {
-    if (!ended) {
-      pending += came.length();
-      parser.handle(came);
+  public void handle(Buffer received) {
+    if (state != State.FAILED) {
+      pendingBytes += received.length();
+      parser.handle(received);
     }
   }
 
   private void record(Buffer record) {
-    if (ended) {
-      return;
-    }
-    pending -= record.length() + (inBulk ? 0 : END.length);
-    if (inBulk) {
-      int length = record.length() - 2;
-      if (record.getByte(length) != '\r' || record.getByte(length + 1) != '\n') {
-        fail("a bulk string does not end where it should");
-        return;
-      }
-      inBulk = false;
-      parser.delimitedMode(Buffer.buffer(END));
-      parser.maxRecordSize(LINE); // Guards against a line that never ends.
-      element(record.slice(0, length));
-    } else if (missing == 0) {
-      missing = length(record, '*', ELEMENTS);
-      if (missing == 0) {
-        fail("an empty array");
-      }
-    } else {
-      int length = length(record, '$', longest);
-      if (!ended) {
-        inBulk = true;
-        parser.maxRecordSize(length + 2 + LINE);
-        parser.fixedSizeMode(length + 2);
+    try {
+      switch (state) {
+        case ARRAY_HEADER -> arrayHeader(record);
+        case BULK_HEADER -> bulkHeader(record);
+        case BULK_STRING -> bulkString(record);
+        default -> {}
       }
+    } catch (InvalidReplyException e) {
+      fail(e.getMessage());
+    }
+  }
+
+  private void arrayHeader(Buffer line) throws InvalidReplyException {
+    pendingBytes -= line.length() + LINE_END_BYTES;
+    missingElements = length(line, ARRAY_TYPE, MAX_ELEMENTS);
+    if (missingElements == 0) {
+      throw new InvalidReplyException("an empty array");
     }
+    state = State.BULK_HEADER;
   }
 
-  private void element(Buffer bytes) {
-    elements.add(bytes);
-    if (--missing == 0) {
-      List<Buffer> whole = elements;
-      elements = new ArrayList<>(4);
-      sink.reply(whole);
+  private void bulkHeader(Buffer line) throws InvalidReplyException {
+    pendingBytes -= line.length() + LINE_END_BYTES;
+    int length = length(line, BULK_TYPE, maxStringBytes);
+    state = State.BULK_STRING;
+    parser.maxRecordSize(length + LINE_END_BYTES + MAX_HEADER_BYTES);
+    parser.fixedSizeMode(length + LINE_END_BYTES);
+  }
+
+  private void bulkString(Buffer record) throws InvalidReplyException {
+    pendingBytes -= record.length();
+    int length = record.length() - LINE_END_BYTES;
+    if (record.getByte(length) != '\r' || record.getByte(length + 1) != '\n') {
+      throw new InvalidReplyException("a bulk string does not end where it should");
+    }
+    parser.delimitedMode(LINE_END);
+    parser.maxRecordSize(MAX_HEADER_BYTES); // Guards against a line that never ends.
+    elements.add(record.slice(0, length));
+    missingElements--;
+    if (missingElements > 0) {
+      state = State.BULK_HEADER;
+      return;
     }
+    state = State.ARRAY_HEADER;
+    List<Buffer> complete = elements;
+    elements = new ArrayList<>(USUAL_ELEMENTS);
+    sink.onReply(complete);
   }
 
-  private int length(Buffer line, char kind, int most) {
-    int length =
-        line.length() > 1 && line.length() < DIGITS && line.getByte(0) == kind ? 0 : most + 1;
-    for (int at = 1; at < line.length() && length <= most; at++) {
+  private static int length(Buffer line, char type, int max) throws InvalidReplyException {
+    boolean valid =
+        line.length() > 1 && line.length() < HEADER_LENGTH_LIMIT && line.getByte(0) == type;
+    int length = 0;
+    for (int at = 1; valid && at < line.length(); at++) {
       int digit = line.getByte(at) - '0';
-      length = digit >= 0 && digit <= 9 ? 10 * length + digit : most + 1;
+      length = RADIX * length + digit;
+      valid = digit >= 0 && digit < RADIX && length <= max;
     }
-    if (length <= most) {
-      return length;
+    if (!valid) {
+      throw new InvalidReplyException("not '" + type + "' and a length up to " + max);
     }
-    fail("not '" + kind + "' and a length up to " + most);
-    return 0;
+    return length;
   }
 
-  private void fail(String why) {
-    if (!ended) {
-      ended = true;
-      sink.unreadable(why);
+  private void fail(String reason) {
+    if (state != State.FAILED) {
+      state = State.FAILED;
+      sink.onProtocolError(reason);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
@@ -7,51 +7,57 @@
 import org.amberpath.routing.RoutingEvents.Outcome;
 
 /**
- * Wants that go nowhere and replies that nobody sent: the code is warm when the first ones come.
+ * Encodes synthetic commands and parses replies to them without a connection, so that the codec is
+ * compiled before the first request.
  */
 public final class ReplyWarmUp implements ReplyReader.Sink {
-  private static final byte[] ID = "9b1f03aa5c7e2d41".getBytes(StandardCharsets.ISO_8859_1);
+  private static final byte[] REQUEST_ID = "9b1f03aa5c7e2d41".getBytes(StandardCharsets.ISO_8859_1);
   private static final String FIELDS =
       "res=h,entity=4be0c1927d55a6f3,issued=1764576000123,gauges=inflight:7;util:0.61";
 
-  private int read;
+  private final CacheCommand command = newCommand(0);
+  private int parsed;
 
   private ReplyWarmUp() {}
 
-  /** Encodes and reads so many; returns how many could be read. */
-  public static int play(int many) {
+  /** Encodes and parses this many; returns how many replies could be parsed. */
+  public static int play(int commands) {
     ReplyWarmUp sink = new ReplyWarmUp();
     ReplyReader reader = new ReplyReader(FIELDS.length(), sink);
-    byte[] fields = FIELDS.getBytes(StandardCharsets.ISO_8859_1);
-    for (int number = 0; number < many; number++) {
-      CacheCommand want =
-          new CacheCommand(ID, fields, ID, ID, number, List.of()) {
-            @Override
-            protected void ended(Outcome outcome, Note note, Buffer body) {}
-          };
-      want.encode(number);
+    for (int number = 0; number < commands; number++) {
+      CacheCommand command = newCommand(number);
+      command.encode(number);
       reader.handle(
           Buffer.buffer(
               "*4\r\n$16\r\n"
-                  + want.key
+                  + command.requestId
                   + "\r\n$2\r\nok\r\n$"
-                  + fields.length
+                  + FIELDS.length()
                   + "\r\n"
                   + FIELDS
                   + "\r\n$0\r\n\r\n"));
     }
-    return sink.read;
+    return sink.parsed;
+  }
+
+  private static CacheCommand newCommand(long deadlineNanos) {
+    byte[] fields = FIELDS.getBytes(StandardCharsets.ISO_8859_1);
+    return new CacheCommand(REQUEST_ID, fields, REQUEST_ID, REQUEST_ID, deadlineNanos, List.of()) {
+      @Override
+      protected void ended(Outcome outcome, Note note, Buffer body) {}
+    };
   }
 
   @Override
-  public void reply(List<Buffer> elements) {
-    read +=
-        CacheConnection.outcome(elements, true) == Outcome.RETURNED
-                && CacheConnection.note(CacheConnection.text(elements.get(2))) == Note.HIT
-            ? 1
-            : 0;
+  public void onReply(List<Buffer> elements) {
+    try {
+      CacheReply reply = CacheReply.decode(elements, command);
+      parsed += reply.outcome() == Outcome.RETURNED && reply.note() == Note.HIT ? 1 : 0;
+    } catch (InvalidReplyException e) {
+      onProtocolError(e.getMessage());
+    }
   }
 
   @Override
-  public void unreadable(String why) {}
+  public void onProtocolError(String reason) {}
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -48,7 +48,7 @@
             }
 
             @Override
-            protected boolean isOver(long now) {
+            protected boolean isExpired(long now) {
               return left;
             }
           });
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -22,20 +22,20 @@
 /** RESP from caches, and what waits for a connection to one. */
 class ReplyReaderTest implements ReplyReader.Sink {
   private final List<String> replies = new ArrayList<>();
-  private final List<String> unreadable = new ArrayList<>();
+  private final List<String> protocolErrors = new ArrayList<>();
   private final List<Outcome> outcomes = new ArrayList<>();
   private final ReplyReader reader = new ReplyReader(100, this);
 
   @Override
-  public void reply(List<Buffer> elements) {
+  public void onReply(List<Buffer> elements) {
     replies.add(
         String.join(
             "|", elements.stream().map(one -> one.toString(StandardCharsets.ISO_8859_1)).toList()));
   }
 
   @Override
-  public void unreadable(String why) {
-    unreadable.add(why);
+  public void onProtocolError(String reason) {
+    protocolErrors.add(reason);
   }
 
   private void read(String text, int size) {
@@ -52,7 +52,7 @@
         "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n*2\r\n$2\r\nid\r\n$0\r\n\r\n",
         size);
     assertEquals(List.of("id|ok|res=h|a\r\n$0\r\n", "id|"), replies);
-    assertTrue(unreadable.isEmpty());
+    assertTrue(protocolErrors.isEmpty());
   }
 
   @ParameterizedTest
@@ -69,15 +69,15 @@
         "*1\r\n$1\r\nabc",
         "*"
       })
-  void whatIsNoArrayOfBulkStringsIsUnreadable(String text) {
+  void whatIsNoArrayOfBulkStringsIsAProtocolError(String text) {
     read(text + (text.equals("*") ? "1".repeat(200) : ""), 3);
     read("*1\r\n$2\r\nok\r\n", 100);
-    assertEquals(1, unreadable.size());
+    assertEquals(1, protocolErrors.size());
     assertTrue(replies.isEmpty());
   }
 
   @Test
-  void theRehearsalReadsWhatItPlays() {
+  void theWarmUpParsesWhatItPlays() {
     assertEquals(20, ReplyWarmUp.play(20));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -152,7 +152,7 @@
             LONGEST,
             new ReplyReader.Sink() {
               @Override
-              public void reply(List<Buffer> elements) {
+              public void onReply(List<Buffer> elements) {
                 String word = elements.get(0).toString(), request = elements.get(1).toString();
                 if (word.equals("want") && elements.size() == WORDS) {
                   open.add(request);
@@ -163,7 +163,7 @@
               }
 
               @Override
-              public void unreadable(String why) {
+              public void onProtocolError(String reason) {
                 socket.close();
               }
             }));
