--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -156,13 +156,9 @@
             : new JournalClient(
                 vertx,
                 options.journal(),
-                entries,
-                journalNews,
-                JournalClient.WAIT_MS,
-                options.unreadOfAll(),
-                age,
-                clock::now,
-                route::heard);
+                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.unreadOfAll()),
+                new JournalClient.Sinks(entries, journalNews, age, route::heard),
+                clock::now);
     company = beside.company() == null ? null : accompanied(beside.company(), admit);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -2,6 +2,7 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -23,88 +24,117 @@
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.LocalBackoff;
 
-/** Asks the journal service for news again and again. What it fails to bring changes nothing. */
+/**
+ * Long-polls the journal service for discovery events, one poll after the other. A poll that fails
+ * changes no endpoint. Used on one event loop.
+ */
 public final class JournalClient {
   private static final Logger LOG = Logger.getLogger(JournalClient.class.getName());
   private static final JsonFactory JSON = new JsonFactory();
 
   /**
-   * How long the service may hold a reply back. What a stop kept back counts as told 2 s after
-   * that.
+   * How long the service may hold a reply back. An event that a stalled poll kept back counts as
+   * notified 2 s after that.
    */
-  public static final long WAIT_MS = 2000;
+  public static final long MAX_WAIT_MILLIS = 2000;
 
-  private static final long MARGIN_MS = 600, PAUSE_MS = 100;
+  /** How long a reply may take beyond its wait, and from its head to its end. */
+  private static final long REPLY_TIMEOUT_MILLIS = 600;
 
-  /** How long a reply may be held back that is waited for. */
-  private static final long NO_WAIT_MS = 1;
+  private static final long RETRY_DELAY_MILLIS = 100;
+  private static final int KEEP_ALIVE_SECONDS = 30;
+  private static final int STATUS_OK = 200;
+  private static final int MAX_LOGGED_CHARACTERS = 200;
+
+  /** The wait of a poll whose reply the decisions are waiting for. */
+  private static final long URGENT_WAIT_MILLIS = 1;
+
+  /**
+   * The bounds of a poll.
+   *
+   * @param maxWaitMillis how long the service may hold a reply back
+   * @param maxReplyBytes the longest reply that is accepted
+   */
+  public record Bounds(long maxWaitMillis, long maxReplyBytes) {}
+
+  /**
+   * What is notified of polls and of their replies.
+   *
+   * @param decoder decodes replies and keeps the position
+   * @param endpoints receives the decoded events
+   * @param freshness is notified of polls, replies and failures
+   * @param afterPoll runs after each reply and each failure
+   */
+  public record Sinks(
+      JournalDecoder decoder,
+      EndpointListener endpoints,
+      DiscoveryFreshness freshness,
+      Runnable afterPoll) {}
 
   private final Vertx vertx;
-  private final JournalDecoder entries;
-  private final EndpointListener listener;
-  private final DiscoveryFreshness age;
+  private final Bounds bounds;
+  private final JournalDecoder decoder;
+  private final EndpointListener endpoints;
+  private final DiscoveryFreshness freshness;
+  private final Runnable afterPoll;
   private final LongSupplier clock;
-  private final Runnable heard;
   private final HttpClient client;
-  private final long waitMs, longest;
+  private final LocalBackoff localBackoff = new LocalBackoff();
   private SocketAddress address;
-  private HttpClientRequest asked;
+  private HttpClientRequest pending;
 
-  /** Which run of polls is the present one: an older one ends unheard. */
-  private int run;
+  /** The current series of polls; the results of an earlier one are ignored. */
+  private int series;
 
   private boolean started;
   private int failures;
-  private final LocalBackoff backoff = new LocalBackoff();
 
-  /** A reply may hold longest bytes; heard is run after each, and after each failure. */
+  /**
+   * A client that polls nothing yet.
+   *
+   * @param clock monotonic nanoseconds, those of the freshness
+   */
   public JournalClient(
-      Vertx vertx,
-      SocketAddress address,
-      JournalDecoder entries,
-      EndpointListener listener,
-      long waitMs,
-      long longest,
-      DiscoveryFreshness age,
-      LongSupplier clock,
-      Runnable heard) {
+      Vertx vertx, SocketAddress address, Bounds bounds, Sinks sinks, LongSupplier clock) {
     this.vertx = vertx;
     this.address = address;
-    this.entries = entries;
-    this.listener = listener;
-    this.waitMs = waitMs;
-    this.longest = longest;
-    this.age = age;
+    this.bounds = bounds;
     this.clock = clock;
-    this.heard = heard;
+    decoder = sinks.decoder();
+    endpoints = sinks.endpoints();
+    freshness = sinks.freshness();
+    afterPoll = sinks.afterPoll();
     client =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout((int) MARGIN_MS).setKeepAliveTimeout(30));
+            new HttpClientOptions()
+                .setConnectTimeout((int) REPLY_TIMEOUT_MILLIS)
+                .setKeepAliveTimeout(KEEP_ALIVE_SECONDS));
   }
 
+  /** Begins to poll. */
   public void start() {
     started = true;
-    poll(run);
+    poll(series);
   }
 
-  /** Asks at another address from now on, at once; the numbers go on. */
+  /** Polls at another address from now on, at once; the position in the journal is kept. */
   public void moveTo(SocketAddress next) {
     address = next;
-    abandon();
+    endSeries();
     if (started) {
-      poll(run);
+      poll(series);
     }
   }
 
-  private void abandon() {
-    run++;
-    if (asked != null) {
-      asked.reset();
+  private void endSeries() {
+    series++;
+    if (pending != null) {
+      pending.reset();
     }
   }
 
-  private void poll(int of) {
-    if (of != run) {
+  private void poll(int ofSeries) {
+    if (ofSeries != series) {
       return;
     }
     RequestOptions options =
@@ -113,53 +143,13 @@
             .setHost(address.hostAddress())
             .setPort(address.port())
             .setMethod(HttpMethod.GET);
-    Future<Buffer> reply =
-        opened(options)
-            .compose(
-                request -> {
-                  backoff.ended();
-                  if (of != run) {
-                    request.reset();
-                    return Future.failedFuture("asked elsewhere by now");
-                  }
-                  asked = request;
-                  age.asked(clock.getAsLong());
-                  long wait = age.owed() ? NO_WAIT_MS : waitMs;
-                  request.setURI("/journal?tail=" + entries.pos() + "&max_wait=" + wait);
-                  return request
-                      .send()
-                      // Guards against a reply that stops short and stays open: it counts as told 2
-                      // s after that.
-                      .compose(response -> body(response).timeout(MARGIN_MS, TimeUnit.MILLISECONDS))
-                      .timeout(wait + MARGIN_MS, TimeUnit.MILLISECONDS)
-                      // Guards against a journal that fell silent or broke off: its connection is
-                      // not used again.
-                      .onFailure(e -> request.reset());
-                });
-    reply.onComplete(
-        done -> {
-          if (of != run) {
-            return;
-          }
-          if (done.succeeded() && read(done.result())) {
-            if (failures > 0) {
-              LOG.info("journal: answers again, after " + failures + " failed questions");
-              failures = 0;
-            }
-            age.replied(clock.getAsLong());
-            poll(of);
-          } else {
-            if (done.failed()) {
-              failed(String.valueOf(done.cause().getMessage()));
-            }
-            vertx.setTimer(pause(done.cause()), again -> poll(of));
-          }
-          heard.run();
-        });
+    connect(options)
+        .compose(request -> send(ofSeries, request))
+        .onComplete(result -> completed(ofSeries, result));
   }
 
-  /** Guards against a call that throws, after which nothing would be asked any more. */
-  private Future<HttpClientRequest> opened(RequestOptions options) {
+  /** Guards the series against a call that throws, after which nothing would be polled any more. */
+  private Future<HttpClientRequest> connect(RequestOptions options) {
     try {
       return client.request(options);
     } catch (RuntimeException e) {
@@ -167,59 +157,103 @@
     }
   }
 
+  private Future<Buffer> send(int ofSeries, HttpClientRequest request) {
+    localBackoff.ended();
+    if (ofSeries != series) {
+      request.reset();
+      return Future.failedFuture("polled at another address by now");
+    }
+    pending = request;
+    freshness.asked(clock.getAsLong());
+    long waitMillis = freshness.owed() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
+    request.setURI("/journal?tail=" + decoder.pos() + "&max_wait=" + waitMillis);
+    return request
+        .send()
+        // Guards against a reply that stops in the middle and stays open: its events count as
+        // notified 2 s after that.
+        .compose(response -> body(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
+        .timeout(waitMillis + REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        // Guards against a journal that stalled or disconnected: its connection is not reused.
+        .onFailure(e -> request.reset());
+  }
+
+  private void completed(int ofSeries, AsyncResult<Buffer> result) {
+    if (ofSeries != series) {
+      return;
+    }
+    if (result.succeeded() && play(result.result())) {
+      if (failures > 0) {
+        LOG.info("journal: answers again, after " + failures + " failed polls");
+        failures = 0;
+      }
+      freshness.replied(clock.getAsLong());
+      poll(ofSeries);
+    } else {
+      if (result.failed()) {
+        logFailure(String.valueOf(result.cause().getMessage()));
+      }
+      vertx.setTimer(retryDelayMillis(result.cause()), retry -> poll(ofSeries));
+    }
+    afterPoll.run();
+  }
+
   /**
-   * A question that could not be asked for want of something here is no failure of the journal's,
-   * unless it lasts.
+   * The delay after a failed poll. One that could not be sent for a local shortage does not count
+   * as a failure of the journal, unless that lasts.
    */
-  private long pause(Throwable cause) {
+  private long retryDelayMillis(Throwable cause) {
     boolean local = cause != null && ConnectFailure.of(cause).isLocal();
-    long pause = local ? backoff.failed() : PAUSE_MS;
-    if (!local || backoff.isExhausted()) {
-      age.failed(clock.getAsLong());
+    long delayMillis = local ? localBackoff.failed() : RETRY_DELAY_MILLIS;
+    if (!local || localBackoff.isExhausted()) {
+      freshness.failed(clock.getAsLong());
     }
-    return pause;
+    return delayMillis;
   }
 
-  /** Guards against a reply without end. */
+  /** Collects the body of a reply. Guards against one without end. */
   private Future<Buffer> body(HttpClientResponse response) {
-    if (response.statusCode() != 200) {
+    if (response.statusCode() != STATUS_OK) {
       return Future.failedFuture("status " + response.statusCode());
     }
-    Promise<Buffer> whole = Promise.promise();
+    Promise<Buffer> complete = Promise.promise();
     Buffer body = Buffer.buffer();
     response
-        .exceptionHandler(whole::tryFail)
-        .endHandler(end -> whole.tryComplete(body))
+        .exceptionHandler(complete::tryFail)
+        .endHandler(end -> complete.tryComplete(body))
         .handler(
-            more -> {
-              if (body.length() + (long) more.length() <= longest) {
-                body.appendBuffer(more);
+            chunk -> {
+              if (body.length() + (long) chunk.length() <= bounds.maxReplyBytes()) {
+                body.appendBuffer(chunk);
               } else {
-                whole.tryFail("a reply of more than " + longest + " bytes");
+                complete.tryFail("a reply of more than " + bounds.maxReplyBytes() + " bytes");
               }
             });
-    return whole.future();
+    return complete.future();
   }
 
-  private boolean read(Buffer body) {
+  /** Plays a reply to the endpoints; whether it could be decoded. */
+  private boolean play(Buffer body) {
     try (JsonParser parser = JSON.createParser(body.getBytes())) {
-      JsonReader reply = JsonReader.read("journal", parser);
-      entries.play(reply, listener);
+      decoder.play(JsonReader.read("journal", parser), endpoints);
       return true;
     } catch (IOException | RuntimeException e) {
-      failed("unreadable: " + e.getMessage());
+      logFailure("unreadable: " + e.getMessage());
       return false;
     }
   }
 
-  private void failed(String why) {
-    if (failures++ == 0) {
-      LOG.warning("journal: " + why.substring(0, Math.min(why.length(), 200)));
+  /** Logs the first failure of a row only, so that a journal that is down does not fill the log. */
+  private void logFailure(String reason) {
+    if (failures == 0) {
+      LOG.warning(
+          "journal: " + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
     }
+    failures++;
   }
 
+  /** Ends polling; the client can't be used again. */
   public void close() {
-    abandon();
+    endSeries();
     client.close();
   }
 }
