--- a/app/src/main/java/org/amberpath/cli/AdminRequest.java
+++ b/app/src/main/java/org/amberpath/cli/AdminRequest.java
@@ -8,7 +8,7 @@
 import java.net.http.HttpResponse;
 import java.nio.file.Path;
 import java.time.Duration;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.membership.runtime.MembershipSettings;
 
 /** A running gateway's operators' desk, at the address that its [fleet] names. */
@@ -22,7 +22,8 @@
       throws IOException, InterruptedException {
     MembershipSettings fleet = DeploymentFile.read(file).fleet();
     if (fleet == null || fleet.operators() == null) {
-      throw new JsonReader.Malformed(file + ": [fleet] operators: missing");
+      throw new InvalidSettingsException(
+          String.valueOf(file), "fleet", "operators", file + ": [fleet] operators: missing");
     }
     URI at =
         URI.create(
--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -12,7 +12,8 @@
 import org.amberpath.gateway.GatewayExtensions;
 import org.amberpath.gateway.GatewayOptions;
 import org.amberpath.gateway.Server;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.gateway.simulation.SimulationHost;
 import org.amberpath.leadership.runtime.LeadershipService;
 import org.amberpath.leadership.runtime.LeadershipSettings;
@@ -84,7 +85,9 @@
     line.setExecutionExceptionHandler(
         (e, of, parsed) -> {
           of.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
-          return e instanceof DeploymentFile.Faulty || e instanceof JsonReader.Malformed
+          return e instanceof DeploymentFile.Faulty
+                  || e instanceof InvalidSettingsException
+                  || e instanceof InvalidDocumentException
               ? USAGE
               : FAILED;
         });
--- a/app/src/main/java/org/amberpath/cli/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/DeploymentFile.java
@@ -13,7 +13,7 @@
 import java.util.Map;
 import java.util.Set;
 import org.amberpath.gateway.GatewayOptions;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.leadership.LeaseTimings;
 import org.amberpath.leadership.VoterConfiguration;
 import org.amberpath.leadership.runtime.LeadershipSettings;
@@ -284,7 +284,7 @@
       if (address.hostAddress().matches("[0-9.]+")) {
         return address;
       }
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidDocumentException e) {
       // Said below.
     }
     throw wrong(section, key, "no numeric IPv4 address:port: " + value);
@@ -304,7 +304,7 @@
             throw wrong(section, key, one + " is given twice");
           }
           addresses.add(address);
-        } catch (JsonReader.Malformed e) {
+        } catch (InvalidDocumentException e) {
           throw wrong(section, key, "no numeric address:port: " + one);
         }
       }
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Callable;
 import java.util.logging.Level;
 import java.util.logging.Logger;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.lab.Demo;
 import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.OverloadExperiment;
@@ -87,7 +87,11 @@
 
   private static int gatewaysIn(int many) {
     if (many < LEAST_GATEWAYS || many > MOST_GATEWAYS) {
-      throw new JsonReader.Malformed("--gateways: from " + LEAST_GATEWAYS + " to " + MOST_GATEWAYS);
+      throw new InvalidSettingsException(
+          "command line",
+          "",
+          "--gateways",
+          "--gateways: from " + LEAST_GATEWAYS + " to " + MOST_GATEWAYS);
     }
     return many;
   }
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.runtime.RecordCodec;
@@ -52,7 +52,8 @@
   private RegistrySettings access() {
     RegistrySettings access = DeploymentFile.read(file).registry();
     if (access == null) {
-      throw new JsonReader.Malformed(file + ": [registry]: missing");
+      throw new InvalidSettingsException(
+          String.valueOf(file), "registry", "", file + ": [registry]: missing");
     }
     return access;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -46,7 +46,7 @@
     long due =
         RequestDeadline.of(
             now, backlog == null ? lag : now - backlog.since(), asked.timeoutNanos());
-    int ds = site.service(asked.trafficClass());
+    int ds = site.trafficClass(asked.trafficClass());
     if (ds < 0) {
       from.rejectInvalidRequest(number, "no delivery service " + asked.trafficClass());
     } else if (book.holds(new String(asked.requestId(), StandardCharsets.ISO_8859_1))) {
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -16,7 +16,7 @@
 import org.amberpath.gateway.client.WriteBufferAccounting;
 import org.amberpath.gateway.discovery.JournalClient;
 import org.amberpath.gateway.discovery.JournalDecoder;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.LoadShedder;
@@ -231,7 +231,7 @@
             if (journal != null) {
               entries.playKnown(options.known(), journalNews);
             }
-          } catch (JsonReader.Malformed e) {
+          } catch (InvalidDocumentException e) {
             started.fail(e);
             return;
           }
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -11,6 +11,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.amberpath.gateway.settings.InvalidDocumentException;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 
@@ -63,8 +65,8 @@
   }
 
   /**
-   * Reads what the environment names. A message of {@link JsonReader.Malformed} names the faulty
-   * key.
+   * Reads what the environment names. The message of an {@link InvalidSettingsException} names the
+   * faulty key.
    */
   public static GatewayOptions read(Map<String, String> environment) {
     return read(environment, true);
@@ -74,15 +76,19 @@
   public static GatewayOptions read(Map<String, String> environment, boolean withJournal) {
     String path = environment.get("PROXY_CONFIG");
     if (path == null) {
-      throw new JsonReader.Malformed("environment: PROXY_CONFIG is missing");
+      throw new InvalidSettingsException(
+          "environment", "", "PROXY_CONFIG", "environment: PROXY_CONFIG is missing");
     }
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(Path.of(path)))) {
       return new GatewayOptions(environment, JsonReader.read("configuration", parser), withJournal);
     } catch (JsonProcessingException e) {
-      throw new JsonReader.Malformed(
-          "PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
+      throw new InvalidSettingsException(
+          path, "", "", "PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new JsonReader.Malformed("PROXY_CONFIG: " + path + " can't be read: " + e);
+      throw new InvalidSettingsException(
+          path, "", "", "PROXY_CONFIG: " + path + " can\'t be read: " + e);
+    } catch (InvalidDocumentException e) {
+      throw new InvalidSettingsException(path, e);
     }
   }
 
@@ -105,7 +111,7 @@
   private static SocketAddress address(JsonReader from, String key) {
     try {
       return address(key, from.text(key));
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidDocumentException e) {
       throw e.getMessage().startsWith(key)
           ? from.wrong(key, e.getMessage().substring(key.length() + 1))
           : e;
@@ -125,7 +131,7 @@
     } catch (NumberFormatException | UnknownHostException e) {
       // Said below.
     }
-    throw new JsonReader.Malformed(key + " no address:port: " + text);
+    throw new InvalidDocumentException(key + " no address:port: " + text);
   }
 
   public String name() {
--- a/gateway/src/main/java/org/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
@@ -39,7 +39,7 @@
     GatewayOptions options;
     try {
       options = GatewayOptions.read(environment, withJournal);
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidSettingsException e) {
       err.println(e.getMessage());
       System.exit(1);
       return;
--- a/gateway/src/main/java/org/amberpath/gateway/client/InvalidRequestException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/InvalidRequestException.java
@@ -7,6 +7,7 @@
 final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1;
 
+  /** An invalid request, with the reason that is sent to its client. */
   InvalidRequestException(String reason) {
     super(reason);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
@@ -9,6 +9,7 @@
 public final class ProtocolException extends IOException {
   private static final long serialVersionUID = 1;
 
+  /** A violation, with its reason for the log. */
   ProtocolException(String reason) {
     super(reason);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
@@ -28,6 +28,7 @@
 
   private final MessageUnpacker in;
 
+  /** A decoder of the message from start to end of a shared array, which is not copied. */
   RequestDecoder(byte[] bytes, int start, int end) {
     in = MessagePack.newDefaultUnpacker(bytes, start, end - start);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -34,6 +34,7 @@
   /** Whether the client violated the protocol, so that each further request gets an error. */
   private boolean violated;
 
+  /** The requests of a connection that has just been accepted. */
   RequestSession(ClientConnection connection, ClientHandler handler) {
     this.connection = connection;
     this.handler = handler;
@@ -80,9 +81,10 @@
    */
   void handle(byte[] bytes, int start, int end) throws IOException {
     try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
-      switch (decoder.readKind()) {
-        case REQUEST -> request(decoder);
-        case NOTIFICATION -> notification(decoder);
+      if (decoder.readKind() == RequestDecoder.Kind.REQUEST) {
+        request(decoder);
+      } else {
+        notification(decoder);
       }
     }
     messageReceived = true;
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -13,7 +13,8 @@
   private static final byte[] PART_REQUEST =
       bytes(
           "\u0094\0\7\u00a5parts\u0092\u0086"
-              + "\u00a3ref\u00b09b1f03aa5c7e2d41\u00a5allow\u00a41500\u00a6lookup\u00b07f3a9c21e0b4d655\u00a5chunk\u00a13"
+              + "\u00a3ref\u00b09b1f03aa5c7e2d41\u00a5allow\u00a41500"
+              + "\u00a6lookup\u00b07f3a9c21e0b4d655\u00a5chunk\u00a13"
               + "\u00a3tag\u00a217\u00a4room\u00a5412.5\u00c4\0");
 
   private int decoded;
--- a/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
@@ -59,7 +59,7 @@
         messageId, "Overloaded", "cooldown", retryAfterNanos > 0 ? Long.toString(millis) : null);
   }
 
-  /** The request failed, for a reason that is told to the client. */
+  /** The request failed, for a reason that is sent to the client. */
   static Buffer internalError(long messageId, String reason) {
     return error(messageId, "Internal", "why", reason);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -9,12 +9,22 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, read with plain messages on what is missing or of the wrong type.
+ * The fields of one JSON object, read with messages on what is missing or of the wrong type. Each
+ * method that reads throws {@link InvalidDocumentException}. A field that is null counts as absent.
  */
 public final class JsonReader {
+  private static final double MICROS_PER_SECOND = 1e6;
+  private static final long NANOS_PER_MICRO = 1000;
+
   private final String name;
   private final Map<String, Object> values;
 
+  /**
+   * The fields of an object.
+   *
+   * @param name the object's name in messages
+   * @param values what the parser made of them: Long, Double, String, Boolean, List and Map
+   */
   public JsonReader(String name, Map<String, Object> values) {
     this.name = name;
     this.values = values;
@@ -25,26 +35,32 @@
     return new JsonReader(other, values);
   }
 
+  /** Whether a field is present. */
   public boolean has(String key) {
     return values.get(key) != null;
   }
 
+  /** A boolean; false where it is absent. */
   public boolean flag(String key) {
-    return has(key) && take(key, Boolean.class, "true or false");
+    return has(key) && required(key, Boolean.class, "true or false");
   }
 
+  /** A string. */
   public String text(String key) {
-    return take(key, String.class, "a string");
+    return required(key, String.class, "a string");
   }
 
+  /** An integer of 64 bits. */
   public long whole(String key) {
-    return take(key, Long.class, "a whole number");
+    return required(key, Long.class, "a whole number");
   }
 
+  /** An integer of 64 bits, with a default. */
   public long wholeOr(String key, long absent) {
     return has(key) ? whole(key) : absent;
   }
 
+  /** An integer of 32 bits, with a default. */
   public int place(String key, int absent) {
     long value = wholeOr(key, absent);
     if (value != (int) value) {
@@ -53,10 +69,12 @@
     return (int) value;
   }
 
+  /** A number. */
   public double number(String key) {
-    return take(key, Number.class, "a number").doubleValue();
+    return required(key, Number.class, "a number").doubleValue();
   }
 
+  /** A number, with a default. */
   public double numberOr(String key, double absent) {
     return has(key) ? number(key) : absent;
   }
@@ -66,129 +84,138 @@
     return nanos(number(key));
   }
 
-  public long timeOr(String key, long absent) {
-    return has(key) ? time(key) : absent;
+  /** A time in seconds, as nanoseconds, with a default in nanoseconds. */
+  public long timeOr(String key, long absentNanos) {
+    return has(key) ? time(key) : absentNanos;
   }
 
+  /** Seconds as nanoseconds, rounded to whole microseconds. */
   public static long nanos(double seconds) {
-    return Math.round(seconds * 1e6) * 1000;
+    return Math.round(seconds * MICROS_PER_SECOND) * NANOS_PER_MICRO;
   }
 
+  /** An object. */
   public JsonReader fields(String key) {
-    return new JsonReader(name + " " + key, map(take(key, Map.class, "an object")));
+    return new JsonReader(name + " " + key, map(required(key, Map.class, "an object")));
   }
 
+  /** An object; one without fields where it is absent. */
   public JsonReader fieldsOr(String key) {
     return has(key) ? fields(key) : new JsonReader(name + " " + key, Map.of());
   }
 
   /** The objects of an array; none where it is absent. */
   public List<JsonReader> each(String key) {
-    List<JsonReader> all = new ArrayList<>();
-    for (Object one : list(key)) {
-      if (!(one instanceof Map)) {
+    List<JsonReader> objects = new ArrayList<>();
+    for (Object element : list(key)) {
+      if (!(element instanceof Map)) {
         throw wrong(key, "not an array of objects");
       }
-      all.add(new JsonReader(name + " " + key, map(one)));
+      objects.add(new JsonReader(name + " " + key, map(element)));
     }
-    return all;
+    return objects;
   }
 
+  /** The elements of an array; none where it is absent. */
   public List<?> list(String key) {
-    return has(key) ? take(key, List.class, "an array") : List.of();
+    return has(key) ? required(key, List.class, "an array") : List.of();
   }
 
-  /** The value at one place of an array; absent where the array is shorter. */
-  public <T> T at(String key, int place, Class<T> type, T absent) {
-    List<?> all = list(key);
-    if (place < 0 || place >= all.size() || all.get(place) == null) {
+  /** The element at an index of an array; a default where the array is shorter. */
+  public <T> T at(String key, int index, Class<T> type, T absent) {
+    List<?> elements = list(key);
+    if (index < 0 || index >= elements.size() || elements.get(index) == null) {
       return absent;
     }
-    if (!type.isInstance(all.get(place))) {
+    if (!type.isInstance(elements.get(index))) {
       throw wrong(key, "holds a value of the wrong type");
     }
-    return type.cast(all.get(place));
+    return type.cast(elements.get(index));
   }
 
-  public Malformed wrong(String key, String what) {
-    return new Malformed(name + ": field '" + key + "' is " + what);
+  /** The exception that says what a field is, to be thrown by the caller. */
+  public InvalidDocumentException wrong(String key, String problem) {
+    return new InvalidDocumentException(name, key, problem);
   }
 
-  private <T> T take(String key, Class<T> type, String what) {
+  private <T> T required(String key, Class<T> type, String typeName) {
     Object value = values.get(key);
     if (value == null) {
       throw wrong(key, "missing");
     }
     if (!type.isInstance(value)) {
-      throw wrong(key, "not " + what);
+      throw wrong(key, "not " + typeName);
     }
     return type.cast(value);
   }
 
-  @SuppressWarnings("unchecked")
+  @SuppressWarnings("unchecked") // The parser's objects have string keys.
   private static Map<String, Object> map(Object value) {
     return (Map<String, Object>) value;
   }
 
-  /** Reads the one JSON object that a text holds. */
+  /**
+   * Reads the one JSON object that a text holds.
+   *
+   * @throws IOException if the text is not JSON
+   */
   public static JsonReader read(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw new Malformed(name + ": not an object");
-    }
-    JsonReader all = new JsonReader(name, map(value(parser)));
-    if (parser.nextToken() != null) {
-      throw new Malformed(name + ": more than one value");
+      throw new InvalidDocumentException(name + ": not an object");
     }
-    return all;
+    JsonReader object = new JsonReader(name, map(value(parser)));
+    expectEnd(name, parser);
+    return object;
   }
 
-  /** Reads the objects of the one array that a text holds. */
+  /**
+   * Reads the objects of the one array that a text holds.
+   *
+   * @throws IOException if the text is not JSON
+   */
   public static List<JsonReader> readEach(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_ARRAY) {
-      throw new Malformed(name + ": not an array");
+      throw new InvalidDocumentException(name + ": not an array");
     }
-    List<JsonReader> all = new JsonReader(name, Map.of("all", value(parser))).each("all");
+    List<JsonReader> objects = new JsonReader(name, Map.of("all", value(parser))).each("all");
+    expectEnd(name, parser);
+    return objects;
+  }
+
+  private static void expectEnd(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != null) {
-      throw new Malformed(name + ": more than one value");
+      throw new InvalidDocumentException(name + ": more than one value");
     }
-    return all;
   }
 
   private static Object value(JsonParser parser) throws IOException {
-    switch (parser.currentToken()) {
-      case START_OBJECT:
-        Map<String, Object> fields = new LinkedHashMap<>();
-        while (parser.nextToken() != JsonToken.END_OBJECT) {
-          String key = parser.currentName();
-          parser.nextToken();
-          fields.put(key, value(parser));
-        }
-        return fields;
-      case START_ARRAY:
-        List<Object> items = new ArrayList<>();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-          items.add(value(parser));
-        }
-        return items;
-      case VALUE_NUMBER_INT:
-        return parser.getLongValue();
-      case VALUE_NUMBER_FLOAT:
-        return parser.getDoubleValue();
-      case VALUE_STRING:
-        return parser.getText();
-      case VALUE_TRUE:
-        return true;
-      case VALUE_FALSE:
-        return false;
-      default:
-        return null;
+    return switch (parser.currentToken()) {
+      case START_OBJECT -> object(parser);
+      case START_ARRAY -> array(parser);
+      case VALUE_NUMBER_INT -> Long.valueOf(parser.getLongValue());
+      case VALUE_NUMBER_FLOAT -> Double.valueOf(parser.getDoubleValue());
+      case VALUE_STRING -> parser.getText();
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
+      default -> null;
+    };
+  }
+
+  private static Map<String, Object> object(JsonParser parser) throws IOException {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    while (parser.nextToken() != JsonToken.END_OBJECT) {
+      String key = parser.currentName();
+      parser.nextToken();
+      fields.put(key, value(parser));
     }
+    return fields;
   }
 
-  /** Something on the wire is not as the wire page has it. */
-  public static final class Malformed extends RuntimeException {
-    public Malformed(String message) {
-      super(message);
+  private static List<Object> array(JsonParser parser) throws IOException {
+    List<Object> elements = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      elements.add(value(parser));
     }
+    return elements;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -1,121 +1,167 @@
 package org.amberpath.gateway.settings;
 
+import java.util.ArrayList;
 import java.util.List;
 import org.amberpath.routing.RoutingConfig;
 
-/** The settings that a gateway is started with, decoded once. */
+/**
+ * The routing configuration that a gateway is started with, decoded once from the platform's JSON.
+ * Immutable. Durations are nanoseconds.
+ */
 public final class JsonRoutingConfig implements RoutingConfig {
+  /** The settings of one traffic class. */
+  private record TrafficClass(
+      String name,
+      Effect effect,
+      Group group,
+      long windowNanos,
+      long latencyObjectiveNanos,
+      long freshNanos,
+      long graceNanos,
+      double latencyStretch,
+      double revenue,
+      boolean uncacheable) {
+
+    /** Decodes the class at an index; settings of the site hold some of its values. */
+    static TrafficClass decode(JsonReader settings, JsonReader site, int index) {
+      return new TrafficClass(
+          settings.text("name"),
+          effect(settings),
+          group(settings),
+          settings.timeOr("window-s", 0),
+          settings.time("target-s"),
+          nanosAt(site, "class-fresh-s", index),
+          nanosAt(site, "class-grace-s", index),
+          settings.numberOr("aim-stretch", 0),
+          settings.numberOr("points", 1),
+          site.at("never-kept", index, Boolean.class, false));
+    }
+
+    private static long nanosAt(JsonReader site, String key, int index) {
+      return JsonReader.nanos(site.at(key, index, Number.class, 0).doubleValue());
+    }
+
+    private static Effect effect(JsonReader settings) {
+      String idempotency = settings.text("idempotency");
+      return switch (idempotency) {
+        case "repeatable" -> Effect.IDEMPOTENT;
+        case "by_key" -> Effect.TOKENED;
+        case "once" -> Effect.NON_IDEMPOTENT;
+        default -> throw settings.wrong("idempotency", UNKNOWN_KIND + idempotency);
+      };
+    }
+
+    private static Group group(JsonReader settings) {
+      String group = settings.has("group") ? settings.text("group") : "cell";
+      return switch (group) {
+        case "all" -> Group.ALL;
+        case "zone" -> Group.ZONE;
+        case "cell" -> Group.CELL;
+        default -> throw settings.wrong("group", UNKNOWN_KIND + group);
+      };
+    }
+  }
+
+  private static final String UNKNOWN_KIND = "of no known kind: ";
+
   private final long seed;
   private final String zone;
   private final int gateways;
-  private final int gatewaysHere;
-  private final String midKind;
+  private final int gatewaysInZone;
+  private final String parentKind;
   private final String originKind;
-  private final boolean weighsSizes;
+  private final boolean weightIsSize;
   private final boolean listOnRequest;
-  private final int maxForwards;
-  private final boolean secondCopies;
-  private final boolean callOff;
+  private final int maxAttempts;
+  private final boolean hedging;
+  private final boolean cancellation;
   private final boolean retryAfter;
-  private final long maxRetryAfter;
+  private final long maxRetryAfterNanos;
   private final boolean bypass;
-  private final boolean joins;
-  private final double flowKbPerSecond;
-  private final long purgeTakes;
-  private final double coldShare;
-  private final long coldTime;
-  private final double fallMultiple;
-  private final long fallTime;
-  private final double parentColdShare;
-  private final long parentColdTime;
-  private final double parentFallMultiple;
-  private final String[] names;
-  private final Effect[] effects;
-  private final Group[] groups;
-  private final long[] windows, objectives, fresh, grace;
-  private final double[] stretches, revenues;
-  private final boolean[] neverKept;
-
-  public JsonRoutingConfig(long seed, JsonReader all) {
-    JsonReader family = all.fieldsOr("family-info");
-    JsonReader bounds = all.fieldsOr("bounds");
-    JsonReader rules = all.fieldsOr("guarantees");
+  private final boolean collapsing;
+  private final double transferKbPerSecond;
+  private final long purgeRetentionNanos;
+  private final SlowStart slowStart;
+  private final SlowStart parentSlowStart;
+  private final long burstNanos;
+  private final List<TrafficClass> trafficClasses;
+
+  /**
+   * Slow start of caches that are warming up.
+   *
+   * @param initialShare share of the load at the start
+   * @param durationNanos how long it takes to the full load
+   * @param overloadFactor multiple of the capacity at which a cache is overloaded
+   */
+  private record SlowStart(double initialShare, long durationNanos, double overloadFactor) {}
+
+  /**
+   * Decodes the settings.
+   *
+   * @param seed seed of this gateway's random choices
+   * @param settings the platform's settings
+   * @throws InvalidDocumentException if a field is missing or invalid
+   */
+  public JsonRoutingConfig(long seed, JsonReader settings) {
+    JsonReader site = settings.fieldsOr("family-info");
+    JsonReader bounds = settings.fieldsOr("bounds");
+    JsonReader guarantees = settings.fieldsOr("guarantees");
     this.seed = seed;
-    zone = all.text("my-zone");
-    gateways = all.place("replicas-of-me", 1);
-    gatewaysHere =
-        family
-            .at("zone-balancers", all.list("zones").indexOf(zone), Long.class, (long) gateways)
-            .intValue();
-    midKind = all.at("kinds", family.place("mid-kind", -1), String.class, null);
-    originKind = all.at("kinds", family.place("store-kind", -1), String.class, null);
-    weighsSizes = all.has("weights") && all.text("weights").equals("nominal");
-    listOnRequest = all.has("registry-mode") && all.text("registry-mode").equals("on_request");
-    maxForwards = bounds.place("max-attempts", 1);
-    secondCopies = bounds.flag("second-copies");
-    callOff = bounds.flag("cancel");
+    zone = settings.text("my-zone");
+    gateways = settings.place("replicas-of-me", 1);
+    gatewaysInZone = gatewaysInZone(settings, site);
+    parentKind = settings.at("kinds", site.place("mid-kind", -1), String.class, null);
+    originKind = settings.at("kinds", site.place("store-kind", -1), String.class, null);
+    weightIsSize = is(settings, "weights", "nominal");
+    listOnRequest = is(settings, "registry-mode", "on_request");
+    maxAttempts = bounds.place("max-attempts", 1);
+    hedging = bounds.flag("second-copies");
+    cancellation = bounds.flag("cancel");
     retryAfter = bounds.flag("retry-after");
-    maxRetryAfter = bounds.timeOr("max-retry-after-s", 0);
-    bypass = family.flag("bypass-allowed");
-    joins = family.flag("collapses");
-    flowKbPerSecond = family.numberOr("flow-kb-per-s", 0);
-    purgeTakes = family.timeOr("purge-takes-s", 0);
-    coldShare = rules.numberOr("cold-share", 1);
-    coldTime = rules.timeOr("cold-s", 0);
-    fallMultiple = rules.numberOr("fall-multiple", 1);
-    fallTime = rules.timeOr("fall-s", 0);
-    parentColdShare = family.numberOr("parent-cold-from", 1);
-    parentColdTime = family.timeOr("parent-ramp-s", 0);
-    parentFallMultiple = family.numberOr("parent-limit-factor", 1);
-    List<JsonReader> services = all.each("classes");
-    int count = services.size();
-    names = new String[count];
-    effects = new Effect[count];
-    groups = new Group[count];
-    windows = new long[count];
-    objectives = new long[count];
-    fresh = new long[count];
-    grace = new long[count];
-    stretches = new double[count];
-    revenues = new double[count];
-    neverKept = new boolean[count];
-    for (int ds = 0; ds < count; ds++) {
-      JsonReader service = services.get(ds);
-      names[ds] = service.text("name");
-      effects[ds] = effect(service);
-      groups[ds] = group(service);
-      windows[ds] = service.timeOr("window-s", 0);
-      objectives[ds] = service.time("target-s");
-      fresh[ds] = JsonReader.nanos(family.at("class-fresh-s", ds, Number.class, 0).doubleValue());
-      grace[ds] = JsonReader.nanos(family.at("class-grace-s", ds, Number.class, 0).doubleValue());
-      stretches[ds] = service.numberOr("aim-stretch", 0);
-      revenues[ds] = service.numberOr("points", 1);
-      neverKept[ds] = family.at("never-kept", ds, Boolean.class, false);
+    maxRetryAfterNanos = bounds.timeOr("max-retry-after-s", 0);
+    bypass = site.flag("bypass-allowed");
+    collapsing = site.flag("collapses");
+    transferKbPerSecond = site.numberOr("flow-kb-per-s", 0);
+    purgeRetentionNanos = site.timeOr("purge-takes-s", 0);
+    slowStart =
+        new SlowStart(
+            guarantees.numberOr("cold-share", 1),
+            guarantees.timeOr("cold-s", 0),
+            guarantees.numberOr("fall-multiple", 1));
+    burstNanos = guarantees.timeOr("fall-s", 0);
+    parentSlowStart =
+        new SlowStart(
+            site.numberOr("parent-cold-from", 1),
+            site.timeOr("parent-ramp-s", 0),
+            site.numberOr("parent-limit-factor", 1));
+    trafficClasses = trafficClasses(settings.each("classes"), site);
+  }
+
+  private int gatewaysInZone(JsonReader settings, JsonReader site) {
+    int zoneIndex = settings.list("zones").indexOf(zone);
+    return site.at("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
+  }
+
+  private static boolean is(JsonReader settings, String key, String value) {
+    return settings.has(key) && settings.text(key).equals(value);
+  }
+
+  private static List<TrafficClass> trafficClasses(List<JsonReader> classes, JsonReader site) {
+    List<TrafficClass> decoded = new ArrayList<>();
+    for (int index = 0; index < classes.size(); index++) {
+      decoded.add(TrafficClass.decode(classes.get(index), site, index));
     }
+    return List.copyOf(decoded);
   }
 
-  private static Effect effect(JsonReader service) {
-    return switch (service.text("idempotency")) {
-      case "repeatable" -> Effect.IDEMPOTENT;
-      case "by_key" -> Effect.TOKENED;
-      case "once" -> Effect.NON_IDEMPOTENT;
-      default ->
-          throw service.wrong("idempotency", "of no known kind: " + service.text("idempotency"));
-    };
-  }
-
-  private static Group group(JsonReader service) {
-    return switch (service.has("group") ? service.text("group") : "cell") {
-      case "all" -> Group.ALL;
-      case "zone" -> Group.ZONE;
-      case "cell" -> Group.CELL;
-      default -> throw service.wrong("group", "of no known kind: " + service.text("group"));
-    };
-  }
-
-  /** The place of a delivery service in the settings, or -1. */
-  public int service(String name) {
-    return List.of(names).indexOf(name);
+  /** The index of the traffic class of a name; -1 where there is none. */
+  public int trafficClass(String name) {
+    for (int index = 0; index < trafficClasses.size(); index++) {
+      if (trafficClasses.get(index).name().equals(name)) {
+        return index;
+      }
+    }
+    return -1;
   }
 
   @Override
@@ -135,12 +181,12 @@
 
   @Override
   public int gatewaysHere() {
-    return gatewaysHere;
+    return gatewaysInZone;
   }
 
   @Override
   public String midKind() {
-    return midKind;
+    return parentKind;
   }
 
   @Override
@@ -150,7 +196,7 @@
 
   @Override
   public boolean weighsSizes() {
-    return weighsSizes;
+    return weightIsSize;
   }
 
   @Override
@@ -160,17 +206,17 @@
 
   @Override
   public int maxForwards() {
-    return maxForwards;
+    return maxAttempts;
   }
 
   @Override
   public boolean secondCopies() {
-    return secondCopies;
+    return hedging;
   }
 
   @Override
   public boolean callOff() {
-    return callOff;
+    return cancellation;
   }
 
   @Override
@@ -180,7 +226,7 @@
 
   @Override
   public long maxRetryAfter() {
-    return maxRetryAfter;
+    return maxRetryAfterNanos;
   }
 
   @Override
@@ -190,101 +236,101 @@
 
   @Override
   public boolean joins() {
-    return joins;
+    return collapsing;
   }
 
   @Override
   public double flowKbPerSecond() {
-    return flowKbPerSecond;
+    return transferKbPerSecond;
   }
 
   @Override
   public long purgeTakes() {
-    return purgeTakes;
+    return purgeRetentionNanos;
   }
 
   @Override
   public double coldShare() {
-    return coldShare;
+    return slowStart.initialShare();
   }
 
   @Override
   public long coldTime() {
-    return coldTime;
+    return slowStart.durationNanos();
   }
 
   @Override
   public double fallMultiple() {
-    return fallMultiple;
+    return slowStart.overloadFactor();
   }
 
   @Override
   public long fallTime() {
-    return fallTime;
+    return burstNanos;
   }
 
   @Override
   public double parentColdShare() {
-    return parentColdShare;
+    return parentSlowStart.initialShare();
   }
 
   @Override
   public long parentColdTime() {
-    return parentColdTime;
+    return parentSlowStart.durationNanos();
   }
 
   @Override
   public double parentFallMultiple() {
-    return parentFallMultiple;
+    return parentSlowStart.overloadFactor();
   }
 
   @Override
   public int deliveryServices() {
-    return names.length;
+    return trafficClasses.size();
   }
 
   @Override
-  public Effect effect(int ds) {
-    return effects[ds];
+  public Effect effect(int trafficClass) {
+    return trafficClasses.get(trafficClass).effect();
   }
 
   @Override
-  public Group group(int ds) {
-    return groups[ds];
+  public Group group(int trafficClass) {
+    return trafficClasses.get(trafficClass).group();
   }
 
   @Override
-  public long window(int ds) {
-    return windows[ds];
+  public long window(int trafficClass) {
+    return trafficClasses.get(trafficClass).windowNanos();
   }
 
   @Override
-  public long latencyObjective(int ds) {
-    return objectives[ds];
+  public long latencyObjective(int trafficClass) {
+    return trafficClasses.get(trafficClass).latencyObjectiveNanos();
   }
 
   @Override
-  public double stretch(int ds) {
-    return stretches[ds];
+  public double stretch(int trafficClass) {
+    return trafficClasses.get(trafficClass).latencyStretch();
   }
 
   @Override
-  public double revenue(int ds) {
-    return revenues[ds];
+  public double revenue(int trafficClass) {
+    return trafficClasses.get(trafficClass).revenue();
   }
 
   @Override
-  public boolean neverKept(int ds) {
-    return neverKept[ds];
+  public boolean neverKept(int trafficClass) {
+    return trafficClasses.get(trafficClass).uncacheable();
   }
 
   @Override
-  public long fresh(int ds) {
-    return fresh[ds];
+  public long fresh(int trafficClass) {
+    return trafficClasses.get(trafficClass).freshNanos();
   }
 
   @Override
-  public long grace(int ds) {
-    return grace[ds];
+  public long grace(int trafficClass) {
+    return trafficClasses.get(trafficClass).graceNanos();
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -0,0 +1,136 @@
+package org.amberpath.gateway.simulation;
+
+import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.JsonRoutingConfig;
+import org.amberpath.routing.RoutingEvents;
+
+/**
+ * Decodes the simulator's events into those of the decisions. An event that the wire does not have
+ * is an error that ends the process.
+ */
+final class EventDecoder {
+  private final JsonRoutingConfig config;
+  private final CacheIndex caches;
+
+  /** A decoder for one gateway; caches are numbered as they are listed. */
+  EventDecoder(JsonRoutingConfig config, CacheIndex caches) {
+    this.config = config;
+    this.caches = caches;
+  }
+
+  /** Decodes one event; some concern no decision. */
+  void decode(JsonReader event, RoutingEvents.Events to) {
+    switch (event.text("verb")) {
+      case "view" -> endpointList(event.named("view"), to);
+      case "order" -> request(event.named("order"), to);
+      case "verdict" -> outcome(event.named("verdict"), to);
+      case "head-received" -> {
+        JsonReader head = event.named("head-received");
+        to.begun(head.whole("op-id"), head.place("copy", 0));
+      }
+      case "cancelled-by-client" -> to.left(event.named("cancelled-by-client").whole("op-id"));
+      case "expired-now" -> purge(event.named("expired-now"), to);
+      case "ring" -> to.woken(event.named("ring").text("handle"));
+      case "status-back", "heard" -> {}
+      default -> throw event.wrong("verb", "unknown: " + event.text("verb"));
+    }
+  }
+
+  private void endpointList(JsonReader view, RoutingEvents.Events to) {
+    to.listing(listing(view));
+    for (JsonReader entry : view.each("members-list")) {
+      to.member(
+          caches.add(entry.text("cache")),
+          entry.text("cache"),
+          entry.has("az") ? entry.text("az") : "",
+          entry.has("flavor") ? entry.text("flavor") : "",
+          entry.place("cohort", 0),
+          state(entry),
+          entry.numberOr("power-hint", 1),
+          entry.timeOr("came-up-s", 0));
+    }
+    to.listed();
+  }
+
+  private void request(JsonReader order, RoutingEvents.Events to) {
+    int trafficClass = config.trafficClass(order.text("tier-class"));
+    if (trafficClass < 0) {
+      throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
+    }
+    to.get(
+        order.whole("op-id"),
+        trafficClass,
+        order.wholeOr("resource", 0),
+        order.place("batch-id", 0),
+        order.place("range-no", 0),
+        order.time("time-budget-s"),
+        order.numberOr("kb", 0),
+        order.flag("is-write"));
+  }
+
+  private void outcome(JsonReader verdict, RoutingEvents.Events to) {
+    to.ended(
+        verdict.whole("op-id"),
+        verdict.place("copy", 0),
+        cache(verdict),
+        outcome(verdict),
+        verdict.timeOr("rtt-s", 0),
+        verdict.flag("settled"),
+        note(verdict));
+  }
+
+  private static void purge(JsonReader purge, RoutingEvents.Events to) {
+    to.purged(purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
+  }
+
+  private int cache(JsonReader event) {
+    String address = event.text("cache");
+    if (!caches.contains(address)) {
+      throw event.wrong("cache", "no known cache: " + address);
+    }
+    return caches.indexOf(address);
+  }
+
+  private static RoutingEvents.Listing listing(JsonReader view) {
+    return switch (view.text("scope")) {
+      case "D" -> RoutingEvents.Listing.CHANGES;
+      case "F", "C" -> RoutingEvents.Listing.FULL;
+      case "X" -> RoutingEvents.Listing.NONE;
+      default -> throw unknown(view, "scope");
+    };
+  }
+
+  private static RoutingEvents.State state(JsonReader entry) {
+    return switch (entry.text("state")) {
+      case "U" -> RoutingEvents.State.UP;
+      case "L" -> RoutingEvents.State.DRAINING;
+      case "D" -> RoutingEvents.State.GONE;
+      default -> throw unknown(entry, "state");
+    };
+  }
+
+  private static RoutingEvents.Outcome outcome(JsonReader verdict) {
+    return switch (verdict.text("rc")) {
+      case "served" -> RoutingEvents.Outcome.RETURNED;
+      case "server_error" -> RoutingEvents.Outcome.ERRORED;
+      case "turned_away" -> RoutingEvents.Outcome.TURNED_AWAY;
+      case "no_answer" -> RoutingEvents.Outcome.NO_ANSWER;
+      case "no_connection" -> RoutingEvents.Outcome.NO_CONNECTION;
+      case "connection_lost" -> RoutingEvents.Outcome.LOST;
+      case "called_off" -> RoutingEvents.Outcome.CALLED_OFF;
+      case "not_sent" -> RoutingEvents.Outcome.NOT_SENT;
+      case "not_stored" -> RoutingEvents.Outcome.NOT_STORED;
+      default -> throw unknown(verdict, "rc");
+    };
+  }
+
+  private static RuntimeException unknown(JsonReader from, String key) {
+    return from.wrong(key, "of no known kind: " + from.text(key));
+  }
+
+  private static RoutingEvents.Note note(JsonReader verdict) {
+    int index = verdict.place("remark", 0);
+    RoutingEvents.Note[] notes = RoutingEvents.Note.values();
+    return index > 0 && index < notes.length ? notes[index] : RoutingEvents.Note.NOTHING;
+  }
+}
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -15,41 +15,55 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 
-/** Hosts many gateways on the bench's wire: one line in, one line out, until the input ends. */
+/**
+ * Hosts many gateways on the simulator's wire: one line with a round's events in, one line with the
+ * actions out, until the input ends. Blocks the calling thread.
+ */
 public final class SimulationHost {
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_INVALID_INPUT = 1;
+  private static final int BUFFER_BYTES = 1 << 16;
+
   private final JsonFactory json = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final PrintStream err;
   private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
+  /** A host without gateways; messages on invalid input go to err. */
   public SimulationHost(InputStream in, OutputStream out, PrintStream err) {
-    this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
+    this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
     this.out = out;
     this.err = err;
   }
 
-  /** Answers every line; returns the exit code. */
+  /**
+   * Answers every line.
+   *
+   * @return the exit code: 0 at the end of the input, 1 on a line that is invalid
+   * @throws IOException if reading or writing fails
+   */
   public int run() throws IOException {
-    ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
+    ByteArrayOutputStream reply = new ByteArrayOutputStream(BUFFER_BYTES);
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       reply.reset();
       try {
         answer(line, reply);
       } catch (JsonProcessingException e) {
         err.println("batch: not JSON: " + e.getOriginalMessage());
-        return 1;
-      } catch (JsonReader.Malformed e) {
+        return EXIT_INVALID_INPUT;
+      } catch (InvalidDocumentException e) {
         err.println(e.getMessage());
-        return 1;
+        return EXIT_INVALID_INPUT;
       }
       reply.write('\n');
       reply.writeTo(out);
       out.flush();
     }
-    return 0;
+    return EXIT_OK;
   }
 
   private void answer(String line, OutputStream reply) throws IOException {
@@ -57,35 +71,35 @@
     try (JsonParser parser = json.createParser(line)) {
       batch = JsonReader.read("batch", parser);
     }
-    long now = batch.time("wall-s");
-    try (JsonGenerator to = json.createGenerator(reply)) {
-      to.writeStartObject();
-      to.writeArrayFieldStart("parts");
+    long nowNanos = batch.time("wall-s");
+    try (JsonGenerator generator = json.createGenerator(reply)) {
+      generator.writeStartObject();
+      generator.writeArrayFieldStart("parts");
       for (JsonReader part : batch.each("parts")) {
-        play(now, part.place("i", 0), part.each("news"), to);
+        round(nowNanos, part.place("i", 0), part.each("news"), generator);
       }
-      to.writeEndArray();
-      to.writeEndObject();
+      generator.writeEndArray();
+      generator.writeEndObject();
     }
   }
 
-  /** What came before a gateway's last start or stop in the round died with it. */
-  private void play(long now, int number, List<JsonReader> news, JsonGenerator to)
+  /** Events before a gateway's last start or stop in the round concerned the one that is gone. */
+  private void round(long nowNanos, int number, List<JsonReader> events, JsonGenerator reply)
       throws IOException {
-    int from = 0;
-    for (int at = 0; at < news.size(); at++) {
-      String verb = news.get(at).text("verb");
+    int first = 0;
+    for (int index = 0; index < events.size(); index++) {
+      String verb = events.get(index).text("verb");
       if (verb.equals("up")) {
-        gateways.put(number, new SimulatedGateway(number, news.get(at).named("up")));
-        from = at + 1;
+        gateways.put(number, new SimulatedGateway(number, events.get(index).named("up")));
+        first = index + 1;
       } else if (verb.equals("stop")) {
         gateways.remove(number);
-        from = at + 1;
+        first = index + 1;
       }
     }
     SimulatedGateway gateway = gateways.get(number);
     if (gateway != null) {
-      gateway.round(now, news.subList(from, news.size()), to);
+      gateway.round(nowNanos, events.subList(first, events.size()), reply);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -17,7 +17,7 @@
 import java.util.function.BiConsumer;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -189,7 +189,8 @@
       world.gateway.reload(
           () -> {
             if (readings.incrementAndGet() <= 2) {
-              throw new JsonReader.Malformed("PROXY_CONFIG: can't be read: too many open files");
+              throw new InvalidSettingsException(
+                  "", "", "", "PROXY_CONFIG: can\'t be read: too many open files");
             }
             return next;
           });
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -17,7 +17,8 @@
 class GatewayOptionsTest {
   private static final String GOOD =
       "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
-          + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},'settings':{'my-zone':'z','classes':[{'name':'p',"
+          + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},"
+          + "'settings':{'my-zone':'z','classes':[{'name':'p',"
           + "'idempotency':'once','target-s':0.25}],'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
   @TempDir private Path folder;
 
@@ -71,7 +72,7 @@
       quoteCharacter = '"')
   void aFaultyKeyIsNamed(String good, String bad, String message) {
     String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
-    JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> read(json));
+    InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class, () -> read(json));
     assertTrue(wrong.getMessage().contains(message), wrong.getMessage());
   }
 
@@ -79,9 +80,9 @@
   void aMissingFileIsNamed() {
     Map<String, String> environment =
         Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
-    JsonReader.Malformed wrong =
-        assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(environment));
+    InvalidSettingsException wrong =
+        assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(environment));
     assertTrue(wrong.getMessage().startsWith("PROXY_CONFIG: "), wrong.getMessage());
-    assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(Map.of()));
+    assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(Map.of()));
   }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
@@ -0,0 +1,38 @@
+package org.amberpath.gateway.settings;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import org.amberpath.gateway.GatewayOptions;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Invalid settings name their file, section and key, beside the message. */
+class InvalidSettingsTest {
+  @TempDir private Path folder;
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "{'listen':'127.0.0.1:1','seed':'xyz','settings':{}} | configuration          | seed    ",
+        "{'listen':'127.0.0.1:1','seed':'ff','settings':{}}  | configuration settings | my-zone ",
+        "[]                                                  | \"\"                   | \"\"      "
+      })
+  void nameTheirPlace(String json, String section, String key) throws Exception {
+    Path file = folder.resolve("gateway.json");
+    Files.writeString(file, json.replace('\'', '"'));
+    InvalidSettingsException invalid =
+        assertThrows(
+            InvalidSettingsException.class,
+            () -> GatewayOptions.read(Map.of("PROXY_CONFIG", file.toString()), false));
+    assertEquals(file.toString(), invalid.file());
+    assertEquals(section, invalid.section());
+    assertEquals(key, invalid.key());
+  }
+}
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -10,8 +10,8 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.WatchSession.Header;
@@ -77,14 +77,14 @@
     } catch (NumberFormatException e) {
       // Said below: also where there is none.
     }
-    throw new Malformed("registry: no index above 0 in " + INDEX);
+    throw new InvalidDocumentException("registry: no index above 0 in " + INDEX);
   }
 
   private static List<JsonReader> each(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
       return JsonReader.readEach("registry", parser);
     } catch (IOException e) {
-      throw new Malformed("registry: not JSON");
+      throw new InvalidDocumentException("registry: not JSON");
     }
   }
 
@@ -96,7 +96,7 @@
 
   @Override
   public Frame frame(byte[] line) {
-    throw new Malformed("registry: no stream is asked for");
+    throw new InvalidDocumentException("registry: no stream is asked for");
   }
 
   @Override
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -12,8 +12,8 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.WatchEvent;
@@ -177,7 +177,7 @@
   private static int code(byte[] body) {
     try {
       return read(body).place("code", 0);
-    } catch (Malformed e) {
+    } catch (InvalidDocumentException e) {
       return 0;
     }
   }
@@ -305,7 +305,7 @@
     try (JsonParser parser = JSON.createParser(body)) {
       return JsonReader.read("registry", parser);
     } catch (IOException e) {
-      throw new Malformed("registry: not JSON");
+      throw new InvalidDocumentException("registry: not JSON");
     }
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.routing.RoutingEvents.State;
@@ -49,7 +50,7 @@
       return key.startsWith(CACHES) ? cache(key.substring(CACHES.length()), fields) : purge(fields);
     } catch (IOException e) {
       return new RegistryRecord.Unreadable("not JSON");
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidDocumentException e) {
       return new RegistryRecord.Unreadable(e.getMessage());
     }
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -23,7 +23,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import javax.net.ssl.SSLException;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.registry.RegistryFailure;
 
 /**
@@ -234,7 +234,7 @@
               done -> {
                 if (!sent.over && done.succeeded() && done.result()) {
                   sent.go();
-                } else if (done.failed() && !(done.cause() instanceof JsonReader.Malformed)) {
+                } else if (done.failed() && !(done.cause() instanceof InvalidDocumentException)) {
                   sent.failed(done.cause());
                 } else {
                   sent.end(RegistryFailure.UNAUTHORISED, 0);
@@ -294,7 +294,7 @@
                 response.statusCode() == 200
                     ? response.body()
                     : Future.failedFuture(
-                        new JsonReader.Malformed("log-in: status " + response.statusCode())))
+                        new InvalidDocumentException("log-in: status " + response.statusCode())))
         .map(body -> EtcdProtocol.loggedIn(body.getBytes()))
         .onComplete(token);
     return token.future();
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -10,8 +10,8 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The codec of one published protocol: where its words end. What can't be read is a Malformed of
- * the JSON fields.
+ * The codec of one published protocol: where its words end. What can't be read is an
+ * InvalidDocumentException of the JSON fields.
  */
 interface RegistryProtocol {
   /** A request to be sent; body null for none. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -11,7 +11,7 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.Clock;
 import org.amberpath.gateway.EndpointSource;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.Snapshot;
@@ -265,7 +265,7 @@
     void taken(Runnable reading) {
       try {
         reading.run();
-      } catch (JsonReader.Malformed e) {
+      } catch (InvalidDocumentException e) {
         note(e.getMessage());
         drop(call);
         recovery.ended(clock.now(), call, RegistryFailure.UNREADABLE, 0);
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -17,6 +17,7 @@
 import java.util.List;
 import java.util.regex.Pattern;
 import java.util.zip.CRC32C;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
@@ -163,7 +164,7 @@
           fields.whole("revision"),
           fields.whole("proven_at"),
           keys);
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidDocumentException e) {
       throw new IOException(e.getMessage(), e);
     }
   }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -15,7 +15,7 @@
 import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
-import org.amberpath.gateway.settings.JsonReader.Malformed;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.RegistryRecord;
@@ -83,7 +83,7 @@
   void noLineIsThrownOverButAsMalformed(@ForAll byte[] line) {
     try {
       new EtcdProtocol("p/").frame(line);
-    } catch (Malformed e) {
+    } catch (InvalidDocumentException e) {
       assertTrue(e.getMessage().length() < 200);
     }
   }
@@ -153,7 +153,7 @@
         "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]}"
       })
   void aPageThatIsNotAsPublishedIsMalformed(String body) {
-    assertThrows(Malformed.class, () -> etcd.page(200, NONE, bytes(body)));
+    assertThrows(InvalidDocumentException.class, () -> etcd.page(200, NONE, bytes(body)));
   }
 
   @ParameterizedTest
@@ -186,7 +186,7 @@
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertTrue(page.count() < 0);
     assertEquals(List.of(), consul.page(404, headers, new byte[0]).items());
-    assertThrows(Malformed.class, () -> consul.page(404, NONE, new byte[0]));
+    assertThrows(InvalidDocumentException.class, () -> consul.page(404, NONE, new byte[0]));
   }
 
   // ---- The snapshot's file.
