--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -54,16 +54,16 @@
       long lagNanos) {
     SocketReads.Backlog backlog = backlog(client, nowNanos, lagNanos);
     long waitedNanos = backlog == null ? lagNanos : nowNanos - backlog.since();
-    long deadlineNanos = RequestDeadline.of(nowNanos, waitedNanos, decoded.allow());
-    int trafficClass = config.service(decoded.service());
+    long deadlineNanos = RequestDeadline.of(nowNanos, waitedNanos, decoded.timeoutNanos());
+    int trafficClass = config.trafficClass(decoded.trafficClass());
     if (trafficClass < 0) {
-      client.refuse(messageId, "no delivery service " + decoded.service());
+      client.rejectInvalidRequest(messageId, "no delivery service " + decoded.trafficClass());
     } else if (inFlight.containsReference(ClientRequest.referenceOf(decoded))) {
       // Guards against a response to one request that is taken for another's.
-      client.refuse(messageId, "ref: open already");
+      client.rejectInvalidRequest(messageId, "ref: open already");
     } else if (inFlight.unansweredCount() >= maxInFlight
         || RequestDeadline.isTooShort(deadlineNanos - nowNanos)) {
-      client.shed(messageId, 0);
+      client.sendOverloaded(messageId, 0);
     } else {
       ClientRequest request =
           new ClientRequest(
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -96,9 +96,9 @@
   private byte[] encodeFields(ClientRequest request, AttemptParameters parameters) {
     DecodedRequest decoded = request.decoded;
     ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_FIELDS_BYTES);
-    put(out, "kind=", decoded.service());
-    put(out, ",obj=", decoded.object());
-    put(out, ",seg=", decoded.part());
+    put(out, "kind=", decoded.trafficClass());
+    put(out, ",obj=", decoded.objectName());
+    put(out, ",seg=", decoded.partName());
     if (parameters.source() != parameters.endpoint()) {
       put(out, ",miss=", endpoints.id(parameters.source()));
     }
@@ -110,11 +110,12 @@
       put(out, ",within=", Long.toString(maxAgeMillis));
     }
     putFlags(out, parameters.flags());
-    if (decoded.known().length > 0) {
-      put(out, ",mine=", decoded.known());
+    if (decoded.knownTag().length > 0) {
+      put(out, ",mine=", decoded.knownTag());
     }
-    if (decoded.token().length > 0) { // The idempotency key: endpoints know by it what they ran.
-      put(out, ",token=", decoded.token());
+    if (decoded.idempotencyKey().length
+        > 0) { // The idempotency key: endpoints know by it what they ran.
+      put(out, ",token=", decoded.idempotencyKey());
     }
     return out.toByteArray();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -60,10 +60,10 @@
   void add(ClientConnection added) {
     open.add(added);
     if (mode != Mode.SERVING) {
-      added.reject();
+      added.rejectNewRequests();
     }
     if (mode == Mode.ENDED) {
-      added.end();
+      added.closeAfterFlush();
       if (isOverSpare()) {
         added.close(); // Nothing of it was read, so no response is pending.
       }
@@ -94,7 +94,7 @@
       // Guards requests in flight: half a message behind them does not make a connection useless.
       if (candidate != added
           && !evicting.contains(candidate)
-          && candidate.isFree()
+          && candidate.isIdle()
           && (least == null || isLessUseful(candidate, least))) {
         least = candidate;
       }
@@ -103,7 +103,9 @@
   }
 
   private static boolean isLessUseful(ClientConnection one, ClientConnection other) {
-    return one.use() < other.use() || (one.use() == other.use() && one.heardAt() < other.heardAt());
+    return one.activity().compareTo(other.activity()) < 0
+        || (one.activity() == other.activity()
+            && one.lastActivityNanos() < other.lastActivityNanos());
   }
 
   /**
@@ -111,8 +113,8 @@
    * and still finds nothing in flight on it.
    */
   private void startEvicting(ClientConnection connection) {
-    if (connection.owes()) {
-      connection.letGo();
+    if (connection.isAwaitingMessage()) {
+      connection.closeOrFlush();
       return;
     }
     evicting.add(connection);
@@ -127,8 +129,8 @@
 
   private void evict(ClientConnection connection) {
     evicting.remove(connection);
-    if (connection.isFree()) {
-      connection.letGo();
+    if (connection.isIdle()) {
+      connection.closeOrFlush();
     }
   }
 
@@ -149,14 +151,14 @@
   void reject() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
-      open.forEach(ClientConnection::reject);
+      open.forEach(ClientConnection::rejectNewRequests);
     }
   }
 
   /** Half-closes all connections, and each new one from now on; no response is pending on any. */
   void end() {
     mode = Mode.ENDED;
-    List.copyOf(open).forEach(ClientConnection::end);
+    List.copyOf(open).forEach(ClientConnection::closeAfterFlush);
   }
 
   /** Whether all connections were half-closed. */
@@ -166,12 +168,12 @@
 
   /** Whether no response waits to be written to a connection that is closing. */
   boolean allWritten() {
-    return closing.stream().allMatch(ClientConnection::isWritten);
+    return closing.stream().allMatch(ClientConnection::isFlushed);
   }
 
   /** Whether a client has sent part of a message, and not the rest of it. */
   boolean hasPartialMessage() {
-    return open.stream().anyMatch(ClientConnection::midway);
+    return open.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
   /** How many descriptors clients hold. */
@@ -183,8 +185,9 @@
   void sweep() {
     long nowNanos = clock.now();
     for (ClientConnection connection : List.copyOf(open)) {
-      if (connection.owes() && nowNanos - connection.heardAt() > MESSAGE_TIMEOUT_NANOS) {
-        connection.unreadable("no whole message in time");
+      if (connection.isAwaitingMessage()
+          && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
+        connection.onProtocolError("no whole message in time");
       }
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -104,7 +104,7 @@
 
   /** The id under which endpoints know a request: they know it by no other. */
   static String referenceOf(DecodedRequest decoded) {
-    return new String(decoded.ref(), StandardCharsets.ISO_8859_1);
+    return new String(decoded.requestId(), StandardCharsets.ISO_8859_1);
   }
 
   /** Whether this gateway made it itself, so that no client waits for a response. */
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -38,20 +38,20 @@
             ? new JournalClient(
                 context.vertx(),
                 options.journal(),
-                journalDecoder,
-                journalListener,
-                JournalClient.WAIT_MS,
-                options.unreadOfAll(),
-                context.discoveryFreshness(),
-                context.clock()::now,
-                pipeline.routingStage::discoveryPolled)
+                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.unreadOfAll()),
+                new JournalClient.Sinks(
+                    journalDecoder,
+                    journalListener,
+                    context.discoveryFreshness(),
+                    pipeline.routingStage::discoveryPolled),
+                context.clock()::now)
             : null;
   }
 
   /**
    * Replays the journal's entries that the configuration holds; only where the journal is used.
    *
-   * @throws org.amberpath.gateway.settings.JsonReader.Malformed for entries that can't be read
+   * @throws org.amberpath.gateway.settings.InvalidDocumentException for entries that can't be read
    */
   void replayKnown(GatewayOptions options) {
     if (journalClient != null) {
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingActions;
 
@@ -148,7 +148,7 @@
     enter(Phase.STARTING);
     try {
       discovery.replayKnown(options);
-    } catch (JsonReader.Malformed e) {
+    } catch (InvalidDocumentException e) {
       started.fail(e);
       return;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
@@ -58,9 +58,9 @@
 
   OutboundAttempt(Plan plan, byte[] fields, CachePool pool, Listener listener) {
     super(
-        plan.request.decoded.ref(),
+        plan.request.decoded.requestId(),
         fields,
-        plan.request.decoded.known(),
+        plan.request.decoded.knownTag(),
         plan.request.decoded.body(),
         plan.deadlineNanos,
         plan.request.attempts);
@@ -114,16 +114,16 @@
     }
     return objectId != 0
         ? objectId == plan.request.decoded.objectId()
-        : group == plan.request.decoded.group();
+        : group == plan.request.decoded.purgeGroup();
   }
 
   @Override
-  protected boolean asksForCopy() {
+  protected boolean expectsCopy() {
     return plan.cacheable;
   }
 
   @Override
-  protected boolean isOver(long nowNanos) {
+  protected boolean isExpired(long nowNanos) {
     return plan.request.answered || nowNanos > sendByNanos || nowNanos >= plan.deadlineNanos;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -33,34 +33,34 @@
   }
 
   @Override
-  public boolean takes() {
+  public boolean admitsRequest() {
     return context.loadShedder().takes();
   }
 
   @Override
-  public long away() {
+  public long retryAfterNanos() {
     return context.loadShedder().away();
   }
 
   @Override
-  public void get(ClientConnection client, long messageId, DecodedRequest decoded) {
+  public void requestReceived(ClientConnection client, long messageId, DecodedRequest decoded) {
     long nowNanos = context.clock().now();
     long lagNanos = context.lagMonitor().lagNanos(client, nowNanos);
     admissionControl.receive(client, messageId, decoded, nowNanos, lagNanos);
   }
 
   @Override
-  public void withdrawn(ClientConnection client, long messageId) {
+  public void requestCancelled(ClientConnection client, long messageId) {
     cancel(context.inFlight().findUnanswered(client, messageId));
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return ready.getAsBoolean();
   }
 
   @Override
-  public void broken(ClientConnection client, String error) {
+  public void protocolViolated(ClientConnection client, String error) {
     context.protocolErrors().add(client, error);
     for (ClientRequest request : context.inFlight().unansweredOf(client)) {
       responseWriter.errored(request, "protocol error on this connection");
@@ -69,13 +69,13 @@
   }
 
   @Override
-  public void closed(ClientConnection client) {
+  public void connectionEnded(ClientConnection client) {
     clients.remove(client);
     context.inFlight().unansweredOf(client).forEach(this::cancel);
   }
 
   @Override
-  public void released(ClientConnection client) {
+  public void descriptorReleased(ClientConnection client) {
     clients.released(client);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -21,9 +21,9 @@
   void returned(ClientRequest request, Buffer body) {
     if (finish(request)) {
       if (body == null) {
-        request.client.returnedSame(request.messageId);
+        request.client.sendNotModified(request.messageId);
       } else {
-        request.client.returned(request.messageId, body);
+        request.client.sendBody(request.messageId, body);
       }
     }
   }
@@ -31,14 +31,14 @@
   /** Rejects a request that had no effect; the client may retry after so many nanoseconds. */
   void shed(ClientRequest request, long retryAfterNanos) {
     if (finish(request)) {
-      request.client.shed(request.messageId, retryAfterNanos);
+      request.client.sendOverloaded(request.messageId, retryAfterNanos);
     }
   }
 
   /** Fails a request, which may have had an effect. */
   void errored(ClientRequest request, String reason) {
     if (finish(request)) {
-      request.client.errored(request.messageId, reason);
+      request.client.sendError(request.messageId, reason);
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -89,10 +89,10 @@
                 request.id,
                 request.trafficClass,
                 request.decoded.objectId(),
-                request.decoded.group(),
+                request.decoded.purgeGroup(),
                 request.decoded.partNumber(),
                 request.deadlineNanos - context.clock().now(),
-                request.decoded.kb(),
+                request.decoded.sizeKb(),
                 false));
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -107,7 +107,7 @@
     if (++statusRequests > MAX_STATUS_REQUESTS) {
       done.tryComplete();
     } else if (!done.future().isComplete()) {
-      socket.write(RequestWarmUp.status());
+      socket.write(RequestWarmUp.statusRequest());
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -99,10 +99,10 @@
         request.id,
         request.trafficClass,
         decoded.objectId(),
-        decoded.group(),
+        decoded.purgeGroup(),
         decoded.partNumber(),
         request.deadlineNanos - clock.now(),
-        decoded.kb(),
+        decoded.sizeKb(),
         endpoint);
   }
 
@@ -110,17 +110,17 @@
   private DecodedRequest copyOf(DecodedRequest original, long timeoutNanos) {
     String reference = String.format("%016x", random.nextLong());
     return new DecodedRequest(
-        original.service(),
+        original.trafficClass(),
         reference.getBytes(StandardCharsets.US_ASCII),
-        original.object(),
-        original.part(),
+        original.objectName(),
+        original.partName(),
         EMPTY,
         EMPTY,
         original.body(),
         original.objectId(),
         original.partNumber(),
-        original.group(),
+        original.purgeGroup(),
         timeoutNanos,
-        original.kb());
+        original.sizeKb());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -74,7 +74,7 @@
       quoteCharacter = '"')
   void aFaultyKeyIsNamed(String good, String bad, String message) {
     String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
-    JsonReader.Malformed wrong = assertThrows(JsonReader.Malformed.class, () -> read(json));
+    InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class, () -> read(json));
     assertTrue(wrong.getMessage().contains(message), wrong.getMessage());
   }
 
@@ -82,9 +82,9 @@
   void aMissingFileIsNamed() {
     Map<String, String> environment =
         Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
-    JsonReader.Malformed wrong =
-        assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(environment));
+    InvalidSettingsException wrong =
+        assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(environment));
     assertTrue(wrong.getMessage().startsWith("PROXY_CONFIG: "), wrong.getMessage());
-    assertThrows(JsonReader.Malformed.class, () -> GatewayOptions.read(Map.of()));
+    assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(Map.of()));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -49,7 +49,7 @@
             }
 
             @Override
-            protected boolean isOver(long now) {
+            protected boolean isExpired(long now) {
               return left;
             }
           });
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -7,6 +7,7 @@
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.State;
@@ -67,11 +68,13 @@
     JsonReader reply = reply("Ca Cbad Cc");
     JournalDecoder decoder = new JournalDecoder(new Ignored());
     assertThrows(
-        JsonReader.Malformed.class, () -> decoder.play(reply, new Listener("bad")), "as before");
+        InvalidDocumentException.class,
+        () -> decoder.play(reply, new Listener("bad")),
+        "as before");
     assertEquals("changes a listed", String.join(" ", told));
     told.clear();
     assertThrows(
-        JsonReader.Malformed.class, () -> decoder.play(reply("Rbad"), new Listener("bad")));
+        InvalidDocumentException.class, () -> decoder.play(reply("Rbad"), new Listener("bad")));
     assertEquals("whole", String.join(" ", told), "a full list with a hole is none");
   }
 
@@ -107,7 +110,7 @@
         double weight,
         long startedAtMs) {
       if (id.equals(unusable)) {
-        throw new JsonReader.Malformed("unusable");
+        throw new InvalidDocumentException("unusable");
       }
       told.add(state == State.GONE ? "-" + id : id);
     }
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -304,7 +304,7 @@
             LONGEST,
             new MessageReader.Sink() {
               @Override
-              public boolean message(byte[] bytes, int start, int end) {
+              public boolean onMessage(byte[] bytes, int start, int end) {
                 try (MessageUnpacker in =
                     MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
                   answer(in);
@@ -315,7 +315,7 @@
               }
 
               @Override
-              public void unreadable(String why) {
+              public void onProtocolError(String reason) {
                 socket.close();
               }
             }));
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -19,7 +19,7 @@
     ConcurrencyLimit idle = new ConcurrencyLimit(nowNanos -> 1);
     idle.setShare(0.01, 24);
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
-      idle.advanceTo(START + sweep * 20 * MS);
+      idle.advanceTo(START + sweep * 20L * MS);
     }
     long lastNanos = START + (SWEEPS - 1) * 20 * MS;
     idle.inFlight = 1;
@@ -33,7 +33,7 @@
   void workReturnedAfterALongPauseCountsFromThenOn() {
     WarmUp warmUp = parts.endpoint(0).warmUp;
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
-      assertEquals(0, warmUp.throughput(START + sweep * 20 * MS));
+      assertEquals(0, warmUp.throughput(START + sweep * 20L * MS));
     }
     long lastNanos = START + SWEEPS * 20 * MS;
     warmUp.recordReturned(4, lastNanos);
