--- /dev/null
+++ b/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
@@ -0,0 +1,109 @@
+package org.amberpath.membership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.amberpath.membership.SeededFleet.Setting;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every action of {@link SwimProtocol} where it was: a fleet under seeded random faults gives
+ * the messages, status changes and phases recorded here, one digest a seed, to the last field and
+ * in the same order. A change that is meant to keep behaviour must not alter a digest; a change of
+ * behaviour records new ones and says why. The protocol uses logarithms, whose last bit may differ
+ * on another kind of processor: the digests were recorded on x86-64.
+ */
+class RecordedMembershipTest {
+  private static final Map<String, SeededFleet> PLAYED = new TreeMap<>();
+  private static final Map<String, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(Setting setting, long seed) {
+    return DIGESTS.computeIfAbsent(
+        setting + " " + seed,
+        key -> {
+          SeededFleet fleet = new SeededFleet(setting, seed);
+          PLAYED.put(key, fleet);
+          return fleet.play();
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "STEADY, 1, c0273ee19b90e2e093045f6b3ed21a14455d28a3d68b1e840e92b255d298ddee",
+    "STEADY, 2, ecebf2bf7d013ed11d35867ba2844bb69a6737c0274d414ca1be2dd93de472d2",
+    "STEADY, 3, 76ffb34ffc1161733f9987da9cc7d2681b52bbc32fec3f320d84f91a95bf3781",
+    "LARGE, 1, e4520ca56a9a40ef2a4ac668551a554eeaf54a2000b9cc1e748ddbb073a377ad",
+    "LARGE, 2, 20864288d8d58953a072e2ac11a06370ac592ccc206ad375c2ff9940662a3e5b",
+    "LARGE, 3, 8bfd7ced84d3745a89aa3ffbda84def6d9e60546bf5f393e17e5fb4056043c68",
+    "GROWING, 1, 7690b533daf65e715b2042dcf58fa4edb3f507e46b1cf8112315b514a0a23a2a",
+    "GROWING, 2, c7696615496ca14cecf542738669f31a7e2908a9988af7565b15fdb089347b0b",
+    "GROWING, 3, fcc559b927a40e3b734b47c5577a952013819d909752f1614b5ff60423690033",
+    "CONTESTED, 1, ceca1997079f04b32f284a8b1ee4898458ad88587b35641dfeb57c1ec2948f4b",
+    "CONTESTED, 2, 783a53fd13e08db8101ed57007721dc3605ee1b176e73a5a8774cadc4c7b0fed",
+    "CONTESTED, 3, bd7606cac27992b986995afb5e041948b900fa2034725ed2416928e4afea1ad5",
+    "FLOODED, 1, 3e81335f70e05ef01261304acc334412d86450fd909b8dff1f23c852baed966d",
+    "FLOODED, 2, 431730b08827973ceb311694c6f4c003f4ebe1df72e17b716375ad9f26aa0acd",
+    "FLOODED, 3, ad24e8601787af57a3d90c57deabb462f736f529193e1b0a1c06afeeeb3b82e6"
+  })
+  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+    assertEquals(
+        recorded,
+        digest(setting, seed),
+        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+  }
+
+  /**
+   * A digest of events that reach little would hold little: what the fleets must reach, over one
+   * seed of each setting.
+   */
+  @Test
+  void theRecordedEventsReachEveryActionMessageKindStatusPhaseAndVerdict() {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (Setting setting : Setting.values()) {
+      digest(setting, 1);
+      PLAYED
+          .get(setting + " 1")
+          .actions
+          .counts()
+          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+    }
+    List<String> needed =
+        new ArrayList<>(
+            List.of(
+                "send",
+                "news",
+                "phase",
+                "twin",
+                "leave",
+                "forgotten",
+                "not forgotten",
+                "refuted",
+                "list asked on",
+                "list goes on",
+                "admitted beyond the allowed number",
+                "unread",
+                "to nobody"));
+    for (GossipMessage.Kind kind : GossipMessage.Kind.values()) {
+      needed.add("sent " + kind);
+      needed.add("received " + kind);
+    }
+    for (MemberStatus status : MemberStatus.values()) {
+      needed.add("news " + status);
+    }
+    for (SwimProtocol.Phase phase : SwimProtocol.Phase.values()) {
+      needed.add("phase " + phase);
+    }
+    for (ReplayFilter.Verdict verdict : ReplayFilter.Verdict.values()) {
+      needed.add("verdict " + verdict);
+    }
+    for (String what : needed) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
--- /dev/null
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -0,0 +1,271 @@
+package org.amberpath.membership;
+
+import java.util.List;
+
+/**
+ * One place of a {@link SeededFleet}: the process that runs there, if one does. The one class that
+ * calls the protocol under test.
+ */
+final class SeededMember implements SwimProtocol.Out {
+  private static final long MS = SeededFleet.MS;
+  private static final double LET_IN_ANYHOW = 0.15;
+
+  final int index;
+  final String name;
+  final String address;
+  private final SeededFleet fleet;
+  private SwimProtocol protocol;
+  private ReplayFilter filter;
+  private int process;
+  private long clockOffset;
+  private long birth;
+  private long pausedUntil;
+  private long incarnation;
+  private boolean leaving;
+  private int observed;
+
+  SeededMember(SeededFleet fleet, int index, String name, String address) {
+    this.fleet = fleet;
+    this.index = index;
+    this.name = name;
+    this.address = address;
+  }
+
+  boolean runs() {
+    return protocol != null;
+  }
+
+  long birth() {
+    return birth;
+  }
+
+  /** What this member says of itself at present; null while it is down. */
+  MemberUpdate self() {
+    return protocol == null ? null : protocol.self();
+  }
+
+  // ---- What is done to it.
+
+  /** Starts a process that remembers nothing; its clock may have gone back. */
+  void start() {
+    process++;
+    leaving = false;
+    pausedUntil = 0;
+    clockOffset = (fleet.random.nextInt(10_001) - 5000) * MS;
+    birth = fleet.random.nextLong();
+    List<String> seeds =
+        process > 1 && fleet.chance(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
+    filter = new ReplayFilter(birth, fleet.timings.period(), clock());
+    incarnation = clock() / SeededFleet.SECOND;
+    protocol =
+        new SwimProtocol(
+            fleet.timings,
+            new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
+            seeds,
+            fleet.random.nextLong(),
+            clock(),
+            this);
+    fleet.actions.add("start", index, clock(), birth);
+    observe();
+    int started = process;
+    fleet.plan(fleet.now() + fleet.random.nextInt(100) * MS, () -> tick(started));
+  }
+
+  void startIfDown() {
+    if (protocol == null) {
+      start();
+    }
+  }
+
+  void crash() {
+    protocol = null;
+  }
+
+  void pause(int milliseconds) {
+    pausedUntil = fleet.now() + milliseconds * MS;
+  }
+
+  void leave() {
+    if (protocol != null && !leaving) {
+      leaving = true;
+      fleet.actions.add("leave", index);
+      protocol.leave(clock());
+      observe();
+      int left = process;
+      fleet.plan(fleet.now() + fleet.random.nextInt(1500) * MS, () -> end(left));
+    }
+  }
+
+  private void end(int left) {
+    if (process == left) {
+      protocol = null;
+    }
+  }
+
+  void forget(String other) {
+    if (protocol != null) {
+      boolean forgotten = protocol.forget(clock(), other);
+      fleet.actions.add(forgotten ? "forgotten" : "not forgotten", index, other);
+      observe();
+    }
+  }
+
+  /** The members that this one holds for lost. */
+  List<String> lost() {
+    return protocol == null
+        ? List.of()
+        : protocol.others().stream()
+            .map(SwimProtocol.Seen::said)
+            .filter(update -> update.standing() == MemberStatus.LOST)
+            .map(MemberUpdate::name)
+            .toList();
+  }
+
+  void deliver(GossipMessage message) {
+    if (protocol == null) {
+      return;
+    }
+    if (pausedUntil > fleet.now()) {
+      fleet.plan(pausedUntil, () -> deliver(message)); // It waits in the socket.
+      return;
+    }
+    if (!filter.mayLook(clock())) {
+      fleet.actions.add("unread", index);
+      return;
+    }
+    ReplayFilter.Verdict verdict = filter.judge(clock(), message);
+    fleet.actions.count("verdict " + verdict);
+    fleet.actions.add("verdict", index, verdict);
+    boolean anyhow = fleet.chance(LET_IN_ANYHOW);
+    if (verdict == ReplayFilter.Verdict.TAKEN || anyhow) {
+      fleet.actions.count("received " + message.kind());
+      protocol.received(clock(), message);
+    } else if (verdict == ReplayFilter.Verdict.GREETED) {
+      protocol.greet(clock(), message.from());
+    }
+    observe();
+  }
+
+  private long clock() {
+    return fleet.now() + clockOffset;
+  }
+
+  private void tick(int started) {
+    if (started != process || protocol == null) {
+      return;
+    }
+    if (pausedUntil <= fleet.now()) {
+      protocol.tick(clock());
+      observe();
+    }
+    long periodMs = fleet.timings.period() / MS;
+    long delayMs =
+        fleet.chance(0.6)
+            ? periodMs / 5
+            : fleet.chance(0.02)
+                ? fleet.random.nextInt((int) (5 * periodMs))
+                : 10L * fleet.random.nextInt((int) (periodMs / 20));
+    long next = Math.max(fleet.now() + delayMs * MS, pausedUntil);
+    fleet.plan(next, () -> tick(started));
+  }
+
+  // ---- What it answers.
+
+  /** Records all that can be asked of the protocol after something happened to it. */
+  private void observe() {
+    MemberUpdate self = protocol.self();
+    if (self.incarnation() > incarnation) {
+      fleet.actions.count("refuted");
+      incarnation = self.incarnation();
+    }
+    fleet.actions.add(
+        "state",
+        index,
+        protocol.phase(),
+        self.incarnation(),
+        self.standing(),
+        protocol.present(),
+        protocol.counted(),
+        protocol.share());
+    if (protocol.share() > 0 && protocol.counted() > fleet.setting.maxMembers) {
+      fleet.actions.count("admitted beyond the allowed number");
+    }
+    if (++observed % 50 == 0) {
+      observeOthers();
+    }
+  }
+
+  private void observeOthers() {
+    for (SwimProtocol.Seen other : protocol.others()) {
+      add("other", other.said());
+      fleet.actions.add("since", other.since());
+    }
+    fleet.actions.add("there", String.join(" ", protocol.there().stream().limit(200).toList()));
+    String asked = "m" + fleet.random.nextInt(fleet.setting.places + 1);
+    MemberUpdate found = protocol.find(asked);
+    fleet.actions.add("find", asked, found == null ? -1 : found.birth());
+    MemberStatus status = protocol.standing(asked);
+    fleet.actions.add("standing", status);
+    if (fleet.chance(0.1)) {
+      fleet.actions.add("serial", protocol.stamp());
+    }
+  }
+
+  private void add(String action, MemberUpdate update) {
+    fleet.actions.add(
+        action,
+        update.name(),
+        update.address(),
+        update.incarnation(),
+        update.birth(),
+        update.standing(),
+        update.by());
+  }
+
+  @Override
+  public void send(String to, GossipMessage message) {
+    RecordedActions actions = fleet.actions;
+    actions.count("sent " + message.kind());
+    if (message.kind() == GossipMessage.Kind.SYNC && message.about() != null) {
+      actions.count("list asked on");
+    }
+    if (message.more()) {
+      actions.count("list goes on");
+    }
+    actions.add(
+        "send",
+        index,
+        to,
+        message.kind(),
+        message.to(),
+        message.serial(),
+        message.number(),
+        message.names(),
+        message.there(),
+        message.about(),
+        message.more(),
+        message.whole(),
+        message.rumours().size());
+    add("from", message.from());
+    message.rumours().forEach(update -> add("rumour", update));
+    fleet.carry(this, to, message);
+  }
+
+  @Override
+  public void news(String who, MemberStatus status) {
+    fleet.actions.count("news " + status);
+    fleet.actions.add("news", index, who, status);
+  }
+
+  @Override
+  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+    fleet.actions.count("phase " + from);
+    fleet.actions.count("phase " + to);
+    fleet.actions.add("phase", index, from, to);
+  }
+
+  @Override
+  public void twin(String at) {
+    fleet.actions.add("twin", index, at);
+  }
+}
