--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -8,7 +8,7 @@
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 
 /** Fourth stage: sends attempts to endpoints; each ends once, with its outcome. */
 final class AttemptSender implements OutboundAttempt.Listener {
@@ -155,13 +155,13 @@
 
   /** The first response goes to the client; the router is notified of every outcome. */
   @Override
-  public void attemptEnded(OutboundAttempt attempt, Outcome outcome, Note note, Buffer body) {
+  public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome, Note note, Buffer body) {
     OutboundAttempt.Plan plan = attempt.plan;
     ClientRequest request = plan.request();
     context.vertx().cancelTimer(attempt.timeoutTimer);
     request.pendingAttempts--;
-    request.endpointResponded |= outcome == Outcome.RETURNED || outcome == Outcome.NOT_STORED;
-    if (outcome == Outcome.RETURNED) {
+    request.endpointResponded |= outcome == AttemptOutcome.SUCCEEDED || outcome == AttemptOutcome.NOT_CACHED;
+    if (outcome == AttemptOutcome.SUCCEEDED) {
       writeResponse(request, body);
     }
     // Guards endpoints against the blame for this gateway's own lag.
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -17,7 +17,7 @@
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -204,7 +204,7 @@
       listed += entry.state == State.GONE ? 0 : 1;
       if (entry.pool != null) {
         entry.pool.fail(
-            want -> entry.state != State.UP || !up((OutboundAttempt) want), Outcome.HELD_BACK);
+            want -> entry.state != State.UP || !up((OutboundAttempt) want), AttemptOutcome.WITHDRAWN);
       }
     }
     most = options.connectionsToEach(listed);
@@ -228,7 +228,7 @@
         .forEach(
             pool ->
                 pool.fail(
-                    want -> ((OutboundAttempt) want).isPurged(object, group), Outcome.HELD_BACK));
+                    want -> ((OutboundAttempt) want).isPurged(object, group), AttemptOutcome.WITHDRAWN));
   }
 
   /**
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
@@ -7,7 +7,7 @@
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 
 /** One attempt of a request at one endpoint, from the decision to its one outcome. */
 final class OutboundAttempt extends CacheCommand {
@@ -21,7 +21,7 @@
      * @param body null unless the endpoint returned the bytes; null too where the client's own copy
      *     is current
      */
-    void attemptEnded(OutboundAttempt attempt, Outcome outcome, Note note, Buffer body);
+    void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome, Note note, Buffer body);
   }
 
   /**
@@ -77,26 +77,26 @@
     } catch (RuntimeException e) {
       // Guards the request against an attempt that is neither sent nor ended.
       LOG.log(Level.SEVERE, "an attempt could not be sent", e);
-      abandon(isWritten() ? Outcome.LOST : Outcome.NOT_SENT, false);
+      abandon(isWritten() ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT, false);
     }
   }
 
   /** Its deadline has passed. */
   void timeOut() {
-    abandon(isWritten() ? Outcome.NO_ANSWER : pool.unsentOutcome(), true);
+    abandon(isWritten() ? AttemptOutcome.TIMED_OUT : pool.unsentOutcome(), true);
   }
 
   /** The router cancels it. */
   void cancel() {
-    abandon(Outcome.CALLED_OFF, false);
+    abandon(AttemptOutcome.CANCELLED, false);
   }
 
   /** It is not sent at all. */
   void skip() {
-    ended(Outcome.NOT_SENT, Note.NOTHING, null);
+    ended(AttemptOutcome.NOT_SENT, Note.NOTHING, null);
   }
 
-  private void abandon(Outcome outcome, boolean timedOut) {
+  private void abandon(AttemptOutcome outcome, boolean timedOut) {
     if (!hasEnded) {
       try {
         pool.giveUp(this, timedOut);
@@ -128,7 +128,7 @@
   }
 
   @Override
-  protected void ended(Outcome outcome, Note note, Buffer body) {
+  protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
     if (!hasEnded) {
       hasEnded = true;
       listener.attemptEnded(this, outcome, note, body);
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -15,7 +15,7 @@
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -135,7 +135,7 @@
         nowNanos + REQUEST_INTERVAL_NANOS / 2,
         events -> {
           events.woken("sweep");
-          events.ended(id, 0, chosenEndpoint, Outcome.RETURNED, RESPONSE_TIME_NANOS, true, note);
+          events.ended(id, 0, chosenEndpoint, AttemptOutcome.SUCCEEDED, RESPONSE_TIME_NANOS, true, note);
         },
         this);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -16,7 +16,7 @@
 import org.amberpath.routing.ConnectPatience;
 import org.amberpath.routing.LocalBackoff;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 
 /**
  * The connections to one cache, within its part of the descriptors; as few wants as may be share
@@ -94,12 +94,12 @@
   /** Sends a want, at once where a connection is up. None carries two wants of one request. */
   public void send(CacheCommand want) {
     if (closed) {
-      want.ended(Outcome.NO_CONNECTION, Note.NOTHING, null);
+      want.ended(AttemptOutcome.CONNECT_FAILED, Note.NOTHING, null);
       return;
     }
     if (want.isExpired(
         now())) { // Guards against what waited here while its client left or its window ended.
-      want.ended(Outcome.NOT_SENT, Note.NOTHING, null);
+      want.ended(AttemptOutcome.NOT_SENT, Note.NOTHING, null);
       return;
     }
     if (!mayWrite
@@ -116,7 +116,7 @@
       best.send(want, now);
     } else if (connecting == 0 && !hasPlace()) {
       // A cache that could not be asked for want of room has nothing held against it.
-      want.ended(hasPart() ? Outcome.NOT_SENT : Outcome.NO_CONNECTION, Note.NOTHING, null);
+      want.ended(hasPart() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, Note.NOTHING, null);
       return;
     } else {
       waiting.add(want);
@@ -219,7 +219,7 @@
     }
     if (backoff.isExhausted()) {
       long now = now();
-      fail(want -> best(want, now) == null, Outcome.NOT_SENT);
+      fail(want -> best(want, now) == null, AttemptOutcome.NOT_SENT);
     }
     again();
   }
@@ -228,12 +228,12 @@
    * How a want ends whose time is over before it was sent: only a cache that was asked in vain is
    * to blame.
    */
-  public Outcome unsentOutcome() {
+  public AttemptOutcome unsentOutcome() {
     boolean blamed =
         !backoff.isFailing()
             && connecting > 0
             && ConnectPatience.isEvidence(now() - connectingSinceNanos, bounds.connect);
-    return blamed ? Outcome.NO_CONNECTION : Outcome.HELD_BACK;
+    return blamed ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
   }
 
   private void connected(NetSocket socket) {
@@ -248,7 +248,7 @@
   /** Guards against one connect that fails all that wait, although other connections are up. */
   private void refused() {
     long now = now();
-    fail(want -> best(want, now) == null, Outcome.NO_CONNECTION);
+    fail(want -> best(want, now) == null, AttemptOutcome.CONNECT_FAILED);
     again();
   }
 
@@ -260,7 +260,7 @@
   }
 
   /** Ends those that wait for a connection and so have not begun to be sent. */
-  public void fail(Predicate<CacheCommand> which, Outcome outcome) {
+  public void fail(Predicate<CacheCommand> which, AttemptOutcome outcome) {
     if (waiting.isEmpty()) {
       return;
     }
@@ -329,7 +329,7 @@
 
   public void close() {
     closed = true;
-    fail(want -> true, Outcome.NO_CONNECTION);
+    fail(want -> true, AttemptOutcome.CONNECT_FAILED);
     List.copyOf(connections).forEach(CacheConnection::close);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 
 /**
  * A cache's reply to one command, on the wire an array of request id, status, fields ({@code
@@ -14,7 +14,7 @@
  * @param note how the cache came by its answer
  * @param body the body; null where there is none, also where the client's copy is current
  */
-record CacheReply(Outcome outcome, Note note, Buffer body) {
+record CacheReply(AttemptOutcome outcome, Note note, Buffer body) {
   private static final int ELEMENTS = 4;
   private static final int REQUEST_ID = 0;
   private static final int STATUS = 1;
@@ -49,21 +49,21 @@
     }
     String status = text(elements.get(STATUS));
     String fields = text(elements.get(FIELDS));
-    Outcome outcome =
+    AttemptOutcome outcome =
         switch (status) {
           case WITH_BODY -> {
             check(!command.expectsCopy() || isCopy(fields));
-            yield Outcome.RETURNED;
+            yield AttemptOutcome.SUCCEEDED;
           }
           case NOT_MODIFIED -> {
             // Guards clients against a confirmation of a copy that the cache did not name.
             check(isCopy(fields) && command.isKnownTag(field(fields, TAG_FIELD)));
-            yield Outcome.RETURNED;
+            yield AttemptOutcome.SUCCEEDED;
           }
-          case "nothing" -> Outcome.NOT_STORED;
-          case "refused" -> Outcome.TURNED_AWAY;
-          case "error" -> Outcome.ERRORED;
-          case "stale" -> Outcome.NOT_SENT;
+          case "nothing" -> AttemptOutcome.NOT_CACHED;
+          case "refused" -> AttemptOutcome.REJECTED;
+          case "error" -> AttemptOutcome.FAILED;
+          case "stale" -> AttemptOutcome.NOT_SENT;
           default -> throw invalid();
         };
     return new CacheReply(
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway.simulation;
 
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 import org.amberpath.routing.RoutingEvents;
@@ -109,17 +110,17 @@
     };
   }
 
-  private static RoutingEvents.Outcome outcome(JsonReader verdict) {
+  private static AttemptOutcome outcome(JsonReader verdict) {
     return switch (verdict.text("rc")) {
-      case "served" -> RoutingEvents.Outcome.RETURNED;
-      case "server_error" -> RoutingEvents.Outcome.ERRORED;
-      case "turned_away" -> RoutingEvents.Outcome.TURNED_AWAY;
-      case "no_answer" -> RoutingEvents.Outcome.NO_ANSWER;
-      case "no_connection" -> RoutingEvents.Outcome.NO_CONNECTION;
-      case "connection_lost" -> RoutingEvents.Outcome.LOST;
-      case "called_off" -> RoutingEvents.Outcome.CALLED_OFF;
-      case "not_sent" -> RoutingEvents.Outcome.NOT_SENT;
-      case "not_stored" -> RoutingEvents.Outcome.NOT_STORED;
+      case "served" -> AttemptOutcome.SUCCEEDED;
+      case "server_error" -> AttemptOutcome.FAILED;
+      case "turned_away" -> AttemptOutcome.REJECTED;
+      case "no_answer" -> AttemptOutcome.TIMED_OUT;
+      case "no_connection" -> AttemptOutcome.CONNECT_FAILED;
+      case "connection_lost" -> AttemptOutcome.CONNECTION_LOST;
+      case "called_off" -> AttemptOutcome.CANCELLED;
+      case "not_sent" -> AttemptOutcome.NOT_SENT;
+      case "not_stored" -> AttemptOutcome.NOT_CACHED;
       default -> throw unknown(verdict, "rc");
     };
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -118,7 +118,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"get", "ended"})
   void anAttemptAtTheEndOfALongRoundWaitsUntilTheSocketsAreRead(String event) throws Exception {
-    BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+    BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     PausingDecisions pause = new PausingDecisions(null);
     world.start(
         options(),
@@ -127,7 +127,7 @@
                 PausingDecisions.events(
                     (name, told) -> {
                       if (name.equals("ended")) {
-                        outcomes.add((Outcome) told[3]);
+                        outcomes.add((AttemptOutcome) told[3]);
                       }
                       boolean begins =
                           name.equals("get") || (name.equals("ended") && (int) told[1] == 0);
@@ -148,9 +148,9 @@
     Thread.sleep(GONE_MS);
     pause.resume();
     assertEquals(
-        event.equals("get") ? Outcome.NOT_SENT : Outcome.TURNED_AWAY,
+        event.equals("get") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
         outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
-    assertEquals(Outcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway;
 
+import org.amberpath.routing.AttemptOutcome;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -236,7 +237,7 @@
   void aForwardWhoseTimeToBeginIsOverIsNeverSent() throws Exception {
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
-    BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
+    BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     world.start(
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) ->
@@ -247,11 +248,11 @@
                         to.sendBy((long) told[0], now - 1);
                         to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
                       } else if (event.equals("ended")) {
-                        outcomes.add((RoutingEvents.Outcome) told[3]);
+                        outcomes.add((AttemptOutcome) told[3]);
                       }
                     })));
     world.client().get(1, "parts", 4000, 0);
-    assertEquals(RoutingEvents.Outcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway;
 
+import org.amberpath.routing.AttemptOutcome;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -318,7 +319,7 @@
                               long id,
                               int copy,
                               int at,
-                              RoutingEvents.Outcome outcome,
+                              AttemptOutcome outcome,
                               long took,
                               boolean settled,
                               RoutingEvents.Note note) {
@@ -1038,7 +1039,7 @@
         long id,
         int copy,
         int cache,
-        RoutingEvents.Outcome outcome,
+        AttemptOutcome outcome,
         long took,
         boolean settled,
         RoutingEvents.Note note) {
@@ -1248,7 +1249,7 @@
     try (StandIns other = new StandIns()) {
       other.journal.host("c0", other.fullAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
+      BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
       other.start(
           options,
           (now, in, to) ->
@@ -1261,7 +1262,7 @@
                             if (event.getName().equals("get")) {
                               to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
                             } else if (event.getName().equals("ended")) {
-                              outcomes.add((RoutingEvents.Outcome) told[3]);
+                              outcomes.add((AttemptOutcome) told[3]);
                             }
                             return null;
                           })));
@@ -1269,7 +1270,7 @@
       Thread.sleep(STANDS_MS / 4);
       other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
       assertEquals(
-          RoutingEvents.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+          AttemptOutcome.WITHDRAWN, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -37,7 +37,7 @@
 import org.amberpath.gateway.StandIns.Command;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -138,7 +138,7 @@
 
   @TempDir private Path folder;
   private final Failing calls = new Failing();
-  private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
+  private final Queue<AttemptOutcome> outcomes = new ConcurrentLinkedQueue<>();
   private StandIns world;
   private Vertx vertx;
   private Cache cache;
@@ -194,7 +194,7 @@
             new Class<?>[] {RoutingEvents.Events.class},
             (proxy, event, told) -> {
               if (event.getName().equals("ended")) {
-                outcomes.add((Outcome) told[3]);
+                outcomes.add((AttemptOutcome) told[3]);
               }
               return event.invoke(to, told);
             });
@@ -315,7 +315,7 @@
     client.get(1, "orders", 120, 0);
     assertNotNull(client.answer().error());
     await(() -> !outcomes.isEmpty());
-    assertFalse(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+    assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
     calls.connectFailures = 0;
     client.get(2, "orders", 5000, 0);
     cache.next().ok("served");
@@ -330,7 +330,7 @@
     calls.connectFailures = FOREVER;
     client.get(1, "orders", 5000, 0);
     assertEquals("Overloaded", client.answer().error());
-    assertTrue(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+    assertTrue(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -14,7 +14,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 
 /** Stories of forwards that wait to be sent. */
@@ -24,7 +24,7 @@
 
   private boolean may, left;
   private int most = 1;
-  private final List<Outcome> outcomes = new ArrayList<>();
+  private final List<AttemptOutcome> outcomes = new ArrayList<>();
 
   @Test
   void aForwardWhoseClientLeftWhileItWaitedIsNeverSent() throws Exception {
@@ -44,7 +44,7 @@
       pool.send(
           new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
             @Override
-            protected void ended(Outcome outcome, Note note, Buffer body) {
+            protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
               outcomes.add(outcome);
             }
 
@@ -57,7 +57,7 @@
       left = true;
       may = true;
       pool.again();
-      assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+      assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     } finally {
       vertx.close();
     }
@@ -107,7 +107,7 @@
   private static CacheCommand want(byte[] body) {
     return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
       @Override
-      protected void ended(Outcome outcome, Note note, Buffer body) {}
+      protected void ended(AttemptOutcome outcome, Note note, Buffer body) {}
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -14,7 +14,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -23,7 +23,7 @@
 class ReplyReaderTest implements ReplyReader.Sink {
   private final List<String> replies = new ArrayList<>();
   private final List<String> protocolErrors = new ArrayList<>();
-  private final List<Outcome> outcomes = new ArrayList<>();
+  private final List<AttemptOutcome> outcomes = new ArrayList<>();
   private final ReplyReader reader = new ReplyReader(100, this);
 
   @Override
@@ -85,7 +85,7 @@
     return new CacheCommand(
         new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
       @Override
-      protected void ended(Outcome outcome, Note note, Buffer body) {
+      protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
         outcomes.add(outcome);
       }
     };
@@ -113,9 +113,9 @@
     CacheCommand drained = want();
     pool.send(drained);
     pool.send(want());
-    pool.fail(one -> one == drained, Outcome.NOT_SENT);
-    assertEquals(List.of(Outcome.NOT_SENT), outcomes);
+    pool.fail(one -> one == drained, AttemptOutcome.NOT_SENT);
+    assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     connection.fail("refused");
-    assertEquals(List.of(Outcome.NOT_SENT, Outcome.NO_CONNECTION), outcomes);
+    assertEquals(List.of(AttemptOutcome.NOT_SENT, AttemptOutcome.CONNECT_FAILED), outcomes);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -23,7 +23,7 @@
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -281,7 +281,7 @@
     void want(Wanted wanted) {
       long of = life;
       if (down) {
-        wanted.by.back(wanted, Outcome.NO_CONNECTION, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.CONNECT_FAILED, Note.NOTHING);
         return;
       }
       came(this, wanted.own);
@@ -294,7 +294,7 @@
         count(hit ? "cold_hit" : "cold_miss", agenda.now());
       }
       if (!hit && wanted.heldOnly) {
-        wanted.by.back(wanted, Outcome.NOT_STORED, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.NOT_CACHED, Note.NOTHING);
         return;
       }
       Runnable served =
@@ -304,7 +304,7 @@
                     if (life == of && wanted.keeps) {
                       holds.add(wanted.key);
                     }
-                    wanted.by.back(wanted, Outcome.RETURNED, hit ? Note.HIT : Note.FILLED);
+                    wanted.by.back(wanted, AttemptOutcome.SUCCEEDED, hit ? Note.HIT : Note.FILLED);
                   });
       if (hit) {
         served.run();
@@ -567,21 +567,21 @@
               own.containsKey(get));
       open.add(get + "/" + copy);
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> caches.get(cache).want(wanted));
-      agenda.at(until, () -> end(wanted, cache, Outcome.NO_ANSWER, Note.NOTHING));
+      agenda.at(until, () -> end(wanted, cache, AttemptOutcome.TIMED_OUT, Note.NOTHING));
     }
 
-    void back(Wanted wanted, Outcome outcome, Note note) {
+    void back(Wanted wanted, AttemptOutcome outcome, Note note) {
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> end(wanted, -1, outcome, note));
     }
 
-    private void end(Wanted wanted, int cache, Outcome outcome, Note note) {
+    private void end(Wanted wanted, int cache, AttemptOutcome outcome, Note note) {
       if (!open.remove(wanted.get + "/" + wanted.copy)) {
         return;
       }
-      boolean returned = outcome == Outcome.RETURNED;
+      boolean returned = outcome == AttemptOutcome.SUCCEEDED;
       Viewer viewer = returned ? viewers.remove(wanted.get) : null;
       Consumer<HealthCheckCoordinator.End> ends =
-          returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
+          returned || outcome == AttemptOutcome.NOT_CACHED ? own.remove(wanted.get) : null;
       if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
         count("good", viewer.began);
       }
@@ -629,7 +629,7 @@
     @Override
     public void callOff(long get, int copy) {
       open.remove(get + "/" + copy);
-      tell(to -> to.ended(get, copy, 0, Outcome.CALLED_OFF, 0, true, Note.NOTHING));
+      tell(to -> to.ended(get, copy, 0, AttemptOutcome.CANCELLED, 0, true, Note.NOTHING));
     }
 
     @Override
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -2,7 +2,6 @@
 
 import org.amberpath.routing.InFlightRequest.Purpose;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 
 /**
  * Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and
@@ -53,17 +52,17 @@
   }
 
   /** An attempt has ended; it took so many nanoseconds. */
-  void recordEnded(Attempt attempt, Outcome outcome, long tookNanos, Note note, Batch batch) {
+  void recordEnded(Attempt attempt, AttemptOutcome outcome, long tookNanos, Note note, Batch batch) {
     attempt.endpoint().limit.inFlight--;
     switch (outcome) {
-      case RETURNED -> recordReturned(attempt, tookNanos, note, batch);
-      case TURNED_AWAY, NOT_STORED, ERRORED -> recordRejected(attempt, outcome, note, batch);
-      case NO_ANSWER -> recordUnanswered(attempt, batch.nowNanos());
-      case LOST ->
+      case SUCCEEDED -> recordReturned(attempt, tookNanos, note, batch);
+      case REJECTED, NOT_CACHED, FAILED -> recordRejected(attempt, outcome, note, batch);
+      case TIMED_OUT -> recordUnanswered(attempt, batch.nowNanos());
+      case CONNECTION_LOST ->
           attempt.endpoint()
               .health
               .failures++; // Guards against resets of single answers: no outage.
-      case NO_CONNECTION -> outlierDetector.eject(attempt.endpoint(), batch);
+      case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
     }
   }
@@ -110,10 +109,10 @@
     }
   }
 
-  private void recordRejected(Attempt attempt, Outcome outcome, Note note, Batch batch) {
+  private void recordRejected(Attempt attempt, AttemptOutcome outcome, Note note, Batch batch) {
     long nowNanos = batch.nowNanos();
     attempt.endpoint().health.lastResponseNanos = nowNanos;
-    if (attempt.request().isSynthetic() && outcome == Outcome.NOT_STORED) {
+    if (attempt.request().isSynthetic() && outcome == AttemptOutcome.NOT_CACHED) {
       outlierDetector.onAnswer(attempt.endpoint(), attempt.sentAtNanos(), batch);
     }
     if (RetryPolicy.isSourceFault(note)) {
@@ -125,7 +124,7 @@
     } else if (note == Note.ORIGIN_ERRORED || note == Note.SOURCE_TURNED_AWAY) {
       boolean isOrigins = note == Note.ORIGIN_ERRORED || attempt.source() == endpoints.origin();
       (isOrigins ? limiter.originLimit() : attempt.source().limit).onRejected(nowNanos);
-    } else if (outcome == Outcome.TURNED_AWAY) {
+    } else if (outcome == AttemptOutcome.REJECTED) {
       attempt.endpoint().limit.onRejected(nowNanos);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -11,7 +11,6 @@
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -236,7 +235,7 @@
       long id,
       int attemptNumber,
       int endpoint,
-      Outcome outcome,
+      AttemptOutcome outcome,
       long tookNanos,
       boolean settled,
       Note note) {
@@ -249,7 +248,7 @@
     Attempt attempt = request.attempts.get(attemptNumber);
     request.openAttempts--;
     recorder.recordEnded(attempt, outcome, tookNanos, note, batch);
-    if (!outcome.notRun) {
+    if (!outcome.provesNotExecuted()) {
       request.recordExecuted(attempt);
     }
     if (settled) {
@@ -265,12 +264,12 @@
    * A retry where the request's kind, its time and the budget permit; else the final answer, at
    * once.
    */
-  private void retryOrGiveUp(Attempt last, Outcome outcome, Note note) {
+  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, Note note) {
     InFlightRequest request = last.request();
     request.originFailed |= note == Note.ORIGIN_ERRORED;
-    boolean lackedCopy = last.cachedOnly() && outcome == Outcome.NOT_STORED;
+    boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
     boolean neverSent =
-        outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: nothing was sent.
+        outcome == AttemptOutcome.WITHDRAWN; // Guards its endpoint and the budget: nothing was sent.
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
@@ -280,7 +279,7 @@
         lackedCopy
             && (routes.selectSource(request, nowNanos) == null
                 || limiter.isOriginSaturated(request, nowNanos));
-    if (isFillHopeless || outcome == Outcome.NO_ANSWER || !retry(request)) {
+    if (isFillHopeless || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
       giveUp(request);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -19,31 +19,6 @@
     GONE
   }
 
-  /** How a forward ended. */
-  enum Outcome {
-    RETURNED(false),
-    ERRORED(false),
-    TURNED_AWAY(true),
-    NO_ANSWER(false),
-    NO_CONNECTION(true),
-    LOST(false),
-    CALLED_OFF(false),
-    NOT_SENT(true),
-    NOT_STORED(true),
-    /**
-     * Never written, since news came before its connection: its cache is as good as before, if it
-     * is still up.
-     */
-    HELD_BACK(true);
-
-    /** Whether the outcome proves that the GET had no effect. */
-    public final boolean notRun;
-
-    Outcome(boolean notRun) {
-      this.notRun = notRun;
-    }
-  }
-
   /** What an answer tells of the way it came. */
   enum Note {
     NOTHING,
@@ -91,7 +66,7 @@
      * has ended, too.
      */
     void ended(
-        long id, int copy, int cache, Outcome outcome, long took, boolean settled, Note note);
+        long id, int copy, int cache, AttemptOutcome outcome, long took, boolean settled, Note note);
 
     /** The viewer left. */
     void left(long id);
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.Test;
 
 class AttemptRecorderTest {
@@ -16,7 +15,7 @@
   private final Endpoint endpoint = attempt.endpoint();
   private final Endpoint source = attempt.source();
 
-  private void end(Outcome outcome, long tookMillis, Note note) {
+  private void end(AttemptOutcome outcome, long tookMillis, Note note) {
     parts.recorder.recordSent(attempt, START);
     parts.recorder.recordEnded(attempt, outcome, tookMillis * MS, note, parts.batch(LATER));
     assertEquals(0, endpoint.limit.inFlight);
@@ -33,7 +32,7 @@
 
   @Test
   void aFilledAnswerIsASignOfLifeOfBoth() {
-    end(Outcome.RETURNED, 50, Note.FILLED);
+    end(AttemptOutcome.SUCCEEDED, 50, Note.FILLED);
     assertEquals(LATER, endpoint.health.lastResponseNanos);
     assertEquals(LATER, source.health.lastResponseNanos);
     assertEquals(START, source.limit.lastPromptSentNanos);
@@ -41,7 +40,7 @@
 
   @Test
   void aLateFillCutsTheSourcesLimitAndTheUplinks() {
-    end(Outcome.RETURNED, 90, Note.FILLED);
+    end(AttemptOutcome.SUCCEEDED, 90, Note.FILLED);
     assertEquals(LATER, source.limit.lastDecreaseNanos);
     assertEquals(LATER, parts.limiter.uplinkLimit().lastDecreaseNanos);
     assertEquals(0, endpoint.limit.lastDecreaseNanos);
@@ -49,19 +48,19 @@
 
   @Test
   void aRejectionCutsTheLimitOfWhoeverRejected() {
-    end(Outcome.TURNED_AWAY, 1, Note.NOTHING);
+    end(AttemptOutcome.REJECTED, 1, Note.NOTHING);
     assertEquals(LATER, endpoint.limit.lastDecreaseNanos);
     Attempt again = parts.attempt(attempt.request(), 2, 5);
-    parts.recorder.recordEnded(again, Outcome.ERRORED, MS, Note.ORIGIN_ERRORED, parts.batch(LATER));
+    parts.recorder.recordEnded(again, AttemptOutcome.FAILED, MS, Note.ORIGIN_ERRORED, parts.batch(LATER));
     assertEquals(LATER, parts.limiter.originLimit().lastDecreaseNanos);
     assertEquals(0, source.limit.lastDecreaseNanos);
   }
 
   @Test
   void aRefusedConnectionEjectsAndALostOneIsAFailure() {
-    end(Outcome.LOST, 1, Note.NOTHING);
+    end(AttemptOutcome.CONNECTION_LOST, 1, Note.NOTHING);
     assertEquals(1, endpoint.health.failures);
-    end(Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    end(AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
     assertTrue(endpoint.health.isEjected());
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -12,7 +12,6 @@
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -93,7 +92,7 @@
   void anEndpointThatIsGoneIsLeftAtOnceAndTakenBackOnceItAnswers(long everyMillis) {
     quiet(everyMillis);
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
     Sent retry = host.last(lost.get());
     assertNotEquals(lost.cache(), retry.cache());
     host.returned(retry, 50, Note.HIT);
@@ -203,10 +202,10 @@
     for (int one = 0; one < 400; one++) {
       Sent sent = host.get(++ids, 100_000 + ids, 0);
       assertNotNull(sent);
-      host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
       }
     }
     int retries = host.sent.size() - before - 400;
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -6,7 +6,6 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.SeededWorld.Setting;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -91,7 +90,7 @@
         }) {
       assertTrue(counts.getOrDefault("action " + action, 0) > 0, action + " of " + counts);
     }
-    for (Outcome outcome : Outcome.values()) {
+    for (AttemptOutcome outcome : AttemptOutcome.values()) {
       assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
     }
     for (Note note : Note.values()) {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -16,7 +16,6 @@
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -105,7 +104,7 @@
 
   private Sent firstAside() {
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
     assertEquals(List.of(lost.cache()), host.aside);
     host.returned(host.last(ids), 50, Note.HIT);
     return lost;
@@ -140,7 +139,7 @@
       host.returned(sent, 50, Note.HIT).pass(100);
       sent = host.get(++ids, 5, 0);
     }
-    host.ended(sent, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
     assertEquals(List.of(cache), host.aside);
     host.event(to -> to.vouched(cache, true, 0));
     assertEquals(List.of(cache), host.aside, "it has just been seen not to answer");
@@ -154,7 +153,7 @@
     Sent trial = host.own(++ids, 6, 0, cache);
     assertEquals(List.of(cache, 0), List.of(trial.cache(), trial.rank()));
     assertEquals(null, host.own(++ids, 6, 0, cache), "one at a time");
-    host.ended(trial, Outcome.LOST, 1, Note.NOTHING);
+    host.ended(trial, AttemptOutcome.CONNECTION_LOST, 1, Note.NOTHING);
     assertEquals(trial, host.last(trial.get()), "not sent again");
     host.pass(5000);
     host.returned(host.own(++ids, 6, 0, cache), 50, Note.HIT);
@@ -240,9 +239,9 @@
     Sent sent = host.get(1, 5, 0);
     assertEquals(host.now + 2000 * MS, sent.until());
     host.now += 2000 * MS;
-    host.ended(sent, Outcome.NO_ANSWER, 2000, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.TIMED_OUT, 2000, Note.NOTHING);
     assertEquals(List.of(1L), host.errored);
-    host.event(to -> to.left(1)).ended(sent, Outcome.CALLED_OFF, 2000, Note.NOTHING).pass(3000);
+    host.event(to -> to.left(1)).ended(sent, AttemptOutcome.CANCELLED, 2000, Note.NOTHING).pass(3000);
     assertEquals(1, host.sent.size() + host.shed.size());
     assertEquals(1, host.errored.size());
   }
@@ -259,7 +258,7 @@
     "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
   })
   void noEffectTwice(
-      RoutingConfig.Effect effect, Outcome outcome, RoutingConfig.Group group, String expected) {
+      RoutingConfig.Effect effect, AttemptOutcome outcome, RoutingConfig.Group group, String expected) {
     host.effect = effect;
     host.group = group;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
@@ -271,12 +270,12 @@
   @ParameterizedTest
   @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
   void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(
-      Outcome outcome, int sent) {
+      AttemptOutcome outcome, int sent) {
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     host.bypass = host.neverKept = true;
     host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
-      host.ended(host.last(1), Outcome.TURNED_AWAY, 10, Note.NOTHING);
+      host.ended(host.last(1), AttemptOutcome.REJECTED, 10, Note.NOTHING);
     }
     assertEquals(sent, host.sent.size());
     assertEquals(sent == 1 ? List.of(1L) : List.of(), host.errored);
@@ -288,11 +287,11 @@
     host.group = RoutingConfig.Group.CELL;
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
-    host.ended(first, Outcome.ERRORED, 10, Note.NOTHING);
+    host.ended(first, AttemptOutcome.FAILED, 10, Note.NOTHING);
     assertEquals(first.cache() % 2, host.last(1).cache() % 2);
     assertEquals(begun + 1000 * MS, host.sendBy, "a connection may come up after the window");
     host.now += 1100 * MS;
-    host.ended(host.last(1), Outcome.ERRORED, 10, Note.NOTHING);
+    host.ended(host.last(1), AttemptOutcome.FAILED, 10, Note.NOTHING);
     assertEquals(2, host.sent.size());
     assertEquals(
         List.of(1L), host.errored, "past the window, and a shed would invite a repeat elsewhere");
@@ -357,12 +356,12 @@
     host.sized = false;
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     for (int i = 0; i < 300; i++) {
-      host.ended(host.get(++ids, i, 0), Outcome.ERRORED, 1, Note.NOTHING).pass(10);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, Note.NOTHING).pass(10);
     }
     host.change(0, State.UP, host.now);
     int before = host.sent.size();
     for (int i = 1000; i < 3000; i++) {
-      host.ended(host.get(++ids, i, 0), Outcome.ERRORED, 1, Note.NOTHING);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, Note.NOTHING);
     }
     long cold = host.sent.stream().skip(before).filter(sent -> sent.cache() == 0).count();
     assertTrue(cold >= 1 && cold <= 2, "sent " + cold);
@@ -524,7 +523,7 @@
   @Test
   void aCrashedCacheIsLeftAtOnceThenTriedAndTrusted() {
     Sent sent = host.get(1, 5, 0);
-    host.ended(sent, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
     Sent second = host.last(1);
     assertNotEquals(sent.cache(), second.cache());
     host.returned(second, 50, Note.HIT);
@@ -544,7 +543,7 @@
   void aCacheThatLosesSingleAnswersButReturnsOthersStays() {
     Sent sent = host.get(++ids, 5, 0);
     for (int i = 0; i < 20; i++) {
-      host.ended(host.get(++ids, 5, 0), Outcome.LOST, 50, Note.NOTHING);
+      host.ended(host.get(++ids, 5, 0), AttemptOutcome.CONNECTION_LOST, 50, Note.NOTHING);
       host.returned(host.last(ids), 50, Note.HIT).pass(100);
       assertEquals(sent.cache(), hit(5, 0).cache());
     }
@@ -583,7 +582,7 @@
   @Test
   void aSourceThatIsNotReachedIsPassedOver() {
     Sent first = host.get(1, 5, 0);
-    host.ended(first, Outcome.TURNED_AWAY, 10, Note.SOURCE_UNREACHED);
+    host.ended(first, AttemptOutcome.REJECTED, 10, Note.SOURCE_UNREACHED);
     assertEquals(first.cache(), host.last(1).cache(), "not the cache's fault");
     assertNotEquals(first.source(), host.last(1).source());
   }
@@ -598,7 +597,7 @@
     for (int i = 0; i < 40; i++) {
       host.pass(50).get(++ids, i, 0);
       while (ended < host.sent.size()) {
-        host.ended(host.sent.get(ended++), Outcome.ERRORED, 50, Note.SOURCE_UNREACHED);
+        host.ended(host.sent.get(ended++), AttemptOutcome.FAILED, 50, Note.SOURCE_UNREACHED);
       }
     }
     host.pass(1000);
@@ -620,7 +619,7 @@
     }
     Sent held = host.get(++ids, 500, 0);
     assertEquals(held.cache(), held.source());
-    host.ended(held, Outcome.NOT_STORED, 1, Note.NOTHING);
+    host.ended(held, AttemptOutcome.NOT_CACHED, 1, Note.NOTHING);
     assertEquals(List.of(held.get()), host.shed);
   }
 
@@ -678,10 +677,10 @@
   void furtherForwardsAreACappedShare() {
     for (int i = 0; i < 400; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
       }
     }
     int further = host.sent.size() - 400;
@@ -700,7 +699,7 @@
       for (int after = 0; after < 12; after++) {
         host.pass(150).returned(host.get(++ids, 2000 + 100 * i + after, 0), 50, Note.FILLED);
       }
-      host.ended(lost, Outcome.NO_ANSWER, 1800, Note.NOTHING);
+      host.ended(lost, AttemptOutcome.TIMED_OUT, 1800, Note.NOTHING);
     }
     int before = host.sent.size();
     for (int i = 0; i < 24; i++) {
@@ -828,14 +827,14 @@
       return sent.stream().filter(one -> one.get == id).reduce((a, b) -> b).orElse(null);
     }
 
-    FakeHost ended(Sent one, Outcome outcome, long tookMs, Note note) {
-      boolean settled = outcome == Outcome.RETURNED;
+    FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, Note note) {
+      boolean settled = outcome == AttemptOutcome.SUCCEEDED;
       events.add(to -> to.ended(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
       return round();
     }
 
     FakeHost returned(Sent one, long tookMs, Note note) {
-      return ended(one, Outcome.RETURNED, tookMs, note);
+      return ended(one, AttemptOutcome.SUCCEEDED, tookMs, note);
     }
 
     FakeHost event(Consumer<RoutingEvents.Events> event) {
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -16,7 +16,6 @@
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -314,50 +313,50 @@
     switch (whose) {
       case WELL -> whenWell(copy, until, took, hit, heldOnly, source);
       case SLOW -> whenWell(copy, until, 15 * took, hit, heldOnly, source);
-      case HUNG -> end(copy, until, until - now, Outcome.NO_ANSWER, Note.NOTHING);
+      case HUNG -> end(copy, until, until - now, AttemptOutcome.TIMED_OUT, Note.NOTHING);
       case RESETTING ->
           end(
               copy,
               until,
               took,
-              atSource ? Outcome.ERRORED : Outcome.LOST,
+              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECTION_LOST,
               atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
       case REFUSING ->
           end(
               copy,
               until,
               MS,
-              Outcome.TURNED_AWAY,
+              AttemptOutcome.REJECTED,
               atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
       case UNREACHABLE ->
           end(
               copy,
               until,
               2 * MS,
-              atSource ? Outcome.ERRORED : Outcome.NO_CONNECTION,
+              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECT_FAILED,
               atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
       case ERRORING ->
           end(
               copy,
               until,
               took,
-              Outcome.ERRORED,
+              AttemptOutcome.FAILED,
               atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
       default ->
-          end(copy, until, MS, chance(0.5) ? Outcome.NOT_SENT : Outcome.HELD_BACK, Note.NOTHING);
+          end(copy, until, MS, chance(0.5) ? AttemptOutcome.NOT_SENT : AttemptOutcome.WITHDRAWN, Note.NOTHING);
     }
   }
 
   private void whenWell(
       Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
     if (!hit && heldOnly) {
-      end(copy, until, 3 * MS, Outcome.NOT_STORED, Note.NOTHING);
+      end(copy, until, 3 * MS, AttemptOutcome.NOT_CACHED, Note.NOTHING);
     } else if (chance(0.01)) {
       end(
           copy,
           until,
           5 * MS,
-          chance(0.5) ? Outcome.ERRORED : Outcome.NOT_STORED,
+          chance(0.5) ? AttemptOutcome.FAILED : AttemptOutcome.NOT_CACHED,
           chance(0.5) ? Note.SOURCE_LACKS : Note.NO_PLACE);
     } else {
       Note note =
@@ -370,19 +369,19 @@
         long halfway = now + Math.min(took, until - now) / 2;
         plan(halfway, to -> to.begun(copy.request, copy.number));
       }
-      end(copy, until, took, Outcome.RETURNED, note);
+      end(copy, until, took, AttemptOutcome.SUCCEEDED, note);
     }
   }
 
-  private void end(Copy copy, long until, long took, Outcome planned, Note told) {
+  private void end(Copy copy, long until, long took, AttemptOutcome planned, Note told) {
     boolean late = now + took >= until;
-    Outcome outcome = late ? Outcome.NO_ANSWER : planned;
+    AttemptOutcome outcome = late ? AttemptOutcome.TIMED_OUT : planned;
     Note note = late ? Note.NOTHING : told;
     long at = late ? until : now + took;
     plan(at, to -> ended(to, copy, outcome, at - copy.sentAt, note));
   }
 
-  private void ended(Events to, Copy copy, Outcome outcome, long took, Note note) {
+  private void ended(Events to, Copy copy, AttemptOutcome outcome, long took, Note note) {
     List<Copy> still = open.getOrDefault(copy.request, List.of());
     if (!still.contains(copy)) {
       return;
@@ -394,7 +393,7 @@
     count("outcome " + outcome);
     count("note " + note);
     to.ended(
-        copy.request, copy.number, copy.cache, outcome, took, outcome == Outcome.RETURNED, note);
+        copy.request, copy.number, copy.cache, outcome, took, outcome == AttemptOutcome.SUCCEEDED, note);
     if (chance(0.001)) {
       to.ended(
           copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
@@ -454,7 +453,7 @@
     hash("callOff", get, number);
     for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
       if (copy.number == number) {
-        plan(now, to -> ended(to, copy, Outcome.CALLED_OFF, now - copy.sentAt, Note.NOTHING));
+        plan(now, to -> ended(to, copy, AttemptOutcome.CANCELLED, now - copy.sentAt, Note.NOTHING));
       }
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -8,7 +8,6 @@
 
 import java.util.List;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -60,7 +59,7 @@
     long nowNanos = START + waitedMillis * MS;
     parts.recorder.recordSent(hedge, START);
     parts.recorder.recordEnded(
-        hedge, Outcome.NO_ANSWER, waitedMillis * MS, Note.NOTHING, parts.batch(nowNanos));
+        hedge, AttemptOutcome.TIMED_OUT, waitedMillis * MS, Note.NOTHING, parts.batch(nowNanos));
     assertEquals(cut, hedge.source().limit.limit() < before);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -9,7 +9,6 @@
 import java.util.function.Consumer;
 import org.amberpath.routing.RoutingEvents.Listing;
 import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -264,7 +263,7 @@
                       answer.get,
                       0,
                       answer.cache,
-                      has ? Outcome.RETURNED : Outcome.NOT_STORED,
+                      has ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
                       50 * MS,
                       has,
                       answer.note));
