--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -6,9 +6,9 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.amberpath.gateway.client.DecodedRequest;
-import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
+import org.amberpath.routing.RoutingConfig;
 
 /** Fourth stage: sends attempts to endpoints; each ends once, with its outcome. */
 final class AttemptSender implements OutboundAttempt.Listener {
@@ -155,12 +155,14 @@
 
   /** The first response goes to the client; the router is notified of every outcome. */
   @Override
-  public void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome, Note note, Buffer body) {
+  public void attemptEnded(
+      OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail note, Buffer body) {
     OutboundAttempt.Plan plan = attempt.plan;
     ClientRequest request = plan.request();
     context.vertx().cancelTimer(attempt.timeoutTimer);
     request.pendingAttempts--;
-    request.endpointResponded |= outcome == AttemptOutcome.SUCCEEDED || outcome == AttemptOutcome.NOT_CACHED;
+    request.endpointResponded |=
+        outcome == AttemptOutcome.SUCCEEDED || outcome == AttemptOutcome.NOT_CACHED;
     if (outcome == AttemptOutcome.SUCCEEDED) {
       writeResponse(request, body);
     }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -14,10 +14,10 @@
 import java.util.function.LongFunction;
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -204,7 +204,8 @@
       listed += entry.state == State.GONE ? 0 : 1;
       if (entry.pool != null) {
         entry.pool.fail(
-            want -> entry.state != State.UP || !up((OutboundAttempt) want), AttemptOutcome.WITHDRAWN);
+            want -> entry.state != State.UP || !up((OutboundAttempt) want),
+            AttemptOutcome.WITHDRAWN);
       }
     }
     most = options.connectionsToEach(listed);
@@ -228,7 +229,8 @@
         .forEach(
             pool ->
                 pool.fail(
-                    want -> ((OutboundAttempt) want).isPurged(object, group), AttemptOutcome.WITHDRAWN));
+                    want -> ((OutboundAttempt) want).isPurged(object, group),
+                    AttemptOutcome.WITHDRAWN));
   }
 
   /**
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
@@ -5,9 +5,9 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.cache.CacheCommand;
 import org.amberpath.gateway.cache.CachePool;
-import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.ResponseDetail;
 
 /** One attempt of a request at one endpoint, from the decision to its one outcome. */
 final class OutboundAttempt extends CacheCommand {
@@ -21,7 +21,8 @@
      * @param body null unless the endpoint returned the bytes; null too where the client's own copy
      *     is current
      */
-    void attemptEnded(OutboundAttempt attempt, AttemptOutcome outcome, Note note, Buffer body);
+    void attemptEnded(
+        OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail note, Buffer body);
   }
 
   /**
@@ -93,7 +94,7 @@
 
   /** It is not sent at all. */
   void skip() {
-    ended(AttemptOutcome.NOT_SENT, Note.NOTHING, null);
+    ended(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
   }
 
   private void abandon(AttemptOutcome outcome, boolean timedOut) {
@@ -103,7 +104,7 @@
       } catch (RuntimeException e) {
         LOG.log(Level.SEVERE, "an attempt could not be cancelled", e);
       }
-      ended(outcome, Note.NOTHING, null);
+      ended(outcome, ResponseDetail.NONE, null);
     }
   }
 
@@ -128,7 +129,7 @@
   }
 
   @Override
-  protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
+  protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
     if (!hasEnded) {
       hasEnded = true;
       listener.attemptEnded(this, outcome, note, body);
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -9,13 +9,13 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.cache.ReplyWarmUp;
 import org.amberpath.gateway.client.RequestWarmUp;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -116,7 +116,7 @@
     int trafficClass = number % config.deliveryServices();
     long objectId = id % OBJECTS + 1;
     int partNumber = (int) (id % PARTS);
-    Note note = number % 3 == 0 ? Note.FILLED : Note.HIT;
+    ResponseDetail note = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
     nowNanos += REQUEST_INTERVAL_NANOS;
     router.round(
         nowNanos,
@@ -135,7 +135,8 @@
         nowNanos + REQUEST_INTERVAL_NANOS / 2,
         events -> {
           events.woken("sweep");
-          events.ended(id, 0, chosenEndpoint, AttemptOutcome.SUCCEEDED, RESPONSE_TIME_NANOS, true, note);
+          events.ended(
+              id, 0, chosenEndpoint, AttemptOutcome.SUCCEEDED, RESPONSE_TIME_NANOS, true, note);
         },
         this);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -3,8 +3,8 @@
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 
 /**
  * One attempt on its way to a cache. The subclass is notified of its outcome, once, unless it was
@@ -60,7 +60,7 @@
    * @param body the body where one was returned; null for any other outcome, and where the client's
    *     copy is current
    */
-  protected abstract void ended(AttemptOutcome outcome, Note note, Buffer body);
+  protected abstract void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body);
 
   /**
    * Whether it must not be sent any more: its request has been answered, or its time to be sent is
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -8,8 +8,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 
 /**
  * One connection to a cache: many commands in flight, replies in any order. Used on the event loop
@@ -155,7 +155,8 @@
       pool.closed(this);
       List<CacheCommand> lost = new ArrayList<>(inFlight.values());
       inFlight.clear();
-      lost.forEach(command -> command.ended(AttemptOutcome.CONNECTION_LOST, Note.NOTHING, null));
+      lost.forEach(
+          command -> command.ended(AttemptOutcome.CONNECTION_LOST, ResponseDetail.NONE, null));
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -13,10 +13,10 @@
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
 import java.util.logging.Logger;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.ConnectPatience;
 import org.amberpath.routing.LocalBackoff;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 
 /**
  * The connections to one cache, within its part of the descriptors; as few wants as may be share
@@ -94,12 +94,12 @@
   /** Sends a want, at once where a connection is up. None carries two wants of one request. */
   public void send(CacheCommand want) {
     if (closed) {
-      want.ended(AttemptOutcome.CONNECT_FAILED, Note.NOTHING, null);
+      want.ended(AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE, null);
       return;
     }
     if (want.isExpired(
         now())) { // Guards against what waited here while its client left or its window ended.
-      want.ended(AttemptOutcome.NOT_SENT, Note.NOTHING, null);
+      want.ended(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
       return;
     }
     if (!mayWrite
@@ -116,7 +116,10 @@
       best.send(want, now);
     } else if (connecting == 0 && !hasPlace()) {
       // A cache that could not be asked for want of room has nothing held against it.
-      want.ended(hasPart() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED, Note.NOTHING, null);
+      want.ended(
+          hasPart() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED,
+          ResponseDetail.NONE,
+          null);
       return;
     } else {
       waiting.add(want);
@@ -266,7 +269,7 @@
     }
     List<CacheCommand> failed = waiting.stream().filter(which).toList();
     waiting.removeAll(failed);
-    failed.forEach(want -> want.ended(outcome, Note.NOTHING, null));
+    failed.forEach(want -> want.ended(outcome, ResponseDetail.NONE, null));
   }
 
   /** Gives a want up, late where its answer was waited for in vain; it is told nothing more. */
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -3,8 +3,8 @@
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 
 /**
  * A cache's reply to one command, on the wire an array of request id, status, fields ({@code
@@ -14,7 +14,7 @@
  * @param note how the cache came by its answer
  * @param body the body; null where there is none, also where the client's copy is current
  */
-record CacheReply(AttemptOutcome outcome, Note note, Buffer body) {
+record CacheReply(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
   private static final int ELEMENTS = 4;
   private static final int REQUEST_ID = 0;
   private static final int STATUS = 1;
@@ -29,7 +29,7 @@
   /** The letters of the notes, in the order of the notes behind NOTHING. */
   private static final String NOTE_LETTERS = "hfojsrblnx";
 
-  private static final Note[] NOTES = Note.values();
+  private static final ResponseDetail[] NOTES = ResponseDetail.values();
 
   /** The id of the request that a reply is for; the array has one element at least. */
   static String requestId(List<Buffer> elements) {
@@ -88,10 +88,10 @@
         && issued.chars().allMatch(digit -> digit >= '0' && digit <= '9');
   }
 
-  private static Note note(String fields) {
+  private static ResponseDetail note(String fields) {
     String letter = field(fields, NOTE_FIELD);
     int index = letter.length() == 1 ? NOTE_LETTERS.indexOf(letter) : -1;
-    return index < 0 ? Note.NOTHING : NOTES[index + 1];
+    return index < 0 ? ResponseDetail.NONE : NOTES[index + 1];
   }
 
   /** The value behind a name with its equals sign; empty where the name is missing. */
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
@@ -3,8 +3,8 @@
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 
 /**
  * Encodes synthetic commands and parses replies to them without a connection, so that the codec is
@@ -44,7 +44,7 @@
     byte[] fields = FIELDS.getBytes(StandardCharsets.ISO_8859_1);
     return new CacheCommand(REQUEST_ID, fields, REQUEST_ID, REQUEST_ID, deadlineNanos, List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, Note note, Buffer body) {}
+      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
     };
   }
 
@@ -52,7 +52,8 @@
   public void onReply(List<Buffer> elements) {
     try {
       CacheReply reply = CacheReply.decode(elements, command);
-      parsed += reply.outcome() == AttemptOutcome.SUCCEEDED && reply.note() == Note.HIT ? 1 : 0;
+      parsed +=
+          reply.outcome() == AttemptOutcome.SUCCEEDED && reply.note() == ResponseDetail.HIT ? 1 : 0;
     } catch (InvalidReplyException e) {
       onProtocolError(e.getMessage());
     }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -1,8 +1,9 @@
 package org.amberpath.gateway.simulation;
 
-import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEvents;
 
 /**
@@ -129,9 +130,9 @@
     return from.wrong(key, "of no known kind: " + from.text(key));
   }
 
-  private static RoutingEvents.Note note(JsonReader verdict) {
+  private static ResponseDetail note(JsonReader verdict) {
     int index = verdict.place("remark", 0);
-    RoutingEvents.Note[] notes = RoutingEvents.Note.values();
-    return index > 0 && index < notes.length ? notes[index] : RoutingEvents.Note.NOTHING;
+    ResponseDetail[] notes = ResponseDetail.values();
+    return index > 0 && index < notes.length ? notes[index] : ResponseDetail.NONE;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.AttemptOutcome;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -19,6 +18,7 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.settings.InvalidSettingsException;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-import org.amberpath.routing.AttemptOutcome;
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -28,7 +27,9 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -322,7 +323,7 @@
                               AttemptOutcome outcome,
                               long took,
                               boolean settled,
-                              RoutingEvents.Note note) {
+                              ResponseDetail note) {
                             times.add(took);
                             super.ended(id, copy, at, outcome, took, settled, note);
                           }
@@ -1042,7 +1043,7 @@
         AttemptOutcome outcome,
         long took,
         boolean settled,
-        RoutingEvents.Note note) {
+        ResponseDetail note) {
       to.ended(id, copy, cache, outcome, took, settled, note);
     }
 
@@ -1269,8 +1270,7 @@
       other.client().get(1, "parts", 4000, 0);
       Thread.sleep(STANDS_MS / 4);
       other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
-      assertEquals(
-          AttemptOutcome.WITHDRAWN, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -13,8 +13,8 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 
 /** Stories of forwards that wait to be sent. */
@@ -44,7 +44,7 @@
       pool.send(
           new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
             @Override
-            protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
+            protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
               outcomes.add(outcome);
             }
 
@@ -107,7 +107,7 @@
   private static CacheCommand want(byte[] body) {
     return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, Note note, Buffer body) {}
+      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -13,8 +13,8 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -85,7 +85,7 @@
     return new CacheCommand(
         new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
       @Override
-      protected void ended(AttemptOutcome outcome, Note note, Buffer body) {
+      protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
         outcomes.add(outcome);
       }
     };
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -15,15 +15,15 @@
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.recovery.RecoveryRamp;
+import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -281,7 +281,7 @@
     void want(Wanted wanted) {
       long of = life;
       if (down) {
-        wanted.by.back(wanted, AttemptOutcome.CONNECT_FAILED, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE);
         return;
       }
       came(this, wanted.own);
@@ -294,7 +294,7 @@
         count(hit ? "cold_hit" : "cold_miss", agenda.now());
       }
       if (!hit && wanted.heldOnly) {
-        wanted.by.back(wanted, AttemptOutcome.NOT_CACHED, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
         return;
       }
       Runnable served =
@@ -304,7 +304,10 @@
                     if (life == of && wanted.keeps) {
                       holds.add(wanted.key);
                     }
-                    wanted.by.back(wanted, AttemptOutcome.SUCCEEDED, hit ? Note.HIT : Note.FILLED);
+                    wanted.by.back(
+                        wanted,
+                        AttemptOutcome.SUCCEEDED,
+                        hit ? ResponseDetail.HIT : ResponseDetail.FILLED);
                   });
       if (hit) {
         served.run();
@@ -567,14 +570,14 @@
               own.containsKey(get));
       open.add(get + "/" + copy);
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> caches.get(cache).want(wanted));
-      agenda.at(until, () -> end(wanted, cache, AttemptOutcome.TIMED_OUT, Note.NOTHING));
+      agenda.at(until, () -> end(wanted, cache, AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
     }
 
-    void back(Wanted wanted, AttemptOutcome outcome, Note note) {
+    void back(Wanted wanted, AttemptOutcome outcome, ResponseDetail note) {
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> end(wanted, -1, outcome, note));
     }
 
-    private void end(Wanted wanted, int cache, AttemptOutcome outcome, Note note) {
+    private void end(Wanted wanted, int cache, AttemptOutcome outcome, ResponseDetail note) {
       if (!open.remove(wanted.get + "/" + wanted.copy)) {
         return;
       }
@@ -629,7 +632,7 @@
     @Override
     public void callOff(long get, int copy) {
       open.remove(get + "/" + copy);
-      tell(to -> to.ended(get, copy, 0, AttemptOutcome.CANCELLED, 0, true, Note.NOTHING));
+      tell(to -> to.ended(get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE));
     }
 
     @Override
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -1,7 +1,6 @@
 package org.amberpath.routing;
 
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingEvents.Note;
 
 /**
  * Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and
@@ -52,7 +51,8 @@
   }
 
   /** An attempt has ended; it took so many nanoseconds. */
-  void recordEnded(Attempt attempt, AttemptOutcome outcome, long tookNanos, Note note, Batch batch) {
+  void recordEnded(
+      Attempt attempt, AttemptOutcome outcome, long tookNanos, ResponseDetail note, Batch batch) {
     attempt.endpoint().limit.inFlight--;
     switch (outcome) {
       case SUCCEEDED -> recordReturned(attempt, tookNanos, note, batch);
@@ -67,10 +67,10 @@
     }
   }
 
-  private void recordReturned(Attempt attempt, long tookNanos, Note note, Batch batch) {
+  private void recordReturned(Attempt attempt, long tookNanos, ResponseDetail note, Batch batch) {
     InFlightRequest request = attempt.request();
     TrafficClass trafficClass = request.trafficClass;
-    boolean isHit = note == Note.HIT || note == Note.NOTHING;
+    boolean isHit = note == ResponseDetail.HIT || note == ResponseDetail.NONE;
     trafficClass.recordRoute(note);
     recordWork(attempt, attempt.endpoint(), batch);
     history.recordAnswer(request.object, tookNanos);
@@ -83,7 +83,8 @@
       trafficClass.recordDuration(tookNanos);
     }
     if (request.durationKnown) {
-      recordLatency(attempt, tookNanos, isHit, note == Note.FILLED_BY_ORIGIN, batch.nowNanos());
+      recordLatency(
+          attempt, tookNanos, isHit, note == ResponseDetail.FILLED_BY_ORIGIN, batch.nowNanos());
     }
   }
 
@@ -109,7 +110,8 @@
     }
   }
 
-  private void recordRejected(Attempt attempt, AttemptOutcome outcome, Note note, Batch batch) {
+  private void recordRejected(
+      Attempt attempt, AttemptOutcome outcome, ResponseDetail note, Batch batch) {
     long nowNanos = batch.nowNanos();
     attempt.endpoint().health.lastResponseNanos = nowNanos;
     if (attempt.request().isSynthetic() && outcome == AttemptOutcome.NOT_CACHED) {
@@ -118,11 +120,12 @@
     if (RetryPolicy.isSourceFault(note)) {
       attempt.request().trafficClass.recordRoute(note);
     }
-    if (note == Note.SOURCE_UNREACHED) {
+    if (note == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
       attempt.source().health.failures++;
       attempt.source().limit.onAnswer(nowNanos, false);
-    } else if (note == Note.ORIGIN_ERRORED || note == Note.SOURCE_TURNED_AWAY) {
-      boolean isOrigins = note == Note.ORIGIN_ERRORED || attempt.source() == endpoints.origin();
+    } else if (note == ResponseDetail.ORIGIN_FAILED || note == ResponseDetail.FILL_REJECTED) {
+      boolean isOrigins =
+          note == ResponseDetail.ORIGIN_FAILED || attempt.source() == endpoints.origin();
       (isOrigins ? limiter.originLimit() : attempt.source().limit).onRejected(nowNanos);
     } else if (outcome == AttemptOutcome.REJECTED) {
       attempt.endpoint().limit.onRejected(nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -10,7 +10,6 @@
 import org.amberpath.routing.InFlightRequest.Purpose;
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -238,7 +237,7 @@
       AttemptOutcome outcome,
       long tookNanos,
       boolean settled,
-      Note note) {
+      ResponseDetail note) {
     InFlightRequest request = requests.get(id);
     if (request == null
         || attemptNumber >= request.attempts.size()
@@ -264,12 +263,13 @@
    * A retry where the request's kind, its time and the budget permit; else the final answer, at
    * once.
    */
-  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, Note note) {
+  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail note) {
     InFlightRequest request = last.request();
-    request.originFailed |= note == Note.ORIGIN_ERRORED;
+    request.originFailed |= note == ResponseDetail.ORIGIN_FAILED;
     boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
     boolean neverSent =
-        outcome == AttemptOutcome.WITHDRAWN; // Guards its endpoint and the budget: nothing was sent.
+        outcome
+            == AttemptOutcome.WITHDRAWN; // Guards its endpoint and the budget: nothing was sent.
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -2,7 +2,6 @@
 
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
 
 /**
  * Whether a request may be attempted again, and where: never so that it might have its effect
@@ -75,7 +74,8 @@
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
-  static boolean isSourceFault(Note note) {
-    return note.compareTo(Note.SOURCE_TURNED_AWAY) >= 0 && note != Note.NO_PLACE;
+  static boolean isSourceFault(ResponseDetail note) {
+    return note.compareTo(ResponseDetail.FILL_REJECTED) >= 0
+        && note != ResponseDetail.NOT_STORED_NO_SPACE;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -19,21 +19,6 @@
     GONE
   }
 
-  /** What an answer tells of the way it came. */
-  enum Note {
-    NOTHING,
-    HIT,
-    FILLED,
-    FILLED_BY_ORIGIN,
-    JOINED,
-    PAST_FRESH,
-    SOURCE_TURNED_AWAY,
-    SOURCE_UNREACHED,
-    SOURCE_LACKS,
-    NO_PLACE,
-    ORIGIN_ERRORED
-  }
-
   /** The callbacks. */
   interface Events {
     /** A list of caches begins; its members follow under stable ids, then {@link #listed}. */
@@ -66,7 +51,13 @@
      * has ended, too.
      */
     void ended(
-        long id, int copy, int cache, AttemptOutcome outcome, long took, boolean settled, Note note);
+        long id,
+        int copy,
+        int cache,
+        AttemptOutcome outcome,
+        long took,
+        boolean settled,
+        ResponseDetail note);
 
     /** The viewer left. */
     void left(long id);
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -2,7 +2,6 @@
 
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
 
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
@@ -90,9 +89,9 @@
   }
 
   /** Counts which route an answer came by. All counts are halved when they are full. */
-  void recordRoute(Note note) {
+  void recordRoute(ResponseDetail note) {
     switch (note) {
-      case HIT, PAST_FRESH -> returnedFromCache++;
+      case HIT, STALE -> returnedFromCache++;
       case FILLED_BY_ORIGIN -> filledByOrigin++;
       default -> filledByParent++;
     }
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 
 class AttemptRecorderTest {
@@ -15,7 +14,7 @@
   private final Endpoint endpoint = attempt.endpoint();
   private final Endpoint source = attempt.source();
 
-  private void end(AttemptOutcome outcome, long tookMillis, Note note) {
+  private void end(AttemptOutcome outcome, long tookMillis, ResponseDetail note) {
     parts.recorder.recordSent(attempt, START);
     parts.recorder.recordEnded(attempt, outcome, tookMillis * MS, note, parts.batch(LATER));
     assertEquals(0, endpoint.limit.inFlight);
@@ -32,7 +31,7 @@
 
   @Test
   void aFilledAnswerIsASignOfLifeOfBoth() {
-    end(AttemptOutcome.SUCCEEDED, 50, Note.FILLED);
+    end(AttemptOutcome.SUCCEEDED, 50, ResponseDetail.FILLED);
     assertEquals(LATER, endpoint.health.lastResponseNanos);
     assertEquals(LATER, source.health.lastResponseNanos);
     assertEquals(START, source.limit.lastPromptSentNanos);
@@ -40,7 +39,7 @@
 
   @Test
   void aLateFillCutsTheSourcesLimitAndTheUplinks() {
-    end(AttemptOutcome.SUCCEEDED, 90, Note.FILLED);
+    end(AttemptOutcome.SUCCEEDED, 90, ResponseDetail.FILLED);
     assertEquals(LATER, source.limit.lastDecreaseNanos);
     assertEquals(LATER, parts.limiter.uplinkLimit().lastDecreaseNanos);
     assertEquals(0, endpoint.limit.lastDecreaseNanos);
@@ -48,19 +47,20 @@
 
   @Test
   void aRejectionCutsTheLimitOfWhoeverRejected() {
-    end(AttemptOutcome.REJECTED, 1, Note.NOTHING);
+    end(AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
     assertEquals(LATER, endpoint.limit.lastDecreaseNanos);
     Attempt again = parts.attempt(attempt.request(), 2, 5);
-    parts.recorder.recordEnded(again, AttemptOutcome.FAILED, MS, Note.ORIGIN_ERRORED, parts.batch(LATER));
+    parts.recorder.recordEnded(
+        again, AttemptOutcome.FAILED, MS, ResponseDetail.ORIGIN_FAILED, parts.batch(LATER));
     assertEquals(LATER, parts.limiter.originLimit().lastDecreaseNanos);
     assertEquals(0, source.limit.lastDecreaseNanos);
   }
 
   @Test
   void aRefusedConnectionEjectsAndALostOneIsAFailure() {
-    end(AttemptOutcome.CONNECTION_LOST, 1, Note.NOTHING);
+    end(AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(1, endpoint.health.failures);
-    end(AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
+    end(AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertTrue(endpoint.health.isEjected());
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -38,7 +37,7 @@
     long step = everyMillis == 0 ? QUIET_MILLIS : everyMillis;
     for (long passed = 0; passed < QUIET_MILLIS; passed += step) {
       if (everyMillis > 0) {
-        host.returned(host.get(++ids, ids, 0), 50, Note.HIT);
+        host.returned(host.get(++ids, ids, 0), 50, ResponseDetail.HIT);
       }
       host.pass(step);
     }
@@ -50,7 +49,7 @@
   private Sent ask(int hung) {
     Sent sent = host.get(++ids, 100_000 + ids, 0);
     if (sent.cache() != hung) {
-      host.returned(sent, 50, Note.HIT);
+      host.returned(sent, 50, ResponseDetail.HIT);
     }
     return sent;
   }
@@ -76,13 +75,13 @@
     host.pass(PATIENCE_MILLIS + 100);
     Sent retry = host.last(stalled.get());
     assertNotEquals(hung, retry.cache());
-    host.returned(retry, 50, Note.HIT);
+    host.returned(retry, 50, ResponseDetail.HIT);
     assertTrue(host.calledOff.contains(stalled.get() + "/0"));
     assertFalse(waiting.isEmpty());
     for (Sent one : waiting) {
       Sent last = host.last(one.get());
       assertNotEquals(hung, last.cache());
-      host.returned(last, 50, Note.HIT);
+      host.returned(last, 50, ResponseDetail.HIT);
     }
     assertTrue(host.errored.isEmpty() && host.shed.isEmpty());
   }
@@ -92,18 +91,18 @@
   void anEndpointThatIsGoneIsLeftAtOnceAndTakenBackOnceItAnswers(long everyMillis) {
     quiet(everyMillis);
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     Sent retry = host.last(lost.get());
     assertNotEquals(lost.cache(), retry.cache());
-    host.returned(retry, 50, Note.HIT);
+    host.returned(retry, 50, ResponseDetail.HIT);
     int elsewhere = 0;
     Sent sent = host.get(++ids, 5, 0);
     for (; sent.cache() != lost.cache(); sent = host.get(++ids, 5, 0)) {
-      host.returned(sent, 50, Note.HIT).pass(STEP_MILLIS);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(STEP_MILLIS);
       assertTrue(++elsewhere < 100, "no trial within a second");
     }
     assertTrue(elsewhere > 5);
-    host.returned(sent, 50, Note.HIT).pass(3000);
+    host.returned(sent, 50, ResponseDetail.HIT).pass(3000);
     assertEquals(List.of(), host.aside);
     sent = host.get(++ids, 5, 0);
     assertEquals(lost.cache(), sent.cache());
@@ -172,7 +171,7 @@
     int count = 0;
     for (int object = 0; object < 400; object++) {
       Sent sent = host.get(++ids, object, 0);
-      host.returned(sent, 50, Note.HIT).pass(STEP_MILLIS / 2);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(STEP_MILLIS / 2);
       count += sent.cache() == 1 ? 1 : 0;
     }
     return count;
@@ -185,11 +184,11 @@
     quiet(everyMillis);
     Sent before = host.get(++ids, 5, 0);
     assertEquals(0, before.age());
-    host.returned(before, 50, Note.HIT);
+    host.returned(before, 50, ResponseDetail.HIT);
     host.event(to -> to.purged(object, group, 100 * MS)).pass(400);
     Sent after = host.get(++ids, 5, 0);
     assertTrue(after.age() > 400 * MS && after.age() < 500 * MS, "age " + after.age());
-    host.returned(after, 50, Note.HIT).pass(6500);
+    host.returned(after, 50, ResponseDetail.HIT).pass(6500);
     assertEquals(0, host.get(++ids, 5, 0).age());
   }
 
@@ -202,10 +201,10 @@
     for (int one = 0; one < 400; one++) {
       Sent sent = host.get(++ids, 100_000 + ids, 0);
       assertNotNull(sent);
-      host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       }
     }
     int retries = host.sent.size() - before - 400;
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -5,7 +5,6 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.SeededWorld.Setting;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -93,7 +92,7 @@
     for (AttemptOutcome outcome : AttemptOutcome.values()) {
       assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
     }
-    for (Note note : Note.values()) {
+    for (ResponseDetail note : ResponseDetail.values()) {
       assertTrue(counts.getOrDefault("note " + note, 0) > 0, note + " of " + counts);
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -15,7 +15,6 @@
 import java.util.stream.LongStream;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +31,7 @@
   /** A GET that is returned at once. */
   private Sent hit(long object, int part) {
     Sent sent = host.get(++ids, object, part);
-    host.returned(sent, 50, Note.HIT);
+    host.returned(sent, 50, ResponseDetail.HIT);
     return sent;
   }
 
@@ -95,8 +94,8 @@
       Sent here = host.get(object, object, 0);
       Sent there = other.get(object, object, 0);
       assertEquals(List.of(here.cache(), here.source()), List.of(there.cache(), there.source()));
-      host.returned(here, 50, Note.HIT);
-      other.returned(there, 50, Note.HIT);
+      host.returned(here, 50, ResponseDetail.HIT);
+      other.returned(there, 50, ResponseDetail.HIT);
     }
   }
 
@@ -104,9 +103,9 @@
 
   private Sent firstAside() {
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(lost.cache()), host.aside);
-    host.returned(host.last(ids), 50, Note.HIT);
+    host.returned(host.last(ids), 50, ResponseDetail.HIT);
     return lost;
   }
 
@@ -119,7 +118,7 @@
       host.pass(1000);
       Sent sent = host.get(++ids, 5, 0);
       assertNotEquals(cache, sent.cache(), "tried by itself after " + second + " s");
-      host.returned(sent, 50, Note.HIT);
+      host.returned(sent, 50, ResponseDetail.HIT);
     }
     host.event(to -> to.vouched(cache, true, 30_000 * MS)).pass(3000);
     assertEquals(List.of(cache), host.aside, "word from before it was set aside is worth nothing");
@@ -136,10 +135,10 @@
     assertEquals(List.of(), host.aside, "believed once");
     Sent sent = host.get(++ids, 5, 0);
     while (sent.cache() != cache) {
-      host.returned(sent, 50, Note.HIT).pass(100);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(100);
       sent = host.get(++ids, 5, 0);
     }
-    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(cache), host.aside);
     host.event(to -> to.vouched(cache, true, 0));
     assertEquals(List.of(cache), host.aside, "it has just been seen not to answer");
@@ -153,10 +152,10 @@
     Sent trial = host.own(++ids, 6, 0, cache);
     assertEquals(List.of(cache, 0), List.of(trial.cache(), trial.rank()));
     assertEquals(null, host.own(++ids, 6, 0, cache), "one at a time");
-    host.ended(trial, AttemptOutcome.CONNECTION_LOST, 1, Note.NOTHING);
+    host.ended(trial, AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(trial, host.last(trial.get()), "not sent again");
     host.pass(5000);
-    host.returned(host.own(++ids, 6, 0, cache), 50, Note.HIT);
+    host.returned(host.own(++ids, 6, 0, cache), 50, ResponseDetail.HIT);
     assertEquals(List.of(), host.aside);
   }
 
@@ -168,7 +167,7 @@
     host.pass(600);
     assertEquals(List.of(sent.cache()), host.aside);
     assertNotNull(host.get(++ids, 5, 0), "and it goes on being asked");
-    host.returned(sent, 900, Note.HIT);
+    host.returned(sent, 900, ResponseDetail.HIT);
     assertEquals(List.of(), host.aside);
     assertEquals(List.of(sent.cache()), host.heard);
   }
@@ -196,7 +195,7 @@
       if (own != null) {
         sent++;
         assertEquals(List.of(1, 1), List.of(own.cache(), own.rank()));
-        host.returned(own, 50, Note.FILLED);
+        host.returned(own, 50, ResponseDetail.FILLED);
       }
       host.pass(5);
     }
@@ -239,9 +238,11 @@
     Sent sent = host.get(1, 5, 0);
     assertEquals(host.now + 2000 * MS, sent.until());
     host.now += 2000 * MS;
-    host.ended(sent, AttemptOutcome.TIMED_OUT, 2000, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.TIMED_OUT, 2000, ResponseDetail.NONE);
     assertEquals(List.of(1L), host.errored);
-    host.event(to -> to.left(1)).ended(sent, AttemptOutcome.CANCELLED, 2000, Note.NOTHING).pass(3000);
+    host.event(to -> to.left(1))
+        .ended(sent, AttemptOutcome.CANCELLED, 2000, ResponseDetail.NONE)
+        .pass(3000);
     assertEquals(1, host.sent.size() + host.shed.size());
     assertEquals(1, host.errored.size());
   }
@@ -258,10 +259,13 @@
     "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
   })
   void noEffectTwice(
-      RoutingConfig.Effect effect, AttemptOutcome outcome, RoutingConfig.Group group, String expected) {
+      RoutingConfig.Effect effect,
+      AttemptOutcome outcome,
+      RoutingConfig.Group group,
+      String expected) {
     host.effect = effect;
     host.group = group;
-    host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
+    host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     assertEquals(expected.equals("again") ? 2 : 1, host.sent.size());
     assertEquals(expected.equals("errored") ? List.of(1L) : List.of(), host.errored);
     assertTrue(host.shed.isEmpty());
@@ -273,9 +277,9 @@
       AttemptOutcome outcome, int sent) {
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     host.bypass = host.neverKept = true;
-    host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
+    host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
-      host.ended(host.last(1), AttemptOutcome.REJECTED, 10, Note.NOTHING);
+      host.ended(host.last(1), AttemptOutcome.REJECTED, 10, ResponseDetail.NONE);
     }
     assertEquals(sent, host.sent.size());
     assertEquals(sent == 1 ? List.of(1L) : List.of(), host.errored);
@@ -287,11 +291,11 @@
     host.group = RoutingConfig.Group.CELL;
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
-    host.ended(first, AttemptOutcome.FAILED, 10, Note.NOTHING);
+    host.ended(first, AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
     assertEquals(first.cache() % 2, host.last(1).cache() % 2);
     assertEquals(begun + 1000 * MS, host.sendBy, "a connection may come up after the window");
     host.now += 1100 * MS;
-    host.ended(host.last(1), AttemptOutcome.FAILED, 10, Note.NOTHING);
+    host.ended(host.last(1), AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
     assertEquals(2, host.sent.size());
     assertEquals(
         List.of(1L), host.errored, "past the window, and a shed would invite a repeat elsewhere");
@@ -356,12 +360,12 @@
     host.sized = false;
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
     for (int i = 0; i < 300; i++) {
-      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, Note.NOTHING).pass(10);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE).pass(10);
     }
     host.change(0, State.UP, host.now);
     int before = host.sent.size();
     for (int i = 1000; i < 3000; i++) {
-      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, Note.NOTHING);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
     }
     long cold = host.sent.stream().skip(before).filter(sent -> sent.cache() == 0).count();
     assertTrue(cold >= 1 && cold <= 2, "sent " + cold);
@@ -380,7 +384,7 @@
       one.coldKind = kind == 0 ? "box" : "small";
       one.list(1, 2, 3, 5, 6, 7).round();
       for (int i = 0; i < 400; i++) {
-        one.pass(10).returned(one.get(i, i, 0), 50, Note.HIT);
+        one.pass(10).returned(one.get(i, i, 0), 50, ResponseDetail.HIT);
       }
       one.change(0, State.UP, one.now);
       for (int i = 1000; i < 1400; i++) {
@@ -462,7 +466,7 @@
   @Test
   void aColdParentIsChargedInFullForWhatColdCachesAsk() {
     for (int i = 0; i < 200; i++) {
-      host.returned(host.get(++ids, i, 0), 50, Note.HIT).pass(10);
+      host.returned(host.get(++ids, i, 0), 50, ResponseDetail.HIT).pass(10);
     }
     IntStream.range(0, 4).forEach(cache -> host.change(cache, State.UP, host.now));
     host.change(5, State.UP, host.now).change(6, State.GONE, 0);
@@ -470,7 +474,7 @@
     for (int i = 1000; i < 1300; i++) {
       Sent sent = host.get(++ids, i, 0);
       if (sent != null) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
     }
     long asked = host.sent.stream().skip(before).filter(sent -> sent.source() == 5).count();
@@ -484,7 +488,7 @@
   void pastItsLimitTheOriginIsNotAskedDirectlyEither() {
     host.change(5, State.GONE, 0).change(6, State.GONE, 0);
     for (int i = 0; i < 60; i++) {
-      host.pass(250).returned(host.get(++ids, i, 0), 1500, Note.FILLED_BY_ORIGIN);
+      host.pass(250).returned(host.get(++ids, i, 0), 1500, ResponseDetail.FILLED_BY_ORIGIN);
     }
     for (int i = 100; i < 150; i++) {
       host.get(++ids, i, 0);
@@ -523,10 +527,10 @@
   @Test
   void aCrashedCacheIsLeftAtOnceThenTriedAndTrusted() {
     Sent sent = host.get(1, 5, 0);
-    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     Sent second = host.last(1);
     assertNotEquals(sent.cache(), second.cache());
-    host.returned(second, 50, Note.HIT);
+    host.returned(second, 50, ResponseDetail.HIT);
     assertEquals(second.cache(), hit(5, 0).cache(), "set aside");
     host.pass(400);
     assertEquals(sent.cache(), hit(5, 0).cache(), "one GET as a trial");
@@ -543,8 +547,8 @@
   void aCacheThatLosesSingleAnswersButReturnsOthersStays() {
     Sent sent = host.get(++ids, 5, 0);
     for (int i = 0; i < 20; i++) {
-      host.ended(host.get(++ids, 5, 0), AttemptOutcome.CONNECTION_LOST, 50, Note.NOTHING);
-      host.returned(host.last(ids), 50, Note.HIT).pass(100);
+      host.ended(host.get(++ids, 5, 0), AttemptOutcome.CONNECTION_LOST, 50, ResponseDetail.NONE);
+      host.returned(host.last(ids), 50, ResponseDetail.HIT).pass(100);
       assertEquals(sent.cache(), hit(5, 0).cache());
     }
   }
@@ -555,13 +559,13 @@
     for (int i = 0; i < 150; i++) {
       Sent sent = host.get(++ids, 2000 + i, 0);
       if (sent.cache() != stuck.cache()) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
       host.pass(10);
     }
     Sent copy = host.last(stuck.get());
     assertNotEquals(stuck.cache(), copy.cache());
-    host.returned(copy, 50, Note.HIT);
+    host.returned(copy, 50, ResponseDetail.HIT);
     assertTrue(host.calledOff.contains(stuck.get() + "/0"));
   }
 
@@ -571,7 +575,7 @@
     for (int i = 0; i < 60; i++) {
       Sent sent = host.pass(25).get(++ids, i, 0);
       if (sent.cache() == 3) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
     }
     long well =
@@ -582,7 +586,7 @@
   @Test
   void aSourceThatIsNotReachedIsPassedOver() {
     Sent first = host.get(1, 5, 0);
-    host.ended(first, AttemptOutcome.REJECTED, 10, Note.SOURCE_UNREACHED);
+    host.ended(first, AttemptOutcome.REJECTED, 10, ResponseDetail.FILL_SOURCE_UNREACHABLE);
     assertEquals(first.cache(), host.last(1).cache(), "not the cache's fault");
     assertNotEquals(first.source(), host.last(1).source());
   }
@@ -597,7 +601,11 @@
     for (int i = 0; i < 40; i++) {
       host.pass(50).get(++ids, i, 0);
       while (ended < host.sent.size()) {
-        host.ended(host.sent.get(ended++), AttemptOutcome.FAILED, 50, Note.SOURCE_UNREACHED);
+        host.ended(
+            host.sent.get(ended++),
+            AttemptOutcome.FAILED,
+            50,
+            ResponseDetail.FILL_SOURCE_UNREACHABLE);
       }
     }
     host.pass(1000);
@@ -612,14 +620,14 @@
   void whenFillsComeLateOnlyWhatIsHeldIsReturnedAndMissesAreShed() {
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.pass(250).returned(sent, 1500, Note.FILLED);
+      host.pass(250).returned(sent, 1500, ResponseDetail.FILLED);
     }
     for (int i = 100; i < 130; i++) {
       host.get(++ids, i, 0);
     }
     Sent held = host.get(++ids, 500, 0);
     assertEquals(held.cache(), held.source());
-    host.ended(held, AttemptOutcome.NOT_CACHED, 1, Note.NOTHING);
+    host.ended(held, AttemptOutcome.NOT_CACHED, 1, ResponseDetail.NONE);
     assertEquals(List.of(held.get()), host.shed);
   }
 
@@ -633,8 +641,8 @@
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
       assertTrue(sent.has(RoutingActions.RENEW) && sent.age() == host.fresh);
-      host.pass(250).returned(sent, 1500, Note.FILLED_BY_ORIGIN);
-      host.returned(host.get(++ids, i, 0), 50, Note.FILLED);
+      host.pass(250).returned(sent, 1500, ResponseDetail.FILLED_BY_ORIGIN);
+      host.returned(host.get(++ids, i, 0), 50, ResponseDetail.FILLED);
     }
     for (int i = 100; i < 150; i++) {
       host.get(++ids, i, 0);
@@ -648,7 +656,7 @@
   void aCacheWhoseHitsComeLatePassesOnAndThenGetsAreShed() {
     for (int i = 0; i < 200; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.pass(250).returned(sent, 1500, Note.HIT);
+      host.pass(250).returned(sent, 1500, ResponseDetail.HIT);
     }
     for (int i = 300; i < 400; i++) {
       host.get(++ids, i, 0);
@@ -677,10 +685,10 @@
   void furtherForwardsAreACappedShare() {
     for (int i = 0; i < 400; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, AttemptOutcome.REJECTED, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       }
     }
     int further = host.sent.size() - 400;
@@ -697,9 +705,10 @@
     for (int i = 0; i < 30; i++) {
       Sent lost = host.get(++ids, 1000 + i, 0);
       for (int after = 0; after < 12; after++) {
-        host.pass(150).returned(host.get(++ids, 2000 + 100 * i + after, 0), 50, Note.FILLED);
+        host.pass(150)
+            .returned(host.get(++ids, 2000 + 100 * i + after, 0), 50, ResponseDetail.FILLED);
       }
-      host.ended(lost, AttemptOutcome.TIMED_OUT, 1800, Note.NOTHING);
+      host.ended(lost, AttemptOutcome.TIMED_OUT, 1800, ResponseDetail.NONE);
     }
     int before = host.sent.size();
     for (int i = 0; i < 24; i++) {
@@ -721,13 +730,17 @@
       host.pass(150);
       for (int object = 0; object < 8; object++) {
         Sent next = host.get(++ids, 2000 + 10 * after + object, 0);
-        host.pass(20).returned(next, 20, object % 2 == 0 ? Note.FILLED_BY_ORIGIN : Note.FILLED);
+        host.pass(20)
+            .returned(
+                next,
+                20,
+                object % 2 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.FILLED);
       }
     }
     host.pass(20);
     Sent again = host.last(lost.get());
     assertNotEquals(lost, again);
-    host.returned(again, 50, Note.HIT);
+    host.returned(again, 50, ResponseDetail.HIT);
     assertEquals(List.of(lost.get() + "/0"), host.calledOff);
   }
 
@@ -827,13 +840,13 @@
       return sent.stream().filter(one -> one.get == id).reduce((a, b) -> b).orElse(null);
     }
 
-    FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, Note note) {
+    FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, ResponseDetail note) {
       boolean settled = outcome == AttemptOutcome.SUCCEEDED;
       events.add(to -> to.ended(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
       return round();
     }
 
-    FakeHost returned(Sent one, long tookMs, Note note) {
+    FakeHost returned(Sent one, long tookMs, ResponseDetail note) {
       return ended(one, AttemptOutcome.SUCCEEDED, tookMs, note);
     }
 
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -8,7 +8,6 @@
 
 import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -83,7 +82,7 @@
     "NO_PLACE, false",
     "ORIGIN_ERRORED, true"
   })
-  void faultsBehindTheEndpointAreTheSources(Note note, boolean isSourceFault) {
+  void faultsBehindTheEndpointAreTheSources(ResponseDetail note, boolean isSourceFault) {
     assertEquals(isSourceFault, RetryPolicy.isSourceFault(note));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -15,7 +15,6 @@
 import java.util.function.Consumer;
 import org.amberpath.routing.RoutingEvents.Events;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.State;
 
 /**
@@ -313,58 +312,69 @@
     switch (whose) {
       case WELL -> whenWell(copy, until, took, hit, heldOnly, source);
       case SLOW -> whenWell(copy, until, 15 * took, hit, heldOnly, source);
-      case HUNG -> end(copy, until, until - now, AttemptOutcome.TIMED_OUT, Note.NOTHING);
+      case HUNG -> end(copy, until, until - now, AttemptOutcome.TIMED_OUT, ResponseDetail.NONE);
       case RESETTING ->
           end(
               copy,
               until,
               took,
               atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECTION_LOST,
-              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case REFUSING ->
           end(
               copy,
               until,
               MS,
               AttemptOutcome.REJECTED,
-              atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
+              atSource
+                  ? ResponseDetail.FILL_REJECTED
+                  : chance(0.1) ? ResponseDetail.NOT_STORED_NO_SPACE : ResponseDetail.NONE);
       case UNREACHABLE ->
           end(
               copy,
               until,
               2 * MS,
               atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECT_FAILED,
-              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case ERRORING ->
           end(
               copy,
               until,
               took,
               AttemptOutcome.FAILED,
-              atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
+              atSource || copy.cache == ORIGIN
+                  ? ResponseDetail.ORIGIN_FAILED
+                  : ResponseDetail.NONE);
       default ->
-          end(copy, until, MS, chance(0.5) ? AttemptOutcome.NOT_SENT : AttemptOutcome.WITHDRAWN, Note.NOTHING);
+          end(
+              copy,
+              until,
+              MS,
+              chance(0.5) ? AttemptOutcome.NOT_SENT : AttemptOutcome.WITHDRAWN,
+              ResponseDetail.NONE);
     }
   }
 
   private void whenWell(
       Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
     if (!hit && heldOnly) {
-      end(copy, until, 3 * MS, AttemptOutcome.NOT_CACHED, Note.NOTHING);
+      end(copy, until, 3 * MS, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
     } else if (chance(0.01)) {
       end(
           copy,
           until,
           5 * MS,
           chance(0.5) ? AttemptOutcome.FAILED : AttemptOutcome.NOT_CACHED,
-          chance(0.5) ? Note.SOURCE_LACKS : Note.NO_PLACE);
+          chance(0.5) ? ResponseDetail.FILL_SOURCE_MISS : ResponseDetail.NOT_STORED_NO_SPACE);
     } else {
-      Note note =
+      ResponseDetail note =
           hit
-              ? chance(0.9) ? Note.HIT : chance(0.5) ? Note.PAST_FRESH : Note.NOTHING
+              ? chance(0.9)
+                  ? ResponseDetail.HIT
+                  : chance(0.5) ? ResponseDetail.STALE : ResponseDetail.NONE
               : source == ORIGIN || chance(0.4)
-                  ? Note.FILLED_BY_ORIGIN
-                  : chance(0.2) ? Note.JOINED : Note.FILLED;
+                  ? ResponseDetail.FILLED_BY_ORIGIN
+                  : chance(0.2) ? ResponseDetail.COALESCED : ResponseDetail.FILLED;
       if (chance(0.1)) {
         long halfway = now + Math.min(took, until - now) / 2;
         plan(halfway, to -> to.begun(copy.request, copy.number));
@@ -373,15 +383,15 @@
     }
   }
 
-  private void end(Copy copy, long until, long took, AttemptOutcome planned, Note told) {
+  private void end(Copy copy, long until, long took, AttemptOutcome planned, ResponseDetail told) {
     boolean late = now + took >= until;
     AttemptOutcome outcome = late ? AttemptOutcome.TIMED_OUT : planned;
-    Note note = late ? Note.NOTHING : told;
+    ResponseDetail note = late ? ResponseDetail.NONE : told;
     long at = late ? until : now + took;
     plan(at, to -> ended(to, copy, outcome, at - copy.sentAt, note));
   }
 
-  private void ended(Events to, Copy copy, AttemptOutcome outcome, long took, Note note) {
+  private void ended(Events to, Copy copy, AttemptOutcome outcome, long took, ResponseDetail note) {
     List<Copy> still = open.getOrDefault(copy.request, List.of());
     if (!still.contains(copy)) {
       return;
@@ -393,7 +403,13 @@
     count("outcome " + outcome);
     count("note " + note);
     to.ended(
-        copy.request, copy.number, copy.cache, outcome, took, outcome == AttemptOutcome.SUCCEEDED, note);
+        copy.request,
+        copy.number,
+        copy.cache,
+        outcome,
+        took,
+        outcome == AttemptOutcome.SUCCEEDED,
+        note);
     if (chance(0.001)) {
       to.ended(
           copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
@@ -453,7 +469,10 @@
     hash("callOff", get, number);
     for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
       if (copy.number == number) {
-        plan(now, to -> ended(to, copy, AttemptOutcome.CANCELLED, now - copy.sentAt, Note.NOTHING));
+        plan(
+            now,
+            to ->
+                ended(to, copy, AttemptOutcome.CANCELLED, now - copy.sentAt, ResponseDetail.NONE));
       }
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -7,7 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -59,7 +58,11 @@
     long nowNanos = START + waitedMillis * MS;
     parts.recorder.recordSent(hedge, START);
     parts.recorder.recordEnded(
-        hedge, AttemptOutcome.TIMED_OUT, waitedMillis * MS, Note.NOTHING, parts.batch(nowNanos));
+        hedge,
+        AttemptOutcome.TIMED_OUT,
+        waitedMillis * MS,
+        ResponseDetail.NONE,
+        parts.batch(nowNanos));
     assertEquals(cut, hedge.source().limit.limit() < before);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -8,7 +8,6 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -181,7 +180,7 @@
   }
 
   private final class Instance implements RoutingActions {
-    private record Answer(long at, long get, int cache, Note note) {}
+    private record Answer(long at, long get, int cache, ResponseDetail note) {}
 
     private final RequestRouter control;
     private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
@@ -256,7 +255,7 @@
       for (Answer answer : List.copyOf(answers)) {
         if (answer.at <= now) {
           answers.remove(answer);
-          boolean has = answer.note != Note.NOTHING;
+          boolean has = answer.note != ResponseDetail.NONE;
           events.add(
               to ->
                   to.ended(
@@ -292,7 +291,10 @@
       }
       answers.add(
           new Answer(
-              now + 50 * MS, get, cache, filled ? Note.FILLED : misses ? Note.NOTHING : Note.HIT));
+              now + 50 * MS,
+              get,
+              cache,
+              filled ? ResponseDetail.FILLED : misses ? ResponseDetail.NONE : ResponseDetail.HIT));
     }
 
     @Override
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -3,7 +3,6 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 
 class TrafficClassTest {
@@ -22,7 +21,8 @@
     assertEquals(0.5, trafficClass.missFraction());
     assertEquals(0.5, trafficClass.originFraction());
     for (int answer = 0; answer < 400; answer++) {
-      trafficClass.recordRoute(answer % 4 == 0 ? Note.FILLED_BY_ORIGIN : Note.HIT);
+      trafficClass.recordRoute(
+          answer % 4 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.HIT);
     }
     assertEquals(0.25, trafficClass.missFraction(), 0.02);
     assertTrue(trafficClass.originFraction() > 0.95);
