--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -16,7 +16,7 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -127,7 +127,7 @@
     }
   }
 
-  private static String say(State state) {
+  private static String say(EndpointState state) {
     return switch (state) {
       case UP -> "ready";
       case DRAINING -> "draining";
@@ -136,7 +136,7 @@
   }
 
   /** Changes a cache that is there. */
-  private int change(String id, State to) throws Exception {
+  private int change(String id, EndpointState to) throws Exception {
     return with(
         (desk, access) ->
             desk.list()
@@ -156,7 +156,7 @@
                         return Future.succeededFuture(AmberpathCommand.FAILED);
                       }
                       RegistryRecord.Cache now =
-                          to == State.GONE
+                          to == EndpointState.GONE
                               ? null
                               : new RegistryRecord.Cache(
                                   id,
@@ -186,7 +186,7 @@
       mixinStandardHelpOptions = true,
       description = "Nothing new goes to a cache.")
   int drain(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.DRAINING);
+    return change(id, EndpointState.DRAINING);
   }
 
   @Command(
@@ -194,7 +194,7 @@
       mixinStandardHelpOptions = true,
       description = "A drained cache takes GETs again.")
   int ready(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.UP);
+    return change(id, EndpointState.UP);
   }
 
   @Command(
@@ -202,7 +202,7 @@
       mixinStandardHelpOptions = true,
       description = "A cache is gone; its id may come anew.")
   int remove(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.GONE);
+    return change(id, EndpointState.GONE);
   }
 
   @Command(
@@ -228,7 +228,14 @@
       throws Exception {
     RegistryRecord.Cache cache =
         new RegistryRecord.Cache(
-            id, address, zone, kind, cell, State.UP, weight, cold ? System.currentTimeMillis() : 0);
+            id,
+            address,
+            zone,
+            kind,
+            cell,
+            EndpointState.UP,
+            weight,
+            cold ? System.currentTimeMillis() : 0);
     String fault = RecordCodec.fault(cache);
     if (fault != null) {
       System.err.println("add: gateways would not take that: " + fault);
@@ -304,7 +311,7 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {
       say(
@@ -330,7 +337,7 @@
               .put("at_ms", atMs));
     }
 
-    private String say(State state) {
+    private String say(EndpointState state) {
       return RegistryCommand.say(state);
     }
 
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -15,10 +15,10 @@
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * The caches that the journal told of, by the small indices under which the decisions know them.
@@ -28,7 +28,7 @@
     final String id;
     final int index;
     SocketAddress address;
-    State state;
+    EndpointState state;
     CachePool pool;
 
     /**
@@ -90,7 +90,7 @@
   /** The index of one that may be asked; -1 where there is none. */
   int index(String id) {
     Entry entry = byId.get(id);
-    return entry == null || entry.state != State.UP ? -1 : entry.index;
+    return entry == null || entry.state != EndpointState.UP ? -1 : entry.index;
   }
 
   CachePool pool(int cache) {
@@ -98,7 +98,7 @@
     if (entry.pool == null) {
       CachePool.Bounds bounds =
           new CachePool.Bounds(
-              () -> entry.state == State.GONE ? 1 : most,
+              () -> entry.state == EndpointState.GONE ? 1 : most,
               options.wantsOnConnection(),
               options.connectTimeout(),
               options.connectionIdle(),
@@ -136,9 +136,9 @@
   @Override
   public void listing(boolean whole) {
     list.clear();
-    list.add(to -> to.listing(whole ? Listing.FULL : Listing.CHANGES));
+    list.add(to -> to.listing(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES));
     if (whole) {
-      byId.values().forEach(entry -> entry.state = State.GONE);
+      byId.values().forEach(entry -> entry.state = EndpointState.GONE);
     }
   }
 
@@ -149,10 +149,10 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs) {
-    if (state == State.GONE && !byId.containsKey(id)) {
+    if (state == EndpointState.GONE && !byId.containsKey(id)) {
       return;
     }
     Entry entry =
@@ -201,10 +201,10 @@
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
     int listed = 0;
     for (Entry entry : byId.values()) {
-      listed += entry.state == State.GONE ? 0 : 1;
+      listed += entry.state == EndpointState.GONE ? 0 : 1;
       if (entry.pool != null) {
         entry.pool.fail(
-            want -> entry.state != State.UP || !up((OutboundAttempt) want),
+            want -> entry.state != EndpointState.UP || !up((OutboundAttempt) want),
             AttemptOutcome.WITHDRAWN);
       }
     }
@@ -213,7 +213,7 @@
 
   private boolean up(OutboundAttempt sent) {
     Entry source = entries.get(sent.plan.source());
-    return source != null && source.state == State.UP;
+    return source != null && source.state == EndpointState.UP;
   }
 
   @Override
@@ -249,7 +249,7 @@
     }
     route.enqueueDiscovery(
         to -> {
-          to.listing(Listing.CHANGES);
+          to.listing(EndpointListKind.CHANGES);
           later.forEach(one -> one.accept(to));
           to.listed();
         });
@@ -270,7 +270,7 @@
   void sweep() {
     clock.watch();
     for (Entry entry : List.copyOf(byId.values())) {
-      boolean gone = entry.state == State.GONE;
+      boolean gone = entry.state == EndpointState.GONE;
       if (entry.pool != null && gone && entry.pool.isFree()) {
         entry.pool.close();
         entry.pool = null;
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -10,13 +10,13 @@
 import org.amberpath.gateway.cache.ReplyWarmUp;
 import org.amberpath.gateway.client.RequestWarmUp;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Runs made-up requests before clients are let in, so that the first real ones find compiled code.
@@ -142,12 +142,13 @@
   }
 
   private void listEndpoints(Events events) {
-    events.listing(Listing.FULL);
+    events.listing(EndpointListKind.FULL);
     for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-      events.member(endpoint, "m" + endpoint, config.zone(), "m", 0, State.UP, 1, 0);
+      events.member(endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0);
     }
     if (config.midKind() != null) {
-      events.member(ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, State.UP, 1, 0);
+      events.member(
+          ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, EndpointState.UP, 1, 0);
     }
     events.listed();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known
@@ -108,11 +108,11 @@
     }
   }
 
-  private static State state(JsonReader one) {
+  private static EndpointState state(JsonReader one) {
     return switch (one.text("lifecycle")) {
-      case "ready" -> State.UP;
-      case "draining" -> State.DRAINING;
-      case "gone" -> State.GONE;
+      case "ready" -> EndpointState.UP;
+      case "draining" -> EndpointState.DRAINING;
+      case "gone" -> EndpointState.GONE;
       default -> throw one.wrong("lifecycle", "of no known kind: " + one.text("lifecycle"));
     };
   }
@@ -140,7 +140,7 @@
       }
       for (JsonReader one : instances) {
         member(one, to);
-        if (state(one) == State.GONE) {
+        if (state(one) == EndpointState.GONE) {
           left.add(one.text("instanceId"));
         }
       }
@@ -149,7 +149,7 @@
 
     private boolean isReturn(List<JsonReader> instances) {
       for (JsonReader one : left.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (left.contains(one.text("instanceId")) && state(one) != State.GONE) {
+        if (left.contains(one.text("instanceId")) && state(one) != EndpointState.GONE) {
           return true;
         }
       }
@@ -179,7 +179,7 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {}
 
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -3,6 +3,8 @@
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEvents;
 
@@ -93,20 +95,20 @@
     return caches.indexOf(address);
   }
 
-  private static RoutingEvents.Listing listing(JsonReader view) {
+  private static EndpointListKind listing(JsonReader view) {
     return switch (view.text("scope")) {
-      case "D" -> RoutingEvents.Listing.CHANGES;
-      case "F", "C" -> RoutingEvents.Listing.FULL;
-      case "X" -> RoutingEvents.Listing.NONE;
+      case "D" -> EndpointListKind.CHANGES;
+      case "F", "C" -> EndpointListKind.FULL;
+      case "X" -> EndpointListKind.NONE;
       default -> throw unknown(view, "scope");
     };
   }
 
-  private static RoutingEvents.State state(JsonReader entry) {
+  private static EndpointState state(JsonReader entry) {
     return switch (entry.text("state")) {
-      case "U" -> RoutingEvents.State.UP;
-      case "L" -> RoutingEvents.State.DRAINING;
-      case "D" -> RoutingEvents.State.GONE;
+      case "U" -> EndpointState.UP;
+      case "L" -> EndpointState.DRAINING;
+      case "D" -> EndpointState.GONE;
       default -> throw unknown(entry, "state");
     };
   }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -28,6 +28,8 @@
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEvents;
@@ -995,7 +997,7 @@
     }
 
     @Override
-    public void listing(RoutingEvents.Listing what) {
+    public void listing(EndpointListKind what) {
       to.listing(what);
     }
 
@@ -1006,7 +1008,7 @@
         String zone,
         String kind,
         int cell,
-        RoutingEvents.State state,
+        EndpointState state,
         double weight,
         long startedAt) {
       to.member(cache, id, zone, kind, cell, state, weight, startedAt);
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -10,7 +10,7 @@
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -106,13 +106,13 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {
       if (id.equals(unusable)) {
         throw new InvalidDocumentException("unusable");
       }
-      told.add(state == State.GONE ? "-" + id : id);
+      told.add(state == EndpointState.GONE ? "-" + id : id);
     }
 
     @Override
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * The main job, seen: a gateway among stand-ins, a cache that dies and one that is drained, and
@@ -46,7 +46,7 @@
       long drainedAt =
           world.on(
               () -> {
-                world.put("e2", State.DRAINING);
+                world.put("e2", EndpointState.DRAINING);
                 return System.nanoTime();
               });
       Thread.sleep(seconds * 1000L / 3);
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * A gateway on loopback among stand-ins: a registry of several endpoints, edge caches, hubs and the
@@ -76,7 +76,7 @@
     await(Future.all(all));
     on(
         () -> {
-          caches.keySet().forEach(id -> put(id, State.UP));
+          caches.keySet().forEach(id -> put(id, EndpointState.UP));
           return null;
         });
   }
@@ -88,7 +88,7 @@
   }
 
   /** Writes a cache's state into the registry, with the tip. Null deletes it. */
-  public void put(String id, State state) {
+  public void put(String id, EndpointState state) {
     String kind =
         id.startsWith("e")
             ? LabSettings.EDGE
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -16,6 +16,8 @@
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.recovery.RecoveryRamp;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
@@ -23,8 +25,6 @@
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * A fleet of real decisions on the virtual clock among simulated caches, hubs and an origin, and
@@ -185,14 +185,14 @@
     bins[(int) Math.min(bins.length - 1, (at - START) / SECOND)]++;
   }
 
-  protected final void tell(int cache, State state, long startedAt) {
+  protected final void tell(int cache, EndpointState state, long startedAt) {
     for (One one : gateways) {
       agenda.at(
           agenda.now() + chance.nextLong(50 * MS),
           () ->
               one.tell(
                   to -> {
-                    to.listing(Listing.CHANGES);
+                    to.listing(EndpointListKind.CHANGES);
                     one.member(to, caches.get(cache), state, startedAt);
                     to.listed();
                   }));
@@ -430,9 +430,14 @@
       opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
       tell(
           to -> {
-            to.listing(Listing.FULL);
+            to.listing(EndpointListKind.FULL);
             caches.forEach(
-                cache -> member(to, cache, cache.down ? State.GONE : State.UP, cache.startedAt));
+                cache ->
+                    member(
+                        to,
+                        cache,
+                        cache.down ? EndpointState.GONE : EndpointState.UP,
+                        cache.startedAt));
             to.listed();
           });
       // Of what its part of the cold budgets bears it knows the caches that are there.
@@ -468,7 +473,7 @@
       }
     }
 
-    void member(Events to, Cache cache, State state, long startedAt) {
+    void member(Events to, Cache cache, EndpointState state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
       to.member(
           cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -23,7 +23,7 @@
 import org.amberpath.lab.testbed.RuleAuditor;
 import org.amberpath.lab.testbed.StandInJournal;
 import org.amberpath.lab.testbed.StandInJournal.Instance;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * One real gateway among stand-in endpoints, half of which are replaced in steps while clients ask.
@@ -114,7 +114,7 @@
     onLoop(
         () -> {
           List<String> ids = caches.keySet().stream().sorted().toList();
-          journal.hosts(true, ids.stream().map(id -> instance(id, State.UP, 0)).toList());
+          journal.hosts(true, ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
           ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
           shuffle();
           return null;
@@ -148,7 +148,7 @@
     return cache.listen();
   }
 
-  private Instance instance(String id, State state, long startedAtMillis) {
+  private Instance instance(String id, EndpointState state, long startedAtMillis) {
     String kind =
         id.startsWith("e")
             ? LabSettings.EDGE
@@ -271,14 +271,14 @@
         .onSuccess(
             up -> {
               long now = System.currentTimeMillis();
-              tell(instance(fresh, State.UP, now));
+              tell(instance(fresh, EndpointState.UP, now));
               auditor.startedCold(fresh, weight);
-              tell(instance(old, State.DRAINING, 0));
+              tell(instance(old, EndpointState.DRAINING, 0));
               auditor.drained(old);
               vertx.setTimer(
                   DRAIN_MILLIS,
                   over -> {
-                    tell(instance(old, State.GONE, 0));
+                    tell(instance(old, EndpointState.GONE, 0));
                     caches.get(old).close();
                   });
             });
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.amberpath.lab.VirtualFleet;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /** A fifth of the caches hang and come back, and one dies and comes back cold. */
 final class LeadershipValueModel extends VirtualFleet {
@@ -28,7 +28,7 @@
           caches.subList(0, hung).forEach(cache -> cache.hangs = true);
           caches.get(cold).dies();
         });
-    agenda.at(START + WARM_S * SECOND + TOLD_LATE, () -> tell(cold, State.GONE, 0));
+    agenda.at(START + WARM_S * SECOND + TOLD_LATE, () -> tell(cold, EndpointState.GONE, 0));
     agenda.at(
         START + BACK_S * SECOND,
         () -> {
@@ -36,7 +36,8 @@
           caches.get(cold).starts();
         });
     agenda.at(
-        START + BACK_S * SECOND + 50 * MS, () -> tell(cold, State.UP, START + BACK_S * SECOND));
+        START + BACK_S * SECOND + 50 * MS,
+        () -> tell(cold, EndpointState.UP, START + BACK_S * SECOND));
   }
 
   @Override
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.amberpath.lab.VirtualFleet;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * All gateways, caches and hubs lose power in one moment and come back within some seconds, cold,
@@ -39,7 +39,7 @@
           () -> {
             cache.starts();
             long startedAt = agenda.now();
-            agenda.at(agenda.now() + TOLD, () -> tell(cache.index, State.UP, startedAt));
+            agenda.at(agenda.now() + TOLD, () -> tell(cache.index, EndpointState.UP, startedAt));
           });
     }
     for (One one : gateways) {
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /** The caches as a registry's view has told them, and what is wrong with the way it did. */
 final class RecordedEndpointList implements EndpointListener {
@@ -46,8 +46,8 @@
   }
 
   /** For any thread. */
-  synchronized Map<String, State> states() {
-    Map<String, State> states = new TreeMap<>();
+  synchronized Map<String, EndpointState> states() {
+    Map<String, EndpointState> states = new TreeMap<>();
     caches.forEach((id, cache) -> states.put(id, cache.state()));
     return states;
   }
@@ -98,12 +98,12 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs) {
     RegistryRecord.Cache cache =
         new RegistryRecord.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
-    if (state == State.GONE) {
+    if (state == EndpointState.GONE) {
       if (caches.remove(id) == null) {
         wrong.accept(id + " is told gone, and was not there");
       }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * A real gateway on sockets while its registry changes several hundred times a minute, compacts,
@@ -179,7 +179,7 @@
         if (drainedAt.size() + absent.size() < EDGES / 2
             && !absent.contains(id)
             && !drainedAt.containsKey(id)) {
-          world.put(id, State.DRAINING);
+          world.put(id, EndpointState.DRAINING);
           drainedAt.put(id, System.nanoTime());
           drains++;
         }
@@ -210,7 +210,7 @@
       default -> {
         drainedAt.remove(id);
         absent.remove(id);
-        world.put(id, State.UP);
+        world.put(id, EndpointState.UP);
       }
     }
     if (chance.nextInt(5) == 0) {
@@ -293,13 +293,17 @@
     world.on(
         () -> {
           quiets++;
-          Map<String, State> there = new HashMap<>();
+          Map<String, EndpointState> there = new HashMap<>();
           world.registry.now().keySet().stream()
               .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES))
               .map(key -> key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES).length()))
               .filter(id -> !id.equals("spoilt"))
-              .forEach(id -> there.put(id, drainedAt.containsKey(id) ? State.DRAINING : State.UP));
-          Map<String, State> seen = told.states();
+              .forEach(
+                  id ->
+                      there.put(
+                          id,
+                          drainedAt.containsKey(id) ? EndpointState.DRAINING : EndpointState.UP));
+          Map<String, EndpointState> seen = told.states();
           if (!there.equals(seen)) {
             wrong("quiet, the registry holds " + there + " and the gateway was told " + seen);
           }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -13,7 +13,7 @@
 import org.amberpath.lab.registry.VirtualRegistry.Way;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.RegistryView;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * One run of the registry's pure half on a virtual clock: changes and faults in any order from a
@@ -73,7 +73,7 @@
   Map<String, Long> run() {
     truth();
     for (int cache = 0; cache < CACHES; cache++) {
-      write("c" + cache, cache(cache, State.UP), true);
+      write("c" + cache, cache(cache, EndpointState.UP), true);
     }
     client.start();
     agenda.at(START + chance.nextLong(SECOND), this::change);
@@ -115,7 +115,7 @@
 
   // ---- What is written.
 
-  private RegistryRecord.Cache cache(int number, State state) {
+  private RegistryRecord.Cache cache(int number, EndpointState state) {
     return new RegistryRecord.Cache(
         "c" + number, "127.0.0.1:" + (1000 + chance.nextInt(9000)), "z", "box", 0, state, 1, 0);
   }
@@ -171,21 +171,21 @@
     boolean tip = chance.nextInt(10) > 0;
     switch (chance.nextInt(12)) {
       case 0, 1, 2 -> {
-        write(id, cache(number, State.DRAINING), tip);
+        write(id, cache(number, EndpointState.DRAINING), tip);
         watchDrain(id, tip);
       }
-      case 3, 4, 5 -> write(id, cache(number, State.UP), tip);
+      case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), tip);
       case 6 -> write(id, null, tip);
       case 7 -> {
         // Gone, and another one under the same id at once.
         write(id, null, tip);
-        write(id, cache(number, State.UP), tip);
+        write(id, cache(number, EndpointState.UP), tip);
       }
       case 8 -> {
         Map<String, RegistryRecord> several = new TreeMap<>();
         for (int more = 0; more < 4; more++) {
           int other = chance.nextInt(CACHES + 4);
-          several.put(VirtualRegistry.PREFIX + "caches/c" + other, cache(other, State.UP));
+          several.put(VirtualRegistry.PREFIX + "caches/c" + other, cache(other, EndpointState.UP));
         }
         write(several, tip);
       }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -13,7 +13,7 @@
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.WatchSession;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * The registry's pure half at size on the virtual clock: time to apply a change, cost a client, a
@@ -49,7 +49,7 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {}
 
@@ -62,12 +62,12 @@
     public void purged(long object, int group, long atMs) {}
   }
 
-  private static RegistryRecord.Cache cache(int number, State state) {
+  private static RegistryRecord.Cache cache(int number, EndpointState state) {
     return new RegistryRecord.Cache(
         "c" + number, "127.0.0.1:" + (1000 + number % 60_000), "z", "box", 0, state, 1, 0);
   }
 
-  private static void write(VirtualRegistry registry, int number, State state) {
+  private static void write(VirtualRegistry registry, int number, EndpointState state) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     writes.put(VirtualRegistry.PREFIX + "caches/c" + number, cache(number, state));
     writes.put(VirtualRegistry.TIP, new RegistryRecord.Other());
@@ -92,7 +92,7 @@
     VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < caches; number++) {
-      write(registry, number, State.UP);
+      write(registry, number, EndpointState.UP);
     }
     registry.history.compact(registry.history.revision());
     List<VirtualRegistry.Client> all = new ArrayList<>();
@@ -131,7 +131,9 @@
           when,
           () -> {
             write(
-                registry, chance.nextInt(caches), chance.nextBoolean() ? State.UP : State.DRAINING);
+                registry,
+                chance.nextInt(caches),
+                chance.nextBoolean() ? EndpointState.UP : EndpointState.DRAINING);
             committed.put(registry.history.revision(), agenda.now());
           });
     }
@@ -171,7 +173,7 @@
     VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < 50; number++) {
-      write(registry, number, State.UP);
+      write(registry, number, EndpointState.UP);
     }
     List<VirtualRegistry.Client> all = new ArrayList<>();
     for (int one = 0; one < HERD; one++) {
@@ -187,7 +189,7 @@
         back,
         () -> {
           registry.nodes.forEach(node -> node.become(Way.ANSWERS));
-          write(registry, 0, State.DRAINING);
+          write(registry, 0, EndpointState.DRAINING);
         });
     while (agenda.step(back)) {
       // The condition does the work.
--- a/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -22,7 +22,7 @@
 import org.amberpath.lab.LabSettings;
 import org.amberpath.lab.LoadGenerator;
 import org.amberpath.lab.StandInCache;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * Several gateways as real processes among stand-in caches, a hub, the origin, a journal and
@@ -103,7 +103,7 @@
   private final Plan plan;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Map<String, StandInCache> caches = new LinkedHashMap<>();
-  private final Map<String, State> states = new LinkedHashMap<>();
+  private final Map<String, EndpointState> states = new LinkedHashMap<>();
   private final SplittableRandom chance;
   private final StandInJournal journal = new StandInJournal(vertx);
   private final HttpClient client =
@@ -143,7 +143,7 @@
     EventLoopWaiter.await(Future.all(opening));
     on(
         () -> {
-          caches.keySet().forEach(id -> host(id, State.UP, 0));
+          caches.keySet().forEach(id -> host(id, EndpointState.UP, 0));
           return null;
         });
     Files.writeString(plan.folder().resolve("keys"), "k1 " + "6b".repeat(32) + "\n");
@@ -162,7 +162,7 @@
         : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
   }
 
-  private void host(String id, State state, long startedAtMs) {
+  private void host(String id, EndpointState state, long startedAtMs) {
     states.put(id, state);
     journal.host(
         id,
@@ -425,24 +425,24 @@
           String id = "e" + chance.nextInt(EDGES);
           long up =
               states.entrySet().stream()
-                  .filter(one -> one.getKey().startsWith("e") && one.getValue() == State.UP)
+                  .filter(one -> one.getKey().startsWith("e") && one.getValue() == EndpointState.UP)
                   .count();
           switch (chance.nextInt(4)) {
             case 0 -> {
-              if (states.get(id) == State.UP && up > EDGES / 2) {
-                host(id, State.DRAINING, 0);
+              if (states.get(id) == EndpointState.UP && up > EDGES / 2) {
+                host(id, EndpointState.DRAINING, 0);
                 auditor.drained(id);
               }
             }
             case 1 -> {
-              if (states.get(id) == State.DRAINING) {
+              if (states.get(id) == EndpointState.DRAINING) {
                 auditor.ready(id);
-                host(id, State.UP, 0);
+                host(id, EndpointState.UP, 0);
               }
             }
             case 2 -> {
-              if (states.get(id) == State.UP && up > EDGES / 2) {
-                host(id, State.GONE, 0);
+              if (states.get(id) == EndpointState.UP && up > EDGES / 2) {
+                host(id, EndpointState.GONE, 0);
                 caches.get(id).close();
                 vertx.setTimer(
                     50,
@@ -452,7 +452,7 @@
                             .listen()
                             .onSuccess(
                                 listens -> {
-                                  host(id, State.UP, System.currentTimeMillis());
+                                  host(id, EndpointState.UP, System.currentTimeMillis());
                                   auditor.startedCold(id, WEIGHT);
                                 }));
               }
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -9,7 +9,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.stream.Collectors;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * The platform's journal service for many gateways: numbered events by long poll. Only for its
@@ -20,7 +20,12 @@
 
   /** One cache in an event; startedAtMs is when it started cold, or 0. */
   public record Instance(
-      String id, String address, String kind, double weight, State state, long startedAtMs) {
+      String id,
+      String address,
+      String kind,
+      double weight,
+      EndpointState state,
+      long startedAtMs) {
     private String json() {
       return "{\"instanceId\":\""
           + id
@@ -31,7 +36,9 @@
           + "\",\"machineType\":\""
           + kind
           + "\",\"cell\":0,\"lifecycle\":\""
-          + (state == State.UP ? "ready" : state == State.DRAINING ? "draining" : "gone")
+          + (state == EndpointState.UP
+              ? "ready"
+              : state == EndpointState.DRAINING ? "draining" : "gone")
           + "\",\"weight\":"
           + weight
           + ",\"startedAtMs\":"
@@ -63,7 +70,13 @@
   }
 
   /** A cache's state; startedAtMs is when it started cold, or 0. */
-  void host(String id, String address, String kind, double weight, State state, long startedAtMs) {
+  void host(
+      String id,
+      String address,
+      String kind,
+      double weight,
+      EndpointState state,
+      long startedAtMs) {
     hosts(false, List.of(new Instance(id, address, kind, weight, state, startedAtMs)));
   }
 
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -38,7 +38,7 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.Form;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -148,7 +148,7 @@
         });
   }
 
-  private void put(String id, State state) throws Exception {
+  private void put(String id, EndpointState state) throws Exception {
     Map<String, byte[]> writes = new TreeMap<>();
     writes.put(
         PREFIX + RecordCodec.CACHES + id,
@@ -162,7 +162,7 @@
     on(() -> registry.write(writes));
   }
 
-  private Boolean is(String id, State state) {
+  private Boolean is(String id, EndpointState state) {
     return told.states().get(id) == state;
   }
 
@@ -170,41 +170,41 @@
   @EnumSource(Form.class)
   void changesComeAsTheyAreWrittenAndSurviveBreaksAndCompaction(Form form) throws Exception {
     endpoints(2);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(plain(form));
-    await(() -> is("a", State.UP));
-    put("a", State.DRAINING);
-    await(() -> is("a", State.DRAINING));
+    await(() -> is("a", EndpointState.UP));
+    put("a", EndpointState.DRAINING);
+    await(() -> is("a", EndpointState.DRAINING));
     on(
         () -> {
           registry.endpoints().forEach(StandInRegistry.Endpoint::cut);
           return null;
         });
-    put("b", State.UP);
+    put("b", EndpointState.UP);
     put("a", null);
     on(
         () -> {
           registry.compact(0);
           return null;
         });
-    await(() -> is("b", State.UP) && is("a", null));
+    await(() -> is("b", EndpointState.UP) && is("a", null));
     on(
         () -> {
           registry.write(
               new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES + "bad", new byte[] {1})));
           return null;
         });
-    put("c", State.UP);
-    await(() -> is("c", State.UP) && is("bad", null));
+    put("c", EndpointState.UP);
+    await(() -> is("c", EndpointState.UP) && is("bad", null));
   }
 
   @ParameterizedTest
   @EnumSource(Form.class)
   void aDrainComesInTimeThoughBothWatchesFellSilent(Form form) throws Exception {
     endpoints(3);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(plain(form));
-    await(() -> is("a", State.UP) && source.status().watches() == 2);
+    await(() -> is("a", EndpointState.UP) && source.status().watches() == 2);
     // Warm, and steady for longer than a lone endpoint must be.
     Thread.sleep(1500);
     on(
@@ -213,8 +213,8 @@
           return null;
         });
     long written = System.nanoTime();
-    put("a", State.DRAINING);
-    await(() -> is("a", State.DRAINING));
+    put("a", EndpointState.DRAINING);
+    await(() -> is("a", EndpointState.DRAINING));
     long took = (System.nanoTime() - written) / 1_000_000;
     assertTrue(took < 600, took + " ms, a loaded machine's time included");
   }
@@ -229,9 +229,9 @@
           registry.askFor(SECRET + "-1");
           return null;
         });
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(access(Form.ETCD, null, token, null, null, null));
-    await(() -> is("a", State.UP));
+    await(() -> is("a", EndpointState.UP));
     Files.writeString(token, SECRET + "-2\n");
     on(
         () -> {
@@ -239,8 +239,8 @@
           registry.endpoints().get(0).cut();
           return null;
         });
-    put("a", State.DRAINING);
-    await(() -> is("a", State.DRAINING));
+    put("a", EndpointState.DRAINING);
+    await(() -> is("a", EndpointState.DRAINING));
     on(
         () -> {
           registry.askFor(SECRET + "-3");
@@ -261,9 +261,9 @@
           registry.askFor("given");
           return null;
         });
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(access(Form.ETCD, null, null, "reader", password, null));
-    await(() -> is("a", State.UP));
+    await(() -> is("a", EndpointState.UP));
     assertFalse(logged.toString().contains(SECRET));
   }
 
@@ -321,7 +321,7 @@
     endpoints(1);
     certificate("other");
     Path trust = Files.copy(folder.resolve("other.crt"), folder.resolve("trust.pem"));
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(access(Form.ETCD, trust, null, null, null, null));
     await(() -> logged.stream().anyMatch(line -> line.contains("UNTRUSTED")));
     assertEquals(Map.of(), told.states());
@@ -331,15 +331,15 @@
           source.reload();
           return null;
         });
-    await(() -> is("a", State.UP));
+    await(() -> is("a", EndpointState.UP));
     // Read again, files leave an open watch alone.
     on(
         () -> {
           source.reload();
           return null;
         });
-    put("a", State.DRAINING);
-    await(() -> is("a", State.DRAINING));
+    put("a", EndpointState.DRAINING);
+    await(() -> is("a", EndpointState.DRAINING));
   }
 
   @Test
@@ -356,7 +356,7 @@
                 .setTrustOptions(
                     new PemTrustOptions().addCertPath(folder.resolve("client.crt").toString())));
     endpoints(1);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     Path trust = folder.resolve("server.crt");
     RegistrySettings without = access(Form.ETCD, trust, null, null, null, null);
     start(
@@ -376,7 +376,7 @@
             600 * SECOND,
             1000,
             1 << 20));
-    await(() -> is("a", State.UP));
+    await(() -> is("a", EndpointState.UP));
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, without)) {
       assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
     }
@@ -385,22 +385,22 @@
   @Test
   void aWatchThatTheServerEndsInGoodOrderIsOpenedAgain() throws Exception {
     endpoints(1);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     start(plain(Form.ETCD));
-    await(() -> is("a", State.UP) && source.status().watches() == 1);
+    await(() -> is("a", EndpointState.UP) && source.status().watches() == 1);
     on(
         () -> {
           registry.endpoints().get(0).finish();
           return null;
         });
-    put("a", State.DRAINING);
-    await(() -> is("a", State.DRAINING) && source.status().watches() == 1);
+    put("a", EndpointState.DRAINING);
+    await(() -> is("a", EndpointState.DRAINING) && source.status().watches() == 1);
   }
 
   @Test
   void aStartWithNoRegistryServesFromTheSnapshotWithItsTrueAge() throws Exception {
     endpoints(1);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     Path file = folder.resolve("view");
     start(access(Form.ETCD, null, null, null, null, file));
     await(() -> Files.exists(file));
@@ -413,22 +413,22 @@
     told.listing(true);
     told.listed();
     start(access(Form.ETCD, null, null, null, null, file));
-    await(() -> is("a", State.UP));
+    await(() -> is("a", EndpointState.UP));
     assertTrue(on(() -> source.status().age() > 0 && source.status().phase() != Phase.CURRENT));
-    put("a", State.DRAINING);
+    put("a", EndpointState.DRAINING);
     on(
         () -> {
           registry.endpoints().get(0).become(Way.ANSWERS);
           return null;
         });
-    await(() -> is("a", State.DRAINING));
+    await(() -> is("a", EndpointState.DRAINING));
   }
 
   @ParameterizedTest
   @EnumSource(Form.class)
   void aWriteFailsIfItsKeyMovedMeanwhile(Form form) throws Exception {
     endpoints(1);
-    put("a", State.UP);
+    put("a", EndpointState.UP);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
       long seen =
           LoopbackTestbed.await(desk.list()).stream()
@@ -436,9 +436,9 @@
               .findFirst()
               .orElseThrow()
               .changed();
-      put("a", State.DRAINING);
+      put("a", EndpointState.DRAINING);
       RegistryRecord.Cache other =
-          new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, State.UP, 1, 0);
+          new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, EndpointState.UP, 1, 0);
       assertFalse(
           LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "a", other, seen)));
       long tip = on(() -> registry.revision());
--- a/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
@@ -1,6 +1,6 @@
 package org.amberpath.registry;
 
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /** What the value of one key says. Keys and values are those of docs/operate/registry.md. */
 public sealed interface RegistryRecord {
@@ -14,7 +14,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs)
       implements RegistryRecord {}
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * What a gateway believes of the registry, and the news that it makes of every difference: each
@@ -344,10 +344,10 @@
 
   private void gone(RegistryRecord.Cache cache) {
     starts.gone(cache.id());
-    member(cache, State.GONE, 0);
+    member(cache, EndpointState.GONE, 0);
   }
 
-  private void member(RegistryRecord.Cache cache, State state, long startedAtMs) {
+  private void member(RegistryRecord.Cache cache, EndpointState state, long startedAtMs) {
     to.member(
         cache.id(),
         cache.address(),
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -10,7 +10,7 @@
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.registry.RegistryRecord;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is
@@ -56,10 +56,10 @@
   }
 
   private static RegistryRecord cache(String id, JsonReader fields) {
-    State state =
+    EndpointState state =
         switch (fields.text("state")) {
-          case "ready" -> State.UP;
-          case "draining" -> State.DRAINING;
+          case "ready" -> EndpointState.UP;
+          case "draining" -> EndpointState.DRAINING;
           default -> throw fields.wrong("state", "neither ready nor draining");
         };
     String address = fields.text("address");
@@ -125,7 +125,7 @@
         to.writeStringField("zone", cache.zone());
         to.writeStringField("kind", cache.kind());
         to.writeNumberField("cell", cache.cell());
-        to.writeStringField("state", cache.state() == State.UP ? "ready" : "draining");
+        to.writeStringField("state", cache.state() == EndpointState.UP ? "ready" : "draining");
         to.writeNumberField("weight", cache.weight());
         to.writeNumberField("started_at_ms", cache.startedAtMs());
       } else if (content instanceof RegistryRecord.Purge purge) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -2,7 +2,7 @@
 
 import java.util.function.LongSupplier;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall
@@ -43,7 +43,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs) {
     to.member(
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -8,7 +8,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** What a view tells of what a registry holds, one story for each way to get it wrong. */
@@ -41,10 +41,11 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {
-      list.append(id).append(state == State.UP ? '+' : state == State.DRAINING ? '~' : '-');
+      list.append(id)
+          .append(state == EndpointState.UP ? '+' : state == EndpointState.DRAINING ? '~' : '-');
     }
 
     @Override
@@ -58,7 +59,7 @@
     }
   }
 
-  static RegistryEntry cache(String id, State state, long created, long changed) {
+  static RegistryEntry cache(String id, EndpointState state, long created, long changed) {
     return new RegistryEntry(
         "p/" + id,
         new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0),
@@ -93,7 +94,7 @@
   void theFirstListIsToldWhole() {
     view.whole(
         NOW,
-        List.of(cache("a", State.UP, 1, 1), cache("b", State.DRAINING, 2, 3)),
+        List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.DRAINING, 2, 3)),
         "c",
         10,
         NOW,
@@ -104,57 +105,60 @@
 
   @Test
   void allKeysOfARevisionAreOneListingAndRevisionsAreToldApart() {
-    starts(cache("a", State.UP, 1, 1));
+    starts(cache("a", EndpointState.UP, 1, 1));
     view.changes(
         NOW,
         List.of(
-            put(cache("b", State.UP, 11, 11)),
-            put(cache("a", State.DRAINING, 1, 11)),
-            put(cache("a", State.UP, 1, 12))));
+            put(cache("b", EndpointState.UP, 11, 11)),
+            put(cache("a", EndpointState.DRAINING, 1, 11)),
+            put(cache("a", EndpointState.UP, 1, 12))));
     assertEquals(List.of("[a~b+]", "[a+]"), told());
   }
 
   @Test
   void whatASecondWatchTellsAgainIsPassedOver() {
-    starts(cache("a", State.UP, 1, 1));
-    view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 11))));
+    starts(cache("a", EndpointState.UP, 1, 1));
+    view.changes(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 11))));
     view.changes(
-        NOW, List.of(put(cache("a", State.DRAINING, 1, 11)), put(cache("a", State.UP, 1, 12))));
+        NOW,
+        List.of(
+            put(cache("a", EndpointState.DRAINING, 1, 11)),
+            put(cache("a", EndpointState.UP, 1, 12))));
     assertEquals(List.of("[a~]", "[a+]"), told());
   }
 
   @Test
   void aCacheThatIsCreatedAnewUnderItsIdIsGoneFirst() {
-    starts(cache("a", State.UP, 1, 1));
-    assertTrue(view.written(NOW, List.of(cache("a", State.UP, 14, 14)), 1, 14, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1));
+    assertTrue(view.written(NOW, List.of(cache("a", EndpointState.UP, 14, 14)), 1, 14, NOW));
     assertEquals(List.of("[a-]", "[a+]"), told());
   }
 
   @Test
   void aDeletionThatNobodyToldOfNeedsAWholeList() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("a", State.DRAINING, 1, 12)), 1, 13, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
+    assertFalse(view.written(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), 1, 13, NOW));
     assertEquals(List.of(), told());
-    view.whole(NOW, List.of(cache("a", State.DRAINING, 1, 12)), "c", 13, NOW, false);
+    view.whole(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), "c", 13, NOW, false);
     assertEquals(List.of("[b-a~]"), told());
   }
 
   @Test
   void aDeletionThatANewKeyHidesInTheCountIsFoundToo() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("d", State.UP, 12, 12)), 2, 13, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
+    assertFalse(view.written(NOW, List.of(cache("d", EndpointState.UP, 12, 12)), 2, 13, NOW));
   }
 
   @Test
   void aValueThatCantBeReadSpoilsItsOwnKeyAloneAndTheLastGoodOneStays() {
-    starts(cache("a", State.UP, 1, 1));
+    starts(cache("a", EndpointState.UP, 1, 1));
     RegistryEntry spoilt =
         new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
     view.changes(
-        NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", State.UP, 11, 11))));
+        NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", EndpointState.UP, 11, 11))));
     assertEquals(List.of("[b+]"), told());
     assertEquals(List.of("p/a: not JSON"), complaints);
-    view.whole(NOW, List.of(spoilt, cache("b", State.UP, 11, 11)), "c", 12, NOW, false);
+    view.whole(NOW, List.of(spoilt, cache("b", EndpointState.UP, 11, 11)), "c", 12, NOW, false);
     assertEquals(List.of(), told());
     assertEquals(1, complaints.size());
   }
@@ -181,27 +185,28 @@
 
   @Test
   void afterAGapLongerThanPurgesAreKeptEverythingCountsAsPurged() {
-    starts(cache("a", State.UP, 1, 1));
-    view.whole(NOW, List.of(cache("a", State.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
+    starts(cache("a", EndpointState.UP, 1, 1));
+    view.whole(NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
     assertEquals(List.of(), told());
-    view.whole(NOW, List.of(cache("a", State.UP, 1, 1)), "c", 21, NOW + 2 * RETENTION + 1, false);
+    view.whole(
+        NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 21, NOW + 2 * RETENTION + 1, false);
     assertEquals(List.of("purged 0/-1 0"), told());
   }
 
   @Test
   void aRestoredRegistryIsAFullNewListAndEverythingCountsAsPurged() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 9));
-    view.whole(NOW, List.of(cache("b", State.UP, 2, 5)), "c", 6, NOW, true);
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 9));
+    view.whole(NOW, List.of(cache("b", EndpointState.UP, 2, 5)), "c", 6, NOW, true);
     assertEquals(List.of("=[b+]", "purged 0/-1 0"), told());
     assertEquals(6, view.applied());
   }
 
   @Test
   void anOlderWriteOfAKnownKeyShowsThatRevisionsWereGivenAnew() {
-    starts(cache("b", State.UP, 2, 9));
+    starts(cache("b", EndpointState.UP, 2, 9));
     view.whole(
         NOW,
-        List.of(cache("b", State.UP, 2, 5), cache("d", State.UP, 11, 11)),
+        List.of(cache("b", EndpointState.UP, 2, 5), cache("d", EndpointState.UP, 11, 11)),
         "c",
         12,
         NOW,
@@ -211,13 +216,13 @@
 
   @Test
   void keysPastTheBoundArePassedOverWhileThoseHeldAreFollowed() {
-    starts(cache("a", State.UP, 1, 1));
+    starts(cache("a", EndpointState.UP, 1, 1));
     for (int more = 0; more < 8; more++) {
-      view.changes(NOW, List.of(put(cache("x" + more, State.UP, 11 + more, 11 + more))));
+      view.changes(NOW, List.of(put(cache("x" + more, EndpointState.UP, 11 + more, 11 + more))));
     }
     assertEquals(5, told().size());
     assertEquals(1, complaints.size());
-    view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 30))));
+    view.changes(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 30))));
     assertEquals(List.of("[a~]"), told());
     assertEquals(6, view.size());
   }
@@ -226,7 +231,7 @@
   void aSnapshotIsToldWithItsTrueAgeAndTheRegistryOnlyWhatDiffers() {
     view.remember(
         NOW,
-        List.of(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2)),
+        List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2)),
         "c",
         10,
         NOW - 50 * MS);
@@ -234,7 +239,7 @@
     assertEquals(NOW - 50 * MS, view.provenAt());
     view.whole(
         NOW,
-        List.of(cache("a", State.DRAINING, 1, 12), cache("b", State.UP, 2, 2)),
+        List.of(cache("a", EndpointState.DRAINING, 1, 12), cache("b", EndpointState.UP, 2, 2)),
         "c",
         12,
         NOW,
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -34,7 +34,7 @@
                 String zone,
                 String kind,
                 int cell,
-                State state,
+                EndpointState state,
                 double weight,
                 long startedAtMs) {
               told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
@@ -54,7 +54,7 @@
           line -> {});
 
   private static RegistryEntry cache(
-      String id, State state, long startedMs, long created, long changed) {
+      String id, EndpointState state, long startedMs, long created, long changed) {
     long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
     RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
     return new RegistryEntry("p/caches/" + id, content, created, changed);
@@ -74,7 +74,8 @@
   @CsvSource({"-5000,0", "-3600000,0", "3600000,0", "0,0", "-7200000,-3600000"})
   void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
     view.whole(NOW, List.of(), "c", 1, NOW, false);
-    view.changes(NOW, List.of(put(cache("a", State.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
+    view.changes(
+        NOW, List.of(put(cache("a", EndpointState.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
     assertEquals(List.of("a " + start), told());
   }
 
@@ -83,9 +84,9 @@
     view.whole(
         NOW,
         List.of(
-            cache("a", State.UP, 3_600_000, 1, 1),
-            cache("b", State.UP, -9000, 1, 1),
-            cache("c", State.UP, 0, 1, 1)),
+            cache("a", EndpointState.UP, 3_600_000, 1, 1),
+            cache("b", EndpointState.UP, -9000, 1, 1),
+            cache("c", EndpointState.UP, 0, 1, 1)),
         "c",
         1,
         NOW,
@@ -95,12 +96,12 @@
     view.changes(
         later,
         List.of(
-            put(cache("a", State.DRAINING, 3_600_000, 1, 2)),
-            put(cache("b", State.DRAINING, -9000, 1, 2))));
+            put(cache("a", EndpointState.DRAINING, 3_600_000, 1, 2)),
+            put(cache("b", EndpointState.DRAINING, -9000, 1, 2))));
     assertEquals(List.of("a 0", "b -7000"), told());
-    view.changes(later, List.of(put(cache("a", State.UP, -3_000_000, 1, 3))));
+    view.changes(later, List.of(put(cache("a", EndpointState.UP, -3_000_000, 1, 3))));
     assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
-    view.changes(later, List.of(put(cache("b", State.UP, -9000, 4, 4))));
+    view.changes(later, List.of(put(cache("b", EndpointState.UP, -9000, 4, 4))));
     assertEquals(List.of("b long ago", "b 60000"), told(), "gone, and another one under its id");
   }
 
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -9,7 +9,7 @@
 import java.util.function.Predicate;
 import org.amberpath.registry.WatchSession.Header;
 import org.amberpath.registry.WatchSession.Phase;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
@@ -104,7 +104,7 @@
 
   private List<Order> watching(int endpoints) {
     start(endpoints);
-    list(take("list").get(0), 10, RegistryViewTest.cache("a", State.UP, 1, 9), tip(9));
+    list(take("list").get(0), 10, RegistryViewTest.cache("a", EndpointState.UP, 1, 9), tip(9));
     List<Order> watches = take("watch");
     watches.forEach(watch -> recovery.opened(now, watch.call, new Header("c", 10)));
     told.clear();
@@ -141,14 +141,14 @@
         now,
         watch.call,
         header,
-        List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 11))),
+        List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 11))),
         true);
     assertEquals(List.of(), told);
     recovery.told(
         now,
         watch.call,
         header,
-        List.of(put(RegistryViewTest.cache("b", State.UP, 11, 11))),
+        List.of(put(RegistryViewTest.cache("b", EndpointState.UP, 11, 11))),
         false);
     assertEquals(List.of("[a~b+]"), told);
   }
@@ -160,7 +160,7 @@
         now,
         watches.get(0).call,
         new Header("c", 14),
-        List.of(put(RegistryViewTest.cache("a", State.DRAINING, 1, 14))),
+        List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 14))),
         false);
     recovery.ended(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
     pass(200, ALL, 14, 9);
@@ -173,11 +173,11 @@
     recovery.compacted(now, watch.call);
     Order list = take("list").get(0);
     assertEquals(11, list.from);
-    list(list, 30, RegistryViewTest.cache("a", State.DRAINING, 1, 22));
+    list(list, 30, RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 22));
     assertEquals(List.of(), told, "the count tells that a key is missing");
     Order whole = take("list").get(0);
     assertEquals(0, whole.from);
-    list(whole, 30, RegistryViewTest.cache("a", State.DRAINING, 1, 22));
+    list(whole, 30, RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 22));
     assertEquals(List.of("[a~]"), told);
     assertEquals(31, take("watch").get(0).from);
   }
@@ -201,7 +201,7 @@
                 story.now,
                 list.call,
                 new Header("c", 11),
-                List.of(RegistryViewTest.cache("a", State.DRAINING, 1, 11), tip(11)),
+                List.of(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 11), tip(11)),
                 false,
                 2);
           }
@@ -251,7 +251,7 @@
     pass(300, ALL, 4, 4);
     Order whole = last("list");
     assertEquals(0, whole.from);
-    list(whole, 4, RegistryViewTest.cache("b", State.UP, 3, 4));
+    list(whole, 4, RegistryViewTest.cache("b", EndpointState.UP, 3, 4));
     assertEquals("=[b+]", told.get(0));
     assertEquals(5, take("watch").get(0).from);
   }
@@ -343,7 +343,7 @@
         now,
         list.call,
         new Header("c", 10),
-        List.of(RegistryViewTest.cache("a", State.UP, 1, 1)),
+        List.of(RegistryViewTest.cache("a", EndpointState.UP, 1, 1)),
         true,
         2);
     assertEquals(1, take("list").size());
@@ -352,8 +352,8 @@
     list(
         again,
         12,
-        RegistryViewTest.cache("a", State.UP, 1, 1),
-        RegistryViewTest.cache("b", State.UP, 2, 2));
+        RegistryViewTest.cache("a", EndpointState.UP, 1, 1),
+        RegistryViewTest.cache("b", EndpointState.UP, 2, 2));
     assertEquals(List.of("=[a+b+]"), told);
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -39,7 +39,7 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {}
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -8,7 +8,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.amberpath.registry.RegistryRecord;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,11 +25,11 @@
     said.put(
         "caches/c-1",
         new RegistryRecord.Cache(
-            "c-1", "192.0.2.1:8080", "z1", "memory", 0, State.UP, 1, 1700000000123L));
+            "c-1", "192.0.2.1:8080", "z1", "memory", 0, EndpointState.UP, 1, 1700000000123L));
     said.put(
         "caches/c-2",
         new RegistryRecord.Cache(
-            "c-2", "[2001:db8::1]:8081", "z-2", "disk", 7, State.DRAINING, 0.25, 0));
+            "c-2", "[2001:db8::1]:8081", "z-2", "disk", 7, EndpointState.DRAINING, 0.25, 0));
     said.put("purges/one", new RegistryRecord.Purge(0xfedcba9876543210L, 0, 1700000000456L));
     said.put("purges/group", new RegistryRecord.Purge(0, 12, 1700000000789L));
     said.put("tasks/sweep", new RegistryRecord.Task(5, "g-1"));
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.Snapshot;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +32,7 @@
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
   private static final RegistryRecord.Cache CACHE =
       new RegistryRecord.Cache(
-          "c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4, 1_700_000_000_000L);
+          "c1", "127.0.0.1:7001", "z", "box", 3, EndpointState.DRAINING, 4, 1_700_000_000_000L);
 
   private final EtcdProtocol etcd = new EtcdProtocol("p/");
   private final ConsulProtocol consul = new ConsulProtocol("p/", 1000);
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.Snapshot;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -107,12 +107,20 @@
             new RegistryEntry(
                 "p/caches/c1",
                 new RegistryRecord.Cache(
-                    "c1", "127.0.0.1:7001", "z", "box", 3, State.DRAINING, 4, 1_700_000_000_000L),
+                    "c1",
+                    "127.0.0.1:7001",
+                    "z",
+                    "box",
+                    3,
+                    EndpointState.DRAINING,
+                    4,
+                    1_700_000_000_000L),
                 3,
                 9),
             new RegistryEntry(
                 "p/caches/c2",
-                new RegistryRecord.Cache("c2", "127.0.0.1:7002", "z", "box", 0, State.UP, 1, 0),
+                new RegistryRecord.Cache(
+                    "c2", "127.0.0.1:7002", "z", "box", 0, EndpointState.UP, 1, 0),
                 4,
                 4),
             new RegistryEntry(
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -8,7 +8,7 @@
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -38,7 +38,7 @@
                 String zone,
                 String kind,
                 int cell,
-                State state,
+                EndpointState state,
                 double weight,
                 long startedAtMs) {
               ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
@@ -61,8 +61,8 @@
     wall += 1000 + step;
     forward += 1000 * MS;
     times.purged(7, 0, START + 1000);
-    times.member("a", "", "z", "k", 0, State.UP, 1, START);
-    times.member("b", "", "z", "k", 0, State.UP, 1, 0);
+    times.member("a", "", "z", "k", 0, EndpointState.UP, 1, START);
+    times.member("b", "", "z", "k", 0, EndpointState.UP, 1, 0);
     assertEquals(List.of(0L, 1000L, -1L), ages);
     assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
   }
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -2,8 +2,6 @@
 
 import java.util.SplittableRandom;
 import org.amberpath.routing.RoutingActions.Health;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
 final class ClusterManager {
@@ -33,10 +31,10 @@
   }
 
   /** A list begins: a full one replaces all endpoints that it does not name. */
-  void beginList(Listing listing) {
-    if (listing == Listing.FULL) {
+  void beginList(EndpointListKind listing) {
+    if (listing == EndpointListKind.FULL) {
       for (Endpoint endpoint : endpoints.all()) {
-        endpoint.state = State.GONE;
+        endpoint.state = EndpointState.GONE;
       }
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.State;
-
 /** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
 final class Endpoint {
   /** What an endpoint is to the gateway, by the kind that it is listed under. */
@@ -27,7 +25,7 @@
   final EndpointHealth health = new EndpointHealth();
 
   Role role;
-  State state;
+  EndpointState state;
   String zone;
   int cell;
 
@@ -48,6 +46,6 @@
 
   /** Whether new requests may go to it or through it: neither draining nor gone. */
   boolean isUp() {
-    return state == State.UP;
+    return state == EndpointState.UP;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.State;
-
 /**
  * An endpoint as it is listed.
  *
@@ -18,6 +16,6 @@
     String zone,
     String kind,
     int cell,
-    State state,
+    EndpointState state,
     double weight,
     long startedAtNanos) {}
--- a/routing/src/main/java/org/amberpath/routing/EndpointListener.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingEvents.State;
-
 /**
  * Takes news of caches and purges, in order, whatever their source: the journal or a registry.
  * Times are Unix milliseconds.
@@ -16,7 +14,7 @@
   /**
    * One cache of the list that has begun.
    *
-   * @param id stable; the same id after {@link State#GONE} is another cache
+   * @param id stable; the same id after {@link EndpointState#GONE} is another cache
    * @param address IP address and port; empty for the one known
    * @param cell the shelf or rack, 0 where none is told
    * @param weight its size, in the site's measure; 1 where none is told
@@ -28,7 +26,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs);
 
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -67,7 +67,7 @@
     upEdges = 0;
     for (Iterator<Endpoint> each = all.values().iterator(); each.hasNext(); ) {
       Endpoint endpoint = each.next();
-      if (endpoint.state == RoutingEvents.State.GONE) {
+      if (endpoint.state == EndpointState.GONE) {
         each.remove();
       } else if (endpoint.isEdge()) {
         upEdges += endpoint.isUp() ? 1 : 0;
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Makes one source of news of several that are all believed, while members move from one to
@@ -23,7 +22,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs) {}
 
@@ -61,7 +60,7 @@
     if (ports.stream()
         .map(port -> port.members.get(id))
         .filter(Objects::nonNull)
-        .allMatch(one -> one.state == State.GONE)) {
+        .allMatch(one -> one.state == EndpointState.GONE)) {
       ports.forEach(port -> port.members.remove(id));
     }
   }
@@ -80,7 +79,8 @@
     }
 
     private Member gone(Member one) {
-      return new Member("", one.zone, one.kind, one.cell, State.GONE, one.weight, one.startedAtMs);
+      return new Member(
+          "", one.zone, one.kind, one.cell, EndpointState.GONE, one.weight, one.startedAtMs);
     }
 
     @Override
@@ -90,11 +90,11 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAtMs) {
       Member before = members.get(id);
-      if (state != State.GONE || before != null) {
+      if (state != EndpointState.GONE || before != null) {
         String known = address.isEmpty() && before != null ? before.address : address;
         members.put(id, new Member(known, zone, kind, cell, state, weight, startedAtMs));
         touched.add(id);
@@ -107,13 +107,15 @@
       first = false;
       for (String id : touched) {
         Member now = together(id), before = told.get(id);
-        if (now == null || now.equals(before) || (now.state == State.GONE && before == null)) {
+        if (now == null
+            || now.equals(before)
+            || (now.state == EndpointState.GONE && before == null)) {
           forget(id);
           continue;
         }
         to.member(
             id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
-        if (now.state == State.GONE) {
+        if (now.state == EndpointState.GONE) {
           told.remove(id);
         } else {
           told.put(id, now);
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -9,8 +9,6 @@
 import java.util.TreeMap;
 import org.amberpath.routing.InFlightRequest.Purpose;
 import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
@@ -362,9 +360,9 @@
   // ---- Changes of endpoints, copies and the fleet.
 
   @Override
-  public void listing(Listing listing) {
+  public void listing(EndpointListKind listing) {
     cluster.beginList(listing);
-    watching = listing != Listing.NONE;
+    watching = listing != EndpointListKind.NONE;
   }
 
   @Override
@@ -374,7 +372,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtNanos) {
     cluster.update(
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -7,22 +7,10 @@
 public interface RoutingEvents {
   void replay(Events to);
 
-  enum Listing {
-    CHANGES,
-    FULL,
-    NONE
-  }
-
-  enum State {
-    UP,
-    DRAINING,
-    GONE
-  }
-
   /** The callbacks. */
   interface Events {
     /** A list of caches begins; its members follow under stable ids, then {@link #listed}. */
-    void listing(Listing what);
+    void listing(EndpointListKind what);
 
     void member(
         int cache,
@@ -30,7 +18,7 @@
         String zone,
         String kind,
         int cell,
-        State state,
+        EndpointState state,
         double weight,
         long startedAt);
 
--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -7,8 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class ClusterManagerTest {
@@ -16,11 +14,11 @@
 
   @Test
   void aFullListReplacesAndChangesAdd() {
-    parts.cluster.beginList(Listing.CHANGES);
+    parts.cluster.beginList(EndpointListKind.CHANGES);
     parts.cluster.endList(START);
     assertEquals(8, parts.endpoints.all().size());
-    parts.cluster.beginList(Listing.FULL);
-    parts.update(2, State.UP, 0);
+    parts.cluster.beginList(EndpointListKind.FULL);
+    parts.update(2, EndpointState.UP, 0);
     parts.cluster.endList(START);
     assertEquals(1, parts.endpoints.all().size());
   }
@@ -29,11 +27,11 @@
   void anEndpointThatRestartsIsColdAndNoLongerEjected() {
     Endpoint endpoint = parts.endpoint(1);
     parts.detector.eject(endpoint, parts.batch(START));
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     assertFalse(endpoint.health.isEjected());
     assertEquals(0.1, endpoint.warmUp.capacityFraction(START), 1e-9);
     assertEquals(List.of(1), parts.site.cold);
-    parts.update(1, State.UP, START - 100 * MS);
+    parts.update(1, EndpointState.UP, START - 100 * MS);
     assertEquals(List.of(1), parts.site.cold, "an older start is known already");
   }
 
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -7,7 +7,6 @@
 
 import java.util.Arrays;
 import java.util.List;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class EndpointTableTest {
@@ -21,8 +20,8 @@
     assertEquals(List.of(5, 6), Arrays.stream(table.parents()).map(one -> one.index).toList());
     assertEquals(ORIGIN, table.origin().index);
     assertEquals(5, table.upEdges(), "of all zones");
-    parts.update(4, State.DRAINING, 0);
-    parts.update(ORIGIN, State.GONE, 0);
+    parts.update(4, EndpointState.DRAINING, 0);
+    parts.update(ORIGIN, EndpointState.GONE, 0);
     table.rebuild();
     assertEquals(4, table.upEdges());
     assertNull(table.origin());
@@ -31,7 +30,7 @@
   @Test
   void whatIsGoneIsDroppedAndItsIndexMayComeBackAsAnother() {
     Endpoint before = table.get(1);
-    parts.update(1, State.GONE, 0);
+    parts.update(1, EndpointState.GONE, 0);
     table.rebuild();
     assertNull(table.get(1));
     assertNotEquals(before, table.getOrAdd(1, "10.9.9.9:90"));
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -4,12 +4,11 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 /** Two sources that are both believed while members move from one to the other. */
 class MergedEndpointListsTest {
-  private final Map<String, State> told = new TreeMap<>();
+  private final Map<String, EndpointState> told = new TreeMap<>();
   private final MergedEndpointLists strictest =
       new MergedEndpointLists(
           new EndpointListener() {
@@ -27,7 +26,7 @@
                 String zone,
                 String kind,
                 int cell,
-                State state,
+                EndpointState state,
                 double weight,
                 long startedAtMs) {
               told.put(id, state);
@@ -50,7 +49,7 @@
           "z",
           "k",
           0,
-          (State) idsAndStates[at + 1],
+          (EndpointState) idsAndStates[at + 1],
           1,
           0);
     }
@@ -59,30 +58,30 @@
 
   @Test
   void aDrainThatOneTellsHoldsWhateverTheOtherSays() {
-    list(journal, true, "a", State.UP);
-    list(registry, true, "a", State.UP);
-    list(journal, false, "a", State.DRAINING);
-    list(registry, false, "a", State.UP);
-    assertEquals(Map.of("a", State.DRAINING), told);
-    list(journal, false, "a", State.UP);
-    assertEquals(Map.of("a", State.UP), told);
+    list(journal, true, "a", EndpointState.UP);
+    list(registry, true, "a", EndpointState.UP);
+    list(journal, false, "a", EndpointState.DRAINING);
+    list(registry, false, "a", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.DRAINING), told);
+    list(journal, false, "a", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.UP), told);
   }
 
   @Test
   void aCacheThatOnlyOneKnowsIsThere() {
-    list(journal, true, "a", State.UP);
-    list(registry, true, "b", State.UP);
-    assertEquals(Map.of("a", State.UP, "b", State.UP), told);
+    list(journal, true, "a", EndpointState.UP);
+    list(registry, true, "b", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.UP, "b", EndpointState.UP), told);
   }
 
   @Test
   void whatOneLetsGoOfIsGoneThoughTheOtherStillHasIt() {
-    list(journal, true, "a", State.UP);
-    list(registry, true, "a", State.UP, "b", State.UP);
-    list(registry, true, "b", State.UP);
-    assertEquals(State.GONE, told.get("a"));
-    list(journal, false, "a", State.GONE);
-    list(registry, false, "a", State.UP);
-    assertEquals(State.UP, told.get("a"));
+    list(journal, true, "a", EndpointState.UP);
+    list(registry, true, "a", EndpointState.UP, "b", EndpointState.UP);
+    list(registry, true, "b", EndpointState.UP);
+    assertEquals(EndpointState.GONE, told.get("a"));
+    list(journal, false, "a", EndpointState.GONE);
+    list(registry, false, "a", EndpointState.UP);
+    assertEquals(EndpointState.UP, told.get("a"));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -11,7 +11,6 @@
 import java.util.List;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -110,7 +109,7 @@
 
   @ParameterizedTest
   @CsvSource({"-1, DRAINING", "0, DRAINING", "5000, DRAINING", "50000, DRAINING", "5000, GONE"})
-  void nothingNewGoesToOrThroughWhatDrains(long everyMillis, State state) {
+  void nothingNewGoesToOrThroughWhatDrains(long everyMillis, EndpointState state) {
     quiet(everyMillis);
     host.change(1, state, 0).change(6, state, 0);
     for (int one = 0; one < 60; one++) {
@@ -138,9 +137,9 @@
     host.sized = sized;
     quiet(everyMillis);
     for (int cache = 1; cache < ENDPOINTS; cache++) {
-      host.change(cache, State.GONE, 0);
+      host.change(cache, EndpointState.GONE, 0);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     int before = host.sent.size();
     for (int one = 0; one < 200; one++) {
       host.get(++ids, 100_000 + ids, 0);
@@ -159,7 +158,7 @@
   void anEndpointThatStartsColdGetsASliceThatWidens(long everyMillis) {
     quiet(everyMillis);
     int usual = share();
-    host.change(1, State.UP, host.now);
+    host.change(1, EndpointState.UP, host.now);
     int thin = share();
     host.pass(5000);
     int wide = share();
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -8,7 +8,6 @@
 
 import java.util.stream.LongStream;
 import org.amberpath.routing.RendezvousSelector.Eligibility;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class RendezvousSelectorTest {
@@ -25,7 +24,7 @@
   @Test
   void anEndpointThatDrainsMovesItsOwnKeysOnly() {
     int[] before = LongStream.range(0, 200).mapToInt(object -> select(object).index).toArray();
-    parts.update(1, State.DRAINING, 0);
+    parts.update(1, EndpointState.DRAINING, 0);
     for (int object = 0; object < 200; object++) {
       int after = select(object).index;
       assertTrue(before[object] == 1 ? after != 1 : after == before[object], "object " + object);
@@ -45,7 +44,7 @@
     Endpoint[] candidates = new Endpoint[300];
     for (int index = 0; index < candidates.length; index++) {
       candidates[index] = new Endpoint(index, "e" + index);
-      candidates[index].state = State.UP;
+      candidates[index].state = EndpointState.UP;
       candidates[index].weight = index % 50 == 49 ? 40 : 0.5 + index % 5;
     }
     for (int object = 0; object < 500; object++) {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -14,8 +14,6 @@
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -186,7 +184,7 @@
   @Test
   void whatIsFilledAheadIsAPartOfWhatAColdCacheIsPromised() {
     host.event(to -> to.sharers(200, 1 / 200.0));
-    host.change(1, State.UP, host.now);
+    host.change(1, EndpointState.UP, host.now);
     assertEquals(List.of(1), host.cold);
     int sent = 0, refused = 0;
     for (int ms = 0; ms < 1000; ms += 5) {
@@ -218,7 +216,7 @@
   @Test
   void whatMayNotBeRepeatedIsNeverAskedForByItself() {
     host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
-    host.change(1, State.UP, host.now);
+    host.change(1, EndpointState.UP, host.now);
     for (int one = 0; one < 50; one++) {
       assertEquals(null, host.own(++ids, one, 0, one % 2 == 0 ? -1 : 0));
     }
@@ -228,7 +226,7 @@
 
   @Test
   void aGetWithNoCacheIsShedAtOnce() {
-    IntStream.range(0, 4).forEach(cache -> host.change(cache, State.GONE, 0));
+    IntStream.range(0, 4).forEach(cache -> host.change(cache, EndpointState.GONE, 0));
     host.get(1, 5, 0);
     assertEquals(List.of(1L), host.shed);
   }
@@ -303,9 +301,9 @@
 
   @ParameterizedTest
   @EnumSource(
-      value = State.class,
+      value = EndpointState.class,
       names = {"DRAINING", "GONE"})
-  void nothingNewGoesToOrThroughWhatDrains(State state) {
+  void nothingNewGoesToOrThroughWhatDrains(EndpointState state) {
     host.change(1, state, 0).change(6, state, 0);
     for (long object = 1; object <= 60; object++) {
       Sent sent = hit(object, 0);
@@ -318,7 +316,7 @@
   @ValueSource(ints = {1, 5})
   void aColdMemberGetsAThinSliceThatWidens(int cold) {
     int usual = share(cold, 0);
-    host.change(cold, State.UP, host.now);
+    host.change(cold, EndpointState.UP, host.now);
     int thin = share(cold, 0);
     host.pass(5000);
     int wide = share(cold, 0);
@@ -339,9 +337,9 @@
   @Test
   void aColdCacheAloneInItsZoneIsHeldToItsBudget() {
     for (int cache = 1; cache < 4; cache++) {
-      host.change(cache, State.GONE, 0);
+      host.change(cache, EndpointState.GONE, 0);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     for (long id = 1; id <= 200; id++) {
       host.get(id, id, 0);
     }
@@ -362,7 +360,7 @@
     for (int i = 0; i < 300; i++) {
       host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE).pass(10);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     int before = host.sent.size();
     for (int i = 1000; i < 3000; i++) {
       host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
@@ -386,7 +384,7 @@
       for (int i = 0; i < 400; i++) {
         one.pass(10).returned(one.get(i, i, 0), 50, ResponseDetail.HIT);
       }
-      one.change(0, State.UP, one.now);
+      one.change(0, EndpointState.UP, one.now);
       for (int i = 1000; i < 1400; i++) {
         Sent get = one.get(i, i, 0);
         sent[kind] += get != null && get.cache() == 0 ? 1 : 0;
@@ -409,8 +407,8 @@
       one.gateways = 100;
       one.seed = gateway;
       one.list();
-      IntStream.range(1, 4).forEach(cache -> one.change(cache, State.GONE, 0));
-      one.change(0, State.UP, one.now);
+      IntStream.range(1, 4).forEach(cache -> one.change(cache, EndpointState.GONE, 0));
+      one.change(0, EndpointState.UP, one.now);
       for (long id = 1; id <= 40; id++) {
         one.get(id, id, 0);
         one.pass(50);
@@ -432,11 +430,11 @@
       one.gateways = told;
       one.seed = gateway;
       one.list();
-      IntStream.range(1, 4).forEach(cache -> one.change(cache, State.GONE, 0));
+      IntStream.range(1, 4).forEach(cache -> one.change(cache, EndpointState.GONE, 0));
       if (part >= 0) {
         one.event(to -> to.sharers(3 * told + gateways - told, part));
       }
-      one.change(0, State.UP, one.now);
+      one.change(0, EndpointState.UP, one.now);
       for (long id = 1; id <= 40; id++) {
         one.get(id, id, 0);
         one.pass(50);
@@ -468,8 +466,8 @@
     for (int i = 0; i < 200; i++) {
       host.returned(host.get(++ids, i, 0), 50, ResponseDetail.HIT).pass(10);
     }
-    IntStream.range(0, 4).forEach(cache -> host.change(cache, State.UP, host.now));
-    host.change(5, State.UP, host.now).change(6, State.GONE, 0);
+    IntStream.range(0, 4).forEach(cache -> host.change(cache, EndpointState.UP, host.now));
+    host.change(5, EndpointState.UP, host.now).change(6, EndpointState.GONE, 0);
     int before = host.sent.size();
     for (int i = 1000; i < 1300; i++) {
       Sent sent = host.get(++ids, i, 0);
@@ -486,7 +484,7 @@
   /** Met on incident i42021b: the origin holds everything, so held-only binds nothing there. */
   @Test
   void pastItsLimitTheOriginIsNotAskedDirectlyEither() {
-    host.change(5, State.GONE, 0).change(6, State.GONE, 0);
+    host.change(5, EndpointState.GONE, 0).change(6, EndpointState.GONE, 0);
     for (int i = 0; i < 60; i++) {
       host.pass(250).returned(host.get(++ids, i, 0), 1500, ResponseDetail.FILLED_BY_ORIGIN);
     }
@@ -751,11 +749,11 @@
     LongStream.rangeClosed(1, 200)
         .filter(object -> hit(object, 0).cache() == 0)
         .forEach(before::add);
-    host.change(0, State.GONE, 0);
+    host.change(0, EndpointState.GONE, 0);
     host.event(
         to -> {
-          to.listing(Listing.CHANGES);
-          to.member(0, "10.9.9.9:90", "here", "box", 0, State.UP, 4, 0);
+          to.listing(EndpointListKind.CHANGES);
+          to.member(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0);
           to.listed();
         });
     LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(both::add);
@@ -804,9 +802,9 @@
      * Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order.
      */
     FakeHost list(int... order) {
-      events.add(to -> to.listing(Listing.FULL));
+      events.add(to -> to.listing(EndpointListKind.FULL));
       for (int cache : order) {
-        events.add(to -> member(to, cache, State.UP, 0));
+        events.add(to -> member(to, cache, EndpointState.UP, 0));
       }
       events.add(RoutingEvents.Events::listed);
       return this;
@@ -816,14 +814,14 @@
       return list(0, 1, 2, 3, 4, 5, 6, 7).round();
     }
 
-    FakeHost change(int cache, State state, long startedAt) {
-      events.add(to -> to.listing(Listing.CHANGES));
+    FakeHost change(int cache, EndpointState state, long startedAt) {
+      events.add(to -> to.listing(EndpointListKind.CHANGES));
       events.add(to -> member(to, cache, state, startedAt));
       events.add(RoutingEvents.Events::listed);
       return round();
     }
 
-    private void member(RoutingEvents.Events to, int cache, State state, long startedAt) {
+    private void member(RoutingEvents.Events to, int cache, EndpointState state, long startedAt) {
       String kind = cache == 7 ? "origin" : cache > 4 ? "parent" : cache == 0 ? coldKind : "box";
       String zone = cache > 4 ? "hub" : cache == 4 ? "other" : "here";
       to.member(cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
--- a/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -8,7 +8,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
@@ -29,8 +28,8 @@
 
   @Test
   void theOriginFillsWhereNoParentIsUp() {
-    parts.update(5, State.DRAINING, 0);
-    parts.update(6, State.DRAINING, 0);
+    parts.update(5, EndpointState.DRAINING, 0);
+    parts.update(6, EndpointState.DRAINING, 0);
     assertEquals(parts.endpoint(ORIGIN), route(parts.request(5)).source());
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -2,8 +2,6 @@
 
 import java.util.SplittableRandom;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by
@@ -38,14 +36,14 @@
 
   /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
   RoutingParts() {
-    cluster.beginList(Listing.FULL);
+    cluster.beginList(EndpointListKind.FULL);
     for (int index = 0; index <= ORIGIN; index++) {
-      update(index, State.UP, 0);
+      update(index, EndpointState.UP, 0);
     }
     cluster.endList(START);
   }
 
-  void update(int index, State state, long startedAtNanos) {
+  void update(int index, EndpointState state, long startedAtNanos) {
     String kind = index == ORIGIN ? "origin" : index > 4 ? "parent" : "box";
     String zone = index > 4 ? "hub" : index == 4 ? "other" : "here";
     cluster.update(
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -14,8 +14,6 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O
@@ -80,7 +78,7 @@
   private final PriorityQueue<Planned> planned =
       new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
   private final Map<Integer, Behaviour> behaviours = new HashMap<>();
-  private final Map<Integer, State> states = new TreeMap<>();
+  private final Map<Integer, EndpointState> states = new TreeMap<>();
   private final Map<Integer, Integer> lives = new HashMap<>();
   private final Map<Long, List<Copy>> open = new TreeMap<>();
   private final Map<Long, Integer> copies = new HashMap<>();
@@ -140,7 +138,7 @@
       wholeList();
     }
     if (chance(0.0005)) {
-      events.add(to -> to.listing(Listing.NONE));
+      events.add(to -> to.listing(EndpointListKind.NONE));
     }
     purge();
     if (chance(0.03)) {
@@ -256,31 +254,31 @@
   }
 
   private void wholeList() {
-    events.add(to -> to.listing(Listing.FULL));
+    events.add(to -> to.listing(EndpointListKind.FULL));
     for (int endpoint : endpoints()) {
       if (!chance(0.05)) {
-        tell(endpoint, State.UP, chance(0.1) && order > 0 ? now : 0);
+        tell(endpoint, EndpointState.UP, chance(0.1) && order > 0 ? now : 0);
       }
     }
     events.add(Events::listed);
   }
 
   private void changeList(int many) {
-    events.add(to -> to.listing(Listing.CHANGES));
+    events.add(to -> to.listing(EndpointListKind.CHANGES));
     for (int one = 0; one < many; one++) {
       int endpoint = anyEndpoint();
-      State state =
-          states.getOrDefault(endpoint, State.UP) == State.UP && chance(0.4)
-              ? State.values()[1 + random.nextInt(2)]
-              : State.UP;
+      EndpointState state =
+          states.getOrDefault(endpoint, EndpointState.UP) == EndpointState.UP && chance(0.4)
+              ? EndpointState.values()[1 + random.nextInt(2)]
+              : EndpointState.UP;
       long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
       tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
     }
     events.add(Events::listed);
   }
 
-  private void tell(int endpoint, State state, long startedAt) {
-    if (states.put(endpoint, state) == State.GONE) {
+  private void tell(int endpoint, EndpointState state, long startedAt) {
+    if (states.put(endpoint, state) == EndpointState.GONE) {
       lives.merge(endpoint, 1, Integer::sum);
     }
     count("event member " + state + (startedAt > 0 ? " cold" : ""));
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -7,8 +7,6 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -98,7 +96,7 @@
     starts();
     for (int list = 0; list < 10; list++) {
       play(150 * MS, 3);
-      gateways.forEach(one -> one.list(Listing.FULL));
+      gateways.forEach(one -> one.list(EndpointListKind.FULL));
     }
     play(SECOND, 3);
   }
@@ -146,12 +144,12 @@
     for (int one = 0; one < count; one++) {
       gateways.add(new Instance(count));
     }
-    gateways.forEach(one -> one.list(Listing.FULL));
+    gateways.forEach(one -> one.list(EndpointListKind.FULL));
   }
 
   private void starts() {
     startedAt = now;
-    gateways.forEach(one -> one.list(Listing.CHANGES));
+    gateways.forEach(one -> one.list(EndpointListKind.CHANGES));
   }
 
   private void play(long time, int getsAStep) {
@@ -226,15 +224,22 @@
                                   : (Object) 0L)));
     }
 
-    void list(Listing what) {
+    void list(EndpointListKind what) {
       events.add(to -> to.listing(what));
       long started = startedAt;
       events.add(
           to ->
               to.member(
-                  COLD, "10.0.0.1:9", "z", "box", 0, State.UP, weight, cold == COLD ? started : 0));
+                  COLD,
+                  "10.0.0.1:9",
+                  "z",
+                  "box",
+                  0,
+                  EndpointState.UP,
+                  weight,
+                  cold == COLD ? started : 0));
       if (warmUp) {
-        events.add(to -> to.member(WARM, "10.0.0.2:9", "z", "box", 0, State.UP, warm, 0));
+        events.add(to -> to.member(WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0));
         events.add(
             to ->
                 to.member(
@@ -243,10 +248,11 @@
                     "hub",
                     "parent",
                     0,
-                    State.UP,
+                    EndpointState.UP,
                     weight,
                     cold == PARENT ? started : 0));
-        events.add(to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, State.UP, 400, 0));
+        events.add(
+            to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0));
       }
       events.add(RoutingEvents.Events::listed);
     }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -6,7 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class SlowStartTest {
@@ -23,7 +22,7 @@
 
   @Test
   void aColdOneTakesASliceAndAffordsABudgetThatIsPaidOff() {
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.takesKey(cold, 0.08, START));
     assertFalse(slowStart.takesKey(cold, 0.1, START), "a tenth, less what others do unseen");
     slowStart.charge(cold, 1, START);
@@ -33,7 +32,7 @@
 
   @Test
   void aSourceThatWasNotAskedGetsItsWorkBackButSavesNothingUpByIt() {
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     slowStart.charge(cold, 1, START);
     slowStart.refund(cold, 0.9, START);
     assertEquals(0.1, cold.warmUp.debtSeconds, 1e-9);
@@ -48,7 +47,7 @@
   @Test
   void onlyAColdHealthyEndpointIsPrefetchedToAndNotAtOnceAgain() {
     assertFalse(slowStart.tryPrefetch(cold, parts.trafficClass, START), "warm");
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.tryPrefetch(cold, parts.trafficClass, START));
     assertFalse(slowStart.tryPrefetch(cold, parts.trafficClass, START));
     cold.health.eject(START, 0);
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -9,7 +9,6 @@
 import java.util.stream.LongStream;
 import org.amberpath.routing.InFlightRequest.Purpose;
 import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class SyntheticRouteSelectorTest {
@@ -32,7 +31,7 @@
   @Test
   void aPrefetchGoesOnlyToTheColdEdgeThatTheObjectBelongsTo() {
     assertNull(prefetch(5), "all are warm");
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     Route route =
         LongStream.range(0, 50)
             .mapToObj(this::prefetch)
