--- a/gateway/src/main/java/org/amberpath/gateway/FleetCoordinator.java
+++ b/gateway/src/main/java/org/amberpath/gateway/FleetCoordinator.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 
 /**
  * The other gateways of the fleet, as far as this one knows them. All methods are called on the
@@ -19,7 +19,7 @@
   Future<Void> start();
 
   /** The router's health state of an endpoint has changed. */
-  void endpointHealthChanged(String endpointId, RoutingActions.Health health);
+  void endpointHealthChanged(String endpointId, EndpointHealthStatus health);
 
   /**
    * An endpoint of this zone has started and is in slow start.
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import org.amberpath.gateway.settings.InvalidDocumentException;
+import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.RoutingActions;
 
 /**
  * One gateway, from start to exit. All of it runs on one event loop; its public methods may be
@@ -108,7 +108,7 @@
     pipeline.routingStage.setObserver(
         new RoutingActionExecutor.EndpointObserver() {
           @Override
-          public void healthChanged(int endpoint, RoutingActions.Health health) {
+          public void healthChanged(int endpoint, EndpointHealthStatus health) {
             coordinator.endpointHealthChanged(pipeline.endpoints.id(endpoint), health);
           }
 
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway;
 
+import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RoutingActions;
 
 /** Carries out what the router decides, at once. */
@@ -9,7 +10,7 @@
   /** Is notified of what the router decides about endpoints. */
   interface EndpointObserver {
     /** An endpoint's health state has changed. */
-    void healthChanged(int endpoint, Health health);
+    void healthChanged(int endpoint, EndpointHealthStatus health);
 
     /** An endpoint is in slow start until a clock time. */
     void warmingUp(int endpoint, long untilNanos);
@@ -87,7 +88,7 @@
   }
 
   @Override
-  public void health(int endpoint, Health health) {
+  public void health(int endpoint, EndpointHealthStatus health) {
     if (observer != null) {
       observer.healthChanged(endpoint, health);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -25,6 +25,7 @@
 import org.amberpath.gateway.StandIns.JournalRelay;
 import org.amberpath.gateway.StandIns.Reaction;
 import org.amberpath.gateway.StandIns.Seen;
+import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingActions;
 import org.junit.jupiter.api.AfterEach;
@@ -656,7 +657,7 @@
     world.journal.host("c0", world.fullAddress(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
     RequestRouter router = new RequestRouter(options.site());
-    List<RoutingActions.Health> told = new CopyOnWriteArrayList<>();
+    List<EndpointHealthStatus> told = new CopyOnWriteArrayList<>();
     world.start(
         options,
         (now, in, to) ->
@@ -669,7 +670,7 @@
                         new Class<?>[] {RoutingActions.class},
                         (proxy, method, values) -> {
                           if (method.getName().equals("health")) {
-                            told.add((RoutingActions.Health) values[1]);
+                            told.add((EndpointHealthStatus) values[1]);
                           }
                           return method.invoke(to, values);
                         })));
@@ -677,7 +678,7 @@
     client.get(1, "parts", 30, 0);
     assertNotNull(client.answer().error());
     client.status();
-    assertEquals(List.of(RoutingActions.Health.WELL), told, "as the list said at the start");
+    assertEquals(List.of(EndpointHealthStatus.HEALTHY), told, "as the list said at the start");
   }
 
   /**
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -13,7 +13,7 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void endpointHealthChanged(String id, RoutingActions.Health health) {}
+    public void endpointHealthChanged(String id, EndpointHealthStatus health) {}
 
     @Override
     public void endpointWarmingUp(String id, long until) {}
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -16,6 +16,7 @@
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.recovery.RecoveryRamp;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RecentRequests;
@@ -655,13 +656,14 @@
     }
 
     @Override
-    public void health(int cache, Health health) {
+    public void health(int cache, EndpointHealthStatus health) {
       String name = Integer.toString(cache);
-      String owner = health == Health.HEARD ? trials.answers(agenda.now(), name) : "";
+      String owner =
+          health == EndpointHealthStatus.RESPONSIVE ? trials.answers(agenda.now(), name) : "";
       if (!owner.isEmpty()) {
         post(Integer.parseInt(owner), to -> to.trials.heard(agenda.now(), List.of(name)));
       }
-      trials.standing(agenda.now(), name, health != Health.DOUBTED);
+      trials.standing(agenda.now(), name, health != EndpointHealthStatus.SUSPECT);
     }
 
     @Override
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -10,7 +10,7 @@
 import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
 import org.amberpath.leadership.runtime.HealthReportCodec.Word;
 import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 
 /** Caches that were set aside are tried by one gateway, by GETs of its own; the others are told. */
 final class HealthCheckTask implements TaskRunner {
@@ -38,11 +38,11 @@
     return trials.isIdle();
   }
 
-  void health(long now, String cache, RoutingActions.Health health) {
+  void health(long now, String cache, EndpointHealthStatus health) {
     if (!HealthReportCodec.fits(cache)) {
       return;
     }
-    String owner = health == RoutingActions.Health.HEARD ? trials.answers(now, cache) : "";
+    String owner = health == EndpointHealthStatus.RESPONSIVE ? trials.answers(now, cache) : "";
     if (!owner.isEmpty()) {
       Map<String, HealthCheckCoordinator.Said> said =
           Map.of(cache, new HealthCheckCoordinator.Said(true, 0));
@@ -50,7 +50,7 @@
           owner,
           HealthReportCodec.write(new Word(Kind.HEARD, HealthCheckCoordinator.TASK, 0, 0, said)));
     }
-    trials.standing(now, cache, health != RoutingActions.Health.DOUBTED);
+    trials.standing(now, cache, health != EndpointHealthStatus.SUSPECT);
   }
 
   void draining() {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -17,7 +17,7 @@
 import org.amberpath.leadership.runtime.HealthReportCodec.Word;
 import org.amberpath.membership.runtime.FleetMessageHandler;
 import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 
 /**
  * Owns tasks of the fleet, by votes that go as letters between gateways or by leases in the
@@ -157,7 +157,7 @@
   }
 
   @Override
-  public void health(long now, String cache, RoutingActions.Health health) {
+  public void health(long now, String cache, EndpointHealthStatus health) {
     if (trials != null) {
       trials.health(now, cache, health);
     }
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Vertx;
 import io.vertx.core.json.JsonObject;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 
 /**
  * Something that a gateway does together with others of its fleet, by letters to them. It is called
@@ -24,7 +24,7 @@
   void letter(long now, String from, byte[] body);
 
   /** How an edge cache is, as far as this gateway's decisions see it. */
-  void health(long now, String cache, RoutingActions.Health health);
+  void health(long now, String cache, EndpointHealthStatus health);
 
   /** An edge cache has just started, and bears less than all until this time. */
   void cold(long now, String cache, long until);
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -21,7 +21,7 @@
 import org.amberpath.membership.ReplayFilter;
 import org.amberpath.membership.SwimProtocol;
 import org.amberpath.membership.SwimTimings;
-import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.EndpointHealthStatus;
 
 /**
  * Carries out what a {@link SwimProtocol} says: datagrams on the gateway's loop, the view's news in
@@ -299,7 +299,7 @@
   }
 
   @Override
-  public void endpointHealthChanged(String cache, RoutingActions.Health health) {
+  public void endpointHealthChanged(String cache, EndpointHealthStatus health) {
     if (guest != null && timer >= 0) {
       guest.health(clock.now(), cache, health);
     }
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -1,7 +1,6 @@
 package org.amberpath.routing;
 
 import java.util.SplittableRandom;
-import org.amberpath.routing.RoutingActions.Health;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
 final class ClusterManager {
@@ -53,7 +52,11 @@
     }
     if (endpoint.isEdge()) {
       boolean isEjected = endpoint.isUp() && endpoint.health.isEjected();
-      batch.actions().health(endpoint.index, isEjected ? Health.DOUBTED : Health.WELL);
+      batch
+          .actions()
+          .health(
+              endpoint.index,
+              isEjected ? EndpointHealthStatus.SUSPECT : EndpointHealthStatus.HEALTHY);
     }
   }
 
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -1,7 +1,6 @@
 package org.amberpath.routing;
 
 import java.util.SplittableRandom;
-import org.amberpath.routing.RoutingActions.Health;
 
 /**
  * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a
@@ -58,7 +57,7 @@
     }
     health.eject(batch.nowNanos(), random.nextLong(health.backoffNanos()));
     if (endpoint.isEdge()) {
-      batch.actions().health(endpoint.index, Health.DOUBTED);
+      batch.actions().health(endpoint.index, EndpointHealthStatus.SUSPECT);
       health.suspected = true;
     }
   }
@@ -70,7 +69,7 @@
     health.failures = 0;
     if (health.suspected) {
       health.suspected = false;
-      batch.actions().health(endpoint.index, Health.HEARD);
+      batch.actions().health(endpoint.index, EndpointHealthStatus.RESPONSIVE);
     }
     if (health.keyFraction(batch.nowNanos()) == 1) {
       health.recover();
@@ -101,7 +100,7 @@
 
   private void readmit(Endpoint endpoint, long aliveAtNanos, Batch batch) {
     if (endpoint.health.beginProbation(aliveAtNanos, batch.nowNanos())) {
-      batch.actions().health(endpoint.index, Health.WELL);
+      batch.actions().health(endpoint.index, EndpointHealthStatus.HEALTHY);
     }
   }
 
@@ -176,7 +175,11 @@
           && health.suspected != (isSilent && health.overdue > 0)) {
         health.suspected =
             !health.suspected; // Too little to go by alone; others may have seen the same.
-        batch.actions().health(endpoint.index, health.suspected ? Health.DOUBTED : Health.WELL);
+        batch
+            .actions()
+            .health(
+                endpoint.index,
+                health.suspected ? EndpointHealthStatus.SUSPECT : EndpointHealthStatus.HEALTHY);
       }
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/RoutingActions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -41,18 +41,8 @@
   /** Asks for changes of the list from now on. */
   void watchList();
 
-  /**
-   * DOUBTED: set aside, or keeps a GET waiting and is not heard of. WELL: need not be tried. HEARD:
-   * it answers.
-   */
-  enum Health {
-    DOUBTED,
-    WELL,
-    HEARD
-  }
-
   /** How an edge cache is, as far as is seen here; told when it changes, or may have. */
-  default void health(int cache, Health health) {}
+  default void health(int cache, EndpointHealthStatus health) {}
 
   /** An edge cache of the zone has just started, and bears less than all until this clock time. */
   default void cold(int cache, long until) {}
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -854,12 +854,12 @@
     }
 
     @Override
-    public void health(int cache, Health health) {
+    public void health(int cache, EndpointHealthStatus health) {
       aside.remove((Integer) cache);
-      if (health == Health.HEARD) {
+      if (health == EndpointHealthStatus.RESPONSIVE) {
         heard.add(cache);
       }
-      if (health == Health.DOUBTED) {
+      if (health == EndpointHealthStatus.SUSPECT) {
         aside.add(cache);
       }
     }
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -487,8 +487,19 @@
   }
 
   @Override
-  public void health(int cache, Health health) {
-    hash("health " + health, cache);
+  public void health(int cache, EndpointHealthStatus health) {
+    hash("health " + recordedName(health), cache);
+  }
+
+  /**
+   * The text under which the digests have a status: a stored form, whatever its constant is called.
+   */
+  private static String recordedName(EndpointHealthStatus status) {
+    return switch (status) {
+      case SUSPECT -> "DOUBTED";
+      case HEALTHY -> "WELL";
+      case RESPONSIVE -> "HEARD";
+    };
   }
 
   @Override
