--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -5,9 +5,9 @@
 import java.util.function.Consumer;
 import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingConfig.Effect;
 import org.amberpath.routing.RoutingEvents.Events;
 
 /**
@@ -56,7 +56,7 @@
   /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
   void addRecent(ClientRequest request) {
     DecodedRequest decoded = request.decoded;
-    if (config.effect(request.trafficClass) == Effect.IDEMPOTENT
+    if (config.effect(request.trafficClass) == Idempotency.IDEMPOTENT
         && !config.neverKept(request.trafficClass)
         && decoded.body().length <= MAX_BODY_BYTES) {
       recent.add(
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -2,6 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.routing.Idempotency;
+import org.amberpath.routing.IdempotencyScope;
 import org.amberpath.routing.RoutingConfig;
 
 /**
@@ -12,8 +14,8 @@
   /** The settings of one traffic class. */
   private record TrafficClass(
       String name,
-      Effect effect,
-      Group group,
+      Idempotency effect,
+      IdempotencyScope group,
       long windowNanos,
       long latencyObjectiveNanos,
       long freshNanos,
@@ -41,22 +43,22 @@
       return JsonReader.nanos(site.at(key, index, Number.class, 0).doubleValue());
     }
 
-    private static Effect effect(JsonReader settings) {
+    private static Idempotency effect(JsonReader settings) {
       String idempotency = settings.text("idempotency");
       return switch (idempotency) {
-        case "repeatable" -> Effect.IDEMPOTENT;
-        case "by_key" -> Effect.TOKENED;
-        case "once" -> Effect.NON_IDEMPOTENT;
+        case "repeatable" -> Idempotency.IDEMPOTENT;
+        case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+        case "once" -> Idempotency.NON_IDEMPOTENT;
         default -> throw settings.wrong("idempotency", UNKNOWN_KIND + idempotency);
       };
     }
 
-    private static Group group(JsonReader settings) {
+    private static IdempotencyScope group(JsonReader settings) {
       String group = settings.has("group") ? settings.text("group") : "cell";
       return switch (group) {
-        case "all" -> Group.ALL;
-        case "zone" -> Group.ZONE;
-        case "cell" -> Group.CELL;
+        case "all" -> IdempotencyScope.ALL;
+        case "zone" -> IdempotencyScope.ZONE;
+        case "cell" -> IdempotencyScope.CELL;
         default -> throw settings.wrong("group", UNKNOWN_KIND + group);
       };
     }
@@ -290,12 +292,12 @@
   }
 
   @Override
-  public Effect effect(int trafficClass) {
+  public Idempotency effect(int trafficClass) {
     return trafficClasses.get(trafficClass).effect();
   }
 
   @Override
-  public Group group(int trafficClass) {
+  public IdempotencyScope group(int trafficClass) {
     return trafficClasses.get(trafficClass).group();
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -8,7 +8,6 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
@@ -176,7 +175,7 @@
     Endpoint endpoint = route.endpoint();
     Endpoint source = route.source() == null ? endpoint : route.source();
     TrafficClass trafficClass = request.trafficClass;
-    if (request.firstExecuted != null && trafficClass.effect() == Effect.TOKENED) {
+    if (request.firstExecuted != null && trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY) {
       batch
           .actions()
           .sendBy(
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,8 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
-
 /**
  * Whether a request may be attempted again, and where: never so that it might have its effect
  * twice.
@@ -27,16 +24,18 @@
       return true;
     }
     TrafficClass trafficClass = request.trafficClass;
-    return trafficClass.effect() == Effect.IDEMPOTENT
-        || (trafficClass.effect() == Effect.TOKENED
+    return trafficClass.effect() == Idempotency.IDEMPOTENT
+        || (trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY
             && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
             && sharesIdempotencyGroup(
                 trafficClass.idempotencyGroup(), endpoint, executed.endpoint()));
   }
 
-  private static boolean sharesIdempotencyGroup(Group group, Endpoint one, Endpoint other) {
-    return group == Group.ALL
-        || (one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell));
+  private static boolean sharesIdempotencyGroup(
+      IdempotencyScope group, Endpoint one, Endpoint other) {
+    return group == IdempotencyScope.ALL
+        || (one.zone.equals(other.zone)
+            && (group == IdempotencyScope.ZONE || one.cell == other.cell));
   }
 
   /** Whether a request's state leaves room for a further attempt, wherever it goes. */
@@ -59,7 +58,7 @@
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
         && site.secondCopies()
-        && request.trafficClass.effect() == Effect.IDEMPOTENT;
+        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
   }
 
   /**
@@ -67,10 +66,11 @@
    * dropped everywhere.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
-    Effect effect = request.trafficClass.effect();
+    Idempotency effect = request.trafficClass.effect();
     return (request.firstExecuted == null && request.openAttempts == 0)
-        || effect == Effect.IDEMPOTENT
-        || (effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL);
+        || effect == Idempotency.IDEMPOTENT
+        || (effect == Idempotency.IDEMPOTENCY_KEY
+            && request.trafficClass.idempotencyGroup() == IdempotencyScope.ALL);
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -2,19 +2,6 @@
 
 /** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
 public interface RoutingConfig {
-  enum Effect {
-    IDEMPOTENT,
-    TOKENED,
-    NON_IDEMPOTENT
-  }
-
-  /** The caches that drop a tokened GET's repeats. */
-  enum Group {
-    ALL,
-    ZONE,
-    CELL
-  }
-
   long seed();
 
   /** How many gateways there are, in all and in this gateway's zone. */
@@ -37,9 +24,9 @@
 
   int deliveryServices();
 
-  Effect effect(int ds);
+  Idempotency effect(int ds);
 
-  Group group(int ds);
+  IdempotencyScope group(int ds);
 
   long window(int ds);
 
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,7 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-
 /**
  * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may
  * be repeated, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
@@ -60,6 +58,6 @@
     return endpoint != null
         && endpoint.isUp()
         && endpoint.isEdge()
-        && request.trafficClass.effect() == Effect.IDEMPOTENT;
+        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,8 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
-
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
   private static final int FULL_AT_ANSWERS = 512;
@@ -33,12 +30,12 @@
   }
 
   /** Whether a repeat may have an effect of its own. */
-  Effect effect() {
+  Idempotency effect() {
     return site.effect(index);
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
-  Group idempotencyGroup() {
+  IdempotencyScope idempotencyGroup() {
     return site.group(index);
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -215,7 +215,7 @@
 
   @Test
   void whatMayNotBeRepeatedIsNeverAskedForByItself() {
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
+    host.effect = Idempotency.NON_IDEMPOTENT;
     host.change(1, EndpointState.UP, host.now);
     for (int one = 0; one < 50; one++) {
       assertEquals(null, host.own(++ids, one, 0, one % 2 == 0 ? -1 : 0));
@@ -257,10 +257,7 @@
     "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
   })
   void noEffectTwice(
-      RoutingConfig.Effect effect,
-      AttemptOutcome outcome,
-      RoutingConfig.Group group,
-      String expected) {
+      Idempotency effect, AttemptOutcome outcome, IdempotencyScope group, String expected) {
     host.effect = effect;
     host.group = group;
     host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
@@ -273,7 +270,7 @@
   @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
   void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(
       AttemptOutcome outcome, int sent) {
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
+    host.effect = Idempotency.NON_IDEMPOTENT;
     host.bypass = host.neverKept = true;
     host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
@@ -285,8 +282,8 @@
 
   @Test
   void aTokenedGetThatMayHaveRunStaysInItsCellAndWindow() {
-    host.effect = RoutingConfig.Effect.TOKENED;
-    host.group = RoutingConfig.Group.CELL;
+    host.effect = Idempotency.IDEMPOTENCY_KEY;
+    host.group = IdempotencyScope.CELL;
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
     host.ended(first, AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
@@ -356,7 +353,7 @@
   @Test
   void whatPeersAreSentButDoNotReturnGivesAColdCacheNoBudget() {
     host.sized = false;
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
+    host.effect = Idempotency.NON_IDEMPOTENT;
     for (int i = 0; i < 300; i++) {
       host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE).pass(10);
     }
@@ -778,8 +775,8 @@
       }
     }
 
-    Effect effect = Effect.IDEMPOTENT;
-    Group group = Group.ALL;
+    Idempotency effect = Idempotency.IDEMPOTENT;
+    IdempotencyScope group = IdempotencyScope.ALL;
     long fresh = 0;
     boolean bypass = false, neverKept = false;
     boolean sized = true;
@@ -975,12 +972,12 @@
     }
 
     @Override
-    public Effect effect(int ds) {
+    public Idempotency effect(int ds) {
       return effect;
     }
 
     @Override
-    public Group group(int ds) {
+    public IdempotencyScope group(int ds) {
       return group;
     }
 
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -6,8 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -29,7 +27,11 @@
     "TOKENED, CELL, true, false, false"
   })
   void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(
-      Effect effect, Group group, boolean sameCell, boolean sameZone, boolean elsewhere) {
+      Idempotency effect,
+      IdempotencyScope group,
+      boolean sameCell,
+      boolean sameZone,
+      boolean elsewhere) {
     parts.site.effect = effect;
     parts.site.group = group;
     InFlightRequest request = parts.request(5);
@@ -39,7 +41,8 @@
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
     assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
     assertEquals(
-        effect == Effect.IDEMPOTENT, policy.permits(request, parts.endpoint(2), START + 1000 * MS));
+        effect == Idempotency.IDEMPOTENT,
+        policy.permits(request, parts.endpoint(2), START + 1000 * MS));
   }
 
   @Test
@@ -63,14 +66,14 @@
 
   @Test
   void whoAsksMayRepeatWhatDidNotRun() {
-    parts.site.effect = Effect.NON_IDEMPOTENT;
+    parts.site.effect = Idempotency.NON_IDEMPOTENT;
     InFlightRequest request = parts.request(5);
     assertTrue(policy.isSafeToRepeat(request));
     request.recordExecuted(parts.attempt(request, 0, 5));
     assertFalse(policy.isSafeToRepeat(request));
-    parts.site.effect = Effect.TOKENED;
+    parts.site.effect = Idempotency.IDEMPOTENCY_KEY;
     assertTrue(policy.isSafeToRepeat(request));
-    parts.site.group = Group.ZONE;
+    parts.site.group = IdempotencyScope.ZONE;
     assertFalse(policy.isSafeToRepeat(request));
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -7,7 +7,6 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingConfig.Effect;
 import org.junit.jupiter.api.Test;
 
 class RouteSelectorTest {
@@ -54,7 +53,7 @@
   void thereIsNoRouteWhereTheEffectMightComeTwice() {
     InFlightRequest request = parts.request(5);
     request.recordExecuted(parts.attempt(request, 0, 5));
-    parts.site.effect = Effect.NON_IDEMPOTENT;
+    parts.site.effect = Idempotency.NON_IDEMPOTENT;
     assertNull(route(request));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -571,15 +571,15 @@
   }
 
   @Override
-  public Effect effect(int ds) {
+  public Idempotency effect(int ds) {
     return ds == 0 || ds == 5
-        ? Effect.IDEMPOTENT
-        : ds == 4 ? Effect.NON_IDEMPOTENT : Effect.TOKENED;
+        ? Idempotency.IDEMPOTENT
+        : ds == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
   }
 
   @Override
-  public Group group(int ds) {
-    return ds == 1 ? Group.ALL : ds == 2 ? Group.ZONE : Group.CELL;
+  public IdempotencyScope group(int ds) {
+    return ds == 1 ? IdempotencyScope.ALL : ds == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL;
   }
 
   @Override
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -8,7 +8,6 @@
 import java.util.Objects;
 import java.util.stream.LongStream;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
 import org.junit.jupiter.api.Test;
 
 class SyntheticRouteSelectorTest {
@@ -45,7 +44,7 @@
 
   @Test
   void nothingIsAskedThatMayNotBeRepeated() {
-    parts.site.effect = Effect.NON_IDEMPOTENT;
+    parts.site.effect = Idempotency.NON_IDEMPOTENT;
     assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START));
   }
 }
