--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -173,7 +173,7 @@
     routingStage.enqueue(
         request,
         events ->
-            events.ended(
+            events.attemptEnded(
                 request.id, plan.index(), plan.endpoint(), outcome, tookNanos, answered, note));
     context.inFlight().removeIfFinished(request);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -18,7 +18,7 @@
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
-import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * The caches that the journal told of, by the small indices under which the decisions know them.
@@ -38,7 +38,7 @@
     long startedAtMs, startedAt;
 
     /** What was told of it last, but for when it started. */
-    LongFunction<Consumer<Events>> telling;
+    LongFunction<Consumer<RoutingEventHandler>> telling;
 
     Entry(String id, int index) {
       this.id = id;
@@ -63,7 +63,7 @@
 
   private final List<Entry> entries = new ArrayList<>();
   private final ArrayDeque<Integer> unused = new ArrayDeque<>();
-  private final List<Consumer<Events>> list = new ArrayList<>();
+  private final List<Consumer<RoutingEventHandler>> list = new ArrayList<>();
   private RoutingStage route;
   private int most;
   private boolean told;
@@ -136,7 +136,8 @@
   @Override
   public void listing(boolean whole) {
     list.clear();
-    list.add(to -> to.listing(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES));
+    list.add(
+        to -> to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES));
     if (whole) {
       byId.values().forEach(entry -> entry.state = EndpointState.GONE);
     }
@@ -180,7 +181,8 @@
       entry.startedAt = startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(startedAtMs);
     }
     entry.telling =
-        startedAt -> to -> to.member(entry.index, id, zone, kind, cell, state, weight, startedAt);
+        startedAt ->
+            to -> to.endpointListed(entry.index, id, zone, kind, cell, state, weight, startedAt);
     list.add(entry.telling.apply(entry.startedAt));
   }
 
@@ -192,11 +194,11 @@
   @Override
   public void listed() {
     told = true;
-    List<Consumer<Events>> news = List.copyOf(list);
+    List<Consumer<RoutingEventHandler>> news = List.copyOf(list);
     route.enqueueDiscovery(
         to -> {
           news.forEach(one -> one.accept(to));
-          to.listed();
+          to.endpointListCompleted();
         });
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
     int listed = 0;
@@ -222,7 +224,7 @@
     if (clock.corrected()) {
       tellStarts();
     }
-    route.enqueueDiscovery(to -> to.purged(object, group, clock.now() - purgedAt));
+    route.enqueueDiscovery(to -> to.objectPurged(object, group, clock.now() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done
     // before.
     pools()
@@ -238,7 +240,7 @@
    * look old.
    */
   private void tellStarts() {
-    List<Consumer<Events>> later = new ArrayList<>();
+    List<Consumer<RoutingEventHandler>> later = new ArrayList<>();
     for (Entry entry : byId.values()) {
       long startedAt =
           entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
@@ -249,9 +251,9 @@
     }
     route.enqueueDiscovery(
         to -> {
-          to.listing(EndpointListKind.CHANGES);
+          to.endpointListStarted(EndpointListKind.CHANGES);
           later.forEach(one -> one.accept(to));
-          to.listed();
+          to.endpointListCompleted();
         });
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -68,7 +68,7 @@
    * the journal, or in its place if the options name no journal.
    */
   public Gateway(Vertx vertx, GatewayOptions options, GatewayExtensions extensions) {
-    this(vertx, options, extensions, new RequestRouter(options.site())::round);
+    this(vertx, options, extensions, new RequestRouter(options.site())::decide);
   }
 
   /** The same with another router, for tests. */
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
@@ -18,12 +18,12 @@
 
   @Override
   public void quotaShareChanged(int gateways, double share) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.sharers(gateways, share));
+    pipeline.routingStage.enqueueDiscovery(events -> events.gatewayShareChanged(gateways, share));
   }
 
   @Override
   public void healthChecksCentralized(boolean centralized) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.tried(centralized));
+    pipeline.routingStage.enqueueDiscovery(events -> events.healthChecksDelegated(centralized));
   }
 
   @Override
@@ -34,7 +34,7 @@
         events -> {
           int endpoint = pipeline.endpoints.index(endpointId);
           if (endpoint >= 0) {
-            events.vouched(endpoint, answered, ageNanos + clock.now() - reportedAtNanos);
+            events.healthReported(endpoint, answered, ageNanos + clock.now() - reportedAtNanos);
           }
         });
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -84,7 +84,7 @@
         .vertx()
         .setTimer(
             Math.max(1, delayNanos / NANOS_PER_MILLI),
-            timer -> routingStage.enqueue(null, events -> events.woken(handle)));
+            timer -> routingStage.enqueue(null, events -> events.timerFired(handle)));
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -7,6 +7,7 @@
 import java.util.logging.Logger;
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.SocketReads;
 
@@ -36,7 +37,7 @@
   }
 
   /** An event, and the request that it belongs to; null where it belongs to none. */
-  private record QueuedEvent(ClientRequest request, Consumer<Events> event) {}
+  private record QueuedEvent(ClientRequest request, Consumer<RoutingEventHandler> event) {}
 
   private final PipelineContext context;
   private final DiscoveryFreshness discoveryFreshness;
@@ -85,7 +86,7 @@
     submit(
         request,
         events ->
-            events.get(
+            events.requestReceived(
                 request.id,
                 request.trafficClass,
                 request.decoded.objectId(),
@@ -100,7 +101,7 @@
    * Gives a new request to the router by an event, and lets it be answered soon after its deadline
    * at the latest.
    */
-  void submit(ClientRequest request, Consumer<Events> event) {
+  void submit(ClientRequest request, Consumer<RoutingEventHandler> event) {
     long leftNanos = request.deadlineNanos - context.clock().now();
     request.backstopTimer =
         context
@@ -115,7 +116,7 @@
   }
 
   /** Queues an event for this turn's batch; the request is null where it belongs to none. */
-  void enqueue(ClientRequest request, Consumer<Events> event) {
+  void enqueue(ClientRequest request, Consumer<RoutingEventHandler> event) {
     requestEvents.add(new QueuedEvent(request, event));
     if (request != null) {
       request.pendingEvents++;
@@ -125,14 +126,14 @@
 
   /** Notifies the router that nobody waits for a request's response any more. */
   void enqueueCancelled(ClientRequest request) {
-    enqueue(request, events -> events.left(request.id));
+    enqueue(request, events -> events.clientDisconnected(request.id));
   }
 
   /**
    * Queues an event about endpoints or purges. It goes ahead of all others: guards requests that
    * came with it against decisions without it.
    */
-  void enqueueDiscovery(Consumer<Events> event) {
+  void enqueueDiscovery(Consumer<RoutingEventHandler> event) {
     discoveryEvents.add(new QueuedEvent(null, event));
     scheduleBatch();
   }
@@ -284,7 +285,7 @@
 
   /** Gives the batch to the router. A failure on one request's event ends that request alone. */
   @Override
-  public void replay(Events events) {
+  public void replayTo(RoutingEventHandler events) {
     while (replayed < batch.size()) {
       QueuedEvent queued = batch.get(replayed++);
       try {
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -16,7 +16,7 @@
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Runs made-up requests before clients are let in, so that the first real ones find compiled code.
@@ -63,7 +63,7 @@
    * runs before anything listens.
    */
   void runInProcess() {
-    router.round(nowNanos, this::listEndpoints, this);
+    router.decide(nowNanos, this::listEndpoints, this);
     for (int batch = 0; batch < BATCHES && !isTimeOver(); batch++) {
       for (int request = 0; request < BATCH_SIZE; request++) {
         routeOne(++requests);
@@ -118,10 +118,10 @@
     int partNumber = (int) (id % PARTS);
     ResponseDetail note = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
     nowNanos += REQUEST_INTERVAL_NANOS;
-    router.round(
+    router.decide(
         nowNanos,
         events ->
-            events.get(
+            events.requestReceived(
                 id,
                 trafficClass,
                 objectId,
@@ -131,26 +131,27 @@
                 SEGMENT_KB,
                 false),
         this);
-    router.round(
+    router.decide(
         nowNanos + REQUEST_INTERVAL_NANOS / 2,
         events -> {
-          events.woken("sweep");
-          events.ended(
+          events.timerFired("sweep");
+          events.attemptEnded(
               id, 0, chosenEndpoint, AttemptOutcome.SUCCEEDED, RESPONSE_TIME_NANOS, true, note);
         },
         this);
   }
 
-  private void listEndpoints(Events events) {
-    events.listing(EndpointListKind.FULL);
+  private void listEndpoints(RoutingEventHandler events) {
+    events.endpointListStarted(EndpointListKind.FULL);
     for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-      events.member(endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0);
+      events.endpointListed(
+          endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0);
     }
     if (config.midKind() != null) {
-      events.member(
+      events.endpointListed(
           ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, EndpointState.UP, 1, 0);
     }
-    events.listed();
+    events.endpointListCompleted();
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -8,7 +8,7 @@
 import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Requests that this gateway makes itself on behalf of the fleet, modelled on what clients asked
@@ -93,9 +93,9 @@
     return true;
   }
 
-  private void offer(Events events, ClientRequest request, int endpoint) {
+  private void offer(RoutingEventHandler events, ClientRequest request, int endpoint) {
     DecodedRequest decoded = request.decoded;
-    events.own(
+    events.syntheticRequestReceived(
         request.id,
         request.trafficClass,
         decoded.objectId(),
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -6,7 +6,7 @@
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ResponseDetail;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Decodes the simulator's events into those of the decisions. An event that the wire does not have
@@ -23,27 +23,28 @@
   }
 
   /** Decodes one event; some concern no decision. */
-  void decode(JsonReader event, RoutingEvents.Events to) {
+  void decode(JsonReader event, RoutingEventHandler to) {
     switch (event.text("verb")) {
       case "view" -> endpointList(event.named("view"), to);
       case "order" -> request(event.named("order"), to);
       case "verdict" -> outcome(event.named("verdict"), to);
       case "head-received" -> {
         JsonReader head = event.named("head-received");
-        to.begun(head.whole("op-id"), head.place("copy", 0));
+        to.responseStarted(head.whole("op-id"), head.place("copy", 0));
       }
-      case "cancelled-by-client" -> to.left(event.named("cancelled-by-client").whole("op-id"));
+      case "cancelled-by-client" ->
+          to.clientDisconnected(event.named("cancelled-by-client").whole("op-id"));
       case "expired-now" -> purge(event.named("expired-now"), to);
-      case "ring" -> to.woken(event.named("ring").text("handle"));
+      case "ring" -> to.timerFired(event.named("ring").text("handle"));
       case "status-back", "heard" -> {}
       default -> throw event.wrong("verb", "unknown: " + event.text("verb"));
     }
   }
 
-  private void endpointList(JsonReader view, RoutingEvents.Events to) {
-    to.listing(listing(view));
+  private void endpointList(JsonReader view, RoutingEventHandler to) {
+    to.endpointListStarted(listing(view));
     for (JsonReader entry : view.each("members-list")) {
-      to.member(
+      to.endpointListed(
           caches.add(entry.text("cache")),
           entry.text("cache"),
           entry.has("az") ? entry.text("az") : "",
@@ -53,15 +54,15 @@
           entry.numberOr("power-hint", 1),
           entry.timeOr("came-up-s", 0));
     }
-    to.listed();
+    to.endpointListCompleted();
   }
 
-  private void request(JsonReader order, RoutingEvents.Events to) {
+  private void request(JsonReader order, RoutingEventHandler to) {
     int trafficClass = config.trafficClass(order.text("tier-class"));
     if (trafficClass < 0) {
       throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
     }
-    to.get(
+    to.requestReceived(
         order.whole("op-id"),
         trafficClass,
         order.wholeOr("resource", 0),
@@ -72,8 +73,8 @@
         order.flag("is-write"));
   }
 
-  private void outcome(JsonReader verdict, RoutingEvents.Events to) {
-    to.ended(
+  private void outcome(JsonReader verdict, RoutingEventHandler to) {
+    to.attemptEnded(
         verdict.whole("op-id"),
         verdict.place("copy", 0),
         cache(verdict),
@@ -83,8 +84,9 @@
         note(verdict));
   }
 
-  private static void purge(JsonReader purge, RoutingEvents.Events to) {
-    to.purged(purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
+  private static void purge(JsonReader purge, RoutingEventHandler to) {
+    to.objectPurged(
+        purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
   }
 
   private int cache(JsonReader event) {
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -39,7 +39,7 @@
   void round(long nowNanos, List<JsonReader> events, JsonGenerator reply) throws IOException {
     encoder.begin(reply);
     try {
-      router.round(nowNanos, to -> events.forEach(event -> decoder.decode(event, to)), encoder);
+      router.decide(nowNanos, to -> events.forEach(event -> decoder.decode(event, to)), encoder);
     } catch (InvalidDocumentException | UncheckedIOException e) {
       throw e;
     } catch (RuntimeException e) {
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -62,7 +62,7 @@
   void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes)
       throws Exception {
     PausingDecisions decisions =
-        new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::round);
+        new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::decide);
     world.start(options(), decisions);
     Client client = world.client();
     assertTrue(client.status().status());
@@ -116,21 +116,22 @@
    * its end.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"get", "ended"})
+  @ValueSource(strings = {"requestReceived", "attemptEnded"})
   void anAttemptAtTheEndOfALongRoundWaitsUntilTheSocketsAreRead(String event) throws Exception {
     BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     PausingDecisions pause = new PausingDecisions(null);
     world.start(
         options(),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 PausingDecisions.events(
                     (name, told) -> {
-                      if (name.equals("ended")) {
+                      if (name.equals("attemptEnded")) {
                         outcomes.add((AttemptOutcome) told[3]);
                       }
                       boolean begins =
-                          name.equals("get") || (name.equals("ended") && (int) told[1] == 0);
+                          name.equals("requestReceived")
+                              || (name.equals("attemptEnded") && (int) told[1] == 0);
                       if (name.equals(event) && begins) {
                         pause.stand();
                       }
@@ -140,7 +141,7 @@
                     })));
     Client client = world.client();
     client.get(1, "parts", 15_000, 0);
-    if (event.equals("ended")) {
+    if (event.equals("attemptEnded")) {
       cache.next().answer("refused", "-", new byte[0]);
     }
     pause.awaitStanding();
@@ -148,7 +149,7 @@
     Thread.sleep(GONE_MS);
     pause.resume();
     assertEquals(
-        event.equals("get") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
+        event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
         outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -19,7 +19,7 @@
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.routing.AttemptOutcome;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -128,10 +128,10 @@
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) -> {
           int[] gets = new int[1];
-          in.replay(
+          in.replayTo(
               events(
                   (event, told) -> {
-                    if (event.equals("get") && gets[0]++ == 0 && (long) told[0] == 1) {
+                    if (event.equals("requestReceived") && gets[0]++ == 0 && (long) told[0] == 1) {
                       stand();
                     }
                   }));
@@ -158,10 +158,10 @@
     world.start(
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 events(
                     (event, told) -> {
-                      if (event.equals("get")) {
+                      if (event.equals("requestReceived")) {
                         left.add((long) told[5] / 1_000_000);
                         if (left.size() == 1) {
                           stand();
@@ -222,11 +222,11 @@
     }
   }
 
-  private static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
-    return (RoutingEvents.Events)
+  private static RoutingEventHandler events(BiConsumer<String, Object[]> hear) {
+    return (RoutingEventHandler)
         Proxy.newProxyInstance(
             EndingsTest.class.getClassLoader(),
-            new Class<?>[] {RoutingEvents.Events.class},
+            new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
               hear.accept(event.getName(), told);
               return null;
@@ -241,13 +241,13 @@
     world.start(
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 events(
                     (event, told) -> {
-                      if (event.equals("get")) {
+                      if (event.equals("requestReceived")) {
                         to.sendBy((long) told[0], now - 1);
                         to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-                      } else if (event.equals("ended")) {
+                      } else if (event.equals("attemptEnded")) {
                         outcomes.add((AttemptOutcome) told[3]);
                       }
                     })));
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -32,6 +32,7 @@
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -292,13 +293,13 @@
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
+                          public void requestReceived(
                               long id,
                               int ds,
                               long object,
@@ -314,11 +315,11 @@
                                 Thread.onSpinWait();
                               }
                             }
-                            super.get(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(id, ds, object, group, part, left, kb, w);
                           }
 
                           @Override
-                          public void ended(
+                          public void attemptEnded(
                               long id,
                               int copy,
                               int at,
@@ -327,7 +328,7 @@
                               boolean settled,
                               ResponseDetail note) {
                             times.add(took);
-                            super.ended(id, copy, at, outcome, took, settled, note);
+                            super.attemptEnded(id, copy, at, outcome, took, settled, note);
                           }
                         }),
                 to));
@@ -376,13 +377,13 @@
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
+                          public void requestReceived(
                               long id,
                               int ds,
                               long object,
@@ -816,13 +817,13 @@
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
+                          public void requestReceived(
                               long id,
                               int ds,
                               long object,
@@ -834,7 +835,7 @@
                             if (part == 13) {
                               throw new IllegalStateException("part 13");
                             }
-                            super.get(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(id, ds, object, group, part, left, kb, w);
                           }
                         }),
                 to));
@@ -989,20 +990,20 @@
   }
 
   /** Passes on what it is told, if to anybody. */
-  private static class Ear implements RoutingEvents.Events {
-    private final RoutingEvents.Events to;
+  private static class Ear implements RoutingEventHandler {
+    private final RoutingEventHandler to;
 
-    Ear(RoutingEvents.Events to) {
+    Ear(RoutingEventHandler to) {
       this.to = to;
     }
 
     @Override
-    public void listing(EndpointListKind what) {
-      to.listing(what);
+    public void endpointListStarted(EndpointListKind what) {
+      to.endpointListStarted(what);
     }
 
     @Override
-    public void member(
+    public void endpointListed(
         int cache,
         String id,
         String zone,
@@ -1011,16 +1012,16 @@
         EndpointState state,
         double weight,
         long startedAt) {
-      to.member(cache, id, zone, kind, cell, state, weight, startedAt);
+      to.endpointListed(cache, id, zone, kind, cell, state, weight, startedAt);
     }
 
     @Override
-    public void listed() {
-      to.listed();
+    public void endpointListCompleted() {
+      to.endpointListCompleted();
     }
 
     @Override
-    public void get(
+    public void requestReceived(
         long id,
         int ds,
         long object,
@@ -1029,16 +1030,16 @@
         long timeLeft,
         double kb,
         boolean write) {
-      to.get(id, ds, object, group, part, timeLeft, kb, write);
+      to.requestReceived(id, ds, object, group, part, timeLeft, kb, write);
     }
 
     @Override
-    public void begun(long id, int copy) {
-      to.begun(id, copy);
+    public void responseStarted(long id, int copy) {
+      to.responseStarted(id, copy);
     }
 
     @Override
-    public void ended(
+    public void attemptEnded(
         long id,
         int copy,
         int cache,
@@ -1046,43 +1047,43 @@
         long took,
         boolean settled,
         ResponseDetail note) {
-      to.ended(id, copy, cache, outcome, took, settled, note);
+      to.attemptEnded(id, copy, cache, outcome, took, settled, note);
     }
 
     @Override
-    public void left(long id) {
-      to.left(id);
+    public void clientDisconnected(long id) {
+      to.clientDisconnected(id);
     }
 
     @Override
-    public void purged(long object, int group, long ago) {
-      to.purged(object, group, ago);
+    public void objectPurged(long object, int group, long ago) {
+      to.objectPurged(object, group, ago);
     }
 
     @Override
-    public void woken(String handle) {
-      to.woken(handle);
+    public void timerFired(String handle) {
+      to.timerFired(handle);
     }
 
     @Override
-    public void sharers(int many, double part) {
-      to.sharers(many, part);
+    public void gatewayShareChanged(int many, double part) {
+      to.gatewayShareChanged(many, part);
     }
 
     @Override
-    public void tried(boolean forAll) {
-      to.tried(forAll);
+    public void healthChecksDelegated(boolean forAll) {
+      to.healthChecksDelegated(forAll);
     }
 
     @Override
-    public void vouched(int cache, boolean answers, long ago) {
-      to.vouched(cache, answers, ago);
+    public void healthReported(int cache, boolean answers, long ago) {
+      to.healthReported(cache, answers, ago);
     }
 
     @Override
-    public void own(
+    public void syntheticRequestReceived(
         long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache) {
-      to.own(id, ds, object, group, part, timeLeft, kb, cache);
+      to.syntheticRequestReceived(id, ds, object, group, part, timeLeft, kb, cache);
     }
   }
 
@@ -1109,7 +1110,7 @@
     volatile boolean armed;
 
     Standing(GatewayOptions options) {
-      decisions = new RequestRouter(options.site())::round;
+      decisions = new RequestRouter(options.site())::decide;
     }
 
     @Override
@@ -1256,15 +1257,15 @@
       other.start(
           options,
           (now, in, to) ->
-              in.replay(
-                  (RoutingEvents.Events)
+              in.replayTo(
+                  (RoutingEventHandler)
                       Proxy.newProxyInstance(
                           getClass().getClassLoader(),
-                          new Class<?>[] {RoutingEvents.Events.class},
+                          new Class<?>[] {RoutingEventHandler.class},
                           (proxy, event, told) -> {
-                            if (event.getName().equals("get")) {
+                            if (event.getName().equals("requestReceived")) {
                               to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-                            } else if (event.getName().equals("ended")) {
+                            } else if (event.getName().equals("attemptEnded")) {
                               outcomes.add((AttemptOutcome) told[3]);
                             }
                             return null;
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -8,6 +8,7 @@
 import java.util.function.BiConsumer;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
@@ -61,11 +62,11 @@
   }
 
   /** Hears each event by its name, with its arguments. */
-  static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
-    return (RoutingEvents.Events)
+  static RoutingEventHandler events(BiConsumer<String, Object[]> hear) {
+    return (RoutingEventHandler)
         Proxy.newProxyInstance(
             PausingDecisions.class.getClassLoader(),
-            new Class<?>[] {RoutingEvents.Events.class},
+            new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
               hear.accept(event.getName(), told);
               return null;
--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -661,7 +661,7 @@
     world.start(
         options,
         (now, in, to) ->
-            router.round(
+            router.decide(
                 now,
                 in,
                 (RoutingActions)
@@ -669,7 +669,7 @@
                         getClass().getClassLoader(),
                         new Class<?>[] {RoutingActions.class},
                         (proxy, method, values) -> {
-                          if (method.getName().equals("health")) {
+                          if (method.getName().equals("endpointHealthChanged")) {
                             told.add((EndpointHealthStatus) values[1]);
                           }
                           return method.invoke(to, values);
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -83,11 +83,12 @@
     PausingDecisions decisions =
         new PausingDecisions(
             (now, in, to) ->
-                in.replay(
+                in.replayTo(
                     PausingDecisions.events(
                         (name, told) -> {
                           if (name.equals(
-                              "get")) { // With no limits, so that each comes to the cache.
+                              "requestReceived")) { // With no limits, so that each comes to the
+                            // cache.
                             to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
                           }
                         })));
@@ -154,7 +155,7 @@
   void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
     PausingDecisions decisions =
         new PausingDecisions(
-            new RequestRouter(GatewayOptions.read(world.environment(folder)).site())::round);
+            new RequestRouter(GatewayOptions.read(world.environment(folder)).site())::decide);
     world.start(GatewayOptions.read(world.environment(folder)), decisions);
     Client client = world.client();
     client.status();
@@ -181,10 +182,10 @@
           if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
             throw new IllegalStateException("a round");
           }
-          in.replay(
+          in.replayTo(
               PausingDecisions.events(
                   (name, told) -> {
-                    if (name.equals("get")) {
+                    if (name.equals("requestReceived")) {
                       throw trouble.equals("recursion")
                           ? new StackOverflowError()
                           : new AssertionError("an event");
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -37,7 +37,7 @@
 import org.amberpath.gateway.StandIns.Command;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -177,7 +177,7 @@
             vertx,
             options,
             GatewayExtensions.NONE,
-            (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
+            (now, in, to) -> control.decide(now, events -> in.replayTo(heard(events)), to));
     world
         .gateway
         .start()
@@ -187,13 +187,13 @@
   }
 
   /** Notes how each attempt ended before the decisions hear of it. */
-  private RoutingEvents.Events heard(RoutingEvents.Events to) {
-    return (RoutingEvents.Events)
+  private RoutingEventHandler heard(RoutingEventHandler to) {
+    return (RoutingEventHandler)
         Proxy.newProxyInstance(
             SystemCallFailuresTest.class.getClassLoader(),
-            new Class<?>[] {RoutingEvents.Events.class},
+            new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
-              if (event.getName().equals("ended")) {
+              if (event.getName().equals("attemptEnded")) {
                 outcomes.add((AttemptOutcome) told[3]);
               }
               return event.invoke(to, told);
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -45,19 +45,19 @@
   private void start() throws Exception {
     RoutingStage.BatchRouter decisions =
         (now, in, to) ->
-            in.replay(
-                (RoutingEvents.Events)
+            in.replayTo(
+                (RoutingEventHandler)
                     Proxy.newProxyInstance(
                         getClass().getClassLoader(),
-                        new Class<?>[] {RoutingEvents.Events.class},
+                        new Class<?>[] {RoutingEventHandler.class},
                         (proxy, event, with) -> {
-                          if (event.getName().equals("member") && (long) with[7] != 0) {
+                          if (event.getName().equals("endpointListed") && (long) with[7] != 0) {
                             told.add(
                                 new Told(
                                     (String) with[1],
                                     (now - (long) with[7]) / 1_000_000,
                                     (long) with[7]));
-                          } else if (event.getName().equals("purged")) {
+                          } else if (event.getName().equals("objectPurged")) {
                             told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
                           }
                           return null;
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -24,8 +24,8 @@
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Events;
 
 /**
  * A fleet of real decisions on the virtual clock among simulated caches, hubs and an origin, and
@@ -193,9 +193,9 @@
           () ->
               one.tell(
                   to -> {
-                    to.listing(EndpointListKind.CHANGES);
+                    to.endpointListStarted(EndpointListKind.CHANGES);
                     one.member(to, caches.get(cache), state, startedAt);
-                    to.listed();
+                    to.endpointListCompleted();
                   }));
     }
   }
@@ -392,8 +392,8 @@
     private RecoveryRamp opening;
     private boolean up;
     private long life, openAt;
-    private final List<Consumer<Events>> came = new ArrayList<>();
-    private List<Consumer<Events>> round = List.of();
+    private final List<Consumer<RoutingEventHandler>> came = new ArrayList<>();
+    private List<Consumer<RoutingEventHandler>> round = List.of();
     private boolean due;
     private final Map<Long, Viewer> viewers = new HashMap<>();
     private final Map<Long, Consumer<HealthCheckCoordinator.End>> own = new HashMap<>();
@@ -431,7 +431,7 @@
       opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
       tell(
           to -> {
-            to.listing(EndpointListKind.FULL);
+            to.endpointListStarted(EndpointListKind.FULL);
             caches.forEach(
                 cache ->
                     member(
@@ -439,7 +439,7 @@
                         cache,
                         cache.down ? EndpointState.GONE : EndpointState.UP,
                         cache.startedAt));
-            to.listed();
+            to.endpointListCompleted();
           });
       // Of what its part of the cold budgets bears it knows the caches that are there.
       double bears =
@@ -474,13 +474,13 @@
       }
     }
 
-    void member(Events to, Cache cache, EndpointState state, long startedAt) {
+    void member(RoutingEventHandler to, Cache cache, EndpointState state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
-      to.member(
+      to.endpointListed(
           cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
     }
 
-    void tell(Consumer<Events> event) {
+    void tell(Consumer<RoutingEventHandler> event) {
       if (!up) {
         return;
       }
@@ -493,7 +493,7 @@
               due = false;
               round = List.copyOf(came);
               came.clear();
-              router.round(agenda.now(), this, this);
+              router.decide(agenda.now(), this, this);
             });
       }
     }
@@ -511,7 +511,7 @@
     }
 
     @Override
-    public void replay(Events to) {
+    public void replayTo(RoutingEventHandler to) {
       round.forEach(event -> event.accept(to));
     }
 
@@ -548,12 +548,15 @@
       viewers.put(id, viewer);
       recent.add(new Asked(object, part), new Asked(object, part));
       keys.put(id, viewer.key);
-      tell(to -> to.get(id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false));
+      tell(
+          to ->
+              to.requestReceived(
+                  id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false));
       agenda.at(
           viewer.began + LIMIT,
           () -> {
             if (viewers.remove(id) != null) {
-              tell(to -> to.left(id));
+              tell(to -> to.clientDisconnected(id));
             }
           });
     }
@@ -603,7 +606,7 @@
       long took = LIMIT; // The decisions look at it for what was returned alone.
       tell(
           to ->
-              to.ended(
+              to.attemptEnded(
                   wanted.get,
                   wanted.copy,
                   cache,
@@ -638,12 +641,15 @@
     @Override
     public void callOff(long get, int copy) {
       open.remove(get + "/" + copy);
-      tell(to -> to.ended(get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE));
+      tell(
+          to ->
+              to.attemptEnded(
+                  get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE));
     }
 
     @Override
     public void wake(long delay, String handle) {
-      later(delay, () -> tell(to -> to.woken(handle)));
+      later(delay, () -> tell(to -> to.timerFired(handle)));
     }
 
     @Override
@@ -715,7 +721,7 @@
       boolean another = trials.forAll(agenda.now(), owns(true));
       if (another != forAll) {
         forAll = another;
-        tell(to -> to.tried(another));
+        tell(to -> to.healthChecksDelegated(another));
       }
     }
 
@@ -734,7 +740,7 @@
       trust();
       taken.forEach(
           (cache, one) ->
-              tell(to -> to.vouched(Integer.parseInt(cache), one.answers(), one.ago())));
+              tell(to -> to.healthReported(Integer.parseInt(cache), one.answers(), one.ago())));
     }
 
     private void attempt() {
@@ -766,14 +772,14 @@
       long id = ++ids;
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
-      tell(to -> to.own(id, 0, like.object, 0, like.part, ACT, KB, cache));
+      tell(to -> to.syntheticRequestReceived(id, 0, like.object, 0, like.part, ACT, KB, cache));
       agenda.at(
           agenda.now() + ACT,
           () -> {
             Consumer<HealthCheckCoordinator.End> late = own.remove(id);
             if (late != null) {
               late.accept(HealthCheckCoordinator.End.SILENT);
-              tell(to -> to.left(id));
+              tell(to -> to.clientDisconnected(id));
             }
           });
     }
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -11,8 +11,8 @@
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
- * #round} takes a batch of all events that came in and writes the actions that follow from them, in
- * order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
+ * #decide} takes a batch of all events that came in and writes the actions that follow from them,
+ * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
  * batch's time, in nanoseconds.
  *
  * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its
@@ -20,7 +20,7 @@
  * OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The
  * design is docs/design.md.
  */
-public final class RequestRouter implements RoutingEvents.Events {
+public final class RequestRouter implements RoutingEventHandler {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
   private static final String SWEEP_HANDLE = "sweep";
 
@@ -80,7 +80,7 @@
    * Decides on all events of a batch, at one time in nanoseconds; the actions are written as they
    * are decided.
    */
-  public void round(long time, RoutingEvents events, RoutingActions actions) {
+  public void decide(long time, RoutingEvents events, RoutingActions actions) {
     nowNanos = time;
     batch = new Batch(time, actions);
     slowStart.beginBatch(time);
@@ -88,7 +88,7 @@
       watching = true;
       actions.watchList();
     }
-    events.replay(this);
+    events.replayTo(this);
   }
 
   // ---- Requests.
@@ -98,7 +98,7 @@
    * send it.
    */
   @Override
-  public void get(
+  public void requestReceived(
       long id,
       int trafficClass,
       long object,
@@ -127,7 +127,7 @@
    * named, a prefetch.
    */
   @Override
-  public void own(
+  public void syntheticRequestReceived(
       long id,
       int trafficClass,
       long object,
@@ -220,14 +220,14 @@
   }
 
   @Override
-  public void begun(long id, int attemptNumber) {
+  public void responseStarted(long id, int attemptNumber) {
     if (requests.containsKey(id)) {
       requests.get(id).streaming = true;
     }
   }
 
   @Override
-  public void ended(
+  public void attemptEnded(
       long id,
       int attemptNumber,
       int endpoint,
@@ -317,14 +317,14 @@
   }
 
   @Override
-  public void left(long id) {
+  public void clientDisconnected(long id) {
     if (requests.containsKey(id) && !requests.get(id).done) {
       finish(requests.get(id));
     }
   }
 
   @Override
-  public void woken(String handle) {
+  public void timerFired(String handle) {
     sweepScheduled = !openAttempts.isEmpty();
     if (sweepScheduled) {
       batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
@@ -359,13 +359,13 @@
   // ---- Changes of endpoints, copies and the fleet.
 
   @Override
-  public void listing(EndpointListKind listing) {
+  public void endpointListStarted(EndpointListKind listing) {
     cluster.beginList(listing);
     watching = listing != EndpointListKind.NONE;
   }
 
   @Override
-  public void member(
+  public void endpointListed(
       int index,
       String id,
       String zone,
@@ -379,27 +379,27 @@
   }
 
   @Override
-  public void listed() {
+  public void endpointListCompleted() {
     cluster.endList(nowNanos);
   }
 
   @Override
-  public void purged(long object, int group, long agoNanos) {
+  public void objectPurged(long object, int group, long agoNanos) {
     purges.record(object, group, nowNanos - agoNanos, nowNanos);
   }
 
   @Override
-  public void sharers(int gateways, double granted) {
+  public void gatewayShareChanged(int gateways, double granted) {
     cluster.updateShare(gateways, granted > 0, nowNanos);
   }
 
   @Override
-  public void tried(boolean delegated) {
+  public void healthChecksDelegated(boolean delegated) {
     outlierDetector.setDelegated(delegated);
   }
 
   @Override
-  public void vouched(int index, boolean answers, long agoNanos) {
+  public void healthReported(int index, boolean answers, long agoNanos) {
     Endpoint endpoint = endpoints.get(index);
     if (endpoint != null) {
       outlierDetector.onFleetReport(endpoint, answers, agoNanos, batch);
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -1,81 +1,8 @@
 package org.amberpath.routing;
 
-/**
- * All that came in at a gateway in one round, in order. Small indices stand for caches and
- * services.
- */
+/** A batch of everything that happened at one gateway since the batch before, in order. */
+@FunctionalInterface
 public interface RoutingEvents {
-  void replay(Events to);
-
-  /** The callbacks. */
-  interface Events {
-    /** A list of caches begins; its members follow under stable ids, then {@link #listed}. */
-    void listing(EndpointListKind what);
-
-    void member(
-        int cache,
-        String id,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAt);
-
-    void listed();
-
-    /**
-     * A GET came in. timeLeft is how long its viewer still waits; kb is 0 where the size is not
-     * told.
-     */
-    void get(
-        long id, int ds, long object, int group, int part, long timeLeft, double kb, boolean write);
-
-    /** A streamed answer has begun. */
-    void begun(long id, int copy);
-
-    /**
-     * A forward has ended; took is without what the gateway stood still; settled tells that the GET
-     * has ended, too.
-     */
-    void ended(
-        long id,
-        int copy,
-        int cache,
-        AttemptOutcome outcome,
-        long took,
-        boolean settled,
-        ResponseDetail note);
-
-    /** The viewer left. */
-    void left(long id);
-
-    /** An object, or with object 0 a whole group, was purged this long ago. */
-    void purged(long object, int group, long ago);
-
-    void woken(String handle);
-
-    /**
-     * How many gateways share what the site bounds, the told number or more, and this one's part of
-     * it: 0 while it may take none. Until this comes, the site's own number holds.
-     */
-    void sharers(int many, double part);
-
-    /** Whether one gateway tries for all, by GETs of its own, the caches that are set aside. */
-    void tried(boolean forAll);
-
-    /**
-     * Whoever tries for the fleet asked a cache this long ago, after others had set it aside;
-     * whether it answered.
-     */
-    void vouched(int cache, boolean answers, long ago);
-
-    /**
-     * A GET of this gateway's own, on behalf of the fleet, of a delivery service that may be
-     * repeated: to a cache that is to be tried, or with cache -1 to one that has just started, if
-     * that is the object's by the hash.
-     */
-    void own(
-        long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache);
-  }
+  /** Passes each event to the handler, in order, on the caller's thread. */
+  void replayTo(RoutingEventHandler handler);
 }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -184,7 +184,7 @@
     Sent before = host.get(++ids, 5, 0);
     assertEquals(0, before.age());
     host.returned(before, 50, ResponseDetail.HIT);
-    host.event(to -> to.purged(object, group, 100 * MS)).pass(400);
+    host.event(to -> to.objectPurged(object, group, 100 * MS)).pass(400);
     Sent after = host.get(++ids, 5, 0);
     assertTrue(after.age() > 400 * MS && after.age() < 500 * MS, "age " + after.age());
     host.returned(after, 50, ResponseDetail.HIT).pass(6500);
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -23,7 +23,7 @@
 
   /** The one place that knows the class under test. */
   private static SeededWorld.Module module(RoutingConfig site) {
-    return new RequestRouter(site)::round;
+    return new RequestRouter(site)::decide;
   }
 
   private static String digest(Setting setting, long seed) {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -109,18 +109,18 @@
 
   @Test
   void whileAnotherTriesWhatIsAsideIsLeftToItAndWordOfAnAnswerBringsItBack() {
-    host.event(to -> to.sharers(200, 1 / 200.0));
+    host.event(to -> to.gatewayShareChanged(200, 1 / 200.0));
     int cache = firstAside().cache();
-    host.event(to -> to.tried(true));
+    host.event(to -> to.healthChecksDelegated(true));
     for (int second = 0; second < 20; second++) {
       host.pass(1000);
       Sent sent = host.get(++ids, 5, 0);
       assertNotEquals(cache, sent.cache(), "tried by itself after " + second + " s");
       host.returned(sent, 50, ResponseDetail.HIT);
     }
-    host.event(to -> to.vouched(cache, true, 30_000 * MS)).pass(3000);
+    host.event(to -> to.healthReported(cache, true, 30_000 * MS)).pass(3000);
     assertEquals(List.of(cache), host.aside, "word from before it was set aside is worth nothing");
-    host.event(to -> to.vouched(cache, true, 100 * MS));
+    host.event(to -> to.healthReported(cache, true, 100 * MS));
     assertEquals(List.of(), host.aside);
     host.pass(3000);
     assertEquals(cache, hit(5, 0).cache());
@@ -129,7 +129,7 @@
   @Test
   void wordThatASilentCacheAnswersIsNotBelievedAgainBeforeThePauseIsOver() {
     int cache = firstAside().cache();
-    host.pass(500).event(to -> to.vouched(cache, true, 0));
+    host.pass(500).event(to -> to.healthReported(cache, true, 0));
     assertEquals(List.of(), host.aside, "believed once");
     Sent sent = host.get(++ids, 5, 0);
     while (sent.cache() != cache) {
@@ -138,7 +138,7 @@
     }
     host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(cache), host.aside);
-    host.event(to -> to.vouched(cache, true, 0));
+    host.event(to -> to.healthReported(cache, true, 0));
     assertEquals(List.of(cache), host.aside, "it has just been seen not to answer");
   }
 
@@ -173,17 +173,18 @@
   @Test
   void silenceThatOthersFoundOutCountsUnlessSomethingWasHeardHereSinceOrMostAreAside() {
     Sent sent = hit(5, 0);
-    host.pass(1000).event(to -> to.vouched(sent.cache(), false, 2000 * MS));
+    host.pass(1000).event(to -> to.healthReported(sent.cache(), false, 2000 * MS));
     assertEquals(List.of(), host.aside, "it has answered here since");
-    host.event(to -> to.vouched(sent.cache(), false, 500 * MS));
+    host.event(to -> to.healthReported(sent.cache(), false, 500 * MS));
     assertEquals(List.of(sent.cache()), host.aside);
-    IntStream.range(0, 4).forEach(cache -> host.event(to -> to.vouched(cache, false, 100 * MS)));
+    IntStream.range(0, 4)
+        .forEach(cache -> host.event(to -> to.healthReported(cache, false, 100 * MS)));
     assertEquals(3, host.aside.size(), "one more than half of four, and no further");
   }
 
   @Test
   void whatIsFilledAheadIsAPartOfWhatAColdCacheIsPromised() {
-    host.event(to -> to.sharers(200, 1 / 200.0));
+    host.event(to -> to.gatewayShareChanged(200, 1 / 200.0));
     host.change(1, EndpointState.UP, host.now);
     assertEquals(List.of(1), host.cold);
     int sent = 0, refused = 0;
@@ -238,7 +239,7 @@
     host.now += 2000 * MS;
     host.ended(sent, AttemptOutcome.TIMED_OUT, 2000, ResponseDetail.NONE);
     assertEquals(List.of(1L), host.errored);
-    host.event(to -> to.left(1))
+    host.event(to -> to.clientDisconnected(1))
         .ended(sent, AttemptOutcome.CANCELLED, 2000, ResponseDetail.NONE)
         .pass(3000);
     assertEquals(1, host.sent.size() + host.shed.size());
@@ -429,7 +430,7 @@
       one.list();
       IntStream.range(1, 4).forEach(cache -> one.change(cache, EndpointState.GONE, 0));
       if (part >= 0) {
-        one.event(to -> to.sharers(3 * told + gateways - told, part));
+        one.event(to -> to.gatewayShareChanged(3 * told + gateways - told, part));
       }
       one.change(0, EndpointState.UP, one.now);
       for (long id = 1; id <= 40; id++) {
@@ -450,8 +451,8 @@
   @Test
   void aGatewayWithoutAPartSendsAColdCacheOneGetAtMost() {
     assertTrue(sentToACold(10, 10, 0) <= 10);
-    host.list().event(to -> to.sharers(9, 0));
-    host.event(to -> to.sharers(9, 1.0 / 9));
+    host.list().event(to -> to.gatewayShareChanged(9, 0));
+    host.event(to -> to.gatewayShareChanged(9, 1.0 / 9));
     assertNotNull(host.get(++ids, 5, 0), "it serves again once it has one");
   }
 
@@ -495,7 +496,7 @@
   @CsvSource({"5, 0", "0, 9", "0, -1"})
   void copiesFromBeforeAPurgeAreNotAskedForUntilAllHaveDroppedThem(long object, int group) {
     assertEquals(0, hit(5, 0).age());
-    host.event(to -> to.purged(object, group, 100 * MS)).pass(400);
+    host.event(to -> to.objectPurged(object, group, 100 * MS)).pass(400);
     long age = hit(5, 0).age();
     assertTrue(age > 400 * MS && age < 500 * MS, "younger than the purge: " + age);
     assertEquals(object == 0, hit(6, 0).age() > 0, "another object of the group");
@@ -749,9 +750,9 @@
     host.change(0, EndpointState.GONE, 0);
     host.event(
         to -> {
-          to.listing(EndpointListKind.CHANGES);
-          to.member(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0);
-          to.listed();
+          to.endpointListStarted(EndpointListKind.CHANGES);
+          to.endpointListed(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0);
+          to.endpointListCompleted();
         });
     LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(both::add);
     assertTrue(both.size() > 20);
@@ -792,18 +793,18 @@
         cold = new ArrayList<>();
     long now = 1_000_000 * MS, sendBy;
     private RequestRouter router;
-    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
     /**
      * Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order.
      */
     FakeHost list(int... order) {
-      events.add(to -> to.listing(EndpointListKind.FULL));
+      events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
       for (int cache : order) {
         events.add(to -> member(to, cache, EndpointState.UP, 0));
       }
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
       return this;
     }
 
@@ -812,21 +813,22 @@
     }
 
     FakeHost change(int cache, EndpointState state, long startedAt) {
-      events.add(to -> to.listing(EndpointListKind.CHANGES));
+      events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
       events.add(to -> member(to, cache, state, startedAt));
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
       return round();
     }
 
-    private void member(RoutingEvents.Events to, int cache, EndpointState state, long startedAt) {
+    private void member(RoutingEventHandler to, int cache, EndpointState state, long startedAt) {
       String kind = cache == 7 ? "origin" : cache > 4 ? "parent" : cache == 0 ? coldKind : "box";
       String zone = cache > 4 ? "hub" : cache == 4 ? "other" : "here";
-      to.member(cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
+      to.endpointListed(
+          cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
     }
 
     /** A GET with two seconds left; the answer is the forward that was sent for it, or null. */
     Sent get(long id, long object, int part) {
-      events.add(to -> to.get(id, 0, object, 9, part, 2000 * MS, 100, false));
+      events.add(to -> to.requestReceived(id, 0, object, 9, part, 2000 * MS, 100, false));
       round();
       return last(id);
     }
@@ -837,7 +839,8 @@
 
     FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, ResponseDetail note) {
       boolean settled = outcome == AttemptOutcome.SUCCEEDED;
-      events.add(to -> to.ended(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
+      events.add(
+          to -> to.attemptEnded(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
       return round();
     }
 
@@ -845,7 +848,7 @@
       return ended(one, AttemptOutcome.SUCCEEDED, tookMs, note);
     }
 
-    FakeHost event(Consumer<RoutingEvents.Events> event) {
+    FakeHost event(Consumer<RoutingEventHandler> event) {
       events.add(event);
       return round();
     }
@@ -868,7 +871,7 @@
 
     /** A GET of this gateway's own; the forward that was sent for it, or null. */
     Sent own(long id, long object, int part, int cache) {
-      event(to -> to.own(id, 0, object, 9, part, 500 * MS, 100, cache));
+      event(to -> to.syntheticRequestReceived(id, 0, object, 9, part, 500 * MS, 100, cache));
       return last(id);
     }
 
@@ -878,7 +881,7 @@
       while (wakeAt <= until) {
         now = wakeAt;
         wakeAt = Long.MAX_VALUE;
-        event(to -> to.woken("sweep"));
+        event(to -> to.timerFired("sweep"));
       }
       now = until;
       return this;
@@ -886,7 +889,7 @@
 
     FakeHost round() {
       router = router == null ? new RequestRouter(this) : router;
-      router.round(now, to -> events.forEach(event -> event.accept(to)), this);
+      router.decide(now, to -> events.forEach(event -> event.accept(to)), this);
       events.clear();
       return this;
     }
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -13,7 +13,6 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.amberpath.routing.RoutingEvents.Events;
 
 /**
  * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O
@@ -56,7 +55,7 @@
     NEVER_WRITTEN
   }
 
-  private record Planned(long at, long order, Consumer<Events> event) {}
+  private record Planned(long at, long order, Consumer<RoutingEventHandler> event) {}
 
   private record Copy(long request, int number, int cache, long sentAt) {}
 
@@ -74,7 +73,7 @@
   private final long seed;
   private final MessageDigest digest = sha256();
   private final ByteBuffer buffer = ByteBuffer.allocate(8 * Long.BYTES);
-  private final List<Consumer<Events>> events = new ArrayList<>();
+  private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
   private final PriorityQueue<Planned> planned =
       new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
   private final Map<Integer, Behaviour> behaviours = new HashMap<>();
@@ -97,12 +96,14 @@
   String play(Module module) {
     if (is(Setting.NARROW)) {
       events.add(
-          to -> to.sharers(gateways(), 0)); // The first kinds are listed while nothing is granted.
+          to ->
+              to.gatewayShareChanged(
+                  gateways(), 0)); // The first kinds are listed while nothing is granted.
     }
     wholeList();
     for (int round = 0; round < ROUNDS; round++) {
       if (round == ROUNDS / 50) {
-        events.add(to -> to.sharers(gateways(), 1.0 / gateways()));
+        events.add(to -> to.gatewayShareChanged(gateways(), 1.0 / gateways()));
       }
       now += chance(0.002) ? 400 * MS : MS / 2 + random.nextLong(9 * MS);
       while (!planned.isEmpty() && planned.peek().at <= now) {
@@ -113,7 +114,7 @@
       for (int one = 0; one < many; one++) {
         request();
       }
-      List<Consumer<Events>> batch = List.copyOf(events);
+      List<Consumer<RoutingEventHandler>> batch = List.copyOf(events);
       events.clear();
       module.round(now, to -> batch.forEach(event -> event.accept(to)), this);
     }
@@ -138,7 +139,7 @@
       wholeList();
     }
     if (chance(0.0005)) {
-      events.add(to -> to.listing(EndpointListKind.NONE));
+      events.add(to -> to.endpointListStarted(EndpointListKind.NONE));
     }
     purge();
     if (chance(0.03)) {
@@ -151,11 +152,11 @@
     if (chance(0.02)) {
       long object = object();
       long ago = random.nextLong(300 * MS);
-      events.add(to -> to.purged(object, group(object), ago));
+      events.add(to -> to.objectPurged(object, group(object), ago));
     }
     if (chance(0.001)) {
       int group = chance(0.2) ? EndpointListener.EVERYTHING : random.nextInt(7);
-      events.add(to -> to.purged(0, group, 20 * MS));
+      events.add(to -> to.objectPurged(0, group, 20 * MS));
     }
   }
 
@@ -163,7 +164,7 @@
     if (!open.isEmpty()) {
       long request =
           open.keySet().stream().skip(random.nextInt(open.size())).findFirst().orElseThrow();
-      events.add(to -> to.left(request));
+      events.add(to -> to.clientDisconnected(request));
       count("event left");
     }
   }
@@ -172,18 +173,18 @@
     if (chance(0.001)) {
       int many = gateways() * (1 + random.nextInt(3)) - random.nextInt(2);
       double part = chance(0.3) ? 0 : 1.0 / Math.max(1, many);
-      events.add(to -> to.sharers(many, part));
+      events.add(to -> to.gatewayShareChanged(many, part));
       count(part > 0 ? "event sharers" : "event sharers none");
     }
     if (chance(0.002)) {
       boolean forAll = random.nextBoolean();
-      events.add(to -> to.tried(forAll));
+      events.add(to -> to.healthChecksDelegated(forAll));
     }
     if (chance(0.02)) {
       int cache = chance(0.05) ? 99 : anyEndpoint();
       boolean answers = chance(0.7);
       long ago = random.nextLong(2000 * MS);
-      events.add(to -> to.vouched(cache, answers, ago));
+      events.add(to -> to.healthReported(cache, answers, ago));
     }
     if (chance(0.2)) {
       long id = ++ids;
@@ -192,7 +193,9 @@
       long object = object();
       int part = part();
       events.add(
-          to -> to.own(id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
+          to ->
+              to.syntheticRequestReceived(
+                  id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
     }
   }
 
@@ -203,7 +206,10 @@
     int part = part();
     long timeLeft = chance(0.02) ? 10 * MS : chance(0.2) ? 300 * MS : 2000 * MS;
     boolean write = chance(0.02);
-    events.add(to -> to.get(id, kind, object, group(object), part, timeLeft, kilobytes(id), write));
+    events.add(
+        to ->
+            to.requestReceived(
+                id, kind, object, group(object), part, timeLeft, kilobytes(id), write));
   }
 
   private double kilobytes(long id) {
@@ -254,17 +260,17 @@
   }
 
   private void wholeList() {
-    events.add(to -> to.listing(EndpointListKind.FULL));
+    events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
     for (int endpoint : endpoints()) {
       if (!chance(0.05)) {
         tell(endpoint, EndpointState.UP, chance(0.1) && order > 0 ? now : 0);
       }
     }
-    events.add(Events::listed);
+    events.add(RoutingEventHandler::endpointListCompleted);
   }
 
   private void changeList(int many) {
-    events.add(to -> to.listing(EndpointListKind.CHANGES));
+    events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
     for (int one = 0; one < many; one++) {
       int endpoint = anyEndpoint();
       EndpointState state =
@@ -274,7 +280,7 @@
       long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
       tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
     }
-    events.add(Events::listed);
+    events.add(RoutingEventHandler::endpointListCompleted);
   }
 
   private void tell(int endpoint, EndpointState state, long startedAt) {
@@ -290,12 +296,14 @@
             : endpoint >= FIRST_PARENT ? "parent" : endpoint % 3 == 0 ? "small" : "box";
     double weight = endpoint >= FIRST_PARENT ? 24 : endpoint % 3 == 0 ? 2 : 6;
     events.add(
-        to -> to.member(endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
+        to ->
+            to.endpointListed(
+                endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
   }
 
   // ---- What becomes of a copy.
 
-  private void plan(long at, Consumer<Events> event) {
+  private void plan(long at, Consumer<RoutingEventHandler> event) {
     planned.add(new Planned(at, ++order, event));
   }
 
@@ -375,7 +383,7 @@
                   : chance(0.2) ? ResponseDetail.COALESCED : ResponseDetail.FILLED;
       if (chance(0.1)) {
         long halfway = now + Math.min(took, until - now) / 2;
-        plan(halfway, to -> to.begun(copy.request, copy.number));
+        plan(halfway, to -> to.responseStarted(copy.request, copy.number));
       }
       end(copy, until, took, AttemptOutcome.SUCCEEDED, note);
     }
@@ -389,7 +397,8 @@
     plan(at, to -> ended(to, copy, outcome, at - copy.sentAt, note));
   }
 
-  private void ended(Events to, Copy copy, AttemptOutcome outcome, long took, ResponseDetail note) {
+  private void ended(
+      RoutingEventHandler to, Copy copy, AttemptOutcome outcome, long took, ResponseDetail note) {
     List<Copy> still = open.getOrDefault(copy.request, List.of());
     if (!still.contains(copy)) {
       return;
@@ -400,7 +409,7 @@
     }
     count("outcome " + outcome);
     count("note " + note);
-    to.ended(
+    to.attemptEnded(
         copy.request,
         copy.number,
         copy.cache,
@@ -409,7 +418,7 @@
         outcome == AttemptOutcome.SUCCEEDED,
         note);
     if (chance(0.001)) {
-      to.ended(
+      to.attemptEnded(
           copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
     }
   }
@@ -478,7 +487,7 @@
   @Override
   public void wake(long delay, String handle) {
     hash("wake", delay, handle.hashCode());
-    plan(now + delay, to -> to.woken(handle));
+    plan(now + delay, to -> to.timerFired(handle));
   }
 
   @Override
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -181,7 +181,7 @@
     private record Answer(long at, long get, int cache, ResponseDetail note) {}
 
     private final RequestRouter control;
-    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
@@ -225,11 +225,11 @@
     }
 
     void list(EndpointListKind what) {
-      events.add(to -> to.listing(what));
+      events.add(to -> to.endpointListStarted(what));
       long started = startedAt;
       events.add(
           to ->
-              to.member(
+              to.endpointListed(
                   COLD,
                   "10.0.0.1:9",
                   "z",
@@ -239,10 +239,11 @@
                   weight,
                   cold == COLD ? started : 0));
       if (warmUp) {
-        events.add(to -> to.member(WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0));
+        events.add(
+            to -> to.endpointListed(WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0));
         events.add(
             to ->
-                to.member(
+                to.endpointListed(
                     PARENT,
                     "10.0.0.3:9",
                     "hub",
@@ -252,9 +253,11 @@
                     weight,
                     cold == PARENT ? started : 0));
         events.add(
-            to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0));
+            to ->
+                to.endpointListed(
+                    ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0));
       }
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
     }
 
     void step(int gets) {
@@ -264,7 +267,7 @@
           boolean has = answer.note != ResponseDetail.NONE;
           events.add(
               to ->
-                  to.ended(
+                  to.attemptEnded(
                       answer.get,
                       0,
                       answer.cache,
@@ -276,15 +279,15 @@
       }
       if (wakeAt <= now) {
         wakeAt = Long.MAX_VALUE;
-        events.add(to -> to.woken("sweep"));
+        events.add(to -> to.timerFired("sweep"));
       }
       for (int one = 0; one < gets; one++) {
         long id = ++ids;
-        events.add(to -> to.get(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false));
+        events.add(to -> to.requestReceived(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false));
       }
-      List<Consumer<RoutingEvents.Events>> round = List.copyOf(events);
+      List<Consumer<RoutingEventHandler>> round = List.copyOf(events);
       events.clear();
-      control.round(now, to -> round.forEach(event -> event.accept(to)), this);
+      control.decide(now, to -> round.forEach(event -> event.accept(to)), this);
     }
 
     @Override
