--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -45,7 +45,7 @@
   }
 
   @Override
-  public void forward(
+  public void sendAttempt(
       long requestId,
       int endpoint,
       long untilNanos,
@@ -59,27 +59,27 @@
   }
 
   @Override
-  public void sendBy(long requestId, long timeNanos) {
+  public void limitRetryStart(long requestId, long timeNanos) {
     attemptSender.setSendBy(find(requestId), timeNanos);
   }
 
   @Override
-  public void shed(long requestId, long retryAfterNanos) {
+  public void reject(long requestId, long retryAfterNanos) {
     responseWriter.shed(find(requestId), retryAfterNanos);
   }
 
   @Override
-  public void errored(long requestId) {
+  public void fail(long requestId) {
     responseWriter.errored(find(requestId), "upstream request failed");
   }
 
   @Override
-  public void callOff(long requestId, int attemptIndex) {
+  public void cancelAttempt(long requestId, int attemptIndex) {
     attemptSender.cancel(find(requestId), attemptIndex);
   }
 
   @Override
-  public void wake(long delayNanos, String handle) {
+  public void scheduleTimer(long delayNanos, String handle) {
     context
         .vertx()
         .setTimer(
@@ -88,14 +88,14 @@
   }
 
   @Override
-  public void health(int endpoint, EndpointHealthStatus health) {
+  public void endpointHealthChanged(int endpoint, EndpointHealthStatus health) {
     if (observer != null) {
       observer.healthChanged(endpoint, health);
     }
   }
 
   @Override
-  public void cold(int endpoint, long untilNanos) {
+  public void endpointWarmingUp(int endpoint, long untilNanos) {
     if (observer != null) {
       observer.warmingUp(endpoint, untilNanos);
     }
@@ -103,5 +103,5 @@
 
   /** Does nothing: discovery is always watched. */
   @Override
-  public void watchList() {}
+  public void subscribeEndpoints() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public void forward(
+  public void sendAttempt(
       long requestId,
       int endpoint,
       long untilNanos,
@@ -167,17 +167,17 @@
   }
 
   @Override
-  public void shed(long requestId, long retryAfterNanos) {}
+  public void reject(long requestId, long retryAfterNanos) {}
 
   @Override
-  public void errored(long requestId) {}
+  public void fail(long requestId) {}
 
   @Override
-  public void callOff(long requestId, int attemptIndex) {}
+  public void cancelAttempt(long requestId, int attemptIndex) {}
 
   @Override
-  public void wake(long delayNanos, String handle) {}
+  public void scheduleTimer(long delayNanos, String handle) {}
 
   @Override
-  public void watchList() {}
+  public void subscribeEndpoints() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public void forward(
+  public void sendAttempt(
       long get, int cache, long until, int source, long age, int rank, int switches) {
     write(
         "serve-via",
@@ -58,7 +58,7 @@
   }
 
   @Override
-  public void shed(long get, long wait) {
+  public void reject(long get, long wait) {
     write(
         "overload-reply",
         () -> {
@@ -70,12 +70,12 @@
   }
 
   @Override
-  public void errored(long get) {
+  public void fail(long get) {
     write("abort", () -> reply.writeNumberField("op-id", get));
   }
 
   @Override
-  public void callOff(long get, int copy) {
+  public void cancelAttempt(long get, int copy) {
     write(
         "call-off",
         () -> {
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void wake(long delay, String handle) {
+  public void scheduleTimer(long delay, String handle) {
     write(
         "remind",
         () -> {
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public void watchList() {
+  public void subscribeEndpoints() {
     write("keep-informed", () -> reply.writeBooleanField("enable", true));
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -136,7 +136,7 @@
                         pause.stand();
                       }
                       if (begins) {
-                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                        to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
                       }
                     })));
     Client client = world.client();
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -245,8 +245,8 @@
                 events(
                     (event, told) -> {
                       if (event.equals("requestReceived")) {
-                        to.sendBy((long) told[0], now - 1);
-                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                        to.limitRetryStart((long) told[0], now - 1);
+                        to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
                       } else if (event.equals("attemptEnded")) {
                         outcomes.add((AttemptOutcome) told[3]);
                       }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -392,8 +392,8 @@
                               long left,
                               double kb,
                               boolean w) {
-                            to.forward(id, 0, now + left, 0, 0, 1, 0);
-                            to.forward(id, 0, now + left, 0, 0, 2, 0);
+                            to.sendAttempt(id, 0, now + left, 0, 0, 1, 0);
+                            to.sendAttempt(id, 0, now + left, 0, 0, 2, 0);
                           }
                         }),
                 to));
@@ -1264,7 +1264,7 @@
                           new Class<?>[] {RoutingEventHandler.class},
                           (proxy, event, told) -> {
                             if (event.getName().equals("requestReceived")) {
-                              to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                              to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
                             } else if (event.getName().equals("attemptEnded")) {
                               outcomes.add((AttemptOutcome) told[3]);
                             }
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -89,7 +89,7 @@
                           if (name.equals(
                               "requestReceived")) { // With no limits, so that each comes to the
                             // cache.
-                            to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                            to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
                           }
                         })));
     startOnOneLoop(decisions);
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -564,7 +564,7 @@
     // ---- What the decisions say.
 
     @Override
-    public void forward(
+    public void sendAttempt(
         long get, int cache, long until, int source, long age, int rank, int switches) {
       int copy = copies.merge(get, 1, Integer::sum) - 1;
       Wanted wanted =
@@ -573,7 +573,7 @@
               get,
               copy,
               keys.get(get),
-              (switches & HELD_ONLY) != 0,
+              (switches & CACHED_ONLY) != 0,
               rank > 0,
               caches.get(source),
               own.containsKey(get));
@@ -617,17 +617,17 @@
     }
 
     @Override
-    public void shed(long get, long wait) {
+    public void reject(long get, long wait) {
       Viewer viewer = viewers.remove(get);
       if (viewer != null) {
         count("shed", agenda.now());
         again(viewer, wait > 0 ? wait : NO_HINT_MS * MS);
       }
-      errored(get);
+      fail(get);
     }
 
     @Override
-    public void errored(long get) {
+    public void fail(long get) {
       viewers.remove(get);
       Consumer<HealthCheckCoordinator.End> ends = own.remove(get);
       if (ends != null) {
@@ -639,7 +639,7 @@
     }
 
     @Override
-    public void callOff(long get, int copy) {
+    public void cancelAttempt(long get, int copy) {
       open.remove(get + "/" + copy);
       tell(
           to ->
@@ -648,12 +648,12 @@
     }
 
     @Override
-    public void wake(long delay, String handle) {
+    public void scheduleTimer(long delay, String handle) {
       later(delay, () -> tell(to -> to.timerFired(handle)));
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
 
     // ---- What is done for the fleet, by gateway 0.
 
@@ -662,7 +662,7 @@
     }
 
     @Override
-    public void health(int cache, EndpointHealthStatus health) {
+    public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
       String name = Integer.toString(cache);
       String owner =
           health == EndpointHealthStatus.RESPONSIVE ? trials.answers(agenda.now(), name) : "";
@@ -673,7 +673,7 @@
     }
 
     @Override
-    public void cold(int cache, long until) {
+    public void endpointWarmingUp(int cache, long until) {
       ahead.cold(agenda.now(), Integer.toString(cache), until);
     }
 
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -54,7 +54,7 @@
       boolean isEjected = endpoint.isUp() && endpoint.health.isEjected();
       batch
           .actions()
-          .health(
+          .endpointHealthChanged(
               endpoint.index,
               isEjected ? EndpointHealthStatus.SUSPECT : EndpointHealthStatus.HEALTHY);
     }
@@ -74,7 +74,10 @@
     if (endpoint.isEdge()
         && !endpoint.warmUp.isComplete(batch.nowNanos())
         && endpoint.zone.equals(site.zone())) {
-      batch.actions().cold(endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
+      batch
+          .actions()
+          .endpointWarmingUp(
+              endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
     }
   }
 
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -57,7 +57,7 @@
     }
     health.eject(batch.nowNanos(), random.nextLong(health.backoffNanos()));
     if (endpoint.isEdge()) {
-      batch.actions().health(endpoint.index, EndpointHealthStatus.SUSPECT);
+      batch.actions().endpointHealthChanged(endpoint.index, EndpointHealthStatus.SUSPECT);
       health.suspected = true;
     }
   }
@@ -69,7 +69,7 @@
     health.failures = 0;
     if (health.suspected) {
       health.suspected = false;
-      batch.actions().health(endpoint.index, EndpointHealthStatus.RESPONSIVE);
+      batch.actions().endpointHealthChanged(endpoint.index, EndpointHealthStatus.RESPONSIVE);
     }
     if (health.keyFraction(batch.nowNanos()) == 1) {
       health.recover();
@@ -100,7 +100,7 @@
 
   private void readmit(Endpoint endpoint, long aliveAtNanos, Batch batch) {
     if (endpoint.health.beginProbation(aliveAtNanos, batch.nowNanos())) {
-      batch.actions().health(endpoint.index, EndpointHealthStatus.HEALTHY);
+      batch.actions().endpointHealthChanged(endpoint.index, EndpointHealthStatus.HEALTHY);
     }
   }
 
@@ -177,7 +177,7 @@
             !health.suspected; // Too little to go by alone; others may have seen the same.
         batch
             .actions()
-            .health(
+            .endpointHealthChanged(
                 endpoint.index,
                 health.suspected ? EndpointHealthStatus.SUSPECT : EndpointHealthStatus.HEALTHY);
       }
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -86,7 +86,7 @@
     slowStart.beginBatch(time);
     if (!watching && site.listOnRequest()) {
       watching = true;
-      actions.watchList();
+      actions.subscribeEndpoints();
     }
     events.replayTo(this);
   }
@@ -178,7 +178,7 @@
     if (request.firstExecuted != null && trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY) {
       batch
           .actions()
-          .sendBy(
+          .limitRetryStart(
               request.id,
               request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
     }
@@ -186,7 +186,7 @@
         trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
     batch
         .actions()
-        .forward(
+        .sendAttempt(
             request.id,
             endpoint.index,
             request.deadlineNanos,
@@ -207,16 +207,16 @@
     recorder.recordSent(attempt, nowNanos);
     if (!sweepScheduled) {
       sweepScheduled = true;
-      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
     }
   }
 
   private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
     boolean renews =
         !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (site.joins() ? RoutingActions.JOIN : 0)
-        + (cachedOnly ? RoutingActions.HELD_ONLY : 0)
-        + (renews ? RoutingActions.RENEW : 0);
+    return (site.joins() ? RoutingActions.COALESCE : 0)
+        + (cachedOnly ? RoutingActions.CACHED_ONLY : 0)
+        + (renews ? RoutingActions.REVALIDATE : 0);
   }
 
   @Override
@@ -296,10 +296,10 @@
       long shortestNanos = site.retryAfter() ? site.maxRetryAfter() / 2 : 0;
       batch
           .actions()
-          .shed(
+          .reject(
               request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
     } else {
-      batch.actions().errored(request.id);
+      batch.actions().fail(request.id);
     }
     finish(request);
   }
@@ -309,7 +309,7 @@
     if (site.callOff() && !request.streaming) {
       request.attempts.stream()
           .filter(openAttempts::contains)
-          .forEach(attempt -> batch.actions().callOff(request.id, attempt.number()));
+          .forEach(attempt -> batch.actions().cancelAttempt(request.id, attempt.number()));
     }
     if (request.openAttempts == 0) {
       requests.remove(request.id);
@@ -327,7 +327,7 @@
   public void timerFired(String handle) {
     sweepScheduled = !openAttempts.isEmpty();
     if (sweepScheduled) {
-      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
     }
     limiter.recountFills(openAttempts, nowNanos);
     outlierDetector.recountOverdue(openAttempts, nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/RoutingActions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -6,11 +6,11 @@
  */
 public interface RoutingActions {
   /** Switches of a forward, to be added up. */
-  int JOIN = 1;
+  int COALESCE = 1;
 
-  int HELD_ONLY = 2;
-  int PARENT_KEEPS_NONE = 4;
-  int RENEW = 8;
+  int CACHED_ONLY = 2;
+  int PARENT_NO_STORE = 4;
+  int REVALIDATE = 8;
 
   /**
    * Sends a GET to a cache.
@@ -20,30 +20,30 @@
    * @param age the oldest copy that will do; 0 for the delivery service's fresh time
    * @param rank rank of the copy kept, 1 to 3; 0 keeps none
    */
-  void forward(long get, int cache, long until, int source, long age, int rank, int switches);
+  void sendAttempt(long get, int cache, long until, int source, long age, int rank, int switches);
 
   /**
    * Forwards of this GET that follow begin by this clock time or not at all, however long one waits
    * to be sent.
    */
-  default void sendBy(long get, long time) {}
+  default void limitRetryStart(long get, long time) {}
 
   /** Final answer: not run, safe to try again, best after the given wait (0: no advice). */
-  void shed(long get, long wait);
+  void reject(long get, long wait);
 
   /** Final answer that promises nothing. */
-  void errored(long get);
+  void fail(long get);
 
-  void callOff(long get, int copy);
+  void cancelAttempt(long get, int copy);
 
-  void wake(long delay, String handle);
+  void scheduleTimer(long delay, String handle);
 
   /** Asks for changes of the list from now on. */
-  void watchList();
+  void subscribeEndpoints();
 
   /** How an edge cache is, as far as is seen here; told when it changes, or may have. */
-  default void health(int cache, EndpointHealthStatus health) {}
+  default void endpointHealthChanged(int cache, EndpointHealthStatus health) {}
 
   /** An edge cache of the zone has just started, and bears less than all until this clock time. */
-  default void cold(int cache, long until) {}
+  default void endpointWarmingUp(int cache, long until) {}
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -636,7 +636,7 @@
     host.fresh = 5000 * MS;
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      assertTrue(sent.has(RoutingActions.RENEW) && sent.age() == host.fresh);
+      assertTrue(sent.has(RoutingActions.REVALIDATE) && sent.age() == host.fresh);
       host.pass(250).returned(sent, 1500, ResponseDetail.FILLED_BY_ORIGIN);
       host.returned(host.get(++ids, i, 0), 50, ResponseDetail.FILLED);
     }
@@ -644,7 +644,7 @@
       host.get(++ids, i, 0);
     }
     Sent held = host.last(ids);
-    assertTrue(held.has(RoutingActions.HELD_ONLY) && !held.has(RoutingActions.RENEW));
+    assertTrue(held.has(RoutingActions.CACHED_ONLY) && !held.has(RoutingActions.REVALIDATE));
     assertEquals(2 * host.fresh, held.age());
   }
 
@@ -854,7 +854,7 @@
     }
 
     @Override
-    public void health(int cache, EndpointHealthStatus health) {
+    public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
       aside.remove((Integer) cache);
       if (health == EndpointHealthStatus.RESPONSIVE) {
         heard.add(cache);
@@ -865,7 +865,7 @@
     }
 
     @Override
-    public void cold(int cache, long until) {
+    public void endpointWarmingUp(int cache, long until) {
       cold.add(cache);
     }
 
@@ -895,39 +895,39 @@
     }
 
     @Override
-    public void forward(
+    public void sendAttempt(
         long get, int cache, long until, int source, long age, int rank, int switches) {
       int copy = (int) sent.stream().filter(one -> one.get == get).count();
       sent.add(new Sent(get, copy, cache, until, source, age, rank, switches));
     }
 
     @Override
-    public void sendBy(long get, long time) {
+    public void limitRetryStart(long get, long time) {
       sendBy = time;
     }
 
     @Override
-    public void shed(long get, long wait) {
+    public void reject(long get, long wait) {
       shed.add(get);
     }
 
     @Override
-    public void errored(long get) {
+    public void fail(long get) {
       errored.add(get);
     }
 
     @Override
-    public void callOff(long get, int copy) {
+    public void cancelAttempt(long get, int copy) {
       calledOff.add(get + "/" + copy);
     }
 
     @Override
-    public void wake(long delay, String handle) {
+    public void scheduleTimer(long delay, String handle) {
       wakeAt = now + delay;
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
 
     @Override
     public long seed() {
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -440,7 +440,7 @@
   }
 
   @Override
-  public void forward(
+  public void sendAttempt(
       long get, int cache, long until, int source, long age, int rank, int switches) {
     hash("forward", get, cache, until, source, age, rank, switches);
     count("rank " + rank);
@@ -453,26 +453,26 @@
     count("copy " + number);
     Copy copy = new Copy(get, number, cache, now);
     open.computeIfAbsent(get, id -> new ArrayList<>()).add(copy);
-    answer(copy, until, source, (switches & HELD_ONLY) != 0);
+    answer(copy, until, source, (switches & CACHED_ONLY) != 0);
   }
 
   @Override
-  public void sendBy(long get, long time) {
+  public void limitRetryStart(long get, long time) {
     hash("sendBy", get, time);
   }
 
   @Override
-  public void shed(long get, long wait) {
+  public void reject(long get, long wait) {
     hash("shed", get, wait);
   }
 
   @Override
-  public void errored(long get) {
+  public void fail(long get) {
     hash("errored", get);
   }
 
   @Override
-  public void callOff(long get, int number) {
+  public void cancelAttempt(long get, int number) {
     hash("callOff", get, number);
     for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
       if (copy.number == number) {
@@ -485,18 +485,18 @@
   }
 
   @Override
-  public void wake(long delay, String handle) {
+  public void scheduleTimer(long delay, String handle) {
     hash("wake", delay, handle.hashCode());
     plan(now + delay, to -> to.timerFired(handle));
   }
 
   @Override
-  public void watchList() {
+  public void subscribeEndpoints() {
     hash("watchList");
   }
 
   @Override
-  public void health(int cache, EndpointHealthStatus health) {
+  public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
     hash("health " + recordedName(health), cache);
   }
 
@@ -512,7 +512,7 @@
   }
 
   @Override
-  public void cold(int cache, long until) {
+  public void endpointWarmingUp(int cache, long until) {
     hash("cold", cache, until);
   }
 
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -291,7 +291,7 @@
     }
 
     @Override
-    public void forward(
+    public void sendAttempt(
         long get, int cache, long until, int source, long age, int rank, int switches) {
       boolean filled = misses && source != cache;
       if (cache == cold || (filled && source == cold)) {
@@ -307,20 +307,20 @@
     }
 
     @Override
-    public void shed(long get, long wait) {}
+    public void reject(long get, long wait) {}
 
     @Override
-    public void errored(long get) {}
+    public void fail(long get) {}
 
     @Override
-    public void callOff(long get, int copy) {}
+    public void cancelAttempt(long get, int copy) {}
 
     @Override
-    public void wake(long delay, String handle) {
+    public void scheduleTimer(long delay, String handle) {
       wakeAt = now + delay;
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
   }
 }
