--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -53,7 +53,7 @@
     OutboundAttempt attempt = create(request, parameters, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
-    if (request.answered || attempt.plan.index() >= config.maxForwards()) {
+    if (request.answered || attempt.plan.index() >= config.maxAttempts()) {
       attempt.skip();
       return;
     }
@@ -82,7 +82,7 @@
             nowNanos,
             context.lagMonitor().totalLagNanos(),
             untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
-            !config.neverKept(request.trafficClass));
+            !config.neverCached(request.trafficClass));
     return new OutboundAttempt(
         plan, encodeFields(request, parameters), endpoints.pool(parameters.endpoint()), this);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
+++ b/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
@@ -34,7 +34,7 @@
     LoadShedder loadShedder =
         new LoadShedder(
             options.site().seed(),
-            options.site().retryAfter() ? options.site().maxRetryAfter() : 0);
+            options.site().sendsRetryAfter() ? options.site().maxRetryAfterNanos() : 0);
     SocketReads socketReads = new SocketReads(clock.now());
     return new PipelineContext(
         vertx,
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -113,7 +113,7 @@
 
   private void routeOne(int number) {
     long id = number;
-    int trafficClass = number % config.deliveryServices();
+    int trafficClass = number % config.trafficClassCount();
     long objectId = id % OBJECTS + 1;
     int partNumber = (int) (id % PARTS);
     ResponseDetail note = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
@@ -147,9 +147,16 @@
       events.endpointListed(
           endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0);
     }
-    if (config.midKind() != null) {
+    if (config.parentKind() != null) {
       events.endpointListed(
-          ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, EndpointState.UP, 1, 0);
+          ENDPOINTS,
+          "m" + ENDPOINTS,
+          config.zone(),
+          config.parentKind(),
+          0,
+          EndpointState.UP,
+          1,
+          0);
     }
     events.endpointListCompleted();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -56,8 +56,8 @@
   /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
   void addRecent(ClientRequest request) {
     DecodedRequest decoded = request.decoded;
-    if (config.effect(request.trafficClass) == Idempotency.IDEMPOTENT
-        && !config.neverKept(request.trafficClass)
+    if (config.idempotency(request.trafficClass) == Idempotency.IDEMPOTENT
+        && !config.neverCached(request.trafficClass)
         && decoded.body().length <= MAX_BODY_BYTES) {
       recent.add(
           new SegmentKey(decoded.objectId(), decoded.partNumber()),
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -182,12 +182,12 @@
   }
 
   @Override
-  public int gatewaysHere() {
+  public int gatewaysInZone() {
     return gatewaysInZone;
   }
 
   @Override
-  public String midKind() {
+  public String parentKind() {
     return parentKind;
   }
 
@@ -197,57 +197,57 @@
   }
 
   @Override
-  public boolean weighsSizes() {
+  public boolean weightIsSize() {
     return weightIsSize;
   }
 
   @Override
-  public boolean listOnRequest() {
+  public boolean endpointListOnRequest() {
     return listOnRequest;
   }
 
   @Override
-  public int maxForwards() {
+  public int maxAttempts() {
     return maxAttempts;
   }
 
   @Override
-  public boolean secondCopies() {
+  public boolean hedgingAllowed() {
     return hedging;
   }
 
   @Override
-  public boolean callOff() {
+  public boolean cancellationAllowed() {
     return cancellation;
   }
 
   @Override
-  public boolean retryAfter() {
+  public boolean sendsRetryAfter() {
     return retryAfter;
   }
 
   @Override
-  public long maxRetryAfter() {
+  public long maxRetryAfterNanos() {
     return maxRetryAfterNanos;
   }
 
   @Override
-  public boolean bypass() {
+  public boolean bypassAllowed() {
     return bypass;
   }
 
   @Override
-  public boolean joins() {
+  public boolean coalescing() {
     return collapsing;
   }
 
   @Override
-  public double flowKbPerSecond() {
+  public double transferKilobytesPerSecond() {
     return transferKbPerSecond;
   }
 
   @Override
-  public long purgeTakes() {
+  public long purgeRetentionNanos() {
     return purgeRetentionNanos;
   }
 
@@ -267,7 +267,7 @@
   }
 
   @Override
-  public long fallTime() {
+  public long overloadWindowNanos() {
     return burstNanos;
   }
 
@@ -287,32 +287,32 @@
   }
 
   @Override
-  public int deliveryServices() {
+  public int trafficClassCount() {
     return trafficClasses.size();
   }
 
   @Override
-  public Idempotency effect(int trafficClass) {
+  public Idempotency idempotency(int trafficClass) {
     return trafficClasses.get(trafficClass).effect();
   }
 
   @Override
-  public IdempotencyScope group(int trafficClass) {
+  public IdempotencyScope idempotencyScope(int trafficClass) {
     return trafficClasses.get(trafficClass).group();
   }
 
   @Override
-  public long window(int trafficClass) {
+  public long idempotencyWindowNanos(int trafficClass) {
     return trafficClasses.get(trafficClass).windowNanos();
   }
 
   @Override
-  public long latencyObjective(int trafficClass) {
+  public long latencyObjectiveNanos(int trafficClass) {
     return trafficClasses.get(trafficClass).latencyObjectiveNanos();
   }
 
   @Override
-  public double stretch(int trafficClass) {
+  public double latencyStretch(int trafficClass) {
     return trafficClasses.get(trafficClass).latencyStretch();
   }
 
@@ -322,17 +322,17 @@
   }
 
   @Override
-  public boolean neverKept(int trafficClass) {
+  public boolean neverCached(int trafficClass) {
     return trafficClasses.get(trafficClass).uncacheable();
   }
 
   @Override
-  public long fresh(int trafficClass) {
+  public long freshNanos(int trafficClass) {
     return trafficClasses.get(trafficClass).freshNanos();
   }
 
   @Override
-  public long grace(int trafficClass) {
+  public long staleGraceNanos(int trafficClass) {
     return trafficClasses.get(trafficClass).graceNanos();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -37,7 +37,7 @@
     assertEquals("n3", options.name());
     assertEquals(7, options.listen().port());
     assertEquals(255, options.site().seed());
-    assertEquals(250_000_000, options.site().latencyObjective(0));
+    assertEquals(250_000_000, options.site().latencyObjectiveNanos(0));
     assertEquals(400_000_000, options.connectTimeout());
     assertEquals(0, options.known().each("entries").size());
     assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listen().port());
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -301,7 +301,7 @@
                           @Override
                           public void requestReceived(
                               long id,
-                              int ds,
+                              int trafficClass,
                               long object,
                               int group,
                               int part,
@@ -315,7 +315,8 @@
                                 Thread.onSpinWait();
                               }
                             }
-                            super.requestReceived(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(
+                                id, trafficClass, object, group, part, left, kb, w);
                           }
 
                           @Override
@@ -385,7 +386,7 @@
                           @Override
                           public void requestReceived(
                               long id,
-                              int ds,
+                              int trafficClass,
                               long object,
                               int group,
                               int part,
@@ -825,7 +826,7 @@
                           @Override
                           public void requestReceived(
                               long id,
-                              int ds,
+                              int trafficClass,
                               long object,
                               int group,
                               int part,
@@ -835,7 +836,8 @@
                             if (part == 13) {
                               throw new IllegalStateException("part 13");
                             }
-                            super.requestReceived(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(
+                                id, trafficClass, object, group, part, left, kb, w);
                           }
                         }),
                 to));
@@ -1023,14 +1025,14 @@
     @Override
     public void requestReceived(
         long id,
-        int ds,
+        int trafficClass,
         long object,
         int group,
         int part,
         long timeLeft,
         double kb,
         boolean write) {
-      to.requestReceived(id, ds, object, group, part, timeLeft, kb, write);
+      to.requestReceived(id, trafficClass, object, group, part, timeLeft, kb, write);
     }
 
     @Override
@@ -1082,8 +1084,15 @@
 
     @Override
     public void syntheticRequestReceived(
-        long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache) {
-      to.syntheticRequestReceived(id, ds, object, group, part, timeLeft, kb, cache);
+        long id,
+        int trafficClass,
+        long object,
+        int group,
+        int part,
+        long timeLeft,
+        double kb,
+        int cache) {
+      to.syntheticRequestReceived(id, trafficClass, object, group, part, timeLeft, kb, cache);
     }
   }
 
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -6,7 +6,7 @@
 final class ClusterManager {
   private static final double MIN_WEIGHT = 1e-3;
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final EndpointTable endpoints;
   private final GatewayShare share;
   private final SlowStart slowStart;
@@ -15,13 +15,13 @@
 
   /** A manager of the given table and of those that keep state by its endpoints. */
   ClusterManager(
-      RoutingConfig site,
+      RoutingConfig config,
       GatewayShare share,
       EndpointTable endpoints,
       SlowStart slowStart,
       ConcurrencyLimiter limiter,
       SplittableRandom random) {
-    this.site = site;
+    this.config = config;
     this.share = share;
     this.endpoints = endpoints;
     this.slowStart = slowStart;
@@ -44,7 +44,7 @@
     endpoint.zone = description.zone();
     endpoint.cell = description.cell();
     endpoint.state = description.state();
-    endpoint.weight = site.weighsSizes() ? Math.max(description.weight(), MIN_WEIGHT) : 1;
+    endpoint.weight = config.weightIsSize() ? Math.max(description.weight(), MIN_WEIGHT) : 1;
     endpoint.role = roleOf(description.kind());
     endpoint.warmUp.profile = slowStart.profileOf(description.kind(), endpoint.role);
     if (description.startedAtNanos() > endpoint.warmUp.startedAtNanos) {
@@ -61,9 +61,9 @@
   }
 
   private Endpoint.Role roleOf(String kind) {
-    return kind.equals(site.midKind())
+    return kind.equals(config.parentKind())
         ? Endpoint.Role.PARENT
-        : kind.equals(site.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
+        : kind.equals(config.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
   }
 
   private void restart(Endpoint endpoint, long startedAtNanos, Batch batch) {
@@ -73,7 +73,7 @@
     endpoint.health.restart();
     if (endpoint.isEdge()
         && !endpoint.warmUp.isComplete(batch.nowNanos())
-        && endpoint.zone.equals(site.zone())) {
+        && endpoint.zone.equals(config.zone())) {
       batch
           .actions()
           .endpointWarmingUp(
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -6,23 +6,23 @@
  * which may be in this zone.
  */
 final class GatewayShare {
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private int inZone;
   private int inAll;
   private boolean granted = true;
 
   /** The share by the configured numbers. */
-  GatewayShare(RoutingConfig site) {
-    this.site = site;
-    inZone = Math.max(1, site.gatewaysHere());
-    inAll = Math.max(1, site.gateways());
+  GatewayShare(RoutingConfig config) {
+    this.config = config;
+    inZone = Math.max(1, config.gatewaysInZone());
+    inAll = Math.max(1, config.gateways());
   }
 
   /** The fleet has counted its gateways; also, whether this one may take a part at all. */
   void update(int gateways, boolean mayTake) {
-    int beyond = Math.max(0, gateways - Math.max(1, site.gateways()));
-    inAll = Math.max(1, site.gateways()) + beyond;
-    inZone = Math.max(1, site.gatewaysHere()) + beyond;
+    int beyond = Math.max(0, gateways - Math.max(1, config.gateways()));
+    inAll = Math.max(1, config.gateways()) + beyond;
+    inZone = Math.max(1, config.gatewaysInZone()) + beyond;
     granted = mayTake;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -24,7 +24,7 @@
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
   private static final String SWEEP_HANDLE = "sweep";
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
   private final GatewayShare share;
@@ -54,26 +54,26 @@
   private long nowNanos;
 
   /** A router that knows no endpoint yet. */
-  public RequestRouter(RoutingConfig site) {
-    this.site = site;
-    random = new SplittableRandom(site.seed());
-    trafficClasses = new TrafficClass[site.deliveryServices()];
-    Arrays.setAll(trafficClasses, index -> new TrafficClass(site, index));
-    share = new GatewayShare(site);
-    endpoints = new EndpointTable(site.zone());
-    patience = new PatienceEstimator(history, site.flowKbPerSecond());
-    purges = new PurgeLog(site.purgeTakes());
-    slowStart = new SlowStart(site, share, trafficClasses);
-    outlierDetector = new OutlierDetector(site.seed(), endpoints, share, slowStart, random);
+  public RequestRouter(RoutingConfig config) {
+    this.config = config;
+    random = new SplittableRandom(config.seed());
+    trafficClasses = new TrafficClass[config.trafficClassCount()];
+    Arrays.setAll(trafficClasses, index -> new TrafficClass(config, index));
+    share = new GatewayShare(config);
+    endpoints = new EndpointTable(config.zone());
+    patience = new PatienceEstimator(history, config.transferKilobytesPerSecond());
+    purges = new PurgeLog(config.purgeRetentionNanos());
+    slowStart = new SlowStart(config, share, trafficClasses);
+    outlierDetector = new OutlierDetector(config.seed(), endpoints, share, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
-    retryPolicy = new RetryPolicy(site);
+    retryPolicy = new RetryPolicy(config);
     RendezvousSelector rendezvous =
         new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
-    routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
+    routes = new RouteSelector(config, endpoints, rendezvous, limiter, retryPolicy);
     syntheticRoutes =
         new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
-    cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, random);
+    cluster = new ClusterManager(config, share, endpoints, slowStart, limiter, random);
   }
 
   /**
@@ -84,7 +84,7 @@
     nowNanos = time;
     batch = new Batch(time, actions);
     slowStart.beginBatch(time);
-    if (!watching && site.listOnRequest()) {
+    if (!watching && config.endpointListOnRequest()) {
       watching = true;
       actions.subscribeEndpoints();
     }
@@ -214,7 +214,7 @@
   private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
     boolean renews =
         !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (site.joins() ? RoutingActions.COALESCE : 0)
+    return (config.coalescing() ? RoutingActions.COALESCE : 0)
         + (cachedOnly ? RoutingActions.CACHED_ONLY : 0)
         + (renews ? RoutingActions.REVALIDATE : 0);
   }
@@ -293,7 +293,7 @@
    */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long shortestNanos = site.retryAfter() ? site.maxRetryAfter() / 2 : 0;
+      long shortestNanos = config.sendsRetryAfter() ? config.maxRetryAfterNanos() / 2 : 0;
       batch
           .actions()
           .reject(
@@ -306,7 +306,7 @@
 
   private void finish(InFlightRequest request) {
     request.done = true;
-    if (site.callOff() && !request.streaming) {
+    if (config.cancellationAllowed() && !request.streaming) {
       request.attempts.stream()
           .filter(openAttempts::contains)
           .forEach(attempt -> batch.actions().cancelAttempt(request.id, attempt.number()));
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -7,11 +7,11 @@
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
 
   /** The policy of a site's traffic classes and its bound on attempts. */
-  RetryPolicy(RoutingConfig site) {
-    this.site = site;
+  RetryPolicy(RoutingConfig config) {
+    this.config = config;
   }
 
   /**
@@ -43,7 +43,7 @@
     return !request.streaming
         && !request.isSynthetic()
         && hasTimeLeft(request, nowNanos)
-        && request.attempts.size() < site.maxForwards();
+        && request.attempts.size() < config.maxAttempts();
   }
 
   /** Whether the time to its deadline is worth an answer that invites more. */
@@ -57,7 +57,7 @@
     return !request.done
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
-        && site.secondCopies()
+        && config.hedgingAllowed()
         && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -6,7 +6,7 @@
  * Chooses the edge cache of a request and the source of its fill, each with its fallbacks in order.
  */
 final class RouteSelector {
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final EndpointTable endpoints;
   private final RendezvousSelector rendezvous;
   private final ConcurrencyLimiter limiter;
@@ -14,12 +14,12 @@
 
   /** A selector over the endpoints of the table. */
   RouteSelector(
-      RoutingConfig site,
+      RoutingConfig config,
       EndpointTable endpoints,
       RendezvousSelector rendezvous,
       ConcurrencyLimiter limiter,
       RetryPolicy retryPolicy) {
-    this.site = site;
+    this.config = config;
     this.endpoints = endpoints;
     this.rendezvous = rendezvous;
     this.limiter = limiter;
@@ -30,7 +30,7 @@
   Route select(InFlightRequest request, long nowNanos) {
     Endpoint source = selectSource(request, nowNanos);
     Endpoint endpoint =
-        request.uncacheable && site.bypass() && source != null
+        request.uncacheable && config.bypassAllowed() && source != null
             ? source
             : selectEdge(request, nowNanos);
     // The origin, too, may be another than where the request may have run.
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -7,64 +7,64 @@
   /** How many gateways there are, in all and in this gateway's zone. */
   int gateways();
 
-  int gatewaysHere();
+  int gatewaysInZone();
 
   String zone();
 
   /** The kinds that parents and the origin are listed under; null where the site has none. */
-  String midKind();
+  String parentKind();
 
   String originKind();
 
   /** True where a listed weight is a cache's size in full-pace transfers. */
-  boolean weighsSizes();
+  boolean weightIsSize();
 
   /** True where the list of caches must be asked for. */
-  boolean listOnRequest();
+  boolean endpointListOnRequest();
 
-  int deliveryServices();
+  int trafficClassCount();
 
-  Idempotency effect(int ds);
+  Idempotency idempotency(int trafficClass);
 
-  IdempotencyScope group(int ds);
+  IdempotencyScope idempotencyScope(int trafficClass);
 
-  long window(int ds);
+  long idempotencyWindowNanos(int trafficClass);
 
-  long latencyObjective(int ds);
+  long latencyObjectiveNanos(int trafficClass);
 
   /** By how much the latency objective grows with a GET's own sending time. */
-  double stretch(int ds);
+  double latencyStretch(int trafficClass);
 
-  double revenue(int ds);
+  double revenue(int trafficClass);
 
-  boolean neverKept(int ds);
+  boolean neverCached(int trafficClass);
 
   /**
    * How long a copy is fresh (0: until it is purged) and how long after that it may still be
    * returned.
    */
-  long fresh(int ds);
+  long freshNanos(int trafficClass);
 
-  long grace(int ds);
+  long staleGraceNanos(int trafficClass);
 
-  int maxForwards();
+  int maxAttempts();
 
-  boolean secondCopies();
+  boolean hedgingAllowed();
 
-  boolean callOff();
+  boolean cancellationAllowed();
 
-  boolean retryAfter();
+  boolean sendsRetryAfter();
 
-  long maxRetryAfter();
+  long maxRetryAfterNanos();
 
   /** True where parents and the origin take GETs too. */
-  boolean bypass();
+  boolean bypassAllowed();
 
-  boolean joins();
+  boolean coalescing();
 
-  double flowKbPerSecond();
+  double transferKilobytesPerSecond();
 
-  long purgeTakes();
+  long purgeRetentionNanos();
 
   double coldShare();
 
@@ -72,7 +72,7 @@
 
   double fallMultiple();
 
-  long fallTime();
+  long overloadWindowNanos();
 
   double parentColdShare();
 
--- a/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
@@ -24,7 +24,14 @@
    * A GET came in. timeLeft is how long its viewer still waits; kb is 0 where the size is not told.
    */
   void requestReceived(
-      long id, int ds, long object, int group, int part, long timeLeft, double kb, boolean write);
+      long id,
+      int trafficClass,
+      long object,
+      int group,
+      int part,
+      long timeLeft,
+      double kb,
+      boolean write);
 
   /** A streamed answer has begun. */
   void responseStarted(long id, int copy);
@@ -71,5 +78,12 @@
    * that is the object's by the hash.
    */
   void syntheticRequestReceived(
-      long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache);
+      long id,
+      int trafficClass,
+      long object,
+      int group,
+      int part,
+      long timeLeft,
+      double kb,
+      int cache);
 }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -27,7 +27,7 @@
   private static final long UNKNOWN = Long.MIN_VALUE;
   private static final double NANOS_PER_SECOND = 1e9;
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final GatewayShare share;
   private final TrafficClass[] trafficClasses;
   private final Map<String, SlowStartProfile> profiles = new TreeMap<>();
@@ -36,8 +36,8 @@
   private long gatewayStartedAtNanos = UNKNOWN;
 
   /** Slow start as the site bounds it, for this gateway's share of it. */
-  SlowStart(RoutingConfig site, GatewayShare share, TrafficClass[] trafficClasses) {
-    this.site = site;
+  SlowStart(RoutingConfig config, GatewayShare share, TrafficClass[] trafficClasses) {
+    this.config = config;
     this.share = share;
     this.trafficClasses = trafficClasses;
   }
@@ -57,11 +57,14 @@
         name ->
             role == Endpoint.Role.EDGE
                 ? new SlowStartProfile(
-                    site.coldShare(), site.coldTime(), site.fallMultiple(), share.fractionOf(role))
+                    config.coldShare(),
+                    config.coldTime(),
+                    config.fallMultiple(),
+                    share.fractionOf(role))
                 : new SlowStartProfile(
-                    site.parentColdShare(),
-                    site.parentColdTime(),
-                    site.parentFallMultiple(),
+                    config.parentColdShare(),
+                    config.parentColdTime(),
+                    config.parentFallMultiple(),
                     share.fractionOf(role)));
   }
 
@@ -228,7 +231,9 @@
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
     double warm =
-        site.weighsSizes() ? endpoint.weight * profile.gatewayFraction : profile.typicalThroughput;
+        config.weightIsSize()
+            ? endpoint.weight * profile.gatewayFraction
+            : profile.typicalThroughput;
     return BUDGET_FRACTION
         * profile.overloadFactor
         * endpoint.warmUp.capacityFraction(atNanos)
@@ -237,7 +242,7 @@
 
   /** Work that this gateway may send in a fall time, in seconds. */
   private double burstSeconds(Endpoint endpoint, long atNanos) {
-    return budget(endpoint, atNanos) * site.fallTime() / NANOS_PER_SECOND;
+    return budget(endpoint, atNanos) * config.overloadWindowNanos() / NANOS_PER_SECOND;
   }
 
   /** The debt for the work sent, in seconds: it is paid off at a rate that rises with the ramp. */
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -8,7 +8,7 @@
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final int index;
   private final LatencyHistogram durations = new LatencyHistogram();
 
@@ -23,55 +23,55 @@
    * A delivery service by its index in the site; until there are answers its objective stands for
    * its work.
    */
-  TrafficClass(RoutingConfig site, int index) {
-    this.site = site;
+  TrafficClass(RoutingConfig config, int index) {
+    this.config = config;
     this.index = index;
-    meanWorkNanos = site.latencyObjective(index);
+    meanWorkNanos = config.latencyObjectiveNanos(index);
   }
 
   /** Whether a repeat may have an effect of its own. */
   Idempotency effect() {
-    return site.effect(index);
+    return config.idempotency(index);
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
   IdempotencyScope idempotencyGroup() {
-    return site.group(index);
+    return config.idempotencyScope(index);
   }
 
   /** How long an idempotency key is remembered, in nanoseconds. */
   long idempotencyWindowNanos() {
-    return site.window(index);
+    return config.idempotencyWindowNanos(index);
   }
 
   /** How long an answer may take at best, in nanoseconds. */
   long latencyObjectiveNanos() {
-    return site.latencyObjective(index);
+    return config.latencyObjectiveNanos(index);
   }
 
   /** By how much the latency objective grows with a request's own duration. */
   double latencyStretch() {
-    return site.stretch(index);
+    return config.latencyStretch(index);
   }
 
   /** Whether no answer of this class is ever cached. */
   boolean isNeverCached() {
-    return site.neverKept(index);
+    return config.neverCached(index);
   }
 
   /** How long a copy is fresh, in nanoseconds; 0 until it is purged. */
   long freshNanos() {
-    return site.fresh(index);
+    return config.freshNanos(index);
   }
 
   /** How long past its fresh time a copy may still be returned, in nanoseconds. */
   long staleGraceNanos() {
-    return site.grace(index);
+    return config.staleGraceNanos(index);
   }
 
   /** The revenue of one request, in the site's unit. */
   double revenue() {
-    return site.revenue(index);
+    return config.revenue(index);
   }
 
   /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -22,8 +22,8 @@
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   /** The one place that knows the class under test. */
-  private static SeededWorld.Module module(RoutingConfig site) {
-    return new RequestRouter(site)::decide;
+  private static SeededWorld.Module module(RoutingConfig config) {
+    return new RequestRouter(config)::decide;
   }
 
   private static String digest(Setting setting, long seed) {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -940,7 +940,7 @@
     }
 
     @Override
-    public int gatewaysHere() {
+    public int gatewaysInZone() {
       return gateways;
     }
 
@@ -950,7 +950,7 @@
     }
 
     @Override
-    public String midKind() {
+    public String parentKind() {
       return "parent";
     }
 
@@ -960,107 +960,107 @@
     }
 
     @Override
-    public boolean weighsSizes() {
+    public boolean weightIsSize() {
       return sized;
     }
 
     @Override
-    public boolean listOnRequest() {
+    public boolean endpointListOnRequest() {
       return false;
     }
 
     @Override
-    public int deliveryServices() {
+    public int trafficClassCount() {
       return 1;
     }
 
     @Override
-    public Idempotency effect(int ds) {
+    public Idempotency idempotency(int trafficClass) {
       return effect;
     }
 
     @Override
-    public IdempotencyScope group(int ds) {
+    public IdempotencyScope idempotencyScope(int trafficClass) {
       return group;
     }
 
     @Override
-    public long window(int ds) {
+    public long idempotencyWindowNanos(int trafficClass) {
       return 1000 * MS;
     }
 
     @Override
-    public long latencyObjective(int ds) {
+    public long latencyObjectiveNanos(int trafficClass) {
       return 300 * MS;
     }
 
     @Override
-    public double stretch(int ds) {
+    public double latencyStretch(int trafficClass) {
       return 2;
     }
 
     @Override
-    public double revenue(int ds) {
+    public double revenue(int trafficClass) {
       return 1;
     }
 
     @Override
-    public boolean neverKept(int ds) {
+    public boolean neverCached(int trafficClass) {
       return neverKept;
     }
 
     @Override
-    public long fresh(int ds) {
+    public long freshNanos(int trafficClass) {
       return fresh;
     }
 
     @Override
-    public long grace(int ds) {
+    public long staleGraceNanos(int trafficClass) {
       return fresh;
     }
 
     @Override
-    public int maxForwards() {
+    public int maxAttempts() {
       return 4;
     }
 
     @Override
-    public boolean secondCopies() {
+    public boolean hedgingAllowed() {
       return true;
     }
 
     @Override
-    public boolean callOff() {
+    public boolean cancellationAllowed() {
       return true;
     }
 
     @Override
-    public boolean retryAfter() {
+    public boolean sendsRetryAfter() {
       return true;
     }
 
     @Override
-    public long maxRetryAfter() {
+    public long maxRetryAfterNanos() {
       return 500 * MS;
     }
 
     @Override
-    public boolean bypass() {
+    public boolean bypassAllowed() {
       return bypass;
     }
 
     @Override
-    public boolean joins() {
+    public boolean coalescing() {
       return true;
     }
 
     @Override
-    public double flowKbPerSecond() {
+    public double transferKilobytesPerSecond() {
       return 1000;
     }
 
     @Override
-    public long purgeTakes() {
+    public long purgeRetentionNanos() {
       return 6000 * MS;
     }
 
@@ -1080,7 +1080,7 @@
     }
 
     @Override
-    public long fallTime() {
+    public long overloadWindowNanos() {
       return 1000 * MS;
     }
 
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -545,7 +545,7 @@
   }
 
   @Override
-  public int gatewaysHere() {
+  public int gatewaysInZone() {
     return is(Setting.TWENTY) ? 20 : 1;
   }
 
@@ -555,7 +555,7 @@
   }
 
   @Override
-  public String midKind() {
+  public String parentKind() {
     return is(Setting.NARROW) ? null : "parent";
   }
 
@@ -565,109 +565,111 @@
   }
 
   @Override
-  public boolean weighsSizes() {
+  public boolean weightIsSize() {
     return !is(Setting.PLAIN);
   }
 
   @Override
-  public boolean listOnRequest() {
+  public boolean endpointListOnRequest() {
     return is(Setting.PLAIN);
   }
 
   @Override
-  public int deliveryServices() {
+  public int trafficClassCount() {
     return CLASSES;
   }
 
   @Override
-  public Idempotency effect(int ds) {
-    return ds == 0 || ds == 5
+  public Idempotency idempotency(int trafficClass) {
+    return trafficClass == 0 || trafficClass == 5
         ? Idempotency.IDEMPOTENT
-        : ds == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
+        : trafficClass == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
   }
 
   @Override
-  public IdempotencyScope group(int ds) {
-    return ds == 1 ? IdempotencyScope.ALL : ds == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL;
+  public IdempotencyScope idempotencyScope(int trafficClass) {
+    return trafficClass == 1
+        ? IdempotencyScope.ALL
+        : trafficClass == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL;
   }
 
   @Override
-  public long window(int ds) {
-    return ds == 3 ? 100 * MS : 1000 * MS;
+  public long idempotencyWindowNanos(int trafficClass) {
+    return trafficClass == 3 ? 100 * MS : 1000 * MS;
   }
 
   @Override
-  public long latencyObjective(int ds) {
-    return (100 + 50L * ds) * MS;
+  public long latencyObjectiveNanos(int trafficClass) {
+    return (100 + 50L * trafficClass) * MS;
   }
 
   @Override
-  public double stretch(int ds) {
+  public double latencyStretch(int trafficClass) {
     return 2;
   }
 
   @Override
-  public double revenue(int ds) {
-    return 1 + ds % 3;
+  public double revenue(int trafficClass) {
+    return 1 + trafficClass % 3;
   }
 
   @Override
-  public boolean neverKept(int ds) {
-    return ds == 5;
+  public boolean neverCached(int trafficClass) {
+    return trafficClass == 5;
   }
 
   @Override
-  public long fresh(int ds) {
-    return is(Setting.TWENTY) ? (ds + 1) * 1000L * MS : 0;
+  public long freshNanos(int trafficClass) {
+    return is(Setting.TWENTY) ? (trafficClass + 1) * 1000L * MS : 0;
   }
 
   @Override
-  public long grace(int ds) {
+  public long staleGraceNanos(int trafficClass) {
     return is(Setting.TWENTY) ? 4000 * MS : 0;
   }
 
   @Override
-  public int maxForwards() {
+  public int maxAttempts() {
     return is(Setting.NARROW) ? 2 : 4;
   }
 
   @Override
-  public boolean secondCopies() {
+  public boolean hedgingAllowed() {
     return !is(Setting.NARROW);
   }
 
   @Override
-  public boolean callOff() {
+  public boolean cancellationAllowed() {
     return !is(Setting.PLAIN);
   }
 
   @Override
-  public boolean retryAfter() {
+  public boolean sendsRetryAfter() {
     return !is(Setting.PLAIN);
   }
 
   @Override
-  public long maxRetryAfter() {
+  public long maxRetryAfterNanos() {
     return 500 * MS;
   }
 
   @Override
-  public boolean bypass() {
+  public boolean bypassAllowed() {
     return is(Setting.PLAIN) || is(Setting.TWENTY);
   }
 
   @Override
-  public boolean joins() {
+  public boolean coalescing() {
     return !is(Setting.NARROW);
   }
 
   @Override
-  public double flowKbPerSecond() {
+  public double transferKilobytesPerSecond() {
     return is(Setting.PLAIN) ? 0 : 1500;
   }
 
   @Override
-  public long purgeTakes() {
+  public long purgeRetentionNanos() {
     return 6000 * MS;
   }
 
@@ -687,7 +689,7 @@
   }
 
   @Override
-  public long fallTime() {
+  public long overloadWindowNanos() {
     return 1000 * MS;
   }
 
