--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -298,14 +298,14 @@
   /** Prints what a gateway would be told. */
   private final class Printer implements EndpointListener {
     @Override
-    public void listing(boolean whole) {
+    public void endpointListStarted(boolean whole) {
       if (whole) {
         say(new JsonObject().put("key", "list").put("whole", true));
       }
     }
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -325,10 +325,10 @@
     }
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       say(
           new JsonObject()
               .put("key", "purge")
--- a/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
@@ -95,20 +95,20 @@
   /** The accept queue is empty: whatever comes from now on has not waited through a pause. */
   void queueEmptied() {
     paused = false;
-    backoff.ended();
+    backoff.attemptSucceeded();
   }
 
   /** An accept failed; returns the backoff in milliseconds. */
   long acceptFailed() {
     pause();
-    return backoff.failed();
+    return backoff.attemptFailed();
   }
 
   /** A connection was accepted and holds a descriptor from now on. */
   void accepted(DuplexChannel channel, SocketChannel socket) {
     openChannels.put(socket, channel);
     channel.attr(QUEUED_NANOS).set(pausedNanos(clock.getAsLong()));
-    backoff.ended();
+    backoff.attemptSucceeded();
   }
 
   /** A connection was closed; its descriptor is free after the next select. */
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -53,7 +53,7 @@
       long nowNanos,
       long lagNanos) {
     SocketReads.Backlog backlog = backlog(client, nowNanos, lagNanos);
-    long waitedNanos = backlog == null ? lagNanos : nowNanos - backlog.since();
+    long waitedNanos = backlog == null ? lagNanos : nowNanos - backlog.sinceNanos();
     long deadlineNanos = RequestDeadline.of(nowNanos, waitedNanos, decoded.timeoutNanos());
     int trafficClass = config.trafficClass(decoded.trafficClass());
     if (trafficClass < 0) {
@@ -85,7 +85,7 @@
       lastBacklog = new SocketReads.Backlog(nowNanos - lagNanos, nowNanos);
       return lastBacklog;
     }
-    return lastBacklog != null && lastBacklog.mayGoOn(nowNanos)
+    return lastBacklog != null && lastBacklog.mayContinue(nowNanos)
         ? inFlight.backlog(client, nowNanos)
         : null;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -134,7 +134,7 @@
   }
 
   @Override
-  public void listing(boolean whole) {
+  public void endpointListStarted(boolean whole) {
     list.clear();
     list.add(
         to -> to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES));
@@ -144,7 +144,7 @@
   }
 
   @Override
-  public void member(
+  public void endpointListed(
       String id,
       String address,
       String zone,
@@ -192,7 +192,7 @@
   }
 
   @Override
-  public void listed() {
+  public void endpointListCompleted() {
     told = true;
     List<Consumer<RoutingEventHandler>> news = List.copyOf(list);
     route.enqueueDiscovery(
@@ -219,7 +219,7 @@
   }
 
   @Override
-  public void purged(long object, int group, long atMs) {
+  public void objectPurged(long object, int group, long atMs) {
     long purgedAt = clock.now() - clock.sincePurge(atMs);
     if (clock.corrected()) {
       tellStarts();
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -41,19 +41,19 @@
 
   /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
   void watch() {
-    eventAge.read(now(), wallMillis.getAsLong());
+    eventAge.clocksRead(now(), wallMillis.getAsLong());
   }
 
   /** The least possible age, in nanoseconds, of a purge with this timestamp. */
   long sincePurge(long unixMillis) {
     watch();
-    return eventAge.ofPurge(now(), unixMillis);
+    return eventAge.purgeAgeNanos(now(), unixMillis);
   }
 
   /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
   long sinceStart(long unixMillis) {
     watch();
-    return eventAge.ofStart(now(), unixMillis);
+    return eventAge.startAgeNanos(now(), unixMillis);
   }
 
   /**
@@ -61,17 +61,17 @@
    * later than {@link #sinceStart} said.
    */
   boolean corrected() {
-    return eventAge.corrected();
+    return eventAge.takeCorrection();
   }
 
   @Override
   public void begins(boolean live, long newestPurgeMillis) {
     watch();
-    eventAge.begins(now(), live, newestPurgeMillis);
+    eventAge.replyStarted(now(), live, newestPurgeMillis);
   }
 
   @Override
   public void ends() {
-    eventAge.ends();
+    eventAge.replyEnded();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -26,8 +26,8 @@
     boolean usesJournal = options.journal() != null;
     MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpoints);
     EndpointListener sourceListener =
-        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.port();
-    journalListener = sourceFactory == null ? pipeline.endpoints : merged.port();
+        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.addSource();
+    journalListener = sourceFactory == null ? pipeline.endpoints : merged.addSource();
     journalDecoder = new JournalDecoder(context.clock());
     source =
         sourceFactory == null
--- a/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
@@ -61,10 +61,11 @@
   private void tick() {
     totalLagNanos = totalLagNanos();
     long lateNanos = clock.now() - nextTickAt;
-    discoveryFreshness.read(lastTickAt); // Between two ticks the loop has read all of its sockets.
-    socketReads.read(lastTickAt);
-    acceptLag.turn(clock.now());
-    loadShedder.turn(clock.now(), Math.max(0, clock.now() - nextTickAt));
+    discoveryFreshness.socketsRead(
+        lastTickAt); // Between two ticks the loop has read all of its sockets.
+    socketReads.socketsRead(lastTickAt);
+    acceptLag.turnEnded(clock.now());
+    loadShedder.turnStarted(clock.now(), Math.max(0, clock.now() - nextTickAt));
     lastTickWasLate = lateNanos > MIN_LAG_NANOS;
     lastTickScheduledAt = nextTickAt;
     scheduled(clock.now());
@@ -85,12 +86,12 @@
    * queue.
    */
   long lagNanos(ClientConnection client, long nowNanos) {
-    return Math.max(currentLagNanos(), acceptLag.lag(client, nowNanos));
+    return Math.max(currentLagNanos(), acceptLag.lagNanos(client, nowNanos));
   }
 
   /** A client's connection was accepted, after accepting had paused for so many nanoseconds. */
   void accepted(ClientConnection client, long pausedNanos) {
-    acceptLag.accepted(client, clock.now(), Math.max(currentLagNanos(), pausedNanos));
+    acceptLag.connectionAccepted(client, clock.now(), Math.max(currentLagNanos(), pausedNanos));
   }
 
   /** The sum of all lags up to now, one that has not ended included. */
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -182,7 +182,7 @@
     if (phase != Phase.STARTING) {
       return;
     }
-    if (pipeline.context.discoveryFreshness().owed()) {
+    if (pipeline.context.discoveryFreshness().awaitsResponse()) {
       vertx.setTimer(FIRST_DISCOVERY_CHECK_MILLIS, timer -> serve(started));
       return;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -81,7 +81,9 @@
     return of(client).values().stream()
         .filter(
             request ->
-                request.backlog != null && !request.settled && request.backlog.mayGoOn(nowNanos))
+                request.backlog != null
+                    && !request.settled
+                    && request.backlog.mayContinue(nowNanos))
         .map(request -> request.backlog)
         .findFirst()
         .orElse(null);
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
@@ -110,7 +110,7 @@
 
   /** Whether a purge affects it. */
   boolean isPurged(long objectId, int group) {
-    if (group == EndpointListener.EVERYTHING) {
+    if (group == EndpointListener.ALL_GROUPS) {
       return true;
     }
     return objectId != 0
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -34,12 +34,12 @@
 
   @Override
   public boolean admitsRequest() {
-    return context.loadShedder().takes();
+    return context.loadShedder().tryAdmit();
   }
 
   @Override
   public long retryAfterNanos() {
-    return context.loadShedder().away();
+    return context.loadShedder().retryAfterNanos();
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -156,7 +156,7 @@
    */
   private boolean isFresh() {
     long nowNanos = context.clock().now();
-    return discoveryFreshness.decides(nowNanos) && socketReads.isFresh(nowNanos);
+    return discoveryFreshness.permitsDecisions(nowNanos) && socketReads.isFresh(nowNanos);
   }
 
   private void scheduleBatch() {
@@ -178,7 +178,7 @@
    * event loop stalled.
    */
   private void readSocketsFirst() {
-    if (!readingSockets && !discoveryFreshness.owed()) {
+    if (!readingSockets && !discoveryFreshness.awaitsResponse()) {
       readingSockets = true;
       long byNanos = context.clock().now();
       context
@@ -187,8 +187,8 @@
               READ_SOCKETS_MILLIS,
               timer -> {
                 readingSockets = false;
-                discoveryFreshness.read(byNanos);
-                socketReads.read(byNanos);
+                discoveryFreshness.socketsRead(byNanos);
+                socketReads.socketsRead(byNanos);
                 runBatch();
               });
     }
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -68,10 +68,10 @@
   /** Makes a request as {@link FleetCallbacks#sendSyntheticRequest} specifies. */
   boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
     boolean prefetch = endpointId == null;
-    Template template = prefetch ? recent.next() : recent.latest();
+    Template template = prefetch ? recent.nextInPass() : recent.latest();
     int endpoint = prefetch ? -1 : endpoints.index(endpointId);
     if (template == null && prefetch) {
-      recent.turn();
+      recent.startPass();
     }
     if (template == null || (!prefetch && endpoint < 0) || inFlightCount == MAX_IN_FLIGHT) {
       return false;
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -183,7 +183,7 @@
                 failedHere(failure, result.cause());
                 return;
               }
-              backoff.ended();
+              backoff.attemptSucceeded();
               if (failure == null) {
                 connected(result.result());
               } else {
@@ -214,7 +214,7 @@
       Vertx.currentContext()
           .owner()
           .setTimer(
-              backoff.failed(),
+              backoff.attemptFailed(),
               retry -> {
                 backingOff = false;
                 again();
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -158,14 +158,14 @@
   }
 
   private Future<Buffer> send(int ofSeries, HttpClientRequest request) {
-    localBackoff.ended();
+    localBackoff.attemptSucceeded();
     if (ofSeries != series) {
       request.reset();
       return Future.failedFuture("polled at another address by now");
     }
     pending = request;
-    freshness.asked(clock.getAsLong());
-    long waitMillis = freshness.owed() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
+    freshness.requestSent(clock.getAsLong());
+    long waitMillis = freshness.awaitsResponse() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
     request.setURI("/journal?tail=" + decoder.pos() + "&max_wait=" + waitMillis);
     return request
         .send()
@@ -186,7 +186,7 @@
         LOG.info("journal: answers again, after " + failures + " failed polls");
         failures = 0;
       }
-      freshness.replied(clock.getAsLong());
+      freshness.responseReceived(clock.getAsLong());
       poll(ofSeries);
     } else {
       if (result.failed()) {
@@ -203,9 +203,9 @@
    */
   private long retryDelayMillis(Throwable cause) {
     boolean local = cause != null && ConnectFailure.of(cause).isLocal();
-    long delayMillis = local ? localBackoff.failed() : RETRY_DELAY_MILLIS;
+    long delayMillis = local ? localBackoff.attemptFailed() : RETRY_DELAY_MILLIS;
     if (!local || localBackoff.isExhausted()) {
-      freshness.failed(clock.getAsLong());
+      freshness.requestFailed(clock.getAsLong());
     }
     return delayMillis;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -84,12 +84,13 @@
     } else if (entry.has("expire")) {
       run.end();
       JsonReader purge = entry.fields("expire");
-      to.purged(purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
+      to.objectPurged(
+          purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
     }
   }
 
   private static void member(JsonReader one, EndpointListener to) {
-    to.member(
+    to.endpointListed(
         one.text("instanceId"),
         one.has("hostPort") ? one.text("hostPort") : "",
         one.has("zone") ? one.text("zone") : "",
@@ -136,7 +137,7 @@
         end();
       }
       if (!isOpen) {
-        to.listing(whole);
+        to.endpointListStarted(whole);
       }
       for (JsonReader one : instances) {
         member(one, to);
@@ -160,7 +161,7 @@
       if (isOpen) {
         isOpen = false;
         left.clear();
-        to.listed();
+        to.endpointListCompleted();
       }
     }
   }
@@ -170,10 +171,10 @@
     private long newestPurge;
 
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(boolean whole) {}
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -184,10 +185,10 @@
         long startedAtMs) {}
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       newestPurge = Math.max(newestPurge, atMs);
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -58,13 +58,13 @@
   void pausesDoubleUpToABoundAndBeginAnewOnceACallGotThrough() {
     LocalBackoff backoff = new LocalBackoff();
     for (long pause : new long[] {10, 20, 40, 80}) {
-      assertEquals(pause, backoff.failed());
+      assertEquals(pause, backoff.attemptFailed());
       assertFalse(backoff.isExhausted());
     }
-    assertEquals(100, backoff.failed());
+    assertEquals(100, backoff.attemptFailed());
     assertTrue(backoff.isExhausted() && backoff.isFailing());
-    backoff.ended();
+    backoff.attemptSucceeded();
     assertFalse(backoff.isExhausted() || backoff.isFailing());
-    assertEquals(10, backoff.failed());
+    assertEquals(10, backoff.attemptFailed());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -95,12 +95,12 @@
     }
 
     @Override
-    public void listing(boolean whole) {
+    public void endpointListStarted(boolean whole) {
       told.add(whole ? "whole" : "changes");
     }
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -116,12 +116,12 @@
     }
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       told.add("listed");
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       told.add("purge");
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -752,9 +752,9 @@
 
     private void fill() {
       while (ahead.next(agenda.now())) {
-        Asked like = recent.next();
+        Asked like = recent.nextInPass();
         if (like == null) {
-          recent.turn();
+          recent.startPass();
           ahead.turnOver(agenda.now());
           return;
         }
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -73,7 +73,7 @@
   }
 
   @Override
-  public synchronized void listing(boolean all) {
+  public synchronized void endpointListStarted(boolean all) {
     if (listing) {
       wrong.accept("a listing within a listing");
     }
@@ -87,12 +87,12 @@
       purgedHere.clear();
     }
     if (next != null) {
-      next.listing(all);
+      next.endpointListStarted(all);
     }
   }
 
   @Override
-  public synchronized void member(
+  public synchronized void endpointListed(
       String id,
       String address,
       String zone,
@@ -111,22 +111,22 @@
       wrong.accept(id + " is told twice");
     }
     if (next != null) {
-      next.member(id, address, zone, kind, cell, state, weight, startedAtMs);
+      next.endpointListed(id, address, zone, kind, cell, state, weight, startedAtMs);
     }
   }
 
   @Override
-  public synchronized void listed() {
+  public synchronized void endpointListCompleted() {
     listing = false;
     if (next != null) {
-      next.listed();
+      next.endpointListCompleted();
     }
   }
 
   @Override
-  public synchronized void purged(long object, int group, long atMs) {
+  public synchronized void objectPurged(long object, int group, long atMs) {
     story.accept("told purge of " + object + ", group " + group);
-    if (group == EVERYTHING) {
+    if (group == ALL_GROUPS) {
       everythingAt = clock.getAsLong();
     } else if (purgedHere.add(object) || purgedOften) {
       purgedAt.put(object, clock.getAsLong());
@@ -134,7 +134,7 @@
       wrong.accept("purge " + object + " is told twice");
     }
     if (next != null) {
-      next.purged(object, group, atMs);
+      next.objectPurged(object, group, atMs);
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -40,10 +40,10 @@
     }
 
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(boolean whole) {}
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -54,12 +54,12 @@
         long startedAtMs) {}
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       told.run();
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {}
+    public void objectPurged(long object, int group, long atMs) {}
   }
 
   private static RegistryRecord.Cache cache(int number, EndpointState state) {
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -410,8 +410,8 @@
           registry.endpoints().get(0).become(Way.REFUSES);
           return null;
         });
-    told.listing(true);
-    told.listed();
+    told.endpointListStarted(true);
+    told.endpointListCompleted();
     start(access(Form.ETCD, null, null, null, null, file));
     await(() -> is("a", EndpointState.UP));
     assertTrue(on(() -> source.status().age() > 0 && source.status().phase() != Phase.CURRENT));
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -141,7 +141,7 @@
     }
     // Guards against purges that came and went unseen: their keys are no longer there to be told.
     if (gap || (other && !first)) {
-      to.purged(0, EndpointListener.EVERYTHING, now / MS);
+      to.objectPurged(0, EndpointListener.ALL_GROUPS, now / MS);
     }
     provenAt = asOf;
   }
@@ -261,7 +261,7 @@
 
   private void tellWhole(long now, boolean withPurges) {
     known = true;
-    to.listing(true);
+    to.endpointListStarted(true);
     Set<String> ids = new HashSet<>();
     for (RegistryEntry one : keys.values()) {
       if (one.content() instanceof RegistryRecord.Cache cache) {
@@ -271,13 +271,13 @@
       }
     }
     starts.retain(ids);
-    to.listed();
+    to.endpointListCompleted();
     if (withPurges) {
       for (RegistryEntry one : keys.values()) {
         if (one.content() instanceof RegistryRecord.Purge purge) {
           // Guards against the writer's clock or this one, which may have stepped: it happened at
           // the latest now.
-          to.purged(purge.object(), purge.group(), now / MS);
+          to.objectPurged(purge.object(), purge.group(), now / MS);
         }
       }
     }
@@ -306,12 +306,12 @@
       }
     }
     if (!replaced.isEmpty()) {
-      to.listing(false);
+      to.endpointListStarted(false);
       replaced.forEach(this::gone);
-      to.listed();
+      to.endpointListCompleted();
     }
     if (!gone.isEmpty() || !there.isEmpty()) {
-      to.listing(false);
+      to.endpointListStarted(false);
       gone.forEach(this::gone);
       // One that this view saw come started since, whatever its writer's clock had: within a step
       // of it.
@@ -322,7 +322,7 @@
                   cache.state(),
                   starts.at(
                       cache.id(), cache.startedAtMs(), now / MS, Starts.LONGEST_STEP_MILLIS)));
-      to.listed();
+      to.endpointListCompleted();
     }
     for (String key : touched) {
       purged(before.get(key), keys.get(key), now);
@@ -338,7 +338,7 @@
     if (held != null
         && held.content() instanceof RegistryRecord.Purge purge
         && (old == null || !purge.equals(old.content()))) {
-      to.purged(purge.object(), purge.group(), now / MS);
+      to.objectPurged(purge.object(), purge.group(), now / MS);
     }
   }
 
@@ -348,7 +348,7 @@
   }
 
   private void member(RegistryRecord.Cache cache, EndpointState state, long startedAtMs) {
-    to.member(
+    to.endpointListed(
         cache.id(),
         cache.address(),
         cache.zone(),
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -32,12 +32,12 @@
   }
 
   @Override
-  public void listing(boolean whole) {
-    to.listing(whole);
+  public void endpointListStarted(boolean whole) {
+    to.endpointListStarted(whole);
   }
 
   @Override
-  public void member(
+  public void endpointListed(
       String id,
       String address,
       String zone,
@@ -46,7 +46,7 @@
       EndpointState state,
       double weight,
       long startedAtMs) {
-    to.member(
+    to.endpointListed(
         id,
         address,
         zone,
@@ -58,12 +58,12 @@
   }
 
   @Override
-  public void listed() {
-    to.listed();
+  public void endpointListCompleted() {
+    to.endpointListCompleted();
   }
 
   @Override
-  public void purged(long object, int group, long atMs) {
-    to.purged(object, group, atMs + Math.max(0, aheadMillis()));
+  public void objectPurged(long object, int group, long atMs) {
+    to.objectPurged(object, group, atMs + Math.max(0, aheadMillis()));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -30,12 +30,12 @@
     }
 
     @Override
-    public void listing(boolean whole) {
+    public void endpointListStarted(boolean whole) {
       list = new StringBuilder(whole ? "=[" : "[");
     }
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -49,12 +49,12 @@
     }
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       to.add(list + "]");
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       to.add("purged " + object + "/" + group + " " + (atMs - NOW / MS));
     }
   }
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -25,10 +25,10 @@
       new RegistryView(
           new EndpointListener() {
             @Override
-            public void listing(boolean whole) {}
+            public void endpointListStarted(boolean whole) {}
 
             @Override
-            public void member(
+            public void endpointListed(
                 String id,
                 String address,
                 String zone,
@@ -41,10 +41,10 @@
             }
 
             @Override
-            public void listed() {}
+            public void endpointListCompleted() {}
 
             @Override
-            public void purged(long object, int group, long atMs) {
+            public void objectPurged(long object, int group, long atMs) {
               told.add("purged " + object + " " + (atMs - NOW / MS));
             }
           },
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -30,10 +30,10 @@
   /** Takes no news. */
   private static final class Nobody implements EndpointListener {
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(boolean whole) {}
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -44,10 +44,10 @@
         long startedAtMs) {}
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {}
+    public void objectPurged(long object, int group, long atMs) {}
   }
 
   @Test
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -29,10 +29,10 @@
       new WallTimes(
           new EndpointListener() {
             @Override
-            public void listing(boolean whole) {}
+            public void endpointListStarted(boolean whole) {}
 
             @Override
-            public void member(
+            public void endpointListed(
                 String id,
                 String address,
                 String zone,
@@ -45,10 +45,10 @@
             }
 
             @Override
-            public void listed() {}
+            public void endpointListCompleted() {}
 
             @Override
-            public void purged(long object, int group, long atMs) {
+            public void objectPurged(long object, int group, long atMs) {
               ages.add(Math.max(0, wall - atMs));
             }
           },
@@ -60,9 +60,9 @@
   void aStepMakesNothingOlderOrYounger(long step) {
     wall += 1000 + step;
     forward += 1000 * MS;
-    times.purged(7, 0, START + 1000);
-    times.member("a", "", "z", "k", 0, EndpointState.UP, 1, START);
-    times.member("b", "", "z", "k", 0, EndpointState.UP, 1, 0);
+    times.objectPurged(7, 0, START + 1000);
+    times.endpointListed("a", "", "z", "k", 0, EndpointState.UP, 1, START);
+    times.endpointListed("b", "", "z", "k", 0, EndpointState.UP, 1, 0);
     assertEquals(List.of(0L, 1000L, -1L), ages);
     assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
   }
--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -25,13 +25,13 @@
   private Map<K, Long> earlier = new HashMap<>();
   private long backlogSince = NONE;
   private long rotatedAt;
-  private int accepted;
+  private int connectionAccepted;
 
   /**
    * A connection was accepted, by a loop that was so late just now or had not accepted for so long.
    */
-  public void accepted(K connection, long now, long lag) {
-    accepted++;
+  public void connectionAccepted(K connection, long now, long lag) {
+    connectionAccepted++;
     if (lag > 0 && (backlogSince == NONE || now - lag < backlogSince)) {
       backlogSince = now - lag;
     }
@@ -43,11 +43,11 @@
   /**
    * A turn of the loop has ended, in which it has accepted at least once where anything was there.
    */
-  public void turn(long now) {
-    if (accepted < ACCEPTS_PER_PASS) {
+  public void turnEnded(long now) {
+    if (connectionAccepted < ACCEPTS_PER_PASS) {
       backlogSince = NONE;
     }
-    accepted = 0;
+    connectionAccepted = 0;
     if (now - rotatedAt >= FIRST_READ_NANOS && !(recent.isEmpty() && earlier.isEmpty())) {
       rotatedAt = now;
       earlier = recent;
@@ -59,7 +59,7 @@
    * How long what is read now from a connection may have waited with it; 0 where it was not
    * accepted late.
    */
-  public long lag(K connection, long now) {
+  public long lagNanos(K connection, long now) {
     Long since = recent.containsKey(connection) ? recent.get(connection) : earlier.get(connection);
     return since == null ? 0 : now - since;
   }
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -27,8 +27,8 @@
 
   private final long bound;
   private long readAt, askedAt;
-  private int late, failed;
-  private boolean owed;
+  private int late, requestFailed;
+  private boolean awaitsResponse;
 
   /**
    * News of a start.
@@ -38,19 +38,20 @@
    */
   public DiscoveryFreshness(long grace, boolean asks, long now) {
     bound = Math.max(1, grace / PARTS);
-    owed = asks; // What was known at the start is as old as the start took.
+    awaitsResponse = asks; // What was known at the start is as old as the start took.
     readAt = now;
     askedAt = now;
   }
 
   /** By now all is read that had come to this gateway's sockets by that time. */
-  public void read(long by) {
+  public void socketsRead(long by) {
     readAt = Math.max(readAt, by);
   }
 
   /** The journal is asked for what comes after all that is known. */
-  public void asked(long now) {
-    owed |= now - readAt > bound && late < MOST_LATE; // The loop stood between a reply and this.
+  public void requestSent(long now) {
+    awaitsResponse |=
+        now - readAt > bound && late < MOST_LATE; // The loop stood between a reply and this.
     askedAt = now;
   }
 
@@ -58,16 +59,16 @@
    * Its reply was read: it holds all that came before it was asked, or before the sockets were last
    * read.
    */
-  public void replied(long now) {
-    failed = 0;
+  public void responseReceived(long now) {
+    requestFailed = 0;
     late = isLate(now) ? late + 1 : 0;
-    owed = late > 0 && late < MOST_LATE;
+    awaitsResponse = late > 0 && late < MOST_LATE;
   }
 
   /** No reply came, or none that can be read. */
-  public void failed(long now) {
-    failed++;
-    owed = (owed || now - readAt > bound) && failed < MOST_FAILED;
+  public void requestFailed(long now) {
+    requestFailed++;
+    awaitsResponse = (awaitsResponse || now - readAt > bound) && requestFailed < MOST_FAILED;
   }
 
   private boolean isLate(long now) {
@@ -78,12 +79,12 @@
    * Whether a reply is owed without waiting at the journal: guards against what came there
    * meanwhile.
    */
-  public boolean owed() {
-    return owed;
+  public boolean awaitsResponse() {
+    return awaitsResponse;
   }
 
   /** Whether it may be decided and sent by what is known. */
-  public boolean decides(long now) {
-    return !owed && now - readAt <= bound;
+  public boolean permitsDecisions(long now) {
+    return !awaitsResponse && now - readAt <= bound;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointListener.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -6,10 +6,13 @@
  */
 public interface EndpointListener {
   /** The group of a purge that means all objects of all groups. */
-  int EVERYTHING = -1;
+  int ALL_GROUPS = -1;
 
-  /** A list begins; its members follow, then {@link #listed}. Whole replaces all that was known. */
-  void listing(boolean whole);
+  /**
+   * A list begins; its members follow, then {@link #endpointListCompleted}. Whole replaces all that
+   * was known.
+   */
+  void endpointListStarted(boolean whole);
 
   /**
    * One cache of the list that has begun.
@@ -20,7 +23,7 @@
    * @param weight its size, in the site's measure; 1 where none is told
    * @param startedAtMs when it started cold, 0 for long ago
    */
-  void member(
+  void endpointListed(
       String id,
       String address,
       String zone,
@@ -30,8 +33,8 @@
       double weight,
       long startedAtMs);
 
-  void listed();
+  void endpointListCompleted();
 
-  /** An object or, with object 0, a group was purged, or all with {@link #EVERYTHING}. */
-  void purged(long object, int group, long atMs);
+  /** An object or, with object 0, a group was purged, or all with {@link #ALL_GROUPS}. */
+  void objectPurged(long object, int group, long atMs);
 }
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -36,7 +36,7 @@
   private long ahead, least, newest = NONE;
 
   private long previousReplyAt = NONE, replyAt = NONE;
-  private boolean live, corrected;
+  private boolean live, takeCorrection;
 
   /** Reads both clocks for the first time. */
   public EventAge(long monotonic, long wallMillis) {
@@ -48,7 +48,7 @@
    * Reads both clocks; has to be called often enough that drift between two calls stays far under a
    * step.
    */
-  public void read(long monotonic, long wallMillis) {
+  public void clocksRead(long monotonic, long wallMillis) {
     long next = wallMillis * NANOS_PER_MILLI - monotonic, moved = next - ahead;
     if (Math.abs(moved) <= STEP_NANOS) {
       least += moved;
@@ -62,7 +62,7 @@
    * A reply, live or known from before the start, is about to be told; its newest purge has this
    * stamp (0: none).
    */
-  public void begins(long monotonic, boolean isLive, long newestPurgeMillis) {
+  public void replyStarted(long monotonic, boolean isLive, long newestPurgeMillis) {
     live = isLive;
     if (live) {
       previousReplyAt = replyAt;
@@ -74,18 +74,18 @@
   }
 
   /** All of the reply has been told. */
-  public void ends() {
+  public void replyEnded() {
     live = false;
   }
 
   /** How long ago a purge was, at most; never negative. */
-  public long ofPurge(long monotonic, long stampMillis) {
+  public long purgeAgeNanos(long monotonic, long stampMillis) {
     long stamp = stampMillis * NANOS_PER_MILLI - monotonic;
     long most = monotonic - previousReplyAt + HELD_BACK_NANOS;
     if (live && previousReplyAt != NONE && least - stamp > most) {
       newest = earliest() - stamp > most ? stamp : newest; // Set back since the newest was stamped.
       least = earliest(); // Or the wall clock was ahead from the start.
-      corrected = true;
+      takeCorrection = true;
     }
     return Math.max(0, earliest() - stamp);
   }
@@ -94,9 +94,9 @@
    * Whether the wall clock's word has turned out wrong since this was asked last: starts may be
    * later than told.
    */
-  public boolean corrected() {
-    boolean was = corrected;
-    corrected = false;
+  public boolean takeCorrection() {
+    boolean was = takeCorrection;
+    takeCorrection = false;
     return was;
   }
 
@@ -104,7 +104,7 @@
    * How long ago an endpoint started, at most; never negative. Of those known at the start the wall
    * clock tells.
    */
-  public long ofStart(long monotonic, long stampMillis) {
+  public long startAgeNanos(long monotonic, long stampMillis) {
     long stamp = stampMillis * NANOS_PER_MILLI - monotonic;
     if (live) {
       newest = Math.max(newest, stamp);
--- a/routing/src/main/java/org/amberpath/routing/LoadShedder.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -38,11 +38,11 @@
   }
 
   /** A turn begins, late by so much. */
-  public void turn(long now, long late) {
+  public void turnStarted(long now, long late) {
     if (late <= LATE) {
       lateSince = Long.MIN_VALUE;
       shedAt = shed > 0 ? now : shedAt;
-      if (sheds()) {
+      if (isShedding()) {
         allowed = now - shedAt > CALM ? Integer.MAX_VALUE : allowed + 1;
       }
     } else if (lateSince == Long.MIN_VALUE) {
@@ -56,7 +56,7 @@
   }
 
   /** Whether one more GET is taken in this turn. */
-  public boolean takes() {
+  public boolean tryAdmit() {
     if (taken < allowed) {
       taken++;
       return true;
@@ -66,14 +66,14 @@
   }
 
   /** Whether GETs beyond some a turn are shed. */
-  public boolean sheds() {
+  public boolean isShedding() {
     return allowed < Integer.MAX_VALUE;
   }
 
   /**
    * How long a client that was shed stays away, or 0: spread, so that not all come back at once.
    */
-  public long away() {
+  public long retryAfterNanos() {
     return longestWait < 2 ? 0 : longestWait / 2 + random.nextLong(longestWait / 2);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -18,7 +18,7 @@
   private int failures;
 
   /** Notes a failure; returns for how many milliseconds the call is not made again. */
-  public long failed() {
+  public long attemptFailed() {
     long pauseMillis = nextMillis;
     nextMillis = Math.min(MAX_MILLIS, 2 * pauseMillis);
     failures = Math.min(MAX_FAILURES, failures + 1);
@@ -26,7 +26,7 @@
   }
 
   /** Notes that the call got through to the other side, whatever that said. */
-  public void ended() {
+  public void attemptSucceeded() {
     nextMillis = FIRST_MILLIS;
     failures = 0;
   }
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -38,7 +38,7 @@
   /**
    * Another source; of two that agree on a cache's state, what the earlier one says else is taken.
    */
-  public EndpointListener port() {
+  public EndpointListener addSource() {
     Port port = new Port();
     ports.add(port);
     return port;
@@ -70,7 +70,7 @@
     private final Set<String> touched = new LinkedHashSet<>();
 
     @Override
-    public void listing(boolean whole) {
+    public void endpointListStarted(boolean whole) {
       touched.clear();
       if (whole) {
         members.forEach((id, one) -> touched.add(id));
@@ -84,7 +84,7 @@
     }
 
     @Override
-    public void member(
+    public void endpointListed(
         String id,
         String address,
         String zone,
@@ -102,8 +102,8 @@
     }
 
     @Override
-    public void listed() {
-      to.listing(first);
+    public void endpointListCompleted() {
+      to.endpointListStarted(first);
       first = false;
       for (String id : touched) {
         Member now = together(id), before = told.get(id);
@@ -113,7 +113,7 @@
           forget(id);
           continue;
         }
-        to.member(
+        to.endpointListed(
             id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
         if (now.state == EndpointState.GONE) {
           told.remove(id);
@@ -122,13 +122,13 @@
         }
         forget(id);
       }
-      to.listed();
+      to.endpointListCompleted();
       touched.clear();
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
-      to.purged(object, group, atMs);
+    public void objectPurged(long object, int group, long atMs) {
+      to.objectPurged(object, group, atMs);
     }
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -44,7 +44,7 @@
             purgedAt.getOrDefault(object, 0L),
             Math.max(
                 purgedAt.getOrDefault(groupKey(group), 0L),
-                purgedAt.getOrDefault(groupKey(EndpointListener.EVERYTHING), 0L)));
+                purgedAt.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
     long boundNanos = Math.max(MARGIN_NANOS, nowNanos - purged - MARGIN_NANOS);
     boolean mayBeCached = nowNanos - purged <= propagationNanos;
     return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
--- a/routing/src/main/java/org/amberpath/routing/RecentRequests.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -20,7 +20,7 @@
   }
 
   private final Map<K, Asked<V>> asked;
-  private final List<V> turn = new ArrayList<>();
+  private final List<V> startPass = new ArrayList<>();
   private V latest;
 
   /** Keeps so many at most. */
@@ -47,17 +47,17 @@
   }
 
   /** The next in turn; null at the end of a turn, after which another begins. */
-  public V next() {
-    return turn.isEmpty() ? null : turn.remove(turn.size() - 1);
+  public V nextInPass() {
+    return startPass.isEmpty() ? null : startPass.remove(startPass.size() - 1);
   }
 
   /** Begins a turn of what was asked for at least twice. */
-  public void turn() {
-    turn.clear();
+  public void startPass() {
+    startPass.clear();
     List<Asked<V>> all = new ArrayList<>(asked.values());
     all.removeIf(one -> one.times < 2);
     all.sort(Comparator.comparingInt(one -> one.times)); // The last goes first.
-    all.forEach(one -> turn.add(one.value));
+    all.forEach(one -> startPass.add(one.value));
     asked.values().forEach(one -> one.times -= one.times / 2);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -24,10 +24,10 @@
   private static final long LONGEST_SETTLING_NANOS = 50_000_000L;
 
   /** What lay unread at a connection: since when at most, and when the first of it was read. */
-  public record Backlog(long since, long foundAt) {
+  public record Backlog(long sinceNanos, long foundAtNanos) {
     /** Whether what is read now may be the rest of it. */
-    public boolean mayGoOn(long now) {
-      return now - foundAt <= LONGEST_SETTLING_NANOS;
+    public boolean mayContinue(long now) {
+      return now - foundAtNanos <= LONGEST_SETTLING_NANOS;
     }
   }
 
@@ -39,7 +39,7 @@
   }
 
   /** By now all is read that lay at the sockets by that time, one reading each. */
-  public void read(long by) {
+  public void socketsRead(long by) {
     readAt = Math.max(readAt, by);
   }
 
--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -19,69 +19,70 @@
 
   @Test
   void whatWasKnownAtTheStartIsNotEnough() {
-    age.read(100);
-    assertFalse(age.decides(100));
-    age.asked(101);
-    assertTrue(age.owed());
-    age.replied(110);
-    assertTrue(age.decides(110));
+    age.socketsRead(100);
+    assertFalse(age.permitsDecisions(100));
+    age.requestSent(101);
+    assertTrue(age.awaitsResponse());
+    age.responseReceived(110);
+    assertTrue(age.permitsDecisions(110));
   }
 
   @Test
   void aGatewayWithoutAJournalWaitsForNone() {
     DiscoveryFreshness told = new DiscoveryFreshness(GRACE, false, 0);
-    assertTrue(told.decides(10));
-    assertFalse(told.decides(400), "its loop stood still");
-    told.read(400);
-    assertTrue(told.decides(401));
+    assertTrue(told.permitsDecisions(10));
+    assertFalse(told.permitsDecisions(400), "its loop stood still");
+    told.socketsRead(400);
+    assertTrue(told.permitsDecisions(401));
   }
 
   @Test
   void aReplyFoundAfterAStandstillIsNotTheLastWord() {
     aReply();
-    age.asked(11);
-    age.replied(411); // It may have lain there since 12, and the purge of 13 came after it.
-    age.read(411);
-    assertFalse(age.decides(412));
-    age.asked(412);
-    age.replied(414);
-    assertTrue(age.decides(414));
+    age.requestSent(11);
+    age.responseReceived(
+        411); // It may have lain there since 12, and the purge of 13 came after it.
+    age.socketsRead(411);
+    assertFalse(age.permitsDecisions(412));
+    age.requestSent(412);
+    age.responseReceived(414);
+    assertTrue(age.permitsDecisions(414));
   }
 
   @Test
   void aPollThatIsOutWhileTheLoopStandsTellsAllOnceItIsRead() {
     aReply();
-    age.asked(11);
-    assertFalse(age.decides(411));
-    age.read(411); // Nothing was there: nothing had come.
-    assertTrue(age.decides(412));
+    age.requestSent(11);
+    assertFalse(age.permitsDecisions(411));
+    age.socketsRead(411); // Nothing was there: nothing had come.
+    assertTrue(age.permitsDecisions(412));
   }
 
   @Test
   void aJournalThatFailsIsNotWaitedForLong() {
-    age.failed(5);
-    age.read(105);
-    assertFalse(age.decides(106));
-    age.failed(106);
-    assertTrue(age.decides(106), "static stability: what is known is gone by");
+    age.requestFailed(5);
+    age.socketsRead(105);
+    assertFalse(age.permitsDecisions(106));
+    age.requestFailed(106);
+    assertTrue(age.permitsDecisions(106), "static stability: what is known is gone by");
   }
 
   @Test
   void aLoopThatIsAlwaysLateGivesUpWaiting() {
     for (long at = 1000; at < 4000; at += 1000) {
-      age.asked(at - 900);
-      age.replied(at);
+      age.requestSent(at - 900);
+      age.responseReceived(at);
     }
-    age.read(3001);
-    assertTrue(age.decides(3001));
+    age.socketsRead(3001);
+    assertTrue(age.permitsDecisions(3001));
   }
 
   private void aReply() {
-    age.read(5);
-    age.asked(6);
-    age.replied(10);
-    age.read(10);
-    assertTrue(age.decides(10));
+    age.socketsRead(5);
+    age.requestSent(6);
+    age.responseReceived(10);
+    age.socketsRead(10);
+    assertTrue(age.permitsDecisions(10));
   }
 
   /**
@@ -131,22 +132,22 @@
         if (replyAt >= 0 && replyAt <= pass) {
           replyAt = -1;
           known = reply;
-          age.replied(now);
+          age.responseReceived(now);
           stand();
         }
         if (replyAt < 0) {
           ask();
         }
         if (now >= tickDue) { // Then its timers.
-          age.read(ticked);
+          age.socketsRead(ticked);
           ticked = now;
           tickDue = now + TICK;
         }
         stand();
-        if (age.decides(now)) { // Then what it decides.
+        if (age.permitsDecisions(now)) { // Then what it decides.
           decided++;
           assertEquals(heededBy(now - GRACE), Math.min(known, heededBy(now - GRACE)), "at " + now);
-        } else if (!age.owed()) {
+        } else if (!age.awaitsResponse()) {
           tickDue = now;
         }
         now += 1 + random.nextLong(4);
@@ -155,9 +156,9 @@
     }
 
     private void ask() {
-      age.asked(now);
+      age.requestSent(now);
       long comes = now + away / 2;
-      long until = comes + (age.owed() ? 1 : WAIT);
+      long until = comes + (age.awaitsResponse() ? 1 : WAIT);
       long answered =
           heededBy(comes) > known
               ? comes
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -19,11 +19,11 @@
   void onePauseShedsNothing() {
     turn(400 * MS);
     for (int get = 0; get < 500; get++) {
-      assertTrue(pace.takes());
+      assertTrue(pace.tryAdmit());
     }
     turn(30 * MS);
     turn(0);
-    assertFalse(pace.sheds());
+    assertFalse(pace.isShedding());
   }
 
   @Test
@@ -32,7 +32,7 @@
       turn(200 * MS);
       turn(0);
     }
-    assertFalse(pace.sheds());
+    assertFalse(pace.isShedding());
   }
 
   /**
@@ -50,7 +50,7 @@
       owed += Math.max(TICK, lag) * times / cost;
       long work = 0;
       for (; owed >= 1; owed--) {
-        boolean takes = pace.takes();
+        boolean takes = pace.tryAdmit();
         answered += takes && turn >= 200 ? 1 : 0;
         work += takes ? cost : cheap;
       }
@@ -66,7 +66,7 @@
     for (int at = 0; at < 100; at++) {
       turn(200 * MS);
       for (int get = 0; get < 8; get++) {
-        assertTrue(pace.takes());
+        assertTrue(pace.tryAdmit());
       }
     }
   }
@@ -74,26 +74,26 @@
   @Test
   void whenTheLoadIsGoneAllAreTakenAgain() {
     for (int turn = 0; turn < 20; turn++) {
-      pace.takes();
+      pace.tryAdmit();
       turn(90 * MS);
     }
-    assertTrue(pace.sheds());
+    assertTrue(pace.isShedding());
     for (int turn = 0; turn < 60; turn++) {
       turn(0);
     }
-    assertFalse(pace.sheds());
+    assertFalse(pace.isShedding());
   }
 
   @Test
   void thoseWhoAreShedStayAwayForSomeTimeAndComeBackSpread() {
-    long first = pace.away();
+    long first = pace.retryAfterNanos();
     assertTrue(first >= WAIT / 2 && first <= WAIT);
-    assertTrue(first != pace.away());
-    assertEquals(0, new LoadShedder(7, 0).away());
+    assertTrue(first != pace.retryAfterNanos());
+    assertEquals(0, new LoadShedder(7, 0).retryAfterNanos());
   }
 
   private void turn(long late) {
     now += TICK + late;
-    pace.turn(now, late);
+    pace.turnStarted(now, late);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -13,14 +13,14 @@
       new MergedEndpointLists(
           new EndpointListener() {
             @Override
-            public void listing(boolean whole) {
+            public void endpointListStarted(boolean whole) {
               if (whole) {
                 told.clear();
               }
             }
 
             @Override
-            public void member(
+            public void endpointListed(
                 String id,
                 String address,
                 String zone,
@@ -33,17 +33,17 @@
             }
 
             @Override
-            public void listed() {}
+            public void endpointListCompleted() {}
 
             @Override
-            public void purged(long object, int group, long atMs) {}
+            public void objectPurged(long object, int group, long atMs) {}
           });
-  private final EndpointListener registry = strictest.port(), journal = strictest.port();
+  private final EndpointListener registry = strictest.addSource(), journal = strictest.addSource();
 
   private static void list(EndpointListener from, boolean whole, Object... idsAndStates) {
-    from.listing(whole);
+    from.endpointListStarted(whole);
     for (int at = 0; at < idsAndStates.length; at += 2) {
-      from.member(
+      from.endpointListed(
           (String) idsAndStates[at],
           "127.0.0.1:1",
           "z",
@@ -53,7 +53,7 @@
           1,
           0);
     }
-    from.listed();
+    from.endpointListCompleted();
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
@@ -22,7 +22,7 @@
     purges.record(0, 9, 10_000 * MS, 10_000 * MS);
     assertEquals(99 * MS, purges.maxCopyAgeNanos(5, 9, 0, 10_100 * MS));
     assertEquals(0, purges.maxCopyAgeNanos(5, 8, 0, 10_100 * MS));
-    purges.record(0, EndpointListener.EVERYTHING, 10_050 * MS, 10_050 * MS);
+    purges.record(0, EndpointListener.ALL_GROUPS, 10_050 * MS, 10_050 * MS);
     assertEquals(49 * MS, purges.maxCopyAgeNanos(5, 8, 0, 10_100 * MS));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -18,22 +18,22 @@
   void whatWasAskedForMostComesFirstAndWhatWasAskedForOnceNotAtAll() {
     ask(1, 2, 2, 3, 3, 3);
     assertEquals("object 3", recent.latest());
-    assertNull(recent.next());
-    recent.turn();
-    assertEquals("object 3", recent.next());
-    assertEquals("object 2", recent.next());
-    assertNull(recent.next());
+    assertNull(recent.nextInPass());
+    recent.startPass();
+    assertEquals("object 3", recent.nextInPass());
+    assertEquals("object 2", recent.nextInPass());
+    assertNull(recent.nextInPass());
   }
 
   @Test
   void theOneAskedForLongestAgoGoesAndOldCountsWearOff() {
     ask(1, 1, 2, 2, 3, 3, 4, 4);
-    recent.turn();
-    recent.turn(); // All asked for twice count once by now.
-    assertNull(recent.next());
+    recent.startPass();
+    recent.startPass(); // All asked for twice count once by now.
+    assertNull(recent.nextInPass());
     ask(2);
-    recent.turn();
-    assertEquals("object 2", recent.next());
-    assertNull(recent.next(), "1 has gone, the others were asked for once");
+    recent.startPass();
+    assertEquals("object 2", recent.nextInPass());
+    assertNull(recent.nextInPass(), "1 has gone, the others were asked for once");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -28,8 +28,8 @@
   @Test
   void socketsAreFreshForFiftyMillisecondsWhateverTheGrace() {
     SocketReads reads = new SocketReads(0);
-    reads.read(100 * MS);
-    reads.read(90 * MS);
+    reads.socketsRead(100 * MS);
+    reads.socketsRead(90 * MS);
     assertTrue(reads.isFresh(150 * MS));
     assertFalse(reads.isFresh(151 * MS));
   }
@@ -39,39 +39,39 @@
     SocketReads reads = new SocketReads(0);
     assertFalse(SocketReads.mustSettle(24 * MS));
     assertTrue(SocketReads.mustSettle(25 * MS));
-    reads.read(10 * MS);
+    reads.socketsRead(10 * MS);
     assertTrue(reads.isSettled(9 * MS, 10 * MS));
     assertFalse(reads.isSettled(9 * MS, 11 * MS));
-    reads.read(60 * MS);
+    reads.socketsRead(60 * MS);
     assertTrue(
         reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
-    assertTrue(new SocketReads.Backlog(0, 900 * MS).mayGoOn(950 * MS));
-    assertFalse(new SocketReads.Backlog(0, 900 * MS).mayGoOn(951 * MS));
+    assertTrue(new SocketReads.Backlog(0, 900 * MS).mayContinue(950 * MS));
+    assertFalse(new SocketReads.Backlog(0, 900 * MS).mayContinue(951 * MS));
   }
 
   @Test
   void connectionsThatWaitedToBeAcceptedAreAsOldAsTheLagUntilTheQueueIsEmpty() {
     AcceptLag<Integer> lag = new AcceptLag<>();
     accept(lag, 1, 1, 1000, 0);
-    assertEquals(0, lag.lag(1, 1000 * MS));
-    lag.turn(1000 * MS);
+    assertEquals(0, lag.lagNanos(1, 1000 * MS));
+    lag.turnEnded(1000 * MS);
     accept(lag, 2, 17, 2000, 900); // The first pass after the event loop lag.
-    lag.turn(2000 * MS);
+    lag.turnEnded(2000 * MS);
     accept(lag, 18, 33, 2030, 0);
-    lag.turn(2030 * MS);
+    lag.turnEnded(2030 * MS);
     accept(lag, 34, 40, 2060, 0); // Fewer than one pass takes: the queue is empty.
-    assertEquals(960, lag.lag(40, 2060 * MS) / MS);
-    assertEquals(960, lag.lag(18, 2060 * MS) / MS);
-    lag.turn(2060 * MS);
+    assertEquals(960, lag.lagNanos(40, 2060 * MS) / MS);
+    assertEquals(960, lag.lagNanos(18, 2060 * MS) / MS);
+    lag.turnEnded(2060 * MS);
     accept(lag, 41, 41, 2061, 0);
-    assertEquals(0, lag.lag(41, 2061 * MS));
-    lag.turn(2090 * MS);
-    assertEquals(0, lag.lag(40, 2090 * MS), "what comes later on it was not waiting");
+    assertEquals(0, lag.lagNanos(41, 2061 * MS));
+    lag.turnEnded(2090 * MS);
+    assertEquals(0, lag.lagNanos(40, 2090 * MS), "what comes later on it was not waiting");
   }
 
   private static void accept(AcceptLag<Integer> lag, int first, int last, long now, long late) {
     for (int connection = first; connection <= last; connection++) {
-      lag.accepted(connection, now * MS, late * MS);
+      lag.connectionAccepted(connection, now * MS, late * MS);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -155,7 +155,7 @@
       events.add(to -> to.objectPurged(object, group(object), ago));
     }
     if (chance(0.001)) {
-      int group = chance(0.2) ? EndpointListener.EVERYTHING : random.nextInt(7);
+      int group = chance(0.2) ? EndpointListener.ALL_GROUPS : random.nextInt(7);
       events.add(to -> to.objectPurged(0, group, 20 * MS));
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -25,26 +25,26 @@
 
   private void pass(long time) {
     for (long end = passed + time; passed < end; passed += Math.min(250, end - passed)) {
-      ages.read(passed * MS, EPOCH + passed + step);
+      ages.clocksRead(passed * MS, EPOCH + passed + step);
     }
-    ages.read(passed * MS, EPOCH + passed + step);
+    ages.clocksRead(passed * MS, EPOCH + passed + step);
   }
 
   /** How old, in milliseconds, a purge is taken to be that was so long ago and comes now. */
   private long purge(long ago, boolean live) {
     long stamp = EPOCH + passed - ago + stampStep;
-    ages.read(passed * MS, EPOCH + passed + step);
-    ages.begins(passed * MS, live, stamp);
-    long age = ages.ofPurge(passed * MS, stamp) / MS;
-    ages.ends();
+    ages.clocksRead(passed * MS, EPOCH + passed + step);
+    ages.replyStarted(passed * MS, live, stamp);
+    long age = ages.purgeAgeNanos(passed * MS, stamp) / MS;
+    ages.replyEnded();
     return age;
   }
 
   private long start(long ago, boolean live) {
-    ages.read(passed * MS, EPOCH + passed + step);
-    ages.begins(passed * MS, live, 0);
-    long age = ages.ofStart(passed * MS, EPOCH + passed - ago + stampStep) / MS;
-    ages.ends();
+    ages.clocksRead(passed * MS, EPOCH + passed + step);
+    ages.replyStarted(passed * MS, live, 0);
+    long age = ages.startAgeNanos(passed * MS, EPOCH + passed - ago + stampStep) / MS;
+    ages.replyEnded();
     return age;
   }
 
@@ -101,11 +101,12 @@
     assertTrue(start(2000, false) > 3_600_000, "known from before, nothing speaks against it yet");
     pass(1000);
     purge(0, true);
-    assertEquals(false, ages.corrected(), "what came before the first reply may be of any age");
+    assertEquals(
+        false, ages.takeCorrection(), "what came before the first reply may be of any age");
     pass(1000);
     assertTrue(purge(50, true) <= 50 + SLACK);
-    assertEquals(true, ages.corrected());
-    assertEquals(false, ages.corrected(), "told once");
+    assertEquals(true, ages.takeCorrection());
+    assertEquals(false, ages.takeCorrection(), "told once");
     assertTrue(start(4000, false) <= 4000 + SLACK);
   }
 
@@ -115,7 +116,7 @@
       for (int second = 0; second < 360; second++) {
         step += second % 100 == 0 ? 1 : 0;
         passed += 10_000;
-        ages.read(passed * MS, EPOCH + passed + step);
+        ages.clocksRead(passed * MS, EPOCH + passed + step);
       }
     }
     stampStep = step;
