--- a/app/src/main/java/org/amberpath/cli/AdminRequest.java
+++ b/app/src/main/java/org/amberpath/cli/AdminRequest.java
@@ -21,13 +21,17 @@
   HttpResponse<String> ask(Path file, String method, String path)
       throws IOException, InterruptedException {
     MembershipSettings fleet = DeploymentFile.read(file).fleet();
-    if (fleet == null || fleet.operators() == null) {
+    if (fleet == null || fleet.adminAddress() == null) {
       throw new InvalidSettingsException(
           String.valueOf(file), "fleet", "operators", file + ": [fleet] operators: missing");
     }
     URI at =
         URI.create(
-            "http://" + fleet.operators().hostAddress() + ":" + fleet.operators().port() + path);
+            "http://"
+                + fleet.adminAddress().hostAddress()
+                + ":"
+                + fleet.adminAddress().port()
+                + path);
     try {
       return client.send(
           HttpRequest.newBuilder(at)
--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -136,7 +136,7 @@
       return GOES_ON;
     }
 
-    private static FleetMessageHandler.Maker guest(LeadershipSettings owner) {
+    private static FleetMessageHandler.Factory guest(LeadershipSettings owner) {
       return owner == null
           ? null
           : (vertx, company) -> new LeadershipService(vertx, owner, company);
--- a/app/src/main/java/org/amberpath/cli/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/DeploymentFile.java
@@ -137,8 +137,8 @@
 
   private RegistrySettings access() {
     String section = "registry";
-    RegistrySettings.Form form =
-        RegistrySettings.Form.valueOf(
+    RegistrySettings.ProtocolKind form =
+        RegistrySettings.ProtocolKind.valueOf(
             choice(section, "form", null, "etcd", "consul").toUpperCase(Locale.ROOT));
     Path trust = path(section, "trust", true), certificate = path(section, "certificate", true);
     Path key = path(section, "key", true), token = path(section, "token", true);
@@ -154,7 +154,7 @@
     if ((user == null) != (password == null)) {
       throw wrong(section, user == null ? "user" : "password", "missing: both or neither");
     }
-    if (user != null && (token != null || form == RegistrySettings.Form.CONSUL)) {
+    if (user != null && (token != null || form == RegistrySettings.ProtocolKind.CONSUL)) {
       throw wrong(section, "user", "only with form = etcd and without 'token'");
     }
     return new RegistrySettings(
@@ -226,7 +226,7 @@
     if (sweeps && registry == null) {
       throw wrong(section, "sweep", "needs [registry]");
     }
-    if (leases && (registry == null || registry.form() != RegistrySettings.Form.ETCD)) {
+    if (leases && (registry == null || registry.protocol() != RegistrySettings.ProtocolKind.ETCD)) {
       throw wrong(section, "by", "lease needs [registry] of the form etcd");
     }
     VoterConfiguration electorate = null;
@@ -251,7 +251,7 @@
     }
     return new LeadershipSettings(
         electorate,
-        () -> read(file).owner().electorate(),
+        () -> read(file).owner().voters(),
         leases ? registry : null,
         new LeaseTimings(lease, settle, DRIFT_PPM),
         sweeps ? registry : null,
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -177,7 +177,7 @@
       return RegistryExperiment.run(
           seed,
           seconds == null ? REGISTRY_S : seconds,
-          RegistrySettings.Form.valueOf(form.toUpperCase(Locale.ROOT)));
+          RegistrySettings.ProtocolKind.valueOf(form.toUpperCase(Locale.ROOT)));
     }
   }
 
--- a/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -32,7 +32,7 @@
       mixinStandardHelpOptions = true,
       description = "Its tasks, and whether it owns them.")
   int list() throws Exception {
-    JsonObject page = desk.page(file, AdminEndpoint.TASKS);
+    JsonObject page = desk.page(file, AdminEndpoint.TASKS_PATH);
     if (json) {
       System.out.println(page.encode());
       return AmberpathCommand.DONE;
@@ -64,7 +64,8 @@
           "Takes a task from this gateway, and leaves it to others for the time of a lease.")
   int release(@Parameters(paramLabel = "TASK") String task) throws Exception {
     if (task.matches("[a-z-]{1,32}")
-        && desk.ask(file, "POST", AdminEndpoint.RELEASE + task).statusCode() == AdminRequest.OK) {
+        && desk.ask(file, "POST", AdminEndpoint.RELEASE_PATH + task).statusCode()
+            == AdminRequest.OK) {
       JsonObject said = new JsonObject().put("task", task).put("released", true);
       System.out.println(json ? said.encode() : task + ": released");
       return AmberpathCommand.DONE;
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -35,7 +35,7 @@
   private final AdminRequest desk = new AdminRequest();
 
   private JsonObject view() throws IOException, InterruptedException {
-    return desk.page(file, AdminEndpoint.VIEW);
+    return desk.page(file, AdminEndpoint.MEMBERS_PATH);
   }
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "The view as it is.")
@@ -123,7 +123,7 @@
   int forget(@Parameters(paramLabel = "NAME") String name) throws Exception {
     int status =
         name.matches("[A-Za-z0-9._-]{1,32}")
-            ? desk.ask(file, "POST", AdminEndpoint.FORGET + name).statusCode()
+            ? desk.ask(file, "POST", AdminEndpoint.FORGET_PATH + name).statusCode()
             : CONFLICT;
     if (status == AdminRequest.OK) {
       System.out.println(
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -88,22 +88,22 @@
 
   private void print(RegistryEntry held, String prefix) {
     String key = held.key().substring(prefix.length());
-    JsonObject line = new JsonObject().put("key", key).put("revision", held.changed());
-    if (held.content() instanceof RegistryRecord.Cache cache) {
+    JsonObject line = new JsonObject().put("key", key).put("revision", held.modRevision());
+    if (held.value() instanceof RegistryRecord.Cache cache) {
       line.put("state", say(cache.state()))
           .put("address", cache.address())
           .put("zone", cache.zone())
           .put("kind", cache.kind())
           .put("weight", cache.weight());
-    } else if (held.content() instanceof RegistryRecord.Purge purge) {
+    } else if (held.value() instanceof RegistryRecord.Purge purge) {
       line.put(
               "purge",
               purge.object() != 0
                   ? String.format("%016x", purge.object())
                   : "group " + purge.group())
           .put("at_ms", purge.atMs());
-    } else if (held.content() instanceof RegistryRecord.Unreadable unreadable) {
-      line.put("unreadable", unreadable.why());
+    } else if (held.value() instanceof RegistryRecord.Unreadable unreadable) {
+      line.put("unreadable", unreadable.reason());
     } else {
       return;
     }
@@ -142,13 +142,13 @@
             desk.list()
                 .compose(
                     all -> {
-                      String key = access.prefix() + RecordCodec.CACHES + id;
+                      String key = access.prefix() + RecordCodec.CACHES_PREFIX + id;
                       RegistryEntry held =
                           all.stream()
                               .filter(one -> one.key().equals(key))
                               .findFirst()
                               .orElse(null);
-                      if (held == null || !(held.content() instanceof RegistryRecord.Cache was)) {
+                      if (held == null || !(held.value() instanceof RegistryRecord.Cache was)) {
                         System.err.println(
                             id
                                 + ": "
@@ -167,7 +167,7 @@
                                   to,
                                   was.weight(),
                                   was.startedAtMs());
-                      return desk.write(key, now, held.changed())
+                      return desk.write(key, now, held.modRevision())
                           .map(done -> written(id, say(to), done));
                     }));
   }
@@ -236,14 +236,14 @@
             EndpointState.UP,
             weight,
             cold ? System.currentTimeMillis() : 0);
-    String fault = RecordCodec.fault(cache);
+    String fault = RecordCodec.validationError(cache);
     if (fault != null) {
       System.err.println("add: gateways would not take that: " + fault);
       return AmberpathCommand.USAGE;
     }
     return with(
         (desk, access) ->
-            desk.write(access.prefix() + RecordCodec.CACHES + id, cache, 0)
+            desk.write(access.prefix() + RecordCodec.CACHES_PREFIX + id, cache, 0)
                 .map(done -> written(id, "ready", done)));
   }
 
@@ -273,7 +273,7 @@
     return with(
         (desk, access) ->
             desk.purge(name, new RegistryRecord.Purge(id, group, now))
-                .map(done -> written(RecordCodec.PURGES + name, "purged", done)));
+                .map(done -> written(RecordCodec.PURGES_PREFIX + name, "purged", done)));
   }
 
   @Command(
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -30,7 +30,7 @@
   private static final int MANY = 4;
   private static final long PATIENCE_MS = 40_000;
   private static final String PREFIX = "amberpath/test/",
-      FENCE = PREFIX + RecordCodec.TASKS + "sweep";
+      FENCE = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
@@ -69,8 +69,8 @@
                 tick ->
                     registry.write(
                         Map.of(
-                            PREFIX + RecordCodec.PURGES + ++purges,
-                            RecordCodec.write(
+                            PREFIX + RecordCodec.PURGES_PREFIX + ++purges,
+                            RecordCodec.encode(
                                 new RegistryRecord.Purge(
                                     0xf000_0000L + purges,
                                     0,
--- a/app/src/test/java/org/amberpath/cli/CommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/CommandTest.java
@@ -28,10 +28,10 @@
   @Test
   void aFileThatIsGoodHasItsDefaults() throws Exception {
     DeploymentFile read = DeploymentFile.read(file(GOOD));
-    assertEquals(RegistrySettings.Form.ETCD, read.registry().form());
+    assertEquals(RegistrySettings.ProtocolKind.ETCD, read.registry().protocol());
     assertEquals(2, read.registry().endpoints().size());
     assertEquals("amberpath/", read.registry().prefix());
-    assertEquals(600_000_000_000L, read.registry().retention());
+    assertEquals(600_000_000_000L, read.registry().purgeRetentionNanos());
     assertEquals(false, read.journalBeside());
   }
 
@@ -46,9 +46,9 @@
                 "(?m)^\\[fleet\\]$",
                 "[fleet]\nkey = " + Files.writeString(folder.resolve("keys"), "k1 00"));
     assertEquals("amberpath", DeploymentFile.read(file(switchedOn)).fleet().fleet());
-    assertEquals(3, DeploymentFile.read(file(switchedOn)).owner().electorate().now().size());
+    assertEquals(3, DeploymentFile.read(file(switchedOn)).owner().voters().current().size());
     assertEquals(null, DeploymentFile.read(file(example)).fleet());
-    assertEquals(20_000, DeploymentFile.read(file(switchedOn)).registry().mostKeys());
+    assertEquals(20_000, DeploymentFile.read(file(switchedOn)).registry().maxKeys());
     assertEquals(null, DeploymentFile.read(file(example)).registry());
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -49,7 +49,7 @@
     if (request == null) {
       return;
     }
-    long nowNanos = context.clock().now();
+    long nowNanos = context.clock().nowNanos();
     OutboundAttempt attempt = create(request, parameters, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
@@ -168,7 +168,7 @@
     }
     // Guards endpoints against the blame for this gateway's own lag.
     long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagBeforeNanos();
-    long tookNanos = Math.max(0, context.clock().now() - plan.startedAtNanos() - lagNanos);
+    long tookNanos = Math.max(0, context.clock().nowNanos() - plan.startedAtNanos() - lagNanos);
     boolean answered = request.answered;
     routingStage.enqueue(
         request,
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -110,7 +110,7 @@
               client,
               bounds,
               budget,
-              clock::now,
+              clock::nowNanos,
               route::mayWrite,
               complaints::add);
     }
@@ -178,7 +178,7 @@
     }
     if (startedAtMs != entry.startedAtMs) {
       entry.startedAtMs = startedAtMs;
-      entry.startedAt = startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(startedAtMs);
+      entry.startedAt = startedAtMs == 0 ? 0 : clock.nowNanos() - clock.sinceStart(startedAtMs);
     }
     entry.telling =
         startedAt ->
@@ -220,11 +220,11 @@
 
   @Override
   public void objectPurged(long object, int group, long atMs) {
-    long purgedAt = clock.now() - clock.sincePurge(atMs);
+    long purgedAt = clock.nowNanos() - clock.sincePurge(atMs);
     if (clock.corrected()) {
       tellStarts();
     }
-    route.enqueueDiscovery(to -> to.objectPurged(object, group, clock.now() - purgedAt));
+    route.enqueueDiscovery(to -> to.objectPurged(object, group, clock.nowNanos() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done
     // before.
     pools()
@@ -243,7 +243,7 @@
     List<Consumer<RoutingEventHandler>> later = new ArrayList<>();
     for (Entry entry : byId.values()) {
       long startedAt =
-          entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
+          entry.startedAtMs == 0 ? 0 : clock.nowNanos() - clock.sinceStart(entry.startedAtMs);
       if (startedAt > entry.startedAt + CORRECTED_NANOS) {
         entry.startedAt = startedAt;
         later.add(entry.telling.apply(startedAt));
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
@@ -183,7 +183,7 @@
 
   /** Guards against clients that send nothing, or half a message. */
   void sweep() {
-    long nowNanos = clock.now();
+    long nowNanos = clock.nowNanos();
     for (ClientConnection connection : List.copyOf(open)) {
       if (connection.isAwaitingMessage()
           && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
--- a/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
@@ -37,7 +37,7 @@
   private void accept(NetSocket socket) {
     PipelineContext context = pipeline.context;
     ClientConnection client =
-        new ClientConnection(socket, writeBuffers, context.clock()::now, pipeline.receiver);
+        new ClientConnection(socket, writeBuffers, context.clock()::nowNanos, pipeline.receiver);
     context.lagMonitor().accepted(client, AcceptLimit.queuedNanos(socket));
     pipeline.clients.add(client);
   }
@@ -47,7 +47,7 @@
     PipelineContext context = pipeline.context;
     SingleEventLoopTransport.limitNext(
         context.vertx(),
-        new AcceptLimit(options.mostClients() + EXTRA_ACCEPTED, context.clock()::now));
+        new AcceptLimit(options.mostClients() + EXTRA_ACCEPTED, context.clock()::nowNanos));
     return server
         .listen(options.listen())
         .recover(
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -5,8 +5,8 @@
 import org.amberpath.routing.EventAge;
 
 /**
- * The gateway's time: monotonic, and comparable with Unix times that others state. {@link #now()}
- * may be called from any thread, all else on the event loop.
+ * The gateway's time: monotonic, and comparable with Unix times that others state. {@link
+ * #nowNanos()} may be called from any thread, all else on the event loop.
  */
 public final class Clock implements JournalDecoder.Replies {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -31,29 +31,29 @@
     this.monotonicNanos = monotonicNanos;
     this.wallMillis = wallMillis;
     originNanos = wallMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
-    eventAge = new EventAge(now(), wallMillis.getAsLong());
+    eventAge = new EventAge(nowNanos(), wallMillis.getAsLong());
   }
 
   /** Monotonic nanoseconds since the Unix epoch, by the wall clock as it was at the start. */
-  public long now() {
+  public long nowNanos() {
     return monotonicNanos.getAsLong() + originNanos;
   }
 
   /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
   void watch() {
-    eventAge.clocksRead(now(), wallMillis.getAsLong());
+    eventAge.clocksRead(nowNanos(), wallMillis.getAsLong());
   }
 
   /** The least possible age, in nanoseconds, of a purge with this timestamp. */
   long sincePurge(long unixMillis) {
     watch();
-    return eventAge.purgeAgeNanos(now(), unixMillis);
+    return eventAge.purgeAgeNanos(nowNanos(), unixMillis);
   }
 
   /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
   long sinceStart(long unixMillis) {
     watch();
-    return eventAge.startAgeNanos(now(), unixMillis);
+    return eventAge.startAgeNanos(nowNanos(), unixMillis);
   }
 
   /**
@@ -67,7 +67,7 @@
   @Override
   public void begins(boolean live, long newestPurgeMillis) {
     watch();
-    eventAge.replyStarted(now(), live, newestPurgeMillis);
+    eventAge.replyStarted(nowNanos(), live, newestPurgeMillis);
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -32,7 +32,7 @@
     source =
         sourceFactory == null
             ? null
-            : sourceFactory.create(context.vertx(), sourceListener, options.site().seed());
+            : sourceFactory.create(context.vertx(), sourceListener, options.routingConfig().seed());
     journalClient =
         usesJournal
             ? new JournalClient(
@@ -44,7 +44,7 @@
                     journalListener,
                     context.discoveryFreshness(),
                     pipeline.routingStage::discoveryPolled),
-                context.clock()::now)
+                context.clock()::nowNanos)
             : null;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
@@ -49,7 +49,7 @@
 
   /** Starts the tick; returns its timer's id. */
   long start(Vertx vertx) {
-    scheduled(clock.now());
+    scheduled(clock.nowNanos());
     return vertx.setPeriodic(TICK_MILLIS, timer -> tick());
   }
 
@@ -60,15 +60,15 @@
 
   private void tick() {
     totalLagNanos = totalLagNanos();
-    long lateNanos = clock.now() - nextTickAt;
+    long lateNanos = clock.nowNanos() - nextTickAt;
     discoveryFreshness.socketsRead(
         lastTickAt); // Between two ticks the loop has read all of its sockets.
     socketReads.socketsRead(lastTickAt);
-    acceptLag.turnEnded(clock.now());
-    loadShedder.turnStarted(clock.now(), Math.max(0, clock.now() - nextTickAt));
+    acceptLag.turnEnded(clock.nowNanos());
+    loadShedder.turnStarted(clock.nowNanos(), Math.max(0, clock.nowNanos() - nextTickAt));
     lastTickWasLate = lateNanos > MIN_LAG_NANOS;
     lastTickScheduledAt = nextTickAt;
-    scheduled(clock.now());
+    scheduled(clock.nowNanos());
   }
 
   /**
@@ -77,7 +77,7 @@
    * long that takes.
    */
   long currentLagNanos() {
-    long lateNanos = clock.now() - (lastTickWasLate ? lastTickScheduledAt : nextTickAt);
+    long lateNanos = clock.nowNanos() - (lastTickWasLate ? lastTickScheduledAt : nextTickAt);
     return lateNanos > MIN_LAG_NANOS ? lateNanos : 0;
   }
 
@@ -91,12 +91,13 @@
 
   /** A client's connection was accepted, after accepting had paused for so many nanoseconds. */
   void accepted(ClientConnection client, long pausedNanos) {
-    acceptLag.connectionAccepted(client, clock.now(), Math.max(currentLagNanos(), pausedNanos));
+    acceptLag.connectionAccepted(
+        client, clock.nowNanos(), Math.max(currentLagNanos(), pausedNanos));
   }
 
   /** The sum of all lags up to now, one that has not ended included. */
   long totalLagNanos() {
-    long lateNanos = clock.now() - nextTickAt;
+    long lateNanos = clock.nowNanos() - nextTickAt;
     return lateNanos > MIN_LAG_NANOS ? totalLagNanos + lateNanos : totalLagNanos;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -68,7 +68,7 @@
    * the journal, or in its place if the options name no journal.
    */
   public Gateway(Vertx vertx, GatewayOptions options, GatewayExtensions extensions) {
-    this(vertx, options, extensions, new RequestRouter(options.site())::decide);
+    this(vertx, options, extensions, new RequestRouter(options.routingConfig())::decide);
   }
 
   /** The same with another router, for tests. */
@@ -152,7 +152,7 @@
       started.fail(e);
       return;
     }
-    StartupWarmUp warmUp = new StartupWarmUp(vertx, options.site());
+    StartupWarmUp warmUp = new StartupWarmUp(vertx, options.routingConfig());
     warmUp.runInProcess();
     if (fleetCoordinator != null) {
       fleetCoordinator.start().onFailure(started::tryFail);
@@ -245,7 +245,7 @@
    */
   public Future<Void> stop() {
     // Guards against a loop that lags: the time runs from this call, not from the loop's next turn.
-    ShutdownSchedule schedule = new ShutdownSchedule(clock.now(), options.longestDeadline());
+    ShutdownSchedule schedule = new ShutdownSchedule(clock.nowNanos(), options.longestDeadline());
     context.runOnContext(turn -> stop(schedule));
     return stopped.future();
   }
@@ -275,7 +275,8 @@
     // Guards the exit against a client that does not read.
     Future.join(left, unbound)
         .timeout(
-            Math.min(CLOSE_TIMEOUT_NANOS, schedule.timeLeft(clock.now())), TimeUnit.NANOSECONDS)
+            Math.min(CLOSE_TIMEOUT_NANOS, schedule.timeLeft(clock.nowNanos())),
+            TimeUnit.NANOSECONDS)
         .onComplete(closed -> stopped.complete());
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
@@ -29,12 +29,13 @@
   @Override
   public void healthCheckReported(String endpointId, boolean answered, long ageNanos) {
     Clock clock = pipeline.context.clock();
-    long reportedAtNanos = clock.now();
+    long reportedAtNanos = clock.nowNanos();
     pipeline.routingStage.enqueueDiscovery(
         events -> {
           int endpoint = pipeline.endpoints.index(endpointId);
           if (endpoint >= 0) {
-            events.healthReported(endpoint, answered, ageNanos + clock.now() - reportedAtNanos);
+            events.healthReported(
+                endpoint, answered, ageNanos + clock.nowNanos() - reportedAtNanos);
           }
         });
   }
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -34,35 +34,35 @@
 
   private final String name;
   private final SocketAddress listen, journal;
-  private final JsonRoutingConfig site;
+  private final JsonRoutingConfig routingConfig;
   private final JsonReader known;
   private final long connectTimeout, connectionIdle, longestDeadline, newsGrace;
   private final int wantsOnConnection, mostOpen, descriptors;
   private final long memory;
 
   private GatewayOptions(Map<String, String> environment, JsonReader all, boolean withJournal) {
-    name = environment.getOrDefault("PROXY_NAME", all.has("name") ? all.text("name") : "gateway");
+    name = environment.getOrDefault("PROXY_NAME", all.has("name") ? all.string("name") : "gateway");
     String address = environment.get("PROXY_LISTEN");
     listen = address != null ? address("PROXY_LISTEN", address) : address(all, "listen");
     journal = withJournal ? address(all, "journal") : null;
-    known = all.has("known") ? all.fields("known") : new JsonReader("known", Map.of());
-    JsonReader limits = all.fieldsOr("limits");
+    known = all.has("known") ? all.object("known") : new JsonReader("known", Map.of());
+    JsonReader limits = all.objectOrEmpty("limits");
     descriptors = atLeast(limits, "sockets", 1024, LEAST_DESCRIPTORS);
     memory = (long) atLeast(limits, "memory_mb", 192, LEAST_MEMORY_MB) << 20;
-    JsonReader settings = all.fields("settings");
-    site = new JsonRoutingConfig(seed(all), settings);
-    JsonReader bounds = settings.fieldsOr("bounds");
-    connectTimeout = bounds.timeOr("connect-timeout-s", 400_000_000);
-    connectionIdle = bounds.timeOr("conn-idle-s", 30_000_000_000L);
+    JsonReader settings = all.object("settings");
+    routingConfig = new JsonRoutingConfig(seed(all), settings);
+    JsonReader bounds = settings.objectOrEmpty("bounds");
+    connectTimeout = bounds.durationNanosOr("connect-timeout-s", 400_000_000);
+    connectionIdle = bounds.durationNanosOr("conn-idle-s", 30_000_000_000L);
     newsGrace =
         Math.min(
-            settings.fieldsOr("guarantees").timeOr("drain-grace-s", DRAIN_GRACE),
-            settings.fieldsOr("family-info").timeOr("heed-within-s", PURGE_GRACE));
-    wantsOnConnection = Math.max(1, bounds.place("multiplex", 1));
-    mostOpen = Math.max(1, bounds.place("max-open", Integer.MAX_VALUE));
+            settings.objectOrEmpty("guarantees").durationNanosOr("drain-grace-s", DRAIN_GRACE),
+            settings.objectOrEmpty("family-info").durationNanosOr("heed-within-s", PURGE_GRACE));
+    wantsOnConnection = Math.max(1, bounds.intOr("multiplex", 1));
+    mostOpen = Math.max(1, bounds.intOr("max-open", Integer.MAX_VALUE));
     long longest = 0;
-    for (JsonReader service : settings.each("classes")) {
-      longest = Math.max(longest, service.timeOr("hard-limit-s", LONGEST_DEADLINE_NANOS));
+    for (JsonReader service : settings.objects("classes")) {
+      longest = Math.max(longest, service.durationNanosOr("hard-limit-s", LONGEST_DEADLINE_NANOS));
     }
     longestDeadline = Math.min(longest, LONGEST_DEADLINE_NANOS);
   }
@@ -96,27 +96,27 @@
   }
 
   private static int atLeast(JsonReader from, String key, int absent, int least) {
-    int value = from.place(key, absent);
+    int value = from.intOr(key, absent);
     if (value < least) {
-      throw from.wrong(key, "under " + least);
+      throw from.invalid(key, "under " + least);
     }
     return value;
   }
 
   private static long seed(JsonReader all) {
     try {
-      return Long.parseUnsignedLong(all.text("seed"), 16);
+      return Long.parseUnsignedLong(all.string("seed"), 16);
     } catch (NumberFormatException e) {
-      throw all.wrong("seed", "not a hexadecimal number");
+      throw all.invalid("seed", "not a hexadecimal number");
     }
   }
 
   private static SocketAddress address(JsonReader from, String key) {
     try {
-      return address(key, from.text(key));
+      return address(key, from.string(key));
     } catch (InvalidDocumentException e) {
       throw e.getMessage().startsWith(key)
-          ? from.wrong(key, e.getMessage().substring(key.length() + 1))
+          ? from.invalid(key, e.getMessage().substring(key.length() + 1))
           : e;
     }
   }
@@ -150,8 +150,8 @@
     return journal;
   }
 
-  public JsonRoutingConfig site() {
-    return site;
+  public JsonRoutingConfig routingConfig() {
+    return routingConfig;
   }
 
   public JsonReader known() {
--- a/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
@@ -40,7 +40,7 @@
   }
 
   private long nowNanos() {
-    return pipeline.context.clock().now();
+    return pipeline.context.clock().nowNanos();
   }
 
   private void check(long timer) {
--- a/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
+++ b/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
@@ -30,12 +30,14 @@
   /** The shared parts of a gateway that starts now. */
   static PipelineContext create(Vertx vertx, Clock clock, GatewayOptions options) {
     DiscoveryFreshness freshness =
-        new DiscoveryFreshness(options.newsGrace(), options.journal() != null, clock.now());
+        new DiscoveryFreshness(options.newsGrace(), options.journal() != null, clock.nowNanos());
     LoadShedder loadShedder =
         new LoadShedder(
-            options.site().seed(),
-            options.site().sendsRetryAfter() ? options.site().maxRetryAfterNanos() : 0);
-    SocketReads socketReads = new SocketReads(clock.now());
+            options.routingConfig().seed(),
+            options.routingConfig().sendsRetryAfter()
+                ? options.routingConfig().maxRetryAfterNanos()
+                : 0);
+    SocketReads socketReads = new SocketReads(clock.nowNanos());
     return new PipelineContext(
         vertx,
         clock,
--- a/gateway/src/main/java/org/amberpath/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestPipeline.java
@@ -30,12 +30,12 @@
     clients = new ClientConnections(vertx, options.mostClients(), clock);
     endpoints = new CacheEndpoints(vertx, options, clock, context.protocolErrors());
     AttemptSender attemptSender =
-        new AttemptSender(context, endpoints, responseWriter, options.site());
+        new AttemptSender(context, endpoints, responseWriter, options.routingConfig());
     routingStage = new RoutingStage(context, router, attemptSender, responseWriter);
     attemptSender.setRoutingStage(routingStage);
     endpoints.newsTo(routingStage);
     admissionControl =
-        new AdmissionControl(options.site(), options.mostOpen(), inFlight, routingStage);
+        new AdmissionControl(options.routingConfig(), options.mostOpen(), inFlight, routingStage);
     receiver =
         new RequestReceiver(
             context,
@@ -50,7 +50,7 @@
   SyntheticRequests enableSyntheticRequests(GatewayOptions options) {
     SyntheticRequests synthetic =
         new SyntheticRequests(
-            options.site(), context.clock(), context.inFlight(), routingStage, endpoints);
+            options.routingConfig(), context.clock(), context.inFlight(), routingStage, endpoints);
     admissionControl.setSyntheticRequests(synthetic);
     return synthetic;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -44,7 +44,7 @@
 
   @Override
   public void requestReceived(ClientConnection client, long messageId, DecodedRequest decoded) {
-    long nowNanos = context.clock().now();
+    long nowNanos = context.clock().nowNanos();
     long lagNanos = context.lagMonitor().lagNanos(client, nowNanos);
     admissionControl.receive(client, messageId, decoded, nowNanos, lagNanos);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -92,7 +92,7 @@
                 request.decoded.objectId(),
                 request.decoded.purgeGroup(),
                 request.decoded.partNumber(),
-                request.deadlineNanos - context.clock().now(),
+                request.deadlineNanos - context.clock().nowNanos(),
                 request.decoded.sizeKb(),
                 false));
   }
@@ -102,7 +102,7 @@
    * at the latest.
    */
   void submit(ClientRequest request, Consumer<RoutingEventHandler> event) {
-    long leftNanos = request.deadlineNanos - context.clock().now();
+    long leftNanos = request.deadlineNanos - context.clock().nowNanos();
     request.backstopTimer =
         context
             .vertx()
@@ -155,7 +155,7 @@
    * Whether endpoints, purges and clients are known recently enough to decide and to send by that.
    */
   private boolean isFresh() {
-    long nowNanos = context.clock().now();
+    long nowNanos = context.clock().nowNanos();
     return discoveryFreshness.permitsDecisions(nowNanos) && socketReads.isFresh(nowNanos);
   }
 
@@ -180,7 +180,7 @@
   private void readSocketsFirst() {
     if (!readingSockets && !discoveryFreshness.awaitsResponse()) {
       readingSockets = true;
-      long byNanos = context.clock().now();
+      long byNanos = context.clock().nowNanos();
       context
           .vertx()
           .setTimer(
@@ -226,7 +226,7 @@
   private void routeBatch() {
     replayed = 0;
     try {
-      router.routeBatch(context.clock().now(), this, actions);
+      router.routeBatch(context.clock().nowNanos(), this, actions);
     } catch (RuntimeException | StackOverflowError | AssertionError e) {
       LOG.log(Level.SEVERE, "routing a batch of events failed", e);
       while (replayed < batch.size()) {
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -50,7 +50,7 @@
     this.inFlight = inFlight;
     this.routingStage = routingStage;
     this.endpoints = endpoints;
-    random = new SplittableRandom(config.seed() ^ clock.now());
+    random = new SplittableRandom(config.seed() ^ clock.nowNanos());
   }
 
   /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
@@ -83,7 +83,7 @@
             inFlight.nextId(),
             decoded,
             template.trafficClass,
-            clock.now() + timeoutNanos,
+            clock.nowNanos() + timeoutNanos,
             outcome -> {
               inFlightCount--;
               completion.accept(outcome);
@@ -101,7 +101,7 @@
         decoded.objectId(),
         decoded.purgeGroup(),
         decoded.partNumber(),
-        request.deadlineNanos - clock.now(),
+        request.deadlineNanos - clock.nowNanos(),
         decoded.sizeKb(),
         endpoint);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -48,7 +48,7 @@
   }
 
   private void play(JsonReader reply, EndpointListener to, boolean live) {
-    long last = reply.wholeOr("pos", 0);
+    long last = reply.longOr("pos", 0);
     Scout scout = new Scout();
     tell(reply, scout);
     replies.begins(live, scout.newestPurge);
@@ -64,8 +64,8 @@
     long at = pos;
     ListingRun run = new ListingRun(target);
     try {
-      for (JsonReader entry : reply.each("entries")) {
-        long number = entry.wholeOr("pos", 0);
+      for (JsonReader entry : reply.objects("entries")) {
+        long number = entry.longOr("pos", 0);
         if (number > at) {
           entry(entry, target, run);
           at = number;
@@ -79,42 +79,42 @@
 
   private static void entry(JsonReader entry, EndpointListener to, ListingRun run) {
     if (entry.has("hosts")) {
-      JsonReader hosts = entry.fields("hosts");
-      run.add(hosts.flag("reset"), hosts.each("instances"));
+      JsonReader hosts = entry.object("hosts");
+      run.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
     } else if (entry.has("expire")) {
       run.end();
-      JsonReader purge = entry.fields("expire");
+      JsonReader purge = entry.object("expire");
       to.objectPurged(
-          purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
+          purge.has("name") ? object(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
     }
   }
 
   private static void member(JsonReader one, EndpointListener to) {
     to.endpointListed(
-        one.text("instanceId"),
-        one.has("hostPort") ? one.text("hostPort") : "",
-        one.has("zone") ? one.text("zone") : "",
-        one.has("machineType") ? one.text("machineType") : "",
-        one.place("cell", 0),
+        one.string("instanceId"),
+        one.has("hostPort") ? one.string("hostPort") : "",
+        one.has("zone") ? one.string("zone") : "",
+        one.has("machineType") ? one.string("machineType") : "",
+        one.intOr("cell", 0),
         state(one),
-        one.numberOr("weight", 1),
-        one.wholeOr("startedAtMs", 0));
+        one.doubleOr("weight", 1),
+        one.longOr("startedAtMs", 0));
   }
 
   private static long object(JsonReader purge) {
     try {
-      return Long.parseUnsignedLong(purge.text("name"), 16);
+      return Long.parseUnsignedLong(purge.string("name"), 16);
     } catch (NumberFormatException e) {
-      throw purge.wrong("name", "not an object's id: " + purge.text("name"));
+      throw purge.invalid("name", "not an object's id: " + purge.string("name"));
     }
   }
 
   private static EndpointState state(JsonReader one) {
-    return switch (one.text("lifecycle")) {
+    return switch (one.string("lifecycle")) {
       case "ready" -> EndpointState.UP;
       case "draining" -> EndpointState.DRAINING;
       case "gone" -> EndpointState.GONE;
-      default -> throw one.wrong("lifecycle", "of no known kind: " + one.text("lifecycle"));
+      default -> throw one.invalid("lifecycle", "of no known kind: " + one.string("lifecycle"));
     };
   }
 
@@ -142,7 +142,7 @@
       for (JsonReader one : instances) {
         member(one, to);
         if (state(one) == EndpointState.GONE) {
-          left.add(one.text("instanceId"));
+          left.add(one.string("instanceId"));
         }
       }
       isOpen = true;
@@ -150,7 +150,7 @@
 
     private boolean isReturn(List<JsonReader> instances) {
       for (JsonReader one : left.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (left.contains(one.text("instanceId")) && state(one) != EndpointState.GONE) {
+        if (left.contains(one.string("instanceId")) && state(one) != EndpointState.GONE) {
           return true;
         }
       }
--- a/gateway/src/main/java/org/amberpath/gateway/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/package-info.java
@@ -9,7 +9,7 @@
  * decision is made by {@code org.amberpath.routing}; this package does the I/O.
  *
  * <p>Threads: all types here are confined to the gateway's one event loop, unless a member says
- * otherwise. Times are nanoseconds of {@link org.amberpath.gateway.Clock#now()}, unless a name says
- * otherwise.
+ * otherwise. Times are nanoseconds of {@link org.amberpath.gateway.Clock#nowNanos()}, unless a name
+ * says otherwise.
  */
 package org.amberpath.gateway;
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -41,75 +41,75 @@
   }
 
   /** A boolean; false where it is absent. */
-  public boolean flag(String key) {
+  public boolean booleanOrFalse(String key) {
     return has(key) && required(key, Boolean.class, "true or false");
   }
 
   /** A string. */
-  public String text(String key) {
+  public String string(String key) {
     return required(key, String.class, "a string");
   }
 
   /** An integer of 64 bits. */
-  public long whole(String key) {
+  public long longValue(String key) {
     return required(key, Long.class, "a whole number");
   }
 
   /** An integer of 64 bits, with a default. */
-  public long wholeOr(String key, long absent) {
-    return has(key) ? whole(key) : absent;
+  public long longOr(String key, long absent) {
+    return has(key) ? longValue(key) : absent;
   }
 
   /** An integer of 32 bits, with a default. */
-  public int place(String key, int absent) {
-    long value = wholeOr(key, absent);
+  public int intOr(String key, int absent) {
+    long value = longOr(key, absent);
     if (value != (int) value) {
-      throw wrong(key, "too large");
+      throw invalid(key, "too large");
     }
     return (int) value;
   }
 
   /** A number. */
-  public double number(String key) {
+  public double doubleValue(String key) {
     return required(key, Number.class, "a number").doubleValue();
   }
 
   /** A number, with a default. */
-  public double numberOr(String key, double absent) {
-    return has(key) ? number(key) : absent;
+  public double doubleOr(String key, double absent) {
+    return has(key) ? doubleValue(key) : absent;
   }
 
   /** A time in seconds, as nanoseconds; the wire counts whole microseconds. */
-  public long time(String key) {
-    return nanos(number(key));
+  public long durationNanos(String key) {
+    return secondsToNanos(doubleValue(key));
   }
 
   /** A time in seconds, as nanoseconds, with a default in nanoseconds. */
-  public long timeOr(String key, long absentNanos) {
-    return has(key) ? time(key) : absentNanos;
+  public long durationNanosOr(String key, long absentNanos) {
+    return has(key) ? durationNanos(key) : absentNanos;
   }
 
   /** Seconds as nanoseconds, rounded to whole microseconds. */
-  public static long nanos(double seconds) {
+  public static long secondsToNanos(double seconds) {
     return Math.round(seconds * MICROS_PER_SECOND) * NANOS_PER_MICRO;
   }
 
   /** An object. */
-  public JsonReader fields(String key) {
+  public JsonReader object(String key) {
     return new JsonReader(name + " " + key, map(required(key, Map.class, "an object")));
   }
 
   /** An object; one without fields where it is absent. */
-  public JsonReader fieldsOr(String key) {
-    return has(key) ? fields(key) : new JsonReader(name + " " + key, Map.of());
+  public JsonReader objectOrEmpty(String key) {
+    return has(key) ? object(key) : new JsonReader(name + " " + key, Map.of());
   }
 
   /** The objects of an array; none where it is absent. */
-  public List<JsonReader> each(String key) {
+  public List<JsonReader> objects(String key) {
     List<JsonReader> objects = new ArrayList<>();
-    for (Object element : list(key)) {
+    for (Object element : elements(key)) {
       if (!(element instanceof Map)) {
-        throw wrong(key, "not an array of objects");
+        throw invalid(key, "not an array of objects");
       }
       objects.add(new JsonReader(name + " " + key, map(element)));
     }
@@ -117,34 +117,34 @@
   }
 
   /** The elements of an array; none where it is absent. */
-  public List<?> list(String key) {
+  public List<?> elements(String key) {
     return has(key) ? required(key, List.class, "an array") : List.of();
   }
 
   /** The element at an index of an array; a default where the array is shorter. */
-  public <T> T at(String key, int index, Class<T> type, T absent) {
-    List<?> elements = list(key);
+  public <T> T elementOr(String key, int index, Class<T> type, T absent) {
+    List<?> elements = elements(key);
     if (index < 0 || index >= elements.size() || elements.get(index) == null) {
       return absent;
     }
     if (!type.isInstance(elements.get(index))) {
-      throw wrong(key, "holds a value of the wrong type");
+      throw invalid(key, "holds a value of the wrong type");
     }
     return type.cast(elements.get(index));
   }
 
   /** The exception that says what a field is, to be thrown by the caller. */
-  public InvalidDocumentException wrong(String key, String problem) {
+  public InvalidDocumentException invalid(String key, String problem) {
     return new InvalidDocumentException(name, key, problem);
   }
 
   private <T> T required(String key, Class<T> type, String typeName) {
     Object value = values.get(key);
     if (value == null) {
-      throw wrong(key, "missing");
+      throw invalid(key, "missing");
     }
     if (!type.isInstance(value)) {
-      throw wrong(key, "not " + typeName);
+      throw invalid(key, "not " + typeName);
     }
     return type.cast(value);
   }
@@ -177,7 +177,7 @@
     if (parser.nextToken() != JsonToken.START_ARRAY) {
       throw new InvalidDocumentException(name + ": not an array");
     }
-    List<JsonReader> objects = new JsonReader(name, Map.of("all", value(parser))).each("all");
+    List<JsonReader> objects = new JsonReader(name, Map.of("all", value(parser))).objects("all");
     expectEnd(name, parser);
     return objects;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -27,39 +27,39 @@
     /** Decodes the class at an index; settings of the site hold some of its values. */
     static TrafficClass decode(JsonReader settings, JsonReader site, int index) {
       return new TrafficClass(
-          settings.text("name"),
+          settings.string("name"),
           effect(settings),
           group(settings),
-          settings.timeOr("window-s", 0),
-          settings.time("target-s"),
+          settings.durationNanosOr("window-s", 0),
+          settings.durationNanos("target-s"),
           nanosAt(site, "class-fresh-s", index),
           nanosAt(site, "class-grace-s", index),
-          settings.numberOr("aim-stretch", 0),
-          settings.numberOr("points", 1),
-          site.at("never-kept", index, Boolean.class, false));
+          settings.doubleOr("aim-stretch", 0),
+          settings.doubleOr("points", 1),
+          site.elementOr("never-kept", index, Boolean.class, false));
     }
 
     private static long nanosAt(JsonReader site, String key, int index) {
-      return JsonReader.nanos(site.at(key, index, Number.class, 0).doubleValue());
+      return JsonReader.secondsToNanos(site.elementOr(key, index, Number.class, 0).doubleValue());
     }
 
     private static Idempotency effect(JsonReader settings) {
-      String idempotency = settings.text("idempotency");
+      String idempotency = settings.string("idempotency");
       return switch (idempotency) {
         case "repeatable" -> Idempotency.IDEMPOTENT;
         case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
         case "once" -> Idempotency.NON_IDEMPOTENT;
-        default -> throw settings.wrong("idempotency", UNKNOWN_KIND + idempotency);
+        default -> throw settings.invalid("idempotency", UNKNOWN_KIND + idempotency);
       };
     }
 
     private static IdempotencyScope group(JsonReader settings) {
-      String group = settings.has("group") ? settings.text("group") : "cell";
+      String group = settings.has("group") ? settings.string("group") : "cell";
       return switch (group) {
         case "all" -> IdempotencyScope.ALL;
         case "zone" -> IdempotencyScope.ZONE;
         case "cell" -> IdempotencyScope.CELL;
-        default -> throw settings.wrong("group", UNKNOWN_KIND + group);
+        default -> throw settings.invalid("group", UNKNOWN_KIND + group);
       };
     }
   }
@@ -105,47 +105,47 @@
    * @throws InvalidDocumentException if a field is missing or invalid
    */
   public JsonRoutingConfig(long seed, JsonReader settings) {
-    JsonReader site = settings.fieldsOr("family-info");
-    JsonReader bounds = settings.fieldsOr("bounds");
-    JsonReader guarantees = settings.fieldsOr("guarantees");
+    JsonReader site = settings.objectOrEmpty("family-info");
+    JsonReader bounds = settings.objectOrEmpty("bounds");
+    JsonReader guarantees = settings.objectOrEmpty("guarantees");
     this.seed = seed;
-    zone = settings.text("my-zone");
-    gateways = settings.place("replicas-of-me", 1);
+    zone = settings.string("my-zone");
+    gateways = settings.intOr("replicas-of-me", 1);
     gatewaysInZone = gatewaysInZone(settings, site);
-    parentKind = settings.at("kinds", site.place("mid-kind", -1), String.class, null);
-    originKind = settings.at("kinds", site.place("store-kind", -1), String.class, null);
+    parentKind = settings.elementOr("kinds", site.intOr("mid-kind", -1), String.class, null);
+    originKind = settings.elementOr("kinds", site.intOr("store-kind", -1), String.class, null);
     weightIsSize = is(settings, "weights", "nominal");
     listOnRequest = is(settings, "registry-mode", "on_request");
-    maxAttempts = bounds.place("max-attempts", 1);
-    hedging = bounds.flag("second-copies");
-    cancellation = bounds.flag("cancel");
-    retryAfter = bounds.flag("retry-after");
-    maxRetryAfterNanos = bounds.timeOr("max-retry-after-s", 0);
-    bypass = site.flag("bypass-allowed");
-    collapsing = site.flag("collapses");
-    transferKbPerSecond = site.numberOr("flow-kb-per-s", 0);
-    purgeRetentionNanos = site.timeOr("purge-takes-s", 0);
+    maxAttempts = bounds.intOr("max-attempts", 1);
+    hedging = bounds.booleanOrFalse("second-copies");
+    cancellation = bounds.booleanOrFalse("cancel");
+    retryAfter = bounds.booleanOrFalse("retry-after");
+    maxRetryAfterNanos = bounds.durationNanosOr("max-retry-after-s", 0);
+    bypass = site.booleanOrFalse("bypass-allowed");
+    collapsing = site.booleanOrFalse("collapses");
+    transferKbPerSecond = site.doubleOr("flow-kb-per-s", 0);
+    purgeRetentionNanos = site.durationNanosOr("purge-takes-s", 0);
     slowStart =
         new SlowStart(
-            guarantees.numberOr("cold-share", 1),
-            guarantees.timeOr("cold-s", 0),
-            guarantees.numberOr("fall-multiple", 1));
-    burstNanos = guarantees.timeOr("fall-s", 0);
+            guarantees.doubleOr("cold-share", 1),
+            guarantees.durationNanosOr("cold-s", 0),
+            guarantees.doubleOr("fall-multiple", 1));
+    burstNanos = guarantees.durationNanosOr("fall-s", 0);
     parentSlowStart =
         new SlowStart(
-            site.numberOr("parent-cold-from", 1),
-            site.timeOr("parent-ramp-s", 0),
-            site.numberOr("parent-limit-factor", 1));
-    trafficClasses = trafficClasses(settings.each("classes"), site);
+            site.doubleOr("parent-cold-from", 1),
+            site.durationNanosOr("parent-ramp-s", 0),
+            site.doubleOr("parent-limit-factor", 1));
+    trafficClasses = trafficClasses(settings.objects("classes"), site);
   }
 
   private int gatewaysInZone(JsonReader settings, JsonReader site) {
-    int zoneIndex = settings.list("zones").indexOf(zone);
-    return site.at("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
+    int zoneIndex = settings.elements("zones").indexOf(zone);
+    return site.elementOr("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
   }
 
   private static boolean is(JsonReader settings, String key, String value) {
-    return settings.has(key) && settings.text(key).equals(value);
+    return settings.has(key) && settings.string(key).equals(value);
   }
 
   private static List<TrafficClass> trafficClasses(List<JsonReader> classes, JsonReader site) {
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -24,81 +24,81 @@
 
   /** Decodes one event; some concern no decision. */
   void decode(JsonReader event, RoutingEventHandler to) {
-    switch (event.text("verb")) {
+    switch (event.string("verb")) {
       case "view" -> endpointList(event.named("view"), to);
       case "order" -> request(event.named("order"), to);
       case "verdict" -> outcome(event.named("verdict"), to);
       case "head-received" -> {
         JsonReader head = event.named("head-received");
-        to.responseStarted(head.whole("op-id"), head.place("copy", 0));
+        to.responseStarted(head.longValue("op-id"), head.intOr("copy", 0));
       }
       case "cancelled-by-client" ->
-          to.clientDisconnected(event.named("cancelled-by-client").whole("op-id"));
+          to.clientDisconnected(event.named("cancelled-by-client").longValue("op-id"));
       case "expired-now" -> purge(event.named("expired-now"), to);
-      case "ring" -> to.timerFired(event.named("ring").text("handle"));
+      case "ring" -> to.timerFired(event.named("ring").string("handle"));
       case "status-back", "heard" -> {}
-      default -> throw event.wrong("verb", "unknown: " + event.text("verb"));
+      default -> throw event.invalid("verb", "unknown: " + event.string("verb"));
     }
   }
 
   private void endpointList(JsonReader view, RoutingEventHandler to) {
     to.endpointListStarted(listing(view));
-    for (JsonReader entry : view.each("members-list")) {
+    for (JsonReader entry : view.objects("members-list")) {
       to.endpointListed(
-          caches.add(entry.text("cache")),
-          entry.text("cache"),
-          entry.has("az") ? entry.text("az") : "",
-          entry.has("flavor") ? entry.text("flavor") : "",
-          entry.place("cohort", 0),
+          caches.add(entry.string("cache")),
+          entry.string("cache"),
+          entry.has("az") ? entry.string("az") : "",
+          entry.has("flavor") ? entry.string("flavor") : "",
+          entry.intOr("cohort", 0),
           state(entry),
-          entry.numberOr("power-hint", 1),
-          entry.timeOr("came-up-s", 0));
+          entry.doubleOr("power-hint", 1),
+          entry.durationNanosOr("came-up-s", 0));
     }
     to.endpointListCompleted();
   }
 
   private void request(JsonReader order, RoutingEventHandler to) {
-    int trafficClass = config.trafficClass(order.text("tier-class"));
+    int trafficClass = config.trafficClass(order.string("tier-class"));
     if (trafficClass < 0) {
-      throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
+      throw order.invalid("tier-class", "no known delivery service: " + order.string("tier-class"));
     }
     to.requestReceived(
-        order.whole("op-id"),
+        order.longValue("op-id"),
         trafficClass,
-        order.wholeOr("resource", 0),
-        order.place("batch-id", 0),
-        order.place("range-no", 0),
-        order.time("time-budget-s"),
-        order.numberOr("kb", 0),
-        order.flag("is-write"));
+        order.longOr("resource", 0),
+        order.intOr("batch-id", 0),
+        order.intOr("range-no", 0),
+        order.durationNanos("time-budget-s"),
+        order.doubleOr("kb", 0),
+        order.booleanOrFalse("is-write"));
   }
 
   private void outcome(JsonReader verdict, RoutingEventHandler to) {
     to.attemptEnded(
-        verdict.whole("op-id"),
-        verdict.place("copy", 0),
+        verdict.longValue("op-id"),
+        verdict.intOr("copy", 0),
         cache(verdict),
         outcome(verdict),
-        verdict.timeOr("rtt-s", 0),
-        verdict.flag("settled"),
+        verdict.durationNanosOr("rtt-s", 0),
+        verdict.booleanOrFalse("settled"),
         note(verdict));
   }
 
   private static void purge(JsonReader purge, RoutingEventHandler to) {
     to.objectPurged(
-        purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
+        purge.longOr("resource", 0), purge.intOr("tag", 0), purge.durationNanosOr("oldness-s", 0));
   }
 
   private int cache(JsonReader event) {
-    String address = event.text("cache");
+    String address = event.string("cache");
     if (!caches.contains(address)) {
-      throw event.wrong("cache", "no known cache: " + address);
+      throw event.invalid("cache", "no known cache: " + address);
     }
     return caches.indexOf(address);
   }
 
   private static EndpointListKind listing(JsonReader view) {
-    return switch (view.text("scope")) {
+    return switch (view.string("scope")) {
       case "D" -> EndpointListKind.CHANGES;
       case "F", "C" -> EndpointListKind.FULL;
       case "X" -> EndpointListKind.NONE;
@@ -107,7 +107,7 @@
   }
 
   private static EndpointState state(JsonReader entry) {
-    return switch (entry.text("state")) {
+    return switch (entry.string("state")) {
       case "U" -> EndpointState.UP;
       case "L" -> EndpointState.DRAINING;
       case "D" -> EndpointState.GONE;
@@ -116,7 +116,7 @@
   }
 
   private static AttemptOutcome outcome(JsonReader verdict) {
-    return switch (verdict.text("rc")) {
+    return switch (verdict.string("rc")) {
       case "served" -> AttemptOutcome.SUCCEEDED;
       case "server_error" -> AttemptOutcome.FAILED;
       case "turned_away" -> AttemptOutcome.REJECTED;
@@ -131,11 +131,11 @@
   }
 
   private static RuntimeException unknown(JsonReader from, String key) {
-    return from.wrong(key, "of no known kind: " + from.text(key));
+    return from.invalid(key, "of no known kind: " + from.string(key));
   }
 
   private static ResponseDetail note(JsonReader verdict) {
-    int index = verdict.place("remark", 0);
+    int index = verdict.intOr("remark", 0);
     ResponseDetail[] notes = ResponseDetail.values();
     return index > 0 && index < notes.length ? notes[index] : ResponseDetail.NONE;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -23,7 +23,7 @@
    */
   SimulatedGateway(int number, JsonReader start) {
     JsonRoutingConfig config =
-        new JsonRoutingConfig(start.whole("seed"), start.fields("profile-data"));
+        new JsonRoutingConfig(start.longValue("seed"), start.object("profile-data"));
     CacheIndex caches = new CacheIndex();
     decoder = new EventDecoder(config, caches);
     encoder = new ActionEncoder(number, caches);
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -71,12 +71,12 @@
     try (JsonParser parser = json.createParser(line)) {
       batch = JsonReader.read("batch", parser);
     }
-    long nowNanos = batch.time("wall-s");
+    long nowNanos = batch.durationNanos("wall-s");
     try (JsonGenerator generator = json.createGenerator(reply)) {
       generator.writeStartObject();
       generator.writeArrayFieldStart("parts");
-      for (JsonReader part : batch.each("parts")) {
-        round(nowNanos, part.place("i", 0), part.each("news"), generator);
+      for (JsonReader part : batch.objects("parts")) {
+        round(nowNanos, part.intOr("i", 0), part.objects("news"), generator);
       }
       generator.writeEndArray();
       generator.writeEndObject();
@@ -88,7 +88,7 @@
       throws IOException {
     int first = 0;
     for (int index = 0; index < events.size(); index++) {
-      String verb = events.get(index).text("verb");
+      String verb = events.get(index).string("verb");
       if (verb.equals("up")) {
         gateways.put(number, new SimulatedGateway(number, events.get(index).named("up")));
         first = index + 1;
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -58,7 +58,7 @@
                 socket -> {
                   loop = Thread.currentThread();
                   held.incrementAndGet();
-                  clients.add(new ClientConnection(socket, queues, clock::now, this));
+                  clients.add(new ClientConnection(socket, queues, clock::nowNanos, this));
                   most.accumulateAndGet(clients.size(), Math::max);
                 })
             .listen(0, "127.0.0.1")
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -62,7 +62,8 @@
   void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes)
       throws Exception {
     PausingDecisions decisions =
-        new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::decide);
+        new PausingDecisions(
+            new org.amberpath.routing.RequestRouter(options().routingConfig())::decide);
     world.start(options(), decisions);
     Client client = world.client();
     assertTrue(client.status().status());
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -36,10 +36,10 @@
     GatewayOptions options = read(GOOD);
     assertEquals("n3", options.name());
     assertEquals(7, options.listen().port());
-    assertEquals(255, options.site().seed());
-    assertEquals(250_000_000, options.site().latencyObjectiveNanos(0));
+    assertEquals(255, options.routingConfig().seed());
+    assertEquals(250_000_000, options.routingConfig().latencyObjectiveNanos(0));
     assertEquals(400_000_000, options.connectTimeout());
-    assertEquals(0, options.known().each("entries").size());
+    assertEquals(0, options.known().objects("entries").size());
     assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listen().port());
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -287,7 +287,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     BlockingQueue<Long> times = new LinkedBlockingQueue<>();
     CountDownLatch still = new CountDownLatch(1);
     world.start(
@@ -374,7 +374,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.start(
         options,
         (now, in, to) ->
@@ -814,7 +814,7 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.start(
         options,
         (now, in, to) ->
@@ -1119,7 +1119,7 @@
     volatile boolean armed;
 
     Standing(GatewayOptions options) {
-      decisions = new RequestRouter(options.site())::decide;
+      decisions = new RequestRouter(options.routingConfig())::decide;
     }
 
     @Override
--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -656,7 +656,7 @@
   void aRequestWhoseTimeEndsWhileItsConnectionComesUpEjectsNoEndpoint() throws Exception {
     world.journal.host("c0", world.fullAddress(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter router = new RequestRouter(options.site());
+    RequestRouter router = new RequestRouter(options.routingConfig());
     List<EndpointHealthStatus> told = new CopyOnWriteArrayList<>();
     world.start(
         options,
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -155,7 +155,8 @@
   void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
     PausingDecisions decisions =
         new PausingDecisions(
-            new RequestRouter(GatewayOptions.read(world.environment(folder)).site())::decide);
+            new RequestRouter(GatewayOptions.read(world.environment(folder)).routingConfig())
+                ::decide);
     world.start(GatewayOptions.read(world.environment(folder)), decisions);
     Client client = world.client();
     client.status();
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -171,7 +171,7 @@
   }
 
   private void serve(GatewayOptions options) throws Exception {
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.gateway =
         new Gateway(
             vertx,
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -22,7 +22,8 @@
       world.open(1, 4);
       world.serve(
           (vertx, to, chance) ->
-              new RegistrySource(vertx, world.access(RegistrySettings.Form.ETCD), to, chance));
+              new RegistrySource(
+                  vertx, world.access(RegistrySettings.ProtocolKind.ETCD), to, chance));
       out.println(
           "a gateway at 127.0.0.1:"
               + world.gateway.port()
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -94,10 +94,10 @@
             ? LabSettings.EDGE
             : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
     write(
-        PREFIX + RecordCodec.CACHES + id,
+        PREFIX + RecordCodec.CACHES_PREFIX + id,
         state == null
             ? null
-            : RecordCodec.write(
+            : RecordCodec.encode(
                 new RegistryRecord.Cache(
                     id, caches.get(id).address(), LabSettings.ZONE, kind, 0, state, 4, 0)));
   }
@@ -106,12 +106,13 @@
   public long write(String key, byte[] value) {
     Map<String, byte[]> both = new TreeMap<>();
     both.put(key, value);
-    both.put(PREFIX + RecordCodec.TIP, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
+    both.put(
+        PREFIX + RecordCodec.TIP_KEY, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
     return registry.write(both);
   }
 
   /** How the gateway reaches the registry. */
-  public RegistrySettings access(RegistrySettings.Form form) {
+  public RegistrySettings access(RegistrySettings.ProtocolKind form) {
     List<SocketAddress> endpoints =
         registry.endpoints().stream()
             .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -61,7 +61,8 @@
       world.open(1, 4);
       world.serve(
           (vertx, to, chance) ->
-              new RegistrySource(vertx, world.access(RegistrySettings.Form.ETCD), to, chance));
+              new RegistrySource(
+                  vertx, world.access(RegistrySettings.ProtocolKind.ETCD), to, chance));
       world.slowGateway(PARTS);
       LoadGenerator tills =
           new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, got -> {});
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -113,7 +113,8 @@
         new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
     for (int one = 0; one < plan.gateways(); one++) {
       gateways.add(
-          new One(one, LabSettings.options(chance.nextLong(), null, plan.gateways()).site()));
+          new One(
+              one, LabSettings.options(chance.nextLong(), null, plan.gateways()).routingConfig()));
     }
   }
 
@@ -396,7 +397,8 @@
     private List<Consumer<RoutingEventHandler>> round = List.of();
     private boolean due;
     private final Map<Long, Viewer> viewers = new HashMap<>();
-    private final Map<Long, Consumer<HealthCheckCoordinator.End>> own = new HashMap<>();
+    private final Map<Long, Consumer<HealthCheckCoordinator.HealthCheckOutcome>> own =
+        new HashMap<>();
     private final Map<Long, Long> keys = new HashMap<>();
     private final Map<Long, Integer> copies = new HashMap<>();
     private final Set<String> open = new HashSet<>();
@@ -450,7 +452,7 @@
               / WORK
               * LabSettings.COLD_SHARE
               / plan.gateways();
-      opening.learned(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
+      opening.startupCompleted(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
       tick();
     }
 
@@ -539,9 +541,9 @@
       }
       long object = viewer.key / FIRST_PARTS;
       int part = (int) (viewer.key % FIRST_PARTS);
-      if (agenda.now() < openAt || !opening.takes(agenda.now(), part > 0)) {
+      if (agenda.now() < openAt || !opening.tryAdmit(agenda.now(), part > 0)) {
         count("turned_away", agenda.now());
-        again(viewer, agenda.now() < openAt ? NO_HINT_MS * MS : opening.away(part > 0));
+        again(viewer, agenda.now() < openAt ? NO_HINT_MS * MS : opening.retryAfterNanos(part > 0));
         return;
       }
       long id = ++ids;
@@ -592,16 +594,16 @@
       }
       boolean returned = outcome == AttemptOutcome.SUCCEEDED;
       Viewer viewer = returned ? viewers.remove(wanted.get) : null;
-      Consumer<HealthCheckCoordinator.End> ends =
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends =
           returned || outcome == AttemptOutcome.NOT_CACHED ? own.remove(wanted.get) : null;
       if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
         count("good", viewer.began);
       }
       if (viewer != null) {
-        opening.returned();
+        opening.requestSucceeded();
       }
       if (ends != null) {
-        ends.accept(HealthCheckCoordinator.End.ANSWERED);
+        ends.accept(HealthCheckCoordinator.HealthCheckOutcome.ANSWERED);
       }
       long took = LIMIT; // The decisions look at it for what was returned alone.
       tell(
@@ -629,12 +631,12 @@
     @Override
     public void fail(long get) {
       viewers.remove(get);
-      Consumer<HealthCheckCoordinator.End> ends = own.remove(get);
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends = own.remove(get);
       if (ends != null) {
         ends.accept(
             copies.containsKey(get)
-                ? HealthCheckCoordinator.End.SILENT
-                : HealthCheckCoordinator.End.NOT_SENT);
+                ? HealthCheckCoordinator.HealthCheckOutcome.SILENT
+                : HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
       }
     }
 
@@ -665,23 +667,27 @@
     public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
       String name = Integer.toString(cache);
       String owner =
-          health == EndpointHealthStatus.RESPONSIVE ? trials.answers(agenda.now(), name) : "";
+          health == EndpointHealthStatus.RESPONSIVE
+              ? trials.endpointResponded(agenda.now(), name)
+              : "";
       if (!owner.isEmpty()) {
-        post(Integer.parseInt(owner), to -> to.trials.heard(agenda.now(), List.of(name)));
+        post(
+            Integer.parseInt(owner),
+            to -> to.trials.endpointsResponsive(agenda.now(), List.of(name)));
       }
-      trials.standing(agenda.now(), name, health != EndpointHealthStatus.SUSPECT);
+      trials.healthChanged(agenda.now(), name, health != EndpointHealthStatus.SUSPECT);
     }
 
     @Override
     public void endpointWarmingUp(int cache, long until) {
-      ahead.cold(agenda.now(), Integer.toString(cache), until);
+      ahead.endpointWarmingUp(agenda.now(), Integer.toString(cache), until);
     }
 
     private void tick() {
       long now = agenda.now();
       if (plan.probe()) {
-        HealthCheckCoordinator.Ask ask =
-            trials.due(
+        HealthCheckCoordinator.ReportRequest ask =
+            trials.nextReportRequest(
                 now,
                 gateways.size(),
                 () ->
@@ -691,15 +697,15 @@
                         .toList(),
                 owns(true));
         if (ask != null) {
-          post(Integer.parseInt(ask.to()), to -> to.asked(this, ask));
+          post(Integer.parseInt(ask.recipient()), to -> to.asked(this, ask));
         }
         if (owns(true)) {
           attempt();
-          Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
+          Map<String, HealthCheckCoordinator.HealthReport> news = trials.broadcastReport(now);
           if (!news.isEmpty()) {
             List<String> there = gateways.stream().map(one -> Integer.toString(one.index)).toList();
             trials
-                .toldNow(now, there)
+                .broadcastRecipients(now, there)
                 .forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
           }
         }
@@ -718,57 +724,63 @@
     }
 
     private void trust() {
-      boolean another = trials.forAll(agenda.now(), owns(true));
+      boolean another = trials.isCentralized(agenda.now(), owns(true));
       if (another != forAll) {
         forAll = another;
         tell(to -> to.healthChecksDelegated(another));
       }
     }
 
-    private void asked(One by, HealthCheckCoordinator.Ask ask) {
+    private void asked(One by, HealthCheckCoordinator.ReportRequest ask) {
       if (owns(plan.probe())) {
-        Map<String, HealthCheckCoordinator.Said> said =
-            trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
+        Map<String, HealthCheckCoordinator.HealthReport> said =
+            trials.reportRequested(agenda.now(), Integer.toString(by.index), ask.endpoints());
         attempt();
-        post(by.index, to -> to.word(ask.stamp(), said));
+        post(by.index, to -> to.word(ask.requestedAtNanos(), said));
       }
     }
 
-    private void word(long stamp, Map<String, HealthCheckCoordinator.Said> said) {
-      Map<String, HealthCheckCoordinator.Said> taken =
-          trials.word(agenda.now(), "0", 1, stamp, said);
+    private void word(long stamp, Map<String, HealthCheckCoordinator.HealthReport> said) {
+      Map<String, HealthCheckCoordinator.HealthReport> taken =
+          trials.reportReceived(agenda.now(), "0", 1, stamp, said);
       trust();
       taken.forEach(
           (cache, one) ->
-              tell(to -> to.healthReported(Integer.parseInt(cache), one.answers(), one.ago())));
+              tell(
+                  to ->
+                      to.healthReported(Integer.parseInt(cache), one.responded(), one.ageNanos())));
     }
 
     private void attempt() {
-      for (String cache : trials.tries(agenda.now())) {
+      for (String cache : trials.dueHealthChecks(agenda.now())) {
         Asked like = recent.latest();
-        own(like, Integer.parseInt(cache), end -> trials.tried(agenda.now(), cache, end));
+        own(
+            like,
+            Integer.parseInt(cache),
+            end -> trials.healthCheckEnded(agenda.now(), cache, end));
       }
     }
 
     private void fill() {
-      while (ahead.next(agenda.now())) {
+      while (ahead.tryStartRequest(agenda.now())) {
         Asked like = recent.nextInPass();
         if (like == null) {
           recent.startPass();
-          ahead.turnOver(agenda.now());
+          ahead.passEnded(agenda.now());
           return;
         }
         own(
             like,
             -1,
             end -> {
-              ahead.ended();
+              ahead.requestEnded();
               fill();
             });
       }
     }
 
-    private void own(Asked like, int cache, Consumer<HealthCheckCoordinator.End> ends) {
+    private void own(
+        Asked like, int cache, Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends) {
       long id = ++ids;
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
@@ -776,9 +788,9 @@
       agenda.at(
           agenda.now() + ACT,
           () -> {
-            Consumer<HealthCheckCoordinator.End> late = own.remove(id);
+            Consumer<HealthCheckCoordinator.HealthCheckOutcome> late = own.remove(id);
             if (late != null) {
-              late.accept(HealthCheckCoordinator.End.SILENT);
+              late.accept(HealthCheckCoordinator.HealthCheckOutcome.SILENT);
               tell(to -> to.clientDisconnected(id));
             }
           });
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -187,13 +187,14 @@
   private void purge() {
     Map<String, byte[]> both = new TreeMap<>();
     both.put(
-        PREFIX + RecordCodec.PURGES + ++purges,
-        RecordCodec.write(
+        PREFIX + RecordCodec.PURGES_PREFIX + ++purges,
+        RecordCodec.encode(
             new RegistryRecord.Purge(
                 0xf000_0000L + purges, 0, System.currentTimeMillis() - 3L * HOUR_MS)));
-    both.put(PREFIX + RecordCodec.TIP, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
+    both.put(
+        PREFIX + RecordCodec.TIP_KEY, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
     registry.write(both);
-    writtenAt.put(PREFIX + RecordCodec.PURGES + purges, System.nanoTime());
+    writtenAt.put(PREFIX + RecordCodec.PURGES_PREFIX + purges, System.nanoTime());
   }
 
   /** Of each purge that is still there, when it was written: bounded by the purges of one day. */
@@ -210,7 +211,7 @@
     writtenAt.keySet().removeIf(key -> !now.containsKey(key));
     long oldest = writtenAt.values().stream().mapToLong(at -> at).min().orElse(System.nanoTime());
     oldestMs = (System.nanoTime() - oldest) / MS;
-    byte[] value = now.getOrDefault(PREFIX + RecordCodec.TASKS + "sweep", fence);
+    byte[] value = now.getOrDefault(PREFIX + RecordCodec.TASKS_PREFIX + "sweep", fence);
     if (!Arrays.equals(value, fence)) {
       fence = value;
       written++;
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -114,7 +114,7 @@
     for (int task = 0; task < TASKS.size(); task++) {
       int of = task;
       long owners =
-          all.stream().filter(one -> one.up && one.tenures.get(of).holds(one.clock())).count();
+          all.stream().filter(one -> one.up && one.tenures.get(of).isLeader(one.clock())).count();
       if (owners != 1 && way != Way.LOWEST_ALIVE) {
         throw new Missed(
             "calm, and "
@@ -150,7 +150,7 @@
       int holders = 0;
       String who = "";
       for (GatewayProcess one : all) {
-        if (one.up && one.tenures.get(task).holds(one.clock())) {
+        if (one.up && one.tenures.get(task).isLeader(one.clock())) {
           holders++;
           who += " g" + one.index + " under " + one.tenures.get(task).term();
         }
@@ -182,12 +182,12 @@
       if (one.up && agenda.now() >= one.frozenUntil && one.clock() >= one.votesFrom) {
         one.votedAt = agenda.now();
       }
-      if (one.votedAt > agenda.now() - RULES.longest(LEASE)) {
+      if (one.votedAt > agenda.now() - RULES.longestNanos(LEASE)) {
         could.add("g" + one.index);
       }
     }
-    return stages.get(stage).majority(could)
-        || (stage > 0 && stages.get(stage - 1).majority(could));
+    return stages.get(stage).isMajority(could)
+        || (stage > 0 && stages.get(stage - 1).isMajority(could));
   }
 
   // ---- Processes.
@@ -212,7 +212,7 @@
       up = true;
       knows = stage;
       fence = new FencingGuard();
-      long muted = way == Way.NO_WAIT_AFTER_RESTART ? 0 : RULES.longest(LEASE);
+      long muted = way == Way.NO_WAIT_AFTER_RESTART ? 0 : RULES.longestNanos(LEASE);
       voter = new LeaseAcceptor(RULES, clock(), muted);
       votesFrom = clock() + muted;
       tenures.clear();
@@ -235,23 +235,23 @@
         RegistryLeadership made =
             new RegistryLeadership(RULES, new Key(this, task), chance.nextLong());
         long[] key = registryKey[task];
-        made.seen(clock(), key[1], key[0] != 0, key[2]);
+        made.keyObserved(clock(), key[1], key[0] != 0, key[2]);
         return made;
       }
-      QuorumLeadership.Orders orders =
+      QuorumLeadership.Transport orders =
           (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
       VoterConfiguration electorate = stages.get(knows);
       long seed = chance.nextLong();
       QuorumLeadership made =
           new QuorumLeadership(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
             @Override
-            protected long believedFrom(long proposedAt, long acceptedAt) {
+            protected long leaseStartNanos(long proposedAt, long acceptedAt) {
               return way == Way.BELIEF_FROM_ANSWER
                   ? acceptedAt
-                  : super.believedFrom(proposedAt, acceptedAt);
+                  : super.leaseStartNanos(proposedAt, acceptedAt);
             }
           };
-      made.wall((agenda.now() / MS) + wallOffset);
+      made.wallClockRead((agenda.now() / MS) + wallOffset);
       return made;
     }
 
@@ -283,14 +283,14 @@
 
     private void arm(int task) {
       Leadership of = tenures.get(task);
-      long due = of.due(), mine = ++armed[task];
+      long due = of.nextTickNanos(), mine = ++armed[task];
       if (due < Long.MAX_VALUE / 4) {
         at(
             agenda.now() + Math.max(MS, due - clock()),
             () -> {
               if (tenures.get(task) == of && armed[task] == mine) {
                 if (of instanceof QuorumLeadership voted) {
-                  voted.wall((agenda.now() / MS) + wallOffset);
+                  voted.wallClockRead((agenda.now() / MS) + wallOffset);
                 }
                 Leadership.State before = of.state();
                 of.tick(clock());
@@ -324,14 +324,14 @@
       other.arrive(
           index,
           () -> {
-            LeaseMessage answer = other.voter.asked(other.clock(), "g" + index, vote);
+            LeaseMessage answer = other.voter.messageReceived(other.clock(), "g" + index, vote);
             if (answer != null) {
               arrive(
                   voter,
                   () -> {
                     Leadership of = tenures.get(task);
                     Leadership.State before = of.state();
-                    ((QuorumLeadership) of).answered(clock(), "g" + voter, answer);
+                    ((QuorumLeadership) of).responseReceived(clock(), "g" + voter, answer);
                     told(task, before);
                     arm(task);
                   });
@@ -351,7 +351,7 @@
           agenda.now() + chance.nextLong(100 * MS, 300 * MS),
           () -> {
             Leadership of = tenures.get(task);
-            if (of.holdsFor(clock(), ACT) && !quits[task]) {
+            if (of.isLeaderFor(clock(), ACT) && !quits[task]) {
               long term = of.term();
               // It may stand still between deciding and sending; it looks again, and may stand
               // still after that, too.
@@ -359,7 +359,7 @@
                   40,
                   () -> {
                     if (way != Way.NO_SECOND_LOOK
-                        && !(of.holdsFor(clock(), ACT) && of.term() == term && !quits[task])) {
+                        && !(of.isLeaderFor(clock(), ACT) && of.term() == term && !quits[task])) {
                       dropped++;
                     } else {
                       send(task, term);
@@ -383,7 +383,7 @@
      */
     private void handOver(int task) {
       Leadership of = tenures.get(task);
-      if (of.holds(clock()) && agenda.now() >= actsUntil[task]) {
+      if (of.isLeader(clock()) && agenda.now() >= actsUntil[task]) {
         long term = of.term();
         handed++;
         for (GatewayProcess other : all) {
@@ -393,7 +393,7 @@
                 () -> {
                   Leadership there = other.tenures.get(task);
                   Leadership.State before = there.state();
-                  there.handedOver(other.clock(), term);
+                  there.predecessorStopped(other.clock(), term);
                   other.told(task, before);
                   other.arm(task);
                 });
@@ -423,14 +423,15 @@
                   index,
                   () -> {
                     boolean passes =
-                        way == Way.NO_FENCE || to.fence.passes(TASKS.get(task), term, "g" + index);
-                    refuse(task, passes, to.index, to.fence.seen(TASKS.get(task)));
+                        way == Way.NO_FENCE
+                            || to.fence.tryAdmit(TASKS.get(task), term, "g" + index);
+                    refuse(task, passes, to.index, to.fence.highestTerm(TASKS.get(task)));
                   }));
       agenda.at(
           arrives,
           () -> {
             boolean passes =
-                way == Way.NO_FENCE || lasting.passes(TASKS.get(task), term, "g" + index);
+                way == Way.NO_FENCE || lasting.tryAdmit(TASKS.get(task), term, "g" + index);
             if (passes) {
               if (term < lastingTerm[task]) {
                 throw new Missed(
@@ -444,7 +445,7 @@
               }
               lastingTerm[task] = term;
             }
-            refuse(task, passes, -1, lasting.seen(TASKS.get(task)));
+            refuse(task, passes, -1, lasting.highestTerm(TASKS.get(task)));
           });
     }
 
@@ -460,7 +461,7 @@
             if (of.term() < seen) {
               outranked++;
               Leadership.State before = of.state();
-              of.outranked(clock(), seen);
+              of.higherTermSeen(clock(), seen);
               told(task, before);
               arm(task);
             }
@@ -495,7 +496,7 @@
 
   // ---- The registry's key.
 
-  private final class Key implements RegistryLeadership.Orders {
+  private final class Key implements RegistryLeadership.Commands {
     private final GatewayProcess of;
     private final int task;
 
@@ -547,9 +548,9 @@
               back(
                   () -> {
                     if (won) {
-                      tenure().won(of.clock(), term);
+                      tenure().campaignWon(of.clock(), term);
                     } else {
-                      tenure().lost(of.clock());
+                      tenure().leaseLost(of.clock());
                     }
                   });
             }
@@ -570,9 +571,9 @@
                 () -> {
                   heard[0] = true;
                   if (kept) {
-                    tenure().kept(of.clock(), askedAt);
+                    tenure().leaseRenewed(of.clock(), askedAt);
                   } else {
-                    tenure().lost(of.clock());
+                    tenure().leaseLost(of.clock());
                   }
                 });
           });
@@ -580,7 +581,7 @@
           agenda.now() + LEASE / 6,
           () -> {
             if (!heard[0] && tenure().term() == term) {
-              tenure().unheard(of.clock());
+              tenure().renewalUnanswered(of.clock());
               of.arm(task);
             }
           });
@@ -623,7 +624,7 @@
                 agenda.now() + chance.nextLong(MS, 50 * MS),
                 () -> {
                   ((RegistryLeadership) one.tenures.get(task))
-                      .seen(one.clock(), key[1], key[0] != 0, key[2]);
+                      .keyObserved(one.clock(), key[1], key[0] != 0, key[2]);
                   one.arm(task);
                 }));
   }
@@ -636,7 +637,7 @@
     long back = chance.nextLong(8);
     story.accept("the registry is restored from a backup, " + back + " terms back");
     agenda.at(
-        agenda.now() + RULES.longest(LEASE) + chance.nextLong(SECOND),
+        agenda.now() + RULES.longestNanos(LEASE) + chance.nextLong(SECOND),
         () -> {
           registryAway = false;
           for (int task = 0; task < TASKS.size(); task++) {
@@ -648,7 +649,8 @@
             all.forEach(
                 one ->
                     one.at(
-                        agenda.now(), () -> ((RegistryLeadership) one.tenures.get(of)).restored()));
+                        agenda.now(),
+                        () -> ((RegistryLeadership) one.tenures.get(of)).registryRestored()));
             tell(task);
           }
         });
@@ -696,7 +698,7 @@
       one.knows = stage;
       for (int task = 0; task < TASKS.size(); task++) {
         if (one.tenures.get(task) instanceof QuorumLeadership voted) {
-          voted.electorate(stages.get(stage));
+          voted.updateVoters(stages.get(stage));
           one.arm(task);
         }
       }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -27,7 +27,7 @@
 
   @Override
   public State state() {
-    return holds(now) ? State.HOLDING : State.FOLLOWING;
+    return isLeader(now) ? State.HOLDING : State.FOLLOWING;
   }
 
   @Override
@@ -36,19 +36,19 @@
   }
 
   @Override
-  public boolean holds(long time) {
+  public boolean isLeader(long time) {
     return time - since > patience
         && heardAt.entrySet().stream()
             .noneMatch(one -> one.getKey().compareTo(own) < 0 && time - one.getValue() < patience);
   }
 
   @Override
-  public long until() {
+  public long leaseExpiresAtNanos() {
     return Long.MAX_VALUE / 2;
   }
 
   @Override
-  public long due() {
+  public long nextTickNanos() {
     return now + patience / 4;
   }
 
@@ -59,17 +59,17 @@
   }
 
   @Override
-  public void outranked(long time, long seen) {
+  public void higherTermSeen(long time, long seen) {
     term = Math.max(term, seen + 1);
   }
 
   @Override
-  public void handedOver(long time, long ofTerm) {
+  public void predecessorStopped(long time, long ofTerm) {
     tick(time);
   }
 
   @Override
-  public void letGo(long time) {
+  public void release(long time) {
     resign(time);
   }
 
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -42,7 +42,7 @@
   }
 
   /** One gateway's place: the process that runs there, if one does. */
-  private final class Place implements SwimProtocol.Out {
+  private final class Place implements SwimProtocol.Output {
     final int index;
     final String name, address;
     SwimProtocol view;
@@ -67,7 +67,7 @@
       // gone back.
       incarnation = Math.max(1, (agenda.now() - START) / SECOND + chance.nextInt(-5, 5));
       long birth = chance.nextLong();
-      door = new ReplayFilter(birth, rules.period(), agenda.now());
+      door = new ReplayFilter(birth, rules.probeIntervalNanos(), agenda.now());
       view =
           new SwimProtocol(
               rules,
@@ -100,8 +100,8 @@
       if (sent > MOST_A_SECOND) {
         throw new Missed(name + " sent " + sent + " datagrams in a second");
       }
-      if (message.rumours().size() > rules.rumours()) {
-        throw new Missed(name + " sent " + message.rumours().size() + " rumours at once");
+      if (message.updates().size() > rules.maxUpdatesPerMessage()) {
+        throw new Missed(name + " sent " + message.updates().size() + " rumours at once");
       }
       Place target = places.get(Integer.parseInt(to.substring(1)));
       if (recorded.size() < MOST_RECORDED || chance.nextInt(RECORDED_ONE_IN) == 0) {
@@ -127,10 +127,10 @@
       }
       if (frozenUntil > agenda.now()) { // It waits in the socket.
         agenda.at(frozenUntil, () -> come(of, message));
-      } else if (door.mayLook(agenda.now())) {
-        switch (door.judge(agenda.now(), message)) {
-          case TAKEN -> view.received(agenda.now(), message);
-          case GREETED -> view.greet(agenda.now(), message.from());
+      } else if (door.tryExamine(agenda.now())) {
+        switch (door.check(agenda.now(), message)) {
+          case TAKEN -> view.messageReceived(agenda.now(), message);
+          case GREETED -> view.greet(agenda.now(), message.sender());
           default -> turnedAway++;
         }
       }
@@ -138,39 +138,39 @@
 
     /** Says of another, whom it knows to run, that it is gone. */
     private GossipMessage lied(GossipMessage said) {
-      List<SwimProtocol.Seen> others = view.others();
+      List<SwimProtocol.ObservedMember> others = view.otherMembers();
       if (others.isEmpty()
           || chance.nextInt(LIES_ONE_IN) > 0
-          || said.rumours().size() == rules.rumours()) {
+          || said.updates().size() == rules.maxUpdatesPerMessage()) {
         return said;
       }
-      MemberUpdate of = others.get(chance.nextInt(others.size())).said();
-      List<MemberUpdate> all = new ArrayList<>(said.rumours());
+      MemberUpdate of = others.get(chance.nextInt(others.size())).update();
+      List<MemberUpdate> all = new ArrayList<>(said.updates());
       all.add(
           new MemberUpdate(
               of.name(),
               of.address(),
               of.incarnation() + chance.nextInt(2),
-              of.birth(),
+              of.instanceId(),
               chance.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT,
               name));
       lies++;
       return new GossipMessage(
           said.kind(),
-          said.from(),
-          said.to(),
-          said.serial(),
-          said.number(),
-          said.names(),
-          said.there(),
-          said.about(),
-          said.more(),
-          said.whole(),
+          said.sender(),
+          said.recipientInstanceId(),
+          said.sequenceNumber(),
+          said.probeNumber(),
+          said.countedDigest(),
+          said.presentDigest(),
+          said.subject(),
+          said.hasMore(),
+          said.fullySynced(),
           all);
     }
 
     @Override
-    public void news(String who, MemberStatus standing) {
+    public void memberStatusChanged(String who, MemberStatus standing) {
       story.accept(name + ": " + who + " " + standing);
       falseLosses += standing == MemberStatus.LOST && runs(who) ? 1 : 0;
       if (calmSince > 0
@@ -187,12 +187,12 @@
     }
 
     @Override
-    public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+    public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
       story.accept(name + ": " + from + " -> " + to);
     }
 
     @Override
-    public void twin(String at) {
+    public void nameConflictDetected(String at) {
       throw new Missed(name + " was told of a twin at " + at);
     }
   }
@@ -221,7 +221,7 @@
     // In one run of three, more come than the operators told, once those before them have settled.
     boolean grows = chance.nextInt(3) == 0;
     first = grows ? Math.max(2, many - 1 - chance.nextInt(many / 2)) : many;
-    rules = SwimTimings.usual(grows ? first : many + chance.nextInt(3));
+    rules = SwimTimings.defaults(grows ? first : many + chance.nextInt(3));
     cut = new boolean[many][many];
     for (int index = 0; index < many; index++) {
       places.add(new Place(index));
@@ -242,14 +242,14 @@
       check();
     }
     for (Place one : places) {
-      if (one.view != null && !one.view.there().equals(running())) {
+      if (one.view != null && !one.view.presentNames().equals(running())) {
         throw new Missed(
-            "calm, and " + one.name + " holds " + one.view.there() + " of " + running());
+            "calm, and " + one.name + " holds " + one.view.presentNames() + " of " + running());
       }
       if (one.view != null
           && one.view.phase() != SwimProtocol.Phase.SETTLED
           && running().size() * 2 > places.size()
-          && one.view.counted() < 2 * running().size()) {
+          && one.view.countedMembers() < 2 * running().size()) {
         throw new Missed("calm, and " + one.name + " is " + one.view.phase());
       }
     }
@@ -286,7 +286,7 @@
       sum +=
           one.view == null || (beyond && one.view.phase() == SwimProtocol.Phase.ALONE)
               ? 0
-              : one.view.share();
+              : one.view.quotaShare();
     }
     if (sum > 1 + SLACK) {
       throw new Missed(
@@ -301,9 +301,9 @@
                               + " "
                               + one.view.phase()
                               + " of "
-                              + one.view.counted()
+                              + one.view.countedMembers()
                               + ": "
-                              + one.view.share())
+                              + one.view.quotaShare())
                   .toList());
     }
   }
@@ -365,7 +365,7 @@
         if (liar == null
             && (!beyond
                 || places.stream()
-                    .allMatch(place -> place.view == null || place.view.share() > 0))) {
+                    .allMatch(place -> place.view == null || place.view.quotaShare() > 0))) {
           partition();
         }
       }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -46,14 +46,14 @@
     Trial(long seed, int many, long period) {
       chance = new SplittableRandom(seed);
       this.many = many;
-      rules = SwimTimings.every(many, period);
+      rules = SwimTimings.withProbeInterval(many, period);
       for (int one = 0; one < many; one++) {
         all.add(new One(one));
       }
     }
 
     /** One gateway. */
-    final class One implements SwimProtocol.Out {
+    final class One implements SwimProtocol.Output {
       final int index;
       final String name, address;
       SwimProtocol view;
@@ -70,7 +70,7 @@
         long birth = chance.nextLong(), now = agenda.now();
         List<String> seeds =
             all.subList(0, Math.min(SEEDS, many)).stream().map(one -> one.address).toList();
-        door = new ReplayFilter(birth, rules.period(), now);
+        door = new ReplayFilter(birth, rules.probeIntervalNanos(), now);
         view =
             new SwimProtocol(
                 rules,
@@ -80,7 +80,7 @@
                 now,
                 this);
         SwimProtocol mine = view;
-        agenda.at(now + chance.nextLong(rules.period() / TICKS), () -> tick(mine));
+        agenda.at(now + chance.nextLong(rules.probeIntervalNanos() / TICKS), () -> tick(mine));
       }
 
       private void tick(SwimProtocol of) {
@@ -88,7 +88,7 @@
           long since = System.nanoTime();
           view.tick(agenda.now());
           work += System.nanoTime() - since;
-          agenda.at(agenda.now() + rules.period() / TICKS, () -> tick(of));
+          agenda.at(agenda.now() + rules.probeIntervalNanos() / TICKS, () -> tick(of));
         }
       }
 
@@ -97,10 +97,10 @@
           return;
         }
         long since = System.nanoTime();
-        if (door.mayLook(agenda.now())) {
-          switch (door.judge(agenda.now(), message)) {
-            case TAKEN -> view.received(agenda.now(), message);
-            case GREETED -> view.greet(agenda.now(), message.from());
+        if (door.tryExamine(agenda.now())) {
+          switch (door.check(agenda.now(), message)) {
+            case TAKEN -> view.messageReceived(agenda.now(), message);
+            case GREETED -> view.greet(agenda.now(), message.sender());
             default -> {}
           }
         }
@@ -116,9 +116,9 @@
         if (datagrams % SAMPLE == 0) {
           sampled++;
           long since = System.nanoTime();
-          byte[] bytes = form.write(message, keys);
+          byte[] bytes = form.encode(message, keys);
           long written = System.nanoTime();
-          form.read(bytes, keys);
+          form.decode(bytes, keys);
           writing += written - since;
           reading += System.nanoTime() - written;
           sampledBytes += bytes.length;
@@ -135,16 +135,16 @@
       }
 
       @Override
-      public void news(String who, MemberStatus standing) {
+      public void memberStatusChanged(String who, MemberStatus standing) {
         falseSuspicions += quiet && standing == MemberStatus.SUSPECTED ? 1 : 0;
         falseLosses += quiet && standing == MemberStatus.LOST ? 1 : 0;
       }
 
       @Override
-      public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
+      public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
 
       @Override
-      public void twin(String at) {}
+      public void nameConflictDetected(String at) {}
     }
 
     void pass(long time) {
@@ -162,11 +162,11 @@
       List<One> waiting = new ArrayList<>(all.stream().filter(one -> one.view != null).toList());
       long began = agenda.now();
       while (!waiting.isEmpty() && agenda.now() - began < longest) {
-        pass(rules.period() / TICKS);
+        pass(rules.probeIntervalNanos() / TICKS);
         long ms = (agenda.now() - began) / MS;
         waiting.removeIf(
             one -> {
-              boolean done = one.view.present() == there;
+              boolean done = one.view.presentCount() == there;
               if (done) {
                 took.recordValue(ms);
               }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -106,7 +106,8 @@
             "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
       }
     }
-    if (planners.stream().filter(one -> one.up && one.leadership.holds(one.clock())).count() > 1) {
+    if (planners.stream().filter(one -> one.up && one.leadership.isLeader(one.clock())).count()
+        > 1) {
       throw new Missed("two planners may grant");
     }
   }
@@ -156,7 +157,7 @@
             one.at(
                 agenda.now() + chance.nextLong(MS, 50 * MS),
                 () -> {
-                  one.leadership.seen(one.clock(), ofTerm, held, at);
+                  one.leadership.keyObserved(one.clock(), ofTerm, held, at);
                   one.arm();
                 }));
   }
@@ -177,7 +178,7 @@
 
   // ---- Processes.
 
-  private final class Planner extends PlanningProcess implements RegistryLeadership.Orders {
+  private final class Planner extends PlanningProcess implements RegistryLeadership.Commands {
     final int index;
     RegistryLeadership leadership;
     QuotaLedger ledger;
@@ -193,16 +194,16 @@
       up = true;
       ledger = null;
       ledgerTerm = 0;
-      leadership = new RegistryLeadership(RULES.leading(LEASE), this, chance.nextLong());
+      leadership = new RegistryLeadership(RULES.leaseTimings(LEASE), this, chance.nextLong());
       wants = new double[forwarders.size()][];
       long ofTerm = term, at = changed;
       boolean held = holder >= 0;
-      leadership.seen(clock(), ofTerm, held, at);
+      leadership.keyObserved(clock(), ofTerm, held, at);
       arm();
     }
 
     void arm() {
-      long due = leadership.due();
+      long due = leadership.nextTickNanos();
       if (due != Long.MAX_VALUE) {
         at(
             agenda.now() + Math.max(MS, due - clock()),
@@ -231,10 +232,10 @@
                 agenda.now() + chance.nextLong(MS, 10 * MS),
                 () -> {
                   if (won) {
-                    leadership.won(clock(), asTerm);
+                    leadership.campaignWon(clock(), asTerm);
                     askHandover(asTerm);
                   } else {
-                    leadership.lost(clock());
+                    leadership.leaseLost(clock());
                   }
                   arm();
                 });
@@ -256,9 +257,9 @@
                 () -> {
                   heard[0] = true;
                   if (kept) {
-                    leadership.kept(clock(), askedAt);
+                    leadership.leaseRenewed(clock(), askedAt);
                   } else {
-                    leadership.lost(clock());
+                    leadership.leaseLost(clock());
                   }
                   arm();
                 });
@@ -267,7 +268,7 @@
           agenda.now() + LEASE / 6,
           () -> {
             if (!heard[0] && leadership.term() == of) {
-              leadership.unheard(clock());
+              leadership.renewalUnanswered(clock());
               arm();
             }
           });
@@ -296,16 +297,17 @@
                 if (other.leadership.state() == Leadership.State.RESIGNED
                     && other.ledger != null
                     && other.ledgerTerm == asTerm - 1) {
-                  List<QuotaLedger.Left> left = other.ledger.left(other.clock());
+                  List<QuotaLedger.OutstandingGrant> left =
+                      other.ledger.outstandingGrants(other.clock());
                   arrive(
                       () -> {
                         if (leadership.state() == Leadership.State.WAITING
                             && leadership.term() == asTerm) {
                           ledger =
-                              QuotaLedger.after(
+                              QuotaLedger.succeeding(
                                   RULES, asTerm, bounds, forwarders.size(), left, askedAt, clock());
                           ledgerTerm = asTerm;
-                          leadership.handedOver(clock(), asTerm - 1);
+                          leadership.predecessorStopped(clock(), asTerm - 1);
                           handedOver++;
                           arm();
                         }
@@ -319,14 +321,14 @@
     void asked(Forwarder from, QuotaRequest ask) {
       wants[ask.member()] = ask.wanted();
       leadership.tick(clock());
-      if (!leadership.holds(clock())) {
+      if (!leadership.isLeader(clock())) {
         return;
       }
       if (ledgerTerm != leadership.term()) {
         ledger = new QuotaLedger(RULES, leadership.term(), bounds, forwarders.size());
         ledgerTerm = leadership.term();
       }
-      if (!ledger.heard(ask)) {
+      if (!ledger.requestReceived(ask)) {
         return;
       }
       double[] wished = new double[bounds.length];
@@ -337,7 +339,8 @@
           wanted[member] = wants[member] == null ? usual : wants[member][resource];
         }
         wished[resource] =
-            MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.thin())[ask.member()];
+            MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.minimumFraction())[
+                ask.member()];
       }
       QuotaGrant grant = ledger.grant(clock(), ask, wished);
       if (grant != null) {
@@ -378,14 +381,14 @@
                 ? bounds[resource] * chance.nextDouble()
                 : bounds[resource] / forwarders.size() * chance.nextDouble();
       }
-      QuotaRequest ask = holding.ask(clock(), wanted);
+      QuotaRequest ask = holding.nextRequest(clock(), wanted);
       planners.forEach(planner -> planner.arrive(() -> planner.asked(this, ask)));
       at(agenda.now() + ASKS, this::ask);
     }
 
     void granted(QuotaGrant grant) {
-      QuotaHolder.Refusal refusal = holding.take(clock(), grant);
-      refused += refusal == QuotaHolder.Refusal.TAKEN ? 0 : 1;
+      QuotaHolder.GrantResult refusal = holding.apply(clock(), grant);
+      refused += refusal == QuotaHolder.GrantResult.APPLIED ? 0 : 1;
       story.accept(
           "forwarder "
               + index
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -77,12 +77,12 @@
   }
 
   /** Plays so many seconds. */
-  public static ExperimentReport run(long seed, int seconds, RegistrySettings.Form form)
+  public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind form)
       throws Exception {
     return new RegistryExperiment(seed).play(seed, seconds, form);
   }
 
-  private ExperimentReport play(long seed, int seconds, RegistrySettings.Form form)
+  private ExperimentReport play(long seed, int seconds, RegistrySettings.ProtocolKind form)
       throws Exception {
     ExperimentReport result = new ExperimentReport(seed).figure("form", form.name());
     try (world) {
@@ -195,8 +195,8 @@
         long object = 1L + chance.nextInt(20);
         long at = System.currentTimeMillis();
         String name = String.format("%016x", object),
-            key = LoopbackTestbed.PREFIX + RecordCodec.PURGES + ++lastPurge;
-        world.write(key, RecordCodec.write(new RegistryRecord.Purge(object, 0, at)));
+            key = LoopbackTestbed.PREFIX + RecordCodec.PURGES_PREFIX + ++lastPurge;
+        world.write(key, RecordCodec.encode(new RegistryRecord.Purge(object, 0, at)));
         purgedAtMs.put(name, at);
         purges++;
         for (StandInCache cache : world.caches.values()) {
@@ -205,7 +205,7 @@
       }
       case 5 ->
           world.write(
-              LoopbackTestbed.PREFIX + RecordCodec.CACHES + "spoilt",
+              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + "spoilt",
               new byte[] {'{', (byte) chance.nextInt(256)});
       default -> {
         drainedAt.remove(id);
@@ -295,8 +295,10 @@
           quiets++;
           Map<String, EndpointState> there = new HashMap<>();
           world.registry.now().keySet().stream()
-              .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES))
-              .map(key -> key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES).length()))
+              .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX))
+              .map(
+                  key ->
+                      key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX).length()))
               .filter(id -> !id.equals("spoilt"))
               .forEach(
                   id ->
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -85,10 +85,11 @@
     }
     boolean judged = registry.goodFor(REACHED);
     if (judged
-        && (client.view.applied() < lastOfOurs() || !matches(truths.get(truths.size() - 1)))) {
+        && (client.view.appliedRevision() < lastOfOurs()
+            || !matches(truths.get(truths.size() - 1)))) {
       throw new Missed(
           "quiet, but the view is at "
-              + client.view.applied()
+              + client.view.appliedRevision()
               + " of "
               + registry.history.revision()
               + ": "
@@ -211,7 +212,7 @@
         at + RETENTION,
         () -> {
           // Who never had a list by then has served nothing that it could be about.
-          if (!client.view.known()) {
+          if (!client.view.hasData()) {
             unserved.add(object);
           }
           if (of == registry.history) {
@@ -253,8 +254,8 @@
     if (of != registry.history) {
       return;
     }
-    if (client.view.applied() >= revision
-        && client.view.cluster().equals(client.view.cluster().isEmpty() ? "" : of.cluster)) {
+    if (client.view.appliedRevision() >= revision
+        && client.view.clusterId().equals(client.view.clusterId().isEmpty() ? "" : of.cluster)) {
       return;
     }
     if (registry.goodFor(REACHED)) {
@@ -266,7 +267,7 @@
               + ", "
               + at
               + ", view at "
-              + client.view.applied()
+              + client.view.appliedRevision()
               + " by "
               + agenda.now()
               + ": "
@@ -368,7 +369,7 @@
     if (!told.changed()) {
       return;
     }
-    long revision = client.view.applied();
+    long revision = client.view.appliedRevision();
     for (int at = truths.size() - 1; at >= 0; at--) {
       // The last truth at or under the revision, in this history or one before it.
       Truth truth = truths.get(at);
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -105,7 +105,7 @@
           new RegistryView(
               new Listener(
                   () -> {
-                    Long at = committed.get(self[0].view.applied());
+                    Long at = committed.get(self[0].view.appliedRevision());
                     if (at != null) {
                       delay.recordValue((agenda.now() - at) / 1000);
                     }
@@ -155,7 +155,7 @@
         .figure("cpu_us_a_change_a_client", busy / 1e3 / changes / (BUSY / SECOND) / clients)
         .bar(
             "all at the last revision",
-            all.stream().allMatch(one -> one.view.applied() == registry.history.revision()))
+            all.stream().allMatch(one -> one.view.appliedRevision() == registry.history.revision()))
         .bar("p99 under 250 ms", delay.getValueAtPercentile(99) < 250_000);
   }
 
@@ -210,7 +210,7 @@
               .allMatch(
                   one ->
                       one.recovery.phase() == WatchSession.Phase.CURRENT
-                          && one.view.applied() == registry.history.revision());
+                          && one.view.appliedRevision() == registry.history.revision());
       current = there && current == 0 ? at + BIN - back : current;
     }
     result
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -169,7 +169,7 @@
 
     /** Has the recovery wake when it wants to; a wake that it no longer wants does nothing. */
     private void arm() {
-      long due = recovery.due();
+      long due = recovery.nextTickNanos();
       if (due < wakes) {
         wakes = due;
         agenda.at(
@@ -247,7 +247,7 @@
             () -> {
               if (end()) {
                 story.accept("call " + call + ": " + why);
-                recovery.ended(agenda.now(), call, why, retryAfter);
+                recovery.callFailed(agenda.now(), call, why, retryAfter);
                 arm();
               }
             });
@@ -288,10 +288,10 @@
           int cut = chance.nextInt(1, changes.size());
           List<WatchEvent> first = changes.subList(0, cut),
               rest = changes.subList(cut, changes.size());
-          back(node.lag, () -> recovery.told(agenda.now(), call, header, first, true));
-          back(node.lag, () -> recovery.told(agenda.now(), call, header, rest, false));
+          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, first, true));
+          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, rest, false));
         } else if (!changes.isEmpty() || chance.nextInt(8) == 0) {
-          back(node.lag, () -> recovery.told(agenda.now(), call, header, changes, false));
+          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, changes, false));
         }
       }
     }
@@ -324,7 +324,7 @@
           to.node.lag,
           () -> {
             if (!ends || to.end()) {
-              recovery.page(agenda.now(), call, header, found, false, -1);
+              recovery.pageReceived(agenda.now(), call, header, found, false, -1);
             }
           });
     }
@@ -368,7 +368,7 @@
                 revision == 0 ? to.node.lag : 0,
                 () -> {
                   if (more || to.end()) {
-                    recovery.page(agenda.now(), call, header, part, more, count);
+                    recovery.pageReceived(agenda.now(), call, header, part, more, count);
                   }
                 });
           });
@@ -407,7 +407,7 @@
                   });
             } else {
               Header header = header();
-              to.back(0, () -> recovery.opened(agenda.now(), call, header));
+              to.back(0, () -> recovery.watchOpened(agenda.now(), call, header));
               to.next = from;
               to.watching = true;
               to.offer();
@@ -416,7 +416,7 @@
     }
 
     @Override
-    public void pulse(long call, int endpoint) {
+    public void heartbeat(long call, int endpoint) {
       story.accept("call " + call + ": pulse at " + endpoint);
       Open to = new Open(call, endpoint);
       to.there(
@@ -434,14 +434,15 @@
                             + (tip == null ? 0 : tip.changed())
                             + " "
                             + header);
-                    recovery.pulsed(agenda.now(), call, header, tip == null ? 0 : tip.changed());
+                    recovery.heartbeatReceived(
+                        agenda.now(), call, header, tip == null ? 0 : tip.changed());
                   }
                 });
           });
     }
 
     @Override
-    public void drop(long call) {
+    public void cancel(long call) {
       story.accept("call " + call + ": dropped");
       Open dropped = open.get(call);
       if (dropped != null) {
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -28,7 +28,8 @@
  * deletes nothing.
  */
 class FencedPurgeRetentionTest {
-  private static final String PREFIX = "p/", KEY = PREFIX + RecordCodec.TASKS + PurgeRetention.TASK;
+  private static final String PREFIX = "p/",
+      KEY = PREFIX + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
   private static final long SECOND = 1_000_000_000,
       RETENTION = 10 * SECOND,
       NOW_MS = 1_800_000_000_000L;
@@ -45,8 +46,8 @@
         () ->
             registry.write(
                 Map.of(
-                    PREFIX + RecordCodec.PURGES + name,
-                    RecordCodec.write(new RegistryRecord.Purge(7, 0, NOW_MS - agoMs)))));
+                    PREFIX + RecordCodec.PURGES_PREFIX + name,
+                    RecordCodec.encode(new RegistryRecord.Purge(7, 0, NOW_MS - agoMs)))));
   }
 
   @AfterEach
@@ -55,8 +56,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(RegistrySettings.Form.class)
-  void aLateActOfAnOlderTermDeletesNothing(RegistrySettings.Form form) throws Exception {
+  @EnumSource(RegistrySettings.ProtocolKind.class)
+  void aLateActOfAnOlderTermDeletesNothing(RegistrySettings.ProtocolKind form) throws Exception {
     int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
     RegistrySettings access =
         new RegistrySettings(
@@ -79,24 +80,25 @@
     purge("old", 60_000);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, access)) {
       // The first owner reads, and stands still.
-      assertEquals(List.of(), sweep.old(EventLoopWaiter.await(desk.list()), 0, NOW_MS));
+      assertEquals(List.of(), sweep.expiredPurges(EventLoopWaiter.await(desk.list()), 0, NOW_MS));
       purge("young", 1000);
       List<RegistryEntry> read = EventLoopWaiter.await(desk.list());
-      RegistryEntry fence = PurgeRetention.fence(read, KEY);
-      List<RegistryEntry> old = sweep.old(read, RETENTION + 1, NOW_MS);
+      RegistryEntry fence = PurgeRetention.findFence(read, KEY);
+      List<RegistryEntry> old = sweep.expiredPurges(read, RETENTION + 1, NOW_MS);
       assertEquals(
-          List.of(PREFIX + RecordCodec.PURGES + "old"),
+          List.of(PREFIX + RecordCodec.PURGES_PREFIX + "old"),
           old.stream().map(RegistryEntry::key).toList());
 
       // The second acts under a higher term; another purge grows old.
       assertTrue(
           EventLoopWaiter.await(
-              desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
+              desk.deletePurges(
+                  PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
       purge("older", 90_000);
       List<RegistryEntry> left = EventLoopWaiter.await(desk.list());
-      assertEquals(List.of(), sweep.old(left, RETENTION + 2, NOW_MS));
+      assertEquals(List.of(), sweep.expiredPurges(left, RETENTION + 2, NOW_MS));
       List<RegistryEntry> late =
-          sweep.old(left, 2 * RETENTION + 3, NOW_MS).stream()
+          sweep.expiredPurges(left, 2 * RETENTION + 3, NOW_MS).stream()
               .filter(one -> one.key().endsWith("/older"))
               .toList();
       assertEquals(1, late.size());
@@ -104,23 +106,24 @@
       // The first wakes up, and goes on with what it read.
       assertFalse(
           EventLoopWaiter.await(
-              desk.sweep(PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
+              desk.deletePurges(
+                  PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
       List<RegistryEntry> now = EventLoopWaiter.await(desk.list());
-      assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.fence(now, KEY).content());
+      assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.findFence(now, KEY).value());
       assertTrue(now.stream().anyMatch(one -> one.key().endsWith("/older")));
 
       // The second goes on by its own fence.
       assertTrue(
           EventLoopWaiter.await(
-              desk.sweep(
+              desk.deletePurges(
                   PurgeRetention.TASK,
                   new RegistryRecord.Task(20, "g2"),
-                  PurgeRetention.fence(now, KEY),
+                  PurgeRetention.findFence(now, KEY),
                   late)));
       assertEquals(
           1,
           EventLoopWaiter.await(desk.list()).stream()
-              .filter(one -> one.content() instanceof RegistryRecord.Purge)
+              .filter(one -> one.value() instanceof RegistryRecord.Purge)
               .count());
     }
   }
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -36,7 +36,7 @@
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.registry.runtime.RegistrySettings.Form;
+import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 import org.amberpath.registry.runtime.RegistrySource;
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.AfterEach;
@@ -111,7 +111,7 @@
   }
 
   private RegistrySettings access(
-      Form form, Path trust, Path token, String user, Path password, Path snapshot) {
+      ProtocolKind form, Path trust, Path token, String user, Path password, Path snapshot) {
     List<SocketAddress> all =
         registry.endpoints().stream()
             .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
@@ -134,7 +134,7 @@
         1 << 20);
   }
 
-  private RegistrySettings plain(Form form) {
+  private RegistrySettings plain(ProtocolKind form) {
     return access(form, null, null, null, null, null);
   }
 
@@ -151,13 +151,13 @@
   private void put(String id, EndpointState state) throws Exception {
     Map<String, byte[]> writes = new TreeMap<>();
     writes.put(
-        PREFIX + RecordCodec.CACHES + id,
+        PREFIX + RecordCodec.CACHES_PREFIX + id,
         state == null
             ? null
-            : RecordCodec.write(
+            : RecordCodec.encode(
                 new RegistryRecord.Cache(id, "127.0.0.1:7001", "z", "box", 0, state, 1, 0)));
     writes.put(
-        PREFIX + RecordCodec.TIP,
+        PREFIX + RecordCodec.TIP_KEY,
         Long.toString(System.nanoTime()).getBytes(StandardCharsets.US_ASCII));
     on(() -> registry.write(writes));
   }
@@ -167,8 +167,9 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Form.class)
-  void changesComeAsTheyAreWrittenAndSurviveBreaksAndCompaction(Form form) throws Exception {
+  @EnumSource(ProtocolKind.class)
+  void changesComeAsTheyAreWrittenAndSurviveBreaksAndCompaction(ProtocolKind form)
+      throws Exception {
     endpoints(2);
     put("a", EndpointState.UP);
     start(plain(form));
@@ -191,7 +192,7 @@
     on(
         () -> {
           registry.write(
-              new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES + "bad", new byte[] {1})));
+              new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES_PREFIX + "bad", new byte[] {1})));
           return null;
         });
     put("c", EndpointState.UP);
@@ -199,12 +200,12 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Form.class)
-  void aDrainComesInTimeThoughBothWatchesFellSilent(Form form) throws Exception {
+  @EnumSource(ProtocolKind.class)
+  void aDrainComesInTimeThoughBothWatchesFellSilent(ProtocolKind form) throws Exception {
     endpoints(3);
     put("a", EndpointState.UP);
     start(plain(form));
-    await(() -> is("a", EndpointState.UP) && source.status().watches() == 2);
+    await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 2);
     // Warm, and steady for longer than a lone endpoint must be.
     Thread.sleep(1500);
     on(
@@ -230,7 +231,7 @@
           return null;
         });
     put("a", EndpointState.UP);
-    start(access(Form.ETCD, null, token, null, null, null));
+    start(access(ProtocolKind.ETCD, null, token, null, null, null));
     await(() -> is("a", EndpointState.UP));
     Files.writeString(token, SECRET + "-2\n");
     on(
@@ -262,7 +263,7 @@
           return null;
         });
     put("a", EndpointState.UP);
-    start(access(Form.ETCD, null, null, "reader", password, null));
+    start(access(ProtocolKind.ETCD, null, null, "reader", password, null));
     await(() -> is("a", EndpointState.UP));
     assertFalse(logged.toString().contains(SECRET));
   }
@@ -322,7 +323,7 @@
     certificate("other");
     Path trust = Files.copy(folder.resolve("other.crt"), folder.resolve("trust.pem"));
     put("a", EndpointState.UP);
-    start(access(Form.ETCD, trust, null, null, null, null));
+    start(access(ProtocolKind.ETCD, trust, null, null, null, null));
     await(() -> logged.stream().anyMatch(line -> line.contains("UNTRUSTED")));
     assertEquals(Map.of(), told.states());
     Files.writeString(trust, Files.readString(folder.resolve("one.crt")));
@@ -358,10 +359,10 @@
     endpoints(1);
     put("a", EndpointState.UP);
     Path trust = folder.resolve("server.crt");
-    RegistrySettings without = access(Form.ETCD, trust, null, null, null, null);
+    RegistrySettings without = access(ProtocolKind.ETCD, trust, null, null, null, null);
     start(
         new RegistrySettings(
-            Form.ETCD,
+            ProtocolKind.ETCD,
             without.endpoints(),
             PREFIX,
             trust,
@@ -386,15 +387,15 @@
   void aWatchThatTheServerEndsInGoodOrderIsOpenedAgain() throws Exception {
     endpoints(1);
     put("a", EndpointState.UP);
-    start(plain(Form.ETCD));
-    await(() -> is("a", EndpointState.UP) && source.status().watches() == 1);
+    start(plain(ProtocolKind.ETCD));
+    await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 1);
     on(
         () -> {
           registry.endpoints().get(0).finish();
           return null;
         });
     put("a", EndpointState.DRAINING);
-    await(() -> is("a", EndpointState.DRAINING) && source.status().watches() == 1);
+    await(() -> is("a", EndpointState.DRAINING) && source.status().watchCount() == 1);
   }
 
   @Test
@@ -402,7 +403,7 @@
     endpoints(1);
     put("a", EndpointState.UP);
     Path file = folder.resolve("view");
-    start(access(Form.ETCD, null, null, null, null, file));
+    start(access(ProtocolKind.ETCD, null, null, null, null, file));
     await(() -> Files.exists(file));
     on(
         () -> {
@@ -412,9 +413,10 @@
         });
     told.endpointListStarted(true);
     told.endpointListCompleted();
-    start(access(Form.ETCD, null, null, null, null, file));
+    start(access(ProtocolKind.ETCD, null, null, null, null, file));
     await(() -> is("a", EndpointState.UP));
-    assertTrue(on(() -> source.status().age() > 0 && source.status().phase() != Phase.CURRENT));
+    assertTrue(
+        on(() -> source.status().ageNanos() > 0 && source.status().phase() != Phase.CURRENT));
     put("a", EndpointState.DRAINING);
     on(
         () -> {
@@ -425,8 +427,8 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Form.class)
-  void aWriteFailsIfItsKeyMovedMeanwhile(Form form) throws Exception {
+  @EnumSource(ProtocolKind.class)
+  void aWriteFailsIfItsKeyMovedMeanwhile(ProtocolKind form) throws Exception {
     endpoints(1);
     put("a", EndpointState.UP);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
@@ -435,14 +437,15 @@
               .filter(one -> one.key().endsWith("/a"))
               .findFirst()
               .orElseThrow()
-              .changed();
+              .modRevision();
       put("a", EndpointState.DRAINING);
       RegistryRecord.Cache other =
           new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, EndpointState.UP, 1, 0);
       assertFalse(
-          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "a", other, seen)));
+          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
       long tip = on(() -> registry.revision());
-      assertTrue(LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES + "b", other, 0)));
+      assertTrue(
+          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "b", other, 0)));
       assertTrue(
           LoopbackTestbed.await(
               desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
@@ -459,7 +462,7 @@
           registry.endpoints().get(0).become(Way.REFUSES);
           return null;
         });
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(Form.ETCD))) {
+    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
       ExecutionException e =
           assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
       assertTrue(
--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -20,7 +20,7 @@
   private long restUntil;
 
   /** A cache has just started, and bears less than all until this time. */
-  public void cold(long now, String cache, long until) {
+  public void endpointWarmingUp(long now, String cache, long until) {
     coldUntil.values().removeIf(one -> one <= now);
     if (coldUntil.size() < MOST || coldUntil.containsKey(cache)) {
       coldUntil.put(cache, until);
@@ -32,8 +32,8 @@
     asked = 0;
   }
 
-  /** Whether one more is to be asked for now; it counts as out until {@link #ended}. */
-  public boolean next(long now) {
+  /** Whether one more is to be asked for now; it counts as out until {@link #requestEnded}. */
+  public boolean tryStartRequest(long now) {
     boolean may =
         now >= restUntil
             && asked < A_TICK
@@ -46,12 +46,12 @@
     return may;
   }
 
-  public void ended() {
+  public void requestEnded() {
     out--;
   }
 
   /** There was nothing left to ask for: all is gone through again after a rest. */
-  public void turnOver(long now) {
+  public void passEnded(long now) {
     out--;
     restUntil = now + REST;
   }
@@ -62,7 +62,7 @@
   }
 
   /** Whether any cache is known to be cold. */
-  public boolean isAny(long now) {
+  public boolean hasWarmingUpEndpoint(long now) {
     return coldUntil.values().stream().anyMatch(until -> until > now);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
+++ b/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
@@ -22,7 +22,7 @@
       };
 
   /** Whether this may take effect; what is taken counts from then on. */
-  public boolean passes(String task, long term, String by) {
+  public boolean tryAdmit(String task, long term, String by) {
     Seen seen = tasks.get(task);
     boolean passes = seen == null || term > seen.term || (term == seen.term && by.equals(seen.by));
     if (passes) {
@@ -32,7 +32,7 @@
   }
 
   /** The highest term that was seen of a task; 0 for none. It is told with a refusal. */
-  public long seen(String task) {
+  public long highestTerm(String task) {
     Seen seen = tasks.get(task);
     return seen == null ? 0 : seen.term;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -47,16 +47,16 @@
       TOLD_EVERY_MS = 4000;
 
   /** A question of caches, under a stamp that its answer brings back. */
-  public record Ask(String to, long stamp, List<String> caches) {}
+  public record ReportRequest(String recipient, long requestedAtNanos, List<String> endpoints) {}
 
   /**
    * What came of the last trial of a cache: whether it answered, and how long ago; none yet with
    * -1.
    */
-  public record Said(boolean answers, long ago) {}
+  public record HealthReport(boolean responded, long ageNanos) {}
 
   /** How a trial ended: nothing was sent where the gateway's decisions let none go. */
-  public enum End {
+  public enum HealthCheckOutcome {
     ANSWERED,
     SILENT,
     NOT_SENT
@@ -75,9 +75,9 @@
     int silences;
     boolean out, answers, wasSilent;
 
-    Said said(long now) {
+    HealthReport said(long now) {
       // Of silence, how long ago it was asked: what was heard elsewhere since belies it.
-      return new Said(answers, endedAt == 0 ? -1 : now - (answers ? endedAt : endedSentAt));
+      return new HealthReport(answers, endedAt == 0 ? -1 : now - (answers ? endedAt : endedSentAt));
     }
 
     /** Whether all are to know of it: that it is silent, or that it was, and answers now. */
@@ -124,7 +124,7 @@
   /**
    * A cache was set aside here, or is silent as far as is seen here; or need not be tried any more.
    */
-  public void standing(long now, String cache, boolean well) {
+  public void healthChanged(long now, String cache, boolean well) {
     if (well) {
       aside.remove(cache);
     } else if (aside.size() < MOST && aside.put(cache, true) == null) {
@@ -136,13 +136,13 @@
    * A cache answers this gateway: to whom it has to be told, if to anybody. Guards against an owner
    * whose own link to it is cut, and that has told all that it is silent.
    */
-  public String answers(long now, String cache) {
+  public String endpointResponded(long now, String cache) {
     boolean told = Boolean.TRUE.equals(silentByWord.remove(cache));
     return told && now - wordAt < TRUSTED * interval ? prober : "";
   }
 
   /** Whether anything is set aside here. */
-  public boolean isAny() {
+  public boolean hasSuspects() {
     return !aside.isEmpty();
   }
 
@@ -155,7 +155,8 @@
    *     them
    * @param own whether this gateway owns it, and so asks itself
    */
-  public Ask due(long now, int many, Supplier<List<String>> order, boolean own) {
+  public ReportRequest nextReportRequest(
+      long now, int many, Supplier<List<String>> order, boolean own) {
     interval = Math.max(EACH, many * (1000 * MS / ASKS_A_SECOND));
     longest =
         Math.max(SHORTEST, Math.min(LONGEST_PAUSE, FEWER * LONGEST_PAUSE / Math.max(1, many)));
@@ -186,7 +187,7 @@
     for (int at = 0; at < Math.min(MOST_NAMED, all.size()); at++) {
       named.add(all.get(next++ % all.size()));
     }
-    return new Ask(to, askedAt, named);
+    return new ReportRequest(to, askedAt, named);
   }
 
   /**
@@ -198,9 +199,9 @@
    * @return what it says of caches, by this clock: of answers how long ago at the longest; null
    *     where it is passed over
    */
-  public Map<String, Said> word(
-      long now, String from, long term, long stamp, Map<String, Said> said) {
-    if (!fence.passes(TASK, term, from)) {
+  public Map<String, HealthReport> reportReceived(
+      long now, String from, long term, long stamp, Map<String, HealthReport> said) {
+    if (!fence.tryAdmit(TASK, term, from)) {
       return null;
     }
     boolean last = stamp == askedAt;
@@ -212,31 +213,33 @@
       prober = from;
       wordAt = now;
     }
-    Map<String, Said> taken = new TreeMap<>();
+    Map<String, HealthReport> taken = new TreeMap<>();
     said.forEach(
         (cache, one) -> {
-          if (one.ago >= 0
-              && (!one.answers || ((last || stamp == 0) && aside.containsKey(cache)))) {
+          if (one.ageNanos >= 0
+              && (!one.responded || ((last || stamp == 0) && aside.containsKey(cache)))) {
             // Guards against word of an answer that was long on its way: it is older than it says.
-            silentByWord.put(cache, !one.answers);
+            silentByWord.put(cache, !one.responded);
             taken.put(
                 cache,
-                one.answers ? new Said(true, one.ago + (last ? now - stamp : LONGEST_WAY)) : one);
+                one.responded
+                    ? new HealthReport(true, one.ageNanos + (last ? now - stamp : LONGEST_WAY))
+                    : one);
           }
         });
     return taken;
   }
 
   /** The highest term that was seen here. */
-  public long seen() {
-    return fence.seen(TASK);
+  public long highestTerm() {
+    return fence.highestTerm(TASK);
   }
 
   /**
    * Whether what is set aside here is tried for the fleet: by another that may be trusted to, or by
    * this one.
    */
-  public boolean forAll(long now, boolean own) {
+  public boolean isCentralized(long now, boolean own) {
     return own || now - wordAt < TRUSTED * interval;
   }
 
@@ -263,8 +266,8 @@
    * What came of the trials of each of these that another has set aside. They are tried from now
    * on.
    */
-  public Map<String, Said> asked(long now, String by, List<String> caches) {
-    Map<String, Said> said = new TreeMap<>();
+  public Map<String, HealthReport> reportRequested(long now, String by, List<String> caches) {
+    Map<String, HealthReport> said = new TreeMap<>();
     for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
       Wanted one = want(now, cache, by);
       if (one != null) {
@@ -274,8 +277,8 @@
     return said;
   }
 
-  /** What is to be tried now, each until {@link #tried} says what came of it. */
-  public List<String> tries(long now) {
+  /** What is to be tried now, each until {@link #healthCheckEnded} says what came of it. */
+  public List<String> dueHealthChecks(long now) {
     List<String> due = new ArrayList<>();
     for (Map.Entry<String, Wanted> each : wanted.entrySet()) {
       Wanted one = each.getValue();
@@ -294,7 +297,7 @@
    * Another gateway has an answer from these: what the owner can't reach itself is not silent for
    * all.
    */
-  public void heard(long now, List<String> caches) {
+  public void endpointsResponsive(long now, List<String> caches) {
     for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
       Wanted one = wanted.get(cache);
       if (one != null) {
@@ -308,21 +311,21 @@
   }
 
   /** How a trial ended. One that nobody answered is made again after a longer pause each time. */
-  public void tried(long now, String cache, End end) {
+  public void healthCheckEnded(long now, String cache, HealthCheckOutcome end) {
     Wanted one = wanted.get(cache);
     out = Math.max(0, out - 1);
     if (one != null) {
       one.out = false;
-      if (end == End.NOT_SENT) {
+      if (end == HealthCheckOutcome.NOT_SENT) {
         one.nextTry = now + PAUSE;
         return;
       }
-      if (end == End.SILENT && now < one.heardUntil) {
+      if (end == HealthCheckOutcome.SILENT && now < one.heardUntil) {
         one.nextTry = now + longest;
         return;
       }
-      boolean other = one.answers != (end == End.ANSWERED) && one.endedAt > 0;
-      one.answers = end == End.ANSWERED;
+      boolean other = one.answers != (end == HealthCheckOutcome.ANSWERED) && one.endedAt > 0;
+      one.answers = end == HealthCheckOutcome.ANSWERED;
       one.endedAt = now;
       one.endedSentAt = one.sentAt;
       one.silences = one.answers ? 0 : one.silences + 1;
@@ -335,11 +338,11 @@
   }
 
   /**
-   * What all are to know, for those that {@link #toldNow} names: caches that are silent, or were
-   * and answer now. More than fit into a letter take turns, from one time that all are told to the
-   * next.
+   * What all are to know, for those that {@link #broadcastRecipients} names: caches that are
+   * silent, or were and answer now. More than fit into a letter take turns, from one time that all
+   * are told to the next.
    */
-  public Map<String, Said> news(long now) {
+  public Map<String, HealthReport> broadcastReport(long now) {
     List<String> all = new ArrayList<>();
     wanted.forEach(
         (cache, one) -> {
@@ -347,7 +350,7 @@
             all.add(cache);
           }
         });
-    Map<String, Said> news = new TreeMap<>();
+    Map<String, HealthReport> news = new TreeMap<>();
     for (int at = 0; at < Math.min(MOST_NAMED, all.size()); at++) {
       String cache = all.get((round * MOST_NAMED + at) % all.size());
       news.put(cache, wanted.get(cache).said(now));
@@ -356,7 +359,7 @@
   }
 
   /** To whom it is to be told in this tick, of all that are there. */
-  public List<String> toldNow(long now, List<String> there) {
+  public List<String> broadcastRecipients(long now, List<String> there) {
     if (toTell.isEmpty() && now >= tellFrom) {
       toTell.addAll(there);
       round = (round + 1) % MOST;
@@ -375,7 +378,7 @@
   }
 
   /** The task was lost: what comes after begins anew. */
-  public void ended() {
+  public void leadershipLost() {
     wanted.values().removeIf(one -> !one.out);
     toTell.clear();
   }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -26,7 +26,7 @@
 
   /** A voter that has just started, and remembers nothing. */
   public LeaseAcceptor(LeaseTimings rules, long now) {
-    this(rules, now, rules.longest(rules.lease()));
+    this(rules, now, rules.longestNanos(rules.leaseNanos()));
   }
 
   /**
@@ -39,7 +39,7 @@
   }
 
   /** The answer to a candidate's message; null where there is none. */
-  public LeaseMessage asked(long now, String by, LeaseMessage vote) {
+  public LeaseMessage messageReceived(long now, String by, LeaseMessage vote) {
     if (now < mutedUntil) {
       return null;
     }
@@ -80,7 +80,7 @@
         held.to = by;
         held.accepted = vote.ballot();
         held.by = by;
-        held.until = now + rules.longest(rules.lease());
+        held.until = now + rules.longestNanos(rules.leaseNanos());
         yield new LeaseMessage(
             LeaseMessage.Kind.ACCEPTED, vote.task(), vote.ballot(), vote.other());
       }
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -35,12 +35,12 @@
     return !out && now >= due;
   }
 
-  public void began() {
+  public void sweepStarted() {
     out = true;
   }
 
   /** More is to be done at once where as many went as may go at a time. */
-  public void ended(long now, int gone) {
+  public void sweepEnded(long now, int gone) {
     out = false;
     due = gone == MOST ? now : now + every;
   }
@@ -55,35 +55,35 @@
    * @param now when that had come, by a clock that only goes forward
    * @param wallMillis the wall clock then
    */
-  public List<RegistryEntry> old(List<RegistryEntry> all, long now, long wallMillis) {
+  public List<RegistryEntry> expiredPurges(List<RegistryEntry> all, long now, long wallMillis) {
     long stampedBefore = wallMillis - retention / MS - 2 * LONGEST_STEP_MILLIS;
     Map<String, Seen> there = new HashMap<>();
     for (RegistryEntry one : all) {
-      if (one.content() instanceof RegistryRecord.Purge) {
+      if (one.value() instanceof RegistryRecord.Purge) {
         Seen before = seen.get(one.key());
         there.put(
             one.key(),
-            before != null && before.changed == one.changed()
+            before != null && before.changed == one.modRevision()
                 ? before
-                : new Seen(one.changed(), now));
+                : new Seen(one.modRevision(), now));
       }
     }
     seen = there;
     return all.stream()
         .filter(
             one ->
-                one.content() instanceof RegistryRecord.Purge purge
+                one.value() instanceof RegistryRecord.Purge purge
                     && (purge.atMs() < stampedBefore
                         || now - there.get(one.key()).since > retention))
-        .sorted(Comparator.comparingLong(RegistryEntry::changed))
+        .sorted(Comparator.comparingLong(RegistryEntry::modRevision))
         .limit(MOST)
         .toList();
   }
 
   /** The fence, if it stands there. */
-  public static RegistryEntry fence(List<RegistryEntry> all, String key) {
+  public static RegistryEntry findFence(List<RegistryEntry> all, String key) {
     return all.stream()
-        .filter(one -> one.key().equals(key) && one.content() instanceof RegistryRecord.Task)
+        .filter(one -> one.key().equals(key) && one.value() instanceof RegistryRecord.Task)
         .findFirst()
         .orElse(null);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -16,14 +16,14 @@
  */
 public class QuorumLeadership implements Leadership {
   /** Where messages go. */
-  public interface Orders {
+  public interface Transport {
     void send(String voter, LeaseMessage vote);
   }
 
   private static final int MARGIN = 8, PATIENCE = 4, RENEWALS = 3, MOST_TURNS = 4, TURNS = 4;
 
   private final LeaseTimings rules;
-  private final Orders orders;
+  private final Transport orders;
   private final String task;
   private final SplittableRandom chance;
   private final long margin;
@@ -53,7 +53,7 @@
       LeaseTimings rules,
       String task,
       VoterConfiguration electorate,
-      Orders orders,
+      Transport orders,
       long seed,
       long now) {
     this.rules = rules;
@@ -61,7 +61,7 @@
     this.electorate = electorate;
     this.orders = orders;
     chance = new SplittableRandom(seed);
-    margin = rules.lease() / MARGIN;
+    margin = rules.leaseNanos() / MARGIN;
     nextTry = now + chance.nextLong(margin);
   }
 
@@ -76,17 +76,17 @@
   }
 
   @Override
-  public boolean holds(long now) {
+  public boolean isLeader(long now) {
     return state == State.HOLDING && now < believedUntil;
   }
 
   @Override
-  public long until() {
+  public long leaseExpiresAtNanos() {
     return believedUntil;
   }
 
   /** The operators' next stage: majorities are counted by it from now on. */
-  public void electorate(VoterConfiguration next) {
+  public void updateVoters(VoterConfiguration next) {
     electorate = next;
     promised.clear();
     accepted.clear();
@@ -95,15 +95,15 @@
   }
 
   /** The wall clock, in milliseconds, which numbers begin with. */
-  public void wall(long ms) {
+  public void wallClockRead(long ms) {
     wall = ms;
   }
 
   @Override
-  public long due() {
+  public long nextTickNanos() {
     return switch (state) {
       case FOLLOWING -> nextTry;
-      case ASKING -> sentAt + rules.lease() / PATIENCE;
+      case ASKING -> sentAt + rules.leaseNanos() / PATIENCE;
       case WAITING -> Math.min(Math.min(waitUntil, believedUntil), nextTry);
       case HOLDING -> Math.min(believedUntil, nextTry);
       default -> Long.MAX_VALUE;
@@ -117,10 +117,10 @@
       state = State.FOLLOWING;
       renewing = false;
       nextTry = now + turn();
-    } else if (state == State.ASKING && now - sentAt >= rules.lease() / PATIENCE) {
+    } else if (state == State.ASKING && now - sentAt >= rules.leaseNanos() / PATIENCE) {
       // Guards against candidates that bind the voters in turn for ever.
       state = State.FOLLOWING;
-      nextTry = now + chance.nextLong(rules.lease() / 2);
+      nextTry = now + chance.nextLong(rules.leaseNanos() / 2);
     }
     if (state == State.FOLLOWING && now >= nextTry) {
       state = State.ASKING;
@@ -139,14 +139,14 @@
       if (now >= nextTry) {
         propose(now);
         renewing = true;
-        nextTry = now + rules.lease() / MARGIN;
+        nextTry = now + rules.leaseNanos() / MARGIN;
       }
     }
   }
 
   private void tell(LeaseMessage.Kind kind) {
     electorate
-        .all()
+        .allVoters()
         .forEach(voter -> orders.send(voter, new LeaseMessage(kind, task, ballot, round)));
   }
 
@@ -171,9 +171,11 @@
   }
 
   /** A voter's answer. */
-  public void answered(long now, String voter, LeaseMessage vote) {
+  public void responseReceived(long now, String voter, LeaseMessage vote) {
     highest = Math.max(highest, vote.kind() == LeaseMessage.Kind.REFUSED ? vote.other() : 0);
-    if (vote.ballot() != ballot || !vote.task().equals(task) || !electorate.all().contains(voter)) {
+    if (vote.ballot() != ballot
+        || !vote.task().equals(task)
+        || !electorate.allVoters().contains(voter)) {
       return;
     }
     if (vote.kind() == LeaseMessage.Kind.PROMISE && state == State.ASKING && !proposed) {
@@ -183,7 +185,7 @@
       } else if (promised.add(voter)) {
         before = Math.max(before, vote.last());
         forgot |= vote.last() == 0;
-        if (electorate.majority(promised)) {
+        if (electorate.isMajority(promised)) {
           propose(now);
         }
       }
@@ -191,26 +193,26 @@
         && vote.other() == round
         && proposed
         && accepted.add(voter)
-        && electorate.majority(accepted)) {
+        && electorate.isMajority(accepted)) {
       own(now);
     }
   }
 
   private void own(long now) {
     proposed = false;
-    long until = believedFrom(sentAt, now) + rules.shortest(rules.lease()) - margin;
+    long until = leaseStartNanos(sentAt, now) + rules.shortestNanos(rules.leaseNanos()) - margin;
     if (state == State.ASKING && now < until) {
       term = ballot;
       state = State.WAITING;
-      waitUntil = now + (hasStopped() ? 0 : rules.longest(rules.settle()));
+      waitUntil = now + (hasStopped() ? 0 : rules.longestNanos(rules.settleNanos()));
       believedUntil = until;
-      nextTry = sentAt + rules.lease() / RENEWALS;
+      nextTry = sentAt + rules.leaseNanos() / RENEWALS;
     } else if (renewing
         && (state == State.HOLDING || state == State.WAITING)
         && now < believedUntil) {
       renewing = false;
       believedUntil = until;
-      nextTry = sentAt + rules.lease() / RENEWALS;
+      nextTry = sentAt + rules.leaseNanos() / RENEWALS;
     }
     tick(now);
   }
@@ -219,15 +221,15 @@
    * From when it proposed, since voters count from later: from any later time two may believe at
    * once.
    */
-  protected long believedFrom(long proposedAt, long acceptedAt) {
+  protected long leaseStartNanos(long proposedAt, long acceptedAt) {
     return proposedAt;
   }
 
   @Override
-  public void outranked(long now, long seen) {
+  public void higherTermSeen(long now, long seen) {
     highest = Math.max(highest, seen);
     if (state != State.RESIGNED && term < seen) {
-      release(now);
+      sendRelease(now);
       state = State.FOLLOWING;
       nextTry = now + chance.nextLong(margin);
     }
@@ -242,7 +244,7 @@
   }
 
   @Override
-  public void handedOver(long now, long ofTerm) {
+  public void predecessorStopped(long now, long ofTerm) {
     handed = Math.max(handed, ofTerm);
     if (state == State.WAITING && hasStopped()) {
       waitUntil = Math.min(waitUntil, now);
@@ -254,19 +256,19 @@
   }
 
   @Override
-  public void letGo(long now) {
-    release(now);
+  public void release(long now) {
+    sendRelease(now);
     state = state == State.RESIGNED ? state : State.FOLLOWING;
-    nextTry = now + rules.lease() + chance.nextLong(margin);
+    nextTry = now + rules.leaseNanos() + chance.nextLong(margin);
   }
 
   @Override
   public void resign(long now) {
-    release(now);
+    sendRelease(now);
     state = State.RESIGNED;
   }
 
-  private void release(long now) {
+  private void sendRelease(long now) {
     if ((state == State.HOLDING || state == State.WAITING) && now < believedUntil) {
       tell(LeaseMessage.Kind.RELEASE);
     }
--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -14,7 +14,7 @@
  */
 public final class RegistryLeadership implements Leadership {
   /** What a live half carries out at the registry. */
-  public interface Orders {
+  public interface Commands {
     /**
      * Takes a lease, and with it the key, if that was last written at changed: 0 where there is
      * none.
@@ -29,7 +29,7 @@
   }
 
   private final LeaseTimings rules;
-  private final Orders orders;
+  private final Commands orders;
   private final SplittableRandom chance;
   private final long leaseTime, margin;
   private State state = State.FOLLOWING;
@@ -41,10 +41,10 @@
    * One that follows. The lease's time is for how long the registry keeps the key without a sign of
    * life.
    */
-  public RegistryLeadership(LeaseTimings rules, Orders orders, long seed) {
+  public RegistryLeadership(LeaseTimings rules, Commands orders, long seed) {
     this.rules = rules;
     this.orders = orders;
-    leaseTime = rules.lease();
+    leaseTime = rules.leaseNanos();
     margin = leaseTime / 8;
     chance = new SplittableRandom(seed);
   }
@@ -63,7 +63,7 @@
    * What the registry's key says: the last term taken, whether somebody holds it, and the revision
    * it was written at.
    */
-  public void seen(long now, long ofTerm, boolean held, long changed) {
+  public void keyObserved(long now, long ofTerm, boolean held, long changed) {
     if (ofTerm < seenTerm) {
       return;
     }
@@ -88,7 +88,7 @@
    * The registry is another one, or an older state of it: what it says counts anew, and terms go on
    * above.
    */
-  public void restored() {
+  public void registryRestored() {
     outranked = Math.max(outranked, seenTerm);
     seenTerm = 0;
     handed =
@@ -126,7 +126,7 @@
    * A try went well: the key is this one's, under this term. What older owners began runs out
    * before it acts.
    */
-  public void won(long now, long asTerm) {
+  public void campaignWon(long now, long asTerm) {
     if (state != State.ASKING) {
       return;
     }
@@ -136,7 +136,8 @@
     state = State.WAITING;
     believedUntil = 0;
     believe(askedAt);
-    waitUntil = now + (handed > 0 && handed == before ? 0 : rules.longest(rules.settle()));
+    waitUntil =
+        now + (handed > 0 && handed == before ? 0 : rules.longestNanos(rules.settleNanos()));
     nextKeep = askedAt + leaseTime / 3;
     tick(now);
   }
@@ -145,7 +146,7 @@
    * The owner before this one has stopped, and told all that it did: there is nothing to wait for.
    */
   @Override
-  public void handedOver(long now, long ofTerm) {
+  public void predecessorStopped(long now, long ofTerm) {
     handed = Math.max(handed, ofTerm);
     if (state == State.WAITING && ofTerm == before) {
       waitUntil = Math.min(waitUntil, now);
@@ -154,7 +155,7 @@
   }
 
   /** A try came too late, or a sign of life was refused: another may lead. */
-  public void lost(long now) {
+  public void leaseLost(long now) {
     if (state != State.RESIGNED) {
       state = State.FOLLOWING;
     }
@@ -165,7 +166,7 @@
   /**
    * A sign of life was taken, that was given at a time: guards against late word of an older one.
    */
-  public void kept(long now, long asked) {
+  public void leaseRenewed(long now, long asked) {
     if (state == State.HOLDING || state == State.WAITING) {
       keeping &= asked != askedAt;
       believe(asked);
@@ -175,7 +176,7 @@
   }
 
   /** A sign of life was not heard of: the next try is made while there is time. */
-  public void unheard(long now) {
+  public void renewalUnanswered(long now) {
     keeping = false;
     nextKeep = now + leaseTime / 16;
     tick(now);
@@ -183,16 +184,16 @@
 
   /** From when it asked, by the slowest that its clock may go against the registry's. */
   private void believe(long asked) {
-    believedUntil = Math.max(believedUntil, asked + rules.shortest(leaseTime) - margin);
+    believedUntil = Math.max(believedUntil, asked + rules.shortestNanos(leaseTime) - margin);
   }
 
   @Override
-  public boolean holds(long now) {
+  public boolean isLeader(long now) {
     return state == State.HOLDING && now < believedUntil;
   }
 
   @Override
-  public long until() {
+  public long leaseExpiresAtNanos() {
     return believedUntil;
   }
 
@@ -200,7 +201,7 @@
    * Guards against a registry from a backup, whose terms begin below those that were acted under.
    */
   @Override
-  public void outranked(long now, long seen) {
+  public void higherTermSeen(long now, long seen) {
     outranked = Math.max(outranked, seen);
     if (state != State.RESIGNED && term < seen) {
       boolean held = state == State.HOLDING || state == State.WAITING;
@@ -213,7 +214,7 @@
   }
 
   @Override
-  public void letGo(long now) {
+  public void release(long now) {
     boolean held = state == State.HOLDING || state == State.WAITING;
     state = state == State.RESIGNED ? state : State.FOLLOWING;
     keeping = false;
@@ -233,7 +234,7 @@
   }
 
   @Override
-  public long due() {
+  public long nextTickNanos() {
     return switch (state) {
       case FOLLOWING -> vacant ? nextTry : Long.MAX_VALUE;
       case ASKING -> askedAt + leaseTime;
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -10,17 +10,17 @@
  * list follows another, a majority of each is needed, so that no two majorities of adjacent stages
  * are without a voter in common.
  *
- * @param now the voters
+ * @param current the voters
  * @param next those that follow; empty while nothing changes
  */
-public record VoterConfiguration(List<String> now, List<String> next) {
+public record VoterConfiguration(List<String> current, List<String> next) {
   private static final int MOST = 9;
 
   /** Checks that each list is odd, and bounded. */
   public VoterConfiguration {
-    now = List.copyOf(now);
+    current = List.copyOf(current);
     next = List.copyOf(next);
-    for (List<String> one : List.of(now, next)) {
+    for (List<String> one : List.of(current, next)) {
       if (one.size() > MOST
           || (!one.isEmpty() && one.size() % 2 == 0)
           || Set.copyOf(one).size() != one.size()) {
@@ -28,7 +28,7 @@
             "an odd number of voters, " + MOST + " at most, each once: " + one);
       }
     }
-    if (now.isEmpty()) {
+    if (current.isEmpty()) {
       throw new IllegalArgumentException("no voters");
     }
   }
@@ -42,24 +42,24 @@
    * in common.
    */
   public boolean follows(VoterConfiguration other) {
-    return (now.equals(other.now) && (next.isEmpty() || other.next.isEmpty()))
-        || (next.isEmpty() && now.equals(other.next))
-        || (other.next.isEmpty() && next.equals(other.now));
+    return (current.equals(other.current) && (next.isEmpty() || other.next.isEmpty()))
+        || (next.isEmpty() && current.equals(other.next))
+        || (other.next.isEmpty() && next.equals(other.current));
   }
 
   /** All that are asked. */
-  public Set<String> all() {
-    Set<String> all = new TreeSet<>(now);
+  public Set<String> allVoters() {
+    Set<String> all = new TreeSet<>(current);
     all.addAll(next);
     return all;
   }
 
   /** Whether these are a majority of each list. */
-  public boolean majority(Collection<String> voters) {
-    return majority(now, voters) && (next.isEmpty() || majority(next, voters));
+  public boolean isMajority(Collection<String> voters) {
+    return isMajority(current, voters) && (next.isEmpty() || isMajority(next, voters));
   }
 
-  private static boolean majority(List<String> of, Collection<String> voters) {
+  private static boolean isMajority(List<String> of, Collection<String> voters) {
     return 2 * of.stream().filter(voters::contains).count() > of.size();
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -33,7 +33,7 @@
   }
 
   void cold(long now, String cache, long until) {
-    ahead.cold(now, cache, until);
+    ahead.endpointWarmingUp(now, cache, until);
   }
 
   void draining() {
@@ -47,8 +47,8 @@
   }
 
   private void go(Leadership tenure) {
-    long now = company.now();
-    while (!draining && tenure.holdsFor(now, act) && ahead.next(now)) {
+    long now = company.nowNanos();
+    while (!draining && tenure.isLeaderFor(now, act) && ahead.tryStartRequest(now)) {
       boolean begun =
           company
               .callbacks()
@@ -57,11 +57,11 @@
                   act,
                   what -> {
                     filled += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
-                    ahead.ended();
+                    ahead.requestEnded();
                     go(tenure);
                   });
       if (!begun) {
-        ahead.turnOver(now);
+        ahead.passEnded(now);
         return;
       }
       made++;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -42,15 +42,16 @@
     if (!HealthReportCodec.fits(cache)) {
       return;
     }
-    String owner = health == EndpointHealthStatus.RESPONSIVE ? trials.answers(now, cache) : "";
+    String owner =
+        health == EndpointHealthStatus.RESPONSIVE ? trials.endpointResponded(now, cache) : "";
     if (!owner.isEmpty()) {
-      Map<String, HealthCheckCoordinator.Said> said =
-          Map.of(cache, new HealthCheckCoordinator.Said(true, 0));
-      company.post(
+      Map<String, HealthCheckCoordinator.HealthReport> said =
+          Map.of(cache, new HealthCheckCoordinator.HealthReport(true, 0));
+      company.sendMessage(
           owner,
           HealthReportCodec.write(new Word(Kind.HEARD, HealthCheckCoordinator.TASK, 0, 0, said)));
     }
-    trials.standing(now, cache, health != EndpointHealthStatus.SUSPECT);
+    trials.healthChanged(now, cache, health != EndpointHealthStatus.SUSPECT);
   }
 
   void draining() {
@@ -59,10 +60,10 @@
 
   @Override
   public void tick(long now, Leadership tenure) {
-    boolean own = tenure.holds(now);
-    List<String> there = company.there();
-    HealthCheckCoordinator.Ask ask =
-        trials.due(
+    boolean own = tenure.isLeader(now);
+    List<String> there = company.presentNames();
+    HealthCheckCoordinator.ReportRequest ask =
+        trials.nextReportRequest(
             now,
             there.size(),
             () ->
@@ -71,33 +72,34 @@
                     .toList(),
             own);
     if (ask != null) {
-      company.post(
-          ask.to(),
+      company.sendMessage(
+          ask.recipient(),
           HealthReportCodec.write(
-              Word.ask(HealthCheckCoordinator.TASK, ask.stamp(), ask.caches())));
+              Word.ask(HealthCheckCoordinator.TASK, ask.requestedAtNanos(), ask.endpoints())));
     }
     if (own && !draining) {
-      trials.tries(now).forEach(cache -> attempt(cache, tenure));
-      Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
+      trials.dueHealthChecks(now).forEach(cache -> attempt(cache, tenure));
+      Map<String, HealthCheckCoordinator.HealthReport> news = trials.broadcastReport(now);
       if (!news.isEmpty()) {
         byte[] word =
             HealthReportCodec.write(
                 new Word(Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), 0, news));
-        trials.toldNow(now, there).forEach(one -> tellNews(one, word, news));
+        trials.broadcastRecipients(now, there).forEach(one -> tellNews(one, word, news));
       }
     } else if (!own) {
-      trials.ended();
+      trials.leadershipLost();
     }
-    tell(trials.forAll(now, own));
+    tell(trials.isCentralized(now, own));
   }
 
-  private void tellNews(String to, byte[] word, Map<String, HealthCheckCoordinator.Said> news) {
+  private void tellNews(
+      String to, byte[] word, Map<String, HealthCheckCoordinator.HealthReport> news) {
     if (to.equals(company.name())) {
       news.forEach(
           (cache, said) ->
-              company.callbacks().healthCheckReported(cache, said.answers(), said.ago()));
+              company.callbacks().healthCheckReported(cache, said.responded(), said.ageNanos()));
     } else {
-      company.post(to, word);
+      company.sendMessage(to, word);
     }
   }
 
@@ -111,7 +113,7 @@
   private void attempt(String cache, Leadership tenure) {
     // Looked at in the moment of sending; what leaves is over, at the cache too, before another may
     // own the task.
-    if (!tenure.holdsFor(company.now(), act)
+    if (!tenure.isLeaderFor(company.nowNanos(), act)
         || !company
             .callbacks()
             .sendSyntheticRequest(
@@ -119,10 +121,13 @@
                 act,
                 what -> {
                   answered += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
-                  trials.tried(
-                      company.now(), cache, HealthCheckCoordinator.End.valueOf(what.name()));
+                  trials.healthCheckEnded(
+                      company.nowNanos(),
+                      cache,
+                      HealthCheckCoordinator.HealthCheckOutcome.valueOf(what.name()));
                 })) {
-      trials.tried(company.now(), cache, HealthCheckCoordinator.End.NOT_SENT);
+      trials.healthCheckEnded(
+          company.nowNanos(), cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
     } else {
       made++;
     }
@@ -132,36 +137,37 @@
   void letter(long now, String from, Word word, Leadership tenure) {
     switch (word.kind()) {
       case ASK -> {
-        if (tenure.holds(now) && !draining) {
-          Map<String, HealthCheckCoordinator.Said> said = trials.asked(now, from, word.names());
-          company.post(
+        if (tenure.isLeader(now) && !draining) {
+          Map<String, HealthCheckCoordinator.HealthReport> said =
+              trials.reportRequested(now, from, word.names());
+          company.sendMessage(
               from,
               HealthReportCodec.write(
                   new Word(
                       Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), word.stamp(), said)));
-          trials.tries(now).forEach(cache -> attempt(cache, tenure));
+          trials.dueHealthChecks(now).forEach(cache -> attempt(cache, tenure));
         }
       }
       case HEARD -> {
-        if (tenure.holds(now)) {
-          trials.heard(now, word.names());
+        if (tenure.isLeader(now)) {
+          trials.endpointsResponsive(now, word.names());
         }
       }
       case WORD -> {
-        Map<String, HealthCheckCoordinator.Said> said =
-            trials.word(now, from, word.term(), word.stamp(), word.caches());
+        Map<String, HealthCheckCoordinator.HealthReport> said =
+            trials.reportReceived(now, from, word.term(), word.stamp(), word.caches());
         if (said == null) {
           refused++;
-          company.post(
+          company.sendMessage(
               from,
               HealthReportCodec.write(
-                  Word.of(Kind.OUTRANKED, HealthCheckCoordinator.TASK, trials.seen())));
+                  Word.of(Kind.OUTRANKED, HealthCheckCoordinator.TASK, trials.highestTerm())));
         } else {
           words++;
-          tell(trials.forAll(now, tenure.holds(now)));
+          tell(trials.isCentralized(now, tenure.isLeader(now)));
           said.forEach(
               (cache, one) ->
-                  company.callbacks().healthCheckReported(cache, one.answers(), one.ago()));
+                  company.callbacks().healthCheckReported(cache, one.responded(), one.ageNanos()));
         }
       }
       default -> {}
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.leadership.HealthCheckCoordinator.Said;
+import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -34,14 +34,14 @@
    * Of ASK: stamp and caches. Of WORD: term, what came of the trials of each, and the stamp that it
    * answers or 0.
    */
-  record Word(Kind kind, String task, long term, long stamp, Map<String, Said> caches) {
+  record Word(Kind kind, String task, long term, long stamp, Map<String, HealthReport> caches) {
     static Word of(Kind kind, String task, long term) {
       return new Word(kind, task, term, 0, Map.of());
     }
 
     static Word ask(String task, long stamp, List<String> caches) {
-      Map<String, Said> asked = new TreeMap<>();
-      caches.forEach(cache -> asked.put(cache, new Said(false, -1)));
+      Map<String, HealthReport> asked = new TreeMap<>();
+      caches.forEach(cache -> asked.put(cache, new HealthReport(false, -1)));
       return new Word(Kind.ASK, task, 0, stamp, asked);
     }
 
@@ -70,10 +70,10 @@
           .packLong(word.term)
           .packLong(word.stamp)
           .packArrayHeader(word.caches.size());
-      for (Map.Entry<String, Said> one : word.caches.entrySet()) {
+      for (Map.Entry<String, HealthReport> one : word.caches.entrySet()) {
         out.packString(one.getKey())
-            .packBoolean(one.getValue().answers())
-            .packLong(one.getValue().ago());
+            .packBoolean(one.getValue().responded())
+            .packLong(one.getValue().ageNanos());
       }
       return out.toByteArray();
     } catch (IOException e) {
@@ -96,7 +96,7 @@
           || many > MOST) {
         return null;
       }
-      Map<String, Said> caches = new TreeMap<>();
+      Map<String, HealthReport> caches = new TreeMap<>();
       for (int one = 0; one < many; one++) {
         String cache = in.unpackString();
         boolean answers = in.unpackBoolean();
@@ -104,7 +104,7 @@
         if (!fits(cache) || ago < -1) {
           return null;
         }
-        caches.put(cache, new Said(answers, ago));
+        caches.put(cache, new HealthReport(answers, ago));
       }
       return in.hasNext() ? null : new Word(KINDS[kind], task, term, stamp, caches);
     } catch (IOException | MessagePackException e) {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -48,27 +48,30 @@
     this.vertx = vertx;
     this.access = access;
     this.company = company;
-    electorate = access.electorate();
+    electorate = access.voters();
   }
 
   @Override
-  public void begin(long now) {
-    if (electorate != null && electorate.all().contains(company.name())) {
-      voter = new LeaseAcceptor(access.rules(), now);
+  public void membershipStarted(long now) {
+    if (electorate != null && electorate.allVoters().contains(company.name())) {
+      voter = new LeaseAcceptor(access.timings(), now);
     }
     leases =
-        access.lease() == null
+        access.leaseRegistry() == null
             ? null
-            : new RegistryLeaseClient(vertx, access.lease(), access.rules(), company);
-    long act = access.rules().settle() - ON_THE_WAY;
-    if (access.sweep() != null) {
-      post(now, new PurgeRetentionTask(vertx, company, access.sweep(), access.sweepEvery()));
+            : new RegistryLeaseClient(vertx, access.leaseRegistry(), access.timings(), company);
+    long act = access.timings().settleNanos() - ON_THE_WAY;
+    if (access.purgeRegistry() != null) {
+      post(
+          now,
+          new PurgeRetentionTask(
+              vertx, company, access.purgeRegistry(), access.purgeSweepIntervalNanos()));
     }
-    if (access.probe()) {
+    if (access.healthChecks()) {
       trials = new HealthCheckTask(company, act);
       post(now, trials);
     }
-    if (access.warm()) {
+    if (access.prefetch()) {
       ahead = new CachePrefetchTask(company, act);
       post(now, ahead);
     }
@@ -79,7 +82,7 @@
         leases != null
             ? leases.tenure(work.task())
             : new QuorumLeadership(
-                access.rules(), work.task(), electorate, this::send, company.seed(), now);
+                access.timings(), work.task(), electorate, this::send, company.seed(), now);
     posts.put(work.task(), new OwnedTask(company.name(), work, tenure));
   }
 
@@ -88,14 +91,14 @@
   private void send(String to, LeaseMessage vote) {
     if (to.equals(company.name())) {
       vertx.runOnContext(
-          turn -> vote(company.now(), to, vote)); // Its own voter is asked as any other.
+          turn -> vote(company.nowNanos(), to, vote)); // Its own voter is asked as any other.
     } else {
-      company.post(to, LeaseMessageCodec.write(vote));
+      company.sendMessage(to, LeaseMessageCodec.write(vote));
     }
   }
 
   @Override
-  public void letter(long now, String from, byte[] body) {
+  public void messageReceived(long now, String from, byte[] body) {
     LeaseMessage vote = LeaseMessageCodec.read(body);
     Word word = vote == null ? HealthReportCodec.read(body) : null;
     if (vote != null) {
@@ -108,7 +111,7 @@
   private void vote(long now, String from, LeaseMessage vote) {
     switch (vote.kind()) {
       case PREPARE, PROPOSE, RELEASE -> {
-        LeaseMessage answer = voter == null ? null : voter.asked(now, from, vote);
+        LeaseMessage answer = voter == null ? null : voter.messageReceived(now, from, vote);
         if (answer != null) {
           send(from, answer);
         }
@@ -116,7 +119,7 @@
       default -> {
         OwnedTask post = posts.get(vote.task());
         if (post != null && post.tenure instanceof QuorumLeadership voted) {
-          voted.answered(now, from, vote);
+          voted.responseReceived(now, from, vote);
           post.told();
         }
       }
@@ -125,8 +128,8 @@
 
   private void word(long now, String from, Word word, OwnedTask post) {
     switch (word.kind()) {
-      case OUTRANKED -> post.tenure.outranked(now, word.term());
-      case STOPPED -> post.tenure.handedOver(now, word.term());
+      case OUTRANKED -> post.tenure.higherTermSeen(now, word.term());
+      case STOPPED -> post.tenure.predecessorStopped(now, word.term());
       default -> {
         if (trials != null) {
           trials.letter(now, from, word, post.tenure);
@@ -140,10 +143,10 @@
 
   @Override
   public void tick(long now) {
-    List<String> there = company.there();
+    List<String> there = company.presentNames();
     for (OwnedTask post : posts.values()) {
       if (post.tenure instanceof QuorumLeadership voted) {
-        voted.wall(System.currentTimeMillis());
+        voted.wallClockRead(System.currentTimeMillis());
         voted.place(CandidateOrder.place(post.work.task(), company.name(), there));
       }
       post.tick(now);
@@ -157,14 +160,14 @@
   }
 
   @Override
-  public void health(long now, String cache, EndpointHealthStatus health) {
+  public void endpointHealthChanged(long now, String cache, EndpointHealthStatus health) {
     if (trials != null) {
       trials.health(now, cache, health);
     }
   }
 
   @Override
-  public void cold(long now, String cache, long until) {
+  public void endpointWarmingUp(long now, String cache, long until) {
     if (ahead != null) {
       ahead.cold(now, cache, until);
     }
@@ -175,12 +178,12 @@
    * changes nothing.
    */
   @Override
-  public void renewed() {
+  public void settingsReloaded() {
     if (electorate == null) {
       return;
     }
     vertx
-        .executeBlocking(access.electorateNow()::get)
+        .executeBlocking(access.reloadVoters()::get)
         .onSuccess(
             next -> {
               if (next.equals(electorate)) {
@@ -190,18 +193,19 @@
                 LOG.warning(
                     company.name()
                         + ": owner: the voters stay "
-                        + electorate.all()
+                        + electorate.allVoters()
                         + ": from one list to another"
                         + " only by way of next-voters");
                 return;
               }
-              long now = company.now();
+              long now = company.nowNanos();
               electorate = next;
-              boolean votes = next.all().contains(company.name());
+              boolean votes = next.allVoters().contains(company.name());
               voter =
-                  !votes ? null : voter == null ? new LeaseAcceptor(access.rules(), now) : voter;
-              posts.values().forEach(post -> ((QuorumLeadership) post.tenure).electorate(next));
-              LOG.info(company.name() + ": owner: voters " + next.now() + ", next " + next.next());
+                  !votes ? null : voter == null ? new LeaseAcceptor(access.timings(), now) : voter;
+              posts.values().forEach(post -> ((QuorumLeadership) post.tenure).updateVoters(next));
+              LOG.info(
+                  company.name() + ": owner: voters " + next.current() + ", next " + next.next());
             })
         .onFailure(
             e -> LOG.warning(company.name() + ": owner: the voters stay: " + e.getMessage()));
@@ -209,7 +213,7 @@
 
   /** Nothing more is begun; each task is handed over once nothing of it is under way. */
   @Override
-  public void draining(long now) {
+  public void drainStarted(long now) {
     draining = true;
     if (trials != null) {
       trials.draining();
@@ -225,46 +229,47 @@
       return;
     }
     if (post.work.isIdle()) {
-      boolean held = post.tenure.holds(now);
+      boolean held = post.tenure.isLeader(now);
       long term = post.tenure.term();
       post.tenure.resign(now);
       if (held) {
         // The first in line take over; whoever else tries waits as after a loss.
         byte[] word = HealthReportCodec.write(Word.of(Kind.STOPPED, post.work.task(), term));
-        CandidateOrder.order(post.work.task(), company.there()).stream()
+        CandidateOrder.order(post.work.task(), company.presentNames()).stream()
             .filter(one -> !one.equals(company.name()))
             .limit(HEIRS)
-            .forEach(one -> company.post(one, word));
+            .forEach(one -> company.sendMessage(one, word));
       }
       post.told();
     }
   }
 
   @Override
-  public JsonObject page(long now) {
+  public JsonObject status(long now) {
     JsonArray tasks = new JsonArray();
     posts.values().forEach(post -> tasks.add(post.page(now)));
     return new JsonObject()
         .put("name", company.name())
         .put("votes", voter != null)
         .put(
-            "voters", new JsonArray(electorate == null ? List.of() : List.copyOf(electorate.all())))
+            "voters",
+            new JsonArray(electorate == null ? List.of() : List.copyOf(electorate.allVoters())))
         .put("tasks", tasks);
   }
 
   @Override
   public boolean release(long now, String name) {
     OwnedTask post = posts.get(name);
-    boolean held = post != null && post.tenure.holds(now);
+    boolean held = post != null && post.tenure.isLeader(now);
     if (held) {
-      post.tenure.letGo(now);
+      post.tenure.release(now);
       post.told();
     }
     return held;
   }
 
   @Override
-  public void leave(long now) {
+  public void close(long now) {
     posts
         .values()
         .forEach(
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -39,7 +39,7 @@
   }
 
   void tick(long now) {
-    if (now >= tenure.due()) {
+    if (now >= tenure.nextTickNanos()) {
       tenure.tick(now);
     }
     told();
@@ -51,9 +51,9 @@
         new JsonObject()
             .put("task", work.task())
             .put("state", tenure.state().name().toLowerCase(Locale.ROOT))
-            .put("holds", tenure.holds(now))
+            .put("holds", tenure.isLeader(now))
             .put("term", tenure.term())
-            .put("left_ms", tenure.holds(now) ? (tenure.until() - now) / MS : 0);
+            .put("left_ms", tenure.isLeader(now) ? (tenure.leaseExpiresAtNanos() - now) / MS : 0);
     work.page(page);
     return page;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
@@ -29,7 +29,7 @@
     this.company = company;
     this.access = access;
     registry = new RegistryAdminClient(vertx, access);
-    sweep = new PurgeRetention(access.retention(), every);
+    sweep = new PurgeRetention(access.purgeRetentionNanos(), every);
   }
 
   @Override
@@ -48,30 +48,31 @@
    */
   @Override
   public void tick(long now, Leadership tenure) {
-    if (!tenure.holds(now) || !sweep.isDue(now)) {
+    if (!tenure.isLeader(now) || !sweep.isDue(now)) {
       return;
     }
     long term = tenure.term();
-    String key = access.prefix() + RecordCodec.TASKS + PurgeRetention.TASK;
-    sweep.began();
+    String key = access.prefix() + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
+    sweep.sweepStarted();
     out = true;
     registry
         .list()
         .compose(
             all -> {
-              RegistryEntry fence = PurgeRetention.fence(all, key);
-              long seen = fence == null ? 0 : ((RegistryRecord.Task) fence.content()).term();
-              List<RegistryEntry> old = sweep.old(all, company.now(), System.currentTimeMillis());
+              RegistryEntry fence = PurgeRetention.findFence(all, key);
+              long seen = fence == null ? 0 : ((RegistryRecord.Task) fence.value()).term();
+              List<RegistryEntry> old =
+                  sweep.expiredPurges(all, company.nowNanos(), System.currentTimeMillis());
               if (seen > term) {
                 refused++;
-                tenure.outranked(company.now(), seen);
+                tenure.higherTermSeen(company.nowNanos(), seen);
                 return Future.succeededFuture(0);
               }
-              if (old.isEmpty() || !tenure.holds(company.now()) || tenure.term() != term) {
+              if (old.isEmpty() || !tenure.isLeader(company.nowNanos()) || tenure.term() != term) {
                 return Future.succeededFuture(0);
               }
               return registry
-                  .sweep(
+                  .deletePurges(
                       PurgeRetention.TASK,
                       new RegistryRecord.Task(term, company.name()),
                       fence,
@@ -87,7 +88,7 @@
             done -> {
               failed += done.failed() ? 1 : 0;
               out = false;
-              sweep.ended(company.now(), done.succeeded() ? done.result() : 0);
+              sweep.sweepEnded(company.nowNanos(), done.succeeded() ? done.result() : 0);
             });
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -40,7 +40,7 @@
   }
 
   /** One task at this gateway. */
-  private final class Mine implements RegistryLeadership.Orders {
+  private final class Mine implements RegistryLeadership.Commands {
     final String task;
     final RegistryLeadership tenure;
     private long lease, revision, outSince;
@@ -55,15 +55,18 @@
       outSince = looks;
       registry
           .campaign(
-              task, new RegistryRecord.Task(term, company.name()), changed, rules.lease() / SECOND)
+              task,
+              new RegistryRecord.Task(term, company.name()),
+              changed,
+              rules.leaseNanos() / SECOND)
           .onComplete(
               done -> {
                 outSince = looks;
                 if (done.failed() || done.result() == 0) {
-                  tenure.lost(company.now());
+                  tenure.leaseLost(company.nowNanos());
                 } else {
                   lease = done.result();
-                  tenure.won(company.now(), term);
+                  tenure.campaignWon(company.nowNanos(), term);
                 }
               });
     }
@@ -75,11 +78,11 @@
           .onComplete(
               done -> {
                 if (done.failed()) {
-                  tenure.unheard(company.now());
+                  tenure.renewalUnanswered(company.nowNanos());
                 } else if (done.result()) {
-                  tenure.kept(company.now(), askedAt);
+                  tenure.leaseRenewed(company.nowNanos(), askedAt);
                 } else {
-                  tenure.lost(company.now());
+                  tenure.leaseLost(company.nowNanos());
                 }
               });
     }
@@ -99,13 +102,13 @@
       if (readSince <= outSince && outSince > 0) {
         return;
       }
-      long changed = term == null ? 0 : term.changed();
+      long changed = term == null ? 0 : term.modRevision();
       if (changed < revision) {
-        tenure.restored(); // The registry goes on from an older state of it.
+        tenure.registryRestored(); // The registry goes on from an older state of it.
       }
       revision = changed;
-      tenure.seen(
-          now, term == null ? 0 : ((RegistryRecord.Task) term.content()).term(), held, changed);
+      tenure.keyObserved(
+          now, term == null ? 0 : ((RegistryRecord.Task) term.value()).term(), held, changed);
     }
   }
 
@@ -121,7 +124,7 @@
     }
     looking = true;
     long since = ++looks;
-    nextLook = now + rules.lease() / LOOKS;
+    nextLook = now + rules.leaseNanos() / LOOKS;
     registry
         .tasks()
         .onComplete(
@@ -138,10 +141,10 @@
       RegistryEntry term = null;
       boolean held = false;
       for (RegistryEntry key : keys) {
-        term = one.task.equals(registry.taskOf(key, false)) ? key : term;
-        held |= one.task.equals(registry.taskOf(key, true));
+        term = one.task.equals(registry.taskName(key, false)) ? key : term;
+        held |= one.task.equals(registry.taskName(key, true));
       }
-      one.seen(company.now(), since, term, held);
+      one.seen(company.nowNanos(), since, term, held);
     }
   }
 
--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -12,7 +12,7 @@
 
   private int asks(long now) {
     int asks = 0;
-    while (ahead.next(now)) {
+    while (ahead.tryStartRequest(now)) {
       asks++;
     }
     return asks;
@@ -21,7 +21,7 @@
   @Test
   void nothingIsAskedForWhileNoCacheIsCold() {
     assertEquals(0, asks(1));
-    ahead.cold(1, "x", 100 * MS);
+    ahead.endpointWarmingUp(1, "x", 100 * MS);
     assertTrue(asks(1) > 0);
     assertFalse(ahead.isIdle());
     assertEquals(0, asks(100 * MS), "it is warm by now");
@@ -29,20 +29,20 @@
 
   @Test
   void fewAreOutAtATimeAndATurnThatIsOverBeginsAnewAfterARest() {
-    ahead.cold(1, "x", 10_000 * MS);
+    ahead.endpointWarmingUp(1, "x", 10_000 * MS);
     assertEquals(8, asks(1));
     int more = 0;
     for (int one = 0; one < 1000; one++) {
-      ahead.ended();
-      more += ahead.next(1) ? 1 : 0;
+      ahead.requestEnded();
+      more += ahead.tryStartRequest(1) ? 1 : 0;
       if (more < one + 1) {
         break;
       }
     }
     assertEquals(64 - 8, more, "no more a tick");
     ahead.tick();
-    assertTrue(ahead.next(1));
-    ahead.turnOver(1);
+    assertTrue(ahead.tryStartRequest(1));
+    ahead.passEnded(1);
     assertEquals(0, asks(200 * MS));
     ahead.tick();
     assertTrue(asks(300 * MS) > 0);
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -31,7 +31,7 @@
 
   QuorumLeadershipTest() {
     List.of("a", "b", "c", "d", "e").forEach(name -> voters.put(name, new LeaseAcceptor(RULES, 0)));
-    now = RULES.longest(LEASE);
+    now = RULES.longestNanos(LEASE);
   }
 
   private QuorumLeadership candidate(VoterConfiguration electorate) {
@@ -40,7 +40,7 @@
   }
 
   private LeaseMessage answer(Sent one, String by) {
-    return voters.get(one.voter).asked(now, by, one.vote);
+    return voters.get(one.voter).messageReceived(now, by, one.vote);
   }
 
   /** Has what was sent answered by these voters, and what follows from that. */
@@ -49,7 +49,7 @@
       Sent one = sent.remove(0);
       LeaseMessage answer = List.of(names).contains(one.voter) ? answer(one, by) : null;
       if (answer != null) {
-        of.answered(now, one.voter, answer);
+        of.responseReceived(now, one.voter, answer);
       }
     }
   }
@@ -57,7 +57,7 @@
   private void own() {
     owner.tick(now);
     heardBy(owner, "me", "a", "b");
-    now += RULES.longest(SETTLE) + 1;
+    now += RULES.longestNanos(SETTLE) + 1;
     owner.tick(now);
     assertEquals(Leadership.State.HOLDING, owner.state());
   }
@@ -73,18 +73,19 @@
     owner.tick(now);
     heardBy(owner, "me", "a", "b");
     assertEquals(Leadership.State.WAITING, owner.state());
-    assertFalse(owner.holds(now));
-    now += RULES.longest(SETTLE);
+    assertFalse(owner.isLeader(now));
+    now += RULES.longestNanos(SETTLE);
     owner.tick(now);
-    assertTrue(owner.holds(now));
+    assertTrue(owner.isLeader(now));
   }
 
   @Test
   void aVoterThatStartedAnewVotesForNobodyForTheLongestLease() {
     LeaseAcceptor fresh = new LeaseAcceptor(RULES, now);
     LeaseMessage ask = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
-    assertNull(fresh.asked(now + LEASE, "me", ask));
-    assertEquals(Kind.PROMISE, fresh.asked(now + RULES.longest(LEASE), "me", ask).kind());
+    assertNull(fresh.messageReceived(now + LEASE, "me", ask));
+    assertEquals(
+        Kind.PROMISE, fresh.messageReceived(now + RULES.longestNanos(LEASE), "me", ask).kind());
   }
 
   @Test
@@ -93,23 +94,26 @@
     owner.tick(now);
     now += SECOND;
     heardBy(owner, "me", "a", "b");
-    now += RULES.longest(SETTLE);
+    now += RULES.longestNanos(SETTLE);
     owner.tick(now);
-    assertTrue(owner.until() < asked + SECOND + LEASE);
+    assertTrue(owner.leaseExpiresAtNanos() < asked + SECOND + LEASE);
     LeaseMessage other =
         voters
             .get("a")
-            .asked(owner.until(), "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+            .messageReceived(
+                owner.leaseExpiresAtNanos(),
+                "other",
+                new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
     assertTrue(other.other() > 0, "it is still kept for the owner");
-    assertFalse(owner.holds(owner.until()));
+    assertFalse(owner.isLeader(owner.leaseExpiresAtNanos()));
   }
 
   /** Found by the model, seed 243: two held the task. */
   @Test
   void lateAnswersToAnOlderProposalExtendNothing() {
     own();
-    long until = owner.until();
-    now = owner.due();
+    long until = owner.leaseExpiresAtNanos();
+    now = owner.nextTickNanos();
     owner.tick(now);
     List<Sent> first = new ArrayList<>(sent);
     sent.clear();
@@ -118,9 +122,9 @@
     assertEquals(Kind.PROPOSE, sent.get(0).vote.kind());
     sent.clear(); // The second is lost; the first is answered late.
     for (Sent one : first) {
-      owner.answered(now, one.voter, answer(one, "me"));
+      owner.responseReceived(now, one.voter, answer(one, "me"));
     }
-    assertEquals(until, owner.until());
+    assertEquals(until, owner.leaseExpiresAtNanos());
   }
 
   @Test
@@ -130,24 +134,26 @@
       LeaseMessage answer =
           voters
               .get(voter)
-              .asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
+              .messageReceived(
+                  now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
       assertTrue(answer.kind() == Kind.PROMISE && answer.other() > 0);
       assertEquals(
           Kind.REFUSED,
           voters
               .get(voter)
-              .asked(now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1))
+              .messageReceived(
+                  now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1))
               .kind());
     }
-    now = owner.due();
+    now = owner.nextTickNanos();
     owner.tick(now);
     heardBy(owner, "me", "a", "b");
-    assertTrue(owner.holds(now + LEASE / 2), "renewed under the same number");
+    assertTrue(owner.isLeader(now + LEASE / 2), "renewed under the same number");
   }
 
   @Test
   void whileOneListFollowsAnotherBothMajoritiesAreNeeded() {
-    owner.electorate(new VoterConfiguration(List.of("a", "b", "c"), List.of("c", "d", "e")));
+    owner.updateVoters(new VoterConfiguration(List.of("a", "b", "c"), List.of("c", "d", "e")));
     owner.tick(now);
     heardBy(owner, "me", "a", "b", "c");
     assertEquals(Leadership.State.ASKING, owner.state());
@@ -165,20 +171,21 @@
   void whoLetsGoIsFollowedAtOnce() {
     own();
     owner.resign(now);
-    assertFalse(owner.holds(now));
+    assertFalse(owner.isLeader(now));
     sent.forEach(one -> answer(one, "me"));
     LeaseMessage answer =
         voters
             .get("a")
-            .asked(now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
+            .messageReceived(
+                now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
     assertEquals(0, answer.other());
   }
 
   @Test
   void aHigherTermThatWasSeenEndsItsOwnAndTheNextIsAboveIt() {
     own();
-    owner.outranked(now, owner.term() + 1000);
-    assertFalse(owner.holds(now));
+    owner.higherTermSeen(now, owner.term() + 1000);
+    assertFalse(owner.isLeader(now));
     sent.clear();
     long seen = owner.term() + 1000;
     now += LEASE;
@@ -189,28 +196,28 @@
   @Test
   void termsRiseOverARestartOfAllByTheWallClockAndWhereThatWentBackByWhatRecipientsHaveSeen() {
     FencingGuard fence = new FencingGuard();
-    assertTrue(fence.passes(TASK, 1_700_000_000_500L, "old"));
+    assertTrue(fence.tryAdmit(TASK, 1_700_000_000_500L, "old"));
     QuorumLeadership anew = candidate(VoterConfiguration.of("a", "b", "c"));
-    anew.wall(1_700_000_000_100L);
+    anew.wallClockRead(1_700_000_000_100L);
     anew.tick(now);
     assertEquals(1_700_000_000_100L, sent.get(0).vote.ballot());
-    assertFalse(fence.passes(TASK, sent.get(0).vote.ballot(), "new"));
-    anew.outranked(now, fence.seen(TASK));
+    assertFalse(fence.tryAdmit(TASK, sent.get(0).vote.ballot(), "new"));
+    anew.higherTermSeen(now, fence.highestTerm(TASK));
     sent.clear();
     now += LEASE;
     anew.tick(now);
-    assertTrue(fence.passes(TASK, sent.get(0).vote.ballot(), "new"));
+    assertTrue(fence.tryAdmit(TASK, sent.get(0).vote.ballot(), "new"));
   }
 
   @Test
   void oneTermIsOneOwners() {
     FencingGuard fence = new FencingGuard();
-    assertTrue(fence.passes(TASK, 5, "me"));
-    assertTrue(fence.passes(TASK, 5, "me"));
-    assertFalse(fence.passes(TASK, 5, "other"));
-    assertFalse(fence.passes(TASK, 4, "me"));
-    assertTrue(fence.passes("probe", 4, "me"));
-    assertEquals(5, fence.seen(TASK));
+    assertTrue(fence.tryAdmit(TASK, 5, "me"));
+    assertTrue(fence.tryAdmit(TASK, 5, "me"));
+    assertFalse(fence.tryAdmit(TASK, 5, "other"));
+    assertFalse(fence.tryAdmit(TASK, 4, "me"));
+    assertTrue(fence.tryAdmit("probe", 4, "me"));
+    assertEquals(5, fence.highestTerm(TASK));
   }
 
   private long wall = 1;
@@ -218,11 +225,11 @@
   /** Another owner is elected by these voters, and lets the task go. */
   private long ownedAndLetGo(String... by) {
     QuorumLeadership other = candidate(VoterConfiguration.of("a", "b", "c"));
-    other.wall(wall += 10);
+    other.wallClockRead(wall += 10);
     other.tick(now);
     heardBy(other, "other", by);
     assertEquals(Leadership.State.WAITING, other.state());
-    owner.wall(wall += 10);
+    owner.wallClockRead(wall += 10);
     other.resign(now);
     heardBy(other, "other", "a", "b", "c");
     return other.term();
@@ -231,7 +238,7 @@
   @Test
   void whoTakesOverFromOneThatSaysItHasStoppedNeedsNotWait() {
     long stopped = ownedAndLetGo("a", "b");
-    owner.handedOver(now, stopped);
+    owner.predecessorStopped(now, stopped);
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "b", "c");
@@ -242,8 +249,8 @@
 
     long next = ownedAndLetGo("a", "b", "c");
     QuorumLeadership heir = candidate(VoterConfiguration.of("a", "b", "c"));
-    heir.wall(wall);
-    heir.handedOver(now, next);
+    heir.wallClockRead(wall);
+    heir.predecessorStopped(now, next);
     heir.tick(now);
     heardBy(heir, "heir", "a", "b");
     assertEquals(Leadership.State.HOLDING, heir.state());
@@ -252,13 +259,13 @@
   @Test
   void wordOfAnOlderOwnerThanTheLastSavesNoWait() {
     long first = ownedAndLetGo("a", "b", "c");
-    owner.handedOver(now, first);
+    owner.predecessorStopped(now, first);
     ownedAndLetGo("a", "b", "c");
     now += LEASE;
     owner.tick(now);
     heardBy(owner, "me", "a", "b", "c");
     assertEquals(Leadership.State.WAITING, owner.state());
-    owner.handedOver(now, first);
+    owner.predecessorStopped(now, first);
     assertEquals(Leadership.State.WAITING, owner.state());
   }
 
@@ -266,9 +273,9 @@
   void aListOfVotersFollowsAnotherOnlyByWayOfBoth() {
     VoterConfiguration first = VoterConfiguration.of("a", "b", "c"),
         last = VoterConfiguration.of("c", "d", "e");
-    VoterConfiguration both = new VoterConfiguration(first.now(), last.now());
+    VoterConfiguration both = new VoterConfiguration(first.current(), last.current());
     assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
     assertFalse(last.follows(first));
-    assertFalse(new VoterConfiguration(last.now(), first.now()).follows(both));
+    assertFalse(new VoterConfiguration(last.current(), first.current()).follows(both));
   }
 }
