--- a/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
@@ -17,7 +17,7 @@
   private final RegistryLeadership owner =
       new RegistryLeadership(
           RULES,
-          new RegistryLeadership.Orders() {
+          new RegistryLeadership.Commands() {
             @Override
             public void campaign(long term, long changed) {
               orders.add("campaign " + term + " " + changed);
@@ -37,19 +37,19 @@
 
   /** Wins a term, with the try made at once. */
   private long won() {
-    owner.seen(0, 4, false, 9);
-    long now = owner.due();
+    owner.keyObserved(0, 4, false, 9);
+    long now = owner.nextTickNanos();
     owner.tick(now);
-    owner.won(now, 5);
+    owner.campaignWon(now, 5);
     return now;
   }
 
   @Test
   void itTriesForTheNextTermOnceNobodyHoldsTheKey() {
-    owner.seen(0, 4, true, 8);
+    owner.keyObserved(0, 4, true, 8);
     owner.tick(SECOND);
     assertEquals(List.of(), orders);
-    owner.seen(SECOND, 4, false, 9);
+    owner.keyObserved(SECOND, 4, false, 9);
     owner.tick(2 * SECOND);
     assertEquals(List.of("campaign 5 9"), orders);
   }
@@ -58,37 +58,37 @@
   void aNewOwnerDoesNothingUntilWhatOlderOnesBeganHasRunOut() {
     long now = won();
     assertEquals(Leadership.State.WAITING, owner.state());
-    assertFalse(owner.holds(now));
+    assertFalse(owner.isLeader(now));
     owner.tick(now + SECOND);
-    owner.kept(now + SECOND, now + SECOND);
-    owner.tick(now + RULES.longest(2 * SECOND));
-    assertTrue(owner.holds(now + RULES.longest(2 * SECOND)));
+    owner.leaseRenewed(now + SECOND, now + SECOND);
+    owner.tick(now + RULES.longestNanos(2 * SECOND));
+    assertTrue(owner.isLeader(now + RULES.longestNanos(2 * SECOND)));
   }
 
   @Test
   void whatItIsHandedItNeedNotWaitFor() {
     long now = won();
-    owner.handedOver(now, 3);
-    assertFalse(owner.holds(now));
-    owner.handedOver(now, 4);
-    assertTrue(owner.holds(now));
+    owner.predecessorStopped(now, 3);
+    assertFalse(owner.isLeader(now));
+    owner.predecessorStopped(now, 4);
+    assertTrue(owner.isLeader(now));
   }
 
   @Test
   void itsBeliefEndsBeforeTheRegistrysLeaseAndCountsFromTheAsking() {
     long now = won();
-    owner.handedOver(now, 4);
+    owner.predecessorStopped(now, 4);
     owner.tick(now + SECOND);
-    owner.kept(now + 2 * SECOND, now + SECOND);
-    assertTrue(owner.holds(now + 3 * SECOND));
-    assertFalse(owner.holds(now + SECOND + LEASE - LEASE / 8));
+    owner.leaseRenewed(now + 2 * SECOND, now + SECOND);
+    assertTrue(owner.isLeader(now + 3 * SECOND));
+    assertFalse(owner.isLeader(now + SECOND + LEASE - LEASE / 8));
   }
 
   @Test
   void oneThatStoodStillHoldsNothingWhenItWakes() {
     long now = won();
-    owner.handedOver(now, 4);
-    assertFalse(owner.holds(now + 10 * SECOND));
+    owner.predecessorStopped(now, 4);
+    assertFalse(owner.isLeader(now + 10 * SECOND));
     owner.tick(now + 10 * SECOND);
     assertEquals(Leadership.State.FOLLOWING, owner.state());
   }
@@ -97,28 +97,28 @@
   void aSignOfLifeThatIsNotHeardOfIsSentAgainInTime() {
     long now = won();
     owner.tick(now + SECOND);
-    owner.unheard(now + SECOND + SECOND / 2);
-    owner.tick(owner.due());
+    owner.renewalUnanswered(now + SECOND + SECOND / 2);
+    owner.tick(owner.nextTickNanos());
     assertEquals(2, orders.stream().filter("keep"::equals).count());
   }
 
   @Test
   void aHigherTermThatIsSeenEndsItsOwn() {
     long now = won();
-    owner.handedOver(now, 4);
-    owner.seen(now + 1, 6, true, 20);
-    assertFalse(owner.holds(now + 1));
-    owner.seen(now + 2, 5, true, 12);
-    assertFalse(owner.holds(now + 2));
+    owner.predecessorStopped(now, 4);
+    owner.keyObserved(now + 1, 6, true, 20);
+    assertFalse(owner.isLeader(now + 1));
+    owner.keyObserved(now + 2, 5, true, 12);
+    assertFalse(owner.isLeader(now + 2));
   }
 
   @Test
   void oneThatIsToldToStopLetsTheKeyGoAndTriesNoMore() {
     long now = won();
-    owner.handedOver(now, 4);
+    owner.predecessorStopped(now, 4);
     owner.resign(now + 1);
-    assertFalse(owner.holds(now + 1));
-    owner.seen(now + 2, 5, false, 30);
+    assertFalse(owner.isLeader(now + 1));
+    owner.keyObserved(now + 2, 5, false, 30);
     owner.tick(now + 20 * SECOND);
     assertEquals(List.of("campaign 5 9", "resign"), orders);
   }
@@ -126,11 +126,11 @@
   @Test
   void aRegistryFromABackupBeginsAboveWhatRecipientsHaveSeen() {
     long now = won();
-    owner.handedOver(now, 4);
-    owner.outranked(now, 40);
-    assertFalse(owner.holds(now));
-    owner.seen(now + 1, 5, false, 12);
-    owner.tick(owner.due());
+    owner.predecessorStopped(now, 4);
+    owner.higherTermSeen(now, 40);
+    assertFalse(owner.isLeader(now));
+    owner.keyObserved(now + 1, 5, false, 12);
+    owner.tick(owner.nextTickNanos());
     assertEquals(List.of("campaign 5 9", "resign", "campaign 41 12"), orders);
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
@@ -32,28 +32,32 @@
             purge(WALL_MS + writers, 5),
             new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 5));
     long start = WALL_MS * 1_000_000, retentionMs = RETENTION / 1_000_000;
-    assertEquals(List.of(), sweep.old(all, start, WALL_MS + owners));
-    assertEquals(List.of(), sweep.old(all, start + RETENTION, WALL_MS + retentionMs + owners));
+    assertEquals(List.of(), sweep.expiredPurges(all, start, WALL_MS + owners));
     assertEquals(
-        all.subList(0, 1), sweep.old(all, start + RETENTION + 1, WALL_MS + retentionMs + owners));
+        List.of(), sweep.expiredPurges(all, start + RETENTION, WALL_MS + retentionMs + owners));
+    assertEquals(
+        all.subList(0, 1),
+        sweep.expiredPurges(all, start + RETENTION + 1, WALL_MS + retentionMs + owners));
   }
 
   @Test
   void whatIsOldByAnyStepGoesAtOnceSoThatOwnersThatChangeLeaveNothing() {
     List<RegistryEntry> all =
         List.of(purge(WALL_MS - RETENTION / 1_000_000 - 2 * 3_600_000 - 1, 5));
-    assertEquals(all, sweep.old(all, 0, WALL_MS));
+    assertEquals(all, sweep.expiredPurges(all, 0, WALL_MS));
   }
 
   @Test
   void aKeyThatWasWrittenAnewCountsAnew() {
-    sweep.old(List.of(purge(0, 5)), 0, 0);
+    sweep.expiredPurges(List.of(purge(0, 5)), 0, 0);
     assertEquals(
         List.of(),
-        sweep.old(List.of(purge(0, 6)), RETENTION + 1, 0),
+        sweep.expiredPurges(List.of(purge(0, 6)), RETENTION + 1, 0),
         "written again under its name");
-    assertEquals(List.of(), sweep.old(List.of(), RETENTION + 2, 0));
+    assertEquals(List.of(), sweep.expiredPurges(List.of(), RETENTION + 2, 0));
     assertEquals(
-        List.of(), sweep.old(List.of(purge(0, 6)), 2 * RETENTION + 3, 0), "it was away meanwhile");
+        List.of(),
+        sweep.expiredPurges(List.of(purge(0, 6)), 2 * RETENTION + 3, 0),
+        "it was away meanwhile");
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
@@ -24,15 +24,15 @@
   private final QuorumLeadership owner =
       new QuorumLeadership(
           RULES, "sweep", VoterConfiguration.of("a"), (to, vote) -> sent.add(vote), 7, 0);
-  private long now = RULES.longest(LEASE);
+  private long now = RULES.longestNanos(LEASE);
 
   private void passes(long time) {
     for (long until = now + time; now < until; now += SECOND / 20) {
       owner.tick(now);
       while (!sent.isEmpty()) {
-        LeaseMessage answer = voter.asked(now, "me", sent.remove());
+        LeaseMessage answer = voter.messageReceived(now, "me", sent.remove());
         if (answer != null) {
-          owner.answered(now, "a", answer);
+          owner.responseReceived(now, "a", answer);
         }
       }
     }
@@ -41,20 +41,22 @@
   @ParameterizedTest
   @ValueSource(longs = {5000, -5000, 3_600_000, -3_600_000})
   void aStepWhileItLeadsMovesNeitherItsLeaseNorItsTermAndTheNextTermIsAbove(long step) {
-    owner.wall(WALL_MS);
+    owner.wallClockRead(WALL_MS);
     passes(2 * SECOND);
-    assertTrue(owner.holds(now));
-    long until = owner.until();
-    owner.wall(WALL_MS + step);
-    assertEquals(until, owner.until());
+    assertTrue(owner.isLeader(now));
+    long until = owner.leaseExpiresAtNanos();
+    owner.wallClockRead(WALL_MS + step);
+    assertEquals(until, owner.leaseExpiresAtNanos());
     passes(10 * SECOND);
-    assertTrue(owner.holds(now), "renewed all along");
+    assertTrue(owner.isLeader(now), "renewed all along");
     assertEquals(WALL_MS, owner.term());
-    assertFalse(owner.holds(owner.until()), "its belief ends by the clock that only goes forward");
+    assertFalse(
+        owner.isLeader(owner.leaseExpiresAtNanos()),
+        "its belief ends by the clock that only goes forward");
 
-    owner.letGo(now);
+    owner.release(now);
     passes(2 * LEASE + SECOND);
-    assertTrue(owner.holds(now));
+    assertTrue(owner.isLeader(now));
     assertTrue(owner.term() > WALL_MS);
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.LongRange;
 import net.jqwik.api.constraints.Size;
-import org.amberpath.leadership.HealthCheckCoordinator.Said;
+import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 import org.amberpath.leadership.LeaseMessage;
 import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
 import org.amberpath.leadership.runtime.HealthReportCodec.Word;
@@ -37,15 +37,15 @@
       @ForAll long stamp,
       @ForAll @IntRange(max = 10) int many,
       @ForAll @LongRange(min = -1) long ago) {
-    Map<String, Said> caches = new TreeMap<>();
+    Map<String, HealthReport> caches = new TreeMap<>();
     for (int one = 0; one < many; one++) {
-      caches.put("c".repeat(62) + (char) ('a' + one), new Said(one % 2 == 0, ago));
+      caches.put("c".repeat(62) + (char) ('a' + one), new HealthReport(one % 2 == 0, ago));
     }
     Word word = new Word(kind, "probe", term, stamp, caches);
     byte[] letter = HealthReportCodec.write(word);
     assertEquals(word, HealthReportCodec.read(letter));
     assertTrue(
-        letter.length <= org.amberpath.membership.runtime.DatagramCodec.LONGEST_LETTER,
+        letter.length <= org.amberpath.membership.runtime.DatagramCodec.MAX_PAYLOAD_BYTES,
         letter.length + " bytes");
     assertNull(LeaseMessageCodec.read(letter), "no vote");
     assertNull(HealthReportCodec.read(Arrays.copyOf(letter, letter.length - 1)));
--- a/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
@@ -6,13 +6,18 @@
  * @param name the gateway's name, the same after a restart
  * @param address where its datagrams go
  * @param incarnation rises with each start and each refutation
- * @param birth by chance, one to a process: tells two processes under one name apart
- * @param by who says so first: counts accusers of a suspected gateway apart
+ * @param instanceId by chance, one to a process: tells two processes under one name apart
+ * @param reporter who says so first: counts accusers of a suspected gateway apart
  */
 public record MemberUpdate(
-    String name, String address, long incarnation, long birth, MemberStatus standing, String by) {
+    String name,
+    String address,
+    long incarnation,
+    long instanceId,
+    MemberStatus status,
+    String reporter) {
   boolean beats(MemberUpdate other) {
     return incarnation > other.incarnation
-        || (incarnation == other.incarnation && standing.compareTo(other.standing) > 0);
+        || (incarnation == other.incarnation && status.compareTo(other.status) > 0);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -58,7 +58,7 @@
    * Whether one more may be looked at, before anything of it is checked: bounds what strangers
    * cost.
    */
-  public boolean mayLook(long now) {
+  public boolean tryExamine(long now) {
     if (now - since > period) {
       since = now;
       looked = 0;
@@ -68,12 +68,16 @@
   }
 
   /** What becomes of one whose sender is proved. */
-  public Verdict judge(long now, GossipMessage message) {
-    return judge(now, message.from().birth(), message.to(), message.serial());
+  public Verdict check(long now, GossipMessage message) {
+    return check(
+        now,
+        message.sender().instanceId(),
+        message.recipientInstanceId(),
+        message.sequenceNumber());
   }
 
   /** The same of anything that names its sender's birth, whom it is for, and its serial. */
-  public Verdict judge(long now, long birth, long to, long serial) {
+  public Verdict check(long now, long birth, long to, long serial) {
     if (to != own) {
       return ++greeted <= MOST_GREETINGS ? Verdict.GREETED : Verdict.TOO_MANY;
     }
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -22,7 +22,7 @@
  * 2017) come a gateway's doubt in itself, suspicions that shorten as others confirm them, and that
  * a suspect is told first. Lists both ways mend what rumours missed.
  *
- * <p>{@link #share} is what shared bounds are multiplied by; docs/design/fleet-view.md has the
+ * <p>{@link #quotaShare} is what shared bounds are multiplied by; docs/design/fleet-view.md has the
  * proof that the shares of all running gateways never sum to more than one.
  *
  * <p>Bounds: {@value #MOST} gateways; a rumour a gateway; one own probe and {@value #MOST_HELP} for
@@ -41,16 +41,16 @@
   }
 
   /** Where datagrams and news go. */
-  public interface Out {
+  public interface Output {
     void send(String address, GossipMessage message);
 
     /** A gateway's standing has changed. */
-    void news(String name, MemberStatus standing);
+    void memberStatusChanged(String name, MemberStatus standing);
 
-    void phase(Phase from, Phase to);
+    void phaseChanged(Phase from, Phase to);
 
     /** Another process goes by this gateway's name: told once for each such process. */
-    void twin(String address);
+    void nameConflictDetected(String address);
   }
 
   private static final int MOST = 2000, MOST_HELP = 64, HELPERS = 3, MOST_DOUBT = 6, CONFIRMED = 3;
@@ -88,7 +88,7 @@
   private final SwimTimings rules;
   private final List<String> seeds;
   private final SplittableRandom chance;
-  private final Out out;
+  private final Output out;
   private final NavigableMap<String, Peer> peers = new TreeMap<>();
 
   /** What is still to be sent, by name, with how often it was. */
@@ -116,8 +116,8 @@
       changedAt,
       number,
       refutedAt = Long.MIN_VALUE;
-  private long answersSince, serial, digest, there, chain;
-  private int doubt, at, answers, names = 1, present = 1;
+  private long answersSince, serial, digest, presentNames, chain;
+  private int doubt, at, answers, names = 1, presentCount = 1;
   private boolean synced, admitted, differs, chainWhole = true;
 
   /** The name after which the list that is being asked for goes on. */
@@ -136,7 +136,7 @@
     }
 
     boolean isThere() {
-      return said.standing() == MemberStatus.ALIVE || said.standing() == MemberStatus.SUSPECTED;
+      return said.status() == MemberStatus.ALIVE || said.status() == MemberStatus.SUSPECTED;
     }
   }
 
@@ -156,7 +156,7 @@
   private record Help(MemberUpdate asker, long number, long until) {}
 
   /** What is held of one gateway, and since when. */
-  public record Seen(MemberUpdate said, long since) {}
+  public record ObservedMember(MemberUpdate update, long sinceNanos) {}
 
   /**
    * A view that knows of nobody.
@@ -166,7 +166,7 @@
    * @param seeds addresses of which any may answer; its own is passed over
    */
   public SwimProtocol(
-      SwimTimings rules, MemberUpdate self, List<String> seeds, long seed, long now, Out out) {
+      SwimTimings rules, MemberUpdate self, List<String> seeds, long seed, long now, Output out) {
     this.rules = rules;
     this.self = self;
     this.seeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
@@ -177,9 +177,9 @@
     tickedAt = now;
     changedAt = now;
     answersSince = now;
-    probeDue = now + chance.nextLong(rules.period());
+    probeDue = now + chance.nextLong(rules.probeIntervalNanos());
     syncDue = now;
-    tryDue = now + TRY_LOST * rules.period();
+    tryDue = now + TRY_LOST * rules.probeIntervalNanos();
     count();
   }
 
@@ -196,12 +196,12 @@
    * All others that it has heard of, by name: those that are there, and for a while those that
    * left.
    */
-  public List<Seen> others() {
-    return peers.values().stream().map(one -> new Seen(one.said, one.changedAt)).toList();
+  public List<ObservedMember> otherMembers() {
+    return peers.values().stream().map(one -> new ObservedMember(one.said, one.changedAt)).toList();
   }
 
   /** All that are there as far as this gateway knows, itself among them. */
-  public List<String> there() {
+  public List<String> presentNames() {
     List<String> names = new ArrayList<>(List.of(self.name()));
     peers.values().stream().filter(Peer::isThere).forEach(one -> names.add(one.said.name()));
     names.sort(Comparator.naturalOrder());
@@ -215,43 +215,41 @@
   }
 
   /** The next serial, for something that is sent beside this view's own messages. */
-  public long stamp() {
+  public long nextSequenceNumber() {
     return ++serial;
   }
 
   /** How many are there, itself among them. */
-  public int present() {
-    return present;
+  public int presentCount() {
+    return presentCount;
   }
 
   /** What is held of another gateway; null if it was never heard of. */
-  public MemberStatus standing(String name) {
+  public MemberStatus statusOf(String name) {
     Peer peer = peers.get(name);
-    return name.equals(self.name())
-        ? MemberStatus.ALIVE
-        : peer == null ? null : peer.said.standing();
+    return name.equals(self.name()) ? MemberStatus.ALIVE : peer == null ? null : peer.said.status();
   }
 
   /**
    * By how many shared bounds are divided: rises when a name is heard of, falls when one left,
    * never by a loss.
    */
-  public int counted() {
-    return Math.max(rules.told(), names);
+  public int countedMembers() {
+    return Math.max(rules.maxMembers(), names);
   }
 
   /**
    * This gateway's part of what all share, 0 to 1. A gateway beyond the told number has none until
    * all count it.
    */
-  public double share() {
-    boolean few = names <= rules.told() && (synced || phase == Phase.ALONE);
-    return phase != Phase.LEAVING && (admitted || few) ? 1.0 / counted() : 0;
+  public double quotaShare() {
+    boolean few = names <= rules.maxMembers() && (synced || phase == Phase.ALONE);
+    return phase != Phase.LEAVING && (admitted || few) ? 1.0 / countedMembers() : 0;
   }
 
   private boolean counts(Peer peer) {
-    return peer.said.standing() != MemberStatus.LEFT
-        || now - peer.changedAt < STILL_COUNTED * rules.period();
+    return peer.said.status() != MemberStatus.LEFT
+        || now - peer.changedAt < STILL_COUNTED * rules.probeIntervalNanos();
   }
 
   /**
@@ -261,12 +259,12 @@
   private void count() {
     names = 1;
     digest = mix(self.name());
-    there = digest;
-    present = 1;
+    presentNames = digest;
+    presentCount = 1;
     for (Peer peer : peers.values()) {
       if (peer.isThere()) {
-        there += peer.mixed;
-        present++;
+        presentNames += peer.mixed;
+        presentCount++;
       }
       if (counts(peer)) {
         names++;
@@ -287,48 +285,48 @@
   // ---- What comes.
 
   /** Another's datagram, checked and decoded. */
-  public void received(long time, GossipMessage message) {
+  public void messageReceived(long time, GossipMessage message) {
     now = time;
-    MemberUpdate from = message.from();
+    MemberUpdate from = message.sender();
     if (phase == Phase.LEAVING || from.name().equals(self.name())) {
       twin(from);
       return;
     }
-    if (now - answersSince > rules.period()) {
+    if (now - answersSince > rules.probeIntervalNanos()) {
       answersSince = now;
       answers = 0;
     }
     boolean first = peers.isEmpty();
     take(from);
-    message.rumours().forEach(this::take);
+    message.updates().forEach(this::take);
     Peer peer = peers.get(from.name());
     if (peer == null) {
       return;
     }
     syncDue = first && !synced ? now : syncDue;
-    peer.names = message.names();
-    differs = message.there() != there;
+    peer.names = message.countedDigest();
+    differs = message.presentDigest() != presentNames;
     boolean heeded =
         message.kind() == Kind.ACK
             || message.kind() == Kind.NACK
             || message.kind() == Kind.PAGE
             || mayAnswer(peer);
-    if (peer.said.birth() != from.birth() && mayAnswer(peer)) {
+    if (peer.said.instanceId() != from.instanceId() && mayAnswer(peer)) {
       // Guards against a start that nobody believes, since its clock went back: it is told what is
       // held of it.
       send(from, Kind.NACK, 0, null, false, List.of(peer.said));
     }
     if (heeded) {
       switch (message.kind()) {
-        case PING -> send(from, Kind.ACK, message.number(), null, false, rumoursFor(peer));
+        case PING -> send(from, Kind.ACK, message.probeNumber(), null, false, rumoursFor(peer));
         case ASK -> help(peer, message);
-        case ACK -> acked(message.number());
+        case ACK -> acked(message.probeNumber());
         case NACK -> {
-          if (probe != null && probe.number == message.number()) {
+          if (probe != null && probe.number == message.probeNumber()) {
             probe.owing = Math.max(0, probe.owing - 1);
           }
         }
-        case SYNC -> page(from, Kind.PAGE, message.number(), message.about());
+        case SYNC -> page(from, Kind.PAGE, message.probeNumber(), message.subject());
         case PAGE -> synced(from, message);
         default -> {}
       }
@@ -338,7 +336,7 @@
 
   /** Guards against floods: what is answered in one period is bounded, to all and to each. */
   private boolean mayAnswer(Peer asker) {
-    if (now - asker.answeredSince > rules.period()) {
+    if (now - asker.answeredSince > rules.probeIntervalNanos()) {
       asker.answeredSince = now;
       asker.answered = 0;
     }
@@ -362,10 +360,10 @@
    */
   private void twin(MemberUpdate from) {
     if (phase != Phase.LEAVING
-        && from.birth() != self.birth()
+        && from.instanceId() != self.instanceId()
         && twins.size() < MOST_TWINS
-        && twins.add(from.birth())) {
-      out.twin(from.address());
+        && twins.add(from.instanceId())) {
+      out.nameConflictDetected(from.address());
     }
   }
 
@@ -381,10 +379,10 @@
   }
 
   private void help(Peer asker, GossipMessage ask) {
-    Peer of = peers.get(ask.about());
+    Peer of = peers.get(ask.subject());
     if (of != null && helping.size() < MOST_HELP) {
       long own = ++number;
-      helping.put(own, new Help(asker.said, ask.number(), now + rules.answer()));
+      helping.put(own, new Help(asker.said, ask.probeNumber(), now + rules.probeTimeoutNanos()));
       send(of.said, Kind.PING, own, null, false, rumoursFor(of));
     }
   }
@@ -395,9 +393,9 @@
       return; // Guards against a saying that could never be refuted.
     }
     if (rumour.name().equals(self.name())) {
-      if (rumour.birth() != self.birth()) {
+      if (rumour.instanceId() != self.instanceId()) {
         outlive(rumour);
-      } else if (rumour.standing() != MemberStatus.ALIVE
+      } else if (rumour.status() != MemberStatus.ALIVE
           && rumour.incarnation() >= self.incarnation()) {
         doubt = Math.min(MOST_DOUBT, doubt + 1);
         refute(rumour.incarnation() + 1);
@@ -413,15 +411,15 @@
         changed(held, null);
       }
     } else if (rumour.beats(held.said)) {
-      MemberStatus before = held.said.standing();
+      MemberStatus before = held.said.status();
       held.said = rumour;
       held.accusers.clear();
       changed(held, before);
-    } else if (rumour.standing() == MemberStatus.SUSPECTED
-        && held.said.standing() == MemberStatus.SUSPECTED
+    } else if (rumour.status() == MemberStatus.SUSPECTED
+        && held.said.status() == MemberStatus.SUSPECTED
         && rumour.incarnation() == held.said.incarnation()
         && held.accusers.size() < CONFIRMED
-        && held.accusers.add(rumour.by())) {
+        && held.accusers.add(rumour.reporter())) {
       // Guards against late word of a crash: each further accuser shortens the suspicion.
       long began = held.until - suspicion(held.accusers.size() - 1);
       held.until = began + suspicion(held.accusers.size());
@@ -433,18 +431,17 @@
   private void outlive(MemberUpdate other) {
     boolean above =
         other.incarnation() > self.incarnation()
-            || (other.incarnation() == self.incarnation()
-                && other.standing() != MemberStatus.ALIVE);
+            || (other.incarnation() == self.incarnation() && other.status() != MemberStatus.ALIVE);
     if (above
-        && (risen.size() < MOST_TWINS || risen.containsKey(other.birth()))
-        && risen.merge(other.birth(), 1, Integer::sum) >= RISES
-        && other.standing() == MemberStatus.ALIVE) {
+        && (risen.size() < MOST_TWINS || risen.containsKey(other.instanceId()))
+        && risen.merge(other.instanceId(), 1, Integer::sum) >= RISES
+        && other.status() == MemberStatus.ALIVE) {
       twin(other); // One that has ended does not rise above what outlived it, but for what is still
       // on its way.
     }
     if (above
         && (refutedAt == Long.MIN_VALUE
-            || now - refutedAt > rules.period() * STOOD
+            || now - refutedAt > rules.probeIntervalNanos() * STOOD
             || twins.isEmpty())) {
       refute(other.incarnation() + 1);
     }
@@ -457,16 +454,16 @@
             self.name(),
             self.address(),
             incarnation,
-            self.birth(),
+            self.instanceId(),
             MemberStatus.ALIVE,
             self.name());
     spreading.put(self.name(), 0);
   }
 
   private void changed(Peer peer, MemberStatus before) {
-    MemberStatus after = peer.said.standing();
+    MemberStatus after = peer.said.status();
     if (after == MemberStatus.SUSPECTED) {
-      peer.accusers.add(peer.said.by());
+      peer.accusers.add(peer.said.reporter());
       peer.until = now + suspicion(peer.accusers.size());
     }
     spreading.put(peer.said.name(), 0);
@@ -474,7 +471,7 @@
       peer.changedAt = now;
       changedAt = now;
       count();
-      out.news(peer.said.name(), after);
+      out.memberStatusChanged(peer.said.name(), after);
     }
   }
 
@@ -485,7 +482,8 @@
   /** How long a suspicion lasts that so many accusers share. */
   private long suspicion(int accusers) {
     double part = Math.log(Math.max(1, accusers)) / Math.log(CONFIRMED);
-    return (long) ((GREATEST - (GREATEST - LEAST) * Math.min(1, part)) * rules.period() * size());
+    return (long)
+        ((GREATEST - (GREATEST - LEAST) * Math.min(1, part)) * rules.probeIntervalNanos() * size());
   }
 
   // ---- What goes.
@@ -500,7 +498,17 @@
     out.send(
         to.address(),
         new GossipMessage(
-            kind, self, to.birth(), ++serial, number, digest, there, about, more, synced, rumours));
+            kind,
+            self,
+            to.instanceId(),
+            ++serial,
+            number,
+            digest,
+            presentNames,
+            about,
+            more,
+            synced,
+            rumours));
   }
 
   /**
@@ -509,14 +517,14 @@
    */
   private List<MemberUpdate> rumoursFor(Peer to) {
     List<MemberUpdate> some = new ArrayList<>();
-    if (to != null && to.said.standing() != MemberStatus.ALIVE) {
+    if (to != null && to.said.status() != MemberStatus.ALIVE) {
       some.add(to.said);
     }
     int often = SPREAD * (32 - Integer.numberOfLeadingZeros(names));
     List<Map.Entry<String, Integer>> least = new ArrayList<>(spreading.entrySet());
     least.sort(Map.Entry.comparingByValue());
     for (Map.Entry<String, Integer> entry : least) {
-      if (some.size() == rules.rumours()) {
+      if (some.size() == rules.maxUpdatesPerMessage()) {
         break;
       }
       Peer about = peers.get(entry.getKey());
@@ -535,7 +543,7 @@
     List<MemberUpdate> some = new ArrayList<>();
     boolean more = false;
     for (Peer peer : peers.tailMap(after == null ? "" : after, false).values()) {
-      more = some.size() == rules.rumours();
+      more = some.size() == rules.maxUpdatesPerMessage();
       if (more) {
         break;
       }
@@ -549,18 +557,18 @@
    * answers a period, and while all hold the same, one stretch each few periods is enough.
    */
   private void synced(MemberUpdate from, GossipMessage page) {
-    if (page.number() != chain || !Objects.equals(page.about(), cursor)) {
+    if (page.probeNumber() != chain || !Objects.equals(page.subject(), cursor)) {
       return;
     }
-    chainWhole &= page.whole();
-    if (page.more()) {
-      cursor = page.rumours().get(page.rumours().size() - 1).name();
+    chainWhole &= page.fullySynced();
+    if (page.hasMore()) {
+      cursor = page.updates().get(page.updates().size() - 1).name();
       if (!synced || differs) {
         page(from, Kind.SYNC, chain, cursor);
       }
     } else {
       // Guards against a whole list from one that has just started itself, unless all have.
-      synced |= chainWhole || now - startedAt > ALONE_AFTER * rules.period();
+      synced |= chainWhole || now - startedAt > ALONE_AFTER * rules.probeIntervalNanos();
       cursor = null;
       chainWhole = true;
     }
@@ -585,10 +593,10 @@
     if (phase == Phase.LEAVING) {
       return;
     }
-    if (passed > STOOD * rules.period()) {
+    if (passed > STOOD * rules.probeIntervalNanos()) {
       stood(passed);
     }
-    long patience = rules.answer() * (1 + doubt);
+    long patience = rules.probeTimeoutNanos() * (1 + doubt);
     judge(patience);
     helping
         .entrySet()
@@ -608,7 +616,7 @@
               return over;
             });
     for (Peer peer : peers.values()) {
-      if (peer.said.standing() == MemberStatus.SUSPECTED && now >= peer.until) {
+      if (peer.said.status() == MemberStatus.SUSPECTED && now >= peer.until) {
         say(peer, MemberStatus.LOST);
       }
     }
@@ -620,8 +628,11 @@
       sync();
     }
     if (now >= tryDue) {
-      tryDue = now + TRY_LOST * rules.period() / 2 + chance.nextLong(TRY_LOST * rules.period());
-      Peer lost = any(one -> one.said.standing() == MemberStatus.LOST);
+      tryDue =
+          now
+              + TRY_LOST * rules.probeIntervalNanos() / 2
+              + chance.nextLong(TRY_LOST * rules.probeIntervalNanos());
+      Peer lost = any(one -> one.said.status() == MemberStatus.LOST);
       if (lost != null) {
         page(lost.said, Kind.SYNC, ++number, null);
         send(lost.said, Kind.PING, ++number, null, false, rumoursFor(lost));
@@ -640,8 +651,8 @@
         .values()
         .removeIf(
             one ->
-                one.said.standing() == MemberStatus.LEFT
-                    && now - one.changedAt > REMEMBERED * rules.period())) {
+                one.said.status() == MemberStatus.LEFT
+                    && now - one.changedAt > REMEMBERED * rules.probeIntervalNanos())) {
       order.removeIf(one -> peers.get(one.said.name()) != one);
       at = Math.min(at, order.size());
     }
@@ -673,7 +684,7 @@
       probe.asked = true;
       Peer of = probe.of;
       for (int one = 0; one < HELPERS; one++) {
-        Peer helper = any(each -> each != of && each.said.standing() == MemberStatus.ALIVE);
+        Peer helper = any(each -> each != of && each.said.status() == MemberStatus.ALIVE);
         if (helper != null) {
           probe.owing++;
           send(helper.said, Kind.ASK, probe.number, of.said.name(), false, List.of());
@@ -684,15 +695,15 @@
       // Nobody that was asked says a word: it may be this gateway that hears nothing.
       doubt = probe.owing > 0 ? Math.min(MOST_DOUBT, doubt + 1) : doubt;
       probe = null;
-      if (of.said.standing() == MemberStatus.ALIVE) {
+      if (of.said.status() == MemberStatus.ALIVE) {
         say(of, MemberStatus.SUSPECTED);
-      } else if (of.said.standing() == MemberStatus.SUSPECTED) {
+      } else if (of.said.status() == MemberStatus.SUSPECTED) {
         take(
             new MemberUpdate(
                 of.said.name(),
                 of.said.address(),
                 of.said.incarnation(),
-                of.said.birth(),
+                of.said.instanceId(),
                 MemberStatus.SUSPECTED,
                 self.name()));
       }
@@ -705,7 +716,7 @@
             of.said.name(),
             of.said.address(),
             of.said.incarnation(),
-            of.said.birth(),
+            of.said.instanceId(),
             standing,
             self.name()));
   }
@@ -715,7 +726,7 @@
    * hear of a crash.
    */
   private void probeNext() {
-    probeDue = now + rules.period();
+    probeDue = now + rules.probeIntervalNanos();
     for (int tried = 0; tried < order.size(); tried++) {
       if (at >= order.size()) {
         at = 0;
@@ -736,7 +747,8 @@
   }
 
   private void sync() {
-    long every = synced && !differs ? SYNC_EVERY * rules.period() : rules.period();
+    long every =
+        synced && !differs ? SYNC_EVERY * rules.probeIntervalNanos() : rules.probeIntervalNanos();
     syncDue = now + every / 2 + chance.nextLong(every);
     Peer with = any(Peer::isThere);
     int oneIn =
@@ -782,15 +794,16 @@
 
   private void settle() {
     boolean suspects =
-        peers.values().stream().anyMatch(one -> one.said.standing() == MemberStatus.SUSPECTED);
-    if (present == 1 && names == 1) {
-      boolean waited = phase == Phase.ALONE || now - startedAt > ALONE_AFTER * rules.period();
+        peers.values().stream().anyMatch(one -> one.said.status() == MemberStatus.SUSPECTED);
+    if (presentCount == 1 && names == 1) {
+      boolean waited =
+          phase == Phase.ALONE || now - startedAt > ALONE_AFTER * rules.probeIntervalNanos();
       enter(waited ? Phase.ALONE : Phase.JOINING);
-    } else if (2 * present <= names) {
+    } else if (2 * presentCount <= names) {
       enter(Phase.CUT_OFF);
     } else {
       enter(
-          synced && !suspects && now - changedAt > QUIET * rules.period()
+          synced && !suspects && now - changedAt > QUIET * rules.probeIntervalNanos()
               ? Phase.SETTLED
               : Phase.SETTLING);
     }
@@ -800,7 +813,7 @@
     if (next != phase) {
       Phase before = phase;
       phase = next;
-      out.phase(before, next);
+      out.phaseChanged(before, next);
     }
   }
 
@@ -818,7 +831,7 @@
             self.name(),
             self.address(),
             self.incarnation(),
-            self.birth(),
+            self.instanceId(),
             MemberStatus.LEFT,
             self.name());
     List<Peer> some = new ArrayList<>(peers.values().stream().filter(Peer::isThere).toList());
@@ -831,7 +844,7 @@
   public boolean forget(long time, String name) {
     now = time;
     Peer peer = peers.get(name);
-    boolean lost = peer != null && peer.said.standing() == MemberStatus.LOST;
+    boolean lost = peer != null && peer.said.status() == MemberStatus.LOST;
     if (lost) {
       say(peer, MemberStatus.LEFT);
     }
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -14,15 +14,15 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * Where operators ask a gateway for its view, on loopback: GET {@value #VIEW}, POST {@value
- * #FORGET}NAME; and for the tasks that it owns: GET {@value #TASKS}, POST {@value #RELEASE}TASK.
- * Bounds: {@value #MOST} connections at a time, which are closed when idle.
+ * Where operators ask a gateway for its view, on loopback: GET {@value #MEMBERS_PATH}, POST {@value
+ * #FORGET_PATH}NAME; and for the tasks that it owns: GET {@value #TASKS_PATH}, POST {@value
+ * #RELEASE_PATH}TASK. Bounds: {@value #MOST} connections at a time, which are closed when idle.
  */
 public final class AdminEndpoint {
-  public static final String VIEW = "/fleet",
-      FORGET = "/fleet/forget/",
-      TASKS = "/owner",
-      RELEASE = "/owner/release/";
+  public static final String MEMBERS_PATH = "/fleet",
+      FORGET_PATH = "/fleet/forget/",
+      TASKS_PATH = "/owner",
+      RELEASE_PATH = "/owner/release/";
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
   private static final int MOST = 8, IDLE_S = 10, LONGEST_LINE = 512, LONGEST_HEADERS = 4096;
   private static final long MS = 1_000_000;
@@ -69,20 +69,22 @@
     String path = request.path();
     if (view == null) {
       request.response().setStatusCode(503).end();
-    } else if (request.method().equals(HttpMethod.GET) && path.equals(VIEW)) {
+    } else if (request.method().equals(HttpMethod.GET) && path.equals(MEMBERS_PATH)) {
       request.response().putHeader("Content-Type", "application/json").end(json(view).toBuffer());
-    } else if (request.method().equals(HttpMethod.POST) && path.startsWith(FORGET)) {
-      boolean forgotten = view.forget(company.now(), path.substring(FORGET.length()));
+    } else if (request.method().equals(HttpMethod.POST) && path.startsWith(FORGET_PATH)) {
+      boolean forgotten = view.forget(company.nowNanos(), path.substring(FORGET_PATH.length()));
       request.response().setStatusCode(forgotten ? 200 : 409).end();
-    } else if (guest != null && request.method().equals(HttpMethod.GET) && path.equals(TASKS)) {
+    } else if (guest != null
+        && request.method().equals(HttpMethod.GET)
+        && path.equals(TASKS_PATH)) {
       request
           .response()
           .putHeader("Content-Type", "application/json")
-          .end(guest.page(company.now()).toBuffer());
+          .end(guest.status(company.nowNanos()).toBuffer());
     } else if (guest != null
         && request.method().equals(HttpMethod.POST)
-        && path.startsWith(RELEASE)) {
-      boolean released = guest.release(company.now(), path.substring(RELEASE.length()));
+        && path.startsWith(RELEASE_PATH)) {
+      boolean released = guest.release(company.nowNanos(), path.substring(RELEASE_PATH.length()));
       request.response().setStatusCode(released ? 200 : 409).end();
     } else {
       request.response().setStatusCode(404).end();
@@ -91,15 +93,15 @@
 
   private JsonObject json(SwimProtocol view) {
     JsonArray others = new JsonArray();
-    long now = company.now();
-    for (SwimProtocol.Seen one : view.others()) {
+    long now = company.nowNanos();
+    for (SwimProtocol.ObservedMember one : view.otherMembers()) {
       others.add(
           new JsonObject()
-              .put("name", one.said().name())
-              .put("address", one.said().address())
-              .put("standing", low(one.said().standing()))
-              .put("incarnation", one.said().incarnation())
-              .put("since_ms", (now - one.since()) / MS));
+              .put("name", one.update().name())
+              .put("address", one.update().address())
+              .put("standing", low(one.update().status()))
+              .put("incarnation", one.update().incarnation())
+              .put("since_ms", (now - one.sinceNanos()) / MS));
     }
     JsonObject counts = new JsonObject();
     company.counts().forEach((what, many) -> counts.put(low(what), many));
@@ -107,10 +109,10 @@
         .put("name", view.self().name())
         .put("fleet", company.fleet())
         .put("phase", low(view.phase()))
-        .put("there", view.present())
-        .put("told", company.rules().told())
-        .put("counted", view.counted())
-        .put("part", view.share())
+        .put("there", view.presentCount())
+        .put("told", company.timings().maxMembers())
+        .put("counted", view.countedMembers())
+        .put("part", view.quotaShare())
         .put("address", view.self().address())
         .put("incarnation", view.self().incarnation())
         .put("gateways", others)
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -31,12 +31,12 @@
 
   /** Something that one gateway writes to another by way of the fleet's datagrams. */
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
-  public record Letter(MemberUpdate from, long to, long serial, byte[] body) {}
+  public record UserMessage(MemberUpdate from, long to, long serial, byte[] body) {}
 
   /** What came of one: a message, a letter, or what is wrong with it. */
-  public record Read(GossipMessage message, Letter letter, Fault fault) {}
+  public record DecodedDatagram(GossipMessage message, UserMessage letter, Fault fault) {}
 
-  public static final int LONGEST = 1400, LONGEST_LETTER = 1000;
+  public static final int MAX_DATAGRAM_BYTES = 1400, MAX_PAYLOAD_BYTES = 1000;
   static final String NAME = "[A-Za-z0-9._-]{1,32}";
   private static final String ADDRESS = "[0-9.]{7,15}:[0-9]{1,5}";
   private static final int VERSION = 1, MORE = 1, WHOLE = 2;
@@ -54,25 +54,25 @@
   }
 
   /** A datagram of this message, signed. */
-  public byte[] write(GossipMessage message, HmacKeyring keys) {
+  public byte[] encode(GossipMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packString(fleet).packString(keys.first());
       out.packInt(message.kind().ordinal())
-          .packLong(message.to())
-          .packLong(message.serial())
-          .packLong(message.number())
-          .packLong(message.names())
-          .packLong(message.there());
-      if (message.about() == null) {
+          .packLong(message.recipientInstanceId())
+          .packLong(message.sequenceNumber())
+          .packLong(message.probeNumber())
+          .packLong(message.countedDigest())
+          .packLong(message.presentDigest());
+      if (message.subject() == null) {
         out.packNil();
       } else {
-        out.packString(message.about());
+        out.packString(message.subject());
       }
-      out.packInt((message.more() ? MORE : 0) + (message.whole() ? WHOLE : 0));
-      out.packArrayHeader(message.rumours().size());
-      write(out, message.from());
-      for (MemberUpdate rumour : message.rumours()) {
-        write(out, rumour);
+      out.packInt((message.hasMore() ? MORE : 0) + (message.fullySynced() ? WHOLE : 0));
+      out.packArrayHeader(message.updates().size());
+      encode(out, message.sender());
+      for (MemberUpdate rumour : message.updates()) {
+        encode(out, rumour);
       }
       return signed(out.toByteArray(), keys);
     } catch (IOException e) {
@@ -81,11 +81,11 @@
   }
 
   /** A datagram of this letter, signed. */
-  public byte[] write(Letter letter, HmacKeyring keys) {
+  public byte[] encode(UserMessage letter, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packInt(VERSION).packString(fleet).packString(keys.first());
       out.packInt(LETTER).packLong(letter.to()).packLong(letter.serial());
-      write(out, letter.from());
+      encode(out, letter.from());
       out.packBinaryHeader(letter.body().length).writePayload(letter.body());
       return signed(out.toByteArray(), keys);
     } catch (IOException e) {
@@ -99,52 +99,52 @@
     return whole;
   }
 
-  private static void write(MessageBufferPacker out, MemberUpdate rumour) throws IOException {
+  private static void encode(MessageBufferPacker out, MemberUpdate rumour) throws IOException {
     out.packString(rumour.name())
         .packString(rumour.address())
         .packLong(rumour.incarnation())
-        .packLong(rumour.birth())
-        .packInt(rumour.standing().ordinal())
-        .packString(rumour.by());
+        .packLong(rumour.instanceId())
+        .packInt(rumour.status().ordinal())
+        .packString(rumour.reporter());
   }
 
   /** What a datagram says, if it is whole, of this fleet and proved. */
-  public Read read(byte[] bytes, HmacKeyring keys) {
+  public DecodedDatagram decode(byte[] bytes, HmacKeyring keys) {
     int length = bytes.length - HmacKeyring.LENGTH;
-    if (length <= 0 || bytes.length > LONGEST) {
-      return new Read(null, null, Fault.UNREADABLE);
+    if (length <= 0 || bytes.length > MAX_DATAGRAM_BYTES) {
+      return new DecodedDatagram(null, null, Fault.UNREADABLE);
     }
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
       if (in.unpackInt() != VERSION) {
-        return new Read(null, null, Fault.OTHER_VERSION);
+        return new DecodedDatagram(null, null, Fault.OTHER_VERSION);
       }
       if (!in.unpackString().equals(fleet)) {
-        return new Read(null, null, Fault.OTHER_FLEET);
+        return new DecodedDatagram(null, null, Fault.OTHER_FLEET);
       }
       String key = in.unpackString();
       if (!keys.knows(key)) {
-        return new Read(null, null, Fault.OTHER_KEY);
+        return new DecodedDatagram(null, null, Fault.OTHER_KEY);
       }
       if (!keys.proves(key, bytes)) {
-        return new Read(null, null, Fault.FORGED);
+        return new DecodedDatagram(null, null, Fault.FORGED);
       }
       int kind = below(in.unpackInt(), KINDS.length + 1);
       return kind == LETTER
-          ? new Read(null, letter(in), null)
-          : new Read(message(KINDS[kind], in), null, null);
+          ? new DecodedDatagram(null, letter(in), null)
+          : new DecodedDatagram(message(KINDS[kind], in), null, null);
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
-      return new Read(null, null, Fault.UNREADABLE);
+      return new DecodedDatagram(null, null, Fault.UNREADABLE);
     }
   }
 
-  private static Letter letter(MessageUnpacker in) throws IOException {
+  private static UserMessage letter(MessageUnpacker in) throws IOException {
     long to = in.unpackLong(), serial = in.unpackLong();
     MemberUpdate from = rumour(in);
-    byte[] body = in.readPayload(below(in.unpackBinaryHeader(), LONGEST_LETTER + 1));
+    byte[] body = in.readPayload(below(in.unpackBinaryHeader(), MAX_PAYLOAD_BYTES + 1));
     if (in.hasNext() || serial <= 0) {
       throw new IllegalArgumentException();
     }
-    return new Letter(from, to, serial, body);
+    return new UserMessage(from, to, serial, body);
   }
 
   private GossipMessage message(GossipMessage.Kind kind, MessageUnpacker in) throws IOException {
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -10,37 +10,37 @@
  */
 public interface FleetMessageHandler {
   /** Makes the guest of one gateway. */
-  interface Maker {
-    FleetMessageHandler make(Vertx vertx, MembershipService company);
+  interface Factory {
+    FleetMessageHandler create(Vertx vertx, MembershipService company);
   }
 
   /** The fleet's view has begun. */
-  void begin(long now);
+  void membershipStarted(long now);
 
   /** Several times a period. */
   void tick(long now);
 
   /** A letter from one of the fleet, proved and new. */
-  void letter(long now, String from, byte[] body);
+  void messageReceived(long now, String from, byte[] body);
 
   /** How an edge cache is, as far as this gateway's decisions see it. */
-  void health(long now, String cache, EndpointHealthStatus health);
+  void endpointHealthChanged(long now, String cache, EndpointHealthStatus health);
 
   /** An edge cache has just started, and bears less than all until this time. */
-  void cold(long now, String cache, long until);
+  void endpointWarmingUp(long now, String cache, long until);
 
   /** SIGHUP came: files may hold something else now. */
-  void renewed();
+  void settingsReloaded();
 
   /** The gateway has been told to end. */
-  void draining(long now);
+  void drainStarted(long now);
 
   /** What operators see of it. */
-  JsonObject page(long now);
+  JsonObject status(long now);
 
   /** Lets something go that goes by this name; whether it was there to be let go. */
   boolean release(long now, String name);
 
   /** The gateway ends. */
-  void leave(long now);
+  void close(long now);
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -29,7 +29,7 @@
  *
  * <p>Bounds: what {@link ReplayFilter} lets be looked at; {@value #MOST_LINES} log lines a second.
  */
-public final class MembershipService implements FleetCoordinator, SwimProtocol.Out {
+public final class MembershipService implements FleetCoordinator, SwimProtocol.Output {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
   private static final int TICKS = 5, MOST_LINES = 5;
   private static final long MS = 1_000_000, SECOND = 1000 * MS;
@@ -53,7 +53,7 @@
   private final MembershipSettings access;
   private final GatewayOptions options;
   private final FleetCallbacks callbacks;
-  private final SwimTimings rules;
+  private final SwimTimings timings;
   private final DatagramCodec form;
   private final AdminEndpoint desk;
   private final FleetMessageHandler guest;
@@ -74,18 +74,20 @@
       MembershipSettings access,
       GatewayOptions options,
       FleetCallbacks callbacks,
-      FleetMessageHandler.Maker guests) {
+      FleetMessageHandler.Factory guests) {
     this.vertx = vertx;
     this.access = access;
     this.options = options;
     this.callbacks = callbacks;
-    rules =
-        SwimTimings.every(
-            access.told() == 0 ? Math.max(1, options.site().gateways()) : access.told(),
-            access.period());
-    form = new DatagramCodec(access.fleet(), rules.rumours());
-    guest = guests == null ? null : guests.make(vertx, this);
-    desk = access.operators() == null ? null : new AdminEndpoint(vertx, this, guest);
+    timings =
+        SwimTimings.withProbeInterval(
+            access.maxMembers() == 0
+                ? Math.max(1, options.routingConfig().gateways())
+                : access.maxMembers(),
+            access.probeIntervalNanos());
+    form = new DatagramCodec(access.fleet(), timings.maxUpdatesPerMessage());
+    guest = guests == null ? null : guests.create(vertx, this);
+    desk = access.adminAddress() == null ? null : new AdminEndpoint(vertx, this, guest);
     for (Count one : Count.values()) {
       counts.put(one, 0L);
     }
@@ -98,7 +100,7 @@
           "PROXY_NAME: with [fleet] 1 to 32 letters, digits, ._- and not " + options.name());
     }
     return vertx
-        .executeBlocking(() -> HmacKeyring.read(access.key()))
+        .executeBlocking(() -> HmacKeyring.read(access.keyFile()))
         .compose(
             read -> {
               keys = read;
@@ -109,7 +111,7 @@
             up -> {
               String own = access.listen().hostAddress() + ":" + up.localAddress().port();
               begin(access.advertised() == null ? own : text(access.advertised()), own);
-              return desk == null ? Future.succeededFuture() : desk.listen(access.operators());
+              return desk == null ? Future.succeededFuture() : desk.listen(access.adminAddress());
             })
         .recover(
             e ->
@@ -123,17 +125,17 @@
   }
 
   private void begin(String address, String own) {
-    long now = clock.now(), birth = new SecureRandom().nextLong();
+    long now = clock.nowNanos(), birth = new SecureRandom().nextLong();
     MemberUpdate self =
         new MemberUpdate(
             options.name(), address, now / SECOND, birth, MemberStatus.ALIVE, options.name());
-    door = new ReplayFilter(birth, rules.period(), now);
+    door = new ReplayFilter(birth, timings.probeIntervalNanos(), now);
     view =
         new SwimProtocol(
-            rules,
+            timings,
             self,
             access.seeds().stream().map(MembershipService::text).toList(),
-            options.site().seed() ^ birth,
+            options.routingConfig().seed() ^ birth,
             now,
             this);
     LOG.info(
@@ -147,21 +149,21 @@
             + ", told as "
             + address
             + ", at most "
-            + rules.told()
+            + timings.maxMembers()
             + " gateways");
     socket.handler(packet -> come(packet.data()));
     socket.exceptionHandler(e -> add(Count.NOT_SENT));
     timer =
         vertx.setPeriodic(
-            Math.max(1, rules.period() / TICKS / MS),
+            Math.max(1, timings.probeIntervalNanos() / TICKS / MS),
             tick -> {
-              view.tick(clock.now());
+              view.tick(clock.nowNanos());
               share();
               if (guest != null) {
-                guest.tick(clock.now());
+                guest.tick(clock.nowNanos());
               }
-              if (clock.now() - linesSince > SECOND) {
-                linesSince = clock.now();
+              if (clock.nowNanos() - linesSince > SECOND) {
+                linesSince = clock.nowNanos();
                 lines = 0;
                 if (unsaid > 0) {
                   LOG.info(options.name() + ": fleet: " + unsaid + " changes more");
@@ -171,34 +173,34 @@
             });
     share();
     if (guest != null) {
-      guest.begin(now);
+      guest.membershipStarted(now);
     }
   }
 
   private void come(Buffer data) {
-    long now = clock.now();
-    if (!door.mayLook(now)) {
+    long now = clock.nowNanos();
+    if (!door.tryExamine(now)) {
       add(Count.TOO_MANY);
       return;
     }
-    DatagramCodec.Read read = form.read(data.getBytes(), keys);
+    DatagramCodec.DecodedDatagram read = form.decode(data.getBytes(), keys);
     if (read.fault() != null) {
       add(Count.valueOf(read.fault().name()));
       return;
     }
     GossipMessage message = read.message();
-    DatagramCodec.Letter letter = read.letter();
+    DatagramCodec.UserMessage letter = read.letter();
     ReplayFilter.Verdict verdict =
         letter == null
-            ? door.judge(now, message)
-            : door.judge(now, letter.from().birth(), letter.to(), letter.serial());
+            ? door.check(now, message)
+            : door.check(now, letter.from().instanceId(), letter.to(), letter.serial());
     add(Count.valueOf(verdict.name()));
     if (verdict == ReplayFilter.Verdict.GREETED) {
-      view.greet(now, letter == null ? message.from() : letter.from());
+      view.greet(now, letter == null ? message.sender() : letter.from());
     } else if (verdict == ReplayFilter.Verdict.TAKEN && letter == null) {
-      view.received(now, message);
+      view.messageReceived(now, message);
     } else if (verdict == ReplayFilter.Verdict.TAKEN && guest != null) {
-      guest.letter(now, letter.from().name(), letter.body());
+      guest.messageReceived(now, letter.from().name(), letter.body());
     }
     share();
   }
@@ -207,20 +209,22 @@
    * Sends a letter to a gateway that is there; whether it is. It may be lost on the way, as any
    * datagram.
    */
-  public boolean post(String to, byte[] body) {
+  public boolean sendMessage(String to, byte[] body) {
     MemberUpdate peer = view.find(to);
-    if (peer != null && body.length <= DatagramCodec.LONGEST_LETTER) {
+    if (peer != null && body.length <= DatagramCodec.MAX_PAYLOAD_BYTES) {
       send(
           peer.address(),
-          form.write(
-              new DatagramCodec.Letter(view.self(), peer.birth(), view.stamp(), body), keys));
+          form.encode(
+              new DatagramCodec.UserMessage(
+                  view.self(), peer.instanceId(), view.nextSequenceNumber(), body),
+              keys));
     }
     return peer != null;
   }
 
   /** For chance: another in each process. */
   public long seed() {
-    return options.site().seed() ^ view.self().birth();
+    return options.routingConfig().seed() ^ view.self().instanceId();
   }
 
   /** This gateway's name. */
@@ -229,8 +233,8 @@
   }
 
   /** All that are there, by name. */
-  public List<String> there() {
-    return view.there();
+  public List<String> presentNames() {
+    return view.presentNames();
   }
 
   /** What a guest may tell the gateway's decisions, and ask of it. */
@@ -239,8 +243,8 @@
   }
 
   /** Unix nanoseconds that only go forward. */
-  public long now() {
-    return clock.now();
+  public long nowNanos() {
+    return clock.nowNanos();
   }
 
   private void add(Count what) {
@@ -249,9 +253,9 @@
 
   /** Tells the decisions once it is another. */
   private void share() {
-    if (view.counted() != told || view.share() != part) {
-      told = view.counted();
-      part = view.share();
+    if (view.countedMembers() != told || view.quotaShare() != part) {
+      told = view.countedMembers();
+      part = view.quotaShare();
       say(
           options.name()
               + ": fleet: "
@@ -270,7 +274,7 @@
 
   @Override
   public void send(String address, GossipMessage message) {
-    send(address, form.write(message, keys));
+    send(address, form.encode(message, keys));
   }
 
   private void send(String address, byte[] bytes) {
@@ -284,38 +288,38 @@
   }
 
   @Override
-  public void news(String name, MemberStatus standing) {
+  public void memberStatusChanged(String name, MemberStatus standing) {
     say(options.name() + ": fleet: " + name + " " + standing);
   }
 
   @Override
-  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+  public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
     say(options.name() + ": fleet: " + from + " -> " + to);
   }
 
   @Override
-  public void twin(String address) {
+  public void nameConflictDetected(String address) {
     LOG.warning(options.name() + ": fleet: another process goes by this name at " + address);
   }
 
   @Override
   public void endpointHealthChanged(String cache, EndpointHealthStatus health) {
     if (guest != null && timer >= 0) {
-      guest.health(clock.now(), cache, health);
+      guest.endpointHealthChanged(clock.nowNanos(), cache, health);
     }
   }
 
   @Override
   public void endpointWarmingUp(String cache, long until) {
     if (guest != null && timer >= 0) {
-      guest.cold(clock.now(), cache, until);
+      guest.endpointWarmingUp(clock.nowNanos(), cache, until);
     }
   }
 
   @Override
   public void beginDraining() {
     if (guest != null && timer >= 0) {
-      guest.draining(clock.now());
+      guest.drainStarted(clock.nowNanos());
     }
   }
 
@@ -323,10 +327,10 @@
   @Override
   public void reload() {
     if (guest != null && timer >= 0) {
-      guest.renewed();
+      guest.settingsReloaded();
     }
     vertx
-        .executeBlocking(() -> HmacKeyring.read(access.key()))
+        .executeBlocking(() -> HmacKeyring.read(access.keyFile()))
         .onSuccess(
             read -> {
               keys = read;
@@ -345,9 +349,9 @@
     }
     vertx.cancelTimer(timer);
     if (guest != null) {
-      guest.leave(clock.now());
+      guest.close(clock.nowNanos());
     }
-    view.leave(clock.now());
+    view.leave(clock.nowNanos());
     return lastSent.eventually(socket::close).otherwiseEmpty();
   }
 
@@ -362,8 +366,8 @@
     return counts;
   }
 
-  SwimTimings rules() {
-    return rules;
+  SwimTimings timings() {
+    return timings;
   }
 
   String fleet() {
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -11,17 +11,17 @@
  * @param listen where datagrams come; port 0 takes a free one
  * @param advertised what others are told in its place; null for the same
  * @param seeds addresses of which any may answer at a start
- * @param told the most gateways that may run at once; 0 for the site's own number
- * @param period between two probes
- * @param key a file of lines "ID HEX": the first signs, each is believed
- * @param operators where operators may ask, on loopback; null for nowhere
+ * @param maxMembers the most gateways that may run at once; 0 for the site's own number
+ * @param probeIntervalNanos between two probes
+ * @param keyFile a file of lines "ID HEX": the first signs, each is believed
+ * @param adminAddress where operators may ask, on loopback; null for nowhere
  */
 public record MembershipSettings(
     String fleet,
     SocketAddress listen,
     SocketAddress advertised,
     List<SocketAddress> seeds,
-    int told,
-    long period,
-    Path key,
-    SocketAddress operators) {}
+    int maxMembers,
+    long probeIntervalNanos,
+    Path keyFile,
+    SocketAddress adminAddress) {}
--- a/membership/src/test/java/org/amberpath/membership/FleetClockTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FleetClockTest.java
@@ -13,7 +13,7 @@
  * Wall clocks that stepped before a start: an incarnation begins with one, and is believed and
  * outlived anyhow.
  */
-class FleetClockTest implements SwimProtocol.Out {
+class FleetClockTest implements SwimProtocol.Output {
   private static final long SECOND = 1_000_000_000, NOW_S = 1_700_000_000L;
 
   private final List<GossipMessage> sent = new ArrayList<>();
@@ -30,7 +30,7 @@
     long now = NOW_S * SECOND;
     SwimProtocol view =
         new SwimProtocol(
-            SwimTimings.usual(2),
+            SwimTimings.defaults(2),
             saying("me", NOW_S, 1, MemberStatus.ALIVE),
             List.of("at-seed"),
             7,
@@ -38,7 +38,7 @@
             this);
     // Another's clock is off; the fleet remembers this name's last start under such a clock, and
     // holds it for lost.
-    view.received(
+    view.messageReceived(
         now,
         new GossipMessage(
             Kind.PING,
@@ -52,8 +52,8 @@
             false,
             true,
             List.of(saying("me", NOW_S + step, 3, MemberStatus.LOST))));
-    assertEquals(MemberStatus.ALIVE, view.standing("other"));
-    MemberUpdate self = sent.get(sent.size() - 1).from();
+    assertEquals(MemberStatus.ALIVE, view.statusOf("other"));
+    MemberUpdate self = sent.get(sent.size() - 1).sender();
     assertEquals(Math.max(NOW_S, NOW_S + step + 1), self.incarnation());
     assertTrue(twins.isEmpty());
   }
@@ -64,13 +64,13 @@
   }
 
   @Override
-  public void news(String name, MemberStatus standing) {}
+  public void memberStatusChanged(String name, MemberStatus standing) {}
 
   @Override
-  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
+  public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
 
   @Override
-  public void twin(String address) {
+  public void nameConflictDetected(String address) {
     twins.add(address);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -30,7 +30,7 @@
   }
 
   private Verdict comes(long now, long birth, long to, long serial) {
-    return door.judge(now, from(birth, to, serial));
+    return door.check(now, from(birth, to, serial));
   }
 
   @Test
@@ -70,13 +70,13 @@
   void strangersAreLookedAtAndGreetedUpToABound() {
     int looked = 0, greeted = 0;
     for (int one = 0; one < 5000; one++) {
-      looked += door.mayLook(0) ? 1 : 0;
+      looked += door.tryExamine(0) ? 1 : 0;
       greeted += comes(0, one, 0, 1) == Verdict.GREETED ? 1 : 0;
     }
     assertEquals(2000, looked);
     assertEquals(8, greeted);
-    assertFalse(door.mayLook(PERIOD));
-    assertTrue(door.mayLook(PERIOD + 1));
+    assertFalse(door.tryExamine(PERIOD));
+    assertTrue(door.tryExamine(PERIOD + 1));
     assertEquals(Verdict.GREETED, comes(PERIOD + 1, 1, 0, 1));
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Stories of one gateway's view, told datagrams by hand. */
-class SwimProtocolTest implements SwimProtocol.Out {
+class SwimProtocolTest implements SwimProtocol.Output {
   private static final long MS = 1_000_000, PERIOD = 500 * MS;
 
   private record Sent(String to, GossipMessage message) {}
@@ -24,7 +24,7 @@
 
   private SwimProtocol view(int told) {
     return new SwimProtocol(
-        SwimTimings.usual(told),
+        SwimTimings.defaults(told),
         saying("me", 5, MemberStatus.ALIVE),
         List.of("at-me", "at-seed"),
         7,
@@ -37,7 +37,7 @@
   }
 
   private void comes(Kind kind, String from, long number, boolean whole, MemberUpdate... rumours) {
-    view.received(
+    view.messageReceived(
         now,
         new GossipMessage(
             kind,
@@ -58,7 +58,7 @@
     if (last(Kind.SYNC) == null) {
       view.tick(now);
     }
-    comes(Kind.PAGE, from, last(Kind.SYNC).number(), whole, rumours);
+    comes(Kind.PAGE, from, last(Kind.SYNC).probeNumber(), whole, rumours);
   }
 
   private void pass(long time) {
@@ -80,20 +80,20 @@
   void aSeedThatIsItselfIsNotAsked() {
     pass(3 * PERIOD);
     assertTrue(sent.stream().allMatch(one -> one.to().equals("at-seed")));
-    assertEquals(0, view.share());
+    assertEquals(0, view.quotaShare());
   }
 
   @Test
   void aListThatNobodyAskedForIsNotWhole() {
     view.tick(now);
     comes(Kind.PAGE, "other", 99, true);
-    assertEquals(0, view.share());
+    assertEquals(0, view.quotaShare());
   }
 
   @Test
   void aListGoesOnWhereItEndedAndWhileViewsDiffer() {
     view.tick(now);
-    long number = last(Kind.SYNC).number();
+    long number = last(Kind.SYNC).probeNumber();
     GossipMessage more =
         new GossipMessage(
             Kind.PAGE,
@@ -107,13 +107,13 @@
             true,
             true,
             List.of(saying("third", 1, MemberStatus.ALIVE)));
-    view.received(now, more);
+    view.messageReceived(now, more);
     assertEquals(
-        "third", last(Kind.SYNC).about(), "asked on at once, since the list is not whole yet");
+        "third", last(Kind.SYNC).subject(), "asked on at once, since the list is not whole yet");
     sent.clear();
     pass(3 * PERIOD);
     assertTrue(
-        sent.stream().anyMatch(one -> "third".equals(one.message().about())),
+        sent.stream().anyMatch(one -> "third".equals(one.message().subject())),
         "the rest was lost: it is asked for again, and not the whole");
   }
 
@@ -121,15 +121,15 @@
   void whoHearsNobodyServesAsBefore() {
     pass(12 * PERIOD);
     assertEquals(SwimProtocol.Phase.ALONE, view.phase());
-    assertEquals(0.5, view.share());
+    assertEquals(0.5, view.quotaShare());
   }
 
   @Test
   void aListFromOneThatHasJustStartedIsNotWhole() {
     lists("other", false);
-    assertEquals(0, view.share());
+    assertEquals(0, view.quotaShare());
     lists("other", true);
-    assertEquals(0.5, view.share());
+    assertEquals(0.5, view.quotaShare());
   }
 
   @Test
@@ -145,22 +145,22 @@
           comes(
               one.message().kind() == Kind.ASK ? Kind.NACK : Kind.ACK,
               "third",
-              one.message().number(),
+              one.message().probeNumber(),
               true);
         }
       }
     }
     assertEquals(List.of("other ALIVE", "third ALIVE", "other SUSPECTED", "other LOST"), news);
     assertEquals(SwimProtocol.Phase.SETTLED, view.phase());
-    assertEquals(3, view.counted(), "a loss takes nobody's part");
+    assertEquals(3, view.countedMembers(), "a loss takes nobody's part");
   }
 
   @Test
   void whatIsSaidAgainstItIsRefuted() {
     comes(Kind.PING, "other", 1, true, saying("me", 5, MemberStatus.SUSPECTED));
-    assertEquals(6, last(Kind.ACK).from().incarnation());
+    assertEquals(6, last(Kind.ACK).sender().incarnation());
     comes(Kind.PING, "other", 2, true, saying("me", 5, MemberStatus.LOST));
-    assertEquals(6, last(Kind.ACK).from().incarnation(), "old news of it is passed over");
+    assertEquals(6, last(Kind.ACK).sender().incarnation(), "old news of it is passed over");
   }
 
   @Test
@@ -171,7 +171,7 @@
         1,
         true,
         new MemberUpdate("me", "at-me", 40, 99, MemberStatus.LOST, "other"));
-    assertEquals(41, last(Kind.ACK).from().incarnation());
+    assertEquals(41, last(Kind.ACK).sender().incarnation());
     assertTrue(twins.isEmpty());
   }
 
@@ -181,27 +181,27 @@
       now += MS;
       MemberUpdate twin =
           new MemberUpdate("me", "at-twin", 100 + time, 99, MemberStatus.ALIVE, "me");
-      view.received(
+      view.messageReceived(
           now, new GossipMessage(Kind.PING, twin, 0, 1, 1, 0, 0, null, false, true, List.of()));
       comes(Kind.PING, "other", 1, true, twin);
     }
     assertEquals(List.of("at-twin"), twins);
     assertTrue(
-        last(Kind.ACK).from().incarnation() <= 102, "" + last(Kind.ACK).from().incarnation());
+        last(Kind.ACK).sender().incarnation() <= 102, "" + last(Kind.ACK).sender().incarnation());
   }
 
   @Test
   void theCountFallsByWordAloneAndNeverByLoss() {
     lists("other", true, saying("third", 1, MemberStatus.LOST));
-    assertEquals(3, view.counted());
-    assertEquals(0, view.share(), "beyond the told number, and not counted by all yet");
+    assertEquals(3, view.countedMembers());
+    assertEquals(0, view.quotaShare(), "beyond the told number, and not counted by all yet");
     assertTrue(view.forget(now, "third"));
-    assertEquals(3, view.counted(), "it has time to say otherwise");
+    assertEquals(3, view.countedMembers(), "it has time to say otherwise");
     pass(30 * PERIOD);
-    assertEquals(2, view.counted());
+    assertEquals(2, view.countedMembers());
     assertFalse(view.forget(now, "third"), "it is not lost any more");
     comes(Kind.PING, "other", 1, true, saying("other", 1, MemberStatus.LEFT));
-    assertEquals(2, view.counted(), "never under the told number");
+    assertEquals(2, view.countedMembers(), "never under the told number");
   }
 
   @Test
@@ -219,8 +219,8 @@
   void whoLeavesHasNoShareAndAnswersNobody() {
     lists("other", true);
     view.leave(now);
-    assertEquals(0, view.share());
-    assertEquals(MemberStatus.LEFT, last(Kind.NACK).from().standing());
+    assertEquals(0, view.quotaShare());
+    assertEquals(MemberStatus.LEFT, last(Kind.NACK).sender().status());
     sent.clear();
     comes(Kind.PING, "other", 1, true);
     assertTrue(sent.isEmpty());
@@ -241,13 +241,13 @@
   @Test
   void aLiarsWordThatAnotherLeftTakesNoPartBeforeThatOneHasSpoken() {
     lists("other", true, saying("third", 1, MemberStatus.ALIVE));
-    assertEquals(3, view.counted());
+    assertEquals(3, view.countedMembers());
     comes(Kind.PING, "liar", 2, true, saying("third", 2, MemberStatus.LEFT));
     pass(10 * PERIOD);
-    assertEquals(4, view.counted());
+    assertEquals(4, view.countedMembers());
     comes(Kind.PING, "other", 3, true, saying("third", 3, MemberStatus.ALIVE));
     pass(30 * PERIOD);
-    assertEquals(4, view.counted(), "it has spoken");
+    assertEquals(4, view.countedMembers(), "it has spoken");
   }
 
   @Test
@@ -257,7 +257,7 @@
         true,
         saying("third", Long.MAX_VALUE, MemberStatus.LOST),
         saying("me", Long.MAX_VALUE, MemberStatus.LOST));
-    assertNull(view.standing("third"));
+    assertNull(view.statusOf("third"));
     assertEquals(5, view.self().incarnation());
   }
 
@@ -271,14 +271,14 @@
         new MemberUpdate("third", "at-third", 900, 77, MemberStatus.ALIVE, "third"));
     sent.clear();
     comes(Kind.SYNC, "third", 2, false);
-    assertEquals(900, last(Kind.NACK).rumours().get(0).incarnation());
+    assertEquals(900, last(Kind.NACK).updates().get(0).incarnation());
   }
 
   @Test
   void whoKnowsAnAddressAloneIsGreetedAndBelievedInNothing() {
     view.greet(now, saying("other", 1, MemberStatus.ALIVE));
     assertEquals(List.of("at-other"), sent.stream().map(Sent::to).toList());
-    assertNull(view.standing("other"));
+    assertNull(view.statusOf("other"));
     view.greet(now, new MemberUpdate("me", "at-twin", 1, 99, MemberStatus.ALIVE, "me"));
     assertEquals(1, sent.size(), "an old datagram of its own is nobody's");
   }
@@ -286,9 +286,9 @@
   @Test
   void namesThatComeAndGoAreForgotten() {
     lists("other", true, saying("third", 1, MemberStatus.LEFT));
-    assertEquals(MemberStatus.LEFT, view.standing("third"));
+    assertEquals(MemberStatus.LEFT, view.statusOf("third"));
     pass(250 * PERIOD);
-    assertNull(view.standing("third"));
+    assertNull(view.statusOf("third"));
   }
 
   @Override
@@ -297,15 +297,15 @@
   }
 
   @Override
-  public void news(String name, MemberStatus standing) {
+  public void memberStatusChanged(String name, MemberStatus standing) {
     news.add(name + " " + standing);
   }
 
   @Override
-  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
+  public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
 
   @Override
-  public void twin(String address) {
+  public void nameConflictDetected(String address) {
     twins.add(address);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
@@ -16,7 +16,7 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.runtime.DatagramCodec.Letter;
+import org.amberpath.membership.runtime.DatagramCodec.UserMessage;
 import org.junit.jupiter.api.Test;
 
 /** Datagrams of version 1, as released code signed them, stay readable and are written alike. */
@@ -92,13 +92,13 @@
     Map<String, byte[]> golden = golden();
     golden.remove(LETTER);
     Map<String, GossipMessage> read = new LinkedHashMap<>();
-    golden.forEach((kind, datagram) -> read.put(kind, codec.read(datagram, keys).message()));
+    golden.forEach((kind, datagram) -> read.put(kind, codec.decode(datagram, keys).message()));
     assertEquals(said(), read);
   }
 
   @Test
   void aLetterOfAnEarlierReleaseIsReadAsWhatItSaid() throws IOException {
-    DatagramCodec.Read read = codec.read(golden().get(LETTER), keys);
+    DatagramCodec.DecodedDatagram read = codec.decode(golden().get(LETTER), keys);
     assertNull(read.fault());
     assertEquals(FROM, read.letter().from());
     assertEquals(LETTER_TO, read.letter().to());
@@ -111,8 +111,8 @@
     Map<String, byte[]> golden = golden();
     said()
         .forEach(
-            (kind, said) -> assertArrayEquals(golden.get(kind), codec.write(said, keys), kind));
-    Letter letter = new Letter(FROM, LETTER_TO, LETTER_SERIAL, BODY);
-    assertArrayEquals(golden.get(LETTER), codec.write(letter, keys), LETTER);
+            (kind, said) -> assertArrayEquals(golden.get(kind), codec.encode(said, keys), kind));
+    UserMessage letter = new UserMessage(FROM, LETTER_TO, LETTER_SERIAL, BODY);
+    assertArrayEquals(golden.get(LETTER), codec.encode(letter, keys), LETTER);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -25,7 +25,8 @@
 /** A datagram's form: what goes in comes out, and nothing else does. */
 class DatagramCodecTest {
   private static final String KEY = "0123456789abcdef0123456789abcdef", OTHER = "ff".repeat(16);
-  private final DatagramCodec form = new DatagramCodec("stores", SwimTimings.usual(1).rumours());
+  private final DatagramCodec form =
+      new DatagramCodec("stores", SwimTimings.defaults(1).maxUpdatesPerMessage());
   @TempDir private Path folder;
 
   private HmacKeyring keys(String text) throws Exception {
@@ -55,35 +56,36 @@
 
   @Test
   void theLongestFitsAndComesBackAsItWas() throws Exception {
-    DatagramCodec longest = new DatagramCodec("f".repeat(32), SwimTimings.usual(1).rumours());
+    DatagramCodec longest =
+        new DatagramCodec("f".repeat(32), SwimTimings.defaults(1).maxUpdatesPerMessage());
     HmacKeyring keys = keys("k".repeat(16) + " " + KEY);
-    GossipMessage message = longest(SwimTimings.usual(1).rumours());
-    byte[] bytes = longest.write(message, keys);
-    assertTrue(bytes.length <= DatagramCodec.LONGEST, "" + bytes.length);
-    assertEquals(message, longest.read(bytes, keys).message());
+    GossipMessage message = longest(SwimTimings.defaults(1).maxUpdatesPerMessage());
+    byte[] bytes = longest.encode(message, keys);
+    assertTrue(bytes.length <= DatagramCodec.MAX_DATAGRAM_BYTES, "" + bytes.length);
+    assertEquals(message, longest.decode(bytes, keys).message());
   }
 
   @Test
   void whatIsOfAnotherFleetOrKeyOrChangedIsToldApart() throws Exception {
     HmacKeyring keys = keys("k1 " + KEY);
-    byte[] bytes = form.write(longest(2), keys);
-    assertEquals(Fault.OTHER_FLEET, new DatagramCodec("other", 10).read(bytes, keys).fault());
-    assertEquals(Fault.OTHER_KEY, form.read(bytes, keys("k2 " + KEY)).fault());
-    assertEquals(Fault.FORGED, form.read(bytes, keys("k1 " + OTHER)).fault());
+    byte[] bytes = form.encode(longest(2), keys);
+    assertEquals(Fault.OTHER_FLEET, new DatagramCodec("other", 10).decode(bytes, keys).fault());
+    assertEquals(Fault.OTHER_KEY, form.decode(bytes, keys("k2 " + KEY)).fault());
+    assertEquals(Fault.FORGED, form.decode(bytes, keys("k1 " + OTHER)).fault());
     for (int at = 0; at < bytes.length; at++) {
       byte[] changed = bytes.clone();
       changed[at] ^= 1;
-      assertNotNull(form.read(changed, keys).fault(), "byte " + at);
-      assertNotNull(form.read(Arrays.copyOf(bytes, at), keys).fault(), "cut at " + at);
+      assertNotNull(form.decode(changed, keys).fault(), "byte " + at);
+      assertNotNull(form.decode(Arrays.copyOf(bytes, at), keys).fault(), "cut at " + at);
     }
-    assertNotNull(form.read(Arrays.copyOf(bytes, bytes.length + 1), keys).fault());
+    assertNotNull(form.decode(Arrays.copyOf(bytes, bytes.length + 1), keys).fault());
   }
 
   @Test
   void oneKeyFollowsAnotherWithoutAGap() throws Exception {
     HmacKeyring before = keys("k1 " + KEY),
         both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
-    assertNotNull(form.read(form.write(longest(1), before), both).message());
+    assertNotNull(form.decode(form.encode(longest(1), before), both).message());
     assertEquals("k2", both.first());
   }
 
@@ -112,12 +114,12 @@
       throws Exception {
     HmacKeyring keys =
         HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
-    byte[] good = form.write(longest(0), keys);
+    byte[] good = form.encode(longest(0), keys);
     int header = "stores".length() + "k1".length() + 3;
     byte[] bytes = Arrays.copyOf(good, header + behind.length);
     System.arraycopy(behind, 0, bytes, header, behind.length);
     byte[] whole = Arrays.copyOf(bytes, bytes.length + HmacKeyring.LENGTH);
     System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, HmacKeyring.LENGTH);
-    assertEquals(Fault.UNREADABLE, form.read(whole, keys).fault());
+    assertEquals(Fault.UNREADABLE, form.decode(whole, keys).fault());
   }
 }
--- a/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
@@ -5,9 +5,15 @@
  *
  * @param term the planner's; a lower one than known is passed over
  * @param number growing within a term, over all members
- * @param answers the ask that it answers: its time holds from when that was made
- * @param stamp the planner's own time, to be echoed
+ * @param requestNumber the ask that it answers: its time holds from when that was made
+ * @param grantedAtNanos the planner's own time, to be echoed
  */
 @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
 public record QuotaGrant(
-    int member, long run, long answers, long term, long number, long stamp, double[] amounts) {}
+    int member,
+    long instanceId,
+    long requestNumber,
+    long term,
+    long number,
+    long grantedAtNanos,
+    double[] amounts) {}
--- a/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
@@ -15,14 +15,14 @@
   private static final int MOST = 32;
 
   /** Why a grant was not taken. */
-  public enum Refusal {
-    TAKEN,
+  public enum GrantResult {
+    APPLIED,
     OLD_TERM,
     OLD_NUMBER,
-    OLD_ASK,
-    UNKNOWN_ASK,
-    OTHERS,
-    OVER
+    OLD_REQUEST,
+    UNKNOWN_REQUEST,
+    WRONG_RECIPIENT,
+    EXPIRED
   }
 
   private final QuotaTimings rules;
@@ -54,7 +54,7 @@
   }
 
   /** The next ask; its grant's time counts from now. */
-  public QuotaRequest ask(long now, double[] wanted) {
+  public QuotaRequest nextRequest(long now, double[] wanted) {
     asked.put(++seq, now);
     return new QuotaRequest(member, run, seq, term, number, echo, wanted.clone());
   }
@@ -63,52 +63,54 @@
    * Takes a grant into force, unless it is not for this start, older than what is known, or past
    * its time.
    */
-  public Refusal take(long now, QuotaGrant grant) {
-    if (grant.member() != member || grant.run() != run || grant.amounts().length != usual.length) {
-      return Refusal.OTHERS;
+  public GrantResult apply(long now, QuotaGrant grant) {
+    if (grant.member() != member
+        || grant.instanceId() != run
+        || grant.amounts().length != usual.length) {
+      return GrantResult.WRONG_RECIPIENT;
     }
     if (grant.term() < term) {
-      return Refusal.OLD_TERM;
+      return GrantResult.OLD_TERM;
     }
     if (grant.term() == term && grant.number() <= number) {
-      return Refusal.OLD_NUMBER;
+      return GrantResult.OLD_NUMBER;
     }
     // Guards a promise to keep to less against an answer that came the long way round: its time
     // would end sooner.
-    if (grant.answers() <= answered) {
-      return Refusal.OLD_ASK;
+    if (grant.requestNumber() <= answered) {
+      return GrantResult.OLD_REQUEST;
     }
-    Long from = asked.get(grant.answers());
+    Long from = asked.get(grant.requestNumber());
     if (from == null) {
-      return Refusal.UNKNOWN_ASK;
+      return GrantResult.UNKNOWN_REQUEST;
     }
-    if (now - from >= rules.grantTime()) {
-      return Refusal.OVER;
+    if (now - from >= rules.grantNanos()) {
+      return GrantResult.EXPIRED;
     }
     term = grant.term();
     number = grant.number();
-    echo = grant.stamp();
+    echo = grant.grantedAtNanos();
     since = from;
-    answered = grant.answers();
+    answered = grant.requestNumber();
     amounts = grant.amounts().clone();
     // Guards against a planner that lies: less than the thin share would starve, no figure at all
     // would break.
     for (int resource = 0; resource < amounts.length; resource++) {
-      double least = usual[resource] * rules.thin();
+      double least = usual[resource] * rules.minimumFraction();
       amounts[resource] = amounts[resource] >= least ? amounts[resource] : least;
     }
-    return Refusal.TAKEN;
+    return GrantResult.APPLIED;
   }
 
   /** How much of a resource may be used now. */
   public double share(int resource, long now) {
     double whole = usual[resource];
     if (amounts == null) {
-      return ramp(whole * rules.thin(), whole, now - startedAt);
+      return ramp(whole * rules.minimumFraction(), whole, now - startedAt);
     }
     double amount = amounts[resource];
     if (amount >= whole) {
-      return now - since < rules.grantTime() ? amount : whole;
+      return now - since < rules.grantNanos() ? amount : whole;
     }
     return ramp(amount, whole, now - since);
   }
@@ -118,13 +120,13 @@
    * the lower one.
    */
   private double ramp(double from, double to, long age) {
-    double gone = (double) (age - rules.holdTime()) / rules.grantTime();
+    double gone = (double) (age - rules.holdNanos()) / rules.grantNanos();
     return from + (to - from) * Math.max(0, Math.min(1, gone));
   }
 
   /** Whether a grant is in force whose planner may still renew it. */
   public boolean isGranted(long now) {
-    return amounts != null && now - since < rules.grantTime();
+    return amounts != null && now - since < rules.grantNanos();
   }
 
   public long term() {
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -55,7 +55,7 @@
    * @param leastLeft until when one below must be in force
    */
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
-  public record Left(
+  public record OutstandingGrant(
       int member,
       long run,
       long seq,
@@ -92,16 +92,16 @@
    *
    * @param askedAt when that was: what was told is of no earlier time
    */
-  public static QuotaLedger after(
+  public static QuotaLedger succeeding(
       QuotaTimings rules,
       long term,
       double[] bounds,
       int members,
-      List<Left> left,
+      List<OutstandingGrant> left,
       long askedAt,
       long now) {
     QuotaLedger ledger = new QuotaLedger(rules, term, bounds, members);
-    for (Left one : left) {
+    for (OutstandingGrant one : left) {
       Member member = ledger.members[one.member()];
       member.run = Math.max(member.run, one.run());
       // Numbers of that term come before all of this one.
@@ -113,7 +113,7 @@
               one.amounts().clone());
       given.inForce = one.inForce();
       if (given.inForce && given.leastUntil != Long.MIN_VALUE) {
-        member.after = Math.max(member.after, given.leastUntil - rules.shortest(rules.holdTime()));
+        member.after = Math.max(member.after, given.leastUntil - rules.shortest(rules.holdNanos()));
       }
       member.given.add(given);
     }
@@ -184,28 +184,29 @@
    * * Takes what an ask tells of the grants before it. Returns whether it is to be answered: not if
    * it came late or twice.
    */
-  public boolean heard(QuotaRequest ask) {
+  public boolean requestReceived(QuotaRequest ask) {
     if (ask.member() < 0 || ask.member() >= members.length) {
       return false;
     }
     Member member = members[ask.member()];
-    if (ask.run() < member.run || (ask.run() == member.run && ask.seq() <= member.seq)) {
+    if (ask.instanceId() < member.run
+        || (ask.instanceId() == member.run && ask.sequenceNumber() <= member.seq)) {
       return false;
     }
-    if (ask.run() > member.run) {
+    if (ask.instanceId() > member.run) {
       // Guards against one that started anew: it holds to the thin share, and no longer than to
       // what it had before.
-      member.run = ask.run();
+      member.run = ask.instanceId();
     }
-    member.seq = ask.seq();
+    member.seq = ask.sequenceNumber();
     if (ask.term() == term) {
-      member.after = Math.max(member.after, ask.echo());
+      member.after = Math.max(member.after, ask.echoedNanos());
       for (Iterator<Given> each = member.given.iterator(); each.hasNext(); ) {
         Given one = each.next();
-        if (one.number < ask.number()) {
+        if (one.number < ask.grantNumber()) {
           each.remove();
         } else {
-          one.inForce |= one.number == ask.number();
+          one.inForce |= one.number == ask.grantNumber();
         }
       }
     }
@@ -220,7 +221,7 @@
    */
   public QuotaGrant grant(long now, QuotaRequest ask, double[] wished) {
     Member member = members[ask.member()];
-    long mostUntil = now + rules.longest(rules.grantTime());
+    long mostUntil = now + rules.longest(rules.grantNanos());
     forget(now);
     if (member.given.size() >= MOST) {
       return null;
@@ -232,13 +233,15 @@
       if (wished[resource] > most && free > most) {
         amounts[resource] = Math.min(wished[resource], free);
       } else {
-        long end = now + rules.longest(rules.holdTime());
+        long end = now + rules.longest(rules.holdNanos());
         double allowed =
             Math.max(
                 ownLeast(ask.member(), resource, now, end),
                 bounds[resource] - others(ask.member(), resource, now, end));
         amounts[resource] =
-            Math.max(most * rules.thin(), Math.min(Math.min(wished[resource], most), allowed));
+            Math.max(
+                most * rules.minimumFraction(),
+                Math.min(Math.min(wished[resource], most), allowed));
       }
     }
     // Guards against one that started anew and has heard no planner: what was heard before tells
@@ -246,11 +249,17 @@
     long leastUntil =
         member.after == Long.MIN_VALUE
             ? Long.MIN_VALUE
-            : member.after + rules.shortest(rules.holdTime());
+            : member.after + rules.shortest(rules.holdNanos());
     Given given = new Given(++last, mostUntil, leastUntil, amounts);
     member.given.add(given);
     return new QuotaGrant(
-        ask.member(), ask.run(), ask.seq(), term, given.number, now, amounts.clone());
+        ask.member(),
+        ask.instanceId(),
+        ask.sequenceNumber(),
+        term,
+        given.number,
+        now,
+        amounts.clone());
   }
 
   /**
@@ -263,7 +272,7 @@
           one ->
               !one.inForce
                   && now > one.mostUntil
-                  && now > one.mostUntil + rules.longest(rules.holdTime()));
+                  && now > one.mostUntil + rules.longest(rules.holdNanos()));
     }
   }
 
@@ -271,12 +280,12 @@
    * All that is outstanding, for the planner after this one: to be asked for once nothing more is
    * granted.
    */
-  public List<Left> left(long now) {
-    List<Left> all = new ArrayList<>();
+  public List<OutstandingGrant> outstandingGrants(long now) {
+    List<OutstandingGrant> all = new ArrayList<>();
     for (int member = 0; member < members.length; member++) {
       for (Given one : members[member].given) {
         all.add(
-            new Left(
+            new OutstandingGrant(
                 member,
                 members[member].run,
                 members[member].seq,
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -28,10 +28,10 @@
 
   /** An ask, heard, granted and taken at once; returns what was granted. */
   private double grant(long now, QuotaHolder to, double... wished) {
-    QuotaRequest ask = to.ask(now, wished);
-    assertTrue(ledger.heard(ask));
+    QuotaRequest ask = to.nextRequest(now, wished);
+    assertTrue(ledger.requestReceived(ask));
     QuotaGrant grant = ledger.grant(now, ask, wished);
-    assertEquals(QuotaHolder.Refusal.TAKEN, to.take(now, grant));
+    assertEquals(QuotaHolder.GrantResult.APPLIED, to.apply(now, grant));
     return grant.amounts()[0];
   }
 
@@ -39,7 +39,7 @@
   private void lend(long now) {
     grant(now, giver, LOW);
     grant(now, giver, LOW);
-    assertTrue(ledger.heard(giver.ask(now, LOW)));
+    assertTrue(ledger.requestReceived(giver.nextRequest(now, LOW)));
   }
 
   @Test
@@ -49,7 +49,7 @@
         10, grant(SECOND, taker, HIGH), "it is not known yet that the low share was taken");
     assertEquals(2, grant(2 * SECOND, giver, LOW));
     assertEquals(10, grant(2 * SECOND, taker, HIGH), "it is not known yet when it was asked for");
-    assertTrue(ledger.heard(giver.ask(2 * SECOND, LOW)));
+    assertTrue(ledger.requestReceived(giver.nextRequest(2 * SECOND, LOW)));
     assertEquals(18, grant(2 * SECOND, taker, HIGH));
   }
 
@@ -92,65 +92,66 @@
     grant(2 * SECOND, taker, HIGH);
     QuotaHolder anew = new QuotaHolder(RULES, 0, 2, USUAL, 2 * SECOND);
     assertEquals(2, grant(2 * SECOND, anew, LOW));
-    assertTrue(ledger.heard(anew.ask(2 * SECOND, LOW)));
+    assertTrue(ledger.requestReceived(anew.nextRequest(2 * SECOND, LOW)));
     assertTrue(ledger.inUse(0, 2 * SECOND) <= 20 + 1e-9);
   }
 
   @Test
   void aGrantOfAnOlderTermNumberOrAskIsPassedOver() {
-    QuotaRequest first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
+    QuotaRequest first = giver.nextRequest(SECOND, LOW), second = giver.nextRequest(SECOND, LOW);
     assertEquals(
-        QuotaHolder.Refusal.TAKEN,
-        giver.take(SECOND, new QuotaGrant(0, 1, second.seq(), 3, 7, 0, LOW)));
-    QuotaRequest third = giver.ask(SECOND, LOW);
+        QuotaHolder.GrantResult.APPLIED,
+        giver.apply(SECOND, new QuotaGrant(0, 1, second.sequenceNumber(), 3, 7, 0, LOW)));
+    QuotaRequest third = giver.nextRequest(SECOND, LOW);
     assertEquals(
-        QuotaHolder.Refusal.OLD_TERM,
-        giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 2, 9, 0, LOW)));
+        QuotaHolder.GrantResult.OLD_TERM,
+        giver.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 2, 9, 0, LOW)));
     assertEquals(
-        QuotaHolder.Refusal.OLD_NUMBER,
-        giver.take(SECOND, new QuotaGrant(0, 1, third.seq(), 3, 7, 0, LOW)));
+        QuotaHolder.GrantResult.OLD_NUMBER,
+        giver.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 7, 0, LOW)));
     assertEquals(
-        QuotaHolder.Refusal.OLD_ASK,
-        giver.take(SECOND, new QuotaGrant(0, 1, first.seq(), 3, 8, 0, LOW)));
+        QuotaHolder.GrantResult.OLD_REQUEST,
+        giver.apply(SECOND, new QuotaGrant(0, 1, first.sequenceNumber(), 3, 8, 0, LOW)));
     assertEquals(
-        QuotaHolder.Refusal.UNKNOWN_ASK,
-        giver.take(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
+        QuotaHolder.GrantResult.UNKNOWN_REQUEST,
+        giver.apply(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
     assertEquals(
-        QuotaHolder.Refusal.OTHERS,
-        giver.take(SECOND, new QuotaGrant(0, 2, third.seq(), 3, 8, 0, LOW)));
+        QuotaHolder.GrantResult.WRONG_RECIPIENT,
+        giver.apply(SECOND, new QuotaGrant(0, 2, third.sequenceNumber(), 3, 8, 0, LOW)));
     assertEquals(
-        QuotaHolder.Refusal.OVER,
-        giver.take(3 * SECOND, new QuotaGrant(0, 1, third.seq(), 3, 8, 0, LOW)));
+        QuotaHolder.GrantResult.EXPIRED,
+        giver.apply(3 * SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 8, 0, LOW)));
   }
 
   @Test
   void aPlannerThatLiesCanStarveNobody() {
-    QuotaRequest ask = giver.ask(SECOND, LOW);
-    giver.take(SECOND, new QuotaGrant(0, 1, ask.seq(), 1, 1, 0, new double[] {Double.NaN}));
+    QuotaRequest ask = giver.nextRequest(SECOND, LOW);
+    giver.apply(
+        SECOND, new QuotaGrant(0, 1, ask.sequenceNumber(), 1, 1, 0, new double[] {Double.NaN}));
     assertEquals(1.25, giver.share(0, SECOND));
   }
 
   @Test
   void anAskThatComesTwiceOrLateIsNotAnswered() {
-    QuotaRequest first = giver.ask(SECOND, LOW), second = giver.ask(SECOND, LOW);
-    assertTrue(ledger.heard(second));
-    assertFalse(ledger.heard(second));
-    assertFalse(ledger.heard(first));
-    assertFalse(ledger.heard(new QuotaRequest(7, 1, 9, 0, 0, Long.MIN_VALUE, LOW)));
+    QuotaRequest first = giver.nextRequest(SECOND, LOW), second = giver.nextRequest(SECOND, LOW);
+    assertTrue(ledger.requestReceived(second));
+    assertFalse(ledger.requestReceived(second));
+    assertFalse(ledger.requestReceived(first));
+    assertFalse(ledger.requestReceived(new QuotaRequest(7, 1, 9, 0, 0, Long.MIN_VALUE, LOW)));
   }
 
   @Test
   void thePlannerAfterOneThatStoppedGoesOnFromWhatWasLeft() {
     lend(SECOND);
     grant(SECOND, taker, HIGH);
-    ledger.heard(giver.ask(SECOND, LOW));
-    List<QuotaLedger.Left> left = ledger.left(SECOND);
+    ledger.requestReceived(giver.nextRequest(SECOND, LOW));
+    List<QuotaLedger.OutstandingGrant> left = ledger.outstandingGrants(SECOND);
     // By a clock that shows another time.
     long other = 1000 * SECOND;
-    QuotaLedger next = QuotaLedger.after(RULES, 2, bound, 2, left, other, other);
+    QuotaLedger next = QuotaLedger.succeeding(RULES, 2, bound, 2, left, other, other);
     assertEquals(20, next.inUse(0, other), 1e-9);
-    QuotaRequest ask = taker.ask(SECOND + 1, HIGH);
-    assertTrue(next.heard(ask));
+    QuotaRequest ask = taker.nextRequest(SECOND + 1, HIGH);
+    assertTrue(next.requestReceived(ask));
     assertEquals(18, next.grant(other, ask, HIGH).amounts()[0], 1e-9);
   }
 
@@ -158,8 +159,9 @@
   void aMemberThatIsNeverHeardIsGrantedNoMoreAfterABoundedNumber() {
     int granted = 0;
     for (int one = 0; one < 100; one++) {
-      QuotaRequest ask = giver.ask(SECOND, LOW);
-      ledger.heard(new QuotaRequest(0, 1, ask.seq(), 0, 0, Long.MIN_VALUE, LOW));
+      QuotaRequest ask = giver.nextRequest(SECOND, LOW);
+      ledger.requestReceived(
+          new QuotaRequest(0, 1, ask.sequenceNumber(), 0, 0, Long.MIN_VALUE, LOW));
       granted += ledger.grant(SECOND, ask, LOW) == null ? 0 : 1;
     }
     assertEquals(16, granted);
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -28,7 +28,7 @@
   private final SplittableRandom chance;
   private Phase phase = Phase.LEARNING;
   private double first, rate, tokens;
-  private long filledAt, stepAt, lastShedAt, doneAt;
+  private long filledAt, stepAt, lastShedAt, servingSinceNanos;
   private int taken, takenBefore, good, shed, shedBefore;
 
   /**
@@ -56,10 +56,10 @@
    * @param loss whether all came back together, by peers' word and by caches that are cold
    * @param bears GETs a second that this gateway's part of the cold budgets bears
    */
-  public void learned(long now, boolean loss, double bears) {
+  public void startupCompleted(long now, boolean loss, double bears) {
     if (phase == Phase.LEARNING) {
       phase = loss ? Phase.TRICKLE : Phase.SERVING;
-      doneAt = loss ? 0 : now;
+      servingSinceNanos = loss ? 0 : now;
       first = rate = Math.max(1, bears);
       tokens = 1;
       filledAt = stepAt = lastShedAt = now;
@@ -72,12 +72,12 @@
    */
   public void tick(long now) {
     if (phase == Phase.LEARNING && now - began >= LONGEST_LEARNING) {
-      learned(now, true, 1);
+      startupCompleted(now, true, 1);
     }
     if (phase == Phase.TRICKLE || phase == Phase.RAMP) {
       if (now - lastShedAt >= CALM) {
         phase = Phase.SERVING;
-        doneAt = now;
+        servingSinceNanos = now;
       } else if (now - stepAt >= STEP) {
         step(now);
       }
@@ -100,7 +100,7 @@
   }
 
   /** Whether one more is let in; viewings that are halfway before new ones. */
-  public boolean takes(long now, boolean halfway) {
+  public boolean tryAdmit(long now, boolean halfway) {
     if (phase == Phase.SERVING) {
       return true;
     }
@@ -120,7 +120,7 @@
   }
 
   /** One that was let in came back in time. */
-  public void returned() {
+  public void requestSucceeded() {
     good++;
   }
 
@@ -128,7 +128,7 @@
    * How long one that was turned away stays away, by what is turned away and what is let in;
    * spread.
    */
-  public long away(boolean halfway) {
+  public long retryAfterNanos(boolean halfway) {
     if (longestWait == 0) {
       return 0;
     }
@@ -141,7 +141,7 @@
   }
 
   /** When it was SERVING at last; 0 before. */
-  public long doneAt() {
-    return doneAt;
+  public long servingSinceNanos() {
+    return servingSinceNanos;
   }
 }
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -21,10 +21,10 @@
       opening.tick(now);
       while (next <= now) {
         next += SECOND / askedASecond;
-        if (opening.takes(now, halfway)) {
+        if (opening.tryAdmit(now, halfway)) {
           taken++;
           if (oneBackOf > 0 && taken % oneBackOf == 0) {
-            opening.returned();
+            opening.requestSucceeded();
           }
         }
       }
@@ -42,14 +42,14 @@
 
   @Test
   void oneThatComesBackAmongOthersThatRanOnOpensAtOnce() {
-    opening.learned(now, false, 3);
+    opening.startupCompleted(now, false, 3);
     assertEquals(Phase.SERVING, opening.phase());
     assertEquals(100, pass(1000, 100, 1, false));
   }
 
   @Test
   void whatIsLetInGrowsWithWhatComesBackUntilNothingIsTurnedAway() {
-    opening.learned(now, true, 10);
+    opening.startupCompleted(now, true, 10);
     int first = pass(500, 100, 1, false);
     assertTrue(first >= 4 && first <= 10, first + " in the first half second");
     pass(500, 100, 1, false);
@@ -58,12 +58,12 @@
     assertEquals(100, pass(1000, 100, 1, false));
     pass(3000, 100, 1, false);
     assertEquals(Phase.SERVING, opening.phase());
-    assertTrue(opening.doneAt() > 0);
+    assertTrue(opening.servingSinceNanos() > 0);
   }
 
   @Test
   void whatDoesNotComeBackIsLetInNoMore() {
-    opening.learned(now, true, 10);
+    opening.startupCompleted(now, true, 10);
     pass(3000, 100, 1, false);
     double before = opening.rate();
     pass(2000, 100, 4, false);
@@ -75,31 +75,31 @@
 
   @Test
   void aPhaseIsNeverEnteredAgain() {
-    opening.learned(now, true, 10);
+    opening.startupCompleted(now, true, 10);
     pass(20_000, 5, 1, false);
     assertEquals(Phase.SERVING, opening.phase());
-    opening.learned(now, true, 1);
+    opening.startupCompleted(now, true, 1);
     assertEquals(Phase.SERVING, opening.phase());
   }
 
   @Test
   void viewingsThatAreHalfwayComeFirstAndAreToldANearerTime() {
-    opening.learned(now, true, 40);
+    opening.startupCompleted(now, true, 40);
     int halfway = 0, fresh = 0;
     for (int one = 0; one < 4000; one++, now += MS) {
       opening.tick(now);
-      fresh += opening.takes(now, false) ? 1 : 0;
-      halfway += opening.takes(now, true) ? 1 : 0;
+      fresh += opening.tryAdmit(now, false) ? 1 : 0;
+      halfway += opening.tryAdmit(now, true) ? 1 : 0;
     }
     assertTrue(halfway > 20 * fresh, halfway + " and " + fresh);
     long sum = 0, near = 0;
     for (int one = 0; one < 100; one++) {
-      long away = opening.away(false);
+      long away = opening.retryAfterNanos(false);
       assertTrue(away >= 50 * MS && away <= SECOND, away + "");
       sum += away;
-      near += opening.away(true);
+      near += opening.retryAfterNanos(true);
     }
     assertTrue(near < 0.6 * sum);
-    assertFalse(new RecoveryRamp(7, 0, now).away(false) > 0, "where they can't be told");
+    assertFalse(new RecoveryRamp(7, 0, now).retryAfterNanos(false) > 0, "where they can't be told");
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
@@ -22,7 +22,7 @@
   LAGGING;
 
   /** Whether asking again soon can't help, since people must change something first. */
-  boolean needsPeople() {
+  boolean needsOperator() {
     return this == UNAUTHORISED || this == UNTRUSTED;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
@@ -32,5 +32,5 @@
   record Other() implements RegistryRecord {}
 
   /** Says something that this version can't read. */
-  record Unreadable(String why) implements RegistryRecord {}
+  record Unreadable(String reason) implements RegistryRecord {}
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -34,9 +34,9 @@
   private final Consumer<String> complaints;
   private final Starts starts = new Starts();
   private Map<String, RegistryEntry> keys = new TreeMap<>();
-  private String cluster = "";
-  private long applied, provenAt;
-  private boolean known, surplus;
+  private String clusterId = "";
+  private long appliedRevision, confirmedAtNanos;
+  private boolean hasData, surplus;
 
   /**
    * Makes an empty view.
@@ -59,29 +59,29 @@
   }
 
   /** Whether anything was ever told: from the registry, or from a snapshot. */
-  public boolean known() {
-    return known;
+  public boolean hasData() {
+    return hasData;
   }
 
   /** All changes up to this revision are in the view. */
-  public long applied() {
-    return applied;
+  public long appliedRevision() {
+    return appliedRevision;
   }
 
   /** The revision of the last write of which the view knows. */
-  public long tip() {
+  public long tipRevision() {
     RegistryEntry tip = keys.get(tipKey);
-    return tip == null ? 0 : tip.changed();
+    return tip == null ? 0 : tip.modRevision();
   }
 
   /** The registry's own id; empty where it tells none. */
-  public String cluster() {
-    return cluster;
+  public String clusterId() {
+    return clusterId;
   }
 
   /** At this time the view held all that the registry did. */
-  public long provenAt() {
-    return provenAt;
+  public long confirmedAtNanos() {
+    return confirmedAtNanos;
   }
 
   public int size() {
@@ -89,21 +89,21 @@
   }
 
   /** What is held, by key. */
-  public Collection<RegistryEntry> held() {
+  public Collection<RegistryEntry> entries() {
     return Collections.unmodifiableCollection(keys.values());
   }
 
-  public void proven(long asOf) {
-    provenAt = Math.max(provenAt, asOf);
+  public void confirm(long asOf) {
+    confirmedAtNanos = Math.max(confirmedAtNanos, asOf);
   }
 
   /** The view as it was kept at another time: told as a whole list, with its true age. */
-  public void remember(
+  public void restoreSnapshot(
       long now, Collection<RegistryEntry> kept, String ofCluster, long revision, long asOf) {
     keys = bounded(kept);
-    cluster = ofCluster;
-    applied = revision;
-    provenAt = asOf;
+    clusterId = ofCluster;
+    appliedRevision = revision;
+    confirmedAtNanos = asOf;
     tellWhole(now, true);
   }
 
@@ -114,21 +114,21 @@
    * @param asOf when that list was asked for
    * @param restored whether it is known to be another history of revisions
    */
-  public void whole(
+  public void applySnapshot(
       long now,
       Collection<RegistryEntry> all,
       String ofCluster,
       long revision,
       long asOf,
       boolean restored) {
-    boolean other = restored || (known && !ofCluster.equals(cluster)) || isOtherHistory(all);
-    boolean gap = known && asOf - provenAt > retention;
+    boolean other = restored || (hasData && !ofCluster.equals(clusterId)) || isOtherHistory(all);
+    boolean gap = hasData && asOf - confirmedAtNanos > retention;
     Map<String, RegistryEntry> before = keys;
-    boolean first = !known;
+    boolean first = !hasData;
     keys = bounded(all);
     keepLastGood(before, other);
-    cluster = ofCluster;
-    applied = revision;
+    clusterId = ofCluster;
+    appliedRevision = revision;
     if (first || other) {
       tellWhole(now, first);
       if (!first) {
@@ -143,28 +143,28 @@
     if (gap || (other && !first)) {
       to.objectPurged(0, EndpointListener.ALL_GROUPS, now / MS);
     }
-    provenAt = asOf;
+    confirmedAtNanos = asOf;
   }
 
   /** A key that was written earlier than it is known to have been: revisions were given anew. */
   private boolean isOtherHistory(Collection<RegistryEntry> all) {
     for (RegistryEntry one : all) {
       RegistryEntry before = keys.get(one.key());
-      if (before != null && one.changed() < before.changed()) {
-        return known;
+      if (before != null && one.modRevision() < before.modRevision()) {
+        return hasData;
       }
     }
     return false;
   }
 
   /**
-   * Takes all keys that were written after {@link #applied}, as they stand at a revision.
+   * Takes all keys that were written after {@link #appliedRevision}, as they stand at a revision.
    *
    * @param count how many keys there are in all at that revision
    * @return whether that is the whole difference; otherwise keys were deleted too, and nothing was
    *     taken
    */
-  public boolean written(
+  public boolean applyWrites(
       long now, Collection<RegistryEntry> since, long count, long revision, long asOf) {
     long more = since.stream().filter(one -> !keys.containsKey(one.key())).count();
     if (surplus || keys.size() + more != count) {
@@ -172,9 +172,9 @@
     }
     Map<String, RegistryEntry> before = new TreeMap<>();
     since.forEach(one -> put(before, one));
-    applied = Math.max(applied, revision);
+    appliedRevision = Math.max(appliedRevision, revision);
     tell(before, before.keySet(), now);
-    proven(asOf);
+    confirm(asOf);
     return true;
   }
 
@@ -182,7 +182,7 @@
    * Takes the events of a watch, in the order of their revisions; those that are known are passed
    * over.
    */
-  public void changes(long now, List<WatchEvent> events) {
+  public void applyEvents(long now, List<WatchEvent> events) {
     int at = 0;
     while (at < events.size()) {
       long revision = events.get(at).revision();
@@ -190,26 +190,26 @@
       int end = at;
       for (; end < events.size() && events.get(end).revision() == revision; end++) {
         WatchEvent change = events.get(end);
-        if (revision <= applied) {
+        if (revision <= appliedRevision) {
           continue;
         }
-        if (change.held() == null) {
+        if (change.entry() == null) {
           before.putIfAbsent(change.key(), keys.remove(change.key()));
         } else {
-          put(before, change.held());
+          put(before, change.entry());
         }
       }
       at = end;
-      if (revision > applied) {
-        applied = revision;
+      if (revision > appliedRevision) {
+        appliedRevision = revision;
         tell(before, before.keySet(), now);
       }
     }
   }
 
   /** All up to a revision has been told, though nothing of it was about these keys. */
-  public void upTo(long revision) {
-    applied = Math.max(applied, revision);
+  public void advanceTo(long revision) {
+    appliedRevision = Math.max(appliedRevision, revision);
   }
 
   private void put(Map<String, RegistryEntry> before, RegistryEntry one) {
@@ -250,21 +250,23 @@
 
   /** A value that can't be read spoils its own key alone, and that only until it was good once. */
   private RegistryEntry lastGood(RegistryEntry old, RegistryEntry one) {
-    if (!(one.content() instanceof RegistryRecord.Unreadable spoilt)) {
+    if (!(one.value() instanceof RegistryRecord.Unreadable spoilt)) {
       return one;
     }
-    if (old == null || old.changed() != one.changed()) {
-      complaints.accept(one.key() + ": " + spoilt.why());
+    if (old == null || old.modRevision() != one.modRevision()) {
+      complaints.accept(one.key() + ": " + spoilt.reason());
     }
-    return old != null && old.created() == one.created() ? one.saying(old.content()) : one;
+    return old != null && old.createRevision() == one.createRevision()
+        ? one.saying(old.value())
+        : one;
   }
 
   private void tellWhole(long now, boolean withPurges) {
-    known = true;
+    hasData = true;
     to.endpointListStarted(true);
     Set<String> ids = new HashSet<>();
     for (RegistryEntry one : keys.values()) {
-      if (one.content() instanceof RegistryRecord.Cache cache) {
+      if (one.value() instanceof RegistryRecord.Cache cache) {
         ids.add(cache.id());
         member(
             cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
@@ -274,7 +276,7 @@
     to.endpointListCompleted();
     if (withPurges) {
       for (RegistryEntry one : keys.values()) {
-        if (one.content() instanceof RegistryRecord.Purge purge) {
+        if (one.value() instanceof RegistryRecord.Purge purge) {
           // Guards against the writer's clock or this one, which may have stepped: it happened at
           // the latest now.
           to.objectPurged(purge.object(), purge.group(), now / MS);
@@ -293,12 +295,12 @@
     for (String key : touched) {
       RegistryEntry old = before.get(key), held = keys.get(key);
       RegistryRecord.Cache was =
-          old != null && old.content() instanceof RegistryRecord.Cache cache ? cache : null;
+          old != null && old.value() instanceof RegistryRecord.Cache cache ? cache : null;
       RegistryRecord.Cache is =
-          held != null && held.content() instanceof RegistryRecord.Cache cache ? cache : null;
+          held != null && held.value() instanceof RegistryRecord.Cache cache ? cache : null;
       if (was != null && is == null) {
         gone.add(was);
-      } else if (is != null && was != null && old.created() != held.created()) {
+      } else if (is != null && was != null && old.createRevision() != held.createRevision()) {
         replaced.add(was);
         there.add(is);
       } else if (is != null && !is.equals(was)) {
@@ -336,8 +338,8 @@
   /** A purge that is new to the view was committed since it was last proven: at the latest now. */
   private void purged(RegistryEntry old, RegistryEntry held, long now) {
     if (held != null
-        && held.content() instanceof RegistryRecord.Purge purge
-        && (old == null || !purge.equals(old.content()))) {
+        && held.value() instanceof RegistryRecord.Purge purge
+        && (old == null || !purge.equals(old.value()))) {
       to.objectPurged(purge.object(), purge.group(), now / MS);
     }
   }
--- a/registry/src/main/java/org/amberpath/registry/WatchCommands.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchCommands.java
@@ -20,8 +20,8 @@
   void watch(long call, int endpoint, long from);
 
   /** Asks what the newest revision is, and at which the tip was written, as a majority has it. */
-  void pulse(long call, int endpoint);
+  void heartbeat(long call, int endpoint);
 
   /** Gives a call up; nothing more may be heard of it. */
-  void drop(long call);
+  void cancel(long call);
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -128,8 +128,8 @@
       this.at = at;
       sentAt = askedAt = now;
       this.deadline = deadline;
-      applied = view.applied();
-      tip = view.tip();
+      applied = view.appliedRevision();
+      tip = view.tipRevision();
     }
   }
 
@@ -141,7 +141,7 @@
   private final boolean blocking;
   private final long blockingTime, hop;
   private final List<Endpoint> endpoints = new ArrayList<>();
-  private final Map<Long, Call> calls = new LinkedHashMap<>();
+  private final Map<Long, Call> openCallCount = new LinkedHashMap<>();
   private Phase phase = Phase.EMPTY;
   private Call list;
   private long ticked,
@@ -156,7 +156,7 @@
       tokensAt;
   private long tipSeen, tipSeenAt, backwardsAt;
   private long listTime = FIRST_LIST_TIME;
-  private int pulses, refusals, asked, page = FIRST_PAGE;
+  private int pulses, refusals, asked, pageReceived = FIRST_PAGE;
   private boolean started, wholeNeeded = true, listNeeded = true, restored, backwards, compacted;
 
   /**
@@ -198,12 +198,12 @@
   }
 
   /** How many watches tell changes now. */
-  public int watches() {
+  public int watchCount() {
     return (int) endpoints.stream().filter(one -> one.watch != null && one.watch.open).count();
   }
 
-  public int calls() {
-    return calls.size();
+  public int openCallCount() {
+    return openCallCount.size();
   }
 
   public void start(long now) {
@@ -217,7 +217,7 @@
   /**
    * Asks all again from what is known: addresses, keys or tokens may be others now. Watches go on.
    */
-  public void renewed(long now) {
+  public void settingsReloaded(long now) {
     for (Endpoint one : endpoints) {
       one.needsPeople = false;
       one.reach.succeeded();
@@ -227,16 +227,16 @@
   }
 
   /** When {@link #tick} is due next. */
-  public long due() {
+  public long nextTickNanos() {
     long due = nextPulse;
     // What is due already was tried in the last tick, and is tried again with the next pulse.
     if (lastPulse > answeredAt && lastPulse + hop > ticked) {
       due = Math.min(due, lastPulse + hop);
     }
-    for (Call call : calls.values()) {
+    for (Call call : openCallCount.values()) {
       due = Math.min(due, call.deadline);
     }
-    if (tipSeen > view.applied() && tipSeenAt + SETTLE > ticked) {
+    if (tipSeen > view.appliedRevision() && tipSeenAt + SETTLE > ticked) {
       due = Math.min(due, tipSeenAt + SETTLE);
     }
     return due;
@@ -248,9 +248,9 @@
       return;
     }
     ticked = now;
-    for (Call call : List.copyOf(calls.values())) {
-      if (now >= call.deadline && calls.containsKey(call.id)) {
-        orders.drop(call.id);
+    for (Call call : List.copyOf(openCallCount.values())) {
+      if (now >= call.deadline && openCallCount.containsKey(call.id)) {
+        orders.cancel(call.id);
         failed(now, call, RegistryFailure.SILENT, 0);
       }
     }
@@ -264,7 +264,7 @@
           .forEach(one -> one.reach.hasten(now, MOST_CUT_OFF));
     }
     pulse(now);
-    if (tipSeen > view.applied() && (now >= tipSeenAt + SETTLE || watches() == 0)) {
+    if (tipSeen > view.appliedRevision() && (now >= tipSeenAt + SETTLE || watchCount() == 0)) {
       listNeeded = true;
     }
     dropLate(now);
@@ -290,7 +290,7 @@
     boolean refused = refusals > asked && refusals < endpoints.size();
     if (due) {
       refusals = asked = 0;
-      nextPulse = now + (watches() == 0 ? PULSE / 2 : PULSE);
+      nextPulse = now + (watchCount() == 0 ? PULSE / 2 : PULSE);
     }
     if (!due && !unheard && !refused) {
       return;
@@ -308,7 +308,7 @@
     ask(now, aside);
     ready.remove(aside);
     if (!ready.isEmpty()
-        && (watches() == 0
+        && (watchCount() == 0
             || endpoints.stream()
                 .anyMatch(one -> one.pulse != null && now - one.pulse.sentAt >= hop))) {
       // While contact is unsure, two are asked.
@@ -321,12 +321,12 @@
     if (call != null) {
       at.pulse = call;
       lastPulse = now;
-      orders.pulse(call.id, at.index);
+      orders.heartbeat(call.id, at.index);
     }
   }
 
   private void list(long now) {
-    if (list != null || (!listNeeded && view.known())) {
+    if (list != null || (!listNeeded && view.hasData())) {
       return;
     }
     List<Endpoint> ready = ready(now);
@@ -335,7 +335,7 @@
         Comparator.comparing((Endpoint one) -> one.lastTook > hop)
             .thenComparingLong(one -> -one.answeredAt));
     for (Endpoint at : ready) {
-      boolean whole = wholeNeeded || !view.known() || restored;
+      boolean whole = wholeNeeded || !view.hasData() || restored;
       // Guards against a registry that is far away: a read that takes its usual time is not given
       // up.
       long time = Math.max(listTime, TOOK_TIMES * at.lastTook);
@@ -343,12 +343,12 @@
       if (call == null) {
         return;
       }
-      if (view.known() && phase != Phase.CUT_OFF) {
+      if (view.hasData() && phase != Phase.CUT_OFF) {
         enter(Phase.BEHIND);
       }
       call.whole = whole;
-      call.since = whole ? 0 : view.applied() + 1;
-      call.limit = page;
+      call.since = whole ? 0 : view.appliedRevision() + 1;
+      call.limit = pageReceived;
       list = call;
       orders.list(call.id, at.index, 0, "", call.since, call.limit);
       return;
@@ -358,7 +358,7 @@
   private void watch(long now) {
     // Guards against a watch that takes up where another history of revisions left off, or where
     // none is kept any more.
-    if (!view.known() || wholeNeeded || compacted) {
+    if (!view.hasData() || wholeNeeded || compacted) {
       return;
     }
     long there = endpoints.stream().filter(one -> one.watch != null).count();
@@ -373,9 +373,9 @@
         }
         at.watch = call;
         call.open = blocking;
-        call.position = view.applied();
+        call.position = view.appliedRevision();
         there++;
-        orders.watch(call.id, at.index, view.applied() + 1);
+        orders.watch(call.id, at.index, view.appliedRevision() + 1);
       }
     }
   }
@@ -398,7 +398,7 @@
     }
     at.triedAt = now;
     Call call = new Call(++lastCall, kind, at, now, now + time, view);
-    calls.put(call.id, call);
+    openCallCount.put(call.id, call);
     return call;
   }
 
@@ -436,7 +436,7 @@
           && at.watch.position < tipSeen
           && now >= Math.max(at.watch.openedAt, at.watch.sentAt) + LAG) {
         Call late = at.watch;
-        orders.drop(late.id);
+        orders.cancel(late.id);
         failed(now, late, RegistryFailure.LAGGING, 0);
       }
     }
@@ -449,7 +449,7 @@
         && list.at.heardAt < list.askedAt
         && answeredAt > list.askedAt) {
       Call silent = list;
-      orders.drop(silent.id);
+      orders.cancel(silent.id);
       failed(now, silent, RegistryFailure.SILENT, 0);
     }
   }
@@ -457,7 +457,7 @@
   // ---- What came.
 
   private Call take(long id, Kind... kinds) {
-    Call call = calls.get(id);
+    Call call = openCallCount.get(id);
     if (call == null || !List.of(kinds).contains(call.kind)) {
       return null;
     }
@@ -474,10 +474,10 @@
   private boolean isOwn(long now, Call call, Header header) {
     heard(now, call.at);
     call.at.shown = header.cluster();
-    if (!view.known()
+    if (!view.hasData()
         || restored
-        || view.cluster().isEmpty()
-        || header.cluster().equals(view.cluster())) {
+        || view.clusterId().isEmpty()
+        || header.cluster().equals(view.clusterId())) {
       ownAt = now;
       return true;
     }
@@ -522,18 +522,18 @@
     tipSeen = 0;
     for (Endpoint one : endpoints) {
       if (one.watch != null) {
-        orders.drop(one.watch.id);
+        orders.cancel(one.watch.id);
         end(one.watch);
       }
     }
     if (list != null) {
-      orders.drop(list.id);
+      orders.cancel(list.id);
       end(list);
     }
   }
 
   private void end(Call call) {
-    calls.remove(call.id);
+    openCallCount.remove(call.id);
     if (call.at.watch == call) {
       call.at.watch = null;
     }
@@ -550,7 +550,7 @@
    *
    * @param tip the revision at which the tip was written; 0 where there is none
    */
-  public void pulsed(long now, long id, Header header, long tip) {
+  public void heartbeatReceived(long now, long id, Header header, long tip) {
     Call call = take(id, Kind.PULSE);
     if (call == null) {
       return;
@@ -559,11 +559,11 @@
     answeredAt = call.at.answeredAt = now;
     call.at.lastTook = now - call.sentAt;
     call.at.took = call.at.took == 0 ? call.at.lastTook : (3 * call.at.took + call.at.lastTook) / 4;
-    if (isOwn(now, call, header) && goesOn(now, call, header.revision(), tip) && view.known()) {
-      if (header.revision() > view.applied() && now - listedAt > AUDIT) {
+    if (isOwn(now, call, header) && goesOn(now, call, header.revision(), tip) && view.hasData()) {
+      if (header.revision() > view.appliedRevision() && now - listedAt > AUDIT) {
         listNeeded = true;
       }
-      if (tip > view.applied()) {
+      if (tip > view.appliedRevision()) {
         if (tip > tipSeen) {
           tipSeen = tip;
           tipSeenAt = now;
@@ -573,7 +573,7 @@
           tipSeen = tip;
           tipSeenAt = now;
         }
-        view.proven(call.sentAt);
+        view.confirm(call.sentAt);
         enter(Phase.CURRENT);
       }
     }
@@ -586,7 +586,7 @@
    * @param count how many keys there are in all; negative where the answer tells all keys whatever
    *     was asked for
    */
-  public void page(
+  public void pageReceived(
       long now, long id, Header header, List<RegistryEntry> items, boolean more, long count) {
     Call call = take(id, Kind.LIST, Kind.WATCH);
     if (call == null) {
@@ -609,7 +609,7 @@
     heard(now, call.at);
     call.items.addAll(items);
     if (call.items.size() > mostKeys + (long) call.limit) {
-      orders.drop(call.id);
+      orders.cancel(call.id);
       failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (more && !items.isEmpty()) {
       call.askedAt = now;
@@ -629,21 +629,21 @@
   }
 
   private void listed(long now, Call call) {
-    page = FIRST_PAGE;
+    pageReceived = FIRST_PAGE;
     listedAt = now;
     listTime = FIRST_LIST_TIME;
     if (!restored && !call.whole && call.count >= 0) {
-      if (call.revision > view.applied()
-          && !view.written(now, call.items, call.count, call.revision, call.sentAt)) {
+      if (call.revision > view.appliedRevision()
+          && !view.applyWrites(now, call.items, call.count, call.revision, call.sentAt)) {
         // Something was deleted as well, and only a whole list tells what.
         wholeNeeded = true;
         return;
       }
-    } else if (restored || !view.known() || call.revision >= view.applied()) {
-      view.whole(now, call.items, call.cluster, call.revision, call.sentAt, restored);
+    } else if (restored || !view.hasData() || call.revision >= view.appliedRevision()) {
+      view.applySnapshot(now, call.items, call.cluster, call.revision, call.sentAt, restored);
     }
     wholeNeeded = listNeeded = restored = compacted = false;
-    listNeeded = tipSeen > view.applied();
+    listNeeded = tipSeen > view.appliedRevision();
     if (!listNeeded) {
       enter(Phase.CURRENT);
     }
@@ -656,8 +656,8 @@
         && goesOn(now, call, header.revision(), -1)
         && !restored
         && !wholeNeeded) {
-      if (header.revision() > view.applied()) {
-        view.whole(now, items, header.cluster(), header.revision(), call.sentAt, false);
+      if (header.revision() > view.appliedRevision()) {
+        view.applySnapshot(now, items, header.cluster(), header.revision(), call.sentAt, false);
       }
       // Guards against a server that comes back at once for ever.
       if (now - call.sentAt < SETTLE) {
@@ -670,14 +670,14 @@
   }
 
   /** A watch is open. */
-  public void opened(long now, long id, Header header) {
+  public void watchOpened(long now, long id, Header header) {
     Call call = take(id, Kind.WATCH);
     if (call != null && isOwn(now, call, header)) {
       call.open = true;
       call.openedAt = now;
       call.deadline = Long.MAX_VALUE;
-    } else if (call != null && calls.containsKey(id)) {
-      orders.drop(id);
+    } else if (call != null && openCallCount.containsKey(id)) {
+      orders.cancel(id);
       end(call);
     }
     tick(now);
@@ -688,14 +688,15 @@
    *
    * @param partial whether more of the same revisions follows
    */
-  public void told(long now, long id, Header header, List<WatchEvent> changes, boolean partial) {
+  public void eventsReceived(
+      long now, long id, Header header, List<WatchEvent> changes, boolean partial) {
     Call call = take(id, Kind.WATCH);
     if (call == null || !call.open) {
       return;
     }
     if (!isOwn(now, call, header)) {
-      if (calls.containsKey(id)) {
-        orders.drop(id);
+      if (openCallCount.containsKey(id)) {
+        orders.cancel(id);
         end(call);
       }
       tick(now);
@@ -706,15 +707,15 @@
     }
     call.parts.addAll(changes);
     if (call.parts.size() > mostKeys) {
-      orders.drop(id);
+      orders.cancel(id);
       failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (!partial) {
       if (call.parts.isEmpty()) {
         call.position = Math.max(call.position, header.revision());
-        view.upTo(header.revision());
+        view.advanceTo(header.revision());
       } else {
         call.position = Math.max(call.position, call.parts.get(call.parts.size() - 1).revision());
-        view.changes(now, List.copyOf(call.parts));
+        view.applyEvents(now, List.copyOf(call.parts));
         call.parts.clear();
       }
     }
@@ -733,15 +734,15 @@
       if (call.kind == Kind.LIST) {
         // Guards against a list that is never read to its end while the registry compacts: larger
         // parts.
-        page = Math.min(MOST_PAGE, call.limit * 2);
+        pageReceived = Math.min(MOST_PAGE, call.limit * 2);
       }
     }
     tick(now);
   }
 
   /** A call ended without what it was for. */
-  public void ended(long now, long id, RegistryFailure why, long retryAfter) {
-    Call call = calls.get(id);
+  public void callFailed(long now, long id, RegistryFailure why, long retryAfter) {
+    Call call = openCallCount.get(id);
     if (call != null) {
       failed(now, call, why, retryAfter);
     }
@@ -756,7 +757,7 @@
     }
     if (why != RegistryFailure.LAGGING
         && !(call.kind == Kind.WATCH && why == RegistryFailure.BROKEN)) {
-      at.reach.failed(now, Math.max(retryAfter, why.needsPeople() ? PEOPLE : 0));
+      at.reach.failed(now, Math.max(retryAfter, why.needsOperator() ? PEOPLE : 0));
     }
     if (call.kind == Kind.LIST && why == RegistryFailure.SILENT) {
       listTime = Math.min(MOST_LIST_TIME, listTime * 2);
@@ -766,11 +767,11 @@
     } else if (call.kind == Kind.PULSE) {
       refusals++;
     }
-    if ((why.needsPeople() && !at.needsPeople)
+    if ((why.needsOperator() && !at.needsPeople)
         || why == RegistryFailure.UNREADABLE
         || why == RegistryFailure.LAGGING) {
       notes.accept("endpoint " + at.index + ": " + call.kind + " " + why);
     }
-    at.needsPeople = why.needsPeople();
+    at.needsPeople = why.needsOperator();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -53,16 +53,16 @@
     List<RegistryEntry> items = new ArrayList<>();
     if (status == 200) {
       for (JsonReader one : each(body)) {
-        String key = one.text("Key");
+        String key = one.string("Key");
         if (!key.startsWith(prefix)) {
-          throw one.wrong("Key", "not under " + prefix);
+          throw one.invalid("Key", "not under " + prefix);
         }
         items.add(
             new RegistryEntry(
                 key,
                 RecordCodec.read(key.substring(prefix.length()), EtcdProtocol.bytes(one, "Value")),
-                one.whole("CreateIndex"),
-                one.whole("ModifyIndex")));
+                one.longValue("CreateIndex"),
+                one.longValue("ModifyIndex")));
       }
     }
     return new Page(new Header("", index), items, false, -1);
@@ -101,13 +101,13 @@
 
   @Override
   public Ask pulse() {
-    return get("/v1/kv/" + prefix + RecordCodec.TIP + "?consistent=true");
+    return get("/v1/kv/" + prefix + RecordCodec.TIP_KEY + "?consistent=true");
   }
 
   @Override
   public Tip tip(int status, MultiMap headers, byte[] body) {
     List<JsonReader> found = status == 200 ? each(body) : List.of();
-    return new Tip(new Header("", 0), found.isEmpty() ? 0 : found.get(0).whole("ModifyIndex"));
+    return new Tip(new Header("", 0), found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex"));
   }
 
   @Override
@@ -139,10 +139,10 @@
                     to,
                     write.content() == null ? "delete-cas" : "cas",
                     write.key(),
-                    write.content() == null ? null : RecordCodec.write(write.content()),
+                    write.content() == null ? null : RecordCodec.encode(write.content()),
                     write.changed());
               }
-              verb(to, "set", prefix + RecordCodec.TIP, tip, 0);
+              verb(to, "set", prefix + RecordCodec.TIP_KEY, tip, 0);
               to.writeEndArray();
             }));
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -94,10 +94,10 @@
   public Page page(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
     List<RegistryEntry> items = new ArrayList<>();
-    for (JsonReader kv : answer.each("kvs")) {
+    for (JsonReader kv : answer.objects("kvs")) {
       items.add(held(kv));
     }
-    return new Page(header(answer), items, answer.flag("more"), wide(answer, "count"));
+    return new Page(header(answer), items, answer.booleanOrFalse("more"), wide(answer, "count"));
   }
 
   @Override
@@ -119,26 +119,26 @@
   public Frame frame(byte[] line) {
     JsonReader all = read(line);
     if (all.has("error")) {
-      JsonReader error = all.fields("error");
-      return new Frame.Ended(ofCode(error.place("grpc_code", error.place("code", 0))));
+      JsonReader error = all.object("error");
+      return new Frame.Ended(ofCode(error.intOr("grpc_code", error.intOr("code", 0))));
     }
-    JsonReader result = all.fields("result");
+    JsonReader result = all.object("result");
     if (wide(result, "compact_revision") > 0) {
       return new Frame.Compacted();
     }
-    if (result.flag("canceled")) {
+    if (result.booleanOrFalse("canceled")) {
       return new Frame.Ended(RegistryFailure.BROKEN);
     }
-    if (result.flag("created")) {
+    if (result.booleanOrFalse("created")) {
       return new Frame.Opened(header(result));
     }
     List<WatchEvent> changes = new ArrayList<>();
-    for (JsonReader event : result.each("events")) {
-      JsonReader kv = event.fields("kv");
-      boolean deleted = event.has("type") && event.text("type").equals("DELETE");
+    for (JsonReader event : result.objects("events")) {
+      JsonReader kv = event.object("kv");
+      boolean deleted = event.has("type") && event.string("type").equals("DELETE");
       changes.add(new WatchEvent(wide(kv, "mod_revision"), key(kv), deleted ? null : held(kv)));
     }
-    return new Frame.Told(header(result), changes, result.flag("fragment"));
+    return new Frame.Told(header(result), changes, result.booleanOrFalse("fragment"));
   }
 
   @Override
@@ -146,7 +146,7 @@
     return post(
         "/v3/kv/range",
         to -> {
-          bytes(to, "key", prefix + RecordCodec.TIP);
+          bytes(to, "key", prefix + RecordCodec.TIP_KEY);
           to.writeBooleanField("keys_only", true);
         });
   }
@@ -154,7 +154,7 @@
   @Override
   public Tip tip(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
-    List<JsonReader> kvs = answer.each("kvs");
+    List<JsonReader> kvs = answer.objects("kvs");
     return new Tip(header(answer), kvs.isEmpty() ? 0 : wide(kvs.get(0), "mod_revision"));
   }
 
@@ -176,7 +176,7 @@
 
   private static int code(byte[] body) {
     try {
-      return read(body).place("code", 0);
+      return read(body).intOr("code", 0);
     } catch (InvalidDocumentException e) {
       return 0;
     }
@@ -224,7 +224,7 @@
                 write.content() == null ? "request_delete_range" : "request_put");
             bytes(to, "key", write.key());
             if (write.content() != null) {
-              to.writeBinaryField("value", RecordCodec.write(write.content()));
+              to.writeBinaryField("value", RecordCodec.encode(write.content()));
               to.writeStringField(
                   "lease", write.key().startsWith(leased) ? Long.toString(lease) : "0");
             }
@@ -234,7 +234,7 @@
           if (tip != null) {
             to.writeStartObject();
             to.writeObjectFieldStart("request_put");
-            bytes(to, "key", prefix + RecordCodec.TIP);
+            bytes(to, "key", prefix + RecordCodec.TIP_KEY);
             to.writeBinaryField("value", tip);
             to.writeEndObject();
             to.writeEndObject();
@@ -245,7 +245,7 @@
 
   @Override
   public boolean written(int status, byte[] body) {
-    return status == 200 && read(body).flag("succeeded");
+    return status == 200 && read(body).booleanOrFalse("succeeded");
   }
 
   /** A lease of so many seconds. */
@@ -265,7 +265,7 @@
   /** Whether the lease was there to be kept: one that is over has no time left. */
   static boolean kept(byte[] body) {
     JsonReader answer = read(body);
-    return answer.has("result") && wide(answer.fields("result"), "TTL") > 0;
+    return answer.has("result") && wide(answer.object("result"), "TTL") > 0;
   }
 
   static Ask revoke(long lease) {
@@ -282,7 +282,7 @@
               to,
               "range_end",
               prefix
-                  + RecordCodec.TASKS.substring(0, RecordCodec.TASKS.length() - 1)
+                  + RecordCodec.TASKS_PREFIX.substring(0, RecordCodec.TASKS_PREFIX.length() - 1)
                   + (char) ('/' + 1));
           to.writeStringField("limit", Integer.toString(MOST_TASKS));
         });
@@ -298,7 +298,7 @@
   }
 
   static String loggedIn(byte[] body) {
-    return read(body).text("token");
+    return read(body).string("token");
   }
 
   private static JsonReader read(byte[] body) {
@@ -310,9 +310,9 @@
   }
 
   private static Header header(JsonReader answer) {
-    JsonReader header = answer.fields("header");
+    JsonReader header = answer.object("header");
     return new Header(
-        header.has("cluster_id") ? header.text("cluster_id") : "", wide(header, "revision"));
+        header.has("cluster_id") ? header.string("cluster_id") : "", wide(header, "revision"));
   }
 
   private RegistryEntry held(JsonReader kv) {
@@ -327,16 +327,16 @@
   private String key(JsonReader kv) {
     String key = new String(bytes(kv, "key"), StandardCharsets.UTF_8);
     if (!key.startsWith(prefix)) {
-      throw kv.wrong("key", "not under " + prefix);
+      throw kv.invalid("key", "not under " + prefix);
     }
     return key;
   }
 
   static byte[] bytes(JsonReader from, String name) {
     try {
-      return from.has(name) ? Base64.getDecoder().decode(from.text(name)) : new byte[0];
+      return from.has(name) ? Base64.getDecoder().decode(from.string(name)) : new byte[0];
     } catch (IllegalArgumentException e) {
-      throw from.wrong(name, "not base64");
+      throw from.invalid(name, "not base64");
     }
   }
 
@@ -345,13 +345,13 @@
       return 0;
     }
     try {
-      long value = Long.parseLong(from.text(name));
+      long value = Long.parseLong(from.string(name));
       if (value >= 0) {
         return value;
       }
     } catch (NumberFormatException e) {
       // Said below.
     }
-    throw from.wrong(name, "no 64-bit number from 0 on");
+    throw from.invalid(name, "no 64-bit number from 0 on");
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -17,11 +17,14 @@
  * {@link Content.Unreadable}, never an exception.
  */
 public final class RecordCodec {
-  public static final String CACHES = "caches/", PURGES = "purges/", TASKS = "tasks/", TIP = "tip";
+  public static final String CACHES_PREFIX = "caches/",
+      PURGES_PREFIX = "purges/",
+      TASKS_PREFIX = "tasks/",
+      TIP_KEY = "tip";
 
   /**
-   * Who owns a task for now: gone with its lease. Beside {@link #TASKS}, so that one range has
-   * both.
+   * Who owns a task for now: gone with its lease. Beside {@link #TASKS_PREFIX}, so that one range
+   * has both.
    */
   static final String OWNERS = "task-owners/";
 
@@ -32,8 +35,8 @@
 
   /** Reads what stands under a key, given without the prefix. */
   static RegistryRecord read(String key, byte[] value) {
-    boolean task = key.startsWith(TASKS) || key.startsWith(OWNERS);
-    if (!key.startsWith(CACHES) && !key.startsWith(PURGES) && !task) {
+    boolean task = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS);
+    if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !task) {
       return new RegistryRecord.Other();
     }
     if (value.length > LONGEST_VALUE) {
@@ -41,13 +44,16 @@
     }
     try (JsonParser parser = JSON.createParser(value)) {
       JsonReader fields = JsonReader.read("value", parser);
-      if (fields.whole("v") != VERSION) {
-        return new RegistryRecord.Unreadable("version " + fields.whole("v"));
+      if (fields.longValue("v") != VERSION) {
+        return new RegistryRecord.Unreadable("version " + fields.longValue("v"));
       }
       if (task) {
-        return new RegistryRecord.Task(fields.whole("term"), name(fields, "by", fields.text("by")));
+        return new RegistryRecord.Task(
+            fields.longValue("term"), name(fields, "by", fields.string("by")));
       }
-      return key.startsWith(CACHES) ? cache(key.substring(CACHES.length()), fields) : purge(fields);
+      return key.startsWith(CACHES_PREFIX)
+          ? cache(key.substring(CACHES_PREFIX.length()), fields)
+          : purge(fields);
     } catch (IOException e) {
       return new RegistryRecord.Unreadable("not JSON");
     } catch (InvalidDocumentException e) {
@@ -57,33 +63,33 @@
 
   private static RegistryRecord cache(String id, JsonReader fields) {
     EndpointState state =
-        switch (fields.text("state")) {
+        switch (fields.string("state")) {
           case "ready" -> EndpointState.UP;
           case "draining" -> EndpointState.DRAINING;
-          default -> throw fields.wrong("state", "neither ready nor draining");
+          default -> throw fields.invalid("state", "neither ready nor draining");
         };
-    String address = fields.text("address");
+    String address = fields.string("address");
     GatewayOptions.address("value: field 'address' is", address);
-    double weight = fields.numberOr("weight", 1);
+    double weight = fields.doubleOr("weight", 1);
     if (!(weight > 0) || Double.isInfinite(weight)) {
-      throw fields.wrong("weight", "no size");
+      throw fields.invalid("weight", "no size");
     }
     return new RegistryRecord.Cache(
         name(fields, "id", id),
         address,
-        name(fields, "zone", fields.text("zone")),
-        name(fields, "kind", fields.text("kind")),
-        fields.place("cell", 0),
+        name(fields, "zone", fields.string("zone")),
+        name(fields, "kind", fields.string("kind")),
+        fields.intOr("cell", 0),
         state,
         weight,
-        fields.wholeOr("started_at_ms", 0));
+        fields.longOr("started_at_ms", 0));
   }
 
   private static String name(JsonReader fields, String key, String name) {
     if (name.isEmpty()
         || name.length() > LONGEST_NAME
         || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
-      throw fields.wrong(key, "no name");
+      throw fields.invalid(key, "no name");
     }
     return name;
   }
@@ -92,30 +98,31 @@
     long object = 0;
     if (fields.has("object")) {
       try {
-        object = Long.parseUnsignedLong(fields.text("object"), 16);
+        object = Long.parseUnsignedLong(fields.string("object"), 16);
       } catch (NumberFormatException e) {
-        throw fields.wrong("object", "not an object's id");
+        throw fields.invalid("object", "not an object's id");
       }
     }
     if (object == 0 && !fields.has("group")) {
-      throw fields.wrong("object", "missing, and so is 'group'");
+      throw fields.invalid("object", "missing, and so is 'group'");
     }
-    int group = fields.place("group", 0);
+    int group = fields.intOr("group", 0);
     if (group < 0) {
-      throw fields.wrong("group", "negative");
+      throw fields.invalid("group", "negative");
     }
-    return new RegistryRecord.Purge(object, group, fields.whole("at_ms"));
+    return new RegistryRecord.Purge(object, group, fields.longValue("at_ms"));
   }
 
   /** Why gateways would not read this of a cache; null where they would. */
-  public static String fault(RegistryRecord.Cache cache) {
-    return read(CACHES + cache.id(), write(cache)) instanceof RegistryRecord.Unreadable unreadable
-        ? unreadable.why()
+  public static String validationError(RegistryRecord.Cache cache) {
+    return read(CACHES_PREFIX + cache.id(), encode(cache))
+            instanceof RegistryRecord.Unreadable unreadable
+        ? unreadable.reason()
         : null;
   }
 
   /** The value that says this of a cache or a purge. */
-  public static byte[] write(RegistryRecord content) {
+  public static byte[] encode(RegistryRecord content) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (JsonGenerator to = JSON.createGenerator(out)) {
       to.writeStartObject();
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -71,8 +71,8 @@
             got -> {
               RegistryProtocol.Page page = form.page(got.status, got.headers, got.body);
               all.addAll(page.items());
-              if (all.size() > access.mostKeys()) {
-                return Future.failedFuture(new Refused("more than " + access.mostKeys() + " keys"));
+              if (all.size() > access.maxKeys()) {
+                return Future.failedFuture(new Refused("more than " + access.maxKeys() + " keys"));
               }
               if (!page.more() || page.items().isEmpty()) {
                 return Future.succeededFuture(all);
@@ -96,13 +96,13 @@
     byte[] tip =
         (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
             .getBytes(StandardCharsets.US_ASCII);
-    boolean grants = leased && access.form() == RegistrySettings.Form.ETCD;
+    boolean grants = leased && access.protocol() == RegistrySettings.ProtocolKind.ETCD;
     return reached(0)
         .compose(
             endpoint -> {
               Future<Long> lease =
                   grants
-                      ? ask(endpoint, EtcdProtocol.grant(access.retention() / SECOND))
+                      ? ask(endpoint, EtcdProtocol.grant(access.purgeRetentionNanos() / SECOND))
                           .map(got -> EtcdProtocol.granted(got.body))
                       : Future.succeededFuture(0L);
               return lease
@@ -124,19 +124,20 @@
    */
   public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
     RegistryProtocol.Write made =
-        new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES + name, purge, 0);
-    if (access.form() == RegistrySettings.Form.ETCD) {
+        new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES_PREFIX + name, purge, 0);
+    if (access.protocol() == RegistrySettings.ProtocolKind.ETCD) {
       return write(List.of(made), true);
     }
     return list()
         .compose(
             all -> {
               List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
-              lapsed(all, purge.atMs(), access.retention()).stream()
+              lapsed(all, purge.atMs(), access.purgeRetentionNanos()).stream()
                   .limit(MOST_WRITES - 1)
                   .forEach(
                       held ->
-                          writes.add(new RegistryProtocol.Write(held.key(), null, held.changed())));
+                          writes.add(
+                              new RegistryProtocol.Write(held.key(), null, held.modRevision())));
               return write(writes, false);
             });
   }
@@ -148,7 +149,7 @@
   static List<RegistryEntry> lapsed(List<RegistryEntry> all, long nowMs, long retention) {
     long before = nowMs - retention / (SECOND / 1000) - 2 * LONGEST_STEP_MILLIS;
     return all.stream()
-        .filter(one -> one.content() instanceof RegistryRecord.Purge old && old.atMs() < before)
+        .filter(one -> one.value() instanceof RegistryRecord.Purge old && old.atMs() < before)
         .toList();
   }
 
@@ -158,15 +159,17 @@
    *
    * @param fence what the task's key holds by what was read; null where there is none
    */
-  public Future<Boolean> sweep(
+  public Future<Boolean> deletePurges(
       String task, RegistryRecord.Task as, RegistryEntry fence, List<RegistryEntry> old) {
     List<RegistryProtocol.Write> writes = new ArrayList<>();
     writes.add(
         new RegistryProtocol.Write(
-            access.prefix() + RecordCodec.TASKS + task, as, fence == null ? 0 : fence.changed()));
+            access.prefix() + RecordCodec.TASKS_PREFIX + task,
+            as,
+            fence == null ? 0 : fence.modRevision()));
     old.stream()
         .limit(MOST_WRITES)
-        .forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.changed())));
+        .forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.modRevision())));
     return write(writes, false);
   }
 
@@ -189,7 +192,7 @@
    */
   public Future<Long> campaign(String task, RegistryRecord.Task as, long changed, long seconds) {
     RegistryProtocol.Write term =
-        new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS + task, as, changed);
+        new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS_PREFIX + task, as, changed);
     RegistryProtocol.Write owner =
         new RegistryProtocol.Write(access.prefix() + RecordCodec.OWNERS + task, as, 0);
     return reached(0)
@@ -231,9 +234,9 @@
   }
 
   /** The task that a key is of, its owner's or its term's; null for another key. */
-  public String taskOf(RegistryEntry held, boolean owner) {
-    String begins = access.prefix() + (owner ? RecordCodec.OWNERS : RecordCodec.TASKS);
-    return held.key().startsWith(begins) && held.content() instanceof RegistryRecord.Task
+  public String taskName(RegistryEntry held, boolean owner) {
+    String begins = access.prefix() + (owner ? RecordCodec.OWNERS : RecordCodec.TASKS_PREFIX);
+    return held.key().startsWith(begins) && held.value() instanceof RegistryRecord.Task
         ? held.key().substring(begins.length())
         : null;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -102,7 +102,7 @@
                   }
                 });
         // Guards against a line without end.
-        parser.maxRecordSize(access.longestAnswer());
+        parser.maxRecordSize(access.maxResponseBytes());
         parser.exceptionHandler(e -> unreadable());
         response.handler(parser);
         response.endHandler(end -> end(RegistryFailure.BROKEN, 0));
@@ -111,7 +111,7 @@
       Buffer body = Buffer.buffer();
       response.handler(
           more -> {
-            if (body.length() + (long) more.length() > access.longestAnswer()) {
+            if (body.length() + (long) more.length() > access.maxResponseBytes()) {
               unreadable();
             } else {
               body.appendBuffer(more);
@@ -259,7 +259,10 @@
     }
     if (!shown.isEmpty()) {
       options.putHeader(
-          access.form() == RegistrySettings.Form.ETCD ? "Authorization" : "X-Consul-Token", shown);
+          access.protocol() == RegistrySettings.ProtocolKind.ETCD
+              ? "Authorization"
+              : "X-Consul-Token",
+          shown);
     }
     return options;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -18,7 +18,7 @@
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
   record Ask(HttpMethod method, String uri, byte[] body) {}
 
-  /** A part of a list; count as {@link org.amberpath.registry.WatchSession#page} has it. */
+  /** A part of a list; count as {@link org.amberpath.registry.WatchSession#pageReceived} has it. */
   record Page(Header header, List<RegistryEntry> items, boolean more, long count) {}
 
   /** The answer to a pulse. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -8,7 +8,7 @@
  * * Where a registry is and how it is asked: all that a settings file may say of it, checked. Times
  * are nanoseconds, sizes bytes.
  *
- * @param form which published protocol it speaks
+ * @param protocol which published protocol it speaks
  * @param prefix what all keys begin with, ending in a slash
  * @param trust PEM file of the authority that servers' certificates come from; null for an
  *     unencrypted connection
@@ -17,14 +17,14 @@
  * @param user who to log in as, with the password in a file; null for none. Only for {@link
  *     Form#ETCD}
  * @param snapshot file that keeps the view over a restart; null for none
- * @param snapshotEvery how often it is written at most
- * @param snapshotOldest a snapshot older than this is passed over
- * @param retention how long the registry keeps the key of a purge at least
- * @param mostKeys how many keys are held at most
- * @param longestAnswer how long an answer may be
+ * @param snapshotIntervalNanos how often it is written at most
+ * @param maxSnapshotAgeNanos a snapshot older than this is passed over
+ * @param purgeRetentionNanos how long the registry keeps the key of a purge at least
+ * @param maxKeys how many keys are held at most
+ * @param maxResponseBytes how long an answer may be
  */
 public record RegistrySettings(
-    Form form,
+    ProtocolKind protocol,
     List<SocketAddress> endpoints,
     String prefix,
     Path trust,
@@ -34,13 +34,13 @@
     String user,
     Path password,
     Path snapshot,
-    long snapshotEvery,
-    long snapshotOldest,
-    long retention,
-    int mostKeys,
-    int longestAnswer) {
+    long snapshotIntervalNanos,
+    long maxSnapshotAgeNanos,
+    long purgeRetentionNanos,
+    int maxKeys,
+    int maxResponseBytes) {
   /** The published protocols. */
-  public enum Form {
+  public enum ProtocolKind {
     /** The JSON form of version 3 of etcd's API: ranges, watches, transactions, leases. */
     ETCD,
     /** Consul's key-value store by HTTP: blocking reads, transactions. */
@@ -48,6 +48,6 @@
   }
 
   public String tipKey() {
-    return prefix + RecordCodec.TIP;
+    return prefix + RecordCodec.TIP_KEY;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -31,7 +31,12 @@
 
   /** What staff may want to know of the view. Ages are nanoseconds, the revision the registry's. */
   public record Status(
-      WatchSession.Phase phase, boolean known, long revision, long age, int keys, int watches) {}
+      WatchSession.Phase phase,
+      boolean hasData,
+      long revision,
+      long ageNanos,
+      int keys,
+      int watchCount) {}
 
   private final Vertx vertx;
   private final RegistrySettings access;
@@ -51,37 +56,38 @@
   public RegistrySource(Vertx vertx, RegistrySettings access, EndpointListener to, long seed) {
     this.vertx = vertx;
     this.access = access;
-    boolean blocking = access.form() == RegistrySettings.Form.CONSUL;
+    boolean blocking = access.protocol() == RegistrySettings.ProtocolKind.CONSUL;
     form = form(access);
     wires = new RegistryHttpClient(vertx, access, form);
-    times = new WallTimes(to, clock::now, System::currentTimeMillis);
+    times = new WallTimes(to, clock::nowNanos, System::currentTimeMillis);
     keeper =
         access.snapshot() == null
             ? null
             : new SnapshotKeeper(
                 access.snapshot(),
                 FileOperations.DISK,
-                access.snapshotEvery(),
+                access.snapshotIntervalNanos(),
                 write -> vertx.executeBlocking(write, false),
-                clock::now,
+                clock::nowNanos,
                 seed,
                 this::note);
     view =
-        new RegistryView(times, access.tipKey(), access.mostKeys(), access.retention(), this::note);
+        new RegistryView(
+            times, access.tipKey(), access.maxKeys(), access.purgeRetentionNanos(), this::note);
     // The server may hold a read for a sixteenth longer than it is asked to.
     recovery =
         new WatchSession(
             view,
             this,
             access.endpoints().size(),
-            access.mostKeys(),
+            access.maxKeys(),
             blocking ? BLOCKING + BLOCKING / 16 : 0,
             seed,
             this::note);
   }
 
   static RegistryProtocol form(RegistrySettings access) {
-    return access.form() == RegistrySettings.Form.ETCD
+    return access.protocol() == RegistrySettings.ProtocolKind.ETCD
         ? new EtcdProtocol(access.prefix())
         : new ConsulProtocol(access.prefix(), BLOCKING / MS);
   }
@@ -132,29 +138,30 @@
   private Snapshot kept() throws IOException {
     SnapshotFile.clean(access.snapshot(), FileOperations.DISK);
     return Files.exists(access.snapshot())
-        ? SnapshotFile.read(access.snapshot(), access.longestAnswer())
+        ? SnapshotFile.read(access.snapshot(), access.maxResponseBytes())
         : null;
   }
 
   private void remember(Snapshot kept) {
-    long now = clock.now();
-    String refusal = kept.refusal(now, access.prefix(), access.snapshotOldest());
+    long now = clock.nowNanos();
+    String refusal = kept.refusal(now, access.prefix(), access.maxSnapshotAgeNanos());
     if (refusal != null) {
       LOG.warning("registry: the snapshot is passed over: " + refusal);
     } else {
-      view.remember(now, kept.keys(), kept.cluster(), kept.revision(), now - kept.age(now));
+      view.restoreSnapshot(
+          now, kept.entries(), kept.cluster(), kept.revision(), now - kept.ageNanos(now));
       LOG.info(
           "registry: serves from a snapshot of revision "
               + kept.revision()
               + ", "
-              + kept.age(now) / MS
+              + kept.ageNanos(now) / MS
               + " ms old");
     }
   }
 
   private void begin() {
     if (running) {
-      recovery.start(clock.now());
+      recovery.start(clock.nowNanos());
       arm();
     }
   }
@@ -169,7 +176,7 @@
                 LOG.warning("registry: the files for TLS can't be taken; those read before stay");
               }
               if (running) {
-                recovery.renewed(clock.now());
+                recovery.settingsReloaded(clock.nowNanos());
                 arm();
               }
             });
@@ -189,28 +196,28 @@
   public Status status() {
     return new Status(
         recovery.phase(),
-        view.known(),
-        view.applied(),
-        Math.max(0, clock.now() - view.provenAt()),
+        view.hasData(),
+        view.appliedRevision(),
+        Math.max(0, clock.nowNanos() - view.confirmedAtNanos()),
         view.size(),
-        recovery.watches());
+        recovery.watchCount());
   }
 
   /** Wakes the recovery when it wants to be; one timer at a time. */
   private void arm() {
-    long due = recovery.due();
+    long due = recovery.nextTickNanos();
     if (due == armedFor || !running) {
       return;
     }
     vertx.cancelTimer(timer);
     armedFor = due;
-    long delay = Math.max(1, (due - clock.now() + MS - 1) / MS);
+    long delay = Math.max(1, (due - clock.nowNanos() + MS - 1) / MS);
     timer =
         vertx.setTimer(
             delay,
             now -> {
               armedFor = Long.MAX_VALUE;
-              recovery.tick(clock.now());
+              recovery.tick(clock.nowNanos());
               arm();
             });
   }
@@ -226,14 +233,14 @@
    * registry's.
    */
   private Snapshot latest() {
-    return !view.known() || recovery.phase() != WatchSession.Phase.CURRENT
+    return !view.hasData() || recovery.phase() != WatchSession.Phase.CURRENT
         ? null
         : new Snapshot(
             access.prefix(),
-            view.cluster(),
-            view.applied(),
-            times.unix(view.provenAt()),
-            List.copyOf(view.held()));
+            view.clusterId(),
+            view.appliedRevision(),
+            times.unix(view.confirmedAtNanos()),
+            List.copyOf(view.entries()));
   }
 
   // ---- Orders.
@@ -254,7 +261,7 @@
       taken(
           () -> {
             if (form.isCompacted(status, body)) {
-              recovery.compacted(clock.now(), call);
+              recovery.compacted(clock.nowNanos(), call);
             } else {
               read(status, headers, body);
             }
@@ -267,8 +274,8 @@
         reading.run();
       } catch (InvalidDocumentException e) {
         note(e.getMessage());
-        drop(call);
-        recovery.ended(clock.now(), call, RegistryFailure.UNREADABLE, 0);
+        cancel(call);
+        recovery.callFailed(clock.nowNanos(), call, RegistryFailure.UNREADABLE, 0);
       }
       arm();
     }
@@ -276,7 +283,7 @@
     @Override
     public void failed(RegistryFailure why, long retryAfter) {
       calls.remove(call);
-      recovery.ended(clock.now(), call, why, retryAfter);
+      recovery.callFailed(clock.nowNanos(), call, why, retryAfter);
       arm();
     }
   }
@@ -295,15 +302,15 @@
           @Override
           void read(int status, MultiMap headers, byte[] body) {
             RegistryProtocol.Page page = form.page(status, headers, body);
-            recovery.page(
-                clock.now(), call, page.header(), page.items(), page.more(), page.count());
+            recovery.pageReceived(
+                clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
           }
         });
   }
 
   @Override
   public void watch(long call, int endpoint, long from) {
-    boolean lines = access.form() == RegistrySettings.Form.ETCD;
+    boolean lines = access.protocol() == RegistrySettings.ProtocolKind.ETCD;
     send(
         endpoint,
         form.watch(from),
@@ -312,8 +319,8 @@
           @Override
           void read(int status, MultiMap headers, byte[] body) {
             RegistryProtocol.Page page = form.page(status, headers, body);
-            recovery.page(
-                clock.now(), call, page.header(), page.items(), page.more(), page.count());
+            recovery.pageReceived(
+                clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
           }
 
           @Override
@@ -324,23 +331,23 @@
   }
 
   private void frame(long call, RegistryProtocol.Frame frame) {
-    long now = clock.now();
+    long now = clock.nowNanos();
     if (frame instanceof RegistryProtocol.Frame.Opened opened) {
-      recovery.opened(now, call, opened.header());
+      recovery.watchOpened(now, call, opened.header());
     } else if (frame instanceof RegistryProtocol.Frame.Told told) {
-      recovery.told(now, call, told.header(), told.changes(), told.partial());
+      recovery.eventsReceived(now, call, told.header(), told.changes(), told.partial());
     } else {
-      drop(call);
+      cancel(call);
       if (frame instanceof RegistryProtocol.Frame.Compacted) {
         recovery.compacted(now, call);
       } else if (frame instanceof RegistryProtocol.Frame.Ended ended) {
-        recovery.ended(now, call, ended.why(), 0);
+        recovery.callFailed(now, call, ended.why(), 0);
       }
     }
   }
 
   @Override
-  public void pulse(long call, int endpoint) {
+  public void heartbeat(long call, int endpoint) {
     send(
         endpoint,
         form.pulse(),
@@ -349,13 +356,13 @@
           @Override
           void read(int status, MultiMap headers, byte[] body) {
             RegistryProtocol.Tip tip = form.tip(status, headers, body);
-            recovery.pulsed(clock.now(), call, tip.header(), tip.tip());
+            recovery.heartbeatReceived(clock.nowNanos(), call, tip.header(), tip.tip());
           }
         });
   }
 
   @Override
-  public void drop(long call) {
+  public void cancel(long call) {
     RegistryHttpClient.Sent sent = calls.remove(call);
     if (sent != null) {
       sent.drop();
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -102,19 +102,19 @@
           to.writeStringField("prefix", snapshot.prefix());
           to.writeStringField("cluster", snapshot.cluster());
           to.writeNumberField("revision", snapshot.revision());
-          to.writeNumberField("proven_at", snapshot.provenAt());
+          to.writeNumberField("proven_at", snapshot.confirmedAtNanos());
           to.writeArrayFieldStart("keys");
-          for (RegistryEntry held : snapshot.keys()) {
-            if (held.content() instanceof RegistryRecord.Unreadable) {
+          for (RegistryEntry held : snapshot.entries()) {
+            if (held.value() instanceof RegistryRecord.Unreadable) {
               continue;
             }
             to.writeStartObject();
             to.writeStringField("key", held.key());
-            to.writeNumberField("created", held.created());
-            to.writeNumberField("changed", held.changed());
-            if (!(held.content() instanceof RegistryRecord.Other)) {
+            to.writeNumberField("created", held.createRevision());
+            to.writeNumberField("changed", held.modRevision());
+            if (!(held.value() instanceof RegistryRecord.Other)) {
               to.writeStringField(
-                  "value", new String(RecordCodec.write(held.content()), StandardCharsets.UTF_8));
+                  "value", new String(RecordCodec.encode(held.value()), StandardCharsets.UTF_8));
             }
             to.writeEndObject();
           }
@@ -146,23 +146,24 @@
     }
     try (JsonParser parser = new JsonFactory().createParser(body)) {
       JsonReader fields = JsonReader.read("snapshot", parser);
-      String prefix = fields.text("prefix");
+      String prefix = fields.string("prefix");
       List<RegistryEntry> keys = new ArrayList<>();
-      for (JsonReader one : fields.each("keys")) {
-        String key = one.text("key");
+      for (JsonReader one : fields.objects("keys")) {
+        String key = one.string("key");
         RegistryRecord content =
             !one.has("value") || !key.startsWith(prefix)
                 ? new RegistryRecord.Other()
                 : RecordCodec.read(
                     key.substring(prefix.length()),
-                    one.text("value").getBytes(StandardCharsets.UTF_8));
-        keys.add(new RegistryEntry(key, content, one.whole("created"), one.whole("changed")));
+                    one.string("value").getBytes(StandardCharsets.UTF_8));
+        keys.add(
+            new RegistryEntry(key, content, one.longValue("created"), one.longValue("changed")));
       }
       return new Snapshot(
           prefix,
-          fields.text("cluster"),
-          fields.whole("revision"),
-          fields.whole("proven_at"),
+          fields.string("cluster"),
+          fields.longValue("revision"),
+          fields.longValue("proven_at"),
           keys);
     } catch (InvalidDocumentException e) {
       throw new IOException(e.getMessage(), e);
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -76,7 +76,7 @@
   }
 
   private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.changed(), held.key(), held);
+    return new WatchEvent(held.modRevision(), held.key(), held);
   }
 
   private List<String> told() {
@@ -86,13 +86,13 @@
   }
 
   private void starts(RegistryEntry... all) {
-    view.whole(NOW, Arrays.asList(all), "c", 10, NOW, false);
+    view.applySnapshot(NOW, Arrays.asList(all), "c", 10, NOW, false);
     told();
   }
 
   @Test
   void theFirstListIsToldWhole() {
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.DRAINING, 2, 3)),
         "c",
@@ -100,13 +100,13 @@
         NOW,
         false);
     assertEquals(List.of("=[a+b~]"), told());
-    assertEquals(10, view.applied());
+    assertEquals(10, view.appliedRevision());
   }
 
   @Test
   void allKeysOfARevisionAreOneListingAndRevisionsAreToldApart() {
     starts(cache("a", EndpointState.UP, 1, 1));
-    view.changes(
+    view.applyEvents(
         NOW,
         List.of(
             put(cache("b", EndpointState.UP, 11, 11)),
@@ -118,8 +118,8 @@
   @Test
   void whatASecondWatchTellsAgainIsPassedOver() {
     starts(cache("a", EndpointState.UP, 1, 1));
-    view.changes(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 11))));
-    view.changes(
+    view.applyEvents(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 11))));
+    view.applyEvents(
         NOW,
         List.of(
             put(cache("a", EndpointState.DRAINING, 1, 11)),
@@ -130,23 +130,25 @@
   @Test
   void aCacheThatIsCreatedAnewUnderItsIdIsGoneFirst() {
     starts(cache("a", EndpointState.UP, 1, 1));
-    assertTrue(view.written(NOW, List.of(cache("a", EndpointState.UP, 14, 14)), 1, 14, NOW));
+    assertTrue(view.applyWrites(NOW, List.of(cache("a", EndpointState.UP, 14, 14)), 1, 14, NOW));
     assertEquals(List.of("[a-]", "[a+]"), told());
   }
 
   @Test
   void aDeletionThatNobodyToldOfNeedsAWholeList() {
     starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), 1, 13, NOW));
+    assertFalse(
+        view.applyWrites(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), 1, 13, NOW));
     assertEquals(List.of(), told());
-    view.whole(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), "c", 13, NOW, false);
+    view.applySnapshot(
+        NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), "c", 13, NOW, false);
     assertEquals(List.of("[b-a~]"), told());
   }
 
   @Test
   void aDeletionThatANewKeyHidesInTheCountIsFoundToo() {
     starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("d", EndpointState.UP, 12, 12)), 2, 13, NOW));
+    assertFalse(view.applyWrites(NOW, List.of(cache("d", EndpointState.UP, 12, 12)), 2, 13, NOW));
   }
 
   @Test
@@ -154,11 +156,12 @@
     starts(cache("a", EndpointState.UP, 1, 1));
     RegistryEntry spoilt =
         new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
-    view.changes(
+    view.applyEvents(
         NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", EndpointState.UP, 11, 11))));
     assertEquals(List.of("[b+]"), told());
     assertEquals(List.of("p/a: not JSON"), complaints);
-    view.whole(NOW, List.of(spoilt, cache("b", EndpointState.UP, 11, 11)), "c", 12, NOW, false);
+    view.applySnapshot(
+        NOW, List.of(spoilt, cache("b", EndpointState.UP, 11, 11)), "c", 12, NOW, false);
     assertEquals(List.of(), told());
     assertEquals(1, complaints.size());
   }
@@ -166,14 +169,14 @@
   @Test
   void aPurgeIsToldOnceAndCountsFromNow() {
     starts();
-    view.changes(NOW, List.of(put(purge(7, 900, 11))));
-    view.whole(NOW, List.of(purge(7, 900, 11)), "c", 12, NOW, false);
+    view.applyEvents(NOW, List.of(put(purge(7, 900, 11))));
+    view.applySnapshot(NOW, List.of(purge(7, 900, 11)), "c", 12, NOW, false);
     assertEquals(List.of("purged 7/0 0"), told());
   }
 
   @Test
   void aPurgeFromBeforeTheStartCountsFromNowWhateverItsWritersClockSays() {
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)),
         "c",
@@ -186,9 +189,10 @@
   @Test
   void afterAGapLongerThanPurgesAreKeptEverythingCountsAsPurged() {
     starts(cache("a", EndpointState.UP, 1, 1));
-    view.whole(NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
+    view.applySnapshot(
+        NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
     assertEquals(List.of(), told());
-    view.whole(
+    view.applySnapshot(
         NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 21, NOW + 2 * RETENTION + 1, false);
     assertEquals(List.of("purged 0/-1 0"), told());
   }
@@ -196,15 +200,15 @@
   @Test
   void aRestoredRegistryIsAFullNewListAndEverythingCountsAsPurged() {
     starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 9));
-    view.whole(NOW, List.of(cache("b", EndpointState.UP, 2, 5)), "c", 6, NOW, true);
+    view.applySnapshot(NOW, List.of(cache("b", EndpointState.UP, 2, 5)), "c", 6, NOW, true);
     assertEquals(List.of("=[b+]", "purged 0/-1 0"), told());
-    assertEquals(6, view.applied());
+    assertEquals(6, view.appliedRevision());
   }
 
   @Test
   void anOlderWriteOfAKnownKeyShowsThatRevisionsWereGivenAnew() {
     starts(cache("b", EndpointState.UP, 2, 9));
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(cache("b", EndpointState.UP, 2, 5), cache("d", EndpointState.UP, 11, 11)),
         "c",
@@ -218,26 +222,27 @@
   void keysPastTheBoundArePassedOverWhileThoseHeldAreFollowed() {
     starts(cache("a", EndpointState.UP, 1, 1));
     for (int more = 0; more < 8; more++) {
-      view.changes(NOW, List.of(put(cache("x" + more, EndpointState.UP, 11 + more, 11 + more))));
+      view.applyEvents(
+          NOW, List.of(put(cache("x" + more, EndpointState.UP, 11 + more, 11 + more))));
     }
     assertEquals(5, told().size());
     assertEquals(1, complaints.size());
-    view.changes(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 30))));
+    view.applyEvents(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 30))));
     assertEquals(List.of("[a~]"), told());
     assertEquals(6, view.size());
   }
 
   @Test
   void aSnapshotIsToldWithItsTrueAgeAndTheRegistryOnlyWhatDiffers() {
-    view.remember(
+    view.restoreSnapshot(
         NOW,
         List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2)),
         "c",
         10,
         NOW - 50 * MS);
     assertEquals(List.of("=[a+b+]"), told());
-    assertEquals(NOW - 50 * MS, view.provenAt());
-    view.whole(
+    assertEquals(NOW - 50 * MS, view.confirmedAtNanos());
+    view.applySnapshot(
         NOW,
         List.of(cache("a", EndpointState.DRAINING, 1, 12), cache("b", EndpointState.UP, 2, 2)),
         "c",
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -61,7 +61,7 @@
   }
 
   private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.changed(), held.key(), held);
+    return new WatchEvent(held.modRevision(), held.key(), held);
   }
 
   private List<String> told() {
@@ -73,15 +73,15 @@
   @ParameterizedTest
   @CsvSource({"-5000,0", "-3600000,0", "3600000,0", "0,0", "-7200000,-3600000"})
   void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
-    view.whole(NOW, List.of(), "c", 1, NOW, false);
-    view.changes(
+    view.applySnapshot(NOW, List.of(), "c", 1, NOW, false);
+    view.applyEvents(
         NOW, List.of(put(cache("a", EndpointState.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
     assertEquals(List.of("a " + start), told());
   }
 
   @Test
   void aStartStaysWhatItWasToldAsUntilTheCacheIsAnotherOne() {
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(
             cache("a", EndpointState.UP, 3_600_000, 1, 1),
@@ -93,15 +93,15 @@
         false);
     assertEquals(List.of("a 0", "b -7000", "c long ago"), told());
     long later = NOW + 60 * SECOND;
-    view.changes(
+    view.applyEvents(
         later,
         List.of(
             put(cache("a", EndpointState.DRAINING, 3_600_000, 1, 2)),
             put(cache("b", EndpointState.DRAINING, -9000, 1, 2))));
     assertEquals(List.of("a 0", "b -7000"), told());
-    view.changes(later, List.of(put(cache("a", EndpointState.UP, -3_000_000, 1, 3))));
+    view.applyEvents(later, List.of(put(cache("a", EndpointState.UP, -3_000_000, 1, 3))));
     assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
-    view.changes(later, List.of(put(cache("b", EndpointState.UP, -9000, 4, 4))));
+    view.applyEvents(later, List.of(put(cache("b", EndpointState.UP, -9000, 4, 4))));
     assertEquals(List.of("b long ago", "b 60000"), told(), "gone, and another one under its id");
   }
 
@@ -109,9 +109,9 @@
   void aPurgeInASnapshotCountsFromTheStart() {
     RegistryEntry purge =
         new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
-    view.remember(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
+    view.restoreSnapshot(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
     assertEquals(List.of("purged 7 0"), told());
-    view.whole(NOW, List.of(purge), "c", 10, NOW, false);
+    view.applySnapshot(NOW, List.of(purge), "c", 10, NOW, false);
     assertEquals(List.of(), told());
   }
 
@@ -119,7 +119,7 @@
   @CsvSource({"-10,10", "-3610,3610", "1,0", "10,3590", "3590,10", "3700,-100"})
   void aSnapshotIsAsOldAsAStepOfTheClockAllows(long provenS, long ageS) {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
-    assertEquals(ageS * SECOND, snapshot.age(NOW));
+    assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
     assertEquals(ageS < 0 ? "it is from the future" : null, snapshot.refusal(NOW, "p/", DAY));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -44,12 +44,12 @@
         }
 
         @Override
-        public void pulse(long call, int endpoint) {
+        public void heartbeat(long call, int endpoint) {
           orders.add(new Order("pulse", call, endpoint, 0));
         }
 
         @Override
-        public void drop(long call) {
+        public void cancel(long call) {
           dropped.add(call);
         }
       };
@@ -75,11 +75,11 @@
   private void pass(long ms, Predicate<Order> answers, long revision, long tip) {
     long end = now + ms * MS;
     while (now < end) {
-      now = Math.min(end, Math.max(now + MS, recovery.due()));
+      now = Math.min(end, Math.max(now + MS, recovery.nextTickNanos()));
       recovery.tick(now);
       for (Order pulse : take("pulse")) {
         if (answers.test(pulse)) {
-          recovery.pulsed(now, pulse.call, new Header("c", revision), tip);
+          recovery.heartbeatReceived(now, pulse.call, new Header("c", revision), tip);
         }
       }
     }
@@ -90,11 +90,12 @@
   }
 
   private void list(Order list, long revision, RegistryEntry... all) {
-    recovery.page(now, list.call, new Header("c", revision), List.of(all), false, all.length);
+    recovery.pageReceived(
+        now, list.call, new Header("c", revision), List.of(all), false, all.length);
   }
 
   private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.changed(), held.key(), held);
+    return new WatchEvent(held.modRevision(), held.key(), held);
   }
 
   /** Three endpoints, a list of one cache, two watches. */
@@ -106,7 +107,7 @@
     start(endpoints);
     list(take("list").get(0), 10, RegistryViewTest.cache("a", EndpointState.UP, 1, 9), tip(9));
     List<Order> watches = take("watch");
-    watches.forEach(watch -> recovery.opened(now, watch.call, new Header("c", 10)));
+    watches.forEach(watch -> recovery.watchOpened(now, watch.call, new Header("c", 10)));
     told.clear();
     return watches;
   }
@@ -137,14 +138,14 @@
   void aFrameThatSplitsARevisionIsToldWhenItIsWhole() {
     Order watch = watching().get(0);
     Header header = new Header("c", 12);
-    recovery.told(
+    recovery.eventsReceived(
         now,
         watch.call,
         header,
         List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 11))),
         true);
     assertEquals(List.of(), told);
-    recovery.told(
+    recovery.eventsReceived(
         now,
         watch.call,
         header,
@@ -156,13 +157,13 @@
   @Test
   void aWatchThatBreaksResumesAtTheNextRevision() {
     List<Order> watches = watching();
-    recovery.told(
+    recovery.eventsReceived(
         now,
         watches.get(0).call,
         new Header("c", 14),
         List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 14))),
         false);
-    recovery.ended(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
+    recovery.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
     pass(200, ALL, 14, 9);
     assertEquals(15, take("watch").get(0).from);
   }
@@ -197,7 +198,7 @@
         story.pass(1, one -> one.endpoint == only, 11, 11);
         for (Order list : story.take("list")) {
           if (list.endpoint == only) {
-            story.recovery.page(
+            story.recovery.pageReceived(
                 story.now,
                 list.call,
                 new Header("c", 11),
@@ -214,7 +215,8 @@
   @Test
   void aWatchThatStaysBehindWhatAPulseToldIsLeft() {
     List<Order> watches = watching();
-    recovery.told(now, watches.get(0).call, new Header("c", 11), List.of(put(tip(11))), false);
+    recovery.eventsReceived(
+        now, watches.get(0).call, new Header("c", 11), List.of(put(tip(11))), false);
     pass(300, ALL, 11, 11);
     assertEquals(List.of(watches.get(1).call), dropped);
     assertTrue(take("watch").stream().anyMatch(one -> one.from == 12));
@@ -234,7 +236,7 @@
           boolean old = once[0];
           once[0] = false;
           if (old) {
-            recovery.pulsed(now, one.call, new Header("c", 4), 4);
+            recovery.heartbeatReceived(now, one.call, new Header("c", 4), 4);
           }
           return !old;
         },
@@ -263,7 +265,7 @@
         20_000,
         one -> {
           if (one.endpoint == 2) {
-            recovery.pulsed(now, one.call, new Header("other", 900), 900);
+            recovery.heartbeatReceived(now, one.call, new Header("other", 900), 900);
           }
           return one.endpoint != 2;
         },
@@ -279,13 +281,13 @@
     pass(
         600,
         one -> {
-          recovery.pulsed(now, one.call, new Header("other", 5), 5);
+          recovery.heartbeatReceived(now, one.call, new Header("other", 5), 5);
           return false;
         },
         0,
         0);
     Order whole = last("list");
-    recovery.page(now, whole.call, new Header("other", 5), List.of(), false, 0);
+    recovery.pageReceived(now, whole.call, new Header("other", 5), List.of(), false, 0);
     assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), told);
   }
 
@@ -301,7 +303,7 @@
       recovery.tick(now);
       for (Order order : List.copyOf(orders)) {
         asked++;
-        recovery.ended(now, order.call, why, 0);
+        recovery.callFailed(now, order.call, why, 0);
       }
       orders.clear();
     }
@@ -316,7 +318,7 @@
     assertEquals(List.of(), told);
     assertEquals(
         1,
-        view.held().stream().filter(one -> one.content() instanceof RegistryRecord.Cache).count());
+        view.entries().stream().filter(one -> one.value() instanceof RegistryRecord.Cache).count());
   }
 
   @Test
@@ -328,7 +330,7 @@
       recovery.tick(now);
       for (Order order : List.copyOf(orders)) {
         asked++;
-        recovery.ended(now, order.call, RegistryFailure.REFUSED, 0);
+        recovery.callFailed(now, order.call, RegistryFailure.REFUSED, 0);
       }
       orders.clear();
     }
@@ -339,7 +341,7 @@
   void aListIsReadByPagesAtOneRevisionAndAnewInLargerPartsWhenThatIsCompacted() {
     start(1);
     Order list = take("list").get(0);
-    recovery.page(
+    recovery.pageReceived(
         now,
         list.call,
         new Header("c", 10),
@@ -369,12 +371,12 @@
   @Test
   void aServerThatAsksForFewerCallsIsLeftAloneForThatLong() {
     start(1);
-    recovery.ended(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
+    recovery.callFailed(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
     long since = now;
     take("pulse")
-        .forEach(one -> recovery.ended(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
+        .forEach(one -> recovery.callFailed(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
     while (orders.isEmpty()) {
-      now = Math.max(now + MS, recovery.due());
+      now = Math.max(now + MS, recovery.nextTickNanos());
       recovery.tick(now);
     }
     assertTrue(now - since >= 700 * MS, (now - since) / MS + " ms");
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -60,7 +60,7 @@
       endpoint.setSoTimeout(PATIENCE_MILLIS);
       RegistrySettings access =
           new RegistrySettings(
-              RegistrySettings.Form.ETCD,
+              RegistrySettings.ProtocolKind.ETCD,
               List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")),
               "p/",
               null,
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -67,7 +67,7 @@
             (key, value) ->
                 assertEquals(
                     new String(value, StandardCharsets.UTF_8),
-                    new String(RecordCodec.write(SAID.get(key)), StandardCharsets.UTF_8),
+                    new String(RecordCodec.encode(SAID.get(key)), StandardCharsets.UTF_8),
                     key));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -51,10 +51,10 @@
 
   @Test
   void aCacheReadsAsItWasWritten() {
-    assertEquals(CACHE, RecordCodec.read("caches/c1", RecordCodec.write(CACHE)));
+    assertEquals(CACHE, RecordCodec.read("caches/c1", RecordCodec.encode(CACHE)));
     RegistryRecord.Purge purge =
         new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
-    assertEquals(purge, RecordCodec.read("purges/1", RecordCodec.write(purge)));
+    assertEquals(purge, RecordCodec.read("purges/1", RecordCodec.encode(purge)));
   }
 
   @ParameterizedTest
@@ -108,7 +108,7 @@
                 "{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
                     + base64("p/caches/c1")
                     + "','create_revision':'3','mod_revision':'9','value':'"
-                    + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE))
+                    + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
                     + "'}],'more':true,'count':'2'}"));
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertEquals(40, page.header().revision());
@@ -139,7 +139,7 @@
                         + base64("p/caches/c1")
                         + "','mod_revision':'40'}}]}}"));
     assertTrue(told.partial());
-    assertNull(told.changes().get(0).held());
+    assertNull(told.changes().get(0).entry());
     assertEquals(40, told.changes().get(0).revision());
   }
 
@@ -181,7 +181,7 @@
             headers,
             bytes(
                 "[{'Key':'p/caches/c1','Value':'"
-                    + Base64.getEncoder().encodeToString(RecordCodec.write(CACHE))
+                    + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
                     + "','CreateIndex':3,'ModifyIndex':9}]"));
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertTrue(page.count() < 0);
