--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -15,8 +15,10 @@
 import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -298,30 +300,22 @@
   /** Prints what a gateway would be told. */
   private final class Printer implements EndpointListener {
     @Override
-    public void endpointListStarted(boolean whole) {
-      if (whole) {
+    public void endpointListStarted(EndpointListKind kind) {
+      if (kind == EndpointListKind.FULL) {
         say(new JsonObject().put("key", "list").put("whole", true));
       }
     }
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {
+    public void endpointListed(ListedEndpoint endpoint) {
       say(
           new JsonObject()
-              .put("key", id)
-              .put("state", say(state))
-              .put("address", address)
-              .put("zone", zone)
-              .put("kind", kind)
-              .put("weight", weight));
+              .put("key", endpoint.id())
+              .put("state", say(endpoint.state()))
+              .put("address", endpoint.address())
+              .put("zone", endpoint.zone())
+              .put("kind", endpoint.kind())
+              .put("weight", endpoint.weight()));
     }
 
     @Override
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -71,7 +71,12 @@
 
   /** The interfaces between decisions and the rest hold none themselves. */
   private static final Set<String> INTERFACES =
-      Set.of("RoutingEvents", "RoutingActions", "RoutingConfig", "EndpointListener");
+      Set.of(
+          "RoutingEvents",
+          "RoutingEventHandler",
+          "RoutingActions",
+          "RoutingConfig",
+          "EndpointListener");
 
   @Test
   void theFilesOfDecisionsAreAllNamedAndThere() throws IOException {
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -55,7 +55,7 @@
     SocketReads.Backlog backlog = backlog(client, nowNanos, lagNanos);
     long waitedNanos = backlog == null ? lagNanos : nowNanos - backlog.sinceNanos();
     long deadlineNanos = RequestDeadline.of(nowNanos, waitedNanos, decoded.timeoutNanos());
-    int trafficClass = config.trafficClass(decoded.trafficClass());
+    int trafficClass = config.trafficClassIndex(decoded.trafficClass());
     if (trafficClass < 0) {
       client.rejectInvalidRequest(messageId, "no delivery service " + decoded.trafficClass());
     } else if (inFlight.containsReference(ClientRequest.referenceOf(decoded))) {
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -7,6 +7,7 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingConfig;
 
@@ -53,7 +54,7 @@
     OutboundAttempt attempt = create(request, parameters, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
-    if (request.answered || attempt.plan.index() >= config.maxAttempts()) {
+    if (request.answered || attempt.plan.index() >= config.retries().maxAttempts()) {
       attempt.skip();
       return;
     }
@@ -82,7 +83,7 @@
             nowNanos,
             context.lagMonitor().totalLagNanos(),
             untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
-            !config.neverCached(request.trafficClass));
+            !config.trafficClass(request.trafficClass).neverCached());
     return new OutboundAttempt(
         plan, encodeFields(request, parameters), endpoints.pool(parameters.endpoint()), this);
   }
@@ -174,7 +175,14 @@
         request,
         events ->
             events.attemptEnded(
-                request.id, plan.index(), plan.endpoint(), outcome, tookNanos, answered, note));
+                new AttemptResult(
+                    request.id,
+                    plan.index(),
+                    plan.endpoint(),
+                    outcome,
+                    tookNanos,
+                    answered,
+                    note)));
     context.inFlight().removeIfFinished(request);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -15,9 +15,11 @@
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.amberpath.routing.RoutingEventHandler;
 
 /**
@@ -134,31 +136,22 @@
   }
 
   @Override
-  public void endpointListStarted(boolean whole) {
+  public void endpointListStarted(EndpointListKind kind) {
     list.clear();
-    list.add(
-        to -> to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES));
-    if (whole) {
+    list.add(to -> to.endpointListStarted(kind));
+    if (kind == EndpointListKind.FULL) {
       byId.values().forEach(entry -> entry.state = EndpointState.GONE);
     }
   }
 
   @Override
-  public void endpointListed(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtMs) {
-    if (state == EndpointState.GONE && !byId.containsKey(id)) {
+  public void endpointListed(ListedEndpoint endpoint) {
+    if (endpoint.state() == EndpointState.GONE && !byId.containsKey(endpoint.id())) {
       return;
     }
     Entry entry =
         byId.computeIfAbsent(
-            id,
+            endpoint.id(),
             fresh -> {
               Entry made = new Entry(fresh, unused.isEmpty() ? entries.size() : unused.pop());
               if (made.index == entries.size()) {
@@ -167,22 +160,35 @@
               entries.set(made.index, made);
               return made;
             });
-    entry.state = state;
-    if (!address.isEmpty()) {
-      SocketAddress now = GatewayOptions.address("journal: hostPort is", address);
+    entry.state = endpoint.state();
+    if (!endpoint.address().isEmpty()) {
+      SocketAddress now = GatewayOptions.address("journal: hostPort is", endpoint.address());
       if (entry.pool != null && !now.equals(entry.address)) {
         entry.pool.close();
         entry.pool = null;
       }
       entry.address = now;
     }
-    if (startedAtMs != entry.startedAtMs) {
-      entry.startedAtMs = startedAtMs;
-      entry.startedAt = startedAtMs == 0 ? 0 : clock.nowNanos() - clock.sinceStart(startedAtMs);
+    if (endpoint.startedAtMillis() != entry.startedAtMs) {
+      entry.startedAtMs = endpoint.startedAtMillis();
+      entry.startedAt =
+          endpoint.startedAtMillis() == 0
+              ? 0
+              : clock.nowNanos() - clock.sinceStart(endpoint.startedAtMillis());
     }
     entry.telling =
         startedAt ->
-            to -> to.endpointListed(entry.index, id, zone, kind, cell, state, weight, startedAt);
+            to ->
+                to.endpointListed(
+                    new EndpointDescription(
+                        entry.index,
+                        endpoint.id(),
+                        endpoint.zone(),
+                        endpoint.kind(),
+                        endpoint.cell(),
+                        endpoint.state(),
+                        endpoint.weight(),
+                        startedAt));
     list.add(entry.telling.apply(entry.startedAt));
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
+++ b/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
@@ -34,8 +34,8 @@
     LoadShedder loadShedder =
         new LoadShedder(
             options.routingConfig().seed(),
-            options.routingConfig().sendsRetryAfter()
-                ? options.routingConfig().maxRetryAfterNanos()
+            options.routingConfig().retries().retryAfter()
+                ? options.routingConfig().retries().maxRetryAfterNanos()
                 : 0);
     SocketReads socketReads = new SocketReads(clock.nowNanos());
     return new PipelineContext(
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -1,5 +1,6 @@
 package org.amberpath.gateway;
 
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RoutingActions;
 
@@ -45,17 +46,16 @@
   }
 
   @Override
-  public void sendAttempt(
-      long requestId,
-      int endpoint,
-      long untilNanos,
-      int source,
-      long maxAgeNanos,
-      int priority,
-      int flags) {
+  public void sendAttempt(AttemptCommand command) {
     attemptSender.send(
-        find(requestId),
-        new AttemptParameters(endpoint, untilNanos, source, maxAgeNanos, priority, flags));
+        find(command.requestId()),
+        new AttemptParameters(
+            command.endpoint(),
+            command.deadlineNanos(),
+            command.source(),
+            command.maxAgeNanos(),
+            command.rank(),
+            command.options()));
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -6,6 +6,7 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
@@ -87,14 +88,15 @@
         request,
         events ->
             events.requestReceived(
-                request.id,
-                request.trafficClass,
-                request.decoded.objectId(),
-                request.decoded.purgeGroup(),
-                request.decoded.partNumber(),
-                request.deadlineNanos - context.clock().nowNanos(),
-                request.decoded.sizeKb(),
-                false));
+                new RequestDetails(
+                    request.id,
+                    request.trafficClass,
+                    request.decoded.objectId(),
+                    request.decoded.purgeGroup(),
+                    request.decoded.partNumber(),
+                    request.deadlineNanos - context.clock().nowNanos(),
+                    request.decoded.sizeKb(),
+                    false)));
   }
 
   /**
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -9,9 +9,13 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.cache.ReplyWarmUp;
 import org.amberpath.gateway.client.RequestWarmUp;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
@@ -122,21 +126,29 @@
         nowNanos,
         events ->
             events.requestReceived(
-                id,
-                trafficClass,
-                objectId,
-                0,
-                partNumber,
-                REQUEST_TIMEOUT_NANOS,
-                SEGMENT_KB,
-                false),
+                new RequestDetails(
+                    id,
+                    trafficClass,
+                    objectId,
+                    0,
+                    partNumber,
+                    REQUEST_TIMEOUT_NANOS,
+                    SEGMENT_KB,
+                    false)),
         this);
     router.decide(
         nowNanos + REQUEST_INTERVAL_NANOS / 2,
         events -> {
           events.timerFired("sweep");
           events.attemptEnded(
-              id, 0, chosenEndpoint, AttemptOutcome.SUCCEEDED, RESPONSE_TIME_NANOS, true, note);
+              new AttemptResult(
+                  id,
+                  0,
+                  chosenEndpoint,
+                  AttemptOutcome.SUCCEEDED,
+                  RESPONSE_TIME_NANOS,
+                  true,
+                  note));
         },
         this);
   }
@@ -145,32 +157,29 @@
     events.endpointListStarted(EndpointListKind.FULL);
     for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
       events.endpointListed(
-          endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0);
-    }
-    if (config.parentKind() != null) {
-      events.endpointListed(
-          ENDPOINTS,
-          "m" + ENDPOINTS,
-          config.zone(),
-          config.parentKind(),
-          0,
-          EndpointState.UP,
-          1,
-          0);
+          new EndpointDescription(
+              endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0));
     }
+    config
+        .parentKind()
+        .ifPresent(
+            kind ->
+                events.endpointListed(
+                    new EndpointDescription(
+                        ENDPOINTS,
+                        "m" + ENDPOINTS,
+                        config.zone(),
+                        kind,
+                        0,
+                        EndpointState.UP,
+                        1,
+                        0)));
     events.endpointListCompleted();
   }
 
   @Override
-  public void sendAttempt(
-      long requestId,
-      int endpoint,
-      long untilNanos,
-      int source,
-      long maxAgeNanos,
-      int priority,
-      int flags) {
-    chosenEndpoint = endpoint;
+  public void sendAttempt(AttemptCommand command) {
+    chosenEndpoint = command.endpoint();
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -7,6 +7,7 @@
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingConfig;
 import org.amberpath.routing.RoutingEventHandler;
 
@@ -56,8 +57,8 @@
   /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
   void addRecent(ClientRequest request) {
     DecodedRequest decoded = request.decoded;
-    if (config.idempotency(request.trafficClass) == Idempotency.IDEMPOTENT
-        && !config.neverCached(request.trafficClass)
+    if (config.trafficClass(request.trafficClass).idempotency() == Idempotency.IDEMPOTENT
+        && !config.trafficClass(request.trafficClass).neverCached()
         && decoded.body().length <= MAX_BODY_BYTES) {
       recent.add(
           new SegmentKey(decoded.objectId(), decoded.partNumber()),
@@ -96,13 +97,15 @@
   private void offer(RoutingEventHandler events, ClientRequest request, int endpoint) {
     DecodedRequest decoded = request.decoded;
     events.syntheticRequestReceived(
-        request.id,
-        request.trafficClass,
-        decoded.objectId(),
-        decoded.purgeGroup(),
-        decoded.partNumber(),
-        request.deadlineNanos - clock.nowNanos(),
-        decoded.sizeKb(),
+        new RequestDetails(
+            request.id,
+            request.trafficClass,
+            decoded.objectId(),
+            decoded.purgeGroup(),
+            decoded.partNumber(),
+            request.deadlineNanos - clock.nowNanos(),
+            decoded.sizeKb(),
+            false),
         endpoint);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -4,8 +4,10 @@
 import java.util.List;
 import java.util.Set;
 import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known
@@ -91,14 +93,15 @@
 
   private static void member(JsonReader one, EndpointListener to) {
     to.endpointListed(
-        one.string("instanceId"),
-        one.has("hostPort") ? one.string("hostPort") : "",
-        one.has("zone") ? one.string("zone") : "",
-        one.has("machineType") ? one.string("machineType") : "",
-        one.intOr("cell", 0),
-        state(one),
-        one.doubleOr("weight", 1),
-        one.longOr("startedAtMs", 0));
+        new ListedEndpoint(
+            one.string("instanceId"),
+            one.has("hostPort") ? one.string("hostPort") : "",
+            one.has("zone") ? one.string("zone") : "",
+            one.has("machineType") ? one.string("machineType") : "",
+            one.intOr("cell", 0),
+            state(one),
+            one.doubleOr("weight", 1),
+            one.longOr("startedAtMs", 0)));
   }
 
   private static long object(JsonReader purge) {
@@ -137,7 +140,7 @@
         end();
       }
       if (!isOpen) {
-        to.endpointListStarted(whole);
+        to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       }
       for (JsonReader one : instances) {
         member(one, to);
@@ -171,18 +174,10 @@
     private long newestPurge;
 
     @Override
-    public void endpointListStarted(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
     public void endpointListCompleted() {}
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.RoutingActions;
 
 /**
@@ -40,20 +41,19 @@
   }
 
   @Override
-  public void sendAttempt(
-      long get, int cache, long until, int source, long age, int rank, int switches) {
+  public void sendAttempt(AttemptCommand command) {
     write(
         "serve-via",
         () -> {
-          reply.writeNumberField("op-id", get);
-          reply.writeStringField("cache", caches.address(cache));
-          writeSeconds("try-until-s", until);
-          reply.writeStringField("supplier", caches.address(source));
-          if (age > 0) {
-            writeSeconds("oldness-s", age);
+          reply.writeNumberField("op-id", command.requestId());
+          reply.writeStringField("cache", caches.address(command.endpoint()));
+          writeSeconds("try-until-s", command.deadlineNanos());
+          reply.writeStringField("supplier", caches.address(command.source()));
+          if (command.maxAgeNanos() > 0) {
+            writeSeconds("oldness-s", command.maxAgeNanos());
           }
-          reply.writeNumberField("hold-rank", rank);
-          reply.writeNumberField("switches", switches);
+          reply.writeNumberField("hold-rank", command.rank());
+          reply.writeNumberField("switches", command.options());
         });
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -3,8 +3,11 @@
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEventHandler;
 
@@ -45,43 +48,46 @@
     to.endpointListStarted(listing(view));
     for (JsonReader entry : view.objects("members-list")) {
       to.endpointListed(
-          caches.add(entry.string("cache")),
-          entry.string("cache"),
-          entry.has("az") ? entry.string("az") : "",
-          entry.has("flavor") ? entry.string("flavor") : "",
-          entry.intOr("cohort", 0),
-          state(entry),
-          entry.doubleOr("power-hint", 1),
-          entry.durationNanosOr("came-up-s", 0));
+          new EndpointDescription(
+              caches.add(entry.string("cache")),
+              entry.string("cache"),
+              entry.has("az") ? entry.string("az") : "",
+              entry.has("flavor") ? entry.string("flavor") : "",
+              entry.intOr("cohort", 0),
+              state(entry),
+              entry.doubleOr("power-hint", 1),
+              entry.durationNanosOr("came-up-s", 0)));
     }
     to.endpointListCompleted();
   }
 
   private void request(JsonReader order, RoutingEventHandler to) {
-    int trafficClass = config.trafficClass(order.string("tier-class"));
+    int trafficClass = config.trafficClassIndex(order.string("tier-class"));
     if (trafficClass < 0) {
       throw order.invalid("tier-class", "no known delivery service: " + order.string("tier-class"));
     }
     to.requestReceived(
-        order.longValue("op-id"),
-        trafficClass,
-        order.longOr("resource", 0),
-        order.intOr("batch-id", 0),
-        order.intOr("range-no", 0),
-        order.durationNanos("time-budget-s"),
-        order.doubleOr("kb", 0),
-        order.booleanOrFalse("is-write"));
+        new RequestDetails(
+            order.longValue("op-id"),
+            trafficClass,
+            order.longOr("resource", 0),
+            order.intOr("batch-id", 0),
+            order.intOr("range-no", 0),
+            order.durationNanos("time-budget-s"),
+            order.doubleOr("kb", 0),
+            order.booleanOrFalse("is-write")));
   }
 
   private void outcome(JsonReader verdict, RoutingEventHandler to) {
     to.attemptEnded(
-        verdict.longValue("op-id"),
-        verdict.intOr("copy", 0),
-        cache(verdict),
-        outcome(verdict),
-        verdict.durationNanosOr("rtt-s", 0),
-        verdict.booleanOrFalse("settled"),
-        note(verdict));
+        new AttemptResult(
+            verdict.longValue("op-id"),
+            verdict.intOr("copy", 0),
+            cache(verdict),
+            outcome(verdict),
+            verdict.durationNanosOr("rtt-s", 0),
+            verdict.booleanOrFalse("settled"),
+            note(verdict)));
   }
 
   private static void purge(JsonReader purge, RoutingEventHandler to) {
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.RequestDetails;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -128,16 +131,21 @@
                 PausingDecisions.events(
                     (name, told) -> {
                       if (name.equals("attemptEnded")) {
-                        outcomes.add((AttemptOutcome) told[3]);
+                        outcomes.add(((AttemptResult) told[0]).outcome());
                       }
                       boolean begins =
                           name.equals("requestReceived")
-                              || (name.equals("attemptEnded") && (int) told[1] == 0);
+                              || (name.equals("attemptEnded")
+                                  && ((AttemptResult) told[0]).attempt() == 0);
                       if (name.equals(event) && begins) {
                         pause.stand();
                       }
                       if (begins) {
-                        to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
+                        long id =
+                            name.equals("requestReceived")
+                                ? ((RequestDetails) told[0]).id()
+                                : ((AttemptResult) told[0]).requestId();
+                        to.sendAttempt(new AttemptCommand(id, 0, 0, 0, 0, 0, 0));
                       }
                     })));
     Client client = world.client();
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -18,7 +18,10 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.settings.InvalidSettingsException;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -131,7 +134,9 @@
           in.replayTo(
               events(
                   (event, told) -> {
-                    if (event.equals("requestReceived") && gets[0]++ == 0 && (long) told[0] == 1) {
+                    if (event.equals("requestReceived")
+                        && gets[0]++ == 0
+                        && ((RequestDetails) told[0]).id() == 1) {
                       stand();
                     }
                   }));
@@ -162,7 +167,7 @@
                 events(
                     (event, told) -> {
                       if (event.equals("requestReceived")) {
-                        left.add((long) told[5] / 1_000_000);
+                        left.add(((RequestDetails) told[0]).timeLeftNanos() / 1_000_000);
                         if (left.size() == 1) {
                           stand();
                         }
@@ -245,10 +250,11 @@
                 events(
                     (event, told) -> {
                       if (event.equals("requestReceived")) {
-                        to.limitRetryStart((long) told[0], now - 1);
-                        to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
+                        to.limitRetryStart(((RequestDetails) told[0]).id(), now - 1);
+                        to.sendAttempt(
+                            new AttemptCommand(((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
                       } else if (event.equals("attemptEnded")) {
-                        outcomes.add((AttemptOutcome) told[3]);
+                        outcomes.add(((AttemptResult) told[0]).outcome());
                       }
                     })));
     world.client().get(1, "parts", 4000, 0);
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -37,7 +37,7 @@
     assertEquals("n3", options.name());
     assertEquals(7, options.listen().port());
     assertEquals(255, options.routingConfig().seed());
-    assertEquals(250_000_000, options.routingConfig().latencyObjectiveNanos(0));
+    assertEquals(250_000_000, options.routingConfig().trafficClass(0).latencyObjectiveNanos());
     assertEquals(400_000_000, options.connectTimeout());
     assertEquals(0, options.known().objects("entries").size());
     assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listen().port());
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -27,11 +27,13 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
-import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
@@ -299,37 +301,21 @@
                     in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void requestReceived(
-                              long id,
-                              int trafficClass,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            if (part == 13) {
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
                               still.countDown();
                               long until = System.nanoTime() + 600_000_000;
                               while (System.nanoTime() < until) {
                                 Thread.onSpinWait();
                               }
                             }
-                            super.requestReceived(
-                                id, trafficClass, object, group, part, left, kb, w);
+                            super.requestReceived(request);
                           }
 
                           @Override
-                          public void attemptEnded(
-                              long id,
-                              int copy,
-                              int at,
-                              AttemptOutcome outcome,
-                              long took,
-                              boolean settled,
-                              ResponseDetail note) {
-                            times.add(took);
-                            super.attemptEnded(id, copy, at, outcome, took, settled, note);
+                          public void attemptEnded(AttemptResult result) {
+                            times.add(result.durationNanos());
+                            super.attemptEnded(result);
                           }
                         }),
                 to));
@@ -384,17 +370,13 @@
                     in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void requestReceived(
-                              long id,
-                              int trafficClass,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            to.sendAttempt(id, 0, now + left, 0, 0, 1, 0);
-                            to.sendAttempt(id, 0, now + left, 0, 0, 2, 0);
+                          public void requestReceived(RequestDetails request) {
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 1, 0));
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 2, 0));
                           }
                         }),
                 to));
@@ -824,20 +806,11 @@
                     in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void requestReceived(
-                              long id,
-                              int trafficClass,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            if (part == 13) {
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
                               throw new IllegalStateException("part 13");
                             }
-                            super.requestReceived(
-                                id, trafficClass, object, group, part, left, kb, w);
+                            super.requestReceived(request);
                           }
                         }),
                 to));
@@ -1005,16 +978,8 @@
     }
 
     @Override
-    public void endpointListed(
-        int cache,
-        String id,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAt) {
-      to.endpointListed(cache, id, zone, kind, cell, state, weight, startedAt);
+    public void endpointListed(EndpointDescription endpoint) {
+      to.endpointListed(endpoint);
     }
 
     @Override
@@ -1023,16 +988,8 @@
     }
 
     @Override
-    public void requestReceived(
-        long id,
-        int trafficClass,
-        long object,
-        int group,
-        int part,
-        long timeLeft,
-        double kb,
-        boolean write) {
-      to.requestReceived(id, trafficClass, object, group, part, timeLeft, kb, write);
+    public void requestReceived(RequestDetails request) {
+      to.requestReceived(request);
     }
 
     @Override
@@ -1041,15 +998,8 @@
     }
 
     @Override
-    public void attemptEnded(
-        long id,
-        int copy,
-        int cache,
-        AttemptOutcome outcome,
-        long took,
-        boolean settled,
-        ResponseDetail note) {
-      to.attemptEnded(id, copy, cache, outcome, took, settled, note);
+    public void attemptEnded(AttemptResult result) {
+      to.attemptEnded(result);
     }
 
     @Override
@@ -1083,16 +1033,8 @@
     }
 
     @Override
-    public void syntheticRequestReceived(
-        long id,
-        int trafficClass,
-        long object,
-        int group,
-        int part,
-        long timeLeft,
-        double kb,
-        int cache) {
-      to.syntheticRequestReceived(id, trafficClass, object, group, part, timeLeft, kb, cache);
+    public void syntheticRequestReceived(RequestDetails request, int endpoint) {
+      to.syntheticRequestReceived(request, endpoint);
     }
   }
 
@@ -1273,9 +1215,11 @@
                           new Class<?>[] {RoutingEventHandler.class},
                           (proxy, event, told) -> {
                             if (event.getName().equals("requestReceived")) {
-                              to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
+                              to.sendAttempt(
+                                  new AttemptCommand(
+                                      ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
                             } else if (event.getName().equals("attemptEnded")) {
-                              outcomes.add((AttemptOutcome) told[3]);
+                              outcomes.add(((AttemptResult) told[0]).outcome());
                             }
                             return null;
                           })));
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -15,6 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -89,7 +91,9 @@
                           if (name.equals(
                               "requestReceived")) { // With no limits, so that each comes to the
                             // cache.
-                            to.sendAttempt((long) told[0], 0, 0, 0, 0, 0, 0);
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
                           }
                         })));
     startOnOneLoop(decisions);
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -36,6 +36,7 @@
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
@@ -194,7 +195,7 @@
             new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
               if (event.getName().equals("attemptEnded")) {
-                outcomes.add((AttemptOutcome) told[3]);
+                outcomes.add(((AttemptResult) told[0]).outcome());
               }
               return event.invoke(to, told);
             });
@@ -284,7 +285,7 @@
     cache.next().ok("served");
     assertEquals("served", text(client.answer()));
     await(() -> !outcomes.isEmpty());
-    assertEquals("[RETURNED]", outcomes.toString());
+    assertEquals("[SUCCEEDED]", outcomes.toString());
   }
 
   @Test
@@ -303,7 +304,7 @@
     sent.ok("served");
     assertEquals("served", text(client.answer()));
     await(() -> outcomes.size() == 2);
-    assertEquals("[NOT_SENT, RETURNED]", outcomes.toString());
+    assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
     assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
   }
 
@@ -343,7 +344,7 @@
         text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
     sent.ok("read by nobody");
     assertEquals("Internal", client.answer().error());
-    assertEquals("[LOST]", outcomes.toString());
+    assertEquals("[CONNECTION_LOST]", outcomes.toString());
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -51,12 +52,14 @@
                         getClass().getClassLoader(),
                         new Class<?>[] {RoutingEventHandler.class},
                         (proxy, event, with) -> {
-                          if (event.getName().equals("endpointListed") && (long) with[7] != 0) {
+                          if (event.getName().equals("endpointListed")
+                              && ((EndpointDescription) with[0]).startedAtNanos() != 0) {
+                            EndpointDescription endpoint = (EndpointDescription) with[0];
                             told.add(
                                 new Told(
-                                    (String) with[1],
-                                    (now - (long) with[7]) / 1_000_000,
-                                    (long) with[7]));
+                                    endpoint.id(),
+                                    (now - endpoint.startedAtNanos()) / 1_000_000,
+                                    endpoint.startedAtNanos()));
                           } else if (event.getName().equals("objectPurged")) {
                             told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
                           }
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -9,8 +9,10 @@
 import java.util.List;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -95,24 +97,16 @@
     }
 
     @Override
-    public void endpointListStarted(boolean whole) {
-      told.add(whole ? "whole" : "changes");
+    public void endpointListStarted(EndpointListKind kind) {
+      told.add(kind == EndpointListKind.FULL ? "whole" : "changes");
     }
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {
-      if (id.equals(unusable)) {
+    public void endpointListed(ListedEndpoint endpoint) {
+      if (endpoint.id().equals(unusable)) {
         throw new InvalidDocumentException("unusable");
       }
-      told.add(state == EndpointState.GONE ? "-" + id : id);
+      told.add(endpoint.state() == EndpointState.GONE ? "-" + endpoint.id() : endpoint.id());
     }
 
     @Override
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -15,11 +15,15 @@
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.recovery.RecoveryRamp;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RecentRequests;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
@@ -479,7 +483,8 @@
     void member(RoutingEventHandler to, Cache cache, EndpointState state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
       to.endpointListed(
-          cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
+          new EndpointDescription(
+              cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt));
     }
 
     void tell(Consumer<RoutingEventHandler> event) {
@@ -553,7 +558,8 @@
       tell(
           to ->
               to.requestReceived(
-                  id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false));
+                  new RequestDetails(
+                      id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false)));
       agenda.at(
           viewer.began + LIMIT,
           () -> {
@@ -566,22 +572,25 @@
     // ---- What the decisions say.
 
     @Override
-    public void sendAttempt(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      int copy = copies.merge(get, 1, Integer::sum) - 1;
+    public void sendAttempt(AttemptCommand command) {
+      int copy = copies.merge(command.requestId(), 1, Integer::sum) - 1;
       Wanted wanted =
           new Wanted(
               this,
-              get,
+              command.requestId(),
               copy,
-              keys.get(get),
-              (switches & CACHED_ONLY) != 0,
-              rank > 0,
-              caches.get(source),
-              own.containsKey(get));
-      open.add(get + "/" + copy);
-      agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> caches.get(cache).want(wanted));
-      agenda.at(until, () -> end(wanted, cache, AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
+              keys.get(command.requestId()),
+              (command.options() & AttemptCommand.CACHED_ONLY) != 0,
+              command.rank() > 0,
+              caches.get(command.source()),
+              own.containsKey(command.requestId()));
+      open.add(command.requestId() + "/" + copy);
+      agenda.at(
+          agenda.now() + MS + chance.nextLong(MS),
+          () -> caches.get(command.endpoint()).want(wanted));
+      agenda.at(
+          command.deadlineNanos(),
+          () -> end(wanted, command.endpoint(), AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
     }
 
     void back(Wanted wanted, AttemptOutcome outcome, ResponseDetail note) {
@@ -609,13 +618,15 @@
       tell(
           to ->
               to.attemptEnded(
-                  wanted.get,
-                  wanted.copy,
-                  cache,
-                  outcome,
-                  returned ? (long) (WORK * SECOND) : took,
-                  returned || (!viewers.containsKey(wanted.get) && !own.containsKey(wanted.get)),
-                  note));
+                  new AttemptResult(
+                      wanted.get,
+                      wanted.copy,
+                      cache,
+                      outcome,
+                      returned ? (long) (WORK * SECOND) : took,
+                      returned
+                          || (!viewers.containsKey(wanted.get) && !own.containsKey(wanted.get)),
+                      note)));
     }
 
     @Override
@@ -646,7 +657,8 @@
       tell(
           to ->
               to.attemptEnded(
-                  get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE));
+                  new AttemptResult(
+                      get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE)));
     }
 
     @Override
@@ -784,7 +796,10 @@
       long id = ++ids;
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
-      tell(to -> to.syntheticRequestReceived(id, 0, like.object, 0, like.part, ACT, KB, cache));
+      tell(
+          to ->
+              to.syntheticRequestReceived(
+                  new RequestDetails(id, 0, like.object, 0, like.part, ACT, KB, false), cache));
       agenda.at(
           agenda.now() + ACT,
           () -> {
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -8,8 +8,10 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /** The caches as a registry's view has told them, and what is wrong with the way it did. */
 final class RecordedEndpointList implements EndpointListener {
@@ -73,45 +75,45 @@
   }
 
   @Override
-  public synchronized void endpointListStarted(boolean all) {
+  public synchronized void endpointListStarted(EndpointListKind kind) {
     if (listing) {
       wrong.accept("a listing within a listing");
     }
-    story.accept(all ? "listing of all" : "listing");
+    story.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
     listing = true;
-    whole = all;
+    whole = kind == EndpointListKind.FULL;
     changed = true;
     listings++;
-    if (all) {
+    if (kind == EndpointListKind.FULL) {
       caches.clear();
       purgedHere.clear();
     }
     if (next != null) {
-      next.endpointListStarted(all);
+      next.endpointListStarted(kind);
     }
   }
 
   @Override
-  public synchronized void endpointListed(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtMs) {
+  public synchronized void endpointListed(ListedEndpoint endpoint) {
     RegistryRecord.Cache cache =
-        new RegistryRecord.Cache(id, address, zone, kind, cell, state, weight, startedAtMs);
-    if (state == EndpointState.GONE) {
-      if (caches.remove(id) == null) {
-        wrong.accept(id + " is told gone, and was not there");
+        new RegistryRecord.Cache(
+            endpoint.id(),
+            endpoint.address(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            endpoint.state(),
+            endpoint.weight(),
+            endpoint.startedAtMillis());
+    if (endpoint.state() == EndpointState.GONE) {
+      if (caches.remove(endpoint.id()) == null) {
+        wrong.accept(endpoint.id() + " is told gone, and was not there");
       }
-    } else if (cache.equals(caches.put(id, cache)) && !whole) {
-      wrong.accept(id + " is told twice");
+    } else if (cache.equals(caches.put(endpoint.id(), cache)) && !whole) {
+      wrong.accept(endpoint.id() + " is told twice");
     }
     if (next != null) {
-      next.endpointListed(id, address, zone, kind, cell, state, weight, startedAtMs);
+      next.endpointListed(endpoint);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -12,8 +12,10 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.WatchSession;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * The registry's pure half at size on the virtual clock: time to apply a change, cost a client, a
@@ -40,18 +42,10 @@
     }
 
     @Override
-    public void endpointListStarted(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
     public void endpointListCompleted() {
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -38,6 +38,7 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 import org.amberpath.registry.runtime.RegistrySource;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -411,7 +412,7 @@
           registry.endpoints().get(0).become(Way.REFUSES);
           return null;
         });
-    told.endpointListStarted(true);
+    told.endpointListStarted(EndpointListKind.FULL);
     told.endpointListCompleted();
     start(access(ProtocolKind.ETCD, null, null, null, null, file));
     await(() -> is("a", EndpointState.UP));
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -10,8 +10,10 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.Consumer;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * What a gateway believes of the registry, and the news that it makes of every difference: each
@@ -263,7 +265,7 @@
 
   private void tellWhole(long now, boolean withPurges) {
     hasData = true;
-    to.endpointListStarted(true);
+    to.endpointListStarted(EndpointListKind.FULL);
     Set<String> ids = new HashSet<>();
     for (RegistryEntry one : keys.values()) {
       if (one.value() instanceof RegistryRecord.Cache cache) {
@@ -308,12 +310,12 @@
       }
     }
     if (!replaced.isEmpty()) {
-      to.endpointListStarted(false);
+      to.endpointListStarted(EndpointListKind.CHANGES);
       replaced.forEach(this::gone);
       to.endpointListCompleted();
     }
     if (!gone.isEmpty() || !there.isEmpty()) {
-      to.endpointListStarted(false);
+      to.endpointListStarted(EndpointListKind.CHANGES);
       gone.forEach(this::gone);
       // One that this view saw come started since, whatever its writer's clock had: within a step
       // of it.
@@ -351,13 +353,14 @@
 
   private void member(RegistryRecord.Cache cache, EndpointState state, long startedAtMs) {
     to.endpointListed(
-        cache.id(),
-        cache.address(),
-        cache.zone(),
-        cache.kind(),
-        cache.cell(),
-        state,
-        cache.weight(),
-        startedAtMs);
+        new ListedEndpoint(
+            cache.id(),
+            cache.address(),
+            cache.zone(),
+            cache.kind(),
+            cache.cell(),
+            state,
+            cache.weight(),
+            startedAtMs));
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -1,8 +1,9 @@
 package org.amberpath.registry.runtime;
 
 import java.util.function.LongSupplier;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall
@@ -32,29 +33,22 @@
   }
 
   @Override
-  public void endpointListStarted(boolean whole) {
-    to.endpointListStarted(whole);
+  public void endpointListStarted(EndpointListKind kind) {
+    to.endpointListStarted(kind);
   }
 
   @Override
-  public void endpointListed(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtMs) {
+  public void endpointListed(ListedEndpoint endpoint) {
     to.endpointListed(
-        id,
-        address,
-        zone,
-        kind,
-        cell,
-        state,
-        weight,
-        startedAtMs == 0 ? 0 : startedAtMs + aheadMillis());
+        new ListedEndpoint(
+            endpoint.id(),
+            endpoint.address(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            endpoint.state(),
+            endpoint.weight(),
+            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + aheadMillis()));
   }
 
   @Override
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -7,8 +7,10 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 
 /** What a view tells of what a registry holds, one story for each way to get it wrong. */
@@ -30,22 +32,17 @@
     }
 
     @Override
-    public void endpointListStarted(boolean whole) {
-      list = new StringBuilder(whole ? "=[" : "[");
+    public void endpointListStarted(EndpointListKind kind) {
+      list = new StringBuilder(kind == EndpointListKind.FULL ? "=[" : "[");
     }
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {
-      list.append(id)
-          .append(state == EndpointState.UP ? '+' : state == EndpointState.DRAINING ? '~' : '-');
+    public void endpointListed(ListedEndpoint endpoint) {
+      list.append(endpoint.id())
+          .append(
+              endpoint.state() == EndpointState.UP
+                  ? '+'
+                  : endpoint.state() == EndpointState.DRAINING ? '~' : '-');
     }
 
     @Override
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -4,8 +4,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,19 +27,16 @@
       new RegistryView(
           new EndpointListener() {
             @Override
-            public void endpointListStarted(boolean whole) {}
+            public void endpointListStarted(EndpointListKind kind) {}
 
             @Override
-            public void endpointListed(
-                String id,
-                String address,
-                String zone,
-                String kind,
-                int cell,
-                EndpointState state,
-                double weight,
-                long startedAtMs) {
-              told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
+            public void endpointListed(ListedEndpoint endpoint) {
+              told.add(
+                  endpoint.id()
+                      + " "
+                      + (endpoint.startedAtMillis() == 0
+                          ? "long ago"
+                          : endpoint.startedAtMillis() - NOW / MS));
             }
 
             @Override
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -13,8 +13,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,18 +31,10 @@
   /** Takes no news. */
   private static final class Nobody implements EndpointListener {
     @Override
-    public void endpointListStarted(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
     public void endpointListCompleted() {}
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -7,8 +7,10 @@
 import java.util.List;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -29,19 +31,11 @@
       new WallTimes(
           new EndpointListener() {
             @Override
-            public void endpointListStarted(boolean whole) {}
+            public void endpointListStarted(EndpointListKind kind) {}
 
             @Override
-            public void endpointListed(
-                String id,
-                String address,
-                String zone,
-                String kind,
-                int cell,
-                EndpointState state,
-                double weight,
-                long startedAtMs) {
-              ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
+            public void endpointListed(ListedEndpoint endpoint) {
+              ages.add(endpoint.startedAtMillis() == 0 ? -1 : wall - endpoint.startedAtMillis());
             }
 
             @Override
@@ -61,8 +55,8 @@
     wall += 1000 + step;
     forward += 1000 * MS;
     times.objectPurged(7, 0, START + 1000);
-    times.endpointListed("a", "", "z", "k", 0, EndpointState.UP, 1, START);
-    times.endpointListed("b", "", "z", "k", 0, EndpointState.UP, 1, 0);
+    times.endpointListed(new ListedEndpoint("a", "", "z", "k", 0, EndpointState.UP, 1, START));
+    times.endpointListed(new ListedEndpoint("b", "", "z", "k", 0, EndpointState.UP, 1, 0));
     assertEquals(List.of(0L, 1000L, -1L), ages);
     assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
   }
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -61,9 +61,12 @@
   }
 
   private Endpoint.Role roleOf(String kind) {
-    return kind.equals(config.parentKind())
-        ? Endpoint.Role.PARENT
-        : kind.equals(config.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
+    if (config.parentKind().filter(kind::equals).isPresent()) {
+      return Endpoint.Role.PARENT;
+    }
+    return config.originKind().filter(kind::equals).isPresent()
+        ? Endpoint.Role.ORIGIN
+        : Endpoint.Role.EDGE;
   }
 
   private void restart(Endpoint endpoint, long startedAtNanos, Batch batch) {
--- a/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -1,16 +1,18 @@
 package org.amberpath.routing;
 
 /**
- * An endpoint as it is listed.
+ * An endpoint as it is listed to the router.
  *
  * @param index the number under which the gateway's socket side knows it
  * @param id stable, the same at all gateways
+ * @param zone the zone that it stands in
  * @param kind what it is listed as, which decides its role
  * @param cell the shelf or rack, 0 where none is listed
- * @param weight its size in the site's measure
- * @param startedAtNanos when it started cold, 0 for long ago
+ * @param state whether it takes attempts and fills
+ * @param weight its size, in the unit of the configuration
+ * @param startedAtNanos when it started without copies, 0 for long ago
  */
-record EndpointDescription(
+public record EndpointDescription(
     int index,
     String id,
     String zone,
--- a/routing/src/main/java/org/amberpath/routing/EndpointListener.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -1,40 +1,33 @@
 package org.amberpath.routing;
 
 /**
- * Takes news of caches and purges, in order, whatever their source: the journal or a registry.
- * Times are Unix milliseconds.
+ * Receives discovery events about endpoints and purges, in order, whatever their source: the
+ * journal or a registry. All calls come on the event loop that owns the gateway. Times are Unix
+ * milliseconds.
  */
 public interface EndpointListener {
   /** The group of a purge that means all objects of all groups. */
   int ALL_GROUPS = -1;
 
   /**
-   * A list begins; its members follow, then {@link #endpointListCompleted}. Whole replaces all that
-   * was known.
-   */
-  void endpointListStarted(boolean whole);
-
-  /**
-   * One cache of the list that has begun.
+   * A list begins; its endpoints follow, then {@link #endpointListCompleted}.
    *
-   * @param id stable; the same id after {@link EndpointState#GONE} is another cache
-   * @param address IP address and port; empty for the one known
-   * @param cell the shelf or rack, 0 where none is told
-   * @param weight its size, in the site's measure; 1 where none is told
-   * @param startedAtMs when it started cold, 0 for long ago
+   * @param kind {@link EndpointListKind#FULL} replaces all that was known
    */
-  void endpointListed(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtMs);
+  void endpointListStarted(EndpointListKind kind);
+
+  /** One endpoint of the list that has begun. */
+  void endpointListed(ListedEndpoint endpoint);
 
+  /** All endpoints of the list have been reported. */
   void endpointListCompleted();
 
-  /** An object or, with object 0, a group was purged, or all with {@link #ALL_GROUPS}. */
-  void objectPurged(long object, int group, long atMs);
+  /**
+   * An object was purged.
+   *
+   * @param object the object's id; 0 for a whole group
+   * @param group the purge group, or {@link #ALL_GROUPS}
+   * @param atMillis when, by the clock of whoever wrote the purge
+   */
+  void objectPurged(long object, int group, long atMillis);
 }
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -70,9 +70,9 @@
     private final Set<String> touched = new LinkedHashSet<>();
 
     @Override
-    public void endpointListStarted(boolean whole) {
+    public void endpointListStarted(EndpointListKind kind) {
       touched.clear();
-      if (whole) {
+      if (kind == EndpointListKind.FULL) {
         members.forEach((id, one) -> touched.add(id));
         members.replaceAll((id, one) -> gone(one));
       }
@@ -84,26 +84,28 @@
     }
 
     @Override
-    public void endpointListed(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        EndpointState state,
-        double weight,
-        long startedAtMs) {
-      Member before = members.get(id);
-      if (state != EndpointState.GONE || before != null) {
-        String known = address.isEmpty() && before != null ? before.address : address;
-        members.put(id, new Member(known, zone, kind, cell, state, weight, startedAtMs));
-        touched.add(id);
+    public void endpointListed(ListedEndpoint endpoint) {
+      Member before = members.get(endpoint.id());
+      if (endpoint.state() != EndpointState.GONE || before != null) {
+        String known =
+            endpoint.address().isEmpty() && before != null ? before.address : endpoint.address();
+        members.put(
+            endpoint.id(),
+            new Member(
+                known,
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
+                endpoint.state(),
+                endpoint.weight(),
+                endpoint.startedAtMillis()));
+        touched.add(endpoint.id());
       }
     }
 
     @Override
     public void endpointListCompleted() {
-      to.endpointListStarted(first);
+      to.endpointListStarted(first ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       first = false;
       for (String id : touched) {
         Member now = together(id), before = told.get(id);
@@ -114,7 +116,15 @@
           continue;
         }
         to.endpointListed(
-            id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
+            new ListedEndpoint(
+                id,
+                now.address,
+                now.zone,
+                now.kind,
+                now.cell,
+                now.state,
+                now.weight,
+                now.startedAtMs));
         if (now.state == EndpointState.GONE) {
           told.remove(id);
         } else {
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -15,10 +15,10 @@
  * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
  * batch's time, in nanoseconds.
  *
- * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its
- * answer is cached, {@link RouteSelector} where it goes. What departs from that path lies in {@link
- * OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The
- * design is docs/design.md.
+ * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} says
+ * whether its answer is cached, {@link RouteSelector} where it goes. What departs from that path
+ * lies in {@link OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link
+ * RetryPolicy}. The design is docs/design.md.
  */
 public final class RequestRouter implements RoutingEventHandler {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
@@ -58,7 +58,7 @@
     this.config = config;
     random = new SplittableRandom(config.seed());
     trafficClasses = new TrafficClass[config.trafficClassCount()];
-    Arrays.setAll(trafficClasses, index -> new TrafficClass(config, index));
+    Arrays.setAll(trafficClasses, index -> new TrafficClass(config.trafficClass(index)));
     share = new GatewayShare(config);
     endpoints = new EndpointTable(config.zone());
     patience = new PatienceEstimator(history, config.transferKilobytesPerSecond());
@@ -66,7 +66,7 @@
     slowStart = new SlowStart(config, share, trafficClasses);
     outlierDetector = new OutlierDetector(config.seed(), endpoints, share, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
-    retryPolicy = new RetryPolicy(config);
+    retryPolicy = new RetryPolicy(config.retries());
     RendezvousSelector rendezvous =
         new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
     routes = new RouteSelector(config, endpoints, rendezvous, limiter, retryPolicy);
@@ -98,50 +98,31 @@
    * send it.
    */
   @Override
-  public void requestReceived(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeftNanos,
-      double kilobytes,
-      boolean neverCached) {
-    InFlightRequest request =
-        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
-    request.uncacheable = neverCached || request.trafficClass.isNeverCached();
+  public void requestReceived(RequestDetails details) {
+    InFlightRequest request = open(details);
+    request.uncacheable = details.neverCached() || request.trafficClass.isNeverCached();
     retryBudget.deposit();
     boolean sharedZone = share.isZoneShared();
-    long previousStartNanos = history.observe(object, part, sharedZone, nowNanos);
+    long previousStartNanos =
+        history.observe(details.object(), details.part(), sharedZone, nowNanos);
     if (!request.uncacheable) {
       request.rank =
-          admission.rankOf(object, request.segment, previousStartNanos, sharedZone, nowNanos);
+          admission.rankOf(
+              details.object(), request.segment, previousStartNanos, sharedZone, nowNanos);
     }
     if (!route(request)) {
       giveUp(request);
     }
   }
 
-  /**
-   * A request of this gateway's own, on behalf of the fleet: a health check or, with no cache
-   * named, a prefetch.
-   */
+  /** Health checks and prefetches go by routes of their own, and are never hedged. */
   @Override
-  public void syntheticRequestReceived(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeftNanos,
-      double kilobytes,
-      int endpoint) {
-    InFlightRequest request =
-        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
+  public void syntheticRequestReceived(RequestDetails details, int endpoint) {
+    InFlightRequest request = open(details);
     request.purpose = endpoint < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
     Route route;
     if (request.purpose == Purpose.PREFETCH) {
-      request.rank = admission.prefetchRankOf(object);
+      request.rank = admission.prefetchRankOf(details.object());
       route = syntheticRoutes.selectPrefetch(request, nowNanos);
     } else {
       route = syntheticRoutes.selectHealthCheck(request, endpoint, nowNanos);
@@ -187,13 +168,14 @@
     batch
         .actions()
         .sendAttempt(
-            request.id,
-            endpoint.index,
-            request.deadlineNanos,
-            source.index,
-            purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
-            request.rank,
-            switches(request, source, route.cachedOnly()));
+            new AttemptCommand(
+                request.id,
+                endpoint.index,
+                request.deadlineNanos,
+                source.index,
+                purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
+                request.rank,
+                options(request, source, route.cachedOnly())));
     Attempt attempt =
         new Attempt(
             request,
@@ -211,12 +193,12 @@
     }
   }
 
-  private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
+  private int options(InFlightRequest request, Endpoint source, boolean cachedOnly) {
     boolean renews =
         !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (config.coalescing() ? RoutingActions.COALESCE : 0)
-        + (cachedOnly ? RoutingActions.CACHED_ONLY : 0)
-        + (renews ? RoutingActions.REVALIDATE : 0);
+    return (config.coalescing() ? AttemptCommand.COALESCE : 0)
+        + (cachedOnly ? AttemptCommand.CACHED_ONLY : 0)
+        + (renews ? AttemptCommand.REVALIDATE : 0);
   }
 
   @Override
@@ -227,32 +209,25 @@
   }
 
   @Override
-  public void attemptEnded(
-      long id,
-      int attemptNumber,
-      int endpoint,
-      AttemptOutcome outcome,
-      long tookNanos,
-      boolean settled,
-      ResponseDetail note) {
-    InFlightRequest request = requests.get(id);
+  public void attemptEnded(AttemptResult result) {
+    InFlightRequest request = requests.get(result.requestId());
     if (request == null
-        || attemptNumber >= request.attempts.size()
-        || !openAttempts.remove(request.attempts.get(attemptNumber))) {
+        || result.attempt() >= request.attempts.size()
+        || !openAttempts.remove(request.attempts.get(result.attempt()))) {
       return;
     }
-    Attempt attempt = request.attempts.get(attemptNumber);
+    Attempt attempt = request.attempts.get(result.attempt());
     request.openAttempts--;
-    recorder.recordEnded(attempt, outcome, tookNanos, note, batch);
-    if (!outcome.provesNotExecuted()) {
+    recorder.recordEnded(attempt, result.outcome(), result.durationNanos(), result.detail(), batch);
+    if (!result.outcome().provesNotExecuted()) {
       request.recordExecuted(attempt);
     }
-    if (settled) {
+    if (result.requestFinished()) {
       finish(request);
     } else if (!request.done && request.openAttempts == 0) {
-      retryOrGiveUp(attempt, outcome, note);
+      retryOrGiveUp(attempt, result.outcome(), result.detail());
     } else if (request.done && request.openAttempts == 0) {
-      requests.remove(id);
+      requests.remove(result.requestId());
     }
   }
 
@@ -293,7 +268,8 @@
    */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long shortestNanos = config.sendsRetryAfter() ? config.maxRetryAfterNanos() / 2 : 0;
+      long shortestNanos =
+          config.retries().retryAfter() ? config.retries().maxRetryAfterNanos() / 2 : 0;
       batch
           .actions()
           .reject(
@@ -306,7 +282,7 @@
 
   private void finish(InFlightRequest request) {
     request.done = true;
-    if (config.cancellationAllowed() && !request.streaming) {
+    if (config.retries().cancellation() && !request.streaming) {
       request.attempts.stream()
           .filter(openAttempts::contains)
           .forEach(attempt -> batch.actions().cancelAttempt(request.id, attempt.number()));
@@ -365,17 +341,18 @@
   }
 
   @Override
-  public void endpointListed(
-      int index,
-      String id,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtNanos) {
+  public void endpointListed(EndpointDescription endpoint) {
     cluster.update(
-        new EndpointDescription(index, id, zone, kind, cell, state, weight, startedAtNanos), batch);
+        new EndpointDescription(
+            endpoint.index(),
+            endpoint.id(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            endpoint.state(),
+            endpoint.weight(),
+            endpoint.startedAtNanos()),
+        batch);
   }
 
   @Override
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -7,10 +7,10 @@
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
-  private final RoutingConfig config;
+  private final RetryConfig config;
 
-  /** The policy of a site's traffic classes and its bound on attempts. */
-  RetryPolicy(RoutingConfig config) {
+  /** The policy of a configuration. */
+  RetryPolicy(RetryConfig config) {
     this.config = config;
   }
 
@@ -57,7 +57,7 @@
     return !request.done
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
-        && config.hedgingAllowed()
+        && config.hedging()
         && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -1,82 +1,60 @@
 package org.amberpath.routing;
 
-/** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
+import java.util.Optional;
+
+/** What a gateway is told when it starts, decoded once. It never changes while a gateway runs. */
 public interface RoutingConfig {
+  /** Seed of this gateway's random choices. */
   long seed();
 
-  /** How many gateways there are, in all and in this gateway's zone. */
+  /** How many gateways there are in all zones. */
   int gateways();
 
+  /** How many gateways there are in this gateway's zone. */
   int gatewaysInZone();
 
+  /** The gateway's own zone. */
   String zone();
 
-  /** The kinds that parents and the origin are listed under; null where the site has none. */
-  String parentKind();
+  /** The kind that parent caches are listed under, if there are any. */
+  Optional<String> parentKind();
 
-  String originKind();
+  /** The kind that the origin is listed under, if it is listed. */
+  Optional<String> originKind();
 
-  /** True where a listed weight is a cache's size in full-pace transfers. */
+  /** Whether a listed weight is an endpoint's size, in transfers at full rate. */
   boolean weightIsSize();
 
-  /** True where the list of caches must be asked for. */
+  /** Whether the endpoint list must be subscribed to. */
   boolean endpointListOnRequest();
 
+  /** How many traffic classes there are. */
   int trafficClassCount();
 
-  Idempotency idempotency(int trafficClass);
-
-  IdempotencyScope idempotencyScope(int trafficClass);
-
-  long idempotencyWindowNanos(int trafficClass);
-
-  long latencyObjectiveNanos(int trafficClass);
-
-  /** By how much the latency objective grows with a GET's own sending time. */
-  double latencyStretch(int trafficClass);
-
-  double revenue(int trafficClass);
-
-  boolean neverCached(int trafficClass);
-
-  /**
-   * How long a copy is fresh (0: until it is purged) and how long after that it may still be
-   * returned.
-   */
-  long freshNanos(int trafficClass);
-
-  long staleGraceNanos(int trafficClass);
+  /** The traffic class of an index, from 0. */
+  TrafficClassConfig trafficClass(int index);
 
-  int maxAttempts();
+  /** What is allowed beyond the first attempt. */
+  RetryConfig retries();
 
-  boolean hedgingAllowed();
-
-  boolean cancellationAllowed();
-
-  boolean sendsRetryAfter();
-
-  long maxRetryAfterNanos();
-
-  /** True where parents and the origin take GETs too. */
+  /** Whether parents and the origin take requests that no cache may answer. */
   boolean bypassAllowed();
 
+  /** Whether endpoints coalesce misses with fills that are under way. */
   boolean coalescing();
 
+  /** Rate at which an object is transferred, in kilobytes a second; 0 where none is told. */
   double transferKilobytesPerSecond();
 
+  /** How long a purge has to be remembered, in nanoseconds. */
   long purgeRetentionNanos();
 
-  double coldShare();
+  /** How edge caches warm up. */
+  SlowStartConfig edgeSlowStart();
 
-  long coldTime();
-
-  double fallMultiple();
+  /** How parent caches warm up. */
+  SlowStartConfig parentSlowStart();
 
+  /** The window over which the load on an endpoint that warms up is summed, in nanoseconds. */
   long overloadWindowNanos();
-
-  double parentColdShare();
-
-  long parentColdTime();
-
-  double parentFallMultiple();
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
@@ -1,89 +1,54 @@
 package org.amberpath.routing;
 
-/** The callbacks. */
+/** Receives the events of a batch. Endpoints go by small indices; durations are nanoseconds. */
 public interface RoutingEventHandler {
-  /**
-   * A list of caches begins; its members follow under stable ids, then {@link
-   * #endpointListCompleted}.
-   */
-  void endpointListStarted(EndpointListKind what);
+  /** The endpoint of a synthetic request that names none: a prefetch. */
+  int NO_ENDPOINT = -1;
+
+  /** A list of endpoints begins; they follow, then {@link #endpointListCompleted}. */
+  void endpointListStarted(EndpointListKind kind);
 
-  void endpointListed(
-      int cache,
-      String id,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAt);
+  /** One endpoint of the list that has begun. */
+  void endpointListed(EndpointDescription endpoint);
 
+  /** All endpoints of the list have been reported. */
   void endpointListCompleted();
 
+  /** A client's request arrived. */
+  void requestReceived(RequestDetails request);
+
   /**
-   * A GET came in. timeLeft is how long its viewer still waits; kb is 0 where the size is not told.
+   * The gateway makes a request of its own on behalf of the fleet, of a class that may be repeated:
+   * a health check of an endpoint or, with {@link #NO_ENDPOINT}, a prefetch into the one that has
+   * just started and that the hash gives the object to.
    */
-  void requestReceived(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeft,
-      double kb,
-      boolean write);
+  void syntheticRequestReceived(RequestDetails request, int endpoint);
 
-  /** A streamed answer has begun. */
-  void responseStarted(long id, int copy);
+  /** A streamed response has begun. */
+  void responseStarted(long requestId, int attempt);
 
-  /**
-   * A forward has ended; took is without what the gateway stood still; settled tells that the GET
-   * has ended, too.
-   */
-  void attemptEnded(
-      long id,
-      int copy,
-      int cache,
-      AttemptOutcome outcome,
-      long took,
-      boolean settled,
-      ResponseDetail note);
+  /** An attempt ended. */
+  void attemptEnded(AttemptResult result);
 
-  /** The viewer left. */
-  void clientDisconnected(long id);
+  /** The client closed its connection or cancelled the request. */
+  void clientDisconnected(long requestId);
 
-  /** An object, or with object 0 a whole group, was purged this long ago. */
-  void objectPurged(long object, int group, long ago);
+  /** An object or, with object 0, a whole group was purged this long ago. */
+  void objectPurged(long object, int group, long ageNanos);
 
+  /** A timer that was scheduled under this handle is due. */
   void timerFired(String handle);
 
   /**
-   * How many gateways share what the site bounds, the told number or more, and this one's part of
-   * it: 0 while it may take none. Until this comes, the site's own number holds.
+   * How many gateways share what the configuration bounds, the configured number or more, and this
+   * one's share of it, 0 to 1: 0 while it may take none. Until this comes, the configured number
+   * holds.
    */
-  void gatewayShareChanged(int many, double part);
+  void gatewayShareChanged(int gateways, double share);
 
-  /** Whether one gateway tries for all, by GETs of its own, the caches that are set aside. */
-  void healthChecksDelegated(boolean forAll);
+  /** Whether one gateway makes the health checks of ejected endpoints for all. */
+  void healthChecksDelegated(boolean delegated);
 
-  /**
-   * Whoever tries for the fleet asked a cache this long ago, after others had set it aside; whether
-   * it answered.
-   */
-  void healthReported(int cache, boolean answers, long ago);
-
-  /**
-   * A GET of this gateway's own, on behalf of the fleet, of a delivery service that may be
-   * repeated: to a cache that is to be tried, or with cache -1 to one that has just started, if
-   * that is the object's by the hash.
-   */
-  void syntheticRequestReceived(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeft,
-      double kb,
-      int cache);
+  /** What the gateway that makes the health checks found, and how long ago. */
+  void healthReported(int endpoint, boolean responded, long ageNanos);
 }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -55,17 +55,9 @@
     return profiles.computeIfAbsent(
         kind,
         name ->
-            role == Endpoint.Role.EDGE
-                ? new SlowStartProfile(
-                    config.coldShare(),
-                    config.coldTime(),
-                    config.fallMultiple(),
-                    share.fractionOf(role))
-                : new SlowStartProfile(
-                    config.parentColdShare(),
-                    config.parentColdTime(),
-                    config.parentFallMultiple(),
-                    share.fractionOf(role)));
+            new SlowStartProfile(
+                role == Endpoint.Role.EDGE ? config.edgeSlowStart() : config.parentSlowStart(),
+                share.fractionOf(role)));
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
@@ -21,11 +21,10 @@
   double typicalThroughput;
 
   /** A profile whose endpoints return this gateway's fraction until more is known. */
-  SlowStartProfile(
-      double initialFraction, long durationNanos, double overloadFactor, double gatewayFraction) {
-    this.initialFraction = initialFraction;
-    this.durationNanos = durationNanos;
-    this.overloadFactor = overloadFactor;
+  SlowStartProfile(SlowStartConfig config, double gatewayFraction) {
+    initialFraction = config.initialFraction();
+    durationNanos = config.durationNanos();
+    overloadFactor = config.overloadFactor();
     this.gatewayFraction = gatewayFraction;
     typicalThroughput = gatewayFraction;
   }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -8,8 +8,7 @@
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
-  private final RoutingConfig config;
-  private final int index;
+  private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
 
   /** The histogram's mean, stored: it is read many times a request. */
@@ -19,59 +18,55 @@
   private int filledByParent;
   private int filledByOrigin;
 
-  /**
-   * A delivery service by its index in the site; until there are answers its objective stands for
-   * its work.
-   */
-  TrafficClass(RoutingConfig config, int index) {
+  /** A traffic class; until there are answers its latency objective stands for its work. */
+  TrafficClass(TrafficClassConfig config) {
     this.config = config;
-    this.index = index;
-    meanWorkNanos = config.latencyObjectiveNanos(index);
+    meanWorkNanos = config.latencyObjectiveNanos();
   }
 
   /** Whether a repeat may have an effect of its own. */
   Idempotency effect() {
-    return config.idempotency(index);
+    return config.idempotency();
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
   IdempotencyScope idempotencyGroup() {
-    return config.idempotencyScope(index);
+    return config.idempotencyScope();
   }
 
   /** How long an idempotency key is remembered, in nanoseconds. */
   long idempotencyWindowNanos() {
-    return config.idempotencyWindowNanos(index);
+    return config.idempotencyWindowNanos();
   }
 
   /** How long an answer may take at best, in nanoseconds. */
   long latencyObjectiveNanos() {
-    return config.latencyObjectiveNanos(index);
+    return config.latencyObjectiveNanos();
   }
 
   /** By how much the latency objective grows with a request's own duration. */
   double latencyStretch() {
-    return config.latencyStretch(index);
+    return config.latencyStretch();
   }
 
   /** Whether no answer of this class is ever cached. */
   boolean isNeverCached() {
-    return config.neverCached(index);
+    return config.neverCached();
   }
 
   /** How long a copy is fresh, in nanoseconds; 0 until it is purged. */
   long freshNanos() {
-    return config.freshNanos(index);
+    return config.freshNanos();
   }
 
   /** How long past its fresh time a copy may still be returned, in nanoseconds. */
   long staleGraceNanos() {
-    return config.staleGraceNanos(index);
+    return config.staleGraceNanos();
   }
 
   /** The revenue of one request, in the site's unit. */
   double revenue() {
-    return config.revenue(index);
+    return config.revenue();
   }
 
   /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -13,23 +13,15 @@
       new MergedEndpointLists(
           new EndpointListener() {
             @Override
-            public void endpointListStarted(boolean whole) {
-              if (whole) {
+            public void endpointListStarted(EndpointListKind kind) {
+              if (kind == EndpointListKind.FULL) {
                 told.clear();
               }
             }
 
             @Override
-            public void endpointListed(
-                String id,
-                String address,
-                String zone,
-                String kind,
-                int cell,
-                EndpointState state,
-                double weight,
-                long startedAtMs) {
-              told.put(id, state);
+            public void endpointListed(ListedEndpoint endpoint) {
+              told.put(endpoint.id(), endpoint.state());
             }
 
             @Override
@@ -41,17 +33,18 @@
   private final EndpointListener registry = strictest.addSource(), journal = strictest.addSource();
 
   private static void list(EndpointListener from, boolean whole, Object... idsAndStates) {
-    from.endpointListStarted(whole);
+    from.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES);
     for (int at = 0; at < idsAndStates.length; at += 2) {
       from.endpointListed(
-          (String) idsAndStates[at],
-          "127.0.0.1:1",
-          "z",
-          "k",
-          0,
-          (EndpointState) idsAndStates[at + 1],
-          1,
-          0);
+          new ListedEndpoint(
+              (String) idsAndStates[at],
+              "127.0.0.1:1",
+              "z",
+              "k",
+              0,
+              (EndpointState) idsAndStates[at + 1],
+              1,
+              0));
     }
     from.endpointListCompleted();
   }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -9,6 +9,7 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
@@ -216,7 +217,7 @@
 
   @Test
   void whatMayNotBeRepeatedIsNeverAskedForByItself() {
-    host.effect = Idempotency.NON_IDEMPOTENT;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
     host.change(1, EndpointState.UP, host.now);
     for (int one = 0; one < 50; one++) {
       assertEquals(null, host.own(++ids, one, 0, one % 2 == 0 ? -1 : 0));
@@ -248,19 +249,18 @@
 
   @ParameterizedTest
   @CsvSource({
-    "IDEMPOTENT, ERRORED, ALL, again",
-    "IDEMPOTENT, TURNED_AWAY, ALL, again",
-    "TOKENED, LOST, ALL, again",
-    "TOKENED, TURNED_AWAY, CELL, again",
-    "NON_IDEMPOTENT, TURNED_AWAY, ALL, again",
-    "NON_IDEMPOTENT, LOST, ALL, errored",
-    "NON_IDEMPOTENT, ERRORED, ALL, errored",
-    "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
+    "IDEMPOTENT, FAILED, ALL, again",
+    "IDEMPOTENT, REJECTED, ALL, again",
+    "IDEMPOTENCY_KEY, CONNECTION_LOST, ALL, again",
+    "IDEMPOTENCY_KEY, REJECTED, CELL, again",
+    "NON_IDEMPOTENT, REJECTED, ALL, again",
+    "NON_IDEMPOTENT, CONNECTION_LOST, ALL, errored",
+    "NON_IDEMPOTENT, FAILED, ALL, errored",
+    "NON_IDEMPOTENT, CANCELLED, ALL, errored"
   })
   void noEffectTwice(
       Idempotency effect, AttemptOutcome outcome, IdempotencyScope group, String expected) {
-    host.effect = effect;
-    host.group = group;
+    host.configure(effect, group, false);
     host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     assertEquals(expected.equals("again") ? 2 : 1, host.sent.size());
     assertEquals(expected.equals("errored") ? List.of(1L) : List.of(), host.errored);
@@ -268,11 +268,11 @@
   }
 
   @ParameterizedTest
-  @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
+  @CsvSource({"CONNECTION_LOST, 1", "FAILED, 1", "REJECTED, 2"})
   void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(
       AttemptOutcome outcome, int sent) {
-    host.effect = Idempotency.NON_IDEMPOTENT;
-    host.bypass = host.neverKept = true;
+    host.bypass = true;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true);
     host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
       host.ended(host.last(1), AttemptOutcome.REJECTED, 10, ResponseDetail.NONE);
@@ -283,8 +283,7 @@
 
   @Test
   void aTokenedGetThatMayHaveRunStaysInItsCellAndWindow() {
-    host.effect = Idempotency.IDEMPOTENCY_KEY;
-    host.group = IdempotencyScope.CELL;
+    host.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.CELL, false);
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
     host.ended(first, AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
@@ -354,7 +353,7 @@
   @Test
   void whatPeersAreSentButDoNotReturnGivesAColdCacheNoBudget() {
     host.sized = false;
-    host.effect = Idempotency.NON_IDEMPOTENT;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
     for (int i = 0; i < 300; i++) {
       host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE).pass(10);
     }
@@ -634,9 +633,10 @@
   @Test
   void whenTheOriginIsLateAgeingCopiesAndTheParentsOwnWillDo() {
     host.fresh = 5000 * MS;
+    host.configure(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, false);
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      assertTrue(sent.has(RoutingActions.REVALIDATE) && sent.age() == host.fresh);
+      assertTrue(sent.has(AttemptCommand.REVALIDATE) && sent.age() == host.fresh);
       host.pass(250).returned(sent, 1500, ResponseDetail.FILLED_BY_ORIGIN);
       host.returned(host.get(++ids, i, 0), 50, ResponseDetail.FILLED);
     }
@@ -644,7 +644,7 @@
       host.get(++ids, i, 0);
     }
     Sent held = host.last(ids);
-    assertTrue(held.has(RoutingActions.CACHED_ONLY) && !held.has(RoutingActions.REVALIDATE));
+    assertTrue(held.has(AttemptCommand.CACHED_ONLY) && !held.has(AttemptCommand.REVALIDATE));
     assertEquals(2 * host.fresh, held.age());
   }
 
@@ -751,7 +751,8 @@
     host.event(
         to -> {
           to.endpointListStarted(EndpointListKind.CHANGES);
-          to.endpointListed(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0);
+          to.endpointListed(
+              new EndpointDescription(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0));
           to.endpointListCompleted();
         });
     LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(both::add);
@@ -808,6 +809,15 @@
       return this;
     }
 
+    /** Starts the gateway anew under another traffic class, knowing the endpoints alone. */
+    void configure(Idempotency idempotency, IdempotencyScope scope, boolean neverCached) {
+      effect = idempotency;
+      group = scope;
+      neverKept = neverCached;
+      router = null;
+      list();
+    }
+
     FakeHost list() {
       return list(0, 1, 2, 3, 4, 5, 6, 7).round();
     }
@@ -823,12 +833,16 @@
       String kind = cache == 7 ? "origin" : cache > 4 ? "parent" : cache == 0 ? coldKind : "box";
       String zone = cache > 4 ? "hub" : cache == 4 ? "other" : "here";
       to.endpointListed(
-          cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
+          new EndpointDescription(
+              cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt));
     }
 
     /** A GET with two seconds left; the answer is the forward that was sent for it, or null. */
     Sent get(long id, long object, int part) {
-      events.add(to -> to.requestReceived(id, 0, object, 9, part, 2000 * MS, 100, false));
+      events.add(
+          to ->
+              to.requestReceived(
+                  new RequestDetails(id, 0, object, 9, part, 2000 * MS, 100, false)));
       round();
       return last(id);
     }
@@ -840,7 +854,10 @@
     FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, ResponseDetail note) {
       boolean settled = outcome == AttemptOutcome.SUCCEEDED;
       events.add(
-          to -> to.attemptEnded(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
+          to ->
+              to.attemptEnded(
+                  new AttemptResult(
+                      one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note)));
       return round();
     }
 
@@ -871,7 +888,10 @@
 
     /** A GET of this gateway's own; the forward that was sent for it, or null. */
     Sent own(long id, long object, int part, int cache) {
-      event(to -> to.syntheticRequestReceived(id, 0, object, 9, part, 500 * MS, 100, cache));
+      event(
+          to ->
+              to.syntheticRequestReceived(
+                  new RequestDetails(id, 0, object, 9, part, 500 * MS, 100, false), cache));
       return last(id);
     }
 
@@ -895,10 +915,18 @@
     }
 
     @Override
-    public void sendAttempt(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      int copy = (int) sent.stream().filter(one -> one.get == get).count();
-      sent.add(new Sent(get, copy, cache, until, source, age, rank, switches));
+    public void sendAttempt(AttemptCommand command) {
+      int copy = (int) sent.stream().filter(one -> one.get == command.requestId()).count();
+      sent.add(
+          new Sent(
+              command.requestId(),
+              copy,
+              command.endpoint(),
+              command.deadlineNanos(),
+              command.source(),
+              command.maxAgeNanos(),
+              command.rank(),
+              command.options()));
     }
 
     @Override
@@ -950,13 +978,13 @@
     }
 
     @Override
-    public String parentKind() {
-      return "parent";
+    public Optional<String> parentKind() {
+      return Optional.of("parent");
     }
 
     @Override
-    public String originKind() {
-      return "origin";
+    public Optional<String> originKind() {
+      return Optional.of("origin");
     }
 
     @Override
@@ -974,76 +1002,6 @@
       return 1;
     }
 
-    @Override
-    public Idempotency idempotency(int trafficClass) {
-      return effect;
-    }
-
-    @Override
-    public IdempotencyScope idempotencyScope(int trafficClass) {
-      return group;
-    }
-
-    @Override
-    public long idempotencyWindowNanos(int trafficClass) {
-      return 1000 * MS;
-    }
-
-    @Override
-    public long latencyObjectiveNanos(int trafficClass) {
-      return 300 * MS;
-    }
-
-    @Override
-    public double latencyStretch(int trafficClass) {
-      return 2;
-    }
-
-    @Override
-    public double revenue(int trafficClass) {
-      return 1;
-    }
-
-    @Override
-    public boolean neverCached(int trafficClass) {
-      return neverKept;
-    }
-
-    @Override
-    public long freshNanos(int trafficClass) {
-      return fresh;
-    }
-
-    @Override
-    public long staleGraceNanos(int trafficClass) {
-      return fresh;
-    }
-
-    @Override
-    public int maxAttempts() {
-      return 4;
-    }
-
-    @Override
-    public boolean hedgingAllowed() {
-      return true;
-    }
-
-    @Override
-    public boolean cancellationAllowed() {
-      return true;
-    }
-
-    @Override
-    public boolean sendsRetryAfter() {
-      return true;
-    }
-
-    @Override
-    public long maxRetryAfterNanos() {
-      return 500 * MS;
-    }
-
     @Override
     public boolean bypassAllowed() {
       return bypass;
@@ -1065,38 +1023,29 @@
     }
 
     @Override
-    public double coldShare() {
-      return 0.1;
-    }
-
-    @Override
-    public long coldTime() {
-      return 10_000 * MS;
-    }
-
-    @Override
-    public double fallMultiple() {
-      return 3;
+    public long overloadWindowNanos() {
+      return 1000 * MS;
     }
 
     @Override
-    public long overloadWindowNanos() {
-      return 1000 * MS;
+    public TrafficClassConfig trafficClass(int index) {
+      return new TrafficClassConfig(
+          effect, group, 1000 * MS, 300 * MS, 2, 1, neverKept, fresh, fresh);
     }
 
     @Override
-    public double parentColdShare() {
-      return 0.1;
+    public RetryConfig retries() {
+      return new RetryConfig(4, true, true, true, 500 * MS);
     }
 
     @Override
-    public long parentColdTime() {
-      return 10_000 * MS;
+    public SlowStartConfig edgeSlowStart() {
+      return new SlowStartConfig(0.1, 10_000 * MS, 3);
     }
 
     @Override
-    public double parentFallMultiple() {
-      return 2;
+    public SlowStartConfig parentSlowStart() {
+      return new SlowStartConfig(0.1, 10_000 * MS, 2);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -22,9 +22,9 @@
   @CsvSource({
     "IDEMPOTENT, ALL, true, true, true",
     "NON_IDEMPOTENT, ALL, false, false, false",
-    "TOKENED, ALL, true, true, true",
-    "TOKENED, ZONE, true, true, false",
-    "TOKENED, CELL, true, false, false"
+    "IDEMPOTENCY_KEY, ALL, true, true, true",
+    "IDEMPOTENCY_KEY, ZONE, true, true, false",
+    "IDEMPOTENCY_KEY, CELL, true, false, false"
   })
   void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(
       Idempotency effect,
@@ -32,8 +32,7 @@
       boolean sameCell,
       boolean sameZone,
       boolean elsewhere) {
-    parts.site.effect = effect;
-    parts.site.group = group;
+    parts.configure(effect, group);
     InFlightRequest request = parts.request(5);
     assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
     request.recordExecuted(parts.attempt(request, 0, 5));
@@ -66,24 +65,28 @@
 
   @Test
   void whoAsksMayRepeatWhatDidNotRun() {
-    parts.site.effect = Idempotency.NON_IDEMPOTENT;
+    parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
+    assertTrue(policy.isSafeToRepeat(parts.request(5)));
+    assertFalse(policy.isSafeToRepeat(executedRequest()));
+    parts.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL);
+    assertTrue(policy.isSafeToRepeat(executedRequest()));
+    parts.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE);
+    assertFalse(policy.isSafeToRepeat(executedRequest()));
+  }
+
+  private InFlightRequest executedRequest() {
     InFlightRequest request = parts.request(5);
-    assertTrue(policy.isSafeToRepeat(request));
     request.recordExecuted(parts.attempt(request, 0, 5));
-    assertFalse(policy.isSafeToRepeat(request));
-    parts.site.effect = Idempotency.IDEMPOTENCY_KEY;
-    assertTrue(policy.isSafeToRepeat(request));
-    parts.site.group = IdempotencyScope.ZONE;
-    assertFalse(policy.isSafeToRepeat(request));
+    return request;
   }
 
   @ParameterizedTest
   @CsvSource({
-    "JOINED, false",
-    "SOURCE_TURNED_AWAY, true",
-    "SOURCE_LACKS, true",
-    "NO_PLACE, false",
-    "ORIGIN_ERRORED, true"
+    "COALESCED, false",
+    "FILL_REJECTED, true",
+    "FILL_SOURCE_MISS, true",
+    "NOT_STORED_NO_SPACE, false",
+    "ORIGIN_FAILED, true"
   })
   void faultsBehindTheEndpointAreTheSources(ResponseDetail note, boolean isSourceFault) {
     assertEquals(isSourceFault, RetryPolicy.isSourceFault(note));
--- a/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -51,9 +51,9 @@
 
   @Test
   void thereIsNoRouteWhereTheEffectMightComeTwice() {
+    parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     InFlightRequest request = parts.request(5);
     request.recordExecuted(parts.attempt(request, 0, 5));
-    parts.site.effect = Idempotency.NON_IDEMPOTENT;
     assertNull(route(request));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -13,7 +13,7 @@
   static final int ORIGIN = 7;
 
   final FakeHost site = new FakeHost();
-  final TrafficClass trafficClass = new TrafficClass(site, 0);
+  TrafficClass trafficClass = new TrafficClass(site.trafficClass(0));
   final ObjectHistory history = new ObjectHistory();
   final GatewayShare share = new GatewayShare(site);
   final EndpointTable endpoints = new EndpointTable(site.zone());
@@ -22,7 +22,7 @@
       new OutlierDetector(1, endpoints, share, slowStart, new SplittableRandom(1));
   final ConcurrencyLimiter limiter =
       new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
-  final RetryPolicy retryPolicy = new RetryPolicy(site);
+  final RetryPolicy retryPolicy = new RetryPolicy(site.retries());
   final RendezvousSelector rendezvous =
       new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
   final RouteSelector routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
@@ -43,6 +43,13 @@
     cluster.endList(START);
   }
 
+  /** The traffic class of requests from now on. */
+  void configure(Idempotency idempotency, IdempotencyScope scope) {
+    site.effect = idempotency;
+    site.group = scope;
+    trafficClass = new TrafficClass(site.trafficClass(0));
+  }
+
   void update(int index, EndpointState state, long startedAtNanos) {
     String kind = index == ORIGIN ? "origin" : index > 4 ? "parent" : "box";
     String zone = index > 4 ? "hub" : index == 4 ? "other" : "here";
@@ -64,7 +71,7 @@
   InFlightRequest request(long object) {
     InFlightRequest request =
         new InFlightRequest(
-            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100), trafficClass, START);
+            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100, false), trafficClass, START);
     request.patienceNanos = 100 * MS;
     request.durationKnown = true;
     request.rank = SegmentAdmission.STANDARD_RANK;
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -9,6 +9,7 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
@@ -195,7 +196,9 @@
       events.add(
           to ->
               to.syntheticRequestReceived(
-                  id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
+                  new RequestDetails(
+                      id, kind, object, group(object), part, 500 * MS, kilobytes(id), false),
+                  cache));
     }
   }
 
@@ -209,7 +212,8 @@
     events.add(
         to ->
             to.requestReceived(
-                id, kind, object, group(object), part, timeLeft, kilobytes(id), write));
+                new RequestDetails(
+                    id, kind, object, group(object), part, timeLeft, kilobytes(id), write)));
   }
 
   private double kilobytes(long id) {
@@ -277,7 +281,8 @@
           states.getOrDefault(endpoint, EndpointState.UP) == EndpointState.UP && chance(0.4)
               ? EndpointState.values()[1 + random.nextInt(2)]
               : EndpointState.UP;
-      long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
+      long startedAgo =
+          chance(0.1) ? 2 * edgeSlowStart().durationNanos() : random.nextLong(500 * MS);
       tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
     }
     events.add(RoutingEventHandler::endpointListCompleted);
@@ -298,7 +303,8 @@
     events.add(
         to ->
             to.endpointListed(
-                endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
+                new EndpointDescription(
+                    endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt)));
   }
 
   // ---- What becomes of a copy.
@@ -410,16 +416,24 @@
     count("outcome " + outcome);
     count("note " + note);
     to.attemptEnded(
-        copy.request,
-        copy.number,
-        copy.cache,
-        outcome,
-        took,
-        outcome == AttemptOutcome.SUCCEEDED,
-        note);
+        new AttemptResult(
+            copy.request,
+            copy.number,
+            copy.cache,
+            outcome,
+            took,
+            outcome == AttemptOutcome.SUCCEEDED,
+            note));
     if (chance(0.001)) {
       to.attemptEnded(
-          copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
+          new AttemptResult(
+              copy.request,
+              copy.number + random.nextInt(2),
+              copy.cache,
+              outcome,
+              took,
+              true,
+              note));
     }
   }
 
@@ -440,20 +454,31 @@
   }
 
   @Override
-  public void sendAttempt(
-      long get, int cache, long until, int source, long age, int rank, int switches) {
-    hash("forward", get, cache, until, source, age, rank, switches);
-    count("rank " + rank);
-    count("switches " + switches);
+  public void sendAttempt(AttemptCommand command) {
+    hash(
+        "forward",
+        command.requestId(),
+        command.endpoint(),
+        command.deadlineNanos(),
+        command.source(),
+        command.maxAgeNanos(),
+        command.rank(),
+        command.options());
+    count("rank " + command.rank());
+    count("switches " + command.options());
     count(
-        source == cache
+        command.source() == command.endpoint()
             ? "no source"
-            : source == ORIGIN ? "source is the origin" : "source is a parent");
-    int number = copies.merge(get, 1, Integer::sum) - 1;
+            : command.source() == ORIGIN ? "source is the origin" : "source is a parent");
+    int number = copies.merge(command.requestId(), 1, Integer::sum) - 1;
     count("copy " + number);
-    Copy copy = new Copy(get, number, cache, now);
-    open.computeIfAbsent(get, id -> new ArrayList<>()).add(copy);
-    answer(copy, until, source, (switches & CACHED_ONLY) != 0);
+    Copy copy = new Copy(command.requestId(), number, command.endpoint(), now);
+    open.computeIfAbsent(command.requestId(), id -> new ArrayList<>()).add(copy);
+    answer(
+        copy,
+        command.deadlineNanos(),
+        command.source(),
+        (command.options() & AttemptCommand.CACHED_ONLY) != 0);
   }
 
   @Override
@@ -555,13 +580,13 @@
   }
 
   @Override
-  public String parentKind() {
-    return is(Setting.NARROW) ? null : "parent";
+  public Optional<String> parentKind() {
+    return is(Setting.NARROW) ? Optional.empty() : Optional.of("parent");
   }
 
   @Override
-  public String originKind() {
-    return "origin";
+  public Optional<String> originKind() {
+    return Optional.of("origin");
   }
 
   @Override
@@ -579,80 +604,6 @@
     return CLASSES;
   }
 
-  @Override
-  public Idempotency idempotency(int trafficClass) {
-    return trafficClass == 0 || trafficClass == 5
-        ? Idempotency.IDEMPOTENT
-        : trafficClass == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
-  }
-
-  @Override
-  public IdempotencyScope idempotencyScope(int trafficClass) {
-    return trafficClass == 1
-        ? IdempotencyScope.ALL
-        : trafficClass == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL;
-  }
-
-  @Override
-  public long idempotencyWindowNanos(int trafficClass) {
-    return trafficClass == 3 ? 100 * MS : 1000 * MS;
-  }
-
-  @Override
-  public long latencyObjectiveNanos(int trafficClass) {
-    return (100 + 50L * trafficClass) * MS;
-  }
-
-  @Override
-  public double latencyStretch(int trafficClass) {
-    return 2;
-  }
-
-  @Override
-  public double revenue(int trafficClass) {
-    return 1 + trafficClass % 3;
-  }
-
-  @Override
-  public boolean neverCached(int trafficClass) {
-    return trafficClass == 5;
-  }
-
-  @Override
-  public long freshNanos(int trafficClass) {
-    return is(Setting.TWENTY) ? (trafficClass + 1) * 1000L * MS : 0;
-  }
-
-  @Override
-  public long staleGraceNanos(int trafficClass) {
-    return is(Setting.TWENTY) ? 4000 * MS : 0;
-  }
-
-  @Override
-  public int maxAttempts() {
-    return is(Setting.NARROW) ? 2 : 4;
-  }
-
-  @Override
-  public boolean hedgingAllowed() {
-    return !is(Setting.NARROW);
-  }
-
-  @Override
-  public boolean cancellationAllowed() {
-    return !is(Setting.PLAIN);
-  }
-
-  @Override
-  public boolean sendsRetryAfter() {
-    return !is(Setting.PLAIN);
-  }
-
-  @Override
-  public long maxRetryAfterNanos() {
-    return 500 * MS;
-  }
-
   @Override
   public boolean bypassAllowed() {
     return is(Setting.PLAIN) || is(Setting.TWENTY);
@@ -674,37 +625,50 @@
   }
 
   @Override
-  public double coldShare() {
-    return 0.1;
-  }
-
-  @Override
-  public long coldTime() {
-    return 8_000 * MS;
+  public long overloadWindowNanos() {
+    return 1000 * MS;
   }
 
   @Override
-  public double fallMultiple() {
-    return 3;
+  public TrafficClassConfig trafficClass(int index) {
+    boolean aging = is(Setting.TWENTY);
+    return new TrafficClassConfig(
+        idempotency(index),
+        index == 1
+            ? IdempotencyScope.ALL
+            : index == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL,
+        index == 3 ? 100 * MS : 1000 * MS,
+        (100 + 50L * index) * MS,
+        2,
+        1 + index % 3,
+        index == 5,
+        aging ? (index + 1) * 1000L * MS : 0,
+        aging ? 4000 * MS : 0);
   }
 
-  @Override
-  public long overloadWindowNanos() {
-    return 1000 * MS;
+  private static Idempotency idempotency(int index) {
+    return index == 0 || index == 5
+        ? Idempotency.IDEMPOTENT
+        : index == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
   }
 
   @Override
-  public double parentColdShare() {
-    return 0.2;
+  public RetryConfig retries() {
+    return new RetryConfig(
+        is(Setting.NARROW) ? 2 : 4,
+        !is(Setting.NARROW),
+        !is(Setting.PLAIN),
+        !is(Setting.PLAIN),
+        500 * MS);
   }
 
   @Override
-  public long parentColdTime() {
-    return 5_000 * MS;
+  public SlowStartConfig edgeSlowStart() {
+    return new SlowStartConfig(0.1, 8_000 * MS, 3);
   }
 
   @Override
-  public double parentFallMultiple() {
-    return 2;
+  public SlowStartConfig parentSlowStart() {
+    return new SlowStartConfig(0.2, 5_000 * MS, 2);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -6,6 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -186,30 +187,33 @@
     private long wakeAt = Long.MAX_VALUE;
 
     Instance(int count) {
-      Map<String, Object> told =
+      Map<String, Object> config =
           Map.ofEntries(
               Map.entry("seed", (long) ++seeds),
               Map.entry("gateways", count),
-              Map.entry("gatewaysHere", count),
+              Map.entry("gatewaysInZone", count),
               Map.entry("zone", "z"),
-              Map.entry("midKind", "parent"),
-              Map.entry("originKind", "origin"),
-              Map.entry("weighsSizes", true),
-              Map.entry("deliveryServices", 1),
-              Map.entry("effect", Idempotency.IDEMPOTENT),
-              Map.entry("group", IdempotencyScope.ALL),
-              Map.entry("latencyObjective", objective),
-              Map.entry("stretch", 2.0),
-              Map.entry("revenue", 1.0),
-              Map.entry("maxForwards", 1),
-              Map.entry("flowKbPerSecond", 1000.0),
-              Map.entry("coldShare", SHARE),
-              Map.entry("coldTime", COLD_TIME),
-              Map.entry("fallMultiple", 3.0),
-              Map.entry("fallTime", FALL),
-              Map.entry("parentColdShare", SHARE),
-              Map.entry("parentColdTime", COLD_TIME),
-              Map.entry("parentFallMultiple", 3.0));
+              Map.entry("parentKind", Optional.of("parent")),
+              Map.entry("originKind", Optional.of("origin")),
+              Map.entry("weightIsSize", true),
+              Map.entry("trafficClassCount", 1),
+              Map.entry(
+                  "trafficClass",
+                  new TrafficClassConfig(
+                      Idempotency.IDEMPOTENT,
+                      IdempotencyScope.ALL,
+                      0,
+                      objective,
+                      2,
+                      1,
+                      false,
+                      0,
+                      0)),
+              Map.entry("retries", new RetryConfig(1, false, false, false, 0)),
+              Map.entry("transferKilobytesPerSecond", 1000.0),
+              Map.entry("edgeSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
+              Map.entry("parentSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
+              Map.entry("overloadWindowNanos", FALL));
       control =
           new RequestRouter(
               (RoutingConfig)
@@ -217,7 +221,7 @@
                       getClass().getClassLoader(),
                       new Class<?>[] {RoutingConfig.class},
                       (proxy, asked, arguments) ->
-                          told.getOrDefault(
+                          config.getOrDefault(
                               asked.getName(),
                               asked.getReturnType() == boolean.class
                                   ? (Object) false
@@ -230,32 +234,38 @@
       events.add(
           to ->
               to.endpointListed(
-                  COLD,
-                  "10.0.0.1:9",
-                  "z",
-                  "box",
-                  0,
-                  EndpointState.UP,
-                  weight,
-                  cold == COLD ? started : 0));
+                  new EndpointDescription(
+                      COLD,
+                      "10.0.0.1:9",
+                      "z",
+                      "box",
+                      0,
+                      EndpointState.UP,
+                      weight,
+                      cold == COLD ? started : 0)));
       if (warmUp) {
         events.add(
-            to -> to.endpointListed(WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0));
+            to ->
+                to.endpointListed(
+                    new EndpointDescription(
+                        WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0)));
         events.add(
             to ->
                 to.endpointListed(
-                    PARENT,
-                    "10.0.0.3:9",
-                    "hub",
-                    "parent",
-                    0,
-                    EndpointState.UP,
-                    weight,
-                    cold == PARENT ? started : 0));
+                    new EndpointDescription(
+                        PARENT,
+                        "10.0.0.3:9",
+                        "hub",
+                        "parent",
+                        0,
+                        EndpointState.UP,
+                        weight,
+                        cold == PARENT ? started : 0)));
         events.add(
             to ->
                 to.endpointListed(
-                    ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0));
+                    new EndpointDescription(
+                        ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0)));
       }
       events.add(RoutingEventHandler::endpointListCompleted);
     }
@@ -268,13 +278,14 @@
           events.add(
               to ->
                   to.attemptEnded(
-                      answer.get,
-                      0,
-                      answer.cache,
-                      has ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
-                      50 * MS,
-                      has,
-                      answer.note));
+                      new AttemptResult(
+                          answer.get,
+                          0,
+                          answer.cache,
+                          has ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
+                          50 * MS,
+                          has,
+                          answer.note)));
         }
       }
       if (wakeAt <= now) {
@@ -283,7 +294,10 @@
       }
       for (int one = 0; one < gets; one++) {
         long id = ++ids;
-        events.add(to -> to.requestReceived(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false));
+        events.add(
+            to ->
+                to.requestReceived(
+                    new RequestDetails(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false)));
       }
       List<Consumer<RoutingEventHandler>> round = List.copyOf(events);
       events.clear();
@@ -291,18 +305,17 @@
     }
 
     @Override
-    public void sendAttempt(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      boolean filled = misses && source != cache;
-      if (cache == cold || (filled && source == cold)) {
+    public void sendAttempt(AttemptCommand command) {
+      boolean filled = misses && command.source() != command.endpoint();
+      if (command.endpoint() == cold || (filled && command.source() == cold)) {
         sends.add(now);
         sent++;
       }
       answers.add(
           new Answer(
               now + 50 * MS,
-              get,
-              cache,
+              command.requestId(),
+              command.endpoint(),
               filled ? ResponseDetail.FILLED : misses ? ResponseDetail.NONE : ResponseDetail.HIT));
     }
 
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -44,7 +44,7 @@
 
   @Test
   void nothingIsAskedThatMayNotBeRepeated() {
-    parts.site.effect = Idempotency.NON_IDEMPOTENT;
+    parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -7,7 +7,8 @@
 
 class TrafficClassTest {
   private static final long MS = 1_000_000L;
-  private final TrafficClass trafficClass = new TrafficClass(new RequestRouterTest.FakeHost(), 0);
+  private final TrafficClass trafficClass =
+      new TrafficClass(new RequestRouterTest.FakeHost().trafficClass(0));
 
   @Test
   void theObjectiveStandsForTheWorkUntilThereAreAnswers() {
--- a/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
@@ -11,7 +11,7 @@
 
   @Test
   void capacityRisesEvenlyFromTheInitialFraction() {
-    warmUp.profile = new SlowStartProfile(0.2, 1000, 3, 1);
+    warmUp.profile = new SlowStartProfile(new SlowStartConfig(0.2, 1000, 3), 1);
     assertTrue(warmUp.isComplete(500), "started long ago");
     warmUp.startedAtNanos = 5000;
     assertEquals(0.2, warmUp.capacityFraction(4000));
