--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -6,9 +6,10 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 
 /** Fourth stage: sends attempts to endpoints; each ends once, with its outcome. */
 final class AttemptSender implements OutboundAttempt.Listener {
@@ -49,11 +50,11 @@
     if (request == null) {
       return;
     }
-    long nowNanos = context.clock().now();
+    long nowNanos = context.clock().nowNanos();
     OutboundAttempt attempt = create(request, parameters, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
-    if (request.answered || attempt.plan.index() >= config.maxForwards()) {
+    if (request.answered || attempt.plan.index() >= config.retries().maxAttempts()) {
       attempt.skip();
       return;
     }
@@ -82,7 +83,7 @@
             nowNanos,
             context.lagMonitor().totalLagNanos(),
             untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
-            !config.neverKept(request.trafficClass));
+            !config.trafficClass(request.trafficClass).neverCached());
     return new OutboundAttempt(
         plan, encodeFields(request, parameters), endpoints.pool(parameters.endpoint()), this);
   }
@@ -155,24 +156,33 @@
 
   /** The first response goes to the client; the router is notified of every outcome. */
   @Override
-  public void attemptEnded(OutboundAttempt attempt, Outcome outcome, Note note, Buffer body) {
+  public void attemptEnded(
+      OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail note, Buffer body) {
     OutboundAttempt.Plan plan = attempt.plan;
     ClientRequest request = plan.request();
     context.vertx().cancelTimer(attempt.timeoutTimer);
     request.pendingAttempts--;
-    request.endpointResponded |= outcome == Outcome.RETURNED || outcome == Outcome.NOT_STORED;
-    if (outcome == Outcome.RETURNED) {
+    request.endpointResponded |=
+        outcome == AttemptOutcome.SUCCEEDED || outcome == AttemptOutcome.NOT_CACHED;
+    if (outcome == AttemptOutcome.SUCCEEDED) {
       writeResponse(request, body);
     }
     // Guards endpoints against the blame for this gateway's own lag.
     long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagBeforeNanos();
-    long tookNanos = Math.max(0, context.clock().now() - plan.startedAtNanos() - lagNanos);
+    long tookNanos = Math.max(0, context.clock().nowNanos() - plan.startedAtNanos() - lagNanos);
     boolean answered = request.answered;
     routingStage.enqueue(
         request,
         events ->
-            events.ended(
-                request.id, plan.index(), plan.endpoint(), outcome, tookNanos, answered, note));
+            events.attemptEnded(
+                new AttemptResult(
+                    request.id,
+                    plan.index(),
+                    plan.endpoint(),
+                    outcome,
+                    tookNanos,
+                    answered,
+                    note)));
     context.inFlight().removeIfFinished(request);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -14,11 +14,13 @@
 import java.util.function.LongFunction;
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.EndpointDescription;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * The caches that the journal told of, by the small indices under which the decisions know them.
@@ -28,7 +30,7 @@
     final String id;
     final int index;
     SocketAddress address;
-    State state;
+    EndpointState state;
     CachePool pool;
 
     /**
@@ -38,7 +40,7 @@
     long startedAtMs, startedAt;
 
     /** What was told of it last, but for when it started. */
-    LongFunction<Consumer<Events>> telling;
+    LongFunction<Consumer<RoutingEventHandler>> telling;
 
     Entry(String id, int index) {
       this.id = id;
@@ -63,7 +65,7 @@
 
   private final List<Entry> entries = new ArrayList<>();
   private final ArrayDeque<Integer> unused = new ArrayDeque<>();
-  private final List<Consumer<Events>> list = new ArrayList<>();
+  private final List<Consumer<RoutingEventHandler>> list = new ArrayList<>();
   private RoutingStage route;
   private int most;
   private boolean told;
@@ -90,7 +92,7 @@
   /** The index of one that may be asked; -1 where there is none. */
   int index(String id) {
     Entry entry = byId.get(id);
-    return entry == null || entry.state != State.UP ? -1 : entry.index;
+    return entry == null || entry.state != EndpointState.UP ? -1 : entry.index;
   }
 
   CachePool pool(int cache) {
@@ -98,7 +100,7 @@
     if (entry.pool == null) {
       CachePool.Bounds bounds =
           new CachePool.Bounds(
-              () -> entry.state == State.GONE ? 1 : most,
+              () -> entry.state == EndpointState.GONE ? 1 : most,
               options.wantsOnConnection(),
               options.connectTimeout(),
               options.connectionIdle(),
@@ -110,7 +112,7 @@
               client,
               bounds,
               budget,
-              clock::now,
+              clock::nowNanos,
               route::mayWrite,
               complaints::add);
     }
@@ -134,30 +136,22 @@
   }
 
   @Override
-  public void listing(boolean whole) {
+  public void endpointListStarted(EndpointListKind kind) {
     list.clear();
-    list.add(to -> to.listing(whole ? Listing.FULL : Listing.CHANGES));
-    if (whole) {
-      byId.values().forEach(entry -> entry.state = State.GONE);
+    list.add(to -> to.endpointListStarted(kind));
+    if (kind == EndpointListKind.FULL) {
+      byId.values().forEach(entry -> entry.state = EndpointState.GONE);
     }
   }
 
   @Override
-  public void member(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      State state,
-      double weight,
-      long startedAtMs) {
-    if (state == State.GONE && !byId.containsKey(id)) {
+  public void endpointListed(ListedEndpoint endpoint) {
+    if (endpoint.state() == EndpointState.GONE && !byId.containsKey(endpoint.id())) {
       return;
     }
     Entry entry =
         byId.computeIfAbsent(
-            id,
+            endpoint.id(),
             fresh -> {
               Entry made = new Entry(fresh, unused.isEmpty() ? entries.size() : unused.pop());
               if (made.index == entries.size()) {
@@ -166,21 +160,35 @@
               entries.set(made.index, made);
               return made;
             });
-    entry.state = state;
-    if (!address.isEmpty()) {
-      SocketAddress now = GatewayOptions.address("journal: hostPort is", address);
+    entry.state = endpoint.state();
+    if (!endpoint.address().isEmpty()) {
+      SocketAddress now = GatewayOptions.address("journal: hostPort is", endpoint.address());
       if (entry.pool != null && !now.equals(entry.address)) {
         entry.pool.close();
         entry.pool = null;
       }
       entry.address = now;
     }
-    if (startedAtMs != entry.startedAtMs) {
-      entry.startedAtMs = startedAtMs;
-      entry.startedAt = startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(startedAtMs);
+    if (endpoint.startedAtMillis() != entry.startedAtMs) {
+      entry.startedAtMs = endpoint.startedAtMillis();
+      entry.startedAt =
+          endpoint.startedAtMillis() == 0
+              ? 0
+              : clock.nowNanos() - clock.sinceStart(endpoint.startedAtMillis());
     }
     entry.telling =
-        startedAt -> to -> to.member(entry.index, id, zone, kind, cell, state, weight, startedAt);
+        startedAt ->
+            to ->
+                to.endpointListed(
+                    new EndpointDescription(
+                        entry.index,
+                        endpoint.id(),
+                        endpoint.zone(),
+                        endpoint.kind(),
+                        endpoint.cell(),
+                        endpoint.state(),
+                        endpoint.weight(),
+                        startedAt));
     list.add(entry.telling.apply(entry.startedAt));
   }
 
@@ -190,21 +198,22 @@
   }
 
   @Override
-  public void listed() {
+  public void endpointListCompleted() {
     told = true;
-    List<Consumer<Events>> news = List.copyOf(list);
+    List<Consumer<RoutingEventHandler>> news = List.copyOf(list);
     route.enqueueDiscovery(
         to -> {
           news.forEach(one -> one.accept(to));
-          to.listed();
+          to.endpointListCompleted();
         });
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
     int listed = 0;
     for (Entry entry : byId.values()) {
-      listed += entry.state == State.GONE ? 0 : 1;
+      listed += entry.state == EndpointState.GONE ? 0 : 1;
       if (entry.pool != null) {
         entry.pool.fail(
-            want -> entry.state != State.UP || !up((OutboundAttempt) want), Outcome.HELD_BACK);
+            want -> entry.state != EndpointState.UP || !up((OutboundAttempt) want),
+            AttemptOutcome.WITHDRAWN);
       }
     }
     most = options.connectionsToEach(listed);
@@ -212,23 +221,24 @@
 
   private boolean up(OutboundAttempt sent) {
     Entry source = entries.get(sent.plan.source());
-    return source != null && source.state == State.UP;
+    return source != null && source.state == EndpointState.UP;
   }
 
   @Override
-  public void purged(long object, int group, long atMs) {
-    long purgedAt = clock.now() - clock.sincePurge(atMs);
+  public void objectPurged(long object, int group, long atMs) {
+    long purgedAt = clock.nowNanos() - clock.sincePurge(atMs);
     if (clock.corrected()) {
       tellStarts();
     }
-    route.enqueueDiscovery(to -> to.purged(object, group, clock.now() - purgedAt));
+    route.enqueueDiscovery(to -> to.objectPurged(object, group, clock.nowNanos() - purgedAt));
     // Guards purges: what waits for a connection was given the age of a copy that would have done
     // before.
     pools()
         .forEach(
             pool ->
                 pool.fail(
-                    want -> ((OutboundAttempt) want).isPurged(object, group), Outcome.HELD_BACK));
+                    want -> ((OutboundAttempt) want).isPurged(object, group),
+                    AttemptOutcome.WITHDRAWN));
   }
 
   /**
@@ -236,10 +246,10 @@
    * look old.
    */
   private void tellStarts() {
-    List<Consumer<Events>> later = new ArrayList<>();
+    List<Consumer<RoutingEventHandler>> later = new ArrayList<>();
     for (Entry entry : byId.values()) {
       long startedAt =
-          entry.startedAtMs == 0 ? 0 : clock.now() - clock.sinceStart(entry.startedAtMs);
+          entry.startedAtMs == 0 ? 0 : clock.nowNanos() - clock.sinceStart(entry.startedAtMs);
       if (startedAt > entry.startedAt + CORRECTED_NANOS) {
         entry.startedAt = startedAt;
         later.add(entry.telling.apply(startedAt));
@@ -247,9 +257,9 @@
     }
     route.enqueueDiscovery(
         to -> {
-          to.listing(Listing.CHANGES);
+          to.endpointListStarted(EndpointListKind.CHANGES);
           later.forEach(one -> one.accept(to));
-          to.listed();
+          to.endpointListCompleted();
         });
   }
 
@@ -268,7 +278,7 @@
   void sweep() {
     clock.watch();
     for (Entry entry : List.copyOf(byId.values())) {
-      boolean gone = entry.state == State.GONE;
+      boolean gone = entry.state == EndpointState.GONE;
       if (entry.pool != null && gone && entry.pool.isFree()) {
         entry.pool.close();
         entry.pool = null;
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
@@ -18,23 +18,24 @@
 
   @Override
   public void quotaShareChanged(int gateways, double share) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.sharers(gateways, share));
+    pipeline.routingStage.enqueueDiscovery(events -> events.gatewayShareChanged(gateways, share));
   }
 
   @Override
   public void healthChecksCentralized(boolean centralized) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.tried(centralized));
+    pipeline.routingStage.enqueueDiscovery(events -> events.healthChecksDelegated(centralized));
   }
 
   @Override
   public void healthCheckReported(String endpointId, boolean answered, long ageNanos) {
     Clock clock = pipeline.context.clock();
-    long reportedAtNanos = clock.now();
+    long reportedAtNanos = clock.nowNanos();
     pipeline.routingStage.enqueueDiscovery(
         events -> {
           int endpoint = pipeline.endpoints.index(endpointId);
           if (endpoint >= 0) {
-            events.vouched(endpoint, answered, ageNanos + clock.now() - reportedAtNanos);
+            events.healthReported(
+                endpoint, answered, ageNanos + clock.nowNanos() - reportedAtNanos);
           }
         });
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
@@ -4,6 +4,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.math.BigDecimal;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.RoutingActions;
 
 /**
@@ -40,25 +41,24 @@
   }
 
   @Override
-  public void forward(
-      long get, int cache, long until, int source, long age, int rank, int switches) {
+  public void sendAttempt(AttemptCommand command) {
     write(
         "serve-via",
         () -> {
-          reply.writeNumberField("op-id", get);
-          reply.writeStringField("cache", caches.address(cache));
-          writeSeconds("try-until-s", until);
-          reply.writeStringField("supplier", caches.address(source));
-          if (age > 0) {
-            writeSeconds("oldness-s", age);
+          reply.writeNumberField("op-id", command.requestId());
+          reply.writeStringField("cache", caches.address(command.endpoint()));
+          writeSeconds("try-until-s", command.deadlineNanos());
+          reply.writeStringField("supplier", caches.address(command.source()));
+          if (command.maxAgeNanos() > 0) {
+            writeSeconds("oldness-s", command.maxAgeNanos());
           }
-          reply.writeNumberField("hold-rank", rank);
-          reply.writeNumberField("switches", switches);
+          reply.writeNumberField("hold-rank", command.rank());
+          reply.writeNumberField("switches", command.options());
         });
   }
 
   @Override
-  public void shed(long get, long wait) {
+  public void reject(long get, long wait) {
     write(
         "overload-reply",
         () -> {
@@ -70,12 +70,12 @@
   }
 
   @Override
-  public void errored(long get) {
+  public void fail(long get) {
     write("abort", () -> reply.writeNumberField("op-id", get));
   }
 
   @Override
-  public void callOff(long get, int copy) {
+  public void cancelAttempt(long get, int copy) {
     write(
         "call-off",
         () -> {
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void wake(long delay, String handle) {
+  public void scheduleTimer(long delay, String handle) {
     write(
         "remind",
         () -> {
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public void watchList() {
+  public void subscribeEndpoints() {
     write("keep-informed", () -> reply.writeBooleanField("enable", true));
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -2,7 +2,14 @@
 
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.RequestDetails;
+import org.amberpath.routing.ResponseDetail;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Decodes the simulator's events into those of the decisions. An event that the wire does not have
@@ -19,118 +26,123 @@
   }
 
   /** Decodes one event; some concern no decision. */
-  void decode(JsonReader event, RoutingEvents.Events to) {
-    switch (event.text("verb")) {
+  void decode(JsonReader event, RoutingEventHandler to) {
+    switch (event.string("verb")) {
       case "view" -> endpointList(event.named("view"), to);
       case "order" -> request(event.named("order"), to);
       case "verdict" -> outcome(event.named("verdict"), to);
       case "head-received" -> {
         JsonReader head = event.named("head-received");
-        to.begun(head.whole("op-id"), head.place("copy", 0));
+        to.responseStarted(head.longValue("op-id"), head.intOr("copy", 0));
       }
-      case "cancelled-by-client" -> to.left(event.named("cancelled-by-client").whole("op-id"));
+      case "cancelled-by-client" ->
+          to.clientDisconnected(event.named("cancelled-by-client").longValue("op-id"));
       case "expired-now" -> purge(event.named("expired-now"), to);
-      case "ring" -> to.woken(event.named("ring").text("handle"));
+      case "ring" -> to.timerFired(event.named("ring").string("handle"));
       case "status-back", "heard" -> {}
-      default -> throw event.wrong("verb", "unknown: " + event.text("verb"));
+      default -> throw event.invalid("verb", "unknown: " + event.string("verb"));
     }
   }
 
-  private void endpointList(JsonReader view, RoutingEvents.Events to) {
-    to.listing(listing(view));
-    for (JsonReader entry : view.each("members-list")) {
-      to.member(
-          caches.add(entry.text("cache")),
-          entry.text("cache"),
-          entry.has("az") ? entry.text("az") : "",
-          entry.has("flavor") ? entry.text("flavor") : "",
-          entry.place("cohort", 0),
-          state(entry),
-          entry.numberOr("power-hint", 1),
-          entry.timeOr("came-up-s", 0));
+  private void endpointList(JsonReader view, RoutingEventHandler to) {
+    to.endpointListStarted(listing(view));
+    for (JsonReader entry : view.objects("members-list")) {
+      to.endpointListed(
+          new EndpointDescription(
+              caches.add(entry.string("cache")),
+              entry.string("cache"),
+              entry.has("az") ? entry.string("az") : "",
+              entry.has("flavor") ? entry.string("flavor") : "",
+              entry.intOr("cohort", 0),
+              state(entry),
+              entry.doubleOr("power-hint", 1),
+              entry.durationNanosOr("came-up-s", 0)));
     }
-    to.listed();
+    to.endpointListCompleted();
   }
 
-  private void request(JsonReader order, RoutingEvents.Events to) {
-    int trafficClass = config.trafficClass(order.text("tier-class"));
+  private void request(JsonReader order, RoutingEventHandler to) {
+    int trafficClass = config.trafficClassIndex(order.string("tier-class"));
     if (trafficClass < 0) {
-      throw order.wrong("tier-class", "no known delivery service: " + order.text("tier-class"));
+      throw order.invalid("tier-class", "no known delivery service: " + order.string("tier-class"));
     }
-    to.get(
-        order.whole("op-id"),
-        trafficClass,
-        order.wholeOr("resource", 0),
-        order.place("batch-id", 0),
-        order.place("range-no", 0),
-        order.time("time-budget-s"),
-        order.numberOr("kb", 0),
-        order.flag("is-write"));
+    to.requestReceived(
+        new RequestDetails(
+            order.longValue("op-id"),
+            trafficClass,
+            order.longOr("resource", 0),
+            order.intOr("batch-id", 0),
+            order.intOr("range-no", 0),
+            order.durationNanos("time-budget-s"),
+            order.doubleOr("kb", 0),
+            order.booleanOrFalse("is-write")));
   }
 
-  private void outcome(JsonReader verdict, RoutingEvents.Events to) {
-    to.ended(
-        verdict.whole("op-id"),
-        verdict.place("copy", 0),
-        cache(verdict),
-        outcome(verdict),
-        verdict.timeOr("rtt-s", 0),
-        verdict.flag("settled"),
-        note(verdict));
+  private void outcome(JsonReader verdict, RoutingEventHandler to) {
+    to.attemptEnded(
+        new AttemptResult(
+            verdict.longValue("op-id"),
+            verdict.intOr("copy", 0),
+            cache(verdict),
+            outcome(verdict),
+            verdict.durationNanosOr("rtt-s", 0),
+            verdict.booleanOrFalse("settled"),
+            note(verdict)));
   }
 
-  private static void purge(JsonReader purge, RoutingEvents.Events to) {
-    to.purged(purge.wholeOr("resource", 0), purge.place("tag", 0), purge.timeOr("oldness-s", 0));
+  private static void purge(JsonReader purge, RoutingEventHandler to) {
+    to.objectPurged(
+        purge.longOr("resource", 0), purge.intOr("tag", 0), purge.durationNanosOr("oldness-s", 0));
   }
 
   private int cache(JsonReader event) {
-    String address = event.text("cache");
+    String address = event.string("cache");
     if (!caches.contains(address)) {
-      throw event.wrong("cache", "no known cache: " + address);
+      throw event.invalid("cache", "no known cache: " + address);
     }
     return caches.indexOf(address);
   }
 
-  private static RoutingEvents.Listing listing(JsonReader view) {
-    return switch (view.text("scope")) {
-      case "D" -> RoutingEvents.Listing.CHANGES;
-      case "F", "C" -> RoutingEvents.Listing.FULL;
-      case "X" -> RoutingEvents.Listing.NONE;
+  private static EndpointListKind listing(JsonReader view) {
+    return switch (view.string("scope")) {
+      case "D" -> EndpointListKind.CHANGES;
+      case "F", "C" -> EndpointListKind.FULL;
+      case "X" -> EndpointListKind.NONE;
       default -> throw unknown(view, "scope");
     };
   }
 
-  private static RoutingEvents.State state(JsonReader entry) {
-    return switch (entry.text("state")) {
-      case "U" -> RoutingEvents.State.UP;
-      case "L" -> RoutingEvents.State.DRAINING;
-      case "D" -> RoutingEvents.State.GONE;
+  private static EndpointState state(JsonReader entry) {
+    return switch (entry.string("state")) {
+      case "U" -> EndpointState.UP;
+      case "L" -> EndpointState.DRAINING;
+      case "D" -> EndpointState.GONE;
       default -> throw unknown(entry, "state");
     };
   }
 
-  private static RoutingEvents.Outcome outcome(JsonReader verdict) {
-    return switch (verdict.text("rc")) {
-      case "served" -> RoutingEvents.Outcome.RETURNED;
-      case "server_error" -> RoutingEvents.Outcome.ERRORED;
-      case "turned_away" -> RoutingEvents.Outcome.TURNED_AWAY;
-      case "no_answer" -> RoutingEvents.Outcome.NO_ANSWER;
-      case "no_connection" -> RoutingEvents.Outcome.NO_CONNECTION;
-      case "connection_lost" -> RoutingEvents.Outcome.LOST;
-      case "called_off" -> RoutingEvents.Outcome.CALLED_OFF;
-      case "not_sent" -> RoutingEvents.Outcome.NOT_SENT;
-      case "not_stored" -> RoutingEvents.Outcome.NOT_STORED;
+  private static AttemptOutcome outcome(JsonReader verdict) {
+    return switch (verdict.string("rc")) {
+      case "served" -> AttemptOutcome.SUCCEEDED;
+      case "server_error" -> AttemptOutcome.FAILED;
+      case "turned_away" -> AttemptOutcome.REJECTED;
+      case "no_answer" -> AttemptOutcome.TIMED_OUT;
+      case "no_connection" -> AttemptOutcome.CONNECT_FAILED;
+      case "connection_lost" -> AttemptOutcome.CONNECTION_LOST;
+      case "called_off" -> AttemptOutcome.CANCELLED;
+      case "not_sent" -> AttemptOutcome.NOT_SENT;
+      case "not_stored" -> AttemptOutcome.NOT_CACHED;
       default -> throw unknown(verdict, "rc");
     };
   }
 
   private static RuntimeException unknown(JsonReader from, String key) {
-    return from.wrong(key, "of no known kind: " + from.text(key));
+    return from.invalid(key, "of no known kind: " + from.string(key));
   }
 
-  private static RoutingEvents.Note note(JsonReader verdict) {
-    int index = verdict.place("remark", 0);
-    RoutingEvents.Note[] notes = RoutingEvents.Note.values();
-    return index > 0 && index < notes.length ? notes[index] : RoutingEvents.Note.NOTHING;
+  private static ResponseDetail note(JsonReader verdict) {
+    int index = verdict.intOr("remark", 0);
+    ResponseDetail[] notes = ResponseDetail.values();
+    return index > 0 && index < notes.length ? notes[index] : ResponseDetail.NONE;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -18,7 +18,11 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.settings.InvalidSettingsException;
-import org.amberpath.routing.RoutingEvents;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.RequestDetails;
+import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -127,10 +131,12 @@
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) -> {
           int[] gets = new int[1];
-          in.replay(
+          in.replayTo(
               events(
                   (event, told) -> {
-                    if (event.equals("get") && gets[0]++ == 0 && (long) told[0] == 1) {
+                    if (event.equals("requestReceived")
+                        && gets[0]++ == 0
+                        && ((RequestDetails) told[0]).id() == 1) {
                       stand();
                     }
                   }));
@@ -157,11 +163,11 @@
     world.start(
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 events(
                     (event, told) -> {
-                      if (event.equals("get")) {
-                        left.add((long) told[5] / 1_000_000);
+                      if (event.equals("requestReceived")) {
+                        left.add(((RequestDetails) told[0]).timeLeftNanos() / 1_000_000);
                         if (left.size() == 1) {
                           stand();
                         }
@@ -221,11 +227,11 @@
     }
   }
 
-  private static RoutingEvents.Events events(BiConsumer<String, Object[]> hear) {
-    return (RoutingEvents.Events)
+  private static RoutingEventHandler events(BiConsumer<String, Object[]> hear) {
+    return (RoutingEventHandler)
         Proxy.newProxyInstance(
             EndingsTest.class.getClassLoader(),
-            new Class<?>[] {RoutingEvents.Events.class},
+            new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
               hear.accept(event.getName(), told);
               return null;
@@ -236,22 +242,23 @@
   void aForwardWhoseTimeToBeginIsOverIsNeverSent() throws Exception {
     Cache cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
-    BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
+    BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     world.start(
         GatewayOptions.read(world.environment(folder)),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 events(
                     (event, told) -> {
-                      if (event.equals("get")) {
-                        to.sendBy((long) told[0], now - 1);
-                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-                      } else if (event.equals("ended")) {
-                        outcomes.add((RoutingEvents.Outcome) told[3]);
+                      if (event.equals("requestReceived")) {
+                        to.limitRetryStart(((RequestDetails) told[0]).id(), now - 1);
+                        to.sendAttempt(
+                            new AttemptCommand(((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
+                      } else if (event.equals("attemptEnded")) {
+                        outcomes.add(((AttemptResult) told[0]).outcome());
                       }
                     })));
     world.client().get(1, "parts", 4000, 0);
-    assertEquals(RoutingEvents.Outcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -27,7 +27,14 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -282,48 +289,33 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     BlockingQueue<Long> times = new LinkedBlockingQueue<>();
     CountDownLatch still = new CountDownLatch(1);
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
-                              long id,
-                              int ds,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            if (part == 13) {
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
                               still.countDown();
                               long until = System.nanoTime() + 600_000_000;
                               while (System.nanoTime() < until) {
                                 Thread.onSpinWait();
                               }
                             }
-                            super.get(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(request);
                           }
 
                           @Override
-                          public void ended(
-                              long id,
-                              int copy,
-                              int at,
-                              RoutingEvents.Outcome outcome,
-                              long took,
-                              boolean settled,
-                              RoutingEvents.Note note) {
-                            times.add(took);
-                            super.ended(id, copy, at, outcome, took, settled, note);
+                          public void attemptEnded(AttemptResult result) {
+                            times.add(result.durationNanos());
+                            super.attemptEnded(result);
                           }
                         }),
                 to));
@@ -368,27 +360,23 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
-                              long id,
-                              int ds,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            to.forward(id, 0, now + left, 0, 0, 1, 0);
-                            to.forward(id, 0, now + left, 0, 0, 2, 0);
+                          public void requestReceived(RequestDetails request) {
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 1, 0));
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 2, 0));
                           }
                         }),
                 to));
@@ -808,29 +796,21 @@
     cache = world.cache();
     world.journal.host("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.start(
         options,
         (now, in, to) ->
-            control.round(
+            control.decide(
                 now,
                 events ->
-                    in.replay(
+                    in.replayTo(
                         new Ear(events) {
                           @Override
-                          public void get(
-                              long id,
-                              int ds,
-                              long object,
-                              int group,
-                              int part,
-                              long left,
-                              double kb,
-                              boolean w) {
-                            if (part == 13) {
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
                               throw new IllegalStateException("part 13");
                             }
-                            super.get(id, ds, object, group, part, left, kb, w);
+                            super.requestReceived(request);
                           }
                         }),
                 to));
@@ -985,100 +965,76 @@
   }
 
   /** Passes on what it is told, if to anybody. */
-  private static class Ear implements RoutingEvents.Events {
-    private final RoutingEvents.Events to;
+  private static class Ear implements RoutingEventHandler {
+    private final RoutingEventHandler to;
 
-    Ear(RoutingEvents.Events to) {
+    Ear(RoutingEventHandler to) {
       this.to = to;
     }
 
     @Override
-    public void listing(RoutingEvents.Listing what) {
-      to.listing(what);
+    public void endpointListStarted(EndpointListKind what) {
+      to.endpointListStarted(what);
     }
 
     @Override
-    public void member(
-        int cache,
-        String id,
-        String zone,
-        String kind,
-        int cell,
-        RoutingEvents.State state,
-        double weight,
-        long startedAt) {
-      to.member(cache, id, zone, kind, cell, state, weight, startedAt);
+    public void endpointListed(EndpointDescription endpoint) {
+      to.endpointListed(endpoint);
     }
 
     @Override
-    public void listed() {
-      to.listed();
+    public void endpointListCompleted() {
+      to.endpointListCompleted();
     }
 
     @Override
-    public void get(
-        long id,
-        int ds,
-        long object,
-        int group,
-        int part,
-        long timeLeft,
-        double kb,
-        boolean write) {
-      to.get(id, ds, object, group, part, timeLeft, kb, write);
+    public void requestReceived(RequestDetails request) {
+      to.requestReceived(request);
     }
 
     @Override
-    public void begun(long id, int copy) {
-      to.begun(id, copy);
+    public void responseStarted(long id, int copy) {
+      to.responseStarted(id, copy);
     }
 
     @Override
-    public void ended(
-        long id,
-        int copy,
-        int cache,
-        RoutingEvents.Outcome outcome,
-        long took,
-        boolean settled,
-        RoutingEvents.Note note) {
-      to.ended(id, copy, cache, outcome, took, settled, note);
+    public void attemptEnded(AttemptResult result) {
+      to.attemptEnded(result);
     }
 
     @Override
-    public void left(long id) {
-      to.left(id);
+    public void clientDisconnected(long id) {
+      to.clientDisconnected(id);
     }
 
     @Override
-    public void purged(long object, int group, long ago) {
-      to.purged(object, group, ago);
+    public void objectPurged(long object, int group, long ago) {
+      to.objectPurged(object, group, ago);
     }
 
     @Override
-    public void woken(String handle) {
-      to.woken(handle);
+    public void timerFired(String handle) {
+      to.timerFired(handle);
     }
 
     @Override
-    public void sharers(int many, double part) {
-      to.sharers(many, part);
+    public void gatewayShareChanged(int many, double part) {
+      to.gatewayShareChanged(many, part);
     }
 
     @Override
-    public void tried(boolean forAll) {
-      to.tried(forAll);
+    public void healthChecksDelegated(boolean forAll) {
+      to.healthChecksDelegated(forAll);
     }
 
     @Override
-    public void vouched(int cache, boolean answers, long ago) {
-      to.vouched(cache, answers, ago);
+    public void healthReported(int cache, boolean answers, long ago) {
+      to.healthReported(cache, answers, ago);
     }
 
     @Override
-    public void own(
-        long id, int ds, long object, int group, int part, long timeLeft, double kb, int cache) {
-      to.own(id, ds, object, group, part, timeLeft, kb, cache);
+    public void syntheticRequestReceived(RequestDetails request, int endpoint) {
+      to.syntheticRequestReceived(request, endpoint);
     }
   }
 
@@ -1105,7 +1061,7 @@
     volatile boolean armed;
 
     Standing(GatewayOptions options) {
-      decisions = new RequestRouter(options.site())::round;
+      decisions = new RequestRouter(options.routingConfig())::decide;
     }
 
     @Override
@@ -1248,28 +1204,29 @@
     try (StandIns other = new StandIns()) {
       other.journal.host("c0", other.fullAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      BlockingQueue<RoutingEvents.Outcome> outcomes = new LinkedBlockingQueue<>();
+      BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
       other.start(
           options,
           (now, in, to) ->
-              in.replay(
-                  (RoutingEvents.Events)
+              in.replayTo(
+                  (RoutingEventHandler)
                       Proxy.newProxyInstance(
                           getClass().getClassLoader(),
-                          new Class<?>[] {RoutingEvents.Events.class},
+                          new Class<?>[] {RoutingEventHandler.class},
                           (proxy, event, told) -> {
-                            if (event.getName().equals("get")) {
-                              to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
-                            } else if (event.getName().equals("ended")) {
-                              outcomes.add((RoutingEvents.Outcome) told[3]);
+                            if (event.getName().equals("requestReceived")) {
+                              to.sendAttempt(
+                                  new AttemptCommand(
+                                      ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
+                            } else if (event.getName().equals("attemptEnded")) {
+                              outcomes.add(((AttemptResult) told[0]).outcome());
                             }
                             return null;
                           })));
       other.client().get(1, "parts", 4000, 0);
       Thread.sleep(STANDS_MS / 4);
       other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
-      assertEquals(
-          RoutingEvents.Outcome.HELD_BACK, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistrySettings;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * A gateway on loopback among stand-ins: a registry of several endpoints, edge caches, hubs and the
@@ -76,7 +76,7 @@
     await(Future.all(all));
     on(
         () -> {
-          caches.keySet().forEach(id -> put(id, State.UP));
+          caches.keySet().forEach(id -> put(id, EndpointState.UP));
           return null;
         });
   }
@@ -88,16 +88,16 @@
   }
 
   /** Writes a cache's state into the registry, with the tip. Null deletes it. */
-  public void put(String id, State state) {
+  public void put(String id, EndpointState state) {
     String kind =
         id.startsWith("e")
             ? LabSettings.EDGE
             : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
     write(
-        PREFIX + RecordCodec.CACHES + id,
+        PREFIX + RecordCodec.CACHES_PREFIX + id,
         state == null
             ? null
-            : RecordCodec.write(
+            : RecordCodec.encode(
                 new RegistryRecord.Cache(
                     id, caches.get(id).address(), LabSettings.ZONE, kind, 0, state, 4, 0)));
   }
@@ -106,12 +106,13 @@
   public long write(String key, byte[] value) {
     Map<String, byte[]> both = new TreeMap<>();
     both.put(key, value);
-    both.put(PREFIX + RecordCodec.TIP, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
+    both.put(
+        PREFIX + RecordCodec.TIP_KEY, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
     return registry.write(both);
   }
 
   /** How the gateway reaches the registry. */
-  public RegistrySettings access(RegistrySettings.Form form) {
+  public RegistrySettings access(RegistrySettings.ProtocolKind form) {
     List<SocketAddress> endpoints =
         registry.endpoints().stream()
             .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -20,7 +20,7 @@
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * A real gateway on sockets while its registry changes several hundred times a minute, compacts,
@@ -77,12 +77,12 @@
   }
 
   /** Plays so many seconds. */
-  public static ExperimentReport run(long seed, int seconds, RegistrySettings.Form form)
+  public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind form)
       throws Exception {
     return new RegistryExperiment(seed).play(seed, seconds, form);
   }
 
-  private ExperimentReport play(long seed, int seconds, RegistrySettings.Form form)
+  private ExperimentReport play(long seed, int seconds, RegistrySettings.ProtocolKind form)
       throws Exception {
     ExperimentReport result = new ExperimentReport(seed).figure("form", form.name());
     try (world) {
@@ -179,7 +179,7 @@
         if (drainedAt.size() + absent.size() < EDGES / 2
             && !absent.contains(id)
             && !drainedAt.containsKey(id)) {
-          world.put(id, State.DRAINING);
+          world.put(id, EndpointState.DRAINING);
           drainedAt.put(id, System.nanoTime());
           drains++;
         }
@@ -195,8 +195,8 @@
         long object = 1L + chance.nextInt(20);
         long at = System.currentTimeMillis();
         String name = String.format("%016x", object),
-            key = LoopbackTestbed.PREFIX + RecordCodec.PURGES + ++lastPurge;
-        world.write(key, RecordCodec.write(new RegistryRecord.Purge(object, 0, at)));
+            key = LoopbackTestbed.PREFIX + RecordCodec.PURGES_PREFIX + ++lastPurge;
+        world.write(key, RecordCodec.encode(new RegistryRecord.Purge(object, 0, at)));
         purgedAtMs.put(name, at);
         purges++;
         for (StandInCache cache : world.caches.values()) {
@@ -205,12 +205,12 @@
       }
       case 5 ->
           world.write(
-              LoopbackTestbed.PREFIX + RecordCodec.CACHES + "spoilt",
+              LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + "spoilt",
               new byte[] {'{', (byte) chance.nextInt(256)});
       default -> {
         drainedAt.remove(id);
         absent.remove(id);
-        world.put(id, State.UP);
+        world.put(id, EndpointState.UP);
       }
     }
     if (chance.nextInt(5) == 0) {
@@ -293,13 +293,19 @@
     world.on(
         () -> {
           quiets++;
-          Map<String, State> there = new HashMap<>();
+          Map<String, EndpointState> there = new HashMap<>();
           world.registry.now().keySet().stream()
-              .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES))
-              .map(key -> key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES).length()))
+              .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX))
+              .map(
+                  key ->
+                      key.substring((LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX).length()))
               .filter(id -> !id.equals("spoilt"))
-              .forEach(id -> there.put(id, drainedAt.containsKey(id) ? State.DRAINING : State.UP));
-          Map<String, State> seen = told.states();
+              .forEach(
+                  id ->
+                      there.put(
+                          id,
+                          drainedAt.containsKey(id) ? EndpointState.DRAINING : EndpointState.UP));
+          Map<String, EndpointState> seen = told.states();
           if (!there.equals(seen)) {
             wrong("quiet, the registry holds " + there + " and the gateway was told " + seen);
           }
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -1,15 +1,12 @@
 package org.amberpath.routing;
 
 import java.util.SplittableRandom;
-import org.amberpath.routing.RoutingActions.Health;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
 final class ClusterManager {
   private static final double MIN_WEIGHT = 1e-3;
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final EndpointTable endpoints;
   private final GatewayShare share;
   private final SlowStart slowStart;
@@ -18,13 +15,13 @@
 
   /** A manager of the given table and of those that keep state by its endpoints. */
   ClusterManager(
-      RoutingConfig site,
+      RoutingConfig config,
       GatewayShare share,
       EndpointTable endpoints,
       SlowStart slowStart,
       ConcurrencyLimiter limiter,
       SplittableRandom random) {
-    this.site = site;
+    this.config = config;
     this.share = share;
     this.endpoints = endpoints;
     this.slowStart = slowStart;
@@ -33,10 +30,10 @@
   }
 
   /** A list begins: a full one replaces all endpoints that it does not name. */
-  void beginList(Listing listing) {
-    if (listing == Listing.FULL) {
+  void beginList(EndpointListKind listing) {
+    if (listing == EndpointListKind.FULL) {
       for (Endpoint endpoint : endpoints.all()) {
-        endpoint.state = State.GONE;
+        endpoint.state = EndpointState.GONE;
       }
     }
   }
@@ -47,7 +44,7 @@
     endpoint.zone = description.zone();
     endpoint.cell = description.cell();
     endpoint.state = description.state();
-    endpoint.weight = site.weighsSizes() ? Math.max(description.weight(), MIN_WEIGHT) : 1;
+    endpoint.weight = config.weightIsSize() ? Math.max(description.weight(), MIN_WEIGHT) : 1;
     endpoint.role = roleOf(description.kind());
     endpoint.warmUp.profile = slowStart.profileOf(description.kind(), endpoint.role);
     if (description.startedAtNanos() > endpoint.warmUp.startedAtNanos) {
@@ -55,14 +52,21 @@
     }
     if (endpoint.isEdge()) {
       boolean isEjected = endpoint.isUp() && endpoint.health.isEjected();
-      batch.actions().health(endpoint.index, isEjected ? Health.DOUBTED : Health.WELL);
+      batch
+          .actions()
+          .endpointHealthChanged(
+              endpoint.index,
+              isEjected ? EndpointHealthStatus.SUSPECT : EndpointHealthStatus.HEALTHY);
     }
   }
 
   private Endpoint.Role roleOf(String kind) {
-    return kind.equals(site.midKind())
-        ? Endpoint.Role.PARENT
-        : kind.equals(site.originKind()) ? Endpoint.Role.ORIGIN : Endpoint.Role.EDGE;
+    if (config.parentKind().filter(kind::equals).isPresent()) {
+      return Endpoint.Role.PARENT;
+    }
+    return config.originKind().filter(kind::equals).isPresent()
+        ? Endpoint.Role.ORIGIN
+        : Endpoint.Role.EDGE;
   }
 
   private void restart(Endpoint endpoint, long startedAtNanos, Batch batch) {
@@ -72,8 +76,11 @@
     endpoint.health.restart();
     if (endpoint.isEdge()
         && !endpoint.warmUp.isComplete(batch.nowNanos())
-        && endpoint.zone.equals(site.zone())) {
-      batch.actions().cold(endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
+        && endpoint.zone.equals(config.zone())) {
+      batch
+          .actions()
+          .endpointWarmingUp(
+              endpoint.index, startedAtNanos + endpoint.warmUp.profile.durationNanos);
     }
   }
 
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -7,7 +7,6 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.Set;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Makes one source of news of several that are all believed, while members move from one to
@@ -23,7 +22,7 @@
       String zone,
       String kind,
       int cell,
-      State state,
+      EndpointState state,
       double weight,
       long startedAtMs) {}
 
@@ -39,7 +38,7 @@
   /**
    * Another source; of two that agree on a cache's state, what the earlier one says else is taken.
    */
-  public EndpointListener port() {
+  public EndpointListener addSource() {
     Port port = new Port();
     ports.add(port);
     return port;
@@ -61,7 +60,7 @@
     if (ports.stream()
         .map(port -> port.members.get(id))
         .filter(Objects::nonNull)
-        .allMatch(one -> one.state == State.GONE)) {
+        .allMatch(one -> one.state == EndpointState.GONE)) {
       ports.forEach(port -> port.members.remove(id));
     }
   }
@@ -71,62 +70,75 @@
     private final Set<String> touched = new LinkedHashSet<>();
 
     @Override
-    public void listing(boolean whole) {
+    public void endpointListStarted(EndpointListKind kind) {
       touched.clear();
-      if (whole) {
+      if (kind == EndpointListKind.FULL) {
         members.forEach((id, one) -> touched.add(id));
         members.replaceAll((id, one) -> gone(one));
       }
     }
 
     private Member gone(Member one) {
-      return new Member("", one.zone, one.kind, one.cell, State.GONE, one.weight, one.startedAtMs);
+      return new Member(
+          "", one.zone, one.kind, one.cell, EndpointState.GONE, one.weight, one.startedAtMs);
     }
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {
-      Member before = members.get(id);
-      if (state != State.GONE || before != null) {
-        String known = address.isEmpty() && before != null ? before.address : address;
-        members.put(id, new Member(known, zone, kind, cell, state, weight, startedAtMs));
-        touched.add(id);
+    public void endpointListed(ListedEndpoint endpoint) {
+      Member before = members.get(endpoint.id());
+      if (endpoint.state() != EndpointState.GONE || before != null) {
+        String known =
+            endpoint.address().isEmpty() && before != null ? before.address : endpoint.address();
+        members.put(
+            endpoint.id(),
+            new Member(
+                known,
+                endpoint.zone(),
+                endpoint.kind(),
+                endpoint.cell(),
+                endpoint.state(),
+                endpoint.weight(),
+                endpoint.startedAtMillis()));
+        touched.add(endpoint.id());
       }
     }
 
     @Override
-    public void listed() {
-      to.listing(first);
+    public void endpointListCompleted() {
+      to.endpointListStarted(first ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       first = false;
       for (String id : touched) {
         Member now = together(id), before = told.get(id);
-        if (now == null || now.equals(before) || (now.state == State.GONE && before == null)) {
+        if (now == null
+            || now.equals(before)
+            || (now.state == EndpointState.GONE && before == null)) {
           forget(id);
           continue;
         }
-        to.member(
-            id, now.address, now.zone, now.kind, now.cell, now.state, now.weight, now.startedAtMs);
-        if (now.state == State.GONE) {
+        to.endpointListed(
+            new ListedEndpoint(
+                id,
+                now.address,
+                now.zone,
+                now.kind,
+                now.cell,
+                now.state,
+                now.weight,
+                now.startedAtMs));
+        if (now.state == EndpointState.GONE) {
           told.remove(id);
         } else {
           told.put(id, now);
         }
         forget(id);
       }
-      to.listed();
+      to.endpointListCompleted();
       touched.clear();
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
-      to.purged(object, group, atMs);
+    public void objectPurged(long object, int group, long atMs) {
+      to.objectPurged(object, group, atMs);
     }
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,9 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
-
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
   private static final int FULL_AT_ANSWERS = 512;
@@ -12,8 +8,7 @@
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
-  private final RoutingConfig site;
-  private final int index;
+  private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
 
   /** The histogram's mean, stored: it is read many times a request. */
@@ -23,59 +18,55 @@
   private int filledByParent;
   private int filledByOrigin;
 
-  /**
-   * A delivery service by its index in the site; until there are answers its objective stands for
-   * its work.
-   */
-  TrafficClass(RoutingConfig site, int index) {
-    this.site = site;
-    this.index = index;
-    meanWorkNanos = site.latencyObjective(index);
+  /** A traffic class; until there are answers its latency objective stands for its work. */
+  TrafficClass(TrafficClassConfig config) {
+    this.config = config;
+    meanWorkNanos = config.latencyObjectiveNanos();
   }
 
   /** Whether a repeat may have an effect of its own. */
-  Effect effect() {
-    return site.effect(index);
+  Idempotency effect() {
+    return config.idempotency();
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
-  Group idempotencyGroup() {
-    return site.group(index);
+  IdempotencyScope idempotencyGroup() {
+    return config.idempotencyScope();
   }
 
   /** How long an idempotency key is remembered, in nanoseconds. */
   long idempotencyWindowNanos() {
-    return site.window(index);
+    return config.idempotencyWindowNanos();
   }
 
   /** How long an answer may take at best, in nanoseconds. */
   long latencyObjectiveNanos() {
-    return site.latencyObjective(index);
+    return config.latencyObjectiveNanos();
   }
 
   /** By how much the latency objective grows with a request's own duration. */
   double latencyStretch() {
-    return site.stretch(index);
+    return config.latencyStretch();
   }
 
   /** Whether no answer of this class is ever cached. */
   boolean isNeverCached() {
-    return site.neverKept(index);
+    return config.neverCached();
   }
 
   /** How long a copy is fresh, in nanoseconds; 0 until it is purged. */
   long freshNanos() {
-    return site.fresh(index);
+    return config.freshNanos();
   }
 
   /** How long past its fresh time a copy may still be returned, in nanoseconds. */
   long staleGraceNanos() {
-    return site.grace(index);
+    return config.staleGraceNanos();
   }
 
   /** The revenue of one request, in the site's unit. */
   double revenue() {
-    return site.revenue(index);
+    return config.revenue();
   }
 
   /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
@@ -90,9 +81,9 @@
   }
 
   /** Counts which route an answer came by. All counts are halved when they are full. */
-  void recordRoute(Note note) {
+  void recordRoute(ResponseDetail note) {
     switch (note) {
-      case HIT, PAST_FRESH -> returnedFromCache++;
+      case HIT, STALE -> returnedFromCache++;
       case FILLED_BY_ORIGIN -> filledByOrigin++;
       default -> filledByParent++;
     }
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -2,8 +2,6 @@
 
 import java.util.SplittableRandom;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by
@@ -15,7 +13,7 @@
   static final int ORIGIN = 7;
 
   final FakeHost site = new FakeHost();
-  final TrafficClass trafficClass = new TrafficClass(site, 0);
+  TrafficClass trafficClass = new TrafficClass(site.trafficClass(0));
   final ObjectHistory history = new ObjectHistory();
   final GatewayShare share = new GatewayShare(site);
   final EndpointTable endpoints = new EndpointTable(site.zone());
@@ -24,7 +22,7 @@
       new OutlierDetector(1, endpoints, share, slowStart, new SplittableRandom(1));
   final ConcurrencyLimiter limiter =
       new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
-  final RetryPolicy retryPolicy = new RetryPolicy(site);
+  final RetryPolicy retryPolicy = new RetryPolicy(site.retries());
   final RendezvousSelector rendezvous =
       new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
   final RouteSelector routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
@@ -38,14 +36,21 @@
 
   /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
   RoutingParts() {
-    cluster.beginList(Listing.FULL);
+    cluster.beginList(EndpointListKind.FULL);
     for (int index = 0; index <= ORIGIN; index++) {
-      update(index, State.UP, 0);
+      update(index, EndpointState.UP, 0);
     }
     cluster.endList(START);
   }
 
-  void update(int index, State state, long startedAtNanos) {
+  /** The traffic class of requests from now on. */
+  void configure(Idempotency idempotency, IdempotencyScope scope) {
+    site.effect = idempotency;
+    site.group = scope;
+    trafficClass = new TrafficClass(site.trafficClass(0));
+  }
+
+  void update(int index, EndpointState state, long startedAtNanos) {
     String kind = index == ORIGIN ? "origin" : index > 4 ? "parent" : "box";
     String zone = index > 4 ? "hub" : index == 4 ? "other" : "here";
     cluster.update(
@@ -66,7 +71,7 @@
   InFlightRequest request(long object) {
     InFlightRequest request =
         new InFlightRequest(
-            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100), trafficClass, START);
+            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100, false), trafficClass, START);
     request.patienceNanos = 100 * MS;
     request.durationKnown = true;
     request.rank = SegmentAdmission.STANDARD_RANK;
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -9,15 +9,11 @@
 import java.util.HexFormat;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * One gateway under seeded random traffic, faults, list changes and words of the fleet, without I/O
@@ -60,7 +56,7 @@
     NEVER_WRITTEN
   }
 
-  private record Planned(long at, long order, Consumer<Events> event) {}
+  private record Planned(long at, long order, Consumer<RoutingEventHandler> event) {}
 
   private record Copy(long request, int number, int cache, long sentAt) {}
 
@@ -78,11 +74,11 @@
   private final long seed;
   private final MessageDigest digest = sha256();
   private final ByteBuffer buffer = ByteBuffer.allocate(8 * Long.BYTES);
-  private final List<Consumer<Events>> events = new ArrayList<>();
+  private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
   private final PriorityQueue<Planned> planned =
       new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
   private final Map<Integer, Behaviour> behaviours = new HashMap<>();
-  private final Map<Integer, State> states = new TreeMap<>();
+  private final Map<Integer, EndpointState> states = new TreeMap<>();
   private final Map<Integer, Integer> lives = new HashMap<>();
   private final Map<Long, List<Copy>> open = new TreeMap<>();
   private final Map<Long, Integer> copies = new HashMap<>();
@@ -101,12 +97,14 @@
   String play(Module module) {
     if (is(Setting.NARROW)) {
       events.add(
-          to -> to.sharers(gateways(), 0)); // The first kinds are listed while nothing is granted.
+          to ->
+              to.gatewayShareChanged(
+                  gateways(), 0)); // The first kinds are listed while nothing is granted.
     }
     wholeList();
     for (int round = 0; round < ROUNDS; round++) {
       if (round == ROUNDS / 50) {
-        events.add(to -> to.sharers(gateways(), 1.0 / gateways()));
+        events.add(to -> to.gatewayShareChanged(gateways(), 1.0 / gateways()));
       }
       now += chance(0.002) ? 400 * MS : MS / 2 + random.nextLong(9 * MS);
       while (!planned.isEmpty() && planned.peek().at <= now) {
@@ -117,7 +115,7 @@
       for (int one = 0; one < many; one++) {
         request();
       }
-      List<Consumer<Events>> batch = List.copyOf(events);
+      List<Consumer<RoutingEventHandler>> batch = List.copyOf(events);
       events.clear();
       module.round(now, to -> batch.forEach(event -> event.accept(to)), this);
     }
@@ -142,7 +140,7 @@
       wholeList();
     }
     if (chance(0.0005)) {
-      events.add(to -> to.listing(Listing.NONE));
+      events.add(to -> to.endpointListStarted(EndpointListKind.NONE));
     }
     purge();
     if (chance(0.03)) {
@@ -155,11 +153,11 @@
     if (chance(0.02)) {
       long object = object();
       long ago = random.nextLong(300 * MS);
-      events.add(to -> to.purged(object, group(object), ago));
+      events.add(to -> to.objectPurged(object, group(object), ago));
     }
     if (chance(0.001)) {
-      int group = chance(0.2) ? EndpointListener.EVERYTHING : random.nextInt(7);
-      events.add(to -> to.purged(0, group, 20 * MS));
+      int group = chance(0.2) ? EndpointListener.ALL_GROUPS : random.nextInt(7);
+      events.add(to -> to.objectPurged(0, group, 20 * MS));
     }
   }
 
@@ -167,7 +165,7 @@
     if (!open.isEmpty()) {
       long request =
           open.keySet().stream().skip(random.nextInt(open.size())).findFirst().orElseThrow();
-      events.add(to -> to.left(request));
+      events.add(to -> to.clientDisconnected(request));
       count("event left");
     }
   }
@@ -176,18 +174,18 @@
     if (chance(0.001)) {
       int many = gateways() * (1 + random.nextInt(3)) - random.nextInt(2);
       double part = chance(0.3) ? 0 : 1.0 / Math.max(1, many);
-      events.add(to -> to.sharers(many, part));
+      events.add(to -> to.gatewayShareChanged(many, part));
       count(part > 0 ? "event sharers" : "event sharers none");
     }
     if (chance(0.002)) {
       boolean forAll = random.nextBoolean();
-      events.add(to -> to.tried(forAll));
+      events.add(to -> to.healthChecksDelegated(forAll));
     }
     if (chance(0.02)) {
       int cache = chance(0.05) ? 99 : anyEndpoint();
       boolean answers = chance(0.7);
       long ago = random.nextLong(2000 * MS);
-      events.add(to -> to.vouched(cache, answers, ago));
+      events.add(to -> to.healthReported(cache, answers, ago));
     }
     if (chance(0.2)) {
       long id = ++ids;
@@ -196,7 +194,11 @@
       long object = object();
       int part = part();
       events.add(
-          to -> to.own(id, kind, object, group(object), part, 500 * MS, kilobytes(id), cache));
+          to ->
+              to.syntheticRequestReceived(
+                  new RequestDetails(
+                      id, kind, object, group(object), part, 500 * MS, kilobytes(id), false),
+                  cache));
     }
   }
 
@@ -207,7 +209,11 @@
     int part = part();
     long timeLeft = chance(0.02) ? 10 * MS : chance(0.2) ? 300 * MS : 2000 * MS;
     boolean write = chance(0.02);
-    events.add(to -> to.get(id, kind, object, group(object), part, timeLeft, kilobytes(id), write));
+    events.add(
+        to ->
+            to.requestReceived(
+                new RequestDetails(
+                    id, kind, object, group(object), part, timeLeft, kilobytes(id), write)));
   }
 
   private double kilobytes(long id) {
@@ -258,31 +264,32 @@
   }
 
   private void wholeList() {
-    events.add(to -> to.listing(Listing.FULL));
+    events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
     for (int endpoint : endpoints()) {
       if (!chance(0.05)) {
-        tell(endpoint, State.UP, chance(0.1) && order > 0 ? now : 0);
+        tell(endpoint, EndpointState.UP, chance(0.1) && order > 0 ? now : 0);
       }
     }
-    events.add(Events::listed);
+    events.add(RoutingEventHandler::endpointListCompleted);
   }
 
   private void changeList(int many) {
-    events.add(to -> to.listing(Listing.CHANGES));
+    events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
     for (int one = 0; one < many; one++) {
       int endpoint = anyEndpoint();
-      State state =
-          states.getOrDefault(endpoint, State.UP) == State.UP && chance(0.4)
-              ? State.values()[1 + random.nextInt(2)]
-              : State.UP;
-      long startedAgo = chance(0.1) ? 2 * coldTime() : random.nextLong(500 * MS);
+      EndpointState state =
+          states.getOrDefault(endpoint, EndpointState.UP) == EndpointState.UP && chance(0.4)
+              ? EndpointState.values()[1 + random.nextInt(2)]
+              : EndpointState.UP;
+      long startedAgo =
+          chance(0.1) ? 2 * edgeSlowStart().durationNanos() : random.nextLong(500 * MS);
       tell(endpoint, state, chance(0.8) ? now - startedAgo : 0);
     }
-    events.add(Events::listed);
+    events.add(RoutingEventHandler::endpointListCompleted);
   }
 
-  private void tell(int endpoint, State state, long startedAt) {
-    if (states.put(endpoint, state) == State.GONE) {
+  private void tell(int endpoint, EndpointState state, long startedAt) {
+    if (states.put(endpoint, state) == EndpointState.GONE) {
       lives.merge(endpoint, 1, Integer::sum);
     }
     count("event member " + state + (startedAt > 0 ? " cold" : ""));
@@ -294,12 +301,15 @@
             : endpoint >= FIRST_PARENT ? "parent" : endpoint % 3 == 0 ? "small" : "box";
     double weight = endpoint >= FIRST_PARENT ? 24 : endpoint % 3 == 0 ? 2 : 6;
     events.add(
-        to -> to.member(endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt));
+        to ->
+            to.endpointListed(
+                new EndpointDescription(
+                    endpoint, address, zone, kind, endpoint % 3, state, weight, startedAt)));
   }
 
   // ---- What becomes of a copy.
 
-  private void plan(long at, Consumer<Events> event) {
+  private void plan(long at, Consumer<RoutingEventHandler> event) {
     planned.add(new Planned(at, ++order, event));
   }
 
@@ -314,75 +324,87 @@
     switch (whose) {
       case WELL -> whenWell(copy, until, took, hit, heldOnly, source);
       case SLOW -> whenWell(copy, until, 15 * took, hit, heldOnly, source);
-      case HUNG -> end(copy, until, until - now, Outcome.NO_ANSWER, Note.NOTHING);
+      case HUNG -> end(copy, until, until - now, AttemptOutcome.TIMED_OUT, ResponseDetail.NONE);
       case RESETTING ->
           end(
               copy,
               until,
               took,
-              atSource ? Outcome.ERRORED : Outcome.LOST,
-              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECTION_LOST,
+              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case REFUSING ->
           end(
               copy,
               until,
               MS,
-              Outcome.TURNED_AWAY,
-              atSource ? Note.SOURCE_TURNED_AWAY : chance(0.1) ? Note.NO_PLACE : Note.NOTHING);
+              AttemptOutcome.REJECTED,
+              atSource
+                  ? ResponseDetail.FILL_REJECTED
+                  : chance(0.1) ? ResponseDetail.NOT_STORED_NO_SPACE : ResponseDetail.NONE);
       case UNREACHABLE ->
           end(
               copy,
               until,
               2 * MS,
-              atSource ? Outcome.ERRORED : Outcome.NO_CONNECTION,
-              atSource ? Note.SOURCE_UNREACHED : Note.NOTHING);
+              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECT_FAILED,
+              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case ERRORING ->
           end(
               copy,
               until,
               took,
-              Outcome.ERRORED,
-              atSource || copy.cache == ORIGIN ? Note.ORIGIN_ERRORED : Note.NOTHING);
+              AttemptOutcome.FAILED,
+              atSource || copy.cache == ORIGIN
+                  ? ResponseDetail.ORIGIN_FAILED
+                  : ResponseDetail.NONE);
       default ->
-          end(copy, until, MS, chance(0.5) ? Outcome.NOT_SENT : Outcome.HELD_BACK, Note.NOTHING);
+          end(
+              copy,
+              until,
+              MS,
+              chance(0.5) ? AttemptOutcome.NOT_SENT : AttemptOutcome.WITHDRAWN,
+              ResponseDetail.NONE);
     }
   }
 
   private void whenWell(
       Copy copy, long until, long took, boolean hit, boolean heldOnly, int source) {
     if (!hit && heldOnly) {
-      end(copy, until, 3 * MS, Outcome.NOT_STORED, Note.NOTHING);
+      end(copy, until, 3 * MS, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
     } else if (chance(0.01)) {
       end(
           copy,
           until,
           5 * MS,
-          chance(0.5) ? Outcome.ERRORED : Outcome.NOT_STORED,
-          chance(0.5) ? Note.SOURCE_LACKS : Note.NO_PLACE);
+          chance(0.5) ? AttemptOutcome.FAILED : AttemptOutcome.NOT_CACHED,
+          chance(0.5) ? ResponseDetail.FILL_SOURCE_MISS : ResponseDetail.NOT_STORED_NO_SPACE);
     } else {
-      Note note =
+      ResponseDetail note =
           hit
-              ? chance(0.9) ? Note.HIT : chance(0.5) ? Note.PAST_FRESH : Note.NOTHING
+              ? chance(0.9)
+                  ? ResponseDetail.HIT
+                  : chance(0.5) ? ResponseDetail.STALE : ResponseDetail.NONE
               : source == ORIGIN || chance(0.4)
-                  ? Note.FILLED_BY_ORIGIN
-                  : chance(0.2) ? Note.JOINED : Note.FILLED;
+                  ? ResponseDetail.FILLED_BY_ORIGIN
+                  : chance(0.2) ? ResponseDetail.COALESCED : ResponseDetail.FILLED;
       if (chance(0.1)) {
         long halfway = now + Math.min(took, until - now) / 2;
-        plan(halfway, to -> to.begun(copy.request, copy.number));
+        plan(halfway, to -> to.responseStarted(copy.request, copy.number));
       }
-      end(copy, until, took, Outcome.RETURNED, note);
+      end(copy, until, took, AttemptOutcome.SUCCEEDED, note);
     }
   }
 
-  private void end(Copy copy, long until, long took, Outcome planned, Note told) {
+  private void end(Copy copy, long until, long took, AttemptOutcome planned, ResponseDetail told) {
     boolean late = now + took >= until;
-    Outcome outcome = late ? Outcome.NO_ANSWER : planned;
-    Note note = late ? Note.NOTHING : told;
+    AttemptOutcome outcome = late ? AttemptOutcome.TIMED_OUT : planned;
+    ResponseDetail note = late ? ResponseDetail.NONE : told;
     long at = late ? until : now + took;
     plan(at, to -> ended(to, copy, outcome, at - copy.sentAt, note));
   }
 
-  private void ended(Events to, Copy copy, Outcome outcome, long took, Note note) {
+  private void ended(
+      RoutingEventHandler to, Copy copy, AttemptOutcome outcome, long took, ResponseDetail note) {
     List<Copy> still = open.getOrDefault(copy.request, List.of());
     if (!still.contains(copy)) {
       return;
@@ -393,11 +415,25 @@
     }
     count("outcome " + outcome);
     count("note " + note);
-    to.ended(
-        copy.request, copy.number, copy.cache, outcome, took, outcome == Outcome.RETURNED, note);
+    to.attemptEnded(
+        new AttemptResult(
+            copy.request,
+            copy.number,
+            copy.cache,
+            outcome,
+            took,
+            outcome == AttemptOutcome.SUCCEEDED,
+            note));
     if (chance(0.001)) {
-      to.ended(
-          copy.request, copy.number + random.nextInt(2), copy.cache, outcome, took, true, note);
+      to.attemptEnded(
+          new AttemptResult(
+              copy.request,
+              copy.number + random.nextInt(2),
+              copy.cache,
+              outcome,
+              took,
+              true,
+              note));
     }
   }
 
@@ -418,65 +454,90 @@
   }
 
   @Override
-  public void forward(
-      long get, int cache, long until, int source, long age, int rank, int switches) {
-    hash("forward", get, cache, until, source, age, rank, switches);
-    count("rank " + rank);
-    count("switches " + switches);
+  public void sendAttempt(AttemptCommand command) {
+    hash(
+        "forward",
+        command.requestId(),
+        command.endpoint(),
+        command.deadlineNanos(),
+        command.source(),
+        command.maxAgeNanos(),
+        command.rank(),
+        command.options());
+    count("rank " + command.rank());
+    count("switches " + command.options());
     count(
-        source == cache
+        command.source() == command.endpoint()
             ? "no source"
-            : source == ORIGIN ? "source is the origin" : "source is a parent");
-    int number = copies.merge(get, 1, Integer::sum) - 1;
+            : command.source() == ORIGIN ? "source is the origin" : "source is a parent");
+    int number = copies.merge(command.requestId(), 1, Integer::sum) - 1;
     count("copy " + number);
-    Copy copy = new Copy(get, number, cache, now);
-    open.computeIfAbsent(get, id -> new ArrayList<>()).add(copy);
-    answer(copy, until, source, (switches & HELD_ONLY) != 0);
+    Copy copy = new Copy(command.requestId(), number, command.endpoint(), now);
+    open.computeIfAbsent(command.requestId(), id -> new ArrayList<>()).add(copy);
+    answer(
+        copy,
+        command.deadlineNanos(),
+        command.source(),
+        (command.options() & AttemptCommand.CACHED_ONLY) != 0);
   }
 
   @Override
-  public void sendBy(long get, long time) {
+  public void limitRetryStart(long get, long time) {
     hash("sendBy", get, time);
   }
 
   @Override
-  public void shed(long get, long wait) {
+  public void reject(long get, long wait) {
     hash("shed", get, wait);
   }
 
   @Override
-  public void errored(long get) {
+  public void fail(long get) {
     hash("errored", get);
   }
 
   @Override
-  public void callOff(long get, int number) {
+  public void cancelAttempt(long get, int number) {
     hash("callOff", get, number);
     for (Copy copy : List.copyOf(open.getOrDefault(get, List.of()))) {
       if (copy.number == number) {
-        plan(now, to -> ended(to, copy, Outcome.CALLED_OFF, now - copy.sentAt, Note.NOTHING));
+        plan(
+            now,
+            to ->
+                ended(to, copy, AttemptOutcome.CANCELLED, now - copy.sentAt, ResponseDetail.NONE));
       }
     }
   }
 
   @Override
-  public void wake(long delay, String handle) {
+  public void scheduleTimer(long delay, String handle) {
     hash("wake", delay, handle.hashCode());
-    plan(now + delay, to -> to.woken(handle));
+    plan(now + delay, to -> to.timerFired(handle));
   }
 
   @Override
-  public void watchList() {
+  public void subscribeEndpoints() {
     hash("watchList");
   }
 
   @Override
-  public void health(int cache, Health health) {
-    hash("health " + health, cache);
+  public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
+    hash("health " + recordedName(health), cache);
+  }
+
+  /**
+   * The text under which the digests have a status: a stored form, whatever its constant is called.
+   */
+  private static String recordedName(EndpointHealthStatus status) {
+    return switch (status) {
+      case SUSPECT -> "DOUBTED";
+      case HEALTHY -> "WELL";
+      case RESPONSIVE -> "HEARD";
+    };
   }
 
   @Override
-  public void cold(int cache, long until) {
+  public void endpointWarmingUp(int cache, long until) {
     hash("cold", cache, until);
   }
 
@@ -509,7 +570,7 @@
   }
 
   @Override
-  public int gatewaysHere() {
+  public int gatewaysInZone() {
     return is(Setting.TWENTY) ? 20 : 1;
   }
 
@@ -519,154 +580,95 @@
   }
 
   @Override
-  public String midKind() {
-    return is(Setting.NARROW) ? null : "parent";
+  public Optional<String> parentKind() {
+    return is(Setting.NARROW) ? Optional.empty() : Optional.of("parent");
   }
 
   @Override
-  public String originKind() {
-    return "origin";
+  public Optional<String> originKind() {
+    return Optional.of("origin");
   }
 
   @Override
-  public boolean weighsSizes() {
+  public boolean weightIsSize() {
     return !is(Setting.PLAIN);
   }
 
   @Override
-  public boolean listOnRequest() {
+  public boolean endpointListOnRequest() {
     return is(Setting.PLAIN);
   }
 
   @Override
-  public int deliveryServices() {
+  public int trafficClassCount() {
     return CLASSES;
   }
 
   @Override
-  public Effect effect(int ds) {
-    return ds == 0 || ds == 5
-        ? Effect.IDEMPOTENT
-        : ds == 4 ? Effect.NON_IDEMPOTENT : Effect.TOKENED;
-  }
-
-  @Override
-  public Group group(int ds) {
-    return ds == 1 ? Group.ALL : ds == 2 ? Group.ZONE : Group.CELL;
-  }
-
-  @Override
-  public long window(int ds) {
-    return ds == 3 ? 100 * MS : 1000 * MS;
-  }
-
-  @Override
-  public long latencyObjective(int ds) {
-    return (100 + 50L * ds) * MS;
-  }
-
-  @Override
-  public double stretch(int ds) {
-    return 2;
-  }
-
-  @Override
-  public double revenue(int ds) {
-    return 1 + ds % 3;
-  }
-
-  @Override
-  public boolean neverKept(int ds) {
-    return ds == 5;
-  }
-
-  @Override
-  public long fresh(int ds) {
-    return is(Setting.TWENTY) ? (ds + 1) * 1000L * MS : 0;
-  }
-
-  @Override
-  public long grace(int ds) {
-    return is(Setting.TWENTY) ? 4000 * MS : 0;
-  }
-
-  @Override
-  public int maxForwards() {
-    return is(Setting.NARROW) ? 2 : 4;
-  }
-
-  @Override
-  public boolean secondCopies() {
-    return !is(Setting.NARROW);
-  }
-
-  @Override
-  public boolean callOff() {
-    return !is(Setting.PLAIN);
-  }
-
-  @Override
-  public boolean retryAfter() {
-    return !is(Setting.PLAIN);
-  }
-
-  @Override
-  public long maxRetryAfter() {
-    return 500 * MS;
-  }
-
-  @Override
-  public boolean bypass() {
+  public boolean bypassAllowed() {
     return is(Setting.PLAIN) || is(Setting.TWENTY);
   }
 
   @Override
-  public boolean joins() {
+  public boolean coalescing() {
     return !is(Setting.NARROW);
   }
 
   @Override
-  public double flowKbPerSecond() {
+  public double transferKilobytesPerSecond() {
     return is(Setting.PLAIN) ? 0 : 1500;
   }
 
   @Override
-  public long purgeTakes() {
+  public long purgeRetentionNanos() {
     return 6000 * MS;
   }
 
   @Override
-  public double coldShare() {
-    return 0.1;
-  }
-
-  @Override
-  public long coldTime() {
-    return 8_000 * MS;
+  public long overloadWindowNanos() {
+    return 1000 * MS;
   }
 
   @Override
-  public double fallMultiple() {
-    return 3;
+  public TrafficClassConfig trafficClass(int index) {
+    boolean aging = is(Setting.TWENTY);
+    return new TrafficClassConfig(
+        idempotency(index),
+        index == 1
+            ? IdempotencyScope.ALL
+            : index == 2 ? IdempotencyScope.ZONE : IdempotencyScope.CELL,
+        index == 3 ? 100 * MS : 1000 * MS,
+        (100 + 50L * index) * MS,
+        2,
+        1 + index % 3,
+        index == 5,
+        aging ? (index + 1) * 1000L * MS : 0,
+        aging ? 4000 * MS : 0);
   }
 
-  @Override
-  public long fallTime() {
-    return 1000 * MS;
+  private static Idempotency idempotency(int index) {
+    return index == 0 || index == 5
+        ? Idempotency.IDEMPOTENT
+        : index == 4 ? Idempotency.NON_IDEMPOTENT : Idempotency.IDEMPOTENCY_KEY;
   }
 
   @Override
-  public double parentColdShare() {
-    return 0.2;
+  public RetryConfig retries() {
+    return new RetryConfig(
+        is(Setting.NARROW) ? 2 : 4,
+        !is(Setting.NARROW),
+        !is(Setting.PLAIN),
+        !is(Setting.PLAIN),
+        500 * MS);
   }
 
   @Override
-  public long parentColdTime() {
-    return 5_000 * MS;
+  public SlowStartConfig edgeSlowStart() {
+    return new SlowStartConfig(0.1, 8_000 * MS, 3);
   }
 
   @Override
-  public double parentFallMultiple() {
-    return 2;
+  public SlowStartConfig parentSlowStart() {
+    return new SlowStartConfig(0.2, 5_000 * MS, 2);
   }
 }
