--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -73,8 +73,8 @@
     random = new SplittableRandom(seed * 31 + setting.name().hashCode());
     timings =
         setting == Setting.GROWING
-            ? SwimTimings.every(setting.maxMembers, 300 * MS)
-            : SwimTimings.usual(setting.maxMembers);
+            ? SwimTimings.withProbeInterval(setting.maxMembers, 300 * MS)
+            : SwimTimings.defaults(setting.maxMembers);
     cut = new boolean[setting.places][setting.places];
     for (int index = 0; index < setting.places; index++) {
       boolean twin = setting == Setting.CONTESTED && index >= setting.maxMembers;
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -6,7 +6,7 @@
  * One place of a {@link SeededFleet}: the process that runs there, if one does. The one class that
  * calls the protocol under test.
  */
-final class SeededMember implements SwimProtocol.Out {
+final class SeededMember implements SwimProtocol.Output {
   private static final long MS = SeededFleet.MS;
   private static final double LET_IN_ANYHOW = 0.15;
 
@@ -55,7 +55,7 @@
     birth = fleet.random.nextLong();
     List<String> seeds =
         process > 1 && fleet.chance(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
-    filter = new ReplayFilter(birth, fleet.timings.period(), clock());
+    filter = new ReplayFilter(birth, fleet.timings.probeIntervalNanos(), clock());
     incarnation = clock() / SeededFleet.SECOND;
     protocol =
         new SwimProtocol(
@@ -114,9 +114,9 @@
   List<String> lost() {
     return protocol == null
         ? List.of()
-        : protocol.others().stream()
-            .map(SwimProtocol.Seen::said)
-            .filter(update -> update.standing() == MemberStatus.LOST)
+        : protocol.otherMembers().stream()
+            .map(SwimProtocol.ObservedMember::update)
+            .filter(update -> update.status() == MemberStatus.LOST)
             .map(MemberUpdate::name)
             .toList();
   }
@@ -129,19 +129,19 @@
       fleet.plan(pausedUntil, () -> deliver(message)); // It waits in the socket.
       return;
     }
-    if (!filter.mayLook(clock())) {
+    if (!filter.tryExamine(clock())) {
       fleet.actions.add("unread", index);
       return;
     }
-    ReplayFilter.Verdict verdict = filter.judge(clock(), message);
+    ReplayFilter.Verdict verdict = filter.check(clock(), message);
     fleet.actions.count("verdict " + verdict);
     fleet.actions.add("verdict", index, verdict);
     boolean anyhow = fleet.chance(LET_IN_ANYHOW);
     if (verdict == ReplayFilter.Verdict.TAKEN || anyhow) {
       fleet.actions.count("received " + message.kind());
-      protocol.received(clock(), message);
+      protocol.messageReceived(clock(), message);
     } else if (verdict == ReplayFilter.Verdict.GREETED) {
-      protocol.greet(clock(), message.from());
+      protocol.greet(clock(), message.sender());
     }
     observe();
   }
@@ -158,7 +158,7 @@
       protocol.tick(clock());
       observe();
     }
-    long periodMs = fleet.timings.period() / MS;
+    long periodMs = fleet.timings.probeIntervalNanos() / MS;
     long delayMs =
         fleet.chance(0.6)
             ? periodMs / 5
@@ -183,11 +183,11 @@
         index,
         protocol.phase(),
         self.incarnation(),
-        self.standing(),
-        protocol.present(),
-        protocol.counted(),
-        protocol.share());
-    if (protocol.share() > 0 && protocol.counted() > fleet.setting.maxMembers) {
+        self.status(),
+        protocol.presentCount(),
+        protocol.countedMembers(),
+        protocol.quotaShare());
+    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.setting.maxMembers) {
       fleet.actions.count("admitted beyond the allowed number");
     }
     if (++observed % 50 == 0) {
@@ -196,18 +196,19 @@
   }
 
   private void observeOthers() {
-    for (SwimProtocol.Seen other : protocol.others()) {
-      add("other", other.said());
-      fleet.actions.add("since", other.since());
+    for (SwimProtocol.ObservedMember other : protocol.otherMembers()) {
+      add("other", other.update());
+      fleet.actions.add("since", other.sinceNanos());
     }
-    fleet.actions.add("there", String.join(" ", protocol.there().stream().limit(200).toList()));
+    fleet.actions.add(
+        "there", String.join(" ", protocol.presentNames().stream().limit(200).toList()));
     String asked = "m" + fleet.random.nextInt(fleet.setting.places + 1);
     MemberUpdate found = protocol.find(asked);
-    fleet.actions.add("find", asked, found == null ? -1 : found.birth());
-    MemberStatus status = protocol.standing(asked);
+    fleet.actions.add("find", asked, found == null ? -1 : found.instanceId());
+    MemberStatus status = protocol.statusOf(asked);
     fleet.actions.add("standing", status);
     if (fleet.chance(0.1)) {
-      fleet.actions.add("serial", protocol.stamp());
+      fleet.actions.add("serial", protocol.nextSequenceNumber());
     }
   }
 
@@ -217,19 +218,19 @@
         update.name(),
         update.address(),
         update.incarnation(),
-        update.birth(),
-        update.standing(),
-        update.by());
+        update.instanceId(),
+        update.status(),
+        update.reporter());
   }
 
   @Override
   public void send(String to, GossipMessage message) {
     RecordedActions actions = fleet.actions;
     actions.count("sent " + message.kind());
-    if (message.kind() == GossipMessage.Kind.SYNC && message.about() != null) {
+    if (message.kind() == GossipMessage.Kind.SYNC && message.subject() != null) {
       actions.count("list asked on");
     }
-    if (message.more()) {
+    if (message.hasMore()) {
       actions.count("list goes on");
     }
     actions.add(
@@ -237,35 +238,35 @@
         index,
         to,
         message.kind(),
-        message.to(),
-        message.serial(),
-        message.number(),
-        message.names(),
-        message.there(),
-        message.about(),
-        message.more(),
-        message.whole(),
-        message.rumours().size());
-    add("from", message.from());
-    message.rumours().forEach(update -> add("rumour", update));
+        message.recipientInstanceId(),
+        message.sequenceNumber(),
+        message.probeNumber(),
+        message.countedDigest(),
+        message.presentDigest(),
+        message.subject(),
+        message.hasMore(),
+        message.fullySynced(),
+        message.updates().size());
+    add("from", message.sender());
+    message.updates().forEach(update -> add("rumour", update));
     fleet.carry(this, to, message);
   }
 
   @Override
-  public void news(String who, MemberStatus status) {
+  public void memberStatusChanged(String who, MemberStatus status) {
     fleet.actions.count("news " + status);
     fleet.actions.add("news", index, who, status);
   }
 
   @Override
-  public void phase(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+  public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
     fleet.actions.count("phase " + from);
     fleet.actions.count("phase " + to);
     fleet.actions.add("phase", index, from, to);
   }
 
   @Override
-  public void twin(String at) {
+  public void nameConflictDetected(String at) {
     fleet.actions.add("twin", index, at);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SeededStranger.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededStranger.java
@@ -56,7 +56,7 @@
   private void madeUpNames(SeededMember target) {
     for (int message = 0; message < 40 && madeUp < MADE_UP_NAMES; message++) {
       List<MemberUpdate> updates = new ArrayList<>();
-      for (int update = 0; update < fleet.timings.rumours(); update++) {
+      for (int update = 0; update < fleet.timings.maxUpdatesPerMessage(); update++) {
         String name = "x" + madeUp++;
         MemberStatus status = fleet.chance(0.3) ? MemberStatus.ALIVE : MemberStatus.LEFT;
         updates.add(new MemberUpdate(name, "b" + madeUp, 1, madeUp, status, name));
@@ -67,7 +67,7 @@
 
   /** More requests than one member answers, by many askers, within a quarter of a period. */
   private void flood(SeededMember target) {
-    int spreadMs = (int) (fleet.timings.period() / MS / 4);
+    int spreadMs = (int) (fleet.timings.probeIntervalNanos() / MS / 4);
     int askers = 1 + random.nextInt(40);
     Kind[] kinds = {Kind.PING, Kind.ASK, Kind.ASK, Kind.ASK, Kind.SYNC};
     Kind kind = kinds[random.nextInt(kinds.length)];
@@ -152,9 +152,9 @@
         from,
         fleet.chance(0.95) ? target.birth() : 0,
         ++serial,
-        seen == null || fleet.chance(0.2) ? random.nextInt(50) : seen.number(),
-        seen == null ? 0 : seen.names(),
-        seen == null ? 0 : seen.there(),
+        seen == null || fleet.chance(0.2) ? random.nextInt(50) : seen.probeNumber(),
+        seen == null ? 0 : seen.countedDigest(),
+        seen == null ? 0 : seen.presentDigest(),
         about,
         more,
         fleet.chance(0.7),
