--- a/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
@@ -16,7 +16,11 @@
     long instanceId,
     MemberStatus status,
     String reporter) {
-  boolean beats(MemberUpdate other) {
+  /**
+   * Whether this update takes precedence over another of the same member: by a higher incarnation,
+   * under the same incarnation by a later {@link MemberStatus}.
+   */
+  boolean supersedes(MemberUpdate other) {
     return incarnation > other.incarnation
         || (incarnation == other.incarnation && status.compareTo(other.status) > 0);
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -210,7 +210,7 @@
    * datagram.
    */
   public boolean sendMessage(String to, byte[] body) {
-    MemberUpdate peer = view.find(to);
+    MemberUpdate peer = view.find(to).orElse(null);
     if (peer != null && body.length <= DatagramCodec.MAX_PAYLOAD_BYTES) {
       send(
           peer.address(),
--- a/membership/src/test/java/org/amberpath/membership/FleetClockTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FleetClockTest.java
@@ -5,6 +5,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -52,7 +53,7 @@
             false,
             true,
             List.of(saying("me", NOW_S + step, 3, MemberStatus.LOST))));
-    assertEquals(MemberStatus.ALIVE, view.statusOf("other"));
+    assertEquals(Optional.of(MemberStatus.ALIVE), view.statusOf("other"));
     MemberUpdate self = sent.get(sent.size() - 1).sender();
     assertEquals(Math.max(NOW_S, NOW_S + step + 1), self.incarnation());
     assertTrue(twins.isEmpty());
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -203,10 +203,9 @@
     fleet.actions.add(
         "there", String.join(" ", protocol.presentNames().stream().limit(200).toList()));
     String asked = "m" + fleet.random.nextInt(fleet.setting.places + 1);
-    MemberUpdate found = protocol.find(asked);
-    fleet.actions.add("find", asked, found == null ? -1 : found.instanceId());
-    MemberStatus status = protocol.statusOf(asked);
-    fleet.actions.add("standing", status);
+    long found = protocol.find(asked).map(MemberUpdate::instanceId).orElse(-1L);
+    fleet.actions.add("find", asked, found);
+    fleet.actions.add("standing", protocol.statusOf(asked).orElse(null));
     if (fleet.chance(0.1)) {
       fleet.actions.add("serial", protocol.nextSequenceNumber());
     }
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -2,11 +2,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
@@ -257,7 +257,7 @@
         true,
         saying("third", Long.MAX_VALUE, MemberStatus.LOST),
         saying("me", Long.MAX_VALUE, MemberStatus.LOST));
-    assertNull(view.statusOf("third"));
+    assertEquals(Optional.empty(), view.statusOf("third"));
     assertEquals(5, view.self().incarnation());
   }
 
@@ -278,7 +278,7 @@
   void whoKnowsAnAddressAloneIsGreetedAndBelievedInNothing() {
     view.greet(now, saying("other", 1, MemberStatus.ALIVE));
     assertEquals(List.of("at-other"), sent.stream().map(Sent::to).toList());
-    assertNull(view.statusOf("other"));
+    assertEquals(Optional.empty(), view.statusOf("other"));
     view.greet(now, new MemberUpdate("me", "at-twin", 1, 99, MemberStatus.ALIVE, "me"));
     assertEquals(1, sent.size(), "an old datagram of its own is nobody's");
   }
@@ -286,9 +286,9 @@
   @Test
   void namesThatComeAndGoAreForgotten() {
     lists("other", true, saying("third", 1, MemberStatus.LEFT));
-    assertEquals(MemberStatus.LEFT, view.statusOf("third"));
+    assertEquals(Optional.of(MemberStatus.LEFT), view.statusOf("third"));
     pass(250 * PERIOD);
-    assertNull(view.statusOf("third"));
+    assertEquals(Optional.empty(), view.statusOf("third"));
   }
 
   @Override
