--- a/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
@@ -1,13 +1,14 @@
 package org.amberpath.membership;
 
 /**
- * What one gateway says of another, or of itself.
+ * What one member says of another, or of itself.
  *
- * @param name the gateway's name, the same after a restart
+ * @param name the member's name, the same after a restart
  * @param address where its datagrams go
- * @param incarnation rises with each start and each refutation
- * @param instanceId by chance, one to a process: tells two processes under one name apart
- * @param reporter who says so first: counts accusers of a suspected gateway apart
+ * @param incarnation rises with each start and each refutation; only the member itself raises it
+ * @param instanceId drawn at random by each process: tells two processes under one name apart
+ * @param status as the reporter sees it
+ * @param reporter who said so first; accusers of a suspected member are counted by it
  */
 public record MemberUpdate(
     String name,
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -99,34 +99,39 @@
    *     clock can tell
    * @param seeds addresses of which any may answer; its own is passed over
    * @param seed of the random numbers; another in each process
-   * @param now in nanoseconds
+   * @param nowNanos in nanoseconds
    * @param out where messages and changes go
    */
   public SwimProtocol(
-      SwimTimings timings, MemberUpdate self, List<String> seeds, long seed, long now, Output out) {
+      SwimTimings timings,
+      MemberUpdate self,
+      List<String> seeds,
+      long seed,
+      long nowNanos,
+      Output out) {
     this.timings = timings;
     long periodNanos = timings.probeIntervalNanos();
     random = new SplittableRandom(seed);
-    local = new LocalMember(self, periodNanos, now);
+    local = new LocalMember(self, periodNanos, nowNanos);
     table = new MembershipTable(self.name(), timings);
     sender = new MessageSender(local, table, out);
     suspicions = new SuspicionTimers(table, periodNanos);
     gossip = new GossipQueue(table, local, timings.maxUpdatesPerMessage());
     conflicts = new NameConflictDetector(local, out);
     probeOrder = new ProbeOrder(random);
-    phases = new PhaseTracker(table, local, out, periodNanos, now);
+    phases = new PhaseTracker(table, local, out, periodNanos, nowNanos);
     Refutation refutation = new Refutation(local, localHealth, conflicts, gossip, periodNanos);
     merger = new UpdateMerger(table, local, suspicions, gossip, refutation, new MergeListener(out));
     SwimContext context = new SwimContext(timings, random, table, local, sender);
     List<String> otherSeeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
-    long firstProbeNanos = now + random.nextLong(periodNanos);
+    long firstProbeNanos = nowNanos + random.nextLong(periodNanos);
     detector =
         new FailureDetector(context, gossip, localHealth, probeOrder, merger, firstProbeNanos);
-    antiEntropy = new AntiEntropySync(context, otherSeeds, now);
-    healer = new PartitionHealer(context, gossip, otherSeeds, now);
-    responses = new ResponseRateLimiter(periodNanos, now);
+    antiEntropy = new AntiEntropySync(context, otherSeeds, nowNanos);
+    healer = new PartitionHealer(context, gossip, otherSeeds, nowNanos);
+    responses = new ResponseRateLimiter(periodNanos, nowNanos);
     quota = new QuotaAdmission(context);
-    tickedAtNanos = now;
+    tickedAtNanos = nowNanos;
   }
 
   private final class MergeListener implements UpdateMerger.Listener {
@@ -151,7 +156,7 @@
   // ---- Messages.
 
   /** Takes another member's message, whose sender is proved and which is new. */
-  public void messageReceived(long now, GossipMessage message) {
+  public void messageReceived(long nowNanos, GossipMessage message) {
     MemberUpdate from = message.sender();
     if (isLeaving()) {
       return;
@@ -160,45 +165,45 @@
       conflicts.messageUnderOwnName(from);
       return;
     }
-    responses.advance(now);
+    responses.advance(nowNanos);
     boolean first = table.isEmpty();
-    merger.merge(from, now);
-    message.updates().forEach(update -> merger.merge(update, now));
+    merger.merge(from, nowNanos);
+    message.updates().forEach(update -> merger.merge(update, nowNanos));
     Optional<MemberEntry> known = table.find(from.name());
     if (known.isEmpty()) {
       return; // The table is full, or the sender's clock is far ahead.
     }
     MemberEntry entry = known.get();
     if (first) {
-      antiEntropy.firstContact(now);
+      antiEntropy.firstContact(nowNanos);
     }
     entry.reportedNamesDigest = message.countedDigest();
     antiEntropy.compare(message);
-    boolean taken = isAnswer(message.kind()) || responses.tryAcquire(entry, now);
-    if (entry.update.instanceId() != from.instanceId() && responses.tryAcquire(entry, now)) {
+    boolean taken = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
+    if (entry.update.instanceId() != from.instanceId() && responses.tryAcquire(entry, nowNanos)) {
       // Guards against a start that nobody believes, since its clock went back: it is told what is
       // held of it.
       sender.send(from, Kind.NACK, 0, List.of(entry.update));
     }
     if (taken) {
-      dispatch(entry, message, now);
+      dispatch(entry, message, nowNanos);
     }
-    quota.update(now);
+    quota.update(nowNanos);
   }
 
   private static boolean isAnswer(Kind kind) {
     return kind == Kind.ACK || kind == Kind.NACK || kind == Kind.PAGE;
   }
 
-  private void dispatch(MemberEntry entry, GossipMessage message, long now) {
+  private void dispatch(MemberEntry entry, GossipMessage message, long nowNanos) {
     switch (message.kind()) {
       case PING ->
           sender.send(message.sender(), Kind.ACK, message.probeNumber(), gossip.updatesFor(entry));
-      case ASK -> detector.relay(entry, message, now);
+      case ASK -> detector.relay(entry, message, nowNanos);
       case ACK -> detector.ackReceived(message.probeNumber());
       case NACK -> detector.nackReceived(message.probeNumber());
       case SYNC -> antiEntropy.answer(message);
-      case PAGE -> antiEntropy.pageReceived(message, now);
+      case PAGE -> antiEntropy.pageReceived(message, nowNanos);
       default -> {}
     }
   }
@@ -207,7 +212,7 @@
    * Answers a sender that doesn't know this process's instance id, or knows an older one: nothing
    * that it said counts yet, and from the answer it learns the instance id.
    */
-  public void greet(long now, MemberUpdate to) {
+  public void greet(long nowNanos, MemberUpdate to) {
     if (!isLeaving() && !to.name().equals(local.name())) {
       sender.send(to, Kind.NACK, 0, List.of());
     }
@@ -216,35 +221,37 @@
   // ---- Time.
 
   /** Tells the time; to be called several times a period. */
-  public void tick(long now) {
-    long passedNanos = now - tickedAtNanos;
-    tickedAtNanos = now;
-    table.recount(now);
+  public void tick(long nowNanos) {
+    long passedNanos = nowNanos - tickedAtNanos;
+    tickedAtNanos = nowNanos;
+    table.recount(nowNanos);
     if (isLeaving()) {
       return;
     }
     if (passedNanos > STANDSTILL_PERIODS * timings.probeIntervalNanos()) {
-      stoodStill(passedNanos, now);
+      stoodStill(passedNanos, nowNanos);
     }
-    detector.checkTimeouts(now);
-    suspicions.expired(now).forEach(entry -> merger.declare(entry, MemberStatus.LOST, now));
-    if (table.removeLeft(now)) {
+    detector.checkTimeouts(nowNanos);
+    suspicions
+        .expired(nowNanos)
+        .forEach(entry -> merger.declare(entry, MemberStatus.LOST, nowNanos));
+    if (table.removeLeft(nowNanos)) {
       probeOrder.retain(table);
     }
-    detector.probeIfDue(now);
-    antiEntropy.syncIfDue(now);
-    healer.tryIfDue(now);
-    phases.update(suspicions, now);
+    detector.probeIfDue(nowNanos);
+    antiEntropy.syncIfDue(nowNanos);
+    healer.tryIfDue(nowNanos);
+    phases.update(suspicions, nowNanos);
   }
 
   /**
    * Guards the fleet against a process that stood still: what it did not hear proves nothing, and
    * its own view is old.
    */
-  private void stoodStill(long passedNanos, long now) {
+  private void stoodStill(long passedNanos, long nowNanos) {
     detector.reset();
-    antiEntropy.restart(now);
-    phases.membershipChanged(now);
+    antiEntropy.restart(nowNanos);
+    phases.membershipChanged(nowNanos);
     localHealth.worsenToMaximum();
     suspicions.postpone(passedNanos);
   }
@@ -255,7 +262,7 @@
    * Leaves in order: from now on this gateway has no share. Some members are told; the others hear
    * it from them.
    */
-  public void leave(long now) {
+  public void leave(long nowNanos) {
     phases.leave();
     local.leave();
     List<MemberEntry> present =
@@ -272,10 +279,10 @@
    *
    * @return whether the member was lost
    */
-  public boolean forget(long now, String name) {
+  public boolean forget(long nowNanos, String name) {
     Optional<MemberEntry> lost =
         table.find(name).filter(entry -> entry.status() == MemberStatus.LOST);
-    lost.ifPresent(entry -> merger.declare(entry, MemberStatus.LEFT, now));
+    lost.ifPresent(entry -> merger.declare(entry, MemberStatus.LEFT, nowNanos));
     return lost.isPresent();
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -10,53 +10,73 @@
 import io.vertx.core.json.JsonObject;
 import io.vertx.core.net.SocketAddress;
 import java.util.Locale;
+import java.util.Optional;
 import java.util.logging.Logger;
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * Where operators ask a gateway for its view, on loopback: GET {@value #MEMBERS_PATH}, POST {@value
- * #FORGET_PATH}NAME; and for the tasks that it owns: GET {@value #TASKS_PATH}, POST {@value
- * #RELEASE_PATH}TASK. Bounds: {@value #MOST} connections at a time, which are closed when idle.
+ * HTTP for operators, on loopback: GET {@value #MEMBERS_PATH} and POST {@value #FORGET_PATH}NAME
+ * for the members, GET {@value #TASKS_PATH} and POST {@value #RELEASE_PATH}TASK for the tasks of
+ * the {@link FleetMessageHandler}. Runs on the gateway's event loop.
+ *
+ * <p>Bounds: {@value #MAX_CONNECTIONS} connections at a time, which are closed when idle.
  */
 public final class AdminEndpoint {
-  public static final String MEMBERS_PATH = "/fleet",
-      FORGET_PATH = "/fleet/forget/",
-      TASKS_PATH = "/owner",
-      RELEASE_PATH = "/owner/release/";
+  /** The members and the phase, as JSON. */
+  public static final String MEMBERS_PATH = "/fleet";
+
+  /** Followed by the name of a lost member that is not coming back. */
+  public static final String FORGET_PATH = "/fleet/forget/";
+
+  /** The tasks that this gateway leads, as JSON. */
+  public static final String TASKS_PATH = "/owner";
+
+  /** Followed by the name of a task that is to be led by another. */
+  public static final String RELEASE_PATH = "/owner/release/";
+
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
-  private static final int MOST = 8, IDLE_S = 10, LONGEST_LINE = 512, LONGEST_HEADERS = 4096;
-  private static final long MS = 1_000_000;
+  private static final int MAX_CONNECTIONS = 8;
+  private static final int IDLE_TIMEOUT_SECONDS = 10;
+  private static final int MAX_REQUEST_LINE_BYTES = 512;
+  private static final int MAX_HEADER_BYTES = 4096;
+  private static final long MS_NANOS = 1_000_000;
+  private static final int OK = 200;
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+  private static final int UNAVAILABLE = 503;
 
-  private final MembershipService company;
-  private final FleetMessageHandler guest;
+  private final MembershipService membership;
+  private final Optional<FleetMessageHandler> handler;
   private final HttpServer server;
-  private int open;
+  private int openConnections;
 
-  AdminEndpoint(Vertx vertx, MembershipService company, FleetMessageHandler guest) {
-    this.company = company;
-    this.guest = guest;
+  AdminEndpoint(Vertx vertx, MembershipService membership, Optional<FleetMessageHandler> handler) {
+    this.membership = membership;
+    this.handler = handler;
     server =
         vertx.createHttpServer(
             new HttpServerOptions()
-                .setIdleTimeout(IDLE_S)
-                .setMaxInitialLineLength(LONGEST_LINE)
-                .setMaxHeaderSize(LONGEST_HEADERS));
+                .setIdleTimeout(IDLE_TIMEOUT_SECONDS)
+                .setMaxInitialLineLength(MAX_REQUEST_LINE_BYTES)
+                .setMaxHeaderSize(MAX_HEADER_BYTES));
     server.connectionHandler(
         connection -> {
-          open++;
-          connection.closeHandler(closed -> open--);
-          if (open > MOST) {
+          openConnections++;
+          connection.closeHandler(closed -> openConnections--);
+          if (openConnections > MAX_CONNECTIONS) {
             connection.close();
           }
         });
-    server.requestHandler(this::answer);
+    server.requestHandler(this::respond);
   }
 
-  Future<Void> listen(SocketAddress at) {
+  Future<Void> listen(SocketAddress address) {
     return server
-        .listen(at)
+        .listen(address)
         .onSuccess(
-            up -> LOG.info("fleet: operators ask at " + at.hostAddress() + ":" + up.actualPort()))
+            bound ->
+                LOG.info(
+                    "fleet: operators ask at " + address.hostAddress() + ":" + bound.actualPort()))
         .mapEmpty();
   }
 
@@ -64,62 +84,72 @@
     server.close();
   }
 
-  private void answer(HttpServerRequest request) {
-    SwimProtocol view = company.view();
+  private void respond(HttpServerRequest request) {
+    Optional<SwimProtocol> joined = membership.protocol();
+    if (joined.isEmpty()) {
+      end(request, UNAVAILABLE);
+      return;
+    }
+    SwimProtocol protocol = joined.get();
+    long now = membership.nowNanos();
     String path = request.path();
-    if (view == null) {
-      request.response().setStatusCode(503).end();
-    } else if (request.method().equals(HttpMethod.GET) && path.equals(MEMBERS_PATH)) {
-      request.response().putHeader("Content-Type", "application/json").end(json(view).toBuffer());
-    } else if (request.method().equals(HttpMethod.POST) && path.startsWith(FORGET_PATH)) {
-      boolean forgotten = view.forget(company.nowNanos(), path.substring(FORGET_PATH.length()));
-      request.response().setStatusCode(forgotten ? 200 : 409).end();
-    } else if (guest != null
-        && request.method().equals(HttpMethod.GET)
-        && path.equals(TASKS_PATH)) {
-      request
-          .response()
-          .putHeader("Content-Type", "application/json")
-          .end(guest.status(company.nowNanos()).toBuffer());
-    } else if (guest != null
-        && request.method().equals(HttpMethod.POST)
-        && path.startsWith(RELEASE_PATH)) {
-      boolean released = guest.release(company.nowNanos(), path.substring(RELEASE_PATH.length()));
-      request.response().setStatusCode(released ? 200 : 409).end();
+    boolean get = request.method().equals(HttpMethod.GET);
+    boolean post = request.method().equals(HttpMethod.POST);
+    if (get && path.equals(MEMBERS_PATH)) {
+      end(request, members(protocol));
+    } else if (post && path.startsWith(FORGET_PATH)) {
+      boolean forgotten = protocol.forget(now, path.substring(FORGET_PATH.length()));
+      end(request, forgotten ? OK : CONFLICT);
+    } else if (handler.isPresent() && get && path.equals(TASKS_PATH)) {
+      end(request, handler.get().status(now));
+    } else if (handler.isPresent() && post && path.startsWith(RELEASE_PATH)) {
+      boolean released = handler.get().release(now, path.substring(RELEASE_PATH.length()));
+      end(request, released ? OK : CONFLICT);
     } else {
-      request.response().setStatusCode(404).end();
+      end(request, NOT_FOUND);
     }
   }
 
-  private JsonObject json(SwimProtocol view) {
+  private static void end(HttpServerRequest request, int status) {
+    request.response().setStatusCode(status).end();
+  }
+
+  private static void end(HttpServerRequest request, JsonObject body) {
+    request.response().putHeader("Content-Type", "application/json").end(body.toBuffer());
+  }
+
+  private JsonObject members(SwimProtocol protocol) {
     JsonArray others = new JsonArray();
-    long now = company.nowNanos();
-    for (SwimProtocol.ObservedMember one : view.otherMembers()) {
+    long now = membership.nowNanos();
+    for (SwimProtocol.ObservedMember member : protocol.otherMembers()) {
       others.add(
           new JsonObject()
-              .put("name", one.update().name())
-              .put("address", one.update().address())
-              .put("standing", low(one.update().status()))
-              .put("incarnation", one.update().incarnation())
-              .put("since_ms", (now - one.sinceNanos()) / MS));
+              .put("name", member.update().name())
+              .put("address", member.update().address())
+              .put("standing", lowerCase(member.update().status()))
+              .put("incarnation", member.update().incarnation())
+              .put("since_ms", (now - member.sinceNanos()) / MS_NANOS));
     }
-    JsonObject counts = new JsonObject();
-    company.counts().forEach((what, many) -> counts.put(low(what), many));
+    JsonObject datagrams = new JsonObject();
+    membership
+        .counters()
+        .counts()
+        .forEach((result, count) -> datagrams.put(lowerCase(result), count));
     return new JsonObject()
-        .put("name", view.self().name())
-        .put("fleet", company.fleet())
-        .put("phase", low(view.phase()))
-        .put("there", view.presentCount())
-        .put("told", company.timings().maxMembers())
-        .put("counted", view.countedMembers())
-        .put("part", view.quotaShare())
-        .put("address", view.self().address())
-        .put("incarnation", view.self().incarnation())
+        .put("name", protocol.self().name())
+        .put("fleet", membership.fleet())
+        .put("phase", lowerCase(protocol.phase()))
+        .put("there", protocol.presentCount())
+        .put("told", membership.timings().maxMembers())
+        .put("counted", protocol.countedMembers())
+        .put("part", protocol.quotaShare())
+        .put("address", protocol.self().address())
+        .put("incarnation", protocol.self().incarnation())
         .put("gateways", others)
-        .put("datagrams", counts);
+        .put("datagrams", datagrams);
   }
 
-  private static String low(Enum<?> one) {
-    return one.name().toLowerCase(Locale.ROOT);
+  private static String lowerCase(Enum<?> constant) {
+    return constant.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -8,55 +8,54 @@
 import org.amberpath.membership.GossipMessage;
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.runtime.DecodedDatagram.Fault;
+import org.amberpath.membership.runtime.DecodedDatagram.Rejected;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * A datagram's form: MessagePack values one after another, then {@value FleetKeys#LENGTH} bytes
- * that prove who made them. First come version, fleet and the key's id; nothing behind them is read
- * before the proof.
+ * The form of a datagram: MessagePack values one after another, then {@value
+ * HmacKeyring#SIGNATURE_BYTES} bytes of signature. First come version, fleet and the key's id;
+ * nothing behind them is read before the signature is verified. The order of enum constants is part
+ * of the form; golden files hold it.
+ *
+ * <p>For one thread. Bounds: {@value #MAX_DATAGRAM_BYTES} bytes a datagram, {@value
+ * #MAX_PAYLOAD_BYTES} bytes of a {@link UserMessage}.
  */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
 public final class DatagramCodec {
-  /** What a datagram is worth that tells nothing. */
-  public enum Fault {
-    UNREADABLE,
-    OTHER_VERSION,
-    OTHER_FLEET,
-    OTHER_KEY,
-    FORGED
-  }
-
-  /** Something that one gateway writes to another by way of the fleet's datagrams. */
-  @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
-  public record UserMessage(MemberUpdate from, long to, long serial, byte[] body) {}
+  /** The largest datagram that is read; it fits into one packet of an Ethernet. */
+  public static final int MAX_DATAGRAM_BYTES = 1400;
 
-  /** What came of one: a message, a letter, or what is wrong with it. */
-  public record DecodedDatagram(GossipMessage message, UserMessage letter, Fault fault) {}
+  /** The largest body of a {@link UserMessage}. */
+  public static final int MAX_PAYLOAD_BYTES = 1000;
 
-  public static final int MAX_DATAGRAM_BYTES = 1400, MAX_PAYLOAD_BYTES = 1000;
+  /** What a member's name is made of. */
   static final String NAME = "[A-Za-z0-9._-]{1,32}";
+
   private static final String ADDRESS = "[0-9.]{7,15}:[0-9]{1,5}";
-  private static final int VERSION = 1, MORE = 1, WHOLE = 2;
+  private static final int VERSION = 1;
+  private static final int HAS_MORE_FLAG = 1;
+  private static final int FULLY_SYNCED_FLAG = 2;
   private static final GossipMessage.Kind[] KINDS = GossipMessage.Kind.values();
-  private static final int LETTER = KINDS.length;
-  private static final MemberStatus[] STANDINGS = MemberStatus.values();
+  private static final int USER_MESSAGE = KINDS.length;
+  private static final MemberStatus[] STATUSES = MemberStatus.values();
 
   private final String fleet;
-  private final int mostRumours;
+  private final int maxUpdates;
 
-  /** The form of one fleet, with so many rumours in a datagram at most. */
-  public DatagramCodec(String fleet, int mostRumours) {
+  /** The form of one fleet, with so many updates in a datagram at most. */
+  public DatagramCodec(String fleet, int maxUpdates) {
     this.fleet = fleet;
-    this.mostRumours = mostRumours;
+    this.maxUpdates = maxUpdates;
   }
 
-  /** A datagram of this message, signed. */
+  /** A datagram of this message, signed by the keyring's first key. */
   public byte[] encode(GossipMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION).packString(fleet).packString(keys.first());
+      packHeader(out, keys);
       out.packInt(message.kind().ordinal())
           .packLong(message.recipientInstanceId())
           .packLong(message.sequenceNumber())
@@ -68,147 +67,151 @@
       } else {
         out.packString(message.subject());
       }
-      out.packInt((message.hasMore() ? MORE : 0) + (message.fullySynced() ? WHOLE : 0));
+      out.packInt(
+          (message.hasMore() ? HAS_MORE_FLAG : 0)
+              + (message.fullySynced() ? FULLY_SYNCED_FLAG : 0));
       out.packArrayHeader(message.updates().size());
-      encode(out, message.sender());
-      for (MemberUpdate rumour : message.updates()) {
-        encode(out, rumour);
+      pack(out, message.sender());
+      for (MemberUpdate update : message.updates()) {
+        pack(out, update);
       }
-      return signed(out.toByteArray(), keys);
+      return sign(out.toByteArray(), keys);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** A datagram of this letter, signed. */
-  public byte[] encode(UserMessage letter, HmacKeyring keys) {
+  /** A datagram of this message, signed by the keyring's first key. */
+  public byte[] encode(UserMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION).packString(fleet).packString(keys.first());
-      out.packInt(LETTER).packLong(letter.to()).packLong(letter.serial());
-      encode(out, letter.from());
-      out.packBinaryHeader(letter.body().length).writePayload(letter.body());
-      return signed(out.toByteArray(), keys);
+      packHeader(out, keys);
+      out.packInt(USER_MESSAGE)
+          .packLong(message.recipientInstanceId())
+          .packLong(message.sequenceNumber());
+      pack(out, message.sender());
+      out.packBinaryHeader(message.body().length).writePayload(message.body());
+      return sign(out.toByteArray(), keys);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private static byte[] signed(byte[] bytes, HmacKeyring keys) {
-    byte[] whole = Arrays.copyOf(bytes, bytes.length + HmacKeyring.LENGTH);
-    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, HmacKeyring.LENGTH);
-    return whole;
+  private void packHeader(MessageBufferPacker out, HmacKeyring keys) throws IOException {
+    out.packInt(VERSION).packString(fleet).packString(keys.signingKeyId());
+  }
+
+  private static void pack(MessageBufferPacker out, MemberUpdate update) throws IOException {
+    out.packString(update.name())
+        .packString(update.address())
+        .packLong(update.incarnation())
+        .packLong(update.instanceId())
+        .packInt(update.status().ordinal())
+        .packString(update.reporter());
   }
 
-  private static void encode(MessageBufferPacker out, MemberUpdate rumour) throws IOException {
-    out.packString(rumour.name())
-        .packString(rumour.address())
-        .packLong(rumour.incarnation())
-        .packLong(rumour.instanceId())
-        .packInt(rumour.status().ordinal())
-        .packString(rumour.reporter());
+  private static byte[] sign(byte[] bytes, HmacKeyring keys) {
+    byte[] signed = Arrays.copyOf(bytes, bytes.length + HmacKeyring.SIGNATURE_BYTES);
+    System.arraycopy(keys.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
+    return signed;
   }
 
-  /** What a datagram says, if it is whole, of this fleet and proved. */
-  public DecodedDatagram decode(byte[] bytes, HmacKeyring keys) {
-    int length = bytes.length - HmacKeyring.LENGTH;
-    if (length <= 0 || bytes.length > MAX_DATAGRAM_BYTES) {
-      return new DecodedDatagram(null, null, Fault.UNREADABLE);
+  /** What a datagram holds, or why it is rejected; throws for no bytes whatever. */
+  public DecodedDatagram decode(byte[] datagram, HmacKeyring keys) {
+    int length = datagram.length - HmacKeyring.SIGNATURE_BYTES;
+    if (length <= 0 || datagram.length > MAX_DATAGRAM_BYTES) {
+      return new Rejected(Fault.UNREADABLE);
     }
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(bytes, 0, length)) {
+    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(datagram, 0, length)) {
       if (in.unpackInt() != VERSION) {
-        return new DecodedDatagram(null, null, Fault.OTHER_VERSION);
+        return new Rejected(Fault.OTHER_VERSION);
       }
       if (!in.unpackString().equals(fleet)) {
-        return new DecodedDatagram(null, null, Fault.OTHER_FLEET);
+        return new Rejected(Fault.OTHER_FLEET);
       }
-      String key = in.unpackString();
-      if (!keys.knows(key)) {
-        return new DecodedDatagram(null, null, Fault.OTHER_KEY);
+      String keyId = in.unpackString();
+      if (!keys.contains(keyId)) {
+        return new Rejected(Fault.OTHER_KEY);
       }
-      if (!keys.proves(key, bytes)) {
-        return new DecodedDatagram(null, null, Fault.FORGED);
+      if (!keys.verifies(keyId, datagram)) {
+        return new Rejected(Fault.FORGED);
       }
-      int kind = below(in.unpackInt(), KINDS.length + 1);
-      return kind == LETTER
-          ? new DecodedDatagram(null, letter(in), null)
-          : new DecodedDatagram(message(KINDS[kind], in), null, null);
+      int kind = requireBelow(in.unpackInt(), KINDS.length + 1);
+      return kind == USER_MESSAGE
+          ? new DecodedDatagram.User(unpackUserMessage(in))
+          : new DecodedDatagram.Gossip(unpackGossip(KINDS[kind], in));
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
-      return new DecodedDatagram(null, null, Fault.UNREADABLE);
+      return new Rejected(Fault.UNREADABLE);
     }
   }
 
-  private static UserMessage letter(MessageUnpacker in) throws IOException {
-    long to = in.unpackLong(), serial = in.unpackLong();
-    MemberUpdate from = rumour(in);
-    byte[] body = in.readPayload(below(in.unpackBinaryHeader(), MAX_PAYLOAD_BYTES + 1));
-    if (in.hasNext() || serial <= 0) {
-      throw new IllegalArgumentException();
-    }
-    return new UserMessage(from, to, serial, body);
+  private static UserMessage unpackUserMessage(MessageUnpacker in) throws IOException {
+    long recipientInstanceId = in.unpackLong();
+    long sequenceNumber = in.unpackLong();
+    MemberUpdate sender = unpackUpdate(in);
+    byte[] body = in.readPayload(requireBelow(in.unpackBinaryHeader(), MAX_PAYLOAD_BYTES + 1));
+    require(!in.hasNext() && sequenceNumber > 0);
+    return new UserMessage(sender, recipientInstanceId, sequenceNumber, body);
   }
 
-  private GossipMessage message(GossipMessage.Kind kind, MessageUnpacker in) throws IOException {
-    long to = in.unpackLong(),
-        serial = in.unpackLong(),
-        number = in.unpackLong(),
-        names = in.unpackLong();
-    long there = in.unpackLong();
-    String about = in.tryUnpackNil() ? null : text(in, NAME);
-    int flags = below(in.unpackInt(), MORE + WHOLE + 1);
-    int many = below(in.unpackArrayHeader(), mostRumours + 1);
-    MemberUpdate from = rumour(in);
-    List<MemberUpdate> rumours = new ArrayList<>(many);
-    for (int one = 0; one < many; one++) {
-      rumours.add(rumour(in));
-    }
-    boolean asks = kind == GossipMessage.Kind.ASK;
-    if (in.hasNext()
-        || serial <= 0
-        || (asks && about == null)
-        || (kind == GossipMessage.Kind.PAGE && many == 0 && (flags & MORE) != 0)) {
-      throw new IllegalArgumentException();
+  private GossipMessage unpackGossip(GossipMessage.Kind kind, MessageUnpacker in)
+      throws IOException {
+    long recipientInstanceId = in.unpackLong();
+    long sequenceNumber = in.unpackLong();
+    long probeNumber = in.unpackLong();
+    long countedDigest = in.unpackLong();
+    long presentDigest = in.unpackLong();
+    String subject = in.tryUnpackNil() ? null : unpackText(in, NAME);
+    int flags = requireBelow(in.unpackInt(), HAS_MORE_FLAG + FULLY_SYNCED_FLAG + 1);
+    boolean hasMore = (flags & HAS_MORE_FLAG) != 0;
+    int count = requireBelow(in.unpackArrayHeader(), maxUpdates + 1);
+    MemberUpdate sender = unpackUpdate(in);
+    List<MemberUpdate> updates = new ArrayList<>(count);
+    for (int update = 0; update < count; update++) {
+      updates.add(unpackUpdate(in));
     }
+    require(!in.hasNext() && sequenceNumber > 0);
+    require(kind != GossipMessage.Kind.ASK || subject != null);
+    require(kind != GossipMessage.Kind.PAGE || !hasMore || count > 0);
     return new GossipMessage(
         kind,
-        from,
-        to,
-        serial,
-        number,
-        names,
-        there,
-        about,
-        (flags & MORE) != 0,
-        (flags & WHOLE) != 0,
-        rumours);
+        sender,
+        recipientInstanceId,
+        sequenceNumber,
+        probeNumber,
+        countedDigest,
+        presentDigest,
+        subject,
+        hasMore,
+        (flags & FULLY_SYNCED_FLAG) != 0,
+        updates);
   }
 
-  private static MemberUpdate rumour(MessageUnpacker in) throws IOException {
-    String name = text(in, NAME), address = text(in, ADDRESS);
-    long incarnation = in.unpackLong(), birth = in.unpackLong();
-    if (incarnation < 0) {
-      throw new IllegalArgumentException();
-    }
-    return new MemberUpdate(
-        name,
-        address,
-        incarnation,
-        birth,
-        STANDINGS[below(in.unpackInt(), STANDINGS.length)],
-        text(in, NAME));
+  private static MemberUpdate unpackUpdate(MessageUnpacker in) throws IOException {
+    String name = unpackText(in, NAME);
+    String address = unpackText(in, ADDRESS);
+    long incarnation = in.unpackLong();
+    long instanceId = in.unpackLong();
+    require(incarnation >= 0);
+    MemberStatus status = STATUSES[requireBelow(in.unpackInt(), STATUSES.length)];
+    String reporter = unpackText(in, NAME);
+    return new MemberUpdate(name, address, incarnation, instanceId, status, reporter);
   }
 
-  private static int below(int value, int bound) {
-    if (value < 0 || value >= bound) {
-      throw new IllegalArgumentException();
-    }
+  private static String unpackText(MessageUnpacker in, String pattern) throws IOException {
+    String text = in.unpackString();
+    require(text.matches(pattern));
+    return text;
+  }
+
+  private static int requireBelow(int value, int bound) {
+    require(value >= 0 && value < bound);
     return value;
   }
 
-  private static String text(MessageUnpacker in, String form) throws IOException {
-    String text = in.unpackString();
-    if (!text.matches(form)) {
+  /** Signed and yet not of the form: decoding ends. */
+  private static void require(boolean holds) {
+    if (!holds) {
       throw new IllegalArgumentException();
     }
-    return text;
   }
 }
--- /dev/null
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -0,0 +1,62 @@
+package org.amberpath.membership.runtime;
+
+import java.util.Collections;
+import java.util.EnumMap;
+import java.util.Map;
+import org.amberpath.membership.ReplayFilter;
+
+/** What became of datagrams, counted for operators since the start. For one thread. */
+final class DatagramCounters {
+  /** What became of one datagram; operators see the names in lower case. */
+  enum Result {
+    SENT,
+    NOT_SENT,
+    TAKEN,
+    GREETED,
+    REPEATED,
+    TOO_MANY,
+    UNREADABLE,
+    OTHER_VERSION,
+    OTHER_FLEET,
+    OTHER_KEY,
+    FORGED
+  }
+
+  private final Map<Result, Long> counts = new EnumMap<>(Result.class);
+
+  DatagramCounters() {
+    for (Result result : Result.values()) {
+      counts.put(result, 0L);
+    }
+  }
+
+  void count(Result result) {
+    counts.merge(result, 1L, Long::sum);
+  }
+
+  void count(ReplayFilter.Verdict verdict) {
+    count(
+        switch (verdict) {
+          case TAKEN -> Result.TAKEN;
+          case GREETED -> Result.GREETED;
+          case REPEATED -> Result.REPEATED;
+          case TOO_MANY -> Result.TOO_MANY;
+        });
+  }
+
+  void count(DecodedDatagram.Fault fault) {
+    count(
+        switch (fault) {
+          case UNREADABLE -> Result.UNREADABLE;
+          case OTHER_VERSION -> Result.OTHER_VERSION;
+          case OTHER_FLEET -> Result.OTHER_FLEET;
+          case OTHER_KEY -> Result.OTHER_KEY;
+          case FORGED -> Result.FORGED;
+        });
+  }
+
+  /** All counts, in the order of {@link Result}. */
+  Map<Result, Long> counts() {
+    return Collections.unmodifiableMap(counts);
+  }
+}
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -5,42 +5,54 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Something that a gateway does together with others of its fleet, by letters to them. It is called
- * on the gateway's event loop.
+ * Something that a gateway does together with others of its fleet, by messages to them: the port
+ * through which a module above this one uses the fleet's datagrams. All methods are called on the
+ * gateway's event loop, with Unix nanoseconds that only go forward. Between {@link
+ * #membershipStarted} and {@link #close} any of them may come; before, none does.
  */
 public interface FleetMessageHandler {
-  /** Makes the guest of one gateway. */
+  /** Makes the handler of one gateway. */
   interface Factory {
-    FleetMessageHandler create(Vertx vertx, MembershipService company);
+    /** Makes a handler; it sends nothing before {@link FleetMessageHandler#membershipStarted}. */
+    FleetMessageHandler create(Vertx vertx, MembershipService membership);
   }
 
-  /** The fleet's view has begun. */
-  void membershipStarted(long now);
+  /** The gateway has begun to join its fleet; messages may be sent from now on. */
+  void membershipStarted(long nowNanos);
 
-  /** Several times a period. */
-  void tick(long now);
+  /** Tells the time, several times a probe interval. */
+  void tick(long nowNanos);
 
-  /** A letter from one of the fleet, proved and new. */
-  void messageReceived(long now, String from, byte[] body);
+  /**
+   * A message from another member's handler; its sender is proved, and it comes once.
+   *
+   * @param sender the name of the sender
+   * @param body at most {@link DatagramCodec#MAX_PAYLOAD_BYTES} bytes, not checked
+   */
+  void messageReceived(long nowNanos, String sender, byte[] body);
 
-  /** How an edge cache is, as far as this gateway's decisions see it. */
-  void endpointHealthChanged(long now, String cache, EndpointHealthStatus health);
+  /** The router's health state of an endpoint has changed. */
+  void endpointHealthChanged(long nowNanos, String endpointId, EndpointHealthStatus health);
 
-  /** An edge cache has just started, and bears less than all until this time. */
-  void endpointWarmingUp(long now, String cache, long until);
+  /** An endpoint has just started and is in slow start until this time. */
+  void endpointWarmingUp(long nowNanos, String endpointId, long untilNanos);
 
-  /** SIGHUP came: files may hold something else now. */
+  /** SIGHUP was received: files that the settings name may have changed. */
   void settingsReloaded();
 
-  /** The gateway has been told to end. */
-  void drainStarted(long now);
+  /** The gateway has begun a graceful shutdown. */
+  void drainStarted(long nowNanos);
 
-  /** What operators see of it. */
-  JsonObject status(long now);
+  /** What operators see of this handler. */
+  JsonObject status(long nowNanos);
 
-  /** Lets something go that goes by this name; whether it was there to be let go. */
-  boolean release(long now, String name);
+  /**
+   * Lets another member lead a task.
+   *
+   * @return whether this gateway led it
+   */
+  boolean release(long nowNanos, String name);
 
-  /** The gateway ends. */
-  void close(long now);
+  /** The gateway leaves its fleet: the last call, in which messages can still be sent. */
+  void close(long nowNanos);
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -13,113 +13,126 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys of a fleet: the first of a file signs, each is believed, so that one follows another
- * without a gap. HMAC with SHA-256 (RFC 2104), of which the first {@value #LENGTH} bytes are sent.
- * Only for one thread.
+ * The keys of a fleet: the first of a file signs, each verifies, so that one key follows another
+ * without a gap. HMAC with SHA-256 (RFC 2104), of which the first {@value #SIGNATURE_BYTES} bytes
+ * are sent. For one thread.
  */
 public final class HmacKeyring {
-  public static final int LENGTH = 16;
-  private static final int MOST = 4, LEAST_BYTES = 16, LONGEST_FILE = 4096;
-  private static final String ID = "[A-Za-z0-9._-]{1,16}";
+  /** The length of a signature. */
+  public static final int SIGNATURE_BYTES = 16;
 
-  /** What is wrong with a file of keys; never with a key in it. */
-  public static final class Faulty extends IOException {
-    Faulty(String message) {
-      super(message);
-    }
-  }
+  private static final int MAX_KEYS = 4;
+  private static final int MIN_KEY_BYTES = 16;
+  private static final int MAX_FILE_BYTES = 4096;
+  private static final String KEY_ID = "[A-Za-z0-9._-]{1,16}";
+  private static final String ALGORITHM = "HmacSHA256";
 
-  private final Map<String, Mac> byId = new LinkedHashMap<>();
-  private final String first;
+  private final Map<String, Mac> macs;
+  private final String signingKeyId;
 
-  private HmacKeyring(String first) {
-    this.first = first;
+  private HmacKeyring(Map<String, Mac> macs) {
+    this.macs = macs;
+    signingKeyId = macs.keySet().iterator().next();
   }
 
-  private HmacKeyring(Path file) throws IOException {
-    if (Files.size(file) > LONGEST_FILE) {
-      throw new Faulty("[fleet] key: " + file + ": over " + LONGEST_FILE + " bytes");
+  /**
+   * Reads a file of lines "ID HEX"; blank lines and those that begin with # are passed over.
+   *
+   * @throws MembershipException.InvalidKeyFile where the file holds something wrong; its message
+   *     names file and line, and never a key
+   * @throws IOException where the file can't be read
+   */
+  public static HmacKeyring read(Path file) throws IOException {
+    if (Files.size(file) > MAX_FILE_BYTES) {
+      throw new MembershipException.InvalidKeyFile(file + ": over " + MAX_FILE_BYTES + " bytes");
     }
-    int number = 0;
+    Map<String, Mac> macs = new LinkedHashMap<>();
+    int lineNumber = 0;
     for (String line : Files.readAllLines(file)) {
-      number++;
-      String[] words = line.strip().split("\\s+", -1);
-      if (line.isBlank() || line.startsWith("#")) {
-        continue;
-      }
-      String where = "[fleet] key: " + file + ", line " + number + ": ";
-      if (words.length != 2 || !words[0].matches(ID)) {
-        throw new Faulty(
-            where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
-      }
-      if (byId.size() == MOST || byId.put(words[0], mac(words[1], where)) != null) {
-        throw new Faulty(
-            where + (byId.size() == MOST ? "more than " + MOST + " keys" : "an id given twice"));
+      lineNumber++;
+      if (!line.isBlank() && !line.startsWith("#")) {
+        readKey(line, file + ", line " + lineNumber + ": ", macs);
       }
     }
-    if (byId.isEmpty()) {
-      throw new Faulty("[fleet] key: " + file + ": no key in it");
+    if (macs.isEmpty()) {
+      throw new MembershipException.InvalidKeyFile(file + ": no key in it");
     }
-    first = byId.keySet().iterator().next();
+    return new HmacKeyring(macs);
   }
 
-  private static Mac mac(String hex, String where) throws Faulty {
+  private static void readKey(String line, String where, Map<String, Mac> macs)
+      throws MembershipException.InvalidKeyFile {
+    String[] fields = line.strip().split("\\s+", -1);
+    if (fields.length != 2 || !fields[0].matches(KEY_ID)) {
+      throw new MembershipException.InvalidKeyFile(
+          where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
+    }
+    if (macs.size() == MAX_KEYS) {
+      throw new MembershipException.InvalidKeyFile(where + "more than " + MAX_KEYS + " keys");
+    }
+    if (macs.put(fields[0], mac(parse(fields[1], where))) != null) {
+      throw new MembershipException.InvalidKeyFile(
+          where
+              + (macs.size() == MAX_KEYS
+                  ? "more than " + MAX_KEYS + " keys"
+                  : "an id given twice"));
+    }
+  }
+
+  private static byte[] parse(String hex, String where) throws MembershipException.InvalidKeyFile {
+    byte[] key;
     try {
-      byte[] key = HexFormat.of().parseHex(hex);
-      if (key.length < LEAST_BYTES) {
-        throw new Faulty(where + "a key of under " + LEAST_BYTES + " bytes");
-      }
-      return mac(key);
+      key = HexFormat.of().parseHex(hex);
     } catch (IllegalArgumentException e) {
-      throw new Faulty(where + "a key that is not hexadecimal");
+      throw new MembershipException.InvalidKeyFile(where + "a key that is not hexadecimal");
     }
+    if (key.length < MIN_KEY_BYTES) {
+      throw new MembershipException.InvalidKeyFile(
+          where + "a key of under " + MIN_KEY_BYTES + " bytes");
+    }
+    return key;
+  }
+
+  /** A keyring of one key. */
+  public static HmacKeyring of(String id, byte[] key) {
+    return new HmacKeyring(Map.of(id, mac(key)));
   }
 
   private static Mac mac(byte[] key) {
     try {
-      Mac mac = Mac.getInstance("HmacSHA256");
-      mac.init(new SecretKeySpec(key, "HmacSHA256"));
+      Mac mac = Mac.getInstance(ALGORITHM);
+      mac.init(new SecretKeySpec(key, ALGORITHM));
       return mac;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("a runtime without HmacSHA256", e);
+      throw new IllegalStateException("a runtime without " + ALGORITHM, e);
     }
   }
 
-  /** Reads a file; a message of {@link Faulty} names file and line, and never a key. */
-  public static HmacKeyring read(Path file) throws IOException {
-    return new HmacKeyring(file);
-  }
-
-  /** One key alone. */
-  public static HmacKeyring of(String id, byte[] key) {
-    HmacKeyring keys = new HmacKeyring(id);
-    keys.byId.put(id, mac(key));
-    return keys;
-  }
-
   /** The id of the key that signs. */
-  String first() {
-    return first;
+  String signingKeyId() {
+    return signingKeyId;
   }
 
-  boolean knows(String id) {
-    return byId.containsKey(id);
+  boolean contains(String keyId) {
+    return macs.containsKey(keyId);
   }
 
+  /** The signature of these bytes by the signing key. */
   byte[] sign(byte[] bytes) {
-    return mac(first, bytes, bytes.length);
+    return signature(signingKeyId, bytes, bytes.length);
   }
 
-  /** Whether the last bytes are those that the key makes of the others. */
-  boolean proves(String id, byte[] bytes) {
-    int signed = bytes.length - LENGTH;
+  /** Whether a datagram's last bytes are the signature of the others by this key. */
+  boolean verifies(String keyId, byte[] datagram) {
+    int signedLength = datagram.length - SIGNATURE_BYTES;
     return MessageDigest.isEqual(
-        mac(id, bytes, signed), Arrays.copyOfRange(bytes, signed, bytes.length));
+        signature(keyId, datagram, signedLength),
+        Arrays.copyOfRange(datagram, signedLength, datagram.length));
   }
 
-  private byte[] mac(String id, byte[] bytes, int length) {
-    Mac mac = byId.get(id);
+  private byte[] signature(String keyId, byte[] bytes, int length) {
+    Mac mac = macs.get(keyId);
     mac.update(bytes, 0, length);
-    return Arrays.copyOf(mac.doFinal(), LENGTH);
+    return Arrays.copyOf(mac.doFinal(), SIGNATURE_BYTES);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -2,15 +2,10 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
-import io.vertx.core.buffer.Buffer;
-import io.vertx.core.datagram.DatagramSocket;
 import io.vertx.core.net.SocketAddress;
-import java.io.IOException;
 import java.security.SecureRandom;
-import java.util.EnumMap;
 import java.util.List;
-import java.util.Map;
-import java.util.logging.Logger;
+import java.util.Optional;
 import org.amberpath.gateway.Clock;
 import org.amberpath.gateway.FleetCallbacks;
 import org.amberpath.gateway.FleetCoordinator;
@@ -24,207 +19,229 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Carries out what a {@link SwimProtocol} says: datagrams on the gateway's loop, the view's news in
- * the log, this gateway's part of shared bounds to the decisions.
+ * Runs a {@link SwimProtocol} on the gateway's event loop: datagrams and ticks to it, its messages
+ * to the socket, its changes to the log, this gateway's share of fleet-wide limits to the router.
  *
- * <p>Bounds: what {@link ReplayFilter} lets be looked at; {@value #MOST_LINES} log lines a second.
+ * <p>All methods are called on the event loop. Bounds: those of {@link ReplayFilter} on what is
+ * received, those of {@link MembershipLog} on log lines.
  */
-public final class MembershipService implements FleetCoordinator, SwimProtocol.Output {
-  private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
-  private static final int TICKS = 5, MOST_LINES = 5;
-  private static final long MS = 1_000_000, SECOND = 1000 * MS;
-
-  /** What became of datagrams, counted for the operators. */
-  enum Count {
-    SENT,
-    NOT_SENT,
-    TAKEN,
-    GREETED,
-    REPEATED,
-    TOO_MANY,
-    UNREADABLE,
-    OTHER_VERSION,
-    OTHER_FLEET,
-    OTHER_KEY,
-    FORGED
-  }
+public final class MembershipService implements FleetCoordinator {
+  private static final int TICKS_PER_PROBE_INTERVAL = 5;
+  private static final long MS_NANOS = 1_000_000;
+  private static final long SECOND_NANOS = 1000 * MS_NANOS;
+  private static final long NOT_STARTED = -1;
 
   private final Vertx vertx;
-  private final MembershipSettings access;
+  private final MembershipSettings settings;
   private final GatewayOptions options;
   private final FleetCallbacks callbacks;
   private final SwimTimings timings;
-  private final DatagramCodec form;
-  private final AdminEndpoint desk;
-  private final FleetMessageHandler guest;
   private final Clock clock = new Clock();
-  private final Map<Count, Long> counts = new EnumMap<>(Count.class);
-  private HmacKeyring keys;
-  private SwimProtocol view;
-  private ReplayFilter door;
-  private DatagramSocket socket;
-  private Future<Void> lastSent = Future.succeededFuture();
-  private long timer = -1, linesSince, unsaid;
-  private int lines, told;
-  private double part = -1;
-
-  /** The company of one gateway, which must have a name that fits into a datagram. */
+  private final DatagramCounters counters = new DatagramCounters();
+  private final MembershipLog log;
+  private final MembershipSocket socket;
+  private final DatagramCodec codec;
+  private final ReloadableKeyring keyring;
+  private final Optional<FleetMessageHandler> handler;
+  private final Optional<AdminEndpoint> admin;
+  private SwimProtocol protocol;
+  private ReplayFilter replayFilter;
+  private long timerId = NOT_STARTED;
+  private int quotaDivisor;
+  private double quotaShare = -1;
+
+  /**
+   * The membership of one gateway, not started yet.
+   *
+   * @param handlerFactory makes what uses the fleet's datagrams; null for nothing
+   */
   public MembershipService(
       Vertx vertx,
-      MembershipSettings access,
+      MembershipSettings settings,
       GatewayOptions options,
       FleetCallbacks callbacks,
-      FleetMessageHandler.Factory guests) {
+      FleetMessageHandler.Factory handlerFactory) {
     this.vertx = vertx;
-    this.access = access;
+    this.settings = settings;
     this.options = options;
     this.callbacks = callbacks;
-    timings =
-        SwimTimings.withProbeInterval(
-            access.maxMembers() == 0
-                ? Math.max(1, options.routingConfig().gateways())
-                : access.maxMembers(),
-            access.probeIntervalNanos());
-    form = new DatagramCodec(access.fleet(), timings.maxUpdatesPerMessage());
-    guest = guests == null ? null : guests.create(vertx, this);
-    desk = access.adminAddress() == null ? null : new AdminEndpoint(vertx, this, guest);
-    for (Count one : Count.values()) {
-      counts.put(one, 0L);
-    }
+    int maxMembers =
+        settings.maxMembers() == 0
+            ? Math.max(1, options.routingConfig().gateways())
+            : settings.maxMembers();
+    timings = SwimTimings.withProbeInterval(maxMembers, settings.probeIntervalNanos());
+    log = new MembershipLog(options.name());
+    socket = new MembershipSocket(vertx, counters);
+    codec = new DatagramCodec(settings.fleet(), timings.maxUpdatesPerMessage());
+    keyring = new ReloadableKeyring(vertx, settings.keyFile());
+    handler = Optional.ofNullable(handlerFactory).map(factory -> factory.create(vertx, this));
+    admin =
+        Optional.ofNullable(settings.adminAddress())
+            .map(address -> new AdminEndpoint(vertx, this, handler));
   }
 
+  /** Fails with a {@link MembershipException}. */
   @Override
   public Future<Void> start() {
     if (!options.name().matches(DatagramCodec.NAME)) {
-      return Future.failedFuture(
-          "PROXY_NAME: with [fleet] 1 to 32 letters, digits, ._- and not " + options.name());
+      return Future.failedFuture(new MembershipException.InvalidName(options.name()));
     }
-    return vertx
-        .executeBlocking(() -> HmacKeyring.read(access.keyFile()))
-        .compose(
-            read -> {
-              keys = read;
-              socket = vertx.createDatagramSocket();
-              return socket.listen(access.listen().port(), access.listen().hostAddress());
-            })
+    return keyring
+        .load()
+        .compose(keys -> socket.listen(settings.listen()))
         .compose(
-            up -> {
-              String own = access.listen().hostAddress() + ":" + up.localAddress().port();
-              begin(access.advertised() == null ? own : text(access.advertised()), own);
-              return desk == null ? Future.succeededFuture() : desk.listen(access.adminAddress());
+            boundAddress -> {
+              join(boundAddress);
+              return admin
+                  .map(endpoint -> endpoint.listen(settings.adminAddress()))
+                  .orElseGet(Future::succeededFuture);
             })
         .recover(
-            e ->
+            failure ->
                 Future.failedFuture(
-                    new IOException(
-                        e instanceof HmacKeyring.Faulty ? e.getMessage() : "[fleet]: " + e, e)));
+                    failure instanceof MembershipException
+                        ? failure
+                        : new MembershipException.StartFailed(failure)));
+  }
+
+  private void join(String boundAddress) {
+    long nowNanos = clock.nowNanos();
+    long instanceId = new SecureRandom().nextLong();
+    String address =
+        settings.advertised() == null ? boundAddress : hostAndPort(settings.advertised());
+    String name = options.name();
+    replayFilter = new ReplayFilter(instanceId, timings.probeIntervalNanos(), nowNanos);
+    protocol =
+        new SwimProtocol(
+            timings,
+            new MemberUpdate(
+                name, address, nowNanos / SECOND_NANOS, instanceId, MemberStatus.ALIVE, name),
+            settings.seeds().stream().map(MembershipService::hostAndPort).toList(),
+            options.routingConfig().seed() ^ instanceId,
+            nowNanos,
+            new ProtocolOutput());
+    log.joining(settings.fleet(), keyring.current().signingKeyId(), boundAddress, address, timings);
+    socket.onDatagram(this::datagramReceived);
+    long tickMillis =
+        Math.max(1, timings.probeIntervalNanos() / TICKS_PER_PROBE_INTERVAL / MS_NANOS);
+    timerId = vertx.setPeriodic(tickMillis, timer -> tick());
+    updateQuotaShare();
+    handler.ifPresent(started -> started.membershipStarted(nowNanos));
   }
 
-  private static String text(SocketAddress address) {
+  private static String hostAndPort(SocketAddress address) {
     return address.hostAddress() + ":" + address.port();
   }
 
-  private void begin(String address, String own) {
-    long now = clock.nowNanos(), birth = new SecureRandom().nextLong();
-    MemberUpdate self =
-        new MemberUpdate(
-            options.name(), address, now / SECOND, birth, MemberStatus.ALIVE, options.name());
-    door = new ReplayFilter(birth, timings.probeIntervalNanos(), now);
-    view =
-        new SwimProtocol(
-            timings,
-            self,
-            access.seeds().stream().map(MembershipService::text).toList(),
-            options.routingConfig().seed() ^ birth,
-            now,
-            this);
-    LOG.info(
-        options.name()
-            + ": fleet "
-            + access.fleet()
-            + ", key "
-            + keys.first()
-            + ": hears at "
-            + own
-            + ", told as "
-            + address
-            + ", at most "
-            + timings.maxMembers()
-            + " gateways");
-    socket.handler(packet -> come(packet.data()));
-    socket.exceptionHandler(e -> add(Count.NOT_SENT));
-    timer =
-        vertx.setPeriodic(
-            Math.max(1, timings.probeIntervalNanos() / TICKS / MS),
-            tick -> {
-              view.tick(clock.nowNanos());
-              share();
-              if (guest != null) {
-                guest.tick(clock.nowNanos());
-              }
-              if (clock.nowNanos() - linesSince > SECOND) {
-                linesSince = clock.nowNanos();
-                lines = 0;
-                if (unsaid > 0) {
-                  LOG.info(options.name() + ": fleet: " + unsaid + " changes more");
-                  unsaid = 0;
-                }
-              }
-            });
-    share();
-    if (guest != null) {
-      guest.membershipStarted(now);
-    }
+  private void tick() {
+    protocol.tick(clock.nowNanos());
+    updateQuotaShare();
+    handler.ifPresent(started -> started.tick(clock.nowNanos()));
+    log.tick(clock.nowNanos());
   }
 
-  private void come(Buffer data) {
-    long now = clock.nowNanos();
-    if (!door.tryExamine(now)) {
-      add(Count.TOO_MANY);
+  // ---- Datagrams.
+
+  private void datagramReceived(byte[] datagram) {
+    long nowNanos = clock.nowNanos();
+    if (!replayFilter.tryExamine(nowNanos)) {
+      counters.count(DatagramCounters.Result.TOO_MANY);
       return;
     }
-    DatagramCodec.DecodedDatagram read = form.decode(data.getBytes(), keys);
-    if (read.fault() != null) {
-      add(Count.valueOf(read.fault().name()));
+    DecodedDatagram decoded = codec.decode(datagram, keyring.current());
+    if (decoded instanceof DecodedDatagram.Rejected rejected) {
+      counters.count(rejected.fault());
       return;
     }
-    GossipMessage message = read.message();
-    DatagramCodec.UserMessage letter = read.letter();
+    if (decoded instanceof DecodedDatagram.Gossip gossip) {
+      gossipReceived(gossip.message(), nowNanos);
+    } else if (decoded instanceof DecodedDatagram.User user) {
+      userMessageReceived(user.message(), nowNanos);
+    }
+    updateQuotaShare();
+  }
+
+  private void gossipReceived(GossipMessage message, long nowNanos) {
+    ReplayFilter.Verdict verdict = replayFilter.check(nowNanos, message);
+    counters.count(verdict);
+    if (verdict == ReplayFilter.Verdict.GREETED) {
+      protocol.greet(nowNanos, message.sender());
+    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+      protocol.messageReceived(nowNanos, message);
+    }
+  }
+
+  private void userMessageReceived(UserMessage message, long nowNanos) {
+    MemberUpdate sender = message.sender();
     ReplayFilter.Verdict verdict =
-        letter == null
-            ? door.check(now, message)
-            : door.check(now, letter.from().instanceId(), letter.to(), letter.serial());
-    add(Count.valueOf(verdict.name()));
+        replayFilter.check(
+            nowNanos, sender.instanceId(), message.recipientInstanceId(), message.sequenceNumber());
+    counters.count(verdict);
     if (verdict == ReplayFilter.Verdict.GREETED) {
-      view.greet(now, letter == null ? message.sender() : letter.from());
-    } else if (verdict == ReplayFilter.Verdict.TAKEN && letter == null) {
-      view.messageReceived(now, message);
-    } else if (verdict == ReplayFilter.Verdict.TAKEN && guest != null) {
-      guest.messageReceived(now, letter.from().name(), letter.body());
+      protocol.greet(nowNanos, sender);
+    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+      handler.ifPresent(taken -> taken.messageReceived(nowNanos, sender.name(), message.body()));
+    }
+  }
+
+  private final class ProtocolOutput implements SwimProtocol.Output {
+    @Override
+    public void send(String address, GossipMessage message) {
+      socket.send(address, codec.encode(message, keyring.current()));
+    }
+
+    @Override
+    public void memberStatusChanged(String name, MemberStatus status) {
+      log.change(name + " " + status);
+    }
+
+    @Override
+    public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
+      log.change(from + " -> " + to);
+    }
+
+    @Override
+    public void nameConflictDetected(String address) {
+      log.warning("another process goes by this name at " + address);
     }
-    share();
   }
 
+  /** Tells the router once the share is another. */
+  private void updateQuotaShare() {
+    if (protocol.countedMembers() == quotaDivisor && protocol.quotaShare() == quotaShare) {
+      return;
+    }
+    quotaDivisor = protocol.countedMembers();
+    quotaShare = protocol.quotaShare();
+    log.change(
+        quotaShare > 0
+            ? "one part of " + quotaDivisor
+            : "no part yet of what " + quotaDivisor + " share");
+    callbacks.quotaShareChanged(quotaDivisor, quotaShare);
+  }
+
+  // ---- For a FleetMessageHandler.
+
   /**
-   * Sends a letter to a gateway that is there; whether it is. It may be lost on the way, as any
-   * datagram.
+   * Sends a message to the same handler of a member; it may be lost, as any datagram. One over
+   * {@link DatagramCodec#MAX_PAYLOAD_BYTES} is not sent.
+   *
+   * @return whether the member is present
    */
   public boolean sendMessage(String to, byte[] body) {
-    MemberUpdate peer = view.find(to).orElse(null);
-    if (peer != null && body.length <= DatagramCodec.MAX_PAYLOAD_BYTES) {
-      send(
-          peer.address(),
-          form.encode(
-              new DatagramCodec.UserMessage(
-                  view.self(), peer.instanceId(), view.nextSequenceNumber(), body),
-              keys));
+    Optional<MemberUpdate> recipient = protocol.find(to);
+    if (recipient.isPresent() && body.length <= DatagramCodec.MAX_PAYLOAD_BYTES) {
+      UserMessage message =
+          new UserMessage(
+              protocol.self(), recipient.get().instanceId(), protocol.nextSequenceNumber(), body);
+      socket.send(recipient.get().address(), codec.encode(message, keyring.current()));
     }
-    return peer != null;
+    return recipient.isPresent();
   }
 
-  /** For chance: another in each process. */
+  /** A seed for random numbers: another in each process. */
   public long seed() {
-    return options.routingConfig().seed() ^ view.self().instanceId();
+    return options.routingConfig().seed() ^ protocol.self().instanceId();
   }
 
   /** This gateway's name. */
@@ -232,12 +249,12 @@
     return options.name();
   }
 
-  /** All that are there, by name. */
+  /** The names of all members that are present, this gateway among them, in their order. */
   public List<String> presentNames() {
-    return view.presentNames();
+    return protocol.presentNames();
   }
 
-  /** What a guest may tell the gateway's decisions, and ask of it. */
+  /** What a handler may tell the gateway's router, and ask of it. */
   public FleetCallbacks callbacks() {
     return callbacks;
   }
@@ -247,123 +264,60 @@
     return clock.nowNanos();
   }
 
-  private void add(Count what) {
-    counts.merge(what, 1L, Long::sum);
-  }
-
-  /** Tells the decisions once it is another. */
-  private void share() {
-    if (view.countedMembers() != told || view.quotaShare() != part) {
-      told = view.countedMembers();
-      part = view.quotaShare();
-      say(
-          options.name()
-              + ": fleet: "
-              + (part > 0 ? "one part of " + told : "no part yet of what " + told + " share"));
-      callbacks.quotaShareChanged(told, part);
-    }
-  }
-
-  private void say(String line) {
-    if (++lines <= MOST_LINES) {
-      LOG.info(line);
-    } else {
-      unsaid++;
-    }
-  }
-
-  @Override
-  public void send(String address, GossipMessage message) {
-    send(address, form.encode(message, keys));
-  }
+  // ---- What the gateway tells.
 
-  private void send(String address, byte[] bytes) {
-    int colon = address.lastIndexOf(':');
-    lastSent =
-        socket.send(
-            Buffer.buffer(bytes),
-            Integer.parseInt(address.substring(colon + 1)),
-            address.substring(0, colon));
-    lastSent.onComplete(done -> add(done.succeeded() ? Count.SENT : Count.NOT_SENT));
+  private Optional<FleetMessageHandler> startedHandler() {
+    return timerId == NOT_STARTED ? Optional.empty() : handler;
   }
 
   @Override
-  public void memberStatusChanged(String name, MemberStatus standing) {
-    say(options.name() + ": fleet: " + name + " " + standing);
+  public void endpointHealthChanged(String endpointId, EndpointHealthStatus health) {
+    startedHandler()
+        .ifPresent(started -> started.endpointHealthChanged(clock.nowNanos(), endpointId, health));
   }
 
   @Override
-  public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-    say(options.name() + ": fleet: " + from + " -> " + to);
-  }
-
-  @Override
-  public void nameConflictDetected(String address) {
-    LOG.warning(options.name() + ": fleet: another process goes by this name at " + address);
-  }
-
-  @Override
-  public void endpointHealthChanged(String cache, EndpointHealthStatus health) {
-    if (guest != null && timer >= 0) {
-      guest.endpointHealthChanged(clock.nowNanos(), cache, health);
-    }
-  }
-
-  @Override
-  public void endpointWarmingUp(String cache, long until) {
-    if (guest != null && timer >= 0) {
-      guest.endpointWarmingUp(clock.nowNanos(), cache, until);
-    }
+  public void endpointWarmingUp(String endpointId, long untilNanos) {
+    startedHandler()
+        .ifPresent(started -> started.endpointWarmingUp(clock.nowNanos(), endpointId, untilNanos));
   }
 
   @Override
   public void beginDraining() {
-    if (guest != null && timer >= 0) {
-      guest.drainStarted(clock.nowNanos());
-    }
+    startedHandler().ifPresent(started -> started.drainStarted(clock.nowNanos()));
   }
 
-  /** Keys may have been changed; a file that can't be read leaves those that hold. */
+  /** Reads the key file anew; one that can't be read leaves the present keys. */
   @Override
   public void reload() {
-    if (guest != null && timer >= 0) {
-      guest.settingsReloaded();
-    }
-    vertx
-        .executeBlocking(() -> HmacKeyring.read(access.keyFile()))
-        .onSuccess(
-            read -> {
-              keys = read;
-              LOG.info(options.name() + ": fleet: signs by key " + keys.first());
-            })
-        .onFailure(e -> LOG.warning(options.name() + ": fleet: the keys stay: " + e.getMessage()));
+    startedHandler().ifPresent(FleetMessageHandler::settingsReloaded);
+    keyring
+        .load()
+        .onSuccess(keys -> log.info("signs by key " + keys.signingKeyId()))
+        .onFailure(failure -> log.warning("the keys stay: " + failure.getMessage()));
   }
 
   @Override
   public Future<Void> close() {
-    if (desk != null) {
-      desk.close();
-    }
-    if (timer < 0) {
+    admin.ifPresent(AdminEndpoint::close);
+    if (timerId == NOT_STARTED) {
       return Future.succeededFuture();
     }
-    vertx.cancelTimer(timer);
-    if (guest != null) {
-      guest.close(clock.nowNanos());
-    }
-    view.leave(clock.nowNanos());
-    return lastSent.eventually(socket::close).otherwiseEmpty();
+    vertx.cancelTimer(timerId);
+    handler.ifPresent(started -> started.close(clock.nowNanos()));
+    protocol.leave(clock.nowNanos());
+    return socket.close();
   }
 
-  // ---- For the operators.
+  // ---- For the admin endpoint.
 
-  /** Null until it has begun. */
-  SwimProtocol view() {
-    return view;
+  /** Empty until the gateway has joined. */
+  Optional<SwimProtocol> protocol() {
+    return Optional.ofNullable(protocol);
   }
 
-  Map<Count, Long> counts() {
-    return counts;
+  DatagramCounters counters() {
+    return counters;
   }
 
   SwimTimings timings() {
@@ -371,6 +325,6 @@
   }
 
   String fleet() {
-    return access.fleet();
+    return settings.fleet();
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -5,16 +5,17 @@
 import java.util.List;
 
 /**
- * What the operators set of a fleet's view. Addresses are numeric, times nanoseconds.
+ * What operators set of membership. Addresses are numeric.
  *
- * @param fleet which fleet this is: others' datagrams are passed over
- * @param listen where datagrams come; port 0 takes a free one
- * @param advertised what others are told in its place; null for the same
+ * @param fleet the fleet's name; datagrams of other fleets are rejected
+ * @param listen where datagrams are received; port 0 takes a free one
+ * @param advertised the address that others are told in its place; null for the same
  * @param seeds addresses of which any may answer at a start
- * @param maxMembers the most gateways that may run at once; 0 for the site's own number
+ * @param maxMembers the most gateways that may run at once; 0 for the number of the routing
+ *     configuration
  * @param probeIntervalNanos between two probes
- * @param keyFile a file of lines "ID HEX": the first signs, each is believed
- * @param adminAddress where operators may ask, on loopback; null for nowhere
+ * @param keyFile a file of lines "ID HEX": the first key signs, each verifies
+ * @param adminAddress where {@link AdminEndpoint} listens, on loopback; null for nowhere
  */
 public record MembershipSettings(
     String fleet,
--- /dev/null
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
@@ -0,0 +1,56 @@
+package org.amberpath.membership.runtime;
+
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.datagram.DatagramSocket;
+import io.vertx.core.net.SocketAddress;
+import java.util.function.Consumer;
+
+/** The UDP socket of one gateway's membership. All methods are called on the event loop. */
+final class MembershipSocket {
+  private final Vertx vertx;
+  private final DatagramCounters counters;
+  private DatagramSocket socket;
+  private Future<Void> lastSent = Future.succeededFuture();
+
+  MembershipSocket(Vertx vertx, DatagramCounters counters) {
+    this.vertx = vertx;
+    this.counters = counters;
+  }
+
+  /** Binds the socket; completes with the address, its port resolved. */
+  Future<String> listen(SocketAddress address) {
+    socket = vertx.createDatagramSocket();
+    return socket
+        .listen(address.port(), address.hostAddress())
+        .map(bound -> address.hostAddress() + ":" + bound.localAddress().port());
+  }
+
+  /** Passes on what is received from now on. */
+  void onDatagram(Consumer<byte[]> receiver) {
+    socket.handler(packet -> receiver.accept(packet.data().getBytes()));
+    socket.exceptionHandler(failure -> counters.count(DatagramCounters.Result.NOT_SENT));
+  }
+
+  /** Sends a datagram to a numeric address with a port; it may be lost. */
+  void send(String address, byte[] datagram) {
+    int colon = address.lastIndexOf(':');
+    lastSent =
+        socket.send(
+            Buffer.buffer(datagram),
+            Integer.parseInt(address.substring(colon + 1)),
+            address.substring(0, colon));
+    lastSent.onComplete(
+        sent ->
+            counters.count(
+                sent.succeeded()
+                    ? DatagramCounters.Result.SENT
+                    : DatagramCounters.Result.NOT_SENT));
+  }
+
+  /** Closes the socket once the last datagram was handed over; never fails. */
+  Future<Void> close() {
+    return lastSent.eventually(socket::close).otherwiseEmpty();
+  }
+}
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -16,19 +16,21 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.runtime.DatagramCodec.UserMessage;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams of version 1, as released code signed them, stay readable and are written alike. */
+/** Datagrams of version 1, as released code signed them, are decoded and encoded alike. */
 class DatagramCodecGoldenTest {
   /** A kind and its datagram in hexadecimal to a line; written by the code of 7587aa7. */
-  private static final String GOLDEN = "/gossip-datagrams-1";
+  private static final String GOLDEN_FILE = "/gossip-datagrams-1";
 
-  private static final String LETTER = "LETTER";
-  private static final MemberUpdate FROM =
+  /** The word of the golden file for a user message. */
+  private static final String USER_MESSAGE = "LETTER";
+
+  private static final MemberUpdate SENDER =
       new MemberUpdate("g-1", "192.0.2.1:7946", 3, 1700000000123L, MemberStatus.ALIVE, "g-1");
   private static final byte[] BODY = "body".getBytes(StandardCharsets.US_ASCII);
-  private static final long LETTER_TO = 99, LETTER_SERIAL = 1L << 33;
+  private static final long RECIPIENT_INSTANCE_ID = 99;
+  private static final long SEQUENCE_NUMBER = 1L << 33;
 
   private final DatagramCodec codec = new DatagramCodec("stores", 8);
   private final HmacKeyring keys =
@@ -52,7 +54,7 @@
     List<MemberUpdate> updates = ask ? List.of() : updates().subList(0, page ? 4 : 1);
     return new GossipMessage(
         kind,
-        FROM,
+        SENDER,
         -42,
         17 + number,
         1L << 40,
@@ -64,17 +66,17 @@
         updates);
   }
 
-  private static Map<String, GossipMessage> said() {
-    Map<String, GossipMessage> said = new LinkedHashMap<>();
+  private static Map<String, GossipMessage> messages() {
+    Map<String, GossipMessage> messages = new LinkedHashMap<>();
     for (Kind kind : List.of(Kind.PING, Kind.ACK, Kind.ASK, Kind.NACK, Kind.SYNC, Kind.PAGE)) {
-      said.put(kind.name(), message(kind, said.size()));
+      messages.put(kind.name(), message(kind, messages.size()));
     }
-    return said;
+    return messages;
   }
 
   private static Map<String, byte[]> golden() throws IOException {
     Map<String, byte[]> datagrams = new LinkedHashMap<>();
-    try (InputStream in = DatagramCodecGoldenTest.class.getResourceAsStream(GOLDEN)) {
+    try (InputStream in = DatagramCodecGoldenTest.class.getResourceAsStream(GOLDEN_FILE)) {
       String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
       text.lines()
           .forEach(
@@ -87,32 +89,38 @@
     return datagrams;
   }
 
+  private GossipMessage decodeGossip(byte[] datagram) {
+    DecodedDatagram decoded = codec.decode(datagram, keys);
+    return assertInstanceOf(DecodedDatagram.Gossip.class, decoded).message();
+  }
+
   @Test
-  void messagesOfAnEarlierReleaseAreReadAsWhatTheySaid() throws IOException {
+  void gossipOfAnEarlierReleaseIsDecodedAsItWasSent() throws IOException {
     Map<String, byte[]> golden = golden();
-    golden.remove(LETTER);
-    Map<String, GossipMessage> read = new LinkedHashMap<>();
-    golden.forEach((kind, datagram) -> read.put(kind, codec.decode(datagram, keys).message()));
-    assertEquals(said(), read);
+    golden.remove(USER_MESSAGE);
+    Map<String, GossipMessage> decoded = new LinkedHashMap<>();
+    golden.forEach((kind, datagram) -> decoded.put(kind, decodeGossip(datagram)));
+    assertEquals(messages(), decoded);
   }
 
   @Test
-  void aLetterOfAnEarlierReleaseIsReadAsWhatItSaid() throws IOException {
-    DatagramCodec.DecodedDatagram read = codec.decode(golden().get(LETTER), keys);
-    assertNull(read.fault());
-    assertEquals(FROM, read.letter().from());
-    assertEquals(LETTER_TO, read.letter().to());
-    assertEquals(LETTER_SERIAL, read.letter().serial());
-    assertArrayEquals(BODY, read.letter().body());
+  void userMessageOfAnEarlierReleaseIsDecodedAsItWasSent() throws IOException {
+    DecodedDatagram decoded = codec.decode(golden().get(USER_MESSAGE), keys);
+    UserMessage message = assertInstanceOf(DecodedDatagram.User.class, decoded).message();
+    assertEquals(SENDER, message.sender());
+    assertEquals(RECIPIENT_INSTANCE_ID, message.recipientInstanceId());
+    assertEquals(SEQUENCE_NUMBER, message.sequenceNumber());
+    assertArrayEquals(BODY, message.body());
   }
 
   @Test
-  void theSameBytesAreWritten() throws IOException {
+  void eachKindIsEncodedAsByAnEarlierRelease() throws IOException {
     Map<String, byte[]> golden = golden();
-    said()
+    messages()
         .forEach(
-            (kind, said) -> assertArrayEquals(golden.get(kind), codec.encode(said, keys), kind));
-    UserMessage letter = new UserMessage(FROM, LETTER_TO, LETTER_SERIAL, BODY);
-    assertArrayEquals(golden.get(LETTER), codec.encode(letter, keys), LETTER);
+            (kind, message) ->
+                assertArrayEquals(golden.get(kind), codec.encode(message, keys), kind));
+    UserMessage message = new UserMessage(SENDER, RECIPIENT_INSTANCE_ID, SEQUENCE_NUMBER, BODY);
+    assertArrayEquals(golden.get(USER_MESSAGE), codec.encode(message, keys), USER_MESSAGE);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -1,7 +1,7 @@
 package org.amberpath.membership.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -9,7 +9,6 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Collections;
-import java.util.List;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
@@ -18,31 +17,35 @@
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
 import org.amberpath.membership.SwimTimings;
-import org.amberpath.membership.runtime.DatagramCodec.Fault;
+import org.amberpath.membership.runtime.DecodedDatagram.Fault;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
 
-/** A datagram's form: what goes in comes out, and nothing else does. */
+/** What is encoded is decoded as it was, and everything else is rejected. */
 class DatagramCodecTest {
-  private static final String KEY = "0123456789abcdef0123456789abcdef", OTHER = "ff".repeat(16);
-  private final DatagramCodec form =
-      new DatagramCodec("stores", SwimTimings.defaults(1).maxUpdatesPerMessage());
+  private static final String KEY = "0123456789abcdef0123456789abcdef";
+  private static final String OTHER_KEY = "ffffffffffffffffffffffffffffffff";
+  private static final int MAX_UPDATES = SwimTimings.defaults(1).maxUpdatesPerMessage();
+
+  private final DatagramCodec codec = new DatagramCodec("stores", MAX_UPDATES);
   @TempDir private Path folder;
 
-  private HmacKeyring keys(String text) throws Exception {
+  private HmacKeyring keyring(String text) throws Exception {
     return HmacKeyring.read(Files.writeString(folder.resolve("keys"), text));
   }
 
-  private static MemberUpdate longest(MemberStatus standing) {
+  private static MemberUpdate longestUpdate(MemberStatus status) {
     String name = "n".repeat(32);
     return new MemberUpdate(
-        name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, standing, name);
+        name, "255.255.255.255:65535", Long.MAX_VALUE, Long.MIN_VALUE, status, name);
   }
 
-  private static GossipMessage longest(int rumours) {
+  private static GossipMessage longestMessage(int updates) {
     return new GossipMessage(
         Kind.PAGE,
-        longest(MemberStatus.ALIVE),
+        longestUpdate(MemberStatus.ALIVE),
         Long.MIN_VALUE,
         Long.MAX_VALUE,
         Long.MIN_VALUE,
@@ -51,75 +54,92 @@
         "n".repeat(32),
         true,
         true,
-        Collections.nCopies(rumours, longest(MemberStatus.LOST)));
+        Collections.nCopies(updates, longestUpdate(MemberStatus.LOST)));
+  }
+
+  private static GossipMessage message(DecodedDatagram decoded) {
+    return assertInstanceOf(DecodedDatagram.Gossip.class, decoded).message();
+  }
+
+  private static Fault fault(DecodedDatagram decoded, String what) {
+    return assertInstanceOf(DecodedDatagram.Rejected.class, decoded, what).fault();
   }
 
   @Test
-  void theLongestFitsAndComesBackAsItWas() throws Exception {
-    DatagramCodec longest =
-        new DatagramCodec("f".repeat(32), SwimTimings.defaults(1).maxUpdatesPerMessage());
-    HmacKeyring keys = keys("k".repeat(16) + " " + KEY);
-    GossipMessage message = longest(SwimTimings.defaults(1).maxUpdatesPerMessage());
-    byte[] bytes = longest.encode(message, keys);
-    assertTrue(bytes.length <= DatagramCodec.MAX_DATAGRAM_BYTES, "" + bytes.length);
-    assertEquals(message, longest.decode(bytes, keys).message());
+  void longestMessageFitsIntoADatagramAndIsDecodedAsItWas() throws Exception {
+    DatagramCodec longestHeader = new DatagramCodec("f".repeat(32), MAX_UPDATES);
+    HmacKeyring keys = keyring("k".repeat(16) + " " + KEY);
+    GossipMessage message = longestMessage(MAX_UPDATES);
+    byte[] datagram = longestHeader.encode(message, keys);
+    assertTrue(datagram.length <= DatagramCodec.MAX_DATAGRAM_BYTES, "" + datagram.length);
+    assertEquals(message, message(longestHeader.decode(datagram, keys)));
   }
 
   @Test
-  void whatIsOfAnotherFleetOrKeyOrChangedIsToldApart() throws Exception {
-    HmacKeyring keys = keys("k1 " + KEY);
-    byte[] bytes = form.encode(longest(2), keys);
-    assertEquals(Fault.OTHER_FLEET, new DatagramCodec("other", 10).decode(bytes, keys).fault());
-    assertEquals(Fault.OTHER_KEY, form.decode(bytes, keys("k2 " + KEY)).fault());
-    assertEquals(Fault.FORGED, form.decode(bytes, keys("k1 " + OTHER)).fault());
-    for (int at = 0; at < bytes.length; at++) {
-      byte[] changed = bytes.clone();
+  void datagramOfAnotherFleetOrKeyOrChangedOnTheWayIsRejected() throws Exception {
+    HmacKeyring keys = keyring("k1 " + KEY);
+    byte[] datagram = codec.encode(longestMessage(2), keys);
+    DatagramCodec otherFleet = new DatagramCodec("other", 10);
+    assertEquals(Fault.OTHER_FLEET, fault(otherFleet.decode(datagram, keys), "fleet"));
+    assertEquals(Fault.OTHER_KEY, fault(codec.decode(datagram, keyring("k2 " + KEY)), "id"));
+    assertEquals(Fault.FORGED, fault(codec.decode(datagram, keyring("k1 " + OTHER_KEY)), "key"));
+    for (int at = 0; at < datagram.length; at++) {
+      byte[] changed = datagram.clone();
       changed[at] ^= 1;
-      assertNotNull(form.decode(changed, keys).fault(), "byte " + at);
-      assertNotNull(form.decode(Arrays.copyOf(bytes, at), keys).fault(), "cut at " + at);
+      fault(codec.decode(changed, keys), "byte " + at);
+      fault(codec.decode(Arrays.copyOf(datagram, at), keys), "cut at " + at);
     }
-    assertNotNull(form.decode(Arrays.copyOf(bytes, bytes.length + 1), keys).fault());
+    fault(codec.decode(Arrays.copyOf(datagram, datagram.length + 1), keys), "a byte more");
   }
 
   @Test
-  void oneKeyFollowsAnotherWithoutAGap() throws Exception {
-    HmacKeyring before = keys("k1 " + KEY),
-        both = keys("# new\nk2 " + OTHER + "\nk1 " + KEY + "\n");
-    assertNotNull(form.decode(form.encode(longest(1), before), both).message());
-    assertEquals("k2", both.first());
+  void firstKeyOfAFileSignsAndEachVerifies() throws Exception {
+    HmacKeyring before = keyring("k1 " + KEY);
+    HmacKeyring both = keyring("# new\nk2 " + OTHER_KEY + "\nk1 " + KEY + "\n");
+    GossipMessage message = longestMessage(1);
+    assertEquals(message, message(codec.decode(codec.encode(message, before), both)));
+    assertEquals("k2", both.signingKeyId());
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "",
+        "k1",
+        "k1 xyz",
+        "k1 0011",
+        "k1 " + KEY + " more",
+        "k/1 " + KEY,
+        "k1 " + KEY + "\nk1 " + KEY
+      })
+  void invalidKeyFileIsRejectedWithoutItsKeyInTheMessage(String invalid) {
+    assertInvalidKeyFile(invalid);
   }
 
   @Test
-  void aFileOfKeysIsReadStrictly() {
-    for (String wrong :
-        List.of(
-            "",
-            "k1",
-            "k1 xyz",
-            "k1 0011",
-            "k1 " + KEY + " more",
-            "k/1 " + KEY,
-            "k1 " + KEY + "\nk1 " + KEY,
-            ("k1 " + KEY + "\n").repeat(200))) {
-      HmacKeyring.Faulty faulty = assertThrows(HmacKeyring.Faulty.class, () -> keys(wrong), wrong);
-      assertTrue(
-          faulty.getMessage().startsWith("[fleet] key: ") && !faulty.getMessage().contains(KEY),
-          faulty.getMessage());
-    }
+  void keyFileOverItsSizeIsRejected() {
+    assertInvalidKeyFile(("k1 " + KEY + "\n").repeat(200));
+  }
+
+  private void assertInvalidKeyFile(String invalid) {
+    MembershipException.InvalidKeyFile failure =
+        assertThrows(MembershipException.InvalidKeyFile.class, () -> keyring(invalid), invalid);
+    assertTrue(failure.getMessage().startsWith("[fleet] key: "), failure.getMessage());
+    assertTrue(!failure.getMessage().contains(KEY), failure.getMessage());
   }
 
   /** A holder of the key may still send what can't be read. */
   @Property(tries = 500)
-  void whatIsSignedAndUnreadableCostsNothingButACount(@ForAll @Size(max = 200) byte[] behind)
+  void signedDatagramOfAnotherFormIsRejected(@ForAll @Size(max = 200) byte[] body)
       throws Exception {
     HmacKeyring keys =
         HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
-    byte[] good = form.encode(longest(0), keys);
+    byte[] valid = codec.encode(longestMessage(0), keys);
     int header = "stores".length() + "k1".length() + 3;
-    byte[] bytes = Arrays.copyOf(good, header + behind.length);
-    System.arraycopy(behind, 0, bytes, header, behind.length);
-    byte[] whole = Arrays.copyOf(bytes, bytes.length + HmacKeyring.LENGTH);
-    System.arraycopy(keys.sign(bytes), 0, whole, bytes.length, HmacKeyring.LENGTH);
-    assertEquals(Fault.UNREADABLE, form.decode(whole, keys).fault());
+    byte[] bytes = Arrays.copyOf(valid, header + body.length);
+    System.arraycopy(body, 0, bytes, header, body.length);
+    byte[] signed = Arrays.copyOf(bytes, bytes.length + HmacKeyring.SIGNATURE_BYTES);
+    System.arraycopy(keys.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
+    assertEquals(Fault.UNREADABLE, fault(codec.decode(signed, keys), "signed"));
   }
 }
