--- /dev/null
+++ b/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
@@ -0,0 +1,49 @@
+package org.amberpath.membership;
+
+import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.update;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.amberpath.membership.GossipMessage.Kind;
+import org.junit.jupiter.api.Test;
+
+/** A member's share of fleet-wide limits, and by how many they are divided. */
+class QuotaAdmissionTest {
+  private final ProtocolHarness harness = new ProtocolHarness();
+  private final SwimProtocol protocol = harness.protocol;
+
+  @Test
+  void memberThatHearsFromNobodyHasTheShareOfTheAllowedNumber() {
+    harness.advance(12 * PERIOD);
+    assertEquals(SwimProtocol.Phase.ALONE, protocol.phase());
+    assertEquals(0.5, protocol.quotaShare());
+  }
+
+  @Test
+  void divisorFallsByALeaveOrAnOperatorsForgetAndNeverByALoss() {
+    harness.receiveLastPage("other", update("third", 1, MemberStatus.LOST));
+    assertEquals(3, protocol.countedMembers());
+    assertEquals(0, protocol.quotaShare(), "beyond the allowed number, and not counted by all yet");
+    assertTrue(protocol.forget(harness.now, "third"));
+    assertEquals(3, protocol.countedMembers(), "it has time to refute the leave");
+    harness.advance(30 * PERIOD);
+    assertEquals(2, protocol.countedMembers());
+    assertFalse(protocol.forget(harness.now, "third"), "it is not lost any more");
+    harness.receive(Kind.PING, "other", 1, update("other", 1, MemberStatus.LEFT));
+    assertEquals(2, protocol.countedMembers(), "never under the allowed number");
+  }
+
+  @Test
+  void falseLeaveOfAnotherLowersNoDivisorBeforeItCouldBeRefuted() {
+    harness.receiveLastPage("other", update("third", 1, MemberStatus.ALIVE));
+    assertEquals(3, protocol.countedMembers());
+    harness.receive(Kind.PING, "liar", 2, update("third", 2, MemberStatus.LEFT));
+    harness.advance(10 * PERIOD);
+    assertEquals(4, protocol.countedMembers());
+    harness.receive(Kind.PING, "other", 3, update("third", 3, MemberStatus.ALIVE));
+    harness.advance(30 * PERIOD);
+    assertEquals(4, protocol.countedMembers(), "it was refuted");
+  }
+}
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -8,18 +8,21 @@
 import org.amberpath.membership.ReplayFilter.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Stories of what is let in. */
+/** Which datagrams are believed, greeted or dropped. */
 class ReplayFilterTest {
-  private static final long MS = 1_000_000, PERIOD = 500 * MS, OWN = 7;
+  private static final long MS = 1_000_000;
+  private static final long PERIOD = 500 * MS;
+  private static final long OWN_INSTANCE_ID = 7;
 
-  private final ReplayFilter door = new ReplayFilter(OWN, PERIOD, 0);
+  private final ReplayFilter filter = new ReplayFilter(OWN_INSTANCE_ID, PERIOD, 0);
 
-  private static GossipMessage from(long birth, long to, long serial) {
+  private static GossipMessage message(long sender, long recipient, long sequenceNumber) {
+    String name = "g" + sender;
     return new GossipMessage(
         GossipMessage.Kind.PING,
-        new MemberUpdate("g" + birth, "at-g" + birth, 1, birth, MemberStatus.ALIVE, ""),
-        to,
-        serial,
+        new MemberUpdate(name, "at-" + name, 1, sender, MemberStatus.ALIVE, ""),
+        recipient,
+        sequenceNumber,
         1,
         0,
         0,
@@ -29,54 +32,59 @@
         List.of());
   }
 
-  private Verdict comes(long now, long birth, long to, long serial) {
-    return door.check(now, from(birth, to, serial));
+  private Verdict check(long now, long sender, long recipient, long sequenceNumber) {
+    return filter.check(now, message(sender, recipient, sequenceNumber));
   }
 
   @Test
-  void whatWasMeantForAProcessBeforeIsGreetedAndNoMore() {
-    assertEquals(Verdict.GREETED, comes(0, 1, 6, 1));
-    assertEquals(Verdict.GREETED, comes(0, 1, 0, 2));
-    assertEquals(Verdict.TAKEN, comes(0, 1, OWN, 3));
+  void datagramForAnotherProcessIsGreetedAndNotBelieved() {
+    assertEquals(Verdict.GREETED, check(0, 1, 6, 1));
+    assertEquals(Verdict.GREETED, check(0, 1, 0, 2));
+    assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, 3));
   }
 
   @Test
-  void aSerialCountsOnceInWhateverOrderItComes() {
-    for (long serial : new long[] {5, 3, 4, 70, 69}) {
-      assertEquals(Verdict.TAKEN, comes(0, 1, OWN, serial), "" + serial);
-      assertEquals(Verdict.REPEATED, comes(0, 1, OWN, serial), "" + serial);
+  void sequenceNumberCountsOnceInWhateverOrderItComes() {
+    for (long number : new long[] {5, 3, 4, 70, 69}) {
+      assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, number), "" + number);
+      assertEquals(Verdict.REPEATED, check(0, 1, OWN_INSTANCE_ID, number), "" + number);
     }
-    assertEquals(Verdict.REPEATED, comes(0, 1, OWN, 6), "older than the window: it may have come");
-    assertEquals(Verdict.TAKEN, comes(0, 1, OWN, 7));
     assertEquals(
         Verdict.REPEATED,
-        comes(0, 1, OWN, Long.MIN_VALUE + 3),
+        check(0, 1, OWN_INSTANCE_ID, 6),
+        "older than the window: it may have come");
+    assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, 7));
+    assertEquals(
+        Verdict.REPEATED,
+        check(0, 1, OWN_INSTANCE_ID, Long.MIN_VALUE + 3),
         "no number is so old that it is new");
-    assertEquals(Verdict.TAKEN, comes(0, 2, OWN, 5), "another sender's numbers are its own");
+    assertEquals(
+        Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 5), "another sender's numbers are its own");
   }
 
   @Test
-  void oneSenderLeavesRoomForTheOthers() {
-    int taken = 0;
-    for (int serial = 1; serial <= 1000; serial++) {
-      taken += comes(0, 1, OWN, serial) == Verdict.TAKEN ? 1 : 0;
+  void floodOfOneSenderIsDroppedPastItsBoundAndOthersAreBelieved() {
+    int believed = 0;
+    for (int number = 1; number <= 1000; number++) {
+      believed += check(0, 1, OWN_INSTANCE_ID, number) == Verdict.TAKEN ? 1 : 0;
     }
-    assertEquals(60, taken);
-    assertEquals(Verdict.TAKEN, comes(0, 2, OWN, 1));
-    assertEquals(Verdict.TAKEN, comes(PERIOD + 1, 1, OWN, 2000));
+    assertEquals(60, believed);
+    assertEquals(Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 1));
+    assertEquals(Verdict.TAKEN, check(PERIOD + 1, 1, OWN_INSTANCE_ID, 2000));
   }
 
   @Test
-  void strangersAreLookedAtAndGreetedUpToABound() {
-    int looked = 0, greeted = 0;
-    for (int one = 0; one < 5000; one++) {
-      looked += door.tryExamine(0) ? 1 : 0;
-      greeted += comes(0, one, 0, 1) == Verdict.GREETED ? 1 : 0;
+  void floodOfStrangersIsExaminedAndGreetedUpToABound() {
+    int examined = 0;
+    int greeted = 0;
+    for (int sender = 0; sender < 5000; sender++) {
+      examined += filter.tryExamine(0) ? 1 : 0;
+      greeted += check(0, sender, 0, 1) == Verdict.GREETED ? 1 : 0;
     }
-    assertEquals(2000, looked);
+    assertEquals(2000, examined);
     assertEquals(8, greeted);
-    assertFalse(door.tryExamine(PERIOD));
-    assertTrue(door.tryExamine(PERIOD + 1));
-    assertEquals(Verdict.GREETED, comes(PERIOD + 1, 1, 0, 1));
+    assertFalse(filter.tryExamine(PERIOD));
+    assertTrue(filter.tryExamine(PERIOD + 1));
+    assertEquals(Verdict.GREETED, check(PERIOD + 1, 1, 0, 1));
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -113,7 +113,7 @@
     planned.add(new Planned(atNanos, ++order, event));
   }
 
-  boolean chance(double probability) {
+  boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
@@ -135,17 +135,17 @@
   void carry(SeededMember from, String address, GossipMessage message) {
     if (seen.size() < 200) {
       seen.add(message);
-    } else if (chance(0.1)) {
+    } else if (withProbability(0.1)) {
       seen.set(random.nextInt(seen.size()), message);
     }
     SeededMember target = byAddress.get(address);
-    if (target == null || cut[from.index][target.index] || chance(lossShare)) {
+    if (target == null || cut[from.index][target.index] || withProbability(lossShare)) {
       actions.count(target == null ? "to nobody" : "lost on the way");
       return;
     }
-    int copies = chance(doubledShare) ? 2 : 1;
+    int copies = withProbability(doubledShare) ? 2 : 1;
     for (int copy = 0; copy < copies; copy++) {
-      int delayMs = 1 + random.nextInt(chance(0.02) ? 20 * maxDelayMs : maxDelayMs);
+      int delayMs = 1 + random.nextInt(withProbability(0.02) ? 20 * maxDelayMs : maxDelayMs);
       plan(now + delayMs * MS, () -> target.deliver(message));
     }
   }
@@ -153,7 +153,7 @@
   // ---- Faults.
 
   private void fault() {
-    plan(now + random.nextInt(chance(0.2) ? 1 : 3000) * MS, this::fault);
+    plan(now + random.nextInt(withProbability(0.2) ? 1 : 3000) * MS, this::fault);
     if (!stormy()) {
       calm();
       return;
@@ -181,18 +181,18 @@
       java.util.Arrays.fill(row, false);
     }
     SeededMember member = anyMember();
-    if (chance(0.3) && (member.index < setting.maxMembers || setting == Setting.GROWING)) {
+    if (withProbability(0.3) && (member.index < setting.maxMembers || setting == Setting.GROWING)) {
       member.startIfDown();
     }
-    if (chance(0.2)) {
+    if (withProbability(0.2)) {
       forgetLost();
     }
   }
 
   private void weather() {
-    lossShare = chance(0.4) ? 0 : random.nextDouble() * 0.4;
+    lossShare = withProbability(0.4) ? 0 : random.nextDouble() * 0.4;
     doubledShare = random.nextDouble() * 0.3;
-    maxDelayMs = 1 + random.nextInt(chance(0.3) ? 600 : 20);
+    maxDelayMs = 1 + random.nextInt(withProbability(0.3) ? 600 : 20);
   }
 
   private void partition() {
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -8,7 +8,7 @@
  */
 final class SeededMember implements SwimProtocol.Output {
   private static final long MS = SeededFleet.MS;
-  private static final double LET_IN_ANYHOW = 0.15;
+  private static final double BYPASS_PROBABILITY = 0.15;
 
   final int index;
   final String name;
@@ -54,7 +54,7 @@
     clockOffset = (fleet.random.nextInt(10_001) - 5000) * MS;
     birth = fleet.random.nextLong();
     List<String> seeds =
-        process > 1 && fleet.chance(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
+        process > 1 && fleet.withProbability(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
     filter = new ReplayFilter(birth, fleet.timings.probeIntervalNanos(), clock());
     incarnation = clock() / SeededFleet.SECOND;
     protocol =
@@ -136,8 +136,8 @@
     ReplayFilter.Verdict verdict = filter.check(clock(), message);
     fleet.actions.count("verdict " + verdict);
     fleet.actions.add("verdict", index, verdict);
-    boolean anyhow = fleet.chance(LET_IN_ANYHOW);
-    if (verdict == ReplayFilter.Verdict.TAKEN || anyhow) {
+    boolean bypassed = fleet.withProbability(BYPASS_PROBABILITY);
+    if (verdict == ReplayFilter.Verdict.TAKEN || bypassed) {
       fleet.actions.count("received " + message.kind());
       protocol.messageReceived(clock(), message);
     } else if (verdict == ReplayFilter.Verdict.GREETED) {
@@ -160,9 +160,9 @@
     }
     long periodMs = fleet.timings.probeIntervalNanos() / MS;
     long delayMs =
-        fleet.chance(0.6)
+        fleet.withProbability(0.6)
             ? periodMs / 5
-            : fleet.chance(0.02)
+            : fleet.withProbability(0.02)
                 ? fleet.random.nextInt((int) (5 * periodMs))
                 : 10L * fleet.random.nextInt((int) (periodMs / 20));
     long next = Math.max(fleet.now() + delayMs * MS, pausedUntil);
@@ -206,7 +206,7 @@
     long found = protocol.find(asked).map(MemberUpdate::instanceId).orElse(-1L);
     fleet.actions.add("find", asked, found);
     fleet.actions.add("standing", protocol.statusOf(asked).orElse(null));
-    if (fleet.chance(0.1)) {
+    if (fleet.withProbability(0.1)) {
       fleet.actions.add("serial", protocol.nextSequenceNumber());
     }
   }
--- a/membership/src/test/java/org/amberpath/membership/SeededStranger.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededStranger.java
@@ -34,16 +34,16 @@
       return;
     }
     boolean flooded = fleet.setting == SeededFleet.Setting.FLOODED;
-    if (flooded && fleet.chance(0.5)) {
+    if (flooded && fleet.withProbability(0.5)) {
       madeUpNames(fleet.members.get(1));
-    } else if (flooded && fleet.chance(0.3)) {
+    } else if (flooded && fleet.withProbability(0.3)) {
       flood(target);
-    } else if (fleet.chance(0.02)) {
+    } else if (fleet.withProbability(0.02)) {
       impostors(target);
     } else if (fleet.stormy()) {
       int messages = 1 + random.nextInt(6);
       for (int message = 0; message < messages; message++) {
-        deliver(target, falsified(target, fleet.chance(0.5) ? member() : stranger()), 0);
+        deliver(target, falsified(target, fleet.withProbability(0.5) ? member() : stranger()), 0);
       }
     }
   }
@@ -58,7 +58,7 @@
       List<MemberUpdate> updates = new ArrayList<>();
       for (int update = 0; update < fleet.timings.maxUpdatesPerMessage(); update++) {
         String name = "x" + madeUp++;
-        MemberStatus status = fleet.chance(0.3) ? MemberStatus.ALIVE : MemberStatus.LEFT;
+        MemberStatus status = fleet.withProbability(0.3) ? MemberStatus.ALIVE : MemberStatus.LEFT;
         updates.add(new MemberUpdate(name, "b" + madeUp, 1, madeUp, status, name));
       }
       deliver(target, message(target, Kind.PING, stranger(), null, updates), message);
@@ -71,7 +71,7 @@
     int askers = 1 + random.nextInt(40);
     Kind[] kinds = {Kind.PING, Kind.ASK, Kind.ASK, Kind.ASK, Kind.SYNC};
     Kind kind = kinds[random.nextInt(kinds.length)];
-    int messages = fleet.chance(0.1) ? GREAT_FLOOD : FLOOD;
+    int messages = fleet.withProbability(0.1) ? GREAT_FLOOD : FLOOD;
     for (int message = 0; message < messages; message++) {
       String name = "s" + message % askers;
       MemberUpdate from = new MemberUpdate(name, "c", 1, name.hashCode(), MemberStatus.ALIVE, name);
@@ -91,7 +91,7 @@
               other,
               MemberStatus.ALIVE,
               target.name);
-      boolean direct = fleet.chance(0.5);
+      boolean direct = fleet.withProbability(0.5);
       MemberUpdate from = direct ? impostor : stranger();
       deliver(target, message(target, Kind.PING, from, null, List.of(impostor)), other);
     }
@@ -107,7 +107,7 @@
   private MemberUpdate member() {
     SeededMember member = fleet.anyMember();
     long incarnation = incarnationNear(member);
-    long birth = fleet.chance(0.5) ? member.birth() : random.nextInt(20);
+    long birth = fleet.withProbability(0.5) ? member.birth() : random.nextInt(20);
     return new MemberUpdate(
         member.name, member.address, incarnation, birth, MemberStatus.ALIVE, member.name);
   }
@@ -121,13 +121,13 @@
 
   private MemberUpdate update(SeededMember about) {
     long incarnation =
-        fleet.chance(0.05)
+        fleet.withProbability(0.05)
             ? fleet.now() / SeededFleet.SECOND + FAR_AHEAD - 3 + random.nextInt(7)
             : incarnationNear(about);
-    long birth = fleet.chance(0.7) ? about.birth() : random.nextInt(20);
+    long birth = fleet.withProbability(0.7) ? about.birth() : random.nextInt(20);
     MemberStatus[] all = MemberStatus.values();
     MemberStatus status = all[random.nextInt(all.length)];
-    String by = fleet.chance(0.5) ? fleet.anyMember().name : "s" + random.nextInt(5);
+    String by = fleet.withProbability(0.5) ? fleet.anyMember().name : "s" + random.nextInt(5);
     return new MemberUpdate(about.name, about.address, incarnation, birth, status, by);
   }
 
@@ -137,27 +137,27 @@
     List<MemberUpdate> updates = new ArrayList<>();
     int count = random.nextInt(4);
     for (int update = 0; update < count; update++) {
-      updates.add(update(fleet.chance(0.3) ? target : fleet.anyMember()));
+      updates.add(update(fleet.withProbability(0.3) ? target : fleet.anyMember()));
     }
-    String about = kind == Kind.ASK || fleet.chance(0.2) ? fleet.anyMember().name : null;
+    String about = kind == Kind.ASK || fleet.withProbability(0.2) ? fleet.anyMember().name : null;
     return message(target, kind, from, about, updates);
   }
 
   private GossipMessage message(
       SeededMember target, Kind kind, MemberUpdate from, String about, List<MemberUpdate> updates) {
     GossipMessage seen = fleet.anySeen();
-    boolean more = kind == Kind.PAGE && !updates.isEmpty() && fleet.chance(0.5);
+    boolean more = kind == Kind.PAGE && !updates.isEmpty() && fleet.withProbability(0.5);
     return new GossipMessage(
         kind,
         from,
-        fleet.chance(0.95) ? target.birth() : 0,
+        fleet.withProbability(0.95) ? target.birth() : 0,
         ++serial,
-        seen == null || fleet.chance(0.2) ? random.nextInt(50) : seen.probeNumber(),
+        seen == null || fleet.withProbability(0.2) ? random.nextInt(50) : seen.probeNumber(),
         seen == null ? 0 : seen.countedDigest(),
         seen == null ? 0 : seen.presentDigest(),
         about,
         more,
-        fleet.chance(0.7),
+        fleet.withProbability(0.7),
         updates);
   }
 }
