--- /dev/null
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
@@ -0,0 +1,72 @@
+package org.amberpath.membership.runtime;
+
+import java.util.Optional;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimProtocol;
+
+/**
+ * Takes received datagrams: decodes them, lets the {@link ReplayFilter} decide, and tells the
+ * protocol or the {@link FleetMessageHandler}. Each datagram is counted once.
+ */
+final class DatagramReceiver {
+  private final DatagramCodec codec;
+  private final DatagramCounters counters;
+  private final ReplayFilter replayFilter;
+  private final SwimProtocol protocol;
+  private final Optional<FleetMessageHandler> handler;
+
+  DatagramReceiver(
+      DatagramCodec codec,
+      DatagramCounters counters,
+      ReplayFilter replayFilter,
+      SwimProtocol protocol,
+      Optional<FleetMessageHandler> handler) {
+    this.codec = codec;
+    this.counters = counters;
+    this.replayFilter = replayFilter;
+    this.protocol = protocol;
+    this.handler = handler;
+  }
+
+  /** Takes one datagram; throws for no bytes whatever. */
+  void receive(byte[] datagram, HmacKeyring keys, long nowNanos) {
+    if (!replayFilter.tryExamine(nowNanos)) {
+      counters.count(DatagramCounters.Result.TOO_MANY);
+      return;
+    }
+    DecodedDatagram decoded = codec.decode(datagram, keys);
+    if (decoded instanceof DecodedDatagram.Rejected rejected) {
+      counters.count(rejected.fault());
+    } else if (decoded instanceof DecodedDatagram.Gossip gossip) {
+      receive(gossip.message(), nowNanos);
+    } else if (decoded instanceof DecodedDatagram.User user) {
+      receive(user.message(), nowNanos);
+    }
+  }
+
+  private void receive(GossipMessage message, long nowNanos) {
+    ReplayFilter.Verdict verdict = replayFilter.check(nowNanos, message);
+    counters.count(verdict);
+    if (verdict == ReplayFilter.Verdict.GREETED) {
+      protocol.greet(nowNanos, message.sender());
+    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+      protocol.messageReceived(nowNanos, message);
+    }
+  }
+
+  private void receive(UserMessage message, long nowNanos) {
+    MemberUpdate sender = message.sender();
+    ReplayFilter.Verdict verdict =
+        replayFilter.check(
+            nowNanos, sender.instanceId(), message.recipientInstanceId(), message.sequenceNumber());
+    counters.count(verdict);
+    if (verdict == ReplayFilter.Verdict.GREETED) {
+      protocol.greet(nowNanos, sender);
+    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
+      handler.ifPresent(
+          receiver -> receiver.messageReceived(nowNanos, sender.name(), message.body()));
+    }
+  }
+}
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -45,7 +45,7 @@
   private final Optional<FleetMessageHandler> handler;
   private final Optional<AdminEndpoint> admin;
   private SwimProtocol protocol;
-  private ReplayFilter replayFilter;
+  private DatagramReceiver receiver;
   private long timerId = NOT_STARTED;
   private int quotaDivisor;
   private double quotaShare = -1;
@@ -110,7 +110,6 @@
     String address =
         settings.advertised() == null ? boundAddress : hostAndPort(settings.advertised());
     String name = options.name();
-    replayFilter = new ReplayFilter(instanceId, timings.probeIntervalNanos(), nowNanos);
     protocol =
         new SwimProtocol(
             timings,
@@ -120,6 +119,13 @@
             options.routingConfig().seed() ^ instanceId,
             nowNanos,
             new ProtocolOutput());
+    receiver =
+        new DatagramReceiver(
+            codec,
+            counters,
+            new ReplayFilter(instanceId, timings.probeIntervalNanos(), nowNanos),
+            protocol,
+            handler);
     log.joining(settings.fleet(), keyring.current().signingKeyId(), boundAddress, address, timings);
     socket.onDatagram(this::datagramReceived);
     long tickMillis =
@@ -143,47 +149,10 @@
   // ---- Datagrams.
 
   private void datagramReceived(byte[] datagram) {
-    long nowNanos = clock.nowNanos();
-    if (!replayFilter.tryExamine(nowNanos)) {
-      counters.count(DatagramCounters.Result.TOO_MANY);
-      return;
-    }
-    DecodedDatagram decoded = codec.decode(datagram, keyring.current());
-    if (decoded instanceof DecodedDatagram.Rejected rejected) {
-      counters.count(rejected.fault());
-      return;
-    }
-    if (decoded instanceof DecodedDatagram.Gossip gossip) {
-      gossipReceived(gossip.message(), nowNanos);
-    } else if (decoded instanceof DecodedDatagram.User user) {
-      userMessageReceived(user.message(), nowNanos);
-    }
+    receiver.receive(datagram, keyring.current(), clock.nowNanos());
     updateQuotaShare();
   }
 
-  private void gossipReceived(GossipMessage message, long nowNanos) {
-    ReplayFilter.Verdict verdict = replayFilter.check(nowNanos, message);
-    counters.count(verdict);
-    if (verdict == ReplayFilter.Verdict.GREETED) {
-      protocol.greet(nowNanos, message.sender());
-    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
-      protocol.messageReceived(nowNanos, message);
-    }
-  }
-
-  private void userMessageReceived(UserMessage message, long nowNanos) {
-    MemberUpdate sender = message.sender();
-    ReplayFilter.Verdict verdict =
-        replayFilter.check(
-            nowNanos, sender.instanceId(), message.recipientInstanceId(), message.sequenceNumber());
-    counters.count(verdict);
-    if (verdict == ReplayFilter.Verdict.GREETED) {
-      protocol.greet(nowNanos, sender);
-    } else if (verdict == ReplayFilter.Verdict.TAKEN) {
-      handler.ifPresent(taken -> taken.messageReceived(nowNanos, sender.name(), message.body()));
-    }
-  }
-
   private final class ProtocolOutput implements SwimProtocol.Output {
     @Override
     public void send(String address, GossipMessage message) {
@@ -192,17 +161,17 @@
 
     @Override
     public void memberStatusChanged(String name, MemberStatus status) {
-      log.change(name + " " + status);
+      log.statusChanged(name, status);
     }
 
     @Override
     public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-      log.change(from + " -> " + to);
+      log.phaseChanged(from, to);
     }
 
     @Override
     public void nameConflictDetected(String address) {
-      log.warning("another process goes by this name at " + address);
+      log.nameConflict(address);
     }
   }
 
@@ -213,10 +182,7 @@
     }
     quotaDivisor = protocol.countedMembers();
     quotaShare = protocol.quotaShare();
-    log.change(
-        quotaShare > 0
-            ? "one part of " + quotaDivisor
-            : "no part yet of what " + quotaDivisor + " share");
+    log.quotaShareChanged(quotaDivisor, quotaShare > 0);
     callbacks.quotaShareChanged(quotaDivisor, quotaShare);
   }
 
@@ -293,8 +259,8 @@
     startedHandler().ifPresent(FleetMessageHandler::settingsReloaded);
     keyring
         .load()
-        .onSuccess(keys -> log.info("signs by key " + keys.signingKeyId()))
-        .onFailure(failure -> log.warning("the keys stay: " + failure.getMessage()));
+        .onSuccess(keys -> log.keysReloaded(keys.signingKeyId()))
+        .onFailure(failure -> log.keysUnchanged(failure.getMessage()));
   }
 
   @Override
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -9,7 +9,7 @@
  *
  * @param fleet the fleet's name; datagrams of other fleets are rejected
  * @param listen where datagrams are received; port 0 takes a free one
- * @param advertised the address that others are told in its place; null for the same
+ * @param advertised the address that is sent to others in its place; null for the same
  * @param seeds addresses of which any may answer at a start
  * @param maxMembers the most gateways that may run at once; 0 for the number of the routing
  *     configuration
