--- a/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
+++ b/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
@@ -37,7 +37,7 @@
     nextSyncNanos = nowNanos;
   }
 
-  /** The first other member was heard of. */
+  /** The first other member became known. */
   void firstContact(long nowNanos) {
     if (!context.local().isFullySynced()) {
       nextSyncNanos = nowNanos;
--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -20,9 +20,13 @@
   /** A probe fails after so many answer timeouts, the first of them for the direct way. */
   private static final int FAILED_AFTER_TIMEOUTS = 3;
 
+  /** How far the own probe is. */
   private enum State {
+    /** No probe runs. */
     IDLE,
+    /** The member itself was sent a ping. */
     DIRECT,
+    /** The direct answer is late; other members were asked for help. */
     INDIRECT
   }
 
@@ -65,7 +69,7 @@
   /** Takes the answer to an own probe or to one for another member. */
   void ackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
-      state = State.IDLE;
+      enter(State.IDLE);
       localHealth.improve();
     }
     Relayed done = relayed.remove(answeredNumber);
@@ -94,7 +98,7 @@
 
   /** After a standstill: what was not heard proves nothing. */
   void reset() {
-    state = State.IDLE;
+    enter(State.IDLE);
     relayed.clear();
   }
 
@@ -120,11 +124,19 @@
               requestNumber = context.sender().nextProbeNumber();
               sentAtNanos = nowNanos;
               silentHelpers = 0;
-              state = State.DIRECT;
+              enter(State.DIRECT);
               ping(next, requestNumber);
             });
   }
 
+  /** The one place where the state changes: a probe goes from direct to indirect, and ends. */
+  private void enter(State next) {
+    if (next == State.INDIRECT && state != State.DIRECT) {
+      throw new IllegalStateException(state + " to " + next);
+    }
+    state = next;
+  }
+
   private boolean isCurrent(long number) {
     return state != State.IDLE && requestNumber == number;
   }
@@ -133,12 +145,12 @@
     long timeoutNanos = localHealth.scale(context.timings().probeTimeoutNanos());
     long waitedNanos = nowNanos - sentAtNanos;
     if (state != State.IDLE && !target.isPresent()) {
-      state = State.IDLE;
+      enter(State.IDLE);
     } else if (state == State.DIRECT && waitedNanos >= timeoutNanos) {
-      state = State.INDIRECT;
+      enter(State.INDIRECT);
       askHelpers();
     } else if (state == State.INDIRECT && waitedNanos >= FAILED_AFTER_TIMEOUTS * timeoutNanos) {
-      state = State.IDLE;
+      enter(State.IDLE);
       if (silentHelpers > 0) {
         localHealth.worsen(); // It may be this process that hears nothing.
       }
--- a/membership/src/main/java/org/amberpath/membership/MemberEntry.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberEntry.java
@@ -5,7 +5,7 @@
 
 /** What is held of one other member. */
 final class MemberEntry {
-  /** The update that takes precedence over all others that were heard of this member. */
+  /** The update that takes precedence over all others about this member. */
   MemberUpdate update;
 
   /** When the status changed last, in nanoseconds of this process's clock. */
@@ -17,8 +17,8 @@
   /** When the suspicion ends, in nanoseconds; meaningful while the member is suspected. */
   long suspicionDeadlineNanos;
 
-  /** Who accuses this member under its present incarnation. */
-  final Set<String> accusers = new HashSet<>();
+  /** Who reports this member as suspected under its present incarnation. */
+  final Set<String> reporters = new HashSet<>();
 
   /** How many of this member's requests were answered in the present period. */
   final ResponseRateLimiter.Window responses = new ResponseRateLimiter.Window();
--- a/membership/src/main/java/org/amberpath/membership/MembershipTable.java
+++ b/membership/src/main/java/org/amberpath/membership/MembershipTable.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 
 /**
- * All other members that this process has heard of, by name, and how many of them are present and
+ * All other members that this process knows, by name, and how many of them are present and
  * counted. An update replaces the one that is held if it takes precedence by incarnation, and under
  * the same incarnation by status ({@link MemberUpdate#supersedes}).
  *
@@ -21,7 +21,7 @@
 final class MembershipTable {
   private static final int MAX_MEMBERS = 2000;
 
-  /** Long enough that all have heard of the leave, so that no late update brings the name back. */
+  /** Long enough that the leave has reached all, so that no late update brings the name back. */
   private static final int REMEMBERED_PERIODS = 240;
 
   /**
@@ -74,7 +74,7 @@
     return entries.size() < MAX_MEMBERS;
   }
 
-  /** Adds a member that was not heard of before. */
+  /** Adds a member that was not known before. */
   MemberEntry add(MemberUpdate update) {
     MemberEntry entry = new MemberEntry(update);
     entries.put(update.name(), entry);
--- a/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 
 /**
- * Tells operators of another process that goes by this process's name, once for each such process.
+ * Reports another process that uses this process's name to operators, once for each such process.
  * One is recognised by a message of its own, or by updates about it that rise above this process's
  * incarnation {@value #RISES} times: a process that has ended doesn't rise above what outlived it,
  * except for what is still on its way.
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /**
- * Decides which datagrams a {@link SwimProtocol} is told: none that was recorded before, none meant
+ * Decides which datagrams reach a {@link SwimProtocol}: none that was recorded before, none meant
  * for another process or for one that ran here before, and not more than a bounded number, in all
  * and of each sender.
  *
--- a/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
+++ b/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
@@ -4,16 +4,16 @@
 
 /**
  * How long a suspicion lasts before the suspected member is lost. As in Lifeguard, it begins long
- * and shortens with each further accuser; it grows with the logarithm of the fleet's size, so that
+ * and shortens with each further reporter; it grows with the logarithm of the fleet's size, so that
  * the suspected member has time to hear of it and refute it.
  *
- * <p>Bounds: {@value #MIN_PERIODS} to {@value #MAX_PERIODS} periods for ten members; accusers past
- * {@value #CONFIRMING_ACCUSERS} change nothing.
+ * <p>Bounds: {@value #MIN_PERIODS} to {@value #MAX_PERIODS} periods for ten members; reporters past
+ * {@value #CONFIRMING_REPORTERS} change nothing.
  */
 final class SuspicionTimers {
   private static final int MIN_PERIODS = 4;
   private static final int MAX_PERIODS = 12;
-  private static final int CONFIRMING_ACCUSERS = 3;
+  private static final int CONFIRMING_REPORTERS = 3;
 
   private final MembershipTable table;
   private final long periodNanos;
@@ -25,25 +25,25 @@
 
   /** Begins the suspicion of a member that has just become suspected. */
   void start(MemberEntry entry, long nowNanos) {
-    entry.accusers.add(entry.update.reporter());
-    entry.suspicionDeadlineNanos = nowNanos + durationNanos(entry.accusers.size());
+    entry.reporters.add(entry.update.reporter());
+    entry.suspicionDeadlineNanos = nowNanos + durationNanos(entry.reporters.size());
   }
 
   /**
-   * Takes another accusation of a member that is suspected already; whether it shortened the
-   * suspicion. Guards against late detection of a crash.
+   * Takes another report of a member that is suspected already; whether it shortened the suspicion.
+   * Guards against late detection of a crash.
    */
-  boolean confirm(MemberEntry entry, MemberUpdate accusation) {
+  boolean confirm(MemberEntry entry, MemberUpdate report) {
     boolean confirmed =
-        accusation.status() == MemberStatus.SUSPECTED
+        report.status() == MemberStatus.SUSPECTED
             && entry.status() == MemberStatus.SUSPECTED
-            && accusation.incarnation() == entry.update.incarnation()
-            && entry.accusers.size() < CONFIRMING_ACCUSERS
-            && entry.accusers.add(accusation.reporter());
+            && report.incarnation() == entry.update.incarnation()
+            && entry.reporters.size() < CONFIRMING_REPORTERS
+            && entry.reporters.add(report.reporter());
     if (confirmed) {
-      int accusers = entry.accusers.size();
-      long startedAtNanos = entry.suspicionDeadlineNanos - durationNanos(accusers - 1);
-      entry.suspicionDeadlineNanos = startedAtNanos + durationNanos(accusers);
+      int reporters = entry.reporters.size();
+      long startedAtNanos = entry.suspicionDeadlineNanos - durationNanos(reporters - 1);
+      entry.suspicionDeadlineNanos = startedAtNanos + durationNanos(reporters);
     }
     return confirmed;
   }
@@ -68,8 +68,8 @@
     table.all().forEach(entry -> entry.suspicionDeadlineNanos += nanos);
   }
 
-  private long durationNanos(int accusers) {
-    double confirmed = Math.log(Math.max(1, accusers)) / Math.log(CONFIRMING_ACCUSERS);
+  private long durationNanos(int reporters) {
+    double confirmed = Math.log(Math.max(1, reporters)) / Math.log(CONFIRMING_REPORTERS);
     return (long)
         ((MAX_PERIODS - (MAX_PERIODS - MIN_PERIODS) * Math.min(1, confirmed))
             * periodNanos
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -15,7 +15,7 @@
  * incarnation ({@link SuspicionTimers}, {@link Refutation}), and gossip that rides on other
  * messages ({@link GossipQueue}) are those of SWIM (Das, Gupta, Motivala 2002). From Lifeguard
  * (Dadgar, Phillips, Currey 2017) come a member's doubt in its own health ({@link LocalHealth}),
- * suspicions that shorten as others confirm them, and that a suspected member is told first.
+ * suspicions that shorten as others confirm them, and that a suspected member hears of it first.
  * Anti-entropy ({@link AntiEntropySync}) mends what gossip missed.
  *
  * <p>{@link #quotaShare} is this gateway's part of limits that the whole fleet shares;
@@ -54,14 +54,14 @@
     /** The view has entered another phase. */
     void phaseChanged(Phase from, Phase to);
 
-    /** Another process goes by this gateway's name: called once for each such process. */
+    /** Another process uses this gateway's name: called once for each such process. */
     void nameConflictDetected(String address);
   }
 
   /**
    * What is held of another member.
    *
-   * @param update the update that takes precedence over all others heard of it
+   * @param update the update that takes precedence over all others about it
    * @param sinceNanos when its status changed last, in nanoseconds
    */
   public record ObservedMember(MemberUpdate update, long sinceNanos) {}
@@ -69,7 +69,7 @@
   /** After so many periods without a tick this process stood still. */
   private static final int STANDSTILL_PERIODS = 3;
 
-  /** To so many members a leave is told directly; gossip tells the others. */
+  /** So many members are sent the leave directly; gossip brings it to the others. */
   private static final int LEAVE_MESSAGES = 6;
 
   private final SwimTimings timings;
@@ -181,7 +181,7 @@
     antiEntropy.compare(message);
     boolean taken = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
     if (entry.update.instanceId() != from.instanceId() && responses.tryAcquire(entry, nowNanos)) {
-      // Guards against a start that nobody believes, since its clock went back: it is told what is
+      // Guards against a start that nobody believes, since its clock went back: it is sent what is
       // held of it.
       sender.send(from, Kind.NACK, 0, List.of(entry.update));
     }
@@ -259,7 +259,7 @@
   // ---- Operators.
 
   /**
-   * Leaves in order: from now on this gateway has no share. Some members are told; the others hear
+   * Leaves in order: from now on this gateway has no share. It is sent to some members; the others hear
    * it from them.
    */
   public void leave(long nowNanos) {
@@ -303,7 +303,7 @@
   }
 
   /**
-   * All other members that were heard of, ordered by name: those that are present, those that are
+   * All other known members, ordered by name: those that are present, those that are
    * lost, and for a while those that left.
    */
   public List<ObservedMember> otherMembers() {
@@ -340,7 +340,7 @@
   }
 
   /**
-   * By how many shared limits are divided: rises when a name is heard of, falls when one left,
+   * By how many shared limits are divided: rises when a name becomes known, falls when one left,
    * never by a loss.
    */
   public int countedMembers() {
--- a/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
+++ b/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
@@ -9,7 +9,7 @@
 final class UpdateMerger {
   /** What follows from a merge. */
   interface Listener {
-    /** A member was heard of for the first time; called before its status is told. */
+    /** A member became known; called before its first status. */
     void memberAdded(MemberEntry entry);
 
     /** A member has another status than before, or its first. */
@@ -83,7 +83,7 @@
     if (update.supersedes(entry.update)) {
       MemberStatus before = entry.status();
       entry.update = update;
-      entry.accusers.clear();
+      entry.reporters.clear();
       replaced(entry, Optional.of(before), nowNanos);
     } else if (suspicions.confirm(entry, update)) {
       gossip.enqueue(update.name());
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -18,7 +18,7 @@
   private ReplayFilter filter;
   private int process;
   private long clockOffset;
-  private long birth;
+  private long instanceId;
   private long pausedUntil;
   private long incarnation;
   private boolean leaving;
@@ -35,8 +35,8 @@
     return protocol != null;
   }
 
-  long birth() {
-    return birth;
+  long instanceId() {
+    return instanceId;
   }
 
   /** What this member says of itself at present; null while it is down. */
@@ -52,20 +52,20 @@
     leaving = false;
     pausedUntil = 0;
     clockOffset = (fleet.random.nextInt(10_001) - 5000) * MS;
-    birth = fleet.random.nextLong();
+    instanceId = fleet.random.nextLong();
     List<String> seeds =
         process > 1 && fleet.withProbability(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
-    filter = new ReplayFilter(birth, fleet.timings.probeIntervalNanos(), clock());
+    filter = new ReplayFilter(instanceId, fleet.timings.probeIntervalNanos(), clock());
     incarnation = clock() / SeededFleet.SECOND;
     protocol =
         new SwimProtocol(
             fleet.timings,
-            new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
+            new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name),
             seeds,
             fleet.random.nextLong(),
             clock(),
             this);
-    fleet.actions.add("start", index, clock(), birth);
+    fleet.actions.add("start", index, clock(), instanceId);
     observe();
     int started = process;
     fleet.plan(fleet.now() + fleet.random.nextInt(100) * MS, () -> tick(started));
--- a/membership/src/test/java/org/amberpath/membership/SeededStranger.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededStranger.java
@@ -107,9 +107,9 @@
   private MemberUpdate member() {
     SeededMember member = fleet.anyMember();
     long incarnation = incarnationNear(member);
-    long birth = fleet.withProbability(0.5) ? member.birth() : random.nextInt(20);
+    long instanceId = fleet.withProbability(0.5) ? member.instanceId() : random.nextInt(20);
     return new MemberUpdate(
-        member.name, member.address, incarnation, birth, MemberStatus.ALIVE, member.name);
+        member.name, member.address, incarnation, instanceId, MemberStatus.ALIVE, member.name);
   }
 
   private long incarnationNear(SeededMember member) {
@@ -124,11 +124,11 @@
         fleet.withProbability(0.05)
             ? fleet.now() / SeededFleet.SECOND + FAR_AHEAD - 3 + random.nextInt(7)
             : incarnationNear(about);
-    long birth = fleet.withProbability(0.7) ? about.birth() : random.nextInt(20);
+    long instanceId = fleet.withProbability(0.7) ? about.instanceId() : random.nextInt(20);
     MemberStatus[] all = MemberStatus.values();
     MemberStatus status = all[random.nextInt(all.length)];
     String by = fleet.withProbability(0.5) ? fleet.anyMember().name : "s" + random.nextInt(5);
-    return new MemberUpdate(about.name, about.address, incarnation, birth, status, by);
+    return new MemberUpdate(about.name, about.address, incarnation, instanceId, status, by);
   }
 
   private GossipMessage falsified(SeededMember target, MemberUpdate from) {
@@ -150,7 +150,7 @@
     return new GossipMessage(
         kind,
         from,
-        fleet.withProbability(0.95) ? target.birth() : 0,
+        fleet.withProbability(0.95) ? target.instanceId() : 0,
         ++serial,
         seen == null || fleet.withProbability(0.2) ? random.nextInt(50) : seen.probeNumber(),
         seen == null ? 0 : seen.countedDigest(),
