--- a/membership/src/main/java/org/amberpath/membership/MembershipTable.java
+++ b/membership/src/main/java/org/amberpath/membership/MembershipTable.java
@@ -11,9 +11,9 @@
 import java.util.function.Predicate;
 
 /**
- * All other members that this process knows, by name, and how many of them are present and
- * counted. An update replaces the one that is held if it takes precedence by incarnation, and under
- * the same incarnation by status ({@link MemberUpdate#supersedes}).
+ * All other members that this process knows, by name, and how many of them are present and counted.
+ * An update replaces the one that is held if it takes precedence by incarnation, and under the same
+ * incarnation by status ({@link MemberUpdate#supersedes}).
  *
  * <p>Bounds: {@value #MAX_MEMBERS} members. A member that left is counted for {@value
  * #COUNTED_AFTER_LEAVE_PERIODS} periods more and remembered for {@value #REMEMBERED_PERIODS}.
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -259,8 +259,8 @@
   // ---- Operators.
 
   /**
-   * Leaves in order: from now on this gateway has no share. It is sent to some members; the others hear
-   * it from them.
+   * Leaves in order: from now on this gateway has no share. It is sent to some members; the others
+   * hear it from them.
    */
   public void leave(long nowNanos) {
     phases.leave();
@@ -303,8 +303,8 @@
   }
 
   /**
-   * All other known members, ordered by name: those that are present, those that are
-   * lost, and for a while those that left.
+   * All other known members, ordered by name: those that are present, those that are lost, and for
+   * a while those that left.
    */
   public List<ObservedMember> otherMembers() {
     return table.all().stream()
--- /dev/null
+++ b/membership/src/test/java/org/amberpath/membership/SuspicionTimersTest.java
@@ -0,0 +1,72 @@
+package org.amberpath.membership;
+
+import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** How long a suspicion lasts. */
+class SuspicionTimersTest {
+  private final MembershipTable table = new MembershipTable("me", SwimTimings.defaults(2));
+  private final SuspicionTimers timers = new SuspicionTimers(table, PERIOD);
+
+  private static MemberUpdate suspicion(String reporter, long incarnation) {
+    return new MemberUpdate("other", "at-other", incarnation, 1, MemberStatus.SUSPECTED, reporter);
+  }
+
+  private MemberEntry suspected() {
+    MemberEntry entry = table.add(suspicion("a", 1));
+    timers.start(entry, 0);
+    table.recount(0);
+    return entry;
+  }
+
+  @Test
+  void suspicionByOneReporterLastsTwelvePeriodsInASmallFleet() {
+    MemberEntry entry = suspected();
+    assertTrue(timers.anyRunning());
+    assertTrue(timers.expired(12 * PERIOD - 1).isEmpty());
+    assertEquals(List.of(entry), timers.expired(12 * PERIOD));
+  }
+
+  @Test
+  void eachFurtherReporterShortensTheSuspicionAndOnlyOnce() {
+    MemberEntry entry = suspected();
+    assertTrue(timers.confirm(entry, suspicion("b", 1)));
+    long byTwo = entry.suspicionDeadlineNanos;
+    assertTrue(4 * PERIOD < byTwo && byTwo < 12 * PERIOD, "" + byTwo);
+    assertFalse(timers.confirm(entry, suspicion("b", 1)), "it has reported already");
+    assertTrue(timers.confirm(entry, suspicion("c", 1)));
+    assertEquals(4 * PERIOD, entry.suspicionDeadlineNanos);
+    assertFalse(timers.confirm(entry, suspicion("d", 1)), "three are enough");
+    assertEquals(4 * PERIOD, entry.suspicionDeadlineNanos);
+  }
+
+  @Test
+  void reportOfAnotherIncarnationConfirmsNothing() {
+    assertFalse(timers.confirm(suspected(), suspicion("b", 0)));
+  }
+
+  @Test
+  void suspicionIsLongerInALargeFleet() {
+    for (int member = 0; member < 98; member++) {
+      table.add(ProtocolHarness.update("m" + member, 1, MemberStatus.ALIVE));
+    }
+    table.recount(0);
+    MemberEntry entry = suspected();
+    timers.start(entry, 0);
+    assertEquals(100, table.countedNames());
+    assertEquals(24 * PERIOD, entry.suspicionDeadlineNanos);
+  }
+
+  @Test
+  void suspicionIsPutOffByAStandstill() {
+    MemberEntry entry = suspected();
+    timers.postpone(5 * PERIOD);
+    assertTrue(timers.expired(17 * PERIOD - 1).isEmpty());
+    assertEquals(List.of(entry), timers.expired(17 * PERIOD));
+  }
+}
