--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -34,7 +34,6 @@
   private record Relayed(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
 
   private final SwimContext context;
-  private final GossipQueue gossip;
   private final LocalHealth localHealth;
   private final ProbeOrder order;
   private final UpdateMerger merger;
@@ -53,13 +52,11 @@
 
   FailureDetector(
       SwimContext context,
-      GossipQueue gossip,
       LocalHealth localHealth,
       ProbeOrder order,
       UpdateMerger merger,
       long firstProbeNanos) {
     this.context = context;
-    this.gossip = gossip;
     this.localHealth = localHealth;
     this.order = order;
     this.merger = merger;
@@ -189,6 +186,6 @@
   }
 
   private void ping(MemberEntry entry, long number) {
-    context.sender().send(entry.update, Kind.PING, number, gossip.updatesFor(entry));
+    context.sender().send(entry.update, Kind.PING, number, context.gossip().updatesFor(entry));
   }
 }
--- /dev/null
+++ b/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
@@ -0,0 +1,89 @@
+package org.amberpath.membership;
+
+import java.util.List;
+import java.util.Optional;
+import org.amberpath.membership.GossipMessage.Kind;
+
+/**
+ * Takes a message: merges what it says of its sender and the gossip that it carries, then answers
+ * it by its kind, within the bounds of {@link ResponseRateLimiter}.
+ */
+final class MessageDispatcher {
+  private final SwimContext context;
+  private final UpdateMerger merger;
+  private final FailureDetector detector;
+  private final AntiEntropySync antiEntropy;
+  private final NameConflictDetector conflicts;
+  private final ResponseRateLimiter responses;
+
+  MessageDispatcher(
+      SwimContext context,
+      UpdateMerger merger,
+      FailureDetector detector,
+      AntiEntropySync antiEntropy,
+      NameConflictDetector conflicts,
+      ResponseRateLimiter responses) {
+    this.context = context;
+    this.merger = merger;
+    this.detector = detector;
+    this.antiEntropy = antiEntropy;
+    this.conflicts = conflicts;
+    this.responses = responses;
+  }
+
+  /** Takes a message; whether its sender is a known member then. */
+  boolean receive(GossipMessage message, long nowNanos) {
+    MemberUpdate sender = message.sender();
+    if (sender.name().equals(context.local().name())) {
+      conflicts.messageUnderOwnName(sender);
+      return false;
+    }
+    responses.advance(nowNanos);
+    boolean first = context.table().isEmpty();
+    merger.merge(sender, nowNanos);
+    message.updates().forEach(update -> merger.merge(update, nowNanos));
+    Optional<MemberEntry> known = context.table().find(sender.name());
+    if (known.isEmpty()) {
+      return false; // The table is full, or the sender's clock is far ahead.
+    }
+    MemberEntry entry = known.get();
+    if (first) {
+      antiEntropy.firstContact(nowNanos);
+    }
+    entry.reportedNamesDigest = message.countedDigest();
+    antiEntropy.compare(message);
+    boolean handled = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
+    if (entry.update.instanceId() != sender.instanceId() && responses.tryAcquire(entry, nowNanos)) {
+      // Guards against a start that nobody believes, since its clock went back: it is sent what is
+      // held of it.
+      context.sender().send(sender, Kind.NACK, 0, List.of(entry.update));
+    }
+    if (handled) {
+      handle(entry, message, nowNanos);
+    }
+    return true;
+  }
+
+  private static boolean isAnswer(Kind kind) {
+    return kind == Kind.ACK || kind == Kind.NACK || kind == Kind.PAGE;
+  }
+
+  private void handle(MemberEntry entry, GossipMessage message, long nowNanos) {
+    switch (message.kind()) {
+      case PING ->
+          context
+              .sender()
+              .send(
+                  message.sender(),
+                  Kind.ACK,
+                  message.probeNumber(),
+                  context.gossip().updatesFor(entry));
+      case ASK -> detector.relay(entry, message, nowNanos);
+      case ACK -> detector.ackReceived(message.probeNumber());
+      case NACK -> detector.nackReceived(message.probeNumber());
+      case SYNC -> antiEntropy.answer(message);
+      case PAGE -> antiEntropy.pageReceived(message, nowNanos);
+      default -> throw new AssertionError(message.kind());
+    }
+  }
+}
--- a/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
+++ b/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
@@ -15,14 +15,12 @@
   private static final int SEED_REQUESTERS = 8;
 
   private final SwimContext context;
-  private final GossipQueue gossip;
   private final List<String> seeds;
   private final long intervalNanos;
   private long nextTryNanos;
 
-  PartitionHealer(SwimContext context, GossipQueue gossip, List<String> seeds, long nowNanos) {
+  PartitionHealer(SwimContext context, List<String> seeds, long nowNanos) {
     this.context = context;
-    this.gossip = gossip;
     this.seeds = seeds;
     intervalNanos = INTERVAL_PERIODS * context.timings().probeIntervalNanos();
     nextTryNanos = nowNanos + intervalNanos;
@@ -45,7 +43,11 @@
     requestList(lost.update);
     context
         .sender()
-        .send(lost.update, Kind.PING, context.sender().nextProbeNumber(), gossip.updatesFor(lost));
+        .send(
+            lost.update,
+            Kind.PING,
+            context.sender().nextProbeNumber(),
+            context.gossip().updatesFor(lost));
   }
 
   /**
--- a/membership/src/main/java/org/amberpath/membership/SwimContext.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimContext.java
@@ -8,4 +8,5 @@
     SplittableRandom random,
     MembershipTable table,
     LocalMember local,
-    MessageSender sender) {}
+    MessageSender sender,
+    GossipQueue gossip) {}
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -79,14 +79,12 @@
   private final MessageSender sender;
   private final LocalHealth localHealth = new LocalHealth();
   private final SuspicionTimers suspicions;
-  private final GossipQueue gossip;
-  private final NameConflictDetector conflicts;
   private final UpdateMerger merger;
   private final ProbeOrder probeOrder;
   private final FailureDetector detector;
   private final AntiEntropySync antiEntropy;
   private final PartitionHealer healer;
-  private final ResponseRateLimiter responses;
+  private final MessageDispatcher dispatcher;
   private final QuotaAdmission quota;
   private final PhaseTracker phases;
   private long tickedAtNanos;
@@ -116,20 +114,21 @@
     table = new MembershipTable(self.name(), timings);
     sender = new MessageSender(local, table, out);
     suspicions = new SuspicionTimers(table, periodNanos);
-    gossip = new GossipQueue(table, local, timings.maxUpdatesPerMessage());
-    conflicts = new NameConflictDetector(local, out);
+    GossipQueue gossip = new GossipQueue(table, local, timings.maxUpdatesPerMessage());
+    NameConflictDetector conflicts = new NameConflictDetector(local, out);
     probeOrder = new ProbeOrder(random);
     phases = new PhaseTracker(table, local, out, periodNanos, nowNanos);
     Refutation refutation = new Refutation(local, localHealth, conflicts, gossip, periodNanos);
     merger = new UpdateMerger(table, local, suspicions, gossip, refutation, new MergeListener(out));
-    SwimContext context = new SwimContext(timings, random, table, local, sender);
+    SwimContext context = new SwimContext(timings, random, table, local, sender, gossip);
     List<String> otherSeeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
     long firstProbeNanos = nowNanos + random.nextLong(periodNanos);
-    detector =
-        new FailureDetector(context, gossip, localHealth, probeOrder, merger, firstProbeNanos);
+    detector = new FailureDetector(context, localHealth, probeOrder, merger, firstProbeNanos);
     antiEntropy = new AntiEntropySync(context, otherSeeds, nowNanos);
-    healer = new PartitionHealer(context, gossip, otherSeeds, nowNanos);
-    responses = new ResponseRateLimiter(periodNanos, nowNanos);
+    healer = new PartitionHealer(context, otherSeeds, nowNanos);
+    ResponseRateLimiter responses = new ResponseRateLimiter(periodNanos, nowNanos);
+    dispatcher =
+        new MessageDispatcher(context, merger, detector, antiEntropy, conflicts, responses);
     quota = new QuotaAdmission(context);
     tickedAtNanos = nowNanos;
   }
@@ -157,54 +156,8 @@
 
   /** Takes another member's message, whose sender is proved and which is new. */
   public void messageReceived(long nowNanos, GossipMessage message) {
-    MemberUpdate from = message.sender();
-    if (isLeaving()) {
-      return;
-    }
-    if (from.name().equals(local.name())) {
-      conflicts.messageUnderOwnName(from);
-      return;
-    }
-    responses.advance(nowNanos);
-    boolean first = table.isEmpty();
-    merger.merge(from, nowNanos);
-    message.updates().forEach(update -> merger.merge(update, nowNanos));
-    Optional<MemberEntry> known = table.find(from.name());
-    if (known.isEmpty()) {
-      return; // The table is full, or the sender's clock is far ahead.
-    }
-    MemberEntry entry = known.get();
-    if (first) {
-      antiEntropy.firstContact(nowNanos);
-    }
-    entry.reportedNamesDigest = message.countedDigest();
-    antiEntropy.compare(message);
-    boolean taken = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
-    if (entry.update.instanceId() != from.instanceId() && responses.tryAcquire(entry, nowNanos)) {
-      // Guards against a start that nobody believes, since its clock went back: it is sent what is
-      // held of it.
-      sender.send(from, Kind.NACK, 0, List.of(entry.update));
-    }
-    if (taken) {
-      dispatch(entry, message, nowNanos);
-    }
-    quota.update(nowNanos);
-  }
-
-  private static boolean isAnswer(Kind kind) {
-    return kind == Kind.ACK || kind == Kind.NACK || kind == Kind.PAGE;
-  }
-
-  private void dispatch(MemberEntry entry, GossipMessage message, long nowNanos) {
-    switch (message.kind()) {
-      case PING ->
-          sender.send(message.sender(), Kind.ACK, message.probeNumber(), gossip.updatesFor(entry));
-      case ASK -> detector.relay(entry, message, nowNanos);
-      case ACK -> detector.ackReceived(message.probeNumber());
-      case NACK -> detector.nackReceived(message.probeNumber());
-      case SYNC -> antiEntropy.answer(message);
-      case PAGE -> antiEntropy.pageReceived(message, nowNanos);
-      default -> {}
+    if (!isLeaving() && dispatcher.receive(message, nowNanos)) {
+      quota.update(nowNanos);
     }
   }
 
