--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -70,14 +70,15 @@
     server.requestHandler(this::respond);
   }
 
-  Future<Void> listen(SocketAddress address) {
+  /** Begins to listen; completes with the port. */
+  Future<Integer> listen(SocketAddress address) {
     return server
         .listen(address)
         .onSuccess(
             bound ->
                 LOG.info(
                     "fleet: operators ask at " + address.hostAddress() + ":" + bound.actualPort()))
-        .mapEmpty();
+        .map(HttpServer::actualPort);
   }
 
   void close() {
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -93,7 +93,7 @@
             boundAddress -> {
               join(boundAddress);
               return admin
-                  .map(endpoint -> endpoint.listen(settings.adminAddress()))
+                  .map(endpoint -> endpoint.listen(settings.adminAddress()).<Void>mapEmpty())
                   .orElseGet(Future::succeededFuture);
             })
         .recover(
@@ -282,6 +282,10 @@
     return Optional.ofNullable(protocol);
   }
 
+  Optional<FleetMessageHandler> handler() {
+    return handler;
+  }
+
   DatagramCounters counters() {
     return counters;
   }
--- /dev/null
+++ b/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
@@ -0,0 +1,246 @@
+package org.amberpath.membership.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.vertx.core.Future;
+import io.vertx.core.Promise;
+import io.vertx.core.Vertx;
+import io.vertx.core.VertxOptions;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClient;
+import io.vertx.core.http.HttpMethod;
+import io.vertx.core.json.JsonObject;
+import io.vertx.core.net.SocketAddress;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.Callable;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.function.Consumer;
+import org.amberpath.gateway.FleetCallbacks;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.routing.EndpointHealthStatus;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Two services on loopback sockets, and why one doesn't start. */
+class MembershipServiceTest {
+  private static final SocketAddress ANY_PORT = SocketAddress.inetSocketAddress(0, "127.0.0.1");
+  private static final long INTERVAL = 100_000_000;
+  private static final long TIMEOUT_SECONDS = 20;
+  private static final String KEY = "k1 0123456789abcdef0123456789abcdef";
+  private static final String OPTIONS =
+      """
+      {"seed":"1","listen":"127.0.0.1:0","settings":{"my-zone":"z","zones":["z"],"kinds":["edge"],
+      "replicas-of-me":2,"classes":[{"name":"clips","idempotency":"repeatable","target-s":0.4,
+      "points":1,"hard-limit-s":2}]}}""";
+
+  private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  @TempDir private Path folder;
+
+  @AfterEach
+  void closeVertx() throws Exception {
+    await(vertx.close());
+  }
+
+  private static <T> T await(Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+  }
+
+  private <T> T onLoop(Callable<T> action) throws Exception {
+    Promise<T> done = Promise.promise();
+    vertx.runOnContext(
+        turn -> {
+          try {
+            done.complete(action.call());
+          } catch (Exception e) {
+            done.fail(e);
+          }
+        });
+    return await(done.future());
+  }
+
+  private MembershipService service(
+      String name, String keys, List<SocketAddress> seeds, FleetMessageHandler.Factory handler)
+      throws Exception {
+    Path keyFile = Files.writeString(folder.resolve(name.length() + "keys"), keys);
+    Path config = Files.writeString(folder.resolve("config"), OPTIONS);
+    GatewayOptions options =
+        GatewayOptions.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_NAME", name), false);
+    MembershipSettings settings =
+        new MembershipSettings("stores", ANY_PORT, null, seeds, 0, INTERVAL, keyFile, null);
+    return onLoop(
+        () -> new MembershipService(vertx, settings, options, new IgnoredCallbacks(), handler));
+  }
+
+  private MembershipService started(
+      String name, List<SocketAddress> seeds, FleetMessageHandler.Factory handler)
+      throws Exception {
+    MembershipService service = service(name, KEY, seeds, handler);
+    await(onLoop(service::start));
+    return service;
+  }
+
+  private SocketAddress address(MembershipService service) throws Exception {
+    String text = onLoop(() -> service.protocol().orElseThrow().self().address());
+    return GatewayOptions.address("address", text);
+  }
+
+  @Test
+  void memberThatKnowsASeedJoinsAndItsMessageReachesTheHandlerThere() throws Exception {
+    Promise<byte[]> received = Promise.promise();
+    MembershipService seed =
+        started("g1", List.of(), (v, service) -> new Handler(service, received::tryComplete));
+    MembershipService joining =
+        started("g22", List.of(address(seed)), (v, service) -> new Handler(service, body -> {}));
+    assertArrayEquals(new byte[] {4, 2}, await(received.future()));
+    assertEquals(List.of("g1", "g22"), onLoop(joining::presentNames));
+    await(onLoop(joining::close));
+    await(onLoop(seed::close));
+  }
+
+  @Test
+  void adminEndpointShowsTheMembersAndAnswersConflictForAMemberThatIsNotLost() throws Exception {
+    MembershipService service = service("g1", KEY, List.of(), null);
+    AdminEndpoint admin = onLoop(() -> new AdminEndpoint(vertx, service, service.handler()));
+    int port = await(onLoop(() -> admin.listen(ANY_PORT)));
+    assertEquals(503, status(port, HttpMethod.GET, AdminEndpoint.MEMBERS_PATH));
+    await(onLoop(service::start));
+    JsonObject members = new JsonObject(body(port, AdminEndpoint.MEMBERS_PATH));
+    assertEquals(
+        Set.of(
+            "name",
+            "fleet",
+            "phase",
+            "there",
+            "told",
+            "counted",
+            "part",
+            "address",
+            "incarnation",
+            "gateways",
+            "datagrams"),
+        members.fieldNames());
+    assertEquals(2, members.getInteger("told"));
+    assertTrue(members.getJsonObject("datagrams").containsKey("other_key"), members.encode());
+    assertEquals(409, status(port, HttpMethod.POST, AdminEndpoint.FORGET_PATH + "g2"));
+    assertEquals(404, status(port, HttpMethod.GET, AdminEndpoint.TASKS_PATH));
+    await(onLoop(service::close));
+  }
+
+  @Test
+  void invalidKeyFileKeepsTheServiceFromStarting() throws Exception {
+    MembershipService service = service("g1", "k1 xyz", List.of(), null);
+    ExecutionException failure =
+        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+    assertInstanceOf(MembershipException.InvalidKeyFile.class, failure.getCause());
+  }
+
+  @Test
+  void missingKeyFileKeepsTheServiceFromStarting() throws Exception {
+    MembershipService service = service("g1", KEY, List.of(), null);
+    Files.delete(folder.resolve("2keys"));
+    ExecutionException failure =
+        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+    assertInstanceOf(MembershipException.StartFailed.class, failure.getCause());
+    assertTrue(failure.getCause().getMessage().startsWith("[fleet]: "));
+  }
+
+  @Test
+  void nameThatFitsIntoNoDatagramKeepsTheServiceFromStarting() throws Exception {
+    MembershipService service = service("no name", KEY, List.of(), null);
+    ExecutionException failure =
+        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+    assertInstanceOf(MembershipException.InvalidName.class, failure.getCause());
+  }
+
+  private int status(int port, HttpMethod method, String path) throws Exception {
+    HttpClient client = vertx.createHttpClient();
+    return await(
+        client
+            .request(method, port, "127.0.0.1", path)
+            .compose(request -> request.send())
+            .map(response -> response.statusCode()));
+  }
+
+  private String body(int port, String path) throws Exception {
+    HttpClient client = vertx.createHttpClient();
+    return await(
+        client
+            .request(HttpMethod.GET, port, "127.0.0.1", path)
+            .compose(request -> request.send())
+            .compose(response -> response.body())
+            .map(Buffer::toString));
+  }
+
+  /** Sends a message to each other member that is present, at each tick. */
+  private record Handler(MembershipService service, Consumer<byte[]> receiver)
+      implements FleetMessageHandler {
+    @Override
+    public void membershipStarted(long nowNanos) {}
+
+    @Override
+    public void tick(long nowNanos) {
+      service.presentNames().stream()
+          .filter(name -> !name.equals(service.name()))
+          .forEach(name -> service.sendMessage(name, new byte[] {4, 2}));
+    }
+
+    @Override
+    public void messageReceived(long nowNanos, String sender, byte[] body) {
+      receiver.accept(body);
+    }
+
+    @Override
+    public void endpointHealthChanged(
+        long nowNanos, String endpointId, EndpointHealthStatus health) {}
+
+    @Override
+    public void endpointWarmingUp(long nowNanos, String endpointId, long untilNanos) {}
+
+    @Override
+    public void settingsReloaded() {}
+
+    @Override
+    public void drainStarted(long nowNanos) {}
+
+    @Override
+    public JsonObject status(long nowNanos) {
+      return new JsonObject();
+    }
+
+    @Override
+    public boolean release(long nowNanos, String name) {
+      return false;
+    }
+
+    @Override
+    public void close(long nowNanos) {}
+  }
+
+  /** The router's side, which these tests don't look at. */
+  private static final class IgnoredCallbacks implements FleetCallbacks {
+    @Override
+    public void quotaShareChanged(int gateways, double share) {}
+
+    @Override
+    public void healthChecksCentralized(boolean centralized) {}
+
+    @Override
+    public void healthCheckReported(String endpointId, boolean answered, long ageNanos) {}
+
+    @Override
+    public boolean sendSyntheticRequest(
+        String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
+      return false;
+    }
+  }
+}
