--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -21,37 +21,38 @@
 
   private static final long NONE = Long.MIN_VALUE;
 
-  private Map<K, Long> recent = new HashMap<>();
-  private Map<K, Long> earlier = new HashMap<>();
-  private long backlogSince = NONE;
-  private long rotatedAt;
-  private int connectionAccepted;
+  private Map<K, Long> acceptedRecently = new HashMap<>();
+  private Map<K, Long> acceptedEarlier = new HashMap<>();
+  private long backlogSinceNanos = NONE;
+  private long rotatedAtNanos;
+  private int acceptedThisTurn;
 
   /**
    * A connection was accepted, by a loop that was so late just now or had not accepted for so long.
    */
-  public void connectionAccepted(K connection, long now, long lag) {
-    connectionAccepted++;
-    if (lag > 0 && (backlogSince == NONE || now - lag < backlogSince)) {
-      backlogSince = now - lag;
+  public void connectionAccepted(K connection, long nowNanos, long lagNanos) {
+    acceptedThisTurn++;
+    if (lagNanos > 0 && (backlogSinceNanos == NONE || nowNanos - lagNanos < backlogSinceNanos)) {
+      backlogSinceNanos = nowNanos - lagNanos;
     }
-    if (backlogSince != NONE) {
-      recent.put(connection, backlogSince);
+    if (backlogSinceNanos != NONE) {
+      acceptedRecently.put(connection, backlogSinceNanos);
     }
   }
 
   /**
    * A turn of the loop has ended, in which it has accepted at least once where anything was there.
    */
-  public void turnEnded(long now) {
-    if (connectionAccepted < ACCEPTS_PER_PASS) {
-      backlogSince = NONE;
+  public void turnEnded(long nowNanos) {
+    if (acceptedThisTurn < ACCEPTS_PER_PASS) {
+      backlogSinceNanos = NONE;
     }
-    connectionAccepted = 0;
-    if (now - rotatedAt >= FIRST_READ_NANOS && !(recent.isEmpty() && earlier.isEmpty())) {
-      rotatedAt = now;
-      earlier = recent;
-      recent = new HashMap<>();
+    acceptedThisTurn = 0;
+    if (nowNanos - rotatedAtNanos >= FIRST_READ_NANOS
+        && !(acceptedRecently.isEmpty() && acceptedEarlier.isEmpty())) {
+      rotatedAtNanos = nowNanos;
+      acceptedEarlier = acceptedRecently;
+      acceptedRecently = new HashMap<>();
     }
   }
 
@@ -59,8 +60,11 @@
    * How long what is read now from a connection may have waited with it; 0 where it was not
    * accepted late.
    */
-  public long lagNanos(K connection, long now) {
-    Long since = recent.containsKey(connection) ? recent.get(connection) : earlier.get(connection);
-    return since == null ? 0 : now - since;
+  public long lagNanos(K connection, long nowNanos) {
+    Long sinceNanos =
+        acceptedRecently.containsKey(connection)
+            ? acceptedRecently.get(connection)
+            : acceptedEarlier.get(connection);
+    return sinceNanos == null ? 0 : nowNanos - sinceNanos;
   }
 }
--- /dev/null
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -0,0 +1,148 @@
+package org.amberpath.routing;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Sends attempts by their routes, holds those that have not ended, and has the sweep timer fire
+ * while there are any.
+ */
+final class AttemptDispatcher {
+  private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
+  private static final String SWEEP_HANDLE = "sweep";
+
+  private final RoutingConfig config;
+  private final PurgeLog purges;
+  private final SlowStart slowStart;
+  private final AttemptRecorder recorder;
+
+  /** In the order in which they were sent. */
+  private final Set<Attempt> openAttempts = new LinkedHashSet<>();
+
+  private boolean isSweepScheduled;
+
+  /** A dispatcher without attempts; it reports each one to the recorder. */
+  AttemptDispatcher(
+      RoutingConfig config, PurgeLog purges, SlowStart slowStart, AttemptRecorder recorder) {
+    this.config = config;
+    this.purges = purges;
+    this.slowStart = slowStart;
+    this.recorder = recorder;
+  }
+
+  /** The attempts that have not ended, in the order in which they were sent; a view. */
+  Collection<Attempt> openAttempts() {
+    return Collections.unmodifiableSet(openAttempts);
+  }
+
+  /** The same as a copy, for loops that send further attempts. */
+  List<Attempt> copyOfOpenAttempts() {
+    return new ArrayList<>(openAttempts);
+  }
+
+  /** Sends a request's next attempt by the given route. */
+  void send(InFlightRequest request, Route route, Batch batch) {
+    long nowNanos = batch.nowNanos();
+    TrafficClass trafficClass = request.trafficClass;
+    limitRetryStart(request, batch);
+    batch.actions().sendAttempt(commandOf(request, route, nowNanos));
+    Attempt attempt =
+        new Attempt(
+            request,
+            request.attempts.size(),
+            route,
+            nowNanos,
+            slowStart.refundableSeconds(route, trafficClass, nowNanos));
+    request.attempts.add(attempt);
+    request.openAttempts++;
+    openAttempts.add(attempt);
+    recorder.recordSent(attempt, nowNanos);
+    if (!isSweepScheduled) {
+      scheduleSweep(batch);
+    }
+  }
+
+  /**
+   * Guards against an effect twice: a connection may come up after the endpoints have forgotten the
+   * idempotency key of an attempt that may have executed.
+   */
+  private static void limitRetryStart(InFlightRequest request, Batch batch) {
+    TrafficClass trafficClass = request.trafficClass;
+    if (request.firstExecuted != null
+        && trafficClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
+      batch
+          .actions()
+          .limitRetryStart(
+              request.id,
+              request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
+    }
+  }
+
+  private AttemptCommand commandOf(InFlightRequest request, Route route, long nowNanos) {
+    Endpoint endpoint = route.endpoint();
+    Endpoint source = route.source() == null ? endpoint : route.source();
+    TrafficClass trafficClass = request.trafficClass;
+    long maxAgeNanos =
+        trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
+    return new AttemptCommand(
+        request.id,
+        endpoint.index,
+        request.deadlineNanos,
+        source.index,
+        purges.maxCopyAgeNanos(request.object, request.group, maxAgeNanos, nowNanos),
+        request.rank,
+        options(trafficClass, source, route.cachedOnly(), nowNanos));
+  }
+
+  private int options(
+      TrafficClass trafficClass, Endpoint source, boolean cachedOnly, long nowNanos) {
+    boolean revalidates =
+        !cachedOnly && trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
+    return (config.coalescing() ? AttemptCommand.COALESCE : 0)
+        + (cachedOnly ? AttemptCommand.CACHED_ONLY : 0)
+        + (revalidates ? AttemptCommand.REVALIDATE : 0);
+  }
+
+  /** Cancels what has not ended of a request's attempts. */
+  void cancelAll(InFlightRequest request, Batch batch) {
+    for (Attempt attempt : request.attempts) {
+      if (openAttempts.contains(attempt)) {
+        batch.actions().cancelAttempt(request.id, attempt.number());
+      }
+    }
+  }
+
+  /**
+   * Drops the attempt of a result from those that have not ended.
+   *
+   * @return the attempt; null if there is none of that number, or if it had ended before
+   */
+  Attempt remove(InFlightRequest request, int number) {
+    if (number >= request.attempts.size()) {
+      return null;
+    }
+    Attempt attempt = request.attempts.get(number);
+    if (!openAttempts.remove(attempt)) {
+      return null;
+    }
+    request.openAttempts--;
+    return attempt;
+  }
+
+  /** The sweep timer has fired: has it fire again while there are attempts. */
+  void onTimer(Batch batch) {
+    isSweepScheduled = false;
+    if (!openAttempts.isEmpty()) {
+      scheduleSweep(batch);
+    }
+  }
+
+  private void scheduleSweep(Batch batch) {
+    isSweepScheduled = true;
+    batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+  }
+}
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -52,12 +52,16 @@
 
   /** An attempt has ended; it took so many nanoseconds. */
   void recordEnded(
-      Attempt attempt, AttemptOutcome outcome, long tookNanos, ResponseDetail note, Batch batch) {
+      Attempt attempt,
+      AttemptOutcome outcome,
+      long durationNanos,
+      ResponseDetail detail,
+      Batch batch) {
     attempt.endpoint().limit.inFlight--;
     switch (outcome) {
-      case SUCCEEDED -> recordReturned(attempt, tookNanos, note, batch);
-      case REJECTED, NOT_CACHED, FAILED -> recordRejected(attempt, outcome, note, batch);
-      case TIMED_OUT -> recordUnanswered(attempt, batch.nowNanos());
+      case SUCCEEDED -> recordSucceeded(attempt, durationNanos, detail, batch);
+      case REJECTED, NOT_CACHED, FAILED -> recordRejected(attempt, outcome, detail, batch);
+      case TIMED_OUT -> recordTimedOut(attempt, batch.nowNanos());
       case CONNECTION_LOST ->
           attempt.endpoint()
               .health
@@ -67,66 +71,71 @@
     }
   }
 
-  private void recordReturned(Attempt attempt, long tookNanos, ResponseDetail note, Batch batch) {
+  private void recordSucceeded(
+      Attempt attempt, long durationNanos, ResponseDetail detail, Batch batch) {
     InFlightRequest request = attempt.request();
     TrafficClass trafficClass = request.trafficClass;
-    boolean isHit = note == ResponseDetail.HIT || note == ResponseDetail.NONE;
-    trafficClass.recordRoute(note);
+    boolean isHit = detail == ResponseDetail.HIT || detail == ResponseDetail.NONE;
+    trafficClass.recordRoute(detail);
     recordWork(attempt, attempt.endpoint(), batch);
-    history.recordAnswer(request.object, tookNanos);
+    history.recordResponseTime(request.object, durationNanos);
     if (isHit) {
       slowStart.refund(attempt.source(), attempt.refundableWorkSeconds(), batch.nowNanos());
     } else {
       recordWork(attempt, attempt.source(), batch);
     }
     if (isHit && !request.sizeKnown) {
-      trafficClass.recordDuration(tookNanos);
+      trafficClass.recordDuration(durationNanos);
     }
     if (request.durationKnown) {
       recordLatency(
-          attempt, tookNanos, isHit, note == ResponseDetail.FILLED_BY_ORIGIN, batch.nowNanos());
+          attempt,
+          durationNanos,
+          isHit,
+          detail == ResponseDetail.FILLED_BY_ORIGIN,
+          batch.nowNanos());
     }
   }
 
   private void recordWork(Attempt attempt, Endpoint endpoint, Batch batch) {
     double workSeconds = attempt.request().trafficClass.workNanos() / NANOS_PER_SECOND;
-    endpoint.warmUp.recordReturned(workSeconds, batch.nowNanos());
-    outlierDetector.onAnswer(endpoint, attempt.sentAtNanos(), batch);
+    endpoint.warmUp.recordServedWork(workSeconds, batch.nowNanos());
+    outlierDetector.onResponse(endpoint, attempt.sentAtNanos(), batch);
   }
 
   private void recordLatency(
-      Attempt attempt, long tookNanos, boolean isHit, boolean isByOrigin, long nowNanos) {
-    boolean inTime = tookNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
+      Attempt attempt, long durationNanos, boolean isHit, boolean isFilledByOrigin, long nowNanos) {
+    boolean inTime = durationNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
     ConcurrencyLimit limit =
-        isByOrigin
+        isFilledByOrigin
             ? limiter.originLimit()
             : isHit ? attempt.endpoint().limit : attempt.source().limit;
-    limit.onAnswer(nowNanos, inTime);
+    limit.onResponse(nowNanos, inTime);
     if (inTime) {
       limit.lastPromptSentNanos = Math.max(limit.lastPromptSentNanos, attempt.sentAtNanos());
     }
-    if (!isHit && !isByOrigin) {
-      limiter.uplinkLimit().onAnswer(nowNanos, inTime);
+    if (!isHit && !isFilledByOrigin) {
+      limiter.uplinkLimit().onResponse(nowNanos, inTime);
     }
   }
 
   private void recordRejected(
-      Attempt attempt, AttemptOutcome outcome, ResponseDetail note, Batch batch) {
+      Attempt attempt, AttemptOutcome outcome, ResponseDetail detail, Batch batch) {
     long nowNanos = batch.nowNanos();
     attempt.endpoint().health.lastResponseNanos = nowNanos;
     if (attempt.request().isSynthetic() && outcome == AttemptOutcome.NOT_CACHED) {
-      outlierDetector.onAnswer(attempt.endpoint(), attempt.sentAtNanos(), batch);
+      outlierDetector.onResponse(attempt.endpoint(), attempt.sentAtNanos(), batch);
     }
-    if (RetryPolicy.isSourceFault(note)) {
-      attempt.request().trafficClass.recordRoute(note);
+    if (RetryPolicy.isSourceFault(detail)) {
+      attempt.request().trafficClass.recordRoute(detail);
     }
-    if (note == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
+    if (detail == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
       attempt.source().health.failures++;
-      attempt.source().limit.onAnswer(nowNanos, false);
-    } else if (note == ResponseDetail.ORIGIN_FAILED || note == ResponseDetail.FILL_REJECTED) {
-      boolean isOrigins =
-          note == ResponseDetail.ORIGIN_FAILED || attempt.source() == endpoints.origin();
-      (isOrigins ? limiter.originLimit() : attempt.source().limit).onRejected(nowNanos);
+      attempt.source().limit.onResponse(nowNanos, false);
+    } else if (detail == ResponseDetail.ORIGIN_FAILED || detail == ResponseDetail.FILL_REJECTED) {
+      boolean isOriginFault =
+          detail == ResponseDetail.ORIGIN_FAILED || attempt.source() == endpoints.origin();
+      (isOriginFault ? limiter.originLimit() : attempt.source().limit).onRejected(nowNanos);
     } else if (outcome == AttemptOutcome.REJECTED) {
       attempt.endpoint().limit.onRejected(nowNanos);
     }
@@ -136,12 +145,12 @@
    * Guards a source against the blame for answers that got lost behind a silent endpoint, and for
    * attempts that were sent so late that their deadline came before they could be overdue.
    */
-  private static void recordUnanswered(Attempt attempt, long nowNanos) {
+  private static void recordTimedOut(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
     if (attempt.number() > 0 && !attempt.isOverdue(nowNanos)) {
       return;
     }
-    source.limit.onAnswer(
+    source.limit.onResponse(
         nowNanos,
         !attempt.hasSource()
             || source.health.lastResponseNanos
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -2,7 +2,9 @@
 
 import java.util.SplittableRandom;
 
-/** Takes changes of the endpoint list and of the fleet to all that keep state by endpoint. */
+/**
+ * Applies changes of the endpoint list and of the fleet to everything that keeps state by endpoint.
+ */
 final class ClusterManager {
   private static final double MIN_WEIGHT = 1e-3;
 
@@ -12,6 +14,7 @@
   private final SlowStart slowStart;
   private final ConcurrencyLimiter limiter;
   private final SplittableRandom random;
+  private boolean isSubscribed;
 
   /** A manager of the given table and of those that keep state by its endpoints. */
   ClusterManager(
@@ -29,9 +32,18 @@
     this.random = random;
   }
 
+  /** Subscribes to the endpoint list, where that is needed and has not been done. */
+  void subscribeIfNeeded(Batch batch) {
+    if (!isSubscribed && config.endpointListOnRequest()) {
+      isSubscribed = true;
+      batch.actions().subscribeEndpoints();
+    }
+  }
+
   /** A list begins: a full one replaces all endpoints that it does not name. */
-  void beginList(EndpointListKind listing) {
-    if (listing == EndpointListKind.FULL) {
+  void beginList(EndpointListKind kind) {
+    isSubscribed = kind != EndpointListKind.NONE;
+    if (kind == EndpointListKind.FULL) {
       for (Endpoint endpoint : endpoints.all()) {
         endpoint.state = EndpointState.GONE;
       }
@@ -95,10 +107,10 @@
    * The number of gateways has changed: limits of what all share shrink at once, and grow by
    * answers.
    */
-  void updateShare(int gateways, boolean mayTake, long nowNanos) {
+  void updateShare(int gateways, boolean isGranted, long nowNanos) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
     double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
-    share.update(gateways, mayTake);
+    share.update(gateways, isGranted);
     limiter.originLimit().rescale(otherBefore, share.fractionOf(Endpoint.Role.ORIGIN));
     for (Endpoint endpoint : endpoints.all()) {
       endpoint.limit.rescale(
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -109,12 +109,12 @@
    * Counted as long in flight: a quick rejection would leave the limit free to ask again at once.
    */
   void onRejected(long nowNanos) {
-    onAnswer(nowNanos, false);
+    onResponse(nowNanos, false);
     debt += REJECTION_DEBT;
   }
 
   /** A late answer cuts from what is used, so that a limit that was never reached binds at once. */
-  void onAnswer(long nowNanos, boolean inTime) {
+  void onResponse(long nowNanos, boolean inTime) {
     advanceTo(nowNanos);
     if (inTime) {
       limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -54,23 +54,26 @@
 
   /** Gives each limit its share after a change of the list or of the fleet. */
   void assignShares(GatewayShare share) {
-    int inZone = share.gatewaysInZone();
+    int gatewaysInZone = share.gatewaysInZone();
     double originShare =
         endpoints.upEdges()
             / EDGES_PER_GATEWAY
             / share.gatewaysInAll()
             * (share.isGranted() ? 1 : 0);
     double sharedInitial =
-        INITIAL_LIMIT * (1 + 1.0 / inZone) / 2; // Where many share, each learns more slowly.
+        INITIAL_LIMIT
+            * (1 + 1.0 / gatewaysInZone)
+            / 2; // Where many share, each learns more slowly.
     originLimit.setShare(originShare, sharedInitial);
-    uplinkLimit.setShare(endpoints.zoneEdges().length / EDGES_PER_GATEWAY / inZone, sharedInitial);
+    uplinkLimit.setShare(
+        endpoints.zoneEdges().length / EDGES_PER_GATEWAY / gatewaysInZone, sharedInitial);
     double parentShare =
         originShare
             * PARENTS_PER_GATEWAY
             / Math.max(PARENTS_PER_GATEWAY, endpoints.parents().length);
     for (Endpoint endpoint : endpoints.all()) {
       if (endpoint.isEdge()) {
-        endpoint.limit.setShare(1.0 / inZone, INITIAL_LIMIT);
+        endpoint.limit.setShare(1.0 / gatewaysInZone, INITIAL_LIMIT);
       } else {
         endpoint.limit.setShare(parentShare, sharedInitial);
       }
@@ -180,8 +183,8 @@
       InFlightRequest request = attempt.request();
       boolean isExpired = nowNanos >= request.deadlineNanos; // Whoever fills has given it up.
       if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
-        boolean isLikely = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
-        addFill(attempt, isLikely ? 1 : request.trafficClass.missFraction(), nowNanos);
+        boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
+        addFill(attempt, isLikelyFill ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
     }
     // A source past its limit is stalled itself: what waits there does not use the link.
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -1,90 +1,91 @@
 package org.amberpath.routing;
 
 /**
- * Whether what a gateway knows of drains and purges is young enough to decide and to send by. An
- * event counts as told when the journal has it, whether this gateway has read it or not; so a
- * gateway that was late, or has just started, reads first and decides then. Told what was read and
- * asked, and when; times are nanoseconds of one clock.
+ * Whether a gateway's knowledge of drains and purges is fresh enough to decide and to send by. An
+ * event counts as notified when the journal has it, whether this gateway has read it or not; so a
+ * gateway that was late, or has just started, reads first and decides then. Times are nanoseconds
+ * of one monotonic clock; all calls come on the gateway's event loop.
  *
- * <p>Two things make news old. The loop stood still: then all that waits on the sockets is read
- * before anything is decided. A reply was found after the loop stood, or there was none since the
- * start: what came to the journal after that reply is asked for once more, with no waiting, and
- * decisions wait for it. A journal that fails, breaks off or falls silent is no lateness of this
- * gateway's: nobody waits for it (docs/design.md).
+ * <p>Two things make the knowledge stale. The event loop was blocked: then the sockets are read
+ * before anything is decided. A response was read late, or there was none since the start: then the
+ * journal is polled once more without waiting for new events, and decisions wait for that response.
+ * A journal that fails, breaks off or falls silent does not make this gateway late: decisions do
+ * not wait for it. Source: docs/design.md, "Stale discovery".
  */
 public final class DiscoveryFreshness {
-  /**
-   * Parts of the grace that a gap in reading, a reply's way, and deciding and sending may each
-   * take.
-   */
-  private static final int PARTS = 4;
+  /** A delay in reading, in polling, and in deciding may each take this part of the grace. */
+  private static final int GRACE_PARTS = 4;
 
-  /**
-   * Replies in a row that took long, and questions in a row that failed, after which nobody waits
-   * for more.
-   */
-  private static final int MOST_LATE = 3, MOST_FAILED = 2;
+  /** Late responses in a row after which decisions no longer wait for another one. */
+  private static final int MAX_LATE_RESPONSES = 3;
+
+  /** Failed polls in a row after which decisions no longer wait for another one. */
+  private static final int MAX_FAILED_REQUESTS = 2;
 
-  private final long bound;
-  private long readAt, askedAt;
-  private int late, requestFailed;
+  private final long maxDelayNanos;
+  private long socketsReadAtNanos;
+  private long requestSentAtNanos;
+  private int lateResponses;
+  private int failedRequests;
   private boolean awaitsResponse;
 
   /**
-   * News of a start.
+   * The state at a gateway's start: its configuration is as old as the start took.
    *
-   * @param grace the shortest time within which a drain or a purge has to be heeded
-   * @param asks whether a journal is asked for news; other sources tell unasked
+   * @param graceNanos the shortest time within which a drain or a purge must be heeded
+   * @param pollsJournal whether a journal is polled; other sources notify unasked
+   * @param nowNanos the time of the start
    */
-  public DiscoveryFreshness(long grace, boolean asks, long now) {
-    bound = Math.max(1, grace / PARTS);
-    awaitsResponse = asks; // What was known at the start is as old as the start took.
-    readAt = now;
-    askedAt = now;
+  public DiscoveryFreshness(long graceNanos, boolean pollsJournal, long nowNanos) {
+    maxDelayNanos = Math.max(1, graceNanos / GRACE_PARTS);
+    awaitsResponse = pollsJournal;
+    socketsReadAtNanos = nowNanos;
+    requestSentAtNanos = nowNanos;
   }
 
-  /** By now all is read that had come to this gateway's sockets by that time. */
-  public void socketsRead(long by) {
-    readAt = Math.max(readAt, by);
+  /** All that had arrived at this gateway's sockets by the given time has been read. */
+  public void socketsRead(long byNanos) {
+    socketsReadAtNanos = Math.max(socketsReadAtNanos, byNanos);
   }
 
-  /** The journal is asked for what comes after all that is known. */
-  public void requestSent(long now) {
-    awaitsResponse |=
-        now - readAt > bound && late < MOST_LATE; // The loop stood between a reply and this.
-    askedAt = now;
+  /** A poll for all events after the last known one was sent. */
+  public void requestSent(long nowNanos) {
+    boolean wasBlocked = nowNanos - socketsReadAtNanos > maxDelayNanos; // Since the last response.
+    awaitsResponse |= wasBlocked && lateResponses < MAX_LATE_RESPONSES;
+    requestSentAtNanos = nowNanos;
   }
 
   /**
-   * Its reply was read: it holds all that came before it was asked, or before the sockets were last
-   * read.
+   * The response to the poll was read: it holds all events from before the poll was sent, or from
+   * before the sockets were last read.
    */
-  public void responseReceived(long now) {
-    requestFailed = 0;
-    late = isLate(now) ? late + 1 : 0;
-    awaitsResponse = late > 0 && late < MOST_LATE;
+  public void responseReceived(long nowNanos) {
+    failedRequests = 0;
+    lateResponses = isLate(nowNanos) ? lateResponses + 1 : 0;
+    awaitsResponse = lateResponses > 0 && lateResponses < MAX_LATE_RESPONSES;
   }
 
-  /** No reply came, or none that can be read. */
-  public void requestFailed(long now) {
-    requestFailed++;
-    awaitsResponse = (awaitsResponse || now - readAt > bound) && requestFailed < MOST_FAILED;
+  /** The poll got no response, or none that can be decoded. */
+  public void requestFailed(long nowNanos) {
+    failedRequests++;
+    boolean isStale = awaitsResponse || nowNanos - socketsReadAtNanos > maxDelayNanos;
+    awaitsResponse = isStale && failedRequests < MAX_FAILED_REQUESTS;
   }
 
-  private boolean isLate(long now) {
-    return now - Math.max(readAt, askedAt) > bound;
+  private boolean isLate(long nowNanos) {
+    return nowNanos - Math.max(socketsReadAtNanos, requestSentAtNanos) > maxDelayNanos;
   }
 
   /**
-   * Whether a reply is owed without waiting at the journal: guards against what came there
-   * meanwhile.
+   * Whether the journal must be polled without waiting for new events. Guards against events that
+   * the journal received while this gateway was late.
    */
   public boolean awaitsResponse() {
     return awaitsResponse;
   }
 
-  /** Whether it may be decided and sent by what is known. */
-  public boolean permitsDecisions(long now) {
-    return !awaitsResponse && now - readAt <= bound;
+  /** Whether decisions may be made, and attempts sent, by what is known. */
+  public boolean permitsDecisions(long nowNanos) {
+    return !awaitsResponse && nowNanos - socketsReadAtNanos <= maxDelayNanos;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -7,38 +7,38 @@
  */
 final class GatewayShare {
   private final RoutingConfig config;
-  private int inZone;
-  private int inAll;
+  private int gatewaysInZone;
+  private int gatewaysInAll;
   private boolean granted = true;
 
   /** The share by the configured numbers. */
   GatewayShare(RoutingConfig config) {
     this.config = config;
-    inZone = Math.max(1, config.gatewaysInZone());
-    inAll = Math.max(1, config.gateways());
+    gatewaysInZone = Math.max(1, config.gatewaysInZone());
+    gatewaysInAll = Math.max(1, config.gateways());
   }
 
   /** The fleet has counted its gateways; also, whether this one may take a part at all. */
-  void update(int gateways, boolean mayTake) {
-    int beyond = Math.max(0, gateways - Math.max(1, config.gateways()));
-    inAll = Math.max(1, config.gateways()) + beyond;
-    inZone = Math.max(1, config.gatewaysInZone()) + beyond;
-    granted = mayTake;
+  void update(int gateways, boolean isGranted) {
+    int extraGateways = Math.max(0, gateways - Math.max(1, config.gateways()));
+    gatewaysInAll = Math.max(1, config.gateways()) + extraGateways;
+    gatewaysInZone = Math.max(1, config.gatewaysInZone()) + extraGateways;
+    granted = isGranted;
   }
 
   /** How many gateways serve the zone, this one too. */
   int gatewaysInZone() {
-    return inZone;
+    return gatewaysInZone;
   }
 
   /** How many gateways there are in all zones. */
   int gatewaysInAll() {
-    return inAll;
+    return gatewaysInAll;
   }
 
   /** Whether others serve the zone. */
   boolean isZoneShared() {
-    return inZone > 1;
+    return gatewaysInZone > 1;
   }
 
   /** Whether this gateway may take anything of what is shared. */
@@ -51,6 +51,6 @@
    * others.
    */
   double fractionOf(Endpoint.Role role) {
-    return granted ? 1.0 / (role == Endpoint.Role.EDGE ? inZone : inAll) : 0;
+    return granted ? 1.0 / (role == Endpoint.Role.EDGE ? gatewaysInZone : gatewaysInAll) : 0;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/LoadShedder.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -3,77 +3,101 @@
 import java.util.SplittableRandom;
 
 /**
- * How many GETs a gateway that is out of CPU takes a turn: what it takes it can answer, the rest is
- * shed as soon as it is told from anything else, before it is read and decided in full. Told when a
- * turn of the loop begins and how late that is; times are nanoseconds.
+ * How many requests a gateway that is out of CPU admits a turn of its event loop: those it can
+ * answer. The rest is rejected as early as a request can be told from other messages, before it is
+ * decoded and decided in full. Times are nanoseconds; all calls come on the event loop.
  *
- * <p>One late turn is a pause (a collection, CPU that went elsewhere) and sheds nothing: only turns
- * that are late one after the other are a load that can't be borne. Then the GETs of a turn are
- * halved while turns are late and grow by one while they are not, until for some time none had to
- * be shed.
+ * <p>A single late turn is a pause (a garbage collection, CPU that went elsewhere) and rejects
+ * nothing; only a run of late turns is an overload. Then the requests of a turn are halved while
+ * turns are late and grow by one while they are not, until none was rejected for some time. Source:
+ * docs/design.md, "Out of CPU".
  */
 public final class LoadShedder {
-  private static final long MS = 1_000_000L;
+  private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /**
-   * What a turn always takes: so few GETs are not why it was late, and a gateway with little
-   * traffic sheds none.
+   * What a turn always admits: so few requests do not make it late, and a gateway with little
+   * traffic rejects none.
    */
-  private static final int LEAST = 8;
+  private static final int MIN_REQUESTS_PER_TURN = 8;
 
-  private static final long LATE = 15 * MS, SUSTAINED = 100 * MS, CALM = 500 * MS;
+  /** A turn that began later than this is late. */
+  private static final long LATE_NANOS = 15 * NANOS_PER_MILLI;
 
-  private final long longestWait;
+  /** After late turns for so long the gateway is overloaded. */
+  private static final long OVERLOAD_NANOS = 100 * NANOS_PER_MILLI;
+
+  /** After so long without a rejection the overload is over. */
+  private static final long RECOVERY_NANOS = 500 * NANOS_PER_MILLI;
+
+  private static final long NONE = Long.MIN_VALUE;
+  private static final int UNLIMITED = Integer.MAX_VALUE;
+
+  private final long maxRetryAfterNanos;
   private final SplittableRandom random;
-  private long lateSince = Long.MIN_VALUE, shedAt;
-  private int taken, shed, allowed = Integer.MAX_VALUE;
+
+  /** Since when every turn was late; {@link #NONE} after one that was not. */
+  private long lateSinceNanos = NONE;
+
+  private long rejectedAtNanos;
+  private int admittedThisTurn;
+  private int rejectedThisTurn;
+  private int maxRequestsPerTurn = UNLIMITED;
 
   /**
-   * Clients that are shed are told to stay away for longestWait at most; 0 where they can't be
-   * told.
+   * A shedder that rejects nothing yet.
+   *
+   * @param seed of the spread of {@link #retryAfterNanos}
+   * @param maxRetryAfterNanos the longest wait that a rejection may ask for; 0 where it may ask for
+   *     none
    */
-  public LoadShedder(long seed, long longestWait) {
-    this.longestWait = longestWait;
+  public LoadShedder(long seed, long maxRetryAfterNanos) {
+    this.maxRetryAfterNanos = maxRetryAfterNanos;
     random = new SplittableRandom(seed);
   }
 
-  /** A turn begins, late by so much. */
-  public void turnStarted(long now, long late) {
-    if (late <= LATE) {
-      lateSince = Long.MIN_VALUE;
-      shedAt = shed > 0 ? now : shedAt;
+  /** A turn of the event loop begins, late by so much. */
+  public void turnStarted(long nowNanos, long lateNanos) {
+    if (lateNanos <= LATE_NANOS) {
+      lateSinceNanos = NONE;
+      rejectedAtNanos = rejectedThisTurn > 0 ? nowNanos : rejectedAtNanos;
       if (isShedding()) {
-        allowed = now - shedAt > CALM ? Integer.MAX_VALUE : allowed + 1;
+        boolean isOver = nowNanos - rejectedAtNanos > RECOVERY_NANOS;
+        maxRequestsPerTurn = isOver ? UNLIMITED : maxRequestsPerTurn + 1;
       }
-    } else if (lateSince == Long.MIN_VALUE) {
-      lateSince = now;
-    } else if (now - lateSince >= SUSTAINED) {
-      allowed = Math.max(LEAST, Math.min(allowed, taken) / 2);
-      shedAt = now;
+    } else if (lateSinceNanos == NONE) {
+      lateSinceNanos = nowNanos;
+    } else if (nowNanos - lateSinceNanos >= OVERLOAD_NANOS) {
+      maxRequestsPerTurn =
+          Math.max(MIN_REQUESTS_PER_TURN, Math.min(maxRequestsPerTurn, admittedThisTurn) / 2);
+      rejectedAtNanos = nowNanos;
     }
-    taken = 0;
-    shed = 0;
+    admittedThisTurn = 0;
+    rejectedThisTurn = 0;
   }
 
-  /** Whether one more GET is taken in this turn. */
+  /** Admits one more request in this turn, or counts it as rejected; returns whether it may run. */
   public boolean tryAdmit() {
-    if (taken < allowed) {
-      taken++;
+    if (admittedThisTurn < maxRequestsPerTurn) {
+      admittedThisTurn++;
       return true;
     }
-    shed++;
+    rejectedThisTurn++;
     return false;
   }
 
-  /** Whether GETs beyond some a turn are shed. */
+  /** Whether the requests of a turn are limited. */
   public boolean isShedding() {
-    return allowed < Integer.MAX_VALUE;
+    return maxRequestsPerTurn < UNLIMITED;
   }
 
   /**
-   * How long a client that was shed stays away, or 0: spread, so that not all come back at once.
+   * How long the client of a rejected request is asked to wait, or 0 for no advice. Random within
+   * the upper half of the maximum: guards against all clients coming back at once.
    */
   public long retryAfterNanos() {
-    return longestWait < 2 ? 0 : longestWait / 2 + random.nextLong(longestWait / 2);
+    return maxRetryAfterNanos < 2
+        ? 0
+        : maxRetryAfterNanos / 2 + random.nextLong(maxRetryAfterNanos / 2);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -5,140 +5,134 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
-import java.util.Objects;
 import java.util.Set;
 
 /**
- * Makes one source of news of several that are all believed, while members move from one to
- * another: of what they say of a cache the stricter state holds. A cache that only some know is
- * believed as they tell it; one that any of them had and let go of is gone until it is told there
- * anew, or nobody has it any more.
+ * Merges the endpoint lists of several sources that are all authoritative, while endpoints move
+ * from one to another: the most restrictive state of an endpoint holds. An endpoint that only some
+ * sources list is listed as they list it; one that any source listed and then dropped is gone until
+ * that source lists it anew, or no source lists it any more.
  *
- * <p>Bounds: as many caches as the sources tell of.
+ * <p>Bounded by the endpoints that the sources list. All calls come on the event loop that owns the
+ * gateway.
  */
 public final class MergedEndpointLists {
-  private record Member(
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      EndpointState state,
-      double weight,
-      long startedAtMs) {}
+  private final EndpointListener listener;
+  private final List<Source> sources = new ArrayList<>();
+  private final Map<String, ListedEndpoint> reported = new HashMap<>();
+  private boolean isFirstList = true;
 
-  private final EndpointListener to;
-  private final List<Port> ports = new ArrayList<>();
-  private final Map<String, Member> told = new HashMap<>();
-  private boolean first = true;
-
-  public MergedEndpointLists(EndpointListener to) {
-    this.to = to;
+  /** A merger without sources, which reports the merged list to the listener. */
+  public MergedEndpointLists(EndpointListener listener) {
+    this.listener = listener;
   }
 
   /**
-   * Another source; of two that agree on a cache's state, what the earlier one says else is taken.
+   * Adds a source, which reports its list to the returned listener. Where two sources agree on an
+   * endpoint's state, the rest of its description is taken from the one that was added first.
    */
   public EndpointListener addSource() {
-    Port port = new Port();
-    ports.add(port);
-    return port;
+    Source source = new Source();
+    sources.add(source);
+    return source;
   }
 
-  /** What all say together; null where nobody has it. */
-  private Member together(String id) {
-    Member strictest = null;
-    for (Port port : ports) {
-      Member one = port.members.get(id);
-      if (one != null && (strictest == null || one.state.compareTo(strictest.state) > 0)) {
-        strictest = one;
+  /** The most restrictive listing of an endpoint; null where no source has it. */
+  private ListedEndpoint merge(String id) {
+    ListedEndpoint strictest = null;
+    for (Source source : sources) {
+      ListedEndpoint endpoint = source.endpoints.get(id);
+      if (endpoint != null
+          && (strictest == null || endpoint.state().compareTo(strictest.state()) > 0)) {
+        strictest = endpoint;
       }
     }
     return strictest;
   }
 
-  private void forget(String id) {
-    if (ports.stream()
-        .map(port -> port.members.get(id))
-        .filter(Objects::nonNull)
-        .allMatch(one -> one.state == EndpointState.GONE)) {
-      ports.forEach(port -> port.members.remove(id));
+  private void report(String id) {
+    ListedEndpoint endpoint = merge(id);
+    ListedEndpoint before = reported.get(id);
+    boolean isGone = endpoint != null && endpoint.state() == EndpointState.GONE;
+    if (endpoint == null || endpoint.equals(before) || (isGone && before == null)) {
+      return;
+    }
+    listener.endpointListed(endpoint);
+    if (isGone) {
+      reported.remove(id);
+    } else {
+      reported.put(id, endpoint);
+    }
+  }
+
+  /** Drops an endpoint that is gone at all sources that had it. */
+  private void removeIfGone(String id) {
+    for (Source source : sources) {
+      ListedEndpoint endpoint = source.endpoints.get(id);
+      if (endpoint != null && endpoint.state() != EndpointState.GONE) {
+        return;
+      }
     }
+    sources.forEach(source -> source.endpoints.remove(id));
   }
 
-  private final class Port implements EndpointListener {
-    private final Map<String, Member> members = new HashMap<>();
-    private final Set<String> touched = new LinkedHashSet<>();
+  private final class Source implements EndpointListener {
+    private final Map<String, ListedEndpoint> endpoints = new HashMap<>();
+    private final Set<String> changedIds = new LinkedHashSet<>();
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {
-      touched.clear();
+      changedIds.clear();
       if (kind == EndpointListKind.FULL) {
-        members.forEach((id, one) -> touched.add(id));
-        members.replaceAll((id, one) -> gone(one));
+        changedIds.addAll(endpoints.keySet());
+        endpoints.replaceAll(
+            (id, endpoint) -> withAddressAndState(endpoint, "", EndpointState.GONE));
       }
     }
 
-    private Member gone(Member one) {
-      return new Member(
-          "", one.zone, one.kind, one.cell, EndpointState.GONE, one.weight, one.startedAtMs);
-    }
-
     @Override
     public void endpointListed(ListedEndpoint endpoint) {
-      Member before = members.get(endpoint.id());
-      if (endpoint.state() != EndpointState.GONE || before != null) {
-        String known =
-            endpoint.address().isEmpty() && before != null ? before.address : endpoint.address();
-        members.put(
-            endpoint.id(),
-            new Member(
-                known,
-                endpoint.zone(),
-                endpoint.kind(),
-                endpoint.cell(),
-                endpoint.state(),
-                endpoint.weight(),
-                endpoint.startedAtMillis()));
-        touched.add(endpoint.id());
+      ListedEndpoint before = endpoints.get(endpoint.id());
+      if (endpoint.state() == EndpointState.GONE && before == null) {
+        return;
       }
+      boolean keepsAddress = endpoint.address().isEmpty() && before != null;
+      endpoints.put(
+          endpoint.id(),
+          keepsAddress
+              ? withAddressAndState(endpoint, before.address(), endpoint.state())
+              : endpoint);
+      changedIds.add(endpoint.id());
     }
 
     @Override
     public void endpointListCompleted() {
-      to.endpointListStarted(first ? EndpointListKind.FULL : EndpointListKind.CHANGES);
-      first = false;
-      for (String id : touched) {
-        Member now = together(id), before = told.get(id);
-        if (now == null
-            || now.equals(before)
-            || (now.state == EndpointState.GONE && before == null)) {
-          forget(id);
-          continue;
-        }
-        to.endpointListed(
-            new ListedEndpoint(
-                id,
-                now.address,
-                now.zone,
-                now.kind,
-                now.cell,
-                now.state,
-                now.weight,
-                now.startedAtMs));
-        if (now.state == EndpointState.GONE) {
-          told.remove(id);
-        } else {
-          told.put(id, now);
-        }
-        forget(id);
+      listener.endpointListStarted(isFirstList ? EndpointListKind.FULL : EndpointListKind.CHANGES);
+      isFirstList = false;
+      for (String id : changedIds) {
+        report(id);
+        removeIfGone(id);
       }
-      to.endpointListCompleted();
-      touched.clear();
+      listener.endpointListCompleted();
+      changedIds.clear();
     }
 
     @Override
-    public void objectPurged(long object, int group, long atMs) {
-      to.objectPurged(object, group, atMs);
+    public void objectPurged(long object, int group, long atMillis) {
+      listener.objectPurged(object, group, atMillis);
     }
   }
+
+  private static ListedEndpoint withAddressAndState(
+      ListedEndpoint endpoint, String address, EndpointState state) {
+    return new ListedEndpoint(
+        endpoint.id(),
+        address,
+        endpoint.zone(),
+        endpoint.kind(),
+        endpoint.cell(),
+        state,
+        endpoint.weight(),
+        endpoint.startedAtMillis());
+  }
 }
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -13,7 +13,7 @@
   private static final class Entry {
     long lastStartNanos;
     long previousStartNanos;
-    long shortestAnswerNanos;
+    long shortestResponseNanos;
     long lastPart;
   }
 
@@ -28,8 +28,8 @@
    */
   long observe(long object, int part, boolean sharedZone, long nowNanos) {
     Entry entry = entries.get(object);
-    boolean otherViewing = sharedZone && (entry == null || part <= entry.lastPart);
-    if (part == 0 || otherViewing) {
+    boolean isOtherPlayback = sharedZone && (entry == null || part <= entry.lastPart);
+    if (part == 0 || isOtherPlayback) {
       entry = start(object, nowNanos);
     }
     if (entry == null) {
@@ -58,13 +58,13 @@
   }
 
   /** Notes how long an answer took, in nanoseconds. */
-  void recordAnswer(long object, long tookNanos) {
+  void recordResponseTime(long object, long durationNanos) {
     Entry entry = entries.get(object);
     if (entry != null) {
-      entry.shortestAnswerNanos =
-          entry.shortestAnswerNanos == 0
-              ? tookNanos
-              : Math.min(entry.shortestAnswerNanos, tookNanos);
+      entry.shortestResponseNanos =
+          entry.shortestResponseNanos == 0
+              ? durationNanos
+              : Math.min(entry.shortestResponseNanos, durationNanos);
     }
   }
 
@@ -72,8 +72,8 @@
    * The shortest answer seen, in nanoseconds, for an object whose size is not known; 0 where there
    * is none.
    */
-  long shortestAnswerNanos(long object) {
+  long shortestResponseNanos(long object) {
     Entry entry = entries.get(object);
-    return entry == null ? 0 : entry.shortestAnswerNanos;
+    return entry == null ? 0 : entry.shortestResponseNanos;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -21,7 +21,7 @@
   private final GatewayShare share;
   private final SlowStart slowStart;
   private final SplittableRandom random;
-  private boolean isChecking = true;
+  private boolean checksEjectedEndpoints = true;
 
   /**
    * A detector of endpoints none of which is ejected; seed and random numbers spread the checks of
@@ -42,7 +42,7 @@
 
   /** Whether one gateway checks ejected endpoints for all, so that this one leaves them to it. */
   void setDelegated(boolean delegated) {
-    isChecking = !delegated;
+    checksEjectedEndpoints = !delegated;
   }
 
   /**
@@ -63,7 +63,7 @@
   }
 
   /** An answer has come from an endpoint, to a request that was sent then, in nanoseconds. */
-  void onAnswer(Endpoint endpoint, long sentAtNanos, Batch batch) {
+  void onResponse(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
     health.lastResponseNanos = batch.nowNanos();
     health.failures = 0;
@@ -79,20 +79,21 @@
   }
 
   /**
-   * The fleet's checker has asked an endpoint that others ejected. Guards against reports that
-   * newer answers contradict, and against most endpoints being ejected by it.
+   * The delegated health checker has reported on an endpoint, which may be unknown here. Guards
+   * against reports that newer responses contradict, and against ejecting most endpoints by them.
    */
-  void onFleetReport(Endpoint endpoint, boolean answers, long agoNanos, Batch batch) {
-    long seenAtNanos = batch.nowNanos() - agoNanos;
-    if (!endpoint.isUp()) {
+  void onHealthReport(int endpointIndex, boolean responded, long ageNanos, Batch batch) {
+    Endpoint endpoint = endpoints.get(endpointIndex);
+    if (endpoint == null || !endpoint.isUp()) {
       return;
     }
+    long observedAtNanos = batch.nowNanos() - ageNanos;
     EndpointHealth health = endpoint.health;
-    if (answers && health.isBackoffOver(batch.nowNanos())) {
-      readmit(endpoint, seenAtNanos, batch);
-    } else if (!answers
+    if (responded && health.isBackoffOver(batch.nowNanos())) {
+      readmit(endpoint, observedAtNanos, batch);
+    } else if (!responded
         && health.isServing(batch.nowNanos())
-        && health.lastResponseNanos < seenAtNanos
+        && health.lastResponseNanos < observedAtNanos
         && isMajorityHealthy(endpoints.zoneEdges(), batch.nowNanos())) {
       eject(endpoint, batch);
     }
@@ -108,18 +109,19 @@
    * Whether an endpoint takes a key, by the key's place in the shared hash: slow start's slice, and
    * the trickle.
    */
-  boolean takesKey(Endpoint endpoint, double place, long nowNanos) {
+  boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
-      double laterNanos = isChecking ? 0 : delegatedPauseNanos(endpoint);
-      return endpoint.health.isBackoffOver(nowNanos, laterNanos) && endpoint.limit.inFlight == 0;
+      double extraDelayNanos = checksEjectedEndpoints ? 0 : delegatedPauseNanos(endpoint);
+      return endpoint.health.isBackoffOver(nowNanos, extraDelayNanos)
+          && endpoint.limit.inFlight == 0;
     }
-    return place < endpoint.health.keyFraction(nowNanos)
-        && slowStart.takesKey(endpoint, place, nowNanos);
+    return keyPosition < endpoint.health.keyFraction(nowNanos)
+        && slowStart.acceptsKey(endpoint, keyPosition, nowNanos);
   }
 
   private double delegatedPauseNanos(Endpoint endpoint) {
-    double place = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
-    return place * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
+    double keyPosition = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
+    return keyPosition * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
   }
 
   /** Whether a health check may be sent: to an ejected endpoint one at a time, after its pause. */
@@ -137,9 +139,9 @@
       if (!attempt.request().done && attempt.isOverdue(nowNanos)) {
         EndpointHealth health = attempt.endpoint().health;
         health.overdue++;
-        boolean isEndpointWell =
+        boolean isEndpointResponsive =
             health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos;
-        attempt.source().health.overdue += attempt.hasSource() && isEndpointWell ? 1 : 0;
+        attempt.source().health.overdue += attempt.hasSource() && isEndpointResponsive ? 1 : 0;
       }
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
@@ -27,7 +27,7 @@
             ? (long) (kilobytes / kilobytesPerSecond * NANOS_PER_SECOND)
             : 0;
     long workNanos =
-        transferNanos > 0 ? transferNanos : history.shortestAnswerNanos(request.object);
+        transferNanos > 0 ? transferNanos : history.shortestResponseNanos(request.object);
     request.sizeKnown = transferNanos > 0;
     request.durationKnown = workNanos > 0;
     request.patienceNanos =
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -17,7 +17,7 @@
   private final long propagationNanos;
 
   /** When each object was purged last; a group is its own complement. */
-  private final Map<Long, Long> purgedAt = new TreeMap<>();
+  private final Map<Long, Long> purgedAtNanosByKey = new TreeMap<>();
 
   /** A log of purges that every cache has carried out after so many nanoseconds. */
   PurgeLog(long propagationNanos) {
@@ -28,8 +28,8 @@
    * Notes that an object, or with object 0 a whole group, was purged at that time, in nanoseconds.
    */
   void record(long object, int group, long purgedAtNanos, long nowNanos) {
-    purgedAt.values().removeIf(at -> nowNanos - at > propagationNanos);
-    purgedAt.merge(object != 0 ? object : groupKey(group), purgedAtNanos, Math::max);
+    purgedAtNanosByKey.values().removeIf(at -> nowNanos - at > propagationNanos);
+    purgedAtNanosByKey.merge(object != 0 ? object : groupKey(group), purgedAtNanos, Math::max);
   }
 
   /**
@@ -39,14 +39,14 @@
    * @param oldestNanos the bound without a purge; 0 for none
    */
   long maxCopyAgeNanos(long object, int group, long oldestNanos, long nowNanos) {
-    long purged =
+    long lastPurgedAtNanos =
         Math.max(
-            purgedAt.getOrDefault(object, 0L),
+            purgedAtNanosByKey.getOrDefault(object, 0L),
             Math.max(
-                purgedAt.getOrDefault(groupKey(group), 0L),
-                purgedAt.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
-    long boundNanos = Math.max(MARGIN_NANOS, nowNanos - purged - MARGIN_NANOS);
-    boolean mayBeCached = nowNanos - purged <= propagationNanos;
+                purgedAtNanosByKey.getOrDefault(groupKey(group), 0L),
+                purgedAtNanosByKey.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
+    long boundNanos = Math.max(MARGIN_NANOS, nowNanos - lastPurgedAtNanos - MARGIN_NANOS);
+    boolean mayBeCached = nowNanos - lastPurgedAtNanos <= propagationNanos;
     return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RecentRequests.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -7,57 +7,66 @@
 import java.util.Map;
 
 /**
- * What was asked for lately, for GETs of a gateway's own: the latest for a trial, and all of it in
- * turn, what was asked for most first, for what is filled ahead.
+ * What clients requested recently, as models for synthetic requests: the latest for health checks,
+ * and passes over all in order of frequency for prefetches.
  *
- * <p>Bounds: as many keys as told; the one asked for longest ago goes. Counts are halved at each
- * new turn, so that what was asked for long ago wears off.
+ * <p>Bounded by a maximum of keys, the least recently requested one is evicted. Counts are halved
+ * at each new pass, so that old requests lose weight.
+ *
+ * @param <K> identifies what was requested
+ * @param <V> what a synthetic request is made from
  */
 public final class RecentRequests<K, V> {
-  private static final class Asked<V> {
+  private static final int MIN_REQUESTS = 2;
+
+  private static final class Entry<V> {
     V value;
-    int times;
+    int requestCount;
   }
 
-  private final Map<K, Asked<V>> asked;
-  private final List<V> startPass = new ArrayList<>();
+  private final Map<K, Entry<V>> entries;
+
+  /** What is left of the present pass, in reverse order. */
+  private final List<V> pass = new ArrayList<>();
+
   private V latest;
 
-  /** Keeps so many at most. */
-  public RecentRequests(int most) {
-    asked =
+  /** An empty collection that holds so many keys at most. */
+  public RecentRequests(int maxKeys) {
+    entries =
         new LinkedHashMap<>(16, 0.75f, true) {
           @Override
-          protected boolean removeEldestEntry(Map.Entry<K, Asked<V>> eldest) {
-            return size() > most;
+          protected boolean removeEldestEntry(Map.Entry<K, Entry<V>> eldest) {
+            return size() > maxKeys;
           }
         };
   }
 
+  /** Counts a request; its value replaces the earlier one of the same key. */
   public void add(K key, V value) {
-    Asked<V> one = asked.computeIfAbsent(key, made -> new Asked<>());
-    one.value = value;
-    one.times++;
+    Entry<V> entry = entries.computeIfAbsent(key, missing -> new Entry<>());
+    entry.value = value;
+    entry.requestCount++;
     latest = value;
   }
 
-  /** Null where nothing was asked for yet. */
+  /** The value of the latest request; null where there was none yet. */
   public V latest() {
     return latest;
   }
 
-  /** The next in turn; null at the end of a turn, after which another begins. */
+  /** The next value of the pass, the most frequent first; null at its end. */
   public V nextInPass() {
-    return startPass.isEmpty() ? null : startPass.remove(startPass.size() - 1);
+    return pass.isEmpty() ? null : pass.remove(pass.size() - 1);
   }
 
-  /** Begins a turn of what was asked for at least twice. */
+  /** Begins a pass over all that was requested at least twice, and halves all counts. */
   public void startPass() {
-    startPass.clear();
-    List<Asked<V>> all = new ArrayList<>(asked.values());
-    all.removeIf(one -> one.times < 2);
-    all.sort(Comparator.comparingInt(one -> one.times)); // The last goes first.
-    all.forEach(one -> startPass.add(one.value));
-    asked.values().forEach(one -> one.times -= one.times / 2);
+    pass.clear();
+    List<Entry<V>> candidates = new ArrayList<>(entries.values());
+    candidates.removeIf(entry -> entry.requestCount < MIN_REQUESTS);
+    candidates.sort(Comparator.comparingInt(entry -> entry.requestCount));
+    candidates.forEach(entry -> pass.add(entry.value));
+    entries.values().forEach(entry -> entry.requestCount -= entry.requestCount / 2);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -16,7 +16,7 @@
      */
     WITH_ROOM,
     /** Those that take the key. */
-    TAKES_KEY,
+    ACCEPTS_KEY,
     /** All that are up. */
     ANY
   }
@@ -65,9 +65,9 @@
         new Criteria(
             request, eligibility, bound, limiter.priorityFactor(request.trafficClass), nowNanos);
     Endpoint best = null;
-    double highest = -1;
-    double heaviest = 0;
-    double lowestPlace = 0;
+    double maxScore = -1;
+    double maxWeight = 0;
+    double minKeyPosition = 0;
     for (Endpoint endpoint : candidates) {
       if (!endpoint.isUp()
           || request.triedEndpoints.contains(endpoint)
@@ -75,16 +75,16 @@
         continue;
       }
       long key = mix(request.object * 31 + segment ^ endpoint.hash);
-      double place = toUnit(key);
-      if (place < lowestPlace && endpoint.weight <= heaviest) {
+      double keyPosition = toUnit(key);
+      if (keyPosition < minKeyPosition && endpoint.weight <= maxWeight) {
         continue; // It can't pass the highest score: spares the logarithm for all but a few.
       }
-      double score = endpoint.weight / -Math.log(place);
-      if (score > highest && isEligible(endpoint, key, criteria)) {
+      double score = endpoint.weight / -Math.log(keyPosition);
+      if (score > maxScore && isEligible(endpoint, key, criteria)) {
         best = endpoint;
-        highest = score;
-        heaviest = Math.max(heaviest, endpoint.weight);
-        lowestPlace = Math.exp(-heaviest / highest) - ROUNDING;
+        maxScore = score;
+        maxWeight = Math.max(maxWeight, endpoint.weight);
+        minKeyPosition = Math.exp(-maxWeight / maxScore) - ROUNDING;
       }
     }
     return best;
@@ -95,12 +95,12 @@
     long nowNanos = criteria.nowNanos;
     boolean needsRoom = criteria.eligibility == Eligibility.WITH_ROOM;
     return (criteria.eligibility == Eligibility.ANY
-            || outlierDetector.takesKey(endpoint, toUnit(mix(key + 1)), nowNanos))
+            || outlierDetector.acceptsKey(endpoint, toUnit(mix(key + 1)), nowNanos))
         && (!needsRoom
             || (endpoint.limit.hasRoom(nowNanos, criteria.priorityFactor)
                 && !isSpillingOver(endpoint, criteria.spillOverBound)))
         && ((request.purpose == InFlightRequest.Purpose.PREFETCH && endpoint.isEdge())
-            || slowStart.affords(endpoint, request.trafficClass, nowNanos));
+            || slowStart.hasBudgetFor(endpoint, request.trafficClass, nowNanos));
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -1,29 +1,24 @@
 package org.amberpath.routing;
 
-import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.LinkedHashSet;
 import java.util.Map;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.amberpath.routing.InFlightRequest.Purpose;
 
 /**
- * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
+ * Decides, for one gateway, where each request is answered from, filled from and cached. {@link
  * #decide} takes a batch of all events that came in and writes the actions that follow from them,
  * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
- * batch's time, in nanoseconds.
+ * batch's time, in nanoseconds. All calls come on the event loop that owns the gateway.
  *
- * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} says
- * whether its answer is cached, {@link RouteSelector} where it goes. What departs from that path
- * lies in {@link OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link
- * RetryPolicy}. The design is docs/design.md.
+ * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} decides
+ * whether its response is cached, {@link RouteSelector} where it goes, {@link AttemptDispatcher}
+ * sends it. What departs from that path lies in {@link OutlierDetector}, {@link SlowStart}, {@link
+ * ConcurrencyLimiter} and {@link RetryPolicy}; synthetic requests go by {@link
+ * SyntheticRouteSelector}, changes of endpoints and of the fleet by {@link ClusterManager}. Source:
+ * docs/design.md.
  */
 public final class RequestRouter implements RoutingEventHandler {
-  private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
-  private static final String SWEEP_HANDLE = "sweep";
-
   private final RoutingConfig config;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
@@ -41,12 +36,11 @@
   private final RouteSelector routes;
   private final SyntheticRouteSelector syntheticRoutes;
   private final AttemptRecorder recorder;
+  private final AttemptDispatcher dispatcher;
   private final ClusterManager cluster;
 
+  /** By id: from arrival until the final answer is decided and the last attempt has ended. */
   private final Map<Long, InFlightRequest> requests = new TreeMap<>();
-  private final Set<Attempt> openAttempts = new LinkedHashSet<>();
-  private boolean sweepScheduled;
-  private boolean watching;
 
   /** The batch that is decided at present, and its time. */
   private Batch batch;
@@ -71,8 +65,10 @@
         new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
     routes = new RouteSelector(config, endpoints, rendezvous, limiter, retryPolicy);
     syntheticRoutes =
-        new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
+        new SyntheticRouteSelector(
+            endpoints, routes, admission, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
+    dispatcher = new AttemptDispatcher(config, purges, slowStart, recorder);
     cluster = new ClusterManager(config, share, endpoints, slowStart, limiter, random);
   }
 
@@ -84,10 +80,7 @@
     nowNanos = time;
     batch = new Batch(time, actions);
     slowStart.beginBatch(time);
-    if (!watching && config.endpointListOnRequest()) {
-      watching = true;
-      actions.subscribeEndpoints();
-    }
+    cluster.subscribeIfNeeded(batch);
     events.replayTo(this);
   }
 
@@ -115,22 +108,15 @@
     }
   }
 
-  /** Health checks and prefetches go by routes of their own, and are never hedged. */
+  /** Health checks and prefetches go by routes of their own, and are never retried or hedged. */
   @Override
   public void syntheticRequestReceived(RequestDetails details, int endpoint) {
     InFlightRequest request = open(details);
-    request.purpose = endpoint < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
-    Route route;
-    if (request.purpose == Purpose.PREFETCH) {
-      request.rank = admission.prefetchRankOf(details.object());
-      route = syntheticRoutes.selectPrefetch(request, nowNanos);
-    } else {
-      route = syntheticRoutes.selectHealthCheck(request, endpoint, nowNanos);
-    }
+    Route route = syntheticRoutes.select(request, endpoint, nowNanos);
     if (route == null) {
       giveUp(request);
     } else {
-      send(request, route);
+      dispatcher.send(request, route, batch);
     }
   }
 
@@ -147,77 +133,26 @@
   private boolean route(InFlightRequest request) {
     Route route = routes.select(request, nowNanos);
     if (route != null) {
-      send(request, route);
+      dispatcher.send(request, route, batch);
     }
     return route != null;
   }
 
-  private void send(InFlightRequest request, Route route) {
-    Endpoint endpoint = route.endpoint();
-    Endpoint source = route.source() == null ? endpoint : route.source();
-    TrafficClass trafficClass = request.trafficClass;
-    if (request.firstExecuted != null && trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY) {
-      batch
-          .actions()
-          .limitRetryStart(
-              request.id,
-              request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
-    }
-    long oldestNanos =
-        trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
-    batch
-        .actions()
-        .sendAttempt(
-            new AttemptCommand(
-                request.id,
-                endpoint.index,
-                request.deadlineNanos,
-                source.index,
-                purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
-                request.rank,
-                options(request, source, route.cachedOnly())));
-    Attempt attempt =
-        new Attempt(
-            request,
-            request.attempts.size(),
-            route,
-            nowNanos,
-            slowStart.refundableSeconds(route, trafficClass, nowNanos));
-    request.attempts.add(attempt);
-    request.openAttempts++;
-    openAttempts.add(attempt);
-    recorder.recordSent(attempt, nowNanos);
-    if (!sweepScheduled) {
-      sweepScheduled = true;
-      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
-    }
-  }
-
-  private int options(InFlightRequest request, Endpoint source, boolean cachedOnly) {
-    boolean renews =
-        !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (config.coalescing() ? AttemptCommand.COALESCE : 0)
-        + (cachedOnly ? AttemptCommand.CACHED_ONLY : 0)
-        + (renews ? AttemptCommand.REVALIDATE : 0);
-  }
-
   @Override
-  public void responseStarted(long id, int attemptNumber) {
-    if (requests.containsKey(id)) {
-      requests.get(id).streaming = true;
+  public void responseStarted(long requestId, int attemptNumber) {
+    InFlightRequest request = requests.get(requestId);
+    if (request != null) {
+      request.streaming = true;
     }
   }
 
   @Override
   public void attemptEnded(AttemptResult result) {
     InFlightRequest request = requests.get(result.requestId());
-    if (request == null
-        || result.attempt() >= request.attempts.size()
-        || !openAttempts.remove(request.attempts.get(result.attempt()))) {
+    Attempt attempt = request == null ? null : dispatcher.remove(request, result.attempt());
+    if (attempt == null) {
       return;
     }
-    Attempt attempt = request.attempts.get(result.attempt());
-    request.openAttempts--;
     recorder.recordEnded(attempt, result.outcome(), result.durationNanos(), result.detail(), batch);
     if (!result.outcome().provesNotExecuted()) {
       request.recordExecuted(attempt);
@@ -232,25 +167,21 @@
   }
 
   /**
-   * A retry where the request's kind, its time and the budget permit; else the final answer, at
-   * once.
+   * A retry where the request's class, its time left and the retry budget permit one; else the
+   * final answer, at once.
    */
-  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail note) {
+  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail detail) {
     InFlightRequest request = last.request();
-    request.originFailed |= note == ResponseDetail.ORIGIN_FAILED;
+    request.originFailed |= detail == ResponseDetail.ORIGIN_FAILED;
     boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
-    boolean neverSent =
-        outcome
-            == AttemptOutcome.WITHDRAWN; // Guards its endpoint and the budget: nothing was sent.
+    boolean neverSent = outcome == AttemptOutcome.WITHDRAWN;
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
-      request.triedEndpoints.add(RetryPolicy.isSourceFault(note) ? last.source() : last.endpoint());
+      request.triedEndpoints.add(
+          RetryPolicy.isSourceFault(detail) ? last.source() : last.endpoint());
     }
-    boolean isFillHopeless =
-        lackedCopy
-            && (routes.selectSource(request, nowNanos) == null
-                || limiter.isOriginSaturated(request, nowNanos));
+    boolean isFillHopeless = lackedCopy && !routes.canFill(request, nowNanos);
     if (isFillHopeless || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
       giveUp(request);
     }
@@ -263,17 +194,13 @@
   }
 
   /**
-   * The final answer of a request that is not returned: a shed promises that nothing ran, an error
-   * nothing.
+   * The final answer of a request that gets no response: a rejection promises that nothing
+   * executed, a failure promises nothing.
    */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long shortestNanos =
-          config.retries().retryAfter() ? config.retries().maxRetryAfterNanos() / 2 : 0;
-      batch
-          .actions()
-          .reject(
-              request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
+      long minNanos = retryPolicy.minRetryAfterNanos();
+      batch.actions().reject(request.id, minNanos == 0 ? 0 : minNanos + random.nextLong(minNanos));
     } else {
       batch.actions().fail(request.id);
     }
@@ -283,9 +210,7 @@
   private void finish(InFlightRequest request) {
     request.done = true;
     if (config.retries().cancellation() && !request.streaming) {
-      request.attempts.stream()
-          .filter(openAttempts::contains)
-          .forEach(attempt -> batch.actions().cancelAttempt(request.id, attempt.number()));
+      dispatcher.cancelAll(request, batch);
     }
     if (request.openAttempts == 0) {
       requests.remove(request.id);
@@ -293,66 +218,55 @@
   }
 
   @Override
-  public void clientDisconnected(long id) {
-    if (requests.containsKey(id) && !requests.get(id).done) {
-      finish(requests.get(id));
+  public void clientDisconnected(long requestId) {
+    InFlightRequest request = requests.get(requestId);
+    if (request != null && !request.done) {
+      finish(request);
     }
   }
 
+  /** The sweep: counts anew what waits, ejects and readmits, and hedges what is stalled. */
   @Override
   public void timerFired(String handle) {
-    sweepScheduled = !openAttempts.isEmpty();
-    if (sweepScheduled) {
-      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
-    }
-    limiter.recountFills(openAttempts, nowNanos);
-    outlierDetector.recountOverdue(openAttempts, nowNanos);
-    for (Endpoint[] peers : new Endpoint[][] {endpoints.zoneEdges(), endpoints.parents()}) {
-      outlierDetector.detectOutliers(peers, batch);
-      slowStart.learnThroughput(peers, nowNanos);
-    }
+    dispatcher.onTimer(batch);
+    limiter.recountFills(dispatcher.openAttempts(), nowNanos);
+    outlierDetector.recountOverdue(dispatcher.openAttempts(), nowNanos);
+    sweep(endpoints.zoneEdges());
+    sweep(endpoints.parents());
     slowStart.updateWarmPeers(endpoints, nowNanos);
-    for (Attempt attempt : new ArrayList<>(openAttempts)) {
+    for (Attempt attempt : dispatcher.copyOfOpenAttempts()) {
       hedgeIfStalled(attempt);
     }
   }
 
+  private void sweep(Endpoint[] peers) {
+    outlierDetector.detectOutliers(peers, batch);
+    slowStart.learnThroughput(peers, nowNanos);
+  }
+
   private void hedgeIfStalled(Attempt attempt) {
+    InFlightRequest request = attempt.request();
     boolean isEndpointSilent = outlierDetector.isSilentSince(attempt);
     boolean isStalled =
         isEndpointSilent
             || limiter.isOvertaken(attempt)
             || (attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
-      attempt
-          .request()
-          .triedEndpoints
-          .add(isEndpointSilent ? attempt.endpoint() : attempt.source());
-      retry(attempt.request());
+      request.triedEndpoints.add(isEndpointSilent ? attempt.endpoint() : attempt.source());
+      retry(request);
     }
   }
 
   // ---- Changes of endpoints, copies and the fleet.
 
   @Override
-  public void endpointListStarted(EndpointListKind listing) {
-    cluster.beginList(listing);
-    watching = listing != EndpointListKind.NONE;
+  public void endpointListStarted(EndpointListKind kind) {
+    cluster.beginList(kind);
   }
 
   @Override
   public void endpointListed(EndpointDescription endpoint) {
-    cluster.update(
-        new EndpointDescription(
-            endpoint.index(),
-            endpoint.id(),
-            endpoint.zone(),
-            endpoint.kind(),
-            endpoint.cell(),
-            endpoint.state(),
-            endpoint.weight(),
-            endpoint.startedAtNanos()),
-        batch);
+    cluster.update(endpoint, batch);
   }
 
   @Override
@@ -361,13 +275,13 @@
   }
 
   @Override
-  public void objectPurged(long object, int group, long agoNanos) {
-    purges.record(object, group, nowNanos - agoNanos, nowNanos);
+  public void objectPurged(long object, int group, long ageNanos) {
+    purges.record(object, group, nowNanos - ageNanos, nowNanos);
   }
 
   @Override
-  public void gatewayShareChanged(int gateways, double granted) {
-    cluster.updateShare(gateways, granted > 0, nowNanos);
+  public void gatewayShareChanged(int gateways, double share) {
+    cluster.updateShare(gateways, share > 0, nowNanos);
   }
 
   @Override
@@ -376,10 +290,7 @@
   }
 
   @Override
-  public void healthReported(int index, boolean answers, long agoNanos) {
-    Endpoint endpoint = endpoints.get(index);
-    if (endpoint != null) {
-      outlierDetector.onFleetReport(endpoint, answers, agoNanos, batch);
-    }
+  public void healthReported(int endpoint, boolean responded, long ageNanos) {
+    outlierDetector.onHealthReport(endpoint, responded, ageNanos, batch);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -24,18 +24,18 @@
       return true;
     }
     TrafficClass trafficClass = request.trafficClass;
-    return trafficClass.effect() == Idempotency.IDEMPOTENT
-        || (trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY
+    return trafficClass.idempotency() == Idempotency.IDEMPOTENT
+        || (trafficClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
             && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
-            && sharesIdempotencyGroup(
-                trafficClass.idempotencyGroup(), endpoint, executed.endpoint()));
+            && sharesIdempotencyScope(
+                trafficClass.idempotencyScope(), endpoint, executed.endpoint()));
   }
 
-  private static boolean sharesIdempotencyGroup(
-      IdempotencyScope group, Endpoint one, Endpoint other) {
-    return group == IdempotencyScope.ALL
-        || (one.zone.equals(other.zone)
-            && (group == IdempotencyScope.ZONE || one.cell == other.cell));
+  private static boolean sharesIdempotencyScope(
+      IdempotencyScope scope, Endpoint first, Endpoint second) {
+    return scope == IdempotencyScope.ALL
+        || (first.zone.equals(second.zone)
+            && (scope == IdempotencyScope.ZONE || first.cell == second.cell));
   }
 
   /** Whether a request's state leaves room for a further attempt, wherever it goes. */
@@ -58,7 +58,7 @@
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
         && config.hedging()
-        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
+        && request.trafficClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 
   /**
@@ -66,16 +66,21 @@
    * dropped everywhere.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
-    Idempotency effect = request.trafficClass.effect();
+    Idempotency idempotency = request.trafficClass.idempotency();
     return (request.firstExecuted == null && request.openAttempts == 0)
-        || effect == Idempotency.IDEMPOTENT
-        || (effect == Idempotency.IDEMPOTENCY_KEY
-            && request.trafficClass.idempotencyGroup() == IdempotencyScope.ALL);
+        || idempotency == Idempotency.IDEMPOTENT
+        || (idempotency == Idempotency.IDEMPOTENCY_KEY
+            && request.trafficClass.idempotencyScope() == IdempotencyScope.ALL);
+  }
+
+  /** The shortest wait that a rejection asks for, half of the longest; 0 for no advice. */
+  long minRetryAfterNanos() {
+    return config.retryAfter() ? config.maxRetryAfterNanos() / 2 : 0;
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
-  static boolean isSourceFault(ResponseDetail note) {
-    return note.compareTo(ResponseDetail.FILL_REJECTED) >= 0
-        && note != ResponseDetail.NOT_STORED_NO_SPACE;
+  static boolean isSourceFault(ResponseDetail detail) {
+    return detail.compareTo(ResponseDetail.FILL_REJECTED) >= 0
+        && detail != ResponseDetail.NOT_STORED_NO_SPACE;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -75,7 +75,7 @@
             endpoints.parents(),
             request,
             0,
-            request.uncacheable ? Eligibility.TAKES_KEY : Eligibility.WITH_ROOM,
+            request.uncacheable ? Eligibility.ACCEPTS_KEY : Eligibility.WITH_ROOM,
             nowNanos);
     if (parent != null) {
       return parent;
@@ -89,4 +89,9 @@
             : rendezvous.select(endpoints.parents(), request, 0, Eligibility.ANY, nowNanos);
     return best == origin && limiter.isOriginSaturated(request, nowNanos) ? null : best;
   }
+
+  /** Whether a request that found no cached copy has a source that may be asked to fill one. */
+  boolean canFill(InFlightRequest request, long nowNanos) {
+    return selectSource(request, nowNanos) != null && !limiter.isOriginSaturated(request, nowNanos);
+  }
 }
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -62,7 +62,7 @@
 
   private boolean admits(
       long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
-    boolean contiguous =
+    boolean isContiguous =
         isStart(segment - 1)
             || (sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos));
     int lowest = -1;
@@ -71,7 +71,7 @@
       if (tableObjects[i] == object && tableSegments[i] == segment) {
         return true;
       }
-      contiguous |= tableObjects[i] == object && tableSegments[i] == segment - 1;
+      isContiguous |= tableObjects[i] == object && tableSegments[i] == segment - 1;
       double value =
           cachingValue(history.previousStartNanos(tableObjects[i]), tableSegments[i], nowNanos);
       if (value < lowestValue) {
@@ -80,14 +80,14 @@
       }
     }
     double value = cachingValue(previousStartNanos, segment, nowNanos);
-    if (!contiguous || value <= 0 || (tableUsed == TABLE_SIZE && value <= lowestValue)) {
+    if (!isContiguous || value <= 0 || (tableUsed == TABLE_SIZE && value <= lowestValue)) {
       return false;
     }
-    enter(tableUsed < TABLE_SIZE ? tableUsed++ : lowest, object, segment);
+    putRow(tableUsed < TABLE_SIZE ? tableUsed++ : lowest, object, segment);
     return true;
   }
 
-  private void enter(int row, long object, int segment) {
+  private void putRow(int row, long object, int segment) {
     tableObjects[row] = object;
     tableSegments[row] = segment;
   }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -20,7 +20,7 @@
   /**
    * From this part of the peers' weight on, those that are warm take most of what a cold one can't.
    */
-  private static final double ENOUGH_WARM_WEIGHT = 0.25;
+  private static final double MIN_WARM_WEIGHT_FRACTION = 0.25;
 
   private static final double MIN_GATEWAY_FRACTION = 1e-9;
   private static final double MIN_PREFETCH_RATE = 1e-6;
@@ -70,9 +70,9 @@
   }
 
   /** Whether an endpoint's slice has a key, by its place in the shared hash, 0 to 1. */
-  boolean takesKey(Endpoint endpoint, double place, long nowNanos) {
+  boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     double capacity = endpoint.warmUp.capacityFraction(nowNanos);
-    return capacity >= 1 || place < KEY_FRACTION * capacity;
+    return capacity >= 1 || keyPosition < KEY_FRACTION * capacity;
   }
 
   /**
@@ -80,7 +80,7 @@
    * under one request lets one through while there is no debt, which becomes a debt in turn: the
    * sum over all gateways is kept.
    */
-  boolean affords(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
+  boolean hasBudgetFor(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     if (endpoint.warmUp.isComplete(nowNanos)) {
       return true;
     }
@@ -97,9 +97,10 @@
    */
   private boolean isInTurn(Endpoint endpoint, double workSeconds, long nowNanos) {
     double fraction = Math.max(endpoint.warmUp.profile.gatewayFraction, MIN_GATEWAY_FRACTION);
-    double servedAtOnce =
+    double maxConcurrentRequests =
         burstSeconds(endpoint, nowNanos) / BUDGET_FRACTION / workSeconds / fraction;
-    boolean areGatewaysFew = 1 / fraction <= servedAtOnce + 2 * Math.sqrt(servedAtOnce) + 2;
+    boolean areGatewaysFew =
+        1 / fraction <= maxConcurrentRequests + 2 * Math.sqrt(maxConcurrentRequests) + 2;
     return areGatewaysFew
         || (endpoint.isEdge() ? hasWarmEdges : hasWarmParents)
         || -balanceSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
@@ -169,14 +170,14 @@
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
       double sum = 0;
-      int warm = 0;
+      int warmCount = 0;
       for (Endpoint peer : peers) {
         if (peer.warmUp.profile == profile && isWarm(peer, nowNanos)) {
           sum += peer.warmUp.throughput(nowNanos);
-          warm++;
+          warmCount++;
         }
       }
-      profile.typicalThroughput = warm == 0 ? profile.typicalThroughput : sum / warm;
+      profile.typicalThroughput = warmCount == 0 ? profile.typicalThroughput : sum / warmCount;
       boundThroughput(profile);
     }
   }
@@ -196,13 +197,13 @@
    * cold.
    */
   private static boolean areEnoughWarm(Endpoint[] peers, long nowNanos) {
-    double allWeights = 0;
-    double warmWeights = 0;
+    double totalWeight = 0;
+    double warmWeight = 0;
     for (Endpoint peer : peers) {
-      allWeights += peer.isUp() ? peer.weight : 0;
-      warmWeights += isWarm(peer, nowNanos) ? peer.weight : 0;
+      totalWeight += peer.isUp() ? peer.weight : 0;
+      warmWeight += isWarm(peer, nowNanos) ? peer.weight : 0;
     }
-    return warmWeights >= ENOUGH_WARM_WEIGHT * allWeights;
+    return warmWeight >= MIN_WARM_WEIGHT_FRACTION * totalWeight;
   }
 
   /** This gateway's share has changed. */
@@ -222,14 +223,14 @@
    */
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
-    double warm =
+    double warmThroughput =
         config.weightIsSize()
             ? endpoint.weight * profile.gatewayFraction
             : profile.typicalThroughput;
     return BUDGET_FRACTION
         * profile.overloadFactor
         * endpoint.warmUp.capacityFraction(atNanos)
-        * warm;
+        * warmThroughput;
   }
 
   /** Work that this gateway may send in a fall time, in seconds. */
@@ -261,11 +262,11 @@
    */
   private double firstDebtSeconds(Endpoint endpoint) {
     WarmUp warmUp = endpoint.warmUp;
-    double longestSeconds = longestWorkNanos() / NANOS_PER_SECOND;
+    double longestWorkSeconds = longestWorkNanos() / NANOS_PER_SECOND;
     double burstSeconds = burstSeconds(endpoint, warmUp.debtAtNanos);
     boolean isEndpointOlder = warmUp.startedAtNanos < gatewayStartedAtNanos;
-    return warmUp.firstDebtDraw * longestSeconds
-        + (isEndpointOlder ? Math.max(0, burstSeconds - longestSeconds) : -burstSeconds);
+    return warmUp.firstDebtDraw * longestWorkSeconds
+        + (isEndpointOlder ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
   }
 
   private long longestWorkNanos() {
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -8,6 +8,7 @@
 final class SyntheticRouteSelector {
   private final EndpointTable endpoints;
   private final RouteSelector routes;
+  private final SegmentAdmission admission;
   private final SlowStart slowStart;
   private final OutlierDetector outlierDetector;
   private final ConcurrencyLimiter limiter;
@@ -16,16 +17,34 @@
   SyntheticRouteSelector(
       EndpointTable endpoints,
       RouteSelector routes,
+      SegmentAdmission admission,
       SlowStart slowStart,
       OutlierDetector outlierDetector,
       ConcurrencyLimiter limiter) {
     this.endpoints = endpoints;
     this.routes = routes;
+    this.admission = admission;
     this.slowStart = slowStart;
     this.outlierDetector = outlierDetector;
     this.limiter = limiter;
   }
 
+  /**
+   * The route of a synthetic request, whose purpose and rank it sets; null if it may not go.
+   *
+   * @param endpointIndex the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT} for a
+   *     prefetch
+   */
+  Route select(InFlightRequest request, int endpointIndex, long nowNanos) {
+    if (endpointIndex < 0) {
+      request.purpose = InFlightRequest.Purpose.PREFETCH;
+      request.rank = admission.prefetchRankOf(request.object);
+      return selectPrefetch(request, nowNanos);
+    }
+    request.purpose = InFlightRequest.Purpose.HEALTH_CHECK;
+    return selectHealthCheck(request, endpointIndex, nowNanos);
+  }
+
   /**
    * The route of an object's start to the edge cache that is warming up, if the object is that
    * cache's; else null.
@@ -49,7 +68,7 @@
     Endpoint endpoint = endpoints.get(endpointIndex);
     boolean permitted =
         isTarget(request, endpoint)
-            && slowStart.affords(endpoint, request.trafficClass, nowNanos)
+            && slowStart.hasBudgetFor(endpoint, request.trafficClass, nowNanos)
             && outlierDetector.permitsHealthCheck(endpoint, nowNanos);
     return permitted ? new Route(endpoint, null, true) : null;
   }
@@ -58,6 +77,6 @@
     return endpoint != null
         && endpoint.isUp()
         && endpoint.isEdge()
-        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
+        && request.trafficClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -2,9 +2,9 @@
 
 /** One delivery service: its configuration, and what its answers have shown so far. */
 final class TrafficClass {
-  private static final int FULL_AT_ANSWERS = 512;
+  private static final int HALVED_AT_RESPONSES = 512;
   private static final double ASSUMED_MISSES = 4.0;
-  private static final double ASSUMED_ANSWERS = 8.0;
+  private static final double ASSUMED_RESPONSES = 8.0;
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
@@ -14,7 +14,7 @@
   /** The histogram's mean, stored: it is read many times a request. */
   private long meanWorkNanos;
 
-  private int returnedFromCache;
+  private int servedFromCache;
   private int filledByParent;
   private int filledByOrigin;
 
@@ -25,12 +25,12 @@
   }
 
   /** Whether a repeat may have an effect of its own. */
-  Idempotency effect() {
+  Idempotency idempotency() {
     return config.idempotency();
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
-  IdempotencyScope idempotencyGroup() {
+  IdempotencyScope idempotencyScope() {
     return config.idempotencyScope();
   }
 
@@ -81,14 +81,14 @@
   }
 
   /** Counts which route an answer came by. All counts are halved when they are full. */
-  void recordRoute(ResponseDetail note) {
-    switch (note) {
-      case HIT, STALE -> returnedFromCache++;
+  void recordRoute(ResponseDetail detail) {
+    switch (detail) {
+      case HIT, STALE -> servedFromCache++;
       case FILLED_BY_ORIGIN -> filledByOrigin++;
       default -> filledByParent++;
     }
-    if (returnedFromCache + filledByParent + filledByOrigin >= FULL_AT_ANSWERS) {
-      returnedFromCache /= 2;
+    if (servedFromCache + filledByParent + filledByOrigin >= HALVED_AT_RESPONSES) {
+      servedFromCache /= 2;
       filledByParent /= 2;
       filledByOrigin /= 2;
     }
@@ -97,7 +97,7 @@
   /** The likely fraction of requests that need a fill, 0 to 1. */
   double missFraction() {
     int fills = filledByParent + filledByOrigin;
-    return (fills + ASSUMED_MISSES) / (returnedFromCache + fills + ASSUMED_ANSWERS);
+    return (fills + ASSUMED_MISSES) / (servedFromCache + fills + ASSUMED_RESPONSES);
   }
 
   /** The likely fraction of fills that reach the origin, 0 to 1. */
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -52,7 +52,7 @@
   /**
    * Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve.
    */
-  void recordReturned(double workSeconds, long nowNanos) {
+  void recordServedWork(double workSeconds, long nowNanos) {
     if (throughput != 0 || workSeconds != 0) { // Most of many endpoints return nothing.
       throughput =
           throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
@@ -63,7 +63,7 @@
 
   /** Work returned a second, over the last few. */
   double throughput(long nowNanos) {
-    recordReturned(0, nowNanos);
+    recordServedWork(0, nowNanos);
     return throughput;
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -14,14 +14,14 @@
   private final Endpoint endpoint = attempt.endpoint();
   private final Endpoint source = attempt.source();
 
-  private void end(AttemptOutcome outcome, long tookMillis, ResponseDetail note) {
+  private void end(AttemptOutcome outcome, long durationMillis, ResponseDetail detail) {
     parts.recorder.recordSent(attempt, START);
-    parts.recorder.recordEnded(attempt, outcome, tookMillis * MS, note, parts.batch(LATER));
+    parts.recorder.recordEnded(attempt, outcome, durationMillis * MS, detail, parts.batch(LATER));
     assertEquals(0, endpoint.limit.inFlight);
   }
 
   @Test
-  void anAttemptCountsAtItsEndpointAndInPartAtItsSource() {
+  void sentAttemptCountsAtItsEndpointAndPartlyAtItsSource() {
     parts.recorder.recordSent(attempt, START);
     assertEquals(1, endpoint.limit.inFlight);
     assertEquals(0.5, source.limit.inFlight);
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aFilledAnswerIsASignOfLifeOfBoth() {
+  void filledResponseIsASignOfLifeOfEndpointAndSource() {
     end(AttemptOutcome.SUCCEEDED, 50, ResponseDetail.FILLED);
     assertEquals(LATER, endpoint.health.lastResponseNanos);
     assertEquals(LATER, source.health.lastResponseNanos);
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aLateFillCutsTheSourcesLimitAndTheUplinks() {
+  void lateFillCutsTheLimitsOfItsSourceAndTheUplink() {
     end(AttemptOutcome.SUCCEEDED, 90, ResponseDetail.FILLED);
     assertEquals(LATER, source.limit.lastDecreaseNanos);
     assertEquals(LATER, parts.limiter.uplinkLimit().lastDecreaseNanos);
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aRejectionCutsTheLimitOfWhoeverRejected() {
+  void rejectionCutsTheLimitOfTheTargetThatRejected() {
     end(AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
     assertEquals(LATER, endpoint.limit.lastDecreaseNanos);
     Attempt again = parts.attempt(attempt.request(), 2, 5);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void aRefusedConnectionEjectsAndALostOneIsAFailure() {
+  void failedConnectEjectsAndLostConnectionCountsAsFailure() {
     end(AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(1, endpoint.health.failures);
     end(AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -13,7 +13,7 @@
   private final RoutingParts parts = new RoutingParts();
 
   @Test
-  void aFullListReplacesAndChangesAdd() {
+  void fullListReplacesEndpointsAndChangesAddThem() {
     parts.cluster.beginList(EndpointListKind.CHANGES);
     parts.cluster.endList(START);
     assertEquals(8, parts.endpoints.all().size());
@@ -24,15 +24,15 @@
   }
 
   @Test
-  void anEndpointThatRestartsIsColdAndNoLongerEjected() {
+  void restartedEndpointWarmsUpAndIsNoLongerEjected() {
     Endpoint endpoint = parts.endpoint(1);
     parts.detector.eject(endpoint, parts.batch(START));
     parts.update(1, EndpointState.UP, START);
     assertFalse(endpoint.health.isEjected());
     assertEquals(0.1, endpoint.warmUp.capacityFraction(START), 1e-9);
-    assertEquals(List.of(1), parts.site.cold);
+    assertEquals(List.of(1), parts.host.warmingUp);
     parts.update(1, EndpointState.UP, START - 100 * MS);
-    assertEquals(List.of(1), parts.site.cold, "an older start is known already");
+    assertEquals(List.of(1), parts.host.warmingUp, "an older start is known already");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void itIsFullAtItsLimitAndPriorityPassesIt() {
+  void limitIsFullWhenReachedAndPriorityMayExceedIt() {
     ConcurrencyLimit limit = limit(1);
     limit.inFlight = 24;
     assertFalse(limit.hasRoom(NOW, 1));
@@ -26,20 +26,20 @@
   }
 
   @Test
-  void lateAnswersCutOnceInAnIntervalAndPromptOnesWiden() {
+  void lateResponsesCutTheLimitOnceAnIntervalAndPromptOnesWidenIt() {
     ConcurrencyLimit limit = limit(1);
-    limit.onAnswer(NOW, false);
+    limit.onResponse(NOW, false);
     double cut = limit.limit();
     assertEquals(0.8, cut, 2.4, "from what is used, not from what is allowed");
-    limit.onAnswer(NOW + MS, false);
+    limit.onResponse(NOW + MS, false);
     assertEquals(cut, limit.limit());
     limit.inFlight = cut;
-    limit.onAnswer(NOW + 2 * MS, true);
+    limit.onResponse(NOW + 2 * MS, true);
     assertTrue(limit.limit() > cut);
   }
 
   @Test
-  void aLimitUnderOneIsKeptOverTime() {
+  void limitUnderOneRequestHoldsOverTime() {
     ConcurrencyLimit limit = limit(0.01);
     assertTrue(limit.hasRoom(NOW, 1), "nothing is owed yet");
     limit.inFlight = 1;
@@ -50,14 +50,14 @@
   }
 
   @Test
-  void aRejectionCountsAsLongInFlight() {
+  void rejectionCountsAsOneSecondInFlight() {
     ConcurrencyLimit limit = limit(0.01);
     limit.onRejected(NOW);
     assertFalse(limit.hasRoom(NOW + MS, 1));
   }
 
   @Test
-  void aSmallerShareTakesTheLimitAlongAndALostOneBeginsAnew() {
+  void smallerShareShrinksTheLimitAndRegainedShareStartsAnew() {
     ConcurrencyLimit limit = limit(1);
     limit.rescale(1, 0.5);
     assertEquals(12, limit.limit());
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
@@ -15,7 +15,7 @@
   private final ConcurrencyLimiter limiter = parts.limiter;
 
   @Test
-  void aFillCountsInFullAtItsSourceAndInPartAtTheOrigin() {
+  void fillCountsFullyAtItsSourceAndPartlyAtTheOrigin() {
     Attempt attempt = parts.attempt(parts.request(5), 0, 5);
     limiter.addFill(attempt, 1, START);
     assertEquals(1, parts.endpoint(5).limit.inFlight);
@@ -25,14 +25,14 @@
   }
 
   @Test
-  void aLateOriginTakesTheBlameForWhatWaitsLong() {
-    limiter.originLimit().onAnswer(START + 150 * MS, false);
+  void overdueFillCountsFullyAtAnOriginThatWasLate() {
+    limiter.originLimit().onResponse(START + 150 * MS, false);
     limiter.addFill(parts.attempt(parts.request(5), 0, 5), 1, START + 200 * MS);
     assertEquals(1, limiter.originLimit().inFlight);
   }
 
   @Test
-  void whatIsOvertakenIsNotCountedAnew() {
+  void overtakenFillIsNotRecounted() {
     Attempt attempt = parts.attempt(parts.request(5), 0, 5);
     limiter.recountFills(List.of(attempt), START + 50 * MS);
     assertEquals(1, parts.endpoint(5).limit.inFlight, "it has waited for long enough to be a fill");
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aSaturatedOriginStopsFillsButNotWhatIsNeverCached() {
+  void saturatedOriginStopsFillsExceptOfUncacheableRequests() {
     InFlightRequest request = parts.request(5);
     assertFalse(limiter.isOriginSaturated(request, START));
     limiter.originLimit().inFlight = 1000;
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void theBoundForSpillingOverGrowsWithWhatPeersCarry() {
+  void spillOverBoundGrowsWithTheLoadOfThePeers() {
     double idle = limiter.spillOverBound(parts.endpoints.zoneEdges());
     assertEquals(4.0 / 16, idle);
     parts.endpoint(0).limit.inFlight = 16;
--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -11,142 +11,149 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stories of news that may be too old to decide by. Times are milliseconds. */
+/** Knowledge of drains and purges that may be too old to decide by. Times are milliseconds. */
 class DiscoveryFreshnessTest {
   private static final long GRACE = 250;
 
-  private final DiscoveryFreshness age = new DiscoveryFreshness(GRACE, true, 0);
+  private final DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE, true, 0);
 
   @Test
-  void whatWasKnownAtTheStartIsNotEnough() {
-    age.socketsRead(100);
-    assertFalse(age.permitsDecisions(100));
-    age.requestSent(101);
-    assertTrue(age.awaitsResponse());
-    age.responseReceived(110);
-    assertTrue(age.permitsDecisions(110));
+  void decisionsWaitForTheFirstResponseAfterTheStart() {
+    freshness.socketsRead(100);
+    assertFalse(freshness.permitsDecisions(100));
+    freshness.requestSent(101);
+    assertTrue(freshness.awaitsResponse());
+    freshness.responseReceived(110);
+    assertTrue(freshness.permitsDecisions(110));
   }
 
   @Test
-  void aGatewayWithoutAJournalWaitsForNone() {
-    DiscoveryFreshness told = new DiscoveryFreshness(GRACE, false, 0);
-    assertTrue(told.permitsDecisions(10));
-    assertFalse(told.permitsDecisions(400), "its loop stood still");
-    told.socketsRead(400);
-    assertTrue(told.permitsDecisions(401));
+  void gatewayWithoutAJournalWaitsForNoResponse() {
+    DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE, false, 0);
+    assertTrue(freshness.permitsDecisions(10));
+    assertFalse(freshness.permitsDecisions(400), "its event loop was blocked");
+    freshness.socketsRead(400);
+    assertTrue(freshness.permitsDecisions(401));
   }
 
   @Test
-  void aReplyFoundAfterAStandstillIsNotTheLastWord() {
-    aReply();
-    age.requestSent(11);
-    age.responseReceived(
-        411); // It may have lain there since 12, and the purge of 13 came after it.
-    age.socketsRead(411);
-    assertFalse(age.permitsDecisions(412));
-    age.requestSent(412);
-    age.responseReceived(414);
-    assertTrue(age.permitsDecisions(414));
+  void responseReadAfterAnEventLoopStallIsFollowedByAnotherPoll() {
+    completeOnePoll();
+    freshness.requestSent(11);
+    freshness.responseReceived(411); // It may have arrived at 12, before a purge at 13.
+    freshness.socketsRead(411);
+    assertFalse(freshness.permitsDecisions(412));
+    freshness.requestSent(412);
+    freshness.responseReceived(414);
+    assertTrue(freshness.permitsDecisions(414));
   }
 
   @Test
-  void aPollThatIsOutWhileTheLoopStandsTellsAllOnceItIsRead() {
-    aReply();
-    age.requestSent(11);
-    assertFalse(age.permitsDecisions(411));
-    age.socketsRead(411); // Nothing was there: nothing had come.
-    assertTrue(age.permitsDecisions(412));
+  void pollInFlightDuringAStallIsCurrentOnceSocketsAreRead() {
+    completeOnePoll();
+    freshness.requestSent(11);
+    assertFalse(freshness.permitsDecisions(411));
+    freshness.socketsRead(411); // No response had arrived, so there was no event.
+    assertTrue(freshness.permitsDecisions(412));
   }
 
   @Test
-  void aJournalThatFailsIsNotWaitedForLong() {
-    age.requestFailed(5);
-    age.socketsRead(105);
-    assertFalse(age.permitsDecisions(106));
-    age.requestFailed(106);
-    assertTrue(age.permitsDecisions(106), "static stability: what is known is gone by");
+  void failingJournalIsWaitedForOnlyOnce() {
+    freshness.requestFailed(5);
+    freshness.socketsRead(105);
+    assertFalse(freshness.permitsDecisions(106));
+    freshness.requestFailed(106);
+    assertTrue(freshness.permitsDecisions(106), "static stability: decisions follow what is known");
   }
 
   @Test
-  void aLoopThatIsAlwaysLateGivesUpWaiting() {
+  void permanentlyLateEventLoopStopsWaiting() {
     for (long at = 1000; at < 4000; at += 1000) {
-      age.requestSent(at - 900);
-      age.responseReceived(at);
+      freshness.requestSent(at - 900);
+      freshness.responseReceived(at);
     }
-    age.socketsRead(3001);
-    assertTrue(age.permitsDecisions(3001));
+    freshness.socketsRead(3001);
+    assertTrue(freshness.permitsDecisions(3001));
   }
 
-  private void aReply() {
-    age.socketsRead(5);
-    age.requestSent(6);
-    age.responseReceived(10);
-    age.socketsRead(10);
-    assertTrue(age.permitsDecisions(10));
+  private void completeOnePoll() {
+    freshness.socketsRead(5);
+    freshness.requestSent(6);
+    freshness.responseReceived(10);
+    freshness.socketsRead(10);
+    assertTrue(freshness.permitsDecisions(10));
   }
 
   /**
-   * A loop that stands still now and then, at any point, for up to a second, and a journal some
-   * milliseconds away whose events come whenever they like: nothing is ever decided without what
-   * came more than the grace ago.
+   * An event loop that is blocked now and then for up to a second, and a journal some milliseconds
+   * away with events at random times: no decision is made without the events older than the grace.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void nothingIsDecidedByOldNews(long seed) {
+  void noDecisionMissesAnEventOlderThanTheGrace(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     int decided = 0;
-    for (int play = 0; play < 200; play++) {
-      decided += new Play(random.split()).run();
+    for (int run = 0; run < 200; run++) {
+      decided += new Simulation(random.split()).run();
     }
     assertTrue(decided > 200 * 500, "decided only " + decided);
   }
 
-  private static final class Play {
-    private static final long END = 20_000, TICK = 10, WAIT = 2000, APART = 300, LONGEST = 1000;
+  private static final class Simulation {
+    private static final long END_MILLIS = 20_000;
+    private static final long TICK_MILLIS = 10;
+    private static final long POLL_MILLIS = 2000;
+    private static final long MIN_STALL_INTERVAL_MILLIS = 300;
+    private static final long MAX_STALL_MILLIS = 1000;
 
     final SplittableRandom random;
-    final long away;
+    final long roundTrip;
     final DiscoveryFreshness age = new DiscoveryFreshness(GRACE, true, 0);
     final List<Long> events = new ArrayList<>();
-    long now, tickDue, ticked, stoodAt;
-    int known;
+    long now;
+    long tickDue;
+    long lastTick;
+    long stalledAt;
+    int knownEvents;
 
-    /** The poll that is out: when its reply is there, and what it holds. */
+    /** When the response to the poll in flight arrives; negative for none. */
     long replyAt = -1;
 
-    int reply;
+    /** How many events that response holds. */
+    int replyEvents;
 
-    Play(SplittableRandom random) {
+    Simulation(SplittableRandom random) {
       this.random = random;
-      away = random.nextLong(GRACE / 8);
-      for (long at = 0; at < END; at += 1 + random.nextLong(400)) {
+      roundTrip = random.nextLong(GRACE / 8);
+      for (long at = 0; at < END_MILLIS; at += 1 + random.nextLong(400)) {
         events.add(at);
       }
     }
 
     int run() {
       int decided = 0;
-      while (now < END) {
-        long pass = now; // The loop reads its sockets.
-        stand();
-        if (replyAt >= 0 && replyAt <= pass) {
+      while (now < END_MILLIS) {
+        long readAt = now; // The event loop reads its sockets.
+        stallAtTimes();
+        if (replyAt >= 0 && replyAt <= readAt) {
           replyAt = -1;
-          known = reply;
+          knownEvents = replyEvents;
           age.responseReceived(now);
-          stand();
+          stallAtTimes();
         }
         if (replyAt < 0) {
-          ask();
+          poll();
         }
         if (now >= tickDue) { // Then its timers.
-          age.socketsRead(ticked);
-          ticked = now;
-          tickDue = now + TICK;
+          age.socketsRead(lastTick);
+          lastTick = now;
+          tickDue = now + TICK_MILLIS;
         }
-        stand();
+        stallAtTimes();
         if (age.permitsDecisions(now)) { // Then what it decides.
           decided++;
-          assertEquals(heededBy(now - GRACE), Math.min(known, heededBy(now - GRACE)), "at " + now);
+          assertEquals(
+              eventsBy(now - GRACE), Math.min(knownEvents, eventsBy(now - GRACE)), "at " + now);
         } else if (!age.awaitsResponse()) {
           tickDue = now;
         }
@@ -155,26 +162,26 @@
       return decided;
     }
 
-    private void ask() {
+    private void poll() {
       age.requestSent(now);
-      long comes = now + away / 2;
-      long until = comes + (age.awaitsResponse() ? 1 : WAIT);
+      long arrives = now + roundTrip / 2;
+      long until = arrives + (age.awaitsResponse() ? 1 : POLL_MILLIS);
       long answered =
-          heededBy(comes) > known
-              ? comes
-              : Math.min(until, known < events.size() ? events.get(known) : until);
-      reply = heededBy(answered);
-      replyAt = answered + away / 2;
+          eventsBy(arrives) > knownEvents
+              ? arrives
+              : Math.min(until, knownEvents < events.size() ? events.get(knownEvents) : until);
+      replyEvents = eventsBy(answered);
+      replyAt = answered + roundTrip / 2;
     }
 
-    private int heededBy(long at) {
+    private int eventsBy(long at) {
       return (int) events.stream().filter(event -> event <= at).count();
     }
 
-    private void stand() {
-      if (now - stoodAt > APART && random.nextInt(200) == 0) {
-        now += random.nextLong(LONGEST);
-        stoodAt = now;
+    private void stallAtTimes() {
+      if (now - stalledAt > MIN_STALL_INTERVAL_MILLIS && random.nextInt(200) == 0) {
+        now += random.nextLong(MAX_STALL_MILLIS);
+        stalledAt = now;
       }
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
@@ -12,7 +12,7 @@
   private final EndpointHealth health = new EndpointHealth();
 
   @Test
-  void anEjectedEndpointComesBackByATrickleThatDoubles() {
+  void endpointOnProbationGetsAKeyFractionThatDoubles() {
     health.eject(NOW, 0);
     assertEquals(0, health.keyFraction(NOW));
     assertFalse(health.beginProbation(NOW - 1, NOW + 10 * MS), "it lived before, not since");
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void anEndpointOnProbationKeepsAllKeysHoweverLongItIsNotAsked() {
+  void endpointPastProbationKeepsAllKeysHoweverLongItIsUnused() {
     health.eject(NOW, 0);
     health.beginProbation(NOW, NOW);
     for (long seconds = 3; seconds < 200; seconds++) {
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void eachEjectionDoublesThePauseUntilItRecovers() {
+  void eachEjectionDoublesTheBackoffUntilRecovery() {
     health.eject(NOW, 0);
     assertFalse(health.isBackoffOver(NOW + 124 * MS));
     assertTrue(health.isBackoffOver(NOW + 125 * MS));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void oneFailureIsEnoughOnlyWhileItIsEjected() {
+  void singleFailureSufficesOnlyWhileEjected() {
     health.overdue = 1;
     assertFalse(health.isUnresponsive());
     health.failures = 1;
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -0,0 +1,126 @@
+package org.amberpath.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.stream.IntStream;
+import org.amberpath.routing.FakeHost.SentAttempt;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** What endpoints that have just started are sent. */
+class EndpointSlowStartTest {
+  private final FakeHost host = new FakeHost().listEndpoints();
+
+  @ParameterizedTest
+  @ValueSource(ints = {1, 5})
+  void endpointInSlowStartGetsAThinKeySliceThatWidens(int endpoint) {
+    int usual = countAttemptsThrough(endpoint, 0);
+    host.changeEndpoint(endpoint, EndpointState.UP, host.nowNanos);
+    int thin = countAttemptsThrough(endpoint, 0);
+    host.advanceMillis(5000);
+    int wide = countAttemptsThrough(endpoint, 0);
+    assertTrue(thin > 0 && thin < usual / 4, "thin " + thin + " of " + usual);
+    assertTrue(wide > usual / 2 && wide < usual, "wide " + wide + " of " + usual);
+  }
+
+  private int countAttemptsThrough(int endpoint, long firstObject) {
+    int count = 0;
+    for (long object = firstObject; object < firstObject + 400; object++) {
+      SentAttempt sent = host.requestWithHit(object, 0);
+      count += sent.endpoint() == endpoint || sent.source() == endpoint ? 1 : 0;
+      host.advanceMillis(5);
+    }
+    return count;
+  }
+
+  @Test
+  void onlyEdgeCacheOfItsZoneIsHeldToItsSlowStartBudget() {
+    for (int cache = 1; cache < 4; cache++) {
+      host.changeEndpoint(cache, EndpointState.GONE, 0);
+    }
+    host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+    for (long id = 1; id <= 200; id++) {
+      host.request(id, id, 0);
+    }
+    // A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which this
+    // gateway has a share.
+    assertTrue(
+        host.sentAttempts.size() >= 2 && host.sentAttempts.size() <= 12,
+        "sent " + host.sentAttempts.size());
+    assertEquals(200, host.sentAttempts.size() + host.rejected.size());
+  }
+
+  /** Found by a search for bad days: peers under overload are sent more than they return. */
+  @Test
+  void slowStartBudgetFollowsWhatPeersReturnNotWhatTheyAreSent() {
+    host.weightIsSize = false;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
+    for (int i = 0; i < 300; i++) {
+      host.endAttempt(host.request(i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE)
+          .advanceMillis(10);
+    }
+    host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+    int before = host.sentAttempts.size();
+    for (int i = 1000; i < 3000; i++) {
+      host.endAttempt(host.request(i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
+    }
+    long attemptsAtEndpoint0 =
+        host.sentAttempts.stream().skip(before).filter(sent -> sent.endpoint() == 0).count();
+    assertTrue(attemptsAtEndpoint0 >= 1 && attemptsAtEndpoint0 <= 2, "sent " + attemptsAtEndpoint0);
+  }
+
+  /**
+   * Found by a search for bad days: small caches that restarted together were given the budget of
+   * the large ones.
+   */
+  @Test
+  void slowStartBudgetFollowsWhatPeersOfTheSameKindReturn() {
+    int[] sent = new int[2];
+    for (int kind = 0; kind < 2; kind++) {
+      FakeHost gateway = new FakeHost();
+      gateway.weightIsSize = false;
+      gateway.kindOfEndpoint0 = kind == 0 ? "box" : "small";
+      gateway.listEndpoints(1, 2, 3, 5, 6, 7).decide();
+      for (int i = 0; i < 400; i++) {
+        gateway.advanceMillis(10).succeed(gateway.request(i, i, 0), 50, ResponseDetail.HIT);
+      }
+      gateway.changeEndpoint(0, EndpointState.UP, gateway.nowNanos);
+      for (int i = 1000; i < 1400; i++) {
+        SentAttempt attempt = gateway.request(i, i, 0);
+        sent[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
+      }
+    }
+    assertTrue(
+        sent[0] > sent[1] && sent[1] > 0,
+        "of the common kind " + sent[0] + ", of a kind of its own " + sent[1]);
+  }
+
+  /**
+   * Found by a search for bad days: caches and parents restarted together, and nearly every request
+   * was a fill.
+   */
+  @Test
+  void parentInSlowStartIsChargedInFullForRequestsAtCachesInSlowStart() {
+    for (int i = 0; i < 200; i++) {
+      host.succeed(host.request(i, 0), 50, ResponseDetail.HIT).advanceMillis(10);
+    }
+    IntStream.range(0, 4)
+        .forEach(cache -> host.changeEndpoint(cache, EndpointState.UP, host.nowNanos));
+    host.changeEndpoint(5, EndpointState.UP, host.nowNanos)
+        .changeEndpoint(6, EndpointState.GONE, 0);
+    int before = host.sentAttempts.size();
+    for (int i = 1000; i < 1300; i++) {
+      SentAttempt sent = host.request(i, 0);
+      if (sent != null) {
+        host.succeed(sent, 50, ResponseDetail.HIT);
+      }
+    }
+    long attemptsThroughParent =
+        host.sentAttempts.stream().skip(before).filter(sent -> sent.source() == 5).count();
+    // A tenth of 4 transfers, times 2, for a second: 0.8 s of work of 0.1 s each, of which this
+    // gateway has less than a third.
+    assertTrue(attemptsThroughParent <= 2, "attempts " + attemptsThroughParent);
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void whatIsGoneIsDroppedAndItsIndexMayComeBackAsAnother() {
+  void goneEndpointIsDroppedAndItsIndexMayBeReused() {
     Endpoint before = table.get(1);
     parts.update(1, EndpointState.GONE, 0);
     table.rebuild();
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/FakeHost.java
@@ -0,0 +1,395 @@
+package org.amberpath.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Optional;
+import java.util.function.Consumer;
+
+/**
+ * The host of one router under test: configures it for a small zone, passes events to it, fires its
+ * timer and records what it decides. Milliseconds where a name says so, else nanoseconds.
+ *
+ * <p>Endpoints 0 to 3 are edge caches of the gateway's own zone, 4 is one of another zone, 5 and 6
+ * are parents, 7 is the origin. All have a weight of 4.
+ */
+final class FakeHost implements RoutingConfig, RoutingActions {
+  static final long MS = 1_000_000L;
+
+  /** How long the client of a request waits for it. */
+  static final long CLIENT_TIMEOUT_NANOS = 2000 * MS;
+
+  private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * MS;
+  private static final int GROUP = 9;
+  private static final double KILOBYTES = 100;
+
+  /** An attempt that the router has sent, with its number within its request. */
+  record SentAttempt(
+      long requestId,
+      int attempt,
+      int endpoint,
+      long deadlineNanos,
+      int source,
+      long maxAgeNanos,
+      int rank,
+      int options) {
+    boolean hasOption(int option) {
+      return (options & option) != 0;
+    }
+  }
+
+  Idempotency idempotency = Idempotency.IDEMPOTENT;
+  IdempotencyScope idempotencyScope = IdempotencyScope.ALL;
+  long freshNanos;
+  boolean bypassAllowed;
+  boolean neverCached;
+  boolean weightIsSize = true;
+  int gatewaysInZone = 1;
+  String kindOfEndpoint0 = "box";
+  int seed = 7;
+  final List<SentAttempt> sentAttempts = new ArrayList<>();
+  final List<Long> rejected = new ArrayList<>();
+  final List<Long> failed = new ArrayList<>();
+  final List<String> cancelled = new ArrayList<>();
+
+  /** Endpoints that the router reports as suspect, in the order of the reports. */
+  final List<Integer> suspected = new ArrayList<>();
+
+  /** Endpoints that the router reports as responsive. */
+  final List<Integer> responsive = new ArrayList<>();
+
+  final List<Integer> warmingUp = new ArrayList<>();
+  long nowNanos = 1_000_000 * MS;
+  long retryStartLimitNanos;
+  private long lastRequestId;
+  private RequestRouter router;
+  private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
+  private long timerAtNanos = Long.MAX_VALUE;
+
+  /** Adds a full list, in the given order, to the next batch. */
+  FakeHost listEndpoints(int... order) {
+    events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
+    for (int endpoint : order) {
+      events.add(to -> listEndpoint(to, endpoint, EndpointState.UP, 0));
+    }
+    events.add(RoutingEventHandler::endpointListCompleted);
+    return this;
+  }
+
+  /** Starts the router anew under another traffic class, knowing nothing but the endpoints. */
+  void configure(Idempotency idempotency, IdempotencyScope scope, boolean neverCached) {
+    this.idempotency = idempotency;
+    idempotencyScope = scope;
+    this.neverCached = neverCached;
+    router = null;
+    listEndpoints();
+  }
+
+  /** Lists all endpoints as warm. */
+  FakeHost listEndpoints() {
+    return listEndpoints(0, 1, 2, 3, 4, 5, 6, 7).decide();
+  }
+
+  /** Lists one endpoint as changed; it started at that time, or long ago for 0. */
+  FakeHost changeEndpoint(int endpoint, EndpointState state, long startedAtNanos) {
+    events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
+    events.add(to -> listEndpoint(to, endpoint, state, startedAtNanos));
+    events.add(RoutingEventHandler::endpointListCompleted);
+    return decide();
+  }
+
+  private void listEndpoint(
+      RoutingEventHandler to, int endpoint, EndpointState state, long startedAtNanos) {
+    String kind =
+        endpoint == 7
+            ? "origin"
+            : endpoint > 4 ? "parent" : endpoint == 0 ? kindOfEndpoint0 : "box";
+    String zone = endpoint > 4 ? "hub" : endpoint == 4 ? "other" : "here";
+    to.endpointListed(
+        new EndpointDescription(
+            endpoint,
+            "10.0.0." + endpoint + ":90",
+            zone,
+            kind,
+            endpoint % 2,
+            state,
+            4,
+            startedAtNanos));
+  }
+
+  /**
+   * A request of the next id arrives.
+   *
+   * @return the attempt that was sent for it, or null
+   */
+  SentAttempt request(long object, int part) {
+    return request(lastRequestId + 1, object, part);
+  }
+
+  /** The same with a given id. */
+  SentAttempt request(long id, long object, int part) {
+    deliver(to -> to.requestReceived(details(id, object, part, CLIENT_TIMEOUT_NANOS)));
+    return lastAttempt(id);
+  }
+
+  /** A request that is answered from a cached copy at once. */
+  SentAttempt requestWithHit(long object, int part) {
+    SentAttempt attempt = request(object, part);
+    succeed(attempt, 50, ResponseDetail.HIT);
+    return attempt;
+  }
+
+  /**
+   * The gateway makes a synthetic request.
+   *
+   * @param endpoint the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT}
+   * @return the attempt that was sent for it, or null
+   */
+  SentAttempt syntheticRequest(long object, int part, int endpoint) {
+    long id = lastRequestId + 1;
+    deliver(
+        to ->
+            to.syntheticRequestReceived(
+                details(id, object, part, SYNTHETIC_TIMEOUT_NANOS), endpoint));
+    return lastAttempt(id);
+  }
+
+  private RequestDetails details(long id, long object, int part, long timeLeftNanos) {
+    lastRequestId = Math.max(lastRequestId, id);
+    return new RequestDetails(id, 0, object, GROUP, part, timeLeftNanos, KILOBYTES, false);
+  }
+
+  /** The latest attempt of the latest request, or null. */
+  SentAttempt lastAttempt() {
+    return lastAttempt(lastRequestId);
+  }
+
+  /** The latest attempt of a request, or null. */
+  SentAttempt lastAttempt(long id) {
+    return sentAttempts.stream()
+        .filter(attempt -> attempt.requestId == id)
+        .reduce((earlier, later) -> later)
+        .orElse(null);
+  }
+
+  /** An attempt ends; its request is finished if it succeeded. */
+  FakeHost endAttempt(
+      SentAttempt attempt, AttemptOutcome outcome, long durationMillis, ResponseDetail detail) {
+    boolean requestFinished = outcome == AttemptOutcome.SUCCEEDED;
+    events.add(
+        to ->
+            to.attemptEnded(
+                new AttemptResult(
+                    attempt.requestId,
+                    attempt.attempt,
+                    attempt.endpoint,
+                    outcome,
+                    durationMillis * MS,
+                    requestFinished,
+                    detail)));
+    return decide();
+  }
+
+  /** An attempt succeeds. */
+  FakeHost succeed(SentAttempt attempt, long durationMillis, ResponseDetail detail) {
+    return endAttempt(attempt, AttemptOutcome.SUCCEEDED, durationMillis, detail);
+  }
+
+  /** Has an edge cache ejected by a connect that fails, and returns its index. */
+  int ejectOneEndpoint() {
+    SentAttempt attempt = request(5, 0);
+    endAttempt(attempt, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
+    assertEquals(List.of(attempt.endpoint()), suspected);
+    succeed(lastAttempt(), 50, ResponseDetail.HIT);
+    return attempt.endpoint();
+  }
+
+  /** Passes an event to the router, in a batch of its own. */
+  FakeHost deliver(Consumer<RoutingEventHandler> event) {
+    events.add(event);
+    return decide();
+  }
+
+  @Override
+  public void endpointHealthChanged(int endpoint, EndpointHealthStatus health) {
+    suspected.remove((Integer) endpoint);
+    if (health == EndpointHealthStatus.RESPONSIVE) {
+      responsive.add(endpoint);
+    }
+    if (health == EndpointHealthStatus.SUSPECT) {
+      suspected.add(endpoint);
+    }
+  }
+
+  @Override
+  public void endpointWarmingUp(int endpoint, long untilNanos) {
+    warmingUp.add(endpoint);
+  }
+
+  /** Lets time pass, and fires the timer when it is due. */
+  FakeHost advanceMillis(long millis) {
+    long untilNanos = nowNanos + millis * MS;
+    while (timerAtNanos <= untilNanos) {
+      nowNanos = timerAtNanos;
+      timerAtNanos = Long.MAX_VALUE;
+      deliver(to -> to.timerFired("sweep"));
+    }
+    nowNanos = untilNanos;
+    return this;
+  }
+
+  /** Has the router decide on all events since the last batch. */
+  FakeHost decide() {
+    router = router == null ? new RequestRouter(this) : router;
+    router.decide(nowNanos, to -> events.forEach(event -> event.accept(to)), this);
+    events.clear();
+    return this;
+  }
+
+  @Override
+  public void sendAttempt(AttemptCommand command) {
+    int number =
+        (int)
+            sentAttempts.stream()
+                .filter(attempt -> attempt.requestId == command.requestId())
+                .count();
+    sentAttempts.add(
+        new SentAttempt(
+            command.requestId(),
+            number,
+            command.endpoint(),
+            command.deadlineNanos(),
+            command.source(),
+            command.maxAgeNanos(),
+            command.rank(),
+            command.options()));
+  }
+
+  @Override
+  public void limitRetryStart(long requestId, long latestNanos) {
+    retryStartLimitNanos = latestNanos;
+  }
+
+  @Override
+  public void reject(long requestId, long retryAfterNanos) {
+    rejected.add(requestId);
+  }
+
+  @Override
+  public void fail(long requestId) {
+    failed.add(requestId);
+  }
+
+  @Override
+  public void cancelAttempt(long requestId, int attempt) {
+    cancelled.add(requestId + "/" + attempt);
+  }
+
+  @Override
+  public void scheduleTimer(long delayNanos, String handle) {
+    timerAtNanos = nowNanos + delayNanos;
+  }
+
+  @Override
+  public void subscribeEndpoints() {}
+
+  @Override
+  public long seed() {
+    return seed;
+  }
+
+  @Override
+  public int gateways() {
+    return 3 * gatewaysInZone;
+  }
+
+  @Override
+  public int gatewaysInZone() {
+    return gatewaysInZone;
+  }
+
+  @Override
+  public String zone() {
+    return "here";
+  }
+
+  @Override
+  public Optional<String> parentKind() {
+    return Optional.of("parent");
+  }
+
+  @Override
+  public Optional<String> originKind() {
+    return Optional.of("origin");
+  }
+
+  @Override
+  public boolean weightIsSize() {
+    return weightIsSize;
+  }
+
+  @Override
+  public boolean endpointListOnRequest() {
+    return false;
+  }
+
+  @Override
+  public int trafficClassCount() {
+    return 1;
+  }
+
+  @Override
+  public boolean bypassAllowed() {
+    return bypassAllowed;
+  }
+
+  @Override
+  public boolean coalescing() {
+    return true;
+  }
+
+  @Override
+  public double transferKilobytesPerSecond() {
+    return 1000;
+  }
+
+  @Override
+  public long purgeRetentionNanos() {
+    return 6000 * MS;
+  }
+
+  @Override
+  public long overloadWindowNanos() {
+    return 1000 * MS;
+  }
+
+  @Override
+  public TrafficClassConfig trafficClass(int index) {
+    return new TrafficClassConfig(
+        idempotency,
+        idempotencyScope,
+        1000 * MS,
+        300 * MS,
+        2,
+        1,
+        neverCached,
+        freshNanos,
+        freshNanos);
+  }
+
+  @Override
+  public RetryConfig retries() {
+    return new RetryConfig(4, true, true, true, 500 * MS);
+  }
+
+  @Override
+  public SlowStartConfig edgeSlowStart() {
+    return new SlowStartConfig(0.1, 10_000 * MS, 3);
+  }
+
+  @Override
+  public SlowStartConfig parentSlowStart() {
+    return new SlowStartConfig(0.1, 10_000 * MS, 2);
+  }
+}
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -0,0 +1,79 @@
+package org.amberpath.routing;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.stream.IntStream;
+import org.junit.jupiter.api.Test;
+
+/** What many gateways together send an endpoint in slow start, each by its share. */
+class FleetShareTest {
+  private final FakeHost host = new FakeHost().listEndpoints();
+
+  /** Each of one hundred gateways has a share of less than one request of the budget. */
+  @Test
+  void oneHundredGatewaysTogetherUseAndKeepTheSlowStartBudget() {
+    int sent = 0;
+    for (int gateway = 0; gateway < 100; gateway++) {
+      FakeHost host = new FakeHost();
+      host.gatewaysInZone = 100;
+      host.seed = gateway;
+      host.listEndpoints();
+      IntStream.range(1, 4).forEach(cache -> host.changeEndpoint(cache, EndpointState.GONE, 0));
+      host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+      for (long id = 1; id <= 40; id++) {
+        host.request(id, id, 0);
+        host.advanceMillis(50);
+      }
+      sent += host.sentAttempts.size();
+    }
+    // A tenth to 0.28 of 4 transfers, times 3, for two seconds: 4.5 s of work of 0.1 s each.
+    assertTrue(sent >= 5 && sent <= 30, "sent " + sent);
+  }
+
+  /**
+   * The attempts at an endpoint in slow start in two seconds, from more gateways than are
+   * configured.
+   *
+   * @param share the share that each gateway is granted; negative where the fleet grants none and
+   *     the configured number holds
+   */
+  private static int countAttemptsInSlowStart(int gateways, int configuredGateways, double share) {
+    int sent = 0;
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      FakeHost host = new FakeHost();
+      host.gatewaysInZone = configuredGateways;
+      host.seed = gateway;
+      host.listEndpoints();
+      IntStream.range(1, 4).forEach(cache -> host.changeEndpoint(cache, EndpointState.GONE, 0));
+      if (share >= 0) {
+        host.deliver(
+            to ->
+                to.gatewayShareChanged(
+                    3 * configuredGateways + gateways - configuredGateways, share));
+      }
+      host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+      for (long id = 1; id <= 40; id++) {
+        host.request(id, id, 0);
+        host.advanceMillis(50);
+      }
+      sent += host.sentAttempts.size();
+    }
+    return sent;
+  }
+
+  @Test
+  void gatewaysBeyondTheConfiguredNumberTogetherKeepTheSlowStartBudget() {
+    int unaware = countAttemptsInSlowStart(60, 10, -1);
+    int aware = countAttemptsInSlowStart(60, 10, 1.0 / 80);
+    assertTrue(unaware >= 60 && aware <= 30, "unaware " + unaware + ", aware " + aware);
+  }
+
+  @Test
+  void gatewayWithoutAShareSendsAnEndpointInSlowStartOneRequestAtMost() {
+    assertTrue(countAttemptsInSlowStart(10, 10, 0) <= 10);
+    host.listEndpoints().deliver(to -> to.gatewayShareChanged(9, 0));
+    host.deliver(to -> to.gatewayShareChanged(9, 1.0 / 9));
+    assertNotNull(host.request(5, 0), "with a share it sends again");
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 class GatewayShareTest {
-  private final GatewayShare share = new GatewayShare(new RequestRouterTest.FakeHost());
+  private final GatewayShare share = new GatewayShare(new FakeHost());
 
   @Test
-  void edgesAreSharedByTheZoneAndTheOthersByAll() {
+  void edgeCachesAreSharedByTheZoneAndOtherEndpointsByAllGateways() {
     assertFalse(share.isZoneShared());
     assertEquals(1, share.fractionOf(Endpoint.Role.EDGE));
     assertEquals(1.0 / 3, share.fractionOf(Endpoint.Role.PARENT));
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void withoutAGrantThereIsNoShare() {
+  void gatewayWithoutAGrantHasNoShare() {
     share.update(3, false);
     assertFalse(share.isGranted());
     assertEquals(0, share.fractionOf(Endpoint.Role.EDGE));
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -0,0 +1,76 @@
+package org.amberpath.routing;
+
+import static org.amberpath.routing.FakeHost.MS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.util.List;
+import java.util.stream.IntStream;
+import org.amberpath.routing.FakeHost.SentAttempt;
+import org.junit.jupiter.api.Test;
+
+/** Reports of the gateway that checks ejected endpoints for all, and what is reported to it. */
+class HealthReportTest {
+  private final FakeHost host = new FakeHost().listEndpoints();
+
+  @Test
+  void ejectedEndpointIsLeftToTheDelegatedHealthCheckerAndItsReportReadmitsIt() {
+    host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
+    int cache = host.ejectOneEndpoint();
+    host.deliver(to -> to.healthChecksDelegated(true));
+    for (int second = 0; second < 20; second++) {
+      host.advanceMillis(1000);
+      SentAttempt sent = host.request(5, 0);
+      assertNotEquals(cache, sent.endpoint(), "checked by this gateway after " + second + " s");
+      host.succeed(sent, 50, ResponseDetail.HIT);
+    }
+    host.deliver(to -> to.healthReported(cache, true, 30_000 * MS)).advanceMillis(3000);
+    assertEquals(List.of(cache), host.suspected, "a report from before the ejection");
+    host.deliver(to -> to.healthReported(cache, true, 100 * MS));
+    assertEquals(List.of(), host.suspected);
+    host.advanceMillis(3000);
+    assertEquals(cache, host.requestWithHit(5, 0).endpoint());
+  }
+
+  @Test
+  void positiveHealthReportIsIgnoredUntilTheBackoffIsOver() {
+    int cache = host.ejectOneEndpoint();
+    host.advanceMillis(500).deliver(to -> to.healthReported(cache, true, 0));
+    assertEquals(List.of(), host.suspected, "the first report readmits it");
+    SentAttempt sent = host.request(5, 0);
+    while (sent.endpoint() != cache) {
+      host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(100);
+      sent = host.request(5, 0);
+    }
+    host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
+    assertEquals(List.of(cache), host.suspected);
+    host.deliver(to -> to.healthReported(cache, true, 0));
+    assertEquals(List.of(cache), host.suspected, "it was unreachable since");
+  }
+
+  @Test
+  void singleOverdueRequestAtASilentEndpointRaisesSuspicionAndItsResponseClearsIt() {
+    SentAttempt sent = host.request(5, 0);
+    host.advanceMillis(300);
+    assertEquals(List.of(), host.suspected);
+    host.advanceMillis(600);
+    assertEquals(List.of(sent.endpoint()), host.suspected);
+    assertNotNull(host.request(5, 0), "requests still go to it");
+    host.succeed(sent, 900, ResponseDetail.HIT);
+    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(sent.endpoint()), host.responsive);
+  }
+
+  @Test
+  void negativeHealthReportEjectsUnlessAResponseIsNewerOrMostPeersAreEjected() {
+    SentAttempt sent = host.requestWithHit(5, 0);
+    host.advanceMillis(1000).deliver(to -> to.healthReported(sent.endpoint(), false, 2000 * MS));
+    assertEquals(List.of(), host.suspected, "a response is newer");
+    host.deliver(to -> to.healthReported(sent.endpoint(), false, 500 * MS));
+    assertEquals(List.of(sent.endpoint()), host.suspected);
+    IntStream.range(0, 4)
+        .forEach(cache -> host.deliver(to -> to.healthReported(cache, false, 100 * MS)));
+    assertEquals(3, host.suspected.size(), "one more than half of four");
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
@@ -13,12 +13,12 @@
   private final InFlightRequest request = parts.request(5);
 
   @Test
-  void theDeadlineFollowsFromTheTimeLeft() {
+  void deadlineFollowsFromTheTimeLeft() {
     assertEquals(1900 * MS, request.timeLeftNanos(START + 100 * MS));
   }
 
   @Test
-  void theEarliestAttemptThatMayHaveRunIsKept() {
+  void earliestAttemptThatMayHaveExecutedIsRecorded() {
     Attempt first = parts.attempt(request, 0, 5);
     Attempt later = new Attempt(request, 1, first.route(), START + MS, 0);
     request.recordExecuted(later);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void anAttemptIsOverduePastItsRequestsPatience() {
+  void attemptIsOverduePastThePatienceOfItsRequest() {
     Attempt attempt = parts.attempt(request, 0, 0);
     assertFalse(attempt.hasSource());
     assertFalse(attempt.isOverdue(START + 100 * MS));
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -8,92 +8,94 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Stories of a loop with too much to do. */
+/** Event loops that are late, for a moment or for long. */
 class LoadShedderTest {
-  private static final long MS = 1_000_000, TICK = 10 * MS, WAIT = 1000 * MS;
+  private static final long MS = 1_000_000;
+  private static final long TICK_NANOS = 10 * MS;
+  private static final long MAX_RETRY_AFTER_NANOS = 1000 * MS;
 
-  private final LoadShedder pace = new LoadShedder(7, WAIT);
+  private final LoadShedder loadShedder = new LoadShedder(7, MAX_RETRY_AFTER_NANOS);
   private long now;
 
   @Test
-  void onePauseShedsNothing() {
+  void singlePauseRejectsNothing() {
     turn(400 * MS);
-    for (int get = 0; get < 500; get++) {
-      assertTrue(pace.tryAdmit());
+    for (int request = 0; request < 500; request++) {
+      assertTrue(loadShedder.tryAdmit());
     }
     turn(30 * MS);
     turn(0);
-    assertFalse(pace.isShedding());
+    assertFalse(loadShedder.isShedding());
   }
 
   @Test
-  void pausesApartShedNothing() {
+  void separatePausesRejectNothing() {
     for (int at = 0; at < 50; at++) {
       turn(200 * MS);
       turn(0);
     }
-    assertFalse(pace.isShedding());
+    assertFalse(loadShedder.isShedding());
   }
 
-  /**
-   * A loop whose GETs cost so much that it bears so many a second, and to which some times as many
-   * come.
-   */
+  /** An event loop that can serve a thousand requests a second, and receives a multiple of that. */
   @ParameterizedTest
   @ValueSource(doubles = {1.2, 3, 10})
-  void underManyTimesWhatItBearsTheLoopIsSoonOnTimeAndStaysBusy(double times) {
-    long cost = MS, cheap = cost / 30;
-    double owed = 0;
-    long lag = 0, answered = 0, worst = 0;
+  void overloadedEventLoopIsSoonOnTimeAndStaysBusy(double overloadFactor) {
+    long cost = MS;
+    long rejectionCost = cost / 30;
+    double dueRequests = 0;
+    long lag = 0;
+    long answered = 0;
+    long worst = 0;
     for (int turn = 0; turn < 3000; turn++) {
-      turn(Math.max(0, lag - TICK));
-      owed += Math.max(TICK, lag) * times / cost;
+      turn(Math.max(0, lag - TICK_NANOS));
+      dueRequests += Math.max(TICK_NANOS, lag) * overloadFactor / cost;
       long work = 0;
-      for (; owed >= 1; owed--) {
-        boolean takes = pace.tryAdmit();
-        answered += takes && turn >= 200 ? 1 : 0;
-        work += takes ? cost : cheap;
+      for (; dueRequests >= 1; dueRequests--) {
+        boolean isAdmitted = loadShedder.tryAdmit();
+        answered += isAdmitted && turn >= 200 ? 1 : 0;
+        work += isAdmitted ? cost : rejectionCost;
       }
       lag = work;
       worst = turn >= 200 ? Math.max(worst, lag) : worst;
     }
     assertTrue(worst <= 50 * MS, "a turn of " + worst / MS + " ms");
-    assertTrue(answered * cost > 0.5 * (now - 200 * TICK), answered + " of " + now / cost);
+    assertTrue(answered * cost > 0.5 * (now - 200 * TICK_NANOS), answered + " of " + now / cost);
   }
 
   @Test
-  void aGatewayWithLittleTrafficShedsNothingHoweverLateItIs() {
+  void gatewayWithLittleTrafficRejectsNothingHoweverLateItIs() {
     for (int at = 0; at < 100; at++) {
       turn(200 * MS);
-      for (int get = 0; get < 8; get++) {
-        assertTrue(pace.tryAdmit());
+      for (int request = 0; request < 8; request++) {
+        assertTrue(loadShedder.tryAdmit());
       }
     }
   }
 
   @Test
-  void whenTheLoadIsGoneAllAreTakenAgain() {
+  void allRequestsAreAdmittedAgainAfterTheOverload() {
     for (int turn = 0; turn < 20; turn++) {
-      pace.tryAdmit();
+      loadShedder.tryAdmit();
       turn(90 * MS);
     }
-    assertTrue(pace.isShedding());
+    assertTrue(loadShedder.isShedding());
     for (int turn = 0; turn < 60; turn++) {
       turn(0);
     }
-    assertFalse(pace.isShedding());
+    assertFalse(loadShedder.isShedding());
   }
 
   @Test
-  void thoseWhoAreShedStayAwayForSomeTimeAndComeBackSpread() {
-    long first = pace.retryAfterNanos();
-    assertTrue(first >= WAIT / 2 && first <= WAIT);
-    assertTrue(first != pace.retryAfterNanos());
+  void retryAfterIsSpreadOverHalfOfItsMaximum() {
+    long first = loadShedder.retryAfterNanos();
+    assertTrue(first >= MAX_RETRY_AFTER_NANOS / 2 && first <= MAX_RETRY_AFTER_NANOS);
+    assertTrue(first != loadShedder.retryAfterNanos());
     assertEquals(0, new LoadShedder(7, 0).retryAfterNanos());
   }
 
-  private void turn(long late) {
-    now += TICK + late;
-    pace.turnStarted(now, late);
+  private void turn(long lateNanos) {
+    now += TICK_NANOS + lateNanos;
+    loadShedder.turnStarted(now, lateNanos);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -6,75 +6,76 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Two sources that are both believed while members move from one to the other. */
+/** Two authoritative sources, while endpoints move from one to the other. */
 class MergedEndpointListsTest {
-  private final Map<String, EndpointState> told = new TreeMap<>();
-  private final MergedEndpointLists strictest =
+  private final Map<String, EndpointState> listedStates = new TreeMap<>();
+  private final MergedEndpointLists merged =
       new MergedEndpointLists(
           new EndpointListener() {
             @Override
             public void endpointListStarted(EndpointListKind kind) {
               if (kind == EndpointListKind.FULL) {
-                told.clear();
+                listedStates.clear();
               }
             }
 
             @Override
             public void endpointListed(ListedEndpoint endpoint) {
-              told.put(endpoint.id(), endpoint.state());
+              listedStates.put(endpoint.id(), endpoint.state());
             }
 
             @Override
             public void endpointListCompleted() {}
 
             @Override
-            public void objectPurged(long object, int group, long atMs) {}
+            public void objectPurged(long object, int group, long atMillis) {}
           });
-  private final EndpointListener registry = strictest.addSource(), journal = strictest.addSource();
+  private final EndpointListener registry = merged.addSource();
+  private final EndpointListener journal = merged.addSource();
 
-  private static void list(EndpointListener from, boolean whole, Object... idsAndStates) {
-    from.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES);
-    for (int at = 0; at < idsAndStates.length; at += 2) {
-      from.endpointListed(
+  private static void list(EndpointListener source, EndpointListKind kind, Object... idsAndStates) {
+    source.endpointListStarted(kind);
+    for (int index = 0; index < idsAndStates.length; index += 2) {
+      source.endpointListed(
           new ListedEndpoint(
-              (String) idsAndStates[at],
+              (String) idsAndStates[index],
               "127.0.0.1:1",
               "z",
               "k",
               0,
-              (EndpointState) idsAndStates[at + 1],
+              (EndpointState) idsAndStates[index + 1],
               1,
               0));
     }
-    from.endpointListCompleted();
+    source.endpointListCompleted();
   }
 
   @Test
-  void aDrainThatOneTellsHoldsWhateverTheOtherSays() {
-    list(journal, true, "a", EndpointState.UP);
-    list(registry, true, "a", EndpointState.UP);
-    list(journal, false, "a", EndpointState.DRAINING);
-    list(registry, false, "a", EndpointState.UP);
-    assertEquals(Map.of("a", EndpointState.DRAINING), told);
-    list(journal, false, "a", EndpointState.UP);
-    assertEquals(Map.of("a", EndpointState.UP), told);
+  void drainReportedByOneSourceOverridesTheOther() {
+    list(journal, EndpointListKind.FULL, "a", EndpointState.UP);
+    list(registry, EndpointListKind.FULL, "a", EndpointState.UP);
+    list(journal, EndpointListKind.CHANGES, "a", EndpointState.DRAINING);
+    list(registry, EndpointListKind.CHANGES, "a", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.DRAINING), listedStates);
+    list(journal, EndpointListKind.CHANGES, "a", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.UP), listedStates);
   }
 
   @Test
-  void aCacheThatOnlyOneKnowsIsThere() {
-    list(journal, true, "a", EndpointState.UP);
-    list(registry, true, "b", EndpointState.UP);
-    assertEquals(Map.of("a", EndpointState.UP, "b", EndpointState.UP), told);
+  void endpointKnownToOneSourceOnlyIsListed() {
+    list(journal, EndpointListKind.FULL, "a", EndpointState.UP);
+    list(registry, EndpointListKind.FULL, "b", EndpointState.UP);
+    assertEquals(Map.of("a", EndpointState.UP, "b", EndpointState.UP), listedStates);
   }
 
   @Test
-  void whatOneLetsGoOfIsGoneThoughTheOtherStillHasIt() {
-    list(journal, true, "a", EndpointState.UP);
-    list(registry, true, "a", EndpointState.UP, "b", EndpointState.UP);
-    list(registry, true, "b", EndpointState.UP);
-    assertEquals(EndpointState.GONE, told.get("a"));
-    list(journal, false, "a", EndpointState.GONE);
-    list(registry, false, "a", EndpointState.UP);
-    assertEquals(EndpointState.UP, told.get("a"));
+  void endpointDroppedByOneSourceIsGoneUntilItIsListedAnew() {
+    list(journal, EndpointListKind.FULL, "a", EndpointState.UP);
+    list(registry, EndpointListKind.FULL, "a", EndpointState.UP, "b", EndpointState.UP);
+    list(registry, EndpointListKind.FULL, "b", EndpointState.UP);
+    assertEquals(EndpointState.GONE, listedStates.get("a"));
+    list(journal, EndpointListKind.CHANGES, "a", EndpointState.GONE);
+    list(registry, EndpointListKind.CHANGES, "a", EndpointState.UP);
+    assertEquals(EndpointState.UP, listedStates.get("a"));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
@@ -8,7 +8,7 @@
   private final ObjectHistory history = new ObjectHistory();
 
   @Test
-  void aStartReturnsTheOneBeforeIt() {
+  void startReturnsTheTimeOfThePreviousStart() {
     assertEquals(0, history.observe(5, 0, false, 100));
     assertEquals(0, history.observe(5, 3, false, 150), "a later part of the first viewing");
     assertEquals(100, history.observe(5, 0, false, 200));
@@ -16,7 +16,7 @@
   }
 
   @Test
-  void inASharedZoneAPartThatDoesNotFollowIsAStart() {
+  void partOutOfSequenceIsAStartInASharedZone() {
     history.observe(5, 7, true, 100);
     assertEquals(0, history.observe(5, 8, true, 150));
     assertEquals(
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void whatWasStartedLongestAgoIsForgottenFirst() {
+  void objectStartedLongestAgoIsForgottenFirst() {
     history.observe(1, 0, false, 1);
     history.observe(2, 0, false, 2);
     history.observe(1, 0, false, 3);
@@ -36,12 +36,12 @@
   }
 
   @Test
-  void theShortestAnswerOfAKnownObjectIsRemembered() {
-    history.recordAnswer(5, 70);
-    assertEquals(0, history.shortestAnswerNanos(5));
+  void shortestResponseOfAKnownObjectIsRemembered() {
+    history.recordResponseTime(5, 70);
+    assertEquals(0, history.shortestResponseNanos(5));
     history.observe(5, 0, false, 100);
-    history.recordAnswer(5, 70);
-    history.recordAnswer(5, 90);
-    assertEquals(70, history.shortestAnswerNanos(5));
+    history.recordResponseTime(5, 70);
+    history.recordResponseTime(5, 90);
+    assertEquals(70, history.shortestResponseNanos(5));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -28,62 +28,62 @@
   }
 
   @Test
-  void whoIsSilentAndKeepsRequestsWaitingIsEjected() {
+  void silentEndpointWithOverdueRequestsIsEjected() {
     detect(1);
     assertTrue(endpoint.health.isEjected());
-    assertEquals(List.of(1), parts.site.aside);
+    assertEquals(List.of(1), parts.host.suspected);
   }
 
   @Test
-  void noneIsEjectedWhileMostOfItsPeersAreSilentToo() {
+  void noEndpointIsEjectedWhileMostPeersAreSilent() {
     detect(0, 1, 2);
     assertFalse(endpoint.health.isEjected());
-    assertEquals(List.of(0, 1, 2), parts.site.aside, "but the fleet is asked to look at them");
+    assertEquals(List.of(0, 1, 2), parts.host.suspected, "but the fleet is asked to look at them");
   }
 
   @Test
-  void theOriginIsNeverEjected() {
+  void originIsNeverEjected() {
     detector.eject(parts.endpoint(ORIGIN), parts.batch(START));
     assertFalse(parts.endpoint(ORIGIN).health.isEjected());
   }
 
   @Test
-  void anAnswerToARequestSentSinceBeginsProbation() {
+  void responseToARequestSentAfterTheEjectionBeginsProbation() {
     detector.eject(endpoint, parts.batch(START));
-    detector.onAnswer(endpoint, START - MS, parts.batch(START + MS));
+    detector.onResponse(endpoint, START - MS, parts.batch(START + MS));
     assertTrue(endpoint.health.isEjected());
-    detector.onAnswer(endpoint, START + MS, parts.batch(START + 2 * MS));
+    detector.onResponse(endpoint, START + MS, parts.batch(START + 2 * MS));
     assertFalse(endpoint.health.isEjected());
-    assertTrue(detector.takesKey(endpoint, 0.05, START + 2 * MS));
-    assertFalse(detector.takesKey(endpoint, 0.1, START + 2 * MS));
+    assertTrue(detector.acceptsKey(endpoint, 0.05, START + 2 * MS));
+    assertFalse(detector.acceptsKey(endpoint, 0.1, START + 2 * MS));
   }
 
   @Test
-  void anEjectedEndpointGetsOneRequestAtATimeAfterItsPauseUnlessAnotherGatewayChecks() {
+  void ejectedEndpointGetsOneRequestAtATimeAfterItsBackoffUnlessChecksAreDelegated() {
     detector.eject(endpoint, parts.batch(START));
-    assertFalse(detector.takesKey(endpoint, 0, START));
-    assertTrue(detector.takesKey(endpoint, 0, START + 400 * MS));
+    assertFalse(detector.acceptsKey(endpoint, 0, START));
+    assertTrue(detector.acceptsKey(endpoint, 0, START + 400 * MS));
     assertTrue(detector.permitsHealthCheck(endpoint, START + 400 * MS));
     detector.setDelegated(true);
-    assertFalse(detector.takesKey(endpoint, 0, START + 400 * MS));
+    assertFalse(detector.acceptsKey(endpoint, 0, START + 400 * MS));
     assertTrue(detector.permitsHealthCheck(endpoint, START + 400 * MS));
     endpoint.limit.inFlight = 1;
     assertFalse(detector.permitsHealthCheck(endpoint, START + 400 * MS));
   }
 
   @Test
-  void aReportOfSilenceCountsUnlessSomethingWasReceivedSince() {
+  void negativeHealthReportCountsUnlessAResponseIsNewer() {
     endpoint.health.lastResponseNanos = START - 100 * MS;
-    detector.onFleetReport(endpoint, false, 200 * MS, parts.batch(START));
+    detector.onHealthReport(endpoint.index, false, 200 * MS, parts.batch(START));
     assertFalse(endpoint.health.isEjected());
-    detector.onFleetReport(endpoint, false, 50 * MS, parts.batch(START));
+    detector.onHealthReport(endpoint.index, false, 50 * MS, parts.batch(START));
     assertTrue(endpoint.health.isEjected());
-    detector.onFleetReport(endpoint, true, 0, parts.batch(START + 500 * MS));
+    detector.onHealthReport(endpoint.index, true, 0, parts.batch(START + 500 * MS));
     assertFalse(endpoint.health.isEjected());
   }
 
   @Test
-  void anOverdueFillIsTheSourcesFaultOnlyWhereTheEndpointAnswers() {
+  void overdueFillCountsAtItsSourceOnlyIfTheEndpointResponds() {
     Attempt attempt = parts.attempt(parts.request(5), 1, 5);
     detector.recountOverdue(List.of(attempt), START + 150 * MS);
     assertEquals(List.of(1, 0), List.of(endpoint.health.overdue, parts.endpoint(5).health.overdue));
--- a/routing/src/test/java/org/amberpath/routing/PatienceEstimatorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PatienceEstimatorTest.java
@@ -13,19 +13,19 @@
   private final InFlightRequest request = parts.request(5);
 
   @Test
-  void aKnownSizeGivesTheDuration() {
+  void knownSizeDeterminesThePatience() {
     estimator.estimate(request, 100);
     assertEquals((300 + 2 * 100) * MS, request.patienceNanos);
     assertTrue(request.sizeKnown && request.durationKnown);
   }
 
   @Test
-  void withoutASizeTheShortestAnswerCountsAndElseTheClassesMean() {
+  void unknownSizeFallsBackToTheShortestResponseThenToTheClassMean() {
     estimator.estimate(request, 0);
     assertEquals((300 + 2 * 300) * MS, request.patienceNanos);
     assertFalse(request.sizeKnown || request.durationKnown);
     parts.history.observe(5, 0, false, 1);
-    parts.history.recordAnswer(5, 50 * MS);
+    parts.history.recordResponseTime(5, 50 * MS);
     estimator.estimate(request, 0);
     assertEquals((300 + 2 * 50) * MS, request.patienceNanos);
     assertTrue(request.durationKnown);
--- a/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
@@ -9,7 +9,7 @@
   private final PurgeLog purges = new PurgeLog(6000 * MS);
 
   @Test
-  void aPurgeBoundsTheAgeUntilAllCachesHaveCarriedItOut() {
+  void purgeBoundsTheCopyAgeUntilAllCachesHaveCarriedItOut() {
     purges.record(5, 9, 10_000 * MS, 10_000 * MS);
     assertEquals(999 * MS, purges.maxCopyAgeNanos(5, 9, 0, 11_000 * MS));
     assertEquals(500 * MS, purges.maxCopyAgeNanos(5, 9, 500 * MS, 11_000 * MS), "already younger");
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void aPurgeOfAGroupOrOfEverythingBoundsItsObjects() {
+  void purgeOfAGroupOrOfAllGroupsBoundsItsObjects() {
     purges.record(0, 9, 10_000 * MS, 10_000 * MS);
     assertEquals(99 * MS, purges.maxCopyAgeNanos(5, 9, 0, 10_100 * MS));
     assertEquals(0, purges.maxCopyAgeNanos(5, 8, 0, 10_100 * MS));
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
@@ -0,0 +1,30 @@
+package org.amberpath.routing;
+
+import static org.amberpath.routing.FakeHost.MS;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.amberpath.routing.FakeHost.SentAttempt;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The bound on the age of copies after a purge. */
+class PurgedCopiesTest {
+  private final FakeHost host = new FakeHost().listEndpoints();
+
+  @ParameterizedTest
+  @CsvSource({"5, 0", "0, 9", "0, -1"})
+  void copiesOlderThanAPurgeAreExcludedUntilAllCachesHaveDroppedThem(long object, int group) {
+    assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
+    host.deliver(to -> to.objectPurged(object, group, 100 * MS)).advanceMillis(400);
+    long age = host.requestWithHit(5, 0).maxAgeNanos();
+    assertTrue(age > 400 * MS && age < 500 * MS, "younger than the purge: " + age);
+    assertEquals(
+        object == 0, host.requestWithHit(6, 0).maxAgeNanos() > 0, "another object of the group");
+    SentAttempt busy = host.request(7, 0);
+    host.advanceMillis(6500);
+    assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
+    assertNotNull(busy);
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -8,15 +8,15 @@
 class RecentRequestsTest {
   private final RecentRequests<Integer, String> recent = new RecentRequests<>(3);
 
-  private void ask(int... keys) {
+  private void addAll(int... keys) {
     for (int key : keys) {
       recent.add(key, "object " + key);
     }
   }
 
   @Test
-  void whatWasAskedForMostComesFirstAndWhatWasAskedForOnceNotAtAll() {
-    ask(1, 2, 2, 3, 3, 3);
+  void mostFrequentRequestComesFirstAndSingleRequestsAreSkipped() {
+    addAll(1, 2, 2, 3, 3, 3);
     assertEquals("object 3", recent.latest());
     assertNull(recent.nextInPass());
     recent.startPass();
@@ -26,12 +26,12 @@
   }
 
   @Test
-  void theOneAskedForLongestAgoGoesAndOldCountsWearOff() {
-    ask(1, 1, 2, 2, 3, 3, 4, 4);
+  void leastRecentRequestIsEvictedAndCountsDecay() {
+    addAll(1, 1, 2, 2, 3, 3, 4, 4);
     recent.startPass();
     recent.startPass(); // All asked for twice count once by now.
     assertNull(recent.nextInPass());
-    ask(2);
+    addAll(2);
     recent.startPass();
     assertEquals("object 2", recent.nextInPass());
     assertNull(recent.nextInPass(), "1 has gone, the others were asked for once");
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.routing.SeededWorld.Setting;
+import org.amberpath.routing.SeededConfig.Setting;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,7 +18,7 @@
  * processor: the digests were recorded on x86-64.
  */
 class RecordedDecisionsTest {
-  private static final Map<String, SeededWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededWorld> WORLDS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   /** The one place that knows the class under test. */
@@ -32,8 +32,8 @@
         key,
         missing -> {
           SeededWorld world = new SeededWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play(module(world));
+          WORLDS.put(key, world);
+          return world.play(module(world.config()));
         });
   }
 
@@ -52,11 +52,11 @@
     "NARROW, 2, 9f28aff515ddfb10377942304344227adebed9373bd9bed2793086deb7a6350a",
     "NARROW, 3, 0fdfcea1fa6122eea4ed5eea3adc4069015389ddb84e1d4b92b4d5f6c654ef40"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void actionsMatchTheRecordedDigest(Setting setting, long seed, String recorded) {
     assertEquals(
         recorded,
         digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).counts);
+        () -> "counted: " + WORLDS.get(setting + " " + seed).counts());
   }
 
   /**
@@ -64,14 +64,14 @@
    * seed each.
    */
   @Test
-  void theRecordedEventsReachEveryActionOutcomeAndNote() {
+  void recordedEventsReachEveryActionOutcomeAndDetail() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
-      PLAYED
+      WORLDS
           .get(setting + " 1")
-          .counts
-          .forEach((what, many) -> counts.merge(what, many, Integer::sum));
+          .counts()
+          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
     }
     for (String action :
         new String[] {
@@ -92,8 +92,8 @@
     for (AttemptOutcome outcome : AttemptOutcome.values()) {
       assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
     }
-    for (ResponseDetail note : ResponseDetail.values()) {
-      assertTrue(counts.getOrDefault("note " + note, 0) > 0, note + " of " + counts);
+    for (ResponseDetail detail : ResponseDetail.values()) {
+      assertTrue(counts.getOrDefault("detail " + detail, 0) > 0, detail + " of " + counts);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void anEndpointThatDrainsMovesItsOwnKeysOnly() {
+  void drainingEndpointMovesOnlyItsOwnKeys() {
     int[] before = LongStream.range(0, 200).mapToInt(object -> select(object).index).toArray();
     parts.update(1, EndpointState.DRAINING, 0);
     for (int object = 0; object < 200; object++) {
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void weightsDivideTheKeys() {
+  void keysAreDividedByWeight() {
     parts.endpoint(0).weight = 12;
     long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
     assertEquals(300, (float) large, 60);
@@ -40,7 +40,7 @@
 
   /** What is spared on the way must not change who is chosen: compared with the score itself. */
   @Test
-  void theHighestScoreIsChosenAmongEndpointsOfManyWeights() {
+  void highestScoreIsChosenAmongEndpointsOfManyWeights() {
     Endpoint[] candidates = new Endpoint[300];
     for (int index = 0; index < candidates.length; index++) {
       candidates[index] = new Endpoint(index, "e" + index);
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void triedEndpointsAreLeftOutUntilNoneIsLeft() {
+  void triedEndpointsAreExcludedUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
     for (int left = 4; left > 0; left--) {
       request.triedEndpoints.add(select(request, Eligibility.WITH_ROOM));
@@ -73,13 +73,13 @@
   }
 
   @Test
-  void aFullEndpointSpillsOverAndAnEjectedOneIsTheLastResort() {
+  void fullEndpointSpillsOverAndEjectedEndpointIsTheLastResort() {
     Endpoint first = select(5);
     first.limit.inFlight = 100;
     assertNotEquals(first, select(5));
-    assertEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    assertEquals(first, select(parts.request(5), Eligibility.ACCEPTS_KEY));
     parts.detector.eject(first, parts.batch(START));
-    assertNotEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    assertNotEquals(first, select(parts.request(5), Eligibility.ACCEPTS_KEY));
     assertEquals(first, select(parts.request(5), Eligibility.ANY));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -14,7 +14,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "60, 30", "200, 100", "300, 200", "900, 800"})
-  void ofALagHalfIsTakenOffAndOfALongOneAllButATenthOfASecond(long lag, long off) {
+  void deadlineLosesHalfTheLagAndAllButATenthOfASecondOfALongOne(long lag, long off) {
     assertEquals(5000 + 1500 - off, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
   }
 
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void socketsAreFreshForFiftyMillisecondsWhateverTheGrace() {
+  void socketReadsAreFreshForFiftyMilliseconds() {
     SocketReads reads = new SocketReads(0);
     reads.socketsRead(100 * MS);
     reads.socketsRead(90 * MS);
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void aConnectionIsSettledOnceItWasReadAfterItsLastRequestOrForLong() {
+  void connectionIsSettledOnceReadAfterItsLastRequestOrAfterTheMaximumTime() {
     SocketReads reads = new SocketReads(0);
     assertFalse(SocketReads.mustSettle(24 * MS));
     assertTrue(SocketReads.mustSettle(25 * MS));
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void connectionsThatWaitedToBeAcceptedAreAsOldAsTheLagUntilTheQueueIsEmpty() {
+  void acceptedConnectionsCarryTheLagUntilTheAcceptQueueIsEmpty() {
     AcceptLag<Integer> lag = new AcceptLag<>();
     accept(lag, 1, 1, 1000, 0);
     assertEquals(0, lag.lagNanos(1, 1000 * MS));
--- a/routing/src/test/java/org/amberpath/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryBudgetTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void aFifthOfTheRequestsMayBeRetriedAndFortyAreSavedUp() {
+  void oneFifthOfTheRequestsMayBeRetriedAndFortyTokensAreSaved() {
     for (int request = 0; request < 1000; request++) {
       budget.deposit();
     }
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aRefundMakesTheNextAttemptFree() {
+  void refundMakesTheNextAttemptFree() {
     drain();
     assertFalse(budget.tryWithdraw());
     budget.refund();
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -26,13 +26,13 @@
     "IDEMPOTENCY_KEY, ZONE, true, true, false",
     "IDEMPOTENCY_KEY, CELL, true, false, false"
   })
-  void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(
-      Idempotency effect,
-      IdempotencyScope group,
+  void executedRequestIsRetriedOnlyWithinItsIdempotencyScope(
+      Idempotency idempotency,
+      IdempotencyScope scope,
       boolean sameCell,
       boolean sameZone,
       boolean elsewhere) {
-    parts.configure(effect, group);
+    parts.configure(idempotency, scope);
     InFlightRequest request = parts.request(5);
     assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
     request.recordExecuted(parts.attempt(request, 0, 5));
@@ -40,12 +40,12 @@
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
     assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
     assertEquals(
-        effect == Idempotency.IDEMPOTENT,
+        idempotency == Idempotency.IDEMPOTENT,
         policy.permits(request, parts.endpoint(2), START + 1000 * MS));
   }
 
   @Test
-  void aFurtherAttemptNeedsTimeAndARequestThatHasNotBegunToStream() {
+  void retryNeedsTimeLeftAndAResponseThatHasNotStarted() {
     InFlightRequest request = parts.request(5);
     assertTrue(policy.permitsAnother(request, START + 1980 * MS));
     assertFalse(policy.permitsAnother(request, START + 1981 * MS));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void onlyALoneOverdueAttemptIsHedged() {
+  void onlyASingleOverdueAttemptIsHedged() {
     InFlightRequest request = parts.request(5);
     Attempt attempt = parts.attempt(request, 0, 5);
     assertFalse(policy.permitsHedging(attempt, START + 100 * MS));
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void whoAsksMayRepeatWhatDidNotRun() {
+  void clientMayRepeatARequestThatDidNotExecute() {
     parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     assertTrue(policy.isSafeToRepeat(parts.request(5)));
     assertFalse(policy.isSafeToRepeat(executedRequest()));
@@ -88,7 +88,7 @@
     "NOT_STORED_NO_SPACE, false",
     "ORIGIN_FAILED, true"
   })
-  void faultsBehindTheEndpointAreTheSources(ResponseDetail note, boolean isSourceFault) {
-    assertEquals(isSourceFault, RetryPolicy.isSourceFault(note));
+  void faultsBehindTheEndpointAreSourceFaults(ResponseDetail detail, boolean isSourceFault) {
+    assertEquals(isSourceFault, RetryPolicy.isSourceFault(detail));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RouteSelectorTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void aRequestGoesToAnEdgeOfTheZoneAndIsFilledThroughAParent() {
+  void requestGoesToAnEdgeCacheOfTheZoneAndIsFilledThroughAParent() {
     Route route = route(parts.request(5));
     assertTrue(route.endpoint().isEdge());
     assertEquals("here", route.endpoint().zone);
@@ -26,14 +26,14 @@
   }
 
   @Test
-  void theOriginFillsWhereNoParentIsUp() {
+  void originIsTheSourceWhereNoParentIsUp() {
     parts.update(5, EndpointState.DRAINING, 0);
     parts.update(6, EndpointState.DRAINING, 0);
     assertEquals(parts.endpoint(ORIGIN), route(parts.request(5)).source());
   }
 
   @Test
-  void pastTheUplinksLimitOnlyCachedCopiesAreReturned() {
+  void saturatedUplinkMakesRoutesCachedOnly() {
     parts.limiter.uplinkLimit().inFlight = 1000;
     Route route = route(parts.request(5));
     assertNull(route.source());
@@ -41,16 +41,16 @@
   }
 
   @Test
-  void whatIsNeverCachedGoesStraightToTheSourceWhereTheSiteAllowsIt() {
+  void uncacheableRequestGoesStraightToTheSourceWhereBypassIsAllowed() {
     InFlightRequest request = parts.request(5);
     request.uncacheable = true;
     assertTrue(route(request).endpoint().isEdge());
-    parts.site.bypass = true;
+    parts.host.bypassAllowed = true;
     assertEquals(Endpoint.Role.PARENT, route(request).endpoint().role);
   }
 
   @Test
-  void thereIsNoRouteWhereTheEffectMightComeTwice() {
+  void noRouteIsSelectedWhereARequestMightExecuteTwice() {
     parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     InFlightRequest request = parts.request(5);
     request.recordExecuted(parts.attempt(request, 0, 5));
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -1,7 +1,6 @@
 package org.amberpath.routing;
 
 import java.util.SplittableRandom;
-import org.amberpath.routing.RequestRouterTest.FakeHost;
 
 /**
  * The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by
@@ -12,26 +11,27 @@
   static final long START = 1_000_000 * MS;
   static final int ORIGIN = 7;
 
-  final FakeHost site = new FakeHost();
-  TrafficClass trafficClass = new TrafficClass(site.trafficClass(0));
+  final FakeHost host = new FakeHost();
+  TrafficClass trafficClass = new TrafficClass(host.trafficClass(0));
   final ObjectHistory history = new ObjectHistory();
-  final GatewayShare share = new GatewayShare(site);
-  final EndpointTable endpoints = new EndpointTable(site.zone());
-  final SlowStart slowStart = new SlowStart(site, share, new TrafficClass[] {trafficClass});
+  final GatewayShare share = new GatewayShare(host);
+  final EndpointTable endpoints = new EndpointTable(host.zone());
+  final SlowStart slowStart = new SlowStart(host, share, new TrafficClass[] {trafficClass});
   final OutlierDetector detector =
       new OutlierDetector(1, endpoints, share, slowStart, new SplittableRandom(1));
   final ConcurrencyLimiter limiter =
       new ConcurrencyLimiter(endpoints, new TrafficClass[] {trafficClass});
-  final RetryPolicy retryPolicy = new RetryPolicy(site.retries());
+  final RetryPolicy retryPolicy = new RetryPolicy(host.retries());
   final RendezvousSelector rendezvous =
       new RendezvousSelector(retryPolicy, detector, limiter, slowStart);
-  final RouteSelector routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
+  final RouteSelector routes = new RouteSelector(host, endpoints, rendezvous, limiter, retryPolicy);
   final SyntheticRouteSelector syntheticRoutes =
-      new SyntheticRouteSelector(endpoints, routes, slowStart, detector, limiter);
+      new SyntheticRouteSelector(
+          endpoints, routes, new SegmentAdmission(history), slowStart, detector, limiter);
   final AttemptRecorder recorder =
       new AttemptRecorder(endpoints, history, limiter, detector, slowStart);
   final ClusterManager cluster =
-      new ClusterManager(site, share, endpoints, slowStart, limiter, new SplittableRandom(1));
+      new ClusterManager(host, share, endpoints, slowStart, limiter, new SplittableRandom(1));
   private long ids;
 
   /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
@@ -45,9 +45,9 @@
 
   /** The traffic class of requests from now on. */
   void configure(Idempotency idempotency, IdempotencyScope scope) {
-    site.effect = idempotency;
-    site.group = scope;
-    trafficClass = new TrafficClass(site.trafficClass(0));
+    host.idempotency = idempotency;
+    host.idempotencyScope = scope;
+    trafficClass = new TrafficClass(host.trafficClass(0));
   }
 
   void update(int index, EndpointState state, long startedAtNanos) {
@@ -64,7 +64,7 @@
   }
 
   Batch batch(long nowNanos) {
-    return new Batch(nowNanos, site);
+    return new Batch(nowNanos, host);
   }
 
   /** A request with two seconds left and a patience of 100 ms. */
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
@@ -0,0 +1,49 @@
+package org.amberpath.routing;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.function.Consumer;
+
+/** A virtual clock, and events that are due at times of it; of equal times the first one first. */
+final class SeededSchedule {
+  private record ScheduledEvent(long atNanos, long order, Consumer<RoutingEventHandler> event) {}
+
+  private final PriorityQueue<ScheduledEvent> events =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledEvent::atNanos)
+              .thenComparingLong(ScheduledEvent::order));
+  private long nowNanos;
+  private long lastOrder;
+
+  SeededSchedule(long nowNanos) {
+    this.nowNanos = nowNanos;
+  }
+
+  long nowNanos() {
+    return nowNanos;
+  }
+
+  void advance(long nanos) {
+    nowNanos += nanos;
+  }
+
+  void schedule(long atNanos, Consumer<RoutingEventHandler> event) {
+    events.add(new ScheduledEvent(atNanos, ++lastOrder, event));
+  }
+
+  /** Whether anything was ever scheduled. */
+  boolean wasUsed() {
+    return lastOrder > 0;
+  }
+
+  /** Takes the events that are due by now. */
+  List<Consumer<RoutingEventHandler>> takeDue() {
+    List<Consumer<RoutingEventHandler>> due = new ArrayList<>();
+    while (!events.isEmpty() && events.peek().atNanos() <= nowNanos) {
+      due.add(events.poll().event());
+    }
+    return due;
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/SegmentAdmissionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SegmentAdmissionTest.java
@@ -16,13 +16,13 @@
   }
 
   @Test
-  void startsAreCachedAtTheLowestRankUntilTheyAreRepeated() {
+  void firstSegmentsAreCachedAtTheLowestRankUntilTheObjectIsStartedAgain() {
     assertEquals(SegmentAdmission.FIRST_START_RANK, admission.rankOf(5, 2, 0, false, 100));
     assertEquals(SegmentAdmission.STANDARD_RANK, admission.rankOf(5, 2, 50, false, 100));
   }
 
   @Test
-  void aLaterSegmentMustFollowACachedOneUnlessOtherGatewaysShareTheZone() {
+  void laterSegmentMustFollowACachedOneUnlessGatewaysShareTheZone() {
     assertEquals(SegmentAdmission.NOT_CACHED, admission.rankOf(5, 4, 50, false, 100));
     assertEquals(SegmentAdmission.STANDARD_RANK, admission.rankOf(5, 3, 50, false, 100));
     assertEquals(SegmentAdmission.STANDARD_RANK, admission.rankOf(5, 4, 50, false, 100));
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -25,13 +25,13 @@
    */
   @ParameterizedTest
   @CsvSource({"0, true", "-1, true", "50, false"})
-  void anEndpointIsSilentForAnAttemptIfNothingWasHeardSinceItWasSent(
-      long heardMillis, boolean silent) {
+  void endpointIsSilentForAnAttemptWithoutAResponseSinceItWasSent(
+      long respondedAfterMillis, boolean silent) {
     EndpointHealth health = attempt.endpoint().health;
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
       peer.health.lastResponseNanos = START + WAITED_NANOS;
     }
-    health.lastResponseNanos = START + heardMillis * MS;
+    health.lastResponseNanos = START + respondedAfterMillis * MS;
     assertFalse(parts.detector.isSilentSince(attempt), "not yet overdue for long");
     parts.detector.recountOverdue(List.of(attempt), START + WAITED_NANOS);
     parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + WAITED_NANOS));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void anAttemptPastItsDeadlineCountsAtNoSource() {
+  void attemptPastItsDeadlineCountsAtNoSource() {
     long deadlineNanos = attempt.request().deadlineNanos;
     parts.limiter.recountFills(List.of(attempt), deadlineNanos - MS);
     assertTrue(attempt.source().limit.inFlight > 0);
@@ -52,7 +52,7 @@
   /** A hedge sent shortly before the deadline: its source had no time to be late. */
   @ParameterizedTest
   @CsvSource({"50, false", "150, true"})
-  void anUnansweredHedgeCutsItsSourcesLimitOnlyIfItWasOverdue(long waitedMillis, boolean cut) {
+  void timedOutHedgeCutsTheLimitOfItsSourceOnlyIfItWasOverdue(long waitedMillis, boolean cut) {
     Attempt hedge = parts.attempt(attempt.request(), 2, 6);
     double before = hedge.source().limit.limit();
     long nowNanos = START + waitedMillis * MS;
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -15,47 +15,65 @@
 
 /**
  * Slow start: what any number of gateways together send an endpoint that has just started, in any
- * fall time, against the bound at which it falls. Virtual time; more demand than the endpoint can
- * bear.
+ * overload window, against the bound at which it is overloaded. Virtual time; more demand than the
+ * endpoint can serve.
  */
 class SlowStartBoundTest {
-  private static final long MS = 1_000_000L, STEP = 10 * MS, SECOND = 1000 * MS;
-  private static final long FALL = SECOND, COLD_TIME = 30 * SECOND, WORK = 100 * MS;
-  private static final double SHARE = 0.2;
-  private static final int COLD = 0, WARM = 1, PARENT = 2, ORIGIN = 3;
-  private long objective = WORK, now = 1000 * SECOND, startedAt, ids;
-  private double weight = 4, warm = 400;
-  private int cold = COLD, seeds, sent;
-  private boolean warmUp, misses;
-  private final List<Instance> gateways = new ArrayList<>();
-  private final List<Long> sends = new ArrayList<>();
+  private static final long NANOS_PER_MILLI = 1_000_000L;
+  private static final long STEP_NANOS = 10 * NANOS_PER_MILLI;
+  private static final long SECOND_NANOS = 1000 * NANOS_PER_MILLI;
+  private static final long OVERLOAD_WINDOW_NANOS = SECOND_NANOS;
+  private static final long WARM_UP_NANOS = 30 * SECOND_NANOS;
+  private static final long WORK_NANOS = 100 * NANOS_PER_MILLI;
+  private static final double INITIAL_FRACTION = 0.2;
+  private static final int COLD_EDGE = 0;
+  private static final int WARM_EDGE = 1;
+  private static final int PARENT = 2;
+  private static final int ORIGIN = 3;
+
+  private long latencyObjectiveNanos = WORK_NANOS;
+  private long nowNanos = 1000 * SECOND_NANOS;
+  private long startedAtNanos;
+  private long lastRequestId;
+  private double weight = 4;
+  private double warmWeight = 400;
+  private int coldEndpoint = COLD_EDGE;
+  private int lastSeed;
+  private int attemptsAtColdEndpoint;
+  private boolean hasWarmPeers;
+  private boolean everyRequestMisses;
+  private final List<SimulatedGateway> gateways = new ArrayList<>();
+  private final List<Long> sentAtNanos = new ArrayList<>();
 
   @ParameterizedTest
   @CsvSource({
     "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "1, 40", "2, 40", "10, 40", "40, 40", "100, 40"
   })
-  void afterAStartThatAllHear(int count, double size) {
+  void boundHoldsWhenAllGatewaysLearnOfTheStart(int count, double size) {
     weight = size;
-    fleet(count);
-    starts();
-    play(4 * SECOND, 3);
-    assertTrue(sent >= 4 * 3 * SHARE * weight * FALL / WORK / 3, "a third of it is used: " + sent);
+    startGateways(count);
+    startEndpoint();
+    run(4 * SECOND_NANOS, 3);
+    assertTrue(
+        attemptsAtColdEndpoint
+            >= 4 * 3 * INITIAL_FRACTION * weight * OVERLOAD_WINDOW_NANOS / WORK_NANOS / 3,
+        "a third of it is used: " + attemptsAtColdEndpoint);
   }
 
-  /** Where no flood is to be feared, a gateway that asks seldom finds its part whenever it asks. */
+  /** While peers are warm a gateway with few requests has its share of the budget at any time. */
   @Test
-  void thinDemandIsNotMadeToWaitWhileWarmPeersCarryTheRest() {
-    warmUp = true;
-    warm = weight;
-    fleet(100);
-    starts();
-    play(10 * SECOND, 0);
+  void infrequentRequestsDoNotWaitWhileWarmPeersServeTheRest() {
+    hasWarmPeers = true;
+    warmWeight = weight;
+    startGateways(100);
+    startEndpoint();
+    run(10 * SECOND_NANOS, 0);
     int turns = 400;
-    for (int turn = 0; turn < turns; turn++, now += 50 * MS) {
+    for (int turn = 0; turn < turns; turn++, nowNanos += 50 * NANOS_PER_MILLI) {
       gateways.get(turn % gateways.size()).step(10);
-      check();
+      assertWithinBound();
     }
-    assertTrue(sent >= turns * 3 / 4, "sent " + sent);
+    assertTrue(attemptsAtColdEndpoint >= turns * 3 / 4, "sent " + attemptsAtColdEndpoint);
   }
 
   @ParameterizedTest
@@ -71,47 +89,47 @@
     "40, 1500",
     "100, 1500"
   })
-  void gatewaysThatRestartRememberNothingOfWhatTheySent(int count, int afterMs) {
+  void boundHoldsWhenGatewaysRestartAndForgetWhatTheySent(int count, int afterMs) {
     weight = 40;
-    fleet(count);
-    starts();
-    play(afterMs * MS, 3);
+    startGateways(count);
+    startEndpoint();
+    run(afterMs * NANOS_PER_MILLI, 3);
     gateways.clear();
-    fleet(count);
-    play(3 * SECOND, 3);
+    startGateways(count);
+    run(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 10, 40, 100})
-  void anObjectiveFarUnderTheMeanWorkIsNoMeasureOfAFirstSend(int count) {
-    objective = WORK / 10;
-    startedAt = now - SECOND;
-    fleet(count);
-    play(3 * SECOND, 3);
+  void boundHoldsWithALatencyObjectiveFarUnderTheMeanWork(int count) {
+    latencyObjectiveNanos = WORK_NANOS / 10;
+    startedAtNanos = nowNanos - SECOND_NANOS;
+    startGateways(count);
+    run(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 10, 40, 100})
-  void aNewListForgivesNothing(int count) {
-    fleet(count);
-    starts();
+  void boundHoldsAcrossNewEndpointLists(int count) {
+    startGateways(count);
+    startEndpoint();
     for (int list = 0; list < 10; list++) {
-      play(150 * MS, 3);
-      gateways.forEach(one -> one.list(EndpointListKind.FULL));
+      run(150 * NANOS_PER_MILLI, 3);
+      gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.FULL));
     }
-    play(SECOND, 3);
+    run(SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @CsvSource({
     "1, 1", "2, 1", "10, 1", "40, 1", "100, 1", "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "100, 8"
   })
-  void demandThatSetsInLate(int count, double size) {
+  void boundHoldsWhenDemandSetsInLate(int count, double size) {
     weight = size;
-    fleet(count);
-    starts();
-    play(5 * SECOND, 0);
-    play(3 * SECOND, 3);
+    startGateways(count);
+    startEndpoint();
+    run(5 * SECOND_NANOS, 0);
+    run(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
@@ -127,69 +145,74 @@
     "40, true",
     "100, true"
   })
-  void aParentUnderFills(int count, boolean afterHits) {
+  void boundHoldsForAParentUnderFills(int count, boolean afterHits) {
     weight = 40;
-    cold = PARENT;
-    warmUp = true;
-    fleet(count);
+    coldEndpoint = PARENT;
+    hasWarmPeers = true;
+    startGateways(count);
     if (afterHits) {
-      play(3 * SECOND, 3);
+      run(3 * SECOND_NANOS, 3);
     }
-    misses = true;
-    starts();
-    play(4 * SECOND, 3);
+    everyRequestMisses = true;
+    startEndpoint();
+    run(4 * SECOND_NANOS, 3);
   }
 
-  /** So many that know the list as it is now. */
-  private void fleet(int count) {
-    for (int one = 0; one < count; one++) {
-      gateways.add(new Instance(count));
+  /** Starts so many gateways that know the list as it is now. */
+  private void startGateways(int count) {
+    for (int index = 0; index < count; index++) {
+      gateways.add(new SimulatedGateway(count));
     }
-    gateways.forEach(one -> one.list(EndpointListKind.FULL));
+    gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.FULL));
   }
 
-  private void starts() {
-    startedAt = now;
-    gateways.forEach(one -> one.list(EndpointListKind.CHANGES));
+  private void startEndpoint() {
+    startedAtNanos = nowNanos;
+    gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.CHANGES));
   }
 
-  private void play(long time, int getsAStep) {
-    for (long end = now + time; now < end; now += STEP) {
+  private void run(long durationNanos, int requestsPerStep) {
+    for (long end = nowNanos + durationNanos; nowNanos < end; nowNanos += STEP_NANOS) {
       gateways.forEach(
-          one -> one.step(getsAStep == 0 ? 0 : Math.max(getsAStep, 30 / gateways.size())));
-      check();
+          gateway ->
+              gateway.step(
+                  requestsPerStep == 0 ? 0 : Math.max(requestsPerStep, 30 / gateways.size())));
+      assertWithinBound();
     }
   }
 
-  private void check() {
-    sends.removeIf(at -> at <= now - FALL);
-    double ramp =
-        SHARE + (1 - SHARE) * Math.min(1, Math.max(0, now - startedAt) / (double) COLD_TIME);
-    double allowed = 3 * ramp * weight * FALL / WORK;
+  private void assertWithinBound() {
+    sentAtNanos.removeIf(at -> at <= nowNanos - OVERLOAD_WINDOW_NANOS);
+    double capacityFraction =
+        INITIAL_FRACTION
+            + (1 - INITIAL_FRACTION)
+                * Math.min(1, Math.max(0, nowNanos - startedAtNanos) / (double) WARM_UP_NANOS);
+    double allowed = 3 * capacityFraction * weight * OVERLOAD_WINDOW_NANOS / WORK_NANOS;
     double bound =
         allowed < 30 ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
     assertTrue(
-        startedAt == 0 || sends.size() <= bound,
-        sends.size()
-            + " requests in a fall time, "
+        startedAtNanos == 0 || sentAtNanos.size() <= bound,
+        sentAtNanos.size()
+            + " requests in an overload window, "
             + bound
-            + " borne, "
-            + (now - startedAt) / MS
+            + " allowed, "
+            + (nowNanos - startedAtNanos) / NANOS_PER_MILLI
             + " ms after the start");
   }
 
-  private final class Instance implements RoutingActions {
-    private record Answer(long at, long get, int cache, ResponseDetail note) {}
+  private final class SimulatedGateway implements RoutingActions {
+    private record PendingResponse(
+        long atNanos, long requestId, int endpoint, ResponseDetail note) {}
 
-    private final RequestRouter control;
+    private final RequestRouter router;
     private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
-    private final List<Answer> answers = new ArrayList<>();
-    private long wakeAt = Long.MAX_VALUE;
+    private final List<PendingResponse> pendingResponses = new ArrayList<>();
+    private long timerAtNanos = Long.MAX_VALUE;
 
-    Instance(int count) {
+    SimulatedGateway(int count) {
       Map<String, Object> config =
           Map.ofEntries(
-              Map.entry("seed", (long) ++seeds),
+              Map.entry("seed", (long) ++lastSeed),
               Map.entry("gateways", count),
               Map.entry("gatewaysInZone", count),
               Map.entry("zone", "z"),
@@ -203,7 +226,7 @@
                       Idempotency.IDEMPOTENT,
                       IdempotencyScope.ALL,
                       0,
-                      objective,
+                      latencyObjectiveNanos,
                       2,
                       1,
                       false,
@@ -211,44 +234,44 @@
                       0)),
               Map.entry("retries", new RetryConfig(1, false, false, false, 0)),
               Map.entry("transferKilobytesPerSecond", 1000.0),
-              Map.entry("edgeSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
-              Map.entry("parentSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
-              Map.entry("overloadWindowNanos", FALL));
-      control =
+              Map.entry("edgeSlowStart", new SlowStartConfig(INITIAL_FRACTION, WARM_UP_NANOS, 3)),
+              Map.entry("parentSlowStart", new SlowStartConfig(INITIAL_FRACTION, WARM_UP_NANOS, 3)),
+              Map.entry("overloadWindowNanos", OVERLOAD_WINDOW_NANOS));
+      router =
           new RequestRouter(
               (RoutingConfig)
                   Proxy.newProxyInstance(
                       getClass().getClassLoader(),
                       new Class<?>[] {RoutingConfig.class},
-                      (proxy, asked, arguments) ->
+                      (proxy, method, arguments) ->
                           config.getOrDefault(
-                              asked.getName(),
-                              asked.getReturnType() == boolean.class
+                              method.getName(),
+                              method.getReturnType() == boolean.class
                                   ? (Object) false
                                   : (Object) 0L)));
     }
 
-    void list(EndpointListKind what) {
-      events.add(to -> to.endpointListStarted(what));
-      long started = startedAt;
+    void listEndpoints(EndpointListKind kind) {
+      events.add(to -> to.endpointListStarted(kind));
+      long started = startedAtNanos;
       events.add(
           to ->
               to.endpointListed(
                   new EndpointDescription(
-                      COLD,
+                      COLD_EDGE,
                       "10.0.0.1:9",
                       "z",
                       "box",
                       0,
                       EndpointState.UP,
                       weight,
-                      cold == COLD ? started : 0)));
-      if (warmUp) {
+                      coldEndpoint == COLD_EDGE ? started : 0)));
+      if (hasWarmPeers) {
         events.add(
             to ->
                 to.endpointListed(
                     new EndpointDescription(
-                        WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0)));
+                        WARM_EDGE, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warmWeight, 0)));
         events.add(
             to ->
                 to.endpointListed(
@@ -260,7 +283,7 @@
                         0,
                         EndpointState.UP,
                         weight,
-                        cold == PARENT ? started : 0)));
+                        coldEndpoint == PARENT ? started : 0)));
         events.add(
             to ->
                 to.endpointListed(
@@ -270,67 +293,69 @@
       events.add(RoutingEventHandler::endpointListCompleted);
     }
 
-    void step(int gets) {
-      for (Answer answer : List.copyOf(answers)) {
-        if (answer.at <= now) {
-          answers.remove(answer);
-          boolean has = answer.note != ResponseDetail.NONE;
+    void step(int requests) {
+      for (PendingResponse response : List.copyOf(pendingResponses)) {
+        if (response.atNanos <= nowNanos) {
+          pendingResponses.remove(response);
+          boolean hasCopy = response.note != ResponseDetail.NONE;
           events.add(
               to ->
                   to.attemptEnded(
                       new AttemptResult(
-                          answer.get,
+                          response.requestId,
                           0,
-                          answer.cache,
-                          has ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
-                          50 * MS,
-                          has,
-                          answer.note)));
+                          response.endpoint,
+                          hasCopy ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
+                          50 * NANOS_PER_MILLI,
+                          hasCopy,
+                          response.note)));
         }
       }
-      if (wakeAt <= now) {
-        wakeAt = Long.MAX_VALUE;
+      if (timerAtNanos <= nowNanos) {
+        timerAtNanos = Long.MAX_VALUE;
         events.add(to -> to.timerFired("sweep"));
       }
-      for (int one = 0; one < gets; one++) {
-        long id = ++ids;
+      for (int index = 0; index < requests; index++) {
+        long id = ++lastRequestId;
         events.add(
             to ->
                 to.requestReceived(
-                    new RequestDetails(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false)));
+                    new RequestDetails(id, 0, id % 1009, 9, 0, 2 * SECOND_NANOS, 100, false)));
       }
-      List<Consumer<RoutingEventHandler>> round = List.copyOf(events);
+      List<Consumer<RoutingEventHandler>> batch = List.copyOf(events);
       events.clear();
-      control.decide(now, to -> round.forEach(event -> event.accept(to)), this);
+      router.decide(nowNanos, to -> batch.forEach(event -> event.accept(to)), this);
     }
 
     @Override
     public void sendAttempt(AttemptCommand command) {
-      boolean filled = misses && command.source() != command.endpoint();
-      if (command.endpoint() == cold || (filled && command.source() == cold)) {
-        sends.add(now);
-        sent++;
+      boolean filled = everyRequestMisses && command.source() != command.endpoint();
+      if (command.endpoint() == coldEndpoint || (filled && command.source() == coldEndpoint)) {
+        sentAtNanos.add(nowNanos);
+        attemptsAtColdEndpoint++;
       }
-      answers.add(
-          new Answer(
-              now + 50 * MS,
+      pendingResponses.add(
+          new PendingResponse(
+              nowNanos + 50 * NANOS_PER_MILLI,
               command.requestId(),
               command.endpoint(),
-              filled ? ResponseDetail.FILLED : misses ? ResponseDetail.NONE : ResponseDetail.HIT));
+              filled
+                  ? ResponseDetail.FILLED
+                  : everyRequestMisses ? ResponseDetail.NONE : ResponseDetail.HIT));
     }
 
     @Override
-    public void reject(long get, long wait) {}
+    public void reject(long requestId, long retryAfterNanos) {}
 
     @Override
-    public void fail(long get) {}
+    public void fail(long requestId) {}
 
     @Override
-    public void cancelAttempt(long get, int copy) {}
+    public void cancelAttempt(long requestId, int attempt) {}
 
     @Override
-    public void scheduleTimer(long delay, String handle) {
-      wakeAt = now + delay;
+    public void scheduleTimer(long delayNanos, String handle) {
+      timerAtNanos = nowNanos + delayNanos;
     }
 
     @Override
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -15,7 +15,7 @@
   private final RoutingParts parts = new RoutingParts();
 
   @Test
-  void timeThatPassedUnusedIsNotMadeUpForWhenALimitIsUsedAgain() {
+  void idleTimeGivesALimitNoCredit() {
     ConcurrencyLimit idle = new ConcurrencyLimit(nowNanos -> 1);
     idle.setShare(0.01, 24);
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
@@ -36,22 +36,22 @@
       assertEquals(0, warmUp.throughput(START + sweep * 20L * MS));
     }
     long lastNanos = START + SWEEPS * 20 * MS;
-    warmUp.recordReturned(4, lastNanos);
+    warmUp.recordServedWork(4, lastNanos);
     assertEquals(1, warmUp.throughput(lastNanos), 1e-12, "4 s of work over 4 s");
     assertEquals(Math.exp(-1), warmUp.throughput(lastNanos + 4000 * MS), 1e-12);
   }
 
   /** Endpoints that are warm, in their kind's mean; those that are unused count too. */
   @Test
-  void theTypicalThroughputIsTheMeanOverWarmPeersOfAKind() {
-    parts.endpoint(0).warmUp.recordReturned(40, START);
-    parts.endpoint(1).warmUp.recordReturned(20, START);
+  void typicalThroughputIsTheMeanOverWarmPeersOfAKind() {
+    parts.endpoint(0).warmUp.recordServedWork(40, START);
+    parts.endpoint(1).warmUp.recordServedWork(20, START);
     parts.slowStart.learnThroughput(parts.endpoints.zoneEdges(), START);
     assertEquals(15.0 / 4, parts.endpoint(0).warmUp.profile.typicalThroughput, 1e-12);
   }
 
   @Test
-  void aSuspicionIsTakenBackOnceNothingIsOverdue() {
+  void suspicionIsClearedOnceNothingIsOverdue() {
     Endpoint endpoint = parts.endpoint(0);
     endpoint.health.overdue = 1;
     parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START));
--- /dev/null
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
@@ -0,0 +1,81 @@
+package org.amberpath.routing;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import java.util.Objects;
+import java.util.stream.IntStream;
+import org.amberpath.routing.FakeHost.SentAttempt;
+import org.junit.jupiter.api.Test;
+
+/** Health checks and prefetches that the gateway makes by itself. */
+class SyntheticRequestTest {
+  private final FakeHost host = new FakeHost().listEndpoints();
+
+  @Test
+  void syntheticHealthChecksAreSentOneAtATimeUncachedAndNeverRetried() {
+    int cache = host.ejectOneEndpoint();
+    assertNull(host.syntheticRequest(6, 0, cache), "not before the backoff is over");
+    host.advanceMillis(500);
+    SentAttempt healthCheck = host.syntheticRequest(6, 0, cache);
+    assertEquals(List.of(cache, 0), List.of(healthCheck.endpoint(), healthCheck.rank()));
+    assertNull(host.syntheticRequest(6, 0, cache), "one at a time");
+    host.endAttempt(healthCheck, AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
+    assertEquals(healthCheck, host.lastAttempt(healthCheck.requestId()), "never retried");
+    host.advanceMillis(5000);
+    host.succeed(host.syntheticRequest(6, 0, cache), 50, ResponseDetail.HIT);
+    assertEquals(List.of(), host.suspected);
+  }
+
+  @Test
+  void prefetchesTakeABoundedPartOfTheSlowStartBudget() {
+    host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
+    host.changeEndpoint(1, EndpointState.UP, host.nowNanos);
+    assertEquals(List.of(1), host.warmingUp);
+    int sent = 0;
+    int unsent = 0;
+    for (int ms = 0; ms < 1000; ms += 5) {
+      SentAttempt prefetch =
+          host.syntheticRequest(1 + (ms / 5 + 1) % 97, 0, RoutingEventHandler.NO_ENDPOINT);
+      unsent += prefetch == null ? 1 : 0;
+      if (prefetch != null) {
+        sent++;
+        assertEquals(List.of(1, 1), List.of(prefetch.endpoint(), prefetch.rank()));
+        host.succeed(prefetch, 50, ResponseDetail.FILLED);
+      }
+      host.advanceMillis(5);
+    }
+    // Weight 4 at 0.1 s a request is 40 a second; a quarter of three times a fifth to a quarter of
+    // it, beside the clients' requests.
+    assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " in a second");
+    assertTrue(unsent > 100, "keys of other caches are not prefetched: " + unsent);
+    for (int object = 1; object < 97; object++) {
+      assertNull(
+          host.advanceMillis(20).syntheticRequest(object, 9, RoutingEventHandler.NO_ENDPOINT),
+          "a later segment");
+    }
+    assertNotNull(
+        IntStream.range(1, 97)
+            .mapToObj(
+                object ->
+                    host.advanceMillis(10)
+                        .syntheticRequest(object, 3, RoutingEventHandler.NO_ENDPOINT))
+            .filter(Objects::nonNull)
+            .findFirst()
+            .orElse(null),
+        "first segments");
+  }
+
+  @Test
+  void syntheticRequestsOfNonIdempotentClassesAreNeverSent() {
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
+    host.changeEndpoint(1, EndpointState.UP, host.nowNanos);
+    for (int object = 0; object < 50; object++) {
+      assertNull(
+          host.syntheticRequest(object, 0, object % 2 == 0 ? RoutingEventHandler.NO_ENDPOINT : 0));
+    }
+  }
+}
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void aHealthCheckGoesToAnEdgeForWhatIsCached() {
+  void healthCheckGoesToAnEdgeCacheForCachedCopiesOnly() {
     Route route = parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START);
     assertEquals(new Route(parts.endpoint(1), null, true), route);
     assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 5, START), "a parent");
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void aPrefetchGoesOnlyToTheColdEdgeThatTheObjectBelongsTo() {
+  void prefetchGoesOnlyToTheWarmingEdgeCacheOfItsKey() {
     assertNull(prefetch(5), "all are warm");
     parts.update(1, EndpointState.UP, START);
     Route route =
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void nothingIsAskedThatMayNotBeRepeated() {
+  void nonIdempotentSyntheticRequestHasNoRoute() {
     parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START));
   }
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -7,18 +7,17 @@
 
 class TrafficClassTest {
   private static final long MS = 1_000_000L;
-  private final TrafficClass trafficClass =
-      new TrafficClass(new RequestRouterTest.FakeHost().trafficClass(0));
+  private final TrafficClass trafficClass = new TrafficClass(new FakeHost().trafficClass(0));
 
   @Test
-  void theObjectiveStandsForTheWorkUntilThereAreAnswers() {
+  void latencyObjectiveStandsForTheWorkUntilThereAreResponses() {
     assertEquals(300 * MS, trafficClass.workNanos());
     trafficClass.recordDuration(50 * MS);
     assertEquals(50.0 * MS, (double) trafficClass.workNanos(), 10.0 * MS);
   }
 
   @Test
-  void fractionsFollowTheRoutesThatAnswersCameBy() {
+  void fractionsFollowTheRoutesOfResponses() {
     assertEquals(0.5, trafficClass.missFraction());
     assertEquals(0.5, trafficClass.originFraction());
     for (int answer = 0; answer < 400; answer++) {
