--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -8,48 +8,54 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/**
- * How old events are taken to be while the wall clock, or that of who stamps them, steps.
- * Milliseconds.
- */
+/** Ages of events while the wall clock, or the clock that stamps them, steps. Milliseconds. */
 class WallClockStepTest {
-  private static final long MS = 1_000_000L, EPOCH = 1_764_576_000_000L, SLACK = 200;
-  private long passed, step, stampStep;
-  private EventAge ages = new EventAge(0, EPOCH);
+  private static final long MS = 1_000_000L;
+  private static final long EPOCH = 1_764_576_000_000L;
+  private static final long SLACK = 200;
+  private long passed;
 
-  /** A gateway that starts anew, with a wall clock that is so far ahead. */
+  /** By how much this gateway's wall clock is ahead. */
+  private long step;
+
+  /** By how much the clock that stamps events is ahead. */
+  private long stampStep;
+
+  private EventAge eventAge = new EventAge(0, EPOCH);
+
+  /** The gateway restarts with a wall clock that is so far ahead. */
   private void startsWithWallAhead(long ahead) {
     step = ahead;
-    ages = new EventAge(passed * MS, EPOCH + passed + step);
+    eventAge = new EventAge(passed * MS, EPOCH + passed + step);
   }
 
   private void pass(long time) {
     for (long end = passed + time; passed < end; passed += Math.min(250, end - passed)) {
-      ages.clocksRead(passed * MS, EPOCH + passed + step);
+      eventAge.clocksRead(passed * MS, EPOCH + passed + step);
     }
-    ages.clocksRead(passed * MS, EPOCH + passed + step);
+    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
   }
 
-  /** How old, in milliseconds, a purge is taken to be that was so long ago and comes now. */
+  /** The age, in milliseconds, of a purge that was so long ago and is received now. */
   private long purge(long ago, boolean live) {
     long stamp = EPOCH + passed - ago + stampStep;
-    ages.clocksRead(passed * MS, EPOCH + passed + step);
-    ages.replyStarted(passed * MS, live, stamp);
-    long age = ages.purgeAgeNanos(passed * MS, stamp) / MS;
-    ages.replyEnded();
+    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
+    eventAge.replyStarted(passed * MS, live, stamp);
+    long age = eventAge.purgeAgeNanos(passed * MS, stamp) / MS;
+    eventAge.replyEnded();
     return age;
   }
 
   private long start(long ago, boolean live) {
-    ages.clocksRead(passed * MS, EPOCH + passed + step);
-    ages.replyStarted(passed * MS, live, 0);
-    long age = ages.startAgeNanos(passed * MS, EPOCH + passed - ago + stampStep) / MS;
-    ages.replyEnded();
+    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
+    eventAge.replyStarted(passed * MS, live, 0);
+    long age = eventAge.startAgeNanos(passed * MS, EPOCH + passed - ago + stampStep) / MS;
+    eventAge.replyEnded();
     return age;
   }
 
   @Test
-  void withoutAStepTheWallClocksWordHolds() {
+  void withoutAStepAgesFollowTheWallClock() {
     assertEquals(3_600_000, start(3_600_000, false));
     pass(1000);
     assertEquals(20, purge(20, true));
@@ -70,7 +76,7 @@
     "-5000, -5000",
     "0, -3600000"
   })
-  void afterAStepNothingLooksOlderThanItIs(long wall, long stamps) {
+  void afterAStepNoEventLooksOlderThanItIs(long wall, long stamps) {
     pass(1000);
     purge(30, true);
     pass(2000);
@@ -87,7 +93,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {-3_600_000, -5000, 5000, 3_600_000})
-  void aStepBeforeTheStartMakesNoPurgeAndNoStartThatIsHeardOfOld(long ahead) {
+  void stepBeforeTheStartDoesNotAgeLiveEvents(long ahead) {
     startsWithWallAhead(ahead);
     assertTrue(purge(100, false) <= 100 + SLACK, "known at the start");
     pass(1000);
@@ -96,27 +102,27 @@
   }
 
   @Test
-  void aPurgeThatCantBeSoOldShowsThatTheWallClockWasAheadFromTheStart() {
+  void implausiblyOldPurgeCorrectsAWallClockAheadFromTheStart() {
     startsWithWallAhead(3_600_000);
-    assertTrue(start(2000, false) > 3_600_000, "known from before, nothing speaks against it yet");
+    assertTrue(start(2000, false) > 3_600_000, "known before the start, and not contradicted yet");
     pass(1000);
     purge(0, true);
     assertEquals(
-        false, ages.takeCorrection(), "what came before the first reply may be of any age");
+        false, eventAge.takeCorrection(), "what came before the first reply may be of any age");
     pass(1000);
     assertTrue(purge(50, true) <= 50 + SLACK);
-    assertEquals(true, ages.takeCorrection());
-    assertEquals(false, ages.takeCorrection(), "told once");
+    assertEquals(true, eventAge.takeCorrection());
+    assertEquals(false, eventAge.takeCorrection(), "reported once");
     assertTrue(start(4000, false) <= 4000 + SLACK);
   }
 
   @Test
-  void driftIsFollowedAndNoStep() {
+  void driftIsFollowedWithoutCountingAsAStep() {
     for (int hour = 0; hour < 24 * 30; hour++) {
       for (int second = 0; second < 360; second++) {
         step += second % 100 == 0 ? 1 : 0;
         passed += 10_000;
-        ages.clocksRead(passed * MS, EPOCH + passed + step);
+        eventAge.clocksRead(passed * MS, EPOCH + passed + step);
       }
     }
     stampStep = step;
--- a/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
@@ -10,7 +10,7 @@
   private final WarmUp warmUp = new WarmUp();
 
   @Test
-  void capacityRisesEvenlyFromTheInitialFraction() {
+  void capacityRisesLinearlyFromTheInitialFraction() {
     warmUp.profile = new SlowStartProfile(new SlowStartConfig(0.2, 1000, 3), 1);
     assertTrue(warmUp.isComplete(500), "started long ago");
     warmUp.startedAtNanos = 5000;
@@ -22,7 +22,7 @@
 
   @Test
   void throughputDecaysOverSomeSeconds() {
-    warmUp.recordReturned(4, 0);
+    warmUp.recordServedWork(4, 0);
     assertEquals(1, warmUp.throughput(0));
     assertEquals(Math.exp(-1), warmUp.throughput(4_000_000_000L), 1e-9);
   }
