--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -5,15 +5,15 @@
 
 /**
  * How long connections may have waited in the kernel's accept queue, and their first requests with
- * them. An event loop that was late takes the queue in parts, so the last ones wait on while it is
- * late no more. Times are nanoseconds.
+ * them. An event loop that was late accepts the queue in parts, so the last connections still wait
+ * when it is on time again. Times are nanoseconds.
  *
- * <p>Bounded by the connections that are accepted in a few turns.
+ * <p>Bounded by the connections that are accepted in a few turns. All calls come on the event loop.
  *
  * @param <K> a connection
  */
 public final class AcceptLag<K> {
-  /** What one pass of the loop accepts at most; a turn that brought fewer has emptied the queue. */
+  /** Accepts of one pass of the loop, at most; a turn with fewer has emptied the queue. */
   private static final int ACCEPTS_PER_PASS = 16;
 
   /** How long after it was accepted a connection's first bytes are read, at least. */
@@ -28,7 +28,7 @@
   private int acceptedThisTurn;
 
   /**
-   * A connection was accepted, by a loop that was so late just now or had not accepted for so long.
+   * A connection was accepted, by a loop that was late by the lag or had not accepted for so long.
    */
   public void connectionAccepted(K connection, long nowNanos, long lagNanos) {
     acceptedThisTurn++;
@@ -40,9 +40,7 @@
     }
   }
 
-  /**
-   * A turn of the loop has ended, in which it has accepted at least once where anything was there.
-   */
+  /** A turn of the loop has ended, in which it accepted if any connection was waiting. */
   public void turnEnded(long nowNanos) {
     if (acceptedThisTurn < ACCEPTS_PER_PASS) {
       backlogSinceNanos = NONE;
@@ -57,8 +55,8 @@
   }
 
   /**
-   * How long what is read now from a connection may have waited with it; 0 where it was not
-   * accepted late.
+   * How long bytes that are read now may have waited with their connection, in nanoseconds; 0 where
+   * it was not accepted late.
    */
   public long lagNanos(K connection, long nowNanos) {
     Long sinceNanos =
--- a/routing/src/main/java/org/amberpath/routing/Attempt.java
+++ b/routing/src/main/java/org/amberpath/routing/Attempt.java
@@ -1,12 +1,12 @@
 package org.amberpath.routing;
 
 /**
- * One copy of a request, sent by a route.
+ * One attempt to have a request answered, sent by a route.
  *
  * @param number its place among the request's attempts, from 0
  * @param sentAtNanos when it was decided
- * @param refundableWorkSeconds the work charged to a source that is warming up, to be given back if
- *     it was not asked
+ * @param refundableWorkSeconds the work charged to a source that is warming up, refunded if the
+ *     endpoint needed no fill
  */
 record Attempt(
     InFlightRequest request,
@@ -20,7 +20,7 @@
     return route.endpoint();
   }
 
-  /** Who fills a miss; the endpoint itself where nothing is filled. */
+  /** The endpoint that fills a miss; the attempt's own where nothing is filled. */
   Endpoint source() {
     return route.source() == null ? route.endpoint() : route.source();
   }
--- a/routing/src/main/java/org/amberpath/routing/AttemptCommand.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptCommand.java
@@ -7,8 +7,8 @@
  * @param endpoint index of the endpoint that the attempt goes to
  * @param deadlineNanos clock time at which the attempt times out; 0 or less for the request's own
  * @param source index of the endpoint that a miss is filled from; the endpoint itself for no fill
- * @param maxAgeNanos the oldest copy that will do; 0 for the traffic class's fresh time
- * @param rank rank of the copy that is kept, 1 to 3; 0 keeps none
+ * @param maxAgeNanos the oldest copy that may be returned; 0 for the traffic class's fresh time
+ * @param rank rank of the copy that is cached, 1 to 3; 0 caches none
  * @param options sum of {@link #COALESCE}, {@link #CACHED_ONLY}, {@link #PARENT_NO_STORE} and
  *     {@link #REVALIDATE}
  */
--- a/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -23,6 +23,8 @@
   /** In the order in which they were sent. */
   private final Set<Attempt> openAttempts = new LinkedHashSet<>();
 
+  private final Collection<Attempt> openAttemptsView = Collections.unmodifiableSet(openAttempts);
+
   private boolean isSweepScheduled;
 
   /** A dispatcher without attempts; it reports each one to the recorder. */
@@ -36,7 +38,7 @@
 
   /** The attempts that have not ended, in the order in which they were sent; a view. */
   Collection<Attempt> openAttempts() {
-    return Collections.unmodifiableSet(openAttempts);
+    return openAttemptsView;
   }
 
   /** The same as a copy, for loops that send further attempts. */
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -3,11 +3,11 @@
 import org.amberpath.routing.InFlightRequest.Purpose;
 
 /**
- * Reports each attempt to all that count or learn: traffic classes, limits, outlier detection and
- * slow start.
+ * Records each attempt with everything that counts or learns: traffic classes, limits, outlier
+ * detection and slow start.
  */
 final class AttemptRecorder {
-  /** An answer within this part of its request's patience counts as in time. */
+  /** A response within this part of its request's patience counts as in time. */
   private static final double PROMPT_FRACTION = 0.75;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -18,7 +18,7 @@
   private final OutlierDetector outlierDetector;
   private final SlowStart slowStart;
 
-  /** A recorder that reports to these. */
+  /** A recorder that reports to the given parts. */
   AttemptRecorder(
       EndpointTable endpoints,
       ObjectHistory history,
@@ -50,7 +50,7 @@
     }
   }
 
-  /** An attempt has ended; it took so many nanoseconds. */
+  /** An attempt has ended after the given time. */
   void recordEnded(
       Attempt attempt,
       AttemptOutcome outcome,
@@ -65,7 +65,7 @@
       case CONNECTION_LOST ->
           attempt.endpoint()
               .health
-              .failures++; // Guards against resets of single answers: no outage.
+              .failures++; // Guards against resets of single responses: no outage.
       case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
     }
@@ -142,8 +142,9 @@
   }
 
   /**
-   * Guards a source against the blame for answers that got lost behind a silent endpoint, and for
-   * attempts that were sent so late that their deadline came before they could be overdue.
+   * A time-out cuts the limit of the source. Guards it against responses that were lost behind a
+   * silent endpoint, and against attempts sent so late that their deadline came before they could
+   * be overdue.
    */
   private static void recordTimedOut(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
--- a/routing/src/main/java/org/amberpath/routing/Batch.java
+++ b/routing/src/main/java/org/amberpath/routing/Batch.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * What every step of one batch of events shares.
+ * A batch of events that is decided at one time.
  *
  * @param nowNanos the time at which the whole batch is decided, in nanoseconds
- * @param actions takes what is decided, in order
+ * @param actions carries out the decisions, in order
  */
 record Batch(long nowNanos, RoutingActions actions) {}
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -16,7 +16,7 @@
   private final SplittableRandom random;
   private boolean isSubscribed;
 
-  /** A manager of the given table and of those that keep state by its endpoints. */
+  /** A manager of the given table and of the parts that keep state by its endpoints. */
   ClusterManager(
       RoutingConfig config,
       GatewayShare share,
@@ -40,7 +40,7 @@
     }
   }
 
-  /** A list begins: a full one replaces all endpoints that it does not name. */
+  /** A list begins: a full one removes all endpoints that it does not name. */
   void beginList(EndpointListKind kind) {
     isSubscribed = kind != EndpointListKind.NONE;
     if (kind == EndpointListKind.FULL) {
@@ -104,8 +104,8 @@
   }
 
   /**
-   * The number of gateways has changed: limits of what all share shrink at once, and grow by
-   * answers.
+   * The number of gateways, or whether this one has a share at all, has changed: limits of shared
+   * targets shrink at once, and grow by responses.
    */
   void updateShare(int gateways, boolean isGranted, long nowNanos) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -4,14 +4,14 @@
 
 /**
  * How many requests are and may be in flight at once towards one target. Guards against overload:
- * late answers cut the limit, prompt ones widen it. A limit under one request is kept over time:
- * what was in flight beyond it is a debt to be paid off before the next may go. Source:
- * docs/design.md, "The six mechanisms beside the design".
+ * late responses cut the limit, prompt ones widen it. A limit under one request holds over time:
+ * what was in flight beyond it is a debt that is paid off before the next one may be sent. Source:
+ * docs/design.md, "Concurrency limits".
  */
 final class ConcurrencyLimit {
   /**
-   * The priority factor of what is not cached; up to it, no debt at all may be left where a limit
-   * is under one.
+   * The priority factor of requests that are not cached; up to it, a limit under one request allows
+   * no debt at all.
    */
   static final double UNCACHED_FACTOR = 0.8;
 
@@ -31,7 +31,7 @@
   /** When the limit was last cut, in nanoseconds. */
   long lastDecreaseNanos;
 
-  /** When the latest request was sent that has been answered in time, in nanoseconds. */
+  /** When the latest request with a response in time was sent, in nanoseconds. */
   long lastPromptSentNanos;
 
   private final LongToDoubleFunction capacityFraction;
@@ -69,18 +69,18 @@
   }
 
   /**
-   * A share that was taken away and came back begins anew; one that shrank takes the limit along.
+   * A share that was revoked and is granted again starts anew; one that shrank shrinks the limit.
    */
   void rescale(double fromShare, double toShare) {
     limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
   }
 
-  /** Forgets what was learnt, for a target that has restarted. */
+  /** Starts anew, for a target that has restarted. */
   void reset() {
     limit = 0;
   }
 
-  /** Accounts for the time that has passed since the last call. */
+  /** Accounts for the time that passed since the last call. */
   void advanceTo(long nowNanos) {
     double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
     advancedAtNanos = nowNanos;
@@ -88,7 +88,7 @@
       smoothedInFlight +=
           (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
     }
-    if (inFlight != 0 || debt != 0) { // Most of many targets carry nothing: there it stays 0.
+    if (inFlight != 0 || debt != 0) { // Stays 0 for most targets, which carry nothing.
       debt =
           Math.max(
               0,
@@ -106,14 +106,18 @@
   }
 
   /**
-   * Counted as long in flight: a quick rejection would leave the limit free to ask again at once.
+   * A rejection counts as one second in flight. Guards against sending the next request at once,
+   * since a quick rejection leaves the limit free.
    */
   void onRejected(long nowNanos) {
     onResponse(nowNanos, false);
     debt += REJECTION_DEBT;
   }
 
-  /** A late answer cuts from what is used, so that a limit that was never reached binds at once. */
+  /**
+   * A response came in time or late. A late one cuts from what is used, so that a limit that was
+   * never reached binds at once.
+   */
   void onResponse(long nowNanos, boolean inTime) {
     advanceTo(nowNanos);
     if (inTime) {
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -1,15 +1,15 @@
 package org.amberpath.routing;
 
 /**
- * This gateway's part of what comes back in time: requests at an endpoint, fills into the zone and
- * fills that reach the origin. Past a limit the next endpoint takes over, then only cached copies
- * are returned, then requests are shed. Source: docs/design.md, "The six mechanisms beside the
- * design".
+ * Limits this gateway's requests at each endpoint, its fills into the zone and its fills that reach
+ * the origin, each to its share of what returns in time. Past a limit the next endpoint is used,
+ * then only cached copies are returned, then requests are rejected. Source: docs/design.md,
+ * "Concurrency limits".
  */
 final class ConcurrencyLimiter {
   /**
-   * The limits begin right for a gateway that has so many edge caches, and as many parents, to
-   * itself.
+   * The initial limits are right for a gateway that has this many edge caches, and the following
+   * number of parents, to itself.
    */
   private static final double EDGES_PER_GATEWAY = 3;
 
@@ -17,8 +17,8 @@
   private static final double INITIAL_LIMIT = 24;
 
   /**
-   * An endpoint spills over past this multiple of its part of what is in flight, and some more for
-   * all.
+   * An endpoint spills over past this multiple of its share of the requests in flight, plus its
+   * share of the allowance.
    */
   private static final double SPILL_OVER_FACTOR = 1.75;
 
@@ -28,7 +28,7 @@
   private static final double PRIORITY_FACTOR = 1.5;
   private static final double PRIORITY_REVENUE_FACTOR = 1.5;
 
-  /** An origin that was late longer ago than this is not suspected. */
+  /** An origin whose last late response is older than this is not suspected. */
   private static final long ORIGIN_SUSPICION_NANOS = 1_000_000_000L;
 
   private final ConcurrencyLimit originLimit = new ConcurrencyLimit(nowNanos -> 1);
@@ -81,8 +81,8 @@
   }
 
   /**
-   * By how much a class may pass a limit: those with the most revenue for the work come last to be
-   * shed.
+   * The factor by which a class may exceed a limit: those with the most revenue for the work are
+   * rejected last.
    */
   double priorityFactor(TrafficClass trafficClass) {
     double bound = PRIORITY_REVENUE_FACTOR * trafficClass.revenue() / trafficClass.workNanos();
@@ -94,7 +94,7 @@
     return PRIORITY_FACTOR;
   }
 
-  /** The same of a fill: what is not cached from it stands back. */
+  /** The same for a fill; lower where the response is not cached. */
   private double fillPriorityFactor(InFlightRequest request) {
     return priorityFactor(request.trafficClass)
         * (request.rank == SegmentAdmission.NOT_CACHED ? ConcurrencyLimit.UNCACHED_FACTOR : 1);
@@ -114,8 +114,7 @@
   }
 
   /**
-   * Guards against a slow origin: past its limit only what caches hold is returned, ageing copies
-   * too.
+   * Guards against a slow origin: past its limit only cached copies are returned, stale ones too.
    */
   boolean isOriginSaturated(InFlightRequest request, long nowNanos) {
     return request.originFailed
@@ -123,8 +122,8 @@
   }
 
   /**
-   * How many in flight, a unit of weight, are too many: guards against hot segments and slow
-   * caches.
+   * The number in flight, per unit of weight, past which an endpoint spills over. Guards against
+   * hot segments and slow caches.
    */
   double spillOverBound(Endpoint[] peers) {
     double inFlight = 0;
@@ -139,8 +138,8 @@
   }
 
   /**
-   * Whether later fills have come back, by source and origin: guards limits against answers that
-   * never come.
+   * Whether later fills have returned, through the same source and by way of the origin. Guards
+   * limits against responses that never come.
    */
   boolean isOvertaken(Attempt attempt) {
     return Math.min(attempt.source().limit.lastPromptSentNanos, originLimit.lastPromptSentNanos)
@@ -148,8 +147,9 @@
   }
 
   /**
-   * Counts a fill with its source and, as far as that is likely, with the origin. What waits long
-   * is at the origin if that was late last: guards parents against the blame for a slow origin.
+   * Counts a fill with its source and, as far as that is likely, with the origin. An overdue fill
+   * counts fully at the origin if that was late last: guards the limits of parents against a slow
+   * origin.
    *
    * @param likelihood how likely the attempt needs a fill, 0 to 1
    */
@@ -167,8 +167,8 @@
   }
 
   /**
-   * Counts all fills anew, from the attempts that have not ended: the longer one takes the more
-   * likely it is a fill.
+   * Counts all fills anew, from the attempts that have not ended: the longer one is in flight the
+   * more likely it is a fill.
    */
   void recountFills(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
@@ -181,13 +181,13 @@
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
       InFlightRequest request = attempt.request();
-      boolean isExpired = nowNanos >= request.deadlineNanos; // Whoever fills has given it up.
+      boolean isExpired = nowNanos >= request.deadlineNanos; // Its source has given it up.
       if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
         boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
         addFill(attempt, isLikelyFill ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
     }
-    // A source past its limit is stalled itself: what waits there does not use the link.
+    // Fills that wait at a source past its limit do not use the uplink.
     for (Endpoint endpoint : endpoints.all()) {
       uplinkLimit.inFlight +=
           endpoint.isEdge() ? 0 : Math.min(endpoint.limit.inFlight, endpoint.limit.limit());
--- a/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
+++ b/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
@@ -1,10 +1,10 @@
 package org.amberpath.routing;
 
 /**
- * Whether a connect that did not come up in a request's time is held against the endpoint. Guards
- * endpoints against requests with little time left: on the networks that gateways and caches share
- * a connection comes up in milliseconds, so only one that takes a good part of the connect timeout
- * is a sign that nobody answers there.
+ * Whether a connect that did not complete in a request's time is evidence against the endpoint.
+ * Guards endpoints against requests with little time left: on the networks that gateways and caches
+ * share a connect takes milliseconds, so only one that takes a good part of the connect timeout
+ * shows that the endpoint does not respond.
  */
 public final class ConnectPatience {
   /** The part of the connect timeout after which an unanswered connect is evidence. */
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
-/** A cache, a parent or the origin, as it is listed, with what this gateway has learnt about it. */
+/** A cache, a parent or the origin, as it is listed, with what this gateway knows about it. */
 final class Endpoint {
-  /** What an endpoint is to the gateway, by the kind that it is listed under. */
+  /** What an endpoint is to the gateway, by the kind under which it is listed. */
   enum Role {
     EDGE,
     PARENT,
@@ -12,16 +12,16 @@
   /** The number under which the gateway's socket side knows it. */
   final int index;
 
-  /** Of its stable id, so that all gateways agree on the order of endpoints for a key. */
+  /** A hash of its stable id: all gateways agree on the order of endpoints for a key. */
   final long hash;
 
-  /** What it may be sent at once. */
+  /** How many requests it may have in flight. */
   final ConcurrencyLimit limit;
 
   /** How far it has warmed up. */
   final WarmUp warmUp = new WarmUp();
 
-  /** Whether it answers. */
+  /** Whether it responds. */
   final EndpointHealth health = new EndpointHealth();
 
   Role role;
@@ -29,7 +29,7 @@
   String zone;
   int cell;
 
-  /** Its size in transfers at full pace where the site lists sizes, else 1. */
+  /** Its size in transfers at full rate where the configuration lists sizes, else 1. */
   double weight;
 
   /** An endpoint under a stable id, before the rest of its description is known. */
--- a/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointDescription.java
@@ -5,8 +5,8 @@
  *
  * @param index the number under which the gateway's socket side knows it
  * @param id stable, the same at all gateways
- * @param zone the zone that it stands in
- * @param kind what it is listed as, which decides its role
+ * @param zone the zone that it belongs to
+ * @param kind what it is listed as, which determines its role
  * @param cell the shelf or rack, 0 where none is listed
  * @param state whether it takes attempts and fills
  * @param weight its size, in the unit of the configuration
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * How one endpoint is, by the signs of life that this gateway has seen. An ejected endpoint gets
- * single requests, after pauses that double; once one has shown that it answers it is on probation,
- * with a part of its keys that doubles.
+ * The health of one endpoint, by the responses that this gateway has seen. An ejected endpoint gets
+ * single requests, after a backoff that doubles; once it has responded it is on probation, with a
+ * part of its keys that doubles. Source: docs/design.md, "Outlier detection".
  */
 final class EndpointHealth {
   /**
@@ -23,16 +23,16 @@
   private static final long MAX_PROBATION_DOUBLINGS = 32;
   private static final double OVERDUE_LIMIT = 2;
 
-  /** When the endpoint last gave a sign of life, in nanoseconds. */
+  /** When the endpoint last responded in any way, in nanoseconds. */
   long lastResponseNanos;
 
-  /** Whether others were asked to look at it: too little to go by alone. */
+  /** Whether it was reported as suspect for a health check, without enough evidence to eject it. */
   boolean suspected;
 
-  /** How many requests wait for it past their time; counted anew in each sweep. */
+  /** How many of its requests are overdue; counted anew in each sweep. */
   int overdue;
 
-  /** Attempts lost, or without a connection, since it last answered. */
+  /** Attempts that were lost or found no connection since it last responded. */
   int failures;
 
   private State state = State.HEALTHY;
@@ -41,14 +41,14 @@
   private long nextHealthCheckNanos;
   private long backoffNanos = FIRST_BACKOFF_NANOS;
 
-  /** The longest pause between two checks of an ejected endpoint, in nanoseconds. */
+  /** The longest backoff between two checks of an ejected endpoint, in nanoseconds. */
   static long maxBackoffNanos() {
     return MAX_BACKOFF_NANOS;
   }
 
   /**
-   * The fraction of its keys that it gets. A trickle doubles with time: a thin slice would bring no
-   * answers for long.
+   * The fraction of its keys that it gets. On probation it doubles with time, not with responses: a
+   * thin slice would bring none for long.
    */
   double keyFraction(long nowNanos) {
     return switch (state) {
@@ -75,12 +75,12 @@
     return state == State.EJECTED;
   }
 
-  /** Whether the pause since it was ejected last is over; also true if it never was. */
+  /** Whether the backoff since its last ejection is over; also true if it was never ejected. */
   boolean isBackoffOver(long nowNanos) {
     return nowNanos >= nextHealthCheckNanos;
   }
 
-  /** The same of a pause that is longer by so many nanoseconds. */
+  /** The same for a backoff that is longer by so many nanoseconds. */
   boolean isBackoffOver(long nowNanos, double longerByNanos) {
     return nowNanos >= nextHealthCheckNanos + longerByNanos;
   }
@@ -90,19 +90,19 @@
     return overdue + failures >= (isEjected() ? 1 : OVERDUE_LIMIT);
   }
 
-  /** Whether there is nothing to eject it or to suspect it for, nor a suspicion to take back. */
+  /** Whether there is nothing to eject or suspect it for, nor a suspicion to clear. */
   boolean isUnremarkable() {
     return overdue == 0 && failures == 0 && !suspected;
   }
 
-  /** The pause that the next ejection begins with, in nanoseconds. */
+  /** The backoff of the next ejection, in nanoseconds. */
   long backoffNanos() {
     return backoffNanos;
   }
 
   /**
-   * Takes all keys away, and doubles the pause: from half the last one and this random part of it
-   * on.
+   * Takes all keys away until half the backoff and the given random part of it have passed, and
+   * doubles the next one.
    */
   void eject(long nowNanos, long randomPartNanos) {
     failures = 0;
@@ -112,7 +112,7 @@
     state = State.EJECTED;
   }
 
-  /** It is known to have lived at a time, in nanoseconds; whether that begins its probation. */
+  /** It was alive at the given time; returns whether that begins its probation. */
   boolean beginProbation(long aliveAtNanos, long nowNanos) {
     if (state != State.EJECTED || aliveAtNanos < ejectedAtNanos) {
       return false;
@@ -122,7 +122,7 @@
     return true;
   }
 
-  /** Back to all of its keys, and to the shortest pause. */
+  /** Gives all of its keys back, and resets the backoff. */
   void recover() {
     state = State.HEALTHY;
     backoffNanos = FIRST_BACKOFF_NANOS;
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
@@ -1,8 +1,11 @@
 package org.amberpath.routing;
 
-/** How an edge cache looks from this gateway, for health checks that one gateway makes for all. */
+/**
+ * The health of an edge cache as this gateway sees it, for health checks that one gateway makes for
+ * all.
+ */
 public enum EndpointHealthStatus {
-  /** Ejected, or silent while a request waits for it: a health check is wanted. */
+  /** Ejected, or silent while one of its requests is overdue: a health check is wanted. */
   SUSPECT,
   /** Needs no health check. */
   HEALTHY,
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -46,19 +46,19 @@
     return all.get(index);
   }
 
-  /** How many edge caches of all zones were up when the list was complete. */
+  /** How many edge caches of all zones were up when the last list was completed. */
   int upEdges() {
     return upEdges;
   }
 
-  /** The endpoint of that index, made if it is not known yet. */
+  /** The endpoint of that index, created if it is not known yet. */
   Endpoint getOrAdd(int index, String id) {
     return all.computeIfAbsent(index, missing -> new Endpoint(missing, id));
   }
 
   /**
-   * A list is complete: drops what is gone, in one pass. Guards against ids that come and go for
-   * ever.
+   * A list is complete: drops the endpoints that are gone. Guards against unbounded growth by ids
+   * that come and go.
    */
   void rebuild() {
     List<Endpoint> edges = new ArrayList<>();
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * This gateway's part of what all gateways share: by the configured number of gateways or, where
- * the fleet has more, by that. Guards limits against more gateways than are configured, all of
+ * This gateway's share of what all gateways use: by the configured number of gateways or, where the
+ * fleet has more, by the fleet's. Guards limits against more gateways than are configured, all of
  * which may be in this zone.
  */
 final class GatewayShare {
@@ -18,7 +18,7 @@
     gatewaysInAll = Math.max(1, config.gateways());
   }
 
-  /** The fleet has counted its gateways; also, whether this one may take a part at all. */
+  /** The fleet has counted its gateways, and granted this one a share or none. */
   void update(int gateways, boolean isGranted) {
     int extraGateways = Math.max(0, gateways - Math.max(1, config.gateways()));
     gatewaysInAll = Math.max(1, config.gateways()) + extraGateways;
@@ -36,19 +36,19 @@
     return gatewaysInAll;
   }
 
-  /** Whether others serve the zone. */
+  /** Whether other gateways serve the zone. */
   boolean isZoneShared() {
     return gatewaysInZone > 1;
   }
 
-  /** Whether this gateway may take anything of what is shared. */
+  /** Whether this gateway has a share at all. */
   boolean isGranted() {
     return granted;
   }
 
   /**
-   * This gateway's part of an endpoint of that role, 0 to 1: zones have edge caches, all zones the
-   * others.
+   * This gateway's share of an endpoint of that role, 0 to 1: a zone shares its edge caches, all
+   * zones share the others.
    */
   double fractionOf(Endpoint.Role role) {
     return granted ? 1.0 / (role == Endpoint.Role.EDGE ? gatewaysInZone : gatewaysInAll) : 0;
--- a/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
+++ b/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
@@ -6,8 +6,8 @@
 /** A request between its arrival and the end of its last attempt. Times are nanoseconds. */
 final class InFlightRequest {
   /**
-   * Who wants the answer: a client, or the fleet, to check an endpoint or to fill one that has
-   * started.
+   * Who made the request: a client, or the gateway by itself, to check an endpoint or to fill one
+   * that has started.
    */
   enum Purpose {
     CLIENT,
@@ -23,45 +23,45 @@
   final long deadlineNanos;
   final List<Attempt> attempts = new ArrayList<>(2);
 
-  /** Endpoints that no further attempt goes to or through. */
-  final List<Endpoint> triedEndpoints = new ArrayList<>(2);
+  /** Endpoints that no retry goes to or through. */
+  final List<Endpoint> excludedEndpoints = new ArrayList<>(2);
 
   Purpose purpose = Purpose.CLIENT;
 
-  /** An attempt without an answer for so long counts as overdue. */
+  /** An attempt without a response for so long counts as overdue. */
   long patienceNanos;
 
-  /** The rank that its answer is cached at. */
+  /** The rank at which its response is cached. */
   int rank = SegmentAdmission.NOT_CACHED;
 
   /** How many attempts have not ended. */
   int openAttempts;
 
-  /** Whether its answer is never cached. */
+  /** Whether its response is never cached. */
   boolean uncacheable;
 
   /** Whether its size is known. */
   boolean sizeKnown;
 
   /**
-   * Whether its patience follows from a size or an earlier answer, so that its answer can be called
-   * late.
+   * Whether its patience follows from a size or an earlier response, so that its response can be
+   * judged as late.
    */
   boolean durationKnown;
 
-  /** Whether the origin has failed on it: another parent would only ask the same origin again. */
+  /** Whether the origin has failed it: another parent would only ask the same origin again. */
   boolean originFailed;
 
-  /** Whether its answer has begun to go out. */
+  /** Whether its response has started to stream to the client. */
   boolean streaming;
 
   /** Whether its final answer is decided. */
   boolean done;
 
-  /** The first attempt that may have had its effect; null for none. */
+  /** The first attempt that may have executed; null for none. */
   Attempt firstExecuted;
 
-  /** A request that has just arrived, before it is known how it is routed. */
+  /** A request that has just arrived, before its route is selected. */
   InFlightRequest(RequestDetails details, TrafficClass trafficClass, long nowNanos) {
     id = details.id();
     object = details.object();
@@ -71,7 +71,7 @@
     this.trafficClass = trafficClass;
   }
 
-  /** Whether this gateway asks by itself, on behalf of the fleet. */
+  /** Whether this gateway made it by itself, on behalf of the fleet. */
   boolean isSynthetic() {
     return purpose != Purpose.CLIENT;
   }
@@ -81,7 +81,7 @@
     return deadlineNanos - nowNanos;
   }
 
-  /** Notes an attempt that has ended and may have had the request's effect. */
+  /** Records an attempt that has ended and may have executed the request. */
   void recordExecuted(Attempt attempt) {
     if (firstExecuted == null || attempt.sentAtNanos() < firstExecuted.sentAtNanos()) {
       firstExecuted = attempt;
--- a/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
+++ b/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
@@ -15,7 +15,7 @@
 
   private final int[] counts = new int[BINS];
 
-  /** Counts a duration, in nanoseconds; what lies outside goes to the first or the last bin. */
+  /** Counts a duration, in nanoseconds; one out of range goes to the first or the last bin. */
   void record(long durationNanos) {
     double bin = BINS_PER_DOUBLING * Math.log(durationNanos / LOWEST_NANOS) / Math.log(2);
     counts[(int) Math.max(0, Math.min(BINS - 1, bin))]++;
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The mean duration in nanoseconds, each sample taken for the middle of its bin; there must be a
-   * sample.
+   * The mean duration in nanoseconds, each sample taken at the middle of its bin. Requires at least
+   * one sample.
    */
   long meanNanos() {
     double sum =
--- a/routing/src/main/java/org/amberpath/routing/ListedEndpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/ListedEndpoint.java
@@ -4,9 +4,9 @@
  * An endpoint as discovery lists it.
  *
  * @param id stable; the same id after {@link EndpointState#GONE} is another endpoint
- * @param address IP address and port; empty for the one that is known
- * @param zone the zone that it stands in
- * @param kind what it is listed as, which decides its role
+ * @param address IP address and port; empty to keep the known one
+ * @param zone the zone that it belongs to
+ * @param kind what it is listed as, which determines its role
  * @param cell the shelf or rack, 0 where none is listed
  * @param state whether it takes attempts and fills
  * @param weight its size, in the unit of the configuration; 1 where none is listed
--- a/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -1,23 +1,23 @@
 package org.amberpath.routing;
 
 /**
- * How long to wait after a system call that failed for want of something on this host: briefly,
- * since it is often there again within milliseconds, and longer with each failure in a row, so that
- * no loop spins.
+ * The backoff after a system call that failed for lack of a resource of this host: short, since the
+ * resource is often free within milliseconds, and doubled with each failure in a row. Guards
+ * against a spinning loop.
  */
 public final class LocalBackoff {
   private static final long FIRST_MILLIS = 10;
   private static final long MAX_MILLIS = 100;
 
   /**
-   * Failures in a row after which who waits is better served elsewhere: by then 150 ms have passed.
+   * Failures in a row after which waiting requests should go elsewhere: by then 150 ms have passed.
    */
   private static final int MAX_FAILURES = 5;
 
   private long nextMillis = FIRST_MILLIS;
   private int failures;
 
-  /** Notes a failure; returns for how many milliseconds the call is not made again. */
+  /** Records a failure; returns the backoff in milliseconds. */
   public long attemptFailed() {
     long pauseMillis = nextMillis;
     nextMillis = Math.min(MAX_MILLIS, 2 * pauseMillis);
@@ -25,7 +25,7 @@
     return pauseMillis;
   }
 
-  /** Notes that the call got through to the other side, whatever that said. */
+  /** Records that the call reached the other side, whatever the result. */
   public void attemptSucceeded() {
     nextMillis = FIRST_MILLIS;
     failures = 0;
@@ -36,7 +36,7 @@
     return failures > 0;
   }
 
-  /** Whether it has failed for so long that who waits for it should turn elsewhere. */
+  /** Whether it has failed for so long that requests should not wait for it. */
   public boolean isExhausted() {
     return failures == MAX_FAILURES;
   }
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What is remembered of the objects started last: bounded, the one that was started longest ago
- * goes first.
+ * The last starts of the objects that were requested recently. Bounded to 8,192 objects; the one
+ * started longest ago is evicted first.
  */
 final class ObjectHistory {
   private static final int MAX_OBJECTS = 8192;
@@ -20,10 +20,11 @@
   private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
   /**
-   * Notes a request. Where gateways share the zone, a part that does not follow the last one seen
-   * is of another viewing and counts as a start (docs/design.md, "Changed").
+   * Records a request. Where gateways share the zone, a part that does not follow the last one seen
+   * belongs to another playback and counts as a start (docs/design.md, "Departures, and when they
+   * come into play").
    *
-   * @param sharedZone whether other gateways take requests for the same zone
+   * @param sharedZone whether other gateways serve the same zone
    * @return time of the object's start before the current one, in nanoseconds; 0 for none
    */
   long observe(long object, int part, boolean sharedZone, long nowNanos) {
@@ -57,7 +58,7 @@
     return entry == null ? 0 : entry.previousStartNanos;
   }
 
-  /** Notes how long an answer took, in nanoseconds. */
+  /** Records how long a response took, in nanoseconds. */
   void recordResponseTime(long object, long durationNanos) {
     Entry entry = entries.get(object);
     if (entry != null) {
@@ -69,8 +70,8 @@
   }
 
   /**
-   * The shortest answer seen, in nanoseconds, for an object whose size is not known; 0 where there
-   * is none.
+   * The shortest response time of an object, in nanoseconds, which stands for an unknown size; 0
+   * where there is none.
    */
   long shortestResponseNanos(long object) {
     Entry entry = entries.get(object);
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a
- * trickle. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
- * Source: docs/design.md, "The six mechanisms beside the design" and "Told by one for all".
+ * Ejects endpoints whose requests are overdue and that do not respond at all, and readmits them
+ * gradually. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
+ * Source: docs/design.md, "Outlier detection" and "Reports of one gateway for all".
  */
 final class OutlierDetector {
   private static final long SILENCE_NANOS = 600_000_000L;
 
   /**
-   * While one gateway checks for all, the others wait so much longer, by turns, before they try by
-   * themselves.
+   * While one gateway checks ejected endpoints for all, the others wait up to this much longer for
+   * each gateway of the zone before they send one a request.
    */
   private static final long DELEGATED_PAUSE_NANOS = 4 * EndpointHealth.maxBackoffNanos();
 
@@ -40,14 +40,14 @@
     this.random = random;
   }
 
-  /** Whether one gateway checks ejected endpoints for all, so that this one leaves them to it. */
+  /** Sets whether another gateway checks ejected endpoints for all. */
   void setDelegated(boolean delegated) {
     checksEjectedEndpoints = !delegated;
   }
 
   /**
-   * Takes an endpoint's keys away, unless it is the origin or is ejected already and still in its
-   * pause.
+   * Takes an endpoint's keys away, unless it is the origin, or is ejected and its backoff is not
+   * over.
    */
   void eject(Endpoint endpoint, Batch batch) {
     EndpointHealth health = endpoint.health;
@@ -62,7 +62,7 @@
     }
   }
 
-  /** An answer has come from an endpoint, to a request that was sent then, in nanoseconds. */
+  /** An endpoint has responded to a request that was sent at the given time, in nanoseconds. */
   void onResponse(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
     health.lastResponseNanos = batch.nowNanos();
@@ -106,8 +106,9 @@
   }
 
   /**
-   * Whether an endpoint takes a key, by the key's place in the shared hash: slow start's slice, and
-   * the trickle.
+   * Whether an endpoint accepts a key, by the key's position in the shared hash, 0 to 1: it must
+   * lie in the slices of slow start and of probation. An ejected one accepts a single request after
+   * its backoff.
    */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
@@ -124,13 +125,15 @@
     return keyPosition * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
   }
 
-  /** Whether a health check may be sent: to an ejected endpoint one at a time, after its pause. */
+  /**
+   * Whether a health check may be sent: to an ejected endpoint one at a time, after its backoff.
+   */
   boolean permitsHealthCheck(Endpoint endpoint, long nowNanos) {
     return endpoint.health.isServing(nowNanos)
         || (endpoint.health.isBackoffOver(nowNanos) && endpoint.limit.inFlight == 0);
   }
 
-  /** Counts anew how many requests wait for each endpoint past their time. */
+  /** Counts anew how many requests are overdue at each endpoint. */
   void recountOverdue(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
       endpoint.health.overdue = 0;
@@ -147,9 +150,9 @@
   }
 
   /**
-   * Whether an attempt's endpoint is ejected or, since it was sent, has given no sign of life for
-   * long. Guards a request that waits alone on a connection that its endpoint has forgotten: one is
-   * too little to eject by, yet another endpoint would serve it.
+   * Whether an attempt's endpoint is ejected or, since the attempt was sent, has not responded for
+   * long. Guards a single request on a connection that its endpoint has lost: it is not enough to
+   * eject the endpoint, but another one would serve it.
    */
   boolean isSilentSince(Attempt attempt) {
     EndpointHealth health = attempt.endpoint().health;
@@ -158,15 +161,15 @@
   }
 
   /**
-   * Ejects those who keep requests waiting and give no sign of life, unless most of their peers do
-   * the same.
+   * Ejects the endpoints with overdue requests that do not respond, unless most of their peers do
+   * not either.
    */
   void detectOutliers(Endpoint[] peers, Batch batch) {
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
       if (health.isUnremarkable()) {
-        continue; // Most of many endpoints: nothing waits for them past its time.
+        continue; // True of most endpoints: they have no overdue request.
       }
       boolean isSilent =
           endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
@@ -176,7 +179,7 @@
           && health.isServing(batch.nowNanos())
           && health.suspected != (isSilent && health.overdue > 0)) {
         health.suspected =
-            !health.suspected; // Too little to go by alone; others may have seen the same.
+            !health.suspected; // Not enough to eject it; other gateways may have seen the same.
         batch
             .actions()
             .endpointHealthChanged(
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * How long a request's answer may take before its attempt counts as overdue: by size, else by
- * earlier answers.
+ * How long a response may take before its attempt counts as overdue: by the object's size, else by
+ * earlier responses.
  */
 final class PatienceEstimator {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -10,7 +10,7 @@
   private final ObjectHistory history;
   private final double kilobytesPerSecond;
 
-  /** An estimator for transfers of that pace; 0 where the pace is not known. */
+  /** An estimator for transfers at that rate; 0 where the rate is not known. */
   PatienceEstimator(ObjectHistory history, double kilobytesPerSecond) {
     this.history = history;
     this.kilobytesPerSecond = kilobytesPerSecond;
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -4,19 +4,19 @@
 import java.util.TreeMap;
 
 /**
- * The purges of the last seconds, by object and group: while caches may still have older copies,
- * age tells them apart.
+ * The purges of the last seconds, by object and group: while caches may still have older copies, a
+ * bound on the age excludes them.
  */
 final class PurgeLog {
   /**
-   * Taken off the age that is allowed, since clocks and the purge's own time are not exact; and the
-   * least age.
+   * Subtracted from the allowed age, since clocks and the time of the purge are not exact; also the
+   * smallest age that is asked for.
    */
   private static final long MARGIN_NANOS = 1_000_000L;
 
   private final long propagationNanos;
 
-  /** When each object was purged last; a group is its own complement. */
+  /** When each object was purged last; the key of a group is its complement. */
   private final Map<Long, Long> purgedAtNanosByKey = new TreeMap<>();
 
   /** A log of purges that every cache has carried out after so many nanoseconds. */
@@ -25,7 +25,8 @@
   }
 
   /**
-   * Notes that an object, or with object 0 a whole group, was purged at that time, in nanoseconds.
+   * Records that an object, or with object 0 a whole group, was purged at that time, in
+   * nanoseconds.
    */
   void record(long object, int group, long purgedAtNanos, long nowNanos) {
     purgedAtNanosByKey.values().removeIf(at -> nowNanos - at > propagationNanos);
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * Highest random weight over endpoints (rendezvous hashing): gateways agree without talking, a
- * change of the list moves only the keys that it must, and each key's second choice is the same
+ * Highest random weight over endpoints (rendezvous hashing): gateways agree without communication,
+ * a change of the list moves only the keys that it must, and each key's second choice is the same
  * everywhere. Source: docs/design.md, "Added to make it a router".
  */
 final class RendezvousSelector {
@@ -12,16 +12,17 @@
    */
   enum Eligibility {
     /**
-     * Those that take the key, have room, and hold no more than their part of what is in flight.
+     * Those that accept the key, have room under their limit, and hold no more than their share of
+     * the requests in flight.
      */
     WITH_ROOM,
-    /** Those that take the key. */
+    /** Those that accept the key. */
     ACCEPTS_KEY,
     /** All that are up. */
     ANY
   }
 
-  /** Far more than what logarithms and exponentials round by. */
+  /** Far above the rounding errors of logarithms and exponentials. */
   private static final double ROUNDING = 1e-9;
 
   private record Criteria(
@@ -36,7 +37,7 @@
   private final ConcurrencyLimiter limiter;
   private final SlowStart slowStart;
 
-  /** A selector over endpoints that these four let pass. */
+  /** A selector by the decisions of the given parts. */
   RendezvousSelector(
       RetryPolicy retryPolicy,
       OutlierDetector outlierDetector,
@@ -70,14 +71,14 @@
     double minKeyPosition = 0;
     for (Endpoint endpoint : candidates) {
       if (!endpoint.isUp()
-          || request.triedEndpoints.contains(endpoint)
+          || request.excludedEndpoints.contains(endpoint)
           || !retryPolicy.permits(request, endpoint, nowNanos)) {
         continue;
       }
       long key = mix(request.object * 31 + segment ^ endpoint.hash);
       double keyPosition = toUnit(key);
       if (keyPosition < minKeyPosition && endpoint.weight <= maxWeight) {
-        continue; // It can't pass the highest score: spares the logarithm for all but a few.
+        continue; // Cannot exceed the highest score; saves the logarithm in most cases.
       }
       double score = endpoint.weight / -Math.log(keyPosition);
       if (score > maxScore && isEligible(endpoint, key, criteria)) {
@@ -104,18 +105,15 @@
   }
 
   /**
-   * Where many gateways share an endpoint, two in flight are chance: this one's part bounds it from
-   * below.
+   * Where many gateways share an endpoint, two requests in flight may be a coincidence: the bound
+   * is higher by what is not this gateway's share.
    */
   private static boolean isSpillingOver(Endpoint endpoint, double bound) {
     return endpoint.limit.inFlight
         > bound * endpoint.weight + 1 - endpoint.warmUp.profile.gatewayFraction;
   }
 
-  /**
-   * Spreads all bits of a value over all bits; hashes are on stable ids, so that all gateways
-   * agree.
-   */
+  /** Mixes all bits of a value. Its inputs are stable ids, so that all gateways agree. */
   static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -178,7 +178,7 @@
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
-      request.triedEndpoints.add(
+      request.excludedEndpoints.add(
           RetryPolicy.isSourceFault(detail) ? last.source() : last.endpoint());
     }
     boolean isFillHopeless = lackedCopy && !routes.canFill(request, nowNanos);
@@ -252,7 +252,7 @@
             || limiter.isOvertaken(attempt)
             || (attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
-      request.triedEndpoints.add(isEndpointSilent ? attempt.endpoint() : attempt.source());
+      request.excludedEndpoints.add(isEndpointSilent ? attempt.endpoint() : attempt.source());
       retry(request);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/ResponseDetail.java
+++ b/routing/src/main/java/org/amberpath/routing/ResponseDetail.java
@@ -1,8 +1,11 @@
 package org.amberpath.routing;
 
-/** How an endpoint came by its response, as far as the response says. The order is a wire form. */
+/**
+ * By which route an endpoint got its response, as far as the response says. The order is a wire
+ * form.
+ */
 public enum ResponseDetail {
-  /** Nothing is said. */
+  /** The response does not say. */
   NONE,
   /** Answered from a fresh copy. */
   HIT,
--- a/routing/src/main/java/org/amberpath/routing/RetryBudget.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * Tokens for further attempts: each request brings a part of one, each attempt past the first costs
- * one.
+ * Tokens for retries and hedged requests: each request adds a fifth of one, each attempt past the
+ * first costs one. Forty are saved at most.
  */
 final class RetryBudget {
   private static final double TOKENS_PER_REQUEST = 0.2;
@@ -10,19 +10,19 @@
 
   private double tokens = MAX_TOKENS;
 
-  /** A request has come. */
+  /** A request has arrived. */
   void deposit() {
     tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
   /**
-   * The attempt that follows is free: the one before asked nothing of those whom the budget guards.
+   * Makes the next attempt free: the one before put no load on the targets that the budget guards.
    */
   void refund() {
     tokens += 1;
   }
 
-  /** Takes a token, if there is one. */
+  /** Takes a token if there is one; returns whether there was. */
   boolean tryWithdraw() {
     if (tokens < 1) {
       return false;
--- a/routing/src/main/java/org/amberpath/routing/RetryConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryConfig.java
@@ -6,7 +6,7 @@
  * @param maxAttempts attempts of one request, the first among them
  * @param hedging whether a second attempt may run beside the first
  * @param cancellation whether attempts may be cancelled at their endpoints
- * @param retryAfter whether a rejection may say when to come back
+ * @param retryAfter whether a rejection may ask for a wait
  * @param maxRetryAfterNanos the longest wait that a rejection may ask for
  */
 public record RetryConfig(
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Guards against an effect twice: what may have run is repeated only where its repeats are
-   * dropped.
+   * Whether an endpoint may be sent the request again. Guards against an effect twice: a request
+   * that may have executed is retried only where its repeats are dropped or have no effect.
    */
   boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
     Attempt executed = request.firstExecuted;
@@ -38,7 +38,7 @@
             && (scope == IdempotencyScope.ZONE || first.cell == second.cell));
   }
 
-  /** Whether a request's state leaves room for a further attempt, wherever it goes. */
+  /** Whether a request's state permits a further attempt, to whatever endpoint. */
   boolean permitsAnother(InFlightRequest request, long nowNanos) {
     return !request.streaming
         && !request.isSynthetic()
@@ -46,12 +46,12 @@
         && request.attempts.size() < config.maxAttempts();
   }
 
-  /** Whether the time to its deadline is worth an answer that invites more. */
+  /** Whether the time to its deadline is enough for a retry, here or by the client. */
   boolean hasTimeLeft(InFlightRequest request, long nowNanos) {
     return request.timeLeftNanos(nowNanos) >= MIN_TIME_LEFT_NANOS;
   }
 
-  /** Whether a request that waits may be sent to a second endpoint beside the first. */
+  /** Whether an overdue request may be sent to a second endpoint beside the first. */
   boolean permitsHedging(Attempt attempt, long nowNanos) {
     InFlightRequest request = attempt.request();
     return !request.done
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Whether whoever asks may repeat a request that got no answer: nothing ran, or repeats are
-   * dropped everywhere.
+   * Whether the client may repeat a request that got no response: it did not execute, or repeats
+   * are dropped everywhere or have no effect.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
     Idempotency idempotency = request.trafficClass.idempotency();
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -42,7 +42,8 @@
   }
 
   /**
-   * The edge cache: by hash of object and segment, over the caches of the zone that will take it.
+   * The edge cache by hash of object and segment, over the eligible caches of the zone; null if the
+   * best one has no room.
    */
   private Endpoint selectEdge(InFlightRequest request, long nowNanos) {
     Endpoint best = null;
@@ -82,7 +83,7 @@
     }
     Endpoint origin = endpoints.origin();
     boolean isOriginUsable =
-        origin != null && origin.isUp() && !request.triedEndpoints.contains(origin);
+        origin != null && origin.isUp() && !request.excludedEndpoints.contains(origin);
     Endpoint best =
         isOriginUsable
             ? origin
--- a/routing/src/main/java/org/amberpath/routing/RoutingActions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -9,13 +9,13 @@
   void sendAttempt(AttemptCommand command);
 
   /**
-   * Attempts of this request that follow begin by this clock time or not at all, however long one
-   * waits for a connection.
+   * Later attempts of this request must be written by this clock time or not at all, however long
+   * one waits for a connection.
    */
   default void limitRetryStart(long requestId, long latestNanos) {}
 
   /**
-   * Final answer: the request did not run and may be repeated, best after the given wait (0: no
+   * Final answer: the request did not execute and may be repeated, best after the given wait (0: no
    * advice).
    */
   void reject(long requestId, long retryAfterNanos);
@@ -32,7 +32,7 @@
   /** Asks for changes of the endpoint list from now on. */
   void subscribeEndpoints();
 
-  /** How an edge cache looks from here; called when that changes, or may have. */
+  /** The health of an edge cache as seen from here has changed, or may have. */
   default void endpointHealthChanged(int endpoint, EndpointHealthStatus status) {}
 
   /** An edge cache of the zone has just started, and is warming up until this clock time. */
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** What a gateway is told when it starts, decoded once. It never changes while a gateway runs. */
+/**
+ * The configuration of the decisions, decoded once at a gateway's start. It never changes while the
+ * gateway runs.
+ */
 public interface RoutingConfig {
   /** Seed of this gateway's random choices. */
   long seed();
@@ -37,13 +40,13 @@
   /** What is allowed beyond the first attempt. */
   RetryConfig retries();
 
-  /** Whether parents and the origin take requests that no cache may answer. */
+  /** Whether parents and the origin accept requests that no cache may answer. */
   boolean bypassAllowed();
 
   /** Whether endpoints coalesce misses with fills that are under way. */
   boolean coalescing();
 
-  /** Rate at which an object is transferred, in kilobytes a second; 0 where none is told. */
+  /** Rate at which an object is transferred, in kilobytes a second; 0 where it is not known. */
   double transferKilobytesPerSecond();
 
   /** How long a purge has to be remembered, in nanoseconds. */
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -3,16 +3,17 @@
 /**
  * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy
  * Caching of Multimedia Streams", sections 2.2 to 2.4. First segments always are; a later one is
- * only while it is contiguous and, the table being full, is worth more than the least in it.
+ * only while it is contiguous and, with a full table, has a higher caching value than the lowest in
+ * it.
  */
 final class SegmentAdmission {
-  /** The rank of what is not cached. */
+  /** The rank of a response that is not cached. */
   static final int NOT_CACHED = 0;
 
   /** The rank of the first segments of an object that was never started before. */
   static final int FIRST_START_RANK = 1;
 
-  /** The rank of all else that is cached. */
+  /** The rank of all others that are cached. */
   static final int STANDARD_RANK = 2;
 
   /** Kmin of the paper: the segments before it are cached on every start. */
@@ -44,7 +45,7 @@
    * The rank at which a client's segment is cached.
    *
    * @param previousStartNanos as {@link ObjectHistory#observe} returned it
-   * @param sharedZone whether the segment before may have gone by another gateway
+   * @param sharedZone whether the segment before may have been requested through another gateway
    */
   int rankOf(long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
     if (isStart(segment)) {
@@ -55,7 +56,7 @@
         : NOT_CACHED;
   }
 
-  /** The rank at which an object's start is cached that no client asked for. */
+  /** The rank at which a prefetched first segment is cached. */
   int prefetchRankOf(long object) {
     return history.previousStartNanos(object) == 0 ? FIRST_START_RANK : STANDARD_RANK;
   }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -5,20 +5,21 @@
 import java.util.TreeMap;
 
 /**
- * Endpoints that have just started get a thin slice of their keys that widens, and a budget of work
- * a second: all gateways together stay within what such an endpoint can surely serve. The bound is
- * kept as a debt, since a part of less than one request must still let one through at times.
- * Source: docs/design.md, "The six mechanisms".
+ * Endpoints that have just started get a slice of their keys that widens, and a budget of work per
+ * second: all gateways together stay within what such an endpoint can surely serve. The budget is
+ * kept as a debt, since a share of less than one request must still let one through at times.
+ * Source: docs/design.md, "Slow start".
  */
 final class SlowStart {
-  /** Parts of what the endpoint can surely serve; the rest is for what others do unseen. */
+  /** Parts of what the endpoint can surely serve; the rest is for load that is not seen here. */
   private static final double KEY_FRACTION = 0.9;
 
   private static final double BUDGET_FRACTION = 0.5;
   private static final double PREFETCH_FRACTION = 0.25;
 
   /**
-   * From this part of the peers' weight on, those that are warm take most of what a cold one can't.
+   * From this part of the peers' weight on, the warm ones serve most of what one that warms up
+   * cannot.
    */
   private static final double MIN_WARM_WEIGHT_FRACTION = 0.25;
 
@@ -35,21 +36,21 @@
   private boolean hasWarmParents = true;
   private long gatewayStartedAtNanos = UNKNOWN;
 
-  /** Slow start as the site bounds it, for this gateway's share of it. */
+  /** Slow start within the configured bounds, for this gateway's share of them. */
   SlowStart(RoutingConfig config, GatewayShare share, TrafficClass[] trafficClasses) {
     this.config = config;
     this.share = share;
     this.trafficClasses = trafficClasses;
   }
 
-  /** A batch begins; the first one is taken for this gateway's own start. */
+  /** A batch begins; the first one counts as this gateway's own start. */
   void beginBatch(long nowNanos) {
     gatewayStartedAtNanos = gatewayStartedAtNanos == UNKNOWN ? nowNanos : gatewayStartedAtNanos;
   }
 
   /**
-   * The profile of a kind of endpoints; as the site configures it, made when the kind is listed
-   * first.
+   * The profile of a kind of endpoints, created from the configuration when the kind is first
+   * listed.
    */
   SlowStartProfile profileOf(String kind, Endpoint.Role role) {
     return profiles.computeIfAbsent(
@@ -61,24 +62,24 @@
   }
 
   /**
-   * An endpoint has started; its first debt is random, since not all gateways may send their first
-   * at once.
+   * An endpoint has started; its first debt is random. Guards against all gateways sending their
+   * first request at once.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
     endpoint.warmUp.firstDebtDraw = random.nextDouble();
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
-  /** Whether an endpoint's slice has a key, by its place in the shared hash, 0 to 1. */
+  /** Whether a key lies in an endpoint's slice, by its position in the shared hash, 0 to 1. */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     double capacity = endpoint.warmUp.capacityFraction(nowNanos);
     return capacity >= 1 || keyPosition < KEY_FRACTION * capacity;
   }
 
   /**
-   * Whether this gateway's part of what an endpoint can serve has room for one more request. A part
-   * under one request lets one through while there is no debt, which becomes a debt in turn: the
-   * sum over all gateways is kept.
+   * Whether this gateway's share of an endpoint's budget has room for one more request. A share
+   * under one request lets one through while there is no debt, and its work becomes a debt: the sum
+   * over all gateways stays within the budget.
    */
   boolean hasBudgetFor(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     if (endpoint.warmUp.isComplete(nowNanos)) {
@@ -91,9 +92,9 @@
   }
 
   /**
-   * Guards against all gateways that have no debt at once, when demand sets in: where more than the
-   * endpoint can serve could, and its peers don't take most of it, what was not used in a fall time
-   * comes back a turn later.
+   * Guards against requests of all gateways without debt at once, when demand sets in: where they
+   * would be more than the endpoint can serve, and its peers do not serve most of them, credit not
+   * used within an overload window lapses and comes back a turn later.
    */
   private boolean isInTurn(Endpoint endpoint, double workSeconds, long nowNanos) {
     double fraction = Math.max(endpoint.warmUp.profile.gatewayFraction, MIN_GATEWAY_FRACTION);
@@ -106,14 +107,14 @@
         || -balanceSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
   }
 
-  /** Puts work that was sent, in seconds, on an endpoint's account. */
+  /** Adds work that was sent, in seconds, to an endpoint's debt. */
   void charge(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0) {
       setDebt(endpoint, debtSeconds(endpoint, nowNanos) + workSeconds, nowNanos);
     }
   }
 
-  /** Takes work, in seconds, off again: the endpoint was not asked after all. */
+  /** Subtracts work, in seconds, again: the endpoint did not have to serve it. */
   void refund(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0 && !endpoint.warmUp.isComplete(nowNanos)) {
       double balanceSeconds = balanceSeconds(endpoint, nowNanos);
@@ -123,7 +124,7 @@
   }
 
   /**
-   * The work that a source which is warming up gets back, in seconds, if a warm endpoint needs no
+   * The work that a source which is warming up is refunded, in seconds, if a warm endpoint needs no
    * fill.
    */
   double refundableSeconds(Route route, TrafficClass trafficClass, long nowNanos) {
@@ -141,10 +142,7 @@
     endpoint.warmUp.firstDebtDraw = WarmUp.NO_DRAW;
   }
 
-  /**
-   * Whether an endpoint can serve one more request ahead of its clients; if so, the next is put
-   * off.
-   */
+  /** Whether an endpoint can serve one more prefetch; if so, the next one is delayed. */
   boolean tryPrefetch(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
     if (!share.isGranted()
@@ -164,8 +162,8 @@
   }
 
   /**
-   * Learns from warm peers what an endpoint of each kind returns. Guards against small caches that
-   * restarted together: the large ones left serve more than they can.
+   * Learns the throughput of each kind of endpoint from its warm peers. Guards small caches that
+   * restarted together against the budget of large ones, which return more.
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
@@ -186,16 +184,13 @@
     return peer.isUp() && peer.health.isServing(nowNanos) && peer.warmUp.isComplete(nowNanos);
   }
 
-  /** Looks which peers are warm, after a change of the list and in each sweep. */
+  /** Updates which peers are warm, after a change of the list and in each sweep. */
   void updateWarmPeers(EndpointTable endpoints, long nowNanos) {
     hasWarmEdges = areEnoughWarm(endpoints.zoneEdges(), nowNanos);
     hasWarmParents = areEnoughWarm(endpoints.parents(), nowNanos);
   }
 
-  /**
-   * Whether enough of these are warm that no flood of what they would take comes to those that are
-   * cold.
-   */
+  /** Whether enough of the peers are warm to keep their requests away from those that warm up. */
   private static boolean areEnoughWarm(Endpoint[] peers, long nowNanos) {
     double totalWeight = 0;
     double warmWeight = 0;
@@ -218,8 +213,8 @@
   }
 
   /**
-   * Work a second that this gateway may send: by size where that is listed, else by what warm peers
-   * usually return.
+   * Work per second that this gateway may send: by the size where that is listed, else by the
+   * typical throughput of warm peers.
    */
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
@@ -233,12 +228,14 @@
         * warmThroughput;
   }
 
-  /** Work that this gateway may send in a fall time, in seconds. */
+  /** Work that this gateway may send in an overload window, in seconds. */
   private double burstSeconds(Endpoint endpoint, long atNanos) {
     return budget(endpoint, atNanos) * config.overloadWindowNanos() / NANOS_PER_SECOND;
   }
 
-  /** The debt for the work sent, in seconds: it is paid off at a rate that rises with the ramp. */
+  /**
+   * The debt for the work sent, in seconds: it is paid off at a rate that rises with the capacity.
+   */
   private double debtSeconds(Endpoint endpoint, long nowNanos) {
     return Math.max(0, balanceSeconds(endpoint, nowNanos));
   }
@@ -256,9 +253,9 @@
   }
 
   /**
-   * By chance, so that not all gateways send their first at once, and by the work as it is known by
-   * now. A gateway that began after the endpoint follows one that may have sent all that it could:
-   * it has nothing saved up.
+   * Random, so that not all gateways send their first request at once, and by the work as it is
+   * known now. A gateway that started after the endpoint has no credit: its predecessor may have
+   * spent all of it.
    */
   private double firstDebtSeconds(Endpoint endpoint) {
     WarmUp warmUp = endpoint.warmUp;
--- a/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
@@ -8,14 +8,14 @@
   /** After how long it has all of it, in nanoseconds. */
   final long durationNanos;
 
-  /** How much more than its warm capacity's part an endpoint can surely serve. */
+  /** The multiple of its capacity that an endpoint can surely serve. */
   final double overloadFactor;
 
-  /** This gateway's part of an endpoint of the kind, 0 to 1; 0 while it may send nothing. */
+  /** This gateway's share of an endpoint of the kind, 0 to 1; 0 while it has none. */
   double gatewayFraction;
 
   /**
-   * Work a second that a warm endpoint of the kind returns to this gateway, or the fraction where
+   * Work per second that a warm endpoint of the kind returns to this gateway, or the fraction where
    * that is more.
    */
   double typicalThroughput;
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -2,30 +2,36 @@
 
 /**
  * Whether the sockets have been read recently enough to begin an attempt. Guards against attempts
- * for clients that have closed or cancelled: that is known only once all bytes before it are read.
- * Told when the sockets were read and when requests came; times are nanoseconds of one clock.
+ * for clients that have disconnected or cancelled, which is known only once all bytes before that
+ * are read. Times are nanoseconds of one monotonic clock; all calls come on the event loop.
  */
 public final class SocketReads {
   /**
-   * How old the last reading may be where an attempt begins: half of what a close may wait unread.
+   * The age of the last read, at most, when an attempt is sent: half of the time that a close may
+   * stay unread.
    */
   private static final long MAX_READ_AGE_NANOS = 50_000_000L;
 
   /**
-   * From that lag on what is read has to be read on, since a close may have lain behind it for
-   * long.
+   * From this lag on a connection is read again after its requests, since a close may have waited
+   * behind them.
    */
   private static final long MIN_SETTLING_LAG_NANOS = 25_000_000L;
 
   /**
-   * How long a connection is read on while it brings more; what a client may have open is read by
-   * then.
+   * How long a connection that sends more is read again; all requests that a client may have open
+   * are read by then.
    */
   private static final long MAX_SETTLING_NANOS = 50_000_000L;
 
-  /** What lay unread at a connection: since when at most, and when the first of it was read. */
+  /**
+   * Bytes that waited unread at a connection.
+   *
+   * @param sinceNanos since when, at the earliest
+   * @param foundAtNanos when the first of them were read
+   */
   public record Backlog(long sinceNanos, long foundAtNanos) {
-    /** Whether what is read now may be the rest of it. */
+    /** Whether bytes that are read now may belong to it. */
     public boolean mayContinue(long nowNanos) {
       return nowNanos - foundAtNanos <= MAX_SETTLING_NANOS;
     }
@@ -33,29 +39,29 @@
 
   private long readAtNanos;
 
-  /** Sockets that are read from now on. */
+  /** The state at a time at which all sockets were read. */
   public SocketReads(long nowNanos) {
     readAtNanos = nowNanos;
   }
 
-  /** By now all is read that lay at the sockets by that time, one reading each. */
+  /** All bytes that had arrived by that time have been read, by one read of each socket. */
   public void socketsRead(long readUntilNanos) {
     readAtNanos = Math.max(readAtNanos, readUntilNanos);
   }
 
-  /** Whether an attempt may begin by what is known of clients. */
+  /** Whether an attempt may be sent by what is known of the clients. */
   public boolean isFresh(long nowNanos) {
     return nowNanos - readAtNanos <= MAX_READ_AGE_NANOS;
   }
 
-  /** Whether a request that was read after such a lag waits until its connection is settled. */
+  /** Whether a request that was read after such a lag must wait until its connection is settled. */
   public static boolean mustSettle(long lagNanos) {
     return lagNanos >= MIN_SETTLING_LAG_NANOS;
   }
 
   /**
-   * Whether a connection was read once more after its last request, or for long after the request
-   * in question.
+   * Whether a connection was read again after its last request, or for the maximum time after the
+   * request in question.
    */
   public boolean isSettled(long receivedAtNanos, long lastReceivedAtNanos) {
     return readAtNanos >= lastReceivedAtNanos || readAtNanos - receivedAtNanos > MAX_SETTLING_NANOS;
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may
- * be repeated, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
- * "Told by one for all".
+ * The routes of requests that this gateway makes by itself, on behalf of the fleet: only idempotent
+ * ones, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
+ * "Reports of one gateway for all".
  */
 final class SyntheticRouteSelector {
   private final EndpointTable endpoints;
@@ -30,7 +30,7 @@
   }
 
   /**
-   * The route of a synthetic request, whose purpose and rank it sets; null if it may not go.
+   * The route of a synthetic request, whose purpose and rank it sets; null if it may not be sent.
    *
    * @param endpointIndex the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT} for a
    *     prefetch
@@ -46,8 +46,8 @@
   }
 
   /**
-   * The route of an object's start to the edge cache that is warming up, if the object is that
-   * cache's; else null.
+   * The route of a first segment to the edge cache that is warming up, if the hash selects that
+   * cache for the object; else null.
    */
   Route selectPrefetch(InFlightRequest request, long nowNanos) {
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
@@ -61,8 +61,8 @@
   }
 
   /**
-   * The route of a health check, out of this gateway's budget and for no more than is cached; null
-   * if it may not go.
+   * The route of a health check, within this gateway's budget and for cached copies only; null if
+   * it may not be sent.
    */
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-/** One delivery service: its configuration, and what its answers have shown so far. */
+/** One traffic class: its configuration, and the statistics of its responses so far. */
 final class TrafficClass {
   private static final int HALVED_AT_RESPONSES = 512;
   private static final double ASSUMED_MISSES = 4.0;
@@ -11,14 +11,14 @@
   private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
 
-  /** The histogram's mean, stored: it is read many times a request. */
+  /** The histogram's mean, stored since it is read many times a request. */
   private long meanWorkNanos;
 
   private int servedFromCache;
   private int filledByParent;
   private int filledByOrigin;
 
-  /** A traffic class; until there are answers its latency objective stands for its work. */
+  /** A traffic class; until there are responses its latency objective stands for its work. */
   TrafficClass(TrafficClassConfig config) {
     this.config = config;
     meanWorkNanos = config.latencyObjectiveNanos();
@@ -39,7 +39,7 @@
     return config.idempotencyWindowNanos();
   }
 
-  /** How long an answer may take at best, in nanoseconds. */
+  /** How long a response may take besides what grows with its own duration, in nanoseconds. */
   long latencyObjectiveNanos() {
     return config.latencyObjectiveNanos();
   }
@@ -49,7 +49,7 @@
     return config.latencyStretch();
   }
 
-  /** Whether no answer of this class is ever cached. */
+  /** Whether no response of this class is ever cached. */
   boolean isNeverCached() {
     return config.neverCached();
   }
@@ -64,12 +64,12 @@
     return config.staleGraceNanos();
   }
 
-  /** The revenue of one request, in the site's unit. */
+  /** The revenue of one request, in the configuration's unit. */
   double revenue() {
     return config.revenue();
   }
 
-  /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
+  /** The work of one request: the mean time that a cache is busy with it, in nanoseconds. */
   long workNanos() {
     return meanWorkNanos;
   }
@@ -80,7 +80,7 @@
     meanWorkNanos = durations.meanNanos();
   }
 
-  /** Counts which route an answer came by. All counts are halved when they are full. */
+  /** Counts by which route a response came. All counts are halved when they are full. */
   void recordRoute(ResponseDetail detail) {
     switch (detail) {
       case HIT, STALE -> servedFromCache++;
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-/** How far one endpoint has warmed up since it started, and the work that is on its account. */
+/** How far one endpoint has warmed up since it started, and the debt for the work it was sent. */
 final class WarmUp {
   /** Stands for a first debt that has been replaced by a debt for work sent. */
   static final double NO_DRAW = -1;
@@ -14,14 +14,11 @@
   /** When it started, in nanoseconds; 0 for long ago. */
   long startedAtNanos;
 
-  /**
-   * Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for what is
-   * saved up.
-   */
+  /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for credit. */
   double debtSeconds;
 
   /**
-   * Until something is sent the debt follows from this random number, 0 to 1; else {@link
+   * Until the first request is sent the debt follows from this random number, 0 to 1; else {@link
    * #NO_DRAW}.
    */
   double firstDebtDraw = NO_DRAW;
@@ -50,10 +47,11 @@
   }
 
   /**
-   * Notes work that it has returned, in seconds: work only sent shows nothing of what it can serve.
+   * Records work that it has returned, in seconds; work that was only sent does not show what it
+   * can serve.
    */
   void recordServedWork(double workSeconds, long nowNanos) {
-    if (throughput != 0 || workSeconds != 0) { // Most of many endpoints return nothing.
+    if (throughput != 0 || workSeconds != 0) { // Stays 0 for most endpoints, which return nothing.
       throughput =
           throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
               + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
@@ -61,7 +59,7 @@
     throughputAtNanos = nowNanos;
   }
 
-  /** Work returned a second, over the last few. */
+  /** Work returned per second, over the last few seconds. */
   double throughput(long nowNanos) {
     recordServedWork(0, nowNanos);
     return throughput;
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
@@ -41,7 +41,7 @@
   @Test
   void limitUnderOneRequestHoldsOverTime() {
     ConcurrencyLimit limit = limit(0.01);
-    assertTrue(limit.hasRoom(NOW, 1), "nothing is owed yet");
+    assertTrue(limit.hasRoom(NOW, 1), "no debt yet");
     limit.inFlight = 1;
     assertFalse(limit.hasRoom(NOW + 100 * MS, 1));
     limit.inFlight = 0;
--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -79,16 +79,16 @@
   void slowStartBudgetFollowsWhatPeersOfTheSameKindReturn() {
     int[] sent = new int[2];
     for (int kind = 0; kind < 2; kind++) {
-      FakeHost gateway = new FakeHost();
-      gateway.weightIsSize = false;
-      gateway.kindOfEndpoint0 = kind == 0 ? "box" : "small";
-      gateway.listEndpoints(1, 2, 3, 5, 6, 7).decide();
+      FakeHost gatewayHost = new FakeHost();
+      gatewayHost.weightIsSize = false;
+      gatewayHost.kindOfEndpoint0 = kind == 0 ? "box" : "small";
+      gatewayHost.listEndpoints(1, 2, 3, 5, 6, 7).decide();
       for (int i = 0; i < 400; i++) {
-        gateway.advanceMillis(10).succeed(gateway.request(i, i, 0), 50, ResponseDetail.HIT);
+        gatewayHost.advanceMillis(10).succeed(gatewayHost.request(i, i, 0), 50, ResponseDetail.HIT);
       }
-      gateway.changeEndpoint(0, EndpointState.UP, gateway.nowNanos);
+      gatewayHost.changeEndpoint(0, EndpointState.UP, gatewayHost.nowNanos);
       for (int i = 1000; i < 1400; i++) {
-        SentAttempt attempt = gateway.request(i, i, 0);
+        SentAttempt attempt = gatewayHost.request(i, i, 0);
         sent[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
       }
     }
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -16,8 +16,10 @@
   @Test
   void endpointsAreGroupedByRoleAndZone() {
     assertEquals(
-        List.of(0, 1, 2, 3), Arrays.stream(table.zoneEdges()).map(one -> one.index).toList());
-    assertEquals(List.of(5, 6), Arrays.stream(table.parents()).map(one -> one.index).toList());
+        List.of(0, 1, 2, 3),
+        Arrays.stream(table.zoneEdges()).map(endpoint -> endpoint.index).toList());
+    assertEquals(
+        List.of(5, 6), Arrays.stream(table.parents()).map(endpoint -> endpoint.index).toList());
     assertEquals(ORIGIN, table.origin().index);
     assertEquals(5, table.upEdges(), "of all zones");
     parts.update(4, EndpointState.DRAINING, 0);
--- a/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -15,17 +15,18 @@
   void oneHundredGatewaysTogetherUseAndKeepTheSlowStartBudget() {
     int sent = 0;
     for (int gateway = 0; gateway < 100; gateway++) {
-      FakeHost host = new FakeHost();
-      host.gatewaysInZone = 100;
-      host.seed = gateway;
-      host.listEndpoints();
-      IntStream.range(1, 4).forEach(cache -> host.changeEndpoint(cache, EndpointState.GONE, 0));
-      host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+      FakeHost gatewayHost = new FakeHost();
+      gatewayHost.gatewaysInZone = 100;
+      gatewayHost.seed = gateway;
+      gatewayHost.listEndpoints();
+      IntStream.range(1, 4)
+          .forEach(cache -> gatewayHost.changeEndpoint(cache, EndpointState.GONE, 0));
+      gatewayHost.changeEndpoint(0, EndpointState.UP, gatewayHost.nowNanos);
       for (long id = 1; id <= 40; id++) {
-        host.request(id, id, 0);
-        host.advanceMillis(50);
+        gatewayHost.request(id, id, 0);
+        gatewayHost.advanceMillis(50);
       }
-      sent += host.sentAttempts.size();
+      sent += gatewayHost.sentAttempts.size();
     }
     // A tenth to 0.28 of 4 transfers, times 3, for two seconds: 4.5 s of work of 0.1 s each.
     assertTrue(sent >= 5 && sent <= 30, "sent " + sent);
@@ -41,23 +42,24 @@
   private static int countAttemptsInSlowStart(int gateways, int configuredGateways, double share) {
     int sent = 0;
     for (int gateway = 0; gateway < gateways; gateway++) {
-      FakeHost host = new FakeHost();
-      host.gatewaysInZone = configuredGateways;
-      host.seed = gateway;
-      host.listEndpoints();
-      IntStream.range(1, 4).forEach(cache -> host.changeEndpoint(cache, EndpointState.GONE, 0));
+      FakeHost gatewayHost = new FakeHost();
+      gatewayHost.gatewaysInZone = configuredGateways;
+      gatewayHost.seed = gateway;
+      gatewayHost.listEndpoints();
+      IntStream.range(1, 4)
+          .forEach(cache -> gatewayHost.changeEndpoint(cache, EndpointState.GONE, 0));
       if (share >= 0) {
-        host.deliver(
+        gatewayHost.deliver(
             to ->
                 to.gatewayShareChanged(
                     3 * configuredGateways + gateways - configuredGateways, share));
       }
-      host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
+      gatewayHost.changeEndpoint(0, EndpointState.UP, gatewayHost.nowNanos);
       for (long id = 1; id <= 40; id++) {
-        host.request(id, id, 0);
-        host.advanceMillis(50);
+        gatewayHost.request(id, id, 0);
+        gatewayHost.advanceMillis(50);
       }
-      sent += host.sentAttempts.size();
+      sent += gatewayHost.sentAttempts.size();
     }
     return sent;
   }
--- a/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
@@ -10,7 +10,7 @@
   @Test
   void startReturnsTheTimeOfThePreviousStart() {
     assertEquals(0, history.observe(5, 0, false, 100));
-    assertEquals(0, history.observe(5, 3, false, 150), "a later part of the first viewing");
+    assertEquals(0, history.observe(5, 3, false, 150), "a later part of the first playback");
     assertEquals(100, history.observe(5, 0, false, 200));
     assertEquals(100, history.previousStartNanos(5));
   }
@@ -20,7 +20,7 @@
     history.observe(5, 7, true, 100);
     assertEquals(0, history.observe(5, 8, true, 150));
     assertEquals(
-        100, history.observe(5, 8, true, 200), "the same part again is of another viewing");
+        100, history.observe(5, 8, true, 200), "the same part again belongs to another playback");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -38,7 +38,7 @@
   void noEndpointIsEjectedWhileMostPeersAreSilent() {
     detect(0, 1, 2);
     assertFalse(endpoint.health.isEjected());
-    assertEquals(List.of(0, 1, 2), parts.host.suspected, "but the fleet is asked to look at them");
+    assertEquals(List.of(0, 1, 2), parts.host.suspected, "but reported for a health check");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
@@ -127,7 +127,7 @@
         24,
         host.sentAttempts.stream()
             .skip(before)
-            .filter(one -> one.source() == 5 || one.source() == 6)
+            .filter(attempt -> attempt.source() == 5 || attempt.source() == 6)
             .count());
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * After ten quiet minutes a fault is met as it is at the start: at the start, with no request, one
- * in 5 s or in 50.
+ * Faults after ten quiet minutes are handled as at the start: at the start, without requests, and
+ * with one request in 5 s or in 50 s.
  */
 @SuppressWarnings("ReferenceEquality") // Compares the recorded attempts by identity.
 class QuietThenFaultTest {
@@ -119,8 +119,8 @@
   }
 
   /**
-   * A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which a part is
-   * this gateway's.
+   * A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which this
+   * gateway has a share.
    */
   @ParameterizedTest
   @CsvSource({
@@ -149,8 +149,8 @@
   }
 
   /**
-   * Among warm peers: a thin slice of the keys at first, most of its part half way through its
-   * start.
+   * Among warm peers: a thin slice of the keys at first, most of its share half way through its
+   * warm-up.
    */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
@@ -192,7 +192,7 @@
     assertEquals(0, host.request(++lastRequestId, 5, 0).maxAgeNanos());
   }
 
-  /** Retries that became possible meanwhile are no more than at the start. */
+  /** The retry budget saves no more in a quiet period than it holds at the start. */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
   void retriesAreLimitedToAShareOfTheRequests(long intervalMillis) {
--- a/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -29,11 +29,11 @@
   void leastRecentRequestIsEvictedAndCountsDecay() {
     addAll(1, 1, 2, 2, 3, 3, 4, 4);
     recent.startPass();
-    recent.startPass(); // All asked for twice count once by now.
+    recent.startPass(); // All requested twice now count once.
     assertNull(recent.nextInPass());
     addAll(2);
     recent.startPass();
     assertEquals("object 2", recent.nextInPass());
-    assertNull(recent.nextInPass(), "1 has gone, the others were asked for once");
+    assertNull(recent.nextInPass(), "1 was evicted, the others were requested once");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every decision where it was: 10,000 rounds of random events a seed give the actions
+ * Guards every decision against change: 10,000 rounds of random events a seed give the actions
  * recorded here, one digest a seed, to the last argument and in the same order. A change that is
  * meant to keep behaviour must not alter a digest; a change of behaviour records new ones and says
  * why. The decisions use logarithms and powers, whose last bit may differ on another kind of
@@ -59,10 +59,7 @@
         () -> "counted: " + WORLDS.get(setting + " " + seed).counts());
   }
 
-  /**
-   * A digest of events that reach little would hold little: what the worlds must reach, over one
-   * seed each.
-   */
+  /** A digest holds only what its events reach: what the worlds must reach, over one seed each. */
   @Test
   void recordedEventsReachEveryActionOutcomeAndDetail() {
     Map<String, Integer> counts = new TreeMap<>();
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -38,7 +38,7 @@
     assertEquals(300, (float) large, 60);
   }
 
-  /** What is spared on the way must not change who is chosen: compared with the score itself. */
+  /** Skipped logarithms must not change the selection: compared with the full scores. */
   @Test
   void highestScoreIsChosenAmongEndpointsOfManyWeights() {
     Endpoint[] candidates = new Endpoint[300];
@@ -51,10 +51,10 @@
       InFlightRequest request = parts.request(object);
       Endpoint expected = null;
       double highest = -1;
-      for (Endpoint one : candidates) {
-        long key = RendezvousSelector.mix(object * 31L ^ one.hash);
-        double score = one.weight / -Math.log(RendezvousSelector.toUnit(key));
-        expected = score > highest ? one : expected;
+      for (Endpoint endpoint : candidates) {
+        long key = RendezvousSelector.mix(object * 31L ^ endpoint.hash);
+        double score = endpoint.weight / -Math.log(RendezvousSelector.toUnit(key));
+        expected = score > highest ? endpoint : expected;
         highest = Math.max(score, highest);
       }
       assertEquals(
@@ -63,12 +63,12 @@
   }
 
   @Test
-  void triedEndpointsAreExcludedUntilNoneIsLeft() {
+  void excludedEndpointsAreNeverSelectedUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
     for (int left = 4; left > 0; left--) {
-      request.triedEndpoints.add(select(request, Eligibility.WITH_ROOM));
+      request.excludedEndpoints.add(select(request, Eligibility.WITH_ROOM));
     }
-    assertEquals(4, request.triedEndpoints.stream().distinct().count());
+    assertEquals(4, request.excludedEndpoints.stream().distinct().count());
     assertNull(select(request, Eligibility.ANY));
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -83,13 +83,15 @@
   @ParameterizedTest
   @CsvSource({"1, 0", "10, 2"})
   void partOutOfSequenceCountsAsAStartWhereGatewaysShareAZone(int gateways, int rank) {
-    FakeHost one = new FakeHost();
-    one.gatewaysInZone = gateways;
-    one.listEndpoints().request(1, 5, 9);
-    one.advanceMillis(3000);
+    FakeHost gatewayHost = new FakeHost();
+    gatewayHost.gatewaysInZone = gateways;
+    gatewayHost.listEndpoints().request(1, 5, 9);
+    gatewayHost.advanceMillis(3000);
     assertEquals(
-        rank, one.request(2, 5, 9).rank(), "of another playback, so the object is started again");
-    assertEquals(0, one.request(3, 6, 9).rank(), "of a first playback");
+        rank,
+        gatewayHost.request(2, 5, 9).rank(),
+        "of another playback, so the object is started again");
+    assertEquals(0, gatewayHost.request(3, 6, 9).rank(), "of a first playback");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The parts of a router, wired as it wires them, over FakeHost's small site: for tests of a part by
- * itself.
+ * The parts of a router, wired as in {@link RequestRouter}, over the endpoints of {@link FakeHost}:
+ * for tests of single parts.
  */
 final class RoutingParts {
   static final long MS = 1_000_000L;
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -21,7 +21,8 @@
   private final Attempt attempt = parts.attempt(parts.request(1), 1, 5);
 
   /**
-   * One overdue request is too little to eject by; an answer since it was sent is a sign of life.
+   * One overdue request is not enough to eject an endpoint; a response since it was sent shows that
+   * the endpoint is alive.
    */
   @ParameterizedTest
   @CsvSource({"0, true", "-1, true", "50, false"})
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -26,7 +26,7 @@
   private static final long WARM_UP_NANOS = 30 * SECOND_NANOS;
   private static final long WORK_NANOS = 100 * NANOS_PER_MILLI;
   private static final double INITIAL_FRACTION = 0.2;
-  private static final int COLD_EDGE = 0;
+  private static final int STARTED_EDGE = 0;
   private static final int WARM_EDGE = 1;
   private static final int PARENT = 2;
   private static final int ORIGIN = 3;
@@ -37,9 +37,9 @@
   private long lastRequestId;
   private double weight = 4;
   private double warmWeight = 400;
-  private int coldEndpoint = COLD_EDGE;
+  private int startedEndpoint = STARTED_EDGE;
   private int lastSeed;
-  private int attemptsAtColdEndpoint;
+  private int attemptsAtStartedEndpoint;
   private boolean hasWarmPeers;
   private boolean everyRequestMisses;
   private final List<SimulatedGateway> gateways = new ArrayList<>();
@@ -55,9 +55,9 @@
     startEndpoint();
     run(4 * SECOND_NANOS, 3);
     assertTrue(
-        attemptsAtColdEndpoint
+        attemptsAtStartedEndpoint
             >= 4 * 3 * INITIAL_FRACTION * weight * OVERLOAD_WINDOW_NANOS / WORK_NANOS / 3,
-        "a third of it is used: " + attemptsAtColdEndpoint);
+        "a third of it is used: " + attemptsAtStartedEndpoint);
   }
 
   /** While peers are warm a gateway with few requests has its share of the budget at any time. */
@@ -73,7 +73,7 @@
       gateways.get(turn % gateways.size()).step(10);
       assertWithinBound();
     }
-    assertTrue(attemptsAtColdEndpoint >= turns * 3 / 4, "sent " + attemptsAtColdEndpoint);
+    assertTrue(attemptsAtStartedEndpoint >= turns * 3 / 4, "sent " + attemptsAtStartedEndpoint);
   }
 
   @ParameterizedTest
@@ -147,7 +147,7 @@
   })
   void boundHoldsForAParentUnderFills(int count, boolean afterHits) {
     weight = 40;
-    coldEndpoint = PARENT;
+    startedEndpoint = PARENT;
     hasWarmPeers = true;
     startGateways(count);
     if (afterHits) {
@@ -258,14 +258,14 @@
           to ->
               to.endpointListed(
                   new EndpointDescription(
-                      COLD_EDGE,
+                      STARTED_EDGE,
                       "10.0.0.1:9",
                       "z",
                       "box",
                       0,
                       EndpointState.UP,
                       weight,
-                      coldEndpoint == COLD_EDGE ? started : 0)));
+                      startedEndpoint == STARTED_EDGE ? started : 0)));
       if (hasWarmPeers) {
         events.add(
             to ->
@@ -283,7 +283,7 @@
                         0,
                         EndpointState.UP,
                         weight,
-                        coldEndpoint == PARENT ? started : 0)));
+                        startedEndpoint == PARENT ? started : 0)));
         events.add(
             to ->
                 to.endpointListed(
@@ -330,9 +330,10 @@
     @Override
     public void sendAttempt(AttemptCommand command) {
       boolean filled = everyRequestMisses && command.source() != command.endpoint();
-      if (command.endpoint() == coldEndpoint || (filled && command.source() == coldEndpoint)) {
+      if (command.endpoint() == startedEndpoint
+          || (filled && command.source() == startedEndpoint)) {
         sentAtNanos.add(nowNanos);
-        attemptsAtColdEndpoint++;
+        attemptsAtStartedEndpoint++;
       }
       pendingResponses.add(
           new PendingResponse(
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -8,7 +8,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What sweeps spare for endpoints that carry nothing is as if it had been reckoned. */
+/** Sweeps skip endpoints without requests, with the same results as if they did not. */
 class SweepOfUnusedEndpointsTest {
   private static final int SWEEPS = 500;
 
