--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -42,7 +42,8 @@
   }
 
   /**
-   * The edge cache: by hash of object and segment, over the caches of the zone that will take it.
+   * The edge cache by hash of object and segment, over the eligible caches of the zone; null if the
+   * best one has no room.
    */
   private Endpoint selectEdge(InFlightRequest request, long nowNanos) {
     Endpoint best = null;
@@ -75,18 +76,23 @@
             endpoints.parents(),
             request,
             0,
-            request.uncacheable ? Eligibility.TAKES_KEY : Eligibility.WITH_ROOM,
+            request.uncacheable ? Eligibility.ACCEPTS_KEY : Eligibility.WITH_ROOM,
             nowNanos);
     if (parent != null) {
       return parent;
     }
     Endpoint origin = endpoints.origin();
     boolean isOriginUsable =
-        origin != null && origin.isUp() && !request.triedEndpoints.contains(origin);
+        origin != null && origin.isUp() && !request.excludedEndpoints.contains(origin);
     Endpoint best =
         isOriginUsable
             ? origin
             : rendezvous.select(endpoints.parents(), request, 0, Eligibility.ANY, nowNanos);
     return best == origin && limiter.isOriginSaturated(request, nowNanos) ? null : best;
   }
+
+  /** Whether a request that found no cached copy has a source that may be asked to fill one. */
+  boolean canFill(InFlightRequest request, long nowNanos) {
+    return selectSource(request, nowNanos) != null && !limiter.isOriginSaturated(request, nowNanos);
+  }
 }
