--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -14,7 +14,8 @@
    * While one gateway checks ejected endpoints for all, the others wait up to this much longer for
    * each gateway of the zone before they send one a request.
    */
-  private static final long DELEGATED_PAUSE_NANOS = 4 * EndpointHealth.maxBackoffNanos();
+  private static final long DELEGATED_BACKOFF_PER_GATEWAY_NANOS =
+      4 * EndpointHealth.maxBackoffNanos();
 
   private final long seed;
   private final EndpointTable endpoints;
@@ -112,7 +113,7 @@
    */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
-      double extraDelayNanos = checksEjectedEndpoints ? 0 : delegatedPauseNanos(endpoint);
+      double extraDelayNanos = checksEjectedEndpoints ? 0 : delegatedBackoffNanos(endpoint);
       return endpoint.health.isBackoffOver(nowNanos, extraDelayNanos)
           && endpoint.limit.inFlight == 0;
     }
@@ -120,9 +121,9 @@
         && slowStart.acceptsKey(endpoint, keyPosition, nowNanos);
   }
 
-  private double delegatedPauseNanos(Endpoint endpoint) {
+  private double delegatedBackoffNanos(Endpoint endpoint) {
     double keyPosition = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
-    return keyPosition * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
+    return keyPosition * share.gatewaysInZone() * DELEGATED_BACKOFF_PER_GATEWAY_NANOS;
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -66,7 +66,7 @@
    * first request at once.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
-    endpoint.warmUp.firstDebtDraw = random.nextDouble();
+    endpoint.warmUp.firstDebtFraction = random.nextDouble();
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
@@ -139,7 +139,7 @@
   private void setDebt(Endpoint endpoint, double debtSeconds, long nowNanos) {
     endpoint.warmUp.debtSeconds = endpoint.warmUp.isComplete(nowNanos) ? 0 : debtSeconds;
     endpoint.warmUp.debtAtNanos = nowNanos;
-    endpoint.warmUp.firstDebtDraw = WarmUp.NO_DRAW;
+    endpoint.warmUp.firstDebtFraction = WarmUp.NO_FRACTION;
   }
 
   /** Whether an endpoint can serve one more prefetch; if so, the next one is delayed. */
@@ -248,7 +248,7 @@
             / 2
             * (nowNanos - warmUp.debtAtNanos)
             / NANOS_PER_SECOND;
-    boolean isFirst = warmUp.firstDebtDraw >= 0;
+    boolean isFirst = warmUp.firstDebtFraction >= 0;
     return (isFirst ? firstDebtSeconds(endpoint) : warmUp.debtSeconds) - paidSeconds;
   }
 
@@ -262,7 +262,7 @@
     double longestWorkSeconds = longestWorkNanos() / NANOS_PER_SECOND;
     double burstSeconds = burstSeconds(endpoint, warmUp.debtAtNanos);
     boolean isEndpointOlder = warmUp.startedAtNanos < gatewayStartedAtNanos;
-    return warmUp.firstDebtDraw * longestWorkSeconds
+    return warmUp.firstDebtFraction * longestWorkSeconds
         + (isEndpointOlder ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
   }
 
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -3,7 +3,7 @@
 /** How far one endpoint has warmed up since it started, and the debt for the work it was sent. */
 final class WarmUp {
   /** Stands for a first debt that has been replaced by a debt for work sent. */
-  static final double NO_DRAW = -1;
+  static final double NO_FRACTION = -1;
 
   private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -19,9 +19,9 @@
 
   /**
    * Until the first request is sent the debt follows from this random number, 0 to 1; else {@link
-   * #NO_DRAW}.
+   * #NO_FRACTION}.
    */
-  double firstDebtDraw = NO_DRAW;
+  double firstDebtFraction = NO_FRACTION;
 
   /** When the debt was last changed, in nanoseconds. */
   long debtAtNanos;
