--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -4,20 +4,20 @@
 import java.util.TreeMap;
 
 /**
- * The purges of the last seconds, by object and group: while caches may still have older copies,
- * age tells them apart.
+ * The purges of the last seconds, by object and group: while caches may still have older copies, a
+ * bound on the age excludes them.
  */
 final class PurgeLog {
   /**
-   * Taken off the age that is allowed, since clocks and the purge's own time are not exact; and the
-   * least age.
+   * Subtracted from the allowed age, since clocks and the time of the purge are not exact; also the
+   * smallest age that is asked for.
    */
   private static final long MARGIN_NANOS = 1_000_000L;
 
   private final long propagationNanos;
 
-  /** When each object was purged last; a group is its own complement. */
-  private final Map<Long, Long> purgedAt = new TreeMap<>();
+  /** When each object was purged last; the key of a group is its complement. */
+  private final Map<Long, Long> purgedAtNanosByKey = new TreeMap<>();
 
   /** A log of purges that every cache has carried out after so many nanoseconds. */
   PurgeLog(long propagationNanos) {
@@ -25,11 +25,12 @@
   }
 
   /**
-   * Notes that an object, or with object 0 a whole group, was purged at that time, in nanoseconds.
+   * Records that an object, or with object 0 a whole group, was purged at that time, in
+   * nanoseconds.
    */
   void record(long object, int group, long purgedAtNanos, long nowNanos) {
-    purgedAt.values().removeIf(at -> nowNanos - at > propagationNanos);
-    purgedAt.merge(object != 0 ? object : groupKey(group), purgedAtNanos, Math::max);
+    purgedAtNanosByKey.values().removeIf(at -> nowNanos - at > propagationNanos);
+    purgedAtNanosByKey.merge(object != 0 ? object : groupKey(group), purgedAtNanos, Math::max);
   }
 
   /**
@@ -39,14 +40,14 @@
    * @param oldestNanos the bound without a purge; 0 for none
    */
   long maxCopyAgeNanos(long object, int group, long oldestNanos, long nowNanos) {
-    long purged =
+    long lastPurgedAtNanos =
         Math.max(
-            purgedAt.getOrDefault(object, 0L),
+            purgedAtNanosByKey.getOrDefault(object, 0L),
             Math.max(
-                purgedAt.getOrDefault(groupKey(group), 0L),
-                purgedAt.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
-    long boundNanos = Math.max(MARGIN_NANOS, nowNanos - purged - MARGIN_NANOS);
-    boolean mayBeCached = nowNanos - purged <= propagationNanos;
+                purgedAtNanosByKey.getOrDefault(groupKey(group), 0L),
+                purgedAtNanosByKey.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
+    long boundNanos = Math.max(MARGIN_NANOS, nowNanos - lastPurgedAtNanos - MARGIN_NANOS);
+    boolean mayBeCached = nowNanos - lastPurgedAtNanos <= propagationNanos;
     return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,13 +1,14 @@
 package org.amberpath.routing;
 
 /**
- * The routes of requests that this gateway makes by itself, on behalf of the fleet: only what may
- * be repeated, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
- * "Told by one for all".
+ * The routes of requests that this gateway makes by itself, on behalf of the fleet: only idempotent
+ * ones, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
+ * "Reports of one gateway for all".
  */
 final class SyntheticRouteSelector {
   private final EndpointTable endpoints;
   private final RouteSelector routes;
+  private final SegmentAdmission admission;
   private final SlowStart slowStart;
   private final OutlierDetector outlierDetector;
   private final ConcurrencyLimiter limiter;
@@ -16,19 +17,37 @@
   SyntheticRouteSelector(
       EndpointTable endpoints,
       RouteSelector routes,
+      SegmentAdmission admission,
       SlowStart slowStart,
       OutlierDetector outlierDetector,
       ConcurrencyLimiter limiter) {
     this.endpoints = endpoints;
     this.routes = routes;
+    this.admission = admission;
     this.slowStart = slowStart;
     this.outlierDetector = outlierDetector;
     this.limiter = limiter;
   }
 
   /**
-   * The route of an object's start to the edge cache that is warming up, if the object is that
-   * cache's; else null.
+   * The route of a synthetic request, whose purpose and rank it sets; null if it may not be sent.
+   *
+   * @param endpointIndex the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT} for a
+   *     prefetch
+   */
+  Route select(InFlightRequest request, int endpointIndex, long nowNanos) {
+    if (endpointIndex < 0) {
+      request.purpose = InFlightRequest.Purpose.PREFETCH;
+      request.rank = admission.prefetchRankOf(request.object);
+      return selectPrefetch(request, nowNanos);
+    }
+    request.purpose = InFlightRequest.Purpose.HEALTH_CHECK;
+    return selectHealthCheck(request, endpointIndex, nowNanos);
+  }
+
+  /**
+   * The route of a first segment to the edge cache that is warming up, if the hash selects that
+   * cache for the object; else null.
    */
   Route selectPrefetch(InFlightRequest request, long nowNanos) {
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
@@ -42,14 +61,14 @@
   }
 
   /**
-   * The route of a health check, out of this gateway's budget and for no more than is cached; null
-   * if it may not go.
+   * The route of a health check, within this gateway's budget and for cached copies only; null if
+   * it may not be sent.
    */
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
     boolean permitted =
         isTarget(request, endpoint)
-            && slowStart.affords(endpoint, request.trafficClass, nowNanos)
+            && slowStart.hasBudgetFor(endpoint, request.trafficClass, nowNanos)
             && outlierDetector.permitsHealthCheck(endpoint, nowNanos);
     return permitted ? new Route(endpoint, null, true) : null;
   }
@@ -58,6 +77,6 @@
     return endpoint != null
         && endpoint.isUp()
         && endpoint.isEdge()
-        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
+        && request.trafficClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,36 +1,36 @@
 package org.amberpath.routing;
 
-/** One delivery service: its configuration, and what its answers have shown so far. */
+/** One traffic class: its configuration, and the statistics of its responses so far. */
 final class TrafficClass {
-  private static final int FULL_AT_ANSWERS = 512;
+  private static final int HALVED_AT_RESPONSES = 512;
   private static final double ASSUMED_MISSES = 4.0;
-  private static final double ASSUMED_ANSWERS = 8.0;
+  private static final double ASSUMED_RESPONSES = 8.0;
   private static final double ASSUMED_ORIGIN_FILLS = 1.0;
   private static final double ASSUMED_FILLS = 2.0;
 
   private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
 
-  /** The histogram's mean, stored: it is read many times a request. */
+  /** The histogram's mean, stored since it is read many times a request. */
   private long meanWorkNanos;
 
-  private int returnedFromCache;
+  private int servedFromCache;
   private int filledByParent;
   private int filledByOrigin;
 
-  /** A traffic class; until there are answers its latency objective stands for its work. */
+  /** A traffic class; until there are responses its latency objective stands for its work. */
   TrafficClass(TrafficClassConfig config) {
     this.config = config;
     meanWorkNanos = config.latencyObjectiveNanos();
   }
 
   /** Whether a repeat may have an effect of its own. */
-  Idempotency effect() {
+  Idempotency idempotency() {
     return config.idempotency();
   }
 
   /** Which endpoints drop the repeat of a request with an idempotency key. */
-  IdempotencyScope idempotencyGroup() {
+  IdempotencyScope idempotencyScope() {
     return config.idempotencyScope();
   }
 
@@ -39,7 +39,7 @@
     return config.idempotencyWindowNanos();
   }
 
-  /** How long an answer may take at best, in nanoseconds. */
+  /** How long a response may take besides what grows with its own duration, in nanoseconds. */
   long latencyObjectiveNanos() {
     return config.latencyObjectiveNanos();
   }
@@ -49,7 +49,7 @@
     return config.latencyStretch();
   }
 
-  /** Whether no answer of this class is ever cached. */
+  /** Whether no response of this class is ever cached. */
   boolean isNeverCached() {
     return config.neverCached();
   }
@@ -64,12 +64,12 @@
     return config.staleGraceNanos();
   }
 
-  /** The revenue of one request, in the site's unit. */
+  /** The revenue of one request, in the configuration's unit. */
   double revenue() {
     return config.revenue();
   }
 
-  /** The work of one request: how long a cache is busy with it on the mean, in nanoseconds. */
+  /** The work of one request: the mean time that a cache is busy with it, in nanoseconds. */
   long workNanos() {
     return meanWorkNanos;
   }
@@ -80,15 +80,15 @@
     meanWorkNanos = durations.meanNanos();
   }
 
-  /** Counts which route an answer came by. All counts are halved when they are full. */
-  void recordRoute(ResponseDetail note) {
-    switch (note) {
-      case HIT, STALE -> returnedFromCache++;
+  /** Counts by which route a response came. All counts are halved when they are full. */
+  void recordRoute(ResponseDetail detail) {
+    switch (detail) {
+      case HIT, STALE -> servedFromCache++;
       case FILLED_BY_ORIGIN -> filledByOrigin++;
       default -> filledByParent++;
     }
-    if (returnedFromCache + filledByParent + filledByOrigin >= FULL_AT_ANSWERS) {
-      returnedFromCache /= 2;
+    if (servedFromCache + filledByParent + filledByOrigin >= HALVED_AT_RESPONSES) {
+      servedFromCache /= 2;
       filledByParent /= 2;
       filledByOrigin /= 2;
     }
@@ -97,7 +97,7 @@
   /** The likely fraction of requests that need a fill, 0 to 1. */
   double missFraction() {
     int fills = filledByParent + filledByOrigin;
-    return (fills + ASSUMED_MISSES) / (returnedFromCache + fills + ASSUMED_ANSWERS);
+    return (fills + ASSUMED_MISSES) / (servedFromCache + fills + ASSUMED_RESPONSES);
   }
 
   /** The likely fraction of fills that reach the origin, 0 to 1. */
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void anEndpointThatDrainsMovesItsOwnKeysOnly() {
+  void drainingEndpointMovesOnlyItsOwnKeys() {
     int[] before = LongStream.range(0, 200).mapToInt(object -> select(object).index).toArray();
     parts.update(1, EndpointState.DRAINING, 0);
     for (int object = 0; object < 200; object++) {
@@ -32,15 +32,15 @@
   }
 
   @Test
-  void weightsDivideTheKeys() {
+  void keysAreDividedByWeight() {
     parts.endpoint(0).weight = 12;
     long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
     assertEquals(300, (float) large, 60);
   }
 
-  /** What is spared on the way must not change who is chosen: compared with the score itself. */
+  /** Skipped logarithms must not change the selection: compared with the full scores. */
   @Test
-  void theHighestScoreIsChosenAmongEndpointsOfManyWeights() {
+  void highestScoreIsChosenAmongEndpointsOfManyWeights() {
     Endpoint[] candidates = new Endpoint[300];
     for (int index = 0; index < candidates.length; index++) {
       candidates[index] = new Endpoint(index, "e" + index);
@@ -51,10 +51,10 @@
       InFlightRequest request = parts.request(object);
       Endpoint expected = null;
       double highest = -1;
-      for (Endpoint one : candidates) {
-        long key = RendezvousSelector.mix(object * 31L ^ one.hash);
-        double score = one.weight / -Math.log(RendezvousSelector.toUnit(key));
-        expected = score > highest ? one : expected;
+      for (Endpoint endpoint : candidates) {
+        long key = RendezvousSelector.mix(object * 31L ^ endpoint.hash);
+        double score = endpoint.weight / -Math.log(RendezvousSelector.toUnit(key));
+        expected = score > highest ? endpoint : expected;
         highest = Math.max(score, highest);
       }
       assertEquals(
@@ -63,23 +63,23 @@
   }
 
   @Test
-  void triedEndpointsAreLeftOutUntilNoneIsLeft() {
+  void excludedEndpointsAreNeverSelectedUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
     for (int left = 4; left > 0; left--) {
-      request.triedEndpoints.add(select(request, Eligibility.WITH_ROOM));
+      request.excludedEndpoints.add(select(request, Eligibility.WITH_ROOM));
     }
-    assertEquals(4, request.triedEndpoints.stream().distinct().count());
+    assertEquals(4, request.excludedEndpoints.stream().distinct().count());
     assertNull(select(request, Eligibility.ANY));
   }
 
   @Test
-  void aFullEndpointSpillsOverAndAnEjectedOneIsTheLastResort() {
+  void fullEndpointSpillsOverAndEjectedEndpointIsTheLastResort() {
     Endpoint first = select(5);
     first.limit.inFlight = 100;
     assertNotEquals(first, select(5));
-    assertEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    assertEquals(first, select(parts.request(5), Eligibility.ACCEPTS_KEY));
     parts.detector.eject(first, parts.batch(START));
-    assertNotEquals(first, select(parts.request(5), Eligibility.TAKES_KEY));
+    assertNotEquals(first, select(parts.request(5), Eligibility.ACCEPTS_KEY));
     assertEquals(first, select(parts.request(5), Eligibility.ANY));
   }
 }
