--- /dev/null
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
@@ -0,0 +1,99 @@
+package org.amberpath.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.amberpath.leadership.SeededHealthCheckWorld.Setting;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every question, answer, health check and report of {@link HealthCheckCoordinator} where it
+ * was: 180 s of random events a seed give the actions recorded here, one digest a seed. A change
+ * that is meant to keep behaviour must not alter a digest; a change of behaviour records new ones
+ * and says why.
+ */
+class RecordedHealthChecksTest {
+  private static final Map<String, SeededHealthCheckWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(Setting setting, long seed) {
+    String key = setting + " " + seed;
+    return DIGESTS.computeIfAbsent(
+        key,
+        missing -> {
+          SeededHealthCheckWorld world = new SeededHealthCheckWorld(setting, seed);
+          PLAYED.put(key, world);
+          return world.play();
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "SMALL, 1, dc4b132ab361c7e1602c6c10b6ab2265cc5202b18394760071962ef279362a4b",
+    "SMALL, 2, e817bcd5bcf8dc779d805d92c027e3d3e4d7f483a9edfa8e0d90fc26a23c37ae",
+    "SMALL, 3, 7b942cbb68a7ff4a167c3bd4a7acf4748142ca3f28822060fb016611c82b2019",
+    "MIDDLE, 1, ad43afcebbc7fff28e612d99b12662925ef3cde7f2186bba84baa5b5326730eb",
+    "MIDDLE, 2, a2781c46420e99b637bef13898e2bb2d97dfe420cb0d4d2a522ec828f59c4ef6",
+    "MIDDLE, 3, fb1fb11b0237d8046884d6e157969132d8bf18f748889a332621f0edb095fbce",
+    "LARGE, 1, 82921a4031cf7a60252841da1a02d9031643097ef9fe6f3d2b2d0bffbadd665a",
+    "LARGE, 2, 92fe2d90c82a81452070986de84357a70e43e3df1b395eecf6901cd053108382",
+    "LARGE, 3, 5e4060cc1198b41323a3225d6cf5edaa72f6139357957ab791092a5c89782d04",
+    "LOSSY, 1, 3c861c2059da475181f5ad0b2a4b70f3097c9880873e2375cff5b41d6db47855",
+    "LOSSY, 2, 6027d3357f95c8f98d7fc96ba97c622aaa73c73ed43081dbeefd361e940dc809",
+    "LOSSY, 3, 79101a0aed916c53904dd56af8a9208b4d0b5b2bea704a59073d973358d1c7a7"
+  })
+  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+    assertEquals(
+        recorded,
+        digest(setting, seed),
+        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+  }
+
+  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  @Test
+  void recordedEventsReachEveryActionOutcomeAndState() {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (Setting setting : Setting.values()) {
+      for (long seed = 1; seed <= 3; seed++) {
+        digest(setting, seed);
+        PLAYED
+            .get(setting + " " + seed)
+            .actions
+            .counts()
+            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+      }
+    }
+    for (String what :
+        new String[] {
+          "ask",
+          "answer",
+          "word",
+          "word refused",
+          "check",
+          // ANSWERED, SILENT, NOT_SENT.
+          "checked 0",
+          "checked 1",
+          "checked 2",
+          "news",
+          "to",
+          "heard",
+          "heard of",
+          "result none",
+          "result up",
+          "result silent",
+          "for all true",
+          "for all false",
+          "idle true",
+          "idle false",
+          "leader",
+          "restarted",
+          "lost"
+        }) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
--- /dev/null
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
@@ -0,0 +1,113 @@
+package org.amberpath.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.amberpath.leadership.SeededVotersWorld.Setting;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every message, answer and state of {@link QuorumLeadership}, {@link LeaseAcceptor} and
+ * {@link FencingGuard} where it was: 400 s of random events a seed give the actions recorded here,
+ * one digest a seed. A change that is meant to keep behaviour must not alter a digest; a change of
+ * behaviour records new ones and says why.
+ */
+class RecordedLeadershipTest {
+  private static final Map<String, SeededVotersWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(Setting setting, long seed) {
+    String key = setting + " " + seed;
+    return DIGESTS.computeIfAbsent(
+        key,
+        missing -> {
+          SeededVotersWorld world = new SeededVotersWorld(setting, seed);
+          PLAYED.put(key, world);
+          return world.play();
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "THREE_VOTERS, 1, 0a0ffc609e5c0b30dae390d90abcf84d8bf8e307ec30f02acd820cd13e964e96",
+    "THREE_VOTERS, 2, cfb0bb24ac6b7f4ff13fc0d1ff144a1678873e6c15e70100d894d30ac09961e5",
+    "THREE_VOTERS, 3, 565fb3c83faa175aa6da425033a9153c5113541b7d70e509aeb98b67dfe35371",
+    "FIVE_VOTERS, 1, 55120ab639bf52264649713339cb8ec4456417ef33289bfc61a8c416ec767442",
+    "FIVE_VOTERS, 2, a523009a42383ab55d003d3f971aaadc133db26059460ca46d5e59b626337a90",
+    "FIVE_VOTERS, 3, f7816be2fd951a519d362d0c4ec2e5499c758afc44efcd802da33c894f8ec7c4",
+    "CHANGING_VOTERS, 1, 96f4be00fcfa2da3b75c2524143567545ef942e864fb337d6db3d523e9624af6",
+    "CHANGING_VOTERS, 2, 9251cfb1680dbca66ab4cf5689962e9de68a6d46781a123e77d8df6112ed559a",
+    "CHANGING_VOTERS, 3, 2a923b2920dde8e11b4b22b119624003953d43cb077cdd7ab53ff93c409a7c8c",
+    "ONE_VOTER, 1, 217146318783031247b37fb50327e372ba9f737ec85cf28bbada58b6b47f4254",
+    "ONE_VOTER, 2, 19c39b6f92d523f60470e37cb7872ce2c45e7e7089848157c6486f6613ec7005",
+    "ONE_VOTER, 3, ab2a5423ab992b2e71399aee063f60a265830655d7c21930b86ab565a8a329f3"
+  })
+  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+    assertEquals(
+        recorded,
+        digest(setting, seed),
+        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+  }
+
+  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  @Test
+  void recordedEventsReachEveryMessageAnswerStateAndTransition() {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (Setting setting : Setting.values()) {
+      for (long seed = 1; seed <= 3; seed++) {
+        digest(setting, seed);
+        PLAYED
+            .get(setting + " " + seed)
+            .actions
+            .counts()
+            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+      }
+    }
+    for (String what :
+        new String[] {
+          // PREPARE, PROPOSE, RELEASE.
+          "request 0",
+          "request 2",
+          "request 5",
+          // PROMISE of a free task and of one that is another's, ACCEPTED, REFUSED.
+          "answer 1",
+          "answer 1 other",
+          "answer 3 other",
+          "answer 4 other",
+          "no answer to 0",
+          "no answer to 2",
+          "no answer to 5",
+          "state following",
+          "state asking",
+          "state waiting",
+          "state holding",
+          "state resigned",
+          "following>asking",
+          "asking>following",
+          "asking>waiting",
+          "asking>holding",
+          "waiting>holding",
+          "waiting>following",
+          "holding>following",
+          "following>resigned",
+          "asking>resigned",
+          "waiting>resigned",
+          "holding>resigned",
+          "handed over",
+          "releases",
+          "acted",
+          "refused",
+          "voters",
+          "killed",
+          "lost",
+          "doubled",
+          "all restart"
+        }) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
--- /dev/null
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
@@ -0,0 +1,85 @@
+package org.amberpath.leadership;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every command and state of {@link RegistryLeadership} where it was: 400 s of random events
+ * a seed give the actions recorded here, one digest a seed. A change that is meant to keep
+ * behaviour must not alter a digest; a change of behaviour records new ones and says why.
+ */
+class RecordedRegistryLeadershipTest {
+  private static final Map<Long, SeededRegistryWorld> PLAYED = new TreeMap<>();
+  private static final Map<Long, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(long seed) {
+    return DIGESTS.computeIfAbsent(
+        seed,
+        missing -> {
+          SeededRegistryWorld world = new SeededRegistryWorld(seed);
+          PLAYED.put(seed, world);
+          return world.play();
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "1, 156c6e843ffd00d94f6f811df50d73b01960d7cba35a0a1a838274045cb71b0d",
+    "2, 4e4997b8e1505590594d3b4a96f37c3fe7526bdd47e2bec6d2c6053604d9b24d",
+    "3, cdc645eba1deef75a1bb6cb8e8c869775081d726076754245dc2d180e0084ed2",
+    "4, 1c95903f8fdbcb005c9d620f5f67adf84dc6e97b1f2ffd9b153849bdd15f626f"
+  })
+  void everyActionIsTheRecordedOne(long seed, String recorded) {
+    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).actions.counts());
+  }
+
+  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  @Test
+  void recordedEventsReachEveryCommandStateAndTransition() {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (long seed = 1; seed <= 4; seed++) {
+      digest(seed);
+      PLAYED
+          .get(seed)
+          .actions
+          .counts()
+          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+    }
+    for (String what :
+        new String[] {
+          "campaign",
+          "won",
+          "lost",
+          "keep alive",
+          "kept",
+          "not kept",
+          "unheard",
+          "resign",
+          "handed over",
+          "restored",
+          "state following",
+          "state asking",
+          "state waiting",
+          "state holding",
+          "state resigned",
+          "following>asking",
+          "asking>following",
+          "asking>waiting",
+          "asking>holding",
+          "waiting>holding",
+          "waiting>following",
+          "holding>following",
+          "following>resigned",
+          "waiting>resigned",
+          "holding>resigned"
+        }) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
--- /dev/null
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
@@ -0,0 +1,304 @@
+package org.amberpath.leadership;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import java.util.stream.IntStream;
+
+/**
+ * Several gateways of a fleet that eject caches and have them health-checked by a leader, without
+ * I/O or a real clock: caches that hang, links to them that are cut for one gateway, letters lost,
+ * late and doubled, leaders that change, that believe to lead for longer than they do, or are away.
+ * Every question, answer, health check and report is recorded in order. Random numbers are drawn
+ * from the world's own generator, so that a seed gives the same events everywhere.
+ */
+@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+final class SeededHealthCheckWorld {
+  /** How large the fleet is and how many caches it has. */
+  enum Setting {
+    /** Five gateways, six caches. */
+    SMALL,
+    /** Twelve gateways that take part of twenty-five, forty caches. */
+    MIDDLE,
+    /** Eight gateways that take part of seven hundred, more caches than are tracked. */
+    LARGE,
+    /** As SMALL, and a third of all letters is lost. */
+    LOSSY
+  }
+
+  private record Event(long atNanos, long order, Runnable action) {}
+
+  static final long PLAYED_NANOS = 180_000_000_000L;
+  private static final long MS = 1_000_000;
+  private static final long SECOND = 1000 * MS;
+
+  final RecordedActions actions = new RecordedActions();
+  private final Setting setting;
+  private final SplittableRandom random;
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
+  private final List<Gateway> gateways = new ArrayList<>();
+  private final List<String> fleet;
+  private final boolean[] hung;
+  private long now = 5 * SECOND;
+  private long order;
+  private long term = 3;
+  private int leader = -1;
+  private int formerLeader = -1;
+
+  SeededHealthCheckWorld(Setting setting, long seed) {
+    this.setting = setting;
+    random = new SplittableRandom(seed * 31 + setting.ordinal());
+    int fleetSize = new int[] {5, 25, 700, 5}[setting.ordinal()];
+    fleet = IntStream.range(0, fleetSize).mapToObj(index -> "g" + index).toList();
+    hung = new boolean[new int[] {6, 40, 90, 6}[setting.ordinal()]];
+    int count = new int[] {5, 12, 8, 5}[setting.ordinal()];
+    for (int index = 0; index < count; index++) {
+      gateways.add(new Gateway(index, count));
+    }
+  }
+
+  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  String play() {
+    gateways.forEach(gateway -> at(now + random.nextLong(100 * MS), gateway::tick));
+    at(now, this::cacheChanges);
+    at(now, this::leaderChanges);
+    long end = now + PLAYED_NANOS;
+    while (!events.isEmpty() && events.peek().atNanos <= end) {
+      Event event = events.poll();
+      now = event.atNanos;
+      event.action.run();
+    }
+    return actions.digest();
+  }
+
+  private boolean chance(double probability) {
+    return random.nextDouble() < probability;
+  }
+
+  private void at(long atNanos, Runnable action) {
+    events.add(new Event(atNanos, ++order, action));
+  }
+
+  private void deliver(String to, Arrival arrival) {
+    int index = number(to);
+    if (index >= gateways.size() || chance(setting == Setting.LOSSY ? 0.33 : 0.02)) {
+      actions.count("lost");
+      return;
+    }
+    long delay = chance(0.02) ? random.nextLong(3 * SECOND) : random.nextLong(MS, 20 * MS);
+    at(now + delay, () -> arrival.at(gateways.get(index)));
+    if (chance(0.03)) {
+      at(now + delay + random.nextLong(SECOND), () -> arrival.at(gateways.get(index)));
+    }
+  }
+
+  private interface Arrival {
+    void at(Gateway gateway);
+  }
+
+  private final class Gateway {
+    private final int index;
+    private final String name;
+    private final boolean[] cut = new boolean[hung.length];
+    private final TreeSet<String> ejected = new TreeSet<>();
+    private final List<String> candidates;
+    private HealthCheckCoordinator coordinator = new HealthCheckCoordinator();
+    private long believedTerm;
+
+    Gateway(int index, int count) {
+      this.index = index;
+      name = "g" + index;
+      candidates =
+          CandidateOrder.order(HealthCheckCoordinator.TASK, fleet).stream()
+              .filter(other -> !other.equals(name) && number(other) < count + 2)
+              .toList();
+    }
+
+    private boolean leads() {
+      return index == leader || index == formerLeader;
+    }
+
+    private boolean answers(int cache) {
+      return !hung[cache] && !cut[cache];
+    }
+
+    void restart() {
+      coordinator = new HealthCheckCoordinator();
+      ejected.clear();
+      actions.record("restarted", name);
+    }
+
+    private void tick() {
+      observe();
+      boolean own = leads();
+      HealthCheckCoordinator.Ask ask = coordinator.due(now, fleet.size(), () -> candidates, own);
+      if (ask != null) {
+        actions.record(
+            "ask", name, ask.to(), ask.stamp(), String.join(",", ask.caches()), ejected.size());
+        deliver(ask.to(), gateway -> gateway.asked(this, ask.stamp(), ask.caches()));
+      }
+      if (own) {
+        check();
+        report();
+      } else {
+        coordinator.ended();
+      }
+      actions.record(
+          "state",
+          name,
+          own,
+          coordinator.forAll(now, own),
+          coordinator.isAny(),
+          coordinator.isIdle(),
+          coordinator.seen());
+      actions.count("for all " + coordinator.forAll(now, own));
+      actions.count("idle " + coordinator.isIdle());
+      at(now + random.nextLong(60 * MS, 140 * MS), this::tick);
+    }
+
+    /** What this gateway sees of some caches by its own requests. */
+    private void observe() {
+      for (int looked = 0; looked < 4; looked++) {
+        int cache = random.nextInt(hung.length);
+        String cacheName = "c" + cache;
+        if (!answers(cache)) {
+          if (chance(0.6)) {
+            ejected.add(cacheName);
+            coordinator.standing(now, cacheName, false);
+          }
+        } else {
+          String owner = coordinator.answers(now, cacheName);
+          if (!owner.isEmpty()) {
+            actions.record("heard", name, owner, cacheName);
+            deliver(owner, gateway -> gateway.heard(List.of(cacheName)));
+          }
+          if (ejected.remove(cacheName)) {
+            coordinator.standing(now, cacheName, true);
+          }
+        }
+      }
+    }
+
+    private void check() {
+      for (String cache : coordinator.tries(now)) {
+        actions.record("check", name, cache);
+        int number = number(cache);
+        boolean answers = answers(number);
+        if (chance(0.05)) {
+          ended(cache, HealthCheckCoordinator.End.NOT_SENT);
+        } else {
+          at(
+              now + (answers ? random.nextLong(5 * MS, 90 * MS) : 400 * MS),
+              () ->
+                  ended(
+                      cache,
+                      answers
+                          ? HealthCheckCoordinator.End.ANSWERED
+                          : HealthCheckCoordinator.End.SILENT));
+        }
+      }
+    }
+
+    private void ended(String cache, HealthCheckCoordinator.End outcome) {
+      actions.record("checked", name, cache, outcome.ordinal());
+      actions.count("checked " + outcome.ordinal());
+      coordinator.tried(now, cache, outcome);
+    }
+
+    private void report() {
+      Map<String, HealthCheckCoordinator.Said> news = coordinator.news(now);
+      if (!news.isEmpty()) {
+        actions.record("news", name, words(news));
+        long reportedUnder = believedTerm;
+        List<String> recipients = coordinator.toldNow(now, fleet);
+        actions.record("to", name, String.join(",", recipients));
+        for (String recipient : recipients) {
+          deliver(recipient, gateway -> gateway.word(name, reportedUnder, 0, news));
+        }
+      }
+    }
+
+    private void asked(Gateway by, long stamp, List<String> caches) {
+      if (leads()) {
+        Map<String, HealthCheckCoordinator.Said> said = coordinator.asked(now, by.name, caches);
+        actions.record("answer", name, by.name, words(said));
+        long answeredUnder = believedTerm;
+        deliver(by.name, gateway -> gateway.word(name, answeredUnder, stamp, said));
+        check();
+      }
+    }
+
+    private void heard(List<String> caches) {
+      if (leads()) {
+        coordinator.heard(now, caches);
+        actions.record("heard of", name, String.join(",", caches));
+      }
+    }
+
+    private void word(
+        String from, long ofTerm, long stamp, Map<String, HealthCheckCoordinator.Said> said) {
+      Map<String, HealthCheckCoordinator.Said> taken =
+          coordinator.word(now, from, ofTerm, stamp, said);
+      if (taken == null) {
+        actions.record("word refused", name, from, ofTerm, coordinator.seen());
+      } else {
+        actions.record("word", name, from, ofTerm, stamp, words(taken));
+      }
+    }
+  }
+
+  private static int number(String name) {
+    return Integer.parseInt(name.substring(1));
+  }
+
+  private String words(Map<String, HealthCheckCoordinator.Said> said) {
+    StringBuilder words = new StringBuilder();
+    said.forEach(
+        (cache, result) -> {
+          words.append(cache).append('=').append(result.answers()).append(result.ago()).append(',');
+          actions.count(
+              result.ago() < 0 ? "result none" : result.answers() ? "result up" : "result silent");
+        });
+    return words.toString();
+  }
+
+  // ---- What changes.
+
+  private void cacheChanges() {
+    int cache = random.nextInt(hung.length);
+    if (chance(0.5)) {
+      hung[cache] = !hung[cache] && chance(0.7);
+    } else {
+      Gateway gateway = gateways.get(random.nextInt(gateways.size()));
+      gateway.cut[cache] = !gateway.cut[cache] && chance(0.6);
+    }
+    if (setting == Setting.LARGE && chance(0.03)) {
+      boolean hang = chance(0.5);
+      for (int each = 0; each < hung.length; each++) {
+        hung[each] = hang && each % 10 != 0;
+      }
+    }
+    if (chance(0.02)) {
+      gateways.get(random.nextInt(gateways.size())).restart();
+    }
+    long pause = setting == Setting.SMALL || setting == Setting.LOSSY ? 1500 * MS : 300 * MS;
+    at(now + random.nextLong(pause), this::cacheChanges);
+  }
+
+  private void leaderChanges() {
+    formerLeader = chance(0.4) ? leader : -1;
+    leader = chance(0.15) ? -1 : random.nextInt(gateways.size());
+    if (leader >= 0) {
+      term += chance(0.1) ? 0 : 1 + random.nextInt(3);
+      gateways.get(leader).believedTerm = term;
+    }
+    actions.record("leader", leader, formerLeader, term);
+    at(now + 3 * SECOND, () -> formerLeader = -1);
+    at(now + 3 * SECOND + random.nextLong(30 * SECOND), this::leaderChanges);
+  }
+}
--- /dev/null
+++ b/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
@@ -0,0 +1,93 @@
+package org.amberpath.planning;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.TreeMap;
+import org.amberpath.planning.SeededQuotaWorld.Setting;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every request, grant, refusal and share of {@link QuotaLedger}, {@link QuotaHolder} and
+ * {@link MaxMinFairShare} where it was: 300 s of random events a seed give the actions recorded
+ * here, one digest a seed. A change that is meant to keep behaviour must not alter a digest; a
+ * change of behaviour records new ones and says why.
+ */
+class RecordedQuotasTest {
+  private static final Map<String, SeededQuotaWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(Setting setting, long seed) {
+    String key = setting + " " + seed;
+    return DIGESTS.computeIfAbsent(
+        key,
+        missing -> {
+          SeededQuotaWorld world = new SeededQuotaWorld(setting, seed);
+          PLAYED.put(key, world);
+          return world.play();
+        });
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "FIVE, 1, 82d3fa8d4be3e38d1a84943de162bf1314fdd8513066e928656038e4a43608e7",
+    "FIVE, 2, 429c213d4fa5afa1424c0a47eaaf4a697ce772fba69d3f87153fd6e59c20524d",
+    "FIVE, 3, 2acc93cfa8dc0b1d8ac490c953b803ff774db78504feaaa3da8ca913759a2422",
+    "TWO_LATE, 1, da7e68745572a089a140c13caebbb89e649faf1bcd712bf9b7b9c7e86dafa33b",
+    "TWO_LATE, 2, 2f5900ecdaffab8d40445e4ed6ed0498d16a966a3ea876e1b9d26252e8799cc3",
+    "TWO_LATE, 3, cc14292bfc1ad68fbf8cdeb51354e10c91aa36d27dc2109a20476566a645eaeb",
+    "NINE_LOSSY, 1, 0d5d4656fbaf818801663864eb0bd367eb1ee9ac424fbb7d254404d3dcbd1424",
+    "NINE_LOSSY, 2, b84f450e09ac46aba29c82795fcb4e5c6e010a02fbb72f47460aec577013a840",
+    "NINE_LOSSY, 3, b8b481ff748b5738023e4f0a527af2fd92c93a728d356be8323266a274ea59e8"
+  })
+  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+    assertEquals(
+        recorded,
+        digest(setting, seed),
+        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+  }
+
+  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  @Test
+  void recordedEventsReachEveryActionAndRefusal() {
+    Map<String, Integer> counts = new TreeMap<>();
+    for (Setting setting : Setting.values()) {
+      for (long seed = 1; seed <= 3; seed++) {
+        digest(setting, seed);
+        PLAYED
+            .get(setting + " " + seed)
+            .actions
+            .counts()
+            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+      }
+    }
+    for (String what :
+        new String[] {
+          "request",
+          "heard true",
+          "heard false",
+          "grant",
+          "grant above",
+          "no grant",
+          "take taken",
+          "take old term",
+          "take old number",
+          "take old ask",
+          "take unknown ask",
+          "take others",
+          "take over",
+          "left",
+          "left in force",
+          "handed over",
+          "anew",
+          "away",
+          "restart",
+          "lost"
+        }) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
--- /dev/null
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
@@ -0,0 +1,315 @@
+package org.amberpath.planning;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+
+/**
+ * Several holders of quotas and the planners that grant them, without I/O or a real clock: requests
+ * and grants lost, late and doubled, holders that restart or hear nothing, planners that follow one
+ * another with and without a handover, that are away, that grant under an older term or wrongly,
+ * clocks that drift. Every request, grant, refusal and share is recorded in order. Random numbers
+ * are drawn from the world's own generator, so that a seed gives the same events everywhere.
+ */
+@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+final class SeededQuotaWorld {
+  /** How many holders there are, and how much goes wrong. */
+  enum Setting {
+    /** Five holders. */
+    FIVE,
+    /** Two holders, half of all messages are late. */
+    TWO_LATE,
+    /** Nine holders, a third of all messages is lost. */
+    NINE_LOSSY
+  }
+
+  private record Event(long atNanos, long order, Runnable action) {}
+
+  static final long PLAYED_NANOS = 300_000_000_000L;
+  private static final long MS = 1_000_000;
+  private static final long SECOND = 1000 * MS;
+  private static final QuotaTimings TIMINGS = new QuotaTimings(2 * SECOND, 8 * SECOND, 1000, 0.125);
+
+  final RecordedActions actions = new RecordedActions();
+  private final Setting setting;
+  private final SplittableRandom random;
+  private final PriorityQueue<Event> events =
+      new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
+  private final double[] bounds = {100, 7};
+  private final int count;
+  private final List<HolderProcess> holders = new ArrayList<>();
+  private long now = 1000 * SECOND;
+  private long order;
+  private Planner planner;
+  private Planner formerPlanner;
+
+  SeededQuotaWorld(Setting setting, long seed) {
+    this.setting = setting;
+    random = new SplittableRandom(seed * 31 + setting.ordinal());
+    count = new int[] {5, 2, 9}[setting.ordinal()];
+    for (int index = 0; index < count; index++) {
+      holders.add(new HolderProcess(index));
+    }
+    planner = new Planner(1, new QuotaLedger(TIMINGS, 1, bounds, count));
+  }
+
+  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  String play() {
+    holders.forEach(holder -> at(now + random.nextLong(300 * MS), holder::request));
+    at(now, this::fault);
+    at(now + 10 * SECOND, this::plannerChanges);
+    long end = now + PLAYED_NANOS;
+    while (!events.isEmpty() && events.peek().atNanos <= end) {
+      Event event = events.poll();
+      now = event.atNanos;
+      event.action.run();
+    }
+    return actions.digest();
+  }
+
+  private boolean chance(double probability) {
+    return random.nextDouble() < probability;
+  }
+
+  private void at(long atNanos, Runnable action) {
+    events.add(new Event(atNanos, ++order, action));
+  }
+
+  private void deliver(Runnable arrival) {
+    if (chance(setting == Setting.NINE_LOSSY ? 0.33 : 0.05)) {
+      actions.count("lost");
+      return;
+    }
+    boolean late = chance(setting == Setting.TWO_LATE ? 0.5 : 0.05);
+    long delay =
+        late
+            ? random.nextLong(chance(0.1) ? 14 * SECOND : 2 * SECOND)
+            : random.nextLong(MS, 20 * MS);
+    at(now + delay, arrival);
+    if (chance(0.04)) {
+      at(now + delay + random.nextLong(SECOND), arrival);
+    }
+  }
+
+  private double[] usualShares() {
+    return Arrays.stream(bounds).map(bound -> bound / count).toArray();
+  }
+
+  /** A process that holds shares. */
+  private final class HolderProcess {
+    private final int index;
+    private final int driftPpm = random.nextInt(-900, 900);
+    private QuotaHolder holder;
+    private long run;
+    private long deafUntil;
+    private long lastRequest;
+
+    HolderProcess(int index) {
+      this.index = index;
+      restart();
+    }
+
+    private long clock() {
+      return now + now / 1_000_000 * driftPpm;
+    }
+
+    void restart() {
+      run++;
+      holder = new QuotaHolder(TIMINGS, index, run, usualShares(), clock());
+      actions.record("restart", index, run);
+      recordShares();
+    }
+
+    private void request() {
+      double[] wanted = new double[bounds.length];
+      for (int resource = 0; resource < bounds.length; resource++) {
+        double most = chance(0.3) ? bounds[resource] : bounds[resource] / count;
+        wanted[resource] = most * random.nextDouble();
+      }
+      QuotaRequest request = holder.ask(clock(), wanted);
+      lastRequest = request.seq();
+      actions.record(
+          "request",
+          request.member(),
+          request.run(),
+          request.seq(),
+          request.term(),
+          request.number(),
+          request.echo(),
+          request.wanted()[0],
+          request.wanted()[1]);
+      Planner to = chance(0.05) && formerPlanner != null ? formerPlanner : planner;
+      if (to != null) {
+        deliver(() -> to.requested(this, request));
+      }
+      recordShares();
+      at(now + random.nextLong(100 * MS, 500 * MS), this::request);
+    }
+
+    private void granted(QuotaGrant grant) {
+      if (now < deafUntil) {
+        return;
+      }
+      QuotaHolder.Refusal refusal = holder.take(clock(), grant);
+      actions.record("take " + word(refusal), index, grant.term(), grant.number());
+      recordShares();
+    }
+
+    private void recordShares() {
+      for (long later : new long[] {0, SECOND, 5 * SECOND, 9 * SECOND, 12 * SECOND}) {
+        long then = clock() + later;
+        actions.record(
+            "share",
+            index,
+            holder.share(0, then),
+            holder.share(1, then),
+            holder.isGranted(then),
+            holder.term());
+      }
+    }
+  }
+
+  /** The recorder's own words, which stay when a constant is renamed. */
+  private static String word(QuotaHolder.Refusal refusal) {
+    return switch (refusal) {
+      case TAKEN -> "taken";
+      case OLD_TERM -> "old term";
+      case OLD_NUMBER -> "old number";
+      case OLD_ASK -> "old ask";
+      case UNKNOWN_ASK -> "unknown ask";
+      case OTHERS -> "others";
+      case OVER -> "over";
+    };
+  }
+
+  /** One leader's ledger. */
+  private final class Planner {
+    private final long term;
+    private final QuotaLedger ledger;
+    private final double[][] wants = new double[count][];
+
+    Planner(long term, QuotaLedger ledger) {
+      this.term = term;
+      this.ledger = ledger;
+    }
+
+    private void requested(HolderProcess from, QuotaRequest request) {
+      wants[request.member()] = request.wanted();
+      boolean answered = ledger.heard(request);
+      actions.record("heard " + answered, term, request.member(), request.seq());
+      if (!answered) {
+        return;
+      }
+      QuotaGrant grant = ledger.grant(now, request, wished(request));
+      if (grant == null) {
+        actions.record("no grant", term, request.member(), request.seq());
+      } else {
+        recordGrant(grant);
+        long stoodStill = chance(0.01) ? random.nextLong(4 * SECOND) : 0;
+        at(now + stoodStill, () -> deliver(() -> from.granted(grant)));
+      }
+      actions.record("in use", ledger.inUse(0, now), ledger.inUse(1, now));
+    }
+
+    private double[] wished(QuotaRequest request) {
+      double[] wished = new double[bounds.length];
+      for (int resource = 0; resource < bounds.length; resource++) {
+        double usual = bounds[resource] / wants.length;
+        double[] wanted = new double[wants.length];
+        for (int member = 0; member < wants.length; member++) {
+          wanted[member] = wants[member] == null ? usual : wants[member][resource];
+        }
+        double[] shares = MaxMinFairShare.of(bounds[resource], wanted, usual * TIMINGS.thin());
+        wished[resource] = chance(0.2) ? wanted[request.member()] : shares[request.member()];
+      }
+      return wished;
+    }
+
+    private void recordGrant(QuotaGrant grant) {
+      boolean above = grant.amounts()[0] > bounds[0] / count;
+      actions.record(
+          above ? "grant above" : "grant",
+          grant.member(),
+          grant.run(),
+          grant.answers(),
+          grant.term(),
+          grant.number(),
+          grant.stamp(),
+          grant.amounts()[0],
+          grant.amounts()[1]);
+    }
+
+    /** The ledger of the next term, with what this one has granted. */
+    QuotaLedger handOver(long nextTerm) {
+      List<QuotaLedger.Left> left = ledger.left(now);
+      for (QuotaLedger.Left grant : left) {
+        actions.record(
+            grant.inForce() ? "left in force" : "left",
+            grant.member(),
+            grant.run(),
+            grant.seq(),
+            grant.number(),
+            grant.mostLeft(),
+            grant.leastLeft(),
+            grant.amounts()[0],
+            grant.amounts()[1]);
+      }
+      long askedAt = now - random.nextLong(500 * MS);
+      return QuotaLedger.after(TIMINGS, nextTerm, bounds, count, left, askedAt, now);
+    }
+  }
+
+  // ---- What goes wrong.
+
+  private void plannerChanges() {
+    Planner before = planner;
+    long nextTerm = (before == null ? formerPlanner.term : before.term) + 1;
+    if (before != null && chance(0.4)) {
+      formerPlanner = before;
+      planner = new Planner(nextTerm, before.handOver(nextTerm));
+      actions.record("handed over", nextTerm);
+    } else if (before != null && chance(0.4)) {
+      formerPlanner = before;
+      planner = null;
+      actions.record("away", nextTerm);
+    } else {
+      formerPlanner = before == null ? formerPlanner : before;
+      planner = new Planner(nextTerm, new QuotaLedger(TIMINGS, nextTerm, bounds, count));
+      actions.record("anew", nextTerm);
+    }
+    at(now + random.nextLong(20 * SECOND), this::plannerChanges);
+  }
+
+  private void fault() {
+    HolderProcess holder = holders.get(random.nextInt(count));
+    switch (random.nextInt(4)) {
+      case 0 -> holder.restart();
+      case 1 -> holder.deafUntil = now + random.nextLong(15 * SECOND);
+      default -> holder.granted(wrongGrant(holder));
+    }
+    at(now + random.nextLong(2 * SECOND), this::fault);
+  }
+
+  /** A grant for another member or start, of another length, to no request, or without a figure. */
+  private QuotaGrant wrongGrant(HolderProcess holder) {
+    long term = holder.holder.term();
+    if (chance(0.4)) {
+      // To a request of several seconds ago, which may be forgotten by now.
+      long answers = holder.lastRequest - 28 - random.nextInt(8);
+      return new QuotaGrant(
+          holder.index, holder.run, answers, term, Long.MAX_VALUE, now, new double[] {1, 1});
+    }
+    double[] amounts = chance(0.2) ? new double[] {1} : new double[] {Double.NaN, 1};
+    return new QuotaGrant(
+        chance(0.2) ? holder.index + 1 : holder.index,
+        chance(0.2) ? holder.run - 1 : holder.run,
+        random.nextLong(1, 400),
+        term,
+        chance(0.5) ? 1 : random.nextLong(200),
+        now,
+        amounts);
+  }
+}
--- /dev/null
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -0,0 +1,134 @@
+package org.amberpath.recovery;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/**
+ * Holds every admission, phase and wait of {@link RecoveryRamp} where it was: 60 starts of 30 s
+ * with random traffic and answers a seed give the actions recorded here, one digest a seed. A
+ * change that is meant to keep behaviour must not alter a digest; a change of behaviour records new
+ * ones and says why.
+ */
+class RecordedRecoveryTest {
+  private static final long MS = 1_000_000;
+  private static final long SECOND = 1000 * MS;
+  private static final int STARTS = 60;
+  private static final Map<Long, RecordedActions> PLAYED = new TreeMap<>();
+  private static final Map<Long, String> DIGESTS = new TreeMap<>();
+
+  private static String digest(long seed) {
+    return DIGESTS.computeIfAbsent(
+        seed,
+        missing -> {
+          RecordedActions actions = new RecordedActions();
+          PLAYED.put(seed, actions);
+          SplittableRandom random = new SplittableRandom(seed);
+          for (int start = 0; start < STARTS; start++) {
+            play(random, actions);
+          }
+          return actions.digest();
+        });
+  }
+
+  /** One start of a gateway with all others, with traffic and answers of its own. */
+  private static void play(SplittableRandom random, RecordedActions actions) {
+    long now = random.nextLong(1000 * SECOND);
+    long end = now + 30 * SECOND;
+    long learnedAt = now + random.nextLong(5 * SECOND);
+    double requestsPerMilli = random.nextInt(6) == 0 ? 0 : random.nextDouble() * 0.4;
+    double answered = random.nextInt(4) == 0 ? 0.3 * random.nextDouble() : 1;
+    long maxWait = random.nextInt(5) == 0 ? 0 : random.nextLong(50 * MS, 10 * SECOND);
+    RecoveryRamp ramp = new RecoveryRamp(random.nextLong(), maxWait, now);
+    boolean learned = false;
+    RecoveryRamp.Phase before = ramp.phase();
+    while (now < end) {
+      now += random.nextLong(500_000, 2 * MS);
+      if (!learned && now >= learnedAt) {
+        learned = true;
+        ramp.learned(now, random.nextInt(5) > 0, random.nextDouble() * 40);
+      }
+      if (random.nextInt(8) == 0) {
+        ramp.tick(now);
+      }
+      if (random.nextInt(3000) == 0) {
+        answered = random.nextDouble();
+        requestsPerMilli = random.nextDouble() * 0.4;
+      }
+      if (random.nextDouble() < requestsPerMilli) {
+        request(ramp, now, random, answered, actions);
+      }
+      if (ramp.phase() != before) {
+        actions.record(word(before) + ">" + word(ramp.phase()), now, ramp.rate());
+        before = ramp.phase();
+      }
+      actions.record("state " + word(before), ramp.rate(), ramp.doneAt());
+    }
+  }
+
+  private static void request(
+      RecoveryRamp ramp,
+      long now,
+      SplittableRandom random,
+      double answered,
+      RecordedActions actions) {
+    boolean halfway = random.nextBoolean();
+    boolean admitted = ramp.takes(now, halfway);
+    actions.record(admitted ? "admitted" : "rejected", now, halfway);
+    if (!admitted) {
+      actions.record("wait", ramp.away(halfway));
+    } else if (random.nextDouble() < answered) {
+      ramp.returned();
+    }
+  }
+
+  /** The recorder's own words, which stay when a constant is renamed. */
+  private static String word(RecoveryRamp.Phase phase) {
+    return switch (phase) {
+      case LEARNING -> "learning";
+      case TRICKLE -> "trickle";
+      case RAMP -> "ramp";
+      case SERVING -> "serving";
+    };
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "1, 02ca73588d543154d0f037d8f839774f518ec4dff0c78933ba293bbc251dbd22",
+    "2, 14d8fbcfb130389da3bf688f4f24f0bf9044755cea3a3cd4fd178de1b15c2c5e",
+    "3, 89b773a649a1ceca798a73acd35131b7e9903e32491bedcd3f20f552ec383753"
+  })
+  void everyActionIsTheRecordedOne(long seed, String recorded) {
+    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).counts());
+  }
+
+  /** A digest of events that reach little would hold little: what they must reach. */
+  @Test
+  void recordedEventsReachEveryActionPhaseAndTransition() {
+    digest(1);
+    Map<String, Integer> counts = PLAYED.get(1L).counts();
+    for (String what :
+        new String[] {
+          "admitted",
+          "rejected",
+          "wait",
+          "state learning",
+          "state trickle",
+          "state ramp",
+          "state serving",
+          "learning>trickle",
+          "learning>serving",
+          "trickle>ramp",
+          "trickle>serving",
+          "ramp>serving"
+        }) {
+      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    }
+  }
+}
