--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -6,7 +6,9 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 import org.amberpath.routing.DiscoveryFreshness;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingActions;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.SocketReads;
 
@@ -36,7 +38,7 @@
   }
 
   /** An event, and the request that it belongs to; null where it belongs to none. */
-  private record QueuedEvent(ClientRequest request, Consumer<Events> event) {}
+  private record QueuedEvent(ClientRequest request, Consumer<RoutingEventHandler> event) {}
 
   private final PipelineContext context;
   private final DiscoveryFreshness discoveryFreshness;
@@ -85,23 +87,24 @@
     submit(
         request,
         events ->
-            events.get(
-                request.id,
-                request.trafficClass,
-                request.decoded.objectId(),
-                request.decoded.purgeGroup(),
-                request.decoded.partNumber(),
-                request.deadlineNanos - context.clock().now(),
-                request.decoded.sizeKb(),
-                false));
+            events.requestReceived(
+                new RequestDetails(
+                    request.id,
+                    request.trafficClass,
+                    request.decoded.objectId(),
+                    request.decoded.purgeGroup(),
+                    request.decoded.partNumber(),
+                    request.deadlineNanos - context.clock().nowNanos(),
+                    request.decoded.sizeKb(),
+                    false)));
   }
 
   /**
    * Gives a new request to the router by an event, and lets it be answered soon after its deadline
    * at the latest.
    */
-  void submit(ClientRequest request, Consumer<Events> event) {
-    long leftNanos = request.deadlineNanos - context.clock().now();
+  void submit(ClientRequest request, Consumer<RoutingEventHandler> event) {
+    long leftNanos = request.deadlineNanos - context.clock().nowNanos();
     request.backstopTimer =
         context
             .vertx()
@@ -115,7 +118,7 @@
   }
 
   /** Queues an event for this turn's batch; the request is null where it belongs to none. */
-  void enqueue(ClientRequest request, Consumer<Events> event) {
+  void enqueue(ClientRequest request, Consumer<RoutingEventHandler> event) {
     requestEvents.add(new QueuedEvent(request, event));
     if (request != null) {
       request.pendingEvents++;
@@ -125,14 +128,14 @@
 
   /** Notifies the router that nobody waits for a request's response any more. */
   void enqueueCancelled(ClientRequest request) {
-    enqueue(request, events -> events.left(request.id));
+    enqueue(request, events -> events.clientDisconnected(request.id));
   }
 
   /**
    * Queues an event about endpoints or purges. It goes ahead of all others: guards requests that
    * came with it against decisions without it.
    */
-  void enqueueDiscovery(Consumer<Events> event) {
+  void enqueueDiscovery(Consumer<RoutingEventHandler> event) {
     discoveryEvents.add(new QueuedEvent(null, event));
     scheduleBatch();
   }
@@ -154,8 +157,8 @@
    * Whether endpoints, purges and clients are known recently enough to decide and to send by that.
    */
   private boolean isFresh() {
-    long nowNanos = context.clock().now();
-    return discoveryFreshness.decides(nowNanos) && socketReads.isFresh(nowNanos);
+    long nowNanos = context.clock().nowNanos();
+    return discoveryFreshness.permitsDecisions(nowNanos) && socketReads.isFresh(nowNanos);
   }
 
   private void scheduleBatch() {
@@ -177,17 +180,17 @@
    * event loop stalled.
    */
   private void readSocketsFirst() {
-    if (!readingSockets && !discoveryFreshness.owed()) {
+    if (!readingSockets && !discoveryFreshness.awaitsResponse()) {
       readingSockets = true;
-      long byNanos = context.clock().now();
+      long byNanos = context.clock().nowNanos();
       context
           .vertx()
           .setTimer(
               READ_SOCKETS_MILLIS,
               timer -> {
                 readingSockets = false;
-                discoveryFreshness.read(byNanos);
-                socketReads.read(byNanos);
+                discoveryFreshness.socketsRead(byNanos);
+                socketReads.socketsRead(byNanos);
                 runBatch();
               });
     }
@@ -225,7 +228,7 @@
   private void routeBatch() {
     replayed = 0;
     try {
-      router.routeBatch(context.clock().now(), this, actions);
+      router.routeBatch(context.clock().nowNanos(), this, actions);
     } catch (RuntimeException | StackOverflowError | AssertionError e) {
       LOG.log(Level.SEVERE, "routing a batch of events failed", e);
       while (replayed < batch.size()) {
@@ -284,7 +287,7 @@
 
   /** Gives the batch to the router. A failure on one request's event ends that request alone. */
   @Override
-  public void replay(Events events) {
+  public void replayTo(RoutingEventHandler events) {
     while (replayed < batch.size()) {
       QueuedEvent queued = batch.get(replayed++);
       try {
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -9,14 +9,18 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.cache.ReplyWarmUp;
 import org.amberpath.gateway.client.RequestWarmUp;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Runs made-up requests before clients are let in, so that the first real ones find compiled code.
@@ -63,7 +67,7 @@
    * runs before anything listens.
    */
   void runInProcess() {
-    router.round(nowNanos, this::listEndpoints, this);
+    router.decide(nowNanos, this::listEndpoints, this);
     for (int batch = 0; batch < BATCHES && !isTimeOver(); batch++) {
       for (int request = 0; request < BATCH_SIZE; request++) {
         routeOne(++requests);
@@ -113,68 +117,83 @@
 
   private void routeOne(int number) {
     long id = number;
-    int trafficClass = number % config.deliveryServices();
+    int trafficClass = number % config.trafficClassCount();
     long objectId = id % OBJECTS + 1;
     int partNumber = (int) (id % PARTS);
-    Note note = number % 3 == 0 ? Note.FILLED : Note.HIT;
+    ResponseDetail note = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
     nowNanos += REQUEST_INTERVAL_NANOS;
-    router.round(
+    router.decide(
         nowNanos,
         events ->
-            events.get(
-                id,
-                trafficClass,
-                objectId,
-                0,
-                partNumber,
-                REQUEST_TIMEOUT_NANOS,
-                SEGMENT_KB,
-                false),
+            events.requestReceived(
+                new RequestDetails(
+                    id,
+                    trafficClass,
+                    objectId,
+                    0,
+                    partNumber,
+                    REQUEST_TIMEOUT_NANOS,
+                    SEGMENT_KB,
+                    false)),
         this);
-    router.round(
+    router.decide(
         nowNanos + REQUEST_INTERVAL_NANOS / 2,
         events -> {
-          events.woken("sweep");
-          events.ended(id, 0, chosenEndpoint, Outcome.RETURNED, RESPONSE_TIME_NANOS, true, note);
+          events.timerFired("sweep");
+          events.attemptEnded(
+              new AttemptResult(
+                  id,
+                  0,
+                  chosenEndpoint,
+                  AttemptOutcome.SUCCEEDED,
+                  RESPONSE_TIME_NANOS,
+                  true,
+                  note));
         },
         this);
   }
 
-  private void listEndpoints(Events events) {
-    events.listing(Listing.FULL);
+  private void listEndpoints(RoutingEventHandler events) {
+    events.endpointListStarted(EndpointListKind.FULL);
     for (int endpoint = 0; endpoint < ENDPOINTS; endpoint++) {
-      events.member(endpoint, "m" + endpoint, config.zone(), "m", 0, State.UP, 1, 0);
+      events.endpointListed(
+          new EndpointDescription(
+              endpoint, "m" + endpoint, config.zone(), "m", 0, EndpointState.UP, 1, 0));
     }
-    if (config.midKind() != null) {
-      events.member(ENDPOINTS, "m" + ENDPOINTS, config.zone(), config.midKind(), 0, State.UP, 1, 0);
-    }
-    events.listed();
+    config
+        .parentKind()
+        .ifPresent(
+            kind ->
+                events.endpointListed(
+                    new EndpointDescription(
+                        ENDPOINTS,
+                        "m" + ENDPOINTS,
+                        config.zone(),
+                        kind,
+                        0,
+                        EndpointState.UP,
+                        1,
+                        0)));
+    events.endpointListCompleted();
   }
 
   @Override
-  public void forward(
-      long requestId,
-      int endpoint,
-      long untilNanos,
-      int source,
-      long maxAgeNanos,
-      int priority,
-      int flags) {
-    chosenEndpoint = endpoint;
+  public void sendAttempt(AttemptCommand command) {
+    chosenEndpoint = command.endpoint();
   }
 
   @Override
-  public void shed(long requestId, long retryAfterNanos) {}
+  public void reject(long requestId, long retryAfterNanos) {}
 
   @Override
-  public void errored(long requestId) {}
+  public void fail(long requestId) {}
 
   @Override
-  public void callOff(long requestId, int attemptIndex) {}
+  public void cancelAttempt(long requestId, int attemptIndex) {}
 
   @Override
-  public void wake(long delayNanos, String handle) {}
+  public void scheduleTimer(long delayNanos, String handle) {}
 
   @Override
-  public void watchList() {}
+  public void subscribeEndpoints() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -4,8 +4,10 @@
 import java.util.List;
 import java.util.Set;
 import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known
@@ -48,7 +50,7 @@
   }
 
   private void play(JsonReader reply, EndpointListener to, boolean live) {
-    long last = reply.wholeOr("pos", 0);
+    long last = reply.longOr("pos", 0);
     Scout scout = new Scout();
     tell(reply, scout);
     replies.begins(live, scout.newestPurge);
@@ -64,8 +66,8 @@
     long at = pos;
     ListingRun run = new ListingRun(target);
     try {
-      for (JsonReader entry : reply.each("entries")) {
-        long number = entry.wholeOr("pos", 0);
+      for (JsonReader entry : reply.objects("entries")) {
+        long number = entry.longOr("pos", 0);
         if (number > at) {
           entry(entry, target, run);
           at = number;
@@ -79,41 +81,43 @@
 
   private static void entry(JsonReader entry, EndpointListener to, ListingRun run) {
     if (entry.has("hosts")) {
-      JsonReader hosts = entry.fields("hosts");
-      run.add(hosts.flag("reset"), hosts.each("instances"));
+      JsonReader hosts = entry.object("hosts");
+      run.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
     } else if (entry.has("expire")) {
       run.end();
-      JsonReader purge = entry.fields("expire");
-      to.purged(purge.has("name") ? object(purge) : 0, purge.place("set", 0), purge.whole("stamp"));
+      JsonReader purge = entry.object("expire");
+      to.objectPurged(
+          purge.has("name") ? object(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
     }
   }
 
   private static void member(JsonReader one, EndpointListener to) {
-    to.member(
-        one.text("instanceId"),
-        one.has("hostPort") ? one.text("hostPort") : "",
-        one.has("zone") ? one.text("zone") : "",
-        one.has("machineType") ? one.text("machineType") : "",
-        one.place("cell", 0),
-        state(one),
-        one.numberOr("weight", 1),
-        one.wholeOr("startedAtMs", 0));
+    to.endpointListed(
+        new ListedEndpoint(
+            one.string("instanceId"),
+            one.has("hostPort") ? one.string("hostPort") : "",
+            one.has("zone") ? one.string("zone") : "",
+            one.has("machineType") ? one.string("machineType") : "",
+            one.intOr("cell", 0),
+            state(one),
+            one.doubleOr("weight", 1),
+            one.longOr("startedAtMs", 0)));
   }
 
   private static long object(JsonReader purge) {
     try {
-      return Long.parseUnsignedLong(purge.text("name"), 16);
+      return Long.parseUnsignedLong(purge.string("name"), 16);
     } catch (NumberFormatException e) {
-      throw purge.wrong("name", "not an object's id: " + purge.text("name"));
+      throw purge.invalid("name", "not an object's id: " + purge.string("name"));
     }
   }
 
-  private static State state(JsonReader one) {
-    return switch (one.text("lifecycle")) {
-      case "ready" -> State.UP;
-      case "draining" -> State.DRAINING;
-      case "gone" -> State.GONE;
-      default -> throw one.wrong("lifecycle", "of no known kind: " + one.text("lifecycle"));
+  private static EndpointState state(JsonReader one) {
+    return switch (one.string("lifecycle")) {
+      case "ready" -> EndpointState.UP;
+      case "draining" -> EndpointState.DRAINING;
+      case "gone" -> EndpointState.GONE;
+      default -> throw one.invalid("lifecycle", "of no known kind: " + one.string("lifecycle"));
     };
   }
 
@@ -136,12 +140,12 @@
         end();
       }
       if (!isOpen) {
-        to.listing(whole);
+        to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       }
       for (JsonReader one : instances) {
         member(one, to);
-        if (state(one) == State.GONE) {
-          left.add(one.text("instanceId"));
+        if (state(one) == EndpointState.GONE) {
+          left.add(one.string("instanceId"));
         }
       }
       isOpen = true;
@@ -149,7 +153,7 @@
 
     private boolean isReturn(List<JsonReader> instances) {
       for (JsonReader one : left.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (left.contains(one.text("instanceId")) && state(one) != State.GONE) {
+        if (left.contains(one.string("instanceId")) && state(one) != EndpointState.GONE) {
           return true;
         }
       }
@@ -160,7 +164,7 @@
       if (isOpen) {
         isOpen = false;
         left.clear();
-        to.listed();
+        to.endpointListCompleted();
       }
     }
   }
@@ -170,24 +174,16 @@
     private long newestPurge;
 
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       newestPurge = Math.max(newestPurge, atMs);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -23,7 +23,7 @@
    */
   SimulatedGateway(int number, JsonReader start) {
     JsonRoutingConfig config =
-        new JsonRoutingConfig(start.whole("seed"), start.fields("profile-data"));
+        new JsonRoutingConfig(start.longValue("seed"), start.object("profile-data"));
     CacheIndex caches = new CacheIndex();
     decoder = new EventDecoder(config, caches);
     encoder = new ActionEncoder(number, caches);
@@ -39,7 +39,7 @@
   void round(long nowNanos, List<JsonReader> events, JsonGenerator reply) throws IOException {
     encoder.begin(reply);
     try {
-      router.round(nowNanos, to -> events.forEach(event -> decoder.decode(event, to)), encoder);
+      router.decide(nowNanos, to -> events.forEach(event -> decoder.decode(event, to)), encoder);
     } catch (InvalidDocumentException | UncheckedIOException e) {
       throw e;
     } catch (RuntimeException e) {
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -15,6 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -83,12 +85,15 @@
     PausingDecisions decisions =
         new PausingDecisions(
             (now, in, to) ->
-                in.replay(
+                in.replayTo(
                     PausingDecisions.events(
                         (name, told) -> {
                           if (name.equals(
-                              "get")) { // With no limits, so that each comes to the cache.
-                            to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                              "requestReceived")) { // With no limits, so that each comes to the
+                            // cache.
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
                           }
                         })));
     startOnOneLoop(decisions);
@@ -154,7 +159,8 @@
   void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
     PausingDecisions decisions =
         new PausingDecisions(
-            new RequestRouter(GatewayOptions.read(world.environment(folder)).site())::round);
+            new RequestRouter(GatewayOptions.read(world.environment(folder)).routingConfig())
+                ::decide);
     world.start(GatewayOptions.read(world.environment(folder)), decisions);
     Client client = world.client();
     client.status();
@@ -181,10 +187,10 @@
           if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
             throw new IllegalStateException("a round");
           }
-          in.replay(
+          in.replayTo(
               PausingDecisions.events(
                   (name, told) -> {
-                    if (name.equals("get")) {
+                    if (name.equals("requestReceived")) {
                       throw trouble.equals("recursion")
                           ? new StackOverflowError()
                           : new AssertionError("an event");
--- a/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
@@ -136,27 +136,35 @@
     private void tick() {
       observe();
       boolean own = leads();
-      HealthCheckCoordinator.Ask ask = coordinator.due(now, fleet.size(), () -> candidates, own);
+      HealthCheckCoordinator.ReportRequest ask =
+          coordinator.nextReportRequest(now, fleet.size(), () -> candidates, own);
       if (ask != null) {
         actions.record(
-            "ask", name, ask.to(), ask.stamp(), String.join(",", ask.caches()), ejected.size());
-        deliver(ask.to(), gateway -> gateway.asked(this, ask.stamp(), ask.caches()));
+            "ask",
+            name,
+            ask.recipient(),
+            ask.requestedAtNanos(),
+            String.join(",", ask.endpoints()),
+            ejected.size());
+        deliver(
+            ask.recipient(),
+            gateway -> gateway.asked(this, ask.requestedAtNanos(), ask.endpoints()));
       }
       if (own) {
         check();
         report();
       } else {
-        coordinator.ended();
+        coordinator.leadershipLost();
       }
       actions.record(
           "state",
           name,
           own,
-          coordinator.forAll(now, own),
-          coordinator.isAny(),
+          coordinator.isCentralized(now, own),
+          coordinator.hasSuspects(),
           coordinator.isIdle(),
-          coordinator.seen());
-      actions.count("for all " + coordinator.forAll(now, own));
+          coordinator.highestTerm());
+      actions.count("for all " + coordinator.isCentralized(now, own));
       actions.count("idle " + coordinator.isIdle());
       at(now + random.nextLong(60 * MS, 140 * MS), this::tick);
     }
@@ -169,28 +177,28 @@
         if (!answers(cache)) {
           if (chance(0.6)) {
             ejected.add(cacheName);
-            coordinator.standing(now, cacheName, false);
+            coordinator.healthChanged(now, cacheName, false);
           }
         } else {
-          String owner = coordinator.answers(now, cacheName);
+          String owner = coordinator.endpointResponded(now, cacheName);
           if (!owner.isEmpty()) {
             actions.record("heard", name, owner, cacheName);
             deliver(owner, gateway -> gateway.heard(List.of(cacheName)));
           }
           if (ejected.remove(cacheName)) {
-            coordinator.standing(now, cacheName, true);
+            coordinator.healthChanged(now, cacheName, true);
           }
         }
       }
     }
 
     private void check() {
-      for (String cache : coordinator.tries(now)) {
+      for (String cache : coordinator.dueHealthChecks(now)) {
         actions.record("check", name, cache);
         int number = number(cache);
         boolean answers = answers(number);
         if (chance(0.05)) {
-          ended(cache, HealthCheckCoordinator.End.NOT_SENT);
+          ended(cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
         } else {
           at(
               now + (answers ? random.nextLong(5 * MS, 90 * MS) : 400 * MS),
@@ -198,24 +206,24 @@
                   ended(
                       cache,
                       answers
-                          ? HealthCheckCoordinator.End.ANSWERED
-                          : HealthCheckCoordinator.End.SILENT));
+                          ? HealthCheckCoordinator.HealthCheckOutcome.ANSWERED
+                          : HealthCheckCoordinator.HealthCheckOutcome.SILENT));
         }
       }
     }
 
-    private void ended(String cache, HealthCheckCoordinator.End outcome) {
+    private void ended(String cache, HealthCheckCoordinator.HealthCheckOutcome outcome) {
       actions.record("checked", name, cache, outcome.ordinal());
       actions.count("checked " + outcome.ordinal());
-      coordinator.tried(now, cache, outcome);
+      coordinator.healthCheckEnded(now, cache, outcome);
     }
 
     private void report() {
-      Map<String, HealthCheckCoordinator.Said> news = coordinator.news(now);
+      Map<String, HealthCheckCoordinator.HealthReport> news = coordinator.broadcastReport(now);
       if (!news.isEmpty()) {
         actions.record("news", name, words(news));
         long reportedUnder = believedTerm;
-        List<String> recipients = coordinator.toldNow(now, fleet);
+        List<String> recipients = coordinator.broadcastRecipients(now, fleet);
         actions.record("to", name, String.join(",", recipients));
         for (String recipient : recipients) {
           deliver(recipient, gateway -> gateway.word(name, reportedUnder, 0, news));
@@ -225,7 +233,8 @@
 
     private void asked(Gateway by, long stamp, List<String> caches) {
       if (leads()) {
-        Map<String, HealthCheckCoordinator.Said> said = coordinator.asked(now, by.name, caches);
+        Map<String, HealthCheckCoordinator.HealthReport> said =
+            coordinator.reportRequested(now, by.name, caches);
         actions.record("answer", name, by.name, words(said));
         long answeredUnder = believedTerm;
         deliver(by.name, gateway -> gateway.word(name, answeredUnder, stamp, said));
@@ -235,17 +244,20 @@
 
     private void heard(List<String> caches) {
       if (leads()) {
-        coordinator.heard(now, caches);
+        coordinator.endpointsResponsive(now, caches);
         actions.record("heard of", name, String.join(",", caches));
       }
     }
 
     private void word(
-        String from, long ofTerm, long stamp, Map<String, HealthCheckCoordinator.Said> said) {
-      Map<String, HealthCheckCoordinator.Said> taken =
-          coordinator.word(now, from, ofTerm, stamp, said);
+        String from,
+        long ofTerm,
+        long stamp,
+        Map<String, HealthCheckCoordinator.HealthReport> said) {
+      Map<String, HealthCheckCoordinator.HealthReport> taken =
+          coordinator.reportReceived(now, from, ofTerm, stamp, said);
       if (taken == null) {
-        actions.record("word refused", name, from, ofTerm, coordinator.seen());
+        actions.record("word refused", name, from, ofTerm, coordinator.highestTerm());
       } else {
         actions.record("word", name, from, ofTerm, stamp, words(taken));
       }
@@ -256,13 +268,20 @@
     return Integer.parseInt(name.substring(1));
   }
 
-  private String words(Map<String, HealthCheckCoordinator.Said> said) {
+  private String words(Map<String, HealthCheckCoordinator.HealthReport> said) {
     StringBuilder words = new StringBuilder();
     said.forEach(
         (cache, result) -> {
-          words.append(cache).append('=').append(result.answers()).append(result.ago()).append(',');
+          words
+              .append(cache)
+              .append('=')
+              .append(result.responded())
+              .append(result.ageNanos())
+              .append(',');
           actions.count(
-              result.ago() < 0 ? "result none" : result.answers() ? "result up" : "result silent");
+              result.ageNanos() < 0
+                  ? "result none"
+                  : result.responded() ? "result up" : "result silent");
         });
     return words.toString();
   }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
@@ -106,7 +106,7 @@
         });
   }
 
-  private final class Candidate implements RegistryLeadership.Orders {
+  private final class Candidate implements RegistryLeadership.Commands {
     private final String name;
     private final int driftPpm = random.nextInt(-900, 900);
     private final long offsetNanos = random.nextLong(1000 * SECOND);
@@ -144,13 +144,13 @@
       up = true;
       frozenUntil = 0;
       leadership = new RegistryLeadership(TIMINGS, this, random.nextLong());
-      leadership.seen(clock(), term, holder != null, changed);
+      leadership.keyObserved(clock(), term, holder != null, changed);
       record();
       round();
     }
 
     private void round() {
-      if (clock() >= leadership.due() || chance(0.02)) {
+      if (clock() >= leadership.nextTickNanos() || chance(0.02)) {
         change(() -> leadership.tick(clock()));
       }
       at(now + random.nextLong(10 * MS, 60 * MS), this::round);
@@ -170,13 +170,13 @@
           "state " + word(leadership.state()),
           name,
           leadership.term(),
-          leadership.until(),
-          leadership.due(),
-          leadership.holds(clock()));
+          leadership.leaseExpiresAtNanos(),
+          leadership.nextTickNanos(),
+          leadership.isLeader(clock()));
     }
 
     private void seen(long ofTerm, boolean held, long changedAt) {
-      change(() -> leadership.seen(clock(), ofTerm, held, changedAt));
+      change(() -> leadership.keyObserved(clock(), ofTerm, held, changedAt));
     }
 
     @Override
@@ -198,9 +198,9 @@
                         () -> {
                           actions.record(won ? "won" : "lost", name, asTerm);
                           if (won) {
-                            leadership.won(clock(), asTerm);
+                            leadership.campaignWon(clock(), asTerm);
                           } else {
-                            leadership.lost(clock());
+                            leadership.leaseLost(clock());
                           }
                         }));
           });
@@ -223,7 +223,7 @@
           () -> {
             if (chance(0.1)) {
               actions.record("unheard", name);
-              change(() -> leadership.unheard(clock()));
+              change(() -> leadership.renewalUnanswered(clock()));
             }
           });
     }
@@ -231,9 +231,9 @@
     private void kept(boolean kept, long askedAt) {
       actions.record(kept ? "kept" : "not kept", name, askedAt);
       if (kept) {
-        leadership.kept(clock(), askedAt);
+        leadership.leaseRenewed(clock(), askedAt);
       } else {
-        leadership.lost(clock());
+        leadership.leaseLost(clock());
       }
     }
 
@@ -251,7 +251,7 @@
     }
 
     private void resigns() {
-      boolean held = leadership.holds(clock());
+      boolean held = leadership.isLeader(clock());
       long of = leadership.term();
       change(() -> leadership.resign(clock()));
       if (held) {
@@ -260,7 +260,7 @@
               now + random.nextLong(300 * MS),
               () -> {
                 actions.record("handed over", other.name, of);
-                other.change(() -> other.leadership.handedOver(other.clock(), of));
+                other.change(() -> other.leadership.predecessorStopped(other.clock(), of));
               });
         }
       }
@@ -302,7 +302,7 @@
         at(now + random.nextLong(2 * SECOND), process::kill);
       }
       case 1 ->
-          process.at(now, () -> process.change(() -> process.leadership.letGo(process.clock())));
+          process.at(now, () -> process.change(() -> process.leadership.release(process.clock())));
       case 2 -> process.kill();
       case 3 -> process.frozenUntil = now + random.nextLong(8 * SECOND);
       case 4 -> awayUntil = now + random.nextLong(6 * SECOND);
@@ -310,12 +310,14 @@
       case 6 -> {
         long seen = term + random.nextLong(-3, 10);
         process.at(
-            now, () -> process.change(() -> process.leadership.outranked(process.clock(), seen)));
+            now,
+            () -> process.change(() -> process.leadership.higherTermSeen(process.clock(), seen)));
       }
       default -> {
         long of = term - random.nextLong(3);
         process.at(
-            now, () -> process.change(() -> process.leadership.handedOver(process.clock(), of)));
+            now,
+            () -> process.change(() -> process.leadership.predecessorStopped(process.clock(), of)));
       }
     }
     at(now + random.nextLong(4 * SECOND), this::fault);
@@ -335,7 +337,8 @@
           term = Math.max(0, term - random.nextLong(6));
           processes.forEach(
               process ->
-                  process.at(now, () -> process.change(() -> process.leadership.restored())));
+                  process.at(
+                      now, () -> process.change(() -> process.leadership.registryRestored())));
           keyChanged();
         });
   }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
@@ -165,7 +165,7 @@
       frozenUntil = 0;
       fence = new FencingGuard();
       VoterConfiguration voters = stages.get(stage);
-      acceptor = voters.all().contains(name) ? newAcceptor() : null;
+      acceptor = voters.allVoters().contains(name) ? newAcceptor() : null;
       leaderships.clear();
       for (String task : TASKS) {
         leaderships.put(
@@ -207,15 +207,15 @@
     private void round() {
       for (String task : TASKS) {
         QuorumLeadership leadership = leaderships.get(task);
-        leadership.wall(WALL_MILLIS + now / MS + wallOffsetMillis);
+        leadership.wallClockRead(WALL_MILLIS + now / MS + wallOffsetMillis);
         leadership.place((index + task.length()) % processes.size());
-        if (clock() >= leadership.due() || chance(0.05)) {
+        if (clock() >= leadership.nextTickNanos() || chance(0.05)) {
           Leadership.State before = leadership.state();
           leadership.tick(clock());
           transition(task, before);
         }
         record(task);
-        if (leadership.holds(clock()) && chance(0.1)) {
+        if (leadership.isLeader(clock()) && chance(0.1)) {
           act(task, leadership.term());
         }
       }
@@ -229,8 +229,8 @@
           this,
           recipient,
           () -> {
-            boolean passes = recipient.fence.passes(task, term, name);
-            long seen = recipient.fence.seen(task);
+            boolean passes = recipient.fence.tryAdmit(task, term, name);
+            long seen = recipient.fence.highestTerm(task);
             actions.record(passes ? "acted" : "refused", recipient.name, task, term, seen);
             if (!passes) {
               deliver(recipient, this, () -> outranked(task, seen));
@@ -239,7 +239,7 @@
     }
 
     void outranked(String task, long seen) {
-      change(task, leadership -> leadership.outranked(clock(), seen));
+      change(task, leadership -> leadership.higherTermSeen(clock(), seen));
     }
 
     private void request(String voter, LeaseMessage message) {
@@ -250,7 +250,8 @@
     }
 
     private void vote(Candidate from, LeaseMessage message) {
-      LeaseMessage answer = acceptor == null ? null : acceptor.asked(clock(), from.name, message);
+      LeaseMessage answer =
+          acceptor == null ? null : acceptor.messageReceived(clock(), from.name, message);
       actions.record("answer", name, from.name, answer == null ? "none" : words(answer));
       if (answer == null) {
         actions.count("no answer to " + message.kind().ordinal());
@@ -266,7 +267,7 @@
     }
 
     private void answered(String voter, LeaseMessage answer) {
-      change(answer.task(), leadership -> leadership.answered(clock(), voter, answer));
+      change(answer.task(), leadership -> leadership.responseReceived(clock(), voter, answer));
     }
 
     void change(String task, Consumer<QuorumLeadership> event) {
@@ -293,16 +294,16 @@
           name,
           task,
           leadership.term(),
-          leadership.until(),
-          leadership.due(),
-          leadership.holds(clock()),
-          leadership.holdsFor(clock(), 300 * MS));
+          leadership.leaseExpiresAtNanos(),
+          leadership.nextTickNanos(),
+          leadership.isLeader(clock()),
+          leadership.isLeaderFor(clock(), 300 * MS));
     }
 
     /** Resigns, and says so to the others; the word may be late or lost. */
     void resign(String task) {
       QuorumLeadership leadership = leaderships.get(task);
-      boolean held = leadership.holds(clock());
+      boolean held = leadership.isLeader(clock());
       long term = leadership.term();
       change(task, resigning -> resigning.resign(clock()));
       if (held) {
@@ -314,19 +315,19 @@
 
     void handedOver(String task, long term) {
       actions.record("handed over", name, task, term);
-      change(task, leadership -> leadership.handedOver(clock(), term));
+      change(task, leadership -> leadership.predecessorStopped(clock(), term));
     }
 
     void votersChanged() {
       VoterConfiguration voters = stages.get(stage);
-      actions.record("voters", name, String.join(",", voters.all()));
-      if (!voters.all().contains(name)) {
+      actions.record("voters", name, String.join(",", voters.allVoters()));
+      if (!voters.allVoters().contains(name)) {
         acceptor = null;
       } else if (acceptor == null) {
         acceptor = newAcceptor();
       }
       for (String task : TASKS) {
-        change(task, leadership -> leadership.electorate(voters));
+        change(task, leadership -> leadership.updateVoters(voters));
       }
     }
   }
@@ -372,7 +373,7 @@
       happens(process, task);
     } else if (chance(0.2) && process.up && now >= process.frozenUntil) {
       actions.record("releases", process.name, task);
-      process.change(task, leadership -> leadership.letGo(process.clock()));
+      process.change(task, leadership -> leadership.release(process.clock()));
     } else if (chance(0.3) && process.up && now >= process.frozenUntil) {
       process.resign(task);
       at(now + random.nextLong(2 * SECOND), process::kill);
@@ -396,7 +397,7 @@
         long seen = process.up ? process.leaderships.get(task).term() + random.nextLong(-5, 50) : 0;
         process.at(now, () -> process.outranked(task, seen));
       }
-      default -> process.at(now, () -> process.change(task, it -> it.letGo(process.clock())));
+      default -> process.at(now, () -> process.change(task, it -> it.release(process.clock())));
     }
   }
 
@@ -456,8 +457,8 @@
               actions.record(
                   "fence",
                   fenced,
-                  process.fence.seen(fenced),
-                  process.fence.passes(fenced, ofTerm, "a")));
+                  process.fence.highestTerm(fenced),
+                  process.fence.tryAdmit(fenced, ofTerm, "a")));
     }
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
@@ -129,16 +129,16 @@
         double most = chance(0.3) ? bounds[resource] : bounds[resource] / count;
         wanted[resource] = most * random.nextDouble();
       }
-      QuotaRequest request = holder.ask(clock(), wanted);
-      lastRequest = request.seq();
+      QuotaRequest request = holder.nextRequest(clock(), wanted);
+      lastRequest = request.sequenceNumber();
       actions.record(
           "request",
           request.member(),
-          request.run(),
-          request.seq(),
+          request.instanceId(),
+          request.sequenceNumber(),
           request.term(),
-          request.number(),
-          request.echo(),
+          request.grantNumber(),
+          request.echoedNanos(),
           request.wanted()[0],
           request.wanted()[1]);
       Planner to = chance(0.05) && formerPlanner != null ? formerPlanner : planner;
@@ -153,7 +153,7 @@
       if (now < deafUntil) {
         return;
       }
-      QuotaHolder.Refusal refusal = holder.take(clock(), grant);
+      QuotaHolder.GrantResult refusal = holder.apply(clock(), grant);
       actions.record("take " + word(refusal), index, grant.term(), grant.number());
       recordShares();
     }
@@ -173,15 +173,15 @@
   }
 
   /** The recorder's own words, which stay when a constant is renamed. */
-  private static String word(QuotaHolder.Refusal refusal) {
+  private static String word(QuotaHolder.GrantResult refusal) {
     return switch (refusal) {
-      case TAKEN -> "taken";
+      case APPLIED -> "taken";
       case OLD_TERM -> "old term";
       case OLD_NUMBER -> "old number";
-      case OLD_ASK -> "old ask";
-      case UNKNOWN_ASK -> "unknown ask";
-      case OTHERS -> "others";
-      case OVER -> "over";
+      case OLD_REQUEST -> "old ask";
+      case UNKNOWN_REQUEST -> "unknown ask";
+      case WRONG_RECIPIENT -> "others";
+      case EXPIRED -> "over";
     };
   }
 
@@ -198,14 +198,14 @@
 
     private void requested(HolderProcess from, QuotaRequest request) {
       wants[request.member()] = request.wanted();
-      boolean answered = ledger.heard(request);
-      actions.record("heard " + answered, term, request.member(), request.seq());
+      boolean answered = ledger.requestReceived(request);
+      actions.record("heard " + answered, term, request.member(), request.sequenceNumber());
       if (!answered) {
         return;
       }
       QuotaGrant grant = ledger.grant(now, request, wished(request));
       if (grant == null) {
-        actions.record("no grant", term, request.member(), request.seq());
+        actions.record("no grant", term, request.member(), request.sequenceNumber());
       } else {
         recordGrant(grant);
         long stoodStill = chance(0.01) ? random.nextLong(4 * SECOND) : 0;
@@ -222,7 +222,8 @@
         for (int member = 0; member < wants.length; member++) {
           wanted[member] = wants[member] == null ? usual : wants[member][resource];
         }
-        double[] shares = MaxMinFairShare.of(bounds[resource], wanted, usual * TIMINGS.thin());
+        double[] shares =
+            MaxMinFairShare.of(bounds[resource], wanted, usual * TIMINGS.minimumFraction());
         wished[resource] = chance(0.2) ? wanted[request.member()] : shares[request.member()];
       }
       return wished;
@@ -233,19 +234,19 @@
       actions.record(
           above ? "grant above" : "grant",
           grant.member(),
-          grant.run(),
-          grant.answers(),
+          grant.instanceId(),
+          grant.requestNumber(),
           grant.term(),
           grant.number(),
-          grant.stamp(),
+          grant.grantedAtNanos(),
           grant.amounts()[0],
           grant.amounts()[1]);
     }
 
     /** The ledger of the next term, with what this one has granted. */
     QuotaLedger handOver(long nextTerm) {
-      List<QuotaLedger.Left> left = ledger.left(now);
-      for (QuotaLedger.Left grant : left) {
+      List<QuotaLedger.OutstandingGrant> left = ledger.outstandingGrants(now);
+      for (QuotaLedger.OutstandingGrant grant : left) {
         actions.record(
             grant.inForce() ? "left in force" : "left",
             grant.member(),
@@ -258,7 +259,7 @@
             grant.amounts()[1]);
       }
       long askedAt = now - random.nextLong(500 * MS);
-      return QuotaLedger.after(TIMINGS, nextTerm, bounds, count, left, askedAt, now);
+      return QuotaLedger.succeeding(TIMINGS, nextTerm, bounds, count, left, askedAt, now);
     }
   }
 
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -52,7 +52,7 @@
       now += random.nextLong(500_000, 2 * MS);
       if (!learned && now >= learnedAt) {
         learned = true;
-        ramp.learned(now, random.nextInt(5) > 0, random.nextDouble() * 40);
+        ramp.startupCompleted(now, random.nextInt(5) > 0, random.nextDouble() * 40);
       }
       if (random.nextInt(8) == 0) {
         ramp.tick(now);
@@ -68,7 +68,7 @@
         actions.record(word(before) + ">" + word(ramp.phase()), now, ramp.rate());
         before = ramp.phase();
       }
-      actions.record("state " + word(before), ramp.rate(), ramp.doneAt());
+      actions.record("state " + word(before), ramp.rate(), ramp.servingSinceNanos());
     }
   }
 
@@ -79,12 +79,12 @@
       double answered,
       RecordedActions actions) {
     boolean halfway = random.nextBoolean();
-    boolean admitted = ramp.takes(now, halfway);
+    boolean admitted = ramp.tryAdmit(now, halfway);
     actions.record(admitted ? "admitted" : "rejected", now, halfway);
     if (!admitted) {
-      actions.record("wait", ramp.away(halfway));
+      actions.record("wait", ramp.retryAfterNanos(halfway));
     } else if (random.nextDouble() < answered) {
-      ramp.returned();
+      ramp.requestSucceeded();
     }
   }
 
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -6,9 +6,6 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,14 +22,17 @@
   @CsvSource({
     "IDEMPOTENT, ALL, true, true, true",
     "NON_IDEMPOTENT, ALL, false, false, false",
-    "TOKENED, ALL, true, true, true",
-    "TOKENED, ZONE, true, true, false",
-    "TOKENED, CELL, true, false, false"
+    "IDEMPOTENCY_KEY, ALL, true, true, true",
+    "IDEMPOTENCY_KEY, ZONE, true, true, false",
+    "IDEMPOTENCY_KEY, CELL, true, false, false"
   })
   void whatMayHaveRunIsRepeatedOnlyWhereItsRepeatIsDropped(
-      Effect effect, Group group, boolean sameCell, boolean sameZone, boolean elsewhere) {
-    parts.site.effect = effect;
-    parts.site.group = group;
+      Idempotency effect,
+      IdempotencyScope group,
+      boolean sameCell,
+      boolean sameZone,
+      boolean elsewhere) {
+    parts.configure(effect, group);
     InFlightRequest request = parts.request(5);
     assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
     request.recordExecuted(parts.attempt(request, 0, 5));
@@ -40,7 +40,8 @@
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
     assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
     assertEquals(
-        effect == Effect.IDEMPOTENT, policy.permits(request, parts.endpoint(2), START + 1000 * MS));
+        effect == Idempotency.IDEMPOTENT,
+        policy.permits(request, parts.endpoint(2), START + 1000 * MS));
   }
 
   @Test
@@ -64,26 +65,30 @@
 
   @Test
   void whoAsksMayRepeatWhatDidNotRun() {
-    parts.site.effect = Effect.NON_IDEMPOTENT;
+    parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
+    assertTrue(policy.isSafeToRepeat(parts.request(5)));
+    assertFalse(policy.isSafeToRepeat(executedRequest()));
+    parts.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ALL);
+    assertTrue(policy.isSafeToRepeat(executedRequest()));
+    parts.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.ZONE);
+    assertFalse(policy.isSafeToRepeat(executedRequest()));
+  }
+
+  private InFlightRequest executedRequest() {
     InFlightRequest request = parts.request(5);
-    assertTrue(policy.isSafeToRepeat(request));
     request.recordExecuted(parts.attempt(request, 0, 5));
-    assertFalse(policy.isSafeToRepeat(request));
-    parts.site.effect = Effect.TOKENED;
-    assertTrue(policy.isSafeToRepeat(request));
-    parts.site.group = Group.ZONE;
-    assertFalse(policy.isSafeToRepeat(request));
+    return request;
   }
 
   @ParameterizedTest
   @CsvSource({
-    "JOINED, false",
-    "SOURCE_TURNED_AWAY, true",
-    "SOURCE_LACKS, true",
-    "NO_PLACE, false",
-    "ORIGIN_ERRORED, true"
+    "COALESCED, false",
+    "FILL_REJECTED, true",
+    "FILL_SOURCE_MISS, true",
+    "NOT_STORED_NO_SPACE, false",
+    "ORIGIN_FAILED, true"
   })
-  void faultsBehindTheEndpointAreTheSources(Note note, boolean isSourceFault) {
+  void faultsBehindTheEndpointAreTheSources(ResponseDetail note, boolean isSourceFault) {
     assertEquals(isSourceFault, RetryPolicy.isSourceFault(note));
   }
 }
