--- a/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
@@ -6,30 +6,30 @@
 import java.util.Map;
 
 /**
- * Which gateway a task falls to first: by highest hash of both names, so that all agree and tasks
- * are spread.
+ * The order in which gateways stand for election to a task: by highest hash of task and name
+ * (rendezvous hashing), so that all agree on it and tasks are spread. It only says who tries first.
  */
 public final class CandidateOrder {
   private CandidateOrder() {}
 
-  /** How many of these come before one, for a task. */
-  public static int place(String task, String one, List<String> all) {
-    long own = hash(task, one);
+  /** How many of these gateways come before one of them. */
+  public static int place(String task, String gateway, List<String> gateways) {
+    long own = hash(task, gateway);
     return (int)
-        all.stream()
+        gateways.stream()
             .filter(
                 other ->
-                    !other.equals(one)
+                    !other.equals(gateway)
                         && (hash(task, other) > own
-                            || (hash(task, other) == own && other.compareTo(one) < 0)))
+                            || (hash(task, other) == own && other.compareTo(gateway) < 0)))
             .count();
   }
 
-  /** All in the order of their places, for a task. */
-  public static List<String> order(String task, List<String> all) {
+  /** These gateways in their order. */
+  public static List<String> order(String task, List<String> gateways) {
     Map<String, Long> hashes = new HashMap<>();
-    all.forEach(one -> hashes.put(one, hash(task, one)));
-    return all.stream()
+    gateways.forEach(gateway -> hashes.put(gateway, hash(task, gateway)));
+    return gateways.stream()
         .sorted(
             Comparator.<String>comparingLong(hashes::get)
                 .reversed()
@@ -40,8 +40,8 @@
   private static long hash(String task, String name) {
     long value = 0x9e3779b97f4a7c15L;
     for (String text : List.of(task, "/", name)) {
-      for (int at = 0; at < text.length(); at++) {
-        value = (value ^ text.charAt(at)) * 0xbf58476d1ce4e5b9L;
+      for (int index = 0; index < text.length(); index++) {
+        value = (value ^ text.charAt(index)) * 0xbf58476d1ce4e5b9L;
         value ^= value >>> 29;
       }
     }
--- a/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
+++ b/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
@@ -4,36 +4,41 @@
 import java.util.Map;
 
 /**
- * What a recipient of an owner's word remembers: the highest term of each task, and who came under
- * it. Word of an older term is refused, with what was seen; so is a second owner's under the same.
- * Bounds: {@value #MOST} tasks, those heard of last.
+ * Fencing at a recipient of leaders' messages: it remembers the highest term of each task, and who
+ * led it. A message of an older term is refused, and so is one of a second leader under the same
+ * term.
+ *
+ * <p>Bounds: {@value #MAX_TASKS} tasks; the least recently used is forgotten.
  */
 public final class FencingGuard {
-  private static final int MOST = 256;
+  private static final int MAX_TASKS = 256;
 
-  private record Seen(long term, String by) {}
+  private record Term(long number, String leader) {}
 
-  private final Map<String, Seen> tasks =
+  private final Map<String, Term> terms =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Seen> eldest) {
-          return size() > MOST;
+        protected boolean removeEldestEntry(Map.Entry<String, Term> eldest) {
+          return size() > MAX_TASKS;
         }
       };
 
-  /** Whether this may take effect; what is taken counts from then on. */
-  public boolean tryAdmit(String task, long term, String by) {
-    Seen seen = tasks.get(task);
-    boolean passes = seen == null || term > seen.term || (term == seen.term && by.equals(seen.by));
-    if (passes) {
-      tasks.put(task, new Seen(term, by));
+  /** Whether a message may take effect; the term of one that may is remembered. */
+  public boolean tryAdmit(String task, long term, String leader) {
+    Term known = terms.get(task);
+    boolean admitted =
+        known == null
+            || term > known.number
+            || (term == known.number && leader.equals(known.leader));
+    if (admitted) {
+      terms.put(task, new Term(term, leader));
     }
-    return passes;
+    return admitted;
   }
 
-  /** The highest term that was seen of a task; 0 for none. It is told with a refusal. */
+  /** The highest term seen of a task, to be sent with a refusal; 0 for none. */
   public long highestTerm(String task) {
-    Seen seen = tasks.get(task);
-    return seen == null ? 0 : seen.term;
+    Term known = terms.get(task);
+    return known == null ? 0 : known.number;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/Leadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Leadership.java
@@ -1,55 +1,66 @@
 package org.amberpath.leadership;
 
 /**
- * Whether a named task is this process's own for now. Two sources tell: a lease in the registry,
- * and votes. Times are nanoseconds of this process's own clock.
+ * Whether this process leads a named task now. Two implementations: {@link RegistryLeadership} by a
+ * lease in the registry, {@link QuorumLeadership} by votes. Times are nanoseconds of this process's
+ * own monotonic clock.
  *
- * <p>Whoever acts asks {@link #isLeader} in the moment of acting and again in the moment of
- * sending: belief from before is worth nothing, since the process may have stood still in between.
+ * <p>Whoever acts for a task calls {@link #isLeader} when it decides and again when it sends: an
+ * earlier result is worth nothing, since the process may have been suspended in between.
  */
 public interface Leadership {
-  /**
-   * FOLLOWING: another owns it, or nobody. ASKING: a try is out. WAITING: owns it, and lets what
-   * older owners began run out first. HOLDING: may act. RESIGNED: is to end, and tries no more.
-   */
+  /** Where a process is on the way to leadership. The admin endpoint shows the names. */
   enum State {
+    /** Another process leads, or none does. */
     FOLLOWING,
+    /** An election that this process has started is undecided. */
     ASKING,
+    /** Elected; waits until what former leaders began has ended. */
     WAITING,
+    /** Leads, and may act while its lease lasts. */
     HOLDING,
+    /** Is shutting down, and stands for no election any more. */
     RESIGNED
   }
 
+  /** The current state. */
   State state();
 
-  /** The term of what it holds, or held last; it goes with all that is done. */
+  /**
+   * The term that it leads, or led last; 0 for none. It goes with every action as fencing token.
+   */
   long term();
 
-  /** Whether it may act at this very time. */
-  boolean isLeader(long now);
+  /** Whether it may act for the task at this time. */
+  boolean isLeader(long nowNanos);
 
-  /** Until when it believes to own it, if it does. */
+  /** When its lease ends by its own clock, if it holds one. */
   long leaseExpiresAtNanos();
 
-  /** Whether something that takes this long will be over before another may own the task. */
-  default boolean isLeaderFor(long now, long time) {
-    return isLeader(now) && now + time < leaseExpiresAtNanos();
+  /**
+   * Whether an action of this duration will have ended before another process may lead.
+   *
+   * @param durationNanos the longest that the action can take
+   */
+  default boolean isLeaderFor(long nowNanos, long durationNanos) {
+    return isLeader(nowNanos) && nowNanos + durationNanos < leaseExpiresAtNanos();
   }
 
-  /** When {@link #tick} is due next. */
+  /** When {@link #tick} is due next; {@link Long#MAX_VALUE} for never. */
   long nextTickNanos();
 
-  void tick(long now);
+  /** Starts elections and renewals that are due, and ends a lease whose time is over. */
+  void tick(long nowNanos);
 
-  /** A recipient has seen a higher term: this one's is over, and the next is above that. */
-  void higherTermSeen(long now, long seen);
+  /** A recipient has refused this process's term for a higher one: it stands down. */
+  void higherTermSeen(long nowNanos, long seenTerm);
 
-  /** The owner of this term has stopped, and told all that it did: there is nothing to wait for. */
-  void predecessorStopped(long now, long ofTerm);
+  /** The leader of a term has stopped with nothing in flight: its successor need not wait. */
+  void predecessorStopped(long nowNanos, long stoppedTerm);
 
-  /** By hand: lets the task go, and leaves it to others for the time of a lease. */
-  void release(long now);
+  /** Gives the task up on an operator's request, and stands for no election for a lease. */
+  void release(long nowNanos);
 
-  /** It is to end: the task is let go once nothing more is done. */
-  void resign(long now);
+  /** Gives the task up for good: the process is shutting down, and nothing is in flight. */
+  void resign(long nowNanos);
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -4,93 +4,115 @@
 import java.util.TreeMap;
 
 /**
- * Votes on who owns which task, without a disk, after PaxosLease (Trencseni, Gazso, Reinhardt
- * 2012): what a voter has accepted is over by itself after the lease, so one that has forgotten all
- * votes for nobody until the longest lease that it may have promised is over, and then has nothing
- * to remember.
+ * A voter of the quorum, the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012), without a
+ * disk: a lease that it has accepted ends by itself, so one that has restarted votes for nobody
+ * until the longest lease that it may have accepted before is over, and then has nothing to
+ * remember.
  *
- * <p>Bounds: {@value #MOST} tasks; more are refused. Times are nanoseconds of the voter's own
- * clock.
+ * <p>Bounds: {@value #MAX_TASKS} tasks; messages on more get no answer. Times are nanoseconds of
+ * the voter's own monotonic clock.
  */
 public final class LeaseAcceptor {
-  private static final int MOST = 64;
+  private static final int MAX_TASKS = 64;
 
-  private static final class Held {
-    long promised, accepted, until;
-    String to = "", by = "";
+  /** What was promised and accepted for one task. */
+  private static final class Vote {
+    private long promisedBallot;
+    private String promisedTo = "";
+    private long acceptedBallot;
+    private String leaseHolder = "";
+    private long leaseExpiresAtNanos;
+
+    /** Whether another than this candidate holds the lease. */
+    boolean isHeldByAnother(long nowNanos, String candidate) {
+      return nowNanos < leaseExpiresAtNanos && !candidate.equals(leaseHolder);
+    }
+
+    /** Whether a promise forbids to vote for this candidate's ballot. */
+    boolean isPromisedAgainst(long ballot, String candidate) {
+      return ballot < promisedBallot || (ballot == promisedBallot && !candidate.equals(promisedTo));
+    }
+
+    void promise(long ballot, String candidate) {
+      promisedBallot = ballot;
+      promisedTo = candidate;
+    }
   }
 
-  private final LeaseTimings rules;
-  private final long mutedUntil;
-  private final Map<String, Held> tasks = new TreeMap<>();
+  private final LeaseTimings timings;
+  private final long votesFromNanos;
+  private final Map<String, Vote> votes = new TreeMap<>();
 
   /** A voter that has just started, and remembers nothing. */
-  public LeaseAcceptor(LeaseTimings rules, long now) {
-    this(rules, now, rules.longestNanos(rules.leaseNanos()));
+  public LeaseAcceptor(LeaseTimings timings, long nowNanos) {
+    this(timings, nowNanos, timings.longestNanos(timings.leaseNanos()));
   }
 
   /**
-   * One that votes for nobody for so long: less than the rules have it is a model's way to show
-   * why.
+   * A voter that votes for nobody at first.
+   *
+   * @param silentNanos for how long; a model passes less than the longest lease to show what goes
+   *     wrong then
    */
-  public LeaseAcceptor(LeaseTimings rules, long now, long muted) {
-    this.rules = rules;
-    mutedUntil = now + muted;
+  public LeaseAcceptor(LeaseTimings timings, long nowNanos, long silentNanos) {
+    this.timings = timings;
+    votesFromNanos = nowNanos + silentNanos;
   }
 
-  /** The answer to a candidate's message; null where there is none. */
-  public LeaseMessage messageReceived(long now, String by, LeaseMessage vote) {
-    if (now < mutedUntil) {
+  /** The answer to a candidate's message; null for none. */
+  public LeaseMessage messageReceived(long nowNanos, String candidate, LeaseMessage message) {
+    if (nowNanos < votesFromNanos) {
       return null;
     }
-    Held held = tasks.get(vote.task());
-    if (held == null) {
-      if (tasks.size() == MOST) {
+    Vote vote = votes.get(message.task());
+    if (vote == null) {
+      if (votes.size() == MAX_TASKS) {
         return null;
       }
-      held = new Held();
-      tasks.put(vote.task(), held);
+      vote = new Vote();
+      votes.put(message.task(), vote);
     }
-    boolean owned = now < held.until;
-    boolean bound =
-        vote.ballot() < held.promised || (vote.ballot() == held.promised && !by.equals(held.to));
-    return switch (vote.kind()) {
-      case PREPARE -> {
-        if (owned && !by.equals(held.by)) {
-          // Binds itself to nobody. Guards an owner against candidates whose numbers would refuse
-          // its renewal.
-          yield new LeaseMessage(
-              LeaseMessage.Kind.PROMISE, vote.task(), vote.ballot(), held.until - now);
-        }
-        if (bound) {
-          yield new LeaseMessage(
-              LeaseMessage.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
-        }
-        held.promised = vote.ballot();
-        held.to = by;
-        yield new LeaseMessage(
-            LeaseMessage.Kind.PROMISE, vote.task(), vote.ballot(), 0, held.accepted);
-      }
-      case PROPOSE -> {
-        if (bound || (owned && !by.equals(held.by))) {
-          yield new LeaseMessage(
-              LeaseMessage.Kind.REFUSED, vote.task(), vote.ballot(), held.promised);
-        }
-        held.promised = vote.ballot();
-        held.to = by;
-        held.accepted = vote.ballot();
-        held.by = by;
-        held.until = now + rules.longestNanos(rules.leaseNanos());
-        yield new LeaseMessage(
-            LeaseMessage.Kind.ACCEPTED, vote.task(), vote.ballot(), vote.other());
-      }
+    return switch (message.kind()) {
+      case PREPARE -> prepare(nowNanos, vote, candidate, message);
+      case PROPOSE -> accept(nowNanos, vote, candidate, message);
       case RELEASE -> {
-        if (by.equals(held.by) && vote.ballot() == held.accepted) {
-          held.until = now;
+        if (candidate.equals(vote.leaseHolder) && message.ballot() == vote.acceptedBallot) {
+          vote.leaseExpiresAtNanos = nowNanos;
         }
         yield null;
       }
       default -> null;
     };
   }
+
+  private static LeaseMessage prepare(
+      long nowNanos, Vote vote, String candidate, LeaseMessage message) {
+    if (vote.isHeldByAnother(nowNanos, candidate)) {
+      // No promise is made. Guards a leader against candidates whose higher ballots would have its
+      // lease renewal refused.
+      return answer(LeaseMessage.Kind.PROMISE, message, vote.leaseExpiresAtNanos - nowNanos);
+    }
+    if (vote.isPromisedAgainst(message.ballot(), candidate)) {
+      return answer(LeaseMessage.Kind.REFUSED, message, vote.promisedBallot);
+    }
+    vote.promise(message.ballot(), candidate);
+    return new LeaseMessage(
+        LeaseMessage.Kind.PROMISE, message.task(), message.ballot(), 0, vote.acceptedBallot);
+  }
+
+  private LeaseMessage accept(long nowNanos, Vote vote, String candidate, LeaseMessage message) {
+    if (vote.isPromisedAgainst(message.ballot(), candidate)
+        || vote.isHeldByAnother(nowNanos, candidate)) {
+      return answer(LeaseMessage.Kind.REFUSED, message, vote.promisedBallot);
+    }
+    vote.promise(message.ballot(), candidate);
+    vote.acceptedBallot = message.ballot();
+    vote.leaseHolder = candidate;
+    vote.leaseExpiresAtNanos = nowNanos + timings.longestNanos(timings.leaseNanos());
+    return answer(LeaseMessage.Kind.ACCEPTED, message, message.other());
+  }
+
+  private static LeaseMessage answer(LeaseMessage.Kind kind, LeaseMessage message, long other) {
+    return new LeaseMessage(kind, message.task(), message.ballot(), other);
+  }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -1,73 +1,84 @@
 package org.amberpath.leadership;
 
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.TreeSet;
 
 /**
- * Who owns a task by votes of a stated electorate, without a registry and without disks. A
- * candidate asks for promises under a number above all that it knows, and once a majority is free
- * proposes itself; what a majority accepts is its own from when it proposed, for less than the
- * voters keep to it. A renewal is proposed under the same number.
+ * Leadership of a task by a quorum of configured voters, without a registry or disks: the proposer
+ * of PaxosLease. A candidate chooses a ballot above all that it knows and asks for promises
+ * (prepare round); once a quorum has promised, it proposes its lease (accept round). A lease that a
+ * quorum accepts counts from when it was proposed, and ends before the voters' own time for it. A
+ * lease renewal is another accept round under the same ballot.
  *
- * <p>The term is the number. It begins with the candidate's wall clock in milliseconds, so that it
- * rises also over a restart of all voters at once; where a clock was set back, recipients refuse it
- * and say what they have seen, and the next is above that.
+ * <p>The term is the ballot. It begins with the candidate's wall clock in milliseconds, so that it
+ * rises also over a restart of all voters; where a clock was set back, recipients refuse the term
+ * and report what they have seen (fencing), and the next ballot is above that.
  */
 public class QuorumLeadership implements Leadership {
-  /** Where messages go. */
+  /** Sends messages to voters; they may be lost, late or duplicated. */
   public interface Transport {
-    void send(String voter, LeaseMessage vote);
+    /** Sends a message to a voter, which may be this process itself. */
+    void send(String voter, LeaseMessage message);
   }
 
-  private static final int MARGIN = 8, PATIENCE = 4, RENEWALS = 3, MOST_TURNS = 4, TURNS = 4;
+  /** A lease ends this part of it before its time, and elections are spread over as much. */
+  private static final int MARGIN_DIVISOR = 8;
 
-  private final LeaseTimings rules;
-  private final Transport orders;
-  private final String task;
-  private final SplittableRandom chance;
-  private final long margin;
-  private VoterConfiguration electorate;
-  private State state = State.FOLLOWING;
-
-  /** Who has promised, accepted; of the number that is out. */
-  private final Set<String> promised = new TreeSet<>(), accepted = new TreeSet<>();
+  /** A candidate gives an election up after this part of a lease. */
+  private static final int ELECTION_TIMEOUT_DIVISOR = 4;
 
-  private long ballot, term, highest, sentAt, believedUntil, waitUntil, nextTry, wall;
+  /** A leader renews its lease after this part of it. */
+  private static final int RENEWAL_DIVISOR = 3;
 
-  /** The last owner's term by the voters that promised, the last that said it has stopped. */
-  private long before, handed;
+  private static final int MAX_POSITION = 4;
+  private static final int HANDOVER_DELAY_DIVISOR = 4;
 
-  private boolean proposed, renewing, forgot;
+  private final LeaseTimings timings;
+  private final Transport transport;
+  private final String task;
+  private final SplittableRandom random;
+  private final long marginNanos;
+  private final AcceptRound accept = new AcceptRound();
+  private PrepareRound prepare = new PrepareRound();
+  private VoterConfiguration voters;
+  private QuorumPhase phase = QuorumPhase.FOLLOWING;
+  private long ballot;
+  private long term;
+  private long highestBallotSeen;
+  private long highestStoppedTerm;
+  private long roundStartedNanos;
+  private long leaseExpiresAtNanos;
+  private long settledAtNanos;
+
+  /** When the next election or lease renewal is due. */
+  private long nextAttemptNanos;
+
+  private long wallClockMillis;
+  private int position;
 
   /**
-   * Which proposal under this number is out. Guards against late answers to one before, which
-   * promise less time.
+   * A process that follows, and stands for election unless it learns of a leader.
+   *
+   * @param seed of the random delays that keep candidates apart
    */
-  private long round;
-
-  private int place;
-
-  /** One that follows, and tries once it hears of nobody. */
   public QuorumLeadership(
-      LeaseTimings rules,
+      LeaseTimings timings,
       String task,
-      VoterConfiguration electorate,
-      Transport orders,
+      VoterConfiguration voters,
+      Transport transport,
       long seed,
-      long now) {
-    this.rules = rules;
+      long nowNanos) {
+    this.timings = timings;
     this.task = task;
-    this.electorate = electorate;
-    this.orders = orders;
-    chance = new SplittableRandom(seed);
-    margin = rules.leaseNanos() / MARGIN;
-    nextTry = now + chance.nextLong(margin);
+    this.voters = voters;
+    this.transport = transport;
+    random = new SplittableRandom(seed);
+    marginNanos = timings.leaseNanos() / MARGIN_DIVISOR;
+    nextAttemptNanos = nowNanos + random.nextLong(marginNanos);
   }
 
   @Override
   public State state() {
-    return state;
+    return phase.state();
   }
 
   @Override
@@ -76,203 +87,214 @@
   }
 
   @Override
-  public boolean isLeader(long now) {
-    return state == State.HOLDING && now < believedUntil;
+  public boolean isLeader(long nowNanos) {
+    return phase == QuorumPhase.HOLDING && nowNanos < leaseExpiresAtNanos;
   }
 
   @Override
   public long leaseExpiresAtNanos() {
-    return believedUntil;
+    return leaseExpiresAtNanos;
   }
 
-  /** The operators' next stage: majorities are counted by it from now on. */
+  /** Counts quorums by another configuration of voters from now on; open rounds are void. */
   public void updateVoters(VoterConfiguration next) {
-    electorate = next;
-    promised.clear();
-    accepted.clear();
-    proposed = renewing = false;
-    state = state == State.ASKING ? State.FOLLOWING : state;
+    voters = next;
+    prepare.clearPromises();
+    accept.close();
+    if (phase.isCandidate()) {
+      enter(QuorumPhase.FOLLOWING);
+    }
   }
 
-  /** The wall clock, in milliseconds, which numbers begin with. */
-  public void wallClockRead(long ms) {
-    wall = ms;
+  /** Sets the wall clock, in milliseconds, that the next ballot begins with at the least. */
+  public void wallClockRead(long millis) {
+    wallClockMillis = millis;
+  }
+
+  /** Sets this process's place in {@link CandidateOrder}: the first stand for election first. */
+  public void place(int place) {
+    position = Math.min(place, MAX_POSITION);
   }
 
   @Override
   public long nextTickNanos() {
-    return switch (state) {
-      case FOLLOWING -> nextTry;
-      case ASKING -> sentAt + rules.leaseNanos() / PATIENCE;
-      case WAITING -> Math.min(Math.min(waitUntil, believedUntil), nextTry);
-      case HOLDING -> Math.min(believedUntil, nextTry);
-      default -> Long.MAX_VALUE;
+    return switch (phase) {
+      case FOLLOWING -> nextAttemptNanos;
+      case PREPARING, PROPOSING ->
+          roundStartedNanos + timings.leaseNanos() / ELECTION_TIMEOUT_DIVISOR;
+      case WAITING -> Math.min(Math.min(settledAtNanos, leaseExpiresAtNanos), nextAttemptNanos);
+      case HOLDING -> Math.min(leaseExpiresAtNanos, nextAttemptNanos);
+      case RESIGNED -> Long.MAX_VALUE;
     };
   }
 
   @Override
-  public void tick(long now) {
-    boolean owns = state == State.HOLDING || state == State.WAITING;
-    if (owns && now >= believedUntil) {
-      state = State.FOLLOWING;
-      renewing = false;
-      nextTry = now + turn();
-    } else if (state == State.ASKING && now - sentAt >= rules.leaseNanos() / PATIENCE) {
-      // Guards against candidates that bind the voters in turn for ever.
-      state = State.FOLLOWING;
-      nextTry = now + chance.nextLong(rules.leaseNanos() / 2);
+  public void tick(long nowNanos) {
+    if (phase.hasLease() && nowNanos >= leaseExpiresAtNanos) {
+      enter(QuorumPhase.FOLLOWING);
+      nextAttemptNanos = nowNanos + electionDelayNanos();
+    } else if (phase.isCandidate()
+        && nowNanos - roundStartedNanos >= timings.leaseNanos() / ELECTION_TIMEOUT_DIVISOR) {
+      // Guards against candidates that outbid one another for ever.
+      enter(QuorumPhase.FOLLOWING);
+      nextAttemptNanos = nowNanos + random.nextLong(timings.leaseNanos() / 2);
     }
-    if (state == State.FOLLOWING && now >= nextTry) {
-      state = State.ASKING;
-      ballot = Math.max(Math.max(highest, ballot) + 1, wall);
-      highest = ballot;
-      proposed = forgot = false;
-      before = 0;
-      promised.clear();
-      accepted.clear();
-      sentAt = now;
-      tell(LeaseMessage.Kind.PREPARE);
-    } else if (owns && now < believedUntil) {
-      if (state == State.WAITING && now >= waitUntil) {
-        state = State.HOLDING;
+    if (phase == QuorumPhase.FOLLOWING && nowNanos >= nextAttemptNanos) {
+      startPrepareRound(nowNanos);
+    } else if (phase.hasLease()) {
+      if (phase == QuorumPhase.WAITING && nowNanos >= settledAtNanos) {
+        enter(QuorumPhase.HOLDING);
       }
-      if (now >= nextTry) {
-        propose(now);
-        renewing = true;
-        nextTry = now + rules.leaseNanos() / MARGIN;
+      if (nowNanos >= nextAttemptNanos) {
+        startAcceptRound(nowNanos);
+        nextAttemptNanos = nowNanos + timings.leaseNanos() / MARGIN_DIVISOR;
       }
     }
   }
 
-  private void tell(LeaseMessage.Kind kind) {
-    electorate
-        .allVoters()
-        .forEach(voter -> orders.send(voter, new LeaseMessage(kind, task, ballot, round)));
+  /** The one place where the phase changes. */
+  private void enter(QuorumPhase next) {
+    phase = next;
   }
 
-  private void propose(long now) {
-    proposed = true;
-    round++;
-    accepted.clear();
-    sentAt = now;
-    tell(LeaseMessage.Kind.PROPOSE);
+  private void startPrepareRound(long nowNanos) {
+    enter(QuorumPhase.PREPARING);
+    ballot = Math.max(Math.max(highestBallotSeen, ballot) + 1, wallClockMillis);
+    highestBallotSeen = ballot;
+    prepare = new PrepareRound();
+    accept.close();
+    roundStartedNanos = nowNanos;
+    sendToVoters(LeaseMessage.Kind.PREPARE);
   }
 
-  /**
-   * Its place among those that may own this task: the first try first, so that tasks are spread
-   * over all.
-   */
-  public void place(int of) {
-    place = Math.min(of, MOST_TURNS);
+  private void startAcceptRound(long nowNanos) {
+    accept.start();
+    roundStartedNanos = nowNanos;
+    sendToVoters(LeaseMessage.Kind.PROPOSE);
   }
 
-  private long turn() {
-    return place * margin + chance.nextLong(margin);
+  private void sendToVoters(LeaseMessage.Kind kind) {
+    LeaseMessage message = new LeaseMessage(kind, task, ballot, accept.number());
+    voters.allVoters().forEach(voter -> transport.send(voter, message));
   }
 
-  /** A voter's answer. */
-  public void responseReceived(long now, String voter, LeaseMessage vote) {
-    highest = Math.max(highest, vote.kind() == LeaseMessage.Kind.REFUSED ? vote.other() : 0);
-    if (vote.ballot() != ballot
-        || !vote.task().equals(task)
-        || !electorate.allVoters().contains(voter)) {
+  private long electionDelayNanos() {
+    return position * marginNanos + random.nextLong(marginNanos);
+  }
+
+  /** A voter's answer; late, duplicate and foreign ones change nothing. */
+  public void responseReceived(long nowNanos, String voter, LeaseMessage response) {
+    if (response.kind() == LeaseMessage.Kind.REFUSED) {
+      highestBallotSeen = Math.max(highestBallotSeen, response.other());
+    }
+    boolean ofThisBallot = response.ballot() == ballot && response.task().equals(task);
+    if (!ofThisBallot || !voters.allVoters().contains(voter)) {
       return;
     }
-    if (vote.kind() == LeaseMessage.Kind.PROMISE && state == State.ASKING && !proposed) {
-      if (vote.other() > 0) {
-        // It is another's: the next try comes when that may be over.
-        nextTry = Math.max(nextTry, now + vote.other() + turn());
-      } else if (promised.add(voter)) {
-        before = Math.max(before, vote.last());
-        forgot |= vote.last() == 0;
-        if (electorate.isMajority(promised)) {
-          propose(now);
-        }
-      }
-    } else if (vote.kind() == LeaseMessage.Kind.ACCEPTED
-        && vote.other() == round
-        && proposed
-        && accepted.add(voter)
-        && electorate.isMajority(accepted)) {
-      own(now);
+    if (response.kind() == LeaseMessage.Kind.PROMISE && phase == QuorumPhase.PREPARING) {
+      promised(nowNanos, voter, response);
+    } else if (response.kind() == LeaseMessage.Kind.ACCEPTED
+        && accept.addAcceptance(voter, response.other())
+        && voters.isMajority(accept.acceptances())) {
+      accepted(nowNanos);
     }
   }
 
-  private void own(long now) {
-    proposed = false;
-    long until = leaseStartNanos(sentAt, now) + rules.shortestNanos(rules.leaseNanos()) - margin;
-    if (state == State.ASKING && now < until) {
-      term = ballot;
-      state = State.WAITING;
-      waitUntil = now + (hasStopped() ? 0 : rules.longestNanos(rules.settleNanos()));
-      believedUntil = until;
-      nextTry = sentAt + rules.leaseNanos() / RENEWALS;
-    } else if (renewing
-        && (state == State.HOLDING || state == State.WAITING)
-        && now < believedUntil) {
-      renewing = false;
-      believedUntil = until;
-      nextTry = sentAt + rules.leaseNanos() / RENEWALS;
+  private void promised(long nowNanos, String voter, LeaseMessage response) {
+    if (response.other() > 0) {
+      // Another holds the lease: the next election is due when that may have ended.
+      nextAttemptNanos =
+          Math.max(nextAttemptNanos, nowNanos + response.other() + electionDelayNanos());
+    } else if (prepare.addPromise(voter, response.last())
+        && voters.isMajority(prepare.promises())) {
+      enter(QuorumPhase.PROPOSING);
+      startAcceptRound(nowNanos);
     }
-    tick(now);
   }
 
-  /**
-   * From when it proposed, since voters count from later: from any later time two may believe at
-   * once.
-   */
-  protected long leaseStartNanos(long proposedAt, long acceptedAt) {
-    return proposedAt;
+  /** A quorum has accepted the open round: an election is won, or the lease renewed. */
+  private void accepted(long nowNanos) {
+    accept.close();
+    long expiresAtNanos =
+        leaseStartNanos(roundStartedNanos, nowNanos)
+            + timings.shortestNanos(timings.leaseNanos())
+            - marginNanos;
+    if (phase.isCandidate()) {
+      if (nowNanos < expiresAtNanos) {
+        term = ballot;
+        enter(QuorumPhase.WAITING);
+        settledAtNanos =
+            nowNanos
+                + (prepare.isLastLeader(highestStoppedTerm)
+                    ? 0
+                    : timings.longestNanos(timings.settleNanos()));
+        leaseExtended(expiresAtNanos);
+      } else {
+        enter(QuorumPhase.PREPARING); // Too late; another promise may still begin the next round.
+      }
+    } else if (phase.hasLease() && nowNanos < leaseExpiresAtNanos) {
+      leaseExtended(expiresAtNanos);
+    }
+    tick(nowNanos);
   }
 
-  @Override
-  public void higherTermSeen(long now, long seen) {
-    highest = Math.max(highest, seen);
-    if (state != State.RESIGNED && term < seen) {
-      sendRelease(now);
-      state = State.FOLLOWING;
-      nextTry = now + chance.nextLong(margin);
-    }
+  private void leaseExtended(long expiresAtNanos) {
+    leaseExpiresAtNanos = expiresAtNanos;
+    nextAttemptNanos = roundStartedNanos + timings.leaseNanos() / RENEWAL_DIVISOR;
   }
 
   /**
-   * Whether who had it last has said that it has stopped. Guards against word of an older owner
-   * than the last, and against a voter that has forgotten who was the last: then the wait is whole.
+   * When the lease of an accepted round begins: when it was proposed, since voters count from
+   * later. From any later time two processes could hold a lease at once, which a model overrides
+   * this to show.
    */
-  private boolean hasStopped() {
-    return handed > 0 && handed == before && !forgot;
+  protected long leaseStartNanos(long proposedAtNanos, long acceptedAtNanos) {
+    return proposedAtNanos;
+  }
+
+  @Override
+  public void higherTermSeen(long nowNanos, long seenTerm) {
+    highestBallotSeen = Math.max(highestBallotSeen, seenTerm);
+    if (phase != QuorumPhase.RESIGNED && term < seenTerm) {
+      endLease(nowNanos);
+      enter(QuorumPhase.FOLLOWING);
+      nextAttemptNanos = nowNanos + random.nextLong(marginNanos);
+    }
   }
 
   @Override
-  public void predecessorStopped(long now, long ofTerm) {
-    handed = Math.max(handed, ofTerm);
-    if (state == State.WAITING && hasStopped()) {
-      waitUntil = Math.min(waitUntil, now);
-      tick(now);
-    } else if (state == State.FOLLOWING && ofTerm >= highest) {
-      // Nobody has it now: the first in line needs not wait for what it was told before.
-      nextTry = Math.min(nextTry, now + turn() / TURNS);
+  public void predecessorStopped(long nowNanos, long stoppedTerm) {
+    highestStoppedTerm = Math.max(highestStoppedTerm, stoppedTerm);
+    if (phase == QuorumPhase.WAITING && prepare.isLastLeader(highestStoppedTerm)) {
+      settledAtNanos = Math.min(settledAtNanos, nowNanos);
+      tick(nowNanos);
+    } else if (phase == QuorumPhase.FOLLOWING && stoppedTerm >= highestBallotSeen) {
+      // Nobody leads: the first in order need not wait for the lease that it was told of before.
+      nextAttemptNanos =
+          Math.min(nextAttemptNanos, nowNanos + electionDelayNanos() / HANDOVER_DELAY_DIVISOR);
     }
   }
 
   @Override
-  public void release(long now) {
-    sendRelease(now);
-    state = state == State.RESIGNED ? state : State.FOLLOWING;
-    nextTry = now + rules.leaseNanos() + chance.nextLong(margin);
+  public void release(long nowNanos) {
+    endLease(nowNanos);
+    if (phase != QuorumPhase.RESIGNED) {
+      enter(QuorumPhase.FOLLOWING);
+    }
+    nextAttemptNanos = nowNanos + timings.leaseNanos() + random.nextLong(marginNanos);
   }
 
   @Override
-  public void resign(long now) {
-    sendRelease(now);
-    state = State.RESIGNED;
+  public void resign(long nowNanos) {
+    endLease(nowNanos);
+    enter(QuorumPhase.RESIGNED);
   }
 
-  private void sendRelease(long now) {
-    if ((state == State.HOLDING || state == State.WAITING) && now < believedUntil) {
-      tell(LeaseMessage.Kind.RELEASE);
+  private void endLease(long nowNanos) {
+    if (phase.hasLease() && nowNanos < leaseExpiresAtNanos) {
+      sendToVoters(LeaseMessage.Kind.RELEASE);
     }
-    believedUntil = now;
-    proposed = renewing = false;
+    leaseExpiresAtNanos = nowNanos;
+    accept.close();
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -6,40 +6,45 @@
 import java.util.TreeSet;
 
 /**
- * Who votes, by name, as the operators told: never taken from who is there at the moment. While one
- * list follows another, a majority of each is needed, so that no two majorities of adjacent stages
- * are without a voter in common.
+ * The voters by name, as operators configure them: never derived from the members present. While
+ * one list replaces another, a quorum is a majority of each, so that two quorums of adjacent stages
+ * always have a voter in common.
  *
  * @param current the voters
- * @param next those that follow; empty while nothing changes
+ * @param next the voters that replace them; empty while nothing changes
  */
 public record VoterConfiguration(List<String> current, List<String> next) {
-  private static final int MOST = 9;
+  private static final int MAX_VOTERS = 9;
 
-  /** Checks that each list is odd, and bounded. */
+  /**
+   * Checks both lists.
+   *
+   * @throws InvalidLeadershipConfigException.Voters if one is even, too long, or names one twice
+   */
   public VoterConfiguration {
     current = List.copyOf(current);
     next = List.copyOf(next);
-    for (List<String> one : List.of(current, next)) {
-      if (one.size() > MOST
-          || (!one.isEmpty() && one.size() % 2 == 0)
-          || Set.copyOf(one).size() != one.size()) {
-        throw new IllegalArgumentException(
-            "an odd number of voters, " + MOST + " at most, each once: " + one);
+    for (List<String> voters : List.of(current, next)) {
+      if (voters.size() > MAX_VOTERS
+          || (!voters.isEmpty() && voters.size() % 2 == 0)
+          || Set.copyOf(voters).size() != voters.size()) {
+        throw new InvalidLeadershipConfigException.Voters(
+            "an odd number of voters, " + MAX_VOTERS + " at most, each once: " + voters);
       }
     }
     if (current.isEmpty()) {
-      throw new IllegalArgumentException("no voters");
+      throw new InvalidLeadershipConfigException.Voters("no voters");
     }
   }
 
+  /** Voters of these names, with no change under way. */
   public static VoterConfiguration of(String... names) {
     return new VoterConfiguration(List.of(names), List.of());
   }
 
   /**
-   * Whether this is the next stage of another, or the one before it: their majorities have a voter
-   * in common.
+   * Whether this is an adjacent stage of another: every quorum of one has a voter in common with
+   * every quorum of the other.
    */
   public boolean follows(VoterConfiguration other) {
     return (current.equals(other.current) && (next.isEmpty() || other.next.isEmpty()))
@@ -47,19 +52,19 @@
         || (other.next.isEmpty() && next.equals(other.current));
   }
 
-  /** All that are asked. */
+  /** The voters of both lists, sorted by name. */
   public Set<String> allVoters() {
     Set<String> all = new TreeSet<>(current);
     all.addAll(next);
     return all;
   }
 
-  /** Whether these are a majority of each list. */
+  /** Whether these voters are a quorum: a majority of each list. */
   public boolean isMajority(Collection<String> voters) {
     return isMajority(current, voters) && (next.isEmpty() || isMajority(next, voters));
   }
 
-  private static boolean isMajority(List<String> of, Collection<String> voters) {
-    return 2 * of.stream().filter(voters::contains).count() > of.size();
+  private static boolean isMajority(List<String> list, Collection<String> voters) {
+    return 2 * list.stream().filter(voters::contains).count() > list.size();
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -13,123 +13,125 @@
 import org.amberpath.leadership.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** Stories of one candidate among three voters, and of what recipients believe. */
+/** One candidate or leader among three voters, and what fencing lets pass at recipients. */
 class QuorumLeadershipTest {
-  private static final long MS = 1_000_000,
-      SECOND = 1000 * MS,
-      LEASE = 3 * SECOND,
-      SETTLE = SECOND / 2;
-  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
+  private static final long SECOND = 1_000_000_000;
+  private static final long LEASE = 3 * SECOND;
+  private static final long SETTLE = SECOND / 2;
+  private static final LeaseTimings TIMINGS = new LeaseTimings(LEASE, SETTLE, 1000);
   private static final String TASK = "sweep";
 
-  private record Sent(String voter, LeaseMessage vote) {}
+  private record Sent(String voter, LeaseMessage message) {}
 
   private final List<Sent> sent = new ArrayList<>();
   private final Map<String, LeaseAcceptor> voters = new TreeMap<>();
-  private final QuorumLeadership owner = candidate(VoterConfiguration.of("a", "b", "c"));
+  private final QuorumLeadership leader = candidate(VoterConfiguration.of("a", "b", "c"));
   private long now;
 
   QuorumLeadershipTest() {
-    List.of("a", "b", "c", "d", "e").forEach(name -> voters.put(name, new LeaseAcceptor(RULES, 0)));
-    now = RULES.longestNanos(LEASE);
+    List.of("a", "b", "c", "d", "e")
+        .forEach(name -> voters.put(name, new LeaseAcceptor(TIMINGS, 0)));
+    now = TIMINGS.longestNanos(LEASE);
   }
 
-  private QuorumLeadership candidate(VoterConfiguration electorate) {
+  private QuorumLeadership candidate(VoterConfiguration configuration) {
     return new QuorumLeadership(
-        RULES, TASK, electorate, (voter, vote) -> sent.add(new Sent(voter, vote)), 7, 0);
+        TIMINGS, TASK, configuration, (voter, message) -> sent.add(new Sent(voter, message)), 7, 0);
   }
 
-  private LeaseMessage answer(Sent one, String by) {
-    return voters.get(one.voter).messageReceived(now, by, one.vote);
+  private LeaseMessage answer(Sent request, String candidate) {
+    return voters.get(request.voter).messageReceived(now, candidate, request.message);
   }
 
-  /** Has what was sent answered by these voters, and what follows from that. */
-  private void heardBy(QuorumLeadership of, String by, String... names) {
+  /** Delivers all that was sent to these voters, their answers, and what is sent then. */
+  private void deliver(QuorumLeadership candidate, String name, String... answering) {
     while (!sent.isEmpty()) {
-      Sent one = sent.remove(0);
-      LeaseMessage answer = List.of(names).contains(one.voter) ? answer(one, by) : null;
+      Sent request = sent.remove(0);
+      LeaseMessage answer =
+          List.of(answering).contains(request.voter) ? answer(request, name) : null;
       if (answer != null) {
-        of.responseReceived(now, one.voter, answer);
+        candidate.responseReceived(now, request.voter, answer);
       }
     }
   }
 
-  private void own() {
-    owner.tick(now);
-    heardBy(owner, "me", "a", "b");
-    now += RULES.longestNanos(SETTLE) + 1;
-    owner.tick(now);
-    assertEquals(Leadership.State.HOLDING, owner.state());
+  private void electLeader() {
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "b");
+    now += TIMINGS.longestNanos(SETTLE) + 1;
+    leader.tick(now);
+    assertEquals(Leadership.State.HOLDING, leader.state());
   }
 
   @Test
-  void aMajorityMakesAnOwnerWhichWaitsForWhatOlderOnesBegan() {
-    owner.tick(now);
-    heardBy(owner, "me", "a");
-    assertEquals(Leadership.State.ASKING, owner.state(), "one of three");
+  void quorumElectsLeaderThatWaitsForFormerLeadersActions() {
+    leader.tick(now);
+    deliver(leader, "candidate", "a");
+    assertEquals(Leadership.State.ASKING, leader.state(), "one promise of three");
     now += LEASE;
-    owner.tick(now);
+    leader.tick(now);
     now += LEASE;
-    owner.tick(now);
-    heardBy(owner, "me", "a", "b");
-    assertEquals(Leadership.State.WAITING, owner.state());
-    assertFalse(owner.isLeader(now));
-    now += RULES.longestNanos(SETTLE);
-    owner.tick(now);
-    assertTrue(owner.isLeader(now));
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "b");
+    assertEquals(Leadership.State.WAITING, leader.state());
+    assertFalse(leader.isLeader(now));
+    now += TIMINGS.longestNanos(SETTLE);
+    leader.tick(now);
+    assertTrue(leader.isLeader(now));
   }
 
   @Test
-  void aVoterThatStartedAnewVotesForNobodyForTheLongestLease() {
-    LeaseAcceptor fresh = new LeaseAcceptor(RULES, now);
-    LeaseMessage ask = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
-    assertNull(fresh.messageReceived(now + LEASE, "me", ask));
+  void restartedVoterVotesForNobodyForTheLongestLease() {
+    LeaseAcceptor fresh = new LeaseAcceptor(TIMINGS, now);
+    LeaseMessage prepare = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
+    assertNull(fresh.messageReceived(now + LEASE, "candidate", prepare));
     assertEquals(
-        Kind.PROMISE, fresh.messageReceived(now + RULES.longestNanos(LEASE), "me", ask).kind());
+        Kind.PROMISE,
+        fresh.messageReceived(now + TIMINGS.longestNanos(LEASE), "candidate", prepare).kind());
   }
 
   @Test
-  void beliefCountsFromTheProposalAndEndsBeforeTheVoters() {
-    long asked = now;
-    owner.tick(now);
+  void leaseCountsFromProposalAndEndsBeforeTheVotersTime() {
+    long requestedAt = now;
+    leader.tick(now);
     now += SECOND;
-    heardBy(owner, "me", "a", "b");
-    now += RULES.longestNanos(SETTLE);
-    owner.tick(now);
-    assertTrue(owner.leaseExpiresAtNanos() < asked + SECOND + LEASE);
+    deliver(leader, "candidate", "a", "b");
+    now += TIMINGS.longestNanos(SETTLE);
+    leader.tick(now);
+    assertTrue(leader.leaseExpiresAtNanos() < requestedAt + SECOND + LEASE);
     LeaseMessage other =
         voters
             .get("a")
             .messageReceived(
-                owner.leaseExpiresAtNanos(),
+                leader.leaseExpiresAtNanos(),
                 "other",
                 new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
-    assertTrue(other.other() > 0, "it is still kept for the owner");
-    assertFalse(owner.isLeader(owner.leaseExpiresAtNanos()));
+    assertTrue(other.other() > 0, "the voter still keeps the lease");
+    assertFalse(leader.isLeader(leader.leaseExpiresAtNanos()));
   }
 
-  /** Found by the model, seed 243: two held the task. */
+  /** Found by the model, seed 243: two processes led the task. */
   @Test
-  void lateAnswersToAnOlderProposalExtendNothing() {
-    own();
-    long until = owner.leaseExpiresAtNanos();
-    now = owner.nextTickNanos();
-    owner.tick(now);
+  void lateAcceptanceOfEarlierRoundDoesNotExtendTheLease() {
+    electLeader();
+    long until = leader.leaseExpiresAtNanos();
+    now = leader.nextTickNanos();
+    leader.tick(now);
     List<Sent> first = new ArrayList<>(sent);
     sent.clear();
     now += LEASE / 8;
-    owner.tick(now);
-    assertEquals(Kind.PROPOSE, sent.get(0).vote.kind());
-    sent.clear(); // The second is lost; the first is answered late.
-    for (Sent one : first) {
-      owner.responseReceived(now, one.voter, answer(one, "me"));
+    leader.tick(now);
+    assertEquals(Kind.PROPOSE, sent.get(0).message.kind());
+    sent.clear(); // The second round is lost; the first is answered late.
+    for (Sent request : first) {
+      leader.responseReceived(now, request.voter, answer(request, "candidate"));
     }
-    assertEquals(until, owner.leaseExpiresAtNanos());
+    assertEquals(until, leader.leaseExpiresAtNanos());
   }
 
   @Test
-  void aCandidateDisturbsNoOwner() {
-    own();
+  void candidateDoesNotDisturbLeaseRenewal() {
+    electLeader();
     for (String voter : List.of("a", "b")) {
       LeaseMessage answer =
           voters
@@ -145,134 +147,134 @@
                   now, "other", new LeaseMessage(Kind.PROPOSE, TASK, Long.MAX_VALUE, 1))
               .kind());
     }
-    now = owner.nextTickNanos();
-    owner.tick(now);
-    heardBy(owner, "me", "a", "b");
-    assertTrue(owner.isLeader(now + LEASE / 2), "renewed under the same number");
+    now = leader.nextTickNanos();
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "b");
+    assertTrue(leader.isLeader(now + LEASE / 2), "renewed under the same ballot");
   }
 
   @Test
-  void whileOneListFollowsAnotherBothMajoritiesAreNeeded() {
-    owner.updateVoters(new VoterConfiguration(List.of("a", "b", "c"), List.of("c", "d", "e")));
-    owner.tick(now);
-    heardBy(owner, "me", "a", "b", "c");
-    assertEquals(Leadership.State.ASKING, owner.state());
+  void majoritiesOfBothListsAreNeededWhileVotersChange() {
+    leader.updateVoters(new VoterConfiguration(List.of("a", "b", "c"), List.of("c", "d", "e")));
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "b", "c");
+    assertEquals(Leadership.State.ASKING, leader.state());
     now += 2 * LEASE;
-    owner.tick(now);
+    leader.tick(now);
     now += LEASE;
-    owner.tick(now);
-    heardBy(owner, "me", "a", "c", "d");
-    assertEquals(Leadership.State.WAITING, owner.state());
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "c", "d");
+    assertEquals(Leadership.State.WAITING, leader.state());
     assertThrows(IllegalArgumentException.class, () -> VoterConfiguration.of("a", "b"));
     assertThrows(IllegalArgumentException.class, () -> VoterConfiguration.of("a", "b", "a"));
   }
 
   @Test
-  void whoLetsGoIsFollowedAtOnce() {
-    own();
-    owner.resign(now);
-    assertFalse(owner.isLeader(now));
-    sent.forEach(one -> answer(one, "me"));
+  void resignedLeaderIsSucceededAtOnce() {
+    electLeader();
+    leader.resign(now);
+    assertFalse(leader.isLeader(now));
+    sent.forEach(request -> answer(request, "candidate"));
     LeaseMessage answer =
         voters
             .get("a")
             .messageReceived(
-                now, "other", new LeaseMessage(Kind.PREPARE, TASK, owner.term() + 1, 0));
+                now, "other", new LeaseMessage(Kind.PREPARE, TASK, leader.term() + 1, 0));
     assertEquals(0, answer.other());
   }
 
   @Test
-  void aHigherTermThatWasSeenEndsItsOwnAndTheNextIsAboveIt() {
-    own();
-    owner.higherTermSeen(now, owner.term() + 1000);
-    assertFalse(owner.isLeader(now));
+  void higherTermEndsLeadershipAndNextBallotIsAboveIt() {
+    electLeader();
+    leader.higherTermSeen(now, leader.term() + 1000);
+    assertFalse(leader.isLeader(now));
     sent.clear();
-    long seen = owner.term() + 1000;
+    long seen = leader.term() + 1000;
     now += LEASE;
-    owner.tick(now);
-    assertTrue(sent.get(0).vote.ballot() > seen);
+    leader.tick(now);
+    assertTrue(sent.get(0).message.ballot() > seen);
   }
 
   @Test
-  void termsRiseOverARestartOfAllByTheWallClockAndWhereThatWentBackByWhatRecipientsHaveSeen() {
+  void termsRiseOverRestartOfAllByWallClockOrByWhatRecipientsHaveSeen() {
     FencingGuard fence = new FencingGuard();
     assertTrue(fence.tryAdmit(TASK, 1_700_000_000_500L, "old"));
-    QuorumLeadership anew = candidate(VoterConfiguration.of("a", "b", "c"));
-    anew.wallClockRead(1_700_000_000_100L);
-    anew.tick(now);
-    assertEquals(1_700_000_000_100L, sent.get(0).vote.ballot());
-    assertFalse(fence.tryAdmit(TASK, sent.get(0).vote.ballot(), "new"));
-    anew.higherTermSeen(now, fence.highestTerm(TASK));
+    QuorumLeadership restarted = candidate(VoterConfiguration.of("a", "b", "c"));
+    restarted.wallClockRead(1_700_000_000_100L);
+    restarted.tick(now);
+    assertEquals(1_700_000_000_100L, sent.get(0).message.ballot());
+    assertFalse(fence.tryAdmit(TASK, sent.get(0).message.ballot(), "new"));
+    restarted.higherTermSeen(now, fence.highestTerm(TASK));
     sent.clear();
     now += LEASE;
-    anew.tick(now);
-    assertTrue(fence.tryAdmit(TASK, sent.get(0).vote.ballot(), "new"));
+    restarted.tick(now);
+    assertTrue(fence.tryAdmit(TASK, sent.get(0).message.ballot(), "new"));
   }
 
   @Test
-  void oneTermIsOneOwners() {
+  void fencingAdmitsOneLeaderPerTerm() {
     FencingGuard fence = new FencingGuard();
-    assertTrue(fence.tryAdmit(TASK, 5, "me"));
-    assertTrue(fence.tryAdmit(TASK, 5, "me"));
+    assertTrue(fence.tryAdmit(TASK, 5, "candidate"));
+    assertTrue(fence.tryAdmit(TASK, 5, "candidate"));
     assertFalse(fence.tryAdmit(TASK, 5, "other"));
-    assertFalse(fence.tryAdmit(TASK, 4, "me"));
-    assertTrue(fence.tryAdmit("probe", 4, "me"));
+    assertFalse(fence.tryAdmit(TASK, 4, "candidate"));
+    assertTrue(fence.tryAdmit("probe", 4, "candidate"));
     assertEquals(5, fence.highestTerm(TASK));
   }
 
-  private long wall = 1;
+  private long wallMillis = 1;
 
-  /** Another owner is elected by these voters, and lets the task go. */
-  private long ownedAndLetGo(String... by) {
+  /** Another leader is elected by these voters, and lets the task go. */
+  private long electAndResign(String... answering) {
     QuorumLeadership other = candidate(VoterConfiguration.of("a", "b", "c"));
-    other.wallClockRead(wall += 10);
+    other.wallClockRead(wallMillis += 10);
     other.tick(now);
-    heardBy(other, "other", by);
+    deliver(other, "other", answering);
     assertEquals(Leadership.State.WAITING, other.state());
-    owner.wallClockRead(wall += 10);
+    leader.wallClockRead(wallMillis += 10);
     other.resign(now);
-    heardBy(other, "other", "a", "b", "c");
+    deliver(other, "other", "a", "b", "c");
     return other.term();
   }
 
   @Test
-  void whoTakesOverFromOneThatSaysItHasStoppedNeedsNotWait() {
-    long stopped = ownedAndLetGo("a", "b");
-    owner.predecessorStopped(now, stopped);
+  void successorOfStoppedLeaderNeedNotWait() {
+    long stopped = electAndResign("a", "b");
+    leader.predecessorStopped(now, stopped);
     now += LEASE;
-    owner.tick(now);
-    heardBy(owner, "me", "b", "c");
-    assertEquals(Leadership.State.WAITING, owner.state(), "c has never heard of the one before");
-    owner.resign(now);
-    heardBy(owner, "me", "a", "b", "c");
+    leader.tick(now);
+    deliver(leader, "candidate", "b", "c");
+    assertEquals(Leadership.State.WAITING, leader.state(), "c has not accepted the predecessor");
+    leader.resign(now);
+    deliver(leader, "candidate", "a", "b", "c");
     sent.clear();
 
-    long next = ownedAndLetGo("a", "b", "c");
-    QuorumLeadership heir = candidate(VoterConfiguration.of("a", "b", "c"));
-    heir.wallClockRead(wall);
-    heir.predecessorStopped(now, next);
-    heir.tick(now);
-    heardBy(heir, "heir", "a", "b");
-    assertEquals(Leadership.State.HOLDING, heir.state());
+    long next = electAndResign("a", "b", "c");
+    QuorumLeadership successor = candidate(VoterConfiguration.of("a", "b", "c"));
+    successor.wallClockRead(wallMillis);
+    successor.predecessorStopped(now, next);
+    successor.tick(now);
+    deliver(successor, "successor", "a", "b");
+    assertEquals(Leadership.State.HOLDING, successor.state());
   }
 
   @Test
-  void wordOfAnOlderOwnerThanTheLastSavesNoWait() {
-    long first = ownedAndLetGo("a", "b", "c");
-    owner.predecessorStopped(now, first);
-    ownedAndLetGo("a", "b", "c");
+  void stopOfEarlierLeaderThanTheLastDoesNotShortenTheWait() {
+    long first = electAndResign("a", "b", "c");
+    leader.predecessorStopped(now, first);
+    electAndResign("a", "b", "c");
     now += LEASE;
-    owner.tick(now);
-    heardBy(owner, "me", "a", "b", "c");
-    assertEquals(Leadership.State.WAITING, owner.state());
-    owner.predecessorStopped(now, first);
-    assertEquals(Leadership.State.WAITING, owner.state());
+    leader.tick(now);
+    deliver(leader, "candidate", "a", "b", "c");
+    assertEquals(Leadership.State.WAITING, leader.state());
+    leader.predecessorStopped(now, first);
+    assertEquals(Leadership.State.WAITING, leader.state());
   }
 
   @Test
-  void aListOfVotersFollowsAnotherOnlyByWayOfBoth() {
-    VoterConfiguration first = VoterConfiguration.of("a", "b", "c"),
-        last = VoterConfiguration.of("c", "d", "e");
+  void voterListIsReplacedOnlyByWayOfBothLists() {
+    VoterConfiguration first = VoterConfiguration.of("a", "b", "c");
+    VoterConfiguration last = VoterConfiguration.of("c", "d", "e");
     VoterConfiguration both = new VoterConfiguration(first.current(), last.current());
     assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
     assertFalse(last.follows(first));
--- a/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
@@ -95,7 +95,7 @@
     return now % (BUSY + CALM) < BUSY;
   }
 
-  private boolean chance(double probability) {
+  private boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
@@ -106,14 +106,16 @@
   /** Has something arrive at a process: lost, late or twice, and not before it goes on. */
   private void deliver(Candidate from, Candidate to, Runnable arrival) {
     if (cut[from.index][to.index]
-        || (busy() && chance(setting == Setting.FIVE_VOTERS ? 0.15 : 0.05))) {
+        || (busy() && withProbability(setting == Setting.FIVE_VOTERS ? 0.15 : 0.05))) {
       actions.count("lost");
       return;
     }
     long delay =
-        busy() && chance(0.06) ? random.nextLong(5 * SECOND) : random.nextLong(MS, 20 * MS);
+        busy() && withProbability(0.06)
+            ? random.nextLong(5 * SECOND)
+            : random.nextLong(MS, 20 * MS);
     to.at(now + delay, arrival);
-    if (chance(0.04)) {
+    if (withProbability(0.04)) {
       actions.count("doubled");
       to.at(now + delay + random.nextLong(2 * SECOND), arrival);
     }
@@ -183,7 +185,7 @@
     }
 
     private LeaseAcceptor newAcceptor() {
-      return chance(0.1)
+      return withProbability(0.1)
           ? new LeaseAcceptor(timings, clock(), SECOND)
           : new LeaseAcceptor(timings, clock());
     }
@@ -192,7 +194,7 @@
       if (up) {
         up = false;
         actions.record("killed", name);
-        wallOffsetMillis -= chance(0.3) ? random.nextLong(3000) : 0;
+        wallOffsetMillis -= withProbability(0.3) ? random.nextLong(3000) : 0;
         int killedIn = life;
         SeededVotersWorld.this.at(
             now + random.nextLong(50 * MS, 5 * SECOND),
@@ -209,13 +211,13 @@
         QuorumLeadership leadership = leaderships.get(task);
         leadership.wallClockRead(WALL_MILLIS + now / MS + wallOffsetMillis);
         leadership.place((index + task.length()) % processes.size());
-        if (clock() >= leadership.nextTickNanos() || chance(0.05)) {
+        if (clock() >= leadership.nextTickNanos() || withProbability(0.05)) {
           Leadership.State before = leadership.state();
           leadership.tick(clock());
           transition(task, before);
         }
         record(task);
-        if (leadership.isLeader(clock()) && chance(0.1)) {
+        if (leadership.isLeader(clock()) && withProbability(0.1)) {
           act(task, leadership.term());
         }
       }
@@ -243,7 +245,7 @@
     }
 
     private void request(String voter, LeaseMessage message) {
-      actions.record("request", name, voter, words(message));
+      actions.record("request", name, voter, describe(message));
       actions.count("request " + message.kind().ordinal());
       Candidate to = processes.get(Integer.parseInt(voter.substring(1)));
       deliver(this, to, () -> to.vote(this, message));
@@ -252,14 +254,14 @@
     private void vote(Candidate from, LeaseMessage message) {
       LeaseMessage answer =
           acceptor == null ? null : acceptor.messageReceived(clock(), from.name, message);
-      actions.record("answer", name, from.name, answer == null ? "none" : words(answer));
+      actions.record("answer", name, from.name, answer == null ? "none" : describe(answer));
       if (answer == null) {
         actions.count("no answer to " + message.kind().ordinal());
         return;
       }
       actions.count("answer " + answer.kind().ordinal() + (answer.other() > 0 ? " other" : ""));
       deliver(this, from, () -> from.answered(name, answer));
-      if (chance(0.002)) {
+      if (withProbability(0.002)) {
         // An answer from one that does not vote.
         Candidate stranger = processes.get(processes.size() - 1);
         deliver(this, from, () -> from.answered(stranger.name, answer));
@@ -283,14 +285,14 @@
     private void transition(String task, Leadership.State before) {
       Leadership.State after = leaderships.get(task).state();
       if (after != before) {
-        actions.record(word(before) + ">" + word(after), name, task);
+        actions.record(stateWord(before) + ">" + stateWord(after), name, task);
       }
     }
 
     private void record(String task) {
       QuorumLeadership leadership = leaderships.get(task);
       actions.record(
-          "state " + word(leadership.state()),
+          "state " + stateWord(leadership.state()),
           name,
           task,
           leadership.term(),
@@ -332,8 +334,8 @@
     }
   }
 
-  /** The recorder's own words, which stay when a constant is renamed. */
-  private static String word(Leadership.State state) {
+  /** The recorder's own text, which stay when a constant is renamed. */
+  private static String stateWord(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
       case ASKING -> "asking";
@@ -343,7 +345,7 @@
     };
   }
 
-  private static String words(LeaseMessage message) {
+  private static String describe(LeaseMessage message) {
     return message.kind().ordinal()
         + " "
         + message.task()
@@ -371,10 +373,10 @@
     String task = TASKS.get(random.nextInt(TASKS.size()));
     if (busy()) {
       happens(process, task);
-    } else if (chance(0.2) && process.up && now >= process.frozenUntil) {
+    } else if (withProbability(0.2) && process.up && now >= process.frozenUntil) {
       actions.record("releases", process.name, task);
       process.change(task, leadership -> leadership.release(process.clock()));
-    } else if (chance(0.3) && process.up && now >= process.frozenUntil) {
+    } else if (withProbability(0.3) && process.up && now >= process.frozenUntil) {
       process.resign(task);
       at(now + random.nextLong(2 * SECOND), process::kill);
     }
@@ -427,8 +429,8 @@
   }
 
   private void wallClockSteps(Candidate process) {
-    process.wallOffsetMillis = chance(0.1) ? 3_600_000 : random.nextLong(-3000, 3000);
-    if (chance(0.2)) {
+    process.wallOffsetMillis = withProbability(0.1) ? 3_600_000 : random.nextLong(-3000, 3000);
+    if (withProbability(0.2)) {
       actions.count("all restart");
       processes.forEach(Candidate::kill);
     }
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
@@ -10,29 +10,34 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A candidate's wall clock steps while it leads: its lease and its renewals are another clock's,
- * terms only rise.
+ * A leader's wall clock steps: its lease and lease renewals are by the monotonic clock, and terms
+ * only rise.
  */
 class VoteClockTest {
-  private static final long SECOND = 1_000_000_000,
-      LEASE = 3 * SECOND,
-      WALL_MS = 1_700_000_000_000L;
-  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SECOND / 2, 1000);
+  private static final long SECOND = 1_000_000_000;
+  private static final long LEASE = 3 * SECOND;
+  private static final long WALL_MILLIS = 1_700_000_000_000L;
+  private static final LeaseTimings TIMINGS = new LeaseTimings(LEASE, SECOND / 2, 1000);
 
-  private final LeaseAcceptor voter = new LeaseAcceptor(RULES, 0);
+  private final LeaseAcceptor acceptor = new LeaseAcceptor(TIMINGS, 0);
   private final Deque<LeaseMessage> sent = new ArrayDeque<>();
-  private final QuorumLeadership owner =
+  private final QuorumLeadership leader =
       new QuorumLeadership(
-          RULES, "sweep", VoterConfiguration.of("a"), (to, vote) -> sent.add(vote), 7, 0);
-  private long now = RULES.longestNanos(LEASE);
+          TIMINGS,
+          "sweep",
+          VoterConfiguration.of("a"),
+          (voter, message) -> sent.add(message),
+          7,
+          0);
+  private long now = TIMINGS.longestNanos(LEASE);
 
-  private void passes(long time) {
-    for (long until = now + time; now < until; now += SECOND / 20) {
-      owner.tick(now);
+  private void advance(long duration) {
+    for (long end = now + duration; now < end; now += SECOND / 20) {
+      leader.tick(now);
       while (!sent.isEmpty()) {
-        LeaseMessage answer = voter.messageReceived(now, "me", sent.remove());
+        LeaseMessage answer = acceptor.messageReceived(now, "candidate", sent.remove());
         if (answer != null) {
-          owner.responseReceived(now, "a", answer);
+          leader.responseReceived(now, "a", answer);
         }
       }
     }
@@ -40,23 +45,22 @@
 
   @ParameterizedTest
   @ValueSource(longs = {5000, -5000, 3_600_000, -3_600_000})
-  void aStepWhileItLeadsMovesNeitherItsLeaseNorItsTermAndTheNextTermIsAbove(long step) {
-    owner.wallClockRead(WALL_MS);
-    passes(2 * SECOND);
-    assertTrue(owner.isLeader(now));
-    long until = owner.leaseExpiresAtNanos();
-    owner.wallClockRead(WALL_MS + step);
-    assertEquals(until, owner.leaseExpiresAtNanos());
-    passes(10 * SECOND);
-    assertTrue(owner.isLeader(now), "renewed all along");
-    assertEquals(WALL_MS, owner.term());
+  void wallClockStepChangesNeitherLeaseNorTermAndNextTermIsHigher(long stepMillis) {
+    leader.wallClockRead(WALL_MILLIS);
+    advance(2 * SECOND);
+    assertTrue(leader.isLeader(now));
+    long expiresAt = leader.leaseExpiresAtNanos();
+    leader.wallClockRead(WALL_MILLIS + stepMillis);
+    assertEquals(expiresAt, leader.leaseExpiresAtNanos());
+    advance(10 * SECOND);
+    assertTrue(leader.isLeader(now), "its lease was renewed all along");
+    assertEquals(WALL_MILLIS, leader.term());
     assertFalse(
-        owner.isLeader(owner.leaseExpiresAtNanos()),
-        "its belief ends by the clock that only goes forward");
+        leader.isLeader(leader.leaseExpiresAtNanos()), "its lease ends by the monotonic clock");
 
-    owner.release(now);
-    passes(2 * LEASE + SECOND);
-    assertTrue(owner.isLeader(now));
-    assertTrue(owner.term() > WALL_MS);
+    leader.release(now);
+    advance(2 * LEASE + SECOND);
+    assertTrue(leader.isLeader(now));
+    assertTrue(leader.term() > WALL_MILLIS);
   }
 }
