--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -3,50 +3,80 @@
 import java.util.SplittableRandom;
 
 /**
- * Who owns a task by a lease in the registry: it is held, by its own clock, for less time than the
- * registry gives it. Every term has a number, one more than the last in the registry's key, taken
- * by compare-and-set, or more where a recipient has seen a higher one: a registry that was restored
- * from a backup begins below.
+ * Leadership of a task by a lease in the registry. Each term is one above the last in the task's
+ * key, which is taken by compare-and-set, or more where a recipient has seen a higher one
+ * (fencing): a registry that was restored from a backup has lower terms.
  *
- * <p>An owner believes in its lease from when it asked for it, so its belief ends before the
- * registry lets the next one win. One that stood still believes nothing when it wakes, since belief
- * is looked at when it acts; and what it sent before is passed over for its term or its time.
+ * <p>A lease counts from when it was requested, and each lease renewal likewise, so by the leader's
+ * clock it ends before the registry lets another process win the key.
  */
 public final class RegistryLeadership implements Leadership {
-  /** What a live half carries out at the registry. */
+  /** What the runtime does at the registry on behalf of this class. */
   public interface Commands {
     /**
-     * Takes a lease, and with it the key, if that was last written at changed: 0 where there is
-     * none.
+     * Takes a lease, and with it the task's key. Ends in {@link #campaignWon} or {@link
+     * #leaseLost}.
+     *
+     * @param term to be written to the key
+     * @param revision at which the key must still be; 0 for a key that does not exist
      */
-    void campaign(long term, long changed);
+    void campaign(long term, long revision);
 
-    /** Says that it lives; the time goes back with the answer. */
-    void keepAlive(long askedAt);
+    /**
+     * Renews the lease. Ends in {@link #leaseRenewed}, {@link #leaseLost} or {@link
+     * #renewalUnanswered}.
+     *
+     * @param requestedAtNanos comes back with the result
+     */
+    void keepAlive(long requestedAtNanos);
 
-    /** Lets the key go, nothing more being done. */
+    /** Gives the lease up, and the key with it. */
     void resign();
   }
 
-  private final LeaseTimings rules;
-  private final Commands orders;
-  private final SplittableRandom chance;
-  private final long leaseTime, margin;
+  /** A lease ends this part of it before its time, and elections are spread over as much. */
+  private static final int MARGIN_DIVISOR = 8;
+
+  /** A lost election is repeated after this part of a lease. */
+  private static final int CAMPAIGN_RETRY_DIVISOR = 2;
+
+  /** A lease is renewed after this part of it. */
+  private static final int RENEWAL_DIVISOR = 3;
+
+  /** An unanswered renewal is repeated after this part of a lease. */
+  private static final int RENEWAL_RETRY_DIVISOR = 16;
+
+  private final LeaseTimings timings;
+  private final Commands commands;
+  private final SplittableRandom random;
+  private final long leaseNanos;
+  private final long marginNanos;
+  private final ObservedKey key = new ObservedKey();
   private State state = State.FOLLOWING;
-  private long term, seenTerm, seenChanged, askedAt, believedUntil, waitUntil, nextTry, nextKeep;
-  private long outranked, before, askedTerm, handed;
-  private boolean vacant, keeping;
+  private long term;
+  private long campaignTerm;
+  private long highestStoppedTerm;
+
+  /** When the campaign or renewal that is in flight, or was last, was requested. */
+  private long requestedAtNanos;
+
+  private boolean renewalInFlight;
+  private long leaseExpiresAtNanos;
+  private long settledAtNanos;
+  private long nextCampaignNanos;
+  private long nextRenewalNanos;
 
   /**
-   * One that follows. The lease's time is for how long the registry keeps the key without a sign of
-   * life.
+   * A process that follows.
+   *
+   * @param seed of the random delays that keep candidates apart
    */
-  public RegistryLeadership(LeaseTimings rules, Commands orders, long seed) {
-    this.rules = rules;
-    this.orders = orders;
-    leaseTime = rules.leaseNanos();
-    margin = leaseTime / 8;
-    chance = new SplittableRandom(seed);
+  public RegistryLeadership(LeaseTimings timings, Commands commands, long seed) {
+    this.timings = timings;
+    this.commands = commands;
+    leaseNanos = timings.leaseNanos();
+    marginNanos = leaseNanos / MARGIN_DIVISOR;
+    random = new SplittableRandom(seed);
   }
 
   @Override
@@ -60,188 +90,191 @@
   }
 
   /**
-   * What the registry's key says: the last term taken, whether somebody holds it, and the revision
-   * it was written at.
+   * The task's key was read.
+   *
+   * @param observedTerm the last term taken
+   * @param held whether a process holds the key
+   * @param revision at which it was last written
    */
-  public void keyObserved(long now, long ofTerm, boolean held, long changed) {
-    if (ofTerm < seenTerm) {
+  public void keyObserved(long nowNanos, long observedTerm, boolean held, long revision) {
+    boolean wasVacant = key.isVacant();
+    if (!key.update(observedTerm, held, revision)) {
       return;
     }
-    before = ofTerm > seenTerm ? seenTerm : before;
-    seenTerm = ofTerm;
-    seenChanged = changed;
-    // Guards against a try that is given up when the key's news comes before the answer: it may be
-    // this one's own.
-    boolean maybeOwn = state == State.ASKING && ofTerm == askedTerm;
-    if (held && ofTerm > term && state != State.RESIGNED && !maybeOwn) {
-      state = State.FOLLOWING;
+    // The watch may report this process's own campaign before its answer arrives.
+    boolean maybeOwn = state == State.ASKING && observedTerm == campaignTerm;
+    if (held && observedTerm > term && state != State.RESIGNED && !maybeOwn) {
+      enter(State.FOLLOWING);
     }
-    if (!held && !vacant) {
-      // Guards against candidates that all try in the same moment.
-      nextTry = Math.max(nextTry, now + chance.nextLong(margin));
+    if (!held && !wasVacant) {
+      // Guards against candidates that all campaign in the same moment.
+      nextCampaignNanos = Math.max(nextCampaignNanos, nowNanos + random.nextLong(marginNanos));
     }
-    vacant = !held;
-    tick(now);
+    tick(nowNanos);
   }
 
-  /**
-   * The registry is another one, or an older state of it: what it says counts anew, and terms go on
-   * above.
-   */
+  /** The registry went back to an older state: its key counts anew, and terms go on above. */
   public void registryRestored() {
-    outranked = Math.max(outranked, seenTerm);
-    seenTerm = 0;
-    handed =
-        0; // Terms come again: word that one had stopped is of another owner (model, seed 2414).
+    key.restored();
+    // Terms are taken again: one that was reported as stopped may be another's (model, seed 2414).
+    highestStoppedTerm = 0;
   }
 
   @Override
-  public void tick(long now) {
-    if ((state == State.HOLDING || state == State.WAITING) && now >= believedUntil) {
-      state = State.FOLLOWING;
-      keeping = false;
+  public void tick(long nowNanos) {
+    if (hasLease() && nowNanos >= leaseExpiresAtNanos) {
+      enter(State.FOLLOWING);
+      renewalInFlight = false;
     }
-    if (state == State.ASKING && now - askedAt >= leaseTime) {
-      state = State.FOLLOWING;
+    if (state == State.ASKING && nowNanos - requestedAtNanos >= leaseNanos) {
+      enter(State.FOLLOWING);
     }
-    if (state == State.FOLLOWING && vacant && now >= nextTry) {
-      state = State.ASKING;
-      askedAt = now;
-      nextTry = now + leaseTime / 2 + chance.nextLong(margin);
-      askedTerm = Math.max(seenTerm, outranked) + 1;
-      orders.campaign(askedTerm, seenChanged);
-    } else if (state == State.HOLDING || state == State.WAITING) {
-      if (state == State.WAITING && now >= waitUntil) {
-        state = State.HOLDING;
+    if (state == State.FOLLOWING && key.isVacant() && nowNanos >= nextCampaignNanos) {
+      enter(State.ASKING);
+      requestedAtNanos = nowNanos;
+      nextCampaignNanos =
+          nowNanos + leaseNanos / CAMPAIGN_RETRY_DIVISOR + random.nextLong(marginNanos);
+      campaignTerm = key.nextTerm();
+      commands.campaign(campaignTerm, key.revision());
+    } else if (hasLease()) {
+      if (state == State.WAITING && nowNanos >= settledAtNanos) {
+        enter(State.HOLDING);
       }
-      if (!keeping && now >= nextKeep) {
-        keeping = true;
-        askedAt = now;
-        orders.keepAlive(askedAt);
+      if (!renewalInFlight && nowNanos >= nextRenewalNanos) {
+        renewalInFlight = true;
+        requestedAtNanos = nowNanos;
+        commands.keepAlive(requestedAtNanos);
       }
     }
   }
 
-  /**
-   * A try went well: the key is this one's, under this term. What older owners began runs out
-   * before it acts.
-   */
-  public void campaignWon(long now, long asTerm) {
+  /** The one place where the state changes. */
+  private void enter(State next) {
+    state = next;
+  }
+
+  private boolean hasLease() {
+    return state == State.WAITING || state == State.HOLDING;
+  }
+
+  /** A campaign was won: the key is this process's under this term. */
+  public void campaignWon(long nowNanos, long wonTerm) {
     if (state != State.ASKING) {
       return;
     }
-    before = asTerm == seenTerm ? before : seenTerm;
-    term = seenTerm = asTerm;
-    vacant = false;
-    state = State.WAITING;
-    believedUntil = 0;
-    believe(askedAt);
-    waitUntil =
-        now + (handed > 0 && handed == before ? 0 : rules.longestNanos(rules.settleNanos()));
-    nextKeep = askedAt + leaseTime / 3;
-    tick(now);
+    key.taken(wonTerm);
+    term = wonTerm;
+    enter(State.WAITING);
+    leaseExpiresAtNanos = 0;
+    extendLease(requestedAtNanos);
+    boolean predecessorHasStopped =
+        highestStoppedTerm > 0 && highestStoppedTerm == key.previousTerm();
+    settledAtNanos =
+        nowNanos + (predecessorHasStopped ? 0 : timings.longestNanos(timings.settleNanos()));
+    nextRenewalNanos = requestedAtNanos + leaseNanos / RENEWAL_DIVISOR;
+    tick(nowNanos);
   }
 
-  /**
-   * The owner before this one has stopped, and told all that it did: there is nothing to wait for.
-   */
   @Override
-  public void predecessorStopped(long now, long ofTerm) {
-    handed = Math.max(handed, ofTerm);
-    if (state == State.WAITING && ofTerm == before) {
-      waitUntil = Math.min(waitUntil, now);
-      tick(now);
+  public void predecessorStopped(long nowNanos, long stoppedTerm) {
+    highestStoppedTerm = Math.max(highestStoppedTerm, stoppedTerm);
+    if (state == State.WAITING && stoppedTerm == key.previousTerm()) {
+      settledAtNanos = Math.min(settledAtNanos, nowNanos);
+      tick(nowNanos);
     }
   }
 
-  /** A try came too late, or a sign of life was refused: another may lead. */
-  public void leaseLost(long now) {
+  /** A campaign was lost, or a renewal refused: another process may lead. */
+  public void leaseLost(long nowNanos) {
     if (state != State.RESIGNED) {
-      state = State.FOLLOWING;
+      enter(State.FOLLOWING);
     }
-    keeping = false;
-    tick(now);
+    renewalInFlight = false;
+    tick(nowNanos);
   }
 
   /**
-   * A sign of life was taken, that was given at a time: guards against late word of an older one.
+   * The registry has renewed the lease.
+   *
+   * @param requestedNanos when that was requested; an answer to an older request than the last
+   *     leaves the last in flight
    */
-  public void leaseRenewed(long now, long asked) {
-    if (state == State.HOLDING || state == State.WAITING) {
-      keeping &= asked != askedAt;
-      believe(asked);
-      nextKeep = Math.max(nextKeep, asked + leaseTime / 3);
+  public void leaseRenewed(long nowNanos, long requestedNanos) {
+    if (hasLease()) {
+      renewalInFlight &= requestedNanos != requestedAtNanos;
+      extendLease(requestedNanos);
+      nextRenewalNanos = Math.max(nextRenewalNanos, requestedNanos + leaseNanos / RENEWAL_DIVISOR);
     }
-    tick(now);
+    tick(nowNanos);
   }
 
-  /** A sign of life was not heard of: the next try is made while there is time. */
-  public void renewalUnanswered(long now) {
-    keeping = false;
-    nextKeep = now + leaseTime / 16;
-    tick(now);
+  /** A renewal got no answer: it is repeated while there is time. */
+  public void renewalUnanswered(long nowNanos) {
+    renewalInFlight = false;
+    nextRenewalNanos = nowNanos + leaseNanos / RENEWAL_RETRY_DIVISOR;
+    tick(nowNanos);
   }
 
-  /** From when it asked, by the slowest that its clock may go against the registry's. */
-  private void believe(long asked) {
-    believedUntil = Math.max(believedUntil, asked + rules.shortestNanos(leaseTime) - margin);
+  /** Counts a lease from its request, with the slowest registry clock that the drift allows. */
+  private void extendLease(long requestedNanos) {
+    leaseExpiresAtNanos =
+        Math.max(
+            leaseExpiresAtNanos, requestedNanos + timings.shortestNanos(leaseNanos) - marginNanos);
   }
 
   @Override
-  public boolean isLeader(long now) {
-    return state == State.HOLDING && now < believedUntil;
+  public boolean isLeader(long nowNanos) {
+    return state == State.HOLDING && nowNanos < leaseExpiresAtNanos;
   }
 
   @Override
   public long leaseExpiresAtNanos() {
-    return believedUntil;
+    return leaseExpiresAtNanos;
   }
 
-  /**
-   * Guards against a registry from a backup, whose terms begin below those that were acted under.
-   */
   @Override
-  public void higherTermSeen(long now, long seen) {
-    outranked = Math.max(outranked, seen);
-    if (state != State.RESIGNED && term < seen) {
-      boolean held = state == State.HOLDING || state == State.WAITING;
-      state = State.FOLLOWING;
-      keeping = false;
-      if (held) {
-        orders.resign();
-      }
+  public void higherTermSeen(long nowNanos, long seenTerm) {
+    key.termUsed(seenTerm);
+    if (state != State.RESIGNED && term < seenTerm) {
+      standDown();
     }
   }
 
   @Override
-  public void release(long now) {
-    boolean held = state == State.HOLDING || state == State.WAITING;
-    state = state == State.RESIGNED ? state : State.FOLLOWING;
-    keeping = false;
-    nextTry = now + leaseTime;
-    if (held) {
-      orders.resign();
+  public void release(long nowNanos) {
+    nextCampaignNanos = nowNanos + leaseNanos;
+    standDown();
+  }
+
+  private void standDown() {
+    boolean hadLease = hasLease();
+    if (state != State.RESIGNED) {
+      enter(State.FOLLOWING);
+    }
+    renewalInFlight = false;
+    if (hadLease) {
+      commands.resign();
     }
   }
 
   @Override
-  public void resign(long now) {
-    boolean held = (state == State.HOLDING || state == State.WAITING) && now < believedUntil;
-    state = State.RESIGNED;
-    if (held) {
-      orders.resign();
+  public void resign(long nowNanos) {
+    boolean hadLease = hasLease() && nowNanos < leaseExpiresAtNanos;
+    enter(State.RESIGNED);
+    if (hadLease) {
+      commands.resign();
     }
   }
 
   @Override
   public long nextTickNanos() {
+    long renewalNanos = renewalInFlight ? Long.MAX_VALUE : nextRenewalNanos;
     return switch (state) {
-      case FOLLOWING -> vacant ? nextTry : Long.MAX_VALUE;
-      case ASKING -> askedAt + leaseTime;
-      case WAITING ->
-          Math.min(Math.min(waitUntil, believedUntil), keeping ? Long.MAX_VALUE : nextKeep);
-      case HOLDING -> Math.min(believedUntil, keeping ? Long.MAX_VALUE : nextKeep);
-      default -> Long.MAX_VALUE;
+      case FOLLOWING -> key.isVacant() ? nextCampaignNanos : Long.MAX_VALUE;
+      case ASKING -> requestedAtNanos + leaseNanos;
+      case WAITING -> Math.min(Math.min(settledAtNanos, leaseExpiresAtNanos), renewalNanos);
+      case HOLDING -> Math.min(leaseExpiresAtNanos, renewalNanos);
+      case RESIGNED -> Long.MAX_VALUE;
     };
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
@@ -59,7 +59,7 @@
     return now % (60 * SECOND) < 40 * SECOND;
   }
 
-  private boolean chance(double probability) {
+  private boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
@@ -72,14 +72,16 @@
     at(
         now + requestTime(),
         () -> {
-          if (now >= awayUntil && (!busy() || chance(0.93))) {
+          if (now >= awayUntil && (!busy() || withProbability(0.93))) {
             action.run();
           }
         });
   }
 
   private long requestTime() {
-    return busy() && chance(0.05) ? random.nextLong(4 * SECOND) : random.nextLong(MS, 10 * MS);
+    return busy() && withProbability(0.05)
+        ? random.nextLong(4 * SECOND)
+        : random.nextLong(MS, 10 * MS);
   }
 
   private void keyChanged() {
@@ -88,7 +90,8 @@
     long ofTerm = term;
     boolean held = holder != null;
     for (Candidate process : processes) {
-      long late = chance(0.05) ? random.nextLong(2 * SECOND) : random.nextLong(MS, 50 * MS);
+      long late =
+          withProbability(0.05) ? random.nextLong(2 * SECOND) : random.nextLong(MS, 50 * MS);
       process.at(now + late, () -> process.seen(ofTerm, held, changedNow));
     }
   }
@@ -150,7 +153,7 @@
     }
 
     private void round() {
-      if (clock() >= leadership.nextTickNanos() || chance(0.02)) {
+      if (clock() >= leadership.nextTickNanos() || withProbability(0.02)) {
         change(() -> leadership.tick(clock()));
       }
       at(now + random.nextLong(10 * MS, 60 * MS), this::round);
@@ -161,13 +164,13 @@
       event.run();
       Leadership.State after = leadership.state();
       if (after != before) {
-        actions.record(word(before) + ">" + word(after), name);
+        actions.record(stateWord(before) + ">" + stateWord(after), name);
       }
     }
 
     private void record() {
       actions.record(
-          "state " + word(leadership.state()),
+          "state " + stateWord(leadership.state()),
           name,
           leadership.term(),
           leadership.leaseExpiresAtNanos(),
@@ -212,25 +215,25 @@
       long of = leadership.term();
       registry(
           () -> {
-            boolean kept = holder == this && term == of;
-            if (kept) {
+            boolean renewed = holder == this && term == of;
+            if (renewed) {
               lease();
             }
-            at(now + requestTime(), () -> change(() -> kept(kept, askedAt)));
+            at(now + requestTime(), () -> change(() -> renewalEnded(renewed, askedAt)));
           });
       at(
           now + 500 * MS,
           () -> {
-            if (chance(0.1)) {
+            if (withProbability(0.1)) {
               actions.record("unheard", name);
               change(() -> leadership.renewalUnanswered(clock()));
             }
           });
     }
 
-    private void kept(boolean kept, long askedAt) {
-      actions.record(kept ? "kept" : "not kept", name, askedAt);
-      if (kept) {
+    private void renewalEnded(boolean renewed, long askedAt) {
+      actions.record(renewed ? "kept" : "not kept", name, askedAt);
+      if (renewed) {
         leadership.leaseRenewed(clock(), askedAt);
       } else {
         leadership.leaseLost(clock());
@@ -281,8 +284,8 @@
     }
   }
 
-  /** The recorder's own words, which stay when a constant is renamed. */
-  private static String word(Leadership.State state) {
+  /** The recorder's own text, which stay when a constant is renamed. */
+  private static String stateWord(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
       case ASKING -> "asking";
@@ -325,7 +328,7 @@
 
   /** A registry from a backup has older terms, and answers nobody for a lease. */
   private void restored() {
-    if (chance(0.5)) {
+    if (withProbability(0.5)) {
       return;
     }
     actions.record("restored");
