--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -1,385 +1,203 @@
 package org.amberpath.leadership;
 
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.Set;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.function.Supplier;
 
 /**
- * The task of trying caches that were set aside, once for the fleet. A gateway that has set one
- * aside asks whoever may own the task; the owner tries each cache that it is asked for, and says
- * how long ago each answered or did not. While such word comes, gateways leave trying to the owner.
- * Once a cache that several have set aside was silent in trials of the owner's too, all are told,
- * since where each sees little each would find it out by itself, late. What the word is worth
- * against what a gateway sees itself is decided by its own decisions.
+ * The task of health-checking ejected and suspect endpoints, once for the fleet.
  *
- * <p>Bounds: {@value #MOST} caches each way, {@value #MOST_NAMED} a letter, {@value #MOST_OUT}
- * trials out at a time; an owner is asked about {@value #ASKS_A_SECOND} times a second by the whole
- * fleet, whatever its size, and tells {@value #TOLD_A_TICK} a tick of what is silent, each once in
- * {@value #TOLD_EVERY_MS} ms.
+ * <p>A gateway that suspects an endpoint requests a report from the leader ({@link
+ * #nextReportRequest}), which checks it ({@link #dueHealthChecks}) and reports how long ago it
+ * responded, or was checked in vain. While reports arrive, gateways leave health checks to the
+ * leader ({@link #isCentralized}). Once several gateways suspect an endpoint and the leader's
+ * checks get no response either, all gateways are told ({@link #broadcastReport}), since where each
+ * sees little each would find it out late. What a report is worth against a gateway's own
+ * observations is decided by its router.
+ *
+ * <p>Reports carry the leader's term; fencing refuses those of older terms. Bounds: {@value
+ * #MAX_ENDPOINTS} endpoints each way, {@value #MAX_NAMED} a message. Times are nanoseconds of this
+ * process's monotonic clock.
  */
 public final class HealthCheckCoordinator {
+  /** The task's name. */
   public static final String TASK = "probe";
 
-  /** How many caches are named in a letter. */
-  public static final int MOST_NAMED = 10;
+  /** How many endpoints a message names. */
+  public static final int MAX_NAMED = 10;
 
-  private static final int MOST = 64,
-      MOST_OUT = 8,
-      ASKS_A_SECOND = 200,
-      CANDIDATES = 3,
-      TRUSTED = 3;
-  private static final long MS = 1_000_000, EACH = 500 * MS, SOON = 50 * MS;
-  private static final long PAUSE = 125 * MS,
-      SHORTEST = 1000 * MS,
-      LONGEST_PAUSE = 4000 * MS,
-      AGAIN = 500 * MS;
-  private static final long LONGEST_WAY = 1000 * MS, HEARD_LASTS = 30_000 * MS;
-  private static final int WITNESSES = 2,
-      SILENCES = 2,
-      FEWER = 10,
-      TOLD_A_TICK = 20,
-      TOLD_EVERY_MS = 4000;
+  static final int MAX_ENDPOINTS = 64;
 
-  /** A question of caches, under a stamp that its answer brings back. */
+  /**
+   * A request for reports.
+   *
+   * @param requestedAtNanos comes back with the answer
+   */
   public record ReportRequest(String recipient, long requestedAtNanos, List<String> endpoints) {}
 
   /**
-   * What came of the last trial of a cache: whether it answered, and how long ago; none yet with
-   * -1.
+   * The result of an endpoint's last health check.
+   *
+   * @param ageNanos how long ago it responded, or was sent the check in vain; -1 for none yet
    */
-  public record HealthReport(boolean responded, long ageNanos) {}
+  public record HealthReport(boolean responded, long ageNanos) {
+    HealthReport older(long nanos) {
+      return new HealthReport(responded, ageNanos + nanos);
+    }
+  }
 
-  /** How a trial ended: nothing was sent where the gateway's decisions let none go. */
+  /** How a health check ended. */
   public enum HealthCheckOutcome {
+    /** The endpoint responded. */
     ANSWERED,
+    /** It was sent, and no response came in time. */
     SILENT,
+    /** The router let none pass. */
     NOT_SENT
   }
 
-  /** One cache that an owner may try. */
-  private static final class Wanted {
-    /** The first who have set it aside: two are enough to know. */
-    final Set<String> by = new TreeSet<>();
-
-    long askedAt, sentAt, nextTry, heardUntil, pause = PAUSE;
-
-    /** Of the last trial that has ended, not of one that is out. */
-    long endedAt, endedSentAt;
-
-    int silences;
-    boolean out, answers, wasSilent;
-
-    HealthReport said(long now) {
-      // Of silence, how long ago it was asked: what was heard elsewhere since belies it.
-      return new HealthReport(answers, endedAt == 0 ? -1 : now - (answers ? endedAt : endedSentAt));
-    }
-
-    /** Whether all are to know of it: that it is silent, or that it was, and answers now. */
-    boolean isNews() {
-      wasSilent |= silences >= SILENCES && by.size() >= WITNESSES;
-      return wasSilent;
-    }
-  }
-
-  /**
-   * Set aside by this gateway, or silent as far as it sees; what finds no room is tried alone, as
-   * without an owner.
-   */
-  private final Map<String, Boolean> aside = new TreeMap<>();
-
-  /** What the last word was of each cache, of {@value #MOST}. */
-  private final Map<String, Boolean> silentByWord =
-      new LinkedHashMap<>() {
-        @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Boolean> eldest) {
-          return size() > MOST;
-        }
-      };
+  private final HealthCheckPauses pauses = new HealthCheckPauses();
+  private final HealthReportRequester requester = new HealthReportRequester(pauses);
+  private final HealthCheckAssignments assignments = new HealthCheckAssignments(pauses);
+  private final HealthReportBroadcast broadcast = new HealthReportBroadcast();
 
-  private final Map<String, Wanted> wanted = new LinkedHashMap<>();
-  private final FencingGuard fence = new FencingGuard();
-  private String prober = "";
-  private long askedAt = Long.MIN_VALUE / 2, nextAsk, wordAt = Long.MIN_VALUE / 2, interval = EACH;
-  private int turn, out, next, round;
-  private boolean answered = true;
-
-  /** Who is still to be told. */
-  private final ArrayDeque<String> toTell = new ArrayDeque<>();
-
-  private long tellFrom;
+  // ---- Every gateway.
 
   /**
-   * Between two trials of one that is silent: by all together a tenth of what each would, alone.
-   */
-  private long longest = LONGEST_PAUSE;
-
-  // ---- As any gateway.
-
-  /**
-   * A cache was set aside here, or is silent as far as is seen here; or need not be tried any more.
+   * The router's opinion of an endpoint has changed.
+   *
+   * @param healthy whether it is neither ejected nor suspect
    */
-  public void healthChanged(long now, String cache, boolean well) {
-    if (well) {
-      aside.remove(cache);
-    } else if (aside.size() < MOST && aside.put(cache, true) == null) {
-      nextAsk = Math.min(nextAsk, Math.max(now, askedAt + SOON));
+  public void healthChanged(long nowNanos, String endpoint, boolean healthy) {
+    if (healthy) {
+      requester.trusted(endpoint);
+    } else {
+      requester.suspected(nowNanos, endpoint);
     }
   }
 
   /**
-   * A cache answers this gateway: to whom it has to be told, if to anybody. Guards against an owner
-   * whose own link to it is cut, and that has told all that it is silent.
+   * An endpoint responds to this gateway. Guards against a leader that can't reach it, and has
+   * reported it silent to all.
+   *
+   * @return the leader to be told of it; empty for none
    */
-  public String endpointResponded(long now, String cache) {
-    boolean told = Boolean.TRUE.equals(silentByWord.remove(cache));
-    return told && now - wordAt < TRUSTED * interval ? prober : "";
+  public String endpointResponded(long nowNanos, String endpoint) {
+    return requester.responded(nowNanos, endpoint);
   }
 
-  /** Whether anything is set aside here. */
+  /** Whether this gateway suspects any endpoint. */
   public boolean hasSuspects() {
-    return !aside.isEmpty();
+    return !requester.suspects().isEmpty();
   }
 
   /**
-   * The question that is due, or null. It goes to the one that answered last, else in turn to those
-   * that would own the task first.
+   * The report request that is due.
    *
-   * @param many how many gateways there are
-   * @param order those that are there, in the order in which they would own it; this one is none of
-   *     them
-   * @param own whether this gateway owns it, and so asks itself
+   * @param gateways how many there are, this one included
+   * @param candidates the others, in {@link CandidateOrder}; asked for only when needed
+   * @param leading whether this gateway leads the task: then it checks for itself
+   * @return null for none
    */
   public ReportRequest nextReportRequest(
-      long now, int many, Supplier<List<String>> order, boolean own) {
-    interval = Math.max(EACH, many * (1000 * MS / ASKS_A_SECOND));
-    longest =
-        Math.max(SHORTEST, Math.min(LONGEST_PAUSE, FEWER * LONGEST_PAUSE / Math.max(1, many)));
-    if (aside.isEmpty() || now < nextAsk) {
+      long nowNanos, int gateways, Supplier<List<String>> candidates, boolean leading) {
+    pauses.fleetSizeChanged(gateways);
+    if (!requester.tryStartRequest(nowNanos)) {
       return null;
     }
-    nextAsk = now + interval;
-    if (own) {
-      aside.keySet().forEach(cache -> want(now, cache, ""));
-      return null;
-    }
-    List<String> others = order.get();
-    if (others.isEmpty()) {
+    if (leading) {
+      for (String endpoint : requester.suspects()) {
+        assignments.request(nowNanos, endpoint, "");
+      }
       return null;
     }
-    if (!answered) {
-      prober = "";
-    }
-    boolean known = others.contains(prober);
-    String to = known ? prober : others.get(turn++ % Math.min(CANDIDATES, others.size()));
-    askedAt = now;
-    answered = false;
-    if (!known) {
-      nextAsk = now + EACH / CANDIDATES; // One of the others may be it.
-    }
-    List<String> all = List.copyOf(aside.keySet());
-    List<String> named = new ArrayList<>();
-    for (int at = 0; at < Math.min(MOST_NAMED, all.size()); at++) {
-      named.add(all.get(next++ % all.size()));
-    }
-    return new ReportRequest(to, askedAt, named);
+    return requester.request(nowNanos, candidates).orElse(null);
   }
 
   /**
-   * Word of an owner. Guards: a term below one that was seen here, and that a cache answers as the
-   * answer to another question than the last, are worth nothing. What was not asked for is older
-   * than it says.
+   * A leader's reports. A response counts only in answer to the last request or to none, and is
+   * taken for as old as it may be.
    *
-   * @param stamp of the question that it answers; 0 for none
-   * @return what it says of caches, by this clock: of answers how long ago at the longest; null
-   *     where it is passed over
+   * @param requestNanos the request that they answer; 0 for none
+   * @return the reports that count, with their ages by this clock; null where fencing refuses all
    */
   public Map<String, HealthReport> reportReceived(
-      long now, String from, long term, long stamp, Map<String, HealthReport> said) {
-    if (!fence.tryAdmit(TASK, term, from)) {
-      return null;
-    }
-    boolean last = stamp == askedAt;
-    if (last) {
-      answered = true;
-      nextAsk = Math.max(nextAsk, askedAt + interval);
-    }
-    if (last || stamp == 0) {
-      prober = from;
-      wordAt = now;
-    }
-    Map<String, HealthReport> taken = new TreeMap<>();
-    said.forEach(
-        (cache, one) -> {
-          if (one.ageNanos >= 0
-              && (!one.responded || ((last || stamp == 0) && aside.containsKey(cache)))) {
-            // Guards against word of an answer that was long on its way: it is older than it says.
-            silentByWord.put(cache, !one.responded);
-            taken.put(
-                cache,
-                one.responded
-                    ? new HealthReport(true, one.ageNanos + (last ? now - stamp : LONGEST_WAY))
-                    : one);
-          }
-        });
-    return taken;
+      long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
+    return requester.reportReceived(nowNanos, from, term, requestNanos, reports).orElse(null);
   }
 
-  /** The highest term that was seen here. */
+  /** The highest term seen, to be sent with a refusal. */
   public long highestTerm() {
-    return fence.highestTerm(TASK);
+    return requester.highestTerm();
   }
 
-  /**
-   * Whether what is set aside here is tried for the fleet: by another that may be trusted to, or by
-   * this one.
-   */
-  public boolean isCentralized(long now, boolean own) {
-    return own || now - wordAt < TRUSTED * interval;
+  /** Whether a leader, this gateway or another, makes the health checks of this gateway. */
+  public boolean isCentralized(long nowNanos, boolean leading) {
+    return leading || requester.isReportTrusted(nowNanos);
   }
 
-  // ---- As the owner.
+  // ---- The leader.
 
-  /** Another gateway, or this one, has set a cache aside. */
-  private Wanted want(long now, String cache, String by) {
-    wanted.values().removeIf(one -> !one.out && now - one.askedAt > (TRUSTED + 1) * interval);
-    Wanted one = wanted.get(cache);
-    if (one == null && wanted.size() < MOST) {
-      one = new Wanted();
-      wanted.put(cache, one);
-    }
-    if (one != null) {
-      one.askedAt = now;
-      if (one.by.size() < WITNESSES) {
-        one.by.add(by);
-      }
-    }
-    return one;
-  }
-
-  /**
-   * What came of the trials of each of these that another has set aside. They are tried from now
-   * on.
-   */
-  public Map<String, HealthReport> reportRequested(long now, String by, List<String> caches) {
-    Map<String, HealthReport> said = new TreeMap<>();
-    for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
-      Wanted one = want(now, cache, by);
-      if (one != null) {
-        said.put(cache, one.said(now));
-      }
+  /** A gateway's request: its endpoints are checked from now on. Returns what is known so far. */
+  public Map<String, HealthReport> reportRequested(
+      long nowNanos, String requestedBy, List<String> endpoints) {
+    Map<String, HealthReport> reports = new TreeMap<>();
+    for (String endpoint : firstNamed(endpoints)) {
+      assignments
+          .request(nowNanos, endpoint, requestedBy)
+          .ifPresent(check -> reports.put(endpoint, check.report(nowNanos)));
     }
-    return said;
+    return reports;
   }
 
-  /** What is to be tried now, each until {@link #healthCheckEnded} says what came of it. */
-  public List<String> dueHealthChecks(long now) {
-    List<String> due = new ArrayList<>();
-    for (Map.Entry<String, Wanted> each : wanted.entrySet()) {
-      Wanted one = each.getValue();
-      boolean asked = now - one.askedAt <= (TRUSTED + 1) * interval;
-      if (asked && !one.out && now >= one.nextTry && out < MOST_OUT) {
-        one.out = true;
-        one.sentAt = now;
-        out++;
-        due.add(each.getKey());
-      }
-    }
-    return due;
+  /** The health checks to be sent now, each in flight until {@link #healthCheckEnded}. */
+  public List<String> dueHealthChecks(long nowNanos) {
+    return assignments.startDue(nowNanos);
   }
 
-  /**
-   * Another gateway has an answer from these: what the owner can't reach itself is not silent for
-   * all.
-   */
-  public void endpointsResponsive(long now, List<String> caches) {
-    for (String cache : caches.subList(0, Math.min(MOST_NAMED, caches.size()))) {
-      Wanted one = wanted.get(cache);
-      if (one != null) {
-        tellFrom = one.answers ? tellFrom : now;
-        one.heardUntil = now + HEARD_LASTS;
-        one.answers = true;
-        one.endedAt = now;
-        one.silences = 0;
+  /** Another gateway has responses from these: they are not silent for all. */
+  public void endpointsResponsive(long nowNanos, List<String> endpoints) {
+    for (String endpoint : firstNamed(endpoints)) {
+      if (assignments.respondedElsewhere(nowNanos, endpoint)) {
+        broadcast.changed(nowNanos);
       }
     }
   }
 
-  /** How a trial ended. One that nobody answered is made again after a longer pause each time. */
-  public void healthCheckEnded(long now, String cache, HealthCheckOutcome end) {
-    Wanted one = wanted.get(cache);
-    out = Math.max(0, out - 1);
-    if (one != null) {
-      one.out = false;
-      if (end == HealthCheckOutcome.NOT_SENT) {
-        one.nextTry = now + PAUSE;
-        return;
-      }
-      if (end == HealthCheckOutcome.SILENT && now < one.heardUntil) {
-        one.nextTry = now + longest;
-        return;
-      }
-      boolean other = one.answers != (end == HealthCheckOutcome.ANSWERED) && one.endedAt > 0;
-      one.answers = end == HealthCheckOutcome.ANSWERED;
-      one.endedAt = now;
-      one.endedSentAt = one.sentAt;
-      one.silences = one.answers ? 0 : one.silences + 1;
-      one.pause = one.answers ? PAUSE : Math.min(longest, 2 * one.pause);
-      one.nextTry = now + (one.answers ? AGAIN : one.silences < SILENCES ? 0 : one.pause);
-      if (other || one.silences == SILENCES) {
-        tellFrom = now; // All are told anew once those are through that are being told.
-      }
+  /** The outcome of a health check; pauses grow while there is no response. */
+  public void healthCheckEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
+    if (assignments.ended(nowNanos, endpoint, outcome)) {
+      broadcast.changed(nowNanos);
     }
   }
 
-  /**
-   * What all are to know, for those that {@link #broadcastRecipients} names: caches that are
-   * silent, or were and answer now. More than fit into a letter take turns, from one time that all
-   * are told to the next.
-   */
-  public Map<String, HealthReport> broadcastReport(long now) {
-    List<String> all = new ArrayList<>();
-    wanted.forEach(
-        (cache, one) -> {
-          if (one.isNews() && now - one.askedAt <= (TRUSTED + 1) * interval) {
-            all.add(cache);
-          }
-        });
-    Map<String, HealthReport> news = new TreeMap<>();
-    for (int at = 0; at < Math.min(MOST_NAMED, all.size()); at++) {
-      String cache = all.get((round * MOST_NAMED + at) % all.size());
-      news.put(cache, wanted.get(cache).said(now));
+  /** The reports for the {@link #broadcastRecipients} of this tick. */
+  public Map<String, HealthReport> broadcastReport(long nowNanos) {
+    Map<String, HealthReport> reports = new TreeMap<>();
+    for (String endpoint : broadcast.select(assignments.forAll(nowNanos))) {
+      reports.put(endpoint, assignments.report(nowNanos, endpoint));
     }
-    return news;
+    return reports;
   }
 
-  /** To whom it is to be told in this tick, of all that are there. */
-  public List<String> broadcastRecipients(long now, List<String> there) {
-    if (toTell.isEmpty() && now >= tellFrom) {
-      toTell.addAll(there);
-      round = (round + 1) % MOST;
-      tellFrom = now + TOLD_EVERY_MS * MS;
-    }
-    List<String> some = new ArrayList<>();
-    while (!toTell.isEmpty() && some.size() < TOLD_A_TICK) {
-      some.add(toTell.poll());
-    }
-    return some;
+  /** Which of the gateways present are sent the report in this tick. */
+  public List<String> broadcastRecipients(long nowNanos, List<String> present) {
+    return broadcast.nextRecipients(nowNanos, present);
   }
 
-  /** Whether nothing is out: the task may be handed over. */
+  /** Whether no health check is in flight: the task may be handed over. */
   public boolean isIdle() {
-    return out == 0;
+    return assignments.isIdle();
   }
 
-  /** The task was lost: what comes after begins anew. */
+  /** This gateway does not lead: what it knows as the leader is forgotten. */
   public void leadershipLost() {
-    wanted.values().removeIf(one -> !one.out);
-    toTell.clear();
+    assignments.clear();
+    broadcast.clear();
+  }
+
+  private static List<String> firstNamed(List<String> endpoints) {
+    return endpoints.subList(0, Math.min(MAX_NAMED, endpoints.size()));
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -10,276 +10,272 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.stream.IntStream;
+import org.amberpath.leadership.HealthCheckCoordinator.HealthCheckOutcome;
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
+import org.amberpath.leadership.HealthCheckCoordinator.ReportRequest;
 import org.junit.jupiter.api.Test;
 
-/** A gateway that asks, and an owner that is asked. */
+/** A gateway that requests reports, and a leader that makes the health checks. */
 class HealthCheckCoordinatorTest {
   private static final long MS = 1_000_000;
   private static final List<String> OTHERS = List.of("a", "b", "c", "d");
 
-  private static final HealthReport NONE = new HealthReport(false, -1),
-      NOW = new HealthReport(true, 0);
-  private final HealthCheckCoordinator asker = new HealthCheckCoordinator(),
-      owner = new HealthCheckCoordinator();
+  private static final HealthReport NONE = new HealthReport(false, -1);
+  private static final HealthReport RESPONDED_NOW = new HealthReport(true, 0);
+  private final HealthCheckCoordinator gateway = new HealthCheckCoordinator();
+  private final HealthCheckCoordinator leader = new HealthCheckCoordinator();
   private long now = 1000 * MS;
 
-  private HealthCheckCoordinator.ReportRequest ask() {
-    HealthCheckCoordinator.ReportRequest ask = asker.nextReportRequest(now, 5, () -> OTHERS, false);
-    for (int ms = 0; ask == null && ms < 5000; ms++) {
+  private ReportRequest nextRequest() {
+    ReportRequest request = gateway.nextReportRequest(now, 5, () -> OTHERS, false);
+    for (int ms = 0; request == null && ms < 5000; ms++) {
       now += MS;
-      ask = asker.nextReportRequest(now, 5, () -> OTHERS, false);
+      request = gateway.nextReportRequest(now, 5, () -> OTHERS, false);
     }
-    return ask;
+    return request;
   }
 
   @Test
-  void nobodyIsAskedWhileNothingIsAsideAndThenTheFirstThreeInTurnUntilOneAnswers() {
-    assertNull(asker.nextReportRequest(now, 5, () -> OTHERS, false));
-    asker.healthChanged(now, "x", false);
+  void reportsAreRequestedOnlyForSuspectsFromThreeCandidatesInTurnUntilOneAnswers() {
+    assertNull(gateway.nextReportRequest(now, 5, () -> OTHERS, false));
+    gateway.healthChanged(now, "x", false);
     assertEquals(
         List.of("a", "b", "c", "a"),
-        IntStream.range(0, 4).mapToObj(one -> ask().recipient()).toList());
-    assertFalse(asker.isCentralized(now, false));
-    HealthCheckCoordinator.ReportRequest ask = ask();
-    assertEquals("b", ask.recipient());
-    asker.reportReceived(now + MS, "b", 7, ask.requestedAtNanos(), Map.of("x", NONE));
-    assertTrue(asker.isCentralized(now + MS, false));
-    assertEquals("b", ask().recipient(), "who answered is asked on");
+        IntStream.range(0, 4).mapToObj(index -> nextRequest().recipient()).toList());
+    assertFalse(gateway.isCentralized(now, false));
+    ReportRequest request = nextRequest();
+    assertEquals("b", request.recipient());
+    gateway.reportReceived(now + MS, "b", 7, request.requestedAtNanos(), Map.of("x", NONE));
+    assertTrue(gateway.isCentralized(now + MS, false));
+    assertEquals("b", nextRequest().recipient(), "the gateway that answered is asked again");
     now += 10_000 * MS;
-    assertFalse(asker.isCentralized(now, false), "silence is worth nothing");
-    assertEquals("c", ask().recipient(), "and another is asked");
+    assertFalse(gateway.isCentralized(now, false), "reports are trusted for a while only");
+    assertEquals("c", nextRequest().recipient(), "and another candidate is asked");
   }
 
   @Test
-  void oneGatewayTriesForAllAndSaysHowLongAgoItAnswered() {
-    asker.healthChanged(now, "x", false);
-    HealthCheckCoordinator.ReportRequest ask = ask();
-    assertEquals(Map.of("x", NONE), owner.reportRequested(now, "a", ask.endpoints()));
-    assertEquals(List.of("x"), owner.dueHealthChecks(now));
-    assertEquals(List.of(), owner.dueHealthChecks(now), "one at a time");
-    owner.healthCheckEnded(now + 30 * MS, "x", HealthCheckCoordinator.HealthCheckOutcome.ANSWERED);
+  void leaderChecksForAllAndReportsHowLongAgoEndpointResponded() {
+    gateway.healthChanged(now, "x", false);
+    ReportRequest request = nextRequest();
+    assertEquals(Map.of("x", NONE), leader.reportRequested(now, "a", request.endpoints()));
+    assertEquals(List.of("x"), leader.dueHealthChecks(now));
+    assertEquals(List.of(), leader.dueHealthChecks(now), "one at a time");
+    leader.healthCheckEnded(now + 30 * MS, "x", HealthCheckOutcome.ANSWERED);
     now += 100 * MS;
-    Map<String, HealthReport> ago = owner.reportRequested(now, "a", ask.endpoints());
-    assertEquals(Map.of("x", new HealthReport(true, 70 * MS)), ago);
-    HealthCheckCoordinator.ReportRequest next = ask();
+    Map<String, HealthReport> reports = leader.reportRequested(now, "a", request.endpoints());
+    assertEquals(Map.of("x", new HealthReport(true, 70 * MS)), reports);
+    ReportRequest next = nextRequest();
     assertEquals(
         Map.of("x", new HealthReport(true, 75 * MS)),
-        asker.reportReceived(
-            next.requestedAtNanos() + 5 * MS, next.recipient(), 3, next.requestedAtNanos(), ago),
-        "the way there and back may have been all before the word");
-    asker.healthChanged(now, "x", true);
+        gateway.reportReceived(
+            next.requestedAtNanos() + 5 * MS,
+            next.recipient(),
+            3,
+            next.requestedAtNanos(),
+            reports),
+        "the report may have travelled for the whole round trip");
+    gateway.healthChanged(now, "x", true);
     assertEquals(
-        Map.of(), asker.reportReceived(now, next.recipient(), 3, next.requestedAtNanos(), ago));
+        Map.of(),
+        gateway.reportReceived(now, next.recipient(), 3, next.requestedAtNanos(), reports));
   }
 
   @Test
-  void whoDoesNotAnswerIsTriedAfterPausesThatGrowAndForNoLongerThanItIsAskedFor() {
-    int tries = 0;
+  void silentEndpointIsCheckedWithGrowingPausesWhileReportsAreRequested() {
+    int checks = 0;
     for (int ms = 0; ms < 20_000; ms += 10, now += 10 * MS) {
       if (ms % 500 == 0) {
-        owner.reportRequested(now, "a", List.of("x"));
+        leader.reportRequested(now, "a", List.of("x"));
       }
-      for (String cache : owner.dueHealthChecks(now)) {
-        tries++;
-        owner.healthCheckEnded(now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT);
+      for (String cache : leader.dueHealthChecks(now)) {
+        checks++;
+        leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT);
       }
     }
-    assertTrue(tries >= 5 && tries <= 10, tries + " in 20 s");
+    assertTrue(checks >= 5 && checks <= 10, checks + " in 20 s");
     now += 5000 * MS;
-    assertEquals(List.of(), owner.dueHealthChecks(now));
+    assertEquals(List.of(), leader.dueHealthChecks(now));
   }
 
   @Test
-  void theOwnerOfALargeFleetTriesMoreOften() {
-    owner.nextReportRequest(now, 220, List::of, true);
-    int tries = 0;
+  void leaderOfLargeFleetChecksMoreOften() {
+    leader.nextReportRequest(now, 220, List::of, true);
+    int checks = 0;
     for (int ms = 0; ms < 20_000; ms += 10, now += 10 * MS) {
-      owner.reportRequested(now, "a", List.of("x"));
-      for (String cache : owner.dueHealthChecks(now)) {
-        tries++;
-        owner.healthCheckEnded(now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT);
+      leader.reportRequested(now, "a", List.of("x"));
+      for (String cache : leader.dueHealthChecks(now)) {
+        checks++;
+        leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT);
       }
     }
-    assertTrue(tries >= 20 && tries <= 25, tries + " in 20 s");
+    assertTrue(checks >= 20 && checks <= 25, checks + " in 20 s");
   }
 
   @Test
-  void wordOfAnOlderTermOrToAnotherQuestionIsWorthNothing() {
-    asker.healthChanged(now, "x", false);
-    HealthCheckCoordinator.ReportRequest first = ask();
+  void reportOfOlderTermOrToOlderRequestIsIgnored() {
+    gateway.healthChanged(now, "x", false);
+    ReportRequest first = nextRequest();
     assertEquals(
-        1, asker.reportReceived(now, "a", 9, first.requestedAtNanos(), Map.of("x", NOW)).size());
-    HealthCheckCoordinator.ReportRequest second = ask();
-    assertNull(asker.reportReceived(now, "b", 8, second.requestedAtNanos(), Map.of("x", NOW)));
-    assertEquals(9, asker.highestTerm());
+        1,
+        gateway
+            .reportReceived(now, "a", 9, first.requestedAtNanos(), Map.of("x", RESPONDED_NOW))
+            .size());
+    ReportRequest second = nextRequest();
+    assertNull(
+        gateway.reportReceived(now, "b", 8, second.requestedAtNanos(), Map.of("x", RESPONDED_NOW)));
+    assertEquals(9, gateway.highestTerm());
     assertNull(
-        asker.reportReceived(now, "b", 9, second.requestedAtNanos(), Map.of("x", NOW)),
-        "one term is one owner's");
+        gateway.reportReceived(now, "b", 9, second.requestedAtNanos(), Map.of("x", RESPONDED_NOW)),
+        "a term has one leader");
     assertEquals(
-        Map.of(), asker.reportReceived(now, "a", 9, first.requestedAtNanos(), Map.of("x", NOW)));
+        Map.of(),
+        gateway.reportReceived(now, "a", 9, first.requestedAtNanos(), Map.of("x", RESPONDED_NOW)));
     assertEquals(
         Map.of(),
-        asker.reportReceived(now, "a", 9, second.requestedAtNanos(), Map.of("y", NOW)),
-        "nobody asked for that");
+        gateway.reportReceived(now, "a", 9, second.requestedAtNanos(), Map.of("y", RESPONDED_NOW)),
+        "not suspected here");
   }
 
   @Test
-  void anOwnerIsAskedAboutAsOftenHoweverManyAsk() {
-    List<String> many = IntStream.range(0, 1000).mapToObj(one -> "g" + one).toList();
-    asker.healthChanged(now, "x", false);
-    int asks = 0;
+  void requestRateAtLeaderIsIndependentOfFleetSize() {
+    List<String> others = IntStream.range(0, 1000).mapToObj(index -> "g" + index).toList();
+    gateway.healthChanged(now, "x", false);
+    int requests = 0;
     for (int ms = 0; ms < 60_000; ms += 10, now += 10 * MS) {
-      HealthCheckCoordinator.ReportRequest ask =
-          asker.nextReportRequest(now, 1001, () -> many, false);
-      if (ask != null) {
-        asks++;
-        asker.reportReceived(now, ask.recipient(), 1, ask.requestedAtNanos(), Map.of("x", NONE));
+      ReportRequest request = gateway.nextReportRequest(now, 1001, () -> others, false);
+      if (request != null) {
+        requests++;
+        gateway.reportReceived(
+            now, request.recipient(), 1, request.requestedAtNanos(), Map.of("x", NONE));
       }
     }
-    assertTrue(asks <= 13, asks + " a minute, of a thousand each");
+    assertTrue(requests <= 13, requests + " a minute, of a thousand each");
     IntStream.range(0, 500)
         .forEach(
-            one -> {
-              asker.healthChanged(now, "cache-" + one, false);
-              owner.reportRequested(now, "a", List.of("cache-" + one));
+            index -> {
+              gateway.healthChanged(now, "cache-" + index, false);
+              leader.reportRequested(now, "a", List.of("cache-" + index));
             });
-    assertEquals(HealthCheckCoordinator.MOST_NAMED, ask().endpoints().size());
-    assertEquals(8, owner.dueHealthChecks(now).size());
+    assertEquals(HealthCheckCoordinator.MAX_NAMED, nextRequest().endpoints().size());
+    assertEquals(8, leader.dueHealthChecks(now).size());
   }
 
-  private void silentTrial(String... by) {
+  private void silentCheck(String... requesters) {
     now += 5000 * MS;
-    for (String one : by) {
-      owner.reportRequested(now, one, List.of("x"));
+    for (String requester : requesters) {
+      leader.reportRequested(now, requester, List.of("x"));
     }
-    owner
+    leader
         .dueHealthChecks(now)
         .forEach(
-            cache ->
-                owner.healthCheckEnded(
-                    now + 400 * MS, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
     now += 400 * MS;
   }
 
   @Test
-  void silenceIsToldToAllOnceTwoHaveSetItAsideAndTwoTrialsFoundItToo() {
-    silentTrial("a", "b");
-    assertEquals(Map.of(), owner.broadcastReport(now), "one trial");
-    owner
+  void silenceIsBroadcastAfterTwoRequestersAndTwoSilentChecks() {
+    silentCheck("a", "b");
+    assertEquals(Map.of(), leader.broadcastReport(now), "one check");
+    leader
         .dueHealthChecks(now)
         .forEach(
-            cache ->
-                owner.healthCheckEnded(
-                    now + 400 * MS, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
     now += 400 * MS;
-    Map<String, HealthReport> silent = owner.broadcastReport(now);
-    assertEquals(Map.of("x", new HealthReport(false, 400 * MS)), silent, "from when it was asked");
-    List<String> many = IntStream.range(0, 25).mapToObj(one -> "g" + one).toList();
+    Map<String, HealthReport> silent = leader.broadcastReport(now);
+    assertEquals(
+        Map.of("x", new HealthReport(false, 400 * MS)), silent, "from when the check was sent");
+    List<String> others = IntStream.range(0, 25).mapToObj(index -> "g" + index).toList();
     assertEquals(
         List.of(20, 5, 0),
         IntStream.range(0, 3)
-            .mapToObj(one -> owner.broadcastRecipients(now, many).size())
+            .mapToObj(tick -> leader.broadcastRecipients(now, others).size())
             .toList());
 
-    assertEquals(silent, asker.reportReceived(now, "o", 1, 0, silent));
-    assertTrue(asker.isCentralized(now, false));
-    asker.healthChanged(now, "x", false);
-    assertEquals(silent, asker.reportReceived(now, "o", 1, 0, silent));
+    assertEquals(silent, gateway.reportReceived(now, "o", 1, 0, silent));
+    assertTrue(gateway.isCentralized(now, false));
+    gateway.healthChanged(now, "x", false);
+    assertEquals(silent, gateway.reportReceived(now, "o", 1, 0, silent));
     assertEquals(
         Map.of("x", new HealthReport(true, 1000 * MS)),
-        asker.reportReceived(now, "o", 1, 0, Map.of("x", NOW)),
-        "unasked, it may have been on its way for long");
+        gateway.reportReceived(now, "o", 1, 0, Map.of("x", RESPONDED_NOW)),
+        "without a request it may have travelled for long");
   }
 
   @Test
-  void oneThatHasSetACacheAsideCondemnsItForNobodyElse() {
-    for (int one = 0; one < 6; one++, now += 1000 * MS) {
-      owner.reportRequested(now, "a", List.of("x"));
-      owner
+  void silenceForOneRequesterIsNotBroadcast() {
+    for (int round = 0; round < 6; round++, now += 1000 * MS) {
+      leader.reportRequested(now, "a", List.of("x"));
+      leader
           .dueHealthChecks(now)
-          .forEach(
-              cache ->
-                  owner.healthCheckEnded(
-                      now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
     }
-    assertEquals(Map.of(), owner.broadcastReport(now));
+    assertEquals(Map.of(), leader.broadcastReport(now));
   }
 
   @Test
-  void aCacheThatOnlyTheOwnerCantReachIsNotSilentForAll() {
-    silentTrial("a", "b");
-    owner
+  void endpointThatOnlyTheLeaderCannotReachIsReportedResponsive() {
+    silentCheck("a", "b");
+    leader
         .dueHealthChecks(now)
-        .forEach(
-            cache ->
-                owner.healthCheckEnded(
-                    now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
-    Map<String, HealthReport> silent = owner.broadcastReport(now);
+        .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
+    Map<String, HealthReport> silent = leader.broadcastReport(now);
     assertFalse(silent.get("x").responded());
-    assertEquals("", asker.endpointResponded(now, "x"), "nobody has said otherwise");
-    asker.reportReceived(now, "o", 1, 0, silent);
-    assertEquals("o", asker.endpointResponded(now, "x"));
-    assertEquals("", asker.endpointResponded(now, "x"), "once");
-    owner.endpointsResponsive(now, List.of("x"));
-    assertTrue(owner.broadcastReport(now).get("x").responded());
-    for (int one = 0; one < 6; one++, now += 1000 * MS) {
-      owner.reportRequested(now, "b", List.of("x"));
-      owner
+    assertEquals("", gateway.endpointResponded(now, "x"), "it was not reported silent");
+    gateway.reportReceived(now, "o", 1, 0, silent);
+    assertEquals("o", gateway.endpointResponded(now, "x"));
+    assertEquals("", gateway.endpointResponded(now, "x"), "once");
+    leader.endpointsResponsive(now, List.of("x"));
+    assertTrue(leader.broadcastReport(now).get("x").responded());
+    for (int round = 0; round < 6; round++, now += 1000 * MS) {
+      leader.reportRequested(now, "b", List.of("x"));
+      leader
           .dueHealthChecks(now)
-          .forEach(
-              cache ->
-                  owner.healthCheckEnded(
-                      now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
     }
     assertTrue(
-        owner.broadcastReport(now).get("x").responded(),
-        "the owner's own silence is worth nothing for a while");
-    asker.reportReceived(now, "o", 1, 0, owner.broadcastReport(now));
-    assertEquals("", asker.endpointResponded(now, "x"), "the owner knows");
+        leader.broadcastReport(now).get("x").responded(),
+        "the leader's own checks count for nothing for a while");
+    gateway.reportReceived(now, "o", 1, 0, leader.broadcastReport(now));
+    assertEquals("", gateway.endpointResponded(now, "x"), "the leader knows already");
   }
 
   @Test
-  void aTrialThatIsStillOutMakesTheOneBeforeNoYounger() {
-    silentTrial("a", "b");
-    owner
+  void checkInFlightDoesNotMakeTheLastResultYounger() {
+    silentCheck("a", "b");
+    leader
         .dueHealthChecks(now)
         .forEach(
-            cache ->
-                owner.healthCheckEnded(
-                    now + 400 * MS, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
     now += 1000 * MS;
-    owner.reportRequested(now, "a", List.of("x"));
-    assertEquals(List.of("x"), owner.dueHealthChecks(now));
+    leader.reportRequested(now, "a", List.of("x"));
+    assertEquals(List.of("x"), leader.dueHealthChecks(now));
     assertEquals(
         new HealthReport(false, 1100 * MS),
-        owner.broadcastReport(now + 100 * MS).get("x"),
-        "what came since is not belied");
+        leader.broadcastReport(now + 100 * MS).get("x"),
+        "responses since then are not contradicted");
   }
 
   @Test
-  void moreSilentCachesThanALetterHoldsAreToldInTurn() {
-    List<String> all = IntStream.range(0, 25).mapToObj(one -> "c" + one).toList();
-    for (int one = 0; one < 200; one++, now += 50 * MS) {
-      for (int at = 0; at < all.size(); at += HealthCheckCoordinator.MOST_NAMED) {
-        List<String> some =
-            all.subList(at, Math.min(all.size(), at + HealthCheckCoordinator.MOST_NAMED));
-        owner.reportRequested(now, "a", some);
-        owner.reportRequested(now, "b", some);
+  void silentEndpointsBeyondOneMessageAreBroadcastInTurn() {
+    List<String> endpoints = IntStream.range(0, 25).mapToObj(index -> "c" + index).toList();
+    for (int round = 0; round < 200; round++, now += 50 * MS) {
+      for (int at = 0; at < endpoints.size(); at += HealthCheckCoordinator.MAX_NAMED) {
+        List<String> named =
+            endpoints.subList(
+                at, Math.min(endpoints.size(), at + HealthCheckCoordinator.MAX_NAMED));
+        leader.reportRequested(now, "a", named);
+        leader.reportRequested(now, "b", named);
       }
-      owner
+      leader
           .dueHealthChecks(now)
-          .forEach(
-              cache ->
-                  owner.healthCheckEnded(
-                      now, cache, HealthCheckCoordinator.HealthCheckOutcome.SILENT));
+          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
     }
-    Set<String> told = new TreeSet<>();
-    for (int one = 0; one < 100; one++, now += 500 * MS) {
-      all.forEach(cache -> owner.reportRequested(now, "a", List.of(cache)));
-      owner.broadcastRecipients(now, List.of("a"));
-      told.addAll(owner.broadcastReport(now).keySet());
+    Set<String> reported = new TreeSet<>();
+    for (int round = 0; round < 100; round++, now += 500 * MS) {
+      endpoints.forEach(cache -> leader.reportRequested(now, "a", List.of(cache)));
+      leader.broadcastRecipients(now, List.of("a"));
+      reported.addAll(leader.broadcastReport(now).keySet());
     }
-    assertEquals(25, told.size());
+    assertEquals(25, reported.size());
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
@@ -76,7 +76,7 @@
     return actions.digest();
   }
 
-  private boolean chance(double probability) {
+  private boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
@@ -86,13 +86,13 @@
 
   private void deliver(String to, Arrival arrival) {
     int index = number(to);
-    if (index >= gateways.size() || chance(setting == Setting.LOSSY ? 0.33 : 0.02)) {
+    if (index >= gateways.size() || withProbability(setting == Setting.LOSSY ? 0.33 : 0.02)) {
       actions.count("lost");
       return;
     }
-    long delay = chance(0.02) ? random.nextLong(3 * SECOND) : random.nextLong(MS, 20 * MS);
+    long delay = withProbability(0.02) ? random.nextLong(3 * SECOND) : random.nextLong(MS, 20 * MS);
     at(now + delay, () -> arrival.at(gateways.get(index)));
-    if (chance(0.03)) {
+    if (withProbability(0.03)) {
       at(now + delay + random.nextLong(SECOND), () -> arrival.at(gateways.get(index)));
     }
   }
@@ -136,19 +136,20 @@
     private void tick() {
       observe();
       boolean own = leads();
-      HealthCheckCoordinator.ReportRequest ask =
+      HealthCheckCoordinator.ReportRequest request =
           coordinator.nextReportRequest(now, fleet.size(), () -> candidates, own);
-      if (ask != null) {
+      if (request != null) {
         actions.record(
             "ask",
             name,
-            ask.recipient(),
-            ask.requestedAtNanos(),
-            String.join(",", ask.endpoints()),
+            request.recipient(),
+            request.requestedAtNanos(),
+            String.join(",", request.endpoints()),
             ejected.size());
         deliver(
-            ask.recipient(),
-            gateway -> gateway.asked(this, ask.requestedAtNanos(), ask.endpoints()));
+            request.recipient(),
+            gateway ->
+                gateway.reportRequested(this, request.requestedAtNanos(), request.endpoints()));
       }
       if (own) {
         check();
@@ -175,7 +176,7 @@
         int cache = random.nextInt(hung.length);
         String cacheName = "c" + cache;
         if (!answers(cache)) {
-          if (chance(0.6)) {
+          if (withProbability(0.6)) {
             ejected.add(cacheName);
             coordinator.healthChanged(now, cacheName, false);
           }
@@ -183,7 +184,7 @@
           String owner = coordinator.endpointResponded(now, cacheName);
           if (!owner.isEmpty()) {
             actions.record("heard", name, owner, cacheName);
-            deliver(owner, gateway -> gateway.heard(List.of(cacheName)));
+            deliver(owner, gateway -> gateway.endpointsResponsive(List.of(cacheName)));
           }
           if (ejected.remove(cacheName)) {
             coordinator.healthChanged(now, cacheName, true);
@@ -197,7 +198,7 @@
         actions.record("check", name, cache);
         int number = number(cache);
         boolean answers = answers(number);
-        if (chance(0.05)) {
+        if (withProbability(0.05)) {
           ended(cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
         } else {
           at(
@@ -219,47 +220,47 @@
     }
 
     private void report() {
-      Map<String, HealthCheckCoordinator.HealthReport> news = coordinator.broadcastReport(now);
-      if (!news.isEmpty()) {
-        actions.record("news", name, words(news));
+      Map<String, HealthCheckCoordinator.HealthReport> reports = coordinator.broadcastReport(now);
+      if (!reports.isEmpty()) {
+        actions.record("news", name, describe(reports));
         long reportedUnder = believedTerm;
         List<String> recipients = coordinator.broadcastRecipients(now, fleet);
         actions.record("to", name, String.join(",", recipients));
         for (String recipient : recipients) {
-          deliver(recipient, gateway -> gateway.word(name, reportedUnder, 0, news));
+          deliver(recipient, gateway -> gateway.reportReceived(name, reportedUnder, 0, reports));
         }
       }
     }
 
-    private void asked(Gateway by, long stamp, List<String> caches) {
+    private void reportRequested(Gateway by, long stamp, List<String> caches) {
       if (leads()) {
-        Map<String, HealthCheckCoordinator.HealthReport> said =
+        Map<String, HealthCheckCoordinator.HealthReport> reports =
             coordinator.reportRequested(now, by.name, caches);
-        actions.record("answer", name, by.name, words(said));
+        actions.record("answer", name, by.name, describe(reports));
         long answeredUnder = believedTerm;
-        deliver(by.name, gateway -> gateway.word(name, answeredUnder, stamp, said));
+        deliver(by.name, gateway -> gateway.reportReceived(name, answeredUnder, stamp, reports));
         check();
       }
     }
 
-    private void heard(List<String> caches) {
+    private void endpointsResponsive(List<String> caches) {
       if (leads()) {
         coordinator.endpointsResponsive(now, caches);
         actions.record("heard of", name, String.join(",", caches));
       }
     }
 
-    private void word(
+    private void reportReceived(
         String from,
         long ofTerm,
         long stamp,
-        Map<String, HealthCheckCoordinator.HealthReport> said) {
-      Map<String, HealthCheckCoordinator.HealthReport> taken =
-          coordinator.reportReceived(now, from, ofTerm, stamp, said);
-      if (taken == null) {
+        Map<String, HealthCheckCoordinator.HealthReport> reports) {
+      Map<String, HealthCheckCoordinator.HealthReport> accepted =
+          coordinator.reportReceived(now, from, ofTerm, stamp, reports);
+      if (accepted == null) {
         actions.record("word refused", name, from, ofTerm, coordinator.highestTerm());
       } else {
-        actions.record("word", name, from, ofTerm, stamp, words(taken));
+        actions.record("word", name, from, ofTerm, stamp, describe(accepted));
       }
     }
   }
@@ -268,12 +269,11 @@
     return Integer.parseInt(name.substring(1));
   }
 
-  private String words(Map<String, HealthCheckCoordinator.HealthReport> said) {
-    StringBuilder words = new StringBuilder();
-    said.forEach(
+  private String describe(Map<String, HealthCheckCoordinator.HealthReport> reports) {
+    StringBuilder text = new StringBuilder();
+    reports.forEach(
         (cache, result) -> {
-          words
-              .append(cache)
+          text.append(cache)
               .append('=')
               .append(result.responded())
               .append(result.ageNanos())
@@ -283,26 +283,26 @@
                   ? "result none"
                   : result.responded() ? "result up" : "result silent");
         });
-    return words.toString();
+    return text.toString();
   }
 
   // ---- What changes.
 
   private void cacheChanges() {
     int cache = random.nextInt(hung.length);
-    if (chance(0.5)) {
-      hung[cache] = !hung[cache] && chance(0.7);
+    if (withProbability(0.5)) {
+      hung[cache] = !hung[cache] && withProbability(0.7);
     } else {
       Gateway gateway = gateways.get(random.nextInt(gateways.size()));
-      gateway.cut[cache] = !gateway.cut[cache] && chance(0.6);
+      gateway.cut[cache] = !gateway.cut[cache] && withProbability(0.6);
     }
-    if (setting == Setting.LARGE && chance(0.03)) {
-      boolean hang = chance(0.5);
+    if (setting == Setting.LARGE && withProbability(0.03)) {
+      boolean hang = withProbability(0.5);
       for (int each = 0; each < hung.length; each++) {
         hung[each] = hang && each % 10 != 0;
       }
     }
-    if (chance(0.02)) {
+    if (withProbability(0.02)) {
       gateways.get(random.nextInt(gateways.size())).restart();
     }
     long pause = setting == Setting.SMALL || setting == Setting.LOSSY ? 1500 * MS : 300 * MS;
@@ -310,10 +310,10 @@
   }
 
   private void leaderChanges() {
-    formerLeader = chance(0.4) ? leader : -1;
-    leader = chance(0.15) ? -1 : random.nextInt(gateways.size());
+    formerLeader = withProbability(0.4) ? leader : -1;
+    leader = withProbability(0.15) ? -1 : random.nextInt(gateways.size());
     if (leader >= 0) {
-      term += chance(0.1) ? 0 : 1 + random.nextInt(3);
+      term += withProbability(0.1) ? 0 : 1 + random.nextInt(3);
       gateways.get(leader).believedTerm = term;
     }
     actions.record("leader", leader, formerLeader, term);
