--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -4,65 +4,73 @@
 import java.util.TreeMap;
 
 /**
- * The task of filling what viewers will ask for into caches that have just started: when, and how
- * many at a time. Which, and whether a cache bears it, the gateway's decisions say for each.
+ * The task of prefetching recent objects into endpoints that are warming up: when, and how many
+ * requests at a time. Which objects, and whether an endpoint has budget for one, the router decides
+ * for each request.
  *
- * <p>Bounds: {@value #MOST} caches that are cold at a time, {@value #MOST_OUT} GETs out, {@value
- * #A_TICK} asks a tick.
+ * <p>Bounds: {@value #MAX_ENDPOINTS} endpoints, {@value #MAX_IN_FLIGHT} requests in flight, {@value
+ * #MAX_PER_TICK} started a tick.
  */
 public final class CachePrefetch {
+  /** The task's name. */
   public static final String TASK = "warm";
-  private static final int MOST = 64, MOST_OUT = 8, A_TICK = 64;
-  private static final long MS = 1_000_000, REST = 250 * MS;
 
-  private final Map<String, Long> coldUntil = new TreeMap<>();
-  private int out, asked;
-  private long restUntil;
+  private static final int MAX_ENDPOINTS = 64;
+  private static final int MAX_IN_FLIGHT = 8;
+  private static final int MAX_PER_TICK = 64;
+  private static final long MS = 1_000_000;
+  private static final long PAUSE_BETWEEN_PASSES_NANOS = 250 * MS;
 
-  /** A cache has just started, and bears less than all until this time. */
-  public void endpointWarmingUp(long now, String cache, long until) {
-    coldUntil.values().removeIf(one -> one <= now);
-    if (coldUntil.size() < MOST || coldUntil.containsKey(cache)) {
-      coldUntil.put(cache, until);
+  private final Map<String, Long> warmingUpUntilNanos = new TreeMap<>();
+  private int inFlight;
+  private int startedInTick;
+  private long pausedUntilNanos;
+
+  /** An endpoint is in slow start until a time. */
+  public void endpointWarmingUp(long nowNanos, String endpoint, long untilNanos) {
+    warmingUpUntilNanos.values().removeIf(until -> until <= nowNanos);
+    if (warmingUpUntilNanos.size() < MAX_ENDPOINTS || warmingUpUntilNanos.containsKey(endpoint)) {
+      warmingUpUntilNanos.put(endpoint, untilNanos);
     }
   }
 
-  /** So many more may be asked for before the next tick. */
+  /** Begins a tick: as many requests as one tick allows may be started. */
   public void tick() {
-    asked = 0;
+    startedInTick = 0;
   }
 
-  /** Whether one more is to be asked for now; it counts as out until {@link #requestEnded}. */
-  public boolean tryStartRequest(long now) {
-    boolean may =
-        now >= restUntil
-            && asked < A_TICK
-            && out < MOST_OUT
-            && coldUntil.values().stream().anyMatch(until -> until > now);
-    if (may) {
-      asked++;
-      out++;
+  /** Whether one more request is to be made now; it is in flight until {@link #requestEnded}. */
+  public boolean tryStartRequest(long nowNanos) {
+    boolean started =
+        nowNanos >= pausedUntilNanos
+            && startedInTick < MAX_PER_TICK
+            && inFlight < MAX_IN_FLIGHT
+            && hasWarmingUpEndpoint(nowNanos);
+    if (started) {
+      startedInTick++;
+      inFlight++;
     }
-    return may;
+    return started;
   }
 
+  /** A request has ended. */
   public void requestEnded() {
-    out--;
+    inFlight--;
   }
 
-  /** There was nothing left to ask for: all is gone through again after a rest. */
-  public void passEnded(long now) {
-    out--;
-    restUntil = now + REST;
+  /** All recent objects have had their turn, and no request was made; the next pass is later. */
+  public void passEnded(long nowNanos) {
+    inFlight--;
+    pausedUntilNanos = nowNanos + PAUSE_BETWEEN_PASSES_NANOS;
   }
 
-  /** Whether nothing is out: the task may be handed over. */
+  /** Whether no request is in flight: the task may be handed over. */
   public boolean isIdle() {
-    return out == 0;
+    return inFlight == 0;
   }
 
-  /** Whether any cache is known to be cold. */
-  public boolean hasWarmingUpEndpoint(long now) {
-    return coldUntil.values().stream().anyMatch(until -> until > now);
+  /** Whether any endpoint is known to be warming up. */
+  public boolean hasWarmingUpEndpoint(long nowNanos) {
+    return warmingUpUntilNanos.values().stream().anyMatch(until -> until > nowNanos);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -8,82 +8,101 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * The task of taking purges' keys out of a registry that are past their retention: which, and when
- * to look. Bounds: {@value #MOST} keys at a time; one entry for each purge that the registry holds.
+ * The task of deleting purges past their retention from the registry: which, and when to look.
+ *
+ * <p>Bounds: {@value #MAX_DELETED} keys at a time; one remembered entry for each purge in the
+ * registry.
  */
 public final class PurgeRetention {
+  /** The task's name. */
   public static final String TASK = "sweep";
-  private static final int MOST = 31;
-  private static final long MS = 1_000_000, LONGEST_STEP_MILLIS = 3_600_000;
 
-  /** One key as it was written, and since when it is known to be there. */
-  private record Seen(long changed, long since) {}
+  private static final int MAX_DELETED = 31;
+  private static final long MS = 1_000_000;
 
-  private final long retention, every;
-  private Map<String, Seen> seen = Map.of();
-  private long due;
-  private boolean out;
+  /** By how much a wall clock may be wrong, to either side. */
+  private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
-  /** Keys that are older than the retention go; it is looked for them every so often. */
-  public PurgeRetention(long retention, long every) {
-    this.retention = retention;
-    this.every = every;
+  /** A key as it was last written, and since when this process knows it. */
+  private record Observed(long revision, long sinceNanos) {}
+
+  private final long retentionNanos;
+  private final long intervalNanos;
+  private Map<String, Observed> observed = Map.of();
+  private long nextSweepNanos;
+  private boolean sweeping;
+
+  /**
+   * A task that has not looked yet.
+   *
+   * @param retentionNanos how long a purge stays in the registry
+   * @param intervalNanos between two looks
+   */
+  public PurgeRetention(long retentionNanos, long intervalNanos) {
+    this.retentionNanos = retentionNanos;
+    this.intervalNanos = intervalNanos;
   }
 
-  /** Whether it is time to look, and nothing is out. */
-  public boolean isDue(long now) {
-    return !out && now >= due;
+  /** Whether it is time to look, and no sweep is under way. */
+  public boolean isDue(long nowNanos) {
+    return !sweeping && nowNanos >= nextSweepNanos;
   }
 
+  /** A sweep is under way until {@link #sweepEnded}. */
   public void sweepStarted() {
-    out = true;
+    sweeping = true;
   }
 
-  /** More is to be done at once where as many went as may go at a time. */
-  public void sweepEnded(long now, int gone) {
-    out = false;
-    due = gone == MOST ? now : now + every;
+  /** A sweep has ended; the next is due at once where this one has deleted all that it may. */
+  public void sweepEnded(long nowNanos, int deleted) {
+    sweeping = false;
+    nextSweepNanos = deleted == MAX_DELETED ? nowNanos : nowNanos + intervalNanos;
   }
 
   /**
-   * What may go, the oldest first: keys that were there for longer than the retention as this
-   * process saw it, and those whose stamp says so even if its writer's wall clock and this one are
-   * a step off, each to its own side. Guards against a purge that goes while gateways have not
-   * heard of it; owners that follow one another need not wait.
+   * The purges that may be deleted, the oldest first: those that this process has known for longer
+   * than the retention, and those whose timestamp says so even if the wall clocks of writer and
+   * reader are wrong in opposite directions. Guards against deleting a purge that gateways have not
+   * seen yet; a new leader need not wait for the retention again.
    *
-   * @param all what the registry holds
-   * @param now when that had come, by a clock that only goes forward
+   * @param entries all that the registry holds
+   * @param nowNanos when they were read, by the monotonic clock
    * @param wallMillis the wall clock then
    */
-  public List<RegistryEntry> expiredPurges(List<RegistryEntry> all, long now, long wallMillis) {
-    long stampedBefore = wallMillis - retention / MS - 2 * LONGEST_STEP_MILLIS;
-    Map<String, Seen> there = new HashMap<>();
-    for (RegistryEntry one : all) {
-      if (one.value() instanceof RegistryRecord.Purge) {
-        Seen before = seen.get(one.key());
-        there.put(
-            one.key(),
-            before != null && before.changed == one.modRevision()
-                ? before
-                : new Seen(one.modRevision(), now));
+  public List<RegistryEntry> expiredPurges(
+      List<RegistryEntry> entries, long nowNanos, long wallMillis) {
+    long writtenBeforeMillis = wallMillis - retentionNanos / MS - 2 * MAX_CLOCK_STEP_MILLIS;
+    Map<String, Observed> present = new HashMap<>();
+    for (RegistryEntry entry : entries) {
+      if (entry.value() instanceof RegistryRecord.Purge) {
+        Observed known = observed.get(entry.key());
+        present.put(
+            entry.key(),
+            known != null && known.revision == entry.modRevision()
+                ? known
+                : new Observed(entry.modRevision(), nowNanos));
       }
     }
-    seen = there;
-    return all.stream()
+    observed = present;
+    return entries.stream()
         .filter(
-            one ->
-                one.value() instanceof RegistryRecord.Purge purge
-                    && (purge.atMs() < stampedBefore
-                        || now - there.get(one.key()).since > retention))
+            entry ->
+                entry.value() instanceof RegistryRecord.Purge purge
+                    && (purge.atMs() < writtenBeforeMillis
+                        || nowNanos - present.get(entry.key()).sinceNanos > retentionNanos))
         .sorted(Comparator.comparingLong(RegistryEntry::modRevision))
-        .limit(MOST)
+        .limit(MAX_DELETED)
         .toList();
   }
 
-  /** The fence, if it stands there. */
-  public static RegistryEntry findFence(List<RegistryEntry> all, String key) {
-    return all.stream()
-        .filter(one -> one.key().equals(key) && one.value() instanceof RegistryRecord.Task)
+  /**
+   * The task's key, which holds the term that deletions are fenced by.
+   *
+   * @return null where the registry has none
+   */
+  public static RegistryEntry findFence(List<RegistryEntry> entries, String key) {
+    return entries.stream()
+        .filter(entry -> entry.key().equals(key) && entry.value() instanceof RegistryRecord.Task)
         .findFirst()
         .orElse(null);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -6,20 +6,18 @@
 import org.amberpath.leadership.Leadership;
 import org.amberpath.membership.runtime.MembershipService;
 
-/**
- * What viewers will ask for is filled into caches that have just started, by one gateway, by GETs
- * of its own.
- */
+/** Makes the leader's prefetch requests to endpoints that are warming up. */
 final class CachePrefetchTask implements TaskRunner {
-  private final MembershipService company;
-  private final CachePrefetch ahead = new CachePrefetch();
-  private final long act;
+  private final MembershipService membership;
+  private final CachePrefetch prefetch = new CachePrefetch();
+  private final long requestTimeoutNanos;
   private boolean draining;
-  private long made, filled;
+  private long started;
+  private long answered;
 
-  CachePrefetchTask(MembershipService company, long act) {
-    this.company = company;
-    this.act = act;
+  CachePrefetchTask(MembershipService membership, long requestTimeoutNanos) {
+    this.membership = membership;
+    this.requestTimeoutNanos = requestTimeoutNanos;
   }
 
   @Override
@@ -29,47 +27,52 @@
 
   @Override
   public boolean isIdle() {
-    return ahead.isIdle();
+    return prefetch.isIdle();
   }
 
-  void cold(long now, String cache, long until) {
-    ahead.endpointWarmingUp(now, cache, until);
+  void endpointWarmingUp(long nowNanos, String endpoint, long untilNanos) {
+    prefetch.endpointWarmingUp(nowNanos, endpoint, untilNanos);
   }
 
-  void draining() {
+  @Override
+  public void drainStarted() {
     draining = true;
   }
 
   @Override
-  public void tick(long now, Leadership tenure) {
-    ahead.tick();
-    go(tenure);
+  public void tick(long nowNanos, Leadership leadership) {
+    prefetch.tick();
+    startRequests(leadership);
   }
 
-  private void go(Leadership tenure) {
-    long now = company.nowNanos();
-    while (!draining && tenure.isLeaderFor(now, act) && ahead.tryStartRequest(now)) {
-      boolean begun =
-          company
-              .callbacks()
-              .sendSyntheticRequest(
-                  null,
-                  act,
-                  what -> {
-                    filled += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
-                    ahead.requestEnded();
-                    go(tenure);
-                  });
-      if (!begun) {
-        ahead.passEnded(now);
+  private void startRequests(Leadership leadership) {
+    long nowNanos = membership.nowNanos();
+    while (!draining
+        && leadership.isLeaderFor(nowNanos, requestTimeoutNanos)
+        && prefetch.tryStartRequest(nowNanos)) {
+      if (!sendRequest(leadership)) {
+        prefetch.passEnded(nowNanos);
         return;
       }
-      made++;
+      started++;
     }
   }
 
+  private boolean sendRequest(Leadership leadership) {
+    return membership
+        .callbacks()
+        .sendSyntheticRequest(
+            null,
+            requestTimeoutNanos,
+            outcome -> {
+              answered += outcome == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
+              prefetch.requestEnded();
+              startRequests(leadership);
+            });
+  }
+
   @Override
-  public void page(JsonObject to) {
-    to.put("done", filled).put("looked_at", made);
+  public void addStatus(JsonObject status) {
+    status.put("done", answered).put("looked_at", started);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -6,180 +6,209 @@
 import org.amberpath.gateway.FleetCallbacks;
 import org.amberpath.leadership.CandidateOrder;
 import org.amberpath.leadership.HealthCheckCoordinator;
+import org.amberpath.leadership.HealthCheckCoordinator.HealthCheckOutcome;
+import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
+import org.amberpath.leadership.HealthCheckCoordinator.ReportRequest;
 import org.amberpath.leadership.Leadership;
-import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
-import org.amberpath.leadership.runtime.HealthReportCodec.Word;
+import org.amberpath.leadership.runtime.TaskMessage.Kind;
 import org.amberpath.membership.runtime.MembershipService;
 import org.amberpath.routing.EndpointHealthStatus;
 
-/** Caches that were set aside are tried by one gateway, by GETs of its own; the others are told. */
+/** Makes the leader's health checks, and carries requests and reports between gateways. */
 final class HealthCheckTask implements TaskRunner {
-  private final MembershipService company;
-  private final HealthCheckCoordinator trials = new HealthCheckCoordinator();
+  private static final String TASK = HealthCheckCoordinator.TASK;
 
-  /** How long a trial may take: it is over before another owner may begin. */
-  private final long act;
+  private final MembershipService membership;
+  private final HealthCheckCoordinator coordinator = new HealthCheckCoordinator();
 
-  private boolean forAll, draining;
-  private long made, answered, words, refused;
+  /** How long a health check may take: it has ended before another gateway may lead. */
+  private final long checkTimeoutNanos;
 
-  HealthCheckTask(MembershipService company, long act) {
-    this.company = company;
-    this.act = act;
+  private boolean centralized;
+  private boolean draining;
+  private long checksSent;
+  private long checksAnswered;
+  private long reportsAccepted;
+  private long reportsRefused;
+
+  HealthCheckTask(MembershipService membership, long checkTimeoutNanos) {
+    this.membership = membership;
+    this.checkTimeoutNanos = checkTimeoutNanos;
   }
 
   @Override
   public String task() {
-    return HealthCheckCoordinator.TASK;
+    return TASK;
   }
 
   @Override
   public boolean isIdle() {
-    return trials.isIdle();
+    return coordinator.isIdle();
   }
 
-  void health(long now, String cache, EndpointHealthStatus health) {
-    if (!HealthReportCodec.fits(cache)) {
+  /** The router's opinion of an endpoint has changed, or a suspect one has responded. */
+  void endpointHealthChanged(long nowNanos, String endpoint, EndpointHealthStatus status) {
+    if (!HealthReportCodec.isValidName(endpoint)) {
       return;
     }
-    String owner =
-        health == EndpointHealthStatus.RESPONSIVE ? trials.endpointResponded(now, cache) : "";
-    if (!owner.isEmpty()) {
-      Map<String, HealthCheckCoordinator.HealthReport> said =
-          Map.of(cache, new HealthCheckCoordinator.HealthReport(true, 0));
-      company.sendMessage(
-          owner,
-          HealthReportCodec.write(new Word(Kind.HEARD, HealthCheckCoordinator.TASK, 0, 0, said)));
+    if (status == EndpointHealthStatus.RESPONSIVE) {
+      String leader = coordinator.endpointResponded(nowNanos, endpoint);
+      if (!leader.isEmpty()) {
+        Map<String, HealthReport> responsive = Map.of(endpoint, new HealthReport(true, 0));
+        send(leader, new TaskMessage(Kind.RESPONSIVE, TASK, 0, 0, responsive));
+      }
     }
-    trials.healthChanged(now, cache, health != EndpointHealthStatus.SUSPECT);
+    coordinator.healthChanged(nowNanos, endpoint, status != EndpointHealthStatus.SUSPECT);
   }
 
-  void draining() {
+  @Override
+  public void drainStarted() {
     draining = true;
   }
 
   @Override
-  public void tick(long now, Leadership tenure) {
-    boolean own = tenure.isLeader(now);
-    List<String> there = company.presentNames();
-    HealthCheckCoordinator.ReportRequest ask =
-        trials.nextReportRequest(
-            now,
-            there.size(),
-            () ->
-                CandidateOrder.order(HealthCheckCoordinator.TASK, there).stream()
-                    .filter(one -> !one.equals(company.name()))
-                    .toList(),
-            own);
-    if (ask != null) {
-      company.sendMessage(
-          ask.recipient(),
-          HealthReportCodec.write(
-              Word.ask(HealthCheckCoordinator.TASK, ask.requestedAtNanos(), ask.endpoints())));
+  public void tick(long nowNanos, Leadership leadership) {
+    boolean leading = leadership.isLeader(nowNanos);
+    List<String> present = membership.presentNames();
+    ReportRequest request =
+        coordinator.nextReportRequest(nowNanos, present.size(), () -> candidates(present), leading);
+    if (request != null) {
+      send(
+          request.recipient(),
+          TaskMessage.request(TASK, request.requestedAtNanos(), request.endpoints()));
     }
-    if (own && !draining) {
-      trials.dueHealthChecks(now).forEach(cache -> attempt(cache, tenure));
-      Map<String, HealthCheckCoordinator.HealthReport> news = trials.broadcastReport(now);
-      if (!news.isEmpty()) {
-        byte[] word =
-            HealthReportCodec.write(
-                new Word(Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), 0, news));
-        trials.broadcastRecipients(now, there).forEach(one -> tellNews(one, word, news));
-      }
-    } else if (!own) {
-      trials.leadershipLost();
+    if (!leading) {
+      coordinator.leadershipLost();
+    } else if (!draining) {
+      sendDueChecks(nowNanos, leadership);
+      broadcast(nowNanos, present, leadership.term());
     }
-    tell(trials.isCentralized(now, own));
+    setCentralized(coordinator.isCentralized(nowNanos, leading));
   }
 
-  private void tellNews(
-      String to, byte[] word, Map<String, HealthCheckCoordinator.HealthReport> news) {
-    if (to.equals(company.name())) {
-      news.forEach(
-          (cache, said) ->
-              company.callbacks().healthCheckReported(cache, said.responded(), said.ageNanos()));
-    } else {
-      company.sendMessage(to, word);
+  private List<String> candidates(List<String> present) {
+    return CandidateOrder.order(TASK, present).stream()
+        .filter(name -> !name.equals(membership.name()))
+        .toList();
+  }
+
+  private void broadcast(long nowNanos, List<String> present, long term) {
+    Map<String, HealthReport> reports = coordinator.broadcastReport(nowNanos);
+    if (reports.isEmpty()) {
+      return;
     }
+    byte[] message = HealthReportCodec.encode(new TaskMessage(Kind.REPORT, TASK, term, 0, reports));
+    for (String recipient : coordinator.broadcastRecipients(nowNanos, present)) {
+      if (recipient.equals(membership.name())) {
+        reportToRouter(reports);
+      } else {
+        membership.sendMessage(recipient, message);
+      }
+    }
+  }
+
+  private void reportToRouter(Map<String, HealthReport> reports) {
+    FleetCallbacks callbacks = membership.callbacks();
+    reports.forEach(
+        (endpoint, report) ->
+            callbacks.healthCheckReported(endpoint, report.responded(), report.ageNanos()));
   }
 
-  private void tell(boolean now) {
-    if (now != forAll) {
-      forAll = now;
-      company.callbacks().healthChecksCentralized(now);
+  private void setCentralized(boolean now) {
+    if (now != centralized) {
+      centralized = now;
+      membership.callbacks().healthChecksCentralized(now);
     }
   }
 
-  private void attempt(String cache, Leadership tenure) {
-    // Looked at in the moment of sending; what leaves is over, at the cache too, before another may
-    // own the task.
-    if (!tenure.isLeaderFor(company.nowNanos(), act)
-        || !company
+  private void sendDueChecks(long nowNanos, Leadership leadership) {
+    coordinator
+        .dueHealthChecks(nowNanos)
+        .forEach(
+            endpoint -> {
+              if (sendCheck(endpoint, leadership)) {
+                checksSent++;
+              } else {
+                coordinator.healthCheckEnded(
+                    membership.nowNanos(), endpoint, HealthCheckOutcome.NOT_SENT);
+              }
+            });
+  }
+
+  /**
+   * Sends a health check; false where none was sent. Leadership is checked again in this moment, so
+   * that a check has ended, at the endpoint too, before another gateway may lead.
+   */
+  private boolean sendCheck(String endpoint, Leadership leadership) {
+    return leadership.isLeaderFor(membership.nowNanos(), checkTimeoutNanos)
+        && membership
             .callbacks()
             .sendSyntheticRequest(
-                cache,
-                act,
-                what -> {
-                  answered += what == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
-                  trials.healthCheckEnded(
-                      company.nowNanos(),
-                      cache,
-                      HealthCheckCoordinator.HealthCheckOutcome.valueOf(what.name()));
-                })) {
-      trials.healthCheckEnded(
-          company.nowNanos(), cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
-    } else {
-      made++;
-    }
+                endpoint, checkTimeoutNanos, outcome -> checkEnded(endpoint, outcome));
+  }
+
+  private void checkEnded(String endpoint, FleetCallbacks.SyntheticOutcome outcome) {
+    checksAnswered += outcome == FleetCallbacks.SyntheticOutcome.ANSWERED ? 1 : 0;
+    coordinator.healthCheckEnded(
+        membership.nowNanos(),
+        endpoint,
+        switch (outcome) {
+          case ANSWERED -> HealthCheckOutcome.ANSWERED;
+          case SILENT -> HealthCheckOutcome.SILENT;
+          case NOT_SENT -> HealthCheckOutcome.NOT_SENT;
+        });
   }
 
-  /** A letter from another gateway. */
-  void letter(long now, String from, Word word, Leadership tenure) {
-    switch (word.kind()) {
-      case ASK -> {
-        if (tenure.isLeader(now) && !draining) {
-          Map<String, HealthCheckCoordinator.HealthReport> said =
-              trials.reportRequested(now, from, word.names());
-          company.sendMessage(
+  /** A message of this task from another gateway. */
+  void messageReceived(long nowNanos, String from, TaskMessage message, Leadership leadership) {
+    switch (message.kind()) {
+      case REQUEST -> {
+        if (leadership.isLeader(nowNanos) && !draining) {
+          Map<String, HealthReport> reports =
+              coordinator.reportRequested(nowNanos, from, message.endpoints());
+          send(
               from,
-              HealthReportCodec.write(
-                  new Word(
-                      Kind.WORD, HealthCheckCoordinator.TASK, tenure.term(), word.stamp(), said)));
-          trials.dueHealthChecks(now).forEach(cache -> attempt(cache, tenure));
+              new TaskMessage(
+                  Kind.REPORT, TASK, leadership.term(), message.requestNanos(), reports));
+          sendDueChecks(nowNanos, leadership);
         }
       }
-      case HEARD -> {
-        if (tenure.isLeader(now)) {
-          trials.endpointsResponsive(now, word.names());
-        }
-      }
-      case WORD -> {
-        Map<String, HealthCheckCoordinator.HealthReport> said =
-            trials.reportReceived(now, from, word.term(), word.stamp(), word.caches());
-        if (said == null) {
-          refused++;
-          company.sendMessage(
-              from,
-              HealthReportCodec.write(
-                  Word.of(Kind.OUTRANKED, HealthCheckCoordinator.TASK, trials.highestTerm())));
-        } else {
-          words++;
-          tell(trials.isCentralized(now, tenure.isLeader(now)));
-          said.forEach(
-              (cache, one) ->
-                  company.callbacks().healthCheckReported(cache, one.responded(), one.ageNanos()));
+      case RESPONSIVE -> {
+        if (leadership.isLeader(nowNanos)) {
+          coordinator.endpointsResponsive(nowNanos, message.endpoints());
         }
       }
+      case REPORT -> reportReceived(nowNanos, from, message, leadership);
       default -> {}
     }
   }
 
+  private void reportReceived(
+      long nowNanos, String from, TaskMessage message, Leadership leadership) {
+    Map<String, HealthReport> accepted =
+        coordinator.reportReceived(
+            nowNanos, from, message.term(), message.requestNanos(), message.reports());
+    if (accepted == null) {
+      reportsRefused++;
+      send(from, TaskMessage.of(Kind.HIGHER_TERM_SEEN, TASK, coordinator.highestTerm()));
+      return;
+    }
+    reportsAccepted++;
+    setCentralized(coordinator.isCentralized(nowNanos, leadership.isLeader(nowNanos)));
+    reportToRouter(accepted);
+  }
+
+  private void send(String recipient, TaskMessage message) {
+    membership.sendMessage(recipient, HealthReportCodec.encode(message));
+  }
+
   @Override
-  public void page(JsonObject to) {
-    to.put("done", made)
-        .put("answered", answered)
-        .put("words", words)
-        .put("refused", refused)
-        .put("for_all", forAll);
+  public void addStatus(JsonObject status) {
+    status
+        .put("done", checksSent)
+        .put("answered", checksAnswered)
+        .put("words", reportsAccepted)
+        .put("refused", reportsRefused)
+        .put("for_all", centralized);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
@@ -2,9 +2,8 @@
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
-import java.util.ArrayList;
-import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 import org.msgpack.core.MessageBufferPacker;
@@ -12,103 +11,76 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/**
- * What gateways tell one another of tasks, besides votes, as letters: MessagePack values one after
- * another.
- */
+/** A {@link TaskMessage} as bytes: MessagePack values one after another, the version first. */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
 final class HealthReportCodec {
-  /**
-   * ASK: which caches are to be tried. HEARD: which answer. WORD: what came of their trials.
-   * OUTRANKED: a higher term was seen. STOPPED: the owner of a term does nothing more under it.
-   */
-  enum Kind {
-    ASK,
-    HEARD,
-    WORD,
-    OUTRANKED,
-    STOPPED
-  }
-
-  /**
-   * Of ASK: stamp and caches. Of WORD: term, what came of the trials of each, and the stamp that it
-   * answers or 0.
-   */
-  record Word(Kind kind, String task, long term, long stamp, Map<String, HealthReport> caches) {
-    static Word of(Kind kind, String task, long term) {
-      return new Word(kind, task, term, 0, Map.of());
-    }
-
-    static Word ask(String task, long stamp, List<String> caches) {
-      Map<String, HealthReport> asked = new TreeMap<>();
-      caches.forEach(cache -> asked.put(cache, new HealthReport(false, -1)));
-      return new Word(Kind.ASK, task, 0, stamp, asked);
-    }
-
-    List<String> names() {
-      return new ArrayList<>(caches.keySet());
-    }
-  }
-
-  /** Votes are of another number, so that neither is taken for the other. */
-  private static final int VERSION = 101, MOST = 16, LONGEST_NAME = 64;
+  /** Differs from the version of lease messages, so that neither is decoded as the other. */
+  private static final int VERSION = 101;
 
-  private static final Kind[] KINDS = Kind.values();
+  private static final int MAX_REPORTS = 16;
+  private static final int MAX_NAME_LENGTH = 64;
+  private static final TaskMessage.Kind[] KINDS = TaskMessage.Kind.values();
 
   private HealthReportCodec() {}
 
-  /** Whether a cache's name fits into a letter. */
-  static boolean fits(String cache) {
-    return cache.length() <= LONGEST_NAME && cache.matches("[\\x21-\\x7e]+");
+  /** Whether an endpoint's name is valid in a message. */
+  static boolean isValidName(String endpoint) {
+    return endpoint.length() <= MAX_NAME_LENGTH && endpoint.matches("[\\x21-\\x7e]+");
   }
 
-  static byte[] write(Word word) {
-    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION)
-          .packInt(word.kind.ordinal())
-          .packString(word.task)
-          .packLong(word.term)
-          .packLong(word.stamp)
-          .packArrayHeader(word.caches.size());
-      for (Map.Entry<String, HealthReport> one : word.caches.entrySet()) {
-        out.packString(one.getKey())
-            .packBoolean(one.getValue().responded())
-            .packLong(one.getValue().ageNanos());
+  static byte[] encode(TaskMessage message) {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer
+          .packInt(VERSION)
+          .packInt(message.kind().ordinal())
+          .packString(message.task())
+          .packLong(message.term())
+          .packLong(message.requestNanos())
+          .packArrayHeader(message.reports().size());
+      for (Map.Entry<String, HealthReport> report : message.reports().entrySet()) {
+        packer
+            .packString(report.getKey())
+            .packBoolean(report.getValue().responded())
+            .packLong(report.getValue().ageNanos());
       }
-      return out.toByteArray();
+      return packer.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** Null where it can't be read. */
-  static Word read(byte[] body) {
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
-      int version = in.unpackInt(), kind = in.unpackInt();
-      String task = in.unpackString();
-      long term = in.unpackLong(), stamp = in.unpackLong();
-      int many = in.unpackArrayHeader();
+  /** The message in these bytes; empty where there is none of this version, or an invalid one. */
+  static Optional<TaskMessage> decode(byte[] bytes) {
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
+      int version = unpacker.unpackInt();
+      int kind = unpacker.unpackInt();
+      String task = unpacker.unpackString();
+      long term = unpacker.unpackLong();
+      long requestNanos = unpacker.unpackLong();
+      int count = unpacker.unpackArrayHeader();
       if (version != VERSION
           || kind < 0
           || kind >= KINDS.length
-          || !task.matches(LeaseMessageCodec.TASK)
-          || !LeaseMessageCodec.isNumber(term)
-          || many > MOST) {
-        return null;
+          || !task.matches(LeaseMessageCodec.TASK_PATTERN)
+          || !LeaseMessageCodec.isValidNumber(term)
+          || count > MAX_REPORTS) {
+        return Optional.empty();
       }
-      Map<String, HealthReport> caches = new TreeMap<>();
-      for (int one = 0; one < many; one++) {
-        String cache = in.unpackString();
-        boolean answers = in.unpackBoolean();
-        long ago = in.unpackLong();
-        if (!fits(cache) || ago < -1) {
-          return null;
+      Map<String, HealthReport> reports = new TreeMap<>();
+      for (int index = 0; index < count; index++) {
+        String endpoint = unpacker.unpackString();
+        boolean responded = unpacker.unpackBoolean();
+        long ageNanos = unpacker.unpackLong();
+        if (!isValidName(endpoint) || ageNanos < -1) {
+          return Optional.empty();
         }
-        caches.put(cache, new HealthReport(answers, ago));
+        reports.put(endpoint, new HealthReport(responded, ageNanos));
       }
-      return in.hasNext() ? null : new Word(KINDS[kind], task, term, stamp, caches);
+      return unpacker.hasNext()
+          ? Optional.empty()
+          : Optional.of(new TaskMessage(KINDS[kind], task, term, requestNanos, reports));
     } catch (IOException | MessagePackException e) {
-      return null;
+      return Optional.empty();
     }
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -6,279 +6,212 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.logging.Logger;
+import java.util.Optional;
 import org.amberpath.leadership.CandidateOrder;
 import org.amberpath.leadership.Leadership;
-import org.amberpath.leadership.LeaseAcceptor;
 import org.amberpath.leadership.LeaseMessage;
-import org.amberpath.leadership.QuorumLeadership;
-import org.amberpath.leadership.VoterConfiguration;
-import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
-import org.amberpath.leadership.runtime.HealthReportCodec.Word;
+import org.amberpath.leadership.runtime.TaskMessage.Kind;
 import org.amberpath.membership.runtime.FleetMessageHandler;
 import org.amberpath.membership.runtime.MembershipService;
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Owns tasks of the fleet, by votes that go as letters between gateways or by leases in the
- * registry, votes if it is one of the electorate, and carries out what it owns. Bounds: three
- * tasks.
+ * Stands for election to the configured tasks, by votes ({@link QuorumVoting}) or by leases in the
+ * registry ({@link RegistryLeaseClient}), and runs those that it leads. At most three tasks. Called
+ * on the gateway's event loop.
  */
 public final class LeadershipService implements FleetMessageHandler {
-  private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
+  /** So many candidates, the first in order, are told that a leader has stopped. */
+  private static final int MAX_SUCCESSORS = 4;
 
-  /** Who is told first that an owner has stopped. */
-  private static final int HEIRS = 4;
-
-  /** What is left of the wait of a new owner for a message's way: an act takes the rest at most. */
-  private static final long ON_THE_WAY = 100_000_000;
+  /** What a message may travel; a new leader's wait, less this, is how long an action may take. */
+  private static final long MESSAGE_TRAVEL_NANOS = 100_000_000;
 
   private final Vertx vertx;
-  private final LeadershipSettings access;
-  private final MembershipService company;
-  private final Map<String, OwnedTask> posts = new LinkedHashMap<>();
-  private VoterConfiguration electorate;
-  private LeaseAcceptor voter;
-  private RegistryLeaseClient leases;
-  private HealthCheckTask trials;
-  private CachePrefetchTask ahead;
+  private final LeadershipSettings settings;
+  private final MembershipService membership;
+  private final Map<String, OwnedTask> tasks = new LinkedHashMap<>();
+
+  /** One of these is set once the membership has started, by which decides. */
+  private Optional<QuorumVoting> voting = Optional.empty();
+
+  private Optional<RegistryLeaseClient> leases = Optional.empty();
+  private Optional<HealthCheckTask> healthChecks = Optional.empty();
+  private Optional<CachePrefetchTask> prefetch = Optional.empty();
   private boolean draining;
 
-  public LeadershipService(Vertx vertx, LeadershipSettings access, MembershipService company) {
+  /** A service that begins with {@link #membershipStarted}. */
+  public LeadershipService(Vertx vertx, LeadershipSettings settings, MembershipService membership) {
     this.vertx = vertx;
-    this.access = access;
-    this.company = company;
-    electorate = access.voters();
+    this.settings = settings;
+    this.membership = membership;
   }
 
   @Override
-  public void membershipStarted(long now) {
-    if (electorate != null && electorate.allVoters().contains(company.name())) {
-      voter = new LeaseAcceptor(access.timings(), now);
-    }
-    leases =
-        access.leaseRegistry() == null
-            ? null
-            : new RegistryLeaseClient(vertx, access.leaseRegistry(), access.timings(), company);
-    long act = access.timings().settleNanos() - ON_THE_WAY;
-    if (access.purgeRegistry() != null) {
-      post(
-          now,
+  public void membershipStarted(long nowNanos) {
+    if (settings.voters() != null) {
+      voting =
+          Optional.of(new QuorumVoting(vertx, membership, settings, this::logTransition, nowNanos));
+    }
+    if (settings.leaseRegistry() != null) {
+      leases =
+          Optional.of(
+              new RegistryLeaseClient(
+                  vertx, settings.leaseRegistry(), settings.timings(), membership));
+    }
+    long maxActionNanos = settings.timings().settleNanos() - MESSAGE_TRAVEL_NANOS;
+    if (settings.purgeRegistry() != null) {
+      add(
+          nowNanos,
           new PurgeRetentionTask(
-              vertx, company, access.purgeRegistry(), access.purgeSweepIntervalNanos()));
+              vertx, membership, settings.purgeRegistry(), settings.purgeSweepIntervalNanos()));
     }
-    if (access.healthChecks()) {
-      trials = new HealthCheckTask(company, act);
-      post(now, trials);
+    if (settings.healthChecks()) {
+      healthChecks = Optional.of(new HealthCheckTask(membership, maxActionNanos));
+      add(nowNanos, healthChecks.get());
     }
-    if (access.prefetch()) {
-      ahead = new CachePrefetchTask(company, act);
-      post(now, ahead);
+    if (settings.prefetch()) {
+      prefetch = Optional.of(new CachePrefetchTask(membership, maxActionNanos));
+      add(nowNanos, prefetch.get());
     }
   }
 
-  private void post(long now, TaskRunner work) {
-    Leadership tenure =
-        leases != null
-            ? leases.tenure(work.task())
-            : new QuorumLeadership(
-                access.timings(), work.task(), electorate, this::send, company.seed(), now);
-    posts.put(work.task(), new OwnedTask(company.name(), work, tenure));
+  private void add(long nowNanos, TaskRunner runner) {
+    Leadership leadership =
+        leases
+            .map(client -> client.leadership(runner.task()))
+            .orElseGet(() -> voting.orElseThrow().leadership(runner.task(), nowNanos));
+    tasks.put(runner.task(), new OwnedTask(membership.name(), runner, leadership));
   }
 
-  // ---- Letters.
+  // ---- Messages.
 
-  private void send(String to, LeaseMessage vote) {
-    if (to.equals(company.name())) {
-      vertx.runOnContext(
-          turn -> vote(company.nowNanos(), to, vote)); // Its own voter is asked as any other.
+  @Override
+  public void messageReceived(long nowNanos, String from, byte[] body) {
+    Optional<LeaseMessage> leaseMessage = LeaseMessageCodec.decode(body);
+    if (leaseMessage.isPresent()) {
+      voting.ifPresent(quorum -> quorum.messageReceived(nowNanos, from, leaseMessage.get()));
     } else {
-      company.sendMessage(to, LeaseMessageCodec.write(vote));
+      HealthReportCodec.decode(body)
+          .ifPresent(message -> taskMessageReceived(nowNanos, from, message));
     }
   }
 
-  @Override
-  public void messageReceived(long now, String from, byte[] body) {
-    LeaseMessage vote = LeaseMessageCodec.read(body);
-    Word word = vote == null ? HealthReportCodec.read(body) : null;
-    if (vote != null) {
-      vote(now, from, vote);
-    } else if (word != null && posts.containsKey(word.task())) {
-      word(now, from, word, posts.get(word.task()));
+  private void taskMessageReceived(long nowNanos, String from, TaskMessage message) {
+    OwnedTask task = tasks.get(message.task());
+    if (task == null) {
+      return;
     }
-  }
-
-  private void vote(long now, String from, LeaseMessage vote) {
-    switch (vote.kind()) {
-      case PREPARE, PROPOSE, RELEASE -> {
-        LeaseMessage answer = voter == null ? null : voter.messageReceived(now, from, vote);
-        if (answer != null) {
-          send(from, answer);
-        }
-      }
-      default -> {
-        OwnedTask post = posts.get(vote.task());
-        if (post != null && post.tenure instanceof QuorumLeadership voted) {
-          voted.responseReceived(now, from, vote);
-          post.told();
-        }
-      }
+    switch (message.kind()) {
+      case HIGHER_TERM_SEEN -> task.leadership().higherTermSeen(nowNanos, message.term());
+      case STOPPED -> task.leadership().predecessorStopped(nowNanos, message.term());
+      default ->
+          healthChecks.ifPresent(
+              checks -> checks.messageReceived(nowNanos, from, message, task.leadership()));
     }
+    task.logTransition();
   }
 
-  private void word(long now, String from, Word word, OwnedTask post) {
-    switch (word.kind()) {
-      case OUTRANKED -> post.tenure.higherTermSeen(now, word.term());
-      case STOPPED -> post.tenure.predecessorStopped(now, word.term());
-      default -> {
-        if (trials != null) {
-          trials.letter(now, from, word, post.tenure);
-        }
-      }
+  private void logTransition(String task) {
+    OwnedTask changed = tasks.get(task);
+    if (changed != null) {
+      changed.logTransition();
     }
-    post.told();
   }
 
-  // ---- What the gateway tells.
+  // ---- The gateway's events.
 
   @Override
-  public void tick(long now) {
-    List<String> there = company.presentNames();
-    for (OwnedTask post : posts.values()) {
-      if (post.tenure instanceof QuorumLeadership voted) {
-        voted.wallClockRead(System.currentTimeMillis());
-        voted.place(CandidateOrder.place(post.work.task(), company.name(), there));
+  public void tick(long nowNanos) {
+    for (OwnedTask task : tasks.values()) {
+      if (leases.isEmpty()) {
+        voting.ifPresent(quorum -> quorum.updateCandidate(task.name()));
       }
-      post.tick(now);
+      task.tick(nowNanos);
       if (draining) {
-        handOver(now, post);
+        handOver(nowNanos, task);
       }
     }
-    if (leases != null) {
-      leases.tick(now);
-    }
+    leases.ifPresent(client -> client.tick(nowNanos));
   }
 
   @Override
-  public void endpointHealthChanged(long now, String cache, EndpointHealthStatus health) {
-    if (trials != null) {
-      trials.health(now, cache, health);
-    }
+  public void endpointHealthChanged(
+      long nowNanos, String endpoint, EndpointHealthStatus healthStatus) {
+    healthChecks.ifPresent(
+        checks -> checks.endpointHealthChanged(nowNanos, endpoint, healthStatus));
   }
 
   @Override
-  public void endpointWarmingUp(long now, String cache, long until) {
-    if (ahead != null) {
-      ahead.cold(now, cache, until);
-    }
+  public void endpointWarmingUp(long nowNanos, String endpoint, long untilNanos) {
+    prefetch.ifPresent(task -> task.endpointWarmingUp(nowNanos, endpoint, untilNanos));
   }
 
-  /**
-   * Who votes may have changed: to the next stage of the list and no further. What can't be read
-   * changes nothing.
-   */
   @Override
   public void settingsReloaded() {
-    if (electorate == null) {
-      return;
-    }
-    vertx
-        .executeBlocking(access.reloadVoters()::get)
-        .onSuccess(
-            next -> {
-              if (next.equals(electorate)) {
-                return;
-              }
-              if (!next.follows(electorate)) {
-                LOG.warning(
-                    company.name()
-                        + ": owner: the voters stay "
-                        + electorate.allVoters()
-                        + ": from one list to another"
-                        + " only by way of next-voters");
-                return;
-              }
-              long now = company.nowNanos();
-              electorate = next;
-              boolean votes = next.allVoters().contains(company.name());
-              voter =
-                  !votes ? null : voter == null ? new LeaseAcceptor(access.timings(), now) : voter;
-              posts.values().forEach(post -> ((QuorumLeadership) post.tenure).updateVoters(next));
-              LOG.info(
-                  company.name() + ": owner: voters " + next.current() + ", next " + next.next());
-            })
-        .onFailure(
-            e -> LOG.warning(company.name() + ": owner: the voters stay: " + e.getMessage()));
+    voting.ifPresent(QuorumVoting::reload);
   }
 
-  /** Nothing more is begun; each task is handed over once nothing of it is under way. */
   @Override
-  public void drainStarted(long now) {
+  public void drainStarted(long nowNanos) {
     draining = true;
-    if (trials != null) {
-      trials.draining();
-    }
-    if (ahead != null) {
-      ahead.draining();
+    for (OwnedTask task : tasks.values()) {
+      task.runner().drainStarted();
     }
-    posts.values().forEach(post -> handOver(now, post));
+    tasks.values().forEach(task -> handOver(nowNanos, task));
   }
 
-  private void handOver(long now, OwnedTask post) {
-    if (post.tenure.state() == Leadership.State.RESIGNED) {
+  /** Resigns from a task once nothing of it is in flight, and tells the next in order. */
+  private void handOver(long nowNanos, OwnedTask task) {
+    Leadership leadership = task.leadership();
+    if (leadership.state() == Leadership.State.RESIGNED || !task.runner().isIdle()) {
       return;
     }
-    if (post.work.isIdle()) {
-      boolean held = post.tenure.isLeader(now);
-      long term = post.tenure.term();
-      post.tenure.resign(now);
-      if (held) {
-        // The first in line take over; whoever else tries waits as after a loss.
-        byte[] word = HealthReportCodec.write(Word.of(Kind.STOPPED, post.work.task(), term));
-        CandidateOrder.order(post.work.task(), company.presentNames()).stream()
-            .filter(one -> !one.equals(company.name()))
-            .limit(HEIRS)
-            .forEach(one -> company.sendMessage(one, word));
-      }
-      post.told();
+    boolean led = leadership.isLeader(nowNanos);
+    long term = leadership.term();
+    leadership.resign(nowNanos);
+    if (led) {
+      byte[] stopped = HealthReportCodec.encode(TaskMessage.of(Kind.STOPPED, task.name(), term));
+      CandidateOrder.order(task.name(), membership.presentNames()).stream()
+          .filter(name -> !name.equals(membership.name()))
+          .limit(MAX_SUCCESSORS)
+          .forEach(successor -> membership.sendMessage(successor, stopped));
     }
+    task.logTransition();
   }
 
+  // ---- The operators' requests.
+
   @Override
-  public JsonObject status(long now) {
-    JsonArray tasks = new JsonArray();
-    posts.values().forEach(post -> tasks.add(post.page(now)));
+  public JsonObject status(long nowNanos) {
+    JsonArray taskStatus = new JsonArray();
+    tasks.values().forEach(task -> taskStatus.add(task.status(nowNanos)));
     return new JsonObject()
-        .put("name", company.name())
-        .put("votes", voter != null)
+        .put("name", membership.name())
+        .put("votes", voting.map(QuorumVoting::isVoter).orElse(false))
         .put(
             "voters",
-            new JsonArray(electorate == null ? List.of() : List.copyOf(electorate.allVoters())))
-        .put("tasks", tasks);
+            new JsonArray(voting.map(quorum -> List.copyOf(quorum.voterNames())).orElse(List.of())))
+        .put("tasks", taskStatus);
   }
 
   @Override
-  public boolean release(long now, String name) {
-    OwnedTask post = posts.get(name);
-    boolean held = post != null && post.tenure.isLeader(now);
-    if (held) {
-      post.tenure.release(now);
-      post.told();
+  public boolean release(long nowNanos, String name) {
+    OwnedTask task = tasks.get(name);
+    boolean led = task != null && task.leadership().isLeader(nowNanos);
+    if (led) {
+      task.leadership().release(nowNanos);
+      task.logTransition();
     }
-    return held;
+    return led;
   }
 
   @Override
-  public void close(long now) {
-    posts
-        .values()
-        .forEach(
-            post -> {
-              post.tenure.resign(now);
-              post.work.close();
-            });
-    if (leases != null) {
-      leases.close();
+  public void close(long nowNanos) {
+    for (OwnedTask task : tasks.values()) {
+      task.leadership().resign(nowNanos);
+      task.runner().close();
     }
+    leases.ifPresent(RegistryLeaseClient::close);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
@@ -6,15 +6,16 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * What the operators set of ownership.
+ * The settings of the section {@code [owner]}.
  *
- * @param voters who votes, by the names of gateways; null where the registry says who owns what
- * @param reloadVoters reads who votes anew; it is called off the event loop
- * @param leaseRegistry the registry whose keys say who owns what; null where gateways vote
- * @param purgeRegistry where purges are swept; null where nothing is
- * @param purgeSweepIntervalNanos between two looks for what is to be swept, in nanoseconds
- * @param healthChecks whether caches that were set aside are tried by one for all
- * @param prefetch whether caches that have just started are filled ahead by one
+ * @param voters the configured voters, by gateway name; null where leases in the registry decide
+ * @param reloadVoters reads the voters anew; it is called off the event loop
+ * @param leaseRegistry the registry whose leases decide; null where voters do
+ * @param timings of leases, whichever decides
+ * @param purgeRegistry where purges past their retention are deleted; null for nowhere
+ * @param purgeSweepIntervalNanos between two looks for such purges
+ * @param healthChecks whether one gateway health-checks ejected endpoints for all
+ * @param prefetch whether one gateway prefetches into endpoints that are warming up
  */
 public record LeadershipSettings(
     VoterConfiguration voters,
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -2,57 +2,67 @@
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
+import java.util.Optional;
 import org.amberpath.leadership.LeaseMessage;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** A vote as a letter: MessagePack values one after another, the version first. */
+/** A {@link LeaseMessage} as bytes: MessagePack values one after another, the version first. */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
 final class LeaseMessageCodec {
+  /** Which task names are valid in a message. */
+  static final String TASK_PATTERN = "[a-z-]{1,32}";
+
   private static final int VERSION = 2;
-  static final String TASK = "[a-z-]{1,32}";
   private static final LeaseMessage.Kind[] KINDS = LeaseMessage.Kind.values();
 
   private LeaseMessageCodec() {}
 
-  static byte[] write(LeaseMessage vote) {
-    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packInt(VERSION)
-          .packInt(vote.kind().ordinal())
-          .packString(vote.task())
-          .packLong(vote.ballot())
-          .packLong(vote.other())
-          .packLong(vote.last());
-      return out.toByteArray();
+  static byte[] encode(LeaseMessage message) {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer
+          .packInt(VERSION)
+          .packInt(message.kind().ordinal())
+          .packString(message.task())
+          .packLong(message.ballot())
+          .packLong(message.other())
+          .packLong(message.last());
+      return packer.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  static boolean isNumber(long value) {
+  /** Whether a number is in the range of ballots and terms. */
+  static boolean isValidNumber(long value) {
     return value >= 0 && value <= LeaseMessage.HIGHEST;
   }
 
-  /** Null where it can't be read. */
-  static LeaseMessage read(byte[] body) {
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(body)) {
-      int version = in.unpackInt(), kind = in.unpackInt();
-      String task = in.unpackString();
-      long ballot = in.unpackLong(), other = in.unpackLong(), last = in.unpackLong();
-      boolean good =
+  /** The message in these bytes; empty where there is none of this version, or an invalid one. */
+  static Optional<LeaseMessage> decode(byte[] bytes) {
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
+      int version = unpacker.unpackInt();
+      int kind = unpacker.unpackInt();
+      String task = unpacker.unpackString();
+      long ballot = unpacker.unpackLong();
+      long other = unpacker.unpackLong();
+      long last = unpacker.unpackLong();
+      boolean valid =
           version == VERSION
               && kind >= 0
               && kind < KINDS.length
-              && task.matches(TASK)
-              && isNumber(ballot)
-              && isNumber(other)
-              && isNumber(last)
-              && !in.hasNext();
-      return good ? new LeaseMessage(KINDS[kind], task, ballot, other, last) : null;
+              && task.matches(TASK_PATTERN)
+              && isValidNumber(ballot)
+              && isValidNumber(other)
+              && isValidNumber(last)
+              && !unpacker.hasNext();
+      return valid
+          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, other, last))
+          : Optional.empty();
     } catch (IOException | MessagePackException e) {
-      return null;
+      return Optional.empty();
     }
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -5,56 +5,70 @@
 import java.util.logging.Logger;
 import org.amberpath.leadership.Leadership;
 
-/** One task at one gateway: its tenure, and what is done under it. */
+/** One task at this gateway: its leadership, and what runs under it. */
 final class OwnedTask {
   private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
   private static final long MS = 1_000_000;
 
-  final TaskRunner work;
-  final Leadership tenure;
-  private final String name;
-  private Leadership.State said = Leadership.State.FOLLOWING;
+  private final TaskRunner runner;
+  private final Leadership leadership;
+  private final String gateway;
+  private Leadership.State loggedState = Leadership.State.FOLLOWING;
 
-  OwnedTask(String name, TaskRunner work, Leadership tenure) {
-    this.name = name;
-    this.work = work;
-    this.tenure = tenure;
+  OwnedTask(String gateway, TaskRunner runner, Leadership leadership) {
+    this.gateway = gateway;
+    this.runner = runner;
+    this.leadership = leadership;
   }
 
-  /** Says what has changed. Bounds: no more than a few changes a lease. */
-  void told() {
-    if (tenure.state() != said) {
+  TaskRunner runner() {
+    return runner;
+  }
+
+  Leadership leadership() {
+    return leadership;
+  }
+
+  String name() {
+    return runner.task();
+  }
+
+  /** Logs a change of state; there are no more than a few a lease. */
+  void logTransition() {
+    if (leadership.state() != loggedState) {
       LOG.info(
-          name
-              + ": owner: "
-              + work.task()
-              + " "
-              + said
-              + " -> "
-              + tenure.state()
-              + ", term "
-              + tenure.term());
-      said = tenure.state();
+          gateway
+              + ": leadership: state changed task="
+              + name()
+              + " from="
+              + loggedState
+              + " to="
+              + leadership.state()
+              + " term="
+              + leadership.term());
+      loggedState = leadership.state();
     }
   }
 
-  void tick(long now) {
-    if (now >= tenure.nextTickNanos()) {
-      tenure.tick(now);
+  void tick(long nowNanos) {
+    if (nowNanos >= leadership.nextTickNanos()) {
+      leadership.tick(nowNanos);
     }
-    told();
-    work.tick(now, tenure);
+    logTransition();
+    runner.tick(nowNanos, leadership);
   }
 
-  JsonObject page(long now) {
-    JsonObject page =
+  /** What the admin endpoint shows. */
+  JsonObject status(long nowNanos) {
+    boolean leads = leadership.isLeader(nowNanos);
+    JsonObject status =
         new JsonObject()
-            .put("task", work.task())
-            .put("state", tenure.state().name().toLowerCase(Locale.ROOT))
-            .put("holds", tenure.isLeader(now))
-            .put("term", tenure.term())
-            .put("left_ms", tenure.isLeader(now) ? (tenure.leaseExpiresAtNanos() - now) / MS : 0);
-    work.page(page);
-    return page;
+            .put("task", name())
+            .put("state", leadership.state().name().toLowerCase(Locale.ROOT))
+            .put("holds", leads)
+            .put("term", leadership.term())
+            .put("left_ms", leads ? (leadership.leaseExpiresAtNanos() - nowNanos) / MS : 0);
+    runner.addStatus(status);
+    return status;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
@@ -14,22 +14,25 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * Takes purges' keys that are past their retention out of the registry; each deletion moves the
- * task's fence.
+ * Deletes purges past their retention from the registry. Each deletion writes the task's key in the
+ * same transaction, which fences it: under an older term nothing is deleted.
  */
 final class PurgeRetentionTask implements TaskRunner {
-  private final MembershipService company;
-  private final RegistrySettings access;
+  private final MembershipService membership;
   private final RegistryAdminClient registry;
-  private final PurgeRetention sweep;
-  private long swept, refused, failed;
-  private boolean out;
+  private final PurgeRetention retention;
+  private final String fenceKey;
+  private long deleted;
+  private long refused;
+  private long failed;
+  private boolean sweeping;
 
-  PurgeRetentionTask(Vertx vertx, MembershipService company, RegistrySettings access, long every) {
-    this.company = company;
-    this.access = access;
-    registry = new RegistryAdminClient(vertx, access);
-    sweep = new PurgeRetention(access.purgeRetentionNanos(), every);
+  PurgeRetentionTask(
+      Vertx vertx, MembershipService membership, RegistrySettings settings, long intervalNanos) {
+    this.membership = membership;
+    registry = new RegistryAdminClient(vertx, settings);
+    retention = new PurgeRetention(settings.purgeRetentionNanos(), intervalNanos);
+    fenceKey = settings.prefix() + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
   }
 
   @Override
@@ -39,62 +42,63 @@
 
   @Override
   public boolean isIdle() {
-    return !out;
+    return !sweeping;
   }
 
-  /**
-   * Belief is looked at again before the deletion is written; what is written under an older term
-   * deletes nothing.
-   */
   @Override
-  public void tick(long now, Leadership tenure) {
-    if (!tenure.isLeader(now) || !sweep.isDue(now)) {
+  public void tick(long nowNanos, Leadership leadership) {
+    if (!leadership.isLeader(nowNanos) || !retention.isDue(nowNanos)) {
       return;
     }
-    long term = tenure.term();
-    String key = access.prefix() + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
-    sweep.sweepStarted();
-    out = true;
+    long term = leadership.term();
+    retention.sweepStarted();
+    sweeping = true;
     registry
         .list()
-        .compose(
-            all -> {
-              RegistryEntry fence = PurgeRetention.findFence(all, key);
-              long seen = fence == null ? 0 : ((RegistryRecord.Task) fence.value()).term();
-              List<RegistryEntry> old =
-                  sweep.expiredPurges(all, company.nowNanos(), System.currentTimeMillis());
-              if (seen > term) {
-                refused++;
-                tenure.higherTermSeen(company.nowNanos(), seen);
-                return Future.succeededFuture(0);
-              }
-              if (old.isEmpty() || !tenure.isLeader(company.nowNanos()) || tenure.term() != term) {
-                return Future.succeededFuture(0);
-              }
-              return registry
-                  .deletePurges(
-                      PurgeRetention.TASK,
-                      new RegistryRecord.Task(term, company.name()),
-                      fence,
-                      old)
-                  .map(
-                      done -> {
-                        swept += done ? old.size() : 0;
-                        refused += done ? 0 : 1;
-                        return done ? old.size() : 0;
-                      });
-            })
+        .compose(entries -> deleteExpired(entries, term, leadership))
         .onComplete(
-            done -> {
-              failed += done.failed() ? 1 : 0;
-              out = false;
-              sweep.sweepEnded(company.nowNanos(), done.succeeded() ? done.result() : 0);
+            result -> {
+              failed += result.failed() ? 1 : 0;
+              sweeping = false;
+              retention.sweepEnded(membership.nowNanos(), result.succeeded() ? result.result() : 0);
             });
   }
 
+  /** Deletes what has expired, if this gateway still leads under the term; the count deleted. */
+  private Future<Integer> deleteExpired(
+      List<RegistryEntry> entries, long term, Leadership leadership) {
+    RegistryEntry fence = PurgeRetention.findFence(entries, fenceKey);
+    long seenTerm = fence == null ? 0 : ((RegistryRecord.Task) fence.value()).term();
+    List<RegistryEntry> expired =
+        retention.expiredPurges(entries, membership.nowNanos(), System.currentTimeMillis());
+    if (seenTerm > term) {
+      refused++;
+      leadership.higherTermSeen(membership.nowNanos(), seenTerm);
+      return Future.succeededFuture(0);
+    }
+    if (expired.isEmpty()
+        || !leadership.isLeader(membership.nowNanos())
+        || leadership.term() != term) {
+      return Future.succeededFuture(0);
+    }
+    RegistryRecord.Task leader = new RegistryRecord.Task(term, membership.name());
+    return registry
+        .deletePurges(PurgeRetention.TASK, leader, fence, expired)
+        .map(admitted -> counted(admitted, expired.size()));
+  }
+
+  private int counted(boolean admitted, int count) {
+    if (!admitted) {
+      refused++;
+      return 0;
+    }
+    deleted += count;
+    return count;
+  }
+
   @Override
-  public void page(JsonObject to) {
-    to.put("done", swept).put("refused", refused).put("failed", failed);
+  public void addStatus(JsonObject status) {
+    status.put("done", deleted).put("refused", refused).put("failed", failed);
   }
 
   @Override
--- /dev/null
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
@@ -0,0 +1,150 @@
+package org.amberpath.leadership.runtime;
+
+import io.vertx.core.Vertx;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import java.util.function.Supplier;
+import java.util.logging.Logger;
+import org.amberpath.leadership.CandidateOrder;
+import org.amberpath.leadership.Leadership;
+import org.amberpath.leadership.LeaseAcceptor;
+import org.amberpath.leadership.LeaseMessage;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.QuorumLeadership;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.membership.runtime.MembershipService;
+
+/**
+ * Leadership by a quorum of voters: carries ballots between candidates and voters as messages of
+ * the fleet, and votes if this gateway is a voter.
+ */
+final class QuorumVoting {
+  private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
+
+  private final Vertx vertx;
+  private final MembershipService membership;
+  private final LeaseTimings timings;
+  private final Supplier<VoterConfiguration> reloadVoters;
+
+  /** Is told a task's name after its candidate has taken a voter's answer. */
+  private final Consumer<String> candidateListener;
+
+  private final Map<String, QuorumLeadership> candidates = new LinkedHashMap<>();
+  private VoterConfiguration voters;
+
+  /** Null while this gateway is no voter. */
+  private LeaseAcceptor acceptor;
+
+  QuorumVoting(
+      Vertx vertx,
+      MembershipService membership,
+      LeadershipSettings settings,
+      Consumer<String> candidateListener,
+      long nowNanos) {
+    this.vertx = vertx;
+    this.membership = membership;
+    this.candidateListener = candidateListener;
+    timings = settings.timings();
+    reloadVoters = settings.reloadVoters();
+    voters = settings.voters();
+    updateAcceptor(nowNanos);
+  }
+
+  private void updateAcceptor(long nowNanos) {
+    if (!voters.allVoters().contains(membership.name())) {
+      acceptor = null;
+    } else if (acceptor == null) {
+      acceptor = new LeaseAcceptor(timings, nowNanos);
+    }
+  }
+
+  /** The leadership of a task, which is a candidate from now on. */
+  Leadership leadership(String task, long nowNanos) {
+    QuorumLeadership candidate =
+        new QuorumLeadership(timings, task, voters, this::send, membership.seed(), nowNanos);
+    candidates.put(task, candidate);
+    return candidate;
+  }
+
+  boolean isVoter() {
+    return acceptor != null;
+  }
+
+  Set<String> voterNames() {
+    return voters.allVoters();
+  }
+
+  /** Before each tick of a task: its wall clock, and its place among the gateways present. */
+  void updateCandidate(String task) {
+    QuorumLeadership candidate = candidates.get(task);
+    candidate.wallClockRead(System.currentTimeMillis());
+    candidate.place(CandidateOrder.place(task, membership.name(), membership.presentNames()));
+  }
+
+  private void send(String recipient, LeaseMessage message) {
+    if (recipient.equals(membership.name())) {
+      // This gateway's own voter and candidate are sent messages like any other, after this turn.
+      vertx.runOnContext(turn -> messageReceived(membership.nowNanos(), recipient, message));
+    } else {
+      membership.sendMessage(recipient, LeaseMessageCodec.encode(message));
+    }
+  }
+
+  /** A lease message, to this gateway's voter or to its candidate. */
+  void messageReceived(long nowNanos, String from, LeaseMessage message) {
+    switch (message.kind()) {
+      case PREPARE, PROPOSE, RELEASE -> {
+        LeaseMessage answer =
+            acceptor == null ? null : acceptor.messageReceived(nowNanos, from, message);
+        if (answer != null) {
+          send(from, answer);
+        }
+      }
+      default -> {
+        QuorumLeadership candidate = candidates.get(message.task());
+        if (candidate != null) {
+          candidate.responseReceived(nowNanos, from, message);
+          candidateListener.accept(message.task());
+        }
+      }
+    }
+  }
+
+  /**
+   * Reads the configured voters anew; what can't be read, or is no adjacent stage, has no effect.
+   */
+  void reload() {
+    vertx
+        .executeBlocking(reloadVoters::get)
+        .onSuccess(this::reloaded)
+        .onFailure(
+            e ->
+                LOG.warning(
+                    membership.name() + ": leadership: voters unchanged error=" + e.getMessage()));
+  }
+
+  private void reloaded(VoterConfiguration next) {
+    if (next.equals(voters)) {
+      return;
+    }
+    if (!next.follows(voters)) {
+      LOG.warning(
+          membership.name()
+              + ": leadership: voters unchanged voters="
+              + voters.allVoters()
+              + " error=one list replaces another only by way of next-voters");
+      return;
+    }
+    voters = next;
+    updateAcceptor(membership.nowNanos());
+    candidates.values().forEach(candidate -> candidate.updateVoters(next));
+    LOG.info(
+        membership.name()
+            + ": leadership: voters changed voters="
+            + next.current()
+            + " next="
+            + next.next());
+  }
+}
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -1,5 +1,6 @@
 package org.amberpath.leadership.runtime;
 
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Vertx;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -14,137 +15,142 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * Tenures by leases in the registry: a task's key that goes with its lease says that somebody has
- * it, another that stays holds the term. Both are looked at all the time, by one read for all
- * tasks.
+ * Leadership by leases in the registry. Of each task one key, attached to the leader's lease, says
+ * that it has a leader, and another, which stays, holds the term. Both are read periodically, for
+ * all tasks at once.
  */
 final class RegistryLeaseClient {
   private static final long SECOND = 1_000_000_000;
-  private static final int LOOKS = 8;
+
+  /** Keys are read so often a lease. */
+  private static final int READS_PER_LEASE = 8;
 
   private final RegistryAdminClient registry;
-  private final LeaseTimings rules;
-  private final MembershipService company;
-  private final Map<String, Mine> mine = new LinkedHashMap<>();
-  private long nextLook;
-  private boolean looking;
+  private final LeaseTimings timings;
+  private final MembershipService membership;
+  private final Map<String, TaskLease> leases = new LinkedHashMap<>();
+  private long nextReadNanos;
+  private boolean reading;
 
-  /** How often something was seen, for word that is late. */
-  private long looks;
+  /** How many reads were started; orders reads and campaigns. */
+  private long reads;
 
   RegistryLeaseClient(
-      Vertx vertx, RegistrySettings access, LeaseTimings rules, MembershipService company) {
-    this.rules = rules;
-    this.company = company;
-    registry = new RegistryAdminClient(vertx, access);
+      Vertx vertx, RegistrySettings settings, LeaseTimings timings, MembershipService membership) {
+    this.timings = timings;
+    this.membership = membership;
+    registry = new RegistryAdminClient(vertx, settings);
   }
 
-  /** One task at this gateway. */
-  private final class Mine implements RegistryLeadership.Commands {
-    final String task;
-    final RegistryLeadership tenure;
-    private long lease, revision, outSince;
+  /** The leadership of one task at this gateway. */
+  private final class TaskLease implements RegistryLeadership.Commands {
+    private final String task;
+    private final RegistryLeadership leadership;
+    private long leaseId;
+    private long revision;
+
+    /** The last read that was started before the last campaign was answered. */
+    private long campaignRead;
 
-    Mine(String task) {
+    TaskLease(String task) {
       this.task = task;
-      tenure = new RegistryLeadership(rules, this, company.seed() ^ task.hashCode());
+      leadership = new RegistryLeadership(timings, this, membership.seed() ^ task.hashCode());
     }
 
     @Override
-    public void campaign(long term, long changed) {
-      outSince = looks;
+    public void campaign(long term, long keyRevision) {
+      campaignRead = reads;
       registry
           .campaign(
               task,
-              new RegistryRecord.Task(term, company.name()),
-              changed,
-              rules.leaseNanos() / SECOND)
-          .onComplete(
-              done -> {
-                outSince = looks;
-                if (done.failed() || done.result() == 0) {
-                  tenure.leaseLost(company.nowNanos());
-                } else {
-                  lease = done.result();
-                  tenure.campaignWon(company.nowNanos(), term);
-                }
-              });
+              new RegistryRecord.Task(term, membership.name()),
+              keyRevision,
+              timings.leaseNanos() / SECOND)
+          .onComplete(granted -> campaignEnded(term, granted));
+    }
+
+    private void campaignEnded(long term, AsyncResult<Long> granted) {
+      campaignRead = reads;
+      if (granted.failed() || granted.result() == 0) {
+        leadership.leaseLost(membership.nowNanos());
+      } else {
+        leaseId = granted.result();
+        leadership.campaignWon(membership.nowNanos(), term);
+      }
     }
 
     @Override
-    public void keepAlive(long askedAt) {
+    public void keepAlive(long requestedAtNanos) {
       registry
-          .keepAlive(lease)
+          .keepAlive(leaseId)
           .onComplete(
-              done -> {
-                if (done.failed()) {
-                  tenure.renewalUnanswered(company.nowNanos());
-                } else if (done.result()) {
-                  tenure.leaseRenewed(company.nowNanos(), askedAt);
+              renewed -> {
+                if (renewed.failed()) {
+                  leadership.renewalUnanswered(membership.nowNanos());
+                } else if (renewed.result()) {
+                  leadership.leaseRenewed(membership.nowNanos(), requestedAtNanos);
                 } else {
-                  tenure.leaseLost(company.nowNanos());
+                  leadership.leaseLost(membership.nowNanos());
                 }
               });
     }
 
     @Override
     public void resign() {
-      if (lease != 0) {
-        registry.revoke(lease);
-        lease = 0;
+      if (leaseId != 0) {
+        registry.revoke(leaseId);
+        leaseId = 0;
       }
     }
 
-    /**
-     * What the registry says; what was read before this one's own try was answered is passed over.
-     */
-    void seen(long now, long readSince, RegistryEntry term, boolean held) {
-      if (readSince <= outSince && outSince > 0) {
+    /** Takes what a read has found, unless it was started before a campaign was answered. */
+    void keysRead(long nowNanos, long read, RegistryEntry termKey, boolean held) {
+      if (read <= campaignRead && campaignRead > 0) {
         return;
       }
-      long changed = term == null ? 0 : term.modRevision();
-      if (changed < revision) {
-        tenure.registryRestored(); // The registry goes on from an older state of it.
+      long readRevision = termKey == null ? 0 : termKey.modRevision();
+      if (readRevision < revision) {
+        leadership.registryRestored();
       }
-      revision = changed;
-      tenure.keyObserved(
-          now, term == null ? 0 : ((RegistryRecord.Task) term.value()).term(), held, changed);
+      revision = readRevision;
+      long term = termKey == null ? 0 : ((RegistryRecord.Task) termKey.value()).term();
+      leadership.keyObserved(nowNanos, term, held, readRevision);
     }
   }
 
-  Leadership tenure(String task) {
-    Mine one = mine.computeIfAbsent(task, Mine::new);
-    return one.tenure;
+  /** The leadership of a task, which is a candidate from now on. */
+  Leadership leadership(String task) {
+    return leases.computeIfAbsent(task, TaskLease::new).leadership;
   }
 
-  /** Looks at the keys so often that a vacancy is seen within an eighth of a lease. */
-  void tick(long now) {
-    if (looking || now < nextLook) {
+  /** Reads the keys when that is due. */
+  void tick(long nowNanos) {
+    if (reading || nowNanos < nextReadNanos) {
       return;
     }
-    looking = true;
-    long since = ++looks;
-    nextLook = now + rules.leaseNanos() / LOOKS;
+    reading = true;
+    long read = ++reads;
+    nextReadNanos = nowNanos + timings.leaseNanos() / READS_PER_LEASE;
     registry
         .tasks()
         .onComplete(
-            done -> {
-              looking = false;
-              if (done.succeeded()) {
-                look(done.result(), since);
+            keys -> {
+              reading = false;
+              if (keys.succeeded()) {
+                keysRead(keys.result(), read);
               }
             });
   }
 
-  private void look(List<RegistryEntry> keys, long since) {
-    for (Mine one : mine.values()) {
-      RegistryEntry term = null;
+  private void keysRead(List<RegistryEntry> keys, long read) {
+    for (TaskLease lease : leases.values()) {
+      RegistryEntry termKey = null;
       boolean held = false;
       for (RegistryEntry key : keys) {
-        term = one.task.equals(registry.taskName(key, false)) ? key : term;
-        held |= one.task.equals(registry.taskName(key, true));
+        termKey = lease.task.equals(registry.taskName(key, false)) ? key : termKey;
+        held |= lease.task.equals(registry.taskName(key, true));
       }
-      one.seen(company.nowNanos(), since, term, held);
+      lease.keysRead(membership.nowNanos(), read, termKey, held);
     }
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
@@ -4,20 +4,25 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * What is done under one task, by whoever owns it. Belief is looked at again in the moment of each
- * act.
+ * Runs one task at a gateway, whether that leads it or not. Leadership is checked again whenever
+ * something is sent. Called on the event loop.
  */
 interface TaskRunner {
+  /** The task's name. */
   String task();
 
-  /** Several times a period, in every gateway; it acts only as far as the tenure lets it. */
-  void tick(long now, Leadership tenure);
+  /** Several times a probe interval; acts only as far as its leadership allows. */
+  void tick(long nowNanos, Leadership leadership);
 
-  /** Whether nothing of it is under way. */
+  /** The gateway drains: nothing new is begun. */
+  default void drainStarted() {}
+
+  /** Whether nothing of the task is in flight. */
   boolean isIdle();
 
-  /** Adds what operators see of it. */
-  void page(JsonObject to);
+  /** Adds what the admin endpoint shows of the task. */
+  void addStatus(JsonObject status);
 
+  /** Frees what it holds. */
   default void close() {}
 }
--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -6,45 +6,46 @@
 
 import org.junit.jupiter.api.Test;
 
+/** How many prefetch requests are started, and when. */
 class CachePrefetchTest {
   private static final long MS = 1_000_000;
-  private final CachePrefetch ahead = new CachePrefetch();
+  private final CachePrefetch prefetch = new CachePrefetch();
 
-  private int asks(long now) {
-    int asks = 0;
-    while (ahead.tryStartRequest(now)) {
-      asks++;
+  private int startAll(long now) {
+    int started = 0;
+    while (prefetch.tryStartRequest(now)) {
+      started++;
     }
-    return asks;
+    return started;
   }
 
   @Test
-  void nothingIsAskedForWhileNoCacheIsCold() {
-    assertEquals(0, asks(1));
-    ahead.endpointWarmingUp(1, "x", 100 * MS);
-    assertTrue(asks(1) > 0);
-    assertFalse(ahead.isIdle());
-    assertEquals(0, asks(100 * MS), "it is warm by now");
+  void noPrefetchRequestIsStartedWhileNoEndpointIsWarmingUp() {
+    assertEquals(0, startAll(1));
+    prefetch.endpointWarmingUp(1, "x", 100 * MS);
+    assertTrue(startAll(1) > 0);
+    assertFalse(prefetch.isIdle());
+    assertEquals(0, startAll(100 * MS), "its slow start has ended");
   }
 
   @Test
-  void fewAreOutAtATimeAndATurnThatIsOverBeginsAnewAfterARest() {
-    ahead.endpointWarmingUp(1, "x", 10_000 * MS);
-    assertEquals(8, asks(1));
+  void requestsInFlightAreBoundedAndTheNextPassBeginsAfterAPause() {
+    prefetch.endpointWarmingUp(1, "x", 10_000 * MS);
+    assertEquals(8, startAll(1));
     int more = 0;
-    for (int one = 0; one < 1000; one++) {
-      ahead.requestEnded();
-      more += ahead.tryStartRequest(1) ? 1 : 0;
-      if (more < one + 1) {
+    for (int ended = 0; ended < 1000; ended++) {
+      prefetch.requestEnded();
+      more += prefetch.tryStartRequest(1) ? 1 : 0;
+      if (more < ended + 1) {
         break;
       }
     }
-    assertEquals(64 - 8, more, "no more a tick");
-    ahead.tick();
-    assertTrue(ahead.tryStartRequest(1));
-    ahead.passEnded(1);
-    assertEquals(0, asks(200 * MS));
-    ahead.tick();
-    assertTrue(asks(300 * MS) > 0);
+    assertEquals(64 - 8, more, "no more in one tick");
+    prefetch.tick();
+    assertTrue(prefetch.tryStartRequest(1));
+    prefetch.passEnded(1);
+    assertEquals(0, startAll(200 * MS));
+    prefetch.tick();
+    assertTrue(startAll(300 * MS) > 0);
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -1,11 +1,11 @@
 package org.amberpath.leadership.runtime;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Arrays;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -14,60 +14,61 @@
 import net.jqwik.api.constraints.Size;
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 import org.amberpath.leadership.LeaseMessage;
-import org.amberpath.leadership.runtime.HealthReportCodec.Kind;
-import org.amberpath.leadership.runtime.HealthReportCodec.Word;
+import org.amberpath.leadership.runtime.TaskMessage.Kind;
+import org.amberpath.membership.runtime.DatagramCodec;
 
-/** Votes and words as letters: read as they were written, and whatever else comes is nothing. */
+/** Lease and task messages as bytes: decoded to what was encoded, and other bytes to nothing. */
 class LeadershipCodecTest {
   @Property(tries = 200)
-  void votesComeAsTheyWere(
+  void leaseMessagesDecodeToWhatWasEncoded(
       @ForAll LeaseMessage.Kind kind,
       @ForAll @LongRange(max = LeaseMessage.HIGHEST) long ballot,
       @ForAll @LongRange(max = LeaseMessage.HIGHEST) long other,
       @ForAll @LongRange(max = LeaseMessage.HIGHEST) long last) {
-    LeaseMessage vote = new LeaseMessage(kind, "probe", ballot, other, last);
-    assertEquals(vote, LeaseMessageCodec.read(LeaseMessageCodec.write(vote)));
-    assertNull(HealthReportCodec.read(LeaseMessageCodec.write(vote)), "no word");
+    LeaseMessage message = new LeaseMessage(kind, "probe", ballot, other, last);
+    byte[] bytes = LeaseMessageCodec.encode(message);
+    assertEquals(Optional.of(message), LeaseMessageCodec.decode(bytes));
+    assertEquals(Optional.empty(), HealthReportCodec.decode(bytes), "not a task message");
   }
 
   @Property(tries = 200)
-  void wordsComeAsTheyWereAndFitIntoALetter(
+  void taskMessagesDecodeToWhatWasEncodedAndFitIntoAPayload(
       @ForAll Kind kind,
       @ForAll @LongRange(max = LeaseMessage.HIGHEST) long term,
-      @ForAll long stamp,
-      @ForAll @IntRange(max = 10) int many,
-      @ForAll @LongRange(min = -1) long ago) {
-    Map<String, HealthReport> caches = new TreeMap<>();
-    for (int one = 0; one < many; one++) {
-      caches.put("c".repeat(62) + (char) ('a' + one), new HealthReport(one % 2 == 0, ago));
+      @ForAll long requestNanos,
+      @ForAll @IntRange(max = 10) int count,
+      @ForAll @LongRange(min = -1) long ageNanos) {
+    Map<String, HealthReport> reports = new TreeMap<>();
+    for (int index = 0; index < count; index++) {
+      reports.put(
+          "c".repeat(62) + (char) ('a' + index), new HealthReport(index % 2 == 0, ageNanos));
     }
-    Word word = new Word(kind, "probe", term, stamp, caches);
-    byte[] letter = HealthReportCodec.write(word);
-    assertEquals(word, HealthReportCodec.read(letter));
-    assertTrue(
-        letter.length <= org.amberpath.membership.runtime.DatagramCodec.MAX_PAYLOAD_BYTES,
-        letter.length + " bytes");
-    assertNull(LeaseMessageCodec.read(letter), "no vote");
-    assertNull(HealthReportCodec.read(Arrays.copyOf(letter, letter.length - 1)));
-    assertNull(
-        HealthReportCodec.read(Arrays.copyOf(letter, letter.length + 1)),
-        "with something left over");
+    TaskMessage message = new TaskMessage(kind, "probe", term, requestNanos, reports);
+    byte[] bytes = HealthReportCodec.encode(message);
+    assertEquals(Optional.of(message), HealthReportCodec.decode(bytes));
+    assertTrue(bytes.length <= DatagramCodec.MAX_PAYLOAD_BYTES, bytes.length + " bytes");
+    assertEquals(Optional.empty(), LeaseMessageCodec.decode(bytes), "not a lease message");
+    assertEquals(
+        Optional.empty(), HealthReportCodec.decode(Arrays.copyOf(bytes, bytes.length - 1)));
+    assertEquals(
+        Optional.empty(),
+        HealthReportCodec.decode(Arrays.copyOf(bytes, bytes.length + 1)),
+        "with a byte left over");
   }
 
   @Property(tries = 2000)
-  void whateverComesIsReadOrPassedOver(@ForAll @Size(max = 60) byte[] bytes) {
-    LeaseMessage vote = LeaseMessageCodec.read(bytes);
-    Word word = HealthReportCodec.read(bytes);
-    assertTrue(vote == null || word == null);
+  void arbitraryBytesDecodeToAtMostOneMessage(@ForAll @Size(max = 60) byte[] bytes) {
+    Optional<LeaseMessage> leaseMessage = LeaseMessageCodec.decode(bytes);
+    Optional<TaskMessage> taskMessage = HealthReportCodec.decode(bytes);
+    assertTrue(leaseMessage.isEmpty() || taskMessage.isEmpty());
   }
 
   @Property(tries = 50)
-  void numbersThatLeaveNoneAboveThemAreNone(
-      @ForAll @LongRange(min = LeaseMessage.HIGHEST + 1) long far) {
-    assertNull(
-        LeaseMessageCodec.read(
-            LeaseMessageCodec.write(new LeaseMessage(LeaseMessage.Kind.REFUSED, "probe", 1, far))));
-    assertNull(
-        HealthReportCodec.read(HealthReportCodec.write(Word.of(Kind.OUTRANKED, "probe", far))));
+  void numbersAboveTheHighestAreNotDecoded(
+      @ForAll @LongRange(min = LeaseMessage.HIGHEST + 1) long number) {
+    LeaseMessage message = new LeaseMessage(LeaseMessage.Kind.REFUSED, "probe", 1, number);
+    assertEquals(Optional.empty(), LeaseMessageCodec.decode(LeaseMessageCodec.encode(message)));
+    TaskMessage taskMessage = TaskMessage.of(Kind.HIGHER_TERM_SEEN, "probe", number);
+    assertEquals(Optional.empty(), HealthReportCodec.decode(HealthReportCodec.encode(taskMessage)));
   }
 }
