--- a/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaGrant.java
@@ -1,12 +1,15 @@
 package org.amberpath.planning;
 
 /**
- * A forwarder's shares of all resources, by one planner.
+ * A member's shares of all resources, granted by one leader.
  *
- * @param term the planner's; a lower one than known is passed over
- * @param number growing within a term, over all members
- * @param requestNumber the ask that it answers: its time holds from when that was made
- * @param grantedAtNanos the planner's own time, to be echoed
+ * @param member the index of the member that it is for
+ * @param instanceId which start of the member it is for
+ * @param requestNumber the request that it answers: its time counts from when that was made
+ * @param term the leader's; one below the highest known is rejected
+ * @param number grows within a term, over all members
+ * @param grantedAtNanos by the leader's clock; the next request echoes it
+ * @param amounts the share of each resource
  */
 @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
 public record QuotaGrant(
--- a/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaRequest.java
@@ -1,15 +1,16 @@
 package org.amberpath.planning;
 
 /**
- * What a forwarder tells its planner to be granted a share.
+ * A member's request for shares, which also confirms the last grant that it has applied.
  *
- * @param sequenceNumber the forwarder's number of this ask, growing
- * @param instanceId which start of the forwarder it is from: a later start knows of no grant
- * @param term the term of the last grant taken; 0 for none
- * @param grantNumber its number: in force, and all before it void
- * @param echoedNanos the planner's time in that grant, {@link Long#MIN_VALUE} for none: the ask was
- *     made after it
- * @param wanted how much of each resource it could use
+ * @param member the index of the member
+ * @param instanceId which start of the member it is from; a later start knows of no grant
+ * @param sequenceNumber the member's number of this request, growing
+ * @param term the term of the last grant applied; 0 for none
+ * @param grantNumber the number of that grant: it is in force, and all before it are void
+ * @param echoedNanos the leader's time in that grant, {@link Long#MIN_VALUE} for none: the request
+ *     was made after it
+ * @param wanted how much of each resource the member could use
  */
 @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
 public record QuotaRequest(
--- a/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
@@ -3,21 +3,24 @@
 import org.amberpath.leadership.LeaseTimings;
 
 /**
- * What planners and forwarders of an installation agree on beforehand. Nanoseconds; no two clocks
- * need to agree, only to run at nearly the same speed.
+ * Timings that all leaders and members of an installation agree on. Clocks need not show the same
+ * time, only run at nearly the same speed.
  *
- * @param grantNanos how long a share above the usual part holds, from when the forwarder asked for
- *     it
- * @param holdNanos how long a share below the usual part is kept to, from then; longer, so that who
+ * @param grantNanos how long a share above the usual one holds, from when it was requested
+ * @param holdNanos how long a share below the usual one is kept to, from then; longer, so that who
  *     gives outlasts who takes
  * @param driftPpm by how many millionths a clock may run fast or slow
- * @param minimumFraction the least share, as a part of the usual one; what a forwarder that has
- *     just started keeps to
+ * @param minimumFraction the least share, as a part of the usual one; a member that has just
+ *     started keeps to it
  */
 public record QuotaTimings(long grantNanos, long holdNanos, int driftPpm, double minimumFraction) {
   private static final long MILLION = 1_000_000;
 
-  /** Checks what the rules depend on. */
+  /**
+   * Checks the bounds that the invariants depend on.
+   *
+   * @throws InvalidQuotaTimingsException if one is out of them
+   */
   public QuotaTimings {
     if (grantNanos <= 0
         || holdNanos < 2 * grantNanos
@@ -25,7 +28,7 @@
         || driftPpm > MILLION / 10
         || !(minimumFraction > 0)
         || minimumFraction > 1) {
-      throw new IllegalArgumentException(
+      throw new InvalidQuotaTimingsException(
           "grant "
               + grantNanos
               + ", hold "
@@ -37,18 +40,18 @@
     }
   }
 
-  /** The longest that a time told by another clock may last by this one. */
-  long longest(long time) {
-    return time + time / MILLION * driftPpm * 2 + 1;
+  /** The longest that a duration measured by another clock may last by this one. */
+  long longestNanos(long durationNanos) {
+    return durationNanos + durationNanos / MILLION * driftPpm * 2 + 1;
   }
 
-  /** The shortest that it may last. */
-  long shortest(long time) {
-    return time - time / MILLION * driftPpm * 2 - 1;
+  /** The shortest that a duration measured by another clock may last by this one. */
+  long shortestNanos(long durationNanos) {
+    return durationNanos - durationNanos / MILLION * driftPpm * 2 - 1;
   }
 
-  /** By what planners lead: a new one waits until what older ones granted has run out. */
-  public LeaseTimings leaseTimings(long lease) {
-    return new LeaseTimings(lease, grantNanos, driftPpm);
+  /** The leader's lease: a new leader waits until what former ones granted has expired. */
+  public LeaseTimings leaseTimings(long leaseNanos) {
+    return new LeaseTimings(leaseNanos, grantNanos, driftPpm);
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -14,28 +14,33 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is granted and what is held, one story for each way in which the sum could pass the bound.
+ * What is granted and what is held: a test for each way in which the sum could exceed the bound.
  */
 class QuotaLedgerTest {
-  private static final long SECOND = 1_000_000_000, D = 2 * SECOND, H = 8 * SECOND;
-  private static final QuotaTimings RULES = new QuotaTimings(D, H, 1000, 0.125);
-  private static final double[] USUAL = {10}, LOW = {2}, HIGH = {30};
+  private static final long SECOND = 1_000_000_000;
+  private static final long GRANT_NANOS = 2 * SECOND;
+  private static final long HOLD_NANOS = 8 * SECOND;
+  private static final QuotaTimings TIMINGS =
+      new QuotaTimings(GRANT_NANOS, HOLD_NANOS, 1000, 0.125);
+  private static final double[] USUAL = {10};
+  private static final double[] LOW = {2};
+  private static final double[] HIGH = {30};
 
   private final double[] bound = {20};
-  private QuotaLedger ledger = new QuotaLedger(RULES, 1, bound, 2);
-  private final QuotaHolder giver = new QuotaHolder(RULES, 0, 1, USUAL, 0),
-      taker = new QuotaHolder(RULES, 1, 1, USUAL, 0);
+  private QuotaLedger ledger = new QuotaLedger(TIMINGS, 1, bound, 2);
+  private final QuotaHolder giver = new QuotaHolder(TIMINGS, 0, 1, USUAL, 0);
+  private final QuotaHolder taker = new QuotaHolder(TIMINGS, 1, 1, USUAL, 0);
 
-  /** An ask, heard, granted and taken at once; returns what was granted. */
+  /** A request that is received, granted and applied at once; returns what was granted. */
   private double grant(long now, QuotaHolder to, double... wished) {
-    QuotaRequest ask = to.nextRequest(now, wished);
-    assertTrue(ledger.requestReceived(ask));
-    QuotaGrant grant = ledger.grant(now, ask, wished);
+    QuotaRequest request = to.nextRequest(now, wished);
+    assertTrue(ledger.requestReceived(request));
+    QuotaGrant grant = ledger.grant(now, request, wished);
     assertEquals(QuotaHolder.GrantResult.APPLIED, to.apply(now, grant));
     return grant.amounts()[0];
   }
 
-  /** The giver takes a low share whose time the planner can bound, and has said so. */
+  /** The giver applies a low share whose time the leader can bound, and confirms it. */
   private void lend(long now) {
     grant(now, giver, LOW);
     grant(now, giver, LOW);
@@ -43,18 +48,17 @@
   }
 
   @Test
-  void nobodyIsGrantedMoreUntilWhoGivesHasSaidThatItIsInForce() {
+  void shareIsRaisedOnlyAfterAnotherHolderConfirmsALowerOne() {
     assertEquals(2, grant(SECOND, giver, LOW));
-    assertEquals(
-        10, grant(SECOND, taker, HIGH), "it is not known yet that the low share was taken");
+    assertEquals(10, grant(SECOND, taker, HIGH), "the low share is not confirmed yet");
     assertEquals(2, grant(2 * SECOND, giver, LOW));
-    assertEquals(10, grant(2 * SECOND, taker, HIGH), "it is not known yet when it was asked for");
+    assertEquals(10, grant(2 * SECOND, taker, HIGH), "the time of its request is not known yet");
     assertTrue(ledger.requestReceived(giver.nextRequest(2 * SECOND, LOW)));
     assertEquals(18, grant(2 * SECOND, taker, HIGH));
   }
 
   @Test
-  void aShareAboveTheUsualEndsLongBeforeWhoGaveTakesItsOwnBack() {
+  void raisedShareExpiresBeforeTheLoweredOneRampsUp() {
     lend(SECOND);
     grant(SECOND, taker, HIGH);
     for (long now = SECOND; now < 20 * SECOND; now += SECOND / 100) {
@@ -67,7 +71,7 @@
   }
 
   @Test
-  void theUsualShareComesBackWithoutAStep() {
+  void usualShareReturnsWithoutAStep() {
     grant(SECOND, giver, LOW);
     double before = giver.share(0, SECOND);
     for (long now = SECOND; now < 14 * SECOND; now += SECOND / 100) {
@@ -78,27 +82,28 @@
   }
 
   @Test
-  void whoStartsAnewKeepsToTheThinShareWhileOthersMayCountOnIt() {
+  void restartedHolderKeepsMinimumShareForTheHoldTime() {
     lend(SECOND);
     grant(SECOND, taker, HIGH);
-    QuotaHolder anew = new QuotaHolder(RULES, 0, 2, USUAL, 2 * SECOND);
-    assertEquals(1.25, anew.share(0, 2 * SECOND));
-    assertEquals(1.25, anew.share(0, 10 * SECOND - 1));
+    QuotaHolder restarted = new QuotaHolder(TIMINGS, 0, 2, USUAL, 2 * SECOND);
+    assertEquals(1.25, restarted.share(0, 2 * SECOND));
+    assertEquals(1.25, restarted.share(0, 10 * SECOND - 1));
   }
 
   @Test
-  void whoStartedAnewAndWasNotHeardBeforeRaisesNothing() {
+  void lowShareOfRestartedHolderRaisesNoOther() {
     lend(SECOND);
     grant(2 * SECOND, taker, HIGH);
-    QuotaHolder anew = new QuotaHolder(RULES, 0, 2, USUAL, 2 * SECOND);
-    assertEquals(2, grant(2 * SECOND, anew, LOW));
-    assertTrue(ledger.requestReceived(anew.nextRequest(2 * SECOND, LOW)));
+    QuotaHolder restarted = new QuotaHolder(TIMINGS, 0, 2, USUAL, 2 * SECOND);
+    assertEquals(2, grant(2 * SECOND, restarted, LOW));
+    assertTrue(ledger.requestReceived(restarted.nextRequest(2 * SECOND, LOW)));
     assertTrue(ledger.inUse(0, 2 * SECOND) <= 20 + 1e-9);
   }
 
   @Test
-  void aGrantOfAnOlderTermNumberOrAskIsPassedOver() {
-    QuotaRequest first = giver.nextRequest(SECOND, LOW), second = giver.nextRequest(SECOND, LOW);
+  void grantOfOlderTermNumberOrRequestIsRejected() {
+    QuotaRequest first = giver.nextRequest(SECOND, LOW);
+    QuotaRequest second = giver.nextRequest(SECOND, LOW);
     assertEquals(
         QuotaHolder.GrantResult.APPLIED,
         giver.apply(SECOND, new QuotaGrant(0, 1, second.sequenceNumber(), 3, 7, 0, LOW)));
@@ -124,16 +129,17 @@
   }
 
   @Test
-  void aPlannerThatLiesCanStarveNobody() {
-    QuotaRequest ask = giver.nextRequest(SECOND, LOW);
+  void invalidGrantedAmountIsRaisedToMinimumShare() {
+    QuotaRequest request = giver.nextRequest(SECOND, LOW);
     giver.apply(
-        SECOND, new QuotaGrant(0, 1, ask.sequenceNumber(), 1, 1, 0, new double[] {Double.NaN}));
+        SECOND, new QuotaGrant(0, 1, request.sequenceNumber(), 1, 1, 0, new double[] {Double.NaN}));
     assertEquals(1.25, giver.share(0, SECOND));
   }
 
   @Test
-  void anAskThatComesTwiceOrLateIsNotAnswered() {
-    QuotaRequest first = giver.nextRequest(SECOND, LOW), second = giver.nextRequest(SECOND, LOW);
+  void duplicateOrLateRequestIsNotAnswered() {
+    QuotaRequest first = giver.nextRequest(SECOND, LOW);
+    QuotaRequest second = giver.nextRequest(SECOND, LOW);
     assertTrue(ledger.requestReceived(second));
     assertFalse(ledger.requestReceived(second));
     assertFalse(ledger.requestReceived(first));
@@ -141,50 +147,54 @@
   }
 
   @Test
-  void thePlannerAfterOneThatStoppedGoesOnFromWhatWasLeft() {
+  void succeedingLedgerContinuesFromOutstandingGrants() {
     lend(SECOND);
     grant(SECOND, taker, HIGH);
     ledger.requestReceived(giver.nextRequest(SECOND, LOW));
-    List<QuotaLedger.OutstandingGrant> left = ledger.outstandingGrants(SECOND);
-    // By a clock that shows another time.
+    List<QuotaLedger.OutstandingGrant> outstanding = ledger.outstandingGrants(SECOND);
+    // The next leader's clock shows another time.
     long other = 1000 * SECOND;
-    QuotaLedger next = QuotaLedger.succeeding(RULES, 2, bound, 2, left, other, other);
+    QuotaLedger next = QuotaLedger.succeeding(TIMINGS, 2, bound, 2, outstanding, other, other);
     assertEquals(20, next.inUse(0, other), 1e-9);
-    QuotaRequest ask = taker.nextRequest(SECOND + 1, HIGH);
-    assertTrue(next.requestReceived(ask));
-    assertEquals(18, next.grant(other, ask, HIGH).amounts()[0], 1e-9);
+    QuotaRequest request = taker.nextRequest(SECOND + 1, HIGH);
+    assertTrue(next.requestReceived(request));
+    assertEquals(18, next.grant(other, request, HIGH).amounts()[0], 1e-9);
   }
 
   @Test
-  void aMemberThatIsNeverHeardIsGrantedNoMoreAfterABoundedNumber() {
+  void outstandingGrantsOfSilentMemberAreBounded() {
     int granted = 0;
-    for (int one = 0; one < 100; one++) {
-      QuotaRequest ask = giver.nextRequest(SECOND, LOW);
+    for (int attempt = 0; attempt < 100; attempt++) {
+      QuotaRequest request = giver.nextRequest(SECOND, LOW);
       ledger.requestReceived(
-          new QuotaRequest(0, 1, ask.sequenceNumber(), 0, 0, Long.MIN_VALUE, LOW));
-      granted += ledger.grant(SECOND, ask, LOW) == null ? 0 : 1;
+          new QuotaRequest(0, 1, request.sequenceNumber(), 0, 0, Long.MIN_VALUE, LOW));
+      granted += ledger.grant(SECOND, request, LOW) == null ? 0 : 1;
     }
     assertEquals(16, granted);
   }
 
   @Property(tries = 300)
-  void sharesNeitherPassTheBoundNorWhatIsWanted(
+  void sharesExceedNeitherTheBoundNorWhatIsWanted(
       @ForAll @Size(min = 1, max = 30) List<@DoubleRange(min = 0, max = 50) Double> wanted) {
-    double[] all = wanted.stream().mapToDouble(one -> one).toArray();
-    double bound = all.length * 10, floor = 1;
+    double[] all = wanted.stream().mapToDouble(Double::doubleValue).toArray();
+    double bound = all.length * 10;
+    double floor = 1;
     double[] shares = MaxMinFairShare.of(bound, all, floor);
     assertTrue(Arrays.stream(shares).sum() <= bound + 1e-9);
-    double most = Arrays.stream(shares).max().orElseThrow();
-    for (int one = 0; one < all.length; one++) {
-      assertTrue(shares[one] <= Math.max(floor, all[one]) + 1e-9);
-      // Who has less than it wants has no less than anybody.
-      assertTrue(shares[one] >= all[one] - 1e-9 || shares[one] >= most - 1e-9);
+    double largest = Arrays.stream(shares).max().orElseThrow();
+    for (int index = 0; index < all.length; index++) {
+      assertTrue(shares[index] <= Math.max(floor, all[index]) + 1e-9);
+      // Who has less than it wants has no less than any other.
+      assertTrue(shares[index] >= all[index] - 1e-9 || shares[index] >= largest - 1e-9);
     }
   }
 
   @Test
-  void rulesThatCouldNotHoldAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> new QuotaTimings(D, D, 1000, 0.5));
-    assertThrows(IllegalArgumentException.class, () -> new QuotaTimings(D, H, 1000, 0));
+  void inconsistentTimingsAreRejected() {
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> new QuotaTimings(GRANT_NANOS, GRANT_NANOS, 1000, 0.5));
+    assertThrows(
+        IllegalArgumentException.class, () -> new QuotaTimings(GRANT_NANOS, HOLD_NANOS, 1000, 0));
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
@@ -70,7 +70,7 @@
     return actions.digest();
   }
 
-  private boolean chance(double probability) {
+  private boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
@@ -79,17 +79,17 @@
   }
 
   private void deliver(Runnable arrival) {
-    if (chance(setting == Setting.NINE_LOSSY ? 0.33 : 0.05)) {
+    if (withProbability(setting == Setting.NINE_LOSSY ? 0.33 : 0.05)) {
       actions.count("lost");
       return;
     }
-    boolean late = chance(setting == Setting.TWO_LATE ? 0.5 : 0.05);
+    boolean late = withProbability(setting == Setting.TWO_LATE ? 0.5 : 0.05);
     long delay =
         late
-            ? random.nextLong(chance(0.1) ? 14 * SECOND : 2 * SECOND)
+            ? random.nextLong(withProbability(0.1) ? 14 * SECOND : 2 * SECOND)
             : random.nextLong(MS, 20 * MS);
     at(now + delay, arrival);
-    if (chance(0.04)) {
+    if (withProbability(0.04)) {
       at(now + delay + random.nextLong(SECOND), arrival);
     }
   }
@@ -126,8 +126,8 @@
     private void request() {
       double[] wanted = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
-        double most = chance(0.3) ? bounds[resource] : bounds[resource] / count;
-        wanted[resource] = most * random.nextDouble();
+        double maxWanted = withProbability(0.3) ? bounds[resource] : bounds[resource] / count;
+        wanted[resource] = maxWanted * random.nextDouble();
       }
       QuotaRequest request = holder.nextRequest(clock(), wanted);
       lastRequest = request.sequenceNumber();
@@ -141,7 +141,7 @@
           request.echoedNanos(),
           request.wanted()[0],
           request.wanted()[1]);
-      Planner to = chance(0.05) && formerPlanner != null ? formerPlanner : planner;
+      Planner to = withProbability(0.05) && formerPlanner != null ? formerPlanner : planner;
       if (to != null) {
         deliver(() -> to.requested(this, request));
       }
@@ -154,7 +154,7 @@
         return;
       }
       QuotaHolder.GrantResult refusal = holder.apply(clock(), grant);
-      actions.record("take " + word(refusal), index, grant.term(), grant.number());
+      actions.record("take " + resultWord(refusal), index, grant.term(), grant.number());
       recordShares();
     }
 
@@ -173,7 +173,7 @@
   }
 
   /** The recorder's own words, which stay when a constant is renamed. */
-  private static String word(QuotaHolder.GrantResult refusal) {
+  private static String resultWord(QuotaHolder.GrantResult refusal) {
     return switch (refusal) {
       case APPLIED -> "taken";
       case OLD_TERM -> "old term";
@@ -208,7 +208,7 @@
         actions.record("no grant", term, request.member(), request.sequenceNumber());
       } else {
         recordGrant(grant);
-        long stoodStill = chance(0.01) ? random.nextLong(4 * SECOND) : 0;
+        long stoodStill = withProbability(0.01) ? random.nextLong(4 * SECOND) : 0;
         at(now + stoodStill, () -> deliver(() -> from.granted(grant)));
       }
       actions.record("in use", ledger.inUse(0, now), ledger.inUse(1, now));
@@ -224,7 +224,8 @@
         }
         double[] shares =
             MaxMinFairShare.of(bounds[resource], wanted, usual * TIMINGS.minimumFraction());
-        wished[resource] = chance(0.2) ? wanted[request.member()] : shares[request.member()];
+        wished[resource] =
+            withProbability(0.2) ? wanted[request.member()] : shares[request.member()];
       }
       return wished;
     }
@@ -250,11 +251,11 @@
         actions.record(
             grant.inForce() ? "left in force" : "left",
             grant.member(),
-            grant.run(),
-            grant.seq(),
+            grant.instanceId(),
+            grant.sequenceNumber(),
             grant.number(),
-            grant.mostLeft(),
-            grant.leastLeft(),
+            grant.raisedLeftNanos(),
+            grant.loweredLeftNanos(),
             grant.amounts()[0],
             grant.amounts()[1]);
       }
@@ -268,11 +269,11 @@
   private void plannerChanges() {
     Planner before = planner;
     long nextTerm = (before == null ? formerPlanner.term : before.term) + 1;
-    if (before != null && chance(0.4)) {
+    if (before != null && withProbability(0.4)) {
       formerPlanner = before;
       planner = new Planner(nextTerm, before.handOver(nextTerm));
       actions.record("handed over", nextTerm);
-    } else if (before != null && chance(0.4)) {
+    } else if (before != null && withProbability(0.4)) {
       formerPlanner = before;
       planner = null;
       actions.record("away", nextTerm);
@@ -297,19 +298,19 @@
   /** A grant for another member or start, of another length, to no request, or without a figure. */
   private QuotaGrant wrongGrant(HolderProcess holder) {
     long term = holder.holder.term();
-    if (chance(0.4)) {
+    if (withProbability(0.4)) {
       // To a request of several seconds ago, which may be forgotten by now.
       long answers = holder.lastRequest - 28 - random.nextInt(8);
       return new QuotaGrant(
           holder.index, holder.run, answers, term, Long.MAX_VALUE, now, new double[] {1, 1});
     }
-    double[] amounts = chance(0.2) ? new double[] {1} : new double[] {Double.NaN, 1};
+    double[] amounts = withProbability(0.2) ? new double[] {1} : new double[] {Double.NaN, 1};
     return new QuotaGrant(
-        chance(0.2) ? holder.index + 1 : holder.index,
-        chance(0.2) ? holder.run - 1 : holder.run,
+        withProbability(0.2) ? holder.index + 1 : holder.index,
+        withProbability(0.2) ? holder.run - 1 : holder.run,
         random.nextLong(1, 400),
         term,
-        chance(0.5) ? 1 : random.nextLong(200),
+        withProbability(0.5) ? 1 : random.nextLong(200),
         now,
         amounts);
   }
