--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -65,10 +65,10 @@
         request(ramp, now, random, answered, actions);
       }
       if (ramp.phase() != before) {
-        actions.record(word(before) + ">" + word(ramp.phase()), now, ramp.rate());
+        actions.record(phaseWord(before) + ">" + phaseWord(ramp.phase()), now, ramp.rate());
         before = ramp.phase();
       }
-      actions.record("state " + word(before), ramp.rate(), ramp.servingSinceNanos());
+      actions.record("state " + phaseWord(before), ramp.rate(), ramp.servingSinceNanos());
     }
   }
 
@@ -89,11 +89,11 @@
   }
 
   /** The recorder's own words, which stay when a constant is renamed. */
-  private static String word(RecoveryRamp.Phase phase) {
+  private static String phaseWord(RecoveryRamp.Phase phase) {
     return switch (phase) {
       case LEARNING -> "learning";
-      case TRICKLE -> "trickle";
-      case RAMP -> "ramp";
+      case INITIAL_RATE -> "trickle";
+      case RAMP_UP -> "ramp";
       case SERVING -> "serving";
     };
   }
