--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -34,17 +34,17 @@
 
   @Override
   public boolean admitsRequest() {
-    return context.loadShedder().takes();
+    return context.loadShedder().tryAdmit();
   }
 
   @Override
   public long retryAfterNanos() {
-    return context.loadShedder().away();
+    return context.loadShedder().retryAfterNanos();
   }
 
   @Override
   public void requestReceived(ClientConnection client, long messageId, DecodedRequest decoded) {
-    long nowNanos = context.clock().now();
+    long nowNanos = context.clock().nowNanos();
     long lagNanos = context.lagMonitor().lagNanos(client, nowNanos);
     admissionControl.receive(client, messageId, decoded, nowNanos, lagNanos);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -1,5 +1,7 @@
 package org.amberpath.gateway;
 
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RoutingActions;
 
 /** Carries out what the router decides, at once. */
@@ -9,7 +11,7 @@
   /** Is notified of what the router decides about endpoints. */
   interface EndpointObserver {
     /** An endpoint's health state has changed. */
-    void healthChanged(int endpoint, Health health);
+    void healthChanged(int endpoint, EndpointHealthStatus health);
 
     /** An endpoint is in slow start until a clock time. */
     void warmingUp(int endpoint, long untilNanos);
@@ -44,57 +46,56 @@
   }
 
   @Override
-  public void forward(
-      long requestId,
-      int endpoint,
-      long untilNanos,
-      int source,
-      long maxAgeNanos,
-      int priority,
-      int flags) {
+  public void sendAttempt(AttemptCommand command) {
     attemptSender.send(
-        find(requestId),
-        new AttemptParameters(endpoint, untilNanos, source, maxAgeNanos, priority, flags));
+        find(command.requestId()),
+        new AttemptParameters(
+            command.endpoint(),
+            command.deadlineNanos(),
+            command.source(),
+            command.maxAgeNanos(),
+            command.rank(),
+            command.options()));
   }
 
   @Override
-  public void sendBy(long requestId, long timeNanos) {
+  public void limitRetryStart(long requestId, long timeNanos) {
     attemptSender.setSendBy(find(requestId), timeNanos);
   }
 
   @Override
-  public void shed(long requestId, long retryAfterNanos) {
+  public void reject(long requestId, long retryAfterNanos) {
     responseWriter.shed(find(requestId), retryAfterNanos);
   }
 
   @Override
-  public void errored(long requestId) {
+  public void fail(long requestId) {
     responseWriter.errored(find(requestId), "upstream request failed");
   }
 
   @Override
-  public void callOff(long requestId, int attemptIndex) {
+  public void cancelAttempt(long requestId, int attemptIndex) {
     attemptSender.cancel(find(requestId), attemptIndex);
   }
 
   @Override
-  public void wake(long delayNanos, String handle) {
+  public void scheduleTimer(long delayNanos, String handle) {
     context
         .vertx()
         .setTimer(
             Math.max(1, delayNanos / NANOS_PER_MILLI),
-            timer -> routingStage.enqueue(null, events -> events.woken(handle)));
+            timer -> routingStage.enqueue(null, events -> events.timerFired(handle)));
   }
 
   @Override
-  public void health(int endpoint, Health health) {
+  public void endpointHealthChanged(int endpoint, EndpointHealthStatus health) {
     if (observer != null) {
       observer.healthChanged(endpoint, health);
     }
   }
 
   @Override
-  public void cold(int endpoint, long untilNanos) {
+  public void endpointWarmingUp(int endpoint, long untilNanos) {
     if (observer != null) {
       observer.warmingUp(endpoint, untilNanos);
     }
@@ -102,5 +103,5 @@
 
   /** Does nothing: discovery is always watched. */
   @Override
-  public void watchList() {}
+  public void subscribeEndpoints() {}
 }
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -5,10 +5,11 @@
 import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.ByteString;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingConfig;
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.Events;
+import org.amberpath.routing.RoutingEventHandler;
 
 /**
  * Requests that this gateway makes itself on behalf of the fleet, modelled on what clients asked
@@ -49,14 +50,14 @@
     this.inFlight = inFlight;
     this.routingStage = routingStage;
     this.endpoints = endpoints;
-    random = new SplittableRandom(config.seed() ^ clock.now());
+    random = new SplittableRandom(config.seed() ^ clock.nowNanos());
   }
 
   /** Keeps a client's request, if it is idempotent, cacheable and small enough. */
   void addRecent(ClientRequest request) {
     DecodedRequest decoded = request.decoded;
-    if (config.effect(request.trafficClass) == Effect.IDEMPOTENT
-        && !config.neverKept(request.trafficClass)
+    if (config.trafficClass(request.trafficClass).idempotency() == Idempotency.IDEMPOTENT
+        && !config.trafficClass(request.trafficClass).neverCached()
         && decoded.body().length() <= MAX_BODY_BYTES) {
       recent.add(
           new SegmentKey(decoded.objectId(), decoded.partNumber()),
@@ -67,10 +68,10 @@
   /** Makes a request as {@link FleetCallbacks#sendSyntheticRequest} specifies. */
   boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
     boolean prefetch = endpointId == null;
-    Template template = prefetch ? recent.next() : recent.latest();
+    Template template = prefetch ? recent.nextInPass() : recent.latest();
     int endpoint = prefetch ? -1 : endpoints.index(endpointId);
     if (template == null && prefetch) {
-      recent.turn();
+      recent.startPass();
     }
     if (template == null || (!prefetch && endpoint < 0) || inFlightCount == MAX_IN_FLIGHT) {
       return false;
@@ -82,7 +83,7 @@
             inFlight.nextId(),
             decoded,
             template.trafficClass,
-            clock.now() + timeoutNanos,
+            clock.nowNanos() + timeoutNanos,
             outcome -> {
               inFlightCount--;
               completion.accept(outcome);
@@ -92,16 +93,18 @@
     return true;
   }
 
-  private void offer(Events events, ClientRequest request, int endpoint) {
+  private void offer(RoutingEventHandler events, ClientRequest request, int endpoint) {
     DecodedRequest decoded = request.decoded;
-    events.own(
-        request.id,
-        request.trafficClass,
-        decoded.objectId(),
-        decoded.purgeGroup(),
-        decoded.partNumber(),
-        request.deadlineNanos - clock.now(),
-        decoded.sizeKb(),
+    events.syntheticRequestReceived(
+        new RequestDetails(
+            request.id,
+            request.trafficClass,
+            decoded.objectId(),
+            decoded.purgeGroup(),
+            decoded.partNumber(),
+            request.deadlineNanos - clock.nowNanos(),
+            decoded.sizeKb(),
+            false),
         endpoint);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -2,98 +2,40 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import org.amberpath.routing.Idempotency;
+import org.amberpath.routing.IdempotencyScope;
+import org.amberpath.routing.RetryConfig;
 import org.amberpath.routing.RoutingConfig;
+import org.amberpath.routing.SlowStartConfig;
+import org.amberpath.routing.TrafficClassConfig;
 
 /**
  * The routing configuration that a gateway is started with, decoded once from the platform's JSON.
  * Immutable. Durations are nanoseconds.
  */
 public final class JsonRoutingConfig implements RoutingConfig {
-  /** The settings of one traffic class. */
-  private record TrafficClass(
-      String name,
-      Effect effect,
-      Group group,
-      long windowNanos,
-      long latencyObjectiveNanos,
-      long freshNanos,
-      long graceNanos,
-      double latencyStretch,
-      double revenue,
-      boolean uncacheable) {
-
-    /** Decodes the class at an index; settings of the site hold some of its values. */
-    static TrafficClass decode(JsonReader settings, JsonReader site, int index) {
-      return new TrafficClass(
-          settings.text("name"),
-          effect(settings),
-          group(settings),
-          settings.timeOr("window-s", 0),
-          settings.time("target-s"),
-          nanosAt(site, "class-fresh-s", index),
-          nanosAt(site, "class-grace-s", index),
-          settings.numberOr("aim-stretch", 0),
-          settings.numberOr("points", 1),
-          site.at("never-kept", index, Boolean.class, false));
-    }
-
-    private static long nanosAt(JsonReader site, String key, int index) {
-      return JsonReader.nanos(site.at(key, index, Number.class, 0).doubleValue());
-    }
-
-    private static Effect effect(JsonReader settings) {
-      String idempotency = settings.text("idempotency");
-      return switch (idempotency) {
-        case "repeatable" -> Effect.IDEMPOTENT;
-        case "by_key" -> Effect.TOKENED;
-        case "once" -> Effect.NON_IDEMPOTENT;
-        default -> throw settings.wrong("idempotency", UNKNOWN_KIND + idempotency);
-      };
-    }
-
-    private static Group group(JsonReader settings) {
-      String group = settings.has("group") ? settings.text("group") : "cell";
-      return switch (group) {
-        case "all" -> Group.ALL;
-        case "zone" -> Group.ZONE;
-        case "cell" -> Group.CELL;
-        default -> throw settings.wrong("group", UNKNOWN_KIND + group);
-      };
-    }
-  }
-
   private static final String UNKNOWN_KIND = "of no known kind: ";
 
   private final long seed;
   private final String zone;
   private final int gateways;
   private final int gatewaysInZone;
-  private final String parentKind;
-  private final String originKind;
+  private final Optional<String> parentKind;
+  private final Optional<String> originKind;
   private final boolean weightIsSize;
   private final boolean listOnRequest;
-  private final int maxAttempts;
-  private final boolean hedging;
-  private final boolean cancellation;
-  private final boolean retryAfter;
-  private final long maxRetryAfterNanos;
+  private final RetryConfig retries;
   private final boolean bypass;
   private final boolean collapsing;
   private final double transferKbPerSecond;
   private final long purgeRetentionNanos;
-  private final SlowStart slowStart;
-  private final SlowStart parentSlowStart;
-  private final long burstNanos;
-  private final List<TrafficClass> trafficClasses;
+  private final SlowStartConfig edgeSlowStart;
+  private final SlowStartConfig parentSlowStart;
+  private final long overloadWindowNanos;
+  private final List<NamedTrafficClass> trafficClasses;
 
-  /**
-   * Slow start of caches that are warming up.
-   *
-   * @param initialShare share of the load at the start
-   * @param durationNanos how long it takes to the full load
-   * @param overloadFactor multiple of the capacity at which a cache is overloaded
-   */
-  private record SlowStart(double initialShare, long durationNanos, double overloadFactor) {}
+  private record NamedTrafficClass(String name, TrafficClassConfig config) {}
 
   /**
    * Decodes the settings.
@@ -103,59 +45,105 @@
    * @throws InvalidDocumentException if a field is missing or invalid
    */
   public JsonRoutingConfig(long seed, JsonReader settings) {
-    JsonReader site = settings.fieldsOr("family-info");
-    JsonReader bounds = settings.fieldsOr("bounds");
-    JsonReader guarantees = settings.fieldsOr("guarantees");
+    JsonReader site = settings.objectOrEmpty("family-info");
+    JsonReader bounds = settings.objectOrEmpty("bounds");
+    JsonReader guarantees = settings.objectOrEmpty("guarantees");
     this.seed = seed;
-    zone = settings.text("my-zone");
-    gateways = settings.place("replicas-of-me", 1);
+    zone = settings.string("my-zone");
+    gateways = settings.intOr("replicas-of-me", 1);
     gatewaysInZone = gatewaysInZone(settings, site);
-    parentKind = settings.at("kinds", site.place("mid-kind", -1), String.class, null);
-    originKind = settings.at("kinds", site.place("store-kind", -1), String.class, null);
+    parentKind = kind(settings, site.intOr("mid-kind", -1));
+    originKind = kind(settings, site.intOr("store-kind", -1));
     weightIsSize = is(settings, "weights", "nominal");
     listOnRequest = is(settings, "registry-mode", "on_request");
-    maxAttempts = bounds.place("max-attempts", 1);
-    hedging = bounds.flag("second-copies");
-    cancellation = bounds.flag("cancel");
-    retryAfter = bounds.flag("retry-after");
-    maxRetryAfterNanos = bounds.timeOr("max-retry-after-s", 0);
-    bypass = site.flag("bypass-allowed");
-    collapsing = site.flag("collapses");
-    transferKbPerSecond = site.numberOr("flow-kb-per-s", 0);
-    purgeRetentionNanos = site.timeOr("purge-takes-s", 0);
-    slowStart =
-        new SlowStart(
-            guarantees.numberOr("cold-share", 1),
-            guarantees.timeOr("cold-s", 0),
-            guarantees.numberOr("fall-multiple", 1));
-    burstNanos = guarantees.timeOr("fall-s", 0);
+    retries =
+        new RetryConfig(
+            bounds.intOr("max-attempts", 1),
+            bounds.booleanOrFalse("second-copies"),
+            bounds.booleanOrFalse("cancel"),
+            bounds.booleanOrFalse("retry-after"),
+            bounds.durationNanosOr("max-retry-after-s", 0));
+    bypass = site.booleanOrFalse("bypass-allowed");
+    collapsing = site.booleanOrFalse("collapses");
+    transferKbPerSecond = site.doubleOr("flow-kb-per-s", 0);
+    purgeRetentionNanos = site.durationNanosOr("purge-takes-s", 0);
+    edgeSlowStart =
+        new SlowStartConfig(
+            guarantees.doubleOr("cold-share", 1),
+            guarantees.durationNanosOr("cold-s", 0),
+            guarantees.doubleOr("fall-multiple", 1));
+    overloadWindowNanos = guarantees.durationNanosOr("fall-s", 0);
     parentSlowStart =
-        new SlowStart(
-            site.numberOr("parent-cold-from", 1),
-            site.timeOr("parent-ramp-s", 0),
-            site.numberOr("parent-limit-factor", 1));
-    trafficClasses = trafficClasses(settings.each("classes"), site);
+        new SlowStartConfig(
+            site.doubleOr("parent-cold-from", 1),
+            site.durationNanosOr("parent-ramp-s", 0),
+            site.doubleOr("parent-limit-factor", 1));
+    trafficClasses = trafficClasses(settings.objects("classes"), site);
   }
 
   private int gatewaysInZone(JsonReader settings, JsonReader site) {
-    int zoneIndex = settings.list("zones").indexOf(zone);
-    return site.at("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
+    int zoneIndex = settings.elements("zones").indexOf(zone);
+    return site.elementOr("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
   }
 
   private static boolean is(JsonReader settings, String key, String value) {
-    return settings.has(key) && settings.text(key).equals(value);
+    return settings.has(key) && settings.string(key).equals(value);
+  }
+
+  private static Optional<String> kind(JsonReader settings, int index) {
+    return Optional.ofNullable(settings.elementOr("kinds", index, String.class, null));
   }
 
-  private static List<TrafficClass> trafficClasses(List<JsonReader> classes, JsonReader site) {
-    List<TrafficClass> decoded = new ArrayList<>();
+  private static List<NamedTrafficClass> trafficClasses(List<JsonReader> classes, JsonReader site) {
+    List<NamedTrafficClass> decoded = new ArrayList<>();
     for (int index = 0; index < classes.size(); index++) {
-      decoded.add(TrafficClass.decode(classes.get(index), site, index));
+      decoded.add(
+          new NamedTrafficClass(
+              classes.get(index).string("name"), trafficClass(classes.get(index), site, index)));
     }
     return List.copyOf(decoded);
   }
 
+  /** Decodes the class at an index; settings of the site hold some of its values. */
+  private static TrafficClassConfig trafficClass(JsonReader settings, JsonReader site, int index) {
+    return new TrafficClassConfig(
+        idempotency(settings),
+        idempotencyScope(settings),
+        settings.durationNanosOr("window-s", 0),
+        settings.durationNanos("target-s"),
+        settings.doubleOr("aim-stretch", 0),
+        settings.doubleOr("points", 1),
+        site.elementOr("never-kept", index, Boolean.class, false),
+        nanosAt(site, "class-fresh-s", index),
+        nanosAt(site, "class-grace-s", index));
+  }
+
+  private static long nanosAt(JsonReader site, String key, int index) {
+    return JsonReader.secondsToNanos(site.elementOr(key, index, Number.class, 0).doubleValue());
+  }
+
+  private static Idempotency idempotency(JsonReader settings) {
+    String idempotency = settings.string("idempotency");
+    return switch (idempotency) {
+      case "repeatable" -> Idempotency.IDEMPOTENT;
+      case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
+      case "once" -> Idempotency.NON_IDEMPOTENT;
+      default -> throw settings.invalid("idempotency", UNKNOWN_KIND + idempotency);
+    };
+  }
+
+  private static IdempotencyScope idempotencyScope(JsonReader settings) {
+    String group = settings.has("group") ? settings.string("group") : "cell";
+    return switch (group) {
+      case "all" -> IdempotencyScope.ALL;
+      case "zone" -> IdempotencyScope.ZONE;
+      case "cell" -> IdempotencyScope.CELL;
+      default -> throw settings.invalid("group", UNKNOWN_KIND + group);
+    };
+  }
+
   /** The index of the traffic class of a name; -1 where there is none. */
-  public int trafficClass(String name) {
+  public int trafficClassIndex(String name) {
     for (int index = 0; index < trafficClasses.size(); index++) {
       if (trafficClasses.get(index).name().equals(name)) {
         return index;
@@ -180,157 +168,77 @@
   }
 
   @Override
-  public int gatewaysHere() {
+  public int gatewaysInZone() {
     return gatewaysInZone;
   }
 
   @Override
-  public String midKind() {
+  public Optional<String> parentKind() {
     return parentKind;
   }
 
   @Override
-  public String originKind() {
+  public Optional<String> originKind() {
     return originKind;
   }
 
   @Override
-  public boolean weighsSizes() {
+  public boolean weightIsSize() {
     return weightIsSize;
   }
 
   @Override
-  public boolean listOnRequest() {
+  public boolean endpointListOnRequest() {
     return listOnRequest;
   }
 
   @Override
-  public int maxForwards() {
-    return maxAttempts;
-  }
-
-  @Override
-  public boolean secondCopies() {
-    return hedging;
-  }
-
-  @Override
-  public boolean callOff() {
-    return cancellation;
-  }
-
-  @Override
-  public boolean retryAfter() {
-    return retryAfter;
-  }
-
-  @Override
-  public long maxRetryAfter() {
-    return maxRetryAfterNanos;
-  }
-
-  @Override
-  public boolean bypass() {
+  public boolean bypassAllowed() {
     return bypass;
   }
 
   @Override
-  public boolean joins() {
+  public boolean coalescing() {
     return collapsing;
   }
 
   @Override
-  public double flowKbPerSecond() {
+  public double transferKilobytesPerSecond() {
     return transferKbPerSecond;
   }
 
   @Override
-  public long purgeTakes() {
+  public long purgeRetentionNanos() {
     return purgeRetentionNanos;
   }
 
   @Override
-  public double coldShare() {
-    return slowStart.initialShare();
-  }
-
-  @Override
-  public long coldTime() {
-    return slowStart.durationNanos();
-  }
-
-  @Override
-  public double fallMultiple() {
-    return slowStart.overloadFactor();
-  }
-
-  @Override
-  public long fallTime() {
-    return burstNanos;
-  }
-
-  @Override
-  public double parentColdShare() {
-    return parentSlowStart.initialShare();
-  }
-
-  @Override
-  public long parentColdTime() {
-    return parentSlowStart.durationNanos();
-  }
-
-  @Override
-  public double parentFallMultiple() {
-    return parentSlowStart.overloadFactor();
-  }
-
-  @Override
-  public int deliveryServices() {
+  public int trafficClassCount() {
     return trafficClasses.size();
   }
 
   @Override
-  public Effect effect(int trafficClass) {
-    return trafficClasses.get(trafficClass).effect();
-  }
-
-  @Override
-  public Group group(int trafficClass) {
-    return trafficClasses.get(trafficClass).group();
-  }
-
-  @Override
-  public long window(int trafficClass) {
-    return trafficClasses.get(trafficClass).windowNanos();
-  }
-
-  @Override
-  public long latencyObjective(int trafficClass) {
-    return trafficClasses.get(trafficClass).latencyObjectiveNanos();
-  }
-
-  @Override
-  public double stretch(int trafficClass) {
-    return trafficClasses.get(trafficClass).latencyStretch();
+  public TrafficClassConfig trafficClass(int index) {
+    return trafficClasses.get(index).config();
   }
 
   @Override
-  public double revenue(int trafficClass) {
-    return trafficClasses.get(trafficClass).revenue();
+  public RetryConfig retries() {
+    return retries;
   }
 
   @Override
-  public boolean neverKept(int trafficClass) {
-    return trafficClasses.get(trafficClass).uncacheable();
+  public SlowStartConfig edgeSlowStart() {
+    return edgeSlowStart;
   }
 
   @Override
-  public long fresh(int trafficClass) {
-    return trafficClasses.get(trafficClass).freshNanos();
+  public SlowStartConfig parentSlowStart() {
+    return parentSlowStart;
   }
 
   @Override
-  public long grace(int trafficClass) {
-    return trafficClasses.get(trafficClass).graceNanos();
+  public long overloadWindowNanos() {
+    return overloadWindowNanos;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -15,7 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.RequestDetails;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Timeout;
@@ -62,7 +65,8 @@
   void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes)
       throws Exception {
     PausingDecisions decisions =
-        new PausingDecisions(new org.amberpath.routing.RequestRouter(options().site())::round);
+        new PausingDecisions(
+            new org.amberpath.routing.RequestRouter(options().routingConfig())::decide);
     world.start(options(), decisions);
     Client client = world.client();
     assertTrue(client.status().status());
@@ -116,31 +120,37 @@
    * its end.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"get", "ended"})
+  @ValueSource(strings = {"requestReceived", "attemptEnded"})
   void anAttemptAtTheEndOfALongRoundWaitsUntilTheSocketsAreRead(String event) throws Exception {
-    BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
+    BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
     PausingDecisions pause = new PausingDecisions(null);
     world.start(
         options(),
         (now, in, to) ->
-            in.replay(
+            in.replayTo(
                 PausingDecisions.events(
                     (name, told) -> {
-                      if (name.equals("ended")) {
-                        outcomes.add((Outcome) told[3]);
+                      if (name.equals("attemptEnded")) {
+                        outcomes.add(((AttemptResult) told[0]).outcome());
                       }
                       boolean begins =
-                          name.equals("get") || (name.equals("ended") && (int) told[1] == 0);
+                          name.equals("requestReceived")
+                              || (name.equals("attemptEnded")
+                                  && ((AttemptResult) told[0]).attempt() == 0);
                       if (name.equals(event) && begins) {
                         pause.stand();
                       }
                       if (begins) {
-                        to.forward((long) told[0], 0, 0, 0, 0, 0, 0);
+                        long id =
+                            name.equals("requestReceived")
+                                ? ((RequestDetails) told[0]).id()
+                                : ((AttemptResult) told[0]).requestId();
+                        to.sendAttempt(new AttemptCommand(id, 0, 0, 0, 0, 0, 0));
                       }
                     })));
     Client client = world.client();
     client.get(1, "parts", 15_000, 0);
-    if (event.equals("ended")) {
+    if (event.equals("attemptEnded")) {
       cache.next().answer("refused", "-", new byte[0]);
     }
     pause.awaitStanding();
@@ -148,9 +158,9 @@
     Thread.sleep(GONE_MS);
     pause.resume();
     assertEquals(
-        event.equals("get") ? Outcome.NOT_SENT : Outcome.TURNED_AWAY,
+        event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
         outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
-    assertEquals(Outcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * The main job, seen: a gateway among stand-ins, a cache that dies and one that is drained, and
@@ -22,7 +22,8 @@
       world.open(1, 4);
       world.serve(
           (vertx, to, chance) ->
-              new RegistrySource(vertx, world.access(RegistrySettings.Form.ETCD), to, chance));
+              new RegistrySource(
+                  vertx, world.access(RegistrySettings.ProtocolKind.ETCD), to, chance));
       out.println(
           "a gateway at 127.0.0.1:"
               + world.gateway.port()
@@ -46,7 +47,7 @@
       long drainedAt =
           world.on(
               () -> {
-                world.put("e2", State.DRAINING);
+                world.put("e2", EndpointState.DRAINING);
                 return System.nanoTime();
               });
       Thread.sleep(seconds * 1000L / 3);
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -4,8 +4,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -25,26 +27,23 @@
       new RegistryView(
           new EndpointListener() {
             @Override
-            public void listing(boolean whole) {}
+            public void endpointListStarted(EndpointListKind kind) {}
 
             @Override
-            public void member(
-                String id,
-                String address,
-                String zone,
-                String kind,
-                int cell,
-                State state,
-                double weight,
-                long startedAtMs) {
-              told.add(id + " " + (startedAtMs == 0 ? "long ago" : startedAtMs - NOW / MS));
+            public void endpointListed(ListedEndpoint endpoint) {
+              told.add(
+                  endpoint.id()
+                      + " "
+                      + (endpoint.startedAtMillis() == 0
+                          ? "long ago"
+                          : endpoint.startedAtMillis() - NOW / MS));
             }
 
             @Override
-            public void listed() {}
+            public void endpointListCompleted() {}
 
             @Override
-            public void purged(long object, int group, long atMs) {
+            public void objectPurged(long object, int group, long atMs) {
               told.add("purged " + object + " " + (atMs - NOW / MS));
             }
           },
@@ -54,14 +53,14 @@
           line -> {});
 
   private static RegistryEntry cache(
-      String id, State state, long startedMs, long created, long changed) {
+      String id, EndpointState state, long startedMs, long created, long changed) {
     long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
     RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
     return new RegistryEntry("p/caches/" + id, content, created, changed);
   }
 
   private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.changed(), held.key(), held);
+    return new WatchEvent(held.modRevision(), held.key(), held);
   }
 
   private List<String> told() {
@@ -73,34 +72,35 @@
   @ParameterizedTest
   @CsvSource({"-5000,0", "-3600000,0", "3600000,0", "0,0", "-7200000,-3600000"})
   void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
-    view.whole(NOW, List.of(), "c", 1, NOW, false);
-    view.changes(NOW, List.of(put(cache("a", State.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
+    view.applySnapshot(NOW, List.of(), "c", 1, NOW, false);
+    view.applyEvents(
+        NOW, List.of(put(cache("a", EndpointState.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
     assertEquals(List.of("a " + start), told());
   }
 
   @Test
   void aStartStaysWhatItWasToldAsUntilTheCacheIsAnotherOne() {
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(
-            cache("a", State.UP, 3_600_000, 1, 1),
-            cache("b", State.UP, -9000, 1, 1),
-            cache("c", State.UP, 0, 1, 1)),
+            cache("a", EndpointState.UP, 3_600_000, 1, 1),
+            cache("b", EndpointState.UP, -9000, 1, 1),
+            cache("c", EndpointState.UP, 0, 1, 1)),
         "c",
         1,
         NOW,
         false);
     assertEquals(List.of("a 0", "b -7000", "c long ago"), told());
     long later = NOW + 60 * SECOND;
-    view.changes(
+    view.applyEvents(
         later,
         List.of(
-            put(cache("a", State.DRAINING, 3_600_000, 1, 2)),
-            put(cache("b", State.DRAINING, -9000, 1, 2))));
+            put(cache("a", EndpointState.DRAINING, 3_600_000, 1, 2)),
+            put(cache("b", EndpointState.DRAINING, -9000, 1, 2))));
     assertEquals(List.of("a 0", "b -7000"), told());
-    view.changes(later, List.of(put(cache("a", State.UP, -3_000_000, 1, 3))));
+    view.applyEvents(later, List.of(put(cache("a", EndpointState.UP, -3_000_000, 1, 3))));
     assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
-    view.changes(later, List.of(put(cache("b", State.UP, -9000, 4, 4))));
+    view.applyEvents(later, List.of(put(cache("b", EndpointState.UP, -9000, 4, 4))));
     assertEquals(List.of("b long ago", "b 60000"), told(), "gone, and another one under its id");
   }
 
@@ -108,9 +108,9 @@
   void aPurgeInASnapshotCountsFromTheStart() {
     RegistryEntry purge =
         new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
-    view.remember(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
+    view.restoreSnapshot(NOW, List.of(purge), "c", 10, NOW - 50 * MS);
     assertEquals(List.of("purged 7 0"), told());
-    view.whole(NOW, List.of(purge), "c", 10, NOW, false);
+    view.applySnapshot(NOW, List.of(purge), "c", 10, NOW, false);
     assertEquals(List.of(), told());
   }
 
@@ -118,7 +118,7 @@
   @CsvSource({"-10,10", "-3610,3610", "1,0", "10,3590", "3590,10", "3700,-100"})
   void aSnapshotIsAsOldAsAStepOfTheClockAllows(long provenS, long ageS) {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
-    assertEquals(ageS * SECOND, snapshot.age(NOW));
+    assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
     assertEquals(ageS < 0 ? "it is from the future" : null, snapshot.refusal(NOW, "p/", DAY));
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -8,28 +8,23 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * Decides, for one gateway, where each request is returned from, filled from and cached. {@link
- * #round} takes a batch of all events that came in and writes the actions that follow from them, in
- * order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
+ * #decide} takes a batch of all events that came in and writes the actions that follow from them,
+ * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
  * batch's time, in nanoseconds.
  *
- * <p>The ordinary path of a request is {@link #get}: {@link SegmentAdmission} says whether its
- * answer is cached, {@link RouteSelector} where it goes. What departs from that path lies in {@link
- * OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. The
- * design is docs/design.md.
+ * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} says
+ * whether its answer is cached, {@link RouteSelector} where it goes. What departs from that path
+ * lies in {@link OutlierDetector}, {@link SlowStart}, {@link ConcurrencyLimiter} and {@link
+ * RetryPolicy}. The design is docs/design.md.
  */
-public final class RequestRouter implements RoutingEvents.Events {
+public final class RequestRouter implements RoutingEventHandler {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
   private static final String SWEEP_HANDLE = "sweep";
 
-  private final RoutingConfig site;
+  private final RoutingConfig config;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
   private final GatewayShare share;
@@ -59,41 +54,41 @@
   private long nowNanos;
 
   /** A router that knows no endpoint yet. */
-  public RequestRouter(RoutingConfig site) {
-    this.site = site;
-    random = new SplittableRandom(site.seed());
-    trafficClasses = new TrafficClass[site.deliveryServices()];
-    Arrays.setAll(trafficClasses, index -> new TrafficClass(site, index));
-    share = new GatewayShare(site);
-    endpoints = new EndpointTable(site.zone());
-    patience = new PatienceEstimator(history, site.flowKbPerSecond());
-    purges = new PurgeLog(site.purgeTakes());
-    slowStart = new SlowStart(site, share, trafficClasses);
-    outlierDetector = new OutlierDetector(site.seed(), endpoints, share, slowStart, random);
+  public RequestRouter(RoutingConfig config) {
+    this.config = config;
+    random = new SplittableRandom(config.seed());
+    trafficClasses = new TrafficClass[config.trafficClassCount()];
+    Arrays.setAll(trafficClasses, index -> new TrafficClass(config.trafficClass(index)));
+    share = new GatewayShare(config);
+    endpoints = new EndpointTable(config.zone());
+    patience = new PatienceEstimator(history, config.transferKilobytesPerSecond());
+    purges = new PurgeLog(config.purgeRetentionNanos());
+    slowStart = new SlowStart(config, share, trafficClasses);
+    outlierDetector = new OutlierDetector(config.seed(), endpoints, share, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
-    retryPolicy = new RetryPolicy(site);
+    retryPolicy = new RetryPolicy(config.retries());
     RendezvousSelector rendezvous =
         new RendezvousSelector(retryPolicy, outlierDetector, limiter, slowStart);
-    routes = new RouteSelector(site, endpoints, rendezvous, limiter, retryPolicy);
+    routes = new RouteSelector(config, endpoints, rendezvous, limiter, retryPolicy);
     syntheticRoutes =
         new SyntheticRouteSelector(endpoints, routes, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
-    cluster = new ClusterManager(site, share, endpoints, slowStart, limiter, random);
+    cluster = new ClusterManager(config, share, endpoints, slowStart, limiter, random);
   }
 
   /**
    * Decides on all events of a batch, at one time in nanoseconds; the actions are written as they
    * are decided.
    */
-  public void round(long time, RoutingEvents events, RoutingActions actions) {
+  public void decide(long time, RoutingEvents events, RoutingActions actions) {
     nowNanos = time;
     batch = new Batch(time, actions);
     slowStart.beginBatch(time);
-    if (!watching && site.listOnRequest()) {
+    if (!watching && config.endpointListOnRequest()) {
       watching = true;
-      actions.watchList();
+      actions.subscribeEndpoints();
     }
-    events.replay(this);
+    events.replayTo(this);
   }
 
   // ---- Requests.
@@ -103,50 +98,31 @@
    * send it.
    */
   @Override
-  public void get(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeftNanos,
-      double kilobytes,
-      boolean neverCached) {
-    InFlightRequest request =
-        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
-    request.uncacheable = neverCached || request.trafficClass.isNeverCached();
+  public void requestReceived(RequestDetails details) {
+    InFlightRequest request = open(details);
+    request.uncacheable = details.neverCached() || request.trafficClass.isNeverCached();
     retryBudget.deposit();
     boolean sharedZone = share.isZoneShared();
-    long previousStartNanos = history.observe(object, part, sharedZone, nowNanos);
+    long previousStartNanos =
+        history.observe(details.object(), details.part(), sharedZone, nowNanos);
     if (!request.uncacheable) {
       request.rank =
-          admission.rankOf(object, request.segment, previousStartNanos, sharedZone, nowNanos);
+          admission.rankOf(
+              details.object(), request.segment, previousStartNanos, sharedZone, nowNanos);
     }
     if (!route(request)) {
       giveUp(request);
     }
   }
 
-  /**
-   * A request of this gateway's own, on behalf of the fleet: a health check or, with no cache
-   * named, a prefetch.
-   */
+  /** Health checks and prefetches go by routes of their own, and are never hedged. */
   @Override
-  public void own(
-      long id,
-      int trafficClass,
-      long object,
-      int group,
-      int part,
-      long timeLeftNanos,
-      double kilobytes,
-      int endpoint) {
-    InFlightRequest request =
-        open(new RequestDetails(id, trafficClass, object, group, part, timeLeftNanos, kilobytes));
+  public void syntheticRequestReceived(RequestDetails details, int endpoint) {
+    InFlightRequest request = open(details);
     request.purpose = endpoint < 0 ? Purpose.PREFETCH : Purpose.HEALTH_CHECK;
     Route route;
     if (request.purpose == Purpose.PREFETCH) {
-      request.rank = admission.prefetchRankOf(object);
+      request.rank = admission.prefetchRankOf(details.object());
       route = syntheticRoutes.selectPrefetch(request, nowNanos);
     } else {
       route = syntheticRoutes.selectHealthCheck(request, endpoint, nowNanos);
@@ -180,10 +156,10 @@
     Endpoint endpoint = route.endpoint();
     Endpoint source = route.source() == null ? endpoint : route.source();
     TrafficClass trafficClass = request.trafficClass;
-    if (request.firstExecuted != null && trafficClass.effect() == Effect.TOKENED) {
+    if (request.firstExecuted != null && trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY) {
       batch
           .actions()
-          .sendBy(
+          .limitRetryStart(
               request.id,
               request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
     }
@@ -191,14 +167,15 @@
         trafficClass.freshNanos() + (route.cachedOnly() ? trafficClass.staleGraceNanos() : 0);
     batch
         .actions()
-        .forward(
-            request.id,
-            endpoint.index,
-            request.deadlineNanos,
-            source.index,
-            purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
-            request.rank,
-            switches(request, source, route.cachedOnly()));
+        .sendAttempt(
+            new AttemptCommand(
+                request.id,
+                endpoint.index,
+                request.deadlineNanos,
+                source.index,
+                purges.maxCopyAgeNanos(request.object, request.group, oldestNanos, nowNanos),
+                request.rank,
+                options(request, source, route.cachedOnly())));
     Attempt attempt =
         new Attempt(
             request,
@@ -212,52 +189,45 @@
     recorder.recordSent(attempt, nowNanos);
     if (!sweepScheduled) {
       sweepScheduled = true;
-      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
     }
   }
 
-  private int switches(InFlightRequest request, Endpoint source, boolean cachedOnly) {
+  private int options(InFlightRequest request, Endpoint source, boolean cachedOnly) {
     boolean renews =
         !cachedOnly && request.trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
-    return (site.joins() ? RoutingActions.JOIN : 0)
-        + (cachedOnly ? RoutingActions.HELD_ONLY : 0)
-        + (renews ? RoutingActions.RENEW : 0);
+    return (config.coalescing() ? AttemptCommand.COALESCE : 0)
+        + (cachedOnly ? AttemptCommand.CACHED_ONLY : 0)
+        + (renews ? AttemptCommand.REVALIDATE : 0);
   }
 
   @Override
-  public void begun(long id, int attemptNumber) {
+  public void responseStarted(long id, int attemptNumber) {
     if (requests.containsKey(id)) {
       requests.get(id).streaming = true;
     }
   }
 
   @Override
-  public void ended(
-      long id,
-      int attemptNumber,
-      int endpoint,
-      Outcome outcome,
-      long tookNanos,
-      boolean settled,
-      Note note) {
-    InFlightRequest request = requests.get(id);
+  public void attemptEnded(AttemptResult result) {
+    InFlightRequest request = requests.get(result.requestId());
     if (request == null
-        || attemptNumber >= request.attempts.size()
-        || !openAttempts.remove(request.attempts.get(attemptNumber))) {
+        || result.attempt() >= request.attempts.size()
+        || !openAttempts.remove(request.attempts.get(result.attempt()))) {
       return;
     }
-    Attempt attempt = request.attempts.get(attemptNumber);
+    Attempt attempt = request.attempts.get(result.attempt());
     request.openAttempts--;
-    recorder.recordEnded(attempt, outcome, tookNanos, note, batch);
-    if (!outcome.notRun) {
+    recorder.recordEnded(attempt, result.outcome(), result.durationNanos(), result.detail(), batch);
+    if (!result.outcome().provesNotExecuted()) {
       request.recordExecuted(attempt);
     }
-    if (settled) {
+    if (result.requestFinished()) {
       finish(request);
     } else if (!request.done && request.openAttempts == 0) {
-      retryOrGiveUp(attempt, outcome, note);
+      retryOrGiveUp(attempt, result.outcome(), result.detail());
     } else if (request.done && request.openAttempts == 0) {
-      requests.remove(id);
+      requests.remove(result.requestId());
     }
   }
 
@@ -265,12 +235,13 @@
    * A retry where the request's kind, its time and the budget permit; else the final answer, at
    * once.
    */
-  private void retryOrGiveUp(Attempt last, Outcome outcome, Note note) {
+  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail note) {
     InFlightRequest request = last.request();
-    request.originFailed |= note == Note.ORIGIN_ERRORED;
-    boolean lackedCopy = last.cachedOnly() && outcome == Outcome.NOT_STORED;
+    request.originFailed |= note == ResponseDetail.ORIGIN_FAILED;
+    boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
     boolean neverSent =
-        outcome == Outcome.HELD_BACK; // Guards its endpoint and the budget: nothing was sent.
+        outcome
+            == AttemptOutcome.WITHDRAWN; // Guards its endpoint and the budget: nothing was sent.
     if (lackedCopy || request.originFailed || neverSent) {
       retryBudget.refund();
     } else {
@@ -280,7 +251,7 @@
         lackedCopy
             && (routes.selectSource(request, nowNanos) == null
                 || limiter.isOriginSaturated(request, nowNanos));
-    if (isFillHopeless || outcome == Outcome.NO_ANSWER || !retry(request)) {
+    if (isFillHopeless || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
       giveUp(request);
     }
   }
@@ -297,23 +268,24 @@
    */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long shortestNanos = site.retryAfter() ? site.maxRetryAfter() / 2 : 0;
+      long shortestNanos =
+          config.retries().retryAfter() ? config.retries().maxRetryAfterNanos() / 2 : 0;
       batch
           .actions()
-          .shed(
+          .reject(
               request.id, shortestNanos == 0 ? 0 : shortestNanos + random.nextLong(shortestNanos));
     } else {
-      batch.actions().errored(request.id);
+      batch.actions().fail(request.id);
     }
     finish(request);
   }
 
   private void finish(InFlightRequest request) {
     request.done = true;
-    if (site.callOff() && !request.streaming) {
+    if (config.retries().cancellation() && !request.streaming) {
       request.attempts.stream()
           .filter(openAttempts::contains)
-          .forEach(attempt -> batch.actions().callOff(request.id, attempt.number()));
+          .forEach(attempt -> batch.actions().cancelAttempt(request.id, attempt.number()));
     }
     if (request.openAttempts == 0) {
       requests.remove(request.id);
@@ -321,17 +293,17 @@
   }
 
   @Override
-  public void left(long id) {
+  public void clientDisconnected(long id) {
     if (requests.containsKey(id) && !requests.get(id).done) {
       finish(requests.get(id));
     }
   }
 
   @Override
-  public void woken(String handle) {
+  public void timerFired(String handle) {
     sweepScheduled = !openAttempts.isEmpty();
     if (sweepScheduled) {
-      batch.actions().wake(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
+      batch.actions().scheduleTimer(SWEEP_INTERVAL_NANOS, SWEEP_HANDLE);
     }
     limiter.recountFills(openAttempts, nowNanos);
     outlierDetector.recountOverdue(openAttempts, nowNanos);
@@ -363,47 +335,48 @@
   // ---- Changes of endpoints, copies and the fleet.
 
   @Override
-  public void listing(Listing listing) {
+  public void endpointListStarted(EndpointListKind listing) {
     cluster.beginList(listing);
-    watching = listing != Listing.NONE;
+    watching = listing != EndpointListKind.NONE;
   }
 
   @Override
-  public void member(
-      int index,
-      String id,
-      String zone,
-      String kind,
-      int cell,
-      State state,
-      double weight,
-      long startedAtNanos) {
+  public void endpointListed(EndpointDescription endpoint) {
     cluster.update(
-        new EndpointDescription(index, id, zone, kind, cell, state, weight, startedAtNanos), batch);
+        new EndpointDescription(
+            endpoint.index(),
+            endpoint.id(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            endpoint.state(),
+            endpoint.weight(),
+            endpoint.startedAtNanos()),
+        batch);
   }
 
   @Override
-  public void listed() {
+  public void endpointListCompleted() {
     cluster.endList(nowNanos);
   }
 
   @Override
-  public void purged(long object, int group, long agoNanos) {
+  public void objectPurged(long object, int group, long agoNanos) {
     purges.record(object, group, nowNanos - agoNanos, nowNanos);
   }
 
   @Override
-  public void sharers(int gateways, double granted) {
+  public void gatewayShareChanged(int gateways, double granted) {
     cluster.updateShare(gateways, granted > 0, nowNanos);
   }
 
   @Override
-  public void tried(boolean delegated) {
+  public void healthChecksDelegated(boolean delegated) {
     outlierDetector.setDelegated(delegated);
   }
 
   @Override
-  public void vouched(int index, boolean answers, long agoNanos) {
+  public void healthReported(int index, boolean answers, long agoNanos) {
     Endpoint endpoint = endpoints.get(index);
     if (endpoint != null) {
       outlierDetector.onFleetReport(endpoint, answers, agoNanos, batch);
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,9 +1,5 @@
 package org.amberpath.routing;
 
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingConfig.Group;
-import org.amberpath.routing.RoutingEvents.Note;
-
 /**
  * Whether a request may be attempted again, and where: never so that it might have its effect
  * twice.
@@ -11,11 +7,11 @@
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
-  private final RoutingConfig site;
+  private final RetryConfig config;
 
-  /** The policy of a site's traffic classes and its bound on attempts. */
-  RetryPolicy(RoutingConfig site) {
-    this.site = site;
+  /** The policy of a configuration. */
+  RetryPolicy(RetryConfig config) {
+    this.config = config;
   }
 
   /**
@@ -28,16 +24,18 @@
       return true;
     }
     TrafficClass trafficClass = request.trafficClass;
-    return trafficClass.effect() == Effect.IDEMPOTENT
-        || (trafficClass.effect() == Effect.TOKENED
+    return trafficClass.effect() == Idempotency.IDEMPOTENT
+        || (trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY
             && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
             && sharesIdempotencyGroup(
                 trafficClass.idempotencyGroup(), endpoint, executed.endpoint()));
   }
 
-  private static boolean sharesIdempotencyGroup(Group group, Endpoint one, Endpoint other) {
-    return group == Group.ALL
-        || (one.zone.equals(other.zone) && (group == Group.ZONE || one.cell == other.cell));
+  private static boolean sharesIdempotencyGroup(
+      IdempotencyScope group, Endpoint one, Endpoint other) {
+    return group == IdempotencyScope.ALL
+        || (one.zone.equals(other.zone)
+            && (group == IdempotencyScope.ZONE || one.cell == other.cell));
   }
 
   /** Whether a request's state leaves room for a further attempt, wherever it goes. */
@@ -45,7 +43,7 @@
     return !request.streaming
         && !request.isSynthetic()
         && hasTimeLeft(request, nowNanos)
-        && request.attempts.size() < site.maxForwards();
+        && request.attempts.size() < config.maxAttempts();
   }
 
   /** Whether the time to its deadline is worth an answer that invites more. */
@@ -59,8 +57,8 @@
     return !request.done
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
-        && site.secondCopies()
-        && request.trafficClass.effect() == Effect.IDEMPOTENT;
+        && config.hedging()
+        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
   }
 
   /**
@@ -68,14 +66,16 @@
    * dropped everywhere.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
-    Effect effect = request.trafficClass.effect();
+    Idempotency effect = request.trafficClass.effect();
     return (request.firstExecuted == null && request.openAttempts == 0)
-        || effect == Effect.IDEMPOTENT
-        || (effect == Effect.TOKENED && request.trafficClass.idempotencyGroup() == Group.ALL);
+        || effect == Idempotency.IDEMPOTENT
+        || (effect == Idempotency.IDEMPOTENCY_KEY
+            && request.trafficClass.idempotencyGroup() == IdempotencyScope.ALL);
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
-  static boolean isSourceFault(Note note) {
-    return note.compareTo(Note.SOURCE_TURNED_AWAY) >= 0 && note != Note.NO_PLACE;
+  static boolean isSourceFault(ResponseDetail note) {
+    return note.compareTo(ResponseDetail.FILL_REJECTED) >= 0
+        && note != ResponseDetail.NOT_STORED_NO_SPACE;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -1,95 +1,60 @@
 package org.amberpath.routing;
 
-/** What a gateway is told when it starts, decoded once. Times are nanoseconds. */
-public interface RoutingConfig {
-  enum Effect {
-    IDEMPOTENT,
-    TOKENED,
-    NON_IDEMPOTENT
-  }
-
-  /** The caches that drop a tokened GET's repeats. */
-  enum Group {
-    ALL,
-    ZONE,
-    CELL
-  }
+import java.util.Optional;
 
+/** What a gateway is told when it starts, decoded once. It never changes while a gateway runs. */
+public interface RoutingConfig {
+  /** Seed of this gateway's random choices. */
   long seed();
 
-  /** How many gateways there are, in all and in this gateway's zone. */
+  /** How many gateways there are in all zones. */
   int gateways();
 
-  int gatewaysHere();
+  /** How many gateways there are in this gateway's zone. */
+  int gatewaysInZone();
 
+  /** The gateway's own zone. */
   String zone();
 
-  /** The kinds that parents and the origin are listed under; null where the site has none. */
-  String midKind();
-
-  String originKind();
-
-  /** True where a listed weight is a cache's size in full-pace transfers. */
-  boolean weighsSizes();
-
-  /** True where the list of caches must be asked for. */
-  boolean listOnRequest();
-
-  int deliveryServices();
-
-  Effect effect(int ds);
-
-  Group group(int ds);
-
-  long window(int ds);
-
-  long latencyObjective(int ds);
-
-  /** By how much the latency objective grows with a GET's own sending time. */
-  double stretch(int ds);
-
-  double revenue(int ds);
-
-  boolean neverKept(int ds);
-
-  /**
-   * How long a copy is fresh (0: until it is purged) and how long after that it may still be
-   * returned.
-   */
-  long fresh(int ds);
-
-  long grace(int ds);
-
-  int maxForwards();
-
-  boolean secondCopies();
-
-  boolean callOff();
+  /** The kind that parent caches are listed under, if there are any. */
+  Optional<String> parentKind();
 
-  boolean retryAfter();
+  /** The kind that the origin is listed under, if it is listed. */
+  Optional<String> originKind();
 
-  long maxRetryAfter();
+  /** Whether a listed weight is an endpoint's size, in transfers at full rate. */
+  boolean weightIsSize();
 
-  /** True where parents and the origin take GETs too. */
-  boolean bypass();
+  /** Whether the endpoint list must be subscribed to. */
+  boolean endpointListOnRequest();
 
-  boolean joins();
+  /** How many traffic classes there are. */
+  int trafficClassCount();
 
-  double flowKbPerSecond();
+  /** The traffic class of an index, from 0. */
+  TrafficClassConfig trafficClass(int index);
 
-  long purgeTakes();
+  /** What is allowed beyond the first attempt. */
+  RetryConfig retries();
 
-  double coldShare();
+  /** Whether parents and the origin take requests that no cache may answer. */
+  boolean bypassAllowed();
 
-  long coldTime();
+  /** Whether endpoints coalesce misses with fills that are under way. */
+  boolean coalescing();
 
-  double fallMultiple();
+  /** Rate at which an object is transferred, in kilobytes a second; 0 where none is told. */
+  double transferKilobytesPerSecond();
 
-  long fallTime();
+  /** How long a purge has to be remembered, in nanoseconds. */
+  long purgeRetentionNanos();
 
-  double parentColdShare();
+  /** How edge caches warm up. */
+  SlowStartConfig edgeSlowStart();
 
-  long parentColdTime();
+  /** How parent caches warm up. */
+  SlowStartConfig parentSlowStart();
 
-  double parentFallMultiple();
+  /** The window over which the load on an endpoint that warms up is summed, in nanoseconds. */
+  long overloadWindowNanos();
 }
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -5,8 +5,6 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
 import org.amberpath.routing.SeededWorld.Setting;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -24,8 +22,8 @@
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   /** The one place that knows the class under test. */
-  private static SeededWorld.Module module(RoutingConfig site) {
-    return new RequestRouter(site)::round;
+  private static SeededWorld.Module module(RoutingConfig config) {
+    return new RequestRouter(config)::decide;
   }
 
   private static String digest(Setting setting, long seed) {
@@ -91,10 +89,10 @@
         }) {
       assertTrue(counts.getOrDefault("action " + action, 0) > 0, action + " of " + counts);
     }
-    for (Outcome outcome : Outcome.values()) {
+    for (AttemptOutcome outcome : AttemptOutcome.values()) {
       assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
     }
-    for (Note note : Note.values()) {
+    for (ResponseDetail note : ResponseDetail.values()) {
       assertTrue(counts.getOrDefault("note " + note, 0) > 0, note + " of " + counts);
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -9,15 +9,12 @@
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.IntStream;
 import java.util.stream.LongStream;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -33,7 +30,7 @@
   /** A GET that is returned at once. */
   private Sent hit(long object, int part) {
     Sent sent = host.get(++ids, object, part);
-    host.returned(sent, 50, Note.HIT);
+    host.returned(sent, 50, ResponseDetail.HIT);
     return sent;
   }
 
@@ -96,8 +93,8 @@
       Sent here = host.get(object, object, 0);
       Sent there = other.get(object, object, 0);
       assertEquals(List.of(here.cache(), here.source()), List.of(there.cache(), there.source()));
-      host.returned(here, 50, Note.HIT);
-      other.returned(there, 50, Note.HIT);
+      host.returned(here, 50, ResponseDetail.HIT);
+      other.returned(there, 50, ResponseDetail.HIT);
     }
   }
 
@@ -105,26 +102,26 @@
 
   private Sent firstAside() {
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(lost.cache()), host.aside);
-    host.returned(host.last(ids), 50, Note.HIT);
+    host.returned(host.last(ids), 50, ResponseDetail.HIT);
     return lost;
   }
 
   @Test
   void whileAnotherTriesWhatIsAsideIsLeftToItAndWordOfAnAnswerBringsItBack() {
-    host.event(to -> to.sharers(200, 1 / 200.0));
+    host.event(to -> to.gatewayShareChanged(200, 1 / 200.0));
     int cache = firstAside().cache();
-    host.event(to -> to.tried(true));
+    host.event(to -> to.healthChecksDelegated(true));
     for (int second = 0; second < 20; second++) {
       host.pass(1000);
       Sent sent = host.get(++ids, 5, 0);
       assertNotEquals(cache, sent.cache(), "tried by itself after " + second + " s");
-      host.returned(sent, 50, Note.HIT);
+      host.returned(sent, 50, ResponseDetail.HIT);
     }
-    host.event(to -> to.vouched(cache, true, 30_000 * MS)).pass(3000);
+    host.event(to -> to.healthReported(cache, true, 30_000 * MS)).pass(3000);
     assertEquals(List.of(cache), host.aside, "word from before it was set aside is worth nothing");
-    host.event(to -> to.vouched(cache, true, 100 * MS));
+    host.event(to -> to.healthReported(cache, true, 100 * MS));
     assertEquals(List.of(), host.aside);
     host.pass(3000);
     assertEquals(cache, hit(5, 0).cache());
@@ -133,16 +130,16 @@
   @Test
   void wordThatASilentCacheAnswersIsNotBelievedAgainBeforeThePauseIsOver() {
     int cache = firstAside().cache();
-    host.pass(500).event(to -> to.vouched(cache, true, 0));
+    host.pass(500).event(to -> to.healthReported(cache, true, 0));
     assertEquals(List.of(), host.aside, "believed once");
     Sent sent = host.get(++ids, 5, 0);
     while (sent.cache() != cache) {
-      host.returned(sent, 50, Note.HIT).pass(100);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(100);
       sent = host.get(++ids, 5, 0);
     }
-    host.ended(sent, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(cache), host.aside);
-    host.event(to -> to.vouched(cache, true, 0));
+    host.event(to -> to.healthReported(cache, true, 0));
     assertEquals(List.of(cache), host.aside, "it has just been seen not to answer");
   }
 
@@ -154,10 +151,10 @@
     Sent trial = host.own(++ids, 6, 0, cache);
     assertEquals(List.of(cache, 0), List.of(trial.cache(), trial.rank()));
     assertEquals(null, host.own(++ids, 6, 0, cache), "one at a time");
-    host.ended(trial, Outcome.LOST, 1, Note.NOTHING);
+    host.ended(trial, AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(trial, host.last(trial.get()), "not sent again");
     host.pass(5000);
-    host.returned(host.own(++ids, 6, 0, cache), 50, Note.HIT);
+    host.returned(host.own(++ids, 6, 0, cache), 50, ResponseDetail.HIT);
     assertEquals(List.of(), host.aside);
   }
 
@@ -169,7 +166,7 @@
     host.pass(600);
     assertEquals(List.of(sent.cache()), host.aside);
     assertNotNull(host.get(++ids, 5, 0), "and it goes on being asked");
-    host.returned(sent, 900, Note.HIT);
+    host.returned(sent, 900, ResponseDetail.HIT);
     assertEquals(List.of(), host.aside);
     assertEquals(List.of(sent.cache()), host.heard);
   }
@@ -177,18 +174,19 @@
   @Test
   void silenceThatOthersFoundOutCountsUnlessSomethingWasHeardHereSinceOrMostAreAside() {
     Sent sent = hit(5, 0);
-    host.pass(1000).event(to -> to.vouched(sent.cache(), false, 2000 * MS));
+    host.pass(1000).event(to -> to.healthReported(sent.cache(), false, 2000 * MS));
     assertEquals(List.of(), host.aside, "it has answered here since");
-    host.event(to -> to.vouched(sent.cache(), false, 500 * MS));
+    host.event(to -> to.healthReported(sent.cache(), false, 500 * MS));
     assertEquals(List.of(sent.cache()), host.aside);
-    IntStream.range(0, 4).forEach(cache -> host.event(to -> to.vouched(cache, false, 100 * MS)));
+    IntStream.range(0, 4)
+        .forEach(cache -> host.event(to -> to.healthReported(cache, false, 100 * MS)));
     assertEquals(3, host.aside.size(), "one more than half of four, and no further");
   }
 
   @Test
   void whatIsFilledAheadIsAPartOfWhatAColdCacheIsPromised() {
-    host.event(to -> to.sharers(200, 1 / 200.0));
-    host.change(1, State.UP, host.now);
+    host.event(to -> to.gatewayShareChanged(200, 1 / 200.0));
+    host.change(1, EndpointState.UP, host.now);
     assertEquals(List.of(1), host.cold);
     int sent = 0, refused = 0;
     for (int ms = 0; ms < 1000; ms += 5) {
@@ -197,7 +195,7 @@
       if (own != null) {
         sent++;
         assertEquals(List.of(1, 1), List.of(own.cache(), own.rank()));
-        host.returned(own, 50, Note.FILLED);
+        host.returned(own, 50, ResponseDetail.FILLED);
       }
       host.pass(5);
     }
@@ -219,8 +217,8 @@
 
   @Test
   void whatMayNotBeRepeatedIsNeverAskedForByItself() {
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
-    host.change(1, State.UP, host.now);
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
+    host.change(1, EndpointState.UP, host.now);
     for (int one = 0; one < 50; one++) {
       assertEquals(null, host.own(++ids, one, 0, one % 2 == 0 ? -1 : 0));
     }
@@ -230,7 +228,7 @@
 
   @Test
   void aGetWithNoCacheIsShedAtOnce() {
-    IntStream.range(0, 4).forEach(cache -> host.change(cache, State.GONE, 0));
+    IntStream.range(0, 4).forEach(cache -> host.change(cache, EndpointState.GONE, 0));
     host.get(1, 5, 0);
     assertEquals(List.of(1L), host.shed);
   }
@@ -240,43 +238,44 @@
     Sent sent = host.get(1, 5, 0);
     assertEquals(host.now + 2000 * MS, sent.until());
     host.now += 2000 * MS;
-    host.ended(sent, Outcome.NO_ANSWER, 2000, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.TIMED_OUT, 2000, ResponseDetail.NONE);
     assertEquals(List.of(1L), host.errored);
-    host.event(to -> to.left(1)).ended(sent, Outcome.CALLED_OFF, 2000, Note.NOTHING).pass(3000);
+    host.event(to -> to.clientDisconnected(1))
+        .ended(sent, AttemptOutcome.CANCELLED, 2000, ResponseDetail.NONE)
+        .pass(3000);
     assertEquals(1, host.sent.size() + host.shed.size());
     assertEquals(1, host.errored.size());
   }
 
   @ParameterizedTest
   @CsvSource({
-    "IDEMPOTENT, ERRORED, ALL, again",
-    "IDEMPOTENT, TURNED_AWAY, ALL, again",
-    "TOKENED, LOST, ALL, again",
-    "TOKENED, TURNED_AWAY, CELL, again",
-    "NON_IDEMPOTENT, TURNED_AWAY, ALL, again",
-    "NON_IDEMPOTENT, LOST, ALL, errored",
-    "NON_IDEMPOTENT, ERRORED, ALL, errored",
-    "NON_IDEMPOTENT, CALLED_OFF, ALL, errored"
+    "IDEMPOTENT, FAILED, ALL, again",
+    "IDEMPOTENT, REJECTED, ALL, again",
+    "IDEMPOTENCY_KEY, CONNECTION_LOST, ALL, again",
+    "IDEMPOTENCY_KEY, REJECTED, CELL, again",
+    "NON_IDEMPOTENT, REJECTED, ALL, again",
+    "NON_IDEMPOTENT, CONNECTION_LOST, ALL, errored",
+    "NON_IDEMPOTENT, FAILED, ALL, errored",
+    "NON_IDEMPOTENT, CANCELLED, ALL, errored"
   })
   void noEffectTwice(
-      RoutingConfig.Effect effect, Outcome outcome, RoutingConfig.Group group, String expected) {
-    host.effect = effect;
-    host.group = group;
-    host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
+      Idempotency effect, AttemptOutcome outcome, IdempotencyScope group, String expected) {
+    host.configure(effect, group, false);
+    host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     assertEquals(expected.equals("again") ? 2 : 1, host.sent.size());
     assertEquals(expected.equals("errored") ? List.of(1L) : List.of(), host.errored);
     assertTrue(host.shed.isEmpty());
   }
 
   @ParameterizedTest
-  @CsvSource({"LOST, 1", "ERRORED, 1", "TURNED_AWAY, 2"})
+  @CsvSource({"CONNECTION_LOST, 1", "FAILED, 1", "REJECTED, 2"})
   void noEffectTwiceWhereWhatIsNeverKeptGoesStraightToAParentAndThenTheOrigin(
-      Outcome outcome, int sent) {
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
-    host.bypass = host.neverKept = true;
-    host.ended(host.get(1, 5, 0), outcome, 10, Note.NOTHING);
+      AttemptOutcome outcome, int sent) {
+    host.bypass = true;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, true);
+    host.ended(host.get(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     while (host.sent.size() < sent) { // Both parents are tried before the origin.
-      host.ended(host.last(1), Outcome.TURNED_AWAY, 10, Note.NOTHING);
+      host.ended(host.last(1), AttemptOutcome.REJECTED, 10, ResponseDetail.NONE);
     }
     assertEquals(sent, host.sent.size());
     assertEquals(sent == 1 ? List.of(1L) : List.of(), host.errored);
@@ -284,15 +283,14 @@
 
   @Test
   void aTokenedGetThatMayHaveRunStaysInItsCellAndWindow() {
-    host.effect = RoutingConfig.Effect.TOKENED;
-    host.group = RoutingConfig.Group.CELL;
+    host.configure(Idempotency.IDEMPOTENCY_KEY, IdempotencyScope.CELL, false);
     long begun = host.now;
     Sent first = host.get(1, 5, 0);
-    host.ended(first, Outcome.ERRORED, 10, Note.NOTHING);
+    host.ended(first, AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
     assertEquals(first.cache() % 2, host.last(1).cache() % 2);
     assertEquals(begun + 1000 * MS, host.sendBy, "a connection may come up after the window");
     host.now += 1100 * MS;
-    host.ended(host.last(1), Outcome.ERRORED, 10, Note.NOTHING);
+    host.ended(host.last(1), AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
     assertEquals(2, host.sent.size());
     assertEquals(
         List.of(1L), host.errored, "past the window, and a shed would invite a repeat elsewhere");
@@ -300,9 +298,9 @@
 
   @ParameterizedTest
   @EnumSource(
-      value = State.class,
+      value = EndpointState.class,
       names = {"DRAINING", "GONE"})
-  void nothingNewGoesToOrThroughWhatDrains(State state) {
+  void nothingNewGoesToOrThroughWhatDrains(EndpointState state) {
     host.change(1, state, 0).change(6, state, 0);
     for (long object = 1; object <= 60; object++) {
       Sent sent = hit(object, 0);
@@ -315,7 +313,7 @@
   @ValueSource(ints = {1, 5})
   void aColdMemberGetsAThinSliceThatWidens(int cold) {
     int usual = share(cold, 0);
-    host.change(cold, State.UP, host.now);
+    host.change(cold, EndpointState.UP, host.now);
     int thin = share(cold, 0);
     host.pass(5000);
     int wide = share(cold, 0);
@@ -336,9 +334,9 @@
   @Test
   void aColdCacheAloneInItsZoneIsHeldToItsBudget() {
     for (int cache = 1; cache < 4; cache++) {
-      host.change(cache, State.GONE, 0);
+      host.change(cache, EndpointState.GONE, 0);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     for (long id = 1; id <= 200; id++) {
       host.get(id, id, 0);
     }
@@ -355,14 +353,14 @@
   @Test
   void whatPeersAreSentButDoNotReturnGivesAColdCacheNoBudget() {
     host.sized = false;
-    host.effect = RoutingConfig.Effect.NON_IDEMPOTENT;
+    host.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL, false);
     for (int i = 0; i < 300; i++) {
-      host.ended(host.get(++ids, i, 0), Outcome.ERRORED, 1, Note.NOTHING).pass(10);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE).pass(10);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     int before = host.sent.size();
     for (int i = 1000; i < 3000; i++) {
-      host.ended(host.get(++ids, i, 0), Outcome.ERRORED, 1, Note.NOTHING);
+      host.ended(host.get(++ids, i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
     }
     long cold = host.sent.stream().skip(before).filter(sent -> sent.cache() == 0).count();
     assertTrue(cold >= 1 && cold <= 2, "sent " + cold);
@@ -381,9 +379,9 @@
       one.coldKind = kind == 0 ? "box" : "small";
       one.list(1, 2, 3, 5, 6, 7).round();
       for (int i = 0; i < 400; i++) {
-        one.pass(10).returned(one.get(i, i, 0), 50, Note.HIT);
+        one.pass(10).returned(one.get(i, i, 0), 50, ResponseDetail.HIT);
       }
-      one.change(0, State.UP, one.now);
+      one.change(0, EndpointState.UP, one.now);
       for (int i = 1000; i < 1400; i++) {
         Sent get = one.get(i, i, 0);
         sent[kind] += get != null && get.cache() == 0 ? 1 : 0;
@@ -406,8 +404,8 @@
       one.gateways = 100;
       one.seed = gateway;
       one.list();
-      IntStream.range(1, 4).forEach(cache -> one.change(cache, State.GONE, 0));
-      one.change(0, State.UP, one.now);
+      IntStream.range(1, 4).forEach(cache -> one.change(cache, EndpointState.GONE, 0));
+      one.change(0, EndpointState.UP, one.now);
       for (long id = 1; id <= 40; id++) {
         one.get(id, id, 0);
         one.pass(50);
@@ -429,11 +427,11 @@
       one.gateways = told;
       one.seed = gateway;
       one.list();
-      IntStream.range(1, 4).forEach(cache -> one.change(cache, State.GONE, 0));
+      IntStream.range(1, 4).forEach(cache -> one.change(cache, EndpointState.GONE, 0));
       if (part >= 0) {
-        one.event(to -> to.sharers(3 * told + gateways - told, part));
+        one.event(to -> to.gatewayShareChanged(3 * told + gateways - told, part));
       }
-      one.change(0, State.UP, one.now);
+      one.change(0, EndpointState.UP, one.now);
       for (long id = 1; id <= 40; id++) {
         one.get(id, id, 0);
         one.pass(50);
@@ -452,8 +450,8 @@
   @Test
   void aGatewayWithoutAPartSendsAColdCacheOneGetAtMost() {
     assertTrue(sentToACold(10, 10, 0) <= 10);
-    host.list().event(to -> to.sharers(9, 0));
-    host.event(to -> to.sharers(9, 1.0 / 9));
+    host.list().event(to -> to.gatewayShareChanged(9, 0));
+    host.event(to -> to.gatewayShareChanged(9, 1.0 / 9));
     assertNotNull(host.get(++ids, 5, 0), "it serves again once it has one");
   }
 
@@ -463,15 +461,15 @@
   @Test
   void aColdParentIsChargedInFullForWhatColdCachesAsk() {
     for (int i = 0; i < 200; i++) {
-      host.returned(host.get(++ids, i, 0), 50, Note.HIT).pass(10);
+      host.returned(host.get(++ids, i, 0), 50, ResponseDetail.HIT).pass(10);
     }
-    IntStream.range(0, 4).forEach(cache -> host.change(cache, State.UP, host.now));
-    host.change(5, State.UP, host.now).change(6, State.GONE, 0);
+    IntStream.range(0, 4).forEach(cache -> host.change(cache, EndpointState.UP, host.now));
+    host.change(5, EndpointState.UP, host.now).change(6, EndpointState.GONE, 0);
     int before = host.sent.size();
     for (int i = 1000; i < 1300; i++) {
       Sent sent = host.get(++ids, i, 0);
       if (sent != null) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
     }
     long asked = host.sent.stream().skip(before).filter(sent -> sent.source() == 5).count();
@@ -483,9 +481,9 @@
   /** Met on incident i42021b: the origin holds everything, so held-only binds nothing there. */
   @Test
   void pastItsLimitTheOriginIsNotAskedDirectlyEither() {
-    host.change(5, State.GONE, 0).change(6, State.GONE, 0);
+    host.change(5, EndpointState.GONE, 0).change(6, EndpointState.GONE, 0);
     for (int i = 0; i < 60; i++) {
-      host.pass(250).returned(host.get(++ids, i, 0), 1500, Note.FILLED_BY_ORIGIN);
+      host.pass(250).returned(host.get(++ids, i, 0), 1500, ResponseDetail.FILLED_BY_ORIGIN);
     }
     for (int i = 100; i < 150; i++) {
       host.get(++ids, i, 0);
@@ -497,7 +495,7 @@
   @CsvSource({"5, 0", "0, 9", "0, -1"})
   void copiesFromBeforeAPurgeAreNotAskedForUntilAllHaveDroppedThem(long object, int group) {
     assertEquals(0, hit(5, 0).age());
-    host.event(to -> to.purged(object, group, 100 * MS)).pass(400);
+    host.event(to -> to.objectPurged(object, group, 100 * MS)).pass(400);
     long age = hit(5, 0).age();
     assertTrue(age > 400 * MS && age < 500 * MS, "younger than the purge: " + age);
     assertEquals(object == 0, hit(6, 0).age() > 0, "another object of the group");
@@ -524,10 +522,10 @@
   @Test
   void aCrashedCacheIsLeftAtOnceThenTriedAndTrusted() {
     Sent sent = host.get(1, 5, 0);
-    host.ended(sent, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     Sent second = host.last(1);
     assertNotEquals(sent.cache(), second.cache());
-    host.returned(second, 50, Note.HIT);
+    host.returned(second, 50, ResponseDetail.HIT);
     assertEquals(second.cache(), hit(5, 0).cache(), "set aside");
     host.pass(400);
     assertEquals(sent.cache(), hit(5, 0).cache(), "one GET as a trial");
@@ -544,8 +542,8 @@
   void aCacheThatLosesSingleAnswersButReturnsOthersStays() {
     Sent sent = host.get(++ids, 5, 0);
     for (int i = 0; i < 20; i++) {
-      host.ended(host.get(++ids, 5, 0), Outcome.LOST, 50, Note.NOTHING);
-      host.returned(host.last(ids), 50, Note.HIT).pass(100);
+      host.ended(host.get(++ids, 5, 0), AttemptOutcome.CONNECTION_LOST, 50, ResponseDetail.NONE);
+      host.returned(host.last(ids), 50, ResponseDetail.HIT).pass(100);
       assertEquals(sent.cache(), hit(5, 0).cache());
     }
   }
@@ -556,13 +554,13 @@
     for (int i = 0; i < 150; i++) {
       Sent sent = host.get(++ids, 2000 + i, 0);
       if (sent.cache() != stuck.cache()) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
       host.pass(10);
     }
     Sent copy = host.last(stuck.get());
     assertNotEquals(stuck.cache(), copy.cache());
-    host.returned(copy, 50, Note.HIT);
+    host.returned(copy, 50, ResponseDetail.HIT);
     assertTrue(host.calledOff.contains(stuck.get() + "/0"));
   }
 
@@ -572,7 +570,7 @@
     for (int i = 0; i < 60; i++) {
       Sent sent = host.pass(25).get(++ids, i, 0);
       if (sent.cache() == 3) {
-        host.returned(sent, 50, Note.HIT);
+        host.returned(sent, 50, ResponseDetail.HIT);
       }
     }
     long well =
@@ -583,7 +581,7 @@
   @Test
   void aSourceThatIsNotReachedIsPassedOver() {
     Sent first = host.get(1, 5, 0);
-    host.ended(first, Outcome.TURNED_AWAY, 10, Note.SOURCE_UNREACHED);
+    host.ended(first, AttemptOutcome.REJECTED, 10, ResponseDetail.FILL_SOURCE_UNREACHABLE);
     assertEquals(first.cache(), host.last(1).cache(), "not the cache's fault");
     assertNotEquals(first.source(), host.last(1).source());
   }
@@ -598,7 +596,11 @@
     for (int i = 0; i < 40; i++) {
       host.pass(50).get(++ids, i, 0);
       while (ended < host.sent.size()) {
-        host.ended(host.sent.get(ended++), Outcome.ERRORED, 50, Note.SOURCE_UNREACHED);
+        host.ended(
+            host.sent.get(ended++),
+            AttemptOutcome.FAILED,
+            50,
+            ResponseDetail.FILL_SOURCE_UNREACHABLE);
       }
     }
     host.pass(1000);
@@ -613,14 +615,14 @@
   void whenFillsComeLateOnlyWhatIsHeldIsReturnedAndMissesAreShed() {
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.pass(250).returned(sent, 1500, Note.FILLED);
+      host.pass(250).returned(sent, 1500, ResponseDetail.FILLED);
     }
     for (int i = 100; i < 130; i++) {
       host.get(++ids, i, 0);
     }
     Sent held = host.get(++ids, 500, 0);
     assertEquals(held.cache(), held.source());
-    host.ended(held, Outcome.NOT_STORED, 1, Note.NOTHING);
+    host.ended(held, AttemptOutcome.NOT_CACHED, 1, ResponseDetail.NONE);
     assertEquals(List.of(held.get()), host.shed);
   }
 
@@ -631,17 +633,18 @@
   @Test
   void whenTheOriginIsLateAgeingCopiesAndTheParentsOwnWillDo() {
     host.fresh = 5000 * MS;
+    host.configure(Idempotency.IDEMPOTENT, IdempotencyScope.ALL, false);
     for (int i = 0; i < 60; i++) {
       Sent sent = host.get(++ids, i, 0);
-      assertTrue(sent.has(RoutingActions.RENEW) && sent.age() == host.fresh);
-      host.pass(250).returned(sent, 1500, Note.FILLED_BY_ORIGIN);
-      host.returned(host.get(++ids, i, 0), 50, Note.FILLED);
+      assertTrue(sent.has(AttemptCommand.REVALIDATE) && sent.age() == host.fresh);
+      host.pass(250).returned(sent, 1500, ResponseDetail.FILLED_BY_ORIGIN);
+      host.returned(host.get(++ids, i, 0), 50, ResponseDetail.FILLED);
     }
     for (int i = 100; i < 150; i++) {
       host.get(++ids, i, 0);
     }
     Sent held = host.last(ids);
-    assertTrue(held.has(RoutingActions.HELD_ONLY) && !held.has(RoutingActions.RENEW));
+    assertTrue(held.has(AttemptCommand.CACHED_ONLY) && !held.has(AttemptCommand.REVALIDATE));
     assertEquals(2 * host.fresh, held.age());
   }
 
@@ -649,7 +652,7 @@
   void aCacheWhoseHitsComeLatePassesOnAndThenGetsAreShed() {
     for (int i = 0; i < 200; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.pass(250).returned(sent, 1500, Note.HIT);
+      host.pass(250).returned(sent, 1500, ResponseDetail.HIT);
     }
     for (int i = 300; i < 400; i++) {
       host.get(++ids, i, 0);
@@ -678,10 +681,10 @@
   void furtherForwardsAreACappedShare() {
     for (int i = 0; i < 400; i++) {
       Sent sent = host.get(++ids, i, 0);
-      host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       }
     }
     int further = host.sent.size() - 400;
@@ -698,9 +701,10 @@
     for (int i = 0; i < 30; i++) {
       Sent lost = host.get(++ids, 1000 + i, 0);
       for (int after = 0; after < 12; after++) {
-        host.pass(150).returned(host.get(++ids, 2000 + 100 * i + after, 0), 50, Note.FILLED);
+        host.pass(150)
+            .returned(host.get(++ids, 2000 + 100 * i + after, 0), 50, ResponseDetail.FILLED);
       }
-      host.ended(lost, Outcome.NO_ANSWER, 1800, Note.NOTHING);
+      host.ended(lost, AttemptOutcome.TIMED_OUT, 1800, ResponseDetail.NONE);
     }
     int before = host.sent.size();
     for (int i = 0; i < 24; i++) {
@@ -722,13 +726,17 @@
       host.pass(150);
       for (int object = 0; object < 8; object++) {
         Sent next = host.get(++ids, 2000 + 10 * after + object, 0);
-        host.pass(20).returned(next, 20, object % 2 == 0 ? Note.FILLED_BY_ORIGIN : Note.FILLED);
+        host.pass(20)
+            .returned(
+                next,
+                20,
+                object % 2 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.FILLED);
       }
     }
     host.pass(20);
     Sent again = host.last(lost.get());
     assertNotEquals(lost, again);
-    host.returned(again, 50, Note.HIT);
+    host.returned(again, 50, ResponseDetail.HIT);
     assertEquals(List.of(lost.get() + "/0"), host.calledOff);
   }
 
@@ -739,12 +747,13 @@
     LongStream.rangeClosed(1, 200)
         .filter(object -> hit(object, 0).cache() == 0)
         .forEach(before::add);
-    host.change(0, State.GONE, 0);
+    host.change(0, EndpointState.GONE, 0);
     host.event(
         to -> {
-          to.listing(Listing.CHANGES);
-          to.member(0, "10.9.9.9:90", "here", "box", 0, State.UP, 4, 0);
-          to.listed();
+          to.endpointListStarted(EndpointListKind.CHANGES);
+          to.endpointListed(
+              new EndpointDescription(0, "10.9.9.9:90", "here", "box", 0, EndpointState.UP, 4, 0));
+          to.endpointListCompleted();
         });
     LongStream.rangeClosed(1, 200).filter(object -> hit(object, 0).cache() == 0).forEach(both::add);
     assertTrue(both.size() > 20);
@@ -768,8 +777,8 @@
       }
     }
 
-    Effect effect = Effect.IDEMPOTENT;
-    Group group = Group.ALL;
+    Idempotency effect = Idempotency.IDEMPOTENT;
+    IdempotencyScope group = IdempotencyScope.ALL;
     long fresh = 0;
     boolean bypass = false, neverKept = false;
     boolean sized = true;
@@ -785,41 +794,55 @@
         cold = new ArrayList<>();
     long now = 1_000_000 * MS, sendBy;
     private RequestRouter router;
-    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
     /**
      * Caches 0 to 3 in the own zone, 4 in another, parents 5 and 6, origin 7, in the given order.
      */
     FakeHost list(int... order) {
-      events.add(to -> to.listing(Listing.FULL));
+      events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
       for (int cache : order) {
-        events.add(to -> member(to, cache, State.UP, 0));
+        events.add(to -> member(to, cache, EndpointState.UP, 0));
       }
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
       return this;
     }
 
+    /** Starts the gateway anew under another traffic class, knowing the endpoints alone. */
+    void configure(Idempotency idempotency, IdempotencyScope scope, boolean neverCached) {
+      effect = idempotency;
+      group = scope;
+      neverKept = neverCached;
+      router = null;
+      list();
+    }
+
     FakeHost list() {
       return list(0, 1, 2, 3, 4, 5, 6, 7).round();
     }
 
-    FakeHost change(int cache, State state, long startedAt) {
-      events.add(to -> to.listing(Listing.CHANGES));
+    FakeHost change(int cache, EndpointState state, long startedAt) {
+      events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
       events.add(to -> member(to, cache, state, startedAt));
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
       return round();
     }
 
-    private void member(RoutingEvents.Events to, int cache, State state, long startedAt) {
+    private void member(RoutingEventHandler to, int cache, EndpointState state, long startedAt) {
       String kind = cache == 7 ? "origin" : cache > 4 ? "parent" : cache == 0 ? coldKind : "box";
       String zone = cache > 4 ? "hub" : cache == 4 ? "other" : "here";
-      to.member(cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt);
+      to.endpointListed(
+          new EndpointDescription(
+              cache, "10.0.0." + cache + ":90", zone, kind, cache % 2, state, 4, startedAt));
     }
 
     /** A GET with two seconds left; the answer is the forward that was sent for it, or null. */
     Sent get(long id, long object, int part) {
-      events.add(to -> to.get(id, 0, object, 9, part, 2000 * MS, 100, false));
+      events.add(
+          to ->
+              to.requestReceived(
+                  new RequestDetails(id, 0, object, 9, part, 2000 * MS, 100, false)));
       round();
       return last(id);
     }
@@ -828,40 +851,47 @@
       return sent.stream().filter(one -> one.get == id).reduce((a, b) -> b).orElse(null);
     }
 
-    FakeHost ended(Sent one, Outcome outcome, long tookMs, Note note) {
-      boolean settled = outcome == Outcome.RETURNED;
-      events.add(to -> to.ended(one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note));
+    FakeHost ended(Sent one, AttemptOutcome outcome, long tookMs, ResponseDetail note) {
+      boolean settled = outcome == AttemptOutcome.SUCCEEDED;
+      events.add(
+          to ->
+              to.attemptEnded(
+                  new AttemptResult(
+                      one.get, one.copy, one.cache, outcome, tookMs * MS, settled, note)));
       return round();
     }
 
-    FakeHost returned(Sent one, long tookMs, Note note) {
-      return ended(one, Outcome.RETURNED, tookMs, note);
+    FakeHost returned(Sent one, long tookMs, ResponseDetail note) {
+      return ended(one, AttemptOutcome.SUCCEEDED, tookMs, note);
     }
 
-    FakeHost event(Consumer<RoutingEvents.Events> event) {
+    FakeHost event(Consumer<RoutingEventHandler> event) {
       events.add(event);
       return round();
     }
 
     @Override
-    public void health(int cache, Health health) {
+    public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
       aside.remove((Integer) cache);
-      if (health == Health.HEARD) {
+      if (health == EndpointHealthStatus.RESPONSIVE) {
         heard.add(cache);
       }
-      if (health == Health.DOUBTED) {
+      if (health == EndpointHealthStatus.SUSPECT) {
         aside.add(cache);
       }
     }
 
     @Override
-    public void cold(int cache, long until) {
+    public void endpointWarmingUp(int cache, long until) {
       cold.add(cache);
     }
 
     /** A GET of this gateway's own; the forward that was sent for it, or null. */
     Sent own(long id, long object, int part, int cache) {
-      event(to -> to.own(id, 0, object, 9, part, 500 * MS, 100, cache));
+      event(
+          to ->
+              to.syntheticRequestReceived(
+                  new RequestDetails(id, 0, object, 9, part, 500 * MS, 100, false), cache));
       return last(id);
     }
 
@@ -871,7 +901,7 @@
       while (wakeAt <= until) {
         now = wakeAt;
         wakeAt = Long.MAX_VALUE;
-        event(to -> to.woken("sweep"));
+        event(to -> to.timerFired("sweep"));
       }
       now = until;
       return this;
@@ -879,45 +909,53 @@
 
     FakeHost round() {
       router = router == null ? new RequestRouter(this) : router;
-      router.round(now, to -> events.forEach(event -> event.accept(to)), this);
+      router.decide(now, to -> events.forEach(event -> event.accept(to)), this);
       events.clear();
       return this;
     }
 
     @Override
-    public void forward(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      int copy = (int) sent.stream().filter(one -> one.get == get).count();
-      sent.add(new Sent(get, copy, cache, until, source, age, rank, switches));
+    public void sendAttempt(AttemptCommand command) {
+      int copy = (int) sent.stream().filter(one -> one.get == command.requestId()).count();
+      sent.add(
+          new Sent(
+              command.requestId(),
+              copy,
+              command.endpoint(),
+              command.deadlineNanos(),
+              command.source(),
+              command.maxAgeNanos(),
+              command.rank(),
+              command.options()));
     }
 
     @Override
-    public void sendBy(long get, long time) {
+    public void limitRetryStart(long get, long time) {
       sendBy = time;
     }
 
     @Override
-    public void shed(long get, long wait) {
+    public void reject(long get, long wait) {
       shed.add(get);
     }
 
     @Override
-    public void errored(long get) {
+    public void fail(long get) {
       errored.add(get);
     }
 
     @Override
-    public void callOff(long get, int copy) {
+    public void cancelAttempt(long get, int copy) {
       calledOff.add(get + "/" + copy);
     }
 
     @Override
-    public void wake(long delay, String handle) {
+    public void scheduleTimer(long delay, String handle) {
       wakeAt = now + delay;
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
 
     @Override
     public long seed() {
@@ -930,7 +968,7 @@
     }
 
     @Override
-    public int gatewaysHere() {
+    public int gatewaysInZone() {
       return gateways;
     }
 
@@ -940,153 +978,74 @@
     }
 
     @Override
-    public String midKind() {
-      return "parent";
+    public Optional<String> parentKind() {
+      return Optional.of("parent");
     }
 
     @Override
-    public String originKind() {
-      return "origin";
+    public Optional<String> originKind() {
+      return Optional.of("origin");
     }
 
     @Override
-    public boolean weighsSizes() {
+    public boolean weightIsSize() {
       return sized;
     }
 
     @Override
-    public boolean listOnRequest() {
+    public boolean endpointListOnRequest() {
       return false;
     }
 
     @Override
-    public int deliveryServices() {
+    public int trafficClassCount() {
       return 1;
     }
 
     @Override
-    public Effect effect(int ds) {
-      return effect;
-    }
-
-    @Override
-    public Group group(int ds) {
-      return group;
-    }
-
-    @Override
-    public long window(int ds) {
-      return 1000 * MS;
-    }
-
-    @Override
-    public long latencyObjective(int ds) {
-      return 300 * MS;
-    }
-
-    @Override
-    public double stretch(int ds) {
-      return 2;
-    }
-
-    @Override
-    public double revenue(int ds) {
-      return 1;
-    }
-
-    @Override
-    public boolean neverKept(int ds) {
-      return neverKept;
-    }
-
-    @Override
-    public long fresh(int ds) {
-      return fresh;
-    }
-
-    @Override
-    public long grace(int ds) {
-      return fresh;
-    }
-
-    @Override
-    public int maxForwards() {
-      return 4;
-    }
-
-    @Override
-    public boolean secondCopies() {
-      return true;
-    }
-
-    @Override
-    public boolean callOff() {
-      return true;
-    }
-
-    @Override
-    public boolean retryAfter() {
-      return true;
-    }
-
-    @Override
-    public long maxRetryAfter() {
-      return 500 * MS;
-    }
-
-    @Override
-    public boolean bypass() {
+    public boolean bypassAllowed() {
       return bypass;
     }
 
     @Override
-    public boolean joins() {
+    public boolean coalescing() {
       return true;
     }
 
     @Override
-    public double flowKbPerSecond() {
+    public double transferKilobytesPerSecond() {
       return 1000;
     }
 
     @Override
-    public long purgeTakes() {
+    public long purgeRetentionNanos() {
       return 6000 * MS;
     }
 
     @Override
-    public double coldShare() {
-      return 0.1;
-    }
-
-    @Override
-    public long coldTime() {
-      return 10_000 * MS;
-    }
-
-    @Override
-    public double fallMultiple() {
-      return 3;
+    public long overloadWindowNanos() {
+      return 1000 * MS;
     }
 
     @Override
-    public long fallTime() {
-      return 1000 * MS;
+    public TrafficClassConfig trafficClass(int index) {
+      return new TrafficClassConfig(
+          effect, group, 1000 * MS, 300 * MS, 2, 1, neverKept, fresh, fresh);
     }
 
     @Override
-    public double parentColdShare() {
-      return 0.1;
+    public RetryConfig retries() {
+      return new RetryConfig(4, true, true, true, 500 * MS);
     }
 
     @Override
-    public long parentColdTime() {
-      return 10_000 * MS;
+    public SlowStartConfig edgeSlowStart() {
+      return new SlowStartConfig(0.1, 10_000 * MS, 3);
     }
 
     @Override
-    public double parentFallMultiple() {
-      return 2;
+    public SlowStartConfig parentSlowStart() {
+      return new SlowStartConfig(0.1, 10_000 * MS, 2);
     }
   }
 }
