--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
@@ -58,7 +58,7 @@
     int trafficClass = config.trafficClassIndex(decoded.trafficClass());
     if (trafficClass < 0) {
       client.rejectInvalidRequest(messageId, "no delivery service " + decoded.trafficClass());
-    } else if (inFlight.containsReference(ClientRequest.referenceOf(decoded))) {
+    } else if (inFlight.containsRequestId(ClientRequest.requestIdOf(decoded))) {
       // Guards against a response to one request that is taken for another's.
       client.rejectInvalidRequest(messageId, "ref: open already");
     } else if (inFlight.unansweredCount() >= maxInFlight
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
@@ -91,7 +91,7 @@
 
   /** Sends what was deferred while discovery or the sockets had to be read first. */
   void sendDeferred() {
-    endpoints.again();
+    endpoints.retryWaiting();
   }
 
   /** The fields of the endpoints' protocol, without the time that is left. */
@@ -102,7 +102,7 @@
     put(out, ",obj=", decoded.objectName());
     put(out, ",seg=", decoded.partName());
     if (parameters.source() != parameters.endpoint()) {
-      put(out, ",miss=", endpoints.id(parameters.source()));
+      put(out, ",miss=", endpoints.endpointId(parameters.source()));
     }
     if (parameters.priority() > 0) {
       put(out, ",prio=", Integer.toString(parameters.priority()));
@@ -191,7 +191,7 @@
    */
   private void writeResponse(ClientRequest request, Buffer body) {
     try {
-      responseWriter.returned(request, body);
+      responseWriter.writeBody(request, body);
     } catch (RuntimeException e) {
       LOG.log(Level.SEVERE, "a response could not be written", e);
     }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
@@ -3,7 +3,6 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
-import io.vertx.core.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -11,9 +10,9 @@
 import java.util.Map;
 import java.util.Objects;
 import java.util.function.Consumer;
-import java.util.function.LongFunction;
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
+import org.amberpath.gateway.cache.PoolBounds;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
@@ -23,221 +22,184 @@
 import org.amberpath.routing.RoutingEventHandler;
 
 /**
- * The caches that the journal told of, by the small indices under which the decisions know them.
+ * The caches that discovery has listed, by the small indices under which the router knows them, and
+ * their connections. Lists, drains and purges go on to the router; what waits for a connection is
+ * withdrawn where they affect it.
  */
 final class CacheEndpoints implements EndpointListener {
-  private static final class Entry {
-    final String id;
-    final int index;
-    SocketAddress address;
-    EndpointState state;
-    CachePool pool;
-
-    /**
-     * The start as it was told, and by this gateway's clock: the age of one that was heard of stays
-     * by that clock.
-     */
-    long startedAtMs, startedAt;
-
-    /** What was told of it last, but for when it started. */
-    LongFunction<Consumer<RoutingEventHandler>> telling;
-
-    Entry(String id, int index) {
-      this.id = id;
-      this.index = index;
-    }
-  }
-
   /**
-   * By how much a start has to be later than was told to be told anew: each word of a start begins
-   * a ramp.
+   * By how much a start has to be later than was listed to be listed anew: each listed start begins
+   * a slow start.
    */
-  private static final long CORRECTED_NANOS = 1_000_000_000L;
+  private static final long MIN_CORRECTION_NANOS = 1_000_000_000L;
 
   private final GatewayOptions options;
   private final Clock clock;
   private final NetClient client;
-  private final ProtocolErrorLog complaints;
+  private final ProtocolErrorLog protocolErrors;
   private final ConnectionBudget budget;
 
   /** Those that are there, and those gone on whose connections something is still open. */
-  private final Map<String, Entry> byId = new HashMap<>();
+  private final Map<String, CacheEndpoint> byId = new HashMap<>();
 
-  private final List<Entry> entries = new ArrayList<>();
-  private final ArrayDeque<Integer> unused = new ArrayDeque<>();
-  private final List<Consumer<RoutingEventHandler>> list = new ArrayList<>();
-  private RoutingStage route;
-  private int most;
-  private boolean told;
+  private final List<CacheEndpoint> endpoints = new ArrayList<>();
+  private final ArrayDeque<Integer> freeIndices = new ArrayDeque<>();
+  private final List<Consumer<RoutingEventHandler>> pendingList = new ArrayList<>();
+  private RoutingStage routingStage;
+  private int maxConnectionsPerCache;
+  private boolean hasEndpointList;
 
-  CacheEndpoints(Vertx vertx, GatewayOptions options, Clock clock, ProtocolErrorLog complaints) {
+  CacheEndpoints(
+      Vertx vertx, GatewayOptions options, Clock clock, ProtocolErrorLog protocolErrors) {
     this.options = options;
     this.clock = clock;
-    this.complaints = complaints;
-    budget = new ConnectionBudget(options.connectionsToAll(), this::closeLongestFree);
+    this.protocolErrors = protocolErrors;
+    budget = new ConnectionBudget(options.maxCacheConnections(), this::closeLongestIdle);
     client =
         vertx.createNetClient(
             new NetClientOptions()
-                .setConnectTimeout((int) Math.max(1, options.connectTimeout() / 1_000_000)));
+                .setConnectTimeout((int) Math.max(1, options.connectTimeoutNanos() / 1_000_000)));
   }
 
-  void newsTo(RoutingStage to) {
-    route = to;
+  /** Sets the stage that is notified of discovery; called once, before anything is listed. */
+  void setRoutingStage(RoutingStage stage) {
+    routingStage = stage;
   }
 
-  String id(int cache) {
-    return entries.get(cache).id;
+  /** The id of the endpoint at an index. */
+  String endpointId(int index) {
+    return endpoints.get(index).id;
   }
 
-  /** The index of one that may be asked; -1 where there is none. */
-  int index(String id) {
-    Entry entry = byId.get(id);
-    return entry == null || entry.state != EndpointState.UP ? -1 : entry.index;
+  /** The index of an endpoint that is up; -1 where there is none of this id. */
+  int indexOf(String id) {
+    CacheEndpoint endpoint = byId.get(id);
+    return endpoint == null || !endpoint.isUp() ? -1 : endpoint.index;
   }
 
-  CachePool pool(int cache) {
-    Entry entry = entries.get(cache);
-    if (entry.pool == null) {
-      CachePool.Bounds bounds =
-          new CachePool.Bounds(
-              () -> entry.state == EndpointState.GONE ? 1 : most,
-              options.wantsOnConnection(),
-              options.connectTimeout(),
-              options.connectionIdle(),
-              options.longestAnswer());
-      entry.pool =
-          new CachePool(
-              entry.id,
-              entry.address,
-              client,
-              bounds,
-              budget,
-              clock::nowNanos,
-              route::mayWrite,
-              complaints::add);
+  /** The connections to the endpoint at an index. */
+  CachePool pool(int index) {
+    CacheEndpoint endpoint = endpoints.get(index);
+    if (endpoint.pool == null) {
+      endpoint.pool = newPool(endpoint);
     }
-    return entry.pool;
+    return endpoint.pool;
+  }
+
+  private CachePool newPool(CacheEndpoint endpoint) {
+    PoolBounds bounds =
+        new PoolBounds(
+            () -> endpoint.isGone() ? 1 : maxConnectionsPerCache,
+            options.maxCommandsPerConnection(),
+            options.connectTimeoutNanos(),
+            options.idleTimeoutNanos(),
+            options.maxBodyBytes());
+    CachePool.Hooks hooks =
+        new CachePool.Hooks(clock::nowNanos, routingStage::mayWrite, protocolErrors::add);
+    return new CachePool(endpoint.id, endpoint.address, client, bounds, budget, hooks);
   }
 
-  /** Closes the connection to any cache that has been free longest, if one is free. */
-  private void closeLongestFree() {
+  /** Closes the connection to any cache that has been idle longest, if one is idle. */
+  private void closeLongestIdle() {
     long longestNanos = -1;
     CachePool longest = null;
-    for (Entry entry : byId.values()) {
-      long freeNanos = entry.pool == null ? -1 : entry.pool.longestFreeNanos();
-      if (freeNanos > longestNanos) {
-        longestNanos = freeNanos;
-        longest = entry.pool;
+    for (CacheEndpoint endpoint : byId.values()) {
+      long idleNanos = endpoint.pool == null ? -1 : endpoint.pool.longestIdleNanos();
+      if (idleNanos > longestNanos) {
+        longestNanos = idleNanos;
+        longest = endpoint.pool;
       }
     }
     if (longest != null) {
-      longest.closeLongestFree();
+      longest.closeLongestIdle();
     }
   }
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
-    list.clear();
-    list.add(to -> to.endpointListStarted(kind));
+    pendingList.clear();
+    pendingList.add(events -> events.endpointListStarted(kind));
     if (kind == EndpointListKind.FULL) {
-      byId.values().forEach(entry -> entry.state = EndpointState.GONE);
+      byId.values().forEach(endpoint -> endpoint.state = EndpointState.GONE);
     }
   }
 
   @Override
-  public void endpointListed(ListedEndpoint endpoint) {
-    if (endpoint.state() == EndpointState.GONE && !byId.containsKey(endpoint.id())) {
+  public void endpointListed(ListedEndpoint listed) {
+    if (listed.state() == EndpointState.GONE && !byId.containsKey(listed.id())) {
       return;
     }
-    Entry entry =
-        byId.computeIfAbsent(
-            endpoint.id(),
-            fresh -> {
-              Entry made = new Entry(fresh, unused.isEmpty() ? entries.size() : unused.pop());
-              if (made.index == entries.size()) {
-                entries.add(made);
-              }
-              entries.set(made.index, made);
-              return made;
-            });
-    entry.state = endpoint.state();
-    if (!endpoint.address().isEmpty()) {
-      SocketAddress now = GatewayOptions.address("journal: hostPort is", endpoint.address());
-      if (entry.pool != null && !now.equals(entry.address)) {
-        entry.pool.close();
-        entry.pool = null;
-      }
-      entry.address = now;
+    CacheEndpoint endpoint = byId.computeIfAbsent(listed.id(), this::add);
+    endpoint.state = listed.state();
+    if (!listed.address().isEmpty()) {
+      endpoint.moveTo(GatewayOptions.address("journal: hostPort is", listed.address()));
     }
-    if (endpoint.startedAtMillis() != entry.startedAtMs) {
-      entry.startedAtMs = endpoint.startedAtMillis();
-      entry.startedAt =
-          endpoint.startedAtMillis() == 0
-              ? 0
-              : clock.nowNanos() - clock.sinceStart(endpoint.startedAtMillis());
+    endpoint.update(listed, clock);
+    EndpointDescription description = endpoint.description();
+    pendingList.add(events -> events.endpointListed(description));
+  }
+
+  private CacheEndpoint add(String id) {
+    int index = freeIndices.isEmpty() ? endpoints.size() : freeIndices.pop();
+    CacheEndpoint added = new CacheEndpoint(id, index);
+    if (index == endpoints.size()) {
+      endpoints.add(added);
+    } else {
+      endpoints.set(index, added);
     }
-    entry.telling =
-        startedAt ->
-            to ->
-                to.endpointListed(
-                    new EndpointDescription(
-                        entry.index,
-                        endpoint.id(),
-                        endpoint.zone(),
-                        endpoint.kind(),
-                        endpoint.cell(),
-                        endpoint.state(),
-                        endpoint.weight(),
-                        startedAt));
-    list.add(entry.telling.apply(entry.startedAt));
+    return added;
   }
 
-  /** Whether a list has come: before that nothing can be decided. */
-  boolean told() {
-    return told;
+  /** Whether a list was received: before that nothing can be routed. */
+  boolean hasEndpointList() {
+    return hasEndpointList;
   }
 
   @Override
   public void endpointListCompleted() {
-    told = true;
-    List<Consumer<RoutingEventHandler>> news = List.copyOf(list);
-    route.enqueueDiscovery(
-        to -> {
-          news.forEach(one -> one.accept(to));
-          to.endpointListCompleted();
-        });
+    hasEndpointList = true;
+    enqueueList(List.copyOf(pendingList));
     // Guards drains: what waits for a connection has not been sent, and is not sent past the grace.
-    int listed = 0;
-    for (Entry entry : byId.values()) {
-      listed += entry.state == EndpointState.GONE ? 0 : 1;
-      if (entry.pool != null) {
-        entry.pool.fail(
-            want -> entry.state != EndpointState.UP || !up((OutboundAttempt) want),
+    int listedCount = 0;
+    for (CacheEndpoint endpoint : byId.values()) {
+      listedCount += endpoint.isGone() ? 0 : 1;
+      if (endpoint.pool != null) {
+        endpoint.pool.fail(
+            command -> !endpoint.isUp() || !isSourceUp((OutboundAttempt) command),
             AttemptOutcome.WITHDRAWN);
       }
     }
-    most = options.connectionsToEach(listed);
+    maxConnectionsPerCache = options.maxConnectionsPerCache(listedCount);
   }
 
-  private boolean up(OutboundAttempt sent) {
-    Entry source = entries.get(sent.plan.source());
-    return source != null && source.state == EndpointState.UP;
+  private void enqueueList(List<Consumer<RoutingEventHandler>> list) {
+    routingStage.enqueueDiscovery(
+        events -> {
+          list.forEach(event -> event.accept(events));
+          events.endpointListCompleted();
+        });
+  }
+
+  private boolean isSourceUp(OutboundAttempt attempt) {
+    CacheEndpoint source = endpoints.get(attempt.plan.source());
+    return source != null && source.isUp();
   }
 
   @Override
-  public void objectPurged(long object, int group, long atMs) {
-    long purgedAt = clock.nowNanos() - clock.sincePurge(atMs);
-    if (clock.corrected()) {
-      tellStarts();
+  public void objectPurged(long objectId, int group, long atMillis) {
+    long purgedAtNanos = clock.nowNanos() - clock.purgeAgeNanos(atMillis);
+    if (clock.takeCorrection()) {
+      resendCorrectedStarts();
     }
-    route.enqueueDiscovery(to -> to.objectPurged(object, group, clock.nowNanos() - purgedAt));
+    routingStage.enqueueDiscovery(
+        events -> events.objectPurged(objectId, group, clock.nowNanos() - purgedAtNanos));
     // Guards purges: what waits for a connection was given the age of a copy that would have done
     // before.
     pools()
         .forEach(
             pool ->
                 pool.fail(
-                    want -> ((OutboundAttempt) want).isPurged(object, group),
+                    command -> ((OutboundAttempt) command).isPurged(objectId, group),
                     AttemptOutcome.WITHDRAWN));
   }
 
@@ -245,58 +207,50 @@
    * Guards slow starts against a wall clock that was ahead when this gateway began, and made them
    * look old.
    */
-  private void tellStarts() {
-    List<Consumer<RoutingEventHandler>> later = new ArrayList<>();
-    for (Entry entry : byId.values()) {
-      long startedAt =
-          entry.startedAtMs == 0 ? 0 : clock.nowNanos() - clock.sinceStart(entry.startedAtMs);
-      if (startedAt > entry.startedAt + CORRECTED_NANOS) {
-        entry.startedAt = startedAt;
-        later.add(entry.telling.apply(startedAt));
+  private void resendCorrectedStarts() {
+    List<Consumer<RoutingEventHandler>> list = new ArrayList<>();
+    list.add(events -> events.endpointListStarted(EndpointListKind.CHANGES));
+    for (CacheEndpoint endpoint : byId.values()) {
+      if (endpoint.correctStart(clock, MIN_CORRECTION_NANOS)) {
+        EndpointDescription description = endpoint.description();
+        list.add(events -> events.endpointListed(description));
       }
     }
-    route.enqueueDiscovery(
-        to -> {
-          to.endpointListStarted(EndpointListKind.CHANGES);
-          later.forEach(one -> one.accept(to));
-          to.endpointListCompleted();
-        });
+    enqueueList(list);
   }
 
-  /** Sends what pools held back. */
-  void again() {
-    pools().forEach(CachePool::again);
+  /** Tries again to send what waits. */
+  void retryWaiting() {
+    pools().forEach(CachePool::retryWaiting);
   }
 
   private List<CachePool> pools() {
-    return byId.values().stream().map(entry -> entry.pool).filter(Objects::nonNull).toList();
+    return byId.values().stream().map(endpoint -> endpoint.pool).filter(Objects::nonNull).toList();
   }
 
-  /**
-   * Leaves idle connections, and lets go of caches that are gone once nothing of theirs is open.
-   */
+  /** Closes idle connections, and forgets caches that are gone once nothing is in flight there. */
   void sweep() {
-    clock.watch();
-    for (Entry entry : List.copyOf(byId.values())) {
-      boolean gone = entry.state == EndpointState.GONE;
-      if (entry.pool != null && gone && entry.pool.isFree()) {
-        entry.pool.close();
-        entry.pool = null;
-      } else if (entry.pool != null) {
-        entry.pool.sweep();
+    clock.readClocks();
+    for (CacheEndpoint endpoint : List.copyOf(byId.values())) {
+      if (endpoint.pool != null && endpoint.isGone() && endpoint.pool.isIdle()) {
+        endpoint.closePool();
+      } else if (endpoint.pool != null) {
+        endpoint.pool.sweep();
       }
-      if (entry.pool == null && gone) {
-        byId.remove(entry.id);
-        entries.set(entry.index, null);
-        unused.add(entry.index);
+      if (endpoint.pool == null && endpoint.isGone()) {
+        byId.remove(endpoint.id);
+        endpoints.set(endpoint.index, null);
+        freeIndices.add(endpoint.index);
       }
     }
   }
 
+  /** How many endpoints are known, with those that are gone and have something in flight. */
   int size() {
     return byId.size();
   }
 
+  /** Closes all connections. */
   void close() {
     client.close();
     pools().forEach(CachePool::close);
--- a/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
@@ -28,7 +28,8 @@
   ClientListener(GatewayOptions options, RequestPipeline pipeline) {
     this.options = options;
     this.pipeline = pipeline;
-    writeBuffers = new WriteBufferAccounting(options.unreadOfOne(), options.unreadOfAll());
+    writeBuffers =
+        new WriteBufferAccounting(options.maxUnreadBytesPerClient(), options.maxUnreadBytes());
     Vertx vertx = pipeline.context.vertx();
     server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(ACCEPT_BACKLOG));
     server.connectHandler(this::accept);
@@ -47,14 +48,18 @@
     PipelineContext context = pipeline.context;
     SingleEventLoopTransport.limitNext(
         context.vertx(),
-        new AcceptLimit(options.mostClients() + EXTRA_ACCEPTED, context.clock()::nowNanos));
+        new AcceptLimit(
+            options.maxClientConnections() + EXTRA_ACCEPTED, context.clock()::nowNanos));
     return server
-        .listen(options.listen())
+        .listen(options.listenAddress())
         .recover(
             e ->
                 Future.failedFuture(
                     new IOException(
-                        "PROXY_LISTEN: can't listen at " + options.listen() + ": " + e.getMessage(),
+                        "PROXY_LISTEN: can't listen at "
+                            + options.listenAddress()
+                            + ": "
+                            + e.getMessage(),
                         e)))
         .mapEmpty();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
@@ -25,7 +25,7 @@
   final DecodedRequest decoded;
 
   /** The id under which endpoints know it. */
-  final String reference;
+  final String requestId;
 
   /** The index of its traffic class. */
   final int trafficClass;
@@ -78,7 +78,7 @@
     this.client = client;
     this.messageId = messageId;
     this.decoded = decoded;
-    this.reference = referenceOf(decoded);
+    this.requestId = requestIdOf(decoded);
     this.trafficClass = trafficClass;
     this.deadlineNanos = deadlineNanos;
     this.completion = null;
@@ -95,14 +95,14 @@
     this.client = null;
     this.messageId = id;
     this.decoded = decoded;
-    this.reference = referenceOf(decoded);
+    this.requestId = requestIdOf(decoded);
     this.trafficClass = trafficClass;
     this.deadlineNanos = deadlineNanos;
     this.completion = completion;
   }
 
   /** The id under which endpoints know a request: they know it by no other. */
-  static String referenceOf(DecodedRequest decoded) {
+  static String requestIdOf(DecodedRequest decoded) {
     return decoded.requestId().toString();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Clock.java
@@ -8,7 +8,7 @@
  * The gateway's time: monotonic, and comparable with Unix times that others state. {@link
  * #nowNanos()} may be called from any thread, all else on the event loop.
  */
-public final class Clock implements JournalDecoder.Replies {
+public final class Clock implements JournalDecoder.ReplyListener {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   private final LongSupplier monotonicNanos;
@@ -40,38 +40,38 @@
   }
 
   /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
-  void watch() {
+  void readClocks() {
     eventAge.clocksRead(nowNanos(), wallMillis.getAsLong());
   }
 
   /** The least possible age, in nanoseconds, of a purge with this timestamp. */
-  long sincePurge(long unixMillis) {
-    watch();
+  long purgeAgeNanos(long unixMillis) {
+    readClocks();
     return eventAge.purgeAgeNanos(nowNanos(), unixMillis);
   }
 
   /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
-  long sinceStart(long unixMillis) {
-    watch();
+  long startAgeNanos(long unixMillis) {
+    readClocks();
     return eventAge.startAgeNanos(nowNanos(), unixMillis);
   }
 
   /**
    * Whether the wall clock was corrected since the last call, so that endpoints may have started
-   * later than {@link #sinceStart} said.
+   * later than {@link #startAgeNanos} said.
    */
-  boolean corrected() {
+  boolean takeCorrection() {
     return eventAge.takeCorrection();
   }
 
   @Override
-  public void begins(boolean live, long newestPurgeMillis) {
-    watch();
+  public void replyStarted(boolean live, long newestPurgeMillis) {
+    readClocks();
     eventAge.replyStarted(nowNanos(), live, newestPurgeMillis);
   }
 
   @Override
-  public void ends() {
+  public void replyEnded() {
     eventAge.replyEnded();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -23,7 +23,7 @@
   EndpointDiscovery(
       RequestPipeline pipeline, GatewayOptions options, EndpointSource.Factory sourceFactory) {
     PipelineContext context = pipeline.context;
-    boolean usesJournal = options.journal() != null;
+    boolean usesJournal = options.journalAddress() != null;
     MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpoints);
     EndpointListener sourceListener =
         sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.addSource();
@@ -37,8 +37,8 @@
         usesJournal
             ? new JournalClient(
                 context.vertx(),
-                options.journal(),
-                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.unreadOfAll()),
+                options.journalAddress(),
+                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.maxUnreadBytes()),
                 new JournalClient.Sinks(
                     journalDecoder,
                     journalListener,
@@ -55,7 +55,7 @@
    */
   void replayKnown(GatewayOptions options) {
     if (journalClient != null) {
-      journalDecoder.playKnown(options.known(), journalListener);
+      journalDecoder.playKnown(options.knownEntries(), journalListener);
     }
   }
 
@@ -86,7 +86,7 @@
       return false;
     }
     replayKnown(next);
-    journalClient.moveTo(next.journal());
+    journalClient.moveTo(next.journalAddress());
     return true;
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -109,12 +109,12 @@
         new RoutingActionExecutor.EndpointObserver() {
           @Override
           public void healthChanged(int endpoint, EndpointHealthStatus health) {
-            coordinator.endpointHealthChanged(pipeline.endpoints.id(endpoint), health);
+            coordinator.endpointHealthChanged(pipeline.endpoints.endpointId(endpoint), health);
           }
 
           @Override
           public void warmingUp(int endpoint, long untilNanos) {
-            coordinator.endpointWarmingUp(pipeline.endpoints.id(endpoint), untilNanos);
+            coordinator.endpointWarmingUp(pipeline.endpoints.endpointId(endpoint), untilNanos);
           }
         });
     return coordinator;
@@ -173,7 +173,8 @@
     lagTimer = pipeline.context.lagMonitor().start(vertx);
     sweepTimer = vertx.setPeriodic(SWEEP_MILLIS, timer -> pipeline.sweep());
     warmUp
-        .runOverSockets(SocketAddress.inetSocketAddress(port(), options.listen().hostAddress()))
+        .runOverSockets(
+            SocketAddress.inetSocketAddress(port(), options.listenAddress().hostAddress()))
         .onComplete(warm -> serve(started));
   }
 
@@ -187,7 +188,8 @@
       return;
     }
     enter(Phase.SERVING);
-    LOG.info(options.name() + ": listens at " + options.listen().hostAddress() + ":" + port());
+    LOG.info(
+        options.name() + ": listens at " + options.listenAddress().hostAddress() + ":" + port());
     started.tryComplete(this);
   }
 
@@ -220,7 +222,7 @@
       fleetCoordinator.reload();
     }
     if (discovery.moveJournal(next)) {
-      LOG.info(options.name() + ": journal polled at " + next.journal());
+      LOG.info(options.name() + ": journal polled at " + next.journalAddress());
     }
   }
 
@@ -245,7 +247,7 @@
    */
   public Future<Void> stop() {
     // Guards against a loop that lags: the time runs from this call, not from the loop's next turn.
-    ShutdownSchedule schedule = new ShutdownSchedule(clock.nowNanos(), options.longestDeadline());
+    ShutdownSchedule schedule = new ShutdownSchedule(clock.nowNanos(), options.maxDeadlineNanos());
     context.runOnContext(turn -> stop(schedule));
     return stopped.future();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
@@ -32,7 +32,7 @@
     long reportedAtNanos = clock.nowNanos();
     pipeline.routingStage.enqueueDiscovery(
         events -> {
-          int endpoint = pipeline.endpoints.index(endpointId);
+          int endpoint = pipeline.endpoints.indexOf(endpointId);
           if (endpoint >= 0) {
             events.healthReported(
                 endpoint, answered, ageNanos + clock.nowNanos() - reportedAtNanos);
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -18,64 +18,104 @@
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 
 /**
- * All that a gateway is told when it starts: read, checked and given defaults here, and nowhere
- * else.
+ * The settings that a gateway is started with, read and checked here and nowhere else; what is
+ * absent has its default. Immutable. Durations are nanoseconds.
  */
 public final class GatewayOptions {
-  private static final int LEAST_DESCRIPTORS = 128, RUNTIME_DESCRIPTORS = 56, LEAST_MEMORY_MB = 32;
-  private static final int LONGEST_ANSWER = 240_000;
+  private static final int DEFAULT_DESCRIPTORS = 1024;
+  private static final int MIN_DESCRIPTORS = 128;
 
-  /** The longest viewer timeout, where a class tells none or a longer one. */
-  private static final long LONGEST_DEADLINE_NANOS = 3_000_000_000L;
+  /** What the runtime needs for itself: its files, its selector, what is being accepted. */
+  private static final int RUNTIME_DESCRIPTORS = 56;
 
-  private static final long DRAIN_GRACE = 250_000_000, PURGE_GRACE = 300_000_000;
+  private static final int DEFAULT_MEMORY_MB = 192;
+  private static final int MIN_MEMORY_MB = 32;
+  private static final int BYTES_PER_MB_SHIFT = 20;
 
+  /** The parts of the memory that one client and all clients may leave unread. */
+  private static final int UNREAD_PART_OF_CLIENT = 48;
+
+  private static final int UNREAD_PART_OF_ALL = 12;
+  private static final int MAX_BODY_BYTES = 240_000;
+
+  /** The longest viewer timeout, where a class has none or a longer one. */
+  private static final long MAX_DEADLINE_NANOS = 3_000_000_000L;
+
+  private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 400_000_000;
+  private static final long DEFAULT_IDLE_NANOS = 30_000_000_000L;
+  private static final long DEFAULT_DRAIN_GRACE_NANOS = 250_000_000;
+  private static final long DEFAULT_PURGE_GRACE_NANOS = 300_000_000;
+
+  private static final int HEX_RADIX = 16;
+  private static final int PORTS = 1 << 16;
   private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9a-fA-F.:]+");
 
   private final String name;
-  private final SocketAddress listen, journal;
+  private final SocketAddress listenAddress;
+  private final SocketAddress journalAddress;
   private final JsonRoutingConfig routingConfig;
-  private final JsonReader known;
-  private final long connectTimeout, connectionIdle, longestDeadline, newsGrace;
-  private final int wantsOnConnection, mostOpen, descriptors;
-  private final long memory;
+  private final JsonReader knownEntries;
+  private final long connectTimeoutNanos;
+
+  /** After how long a cache closes an idle connection. */
+  private final long cacheIdleNanos;
 
-  private GatewayOptions(Map<String, String> environment, JsonReader all, boolean withJournal) {
-    name = environment.getOrDefault("PROXY_NAME", all.has("name") ? all.string("name") : "gateway");
+  private final long maxDeadlineNanos;
+  private final long discoveryGraceNanos;
+  private final int maxCommandsPerConnection;
+  private final int maxInFlight;
+  private final int descriptors;
+  private final long memoryBytes;
+
+  private GatewayOptions(
+      Map<String, String> environment, JsonReader document, boolean withJournal) {
+    name =
+        environment.getOrDefault(
+            "PROXY_NAME", document.has("name") ? document.string("name") : "gateway");
     String address = environment.get("PROXY_LISTEN");
-    listen = address != null ? address("PROXY_LISTEN", address) : address(all, "listen");
-    journal = withJournal ? address(all, "journal") : null;
-    known = all.has("known") ? all.object("known") : new JsonReader("known", Map.of());
-    JsonReader limits = all.objectOrEmpty("limits");
-    descriptors = atLeast(limits, "sockets", 1024, LEAST_DESCRIPTORS);
-    memory = (long) atLeast(limits, "memory_mb", 192, LEAST_MEMORY_MB) << 20;
-    JsonReader settings = all.object("settings");
-    routingConfig = new JsonRoutingConfig(seed(all), settings);
+    listenAddress =
+        address != null ? address("PROXY_LISTEN", address) : address(document, "listen");
+    journalAddress = withJournal ? address(document, "journal") : null;
+    knownEntries =
+        document.has("known") ? document.object("known") : new JsonReader("known", Map.of());
+    JsonReader limits = document.objectOrEmpty("limits");
+    descriptors = intOfAtLeast(limits, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
+    memoryBytes =
+        (long) intOfAtLeast(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)
+            << BYTES_PER_MB_SHIFT;
+    JsonReader settings = document.object("settings");
+    routingConfig = new JsonRoutingConfig(seed(document), settings);
     JsonReader bounds = settings.objectOrEmpty("bounds");
-    connectTimeout = bounds.durationNanosOr("connect-timeout-s", 400_000_000);
-    connectionIdle = bounds.durationNanosOr("conn-idle-s", 30_000_000_000L);
-    newsGrace =
+    connectTimeoutNanos =
+        bounds.durationNanosOr("connect-timeout-s", DEFAULT_CONNECT_TIMEOUT_NANOS);
+    cacheIdleNanos = bounds.durationNanosOr("conn-idle-s", DEFAULT_IDLE_NANOS);
+    discoveryGraceNanos =
         Math.min(
-            settings.objectOrEmpty("guarantees").durationNanosOr("drain-grace-s", DRAIN_GRACE),
-            settings.objectOrEmpty("family-info").durationNanosOr("heed-within-s", PURGE_GRACE));
-    wantsOnConnection = Math.max(1, bounds.intOr("multiplex", 1));
-    mostOpen = Math.max(1, bounds.intOr("max-open", Integer.MAX_VALUE));
+            settings
+                .objectOrEmpty("guarantees")
+                .durationNanosOr("drain-grace-s", DEFAULT_DRAIN_GRACE_NANOS),
+            settings
+                .objectOrEmpty("family-info")
+                .durationNanosOr("heed-within-s", DEFAULT_PURGE_GRACE_NANOS));
+    maxCommandsPerConnection = Math.max(1, bounds.intOr("multiplex", 1));
+    maxInFlight = Math.max(1, bounds.intOr("max-open", Integer.MAX_VALUE));
     long longest = 0;
-    for (JsonReader service : settings.objects("classes")) {
-      longest = Math.max(longest, service.durationNanosOr("hard-limit-s", LONGEST_DEADLINE_NANOS));
+    for (JsonReader trafficClass : settings.objects("classes")) {
+      longest = Math.max(longest, trafficClass.durationNanosOr("hard-limit-s", MAX_DEADLINE_NANOS));
     }
-    longestDeadline = Math.min(longest, LONGEST_DEADLINE_NANOS);
+    maxDeadlineNanos = Math.min(longest, MAX_DEADLINE_NANOS);
   }
 
   /**
-   * Reads what the environment names. The message of an {@link InvalidSettingsException} names the
-   * faulty key.
+   * Reads the configuration that the environment names.
+   *
+   * @throws InvalidSettingsException if it is invalid; its message names the key
    */
   public static GatewayOptions read(Map<String, String> environment) {
     return read(environment, true);
   }
 
-  /** The same; without a journal where caches are heard of from elsewhere. */
+  /** The same; without a journal where endpoints are discovered by other means. */
   public static GatewayOptions read(Map<String, String> environment, boolean withJournal) {
     String path = environment.get("PROXY_CONFIG");
     if (path == null) {
@@ -95,130 +135,141 @@
     }
   }
 
-  private static int atLeast(JsonReader from, String key, int absent, int least) {
-    int value = from.intOr(key, absent);
-    if (value < least) {
-      throw from.invalid(key, "under " + least);
+  private static int intOfAtLeast(JsonReader settings, String key, int absent, int min) {
+    int value = settings.intOr(key, absent);
+    if (value < min) {
+      throw settings.invalid(key, "under " + min);
     }
     return value;
   }
 
   private static long seed(JsonReader all) {
     try {
-      return Long.parseUnsignedLong(all.string("seed"), 16);
+      return Long.parseUnsignedLong(all.string("seed"), HEX_RADIX);
     } catch (NumberFormatException e) {
       throw all.invalid("seed", "not a hexadecimal number");
     }
   }
 
-  private static SocketAddress address(JsonReader from, String key) {
+  private static SocketAddress address(JsonReader settings, String key) {
     try {
-      return address(key, from.string(key));
+      return address(key, settings.string(key));
     } catch (InvalidDocumentException e) {
       throw e.getMessage().startsWith(key)
-          ? from.invalid(key, e.getMessage().substring(key.length() + 1))
+          ? settings.invalid(key, e.getMessage().substring(key.length() + 1))
           : e;
     }
   }
 
-  /** An address and port, already resolved: nothing is ever looked up. */
+  /**
+   * An address and port, already resolved: nothing is ever looked up.
+   *
+   * @param key what the address is in the message of the exception
+   * @throws InvalidDocumentException if it is neither an IPv4 nor an IPv6 address with a port
+   */
   public static SocketAddress address(String key, String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon).replace("[", "").replace("]", "");
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < 1 << 16) {
+      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < PORTS) {
         return SocketAddress.inetSocketAddress(
             new InetSocketAddress(InetAddress.getByName(host), port));
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // Said below.
+      // The message below covers it.
     }
     throw new InvalidDocumentException(key + " no address:port: " + text);
   }
 
+  /** The gateway's name in its log. */
   public String name() {
     return name;
   }
 
-  public SocketAddress listen() {
-    return listen;
+  /** Where clients connect to. */
+  public SocketAddress listenAddress() {
+    return listenAddress;
   }
 
-  /** Null where none is asked. */
-  public SocketAddress journal() {
-    return journal;
+  /** Where the journal listens; null where it is not used. */
+  public SocketAddress journalAddress() {
+    return journalAddress;
   }
 
+  /** The settings of routing. */
   public JsonRoutingConfig routingConfig() {
     return routingConfig;
   }
 
-  public JsonReader known() {
-    return known;
+  /** The journal's entries that the configuration holds, in the form of a reply of the journal. */
+  public JsonReader knownEntries() {
+    return knownEntries;
   }
 
-  public long connectTimeout() {
-    return connectTimeout;
+  /** How long a connect to a cache may take. */
+  public long connectTimeoutNanos() {
+    return connectTimeoutNanos;
   }
 
   /**
-   * When an idle connection is left: well before the cache closes it, so that no GET crosses that.
+   * After how long an idle connection is closed: well before the cache closes it, so that no
+   * request crosses that.
    */
-  public long connectionIdle() {
-    return connectionIdle * 3 / 4;
+  public long idleTimeoutNanos() {
+    return cacheIdleNanos * 3 / 4;
   }
 
-  /** Within what time a drain or a purge has to be heeded: the shorter of the two. */
-  public long newsGrace() {
-    return newsGrace;
+  /** Within what time a drain or a purge has to be effective: the shorter of the two. */
+  public long discoveryGraceNanos() {
+    return discoveryGraceNanos;
   }
 
-  public int wantsOnConnection() {
-    return wantsOnConnection;
+  /** How many commands may be in flight on one connection to a cache. */
+  public int maxCommandsPerConnection() {
+    return maxCommandsPerConnection;
   }
 
-  public int mostOpen() {
-    return mostOpen;
+  /** How many requests may be in flight. */
+  public int maxInFlight() {
+    return maxInFlight;
   }
 
-  /**
-   * The longest viewer timeout of all classes, in nanoseconds: a kill may come some time after
-   * that.
-   */
-  public long longestDeadline() {
-    return longestDeadline;
+  /** The longest viewer timeout of all classes: SIGKILL may come some time after that. */
+  public long maxDeadlineNanos() {
+    return maxDeadlineNanos;
   }
 
   /**
    * Connections that clients may hold: usual ones hold a third of the descriptors, half as many
    * more while another gateway restarts, and others come beside them.
    */
-  public int mostClients() {
+  public int maxClientConnections() {
     return descriptors / 2;
   }
 
   /** Connections to all caches together: what clients and the runtime leave. */
-  public int connectionsToAll() {
-    return descriptors - mostClients() - RUNTIME_DESCRIPTORS;
+  public int maxCacheConnections() {
+    return descriptors - maxClientConnections() - RUNTIME_DESCRIPTORS;
   }
 
   /** Connections to each of so many caches, while there are not more than may be had in all. */
-  public int connectionsToEach(int caches) {
-    return Math.max(1, connectionsToAll() / Math.max(1, caches));
+  public int maxConnectionsPerCache(int caches) {
+    return Math.max(1, maxCacheConnections() / Math.max(1, caches));
   }
 
-  /** The longest part that a cache answers with. */
-  public int longestAnswer() {
-    return LONGEST_ANSWER;
+  /** The longest body that a cache returns. */
+  public int maxBodyBytes() {
+    return MAX_BODY_BYTES;
   }
 
-  /** What one client may leave unread, and all together; and the longest reply of the journal. */
-  public long unreadOfOne() {
-    return memory / 48;
+  /** How many bytes of its responses one client may leave unread. */
+  public long maxUnreadBytesPerClient() {
+    return memoryBytes / UNREAD_PART_OF_CLIENT;
   }
 
-  public long unreadOfAll() {
-    return memory / 12;
+  /** How many all clients together may leave unread; also the longest reply of the journal. */
+  public long maxUnreadBytes() {
+    return memoryBytes / UNREAD_PART_OF_ALL;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
@@ -17,7 +17,7 @@
 final class InFlightRequests {
   private final Map<Long, ClientRequest> byId = new LinkedHashMap<>();
   private final Map<ClientConnection, Map<Long, ClientRequest>> unanswered = new LinkedHashMap<>();
-  private final Set<String> references = new HashSet<>();
+  private final Set<String> requestIds = new HashSet<>();
   private long lastId;
   private int unansweredCount;
 
@@ -32,14 +32,14 @@
   }
 
   /** Whether a request under this reference is in flight: endpoints know it by no other name. */
-  boolean containsReference(String reference) {
-    return references.contains(reference);
+  boolean containsRequestId(String reference) {
+    return requestIds.contains(reference);
   }
 
   /** Adds a request. */
   void add(ClientRequest request) {
     byId.put(request.id, request);
-    references.add(request.reference);
+    requestIds.add(request.requestId);
     if (request.isSynthetic()) {
       return; // No client waits for its response.
     }
@@ -126,7 +126,7 @@
   void removeIfFinished(ClientRequest request) {
     if (request.answered && request.pendingAttempts == 0 && request.pendingEvents == 0) {
       byId.remove(request.id);
-      references.remove(request.reference);
+      requestIds.remove(request.requestId);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
@@ -100,7 +100,11 @@
   private void abandon(AttemptOutcome outcome, boolean timedOut) {
     if (!hasEnded) {
       try {
-        pool.giveUp(this, timedOut);
+        if (timedOut) {
+          pool.timeOut(this);
+        } else {
+          pool.cancel(this);
+        }
       } catch (RuntimeException e) {
         LOG.log(Level.SEVERE, "an attempt could not be cancelled", e);
       }
--- a/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
+++ b/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
@@ -30,7 +30,8 @@
   /** The shared parts of a gateway that starts now. */
   static PipelineContext create(Vertx vertx, Clock clock, GatewayOptions options) {
     DiscoveryFreshness freshness =
-        new DiscoveryFreshness(options.newsGrace(), options.journal() != null, clock.nowNanos());
+        new DiscoveryFreshness(
+            options.discoveryGraceNanos(), options.journalAddress() != null, clock.nowNanos());
     LoadShedder loadShedder =
         new LoadShedder(
             options.routingConfig().seed(),
--- a/gateway/src/main/java/org/amberpath/gateway/RequestPipeline.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestPipeline.java
@@ -27,15 +27,16 @@
     context = PipelineContext.create(vertx, clock, options);
     InFlightRequests inFlight = context.inFlight();
     responseWriter = new ResponseWriter(vertx, inFlight);
-    clients = new ClientConnections(vertx, options.mostClients(), clock);
+    clients = new ClientConnections(vertx, options.maxClientConnections(), clock);
     endpoints = new CacheEndpoints(vertx, options, clock, context.protocolErrors());
     AttemptSender attemptSender =
         new AttemptSender(context, endpoints, responseWriter, options.routingConfig());
     routingStage = new RoutingStage(context, router, attemptSender, responseWriter);
     attemptSender.setRoutingStage(routingStage);
-    endpoints.newsTo(routingStage);
+    endpoints.setRoutingStage(routingStage);
     admissionControl =
-        new AdmissionControl(options.routingConfig(), options.mostOpen(), inFlight, routingStage);
+        new AdmissionControl(
+            options.routingConfig(), options.maxInFlight(), inFlight, routingStage);
     receiver =
         new RequestReceiver(
             context,
@@ -43,7 +44,7 @@
             routingStage,
             responseWriter,
             clients,
-            () -> serving.getAsBoolean() && endpoints.told());
+            () -> serving.getAsBoolean() && endpoints.hasEndpointList());
   }
 
   /** Lets synthetic requests be made, modelled on those of clients from now on. */
@@ -65,7 +66,7 @@
   /** Fails every request that has no response. */
   void failUnanswered(String reason) {
     for (ClientRequest request : context.inFlight().allUnanswered()) {
-      responseWriter.errored(request, reason);
+      responseWriter.fail(request, reason);
       routingStage.enqueueCancelled(request);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
@@ -63,7 +63,7 @@
   public void protocolViolated(ClientConnection client, String error) {
     context.protocolErrors().add(client, error);
     for (ClientRequest request : context.inFlight().unansweredOf(client)) {
-      responseWriter.errored(request, "protocol error on this connection");
+      responseWriter.fail(request, "protocol error on this connection");
       routingStage.enqueueCancelled(request);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
@@ -18,7 +18,7 @@
   }
 
   /** Relays an endpoint's bytes unchanged; a null body says that the client's copy is current. */
-  void returned(ClientRequest request, Buffer body) {
+  void writeBody(ClientRequest request, Buffer body) {
     if (finish(request)) {
       if (body == null) {
         request.client.sendNotModified(request.messageId);
@@ -29,14 +29,14 @@
   }
 
   /** Rejects a request that had no effect; the client may retry after so many nanoseconds. */
-  void shed(ClientRequest request, long retryAfterNanos) {
+  void reject(ClientRequest request, long retryAfterNanos) {
     if (finish(request)) {
       request.client.sendOverloaded(request.messageId, retryAfterNanos);
     }
   }
 
   /** Fails a request, which may have had an effect. */
-  void errored(ClientRequest request, String reason) {
+  void fail(ClientRequest request, String reason) {
     if (finish(request)) {
       request.client.sendError(request.messageId, reason);
     }
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
@@ -65,12 +65,12 @@
 
   @Override
   public void reject(long requestId, long retryAfterNanos) {
-    responseWriter.shed(find(requestId), retryAfterNanos);
+    responseWriter.reject(find(requestId), retryAfterNanos);
   }
 
   @Override
   public void fail(long requestId) {
-    responseWriter.errored(find(requestId), "upstream request failed");
+    responseWriter.fail(find(requestId), "upstream request failed");
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
@@ -111,7 +111,7 @@
             .setTimer(
                 Math.max(1, leftNanos / NANOS_PER_MILLI) + BACKSTOP_MILLIS,
                 timer -> {
-                  responseWriter.errored(request, "deadline exceeded");
+                  responseWriter.fail(request, "deadline exceeded");
                   enqueueCancelled(request);
                 });
     enqueue(request, event);
@@ -272,7 +272,7 @@
    */
   private void failRequest(ClientRequest request) {
     if (request != null && request.pendingAttempts == 0 && !request.answered) {
-      responseWriter.errored(request, "internal error");
+      responseWriter.fail(request, "internal error");
       enqueueCancelled(request);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -94,7 +94,8 @@
   private static void reloadOnChange(Vertx vertx, Path configuration, Runnable reload) {
     if (Signal.handle(new Signal("HUP"), signal -> reload.run()) == SignalHandler.SIG_IGN) {
       LOG.warning(
-          "SIGHUP is ignored, as inherited from the parent process: PROXY_CONFIG is polled each second instead");
+          "SIGHUP is ignored, as inherited from the parent process: "
+              + "PROXY_CONFIG is polled each second instead");
       pollFile(vertx, configuration, reload);
     }
   }
@@ -104,7 +105,7 @@
    * request can come, so that all requests are answered.
    */
   private static void stopOnExit(Gateway gateway, GatewayOptions options, PrintStream err) {
-    long timeoutNanos = new ShutdownSchedule(0, options.longestDeadline()).timeLeft(0);
+    long timeoutNanos = new ShutdownSchedule(0, options.maxDeadlineNanos()).timeLeft(0);
     Runnable stop =
         () -> {
           try {
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
@@ -69,7 +69,7 @@
   boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
     boolean prefetch = endpointId == null;
     Template template = prefetch ? recent.nextInPass() : recent.latest();
-    int endpoint = prefetch ? -1 : endpoints.index(endpointId);
+    int endpoint = prefetch ? -1 : endpoints.indexOf(endpointId);
     if (template == null && prefetch) {
       recent.startPass();
     }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -48,7 +48,7 @@
   }
 
   private void read(Buffer bytes) {
-    lastReadNanos = pool.now();
+    lastReadNanos = pool.nowNanos();
     if (state == State.UNRESPONSIVE) {
       state = State.OPEN;
     }
@@ -103,7 +103,7 @@
     // Guards against a peer that vanished: a dead connection gets no new commands. One slow reply
     // is no proof, so what is in flight on it goes on.
     if (lastReadNanos < command.writtenAtNanos
-        && pool.now() - command.writtenAtNanos > timeoutNanos) {
+        && pool.nowNanos() - command.writtenAtNanos > timeoutNanos) {
       state = State.UNRESPONSIVE;
     }
     // Guards against replies that stop in the middle: what would follow on that connection is
@@ -138,7 +138,7 @@
   @Override
   public void onProtocolError(String reason) {
     if (state != State.CLOSED) {
-      pool.complain(reason);
+      pool.protocolError(reason);
       close();
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -1,7 +1,5 @@
 package org.amberpath.gateway.cache;
 
-import io.vertx.core.Future;
-import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.net.SocketAddress;
@@ -9,74 +7,57 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 import java.util.function.BooleanSupplier;
-import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
 import java.util.function.Predicate;
-import java.util.logging.Logger;
 import org.amberpath.routing.AttemptOutcome;
-import org.amberpath.routing.ConnectPatience;
-import org.amberpath.routing.LocalBackoff;
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * The connections to one cache, within its part of the descriptors; as few wants as may be share
- * one.
+ * The connections to one cache, within its share of the descriptors, and the commands that wait for
+ * one. As few commands as possible share a connection. Used on one event loop.
  */
 public final class CachePool {
   /**
-   * What bounds a pool: connections, wants on one, times to connect and to leave an idle one, the
-   * longest body.
+   * What a pool asks and notifies its owner of.
+   *
+   * @param clock monotonic nanoseconds
+   * @param mayWrite whether commands may be written now; else they wait for {@link #retryWaiting}
+   * @param protocolErrors is notified of the pool and of the reason for which a reply is invalid
    */
-  public record Bounds(IntSupplier connections, int wants, long connect, long idle, int longest) {}
-
-  private static final Logger LOG = Logger.getLogger(CachePool.class.getName());
-
-  static {
-    ConnectFailure.of(
-        null); // Guards against a class that can't be loaded when there is no descriptor to read
-    // it.
-  }
+  public record Hooks(
+      LongSupplier clock, BooleanSupplier mayWrite, BiConsumer<Object, String> protocolErrors) {}
 
   private final String name;
   private final SocketAddress address;
-  private final NetClient client;
-  private final Bounds bounds;
+  private final PoolBounds bounds;
   private final ConnectionBudget budget;
-  private final LongSupplier clock;
-  private final BooleanSupplier mayWrite;
-  private final BiConsumer<Object, String> complaints;
+  private final Hooks hooks;
+  private final CacheConnector connector;
   private final List<CacheConnection> connections = new ArrayList<>();
   private final List<CacheCommand> waiting = new ArrayList<>();
-  private final LocalBackoff backoff = new LocalBackoff();
-  private int connecting;
-
-  /** When the oldest connect was begun, at the latest, of those that are under way. */
-  private long connectingSinceNanos;
-
-  private boolean backingOff;
   private boolean closed;
 
   /**
-   * Complaints are told of answers that can't be used; wants wait for {@link #again} while none may
-   * be written.
+   * A pool without connections.
+   *
+   * @param name the cache's name in the log
+   * @param budget bounds the connections of all pools together
    */
   public CachePool(
       String name,
       SocketAddress address,
       NetClient client,
-      Bounds bounds,
+      PoolBounds bounds,
       ConnectionBudget budget,
-      LongSupplier clock,
-      BooleanSupplier mayWrite,
-      BiConsumer<Object, String> complaints) {
+      Hooks hooks) {
     this.name = name;
     this.address = address;
-    this.client = client;
     this.bounds = bounds;
     this.budget = budget;
-    this.clock = clock;
-    this.mayWrite = mayWrite;
-    this.complaints = complaints;
+    this.hooks = hooks;
+    connector =
+        new CacheConnector(
+            toString(), () -> client.connect(address), budget, hooks.clock(), new Connects());
   }
 
   /** The address that its connections go to. */
@@ -84,180 +65,129 @@
     return address;
   }
 
-  long now() {
-    return clock.getAsLong();
+  long nowNanos() {
+    return hooks.clock().getAsLong();
   }
 
-  void complain(String why) {
-    complaints.accept(this, why);
+  void protocolError(String reason) {
+    hooks.protocolErrors().accept(this, reason);
   }
 
-  /** Sends a want, at once where a connection is up. None carries two wants of one request. */
-  public void send(CacheCommand want) {
+  /**
+   * Sends a command, at once where a connection is up. No connection carries two commands of one
+   * request.
+   */
+  public void send(CacheCommand command) {
     if (closed) {
-      want.ended(AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE, null);
-      return;
-    }
-    if (want.isExpired(
-        now())) { // Guards against what waited here while its client left or its window ended.
-      want.ended(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
-      return;
-    }
-    if (!mayWrite
-        .getAsBoolean()) { // Guards against a drain or a purge that came after the decision.
-      waiting.add(want);
-      return;
+      end(command, AttemptOutcome.CONNECT_FAILED);
+    } else if (command.isExpired(nowNanos())) {
+      // Guards against what waited here while its client left or its window ended.
+      end(command, AttemptOutcome.NOT_SENT);
+    } else if (!hooks.mayWrite().getAsBoolean()) {
+      // Guards against a drain or a purge that came after the decision.
+      waiting.add(command);
+    } else {
+      sendNow(command, nowNanos());
     }
-    long now = now();
-    CacheConnection best = best(want, now);
-    if (connections.isEmpty() && connecting == 0 && !backingOff) {
-      budget.makeRoom();
+  }
+
+  private void sendNow(CacheCommand command, long nowNanos) {
+    CacheConnection connection = leastLoaded(command, nowNanos);
+    if (connections.isEmpty() && connector.connecting() == 0 && !connector.isBackingOff()) {
+      budget.reclaimIfFull();
     }
-    if (best != null) {
-      best.send(want, now);
-    } else if (connecting == 0 && !hasPlace()) {
-      // A cache that could not be asked for want of room has nothing held against it.
-      want.ended(
-          hasPart() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED,
-          ResponseDetail.NONE,
-          null);
+    if (connection != null) {
+      connection.send(command, nowNanos);
+    } else if (connector.connecting() == 0 && !hasCapacity()) {
+      // A cache that no connection may be opened to for want of descriptors is not blamed for it.
+      end(command, isWithinShare() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED);
       return;
     } else {
-      waiting.add(want);
+      waiting.add(command);
     }
-    // Guards against many wants that share the fate of one connection: one is always free, where
-    // there may be more.
-    if (mayConnect()
-        && (best == null
-            ? connecting < waiting.size()
-            : connecting == 0 && connections.stream().noneMatch(one -> one.load() == 0))) {
-      connect();
+    if (!connector.isBackingOff() && hasCapacity() && needsConnection(connection != null)) {
+      connector.connect();
     }
   }
 
-  private boolean mayConnect() {
-    return !backingOff && hasPlace();
+  /**
+   * Whether one more connection is to be opened. Guards against many commands that share the fate
+   * of one connection: one is always idle, where there may be more.
+   */
+  private boolean needsConnection(boolean sent) {
+    return sent
+        ? connector.connecting() == 0
+            && connections.stream().noneMatch(connection -> connection.load() == 0)
+        : connector.connecting() < waiting.size();
   }
 
-  private boolean hasPlace() {
-    return hasPart() && budget.hasRoom();
+  private static void end(CacheCommand command, AttemptOutcome outcome) {
+    command.ended(outcome, ResponseDetail.NONE, null);
   }
 
-  private boolean hasPart() {
-    return connections.size() + connecting < bounds.connections.getAsInt();
+  private boolean hasCapacity() {
+    return isWithinShare() && budget.hasCapacity();
+  }
+
+  private boolean isWithinShare() {
+    return connections.size() + connector.connecting() < bounds.maxConnections().getAsInt();
   }
 
   /**
-   * The one with the least on it; of free ones the last used, so that the rest may be left when
-   * idle for long.
+   * The usable connection with the fewest commands in flight; of idle ones the last used, so that
+   * the rest may be closed when idle for long. Null where there is none.
    */
-  private CacheConnection best(CacheCommand want, long now) {
+  private CacheConnection leastLoaded(CacheCommand command, long nowNanos) {
     CacheConnection best = null;
-    for (CacheConnection one : connections) {
-      if (one.isUsable()
-          && one.load() < bounds.wants
-          && one.idleNanos(now) < bounds.idle
-          && want.mayUse(one)
-          && (best == null
-              || one.load() < best.load()
-              || (one.load() == best.load() && one.idleNanos(now) < best.idleNanos(now)))) {
-        best = one;
+    for (CacheConnection candidate : connections) {
+      if (candidate.isUsable()
+          && candidate.load() < bounds.maxCommandsPerConnection()
+          && candidate.idleNanos(nowNanos) < bounds.idleTimeoutNanos()
+          && command.mayUse(candidate)
+          && (best == null || isLessLoaded(candidate, best, nowNanos))) {
+        best = candidate;
       }
     }
     return best;
   }
 
-  private void connect() {
-    connectingSinceNanos = connecting == 0 ? now() : connectingSinceNanos;
-    connecting++;
-    budget.opened();
-    opened()
-        .onComplete(
-            result -> {
-              connecting--;
-              if (closed || result.failed()) {
-                budget.closed();
-              }
-              ConnectFailure failure =
-                  result.succeeded() ? null : ConnectFailure.of(result.cause());
-              if (failure != null && failure.isLocal()) {
-                failedHere(failure, result.cause());
-                return;
-              }
-              backoff.attemptSucceeded();
-              if (failure == null) {
-                connected(result.result());
-              } else {
-                refused();
-              }
-            });
+  private static boolean isLessLoaded(CacheConnection one, CacheConnection other, long nowNanos) {
+    return one.load() < other.load()
+        || (one.load() == other.load() && one.idleNanos(nowNanos) < other.idleNanos(nowNanos));
   }
 
-  /** Guards the count of those that come up against a call that throws. */
-  private Future<NetSocket> opened() {
-    try {
-      return client.connect(address);
-    } catch (RuntimeException e) {
-      return Future.failedFuture(e);
+  /** Takes over what the connector opens. */
+  private final class Connects implements CacheConnector.Listener {
+    @Override
+    public void connected(NetSocket socket) {
+      connections.add(
+          new CacheConnection(CachePool.this, socket, bounds.maxBodyBytes(), nowNanos()));
+      CachePool.this.retryWaiting();
     }
-  }
 
-  /**
-   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after
-   * a pause, and goes elsewhere once that has failed for long.
-   */
-  private void failedHere(ConnectFailure failure, Throwable cause) {
-    if (!backoff.isFailing()) {
-      LOG.warning(this + ": no connection, " + failure + ": " + cause.getMessage());
-    }
-    if (!backingOff) { // Several that fail together are one failure.
-      backingOff = true;
-      Vertx.currentContext()
-          .owner()
-          .setTimer(
-              backoff.attemptFailed(),
-              retry -> {
-                backingOff = false;
-                again();
-              });
+    /** Guards against one connect that fails all that wait, although other connections are up. */
+    @Override
+    public void connectFailed(AttemptOutcome outcome) {
+      long nowNanos = nowNanos();
+      fail(command -> leastLoaded(command, nowNanos) == null, outcome);
     }
-    if (backoff.isExhausted()) {
-      long now = now();
-      fail(want -> best(want, now) == null, AttemptOutcome.NOT_SENT);
+
+    @Override
+    public void retryWaiting() {
+      CachePool.this.retryWaiting();
     }
-    again();
   }
 
   /**
-   * How a want ends whose time is over before it was sent: only a cache that was asked in vain is
-   * to blame.
+   * How an attempt ends whose time is over before it was sent: only a cache that was asked in vain
+   * is to blame.
    */
   public AttemptOutcome unsentOutcome() {
-    boolean blamed =
-        !backoff.isFailing()
-            && connecting > 0
-            && ConnectPatience.isEvidence(now() - connectingSinceNanos, bounds.connect);
-    return blamed ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
+    return connector.unsentOutcome(bounds.connectTimeoutNanos());
   }
 
-  private void connected(NetSocket socket) {
-    if (closed) {
-      socket.close();
-      return;
-    }
-    connections.add(new CacheConnection(this, socket, bounds.longest, now()));
-    again();
-  }
-
-  /** Guards against one connect that fails all that wait, although other connections are up. */
-  private void refused() {
-    long now = now();
-    fail(want -> best(want, now) == null, AttemptOutcome.CONNECT_FAILED);
-    again();
-  }
-
-  /** Takes up again what waits. */
-  public void again() {
+  /** Tries again to send what waits. */
+  public void retryWaiting() {
     List<CacheCommand> ready = new ArrayList<>(waiting);
     waiting.clear();
     ready.forEach(this::send);
@@ -270,62 +200,75 @@
     }
     List<CacheCommand> failed = waiting.stream().filter(which).toList();
     waiting.removeAll(failed);
-    failed.forEach(want -> want.ended(outcome, ResponseDetail.NONE, null));
+    failed.forEach(command -> end(command, outcome));
+  }
+
+  /** Cancels a command; it is notified of nothing more. */
+  public void cancel(CacheCommand command) {
+    abandon(command, false);
+  }
+
+  /** The same for a command whose reply was waited for in vain. */
+  public void timeOut(CacheCommand command) {
+    abandon(command, true);
   }
 
-  /** Gives a want up, late where its answer was waited for in vain; it is told nothing more. */
-  public void giveUp(CacheCommand want, boolean late) {
-    if (!waiting.remove(want) && want.connection != null) {
-      want.connection.cancel(want, late, bounds.connect);
+  private void abandon(CacheCommand command, boolean timedOut) {
+    if (!waiting.remove(command) && command.connection != null) {
+      command.connection.cancel(command, timedOut, bounds.connectTimeoutNanos());
     }
   }
 
   /**
-   * Leaves connections that nobody used for long, before the cache does, and free ones past its
-   * part.
+   * Closes connections that nobody used for long, before the cache does, and idle ones past its
+   * share.
    */
   public void sweep() {
-    long now = now();
-    int most = bounds.connections.getAsInt();
-    for (CacheConnection one : List.copyOf(connections)) {
-      if (one.load() == 0
-          && (!one.isUsable() || one.idleNanos(now) >= bounds.idle || connections.size() > most)) {
-        one.close();
+    long nowNanos = nowNanos();
+    int max = bounds.maxConnections().getAsInt();
+    for (CacheConnection connection : List.copyOf(connections)) {
+      if (connection.load() == 0
+          && (!connection.isUsable()
+              || connection.idleNanos(nowNanos) >= bounds.idleTimeoutNanos()
+              || connections.size() > max)) {
+        connection.close();
       }
     }
   }
 
-  /** Whether nothing is open on it or waits. */
-  public boolean isFree() {
-    return waiting.isEmpty() && connections.stream().allMatch(one -> one.load() == 0);
+  /** Whether nothing is in flight and nothing waits. */
+  public boolean isIdle() {
+    return waiting.isEmpty() && connections.stream().allMatch(connection -> connection.load() == 0);
   }
 
-  void closed(CacheConnection one) {
-    if (connections.remove(one)) {
+  /** A connection is closed. */
+  void closed(CacheConnection connection) {
+    if (connections.remove(connection)) {
       budget.closed();
     }
   }
 
-  /** How long the connection has been free that has been so longest, in nanoseconds; -1: none. */
-  public long longestFreeNanos() {
-    CacheConnection longest = longestFree();
-    return longest == null ? -1 : longest.idleNanos(now());
+  /** How long the connection has been idle that has been so longest, in nanoseconds; -1: none. */
+  public long longestIdleNanos() {
+    CacheConnection longest = longestIdle();
+    return longest == null ? -1 : longest.idleNanos(nowNanos());
   }
 
-  /** Closes the connection that has been free longest, if one is free. */
-  public void closeLongestFree() {
-    CacheConnection longest = longestFree();
+  /** Closes the connection that has been idle longest, if one is idle. */
+  public void closeLongestIdle() {
+    CacheConnection longest = longestIdle();
     if (longest != null) {
       longest.close();
     }
   }
 
-  private CacheConnection longestFree() {
-    long now = now();
+  private CacheConnection longestIdle() {
+    long nowNanos = nowNanos();
     CacheConnection longest = null;
-    for (CacheConnection one : connections) {
-      if (one.load() == 0 && (longest == null || one.idleNanos(now) > longest.idleNanos(now))) {
-        longest = one;
+    for (CacheConnection candidate : connections) {
+      if (candidate.load() == 0
+          && (longest == null || candidate.idleNanos(nowNanos) > longest.idleNanos(nowNanos))) {
+        longest = candidate;
       }
     }
     return longest;
@@ -334,7 +277,8 @@
   /** Closes its connections; what waits for one ends as not connected. */
   public void close() {
     closed = true;
-    fail(want -> true, AttemptOutcome.CONNECT_FAILED);
+    connector.close();
+    fail(command -> true, AttemptOutcome.CONNECT_FAILED);
     List.copyOf(connections).forEach(CacheConnection::close);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
@@ -5,24 +5,29 @@
  * where there are more caches than it has room for.
  */
 public final class ConnectionBudget {
-  private final int most;
+  private final int max;
   private final Runnable reclaim;
   private int open;
 
-  /** A budget that runs reclaim, to have a free connection closed, before one past it is asked. */
-  public ConnectionBudget(int most, Runnable reclaim) {
-    this.most = most;
+  /**
+   * A budget.
+   *
+   * @param max the most connections of all pools together
+   * @param reclaim closes an idle connection, if there is one
+   */
+  public ConnectionBudget(int max, Runnable reclaim) {
+    this.max = max;
     this.reclaim = reclaim;
   }
 
   /** Whether one more may be opened. */
-  boolean hasRoom() {
-    return open < most;
+  boolean hasCapacity() {
+    return open < max;
   }
 
-  /** Has a free connection closed where there is no room. */
-  void makeRoom() {
-    if (!hasRoom()) {
+  /** Has an idle connection closed where there is no capacity. */
+  void reclaimIfFull() {
+    if (!hasCapacity()) {
       reclaim.run();
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -29,46 +29,13 @@
   /** How long writing the last responses may take. */
   private static final long FLUSH_TIMEOUT_MILLIS = 2000;
 
-  /** What the client has sent so far; a connection of lower activity is closed first. */
-  public enum Activity {
-    /** No complete message, or half of the next one. */
-    AWAITING_MESSAGE,
-    /** Messages, but no valid request. */
-    NO_REQUEST,
-    /** Requests. */
-    REQUESTS
-  }
-
-  /** The states of a connection, in this order; it may skip some, and never goes back. */
-  private enum State {
-    /** Requests are read and answered. */
-    OPEN(true),
-    /**
-     * The protocol was violated: nothing more is read, and each request that was received in the
-     * same read gets an error.
-     */
-    FAILING(true),
-    /** Nothing more is read and no response is outstanding; the last ones are being written. */
-    FLUSHING(false),
-    /** They are written and the output is shut down; the client is given time to read them. */
-    HALF_CLOSED(false),
-    /** The socket is closed. */
-    CLOSED(false);
-
-    private final boolean sendsResponses;
-
-    State(boolean sendsResponses) {
-      this.sendsResponses = sendsResponses;
-    }
-  }
-
   private final NetSocket socket;
   private final ClientHandler handler;
   private final LongSupplier clock;
   private final MessageReader reader = new MessageReader(MAX_MESSAGE_BYTES, this);
   private final RequestSession requests;
   private final WriteBufferAccounting accounting;
-  private State state = State.OPEN;
+  private ClientConnectionState state = ClientConnectionState.OPEN;
 
   /** Whether a read is being decoded; a violation in it ends the connection after its end. */
   private boolean decoding;
@@ -99,12 +66,12 @@
     lastActivityNanos = clock.getAsLong();
     socket.handler(
         bytes -> {
-          if (state.sendsResponses) {
+          if (state.sendsResponses()) {
             read(bytes);
           }
         });
     socket.exceptionHandler(e -> {}); // The close event that follows covers it.
-    socket.closeHandler(v -> enter(State.CLOSED));
+    socket.closeHandler(v -> enter(ClientConnectionState.CLOSED));
   }
 
   private void read(Buffer bytes) {
@@ -115,7 +82,7 @@
     if (requests.hasReceivedMessage() && (startsMessage || !reader.hasPartialMessage())) {
       lastActivityNanos = clock.getAsLong();
     }
-    if (state == State.FAILING) {
+    if (state == ClientConnectionState.FAILING) {
       // Guards the requests that were received with the violation: each has its error by now.
       closeOrFlush();
     }
@@ -132,11 +99,11 @@
   }
 
   /** What the client has sent so far. */
-  public Activity activity() {
+  public ClientActivity activity() {
     if (isAwaitingMessage()) {
-      return Activity.AWAITING_MESSAGE;
+      return ClientActivity.AWAITING_MESSAGE;
     }
-    return requests.hasReceivedRequest() ? Activity.REQUESTS : Activity.NO_REQUEST;
+    return requests.hasReceivedRequest() ? ClientActivity.REQUESTS : ClientActivity.NO_REQUEST;
   }
 
   /** Whether no request is in flight. */
@@ -159,7 +126,7 @@
     } catch (IOException | RuntimeException e) {
       onProtocolError(ProtocolException.reasonOf(e));
     }
-    return state.sendsResponses;
+    return state.sendsResponses();
   }
 
   /** Rejects each request from now on, except one that has been received in part already. */
@@ -181,9 +148,9 @@
    */
   @Override
   public void onProtocolError(String reason) {
-    if (state == State.OPEN) {
+    if (state == ClientConnectionState.OPEN) {
       requests.markViolated();
-      enter(State.FAILING);
+      enter(ClientConnectionState.FAILING);
       stopReading();
       handler.protocolViolated(this, reason);
       if (!decoding) {
@@ -194,7 +161,7 @@
 
   /** Closes at once, since the client leaves its responses unread and their memory is needed. */
   void abort(String reason) {
-    if (state.sendsResponses) {
+    if (state.sendsResponses()) {
       handler.protocolViolated(this, reason);
     }
     close();
@@ -243,11 +210,11 @@
     if (requests.hasReceivedMessage() && !reader.hasPartialMessage()) {
       lastActivityNanos = clock.getAsLong();
     }
-    if (!state.sendsResponses) {
+    if (!state.sendsResponses()) {
       return;
     }
     accounting.add(this, response.length()); // First: a write may complete at once.
-    if (state.sendsResponses) {
+    if (state.sendsResponses()) {
       responded = true;
       socket.write(response).onComplete(done -> written(response.length()));
     } else {
@@ -288,11 +255,11 @@
    * connection, and discards what the client has not read.
    */
   public void closeAfterFlush() {
-    if (state.sendsResponses) {
+    if (state.sendsResponses()) {
       stopReading();
-      enter(State.FLUSHING);
+      enter(ClientConnectionState.FLUSHING);
       halfCloseWhenFlushed();
-      if (state == State.FLUSHING) {
+      if (state == ClientConnectionState.FLUSHING) {
         closeAfter(FLUSH_TIMEOUT_MILLIS);
       }
     }
@@ -308,8 +275,8 @@
   }
 
   private void halfCloseWhenFlushed() {
-    if (state == State.FLUSHING && isFlushed()) {
-      enter(State.HALF_CLOSED);
+    if (state == ClientConnectionState.FLUSHING && isFlushed()) {
+      enter(ClientConnectionState.HALF_CLOSED);
       Channels.shutdownOutput((DuplexChannel) context().channel());
       closeAfter(LINGER_MILLIS);
     }
@@ -327,20 +294,20 @@
   public void close() {
     // Guards against a peer that does not read: a plain close would wait until it has.
     Channels.close(context());
-    enter(State.CLOSED);
+    enter(ClientConnectionState.CLOSED);
   }
 
-  private void enter(State next) {
-    State previous = state;
+  private void enter(ClientConnectionState next) {
+    ClientConnectionState previous = state;
     if (next.compareTo(previous) <= 0) {
       return;
     }
     state = next;
-    if (previous.sendsResponses && !next.sendsResponses) {
+    if (previous.sendsResponses() && !next.sendsResponses()) {
       requests.dropAll();
       handler.connectionEnded(this);
     }
-    if (next == State.CLOSED) {
+    if (next == ClientConnectionState.CLOSED) {
       handler.descriptorReleased(this);
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -166,7 +166,7 @@
     pending = request;
     freshness.requestSent(clock.getAsLong());
     long waitMillis = freshness.awaitsResponse() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
-    request.setURI("/journal?tail=" + decoder.pos() + "&max_wait=" + waitMillis);
+    request.setURI("/journal?tail=" + decoder.position() + "&max_wait=" + waitMillis);
     return request
         .send()
         // Guards against a reply that stops in the middle and stays open: its events count as
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -10,63 +10,68 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Decodes {"pos":N,"entries":[...]}, which is a reply of the journal and the form of what is known
- * at start.
+ * Decodes {@code {"pos":N,"entries":[...]}}: a reply of the journal, and the form of the entries
+ * that the configuration holds. Used on one event loop.
  */
 public final class JournalDecoder {
-  /** Is told when a reply is about to be played and when it has been. */
-  public interface Replies {
+  /** Is notified when a reply is about to be played and when it has been. */
+  public interface ReplyListener {
     /**
-     * Live, or known from before; newestPurgeMillis is the latest stamp of a purge in it, 0 where
-     * there is none.
+     * A reply is about to be played.
+     *
+     * @param live whether it was received just now; false for entries of the configuration
+     * @param newestPurgeMillis the latest timestamp of a purge in it; 0 where there is none
      */
-    void begins(boolean live, long newestPurgeMillis);
+    void replyStarted(boolean live, long newestPurgeMillis);
 
     /** The reply has been played, or could not be. */
-    void ends();
+    void replyEnded();
   }
 
-  private final Replies replies;
-  private long pos;
+  private final ReplyListener replyListener;
+  private long position;
 
-  /** A decoder that has heard of no event yet. */
-  public JournalDecoder(Replies replies) {
-    this.replies = replies;
+  /** A decoder at the beginning of the journal. */
+  public JournalDecoder(ReplyListener replyListener) {
+    this.replyListener = replyListener;
   }
 
-  /** The number of the last event heard of. */
-  public long pos() {
-    return pos;
+  /** The number of the last event that was played. */
+  public long position() {
+    return position;
   }
 
   /**
-   * Plays the entries that are new. An unreadable one is thrown before any of the reply is played.
+   * Plays the entries of a reply that are new.
+   *
+   * @throws org.amberpath.gateway.settings.InvalidDocumentException if an entry is invalid; nothing
+   *     of the reply was played then
    */
-  public void play(JsonReader reply, EndpointListener to) {
-    play(reply, to, true);
+  public void play(JsonReader reply, EndpointListener listener) {
+    play(reply, listener, true);
   }
 
-  /** The same for what is known from a file, of any age. */
-  public void playKnown(JsonReader reply, EndpointListener to) {
-    play(reply, to, false);
+  /** The same for the entries of the configuration, which may be of any age. */
+  public void playKnown(JsonReader reply, EndpointListener listener) {
+    play(reply, listener, false);
   }
 
-  private void play(JsonReader reply, EndpointListener to, boolean live) {
+  private void play(JsonReader reply, EndpointListener listener, boolean live) {
     long last = reply.longOr("pos", 0);
-    Scout scout = new Scout();
-    tell(reply, scout);
-    replies.begins(live, scout.newestPurge);
+    NewestPurgeFinder newestPurge = new NewestPurgeFinder();
+    playEntries(reply, newestPurge);
+    replyListener.replyStarted(live, newestPurge.millis);
     try {
-      pos = Math.max(tell(reply, to), last);
+      position = Math.max(playEntries(reply, listener), last);
     } finally {
-      replies.ends();
+      replyListener.replyEnded();
     }
   }
 
-  /** Returns the number of the last event that is known then. */
-  private long tell(JsonReader reply, EndpointListener target) {
-    long at = pos;
-    ListingRun run = new ListingRun(target);
+  /** Plays the entries that are new; returns the number of the last one. */
+  private long playEntries(JsonReader reply, EndpointListener target) {
+    long at = position;
+    ListRun run = new ListRun(target);
     try {
       for (JsonReader entry : reply.objects("entries")) {
         long number = entry.longOr("pos", 0);
@@ -81,29 +86,29 @@
     return at;
   }
 
-  private static void entry(JsonReader entry, EndpointListener to, ListingRun run) {
+  private static void entry(JsonReader entry, EndpointListener listener, ListRun run) {
     if (entry.has("hosts")) {
       JsonReader hosts = entry.object("hosts");
       run.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
     } else if (entry.has("expire")) {
       run.end();
       JsonReader purge = entry.object("expire");
-      to.objectPurged(
+      listener.objectPurged(
           purge.has("name") ? object(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
     }
   }
 
-  private static void member(JsonReader one, EndpointListener to) {
-    to.endpointListed(
+  private static void endpoint(JsonReader instance, EndpointListener listener) {
+    listener.endpointListed(
         new ListedEndpoint(
-            one.string("instanceId"),
-            one.has("hostPort") ? one.string("hostPort") : "",
-            one.has("zone") ? one.string("zone") : "",
-            one.has("machineType") ? one.string("machineType") : "",
-            one.intOr("cell", 0),
-            state(one),
-            one.doubleOr("weight", 1),
-            one.longOr("startedAtMs", 0)));
+            instance.string("instanceId"),
+            instance.has("hostPort") ? instance.string("hostPort") : "",
+            instance.has("zone") ? instance.string("zone") : "",
+            instance.has("machineType") ? instance.string("machineType") : "",
+            instance.intOr("cell", 0),
+            state(instance),
+            instance.doubleOr("weight", 1),
+            instance.longOr("startedAtMs", 0)));
   }
 
   private static long object(JsonReader purge) {
@@ -114,48 +119,49 @@
     }
   }
 
-  private static EndpointState state(JsonReader one) {
-    return switch (one.string("lifecycle")) {
+  private static EndpointState state(JsonReader instance) {
+    return switch (instance.string("lifecycle")) {
       case "ready" -> EndpointState.UP;
       case "draining" -> EndpointState.DRAINING;
       case "gone" -> EndpointState.GONE;
-      default -> throw one.invalid("lifecycle", "of no known kind: " + one.string("lifecycle"));
+      default ->
+          throw instance.invalid("lifecycle", "of no known kind: " + instance.string("lifecycle"));
     };
   }
 
   /**
-   * Tells a run of changes of the list as one listing, since whoever hears of one goes through all
-   * endpoints. A full list begins a listing of its own, and so does an id that had left: what comes
-   * back is another endpoint, of which nothing is known.
+   * Plays a run of changes of the list as one list, since each list makes its listener go through
+   * all endpoints. A full list begins a list of its own, and so does an id that was gone: it is
+   * another endpoint, of which nothing is known.
    */
-  private static final class ListingRun {
-    private final EndpointListener to;
-    private final Set<String> left = new HashSet<>();
+  private static final class ListRun {
+    private final EndpointListener listener;
+    private final Set<String> gone = new HashSet<>();
     private boolean isOpen;
 
-    ListingRun(EndpointListener to) {
-      this.to = to;
+    ListRun(EndpointListener listener) {
+      this.listener = listener;
     }
 
-    void add(boolean whole, List<JsonReader> instances) {
-      if (whole || isReturn(instances)) {
+    void add(boolean full, List<JsonReader> instances) {
+      if (full || isReturn(instances)) {
         end();
       }
       if (!isOpen) {
-        to.endpointListStarted(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES);
+        listener.endpointListStarted(full ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       }
-      for (JsonReader one : instances) {
-        member(one, to);
-        if (state(one) == EndpointState.GONE) {
-          left.add(one.string("instanceId"));
+      for (JsonReader instance : instances) {
+        endpoint(instance, listener);
+        if (state(instance) == EndpointState.GONE) {
+          gone.add(instance.string("instanceId"));
         }
       }
       isOpen = true;
     }
 
     private boolean isReturn(List<JsonReader> instances) {
-      for (JsonReader one : left.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (left.contains(one.string("instanceId")) && state(one) != EndpointState.GONE) {
+      for (JsonReader instance : gone.isEmpty() ? List.<JsonReader>of() : instances) {
+        if (gone.contains(instance.string("instanceId")) && state(instance) != EndpointState.GONE) {
           return true;
         }
       }
@@ -165,15 +171,15 @@
     void end() {
       if (isOpen) {
         isOpen = false;
-        left.clear();
-        to.endpointListCompleted();
+        gone.clear();
+        listener.endpointListCompleted();
       }
     }
   }
 
-  /** Reads a reply through before it is told. */
-  private static final class Scout implements EndpointListener {
-    private long newestPurge;
+  /** Finds the newest purge of a reply, and any invalid entry, before it is played. */
+  private static final class NewestPurgeFinder implements EndpointListener {
+    private long millis;
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
@@ -186,7 +192,7 @@
 
     @Override
     public void objectPurged(long object, int group, long atMs) {
-      newestPurge = Math.max(newestPurge, atMs);
+      millis = Math.max(millis, atMs);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -40,10 +40,14 @@
   private final ClientConnections clients = new ClientConnections(vertx, MOST, clock);
   private final List<Client> all = new ArrayList<>();
 
-  /** How many connections were held at most, how many are, and how many requests were read. */
-  private final AtomicInteger most = new AtomicInteger(),
-      held = new AtomicInteger(),
-      read = new AtomicInteger();
+  /** How many connections were held at most. */
+  private final AtomicInteger most = new AtomicInteger();
+
+  /** How many connections are held. */
+  private final AtomicInteger held = new AtomicInteger();
+
+  /** How many requests were read. */
+  private final AtomicInteger read = new AtomicInteger();
 
   private Thread loop;
   private int port;
@@ -238,8 +242,8 @@
     if (clientEndsToo) {
       client.socket.shutdownOutput();
     }
-    long since = System.nanoTime(),
-        before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
+    long since = System.nanoTime();
+    long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
     awaitHeld(0); // It is closed in time all the same.
     long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
     long took = System.nanoTime() - since;
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -30,7 +30,8 @@
 /** No attempt begins for a client that closed or cancelled while the event loop was late. */
 @Timeout(60)
 class ClientGoneTest {
-  private static final long GONE_MS = 300, PATIENCE_S = 20;
+  private static final long GONE_MS = 300;
+  private static final long PATIENCE_S = 20;
   private static final int PIPELINE = 32;
 
   @TempDir private Path folder;
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -19,7 +19,8 @@
       "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
           + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},"
           + "'settings':{'my-zone':'z','classes':[{'name':'p',"
-          + "'idempotency':'once','target-s':0.25}],'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
+          + "'idempotency':'once','target-s':0.25}],"
+          + "'bounds':{'multiplex':100,'conn-idle-s':30.0}}}";
   @TempDir private Path folder;
 
   private GatewayOptions read(String json, String... environment) throws Exception {
@@ -35,41 +36,42 @@
   void whatIsToldIsTakenAndTheRestHasDefaults() throws Exception {
     GatewayOptions options = read(GOOD);
     assertEquals("n3", options.name());
-    assertEquals(7, options.listen().port());
+    assertEquals(7, options.listenAddress().port());
     assertEquals(255, options.routingConfig().seed());
     assertEquals(250_000_000, options.routingConfig().trafficClass(0).latencyObjectiveNanos());
-    assertEquals(400_000_000, options.connectTimeout());
-    assertEquals(0, options.known().objects("entries").size());
-    assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listen().port());
+    assertEquals(400_000_000, options.connectTimeoutNanos());
+    assertEquals(0, options.knownEntries().objects("entries").size());
+    assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listenAddress().port());
   }
 
   @Test
   void clientsAndCachesTogetherStayUnderTheDescriptors() throws Exception {
     GatewayOptions options = read(GOOD);
-    assertTrue(options.connectionsToAll() + options.mostClients() < 1024 - 32);
+    assertTrue(options.maxCacheConnections() + options.maxClientConnections() < 1024 - 32);
     for (int caches : new int[] {1, 20, 60, 400}) {
-      int connections = options.connectionsToEach(caches) * caches;
-      assertTrue(connections <= options.connectionsToAll(), "caches " + caches);
+      int connections = options.maxConnectionsPerCache(caches) * caches;
+      assertTrue(connections <= options.maxCacheConnections(), "caches " + caches);
     }
-    assertEquals(1, options.connectionsToEach(3200), "of which not all are up at once");
+    assertEquals(1, options.maxConnectionsPerCache(3200), "of which not all are up at once");
   }
 
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       value = {
-        "'listen':'127.0.0.1:7'                | 'listen':'nowhere'        | field 'listen' is no address:port",
-        "'listen':'127.0.0.1:7'                | 'listen':'a.example:1'    | field 'listen' is no address:port",
-        "'journal':'127.0.0.1:8'               | 'journal':8               | field 'journal' is not a string",
-        "'journal':'127.0.0.1:8',              | ''                        | field 'journal' is missing",
-        "'seed':'ff'                           | 'seed':'xyz'              | field 'seed' is not a hexadecimal",
-        "'memory_mb':192                       | 'memory_mb':1             | limits: field 'memory_mb' is under 32",
-        "'sockets':1024                        | 'sockets':'x'             | limits: field 'sockets' is not a whole",
-        "'my-zone':'z',                        | ''                        | settings: field 'my-zone' is missing",
-        "'idempotency':'once'                  | 'idempotency':'twice'     | field 'idempotency' is of no known kind",
-        "'target-s':0.25                       | 'target-s':'soon'         | field 'target-s' is not a number",
-        "'multiplex':100                       | 'multiplex':'many'        | bounds: field 'multiplex' is not a whole",
-        "{'name'                               | {{'name'                  | is not JSON"
+        "'listen':'127.0.0.1:7' | 'listen':'nowhere'" + " | field 'listen' is no address:port",
+        "'listen':'127.0.0.1:7' | 'listen':'a.example:1'" + " | field 'listen' is no address:port",
+        "'journal':'127.0.0.1:8' | 'journal':8" + " | field 'journal' is not a string",
+        "'journal':'127.0.0.1:8', | ''" + " | field 'journal' is missing",
+        "'seed':'ff' | 'seed':'xyz'" + " | field 'seed' is not a hexadecimal",
+        "'memory_mb':192 | 'memory_mb':1" + " | limits: field 'memory_mb' is under 32",
+        "'sockets':1024 | 'sockets':'x'" + " | limits: field 'sockets' is not a whole",
+        "'my-zone':'z', | ''" + " | settings: field 'my-zone' is missing",
+        "'idempotency':'once' | 'idempotency':'twice'"
+            + " | field 'idempotency' is of no known kind",
+        "'target-s':0.25 | 'target-s':'soon'" + " | field 'target-s' is not a number",
+        "'multiplex':100 | 'multiplex':'many'" + " | bounds: field 'multiplex' is not a whole",
+        "{'name' | {{'name'" + " | is not JSON"
       },
       quoteCharacter = '"')
   void aFaultyKeyIsNamed(String good, String bad, String message) {
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -892,7 +892,8 @@
   @CsvSource({
     "listen, no-address, PROXY_LISTEN no address:port: no-address",
     "listen, taken, PROXY_LISTEN: can't listen at",
-    "known, asleep, configuration known entries hosts instances: field 'lifecycle' is of no known kind: asleep",
+    "known, asleep, configuration known entries hosts instances: field 'lifecycle' is of no known"
+        + " kind: asleep",
     "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
   })
   void whatKeepsAGatewayFromStartingIsOneMessage(String key, String value, String message)
@@ -1039,7 +1040,8 @@
   /** Decisions in whose next round the loop stands still until it is let go. */
   private static final class Standing implements RoutingStage.BatchRouter {
     private final RoutingStage.BatchRouter decisions;
-    final CountDownLatch stands = new CountDownLatch(1), letGo = new CountDownLatch(1);
+    final CountDownLatch stands = new CountDownLatch(1);
+    final CountDownLatch letGo = new CountDownLatch(1);
     volatile boolean armed;
 
     Standing(GatewayOptions options) {
@@ -1061,7 +1063,8 @@
     }
   }
 
-  private static final long PATIENCE_MS = 5000, STANDS_MS = 400;
+  private static final long PATIENCE_MS = 5000;
+  private static final long STANDS_MS = 400;
 
   /** A second world, with two caches; its loop stands still from the next round on. */
   private Standing standing(StandIns other, Cache... caches) throws Exception {
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -32,10 +32,10 @@
  */
 @Timeout(60)
 class RequestDeadlineTest {
-  private static final long LAG_MS = 900,
-      TOLERANCE_MS = 150,
-      ALLOWANCE_MS = 15_000,
-      PATIENCE_S = 20;
+  private static final long LAG_MS = 900;
+  private static final long TOLERANCE_MS = 150;
+  private static final long ALLOWANCE_MS = 15_000;
+  private static final long PATIENCE_S = 20;
   private static final int CONNECTIONS = 40;
 
   @TempDir private Path folder;
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -13,7 +13,8 @@
  * late the loop.
  */
 class ShutdownScheduleTest {
-  private static final long MILLI = 1_000_000, SIGTERM = 5_000_000_000_000L;
+  private static final long MILLI = 1_000_000;
+  private static final long SIGTERM = 5_000_000_000_000L;
 
   /**
    * Looks each so many milliseconds while a request is open that is never answered; when each step
@@ -33,7 +34,10 @@
   void allStepsComeInOrderBeforeTheKill(long deadlineMillis, long lookMillis) {
     long kill = deadlineMillis + 700;
     ShutdownSchedule schedule = new ShutdownSchedule(SIGTERM, deadlineMillis * MILLI);
-    long rejected = -1, answered = -1, halfClosed = -1, exited = -1;
+    long rejected = -1;
+    long answered = -1;
+    long halfClosed = -1;
+    long exited = -1;
     for (long at = 0; exited < 0; at += lookMillis) {
       long now = SIGTERM + at * MILLI;
       assertTrue(
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -45,15 +45,19 @@
   static final long PATIENCE_S = 10;
   private static final String SETTINGS =
       """
-      {"my-zone":"z","zones":["z"],"kinds":["box","parent","origin"],"replicas-of-me":1,"weights":"nominal",
+      {"my-zone":"z","zones":["z"],"kinds":["box","parent","origin"],"replicas-of-me":1,
+      "weights":"nominal",
       "classes":[{"name":"parts","idempotency":"repeatable","target-s":0.4,"points":2},
       {"name":"orders","idempotency":"once","target-s":0.4},
       {"name":"marks","idempotency":"by_key","window-s":1,"target-s":0.4}],
-      "bounds":{"max-attempts":3,"cancel":true,"second-copies":true,"retry-after":true,"max-retry-after-s":1,
+      "bounds":{"max-attempts":3,"cancel":true,"second-copies":true,
+      "retry-after":true,"max-retry-after-s":1,
       "connect-timeout-s":0.4,"conn-idle-s":30,"multiplex":100,"max-open":48},
-      "family-info":{"mid-kind":1,"store-kind":2,"flow-kb-per-s":1000,"collapses":true,"bypass-allowed":true,
+      "family-info":{"mid-kind":1,"store-kind":2,"flow-kb-per-s":1000,"collapses":true,
+      "bypass-allowed":true,
       "purge-takes-s":6,"class-fresh-s":[0,0,0],"never-kept":[false,false,true]},
-      "guarantees":{"cold-share":0.2,"cold-s":10,"fall-multiple":3,"fall-s":1}}""";
+      "guarantees":{"cold-share":0.2,"cold-s":10,"fall-multiple":3,"fall-s":1}}\
+      """;
 
   final Vertx vertx = Vertx.vertx();
   final ExecutorService threads = Executors.newCachedThreadPool();
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -21,7 +21,8 @@
 
 /** What the decisions are told of purges and starts while the wall clock steps, on loopback. */
 class WallClockTest {
-  private static final long HOUR_MS = 3_600_000, SOON_MS = 60_000;
+  private static final long HOUR_MS = 3_600_000;
+  private static final long SOON_MS = 60_000;
 
   /**
    * What a cache or a purge was told with: how long ago it was, and for a cache when it started.
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -22,7 +22,8 @@
   private static final byte[] ID =
       "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
 
-  private boolean may, left;
+  private boolean may;
+  private boolean left;
   private int most = 1;
   private final List<AttemptOutcome> outcomes = new ArrayList<>();
 
@@ -36,11 +37,9 @@
               "c",
               SocketAddress.inetSocketAddress(1, "127.0.0.1"),
               client,
-              new CachePool.Bounds(() -> 4, 1, 1, 1, 1),
+              new PoolBounds(() -> 4, 1, 1, 1, 1),
               new ConnectionBudget(4, () -> {}),
-              () -> 0,
-              () -> may,
-              (of, why) -> {});
+              new CachePool.Hooks(() -> 0, () -> may, (from, reason) -> {}));
       pool.send(
           new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
             @Override
@@ -56,7 +55,7 @@
       assertEquals(List.of(), outcomes);
       left = true;
       may = true;
-      pool.again();
+      pool.retryWaiting();
       assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     } finally {
       vertx.close();
@@ -79,11 +78,9 @@
                     "c",
                     SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"),
                     client,
-                    new CachePool.Bounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
+                    new PoolBounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
                     new ConnectionBudget(2, () -> {}),
-                    () -> 0,
-                    () -> true,
-                    (of, why) -> {});
+                    new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
             pool[0].send(want(new byte[64 << 20]));
           });
       Socket first = cache.accept();
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -49,7 +49,8 @@
   @ValueSource(ints = {1, 2, 3, 5, 1000})
   void repliesComeWholeHoweverTheyAreCut(int size) {
     read(
-        "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n*2\r\n$2\r\nid\r\n$0\r\n\r\n",
+        "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n"
+            + "*2\r\n$2\r\nid\r\n$0\r\n\r\n",
         size);
     assertEquals(List.of("id|ok|res=h|a\r\n$0\r\n", "id|"), replies);
     assertTrue(protocolErrors.isEmpty());
@@ -105,11 +106,9 @@
             "c0",
             SocketAddress.inetSocketAddress(1, "127.0.0.1"),
             client,
-            new CachePool.Bounds(() -> 1, 100, 1, 1, 100),
+            new PoolBounds(() -> 1, 100, 1, 1, 100),
             new ConnectionBudget(1, () -> {}),
-            () -> 0,
-            () -> true,
-            (from, why) -> {});
+            new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
     CacheCommand drained = want();
     pool.send(drained);
     pool.send(want());
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -80,12 +80,12 @@
     assertEquals("whole", String.join(" ", told), "a full list with a hole is none");
   }
 
-  private static final class Ignored implements JournalDecoder.Replies {
+  private static final class Ignored implements JournalDecoder.ReplyListener {
     @Override
-    public void begins(boolean live, long newestPurgeMillis) {}
+    public void replyStarted(boolean live, long newestPurgeMillis) {}
 
     @Override
-    public void ends() {}
+    public void replyEnded() {}
   }
 
   /** Writes down what it is told, and can't use one id. */
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -17,12 +17,16 @@
 class SimulationHostTest {
   private static final String UP =
       """
-      {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],"classes":[{"name":"pages",
+      {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],
+      "classes":[{"name":"pages",
       "idempotency":"repeatable","target-s":0.2}],"bounds":{"max-attempts":2}}},
-      {"verb":"view","scope":"C","rev":1,"members-list":[{"cache":"10.0.0.1:90","az":"z","flavor":"box",
-      "cohort":0,"state":"U"}]}""";
+      {"verb":"view","scope":"C","rev":1,"members-list":[{"cache":"10.0.0.1:90",
+      "az":"z","flavor":"box",
+      "cohort":0,"state":"U"}]}\
+      """;
   private static final String ORDER =
-      "{\"verb\":\"order\",\"op-id\":77,\"tier-class\":\"pages\",\"resource\":5,\"time-budget-s\":0.25}";
+      "{\"verb\":\"order\",\"op-id\":77,\"tier-class\":\"pages\",\"resource\":5,"
+          + "\"time-budget-s\":0.25}";
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -46,7 +50,8 @@
     assertTrue(
         replies[1].startsWith(
             "{\"parts\":[{\"i\":3,\"cmds\":[{\"verb\":\"serve-via\",\"op-id\":77,"
-                + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,\"supplier\":\"10.0.0.1:90\""),
+                + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,"
+                + "\"supplier\":\"10.0.0.1:90\""),
         replies[1]);
   }
 
@@ -64,9 +69,12 @@
         "[] | batch: not an object",
         "{\"parts\":[]} | batch: field 'wall-s' is missing",
         "{\"verb\":\"dance\"} | unknown: dance",
-        "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} | order: field 'op-id' is not a whole number",
-        "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} | order: field 'tier-class' is no known",
-        "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} | field 'cache' is no known"
+        "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} "
+            + "| order: field 'op-id' is not a whole number",
+        "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} "
+            + "| order: field 'tier-class' is no known",
+        "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
+            + "| field 'cache' is no known"
       })
   void whatIsNotAsAgreedEndsWithOnePlainMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
