--- a/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
@@ -8,6 +8,10 @@
 import java.io.IOException;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.WriteBufferAccounting;
+import org.amberpath.gateway.pipeline.PipelineContext;
+import org.amberpath.gateway.pipeline.RequestPipeline;
+import org.amberpath.gateway.transport.AcceptLimit;
+import org.amberpath.gateway.transport.SingleEventLoopTransport;
 
 /** The listening socket for clients. */
 final class ClientListener {
@@ -30,22 +34,23 @@
     this.pipeline = pipeline;
     writeBuffers =
         new WriteBufferAccounting(options.maxUnreadBytesPerClient(), options.maxUnreadBytes());
-    Vertx vertx = pipeline.context.vertx();
+    Vertx vertx = pipeline.context().vertx();
     server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(ACCEPT_BACKLOG));
     server.connectHandler(this::accept);
   }
 
   private void accept(NetSocket socket) {
-    PipelineContext context = pipeline.context;
+    PipelineContext context = pipeline.context();
     ClientConnection client =
-        new ClientConnection(socket, writeBuffers, context.clock()::nowNanos, pipeline.receiver);
+        new ClientConnection(
+            socket, writeBuffers, context.clock()::nowNanos, pipeline.clientHandler());
     context.lagMonitor().accepted(client, AcceptLimit.queuedNanos(socket));
-    pipeline.clients.add(client);
+    pipeline.clients().add(client);
   }
 
   /** Binds the address of the options; a failure is an {@link IOException} that names it. */
   Future<Void> listen() {
-    PipelineContext context = pipeline.context;
+    PipelineContext context = pipeline.context();
     SingleEventLoopTransport.limitNext(
         context.vertx(),
         new AcceptLimit(
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -2,6 +2,8 @@
 
 import org.amberpath.gateway.discovery.JournalClient;
 import org.amberpath.gateway.discovery.JournalDecoder;
+import org.amberpath.gateway.pipeline.PipelineContext;
+import org.amberpath.gateway.pipeline.RequestPipeline;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.MergedEndpointLists;
 
@@ -22,12 +24,12 @@
   /** Connects both to the pipeline; nothing is polled before {@link #start()}. */
   EndpointDiscovery(
       RequestPipeline pipeline, GatewayOptions options, EndpointSource.Factory sourceFactory) {
-    PipelineContext context = pipeline.context;
+    PipelineContext context = pipeline.context();
     boolean usesJournal = options.journalAddress() != null;
-    MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpoints);
+    MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpointListener());
     EndpointListener sourceListener =
-        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.addSource();
-    journalListener = sourceFactory == null ? pipeline.endpoints : merged.addSource();
+        sourceFactory == null || !usesJournal ? pipeline.endpointListener() : merged.addSource();
+    journalListener = sourceFactory == null ? pipeline.endpointListener() : merged.addSource();
     journalDecoder = new JournalDecoder(context.clock());
     source =
         sourceFactory == null
@@ -43,7 +45,7 @@
                     journalDecoder,
                     journalListener,
                     context.discoveryFreshness(),
-                    pipeline.routingStage::discoveryPolled),
+                    pipeline::discoveryPolled),
                 context.clock()::nowNanos)
             : null;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/FleetCoordinator.java
+++ b/gateway/src/main/java/org/amberpath/gateway/FleetCoordinator.java
@@ -2,6 +2,7 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -8,6 +8,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import java.util.logging.Logger;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.pipeline.EndpointObserver;
+import org.amberpath.gateway.pipeline.RequestPipeline;
+import org.amberpath.gateway.pipeline.SyntheticRequests;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RequestRouter;
@@ -71,27 +76,24 @@
     this(vertx, options, extensions, new RequestRouter(options.routingConfig())::decide);
   }
 
-  /** The same with another router, for tests. */
-  Gateway(
-      Vertx vertx,
-      GatewayOptions options,
-      GatewayExtensions extensions,
-      RoutingStage.BatchRouter router) {
+  /** The same with another router than {@link RequestRouter}, such as one that records events. */
+  public Gateway(
+      Vertx vertx, GatewayOptions options, GatewayExtensions extensions, BatchRouter router) {
     this(vertx, options, extensions, router, new Clock());
   }
 
-  /** The same with another clock too, for tests. */
-  Gateway(
+  /** The same with another clock too, such as one that steps. */
+  public Gateway(
       Vertx vertx,
       GatewayOptions options,
       GatewayExtensions extensions,
-      RoutingStage.BatchRouter router,
+      BatchRouter router,
       Clock clock) {
     this.vertx = vertx;
     context = vertx.getOrCreateContext();
     this.options = options;
     this.clock = clock;
-    pipeline = new RequestPipeline(vertx, options, clock, router, this::isServing);
+    pipeline = new RequestPipeline(vertx, options.pipelineConfig(), clock, router, this::isServing);
     discovery = new EndpointDiscovery(pipeline, options, extensions.endpointSource());
     configurationReader = new ConfigurationReader(context, () -> phase == Phase.STOPPED);
     fleetCoordinator =
@@ -101,20 +103,20 @@
   }
 
   private FleetCoordinator createFleetCoordinator(FleetCoordinator.Factory factory) {
-    SyntheticRequests synthetic = pipeline.enableSyntheticRequests(options);
+    SyntheticRequests synthetic = pipeline.enableSyntheticRequests(options.routingConfig());
     FleetCoordinator coordinator =
         factory.create(
             vertx, options, new GatewayFleetCallbacks(pipeline, synthetic, this::isServing));
-    pipeline.routingStage.setObserver(
-        new RoutingActionExecutor.EndpointObserver() {
+    pipeline.setEndpointObserver(
+        new EndpointObserver() {
           @Override
           public void healthChanged(int endpoint, EndpointHealthStatus health) {
-            coordinator.endpointHealthChanged(pipeline.endpoints.endpointId(endpoint), health);
+            coordinator.endpointHealthChanged(pipeline.endpointId(endpoint), health);
           }
 
           @Override
           public void warmingUp(int endpoint, long untilNanos) {
-            coordinator.endpointWarmingUp(pipeline.endpoints.endpointId(endpoint), untilNanos);
+            coordinator.endpointWarmingUp(pipeline.endpointId(endpoint), untilNanos);
           }
         });
     return coordinator;
@@ -170,7 +172,7 @@
       return;
     }
     discovery.start();
-    lagTimer = pipeline.context.lagMonitor().start(vertx);
+    lagTimer = pipeline.context().lagMonitor().start(vertx);
     sweepTimer = vertx.setPeriodic(SWEEP_MILLIS, timer -> pipeline.sweep());
     warmUp
         .runOverSockets(
@@ -183,7 +185,7 @@
     if (phase != Phase.STARTING) {
       return;
     }
-    if (pipeline.context.discoveryFreshness().awaitsResponse()) {
+    if (pipeline.context().discoveryFreshness().awaitsResponse()) {
       vertx.setTimer(FIRST_DISCOVERY_CHECK_MILLIS, timer -> serve(started));
       return;
     }
@@ -227,12 +229,12 @@
   }
 
   /** Requests, endpoints and clients' connections that are held, for leak checks. */
-  int resourceCount() {
+  public int resourceCount() {
     return pipeline.resourceCount();
   }
 
   /** The event loop that all of it runs on. */
-  Context context() {
+  public Context context() {
     return context;
   }
 
@@ -270,7 +272,7 @@
     vertx.cancelTimer(sweepTimer);
     vertx.cancelTimer(lagTimer);
     discovery.close();
-    pipeline.endpoints.close();
+    pipeline.close();
     Future<Void> left =
         fleetCoordinator == null ? Future.succeededFuture() : fleetCoordinator.close();
     Future<Void> unbound = listener == null ? Future.succeededFuture() : listener.close();
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayFleetCallbacks.java
@@ -2,6 +2,10 @@
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
+import org.amberpath.gateway.pipeline.RequestPipeline;
+import org.amberpath.gateway.pipeline.SyntheticRequests;
 
 /** Passes what a fleet coordinator says on to one gateway's router, and makes its requests. */
 final class GatewayFleetCallbacks implements FleetCallbacks {
@@ -18,21 +22,21 @@
 
   @Override
   public void quotaShareChanged(int gateways, double share) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.gatewayShareChanged(gateways, share));
+    pipeline.enqueueDiscovery(events -> events.gatewayShareChanged(gateways, share));
   }
 
   @Override
   public void healthChecksCentralized(boolean centralized) {
-    pipeline.routingStage.enqueueDiscovery(events -> events.healthChecksDelegated(centralized));
+    pipeline.enqueueDiscovery(events -> events.healthChecksDelegated(centralized));
   }
 
   @Override
   public void healthCheckReported(String endpointId, boolean answered, long ageNanos) {
-    Clock clock = pipeline.context.clock();
+    Clock clock = pipeline.context().clock();
     long reportedAtNanos = clock.nowNanos();
-    pipeline.routingStage.enqueueDiscovery(
+    pipeline.enqueueDiscovery(
         events -> {
-          int endpoint = pipeline.endpoints.indexOf(endpointId);
+          int endpoint = pipeline.endpointIndex(endpointId);
           if (endpoint >= 0) {
             events.healthReported(
                 endpoint, answered, ageNanos + clock.nowNanos() - reportedAtNanos);
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -5,17 +5,16 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import io.vertx.core.net.SocketAddress;
 import java.io.IOException;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.UnknownHostException;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
-import java.util.regex.Pattern;
+import org.amberpath.gateway.pipeline.CacheConnectionConfig;
+import org.amberpath.gateway.pipeline.PipelineConfig;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.gateway.settings.JsonRoutingConfig;
+import org.amberpath.gateway.settings.NumericAddress;
 
 /**
  * The settings that a gateway is started with, read and checked here and nowhere else; what is
@@ -47,8 +46,6 @@
   private static final long DEFAULT_PURGE_GRACE_NANOS = 300_000_000;
 
   private static final int HEX_RADIX = 16;
-  private static final int PORTS = 1 << 16;
-  private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9a-fA-F.:]+");
 
   private final String name;
   private final SocketAddress listenAddress;
@@ -168,18 +165,28 @@
    * @throws InvalidDocumentException if it is neither an IPv4 nor an IPv6 address with a port
    */
   public static SocketAddress address(String key, String text) {
-    int colon = text.lastIndexOf(':');
-    String host = colon < 0 ? "" : text.substring(0, colon).replace("[", "").replace("]", "");
-    try {
-      int port = Integer.parseInt(text.substring(colon + 1));
-      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < PORTS) {
-        return SocketAddress.inetSocketAddress(
-            new InetSocketAddress(InetAddress.getByName(host), port));
-      }
-    } catch (NumberFormatException | UnknownHostException e) {
-      // The message below covers it.
-    }
-    throw new InvalidDocumentException(key + " no address:port: " + text);
+    return NumericAddress.parse(key, text);
+  }
+
+  /** The settings of the pipeline. */
+  public PipelineConfig pipelineConfig() {
+    return new PipelineConfig(
+        routingConfig,
+        journalAddress != null,
+        discoveryGraceNanos,
+        maxInFlight,
+        maxClientConnections(),
+        cacheConnectionConfig());
+  }
+
+  /** Connections to caches may hold the descriptors that clients and the runtime leave. */
+  private CacheConnectionConfig cacheConnectionConfig() {
+    return new CacheConnectionConfig(
+        descriptors - maxClientConnections() - RUNTIME_DESCRIPTORS,
+        maxCommandsPerConnection,
+        connectTimeoutNanos,
+        cacheIdleNanos * 3 / 4,
+        MAX_BODY_BYTES);
   }
 
   /** The gateway's name in its log. */
@@ -207,34 +214,6 @@
     return knownEntries;
   }
 
-  /** How long a connect to a cache may take. */
-  public long connectTimeoutNanos() {
-    return connectTimeoutNanos;
-  }
-
-  /**
-   * After how long an idle connection is closed: well before the cache closes it, so that no
-   * request crosses that.
-   */
-  public long idleTimeoutNanos() {
-    return cacheIdleNanos * 3 / 4;
-  }
-
-  /** Within what time a drain or a purge has to be effective: the shorter of the two. */
-  public long discoveryGraceNanos() {
-    return discoveryGraceNanos;
-  }
-
-  /** How many commands may be in flight on one connection to a cache. */
-  public int maxCommandsPerConnection() {
-    return maxCommandsPerConnection;
-  }
-
-  /** How many requests may be in flight. */
-  public int maxInFlight() {
-    return maxInFlight;
-  }
-
   /** The longest viewer timeout of all classes: SIGKILL may come some time after that. */
   public long maxDeadlineNanos() {
     return maxDeadlineNanos;
@@ -248,21 +227,6 @@
     return descriptors / 2;
   }
 
-  /** Connections to all caches together: what clients and the runtime leave. */
-  public int maxCacheConnections() {
-    return descriptors - maxClientConnections() - RUNTIME_DESCRIPTORS;
-  }
-
-  /** Connections to each of so many caches, while there are not more than may be had in all. */
-  public int maxConnectionsPerCache(int caches) {
-    return Math.max(1, maxCacheConnections() / Math.max(1, caches));
-  }
-
-  /** The longest body that a cache returns. */
-  public int maxBodyBytes() {
-    return MAX_BODY_BYTES;
-  }
-
   /** How many bytes of its responses one client may leave unread. */
   public long maxUnreadBytesPerClient() {
     return memoryBytes / UNREAD_PART_OF_CLIENT;
--- a/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GracefulShutdown.java
@@ -2,6 +2,8 @@
 
 import io.vertx.core.Vertx;
 import java.util.function.Consumer;
+import org.amberpath.gateway.client.ClientConnections;
+import org.amberpath.gateway.pipeline.RequestPipeline;
 
 /**
  * Drains a gateway by a {@link ShutdownSchedule}: requests are taken, then rejected; what is in
@@ -36,15 +38,15 @@
   }
 
   private Vertx vertx() {
-    return pipeline.context.vertx();
+    return pipeline.context().vertx();
   }
 
   private long nowNanos() {
-    return pipeline.context.clock().nowNanos();
+    return pipeline.context().clock().nowNanos();
   }
 
   private void check(long timer) {
-    ClientConnections clients = pipeline.clients;
+    ClientConnections clients = pipeline.clients();
     if (schedule.rejects(nowNanos())) {
       clients.reject();
     }
@@ -72,8 +74,8 @@
    */
   private void halfClose() {
     failUnanswered(); // Guards the rest of a request that came in that last read.
-    if (!pipeline.clients.isEnded() && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
-      pipeline.clients.end();
+    if (!pipeline.clients().isEnded() && schedule.halfCloses(nowNanos(), pipeline.isDrained())) {
+      pipeline.clients().end();
       schedule.halfClosed(nowNanos());
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -13,6 +13,7 @@
 import java.util.function.Supplier;
 import java.util.logging.Logger;
 import org.amberpath.gateway.settings.InvalidSettingsException;
+import org.amberpath.gateway.transport.SingleEventLoopTransport;
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
--- a/gateway/src/main/java/org/amberpath/gateway/cache/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/package-info.java
@@ -1,5 +1,6 @@
 /**
- * RESP to caches: a pool of connections for each cache, commands out, replies in. Which cache gets
- * which command is decided elsewhere. All of it runs on the event loop of the gateway.
+ * RESP to caches. {@link org.amberpath.gateway.cache.CachePool} holds the connections to one cache
+ * and is where to begin; each attempt is a {@link org.amberpath.gateway.cache.CacheCommand}. Called
+ * by the pipeline, on the event loop.
  */
 package org.amberpath.gateway.cache;
--- a/gateway/src/main/java/org/amberpath/gateway/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -1,16 +1,16 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.client;
 
 import io.vertx.core.Vertx;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
-import org.amberpath.gateway.client.ClientConnection;
+import java.util.function.LongSupplier;
 
 /**
  * All connections of clients: bounded in their number, and in the time that a client may take for
  * one whole message.
  */
-final class ClientConnections {
+public final class ClientConnections {
   /** What is done with requests and with new connections. */
   private enum Mode {
     /** Requests are taken. */
@@ -31,11 +31,11 @@
    * Connections held in addition to the bound: those about to be evicted, and those whose clients
    * read their last responses.
    */
-  static final int SPARE_CONNECTIONS = 8;
+  public static final int SPARE_CONNECTIONS = 8;
 
   private final Vertx vertx;
   private final int maxConnections;
-  private final Clock clock;
+  private final LongSupplier clock;
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
   /** Open ones that are evicted as soon as all is read that had come by then. */
@@ -46,7 +46,13 @@
 
   private Mode mode = Mode.SERVING;
 
-  ClientConnections(Vertx vertx, int maxConnections, Clock clock) {
+  /**
+   * No connections yet.
+   *
+   * @param maxConnections how many may be held, but for {@link #SPARE_CONNECTIONS}
+   * @param clock monotonic nanoseconds
+   */
+  public ClientConnections(Vertx vertx, int maxConnections, LongSupplier clock) {
     this.vertx = vertx;
     this.maxConnections = maxConnections;
     this.clock = clock;
@@ -57,7 +63,7 @@
    * connection is evicted, not the newest good one. At every instant no more are held than the
    * bound and {@link #SPARE_CONNECTIONS}, beside the one that was just accepted.
    */
-  void add(ClientConnection added) {
+  public void add(ClientConnection added) {
     open.add(added);
     if (mode != Mode.SERVING) {
       added.rejectNewRequests();
@@ -135,7 +141,7 @@
   }
 
   /** A connection takes nothing more; it holds its descriptor until {@link #released}. */
-  void remove(ClientConnection connection) {
+  public void remove(ClientConnection connection) {
     evicting.remove(connection);
     if (open.remove(connection)) {
       closing.add(connection);
@@ -143,12 +149,12 @@
   }
 
   /** A connection's descriptor is free again. */
-  void released(ClientConnection connection) {
+  public void released(ClientConnection connection) {
     closing.remove(connection);
   }
 
   /** From now on each request is rejected, on new connections too: the gateway shuts down. */
-  void reject() {
+  public void reject() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
       open.forEach(ClientConnection::rejectNewRequests);
@@ -156,34 +162,34 @@
   }
 
   /** Half-closes all connections, and each new one from now on; no response is pending on any. */
-  void end() {
+  public void end() {
     mode = Mode.ENDED;
     List.copyOf(open).forEach(ClientConnection::closeAfterFlush);
   }
 
   /** Whether all connections were half-closed. */
-  boolean isEnded() {
+  public boolean isEnded() {
     return mode == Mode.ENDED;
   }
 
   /** Whether no response waits to be written to a connection that is closing. */
-  boolean allWritten() {
+  public boolean allWritten() {
     return closing.stream().allMatch(ClientConnection::isFlushed);
   }
 
   /** Whether a client has sent part of a message, and not the rest of it. */
-  boolean hasPartialMessage() {
+  public boolean hasPartialMessage() {
     return open.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
   /** How many descriptors clients hold. */
-  int size() {
+  public int size() {
     return open.size() + closing.size();
   }
 
   /** Guards against clients that send nothing, or half a message. */
-  void sweep() {
-    long nowNanos = clock.nowNanos();
+  public void sweep() {
+    long nowNanos = clock.getAsLong();
     for (ClientConnection connection : List.copyOf(open)) {
       if (connection.isAwaitingMessage()
           && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/package-info.java
@@ -1,7 +1,7 @@
 /**
- * MessagePack-RPC to clients: framing, decoding of requests, encoding of responses, and the
- * lifecycle of a connection. Nothing here decides on a request; {@link
- * org.amberpath.gateway.client.ClientHandler} does. All of it runs on the event loop of its
- * connection.
+ * MessagePack-RPC with clients. {@link org.amberpath.gateway.client.ClientConnection} is one
+ * connection and where to begin; {@link org.amberpath.gateway.client.ClientConnections} bounds them
+ * all, and {@link org.amberpath.gateway.client.ClientHandler} is what the pipeline implements.
+ * Framing and decoding know nothing of sockets. Called by the pipeline, on the event loop.
  */
 package org.amberpath.gateway.client;
--- a/gateway/src/main/java/org/amberpath/gateway/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
@@ -1,7 +1,6 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.discovery;
 
 import java.util.function.LongSupplier;
-import org.amberpath.gateway.discovery.JournalDecoder;
 import org.amberpath.routing.EventAge;
 
 /**
@@ -40,18 +39,18 @@
   }
 
   /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
-  void readClocks() {
+  public void readClocks() {
     eventAge.clocksRead(nowNanos(), wallMillis.getAsLong());
   }
 
   /** The least possible age, in nanoseconds, of a purge with this timestamp. */
-  long purgeAgeNanos(long unixMillis) {
+  public long purgeAgeNanos(long unixMillis) {
     readClocks();
     return eventAge.purgeAgeNanos(nowNanos(), unixMillis);
   }
 
   /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
-  long startAgeNanos(long unixMillis) {
+  public long startAgeNanos(long unixMillis) {
     readClocks();
     return eventAge.startAgeNanos(nowNanos(), unixMillis);
   }
@@ -60,7 +59,7 @@
    * Whether the wall clock was corrected since the last call, so that endpoints may have started
    * later than {@link #startAgeNanos} said.
    */
-  boolean takeCorrection() {
+  public boolean takeCorrection() {
     return eventAge.takeCorrection();
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Endpoints, drains and purges from the journal service: the long poll and the decoding of its
- * replies. All of it runs on the event loop of the gateway.
+ * Endpoints, drains and purges from the journal service: the long poll ({@link
+ * org.amberpath.gateway.discovery.JournalClient}, where to begin), the decoding of its replies, and
+ * the {@link org.amberpath.gateway.discovery.Clock} by which the age of what they state is judged.
+ * Called by the gateway's lifecycle, on the event loop.
  */
 package org.amberpath.gateway.discovery;
--- a/gateway/src/main/java/org/amberpath/gateway/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AdmissionControl.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.logging.Level;
 import java.util.logging.Logger;
--- a/gateway/src/main/java/org/amberpath/gateway/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AttemptSender.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
@@ -7,6 +7,7 @@
 import java.util.logging.Logger;
 import org.amberpath.gateway.client.ByteString;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
 import org.amberpath.routing.ResponseDetail;
@@ -18,7 +19,7 @@
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int USUAL_FIELDS_BYTES = 160;
 
-  /** The endpoints' names for the bits of {@link AttemptParameters#flags()}. */
+  /** The endpoints' names for the bits of {@link AttemptCommand#options()}. */
   private static final String[] FLAG_NAMES = {"join", "held", "nocopy", "renew"};
 
   private final PipelineContext context;
@@ -47,12 +48,12 @@
    * Makes an attempt; does nothing for a request that is finished (null). One past the bound on
    * attempts, or of an answered request, ends as not sent.
    */
-  void send(ClientRequest request, AttemptParameters parameters) {
+  void send(ClientRequest request, AttemptCommand command) {
     if (request == null) {
       return;
     }
     long nowNanos = context.clock().nowNanos();
-    OutboundAttempt attempt = create(request, parameters, nowNanos);
+    OutboundAttempt attempt = create(request, command, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
     if (request.answered || attempt.plan.index() >= config.retries().maxAttempts()) {
@@ -72,21 +73,20 @@
     return Math.max(1, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 
-  private OutboundAttempt create(
-      ClientRequest request, AttemptParameters parameters, long nowNanos) {
-    long untilNanos = parameters.untilNanos();
+  private OutboundAttempt create(ClientRequest request, AttemptCommand command, long nowNanos) {
+    long untilNanos = command.deadlineNanos();
     OutboundAttempt.Plan plan =
         new OutboundAttempt.Plan(
             request,
             request.attempts.size(),
-            parameters.endpoint(),
-            parameters.source(),
+            command.endpoint(),
+            command.source(),
             nowNanos,
             context.lagMonitor().totalLagNanos(),
             untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
             !config.trafficClass(request.trafficClass).neverCached());
     return new OutboundAttempt(
-        plan, encodeFields(request, parameters), endpoints.pool(parameters.endpoint()), this);
+        plan, encodeFields(request, command), endpoints.pool(command.endpoint()), this);
   }
 
   /** Sends what was deferred while discovery or the sockets had to be read first. */
@@ -95,23 +95,23 @@
   }
 
   /** The fields of the endpoints' protocol, without the time that is left. */
-  private byte[] encodeFields(ClientRequest request, AttemptParameters parameters) {
+  private byte[] encodeFields(ClientRequest request, AttemptCommand command) {
     DecodedRequest decoded = request.decoded;
     ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_FIELDS_BYTES);
     put(out, "kind=", decoded.trafficClass());
     put(out, ",obj=", decoded.objectName());
     put(out, ",seg=", decoded.partName());
-    if (parameters.source() != parameters.endpoint()) {
-      put(out, ",miss=", endpoints.endpointId(parameters.source()));
+    if (command.source() != command.endpoint()) {
+      put(out, ",miss=", endpoints.endpointId(command.source()));
     }
-    if (parameters.priority() > 0) {
-      put(out, ",prio=", Integer.toString(parameters.priority()));
+    if (command.rank() > 0) {
+      put(out, ",prio=", Integer.toString(command.rank()));
     }
-    if (parameters.maxAgeNanos() > 0) {
-      long maxAgeMillis = Math.max(1, parameters.maxAgeNanos() / NANOS_PER_MILLI);
+    if (command.maxAgeNanos() > 0) {
+      long maxAgeMillis = Math.max(1, command.maxAgeNanos() / NANOS_PER_MILLI);
       put(out, ",within=", Long.toString(maxAgeMillis));
     }
-    putFlags(out, parameters.flags());
+    putFlags(out, command.options());
     if (!decoded.knownTag().isEmpty()) {
       put(out, ",mine=", decoded.knownTag());
     }
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoint.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoint.java
@@ -1,7 +1,8 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.net.SocketAddress;
 import org.amberpath.gateway.cache.CachePool;
+import org.amberpath.gateway.discovery.Clock;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ListedEndpoint;
--- a/gateway/src/main/java/org/amberpath/gateway/CacheEndpoints.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/CacheEndpoints.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.net.NetClient;
@@ -13,6 +13,8 @@
 import org.amberpath.gateway.cache.CachePool;
 import org.amberpath.gateway.cache.ConnectionBudget;
 import org.amberpath.gateway.cache.PoolBounds;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.settings.NumericAddress;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.EndpointListKind;
@@ -33,7 +35,7 @@
    */
   private static final long MIN_CORRECTION_NANOS = 1_000_000_000L;
 
-  private final GatewayOptions options;
+  private final CacheConnectionConfig config;
   private final Clock clock;
   private final NetClient client;
   private final ProtocolErrorLog protocolErrors;
@@ -50,15 +52,15 @@
   private boolean hasEndpointList;
 
   CacheEndpoints(
-      Vertx vertx, GatewayOptions options, Clock clock, ProtocolErrorLog protocolErrors) {
-    this.options = options;
+      Vertx vertx, CacheConnectionConfig config, Clock clock, ProtocolErrorLog protocolErrors) {
+    this.config = config;
     this.clock = clock;
     this.protocolErrors = protocolErrors;
-    budget = new ConnectionBudget(options.maxCacheConnections(), this::closeLongestIdle);
+    budget = new ConnectionBudget(config.maxConnections(), this::closeLongestIdle);
     client =
         vertx.createNetClient(
             new NetClientOptions()
-                .setConnectTimeout((int) Math.max(1, options.connectTimeoutNanos() / 1_000_000)));
+                .setConnectTimeout((int) Math.max(1, config.connectTimeoutNanos() / 1_000_000)));
   }
 
   /** Sets the stage that is notified of discovery; called once, before anything is listed. */
@@ -90,10 +92,10 @@
     PoolBounds bounds =
         new PoolBounds(
             () -> endpoint.isGone() ? 1 : maxConnectionsPerCache,
-            options.maxCommandsPerConnection(),
-            options.connectTimeoutNanos(),
-            options.idleTimeoutNanos(),
-            options.maxBodyBytes());
+            config.maxCommandsPerConnection(),
+            config.connectTimeoutNanos(),
+            config.idleTimeoutNanos(),
+            config.maxBodyBytes());
     CachePool.Hooks hooks =
         new CachePool.Hooks(clock::nowNanos, routingStage::mayWrite, protocolErrors::add);
     return new CachePool(endpoint.id, endpoint.address, client, bounds, budget, hooks);
@@ -132,7 +134,7 @@
     CacheEndpoint endpoint = byId.computeIfAbsent(listed.id(), this::add);
     endpoint.state = listed.state();
     if (!listed.address().isEmpty()) {
-      endpoint.moveTo(GatewayOptions.address("journal: hostPort is", listed.address()));
+      endpoint.moveTo(NumericAddress.parse("journal: hostPort is", listed.address()));
     }
     endpoint.update(listed, clock);
     EndpointDescription description = endpoint.description();
@@ -169,7 +171,7 @@
             AttemptOutcome.WITHDRAWN);
       }
     }
-    maxConnectionsPerCache = options.maxConnectionsPerCache(listedCount);
+    maxConnectionsPerCache = config.maxConnectionsPerCache(listedCount);
   }
 
   private void enqueueList(List<Consumer<RoutingEventHandler>> list) {
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/ClientRequest.java
@@ -1,11 +1,11 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.pipeline.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.routing.SocketReads;
 
 /**
--- a/gateway/src/main/java/org/amberpath/gateway/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/EventLoopLagMonitor.java
@@ -1,7 +1,8 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.Vertx;
 import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.discovery.Clock;
 import org.amberpath.routing.AcceptLag;
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.LoadShedder;
@@ -11,7 +12,7 @@
  * Measures the event loop's lag, for want of CPU or in a pause of the runtime, by a periodic tick
  * that comes late. All values are nanoseconds.
  */
-final class EventLoopLagMonitor {
+public final class EventLoopLagMonitor {
   private static final long TICK_MILLIS = 10;
   private static final long TICK_NANOS = TICK_MILLIS * 1_000_000;
 
@@ -48,7 +49,7 @@
   }
 
   /** Starts the tick; returns its timer's id. */
-  long start(Vertx vertx) {
+  public long start(Vertx vertx) {
     scheduled(clock.nowNanos());
     return vertx.setPeriodic(TICK_MILLIS, timer -> tick());
   }
@@ -90,7 +91,7 @@
   }
 
   /** A client's connection was accepted, after accepting had paused for so many nanoseconds. */
-  void accepted(ClientConnection client, long pausedNanos) {
+  public void accepted(ClientConnection client, long pausedNanos) {
     acceptLag.connectionAccepted(
         client, clock.nowNanos(), Math.max(currentLagNanos(), pausedNanos));
   }
--- a/gateway/src/main/java/org/amberpath/gateway/FleetCallbacks.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/FleetCallbacks.java
@@ -1,6 +1,7 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.function.Consumer;
+import org.amberpath.gateway.FleetCoordinator;
 
 /**
  * What a {@link FleetCoordinator} may tell its gateway, and ask of it. Endpoints are named by their
--- a/gateway/src/main/java/org/amberpath/gateway/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/InFlightRequests.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -14,7 +14,7 @@
  * and the router was given all of its events. Bounded by {@link AdmissionControl} and by {@link
  * SyntheticRequests}.
  */
-final class InFlightRequests {
+public final class InFlightRequests {
   private final Map<Long, ClientRequest> byId = new LinkedHashMap<>();
   private final Map<ClientConnection, Map<Long, ClientRequest>> unanswered = new LinkedHashMap<>();
   private final Set<String> requestIds = new HashSet<>();
--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.buffer.Buffer;
 import java.util.logging.Level;
--- a/gateway/src/main/java/org/amberpath/gateway/PipelineContext.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/PipelineContext.java
@@ -1,6 +1,7 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.Vertx;
+import org.amberpath.gateway.discovery.Clock;
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.LoadShedder;
 import org.amberpath.routing.SocketReads;
@@ -17,7 +18,7 @@
  * @param loadShedder sheds load when the gateway is out of CPU
  * @param protocolErrors the log of peers' protocol errors
  */
-record PipelineContext(
+public record PipelineContext(
     Vertx vertx,
     Clock clock,
     InFlightRequests inFlight,
@@ -28,15 +29,15 @@
     ProtocolErrorLog protocolErrors) {
 
   /** The shared parts of a gateway that starts now. */
-  static PipelineContext create(Vertx vertx, Clock clock, GatewayOptions options) {
+  static PipelineContext create(Vertx vertx, Clock clock, PipelineConfig config) {
     DiscoveryFreshness freshness =
         new DiscoveryFreshness(
-            options.discoveryGraceNanos(), options.journalAddress() != null, clock.nowNanos());
+            config.discoveryGraceNanos(), config.usesJournal(), clock.nowNanos());
     LoadShedder loadShedder =
         new LoadShedder(
-            options.routingConfig().seed(),
-            options.routingConfig().retries().retryAfter()
-                ? options.routingConfig().retries().maxRetryAfterNanos()
+            config.routing().seed(),
+            config.routing().retries().retryAfter()
+                ? config.routing().retries().maxRetryAfterNanos()
                 : 0);
     SocketReads socketReads = new SocketReads(clock.nowNanos());
     return new PipelineContext(
--- a/gateway/src/main/java/org/amberpath/gateway/ProtocolErrorLog.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/ProtocolErrorLog.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.logging.Logger;
 
@@ -6,7 +6,7 @@
  * Protocol errors of peers: counted, and logged in at most one line a sweep, so that no peer can
  * flood the log.
  */
-final class ProtocolErrorLog {
+public final class ProtocolErrorLog {
   private static final Logger LOG = Logger.getLogger(ProtocolErrorLog.class.getName());
   private static final int MAX_LINE_CHARS = 200;
 
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestReceiver.java
@@ -1,7 +1,8 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.function.BooleanSupplier;
 import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
 
--- a/gateway/src/main/java/org/amberpath/gateway/ResponseWriter.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/ResponseWriter.java
@@ -1,8 +1,8 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
-import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
+import org.amberpath.gateway.pipeline.FleetCallbacks.SyntheticOutcome;
 
 /**
  * Fifth stage: writes the one final response of each request. Each method does nothing for a
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingActionExecutor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingActionExecutor.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.EndpointHealthStatus;
@@ -8,15 +8,6 @@
 final class RoutingActionExecutor implements RoutingActions {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Is notified of what the router decides about endpoints. */
-  interface EndpointObserver {
-    /** An endpoint's health state has changed. */
-    void healthChanged(int endpoint, EndpointHealthStatus health);
-
-    /** An endpoint is in slow start until a clock time. */
-    void warmingUp(int endpoint, long untilNanos);
-  }
-
   private final PipelineContext context;
   private final RoutingStage routingStage;
   private final AttemptSender attemptSender;
@@ -47,15 +38,7 @@
 
   @Override
   public void sendAttempt(AttemptCommand command) {
-    attemptSender.send(
-        find(command.requestId()),
-        new AttemptParameters(
-            command.endpoint(),
-            command.deadlineNanos(),
-            command.source(),
-            command.maxAgeNanos(),
-            command.rank(),
-            command.options()));
+    attemptSender.send(find(command.requestId()), command);
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -7,7 +7,6 @@
 import java.util.logging.Logger;
 import org.amberpath.routing.DiscoveryFreshness;
 import org.amberpath.routing.RequestDetails;
-import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 import org.amberpath.routing.SocketReads;
@@ -31,12 +30,6 @@
   /** Requests' events in one batch at most: as many as one client may have in flight. */
   private static final int MAX_BATCH_EVENTS = 32;
 
-  /** The router: one call for each batch. */
-  interface BatchRouter {
-    /** Decides on a batch; the actions are carried out within the call. */
-    void routeBatch(long nowNanos, RoutingEvents events, RoutingActions actions);
-  }
-
   /** An event, and the request that it belongs to; null where it belongs to none. */
   private record QueuedEvent(ClientRequest request, Consumer<RoutingEventHandler> event) {}
 
@@ -78,7 +71,7 @@
   }
 
   /** Sets the one observer of the router's decisions about endpoints. */
-  void setObserver(RoutingActionExecutor.EndpointObserver observer) {
+  void setObserver(EndpointObserver observer) {
     actions.setObserver(observer);
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/SyntheticRequests.java
@@ -1,10 +1,11 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.ByteString;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RequestDetails;
@@ -19,7 +20,7 @@
  * <p>Bounds: {@value #MAX_RECENT} recent requests are kept, each with {@value #MAX_BODY_BYTES}
  * bytes of body at most; {@value #MAX_IN_FLIGHT} synthetic requests are in flight at a time.
  */
-final class SyntheticRequests {
+public final class SyntheticRequests {
   private static final int MAX_RECENT = 256;
   private static final int MAX_BODY_BYTES = 1024;
   private static final int MAX_IN_FLIGHT = 16;
@@ -66,7 +67,7 @@
   }
 
   /** Makes a request as {@link FleetCallbacks#sendSyntheticRequest} specifies. */
-  boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
+  public boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
     boolean prefetch = endpointId == null;
     Template template = prefetch ? recent.nextInPass() : recent.latest();
     int endpoint = prefetch ? -1 : endpoints.indexOf(endpointId);
--- a/gateway/src/main/java/org/amberpath/gateway/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/AcceptLimit.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.transport;
 
 import io.netty.channel.socket.DuplexChannel;
 import io.netty.util.AttributeKey;
@@ -17,7 +17,7 @@
  * have waited in the accept queue. Confined to the event loop that accepts. Times are nanoseconds
  * of the clock it is given.
  */
-final class AcceptLimit {
+public final class AcceptLimit {
   private static final AttributeKey<Long> QUEUED_NANOS =
       AttributeKey.valueOf("amberpath.queuedNanos");
 
@@ -32,7 +32,13 @@
   private boolean paused;
   private long pausedAtNanos;
 
-  AcceptLimit(int maxConnections, LongSupplier clock) {
+  /**
+   * A limit on the connections of one server.
+   *
+   * @param maxConnections how many accepted connections may hold a descriptor
+   * @param clock monotonic nanoseconds
+   */
+  public AcceptLimit(int maxConnections, LongSupplier clock) {
     this.maxConnections = maxConnections;
     this.clock = clock;
   }
@@ -41,7 +47,7 @@
    * For how long a connection may have waited in the accept queue through a pause; 0 where there
    * was none.
    */
-  static long queuedNanos(NetSocket socket) {
+  public static long queuedNanos(NetSocket socket) {
     Long queuedNanos =
         ((NetSocketInternal) socket).channelHandlerContext().channel().attr(QUEUED_NANOS).get();
     return queuedNanos == null ? 0 : queuedNanos;
--- a/gateway/src/main/java/org/amberpath/gateway/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -10,7 +10,6 @@
 import java.nio.channels.SocketChannel;
 import java.util.List;
 import java.util.logging.Logger;
-import org.amberpath.gateway.transport.Channels;
 
 /**
  * A listening socket that accepts no connection past an {@link AcceptLimit} and resumes as soon as
--- a/gateway/src/main/java/org/amberpath/gateway/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
@@ -15,7 +15,7 @@
  * descriptors: an acceptor with a thread of its own runs ahead of a busy event loop, past any bound
  * that is kept there.
  */
-final class SingleEventLoopTransport extends NioTransport {
+public final class SingleEventLoopTransport extends NioTransport {
   private final SystemCalls calls;
   private EventLoopGroup eventLoop;
   private AcceptLimit nextLimit;
@@ -25,12 +25,12 @@
   }
 
   /** A transport for one Vert.x instance. */
-  static Transport transport() {
+  public static Transport transport() {
     return transport(new SystemCalls());
   }
 
   /** The same with other system calls, for tests of failing ones. */
-  static Transport transport(SystemCalls calls) {
+  public static Transport transport(SystemCalls calls) {
     SingleEventLoopTransport implementation = new SingleEventLoopTransport(calls);
     return new Transport() {
       @Override
@@ -64,7 +64,7 @@
   }
 
   /** Limits the server that listens next; does nothing where another transport is used. */
-  static void limitNext(Vertx vertx, AcceptLimit limit) {
+  public static void limitNext(Vertx vertx, AcceptLimit limit) {
     if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport transport) {
       transport.nextLimit = limit;
     }
--- a/gateway/src/main/java/org/amberpath/gateway/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.transport;
 
 import io.netty.channel.Channel;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -10,14 +10,14 @@
  * The system calls that the transport makes for new connections; tests replace them by failing
  * ones.
  */
-class SystemCalls {
+public class SystemCalls {
   /** Accepts a waiting connection without blocking; null where none waits. */
-  SocketChannel accept(ServerSocketChannel listening) throws IOException {
+  public SocketChannel accept(ServerSocketChannel listening) throws IOException {
     return listening.accept();
   }
 
   /** Opens a socket for an outbound connection. */
-  Channel socket() {
+  public Channel socket() {
     return new NioSocketChannel();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -17,9 +17,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.WriteBufferAccounting;
+import org.amberpath.gateway.discovery.Clock;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,7 +39,7 @@
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
-  private final ClientConnections clients = new ClientConnections(vertx, MOST, clock);
+  private final ClientConnections clients = new ClientConnections(vertx, MOST, clock::nowNanos);
   private final List<Client> all = new ArrayList<>();
 
   /** How many connections were held at most. */
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -7,6 +7,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.amberpath.gateway.pipeline.CacheConnectionConfig;
 import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -39,7 +40,7 @@
     assertEquals(7, options.listenAddress().port());
     assertEquals(255, options.routingConfig().seed());
     assertEquals(250_000_000, options.routingConfig().trafficClass(0).latencyObjectiveNanos());
-    assertEquals(400_000_000, options.connectTimeoutNanos());
+    assertEquals(400_000_000, options.pipelineConfig().caches().connectTimeoutNanos());
     assertEquals(0, options.knownEntries().objects("entries").size());
     assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listenAddress().port());
   }
@@ -47,12 +48,13 @@
   @Test
   void clientsAndCachesTogetherStayUnderTheDescriptors() throws Exception {
     GatewayOptions options = read(GOOD);
-    assertTrue(options.maxCacheConnections() + options.maxClientConnections() < 1024 - 32);
-    for (int caches : new int[] {1, 20, 60, 400}) {
-      int connections = options.maxConnectionsPerCache(caches) * caches;
-      assertTrue(connections <= options.maxCacheConnections(), "caches " + caches);
+    CacheConnectionConfig caches = options.pipelineConfig().caches();
+    assertTrue(caches.maxConnections() + options.maxClientConnections() < 1024 - 32);
+    for (int count : new int[] {1, 20, 60, 400}) {
+      int connections = caches.maxConnectionsPerCache(count) * count;
+      assertTrue(connections <= caches.maxConnections(), "caches " + count);
     }
-    assertEquals(1, options.maxConnectionsPerCache(3200), "of which not all are up at once");
+    assertEquals(1, caches.maxConnectionsPerCache(3200), "of which not all are up at once");
   }
 
   @ParameterizedTest
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -27,6 +27,7 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
@@ -1038,8 +1039,8 @@
   // ---- News that is too old to decide by.
 
   /** Decisions in whose next round the loop stands still until it is let go. */
-  private static final class Standing implements RoutingStage.BatchRouter {
-    private final RoutingStage.BatchRouter decisions;
+  private static final class Standing implements BatchRouter {
+    private final BatchRouter decisions;
     final CountDownLatch stands = new CountDownLatch(1);
     final CountDownLatch letGo = new CountDownLatch(1);
     volatile boolean armed;
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
@@ -7,23 +7,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
-final class PausingDecisions implements RoutingStage.BatchRouter {
+final class PausingDecisions implements BatchRouter {
   /** The request at which it stands. */
   static final String REF = "00000000000003e7";
 
   private static final long PATIENCE_S = 20;
 
-  private final RoutingStage.BatchRouter decisions;
+  private final BatchRouter decisions;
   private final CountDownLatch stands = new CountDownLatch(1);
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  PausingDecisions(RoutingStage.BatchRouter decisions) {
+  PausingDecisions(BatchRouter decisions) {
     this.decisions = decisions;
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -15,6 +15,8 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.transport.SingleEventLoopTransport;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
@@ -59,7 +61,7 @@
   }
 
   /** A gateway whose connections are accepted on its event loop, as those of the program are. */
-  private void startOnOneLoop(RoutingStage.BatchRouter decisions) throws Exception {
+  private void startOnOneLoop(BatchRouter decisions) throws Exception {
     oneLoop =
         Vertx.builder()
             .withTransport(SingleEventLoopTransport.transport())
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/StandIns.java
@@ -32,6 +32,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
+import org.amberpath.gateway.pipeline.BatchRouter;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
@@ -78,7 +79,7 @@
     return cache;
   }
 
-  void start(GatewayOptions options, RoutingStage.BatchRouter decisions) throws Exception {
+  void start(GatewayOptions options, BatchRouter decisions) throws Exception {
     gateway =
         decisions == null
             ? new Gateway(vertx, options)
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -13,6 +13,7 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -35,6 +35,9 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.transport.AcceptLimit;
+import org.amberpath.gateway.transport.SingleEventLoopTransport;
+import org.amberpath.gateway.transport.SystemCalls;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
 import org.amberpath.routing.RequestRouter;
@@ -69,7 +72,7 @@
     volatile boolean little;
 
     @Override
-    SocketChannel accept(ServerSocketChannel from) throws IOException {
+    public SocketChannel accept(ServerSocketChannel from) throws IOException {
       if (accepts.getAndIncrement() < acceptFailures) {
         throw failure;
       }
@@ -77,7 +80,7 @@
     }
 
     @Override
-    Channel socket() {
+    public Channel socket() {
       if (opens.getAndIncrement() < openFailures) {
         throw new ChannelException("Failed to open a socket.", failure);
       }
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -10,6 +10,8 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
@@ -45,7 +47,7 @@
   }
 
   private void start() throws Exception {
-    RoutingStage.BatchRouter decisions =
+    BatchRouter decisions =
         (now, in, to) ->
             in.replayTo(
                 (RoutingEventHandler)
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -48,10 +48,9 @@
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 5, 1000})
   void repliesComeWholeHoweverTheyAreCut(int size) {
-    read(
-        "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n"
-            + "*2\r\n$2\r\nid\r\n$0\r\n\r\n",
-        size);
+    String first = "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n";
+    String second = "*2\r\n$2\r\nid\r\n$0\r\n\r\n";
+    read(first + second, size);
     assertEquals(List.of("id|ok|res=h|a\r\n$0\r\n", "id|"), replies);
     assertTrue(protocolErrors.isEmpty());
   }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -1,7 +1,7 @@
 package org.amberpath.leadership.runtime;
 
 import io.vertx.core.json.JsonObject;
-import org.amberpath.gateway.FleetCallbacks;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.Leadership;
 import org.amberpath.membership.runtime.MembershipService;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import java.util.List;
 import java.util.Map;
-import org.amberpath.gateway.FleetCallbacks;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.leadership.CandidateOrder;
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.leadership.Leadership;
