--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
-import org.amberpath.gateway.StandIns.Seen;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
+import org.amberpath.gateway.GatewayTestbed.TimedCommand;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -37,46 +37,46 @@
   private static final int ALLOWED_MILLIS = 3000;
 
   @TempDir private Path folder;
-  private final Queue<Command> held = new ConcurrentLinkedQueue<>();
+  private final Queue<ReceivedCommand> held = new ConcurrentLinkedQueue<>();
   private final AtomicBoolean holds = new AtomicBoolean();
-  private StandIns world;
-  private List<Seen> seen;
+  private GatewayTestbed testbed;
+  private List<TimedCommand> seen;
 
   /** One stand-in listens for all caches: the gateway knows them apart by their ids. */
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
-    StandIns.Cache cache = world.cache();
+    testbed = new GatewayTestbed();
+    GatewayTestbed.StubCache cache = testbed.cache();
     for (int at = 0; at < CACHES; at++) {
-      world.journal.host("c" + at, cache.address(), "box", "ready");
+      testbed.journal.listEndpoint("c" + at, cache.address(), "box", "ready");
     }
-    world.journal.host("o0", cache.address(), "origin", "ready");
+    testbed.journal.listEndpoint("o0", cache.address(), "origin", "ready");
     seen =
-        world.react(
+        testbed.handleCommands(
             cache,
-            want -> {
+            command -> {
               if (holds.get()) {
-                held.add(want);
+                held.add(command);
               } else {
-                want.ok("served");
+                command.replyOk("served");
               }
             });
-    world.start(GatewayOptions.read(world.environment(folder)), null);
+    testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
-  private Client send(Client client, int number) throws Exception {
-    Map<String, String> fields = Client.fields(number, ALLOWED_MILLIS, 0);
+  private TestClient send(TestClient client, int number) throws Exception {
+    Map<String, String> fields = TestClient.requestFields(number, ALLOWED_MILLIS, 0);
     fields.put("lookup", String.format("%016x", number));
-    return client.send(Client.request(number, "orders", fields, new byte[0]));
+    return client.send(TestClient.encodeRequest(number, "orders", fields, new byte[0]));
   }
 
   private List<Socket> connections() {
-    return seen.stream().map(one -> one.want().from()).distinct().toList();
+    return seen.stream().map(one -> one.command().socket()).distinct().toList();
   }
 
   private long open() {
@@ -84,7 +84,7 @@
   }
 
   private static void await(BooleanSupplier condition, String what) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(StandIns.PATIENCE_S);
+    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
     while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, what);
       Thread.sleep(1);
@@ -92,29 +92,29 @@
   }
 
   @Test
-  void theConnectionThatWasFreeLongestIsClosedBeforeACacheWithoutOneIsAsked() throws Exception {
-    Client client = world.client();
+  void longestIdleConnectionIsClosedBeforeACacheWithoutOneIsUsed() throws Exception {
+    TestClient client = testbed.client();
     for (int number = 1; number <= REQUESTS; number++) {
-      assertEquals(null, send(client, number).answer().error());
+      assertEquals(null, send(client, number).receive().error());
       await(() -> open() <= BOUND, "more connections than the bound");
     }
     List<Socket> all = connections();
     assertTrue(all.size() > 2 * BOUND, "caches were asked in turn: " + all.size());
     assertEquals(BOUND, open(), "none is closed before the bound is reached");
     assertTrue(all.get(0).isClosed());
-    assertFalse(seen.get(seen.size() - 1).want().from().isClosed(), "the last used stays");
+    assertFalse(seen.get(seen.size() - 1).command().socket().isClosed(), "the last used stays");
   }
 
   /** What finds no room goes to a cache that has a connection, or is turned away at once. */
   @Test
-  void whileAllAreBusyNoneIsOpenedPastTheBound() throws Exception {
+  void noConnectionIsOpenedPastTheBoundWhileAllAreBusy() throws Exception {
     holds.set(true);
     AtomicInteger answered = new AtomicInteger();
     for (int number = 1; number <= BOUND * 4; number++) {
-      Client client = send(world.client(), number);
-      world.inBackground(
+      TestClient client = send(testbed.client(), number);
+      testbed.runInBackground(
           () -> {
-            client.answer();
+            client.receive();
             answered.incrementAndGet();
           });
     }
@@ -122,11 +122,11 @@
     assertTrue(held.size() >= BOUND, "as many as have a connection are sent");
     assertTrue(connections().size() <= BOUND, connections().size() + " connections");
     holds.set(false);
-    for (Command want : held) {
-      want.ok("served");
+    for (ReceivedCommand command : held) {
+      command.replyOk("served");
     }
     await(() -> answered.get() == BOUND * 4, "what was held is answered");
-    assertEquals(null, send(world.client(), REQUESTS).answer().error(), "there is room again");
+    assertEquals(null, send(testbed.client(), REQUESTS).receive().error(), "there is room again");
     assertTrue(connections().size() <= BOUND + 1, connections().size() + " connections");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
@@ -40,7 +40,7 @@
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
   private final ClientConnections clients = new ClientConnections(vertx, MOST, clock::nowNanos);
-  private final List<Client> all = new ArrayList<>();
+  private final List<TestClient> all = new ArrayList<>();
 
   /** How many connections were held at most. */
   private final AtomicInteger most = new AtomicInteger();
@@ -76,7 +76,7 @@
 
   @AfterEach
   void close() throws Exception {
-    for (Client one : all) {
+    for (TestClient one : all) {
       one.close();
     }
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -120,8 +120,8 @@
     held.decrementAndGet();
   }
 
-  private Client client() throws IOException {
-    Client client = new Client(port);
+  private TestClient client() throws IOException {
+    TestClient client = new TestClient(port);
     all.add(client);
     return client;
   }
@@ -147,7 +147,8 @@
   }
 
   private static byte[] get(int number) throws IOException {
-    return Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]);
+    return TestClient.encodeRequest(
+        number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]);
   }
 
   private static byte[] bytes(String hex, byte[]... behind) throws IOException {
@@ -161,12 +162,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"c0", "93020000", "9502c0c0c0c0", "940001c0c0"})
-  void requestsReadWithWhatCantBeUsedGetAnErrorEach(String first) throws Exception {
-    Client client = client().send(bytes(first + "c0", get(5), get(6)));
+  void requestsReceivedWithAnInvalidMessageGetAnErrorEach(String first) throws Exception {
+    TestClient client = client().send(bytes(first + "c0", get(5), get(6)));
     List<Long> errors = new ArrayList<>();
-    for (StandIns.Answer answer = client.answer(); answer.number() != 6; answer = client.answer()) {
+    for (GatewayTestbed.ClientAnswer answer = client.receive();
+        answer.messageId() != 6;
+        answer = client.receive()) {
       assertEquals("Internal", answer.error());
-      errors.add(answer.number());
+      errors.add(answer.messageId());
     }
     assertTrue(errors.contains(5L), errors.toString());
     assertTrue(client.isClosed());
@@ -183,19 +186,19 @@
 
   @ParameterizedTest
   @EnumSource
-  void whatComesAfterTheEndStaysUnread(End end) throws Exception {
-    Client client = client();
+  void requestsAfterTheEndStayUnread(End end) throws Exception {
+    TestClient client = client();
     if (end == End.NEW_WHEN_STOPPED) {
       onLoop(clients::end);
     } else {
-      client.send(get(1)).answer();
+      client.send(get(1)).receive();
     }
     int before = read.get();
     switch (end) {
       case UNREADABLE -> client.send(bytes("c1"));
       case PAST_THE_BOUND -> {
         for (int more = 0; more < MOST; more++) {
-          client().send(get(2)).answer();
+          client().send(get(2)).receive();
         }
         before += MOST;
       }
@@ -205,21 +208,22 @@
     assertTrue(client.isClosed());
     client.send(get(3)); // It crossed the end.
     awaitHeld(end == End.PAST_THE_BOUND ? MOST : 0);
-    Client ended = client;
+    TestClient ended = client;
     assertThrows(IOException.class, () -> ended.send(get(4)), "a request was read after the end");
     assertEquals(before, read.get());
   }
 
   @Test
-  void aBurstOfNewConnectionsKeepsTheBoundAndTakesNoAnswerWithIt() throws Exception {
+  void burstOfNewConnectionsStaysWithinTheBoundAndLosesNoResponse() throws Exception {
     for (int one = 0; one < 3 * MOST; one++) {
-      Client client = client().send(Client.request(9, "status", java.util.Map.of(), null));
+      TestClient client =
+          client().send(TestClient.encodeRequest(9, "status", java.util.Map.of(), null));
       while (client.socket.getInputStream().available() == 0) {
         Thread.sleep(1); // It is answered, and has not read that.
       }
     }
-    for (Client one : all) {
-      assertTrue(one.answer().status());
+    for (TestClient one : all) {
+      assertTrue(one.receive().isReady());
     }
     awaitHeld(MOST);
     assertTrue(most.get() <= MOST + ClientConnections.SPARE_CONNECTIONS, "held " + most);
@@ -235,9 +239,10 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aHalfClosedConnectionThatIsNotReadKeepsNoLoopBusy(boolean clientEndsToo) throws Exception {
-    Client client = client();
-    client.send(get(1)).answer();
+  void halfClosedConnectionThatIsNotReadKeepsNoEventLoopBusy(boolean clientEndsToo)
+      throws Exception {
+    TestClient client = client();
+    client.send(get(1)).receive();
     client.send(bytes("c1"));
     assertTrue(client.isClosed());
     client.send(new byte[10_000]);
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -13,8 +13,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
@@ -35,25 +35,25 @@
   private static final int PIPELINE = 32;
 
   @TempDir private Path folder;
-  private StandIns world;
-  private Cache cache;
+  private GatewayTestbed testbed;
+  private StubCache cache;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   /** Settings under which news of caches may be far older than a client's close. */
   private GatewayOptions options() throws IOException {
     return GatewayOptions.read(
-        world.environment(
+        testbed.environment(
             folder,
             "\"guarantees\":{",
             "\"guarantees\":{\"drain-grace-s\":20,",
@@ -63,25 +63,26 @@
 
   @ParameterizedTest
   @CsvSource({"close, 0", "reset, 0", "withdraw, 0", "close, 60000", "withdraw, 60000"})
-  void afterEventLoopLagNothingOfAPipelineIsSentThatItsClientHasLeft(String how, int bytes)
+  void afterEventLoopLagNoPipelinedRequestOfADisconnectedClientIsSent(String how, int bytes)
       throws Exception {
-    PausingDecisions decisions =
-        new PausingDecisions(
+    PausingRouter decisions =
+        new PausingRouter(
             new org.amberpath.routing.RequestRouter(options().routingConfig())::decide);
-    world.start(options(), decisions);
-    Client client = world.client();
-    assertTrue(client.status().status());
-    decisions.pause(world.client());
+    testbed.start(options(), decisions);
+    TestClient client = testbed.client();
+    assertTrue(client.requestStatus().isReady());
+    decisions.pauseAfterRequest(testbed.client());
     ByteArrayOutputStream pipeline = new ByteArrayOutputStream();
     for (int number = 1; number <= PIPELINE; number++) {
       pipeline.writeBytes(
-          Client.request(number, "parts", Client.fields(number, 15_000, number), new byte[bytes]));
+          TestClient.encodeRequest(
+              number, "parts", TestClient.requestFields(number, 15_000, number), new byte[bytes]));
     }
     for (int number = 1; number <= PIPELINE && how.equals("withdraw"); number++) {
-      pipeline.writeBytes(Client.withdrawal(number));
+      pipeline.writeBytes(TestClient.encodeCancel(number));
     }
     var written =
-        world.threads.submit(
+        testbed.threads.submit(
             () -> {
               client.send(pipeline.toByteArray());
               if (how.equals("reset")) {
@@ -96,21 +97,21 @@
     decisions.resume();
     written.get(PATIENCE_S, TimeUnit.SECONDS);
     Set<String> sent = ConcurrentHashMap.newKeySet();
-    world.inBackground(
+    testbed.runInBackground(
         () -> {
           while (true) {
-            StandIns.Command command = cache.commands.take();
-            sent.add(command.word(1));
-            command.ok("part");
+            GatewayTestbed.ReceivedCommand command = cache.commands.take();
+            sent.add(command.element(1));
+            command.replyOk("part");
           }
         });
-    Client last =
-        world
+    TestClient last =
+        testbed
             .client(); // What it asks for is sent after all that came before it, unless it is shed.
     int number = PIPELINE;
     do {
-      last.get(++number, "parts", 15_000, 0);
-    } while (last.answer().error() != null);
+      last.sendRequest(++number, "parts", 15_000, 0);
+    } while (last.receive().error() != null);
     for (int left = 1; left <= PIPELINE; left++) {
       assertFalse(sent.contains(String.format("%016x", left)), "sent " + sent);
     }
@@ -122,39 +123,39 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"requestReceived", "attemptEnded"})
-  void anAttemptAtTheEndOfALongRoundWaitsUntilTheSocketsAreRead(String event) throws Exception {
+  void attemptAtTheEndOfALongBatchWaitsUntilTheSocketsAreRead(String event) throws Exception {
     BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
-    PausingDecisions pause = new PausingDecisions(null);
-    world.start(
+    PausingRouter pause = new PausingRouter(null);
+    testbed.start(
         options(),
         (now, in, to) ->
             in.replayTo(
-                PausingDecisions.events(
-                    (name, told) -> {
+                PausingRouter.recordingHandler(
+                    (name, arguments) -> {
                       if (name.equals("attemptEnded")) {
-                        outcomes.add(((AttemptResult) told[0]).outcome());
+                        outcomes.add(((AttemptResult) arguments[0]).outcome());
                       }
                       boolean begins =
                           name.equals("requestReceived")
                               || (name.equals("attemptEnded")
-                                  && ((AttemptResult) told[0]).attempt() == 0);
+                                  && ((AttemptResult) arguments[0]).attempt() == 0);
                       if (name.equals(event) && begins) {
-                        pause.stand();
+                        pause.pauseUntilResumed();
                       }
                       if (begins) {
                         long id =
                             name.equals("requestReceived")
-                                ? ((RequestDetails) told[0]).id()
-                                : ((AttemptResult) told[0]).requestId();
+                                ? ((RequestDetails) arguments[0]).id()
+                                : ((AttemptResult) arguments[0]).requestId();
                         to.sendAttempt(new AttemptCommand(id, 0, 0, 0, 0, 0, 0));
                       }
                     })));
-    Client client = world.client();
-    client.get(1, "parts", 15_000, 0);
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", 15_000, 0);
     if (event.equals("attemptEnded")) {
-      cache.next().answer("refused", "-", new byte[0]);
+      cache.nextCommand().reply("refused", "-", new byte[0]);
     }
-    pause.awaitStanding();
+    pause.awaitPaused();
     client.close();
     Thread.sleep(GONE_MS);
     pause.resume();
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -34,12 +34,12 @@
   /** Also while it ends: those that connect then hold a descriptor each until they are told so. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aGatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnectAndRest(boolean stopping)
+  void gatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnect(boolean stopping)
       throws Exception {
     List<SocketChannel> resting = new ArrayList<>();
     AtomicBoolean ends = new AtomicBoolean();
     AtomicInteger held = new AtomicInteger();
-    try (StandIns world = new StandIns()) {
+    try (GatewayTestbed testbed = new GatewayTestbed()) {
       Process process =
           GatewayProcess.start(
               folder,
@@ -47,23 +47,23 @@
                   "PROXY_LISTEN",
                   "127.0.0.1:0",
                   "PROXY_CONFIG",
-                  world.environment(folder).get("PROXY_CONFIG")));
+                  testbed.environment(folder).get("PROXY_CONFIG")));
       try {
         int port = awaitServing(process.inputReader());
         File descriptors = new File("/proc/" + process.pid() + "/fd");
         Future<?> count =
-            world.threads.submit(
+            testbed.threads.submit(
                 () -> {
                   while (!ends.get()) {
                     String[] open = descriptors.list();
                     held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
                   }
                 });
-        Client first = world.client(port);
+        TestClient first = testbed.client(port);
         for (int many = 0; many < LIMIT / 2 - 1; many++) {
-          assertEquals(9999, world.client(port).status().number());
+          assertEquals(9999, testbed.client(port).requestStatus().messageId());
         }
-        first.status();
+        first.requestStatus();
         if (stopping) {
           process.destroy();
           assertTrue(first.isClosed());
@@ -74,9 +74,10 @@
         connect(port, resting);
         if (!stopping) {
           GatewayProcess.signal(process, "CONT");
-          assertEquals(9999, world.client(port).status().number(), "a newcomer has a place");
+          assertEquals(
+              9999, testbed.client(port).requestStatus().messageId(), "a newcomer has a place");
         } else {
-          assertTrue(process.waitFor(StandIns.PATIENCE_S, TimeUnit.SECONDS));
+          assertTrue(process.waitFor(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         ends.set(true);
         count.get();
@@ -92,10 +93,11 @@
   }
 
   private static void connect(int port, List<SocketChannel> resting) throws Exception {
-    byte[] status = Client.request(1, "status", Map.of(), null);
+    byte[] status = TestClient.encodeRequest(1, "status", Map.of(), null);
     try {
       for (int many = 0; many < CLIENTS; many++) {
-        SocketChannel one = SocketChannel.open(new InetSocketAddress(StandIns.LOOPBACK, port));
+        SocketChannel one =
+            SocketChannel.open(new InetSocketAddress(GatewayTestbed.LOOPBACK, port));
         resting.add(one);
         one.write(ByteBuffer.wrap(status));
       }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void whatIsToldIsTakenAndTheRestHasDefaults() throws Exception {
+  void settingsAreReadAndAbsentOnesHaveDefaults() throws Exception {
     GatewayOptions options = read(GOOD);
     assertEquals("n3", options.name());
     assertEquals(7, options.listenAddress().port());
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void clientsAndCachesTogetherStayUnderTheDescriptors() throws Exception {
+  void connectionsOfClientsAndCachesStayWithinTheDescriptors() throws Exception {
     GatewayOptions options = read(GOOD);
     CacheConnectionConfig caches = options.pipelineConfig().caches();
     assertTrue(caches.maxConnections() + options.maxClientConnections() < 1024 - 32);
@@ -76,14 +76,14 @@
         "{'name' | {{'name'" + " | is not JSON"
       },
       quoteCharacter = '"')
-  void aFaultyKeyIsNamed(String good, String bad, String message) {
+  void invalidKeyIsNamed(String good, String bad, String message) {
     String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
     InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class, () -> read(json));
     assertTrue(wrong.getMessage().contains(message), wrong.getMessage());
   }
 
   @Test
-  void aMissingFileIsNamed() {
+  void missingFileIsNamed() {
     Map<String, String> environment =
         Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
     InvalidSettingsException wrong =
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -23,10 +23,10 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.GatewayTestbed.ClientAnswer;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
@@ -50,23 +50,23 @@
 @Timeout(30)
 class GatewayTest {
   @TempDir private Path folder;
-  private StandIns world;
-  private Cache cache;
-  private Client client;
+  private GatewayTestbed testbed;
+  private StubCache cache;
+  private TestClient client;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
-    cache = world.start(folder);
-    client = world.client();
+    testbed = new GatewayTestbed();
+    cache = testbed.start(folder);
+    client = testbed.client();
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
-  private static String text(Answer answer) {
+  private static String text(ClientAnswer answer) {
     return answer.body() == null
         ? answer.error()
         : new String(answer.body(), StandardCharsets.UTF_8);
@@ -75,83 +75,86 @@
   // ---- The way of a GET.
 
   @Test
-  void whatGoesOnUnchangedStaysTheBytesThatCame() throws Exception {
+  void fieldsAndBodiesAreForwardedUnchanged() throws Exception {
     byte[] body = {0, 13, 10, -1, 42};
-    Map<String, String> fields = Client.fields(0x51, 1500, 3);
+    Map<String, String> fields = TestClient.requestFields(0x51, 1500, 3);
     fields.put("known", "4be0c1927d55a6f3");
     fields.put("replay", "till-4/receipt=17");
-    client.send(Client.request(7, "parts", fields, body));
-    Command want = cache.next();
-    assertEquals("want", want.word(0));
-    assertEquals("0000000000000051", want.word(1));
-    int left = Integer.parseInt(want.field("ms"));
-    assertTrue(left > 1000 && left <= 1500, want.word(2));
+    client.send(TestClient.encodeRequest(7, "parts", fields, body));
+    ReceivedCommand command = cache.nextCommand();
+    assertEquals("want", command.element(0));
+    assertEquals("0000000000000051", command.element(1));
+    int left = Integer.parseInt(command.field("ms"));
+    assertTrue(left > 1000 && left <= 1500, command.element(2));
     assertEquals(
         "kind=parts,obj="
-            + StandIns.OBJECT
+            + GatewayTestbed.OBJECT_ID
             + ",seg=3,miss=o0,prio=1,f=join,mine=4be0c1927d55a6f3,"
             + "token=till-4/receipt=17",
-        want.word(2).replaceFirst("ms=\\d+,", ""));
-    assertArrayEquals(body, want.elements().get(3));
+        command.element(2).replaceFirst("ms=\\d+,", ""));
+    assertArrayEquals(body, command.elements().get(3));
     byte[] part = new byte[240_000];
     part[100_000] = 7;
-    want.answer("ok", "res=f,entity=1,issued=2", part);
-    Answer answer = client.answer();
-    assertEquals(7, answer.number());
+    command.reply("ok", "res=f,entity=1,issued=2", part);
+    ClientAnswer answer = client.receive();
+    assertEquals(7, answer.messageId());
     assertArrayEquals(part, answer.body());
   }
 
   @Test
-  void whatIsNeverKeptGoesPastTheCachesAndItsAnswerNeedsNoTag() throws Exception {
-    client.get(1, "marks", 1500, 0);
-    world.origin.next().answer("ok", "-", "marked".getBytes(StandardCharsets.UTF_8));
-    assertEquals("marked", text(client.answer()));
+  void uncacheableRequestGoesToTheOriginAndItsResponseNeedsNoTag() throws Exception {
+    client.sendRequest(1, "marks", 1500, 0);
+    testbed.origin.nextCommand().reply("ok", "-", "marked".getBytes(StandardCharsets.UTF_8));
+    assertEquals("marked", text(client.receive()));
   }
 
   @Test
-  void anAbsentFieldIsLeftOut() throws Exception {
-    client.get(1, "parts", 1500, 40);
-    Command want = cache.next();
-    assertNull(want.field("prio"));
-    assertNull(want.field("mine"));
-    assertNull(want.field("within"));
+  void absentFieldIsOmittedFromTheCommand() throws Exception {
+    client.sendRequest(1, "parts", 1500, 40);
+    ReceivedCommand command = cache.nextCommand();
+    assertNull(command.field("prio"));
+    assertNull(command.field("mine"));
+    assertNull(command.field("within"));
   }
 
   @Test
-  void answersComeInAnyOrderOnOneConnection() throws Exception {
-    client.get(1, "parts", 1500, 0).get(2, "parts", 1500, 1);
-    Command first = cache.next();
-    Command second = cache.next();
-    assertSame(first.from(), second.from());
-    second.ok("second");
-    assertEquals("second", text(client.answer()));
-    first.ok("first");
-    assertEquals("first", text(client.answer()));
+  void responsesAreReturnedInAnyOrderOnOneConnection() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0).sendRequest(2, "parts", 1500, 1);
+    ReceivedCommand first = cache.nextCommand();
+    ReceivedCommand second = cache.nextCommand();
+    assertSame(first.socket(), second.socket());
+    second.replyOk("second");
+    assertEquals("second", text(client.receive()));
+    first.replyOk("first");
+    assertEquals("first", text(client.receive()));
   }
 
   @Test
-  void aRequestMayComeByteByByteAndTheNextWithItsEnd() throws Exception {
-    byte[] first = Client.request(1, "parts", Client.fields(1, 1500, 0), new byte[300]);
+  void requestMayArriveByteByByteAndTheNextWithItsEnd() throws Exception {
+    byte[] first =
+        TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), new byte[300]);
     for (int at = 0; at < first.length - 1; at++) {
       client.send(new byte[] {first[at]});
     }
-    byte[] second = Client.request(2, "parts", Client.fields(2, 1500, 1), new byte[0]);
+    byte[] second =
+        TestClient.encodeRequest(2, "parts", TestClient.requestFields(2, 1500, 1), new byte[0]);
     byte[] rest = new byte[second.length + 1];
     rest[0] = first[first.length - 1];
     System.arraycopy(second, 0, rest, 1, second.length);
     client.send(rest);
-    cache.next().ok("first");
-    cache.next().ok("second");
-    assertEquals(List.of("first", "second"), List.of(text(client.answer()), text(client.answer())));
+    cache.nextCommand().replyOk("first");
+    cache.nextCommand().replyOk("second");
+    assertEquals(
+        List.of("first", "second"), List.of(text(client.receive()), text(client.receive())));
   }
 
   @Test
-  void theClientsOwnCopyIsToldToBeTheOne() throws Exception {
-    Map<String, String> fields = Client.fields(1, 1500, 0);
+  void notModifiedIsReturnedForTheClientsOwnCopy() throws Exception {
+    Map<String, String> fields = TestClient.requestFields(1, 1500, 0);
     fields.put("known", "4be0c1927d55a6f3");
-    client.send(Client.request(1, "parts", fields, null));
-    cache.next().answer("current", "res=h,entity=4be0c1927d55a6f3,issued=1", new byte[0]);
-    Answer answer = client.answer();
+    client.send(TestClient.encodeRequest(1, "parts", fields, null));
+    cache.nextCommand().reply("current", "res=h,entity=4be0c1927d55a6f3,issued=1", new byte[0]);
+    ClientAnswer answer = client.receive();
     assertEquals(0, answer.body().length);
     assertEquals("1", answer.fields().get("valid"));
   }
@@ -159,100 +162,106 @@
   // ---- How a forward ends.
 
   @Test
-  void aWithdrawnGetIsGivenUpAndNotAnswered() throws Exception {
-    client.get(1, "parts", 1500, 0);
-    Command want = cache.next();
-    client.withdraw(1).withdraw(77);
-    assertEquals("never_mind", cache.next().word(0));
-    want.ok("too late");
-    assertEquals(9999, client.status().number());
+  void cancelledRequestCancelsItsAttemptAndIsNotAnswered() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.sendCancel(1).sendCancel(77);
+    assertEquals("never_mind", cache.nextCommand().element(0));
+    command.replyOk("too late");
+    assertEquals(9999, client.requestStatus().messageId());
   }
 
   @Test
-  void getsWithdrawnInTheSameTurnLeaveNothingBehind() throws Exception {
+  void requestsCancelledInTheSameTurnLeaveNothingBehind() throws Exception {
     for (int number = 1; number <= 200; number++) {
       ByteArrayOutputStream both = new ByteArrayOutputStream();
-      both.writeBytes(Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]));
-      both.writeBytes(Client.withdrawal(number));
-      client.send(both.toByteArray()).status();
+      both.writeBytes(
+          TestClient.encodeRequest(
+              number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]));
+      both.writeBytes(TestClient.encodeCancel(number));
+      client.send(both.toByteArray()).requestStatus();
     }
-    client.get(1000, "parts", 1500, 0);
-    Command want = cache.next();
-    assertEquals(String.format("%016x", 1000), want.word(1));
-    want.ok("there is room");
-    assertEquals("there is room", text(client.answer()));
+    client.sendRequest(1000, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    assertEquals(String.format("%016x", 1000), command.element(1));
+    command.replyOk("there is room");
+    assertEquals("there is room", text(client.receive()));
   }
 
   @Test
-  void aClientThatIsGoneGivesUpItsGets() throws Exception {
-    client.get(1, "parts", 1500, 0);
-    cache.next();
+  void closedClientConnectionCancelsItsRequests() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand();
     client.close();
-    Command next = cache.next();
-    assertEquals("never_mind", next.word(0));
-    assertEquals("0000000000000001", next.word(1));
+    ReceivedCommand next = cache.nextCommand();
+    assertEquals("never_mind", next.element(0));
+    assertEquals("0000000000000001", next.element(1));
   }
 
   @Test
-  void aRefusedConnectionProvesThatNothingRan() throws Exception {
+  void refusedConnectionProvesThatNothingWasExecuted() throws Exception {
     cache.close();
-    client.get(1, "orders", 1500, 0);
-    Answer answer = client.answer();
+    client.sendRequest(1, "orders", 1500, 0);
+    ClientAnswer answer = client.receive();
     assertEquals("Overloaded", answer.error());
     assertTrue(Integer.parseInt(answer.fields().get("cooldown")) > 0);
   }
 
   @Test
-  void aResetConnectionMayHaveRunIt() throws Exception {
-    client.get(1, "orders", 1500, 0);
-    cache.next().reset();
-    assertEquals("Internal", client.answer().error());
+  void resetConnectionMayHaveExecutedTheRequest() throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache.nextCommand().reset();
+    assertEquals("Internal", client.receive().error());
   }
 
   @ParameterizedTest
   @CsvSource({"error, Internal", "refused, Overloaded", "stale, Overloaded"})
-  void eachAnswerWordIsItsOutcome(String word, String error) throws Exception {
-    client.get(1, "orders", 1500, 0);
-    cache.next().answer(word, "-", new byte[0]);
-    assertEquals(error, client.answer().error());
+  void replyStatusDeterminesTheError(String word, String error) throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache.nextCommand().reply(word, "-", new byte[0]);
+    assertEquals(error, client.receive().error());
   }
 
   @Test
-  void silenceEndsWithOneAnswerInTimeAndTheForwardIsGivenUp() throws Exception {
+  void unansweredAttemptTimesOutWithOneResponseInTime() throws Exception {
     long sentAt = System.nanoTime();
-    client.get(1, "parts", 300, 0);
-    Command want = cache.next();
-    assertEquals("Internal", client.answer().error());
+    client.sendRequest(1, "parts", 300, 0);
+    ReceivedCommand command = cache.nextCommand();
+    assertEquals("Internal", client.receive().error());
     long took = (System.nanoTime() - sentAt) / 1_000_000;
     assertTrue(took >= 290 && took < 2000, took + " ms");
-    assertEquals(9999, client.status().number());
-    assertEquals("0000000000000001", want.word(1));
+    assertEquals(9999, client.requestStatus().messageId());
+    assertEquals("0000000000000001", command.element(1));
   }
 
   @Test
-  void aConnectionThatFellSilentTakesNothingNew() throws Exception {
-    client.get(1, "parts", 600, 0).get(2, "parts", 5000, 1);
-    Command silent = cache.next();
-    Command slow = cache.next();
-    assertEquals("Internal", client.answer().error());
-    cache.next();
-    client.get(3, "parts", 5000, 0);
-    Command fresh = cache.next();
-    assertNotEquals(silent.from(), fresh.from());
-    fresh.ok("fresh");
-    assertEquals("fresh", text(client.answer()));
-    slow.ok("slow, and not given up");
-    assertEquals("slow, and not given up", text(client.answer()));
+  void unresponsiveConnectionGetsNoFurtherCommand() throws Exception {
+    client.sendRequest(1, "parts", 600, 0).sendRequest(2, "parts", 5000, 1);
+    ReceivedCommand silent = cache.nextCommand();
+    ReceivedCommand slow = cache.nextCommand();
+    assertEquals("Internal", client.receive().error());
+    cache.nextCommand();
+    client.sendRequest(3, "parts", 5000, 0);
+    ReceivedCommand fresh = cache.nextCommand();
+    assertNotEquals(silent.socket(), fresh.socket());
+    fresh.replyOk("fresh");
+    assertEquals("fresh", text(client.receive()));
+    slow.replyOk("slow, and not given up");
+    assertEquals("slow, and not given up", text(client.receive()));
   }
 
   @Test
-  void anUnreadableAnswerClosesThatConnectionAndMayHaveRun() throws Exception {
-    client.get(1, "orders", 1500, 0);
-    cache.next().from().getOutputStream().write("+PONG\r\n".getBytes(StandardCharsets.US_ASCII));
-    assertEquals("Internal", client.answer().error());
-    client.get(2, "orders", 1500, 0);
-    cache.next().ok("on another");
-    assertEquals("on another", text(client.answer()));
+  void invalidReplyClosesItsConnectionAndMayHaveExecutedTheRequest() throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache
+        .nextCommand()
+        .socket()
+        .getOutputStream()
+        .write("+PONG\r\n".getBytes(StandardCharsets.US_ASCII));
+    assertEquals("Internal", client.receive().error());
+    client.sendRequest(2, "orders", 1500, 0);
+    cache.nextCommand().replyOk("on another");
+    assertEquals("on another", text(client.receive()));
   }
 
   @ParameterizedTest
@@ -264,44 +273,44 @@
         "current|-",
         "current|entity=1,issued=1"
       })
-  void anAnswerThatIsNotWholeMayHaveRun(String spoilt) throws Exception {
-    client.get(1, "orders", 1500, 0);
+  void incompleteReplyMayHaveExecutedTheRequest(String spoilt) throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
     String[] parts = spoilt.split("[|]", -1);
-    cache.next().answer(parts[0], parts[1], new byte[3]);
-    assertEquals("Internal", client.answer().error());
+    cache.nextCommand().reply(parts[0], parts[1], new byte[3]);
+    assertEquals("Internal", client.receive().error());
   }
 
   @Test
-  void aConnectionOnWhichAnAnswerStopsShortIsNotUsedAgain() throws Exception {
-    client.get(1, "parts", 600, 0);
-    Command want = cache.next();
-    want.from().getOutputStream().write("*4\r\n$16\r\n".getBytes(StandardCharsets.US_ASCII));
-    assertEquals("Internal", client.answer().error());
-    client.get(2, "parts", 1500, 0);
-    Command next = cache.next();
-    assertNotEquals(want.from(), next.from());
-    next.ok("on another");
-    assertEquals("on another", text(client.answer()));
+  void connectionWithAPartialReplyIsNotReused() throws Exception {
+    client.sendRequest(1, "parts", 600, 0);
+    ReceivedCommand command = cache.nextCommand();
+    command.socket().getOutputStream().write("*4\r\n$16\r\n".getBytes(StandardCharsets.US_ASCII));
+    assertEquals("Internal", client.receive().error());
+    client.sendRequest(2, "parts", 1500, 0);
+    ReceivedCommand next = cache.nextCommand();
+    assertNotEquals(command.socket(), next.socket());
+    next.replyOk("on another");
+    assertEquals("on another", text(client.receive()));
   }
 
   @Test
-  void whatTheGatewayStoodStillIsNotTheCachesTime() throws Exception {
-    world.close();
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+  void eventLoopLagIsNotCountedAsResponseTime() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
     RequestRouter control = new RequestRouter(options.routingConfig());
     BlockingQueue<Long> times = new LinkedBlockingQueue<>();
     CountDownLatch still = new CountDownLatch(1);
-    world.start(
+    testbed.start(
         options,
         (now, in, to) ->
             control.decide(
                 now,
                 events ->
                     in.replayTo(
-                        new Ear(events) {
+                        new ForwardingEventHandler(events) {
                           @Override
                           public void requestReceived(RequestDetails request) {
                             if (request.part() == 13) {
@@ -321,56 +330,56 @@
                           }
                         }),
                 to));
-    client = world.client();
-    client.get(1, "parts", 5000, 0);
-    Command want = cache.next();
-    client.get(2, "parts", 5000, 13);
+    client = testbed.client();
+    client.sendRequest(1, "parts", 5000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.sendRequest(2, "parts", 5000, 13);
     still.await();
-    want.ok("came while it stood still");
-    assertEquals("came while it stood still", text(client.answer()));
+    command.replyOk("came while it stood still");
+    assertEquals("came while it stood still", text(client.receive()));
     assertTrue(times.take() < 300_000_000L);
   }
 
   @Test
-  void getsAtOneCacheShareNoConnectionWhereThereIsRoom() throws Exception {
-    client.get(1, "parts", 5000, 0);
-    cache.next();
-    client.get(2, "parts", 5000, 1);
-    Command second = cache.next();
-    client.get(3, "parts", 5000, 2);
-    assertNotEquals(second.from(), cache.next().from());
+  void requestsToOneCacheShareNoConnectionWhereThereIsCapacity() throws Exception {
+    client.sendRequest(1, "parts", 5000, 0);
+    cache.nextCommand();
+    client.sendRequest(2, "parts", 5000, 1);
+    ReceivedCommand second = cache.nextCommand();
+    client.sendRequest(3, "parts", 5000, 2);
+    assertNotEquals(second.socket(), cache.nextCommand().socket());
   }
 
   @Test
-  void anAnswerToWhatIsNotOpenIsDropped() throws Exception {
-    client.get(1, "parts", 1500, 0);
-    Command want = cache.next();
-    new Command(
-            want.from(),
+  void replyToACommandThatIsNotInFlightIsDropped() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    new ReceivedCommand(
+            command.socket(),
             List.of(new byte[0], "ffffffffffffffff".getBytes(StandardCharsets.US_ASCII)))
-        .ok("?");
-    want.ok("this");
-    want.ok("again");
-    assertEquals("this", text(client.answer()));
-    assertEquals(9999, client.status().number());
+        .replyOk("?");
+    command.replyOk("this");
+    command.replyOk("again");
+    assertEquals("this", text(client.receive()));
+    assertEquals(9999, client.requestStatus().messageId());
   }
 
   @Test
-  void twoForwardsOfOneGetNeverShareAConnection() throws Exception {
-    world.close();
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+  void attemptsOfOneRequestNeverShareAConnection() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
     RequestRouter control = new RequestRouter(options.routingConfig());
-    world.start(
+    testbed.start(
         options,
         (now, in, to) ->
             control.decide(
                 now,
                 events ->
                     in.replayTo(
-                        new Ear(events) {
+                        new ForwardingEventHandler(events) {
                           @Override
                           public void requestReceived(RequestDetails request) {
                             to.sendAttempt(
@@ -382,146 +391,146 @@
                           }
                         }),
                 to));
-    world.client().get(1, "parts", 1500, 0);
-    Command first = cache.next();
-    Command second = cache.next();
-    assertEquals(first.word(1), second.word(1));
-    assertNotEquals(first.from(), second.from());
+    testbed.client().sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand first = cache.nextCommand();
+    ReceivedCommand second = cache.nextCommand();
+    assertEquals(first.element(1), second.element(1));
+    assertNotEquals(first.socket(), second.socket());
   }
 
   // ---- Lists, drains and purges.
 
   @Test
-  void aDrainedCacheGetsNothingNewNorASourceThatDrains() throws Exception {
-    Cache other = world.cache();
-    world.journal.host("o0", "127.0.0.1:1", "origin", "draining");
-    world.journal.host("c0", cache.address(), "box", "draining");
-    world.journal.host("c1", other.address(), "box", "ready");
+  void drainingCacheAndDrainingFillSourceGetNoNewRequest() throws Exception {
+    StubCache other = testbed.cache();
+    testbed.journal.listEndpoint("o0", "127.0.0.1:1", "origin", "draining");
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "draining");
+    testbed.journal.listEndpoint("c1", other.address(), "box", "ready");
     String last = "tail=5&max_wait=2000";
     for (String poll = "";
         !last.equals(poll);
-        poll = world.journal.polls.poll(10, TimeUnit.SECONDS)) {
+        poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS)) {
       assertNotNull(poll);
     }
-    client.get(1, "parts", 1500, 0);
-    Command want = other.next();
-    assertNull(want.field("miss"));
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand command = other.nextCommand();
+    assertNull(command.field("miss"));
     assertTrue(cache.commands.isEmpty());
   }
 
   @Test
-  void whatWaitsForAConnectionGoesElsewhereWhenItsCacheOrSourceDrains() throws Exception {
+  void attemptWaitingForAConnectionIsRoutedAnewWhereItsCacheOrSourceDrains() throws Exception {
     for (String drained : List.of("c0", "o0")) {
-      world.close();
-      world = new StandIns();
-      Cache origin = world.cache();
-      String full = world.fullAddress();
-      world.journal.host("c0", full, "box", "ready");
-      world.journal.host("o0", origin.address(), "origin", "ready");
-      Map<String, String> environment = world.environment(folder);
+      testbed.close();
+      testbed = new GatewayTestbed();
+      StubCache origin = testbed.cache();
+      String full = testbed.fullAddress();
+      testbed.journal.listEndpoint("c0", full, "box", "ready");
+      testbed.journal.listEndpoint("o0", origin.address(), "origin", "ready");
+      Map<String, String> environment = testbed.environment(folder);
       Path file = Path.of(environment.get("PROXY_CONFIG"));
       Files.writeString(
           file,
           Files.readString(file).replace("\"connect-timeout-s\":0.4", "\"connect-timeout-s\":9"));
-      world.start(GatewayOptions.read(environment), null);
-      client = world.client();
-      client.get(1, "orders", 3000, 0);
-      client.status();
-      cache = world.cache();
-      world.journal.host("c1", cache.address(), "box", "ready");
+      testbed.start(GatewayOptions.read(environment), null);
+      client = testbed.client();
+      client.sendRequest(1, "orders", 3000, 0);
+      client.requestStatus();
+      cache = testbed.cache();
+      testbed.journal.listEndpoint("c1", cache.address(), "box", "ready");
       boolean edge = drained.equals("c0");
-      world.journal.host(
+      testbed.journal.listEndpoint(
           drained, edge ? full : origin.address(), edge ? "box" : "origin", "draining");
-      cache.next().ok("elsewhere");
-      assertEquals("elsewhere", text(client.answer()));
+      cache.nextCommand().replyOk("elsewhere");
+      assertEquals("elsewhere", text(client.receive()));
     }
   }
 
   @Test
-  void aPurgeBoundsTheAgeOfWhatIsAskedForNext() throws Exception {
-    world.journal.add(
+  void purgeBoundsTheAgeOfTheNextCopy() throws Exception {
+    testbed.journal.addEntry(
         "\"expire\":{\"name\":\""
-            + StandIns.OBJECT
+            + GatewayTestbed.OBJECT_ID
             + "\",\"stamp\":"
             + (System.currentTimeMillis() - 200)
             + "}");
     String within = null;
     for (int number = 1; within == null; number++) {
-      client.get(number, "parts", 1500, 0);
-      Command want = cache.next();
-      within = want.field("within");
-      want.ok("x");
-      client.answer();
+      client.sendRequest(number, "parts", 1500, 0);
+      ReceivedCommand command = cache.nextCommand();
+      within = command.field("within");
+      command.replyOk("x");
+      client.receive();
     }
     assertTrue(Long.parseLong(within) >= 198 && Long.parseLong(within) < 2000, within);
   }
 
   @Test
-  void aJournalThatFallsSilentOrTalksNonsenseIsAskedAgainAndTheListStays() throws Exception {
-    world.journal.instead = "{\"pos\":\"many\"}";
-    world.journal.add("\"expire\":{\"set\":3,\"stamp\":1}");
+  void silentOrInvalidJournalIsPolledAgainAndTheListStays() throws Exception {
+    testbed.journal.replyOverride = "{\"pos\":\"many\"}";
+    testbed.journal.addEntry("\"expire\":{\"set\":3,\"stamp\":1}");
     awaitPolls(3);
-    world.journal.instead = "";
+    testbed.journal.replyOverride = "";
     awaitPolls(2);
-    client = world.client();
-    client.get(1, "parts", 1500, 0);
-    cache.next().ok("still known");
-    assertEquals("still known", text(client.answer()));
-    world.journal.instead = null;
+    client = testbed.client();
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand().replyOk("still known");
+    assertEquals("still known", text(client.receive()));
+    testbed.journal.replyOverride = null;
     awaitPoll("tail=3&");
   }
 
   @Test
-  void aWholeListReplacesTheOldOneAndAnAddressBelongsToTheNewCache() throws Exception {
-    client.get(1, "parts", 1500, 0);
-    Command old = cache.next();
-    old.ok("old");
-    client.answer();
-    world.journal.add(
+  void fullListReplacesTheFormerOneAndItsAddressesBelongToTheNewCaches() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand old = cache.nextCommand();
+    old.replyOk("old");
+    client.receive();
+    testbed.journal.addEntry(
         "\"hosts\":{\"reset\":true,\"instances\":[{\"instanceId\":\"c9\",\"hostPort\":\""
             + cache.address()
             + "\",\"zone\":\"z\",\"machineType\":\"box\",\"lifecycle\":\"ready\"}]}");
     awaitPoll("tail=3&");
-    client.get(2, "parts", 1500, 0);
-    Command fresh = cache.next();
-    assertNotEquals(old.from(), fresh.from());
+    client.sendRequest(2, "parts", 1500, 0);
+    ReceivedCommand fresh = cache.nextCommand();
+    assertNotEquals(old.socket(), fresh.socket());
     assertNull(fresh.field("miss"), "the origin is not in the new list");
   }
 
   @Test
-  void cachesThatComeAndGoLeaveNothingBehind() throws Exception {
+  void endpointsThatComeAndGoLeaveNothingBehind() throws Exception {
     int here = 3; // Two caches and a client.
     for (int many = 0; many < 300; many++) {
-      world.journal.host("x" + many, cache.address(), "box", "ready");
-      world.journal.host("x" + many, "", "box", "gone");
+      testbed.journal.listEndpoint("x" + many, cache.address(), "box", "ready");
+      testbed.journal.listEndpoint("x" + many, "", "box", "gone");
     }
     awaitPoll("tail=602&");
-    client.get(1, "parts", 1500, 0);
-    cache.next().ok("still known");
-    assertEquals("still known", text(client.answer()));
-    for (int many = 0; many < 300 && world.gateway.resourceCount() > here; many++) {
-      client.status();
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand().replyOk("still known");
+    assertEquals("still known", text(client.receive()));
+    for (int many = 0; many < 300 && testbed.gateway.resourceCount() > here; many++) {
+      client.requestStatus();
       Thread.sleep(10);
     }
-    assertEquals(here, world.gateway.resourceCount());
+    assertEquals(here, testbed.gateway.resourceCount());
   }
 
   @Test
-  void aNewConfigurationMovesTheJournalAndAFaultyOneChangesNothing() throws Exception {
-    StandIns other = new StandIns();
+  void reloadMovesTheJournalAndAnInvalidConfigurationChangesNothing() throws Exception {
+    GatewayTestbed other = new GatewayTestbed();
     try {
-      Process process = program(0);
+      Process process = startProcess(0);
       Path file = folder.resolve("config.json");
       String good = Files.readString(file);
       try (BufferedReader log = process.inputReader()) {
         awaitServing(log);
         for (String bad : List.of("{", good.replace("\"journal\":\"", "\"journal\":\"x"))) {
           Files.writeString(file, bad);
-          hangUp(process);
+          sendSighup(process);
           GatewayProcess.awaitLine(log, "SIGHUP: configuration unchanged: ");
         }
-        Files.writeString(file, good.replace(world.journal.address(), other.journal.address()));
-        hangUp(process);
+        Files.writeString(file, good.replace(testbed.journal.address(), other.journal.address()));
+        sendSighup(process);
         GatewayProcess.awaitLine(log, "journal polled at");
         String poll = other.journal.polls.poll(10, TimeUnit.SECONDS);
         assertTrue(poll != null && poll.startsWith("tail=2&"), poll);
@@ -538,18 +547,18 @@
    * taken.
    */
   @Test
-  void aNewConfigurationIsTakenAlsoWhereSighupIsIgnored() throws Exception {
-    StandIns other = new StandIns();
-    Path file = Path.of(world.environment(folder).get("PROXY_CONFIG"));
+  void configurationIsReloadedWhereSighupIsIgnored() throws Exception {
+    GatewayTestbed other = new GatewayTestbed();
+    Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     Process process =
         GatewayProcess.startWithHangUpIgnored(
             folder, Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG", file.toString()));
     try (BufferedReader log = process.inputReader()) {
       GatewayProcess.awaitLine(log, "SIGHUP is ignored");
       awaitServing(log);
-      hangUp(process);
+      sendSighup(process);
       Files.writeString(
-          file, Files.readString(file).replace(world.journal.address(), other.journal.address()));
+          file, Files.readString(file).replace(testbed.journal.address(), other.journal.address()));
       GatewayProcess.awaitLine(log, "journal polled at");
       assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
     } finally {
@@ -558,32 +567,32 @@
     }
   }
 
-  private static void hangUp(Process process) throws Exception {
+  private static void sendSighup(Process process) throws Exception {
     GatewayProcess.signal(process, "HUP");
   }
 
   @Test
-  void clientsAreLetInOnlyOnceAListIsKnown() throws Exception {
-    world.close();
-    world = new StandIns();
-    world.start(GatewayOptions.read(world.environment(folder)), null);
-    client = world.client();
-    assertFalse(client.status().status());
-    world.journal.host("c0", "127.0.0.1:1", "box", "ready");
+  void statusIsReadyOnlyOnceAnEndpointListIsKnown() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
+    client = testbed.client();
+    assertFalse(client.requestStatus().isReady());
+    testbed.journal.listEndpoint("c0", "127.0.0.1:1", "box", "ready");
     awaitPoll("tail=1&");
-    assertTrue(client.status().status());
+    assertTrue(client.requestStatus().isReady());
   }
 
   private void awaitPolls(int many) throws InterruptedException {
     for (int poll = 0; poll < many; poll++) {
-      assertNotNull(world.journal.polls.poll(10, TimeUnit.SECONDS));
+      assertNotNull(testbed.journal.polls.poll(10, TimeUnit.SECONDS));
     }
   }
 
   private void awaitPoll(String start) throws InterruptedException {
     String poll = "";
     while (!poll.startsWith(start)) {
-      poll = world.journal.polls.poll(10, TimeUnit.SECONDS);
+      poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS);
       assertNotNull(poll);
     }
   }
@@ -601,8 +610,8 @@
         "91919191919191",
         "93020000"
       })
-  void aClientThatCantBeReadLosesItsConnectionAndNoOther(String hex) throws Exception {
-    Client bad = world.client();
+  void clientThatSendsNoMessagePackLosesItsConnectionAndNoOther(String hex) throws Exception {
+    TestClient bad = testbed.client();
     byte[] bytes = new byte[hex.length() / 2];
     for (int at = 0; at < bytes.length; at++) {
       bytes[at] = (byte) Integer.parseInt(hex.substring(2 * at, 2 * at + 2), 16);
@@ -616,17 +625,17 @@
       // Closed already.
     }
     assertTrue(bad.isClosed());
-    assertTrue(client.status().status());
+    assertTrue(client.requestStatus().isReady());
   }
 
   @Test
-  void aNumberUsedTwiceWhileOpenClosesTheConnection() throws Exception {
-    client.get(1, "parts", 1500, 0);
-    cache.next();
-    client.get(1, "parts", 1500, 0);
-    assertEquals("Internal", client.answer().error());
+  void duplicateMessageIdInFlightClosesTheConnection() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand();
+    client.sendRequest(1, "parts", 1500, 0);
+    assertEquals("Internal", client.receive().error());
     assertTrue(client.isClosed());
-    assertEquals("never_mind", cache.next().word(0));
+    assertEquals("never_mind", cache.nextCommand().element(0));
   }
 
   @ParameterizedTest
@@ -644,61 +653,62 @@
     "known, '1,2'",
     "replay, 'a,seg=9'"
   })
-  void aFieldThatCantBeUsedIsNamed(String field, String value) throws Exception {
-    Map<String, String> fields = new HashMap<>(Client.fields(1, 1500, 0));
+  void invalidFieldIsNamedInTheError(String field, String value) throws Exception {
+    Map<String, String> fields = new HashMap<>(TestClient.requestFields(1, 1500, 0));
     fields.remove(field);
     if (value != null) {
       fields.put(field, value);
     }
-    client.send(Client.request(1, "parts", fields, null));
-    Answer answer = client.answer();
+    client.send(TestClient.encodeRequest(1, "parts", fields, null));
+    ClientAnswer answer = client.receive();
     assertEquals("Internal", answer.error());
     assertTrue(answer.fields().get("why").startsWith(field + ": "), answer.fields().toString());
-    Client other = world.client();
-    other.get(1, "segments", 1500, 0);
-    assertEquals("no delivery service segments", other.answer().fields().get("why"));
+    TestClient other = testbed.client();
+    other.sendRequest(1, "segments", 1500, 0);
+    assertEquals("no delivery service segments", other.receive().fields().get("why"));
   }
 
   @Test
-  void nothingIsReturnedToAClientThatBrokeTheProtocol() throws Exception {
-    client.get(1, "parts", 5000, 0);
-    Command want = cache.next();
-    client.send(Client.request(2, "parts", Client.fields(1, 1500, 1), null));
-    assertEquals("ref: open already", client.answer().fields().get("why"));
-    assertEquals("Internal", client.answer().error());
-    want.ok("too late");
-    client.get(3, "parts", 1500, 0);
-    assertEquals("Internal", client.answer().error());
-    assertTrue(world.client().status().status());
+  void noBodyIsReturnedAfterAProtocolError() throws Exception {
+    client.sendRequest(1, "parts", 5000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.send(TestClient.encodeRequest(2, "parts", TestClient.requestFields(1, 1500, 1), null));
+    assertEquals("ref: open already", client.receive().fields().get("why"));
+    assertEquals("Internal", client.receive().error());
+    command.replyOk("too late");
+    client.sendRequest(3, "parts", 1500, 0);
+    assertEquals("Internal", client.receive().error());
+    assertTrue(testbed.client().requestStatus().isReady());
   }
 
   @Test
-  void moreThanAConnectionCarriesEndsItAndNothingOfItIsSent() throws Exception {
+  void tooManyRequestsInFlightCloseTheConnectionAndNoneIsForwarded() throws Exception {
     ByteArrayOutputStream flood = new ByteArrayOutputStream();
     for (int number = 1; number <= 33; number++) {
       flood.writeBytes(
-          Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]));
+          TestClient.encodeRequest(
+              number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]));
     }
     client.send(flood.toByteArray());
     for (int number = 1; number <= 33; number++) {
-      assertEquals("Internal", client.answer().error());
+      assertEquals("Internal", client.receive().error());
     }
     assertTrue(client.isClosed());
-    Client good = world.client();
-    good.get(99, "parts", 1500, 0);
-    Command want = cache.next();
-    while (!want.word(1).equals(String.format("%016x", 99))) {
-      want = cache.next();
+    TestClient good = testbed.client();
+    good.sendRequest(99, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    while (!command.element(1).equals(String.format("%016x", 99))) {
+      command = cache.nextCommand();
     }
-    want.ok("another's");
-    assertEquals("another's", text(good.answer()));
+    command.replyOk("another's");
+    assertEquals("another's", text(good.receive()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 60})
-  void aClientThatOwesAWholeMessageIsLetGoInTime(int bytes) throws Exception {
-    Client owes = world.client();
-    byte[] whole = Client.request(1, "parts", Client.fields(1, 1500, 0), null);
+  void clientThatSendsNoCompleteMessageIsDisconnectedInTime(int bytes) throws Exception {
+    TestClient owes = testbed.client();
+    byte[] whole = TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), null);
     owes.send(java.util.Arrays.copyOf(whole, bytes));
     long since = System.nanoTime();
     assertTrue(owes.isClosed());
@@ -706,40 +716,40 @@
   }
 
   @Test
-  void pastTheBoundOfDescriptorsTheConnectionOfLeastUseGoes() throws Exception {
-    Client idle = world.client();
-    idle.get(7, "parts", 1500, 0);
-    cache.next().ok("a usual client");
-    idle.answer();
-    client.get(1, "parts", 9000, 0);
-    Command want = cache.next();
-    List<Client> held = new ArrayList<>();
+  void leastActiveConnectionIsEvictedPastTheConnectionBound() throws Exception {
+    TestClient idle = testbed.client();
+    idle.sendRequest(7, "parts", 1500, 0);
+    cache.nextCommand().replyOk("a usual client");
+    idle.receive();
+    client.sendRequest(1, "parts", 9000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    List<TestClient> held = new ArrayList<>();
     for (int many = 0; many < 80; many++) {
-      held.add(world.client());
-      assertTrue(held.get(many).status().status());
+      held.add(testbed.client());
+      assertTrue(held.get(many).requestStatus().isReady());
     }
     assertTrue(held.get(0).isClosed());
-    assertTrue(held.get(79).status().status());
-    Client silent = world.client();
-    Client fresh = world.client();
-    assertTrue(fresh.status().status());
+    assertTrue(held.get(79).requestStatus().isReady());
+    TestClient silent = testbed.client();
+    TestClient fresh = testbed.client();
+    assertTrue(fresh.requestStatus().isReady());
     assertTrue(silent.isClosed());
-    want.ok("still there");
-    assertEquals("still there", text(client.answer()));
+    command.replyOk("still there");
+    assertEquals("still there", text(client.receive()));
     assertTrue(
-        idle.status().status(),
+        idle.requestStatus().isReady(),
         "one that asks for GETs does not go for many that ask for the status");
   }
 
   @Test
-  void aClientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
-    Client deaf = world.client();
+  void clientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
+    TestClient deaf = testbed.client();
     byte[] part = new byte[240_000];
-    world.threads.execute(
+    testbed.threads.execute(
         () -> {
           try {
             while (true) {
-              cache.commands.take().answer("ok", "res=h,entity=1,issued=2", part);
+              cache.commands.take().reply("ok", "res=h,entity=1,issued=2", part);
             }
           } catch (Exception e) {
             // The end of the test.
@@ -748,48 +758,50 @@
     List<Integer> open = new ArrayList<>();
     try {
       for (int number = 1; number < 5000; number++) {
-        deaf.get(number, "parts", 1500, 0);
-        client.get(10_000 + number, "parts", 1500, 0).answer();
+        deaf.sendRequest(number, "parts", 1500, 0);
+        client.sendRequest(10_000 + number, "parts", 1500, 0).receive();
         open.add(number);
       }
     } catch (java.net.SocketException e) {
       assertTrue(open.size() > 4);
-      assertTrue(client.status().status());
+      assertTrue(client.requestStatus().isReady());
       return;
     }
     assertFalse(true, "the deaf client still has its connection");
   }
 
   @Test
-  void moreOpenGetsThanToldAreShed() throws Exception {
-    Client other = world.client();
+  void requestsPastTheInFlightBoundAreRejected() throws Exception {
+    TestClient other = testbed.client();
     for (int number = 1; number <= 48; number++) {
-      (number <= 24 ? client : other).get(number, "parts", 5000, number);
-      (number <= 24 ? client : other).status();
+      (number <= 24 ? client : other).sendRequest(number, "parts", 5000, number);
+      (number <= 24 ? client : other).requestStatus();
     }
-    client.get(49, "parts", 5000, 0);
-    for (Answer answer = client.answer(); answer.number() != 49; answer = client.answer()) {
+    client.sendRequest(49, "parts", 5000, 0);
+    for (ClientAnswer answer = client.receive();
+        answer.messageId() != 49;
+        answer = client.receive()) {
       assertNotNull(answer.error());
     }
   }
 
   /** Decisions that fail on one object. */
   @Test
-  void aFailureInTheDecisionsEndsThatGetAndNoOther() throws Exception {
-    world.close();
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+  void failureInTheRouterFailsThatRequestAndNoOther() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
     RequestRouter control = new RequestRouter(options.routingConfig());
-    world.start(
+    testbed.start(
         options,
         (now, in, to) ->
             control.decide(
                 now,
                 events ->
                     in.replayTo(
-                        new Ear(events) {
+                        new ForwardingEventHandler(events) {
                           @Override
                           public void requestReceived(RequestDetails request) {
                             if (request.part() == 13) {
@@ -799,18 +811,18 @@
                           }
                         }),
                 to));
-    client = world.client();
-    client.get(1, "parts", 1500, 13).get(2, "parts", 1500, 2);
-    assertEquals("Internal", client.answer().error());
-    cache.next().ok("another");
-    assertEquals("another", text(client.answer()));
+    client = testbed.client();
+    client.sendRequest(1, "parts", 1500, 13).sendRequest(2, "parts", 1500, 2);
+    assertEquals("Internal", client.receive().error());
+    cache.nextCommand().replyOk("another");
+    assertEquals("another", text(client.receive()));
   }
 
   // ---- Start and stop.
 
   @Test
-  void clientsAreLetInAfterARehearsalOverTheGatewaysOwnAddress() throws Exception {
-    Process process = program(0);
+  void gatewayServesAfterAWarmUpOverItsOwnAddress() throws Exception {
+    Process process = startProcess(0);
     try (BufferedReader log = process.inputReader()) {
       GatewayProcess.awaitLine(log, "warm-up: ");
       awaitServing(log);
@@ -820,53 +832,54 @@
   }
 
   @Test
-  void aGatewayToldToStopAnswersAllItTookAndWhatStillComes() throws Exception {
-    client.get(1, "parts", 2500, 0);
-    Command taken = cache.next();
-    var stopped = world.gateway.stop().toCompletionStage().toCompletableFuture();
-    while (client.status().status()) {
+  void stoppingGatewayAnswersWhatItReceivedAndWhatStillArrives() throws Exception {
+    client.sendRequest(1, "parts", 2500, 0);
+    ReceivedCommand taken = cache.nextCommand();
+    var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
+    while (client.requestStatus().isReady()) {
       assertFalse(stopped.isDone());
     }
-    Client late = world.client();
-    late.get(2, "parts", 1500, 1);
-    cache.next().ok("came late");
-    assertEquals("came late", text(late.answer()));
-    taken.ok("was taken");
-    assertEquals("was taken", text(client.answer()));
+    TestClient late = testbed.client();
+    late.sendRequest(2, "parts", 1500, 1);
+    cache.nextCommand().replyOk("came late");
+    assertEquals("came late", text(late.receive()));
+    taken.replyOk("was taken");
+    assertEquals("was taken", text(client.receive()));
     stopped.get(10, TimeUnit.SECONDS);
-    assertEquals(Gateway.Phase.STOPPED, world.gateway.phase());
+    assertEquals(Gateway.Phase.STOPPED, testbed.gateway.phase());
     assertTrue(client.isClosed());
   }
 
   @Test
-  void whatIsStillOpenJustBeforeTheKillIsAnswered() throws Exception {
-    client.get(1, "parts", 9000, 0);
-    cache.next();
+  void requestInFlightJustBeforeSigkillIsAnswered() throws Exception {
+    client.sendRequest(1, "parts", 9000, 0);
+    cache.nextCommand();
     long since = System.nanoTime();
-    world.gateway.stop();
-    assertEquals("Internal", client.answer().error());
+    testbed.gateway.stop();
+    assertEquals("Internal", client.receive().error());
     assertTrue(System.nanoTime() - since < 3_700_000_000L);
   }
 
   @Test
-  void theProgramEndsAfterTheWordToStopWithAllAnswered() throws Exception {
+  void processExitsAfterSigtermWithAllRequestsAnswered() throws Exception {
     int port = freePort();
-    Process process = program(port);
+    Process process = startProcess(port);
     try (BufferedReader log = process.inputReader()) {
       awaitServing(log);
-      Client outside = world.client(port);
-      assertTrue(outside.status().status());
-      outside.get(1, "parts", 2500, 0);
-      Command want = cache.next();
-      hangUp(process); // A reload that is under way, and the same word once more, change nothing in
+      TestClient outside = testbed.client(port);
+      assertTrue(outside.requestStatus().isReady());
+      outside.sendRequest(1, "parts", 2500, 0);
+      ReceivedCommand command = cache.nextCommand();
+      sendSighup(
+          process); // A reload that is under way, and the same word once more, change nothing in
       // that.
       process.destroy();
       process.destroy();
-      while (outside.status().status()) {
+      while (outside.requestStatus().isReady()) {
         assertTrue(process.isAlive());
       }
-      want.ok("before the end");
-      assertEquals("before the end", text(outside.answer()));
+      command.replyOk("before the end");
+      assertEquals("before the end", text(outside.receive()));
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
@@ -874,15 +887,15 @@
   }
 
   @Test
-  void aKilledGatewayStartsAgainAtOnceUnderItsAddressFromNothing() throws Exception {
+  void killedGatewayRestartsAtOnceAtItsAddressWithoutState() throws Exception {
     int port = freePort();
     for (int start = 1; start <= 2; start++) {
-      Process process = program(port);
+      Process process = startProcess(port);
       try (BufferedReader log = process.inputReader()) {
         awaitServing(log);
-        Client outside = world.client(port);
-        outside.get(start, "parts", 5000, 0);
-        assertEquals("1", cache.next().field("prio"));
+        TestClient outside = testbed.client(port);
+        outside.sendRequest(start, "parts", 5000, 0);
+        assertEquals("1", cache.nextCommand().field("prio"));
       } finally {
         process.destroyForcibly().waitFor();
       }
@@ -897,16 +910,15 @@
         + " kind: asleep",
     "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
   })
-  void whatKeepsAGatewayFromStartingIsOneMessage(String key, String value, String message)
-      throws Exception {
-    Path file = Path.of(world.environment(folder).get("PROXY_CONFIG"));
+  void startFailureIsOneMessage(String key, String value, String message) throws Exception {
+    Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     if (key.equals("known")) {
       Files.writeString(file, Files.readString(file).replace("ready", value));
     }
     String listen =
         value.equals("taken") ? cache.address() : key.equals("listen") ? value : "127.0.0.1:0";
     Process process =
-        program(
+        startProcess(
             Map.of(
                 "PROXY_LISTEN",
                 listen,
@@ -925,16 +937,16 @@
     }
   }
 
-  private Process program(int port) throws Exception {
-    return program(
+  private Process startProcess(int port) throws Exception {
+    return startProcess(
         Map.of(
             "PROXY_LISTEN",
             "127.0.0.1:" + port,
             "PROXY_CONFIG",
-            world.environment(folder).get("PROXY_CONFIG")));
+            testbed.environment(folder).get("PROXY_CONFIG")));
   }
 
-  private Process program(Map<String, String> environment) throws Exception {
+  private Process startProcess(Map<String, String> environment) throws Exception {
     return GatewayProcess.start(folder, environment);
   }
 
@@ -943,16 +955,16 @@
   }
 
   private static int freePort() throws Exception {
-    try (java.net.ServerSocket socket = new java.net.ServerSocket(0, 1, StandIns.LOOPBACK)) {
+    try (java.net.ServerSocket socket = new java.net.ServerSocket(0, 1, GatewayTestbed.LOOPBACK)) {
       return socket.getLocalPort();
     }
   }
 
   /** Passes on what it is told, if to anybody. */
-  private static class Ear implements RoutingEventHandler {
+  private static class ForwardingEventHandler implements RoutingEventHandler {
     private final RoutingEventHandler to;
 
-    Ear(RoutingEventHandler to) {
+    ForwardingEventHandler(RoutingEventHandler to) {
       this.to = to;
     }
 
@@ -1023,40 +1035,41 @@
   }
 
   @Test
-  void aConnectionWithAGetOpenAndHalfOfTheNextIsNotLetGoForNewOnes() throws Exception {
-    client.get(1, "parts", 4000, 0);
-    Command want = cache.next();
-    byte[] next = Client.request(2, "parts", Client.fields(2, 4000, 1), new byte[300]);
+  void connectionWithARequestInFlightIsNotEvictedForNewOnes() throws Exception {
+    client.sendRequest(1, "parts", 4000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    byte[] next =
+        TestClient.encodeRequest(2, "parts", TestClient.requestFields(2, 4000, 1), new byte[300]);
     client.send(java.util.Arrays.copyOf(next, next.length - 200));
     for (int silent = 0; silent < 70; silent++) { // Its clients may hold 64 of 128 descriptors.
-      world.client();
+      testbed.client();
     }
-    Thread.sleep(STANDS_MS / 2);
-    want.ok("kept");
-    assertEquals("kept", text(client.answer()));
+    Thread.sleep(STALL_MILLIS / 2);
+    command.replyOk("kept");
+    assertEquals("kept", text(client.receive()));
   }
 
   // ---- News that is too old to decide by.
 
   /** Decisions in whose next round the loop stands still until it is let go. */
-  private static final class Standing implements BatchRouter {
-    private final BatchRouter decisions;
-    final CountDownLatch stands = new CountDownLatch(1);
-    final CountDownLatch letGo = new CountDownLatch(1);
+  private static final class StallingRouter implements BatchRouter {
+    private final BatchRouter router;
+    final CountDownLatch stalled = new CountDownLatch(1);
+    final CountDownLatch resume = new CountDownLatch(1);
     volatile boolean armed;
 
-    Standing(GatewayOptions options) {
-      decisions = new RequestRouter(options.routingConfig())::decide;
+    StallingRouter(GatewayOptions options) {
+      router = new RequestRouter(options.routingConfig())::decide;
     }
 
     @Override
     public void routeBatch(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
-      decisions.routeBatch(now, in, to);
+      router.routeBatch(now, in, to);
       if (armed) {
         armed = false;
-        stands.countDown();
+        stalled.countDown();
         try {
-          letGo.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+          resume.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
           Thread.currentThread().interrupt();
         }
@@ -1064,16 +1077,17 @@
     }
   }
 
-  private static final long PATIENCE_MS = 5000;
-  private static final long STANDS_MS = 400;
+  private static final long TIMEOUT_MILLIS = 5000;
+  private static final long STALL_MILLIS = 400;
 
   /** A second world, with two caches; its loop stands still from the next round on. */
-  private Standing standing(StandIns other, Cache... caches) throws Exception {
+  private StallingRouter startStallingGateway(GatewayTestbed other, StubCache... caches)
+      throws Exception {
     for (int at = 0; at < caches.length; at++) {
-      other.journal.host("c" + at, caches[at].address(), "box", "ready");
+      other.journal.listEndpoint("c" + at, caches[at].address(), "box", "ready");
     }
     GatewayOptions options = GatewayOptions.read(other.environment(folder));
-    Standing decisions = new Standing(options);
+    StallingRouter decisions = new StallingRouter(options);
     other.start(options, decisions);
     return decisions;
   }
@@ -1082,113 +1096,118 @@
    * GET 2 makes the loop stand; GET 3 and news come meanwhile, the news after the poll had ended if
    * that is said.
    */
-  private static void whileItStands(
-      StandIns other, Standing decisions, boolean pollEnded, Client till, Runnable news)
+  private static void stallWhile(
+      GatewayTestbed other,
+      StallingRouter decisions,
+      boolean pollEnded,
+      TestClient till,
+      Runnable news)
       throws Exception {
     decisions.armed = true;
-    other.client().get(2, "parts", 4000, 0);
-    assertTrue(decisions.stands.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
-    till.get(3, "parts", 4000, 0);
+    other.client().sendRequest(2, "parts", 4000, 0);
+    assertTrue(decisions.stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+    till.sendRequest(3, "parts", 4000, 0);
     if (pollEnded) { // Its reply waits at the gateway; what comes after that waits at the journal.
-      other.journal.add("\"expire\":{\"set\":200,\"stamp\":1}");
-      Thread.sleep(STANDS_MS / 4);
+      other.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
+      Thread.sleep(STALL_MILLIS / 4);
     }
     news.run();
-    Thread.sleep(STANDS_MS);
-    decisions.letGo.countDown();
+    Thread.sleep(STALL_MILLIS);
+    decisions.resume.countDown();
   }
 
   @ParameterizedTest
   @CsvSource({"draining, false", "gone, false", "draining, true", "gone, true"})
-  void afterAStandstillNewsIsHeardBeforeGetsAreDecided(String state, boolean pollEnded)
+  void afterEventLoopLagDrainsAreReadBeforeRequestsAreRouted(String state, boolean pollEnded)
       throws Exception {
-    try (StandIns other = new StandIns()) {
-      Cache[] caches = {other.cache(), other.cache()};
-      Standing decisions = standing(other, caches);
-      Client till = other.client();
-      till.get(1, "parts", 4000, 0);
-      Command first = null;
+    try (GatewayTestbed other = new GatewayTestbed()) {
+      StubCache[] caches = {other.cache(), other.cache()};
+      StallingRouter decisions = startStallingGateway(other, caches);
+      TestClient till = other.client();
+      till.sendRequest(1, "parts", 4000, 0);
+      ReceivedCommand first = null;
       for (int at = 0; first == null; at ^= 1) {
         first = caches[at].commands.poll(20, TimeUnit.MILLISECONDS);
       }
-      int hashed = caches[0].server.getLocalPort() == first.from().getLocalPort() ? 0 : 1;
-      first.ok("before");
-      assertEquals("before", text(till.answer()));
-      whileItStands(
+      int hashed = caches[0].server.getLocalPort() == first.socket().getLocalPort() ? 0 : 1;
+      first.replyOk("before");
+      assertEquals("before", text(till.receive()));
+      stallWhile(
           other,
           decisions,
           pollEnded,
           till,
-          () -> other.journal.host("c" + hashed, caches[hashed].address(), "box", state));
-      Command late = caches[1 - hashed].next();
-      assertEquals("0000000000000003", late.word(1));
-      late.ok("after");
-      assertEquals("after", text(till.answer()));
+          () -> other.journal.listEndpoint("c" + hashed, caches[hashed].address(), "box", state));
+      ReceivedCommand late = caches[1 - hashed].nextCommand();
+      assertEquals("0000000000000003", late.element(1));
+      late.replyOk("after");
+      assertEquals("after", text(till.receive()));
       assertTrue(
           caches[hashed].commands.stream()
-              .noneMatch(one -> one.word(1).equals("0000000000000003")));
+              .noneMatch(one -> one.element(1).equals("0000000000000003")));
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void afterAStandstillPurgesAreHeardBeforeGetsAreDecided(boolean pollEnded) throws Exception {
-    try (StandIns other = new StandIns()) {
-      Cache only = other.cache();
-      Standing decisions = standing(other, only);
-      whileItStands(
+  void afterEventLoopLagPurgesAreReadBeforeRequestsAreRouted(boolean pollEnded) throws Exception {
+    try (GatewayTestbed other = new GatewayTestbed()) {
+      StubCache only = other.cache();
+      StallingRouter decisions = startStallingGateway(other, only);
+      stallWhile(
           other,
           decisions,
           pollEnded,
           other.client(),
           () ->
-              other.journal.add(
+              other.journal.addEntry(
                   "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}"));
-      assertNotNull(only.next().field("within"), "it waited for its connection");
-      assertNotNull(only.next().field("within"));
+      assertNotNull(only.nextCommand().field("within"), "it waited for its connection");
+      assertNotNull(only.nextCommand().field("within"));
     }
   }
 
   @Test
-  void aGetThatComesBeforeTheFirstNewsIsDecidedAfterIt() throws Exception {
-    try (StandIns other = new StandIns()) {
-      Cache only = other.cache();
-      other.journal.host("c0", only.address(), "box", "ready");
+  void requestReceivedBeforeTheFirstJournalReplyIsRoutedAfterIt() throws Exception {
+    try (GatewayTestbed other = new GatewayTestbed()) {
+      StubCache only = other.cache();
+      other.journal.listEndpoint("c0", only.address(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      other.journal.add("\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
-      other.journal.instead = ""; // The journal does not reply yet.
+      other.journal.addEntry(
+          "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
+      other.journal.replyOverride = ""; // The journal does not reply yet.
       other.gateway = new Gateway(other.vertx, options);
       var started = other.gateway.start();
-      assertNotNull(other.journal.polls.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
-      Client early = other.client().get(1, "parts", 4000, 0);
-      assertNull(only.commands.poll(STANDS_MS / 2, TimeUnit.MILLISECONDS));
+      assertNotNull(other.journal.polls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      TestClient early = other.client().sendRequest(1, "parts", 4000, 0);
+      assertNull(only.commands.poll(STALL_MILLIS / 2, TimeUnit.MILLISECONDS));
       assertFalse(early.socket.getInputStream().available() > 0);
-      other.journal.instead = null;
-      assertNotNull(only.next().field("within"));
-      started.toCompletionStage().toCompletableFuture().get(PATIENCE_MS, TimeUnit.MILLISECONDS);
+      other.journal.replyOverride = null;
+      assertNotNull(only.nextCommand().field("within"));
+      started.toCompletionStage().toCompletableFuture().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
   @Test
-  void aGatewayWhoseJournalIsGoneAtTheStartServesAllTheSame() throws Exception {
-    try (StandIns other = new StandIns()) {
-      Cache only = other.cache();
-      other.journal.host("c0", only.address(), "box", "ready");
+  void gatewayServesKnownEndpointsWhereTheJournalIsDownAtTheStart() throws Exception {
+    try (GatewayTestbed other = new GatewayTestbed()) {
+      StubCache only = other.cache();
+      other.journal.listEndpoint("c0", only.address(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
       other.journal.server.stop(0);
       other.start(options, null);
-      Client till = other.client();
-      till.get(1, "parts", 1500, 0);
-      only.next().ok("old news");
-      assertEquals("old news", text(till.answer()));
+      TestClient till = other.client();
+      till.sendRequest(1, "parts", 1500, 0);
+      only.nextCommand().replyOk("old news");
+      assertEquals("old news", text(till.receive()));
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"\"set\":17", "\"name\":\"7f3a9c21e0b4d655\""})
-  void whatWaitsForAConnectionWhenItsObjectIsPurgedIsNeverSent(String what) throws Exception {
-    try (StandIns other = new StandIns()) {
-      other.journal.host("c0", other.fullAddress(), "box", "ready");
+  void attemptWaitingForAConnectionIsNeverSentWhereItsObjectIsPurged(String what) throws Exception {
+    try (GatewayTestbed other = new GatewayTestbed()) {
+      other.journal.listEndpoint("c0", other.fullAddress(), "box", "ready");
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
       BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
       other.start(
@@ -1199,20 +1218,21 @@
                       Proxy.newProxyInstance(
                           getClass().getClassLoader(),
                           new Class<?>[] {RoutingEventHandler.class},
-                          (proxy, event, told) -> {
+                          (proxy, event, arguments) -> {
                             if (event.getName().equals("requestReceived")) {
                               to.sendAttempt(
                                   new AttemptCommand(
-                                      ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
+                                      ((RequestDetails) arguments[0]).id(), 0, 0, 0, 0, 0, 0));
                             } else if (event.getName().equals("attemptEnded")) {
-                              outcomes.add(((AttemptResult) told[0]).outcome());
+                              outcomes.add(((AttemptResult) arguments[0]).outcome());
                             }
                             return null;
                           })));
-      other.client().get(1, "parts", 4000, 0);
-      Thread.sleep(STANDS_MS / 4);
-      other.journal.add("\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
-      assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
+      other.client().sendRequest(1, "parts", 4000, 0);
+      Thread.sleep(STALL_MILLIS / 4);
+      other.journal.addEntry(
+          "\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
+      assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/StandIns.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTestbed.java
@@ -40,10 +40,10 @@
 /**
  * Clients, caches and the journal service, as the protocol has them, round one gateway on loopback.
  */
-final class StandIns implements AutoCloseable {
-  static final String OBJECT = "7f3a9c21e0b4d655";
+final class GatewayTestbed implements AutoCloseable {
+  static final String OBJECT_ID = "7f3a9c21e0b4d655";
   static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-  static final long PATIENCE_S = 10;
+  static final long TIMEOUT_SECONDS = 10;
   private static final String SETTINGS =
       """
       {"my-zone":"z","zones":["z"],"kinds":["box","parent","origin"],"replicas-of-me":1,
@@ -62,19 +62,19 @@
 
   final Vertx vertx = Vertx.vertx();
   final ExecutorService threads = Executors.newCachedThreadPool();
-  final Journal journal = new Journal();
-  private final List<Closeable> open = new ArrayList<>();
+  final StubJournal journal = new StubJournal();
+  private final List<Closeable> resources = new ArrayList<>();
   Gateway gateway;
-  Cache origin;
+  StubCache origin;
 
-  StandIns() throws IOException {}
+  GatewayTestbed() throws IOException {}
 
   /** A gateway that knows one edge cache and the origin; both listen. */
-  Cache start(Path folder) throws Exception {
-    Cache cache = cache();
-    journal.host("c0", cache.address(), "box", "ready");
+  StubCache start(Path folder) throws Exception {
+    StubCache cache = cache();
+    journal.listEndpoint("c0", cache.address(), "box", "ready");
     origin = cache();
-    journal.host("o0", origin.address(), "origin", "ready");
+    journal.listEndpoint("o0", origin.address(), "origin", "ready");
     start(GatewayOptions.read(environment(folder)), null);
     return cache;
   }
@@ -84,7 +84,11 @@
         decisions == null
             ? new Gateway(vertx, options)
             : new Gateway(vertx, options, GatewayExtensions.NONE, decisions);
-    gateway.start().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /** The environment of a gateway that is told of what the journal holds now. */
@@ -96,27 +100,27 @@
             + "\"sockets\":128},\"listen\":\"127.0.0.1:0\",\"journal\":\""
             + journal.address()
             + "\",\"known\":"
-            + journal.since(0)
+            + journal.entriesSince(0)
             + ",\"settings\":"
             + SETTINGS
             + "}");
     return Map.of("PROXY_CONFIG", file.toString());
   }
 
-  Cache cache() throws IOException {
-    Cache cache = new Cache();
-    open.add(cache);
+  StubCache cache() throws IOException {
+    StubCache cache = new StubCache();
+    resources.add(cache);
     return cache;
   }
 
   /** An address at which connections neither come up nor are refused. */
   String fullAddress() throws IOException {
     ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
-    open.add(full);
+    resources.add(full);
     try {
       while (true) {
         Socket socket = new Socket();
-        open.add(socket);
+        resources.add(socket);
         socket.connect(full.getLocalSocketAddress(), 200);
       }
     } catch (java.net.SocketTimeoutException e) {
@@ -124,19 +128,19 @@
     }
   }
 
-  Client client() throws IOException {
+  TestClient client() throws IOException {
     return client(gateway.port());
   }
 
-  Client client(int port) throws IOException {
-    Client client = new Client(port);
-    open.add(client);
+  TestClient client(int port) throws IOException {
+    TestClient client = new TestClient(port);
+    resources.add(client);
     return client;
   }
 
   @Override
   public void close() throws IOException {
-    for (Closeable one : open) {
+    for (Closeable one : resources) {
       one.close();
     }
     journal.server.stop(0);
@@ -145,29 +149,30 @@
         .close()
         .toCompletionStage()
         .toCompletableFuture()
-        .orTimeout(PATIENCE_S, TimeUnit.SECONDS)
+        .orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .join();
   }
 
   /** What a client got for one request: an error's code, or the body. */
-  static final class Answer {
-    private final long number;
+  static final class ClientAnswer {
+    private final long messageId;
     private final String error;
     private final byte[] body;
-    private final boolean status;
+    private final boolean isReady;
     private final Map<String, String> fields;
 
-    Answer(long number, String error, byte[] body, boolean status, Map<String, String> fields) {
-      this.number = number;
+    ClientAnswer(
+        long number, String error, byte[] body, boolean status, Map<String, String> fields) {
+      this.messageId = number;
       this.error = error;
       this.body = body;
-      this.status = status;
+      this.isReady = status;
       this.fields = fields;
     }
 
     /** The message id of the request. */
-    long number() {
-      return number;
+    long messageId() {
+      return messageId;
     }
 
     /** The error's code; null where there is none. */
@@ -181,8 +186,8 @@
     }
 
     /** What the answer to a status request says; false for all others. */
-    boolean status() {
-      return status;
+    boolean isReady() {
+      return isReady;
     }
 
     /** The details of the result or the error. */
@@ -191,29 +196,29 @@
     }
   }
 
-  static final class Client implements Closeable {
+  static final class TestClient implements Closeable {
     final Socket socket;
     private final MessageUnpacker in;
 
-    Client(int port) throws IOException {
+    TestClient(int port) throws IOException {
       this(new Socket(LOOPBACK, port));
     }
 
-    Client(Socket connected) throws IOException {
+    TestClient(Socket connected) throws IOException {
       socket = connected;
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout((int) PATIENCE_S * 1000);
+      socket.setSoTimeout((int) TIMEOUT_SECONDS * 1000);
       in = MessagePack.newDefaultUnpacker(socket.getInputStream());
     }
 
-    static Map<String, String> fields(int ref, long allowMs, int part) {
+    static Map<String, String> requestFields(int ref, long allowMs, int part) {
       Map<String, String> fields =
           new LinkedHashMap<>(
               Map.of(
                   "ref",
                   String.format("%016x", ref),
                   "lookup",
-                  OBJECT,
+                  OBJECT_ID,
                   "allow",
                   Long.toString(allowMs),
                   "chunk",
@@ -225,7 +230,7 @@
       return fields;
     }
 
-    static byte[] request(long number, String method, Map<String, String> fields, byte[] body)
+    static byte[] encodeRequest(long number, String method, Map<String, String> fields, byte[] body)
         throws IOException {
       MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
       packer
@@ -244,16 +249,16 @@
       return packer.toByteArray();
     }
 
-    Client send(byte[] bytes) throws IOException {
+    TestClient send(byte[] bytes) throws IOException {
       socket.getOutputStream().write(bytes);
       return this;
     }
 
-    Client get(int number, String method, long allowMs, int part) throws IOException {
-      return send(request(number, method, fields(number, allowMs, part), new byte[0]));
+    TestClient sendRequest(int number, String method, long allowMs, int part) throws IOException {
+      return send(encodeRequest(number, method, requestFields(number, allowMs, part), new byte[0]));
     }
 
-    static byte[] withdrawal(int number) throws IOException {
+    static byte[] encodeCancel(int number) throws IOException {
       MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
       packer
           .packArrayHeader(3)
@@ -264,15 +269,15 @@
       return packer.toByteArray();
     }
 
-    Client withdraw(int number) throws IOException {
-      return send(withdrawal(number));
+    TestClient sendCancel(int number) throws IOException {
+      return send(encodeCancel(number));
     }
 
-    Answer status() throws IOException {
-      return send(request(9999, "status", Map.of(), null)).answer();
+    ClientAnswer requestStatus() throws IOException {
+      return send(encodeRequest(9999, "status", Map.of(), null)).receive();
     }
 
-    Answer answer() throws IOException {
+    ClientAnswer receive() throws IOException {
       in.unpackArrayHeader();
       in.unpackInt();
       long number = in.unpackLong();
@@ -294,7 +299,7 @@
         fields = map();
         in.unpackNil();
       }
-      return new Answer(number, error, body, status, fields);
+      return new ClientAnswer(number, error, body, status, fields);
     }
 
     private Map<String, String> map() throws IOException {
@@ -321,13 +326,13 @@
   }
 
   /** What came to a cache on one connection. */
-  record Command(Socket from, List<byte[]> elements) {
-    String word(int place) {
+  record ReceivedCommand(Socket socket, List<byte[]> elements) {
+    String element(int place) {
       return new String(elements.get(place), StandardCharsets.ISO_8859_1);
     }
 
     String field(String name) {
-      for (String field : word(2).split(",", -1)) {
+      for (String field : element(2).split(",", -1)) {
         if (field.startsWith(name + "=")) {
           return field.substring(name.length() + 1);
         }
@@ -335,7 +340,7 @@
       return null;
     }
 
-    void answer(String word, String fields, byte[] body) throws IOException {
+    void reply(String word, String fields, byte[] body) throws IOException {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
       for (byte[] one :
@@ -348,27 +353,27 @@
         out.writeBytes(one);
         out.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
       }
-      from.getOutputStream().write(out.toByteArray());
+      socket.getOutputStream().write(out.toByteArray());
     }
 
-    void ok(String text) throws IOException {
-      answer(
+    void replyOk(String text) throws IOException {
+      reply(
           "ok",
           "res=h,entity=4be0c1927d55a6f3,issued=1764576000123",
           text.getBytes(StandardCharsets.UTF_8));
     }
 
     void reset() throws IOException {
-      from.setSoLinger(true, 0);
-      from.close();
+      socket.setSoLinger(true, 0);
+      socket.close();
     }
   }
 
-  final class Cache implements Closeable {
+  final class StubCache implements Closeable {
     final ServerSocket server = new ServerSocket(0, 50, LOOPBACK);
-    final BlockingQueue<Command> commands = new LinkedBlockingQueue<>();
+    final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
-    Cache() throws IOException {
+    StubCache() throws IOException {
       threads.execute(
           () -> {
             try {
@@ -394,7 +399,7 @@
             elements.add(in.readNBytes(length(in)));
             in.readNBytes(2);
           }
-          commands.add(new Command(socket, elements));
+          commands.add(new ReceivedCommand(socket, elements));
         }
       } catch (IOException | NumberFormatException e) {
         // The connection is gone.
@@ -410,8 +415,8 @@
     }
 
     /** The next command; fails the test when none comes. */
-    Command next() throws InterruptedException {
-      Command next = commands.poll(PATIENCE_S, TimeUnit.SECONDS);
+    ReceivedCommand nextCommand() throws InterruptedException {
+      ReceivedCommand next = commands.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertNotNull(next, "nothing came to the cache");
       return next;
     }
@@ -423,18 +428,18 @@
   }
 
   /** Long poll over HTTP: a reply comes when there is more, or after the wait. */
-  final class Journal {
+  final class StubJournal {
     final HttpServer server = HttpServer.create(new InetSocketAddress(LOOPBACK, 0), 0);
     final BlockingQueue<String> polls = new LinkedBlockingQueue<>();
     private final List<String> entries = new ArrayList<>();
 
     /** What replies are instead, while it is set: an empty one never comes. */
-    volatile String instead;
+    volatile String replyOverride;
 
     /** Whether the next reply stops in its midst, on a connection that stays open. */
-    volatile boolean stopsShort;
+    volatile boolean truncatesNextReply;
 
-    Journal() throws IOException {
+    StubJournal() throws IOException {
       server.createContext("/journal", this::answer);
       server.setExecutor(threads);
       server.start();
@@ -444,7 +449,7 @@
       return "127.0.0.1:" + server.getAddress().getPort();
     }
 
-    synchronized String since(int tail) {
+    synchronized String entriesSince(int tail) {
       return "{\"pos\":"
           + entries.size()
           + ",\"entries\":["
@@ -452,13 +457,13 @@
           + "]}";
     }
 
-    synchronized void add(String event) {
+    synchronized void addEntry(String event) {
       entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
       notifyAll();
     }
 
-    void host(String id, String address, String kind, String state) {
-      add(
+    void listEndpoint(String id, String address, String kind, String state) {
+      addEntry(
           "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
               + id
               + "\",\"hostPort\":\""
@@ -477,22 +482,22 @@
       long until =
           System.nanoTime()
               + Long.parseLong(query.replaceAll(".*max_wait=(\\d+).*", "$1")) * 1_000_000;
-      String reply = instead;
+      String reply = replyOverride;
       try {
         synchronized (this) {
           while ((reply == null && entries.size() <= tail && System.nanoTime() < until)
               || "".equals(reply)) {
             wait(20);
-            reply = instead;
+            reply = replyOverride;
           }
         }
       } catch (InterruptedException e) {
         return;
       }
-      byte[] bytes = (reply == null ? since(tail) : reply).getBytes(StandardCharsets.UTF_8);
+      byte[] bytes = (reply == null ? entriesSince(tail) : reply).getBytes(StandardCharsets.UTF_8);
       exchange.sendResponseHeaders(200, bytes.length);
-      if (stopsShort && bytes.length > 40) {
-        stopsShort = false;
+      if (truncatesNextReply && bytes.length > 40) {
+        truncatesNextReply = false;
         exchange.getResponseBody().write(bytes, 0, bytes.length / 2);
         exchange.getResponseBody().flush();
         return;
@@ -518,17 +523,17 @@
   }
 
   /** Runs something on the event loop of the gateway, which stands still meanwhile. */
-  void loop(Runnable what) {
+  void runOnEventLoop(Runnable what) {
     gateway.context().runOnContext(turn -> what.run());
   }
 
   /** What runs beside a test, until it fails or its thread is interrupted. */
-  interface Task {
+  interface BackgroundTask {
     void run() throws Exception;
   }
 
   /** Runs a task on another thread; its failure, such as that of a closed socket, ends it alone. */
-  void inBackground(Task task) {
+  void runInBackground(BackgroundTask task) {
     threads.execute(
         () -> {
           try {
@@ -542,26 +547,26 @@
   // ---- Faults that endpoints and the journal play by themselves.
 
   /** What a cache does with each want, by itself. */
-  interface Reaction {
-    void to(Command want) throws Exception;
+  interface CommandHandler {
+    void handle(ReceivedCommand command) throws Exception;
   }
 
   /** A want and when it had come. */
-  record Seen(Command want, long atNanos) {}
+  record TimedCommand(ReceivedCommand command, long atNanos) {}
 
   /**
    * Has a cache react by itself from now on; what is returned grows with the commands that come.
    */
-  List<Seen> react(Cache cache, Reaction reaction) {
-    List<Seen> seen = new CopyOnWriteArrayList<>();
+  List<TimedCommand> handleCommands(StubCache cache, CommandHandler reaction) {
+    List<TimedCommand> seen = new CopyOnWriteArrayList<>();
     threads.execute(
         () -> {
           try {
             while (true) {
-              Command next = cache.commands.take();
-              seen.add(new Seen(next, System.nanoTime()));
-              if (next.word(0).equals("want")) {
-                threads.execute(() -> once(reaction, next));
+              ReceivedCommand next = cache.commands.take();
+              seen.add(new TimedCommand(next, System.nanoTime()));
+              if (next.element(0).equals("want")) {
+                threads.execute(() -> handleOnce(reaction, next));
               }
             }
           } catch (InterruptedException e) {
@@ -571,9 +576,9 @@
     return seen;
   }
 
-  private static void once(Reaction reaction, Command want) {
+  private static void handleOnce(CommandHandler reaction, ReceivedCommand command) {
     try {
-      reaction.to(want);
+      reaction.handle(command);
     } catch (Exception e) {
       // The gateway has closed this connection, or the test is over.
     }
@@ -583,14 +588,14 @@
    * A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the
    * given address.
    */
-  List<Cache> start(Path folder, int many, String journalAddress) throws Exception {
-    List<Cache> caches = new ArrayList<>();
+  List<StubCache> start(Path folder, int many, String journalAddress) throws Exception {
+    List<StubCache> caches = new ArrayList<>();
     for (int at = 0; at < many; at++) {
       caches.add(cache());
-      journal.host("c" + at, caches.get(at).address(), "box", "ready");
+      journal.listEndpoint("c" + at, caches.get(at).address(), "box", "ready");
     }
     origin = cache();
-    journal.host("o0", origin.address(), "origin", "ready");
+    journal.listEndpoint("o0", origin.address(), "origin", "ready");
     start(options(folder, journalAddress), null);
     return caches;
   }
@@ -607,26 +612,26 @@
   }
 
   /** Another journal service, which holds what the first one holds now. */
-  Journal secondJournal() throws IOException {
-    Journal second = new Journal();
+  StubJournal copyOfJournal() throws IOException {
+    StubJournal second = new StubJournal();
     synchronized (journal) {
       second.entries.addAll(journal.entries);
     }
-    open.add(() -> second.server.stop(0));
+    resources.add(() -> second.server.stop(0));
     return second;
   }
 
   /** An address that refuses connections, and that nobody else takes meanwhile. */
   String refusingAddress() throws IOException {
     Socket reserved = new Socket();
-    open.add(reserved);
+    resources.add(reserved);
     reserved.bind(new InetSocketAddress(LOOPBACK, 0));
     return "127.0.0.1:" + reserved.getLocalPort();
   }
 
-  JournalRelay relay(Journal to) throws IOException {
+  JournalRelay relay(StubJournal to) throws IOException {
     JournalRelay relay = new JournalRelay(to);
-    open.add(relay);
+    resources.add(relay);
     return relay;
   }
 
@@ -634,7 +639,7 @@
   final class JournalRelay implements Closeable {
     private static final int CHUNK_BYTES = 65_536;
 
-    private final Journal to;
+    private final StubJournal to;
 
     /** Bound and never used: keeps the port while nothing listens there. */
     private final Socket reserved = new Socket();
@@ -650,13 +655,13 @@
      * Of so many connections one is served, with one reply, and the others are reset; 0: all are
      * served.
      */
-    volatile int crowd;
+    volatile int resetsAllButOneOf;
 
-    JournalRelay(Journal to) throws IOException {
+    JournalRelay(StubJournal to) throws IOException {
       this.to = to;
       reserved.setReuseAddress(true);
       reserved.bind(new InetSocketAddress(LOOPBACK, 0));
-      open();
+      listen();
     }
 
     String address() {
@@ -664,10 +669,10 @@
     }
 
     /** Listens, for the first time or again. */
-    void open() throws IOException {
+    void listen() throws IOException {
       ServerSocket listening = new ServerSocket();
       listening.setReuseAddress(true);
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
+      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
       while (!listening.isBound()) {
         try {
           listening.bind(new InetSocketAddress(LOOPBACK, reserved.getLocalPort()));
@@ -693,20 +698,20 @@
     }
 
     /** Refuses connections from now on, and resets those that are open. */
-    void leave() throws IOException {
+    void refuseConnections() throws IOException {
       server.close();
-      cut();
+      resetConnections();
     }
 
     /** Resets the connections that are open. */
-    void cut() throws IOException {
+    void resetConnections() throws IOException {
       for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
         reset(one);
       }
     }
 
     private void accepted(Socket from) throws IOException {
-      if (crowd > 0 && accepted++ % crowd != 0) {
+      if (resetsAllButOneOf > 0 && accepted++ % resetsAllButOneOf != 0) {
         reset(from);
         return;
       }
@@ -753,7 +758,7 @@
 
     @Override
     public void close() throws IOException {
-      leave();
+      refuseConnections();
       reserved.close();
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/PausingDecisions.java
+++ b/gateway/src/test/java/org/amberpath/gateway/PausingRouter.java
@@ -6,56 +6,56 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
-final class PausingDecisions implements BatchRouter {
+final class PausingRouter implements BatchRouter {
   /** The request at which it stands. */
-  static final String REF = "00000000000003e7";
+  static final String PAUSING_REQUEST_ID = "00000000000003e7";
 
-  private static final long PATIENCE_S = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
-  private final BatchRouter decisions;
-  private final CountDownLatch stands = new CountDownLatch(1);
+  private final BatchRouter router;
+  private final CountDownLatch paused = new CountDownLatch(1);
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  PausingDecisions(BatchRouter decisions) {
-    this.decisions = decisions;
+  PausingRouter(BatchRouter decisions) {
+    this.router = decisions;
   }
 
   @Override
   public void routeBatch(long now, RoutingEvents in, RoutingActions to) {
-    decisions.routeBatch(now, in, to);
+    router.routeBatch(now, in, to);
     if (armed) {
       armed = false;
-      stand();
+      pauseUntilResumed();
     }
   }
 
   /** Stands until {@link #resume}; called on the event loop. */
-  void stand() {
-    stands.countDown();
+  void pauseUntilResumed() {
+    paused.countDown();
     try {
-      resumed.await(PATIENCE_S, TimeUnit.SECONDS);
+      resumed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
   /** Makes the event loop stand still after a request of this client's. */
-  void pause(Client client) throws Exception {
+  void pauseAfterRequest(TestClient client) throws Exception {
     armed = true;
-    client.get(0x3e7, "parts", 4000, 0);
-    awaitStanding();
+    client.sendRequest(0x3e7, "parts", 4000, 0);
+    awaitPaused();
   }
 
-  void awaitStanding() throws InterruptedException {
-    assertTrue(stands.await(PATIENCE_S, TimeUnit.SECONDS));
+  void awaitPaused() throws InterruptedException {
+    assertTrue(paused.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
   void resume() {
@@ -63,13 +63,13 @@
   }
 
   /** Hears each event by its name, with its arguments. */
-  static RoutingEventHandler events(BiConsumer<String, Object[]> hear) {
+  static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> hear) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
-            PausingDecisions.class.getClassLoader(),
+            PausingRouter.class.getClassLoader(),
             new Class<?>[] {RoutingEventHandler.class},
-            (proxy, event, told) -> {
-              hear.accept(event.getName(), told);
+            (proxy, event, arguments) -> {
+              hear.accept(event.getName(), arguments);
               return null;
             });
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ProductionFaultsTest.java
@@ -17,14 +17,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
-import org.amberpath.gateway.StandIns.Journal;
-import org.amberpath.gateway.StandIns.JournalRelay;
-import org.amberpath.gateway.StandIns.Reaction;
-import org.amberpath.gateway.StandIns.Seen;
+import org.amberpath.gateway.GatewayTestbed.ClientAnswer;
+import org.amberpath.gateway.GatewayTestbed.CommandHandler;
+import org.amberpath.gateway.GatewayTestbed.JournalRelay;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.StubJournal;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
+import org.amberpath.gateway.GatewayTestbed.TimedCommand;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingActions;
@@ -54,106 +54,113 @@
   private static final int PARTS = 16;
 
   @TempDir private Path folder;
-  private StandIns world;
+  private GatewayTestbed testbed;
   private int number;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
+    testbed = new GatewayTestbed();
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   private static long millisSince(long nanos) {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
   }
 
-  private static String ref(int ofNumber) {
+  private static String requestId(int ofNumber) {
     return String.format("%016x", ofNumber);
   }
 
   private static void await(BooleanSupplier condition, String what) throws InterruptedException {
     long since = System.nanoTime();
     while (!condition.getAsBoolean()) {
-      assertTrue(millisSince(since) < TimeUnit.SECONDS.toMillis(StandIns.PATIENCE_S), what);
+      assertTrue(
+          millisSince(since) < TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS), what);
       Thread.sleep(BETWEEN_REQUESTS_MILLIS / 2);
     }
   }
 
   /** The wants among what came to caches, of one request. */
-  private static List<Seen> wants(List<List<Seen>> seen, int ofNumber) {
+  private static List<TimedCommand> attemptsOf(List<List<TimedCommand>> seen, int ofNumber) {
     return seen.stream()
         .flatMap(List::stream)
         .filter(
-            one -> one.want().word(0).equals("want") && one.want().word(1).equals(ref(ofNumber)))
+            one ->
+                one.command().element(0).equals("want")
+                    && one.command().element(1).equals(requestId(ofNumber)))
         .toList();
   }
 
-  private List<List<Seen>> reactAll(List<Cache> caches, Reaction reaction) {
-    List<List<Seen>> seen = new ArrayList<>();
-    for (Cache cache : caches) {
-      seen.add(world.react(cache, reaction));
+  private List<List<TimedCommand>> handleAll(List<StubCache> caches, CommandHandler reaction) {
+    List<List<TimedCommand>> seen = new ArrayList<>();
+    for (StubCache cache : caches) {
+      seen.add(testbed.handleCommands(cache, reaction));
     }
     return seen;
   }
 
-  private static void serve(Command want) throws Exception {
-    want.ok("part " + want.field("seg"));
+  private static void serve(ReceivedCommand command) throws Exception {
+    command.replyOk("part " + command.field("seg"));
   }
 
-  private static void hang(Command want) {}
+  private static void hang(ReceivedCommand command) {}
 
   /** One more request, which has to be served with the bytes of its part. */
-  private void askServed(Client client) throws Exception {
+  private void requestServed(TestClient client) throws Exception {
     int part = ++number % PARTS;
-    client.get(number, "parts", LONG_MILLIS, part);
-    Answer answer = client.answer();
+    client.sendRequest(number, "parts", LONG_MILLIS, part);
+    ClientAnswer answer = client.receive();
     assertEquals(null, answer.error(), "request " + number);
     assertEquals(
         "part " + part, new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
   }
 
   /** Asks for all parts in turn until the condition holds; every request has to be served. */
-  private void askUntil(Client client, BooleanSupplier done) throws Exception {
+  private void requestUntil(TestClient client, BooleanSupplier done) throws Exception {
     long since = System.nanoTime();
     while (!done.getAsBoolean()) {
       assertTrue(
-          millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(StandIns.PATIENCE_S),
+          millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
           "it never comes");
-      askServed(client);
+      requestServed(client);
       Thread.sleep(BETWEEN_REQUESTS_MILLIS);
     }
   }
 
-  private void askFor(Client client, long millis) throws Exception {
+  private void requestFor(TestClient client, long millis) throws Exception {
     long since = System.nanoTime();
-    askUntil(client, () -> millisSince(since) > millis);
+    requestUntil(client, () -> millisSince(since) > millis);
   }
 
   /**
    * Whatever else came for the connection's requests, nothing is left of it: the next answer is the
    * status.
    */
-  private static void assertNoFurtherAnswer(Client client) throws Exception {
-    assertEquals(9999, client.status().number());
+  private static void assertNoFurtherAnswer(TestClient client) throws Exception {
+    assertEquals(9999, client.requestStatus().messageId());
   }
 
   /** Drains c0 at a journal; all requests are served, and c0 gets its last one within the bound. */
-  private void assertDrainIsHeeded(
-      Journal at, Cache drained, List<Seen> seen, Client client, long withinMillis)
+  private void assertDrainTakesEffect(
+      StubJournal at,
+      StubCache drained,
+      List<TimedCommand> seen,
+      TestClient client,
+      long withinMillis)
       throws Exception {
     long before = System.nanoTime();
-    askUntil(
+    requestUntil(
         client,
         () ->
             seen.stream().anyMatch(one -> one.atNanos() > before)); // It has its part of the keys.
-    long told = System.nanoTime();
-    at.host("c0", drained.address(), "box", "draining");
+    long arguments = System.nanoTime();
+    at.listEndpoint("c0", drained.address(), "box", "draining");
     int[] seenAt = {seen.size(), number};
-    askUntil(
+    requestUntil(
         client,
         () -> { // Until each part has been asked for three times elsewhere.
           if (seen.size() > seenAt[0]) {
@@ -162,10 +169,10 @@
           }
           return number - seenAt[1] > 3 * PARTS;
         });
-    long last = seen.stream().mapToLong(Seen::atNanos).max().orElseThrow();
+    long last = seen.stream().mapToLong(TimedCommand::atNanos).max().orElseThrow();
     assertTrue(
-        last - told < TimeUnit.MILLISECONDS.toNanos(withinMillis),
-        "a request " + TimeUnit.NANOSECONDS.toMillis(last - told) + " ms after the drain");
+        last - arguments < TimeUnit.MILLISECONDS.toNanos(withinMillis),
+        "a request " + TimeUnit.NANOSECONDS.toMillis(last - arguments) + " ms after the drain");
   }
 
   // ---- New configurations in a row.
@@ -176,38 +183,37 @@
    */
   @ParameterizedTest
   @CsvSource({"silent, false", "unreachable, false", "refusing, false", "silent, true"})
-  void ofTwoNewConfigurationsInARowTheJournalOfTheLastIsFollowed(String first, boolean lastIsSlow)
-      throws Exception {
-    List<Cache> caches = world.start(folder, 2, world.journal.address());
-    List<List<Seen>> seen = reactAll(caches, ProductionFaultsTest::serve);
-    Journal between = world.secondJournal();
-    Journal last = world.secondJournal();
-    between.instead = "";
-    JournalRelay way = world.relay(last);
+  void lastOfTwoReloadsDeterminesTheJournal(String first, boolean lastIsSlow) throws Exception {
+    List<StubCache> caches = testbed.start(folder, 2, testbed.journal.address());
+    List<List<TimedCommand>> seen = handleAll(caches, ProductionFaultsTest::serve);
+    StubJournal between = testbed.copyOfJournal();
+    StubJournal last = testbed.copyOfJournal();
+    between.replyOverride = "";
+    JournalRelay way = testbed.relay(last);
     way.delayMillis = lastIsSlow ? 1000 : 0;
     String betweenAddress =
         switch (first) {
           case "silent" -> between.address();
-          case "unreachable" -> world.fullAddress();
-          default -> world.refusingAddress();
+          case "unreachable" -> testbed.fullAddress();
+          default -> testbed.refusingAddress();
         };
-    GatewayOptions one = world.options(folder, betweenAddress);
-    GatewayOptions two = world.options(folder, way.address());
-    world.gateway.reload(() -> one);
-    world.gateway.reload(() -> two);
-    String asked = last.polls.poll(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    GatewayOptions one = testbed.options(folder, betweenAddress);
+    GatewayOptions two = testbed.options(folder, way.address());
+    testbed.gateway.reload(() -> one);
+    testbed.gateway.reload(() -> two);
+    String asked = last.polls.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(asked);
     assertTrue(asked.startsWith("tail=3&"), asked);
-    Client client = world.client();
-    assertDrainIsHeeded(last, caches.get(0), seen.get(0), client, lastIsSlow ? 6000 : 2000);
-    between.instead = null;
-    between.host("c1", caches.get(1).address(), "box", "gone");
-    world.journal.host("c1", caches.get(1).address(), "box", "gone");
-    world.journal.polls.clear();
+    TestClient client = testbed.client();
+    assertDrainTakesEffect(last, caches.get(0), seen.get(0), client, lastIsSlow ? 6000 : 2000);
+    between.replyOverride = null;
+    between.listEndpoint("c1", caches.get(1).address(), "box", "gone");
+    testbed.journal.listEndpoint("c1", caches.get(1).address(), "box", "gone");
+    testbed.journal.polls.clear();
     between.polls.clear();
-    askFor(client, 500);
+    requestFor(client, 500);
     assertTrue(
-        world.journal.polls.isEmpty() && between.polls.isEmpty(),
+        testbed.journal.polls.isEmpty() && between.polls.isEmpty(),
         "journals that were left are not asked");
   }
 
@@ -218,28 +224,28 @@
    * seconds later.
    */
   @Test
-  void whileDiscoveryIsSlowRequestsAreServedAndADrainIsHeeded() throws Exception {
-    JournalRelay way = world.relay(world.journal);
+  void slowDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
+    JournalRelay way = testbed.relay(testbed.journal);
     way.delayMillis = 1000;
-    List<Cache> caches = world.start(folder, 2, way.address());
-    List<List<Seen>> seen = reactAll(caches, ProductionFaultsTest::serve);
-    assertDrainIsHeeded(world.journal, caches.get(0), seen.get(0), world.client(), 6000);
+    List<StubCache> caches = testbed.start(folder, 2, way.address());
+    List<List<TimedCommand>> seen = handleAll(caches, ProductionFaultsTest::serve);
+    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), testbed.client(), 6000);
   }
 
   /** Of four connections three are reset, and the fourth is served. */
   @Test
-  void whileDiscoveryIsCrowdedRequestsAreServedAndADrainIsHeeded() throws Exception {
-    JournalRelay way = world.relay(world.journal);
-    way.crowd = 4;
-    List<Cache> caches = world.start(folder, 2, way.address());
-    List<List<Seen>> seen = reactAll(caches, ProductionFaultsTest::serve);
-    Client client = world.client();
+  void overloadedDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
+    JournalRelay way = testbed.relay(testbed.journal);
+    way.resetsAllButOneOf = 4;
+    List<StubCache> caches = testbed.start(folder, 2, way.address());
+    List<List<TimedCommand>> seen = handleAll(caches, ProductionFaultsTest::serve);
+    TestClient client = testbed.client();
     for (int times = 0; times < 3; times++) {
-      way.cut();
-      askFor(client, 300);
+      way.resetConnections();
+      requestFor(client, 300);
     }
-    way.cut();
-    assertDrainIsHeeded(world.journal, caches.get(0), seen.get(0), client, 2000);
+    way.resetConnections();
+    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), client, 2000);
   }
 
   /**
@@ -250,25 +256,25 @@
    */
   @ParameterizedTest
   @CsvSource({"refuses, 2000", "silent, 6000"})
-  void whileDiscoveryIsAwayRequestsAreServedAndTheFirstDrainAfterItsReturnIsHeeded(
+  void unreachableDiscoveryServesRequestsAndTheFirstDrainAfterItsReturnTakesEffect(
       String how, long withinMillis) throws Exception {
-    JournalRelay way = world.relay(world.journal);
-    List<Cache> caches = world.start(folder, 2, way.address());
-    List<List<Seen>> seen = reactAll(caches, ProductionFaultsTest::serve);
-    Client client = world.client();
+    JournalRelay way = testbed.relay(testbed.journal);
+    List<StubCache> caches = testbed.start(folder, 2, way.address());
+    List<List<TimedCommand>> seen = handleAll(caches, ProductionFaultsTest::serve);
+    TestClient client = testbed.client();
     boolean refuses = how.equals("refuses");
     if (refuses) {
-      way.leave();
+      way.refuseConnections();
     } else {
-      world.journal.instead = "";
+      testbed.journal.replyOverride = "";
     }
-    askFor(client, 3000);
+    requestFor(client, 3000);
     if (refuses) {
-      way.open();
+      way.listen();
     } else {
-      world.journal.instead = null;
+      testbed.journal.replyOverride = null;
     }
-    assertDrainIsHeeded(world.journal, caches.get(0), seen.get(0), client, withinMillis);
+    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), client, withinMillis);
   }
 
   // ---- Shutdown.
@@ -276,44 +282,45 @@
   /** With endpoints that take requests and never answer, or whose connections never come up. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void cachesThatHangThroughAShutdownLeaveNoRequestUnansweredAndEndItInTime(
-      boolean connectionsComeUp) throws Exception {
-    List<List<Seen>> seen = List.of();
+  void shutdownWithHungCachesAnswersAllRequestsAndEndsInTime(boolean connectionsComeUp)
+      throws Exception {
+    List<List<TimedCommand>> seen = List.of();
     if (connectionsComeUp) {
-      List<Cache> caches = new ArrayList<>(world.start(folder, 2, world.journal.address()));
-      caches.add(world.origin);
-      seen = reactAll(caches, ProductionFaultsTest::hang);
+      List<StubCache> caches = new ArrayList<>(testbed.start(folder, 2, testbed.journal.address()));
+      caches.add(testbed.origin);
+      seen = handleAll(caches, ProductionFaultsTest::hang);
     } else {
-      world.journal.host("c0", world.fullAddress(), "box", "ready");
-      world.journal.host("o0", world.fullAddress(), "origin", "ready");
-      world.start(GatewayOptions.read(world.environment(folder)), null);
+      testbed.journal.listEndpoint("c0", testbed.fullAddress(), "box", "ready");
+      testbed.journal.listEndpoint("o0", testbed.fullAddress(), "origin", "ready");
+      testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
     }
-    Client before = world.client();
-    Client late = world.client();
-    assertTrue(before.status().status() && late.status().status());
+    TestClient before = testbed.client();
+    TestClient late = testbed.client();
+    assertTrue(before.requestStatus().isReady() && late.requestStatus().isReady());
     Map<Long, Long> deadlines = new ConcurrentHashMap<>();
     int[] allowed = {200, 900, 1700, 2500};
     for (int allow : allowed) {
-      ask(before, allow, deadlines);
+      requestEachClass(before, allow, deadlines);
     }
-    assertEquals(9999, before.status().number()); // They have been read.
+    assertEquals(9999, before.requestStatus().messageId()); // They have been read.
     long since = System.nanoTime();
-    var stopped = world.gateway.stop().toCompletionStage().toCompletableFuture();
+    var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     var answers =
         List.of(
-            world.threads.submit(() -> answers(before, deadlines)),
-            world.threads.submit(() -> answers(late, deadlines)));
+            testbed.threads.submit(() -> answers(before, deadlines)),
+            testbed.threads.submit(() -> answers(late, deadlines)));
     for (int allow : allowed) {
-      ask(late, allow, deadlines);
+      requestEachClass(late, allow, deadlines);
       Thread.sleep(50);
     }
     for (var one : answers) {
-      assertEquals(3 * allowed.length, one.get(StandIns.PATIENCE_S, TimeUnit.SECONDS).size());
+      assertEquals(
+          3 * allowed.length, one.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS).size());
     }
-    stopped.get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertTrue(millisSince(since) < 3700, "ended after " + millisSince(since) + " ms");
     for (int one = 1; one <= number; one++) {
-      assertTrue(wants(seen, one).size() <= MAX_ATTEMPTS);
+      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
     }
   }
 
@@ -321,36 +328,38 @@
    * The numbers that were answered, each once and in its time, until the gateway ends the
    * connection.
    */
-  private static Set<Long> answers(Client client, Map<Long, Long> deadlines) throws Exception {
+  private static Set<Long> answers(TestClient client, Map<Long, Long> deadlines) throws Exception {
     Set<Long> answered = new HashSet<>();
     while (!client.isClosed()) {
-      Answer answer = client.answer();
-      long over = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - deadlines.get(answer.number()));
+      ClientAnswer answer = client.receive();
+      long over =
+          TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - deadlines.get(answer.messageId()));
       assertNotNull(answer.error());
-      assertTrue(answered.add(answer.number()), "answered twice: " + answer.number());
+      assertTrue(answered.add(answer.messageId()), "answered twice: " + answer.messageId());
       assertTrue(
-          over < LATE_MILLIS, answer.number() + " answered " + over + " ms after its deadline");
+          over < LATE_MILLIS, answer.messageId() + " answered " + over + " ms after its deadline");
     }
     return answered;
   }
 
   /** A request of each class. */
-  private void ask(Client client, int allow, Map<Long, Long> deadlines) throws Exception {
+  private void requestEachClass(TestClient client, int allow, Map<Long, Long> deadlines)
+      throws Exception {
     for (String service : List.of("parts", "orders", "marks")) {
       deadlines.put((long) ++number, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(allow));
-      client.get(number, service, allow, number);
+      client.sendRequest(number, service, allow, number);
     }
   }
 
   // ---- Retries and hedged requests that fail at once.
 
-  private static Reaction failing(String how) {
+  private static CommandHandler failing(String how) {
     return switch (how) {
-      case "close" -> want -> want.from().close();
-      case "reset" -> Command::reset;
-      case "shut" -> want -> want.from().shutdownOutput();
+      case "close" -> command -> command.socket().close();
+      case "reset" -> ReceivedCommand::reset;
+      case "shut" -> command -> command.socket().shutdownOutput();
       case "serve" -> ProductionFaultsTest::serve;
-      default -> want -> want.answer(how, "-", new byte[0]);
+      default -> command -> command.reply(how, "-", new byte[0]);
     };
   }
 
@@ -363,18 +372,18 @@
     "stale, false",
     "nothing, false"
   })
-  void attemptsThatAllFailAtOnceEndInOneAnswerWithinTheBound(String how, boolean mayHaveRun)
+  void attemptsThatAllFailAtOnceEndInOneResponseWithinTheBound(String how, boolean mayHaveRun)
       throws Exception {
-    List<Cache> caches = new ArrayList<>(world.start(folder, 5, world.journal.address()));
-    caches.add(world.origin);
-    List<List<Seen>> seen = reactAll(caches, failing(how));
-    Client client = world.client();
+    List<StubCache> caches = new ArrayList<>(testbed.start(folder, 5, testbed.journal.address()));
+    caches.add(testbed.origin);
+    List<List<TimedCommand>> seen = handleAll(caches, failing(how));
+    TestClient client = testbed.client();
     for (int times = 0; times < 5; times++) {
       for (String service : List.of("parts", "orders", "marks")) {
         long since = System.nanoTime();
-        client.get(++number, service, LONG_MILLIS, times);
-        Answer answer = client.answer();
-        assertEquals(number, answer.number());
+        client.sendRequest(++number, service, LONG_MILLIS, times);
+        ClientAnswer answer = client.receive();
+        assertEquals(number, answer.messageId());
         assertNotNull(answer.error());
         assertTrue(
             millisSince(since) < LONG_MILLIS / 2, service + " after " + millisSince(since) + " ms");
@@ -386,26 +395,26 @@
     }
     for (int one = 1; one <= number; one++) {
       int most = one % 3 == 2 && mayHaveRun ? 1 : MAX_ATTEMPTS;
-      int attempts = wants(seen, one).size();
+      int attempts = attemptsOf(seen, one).size();
       assertTrue(attempts >= 1 && attempts <= most, attempts + " attempts of request " + one);
     }
   }
 
   @Test
-  void whereEveryConnectionIsRefusedEachRequestIsRejectedAtOnce() throws Exception {
+  void requestsAreRejectedAtOnceWhereEveryConnectionIsRefused() throws Exception {
     for (int at = 0; at < 5; at++) {
-      world.journal.host("c" + at, world.refusingAddress(), "box", "ready");
+      testbed.journal.listEndpoint("c" + at, testbed.refusingAddress(), "box", "ready");
     }
-    world.journal.host("o0", world.refusingAddress(), "origin", "ready");
-    world.start(GatewayOptions.read(world.environment(folder)), null);
-    Client client = world.client();
+    testbed.journal.listEndpoint("o0", testbed.refusingAddress(), "origin", "ready");
+    testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
+    TestClient client = testbed.client();
     for (int times = 0; times < 5; times++) {
       for (String service : List.of("parts", "orders", "marks")) {
         long since = System.nanoTime();
-        client.get(++number, service, LONG_MILLIS, times);
-        Answer answer = client.answer();
+        client.sendRequest(++number, service, LONG_MILLIS, times);
+        ClientAnswer answer = client.receive();
         assertEquals("Overloaded", answer.error(), "nothing ran of " + service + " " + number);
-        assertEquals(number, answer.number());
+        assertEquals(number, answer.messageId());
         assertTrue(
             millisSince(since) < LONG_MILLIS / 2, service + " after " + millisSince(since) + " ms");
         assertNoFurtherAnswer(client);
@@ -419,44 +428,44 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"close", "reset", "error", "refused"})
-  void whereHedgedRequestsFailAtOnceTheFirstAttemptsLaterAnswerIsReturned(String how)
-      throws Exception {
-    List<Command> waiting = new CopyOnWriteArrayList<>();
-    List<Cache> caches = world.start(folder, 3, world.journal.address());
+  void firstAttemptsLaterResponseIsReturnedWhereHedgedRequestsFail(String how) throws Exception {
+    List<ReceivedCommand> waiting = new CopyOnWriteArrayList<>();
+    List<StubCache> caches = testbed.start(folder, 3, testbed.journal.address());
     List<Set<String>> first = List.of(new HashSet<>());
-    Reaction reaction =
-        want -> {
+    CommandHandler reaction =
+        command -> {
           boolean isFirst;
           synchronized (first) {
-            isFirst = first.get(0).add(want.word(1));
+            isFirst = first.get(0).add(command.element(1));
           }
           if (isFirst) {
-            waiting.add(want);
+            waiting.add(command);
           } else {
-            failing(how).to(want);
+            failing(how).handle(command);
           }
         };
-    List<List<Seen>> seen = reactAll(caches, reaction);
-    Client client = world.client();
+    List<List<TimedCommand>> seen = handleAll(caches, reaction);
+    TestClient client = testbed.client();
     int together = 3;
     for (int one = 1; one <= together; one++) {
-      client.get(one, "parts", LONG_MILLIS, 0);
+      client.sendRequest(one, "parts", LONG_MILLIS, 0);
     }
     await(() -> waiting.size() == together, "the first attempts");
-    await(() -> wants(seen, 1).size() > 1 && wants(seen, 2).size() > 1, "hedged requests");
+    await(
+        () -> attemptsOf(seen, 1).size() > 1 && attemptsOf(seen, 2).size() > 1, "hedged requests");
     Thread.sleep(100); // They have failed meanwhile.
-    for (Command want : waiting) {
-      serve(want);
+    for (ReceivedCommand command : waiting) {
+      serve(command);
     }
     Set<Long> answered = new HashSet<>();
     for (int one = 1; one <= together; one++) {
-      Answer answer = client.answer();
+      ClientAnswer answer = client.receive();
       assertEquals(null, answer.error());
-      assertTrue(answered.add(answer.number()));
+      assertTrue(answered.add(answer.messageId()));
     }
     assertNoFurtherAnswer(client);
     for (int one = 1; one <= together; one++) {
-      assertTrue(wants(seen, one).size() <= MAX_ATTEMPTS);
+      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
     }
   }
 
@@ -475,31 +484,31 @@
     "error, true",
     "close, true"
   })
-  void requestsWithMillisecondsLeftGetOneAnswerAndNoAttemptOutlivesThem(String how, boolean warm)
+  void requestsWithMillisecondsLeftGetOneResponseAndNoAttemptOutlivesThem(String how, boolean warm)
       throws Exception {
-    List<Cache> caches = new ArrayList<>(world.start(folder, 2, world.journal.address()));
-    caches.add(world.origin);
+    List<StubCache> caches = new ArrayList<>(testbed.start(folder, 2, testbed.journal.address()));
+    caches.add(testbed.origin);
     int warmed = warm ? 2 * PARTS : 0;
-    Reaction reaction = how.equals("hang") ? ProductionFaultsTest::hang : failing(how);
-    List<List<Seen>> seen =
-        reactAll(
+    CommandHandler reaction = how.equals("hang") ? ProductionFaultsTest::hang : failing(how);
+    List<List<TimedCommand>> seen =
+        handleAll(
             caches,
-            want -> {
-              if (Integer.parseInt(want.word(1), 16) <= warmed) {
-                serve(want);
+            command -> {
+              if (Integer.parseInt(command.element(1), 16) <= warmed) {
+                serve(command);
               } else {
-                reaction.to(want);
+                reaction.handle(command);
               }
             });
-    Client client = world.client();
+    TestClient client = testbed.client();
     while (number < warmed) {
-      askServed(client);
+      requestServed(client);
     }
     for (int allow = 1; allow <= 5; allow++) {
       for (String service : List.of("parts", "orders", "marks")) {
         long since = System.nanoTime();
-        client.get(++number, service, allow, allow);
-        assertEquals(number, client.answer().number());
+        client.sendRequest(++number, service, allow, allow);
+        assertEquals(number, client.receive().messageId());
         assertTrue(
             millisSince(since) < LATE_MILLIS, service + " after " + millisSince(since) + " ms");
         assertNoFurtherAnswer(client);
@@ -507,22 +516,22 @@
       }
     }
     for (int one = warmed + 1; one <= number; one++) {
-      List<Seen> attempts = wants(seen, one);
+      List<TimedCommand> attempts = attemptsOf(seen, one);
       assertTrue(
           attempts.size() <= 1, attempts.size() + " attempts of a request with milliseconds left");
       if (how.equals("hang") && !attempts.isEmpty()) {
-        String ref = ref(one);
-        Command want = attempts.get(0).want();
-        assertTrue(Integer.parseInt(want.field("ms")) <= 5, want.word(2));
+        String ref = requestId(one);
+        ReceivedCommand command = attempts.get(0).command();
+        assertTrue(Integer.parseInt(command.field("ms")) <= 5, command.element(2));
         await(
             () ->
-                want.from().isClosed()
+                command.socket().isClosed()
                     || seen.stream()
                         .flatMap(List::stream)
                         .anyMatch(
                             other ->
-                                other.want().word(0).equals("never_mind")
-                                    && other.want().word(1).equals(ref)),
+                                other.command().element(0).equals("never_mind")
+                                    && other.command().element(1).equals(ref)),
             "given up: " + ref);
       }
     }
@@ -533,10 +542,10 @@
   /**
    * Until each request's connection has ended, and the gateway has read all connections after that.
    */
-  private void awaitRead(Client client, AtomicInteger ended) throws Exception {
+  private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
     await(() -> ended.get() == number, "an end for each request");
-    client.status();
-    client.status();
+    client.requestStatus();
+    client.requestStatus();
   }
 
   /**
@@ -546,31 +555,31 @@
    */
   @ParameterizedTest
   @CsvSource({"close, true", "reset, true", "shut, false"})
-  void aRequestAfterTheEndOfAnIdleConnectionIsServedOrNeverRepeated(String how, boolean crosses)
+  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(String how, boolean crosses)
       throws Exception {
     Map<Integer, Integer> runs = new ConcurrentHashMap<>();
     AtomicInteger ended = new AtomicInteger();
-    List<List<Seen>> seen =
-        reactAll(
-            world.start(folder, 3, world.journal.address()),
-            want -> {
-              runs.merge(Integer.parseInt(want.word(1), 16), 1, Integer::sum);
-              serve(want);
-              failing(how).to(want);
+    List<List<TimedCommand>> seen =
+        handleAll(
+            testbed.start(folder, 3, testbed.journal.address()),
+            command -> {
+              runs.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
+              serve(command);
+              failing(how).handle(command);
               ended.incrementAndGet();
             });
-    Client client = world.client();
+    TestClient client = testbed.client();
     for (int times = 0; times < 20; times++) {
       if (!crosses) {
         awaitRead(client, ended);
       }
-      askServed(client);
+      requestServed(client);
       if (!crosses) {
         awaitRead(client, ended);
       }
-      client.get(++number, "orders", LONG_MILLIS, number % PARTS);
-      Answer answer = client.answer();
-      assertEquals(number, answer.number());
+      client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
+      ClientAnswer answer = client.receive();
+      assertEquals(number, answer.messageId());
       int most = "Overloaded".equals(answer.error()) ? 0 : 1;
       assertTrue(
           runs.getOrDefault(number, 0) <= most,
@@ -581,7 +590,7 @@
     }
     assertNoFurtherAnswer(client);
     for (int one = 1; one <= number; one++) {
-      assertTrue(wants(seen, one).size() <= MAX_ATTEMPTS);
+      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
     }
   }
 
@@ -591,35 +600,35 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"parts", "orders"})
-  void aRequestOnAForgottenConnectionIsAnsweredInTimeAndTheNextIsServed(String service)
+  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String service)
       throws Exception {
     Set<Socket> forgotten = ConcurrentHashMap.newKeySet();
-    List<List<Seen>> seen =
-        reactAll(
-            world.start(folder, 2, world.journal.address()),
-            want -> {
-              if (want.word(1).equals(ref(2)) && forgotten.isEmpty()) {
-                forgotten.add(want.from());
+    List<List<TimedCommand>> seen =
+        handleAll(
+            testbed.start(folder, 2, testbed.journal.address()),
+            command -> {
+              if (command.element(1).equals(requestId(2)) && forgotten.isEmpty()) {
+                forgotten.add(command.socket());
               }
-              if (!forgotten.contains(want.from())) {
-                serve(want);
+              if (!forgotten.contains(command.socket())) {
+                serve(command);
               }
             });
-    Client client = world.client();
+    TestClient client = testbed.client();
     int allow = 1500;
-    client.get(++number, service, allow, 0);
-    assertEquals(null, client.answer().error());
+    client.sendRequest(++number, service, allow, 0);
+    assertEquals(null, client.receive().error());
     long since = System.nanoTime();
-    client.get(++number, service, allow, 0);
-    Answer answer = client.answer();
-    assertEquals(number, answer.number());
+    client.sendRequest(++number, service, allow, 0);
+    ClientAnswer answer = client.receive();
+    assertEquals(number, answer.messageId());
     assertTrue(millisSince(since) < allow + LATE_MILLIS);
     if (service.equals("orders")) {
-      assertEquals(1, wants(seen, number).size());
+      assertEquals(1, attemptsOf(seen, number).size());
       assertEquals("Internal", answer.error(), "it may have run");
     }
-    client.get(++number, service, allow, 0);
-    assertEquals(null, client.answer().error(), "on another connection");
+    client.sendRequest(++number, service, allow, 0);
+    assertEquals(null, client.receive().error(), "on another connection");
     assertNoFurtherAnswer(client);
   }
 
@@ -628,22 +637,21 @@
    * another.
    */
   @Test
-  void repeatableRequestsThatWaitTogetherOnForgottenConnectionsAreServedByRetries()
-      throws Exception {
+  void idempotentRequestsOnUnresponsiveConnectionsAreServedByRetries() throws Exception {
     Set<String> attempted = ConcurrentHashMap.newKeySet();
-    reactAll(
-        world.start(folder, 3, world.journal.address()),
-        want -> {
-          if (!attempted.add(want.word(1))) {
-            serve(want);
+    handleAll(
+        testbed.start(folder, 3, testbed.journal.address()),
+        command -> {
+          if (!attempted.add(command.element(1))) {
+            serve(command);
           }
         });
-    Client client = world.client();
+    TestClient client = testbed.client();
     for (int one = 0; one < 3; one++) {
-      client.get(++number, "parts", LONG_MILLIS, 0);
+      client.sendRequest(++number, "parts", LONG_MILLIS, 0);
     }
     for (int one = 0; one < 3; one++) {
-      assertEquals(null, client.answer().error());
+      assertEquals(null, client.receive().error());
     }
     assertNoFurtherAnswer(client);
   }
@@ -653,12 +661,12 @@
    * nothing of a fault.
    */
   @Test
-  void aRequestWhoseTimeEndsWhileItsConnectionComesUpEjectsNoEndpoint() throws Exception {
-    world.journal.host("c0", world.fullAddress(), "box", "ready");
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
+  void requestThatTimesOutWhileConnectingEjectsNoEndpoint() throws Exception {
+    testbed.journal.listEndpoint("c0", testbed.fullAddress(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
     RequestRouter router = new RequestRouter(options.routingConfig());
-    List<EndpointHealthStatus> told = new CopyOnWriteArrayList<>();
-    world.start(
+    List<EndpointHealthStatus> arguments = new CopyOnWriteArrayList<>();
+    testbed.start(
         options,
         (now, in, to) ->
             router.decide(
@@ -670,15 +678,15 @@
                         new Class<?>[] {RoutingActions.class},
                         (proxy, method, values) -> {
                           if (method.getName().equals("endpointHealthChanged")) {
-                            told.add((EndpointHealthStatus) values[1]);
+                            arguments.add((EndpointHealthStatus) values[1]);
                           }
                           return method.invoke(to, values);
                         })));
-    Client client = world.client();
-    client.get(1, "parts", 30, 0);
-    assertNotNull(client.answer().error());
-    client.status();
-    assertEquals(List.of(EndpointHealthStatus.HEALTHY), told, "as the list said at the start");
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", 30, 0);
+    assertNotNull(client.receive().error());
+    client.requestStatus();
+    assertEquals(List.of(EndpointHealthStatus.HEALTHY), arguments, "as the list said at the start");
   }
 
   /**
@@ -686,19 +694,19 @@
    * another is answered.
    */
   @Test
-  void aRepeatableRequestThatWaitsAloneOnAForgottenConnectionIsServedByARetry() throws Exception {
+  void singleIdempotentRequestOnAnUnresponsiveConnectionIsServedByARetry() throws Exception {
     Set<String> attempted = ConcurrentHashMap.newKeySet();
-    for (Cache cache : world.start(folder, 2, world.journal.address())) {
-      world.react(
+    for (StubCache cache : testbed.start(folder, 2, testbed.journal.address())) {
+      testbed.handleCommands(
           cache,
-          want -> {
-            if (!attempted.add(want.word(1))) {
-              want.ok("served");
+          command -> {
+            if (!attempted.add(command.element(1))) {
+              command.replyOk("served");
             }
           });
     }
-    Client client = world.client();
-    client.get(1, "parts", LONG_MILLIS, 0);
-    assertEquals(null, client.answer().error());
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", LONG_MILLIS, 0);
+    assertEquals(null, client.receive().error());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.gateway.transport.SingleEventLoopTransport;
 import org.amberpath.routing.AttemptCommand;
@@ -41,15 +41,15 @@
   private static final int CONNECTIONS = 40;
 
   @TempDir private Path folder;
-  private StandIns world;
-  private Cache cache;
+  private GatewayTestbed testbed;
+  private StubCache cache;
   private Vertx oneLoop;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
   }
 
   @AfterEach
@@ -57,7 +57,7 @@
     if (oneLoop != null) {
       oneLoop.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
     }
-    world.close();
+    testbed.close();
   }
 
   /** A gateway whose connections are accepted on its event loop, as those of the program are. */
@@ -67,13 +67,13 @@
             .withTransport(SingleEventLoopTransport.transport())
             .with(new VertxOptions().setEventLoopPoolSize(1))
             .build();
-    world.gateway =
+    testbed.gateway =
         new Gateway(
             oneLoop,
-            GatewayOptions.read(world.environment(folder)),
+            GatewayOptions.read(testbed.environment(folder)),
             GatewayExtensions.NONE,
             decisions);
-    world
+    testbed
         .gateway
         .start()
         .toCompletionStage()
@@ -83,39 +83,40 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"connected", "connecting", "half sent"})
-  void afterEventLoopLagACacheIsToldOfNoMoreTimeThanTheClientHas(String state) throws Exception {
-    PausingDecisions decisions =
-        new PausingDecisions(
+  void afterEventLoopLagACommandStatesNoMoreTimeThanTheClientHas(String state) throws Exception {
+    PausingRouter decisions =
+        new PausingRouter(
             (now, in, to) ->
                 in.replayTo(
-                    PausingDecisions.events(
-                        (name, told) -> {
+                    PausingRouter.recordingHandler(
+                        (name, arguments) -> {
                           if (name.equals(
                               "requestReceived")) { // With no limits, so that each comes to the
                             // cache.
                             to.sendAttempt(
                                 new AttemptCommand(
-                                    ((RequestDetails) told[0]).id(), 0, 0, 0, 0, 0, 0));
+                                    ((RequestDetails) arguments[0]).id(), 0, 0, 0, 0, 0, 0));
                           }
                         })));
     startOnOneLoop(decisions);
     byte[][] requests = new byte[CONNECTIONS][];
     for (int at = 0; at < CONNECTIONS; at++) {
       requests[at] =
-          Client.request(at + 1, "parts", Client.fields(at + 1, ALLOWANCE_MS, at + 1), new byte[0]);
+          TestClient.encodeRequest(
+              at + 1, "parts", TestClient.requestFields(at + 1, ALLOWANCE_MS, at + 1), new byte[0]);
     }
-    List<Client> clients = new ArrayList<>();
+    List<TestClient> clients = new ArrayList<>();
     for (int at = 0; at < CONNECTIONS && !state.equals("connecting"); at++) {
-      clients.add(world.client());
-      clients.get(at).status();
+      clients.add(testbed.client());
+      clients.get(at).requestStatus();
       if (state.equals("half sent")) {
         clients.get(at).send(Arrays.copyOf(requests[at], requests[at].length / 2));
       }
     }
-    decisions.pause(world.client());
+    decisions.pauseAfterRequest(testbed.client());
     for (int at = 0; at < CONNECTIONS; at++) {
       if (state.equals("connecting")) {
-        clients.add(world.client());
+        clients.add(testbed.client());
       }
       int begun = state.equals("half sent") ? requests[at].length / 2 : 0;
       clients.get(at).send(Arrays.copyOfRange(requests[at], begun, requests[at].length));
@@ -124,56 +125,57 @@
     Thread.sleep(LAG_MS);
     long most = ALLOWANCE_MS - (System.nanoTime() - sentBy) / 1_000_000 + TOLERANCE_MS;
     decisions.resume();
-    Map<String, Long> told = new ConcurrentHashMap<>();
-    world.inBackground(
+    Map<String, Long> arguments = new ConcurrentHashMap<>();
+    testbed.runInBackground(
         () -> {
           while (true) {
-            StandIns.Command command = cache.commands.take();
-            if (!command.word(1).equals(PausingDecisions.REF)) {
-              told.put(command.word(1), Long.parseLong(command.field("ms")));
-              command.ok("part");
+            GatewayTestbed.ReceivedCommand command = cache.commands.take();
+            if (!command.element(1).equals(PausingRouter.PAUSING_REQUEST_ID)) {
+              arguments.put(command.element(1), Long.parseLong(command.field("ms")));
+              command.replyOk("part");
             }
           }
         });
     int served = 0;
-    for (Client client : clients) { // On a machine that is busy all along some may be shed.
-      String error = client.answer().error();
+    for (TestClient client : clients) { // On a machine that is busy all along some may be shed.
+      String error = client.receive().error();
       served += error == null ? 1 : 0;
       assertTrue(error == null || error.equals("Overloaded"), error);
     }
     assertTrue(served > 0);
-    told.forEach((ref, left) -> assertTrue(left <= most, ref + " has " + left + " ms, of " + most));
+    arguments.forEach(
+        (ref, left) -> assertTrue(left <= most, ref + " has " + left + " ms, of " + most));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 5})
-  void aRequestWithHardlyAnyTimeLeftIsAnsweredOnceAndNeverSent(long allowance) throws Exception {
-    world.start(GatewayOptions.read(world.environment(folder)), null);
-    Client client = world.client();
-    client.get(1, "parts", allowance, 0);
-    assertEquals("Overloaded", client.answer().error());
-    assertTrue(client.status().status());
-    client.get(2, "parts", ALLOWANCE_MS, 0);
-    assertEquals("0000000000000002", cache.next().word(1));
+  void requestWithHardlyAnyTimeLeftIsAnsweredOnceAndNeverSent(long allowance) throws Exception {
+    testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", allowance, 0);
+    assertEquals("Overloaded", client.receive().error());
+    assertTrue(client.requestStatus().isReady());
+    client.sendRequest(2, "parts", ALLOWANCE_MS, 0);
+    assertEquals("0000000000000002", cache.nextCommand().element(1));
   }
 
   @Test
-  void whoseTimeWasOverBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
-    PausingDecisions decisions =
-        new PausingDecisions(
-            new RequestRouter(GatewayOptions.read(world.environment(folder)).routingConfig())
+  void requestThatExpiredBeforeItWasReadIsAnsweredAtOnceAndNeverSent() throws Exception {
+    PausingRouter decisions =
+        new PausingRouter(
+            new RequestRouter(GatewayOptions.read(testbed.environment(folder)).routingConfig())
                 ::decide);
-    world.start(GatewayOptions.read(world.environment(folder)), decisions);
-    Client client = world.client();
-    client.status();
-    decisions.pause(world.client());
-    client.get(1, "parts", LAG_MS / 3, 0);
+    testbed.start(GatewayOptions.read(testbed.environment(folder)), decisions);
+    TestClient client = testbed.client();
+    client.requestStatus();
+    decisions.pauseAfterRequest(testbed.client());
+    client.sendRequest(1, "parts", LAG_MS / 3, 0);
     Thread.sleep(LAG_MS);
     decisions.resume();
-    assertEquals("Overloaded", client.answer().error());
-    client.get(2, "parts", ALLOWANCE_MS, 0);
-    assertEquals(PausingDecisions.REF, cache.next().word(1));
-    assertEquals("0000000000000002", cache.next().word(1));
+    assertEquals("Overloaded", client.receive().error());
+    client.sendRequest(2, "parts", ALLOWANCE_MS, 0);
+    assertEquals(PausingRouter.PAUSING_REQUEST_ID, cache.nextCommand().element(1));
+    assertEquals("0000000000000002", cache.nextCommand().element(1));
   }
 
   /**
@@ -182,16 +184,16 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"round", "recursion", "assertion"})
-  void troubleFreesNoRequestOfItsAnswer(String trouble) throws Exception {
-    world.start(
-        GatewayOptions.read(world.environment(folder)),
+  void requestIsAnsweredInTimeWhateverFailsInTheRouter(String trouble) throws Exception {
+    testbed.start(
+        GatewayOptions.read(testbed.environment(folder)),
         (now, in, to) -> {
-          if (trouble.equals("round") && world.gateway.phase() == Gateway.Phase.SERVING) {
+          if (trouble.equals("round") && testbed.gateway.phase() == Gateway.Phase.SERVING) {
             throw new IllegalStateException("a round");
           }
           in.replayTo(
-              PausingDecisions.events(
-                  (name, told) -> {
+              PausingRouter.recordingHandler(
+                  (name, arguments) -> {
                     if (name.equals("requestReceived")) {
                       throw trouble.equals("recursion")
                           ? new StackOverflowError()
@@ -199,24 +201,26 @@
                     }
                   }));
         });
-    int held = world.gateway.resourceCount();
-    Client client = world.client();
+    int held = testbed.gateway.resourceCount();
+    TestClient client = testbed.client();
     long allowance = 500;
     long sent = System.nanoTime();
     client.send(
         concat(
-            Client.request(1, "parts", Client.fields(1, allowance, 1), new byte[0]),
-            Client.request(2, "parts", Client.fields(2, allowance, 2), new byte[0])));
+            TestClient.encodeRequest(
+                1, "parts", TestClient.requestFields(1, allowance, 1), new byte[0]),
+            TestClient.encodeRequest(
+                2, "parts", TestClient.requestFields(2, allowance, 2), new byte[0])));
     for (int answer = 0; answer < 2; answer++) {
-      assertNotNull(client.answer().error());
+      assertNotNull(client.receive().error());
     }
     long took = (System.nanoTime() - sent) / 1_000_000;
     assertTrue(took < 10 * allowance, took + " ms");
-    assertTrue(client.status().status());
+    assertTrue(client.requestStatus().isReady());
     client.close();
     for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        world.gateway.resourceCount() > held; ) {
-      assertTrue(System.nanoTime() < by, "held for ever: " + world.gateway.resourceCount());
+        testbed.gateway.resourceCount() > held; ) {
+      assertTrue(System.nanoTime() < by, "held for ever: " + testbed.gateway.resourceCount());
       Thread.sleep(20);
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -31,7 +31,7 @@
     "3000, 10",
     "3000, 40"
   })
-  void allStepsComeInOrderBeforeTheKill(long deadlineMillis, long lookMillis) {
+  void allStepsAreTakenInOrderBeforeSigkill(long deadlineMillis, long lookMillis) {
     long kill = deadlineMillis + 700;
     ShutdownSchedule schedule = new ShutdownSchedule(SIGTERM, deadlineMillis * MILLI);
     long rejected = -1;
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void whatOwesNothingIsHalfClosedOnceRequestsAreRejectedAndExitsOnceClientsCouldRead() {
+  void drainedGatewayHalfClosesOnceRequestsAreRejectedAndExitsAfterTheLinger() {
     ShutdownSchedule schedule = new ShutdownSchedule(0, 3000 * MILLI);
     assertFalse(schedule.halfCloses(740 * MILLI, true));
     assertTrue(schedule.halfCloses(750 * MILLI, true));
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aLoopThatStoodStillPastAllStepsDoesThemAtOnce() {
+  void allStepsAreTakenAtOnceAfterLagPastAllOfThem() {
     ShutdownSchedule schedule = new ShutdownSchedule(0, 100 * MILLI);
     long late = 900 * MILLI;
     assertTrue(
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -16,10 +16,10 @@
 import java.util.Map;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.GatewayTestbed.ClientAnswer;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -35,79 +35,80 @@
   private static final int RESTING = 6;
 
   @TempDir private Path folder;
-  private StandIns world;
+  private GatewayTestbed testbed;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
+    testbed = new GatewayTestbed();
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   @Test
-  void whatIsReadWhileAGatewayStopsIsAnsweredAndNothingIsReadAfterTheEnd() throws Exception {
-    Cache cache = world.start(folder);
-    Client busy = world.client();
-    busy.get(1, "parts", 2900, 0);
-    Command open = cache.next();
-    List<Client> resting = new ArrayList<>();
+  void requestsReadDuringShutdownAreAnsweredAndNothingIsReadAfterItsEnd() throws Exception {
+    StubCache cache = testbed.start(folder);
+    TestClient busy = testbed.client();
+    busy.sendRequest(1, "parts", 2900, 0);
+    ReceivedCommand open = cache.nextCommand();
+    List<TestClient> resting = new ArrayList<>();
     for (int one = 0; one < RESTING; one++) {
-      resting.add(world.client());
-      assertTrue(resting.get(one).status().status());
+      resting.add(testbed.client());
+      assertTrue(resting.get(one).requestStatus().isReady());
     }
-    var stopped = world.gateway.stop().toCompletionStage().toCompletableFuture();
+    var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     Thread.sleep(900); // Requests are rejected by now: the open one holds up the end.
     for (int number = 2; number < 30; number++) {
-      Answer answer = resting.get(number % RESTING).get(number, "parts", 1500, number).answer();
-      assertEquals(number, answer.number());
+      ClientAnswer answer =
+          resting.get(number % RESTING).sendRequest(number, "parts", 1500, number).receive();
+      assertEquals(number, answer.messageId());
       assertEquals("Overloaded", answer.error());
       assertTrue(Integer.parseInt(answer.fields().get("cooldown")) > 0);
     }
-    Answer late = world.client().get(30, "parts", 1500, 0).answer();
+    ClientAnswer late = testbed.client().sendRequest(30, "parts", 1500, 0).receive();
     assertEquals("Overloaded", late.error());
     assertNull(cache.commands.poll(), "forwarded while the gateway stops");
-    open.ok("open until now");
-    assertEquals("open until now", new String(busy.answer().body(), StandardCharsets.UTF_8));
-    for (Client one : resting) {
+    open.replyOk("open until now");
+    assertEquals("open until now", new String(busy.receive().body(), StandardCharsets.UTF_8));
+    for (TestClient one : resting) {
       assertTrue(one.isClosed());
-      one.get(31, "parts", 1500, 0); // Clients go on sending until they have heard.
+      one.sendRequest(31, "parts", 1500, 0); // Clients go on sending until they have heard.
     }
-    stopped.get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     CountDownLatch selected =
         new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
-    world.loop(() -> world.vertx.setTimer(20, later -> selected.countDown()));
-    assertTrue(selected.await(StandIns.PATIENCE_S, TimeUnit.SECONDS));
-    for (Client one : resting) {
+    testbed.runOnEventLoop(() -> testbed.vertx.setTimer(20, later -> selected.countDown()));
+    assertTrue(selected.await(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    for (TestClient one : resting) {
       assertThrows(
           IOException.class,
-          () -> one.get(32, "parts", 1500, 0),
+          () -> one.sendRequest(32, "parts", 1500, 0),
           "a request was read after the end");
     }
   }
 
   @Test
-  void withShortDeadlinesALateLoopEndsBeforeItsTimeIsCountedAnew() throws Exception {
-    Cache cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
-    Map<String, String> environment = world.environment(folder);
+  void lateEventLoopShortensTheShutdownWithShortDeadlines() throws Exception {
+    StubCache cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    Map<String, String> environment = testbed.environment(folder);
     Path file = Path.of(environment.get("PROXY_CONFIG"));
     Files.writeString(
         file,
         Files.readString(file).replace("\"target-s\":0.4", "\"target-s\":0.4,\"hard-limit-s\":1"));
-    world.start(GatewayOptions.read(environment), null);
-    Client client = world.client();
-    client.get(1, "parts", 9000, 0);
-    assertNotNull(cache.next());
-    world.loop(() -> pause(2000));
+    testbed.start(GatewayOptions.read(environment), null);
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", 9000, 0);
+    assertNotNull(cache.nextCommand());
+    testbed.runOnEventLoop(() -> pause(2000));
     long since = System.nanoTime();
-    var stopped = world.gateway.stop().toCompletionStage().toCompletableFuture();
+    var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     assertFalse(stopped.isDone());
-    stopped.get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+    stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     long took = (System.nanoTime() - since) / 1_000_000;
-    assertEquals("Internal", client.answer().error());
+    assertEquals("Internal", client.receive().error());
     assertTrue(
         took < 3200,
         "took " + took + " ms"); // A second and a half later, were the loop's lateness left out.
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -10,9 +10,9 @@
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.junit.jupiter.api.AfterEach;
@@ -30,9 +30,9 @@
   private static final long ACT = 400_000_000;
 
   @TempDir private Path folder;
-  private StandIns world;
-  private Cache cache;
-  private Client client;
+  private GatewayTestbed testbed;
+  private StubCache cache;
+  private TestClient client;
   private FleetCallbacks callbacks;
   private boolean draining;
 
@@ -65,14 +65,14 @@
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
-    world.journal.host("o0", world.cache().address(), "origin", "ready");
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    world.gateway =
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    testbed.journal.listEndpoint("o0", testbed.cache().address(), "origin", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
+    testbed.gateway =
         new Gateway(
-            world.vertx,
+            testbed.vertx,
             options,
             new GatewayExtensions(
                 null,
@@ -80,18 +80,18 @@
                   callbacks = to;
                   return new IdleCoordinator();
                 }));
-    world
+    testbed
         .gateway
         .start()
         .toCompletionStage()
         .toCompletableFuture()
-        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
-    client = world.client();
+        .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    client = testbed.client();
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   private CompletableFuture<FleetCallbacks.SyntheticOutcome> own(String id) {
@@ -101,43 +101,43 @@
   }
 
   private void viewed() throws Exception {
-    client.get(1, "parts", 1500, 3);
-    cache.next().ok("part");
-    assertEquals(1, client.answer().number());
+    client.sendRequest(1, "parts", 1500, 3);
+    cache.nextCommand().replyOk("part");
+    assertEquals(1, client.receive().messageId());
   }
 
   @Test
-  void aHealthCheckRepeatsAClientsRequestUnderANewReference() throws Exception {
+  void healthCheckRepeatsAClientsRequestUnderANewId() throws Exception {
     assertFalse(
         callbacks.sendSyntheticRequest("c0", ACT, end -> {}), "nobody has asked for anything yet");
     viewed();
     assertFalse(callbacks.sendSyntheticRequest("c9", ACT, end -> {}), "there is no such cache");
     CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
-    Command want = cache.next();
-    assertNotEquals("0000000000000001", want.word(1));
+    ReceivedCommand command = cache.nextCommand();
+    assertNotEquals("0000000000000001", command.element(1));
     assertEquals(
-        "kind=parts,obj=" + StandIns.OBJECT + ",seg=3,f=join+held",
-        want.word(2).replaceFirst("ms=\\d+,", ""));
-    want.answer("nothing", "res=n", new byte[0]);
+        "kind=parts,obj=" + GatewayTestbed.OBJECT_ID + ",seg=3,f=join+held",
+        command.element(2).replaceFirst("ms=\\d+,", ""));
+    command.reply("nothing", "res=n", new byte[0]);
     assertEquals(
         FleetCallbacks.SyntheticOutcome.ANSWERED,
         end.get(5, TimeUnit.SECONDS),
         "that it has not the part is an answer too");
-    client.get(2, "parts", 1500, 3);
-    cache.next().ok("next");
-    assertEquals(2, client.answer().number(), "the client has heard of nothing but its own");
+    client.sendRequest(2, "parts", 1500, 3);
+    cache.nextCommand().replyOk("next");
+    assertEquals(2, client.receive().messageId(), "the client has heard of nothing but its own");
   }
 
   @Test
-  void oneWithoutAResponseTimesOutAndIsNotRetried() throws Exception {
+  void unansweredSyntheticRequestTimesOutAndIsNotRetried() throws Exception {
     viewed();
     long began = System.nanoTime();
     CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
-    cache.next();
+    cache.nextCommand();
     assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, end.get(5, TimeUnit.SECONDS));
     assertTrue(System.nanoTime() - began < 2 * ACT);
-    Command next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
-    assertTrue(next == null || !next.word(0).equals("want"), "nothing but that it is given up");
+    ReceivedCommand next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
+    assertTrue(next == null || !next.element(0).equals("want"), "nothing but that it is given up");
     assertEquals(
         FleetCallbacks.SyntheticOutcome.NOT_SENT,
         own("o0").get(5, TimeUnit.SECONDS),
@@ -145,12 +145,12 @@
   }
 
   @Test
-  void aShutdownNotifiesTheCoordinatorAndWaitsForNoSyntheticRequest() throws Exception {
+  void shutdownNotifiesTheCoordinatorAndWaitsForNoSyntheticRequest() throws Exception {
     viewed();
     assertTrue(callbacks.sendSyntheticRequest("c0", ACT, end -> {}));
-    cache.next();
+    cache.nextCommand();
     long began = System.nanoTime();
-    world.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    testbed.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     assertTrue(draining);
     assertFalse(callbacks.sendSyntheticRequest("c0", ACT, late -> {}), "nothing is begun any more");
     assertTrue(System.nanoTime() - began < 3_000_000_000L);
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -31,10 +31,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Predicate;
-import org.amberpath.gateway.StandIns.Answer;
-import org.amberpath.gateway.StandIns.Cache;
-import org.amberpath.gateway.StandIns.Client;
-import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.gateway.GatewayTestbed.ClientAnswer;
+import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
+import org.amberpath.gateway.GatewayTestbed.StubCache;
+import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.transport.AcceptLimit;
 import org.amberpath.gateway.transport.SingleEventLoopTransport;
 import org.amberpath.gateway.transport.SystemCalls;
@@ -143,51 +143,51 @@
   @TempDir private Path folder;
   private final Failing calls = new Failing();
   private final Queue<AttemptOutcome> outcomes = new ConcurrentLinkedQueue<>();
-  private StandIns world;
+  private GatewayTestbed testbed;
   private Vertx vertx;
-  private Cache cache;
+  private StubCache cache;
 
   @BeforeEach
   void start() throws Exception {
-    world = new StandIns();
+    testbed = new GatewayTestbed();
     vertx =
         Vertx.builder()
             .withTransport(SingleEventLoopTransport.transport(calls))
             .with(new VertxOptions().setEventLoopPoolSize(1))
             .build();
-    cache = world.cache();
-    world.journal.host("c0", cache.address(), "box", "ready");
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
   }
 
   @AfterEach
   void end() throws Exception {
-    world.close();
+    testbed.close();
     vertx
         .close()
         .toCompletionStage()
         .toCompletableFuture()
-        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+        .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private Client serve() throws Exception {
-    serve(GatewayOptions.read(world.environment(folder)));
-    return world.client();
+  private TestClient serve() throws Exception {
+    serve(GatewayOptions.read(testbed.environment(folder)));
+    return testbed.client();
   }
 
   private void serve(GatewayOptions options) throws Exception {
     RequestRouter control = new RequestRouter(options.routingConfig());
-    world.gateway =
+    testbed.gateway =
         new Gateway(
             vertx,
             options,
             GatewayExtensions.NONE,
             (now, in, to) -> control.decide(now, events -> in.replayTo(heard(events)), to));
-    world
+    testbed
         .gateway
         .start()
         .toCompletionStage()
         .toCompletableFuture()
-        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+        .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   /** Notes how each attempt ended before the decisions hear of it. */
@@ -196,15 +196,15 @@
         Proxy.newProxyInstance(
             SystemCallFailuresTest.class.getClassLoader(),
             new Class<?>[] {RoutingEventHandler.class},
-            (proxy, event, told) -> {
+            (proxy, event, arguments) -> {
               if (event.getName().equals("attemptEnded")) {
-                outcomes.add(((AttemptResult) told[0]).outcome());
+                outcomes.add(((AttemptResult) arguments[0]).outcome());
               }
-              return event.invoke(to, told);
+              return event.invoke(to, arguments);
             });
   }
 
-  private static String text(Answer answer) {
+  private static String text(ClientAnswer answer) {
     assertNull(answer.error());
     return new String(answer.body(), StandardCharsets.UTF_8);
   }
@@ -218,14 +218,13 @@
         "Cannot allocate memory",
         "Software caused connection abort"
       })
-  void afterAFailedAcceptTheNextIsTriedWithinMillisecondsAndInNoBusyLoop(String text)
-      throws Exception {
+  void failedAcceptIsRetriedWithinMillisecondsWithoutABusyLoop(String text) throws Exception {
     serve();
     calls.failure = new IOException(text);
     calls.accepts.set(0);
     calls.acceptFailures = 6;
     long began = System.nanoTime();
-    assertEquals(9999, world.client().status().number());
+    assertEquals(9999, testbed.client().requestStatus().messageId());
     long tookMillis = (System.nanoTime() - began) / 1_000_000;
     assertTrue(
         tookMillis >= 10 + 20 + 40 + 80 + 100 + 100 && tookMillis < 3000, tookMillis + " ms");
@@ -233,7 +232,7 @@
   }
 
   @Test
-  void aConnectionThatWaitedThroughAPauseSaysForHowLongAndTheNextDoesNot() throws Exception {
+  void connectionStatesForHowLongItWaitedInThePausedAcceptQueue() throws Exception {
     Queue<Long> waited = new ConcurrentLinkedQueue<>();
     SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
     int port =
@@ -243,23 +242,23 @@
             .listen(0, "127.0.0.1")
             .toCompletionStage()
             .toCompletableFuture()
-            .get(StandIns.PATIENCE_S, TimeUnit.SECONDS)
+            .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .actualPort();
     calls.acceptFailures = 4;
-    world.client(port);
-    world.client(port);
+    testbed.client(port);
+    testbed.client(port);
     await(() -> waited.size() == 2);
     for (int connection = 0; connection < 2; connection++) {
       assertTrue(waited.remove() >= 150_000_000);
     }
-    world.client(port);
+    testbed.client(port);
     await(() -> waited.size() == 1);
     assertEquals(0, waited.remove());
   }
 
   private static void await(java.util.function.BooleanSupplier condition)
       throws InterruptedException {
-    long until = System.nanoTime() + StandIns.PATIENCE_S * 1_000_000_000L;
+    long until = System.nanoTime() + GatewayTestbed.TIMEOUT_SECONDS * 1_000_000_000L;
     while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < until, "it did not come");
       Thread.sleep(1);
@@ -275,98 +274,98 @@
     "false, Network is unreachable",
     "false, Cannot assign requested address"
   })
-  void aConnectThatFailsHereIsTriedAgainAndSaysNothingOfTheEndpoint(boolean open, String text)
+  void connectThatFailsLocallyIsRetriedAndNotBlamedOnTheEndpoint(boolean open, String text)
       throws Exception {
-    Client client = serve();
+    TestClient client = serve();
     calls.failure =
         text.startsWith("Cannot assign") ? new BindException(text) : new SocketException(text);
     calls.opens.set(0);
     calls.connects.set(0);
     calls.openFailures = open ? 3 : 0;
     calls.connectFailures = open ? 0 : 3;
-    client.get(1, "orders", 5000, 0);
-    cache.next().ok("served");
-    assertEquals("served", text(client.answer()));
+    client.sendRequest(1, "orders", 5000, 0);
+    cache.nextCommand().replyOk("served");
+    assertEquals("served", text(client.receive()));
     await(() -> !outcomes.isEmpty());
     assertEquals("[SUCCEEDED]", outcomes.toString());
   }
 
   @Test
-  void whatCantBeConnectedToFromHereForLongIsAnsweredByAnotherEndpoint() throws Exception {
-    Cache other = world.cache();
-    world.journal.host("c1", other.address(), "box", "ready");
-    Client client = serve();
+  void requestIsServedByAnotherEndpointWhereConnectsFailLocallyForLong() throws Exception {
+    StubCache other = testbed.cache();
+    testbed.journal.listEndpoint("c1", other.address(), "box", "ready");
+    TestClient client = serve();
     int[] only = {0};
     calls.ports = port -> (only[0] = only[0] == 0 ? port : only[0]) == port;
     calls.connects.set(0);
     calls.connectFailures = FOREVER;
-    client.get(1, "orders", 5000, 0);
+    client.sendRequest(1, "orders", 5000, 0);
     await(() -> !cache.commands.isEmpty() || !other.commands.isEmpty());
-    Command sent = cache.commands.isEmpty() ? other.next() : cache.next();
-    assertFalse(sent.from().getLocalPort() == only[0]);
-    sent.ok("served");
-    assertEquals("served", text(client.answer()));
+    ReceivedCommand sent = cache.commands.isEmpty() ? other.nextCommand() : cache.nextCommand();
+    assertFalse(sent.socket().getLocalPort() == only[0]);
+    sent.replyOk("served");
+    assertEquals("served", text(client.receive()));
     await(() -> outcomes.size() == 2);
     assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
     assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
   }
 
   @Test
-  void anAttemptWhoseTimeEndsWhileConnectsFailHereIsHeldAgainstNoEndpoint() throws Exception {
-    Client client = serve();
+  void attemptThatTimesOutWhileConnectsFailLocallyIsBlamedOnNoEndpoint() throws Exception {
+    TestClient client = serve();
     calls.connects.set(0);
     calls.connectFailures = FOREVER;
-    client.get(1, "orders", 120, 0);
-    assertNotNull(client.answer().error());
+    client.sendRequest(1, "orders", 120, 0);
+    assertNotNull(client.receive().error());
     await(() -> !outcomes.isEmpty());
     assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
     calls.connectFailures = 0;
-    client.get(2, "orders", 5000, 0);
-    cache.next().ok("served");
-    assertEquals("served", text(client.answer()));
+    client.sendRequest(2, "orders", 5000, 0);
+    cache.nextCommand().replyOk("served");
+    assertEquals("served", text(client.receive()));
   }
 
   @Test
-  void aRefusedConnectIsStillHeldAgainstItsEndpoint() throws Exception {
-    Client client = serve();
+  void refusedConnectIsBlamedOnItsEndpoint() throws Exception {
+    TestClient client = serve();
     calls.failure = new ConnectException("Connection refused");
     calls.connects.set(0);
     calls.connectFailures = FOREVER;
-    client.get(1, "orders", 5000, 0);
-    assertEquals("Overloaded", client.answer().error());
+    client.sendRequest(1, "orders", 5000, 0);
+    assertEquals("Overloaded", client.receive().error());
     assertTrue(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"Connection timed out", "No route to host", "Connection reset by peer"})
-  void aConnectionThatFailsUnderARequestMayHaveRunIt(String text) throws Exception {
-    Client client = serve();
-    client.get(1, "orders", 5000, 0);
-    Command sent = cache.next();
+  void connectionThatFailsUnderARequestMayHaveExecutedIt(String text) throws Exception {
+    TestClient client = serve();
+    client.sendRequest(1, "orders", 5000, 0);
+    ReceivedCommand sent = cache.nextCommand();
     calls.readFailure =
         text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
-    sent.ok("read by nobody");
-    assertEquals("Internal", client.answer().error());
+    sent.replyOk("read by nobody");
+    assertEquals("Internal", client.receive().error());
     assertEquals("[CONNECTION_LOST]", outcomes.toString());
   }
 
   @Test
   void shortAndInterruptedReadsAndWritesChangeNothing() throws Exception {
-    Client client = serve();
+    TestClient client = serve();
     calls.little = true;
-    client.get(1, "orders", 9000, 0);
+    client.sendRequest(1, "orders", 9000, 0);
     String part = "p".repeat(3000);
-    cache.next().ok(part);
-    assertEquals(part, text(client.answer()));
+    cache.nextCommand().replyOk(part);
+    assertEquals(part, text(client.receive()));
   }
 
   @Test
-  void aJournalThatCouldNotBeAskedForWantOfSomethingHereIsWaitedFor() throws Exception {
-    GatewayOptions options = GatewayOptions.read(world.environment(folder));
-    int journal = world.journal.server.getAddress().getPort();
+  void journalThatCannotBePolledForALocalFailureIsWaitedFor() throws Exception {
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
+    int journal = testbed.journal.server.getAddress().getPort();
     calls.ports = port -> port == journal;
     calls.connectFailures = 3;
     serve(options);
-    assertNotNull(world.journal.polls.poll(), "it serves by what it knew, and never asked");
+    assertNotNull(testbed.journal.polls.poll(), "it serves by what it knew, and never asked");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -34,16 +34,16 @@
   @TempDir private Path folder;
   private final AtomicLong step = new AtomicLong();
   private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-  private StandIns world;
+  private GatewayTestbed testbed;
 
   @BeforeEach
   void open() throws Exception {
-    world = new StandIns();
+    testbed = new GatewayTestbed();
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   private void start() throws Exception {
@@ -68,37 +68,38 @@
                           }
                           return null;
                         }));
-    world.gateway =
+    testbed.gateway =
         new Gateway(
-            world.vertx,
-            GatewayOptions.read(world.environment(folder)),
+            testbed.vertx,
+            GatewayOptions.read(testbed.environment(folder)),
             GatewayExtensions.NONE,
             decisions,
             new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
-    world
+    testbed
         .gateway
         .start()
         .toCompletionStage()
         .toCompletableFuture()
-        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+        .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private Told next(String what) throws InterruptedException {
     Told next;
     do {
-      next = told.poll(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+      next = told.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertNotNull(next, "nothing was told of " + what);
     } while (!next.what.equals(what));
     return next;
   }
 
   private void purge() {
-    world.journal.add("\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
+    testbed.journal.addEntry(
+        "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
   }
 
   /** Tells of a cache, with a start so long ago by a clock that does not step. */
   private void cache(String id, String state, long startedAtMs) throws Exception {
-    world.journal.add(
+    testbed.journal.addEntry(
         "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
             + id
             + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"box\",\"cell\":0,"
@@ -111,7 +112,7 @@
 
   @ParameterizedTest
   @CsvSource({"3600000, false", "3600000, true", "-3600000, false", "-3600000, true"})
-  void aPurgeAndAStartThatAreHeardOfAreAsYoungAsTheyCanBe(long ms, boolean beforeTheStart)
+  void listedPurgesAndStartsAreAsRecentAsTheyCanBe(long ms, boolean beforeTheStart)
       throws Exception {
     step.set(beforeTheStart ? ms : 0);
     start();
@@ -125,7 +126,7 @@
   }
 
   @Test
-  void aStartThatWasToldOfStaysWhereItWas() throws Exception {
+  void listedStartStaysWhereItWas() throws Exception {
     long longAgo = System.currentTimeMillis() - HOUR_MS;
     cache("c1", "ready", longAgo);
     start();
@@ -138,7 +139,7 @@
   }
 
   @Test
-  void aStartKnownFromBeforeIsColdOnceAPurgeBeliesTheClock() throws Exception {
+  void knownStartIsCorrectedOnceAPurgeContradictsTheClock() throws Exception {
     step.set(HOUR_MS);
     cache("c1", "ready", System.currentTimeMillis());
     start();
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -28,7 +28,7 @@
   private final List<AttemptOutcome> outcomes = new ArrayList<>();
 
   @Test
-  void aForwardWhoseClientLeftWhileItWaitedIsNeverSent() throws Exception {
+  void waitingCommandWhoseClientDisconnectedIsNeverSent() throws Exception {
     Vertx vertx = Vertx.vertx();
     NetClient client = vertx.createNetClient();
     try {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void behindBytesThatAPeerDoesNotReadNothingIsSent() throws Exception {
+  void noCommandIsSentBehindBytesThatAPeerDoesNotRead() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (ServerSocket cache = new ServerSocket()) {
       cache.setReceiveBufferSize(4096);
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -31,7 +31,7 @@
     "No route to host, UNREACHABLE",
     "Connection reset by peer, OTHER"
   })
-  void whatTheSystemSaysIsClassifiedThroughWrappersAndAddresses(String text, ConnectFailure kind) {
+  void failuresAreClassifiedThroughWrappersAndAddresses(String text, ConnectFailure kind) {
     assertEquals(kind, ConnectFailure.of(new ConnectException(text + ": /127.0.0.1:6379")));
     assertEquals(
         kind,
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void classesTellWhereTextsAreInAnotherLanguage() {
+  void exceptionClassesDecideWhereTextsAreInAnotherLanguage() {
     assertEquals(
         ConnectFailure.LOCAL_NETWORK,
         ConnectFailure.of(
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void pausesDoubleUpToABoundAndBeginAnewOnceACallGotThrough() {
+  void backoffDoublesUpToABoundAndRestartsAfterASuccess() {
     LocalBackoff backoff = new LocalBackoff();
     for (long pause : new long[] {10, 20, 40, 80}) {
       assertEquals(pause, backoff.attemptFailed());
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -47,7 +47,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 5, 1000})
-  void repliesComeWholeHoweverTheyAreCut(int size) {
+  void repliesAreCompleteHoweverTheyAreSplit(int size) {
     String first = "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n";
     String second = "*2\r\n$2\r\nid\r\n$0\r\n\r\n";
     read(first + second, size);
@@ -69,7 +69,7 @@
         "*1\r\n$1\r\nabc",
         "*"
       })
-  void whatIsNoArrayOfBulkStringsIsAProtocolError(String text) {
+  void anythingButAnArrayOfBulkStringsIsAProtocolError(String text) {
     read(text + (text.equals("*") ? "1".repeat(200) : ""), 3);
     read("*1\r\n$2\r\nok\r\n", 100);
     assertEquals(1, protocolErrors.size());
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void theWarmUpParsesWhatItPlays() {
+  void warmUpParsesWhatItEncodes() {
     assertEquals(20, ReplyWarmUp.play(20));
   }
 
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void whatWaitsForAConnectionWhenItsCacheDrainsIsNeverSent() {
+  void commandWaitingForAConnectionIsNeverSentWhereItsCacheDrains() {
     Promise<NetSocket> connection = Promise.promise();
     NetClient client =
         (NetClient)
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -37,7 +37,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 64, 4000})
-  void messagesComeWholeHoweverTheyAreCut(int size) {
+  void messagesAreCompleteHoweverTheyAreSplit(int size) {
     byte[] all =
         HexFormat.of()
             .parseHex("9301a3616263c4020d0a" + "94000793c0c2c380" + "c0" + "dd00000002a0c400");
@@ -52,7 +52,7 @@
 
   @ParameterizedTest
   @CsvSource({"d9, c4, 81", "da00, c500, de0001", "db000000, c6000000, df00000001"})
-  void everyWidthOfAStringABinAndAMapIsRead(String string, String bin, String map)
+  void everyWidthOfStringsBinariesAndMapsIsRead(String string, String bin, String map)
       throws Exception {
     String fields = map.substring(0, map.length() - 1) + "6";
     StringBuilder hex = new StringBuilder(fields);
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void aMessageLongerThanAnyClientSendsIsNotWaitedFor() {
+  void tooLongMessageIsRejectedWhenItIsDeclared() {
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("92c67fffff")));
     assertTrue(protocolErrors.isEmpty());
     reader.handle(Buffer.buffer(new byte[1]));
@@ -89,7 +89,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"91", "8100", "dd7fffffff", "df7fffffff"})
-  void nestingAndManyValuesAreNotFollowedForEver(String part) {
+  void deepNestingAndTooManyValuesAreRejected(String part) {
     for (int at = 0; at < 600; at++) {
       reader.handle(Buffer.buffer(HexFormat.of().parseHex(part)));
     }
@@ -97,12 +97,12 @@
   }
 
   @Test
-  void theWarmUpDecodesWhatItPlays() {
+  void warmUpDecodesWhatItEncodes() {
     assertEquals(20, RequestWarmUp.play(20));
   }
 
   @Test
-  void nothingIsReadAfterSomethingUnreadable() throws IOException {
+  void nothingIsReadAfterAProtocolError() throws IOException {
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("c1")));
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("c0")));
     assertEquals(1, protocolErrors.size());
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -60,13 +60,13 @@
     "'C-a Cb Ca,c Cd', changes -a b listed changes a c d listed",
     "C-a C-a P Ca, changes -a -a listed purge changes a listed"
   })
-  void aRunOfChangesIsOneListing(String entries, String listings) throws Exception {
+  void runOfChangesIsOneList(String entries, String listings) throws Exception {
     new JournalDecoder(new Ignored()).play(reply(entries), new Listener(""));
     assertEquals(listings, String.join(" ", told));
   }
 
   @Test
-  void whatCameBeforeAMemberThatCannotBeUsedCounts() throws Exception {
+  void changesBeforeAnInvalidEndpointArePlayed() throws Exception {
     JsonReader reply = reply("Ca Cbad Cc");
     JournalDecoder decoder = new JournalDecoder(new Ignored());
     assertThrows(
