--- a/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
@@ -24,7 +24,7 @@
         "{'listen':'127.0.0.1:1','seed':'ff','settings':{}}  | configuration settings | my-zone ",
         "[]                                                  | \"\"                   | \"\"      "
       })
-  void nameTheirPlace(String json, String section, String key) throws Exception {
+  void invalidSettingsNameTheirPlace(String json, String section, String key) throws Exception {
     Path file = folder.resolve("gateway.json");
     Files.writeString(file, json.replace('\'', '"'));
     InvalidSettingsException invalid =
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anOrderIsForwardedAndTheEndOfInputEndsWithZero() throws IOException {
+  void requestIsForwardedAndTheEndOfInputExitsWithZero() throws IOException {
     assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP + "," + ORDER)));
     String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", -1);
     assertEquals("{\"parts\":[]}", replies[0]);
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void whatCameBeforeAStartInTheSameRoundIsNotAnswered() throws IOException {
+  void eventsBeforeAStartInTheSameRoundAreIgnored() throws IOException {
     run(batch(UP), batch(ORDER + ",{\"verb\":\"stop\"}," + UP));
     assertFalse(out.toString(StandardCharsets.UTF_8).contains("op-id"));
   }
@@ -76,7 +76,7 @@
         "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
             + "| field 'cache' is no known"
       })
-  void whatIsNotAsAgreedEndsWithOnePlainMessage(String line, String message) throws IOException {
+  void invalidInputExitsWithOnePlainMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
     String said = err.toString(StandardCharsets.UTF_8);
     assertTrue(said.contains(message), said);
