--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -14,9 +14,11 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
-import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
-import org.amberpath.gateway.GatewayTestbed.TimedCommand;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
+import org.amberpath.gateway.testsupport.TimedCommand;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -46,7 +48,7 @@
   @BeforeEach
   void start() throws Exception {
     testbed = new GatewayTestbed();
-    GatewayTestbed.StubCache cache = testbed.cache();
+    StubCache cache = testbed.cache();
     for (int at = 0; at < CACHES; at++) {
       testbed.journal.listEndpoint("c" + at, cache.address(), "box", "ready");
     }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -15,13 +15,14 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.WriteBufferAccounting;
 import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -165,7 +166,7 @@
   void requestsReceivedWithAnInvalidMessageGetAnErrorEach(String first) throws Exception {
     TestClient client = client().send(bytes(first + "c0", get(5), get(6)));
     List<Long> errors = new ArrayList<>();
-    for (GatewayTestbed.ClientAnswer answer = client.receive();
+    for (ClientAnswer answer = client.receive();
         answer.messageId() != 6;
         answer = client.receive()) {
       assertEquals("Internal", answer.error());
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -13,8 +13,11 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.GatewayTestbed.StubCache;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.PausingRouter;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
@@ -100,7 +103,7 @@
     testbed.runInBackground(
         () -> {
           while (true) {
-            GatewayTestbed.ReceivedCommand command = cache.commands.take();
+            ReceivedCommand command = cache.commands.take();
             sent.add(command.element(1));
             command.replyOk("part");
           }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -15,9 +15,12 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BiConsumer;
-import org.amberpath.gateway.GatewayTestbed.StubCache;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.settings.InvalidSettingsException;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
@@ -47,7 +50,7 @@
     testbed.close();
   }
 
-  private static String text(GatewayTestbed.ClientAnswer answer) {
+  private static String text(ClientAnswer answer) {
     return new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8);
   }
 
@@ -110,7 +113,7 @@
     StubCache cache = testbed.start(folder);
     TestClient client = testbed.client();
     client.sendRequest(1, "orders", 4000, 0);
-    GatewayTestbed.ReceivedCommand first = cache.nextCommand();
+    ReceivedCommand first = cache.nextCommand();
     first.replyOk("first");
     assertEquals("first", text(client.receive()));
     first
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayTest.java
@@ -23,20 +23,20 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.GatewayTestbed.ClientAnswer;
-import org.amberpath.gateway.GatewayTestbed.ReceivedCommand;
-import org.amberpath.gateway.GatewayTestbed.StubCache;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
-import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.ForwardingEventHandler;
+import org.amberpath.gateway.testsupport.GatewayProcess;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.StallingRouter;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.AttemptResult;
-import org.amberpath.routing.EndpointDescription;
-import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingEventHandler;
-import org.amberpath.routing.RoutingEvents;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -960,80 +960,6 @@
     }
   }
 
-  /** Passes on what it is told, if to anybody. */
-  private static class ForwardingEventHandler implements RoutingEventHandler {
-    private final RoutingEventHandler to;
-
-    ForwardingEventHandler(RoutingEventHandler to) {
-      this.to = to;
-    }
-
-    @Override
-    public void endpointListStarted(EndpointListKind what) {
-      to.endpointListStarted(what);
-    }
-
-    @Override
-    public void endpointListed(EndpointDescription endpoint) {
-      to.endpointListed(endpoint);
-    }
-
-    @Override
-    public void endpointListCompleted() {
-      to.endpointListCompleted();
-    }
-
-    @Override
-    public void requestReceived(RequestDetails request) {
-      to.requestReceived(request);
-    }
-
-    @Override
-    public void responseStarted(long id, int copy) {
-      to.responseStarted(id, copy);
-    }
-
-    @Override
-    public void attemptEnded(AttemptResult result) {
-      to.attemptEnded(result);
-    }
-
-    @Override
-    public void clientDisconnected(long id) {
-      to.clientDisconnected(id);
-    }
-
-    @Override
-    public void objectPurged(long object, int group, long ago) {
-      to.objectPurged(object, group, ago);
-    }
-
-    @Override
-    public void timerFired(String handle) {
-      to.timerFired(handle);
-    }
-
-    @Override
-    public void gatewayShareChanged(int many, double part) {
-      to.gatewayShareChanged(many, part);
-    }
-
-    @Override
-    public void healthChecksDelegated(boolean forAll) {
-      to.healthChecksDelegated(forAll);
-    }
-
-    @Override
-    public void healthReported(int cache, boolean answers, long ago) {
-      to.healthReported(cache, answers, ago);
-    }
-
-    @Override
-    public void syntheticRequestReceived(RequestDetails request, int endpoint) {
-      to.syntheticRequestReceived(request, endpoint);
-    }
-  }
-
   @Test
   void connectionWithARequestInFlightIsNotEvictedForNewOnes() throws Exception {
     client.sendRequest(1, "parts", 4000, 0);
@@ -1051,32 +977,6 @@
 
   // ---- News that is too old to decide by.
 
-  /** Decisions in whose next round the loop stands still until it is let go. */
-  private static final class StallingRouter implements BatchRouter {
-    private final BatchRouter router;
-    final CountDownLatch stalled = new CountDownLatch(1);
-    final CountDownLatch resume = new CountDownLatch(1);
-    volatile boolean armed;
-
-    StallingRouter(GatewayOptions options) {
-      router = new RequestRouter(options.routingConfig())::decide;
-    }
-
-    @Override
-    public void routeBatch(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
-      router.routeBatch(now, in, to);
-      if (armed) {
-        armed = false;
-        stalled.countDown();
-        try {
-          resume.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-          Thread.currentThread().interrupt();
-        }
-      }
-    }
-  }
-
   private static final long TIMEOUT_MILLIS = 5000;
   private static final long STALL_MILLIS = 400;
 
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -13,9 +13,12 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
-import org.amberpath.gateway.GatewayTestbed.StubCache;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.PausingRouter;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.amberpath.gateway.transport.SingleEventLoopTransport;
 import org.amberpath.routing.AttemptCommand;
 import org.amberpath.routing.RequestDetails;
@@ -129,7 +132,7 @@
     testbed.runInBackground(
         () -> {
           while (true) {
-            GatewayTestbed.ReceivedCommand command = cache.commands.take();
+            ReceivedCommand command = cache.commands.take();
             if (!command.element(1).equals(PausingRouter.PAUSING_REQUEST_ID)) {
               arguments.put(command.element(1), Long.parseLong(command.field("ms")));
               command.replyOk("part");
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -12,6 +12,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.amberpath.gateway.discovery.Clock;
 import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/CommandHandler.java
@@ -0,0 +1,7 @@
+package org.amberpath.gateway.testsupport;
+
+/** What a cache does with each want, by itself. */
+public interface CommandHandler {
+  /** Handles one command. */
+  void handle(ReceivedCommand command) throws Exception;
+}
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.testsupport;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -19,9 +19,9 @@
  * set is whether SIGHUP is ignored: a process that inherits that can't take it back, and {@link
  * #inheritsIgnoredHangUp} says whether it does.
  */
-final class GatewayProcess {
+public final class GatewayProcess {
   /** What a process that inherits SIGHUP as ignored logs once, as a pattern of the whole line. */
-  static final String HANG_UP_IGNORED =
+  public static final String HANG_UP_IGNORED =
       "\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3} WARNING SIGHUP is ignored, as inherited"
           + " from the parent process: PROXY_CONFIG is polled each second instead";
 
@@ -30,12 +30,12 @@
   private GatewayProcess() {}
 
   /** Starts a gateway that has this environment; what it logs is on its standard output. */
-  static Process start(Path folder, Map<String, String> environment) throws IOException {
+  public static Process start(Path folder, Map<String, String> environment) throws IOException {
     return start(folder, environment, List.of());
   }
 
   /** The same with SIGHUP ignored, as under nohup. */
-  static Process startWithHangUpIgnored(Path folder, Map<String, String> environment)
+  public static Process startWithHangUpIgnored(Path folder, Map<String, String> environment)
       throws IOException {
     return start(folder, environment, List.of("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\""));
   }
@@ -67,18 +67,18 @@
   }
 
   /** Whether processes that are started from here inherit SIGHUP as ignored. */
-  static boolean inheritsIgnoredHangUp() throws Exception {
+  public static boolean inheritsIgnoredHangUp() throws Exception {
     return new ProcessBuilder("sh", "-c", "kill -HUP $$").start().waitFor() == 0;
   }
 
   /** Sends a signal, by its name without SIG. */
-  static void signal(Process process, String name) throws Exception {
+  public static void signal(Process process, String name) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
   /** Reads up to a line that contains a part, and returns it; fails the test where none comes. */
-  static String awaitLine(BufferedReader log, String part) throws IOException {
+  public static String awaitLine(BufferedReader log, String part) throws IOException {
     String line = log.readLine();
     while (line != null && !line.contains(part)) {
       line = log.readLine();
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
@@ -0,0 +1,255 @@
+package org.amberpath.gateway.testsupport;
+
+import io.vertx.core.Vertx;
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.Executors;
+import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.Gateway;
+import org.amberpath.gateway.GatewayExtensions;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.pipeline.BatchRouter;
+
+/**
+ * Clients, caches and the journal service, as the protocol has them, round one gateway on loopback.
+ */
+public final class GatewayTestbed implements AutoCloseable {
+  public static final String OBJECT_ID = "7f3a9c21e0b4d655";
+  public static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
+  public static final long TIMEOUT_SECONDS = 10;
+  private static final String SETTINGS =
+      """
+      {"my-zone":"z","zones":["z"],"kinds":["box","parent","origin"],"replicas-of-me":1,
+      "weights":"nominal",
+      "classes":[{"name":"parts","idempotency":"repeatable","target-s":0.4,"points":2},
+      {"name":"orders","idempotency":"once","target-s":0.4},
+      {"name":"marks","idempotency":"by_key","window-s":1,"target-s":0.4}],
+      "bounds":{"max-attempts":3,"cancel":true,"second-copies":true,
+      "retry-after":true,"max-retry-after-s":1,
+      "connect-timeout-s":0.4,"conn-idle-s":30,"multiplex":100,"max-open":48},
+      "family-info":{"mid-kind":1,"store-kind":2,"flow-kb-per-s":1000,"collapses":true,
+      "bypass-allowed":true,
+      "purge-takes-s":6,"class-fresh-s":[0,0,0],"never-kept":[false,false,true]},
+      "guarantees":{"cold-share":0.2,"cold-s":10,"fall-multiple":3,"fall-s":1}}\
+      """;
+
+  public final Vertx vertx = Vertx.vertx();
+  public final ExecutorService threads = Executors.newCachedThreadPool();
+  public final StubJournal journal = new StubJournal(threads);
+  private final List<Closeable> resources = new ArrayList<>();
+  public Gateway gateway;
+  public StubCache origin;
+
+  /** A testbed without a gateway, whose journal listens. */
+  public GatewayTestbed() throws IOException {}
+
+  /** A gateway that knows one edge cache and the origin; both listen. */
+  public StubCache start(Path folder) throws Exception {
+    StubCache cache = cache();
+    journal.listEndpoint("c0", cache.address(), "box", "ready");
+    origin = cache();
+    journal.listEndpoint("o0", origin.address(), "origin", "ready");
+    start(GatewayOptions.read(environment(folder)), null);
+    return cache;
+  }
+
+  /** Starts a gateway, with another router than its own unless that is null. */
+  public void start(GatewayOptions options, BatchRouter decisions) throws Exception {
+    gateway =
+        decisions == null
+            ? new Gateway(vertx, options)
+            : new Gateway(vertx, options, GatewayExtensions.NONE, decisions);
+    gateway
+        .start()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+  }
+
+  /** The environment of a gateway that is told of what the journal holds now. */
+  public Map<String, String> environment(Path folder) throws IOException {
+    Path file = folder.resolve("config.json");
+    Files.writeString(
+        file,
+        "{\"name\":\"n1\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"memory_mb\":64,"
+            + "\"sockets\":128},\"listen\":\"127.0.0.1:0\",\"journal\":\""
+            + journal.address()
+            + "\",\"known\":"
+            + journal.entriesSince(0)
+            + ",\"settings\":"
+            + SETTINGS
+            + "}");
+    return Map.of("PROXY_CONFIG", file.toString());
+  }
+
+  /** A further cache, which listens. */
+  public StubCache cache() throws IOException {
+    StubCache cache = new StubCache(threads);
+    resources.add(cache);
+    return cache;
+  }
+
+  /** An address at which connections neither come up nor are refused. */
+  public String fullAddress() throws IOException {
+    ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
+    resources.add(full);
+    try {
+      while (true) {
+        Socket socket = new Socket();
+        resources.add(socket);
+        socket.connect(full.getLocalSocketAddress(), 200);
+      }
+    } catch (java.net.SocketTimeoutException e) {
+      return "127.0.0.1:" + full.getLocalPort();
+    }
+  }
+
+  /** A further client of the gateway. */
+  public TestClient client() throws IOException {
+    return client(gateway.port());
+  }
+
+  /** A further client of the gateway. */
+  public TestClient client(int port) throws IOException {
+    TestClient client = new TestClient(port);
+    resources.add(client);
+    return client;
+  }
+
+  @Override
+  public void close() throws IOException {
+    for (Closeable one : resources) {
+      one.close();
+    }
+    journal.server.stop(0);
+    threads.shutdownNow();
+    vertx
+        .close()
+        .toCompletionStage()
+        .toCompletableFuture()
+        .orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        .join();
+  }
+
+  /**
+   * The same with some of its text replaced: pairs of what is there and what stands there instead.
+   */
+  public Map<String, String> environment(Path folder, String... changes) throws IOException {
+    Map<String, String> environment = environment(folder);
+    Path file = Path.of(environment.get("PROXY_CONFIG"));
+    String text = Files.readString(file);
+    for (int at = 0; at < changes.length; at += 2) {
+      text = text.replace(changes[at], changes[at + 1]);
+    }
+    Files.writeString(file, text);
+    return environment;
+  }
+
+  /** Runs something on the event loop of the gateway, which stands still meanwhile. */
+  public void runOnEventLoop(Runnable what) {
+    gateway.context().runOnContext(turn -> what.run());
+  }
+
+  /** Runs a task on another thread; its failure, such as that of a closed socket, ends it alone. */
+  public void runInBackground(BackgroundTask task) {
+    threads.execute(
+        () -> {
+          try {
+            task.run();
+          } catch (Exception e) {
+            // The test sees what the task did, or did not do.
+          }
+        });
+  }
+
+  /**
+   * Has a cache react by itself from now on; what is returned grows with the commands that come.
+   */
+  public List<TimedCommand> handleCommands(StubCache cache, CommandHandler reaction) {
+    List<TimedCommand> seen = new CopyOnWriteArrayList<>();
+    threads.execute(
+        () -> {
+          try {
+            while (true) {
+              ReceivedCommand next = cache.commands.take();
+              seen.add(new TimedCommand(next, System.nanoTime()));
+              if (next.element(0).equals("want")) {
+                threads.execute(() -> handleOnce(reaction, next));
+              }
+            }
+          } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+          }
+        });
+    return seen;
+  }
+
+  private static void handleOnce(CommandHandler reaction, ReceivedCommand command) {
+    try {
+      reaction.handle(command);
+    } catch (Exception e) {
+      // The gateway has closed this connection, or the test is over.
+    }
+  }
+
+  /**
+   * A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the
+   * given address.
+   */
+  public List<StubCache> start(Path folder, int many, String journalAddress) throws Exception {
+    List<StubCache> caches = new ArrayList<>();
+    for (int at = 0; at < many; at++) {
+      caches.add(cache());
+      journal.listEndpoint("c" + at, caches.get(at).address(), "box", "ready");
+    }
+    origin = cache();
+    journal.listEndpoint("o0", origin.address(), "origin", "ready");
+    start(options(folder, journalAddress), null);
+    return caches;
+  }
+
+  /** What a configuration says that names this journal. */
+  public GatewayOptions options(Path folder, String journalAddress) throws IOException {
+    Path file = Path.of(environment(folder).get("PROXY_CONFIG"));
+    Path next = Files.createTempFile(folder, "config", ".json");
+    Files.writeString(
+        next,
+        Files.readString(file)
+            .replace("\"journal\":\"" + journal.address(), "\"journal\":\"" + journalAddress));
+    return GatewayOptions.read(Map.of("PROXY_CONFIG", next.toString()));
+  }
+
+  /** Another journal service, which holds what the first one holds now. */
+  public StubJournal copyOfJournal() throws IOException {
+    StubJournal second = new StubJournal(threads);
+    second.copyEntries(journal);
+    resources.add(() -> second.server.stop(0));
+    return second;
+  }
+
+  /** An address that refuses connections, and that nobody else takes meanwhile. */
+  public String refusingAddress() throws IOException {
+    Socket reserved = new Socket();
+    resources.add(reserved);
+    reserved.bind(new InetSocketAddress(LOOPBACK, 0));
+    return "127.0.0.1:" + reserved.getLocalPort();
+  }
+
+  /** A further way to a journal. */
+  public JournalRelay relay(StubJournal to) throws IOException {
+    JournalRelay relay = new JournalRelay(to, threads);
+    resources.add(relay);
+    return relay;
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -0,0 +1,150 @@
+package org.amberpath.gateway.testsupport;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.BindException;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicBoolean;
+
+/** A way to a journal that can be slow, crowded or closed. */
+public final class JournalRelay implements Closeable {
+  private static final int CHUNK_BYTES = 65_536;
+
+  private final ExecutorService threads;
+  private final StubJournal to;
+
+  /** Bound and never used: keeps the port while nothing listens there. */
+  private final Socket reserved = new Socket();
+
+  private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
+  private ServerSocket server;
+  private int accepted;
+
+  /** How much longer each reply takes. */
+  public volatile long delayMillis;
+
+  /**
+   * Of so many connections one is served, with one reply, and the others are reset; 0: all are
+   * served.
+   */
+  public volatile int resetsAllButOneOf;
+
+  public JournalRelay(StubJournal to, ExecutorService threads) throws IOException {
+    this.to = to;
+    this.threads = threads;
+    reserved.setReuseAddress(true);
+    reserved.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0));
+    listen();
+  }
+
+  /** The address that it listens at. */
+  public String address() {
+    return "127.0.0.1:" + reserved.getLocalPort();
+  }
+
+  /** Listens, for the first time or again. */
+  public void listen() throws IOException {
+    ServerSocket listening = new ServerSocket();
+    listening.setReuseAddress(true);
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
+    while (!listening.isBound()) {
+      try {
+        listening.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, reserved.getLocalPort()));
+      } catch (BindException e) {
+        if (System.nanoTime()
+            > until) { // The one before is being let go by the thread that accepts there.
+          throw e;
+        }
+        Thread.onSpinWait();
+      }
+    }
+    server = listening;
+    threads.execute(
+        () -> {
+          try {
+            while (true) {
+              accepted(listening.accept());
+            }
+          } catch (IOException e) {
+            // Closed.
+          }
+        });
+  }
+
+  /** Refuses connections from now on, and resets those that are open. */
+  public void refuseConnections() throws IOException {
+    server.close();
+    resetConnections();
+  }
+
+  /** Resets the connections that are open. */
+  public void resetConnections() throws IOException {
+    for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
+      reset(one);
+    }
+  }
+
+  private void accepted(Socket from) throws IOException {
+    if (resetsAllButOneOf > 0 && accepted++ % resetsAllButOneOf != 0) {
+      reset(from);
+      return;
+    }
+    Socket on = new Socket(GatewayTestbed.LOOPBACK, to.server.getAddress().getPort());
+    sockets.add(from);
+    sockets.add(on);
+    AtomicBoolean asked = new AtomicBoolean();
+    threads.execute(() -> pump(from, on, () -> asked.set(true)));
+    threads.execute(
+        () ->
+            pump(
+                on,
+                from,
+                () -> {
+                  if (asked.getAndSet(false)) {
+                    Thread.sleep(delayMillis);
+                  }
+                }));
+  }
+
+  private void pump(Socket from, Socket on, BeforeChunk before) {
+    try (from;
+        on) {
+      byte[] bytes = new byte[CHUNK_BYTES];
+      for (int read = from.getInputStream().read(bytes);
+          read >= 0;
+          read = from.getInputStream().read(bytes)) {
+        before.call();
+        on.getOutputStream().write(bytes, 0, read);
+      }
+    } catch (Exception e) {
+      // One side is gone.
+    }
+  }
+
+  private static void reset(Socket socket) throws IOException {
+    try {
+      socket.setSoLinger(true, 0);
+    } catch (SocketException e) {
+      // It is closed already.
+    }
+    socket.close();
+  }
+
+  @Override
+  public void close() throws IOException {
+    refuseConnections();
+    reserved.close();
+  }
+
+  /** What is done before a chunk is passed on. */
+  private interface BeforeChunk {
+    void call() throws Exception;
+  }
+}
--- a/gateway/src/test/java/org/amberpath/gateway/PausingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.testsupport;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,16 +6,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
-import org.amberpath.gateway.GatewayTestbed.TestClient;
 import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
 /** Decisions in which the event loop stands still once, as long as a test wants. */
-final class PausingRouter implements BatchRouter {
+public final class PausingRouter implements BatchRouter {
   /** The request at which it stands. */
-  static final String PAUSING_REQUEST_ID = "00000000000003e7";
+  public static final String PAUSING_REQUEST_ID = "00000000000003e7";
 
   private static final long TIMEOUT_SECONDS = 20;
 
@@ -24,7 +23,8 @@
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  PausingRouter(BatchRouter decisions) {
+  /** A router that decides as another one. */
+  public PausingRouter(BatchRouter decisions) {
     this.router = decisions;
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** Stands until {@link #resume}; called on the event loop. */
-  void pauseUntilResumed() {
+  public void pauseUntilResumed() {
     paused.countDown();
     try {
       resumed.await(TIMEOUT_SECONDS, TimeUnit.SECONDS);
@@ -48,22 +48,24 @@
   }
 
   /** Makes the event loop stand still after a request of this client's. */
-  void pauseAfterRequest(TestClient client) throws Exception {
+  public void pauseAfterRequest(TestClient client) throws Exception {
     armed = true;
     client.sendRequest(0x3e7, "parts", 4000, 0);
     awaitPaused();
   }
 
-  void awaitPaused() throws InterruptedException {
+  /** Waits until the event loop is paused. */
+  public void awaitPaused() throws InterruptedException {
     assertTrue(paused.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
-  void resume() {
+  /** Lets the event loop go on. */
+  public void resume() {
     resumed.countDown();
   }
 
   /** Hears each event by its name, with its arguments. */
-  static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> hear) {
+  public static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> hear) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
             PausingRouter.class.getClassLoader(),
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
@@ -0,0 +1,56 @@
+package org.amberpath.gateway.testsupport;
+
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** What came to a cache on one connection. */
+public record ReceivedCommand(Socket socket, List<byte[]> elements) {
+  /** An element of the command, as text. */
+  public String element(int place) {
+    return new String(elements.get(place), StandardCharsets.ISO_8859_1);
+  }
+
+  /** The value of a field; null where it is absent. */
+  public String field(String name) {
+    for (String field : element(2).split(",", -1)) {
+      if (field.startsWith(name + "=")) {
+        return field.substring(name.length() + 1);
+      }
+    }
+    return null;
+  }
+
+  /** Replies with a status, fields and a body. */
+  public void reply(String word, String fields, byte[] body) throws IOException {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
+    for (byte[] one :
+        List.of(
+            elements.get(1),
+            word.getBytes(StandardCharsets.ISO_8859_1),
+            fields.getBytes(StandardCharsets.ISO_8859_1),
+            body)) {
+      out.writeBytes(("$" + one.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+      out.writeBytes(one);
+      out.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
+    }
+    socket.getOutputStream().write(out.toByteArray());
+  }
+
+  /** Replies with a body. */
+  public void replyOk(String text) throws IOException {
+    reply(
+        "ok",
+        "res=h,entity=4be0c1927d55a6f3,issued=1764576000123",
+        text.getBytes(StandardCharsets.UTF_8));
+  }
+
+  /** Resets the connection. */
+  public void reset() throws IOException {
+    socket.setSoLinger(true, 0);
+    socket.close();
+  }
+}
--- a/gateway/src/test/java/org/amberpath/gateway/ServeProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ServeProcess.java
@@ -1,4 +1,6 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.testsupport;
+
+import org.amberpath.gateway.Server;
 
 /** A gateway as a process of its own, without the command line round it. */
 public final class ServeProcess {
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
@@ -0,0 +1,35 @@
+package org.amberpath.gateway.testsupport;
+
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.GatewayOptions;
+import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.RoutingEvents;
+
+/** Decisions in whose next round the loop stands still until it is let go. */
+public final class StallingRouter implements BatchRouter {
+  private final BatchRouter router;
+  public final CountDownLatch stalled = new CountDownLatch(1);
+  public final CountDownLatch resume = new CountDownLatch(1);
+  public volatile boolean armed;
+
+  /** A router that decides by the options. */
+  public StallingRouter(GatewayOptions options) {
+    router = new RequestRouter(options.routingConfig())::decide;
+  }
+
+  @Override
+  public void routeBatch(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
+    router.routeBatch(now, in, to);
+    if (armed) {
+      armed = false;
+      stalled.countDown();
+      try {
+        resume.await(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+      }
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -0,0 +1,76 @@
+package org.amberpath.gateway.testsupport;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+
+import java.io.Closeable;
+import java.io.DataInputStream;
+import java.io.IOException;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.ExecutorService;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+
+public final class StubCache implements Closeable {
+  private final ExecutorService threads;
+  public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
+  public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
+
+  public StubCache(ExecutorService threads) throws IOException {
+    this.threads = threads;
+    threads.execute(
+        () -> {
+          try {
+            while (true) {
+              Socket socket = server.accept();
+              threads.execute(() -> read(socket));
+            }
+          } catch (IOException e) {
+            // Closed.
+          }
+        });
+  }
+
+  /** The address that it listens at. */
+  public String address() {
+    return "127.0.0.1:" + server.getLocalPort();
+  }
+
+  private void read(Socket socket) {
+    try (DataInputStream in = new DataInputStream(socket.getInputStream())) {
+      while (true) {
+        List<byte[]> elements = new ArrayList<>();
+        for (int left = length(in); left > 0; left--) {
+          elements.add(in.readNBytes(length(in)));
+          in.readNBytes(2);
+        }
+        commands.add(new ReceivedCommand(socket, elements));
+      }
+    } catch (IOException | NumberFormatException e) {
+      // The connection is gone.
+    }
+  }
+
+  private int length(DataInputStream in) throws IOException {
+    StringBuilder line = new StringBuilder();
+    for (int one = in.readUnsignedByte(); one != '\n'; one = in.readUnsignedByte()) {
+      line.append((char) one);
+    }
+    return Integer.parseInt(line.substring(1).trim());
+  }
+
+  /** The next command; fails the test when none comes. */
+  public ReceivedCommand nextCommand() throws InterruptedException {
+    ReceivedCommand next = commands.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    assertNotNull(next, "nothing came to the cache");
+    return next;
+  }
+
+  @Override
+  public void close() throws IOException {
+    server.close();
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TimedCommand.java
@@ -0,0 +1,4 @@
+package org.amberpath.gateway.testsupport;
+
+/** A want and when it had come. */
+public record TimedCommand(ReceivedCommand command, long atNanos) {}
