--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
@@ -0,0 +1,268 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.ForwardingEventHandler;
+import org.amberpath.gateway.testsupport.GatewayFixture;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.TestClient;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.RequestDetails;
+import org.amberpath.routing.RequestRouter;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** How attempts end, and what the client is answered then. */
+@Timeout(30)
+class AttemptOutcomeTest extends GatewayFixture {
+  @Test
+  void cancelledRequestCancelsItsAttemptAndIsNotAnswered() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.sendCancel(1).sendCancel(77);
+    assertEquals("never_mind", cache.nextCommand().element(0));
+    command.replyOk("too late");
+    assertEquals(9999, client.requestStatus().messageId());
+  }
+
+  @Test
+  void requestsCancelledInTheSameTurnLeaveNothingBehind() throws Exception {
+    for (int number = 1; number <= 200; number++) {
+      ByteArrayOutputStream both = new ByteArrayOutputStream();
+      both.writeBytes(
+          TestClient.encodeRequest(
+              number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]));
+      both.writeBytes(TestClient.encodeCancel(number));
+      client.send(both.toByteArray()).requestStatus();
+    }
+    client.sendRequest(1000, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    assertEquals(String.format("%016x", 1000), command.element(1));
+    command.replyOk("there is room");
+    assertEquals("there is room", text(client.receive()));
+  }
+
+  @Test
+  void closedClientConnectionCancelsItsRequests() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand();
+    client.close();
+    ReceivedCommand next = cache.nextCommand();
+    assertEquals("never_mind", next.element(0));
+    assertEquals("0000000000000001", next.element(1));
+  }
+
+  @Test
+  void refusedConnectionProvesThatNothingWasExecuted() throws Exception {
+    cache.close();
+    client.sendRequest(1, "orders", 1500, 0);
+    ClientAnswer answer = client.receive();
+    assertEquals("Overloaded", answer.error());
+    assertTrue(Integer.parseInt(answer.fields().get("cooldown")) > 0);
+  }
+
+  @Test
+  void resetConnectionMayHaveExecutedTheRequest() throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache.nextCommand().reset();
+    assertEquals("Internal", client.receive().error());
+  }
+
+  @ParameterizedTest
+  @CsvSource({"error, Internal", "refused, Overloaded", "stale, Overloaded"})
+  void replyStatusDeterminesTheError(String word, String error) throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache.nextCommand().reply(word, "-", new byte[0]);
+    assertEquals(error, client.receive().error());
+  }
+
+  @Test
+  void unansweredAttemptTimesOutWithOneResponseInTime() throws Exception {
+    long sentAt = System.nanoTime();
+    client.sendRequest(1, "parts", 300, 0);
+    ReceivedCommand command = cache.nextCommand();
+    assertEquals("Internal", client.receive().error());
+    long took = (System.nanoTime() - sentAt) / 1_000_000;
+    assertTrue(took >= 290 && took < 2000, took + " ms");
+    assertEquals(9999, client.requestStatus().messageId());
+    assertEquals("0000000000000001", command.element(1));
+  }
+
+  @Test
+  void unresponsiveConnectionGetsNoFurtherCommand() throws Exception {
+    client.sendRequest(1, "parts", 600, 0).sendRequest(2, "parts", 5000, 1);
+    ReceivedCommand silent = cache.nextCommand();
+    ReceivedCommand slow = cache.nextCommand();
+    assertEquals("Internal", client.receive().error());
+    cache.nextCommand();
+    client.sendRequest(3, "parts", 5000, 0);
+    ReceivedCommand fresh = cache.nextCommand();
+    assertNotEquals(silent.socket(), fresh.socket());
+    fresh.replyOk("fresh");
+    assertEquals("fresh", text(client.receive()));
+    slow.replyOk("slow, and not given up");
+    assertEquals("slow, and not given up", text(client.receive()));
+  }
+
+  @Test
+  void invalidReplyClosesItsConnectionAndMayHaveExecutedTheRequest() throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    cache
+        .nextCommand()
+        .socket()
+        .getOutputStream()
+        .write("+PONG\r\n".getBytes(StandardCharsets.US_ASCII));
+    assertEquals("Internal", client.receive().error());
+    client.sendRequest(2, "orders", 1500, 0);
+    cache.nextCommand().replyOk("on another");
+    assertEquals("on another", text(client.receive()));
+  }
+
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "ok|res=h",
+        "ok|entity=1,issued=x",
+        "fine|entity=1,issued=1",
+        "current|-",
+        "current|entity=1,issued=1"
+      })
+  void incompleteReplyMayHaveExecutedTheRequest(String spoilt) throws Exception {
+    client.sendRequest(1, "orders", 1500, 0);
+    String[] parts = spoilt.split("[|]", -1);
+    cache.nextCommand().reply(parts[0], parts[1], new byte[3]);
+    assertEquals("Internal", client.receive().error());
+  }
+
+  @Test
+  void connectionWithAPartialReplyIsNotReused() throws Exception {
+    client.sendRequest(1, "parts", 600, 0);
+    ReceivedCommand command = cache.nextCommand();
+    command.socket().getOutputStream().write("*4\r\n$16\r\n".getBytes(StandardCharsets.US_ASCII));
+    assertEquals("Internal", client.receive().error());
+    client.sendRequest(2, "parts", 1500, 0);
+    ReceivedCommand next = cache.nextCommand();
+    assertNotEquals(command.socket(), next.socket());
+    next.replyOk("on another");
+    assertEquals("on another", text(client.receive()));
+  }
+
+  @Test
+  void eventLoopLagIsNotCountedAsResponseTime() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
+    RequestRouter control = new RequestRouter(options.routingConfig());
+    BlockingQueue<Long> times = new LinkedBlockingQueue<>();
+    CountDownLatch still = new CountDownLatch(1);
+    testbed.start(
+        options,
+        (now, in, to) ->
+            control.decide(
+                now,
+                events ->
+                    in.replayTo(
+                        new ForwardingEventHandler(events) {
+                          @Override
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
+                              still.countDown();
+                              long until = System.nanoTime() + 600_000_000;
+                              while (System.nanoTime() < until) {
+                                Thread.onSpinWait();
+                              }
+                            }
+                            super.requestReceived(request);
+                          }
+
+                          @Override
+                          public void attemptEnded(AttemptResult result) {
+                            times.add(result.durationNanos());
+                            super.attemptEnded(result);
+                          }
+                        }),
+                to));
+    client = testbed.client();
+    client.sendRequest(1, "parts", 5000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.sendRequest(2, "parts", 5000, 13);
+    still.await();
+    command.replyOk("came while it stood still");
+    assertEquals("came while it stood still", text(client.receive()));
+    assertTrue(times.take() < 300_000_000L);
+  }
+
+  @Test
+  void requestsToOneCacheShareNoConnectionWhereThereIsCapacity() throws Exception {
+    client.sendRequest(1, "parts", 5000, 0);
+    cache.nextCommand();
+    client.sendRequest(2, "parts", 5000, 1);
+    ReceivedCommand second = cache.nextCommand();
+    client.sendRequest(3, "parts", 5000, 2);
+    assertNotEquals(second.socket(), cache.nextCommand().socket());
+  }
+
+  @Test
+  void replyToACommandThatIsNotInFlightIsDropped() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    new ReceivedCommand(
+            command.socket(),
+            List.of(new byte[0], "ffffffffffffffff".getBytes(StandardCharsets.US_ASCII)))
+        .replyOk("?");
+    command.replyOk("this");
+    command.replyOk("again");
+    assertEquals("this", text(client.receive()));
+    assertEquals(9999, client.requestStatus().messageId());
+  }
+
+  @Test
+  void attemptsOfOneRequestNeverShareAConnection() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
+    RequestRouter control = new RequestRouter(options.routingConfig());
+    testbed.start(
+        options,
+        (now, in, to) ->
+            control.decide(
+                now,
+                events ->
+                    in.replayTo(
+                        new ForwardingEventHandler(events) {
+                          @Override
+                          public void requestReceived(RequestDetails request) {
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 1, 0));
+                            to.sendAttempt(
+                                new AttemptCommand(
+                                    request.id(), 0, now + request.timeLeftNanos(), 0, 0, 2, 0));
+                          }
+                        }),
+                to));
+    testbed.client().sendRequest(1, "parts", 1500, 0);
+    ReceivedCommand first = cache.nextCommand();
+    ReceivedCommand second = cache.nextCommand();
+    assertEquals(first.element(1), second.element(1));
+    assertNotEquals(first.socket(), second.socket());
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -0,0 +1,263 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.ByteArrayOutputStream;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.ForwardingEventHandler;
+import org.amberpath.gateway.testsupport.GatewayFixture;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.TestClient;
+import org.amberpath.routing.RequestDetails;
+import org.amberpath.routing.RequestRouter;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Clients that violate the protocol or its bounds, beside others that do not. */
+@Timeout(30)
+class ClientProtocolTest extends GatewayFixture {
+  @ParameterizedTest
+  @ValueSource(
+      strings = {
+        "c1",
+        "93",
+        "9502c0c0c0c0",
+        "940001a9",
+        "c6ffffffff",
+        "91919191919191",
+        "93020000"
+      })
+  void clientThatSendsNoMessagePackLosesItsConnectionAndNoOther(String hex) throws Exception {
+    TestClient bad = testbed.client();
+    byte[] bytes = new byte[hex.length() / 2];
+    for (int at = 0; at < bytes.length; at++) {
+      bytes[at] = (byte) Integer.parseInt(hex.substring(2 * at, 2 * at + 2), 16);
+    }
+    bad.send(bytes);
+    byte[] many = new byte[300_000];
+    java.util.Arrays.fill(many, (byte) 0x91);
+    try {
+      bad.send(many);
+    } catch (java.io.IOException e) {
+      // Closed already.
+    }
+    assertTrue(bad.isClosed());
+    assertTrue(client.requestStatus().isReady());
+  }
+
+  @Test
+  void duplicateMessageIdInFlightClosesTheConnection() throws Exception {
+    client.sendRequest(1, "parts", 1500, 0);
+    cache.nextCommand();
+    client.sendRequest(1, "parts", 1500, 0);
+    assertEquals("Internal", client.receive().error());
+    assertTrue(client.isClosed());
+    assertEquals("never_mind", cache.nextCommand().element(0));
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "lookup, 7f3",
+    "lookup, 7f3a9c21e0b4d65z",
+    "lookup,",
+    "ref, 12",
+    "chunk, -1",
+    "chunk, x",
+    "allow,",
+    "allow, NaN",
+    "room, big",
+    "tag, x",
+    "known, '1,2'",
+    "replay, 'a,seg=9'"
+  })
+  void invalidFieldIsNamedInTheError(String field, String value) throws Exception {
+    Map<String, String> fields = new HashMap<>(TestClient.requestFields(1, 1500, 0));
+    fields.remove(field);
+    if (value != null) {
+      fields.put(field, value);
+    }
+    client.send(TestClient.encodeRequest(1, "parts", fields, null));
+    ClientAnswer answer = client.receive();
+    assertEquals("Internal", answer.error());
+    assertTrue(answer.fields().get("why").startsWith(field + ": "), answer.fields().toString());
+    TestClient other = testbed.client();
+    other.sendRequest(1, "segments", 1500, 0);
+    assertEquals("no delivery service segments", other.receive().fields().get("why"));
+  }
+
+  @Test
+  void noBodyIsReturnedAfterAProtocolError() throws Exception {
+    client.sendRequest(1, "parts", 5000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    client.send(TestClient.encodeRequest(2, "parts", TestClient.requestFields(1, 1500, 1), null));
+    assertEquals("ref: open already", client.receive().fields().get("why"));
+    assertEquals("Internal", client.receive().error());
+    command.replyOk("too late");
+    client.sendRequest(3, "parts", 1500, 0);
+    assertEquals("Internal", client.receive().error());
+    assertTrue(testbed.client().requestStatus().isReady());
+  }
+
+  @Test
+  void tooManyRequestsInFlightCloseTheConnectionAndNoneIsForwarded() throws Exception {
+    ByteArrayOutputStream flood = new ByteArrayOutputStream();
+    for (int number = 1; number <= 33; number++) {
+      flood.writeBytes(
+          TestClient.encodeRequest(
+              number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]));
+    }
+    client.send(flood.toByteArray());
+    for (int number = 1; number <= 33; number++) {
+      assertEquals("Internal", client.receive().error());
+    }
+    assertTrue(client.isClosed());
+    TestClient good = testbed.client();
+    good.sendRequest(99, "parts", 1500, 0);
+    ReceivedCommand command = cache.nextCommand();
+    while (!command.element(1).equals(String.format("%016x", 99))) {
+      command = cache.nextCommand();
+    }
+    command.replyOk("another's");
+    assertEquals("another's", text(good.receive()));
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1, 60})
+  void clientThatSendsNoCompleteMessageIsDisconnectedInTime(int bytes) throws Exception {
+    TestClient owes = testbed.client();
+    byte[] whole = TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), null);
+    owes.send(java.util.Arrays.copyOf(whole, bytes));
+    long since = System.nanoTime();
+    assertTrue(owes.isClosed());
+    assertTrue(System.nanoTime() - since < 3_000_000_000L);
+  }
+
+  @Test
+  void leastActiveConnectionIsEvictedPastTheConnectionBound() throws Exception {
+    TestClient idle = testbed.client();
+    idle.sendRequest(7, "parts", 1500, 0);
+    cache.nextCommand().replyOk("a usual client");
+    idle.receive();
+    client.sendRequest(1, "parts", 9000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    List<TestClient> held = new ArrayList<>();
+    for (int many = 0; many < 80; many++) {
+      held.add(testbed.client());
+      assertTrue(held.get(many).requestStatus().isReady());
+    }
+    assertTrue(held.get(0).isClosed());
+    assertTrue(held.get(79).requestStatus().isReady());
+    TestClient silent = testbed.client();
+    TestClient fresh = testbed.client();
+    assertTrue(fresh.requestStatus().isReady());
+    assertTrue(silent.isClosed());
+    command.replyOk("still there");
+    assertEquals("still there", text(client.receive()));
+    assertTrue(
+        idle.requestStatus().isReady(),
+        "one that asks for GETs does not go for many that ask for the status");
+  }
+
+  @Test
+  void clientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
+    TestClient deaf = testbed.client();
+    byte[] part = new byte[240_000];
+    testbed.threads.execute(
+        () -> {
+          try {
+            while (true) {
+              cache.commands.take().reply("ok", "res=h,entity=1,issued=2", part);
+            }
+          } catch (Exception e) {
+            // The end of the test.
+          }
+        });
+    List<Integer> open = new ArrayList<>();
+    try {
+      for (int number = 1; number < 5000; number++) {
+        deaf.sendRequest(number, "parts", 1500, 0);
+        client.sendRequest(10_000 + number, "parts", 1500, 0).receive();
+        open.add(number);
+      }
+    } catch (java.net.SocketException e) {
+      assertTrue(open.size() > 4);
+      assertTrue(client.requestStatus().isReady());
+      return;
+    }
+    assertFalse(true, "the deaf client still has its connection");
+  }
+
+  @Test
+  void connectionWithARequestInFlightIsNotEvictedForNewOnes() throws Exception {
+    client.sendRequest(1, "parts", 4000, 0);
+    ReceivedCommand command = cache.nextCommand();
+    byte[] next =
+        TestClient.encodeRequest(2, "parts", TestClient.requestFields(2, 4000, 1), new byte[300]);
+    client.send(java.util.Arrays.copyOf(next, next.length - 200));
+    for (int silent = 0; silent < 70; silent++) { // Its clients may hold 64 of 128 descriptors.
+      testbed.client();
+    }
+    Thread.sleep(STALL_MILLIS / 2);
+    command.replyOk("kept");
+    assertEquals("kept", text(client.receive()));
+  }
+
+  @Test
+  void requestsPastTheInFlightBoundAreRejected() throws Exception {
+    TestClient other = testbed.client();
+    for (int number = 1; number <= 48; number++) {
+      (number <= 24 ? client : other).sendRequest(number, "parts", 5000, number);
+      (number <= 24 ? client : other).requestStatus();
+    }
+    client.sendRequest(49, "parts", 5000, 0);
+    for (ClientAnswer answer = client.receive();
+        answer.messageId() != 49;
+        answer = client.receive()) {
+      assertNotNull(answer.error());
+    }
+  }
+
+  /** Decisions that fail on one object. */
+  @Test
+  void failureInTheRouterFailsThatRequestAndNoOther() throws Exception {
+    testbed.close();
+    testbed = new GatewayTestbed();
+    cache = testbed.cache();
+    testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
+    GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
+    RequestRouter control = new RequestRouter(options.routingConfig());
+    testbed.start(
+        options,
+        (now, in, to) ->
+            control.decide(
+                now,
+                events ->
+                    in.replayTo(
+                        new ForwardingEventHandler(events) {
+                          @Override
+                          public void requestReceived(RequestDetails request) {
+                            if (request.part() == 13) {
+                              throw new IllegalStateException("part 13");
+                            }
+                            super.requestReceived(request);
+                          }
+                        }),
+                to));
+    client = testbed.client();
+    client.sendRequest(1, "parts", 1500, 13).sendRequest(2, "parts", 1500, 2);
+    assertEquals("Internal", client.receive().error());
+    cache.nextCommand().replyOk("another");
+    assertEquals("another", text(client.receive()));
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
@@ -0,0 +1,72 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.testsupport.GatewayFixture;
+import org.amberpath.gateway.testsupport.GatewayProcess;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** Configurations that are replaced while a gateway runs in a process of its own. */
+@Timeout(30)
+class ConfigurationReloadTest extends GatewayFixture {
+  @Test
+  void reloadMovesTheJournalAndAnInvalidConfigurationChangesNothing() throws Exception {
+    GatewayTestbed other = new GatewayTestbed();
+    try {
+      Process process = startProcess(0);
+      Path file = folder.resolve("config.json");
+      String good = Files.readString(file);
+      try (BufferedReader log = process.inputReader()) {
+        awaitServing(log);
+        for (String bad : List.of("{", good.replace("\"journal\":\"", "\"journal\":\"x"))) {
+          Files.writeString(file, bad);
+          sendSighup(process);
+          GatewayProcess.awaitLine(log, "SIGHUP: configuration unchanged: ");
+        }
+        Files.writeString(file, good.replace(testbed.journal.address(), other.journal.address()));
+        sendSighup(process);
+        GatewayProcess.awaitLine(log, "journal polled at");
+        String poll = other.journal.polls.poll(10, TimeUnit.SECONDS);
+        assertTrue(poll != null && poll.startsWith("tail=2&"), poll);
+      } finally {
+        process.destroyForcibly();
+      }
+    } finally {
+      other.close();
+    }
+  }
+
+  /**
+   * Met on a roll day of the fleet bench that was started by nohup: no new configuration was ever
+   * taken.
+   */
+  @Test
+  void configurationIsReloadedWhereSighupIsIgnored() throws Exception {
+    GatewayTestbed other = new GatewayTestbed();
+    Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
+    Process process =
+        GatewayProcess.startWithHangUpIgnored(
+            folder, Map.of("PROXY_LISTEN", "127.0.0.1:0", "PROXY_CONFIG", file.toString()));
+    try (BufferedReader log = process.inputReader()) {
+      GatewayProcess.awaitLine(log, "SIGHUP is ignored");
+      awaitServing(log);
+      sendSighup(process);
+      Files.writeString(
+          file, Files.readString(file).replace(testbed.journal.address(), other.journal.address()));
+      GatewayProcess.awaitLine(log, "journal polled at");
+      assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
+    } finally {
+      process.destroyForcibly();
+      other.close();
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
@@ -0,0 +1,142 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.BufferedReader;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.testsupport.GatewayFixture;
+import org.amberpath.gateway.testsupport.GatewayProcess;
+import org.amberpath.gateway.testsupport.ReceivedCommand;
+import org.amberpath.gateway.testsupport.TestClient;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Starts and stops, in the process of the test and in processes of their own. */
+@Timeout(30)
+class GatewayLifecycleTest extends GatewayFixture {
+  @Test
+  void gatewayServesAfterAWarmUpOverItsOwnAddress() throws Exception {
+    Process process = startProcess(0);
+    try (BufferedReader log = process.inputReader()) {
+      GatewayProcess.awaitLine(log, "warm-up: ");
+      awaitServing(log);
+    } finally {
+      process.destroyForcibly();
+    }
+  }
+
+  @Test
+  void stoppingGatewayAnswersWhatItReceivedAndWhatStillArrives() throws Exception {
+    client.sendRequest(1, "parts", 2500, 0);
+    ReceivedCommand taken = cache.nextCommand();
+    var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
+    while (client.requestStatus().isReady()) {
+      assertFalse(stopped.isDone());
+    }
+    TestClient late = testbed.client();
+    late.sendRequest(2, "parts", 1500, 1);
+    cache.nextCommand().replyOk("came late");
+    assertEquals("came late", text(late.receive()));
+    taken.replyOk("was taken");
+    assertEquals("was taken", text(client.receive()));
+    stopped.get(10, TimeUnit.SECONDS);
+    assertEquals(Gateway.Phase.STOPPED, testbed.gateway.phase());
+    assertTrue(client.isClosed());
+  }
+
+  @Test
+  void requestInFlightJustBeforeSigkillIsAnswered() throws Exception {
+    client.sendRequest(1, "parts", 9000, 0);
+    cache.nextCommand();
+    long since = System.nanoTime();
+    testbed.gateway.stop();
+    assertEquals("Internal", client.receive().error());
+    assertTrue(System.nanoTime() - since < 3_700_000_000L);
+  }
+
+  @Test
+  void processExitsAfterSigtermWithAllRequestsAnswered() throws Exception {
+    int port = freePort();
+    Process process = startProcess(port);
+    try (BufferedReader log = process.inputReader()) {
+      awaitServing(log);
+      TestClient outside = testbed.client(port);
+      assertTrue(outside.requestStatus().isReady());
+      outside.sendRequest(1, "parts", 2500, 0);
+      ReceivedCommand command = cache.nextCommand();
+      sendSighup(
+          process); // A reload that is under way, and the same word once more, change nothing in
+      // that.
+      process.destroy();
+      process.destroy();
+      while (outside.requestStatus().isReady()) {
+        assertTrue(process.isAlive());
+      }
+      command.replyOk("before the end");
+      assertEquals("before the end", text(outside.receive()));
+      assertTrue(process.waitFor(10, TimeUnit.SECONDS));
+    } finally {
+      process.destroyForcibly();
+    }
+  }
+
+  @Test
+  void killedGatewayRestartsAtOnceAtItsAddressWithoutState() throws Exception {
+    int port = freePort();
+    for (int start = 1; start <= 2; start++) {
+      Process process = startProcess(port);
+      try (BufferedReader log = process.inputReader()) {
+        awaitServing(log);
+        TestClient outside = testbed.client(port);
+        outside.sendRequest(start, "parts", 5000, 0);
+        assertEquals("1", cache.nextCommand().field("prio"));
+      } finally {
+        process.destroyForcibly().waitFor();
+      }
+    }
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "listen, no-address, PROXY_LISTEN no address:port: no-address",
+    "listen, taken, PROXY_LISTEN: can't listen at",
+    "known, asleep, configuration known entries hosts instances: field 'lifecycle' is of no known"
+        + " kind: asleep",
+    "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
+  })
+  void startFailureIsOneMessage(String key, String value, String message) throws Exception {
+    Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
+    if (key.equals("known")) {
+      Files.writeString(file, Files.readString(file).replace("ready", value));
+    }
+    String listen =
+        value.equals("taken") ? cache.address() : key.equals("listen") ? value : "127.0.0.1:0";
+    Process process =
+        startProcess(
+            Map.of(
+                "PROXY_LISTEN",
+                listen,
+                "PROXY_CONFIG",
+                key.equals("config") ? value : file.toString()));
+    try (BufferedReader log = process.inputReader()) {
+      List<String> lines =
+          new ArrayList<>(log.lines().filter(line -> !line.contains(" INFO ")).toList());
+      boolean settingsAreValid = value.equals("taken") || key.equals("known");
+      if (settingsAreValid && GatewayProcess.inheritsIgnoredHangUp()) {
+        String first = lines.remove(0);
+        assertTrue(first.matches(GatewayProcess.HANG_UP_IGNORED), first);
+      }
+      assertTrue(lines.size() == 1 && lines.get(0).startsWith(message), lines.toString());
+      assertEquals(1, process.waitFor());
+    }
+  }
+}
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -0,0 +1,163 @@
+package org.amberpath.gateway;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.net.Socket;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.FaultFixture;
+import org.amberpath.gateway.testsupport.StubCache;
+import org.amberpath.gateway.testsupport.TestClient;
+import org.amberpath.gateway.testsupport.TimedCommand;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Idle connections to endpoints that have ended or are not answered any more. */
+@Timeout(30)
+class IdleConnectionFaultsTest extends FaultFixture {
+  /**
+   * The next request comes at once, so that it may cross the end of its connection, or after the
+   * gateway has read that. Only a shutdown is on the wire when it returns: a close waits for the
+   * thread that reads there.
+   */
+  @ParameterizedTest
+  @CsvSource({"close, true", "reset, true", "shut, false"})
+  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(String how, boolean crosses)
+      throws Exception {
+    Map<Integer, Integer> runs = new ConcurrentHashMap<>();
+    AtomicInteger ended = new AtomicInteger();
+    List<List<TimedCommand>> seen =
+        handleAll(
+            testbed.start(folder, 3, testbed.journal.address()),
+            command -> {
+              runs.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
+              serve(command);
+              failing(how).handle(command);
+              ended.incrementAndGet();
+            });
+    TestClient client = testbed.client();
+    for (int times = 0; times < 20; times++) {
+      if (!crosses) {
+        awaitRead(client, ended);
+      }
+      requestServed(client);
+      if (!crosses) {
+        awaitRead(client, ended);
+      }
+      client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
+      ClientAnswer answer = client.receive();
+      assertEquals(number, answer.messageId());
+      int most = "Overloaded".equals(answer.error()) ? 0 : 1;
+      assertTrue(
+          runs.getOrDefault(number, 0) <= most,
+          "run " + runs.get(number) + " times: " + answer.error());
+      if (!crosses) {
+        assertEquals(null, answer.error(), "its connection had ended long before");
+      }
+    }
+    assertNoFurtherAnswer(client);
+    for (int one = 1; one <= number; one++) {
+      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
+    }
+  }
+
+  /**
+   * Whichever connection the second request takes has been forgotten: it stays open, and nothing
+   * comes of it.
+   */
+  @ParameterizedTest
+  @ValueSource(strings = {"parts", "orders"})
+  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String service)
+      throws Exception {
+    Set<Socket> forgotten = ConcurrentHashMap.newKeySet();
+    List<List<TimedCommand>> seen =
+        handleAll(
+            testbed.start(folder, 2, testbed.journal.address()),
+            command -> {
+              if (command.element(1).equals(requestId(2)) && forgotten.isEmpty()) {
+                forgotten.add(command.socket());
+              }
+              if (!forgotten.contains(command.socket())) {
+                serve(command);
+              }
+            });
+    TestClient client = testbed.client();
+    int allow = 1500;
+    client.sendRequest(++number, service, allow, 0);
+    assertEquals(null, client.receive().error());
+    long since = System.nanoTime();
+    client.sendRequest(++number, service, allow, 0);
+    ClientAnswer answer = client.receive();
+    assertEquals(number, answer.messageId());
+    assertTrue(millisSince(since) < allow + LATE_MILLIS);
+    if (service.equals("orders")) {
+      assertEquals(1, attemptsOf(seen, number).size());
+      assertEquals("Internal", answer.error(), "it may have run");
+    }
+    client.sendRequest(++number, service, allow, 0);
+    assertEquals(null, client.receive().error(), "on another connection");
+    assertNoFurtherAnswer(client);
+  }
+
+  /**
+   * Several whose first attempts wait there show that the endpoint is silent, and each is sent to
+   * another.
+   */
+  @Test
+  void idempotentRequestsOnUnresponsiveConnectionsAreServedByRetries() throws Exception {
+    Set<String> attempted = ConcurrentHashMap.newKeySet();
+    handleAll(
+        testbed.start(folder, 3, testbed.journal.address()),
+        command -> {
+          if (!attempted.add(command.element(1))) {
+            serve(command);
+          }
+        });
+    TestClient client = testbed.client();
+    for (int one = 0; one < 3; one++) {
+      client.sendRequest(++number, "parts", LONG_MILLIS, 0);
+    }
+    for (int one = 0; one < 3; one++) {
+      assertEquals(null, client.receive().error());
+    }
+    assertNoFurtherAnswer(client);
+  }
+
+  /**
+   * The connection that it takes has been forgotten: its first attempt waits for nothing, and
+   * another is answered.
+   */
+  @Test
+  void singleIdempotentRequestOnAnUnresponsiveConnectionIsServedByARetry() throws Exception {
+    Set<String> attempted = ConcurrentHashMap.newKeySet();
+    for (StubCache cache : testbed.start(folder, 2, testbed.journal.address())) {
+      testbed.handleCommands(
+          cache,
+          command -> {
+            if (!attempted.add(command.element(1))) {
+              command.replyOk("served");
+            }
+          });
+    }
+    TestClient client = testbed.client();
+    client.sendRequest(1, "parts", LONG_MILLIS, 0);
+    assertEquals(null, client.receive().error());
+  }
+
+  /**
+   * Until each request's connection has ended, and the gateway has read all connections after that.
+   */
+  private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
+    await(() -> ended.get() == number, "an end for each request");
+    client.requestStatus();
+    client.requestStatus();
+  }
+}
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
@@ -10,8 +10,7 @@
   private final boolean isReady;
   private final Map<String, String> fields;
 
-  public ClientAnswer(
-      long number, String error, byte[] body, boolean status, Map<String, String> fields) {
+  ClientAnswer(long number, String error, byte[] body, boolean status, Map<String, String> fields) {
     this.messageId = number;
     this.error = error;
     this.body = body;
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -36,7 +36,7 @@
    */
   public volatile int resetsAllButOneOf;
 
-  public JournalRelay(StubJournal to, ExecutorService threads) throws IOException {
+  JournalRelay(StubJournal to, ExecutorService threads) throws IOException {
     this.to = to;
     this.threads = threads;
     reserved.setReuseAddress(true);
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -14,12 +14,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
+/** A cache that keeps the commands that it receives, for the test to reply to. */
 public final class StubCache implements Closeable {
   private final ExecutorService threads;
   public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
   public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
-  public StubCache(ExecutorService threads) throws IOException {
+  StubCache(ExecutorService threads) throws IOException {
     this.threads = threads;
     threads.execute(
         () -> {
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
@@ -25,7 +25,7 @@
   /** Whether the next reply stops in its midst, on a connection that stays open. */
   public volatile boolean truncatesNextReply;
 
-  public StubJournal(ExecutorService threads) throws IOException {
+  StubJournal(ExecutorService threads) throws IOException {
     server.createContext("/journal", this::answer);
     server.setExecutor(threads);
     server.start();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -9,6 +9,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
+/** A client, which blocks the calling thread. */
 public final class TestClient implements Closeable {
   public final Socket socket;
   private final MessageUnpacker in;
