--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -10,10 +10,9 @@
 import java.util.Map;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
-import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import java.util.function.BooleanSupplier;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.gateway.testsupport.ReceivedCommand;
 import org.amberpath.gateway.testsupport.StubCache;
@@ -85,20 +84,12 @@
     return connections().stream().filter(one -> !one.isClosed()).count();
   }
 
-  private static void await(BooleanSupplier condition, String what) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
-    while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, what);
-      Thread.sleep(1);
-    }
-  }
-
   @Test
   void longestIdleConnectionIsClosedBeforeACacheWithoutOneIsUsed() throws Exception {
     TestClient client = testbed.client();
     for (int number = 1; number <= REQUESTS; number++) {
       assertEquals(null, send(client, number).receive().error());
-      await(() -> open() <= BOUND, "more connections than the bound");
+      Conditions.await(() -> open() <= BOUND, "more connections than the bound");
     }
     List<Socket> all = connections();
     assertTrue(all.size() > 2 * BOUND, "caches were asked in turn: " + all.size());
@@ -120,14 +111,15 @@
             answered.incrementAndGet();
           });
     }
-    await(() -> held.size() + answered.get() == BOUND * 4, "all are sent or turned away");
+    Conditions.await(
+        () -> held.size() + answered.get() == BOUND * 4, "all are sent or turned away");
     assertTrue(held.size() >= BOUND, "as many as have a connection are sent");
     assertTrue(connections().size() <= BOUND, connections().size() + " connections");
     holds.set(false);
     for (ReceivedCommand command : held) {
       command.replyOk("served");
     }
-    await(() -> answered.get() == BOUND * 4, "what was held is answered");
+    Conditions.await(() -> answered.get() == BOUND * 4, "what was held is answered");
     assertEquals(null, send(testbed.client(), REQUESTS).receive().error(), "there is room again");
     assertTrue(connections().size() <= BOUND + 1, connections().size() + " connections");
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -8,6 +8,7 @@
 import io.vertx.core.VertxOptions;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.HexFormat;
@@ -22,6 +23,7 @@
 import org.amberpath.gateway.client.WriteBufferAccounting;
 import org.amberpath.gateway.discovery.Clock;
 import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -138,9 +140,7 @@
   }
 
   private void awaitHeld(int many) throws InterruptedException {
-    while (held.get() > many) {
-      Thread.sleep(5);
-    }
+    Conditions.await(() -> held.get() <= many, "connections are closed");
     CountDownLatch selected =
         new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
@@ -219,9 +219,8 @@
     for (int one = 0; one < 3 * MOST; one++) {
       TestClient client =
           client().send(TestClient.encodeRequest(9, "status", java.util.Map.of(), null));
-      while (client.socket.getInputStream().available() == 0) {
-        Thread.sleep(1); // It is answered, and has not read that.
-      }
+      // It is answered, and has not read that.
+      Conditions.await(() -> hasUnread(client), "an answer");
     }
     for (TestClient one : all) {
       assertTrue(one.receive().isReady());
@@ -230,6 +229,14 @@
     assertTrue(most.get() <= MOST + ClientConnections.SPARE_CONNECTIONS, "held " + most);
   }
 
+  private static boolean hasUnread(TestClient client) {
+    try {
+      return client.socket.getInputStream().available() > 0;
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
   private static void await(CountDownLatch latch) {
     try {
       latch.await();
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -96,7 +96,7 @@
               }
               return null;
             });
-    Thread.sleep(GONE_MS);
+    Thread.sleep(GONE_MS); // The passing of time is tested.
     decisions.resume();
     written.get(PATIENCE_S, TimeUnit.SECONDS);
     Set<String> sent = ConcurrentHashMap.newKeySet();
@@ -160,7 +160,7 @@
     }
     pause.awaitPaused();
     client.close();
-    Thread.sleep(GONE_MS);
+    Thread.sleep(GONE_MS); // The passing of time is tested.
     pause.resume();
     assertEquals(
         event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -208,7 +208,7 @@
     for (int silent = 0; silent < 70; silent++) { // Its clients may hold 64 of 128 descriptors.
       testbed.client();
     }
-    Thread.sleep(STALL_MILLIS / 2);
+    Thread.sleep(STALL_MILLIS / 2); // The passing of time is tested.
     command.replyOk("kept");
     assertEquals("kept", text(client.receive()));
   }
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -123,10 +123,10 @@
     till.sendRequest(3, "parts", 4000, 0);
     if (pollEnded) { // Its reply waits at the gateway; what comes after that waits at the journal.
       other.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
-      Thread.sleep(STALL_MILLIS / 4);
+      Thread.sleep(STALL_MILLIS / 4); // The passing of time is tested.
     }
     news.run();
-    Thread.sleep(STALL_MILLIS);
+    Thread.sleep(STALL_MILLIS); // The passing of time is tested.
     decisions.resume.countDown();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -66,7 +66,7 @@
       cache.nextCommand().replyOk(part);
       byte[] nonsense = new byte[200_000];
       Arrays.fill(nonsense, (byte) 0xc1);
-      Thread.sleep(100); // The answer has left the gateway as far as the client reads.
+      Thread.sleep(100); // The response is written as far as the client reads: time passes.
       client.send(nonsense);
       assertEquals(part, text(client.receive()));
       assertTrue(client.isClosed());
@@ -85,7 +85,7 @@
     assertNotNull(testbed.journal.polls.poll(PATIENCE_MS, TimeUnit.MILLISECONDS));
     TestClient client = testbed.client();
     client.sendRequest(1, "parts", 700, 0);
-    Thread.sleep(50);
+    Thread.sleep(50); // The passing of time is tested.
     assertEquals(Gateway.Phase.STARTING, testbed.gateway.phase());
     var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     assertNotNull(client.receive().error());
@@ -101,7 +101,7 @@
         TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), new byte[300]);
     client.send(Arrays.copyOf(get, 100));
     testbed.gateway.stop();
-    Thread.sleep(1000); // Clients that have sent all have had their time by then.
+    Thread.sleep(1000); // The passing of time is tested: other clients had theirs.
     client.send(Arrays.copyOfRange(get, 100, get.length));
     cache.nextCommand().replyOk("whole at last");
     assertEquals("whole at last", text(client.receive()));
@@ -120,7 +120,7 @@
         .socket()
         .getOutputStream()
         .write("*4\r\n$16\r\n00000000".getBytes(java.nio.charset.StandardCharsets.US_ASCII));
-    Thread.sleep(100);
+    Thread.sleep(100); // It has been read: nothing tells of that but the passing of time.
     client.sendRequest(2, "orders", 4000, 0);
     cache.nextCommand().replyOk("second");
     assertEquals("second", text(client.receive()));
@@ -148,7 +148,7 @@
         });
     TestClient[] clients = {testbed.client(), testbed.client()};
     clients[0].sendRequest(1, "parts", 4000, 1);
-    Thread.sleep(STANDS_MS / 4);
+    Thread.sleep(STANDS_MS / 4); // The passing of time is tested.
     for (int number = 2; number <= 48; number++) { // As many as may be open.
       clients[number % 2].sendRequest(number, "parts", 4000, number);
     }
@@ -178,7 +178,7 @@
                       }
                     })));
     testbed.client().sendRequest(1, "parts", 4000, 1);
-    Thread.sleep(STANDS_MS / 4);
+    Thread.sleep(STANDS_MS / 4); // The passing of time is tested.
     testbed.client().sendRequest(2, "parts", 4000, 2);
     TestClient late = testbed.client().sendRequest(3, "parts", 900, 3);
     assertTrue(left.take() > 3000);
@@ -226,7 +226,7 @@
 
   private static void stand() {
     try {
-      Thread.sleep(STANDS_MS);
+      Thread.sleep(STANDS_MS); // The passing of time is tested.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayFixture;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.gateway.testsupport.ReceivedCommand;
@@ -141,10 +142,8 @@
     client.sendRequest(1, "parts", 1500, 0);
     cache.nextCommand().replyOk("still known");
     assertEquals("still known", text(client.receive()));
-    for (int many = 0; many < 300 && testbed.gateway.resourceCount() > here; many++) {
-      client.requestStatus();
-      Thread.sleep(10);
-    }
+    Conditions.await(
+        () -> testbed.gateway.resourceCount() <= here, "nothing else is held any more");
     assertEquals(here, testbed.gateway.resourceCount());
   }
 
@@ -201,7 +200,7 @@
                             return null;
                           })));
       other.client().sendRequest(1, "parts", 4000, 0);
-      Thread.sleep(STALL_MILLIS / 4);
+      Thread.sleep(STALL_MILLIS / 4); // The attempt waits meanwhile: the passing of time is tested.
       other.journal.addEntry(
           "\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
       assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
--- a/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
@@ -15,6 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.testsupport.ClientAnswer;
 import org.amberpath.gateway.testsupport.CommandHandler;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.FaultFixture;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.gateway.testsupport.ReceivedCommand;
@@ -67,7 +68,7 @@
             testbed.threads.submit(() -> answers(late, deadlines)));
     for (int allow : allowed) {
       requestEachClass(late, allow, deadlines);
-      Thread.sleep(50);
+      Thread.sleep(50); // The passing of time is tested.
     }
     for (var one : answers) {
       assertEquals(
@@ -167,8 +168,8 @@
     for (int one = 1; one <= together; one++) {
       client.sendRequest(one, "parts", LONG_MILLIS, 0);
     }
-    await(() -> waiting.size() == together, "the first attempts");
-    await(
+    Conditions.await(() -> waiting.size() == together, "the first attempts");
+    Conditions.await(
         () -> attemptsOf(seen, 1).size() > 1 && attemptsOf(seen, 2).size() > 1, "hedged requests");
     Thread.sleep(100); // They have failed meanwhile.
     for (ReceivedCommand command : waiting) {
@@ -227,7 +228,7 @@
         assertTrue(
             millisSince(since) < LATE_MILLIS, service + " after " + millisSince(since) + " ms");
         assertNoFurtherAnswer(client);
-        Thread.sleep(BETWEEN_REQUESTS_MILLIS);
+        Thread.sleep(BETWEEN_REQUESTS_MILLIS); // The passing of time is tested.
       }
     }
     for (int one = warmed + 1; one <= number; one++) {
@@ -238,7 +239,7 @@
         String ref = requestId(one);
         ReceivedCommand command = attempts.get(0).command();
         assertTrue(Integer.parseInt(command.field("ms")) <= 5, command.element(2));
-        await(
+        Conditions.await(
             () ->
                 command.socket().isClosed()
                     || seen.stream()
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -10,6 +10,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.FaultFixture;
 import org.amberpath.gateway.testsupport.StubCache;
 import org.amberpath.gateway.testsupport.TestClient;
@@ -156,7 +157,7 @@
    * Until each request's connection has ended, and the gateway has read all connections after that.
    */
   private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
-    await(() -> ended.get() == number, "an end for each request");
+    Conditions.await(() -> ended.get() == number, "an end for each request");
     client.requestStatus();
     client.requestStatus();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -14,6 +14,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.gateway.testsupport.PausingRouter;
 import org.amberpath.gateway.testsupport.ReceivedCommand;
@@ -125,7 +126,7 @@
       clients.get(at).send(Arrays.copyOfRange(requests[at], begun, requests[at].length));
     }
     long sentBy = System.nanoTime();
-    Thread.sleep(LAG_MS);
+    Thread.sleep(LAG_MS); // The passing of time is tested.
     long most = ALLOWANCE_MS - (System.nanoTime() - sentBy) / 1_000_000 + TOLERANCE_MS;
     decisions.resume();
     Map<String, Long> arguments = new ConcurrentHashMap<>();
@@ -173,7 +174,7 @@
     client.requestStatus();
     decisions.pauseAfterRequest(testbed.client());
     client.sendRequest(1, "parts", LAG_MS / 3, 0);
-    Thread.sleep(LAG_MS);
+    Thread.sleep(LAG_MS); // The passing of time is tested.
     decisions.resume();
     assertEquals("Overloaded", client.receive().error());
     client.sendRequest(2, "parts", ALLOWANCE_MS, 0);
@@ -221,11 +222,7 @@
     assertTrue(took < 10 * allowance, took + " ms");
     assertTrue(client.requestStatus().isReady());
     client.close();
-    for (long by = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_S);
-        testbed.gateway.resourceCount() > held; ) {
-      assertTrue(System.nanoTime() < by, "held for ever: " + testbed.gateway.resourceCount());
-      Thread.sleep(20);
-    }
+    Conditions.await(() -> testbed.gateway.resourceCount() <= held, "nothing is held any more");
   }
 
   private static byte[] concat(byte[] first, byte[] second) {
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -117,7 +117,7 @@
 
   private static void pause(long millis) {
     try {
-      Thread.sleep(millis);
+      Thread.sleep(millis); // The passing of time is tested.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -32,6 +32,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Predicate;
 import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.gateway.testsupport.ReceivedCommand;
 import org.amberpath.gateway.testsupport.StubCache;
@@ -248,24 +249,15 @@
     calls.acceptFailures = 4;
     testbed.client(port);
     testbed.client(port);
-    await(() -> waited.size() == 2);
+    Conditions.await(() -> waited.size() == 2, "the attempts or connections that are expected");
     for (int connection = 0; connection < 2; connection++) {
       assertTrue(waited.remove() >= 150_000_000);
     }
     testbed.client(port);
-    await(() -> waited.size() == 1);
+    Conditions.await(() -> waited.size() == 1, "the attempts or connections that are expected");
     assertEquals(0, waited.remove());
   }
 
-  private static void await(java.util.function.BooleanSupplier condition)
-      throws InterruptedException {
-    long until = System.nanoTime() + GatewayTestbed.TIMEOUT_SECONDS * 1_000_000_000L;
-    while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "it did not come");
-      Thread.sleep(1);
-    }
-  }
-
   @ParameterizedTest
   @CsvSource({
     "true, Too many open files",
@@ -287,7 +279,7 @@
     client.sendRequest(1, "orders", 5000, 0);
     cache.nextCommand().replyOk("served");
     assertEquals("served", text(client.receive()));
-    await(() -> !outcomes.isEmpty());
+    Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
     assertEquals("[SUCCEEDED]", outcomes.toString());
   }
 
@@ -301,12 +293,14 @@
     calls.connects.set(0);
     calls.connectFailures = FOREVER;
     client.sendRequest(1, "orders", 5000, 0);
-    await(() -> !cache.commands.isEmpty() || !other.commands.isEmpty());
+    Conditions.await(
+        () -> !cache.commands.isEmpty() || !other.commands.isEmpty(),
+        "the attempts or connections that are expected");
     ReceivedCommand sent = cache.commands.isEmpty() ? other.nextCommand() : cache.nextCommand();
     assertFalse(sent.socket().getLocalPort() == only[0]);
     sent.replyOk("served");
     assertEquals("served", text(client.receive()));
-    await(() -> outcomes.size() == 2);
+    Conditions.await(() -> outcomes.size() == 2, "the attempts or connections that are expected");
     assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
     assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
   }
@@ -318,7 +312,7 @@
     calls.connectFailures = FOREVER;
     client.sendRequest(1, "orders", 120, 0);
     assertNotNull(client.receive().error());
-    await(() -> !outcomes.isEmpty());
+    Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
     assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
     calls.connectFailures = 0;
     client.sendRequest(2, "orders", 5000, 0);
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/Conditions.java
@@ -0,0 +1,22 @@
+package org.amberpath.gateway.testsupport;
+
+import java.time.Duration;
+import java.util.function.BooleanSupplier;
+import org.awaitility.Awaitility;
+
+/** Waits for what other threads and other processes do. */
+public final class Conditions {
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(1);
+
+  private Conditions() {}
+
+  /** Waits until a condition holds; fails the test where it does not in time. */
+  public static void await(BooleanSupplier condition, String description) {
+    Awaitility.await(description)
+        .pollInSameThread()
+        .pollDelay(Duration.ZERO)
+        .pollInterval(POLL_INTERVAL)
+        .atMost(Duration.ofSeconds(GatewayTestbed.TIMEOUT_SECONDS))
+        .until(condition::getAsBoolean);
+  }
+}
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -50,15 +50,6 @@
     return String.format("%016x", ofNumber);
   }
 
-  protected static void await(BooleanSupplier condition, String what) throws InterruptedException {
-    long since = System.nanoTime();
-    while (!condition.getAsBoolean()) {
-      assertTrue(
-          millisSince(since) < TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS), what);
-      Thread.sleep(BETWEEN_REQUESTS_MILLIS / 2);
-    }
-  }
-
   /** The wants among what came to caches, of one request. */
   protected static List<TimedCommand> attemptsOf(List<List<TimedCommand>> seen, int ofNumber) {
     return seen.stream()
@@ -102,7 +93,7 @@
           millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
           "it never comes");
       requestServed(client);
-      Thread.sleep(BETWEEN_REQUESTS_MILLIS);
+      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Requests at a rate: the passing of time is tested.
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -16,12 +16,10 @@
 
 /** A cache that keeps the commands that it receives, for the test to reply to. */
 public final class StubCache implements Closeable {
-  private final ExecutorService threads;
   public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
   public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
   StubCache(ExecutorService threads) throws IOException {
-    this.threads = threads;
     threads.execute(
         () -> {
           try {
