--- a/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
@@ -84,9 +84,9 @@
 
   @ParameterizedTest
   @CsvSource({"error, Internal", "refused, Overloaded", "stale, Overloaded"})
-  void replyStatusDeterminesTheError(String word, String error) throws Exception {
+  void replyStatusDeterminesTheError(String status, String error) throws Exception {
     client.sendRequest(1, "orders", 1500, 0);
-    cache.nextCommand().reply(word, "-", new byte[0]);
+    cache.nextCommand().reply(status, "-", new byte[0]);
     assertEquals(error, client.receive().error());
   }
 
@@ -96,8 +96,8 @@
     client.sendRequest(1, "parts", 300, 0);
     ReceivedCommand command = cache.nextCommand();
     assertEquals("Internal", client.receive().error());
-    long took = (System.nanoTime() - sentAt) / 1_000_000;
-    assertTrue(took >= 290 && took < 2000, took + " ms");
+    long tookMillis = (System.nanoTime() - sentAt) / 1_000_000;
+    assertTrue(tookMillis >= 290 && tookMillis < 2000, tookMillis + " ms");
     assertEquals(9999, client.requestStatus().messageId());
     assertEquals("0000000000000001", command.element(1));
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -38,15 +38,16 @@
  */
 @Timeout(30)
 class ClientConnectionEndingsTest implements ClientHandler {
-  private static final int MOST = 20;
+  private static final int MAX_CONNECTIONS = 20;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
-  private final ClientConnections clients = new ClientConnections(vertx, MOST, clock::nowNanos);
+  private final ClientConnections clients =
+      new ClientConnections(vertx, MAX_CONNECTIONS, clock::nowNanos);
   private final List<TestClient> all = new ArrayList<>();
 
   /** How many connections were held at most. */
-  private final AtomicInteger most = new AtomicInteger();
+  private final AtomicInteger maxHeld = new AtomicInteger();
 
   /** How many connections are held. */
   private final AtomicInteger held = new AtomicInteger();
@@ -68,7 +69,7 @@
                   loop = Thread.currentThread();
                   held.incrementAndGet();
                   clients.add(new ClientConnection(socket, queues, clock::nowNanos, this));
-                  most.accumulateAndGet(clients.size(), Math::max);
+                  maxHeld.accumulateAndGet(clients.size(), Math::max);
                 })
             .listen(0, "127.0.0.1")
             .toCompletionStage()
@@ -139,8 +140,8 @@
     assertTrue(done.await(10, TimeUnit.SECONDS));
   }
 
-  private void awaitHeld(int many) throws InterruptedException {
-    Conditions.await(() -> held.get() <= many, "connections are closed");
+  private void awaitHeld(int count) throws InterruptedException {
+    Conditions.await(() -> held.get() <= count, "connections are closed");
     CountDownLatch selected =
         new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
@@ -198,17 +199,17 @@
     switch (end) {
       case UNREADABLE -> client.send(bytes("c1"));
       case PAST_THE_BOUND -> {
-        for (int more = 0; more < MOST; more++) {
+        for (int more = 0; more < MAX_CONNECTIONS; more++) {
           client().send(get(2)).receive();
         }
-        before += MOST;
+        before += MAX_CONNECTIONS;
       }
       case STOPPED -> onLoop(clients::end);
       default -> client = client();
     }
     assertTrue(client.isClosed());
     client.send(get(3)); // It crossed the end.
-    awaitHeld(end == End.PAST_THE_BOUND ? MOST : 0);
+    awaitHeld(end == End.PAST_THE_BOUND ? MAX_CONNECTIONS : 0);
     TestClient ended = client;
     assertThrows(IOException.class, () -> ended.send(get(4)), "a request was read after the end");
     assertEquals(before, read.get());
@@ -216,7 +217,7 @@
 
   @Test
   void burstOfNewConnectionsStaysWithinTheBoundAndLosesNoResponse() throws Exception {
-    for (int one = 0; one < 3 * MOST; one++) {
+    for (int one = 0; one < 3 * MAX_CONNECTIONS; one++) {
       TestClient client =
           client().send(TestClient.encodeRequest(9, "status", java.util.Map.of(), null));
       // It is answered, and has not read that.
@@ -225,8 +226,9 @@
     for (TestClient one : all) {
       assertTrue(one.receive().isReady());
     }
-    awaitHeld(MOST);
-    assertTrue(most.get() <= MOST + ClientConnections.SPARE_CONNECTIONS, "held " + most);
+    awaitHeld(MAX_CONNECTIONS);
+    assertTrue(
+        maxHeld.get() <= MAX_CONNECTIONS + ClientConnections.SPARE_CONNECTIONS, "held " + maxHeld);
   }
 
   private static boolean hasUnread(TestClient client) {
@@ -261,7 +263,9 @@
     long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
     awaitHeld(0); // It is closed in time all the same.
     long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
-    long took = System.nanoTime() - since;
-    assertTrue(busy < took / 2, "busy for " + busy / 1_000_000 + " of " + took / 1_000_000 + " ms");
+    long tookNanos = System.nanoTime() - since;
+    assertTrue(
+        busy < tookNanos / 2,
+        "busy for " + busy / 1_000_000 + " of " + tookNanos / 1_000_000 + " ms");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -53,7 +53,7 @@
     testbed.close();
   }
 
-  /** Settings under which news of caches may be far older than a client's close. */
+  /** Settings under which endpoint lists may be far older than a client's close. */
   private GatewayOptions options() throws IOException {
     return GatewayOptions.read(
         testbed.environment(
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -45,10 +45,10 @@
       bytes[at] = (byte) Integer.parseInt(hex.substring(2 * at, 2 * at + 2), 16);
     }
     bad.send(bytes);
-    byte[] many = new byte[300_000];
-    java.util.Arrays.fill(many, (byte) 0x91);
+    byte[] garbage = new byte[300_000];
+    java.util.Arrays.fill(garbage, (byte) 0x91);
     try {
-      bad.send(many);
+      bad.send(garbage);
     } catch (java.io.IOException e) {
       // Closed already.
     }
@@ -135,11 +135,11 @@
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 60})
   void clientThatSendsNoCompleteMessageIsDisconnectedInTime(int bytes) throws Exception {
-    TestClient owes = testbed.client();
+    TestClient silent = testbed.client();
     byte[] whole = TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), null);
-    owes.send(java.util.Arrays.copyOf(whole, bytes));
+    silent.send(java.util.Arrays.copyOf(whole, bytes));
     long since = System.nanoTime();
-    assertTrue(owes.isClosed());
+    assertTrue(silent.isClosed());
     assertTrue(System.nanoTime() - since < 3_000_000_000L);
   }
 
@@ -152,9 +152,9 @@
     client.sendRequest(1, "parts", 9000, 0);
     ReceivedCommand command = cache.nextCommand();
     List<TestClient> held = new ArrayList<>();
-    for (int many = 0; many < 80; many++) {
+    for (int count = 0; count < 80; count++) {
       held.add(testbed.client());
-      assertTrue(held.get(many).requestStatus().isReady());
+      assertTrue(held.get(count).requestStatus().isReady());
     }
     assertTrue(held.get(0).isClosed());
     assertTrue(held.get(79).requestStatus().isReady());
@@ -171,7 +171,7 @@
 
   @Test
   void clientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
-    TestClient deaf = testbed.client();
+    TestClient slowClient = testbed.client();
     byte[] part = new byte[240_000];
     testbed.threads.execute(
         () -> {
@@ -186,7 +186,7 @@
     List<Integer> open = new ArrayList<>();
     try {
       for (int number = 1; number < 5000; number++) {
-        deaf.sendRequest(number, "parts", 1500, 0);
+        slowClient.sendRequest(number, "parts", 1500, 0);
         client.sendRequest(10_000 + number, "parts", 1500, 0).receive();
         open.add(number);
       }
@@ -195,7 +195,7 @@
       assertTrue(client.requestStatus().isReady());
       return;
     }
-    assertFalse(true, "the deaf client still has its connection");
+    assertFalse(true, "the client that does not read still has its connection");
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -53,7 +53,7 @@
       try {
         int port = awaitServing(process.inputReader());
         File descriptors = new File("/proc/" + process.pid() + "/fd");
-        Future<?> count =
+        Future<?> counting =
             testbed.threads.submit(
                 () -> {
                   while (!ends.get()) {
@@ -62,7 +62,7 @@
                   }
                 });
         TestClient first = testbed.client(port);
-        for (int many = 0; many < LIMIT / 2 - 1; many++) {
+        for (int count = 0; count < LIMIT / 2 - 1; count++) {
           assertEquals(9999, testbed.client(port).requestStatus().messageId());
         }
         first.requestStatus();
@@ -82,7 +82,7 @@
           assertTrue(process.waitFor(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         ends.set(true);
-        count.get();
+        counting.get();
         assertTrue(held.get() > LIMIT / 2 && held.get() <= LIMIT, held + " descriptors");
       } finally {
         ends.set(true);
@@ -97,7 +97,7 @@
   private static void connect(int port, List<SocketChannel> resting) throws Exception {
     byte[] status = TestClient.encodeRequest(1, "status", Map.of(), null);
     try {
-      for (int many = 0; many < CLIENTS; many++) {
+      for (int count = 0; count < CLIENTS; count++) {
         SocketChannel one =
             SocketChannel.open(new InetSocketAddress(GatewayTestbed.LOOPBACK, port));
         resting.add(one);
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -1,6 +1,5 @@
 package org.amberpath.gateway;
 
-
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -28,26 +28,26 @@
       throws Exception {
     try (GatewayTestbed other = new GatewayTestbed()) {
       StubCache[] caches = {other.cache(), other.cache()};
-      StallingRouter decisions = startStallingGateway(other, caches);
-      TestClient till = other.client();
-      till.sendRequest(1, "parts", 4000, 0);
+      StallingRouter router = startStallingGateway(other, caches);
+      TestClient client = other.client();
+      client.sendRequest(1, "parts", 4000, 0);
       ReceivedCommand first = null;
       for (int at = 0; first == null; at ^= 1) {
         first = caches[at].commands.poll(20, TimeUnit.MILLISECONDS);
       }
       int hashed = caches[0].server.getLocalPort() == first.socket().getLocalPort() ? 0 : 1;
       first.replyOk("before");
-      assertEquals("before", text(till.receive()));
+      assertEquals("before", text(client.receive()));
       stallWhile(
           other,
-          decisions,
+          router,
           pollEnded,
-          till,
+          client,
           () -> other.journal.listEndpoint("c" + hashed, caches[hashed].address(), "box", state));
       ReceivedCommand late = caches[1 - hashed].nextCommand();
       assertEquals("0000000000000003", late.element(1));
       late.replyOk("after");
-      assertEquals("after", text(till.receive()));
+      assertEquals("after", text(client.receive()));
       assertTrue(
           caches[hashed].commands.stream()
               .noneMatch(one -> one.element(1).equals("0000000000000003")));
@@ -59,10 +59,10 @@
   void afterEventLoopLagPurgesAreReadBeforeRequestsAreRouted(boolean pollEnded) throws Exception {
     try (GatewayTestbed other = new GatewayTestbed()) {
       StubCache only = other.cache();
-      StallingRouter decisions = startStallingGateway(other, only);
+      StallingRouter router = startStallingGateway(other, only);
       stallWhile(
           other,
-          decisions,
+          router,
           pollEnded,
           other.client(),
           () ->
@@ -94,39 +94,39 @@
     }
   }
 
-  /** A second world, with two caches; its loop stands still from the next round on. */
+  /** A second testbed, whose event loop stalls once the router is armed. */
   private StallingRouter startStallingGateway(GatewayTestbed other, StubCache... caches)
       throws Exception {
     for (int at = 0; at < caches.length; at++) {
       other.journal.listEndpoint("c" + at, caches[at].address(), "box", "ready");
     }
     GatewayOptions options = GatewayOptions.read(other.environment(folder));
-    StallingRouter decisions = new StallingRouter(options);
-    other.start(options, decisions);
-    return decisions;
+    StallingRouter router = new StallingRouter(options);
+    other.start(options, router);
+    return router;
   }
 
   /**
-   * GET 2 makes the loop stand; GET 3 and news come meanwhile, the news after the poll had ended if
-   * that is said.
+   * Request 2 stalls the event loop; request 3 and an event arrive meanwhile, the event after the
+   * poll had ended if that is said.
    */
   private static void stallWhile(
       GatewayTestbed other,
-      StallingRouter decisions,
+      StallingRouter router,
       boolean pollEnded,
-      TestClient till,
-      Runnable news)
+      TestClient client,
+      Runnable event)
       throws Exception {
-    decisions.armed = true;
+    router.armed = true;
     other.client().sendRequest(2, "parts", 4000, 0);
-    assertTrue(decisions.stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-    till.sendRequest(3, "parts", 4000, 0);
+    assertTrue(router.stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+    client.sendRequest(3, "parts", 4000, 0);
     if (pollEnded) { // Its reply waits at the gateway; what comes after that waits at the journal.
       other.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
       Thread.sleep(STALL_MILLIS / 4); // The passing of time is tested.
     }
-    news.run();
+    event.run();
     Thread.sleep(STALL_MILLIS); // The passing of time is tested.
-    decisions.resume.countDown();
+    router.resume.countDown();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -167,10 +167,10 @@
       GatewayOptions options = GatewayOptions.read(other.environment(folder));
       other.journal.server.stop(0);
       other.start(options, null);
-      TestClient till = other.client();
-      till.sendRequest(1, "parts", 1500, 0);
-      only.nextCommand().replyOk("old news");
-      assertEquals("old news", text(till.receive()));
+      TestClient client = other.client();
+      client.sendRequest(1, "parts", 1500, 0);
+      only.nextCommand().replyOk("known endpoint");
+      assertEquals("known endpoint", text(client.receive()));
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
@@ -112,9 +112,10 @@
       }
     }
     for (int one = 1; one <= number; one++) {
-      int most = one % 3 == 2 && mayHaveRun ? 1 : MAX_ATTEMPTS;
+      int maxAttempts = one % 3 == 2 && mayHaveRun ? 1 : MAX_ATTEMPTS;
       int attempts = attemptsOf(seen, one).size();
-      assertTrue(attempts >= 1 && attempts <= most, attempts + " attempts of request " + one);
+      assertTrue(
+          attempts >= 1 && attempts <= maxAttempts, attempts + " attempts of request " + one);
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -56,9 +56,9 @@
       client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
       ClientAnswer answer = client.receive();
       assertEquals(number, answer.messageId());
-      int most = "Overloaded".equals(answer.error()) ? 0 : 1;
+      int maxAttempts = "Overloaded".equals(answer.error()) ? 0 : 1;
       assertTrue(
-          runs.getOrDefault(number, 0) <= most,
+          runs.getOrDefault(number, 0) <= maxAttempts,
           "run " + runs.get(number) + " times: " + answer.error());
       if (!crosses) {
         assertEquals(null, answer.error(), "its connection had ended long before");
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -218,8 +218,8 @@
     for (int answer = 0; answer < 2; answer++) {
       assertNotNull(client.receive().error());
     }
-    long took = (System.nanoTime() - sent) / 1_000_000;
-    assertTrue(took < 10 * allowance, took + " ms");
+    long tookMillis = (System.nanoTime() - sent) / 1_000_000;
+    assertTrue(tookMillis < 10 * allowance, tookMillis + " ms");
     assertTrue(client.requestStatus().isReady());
     client.close();
     Conditions.await(() -> testbed.gateway.resourceCount() <= held, "nothing is held any more");
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -108,11 +108,13 @@
     var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     assertFalse(stopped.isDone());
     stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    long took = (System.nanoTime() - since) / 1_000_000;
+    long tookMillis = (System.nanoTime() - since) / 1_000_000;
     assertEquals("Internal", client.receive().error());
     assertTrue(
-        took < 3200,
-        "took " + took + " ms"); // A second and a half later, were the loop's lateness left out.
+        tookMillis < 3200,
+        "took "
+            + tookMillis
+            + " ms"); // A second and a half later, were the loop's lateness left out.
   }
 
   private static void pause(long millis) {
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -23,12 +23,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * GETs of a gateway's own, on behalf of the fleet: what comes of them, and that neither client nor
- * stop waits.
+ * Requests that a gateway makes itself, on behalf of the fleet: their outcomes, and that neither a
+ * client nor a shutdown waits for them.
  */
 @Timeout(30)
 class SyntheticRequestsTest {
-  private static final long ACT = 400_000_000;
+  private static final long TIMEOUT_NANOS = 400_000_000;
 
   @TempDir private Path folder;
   private GatewayTestbed testbed;
@@ -95,13 +95,13 @@
     testbed.close();
   }
 
-  private CompletableFuture<FleetCallbacks.SyntheticOutcome> own(String id) {
+  private CompletableFuture<FleetCallbacks.SyntheticOutcome> sendSynthetic(String id) {
     CompletableFuture<FleetCallbacks.SyntheticOutcome> end = new CompletableFuture<>();
-    callbacks.sendSyntheticRequest(id, ACT, end::complete);
+    callbacks.sendSyntheticRequest(id, TIMEOUT_NANOS, end::complete);
     return end;
   }
 
-  private void viewed() throws Exception {
+  private void serveOneRequest() throws Exception {
     client.sendRequest(1, "parts", 1500, 3);
     cache.nextCommand().replyOk("part");
     assertEquals(1, client.receive().messageId());
@@ -110,10 +110,12 @@
   @Test
   void healthCheckRepeatsAClientsRequestUnderANewId() throws Exception {
     assertFalse(
-        callbacks.sendSyntheticRequest("c0", ACT, end -> {}), "nobody has asked for anything yet");
-    viewed();
-    assertFalse(callbacks.sendSyntheticRequest("c9", ACT, end -> {}), "there is no such cache");
-    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
+        callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, end -> {}),
+        "nobody has asked for anything yet");
+    serveOneRequest();
+    assertFalse(
+        callbacks.sendSyntheticRequest("c9", TIMEOUT_NANOS, end -> {}), "there is no such cache");
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = sendSynthetic("c0");
     ReceivedCommand command = cache.nextCommand();
     assertNotEquals("0000000000000001", command.element(1));
     assertEquals(
@@ -126,34 +128,36 @@
         "that it has not the part is an answer too");
     client.sendRequest(2, "parts", 1500, 3);
     cache.nextCommand().replyOk("next");
-    assertEquals(2, client.receive().messageId(), "the client has heard of nothing but its own");
+    assertEquals(2, client.receive().messageId(), "the client is returned nothing but its own");
   }
 
   @Test
   void unansweredSyntheticRequestTimesOutAndIsNotRetried() throws Exception {
-    viewed();
+    serveOneRequest();
     long began = System.nanoTime();
-    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = own("c0");
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = sendSynthetic("c0");
     cache.nextCommand();
     assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, end.get(5, TimeUnit.SECONDS));
-    assertTrue(System.nanoTime() - began < 2 * ACT);
+    assertTrue(System.nanoTime() - began < 2 * TIMEOUT_NANOS);
     ReceivedCommand next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
     assertTrue(next == null || !next.element(0).equals("want"), "nothing but that it is given up");
     assertEquals(
         FleetCallbacks.SyntheticOutcome.NOT_SENT,
-        own("o0").get(5, TimeUnit.SECONDS),
+        sendSynthetic("o0").get(5, TimeUnit.SECONDS),
         "the origin is not tried");
   }
 
   @Test
   void shutdownNotifiesTheCoordinatorAndWaitsForNoSyntheticRequest() throws Exception {
-    viewed();
-    assertTrue(callbacks.sendSyntheticRequest("c0", ACT, end -> {}));
+    serveOneRequest();
+    assertTrue(callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, end -> {}));
     cache.nextCommand();
     long began = System.nanoTime();
     testbed.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     assertTrue(draining);
-    assertFalse(callbacks.sendSyntheticRequest("c0", ACT, late -> {}), "nothing is begun any more");
+    assertFalse(
+        callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, late -> {}),
+        "nothing is begun any more");
     assertTrue(System.nanoTime() - began < 3_000_000_000L);
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -177,13 +177,13 @@
   }
 
   private void serve(GatewayOptions options) throws Exception {
-    RequestRouter control = new RequestRouter(options.routingConfig());
+    RequestRouter router = new RequestRouter(options.routingConfig());
     testbed.gateway =
         new Gateway(
             vertx,
             options,
             GatewayExtensions.NONE,
-            (now, in, to) -> control.decide(now, events -> in.replayTo(heard(events)), to));
+            (now, in, to) -> router.decide(now, events -> in.replayTo(recordOutcomes(events)), to));
     testbed
         .gateway
         .start()
@@ -192,8 +192,8 @@
         .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Notes how each attempt ended before the decisions hear of it. */
-  private RoutingEventHandler heard(RoutingEventHandler to) {
+  /** Notes how each attempt ended before the router is notified of it. */
+  private RoutingEventHandler recordOutcomes(RoutingEventHandler to) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
             SystemCallFailuresTest.class.getClassLoader(),
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -22,19 +22,17 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the decisions are told of purges and starts while the wall clock steps, on loopback. */
+/** The purges and starts that the router is notified of while the wall clock steps, on loopback. */
 class WallClockTest {
   private static final long HOUR_MS = 3_600_000;
   private static final long SOON_MS = 60_000;
 
-  /**
-   * What a cache or a purge was told with: how long ago it was, and for a cache when it started.
-   */
-  private record Told(String what, long agoMs, long at) {}
+  /** A listed cache or a purge: how long ago it was, and for a cache when it started. */
+  private record Notified(String what, long agoMs, long at) {}
 
   @TempDir private Path folder;
   private final AtomicLong step = new AtomicLong();
-  private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<Notified> notified = new LinkedBlockingQueue<>();
   private GatewayTestbed testbed;
 
   @BeforeEach
@@ -59,13 +57,13 @@
                           if (event.getName().equals("endpointListed")
                               && ((EndpointDescription) with[0]).startedAtNanos() != 0) {
                             EndpointDescription endpoint = (EndpointDescription) with[0];
-                            told.add(
-                                new Told(
+                            notified.add(
+                                new Notified(
                                     endpoint.id(),
                                     (now - endpoint.startedAtNanos()) / 1_000_000,
                                     endpoint.startedAtNanos()));
                           } else if (event.getName().equals("objectPurged")) {
-                            told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
+                            notified.add(new Notified("purge", (long) with[2] / 1_000_000, 0));
                           }
                           return null;
                         }));
@@ -84,11 +82,11 @@
         .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private Told next(String what) throws InterruptedException {
-    Told next;
+  private Notified next(String what) throws InterruptedException {
+    Notified next;
     do {
-      next = told.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertNotNull(next, "nothing was told of " + what);
+      next = notified.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertNotNull(next, "no event of " + what);
     } while (!next.what.equals(what));
     return next;
   }
@@ -135,7 +133,7 @@
     for (long ms : new long[] {-HOUR_MS, HOUR_MS}) {
       step.set(ms);
       cache("c1", "ready", longAgo);
-      assertEquals(startedAt, next("c1").at, "told anew, by a clock that stepped");
+      assertEquals(startedAt, next("c1").at, "notified anew, by a clock that stepped");
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -17,14 +17,14 @@
 import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 
-/** Stories of forwards that wait to be sent. */
+/** Commands that wait to be sent. */
 class CachePoolTest {
   private static final byte[] ID =
       "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
 
-  private boolean may;
-  private boolean left;
-  private int most = 1;
+  private boolean mayWrite;
+  private boolean disconnected;
+  private int maxConnections = 1;
   private final List<AttemptOutcome> outcomes = new ArrayList<>();
 
   @Test
@@ -39,7 +39,7 @@
               client,
               new PoolBounds(() -> 4, 1, 1, 1, 1),
               new ConnectionBudget(4, () -> {}),
-              new CachePool.Hooks(() -> 0, () -> may, (from, reason) -> {}));
+              new CachePool.Hooks(() -> 0, () -> mayWrite, (from, reason) -> {}));
       pool.send(
           new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
             @Override
@@ -49,12 +49,12 @@
 
             @Override
             protected boolean isExpired(long now) {
-              return left;
+              return disconnected;
             }
           });
       assertEquals(List.of(), outcomes);
-      left = true;
-      may = true;
+      disconnected = true;
+      mayWrite = true;
       pool.retryWaiting();
       assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     } finally {
@@ -78,17 +78,17 @@
                     "c",
                     SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"),
                     client,
-                    new PoolBounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
+                    new PoolBounds(() -> maxConnections, 100, 1, Long.MAX_VALUE, 1),
                     new ConnectionBudget(2, () -> {}),
                     new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
-            pool[0].send(want(new byte[64 << 20]));
+            pool[0].send(command(new byte[64 << 20]));
           });
       Socket first = cache.accept();
       Thread.sleep(200); // It is sent as far as the peer takes it.
       loop.runOnContext(
           v -> {
-            most = 2;
-            pool[0].send(want(ID));
+            maxConnections = 2;
+            pool[0].send(command(ID));
           });
       cache.setSoTimeout(5000);
       try (Socket second = cache.accept()) {
@@ -101,7 +101,7 @@
     }
   }
 
-  private static CacheCommand want(byte[] body) {
+  private static CacheCommand command(byte[] body) {
     return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
       @Override
       protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -17,9 +17,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which entries of one reply of the journal are told as one listing. */
+/** Which entries of one reply of the journal are played as one list. */
 class JournalListingTest {
-  private final List<String> told = new ArrayList<>();
+  private final List<String> events = new ArrayList<>();
 
   /**
    * Entries are words: R a full list, C changes, P a purge, O another kind; then ids, "-" before
@@ -60,27 +60,27 @@
     "'C-a Cb Ca,c Cd', changes -a b listed changes a c d listed",
     "C-a C-a P Ca, changes -a -a listed purge changes a listed"
   })
-  void runOfChangesIsOneList(String entries, String listings) throws Exception {
-    new JournalDecoder(new Ignored()).play(reply(entries), new Listener(""));
-    assertEquals(listings, String.join(" ", told));
+  void runOfChangesIsOneList(String entries, String expected) throws Exception {
+    new JournalDecoder(new NoReplyListener()).play(reply(entries), new Listener(""));
+    assertEquals(expected, String.join(" ", events));
   }
 
   @Test
   void changesBeforeAnInvalidEndpointArePlayed() throws Exception {
     JsonReader reply = reply("Ca Cbad Cc");
-    JournalDecoder decoder = new JournalDecoder(new Ignored());
+    JournalDecoder decoder = new JournalDecoder(new NoReplyListener());
     assertThrows(
         InvalidDocumentException.class,
         () -> decoder.play(reply, new Listener("bad")),
         "as before");
-    assertEquals("changes a listed", String.join(" ", told));
-    told.clear();
+    assertEquals("changes a listed", String.join(" ", events));
+    events.clear();
     assertThrows(
         InvalidDocumentException.class, () -> decoder.play(reply("Rbad"), new Listener("bad")));
-    assertEquals("whole", String.join(" ", told), "a full list with a hole is none");
+    assertEquals("whole", String.join(" ", events), "a full list with a hole is none");
   }
 
-  private static final class Ignored implements JournalDecoder.ReplyListener {
+  private static final class NoReplyListener implements JournalDecoder.ReplyListener {
     @Override
     public void replyStarted(boolean live, long newestPurgeMillis) {}
 
@@ -88,7 +88,7 @@
     public void replyEnded() {}
   }
 
-  /** Writes down what it is told, and can't use one id. */
+  /** Records its events, and rejects one id. */
   private final class Listener implements EndpointListener {
     private final String unusable;
 
@@ -98,7 +98,7 @@
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {
-      told.add(kind == EndpointListKind.FULL ? "whole" : "changes");
+      events.add(kind == EndpointListKind.FULL ? "whole" : "changes");
     }
 
     @Override
@@ -106,17 +106,17 @@
       if (endpoint.id().equals(unusable)) {
         throw new InvalidDocumentException("unusable");
       }
-      told.add(endpoint.state() == EndpointState.GONE ? "-" + endpoint.id() : endpoint.id());
+      events.add(endpoint.state() == EndpointState.GONE ? "-" + endpoint.id() : endpoint.id());
     }
 
     @Override
     public void endpointListCompleted() {
-      told.add("listed");
+      events.add("listed");
     }
 
     @Override
     public void objectPurged(long object, int group, long atMs) {
-      told.add("purge");
+      events.add("purge");
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bench's wire: what is answered, and what ends the process with a plain message. */
+/** The simulator's wire: replies, and invalid input that ends the process with a plain message. */
 class SimulationHostTest {
   private static final String UP =
       """
@@ -78,9 +78,9 @@
       })
   void invalidInputExitsWithOnePlainMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
-    String said = err.toString(StandardCharsets.UTF_8);
-    assertTrue(said.contains(message), said);
-    assertEquals(1, said.lines().count());
+    String messages = err.toString(StandardCharsets.UTF_8);
+    assertTrue(messages.contains(message), messages);
+    assertEquals(1, messages.lines().count());
     assertEquals(1, out.toString(StandardCharsets.UTF_8).lines().count());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
@@ -6,7 +6,7 @@
 import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingEventHandler;
 
-/** Passes on what it is told, if to anybody. */
+/** Passes all events on to another handler. */
 public class ForwardingEventHandler implements RoutingEventHandler {
   private final RoutingEventHandler to;
 
@@ -61,8 +61,8 @@
   }
 
   @Override
-  public void gatewayShareChanged(int many, double part) {
-    to.gatewayShareChanged(many, part);
+  public void gatewayShareChanged(int gateways, double share) {
+    to.gatewayShareChanged(gateways, share);
   }
 
   @Override
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
 import java.io.BufferedReader;
+import java.net.ServerSocket;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Map;
@@ -44,8 +45,8 @@
     GatewayProcess.signal(process, "HUP");
   }
 
-  protected void awaitPolls(int many) throws InterruptedException {
-    for (int poll = 0; poll < many; poll++) {
+  protected void awaitPolls(int count) throws InterruptedException {
+    for (int poll = 0; poll < count; poll++) {
       assertNotNull(testbed.journal.polls.poll(10, TimeUnit.SECONDS));
     }
   }
@@ -76,7 +77,7 @@
   }
 
   protected static int freePort() throws Exception {
-    try (java.net.ServerSocket socket = new java.net.ServerSocket(0, 1, GatewayTestbed.LOOPBACK)) {
+    try (ServerSocket socket = new ServerSocket(0, 1, GatewayTestbed.LOOPBACK)) {
       return socket.getLocalPort();
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
@@ -77,7 +77,9 @@
         .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** The environment of a gateway that is told of what the journal holds now. */
+  /**
+   * The environment of a gateway whose configuration has the entries that the journal holds now.
+   */
   public Map<String, String> environment(Path folder) throws IOException {
     Path file = folder.resolve("config.json");
     Files.writeString(
@@ -173,10 +175,8 @@
         });
   }
 
-  /**
-   * Has a cache react by itself from now on; what is returned grows with the commands that come.
-   */
-  public List<TimedCommand> handleCommands(StubCache cache, CommandHandler reaction) {
+  /** Has a cache handle its commands from now on; the list that is returned grows with them. */
+  public List<TimedCommand> handleCommands(StubCache cache, CommandHandler handler) {
     List<TimedCommand> seen = new CopyOnWriteArrayList<>();
     threads.execute(
         () -> {
@@ -185,7 +185,7 @@
               ReceivedCommand next = cache.commands.take();
               seen.add(new TimedCommand(next, System.nanoTime()));
               if (next.element(0).equals("want")) {
-                threads.execute(() -> handleOnce(reaction, next));
+                threads.execute(() -> handleOnce(handler, next));
               }
             }
           } catch (InterruptedException e) {
@@ -195,9 +195,9 @@
     return seen;
   }
 
-  private static void handleOnce(CommandHandler reaction, ReceivedCommand command) {
+  private static void handleOnce(CommandHandler handler, ReceivedCommand command) {
     try {
-      reaction.handle(command);
+      handler.handle(command);
     } catch (Exception e) {
       // The gateway has closed this connection, or the test is over.
     }
@@ -207,9 +207,9 @@
    * A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the
    * given address.
    */
-  public List<StubCache> start(Path folder, int many, String journalAddress) throws Exception {
+  public List<StubCache> start(Path folder, int count, String journalAddress) throws Exception {
     List<StubCache> caches = new ArrayList<>();
-    for (int at = 0; at < many; at++) {
+    for (int at = 0; at < count; at++) {
       caches.add(cache());
       journal.listEndpoint("c" + at, caches.get(at).address(), "box", "ready");
     }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A way to a journal that can be slow, crowded or closed. */
+/** A way to a journal that can be slow, overloaded or closed. */
 public final class JournalRelay implements Closeable {
   private static final int CHUNK_BYTES = 65_536;
 
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
@@ -11,9 +11,9 @@
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
-/** Decisions in which the event loop stands still once, as long as a test wants. */
+/** A router that pauses the event loop once, as long as a test wants. */
 public final class PausingRouter implements BatchRouter {
-  /** The request at which it stands. */
+  /** The id of the request after which it pauses. */
   public static final String PAUSING_REQUEST_ID = "00000000000003e7";
 
   private static final long TIMEOUT_SECONDS = 20;
@@ -24,8 +24,8 @@
   private volatile boolean armed;
 
   /** A router that decides as another one. */
-  public PausingRouter(BatchRouter decisions) {
-    this.router = decisions;
+  public PausingRouter(BatchRouter router) {
+    this.router = router;
   }
 
   @Override
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Stands until {@link #resume}; called on the event loop. */
+  /** Pauses until {@link #resume}; called on the event loop. */
   public void pauseUntilResumed() {
     paused.countDown();
     try {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Makes the event loop stand still after a request of this client's. */
+  /** Pauses the event loop after a request of this client's. */
   public void pauseAfterRequest(TestClient client) throws Exception {
     armed = true;
     client.sendRequest(0x3e7, "parts", 4000, 0);
@@ -64,14 +64,14 @@
     resumed.countDown();
   }
 
-  /** Hears each event by its name, with its arguments. */
-  public static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> hear) {
+  /** A handler that passes on the name of each event, with its arguments. */
+  public static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> listener) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
             PausingRouter.class.getClassLoader(),
             new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, arguments) -> {
-              hear.accept(event.getName(), arguments);
+              listener.accept(event.getName(), arguments);
               return null;
             });
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
@@ -24,13 +24,13 @@
   }
 
   /** Replies with a status, fields and a body. */
-  public void reply(String word, String fields, byte[] body) throws IOException {
+  public void reply(String status, String fields, byte[] body) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
     for (byte[] one :
         List.of(
             elements.get(1),
-            word.getBytes(StandardCharsets.ISO_8859_1),
+            status.getBytes(StandardCharsets.ISO_8859_1),
             fields.getBytes(StandardCharsets.ISO_8859_1),
             body)) {
       out.writeBytes(("$" + one.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
@@ -7,7 +7,7 @@
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingEvents;
 
-/** Decisions in whose next round the loop stands still until it is let go. */
+/** A router that stalls the event loop in the next batch, until it is resumed. */
 public final class StallingRouter implements BatchRouter {
   private final BatchRouter router;
   public final CountDownLatch stalled = new CountDownLatch(1);
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TimedCommand.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TimedCommand.java
@@ -1,4 +1,4 @@
 package org.amberpath.gateway.testsupport;
 
-/** A want and when it had come. */
+/** A command and when it was received. */
 public record TimedCommand(ReceivedCommand command, long atNanos) {}
