--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -1,5 +1,7 @@
 package org.amberpath.gateway;
 
+import io.vertx.core.net.SocketAddress;
+import java.util.Optional;
 import org.amberpath.gateway.discovery.JournalClient;
 import org.amberpath.gateway.discovery.JournalDecoder;
 import org.amberpath.gateway.pipeline.PipelineContext;
@@ -25,7 +27,7 @@
   EndpointDiscovery(
       RequestPipeline pipeline, GatewayOptions options, EndpointSource.Factory sourceFactory) {
     PipelineContext context = pipeline.context();
-    boolean usesJournal = options.journalAddress() != null;
+    boolean usesJournal = options.journalAddress().isPresent();
     MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpointListener());
     EndpointListener sourceListener =
         sourceFactory == null || !usesJournal ? pipeline.endpointListener() : merged.addSource();
@@ -36,18 +38,22 @@
             ? null
             : sourceFactory.create(context.vertx(), sourceListener, options.routingConfig().seed());
     journalClient =
-        usesJournal
-            ? new JournalClient(
-                context.vertx(),
-                options.journalAddress(),
-                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.maxUnreadBytes()),
-                new JournalClient.Sinks(
-                    journalDecoder,
-                    journalListener,
-                    context.discoveryFreshness(),
-                    pipeline::discoveryPolled),
-                context.clock()::nowNanos)
-            : null;
+        options.journalAddress().map(address -> newClient(address, pipeline, options)).orElse(null);
+  }
+
+  private JournalClient newClient(
+      SocketAddress address, RequestPipeline pipeline, GatewayOptions options) {
+    PipelineContext context = pipeline.context();
+    return new JournalClient(
+        context.vertx(),
+        address,
+        new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.maxUnreadBytes()),
+        new JournalClient.Sinks(
+            journalDecoder,
+            journalListener,
+            context.discoveryFreshness(),
+            pipeline::discoveryPolled),
+        context.clock()::nowNanos);
   }
 
   /**
@@ -81,15 +87,15 @@
   /**
    * Polls the journal at the address of a new configuration, after its entries were replayed.
    *
-   * @return whether the journal is used at all
+   * @return the address; empty where the journal is not used
    */
-  boolean moveJournal(GatewayOptions next) {
+  Optional<SocketAddress> moveJournal(GatewayOptions next) {
     if (journalClient == null) {
-      return false;
+      return Optional.empty();
     }
     replayKnown(next);
-    journalClient.moveTo(next.journalAddress());
-    return true;
+    next.journalAddress().ifPresent(journalClient::moveTo);
+    return next.journalAddress();
   }
 
   /** Ends both. */
--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -223,9 +223,9 @@
     if (fleetCoordinator != null) {
       fleetCoordinator.reload();
     }
-    if (discovery.moveJournal(next)) {
-      LOG.info(options.name() + ": journal polled at " + next.journalAddress());
-    }
+    discovery
+        .moveJournal(next)
+        .ifPresent(address -> LOG.info(options.name() + ": journal polled at " + address));
   }
 
   /** Requests, endpoints and clients' connections that are held, for leak checks. */
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -8,6 +8,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import java.util.Optional;
 import org.amberpath.gateway.pipeline.CacheConnectionConfig;
 import org.amberpath.gateway.pipeline.PipelineConfig;
 import org.amberpath.gateway.settings.InvalidDocumentException;
@@ -49,7 +50,7 @@
 
   private final String name;
   private final SocketAddress listenAddress;
-  private final SocketAddress journalAddress;
+  private final Optional<SocketAddress> journalAddress;
   private final JsonRoutingConfig routingConfig;
   private final JsonReader knownEntries;
   private final long connectTimeoutNanos;
@@ -72,7 +73,7 @@
     String address = environment.get("PROXY_LISTEN");
     listenAddress =
         address != null ? address("PROXY_LISTEN", address) : address(document, "listen");
-    journalAddress = withJournal ? address(document, "journal") : null;
+    journalAddress = withJournal ? Optional.of(address(document, "journal")) : Optional.empty();
     knownEntries =
         document.has("known") ? document.object("known") : new JsonReader("known", Map.of());
     JsonReader limits = document.objectOrEmpty("limits");
@@ -172,7 +173,7 @@
   public PipelineConfig pipelineConfig() {
     return new PipelineConfig(
         routingConfig,
-        journalAddress != null,
+        journalAddress.isPresent(),
         discoveryGraceNanos,
         maxInFlight,
         maxClientConnections(),
@@ -199,8 +200,8 @@
     return listenAddress;
   }
 
-  /** Where the journal listens; null where it is not used. */
-  public SocketAddress journalAddress() {
+  /** Where the journal listens; empty where it is not used. */
+  public Optional<SocketAddress> journalAddress() {
     return journalAddress;
   }
 
