--- a/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
@@ -64,9 +64,10 @@
   }
 
   @Override
-  public void replyStarted(boolean live, long newestPurgeMillis) {
+  public void replyStarted(JournalDecoder.EntrySource source, long newestPurgeMillis) {
     readClocks();
-    eventAge.replyStarted(nowNanos(), live, newestPurgeMillis);
+    eventAge.replyStarted(
+        nowNanos(), source == JournalDecoder.EntrySource.JOURNAL, newestPurgeMillis);
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -14,15 +14,23 @@
  * that the configuration holds. Used on one event loop.
  */
 public final class JournalDecoder {
+  /** Where the entries come from that are played. */
+  public enum EntrySource {
+    /** A reply that was received just now. */
+    JOURNAL,
+    /** The configuration, whose entries may be of any age. */
+    CONFIGURATION
+  }
+
   /** Is notified when a reply is about to be played and when it has been. */
   public interface ReplyListener {
     /**
      * A reply is about to be played.
      *
-     * @param live whether it was received just now; false for entries of the configuration
+     * @param source where it comes from
      * @param newestPurgeMillis the latest timestamp of a purge in it; 0 where there is none
      */
-    void replyStarted(boolean live, long newestPurgeMillis);
+    void replyStarted(EntrySource source, long newestPurgeMillis);
 
     /** The reply has been played, or could not be. */
     void replyEnded();
@@ -48,19 +56,19 @@
    *     of the reply was played then
    */
   public void play(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, true);
+    play(reply, listener, EntrySource.JOURNAL);
   }
 
   /** The same for the entries of the configuration, which may be of any age. */
   public void playKnown(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, false);
+    play(reply, listener, EntrySource.CONFIGURATION);
   }
 
-  private void play(JsonReader reply, EndpointListener listener, boolean live) {
+  private void play(JsonReader reply, EndpointListener listener, EntrySource source) {
     long last = reply.longOr("pos", 0);
     NewestPurgeFinder newestPurge = new NewestPurgeFinder();
     playEntries(reply, newestPurge);
-    replyListener.replyStarted(live, newestPurge.millis);
+    replyListener.replyStarted(source, newestPurge.millis);
     try {
       position = Math.max(playEntries(reply, listener), last);
     } finally {
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -90,8 +90,8 @@
   }
 
   /**
-   * Away for three seconds, which stand for thirty: NewsAge waits for no journal after two
-   * questions that failed, and JournalClient asks again 0.1 s after each, so nothing differs
+   * Away for three seconds, which stand for thirty: DiscoveryFreshness waits for no journal after
+   * two questions that failed, and JournalClient asks again 0.1 s after each, so nothing differs
    * between the first second and the thirtieth. Where it falls silent instead, a question that is
    * open then is given up 2.6 s after it was asked.
    */
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -82,7 +82,7 @@
 
   private static final class NoReplyListener implements JournalDecoder.ReplyListener {
     @Override
-    public void replyStarted(boolean live, long newestPurgeMillis) {}
+    public void replyStarted(JournalDecoder.EntrySource source, long newestPurgeMillis) {}
 
     @Override
     public void replyEnded() {}
