--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -3,25 +3,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejects endpoints that keep requests waiting and give no sign of life, and lets them back by a
- * trickle. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
- * Source: docs/design.md, "The six mechanisms beside the design" and "Told by one for all".
+ * Ejects endpoints whose requests are overdue and that do not respond at all, and readmits them
+ * gradually. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
+ * Source: docs/design.md, "Outlier detection" and "Reports of one gateway for all".
  */
 final class OutlierDetector {
   private static final long SILENCE_NANOS = 600_000_000L;
 
   /**
-   * While one gateway checks for all, the others wait so much longer, by turns, before they try by
-   * themselves.
+   * While one gateway checks ejected endpoints for all, the others wait up to this much longer for
+   * each gateway of the zone before they send one a request.
    */
-  private static final long DELEGATED_PAUSE_NANOS = 4 * EndpointHealth.maxBackoffNanos();
+  private static final long DELEGATED_BACKOFF_PER_GATEWAY_NANOS =
+      4 * EndpointHealth.maxBackoffNanos();
 
   private final long seed;
   private final EndpointTable endpoints;
   private final GatewayShare share;
   private final SlowStart slowStart;
   private final SplittableRandom random;
-  private boolean isChecking = true;
+  private boolean checksEjectedEndpoints = true;
 
   /**
    * A detector of endpoints none of which is ejected; seed and random numbers spread the checks of
@@ -40,14 +41,14 @@
     this.random = random;
   }
 
-  /** Whether one gateway checks ejected endpoints for all, so that this one leaves them to it. */
+  /** Sets whether another gateway checks ejected endpoints for all. */
   void setDelegated(boolean delegated) {
-    isChecking = !delegated;
+    checksEjectedEndpoints = !delegated;
   }
 
   /**
-   * Takes an endpoint's keys away, unless it is the origin or is ejected already and still in its
-   * pause.
+   * Takes an endpoint's keys away, unless it is the origin, or is ejected and its backoff is not
+   * over.
    */
   void eject(Endpoint endpoint, Batch batch) {
     EndpointHealth health = endpoint.health;
@@ -62,8 +63,8 @@
     }
   }
 
-  /** An answer has come from an endpoint, to a request that was sent then, in nanoseconds. */
-  void onAnswer(Endpoint endpoint, long sentAtNanos, Batch batch) {
+  /** An endpoint has responded to a request that was sent at the given time, in nanoseconds. */
+  void onResponse(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
     health.lastResponseNanos = batch.nowNanos();
     health.failures = 0;
@@ -79,20 +80,21 @@
   }
 
   /**
-   * The fleet's checker has asked an endpoint that others ejected. Guards against reports that
-   * newer answers contradict, and against most endpoints being ejected by it.
+   * The delegated health checker has reported on an endpoint, which may be unknown here. Guards
+   * against reports that newer responses contradict, and against ejecting most endpoints by them.
    */
-  void onFleetReport(Endpoint endpoint, boolean answers, long agoNanos, Batch batch) {
-    long seenAtNanos = batch.nowNanos() - agoNanos;
-    if (!endpoint.isUp()) {
+  void onHealthReport(int endpointIndex, boolean responded, long ageNanos, Batch batch) {
+    Endpoint endpoint = endpoints.get(endpointIndex);
+    if (endpoint == null || !endpoint.isUp()) {
       return;
     }
+    long observedAtNanos = batch.nowNanos() - ageNanos;
     EndpointHealth health = endpoint.health;
-    if (answers && health.isBackoffOver(batch.nowNanos())) {
-      readmit(endpoint, seenAtNanos, batch);
-    } else if (!answers
+    if (responded && health.isBackoffOver(batch.nowNanos())) {
+      readmit(endpoint, observedAtNanos, batch);
+    } else if (!responded
         && health.isServing(batch.nowNanos())
-        && health.lastResponseNanos < seenAtNanos
+        && health.lastResponseNanos < observedAtNanos
         && isMajorityHealthy(endpoints.zoneEdges(), batch.nowNanos())) {
       eject(endpoint, batch);
     }
@@ -105,30 +107,34 @@
   }
 
   /**
-   * Whether an endpoint takes a key, by the key's place in the shared hash: slow start's slice, and
-   * the trickle.
+   * Whether an endpoint accepts a key, by the key's position in the shared hash, 0 to 1: it must
+   * lie in the slices of slow start and of probation. An ejected one accepts a single request after
+   * its backoff.
    */
-  boolean takesKey(Endpoint endpoint, double place, long nowNanos) {
+  boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
-      double laterNanos = isChecking ? 0 : delegatedPauseNanos(endpoint);
-      return endpoint.health.isBackoffOver(nowNanos, laterNanos) && endpoint.limit.inFlight == 0;
+      double extraDelayNanos = checksEjectedEndpoints ? 0 : delegatedBackoffNanos(endpoint);
+      return endpoint.health.isBackoffOver(nowNanos, extraDelayNanos)
+          && endpoint.limit.inFlight == 0;
     }
-    return place < endpoint.health.keyFraction(nowNanos)
-        && slowStart.takesKey(endpoint, place, nowNanos);
+    return keyPosition < endpoint.health.keyFraction(nowNanos)
+        && slowStart.acceptsKey(endpoint, keyPosition, nowNanos);
   }
 
-  private double delegatedPauseNanos(Endpoint endpoint) {
-    double place = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
-    return place * share.gatewaysInZone() * DELEGATED_PAUSE_NANOS;
+  private double delegatedBackoffNanos(Endpoint endpoint) {
+    double keyPosition = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
+    return keyPosition * share.gatewaysInZone() * DELEGATED_BACKOFF_PER_GATEWAY_NANOS;
   }
 
-  /** Whether a health check may be sent: to an ejected endpoint one at a time, after its pause. */
+  /**
+   * Whether a health check may be sent: to an ejected endpoint one at a time, after its backoff.
+   */
   boolean permitsHealthCheck(Endpoint endpoint, long nowNanos) {
     return endpoint.health.isServing(nowNanos)
         || (endpoint.health.isBackoffOver(nowNanos) && endpoint.limit.inFlight == 0);
   }
 
-  /** Counts anew how many requests wait for each endpoint past their time. */
+  /** Counts anew how many requests are overdue at each endpoint. */
   void recountOverdue(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
       endpoint.health.overdue = 0;
@@ -137,17 +143,17 @@
       if (!attempt.request().done && attempt.isOverdue(nowNanos)) {
         EndpointHealth health = attempt.endpoint().health;
         health.overdue++;
-        boolean isEndpointWell =
+        boolean isEndpointResponsive =
             health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos;
-        attempt.source().health.overdue += attempt.hasSource() && isEndpointWell ? 1 : 0;
+        attempt.source().health.overdue += attempt.hasSource() && isEndpointResponsive ? 1 : 0;
       }
     }
   }
 
   /**
-   * Whether an attempt's endpoint is ejected or, since it was sent, has given no sign of life for
-   * long. Guards a request that waits alone on a connection that its endpoint has forgotten: one is
-   * too little to eject by, yet another endpoint would serve it.
+   * Whether an attempt's endpoint is ejected or, since the attempt was sent, has not responded for
+   * long. Guards a single request on a connection that its endpoint has lost: it is not enough to
+   * eject the endpoint, but another one would serve it.
    */
   boolean isSilentSince(Attempt attempt) {
     EndpointHealth health = attempt.endpoint().health;
@@ -156,15 +162,15 @@
   }
 
   /**
-   * Ejects those who keep requests waiting and give no sign of life, unless most of their peers do
-   * the same.
+   * Ejects the endpoints with overdue requests that do not respond, unless most of their peers do
+   * not either.
    */
   void detectOutliers(Endpoint[] peers, Batch batch) {
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
       if (health.isUnremarkable()) {
-        continue; // Most of many endpoints: nothing waits for them past its time.
+        continue; // True of most endpoints: they have no overdue request.
       }
       boolean isSilent =
           endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
@@ -174,7 +180,7 @@
           && health.isServing(batch.nowNanos())
           && health.suspected != (isSilent && health.overdue > 0)) {
         health.suspected =
-            !health.suspected; // Too little to go by alone; others may have seen the same.
+            !health.suspected; // Not enough to eject it; other gateways may have seen the same.
         batch
             .actions()
             .endpointHealthChanged(
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Guards against an effect twice: what may have run is repeated only where its repeats are
-   * dropped.
+   * Whether an endpoint may be sent the request again. Guards against an effect twice: a request
+   * that may have executed is retried only where its repeats are dropped or have no effect.
    */
   boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
     Attempt executed = request.firstExecuted;
@@ -24,21 +24,21 @@
       return true;
     }
     TrafficClass trafficClass = request.trafficClass;
-    return trafficClass.effect() == Idempotency.IDEMPOTENT
-        || (trafficClass.effect() == Idempotency.IDEMPOTENCY_KEY
+    return trafficClass.idempotency() == Idempotency.IDEMPOTENT
+        || (trafficClass.idempotency() == Idempotency.IDEMPOTENCY_KEY
             && nowNanos - executed.sentAtNanos() < trafficClass.idempotencyWindowNanos()
-            && sharesIdempotencyGroup(
-                trafficClass.idempotencyGroup(), endpoint, executed.endpoint()));
+            && sharesIdempotencyScope(
+                trafficClass.idempotencyScope(), endpoint, executed.endpoint()));
   }
 
-  private static boolean sharesIdempotencyGroup(
-      IdempotencyScope group, Endpoint one, Endpoint other) {
-    return group == IdempotencyScope.ALL
-        || (one.zone.equals(other.zone)
-            && (group == IdempotencyScope.ZONE || one.cell == other.cell));
+  private static boolean sharesIdempotencyScope(
+      IdempotencyScope scope, Endpoint first, Endpoint second) {
+    return scope == IdempotencyScope.ALL
+        || (first.zone.equals(second.zone)
+            && (scope == IdempotencyScope.ZONE || first.cell == second.cell));
   }
 
-  /** Whether a request's state leaves room for a further attempt, wherever it goes. */
+  /** Whether a request's state permits a further attempt, to whatever endpoint. */
   boolean permitsAnother(InFlightRequest request, long nowNanos) {
     return !request.streaming
         && !request.isSynthetic()
@@ -46,36 +46,41 @@
         && request.attempts.size() < config.maxAttempts();
   }
 
-  /** Whether the time to its deadline is worth an answer that invites more. */
+  /** Whether the time to its deadline is enough for a retry, here or by the client. */
   boolean hasTimeLeft(InFlightRequest request, long nowNanos) {
     return request.timeLeftNanos(nowNanos) >= MIN_TIME_LEFT_NANOS;
   }
 
-  /** Whether a request that waits may be sent to a second endpoint beside the first. */
+  /** Whether an overdue request may be sent to a second endpoint beside the first. */
   boolean permitsHedging(Attempt attempt, long nowNanos) {
     InFlightRequest request = attempt.request();
     return !request.done
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
         && config.hedging()
-        && request.trafficClass.effect() == Idempotency.IDEMPOTENT;
+        && request.trafficClass.idempotency() == Idempotency.IDEMPOTENT;
   }
 
   /**
-   * Whether whoever asks may repeat a request that got no answer: nothing ran, or repeats are
-   * dropped everywhere.
+   * Whether the client may repeat a request that got no response: it did not execute, or repeats
+   * are dropped everywhere or have no effect.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
-    Idempotency effect = request.trafficClass.effect();
+    Idempotency idempotency = request.trafficClass.idempotency();
     return (request.firstExecuted == null && request.openAttempts == 0)
-        || effect == Idempotency.IDEMPOTENT
-        || (effect == Idempotency.IDEMPOTENCY_KEY
-            && request.trafficClass.idempotencyGroup() == IdempotencyScope.ALL);
+        || idempotency == Idempotency.IDEMPOTENT
+        || (idempotency == Idempotency.IDEMPOTENCY_KEY
+            && request.trafficClass.idempotencyScope() == IdempotencyScope.ALL);
+  }
+
+  /** The shortest wait that a rejection asks for, half of the longest; 0 for no advice. */
+  long minRetryAfterNanos() {
+    return config.retryAfter() ? config.maxRetryAfterNanos() / 2 : 0;
   }
 
   /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
-  static boolean isSourceFault(ResponseDetail note) {
-    return note.compareTo(ResponseDetail.FILL_REJECTED) >= 0
-        && note != ResponseDetail.NOT_STORED_NO_SPACE;
+  static boolean isSourceFault(ResponseDetail detail) {
+    return detail.compareTo(ResponseDetail.FILL_REJECTED) >= 0
+        && detail != ResponseDetail.NOT_STORED_NO_SPACE;
   }
 }
