--- a/gateway/src/main/java/org/amberpath/gateway/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
@@ -1,4 +1,4 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import io.vertx.core.buffer.Buffer;
 import java.util.logging.Level;
@@ -59,10 +59,10 @@
 
   OutboundAttempt(Plan plan, byte[] fields, CachePool pool, Listener listener) {
     super(
-        plan.request.decoded.requestId(),
+        plan.request.decoded.requestId().array(),
         fields,
-        plan.request.decoded.knownTag(),
-        plan.request.decoded.body(),
+        plan.request.decoded.knownTag().array(),
+        plan.request.decoded.body().array(),
         plan.deadlineNanos,
         plan.request.attempts);
     this.plan = plan;
@@ -100,7 +100,11 @@
   private void abandon(AttemptOutcome outcome, boolean timedOut) {
     if (!hasEnded) {
       try {
-        pool.giveUp(this, timedOut);
+        if (timedOut) {
+          pool.timeOut(this);
+        } else {
+          pool.cancel(this);
+        }
       } catch (RuntimeException e) {
         LOG.log(Level.SEVERE, "an attempt could not be cancelled", e);
       }
--- a/gateway/src/main/java/org/amberpath/gateway/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/SyntheticRequests.java
@@ -1,10 +1,11 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
-import java.nio.charset.StandardCharsets;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
+import org.amberpath.gateway.client.ByteString;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.routing.Idempotency;
 import org.amberpath.routing.RecentRequests;
 import org.amberpath.routing.RequestDetails;
@@ -19,11 +20,10 @@
  * <p>Bounds: {@value #MAX_RECENT} recent requests are kept, each with {@value #MAX_BODY_BYTES}
  * bytes of body at most; {@value #MAX_IN_FLIGHT} synthetic requests are in flight at a time.
  */
-final class SyntheticRequests {
+public final class SyntheticRequests {
   private static final int MAX_RECENT = 256;
   private static final int MAX_BODY_BYTES = 1024;
   private static final int MAX_IN_FLIGHT = 16;
-  private static final byte[] EMPTY = new byte[0];
 
   /** What makes two recent requests the same. */
   private record SegmentKey(long objectId, int partNumber) {}
@@ -59,7 +59,7 @@
     DecodedRequest decoded = request.decoded;
     if (config.trafficClass(request.trafficClass).idempotency() == Idempotency.IDEMPOTENT
         && !config.trafficClass(request.trafficClass).neverCached()
-        && decoded.body().length <= MAX_BODY_BYTES) {
+        && decoded.body().length() <= MAX_BODY_BYTES) {
       recent.add(
           new SegmentKey(decoded.objectId(), decoded.partNumber()),
           new Template(decoded, request.trafficClass));
@@ -67,10 +67,10 @@
   }
 
   /** Makes a request as {@link FleetCallbacks#sendSyntheticRequest} specifies. */
-  boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
+  public boolean send(String endpointId, long timeoutNanos, Consumer<SyntheticOutcome> completion) {
     boolean prefetch = endpointId == null;
     Template template = prefetch ? recent.nextInPass() : recent.latest();
-    int endpoint = prefetch ? -1 : endpoints.index(endpointId);
+    int endpoint = prefetch ? -1 : endpoints.indexOf(endpointId);
     if (template == null && prefetch) {
       recent.startPass();
     }
@@ -114,11 +114,11 @@
     String reference = String.format("%016x", random.nextLong());
     return new DecodedRequest(
         original.trafficClass(),
-        reference.getBytes(StandardCharsets.US_ASCII),
+        ByteString.ofAscii(reference),
         original.objectName(),
         original.partName(),
-        EMPTY,
-        EMPTY,
+        ByteString.EMPTY,
+        ByteString.EMPTY,
         original.body(),
         original.objectId(),
         original.partNumber(),
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -8,6 +8,7 @@
 import io.vertx.core.VertxOptions;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
 import java.util.HexFormat;
@@ -15,11 +16,15 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
 import org.amberpath.gateway.client.WriteBufferAccounting;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.testsupport.ClientAnswer;
+import org.amberpath.gateway.testsupport.Conditions;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -33,17 +38,22 @@
  */
 @Timeout(30)
 class ClientConnectionEndingsTest implements ClientHandler {
-  private static final int MOST = 20;
+  private static final int MAX_CONNECTIONS = 20;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
-  private final ClientConnections clients = new ClientConnections(vertx, MOST, clock);
-  private final List<Client> all = new ArrayList<>();
+  private final ClientConnections clients =
+      new ClientConnections(vertx, MAX_CONNECTIONS, clock::nowNanos);
+  private final List<TestClient> all = new ArrayList<>();
 
-  /** How many connections were held at most, how many are, and how many requests were read. */
-  private final AtomicInteger most = new AtomicInteger(),
-      held = new AtomicInteger(),
-      read = new AtomicInteger();
+  /** How many connections were held at most. */
+  private final AtomicInteger maxHeld = new AtomicInteger();
+
+  /** How many connections are held. */
+  private final AtomicInteger held = new AtomicInteger();
+
+  /** How many requests were read. */
+  private final AtomicInteger read = new AtomicInteger();
 
   private Thread loop;
   private int port;
@@ -59,7 +69,7 @@
                   loop = Thread.currentThread();
                   held.incrementAndGet();
                   clients.add(new ClientConnection(socket, queues, clock::nowNanos, this));
-                  most.accumulateAndGet(clients.size(), Math::max);
+                  maxHeld.accumulateAndGet(clients.size(), Math::max);
                 })
             .listen(0, "127.0.0.1")
             .toCompletionStage()
@@ -70,7 +80,7 @@
 
   @AfterEach
   void close() throws Exception {
-    for (Client one : all) {
+    for (TestClient one : all) {
       one.close();
     }
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -114,8 +124,8 @@
     held.decrementAndGet();
   }
 
-  private Client client() throws IOException {
-    Client client = new Client(port);
+  private TestClient client() throws IOException {
+    TestClient client = new TestClient(port);
     all.add(client);
     return client;
   }
@@ -130,10 +140,8 @@
     assertTrue(done.await(10, TimeUnit.SECONDS));
   }
 
-  private void awaitHeld(int many) throws InterruptedException {
-    while (held.get() > many) {
-      Thread.sleep(5);
-    }
+  private void awaitHeld(int count) throws InterruptedException {
+    Conditions.await(() -> held.get() <= count, "connections are closed");
     CountDownLatch selected =
         new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
@@ -141,7 +149,8 @@
   }
 
   private static byte[] get(int number) throws IOException {
-    return Client.request(number, "parts", Client.fields(number, 1500, 0), new byte[0]);
+    return TestClient.encodeRequest(
+        number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]);
   }
 
   private static byte[] bytes(String hex, byte[]... behind) throws IOException {
@@ -155,12 +164,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"c0", "93020000", "9502c0c0c0c0", "940001c0c0"})
-  void requestsReadWithWhatCantBeUsedGetAnErrorEach(String first) throws Exception {
-    Client client = client().send(bytes(first + "c0", get(5), get(6)));
+  void requestsReceivedWithAnInvalidMessageGetAnErrorEach(String first) throws Exception {
+    TestClient client = client().send(bytes(first + "c0", get(5), get(6)));
     List<Long> errors = new ArrayList<>();
-    for (StandIns.Answer answer = client.answer(); answer.number() != 6; answer = client.answer()) {
+    for (ClientAnswer answer = client.receive();
+        answer.messageId() != 6;
+        answer = client.receive()) {
       assertEquals("Internal", answer.error());
-      errors.add(answer.number());
+      errors.add(answer.messageId());
     }
     assertTrue(errors.contains(5L), errors.toString());
     assertTrue(client.isClosed());
@@ -177,46 +188,55 @@
 
   @ParameterizedTest
   @EnumSource
-  void whatComesAfterTheEndStaysUnread(End end) throws Exception {
-    Client client = client();
+  void requestsAfterTheEndStayUnread(End end) throws Exception {
+    TestClient client = client();
     if (end == End.NEW_WHEN_STOPPED) {
       onLoop(clients::end);
     } else {
-      client.send(get(1)).answer();
+      client.send(get(1)).receive();
     }
     int before = read.get();
     switch (end) {
       case UNREADABLE -> client.send(bytes("c1"));
       case PAST_THE_BOUND -> {
-        for (int more = 0; more < MOST; more++) {
-          client().send(get(2)).answer();
+        for (int more = 0; more < MAX_CONNECTIONS; more++) {
+          client().send(get(2)).receive();
         }
-        before += MOST;
+        before += MAX_CONNECTIONS;
       }
       case STOPPED -> onLoop(clients::end);
       default -> client = client();
     }
     assertTrue(client.isClosed());
     client.send(get(3)); // It crossed the end.
-    awaitHeld(end == End.PAST_THE_BOUND ? MOST : 0);
-    Client ended = client;
+    awaitHeld(end == End.PAST_THE_BOUND ? MAX_CONNECTIONS : 0);
+    TestClient ended = client;
     assertThrows(IOException.class, () -> ended.send(get(4)), "a request was read after the end");
     assertEquals(before, read.get());
   }
 
   @Test
-  void aBurstOfNewConnectionsKeepsTheBoundAndTakesNoAnswerWithIt() throws Exception {
-    for (int one = 0; one < 3 * MOST; one++) {
-      Client client = client().send(Client.request(9, "status", java.util.Map.of(), null));
-      while (client.socket.getInputStream().available() == 0) {
-        Thread.sleep(1); // It is answered, and has not read that.
-      }
+  void burstOfNewConnectionsStaysWithinTheBoundAndLosesNoResponse() throws Exception {
+    for (int one = 0; one < 3 * MAX_CONNECTIONS; one++) {
+      TestClient client =
+          client().send(TestClient.encodeRequest(9, "status", java.util.Map.of(), null));
+      // It is answered, and has not read that.
+      Conditions.await(() -> hasUnread(client), "an answer");
     }
-    for (Client one : all) {
-      assertTrue(one.answer().status());
+    for (TestClient one : all) {
+      assertTrue(one.receive().isReady());
+    }
+    awaitHeld(MAX_CONNECTIONS);
+    assertTrue(
+        maxHeld.get() <= MAX_CONNECTIONS + ClientConnections.SPARE_CONNECTIONS, "held " + maxHeld);
+  }
+
+  private static boolean hasUnread(TestClient client) {
+    try {
+      return client.socket.getInputStream().available() > 0;
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
-    awaitHeld(MOST);
-    assertTrue(most.get() <= MOST + ClientConnections.SPARE_CONNECTIONS, "held " + most);
   }
 
   private static void await(CountDownLatch latch) {
@@ -229,20 +249,23 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aHalfClosedConnectionThatIsNotReadKeepsNoLoopBusy(boolean clientEndsToo) throws Exception {
-    Client client = client();
-    client.send(get(1)).answer();
+  void halfClosedConnectionThatIsNotReadKeepsNoEventLoopBusy(boolean clientEndsToo)
+      throws Exception {
+    TestClient client = client();
+    client.send(get(1)).receive();
     client.send(bytes("c1"));
     assertTrue(client.isClosed());
     client.send(new byte[10_000]);
     if (clientEndsToo) {
       client.socket.shutdownOutput();
     }
-    long since = System.nanoTime(),
-        before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
+    long since = System.nanoTime();
+    long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
     awaitHeld(0); // It is closed in time all the same.
     long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
-    long took = System.nanoTime() - since;
-    assertTrue(busy < took / 2, "busy for " + busy / 1_000_000 + " of " + took / 1_000_000 + " ms");
+    long tookNanos = System.nanoTime() - since;
+    assertTrue(
+        busy < tookNanos / 2,
+        "busy for " + busy / 1_000_000 + " of " + tookNanos / 1_000_000 + " ms");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -1,7 +1,6 @@
 package org.amberpath.gateway;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
-import static org.junit.jupiter.api.Assertions.assertNotNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.BufferedReader;
@@ -18,7 +17,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
-import org.amberpath.gateway.StandIns.Client;
+import org.amberpath.gateway.testsupport.GatewayProcess;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
+import org.amberpath.gateway.testsupport.TestClient;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -35,52 +36,53 @@
   /** Also while it ends: those that connect then hold a descriptor each until they are told so. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aGatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnectAndRest(boolean stopping)
+  void gatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnect(boolean stopping)
       throws Exception {
     List<SocketChannel> resting = new ArrayList<>();
     AtomicBoolean ends = new AtomicBoolean();
     AtomicInteger held = new AtomicInteger();
-    try (StandIns world = new StandIns()) {
+    try (GatewayTestbed testbed = new GatewayTestbed()) {
       Process process =
-          program(
+          GatewayProcess.start(
+              folder,
               Map.of(
                   "PROXY_LISTEN",
                   "127.0.0.1:0",
                   "PROXY_CONFIG",
-                  world.environment(folder).get("PROXY_CONFIG")));
+                  testbed.environment(folder).get("PROXY_CONFIG")));
       try {
         int port = awaitServing(process.inputReader());
         File descriptors = new File("/proc/" + process.pid() + "/fd");
-        Future<?> count =
-            world.threads.submit(
+        Future<?> counting =
+            testbed.threads.submit(
                 () -> {
                   while (!ends.get()) {
                     String[] open = descriptors.list();
                     held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
                   }
                 });
-        Client first = world.client(port);
-        for (int many = 0; many < LIMIT / 2 - 1; many++) {
-          assertEquals(9999, world.client(port).status().number());
+        TestClient first = testbed.client(port);
+        for (int count = 0; count < LIMIT / 2 - 1; count++) {
+          assertEquals(9999, testbed.client(port).requestStatus().messageId());
         }
-        first.status();
+        first.requestStatus();
         if (stopping) {
           process.destroy();
           assertTrue(first.isClosed());
         } else {
-          signal(
-              process,
-              "STOP"); // All that connect now are found at once, as after a pause of the machine.
+          // All that connect now are found at once, as after a pause of the machine.
+          GatewayProcess.signal(process, "STOP");
         }
         connect(port, resting);
         if (!stopping) {
-          signal(process, "CONT");
-          assertEquals(9999, world.client(port).status().number(), "a newcomer has a place");
+          GatewayProcess.signal(process, "CONT");
+          assertEquals(
+              9999, testbed.client(port).requestStatus().messageId(), "a newcomer has a place");
         } else {
-          assertTrue(process.waitFor(StandIns.PATIENCE_S, TimeUnit.SECONDS));
+          assertTrue(process.waitFor(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
         ends.set(true);
-        count.get();
+        counting.get();
         assertTrue(held.get() > LIMIT / 2 && held.get() <= LIMIT, held + " descriptors");
       } finally {
         ends.set(true);
@@ -93,10 +95,11 @@
   }
 
   private static void connect(int port, List<SocketChannel> resting) throws Exception {
-    byte[] status = Client.request(1, "status", Map.of(), null);
+    byte[] status = TestClient.encodeRequest(1, "status", Map.of(), null);
     try {
-      for (int many = 0; many < CLIENTS; many++) {
-        SocketChannel one = SocketChannel.open(new InetSocketAddress(StandIns.LOOPBACK, port));
+      for (int count = 0; count < CLIENTS; count++) {
+        SocketChannel one =
+            SocketChannel.open(new InetSocketAddress(GatewayTestbed.LOOPBACK, port));
         resting.add(one);
         one.write(ByteBuffer.wrap(status));
       }
@@ -105,29 +108,8 @@
     }
   }
 
-  private static Process program(Map<String, String> environment) throws Exception {
-    ProcessBuilder builder =
-        new ProcessBuilder(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-cp",
-                System.getProperty("java.class.path"),
-                ServeProcess.class.getName())
-            .redirectErrorStream(true);
-    builder.environment().putAll(environment);
-    return builder.start();
-  }
-
-  private static void signal(Process process, String name) throws Exception {
-    assertEquals(
-        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
-  }
-
   private static int awaitServing(BufferedReader log) throws Exception {
-    String line = "";
-    while (!line.contains("listens at ")) {
-      line = log.readLine();
-      assertNotNull(line);
-    }
+    String line = GatewayProcess.awaitLine(log, "listens at ");
     return Integer.parseInt(line.substring(line.lastIndexOf(':') + 1));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -13,16 +13,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bench's wire: what is answered, and what ends the process with a plain message. */
+/** The simulator's wire: replies, and invalid input that ends the process with a plain message. */
 class SimulationHostTest {
   private static final String UP =
       """
-      {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],"classes":[{"name":"pages",
+      {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],
+      "classes":[{"name":"pages",
       "idempotency":"repeatable","target-s":0.2}],"bounds":{"max-attempts":2}}},
-      {"verb":"view","scope":"C","rev":1,"members-list":[{"cache":"10.0.0.1:90","az":"z","flavor":"box",
-      "cohort":0,"state":"U"}]}""";
+      {"verb":"view","scope":"C","rev":1,"members-list":[{"cache":"10.0.0.1:90",
+      "az":"z","flavor":"box",
+      "cohort":0,"state":"U"}]}\
+      """;
   private static final String ORDER =
-      "{\"verb\":\"order\",\"op-id\":77,\"tier-class\":\"pages\",\"resource\":5,\"time-budget-s\":0.25}";
+      "{\"verb\":\"order\",\"op-id\":77,\"tier-class\":\"pages\",\"resource\":5,"
+          + "\"time-budget-s\":0.25}";
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
@@ -39,19 +43,20 @@
   }
 
   @Test
-  void anOrderIsForwardedAndTheEndOfInputEndsWithZero() throws IOException {
+  void requestIsForwardedAndTheEndOfInputExitsWithZero() throws IOException {
     assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP + "," + ORDER)));
-    String[] replies = out.toString(StandardCharsets.UTF_8).split("\n");
+    String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", -1);
     assertEquals("{\"parts\":[]}", replies[0]);
     assertTrue(
         replies[1].startsWith(
             "{\"parts\":[{\"i\":3,\"cmds\":[{\"verb\":\"serve-via\",\"op-id\":77,"
-                + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,\"supplier\":\"10.0.0.1:90\""),
+                + "\"cache\":\"10.0.0.1:90\",\"try-until-s\":8.750000,"
+                + "\"supplier\":\"10.0.0.1:90\""),
         replies[1]);
   }
 
   @Test
-  void whatCameBeforeAStartInTheSameRoundIsNotAnswered() throws IOException {
+  void eventsBeforeAStartInTheSameRoundAreIgnored() throws IOException {
     run(batch(UP), batch(ORDER + ",{\"verb\":\"stop\"}," + UP));
     assertFalse(out.toString(StandardCharsets.UTF_8).contains("op-id"));
   }
@@ -64,15 +69,18 @@
         "[] | batch: not an object",
         "{\"parts\":[]} | batch: field 'wall-s' is missing",
         "{\"verb\":\"dance\"} | unknown: dance",
-        "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} | order: field 'op-id' is not a whole number",
-        "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} | order: field 'tier-class' is no known",
-        "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} | field 'cache' is no known"
+        "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} "
+            + "| order: field 'op-id' is not a whole number",
+        "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} "
+            + "| order: field 'tier-class' is no known",
+        "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
+            + "| field 'cache' is no known"
       })
-  void whatIsNotAsAgreedEndsWithOnePlainMessage(String line, String message) throws IOException {
+  void invalidInputExitsWithOnePlainMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
-    String said = err.toString(StandardCharsets.UTF_8);
-    assertTrue(said.contains(message), said);
-    assertEquals(1, said.lines().count());
+    String messages = err.toString(StandardCharsets.UTF_8);
+    assertTrue(messages.contains(message), messages);
+    assertEquals(1, messages.lines().count());
     assertEquals(1, out.toString(StandardCharsets.UTF_8).lines().count());
   }
 }
--- /dev/null
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TimedCommand.java
@@ -0,0 +1,4 @@
+package org.amberpath.gateway.testsupport;
+
+/** A command and when it was received. */
+public record TimedCommand(ReceivedCommand command, long atNanos) {}
--- a/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.amberpath.gateway.FleetCallbacks;
+import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.gateway.GatewayOptions;
 import org.amberpath.routing.EndpointHealthStatus;
 import org.junit.jupiter.api.AfterEach;
