--- a/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -9,7 +9,8 @@
 
 /** What operators ask a running gateway about the tasks that it owns for the fleet. */
 @Command(
-    name = "owner",
+    name = "leader",
+    aliases = "owner",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     description = "Asks a running gateway what it owns for the fleet, or takes it away.")
--- a/app/src/main/java/org/amberpath/cli/Main.java
+++ b/app/src/main/java/org/amberpath/cli/Main.java
@@ -6,21 +6,42 @@
 import org.amberpath.gateway.simulation.SimulationHost;
 
 /**
- * The way in. What the platform starts is told apart here, before any class of the command line is
- * loaded: a gateway's start and memory owe nothing to the tools.
+ * Main class of the jar. The two commands that the deploy file names, {@code serve} without a
+ * settings file and {@code simulate}, are recognized here, before any class of the command line is
+ * loaded: a gateway's start-up time and memory don't depend on picocli or the operators' commands.
+ * All else goes to {@link AmberpathCommand}.
  */
 public final class Main {
   private Main() {}
 
+  /**
+   * Runs one command and, unless a gateway was started, ends the process with the command's exit
+   * code.
+   *
+   * @param args the command with its options, as {@code --help} describes them
+   * @throws IOException if the simulator's streams can't be read or written
+   */
   public static void main(String[] args) throws IOException {
     Map<String, String> environment = System.getenv();
-    String command = args.length == 1 ? args[0] : "";
-    if (command.equals("serve") && !environment.containsKey("AMBERPATH_FILE")) {
+    if (isPlainServe(args, environment)) {
       Server.run(environment, System.err);
-    } else if (command.equals("wirehost")) {
+    } else if (isPlainSimulate(args)) {
       System.exit(new SimulationHost(System.in, System.out, System.err).run());
     } else {
       AmberpathCommand.run(args);
     }
   }
+
+  /** Whether a gateway is to be started without a settings file. */
+  static boolean isPlainServe(String[] args, Map<String, String> environment) {
+    return args.length == 1
+        && args[0].equals("serve")
+        && !environment.containsKey("AMBERPATH_FILE");
+  }
+
+  /** Whether the simulation host is to be started, by its name or by its alias. */
+  static boolean isPlainSimulate(String[] args) {
+    return args.length == 1
+        && (args[0].equals(SimulateCommand.NAME) || args[0].equals(SimulateCommand.ALIAS));
+  }
 }
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -14,7 +14,8 @@
 
 /** What operators ask a running gateway about its fleet, at the address that its [fleet] names. */
 @Command(
-    name = "fleet",
+    name = "members",
+    aliases = "fleet",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
     description = "Asks a running gateway what it knows of the others.")
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/ServeCommand.java
@@ -0,0 +1,76 @@
+package org.amberpath.cli;
+
+import java.nio.file.Path;
+import java.util.concurrent.Callable;
+import org.amberpath.gateway.EndpointSource;
+import org.amberpath.gateway.FleetCoordinator;
+import org.amberpath.gateway.GatewayExtensions;
+import org.amberpath.gateway.Server;
+import org.amberpath.leadership.runtime.LeadershipService;
+import org.amberpath.leadership.runtime.LeadershipSettings;
+import org.amberpath.membership.runtime.FleetMessageHandler;
+import org.amberpath.membership.runtime.MembershipService;
+import org.amberpath.membership.runtime.MembershipSettings;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistrySource;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/**
+ * Starts a gateway on sockets. The sections of the settings file say which extensions it gets: a
+ * registry as endpoint source, membership, leadership. Without a file it has none of them.
+ */
+@Command(
+    name = "serve",
+    mixinStandardHelpOptions = true,
+    description = "Runs a gateway on sockets.")
+final class ServeCommand implements Callable<Integer> {
+  /** In place of an exit code: the gateway's threads keep the process running. */
+  static final int KEEPS_RUNNING = -1;
+
+  @Option(
+      names = "--file",
+      defaultValue = "${AMBERPATH_FILE}",
+      paramLabel = "INI",
+      description = "Settings beside the platform's JSON; AMBERPATH_FILE otherwise.")
+  private Path file;
+
+  @Override
+  public Integer call() {
+    if (file == null || file.toString().isEmpty()) {
+      Server.run(System.getenv(), System.err);
+      return KEEPS_RUNNING;
+    }
+    DeploymentFile settings = DeploymentFile.read(file);
+    RegistrySettings registry = settings.registry();
+    Server.run(
+        System.getenv(),
+        System.err,
+        new GatewayExtensions(endpointSource(registry), fleetCoordinator(settings)),
+        registry == null || settings.journalBeside()
+            ? Server.JournalMode.POLLED
+            : Server.JournalMode.UNUSED);
+    return KEEPS_RUNNING;
+  }
+
+  private static EndpointSource.Factory endpointSource(RegistrySettings registry) {
+    return registry == null
+        ? null
+        : (vertx, listener, seed) -> new RegistrySource(vertx, registry, listener, seed);
+  }
+
+  private static FleetCoordinator.Factory fleetCoordinator(DeploymentFile settings) {
+    MembershipSettings membership = settings.fleet();
+    FleetMessageHandler.Factory messageHandler = messageHandler(settings.owner());
+    return membership == null
+        ? null
+        : (vertx, options, callbacks) ->
+            new MembershipService(vertx, membership, options, callbacks, messageHandler);
+  }
+
+  private static FleetMessageHandler.Factory messageHandler(LeadershipSettings leadership) {
+    return leadership == null
+        ? null
+        : (vertx, membership) -> new LeadershipService(vertx, leadership, membership);
+  }
+}
--- a/app/src/test/java/org/amberpath/cli/CommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/CommandTest.java
@@ -1,6 +1,8 @@
 package org.amberpath.cli;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -8,6 +10,7 @@
 import java.io.StringWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Map;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -131,4 +134,37 @@
     assertTrue(err.toString().contains("[fleet] operators: missing"), err.toString());
     assertEquals(0, run(err, "lab", "list"));
   }
+
+  @ParameterizedTest
+  @CsvSource({"simulate, wirehost", "members, fleet", "leader, owner"})
+  void renamedCommandKeepsItsFormerNameAsAlias(String name, String alias) {
+    Map<String, CommandLine> commands = AmberpathCommand.line().getSubcommands();
+
+    assertEquals(name, commands.get(name).getCommandName());
+    assertSame(commands.get(name), commands.get(alias));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"members, fleet", "leader, owner"})
+  void aliasRunsTheSameCommand(String name, String alias) throws Exception {
+    String settings = file(GOOD).toString();
+    StringWriter byName = new StringWriter();
+    StringWriter byAlias = new StringWriter();
+
+    assertEquals(2, run(byName, name, "--file", settings, "list"));
+    assertEquals(2, run(byAlias, alias, "--file", settings, "list"));
+
+    assertEquals(byName.toString(), byAlias.toString());
+    assertTrue(byName.toString().contains("[fleet] operators: missing"), byName.toString());
+  }
+
+  @Test
+  void deployedCommandsAreRecognizedBeforeTheCommandLineIsLoaded() {
+    assertTrue(Main.isPlainSimulate(new String[] {"simulate"}));
+    assertTrue(Main.isPlainSimulate(new String[] {"wirehost"}));
+    assertFalse(Main.isPlainSimulate(new String[] {"wirehost", "--help"}));
+    assertTrue(Main.isPlainServe(new String[] {"serve"}, Map.of()));
+    assertFalse(Main.isPlainServe(new String[] {"serve"}, Map.of("AMBERPATH_FILE", "a.ini")));
+    assertFalse(Main.isPlainServe(new String[] {"serve", "--file", "a.ini"}, Map.of()));
+  }
 }
