--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -3,6 +3,7 @@
 import co.elastic.logging.jul.EcsFormatter;
 import java.util.logging.Handler;
 import java.util.logging.Logger;
+import org.amberpath.cli.settings.InvalidDeploymentFileException;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.InvalidSettingsException;
 import picocli.CommandLine;
@@ -74,7 +75,7 @@
     line.setExecutionExceptionHandler(
         (e, of, parsed) -> {
           of.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
-          return e instanceof DeploymentFile.Faulty
+          return e instanceof InvalidDeploymentFileException
                   || e instanceof InvalidSettingsException
                   || e instanceof InvalidDocumentException
               ? USAGE
--- a/app/src/main/java/org/amberpath/cli/CheckCommand.java
+++ b/app/src/main/java/org/amberpath/cli/CheckCommand.java
@@ -3,6 +3,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import org.amberpath.cli.settings.DeploymentFile;
 import org.amberpath.gateway.GatewayOptions;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -1,18 +1,16 @@
 package org.amberpath.cli;
 
-import io.vertx.core.json.JsonArray;
 import io.vertx.core.json.JsonObject;
-import java.io.IOException;
-import java.nio.file.Path;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
 import org.amberpath.membership.runtime.AdminEndpoint;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** What operators ask a running gateway about its fleet, at the address that its [fleet] names. */
+/** Shows the members that a running gateway knows, and has it forget one that was lost. */
 @Command(
     name = "members",
     aliases = "fleet",
@@ -20,53 +18,42 @@
     synopsisSubcommandLabel = "COMMAND",
     description = "Asks a running gateway what it knows of the others.")
 final class MembershipCommand {
-  private static final int CONFLICT = 409, PAUSE_MS = 500;
+  private static final int POLL_INTERVAL_MILLIS = 500;
+  private static final double MILLIS_PER_SECOND = 1e3;
 
-  @Option(
-      names = "--file",
-      required = true,
-      defaultValue = "${AMBERPATH_FILE}",
-      paramLabel = "INI",
-      description = "The gateway's settings, with [fleet] operators; AMBERPATH_FILE otherwise.")
-  private Path file;
+  @Mixin private AdminOptions options;
 
-  @Option(names = "--json", description = "One JSON object a line.")
-  private boolean json;
-
-  private final AdminRequest desk = new AdminRequest();
-
-  private JsonObject view() throws IOException, InterruptedException {
-    return desk.page(file, AdminEndpoint.MEMBERS_PATH);
-  }
-
-  @Command(name = "list", mixinStandardHelpOptions = true, description = "The view as it is.")
+  @Command(name = "list", mixinStandardHelpOptions = true, description = "The members as they are.")
   int list() throws Exception {
-    JsonObject view = view();
-    if (json) {
-      System.out.println(view.encode());
+    JsonObject status = options.client().get(AdminEndpoint.MEMBERS_PATH);
+    if (options.json()) {
+      System.out.println(status.encode());
       return AmberpathCommand.DONE;
     }
     System.out.printf(
         "%s in %s: %s, %d there, one part of %d%s (told %d)%n",
-        view.getString("name"),
-        view.getString("fleet"),
-        view.getString("phase"),
-        view.getInteger("there"),
-        view.getInteger("counted"),
-        view.getDouble("part") > 0 ? "" : ", none of it its own yet",
-        view.getInteger("told"));
-    for (Object one : view.getJsonArray("gateways")) {
-      JsonObject other = (JsonObject) one;
-      System.out.printf(
-          "  %-32s %-9s %-21s since %.1f s%n",
-          other.getString("name"),
-          other.getString("standing"),
-          other.getString("address"),
-          other.getLong("since_ms") / 1e3);
+        status.getString("name"),
+        status.getString("fleet"),
+        status.getString("phase"),
+        status.getInteger("there"),
+        status.getInteger("counted"),
+        status.getDouble("part") > 0 ? "" : ", none of it its own yet",
+        status.getInteger("told"));
+    for (Object element : status.getJsonArray("gateways")) {
+      printMember((JsonObject) element);
     }
     return AmberpathCommand.DONE;
   }
 
+  private static void printMember(JsonObject member) {
+    System.out.printf(
+        "  %-32s %-9s %-21s since %.1f s%n",
+        member.getString("name"),
+        member.getString("standing"),
+        member.getString("address"),
+        member.getLong("since_ms") / MILLIS_PER_SECOND);
+  }
+
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
@@ -75,60 +62,65 @@
       @Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.")
           int seconds)
       throws Exception {
-    long until = System.nanoTime() + Duration.ofSeconds(seconds).toNanos();
-    Map<String, String> before = new HashMap<>();
-    while (seconds == 0 || System.nanoTime() < until) {
-      JsonObject view = view();
-      Map<String, String> now = new HashMap<>();
-      now.put(
-          view.getString("name"),
-          view.getString("phase") + ", one part of " + view.getInteger("counted"));
-      JsonArray others = view.getJsonArray("gateways");
-      others.forEach(
-          one ->
-              now.put(
-                  ((JsonObject) one).getString("name"), ((JsonObject) one).getString("standing")));
-      now.forEach(
-          (name, is) -> {
-            String was = before.get(name);
-            if (!is.equals(was)) {
-              System.out.println(
-                  json
-                      ? new JsonObject().put("name", name).put("was", was).put("is", is).encode()
-                      : String.format("%-32s %s -> %s", name, was == null ? "" : was, is));
-            }
-          });
-      before.keySet().stream()
-          .filter(name -> !now.containsKey(name))
-          .forEach(
-              name ->
-                  System.out.println(
-                      json
-                          ? new JsonObject()
-                              .put("name", name)
-                              .put("was", before.get(name))
-                              .putNull("is")
-                              .encode()
-                          : String.format("%-32s %s -> forgotten", name, before.get(name))));
-      before.clear();
-      before.putAll(now);
-      Thread.sleep(PAUSE_MS);
+    long endNanos = System.nanoTime() + Duration.ofSeconds(seconds).toNanos();
+    Map<String, String> previous = Map.of();
+    while (seconds == 0 || System.nanoTime() < endNanos) {
+      Map<String, String> current = statusByName(options.client().get(AdminEndpoint.MEMBERS_PATH));
+      printChanges(previous, current);
+      previous = current;
+      Thread.sleep(POLL_INTERVAL_MILLIS);
     }
     return AmberpathCommand.DONE;
   }
 
+  /** The gateway's own phase and share, and the status of each other member. */
+  private static Map<String, String> statusByName(JsonObject status) {
+    Map<String, String> statuses = new HashMap<>();
+    statuses.put(
+        status.getString("name"),
+        status.getString("phase") + ", one part of " + status.getInteger("counted"));
+    for (Object element : status.getJsonArray("gateways")) {
+      JsonObject member = (JsonObject) element;
+      statuses.put(member.getString("name"), member.getString("standing"));
+    }
+    return statuses;
+  }
+
+  private void printChanges(Map<String, String> previous, Map<String, String> current) {
+    current.forEach(
+        (name, status) -> {
+          String before = previous.get(name);
+          if (!status.equals(before)) {
+            printChange(name, before, status);
+          }
+        });
+    previous.forEach(
+        (name, before) -> {
+          if (!current.containsKey(name)) {
+            printChange(name, before, null);
+          }
+        });
+  }
+
+  /** Null before for a member that is new, null after for one that was forgotten. */
+  private void printChange(String name, String before, String after) {
+    System.out.println(
+        options.json()
+            ? new JsonObject().put("name", name).put("was", before).put("is", after).encode()
+            : String.format(
+                "%-32s %s -> %s",
+                name, before == null ? "" : before, after == null ? "forgotten" : after));
+  }
+
   @Command(
       name = "forget",
       mixinStandardHelpOptions = true,
       description = "A lost gateway is not coming back: its part falls to the others.")
   int forget(@Parameters(paramLabel = "NAME") String name) throws Exception {
-    int status =
-        name.matches("[A-Za-z0-9._-]{1,32}")
-            ? desk.ask(file, "POST", AdminEndpoint.FORGET_PATH + name).statusCode()
-            : CONFLICT;
-    if (status == AdminRequest.OK) {
-      System.out.println(
-          json ? new JsonObject().put("name", name).put("is", "left").encode() : name + ": left");
+    if (name.matches("[A-Za-z0-9._-]{1,32}")
+        && options.client().post(AdminEndpoint.FORGET_PATH + name) == AdminClient.OK) {
+      JsonObject result = new JsonObject().put("name", name).put("is", "left");
+      System.out.println(options.json() ? result.encode() : name + ": left");
       return AmberpathCommand.DONE;
     }
     System.err.println(name + ": nothing was changed: this gateway does not hold it for lost");
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -4,10 +4,12 @@
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
-import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
+import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.cli.settings.DeploymentFile;
 import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
@@ -15,17 +17,15 @@
 import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
-import org.amberpath.routing.EndpointListKind;
-import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
-import org.amberpath.routing.ListedEndpoint;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
 /**
- * What operators do at the registry. Each write is one transaction that fails if the key moved
- * meanwhile.
+ * Lists, watches and changes the entries of the registry. Each write is one transaction that fails
+ * if the key was modified since it was read.
  */
 @Command(
     name = "registry",
@@ -33,7 +33,10 @@
     synopsisSubcommandLabel = "COMMAND",
     description = "Reads and writes the registry of caches and purges.")
 final class RegistryCommand {
-  private static final long PATIENCE_S = 30;
+  /** For a whole command, all of its requests together. */
+  private static final long TIMEOUT_SECONDS = 30;
+
+  private static final long MILLIS_PER_SECOND = 1000;
 
   @Option(
       names = "--file",
@@ -46,28 +49,33 @@
   @Option(names = "--json", description = "One JSON object a line.")
   private boolean json;
 
-  /** What is done with a registry that answers. */
-  private interface Work {
-    Future<Integer> at(RegistryAdminClient desk, RegistrySettings access) throws Exception;
+  /** Requests to a registry whose result is an exit code. */
+  private interface Operation {
+    Future<Integer> run(RegistryAdminClient client, String prefix);
   }
 
-  private RegistrySettings access() {
-    RegistrySettings access = DeploymentFile.read(file).registry();
-    if (access == null) {
-      throw new InvalidSettingsException(
-          String.valueOf(file), "registry", "", file + ": [registry]: missing");
-    }
-    return access;
+  private RegistrySettings settings() {
+    return DeploymentFile.read(file)
+        .registry()
+        .orElseThrow(
+            () ->
+                new InvalidSettingsException(
+                    String.valueOf(file), "registry", "", file + ": [registry]: missing"));
+  }
+
+  private RegistryLinePrinter printer() {
+    return new RegistryLinePrinter(json);
   }
 
-  private int with(Work work) throws Exception {
-    RegistrySettings access = access();
+  private int run(Operation operation) throws Exception {
+    RegistrySettings settings = settings();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, access)) {
-      return work.at(desk, access)
+    try (RegistryAdminClient client = new RegistryAdminClient(vertx, settings)) {
+      return operation
+          .run(client, settings.prefix())
           .toCompletionStage()
           .toCompletableFuture()
-          .get(PATIENCE_S, TimeUnit.SECONDS);
+          .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
       System.err.println(e.getCause().getMessage());
       return AmberpathCommand.FAILED;
@@ -78,117 +86,23 @@
 
   @Command(name = "list", mixinStandardHelpOptions = true, description = "All caches and purges.")
   int list() throws Exception {
-    return with(
-        (desk, access) ->
-            desk.list()
+    return run(
+        (client, prefix) ->
+            client
+                .list()
                 .map(
-                    all -> {
-                      all.forEach(held -> print(held, access.prefix()));
+                    entries -> {
+                      entries.forEach(entry -> printer().entry(entry, prefix));
                       return AmberpathCommand.DONE;
                     }));
   }
 
-  private void print(RegistryEntry held, String prefix) {
-    String key = held.key().substring(prefix.length());
-    JsonObject line = new JsonObject().put("key", key).put("revision", held.modRevision());
-    if (held.value() instanceof RegistryRecord.Cache cache) {
-      line.put("state", say(cache.state()))
-          .put("address", cache.address())
-          .put("zone", cache.zone())
-          .put("kind", cache.kind())
-          .put("weight", cache.weight());
-    } else if (held.value() instanceof RegistryRecord.Purge purge) {
-      line.put(
-              "purge",
-              purge.object() != 0
-                  ? String.format("%016x", purge.object())
-                  : "group " + purge.group())
-          .put("at_ms", purge.atMs());
-    } else if (held.value() instanceof RegistryRecord.Unreadable unreadable) {
-      line.put("unreadable", unreadable.reason());
-    } else {
-      return;
-    }
-    say(line);
-  }
-
-  private void say(JsonObject line) {
-    if (json) {
-      System.out.println(line.encode());
-    } else {
-      StringBuilder words = new StringBuilder();
-      line.forEach(
-          field ->
-              words
-                  .append(words.isEmpty() ? "" : "  ")
-                  .append(
-                      field.getKey().equals("key")
-                          ? String.format("%-28s", field.getValue())
-                          : field.getKey() + "=" + field.getValue()));
-      System.out.println(words);
-    }
-  }
-
-  private static String say(EndpointState state) {
-    return switch (state) {
-      case UP -> "ready";
-      case DRAINING -> "draining";
-      default -> "gone";
-    };
-  }
-
-  /** Changes a cache that is there. */
-  private int change(String id, EndpointState to) throws Exception {
-    return with(
-        (desk, access) ->
-            desk.list()
-                .compose(
-                    all -> {
-                      String key = access.prefix() + RecordCodec.CACHES_PREFIX + id;
-                      RegistryEntry held =
-                          all.stream()
-                              .filter(one -> one.key().equals(key))
-                              .findFirst()
-                              .orElse(null);
-                      if (held == null || !(held.value() instanceof RegistryRecord.Cache was)) {
-                        System.err.println(
-                            id
-                                + ": "
-                                + (held == null ? "no such cache" : "its value can't be read"));
-                        return Future.succeededFuture(AmberpathCommand.FAILED);
-                      }
-                      RegistryRecord.Cache now =
-                          to == EndpointState.GONE
-                              ? null
-                              : new RegistryRecord.Cache(
-                                  id,
-                                  was.address(),
-                                  was.zone(),
-                                  was.kind(),
-                                  was.cell(),
-                                  to,
-                                  was.weight(),
-                                  was.startedAtMs());
-                      return desk.write(key, now, held.modRevision())
-                          .map(done -> written(id, say(to), done));
-                    }));
-  }
-
-  private int written(String id, String what, boolean done) {
-    if (!done) {
-      System.err.println(id + ": nothing was written: its key moved meanwhile; look again");
-      return AmberpathCommand.FAILED;
-    }
-    say(new JsonObject().put("key", id).put("state", what));
-    return AmberpathCommand.DONE;
-  }
-
   @Command(
       name = "drain",
       mixinStandardHelpOptions = true,
       description = "Nothing new goes to a cache.")
   int drain(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, EndpointState.DRAINING);
+    return changeState(id, EndpointState.DRAINING);
   }
 
   @Command(
@@ -196,7 +110,7 @@
       mixinStandardHelpOptions = true,
       description = "A drained cache takes GETs again.")
   int ready(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, EndpointState.UP);
+    return changeState(id, EndpointState.UP);
   }
 
   @Command(
@@ -204,49 +118,79 @@
       mixinStandardHelpOptions = true,
       description = "A cache is gone; its id may come anew.")
   int remove(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, EndpointState.GONE);
+    return changeState(id, EndpointState.GONE);
+  }
+
+  private int changeState(String id, EndpointState state) throws Exception {
+    return run(
+        (client, prefix) ->
+            client.list().compose(entries -> changeState(client, prefix, entries, id, state)));
+  }
+
+  private Future<Integer> changeState(
+      RegistryAdminClient client,
+      String prefix,
+      List<RegistryEntry> entries,
+      String id,
+      EndpointState state) {
+    String key = prefix + RecordCodec.CACHES_PREFIX + id;
+    Optional<RegistryEntry> entry =
+        entries.stream().filter(candidate -> candidate.key().equals(key)).findFirst();
+    if (entry.isEmpty()) {
+      return failed(id + ": no such cache");
+    }
+    if (!(entry.get().value() instanceof RegistryRecord.Cache cache)) {
+      return failed(id + ": its value can't be read");
+    }
+    RegistryRecord.Cache changed = state == EndpointState.GONE ? null : withState(cache, state);
+    return client
+        .write(key, changed, entry.get().modRevision())
+        .map(written -> report(id, RegistryLinePrinter.word(state), written));
+  }
+
+  private static RegistryRecord.Cache withState(RegistryRecord.Cache cache, EndpointState state) {
+    return new RegistryRecord.Cache(
+        cache.id(),
+        cache.address(),
+        cache.zone(),
+        cache.kind(),
+        cache.cell(),
+        state,
+        cache.weight(),
+        cache.startedAtMs());
+  }
+
+  private static Future<Integer> failed(String message) {
+    System.err.println(message);
+    return Future.succeededFuture(AmberpathCommand.FAILED);
+  }
+
+  /** Prints the outcome of a write; a transaction whose condition failed wrote nothing. */
+  private int report(String key, String state, boolean written) {
+    if (!written) {
+      System.err.println(key + ": nothing was written: its key moved meanwhile; look again");
+      return AmberpathCommand.FAILED;
+    }
+    printer().written(key, state);
+    return AmberpathCommand.DONE;
   }
 
   @Command(
       name = "add",
       mixinStandardHelpOptions = true,
       description = "A cache that is not there yet.")
-  int add(
-      @Parameters(paramLabel = "ID") String id,
-      @Option(names = "--address", required = true, description = "Numeric address:port.")
-          String address,
-      @Option(
-              names = "--zone",
-              required = true,
-              description = "The zone, as the site's settings name it.")
-          String zone,
-      @Option(names = "--kind", required = true, description = "The kind, likewise.") String kind,
-      @Option(names = "--weight", defaultValue = "1", description = "Its size. Default: 1.")
-          double weight,
-      @Option(names = "--cell", defaultValue = "0", description = "Its shelf. Default: 0.")
-          int cell,
-      @Option(names = "--cold", description = "It has just started and holds nothing.")
-          boolean cold)
+  int add(@Parameters(paramLabel = "ID") String id, @Mixin NewCacheOptions options)
       throws Exception {
-    RegistryRecord.Cache cache =
-        new RegistryRecord.Cache(
-            id,
-            address,
-            zone,
-            kind,
-            cell,
-            EndpointState.UP,
-            weight,
-            cold ? System.currentTimeMillis() : 0);
+    RegistryRecord.Cache cache = options.toRecord(id);
     String fault = RecordCodec.validationError(cache);
     if (fault != null) {
-      System.err.println("add: gateways would not take that: " + fault);
-      return AmberpathCommand.USAGE;
+      return usage("add: gateways would not take that: " + fault);
     }
-    return with(
-        (desk, access) ->
-            desk.write(access.prefix() + RecordCodec.CACHES_PREFIX + id, cache, 0)
-                .map(done -> written(id, "ready", done)));
+    return run(
+        (client, prefix) ->
+            client
+                .write(prefix + RecordCodec.CACHES_PREFIX + id, cache, 0)
+                .map(written -> report(id, "ready", written)));
   }
 
   @Command(
@@ -259,23 +203,27 @@
       @Option(names = "--group", defaultValue = "0", description = "Where no object is named.")
           int group)
       throws Exception {
-    long id;
+    long objectId;
     try {
-      id = object == null ? 0 : Long.parseUnsignedLong(object, 16);
+      objectId = object == null ? 0 : Long.parseUnsignedLong(object, 16);
     } catch (NumberFormatException e) {
-      System.err.println("purge: --object: no hexadecimal id: " + object);
-      return AmberpathCommand.USAGE;
+      return usage("purge: --object: no hexadecimal id: " + object);
     }
-    if (id == 0 && group <= 0) {
-      System.err.println("purge: --object or --group");
-      return AmberpathCommand.USAGE;
+    if (objectId == 0 && group <= 0) {
+      return usage("purge: --object or --group");
     }
-    long now = System.currentTimeMillis();
-    String name = now + "-" + Long.toHexString(System.nanoTime());
-    return with(
-        (desk, access) ->
-            desk.purge(name, new RegistryRecord.Purge(id, group, now))
-                .map(done -> written(RecordCodec.PURGES_PREFIX + name, "purged", done)));
+    long atMillis = System.currentTimeMillis();
+    String name = atMillis + "-" + Long.toHexString(System.nanoTime());
+    return run(
+        (client, prefix) ->
+            client
+                .purge(name, new RegistryRecord.Purge(objectId, group, atMillis))
+                .map(written -> report(RecordCodec.PURGES_PREFIX + name, "purged", written)));
+  }
+
+  private static int usage(String message) {
+    System.err.println(message);
+    return AmberpathCommand.USAGE;
   }
 
   @Command(
@@ -286,57 +234,14 @@
       @Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.")
           int seconds)
       throws Exception {
-    RegistrySettings access = access();
+    RegistrySettings settings = settings();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Context context = vertx.getOrCreateContext();
-    RegistrySource source = new RegistrySource(vertx, access, new Printer(), System.nanoTime());
-    context.runOnContext(loop -> source.start());
-    Thread.sleep(seconds == 0 ? Long.MAX_VALUE : seconds * 1000L);
-    context.runOnContext(loop -> source.close());
-    vertx.close().toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    RegistrySource source = new RegistrySource(vertx, settings, printer(), System.nanoTime());
+    context.runOnContext(ignored -> source.start());
+    Thread.sleep(seconds == 0 ? Long.MAX_VALUE : seconds * MILLIS_PER_SECOND);
+    context.runOnContext(ignored -> source.close());
+    vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     return AmberpathCommand.DONE;
   }
-
-  /** Prints what a gateway would be told. */
-  private final class Printer implements EndpointListener {
-    @Override
-    public void endpointListStarted(EndpointListKind kind) {
-      if (kind == EndpointListKind.FULL) {
-        say(new JsonObject().put("key", "list").put("whole", true));
-      }
-    }
-
-    @Override
-    public void endpointListed(ListedEndpoint endpoint) {
-      say(
-          new JsonObject()
-              .put("key", endpoint.id())
-              .put("state", say(endpoint.state()))
-              .put("address", endpoint.address())
-              .put("zone", endpoint.zone())
-              .put("kind", endpoint.kind())
-              .put("weight", endpoint.weight()));
-    }
-
-    @Override
-    public void endpointListCompleted() {}
-
-    @Override
-    public void objectPurged(long object, int group, long atMs) {
-      say(
-          new JsonObject()
-              .put("key", "purge")
-              .put("object", String.format("%016x", object))
-              .put("group", group)
-              .put("at_ms", atMs));
-    }
-
-    private String say(EndpointState state) {
-      return RegistryCommand.say(state);
-    }
-
-    private void say(JsonObject line) {
-      RegistryCommand.this.say(line);
-    }
-  }
 }
--- a/app/src/main/java/org/amberpath/cli/ServeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/ServeCommand.java
@@ -1,7 +1,9 @@
 package org.amberpath.cli;
 
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
+import org.amberpath.cli.settings.DeploymentFile;
 import org.amberpath.gateway.EndpointSource;
 import org.amberpath.gateway.FleetCoordinator;
 import org.amberpath.gateway.GatewayExtensions;
@@ -10,7 +12,6 @@
 import org.amberpath.leadership.runtime.LeadershipSettings;
 import org.amberpath.membership.runtime.FleetMessageHandler;
 import org.amberpath.membership.runtime.MembershipService;
-import org.amberpath.membership.runtime.MembershipSettings;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
 import picocli.CommandLine.Command;
@@ -42,35 +43,34 @@
       return KEEPS_RUNNING;
     }
     DeploymentFile settings = DeploymentFile.read(file);
-    RegistrySettings registry = settings.registry();
     Server.run(
         System.getenv(),
         System.err,
-        new GatewayExtensions(endpointSource(registry), fleetCoordinator(settings)),
-        registry == null || settings.journalBeside()
+        new GatewayExtensions(
+            settings.registry().map(ServeCommand::endpointSource).orElse(null),
+            fleetCoordinator(settings).orElse(null)),
+        settings.registry().isEmpty() || settings.journalBesideRegistry()
             ? Server.JournalMode.POLLED
             : Server.JournalMode.UNUSED);
     return KEEPS_RUNNING;
   }
 
   private static EndpointSource.Factory endpointSource(RegistrySettings registry) {
-    return registry == null
-        ? null
-        : (vertx, listener, seed) -> new RegistrySource(vertx, registry, listener, seed);
+    return (vertx, listener, seed) -> new RegistrySource(vertx, registry, listener, seed);
   }
 
-  private static FleetCoordinator.Factory fleetCoordinator(DeploymentFile settings) {
-    MembershipSettings membership = settings.fleet();
-    FleetMessageHandler.Factory messageHandler = messageHandler(settings.owner());
-    return membership == null
-        ? null
-        : (vertx, options, callbacks) ->
-            new MembershipService(vertx, membership, options, callbacks, messageHandler);
+  private static Optional<FleetCoordinator.Factory> fleetCoordinator(DeploymentFile settings) {
+    FleetMessageHandler.Factory messageHandler =
+        settings.leadership().map(ServeCommand::messageHandler).orElse(null);
+    return settings
+        .membership()
+        .map(
+            membership ->
+                (vertx, options, callbacks) ->
+                    new MembershipService(vertx, membership, options, callbacks, messageHandler));
   }
 
   private static FleetMessageHandler.Factory messageHandler(LeadershipSettings leadership) {
-    return leadership == null
-        ? null
-        : (vertx, membership) -> new LeadershipService(vertx, leadership, membership);
+    return (vertx, membership) -> new LeadershipService(vertx, leadership, membership);
   }
 }
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -0,0 +1,99 @@
+package org.amberpath.cli.settings;
+
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.amberpath.leadership.LeaseTimings;
+import org.amberpath.leadership.VoterConfiguration;
+import org.amberpath.leadership.runtime.LeadershipSettings;
+import org.amberpath.membership.runtime.MembershipSettings;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
+
+/** Reads [owner]: how a leader is elected, for how long, and which tasks it does. */
+final class LeadershipSection {
+  static final String NAME = "owner";
+  static final Set<String> KEYS =
+      Set.of(
+          "voters",
+          "next-voters",
+          "by",
+          "lease-s",
+          "settle-s",
+          "sweep",
+          "sweep-every-s",
+          "probe",
+          "warm");
+
+  /** Assumed bound on the difference in rate of two machines' clocks, parts per million. */
+  private static final int MAX_CLOCK_DRIFT_PPM = 1000;
+
+  /** A task that sends requests needs this much of the settle time after messages' delays. */
+  private static final long MIN_SETTLE_NANOS_WITH_REQUESTS = 300_000_000;
+
+  private final IniSection section;
+
+  LeadershipSection(IniSection section) {
+    this.section = section;
+  }
+
+  /**
+   * Reads the section.
+   *
+   * @param reloadVoters reads the voters from the file as it is then; may do I/O
+   */
+  LeadershipSettings read(
+      Optional<RegistrySettings> registry,
+      Optional<MembershipSettings> membership,
+      Supplier<VoterConfiguration> reloadVoters) {
+    boolean sweeps = section.isYes("sweep");
+    boolean healthChecks = section.isYes("probe");
+    boolean prefetches = section.isYes("warm");
+    boolean byLease = section.choice("by", "votes", "lease").equals("lease");
+    if (membership.isEmpty()) {
+      throw section.invalid("voters", "needs [fleet]: votes go over its datagrams");
+    }
+    if (sweeps && registry.isEmpty()) {
+      throw section.invalid("sweep", "needs [registry]");
+    }
+    if (byLease && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
+      throw section.invalid("by", "lease needs [registry] of the form etcd");
+    }
+    VoterConfiguration voters = byLease ? null : voters();
+    LeaseTimings timings = timings(byLease, healthChecks || prefetches);
+    return new LeadershipSettings(
+        voters,
+        reloadVoters,
+        byLease ? registry.get() : null,
+        timings,
+        sweeps ? registry.get() : null,
+        section.secondsToNanos("sweep-every-s", "5", 0.1, 3600),
+        healthChecks,
+        prefetches);
+  }
+
+  private VoterConfiguration voters() {
+    try {
+      return new VoterConfiguration(section.words("voters"), section.words("next-voters"));
+    } catch (IllegalArgumentException e) {
+      throw section.invalid("voters", e.getMessage());
+    }
+  }
+
+  private LeaseTimings timings(boolean byLease, boolean tasksSendRequests) {
+    long leaseNanos =
+        byLease
+            ? section.integer("lease-s", "3", 2, 60) * IniSection.NANOS_PER_SECOND
+            : section.secondsToNanos("lease-s", "3", 1, 60);
+    long settleNanos = section.secondsToNanos("settle-s", "0.6", 0, 60);
+    if (tasksSendRequests
+        && (settleNanos < MIN_SETTLE_NANOS_WITH_REQUESTS || 2 * settleNanos > leaseNanos)) {
+      throw section.invalid(
+          "settle-s",
+          "with probe or warm from "
+              + MIN_SETTLE_NANOS_WITH_REQUESTS / 1e9
+              + " to half of lease-s");
+    }
+    return new LeaseTimings(leaseNanos, settleNanos, MAX_CLOCK_DRIFT_PPM);
+  }
+}
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
@@ -0,0 +1,49 @@
+package org.amberpath.cli.settings;
+
+import io.vertx.core.net.SocketAddress;
+import java.nio.file.Path;
+import java.util.Optional;
+import java.util.Set;
+import org.amberpath.membership.runtime.MembershipSettings;
+
+/** Reads [fleet]: the addresses, seeds, keys and timing of the membership protocol. */
+final class MembershipSection {
+  static final String NAME = "fleet";
+  static final Set<String> KEYS =
+      Set.of("name", "listen", "advertise", "seeds", "told", "key", "operators", "period-s");
+
+  private static final int MAX_MEMBERS = 2000;
+
+  private final IniSection section;
+
+  MembershipSection(IniSection section) {
+    this.section = section;
+  }
+
+  MembershipSettings read() {
+    String name = section.string("name", "amberpath");
+    if (!name.matches("[A-Za-z0-9._-]{1,32}")) {
+      throw section.invalid("name", "not 1 to 32 letters, digits, ._-: " + name);
+    }
+    Optional<SocketAddress> admin = section.ipv4Address("operators");
+    if (admin.isPresent() && !admin.get().hostAddress().startsWith("127.")) {
+      throw section.invalid("operators", "not on loopback: " + admin.get());
+    }
+    Path keyFile = section.readableFile("key").orElseThrow(() -> section.invalid("key", "missing"));
+    SocketAddress listen =
+        section.ipv4Address("listen").orElseThrow(() -> section.invalid("listen", "missing"));
+    Optional<SocketAddress> advertised = section.ipv4Address("advertise");
+    if (listen.hostAddress().equals("0.0.0.0") && advertised.isEmpty()) {
+      throw section.invalid("advertise", "missing: nobody can answer " + listen.hostAddress());
+    }
+    return new MembershipSettings(
+        name,
+        listen,
+        advertised.orElse(null),
+        section.addresses("seeds"),
+        section.integer("told", "0", 0, MAX_MEMBERS),
+        section.secondsToNanos("period-s", "0.5", 0.1, 10),
+        keyFile,
+        admin.orElse(null));
+  }
+}
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -0,0 +1,114 @@
+package org.amberpath.cli.settings;
+
+import io.vertx.core.net.SocketAddress;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.Locale;
+import java.util.Optional;
+import java.util.Set;
+import org.amberpath.registry.runtime.RegistrySettings;
+import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
+
+/** Reads [registry]: where the registry is, how to authenticate, and bounds on what it sends. */
+final class RegistrySection {
+  static final String NAME = "registry";
+  static final Set<String> KEYS =
+      Set.of(
+          "form",
+          "endpoints",
+          "prefix",
+          "journal",
+          "trust",
+          "certificate",
+          "key",
+          "token",
+          "user",
+          "password",
+          "snapshot",
+          "snapshot-every-s",
+          "snapshot-oldest-s",
+          "retention-s",
+          "most-keys",
+          "longest-answer-kb");
+
+  private static final int MAX_PREFIX_LENGTH = 128;
+  private static final int BYTES_PER_KIB_SHIFT = 10;
+
+  private final IniSection section;
+
+  RegistrySection(IniSection section) {
+    this.section = section;
+  }
+
+  /** How a client authenticates; what is not used is empty. */
+  private record Credentials(
+      Optional<Path> trust,
+      Optional<Path> certificate,
+      Optional<Path> key,
+      Optional<Path> token,
+      Optional<Path> password,
+      Optional<String> user) {}
+
+  /** Whether the journal is polled as well, instead of not at all. */
+  boolean journalBesideRegistry() {
+    return section.choice("journal", "instead", "beside").equals("beside");
+  }
+
+  RegistrySettings read() {
+    ProtocolKind protocol =
+        ProtocolKind.valueOf(
+            section.requiredChoice("form", "etcd", "consul").toUpperCase(Locale.ROOT));
+    Credentials credentials =
+        new Credentials(
+            section.readableFile("trust"),
+            section.readableFile("certificate"),
+            section.readableFile("key"),
+            section.readableFile("token"),
+            section.readableFile("password"),
+            section.string("user"));
+    List<SocketAddress> endpoints = section.addresses("endpoints");
+    check(credentials, protocol);
+    return new RegistrySettings(
+        protocol,
+        endpoints,
+        prefix(),
+        credentials.trust().orElse(null),
+        credentials.certificate().orElse(null),
+        credentials.key().orElse(null),
+        credentials.token().orElse(null),
+        credentials.user().orElse(null),
+        credentials.password().orElse(null),
+        section.writableFile("snapshot").orElse(null),
+        section.secondsToNanos("snapshot-every-s", "5", 1, 3600),
+        section.secondsToNanos("snapshot-oldest-s", "86400", 1, 31_536_000),
+        section.secondsToNanos("retention-s", "600", 10, 86_400),
+        section.integer("most-keys", "20000", 10, 1_000_000),
+        section.integer("longest-answer-kb", "8192", 64, 262_144) << BYTES_PER_KIB_SHIFT);
+  }
+
+  private void check(Credentials credentials, ProtocolKind protocol) {
+    boolean hasCertificate = credentials.certificate().isPresent();
+    boolean hasUser = credentials.user().isPresent();
+    if (hasCertificate && credentials.trust().isEmpty()) {
+      throw section.invalid("certificate", "needs 'trust'");
+    }
+    if (hasCertificate != credentials.key().isPresent()) {
+      throw section.invalid(hasCertificate ? "key" : "certificate", "missing: both or neither");
+    }
+    if (hasUser != credentials.password().isPresent()) {
+      throw section.invalid(hasUser ? "password" : "user", "missing: both or neither");
+    }
+    if (hasUser && (credentials.token().isPresent() || protocol == ProtocolKind.CONSUL)) {
+      throw section.invalid("user", "only with form = etcd and without 'token'");
+    }
+  }
+
+  private String prefix() {
+    String prefix = section.string("prefix", "amberpath/");
+    if (!prefix.matches("[A-Za-z0-9._-][A-Za-z0-9._/-]*/") || prefix.length() > MAX_PREFIX_LENGTH) {
+      throw section.invalid(
+          "prefix", "not of letters, digits and ._-/ with a slash at its end: " + prefix);
+    }
+    return prefix;
+  }
+}
--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The arrows between modules point one way; code that decides does no I/O and reads no clock. */
+/** Dependencies between modules run one way; pure code does no I/O and reads no clock. */
 class ArchitectureTest {
   private static final String ROOT = "org.amberpath.";
   private static final JavaClasses ALL =
@@ -25,7 +25,7 @@
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.amberpath");
 
-  /** Every package that decides: the pure half of a new subsystem is added here. */
+  /** Every pure package; that of a new subsystem is added here. */
   private static final List<String> PURE =
       List.of(
           ROOT + "routing",
@@ -73,7 +73,7 @@
                       .contains(call.getName()));
 
   @Test
-  void everyPurePackageIsThere() {
+  void everyPurePackageExists() {
     for (String pure : PURE) {
       assertTrue(ALL.stream().anyMatch(one -> one.getPackageName().equals(pure)), pure);
     }
@@ -85,12 +85,12 @@
   }
 
   @Test
-  void pureCodeIsToldTheTime() {
+  void pureCodeReadsNoClockOrEnvironment() {
     noClasses().that(PURE_CLASS).should().callMethodWhere(CLOCK).check(ALL);
   }
 
   @Test
-  void pureCodeKnowsNoRuntimeHalf() {
+  void pureCodeDependsOnNoRuntimePackage() {
     noClasses()
         .that(PURE_CLASS)
         .should()
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void routingKnowsNoOtherModule() {
+  void routingDependsOnNoOtherModule() {
     noClasses()
         .that()
         .resideInAPackage(ROOT + "routing..")
@@ -121,7 +121,7 @@
     "registry, leadership planning cli lab",
     "leadership, planning cli lab",
   })
-  void aModuleKnowsNoneAboveIt(String module, String above) {
+  void moduleDependsOnNoneAboveIt(String module, String above) {
     String[] packages =
         Stream.of(above.split(" ", -1)).map(one -> ROOT + one + "..").toArray(String[]::new);
     noClasses()
@@ -134,7 +134,7 @@
   }
 
   @Test
-  void onlyTheCommandLineKnowsTheLab() {
+  void onlyTheCommandLineDependsOnTheLab() {
     noClasses()
         .that()
         .resideOutsideOfPackages(TOOLS)
--- a/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
+++ b/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
@@ -20,11 +20,11 @@
  * both sizes.
  */
 class EndpointsSizeProcessTest {
-  private static final double LEAST_MEMORY_MEGABYTES = 10;
+  private static final double MIN_MEMORY_MEGABYTES = 10;
   @TempDir private Path folder;
 
   @Test
-  void everyFigureIsMeasuredAtBothSizes() throws Exception {
+  void experimentMeasuresEveryFigureAtBothSizes() throws Exception {
     JsonObject result =
         new JsonObject(
             EndpointsSizeExperiment.run(
@@ -38,7 +38,7 @@
       assertTrue(
           figures.getDouble("cpu_s") >= details.getDouble("cpu_s_at_start"), figures.encode());
       assertTrue(details.getDouble("cpu_s_at_start") > 0, details.encode());
-      assertTrue(figures.getDouble("peak_memory_mb") > LEAST_MEMORY_MEGABYTES, figures.encode());
+      assertTrue(figures.getDouble("peak_memory_mb") > MIN_MEMORY_MEGABYTES, figures.encode());
       assertTrue(figures.getInteger("peak_descriptors") > 0, figures.encode());
       assertTrue(
           figures.getLong("cache_connections") >= details.getLong("caches_asked"),
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void theGatewayIsStartedWithTheFlagsOfTheDeployFile() throws Exception {
+  void testbedStartsGatewaysWithTheDeployedFlags() throws Exception {
     String run =
         Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
             .filter(line -> line.startsWith("run = "))
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -14,12 +14,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/**
- * What the platform's pages ask of the line that starts a gateway, held without any of its
- * programs.
- */
+/** The platform's requirements on deploy/balancer.toml, checked on the text of the file. */
 class RunLineTest {
-  private final String deploy, run;
+  private final String deploy;
+  private final String run;
 
   RunLineTest() throws IOException {
     deploy = Files.readString(Path.of("..", "deploy", "balancer.toml"));
@@ -33,7 +31,7 @@
   }
 
   @Test
-  void itIsOneProcessThatTakesTheShellsPlace() {
+  void runLineReplacesTheShellWithOneProcess() {
     assertTrue(run.startsWith("exec java "), run);
     assertFalse(run.matches(".*[;&|<>`$()].*"), "starts or feeds a second program: " + run);
     assertFalse(
@@ -41,13 +39,13 @@
   }
 
   @Test
-  void itTalksOverIPv4AndLooksNothingUp() {
+  void runLineUsesIpv4AndNoNameLookup() {
     assertTrue(run.contains(" -Djava.net.preferIPv4Stack=true "), run);
     assertTrue(run.contains(" -Dvertx.disableDnsResolver=true "), run);
   }
 
   @Test
-  void whatIsOffThereIsNotNamed() {
+  void runLineSwitchesOnNoOptionalFeature() {
     assertTrue(run.endsWith(" -jar target/amberpath.jar serve"), run);
     for (String off :
         List.of(
@@ -64,7 +62,7 @@
   }
 
   @Test
-  void theBuildNeedsNothingButMavenAndTheRuntime() {
+  void buildNeedsOnlyMavenAndJava() {
     assertTrue(line("build").startsWith("mvn -q -DskipTests package"));
     assertTrue(deploy.contains("\npackages = [] "));
   }
@@ -79,7 +77,7 @@
           "EndpointListener");
 
   @Test
-  void theFilesOfDecisionsAreAllNamedAndThere() throws IOException {
+  void policyListNamesEveryDecisionFile() throws IOException {
     Matcher list = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deploy);
     assertTrue(list.find());
     Set<String> named = new TreeSet<>();
--- /dev/null
+++ b/app/src/test/java/org/amberpath/cli/AdminClientTest.java
@@ -0,0 +1,113 @@
+package org.amberpath.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.sun.net.httpserver.HttpServer;
+import io.vertx.core.net.SocketAddress;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.amberpath.gateway.settings.InvalidSettingsException;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Requests to a gateway's admin endpoint: what is returned, and the message of each error. */
+class AdminClientTest {
+  private static final int NOT_FOUND = 404;
+  private static final int CONFLICT = 409;
+
+  @TempDir private Path folder;
+  private HttpServer gateway;
+  private AdminClient client;
+
+  @BeforeEach
+  void startGateway() throws Exception {
+    gateway = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+    gateway.start();
+    client = new AdminClient(SocketAddress.inetSocketAddress(gateway.getAddress()));
+  }
+
+  @AfterEach
+  void stopGateway() {
+    gateway.stop(0);
+  }
+
+  private void respond(String path, int status, String body) {
+    byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
+    gateway.createContext(
+        path,
+        exchange -> {
+          exchange.sendResponseHeaders(status, bytes.length);
+          exchange.getResponseBody().write(bytes);
+          exchange.close();
+        });
+  }
+
+  @Test
+  void responseOfAReadIsItsJson() throws Exception {
+    respond("/page", AdminClient.OK, "{\"name\":\"g1\"}");
+
+    assertEquals("g1", client.get("/page").getString("name"));
+  }
+
+  @Test
+  void otherStatusOfAReadIsAnUnexpectedStatus() {
+    respond("/page", NOT_FOUND, "none");
+
+    AdminException.UnexpectedStatus e =
+        assertThrows(AdminException.UnexpectedStatus.class, () -> client.get("/page"));
+
+    assertEquals("the gateway has no such page: status 404", e.getMessage());
+  }
+
+  @Test
+  void statusOfAChangeIsReturned() throws Exception {
+    respond("/change", CONFLICT, "no");
+
+    assertEquals(CONFLICT, client.post("/change"));
+  }
+
+  @Test
+  void connectionThatIsClosedWithoutAResponseIsUnreachable() throws Exception {
+    try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      Thread closer =
+          new Thread(
+              () -> {
+                try {
+                  while (true) {
+                    silent.accept().close();
+                  }
+                } catch (IOException e) {
+                  // The test has ended.
+                }
+              });
+      closer.start();
+      String authority = "127.0.0.1:" + silent.getLocalPort();
+      AdminClient unreachable =
+          new AdminClient(SocketAddress.inetSocketAddress(silent.getLocalPort(), "127.0.0.1"));
+
+      AdminException.Unreachable e =
+          assertThrows(AdminException.Unreachable.class, () -> unreachable.get("/page"));
+
+      assertEquals("no gateway answers at " + authority + ": " + e.getCause(), e.getMessage());
+    }
+  }
+
+  @Test
+  void fileWithoutAnAdminAddressIsInvalidSettings() throws Exception {
+    Path file = Files.writeString(folder.resolve("a.ini"), "");
+
+    InvalidSettingsException e =
+        assertThrows(InvalidSettingsException.class, () -> AdminClient.fromFile(file));
+
+    assertTrue(e.getMessage().endsWith("a.ini: [fleet] operators: missing"), e.getMessage());
+  }
+}
--- /dev/null
+++ b/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
@@ -0,0 +1,82 @@
+package org.amberpath.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.PrintWriter;
+import java.io.StringWriter;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+import picocli.CommandLine;
+
+/** Names, aliases and exit codes of the commands. */
+class AmberpathCommandTest {
+  private static final String REGISTRY =
+      "[registry]\nform = etcd\nendpoints = 127.0.0.1:2379, 127.0.0.1:2380\n";
+
+  @TempDir private Path folder;
+
+  private Path file(String text) throws Exception {
+    return Files.writeString(folder.resolve("a.ini"), text);
+  }
+
+  private int run(StringWriter err, String... args) {
+    CommandLine line = AmberpathCommand.line();
+    line.setErr(new PrintWriter(err, true));
+    return line.execute(args);
+  }
+
+  @Test
+  void exitCodeIsTwoForUsageAndSettings() throws Exception {
+    StringWriter err = new StringWriter();
+    assertEquals(0, run(err, "check", file(REGISTRY).toString()));
+    assertEquals(2, run(err, "check", file("[registry]\n").toString()));
+    assertEquals(2, run(err, "nonsense"));
+    assertEquals(2, run(err));
+    assertEquals(2, run(err, "registry", "--file", file("").toString(), "list"));
+    assertTrue(err.toString().contains("[registry]: missing"), err.toString());
+    assertEquals(2, run(err, "fleet", "--file", file(REGISTRY).toString(), "list"));
+    assertTrue(err.toString().contains("[fleet] operators: missing"), err.toString());
+    assertEquals(0, run(err, "lab", "list"));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"simulate, wirehost", "members, fleet", "leader, owner"})
+  void renamedCommandKeepsItsFormerNameAsAlias(String name, String alias) {
+    Map<String, CommandLine> commands = AmberpathCommand.line().getSubcommands();
+
+    assertEquals(name, commands.get(name).getCommandName());
+    assertSame(commands.get(name), commands.get(alias));
+  }
+
+  @ParameterizedTest
+  @CsvSource({"members, fleet", "leader, owner"})
+  void aliasRunsTheSameCommand(String name, String alias) throws Exception {
+    String settings = file(REGISTRY).toString();
+    StringWriter byName = new StringWriter();
+    StringWriter byAlias = new StringWriter();
+
+    assertEquals(2, run(byName, name, "--file", settings, "list"));
+    assertEquals(2, run(byAlias, alias, "--file", settings, "list"));
+
+    assertEquals(byName.toString(), byAlias.toString());
+    assertTrue(byName.toString().contains("[fleet] operators: missing"), byName.toString());
+  }
+
+  @Test
+  void deployedCommandsAreRecognizedBeforeTheCommandLineIsLoaded() {
+    assertTrue(Main.isPlainSimulate(new String[] {"simulate"}));
+    assertTrue(Main.isPlainSimulate(new String[] {"wirehost"}));
+    assertFalse(Main.isPlainSimulate(new String[] {"wirehost", "--help"}));
+    assertTrue(Main.isPlainServe(new String[] {"serve"}, Map.of()));
+    assertFalse(Main.isPlainServe(new String[] {"serve"}, Map.of("AMBERPATH_FILE", "a.ini")));
+    assertFalse(Main.isPlainServe(new String[] {"serve", "--file", "a.ini"}, Map.of()));
+  }
+}
