--- /dev/null
+++ b/app/src/test/java/org/amberpath/DocumentedNamesTest.java
@@ -0,0 +1,138 @@
+package org.amberpath;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Types, members and files that the pages for readers name exist in the sources. */
+class DocumentedNamesTest {
+  private static final Path ROOT = Path.of("..");
+
+  /** Types of libraries that the pages name. */
+  private static final Set<String> LIBRARY_TYPES = Set.of("NetSocket", "Optional");
+
+  /** This page names what does not exist any more. */
+  private static final Path RENAMED = ROOT.resolve("docs").resolve("renamed.md");
+
+  private static final Pattern CODE = Pattern.compile("`([^`\\n]+)`");
+
+  /** A type, with a member or nested type if one is named. */
+  private static final Pattern NAME =
+      Pattern.compile("([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:\\.(\\w+))?(?:\\(.*\\))?");
+
+  private static final Pattern DECLARATION =
+      Pattern.compile("\\b(?:class|interface|enum|record|@interface) ([A-Z]\\w*)");
+  private static final Pattern LINK = Pattern.compile("\\]\\((?!https?:)([^)#]+)(?:#[^)]*)?\\)");
+
+  /** Of each declared type the text of its file. */
+  private static Map<String, String> sourcesByType() throws IOException {
+    Map<String, String> sources = new HashMap<>();
+    for (Path file : files(".java")) {
+      String text = Files.readString(file);
+      Matcher declaration = DECLARATION.matcher(text);
+      while (declaration.find()) {
+        sources.merge(declaration.group(1), text, String::concat);
+      }
+    }
+    return sources;
+  }
+
+  private static List<Path> files(String suffix) throws IOException {
+    List<Path> found = new ArrayList<>();
+    try (Stream<Path> modules = Files.list(ROOT)) {
+      for (Path module : modules.filter(path -> Files.exists(path.resolve("pom.xml"))).toList()) {
+        try (Stream<Path> files = Files.walk(module.resolve("src"))) {
+          found.addAll(
+              files.filter(file -> file.toString().endsWith(suffix)).collect(Collectors.toList()));
+        }
+      }
+    }
+    return found;
+  }
+
+  @ParameterizedTest
+  @ValueSource(strings = {"docs/architecture.md", "docs/gateway.md", "CONTRIBUTING.md"})
+  void typesAndMembersThatThePageNamesExist(String page) throws IOException {
+    Map<String, String> sources = sourcesByType();
+    List<String> unknown = new ArrayList<>();
+    int names = 0;
+
+    Matcher code = CODE.matcher(Files.readString(ROOT.resolve(page)));
+    while (code.find()) {
+      Matcher name = NAME.matcher(code.group(1));
+      if (name.matches() && !LIBRARY_TYPES.contains(name.group(1))) {
+        names++;
+        String source = sources.get(name.group(1));
+        boolean known =
+            source != null
+                && (name.group(2) == null
+                    || Pattern.compile("\\b" + name.group(2) + "\\b").matcher(source).find());
+        if (!known) {
+          unknown.add(code.group(1));
+        }
+      }
+    }
+
+    assertEquals(List.of(), unknown, page);
+    assertTrue(names > 0, page);
+  }
+
+  @Test
+  void linksBetweenPagesLeadToFiles() throws IOException {
+    List<String> broken = new ArrayList<>();
+    List<Path> pages = new ArrayList<>(List.of(ROOT.resolve("README.md")));
+    try (Stream<Path> docs = Files.walk(ROOT.resolve("docs"))) {
+      docs.filter(file -> file.toString().endsWith(".md")).forEach(pages::add);
+    }
+
+    for (Path page : pages) {
+      Matcher link = LINK.matcher(Files.readString(page));
+      while (link.find()) {
+        if (!Files.exists(page.resolveSibling(link.group(1)))) {
+          broken.add(page + " -> " + link.group(1));
+        }
+      }
+    }
+
+    assertEquals(List.of(), broken);
+  }
+
+  @Test
+  void pagesNamedInPlainTextExist() throws IOException {
+    Pattern named = Pattern.compile("\\bdocs/[a-z0-9/-]+\\.md\\b");
+    List<String> absent = new ArrayList<>();
+    List<Path> texts = new ArrayList<>(files(".java"));
+    texts.add(ROOT.resolve("README.md"));
+    texts.add(ROOT.resolve("CONTRIBUTING.md"));
+    try (Stream<Path> docs = Files.walk(ROOT.resolve("docs"))) {
+      docs.filter(file -> file.toString().endsWith(".md")).forEach(texts::add);
+    }
+    texts.remove(RENAMED);
+
+    for (Path text : texts) {
+      Matcher page = named.matcher(Files.readString(text));
+      while (page.find()) {
+        if (!Files.exists(ROOT.resolve(page.group()))) {
+          absent.add(text + " names " + page.group());
+        }
+      }
+    }
+
+    assertEquals(List.of(), absent);
+  }
+}
--- /dev/null
+++ b/app/src/test/java/org/amberpath/LogCallScanner.java
@@ -0,0 +1,257 @@
+package org.amberpath;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.regex.Matcher;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+import java.util.stream.Stream;
+
+/**
+ * Finds the log calls in Java sources with their constant text. A call is one on a {@code Logger},
+ * one on a {@code Consumer<String>} whose name says that it logs, or one of a method that passes a
+ * {@code String} parameter on to such a call; line wraps and comments don't matter.
+ */
+final class LogCallScanner {
+  private static final Pattern METHOD =
+      Pattern.compile(
+          "\\b(?!if|for|while|switch|catch|try|synchronized)(\\w+)\\(([^(){};]*)\\)"
+              + "\\s*(?:throws [\\w., ]+)?\\{");
+
+  private static final Pattern STRING_PARAMETER = Pattern.compile("\\bString (\\w+)");
+  private static final Pattern LOGGER = Pattern.compile("\\bLogger (\\w+)\\b");
+  private static final Pattern LOG_CONSUMER =
+      Pattern.compile("\\bConsumer<String> (\\w*(?:[lL]og|notes|complaints)\\w*)\\b");
+  private static final Pattern LEVEL = Pattern.compile("\\bLevel\\.(\\w+)");
+  private static final String LEVELS = "info|warning|severe|config|fine|finer|finest|log";
+
+  /** How deep a method that logs may be wrapped. */
+  private static final int MAX_WRAPPERS = 3;
+
+  /**
+   * A log call.
+   *
+   * @param type the simple name of the class whose file holds it
+   * @param level of java.util.logging
+   * @param texts the string literals of its message, in order, wrappers' first
+   * @param hasOpenPrefix whether what it calls may put a component before the message
+   */
+  record Call(String type, String level, List<String> texts, boolean hasOpenPrefix) {
+    /** The constant text by which a call and its row are compared. */
+    String key() {
+      return LogCallScanner.key(String.join("", texts));
+    }
+
+    /** A row of docs/oncall.md to be completed by hand. */
+    String rowToComplete() {
+      String pattern = "<x>" + String.join("<x>", texts) + "<x>";
+      return "| `" + pattern + "` | `" + type + "` | " + level + " | ? | ? |";
+    }
+  }
+
+  /** A method that passes its argument on to a log call. */
+  private record Wrapper(String type, String method, String level, List<String> texts) {}
+
+  /** A call found in a file, with where its arguments are. */
+  private record Site(Source source, int start, int end, String level, List<String> texts) {
+    List<String> allTexts() {
+      List<String> all = new ArrayList<>(texts);
+      all.addAll(source.literals(start, end));
+      return all;
+    }
+  }
+
+  private final List<Source> sources;
+  private final Set<Call> calls = new LinkedHashSet<>();
+
+  private LogCallScanner(List<Source> sources) {
+    this.sources = sources;
+  }
+
+  /** The calls in all Java files below some folders. */
+  static Set<Call> inFolders(List<Path> folders) throws IOException {
+    List<Source> sources = new ArrayList<>();
+    for (Path folder : folders) {
+      try (Stream<Path> files = Files.walk(folder)) {
+        for (Path file :
+            files
+                .filter(path -> path.toString().endsWith(".java"))
+                .sorted()
+                .collect(Collectors.toList())) {
+          sources.add(
+              new Source(
+                  file.getFileName().toString().replace(".java", ""), Files.readString(file)));
+        }
+      }
+    }
+    return new LogCallScanner(sources).scan();
+  }
+
+  /** The calls in one file. */
+  static Set<Call> inText(String type, String text) {
+    return new LogCallScanner(List.of(new Source(type, text))).scan();
+  }
+
+  /** Text without what differs from call to call: placeholders, formats, blanks, brackets. */
+  static String key(String text) {
+    return text.replaceAll("<[a-z][a-z0-9 ,'-]*>", "")
+        .replaceAll("%[-#+0-9.,]*[a-zA-Z]|\\{\\d*}", "")
+        .replaceAll("[\\s\\[\\]]", "");
+  }
+
+  private Set<Call> scan() {
+    List<Wrapper> wrappers = new ArrayList<>();
+    for (Source source : sources) {
+      for (String logger : source.names(LOGGER)) {
+        Matcher call =
+            Pattern.compile("\\b" + logger + "\\s*\\.\\s*(" + LEVELS + ")\\s*\\(")
+                .matcher(source.bare);
+        while (call.find()) {
+          int end = source.closing(call.end());
+          String level = level(call.group(1), source.bare.substring(call.end(), end));
+          add(new Site(source, call.end(), end, level, List.of()), wrappers);
+        }
+      }
+      for (String consumer : source.names(LOG_CONSUMER)) {
+        Matcher call =
+            Pattern.compile("\\b" + consumer + "\\s*\\.\\s*accept\\s*\\(").matcher(source.bare);
+        while (call.find()) {
+          List<String> texts = source.literals(call.end(), source.closing(call.end()));
+          calls.add(new Call(source.type, "INFO", texts, true));
+        }
+      }
+    }
+    for (int depth = 0; depth < MAX_WRAPPERS; depth++) {
+      List<Wrapper> outer = new ArrayList<>();
+      wrappers.forEach(wrapper -> addCallsOf(wrapper, outer));
+      wrappers = outer;
+    }
+    return calls;
+  }
+
+  private static String level(String method, String arguments) {
+    if (!method.equals("log")) {
+      return method.toUpperCase(Locale.ROOT);
+    }
+    Matcher level = LEVEL.matcher(arguments);
+    return level.find() ? level.group(1) : "?";
+  }
+
+  /** Takes a site for a wrapper if it passes on a parameter, otherwise for a call. */
+  private void add(Site site, List<Wrapper> wrappers) {
+    Matcher method = METHOD.matcher(site.source.bare).region(0, site.start);
+    String name = "";
+    String parameters = "";
+    while (method.find()) {
+      name = method.group(1);
+      parameters = method.group(2);
+    }
+    Matcher parameter = STRING_PARAMETER.matcher(parameters);
+    String arguments = site.source.bare.substring(site.start, site.end);
+    while (parameter.find()) {
+      if (Pattern.compile("\\b" + parameter.group(1) + "\\b").matcher(arguments).find()) {
+        wrappers.add(new Wrapper(site.source.type, name, site.level, site.allTexts()));
+        return;
+      }
+    }
+    calls.add(new Call(site.source.type, site.level, site.allTexts(), false));
+  }
+
+  /** Adds the calls of a wrapper; one that nothing calls by its name is a log call itself. */
+  private void addCallsOf(Wrapper wrapper, List<Wrapper> outer) {
+    int found = 0;
+    for (Source source : sources) {
+      String receiver = "(?<![\\w.])(?:this\\.)?";
+      if (!source.type.equals(wrapper.type)) {
+        Set<String> names = source.names(Pattern.compile("\\b" + wrapper.type + " (\\w+)\\b"));
+        if (names.isEmpty()) {
+          continue;
+        }
+        receiver = "\\b(?:" + String.join("|", names) + ")\\s*\\.\\s*";
+      }
+      Matcher call = Pattern.compile(receiver + wrapper.method + "\\s*\\(").matcher(source.bare);
+      while (call.find()) {
+        int end = source.closing(call.end());
+        if (!source.isDeclaration(call.start(), end)) {
+          add(new Site(source, call.end(), end, wrapper.level, wrapper.texts), outer);
+          found++;
+        }
+      }
+    }
+    if (found == 0) {
+      calls.add(new Call(wrapper.type, wrapper.level, wrapper.texts, false));
+    }
+  }
+
+  /** The text of a file, and the same with comments and the inside of literals blanked out. */
+  private static final class Source {
+    private static final Pattern COMMENT_OR_LITERAL =
+        Pattern.compile(
+            "(?s)//[^\\n]*|/\\*.*?\\*/|\"\"\".*?\"\"\""
+                + "|\"(?:\\\\.|[^\"\\\\])*\"|'(?:\\\\.|[^'\\\\])+'");
+
+    private final String type;
+    private final String text;
+    private final String bare;
+
+    Source(String type, String text) {
+      this.type = type;
+      this.text = text;
+      StringBuilder blanked = new StringBuilder(text);
+      Matcher part = COMMENT_OR_LITERAL.matcher(text);
+      while (part.find()) {
+        boolean literal = !part.group().startsWith("/");
+        int inset = literal ? 1 : 0;
+        for (int at = part.start() + inset; at < part.end() - inset; at++) {
+          blanked.setCharAt(at, ' ');
+        }
+      }
+      bare = blanked.toString();
+    }
+
+    Set<String> names(Pattern declaration) {
+      Set<String> names = new LinkedHashSet<>();
+      Matcher matcher = declaration.matcher(bare);
+      while (matcher.find()) {
+        names.add(matcher.group(1));
+      }
+      return names;
+    }
+
+    /** Where the parenthesis ends that was opened just before a position. */
+    int closing(int position) {
+      int depth = 1;
+      int at = position;
+      while (depth > 0) {
+        char next = bare.charAt(at++);
+        depth += next == '(' ? 1 : next == ')' ? -1 : 0;
+      }
+      return at - 1;
+    }
+
+    /** Whether a name with its parentheses is a declaration: a type stands before it. */
+    boolean isDeclaration(int start, int end) {
+      return bare.substring(0, start).matches("(?s).*\\b(?!return|else)\\w+\\s+")
+          && bare.substring(end + 1).matches("(?s)\\s*(?:throws [\\w., ]+)?[{;].*")
+          && !bare.substring(end + 1).stripLeading().startsWith(";");
+    }
+
+    List<String> literals(int start, int end) {
+      List<String> literals = new ArrayList<>();
+      Matcher literal = Pattern.compile("\"[^\"]*\"|'[^']*'").matcher(bare).region(start, end);
+      while (literal.find()) {
+        String inside = text.substring(literal.start() + 1, literal.end() - 1).translateEscapes();
+        if (!inside.isEmpty()) {
+          literals.add(inside);
+        }
+      }
+      return literals;
+    }
+  }
+}
