--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -145,7 +145,7 @@
     RegistryRecord.Cache changed = state == EndpointState.GONE ? null : withState(cache, state);
     return client
         .write(key, changed, entry.get().modRevision())
-        .map(written -> report(id, RegistryLinePrinter.word(state), written));
+        .map(written -> report(id, RegistryLinePrinter.stateLabel(state), written));
   }
 
   private static RegistryRecord.Cache withState(RegistryRecord.Cache cache, EndpointState state) {
--- a/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
@@ -20,8 +20,8 @@
     this.json = json;
   }
 
-  /** The word for a state in output, as in the registry's records. */
-  static String word(EndpointState state) {
+  /** The name of a state in output, as in the registry's records. */
+  static String stateLabel(EndpointState state) {
     return switch (state) {
       case UP -> "ready";
       case DRAINING -> "draining";
@@ -36,7 +36,7 @@
             .put("key", entry.key().substring(prefix.length()))
             .put("revision", entry.modRevision());
     if (entry.value() instanceof RegistryRecord.Cache cache) {
-      line.put("state", word(cache.state()))
+      line.put("state", stateLabel(cache.state()))
           .put("address", cache.address())
           .put("zone", cache.zone())
           .put("kind", cache.kind())
@@ -73,7 +73,7 @@
     print(
         new JsonObject()
             .put("key", endpoint.id())
-            .put("state", word(endpoint.state()))
+            .put("state", stateLabel(endpoint.state()))
             .put("address", endpoint.address())
             .put("zone", endpoint.zone())
             .put("kind", endpoint.kind())
--- a/app/src/main/java/org/amberpath/cli/ServeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/ServeCommand.java
@@ -49,7 +49,7 @@
         new GatewayExtensions(
             settings.registry().map(ServeCommand::endpointSource).orElse(null),
             fleetCoordinator(settings).orElse(null)),
-        settings.registry().isEmpty() || settings.journalBesideRegistry()
+        settings.registry().isEmpty() || settings.alsoPollsJournal()
             ? Server.JournalMode.POLLED
             : Server.JournalMode.UNUSED);
     return KEEPS_RUNNING;
--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -25,7 +25,7 @@
           MembershipSection.NAME, MembershipSection.KEYS,
           LeadershipSection.NAME, LeadershipSection.KEYS);
 
-  private final boolean journalBesideRegistry;
+  private final boolean alsoPollsJournal;
   private final RegistrySettings registry;
   private final MembershipSettings membership;
   private final LeadershipSettings leadership;
@@ -35,10 +35,10 @@
     checkNames(file, ini);
     if (ini.getSections().contains(RegistrySection.NAME)) {
       RegistrySection section = new RegistrySection(section(file, ini, RegistrySection.NAME));
-      journalBesideRegistry = section.journalBesideRegistry();
+      alsoPollsJournal = section.alsoPollsJournal();
       registry = section.read();
     } else {
-      journalBesideRegistry = false;
+      alsoPollsJournal = false;
       registry = null;
     }
     membership =
@@ -67,8 +67,8 @@
   }
 
   /** Whether the journal is polled in addition to the registry; false without a registry. */
-  public boolean journalBesideRegistry() {
-    return journalBesideRegistry;
+  public boolean alsoPollsJournal() {
+    return alsoPollsJournal;
   }
 
   /** The section [fleet]; empty if the gateway has no membership. */
--- a/app/src/main/java/org/amberpath/cli/settings/IniSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/IniSection.java
@@ -70,7 +70,7 @@
     return value.strip();
   }
 
-  /** One of several words, without a default. */
+  /** One of several values, without a default. */
   String requiredChoice(String key, String... choices) {
     return oneOf(
         key,
@@ -79,7 +79,7 @@
         choices);
   }
 
-  /** One of several words, of which the first is the default. */
+  /** One of several values, of which the first is the default. */
   String choice(String key, String... choices) {
     return oneOf(key, string(key, choices[0]), choices);
   }
@@ -97,9 +97,9 @@
     return oneOf(key, value, "yes", "no").equals("yes");
   }
 
-  /** Words separated by commas or blanks; empty if the key is absent. */
-  List<String> words(String key) {
-    return Arrays.stream(string(key, "").split("[,\\s]+")).filter(word -> !word.isEmpty()).toList();
+  /** Items separated by commas or blanks; empty if the key is absent. */
+  List<String> listItems(String key) {
+    return Arrays.stream(string(key, "").split("[,\\s]+")).filter(item -> !item.isEmpty()).toList();
   }
 
   /** A file that can be read now. */
@@ -144,7 +144,7 @@
   /** One to nine numeric addresses with ports, each once. */
   List<SocketAddress> addresses(String key) {
     List<SocketAddress> addresses = new ArrayList<>();
-    for (String text : words(key)) {
+    for (String text : listItems(key)) {
       SocketAddress address = address(key, text);
       if (addresses.contains(address)) {
         throw invalid(key, text + " is given twice");
--- a/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -74,7 +74,7 @@
 
   private VoterConfiguration voters() {
     try {
-      return new VoterConfiguration(section.words("voters"), section.words("next-voters"));
+      return new VoterConfiguration(section.listItems("voters"), section.listItems("next-voters"));
     } catch (IllegalArgumentException e) {
       throw section.invalid("voters", e.getMessage());
     }
--- a/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -50,7 +50,7 @@
       Optional<String> user) {}
 
   /** Whether the journal is polled as well, instead of not at all. */
-  boolean journalBesideRegistry() {
+  boolean alsoPollsJournal() {
     return section.choice("journal", "instead", "beside").equals("beside");
   }
 
--- a/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
+++ b/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
@@ -41,7 +41,7 @@
     assertEquals(2, registry.endpoints().size());
     assertEquals("amberpath/", registry.prefix());
     assertEquals(600_000_000_000L, registry.purgeRetentionNanos());
-    assertFalse(DeploymentFile.read(file(REGISTRY)).journalBesideRegistry());
+    assertFalse(DeploymentFile.read(file(REGISTRY)).alsoPollsJournal());
   }
 
   @Test
