--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -1,6 +1,7 @@
 package org.amberpath.gateway.testsupport;
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.Closeable;
 import java.io.DataInputStream;
@@ -10,6 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -19,6 +21,9 @@
   public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
   public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
+  /** Counted down once nothing is accepted any more. */
+  private final CountDownLatch stopped = new CountDownLatch(1);
+
   StubCache(ExecutorService threads) throws IOException {
     threads.execute(
         () -> {
@@ -29,6 +34,8 @@
             }
           } catch (IOException e) {
             // Closed.
+          } finally {
+            stopped.countDown();
           }
         });
   }
@@ -68,8 +75,17 @@
     return next;
   }
 
+  /**
+   * Connections are refused once this returns: while its thread is still in accept, the system
+   * keeps the socket listening though it is closed.
+   */
   @Override
   public void close() throws IOException {
     server.close();
+    try {
+      assertTrue(stopped.await(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
   }
 }
