--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -68,8 +68,12 @@
           Logger.getLogger("io.vertx"),
           Logger.getLogger("io.netty"));
 
-  private static final int DEMO_S = 9, FLOOD_S = 4, REGISTRY_S = 16, FLEET_S = 20;
-  private static final int LEAST_GATEWAYS = 3, MOST_GATEWAYS = 60;
+  private static final int DEMO_S = 9;
+  private static final int FLOOD_S = 4;
+  private static final int REGISTRY_S = 16;
+  private static final int FLEET_S = 20;
+  private static final int LEAST_GATEWAYS = 3;
+  private static final int MOST_GATEWAYS = 60;
 
   /** What all experiments take. */
   static class Common {
@@ -122,7 +126,8 @@
         planners-model  terms, grants and shares of planners and forwarders on a virtual clock
         registry-size   many caches, changes and watching clients on the virtual clock; a herd after an outage
         endpoints-size  what a real gateway needs at the usual number of caches and at 16 times as many
-        standin         a stand-in to try things against: registry""");
+        standin         a stand-in to try things against: registry\
+        """);
     return AmberpathCommand.DONE;
   }
 
@@ -195,14 +200,14 @@
     public Integer call() {
       ExperimentReport result = new ExperimentReport(seed);
       if (runs == 1) {
-        SeededRuns.Result one = SeededRuns.one(model(), seed, System.out::println);
+        SeededRuns.Result one = SeededRuns.runOne(model(), seed, System.out::println);
         return done(
             result
-                .figure("missed", String.valueOf(one.missed()))
-                .bar("all bars", one.missed() == null));
+                .figure("missed", String.valueOf(one.violation()))
+                .bar("all bars", one.violation() == null));
       }
       long since = System.nanoTime();
-      Map<String, Object> sums = SeededRuns.many(model(), seed, runs);
+      Map<String, Object> sums = SeededRuns.runMany(model(), seed, runs);
       sums.forEach(result::figure);
       return done(
           result
@@ -350,7 +355,7 @@
         description =
             "${COMPLETION-CANDIDATES}. All but the first are "
                 + "wrong, to see the model catch them. Default: ${DEFAULT-VALUE}.")
-    private LeadershipModelExperiment.Way way;
+    private LeadershipModelExperiment.LeadershipVariant way;
 
     @Override
     SeededRuns.Model model() {
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.NetworkLinks.LinkCondition;
 import org.amberpath.lab.testbed.ProcessTestbed;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
@@ -19,58 +19,59 @@
  * leave.
  */
 class FleetProcessesTest {
-  private static final int MANY = 4;
-  private static final long PATIENCE_MS = 40_000;
+  private static final int GATEWAY_COUNT = 4;
+  private static final long TIMEOUT_MILLIS = 40_000;
   @TempDir private Path folder;
-  private ProcessTestbed rig;
+  private ProcessTestbed testbed;
 
   @BeforeEach
   void start() throws Exception {
-    rig = new ProcessTestbed(new ProcessTestbed.Plan(11, MANY, MANY, 20, folder));
-    rig.startAll();
+    testbed =
+        new ProcessTestbed(new ProcessTestbed.Plan(11, GATEWAY_COUNT, GATEWAY_COUNT, 20, folder));
+    testbed.startAll();
   }
 
   @AfterEach
   void stop() throws Exception {
-    rig.close();
+    testbed.close();
   }
 
   /** What one gateway holds of another. */
-  private String held(int of, int other) {
-    JsonObject view = rig.places().get(of).view();
+  private String statusOf(int of, int other) {
+    JsonObject view = testbed.slots().get(of).view();
     return view == null
         ? ""
         : view.getJsonArray("gateways").stream()
             .map(JsonObject.class::cast)
-            .filter(one -> one.getString("name").equals("g" + other))
-            .map(one -> one.getString("standing"))
+            .filter(gateway -> gateway.getString("name").equals("g" + other))
+            .map(gateway -> gateway.getString("standing"))
             .findFirst()
             .orElse("");
   }
 
   private String phase(int of) {
-    JsonObject view = rig.places().get(of).view();
+    JsonObject view = testbed.slots().get(of).view();
     return view == null ? "" : view.getString("phase");
   }
 
-  private void until(String what, Predicate<Integer> each, int... gateways) throws Exception {
-    long end = System.currentTimeMillis() + PATIENCE_MS;
-    for (int one : gateways) {
-      while (!each.test(one)) {
+  private void await(String what, Predicate<Integer> each, int... gateways) throws Exception {
+    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
+    for (int gateway : gateways) {
+      while (!each.test(gateway)) {
         assertTrue(
             System.currentTimeMillis() < end,
-            "not in time: " + what + ", g" + one + ": " + rig.places().get(one).view());
+            "not in time: " + what + ", g" + gateway + ": " + testbed.slots().get(gateway).view());
         Thread.sleep(50);
       }
     }
   }
 
-  private void settled(String when) throws Exception {
-    until(
+  private void awaitSettled(String when) throws Exception {
+    await(
         "settled " + when,
-        one ->
-            phase(one).equals("settled")
-                && rig.places().get(one).view().getInteger("there") == MANY,
+        gateway ->
+            phase(gateway).equals("settled")
+                && testbed.slots().get(gateway).view().getInteger("there") == GATEWAY_COUNT,
         0,
         1,
         2,
@@ -79,40 +80,40 @@
 
   @Test
   void aCutACrashARestartAStandstillAndALeaveAreSeenAndOver() throws Exception {
-    settled("at first");
+    awaitSettled("at first");
 
-    for (int other = 1; other < MANY; other++) {
-      rig.link(0, other, Way.CUT);
-      rig.link(other, 0, Way.CUT);
+    for (int other = 1; other < GATEWAY_COUNT; other++) {
+      testbed.setLink(0, other, LinkCondition.CUT);
+      testbed.setLink(other, 0, LinkCondition.CUT);
     }
-    until("cut off", one -> phase(one).equals("cut_off"), 0);
-    until("the others lost it", one -> held(one, 0).equals("lost"), 1, 2, 3);
+    await("cut off", gateway -> phase(gateway).equals("cut_off"), 0);
+    await("the others lost it", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
     assertEquals(
         0.25,
-        rig.places().get(0).view().getDouble("part"),
+        testbed.slots().get(0).view().getDouble("part"),
         "a side of a partition takes no larger part");
-    assertEquals(0.25, rig.places().get(1).view().getDouble("part"));
-    rig.links(Way.WELL);
-    settled("after the cut");
+    assertEquals(0.25, testbed.slots().get(1).view().getDouble("part"));
+    testbed.setAllLinks(LinkCondition.HEALTHY);
+    awaitSettled("after the cut");
 
-    rig.kill(2);
-    until("the crash is heard of", one -> held(one, 2).equals("lost"), 0, 1, 3);
-    rig.start(2);
-    settled("after the restart");
+    testbed.kill(2);
+    await("the crash is heard of", gateway -> statusOf(gateway, 2).equals("lost"), 0, 1, 3);
+    testbed.start(2);
+    awaitSettled("after the restart");
 
-    rig.stand(1, 6000);
-    until("the standstill is seen", one -> held(one, 1).equals("lost"), 0, 2, 3);
-    settled("after the standstill");
+    testbed.pause(1, 6000);
+    await("the standstill is seen", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
+    awaitSettled("after the standstill");
 
-    rig.term(3);
-    until("the leave is heard of", one -> held(one, 3).equals("left"), 0, 1, 2);
-    rig.end(3);
+    testbed.terminate(3);
+    await("the leave is heard of", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
+    testbed.awaitExit(3);
 
-    Map<String, Long> ends = rig.settle();
-    assertEquals(java.util.List.of(), rig.auditor().wrongs());
+    Map<String, Long> ends = testbed.settle();
+    assertEquals(java.util.List.of(), testbed.auditor().violations());
     assertEquals(0, ends.get("lost"), ends.toString());
     assertEquals(0, ends.get("twice"), ends.toString());
     assertTrue(ends.get("returned") > 0, ends.toString());
-    assertEquals(0, rig.severe());
+    assertEquals(0, testbed.severeLines());
   }
 }
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -27,31 +27,31 @@
  * for the others.
  */
 class OwnerProcessesTest {
-  private static final int MANY = 4;
-  private static final long PATIENCE_MS = 40_000;
-  private static final String PREFIX = "amberpath/test/",
-      FENCE = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
+  private static final int GATEWAY_COUNT = 4;
+  private static final long TIMEOUT_MILLIS = 40_000;
+  private static final String PREFIX = "amberpath/test/";
+  private static final String FENCE = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   @TempDir private Path folder;
-  private ProcessTestbed rig;
+  private ProcessTestbed testbed;
   private long purges;
 
   @AfterEach
   void stop() throws Exception {
-    rig.close();
+    testbed.close();
     EventLoopWaiter.await(vertx.close());
   }
 
   private void start(String by) throws Exception {
     int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
-    rig =
+    testbed =
         new ProcessTestbed(
             new ProcessTestbed.Plan(
                 5,
-                MANY,
-                MANY,
+                GATEWAY_COUNT,
+                GATEWAY_COUNT,
                 20,
                 folder,
                 "[registry]\nform = etcd\nendpoints = 127.0.0.1:"
@@ -61,7 +61,7 @@
                     + "\njournal = beside\n[owner]\nlease-s = 2\nsweep = yes\nsweep-every-s = 0.2\n"
                     + "probe = yes\n"
                     + by));
-    rig.startAll();
+    testbed.startAll();
     on(
         () ->
             vertx.setPeriodic(
@@ -78,95 +78,95 @@
   }
 
   private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+    return EventLoopWaiter.callOnLoop(vertx, what);
   }
 
   /** What the fence of the sweep holds: the term, and who acted last under it. */
-  private JsonObject fence() throws Exception {
-    byte[] value = on(() -> registry.now().get(FENCE));
+  private JsonObject sweepFence() throws Exception {
+    byte[] value = on(() -> registry.entries().get(FENCE));
     return value == null
         ? new JsonObject().put("term", 0L).put("by", "")
         : new JsonObject(new String(value, StandardCharsets.UTF_8));
   }
 
-  private void until(String what, Callable<Boolean> holds) throws Exception {
-    long end = System.currentTimeMillis() + PATIENCE_MS;
+  private void await(String what, Callable<Boolean> holds) throws Exception {
+    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
     while (!holds.call()) {
-      assertTrue(System.currentTimeMillis() < end, "not in time: " + what + ", " + fence());
+      assertTrue(System.currentTimeMillis() < end, "not in time: " + what + ", " + sweepFence());
       Thread.sleep(50);
     }
   }
 
   private JsonObject task(int gateway, String name) throws Exception {
-    return rig.page(gateway, "/owner").getJsonArray("tasks").stream()
+    return testbed.adminPage(gateway, "/owner").getJsonArray("tasks").stream()
         .map(JsonObject.class::cast)
-        .filter(one -> one.getString("task").equals(name))
+        .filter(entry -> entry.getString("task").equals(name))
         .findFirst()
         .orElseThrow();
   }
 
-  private int holder(String name) throws Exception {
-    for (int one = 0; one < MANY; one++) {
-      if (rig.places().get(one).runs() && task(one, name).getBoolean("holds")) {
-        return one;
+  private int leaderOf(String name) throws Exception {
+    for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
+      if (testbed.slots().get(gateway).isRunning() && task(gateway, name).getBoolean("holds")) {
+        return gateway;
       }
     }
     return -1;
   }
 
-  private void kept() throws Exception {
-    Map<String, Long> ends = rig.settle();
-    assertEquals(List.of(), rig.auditor().wrongs());
+  private void assertRulesKept() throws Exception {
+    Map<String, Long> ends = testbed.settle();
+    assertEquals(List.of(), testbed.auditor().violations());
     assertEquals(0, ends.get("lost"), ends.toString());
     assertEquals(0, ends.get("twice"), ends.toString());
-    assertEquals(0, rig.severe());
+    assertEquals(0, testbed.severeLines());
   }
 
   @Test
   void anOwnerThatStoodStillPastItsLeaseActsNoMoreAndOneThatEndsHandsOver() throws Exception {
     start("voters = g0, g1, g2\n");
-    until("somebody sweeps", () -> fence().getLong("term") > 0);
-    JsonObject first = fence();
+    await("somebody sweeps", () -> sweepFence().getLong("term") > 0);
+    JsonObject first = sweepFence();
     int owner = Integer.parseInt(first.getString("by").substring(1));
-    rig.stand(owner, 5000);
-    until("another sweeps", () -> fence().getLong("term") > first.getLong("term"));
-    JsonObject second = fence();
+    testbed.pause(owner, 5000);
+    await("another sweeps", () -> sweepFence().getLong("term") > first.getLong("term"));
+    JsonObject second = sweepFence();
     assertNotEquals(first.getString("by"), second.getString("by"));
     Thread.sleep(5000);
-    assertEquals(second, fence(), "the one that woke up changes nothing");
+    assertEquals(second, sweepFence(), "the one that woke up changes nothing");
 
     int next = Integer.parseInt(second.getString("by").substring(1));
     long ended = System.currentTimeMillis();
-    rig.term(next);
-    until("the heir sweeps", () -> fence().getLong("term") > second.getLong("term"));
+    testbed.terminate(next);
+    await("the heir sweeps", () -> sweepFence().getLong("term") > second.getLong("term"));
     assertTrue(System.currentTimeMillis() - ended < 2000, "sooner than by the lease's end");
-    rig.end(next);
-    kept();
+    testbed.awaitExit(next);
+    assertRulesKept();
   }
 
   @Test
   void byLeasesOneTriesForAllWhatSeveralHaveSetAside() throws Exception {
     start("by = lease\n");
-    until("somebody may try", () -> holder("probe") >= 0);
-    int owner = holder("probe");
-    rig.hang("e3", true);
-    until(
+    await("somebody may try", () -> leaderOf("probe") >= 0);
+    int owner = leaderOf("probe");
+    testbed.setCacheHung("e3", true);
+    await(
         "the others leave it to the owner",
         () -> {
           int leave = 0;
-          for (int one = 0; one < MANY; one++) {
-            leave += one != owner && task(one, "probe").getBoolean("for_all") ? 1 : 0;
+          for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
+            leave += gateway != owner && task(gateway, "probe").getBoolean("for_all") ? 1 : 0;
           }
-          return leave == MANY - 1;
+          return leave == GATEWAY_COUNT - 1;
         });
-    long before = rig.wants("e3");
+    long before = testbed.cacheRequestCount("e3");
     Thread.sleep(4000);
-    long calls = rig.wants("e3") - before;
+    long calls = testbed.cacheRequestCount("e3") - before;
     assertTrue(calls <= 8, calls + " calls in 4 s by all");
     assertTrue(task(owner, "probe").getLong("done") > 0);
-    rig.hang("e3", false);
-    long back = rig.wants("e3");
-    until("it takes its part again", () -> rig.wants("e3") - back > 40);
-    kept();
+    testbed.setCacheHung("e3", false);
+    long back = testbed.cacheRequestCount("e3");
+    await("it takes its part again", () -> testbed.cacheRequestCount("e3") - back > 40);
+    assertRulesKept();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -12,66 +12,76 @@
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class Demo {
-  private static final int RATE = 200, TILLS = 8;
+  private static final int REQUESTS_PER_SECOND = 200;
+  private static final int CONNECTIONS = 8;
 
   private Demo() {}
 
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
-    try (LoopbackTestbed world = new LoopbackTestbed(seed)) {
-      world.open(1, 4);
-      world.serve(
-          (vertx, to, chance) ->
+    try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
+      testbed.open(1, 4);
+      testbed.serve(
+          (vertx, endpointListener, chance) ->
               new RegistrySource(
-                  vertx, world.access(RegistrySettings.ProtocolKind.ETCD), to, chance));
+                  vertx,
+                  testbed.registrySettings(RegistrySettings.ProtocolKind.ETCD),
+                  endpointListener,
+                  chance));
       out.println(
           "a gateway at 127.0.0.1:"
-              + world.gateway.port()
+              + testbed.gateway.port()
               + ", 4 edge caches, a hub, the origin; "
-              + RATE
+              + REQUESTS_PER_SECOND
               + " GETs/s for "
               + seconds
               + " s");
-      LoadGenerator tills =
-          new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, got -> {});
-      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, RATE)));
+      LoadGenerator loadGenerator =
+          new LoadGenerator(testbed.vertx, LabSettings.CLIPS, 1500, seed, ignored -> {});
+      LoopbackTestbed.await(
+          testbed.callOnLoop(
+              () -> loadGenerator.start(testbed.gateway.port(), CONNECTIONS, REQUESTS_PER_SECOND)));
       Thread.sleep(seconds * 1000L / 3);
       out.println("cache e1 dies");
-      world.on(
+      testbed.callOnLoop(
           () -> {
-            world.caches.get("e1").close();
+            testbed.caches.get("e1").close();
             return null;
           });
       Thread.sleep(seconds * 1000L / 3);
       out.println("cache e2 is drained");
-      long drainedAt =
-          world.on(
+      long drainedAtNanos =
+          testbed.callOnLoop(
               () -> {
-                world.put("e2", EndpointState.DRAINING);
+                testbed.putCache("e2", EndpointState.DRAINING);
                 return System.nanoTime();
               });
       Thread.sleep(seconds * 1000L / 3);
-      world.on(
+      testbed.callOnLoop(
           () -> {
-            tills.stop();
+            loadGenerator.stop();
             return null;
           });
       Thread.sleep(1700);
-      world.on(
+      testbed.callOnLoop(
           () -> {
-            table(tills, world, out);
-            long last = world.caches.get("e2").lastWantAt() - drainedAt;
-            out.printf("last GET to e2 %.1f ms after its drain was written%n", last / 1e6);
-            for (LoadGenerator.End end : LoadGenerator.End.values()) {
-              result.figure(end.name().toLowerCase(Locale.ROOT), tills.ended(end));
+            printTable(loadGenerator, testbed, out);
+            long lastRequestAfterNanos =
+                testbed.caches.get("e2").lastRequestNanos() - drainedAtNanos;
+            out.printf(
+                "last GET to e2 %.1f ms after its drain was written%n",
+                lastRequestAfterNanos / 1e6);
+            for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+              result.figure(
+                  outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
             }
             result
-                .figure("p50_ms", tills.latency().getValueAtPercentile(50) / 1000.0)
-                .figure("p99_ms", tills.latency().getValueAtPercentile(99) / 1000.0)
-                .figure("drained_after_ms", last / 1_000_000)
-                .bar("no GET lost", tills.ended(LoadGenerator.End.LOST) == 0)
-                .bar("one answer each", tills.ended(LoadGenerator.End.TWICE) == 0)
-                .bar("nothing new 250 ms after a drain", last < 300_000_000);
+                .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
+                .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
+                .figure("drained_after_ms", lastRequestAfterNanos / 1_000_000)
+                .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
+                .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
+                .bar("nothing new 250 ms after a drain", lastRequestAfterNanos < 300_000_000);
             return null;
           });
     }
@@ -79,8 +89,8 @@
   }
 
   /** What an end means to who asked. */
-  private static String why(LoadGenerator.End end) {
-    return switch (end) {
+  private static String meaning(LoadGenerator.Outcome outcome) {
+    return switch (outcome) {
       case RETURNED -> "a cache made it";
       case SHED -> "not run; told when to come back";
       case ERRORED -> "may have run, not returned";
@@ -89,22 +99,23 @@
     };
   }
 
-  private static void table(LoadGenerator tills, LoopbackTestbed world, PrintStream out) {
-    for (LoadGenerator.End end : LoadGenerator.End.values()) {
-      out.printf("  %-9s %6d  %s%n", end, tills.ended(end), why(end));
+  private static void printTable(
+      LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
+    for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+      out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), meaning(outcome));
     }
     out.printf(
         "  latency   p50 %.1f ms, p99 %.1f ms, max %.1f ms%n",
-        tills.latency().getValueAtPercentile(50) / 1e3,
-        tills.latency().getValueAtPercentile(99) / 1e3,
-        tills.latency().getMaxValue() / 1e3);
-    world
+        loadGenerator.latency().getValueAtPercentile(50) / 1e3,
+        loadGenerator.latency().getValueAtPercentile(99) / 1e3,
+        loadGenerator.latency().getMaxValue() / 1e3);
+    testbed
         .caches
         .values()
         .forEach(
             cache ->
                 out.printf(
                     "  %-3s %6d GETs, %d from its own copies, gave %d parts%n",
-                    cache.id(), cache.wants(), cache.hits(), cache.fills()));
+                    cache.id(), cache.requestCount(), cache.hitCount(), cache.fillCount()));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
+++ b/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
@@ -8,27 +8,27 @@
 
 /** Waits, from a thread of an experiment's own, for what its event loop does. */
 public final class EventLoopWaiter {
-  private static final long PATIENCE_S = 30;
+  private static final long TIMEOUT_SECONDS = 30;
 
   private EventLoopWaiter() {}
 
   /** Runs on the event loop, and waits for what comes of it. */
-  public static <T> T on(Vertx vertx, Callable<T> what) throws Exception {
-    CompletableFuture<T> done = new CompletableFuture<>();
+  public static <T> T callOnLoop(Vertx vertx, Callable<T> callable) throws Exception {
+    CompletableFuture<T> result = new CompletableFuture<>();
     vertx
         .getOrCreateContext()
         .runOnContext(
             loop -> {
               try {
-                done.complete(what.call());
+                result.complete(callable.call());
               } catch (Exception e) {
-                done.completeExceptionally(e);
+                result.completeExceptionally(e);
               }
             });
-    return done.get(PATIENCE_S, TimeUnit.SECONDS);
+    return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   public static <T> T await(Future<T> future) throws Exception {
-    return future.toCompletionStage().toCompletableFuture().get(PATIENCE_S, TimeUnit.SECONDS);
+    return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -31,7 +31,7 @@
  */
 public final class LoadGenerator {
   /** How GETs ended, in the order of how good that is. */
-  public enum End {
+  public enum Outcome {
     RETURNED,
     SHED,
     ERRORED,
@@ -43,149 +43,166 @@
    * One GET that was returned: its object, when the copy was given out (Unix ms) and when it came
    * (nanoTime).
    */
-  public record Returned(String object, long issuedMs, long cameAt, long sentAt) {}
+  public record Response(
+      String object, long issuedAtMillis, long receivedAtNanos, long sentAtNanos) {}
 
   /** Whether a GET that got no answer is nobody's fault, by when it was sent and due (nanoTime). */
-  public interface Excuse {
-    boolean holds(long sentAt, long due);
+  public interface LossExcuse {
+    boolean excuses(long sentAtNanos, long deadlineNanos);
   }
 
-  private static final class Open {
-    final long due, sentAt;
+  private static final class PendingRequest {
+    final long deadlineNanos;
+    final long sentAtNanos;
     final String object;
-    final Line on;
+    final ClientConnection connection;
 
-    Open(long due, long sentAt, String object, Line on) {
-      this.due = due;
-      this.sentAt = sentAt;
+    PendingRequest(
+        long deadlineNanos, long sentAtNanos, String object, ClientConnection connection) {
+      this.deadlineNanos = deadlineNanos;
+      this.sentAtNanos = sentAtNanos;
       this.object = object;
-      this.on = on;
+      this.connection = connection;
     }
   }
 
   /** One till's connection; null while it is made anew. */
-  private static final class Line {
+  private static final class ClientConnection {
     NetSocket socket;
-    int open;
+    int pendingCount;
   }
 
   /** The protocol's own bound of what may be open on a connection. */
-  private static final int MOST_OPEN = 32;
+  private static final int MAX_PENDING_PER_CONNECTION = 32;
 
-  private static final int LONGEST = 400_000, OBJECTS = 64, AGAIN_MS = 100;
-  private static final long MS = 1_000_000, GRACE = 50 * MS, HIGHEST_US = 10_000_000;
+  private static final int MAX_MESSAGE_BYTES = 400_000;
+  private static final int DEFAULT_OBJECTS = 64;
+  private static final int RECONNECT_DELAY_MILLIS = 100;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long LOSS_GRACE_NANOS = 50 * NANOS_PER_MILLI;
+  private static final long MAX_LATENCY_MICROS = 10_000_000;
 
   private final Vertx vertx;
-  private final SplittableRandom chance;
-  private final String service;
-  private final long allowMs;
+  private final SplittableRandom random;
+  private final String trafficClass;
+  private final long timeoutMillis;
 
   /** The first half of all ids: those of other tills are others. */
-  private final int mine;
-
-  private final Consumer<Returned> returned;
-  private final List<Line> lines = new ArrayList<>();
-  private final Map<Long, Open> open = new HashMap<>();
-  private final Map<Long, Long> answered = new HashMap<>();
-  private final Map<End, Long> ends = new EnumMap<>(End.class);
-  private final Histogram latency = new Histogram(HIGHEST_US, 3);
-  private final Histogram lateness = new Histogram(HIGHEST_US, 3);
+  private final int idPrefix;
+
+  private final Consumer<Response> responseListener;
+  private final List<ClientConnection> connections = new ArrayList<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final Map<Long, Long> answeredAtNanos = new HashMap<>();
+  private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
+  private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
+  private final Histogram lateness = new Histogram(MAX_LATENCY_MICROS, 3);
   private NetClient client;
-  private Excuse excuse = (sentAt, due) -> false;
-  private LongConsumer sending = at -> {};
-  private long excused, unsent, settledAt = System.nanoTime();
+  private LossExcuse lossExcuse = (sentAtNanos, deadlineNanos) -> false;
+  private LongConsumer sendListener = at -> {};
+  private long excusedLosses;
+  private long notSent;
+  private long lastSettledNanos = System.nanoTime();
   private boolean stopped;
 
   /** Of each object, how likely it or one before it is asked for; null for the usual few. */
-  private double[] cumulative;
+  private double[] cumulativePopularity;
 
-  private long last, next, interval, timer = -1;
+  private long lastRequestNumber;
+  private long nextSendNanos;
+  private long intervalNanos;
+  private long timerId = -1;
 
   /**
    * Clients of one delivery service, who wait allowMs for each GET; each that is returned is told.
    */
   public LoadGenerator(
-      Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
+      Vertx vertx,
+      String trafficClass,
+      long timeoutMillis,
+      long seed,
+      Consumer<Response> responseListener) {
     this.vertx = vertx;
-    this.service = service;
-    this.allowMs = allowMs;
-    this.returned = returned;
-    chance = new SplittableRandom(seed);
-    mine = chance.nextInt();
+    this.trafficClass = trafficClass;
+    this.timeoutMillis = timeoutMillis;
+    this.responseListener = responseListener;
+    random = new SplittableRandom(seed);
+    idPrefix = random.nextInt();
   }
 
   /** GETs whose loss is excused are counted apart. */
-  public LoadGenerator excusing(Excuse one) {
-    excuse = one;
+  public LoadGenerator withLossExcuse(LossExcuse excuse) {
+    lossExcuse = excuse;
     return this;
   }
 
   /** Tells when each GET was to be sent (nanoTime). */
-  public LoadGenerator counting(LongConsumer one) {
-    sending = one;
+  public LoadGenerator withSendListener(LongConsumer listener) {
+    sendListener = listener;
     return this;
   }
 
   /** Asks for so many objects, by Zipf's law with this exponent. */
-  public LoadGenerator spread(int objects, double exponent) {
-    cumulative = new double[objects];
+  public LoadGenerator withZipfPopularity(int objects, double exponent) {
+    cumulativePopularity = new double[objects];
     double sum = 0;
     for (int object = 0; object < objects; object++) {
       sum += Math.pow(object + 1, -exponent);
-      cumulative[object] = sum;
+      cumulativePopularity[object] = sum;
     }
     for (int object = 0; object < objects; object++) {
-      cumulative[object] /= sum;
+      cumulativePopularity[object] /= sum;
     }
     return this;
   }
 
-  private long object(double drawn) {
-    if (cumulative == null) {
-      return 1 + (long) (drawn * drawn * OBJECTS);
+  private long objectFor(double uniform) {
+    if (cumulativePopularity == null) {
+      return 1 + (long) (uniform * uniform * DEFAULT_OBJECTS);
     }
-    int at = Arrays.binarySearch(cumulative, drawn);
-    return 1L + Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at);
+    int index = Arrays.binarySearch(cumulativePopularity, uniform);
+    return 1L + Math.min(cumulativePopularity.length - 1, index < 0 ? -index - 1 : index);
   }
 
-  public long excused() {
-    return excused;
+  public long excusedLosses() {
+    return excusedLosses;
   }
 
   /** GETs that found no connection with room, and were not sent. */
-  public long unsent() {
-    return unsent;
+  public long notSent() {
+    return notSent;
   }
 
   /** Connects so many tills, and sends so many GETs a second from then on. */
-  public Future<Void> start(int port, int connections, int rate) {
+  public Future<Void> start(int port, int connectionCount, int requestsPerSecond) {
     client = vertx.createNetClient();
-    List<Future<?>> all = new ArrayList<>();
-    for (int one = 0; one < connections; one++) {
-      Line line = new Line();
-      lines.add(line);
-      all.add(connect(port, line));
+    List<Future<?>> connecting = new ArrayList<>();
+    for (int index = 0; index < connectionCount; index++) {
+      ClientConnection connection = new ClientConnection();
+      connections.add(connection);
+      connecting.add(connect(port, connection));
     }
-    return Future.all(all)
+    return Future.all(connecting)
         .map(
-            up -> {
-              interval = 1_000_000_000L / rate;
-              next = System.nanoTime();
-              timer = vertx.setPeriodic(1, tick -> tick());
+            ignored -> {
+              intervalNanos = 1_000_000_000L / requestsPerSecond;
+              nextSendNanos = System.nanoTime();
+              timerId = vertx.setPeriodic(1, tick -> tick());
               return null;
             });
   }
 
-  private Future<NetSocket> connect(int port, Line line) {
+  private Future<NetSocket> connect(int port, ClientConnection connection) {
     return client
         .connect(port, "127.0.0.1")
-        .onSuccess(socket -> take(socket, port, line))
-        .onFailure(e -> vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line)));
+        .onSuccess(socket -> connected(socket, port, connection))
+        .onFailure(
+            e -> vertx.setTimer(RECONNECT_DELAY_MILLIS, timer -> reconnect(port, connection)));
   }
 
-  private void connectAgain(int port, Line line) {
+  private void reconnect(int port, ClientConnection connection) {
     if (!stopped) {
-      connect(port, line);
+      connect(port, connection);
     }
   }
 
@@ -198,32 +215,36 @@
    * Ends those whose time was over when this was called before. Guards against blame for answers
    * that wait to be read while these clients themselves stand still.
    */
-  private void settle() {
-    long now = settledAt;
-    settledAt = System.nanoTime();
-    open.entrySet()
+  private void expireOverdue() {
+    long nowNanos = lastSettledNanos;
+    lastSettledNanos = System.nanoTime();
+    pending
+        .entrySet()
         .removeIf(
             entry -> {
-              boolean over = now > entry.getValue().due + GRACE;
-              boolean lost = over && !excuse.holds(entry.getValue().sentAt, entry.getValue().due);
-              entry.getValue().on.open -= over ? 1 : 0;
-              excused += over && !lost ? 1 : 0;
+              boolean over = nowNanos > entry.getValue().deadlineNanos + LOSS_GRACE_NANOS;
+              boolean lost =
+                  over
+                      && !lossExcuse.excuses(
+                          entry.getValue().sentAtNanos, entry.getValue().deadlineNanos);
+              entry.getValue().connection.pendingCount -= over ? 1 : 0;
+              excusedLosses += over && !lost ? 1 : 0;
               if (lost) {
-                count(End.LOST);
-                answered.put(entry.getKey(), now);
+                increment(Outcome.LOST);
+                answeredAtNanos.put(entry.getKey(), nowNanos);
               }
               return over;
             });
     // An answer that comes this long after the first is counted no more.
-    answered.values().removeIf(at -> now - at > 10_000 * MS);
+    answeredAtNanos.values().removeIf(timeNanos -> nowNanos - timeNanos > 10_000 * NANOS_PER_MILLI);
   }
 
-  public int open() {
-    return open.size();
+  public int pendingCount() {
+    return pending.size();
   }
 
-  public long ended(End how) {
-    return ends.getOrDefault(how, 0L);
+  public long countOf(Outcome outcome) {
+    return outcomes.getOrDefault(outcome, 0L);
   }
 
   /** Microseconds from the intended sending to the answer, of what was returned. */
@@ -238,38 +259,41 @@
 
   private void tick() {
     long now = System.nanoTime();
-    for (; next <= now && !stopped; next += interval) {
-      lateness.recordValue(Math.min(HIGHEST_US, (now - next) / 1000));
-      sending.accept(next);
-      send(next, now);
+    for (; nextSendNanos <= now && !stopped; nextSendNanos += intervalNanos) {
+      lateness.recordValue(Math.min(MAX_LATENCY_MICROS, (now - nextSendNanos) / 1000));
+      sendListener.accept(nextSendNanos);
+      send(nextSendNanos, now);
     }
-    settle();
-    if (stopped && open.isEmpty()) {
-      vertx.cancelTimer(timer);
+    expireOverdue();
+    if (stopped && pending.isEmpty()) {
+      vertx.cancelTimer(timerId);
     }
   }
 
-  private void send(long intended, long now) {
-    long number = ++last & 0xffff_ffffL;
-    String object = String.format("%016x", object(chance.nextDouble()));
-    Line line = lines.get((int) (number % lines.size()));
-    if (line.socket == null || line.open >= MOST_OPEN) {
-      unsent++;
+  private void send(long scheduledNanos, long nowNanos) {
+    long number = ++lastRequestNumber & 0xffff_ffffL;
+    String object = String.format("%016x", objectFor(random.nextDouble()));
+    ClientConnection connection = connections.get((int) (number % connections.size()));
+    if (connection.socket == null || connection.pendingCount >= MAX_PENDING_PER_CONNECTION) {
+      notSent++;
       return;
     }
-    line.open++;
-    open.put(number, new Open(now + allowMs * MS, intended, object, line));
+    connection.pendingCount++;
+    pending.put(
+        number,
+        new PendingRequest(
+            nowNanos + timeoutMillis * NANOS_PER_MILLI, scheduledNanos, object, connection));
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       Map<String, String> fields =
           Map.of(
               "ref",
-              String.format("%08x%08x", mine, number),
+              String.format("%08x%08x", idPrefix, number),
               "lookup",
               object,
               "allow",
-              Long.toString(allowMs),
+              Long.toString(timeoutMillis),
               "chunk",
-              Integer.toString(chance.nextInt(4)),
+              Integer.toString(random.nextInt(4)),
               "tag",
               "17",
               "room",
@@ -278,36 +302,36 @@
           .packArrayHeader(4)
           .packInt(0)
           .packLong(number)
-          .packString(service)
+          .packString(trafficClass)
           .packArrayHeader(2)
           .packMapHeader(fields.size());
       for (Map.Entry<String, String> field : fields.entrySet()) {
         packer.packString(field.getKey()).packString(field.getValue());
       }
       packer.packBinaryHeader(0);
-      line.socket.write(Buffer.buffer(packer.toByteArray()));
+      connection.socket.write(Buffer.buffer(packer.toByteArray()));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void take(NetSocket socket, int port, Line line) {
-    line.socket = socket;
+  private void connected(NetSocket socket, int port, ClientConnection connection) {
+    connection.socket = socket;
     socket.exceptionHandler(e -> {});
     socket.closeHandler(
-        closed -> {
-          line.socket = null;
-          vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line));
+        ignored -> {
+          connection.socket = null;
+          vertx.setTimer(RECONNECT_DELAY_MILLIS, timer -> reconnect(port, connection));
         });
     socket.handler(
         new MessageReader(
-            LONGEST,
+            MAX_MESSAGE_BYTES,
             new MessageReader.Sink() {
               @Override
               public boolean onMessage(byte[] bytes, int start, int end) {
                 try (MessageUnpacker in =
                     MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
-                  answer(in);
+                  responseReceived(in);
                   return true;
                 } catch (IOException e) {
                   throw new UncheckedIOException(e);
@@ -321,34 +345,38 @@
             }));
   }
 
-  private void count(End how) {
-    ends.merge(how, 1L, Long::sum);
+  private void increment(Outcome outcome) {
+    outcomes.merge(outcome, 1L, Long::sum);
   }
 
-  private void answer(MessageUnpacker in) throws IOException {
+  private void responseReceived(MessageUnpacker in) throws IOException {
     in.unpackArrayHeader();
     in.unpackInt();
-    long number = in.unpackLong(), now = System.nanoTime();
-    Open get = open.remove(number);
-    if (get == null) {
-      if (answered.containsKey(number)) {
-        count(End.TWICE);
+    long number = in.unpackLong();
+    long now = System.nanoTime();
+    PendingRequest request = pending.remove(number);
+    if (request == null) {
+      if (answeredAtNanos.containsKey(number)) {
+        increment(Outcome.TWICE);
       }
       return;
     }
-    get.on.open--;
-    answered.put(number, now);
+    request.connection.pendingCount--;
+    answeredAtNanos.put(number, now);
     if (!in.tryUnpackNil()) {
       in.unpackArrayHeader();
-      count(in.unpackString().equals("Overloaded") ? End.SHED : End.ERRORED);
+      increment(in.unpackString().equals("Overloaded") ? Outcome.SHED : Outcome.ERRORED);
       return;
     }
     in.unpackArrayHeader();
     String body = new String(in.readPayload(in.unpackBinaryHeader()), StandardCharsets.ISO_8859_1);
-    count(End.RETURNED);
-    latency.recordValue(Math.min(HIGHEST_US, (now - get.sentAt) / 1000));
-    returned.accept(
-        new Returned(
-            get.object, Long.parseLong(body.substring(body.indexOf('@') + 1)), now, get.sentAt));
+    increment(Outcome.RETURNED);
+    latency.recordValue(Math.min(MAX_LATENCY_MICROS, (now - request.sentAtNanos) / 1000));
+    responseListener.accept(
+        new Response(
+            request.object,
+            Long.parseLong(body.substring(body.indexOf('@') + 1)),
+            now,
+            request.sentAtNanos));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -29,13 +29,15 @@
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class LoopbackTestbed implements AutoCloseable {
   public static final String PREFIX = "amberpath/lab/";
-  private static final long SECOND = 1_000_000_000, LONGEST_SPENT = SECOND / 10;
-  private static final int MOST_KEYS = 20_000, LONGEST = 8 << 20;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long MAX_SPIN_NANOS = NANOS_PER_SECOND / 10;
+  private static final int MAX_KEYS = 20_000;
+  private static final int MAX_MESSAGE_BYTES = 8 << 20;
 
   public final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   public final StandInRegistry registry;
   public final Map<String, StandInCache> caches = new LinkedHashMap<>();
-  private final Vertx own = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final Vertx gatewayVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final long seed;
   private long writes;
   public Gateway gateway;
@@ -46,8 +48,8 @@
   }
 
   /** Runs on the stand-ins' event loop, and waits for what comes of it. */
-  public <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+  public <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
   public static <T> T await(Future<T> future) throws Exception {
@@ -58,37 +60,37 @@
    * Opens the registry's endpoints and so many edge caches, a hub and the origin, all in the
    * registry.
    */
-  public void open(int endpoints, int edges) throws Exception {
+  public void open(int endpointCount, int edgeCount) throws Exception {
     List<Future<?>> all =
-        on(
+        callOnLoop(
             () -> {
               List<Future<?>> opening = new ArrayList<>();
-              for (int one = 0; one < endpoints; one++) {
+              for (int index = 0; index < endpointCount; index++) {
                 opening.add(registry.open(0));
               }
-              for (int one = 0; one < edges; one++) {
-                opening.add(cache("e" + one, 2, 8));
+              for (int index = 0; index < edgeCount; index++) {
+                opening.add(listenCache("e" + index, 2, 8));
               }
-              opening.add(cache("h0", 2, 10));
-              opening.add(cache("o0", 10, 0));
+              opening.add(listenCache("h0", 2, 10));
+              opening.add(listenCache("o0", 10, 0));
               return opening;
             });
     await(Future.all(all));
-    on(
+    callOnLoop(
         () -> {
-          caches.keySet().forEach(id -> put(id, EndpointState.UP));
+          caches.keySet().forEach(id -> putCache(id, EndpointState.UP));
           return null;
         });
   }
 
-  private Future<?> cache(String id, long answerMs, long fillMs) {
-    StandInCache cache = new StandInCache(vertx, id, answerMs, fillMs, caches::get);
+  private Future<?> listenCache(String id, long hitMillis, long fillMillis) {
+    StandInCache cache = new StandInCache(vertx, id, hitMillis, fillMillis, caches::get);
     caches.put(id, cache);
     return cache.listen();
   }
 
   /** Writes a cache's state into the registry, with the tip. Null deletes it. */
-  public void put(String id, EndpointState state) {
+  public void putCache(String id, EndpointState state) {
     String kind =
         id.startsWith("e")
             ? LabSettings.EDGE
@@ -104,22 +106,22 @@
 
   /** Writes one key and the tip in one transaction. */
   public long write(String key, byte[] value) {
-    Map<String, byte[]> both = new TreeMap<>();
-    both.put(key, value);
-    both.put(
+    Map<String, byte[]> transaction = new TreeMap<>();
+    transaction.put(key, value);
+    transaction.put(
         PREFIX + RecordCodec.TIP_KEY, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
-    return registry.write(both);
+    return registry.write(transaction);
   }
 
   /** How the gateway reaches the registry. */
-  public RegistrySettings access(RegistrySettings.ProtocolKind form) {
-    List<SocketAddress> endpoints =
+  public RegistrySettings registrySettings(RegistrySettings.ProtocolKind protocol) {
+    List<SocketAddress> endpointCount =
         registry.endpoints().stream()
-            .map(one -> SocketAddress.inetSocketAddress(one.port(), "127.0.0.1"))
+            .map(index -> SocketAddress.inetSocketAddress(index.port(), "127.0.0.1"))
             .toList();
     return new RegistrySettings(
-        form,
-        endpoints,
+        protocol,
+        endpointCount,
         PREFIX,
         null,
         null,
@@ -128,29 +130,30 @@
         null,
         null,
         null,
-        SECOND,
-        SECOND,
-        600 * SECOND,
-        MOST_KEYS,
-        LONGEST);
+        NANOS_PER_SECOND,
+        NANOS_PER_SECOND,
+        600 * NANOS_PER_SECOND,
+        MAX_KEYS,
+        MAX_MESSAGE_BYTES);
   }
 
   /** Starts the gateway, which hears of caches from the source that the maker makes. */
-  public void serve(EndpointSource.Factory source) throws Exception {
+  public void serve(EndpointSource.Factory factory) throws Exception {
     gateway =
-        new Gateway(own, LabSettings.options(seed, null), new GatewayExtensions(source, null));
+        new Gateway(
+            gatewayVertx, LabSettings.options(seed, null), new GatewayExtensions(factory, null));
     await(gateway.start());
   }
 
   /** Tells by how many nanoseconds each tick on the gateway's event loop came late. */
-  public void watchGateway(long tickMs, LongConsumer late) {
-    long[] due = {System.nanoTime() + tickMs * 1_000_000};
-    own.setPeriodic(
+  public void watchGatewayLoop(long tickMs, LongConsumer listener) {
+    long[] dueNanos = {System.nanoTime() + tickMs * 1_000_000};
+    gatewayVertx.setPeriodic(
         tickMs,
         tick -> {
           long now = System.nanoTime();
-          late.accept(now - due[0]);
-          due[0] = now + tickMs * 1_000_000;
+          listener.accept(now - dueNanos[0]);
+          dueNanos[0] = now + tickMs * 1_000_000;
         });
   }
 
@@ -158,21 +161,21 @@
    * Leaves the gateway's event loop one part in so many of its core: the rest of the time is spent
    * on nothing.
    */
-  public void slowGateway(int parts) {
-    own.getOrCreateContext().runOnContext(loop -> spend(parts, System.nanoTime()));
+  public void slowGatewayLoop(int shareDivisor) {
+    gatewayVertx.getOrCreateContext().runOnContext(loop -> spin(shareDivisor, System.nanoTime()));
   }
 
-  private void spend(int parts, long since) {
-    own.setTimer(
+  private void spin(int shareDivisor, long sinceNanos) {
+    gatewayVertx.setTimer(
         1,
-        due -> {
-          long end =
+        dueNanos -> {
+          long endNanos =
               System.nanoTime()
-                  + Math.min(LONGEST_SPENT, (parts - 1) * (System.nanoTime() - since));
-          while (System.nanoTime() < end) {
+                  + Math.min(MAX_SPIN_NANOS, (shareDivisor - 1) * (System.nanoTime() - sinceNanos));
+          while (System.nanoTime() < endNanos) {
             Thread.onSpinWait();
           }
-          spend(parts, System.nanoTime());
+          spin(shareDivisor, System.nanoTime());
         });
   }
 
@@ -181,7 +184,7 @@
     if (gateway != null) {
       await(gateway.stop());
     }
-    await(own.close());
+    await(gatewayVertx.close());
     await(vertx.close());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -13,100 +13,124 @@
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class OverloadExperiment {
-  private static final int FIRST = 500, MOST = 16_000, TILLS = 192, OVER = 3, PARTS = 4;
-  private static final long TICK_MS = 10,
-      HIGHEST_US = 10_000_000,
-      LAG_US = 50_000,
-      BORNE_US = 40_000;
-  private static final double SERVED = 0.98, KEPT = 0.5;
+  private static final int FIRST_RATE = 500;
+  private static final int MAX_RATE = 16_000;
+  private static final int CONNECTIONS = 192;
+  private static final int OVERLOAD_MULTIPLE = 3;
+  private static final int GATEWAY_CORE_DIVISOR = 4;
+  private static final long TICK_MILLIS = 10;
+  private static final long MAX_LATENCY_MICROS = 10_000_000;
+  private static final long MAX_OVERLOADED_LAG_MICROS = 50_000;
+  private static final long MAX_SUSTAINED_LAG_MICROS = 40_000;
+  private static final double MIN_SUSTAINED_SHARE = 0.98;
+  private static final double MIN_OVERLOADED_SHARE = 0.5;
 
   private OverloadExperiment() {}
 
   /** What came of one rate. */
-  private record Stretch(
-      int rate, double returned, double shed, long lost, long lagUs, long latencyUs) {}
+  private record RateResult(
+      int requestRate,
+      double returnedPerSecond,
+      double rejectedPerSecond,
+      long lostCount,
+      long loopLagMicros,
+      long latencyMicros) {}
 
   /** Plays each rate for so many seconds. */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
-    Stretch borne = null;
+    RateResult sustained = null;
     out.println("first with cold code, which counts for nothing:");
-    play(seed, FIRST, seconds, out);
-    for (int rate = FIRST; rate <= MOST; rate *= 2) {
-      Stretch one = play(seed, rate, seconds, out);
-      if (one.returned < SERVED * rate || one.lagUs > BORNE_US) {
+    measure(seed, FIRST_RATE, seconds, out);
+    for (int rate = FIRST_RATE; rate <= MAX_RATE; rate *= 2) {
+      RateResult measured = measure(seed, rate, seconds, out);
+      if (measured.returnedPerSecond < MIN_SUSTAINED_SHARE * rate
+          || measured.loopLagMicros > MAX_SUSTAINED_LAG_MICROS) {
         break;
       }
-      borne = one;
+      sustained = measured;
     }
-    if (borne == null) {
-      return result.bar("bears " + FIRST + " GETs a second", false);
+    if (sustained == null) {
+      return result.bar("bears " + FIRST_RATE + " GETs a second", false);
     }
-    Stretch over = play(seed, OVER * borne.rate, seconds, out);
+    RateResult overloaded = measure(seed, OVERLOAD_MULTIPLE * sustained.requestRate, seconds, out);
     return result
-        .figure("borne", borne.rate)
-        .figure("offered", over.rate)
-        .figure("returned", (long) over.returned)
-        .figure("shed", (long) over.shed)
-        .figure("lost", over.lost)
-        .figure("lag_p99_ms", over.lagUs / 1000.0)
-        .figure("latency_p99_ms", over.latencyUs / 1000.0)
-        .bar("the loop's lag under 50 ms, 99 of 100 ticks", over.lagUs <= LAG_US)
-        .bar("no GET lost", over.lost == 0)
-        .bar("half of what it bore is still returned", over.returned >= KEPT * borne.rate);
+        .figure("borne", sustained.requestRate)
+        .figure("offered", overloaded.requestRate)
+        .figure("returned", (long) overloaded.returnedPerSecond)
+        .figure("shed", (long) overloaded.rejectedPerSecond)
+        .figure("lost", overloaded.lostCount)
+        .figure("lag_p99_ms", overloaded.loopLagMicros / 1000.0)
+        .figure("latency_p99_ms", overloaded.latencyMicros / 1000.0)
+        .bar(
+            "the loop's lag under 50 ms, 99 of 100 ticks",
+            overloaded.loopLagMicros <= MAX_OVERLOADED_LAG_MICROS)
+        .bar("no GET lost", overloaded.lostCount == 0)
+        .bar(
+            "half of what it bore is still returned",
+            overloaded.returnedPerSecond >= MIN_OVERLOADED_SHARE * sustained.requestRate);
   }
 
-  private static Stretch play(long seed, int rate, int seconds, PrintStream out) throws Exception {
-    try (LoopbackTestbed world = new LoopbackTestbed(seed)) {
-      world.open(1, 4);
-      world.serve(
-          (vertx, to, chance) ->
+  private static RateResult measure(long seed, int rate, int seconds, PrintStream out)
+      throws Exception {
+    try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
+      testbed.open(1, 4);
+      testbed.serve(
+          (vertx, endpointListener, chance) ->
               new RegistrySource(
-                  vertx, world.access(RegistrySettings.ProtocolKind.ETCD), to, chance));
-      world.slowGateway(PARTS);
-      LoadGenerator tills =
-          new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, got -> {});
-      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, rate)));
+                  vertx,
+                  testbed.registrySettings(RegistrySettings.ProtocolKind.ETCD),
+                  endpointListener,
+                  chance));
+      testbed.slowGatewayLoop(GATEWAY_CORE_DIVISOR);
+      LoadGenerator loadGenerator =
+          new LoadGenerator(testbed.vertx, LabSettings.CLIPS, 1500, seed, ignored -> {});
+      LoopbackTestbed.await(
+          testbed.callOnLoop(() -> loadGenerator.start(testbed.gateway.port(), CONNECTIONS, rate)));
       Thread.sleep(seconds * 500L); // Its code is cold at first.
-      long[] before = world.on(() -> ends(tills));
-      Histogram lag = new Histogram(HIGHEST_US, 3);
-      world.watchGateway(
-          TICK_MS, late -> lag.recordValue(Math.max(0, Math.min(HIGHEST_US, late / 1000))));
+      long[] before = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
+      Histogram lag = new Histogram(MAX_LATENCY_MICROS, 3);
+      testbed.watchGatewayLoop(
+          TICK_MILLIS,
+          lateNanos ->
+              lag.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, lateNanos / 1000))));
       Thread.sleep(seconds * 1000L);
-      long[] after = world.on(() -> ends(tills));
-      world.on(
+      long[] after = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
+      testbed.callOnLoop(
           () -> {
-            tills.stop();
+            loadGenerator.stop();
             return null;
           });
       Thread.sleep(1700);
-      return world.on(
+      return testbed.callOnLoop(
           () -> {
-            Stretch one =
-                new Stretch(
+            RateResult measured =
+                new RateResult(
                     rate,
                     (after[0] - before[0]) / (double) seconds,
                     (after[1] - before[1]) / (double) seconds,
-                    tills.ended(LoadGenerator.End.LOST),
+                    loadGenerator.countOf(LoadGenerator.Outcome.LOST),
                     lag.getValueAtPercentile(99),
-                    tills.latency().getValueAtPercentile(99));
+                    loadGenerator.latency().getValueAtPercentile(99));
             out.printf(
                 Locale.ROOT,
-                "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f ms%n",
+                "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f"
+                    + " ms%n",
                 rate,
-                one.returned,
-                one.shed,
-                one.lost,
-                one.lagUs / 1e3,
-                one.latencyUs / 1e3);
-            return one;
+                measured.returnedPerSecond,
+                measured.rejectedPerSecond,
+                measured.lostCount,
+                measured.loopLagMicros / 1e3,
+                measured.latencyMicros / 1e3);
+            return measured;
           });
     }
   }
 
-  private static long[] ends(LoadGenerator tills) {
+  private static long[] outcomeCounts(LoadGenerator loadGenerator) {
     return new long[] {
-      tills.ended(LoadGenerator.End.RETURNED), tills.ended(LoadGenerator.End.SHED)
+      loadGenerator.countOf(LoadGenerator.Outcome.RETURNED),
+      loadGenerator.countOf(LoadGenerator.Outcome.SHED)
     };
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -29,46 +29,58 @@
    * What came to a cache: the request's id, its delivery service, the source to fill from, and
    * whether it runs.
    */
-  public record Wanted(String cache, String request, String service, String source, boolean runs) {}
+  public record ReceivedRequest(
+      String cache, String request, String trafficClass, String source, boolean executes) {}
 
-  private static final int LONGEST = 300_000, MOST_COPIES = 10_000, WORDS = 4;
+  private static final int MAX_MESSAGE_BYTES = 300_000;
+  private static final int MAX_COPIES = 10_000;
+  private static final int WANT_ELEMENTS = 4;
 
   private final Vertx vertx;
   private final String id;
-  private final long answerMs, fillMs;
-  private final Function<String, StandInCache> others;
+  private final long hitMillis;
+  private final long fillMillis;
+  private final Function<String, StandInCache> cachesById;
   private final Set<NetSocket> sockets = new LinkedHashSet<>();
   private final Map<String, Long> copies =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > MOST_COPIES;
+          return size() > MAX_COPIES;
         }
       };
   private NetServer server;
   private String host = "127.0.0.1";
   private int port;
-  private boolean hangs;
-  private Consumer<Wanted> listener = wanted -> {};
-  private long lastWantAt, wants, hits, fills, connections;
+  private boolean hung;
+  private Consumer<ReceivedRequest> listener = request -> {};
+  private long lastRequestNanos;
+  private long requestCount;
+  private long hitCount;
+  private long fillCount;
+  private long connectionCount;
 
   /**
    * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has
    * given the part.
    *
-   * @param others finds a source by its id
+   * @param cachesById finds a source by its id
    */
   public StandInCache(
-      Vertx vertx, String id, long answerMs, long fillMs, Function<String, StandInCache> others) {
-    this.others = others;
+      Vertx vertx,
+      String id,
+      long hitMillis,
+      long fillMillis,
+      Function<String, StandInCache> cachesById) {
+    this.cachesById = cachesById;
     this.vertx = vertx;
     this.id = id;
-    this.answerMs = answerMs;
-    this.fillMs = fillMs;
+    this.hitMillis = hitMillis;
+    this.fillMillis = fillMillis;
   }
 
   /** Listens at another address of loopback. */
-  public StandInCache at(String address) {
+  public StandInCache listeningAt(String address) {
     host = address;
     return this;
   }
@@ -76,19 +88,19 @@
   /** Listens on a port from the system, or on the one that it had. */
   public Future<StandInCache> listen() {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
-    server.connectHandler(this::take);
+    server.connectHandler(this::connected);
     return server
         .listen()
         .map(
-            up -> {
-              port = up.actualPort();
+            ignored -> {
+              port = ignored.actualPort();
               return this;
             });
   }
 
   /** Tells each GET as it comes. */
-  public StandInCache telling(Consumer<Wanted> to) {
-    listener = to;
+  public StandInCache withListener(Consumer<ReceivedRequest> listener) {
+    this.listener = listener;
     return this;
   }
 
@@ -101,31 +113,31 @@
   }
 
   /** When the last GET came, by System.nanoTime. */
-  public long lastWantAt() {
-    return lastWantAt;
+  public long lastRequestNanos() {
+    return lastRequestNanos;
   }
 
-  public long wants() {
-    return wants;
+  public long requestCount() {
+    return requestCount;
   }
 
-  public long hits() {
-    return hits;
+  public long hitCount() {
+    return hitCount;
   }
 
   /** How many connections were made to it. */
-  public long connections() {
-    return connections;
+  public long connectionCount() {
+    return connectionCount;
   }
 
   /** How many parts it gave to others. */
-  public long fills() {
-    return fills;
+  public long fillCount() {
+    return fillCount;
   }
 
   /** Keeps all connections open and says nothing, or goes on. */
-  public void hang(boolean still) {
-    hangs = still;
+  public void setHung(boolean hung) {
+    this.hung = hung;
   }
 
   /** Drops an object's copies, as a purge does in its own time. */
@@ -141,24 +153,25 @@
     new HashSet<>(sockets).forEach(NetSocket::close);
   }
 
-  private void take(NetSocket socket) {
-    connections++;
+  private void connected(NetSocket socket) {
+    connectionCount++;
     sockets.add(socket);
-    socket.closeHandler(closed -> sockets.remove(socket));
+    socket.closeHandler(ignored -> sockets.remove(socket));
     socket.exceptionHandler(e -> {});
-    Set<String> open = new HashSet<>();
+    Set<String> openRequests = new HashSet<>();
     socket.handler(
         new ReplyReader(
-            LONGEST,
+            MAX_MESSAGE_BYTES,
             new ReplyReader.Sink() {
               @Override
               public void onReply(List<Buffer> elements) {
-                String word = elements.get(0).toString(), request = elements.get(1).toString();
-                if (word.equals("want") && elements.size() == WORDS) {
-                  open.add(request);
-                  want(socket, open, request, elements.get(2).toString());
+                String status = elements.get(0).toString();
+                String request = elements.get(1).toString();
+                if (status.equals("want") && elements.size() == WANT_ELEMENTS) {
+                  openRequests.add(request);
+                  requestReceived(socket, openRequests, request, elements.get(2).toString());
                 } else {
-                  open.remove(request);
+                  openRequests.remove(request);
                 }
               }
 
@@ -169,57 +182,59 @@
             }));
   }
 
-  private void want(NetSocket socket, Set<String> open, String request, String list) {
-    lastWantAt = System.nanoTime();
-    wants++;
+  private void requestReceived(
+      NetSocket socket, Set<String> openRequests, String request, String encodedFields) {
+    lastRequestNanos = System.nanoTime();
+    requestCount++;
     Map<String, String> fields = new HashMap<>();
-    for (String field : list.split(",", -1)) {
+    for (String field : encodedFields.split(",", -1)) {
       int equals = field.indexOf('=');
       if (equals > 0) {
         fields.put(field.substring(0, equals), field.substring(equals + 1));
       }
     }
     String key = fields.get("obj") + "/" + fields.get("seg");
-    long now = System.currentTimeMillis();
-    Long issued = copies.get(key);
-    long oldest = Long.parseLong(fields.getOrDefault("within", "0"));
-    boolean hit = issued != null && (oldest == 0 || now - issued <= oldest);
-    StandInCache source = others.apply(fields.getOrDefault("miss", ""));
+    long nowMillis = System.currentTimeMillis();
+    Long issuedAtMillis = copies.get(key);
+    long maxAgeMillis = Long.parseLong(fields.getOrDefault("within", "0"));
+    boolean hit =
+        issuedAtMillis != null && (maxAgeMillis == 0 || nowMillis - issuedAtMillis <= maxAgeMillis);
+    StandInCache source = cachesById.apply(fields.getOrDefault("miss", ""));
     listener.accept(
-        new Wanted(
+        new ReceivedRequest(
             id,
             request,
             fields.get("kind"),
             fields.getOrDefault("miss", ""),
             hit || source != null));
     if (!hit && source == null) {
-      answer(socket, open, request, "nothing", "res=n", "");
+      respond(socket, openRequests, request, "nothing", "res=n", "");
       return;
     }
-    LongConsumer given =
-        issuedMs -> {
+    LongConsumer partReceived =
+        filledAtMillis -> {
           if (hit) {
-            hits++;
+            hitCount++;
           } else if (Integer.parseInt(fields.getOrDefault("prio", "0")) > 0) {
-            copies.put(key, issuedMs);
+            copies.put(key, filledAtMillis);
           }
-          answer(
+          respond(
               socket,
-              open,
+              openRequests,
               request,
               "ok",
               "res="
                   + (hit ? "h" : "f")
                   + ",entity="
-                  + Long.toHexString(issuedMs)
+                  + Long.toHexString(filledAtMillis)
                   + ",issued="
-                  + issuedMs,
-              key + "@" + issuedMs);
+                  + filledAtMillis,
+              key + "@" + filledAtMillis);
         };
     if (hit) {
-      vertx.setTimer(answerMs, done -> given.accept(issued));
+      vertx.setTimer(hitMillis, timer -> partReceived.accept(issuedAtMillis));
     } else {
-      vertx.setTimer(answerMs + fillMs, done -> source.fill(key, oldest, given));
+      vertx.setTimer(hitMillis + fillMillis, timer -> source.fill(key, maxAgeMillis, partReceived));
     }
   }
 
@@ -227,33 +242,40 @@
    * Gives a part to another one: its own copy if that is young enough, or as the origin gives it
    * out now.
    */
-  private void fill(String key, long oldest, LongConsumer to) {
-    fills++;
-    lastWantAt = System.nanoTime();
-    long now = System.currentTimeMillis();
-    Long issued = copies.get(key);
-    StandInCache origin = others.apply("o0");
-    boolean holds = issued != null && (oldest == 0 || now - issued <= oldest);
+  private void fill(String key, long maxAgeMillis, LongConsumer listener) {
+    fillCount++;
+    lastRequestNanos = System.nanoTime();
+    long nowMillis = System.currentTimeMillis();
+    Long issuedAtMillis = copies.get(key);
+    StandInCache origin = cachesById.apply("o0");
+    boolean holds =
+        issuedAtMillis != null && (maxAgeMillis == 0 || nowMillis - issuedAtMillis <= maxAgeMillis);
     if (!holds && origin != null && origin != this) {
       vertx.setTimer(
-          fillMs,
+          fillMillis,
           asked ->
               origin.fill(
                   key,
-                  oldest,
-                  issuedMs -> {
-                    copies.put(key, issuedMs);
-                    to.accept(issuedMs);
+                  maxAgeMillis,
+                  filledAtMillis -> {
+                    copies.put(key, filledAtMillis);
+                    listener.accept(filledAtMillis);
                   }));
-    } else if (!hangs) {
-      vertx.setTimer(answerMs, done -> to.accept(holds ? issued : System.currentTimeMillis()));
+    } else if (!hung) {
+      vertx.setTimer(
+          hitMillis, timer -> listener.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
     }
   }
 
-  private void answer(
-      NetSocket socket, Set<String> open, String request, String word, String fields, String body) {
-    if (!hangs && open.remove(request)) {
-      socket.write(bulk(bulk(bulk(bulk(Buffer.buffer("*4\r\n"), request), word), fields), body));
+  private void respond(
+      NetSocket socket,
+      Set<String> openRequests,
+      String request,
+      String status,
+      String fields,
+      String body) {
+    if (!hung && openRequests.remove(request)) {
+      socket.write(bulk(bulk(bulk(bulk(Buffer.buffer("*4\r\n"), request), status), fields), body));
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -36,28 +36,33 @@
  * viewers that ask on a schedule. Tasks of the fleet, if any, are owned by gateway 0 all the time:
  * whether tenure holds is another model's matter. A scenario is a class on it.
  *
- * <p>Bounds: the GETs of one day, at {@value #RATE} a second and gateway.
+ * <p>Bounds: the GETs of one day, at {@value #REQUESTS_PER_SECOND} a second and gateway.
  */
 public abstract class VirtualFleet {
-  protected static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  protected static final int HUBS = 2, RATE = 10;
-  protected static final double WORK = 0.05;
-  private static final long LIMIT = 2 * SECOND,
-      OBJECTIVE = 400 * MS,
-      ACT = 500 * MS,
-      STAGGER = 8 * SECOND;
-  private static final double KB = 5000, BUSY = 0.55, SKEW = 0.9;
-  private static final int OBJECTS = 3000,
-      FIRST_PARTS = 4,
-      NO_HINT_MS = 300,
-      TENTHS = 10,
-      RECENT = 256;
+  protected static final long NANOS_PER_MILLI = 1_000_000;
+  protected static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  protected static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  protected static final int HUB_COUNT = 2;
+  protected static final int REQUESTS_PER_SECOND = 10;
+  protected static final double WORK_SECONDS = 0.05;
+  private static final long REQUEST_TIMEOUT_NANOS = 2 * NANOS_PER_SECOND;
+  private static final long LATENCY_OBJECTIVE_NANOS = 400 * NANOS_PER_MILLI;
+  private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * NANOS_PER_MILLI;
+  private static final long MAX_STAGGER_NANOS = 8 * NANOS_PER_SECOND;
+  private static final double REQUEST_KILOBYTES = 5000;
+  private static final double UTILIZATION = 0.55;
+  private static final double ZIPF_EXPONENT = 0.9;
+  private static final int OBJECTS = 3000;
+  private static final int PARTS_PER_OBJECT = 4;
+  private static final int DEFAULT_RETRY_MILLIS = 300;
+  private static final int BINS_PER_SECOND = 10;
+  private static final int RECENT_REQUESTS = 256;
 
   /**
    * How a gateway opens after its start: all at once, at a time by its name, or by what comes back
    * in time.
    */
-  public enum Opening {
+  public enum OpeningPolicy {
     AT_ONCE,
     STAGGERED,
     BY_RETURNS
@@ -67,140 +72,153 @@
   public record Plan(
       long seed,
       int gateways,
-      int caches,
-      boolean probe,
-      boolean warm,
-      Opening opening,
-      double origin) {
+      int edgeCaches,
+      boolean healthChecks,
+      boolean prefetch,
+      OpeningPolicy openingPolicy,
+      double originCapacity) {
     /** One whose origin bears all, and whose gateways open at once. */
-    public Plan(long seed, int gateways, int caches, boolean probe, boolean warm) {
-      this(seed, gateways, caches, probe, warm, Opening.AT_ONCE, 1);
+    public Plan(long seed, int gateways, int edgeCaches, boolean healthChecks, boolean prefetch) {
+      this(seed, gateways, edgeCaches, healthChecks, prefetch, OpeningPolicy.AT_ONCE, 1);
     }
   }
 
   protected final Plan plan;
-  protected final SplittableRandom chance;
-  protected final VirtualScheduler agenda = new VirtualScheduler(START);
+  protected final SplittableRandom random;
+  protected final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
 
   /** Edges, then hubs, then the origin. */
-  protected final List<Cache> caches = new ArrayList<>();
+  protected final List<SimulatedCache> caches = new ArrayList<>();
 
-  protected final List<One> gateways = new ArrayList<>();
-  private final double[] popular = new double[OBJECTS];
+  protected final List<SimulatedGateway> gateways = new ArrayList<>();
+  private final double[] cumulativePopularity = new double[OBJECTS];
 
   /** By second: GETs begun, returned within the objective, and what a scenario counts. */
-  private final Map<String, long[]> seconds = new TreeMap<>();
+  private final Map<String, long[]> countsBySecond = new TreeMap<>();
 
-  private final long end;
-  private final int[] originTenths;
-  protected long coldMost, coldFell;
+  private final long endNanos;
+  private final int[] originFillBins;
+  protected long peakWarmUpLoadPerMille;
+  protected long warmUpOverloads;
 
   /** A fleet that plays for so many seconds. */
-  protected VirtualFleet(Plan plan, int endS) throws IOException {
+  protected VirtualFleet(Plan plan, int endSeconds) throws IOException {
     this.plan = plan;
-    end = endS * SECOND;
-    originTenths = new int[(endS + 10) * TENTHS];
-    chance = new SplittableRandom(plan.seed());
-    double weight = plan.gateways() * RATE * WORK / plan.caches() / BUSY;
+    endNanos = endSeconds * NANOS_PER_SECOND;
+    originFillBins = new int[(endSeconds + 10) * BINS_PER_SECOND];
+    random = new SplittableRandom(plan.seed());
+    double edgeWeight =
+        plan.gateways() * REQUESTS_PER_SECOND * WORK_SECONDS / plan.edgeCaches() / UTILIZATION;
     double sum = 0;
-    for (int one = 0; one < OBJECTS; one++) {
-      sum += 1 / Math.pow(one + 1, SKEW);
-      popular[one] = sum;
+    for (int index = 0; index < OBJECTS; index++) {
+      sum += 1 / Math.pow(index + 1, ZIPF_EXPONENT);
+      cumulativePopularity[index] = sum;
     }
-    for (int one = 0; one < plan.caches(); one++) {
-      caches.add(new Cache(one, LabSettings.EDGE, weight));
+    for (int index = 0; index < plan.edgeCaches(); index++) {
+      caches.add(new SimulatedCache(index, LabSettings.EDGE, edgeWeight));
     }
-    for (int one = 0; one < HUBS; one++) {
-      caches.add(new Cache(caches.size(), LabSettings.HUB, weight * plan.caches()));
+    for (int index = 0; index < HUB_COUNT; index++) {
+      caches.add(
+          new SimulatedCache(caches.size(), LabSettings.HUB, edgeWeight * plan.edgeCaches()));
     }
     caches.add(
-        new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
-    for (int one = 0; one < plan.gateways(); one++) {
+        new SimulatedCache(
+            caches.size(),
+            LabSettings.ORIGIN,
+            edgeWeight * plan.edgeCaches() * plan.originCapacity()));
+    for (int index = 0; index < plan.gateways(); index++) {
       gateways.add(
-          new One(
-              one, LabSettings.options(chance.nextLong(), null, plan.gateways()).routingConfig()));
+          new SimulatedGateway(
+              index,
+              LabSettings.options(random.nextLong(), null, plan.gateways()).routingConfig()));
     }
   }
 
   /** What happens, and when. */
-  protected abstract void script();
+  protected abstract void scheduleScenario();
 
   protected abstract Map<String, Double> figures();
 
   /** A GET has come to a cache. */
-  protected void came(Cache to, boolean own) {}
+  protected void requestArrived(SimulatedCache cache, boolean synthetic) {}
 
   /** Figures, by name. */
   public final Map<String, Double> run() {
-    for (One one : gateways) {
-      agenda.at(
-          START + chance.nextLong(100 * MS),
+    for (SimulatedGateway gateway : gateways) {
+      scheduler.schedule(
+          EPOCH_NANOS + random.nextLong(100 * NANOS_PER_MILLI),
           () -> {
-            one.start(false);
-            one.asks();
+            gateway.start(false);
+            gateway.scheduleArrivals();
           });
     }
-    script();
-    while (agenda.step(START + end)) {
+    scheduleScenario();
+    while (scheduler.runNext(EPOCH_NANOS + endNanos)) {
       // The condition does the work.
     }
     return figures();
   }
 
   /** Hubs have been there for long. */
-  protected final void hubsHoldAll() {
-    for (long key = FIRST_PARTS; key < (OBJECTS + 1L) * FIRST_PARTS; key++) {
-      for (Cache hub : caches.subList(plan.caches(), plan.caches() + HUBS)) {
-        hub.holds.add(key);
+  protected final void fillHubs() {
+    for (long key = PARTS_PER_OBJECT; key < (OBJECTS + 1L) * PARTS_PER_OBJECT; key++) {
+      for (SimulatedCache hub : caches.subList(plan.edgeCaches(), plan.edgeCaches() + HUB_COUNT)) {
+        hub.storedKeys.add(key);
       }
     }
   }
 
   /** Of GETs begun in these seconds, the part that was returned within the objective. */
-  protected final double share(int from, int to) {
-    double asked = sum("asked", from, to);
-    return asked == 0 ? 1 : sum("good", from, to) / asked;
+  protected final double goodShare(int fromSecond, int toSecond) {
+    double begun = total("asked", fromSecond, toSecond);
+    return begun == 0 ? 1 : total("good", fromSecond, toSecond) / begun;
   }
 
-  protected final double sum(String what, int from, int to) {
+  protected final double total(String counter, int fromSecond, int toSecond) {
     double sum = 0;
-    for (int one = from; one < to; one++) {
-      sum += seconds.getOrDefault(what, new long[(int) (end / SECOND) + 10])[one];
+    for (int second = fromSecond; second < toSecond; second++) {
+      sum +=
+          countsBySecond
+              .getOrDefault(counter, new long[(int) (endNanos / NANOS_PER_SECOND) + 10])[second];
     }
     return sum;
   }
 
   /** The most fills that the origin was asked for in a tenth of a second, from a second on. */
-  protected final int originPeak(int from) {
-    return Arrays.stream(originTenths, from * TENTHS, originTenths.length).max().orElse(0);
+  protected final int originFillPeak(int fromSecond) {
+    return Arrays.stream(originFillBins, fromSecond * BINS_PER_SECOND, originFillBins.length)
+        .max()
+        .orElse(0);
   }
 
   /** How long from a second on until service stays at 0.95 of what it was before. */
-  protected final double secondsBack(int from, int to, double before) {
-    double back = to - from;
-    for (int second = to - 1;
-        second >= from && share(second, second + 1) >= 0.95 * before;
+  protected final double secondsUntilRestored(int fromSecond, int toSecond, double shareBefore) {
+    double restoredAfter = toSecond - fromSecond;
+    for (int second = toSecond - 1;
+        second >= fromSecond && goodShare(second, second + 1) >= 0.95 * shareBefore;
         second--) {
-      back = second - from;
+      restoredAfter = second - fromSecond;
     }
-    return back;
+    return restoredAfter;
   }
 
-  protected final void count(String what, long at) {
-    long[] bins = seconds.computeIfAbsent(what, made -> new long[(int) (end / SECOND) + 10]);
-    bins[(int) Math.min(bins.length - 1, (at - START) / SECOND)]++;
+  protected final void countAt(String counter, long timeNanos) {
+    long[] bins =
+        countsBySecond.computeIfAbsent(
+            counter, made -> new long[(int) (endNanos / NANOS_PER_SECOND) + 10]);
+    bins[(int) Math.min(bins.length - 1, (timeNanos - EPOCH_NANOS) / NANOS_PER_SECOND)]++;
   }
 
-  protected final void tell(int cache, EndpointState state, long startedAt) {
-    for (One one : gateways) {
-      agenda.at(
-          agenda.now() + chance.nextLong(50 * MS),
+  protected final void announceEndpoint(int endpoint, EndpointState state, long startedAtNanos) {
+    for (SimulatedGateway gateway : gateways) {
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(50 * NANOS_PER_MILLI),
           () ->
-              one.tell(
-                  to -> {
-                    to.endpointListStarted(EndpointListKind.CHANGES);
-                    one.member(to, caches.get(cache), state, startedAt);
-                    to.endpointListCompleted();
+              gateway.enqueue(
+                  events -> {
+                    events.endpointListStarted(EndpointListKind.CHANGES);
+                    gateway.listEndpoint(events, caches.get(endpoint), state, startedAtNanos);
+                    events.endpointListCompleted();
                   }));
     }
   }
@@ -208,149 +226,157 @@
   // ---- Caches.
 
   /** What a gateway has asked of a cache. */
-  private record Wanted(
-      One by,
-      long get,
-      int copy,
+  private record CacheRequest(
+      SimulatedGateway gateway,
+      long requestId,
+      int attempt,
       long key,
-      boolean heldOnly,
-      boolean keeps,
-      Cache source,
-      boolean own) {}
+      boolean cachedOnly,
+      boolean stores,
+      SimulatedCache source,
+      boolean synthetic) {}
 
   /** An edge cache, a hub or the origin. */
-  protected final class Cache {
+  protected final class SimulatedCache {
     public final int index;
     final String kind;
-    final double size;
-    final Set<Long> holds = new HashSet<>();
-    final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private final Map<Long, List<Runnable>> filling = new HashMap<>();
-    final ArrayDeque<Long> lately = new ArrayDeque<>();
-    public boolean hangs, down;
-    public long startedAt;
-    private long life;
-    private double busy;
-
-    Cache(int index, String kind, double size) {
+    final double capacity;
+    final Set<Long> storedKeys = new HashSet<>();
+    final ArrayDeque<Runnable> waitingTransfers = new ArrayDeque<>();
+    private final Map<Long, List<Runnable>> fillsInProgress = new HashMap<>();
+    final ArrayDeque<Long> recentArrivalsNanos = new ArrayDeque<>();
+    public boolean hung;
+    public boolean down;
+    public long startedAtNanos;
+    private long incarnation;
+    private double activeTransfers;
+
+    SimulatedCache(int index, String kind, double capacity) {
       this.index = index;
       this.kind = kind;
-      this.size = size;
+      this.capacity = capacity;
     }
 
-    public void dies() {
+    public void crash() {
       down = true;
-      life++;
-      holds.clear();
-      filling.clear();
-      waiting.clear();
-      busy = 0;
+      incarnation++;
+      storedKeys.clear();
+      fillsInProgress.clear();
+      waitingTransfers.clear();
+      activeTransfers = 0;
     }
 
-    public void starts() {
+    public void restart() {
       down = false;
-      startedAt = agenda.now();
+      startedAtNanos = scheduler.nowNanos();
     }
 
-    public void wakes() {
-      hangs = false;
-      waiting.clear();
-      busy = 0;
-      life++;
+    public void resume() {
+      hung = false;
+      waitingTransfers.clear();
+      activeTransfers = 0;
+      incarnation++;
     }
 
     /** Work for one transfer; what finds no place waits. */
-    private void work(Runnable done) {
-      long of = life;
-      Runnable begin =
+    private void startTransfer(Runnable completed) {
+      long scheduledIn = incarnation;
+      Runnable transfer =
           () -> {
-            busy++;
-            agenda.at(
-                agenda.now() + (long) (WORK * SECOND * (0.8 + 0.4 * chance.nextDouble())),
+            activeTransfers++;
+            scheduler.schedule(
+                scheduler.nowNanos()
+                    + (long) (WORK_SECONDS * NANOS_PER_SECOND * (0.8 + 0.4 * random.nextDouble())),
                 () -> {
-                  if (life == of && !hangs) {
-                    busy--;
-                    if (!waiting.isEmpty()) {
-                      waiting.poll().run();
+                  if (incarnation == scheduledIn && !hung) {
+                    activeTransfers--;
+                    if (!waitingTransfers.isEmpty()) {
+                      waitingTransfers.poll().run();
                     }
-                    done.run();
+                    completed.run();
                   }
                 });
           };
-      if (busy < Math.max(1, size)) {
-        begin.run();
+      if (activeTransfers < Math.max(1, capacity)) {
+        transfer.run();
       } else {
-        waiting.add(begin);
+        waitingTransfers.add(transfer);
       }
     }
 
-    void want(Wanted wanted) {
-      long of = life;
+    void requestReceived(CacheRequest request) {
+      long scheduledIn = incarnation;
       if (down) {
-        wanted.by.back(wanted, AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE);
+        request.gateway.attemptAnswered(
+            request, AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE);
         return;
       }
-      came(this, wanted.own);
-      bound();
-      if (hangs) {
+      requestArrived(this, request.synthetic);
+      checkWarmUpBound();
+      if (hung) {
         return;
       }
-      boolean hit = holds.contains(wanted.key);
-      if (startedAt > 0 && !wanted.own) {
-        count(hit ? "cold_hit" : "cold_miss", agenda.now());
+      boolean hit = storedKeys.contains(request.key);
+      if (startedAtNanos > 0 && !request.synthetic) {
+        countAt(hit ? "cold_hit" : "cold_miss", scheduler.nowNanos());
       }
-      if (!hit && wanted.heldOnly) {
-        wanted.by.back(wanted, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
+      if (!hit && request.cachedOnly) {
+        request.gateway.attemptAnswered(request, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
         return;
       }
-      Runnable served =
+      Runnable respond =
           () ->
-              work(
+              startTransfer(
                   () -> {
-                    if (life == of && wanted.keeps) {
-                      holds.add(wanted.key);
+                    if (incarnation == scheduledIn && request.stores) {
+                      storedKeys.add(request.key);
                     }
-                    wanted.by.back(
-                        wanted,
+                    request.gateway.attemptAnswered(
+                        request,
                         AttemptOutcome.SUCCEEDED,
                         hit ? ResponseDetail.HIT : ResponseDetail.FILLED);
                   });
       if (hit) {
-        served.run();
+        respond.run();
       } else {
-        agenda.at(agenda.now() + MS, () -> wanted.source.fill(wanted.key, served));
+        scheduler.schedule(
+            scheduler.nowNanos() + NANOS_PER_MILLI,
+            () -> request.source.fill(request.key, respond));
       }
     }
 
     void fill(long key, Runnable filled) {
-      if (down || hangs) {
+      if (down || hung) {
         return;
       }
-      Cache origin = caches.get(caches.size() - 1);
-      if (holds.contains(key) || this == origin) {
+      SimulatedCache origin = caches.get(caches.size() - 1);
+      if (storedKeys.contains(key) || this == origin) {
         if (this == origin) {
-          count("origin", agenda.now());
-          originTenths[
+          countAt("origin", scheduler.nowNanos());
+          originFillBins[
               (int)
-                  Math.min(originTenths.length - 1, (agenda.now() - START) / (SECOND / TENTHS))]++;
+                  Math.min(
+                      originFillBins.length - 1,
+                      (scheduler.nowNanos() - EPOCH_NANOS)
+                          / (NANOS_PER_SECOND / BINS_PER_SECOND))]++;
         }
-        work(filled);
-      } else if (filling.containsKey(key)) {
-        filling.get(key).add(filled); // Joins the fill that is under way.
+        startTransfer(filled);
+      } else if (fillsInProgress.containsKey(key)) {
+        fillsInProgress.get(key).add(filled); // Joins the fill that is under way.
       } else {
-        List<Runnable> all = new ArrayList<>(List.of(filled));
-        filling.put(key, all);
-        long of = life;
-        agenda.at(
-            agenda.now() + 20 * MS,
+        List<Runnable> waiters = new ArrayList<>(List.of(filled));
+        fillsInProgress.put(key, waiters);
+        long scheduledIn = incarnation;
+        scheduler.schedule(
+            scheduler.nowNanos() + 20 * NANOS_PER_MILLI,
             () ->
                 origin.fill(
                     key,
                     () -> {
-                      if (life == of) {
-                        holds.add(key);
-                        filling.remove(key);
-                        all.forEach(Runnable::run);
+                      if (incarnation == scheduledIn) {
+                        storedKeys.add(key);
+                        fillsInProgress.remove(key);
+                        waiters.forEach(Runnable::run);
                       }
                     }));
       }
@@ -360,211 +386,262 @@
      * How much of what it bears in the time that the site names it gets while cold, all gateways
      * together.
      */
-    private void bound() {
+    private void checkWarmUpBound() {
       double ramp =
-          startedAt == 0
+          startedAtNanos == 0
               ? 1
               : Math.min(
                   1,
-                  LabSettings.COLD_SHARE
-                      + (1 - LabSettings.COLD_SHARE)
-                          * (agenda.now() - startedAt)
-                          / (LabSettings.COLD_S * SECOND));
-      lately.add(agenda.now());
-      while (lately.peek() < agenda.now() - (long) (LabSettings.FALL_S * SECOND)) {
-        lately.poll();
+                  LabSettings.WARM_UP_INITIAL_SHARE
+                      + (1 - LabSettings.WARM_UP_INITIAL_SHARE)
+                          * (scheduler.nowNanos() - startedAtNanos)
+                          / (LabSettings.WARM_UP_SECONDS * NANOS_PER_SECOND));
+      recentArrivalsNanos.add(scheduler.nowNanos());
+      while (recentArrivalsNanos.peek()
+          < scheduler.nowNanos()
+              - (long) (LabSettings.OVERLOAD_WINDOW_SECONDS * NANOS_PER_SECOND)) {
+        recentArrivalsNanos.poll();
       }
-      if (startedAt > 0 && ramp < 1) {
-        double may = LabSettings.FALL_MULTIPLE * ramp * size / WORK * LabSettings.FALL_S;
-        coldMost =
-            Math.max(coldMost, (long) (1000 * lately.size() / (may + 3 * Math.sqrt(may) + 3)));
-        coldFell += lately.size() > may + 3 * Math.sqrt(may) + 3 ? 1 : 0;
+      if (startedAtNanos > 0 && ramp < 1) {
+        double allowed =
+            LabSettings.OVERLOAD_MULTIPLE
+                * ramp
+                * capacity
+                / WORK_SECONDS
+                * LabSettings.OVERLOAD_WINDOW_SECONDS;
+        peakWarmUpLoadPerMille =
+            Math.max(
+                peakWarmUpLoadPerMille,
+                (long)
+                    (1000 * recentArrivalsNanos.size() / (allowed + 3 * Math.sqrt(allowed) + 3)));
+        warmUpOverloads +=
+            recentArrivalsNanos.size() > allowed + 3 * Math.sqrt(allowed) + 3 ? 1 : 0;
       }
     }
   }
 
   // ---- Gateways.
 
-  private record Viewer(long key, long began, int tries) {}
+  private record ClientRequest(long key, long startedAtNanos, int retries) {}
 
-  private record Asked(long object, int part) {}
+  private record RecentObject(long object, int part) {}
 
   /** A gateway: its decisions, its viewers, and what it does for the fleet. */
-  protected final class One implements RoutingEvents, RoutingActions {
+  protected final class SimulatedGateway implements RoutingEvents, RoutingActions {
     final int index;
-    private final RoutingConfig site;
+    private final RoutingConfig config;
     private RequestRouter router;
-    private RecoveryRamp opening;
-    private boolean up;
-    private long life, openAt;
-    private final List<Consumer<RoutingEventHandler>> came = new ArrayList<>();
-    private List<Consumer<RoutingEventHandler>> round = List.of();
-    private boolean due;
-    private final Map<Long, Viewer> viewers = new HashMap<>();
-    private final Map<Long, Consumer<HealthCheckCoordinator.HealthCheckOutcome>> own =
+    private RecoveryRamp recoveryRamp;
+    private boolean running;
+    private long incarnation;
+    private long opensAtNanos;
+    private final List<Consumer<RoutingEventHandler>> pendingEvents = new ArrayList<>();
+    private List<Consumer<RoutingEventHandler>> currentRound = List.of();
+    private boolean roundScheduled;
+    private final Map<Long, ClientRequest> clientRequests = new HashMap<>();
+    private final Map<Long, Consumer<HealthCheckCoordinator.HealthCheckOutcome>> syntheticRequests =
         new HashMap<>();
-    private final Map<Long, Long> keys = new HashMap<>();
-    private final Map<Long, Integer> copies = new HashMap<>();
-    private final Set<String> open = new HashSet<>();
-    private HealthCheckCoordinator trials = new HealthCheckCoordinator();
-    private CachePrefetch ahead = new CachePrefetch();
-    private RecentRequests<Asked, Asked> recent = new RecentRequests<>(RECENT);
-    private boolean forAll;
-    private long ids;
+    private final Map<Long, Long> keysByRequest = new HashMap<>();
+    private final Map<Long, Integer> attemptsByRequest = new HashMap<>();
+    private final Set<String> openAttempts = new HashSet<>();
+    private HealthCheckCoordinator healthChecks = new HealthCheckCoordinator();
+    private CachePrefetch prefetch = new CachePrefetch();
+    private RecentRequests<RecentObject, RecentObject> recentObjects =
+        new RecentRequests<>(RECENT_REQUESTS);
+    private boolean centralized;
+    private long lastRequestId;
 
     /** Some gateways get several times the mean. */
-    private final double share;
+    private final double trafficShare;
 
-    One(int index, RoutingConfig site) {
+    SimulatedGateway(int index, RoutingConfig config) {
       this.index = index;
-      this.site = site;
-      share = 0.25 + 1.5 * chance.nextDouble();
+      this.config = config;
+      trafficShare = 0.25 + 1.5 * random.nextDouble();
     }
 
     /** Starts with nothing, and with all others or not. */
-    public void start(boolean loss) {
-      up = true;
-      life++;
-      router = new RequestRouter(site);
-      trials = new HealthCheckCoordinator();
-      ahead = new CachePrefetch();
-      recent = new RecentRequests<>(RECENT);
-      forAll = false;
-      openAt =
-          loss && plan.opening() == Opening.STAGGERED
-              ? agenda.now() + chance.nextLong(STAGGER)
-              : agenda.now();
-      opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
-      tell(
-          to -> {
-            to.endpointListStarted(EndpointListKind.FULL);
+    public void start(boolean afterPowerLoss) {
+      running = true;
+      incarnation++;
+      router = new RequestRouter(config);
+      healthChecks = new HealthCheckCoordinator();
+      prefetch = new CachePrefetch();
+      recentObjects = new RecentRequests<>(RECENT_REQUESTS);
+      centralized = false;
+      opensAtNanos =
+          afterPowerLoss && plan.openingPolicy() == OpeningPolicy.STAGGERED
+              ? scheduler.nowNanos() + random.nextLong(MAX_STAGGER_NANOS)
+              : scheduler.nowNanos();
+      recoveryRamp = new RecoveryRamp(random.nextLong(), NANOS_PER_SECOND, scheduler.nowNanos());
+      enqueue(
+          events -> {
+            events.endpointListStarted(EndpointListKind.FULL);
             caches.forEach(
                 cache ->
-                    member(
-                        to,
+                    listEndpoint(
+                        events,
                         cache,
                         cache.down ? EndpointState.GONE : EndpointState.UP,
-                        cache.startedAt));
-            to.endpointListCompleted();
+                        cache.startedAtNanos));
+            events.endpointListCompleted();
           });
       // Of what its part of the cold budgets bears it knows the caches that are there.
-      double bears =
+      double warmUpCapacity =
           caches.stream()
                   .filter(cache -> cache.kind.equals(LabSettings.EDGE))
-                  .mapToDouble(cache -> cache.size)
+                  .mapToDouble(cache -> cache.capacity)
                   .sum()
-              / WORK
-              * LabSettings.COLD_SHARE
+              / WORK_SECONDS
+              * LabSettings.WARM_UP_INITIAL_SHARE
               / plan.gateways();
-      opening.startupCompleted(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
+      recoveryRamp.startupCompleted(
+          scheduler.nowNanos(),
+          afterPowerLoss && plan.openingPolicy() == OpeningPolicy.BY_RETURNS,
+          warmUpCapacity);
       tick();
     }
 
     /** Loses power: what it held is gone, its viewers ask again. */
-    public void dies() {
-      up = false;
-      life++;
-      open.clear();
-      came.clear();
-      due = false;
-      own.clear();
-      List<Viewer> all = List.copyOf(viewers.values());
-      viewers.clear();
-      all.forEach(viewer -> again(viewer, NO_HINT_MS * MS));
-    }
-
-    private void again(Viewer viewer, long wait) {
-      if (agenda.now() + wait < viewer.began + LIMIT - 100 * MS) {
-        agenda.at(
-            agenda.now() + wait, () -> ask(new Viewer(viewer.key, viewer.began, viewer.tries + 1)));
+    public void crash() {
+      running = false;
+      incarnation++;
+      openAttempts.clear();
+      pendingEvents.clear();
+      roundScheduled = false;
+      syntheticRequests.clear();
+      List<ClientRequest> interrupted = List.copyOf(clientRequests.values());
+      clientRequests.clear();
+      interrupted.forEach(request -> retryLater(request, DEFAULT_RETRY_MILLIS * NANOS_PER_MILLI));
+    }
+
+    private void retryLater(ClientRequest request, long delayNanos) {
+      if (scheduler.nowNanos() + delayNanos
+          < request.startedAtNanos + REQUEST_TIMEOUT_NANOS - 100 * NANOS_PER_MILLI) {
+        scheduler.schedule(
+            scheduler.nowNanos() + delayNanos,
+            () ->
+                requestArrived(
+                    new ClientRequest(request.key, request.startedAtNanos, request.retries + 1)));
       }
     }
 
-    void member(RoutingEventHandler to, Cache cache, EndpointState state, long startedAt) {
+    void listEndpoint(
+        RoutingEventHandler events,
+        SimulatedCache cache,
+        EndpointState state,
+        long startedAtNanos) {
       String address = "10.0.0." + cache.index + ":90";
-      to.endpointListed(
+      events.endpointListed(
           new EndpointDescription(
-              cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt));
-    }
-
-    void tell(Consumer<RoutingEventHandler> event) {
-      if (!up) {
+              cache.index,
+              address,
+              LabSettings.ZONE,
+              cache.kind,
+              0,
+              state,
+              cache.capacity,
+              startedAtNanos));
+    }
+
+    void enqueue(Consumer<RoutingEventHandler> event) {
+      if (!running) {
         return;
       }
-      came.add(event);
-      if (!due) {
-        due = true;
-        later(
+      pendingEvents.add(event);
+      if (!roundScheduled) {
+        roundScheduled = true;
+        scheduleHere(
             0,
             () -> {
-              due = false;
-              round = List.copyOf(came);
-              came.clear();
-              router.decide(agenda.now(), this, this);
+              roundScheduled = false;
+              currentRound = List.copyOf(pendingEvents);
+              pendingEvents.clear();
+              router.decide(scheduler.nowNanos(), this, this);
             });
       }
     }
 
     /** Something of this life. */
-    private void later(long wait, Runnable what) {
-      long of = life;
-      agenda.at(
-          agenda.now() + wait,
+    private void scheduleHere(long delayNanos, Runnable task) {
+      long scheduledIn = incarnation;
+      scheduler.schedule(
+          scheduler.nowNanos() + delayNanos,
           () -> {
-            if (life == of) {
-              what.run();
+            if (incarnation == scheduledIn) {
+              task.run();
             }
           });
     }
 
     @Override
-    public void replayTo(RoutingEventHandler to) {
-      round.forEach(event -> event.accept(to));
+    public void replayTo(RoutingEventHandler events) {
+      currentRound.forEach(event -> event.accept(events));
     }
 
-    private void asks() {
-      agenda.at(
-          agenda.now() + (long) (-Math.log(1 - chance.nextDouble()) / (RATE * share) * SECOND),
+    private void scheduleArrivals() {
+      scheduler.schedule(
+          scheduler.nowNanos()
+              + (long)
+                  (-Math.log(1 - random.nextDouble())
+                      / (REQUESTS_PER_SECOND * trafficShare)
+                      * NANOS_PER_SECOND),
           () -> {
-            if (agenda.now() < START + end - 3 * SECOND) {
-              double at = chance.nextDouble() * popular[OBJECTS - 1];
-              int found = Arrays.binarySearch(popular, at);
-              long object = 1L + (found < 0 ? -found - 1 : found);
-              ask(new Viewer(object * FIRST_PARTS + chance.nextInt(FIRST_PARTS), agenda.now(), 0));
-              asks();
+            if (scheduler.nowNanos() < EPOCH_NANOS + endNanos - 3 * NANOS_PER_SECOND) {
+              double drawn = random.nextDouble() * cumulativePopularity[OBJECTS - 1];
+              int index = Arrays.binarySearch(cumulativePopularity, drawn);
+              long object = 1L + (index < 0 ? -index - 1 : index);
+              requestArrived(
+                  new ClientRequest(
+                      object * PARTS_PER_OBJECT + random.nextInt(PARTS_PER_OBJECT),
+                      scheduler.nowNanos(),
+                      0));
+              scheduleArrivals();
             }
           });
     }
 
-    private void ask(Viewer viewer) {
-      if (viewer.tries == 0) {
-        count("asked", viewer.began);
+    private void requestArrived(ClientRequest request) {
+      if (request.retries == 0) {
+        countAt("asked", request.startedAtNanos);
       }
-      if (!up) {
-        again(viewer, NO_HINT_MS * MS);
+      if (!running) {
+        retryLater(request, DEFAULT_RETRY_MILLIS * NANOS_PER_MILLI);
         return;
       }
-      long object = viewer.key / FIRST_PARTS;
-      int part = (int) (viewer.key % FIRST_PARTS);
-      if (agenda.now() < openAt || !opening.tryAdmit(agenda.now(), part > 0)) {
-        count("turned_away", agenda.now());
-        again(viewer, agenda.now() < openAt ? NO_HINT_MS * MS : opening.retryAfterNanos(part > 0));
+      long object = request.key / PARTS_PER_OBJECT;
+      int part = (int) (request.key % PARTS_PER_OBJECT);
+      if (scheduler.nowNanos() < opensAtNanos
+          || !recoveryRamp.tryAdmit(scheduler.nowNanos(), part > 0)) {
+        countAt("turned_away", scheduler.nowNanos());
+        retryLater(
+            request,
+            scheduler.nowNanos() < opensAtNanos
+                ? DEFAULT_RETRY_MILLIS * NANOS_PER_MILLI
+                : recoveryRamp.retryAfterNanos(part > 0));
         return;
       }
-      long id = ++ids;
-      viewers.put(id, viewer);
-      recent.add(new Asked(object, part), new Asked(object, part));
-      keys.put(id, viewer.key);
-      tell(
-          to ->
-              to.requestReceived(
+      long id = ++lastRequestId;
+      clientRequests.put(id, request);
+      recentObjects.add(new RecentObject(object, part), new RecentObject(object, part));
+      keysByRequest.put(id, request.key);
+      enqueue(
+          events ->
+              events.requestReceived(
                   new RequestDetails(
-                      id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false)));
-      agenda.at(
-          viewer.began + LIMIT,
+                      id,
+                      0,
+                      object,
+                      0,
+                      part,
+                      request.startedAtNanos + REQUEST_TIMEOUT_NANOS - scheduler.nowNanos(),
+                      REQUEST_KILOBYTES,
+                      false)));
+      scheduler.schedule(
+          request.startedAtNanos + REQUEST_TIMEOUT_NANOS,
           () -> {
-            if (viewers.remove(id) != null) {
-              tell(to -> to.clientDisconnected(id));
+            if (clientRequests.remove(id) != null) {
+              enqueue(events -> events.clientDisconnected(id));
             }
           });
     }
@@ -573,97 +650,114 @@
 
     @Override
     public void sendAttempt(AttemptCommand command) {
-      int copy = copies.merge(command.requestId(), 1, Integer::sum) - 1;
-      Wanted wanted =
-          new Wanted(
+      int attempt = attemptsByRequest.merge(command.requestId(), 1, Integer::sum) - 1;
+      CacheRequest request =
+          new CacheRequest(
               this,
               command.requestId(),
-              copy,
-              keys.get(command.requestId()),
+              attempt,
+              keysByRequest.get(command.requestId()),
               (command.options() & AttemptCommand.CACHED_ONLY) != 0,
               command.rank() > 0,
               caches.get(command.source()),
-              own.containsKey(command.requestId()));
-      open.add(command.requestId() + "/" + copy);
-      agenda.at(
-          agenda.now() + MS + chance.nextLong(MS),
-          () -> caches.get(command.endpoint()).want(wanted));
-      agenda.at(
+              syntheticRequests.containsKey(command.requestId()));
+      openAttempts.add(command.requestId() + "/" + attempt);
+      scheduler.schedule(
+          scheduler.nowNanos() + NANOS_PER_MILLI + random.nextLong(NANOS_PER_MILLI),
+          () -> caches.get(command.endpoint()).requestReceived(request));
+      scheduler.schedule(
           command.deadlineNanos(),
-          () -> end(wanted, command.endpoint(), AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
+          () ->
+              endAttempt(
+                  request, command.endpoint(), AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
     }
 
-    void back(Wanted wanted, AttemptOutcome outcome, ResponseDetail note) {
-      agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> end(wanted, -1, outcome, note));
+    void attemptAnswered(CacheRequest request, AttemptOutcome outcome, ResponseDetail detail) {
+      scheduler.schedule(
+          scheduler.nowNanos() + NANOS_PER_MILLI + random.nextLong(NANOS_PER_MILLI),
+          () -> endAttempt(request, -1, outcome, detail));
     }
 
-    private void end(Wanted wanted, int cache, AttemptOutcome outcome, ResponseDetail note) {
-      if (!open.remove(wanted.get + "/" + wanted.copy)) {
+    private void endAttempt(
+        CacheRequest request, int cache, AttemptOutcome outcome, ResponseDetail detail) {
+      if (!openAttempts.remove(request.requestId + "/" + request.attempt)) {
         return;
       }
       boolean returned = outcome == AttemptOutcome.SUCCEEDED;
-      Viewer viewer = returned ? viewers.remove(wanted.get) : null;
-      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends =
-          returned || outcome == AttemptOutcome.NOT_CACHED ? own.remove(wanted.get) : null;
-      if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
-        count("good", viewer.began);
+      ClientRequest answered = returned ? clientRequests.remove(request.requestId) : null;
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> completion =
+          returned || outcome == AttemptOutcome.NOT_CACHED
+              ? syntheticRequests.remove(request.requestId)
+              : null;
+      if (answered != null
+          && scheduler.nowNanos() - answered.startedAtNanos <= LATENCY_OBJECTIVE_NANOS) {
+        countAt("good", answered.startedAtNanos);
       }
-      if (viewer != null) {
-        opening.requestSucceeded();
+      if (answered != null) {
+        recoveryRamp.requestSucceeded();
       }
-      if (ends != null) {
-        ends.accept(HealthCheckCoordinator.HealthCheckOutcome.ANSWERED);
+      if (completion != null) {
+        completion.accept(HealthCheckCoordinator.HealthCheckOutcome.ANSWERED);
       }
-      long took = LIMIT; // The decisions look at it for what was returned alone.
-      tell(
-          to ->
-              to.attemptEnded(
+      long durationNanos =
+          REQUEST_TIMEOUT_NANOS; // The decisions look at it for what was returned alone.
+      enqueue(
+          events ->
+              events.attemptEnded(
                   new AttemptResult(
-                      wanted.get,
-                      wanted.copy,
+                      request.requestId,
+                      request.attempt,
                       cache,
                       outcome,
-                      returned ? (long) (WORK * SECOND) : took,
+                      returned ? (long) (WORK_SECONDS * NANOS_PER_SECOND) : durationNanos,
                       returned
-                          || (!viewers.containsKey(wanted.get) && !own.containsKey(wanted.get)),
-                      note)));
+                          || (!clientRequests.containsKey(request.requestId)
+                              && !syntheticRequests.containsKey(request.requestId)),
+                      detail)));
     }
 
     @Override
-    public void reject(long get, long wait) {
-      Viewer viewer = viewers.remove(get);
-      if (viewer != null) {
-        count("shed", agenda.now());
-        again(viewer, wait > 0 ? wait : NO_HINT_MS * MS);
+    public void reject(long requestId, long delayNanos) {
+      ClientRequest request = clientRequests.remove(requestId);
+      if (request != null) {
+        countAt("shed", scheduler.nowNanos());
+        retryLater(request, delayNanos > 0 ? delayNanos : DEFAULT_RETRY_MILLIS * NANOS_PER_MILLI);
       }
-      fail(get);
+      fail(requestId);
     }
 
     @Override
-    public void fail(long get) {
-      viewers.remove(get);
-      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends = own.remove(get);
-      if (ends != null) {
-        ends.accept(
-            copies.containsKey(get)
+    public void fail(long requestId) {
+      clientRequests.remove(requestId);
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> completion =
+          syntheticRequests.remove(requestId);
+      if (completion != null) {
+        completion.accept(
+            attemptsByRequest.containsKey(requestId)
                 ? HealthCheckCoordinator.HealthCheckOutcome.SILENT
                 : HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
       }
     }
 
     @Override
-    public void cancelAttempt(long get, int copy) {
-      open.remove(get + "/" + copy);
-      tell(
-          to ->
-              to.attemptEnded(
+    public void cancelAttempt(long requestId, int attempt) {
+      openAttempts.remove(requestId + "/" + attempt);
+      enqueue(
+          events ->
+              events.attemptEnded(
                   new AttemptResult(
-                      get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE)));
+                      requestId,
+                      attempt,
+                      0,
+                      AttemptOutcome.CANCELLED,
+                      0,
+                      true,
+                      ResponseDetail.NONE)));
     }
 
     @Override
-    public void scheduleTimer(long delay, String handle) {
-      later(delay, () -> tell(to -> to.timerFired(handle)));
+    public void scheduleTimer(long delayNanos, String timerHandle) {
+      scheduleHere(delayNanos, () -> enqueue(events -> events.timerFired(timerHandle)));
     }
 
     @Override
@@ -671,142 +765,170 @@
 
     // ---- What is done for the fleet, by gateway 0.
 
-    private boolean owns(boolean task) {
+    private boolean leads(boolean task) {
       return task && index == 0;
     }
 
     @Override
-    public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
+    public void endpointHealthChanged(int cache, EndpointHealthStatus status) {
       String name = Integer.toString(cache);
-      String owner =
-          health == EndpointHealthStatus.RESPONSIVE
-              ? trials.endpointResponded(agenda.now(), name)
+      String recipient =
+          status == EndpointHealthStatus.RESPONSIVE
+              ? healthChecks.endpointResponded(scheduler.nowNanos(), name)
               : "";
-      if (!owner.isEmpty()) {
-        post(
-            Integer.parseInt(owner),
-            to -> to.trials.endpointsResponsive(agenda.now(), List.of(name)));
+      if (!recipient.isEmpty()) {
+        sendToPeer(
+            Integer.parseInt(recipient),
+            events -> events.healthChecks.endpointsResponsive(scheduler.nowNanos(), List.of(name)));
       }
-      trials.healthChanged(agenda.now(), name, health != EndpointHealthStatus.SUSPECT);
+      healthChecks.healthChanged(
+          scheduler.nowNanos(), name, status != EndpointHealthStatus.SUSPECT);
     }
 
     @Override
-    public void endpointWarmingUp(int cache, long until) {
-      ahead.endpointWarmingUp(agenda.now(), Integer.toString(cache), until);
+    public void endpointWarmingUp(int cache, long untilNanos) {
+      prefetch.endpointWarmingUp(scheduler.nowNanos(), Integer.toString(cache), untilNanos);
     }
 
     private void tick() {
-      long now = agenda.now();
-      if (plan.probe()) {
-        HealthCheckCoordinator.ReportRequest ask =
-            trials.nextReportRequest(
-                now,
+      long nowNanos = scheduler.nowNanos();
+      if (plan.healthChecks()) {
+        HealthCheckCoordinator.ReportRequest reportRequest =
+            healthChecks.nextReportRequest(
+                nowNanos,
                 gateways.size(),
                 () ->
                     gateways.stream()
-                        .filter(one -> one != this)
-                        .map(one -> Integer.toString(one.index))
+                        .filter(peer -> peer != this)
+                        .map(peer -> Integer.toString(peer.index))
                         .toList(),
-                owns(true));
-        if (ask != null) {
-          post(Integer.parseInt(ask.recipient()), to -> to.asked(this, ask));
+                leads(true));
+        if (reportRequest != null) {
+          sendToPeer(
+              Integer.parseInt(reportRequest.recipient()),
+              events -> events.reportRequested(this, reportRequest));
         }
-        if (owns(true)) {
-          attempt();
-          Map<String, HealthCheckCoordinator.HealthReport> news = trials.broadcastReport(now);
-          if (!news.isEmpty()) {
-            List<String> there = gateways.stream().map(one -> Integer.toString(one.index)).toList();
-            trials
-                .broadcastRecipients(now, there)
-                .forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
+        if (leads(true)) {
+          startHealthChecks();
+          Map<String, HealthCheckCoordinator.HealthReport> report =
+              healthChecks.broadcastReport(nowNanos);
+          if (!report.isEmpty()) {
+            List<String> recipients =
+                gateways.stream().map(peer -> Integer.toString(peer.index)).toList();
+            healthChecks
+                .broadcastRecipients(nowNanos, recipients)
+                .forEach(
+                    peer ->
+                        sendToPeer(
+                            Integer.parseInt(peer), events -> events.reportReceived(0, report)));
           }
         }
-        trust();
+        updateCentralized();
       }
-      if (owns(plan.warm())) {
-        ahead.tick();
-        fill();
+      if (leads(plan.prefetch())) {
+        prefetch.tick();
+        startPrefetch();
       }
-      opening.tick(now);
-      later(100 * MS, this::tick);
+      recoveryRamp.tick(nowNanos);
+      scheduleHere(100 * NANOS_PER_MILLI, this::tick);
     }
 
-    private void post(int to, Consumer<One> letter) {
-      agenda.at(agenda.now() + MS + chance.nextLong(4 * MS), () -> letter.accept(gateways.get(to)));
+    private void sendToPeer(int events, Consumer<SimulatedGateway> delivery) {
+      scheduler.schedule(
+          scheduler.nowNanos() + NANOS_PER_MILLI + random.nextLong(4 * NANOS_PER_MILLI),
+          () -> delivery.accept(gateways.get(events)));
     }
 
-    private void trust() {
-      boolean another = trials.isCentralized(agenda.now(), owns(true));
-      if (another != forAll) {
-        forAll = another;
-        tell(to -> to.healthChecksDelegated(another));
+    private void updateCentralized() {
+      boolean centralizedNow = healthChecks.isCentralized(scheduler.nowNanos(), leads(true));
+      if (centralizedNow != centralized) {
+        centralized = centralizedNow;
+        enqueue(events -> events.healthChecksDelegated(centralizedNow));
       }
     }
 
-    private void asked(One by, HealthCheckCoordinator.ReportRequest ask) {
-      if (owns(plan.probe())) {
-        Map<String, HealthCheckCoordinator.HealthReport> said =
-            trials.reportRequested(agenda.now(), Integer.toString(by.index), ask.endpoints());
-        attempt();
-        post(by.index, to -> to.word(ask.requestedAtNanos(), said));
+    private void reportRequested(
+        SimulatedGateway requester, HealthCheckCoordinator.ReportRequest reportRequest) {
+      if (leads(plan.healthChecks())) {
+        Map<String, HealthCheckCoordinator.HealthReport> report =
+            healthChecks.reportRequested(
+                scheduler.nowNanos(), Integer.toString(requester.index), reportRequest.endpoints());
+        startHealthChecks();
+        sendToPeer(
+            requester.index,
+            events -> events.reportReceived(reportRequest.requestedAtNanos(), report));
       }
     }
 
-    private void word(long stamp, Map<String, HealthCheckCoordinator.HealthReport> said) {
-      Map<String, HealthCheckCoordinator.HealthReport> taken =
-          trials.reportReceived(agenda.now(), "0", 1, stamp, said);
-      trust();
-      taken.forEach(
-          (cache, one) ->
-              tell(
-                  to ->
-                      to.healthReported(Integer.parseInt(cache), one.responded(), one.ageNanos())));
-    }
-
-    private void attempt() {
-      for (String cache : trials.dueHealthChecks(agenda.now())) {
-        Asked like = recent.latest();
-        own(
-            like,
+    private void reportReceived(
+        long requestedAtNanos, Map<String, HealthCheckCoordinator.HealthReport> report) {
+      Map<String, HealthCheckCoordinator.HealthReport> accepted =
+          healthChecks.reportReceived(scheduler.nowNanos(), "0", 1, requestedAtNanos, report);
+      updateCentralized();
+      accepted.forEach(
+          (cache, peer) ->
+              enqueue(
+                  events ->
+                      events.healthReported(
+                          Integer.parseInt(cache), peer.responded(), peer.ageNanos())));
+    }
+
+    private void startHealthChecks() {
+      for (String cache : healthChecks.dueHealthChecks(scheduler.nowNanos())) {
+        RecentObject recentObject = recentObjects.latest();
+        startSynthetic(
+            recentObject,
             Integer.parseInt(cache),
-            end -> trials.healthCheckEnded(agenda.now(), cache, end));
+            result -> healthChecks.healthCheckEnded(scheduler.nowNanos(), cache, result));
       }
     }
 
-    private void fill() {
-      while (ahead.tryStartRequest(agenda.now())) {
-        Asked like = recent.nextInPass();
-        if (like == null) {
-          recent.startPass();
-          ahead.passEnded(agenda.now());
+    private void startPrefetch() {
+      while (prefetch.tryStartRequest(scheduler.nowNanos())) {
+        RecentObject recentObject = recentObjects.nextInPass();
+        if (recentObject == null) {
+          recentObjects.startPass();
+          prefetch.passEnded(scheduler.nowNanos());
           return;
         }
-        own(
-            like,
+        startSynthetic(
+            recentObject,
             -1,
-            end -> {
-              ahead.requestEnded();
-              fill();
+            result -> {
+              prefetch.requestEnded();
+              startPrefetch();
             });
       }
     }
 
-    private void own(
-        Asked like, int cache, Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends) {
-      long id = ++ids;
-      own.put(id, ends);
-      keys.put(id, like.object * FIRST_PARTS + like.part);
-      tell(
-          to ->
-              to.syntheticRequestReceived(
-                  new RequestDetails(id, 0, like.object, 0, like.part, ACT, KB, false), cache));
-      agenda.at(
-          agenda.now() + ACT,
+    private void startSynthetic(
+        RecentObject recentObject,
+        int cache,
+        Consumer<HealthCheckCoordinator.HealthCheckOutcome> completion) {
+      long id = ++lastRequestId;
+      syntheticRequests.put(id, completion);
+      keysByRequest.put(id, recentObject.object * PARTS_PER_OBJECT + recentObject.part);
+      enqueue(
+          events ->
+              events.syntheticRequestReceived(
+                  new RequestDetails(
+                      id,
+                      0,
+                      recentObject.object,
+                      0,
+                      recentObject.part,
+                      SYNTHETIC_TIMEOUT_NANOS,
+                      REQUEST_KILOBYTES,
+                      false),
+                  cache));
+      scheduler.schedule(
+          scheduler.nowNanos() + SYNTHETIC_TIMEOUT_NANOS,
           () -> {
-            Consumer<HealthCheckCoordinator.HealthCheckOutcome> late = own.remove(id);
-            if (late != null) {
-              late.accept(HealthCheckCoordinator.HealthCheckOutcome.SILENT);
-              tell(to -> to.clientDisconnected(id));
+            Consumer<HealthCheckCoordinator.HealthCheckOutcome> overdue =
+                syntheticRequests.remove(id);
+            if (overdue != null) {
+              overdue.accept(HealthCheckCoordinator.HealthCheckOutcome.SILENT);
+              enqueue(events -> events.clientDisconnected(id));
             }
           });
     }
--- a/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualProcess.java
@@ -8,40 +8,42 @@
  * meant for an earlier life never does.
  */
 public abstract class VirtualProcess {
-  private static final long MS = 1_000_000, OFF = 300 * MS;
-  private static final double DRIFT = 0.9e-3;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long MAX_CLOCK_OFFSET_NANOS = 300 * NANOS_PER_MILLI;
+  private static final double MAX_CLOCK_DRIFT = 0.9e-3;
 
-  protected final long offset;
-  protected final double speed;
-  public boolean up;
-  public long frozenUntil, life;
-  private final VirtualScheduler agenda;
-  private final long start;
+  protected final long clockOffsetNanos;
+  protected final double clockRate;
+  public boolean running;
+  public long pausedUntilNanos;
+  public long incarnation;
+  private final VirtualScheduler scheduler;
+  private final long epochNanos;
 
   /** One that does not run yet, with a clock by chance. */
-  protected VirtualProcess(VirtualScheduler agenda, long start, SplittableRandom chance) {
-    this.agenda = agenda;
-    this.start = start;
-    offset = chance.nextLong(-OFF, OFF);
-    speed = 1 + (chance.nextDouble() - 0.5) * 2 * DRIFT;
+  protected VirtualProcess(VirtualScheduler agenda, long epochNanos, SplittableRandom chance) {
+    this.scheduler = agenda;
+    this.epochNanos = epochNanos;
+    clockOffsetNanos = chance.nextLong(-MAX_CLOCK_OFFSET_NANOS, MAX_CLOCK_OFFSET_NANOS);
+    clockRate = 1 + (chance.nextDouble() - 0.5) * 2 * MAX_CLOCK_DRIFT;
   }
 
   /** Its own clock. */
-  public final long clock() {
-    return start + offset + (long) ((agenda.now() - start) * speed);
+  public final long localNanos() {
+    return epochNanos + clockOffsetNanos + (long) ((scheduler.nowNanos() - epochNanos) * clockRate);
   }
 
   /** Runs something of this life at a time, or when it wakes. */
-  public final void at(long time, Runnable what) {
-    long of = life;
-    agenda.at(
-        time,
+  public final void schedule(long timeNanos, Runnable task) {
+    long scheduledIn = incarnation;
+    scheduler.schedule(
+        timeNanos,
         () -> {
-          if (up && life == of) {
-            if (agenda.now() < frozenUntil) {
-              at(frozenUntil, what);
+          if (running && incarnation == scheduledIn) {
+            if (scheduler.nowNanos() < pausedUntilNanos) {
+              schedule(pausedUntilNanos, task);
             } else {
-              what.run();
+              task.run();
             }
           }
         });
--- a/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
@@ -7,40 +7,41 @@
  * coming.
  */
 public final class VirtualScheduler {
-  private record Entry(long at, long order, Runnable what) implements Comparable<Entry> {
+  private record Entry(long timeNanos, long sequence, Runnable task) implements Comparable<Entry> {
     @Override
     public int compareTo(Entry other) {
-      int byTime = Long.compare(at, other.at);
-      return byTime != 0 ? byTime : Long.compare(order, other.order);
+      int byTime = Long.compare(timeNanos, other.timeNanos);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   private final PriorityQueue<Entry> entries = new PriorityQueue<>();
-  private long now, order;
+  private long nowNanos;
+  private long nextSequence;
 
   /** Begins at a time. */
-  public VirtualScheduler(long start) {
-    now = start;
+  public VirtualScheduler(long epochNanos) {
+    nowNanos = epochNanos;
   }
 
-  public long now() {
-    return now;
+  public long nowNanos() {
+    return nowNanos;
   }
 
   /** Plays something at a time; at once where that is past. */
-  public void at(long time, Runnable what) {
-    entries.add(new Entry(Math.max(now, time), order++, what));
+  public void schedule(long timeNanos, Runnable task) {
+    entries.add(new Entry(Math.max(nowNanos, timeNanos), nextSequence++, task));
   }
 
   /** Plays the next entry; false once none is due before the end. */
-  public boolean step(long end) {
-    if (entries.isEmpty() || entries.peek().at > end) {
-      now = end;
+  public boolean runNext(long endNanos) {
+    if (entries.isEmpty() || entries.peek().timeNanos > endNanos) {
+      nowNanos = endNanos;
       return false;
     }
     Entry next = entries.poll();
-    now = next.at;
-    next.what.run();
+    nowNanos = next.timeNanos;
+    next.task.run();
     return true;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -42,8 +42,8 @@
             .figure("sockets", plan.sockets())
             .figure("seconds", plan.seconds());
     GatewayUsage usual = measure(plan, plan.endpoints(), "usual", result, out);
-    GatewayUsage many = measure(plan, plan.endpoints() * plan.times(), "many", result, out);
-    UsageBounds.compare(usual, many, result);
+    GatewayUsage scaled = measure(plan, plan.endpoints() * plan.times(), "many", result, out);
+    UsageBounds.compare(usual, scaled, result);
     return result;
   }
 
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -97,8 +97,8 @@
     listen();
   }
 
-  private <T> T onLoop(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+  private <T> T onLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
   private void listen() throws Exception {
@@ -114,7 +114,8 @@
     onLoop(
         () -> {
           List<String> ids = caches.keySet().stream().sorted().toList();
-          journal.hosts(true, ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
+          journal.announceCaches(
+              true, ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
           ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
           shuffle();
           return null;
@@ -142,8 +143,8 @@
                 origin ? ORIGIN_MILLIS : HIT_MILLIS,
                 origin ? 0 : FILL_MILLIS,
                 caches::get)
-            .telling(auditor::wanted)
-            .at(LOOPBACK);
+            .withListener(auditor::requestReceived)
+            .listeningAt(LOOPBACK);
     caches.put(id, cache);
     return cache.listen();
   }
@@ -194,7 +195,7 @@
                     cpuSeconds,
                     peakMemory,
                     usage.peakDescriptors(),
-                    caches.values().stream().mapToLong(StandInCache::connections).sum(),
+                    caches.values().stream().mapToLong(StandInCache::connectionCount).sum(),
                     journal.bytesSent() - bytesAtStart,
                     shareServed()));
     finish();
@@ -216,7 +217,7 @@
             "\"limits\":{\"sockets\":"
                 + plan.sockets()
                 + "},\"known\":"
-                + onLoop(journal::known)
+                + onLoop(journal::allEvents)
                 + ","));
     gateway =
         new GatewayProcess(
@@ -225,7 +226,7 @@
             Map.of("PROXY_CONFIG", config.toString()),
             log);
     usage = new ProcessUsage(gateway.processId());
-    return gateway.clients().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    return gateway.clientPort().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
   private void startClients(int port) throws Exception {
@@ -234,15 +235,19 @@
             () -> {
               List<Future<?>> connecting = new ArrayList<>();
               for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
-                LoadGenerator tills =
+                LoadGenerator loadGenerator =
                     new LoadGenerator(
-                            vertx, service, ALLOW_MILLIS, random.nextLong(), auditor::returned)
-                        .spread(OBJECTS, ZIPF_EXPONENT);
-                clients.add(tills);
+                            vertx,
+                            service,
+                            ALLOW_MILLIS,
+                            random.nextLong(),
+                            auditor::responseReceived)
+                        .withZipfPopularity(OBJECTS, ZIPF_EXPONENT);
+                clients.add(loadGenerator);
                 boolean orders = service.equals(LabSettings.ORDERS);
                 int rate =
                     Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
-                connecting.add(tills.start(port, CLIENT_CONNECTIONS, rate));
+                connecting.add(loadGenerator.start(port, CLIENT_CONNECTIONS, rate));
               }
               return Future.all(connecting);
             }));
@@ -259,59 +264,66 @@
         firstMillis,
         STEP_MILLIS,
         tick -> {
-          for (int one = 0; one < atOnce && !toReplace.isEmpty(); one++) {
+          for (int generator = 0; generator < atOnce && !toReplace.isEmpty(); generator++) {
             replace(toReplace.remove());
           }
         });
   }
 
-  private void replace(String old) {
-    String fresh = newId(old.startsWith("h"));
-    open(fresh)
+  private void replace(String oldId) {
+    String newId = newId(oldId.startsWith("h"));
+    open(newId)
         .onSuccess(
-            up -> {
+            ignored -> {
               long now = System.currentTimeMillis();
-              tell(instance(fresh, EndpointState.UP, now));
-              auditor.startedCold(fresh, weight);
-              tell(instance(old, EndpointState.DRAINING, 0));
-              auditor.drained(old);
+              tell(instance(newId, EndpointState.UP, now));
+              auditor.cacheStartedCold(newId, weight);
+              tell(instance(oldId, EndpointState.DRAINING, 0));
+              auditor.cacheDrained(oldId);
               vertx.setTimer(
                   DRAIN_MILLIS,
-                  over -> {
-                    tell(instance(old, EndpointState.GONE, 0));
-                    caches.get(old).close();
+                  timer -> {
+                    tell(instance(oldId, EndpointState.GONE, 0));
+                    caches.get(oldId).close();
                   });
             });
   }
 
   /** Each change is an event of its own. */
   private void tell(Instance changed) {
-    journal.hosts(false, List.of(changed));
+    journal.announceCaches(false, List.of(changed));
   }
 
   // ---- What came of it.
 
-  private long ended(LoadGenerator.End how) {
-    return clients.stream().mapToLong(one -> one.ended(how)).sum();
+  private long countOf(LoadGenerator.Outcome outcome) {
+    return clients.stream().mapToLong(generator -> generator.countOf(outcome)).sum();
   }
 
   private double shareServed() {
-    long all = clients.stream().mapToLong(one -> one.unsent() + one.open()).sum();
-    for (LoadGenerator.End end : LoadGenerator.End.values()) {
-      long many = ended(end);
-      details.put(end.name().toLowerCase(Locale.ROOT), many);
-      all += end == LoadGenerator.End.TWICE ? 0 : many;
+    long all =
+        clients.stream()
+            .mapToLong(generator -> generator.notSent() + generator.pendingCount())
+            .sum();
+    for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+      long count = countOf(outcome);
+      details.put(outcome.name().toLowerCase(Locale.ROOT), count);
+      all += outcome == LoadGenerator.Outcome.TWICE ? 0 : count;
     }
     details.put("left_to_replace", toReplace.size());
-    details.put("hits", caches.values().stream().mapToLong(StandInCache::hits).sum());
-    details.put("caches_asked", caches.values().stream().filter(one -> one.wants() > 0).count());
-    return all == 0 ? 0 : UsageBounds.rounded((double) ended(LoadGenerator.End.RETURNED) / all);
+    details.put("hits", caches.values().stream().mapToLong(StandInCache::hitCount).sum());
+    details.put(
+        "caches_asked",
+        caches.values().stream().filter(generator -> generator.requestCount() > 0).count());
+    return all == 0
+        ? 0
+        : UsageBounds.rounded((double) countOf(LoadGenerator.Outcome.RETURNED) / all);
   }
 
   private void finish() throws Exception {
-    gateway.term();
-    details.put("exit_code", gateway.ended());
-    details.put("failures_in_log", gateway.severe());
+    gateway.terminate();
+    details.put("exit_code", gateway.awaitExit());
+    details.put("failures_in_log", gateway.severeLines());
     details.putAll(onLoop(auditor::figures));
   }
 
@@ -320,11 +332,11 @@
   }
 
   List<String> violations() throws Exception {
-    return onLoop(() -> List.copyOf(auditor.wrongs()));
+    return onLoop(() -> List.copyOf(auditor.violations()));
   }
 
   long lostOrTwice() throws Exception {
-    return onLoop(() -> ended(LoadGenerator.End.LOST) + ended(LoadGenerator.End.TWICE));
+    return onLoop(() -> countOf(LoadGenerator.Outcome.LOST) + countOf(LoadGenerator.Outcome.TWICE));
   }
 
   private void killGateway() {
@@ -336,8 +348,8 @@
   @Override
   public void close() throws Exception {
     if (gateway != null && gateway.isAlive()) {
-      gateway.term();
-      gateway.ended();
+      gateway.terminate();
+      gateway.awaitExit();
     }
     Runtime.getRuntime().removeShutdownHook(onExit);
     EventLoopWaiter.await(vertx.close());
--- a/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
@@ -49,7 +49,7 @@
     List<String> lines = Files.readAllLines(file("status"));
     String line =
         lines.stream()
-            .filter(one -> one.startsWith(PEAK_MEMORY))
+            .filter(each -> each.startsWith(PEAK_MEMORY))
             .findFirst()
             .orElseThrow(() -> new IOException("no " + PEAK_MEMORY + " of process " + processId));
     return UsageBounds.rounded(Long.parseLong(line.replaceAll("\\D", "")) / KILOBYTES_PER_MEGABYTE);
--- a/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -23,41 +23,41 @@
   private UsageBounds() {}
 
   /** Adds a bar for each row of the table, with the bound that it came to. */
-  public static void compare(GatewayUsage usual, GatewayUsage many, ExperimentReport result) {
-    double thousands = many.endpoints() / 1000.0;
+  public static void compare(GatewayUsage usual, GatewayUsage scaled, ExperimentReport result) {
+    double thousands = scaled.endpoints() / 1000.0;
     atMost(
         result,
         "cpu_s",
-        many.cpuSeconds(),
+        scaled.cpuSeconds(),
         CPU_TIMES * usual.cpuSeconds() + CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * thousands);
     atMost(
         result,
         "peak_memory_mb",
-        many.peakMemoryMegabytes(),
+        scaled.peakMemoryMegabytes(),
         MEMORY_TIMES * usual.peakMemoryMegabytes()
             + MEMORY_MEGABYTES
             + MEMORY_MEGABYTES_PER_THOUSAND * thousands);
     atMost(
         result,
         "peak_descriptors",
-        many.peakDescriptors(),
+        scaled.peakDescriptors(),
         DESCRIPTOR_TIMES * usual.peakDescriptors() + DESCRIPTORS);
     atMost(
         result,
         "cache_connections",
-        (double) many.cacheConnections(),
+        (double) scaled.cacheConnections(),
         CONNECTION_TIMES * usual.cacheConnections() + CONNECTIONS);
     atMost(
         result,
         "discovery_bytes",
-        (double) many.discoveryBytes(),
+        (double) scaled.discoveryBytes(),
         DISCOVERY_TIMES * usual.discoveryBytes()
             + DISCOVERY_BYTES
             + DISCOVERY_BYTES_PER_THOUSAND * thousands);
     double leastServed = SERVED_TIMES * usual.shareServed();
     result
         .figure("least_share_served", rounded(leastServed))
-        .bar("share_served", many.shareServed() >= leastServed - ROUNDING);
+        .bar("share_served", scaled.shareServed() >= leastServed - ROUNDING);
   }
 
   private static void atMost(ExperimentReport result, String name, double value, double bound) {
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipExperiment.java
@@ -23,7 +23,7 @@
 import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.registry.StandInRegistry;
 import org.amberpath.lab.registry.StandInRegistry.Endpoint;
-import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.lab.registry.StandInRegistry.EndpointBehavior;
 import org.amberpath.lab.testbed.NetworkLinks;
 import org.amberpath.lab.testbed.ProcessTestbed;
 import org.amberpath.registry.RegistryRecord;
@@ -37,142 +37,170 @@
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class LeadershipExperiment {
-  private static final long MS = 1_000_000,
-      WARM_MS = 7000,
-      WRITE_MS = 100,
-      LOOK_MS = 10,
-      CALM_MS = 14_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long WARM_UP_MILLIS = 7000;
+  private static final long PURGE_INTERVAL_MILLIS = 100;
+  private static final long OBSERVE_MILLIS = 10;
+  private static final long CALM_MILLIS = 14_000;
 
   /**
    * A lease, and two seconds more: by then a task that lost its owner has one again, if voters are
    * there.
    */
-  private static final long LEASE_MS = 3000,
-      SETTLE_MS = 600,
-      OWNED_AGAIN_MS = LEASE_MS + 2000 + SETTLE_MS;
+  private static final long LEASE_MILLIS = 3000;
 
-  private static final int RATE = 20, CACHES = 8, LEAST_TO_CHANGE = 5;
-  private static final String FIRST = "g0, g1, g2", LATER = "g2, g3, g4";
-  private static final int ENDPOINTS = 3, MOST_LINES = 20, HOUR_MS = 3_600_000;
+  private static final long SETTLE_MILLIS = 600;
+  private static final long MAX_VACANCY_MILLIS = LEASE_MILLIS + 2000 + SETTLE_MILLIS;
+
+  private static final int REQUESTS_PER_SECOND = 20;
+  private static final int EDGE_CACHES = 8;
+  private static final int MIN_GATEWAYS_TO_CHANGE_VOTERS = 5;
+  private static final String FIRST_VOTERS = "g0, g1, g2";
+  private static final String LATER_VOTERS = "g2, g3, g4";
+  private static final int ENDPOINTS = 3;
+  private static final int MAX_VIOLATIONS = 20;
+  private static final int MILLIS_PER_HOUR = 3_600_000;
   private static final String PREFIX = "amberpath/lab/";
-  private static final double UNJUDGED = 0.2;
+  private static final double MAX_UNJUDGED_SHARE = 0.2;
 
   /** What is to be tried. */
   public record Plan(long seed, int gateways, int seconds, Path folder) {}
 
-  private record Step(long atMs, String what, Work work) {}
+  private record Step(long atMillis, String description, Action action) {}
 
-  private interface Work {
+  private interface Action {
     void run() throws Exception;
   }
 
   private final Plan plan;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   private final List<Step> steps = new ArrayList<>();
-  private final Map<Long, String> owners = new TreeMap<>();
-  private final List<String> wrong = new ArrayList<>();
-  private long term, written, purges, oldestMs, calmSince, ownerlessSince, longestOwnerless;
+  private final Map<Long, String> leadersByTerm = new TreeMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private long highestTerm;
+  private long termsThatActed;
+  private long purgeCount;
+  private long oldestPurgeMillis;
+  private long calmSinceNanos;
+  private long vacantSinceNanos;
+  private long longestVacancyNanos;
 
   /** When the owner was last told to end, until the next acts; and the longest of such times. */
-  private long endedAt, longestHeir, callsAtHung;
+  private long leaderEndedNanos;
+
+  private long longestSuccessionNanos;
+  private long callsToHungCaches;
 
-  private String common;
-  private byte[] fence = new byte[0];
-  private ProcessTestbed rig;
+  private String commonSections;
+  private byte[] lastFence = new byte[0];
+  private ProcessTestbed testbed;
 
   private LeadershipExperiment(Plan plan) {
     this.plan = plan;
-    chance = new SplittableRandom(plan.seed());
+    random = new SplittableRandom(plan.seed());
   }
 
   /** Plays a timetable from the seed. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
-    return new LeadershipExperiment(plan).play(out);
+    return new LeadershipExperiment(plan).run(out);
   }
 
-  private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  private ExperimentReport play(PrintStream out) throws Exception {
+  private ExperimentReport run(PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(plan.seed()).figure("gateways", plan.gateways());
     List<String> endpoints = new ArrayList<>();
-    for (int one = 0; one < ENDPOINTS; one++) {
-      endpoints.add("127.0.0.1:" + EventLoopWaiter.await(on(() -> registry.open(0))).port());
+    for (int gateway = 0; gateway < ENDPOINTS; gateway++) {
+      endpoints.add(
+          "127.0.0.1:" + EventLoopWaiter.await(callOnLoop(() -> registry.open(0))).port());
     }
-    common =
+    commonSections =
         "[registry]\nform = etcd\nendpoints = "
             + String.join(", ", endpoints)
             + "\nprefix = "
             + PREFIX
             + "\njournal = beside\n[owner]\nlease-s = "
-            + LEASE_MS / 1000
+            + LEASE_MILLIS / 1000
             + "\nsettle-s = "
-            + SETTLE_MS / 1000.0
+            + SETTLE_MILLIS / 1000.0
             + "\nsweep = yes\nsweep-every-s = 0.2\nprobe = yes\nwarm = yes\n";
     // On one day of three the registry's leases say who owns what.
-    boolean leases = plan.seed() % 3 == 0;
-    String more = common + (leases ? "by = lease\n" : "voters = " + FIRST + "\n");
+    boolean byLease = plan.seed() % 3 == 0;
+    String sections =
+        commonSections + (byLease ? "by = lease\n" : "voters = " + FIRST_VOTERS + "\n");
     Path folder = Files.createDirectories(plan.folder().resolve("owner-" + plan.seed()));
-    try (ProcessTestbed made =
+    try (ProcessTestbed opened =
         new ProcessTestbed(
             new ProcessTestbed.Plan(
-                plan.seed(), plan.gateways(), plan.gateways(), RATE, folder, more))) {
-      rig = made;
-      rig.startAll();
-      on(() -> vertx.setPeriodic(WRITE_MS, tick -> purge()));
-      on(() -> vertx.setPeriodic(LOOK_MS, tick -> look()));
-      Thread.sleep(WARM_MS);
-      draw(out, !leases && plan.gateways() >= LEAST_TO_CHANGE);
-      long began = System.nanoTime();
+                plan.seed(),
+                plan.gateways(),
+                plan.gateways(),
+                REQUESTS_PER_SECOND,
+                folder,
+                sections))) {
+      testbed = opened;
+      testbed.startAll();
+      callOnLoop(() -> vertx.setPeriodic(PURGE_INTERVAL_MILLIS, tick -> writePurge()));
+      callOnLoop(() -> vertx.setPeriodic(OBSERVE_MILLIS, tick -> observe()));
+      Thread.sleep(WARM_UP_MILLIS);
+      drawTimetable(out, !byLease && plan.gateways() >= MIN_GATEWAYS_TO_CHANGE_VOTERS);
+      long beganNanos = System.nanoTime();
       for (Step step : steps) {
-        long wait = began / MS + step.atMs - System.nanoTime() / MS;
-        if (wait > 0) {
-          Thread.sleep(wait);
+        long waitMillis =
+            beganNanos / NANOS_PER_MILLI + step.atMillis - System.nanoTime() / NANOS_PER_MILLI;
+        if (waitMillis > 0) {
+          Thread.sleep(waitMillis);
         }
-        step.work.run();
+        step.action.run();
       }
-      on(() -> calmSince = System.nanoTime());
-      Thread.sleep(CALM_MS);
-      Map<String, Long> holders = new TreeMap<>(), done = new TreeMap<>();
-      for (int one = 0; one < plan.gateways(); one++) {
-        for (Object each : rig.page(one, "/owner").getJsonArray("tasks")) {
-          JsonObject task = (JsonObject) each;
-          holders.merge(task.getString("task"), task.getBoolean("holds") ? 1L : 0L, Long::sum);
-          done.merge(task.getString("task"), task.getLong("done"), Long::sum);
+      callOnLoop(() -> calmSinceNanos = System.nanoTime());
+      Thread.sleep(CALM_MILLIS);
+      Map<String, Long> leadersByTask = new TreeMap<>();
+      Map<String, Long> doneByTask = new TreeMap<>();
+      for (int gateway = 0; gateway < plan.gateways(); gateway++) {
+        for (Object entry : testbed.adminPage(gateway, "/owner").getJsonArray("tasks")) {
+          JsonObject task = (JsonObject) entry;
+          leadersByTask.merge(
+              task.getString("task"), task.getBoolean("holds") ? 1L : 0L, Long::sum);
+          doneByTask.merge(task.getString("task"), task.getLong("done"), Long::sum);
         }
       }
-      long left = on(() -> oldestMs);
-      Map<String, Long> ends = rig.settle();
-      ends.forEach(result::figure);
-      rig.auditor().figures().forEach(result::figure);
+      long oldestLeftMillis = callOnLoop(() -> oldestPurgeMillis);
+      Map<String, Long> outcomes = testbed.settle();
+      outcomes.forEach(result::figure);
+      testbed.auditor().figures().forEach(result::figure);
       result
           .figure("faults", steps.size() / 2)
-          .figure("owners", owners.size())
-          .figure("terms_that_acted", written)
-          .figure("by", leases ? "lease" : "votes")
-          .figure("done", new JsonObject(new LinkedHashMap<>(done)))
-          .figure("calls_at_hung_caches", callsAtHung)
-          .figure("longest_until_heir_acts_ms", longestHeir / MS)
-          .figure("purges", purges)
-          .figure("longest_unswept_in_calm_ms", longestOwnerless / MS)
-          .figure("unjudged", rig.auditor().unjudged())
-          .figure("wrong", wrong)
-          .figure("wrong_by_rules", rig.auditor().wrongs())
-          .bar("terms never fall, one term is one owner's", wrong.isEmpty())
+          .figure("owners", leadersByTerm.size())
+          .figure("terms_that_acted", termsThatActed)
+          .figure("by", byLease ? "lease" : "votes")
+          .figure("done", new JsonObject(new LinkedHashMap<>(doneByTask)))
+          .figure("calls_at_hung_caches", callsToHungCaches)
+          .figure("longest_until_heir_acts_ms", longestSuccessionNanos / NANOS_PER_MILLI)
+          .figure("purges", purgeCount)
+          .figure("longest_unswept_in_calm_ms", longestVacancyNanos / NANOS_PER_MILLI)
+          .figure("unjudged", testbed.auditor().unjudgedShare())
+          .figure("wrong", violations)
+          .figure("wrong_by_rules", testbed.auditor().violations())
+          .bar("terms never fall, one term is one owner's", violations.isEmpty())
           .bar(
               "one owner of each task in the end",
-              holders.values().stream().allMatch(one -> one == 1))
+              leadersByTask.values().stream().allMatch(gateway -> gateway == 1))
           .bar(
               "owned again within a lease and 2 s, once calm",
-              longestOwnerless / MS <= OWNED_AGAIN_MS && left < 3000)
-          .bar("rules kept", rig.auditor().wrongs().isEmpty())
-          .bar("no GET lost", ends.get("lost") == 0)
-          .bar("one answer each", ends.get("twice") == 0)
-          .bar("not void: four fifths judged", rig.auditor().unjudged() <= UNJUDGED)
-          .bar("no failure in the logs", rig.severe() == 0);
+              longestVacancyNanos / NANOS_PER_MILLI <= MAX_VACANCY_MILLIS
+                  && oldestLeftMillis < 3000)
+          .bar("rules kept", testbed.auditor().violations().isEmpty())
+          .bar("no GET lost", outcomes.get("lost") == 0)
+          .bar("one answer each", outcomes.get("twice") == 0)
+          .bar(
+              "not void: four fifths judged",
+              testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
+          .bar("no failure in the logs", testbed.severeLines() == 0);
     } finally {
       EventLoopWaiter.await(vertx.close());
     }
@@ -184,59 +212,67 @@
   /**
    * A purge that is old by any clock within an hour of this one, of an object that nobody asks for.
    */
-  private void purge() {
-    Map<String, byte[]> both = new TreeMap<>();
-    both.put(
-        PREFIX + RecordCodec.PURGES_PREFIX + ++purges,
+  private void writePurge() {
+    Map<String, byte[]> transaction = new TreeMap<>();
+    transaction.put(
+        PREFIX + RecordCodec.PURGES_PREFIX + ++purgeCount,
         RecordCodec.encode(
             new RegistryRecord.Purge(
-                0xf000_0000L + purges, 0, System.currentTimeMillis() - 3L * HOUR_MS)));
-    both.put(
-        PREFIX + RecordCodec.TIP_KEY, Long.toString(purges).getBytes(StandardCharsets.US_ASCII));
-    registry.write(both);
-    writtenAt.put(PREFIX + RecordCodec.PURGES_PREFIX + purges, System.nanoTime());
+                0xf000_0000L + purgeCount, 0, System.currentTimeMillis() - 3L * MILLIS_PER_HOUR)));
+    transaction.put(
+        PREFIX + RecordCodec.TIP_KEY,
+        Long.toString(purgeCount).getBytes(StandardCharsets.US_ASCII));
+    registry.write(transaction);
+    writtenAtNanos.put(PREFIX + RecordCodec.PURGES_PREFIX + purgeCount, System.nanoTime());
   }
 
   /** Of each purge that is still there, when it was written: bounded by the purges of one day. */
-  private final Map<String, Long> writtenAt = new HashMap<>();
+  private final Map<String, Long> writtenAtNanos = new HashMap<>();
 
-  private void wrong(String what) {
-    if (wrong.size() < MOST_LINES) {
-      wrong.add(what);
+  private void violation(String message) {
+    if (violations.size() < MAX_VIOLATIONS) {
+      violations.add(message);
     }
   }
 
-  private void look() {
-    Map<String, byte[]> now = registry.now();
-    writtenAt.keySet().removeIf(key -> !now.containsKey(key));
-    long oldest = writtenAt.values().stream().mapToLong(at -> at).min().orElse(System.nanoTime());
-    oldestMs = (System.nanoTime() - oldest) / MS;
-    byte[] value = now.getOrDefault(PREFIX + RecordCodec.TASKS_PREFIX + "sweep", fence);
-    if (!Arrays.equals(value, fence)) {
-      fence = value;
-      written++;
-      JsonObject task = new JsonObject(new String(value, StandardCharsets.UTF_8));
-      long seen = task.getLong("term");
-      String by = task.getString("by"), before = owners.putIfAbsent(seen, by);
-      if (seen < term) {
-        wrong("term " + seen + " of " + by + " after " + term);
+  private void observe() {
+    Map<String, byte[]> keys = registry.entries();
+    writtenAtNanos.keySet().removeIf(key -> !keys.containsKey(key));
+    long oldestNanos =
+        writtenAtNanos.values().stream()
+            .mapToLong(atMillis -> atMillis)
+            .min()
+            .orElse(System.nanoTime());
+    oldestPurgeMillis = (System.nanoTime() - oldestNanos) / NANOS_PER_MILLI;
+    byte[] fenceValue = keys.getOrDefault(PREFIX + RecordCodec.TASKS_PREFIX + "sweep", lastFence);
+    if (!Arrays.equals(fenceValue, lastFence)) {
+      lastFence = fenceValue;
+      termsThatActed++;
+      JsonObject task = new JsonObject(new String(fenceValue, StandardCharsets.UTF_8));
+      long seenTerm = task.getLong("term");
+      String leader = task.getString("by");
+      String previous = leadersByTerm.putIfAbsent(seenTerm, leader);
+      if (seenTerm < highestTerm) {
+        violation("term " + seenTerm + " of " + leader + " after " + highestTerm);
       }
-      if (before != null && !before.equals(by)) {
-        wrong("term " + seen + " is " + before + "'s and " + by + "'s");
+      if (previous != null && !previous.equals(leader)) {
+        violation("term " + seenTerm + " is " + previous + "'s and " + leader + "'s");
       }
-      if (seen > term && endedAt > 0) {
-        longestHeir = Math.max(longestHeir, System.nanoTime() - endedAt);
-        endedAt = 0;
+      if (seenTerm > highestTerm && leaderEndedNanos > 0) {
+        longestSuccessionNanos =
+            Math.max(longestSuccessionNanos, System.nanoTime() - leaderEndedNanos);
+        leaderEndedNanos = 0;
       }
-      term = Math.max(term, seen);
+      highestTerm = Math.max(highestTerm, seenTerm);
     }
     // Only once calm: without a majority, or with the registry away, nobody may sweep.
-    if (calmSince > 0 && oldestMs > 1000) {
-      ownerlessSince = ownerlessSince == 0 ? System.nanoTime() : ownerlessSince;
-      longestOwnerless =
-          Math.max(longestOwnerless, System.nanoTime() - Math.max(calmSince, ownerlessSince));
+    if (calmSinceNanos > 0 && oldestPurgeMillis > 1000) {
+      vacantSinceNanos = vacantSinceNanos == 0 ? System.nanoTime() : vacantSinceNanos;
+      longestVacancyNanos =
+          Math.max(
+              longestVacancyNanos, System.nanoTime() - Math.max(calmSinceNanos, vacantSinceNanos));
     } else {
-      ownerlessSince = 0;
+      vacantSinceNanos = 0;
     }
   }
 
@@ -246,131 +282,147 @@
    * Faults follow the owner of the moment in half of all cases: it is looked for when the fault
    * begins.
    */
-  private int target(int drawn, boolean owner) {
-    String by = owners.getOrDefault(term, "");
-    return owner && !by.isEmpty() ? Integer.parseInt(by.substring(1)) : drawn;
+  private int targetGateway(int drawnGateway, boolean followLeader) {
+    String leader = leadersByTerm.getOrDefault(highestTerm, "");
+    return followLeader && !leader.isEmpty() ? Integer.parseInt(leader.substring(1)) : drawnGateway;
   }
 
-  private void draw(PrintStream out, boolean change) {
-    if (change) {
-      long half = plan.seconds() * 500L;
+  private void drawTimetable(PrintStream out, boolean changeVoters) {
+    if (changeVoters) {
+      long halfMillis = plan.seconds() * 500L;
       steps.add(
           new Step(
-              half,
-              "voters: " + FIRST + ", next " + LATER,
+              halfMillis,
+              "voters: " + FIRST_VOTERS + ", next " + LATER_VOTERS,
               () ->
-                  rig.settings(common + "voters = " + FIRST + "\nnext-voters = " + LATER + "\n")));
+                  testbed.reloadAll(
+                      commonSections
+                          + "voters = "
+                          + FIRST_VOTERS
+                          + "\nnext-voters = "
+                          + LATER_VOTERS
+                          + "\n")));
       steps.add(
           new Step(
-              half + 2 * LEASE_MS,
-              "voters: " + LATER,
-              () -> rig.settings(common + "voters = " + LATER + "\n")));
+              halfMillis + 2 * LEASE_MILLIS,
+              "voters: " + LATER_VOTERS,
+              () -> testbed.reloadAll(commonSections + "voters = " + LATER_VOTERS + "\n")));
     }
-    long at = 500;
-    while (at < plan.seconds() * 1000L) {
-      int drawn = chance.nextInt(plan.gateways()), other = chance.nextInt(plan.gateways());
-      boolean owner = chance.nextBoolean();
-      long ms = chance.nextLong(500, 7000);
-      int[] which = new int[1];
-      String whom = owner ? "the owner" : "g" + drawn;
-      switch (chance.nextInt(8)) {
+    long atMillis = 500;
+    while (atMillis < plan.seconds() * 1000L) {
+      int drawnGateway = random.nextInt(plan.gateways());
+      int other = random.nextInt(plan.gateways());
+      boolean followLeader = random.nextBoolean();
+      long durationMillis = random.nextLong(500, 7000);
+      int[] affected = new int[1];
+      String targetName = followLeader ? "the owner" : "g" + drawnGateway;
+      switch (random.nextInt(8)) {
         case 0 ->
-            add(
-                at,
-                ms,
-                "kill " + whom,
+            addFault(
+                atMillis,
+                durationMillis,
+                "kill " + targetName,
                 () -> {
-                  which[0] = target(drawn, owner);
-                  rig.kill(which[0]);
+                  affected[0] = targetGateway(drawnGateway, followLeader);
+                  testbed.kill(affected[0]);
                 },
-                () -> rig.start(which[0]));
-        case 1 -> add(at, ms, "stand " + whom, () -> rig.stand(target(drawn, owner), ms), () -> {});
+                () -> testbed.start(affected[0]));
+        case 1 ->
+            addFault(
+                atMillis,
+                durationMillis,
+                "stand " + targetName,
+                () -> testbed.pause(targetGateway(drawnGateway, followLeader), durationMillis),
+                () -> {});
         case 2 ->
-            add(
-                at,
-                Math.max(ms, 3000),
-                "term " + whom,
+            addFault(
+                atMillis,
+                Math.max(durationMillis, 3000),
+                "term " + targetName,
                 () -> {
-                  which[0] = target(drawn, owner);
-                  on(
+                  affected[0] = targetGateway(drawnGateway, followLeader);
+                  callOnLoop(
                       () ->
-                          endedAt =
-                              owners.getOrDefault(term, "").equals("g" + which[0])
+                          leaderEndedNanos =
+                              leadersByTerm.getOrDefault(highestTerm, "").equals("g" + affected[0])
                                   ? System.nanoTime()
                                   : 0);
-                  rig.term(which[0]);
+                  testbed.terminate(affected[0]);
                 },
                 () -> {
-                  rig.end(which[0]);
-                  rig.start(which[0]);
+                  testbed.awaitExit(affected[0]);
+                  testbed.start(affected[0]);
                 });
         case 3 ->
-            add(
-                at,
-                ms,
-                "cut off " + whom,
+            addFault(
+                atMillis,
+                durationMillis,
+                "cut off " + targetName,
                 () -> {
-                  int one = target(drawn, owner);
-                  for (int each = 0; each < plan.gateways(); each++) {
-                    rig.link(one, each, NetworkLinks.Way.CUT);
-                    if (each % 2 == 0 || chance.nextBoolean()) {
-                      rig.link(each, one, NetworkLinks.Way.CUT);
+                  int gateway = targetGateway(drawnGateway, followLeader);
+                  for (int entry = 0; entry < plan.gateways(); entry++) {
+                    testbed.setLink(gateway, entry, NetworkLinks.LinkCondition.CUT);
+                    if (entry % 2 == 0 || random.nextBoolean()) {
+                      testbed.setLink(entry, gateway, NetworkLinks.LinkCondition.CUT);
                     }
                   }
                 },
-                () -> rig.links(NetworkLinks.Way.WELL));
+                () -> testbed.setAllLinks(NetworkLinks.LinkCondition.HEALTHY));
         case 4 ->
-            add(
-                at,
-                ms,
+            addFault(
+                atMillis,
+                durationMillis,
                 "lossy, late by up to 3 s",
-                () -> rig.links(new NetworkLinks.Way(false, 0.2, 0.1, 3000)),
-                () -> rig.links(NetworkLinks.Way.WELL));
+                () -> testbed.setAllLinks(new NetworkLinks.LinkCondition(false, 0.2, 0.1, 3000)),
+                () -> testbed.setAllLinks(NetworkLinks.LinkCondition.HEALTHY));
         case 5, 6 -> {
-          String cache = "e" + chance.nextInt(CACHES);
-          long[] before = new long[1];
-          add(
-              at,
-              ms,
+          String cache = "e" + random.nextInt(EDGE_CACHES);
+          long[] previous = new long[1];
+          addFault(
+              atMillis,
+              durationMillis,
               cache + " hangs",
               () -> {
-                rig.hang(cache, true);
-                before[0] = rig.wants(cache);
+                testbed.setCacheHung(cache, true);
+                previous[0] = testbed.cacheRequestCount(cache);
               },
               () -> {
-                callsAtHung += rig.wants(cache) - before[0];
-                rig.hang(cache, false);
+                callsToHungCaches += testbed.cacheRequestCount(cache) - previous[0];
+                testbed.setCacheHung(cache, false);
               });
-          if (chance.nextBoolean()) {
-            steps.add(new Step(at + ms / 2, "news of caches", rig::news));
+          if (random.nextBoolean()) {
+            steps.add(
+                new Step(
+                    atMillis + durationMillis / 2, "news of caches", testbed::changeDiscovery));
           }
         }
         default ->
-            add(
-                at,
-                ms,
+            addFault(
+                atMillis,
+                durationMillis,
                 "endpoint " + other % ENDPOINTS + " silent",
-                () -> become(other % ENDPOINTS, Way.SILENT),
-                () -> become(other % ENDPOINTS, Way.ANSWERS));
+                () -> setEndpointBehavior(other % ENDPOINTS, EndpointBehavior.SILENT),
+                () -> setEndpointBehavior(other % ENDPOINTS, EndpointBehavior.ANSWERS));
       }
       // One fault of a process at a time: most voters stay.
-      at += ms + chance.nextLong(500, 4000);
+      atMillis += durationMillis + random.nextLong(500, 4000);
     }
-    steps.sort(Comparator.comparingLong(Step::atMs));
-    steps.forEach(step -> out.printf(Locale.ROOT, "%6d ms  %s%n", step.atMs, step.what));
+    steps.sort(Comparator.comparingLong(Step::atMillis));
+    steps.forEach(step -> out.printf(Locale.ROOT, "%6d ms  %s%n", step.atMillis, step.description));
   }
 
-  private void become(int endpoint, Way way) throws Exception {
-    on(
+  private void setEndpointBehavior(int endpointIndex, EndpointBehavior behavior) throws Exception {
+    callOnLoop(
         () -> {
-          Endpoint one = registry.endpoints().get(endpoint);
-          one.become(way);
+          Endpoint gateway = registry.endpoints().get(endpointIndex);
+          gateway.setBehavior(behavior);
           return null;
         });
   }
 
-  private void add(long at, long ms, String what, Work begin, Work end) {
-    steps.add(new Step(at, what + " for " + ms + " ms", begin));
-    steps.add(new Step(at + ms, what + ": over", end));
+  private void addFault(
+      long atMillis, long durationMillis, String description, Action begin, Action end) {
+    steps.add(new Step(atMillis, description + " for " + durationMillis + " ms", begin));
+    steps.add(new Step(atMillis + durationMillis, description + ": over", end));
   }
 }
