--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModel.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.amberpath.lab.VirtualProcess;
 import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
+import org.amberpath.lab.leadership.LeadershipModelExperiment.LeadershipVariant;
 import org.amberpath.leadership.FencingGuard;
 import org.amberpath.leadership.Leadership;
 import org.amberpath.leadership.LeaseAcceptor;
@@ -29,352 +29,413 @@
  * compared acts of two owners do not lie within one another's time.
  */
 final class LeadershipModel {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long BUSY = 60 * SECOND,
-      LEASE = 3 * SECOND,
-      ACT = 300 * MS,
-      LATE = 3 * SECOND;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final long FAULT_PERIOD_NANOS = 60 * NANOS_PER_SECOND;
+  private static final long LEASE_NANOS = 3 * NANOS_PER_SECOND;
+  private static final long EFFECT_NANOS = 300 * NANOS_PER_MILLI;
+  private static final long MAX_DELAY_NANOS = 3 * NANOS_PER_SECOND;
 
   /** What a message to a cache may take once it is written, and what a new owner waits for. */
-  private static final long PIPE = 200 * MS, SETTLE = ACT + PIPE + 100 * MS;
+  private static final long MAX_SEND_NANOS = 200 * NANOS_PER_MILLI;
 
-  private static final LeaseTimings RULES = new LeaseTimings(LEASE, SETTLE, 1000);
+  private static final long SETTLE_NANOS = EFFECT_NANOS + MAX_SEND_NANOS + 100 * NANOS_PER_MILLI;
+
+  private static final LeaseTimings TIMINGS = new LeaseTimings(LEASE_NANOS, SETTLE_NANOS, 1000);
 
   /**
    * By when a task has an owner again: voters wait a lease, tries come within another half, then it
    * settles.
    */
-  private static final long OWNED_AGAIN = 2 * LEASE + LEASE / 2 + 2 * SECOND + SETTLE,
-      CALM = OWNED_AGAIN + 5 * SECOND;
+  private static final long MAX_VACANCY_NANOS =
+      2 * LEASE_NANOS + LEASE_NANOS / 2 + 2 * NANOS_PER_SECOND + SETTLE_NANOS;
+
+  private static final long CALM_PERIOD_NANOS = MAX_VACANCY_NANOS + 5 * NANOS_PER_SECOND;
 
   private static final List<String> TASKS = List.of("probe", "sweep");
 
   /** A bar that was missed. */
-  static final class Missed extends RuntimeException {
-    Missed(String what) {
-      super(what);
+  static final class InvariantViolation extends RuntimeException {
+    InvariantViolation(String message) {
+      super(message);
     }
   }
 
-  private record Act(int by, long term, long from, long to, boolean stood) {}
+  private record TaskEffect(
+      int gateway, long term, long startNanos, long endNanos, boolean delayedInSending) {}
 
-  private final SplittableRandom chance;
-  private final VirtualScheduler agenda = new VirtualScheduler(START);
-  private final Consumer<String> story;
-  private final Way way;
-  private final boolean registry;
-  private final List<GatewayProcess> all = new ArrayList<>();
-  private final boolean[][] cut;
-  private final long busyUntil = START + BUSY;
+  private final SplittableRandom random;
+  private final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+  private final Consumer<String> trace;
+  private final LeadershipVariant variant;
+  private final boolean byRegistry;
+  private final List<SimulatedGateway> gateways = new ArrayList<>();
+  private final boolean[][] cutLinks;
+  private final long faultsUntilNanos = EPOCH_NANOS + FAULT_PERIOD_NANOS;
 
   /**
    * Of each task, what a place that compares no terms was asked for last; the fence that outlives
    * all power losses.
    */
-  private final Act[] last = new Act[TASKS.size()];
-
-  private final FencingGuard lasting = new FencingGuard();
-  private final long[] lastingTerm = new long[TASKS.size()], vacantSince = new long[TASKS.size()];
-  private final List<VoterConfiguration> stages = new ArrayList<>();
-  private int stage, knownFor = 1;
-  private long steps, acts, refused, windowActs, dropped, handed, terms, outranked, longestVacancy;
-  private final long[][] registryKey =
+  private final TaskEffect[] lastEffects = new TaskEffect[TASKS.size()];
+
+  private final FencingGuard durableFence = new FencingGuard();
+  private final long[] durableTerms = new long[TASKS.size()];
+  private final long[] vacantSinceNanos = new long[TASKS.size()];
+  private final List<VoterConfiguration> voterStages = new ArrayList<>();
+  private int currentStage;
+  private int roundsKnown = 1;
+  private long steps;
+  private long sentEffects;
+  private long rejectedEffects;
+  private long overlappingEffects;
+  private long abandonedEffects;
+  private long handovers;
+  private long terms;
+  private long higherTermsSeen;
+  private long longestVacancyNanos;
+  private final long[][] registryKeys =
       new long[TASKS.size()][4]; // holder + 1, term, changed, expiry
-  private boolean registryAway;
-
-  LeadershipModel(long seed, Way way, Consumer<String> story) {
-    this.way = way;
-    chance = new SplittableRandom(seed);
-    this.story = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
-    registry = way == Way.RIGHT && chance.nextInt(3) == 0;
-    int many = 3 + chance.nextInt(7);
-    cut = new boolean[many][many];
-    List<String> names = IntStream.range(0, many).mapToObj(one -> "g" + one).toList();
-    List<String> first = names.subList(0, many >= 5 && chance.nextBoolean() ? 5 : 3);
-    stages.add(new VoterConfiguration(first, List.of()));
-    if (many >= 5 && chance.nextBoolean()) {
-      List<String> next = names.subList(many - 3, many);
-      stages.add(new VoterConfiguration(first, next));
-      stages.add(new VoterConfiguration(next, List.of()));
-    }
-    names.forEach(name -> all.add(new GatewayProcess(all.size())));
+  private boolean registryUnavailable;
+
+  LeadershipModel(long seed, LeadershipVariant variant, Consumer<String> trace) {
+    this.variant = variant;
+    random = new SplittableRandom(seed);
+    this.trace = line -> trace.accept((scheduler.nowNanos() - EPOCH_NANOS) / 1000 + " us: " + line);
+    byRegistry = variant == LeadershipVariant.RIGHT && random.nextInt(3) == 0;
+    int gatewayCount = 3 + random.nextInt(7);
+    cutLinks = new boolean[gatewayCount][gatewayCount];
+    List<String> names =
+        IntStream.range(0, gatewayCount).mapToObj(gateway -> "g" + gateway).toList();
+    List<String> firstVoters = names.subList(0, gatewayCount >= 5 && random.nextBoolean() ? 5 : 3);
+    voterStages.add(new VoterConfiguration(firstVoters, List.of()));
+    if (gatewayCount >= 5 && random.nextBoolean()) {
+      List<String> nextVoters = names.subList(gatewayCount - 3, gatewayCount);
+      voterStages.add(new VoterConfiguration(firstVoters, nextVoters));
+      voterStages.add(new VoterConfiguration(nextVoters, List.of()));
+    }
+    names.forEach(name -> gateways.add(new SimulatedGateway(gateways.size())));
   }
 
   Map<String, Long> run() {
-    all.forEach(one -> agenda.at(START + chance.nextLong(SECOND), one::start));
-    agenda.at(START + chance.nextLong(2 * SECOND), this::fault);
-    if (stages.size() > 1) {
-      agenda.at(START + 10 * SECOND + chance.nextLong(20 * SECOND), this::nextStage);
-    }
-    agenda.at(busyUntil, this::calm);
-    while (agenda.step(busyUntil + CALM)) {
+    gateways.forEach(
+        gateway ->
+            scheduler.schedule(EPOCH_NANOS + random.nextLong(NANOS_PER_SECOND), gateway::restart));
+    scheduler.schedule(EPOCH_NANOS + random.nextLong(2 * NANOS_PER_SECOND), this::injectFault);
+    if (voterStages.size() > 1) {
+      scheduler.schedule(
+          EPOCH_NANOS + 10 * NANOS_PER_SECOND + random.nextLong(20 * NANOS_PER_SECOND),
+          this::advanceVoters);
+    }
+    scheduler.schedule(faultsUntilNanos, this::endFaults);
+    while (scheduler.runNext(faultsUntilNanos + CALM_PERIOD_NANOS)) {
       steps++;
-      check();
+      checkInvariants();
     }
     for (int task = 0; task < TASKS.size(); task++) {
-      int of = task;
-      long owners =
-          all.stream().filter(one -> one.up && one.tenures.get(of).isLeader(one.clock())).count();
-      if (owners != 1 && way != Way.LOWEST_ALIVE) {
-        throw new Missed(
+      int taskIndex = task;
+      long leaders =
+          gateways.stream()
+              .filter(
+                  gateway ->
+                      gateway.running
+                          && gateway.leaderships.get(taskIndex).isLeader(gateway.localNanos()))
+              .count();
+      if (leaders != 1 && variant != LeadershipVariant.LOWEST_ALIVE) {
+        throw new InvariantViolation(
             "calm, and "
                 + TASKS.get(task)
                 + " has "
-                + owners
+                + leaders
                 + " owners: "
-                + all.stream().map(one -> one.up ? one.tenures.get(of).state() : null).toList());
+                + gateways.stream()
+                    .map(
+                        gateway ->
+                            gateway.running ? gateway.leaderships.get(taskIndex).state() : null)
+                    .toList());
       }
     }
     return Map.of(
         "steps",
         steps,
         "acts",
-        acts,
+        sentEffects,
         "refused",
-        refused,
+        rejectedEffects,
         "acts_in_the_window",
-        windowActs,
+        overlappingEffects,
         "dropped",
-        dropped,
+        abandonedEffects,
         "handed_over",
-        handed,
+        handovers,
         "terms",
         terms,
         "outranked",
-        outranked);
+        higherTermsSeen);
   }
 
-  private void check() {
-    boolean majority = registry || majority();
+  private void checkInvariants() {
+    boolean majority = byRegistry || majorityCouldVote();
     for (int task = 0; task < TASKS.size(); task++) {
-      int holders = 0;
-      String who = "";
-      for (GatewayProcess one : all) {
-        if (one.up && one.tenures.get(task).isLeader(one.clock())) {
-          holders++;
-          who += " g" + one.index + " under " + one.tenures.get(task).term();
+      int leaderCount = 0;
+      String leaders = "";
+      for (SimulatedGateway gateway : gateways) {
+        if (gateway.running && gateway.leaderships.get(task).isLeader(gateway.localNanos())) {
+          leaderCount++;
+          leaders += " g" + gateway.index + " under " + gateway.leaderships.get(task).term();
         }
       }
-      if (holders > 1) {
-        throw new Missed("two hold " + TASKS.get(task) + ":" + who);
+      if (leaderCount > 1) {
+        throw new InvariantViolation("two hold " + TASKS.get(task) + ":" + leaders);
       }
-      if (holders > 0 && !registry && !majority) {
-        throw new Missed(
-            "no majority of voters within a lease, and" + who + " holds " + TASKS.get(task));
+      if (leaderCount > 0 && !byRegistry && !majority) {
+        throw new InvariantViolation(
+            "no majority of voters within a lease, and" + leaders + " holds " + TASKS.get(task));
       }
-      if (agenda.now() > busyUntil) {
-        vacantSince[task] =
-            holders > 0 ? 0 : vacantSince[task] == 0 ? agenda.now() : vacantSince[task];
-        longestVacancy =
-            Math.max(longestVacancy, vacantSince[task] == 0 ? 0 : agenda.now() - vacantSince[task]);
-        if (longestVacancy > OWNED_AGAIN && way != Way.LOWEST_ALIVE) {
-          throw new Missed(
-              "calm, and " + TASKS.get(task) + " had no owner for " + longestVacancy / MS + " ms");
+      if (scheduler.nowNanos() > faultsUntilNanos) {
+        vacantSinceNanos[task] =
+            leaderCount > 0
+                ? 0
+                : vacantSinceNanos[task] == 0 ? scheduler.nowNanos() : vacantSinceNanos[task];
+        longestVacancyNanos =
+            Math.max(
+                longestVacancyNanos,
+                vacantSinceNanos[task] == 0 ? 0 : scheduler.nowNanos() - vacantSinceNanos[task]);
+        if (longestVacancyNanos > MAX_VACANCY_NANOS && variant != LeadershipVariant.LOWEST_ALIVE) {
+          throw new InvariantViolation(
+              "calm, and "
+                  + TASKS.get(task)
+                  + " had no owner for "
+                  + longestVacancyNanos / NANOS_PER_MILLI
+                  + " ms");
         }
       }
     }
   }
 
   /** Whether a majority of voters could vote at some time within the last lease. */
-  private boolean majority() {
-    List<String> could = new ArrayList<>();
-    for (GatewayProcess one : all) {
-      if (one.up && agenda.now() >= one.frozenUntil && one.clock() >= one.votesFrom) {
-        one.votedAt = agenda.now();
+  private boolean majorityCouldVote() {
+    List<String> couldVote = new ArrayList<>();
+    for (SimulatedGateway gateway : gateways) {
+      if (gateway.running
+          && scheduler.nowNanos() >= gateway.pausedUntilNanos
+          && gateway.localNanos() >= gateway.votesFromNanos) {
+        gateway.couldVoteAtNanos = scheduler.nowNanos();
       }
-      if (one.votedAt > agenda.now() - RULES.longestNanos(LEASE)) {
-        could.add("g" + one.index);
+      if (gateway.couldVoteAtNanos > scheduler.nowNanos() - TIMINGS.longestNanos(LEASE_NANOS)) {
+        couldVote.add("g" + gateway.index);
       }
     }
-    return stages.get(stage).isMajority(could)
-        || (stage > 0 && stages.get(stage - 1).isMajority(could));
+    return voterStages.get(currentStage).isMajority(couldVote)
+        || (currentStage > 0 && voterStages.get(currentStage - 1).isMajority(couldVote));
   }
 
   // ---- Processes.
 
-  private final class GatewayProcess extends VirtualProcess {
+  private final class SimulatedGateway extends VirtualProcess {
     final int index;
-    final List<Leadership> tenures = new ArrayList<>();
-    private final long[] armed = new long[TASKS.size()], actsUntil = new long[TASKS.size()];
-    private final boolean[] quits = new boolean[TASKS.size()];
-    long wallOffset = chance.nextLong(-300, 300), votesFrom, votedAt = Long.MIN_VALUE;
-    int knows;
-    LeaseAcceptor voter;
+    final List<Leadership> leaderships = new ArrayList<>();
+    private final long[] timerGenerations = new long[TASKS.size()];
+    private final long[] effectsUntilNanos = new long[TASKS.size()];
+    private final boolean[] resigning = new boolean[TASKS.size()];
+    long wallClockOffsetMillis = random.nextLong(-300, 300);
+    long votesFromNanos;
+    long couldVoteAtNanos = Long.MIN_VALUE;
+    int knownStage;
+    LeaseAcceptor acceptor;
     FencingGuard fence;
 
-    GatewayProcess(int index) {
-      super(agenda, START, chance);
+    SimulatedGateway(int index) {
+      super(scheduler, EPOCH_NANOS, random);
       this.index = index;
     }
 
-    void start() {
-      life++;
-      up = true;
-      knows = stage;
+    void restart() {
+      incarnation++;
+      running = true;
+      knownStage = currentStage;
       fence = new FencingGuard();
-      long muted = way == Way.NO_WAIT_AFTER_RESTART ? 0 : RULES.longestNanos(LEASE);
-      voter = new LeaseAcceptor(RULES, clock(), muted);
-      votesFrom = clock() + muted;
-      tenures.clear();
-      Arrays.fill(quits, false);
+      long mutedNanos =
+          variant == LeadershipVariant.NO_WAIT_AFTER_RESTART
+              ? 0
+              : TIMINGS.longestNanos(LEASE_NANOS);
+      acceptor = new LeaseAcceptor(TIMINGS, localNanos(), mutedNanos);
+      votesFromNanos = localNanos() + mutedNanos;
+      leaderships.clear();
+      Arrays.fill(resigning, false);
       for (int task = 0; task < TASKS.size(); task++) {
-        tenures.add(tenure(task));
-        arm(task);
-        act(task);
+        leaderships.add(newLeadership(task));
+        scheduleTick(task);
+        scheduleTaskLoop(task);
       }
-      if (way == Way.LOWEST_ALIVE) {
-        beat();
+      if (variant == LeadershipVariant.LOWEST_ALIVE) {
+        sendHeartbeats();
       }
     }
 
-    private Leadership tenure(int task) {
-      if (way == Way.LOWEST_ALIVE) {
-        return new LowestIdLeadership("g" + index, 1500 * MS, clock());
+    private Leadership newLeadership(int task) {
+      if (variant == LeadershipVariant.LOWEST_ALIVE) {
+        return new LowestIdLeadership("g" + index, 1500 * NANOS_PER_MILLI, localNanos());
       }
-      if (registry) {
-        RegistryLeadership made =
-            new RegistryLeadership(RULES, new Key(this, task), chance.nextLong());
-        long[] key = registryKey[task];
-        made.keyObserved(clock(), key[1], key[0] != 0, key[2]);
-        return made;
+      if (byRegistry) {
+        RegistryLeadership leadership =
+            new RegistryLeadership(TIMINGS, new RegistryKeyClient(this, task), random.nextLong());
+        long[] registryKey = registryKeys[task];
+        leadership.keyObserved(localNanos(), registryKey[1], registryKey[0] != 0, registryKey[2]);
+        return leadership;
       }
-      QuorumLeadership.Transport orders =
-          (voter, vote) -> ask(Integer.parseInt(voter.substring(1)), task, vote);
-      VoterConfiguration electorate = stages.get(knows);
-      long seed = chance.nextLong();
-      QuorumLeadership made =
-          new QuorumLeadership(RULES, TASKS.get(task), electorate, orders, seed, clock()) {
+      QuorumLeadership.Transport transport =
+          (voterIndex, message) ->
+              sendToVoter(Integer.parseInt(voterIndex.substring(1)), task, message);
+      VoterConfiguration voters = voterStages.get(knownStage);
+      long seed = random.nextLong();
+      QuorumLeadership leadership =
+          new QuorumLeadership(TIMINGS, TASKS.get(task), voters, transport, seed, localNanos()) {
             @Override
             protected long leaseStartNanos(long proposedAt, long acceptedAt) {
-              return way == Way.BELIEF_FROM_ANSWER
+              return variant == LeadershipVariant.BELIEF_FROM_ANSWER
                   ? acceptedAt
                   : super.leaseStartNanos(proposedAt, acceptedAt);
             }
           };
-      made.wallClockRead((agenda.now() / MS) + wallOffset);
-      return made;
+      leadership.wallClockRead((scheduler.nowNanos() / NANOS_PER_MILLI) + wallClockOffsetMillis);
+      return leadership;
     }
 
     /** Has something of another arrive here: lost, late or twice, as it comes. */
-    void arrive(int from, Runnable what) {
-      int kind = chance.nextInt(100);
-      boolean busy = agenda.now() < busyUntil;
-      if ((busy && kind < 5) || cut[from][index]) {
+    void deliver(int fromIndex, Runnable task) {
+      int draw = random.nextInt(100);
+      boolean faultsActive = scheduler.nowNanos() < faultsUntilNanos;
+      if ((faultsActive && draw < 5) || cutLinks[fromIndex][index]) {
         return;
       }
-      at(
-          agenda.now() + (busy && kind < 12 ? chance.nextLong(LATE) : chance.nextLong(MS, 20 * MS)),
-          what);
-      if (busy && kind > 96) {
-        at(agenda.now() + chance.nextLong(SECOND), what);
+      schedule(
+          scheduler.nowNanos()
+              + (faultsActive && draw < 12
+                  ? random.nextLong(MAX_DELAY_NANOS)
+                  : random.nextLong(NANOS_PER_MILLI, 20 * NANOS_PER_MILLI)),
+          task);
+      if (faultsActive && draw > 96) {
+        schedule(scheduler.nowNanos() + random.nextLong(NANOS_PER_SECOND), task);
       }
     }
 
-    private void beat() {
-      all.forEach(
+    private void sendHeartbeats() {
+      gateways.forEach(
           other ->
-              other.arrive(
+              other.deliver(
                   index,
                   () ->
-                      other.tenures.forEach(
-                          one -> ((LowestIdLeadership) one).heard(other.clock(), "g" + index))));
-      at(agenda.now() + 300 * MS, this::beat);
-    }
-
-    private void arm(int task) {
-      Leadership of = tenures.get(task);
-      long due = of.nextTickNanos(), mine = ++armed[task];
-      if (due < Long.MAX_VALUE / 4) {
-        at(
-            agenda.now() + Math.max(MS, due - clock()),
+                      other.leaderships.forEach(
+                          gateway ->
+                              ((LowestIdLeadership) gateway)
+                                  .heartbeatReceived(other.localNanos(), "g" + index))));
+      schedule(scheduler.nowNanos() + 300 * NANOS_PER_MILLI, this::sendHeartbeats);
+    }
+
+    private void scheduleTick(int task) {
+      Leadership leadership = leaderships.get(task);
+      long dueNanos = leadership.nextTickNanos();
+      long generation = ++timerGenerations[task];
+      if (dueNanos < Long.MAX_VALUE / 4) {
+        schedule(
+            scheduler.nowNanos() + Math.max(NANOS_PER_MILLI, dueNanos - localNanos()),
             () -> {
-              if (tenures.get(task) == of && armed[task] == mine) {
-                if (of instanceof QuorumLeadership voted) {
-                  voted.wallClockRead((agenda.now() / MS) + wallOffset);
+              if (leaderships.get(task) == leadership && timerGenerations[task] == generation) {
+                if (leadership instanceof QuorumLeadership voted) {
+                  voted.wallClockRead(
+                      (scheduler.nowNanos() / NANOS_PER_MILLI) + wallClockOffsetMillis);
                 }
-                Leadership.State before = of.state();
-                of.tick(clock());
-                told(task, before);
-                arm(task);
+                Leadership.State stateBefore = leadership.state();
+                leadership.tick(localNanos());
+                stateChanged(task, stateBefore);
+                scheduleTick(task);
               }
             });
       }
     }
 
-    private void told(int task, Leadership.State before) {
-      Leadership of = tenures.get(task);
-      if (of.state() != before) {
-        story.accept(
+    private void stateChanged(int task, Leadership.State stateBefore) {
+      Leadership leadership = leaderships.get(task);
+      if (leadership.state() != stateBefore) {
+        trace.accept(
             "g"
                 + index
                 + ": "
                 + TASKS.get(task)
                 + " "
-                + before
+                + stateBefore
                 + " -> "
-                + of.state()
+                + leadership.state()
                 + " "
-                + of.term());
-        terms += of.state() == Leadership.State.WAITING ? 1 : 0;
+                + leadership.term());
+        terms += leadership.state() == Leadership.State.WAITING ? 1 : 0;
       }
     }
 
-    private void ask(int voter, int task, LeaseMessage vote) {
-      GatewayProcess other = all.get(voter);
-      other.arrive(
+    private void sendToVoter(int voterIndex, int task, LeaseMessage message) {
+      SimulatedGateway other = gateways.get(voterIndex);
+      other.deliver(
           index,
           () -> {
-            LeaseMessage answer = other.voter.messageReceived(other.clock(), "g" + index, vote);
-            if (answer != null) {
-              arrive(
-                  voter,
+            LeaseMessage response =
+                other.acceptor.messageReceived(other.localNanos(), "g" + index, message);
+            if (response != null) {
+              deliver(
+                  voterIndex,
                   () -> {
-                    Leadership of = tenures.get(task);
-                    Leadership.State before = of.state();
-                    ((QuorumLeadership) of).responseReceived(clock(), "g" + voter, answer);
-                    told(task, before);
-                    arm(task);
+                    Leadership leadership = leaderships.get(task);
+                    Leadership.State stateBefore = leadership.state();
+                    ((QuorumLeadership) leadership)
+                        .responseReceived(localNanos(), "g" + voterIndex, response);
+                    stateChanged(task, stateBefore);
+                    scheduleTick(task);
                   });
             }
           });
     }
 
     /** Which start of the process this is. */
-    private long life() {
-      return life;
+    private long currentIncarnation() {
+      return incarnation;
     }
 
     // ---- What an owner does.
 
-    private void act(int task) {
-      at(
-          agenda.now() + chance.nextLong(100 * MS, 300 * MS),
+    private void scheduleTaskLoop(int task) {
+      schedule(
+          scheduler.nowNanos() + random.nextLong(100 * NANOS_PER_MILLI, 300 * NANOS_PER_MILLI),
           () -> {
-            Leadership of = tenures.get(task);
-            if (of.isLeaderFor(clock(), ACT) && !quits[task]) {
-              long term = of.term();
+            Leadership leadership = leaderships.get(task);
+            if (leadership.isLeaderFor(localNanos(), EFFECT_NANOS) && !resigning[task]) {
+              long term = leadership.term();
               // It may stand still between deciding and sending; it looks again, and may stand
               // still after that, too.
-              still(
+              pauseThen(
                   40,
                   () -> {
-                    if (way != Way.NO_SECOND_LOOK
-                        && !(of.isLeaderFor(clock(), ACT) && of.term() == term && !quits[task])) {
-                      dropped++;
+                    if (variant != LeadershipVariant.NO_SECOND_LOOK
+                        && !(leadership.isLeaderFor(localNanos(), EFFECT_NANOS)
+                            && leadership.term() == term
+                            && !resigning[task])) {
+                      abandonedEffects++;
                     } else {
-                      send(task, term);
+                      sendEffect(task, term);
                     }
                   });
             }
-            act(task);
+            scheduleTaskLoop(task);
           });
     }
 
-    private void still(int oneIn, Runnable then) {
-      if (agenda.now() < busyUntil && chance.nextInt(oneIn) == 0) {
-        frozenUntil = Math.max(frozenUntil, agenda.now() + chance.nextLong(6 * SECOND));
+    private void pauseThen(int oneInN, Runnable continuation) {
+      if (scheduler.nowNanos() < faultsUntilNanos && random.nextInt(oneInN) == 0) {
+        pausedUntilNanos =
+            Math.max(
+                pausedUntilNanos, scheduler.nowNanos() + random.nextLong(6 * NANOS_PER_SECOND));
       }
-      at(Math.max(agenda.now(), frozenUntil), then);
+      schedule(Math.max(scheduler.nowNanos(), pausedUntilNanos), continuation);
     }
 
     /**
@@ -382,175 +443,195 @@
      * lost.
      */
     private void handOver(int task) {
-      Leadership of = tenures.get(task);
-      if (of.isLeader(clock()) && agenda.now() >= actsUntil[task]) {
-        long term = of.term();
-        handed++;
-        for (GatewayProcess other : all) {
+      Leadership leadership = leaderships.get(task);
+      if (leadership.isLeader(localNanos()) && scheduler.nowNanos() >= effectsUntilNanos[task]) {
+        long term = leadership.term();
+        handovers++;
+        for (SimulatedGateway other : gateways) {
           if (other != this) {
-            other.arrive(
+            other.deliver(
                 index,
                 () -> {
-                  Leadership there = other.tenures.get(task);
-                  Leadership.State before = there.state();
-                  there.predecessorStopped(other.clock(), term);
-                  other.told(task, before);
-                  other.arm(task);
+                  Leadership there = other.leaderships.get(task);
+                  Leadership.State stateBefore = there.state();
+                  there.predecessorStopped(other.localNanos(), term);
+                  other.stateChanged(task, stateBefore);
+                  other.scheduleTick(task);
                 });
           }
         }
       }
-      of.resign(clock());
+      leadership.resign(localNanos());
     }
 
-    private void send(int task, long term) {
-      acts++;
-      boolean stood = agenda.now() < busyUntil && chance.nextInt(150) == 0;
-      long leaves = agenda.now() + (stood ? chance.nextLong(6 * SECOND) : 0);
-      if (stood) {
-        frozenUntil = Math.max(frozenUntil, leaves);
+    private void sendEffect(int task, long term) {
+      sentEffects++;
+      boolean delayed = scheduler.nowNanos() < faultsUntilNanos && random.nextInt(150) == 0;
+      long sentAtNanos =
+          scheduler.nowNanos() + (delayed ? random.nextLong(6 * NANOS_PER_SECOND) : 0);
+      if (delayed) {
+        pausedUntilNanos = Math.max(pausedUntilNanos, sentAtNanos);
       }
-      long arrives = leaves + chance.nextLong(PIPE);
-      actsUntil[task] = Math.max(actsUntil[task], arrives + ACT);
-      agenda.at(
-          arrives,
-          () -> unfenced(task, new Act(index, term, agenda.now(), agenda.now() + ACT, stood)));
-      GatewayProcess to = all.get(chance.nextInt(all.size()));
-      agenda.at(
-          leaves,
+      long arrivesAtNanos = sentAtNanos + random.nextLong(MAX_SEND_NANOS);
+      effectsUntilNanos[task] = Math.max(effectsUntilNanos[task], arrivesAtNanos + EFFECT_NANOS);
+      scheduler.schedule(
+          arrivesAtNanos,
+          () ->
+              applyUnfenced(
+                  task,
+                  new TaskEffect(
+                      index,
+                      term,
+                      scheduler.nowNanos(),
+                      scheduler.nowNanos() + EFFECT_NANOS,
+                      delayed)));
+      SimulatedGateway recipient = gateways.get(random.nextInt(gateways.size()));
+      scheduler.schedule(
+          sentAtNanos,
           () ->
-              to.arrive(
+              recipient.deliver(
                   index,
                   () -> {
-                    boolean passes =
-                        way == Way.NO_FENCE
-                            || to.fence.tryAdmit(TASKS.get(task), term, "g" + index);
-                    refuse(task, passes, to.index, to.fence.highestTerm(TASKS.get(task)));
+                    boolean admitted =
+                        variant == LeadershipVariant.NO_FENCE
+                            || recipient.fence.tryAdmit(TASKS.get(task), term, "g" + index);
+                    effectJudged(
+                        task,
+                        admitted,
+                        recipient.index,
+                        recipient.fence.highestTerm(TASKS.get(task)));
                   }));
-      agenda.at(
-          arrives,
+      scheduler.schedule(
+          arrivesAtNanos,
           () -> {
-            boolean passes =
-                way == Way.NO_FENCE || lasting.tryAdmit(TASKS.get(task), term, "g" + index);
-            if (passes) {
-              if (term < lastingTerm[task]) {
-                throw new Missed(
+            boolean admitted =
+                variant == LeadershipVariant.NO_FENCE
+                    || durableFence.tryAdmit(TASKS.get(task), term, "g" + index);
+            if (admitted) {
+              if (term < durableTerms[task]) {
+                throw new InvariantViolation(
                     TASKS.get(task)
                         + ": g"
                         + index
                         + "'s term "
                         + term
                         + " took effect after "
-                        + lastingTerm[task]);
+                        + durableTerms[task]);
               }
-              lastingTerm[task] = term;
+              durableTerms[task] = term;
             }
-            refuse(task, passes, -1, lasting.highestTerm(TASKS.get(task)));
+            effectJudged(task, admitted, -1, durableFence.highestTerm(TASKS.get(task)));
           });
     }
 
     /** Recipients tell with a refusal what they have seen. */
-    private void refuse(int task, boolean passes, int by, long seen) {
-      if (passes) {
+    private void effectJudged(int task, boolean admitted, int recipientIndex, long highestTerm) {
+      if (admitted) {
         return;
       }
-      refused++;
-      Runnable tell =
+      rejectedEffects++;
+      Runnable notifySender =
           () -> {
-            Leadership of = tenures.get(task);
-            if (of.term() < seen) {
-              outranked++;
-              Leadership.State before = of.state();
-              of.higherTermSeen(clock(), seen);
-              told(task, before);
-              arm(task);
+            Leadership leadership = leaderships.get(task);
+            if (leadership.term() < highestTerm) {
+              higherTermsSeen++;
+              Leadership.State stateBefore = leadership.state();
+              leadership.higherTermSeen(localNanos(), highestTerm);
+              stateChanged(task, stateBefore);
+              scheduleTick(task);
             }
           };
-      if (by < 0) {
-        at(agenda.now() + chance.nextLong(MS, 20 * MS), tell);
+      if (recipientIndex < 0) {
+        schedule(
+            scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 20 * NANOS_PER_MILLI),
+            notifySender);
       } else {
-        arrive(by, tell);
+        deliver(recipientIndex, notifySender);
       }
     }
   }
 
   /** A place that compares no terms: two owners' acts must not lie within one another's time. */
-  private void unfenced(int task, Act act) {
-    Act before = last[task];
-    if (before != null && before.by != act.by && act.from < before.to) {
-      if (!act.stood && !before.stood) {
-        throw new Missed(
+  private void applyUnfenced(int task, TaskEffect effect) {
+    TaskEffect previous = lastEffects[task];
+    if (previous != null
+        && previous.gateway != effect.gateway
+        && effect.startNanos < previous.endNanos) {
+      if (!effect.delayedInSending && !previous.delayedInSending) {
+        throw new InvariantViolation(
             TASKS.get(task)
                 + ": acts of g"
-                + before.by
+                + previous.gateway
                 + " and g"
-                + act.by
+                + effect.gateway
                 + " within "
-                + (before.to - act.from) / MS
+                + (previous.endNanos - effect.startNanos) / NANOS_PER_MILLI
                 + " ms");
       }
-      windowActs++;
+      overlappingEffects++;
     }
-    last[task] = before != null && before.to > act.to ? before : act;
+    lastEffects[task] = previous != null && previous.endNanos > effect.endNanos ? previous : effect;
   }
 
   // ---- The registry's key.
 
-  private final class Key implements RegistryLeadership.Commands {
-    private final GatewayProcess of;
+  private final class RegistryKeyClient implements RegistryLeadership.Commands {
+    private final SimulatedGateway gateway;
     private final int task;
 
-    Key(GatewayProcess of, int task) {
-      this.of = of;
+    RegistryKeyClient(SimulatedGateway gateway, int task) {
+      this.gateway = gateway;
       this.task = task;
     }
 
-    private RegistryLeadership tenure() {
-      return (RegistryLeadership) of.tenures.get(task);
+    private RegistryLeadership leadership() {
+      return (RegistryLeadership) gateway.leaderships.get(task);
     }
 
-    private void there(Runnable what) {
-      agenda.at(
-          agenda.now() + chance.nextLong(MS, 10 * MS),
+    private void atRegistry(Runnable request) {
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 10 * NANOS_PER_MILLI),
           () -> {
-            if (!registryAway && (chance.nextInt(20) > 0 || agenda.now() > busyUntil)) {
-              what.run();
+            if (!registryUnavailable
+                && (random.nextInt(20) > 0 || scheduler.nowNanos() > faultsUntilNanos)) {
+              request.run();
             }
           });
     }
 
-    private void back(Runnable what) {
-      of.at(
-          agenda.now() + chance.nextLong(MS, 10 * MS),
+    private void atGateway(Runnable request) {
+      gateway.schedule(
+          scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 10 * NANOS_PER_MILLI),
           () -> {
-            Leadership.State before = tenure().state();
-            what.run();
-            of.told(task, before);
-            of.arm(task);
+            Leadership.State stateBefore = leadership().state();
+            request.run();
+            gateway.stateChanged(task, stateBefore);
+            gateway.scheduleTick(task);
           });
     }
 
     @Override
-    public void campaign(long term, long changed) {
-      long life = of.life();
-      there(
+    public void campaign(long term, long modRevision) {
+      long sentIn = gateway.currentIncarnation();
+      atRegistry(
           () -> {
-            long[] key = registryKey[task];
-            boolean won = key[0] == 0 && key[2] == changed && term > key[1];
-            if (won) {
-              key[0] = of.index + 1L;
-              key[1] = term;
-              key[2]++;
-              lease(task);
-              tell(task);
+            long[] registryKey = registryKeys[task];
+            boolean granted =
+                registryKey[0] == 0 && registryKey[2] == modRevision && term > registryKey[1];
+            if (granted) {
+              registryKey[0] = gateway.index + 1L;
+              registryKey[1] = term;
+              registryKey[2]++;
+              extendLease(task);
+              notifyWatchers(task);
             }
-            if (of.life() == life) {
-              back(
+            if (gateway.currentIncarnation() == sentIn) {
+              atGateway(
                   () -> {
-                    if (won) {
-                      tenure().campaignWon(of.clock(), term);
+                    if (granted) {
+                      leadership().campaignWon(gateway.localNanos(), term);
                     } else {
-                      tenure().leaseLost(of.clock());
+                      leadership().leaseLost(gateway.localNanos());
                     }
                   });
             }
@@ -558,119 +639,124 @@
     }
 
     @Override
-    public void keepAlive(long askedAt) {
-      long term = tenure().term();
-      boolean[] heard = {false};
-      there(
+    public void keepAlive(long requestedAtNanos) {
+      long term = leadership().term();
+      boolean[] answered = {false};
+      atRegistry(
           () -> {
-            boolean kept = registryKey[task][0] == of.index + 1 && registryKey[task][1] == term;
-            if (kept) {
-              lease(task);
+            boolean renewed =
+                registryKeys[task][0] == gateway.index + 1 && registryKeys[task][1] == term;
+            if (renewed) {
+              extendLease(task);
             }
-            back(
+            atGateway(
                 () -> {
-                  heard[0] = true;
-                  if (kept) {
-                    tenure().leaseRenewed(of.clock(), askedAt);
+                  answered[0] = true;
+                  if (renewed) {
+                    leadership().leaseRenewed(gateway.localNanos(), requestedAtNanos);
                   } else {
-                    tenure().leaseLost(of.clock());
+                    leadership().leaseLost(gateway.localNanos());
                   }
                 });
           });
-      of.at(
-          agenda.now() + LEASE / 6,
+      gateway.schedule(
+          scheduler.nowNanos() + LEASE_NANOS / 6,
           () -> {
-            if (!heard[0] && tenure().term() == term) {
-              tenure().renewalUnanswered(of.clock());
-              of.arm(task);
+            if (!answered[0] && leadership().term() == term) {
+              leadership().renewalUnanswered(gateway.localNanos());
+              gateway.scheduleTick(task);
             }
           });
     }
 
     @Override
     public void resign() {
-      long term = tenure().term();
-      there(
+      long term = leadership().term();
+      atRegistry(
           () -> {
-            if (registryKey[task][0] == of.index + 1 && registryKey[task][1] == term) {
-              registryKey[task][0] = 0;
-              registryKey[task][2]++;
-              tell(task);
+            if (registryKeys[task][0] == gateway.index + 1 && registryKeys[task][1] == term) {
+              registryKeys[task][0] = 0;
+              registryKeys[task][2]++;
+              notifyWatchers(task);
             }
           });
     }
   }
 
-  private void lease(int task) {
-    registryKey[task][3] = agenda.now() + LEASE;
-    long changed = registryKey[task][2];
-    agenda.at(registryKey[task][3], () -> expire(task, changed));
+  private void extendLease(int task) {
+    registryKeys[task][3] = scheduler.nowNanos() + LEASE_NANOS;
+    long changed = registryKeys[task][2];
+    scheduler.schedule(registryKeys[task][3], () -> expireLease(task, changed));
   }
 
-  private void expire(int task, long changed) {
-    long[] key = registryKey[task];
-    if (key[0] != 0 && key[2] == changed && agenda.now() >= key[3]) {
+  private void expireLease(int task, long changed) {
+    long[] key = registryKeys[task];
+    if (key[0] != 0 && key[2] == changed && scheduler.nowNanos() >= key[3]) {
       key[0] = 0;
       key[2]++;
-      tell(task);
+      notifyWatchers(task);
     }
   }
 
-  private void tell(int task) {
-    long[] key = registryKey[task].clone();
-    all.forEach(
-        one ->
-            one.at(
-                agenda.now() + chance.nextLong(MS, 50 * MS),
+  private void notifyWatchers(int task) {
+    long[] key = registryKeys[task].clone();
+    gateways.forEach(
+        gateway ->
+            gateway.schedule(
+                scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 50 * NANOS_PER_MILLI),
                 () -> {
-                  ((RegistryLeadership) one.tenures.get(task))
-                      .keyObserved(one.clock(), key[1], key[0] != 0, key[2]);
-                  one.arm(task);
+                  ((RegistryLeadership) gateway.leaderships.get(task))
+                      .keyObserved(gateway.localNanos(), key[1], key[0] != 0, key[2]);
+                  gateway.scheduleTick(task);
                 }));
   }
 
   /**
    * A restored registry begins with an older term, and answers nobody before a lease has passed.
    */
-  private void restore() {
-    registryAway = true;
-    long back = chance.nextLong(8);
-    story.accept("the registry is restored from a backup, " + back + " terms back");
-    agenda.at(
-        agenda.now() + RULES.longestNanos(LEASE) + chance.nextLong(SECOND),
+  private void restoreRegistry() {
+    registryUnavailable = true;
+    long lostTerms = random.nextLong(8);
+    trace.accept("the registry is restored from a backup, " + lostTerms + " terms back");
+    scheduler.schedule(
+        scheduler.nowNanos()
+            + TIMINGS.longestNanos(LEASE_NANOS)
+            + random.nextLong(NANOS_PER_SECOND),
         () -> {
-          registryAway = false;
+          registryUnavailable = false;
           for (int task = 0; task < TASKS.size(); task++) {
-            registryKey[task] =
+            registryKeys[task] =
                 new long[] {
-                  0, Math.max(0, registryKey[task][1] - back), registryKey[task][2] + 1, 0
+                  0, Math.max(0, registryKeys[task][1] - lostTerms), registryKeys[task][2] + 1, 0
                 };
-            int of = task;
-            all.forEach(
-                one ->
-                    one.at(
-                        agenda.now(),
-                        () -> ((RegistryLeadership) one.tenures.get(of)).registryRestored()));
-            tell(task);
+            int taskIndex = task;
+            gateways.forEach(
+                gateway ->
+                    gateway.schedule(
+                        scheduler.nowNanos(),
+                        () ->
+                            ((RegistryLeadership) gateway.leaderships.get(taskIndex))
+                                .registryRestored()));
+            notifyWatchers(task);
           }
         });
   }
 
   // ---- What goes wrong.
 
-  private void calm() {
-    story.accept("calm");
-    for (boolean[] row : cut) {
+  private void endFaults() {
+    trace.accept("calm");
+    for (boolean[] row : cutLinks) {
       Arrays.fill(row, false);
     }
-    stage = stages.size() - 1;
-    all.forEach(
-        one -> {
-          one.frozenUntil = Math.min(one.frozenUntil, agenda.now());
-          if (!one.up) {
-            one.start();
+    currentStage = voterStages.size() - 1;
+    gateways.forEach(
+        gateway -> {
+          gateway.pausedUntilNanos = Math.min(gateway.pausedUntilNanos, scheduler.nowNanos());
+          if (!gateway.running) {
+            gateway.restart();
           }
-          know(one);
+          updateVoters(gateway);
         });
   }
 
@@ -679,114 +765,138 @@
    * after all have it. Guards against an owner that was elected by the list before, in the last
    * moment.
    */
-  private void nextStage() {
-    if (stage + 1 < stages.size() && agenda.now() < busyUntil - 10 * SECOND) {
-      boolean allKnow = all.stream().allMatch(one -> !one.up || one.knows == stage);
-      knownFor = allKnow ? knownFor + 1 : 0;
-      if (knownFor > 1) {
-        knownFor = 0;
-        stage++;
-        story.accept("the electorate becomes " + stages.get(stage));
-        all.forEach(one -> one.at(agenda.now() + chance.nextLong(3 * SECOND), () -> know(one)));
+  private void advanceVoters() {
+    if (currentStage + 1 < voterStages.size()
+        && scheduler.nowNanos() < faultsUntilNanos - 10 * NANOS_PER_SECOND) {
+      boolean allKnow =
+          gateways.stream()
+              .allMatch(gateway -> !gateway.running || gateway.knownStage == currentStage);
+      roundsKnown = allKnow ? roundsKnown + 1 : 0;
+      if (roundsKnown > 1) {
+        roundsKnown = 0;
+        currentStage++;
+        trace.accept("the electorate becomes " + voterStages.get(currentStage));
+        gateways.forEach(
+            gateway ->
+                gateway.schedule(
+                    scheduler.nowNanos() + random.nextLong(3 * NANOS_PER_SECOND),
+                    () -> updateVoters(gateway)));
       }
-      agenda.at(agenda.now() + 4 * SECOND, this::nextStage);
+      scheduler.schedule(scheduler.nowNanos() + 4 * NANOS_PER_SECOND, this::advanceVoters);
     }
   }
 
-  private void know(GatewayProcess one) {
-    if (one.knows != stage) {
-      one.knows = stage;
+  private void updateVoters(SimulatedGateway gateway) {
+    if (gateway.knownStage != currentStage) {
+      gateway.knownStage = currentStage;
       for (int task = 0; task < TASKS.size(); task++) {
-        if (one.tenures.get(task) instanceof QuorumLeadership voted) {
-          voted.updateVoters(stages.get(stage));
-          one.arm(task);
+        if (gateway.leaderships.get(task) instanceof QuorumLeadership voted) {
+          voted.updateVoters(voterStages.get(currentStage));
+          gateway.scheduleTick(task);
         }
       }
     }
   }
 
-  private void fault() {
-    if (agenda.now() >= busyUntil) {
+  private void injectFault() {
+    if (scheduler.nowNanos() >= faultsUntilNanos) {
       return;
     }
-    GatewayProcess one = all.get(chance.nextInt(all.size()));
-    switch (chance.nextInt(9)) {
-      case 0, 1 -> kill(one);
+    SimulatedGateway gateway = gateways.get(random.nextInt(gateways.size()));
+    switch (random.nextInt(9)) {
+      case 0, 1 -> crash(gateway);
       case 2, 3 -> {
-        one.frozenUntil = Math.max(one.frozenUntil, agenda.now() + chance.nextLong(8 * SECOND));
-        story.accept(
-            "g" + one.index + " stands still for " + (one.frozenUntil - agenda.now()) / MS + " ms");
+        gateway.pausedUntilNanos =
+            Math.max(
+                gateway.pausedUntilNanos,
+                scheduler.nowNanos() + random.nextLong(8 * NANOS_PER_SECOND));
+        trace.accept(
+            "g"
+                + gateway.index
+                + " stands still for "
+                + (gateway.pausedUntilNanos - scheduler.nowNanos()) / NANOS_PER_MILLI
+                + " ms");
       }
       case 4 -> {
-        int task = chance.nextInt(TASKS.size());
-        if (one.up && agenda.now() >= one.frozenUntil && way != Way.LOWEST_ALIVE) {
-          story.accept("g" + one.index + " lets " + TASKS.get(task) + " go");
-          one.quits[task] = true;
-          long idle = Math.max(agenda.now(), one.actsUntil[task]);
-          one.at(idle, () -> one.handOver(task));
-          one.at(idle + chance.nextLong(2 * SECOND), () -> kill(one));
+        int task = random.nextInt(TASKS.size());
+        if (gateway.running
+            && scheduler.nowNanos() >= gateway.pausedUntilNanos
+            && variant != LeadershipVariant.LOWEST_ALIVE) {
+          trace.accept("g" + gateway.index + " lets " + TASKS.get(task) + " go");
+          gateway.resigning[task] = true;
+          long effectsOverNanos = Math.max(scheduler.nowNanos(), gateway.effectsUntilNanos[task]);
+          gateway.schedule(effectsOverNanos, () -> gateway.handOver(task));
+          gateway.schedule(
+              effectsOverNanos + random.nextLong(2 * NANOS_PER_SECOND), () -> crash(gateway));
         }
       }
       case 5 -> partition();
       case 6 -> {
-        int other = chance.nextInt(all.size());
-        cut[one.index][other] = true;
-        agenda.at(agenda.now() + chance.nextLong(8 * SECOND), () -> cut[one.index][other] = false);
+        int to = random.nextInt(gateways.size());
+        cutLinks[gateway.index][to] = true;
+        scheduler.schedule(
+            scheduler.nowNanos() + random.nextLong(8 * NANOS_PER_SECOND),
+            () -> cutLinks[gateway.index][to] = false);
       }
       case 7 -> {
-        one.wallOffset = chance.nextLong(-300, 300);
-        if (chance.nextInt(6) == 0) {
-          story.accept("all lose power");
-          all.forEach(this::kill);
+        gateway.wallClockOffsetMillis = random.nextLong(-300, 300);
+        if (random.nextInt(6) == 0) {
+          trace.accept("all lose power");
+          gateways.forEach(this::crash);
         }
       }
       default -> {
-        if (registry && !registryAway) {
-          if (chance.nextBoolean()) {
-            restore();
+        if (byRegistry && !registryUnavailable) {
+          if (random.nextBoolean()) {
+            restoreRegistry();
           } else {
-            registryAway = true;
-            agenda.at(agenda.now() + chance.nextLong(4 * SECOND), () -> registryAway = false);
+            registryUnavailable = true;
+            scheduler.schedule(
+                scheduler.nowNanos() + random.nextLong(4 * NANOS_PER_SECOND),
+                () -> registryUnavailable = false);
           }
         }
       }
     }
-    agenda.at(
-        agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(4 * SECOND)), this::fault);
+    scheduler.schedule(
+        scheduler.nowNanos() + (random.nextInt(4) == 0 ? 0 : random.nextLong(4 * NANOS_PER_SECOND)),
+        this::injectFault);
   }
 
-  private void kill(GatewayProcess one) {
-    if (one.up) {
-      story.accept("g" + one.index + " is killed");
-      one.up = false;
-      one.wallOffset -=
-          chance.nextInt(3) == 0 ? chance.nextLong(2000) : 0; // Its clock may be set back.
-      long of = one.life;
-      agenda.at(
-          agenda.now() + chance.nextLong(50 * MS, 5 * SECOND),
+  private void crash(SimulatedGateway gateway) {
+    if (gateway.running) {
+      trace.accept("g" + gateway.index + " is killed");
+      gateway.running = false;
+      gateway.wallClockOffsetMillis -=
+          random.nextInt(3) == 0 ? random.nextLong(2000) : 0; // Its clock may be set back.
+      long taskIndex = gateway.incarnation;
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(50 * NANOS_PER_MILLI, 5 * NANOS_PER_SECOND),
           () -> {
-            if (one.life == of && !one.up) {
-              one.frozenUntil = 0;
-              one.start();
+            if (gateway.incarnation == taskIndex && !gateway.running) {
+              gateway.pausedUntilNanos = 0;
+              gateway.restart();
             }
           });
     }
   }
 
   private void partition() {
-    List<Integer> order = new ArrayList<>(IntStream.range(0, all.size()).boxed().toList());
-    Collections.shuffle(order, new java.util.Random(chance.nextLong()));
-    int many = 1 + chance.nextInt(all.size() - 1);
-    story.accept("a partition: " + order.subList(0, many));
-    split(order, many, true);
-    agenda.at(agenda.now() + chance.nextLong(12 * SECOND), () -> split(order, many, false));
+    List<Integer> shuffled = new ArrayList<>(IntStream.range(0, gateways.size()).boxed().toList());
+    Collections.shuffle(shuffled, new java.util.Random(random.nextLong()));
+    int gatewayCount = 1 + random.nextInt(gateways.size() - 1);
+    trace.accept("a partition: " + shuffled.subList(0, gatewayCount));
+    setPartition(shuffled, gatewayCount, true);
+    scheduler.schedule(
+        scheduler.nowNanos() + random.nextLong(12 * NANOS_PER_SECOND),
+        () -> setPartition(shuffled, gatewayCount, false));
   }
 
-  private void split(List<Integer> order, int many, boolean apart) {
-    for (int from = 0; from < order.size(); from++) {
-      for (int to = 0; to < order.size(); to++) {
-        if (from < many != to < many) {
-          cut[order.get(from)][order.get(to)] = apart;
+  private void setPartition(List<Integer> shuffled, int gatewayCount, boolean cut) {
+    for (int from = 0; from < shuffled.size(); from++) {
+      for (int to = 0; to < shuffled.size(); to++) {
+        if (from < gatewayCount != to < gatewayCount) {
+          cutLinks[shuffled.get(from)][shuffled.get(to)] = cut;
         }
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipModelExperiment.java
@@ -5,7 +5,7 @@
 /** Ownership of tasks on a virtual clock, the right way and wrong ones. */
 public final class LeadershipModelExperiment {
   /** How tasks are owned; only RIGHT is meant. */
-  public enum Way {
+  public enum LeadershipVariant {
     RIGHT,
     LOWEST_ALIVE,
     BELIEF_FROM_ANSWER,
@@ -16,7 +16,7 @@
 
   private LeadershipModelExperiment() {}
 
-  public static SeededRuns.Model model(Way way) {
-    return (seed, story) -> new LeadershipModel(seed, way, story).run();
+  public static SeededRuns.Model model(LeadershipVariant variant) {
+    return (seed, trace) -> new LeadershipModel(seed, variant, trace).run();
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueExperiment.java
@@ -17,11 +17,13 @@
  * paired by seed.
  */
 public final class LeadershipValueExperiment {
-  private static final int FEWER = 5, AFTER_S = 5;
-  private static final double NOISE = 0.01;
-  private static final String CALLS = "calls_while_out_from_5s", AFTER = "after_5s";
+  private static final int MIN_CALL_RATIO = 5;
+  private static final int AFTER_SECONDS = 5;
+  private static final double SHARE_TOLERANCE = 0.01;
+  private static final String CALLS = "calls_while_out_from_5s";
+  private static final String AFTER = "after_5s";
 
-  private enum Way {
+  private enum LedTasks {
     ALONE,
     PROBE,
     PROBE_AND_WARM
@@ -34,23 +36,23 @@
    */
   public static ExperimentReport run(
       long seed, int gateways, int caches, int pairs, PrintStream out) {
-    List<Map<Way, Map<String, Double>>> played =
+    List<Map<LedTasks, Map<String, Double>>> results =
         LongStream.range(seed, seed + pairs)
             .parallel()
             .mapToObj(
-                each -> {
-                  Map<Way, Map<String, Double>> one = new TreeMap<>();
-                  for (Way way : Way.values()) {
+                runSeed -> {
+                  Map<LedTasks, Map<String, Double>> one = new TreeMap<>();
+                  for (LedTasks tasks : LedTasks.values()) {
                     try {
                       one.put(
-                          way,
+                          tasks,
                           new LeadershipValueModel(
                                   new VirtualFleet.Plan(
-                                      each,
+                                      runSeed,
                                       gateways,
                                       caches,
-                                      way != Way.ALONE,
-                                      way == Way.PROBE_AND_WARM))
+                                      tasks != LedTasks.ALONE,
+                                      tasks == LedTasks.PROBE_AND_WARM))
                               .run());
                     } catch (IOException e) {
                       throw new UncheckedIOException(e);
@@ -64,7 +66,7 @@
             .figure("gateways", gateways)
             .figure("caches", caches)
             .figure("pairs", pairs);
-    List<String> names = new ArrayList<>(played.get(0).get(Way.ALONE).keySet());
+    List<String> names = new ArrayList<>(results.get(0).get(LedTasks.ALONE).keySet());
     out.printf(
         Locale.ROOT,
         "%-36s %12s %12s %16s   each seed's gain by probe, by both%n",
@@ -73,49 +75,56 @@
         "probe",
         "probe and warm");
     for (String name : names) {
-      StringBuilder gains = new StringBuilder();
-      played.forEach(
+      StringBuilder differences = new StringBuilder();
+      results.forEach(
           one ->
-              gains.append(
+              differences.append(
                   String.format(
                       Locale.ROOT,
                       " %+.3g/%+.3g",
-                      one.get(Way.PROBE).get(name) - one.get(Way.ALONE).get(name),
-                      one.get(Way.PROBE_AND_WARM).get(name) - one.get(Way.ALONE).get(name))));
+                      one.get(LedTasks.PROBE).get(name) - one.get(LedTasks.ALONE).get(name),
+                      one.get(LedTasks.PROBE_AND_WARM).get(name)
+                          - one.get(LedTasks.ALONE).get(name))));
       out.printf(
           Locale.ROOT,
           "%-36s %12.3f %12.3f %16.3f  %s%n",
           name,
-          mean(played, Way.ALONE, name),
-          mean(played, Way.PROBE, name),
-          mean(played, Way.PROBE_AND_WARM, name),
-          gains);
-      for (Way way : Way.values()) {
-        result.figure(name + "_" + way.name().toLowerCase(Locale.ROOT), mean(played, way, name));
+          mean(results, LedTasks.ALONE, name),
+          mean(results, LedTasks.PROBE, name),
+          mean(results, LedTasks.PROBE_AND_WARM, name),
+          differences);
+      for (LedTasks tasks : LedTasks.values()) {
+        result.figure(
+            name + "_" + tasks.name().toLowerCase(Locale.ROOT), mean(results, tasks, name));
       }
     }
-    boolean fell =
-        played.stream()
+    boolean overloaded =
+        results.stream()
             .flatMap(one -> one.values().stream())
             .anyMatch(one -> one.get("cold_fell") > 0);
     return result
-        .bar("a cold cache never gets more than it bears", !fell)
+        .bar("a cold cache never gets more than it bears", !overloaded)
         .bar(
             "calls at caches that are out, once known: five times fewer",
-            mean(played, Way.ALONE, CALLS) >= FEWER * mean(played, Way.PROBE, CALLS))
+            mean(results, LedTasks.ALONE, CALLS)
+                >= MIN_CALL_RATIO * mean(results, LedTasks.PROBE, CALLS))
         .bar(
             "service while out and after, together not lower",
-            whole(played, Way.PROBE) >= whole(played, Way.ALONE) - NOISE
-                && whole(played, Way.PROBE_AND_WARM) >= whole(played, Way.ALONE) - NOISE);
+            meanService(results, LedTasks.PROBE)
+                    >= meanService(results, LedTasks.ALONE) - SHARE_TOLERANCE
+                && meanService(results, LedTasks.PROBE_AND_WARM)
+                    >= meanService(results, LedTasks.ALONE) - SHARE_TOLERANCE);
   }
 
-  private static double whole(List<Map<Way, Map<String, Double>>> of, Way way) {
-    return (LeadershipValueModel.OUT_S * mean(of, way, "while_out")
-            + AFTER_S * mean(of, way, AFTER))
-        / (LeadershipValueModel.OUT_S + AFTER_S);
+  private static double meanService(
+      List<Map<LedTasks, Map<String, Double>>> results, LedTasks tasks) {
+    return (LeadershipValueModel.OUTAGE_SECONDS * mean(results, tasks, "while_out")
+            + AFTER_SECONDS * mean(results, tasks, AFTER))
+        / (LeadershipValueModel.OUTAGE_SECONDS + AFTER_SECONDS);
   }
 
-  private static double mean(List<Map<Way, Map<String, Double>>> of, Way way, String name) {
-    return of.stream().mapToDouble(one -> one.get(way).get(name)).average().orElse(0);
+  private static double mean(
+      List<Map<LedTasks, Map<String, Double>>> results, LedTasks tasks, String name) {
+    return results.stream().mapToDouble(one -> one.get(tasks).get(name)).average().orElse(0);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LowestIdLeadership.java
@@ -9,25 +9,27 @@
  * task.
  */
 final class LowestIdLeadership implements Leadership {
-  private final String own;
-  private final long patience;
-  private final Map<String, Long> heardAt = new TreeMap<>();
-  private long since = Long.MAX_VALUE, term, now;
+  private final String ownName;
+  private final long timeoutNanos;
+  private final Map<String, Long> heardAtNanos = new TreeMap<>();
+  private long leaderSinceNanos = Long.MAX_VALUE;
+  private long term;
+  private long lastTickNanos;
 
-  LowestIdLeadership(String own, long patience, long now) {
-    this.own = own;
-    this.patience = patience;
-    since = now;
+  LowestIdLeadership(String ownName, long timeoutNanos, long nowNanos) {
+    this.ownName = ownName;
+    this.timeoutNanos = timeoutNanos;
+    leaderSinceNanos = nowNanos;
   }
 
-  void heard(long time, String name) {
-    heardAt.put(name, time);
-    tick(time);
+  void heartbeatReceived(long nowNanos, String name) {
+    heardAtNanos.put(name, nowNanos);
+    tick(nowNanos);
   }
 
   @Override
   public State state() {
-    return isLeader(now) ? State.HOLDING : State.FOLLOWING;
+    return isLeader(lastTickNanos) ? State.HOLDING : State.FOLLOWING;
   }
 
   @Override
@@ -36,10 +38,13 @@
   }
 
   @Override
-  public boolean isLeader(long time) {
-    return time - since > patience
-        && heardAt.entrySet().stream()
-            .noneMatch(one -> one.getKey().compareTo(own) < 0 && time - one.getValue() < patience);
+  public boolean isLeader(long nowNanos) {
+    return nowNanos - leaderSinceNanos > timeoutNanos
+        && heardAtNanos.entrySet().stream()
+            .noneMatch(
+                entry ->
+                    entry.getKey().compareTo(ownName) < 0
+                        && nowNanos - entry.getValue() < timeoutNanos);
   }
 
   @Override
@@ -49,32 +54,32 @@
 
   @Override
   public long nextTickNanos() {
-    return now + patience / 4;
+    return lastTickNanos + timeoutNanos / 4;
   }
 
   @Override
-  public void tick(long time) {
-    now = time;
-    term = time / 1_000_000;
+  public void tick(long nowNanos) {
+    lastTickNanos = nowNanos;
+    term = nowNanos / 1_000_000;
   }
 
   @Override
-  public void higherTermSeen(long time, long seen) {
+  public void higherTermSeen(long nowNanos, long seen) {
     term = Math.max(term, seen + 1);
   }
 
   @Override
-  public void predecessorStopped(long time, long ofTerm) {
-    tick(time);
+  public void predecessorStopped(long nowNanos, long stoppedTerm) {
+    tick(nowNanos);
   }
 
   @Override
-  public void release(long time) {
-    resign(time);
+  public void release(long nowNanos) {
+    resign(nowNanos);
   }
 
   @Override
-  public void resign(long time) {
-    since = Long.MAX_VALUE / 2;
+  public void resign(long nowNanos) {
+    leaderSinceNanos = Long.MAX_VALUE / 2;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipExperiment.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.HdrHistogram.Histogram;
 import org.amberpath.lab.ExperimentReport;
-import org.amberpath.lab.testbed.NetworkLinks.Way;
+import org.amberpath.lab.testbed.NetworkLinks.LinkCondition;
 import org.amberpath.lab.testbed.ProcessTestbed;
 
 /**
@@ -25,121 +25,150 @@
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class MembershipExperiment {
-  private static final long MS = 1_000_000, WARM_MS = 8000, NEWS_MS = 400, LOOK_MS = 200;
-  private static final long SETTLED_MS = 10_000, TOUCHED_MS = 15_000, HIGHEST_MS = 60_000;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long WARM_UP_MILLIS = 8000;
+  private static final long DISCOVERY_CHANGE_MILLIS = 400;
+  private static final long OBSERVE_MILLIS = 200;
+  private static final long MAX_SETTLE_MILLIS = 10_000;
+  private static final long FAULT_FREE_MILLIS = 15_000;
+  private static final long MAX_HEARD_MILLIS = 60_000;
 
   /**
    * Bars of a day: how far service may be off, and what one gateway may send in any second. That is
    * what the view's own bounds come to: forty answers in each of two periods, eight stretches of a
    * list in each, probes and those for others.
    */
-  private static final long MOST_DATAGRAMS = 120, MOST_BYTES = 48 << 10;
+  private static final long MAX_DATAGRAMS_PER_SECOND = 120;
 
-  private static final double UNJUDGED = 0.2, APART = 0.02, SLACK = 1e-9;
-  private static final String LOSS = "lost";
+  private static final long MAX_BYTES_PER_SECOND = 48 << 10;
+
+  private static final double MAX_UNJUDGED_SHARE = 0.2;
+  private static final double MAX_SERVICE_DIFFERENCE = 0.02;
+  private static final double ROUNDING = 1e-9;
+  private static final String LOST = "lost";
 
   /** What is to be tried. */
   public record Plan(long seed, int gateways, int seconds, boolean baseline, Path folder) {}
 
   /** One fault, and for how long; one and other are gateways, side is a set of them by bits. */
-  private record Fault(long atMs, String what, int one, int other, long side, long ms) {
+  private record Fault(
+      long atMillis, String kind, int gateway, int peer, long sideBits, long durationMillis) {
     @Override
     public String toString() {
       String whom =
-          what.equals("partition")
-              ? Long.toBinaryString(side)
-              : what.equals("lossy")
+          kind.equals("partition")
+              ? Long.toBinaryString(sideBits)
+              : kind.equals("lossy")
                   ? "all"
-                  : what.equals("oneway") ? "g" + one + " to g" + other : "g" + one;
-      return String.format(Locale.ROOT, "%6d ms  %-9s %s for %d ms", atMs, what, whom, ms);
+                  : kind.equals("oneway") ? "g" + gateway + " to g" + peer : "g" + gateway;
+      return String.format(
+          Locale.ROOT, "%6d ms  %-9s %s for %d ms", atMillis, kind, whom, durationMillis);
     }
   }
 
-  private record Step(long atMs, Work work) {}
+  private record Step(long atMillis, Action action) {}
 
-  private interface Work {
+  private interface Action {
     void run() throws Exception;
   }
 
   private final Plan plan;
   private final List<Fault> faults = new ArrayList<>();
-  private final Histogram heard = new Histogram(HIGHEST_MS, 3);
-  private final int told;
-  private long healedMs = -1, lastFaultAt, partsSeen;
-  private double mostParts;
-  private ProcessTestbed rig;
+  private final Histogram crashHeardMillis = new Histogram(MAX_HEARD_MILLIS, 3);
+  private final int expectedMembers;
+  private long settledAfterMillis = -1;
+  private long lastFaultNanos;
+  private long observations;
+  private double maxShareSum;
+  private ProcessTestbed testbed;
 
   private MembershipExperiment(Plan plan) {
     this.plan = plan;
     // On one day of three one gateway more runs than the operators told.
-    told = plan.seed % 3 == 0 ? plan.gateways - 1 : plan.gateways;
-    draw(new SplittableRandom(plan.seed));
+    expectedMembers = plan.seed % 3 == 0 ? plan.gateways - 1 : plan.gateways;
+    drawFaults(new SplittableRandom(plan.seed));
   }
 
-  private void draw(SplittableRandom chance) {
+  private void drawFaults(SplittableRandom random) {
     long[] busyUntil = new long[plan.gateways];
-    long at = 0, linksUntil = 0;
-    while (at < plan.seconds * 1000L) {
-      int one = chance.nextInt(plan.gateways), other = chance.nextInt(plan.gateways);
-      long now = at;
-      long away = java.util.Arrays.stream(busyUntil).filter(until -> until > now).count();
-      boolean free = busyUntil[one] <= at && 2 * (away + 1) <= plan.gateways;
-      switch (chance.nextInt(6)) {
-        case 0 -> add(at, "kill", one, chance.nextLong(1000, 12_000), free, busyUntil);
-        case 1 -> add(at, "stand", one, chance.nextLong(300, 8000), free, busyUntil);
-        case 2 -> add(at, "term", one, chance.nextLong(2500, 6000), free, busyUntil);
+    long atMillis = 0;
+    long linksUntilMillis = 0;
+    while (atMillis < plan.seconds * 1000L) {
+      int gateway = random.nextInt(plan.gateways);
+      int peer = random.nextInt(plan.gateways);
+      long nowNanos = atMillis;
+      long failedGateways =
+          java.util.Arrays.stream(busyUntil).filter(untilMillis -> untilMillis > nowNanos).count();
+      boolean mayFail = busyUntil[gateway] <= atMillis && 2 * (failedGateways + 1) <= plan.gateways;
+      switch (random.nextInt(6)) {
+        case 0 ->
+            addProcessFault(
+                atMillis, "kill", gateway, random.nextLong(1000, 12_000), mayFail, busyUntil);
+        case 1 ->
+            addProcessFault(
+                atMillis, "stand", gateway, random.nextLong(300, 8000), mayFail, busyUntil);
+        case 2 ->
+            addProcessFault(
+                atMillis, "term", gateway, random.nextLong(2500, 6000), mayFail, busyUntil);
         case 3 -> {
-          if (linksUntil <= at) {
-            long ms = chance.nextLong(1000, 8000),
-                side = 1 + chance.nextLong((1L << plan.gateways) - 2);
-            faults.add(new Fault(at, "partition", 0, 0, side, ms));
-            linksUntil = at + ms;
+          if (linksUntilMillis <= atMillis) {
+            long durationMillis = random.nextLong(1000, 8000);
+            long sideBits = 1 + random.nextLong((1L << plan.gateways) - 2);
+            faults.add(new Fault(atMillis, "partition", 0, 0, sideBits, durationMillis));
+            linksUntilMillis = atMillis + durationMillis;
           }
         }
         case 4 -> {
-          if (linksUntil <= at) {
-            long ms = chance.nextLong(1000, 6000);
-            faults.add(new Fault(at, "lossy", 0, 0, 0, ms));
-            linksUntil = at + ms;
+          if (linksUntilMillis <= atMillis) {
+            long durationMillis = random.nextLong(1000, 6000);
+            faults.add(new Fault(atMillis, "lossy", 0, 0, 0, durationMillis));
+            linksUntilMillis = atMillis + durationMillis;
           }
         }
         default -> {
-          if (linksUntil <= at && one != other) {
-            long ms = chance.nextLong(1000, 8000);
-            faults.add(new Fault(at, "oneway", one, other, 0, ms));
-            linksUntil = at + ms;
+          if (linksUntilMillis <= atMillis && gateway != peer) {
+            long durationMillis = random.nextLong(1000, 8000);
+            faults.add(new Fault(atMillis, "oneway", gateway, peer, 0, durationMillis));
+            linksUntilMillis = atMillis + durationMillis;
           }
         }
       }
       // Two faults in the same millisecond among them.
-      at += chance.nextInt(4) == 0 ? 0 : chance.nextLong(200, 3000);
+      atMillis += random.nextInt(4) == 0 ? 0 : random.nextLong(200, 3000);
     }
   }
 
-  private void add(long at, String what, int one, long ms, boolean free, long[] busyUntil) {
-    if (free) {
-      faults.add(new Fault(at, what, one, 0, 0, ms));
+  private void addProcessFault(
+      long atMillis,
+      String kind,
+      int gateway,
+      long durationMillis,
+      boolean mayFail,
+      long[] busyUntil) {
+    if (mayFail) {
+      faults.add(new Fault(atMillis, kind, gateway, 0, 0, durationMillis));
       // A start takes its time, and one that has just started is left alone for a moment.
-      busyUntil[one] = at + ms + 4000;
+      busyUntil[gateway] = atMillis + durationMillis + 4000;
     }
   }
 
   /** Plays the day, and the same day with [fleet] off beside it if so planned. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
-    MembershipExperiment day = new MembershipExperiment(plan);
-    day.faults.forEach(out::println);
+    MembershipExperiment experiment = new MembershipExperiment(plan);
+    experiment.faults.forEach(out::println);
     ExperimentReport result =
         new ExperimentReport(plan.seed)
             .figure("gateways", plan.gateways)
-            .figure("told", day.told)
-            .figure("faults", day.faults.size());
-    double served = day.play(true, result, out);
+            .figure("told", experiment.expectedMembers)
+            .figure("faults", experiment.faults.size());
+    double served = experiment.run(true, result, out);
     if (plan.baseline) {
       double without =
-          new MembershipExperiment(plan).play(false, new ExperimentReport(plan.seed), out);
+          new MembershipExperiment(plan).run(false, new ExperimentReport(plan.seed), out);
       result.figure("served_without", rounded(without));
-      if (day.told == plan.gateways) {
-        result.bar("served within 0.02 of a day without", served >= without - APART);
+      if (experiment.expectedMembers == plan.gateways) {
+        result.bar(
+            "served within 0.02 of a day without", served >= without - MAX_SERVICE_DIFFERENCE);
       }
     }
     return result;
@@ -149,68 +178,77 @@
     return Math.round(value * 10_000) / 10_000.0;
   }
 
-  private double play(boolean on, ExperimentReport result, PrintStream out) throws Exception {
+  private double run(boolean withFleet, ExperimentReport result, PrintStream out) throws Exception {
     Path folder =
-        Files.createDirectories(plan.folder.resolve((on ? "fleet-" : "without-") + plan.seed));
-    clean(folder);
-    try (ProcessTestbed made =
+        Files.createDirectories(
+            plan.folder.resolve((withFleet ? "fleet-" : "without-") + plan.seed));
+    deleteFiles(folder);
+    try (ProcessTestbed opened =
         new ProcessTestbed(
-            new ProcessTestbed.Plan(plan.seed, plan.gateways, on ? told : 0, 40, folder))) {
-      rig = made;
-      rig.startAll();
-      Thread.sleep(WARM_MS);
-      long began = System.nanoTime();
-      busy(began, on);
-      long calm = System.nanoTime();
-      for (long until = calm + SETTLED_MS * MS;
-          System.nanoTime() < until && (healedMs < 0 || !on); ) {
-        Thread.sleep(LOOK_MS);
-        look(on);
-        healedMs = on && healedMs < 0 && whole() ? (System.nanoTime() - calm) / MS : healedMs;
+            new ProcessTestbed.Plan(
+                plan.seed, plan.gateways, withFleet ? expectedMembers : 0, 40, folder))) {
+      testbed = opened;
+      testbed.startAll();
+      Thread.sleep(WARM_UP_MILLIS);
+      long beganNanos = System.nanoTime();
+      playFaults(beganNanos, withFleet);
+      long calmNanos = System.nanoTime();
+      for (long until = calmNanos + MAX_SETTLE_MILLIS * NANOS_PER_MILLI;
+          System.nanoTime() < until && (settledAfterMillis < 0 || !withFleet); ) {
+        Thread.sleep(OBSERVE_MILLIS);
+        observe(withFleet);
+        settledAfterMillis =
+            withFleet && settledAfterMillis < 0 && allViewsComplete()
+                ? (System.nanoTime() - calmNanos) / NANOS_PER_MILLI
+                : settledAfterMillis;
       }
-      double served = rig.served(began, System.nanoTime());
-      String views = on && healedMs < 0 ? views() : "";
-      var ends = rig.settle();
-      ends.forEach(result::figure);
-      rig.auditor().figures().forEach(result::figure);
+      double served = testbed.servedShare(beganNanos, System.nanoTime());
+      String incompleteViews = withFleet && settledAfterMillis < 0 ? describeIncompleteViews() : "";
+      var outcomes = testbed.settle();
+      outcomes.forEach(result::figure);
+      testbed.auditor().figures().forEach(result::figure);
       result
           .figure("served", rounded(served))
-          .figure("unjudged", rounded(rig.auditor().unjudged()));
-      if (on) {
+          .figure("unjudged", rounded(testbed.auditor().unjudgedShare()));
+      if (withFleet) {
         result
-            .figure("settled_after_ms", healedMs)
-            .figure("heard_of_a_kill_p50_ms", heard.getValueAtPercentile(50))
-            .figure("heard_of_a_kill_max_ms", heard.getMaxValue())
-            .figure("kills_heard_of", heard.getTotalCount())
-            .figure("datagrams", rig.links().carried())
-            .figure("datagrams_dropped", rig.links().dropped())
-            .figure("most_datagrams_in_a_second", rig.links().mostDatagrams())
-            .figure("most_bytes_in_a_second", rig.links().mostBytes())
-            .figure("most_parts", rounded(mostParts))
-            .figure("looks", partsSeen)
-            .figure("wrong", rig.auditor().wrongs())
+            .figure("settled_after_ms", settledAfterMillis)
+            .figure("heard_of_a_kill_p50_ms", crashHeardMillis.getValueAtPercentile(50))
+            .figure("heard_of_a_kill_max_ms", crashHeardMillis.getMaxValue())
+            .figure("kills_heard_of", crashHeardMillis.getTotalCount())
+            .figure("datagrams", testbed.links().forwardedDatagrams())
+            .figure("datagrams_dropped", testbed.links().droppedDatagrams())
+            .figure("most_datagrams_in_a_second", testbed.links().maxDatagramsPerSecond())
+            .figure("most_bytes_in_a_second", testbed.links().maxBytesPerSecond())
+            .figure("most_parts", rounded(maxShareSum))
+            .figure("looks", observations)
+            .figure("wrong", testbed.auditor().violations())
             .bar(
                 "every view is those that run within 10 s of the last fault"
-                    + (views.isEmpty() ? "" : ": " + views),
-                healedMs >= 0)
-            .bar("no rule broken, nobody there called lost", rig.auditor().wrongs().isEmpty())
+                    + (incompleteViews.isEmpty() ? "" : ": " + incompleteViews),
+                settledAfterMillis >= 0)
+            .bar(
+                "no rule broken, nobody there called lost",
+                testbed.auditor().violations().isEmpty())
             .bar(
                 "under the ceiling in every second",
-                rig.links().mostDatagrams() <= MOST_DATAGRAMS
-                    && rig.links().mostBytes() <= MOST_BYTES)
-            .bar("parts sum to one at most", mostParts <= 1 + SLACK)
-            .bar("no GET lost", ends.get("lost") == 0)
-            .bar("one answer each", ends.get("twice") == 0)
-            .bar("not void: four fifths judged", rig.auditor().unjudged() <= UNJUDGED)
-            .bar("no failure in the logs", rig.severe() == 0);
+                testbed.links().maxDatagramsPerSecond() <= MAX_DATAGRAMS_PER_SECOND
+                    && testbed.links().maxBytesPerSecond() <= MAX_BYTES_PER_SECOND)
+            .bar("parts sum to one at most", maxShareSum <= 1 + ROUNDING)
+            .bar("no GET lost", outcomes.get("lost") == 0)
+            .bar("one answer each", outcomes.get("twice") == 0)
+            .bar(
+                "not void: four fifths judged",
+                testbed.auditor().unjudgedShare() <= MAX_UNJUDGED_SHARE)
+            .bar("no failure in the logs", testbed.severeLines() == 0);
       } else {
-        out.println("without [fleet]: " + ends + ", wrong: " + rig.auditor().wrongs());
+        out.println("without [fleet]: " + outcomes + ", wrong: " + testbed.auditor().violations());
       }
       return served;
     }
   }
 
-  private static void clean(Path folder) throws IOException {
+  private static void deleteFiles(Path folder) throws IOException {
     try (var files = Files.list(folder)) {
       for (Path file : files.toList()) {
         Files.delete(file);
@@ -220,67 +258,69 @@
 
   // ---- The timetable, played.
 
-  private void busy(long began, boolean on) throws Exception {
+  private void playFaults(long beganNanos, boolean withFleet) throws Exception {
     List<Step> steps = new ArrayList<>();
     for (Fault fault : faults) {
-      steps.add(new Step(fault.atMs, () -> begin(fault)));
-      steps.add(new Step(fault.atMs + fault.ms, () -> finish(fault)));
+      steps.add(new Step(fault.atMillis, () -> beginFault(fault)));
+      steps.add(new Step(fault.atMillis + fault.durationMillis, () -> endFault(fault)));
     }
     long end = plan.seconds * 1000L;
     for (Fault fault : faults) {
-      end = Math.max(end, fault.atMs + fault.ms);
+      end = Math.max(end, fault.atMillis + fault.durationMillis);
     }
-    for (long at = 0; at < end; at += NEWS_MS) {
-      steps.add(new Step(at, () -> rig.news()));
+    for (long at = 0; at < end; at += DISCOVERY_CHANGE_MILLIS) {
+      steps.add(new Step(at, () -> testbed.changeDiscovery()));
     }
-    for (long at = 0; at < end; at += LOOK_MS) {
-      steps.add(new Step(at, () -> look(on)));
+    for (long at = 0; at < end; at += OBSERVE_MILLIS) {
+      steps.add(new Step(at, () -> observe(withFleet)));
     }
-    steps.sort(Comparator.comparingLong(Step::atMs));
+    steps.sort(Comparator.comparingLong(Step::atMillis));
     for (Step step : steps) {
-      long wait = began / MS + step.atMs - System.nanoTime() / MS;
+      long wait =
+          beganNanos / NANOS_PER_MILLI + step.atMillis - System.nanoTime() / NANOS_PER_MILLI;
       if (wait > 0) {
         Thread.sleep(wait);
       }
-      step.work.run();
+      step.action.run();
     }
   }
 
-  private void begin(Fault fault) throws Exception {
-    lastFaultAt = Math.max(lastFaultAt, System.nanoTime() + fault.ms * MS);
-    switch (fault.what) {
+  private void beginFault(Fault fault) throws Exception {
+    lastFaultNanos =
+        Math.max(lastFaultNanos, System.nanoTime() + fault.durationMillis * NANOS_PER_MILLI);
+    switch (fault.kind) {
       case "kill" -> {
-        rig.kill(fault.one);
-        killedAt[fault.one % killedAt.length] = System.nanoTime();
+        testbed.kill(fault.gateway);
+        killedAtNanos[fault.gateway % killedAtNanos.length] = System.nanoTime();
       }
-      case "term" -> rig.term(fault.one);
-      case "stand" -> rig.stand(fault.one, fault.ms);
-      case "partition" -> sides(fault.side, Way.CUT);
-      case "lossy" -> rig.links(new Way(false, 0.3, 0.1, 300));
-      default -> rig.link(fault.one, fault.other, Way.CUT);
+      case "term" -> testbed.terminate(fault.gateway);
+      case "stand" -> testbed.pause(fault.gateway, fault.durationMillis);
+      case "partition" -> partition(fault.sideBits, LinkCondition.CUT);
+      case "lossy" -> testbed.setAllLinks(new LinkCondition(false, 0.3, 0.1, 300));
+      default -> testbed.setLink(fault.gateway, fault.peer, LinkCondition.CUT);
     }
   }
 
-  private void finish(Fault fault) throws Exception {
-    switch (fault.what) {
+  private void endFault(Fault fault) throws Exception {
+    switch (fault.kind) {
       case "kill" -> {
-        killedAt[fault.one % killedAt.length] = 0;
-        rig.start(fault.one);
+        killedAtNanos[fault.gateway % killedAtNanos.length] = 0;
+        testbed.start(fault.gateway);
       }
       case "term" -> {
-        rig.end(fault.one);
-        rig.start(fault.one);
+        testbed.awaitExit(fault.gateway);
+        testbed.start(fault.gateway);
       }
       case "stand" -> {}
-      default -> rig.links(Way.WELL);
+      default -> testbed.setAllLinks(LinkCondition.HEALTHY);
     }
   }
 
-  private void sides(long side, Way way) throws Exception {
+  private void partition(long sideBits, LinkCondition condition) throws Exception {
     for (int from = 0; from < plan.gateways; from++) {
       for (int to = 0; to < plan.gateways; to++) {
-        if ((side >> from & 1) != (side >> to & 1)) {
-          rig.link(from, to, way);
+        if ((sideBits >> from & 1) != (sideBits >> to & 1)) {
+          testbed.setLink(from, to, condition);
         }
       }
     }
@@ -288,85 +328,88 @@
 
   // ---- What is looked at.
 
-  private final long[] killedAt = new long[64];
+  private final long[] killedAtNanos = new long[64];
 
   /**
    * The parts of all views that are there, and who is called lost that runs and that no fault
    * touches.
    */
-  private void look(boolean on) {
-    if (!on) {
+  private void observe(boolean withFleet) {
+    if (!withFleet) {
       return;
     }
-    double parts = 0;
-    long now = System.nanoTime();
-    partsSeen++;
-    for (ProcessTestbed.Place place : rig.places()) {
-      JsonObject view = place.view();
-      if (view == null || !place.runs()) {
+    double shareSum = 0;
+    long nowNanos = System.nanoTime();
+    observations++;
+    for (ProcessTestbed.GatewaySlot slot : testbed.slots()) {
+      JsonObject view = slot.view();
+      if (view == null || !slot.isRunning()) {
         continue;
       }
-      parts += view.getDouble("part");
+      shareSum += view.getDouble("part");
       for (Object one : view.getJsonArray("gateways")) {
         JsonObject other = (JsonObject) one;
-        ProcessTestbed.Place of =
-            rig.places().get(Integer.parseInt(other.getString("name").substring(1)));
-        if (other.getString("standing").equals(LOSS)
-            && untouched(place, now)
-            && untouched(of, now)) {
-          rig.auditor().wrong(place.name() + " calls " + of.name() + " lost, which runs");
+        ProcessTestbed.GatewaySlot peerSlot =
+            testbed.slots().get(Integer.parseInt(other.getString("name").substring(1)));
+        if (other.getString("standing").equals(LOST)
+            && isFaultFree(slot, nowNanos)
+            && isFaultFree(peerSlot, nowNanos)) {
+          testbed
+              .auditor()
+              .violation(slot.name() + " calls " + peerSlot.name() + " lost, which runs");
         }
       }
     }
-    mostParts = Math.max(mostParts, parts);
+    maxShareSum = Math.max(maxShareSum, shareSum);
     for (int one = 0; one < plan.gateways; one++) {
-      if (killedAt[one] != 0 && allHeardOf(one)) {
-        heard.recordValue(Math.min(HIGHEST_MS, (now - killedAt[one]) / MS));
-        killedAt[one] = 0;
+      if (killedAtNanos[one] != 0 && allKnowLost(one)) {
+        crashHeardMillis.recordValue(
+            Math.min(MAX_HEARD_MILLIS, (nowNanos - killedAtNanos[one]) / NANOS_PER_MILLI));
+        killedAtNanos[one] = 0;
       }
     }
   }
 
-  private boolean untouched(ProcessTestbed.Place place, long now) {
-    return place.runs()
-        && now - place.runsSince() > TOUCHED_MS * MS
-        && now - lastFaultAt > TOUCHED_MS * MS;
+  private boolean isFaultFree(ProcessTestbed.GatewaySlot slot, long nowNanos) {
+    return slot.isRunning()
+        && nowNanos - slot.runningSinceNanos() > FAULT_FREE_MILLIS * NANOS_PER_MILLI
+        && nowNanos - lastFaultNanos > FAULT_FREE_MILLIS * NANOS_PER_MILLI;
   }
 
-  private boolean allHeardOf(int gone) {
-    return rig.places().stream()
-        .filter(one -> one.view() != null && one.runs())
+  private boolean allKnowLost(int lostGateway) {
+    return testbed.slots().stream()
+        .filter(slot -> slot.view() != null && slot.isRunning())
         .allMatch(
-            one ->
-                one.view().getJsonArray("gateways").stream()
+            slot ->
+                slot.view().getJsonArray("gateways").stream()
                     .map(JsonObject.class::cast)
                     .noneMatch(
-                        other ->
-                            other.getString("name").equals("g" + gone)
-                                && !other.getString("standing").equals(LOSS)
-                                && !other.getString("standing").equals("left")));
+                        entry ->
+                            entry.getString("name").equals("g" + lostGateway)
+                                && !entry.getString("standing").equals(LOST)
+                                && !entry.getString("standing").equals("left")));
   }
 
-  private boolean whole() {
-    return rig.places().stream().allMatch(this::isWhole);
+  private boolean allViewsComplete() {
+    return testbed.slots().stream().allMatch(this::isViewComplete);
   }
 
-  private boolean isWhole(ProcessTestbed.Place place) {
-    JsonObject view = place.view();
-    return place.runs()
+  private boolean isViewComplete(ProcessTestbed.GatewaySlot slot) {
+    JsonObject view = slot.view();
+    return slot.isRunning()
         && view != null
         && view.getString("phase").equals("settled")
-        && there(view).size() == plan.gateways;
+        && presentNames(view).size() == plan.gateways;
   }
 
-  private static Set<String> there(JsonObject view) {
+  private static Set<String> presentNames(JsonObject view) {
     return view.getJsonArray("gateways").stream()
         .map(JsonObject.class::cast)
         .filter(
-            one ->
-                one.getString("standing").equals("alive")
-                    || one.getString("standing").equals("suspected"))
-        .map(one -> one.getString("name"))
+            entry ->
+                entry.getString("standing").equals("alive")
+                    || entry.getString("standing").equals("suspected"))
+        .map(entry -> entry.getString("name"))
         .collect(
             Collectors.toCollection(
                 () -> {
@@ -376,16 +419,16 @@
                 }));
   }
 
-  private String views() {
-    return rig.places().stream()
-        .filter(one -> !isWhole(one))
+  private String describeIncompleteViews() {
+    return testbed.slots().stream()
+        .filter(slot -> !isViewComplete(slot))
         .map(
-            one ->
-                one.name()
+            slot ->
+                slot.name()
                     + " "
-                    + (one.view() == null
+                    + (slot.view() == null
                         ? "no view"
-                        : one.view().getString("phase") + " " + there(one.view())))
+                        : slot.view().getString("phase") + " " + presentNames(slot.view())))
         .toList()
         .toString();
   }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModel.java
@@ -21,402 +21,453 @@
  * each view holds those that run and nobody else.
  */
 final class MembershipModel {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long WARM = 15 * SECOND,
-      BUSY = 40 * SECOND,
-      CALM = 30 * SECOND,
-      HEALED = 15 * SECOND;
-  private static final long TICK = 100 * MS;
-  private static final int LEAST = 3, MOST = 30, MOST_A_SECOND = 200, SEEDS = 3;
-  private static final int MOST_RECORDED = 300,
-      RECORDED_ONE_IN = 20,
-      REPLAYED = 60,
-      LIES_ONE_IN = 4;
-  private static final double SLACK = 1e-9;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final long WARM_UP_NANOS = 15 * NANOS_PER_SECOND;
+  private static final long FAULT_PERIOD_NANOS = 40 * NANOS_PER_SECOND;
+  private static final long CALM_PERIOD_NANOS = 30 * NANOS_PER_SECOND;
+  private static final long HEALED_AFTER_NANOS = 15 * NANOS_PER_SECOND;
+  private static final long TICK_NANOS = 100 * NANOS_PER_MILLI;
+  private static final int MIN_MEMBERS = 3;
+  private static final int MAX_MEMBERS = 30;
+  private static final int MAX_DATAGRAMS_PER_SECOND = 200;
+  private static final int SEED_MEMBERS = 3;
+  private static final int MAX_RECORDED = 300;
+  private static final int RECORDED_ONE_IN = 20;
+  private static final int REPLAYED_MESSAGES = 60;
+  private static final int FALSE_UPDATE_ONE_IN = 4;
+  private static final double ROUNDING = 1e-9;
 
   /** A bar that was missed. */
-  static final class Missed extends RuntimeException {
-    Missed(String what) {
-      super(what);
+  static final class InvariantViolation extends RuntimeException {
+    InvariantViolation(String message) {
+      super(message);
     }
   }
 
   /** One gateway's place: the process that runs there, if one does. */
-  private final class Place implements SwimProtocol.Output {
+  private final class SimulatedMember implements SwimProtocol.Output {
     final int index;
-    final String name, address;
-    SwimProtocol view;
-    private ReplayFilter door;
+    final String name;
+    final String address;
+    SwimProtocol protocol;
+    private ReplayFilter replayFilter;
 
     /** Which process of this place: datagrams and ticks of an older one go nowhere. */
-    int process;
+    int processGeneration;
 
-    long incarnation, frozenUntil, second, sent;
+    long incarnation;
+    long pausedUntilNanos;
+    long currentSecond;
+    long sentInSecond;
     boolean left;
 
-    Place(int index) {
+    SimulatedMember(int index) {
       this.index = index;
       name = "g" + index;
       address = "a" + index;
     }
 
-    void start() {
-      process++;
+    void restart() {
+      processGeneration++;
       left = false;
       // Its clock is all that a process remembers of the starts before it, and the clock may have
       // gone back.
-      incarnation = Math.max(1, (agenda.now() - START) / SECOND + chance.nextInt(-5, 5));
-      long birth = chance.nextLong();
-      door = new ReplayFilter(birth, rules.probeIntervalNanos(), agenda.now());
-      view =
+      incarnation =
+          Math.max(
+              1, (scheduler.nowNanos() - EPOCH_NANOS) / NANOS_PER_SECOND + random.nextInt(-5, 5));
+      long instanceId = random.nextLong();
+      replayFilter =
+          new ReplayFilter(instanceId, timings.probeIntervalNanos(), scheduler.nowNanos());
+      protocol =
           new SwimProtocol(
-              rules,
-              new MemberUpdate(name, address, incarnation, birth, MemberStatus.ALIVE, name),
+              timings,
+              new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name),
               List.of("a0", "a1", "a2"),
-              chance.nextLong(),
-              agenda.now(),
+              random.nextLong(),
+              scheduler.nowNanos(),
               this);
-      int mine = process;
-      agenda.at(agenda.now() + chance.nextLong(TICK), () -> tick(mine));
+      int generation = processGeneration;
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(TICK_NANOS), () -> tick(generation));
     }
 
-    private void tick(int of) {
-      if (of == process && view != null) {
-        if (frozenUntil <= agenda.now()) {
-          view.tick(agenda.now());
+    private void tick(int generation) {
+      if (generation == processGeneration && protocol != null) {
+        if (pausedUntilNanos <= scheduler.nowNanos()) {
+          protocol.tick(scheduler.nowNanos());
         }
-        agenda.at(Math.max(agenda.now() + TICK, frozenUntil), () -> tick(of));
+        scheduler.schedule(
+            Math.max(scheduler.nowNanos() + TICK_NANOS, pausedUntilNanos), () -> tick(generation));
       }
     }
 
     @Override
-    public void send(String to, GossipMessage said) {
-      GossipMessage message = this == liar && calmSince == 0 ? lied(said) : said;
-      long now = agenda.now() / SECOND;
-      sent = now == second ? sent + 1 : 1;
-      second = now;
-      datagrams++;
-      most = Math.max(most, sent);
-      if (sent > MOST_A_SECOND) {
-        throw new Missed(name + " sent " + sent + " datagrams in a second");
+    public void send(String address, GossipMessage message) {
+      GossipMessage sent =
+          this == faultyMember && calmSinceNanos == 0 ? withFalseUpdate(message) : message;
+      long second = scheduler.nowNanos() / NANOS_PER_SECOND;
+      sentInSecond = second == currentSecond ? sentInSecond + 1 : 1;
+      currentSecond = second;
+      datagramCount++;
+      maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, sentInSecond);
+      if (sentInSecond > MAX_DATAGRAMS_PER_SECOND) {
+        throw new InvariantViolation(name + " sent " + sentInSecond + " datagrams in a second");
       }
-      if (message.updates().size() > rules.maxUpdatesPerMessage()) {
-        throw new Missed(name + " sent " + message.updates().size() + " rumours at once");
+      if (sent.updates().size() > timings.maxUpdatesPerMessage()) {
+        throw new InvariantViolation(name + " sent " + sent.updates().size() + " rumours at once");
       }
-      Place target = places.get(Integer.parseInt(to.substring(1)));
-      if (recorded.size() < MOST_RECORDED || chance.nextInt(RECORDED_ONE_IN) == 0) {
-        recorded.add(message);
-        if (recorded.size() > MOST_RECORDED) {
-          recorded.remove(chance.nextInt(recorded.size()));
+      SimulatedMember recipient = members.get(Integer.parseInt(address.substring(1)));
+      if (recorded.size() < MAX_RECORDED || random.nextInt(RECORDED_ONE_IN) == 0) {
+        recorded.add(sent);
+        if (recorded.size() > MAX_RECORDED) {
+          recorded.remove(random.nextInt(recorded.size()));
         }
       }
-      if (cut[index][target.index] || chance.nextDouble() < loss) {
+      if (cutLinks[index][recipient.index] || random.nextDouble() < lossRate) {
         return;
       }
-      int copies = chance.nextDouble() < doubled ? 2 : 1;
+      int copies = random.nextDouble() < duplicationRate ? 2 : 1;
       for (int copy = 0; copy < copies; copy++) {
-        int process = target.process;
-        agenda.at(
-            agenda.now() + MS / 5 + chance.nextLong(delay), () -> target.come(process, message));
+        int generation = recipient.processGeneration;
+        scheduler.schedule(
+            scheduler.nowNanos() + NANOS_PER_MILLI / 5 + random.nextLong(maxDelayNanos),
+            () -> recipient.receive(generation, sent));
       }
     }
 
-    private void come(int of, GossipMessage message) {
-      if (of != process || view == null) {
+    private void receive(int generation, GossipMessage sent) {
+      if (generation != processGeneration || protocol == null) {
         return;
       }
-      if (frozenUntil > agenda.now()) { // It waits in the socket.
-        agenda.at(frozenUntil, () -> come(of, message));
-      } else if (door.tryExamine(agenda.now())) {
-        switch (door.check(agenda.now(), message)) {
-          case TAKEN -> view.messageReceived(agenda.now(), message);
-          case GREETED -> view.greet(agenda.now(), message.sender());
-          default -> turnedAway++;
+      if (pausedUntilNanos > scheduler.nowNanos()) { // It waits in the socket.
+        scheduler.schedule(pausedUntilNanos, () -> receive(generation, sent));
+      } else if (replayFilter.tryExamine(scheduler.nowNanos())) {
+        switch (replayFilter.check(scheduler.nowNanos(), sent)) {
+          case TAKEN -> protocol.messageReceived(scheduler.nowNanos(), sent);
+          case GREETED -> protocol.greet(scheduler.nowNanos(), sent.sender());
+          default -> rejectedDatagrams++;
         }
       }
     }
 
     /** Says of another, whom it knows to run, that it is gone. */
-    private GossipMessage lied(GossipMessage said) {
-      List<SwimProtocol.ObservedMember> others = view.otherMembers();
-      if (others.isEmpty()
-          || chance.nextInt(LIES_ONE_IN) > 0
-          || said.updates().size() == rules.maxUpdatesPerMessage()) {
-        return said;
+    private GossipMessage withFalseUpdate(GossipMessage message) {
+      List<SwimProtocol.ObservedMember> observed = protocol.otherMembers();
+      if (observed.isEmpty()
+          || random.nextInt(FALSE_UPDATE_ONE_IN) > 0
+          || message.updates().size() == timings.maxUpdatesPerMessage()) {
+        return message;
       }
-      MemberUpdate of = others.get(chance.nextInt(others.size())).update();
-      List<MemberUpdate> all = new ArrayList<>(said.updates());
-      all.add(
+      MemberUpdate generation = observed.get(random.nextInt(observed.size())).update();
+      List<MemberUpdate> updates = new ArrayList<>(message.updates());
+      updates.add(
           new MemberUpdate(
-              of.name(),
-              of.address(),
-              of.incarnation() + chance.nextInt(2),
-              of.instanceId(),
-              chance.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT,
+              generation.name(),
+              generation.address(),
+              generation.incarnation() + random.nextInt(2),
+              generation.instanceId(),
+              random.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT,
               name));
-      lies++;
+      falseUpdates++;
       return new GossipMessage(
-          said.kind(),
-          said.sender(),
-          said.recipientInstanceId(),
-          said.sequenceNumber(),
-          said.probeNumber(),
-          said.countedDigest(),
-          said.presentDigest(),
-          said.subject(),
-          said.hasMore(),
-          said.fullySynced(),
-          all);
+          message.kind(),
+          message.sender(),
+          message.recipientInstanceId(),
+          message.sequenceNumber(),
+          message.probeNumber(),
+          message.countedDigest(),
+          message.presentDigest(),
+          message.subject(),
+          message.hasMore(),
+          message.fullySynced(),
+          updates);
     }
 
     @Override
-    public void memberStatusChanged(String who, MemberStatus standing) {
-      story.accept(name + ": " + who + " " + standing);
-      falseLosses += standing == MemberStatus.LOST && runs(who) ? 1 : 0;
-      if (calmSince > 0
-          && agenda.now() - calmSince > HEALED
-          && standing == MemberStatus.LOST
-          && runs(who)) {
-        throw new Missed(name + " holds " + who + " for lost, which runs and can be reached");
+    public void memberStatusChanged(String memberName, MemberStatus status) {
+      trace.accept(name + ": " + memberName + " " + status);
+      falseLossCount += status == MemberStatus.LOST && isRunning(memberName) ? 1 : 0;
+      if (calmSinceNanos > 0
+          && scheduler.nowNanos() - calmSinceNanos > HEALED_AFTER_NANOS
+          && status == MemberStatus.LOST
+          && isRunning(memberName)) {
+        throw new InvariantViolation(
+            name + " holds " + memberName + " for lost, which runs and can be reached");
       }
     }
 
-    private boolean runs(String who) {
-      Place one = places.get(Integer.parseInt(who.substring(1)));
-      return one.view != null && !one.left;
+    private boolean isRunning(String memberName) {
+      SimulatedMember member = members.get(Integer.parseInt(memberName.substring(1)));
+      return member.protocol != null && !member.left;
     }
 
     @Override
-    public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-      story.accept(name + ": " + from + " -> " + to);
+    public void phaseChanged(SwimProtocol.Phase before, SwimProtocol.Phase after) {
+      trace.accept(name + ": " + before + " -> " + after);
     }
 
     @Override
-    public void nameConflictDetected(String at) {
-      throw new Missed(name + " was told of a twin at " + at);
+    public void nameConflictDetected(String address) {
+      throw new InvariantViolation(name + " was told of a twin at " + address);
     }
   }
 
-  private final SplittableRandom chance;
-  private final VirtualScheduler agenda = new VirtualScheduler(START);
-  private final Consumer<String> story;
-  private final List<Place> places = new ArrayList<>();
-  private final boolean[][] cut;
-  private final SwimTimings rules;
-  private final int first;
+  private final SplittableRandom random;
+  private final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+  private final Consumer<String> trace;
+  private final List<SimulatedMember> members = new ArrayList<>();
+  private final boolean[][] cutLinks;
+  private final SwimTimings timings;
+  private final int firstMembers;
 
   /** What a stranger on the network kept of all that went by, to send it again. */
   private final List<GossipMessage> recorded = new ArrayList<>();
 
-  private Place liar;
-  private double loss, doubled;
-  private boolean beyond;
-  private long delay = 2 * MS, calmSince, datagrams, most, falseLosses, faults, steps;
-  private long turnedAway, lies;
+  private SimulatedMember faultyMember;
+  private double lossRate;
+  private double duplicationRate;
+  private boolean beyondExpectedSize;
+  private long maxDelayNanos = 2 * NANOS_PER_MILLI;
+  private long calmSinceNanos;
+  private long datagramCount;
+  private long maxDatagramsPerSecond;
+  private long falseLossCount;
+  private long faultCount;
+  private long steps;
+  private long rejectedDatagrams;
+  private long falseUpdates;
 
-  MembershipModel(long seed, Consumer<String> story) {
-    chance = new SplittableRandom(seed);
-    this.story = line -> story.accept((agenda.now() - START) / MS + " ms: " + line);
-    int many = LEAST + chance.nextInt(MOST - LEAST + 1);
+  MembershipModel(long seed, Consumer<String> trace) {
+    random = new SplittableRandom(seed);
+    this.trace =
+        line ->
+            trace.accept((scheduler.nowNanos() - EPOCH_NANOS) / NANOS_PER_MILLI + " ms: " + line);
+    int memberCount = MIN_MEMBERS + random.nextInt(MAX_MEMBERS - MIN_MEMBERS + 1);
     // In one run of three, more come than the operators told, once those before them have settled.
-    boolean grows = chance.nextInt(3) == 0;
-    first = grows ? Math.max(2, many - 1 - chance.nextInt(many / 2)) : many;
-    rules = SwimTimings.defaults(grows ? first : many + chance.nextInt(3));
-    cut = new boolean[many][many];
-    for (int index = 0; index < many; index++) {
-      places.add(new Place(index));
+    boolean grows = random.nextInt(3) == 0;
+    firstMembers =
+        grows ? Math.max(2, memberCount - 1 - random.nextInt(memberCount / 2)) : memberCount;
+    timings = SwimTimings.defaults(grows ? firstMembers : memberCount + random.nextInt(3));
+    cutLinks = new boolean[memberCount][memberCount];
+    for (int index = 0; index < memberCount; index++) {
+      members.add(new SimulatedMember(index));
     }
-    liar = chance.nextInt(6) == 0 ? places.get(chance.nextInt(many)) : null;
+    faultyMember = random.nextInt(6) == 0 ? members.get(random.nextInt(memberCount)) : null;
   }
 
   Map<String, Long> run() {
-    for (int index = 0; index < first; index++) {
-      Place one = places.get(index);
-      agenda.at(START + chance.nextLong(2 * SECOND), one::start);
+    for (int index = 0; index < firstMembers; index++) {
+      SimulatedMember member = members.get(index);
+      scheduler.schedule(EPOCH_NANOS + random.nextLong(2 * NANOS_PER_SECOND), member::restart);
     }
-    agenda.at(START + WARM, this::fault);
-    long busyUntil = START + WARM + BUSY;
-    agenda.at(busyUntil, this::calm);
-    while (agenda.step(busyUntil + CALM)) {
+    scheduler.schedule(EPOCH_NANOS + WARM_UP_NANOS, this::injectFault);
+    long faultsUntilNanos = EPOCH_NANOS + WARM_UP_NANOS + FAULT_PERIOD_NANOS;
+    scheduler.schedule(faultsUntilNanos, this::endFaults);
+    while (scheduler.runNext(faultsUntilNanos + CALM_PERIOD_NANOS)) {
       steps++;
-      check();
+      checkInvariants();
     }
-    for (Place one : places) {
-      if (one.view != null && !one.view.presentNames().equals(running())) {
-        throw new Missed(
-            "calm, and " + one.name + " holds " + one.view.presentNames() + " of " + running());
+    for (SimulatedMember member : members) {
+      if (member.protocol != null && !member.protocol.presentNames().equals(runningNames())) {
+        throw new InvariantViolation(
+            "calm, and "
+                + member.name
+                + " holds "
+                + member.protocol.presentNames()
+                + " of "
+                + runningNames());
       }
-      if (one.view != null
-          && one.view.phase() != SwimProtocol.Phase.SETTLED
-          && running().size() * 2 > places.size()
-          && one.view.countedMembers() < 2 * running().size()) {
-        throw new Missed("calm, and " + one.name + " is " + one.view.phase());
+      if (member.protocol != null
+          && member.protocol.phase() != SwimProtocol.Phase.SETTLED
+          && runningNames().size() * 2 > members.size()
+          && member.protocol.countedMembers() < 2 * runningNames().size()) {
+        throw new InvariantViolation("calm, and " + member.name + " is " + member.protocol.phase());
       }
     }
     return Map.of(
         "steps",
         steps,
         "datagrams",
-        datagrams,
+        datagramCount,
         "most_in_a_second",
-        most,
+        maxDatagramsPerSecond,
         "losses_of_running",
-        falseLosses,
+        falseLossCount,
         "faults",
-        faults,
+        faultCount,
         "turned_away",
-        turnedAway,
+        rejectedDatagrams,
         "lies",
-        lies);
+        falseUpdates);
   }
 
-  private List<String> running() {
-    return places.stream()
-        .filter(one -> one.view != null && !one.left)
-        .map(one -> one.name)
+  private List<String> runningNames() {
+    return members.stream()
+        .filter(member -> member.protocol != null && !member.left)
+        .map(member -> member.name)
         .sorted()
         .toList();
   }
 
-  private void check() {
-    double sum = 0;
-    for (Place one : places) {
+  private void checkInvariants() {
+    double shareSum = 0;
+    for (SimulatedMember member : members) {
       // One beyond the told number that has reached nobody serves as before: what is promised ends
       // there.
-      sum +=
-          one.view == null || (beyond && one.view.phase() == SwimProtocol.Phase.ALONE)
+      shareSum +=
+          member.protocol == null
+                  || (beyondExpectedSize && member.protocol.phase() == SwimProtocol.Phase.ALONE)
               ? 0
-              : one.view.quotaShare();
+              : member.protocol.quotaShare();
     }
-    if (sum > 1 + SLACK) {
-      throw new Missed(
+    if (shareSum > 1 + ROUNDING) {
+      throw new InvariantViolation(
           "shares sum to "
-              + sum
+              + shareSum
               + ": "
-              + places.stream()
-                  .filter(one -> one.view != null)
+              + members.stream()
+                  .filter(member -> member.protocol != null)
                   .map(
-                      one ->
-                          one.name
+                      member ->
+                          member.name
                               + " "
-                              + one.view.phase()
+                              + member.protocol.phase()
                               + " of "
-                              + one.view.countedMembers()
+                              + member.protocol.countedMembers()
                               + ": "
-                              + one.view.quotaShare())
+                              + member.protocol.quotaShare())
                   .toList());
     }
   }
 
-  private void calm() {
-    calmSince = agenda.now();
-    loss = doubled = 0;
-    delay = 2 * MS;
-    for (boolean[] row : cut) {
+  private void endFaults() {
+    calmSinceNanos = scheduler.nowNanos();
+    lossRate = duplicationRate = 0;
+    maxDelayNanos = 2 * NANOS_PER_MILLI;
+    for (boolean[] row : cutLinks) {
       java.util.Arrays.fill(row, false);
     }
-    story.accept("calm");
-    if (places.stream().limit(SEEDS).allMatch(one -> one.view == null)) {
-      places.get(0).frozenUntil = 0;
-      places.get(0).start(); // Where all seeds are down, nobody can be found by them.
+    trace.accept("calm");
+    if (members.stream().limit(SEED_MEMBERS).allMatch(member -> member.protocol == null)) {
+      members.get(0).pausedUntilNanos = 0;
+      members.get(0).restart(); // Where all seeds are down, nobody can be found by them.
     }
   }
 
-  private void fault() {
-    if (calmSince > 0) {
+  private void injectFault() {
+    if (calmSinceNanos > 0) {
       return;
     }
-    faults++;
-    beyond |= places.stream().skip(first).anyMatch(place -> place.process > 0);
-    Place one = places.get(chance.nextInt(places.size()));
-    boolean grown = one.index >= first && one.process == 0;
-    switch (chance.nextInt(10)) {
+    faultCount++;
+    beyondExpectedSize |=
+        members.stream().skip(firstMembers).anyMatch(other -> other.processGeneration > 0);
+    SimulatedMember member = members.get(random.nextInt(members.size()));
+    boolean beyondFirstMembers = member.index >= firstMembers && member.processGeneration == 0;
+    switch (random.nextInt(10)) {
       case 0, 1 -> {
-        if (one.view != null && running().size() > 1) {
-          story.accept(one.name + " is killed");
-          one.view = null;
+        if (member.protocol != null && runningNames().size() > 1) {
+          trace.accept(member.name + " is killed");
+          member.protocol = null;
         }
       }
       case 2, 3 -> {
         // Beyond the told number a start that remembers nothing must find those before it as one.
-        if (one.view == null
-            && (first == places.size() || (!beyond && !grown) || (grown && settled()))) {
-          story.accept(one.name + " starts");
-          one.frozenUntil = 0;
-          one.start();
+        if (member.protocol == null
+            && (firstMembers == members.size()
+                || (!beyondExpectedSize && !beyondFirstMembers)
+                || (beyondFirstMembers && allSettled()))) {
+          trace.accept(member.name + " starts");
+          member.pausedUntilNanos = 0;
+          member.restart();
         }
       }
       case 4 -> {
-        if (one.view != null && running().size() > 1) {
-          story.accept(one.name + " leaves");
-          one.left = true;
-          one.view.leave(agenda.now());
-          one.view = null;
+        if (member.protocol != null && runningNames().size() > 1) {
+          trace.accept(member.name + " leaves");
+          member.left = true;
+          member.protocol.leave(scheduler.nowNanos());
+          member.protocol = null;
         }
       }
       case 5 -> {
-        one.frozenUntil =
-            Math.min(agenda.now() + chance.nextLong(12 * SECOND), START + WARM + BUSY);
-        story.accept(one.name + " stands still");
+        member.pausedUntilNanos =
+            Math.min(
+                scheduler.nowNanos() + random.nextLong(12 * NANOS_PER_SECOND),
+                EPOCH_NANOS + WARM_UP_NANOS + FAULT_PERIOD_NANOS);
+        trace.accept(member.name + " stands still");
       }
       case 6 -> {
         // Beyond the told number it is promised to those that were admitted before. Who is cut off
         // can't refute a liar.
-        if (liar == null
-            && (!beyond
-                || places.stream()
-                    .allMatch(place -> place.view == null || place.view.quotaShare() > 0))) {
+        if (faultyMember == null
+            && (!beyondExpectedSize
+                || members.stream()
+                    .allMatch(
+                        other -> other.protocol == null || other.protocol.quotaShare() > 0))) {
           partition();
         }
       }
       case 7 -> {
-        loss = chance.nextDouble() * 0.3;
-        doubled = chance.nextDouble() * 0.2;
-        delay = 1 + chance.nextLong(chance.nextBoolean() ? SECOND : 5 * MS);
-        story.accept("loss " + loss + ", delays up to " + delay / MS + " ms");
+        lossRate = random.nextDouble() * 0.3;
+        duplicationRate = random.nextDouble() * 0.2;
+        maxDelayNanos =
+            1 + random.nextLong(random.nextBoolean() ? NANOS_PER_SECOND : 5 * NANOS_PER_MILLI);
+        trace.accept(
+            "loss " + lossRate + ", delays up to " + maxDelayNanos / NANOS_PER_MILLI + " ms");
       }
       case 8 -> {
-        for (int again = 0; again < REPLAYED && !recorded.isEmpty(); again++) {
-          GossipMessage old = recorded.get(chance.nextInt(recorded.size()));
-          Place target = places.get(chance.nextInt(places.size()));
-          int process = target.process;
-          agenda.at(agenda.now() + chance.nextLong(SECOND), () -> target.come(process, old));
+        for (int count = 0; count < REPLAYED_MESSAGES && !recorded.isEmpty(); count++) {
+          GossipMessage message = recorded.get(random.nextInt(recorded.size()));
+          SimulatedMember target = members.get(random.nextInt(members.size()));
+          int process = target.processGeneration;
+          scheduler.schedule(
+              scheduler.nowNanos() + random.nextLong(NANOS_PER_SECOND),
+              () -> target.receive(process, message));
         }
-        story.accept("old datagrams are sent again");
+        trace.accept("old datagrams are sent again");
       }
       default -> {
-        int other = chance.nextInt(places.size());
-        cut[one.index][other] = true;
-        story.accept("from " + one.name + " to g" + other + " nothing comes through");
-        agenda.at(agenda.now() + chance.nextLong(10 * SECOND), () -> cut[one.index][other] = false);
+        int peer = random.nextInt(members.size());
+        cutLinks[member.index][peer] = true;
+        trace.accept("from " + member.name + " to g" + peer + " nothing comes through");
+        scheduler.schedule(
+            scheduler.nowNanos() + random.nextLong(10 * NANOS_PER_SECOND),
+            () -> cutLinks[member.index][peer] = false);
       }
     }
     // Two faults in one moment among them.
-    agenda.at(
-        agenda.now() + (chance.nextInt(4) == 0 ? 0 : chance.nextLong(3 * SECOND)), this::fault);
+    scheduler.schedule(
+        scheduler.nowNanos() + (random.nextInt(4) == 0 ? 0 : random.nextLong(3 * NANOS_PER_SECOND)),
+        this::injectFault);
   }
 
   /** Whether a gateway beyond the told number may come: those before it are one fleet. */
-  private boolean settled() {
-    return places.stream()
-        .allMatch(one -> one.view == null || one.view.phase() == SwimProtocol.Phase.SETTLED);
+  private boolean allSettled() {
+    return members.stream()
+        .allMatch(
+            member ->
+                member.protocol == null || member.protocol.phase() == SwimProtocol.Phase.SETTLED);
   }
 
   private void partition() {
-    boolean[] side = new boolean[places.size()];
-    for (int one = 0; one < side.length; one++) {
-      side[one] = chance.nextBoolean();
+    boolean[] side = new boolean[members.size()];
+    for (int member = 0; member < side.length; member++) {
+      side[member] = random.nextBoolean();
     }
-    story.accept("a partition");
-    split(side, true);
-    agenda.at(agenda.now() + chance.nextLong(15 * SECOND), () -> split(side, false));
+    trace.accept("a partition");
+    setPartition(side, true);
+    scheduler.schedule(
+        scheduler.nowNanos() + random.nextLong(15 * NANOS_PER_SECOND),
+        () -> setPartition(side, false));
   }
 
-  private void split(boolean[] side, boolean apart) {
+  private void setPartition(boolean[] side, boolean cut) {
     for (int from = 0; from < side.length; from++) {
       for (int to = 0; to < side.length; to++) {
         if (side[from] != side[to]) {
-          cut[from][to] = apart;
+          cutLinks[from][to] = cut;
         }
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipModelExperiment.java
@@ -5,7 +5,7 @@
 /** The pure half of the fleet's view on a virtual clock. */
 public final class MembershipModelExperiment {
   public static final SeededRuns.Model MODEL =
-      (seed, story) -> new MembershipModel(seed, story).run();
+      (seed, trace) -> new MembershipModel(seed, trace).run();
 
   private MembershipModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipSizeExperiment.java
@@ -23,133 +23,164 @@
  * healing. Beside it, heartbeats to all.
  */
 public final class MembershipSizeExperiment {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long DELAY = 2 * MS, HIGHEST_MS = 1_000_000, CUT = 20 * SECOND;
-  private static final int SAMPLE = 64, TICKS = 5, SEEDS = 3;
-  private static final double LOSS = 0.05;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final long MAX_EXTRA_DELAY_NANOS = 2 * NANOS_PER_MILLI;
+  private static final long MAX_MILLIS = 1_000_000;
+  private static final long PARTITION_NANOS = 20 * NANOS_PER_SECOND;
+  private static final int CODEC_SAMPLE_ONE_IN = 64;
+  private static final int TICKS_PER_PERIOD = 5;
+  private static final int SEED_MEMBERS = 3;
+  private static final double LOSS_RATE = 0.05;
 
   /** One size and setting; figures of it. */
-  private static final class Trial {
-    final SplittableRandom chance;
-    final VirtualScheduler agenda = new VirtualScheduler(START);
-    final SwimTimings rules;
-    final int many;
-    final DatagramCodec form = new DatagramCodec("size", 10);
-    final HmacKeyring keys = HmacKeyring.of("k1", new byte[32]);
-    final List<One> all = new ArrayList<>();
-    long datagrams, sampled, sampledBytes, work, most, writing, reading;
-    double loss;
-    boolean apart;
-    int falseLosses, falseSuspicions;
-    boolean quiet;
+  private static final class SimulatedFleet {
+    final SplittableRandom random;
+    final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+    final SwimTimings timings;
+    final int memberCount;
+    final DatagramCodec codec = new DatagramCodec("size", 10);
+    final HmacKeyring keyring = HmacKeyring.of("k1", new byte[32]);
+    final List<SimulatedMember> members = new ArrayList<>();
+    long datagramCount;
+    long sampledDatagrams;
+    long sampledBytes;
+    long protocolNanos;
+    long maxDatagramsPerSecond;
+    long encodeNanos;
+    long decodeNanos;
+    double lossRate;
+    boolean partitioned;
+    int falseLossCount;
+    int falseSuspicionCount;
+    boolean countsFalseAlarms;
 
-    Trial(long seed, int many, long period) {
-      chance = new SplittableRandom(seed);
-      this.many = many;
-      rules = SwimTimings.withProbeInterval(many, period);
-      for (int one = 0; one < many; one++) {
-        all.add(new One(one));
+    SimulatedFleet(long seed, int memberCount, long probeIntervalNanos) {
+      random = new SplittableRandom(seed);
+      this.memberCount = memberCount;
+      timings = SwimTimings.withProbeInterval(memberCount, probeIntervalNanos);
+      for (int index = 0; index < memberCount; index++) {
+        members.add(new SimulatedMember(index));
       }
     }
 
     /** One gateway. */
-    final class One implements SwimProtocol.Output {
+    final class SimulatedMember implements SwimProtocol.Output {
       final int index;
-      final String name, address;
-      SwimProtocol view;
-      ReplayFilter door;
-      long second, inSecond;
+      final String name;
+      final String address;
+      SwimProtocol protocol;
+      ReplayFilter replayFilter;
+      long currentSecond;
+      long sentInSecond;
 
-      One(int index) {
+      SimulatedMember(int index) {
         this.index = index;
         name = "gateway-" + index;
         address = "10." + (index >> 16) + "." + (index >> 8 & 255) + "." + (index & 255) + ":7946";
       }
 
-      void start() {
-        long birth = chance.nextLong(), now = agenda.now();
+      void restart() {
+        long instanceId = random.nextLong();
+        long nowNanos = scheduler.nowNanos();
         List<String> seeds =
-            all.subList(0, Math.min(SEEDS, many)).stream().map(one -> one.address).toList();
-        door = new ReplayFilter(birth, rules.probeIntervalNanos(), now);
-        view =
+            members.subList(0, Math.min(SEED_MEMBERS, memberCount)).stream()
+                .map(member -> member.address)
+                .toList();
+        replayFilter = new ReplayFilter(instanceId, timings.probeIntervalNanos(), nowNanos);
+        protocol =
             new SwimProtocol(
-                rules,
-                new MemberUpdate(name, address, now / SECOND, birth, MemberStatus.ALIVE, name),
+                timings,
+                new MemberUpdate(
+                    name,
+                    address,
+                    nowNanos / NANOS_PER_SECOND,
+                    instanceId,
+                    MemberStatus.ALIVE,
+                    name),
                 seeds,
-                chance.nextLong(),
-                now,
+                random.nextLong(),
+                nowNanos,
                 this);
-        SwimProtocol mine = view;
-        agenda.at(now + chance.nextLong(rules.probeIntervalNanos() / TICKS), () -> tick(mine));
+        SwimProtocol current = protocol;
+        scheduler.schedule(
+            nowNanos + random.nextLong(timings.probeIntervalNanos() / TICKS_PER_PERIOD),
+            () -> tick(current));
       }
 
-      private void tick(SwimProtocol of) {
-        if (view == of) {
-          long since = System.nanoTime();
-          view.tick(agenda.now());
-          work += System.nanoTime() - since;
-          agenda.at(agenda.now() + rules.probeIntervalNanos() / TICKS, () -> tick(of));
+      private void tick(SwimProtocol expected) {
+        if (protocol == expected) {
+          long sinceNanos = System.nanoTime();
+          protocol.tick(scheduler.nowNanos());
+          protocolNanos += System.nanoTime() - sinceNanos;
+          scheduler.schedule(
+              scheduler.nowNanos() + timings.probeIntervalNanos() / TICKS_PER_PERIOD,
+              () -> tick(expected));
         }
       }
 
-      private void come(GossipMessage message) {
-        if (view == null) {
+      private void receive(GossipMessage message) {
+        if (protocol == null) {
           return;
         }
-        long since = System.nanoTime();
-        if (door.tryExamine(agenda.now())) {
-          switch (door.check(agenda.now(), message)) {
-            case TAKEN -> view.messageReceived(agenda.now(), message);
-            case GREETED -> view.greet(agenda.now(), message.sender());
+        long sinceNanos = System.nanoTime();
+        if (replayFilter.tryExamine(scheduler.nowNanos())) {
+          switch (replayFilter.check(scheduler.nowNanos(), message)) {
+            case TAKEN -> protocol.messageReceived(scheduler.nowNanos(), message);
+            case GREETED -> protocol.greet(scheduler.nowNanos(), message.sender());
             default -> {}
           }
         }
-        work += System.nanoTime() - since;
+        protocolNanos += System.nanoTime() - sinceNanos;
       }
 
       @Override
-      public void send(String to, GossipMessage message) {
-        inSecond = agenda.now() / SECOND == second ? inSecond + 1 : 1;
-        second = agenda.now() / SECOND;
-        most = Math.max(most, inSecond);
-        datagrams++;
-        if (datagrams % SAMPLE == 0) {
-          sampled++;
-          long since = System.nanoTime();
-          byte[] bytes = form.encode(message, keys);
-          long written = System.nanoTime();
-          form.decode(bytes, keys);
-          writing += written - since;
-          reading += System.nanoTime() - written;
-          sampledBytes += bytes.length;
+      public void send(String address, GossipMessage message) {
+        sentInSecond =
+            scheduler.nowNanos() / NANOS_PER_SECOND == currentSecond ? sentInSecond + 1 : 1;
+        currentSecond = scheduler.nowNanos() / NANOS_PER_SECOND;
+        maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, sentInSecond);
+        datagramCount++;
+        if (datagramCount % CODEC_SAMPLE_ONE_IN == 0) {
+          sampledDatagrams++;
+          long sinceNanos = System.nanoTime();
+          byte[] datagram = codec.encode(message, keyring);
+          long encodedNanos = System.nanoTime();
+          codec.decode(datagram, keyring);
+          encodeNanos += encodedNanos - sinceNanos;
+          decodeNanos += System.nanoTime() - encodedNanos;
+          sampledBytes += datagram.length;
         }
-        String[] parts = to.substring(0, to.indexOf(':')).split("\\.", -1);
-        One target =
-            all.get(
+        String[] parts = address.substring(0, address.indexOf(':')).split("\\.", -1);
+        SimulatedMember recipient =
+            members.get(
                 Integer.parseInt(parts[1]) << 16
                     | Integer.parseInt(parts[2]) << 8
                     | Integer.parseInt(parts[3]));
-        if (chance.nextDouble() >= loss && (!apart || index % 2 == target.index % 2)) {
-          agenda.at(agenda.now() + MS / 5 + chance.nextLong(DELAY), () -> target.come(message));
+        if (random.nextDouble() >= lossRate && (!partitioned || index % 2 == recipient.index % 2)) {
+          scheduler.schedule(
+              scheduler.nowNanos() + NANOS_PER_MILLI / 5 + random.nextLong(MAX_EXTRA_DELAY_NANOS),
+              () -> recipient.receive(message));
         }
       }
 
       @Override
-      public void memberStatusChanged(String who, MemberStatus standing) {
-        falseSuspicions += quiet && standing == MemberStatus.SUSPECTED ? 1 : 0;
-        falseLosses += quiet && standing == MemberStatus.LOST ? 1 : 0;
+      public void memberStatusChanged(String memberName, MemberStatus status) {
+        falseSuspicionCount += countsFalseAlarms && status == MemberStatus.SUSPECTED ? 1 : 0;
+        falseLossCount += countsFalseAlarms && status == MemberStatus.LOST ? 1 : 0;
       }
 
       @Override
-      public void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {}
+      public void phaseChanged(SwimProtocol.Phase before, SwimProtocol.Phase after) {}
 
       @Override
-      public void nameConflictDetected(String at) {}
+      public void nameConflictDetected(String address) {}
     }
 
-    void pass(long time) {
-      long end = agenda.now() + time;
-      while (agenda.step(end)) {
+    void runFor(long durationNanos) {
+      long endNanos = scheduler.nowNanos() + durationNanos;
+      while (scheduler.runNext(endNanos)) {
         // The condition does the work.
       }
     }
@@ -157,24 +188,25 @@
     /**
      * Plays on until each that runs holds so many for there; the times at which each did, in ms.
      */
-    Histogram until(int there, long longest) {
-      Histogram took = new Histogram(HIGHEST_MS, 3);
-      List<One> waiting = new ArrayList<>(all.stream().filter(one -> one.view != null).toList());
-      long began = agenda.now();
-      while (!waiting.isEmpty() && agenda.now() - began < longest) {
-        pass(rules.probeIntervalNanos() / TICKS);
-        long ms = (agenda.now() - began) / MS;
+    Histogram runUntilPresent(int presentCount, long maxNanos) {
+      Histogram millisUntilPresent = new Histogram(MAX_MILLIS, 3);
+      List<SimulatedMember> waiting =
+          new ArrayList<>(members.stream().filter(member -> member.protocol != null).toList());
+      long beganNanos = scheduler.nowNanos();
+      while (!waiting.isEmpty() && scheduler.nowNanos() - beganNanos < maxNanos) {
+        runFor(timings.probeIntervalNanos() / TICKS_PER_PERIOD);
+        long ms = (scheduler.nowNanos() - beganNanos) / NANOS_PER_MILLI;
         waiting.removeIf(
-            one -> {
-              boolean done = one.view.presentCount() == there;
-              if (done) {
-                took.recordValue(ms);
+            member -> {
+              boolean complete = member.protocol.presentCount() == presentCount;
+              if (complete) {
+                millisUntilPresent.recordValue(ms);
               }
-              return done;
+              return complete;
             });
       }
-      waiting.forEach(one -> took.recordValue(longest / MS));
-      return took;
+      waiting.forEach(member -> millisUntilPresent.recordValue(maxNanos / NANOS_PER_MILLI));
+      return millisUntilPresent;
     }
   }
 
@@ -185,93 +217,106 @@
       long seed, List<Integer> sizes, List<Integer> periods, PrintStream out) {
     ExperimentReport result = new ExperimentReport(seed);
     out.println(
-        "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 % loss");
+        "figures of one gateway; suspicions and losses that it hears of, of such as run, at 5 %"
+            + " loss");
     out.println(
-        "size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  "
-            + "crash p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram sent, read");
+        "size  period  all known  datagrams/s  bytes/s  most/s, ever  suspicions/h  losses/h  crash"
+            + " p50, p99, max   join p99  healed p99   CPU us/s a gateway, codec us a datagram"
+            + " sent, read");
     for (int size : sizes) {
-      for (long period : periods) {
-        row(new Trial(seed, size, period * MS), size, period * MS, result, out);
+      for (long probeInterval : periods) {
+        measureRow(
+            new SimulatedFleet(seed, size, probeInterval * NANOS_PER_MILLI),
+            size,
+            probeInterval * NANOS_PER_MILLI,
+            result,
+            out);
       }
-      double beats = size - 1;
+      double heartbeats = size - 1;
       out.printf(
           Locale.ROOT,
           "%4d  heartbeats to all, one each 0.5 s, lost after 5 missed: %.0f datagrams/s, "
               + "%.0f bytes/s a gateway; crash heard of after 2.5 to 3 s by each%n",
           size,
-          2 * beats,
-          2 * beats * BEAT);
+          2 * heartbeats,
+          2 * heartbeats * HEARTBEAT_BYTES);
     }
     return result;
   }
 
   /** A datagram that says no more than who sends it: what the form's header and its MAC take. */
-  private static final int BEAT = 130;
+  private static final int HEARTBEAT_BYTES = 130;
 
-  private static void row(
-      Trial trial, int size, long period, ExperimentReport result, PrintStream out) {
-    for (Trial.One one : trial.all) {
-      trial.agenda.at(START + trial.chance.nextLong(2 * SECOND), one::start);
+  private static void measureRow(
+      SimulatedFleet fleet,
+      int size,
+      long probeInterval,
+      ExperimentReport result,
+      PrintStream out) {
+    for (SimulatedFleet.SimulatedMember member : fleet.members) {
+      fleet.scheduler.schedule(
+          EPOCH_NANOS + fleet.random.nextLong(2 * NANOS_PER_SECOND), member::restart);
     }
-    trial.pass(2 * SECOND);
-    Histogram known = trial.until(size, 300 * SECOND);
-    trial.pass(20 * SECOND);
-    long datagrams = trial.datagrams, work = trial.work;
-    trial.most = 0;
-    trial.loss = LOSS;
-    trial.quiet = true;
-    trial.pass(60 * SECOND);
-    trial.quiet = false;
-    long lossyMost = trial.most;
-    double second = (trial.datagrams - datagrams) / 60.0 / size;
-    double cpu = (trial.work - work) / 1e3 / 60 / size;
-    trial.loss = 0;
-    trial.pass(5 * SECOND);
-    trial.all.get(size - 1).view = null;
-    Histogram crash = trial.until(size - 1, 300 * SECOND);
-    trial.all.get(size - 1).start();
-    Histogram join = trial.until(size, 300 * SECOND);
-    trial.apart = true;
-    trial.pass(CUT);
-    trial.apart = false;
-    Histogram healed = trial.until(size, 600 * SECOND);
-    double each = trial.sampledBytes / (double) Math.max(1, trial.sampled);
-    double writing = trial.writing / 1e3 / Math.max(1, trial.sampled),
-        reading = trial.reading / 1e3 / Math.max(1, trial.sampled);
-    String key = size + "_" + period / MS + "ms";
+    fleet.runFor(2 * NANOS_PER_SECOND);
+    Histogram untilAllKnown = fleet.runUntilPresent(size, 300 * NANOS_PER_SECOND);
+    fleet.runFor(20 * NANOS_PER_SECOND);
+    long datagramsBefore = fleet.datagramCount;
+    long protocolNanosBefore = fleet.protocolNanos;
+    fleet.maxDatagramsPerSecond = 0;
+    fleet.lossRate = LOSS_RATE;
+    fleet.countsFalseAlarms = true;
+    fleet.runFor(60 * NANOS_PER_SECOND);
+    fleet.countsFalseAlarms = false;
+    long maxWhileLossy = fleet.maxDatagramsPerSecond;
+    double datagramsPerSecond = (fleet.datagramCount - datagramsBefore) / 60.0 / size;
+    double cpuMicrosPerSecond = (fleet.protocolNanos - protocolNanosBefore) / 1e3 / 60 / size;
+    fleet.lossRate = 0;
+    fleet.runFor(5 * NANOS_PER_SECOND);
+    fleet.members.get(size - 1).protocol = null;
+    Histogram untilCrashKnown = fleet.runUntilPresent(size - 1, 300 * NANOS_PER_SECOND);
+    fleet.members.get(size - 1).restart();
+    Histogram untilJoinKnown = fleet.runUntilPresent(size, 300 * NANOS_PER_SECOND);
+    fleet.partitioned = true;
+    fleet.runFor(PARTITION_NANOS);
+    fleet.partitioned = false;
+    Histogram untilHealed = fleet.runUntilPresent(size, 600 * NANOS_PER_SECOND);
+    double bytesPerDatagram = fleet.sampledBytes / (double) Math.max(1, fleet.sampledDatagrams);
+    double encodeMicros = fleet.encodeNanos / 1e3 / Math.max(1, fleet.sampledDatagrams);
+    double decodeMicros = fleet.decodeNanos / 1e3 / Math.max(1, fleet.sampledDatagrams);
+    String prefix = size + "_" + probeInterval / NANOS_PER_MILLI + "ms";
     out.printf(
         Locale.ROOT,
         "%4d  %4d ms  %6.1f s  %9.1f  %9.0f  %5d, %4d  %11.1f  %8.1f  ",
         size,
-        period / MS,
-        known.getMaxValue() / 1e3,
-        second,
-        second * each,
-        lossyMost,
-        trial.most,
-        trial.falseSuspicions * 60.0 / size,
-        trial.falseLosses * 60.0 / size);
+        probeInterval / NANOS_PER_MILLI,
+        untilAllKnown.getMaxValue() / 1e3,
+        datagramsPerSecond,
+        datagramsPerSecond * bytesPerDatagram,
+        maxWhileLossy,
+        fleet.maxDatagramsPerSecond,
+        fleet.falseSuspicionCount * 60.0 / size,
+        fleet.falseLossCount * 60.0 / size);
     out.printf(
         Locale.ROOT,
         "%6.1f, %.1f, %.1f s  %6.1f s  %6.1f s  %8.0f, %.1f, %.1f%n",
-        crash.getValueAtPercentile(50) / 1e3,
-        crash.getValueAtPercentile(99) / 1e3,
-        crash.getMaxValue() / 1e3,
-        join.getValueAtPercentile(99) / 1e3,
-        healed.getValueAtPercentile(99) / 1e3,
-        cpu,
-        writing,
-        reading);
+        untilCrashKnown.getValueAtPercentile(50) / 1e3,
+        untilCrashKnown.getValueAtPercentile(99) / 1e3,
+        untilCrashKnown.getMaxValue() / 1e3,
+        untilJoinKnown.getValueAtPercentile(99) / 1e3,
+        untilHealed.getValueAtPercentile(99) / 1e3,
+        cpuMicrosPerSecond,
+        encodeMicros,
+        decodeMicros);
     result
-        .figure(key + "_codec_us_sent", Math.round(writing * 10) / 10.0)
-        .figure(key + "_codec_us_read", Math.round(reading * 10) / 10.0)
-        .figure(key + "_datagrams_a_second", Math.round(second * 10) / 10.0)
-        .figure(key + "_bytes_a_second", Math.round(second * each))
-        .figure(key + "_crash_p99_ms", crash.getValueAtPercentile(99))
-        .figure(key + "_healed_p99_ms", healed.getValueAtPercentile(99))
-        .figure(key + "_false_losses_an_hour", trial.falseLosses * 60.0 / size)
-        .bar(key + ": all know all in the end", healed.getMaxValue() < 600_000)
-        .bar(key + ": under 60 datagrams in any second of the lossy minute", lossyMost <= 60)
-        .bar(key + ": under 120 in any second", trial.most <= 120);
+        .figure(prefix + "_codec_us_sent", Math.round(encodeMicros * 10) / 10.0)
+        .figure(prefix + "_codec_us_read", Math.round(decodeMicros * 10) / 10.0)
+        .figure(prefix + "_datagrams_a_second", Math.round(datagramsPerSecond * 10) / 10.0)
+        .figure(prefix + "_bytes_a_second", Math.round(datagramsPerSecond * bytesPerDatagram))
+        .figure(prefix + "_crash_p99_ms", untilCrashKnown.getValueAtPercentile(99))
+        .figure(prefix + "_healed_p99_ms", untilHealed.getValueAtPercentile(99))
+        .figure(prefix + "_false_losses_an_hour", fleet.falseLossCount * 60.0 / size)
+        .bar(prefix + ": all know all in the end", untilHealed.getMaxValue() < 600_000)
+        .bar(prefix + ": under 60 datagrams in any second of the lossy minute", maxWhileLossy <= 60)
+        .bar(prefix + ": under 120 in any second", fleet.maxDatagramsPerSecond <= 120);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -23,62 +23,76 @@
  * most may grant.
  */
 final class PlannersModel {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long BUSY = 60 * SECOND,
-      CALM = 20 * SECOND,
-      LEASE = 3 * SECOND,
-      ASKS = 300 * MS;
-  private static final QuotaTimings RULES = new QuotaTimings(2 * SECOND, 8 * SECOND, 1000, 0.125);
-  private static final double SLACK = 1e-6;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final long FAULT_PERIOD_NANOS = 60 * NANOS_PER_SECOND;
+  private static final long CALM_PERIOD_NANOS = 20 * NANOS_PER_SECOND;
+  private static final long LEASE_NANOS = 3 * NANOS_PER_SECOND;
+  private static final long REQUEST_INTERVAL_NANOS = 300 * NANOS_PER_MILLI;
+  private static final QuotaTimings TIMINGS =
+      new QuotaTimings(2 * NANOS_PER_SECOND, 8 * NANOS_PER_SECOND, 1000, 0.125);
+  private static final double ROUNDING = 1e-6;
 
   /** A bar that was missed. */
-  static final class Missed extends RuntimeException {
-    Missed(String what) {
-      super(what);
+  static final class InvariantViolation extends RuntimeException {
+    InvariantViolation(String message) {
+      super(message);
     }
   }
 
-  private final SplittableRandom chance;
-  private final VirtualScheduler agenda = new VirtualScheduler(START);
-  private final Consumer<String> story;
+  private final SplittableRandom random;
+  private final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+  private final Consumer<String> trace;
   private final List<Planner> planners = new ArrayList<>();
   private final List<Forwarder> forwarders = new ArrayList<>();
   private final double[] bounds = {100, 7};
-  private final long busyUntil = START + BUSY;
-  private long steps, grants, terms, above, handedOver, refused;
+  private final long faultsUntilNanos = EPOCH_NANOS + FAULT_PERIOD_NANOS;
+  private long steps;
+  private long grants;
+  private long terms;
+  private long grantsAboveEqualShare;
+  private long handovers;
+  private long rejectedGrants;
   // The registry's key: who holds it, under which term and revision, until when.
-  private int holder = -1;
-  private long term, changed, expiry;
-
-  PlannersModel(long seed, Consumer<String> story) {
-    chance = new SplittableRandom(seed);
-    this.story = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
-    int many = 2 + chance.nextInt(2), served = 4 + chance.nextInt(8);
-    for (int one = 0; one < many; one++) {
-      planners.add(new Planner(one));
+  private int keyHolder = -1;
+  private long keyTerm;
+  private long keyModRevision;
+  private long leaseExpiresAtNanos;
+
+  PlannersModel(long seed, Consumer<String> trace) {
+    random = new SplittableRandom(seed);
+    this.trace = line -> trace.accept((scheduler.nowNanos() - EPOCH_NANOS) / 1000 + " us: " + line);
+    int plannerCount = 2 + random.nextInt(2);
+    int forwarderCount = 4 + random.nextInt(8);
+    for (int index = 0; index < plannerCount; index++) {
+      planners.add(new Planner(index));
     }
-    for (int one = 0; one < served; one++) {
-      forwarders.add(new Forwarder(one));
+    for (int index = 0; index < forwarderCount; index++) {
+      forwarders.add(new Forwarder(index));
     }
   }
 
   Map<String, Long> run() {
-    planners.forEach(Planner::start);
-    forwarders.forEach(Forwarder::start);
-    agenda.at(START + chance.nextLong(SECOND), this::fault);
-    while (agenda.step(busyUntil + CALM)) {
+    planners.forEach(Planner::restart);
+    forwarders.forEach(Forwarder::restart);
+    scheduler.schedule(EPOCH_NANOS + random.nextLong(NANOS_PER_SECOND), this::injectFault);
+    while (scheduler.runNext(faultsUntilNanos + CALM_PERIOD_NANOS)) {
       steps++;
-      check();
+      checkInvariants();
     }
-    long granted = forwarders.stream().filter(one -> one.holding.isGranted(one.clock())).count();
+    long granted =
+        forwarders.stream()
+            .filter(process -> process.quotaHolder.isGranted(process.localNanos()))
+            .count();
     if (granted < forwarders.size()) {
-      throw new Missed(
+      throw new InvariantViolation(
           "calm, and only "
               + granted
               + " of "
               + forwarders.size()
               + " are granted: "
-              + planners.stream().map(one -> one.leadership.state()).toList());
+              + planners.stream().map(process -> process.leadership.state()).toList());
     }
     return Map.of(
         "steps",
@@ -88,27 +102,32 @@
         "terms",
         terms,
         "above_usual",
-        above,
+        grantsAboveEqualShare,
         "handed_over",
-        handedOver,
+        handovers,
         "refused",
-        refused);
+        rejectedGrants);
   }
 
-  private void check() {
+  private void checkInvariants() {
     for (int resource = 0; resource < bounds.length; resource++) {
       double sum = 0;
-      for (Forwarder one : forwarders) {
-        sum += one.up ? one.holding.share(resource, one.clock()) : 0;
+      for (Forwarder forwarder : forwarders) {
+        sum +=
+            forwarder.running ? forwarder.quotaHolder.share(resource, forwarder.localNanos()) : 0;
       }
-      if (sum > bounds[resource] + SLACK) {
-        throw new Missed(
+      if (sum > bounds[resource] + ROUNDING) {
+        throw new InvariantViolation(
             "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
       }
     }
-    if (planners.stream().filter(one -> one.up && one.leadership.isLeader(one.clock())).count()
+    if (planners.stream()
+            .filter(
+                forwarder ->
+                    forwarder.running && forwarder.leadership.isLeader(forwarder.localNanos()))
+            .count()
         > 1) {
-      throw new Missed("two planners may grant");
+      throw new InvariantViolation("two planners may grant");
     }
   }
 
@@ -117,63 +136,67 @@
   /** A process: with a clock of its own, and times at which it stands still. */
   private abstract class PlanningProcess extends VirtualProcess {
     PlanningProcess() {
-      super(agenda, START, chance);
-      up = true;
+      super(scheduler, EPOCH_NANOS, random);
+      running = true;
     }
 
     /** Has something arrive here: lost, late or twice, as it comes. */
-    void arrive(Runnable what) {
-      int kind = chance.nextInt(100);
-      if (agenda.now() < busyUntil && kind < 5) {
+    void deliver(Runnable task) {
+      int draw = random.nextInt(100);
+      if (scheduler.nowNanos() < faultsUntilNanos && draw < 5) {
         return;
       }
-      long late =
-          agenda.now() < busyUntil && kind < 12
-              ? chance.nextLong(4 * SECOND)
-              : chance.nextLong(MS, 20 * MS);
-      at(agenda.now() + late, what);
-      if (kind > 96) {
-        at(agenda.now() + late + chance.nextLong(SECOND), what);
+      long arrivesAfterNanos =
+          scheduler.nowNanos() < faultsUntilNanos && draw < 12
+              ? random.nextLong(4 * NANOS_PER_SECOND)
+              : random.nextLong(NANOS_PER_MILLI, 20 * NANOS_PER_MILLI);
+      schedule(scheduler.nowNanos() + arrivesAfterNanos, task);
+      if (draw > 96) {
+        schedule(
+            scheduler.nowNanos() + arrivesAfterNanos + random.nextLong(NANOS_PER_SECOND), task);
       }
     }
 
     /** Asks the registry, which does something; the answer may be lost on the way back. */
-    void registry(Runnable there) {
-      agenda.at(
-          agenda.now() + chance.nextLong(MS, 10 * MS),
+    void atRegistry(Runnable request) {
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 10 * NANOS_PER_MILLI),
           () -> {
-            if (chance.nextInt(20) > 0 || agenda.now() > busyUntil) {
-              there.run();
+            if (random.nextInt(20) > 0 || scheduler.nowNanos() > faultsUntilNanos) {
+              request.run();
             }
           });
     }
   }
 
-  private void tell() {
-    long ofTerm = term, at = changed;
-    boolean held = holder >= 0;
+  private void notifyPlanners() {
+    long term = keyTerm;
+    long modRevision = keyModRevision;
+    boolean isHeld = keyHolder >= 0;
     planners.forEach(
-        one ->
-            one.at(
-                agenda.now() + chance.nextLong(MS, 50 * MS),
+        planner ->
+            planner.schedule(
+                scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 50 * NANOS_PER_MILLI),
                 () -> {
-                  one.leadership.keyObserved(one.clock(), ofTerm, held, at);
-                  one.arm();
+                  planner.leadership.keyObserved(planner.localNanos(), term, isHeld, modRevision);
+                  planner.scheduleTick();
                 }));
   }
 
-  private void expire(long of) {
-    if (holder >= 0 && changed == of && agenda.now() >= expiry) {
-      holder = -1;
-      changed++;
-      tell();
+  private void expireLease(long modRevision) {
+    if (keyHolder >= 0
+        && keyModRevision == modRevision
+        && scheduler.nowNanos() >= leaseExpiresAtNanos) {
+      keyHolder = -1;
+      keyModRevision++;
+      notifyPlanners();
     }
   }
 
-  private void lease() {
-    expiry = agenda.now() + LEASE;
-    long of = changed;
-    agenda.at(expiry, () -> expire(of));
+  private void extendLease() {
+    leaseExpiresAtNanos = scheduler.nowNanos() + LEASE_NANOS;
+    long modRevision = keyModRevision;
+    scheduler.schedule(leaseExpiresAtNanos, () -> expireLease(modRevision));
   }
 
   // ---- Processes.
@@ -182,134 +205,143 @@
     final int index;
     RegistryLeadership leadership;
     QuotaLedger ledger;
-    double[][] wants;
+    double[][] wantedByMember;
     long ledgerTerm;
 
     Planner(int index) {
       this.index = index;
     }
 
-    void start() {
-      life++;
-      up = true;
+    void restart() {
+      incarnation++;
+      running = true;
       ledger = null;
       ledgerTerm = 0;
-      leadership = new RegistryLeadership(RULES.leaseTimings(LEASE), this, chance.nextLong());
-      wants = new double[forwarders.size()][];
-      long ofTerm = term, at = changed;
-      boolean held = holder >= 0;
-      leadership.keyObserved(clock(), ofTerm, held, at);
-      arm();
+      leadership =
+          new RegistryLeadership(TIMINGS.leaseTimings(LEASE_NANOS), this, random.nextLong());
+      wantedByMember = new double[forwarders.size()][];
+      long term = keyTerm;
+      long modRevision = keyModRevision;
+      boolean isHeld = keyHolder >= 0;
+      leadership.keyObserved(localNanos(), term, isHeld, modRevision);
+      scheduleTick();
     }
 
-    void arm() {
-      long due = leadership.nextTickNanos();
-      if (due != Long.MAX_VALUE) {
-        at(
-            agenda.now() + Math.max(MS, due - clock()),
+    void scheduleTick() {
+      long dueNanos = leadership.nextTickNanos();
+      if (dueNanos != Long.MAX_VALUE) {
+        schedule(
+            scheduler.nowNanos() + Math.max(NANOS_PER_MILLI, dueNanos - localNanos()),
             () -> {
-              leadership.tick(clock());
-              arm();
+              leadership.tick(localNanos());
+              scheduleTick();
             });
       }
     }
 
     @Override
-    public void campaign(long asTerm, long seenChanged) {
-      registry(
+    public void campaign(long candidateTerm, long seenModRevision) {
+      atRegistry(
           () -> {
-            boolean won = holder < 0 && changed == seenChanged && term + 1 == asTerm;
-            if (won) {
-              holder = index;
-              term = asTerm;
-              changed++;
+            boolean granted =
+                keyHolder < 0 && keyModRevision == seenModRevision && keyTerm + 1 == candidateTerm;
+            if (granted) {
+              keyHolder = index;
+              keyTerm = candidateTerm;
+              keyModRevision++;
               terms++;
-              lease();
-              story.accept("planner " + index + " holds the key under term " + term);
-              tell();
+              extendLease();
+              trace.accept("planner " + index + " holds the key under term " + keyTerm);
+              notifyPlanners();
             }
-            at(
-                agenda.now() + chance.nextLong(MS, 10 * MS),
+            schedule(
+                scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 10 * NANOS_PER_MILLI),
                 () -> {
-                  if (won) {
-                    leadership.campaignWon(clock(), asTerm);
-                    askHandover(asTerm);
+                  if (granted) {
+                    leadership.campaignWon(localNanos(), candidateTerm);
+                    requestHandover(candidateTerm);
                   } else {
-                    leadership.leaseLost(clock());
+                    leadership.leaseLost(localNanos());
                   }
-                  arm();
+                  scheduleTick();
                 });
           });
     }
 
     @Override
-    public void keepAlive(long askedAt) {
-      long of = leadership.term();
-      boolean[] heard = {false};
-      registry(
+    public void keepAlive(long requestedAtNanos) {
+      long term = leadership.term();
+      boolean[] answered = {false};
+      atRegistry(
           () -> {
-            boolean kept = holder == index && term == of;
-            if (kept) {
-              lease();
+            boolean renewed = keyHolder == index && keyTerm == term;
+            if (renewed) {
+              extendLease();
             }
-            at(
-                agenda.now() + chance.nextLong(MS, 10 * MS),
+            schedule(
+                scheduler.nowNanos() + random.nextLong(NANOS_PER_MILLI, 10 * NANOS_PER_MILLI),
                 () -> {
-                  heard[0] = true;
-                  if (kept) {
-                    leadership.leaseRenewed(clock(), askedAt);
+                  answered[0] = true;
+                  if (renewed) {
+                    leadership.leaseRenewed(localNanos(), requestedAtNanos);
                   } else {
-                    leadership.leaseLost(clock());
+                    leadership.leaseLost(localNanos());
                   }
-                  arm();
+                  scheduleTick();
                 });
           });
-      at(
-          agenda.now() + LEASE / 6,
+      schedule(
+          scheduler.nowNanos() + LEASE_NANOS / 6,
           () -> {
-            if (!heard[0] && leadership.term() == of) {
-              leadership.renewalUnanswered(clock());
-              arm();
+            if (!answered[0] && leadership.term() == term) {
+              leadership.renewalUnanswered(localNanos());
+              scheduleTick();
             }
           });
     }
 
     @Override
     public void resign() {
-      long of = leadership.term();
-      registry(
+      long term = leadership.term();
+      atRegistry(
           () -> {
-            if (holder == index && term == of) {
-              holder = -1;
-              changed++;
-              tell();
+            if (keyHolder == index && keyTerm == term) {
+              keyHolder = -1;
+              keyModRevision++;
+              notifyPlanners();
             }
           });
     }
 
     /** Asks the planner before for what it granted; it answers once it has stopped. */
-    private void askHandover(long asTerm) {
-      long askedAt = clock();
+    private void requestHandover(long candidateTerm) {
+      long requestedAtNanos = localNanos();
       for (Planner other : planners) {
         if (other != this) {
-          other.arrive(
+          other.deliver(
               () -> {
                 if (other.leadership.state() == Leadership.State.RESIGNED
                     && other.ledger != null
-                    && other.ledgerTerm == asTerm - 1) {
-                  List<QuotaLedger.OutstandingGrant> left =
-                      other.ledger.outstandingGrants(other.clock());
-                  arrive(
+                    && other.ledgerTerm == candidateTerm - 1) {
+                  List<QuotaLedger.OutstandingGrant> outstanding =
+                      other.ledger.outstandingGrants(other.localNanos());
+                  deliver(
                       () -> {
                         if (leadership.state() == Leadership.State.WAITING
-                            && leadership.term() == asTerm) {
+                            && leadership.term() == candidateTerm) {
                           ledger =
                               QuotaLedger.succeeding(
-                                  RULES, asTerm, bounds, forwarders.size(), left, askedAt, clock());
-                          ledgerTerm = asTerm;
-                          leadership.predecessorStopped(clock(), asTerm - 1);
-                          handedOver++;
-                          arm();
+                                  TIMINGS,
+                                  candidateTerm,
+                                  bounds,
+                                  forwarders.size(),
+                                  outstanding,
+                                  requestedAtNanos,
+                                  localNanos());
+                          ledgerTerm = candidateTerm;
+                          leadership.predecessorStopped(localNanos(), candidateTerm - 1);
+                          handovers++;
+                          scheduleTick();
                         }
                       });
                 }
@@ -318,78 +350,83 @@
       }
     }
 
-    void asked(Forwarder from, QuotaRequest ask) {
-      wants[ask.member()] = ask.wanted();
-      leadership.tick(clock());
-      if (!leadership.isLeader(clock())) {
+    void requestReceived(Forwarder forwarder, QuotaRequest request) {
+      wantedByMember[request.member()] = request.wanted();
+      leadership.tick(localNanos());
+      if (!leadership.isLeader(localNanos())) {
         return;
       }
       if (ledgerTerm != leadership.term()) {
-        ledger = new QuotaLedger(RULES, leadership.term(), bounds, forwarders.size());
+        ledger = new QuotaLedger(TIMINGS, leadership.term(), bounds, forwarders.size());
         ledgerTerm = leadership.term();
       }
-      if (!ledger.requestReceived(ask)) {
+      if (!ledger.requestReceived(request)) {
         return;
       }
-      double[] wished = new double[bounds.length];
+      double[] fairShares = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
-        double usual = bounds[resource] / wants.length;
-        double[] wanted = new double[wants.length];
-        for (int member = 0; member < wants.length; member++) {
-          wanted[member] = wants[member] == null ? usual : wants[member][resource];
+        double equalShare = bounds[resource] / wantedByMember.length;
+        double[] wanted = new double[wantedByMember.length];
+        for (int member = 0; member < wantedByMember.length; member++) {
+          wanted[member] =
+              wantedByMember[member] == null ? equalShare : wantedByMember[member][resource];
         }
-        wished[resource] =
-            MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.minimumFraction())[
-                ask.member()];
+        fairShares[resource] =
+            MaxMinFairShare.of(bounds[resource], wanted, equalShare * TIMINGS.minimumFraction())[
+                request.member()];
       }
-      QuotaGrant grant = ledger.grant(clock(), ask, wished);
+      QuotaGrant grant = ledger.grant(localNanos(), request, fairShares);
       if (grant != null) {
         grants++;
-        above += grant.amounts()[0] > bounds[0] / wants.length ? 1 : 0;
+        grantsAboveEqualShare += grant.amounts()[0] > bounds[0] / wantedByMember.length ? 1 : 0;
         // It may stand still between deciding and sending.
-        long still =
-            chance.nextInt(50) == 0 && agenda.now() < busyUntil ? chance.nextLong(6 * SECOND) : 0;
-        agenda.at(agenda.now() + still, () -> from.arrive(() -> from.granted(grant)));
+        long pauseNanos =
+            random.nextInt(50) == 0 && scheduler.nowNanos() < faultsUntilNanos
+                ? random.nextLong(6 * NANOS_PER_SECOND)
+                : 0;
+        scheduler.schedule(
+            scheduler.nowNanos() + pauseNanos,
+            () -> forwarder.deliver(() -> forwarder.grantReceived(grant)));
       }
     }
   }
 
   private final class Forwarder extends PlanningProcess {
     final int index;
-    QuotaHolder holding;
+    QuotaHolder quotaHolder;
 
     Forwarder(int index) {
       this.index = index;
     }
 
-    void start() {
-      life++;
-      up = true;
-      double[] usual = new double[bounds.length];
+    void restart() {
+      incarnation++;
+      running = true;
+      double[] equalShare = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
-        usual[resource] = bounds[resource] / forwarders.size();
+        equalShare[resource] = bounds[resource] / forwarders.size();
       }
-      holding = new QuotaHolder(RULES, index, life, usual, clock());
-      at(agenda.now() + chance.nextLong(ASKS), this::ask);
+      quotaHolder = new QuotaHolder(TIMINGS, index, incarnation, equalShare, localNanos());
+      schedule(scheduler.nowNanos() + random.nextLong(REQUEST_INTERVAL_NANOS), this::sendRequest);
     }
 
-    private void ask() {
+    private void sendRequest() {
       double[] wanted = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
         wanted[resource] =
-            chance.nextInt(3) == 0
-                ? bounds[resource] * chance.nextDouble()
-                : bounds[resource] / forwarders.size() * chance.nextDouble();
+            random.nextInt(3) == 0
+                ? bounds[resource] * random.nextDouble()
+                : bounds[resource] / forwarders.size() * random.nextDouble();
       }
-      QuotaRequest ask = holding.nextRequest(clock(), wanted);
-      planners.forEach(planner -> planner.arrive(() -> planner.asked(this, ask)));
-      at(agenda.now() + ASKS, this::ask);
+      QuotaRequest request = quotaHolder.nextRequest(localNanos(), wanted);
+      planners.forEach(planner -> planner.deliver(() -> planner.requestReceived(this, request)));
+      schedule(scheduler.nowNanos() + REQUEST_INTERVAL_NANOS, this::sendRequest);
     }
 
-    void granted(QuotaGrant grant) {
-      QuotaHolder.GrantResult refusal = holding.apply(clock(), grant);
-      refused += refusal == QuotaHolder.GrantResult.APPLIED ? 0 : 1;
-      story.accept(
+    void grantReceived(QuotaGrant grant) {
+      QuotaHolder.GrantResult result = quotaHolder.apply(localNanos(), grant);
+      rejectedGrants += result == QuotaHolder.GrantResult.APPLIED ? 0 : 1;
+      trace.accept(
           "forwarder "
               + index
               + ": grant "
@@ -399,59 +436,61 @@
               + " "
               + grant.amounts()[0]
               + " "
-              + refusal);
+              + result);
     }
   }
 
   // ---- What goes wrong.
 
-  private void fault() {
-    if (agenda.now() >= busyUntil) {
+  private void injectFault() {
+    if (scheduler.nowNanos() >= faultsUntilNanos) {
       return;
     }
-    Planner planner = planners.get(chance.nextInt(planners.size()));
-    Forwarder forwarder = forwarders.get(chance.nextInt(forwarders.size()));
-    switch (chance.nextInt(6)) {
+    Planner planner = planners.get(random.nextInt(planners.size()));
+    Forwarder forwarder = forwarders.get(random.nextInt(forwarders.size()));
+    switch (random.nextInt(6)) {
       case 0 -> {
-        story.accept("planner " + planner.index + " is killed");
-        planner.up = false;
-        restart(planner, planner::start);
+        trace.accept("planner " + planner.index + " is killed");
+        planner.running = false;
+        restartLater(planner, planner::restart);
       }
       case 1, 2 -> {
-        planner.frozenUntil = agenda.now() + chance.nextLong(8 * SECOND);
-        story.accept(
+        planner.pausedUntilNanos = scheduler.nowNanos() + random.nextLong(8 * NANOS_PER_SECOND);
+        trace.accept(
             "planner "
                 + planner.index
                 + " stands still until "
-                + (planner.frozenUntil - START) / 1000);
+                + (planner.pausedUntilNanos - EPOCH_NANOS) / 1000);
       }
       case 3 -> {
-        if (planner.up && agenda.now() >= planner.frozenUntil) {
-          story.accept("planner " + planner.index + " is told to stop");
-          planner.leadership.resign(planner.clock());
-          restart(
+        if (planner.running && scheduler.nowNanos() >= planner.pausedUntilNanos) {
+          trace.accept("planner " + planner.index + " is told to stop");
+          planner.leadership.resign(planner.localNanos());
+          restartLater(
               planner,
               () -> {
-                planner.up = false;
-                planner.start();
+                planner.running = false;
+                planner.restart();
               });
         }
       }
       case 4 -> {
-        forwarder.up = false;
-        restart(forwarder, forwarder::start);
+        forwarder.running = false;
+        restartLater(forwarder, forwarder::restart);
       }
-      default -> forwarder.frozenUntil = agenda.now() + chance.nextLong(3 * SECOND);
+      default ->
+          forwarder.pausedUntilNanos = scheduler.nowNanos() + random.nextLong(3 * NANOS_PER_SECOND);
     }
-    agenda.at(agenda.now() + chance.nextLong(4 * SECOND), this::fault);
+    scheduler.schedule(
+        scheduler.nowNanos() + random.nextLong(4 * NANOS_PER_SECOND), this::injectFault);
   }
 
-  private void restart(PlanningProcess process, Runnable start) {
-    long of = process.life;
-    agenda.at(
-        agenda.now() + chance.nextLong(50 * MS, 5 * SECOND),
+  private void restartLater(PlanningProcess process, Runnable start) {
+    long modRevision = process.incarnation;
+    scheduler.schedule(
+        scheduler.nowNanos() + random.nextLong(50 * NANOS_PER_MILLI, 5 * NANOS_PER_SECOND),
         () -> {
-          if (process.life == of) {
+          if (process.incarnation == modRevision) {
             start.run();
           }
         });
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModelExperiment.java
@@ -5,7 +5,7 @@
 /** The pure halves of planners and forwarders on a virtual clock. */
 public final class PlannersModelExperiment {
   public static final SeededRuns.Model MODEL =
-      (seed, story) -> new PlannersModel(seed, story).run();
+      (seed, trace) -> new PlannersModel(seed, trace).run();
 
   private PlannersModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -11,66 +11,73 @@
  * in any order.
  */
 final class PowerLossModel extends VirtualFleet {
-  static final int WARM_S = 20;
-  private static final int AWAY_S = 6, END_S = 60;
-  private static final long SHORTEST = 500 * MS, TOLD = 50 * MS;
+  static final int LOSS_SECOND = 20;
+  private static final int MAX_AWAY_SECONDS = 6;
+  private static final int END_SECOND = 60;
+  private static final long MIN_AWAY_NANOS = 500 * NANOS_PER_MILLI;
+  private static final long DISCOVERY_DELAY_NANOS = 50 * NANOS_PER_MILLI;
 
   PowerLossModel(Plan plan) throws IOException {
-    super(plan, END_S);
+    super(plan, END_SECOND);
   }
 
-  private long away() {
-    return SHORTEST + chance.nextLong(AWAY_S * SECOND - SHORTEST);
+  private long drawAwayNanos() {
+    return MIN_AWAY_NANOS + random.nextLong(MAX_AWAY_SECONDS * NANOS_PER_SECOND - MIN_AWAY_NANOS);
   }
 
   @Override
-  protected void script() {
-    long loss = START + WARM_S * SECOND;
-    hubsHoldAll();
-    agenda.at(
-        loss,
+  protected void scheduleScenario() {
+    long lossNanos = EPOCH_NANOS + LOSS_SECOND * NANOS_PER_SECOND;
+    fillHubs();
+    scheduler.schedule(
+        lossNanos,
         () -> {
-          gateways.forEach(One::dies);
-          caches.subList(0, caches.size() - 1).forEach(Cache::dies);
+          gateways.forEach(SimulatedGateway::crash);
+          caches.subList(0, caches.size() - 1).forEach(SimulatedCache::crash);
         });
-    for (Cache cache : caches.subList(0, caches.size() - 1)) {
-      agenda.at(
-          loss + away(),
+    for (SimulatedCache cache : caches.subList(0, caches.size() - 1)) {
+      scheduler.schedule(
+          lossNanos + drawAwayNanos(),
           () -> {
-            cache.starts();
-            long startedAt = agenda.now();
-            agenda.at(agenda.now() + TOLD, () -> tell(cache.index, EndpointState.UP, startedAt));
+            cache.restart();
+            long startedAtNanos = scheduler.nowNanos();
+            scheduler.schedule(
+                scheduler.nowNanos() + DISCOVERY_DELAY_NANOS,
+                () -> announceEndpoint(cache.index, EndpointState.UP, startedAtNanos));
           });
     }
-    for (One one : gateways) {
-      agenda.at(loss + away(), () -> one.start(true));
+    for (SimulatedGateway gateway : gateways) {
+      scheduler.schedule(lossNanos + drawAwayNanos(), () -> gateway.start(true));
     }
   }
 
   @Override
   protected Map<String, Double> figures() {
     Map<String, Double> figures = new TreeMap<>();
-    double before = share(WARM_S - 8, WARM_S - 1);
-    int back = WARM_S + AWAY_S, last = END_S - 4;
-    figures.put("before", before);
-    figures.put("seconds_to_0.95_from_the_last_return", secondsBack(back, last, before));
-    figures.put("served_in_the_20s_from_the_loss", share(WARM_S, WARM_S + 20));
-    figures.put("good_lost_in_seconds_of_before", lost(last, before));
-    figures.put("origin_peak_in_100ms", (double) originPeak(WARM_S));
-    figures.put("origin_fills", sum("origin", WARM_S, last));
-    figures.put("shed", sum("shed", WARM_S, last));
-    figures.put("turned_away_unread", sum("turned_away", WARM_S, last));
-    figures.put("cold_most_of_bound", coldMost / 1000.0);
-    figures.put("cold_fell", (double) coldFell);
+    double shareBefore = goodShare(LOSS_SECOND - 8, LOSS_SECOND - 1);
+    int fromSecond = LOSS_SECOND + MAX_AWAY_SECONDS;
+    int lastSecond = END_SECOND - 4;
+    figures.put("before", shareBefore);
+    figures.put(
+        "seconds_to_0.95_from_the_last_return",
+        secondsUntilRestored(fromSecond, lastSecond, shareBefore));
+    figures.put("served_in_the_20s_from_the_loss", goodShare(LOSS_SECOND, LOSS_SECOND + 20));
+    figures.put("good_lost_in_seconds_of_before", lostSeconds(lastSecond, shareBefore));
+    figures.put("origin_peak_in_100ms", (double) originFillPeak(LOSS_SECOND));
+    figures.put("origin_fills", total("origin", LOSS_SECOND, lastSecond));
+    figures.put("shed", total("shed", LOSS_SECOND, lastSecond));
+    figures.put("turned_away_unread", total("turned_away", LOSS_SECOND, lastSecond));
+    figures.put("cold_most_of_bound", peakWarmUpLoadPerMille / 1000.0);
+    figures.put("cold_fell", (double) warmUpOverloads);
     return figures;
   }
 
   /** What was not served, in seconds of full service. */
-  private double lost(int last, double before) {
+  private double lostSeconds(int lastSecond, double shareBefore) {
     double lost = 0;
-    for (int second = WARM_S; second < last; second++) {
-      lost += before - share(second, second + 1);
+    for (int second = LOSS_SECOND; second < lastSecond; second++) {
+      lost += shareBefore - goodShare(second, second + 1);
     }
-    return lost / before;
+    return lost / shareBefore;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -16,29 +16,34 @@
 /** The caches as a registry's view has told them, and what is wrong with the way it did. */
 final class RecordedEndpointList implements EndpointListener {
   private final LongSupplier clock;
-  private final Consumer<String> story, wrong;
+  private final Consumer<String> trace;
+  private final Consumer<String> violation;
   private final Map<String, RegistryRecord.Cache> caches = new TreeMap<>();
-  private final Map<Long, Long> purgedAt = new HashMap<>();
-  private final Set<Long> purgedHere = new HashSet<>();
-  private EndpointListener next;
-  private long everythingAt = Long.MIN_VALUE, listings;
-  private boolean listing, whole, changed, purgedOften;
+  private final Map<Long, Long> purgedAtNanos = new HashMap<>();
+  private final Set<Long> purgedInThisHistory = new HashSet<>();
+  private EndpointListener downstream;
+  private long allPurgedAtNanos = Long.MIN_VALUE;
+  private long listingCount;
+  private boolean listing;
+  private boolean fullListing;
+  private boolean changedSinceAsked;
+  private boolean repeatedPurgesAllowed;
 
-  RecordedEndpointList(LongSupplier clock, Consumer<String> story, Consumer<String> wrong) {
+  RecordedEndpointList(LongSupplier clock, Consumer<String> trace, Consumer<String> violation) {
     this.clock = clock;
-    this.story = story;
-    this.wrong = wrong;
+    this.trace = trace;
+    this.violation = violation;
   }
 
   /** One object may be purged more than once. */
-  RecordedEndpointList purgedOften() {
-    purgedOften = true;
+  RecordedEndpointList allowRepeatedPurges() {
+    repeatedPurgesAllowed = true;
     return this;
   }
 
   /** Passes all on to another listener too. */
-  RecordedEndpointList to(EndpointListener other) {
-    next = other;
+  RecordedEndpointList forwardingTo(EndpointListener listener) {
+    downstream = listener;
     return this;
   }
 
@@ -48,48 +53,49 @@
   }
 
   /** For any thread. */
-  synchronized Map<String, EndpointState> states() {
+  synchronized Map<String, EndpointState> endpointStates() {
     Map<String, EndpointState> states = new TreeMap<>();
     caches.forEach((id, cache) -> states.put(id, cache.state()));
     return states;
   }
 
-  long listings() {
-    return listings;
+  long listingCount() {
+    return listingCount;
   }
 
   /** Whether a list has been told since this was asked last. */
-  boolean changed() {
-    boolean was = changed;
-    changed = false;
-    return was;
+  boolean takeChanged() {
+    boolean changedBefore = changedSinceAsked;
+    changedSinceAsked = false;
+    return changedBefore;
   }
 
-  boolean purgedSince(long object, long at) {
-    return purgedAt.getOrDefault(object, Long.MIN_VALUE) >= at || everythingAt >= at;
+  boolean purgedSince(long object, long sinceNanos) {
+    return purgedAtNanos.getOrDefault(object, Long.MIN_VALUE) >= sinceNanos
+        || allPurgedAtNanos >= sinceNanos;
   }
 
   /** The registry is another one from here on: what it had may be told again. */
-  void otherHistory() {
-    purgedHere.clear();
+  void historyReplaced() {
+    purgedInThisHistory.clear();
   }
 
   @Override
   public synchronized void endpointListStarted(EndpointListKind kind) {
     if (listing) {
-      wrong.accept("a listing within a listing");
+      violation.accept("a listing within a listing");
     }
-    story.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
+    trace.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
     listing = true;
-    whole = kind == EndpointListKind.FULL;
-    changed = true;
-    listings++;
+    fullListing = kind == EndpointListKind.FULL;
+    changedSinceAsked = true;
+    listingCount++;
     if (kind == EndpointListKind.FULL) {
       caches.clear();
-      purgedHere.clear();
+      purgedInThisHistory.clear();
     }
-    if (next != null) {
-      next.endpointListStarted(kind);
+    if (downstream != null) {
+      downstream.endpointListStarted(kind);
     }
   }
 
@@ -107,36 +113,36 @@
             endpoint.startedAtMillis());
     if (endpoint.state() == EndpointState.GONE) {
       if (caches.remove(endpoint.id()) == null) {
-        wrong.accept(endpoint.id() + " is told gone, and was not there");
+        violation.accept(endpoint.id() + " is told gone, and was not there");
       }
-    } else if (cache.equals(caches.put(endpoint.id(), cache)) && !whole) {
-      wrong.accept(endpoint.id() + " is told twice");
+    } else if (cache.equals(caches.put(endpoint.id(), cache)) && !fullListing) {
+      violation.accept(endpoint.id() + " is told twice");
     }
-    if (next != null) {
-      next.endpointListed(endpoint);
+    if (downstream != null) {
+      downstream.endpointListed(endpoint);
     }
   }
 
   @Override
   public synchronized void endpointListCompleted() {
     listing = false;
-    if (next != null) {
-      next.endpointListCompleted();
+    if (downstream != null) {
+      downstream.endpointListCompleted();
     }
   }
 
   @Override
-  public synchronized void objectPurged(long object, int group, long atMs) {
-    story.accept("told purge of " + object + ", group " + group);
+  public synchronized void objectPurged(long object, int group, long atMillis) {
+    trace.accept("told purge of " + object + ", group " + group);
     if (group == ALL_GROUPS) {
-      everythingAt = clock.getAsLong();
-    } else if (purgedHere.add(object) || purgedOften) {
-      purgedAt.put(object, clock.getAsLong());
+      allPurgedAtNanos = clock.getAsLong();
+    } else if (purgedInThisHistory.add(object) || repeatedPurgesAllowed) {
+      purgedAtNanos.put(object, clock.getAsLong());
     } else {
-      wrong.accept("purge " + object + " is told twice");
+      violation.accept("purge " + object + " is told twice");
     }
-    if (next != null) {
-      next.objectPurged(object, group, atMs);
+    if (downstream != null) {
+      downstream.objectPurged(object, group, atMillis);
     }
   }
 }
