--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -15,7 +15,7 @@
 import org.amberpath.lab.LoopbackTestbed;
 import org.amberpath.lab.StandInCache;
 import org.amberpath.lab.registry.StandInRegistry.Endpoint;
-import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.lab.registry.StandInRegistry.EndpointBehavior;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.runtime.RecordCodec;
 import org.amberpath.registry.runtime.RegistrySettings;
@@ -29,228 +29,261 @@
  * against the rules.
  */
 public final class RegistryExperiment {
-  private static final long MS = 1_000_000, REACHED = 1250 * MS, ON_SOCKETS = 50 * MS;
-  private static final long DRAIN = 250 * MS + ON_SOCKETS, PURGE_MS = 300;
-  private static final int EDGES = 8, TILLS = 8, MOST_LINES = 10;
-  private static final long BUSY_MS = 4000, QUIET_MS = 2500, TICK_MS = 5, WARM_MS = 2500;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * NANOS_PER_MILLI;
+  private static final long SOCKET_ALLOWANCE_NANOS = 50 * NANOS_PER_MILLI;
+  private static final long MAX_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
+  private static final long MAX_PURGE_MILLIS = 300;
+  private static final int EDGE_CACHES = 8;
+  private static final int CONNECTIONS = 8;
+  private static final int MAX_VIOLATIONS = 10;
+  private static final long FAULT_PERIOD_MILLIS = 4000;
+  private static final long QUIET_PERIOD_MILLIS = 2500;
+  private static final long TICK_MILLIS = 5;
+  private static final long WARM_UP_MILLIS = 2500;
 
   /**
    * A loop of this process that comes so late is no fault of the gateway's: for a while nothing is
    * judged.
    */
-  private static final long STALL = 25 * MS, UNJUDGED = 800 * MS;
+  private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
 
-  private static final double VOID = 0.2;
+  private static final long UNJUDGED_AFTER_STALL_NANOS = 800 * NANOS_PER_MILLI;
 
-  private final SplittableRandom chance;
-  private final LoopbackTestbed world;
-  private final List<String> wrong = new ArrayList<>();
-  private final RecordedEndpointList told;
+  private static final double MAX_UNJUDGED_SHARE = 0.2;
+
+  private final SplittableRandom random;
+  private final LoopbackTestbed testbed;
+  private final List<String> violations = new ArrayList<>();
+  private final RecordedEndpointList recordedList;
 
   /** Of each drained cache, when that was written; forgotten when it is ready again. */
-  private final Map<String, Long> drainedAt = new HashMap<>();
+  private final Map<String, Long> drainedAtNanos = new HashMap<>();
 
-  private final Map<String, Long> purgedAtMs = new HashMap<>();
+  private final Map<String, Long> purgedAtMillis = new HashMap<>();
 
   /**
    * The late GETs looked at, each once: bounded by the drains of a day and the GETs that came late
    * to each.
    */
-  private final Set<String> late = new HashSet<>();
+  private final Set<String> judgedRequests = new HashSet<>();
 
-  private final Set<String> absent = new TreeSet<>();
-  private long changes, faults, drains, purges, quiets, worstDrain, lastPurge, restores;
-  private long lookedAt = System.nanoTime(), unjudged;
-  private volatile long stalledAt = System.nanoTime();
-  private boolean busy, restoring;
+  private final Set<String> absentCaches = new TreeSet<>();
+  private long changeCount;
+  private long faultCount;
+  private long drainCount;
+  private long purgeCount;
+  private long quietPeriods;
+  private long worstDrainNanos;
+  private long lastPurgeNumber;
+  private long restoreCount;
+  private long observedAtNanos = System.nanoTime();
+  private long unjudgedNanos;
+  private volatile long stalledAtNanos = System.nanoTime();
+  private boolean faultsActive;
+  private boolean restoring;
 
   private RegistryExperiment(long seed) {
-    chance = new SplittableRandom(seed);
-    world = new LoopbackTestbed(seed);
-    told = new RecordedEndpointList(System::nanoTime, line -> {}, this::wrong).purgedOften();
+    random = new SplittableRandom(seed);
+    testbed = new LoopbackTestbed(seed);
+    recordedList =
+        new RecordedEndpointList(System::nanoTime, line -> {}, this::violation)
+            .allowRepeatedPurges();
   }
 
-  private synchronized void wrong(String what) {
-    if (wrong.size() < MOST_LINES) {
-      wrong.add(what);
+  private synchronized void violation(String message) {
+    if (violations.size() < MAX_VIOLATIONS) {
+      violations.add(message);
     }
   }
 
   /** Plays so many seconds. */
-  public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind form)
+  public static ExperimentReport run(long seed, int seconds, RegistrySettings.ProtocolKind protocol)
       throws Exception {
-    return new RegistryExperiment(seed).play(seed, seconds, form);
+    return new RegistryExperiment(seed).runAll(seed, seconds, protocol);
   }
 
-  private ExperimentReport play(long seed, int seconds, RegistrySettings.ProtocolKind form)
+  private ExperimentReport runAll(long seed, int seconds, RegistrySettings.ProtocolKind protocol)
       throws Exception {
-    ExperimentReport result = new ExperimentReport(seed).figure("form", form.name());
-    try (world) {
-      world.open(3, EDGES);
-      world.serve(
-          (vertx, to, own) -> new RegistrySource(vertx, world.access(form), told.to(to), own));
-      LoadGenerator tills =
-          new LoadGenerator(world.vertx, LabSettings.CLIPS, 1500, seed, this::returned);
-      LoopbackTestbed.await(world.on(() -> tills.start(world.gateway.port(), TILLS, 150)));
+    ExperimentReport result = new ExperimentReport(seed).figure("form", protocol.name());
+    try (testbed) {
+      testbed.open(3, EDGE_CACHES);
+      testbed.serve(
+          (vertx, endpointListener, own) ->
+              new RegistrySource(
+                  vertx,
+                  testbed.registrySettings(protocol),
+                  recordedList.forwardingTo(endpointListener),
+                  own));
+      LoadGenerator loadGenerator =
+          new LoadGenerator(testbed.vertx, LabSettings.CLIPS, 1500, seed, this::responseReceived);
+      LoopbackTestbed.await(
+          testbed.callOnLoop(() -> loadGenerator.start(testbed.gateway.port(), CONNECTIONS, 150)));
       // Cold code is slow, and no fault of what is tried.
-      Thread.sleep(WARM_MS);
-      long until = System.nanoTime() + seconds * 1000L * MS;
-      long since = System.nanoTime();
-      world.on(
+      Thread.sleep(WARM_UP_MILLIS);
+      long untilNanos = System.nanoTime() + seconds * 1000L * NANOS_PER_MILLI;
+      long sinceNanos = System.nanoTime();
+      testbed.callOnLoop(
           () -> {
-            lookedAt =
-                since; // Guards against the time of the start, which would count as a standstill.
-            stalledAt = since - UNJUDGED;
-            return world.vertx.setPeriodic(TICK_MS, tick -> looked());
+            observedAtNanos =
+                sinceNanos; // Guards against the time of the start, which would count as a
+                            // standstill.
+            stalledAtNanos = sinceNanos - UNJUDGED_AFTER_STALL_NANOS;
+            return testbed.vertx.setPeriodic(TICK_MILLIS, tick -> observe());
           });
-      world.watchGateway(
-          TICK_MS,
-          late -> {
-            if (late > STALL) {
-              stalledAt = System.nanoTime();
+      testbed.watchGatewayLoop(
+          TICK_MILLIS,
+          lateNanos -> {
+            if (lateNanos > STALL_NANOS) {
+              stalledAtNanos = System.nanoTime();
             }
           });
       do {
-        world.on(
+        testbed.callOnLoop(
             () -> {
-              busy = true;
-              change();
-              fault();
+              faultsActive = true;
+              scheduleChange();
+              injectFault();
               return null;
             });
-        Thread.sleep(BUSY_MS);
-        quiet();
-      } while (System.nanoTime() < until);
-      world.on(
+        Thread.sleep(FAULT_PERIOD_MILLIS);
+        checkWhileQuiet();
+      } while (System.nanoTime() < untilNanos);
+      testbed.callOnLoop(
           () -> {
-            tills.stop();
+            loadGenerator.stop();
             return null;
           });
       Thread.sleep(1700);
-      for (LoadGenerator.End end : LoadGenerator.End.values()) {
-        result.figure(end.name().toLowerCase(Locale.ROOT), tills.ended(end));
+      for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+        result.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
       }
       result
-          .figure("changes", changes)
-          .figure("faults", faults)
-          .figure("restores", restores)
-          .figure("drains", drains)
-          .figure("purges", purges)
-          .figure("quiet_times", quiets)
-          .figure("listings", told.listings())
-          .figure("last_get_after_drain_ms", worstDrain / MS)
-          .figure("unjudged_ms", unjudged / MS)
-          .figure("p99_ms", tills.latency().getValueAtPercentile(99) / 1000.0)
-          .figure("wrong", wrong)
-          .bar("view equals registry, drains, purges, order", wrong.isEmpty())
-          .bar("not void: four fifths judged", unjudged <= (System.nanoTime() - since) * VOID)
-          .bar("no GET lost", tills.ended(LoadGenerator.End.LOST) == 0)
-          .bar("one answer each", tills.ended(LoadGenerator.End.TWICE) == 0);
+          .figure("changes", changeCount)
+          .figure("faults", faultCount)
+          .figure("restores", restoreCount)
+          .figure("drains", drainCount)
+          .figure("purges", purgeCount)
+          .figure("quiet_times", quietPeriods)
+          .figure("listings", recordedList.listingCount())
+          .figure("last_get_after_drain_ms", worstDrainNanos / NANOS_PER_MILLI)
+          .figure("unjudged_ms", unjudgedNanos / NANOS_PER_MILLI)
+          .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
+          .figure("wrong", violations)
+          .bar("view equals registry, drains, purges, order", violations.isEmpty())
+          .bar(
+              "not void: four fifths judged",
+              unjudgedNanos <= (System.nanoTime() - sinceNanos) * MAX_UNJUDGED_SHARE)
+          .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
+          .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0);
     }
     return result;
   }
 
   private boolean isJudged() {
-    return System.nanoTime() - stalledAt > UNJUDGED;
+    return System.nanoTime() - stalledAtNanos > UNJUDGED_AFTER_STALL_NANOS;
   }
 
-  private boolean goodFor(long time) {
-    return isJudged() && world.registry.endpoints().stream().anyMatch(one -> one.goodFor(time));
+  private boolean anyHealthyFor(long durationNanos) {
+    return isJudged()
+        && testbed.registry.endpoints().stream()
+            .anyMatch(endpoint -> endpoint.isHealthyFor(durationNanos));
   }
 
   // ---- What happens.
 
-  private void change() {
-    if (!busy) {
+  private void scheduleChange() {
+    if (!faultsActive) {
       return;
     }
     if (!restoring) {
-      changeOne();
+      applyRandomChange();
     }
-    world.vertx.setTimer(chance.nextLong(20, 220), again -> change());
+    testbed.vertx.setTimer(random.nextLong(20, 220), timer -> scheduleChange());
   }
 
-  private void changeOne() {
-    changes++;
-    String id = "e" + chance.nextInt(EDGES);
-    switch (chance.nextInt(8)) {
+  private void applyRandomChange() {
+    changeCount++;
+    String id = "e" + random.nextInt(EDGE_CACHES);
+    switch (random.nextInt(8)) {
       case 0, 1, 2 -> {
         // Half of the caches stay.
-        if (drainedAt.size() + absent.size() < EDGES / 2
-            && !absent.contains(id)
-            && !drainedAt.containsKey(id)) {
-          world.put(id, EndpointState.DRAINING);
-          drainedAt.put(id, System.nanoTime());
-          drains++;
+        if (drainedAtNanos.size() + absentCaches.size() < EDGE_CACHES / 2
+            && !absentCaches.contains(id)
+            && !drainedAtNanos.containsKey(id)) {
+          testbed.putCache(id, EndpointState.DRAINING);
+          drainedAtNanos.put(id, System.nanoTime());
+          drainCount++;
         }
       }
       case 3 -> {
-        if (drainedAt.size() + absent.size() < EDGES / 2
-            && !drainedAt.containsKey(id)
-            && absent.add(id)) {
-          world.put(id, null);
+        if (drainedAtNanos.size() + absentCaches.size() < EDGE_CACHES / 2
+            && !drainedAtNanos.containsKey(id)
+            && absentCaches.add(id)) {
+          testbed.putCache(id, null);
         }
       }
       case 4 -> {
-        long object = 1L + chance.nextInt(20);
-        long at = System.currentTimeMillis();
-        String name = String.format("%016x", object),
-            key = LoopbackTestbed.PREFIX + RecordCodec.PURGES_PREFIX + ++lastPurge;
-        world.write(key, RecordCodec.encode(new RegistryRecord.Purge(object, 0, at)));
-        purgedAtMs.put(name, at);
-        purges++;
-        for (StandInCache cache : world.caches.values()) {
-          world.vertx.setTimer(1 + chance.nextLong(1500), late -> cache.drop(name));
+        long object = 1L + random.nextInt(20);
+        long atNanos = System.currentTimeMillis();
+        String objectName = String.format("%016x", object);
+        String key = LoopbackTestbed.PREFIX + RecordCodec.PURGES_PREFIX + ++lastPurgeNumber;
+        testbed.write(key, RecordCodec.encode(new RegistryRecord.Purge(object, 0, atNanos)));
+        purgedAtMillis.put(objectName, atNanos);
+        purgeCount++;
+        for (StandInCache cache : testbed.caches.values()) {
+          testbed.vertx.setTimer(1 + random.nextLong(1500), lateNanos -> cache.drop(objectName));
         }
       }
       case 5 ->
-          world.write(
+          testbed.write(
               LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX + "spoilt",
-              new byte[] {'{', (byte) chance.nextInt(256)});
+              new byte[] {'{', (byte) random.nextInt(256)});
       default -> {
-        drainedAt.remove(id);
-        absent.remove(id);
-        world.put(id, EndpointState.UP);
+        drainedAtNanos.remove(id);
+        absentCaches.remove(id);
+        testbed.putCache(id, EndpointState.UP);
       }
     }
-    if (chance.nextInt(5) == 0) {
-      world.registry.compact(chance.nextLong(10));
+    if (random.nextInt(5) == 0) {
+      testbed.registry.compact(random.nextLong(10));
     }
   }
 
-  private void fault() {
-    if (!busy) {
+  private void injectFault() {
+    if (!faultsActive) {
       return;
     }
-    List<Endpoint> all = world.registry.endpoints();
-    Endpoint one = all.get(chance.nextInt(all.size()));
+    List<Endpoint> endpoints = testbed.registry.endpoints();
+    Endpoint endpoint = endpoints.get(random.nextInt(endpoints.size()));
     if (!restoring) {
-      faults++;
-      switch (chance.nextInt(8)) {
-        case 0 -> one.cut();
-        case 1 -> one.finish();
-        case 2, 3 -> away(one, Way.SILENT);
-        case 4 -> away(one, Way.REFUSES);
-        case 5 -> away(one, Way.UNAVAILABLE);
-        case 6 -> one.lag(chance.nextLong(400));
+      faultCount++;
+      switch (random.nextInt(8)) {
+        case 0 -> endpoint.breakConnections();
+        case 1 -> endpoint.endWatches();
+        case 2, 3 -> makeUnavailable(endpoint, EndpointBehavior.SILENT);
+        case 4 -> makeUnavailable(endpoint, EndpointBehavior.REFUSES);
+        case 5 -> makeUnavailable(endpoint, EndpointBehavior.UNAVAILABLE);
+        case 6 -> endpoint.setLagMillis(random.nextLong(400));
         default -> {
-          if (chance.nextInt(3) == 0) {
-            restore(all);
+          if (random.nextInt(3) == 0) {
+            restoreFromBackup(endpoints);
           }
         }
       }
-      world.vertx.setTimer(1 + chance.nextLong(1500), later -> one.lag(0));
+      testbed.vertx.setTimer(1 + random.nextLong(1500), timer -> endpoint.setLagMillis(0));
     }
-    world.vertx.setTimer(chance.nextInt(4) == 0 ? 1 : chance.nextLong(50, 1200), again -> fault());
+    testbed.vertx.setTimer(
+        random.nextInt(4) == 0 ? 1 : random.nextLong(50, 1200), timer -> injectFault());
   }
 
-  private void away(Endpoint one, Way way) {
-    one.become(way);
-    world.vertx.setTimer(
-        1 + chance.nextLong(1500),
-        later -> {
+  private void makeUnavailable(Endpoint endpoint, EndpointBehavior behavior) {
+    endpoint.setBehavior(behavior);
+    testbed.vertx.setTimer(
+        1 + random.nextLong(1500),
+        timer -> {
           if (!restoring) {
-            one.become(Way.ANSWERS);
+            endpoint.setBehavior(EndpointBehavior.ANSWERS);
           }
         });
   }
@@ -259,42 +292,42 @@
    * All endpoints go, and come back with a registry of another id that holds what was backed up
    * just before.
    */
-  private void restore(List<Endpoint> all) {
+  private void restoreFromBackup(List<Endpoint> endpoints) {
     restoring = true;
-    restores++;
-    Runnable backup = world.registry.backup("10" + (1 + restores));
-    all.forEach(one -> one.become(Way.REFUSES));
-    world.vertx.setTimer(
+    restoreCount++;
+    Runnable restore = testbed.registry.backupAs("10" + (1 + restoreCount));
+    endpoints.forEach(endpoint -> endpoint.setBehavior(EndpointBehavior.REFUSES));
+    testbed.vertx.setTimer(
         1300,
-        later -> {
-          backup.run();
+        timer -> {
+          restore.run();
           restoring = false;
-          told.otherHistory();
-          all.forEach(one -> one.become(Way.ANSWERS));
+          recordedList.historyReplaced();
+          endpoints.forEach(endpoint -> endpoint.setBehavior(EndpointBehavior.ANSWERS));
         });
   }
 
-  private void quiet() throws Exception {
-    world.on(() -> busy = false);
+  private void checkWhileQuiet() throws Exception {
+    testbed.callOnLoop(() -> faultsActive = false);
     Thread.sleep(1600);
-    world.on(
+    testbed.callOnLoop(
         () -> {
-          world
+          testbed
               .registry
               .endpoints()
               .forEach(
-                  one -> {
-                    one.lag(0);
-                    one.become(Way.ANSWERS);
+                  endpoint -> {
+                    endpoint.setLagMillis(0);
+                    endpoint.setBehavior(EndpointBehavior.ANSWERS);
                   });
           return null;
         });
-    Thread.sleep(QUIET_MS);
-    world.on(
+    Thread.sleep(QUIET_PERIOD_MILLIS);
+    testbed.callOnLoop(
         () -> {
-          quiets++;
-          Map<String, EndpointState> there = new HashMap<>();
-          world.registry.now().keySet().stream()
+          quietPeriods++;
+          Map<String, EndpointState> registryStates = new HashMap<>();
+          testbed.registry.entries().keySet().stream()
               .filter(key -> key.startsWith(LoopbackTestbed.PREFIX + RecordCodec.CACHES_PREFIX))
               .map(
                   key ->
@@ -302,12 +335,18 @@
               .filter(id -> !id.equals("spoilt"))
               .forEach(
                   id ->
-                      there.put(
+                      registryStates.put(
                           id,
-                          drainedAt.containsKey(id) ? EndpointState.DRAINING : EndpointState.UP));
-          Map<String, EndpointState> seen = told.states();
-          if (!there.equals(seen)) {
-            wrong("quiet, the registry holds " + there + " and the gateway was told " + seen);
+                          drainedAtNanos.containsKey(id)
+                              ? EndpointState.DRAINING
+                              : EndpointState.UP));
+          Map<String, EndpointState> gatewayStates = recordedList.endpointStates();
+          if (!registryStates.equals(gatewayStates)) {
+            violation(
+                "quiet, the registry holds "
+                    + registryStates
+                    + " and the gateway was told "
+                    + gatewayStates);
           }
           return null;
         });
@@ -320,41 +359,47 @@
    * it is first seen: guards against a GET that is blamed seconds later, when an endpoint has been
    * good for long again.
    */
-  private void looked() {
-    long now = System.nanoTime();
-    if (now - lookedAt > TICK_MS * MS + STALL) {
-      stalledAt = now;
+  private void observe() {
+    long nowNanos = System.nanoTime();
+    if (nowNanos - observedAtNanos > TICK_MILLIS * NANOS_PER_MILLI + STALL_NANOS) {
+      stalledAtNanos = nowNanos;
     }
-    unjudged += isJudged() ? 0 : now - lookedAt;
-    lookedAt = now;
-    drainedAt.forEach(
-        (id, at) -> {
-          long after = world.caches.get(id).lastWantAt() - at;
-          boolean fresh = after > 0 && late.add(id + at + "/" + after);
-          if (fresh && after > worstDrain && goodFor(REACHED)) {
-            worstDrain = after;
+    unjudgedNanos += isJudged() ? 0 : nowNanos - observedAtNanos;
+    observedAtNanos = nowNanos;
+    drainedAtNanos.forEach(
+        (id, atNanos) -> {
+          long afterNanos = testbed.caches.get(id).lastRequestNanos() - atNanos;
+          boolean firstSeen = afterNanos > 0 && judgedRequests.add(id + atNanos + "/" + afterNanos);
+          if (firstSeen
+              && afterNanos > worstDrainNanos
+              && anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS)) {
+            worstDrainNanos = afterNanos;
           }
-          if (fresh && after > DRAIN && goodFor(REACHED)) {
-            wrong("a GET came to " + id + " " + after / MS + " ms after its drain");
+          if (firstSeen
+              && afterNanos > MAX_DRAIN_NANOS
+              && anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS)) {
+            violation(
+                "a GET came to " + id + " " + afterNanos / NANOS_PER_MILLI + " ms after its drain");
           }
         });
   }
 
   /** A copy from before a purge, for a GET that was sent after the grace. */
-  private void returned(LoadGenerator.Returned got) {
-    Long purged = purgedAtMs.get(got.object());
-    long sentMs = System.currentTimeMillis() - (System.nanoTime() - got.sentAt()) / MS;
-    if (purged != null
-        && got.issuedMs() < purged
-        && sentMs > purged + PURGE_MS + ON_SOCKETS / MS
-        && goodFor(REACHED)) {
-      wrong(
+  private void responseReceived(LoadGenerator.Response response) {
+    Long purgedAt = purgedAtMillis.get(response.object());
+    long sentAtMillis =
+        System.currentTimeMillis() - (System.nanoTime() - response.sentAtNanos()) / NANOS_PER_MILLI;
+    if (purgedAt != null
+        && response.issuedAtMillis() < purgedAt
+        && sentAtMillis > purgedAt + MAX_PURGE_MILLIS + SOCKET_ALLOWANCE_NANOS / NANOS_PER_MILLI
+        && anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS)) {
+      violation(
           "object "
-              + got.object()
+              + response.object()
               + " from "
-              + (purged - got.issuedMs())
+              + (purgedAt - response.issuedAtMillis())
               + " ms before its purge was returned "
-              + (sentMs - purged)
+              + (sentAtMillis - purgedAt)
               + " ms after it");
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.registry.VirtualRegistry.Node;
-import org.amberpath.lab.registry.VirtualRegistry.Way;
+import org.amberpath.lab.registry.VirtualRegistry.EndpointBehavior;
+import org.amberpath.lab.registry.VirtualRegistry.VirtualEndpoint;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.routing.EndpointState;
@@ -20,96 +20,107 @@
  * seed, with all bars checked after each step. Everything in it follows from the seed alone.
  */
 final class RegistryModel {
-  private static final long MS = VirtualRegistry.MS, SECOND = VirtualRegistry.SECOND;
-  private static final long START = 1_700_000_000L * SECOND, BUSY = 20 * SECOND, QUIET = 5 * SECOND;
-  private static final long RETENTION = 4 * SECOND,
-      REACHED = 1250 * MS,
-      DRAIN = 250 * MS,
-      PURGE = 300 * MS;
-  private static final List<Way> FAULTS = List.of(Way.SILENT, Way.REFUSES, Way.UNAVAILABLE);
-  private static final int CACHES = 12, MOST_KEYS = 400, LATEST_TRUTHS = 400;
+  private static final long NANOS_PER_MILLI = VirtualRegistry.NANOS_PER_MILLI;
+  private static final long NANOS_PER_SECOND = VirtualRegistry.NANOS_PER_SECOND;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final long FAULT_PERIOD_NANOS = 20 * NANOS_PER_SECOND;
+  private static final long QUIET_PERIOD_NANOS = 5 * NANOS_PER_SECOND;
+  private static final long PURGE_RETENTION_NANOS = 4 * NANOS_PER_SECOND;
+  private static final long HEALTHY_BEFORE_JUDGING_NANOS = 1250 * NANOS_PER_MILLI;
+  private static final long MAX_DRAIN_NANOS = 250 * NANOS_PER_MILLI;
+  private static final long MAX_PURGE_NANOS = 300 * NANOS_PER_MILLI;
+  private static final List<EndpointBehavior> WHOLE_REGISTRY_FAULTS =
+      List.of(EndpointBehavior.SILENT, EndpointBehavior.REFUSES, EndpointBehavior.UNAVAILABLE);
+  private static final int CACHE_COUNT = 12;
+  private static final int MAX_KEYS = 400;
+  private static final int MAX_EXPECTED_STATES = 400;
 
   /** A bar that was missed. */
-  static final class Missed extends RuntimeException {
-    Missed(String what) {
-      super(what);
+  static final class InvariantViolation extends RuntimeException {
+    InvariantViolation(String message) {
+      super(message);
     }
   }
 
   /** What the caches were at a revision; a value of null is one that can't be read. */
-  private record Truth(long revision, Map<String, RegistryRecord.Cache> caches) {}
+  private record ExpectedState(long revision, Map<String, RegistryRecord.Cache> caches) {}
 
-  private final SplittableRandom chance;
-  private final VirtualScheduler agenda = new VirtualScheduler(START);
+  private final SplittableRandom random;
+  private final VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
   private final VirtualRegistry registry;
-  private final VirtualRegistry.Client client;
-  private final RecordedEndpointList told;
-  private final Set<Long> unserved = new HashSet<>();
-  private final List<Truth> truths = new ArrayList<>();
-  private final long busyUntil = START + BUSY;
-  private long purges;
+  private final VirtualRegistry.VirtualClient client;
+  private final RecordedEndpointList recordedList;
+  private final Set<Long> purgesNotNeeded = new HashSet<>();
+  private final List<ExpectedState> expectedStates = new ArrayList<>();
+  private final long faultsUntilNanos = EPOCH_NANOS + FAULT_PERIOD_NANOS;
+  private long purgeCount;
   private boolean restoring;
-  private long steps, drains;
-  private int fresh;
+  private long steps;
+  private long drainCount;
+  private int newClusterIds;
 
-  RegistryModel(long seed, Consumer<String> story) {
-    chance = new SplittableRandom(seed);
-    boolean blocking = chance.nextInt(4) == 0;
-    registry = new VirtualRegistry(agenda, chance.nextInt(1, 5), blocking, chance.nextLong());
-    Consumer<String> timed = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
-    registry.story = timed;
-    told =
+  RegistryModel(long seed, Consumer<String> trace) {
+    random = new SplittableRandom(seed);
+    boolean blockingReads = random.nextInt(4) == 0;
+    registry =
+        new VirtualRegistry(scheduler, random.nextInt(1, 5), blockingReads, random.nextLong());
+    Consumer<String> timedTrace =
+        line -> trace.accept((scheduler.nowNanos() - EPOCH_NANOS) / 1000 + " us: " + line);
+    registry.trace = timedTrace;
+    recordedList =
         new RecordedEndpointList(
-            agenda::now,
-            timed,
-            what -> {
-              throw new Missed(what);
+            scheduler::nowNanos,
+            timedTrace,
+            message -> {
+              throw new InvariantViolation(message);
             });
-    RegistryView view = new RegistryView(told, VirtualRegistry.TIP, MOST_KEYS, RETENTION, timed);
-    client = registry.new Client(view, MOST_KEYS, chance.nextLong(), timed);
+    RegistryView view =
+        new RegistryView(
+            recordedList, VirtualRegistry.TIP_KEY, MAX_KEYS, PURGE_RETENTION_NANOS, timedTrace);
+    client = registry.new VirtualClient(view, MAX_KEYS, random.nextLong(), timedTrace);
   }
 
   /** Plays it all. */
   Map<String, Long> run() {
-    truth();
-    for (int cache = 0; cache < CACHES; cache++) {
+    recordExpectedState();
+    for (int cache = 0; cache < CACHE_COUNT; cache++) {
       write("c" + cache, cache(cache, EndpointState.UP), true);
     }
     client.start();
-    agenda.at(START + chance.nextLong(SECOND), this::change);
-    agenda.at(START + chance.nextLong(SECOND), this::fault);
-    agenda.at(busyUntil, this::heal);
-    while (agenda.step(busyUntil + QUIET)) {
+    scheduler.schedule(EPOCH_NANOS + random.nextLong(NANOS_PER_SECOND), this::scheduleChange);
+    scheduler.schedule(EPOCH_NANOS + random.nextLong(NANOS_PER_SECOND), this::injectFault);
+    scheduler.schedule(faultsUntilNanos, this::endFaults);
+    while (scheduler.runNext(faultsUntilNanos + QUIET_PERIOD_NANOS)) {
       steps++;
-      check();
+      checkInvariants();
     }
-    boolean judged = registry.goodFor(REACHED);
-    if (judged
-        && (client.view.appliedRevision() < lastOfOurs()
-            || !matches(truths.get(truths.size() - 1)))) {
-      throw new Missed(
+    boolean healthy = registry.anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS);
+    if (healthy
+        && (client.view.appliedRevision() < lastRevisionOfPrefix()
+            || !matches(expectedStates.get(expectedStates.size() - 1)))) {
+      throw new InvariantViolation(
           "quiet, but the view is at "
               + client.view.appliedRevision()
               + " of "
               + registry.history.revision()
               + ": "
-              + client.recovery.phase());
+              + client.session.phase());
     }
     return Map.of(
         "steps",
         steps,
         "drains",
-        drains,
+        drainCount,
         "quiet_judged",
-        judged ? 1L : 0L,
+        healthy ? 1L : 0L,
         "listings",
-        told.listings());
+        recordedList.listingCount());
   }
 
-  private long lastOfOurs() {
-    return registry.history.now().entrySet().stream()
-        .filter(one -> one.getKey().startsWith(VirtualRegistry.PREFIX))
-        .mapToLong(one -> one.getValue().changed())
+  private long lastRevisionOfPrefix() {
+    return registry.history.current().entrySet().stream()
+        .filter(entry -> entry.getKey().startsWith(VirtualRegistry.PREFIX))
+        .mapToLong(entry -> entry.getValue().modRevision())
         .max()
         .orElse(0);
   }
@@ -118,7 +129,7 @@
 
   private RegistryRecord.Cache cache(int number, EndpointState state) {
     return new RegistryRecord.Cache(
-        "c" + number, "127.0.0.1:" + (1000 + chance.nextInt(9000)), "z", "box", 0, state, 1, 0);
+        "c" + number, "127.0.0.1:" + (1000 + random.nextInt(9000)), "z", "box", 0, state, 1, 0);
   }
 
   private void write(String id, RegistryRecord content, boolean touchesTip) {
@@ -129,195 +140,217 @@
 
   private void write(Map<String, RegistryRecord> writes, boolean touchesTip) {
     if (touchesTip) {
-      writes.put(VirtualRegistry.TIP, new RegistryRecord.Other());
+      writes.put(VirtualRegistry.TIP_KEY, new RegistryRecord.Other());
     }
     registry.write(writes);
-    registry.story.accept("written as " + registry.history.revision() + ": " + writes);
-    truth();
+    registry.trace.accept("written as " + registry.history.revision() + ": " + writes);
+    recordExpectedState();
   }
 
-  private void truth() {
+  private void recordExpectedState() {
     Map<String, RegistryRecord.Cache> caches = new TreeMap<>();
     registry
         .history
-        .now()
+        .current()
         .forEach(
-            (key, kept) -> {
-              if (kept.value() instanceof RegistryRecord.Cache cache) {
+            (key, versioned) -> {
+              if (versioned.value() instanceof RegistryRecord.Cache cache) {
                 caches.put(cache.id(), cache);
-              } else if (kept.value() instanceof RegistryRecord.Unreadable) {
+              } else if (versioned.value() instanceof RegistryRecord.Unreadable) {
                 caches.put(key.substring(key.lastIndexOf('/') + 1), null);
               }
             });
-    truths.add(new Truth(registry.history.revision(), caches));
-    if (truths.size() > LATEST_TRUTHS) {
-      truths.remove(0);
+    expectedStates.add(new ExpectedState(registry.history.revision(), caches));
+    if (expectedStates.size() > MAX_EXPECTED_STATES) {
+      expectedStates.remove(0);
     }
   }
 
-  private void change() {
-    if (agenda.now() >= busyUntil) {
+  private void scheduleChange() {
+    if (scheduler.nowNanos() >= faultsUntilNanos) {
       return;
     }
     if (!restoring) {
-      changeOne();
+      applyRandomChange();
     }
-    agenda.at(
-        agenda.now() + chance.nextLong(chance.nextInt(5) == 0 ? SECOND : 120 * MS), this::change);
+    scheduler.schedule(
+        scheduler.nowNanos()
+            + random.nextLong(random.nextInt(5) == 0 ? NANOS_PER_SECOND : 120 * NANOS_PER_MILLI),
+        this::scheduleChange);
   }
 
-  private void changeOne() {
-    int number = chance.nextInt(CACHES + 4);
+  private void applyRandomChange() {
+    int number = random.nextInt(CACHE_COUNT + 4);
     String id = "c" + number;
-    boolean tip = chance.nextInt(10) > 0;
-    switch (chance.nextInt(12)) {
+    boolean touchesTip = random.nextInt(10) > 0;
+    switch (random.nextInt(12)) {
       case 0, 1, 2 -> {
-        write(id, cache(number, EndpointState.DRAINING), tip);
-        watchDrain(id, tip);
+        write(id, cache(number, EndpointState.DRAINING), touchesTip);
+        expectDrain(id, touchesTip);
       }
-      case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), tip);
-      case 6 -> write(id, null, tip);
+      case 3, 4, 5 -> write(id, cache(number, EndpointState.UP), touchesTip);
+      case 6 -> write(id, null, touchesTip);
       case 7 -> {
         // Gone, and another one under the same id at once.
-        write(id, null, tip);
-        write(id, cache(number, EndpointState.UP), tip);
+        write(id, null, touchesTip);
+        write(id, cache(number, EndpointState.UP), touchesTip);
       }
       case 8 -> {
-        Map<String, RegistryRecord> several = new TreeMap<>();
+        Map<String, RegistryRecord> writes = new TreeMap<>();
         for (int more = 0; more < 4; more++) {
-          int other = chance.nextInt(CACHES + 4);
-          several.put(VirtualRegistry.PREFIX + "caches/c" + other, cache(other, EndpointState.UP));
+          int otherNumber = random.nextInt(CACHE_COUNT + 4);
+          writes.put(
+              VirtualRegistry.PREFIX + "caches/c" + otherNumber,
+              cache(otherNumber, EndpointState.UP));
         }
-        write(several, tip);
+        write(writes, touchesTip);
       }
-      case 9 -> write(id, new RegistryRecord.Unreadable("spoilt"), tip);
+      case 9 -> write(id, new RegistryRecord.Unreadable("spoilt"), touchesTip);
       case 10 -> purge();
       default ->
           registry.write(new TreeMap<>(Map.of("other/" + number, new RegistryRecord.Other())));
     }
-    if (chance.nextInt(6) == 0) {
-      registry.history.compact(registry.history.revision() - chance.nextLong(20));
+    if (random.nextInt(6) == 0) {
+      registry.history.compact(registry.history.revision() - random.nextLong(20));
     }
   }
 
   private void purge() {
-    long object = ++purges;
+    long object = ++purgeCount;
     String key = VirtualRegistry.PREFIX + "purges/" + object;
     Map<String, RegistryRecord> writes = new TreeMap<>();
-    writes.put(key, new RegistryRecord.Purge(object, 0, agenda.now() / MS - chance.nextLong(1500)));
+    writes.put(
+        key,
+        new RegistryRecord.Purge(
+            object, 0, scheduler.nowNanos() / NANOS_PER_MILLI - random.nextLong(1500)));
     write(writes, true);
-    long at = agenda.now();
-    RevisionedStore<RegistryRecord> of = registry.history;
-    agenda.at(
-        at + RETENTION,
+    long sinceNanos = scheduler.nowNanos();
+    RevisionedStore<RegistryRecord> store = registry.history;
+    scheduler.schedule(
+        sinceNanos + PURGE_RETENTION_NANOS,
         () -> {
           // Who never had a list by then has served nothing that it could be about.
           if (!client.view.hasData()) {
-            unserved.add(object);
+            purgesNotNeeded.add(object);
           }
-          if (of == registry.history) {
-            Map<String, RegistryRecord> over = new TreeMap<>();
-            over.put(key, null);
-            registry.write(over);
-            truth();
+          if (store == registry.history) {
+            Map<String, RegistryRecord> deletion = new TreeMap<>();
+            deletion.put(key, null);
+            registry.write(deletion);
+            recordExpectedState();
           }
         });
-    agenda.at(at + PURGE, () -> duePurge(object, at, of));
+    scheduler.schedule(sinceNanos + MAX_PURGE_NANOS, () -> checkPurge(object, sinceNanos, store));
   }
 
-  private void duePurge(long object, long at, RevisionedStore<RegistryRecord> of) {
+  private void checkPurge(long object, long sinceNanos, RevisionedStore<RegistryRecord> store) {
     // What a restored registry never held, nobody can hear of.
-    if (unserved.contains(object)
-        || (of != registry.history
-            && !registry.history.now().containsKey(VirtualRegistry.PREFIX + "purges/" + object))
-        || told.purgedSince(object, at)) {
+    if (purgesNotNeeded.contains(object)
+        || (store != registry.history
+            && !registry.history.current().containsKey(VirtualRegistry.PREFIX + "purges/" + object))
+        || recordedList.purgedSince(object, sinceNanos)) {
       return;
     }
-    if (registry.goodFor(REACHED) && !restoring) {
-      throw new Missed("purge " + object + " of " + at + " not told by " + agenda.now());
+    if (registry.anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS) && !restoring) {
+      throw new InvariantViolation(
+          "purge " + object + " of " + sinceNanos + " not told by " + scheduler.nowNanos());
     }
-    if (agenda.now() < busyUntil + QUIET - PURGE) {
-      agenda.at(agenda.now() + 10 * MS, () -> duePurge(object, at, of));
+    if (scheduler.nowNanos() < faultsUntilNanos + QUIET_PERIOD_NANOS - MAX_PURGE_NANOS) {
+      scheduler.schedule(
+          scheduler.nowNanos() + 10 * NANOS_PER_MILLI, () -> checkPurge(object, sinceNanos, store));
     }
   }
 
-  private void watchDrain(String id, boolean tip) {
-    long revision = registry.history.revision(), at = agenda.now();
-    RevisionedStore<RegistryRecord> of = registry.history;
-    if (tip) {
-      drains++;
-      agenda.at(at + DRAIN, () -> dueDrain(id, revision, at, of));
+  private void expectDrain(String id, boolean touchesTip) {
+    long revision = registry.history.revision();
+    long sinceNanos = scheduler.nowNanos();
+    RevisionedStore<RegistryRecord> store = registry.history;
+    if (touchesTip) {
+      drainCount++;
+      scheduler.schedule(
+          sinceNanos + MAX_DRAIN_NANOS, () -> checkDrain(id, revision, sinceNanos, store));
     }
   }
 
-  private void dueDrain(String id, long revision, long at, RevisionedStore<RegistryRecord> of) {
-    if (of != registry.history) {
+  private void checkDrain(
+      String id, long revision, long sinceNanos, RevisionedStore<RegistryRecord> store) {
+    if (store != registry.history) {
       return;
     }
     if (client.view.appliedRevision() >= revision
-        && client.view.clusterId().equals(client.view.clusterId().isEmpty() ? "" : of.cluster)) {
+        && client
+            .view
+            .clusterId()
+            .equals(client.view.clusterId().isEmpty() ? "" : store.clusterId)) {
       return;
     }
-    if (registry.goodFor(REACHED)) {
-      throw new Missed(
+    if (registry.anyHealthyFor(HEALTHY_BEFORE_JUDGING_NANOS)) {
+      throw new InvariantViolation(
           "drain of "
               + id
               + " at revision "
               + revision
               + ", "
-              + at
+              + sinceNanos
               + ", view at "
               + client.view.appliedRevision()
               + " by "
-              + agenda.now()
+              + scheduler.nowNanos()
               + ": "
-              + client.recovery.phase());
+              + client.session.phase());
     }
-    agenda.at(agenda.now() + 10 * MS, () -> dueDrain(id, revision, at, of));
+    scheduler.schedule(
+        scheduler.nowNanos() + 10 * NANOS_PER_MILLI,
+        () -> checkDrain(id, revision, sinceNanos, store));
   }
 
   // ---- What goes wrong.
 
-  private void fault() {
-    if (agenda.now() >= busyUntil) {
+  private void injectFault() {
+    if (scheduler.nowNanos() >= faultsUntilNanos) {
       return;
     }
-    Node node = registry.nodes.get(chance.nextInt(registry.nodes.size()));
-    switch (chance.nextInt(10)) {
-      case 0, 1 -> node.cut();
-      case 2, 3 -> away(node, Way.SILENT);
-      case 4 -> away(node, Way.REFUSES);
-      case 5 -> away(node, chance.nextBoolean() ? Way.UNAVAILABLE : Way.UNAUTHORISED);
-      case 6 -> node.slowness(chance.nextLong(800 * MS), 0);
-      case 7 -> node.slowness(0, chance.nextLong(400 * MS));
+    VirtualEndpoint endpoint = registry.endpoints.get(random.nextInt(registry.endpoints.size()));
+    switch (random.nextInt(10)) {
+      case 0, 1 -> endpoint.breakConnections();
+      case 2, 3 -> makeUnavailable(endpoint, EndpointBehavior.SILENT);
+      case 4 -> makeUnavailable(endpoint, EndpointBehavior.REFUSES);
+      case 5 ->
+          makeUnavailable(
+              endpoint,
+              random.nextBoolean() ? EndpointBehavior.UNAVAILABLE : EndpointBehavior.UNAUTHORISED);
+      case 6 -> endpoint.setDelays(random.nextLong(800 * NANOS_PER_MILLI), 0);
+      case 7 -> endpoint.setDelays(0, random.nextLong(400 * NANOS_PER_MILLI));
       case 8 -> {
-        Way way = FAULTS.get(chance.nextInt(FAULTS.size()));
-        registry.nodes.forEach(each -> away(each, way));
+        EndpointBehavior behavior =
+            WHOLE_REGISTRY_FAULTS.get(random.nextInt(WHOLE_REGISTRY_FAULTS.size()));
+        registry.endpoints.forEach(each -> makeUnavailable(each, behavior));
       }
-      default -> restore();
+      default -> restoreFromBackup();
     }
     // Now and then two in the same moment.
-    long next = chance.nextInt(4) == 0 ? 0 : chance.nextLong(1500 * MS);
-    agenda.at(agenda.now() + next, this::fault);
-    if (chance.nextInt(2) == 0) {
-      agenda.at(
-          agenda.now() + chance.nextLong(2 * SECOND),
+    long delayNanos = random.nextInt(4) == 0 ? 0 : random.nextLong(1500 * NANOS_PER_MILLI);
+    scheduler.schedule(scheduler.nowNanos() + delayNanos, this::injectFault);
+    if (random.nextInt(2) == 0) {
+      scheduler.schedule(
+          scheduler.nowNanos() + random.nextLong(2 * NANOS_PER_SECOND),
           () -> {
             if (!restoring) {
-              node.slowness(0, 0);
-              node.become(Way.ANSWERS);
+              endpoint.setDelays(0, 0);
+              endpoint.setBehavior(EndpointBehavior.ANSWERS);
             }
           });
     }
   }
 
-  private void away(Node node, Way way) {
-    node.become(way);
-    agenda.at(
-        agenda.now() + chance.nextLong(chance.nextInt(4) == 0 ? 7 * SECOND : SECOND),
+  private void makeUnavailable(VirtualEndpoint endpoint, EndpointBehavior behavior) {
+    endpoint.setBehavior(behavior);
+    scheduler.schedule(
+        scheduler.nowNanos()
+            + random.nextLong(random.nextInt(4) == 0 ? 7 * NANOS_PER_SECOND : NANOS_PER_SECOND),
         () -> {
           if (!restoring) {
-            node.become(Way.ANSWERS);
+            endpoint.setBehavior(EndpointBehavior.ANSWERS);
           }
         });
   }
@@ -325,73 +358,76 @@
   /**
    * The registry goes down, and comes back as it was some writes ago: under its id or another one.
    */
-  private void restore() {
-    if (restoring || agenda.now() > busyUntil - 5 * SECOND || chance.nextInt(2) == 0) {
+  private void restoreFromBackup() {
+    if (restoring
+        || scheduler.nowNanos() > faultsUntilNanos - 5 * NANOS_PER_SECOND
+        || random.nextInt(2) == 0) {
       return;
     }
-    String id = chance.nextBoolean() ? registry.history.cluster : "c" + (2 + ++fresh);
-    RevisionedStore<RegistryRecord> backup = registry.history.copy(id);
-    agenda.at(
-        agenda.now() + chance.nextLong(3 * SECOND),
+    String id = random.nextBoolean() ? registry.history.clusterId : "c" + (2 + ++newClusterIds);
+    RevisionedStore<RegistryRecord> backup = registry.history.copyAs(id);
+    scheduler.schedule(
+        scheduler.nowNanos() + random.nextLong(3 * NANOS_PER_SECOND),
         () -> {
-          if (restoring || agenda.now() > busyUntil - 4 * SECOND) {
+          if (restoring || scheduler.nowNanos() > faultsUntilNanos - 4 * NANOS_PER_SECOND) {
             return;
           }
           restoring = true;
-          registry.nodes.forEach(node -> node.become(Way.REFUSES));
-          agenda.at(
-              agenda.now() + 1200 * MS + chance.nextLong(SECOND),
+          registry.endpoints.forEach(endpoint -> endpoint.setBehavior(EndpointBehavior.REFUSES));
+          scheduler.schedule(
+              scheduler.nowNanos() + 1200 * NANOS_PER_MILLI + random.nextLong(NANOS_PER_SECOND),
               () -> {
                 restoring = false;
                 registry.restore(backup);
-                told.otherHistory();
-                truth();
-                registry.nodes.forEach(
-                    node -> {
-                      node.slowness(0, 0);
-                      node.become(Way.ANSWERS);
+                recordedList.historyReplaced();
+                recordExpectedState();
+                registry.endpoints.forEach(
+                    endpoint -> {
+                      endpoint.setDelays(0, 0);
+                      endpoint.setBehavior(EndpointBehavior.ANSWERS);
                     });
               });
         });
   }
 
-  private void heal() {
-    registry.nodes.forEach(
-        node -> {
-          node.slowness(0, 0);
-          node.become(Way.ANSWERS);
+  private void endFaults() {
+    registry.endpoints.forEach(
+        endpoint -> {
+          endpoint.setDelays(0, 0);
+          endpoint.setBehavior(EndpointBehavior.ANSWERS);
         });
   }
 
   // ---- What is told, and the bars.
 
-  private void check() {
-    if (!told.changed()) {
+  private void checkInvariants() {
+    if (!recordedList.takeChanged()) {
       return;
     }
     long revision = client.view.appliedRevision();
-    for (int at = truths.size() - 1; at >= 0; at--) {
+    for (int sinceNanos = expectedStates.size() - 1; sinceNanos >= 0; sinceNanos--) {
       // The last truth at or under the revision, in this history or one before it.
-      Truth truth = truths.get(at);
-      boolean last =
-          at == truths.size() - 1
-              || truths.get(at + 1).revision > revision
-              || truths.get(at + 1).revision <= truth.revision;
-      if (truth.revision <= revision && last && matches(truth)) {
+      ExpectedState expected = expectedStates.get(sinceNanos);
+      boolean isLastAtRevision =
+          sinceNanos == expectedStates.size() - 1
+              || expectedStates.get(sinceNanos + 1).revision > revision
+              || expectedStates.get(sinceNanos + 1).revision <= expected.revision;
+      if (expected.revision <= revision && isLastAtRevision && matches(expected)) {
         return;
       }
     }
-    registry.story.accept("told: " + told.caches());
-    throw new Missed("what was told is no state of the registry at revision " + revision);
+    registry.trace.accept("told: " + recordedList.caches());
+    throw new InvariantViolation(
+        "what was told is no state of the registry at revision " + revision);
   }
 
-  private boolean matches(Truth truth) {
-    for (String id : truth.caches.keySet()) {
-      RegistryRecord.Cache cache = truth.caches.get(id);
-      if (cache != null && !cache.equals(told.caches().get(id))) {
+  private boolean matches(ExpectedState expected) {
+    for (String id : expected.caches.keySet()) {
+      RegistryRecord.Cache cache = expected.caches.get(id);
+      if (cache != null && !cache.equals(recordedList.caches().get(id))) {
         return false;
       }
     }
-    return truth.caches.keySet().containsAll(told.caches().keySet());
+    return expected.caches.keySet().containsAll(recordedList.caches().keySet());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModelExperiment.java
@@ -5,7 +5,7 @@
 /** The registry's pure half on a virtual clock. */
 public final class RegistryModelExperiment {
   public static final SeededRuns.Model MODEL =
-      (seed, story) -> new RegistryModel(seed, story).run();
+      (seed, trace) -> new RegistryModel(seed, trace).run();
 
   private RegistryModelExperiment() {}
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -8,7 +8,7 @@
 import org.HdrHistogram.Histogram;
 import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.lab.registry.VirtualRegistry.Way;
+import org.amberpath.lab.registry.VirtualRegistry.EndpointBehavior;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.WatchSession;
@@ -22,23 +22,25 @@
  * herd after an outage.
  */
 public final class RegistrySizeExperiment {
-  private static final long MS = VirtualRegistry.MS,
-      SECOND = VirtualRegistry.SECOND,
-      START = 1_700_000_000L * SECOND;
-  private static final int ENDPOINTS = 3, BYTES_A_KEY = 300, HERD = 500;
-  private static final long BUSY = 10 * SECOND,
-      OUTAGE = 5 * SECOND,
-      BIN = 100 * MS,
-      HIGHEST_US = 60_000_000;
+  private static final long NANOS_PER_MILLI = VirtualRegistry.NANOS_PER_MILLI;
+  private static final long NANOS_PER_SECOND = VirtualRegistry.NANOS_PER_SECOND;
+  private static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
+  private static final int ENDPOINT_COUNT = 3;
+  private static final int BYTES_PER_KEY = 300;
+  private static final int HERD_CLIENTS = 500;
+  private static final long CHANGE_PERIOD_NANOS = 10 * NANOS_PER_SECOND;
+  private static final long OUTAGE_NANOS = 5 * NANOS_PER_SECOND;
+  private static final long BIN_NANOS = 100 * NANOS_PER_MILLI;
+  private static final long MAX_DELAY_MICROS = 60_000_000;
 
   private RegistrySizeExperiment() {}
 
   /** Who is told nothing but when. */
   private static final class Listener implements EndpointListener {
-    private final Runnable told;
+    private final Runnable listCompleted;
 
-    Listener(Runnable told) {
-      this.told = told;
+    Listener(Runnable listCompleted) {
+      this.listCompleted = listCompleted;
     }
 
     @Override
@@ -49,7 +51,7 @@
 
     @Override
     public void endpointListCompleted() {
-      told.run();
+      listCompleted.run();
     }
 
     @Override
@@ -64,96 +66,112 @@
   private static void write(VirtualRegistry registry, int number, EndpointState state) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     writes.put(VirtualRegistry.PREFIX + "caches/c" + number, cache(number, state));
-    writes.put(VirtualRegistry.TIP, new RegistryRecord.Other());
+    writes.put(VirtualRegistry.TIP_KEY, new RegistryRecord.Other());
     registry.write(writes);
   }
 
   /** So many caches, watched by so many clients, with so many changes a second. */
-  public static ExperimentReport run(long seed, int caches, int clients, int changes) {
+  public static ExperimentReport run(
+      long seed, int cacheCount, int clientCount, int changesPerSecond) {
     ExperimentReport result =
         new ExperimentReport(seed)
-            .figure("caches", caches)
-            .figure("clients", clients)
-            .figure("changes_a_second", changes);
-    applied(seed, caches, clients, changes, result);
-    herd(seed, result);
+            .figure("caches", cacheCount)
+            .figure("clients", clientCount)
+            .figure("changes_a_second", changesPerSecond);
+    measureApplyDelay(seed, cacheCount, clientCount, changesPerSecond, result);
+    measureHerd(seed, result);
     return result;
   }
 
-  private static void applied(
-      long seed, int caches, int clients, int changes, ExperimentReport result) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    VirtualScheduler agenda = new VirtualScheduler(START);
-    VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
-    for (int number = 0; number < caches; number++) {
+  private static void measureApplyDelay(
+      long seed, int cacheCount, int clientCount, int changesPerSecond, ExperimentReport result) {
+    SplittableRandom random = new SplittableRandom(seed);
+    VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+    VirtualRegistry registry =
+        new VirtualRegistry(scheduler, ENDPOINT_COUNT, false, random.nextLong());
+    for (int number = 0; number < cacheCount; number++) {
       write(registry, number, EndpointState.UP);
     }
     registry.history.compact(registry.history.revision());
-    List<VirtualRegistry.Client> all = new ArrayList<>();
-    Map<Long, Long> committed = new TreeMap<>();
-    Histogram delay = new Histogram(HIGHEST_US, 3);
-    long before = used();
-    for (int one = 0; one < clients; one++) {
-      VirtualRegistry.Client[] self = new VirtualRegistry.Client[1];
+    List<VirtualRegistry.VirtualClient> watchers = new ArrayList<>();
+    Map<Long, Long> committedAtNanos = new TreeMap<>();
+    Histogram delay = new Histogram(MAX_DELAY_MICROS, 3);
+    long bytesBefore = usedMemoryBytes();
+    for (int index = 0; index < clientCount; index++) {
+      VirtualRegistry.VirtualClient[] self = new VirtualRegistry.VirtualClient[1];
       RegistryView view =
           new RegistryView(
               new Listener(
                   () -> {
-                    Long at = committed.get(self[0].view.appliedRevision());
-                    if (at != null) {
-                      delay.recordValue((agenda.now() - at) / 1000);
+                    Long atNanos = committedAtNanos.get(self[0].view.appliedRevision());
+                    if (atNanos != null) {
+                      delay.recordValue((scheduler.nowNanos() - atNanos) / 1000);
                     }
                   }),
-              VirtualRegistry.TIP,
-              caches * 2,
-              600 * SECOND,
+              VirtualRegistry.TIP_KEY,
+              cacheCount * 2,
+              600 * NANOS_PER_SECOND,
               line -> {});
-      self[0] = registry.new Client(view, caches * 2, chance.nextLong(), line -> {});
-      all.add(self[0]);
+      self[0] = registry.new VirtualClient(view, cacheCount * 2, random.nextLong(), line -> {});
+      watchers.add(self[0]);
     }
-    long listed = System.nanoTime();
-    all.forEach(VirtualRegistry.Client::start);
-    while (agenda.step(START + 2 * SECOND)) {
+    long listingNanos = System.nanoTime();
+    watchers.forEach(VirtualRegistry.VirtualClient::start);
+    while (scheduler.runNext(EPOCH_NANOS + 2 * NANOS_PER_SECOND)) {
       // The condition does the work.
     }
-    listed = System.nanoTime() - listed;
-    long memory = used() - before;
-    long items = registry.items, answers = registry.answers, busy = System.nanoTime();
-    for (long at = 0; at < BUSY; at += SECOND / changes) {
-      long when = START + 2 * SECOND + at;
-      agenda.at(
-          when,
+    listingNanos = System.nanoTime() - listingNanos;
+    long memoryBytes = usedMemoryBytes() - bytesBefore;
+    long itemsBefore = registry.sentItems;
+    long responsesBefore = registry.responseCount;
+    long changePeriodNanos = System.nanoTime();
+    for (long atNanos = 0;
+        atNanos < CHANGE_PERIOD_NANOS;
+        atNanos += NANOS_PER_SECOND / changesPerSecond) {
+      long timeNanos = EPOCH_NANOS + 2 * NANOS_PER_SECOND + atNanos;
+      scheduler.schedule(
+          timeNanos,
           () -> {
             write(
                 registry,
-                chance.nextInt(caches),
-                chance.nextBoolean() ? EndpointState.UP : EndpointState.DRAINING);
-            committed.put(registry.history.revision(), agenda.now());
+                random.nextInt(cacheCount),
+                random.nextBoolean() ? EndpointState.UP : EndpointState.DRAINING);
+            committedAtNanos.put(registry.history.revision(), scheduler.nowNanos());
           });
     }
-    while (agenda.step(START + 2 * SECOND + BUSY + SECOND)) {
+    while (scheduler.runNext(
+        EPOCH_NANOS + 2 * NANOS_PER_SECOND + CHANGE_PERIOD_NANOS + NANOS_PER_SECOND)) {
       // The condition does the work.
     }
-    busy = System.nanoTime() - busy;
-    long seconds = (BUSY + SECOND) / SECOND;
+    changePeriodNanos = System.nanoTime() - changePeriodNanos;
+    long seconds = (CHANGE_PERIOD_NANOS + NANOS_PER_SECOND) / NANOS_PER_SECOND;
     result
-        .figure("first_list_cpu_ms_a_client", listed / 1e6 / clients)
-        .figure("memory_kb_a_client", memory / 1024 / clients)
+        .figure("first_list_cpu_ms_a_client", listingNanos / 1e6 / clientCount)
+        .figure("memory_kb_a_client", memoryBytes / 1024 / clientCount)
         .figure("apply_p50_ms", delay.getValueAtPercentile(50) / 1000.0)
         .figure("apply_p99_ms", delay.getValueAtPercentile(99) / 1000.0)
         .figure("apply_max_ms", delay.getMaxValue() / 1000.0)
         .figure(
             "kb_a_second_a_client",
-            (registry.items - items) * BYTES_A_KEY / 1024 / seconds / clients)
-        .figure("answers_a_second_a_client", (registry.answers - answers) / seconds / clients)
-        .figure("cpu_us_a_change_a_client", busy / 1e3 / changes / (BUSY / SECOND) / clients)
+            (registry.sentItems - itemsBefore) * BYTES_PER_KEY / 1024 / seconds / clientCount)
+        .figure(
+            "answers_a_second_a_client",
+            (registry.responseCount - responsesBefore) / seconds / clientCount)
+        .figure(
+            "cpu_us_a_change_a_client",
+            changePeriodNanos
+                / 1e3
+                / changesPerSecond
+                / (CHANGE_PERIOD_NANOS / NANOS_PER_SECOND)
+                / clientCount)
         .bar(
             "all at the last revision",
-            all.stream().allMatch(one -> one.view.appliedRevision() == registry.history.revision()))
+            watchers.stream()
+                .allMatch(index -> index.view.appliedRevision() == registry.history.revision()))
         .bar("p99 under 250 ms", delay.getValueAtPercentile(99) < 250_000);
   }
 
-  private static long used() {
+  private static long usedMemoryBytes() {
     System.gc();
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
@@ -162,57 +180,79 @@
    * Hundreds of clients lose all endpoints for some seconds: how many calls come in the dearest
    * moment of the return.
    */
-  private static void herd(long seed, ExperimentReport result) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    VirtualScheduler agenda = new VirtualScheduler(START);
-    VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
+  private static void measureHerd(long seed, ExperimentReport result) {
+    SplittableRandom random = new SplittableRandom(seed);
+    VirtualScheduler scheduler = new VirtualScheduler(EPOCH_NANOS);
+    VirtualRegistry registry =
+        new VirtualRegistry(scheduler, ENDPOINT_COUNT, false, random.nextLong());
     for (int number = 0; number < 50; number++) {
       write(registry, number, EndpointState.UP);
     }
-    List<VirtualRegistry.Client> all = new ArrayList<>();
-    for (int one = 0; one < HERD; one++) {
+    List<VirtualRegistry.VirtualClient> watchers = new ArrayList<>();
+    for (int index = 0; index < HERD_CLIENTS; index++) {
       RegistryView view =
           new RegistryView(
-              new Listener(() -> {}), VirtualRegistry.TIP, 1000, 600 * SECOND, line -> {});
-      all.add(registry.new Client(view, 1000, chance.nextLong(), line -> {}));
+              new Listener(() -> {}),
+              VirtualRegistry.TIP_KEY,
+              1000,
+              600 * NANOS_PER_SECOND,
+              line -> {});
+      watchers.add(registry.new VirtualClient(view, 1000, random.nextLong(), line -> {}));
     }
-    all.forEach(VirtualRegistry.Client::start);
-    long down = START + 3 * SECOND, back = down + OUTAGE;
-    agenda.at(down, () -> registry.nodes.forEach(node -> node.become(Way.REFUSES)));
-    agenda.at(
-        back,
+    watchers.forEach(VirtualRegistry.VirtualClient::start);
+    long outageNanos = EPOCH_NANOS + 3 * NANOS_PER_SECOND;
+    long returnNanos = outageNanos + OUTAGE_NANOS;
+    scheduler.schedule(
+        outageNanos,
+        () ->
+            registry.endpoints.forEach(endpoint -> endpoint.setBehavior(EndpointBehavior.REFUSES)));
+    scheduler.schedule(
+        returnNanos,
         () -> {
-          registry.nodes.forEach(node -> node.become(Way.ANSWERS));
+          registry.endpoints.forEach(endpoint -> endpoint.setBehavior(EndpointBehavior.ANSWERS));
           write(registry, 0, EndpointState.DRAINING);
         });
-    while (agenda.step(back)) {
+    while (scheduler.runNext(returnNanos)) {
       // The condition does the work.
     }
-    long dearest = 0, steady = 0, current = 0;
-    for (long at = back; at < back + 8 * SECOND; at += BIN) {
-      long[] before = registry.nodes.stream().mapToLong(node -> node.connects).toArray();
-      while (agenda.step(at + BIN)) {
+    long peakCalls = 0;
+    long steadyCalls = 0;
+    long allCurrentAfterNanos = 0;
+    for (long atNanos = returnNanos;
+        atNanos < returnNanos + 8 * NANOS_PER_SECOND;
+        atNanos += BIN_NANOS) {
+      long[] bytesBefore =
+          registry.endpoints.stream().mapToLong(endpoint -> endpoint.callCount).toArray();
+      while (scheduler.runNext(atNanos + BIN_NANOS)) {
         // The condition does the work.
       }
-      for (int node = 0; node < ENDPOINTS; node++) {
-        long calls = registry.nodes.get(node).connects - before[node];
-        dearest = Math.max(dearest, calls);
-        steady = at >= back + 7 * SECOND ? Math.max(steady, calls) : steady;
+      for (int endpoint = 0; endpoint < ENDPOINT_COUNT; endpoint++) {
+        long callCount = registry.endpoints.get(endpoint).callCount - bytesBefore[endpoint];
+        peakCalls = Math.max(peakCalls, callCount);
+        steadyCalls =
+            atNanos >= returnNanos + 7 * NANOS_PER_SECOND
+                ? Math.max(steadyCalls, callCount)
+                : steadyCalls;
       }
-      boolean there =
-          all.stream()
+      boolean allCurrent =
+          watchers.stream()
               .allMatch(
-                  one ->
-                      one.recovery.phase() == WatchSession.Phase.CURRENT
-                          && one.view.appliedRevision() == registry.history.revision());
-      current = there && current == 0 ? at + BIN - back : current;
+                  index ->
+                      index.session.phase() == WatchSession.Phase.CURRENT
+                          && index.view.appliedRevision() == registry.history.revision());
+      allCurrentAfterNanos =
+          allCurrent && allCurrentAfterNanos == 0
+              ? atNanos + BIN_NANOS - returnNanos
+              : allCurrentAfterNanos;
     }
     result
-        .figure("herd_clients", HERD)
-        .figure("herd_dearest_calls_in_100_ms_an_endpoint", dearest)
-        .figure("herd_steady_calls_in_100_ms_an_endpoint", steady)
-        .figure("herd_all_current_ms", current / MS)
-        .bar("no herd: under a call a client in the dearest 100 ms", dearest < HERD)
-        .bar("all current within 2 s of the return", current > 0 && current <= 2 * SECOND);
+        .figure("herd_clients", HERD_CLIENTS)
+        .figure("herd_dearest_calls_in_100_ms_an_endpoint", peakCalls)
+        .figure("herd_steady_calls_in_100_ms_an_endpoint", steadyCalls)
+        .figure("herd_all_current_ms", allCurrentAfterNanos / NANOS_PER_MILLI)
+        .bar("no herd: under a call a client in the dearest 100 ms", peakCalls < HERD_CLIENTS)
+        .bar(
+            "all current within 2 s of the return",
+            allCurrentAfterNanos > 0 && allCurrentAfterNanos <= 2 * NANOS_PER_SECOND);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -14,32 +14,33 @@
  */
 final class RevisionedStore<V> {
   /** A key at some revision. */
-  record Kept<V>(V value, long created, long changed) {}
+  record VersionedValue<V>(V value, long createRevision, long modRevision) {}
 
   /** A key that was written at a revision, or deleted where kept is null. */
-  record Event<V>(long revision, String key, Kept<V> kept) {}
+  record Change<V>(long revision, String key, VersionedValue<V> versioned) {}
 
-  final String cluster;
-  private final List<Event<V>> events = new ArrayList<>();
-  private final TreeMap<String, Kept<V>> now = new TreeMap<>();
+  final String clusterId;
+  private final List<Change<V>> changes = new ArrayList<>();
+  private final TreeMap<String, VersionedValue<V>> current = new TreeMap<>();
 
   /** The state at the revision below which nothing is kept. */
-  private final TreeMap<String, Kept<V>> base = new TreeMap<>();
+  private final TreeMap<String, VersionedValue<V>> compactedState = new TreeMap<>();
 
-  private long revision = 1, compacted;
+  private long revision = 1;
+  private long compactedRevision;
 
   RevisionedStore(String cluster) {
-    this.cluster = cluster;
+    this.clusterId = cluster;
   }
 
   /** The same as it was, under another cluster's id or its own: what a backup is. */
-  RevisionedStore<V> copy(String other) {
-    RevisionedStore<V> copy = new RevisionedStore<>(other);
-    copy.events.addAll(events);
-    copy.now.putAll(now);
-    copy.base.putAll(base);
+  RevisionedStore<V> copyAs(String clusterId) {
+    RevisionedStore<V> copy = new RevisionedStore<>(clusterId);
+    copy.changes.addAll(changes);
+    copy.current.putAll(current);
+    copy.compactedState.putAll(compactedState);
     copy.revision = revision;
-    copy.compacted = compacted;
+    copy.compactedRevision = compactedRevision;
     return copy;
   }
 
@@ -47,12 +48,12 @@
     return revision;
   }
 
-  long compacted() {
-    return compacted;
+  long compactedRevision() {
+    return compactedRevision;
   }
 
-  Map<String, Kept<V>> now() {
-    return now;
+  Map<String, VersionedValue<V>> current() {
+    return current;
   }
 
   /**
@@ -60,71 +61,74 @@
    * change.
    */
   long write(Map<String, V> writes) {
-    long next = revision + 1;
+    long nextRevision = revision + 1;
     writes.forEach(
         (key, value) -> {
-          Kept<V> before = now.get(key);
+          VersionedValue<V> previous = current.get(key);
           if (value != null) {
-            Kept<V> kept = new Kept<>(value, before == null ? next : before.created, next);
-            now.put(key, kept);
-            events.add(new Event<>(next, key, kept));
-            revision = next;
-          } else if (before != null) {
-            now.remove(key);
-            events.add(new Event<>(next, key, null));
-            revision = next;
+            VersionedValue<V> versioned =
+                new VersionedValue<>(
+                    value, previous == null ? nextRevision : previous.createRevision, nextRevision);
+            current.put(key, versioned);
+            changes.add(new Change<>(nextRevision, key, versioned));
+            revision = nextRevision;
+          } else if (previous != null) {
+            current.remove(key);
+            changes.add(new Change<>(nextRevision, key, null));
+            revision = nextRevision;
           }
         });
     return revision;
   }
 
   void compact(long upTo) {
-    int at = 0;
-    for (; at < events.size() && events.get(at).revision <= upTo; at++) {
-      apply(base, events.get(at));
+    int index = 0;
+    for (; index < changes.size() && changes.get(index).revision <= upTo; index++) {
+      apply(compactedState, changes.get(index));
     }
-    events.subList(0, at).clear();
-    compacted = Math.max(compacted, Math.min(upTo, revision));
+    changes.subList(0, index).clear();
+    compactedRevision = Math.max(compactedRevision, Math.min(upTo, revision));
   }
 
   /** The state at a revision that is not compacted. */
-  NavigableMap<String, Kept<V>> at(long wanted) {
-    if (wanted == revision) {
-      return now;
+  NavigableMap<String, VersionedValue<V>> stateAt(long wantedRevision) {
+    if (wantedRevision == revision) {
+      return current;
     }
-    TreeMap<String, Kept<V>> state = new TreeMap<>(base);
-    for (Event<V> event : events) {
-      if (event.revision > wanted) {
+    TreeMap<String, VersionedValue<V>> state = new TreeMap<>(compactedState);
+    for (Change<V> change : changes) {
+      if (change.revision > wantedRevision) {
         break;
       }
-      apply(state, event);
+      apply(state, change);
     }
     return state;
   }
 
   /** Events from a revision to another, both taken in. */
-  List<Event<V>> between(long from, long to) {
-    int low = 0, high = events.size();
+  List<Change<V>> changesBetween(long fromRevision, long toRevision) {
+    int low = 0;
+    int high = changes.size();
     while (low < high) {
       int middle = (low + high) / 2;
-      if (events.get(middle).revision < from) {
+      if (changes.get(middle).revision < fromRevision) {
         low = middle + 1;
       } else {
         high = middle;
       }
     }
     int end = low;
-    while (end < events.size() && events.get(end).revision <= to) {
+    while (end < changes.size() && changes.get(end).revision <= toRevision) {
       end++;
     }
-    return events.subList(low, end);
+    return changes.subList(low, end);
   }
 
-  private static <V> void apply(Map<String, Kept<V>> state, Event<V> event) {
-    if (event.kept == null) {
-      state.remove(event.key);
+  private static <V> void apply(Map<String, VersionedValue<V>> state, Change<V> change) {
+    if (change.versioned == null) {
+      state.remove(change.key);
     } else {
-      state.put(event.key, event.kept);
+      state.put(change.key, change.versioned);
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInRegistry.java
@@ -29,7 +29,7 @@
  */
 public final class StandInRegistry {
   /** How an endpoint treats what is asked of it. */
-  public enum Way {
+  public enum EndpointBehavior {
     ANSWERS,
     SILENT,
     REFUSES,
@@ -37,17 +37,19 @@
     UNAUTHORISED
   }
 
-  private static final int OUT_OF_RANGE = 11, UNAVAILABLE = 14, UNAUTHENTICATED = 16;
+  private static final int CODE_OUT_OF_RANGE = 11;
+  private static final int CODE_UNAVAILABLE = 14;
+  private static final int CODE_UNAUTHENTICATED = 16;
 
   private final Vertx vertx;
   private final HttpServerOptions options;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final Map<Long, Lease> leases = new HashMap<>();
   private RevisionedStore<byte[]> history = new RevisionedStore<>("101");
-  private long lastLease;
+  private long lastLeaseId;
 
   /** The token that is asked for; empty for none. */
-  private String token = "";
+  private String requiredToken = "";
 
   /** Options may hold what TLS takes. */
   public StandInRegistry(Vertx vertx, HttpServerOptions options) {
@@ -66,8 +68,8 @@
     return endpoints;
   }
 
-  public void askFor(String wanted) {
-    token = wanted;
+  public void requireToken(String token) {
+    requiredToken = token;
   }
 
   public long revision() {
@@ -75,9 +77,9 @@
   }
 
   /** The keys as they stand. */
-  public Map<String, byte[]> now() {
+  public Map<String, byte[]> entries() {
     Map<String, byte[]> now = new TreeMap<>();
-    history.now().forEach((key, kept) -> now.put(key, kept.value()));
+    history.current().forEach((key, kept) -> now.put(key, kept.value()));
     return now;
   }
 
@@ -86,7 +88,7 @@
     long before = history.revision();
     history.write(writes);
     if (history.revision() > before) {
-      endpoints.forEach(Endpoint::offer);
+      endpoints.forEach(Endpoint::notifyWatchers);
     }
     return history.revision();
   }
@@ -97,8 +99,9 @@
   }
 
   /** A backup as of now, to be restored under its own id or another one. */
-  public Runnable backup(String cluster) {
-    RevisionedStore<byte[]> copy = history.copy(cluster.isEmpty() ? history.cluster : cluster);
+  public Runnable backupAs(String clusterId) {
+    RevisionedStore<byte[]> copy =
+        history.copyAs(clusterId.isEmpty() ? history.clusterId : clusterId);
     return () -> history = copy;
   }
 
@@ -110,21 +113,21 @@
 
     Lease(long id, long seconds) {
       this.seconds = seconds;
-      keep(id);
+      renew(id);
     }
 
-    void keep(long id) {
+    void renew(long id) {
       vertx.cancelTimer(timer);
-      timer = vertx.setTimer(Math.max(1, seconds * 1000), over -> end(id));
+      timer = vertx.setTimer(Math.max(1, seconds * 1000), timer -> expire(id));
     }
 
-    void end(long id) {
+    void expire(long id) {
       vertx.cancelTimer(timer);
       leases.remove(id);
-      Map<String, byte[]> gone = new TreeMap<>();
-      keys.forEach(key -> gone.put(key, null));
-      if (!gone.isEmpty()) {
-        write(gone);
+      Map<String, byte[]> deletions = new TreeMap<>();
+      keys.forEach(key -> deletions.put(key, null));
+      if (!deletions.isEmpty()) {
+        write(deletions);
       }
     }
   }
@@ -135,8 +138,9 @@
     private final Set<Watcher> watchers = new LinkedHashSet<>();
     private HttpServer server;
     private int port;
-    private Way way = Way.ANSWERS;
-    private long lagMs, goodSince = System.nanoTime();
+    private EndpointBehavior behavior = EndpointBehavior.ANSWERS;
+    private long lagMillis;
+    private long healthySinceNanos = System.nanoTime();
 
     private Endpoint(int port) {
       this.port = port;
@@ -147,8 +151,10 @@
     }
 
     /** Whether it has answered well for so long, in nanoseconds. */
-    public boolean goodFor(long time) {
-      return way == Way.ANSWERS && lagMs == 0 && System.nanoTime() - goodSince >= time;
+    public boolean isHealthyFor(long durationNanos) {
+      return behavior == EndpointBehavior.ANSWERS
+          && lagMillis == 0
+          && System.nanoTime() - healthySinceNanos >= durationNanos;
     }
 
     private Future<Void> listen() {
@@ -160,39 +166,40 @@
                     connections.add(connection);
                     connection.closeHandler(closed -> connections.remove(connection));
                   })
-              .requestHandler(this::take);
+              .requestHandler(this::requestReceived);
       return server
           .listen()
           .map(
-              up -> {
-                port = up.actualPort();
+              listening -> {
+                port = listening.actualPort();
                 return null;
               });
     }
 
     /** Changes how it treats what is asked. */
-    public void become(Way other) {
-      if (way == Way.REFUSES && other != Way.REFUSES) {
+    public void setBehavior(EndpointBehavior newBehavior) {
+      if (behavior == EndpointBehavior.REFUSES && newBehavior != EndpointBehavior.REFUSES) {
         listen();
-      } else if (other == Way.REFUSES && way != Way.REFUSES) {
+      } else if (newBehavior == EndpointBehavior.REFUSES && behavior != EndpointBehavior.REFUSES) {
         server.close();
-        cut();
-      } else if (other == Way.UNAVAILABLE || other == Way.UNAUTHORISED) {
-        cut();
+        breakConnections();
+      } else if (newBehavior == EndpointBehavior.UNAVAILABLE
+          || newBehavior == EndpointBehavior.UNAUTHORISED) {
+        breakConnections();
       }
-      way = other;
-      goodSince = System.nanoTime();
-      offer();
+      behavior = newBehavior;
+      healthySinceNanos = System.nanoTime();
+      notifyWatchers();
     }
 
     /** Changes tell and reads answer so many milliseconds late. */
-    public void lag(long ms) {
-      lagMs = ms;
-      goodSince = System.nanoTime();
+    public void setLagMillis(long lagMillis) {
+      this.lagMillis = lagMillis;
+      healthySinceNanos = System.nanoTime();
     }
 
     /** Breaks all connections; watches end amid a line. */
-    public void cut() {
+    public void breakConnections() {
       for (Watcher watcher : List.copyOf(watchers)) {
         watcher.response.write("{\"result\":{\"header\":{\"clus");
       }
@@ -204,46 +211,47 @@
      * Ends its side of all watches in good order; the connections stay open for what clients still
      * say.
      */
-    public void finish() {
+    public void endWatches() {
       List<Watcher> ended = List.copyOf(watchers);
       watchers.clear();
       ended.forEach(watcher -> watcher.response.end());
     }
 
-    private void take(HttpServerRequest request) {
+    private void requestReceived(HttpServerRequest request) {
       request
           .body()
           .onSuccess(
               body -> {
-                if (way == Way.SILENT) {
+                if (behavior == EndpointBehavior.SILENT) {
                   return;
                 }
-                Runnable answer =
+                Runnable response =
                     () -> {
                       try {
-                        answer(request, body);
+                        respond(request, body);
                       } catch (RuntimeException e) {
                         error(request.response(), 400, 3, String.valueOf(e.getMessage()));
                       }
                     };
-                if (lagMs > 0) {
-                  vertx.setTimer(lagMs, late -> answer.run());
+                if (lagMillis > 0) {
+                  vertx.setTimer(lagMillis, timer -> response.run());
                 } else {
-                  answer.run();
+                  response.run();
                 }
               });
     }
 
-    private void answer(HttpServerRequest request, Buffer body) {
+    private void respond(HttpServerRequest request, Buffer body) {
       HttpServerResponse response = request.response();
-      String shown =
+      String presentedToken =
           request.getHeader(request.path().startsWith("/v1") ? "X-Consul-Token" : "Authorization");
-      if (way == Way.UNAVAILABLE) {
-        error(response, 503, UNAVAILABLE, "no leader");
+      if (behavior == EndpointBehavior.UNAVAILABLE) {
+        error(response, 503, CODE_UNAVAILABLE, "no leader");
       } else if (request.path().equals("/v3/auth/authenticate")) {
-        response.end(new JsonObject().put("header", header()).put("token", token).encode());
-      } else if (way == Way.UNAUTHORISED || (!token.isEmpty() && !token.equals(shown))) {
-        error(response, 401, UNAUTHENTICATED, "invalid auth token");
+        response.end(new JsonObject().put("header", header()).put("token", requiredToken).encode());
+      } else if (behavior == EndpointBehavior.UNAUTHORISED
+          || (!requiredToken.isEmpty() && !requiredToken.equals(presentedToken))) {
+        error(response, 401, CODE_UNAUTHENTICATED, "invalid auth token");
       } else {
         switch (request.path()) {
           case "/v3/kv/range" -> range(response, new JsonObject(body));
@@ -252,19 +260,19 @@
           case "/v3/kv/txn" -> transaction(response, new JsonObject(body));
           case "/v3/lease/grant" -> {
             long ttl = Long.parseLong(new JsonObject(body).getString("TTL"));
-            leases.put(++lastLease, new Lease(lastLease, ttl));
+            leases.put(++lastLeaseId, new Lease(lastLeaseId, ttl));
             response.end(
                 new JsonObject()
                     .put("header", header())
-                    .put("ID", Long.toString(lastLease))
+                    .put("ID", Long.toString(lastLeaseId))
                     .put("TTL", Long.toString(ttl))
                     .encode());
           }
           case "/v3/lease/keepalive" -> {
-            long id = wide(new JsonObject(body), "ID");
+            long id = longField(new JsonObject(body), "ID");
             Lease lease = leases.get(id);
             if (lease != null) {
-              lease.keep(id);
+              lease.renew(id);
             }
             JsonObject result =
                 new JsonObject().put("header", header()).put("ID", Long.toString(id));
@@ -276,16 +284,16 @@
                     .encode());
           }
           case "/v3/lease/revoke" -> {
-            long id = wide(new JsonObject(body), "ID");
+            long id = longField(new JsonObject(body), "ID");
             if (leases.containsKey(id)) {
-              leases.get(id).end(id);
+              leases.get(id).expire(id);
             }
             response.end(new JsonObject().put("header", header()).encode());
           }
           case "/v1/txn" -> consulTransaction(response, new JsonArray(body));
           default -> {
             if (request.path().startsWith("/v1/kv/")) {
-              read(request, request.path().substring("/v1/kv/".length()));
+              blockingRead(request, request.path().substring("/v1/kv/".length()));
             } else {
               error(response, 404, 5, "not found");
             }
@@ -294,14 +302,14 @@
       }
     }
 
-    private void offer() {
+    private void notifyWatchers() {
       List.copyOf(watchers)
           .forEach(
               watcher -> {
-                if (lagMs > 0) {
-                  vertx.setTimer(lagMs, late -> watcher.offer());
+                if (lagMillis > 0) {
+                  vertx.setTimer(lagMillis, timer -> watcher.sendChanges());
                 } else {
-                  watcher.offer();
+                  watcher.sendChanges();
                 }
               });
     }
@@ -320,7 +328,7 @@
 
   private JsonObject header() {
     return new JsonObject()
-        .put("cluster_id", history.cluster)
+        .put("cluster_id", history.clusterId)
         .put("member_id", "1")
         .put("revision", Long.toString(history.revision()))
         .put("raft_term", "2");
@@ -330,147 +338,154 @@
     return Base64.getEncoder().encodeToString(bytes);
   }
 
-  private static byte[] bytes(JsonObject from, String name) {
+  private static byte[] decodedBytes(JsonObject from, String name) {
     return Base64.getDecoder().decode(from.getString(name, ""));
   }
 
-  private static String text(JsonObject from, String name) {
-    return new String(bytes(from, name), StandardCharsets.UTF_8);
+  private static String decodedText(JsonObject from, String name) {
+    return new String(decodedBytes(from, name), StandardCharsets.UTF_8);
   }
 
-  private static long wide(JsonObject from, String name) {
+  private static long longField(JsonObject from, String name) {
     return Long.parseLong(from.getString(name, "0"));
   }
 
-  private static JsonObject kv(String key, RevisionedStore.Kept<byte[]> kept) {
+  private static JsonObject encodedKeyValue(
+      String key, RevisionedStore.VersionedValue<byte[]> kept) {
     return new JsonObject()
         .put("key", base64(key.getBytes(StandardCharsets.UTF_8)))
-        .put("create_revision", Long.toString(kept.created()))
-        .put("mod_revision", Long.toString(kept.changed()))
+        .put("create_revision", Long.toString(kept.createRevision()))
+        .put("mod_revision", Long.toString(kept.modRevision()))
         .put("version", "1")
         .put("value", base64(kept.value()));
   }
 
   // ---- The JSON form of the API with ranges and watches.
 
-  private void range(HttpServerResponse response, JsonObject ask) {
-    long revision = wide(ask, "revision"),
-        limit = wide(ask, "limit"),
-        since = wide(ask, "min_mod_revision");
-    if (revision != 0 && revision < history.compacted()) {
-      error(response, 400, OUT_OF_RANGE, "required revision has been compacted");
+  private void range(HttpServerResponse response, JsonObject request) {
+    long revision = longField(request, "revision");
+    long limit = longField(request, "limit");
+    long minModRevision = longField(request, "min_mod_revision");
+    if (revision != 0 && revision < history.compactedRevision()) {
+      error(response, 400, CODE_OUT_OF_RANGE, "required revision has been compacted");
       return;
     }
-    String from = text(ask, "key"), to = text(ask, "range_end");
-    NavigableMap<String, RevisionedStore.Kept<byte[]>> all =
-        history.at(revision == 0 ? history.revision() : revision);
-    var found =
-        to.isEmpty() ? all.subMap(from, true, from, true) : all.subMap(from, true, to, false);
+    String from = decodedText(request, "key");
+    String end = decodedText(request, "range_end");
+    NavigableMap<String, RevisionedStore.VersionedValue<byte[]>> all =
+        history.stateAt(revision == 0 ? history.revision() : revision);
+    var matching =
+        end.isEmpty() ? all.subMap(from, true, from, true) : all.subMap(from, true, end, false);
     JsonArray kvs = new JsonArray();
-    boolean more = false;
-    for (var one : found.entrySet()) {
-      if (one.getValue().changed() >= since) {
-        more = limit > 0 && kvs.size() == limit;
-        if (more) {
+    boolean hasMore = false;
+    for (var entry : matching.entrySet()) {
+      if (entry.getValue().modRevision() >= minModRevision) {
+        hasMore = limit > 0 && kvs.size() == limit;
+        if (hasMore) {
           break;
         }
-        kvs.add(kv(one.getKey(), one.getValue()));
+        kvs.add(encodedKeyValue(entry.getKey(), entry.getValue()));
       }
     }
     JsonObject answer =
-        new JsonObject().put("header", header()).put("count", Integer.toString(found.size()));
+        new JsonObject().put("header", header()).put("count", Integer.toString(matching.size()));
     if (!kvs.isEmpty()) {
       answer.put("kvs", kvs);
     }
-    response.end((more ? answer.put("more", true) : answer).encode());
+    response.end((hasMore ? answer.put("more", true) : answer).encode());
   }
 
-  private void transaction(HttpServerResponse response, JsonObject ask) {
-    boolean holds = true;
-    for (Object one : ask.getJsonArray("compare", new JsonArray())) {
-      JsonObject compare = (JsonObject) one;
-      RevisionedStore.Kept<byte[]> kept = history.now().get(text(compare, "key"));
-      holds &= wide(compare, "mod_revision") == (kept == null ? 0 : kept.changed());
+  private void transaction(HttpServerResponse response, JsonObject request) {
+    boolean comparisonsHold = true;
+    for (Object entry : request.getJsonArray("compare", new JsonArray())) {
+      JsonObject compare = (JsonObject) entry;
+      RevisionedStore.VersionedValue<byte[]> kept =
+          history.current().get(decodedText(compare, "key"));
+      comparisonsHold &=
+          longField(compare, "mod_revision") == (kept == null ? 0 : kept.modRevision());
     }
-    if (holds) {
+    if (comparisonsHold) {
       Map<String, byte[]> writes = new TreeMap<>();
-      for (Object one : ask.getJsonArray("success")) {
-        JsonObject put = ((JsonObject) one).getJsonObject("request_put");
+      for (Object entry : request.getJsonArray("success")) {
+        JsonObject put = ((JsonObject) entry).getJsonObject("request_put");
         if (put == null) {
-          writes.put(text(((JsonObject) one).getJsonObject("request_delete_range"), "key"), null);
+          writes.put(
+              decodedText(((JsonObject) entry).getJsonObject("request_delete_range"), "key"), null);
         } else {
-          writes.put(text(put, "key"), bytes(put, "value"));
-          Lease held = leases.get(wide(put, "lease"));
-          if (held != null) {
-            held.keys.add(text(put, "key"));
+          writes.put(decodedText(put, "key"), decodedBytes(put, "value"));
+          Lease lease = leases.get(longField(put, "lease"));
+          if (lease != null) {
+            lease.keys.add(decodedText(put, "key"));
           }
         }
       }
       write(writes);
     }
     JsonObject answer = new JsonObject().put("header", header());
-    response.end((holds ? answer.put("succeeded", true) : answer).encode());
+    response.end((comparisonsHold ? answer.put("succeeded", true) : answer).encode());
   }
 
   /** One watch's stream. */
   private final class Watcher {
-    private final Endpoint at;
+    private final Endpoint endpoint;
     private final HttpServerResponse response;
-    private final String from, to;
-    private long next;
+    private final String from;
+    private final String to;
+    private long nextRevision;
 
-    Watcher(Endpoint at, HttpServerResponse response, JsonObject create) {
-      this.at = at;
+    Watcher(Endpoint endpoint, HttpServerResponse response, JsonObject request) {
+      this.endpoint = endpoint;
       this.response = response;
-      from = text(create, "key");
-      to = text(create, "range_end");
-      next = wide(create, "start_revision");
+      from = decodedText(request, "key");
+      to = decodedText(request, "range_end");
+      nextRevision = longField(request, "start_revision");
       response.setChunked(true);
-      line(new JsonObject().put("header", header()).put("created", true));
-      if (next <= history.compacted()) {
-        line(
+      writeLine(new JsonObject().put("header", header()).put("created", true));
+      if (nextRevision <= history.compactedRevision()) {
+        writeLine(
             new JsonObject()
                 .put("header", header())
                 .put("canceled", true)
-                .put("compact_revision", Long.toString(history.compacted())));
+                .put("compact_revision", Long.toString(history.compactedRevision())));
         response.end();
         return;
       }
-      at.watchers.add(this);
-      response.closeHandler(closed -> at.watchers.remove(this));
-      offer();
+      endpoint.watchers.add(this);
+      response.closeHandler(ignored -> endpoint.watchers.remove(this));
+      sendChanges();
     }
 
-    private void line(JsonObject result) {
+    private void writeLine(JsonObject result) {
       response.write(new JsonObject().put("result", result).encode() + "\n");
     }
 
     /** Tells what is new; many events of one revision go in two lines. */
-    void offer() {
-      if (at.way != Way.ANSWERS || !at.watchers.contains(this)) {
+    void sendChanges() {
+      if (endpoint.behavior != EndpointBehavior.ANSWERS || !endpoint.watchers.contains(this)) {
         return;
       }
       JsonArray events = new JsonArray();
-      for (RevisionedStore.Event<byte[]> event : history.between(next, history.revision())) {
-        if (event.key().compareTo(from) < 0 || event.key().compareTo(to) >= 0) {
+      for (RevisionedStore.Change<byte[]> change :
+          history.changesBetween(nextRevision, history.revision())) {
+        if (change.key().compareTo(from) < 0 || change.key().compareTo(to) >= 0) {
           continue;
         }
-        if (event.kept() == null) {
+        if (change.versioned() == null) {
           events.add(
               new JsonObject()
                   .put("type", "DELETE")
                   .put(
                       "kv",
                       new JsonObject()
-                          .put("key", base64(event.key().getBytes(StandardCharsets.UTF_8)))
-                          .put("mod_revision", Long.toString(event.revision()))));
+                          .put("key", base64(change.key().getBytes(StandardCharsets.UTF_8)))
+                          .put("mod_revision", Long.toString(change.revision()))));
         } else {
-          events.add(new JsonObject().put("kv", kv(event.key(), event.kept())));
+          events.add(new JsonObject().put("kv", encodedKeyValue(change.key(), change.versioned())));
         }
       }
-      next = history.revision() + 1;
+      nextRevision = history.revision() + 1;
       if (events.size() > 2) {
-        line(
+        writeLine(
             new JsonObject()
                 .put("header", header())
                 .put("fragment", true)
@@ -478,19 +493,20 @@
         events = new JsonArray(events.getList().subList(2, events.size()));
       }
       if (!events.isEmpty()) {
-        line(new JsonObject().put("header", header()).put("events", events));
+        writeLine(new JsonObject().put("header", header()).put("events", events));
       }
     }
   }
 
   // ---- The form with blocking reads.
 
-  private void read(HttpServerRequest request, String key) {
-    String asked = request.getParam("index"), wait = request.getParam("wait");
+  private void blockingRead(HttpServerRequest request, String key) {
+    String asked = request.getParam("index");
+    String wait = request.getParam("wait");
     long index = asked == null ? 0 : Long.parseLong(asked);
-    boolean many = request.getParam("recurse") != null;
+    boolean recurse = request.getParam("recurse") != null;
     if (index == 0 || index != history.revision()) {
-      answerRead(request.response(), key, many);
+      respondToRead(request.response(), key, recurse);
       return;
     }
     // Held back until something changes or the wait is over.
@@ -502,47 +518,50 @@
           if (over || index != history.revision()) {
             vertx.cancelTimer(timer);
             if (!request.response().closed()) {
-              answerRead(request.response(), key, many);
+              respondToRead(request.response(), key, recurse);
             }
           }
         });
   }
 
-  private void answerRead(HttpServerResponse response, String key, boolean many) {
-    JsonArray found = new JsonArray();
+  private void respondToRead(HttpServerResponse response, String key, boolean recurse) {
+    JsonArray matching = new JsonArray();
     history
-        .now()
+        .current()
         .forEach(
             (name, kept) -> {
-              if (many ? name.startsWith(key) : name.equals(key)) {
-                found.add(
+              if (recurse ? name.startsWith(key) : name.equals(key)) {
+                matching.add(
                     new JsonObject()
                         .put("LockIndex", 0)
                         .put("Key", name)
                         .put("Flags", 0)
                         .put("Value", base64(kept.value()))
-                        .put("CreateIndex", kept.created())
-                        .put("ModifyIndex", kept.changed()));
+                        .put("CreateIndex", kept.createRevision())
+                        .put("ModifyIndex", kept.modRevision()));
               }
             });
     response.putHeader("X-Consul-Index", Long.toString(history.revision()));
-    response.setStatusCode(found.isEmpty() ? 404 : 200).end(found.isEmpty() ? "" : found.encode());
+    response
+        .setStatusCode(matching.isEmpty() ? 404 : 200)
+        .end(matching.isEmpty() ? "" : matching.encode());
   }
 
-  private void consulTransaction(HttpServerResponse response, JsonArray ask) {
+  private void consulTransaction(HttpServerResponse response, JsonArray request) {
     Map<String, byte[]> writes = new TreeMap<>();
-    for (Object one : ask) {
-      JsonObject verb = ((JsonObject) one).getJsonObject("KV");
+    for (Object entry : request) {
+      JsonObject verb = ((JsonObject) entry).getJsonObject("KV");
       String key = verb.getString("Key");
-      RevisionedStore.Kept<byte[]> kept = history.now().get(key);
+      RevisionedStore.VersionedValue<byte[]> kept = history.current().get(key);
       if (verb.getString("Verb").endsWith("cas")
-          && verb.getLong("Index") != (kept == null ? 0 : kept.changed())) {
+          && verb.getLong("Index") != (kept == null ? 0 : kept.modRevision())) {
         response
             .setStatusCode(409)
             .end(new JsonObject().put("Errors", new JsonArray().add(key)).encode());
         return;
       }
-      writes.put(key, verb.getString("Verb").startsWith("delete") ? null : bytes(verb, "Value"));
+      writes.put(
+          key, verb.getString("Verb").startsWith("delete") ? null : decodedBytes(verb, "Value"));
     }
     write(writes);
     response.end(new JsonObject().put("Results", new JsonArray()).encode());
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualRegistry.java
@@ -23,12 +23,14 @@
  * there and back in half a millisecond to three, on every way that an endpoint may have.
  */
 final class VirtualRegistry {
-  static final String PREFIX = "p/", TIP = PREFIX + "tip";
-  static final long MS = 1_000_000, SECOND = 1000 * MS;
-  private static final long REFUSED_FOR = 14 * SECOND;
+  static final String PREFIX = "p/";
+  static final String TIP_KEY = PREFIX + "tip";
+  static final long NANOS_PER_MILLI = 1_000_000;
+  static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long UNAUTHORISED_RETRY_NANOS = 14 * NANOS_PER_SECOND;
 
   /** How an endpoint treats what is asked of it. */
-  enum Way {
+  enum EndpointBehavior {
     ANSWERS,
     SILENT,
     REFUSES,
@@ -37,183 +39,198 @@
   }
 
   /** One endpoint. */
-  final class Node {
-    Way way = Way.ANSWERS;
-    long lag, slow;
+  final class VirtualEndpoint {
+    EndpointBehavior behavior = EndpointBehavior.ANSWERS;
+    long lagNanos;
+    long slownessNanos;
 
     /** Since when it has answered well. */
-    long goodSince;
+    long healthySinceNanos;
 
-    long connects;
-    private long excusedUntil;
-    private final Set<Client.Open> open = new LinkedHashSet<>();
-    private final List<Runnable> heldBack = new ArrayList<>();
+    long callCount;
+    private long excusedUntilNanos;
+    private final Set<VirtualClient.PendingCall> pendingCalls = new LinkedHashSet<>();
+    private final List<Runnable> heldTasks = new ArrayList<>();
 
-    void become(Way other) {
-      story.accept(nodes.indexOf(this) + " becomes " + other);
+    void setBehavior(EndpointBehavior newBehavior) {
+      trace.accept(endpoints.indexOf(this) + " becomes " + newBehavior);
       // Who was not let in does not ask again soon.
-      excusedUntil =
-          other == Way.UNAUTHORISED
+      excusedUntilNanos =
+          newBehavior == EndpointBehavior.UNAUTHORISED
               ? Long.MAX_VALUE / 2
-              : way == Way.UNAUTHORISED ? agenda.now() + REFUSED_FOR : excusedUntil;
-      way = other;
-      if (way == Way.ANSWERS) {
-        goodSince = lag + slow > 0 ? Long.MAX_VALUE / 2 : Math.max(agenda.now(), excusedUntil);
-        List<Runnable> late = List.copyOf(heldBack);
-        heldBack.clear();
-        late.forEach(Runnable::run);
-      } else if (way != Way.SILENT) {
-        cut();
+              : behavior == EndpointBehavior.UNAUTHORISED
+                  ? scheduler.nowNanos() + UNAUTHORISED_RETRY_NANOS
+                  : excusedUntilNanos;
+      behavior = newBehavior;
+      if (behavior == EndpointBehavior.ANSWERS) {
+        healthySinceNanos =
+            lagNanos + slownessNanos > 0
+                ? Long.MAX_VALUE / 2
+                : Math.max(scheduler.nowNanos(), excusedUntilNanos);
+        List<Runnable> released = List.copyOf(heldTasks);
+        heldTasks.clear();
+        released.forEach(Runnable::run);
+      } else if (behavior != EndpointBehavior.SILENT) {
+        breakConnections();
       }
     }
 
-    void slowness(long lagging, long slower) {
-      story.accept(
-          nodes.indexOf(this)
+    void setDelays(long lagNanos, long slownessNanos) {
+      trace.accept(
+          endpoints.indexOf(this)
               + " lags "
-              + lagging / MS
+              + lagNanos / NANOS_PER_MILLI
               + " ms, is slower by "
-              + slower / MS
+              + slownessNanos / NANOS_PER_MILLI
               + " ms");
-      lag = lagging;
-      slow = slower;
-      if (lag + slow > 0) {
-        goodSince = Long.MAX_VALUE / 2;
-      } else if (goodSince == Long.MAX_VALUE / 2) {
-        goodSince = Math.max(agenda.now(), excusedUntil);
+      this.lagNanos = lagNanos;
+      this.slownessNanos = slownessNanos;
+      if (lagNanos + slownessNanos > 0) {
+        healthySinceNanos = Long.MAX_VALUE / 2;
+      } else if (healthySinceNanos == Long.MAX_VALUE / 2) {
+        healthySinceNanos = Math.max(scheduler.nowNanos(), excusedUntilNanos);
       }
     }
 
-    boolean goodFor(long time) {
-      return way == Way.ANSWERS && goodSince <= agenda.now() - time;
+    boolean isHealthyFor(long durationNanos) {
+      return behavior == EndpointBehavior.ANSWERS
+          && healthySinceNanos <= scheduler.nowNanos() - durationNanos;
     }
 
     /** Breaks all connections; new ones come up. */
-    void cut() {
-      story.accept(nodes.indexOf(this) + " is cut");
-      heldBack.clear();
-      for (Client.Open call : List.copyOf(open)) {
-        call.broken = true;
-        call.fail(RegistryFailure.BROKEN, 0);
+    void breakConnections() {
+      trace.accept(endpoints.indexOf(this) + " is cut");
+      heldTasks.clear();
+      for (VirtualClient.PendingCall callId : List.copyOf(pendingCalls)) {
+        callId.broken = true;
+        callId.fail(RegistryFailure.BROKEN, 0);
       }
     }
   }
 
-  final VirtualScheduler agenda;
-  final List<Node> nodes = new ArrayList<>();
+  final VirtualScheduler scheduler;
+  final List<VirtualEndpoint> endpoints = new ArrayList<>();
   RevisionedStore<RegistryRecord> history = new RevisionedStore<>("c1");
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final boolean blocking;
-  private final List<Client> clients = new ArrayList<>();
+  private final List<VirtualClient> clients = new ArrayList<>();
 
   /**
    * What went over the wire in all, by the size of the published forms: a key and its value take
    * some 300 bytes.
    */
-  long items, answers;
+  long sentItems;
+
+  long responseCount;
 
   /** What happened, a line each, for who replays a seed. */
-  Consumer<String> story = line -> {};
+  Consumer<String> trace = line -> {};
 
-  VirtualRegistry(VirtualScheduler agenda, int endpoints, boolean blocking, long seed) {
-    this.agenda = agenda;
+  VirtualRegistry(VirtualScheduler scheduler, int endpointCount, boolean blocking, long seed) {
+    this.scheduler = scheduler;
     this.blocking = blocking;
-    chance = new SplittableRandom(seed);
-    for (int index = 0; index < endpoints; index++) {
-      nodes.add(new Node());
-      nodes.get(index).goodSince = agenda.now();
+    random = new SplittableRandom(seed);
+    for (int index = 0; index < endpointCount; index++) {
+      endpoints.add(new VirtualEndpoint());
+      endpoints.get(index).healthySinceNanos = scheduler.nowNanos();
     }
   }
 
-  boolean goodFor(long time) {
-    return nodes.stream().anyMatch(node -> node.goodFor(time));
+  boolean anyHealthyFor(long durationNanos) {
+    return endpoints.stream().anyMatch(endpoint -> endpoint.isHealthyFor(durationNanos));
   }
 
   void write(Map<String, RegistryRecord> writes) {
     long before = history.revision();
     history.write(writes);
     if (history.revision() > before) {
-      clients.forEach(client -> client.open.values().forEach(Client.Open::offer));
+      clients.forEach(
+          client -> client.pendingCalls.values().forEach(VirtualClient.PendingCall::sendChanges));
     }
   }
 
   /** All that was written since a copy was made is gone; connections break. */
-  void restore(RevisionedStore<RegistryRecord> backup) {
-    history = backup;
-    story.accept("restored to " + backup.cluster + " " + backup.revision());
-    nodes.forEach(Node::cut);
+  void restore(RevisionedStore<RegistryRecord> backupStore) {
+    history = backupStore;
+    trace.accept("restored to " + backupStore.clusterId + " " + backupStore.revision());
+    endpoints.forEach(VirtualEndpoint::breakConnections);
   }
 
-  private long oneWay() {
-    return chance.nextLong(MS / 4, 3 * MS / 2);
+  private long drawOneWayNanos() {
+    return random.nextLong(NANOS_PER_MILLI / 4, 3 * NANOS_PER_MILLI / 2);
   }
 
   /** One gateway's recovery and view. */
-  final class Client implements WatchCommands {
+  final class VirtualClient implements WatchCommands {
     final RegistryView view;
-    final WatchSession recovery;
-    private final Map<Long, Open> open = new LinkedHashMap<>();
-    private long wakes = Long.MAX_VALUE;
+    final WatchSession session;
+    private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
+    private long nextWakeNanos = Long.MAX_VALUE;
 
-    Client(RegistryView view, int mostKeys, long seed, Consumer<String> notes) {
+    VirtualClient(RegistryView view, int maxKeys, long seed, Consumer<String> log) {
       this.view = view;
-      recovery =
-          new WatchSession(view, this, nodes.size(), mostKeys, blocking ? SECOND : 0, seed, notes);
+      session =
+          new WatchSession(
+              view, this, endpoints.size(), maxKeys, blocking ? NANOS_PER_SECOND : 0, seed, log);
       clients.add(this);
     }
 
     void start() {
-      recovery.start(agenda.now());
-      arm();
+      session.start(scheduler.nowNanos());
+      scheduleTick();
     }
 
     /** Has the recovery wake when it wants to; a wake that it no longer wants does nothing. */
-    private void arm() {
-      long due = recovery.nextTickNanos();
-      if (due < wakes) {
-        wakes = due;
-        agenda.at(
-            due,
+    private void scheduleTick() {
+      long dueNanos = session.nextTickNanos();
+      if (dueNanos < nextWakeNanos) {
+        nextWakeNanos = dueNanos;
+        scheduler.schedule(
+            dueNanos,
             () -> {
-              if (wakes == due) {
-                wakes = Long.MAX_VALUE;
-                recovery.tick(agenda.now());
-                arm();
+              if (nextWakeNanos == dueNanos) {
+                nextWakeNanos = Long.MAX_VALUE;
+                session.tick(scheduler.nowNanos());
+                scheduleTick();
               }
             });
       }
     }
 
     /** A call that has not ended. */
-    private final class Open {
-      final long call;
-      final Node node;
-      private long next, lastArrival;
-      private boolean watching, broken;
-
-      Open(long call, int endpoint) {
-        this.call = call;
-        node = nodes.get(endpoint);
-        open.put(call, this);
-        node.open.add(this);
+    private final class PendingCall {
+      final long callId;
+      final VirtualEndpoint endpoint;
+      private long nextRevision;
+      private long lastArrivalNanos;
+      private boolean watching;
+      private boolean broken;
+
+      PendingCall(long callId, int endpointIndex) {
+        this.callId = callId;
+        endpoint = endpoints.get(endpointIndex);
+        pendingCalls.put(callId, this);
+        endpoint.pendingCalls.add(this);
       }
 
       /** Runs at the endpoint, if it takes calls now. */
-      void there(Runnable what) {
-        node.connects++;
-        agenda.at(
-            agenda.now() + oneWay(),
+      void atEndpoint(Runnable task) {
+        endpoint.callCount++;
+        scheduler.schedule(
+            scheduler.nowNanos() + drawOneWayNanos(),
             () -> {
-              switch (node.way) {
-                case ANSWERS -> what.run();
-                case SILENT -> node.heldBack.add(() -> agenda.at(agenda.now() + oneWay(), what));
+              switch (endpoint.behavior) {
+                case ANSWERS -> task.run();
+                case SILENT ->
+                    endpoint.heldTasks.add(
+                        () -> scheduler.schedule(scheduler.nowNanos() + drawOneWayNanos(), task));
                 case REFUSES -> fail(RegistryFailure.REFUSED, 0);
                 case UNAVAILABLE ->
                     fail(
-                        chance.nextBoolean()
+                        random.nextBoolean()
                             ? RegistryFailure.UNAVAILABLE
                             : RegistryFailure.THROTTLED,
-                        50 * MS);
+                        50 * NANOS_PER_MILLI);
                 default -> fail(RegistryFailure.UNAUTHORISED, 0);
               }
             });
@@ -223,230 +240,263 @@
        * Runs at the client, in order, unless the call has ended; while the endpoint is silent it
        * waits.
        */
-      void back(long extra, Runnable what) {
-        lastArrival = Math.max(lastArrival, agenda.now() + oneWay() + node.slow + extra);
-        agenda.at(lastArrival, () -> arrive(what));
+      void atClient(long extraNanos, Runnable task) {
+        lastArrivalNanos =
+            Math.max(
+                lastArrivalNanos,
+                scheduler.nowNanos() + drawOneWayNanos() + endpoint.slownessNanos + extraNanos);
+        scheduler.schedule(lastArrivalNanos, () -> deliver(task));
       }
 
-      private void arrive(Runnable what) {
-        if (open.get(call) != this || broken) {
+      private void deliver(Runnable task) {
+        if (pendingCalls.get(callId) != this || broken) {
           return;
         }
-        if (node.way == Way.SILENT) {
-          node.heldBack.add(() -> arrive(what));
+        if (endpoint.behavior == EndpointBehavior.SILENT) {
+          endpoint.heldTasks.add(() -> deliver(task));
           return;
         }
-        answers++;
-        what.run();
-        arm();
+        responseCount++;
+        task.run();
+        scheduleTick();
       }
 
-      void fail(RegistryFailure why, long retryAfter) {
-        agenda.at(
-            agenda.now() + oneWay(),
+      void fail(RegistryFailure failure, long retryAfterNanos) {
+        scheduler.schedule(
+            scheduler.nowNanos() + drawOneWayNanos(),
             () -> {
-              if (end()) {
-                story.accept("call " + call + ": " + why);
-                recovery.callFailed(agenda.now(), call, why, retryAfter);
-                arm();
+              if (complete()) {
+                trace.accept("call " + callId + ": " + failure);
+                session.callFailed(scheduler.nowNanos(), callId, failure, retryAfterNanos);
+                scheduleTick();
               }
             });
       }
 
-      boolean end() {
-        node.open.remove(this);
-        return open.remove(call, this);
+      boolean complete() {
+        endpoint.pendingCalls.remove(this);
+        return pendingCalls.remove(callId, this);
       }
 
       /** Sends what a watch has not been sent yet, now and then in frames that split a revision. */
-      void offer() {
+      void sendChanges() {
         if (!watching) {
           return;
         }
         if (blocking) {
-          if (history.revision() > next - 1) {
+          if (history.revision() > nextRevision - 1) {
             watching = false;
-            answerAll(call, this, true);
+            sendFullState(callId, this, true);
           }
           return;
         }
         List<WatchEvent> changes = new ArrayList<>();
-        for (RevisionedStore.Event<RegistryRecord> event :
-            history.between(next, history.revision())) {
-          if (event.key().startsWith(PREFIX)) {
+        for (RevisionedStore.Change<RegistryRecord> change :
+            history.changesBetween(nextRevision, history.revision())) {
+          if (change.key().startsWith(PREFIX)) {
             changes.add(
                 new WatchEvent(
-                    event.revision(),
-                    event.key(),
-                    event.kept() == null ? null : held(event.key(), event.kept())));
+                    change.revision(),
+                    change.key(),
+                    change.versioned() == null ? null : toEntry(change.key(), change.versioned())));
           }
         }
-        next = history.revision() + 1;
-        Header header = header();
-        items += changes.size();
-        if (changes.size() > 1 && chance.nextInt(4) == 0) {
-          int cut = chance.nextInt(1, changes.size());
-          List<WatchEvent> first = changes.subList(0, cut),
-              rest = changes.subList(cut, changes.size());
-          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, first, true));
-          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, rest, false));
-        } else if (!changes.isEmpty() || chance.nextInt(8) == 0) {
-          back(node.lag, () -> recovery.eventsReceived(agenda.now(), call, header, changes, false));
+        nextRevision = history.revision() + 1;
+        Header header = currentHeader();
+        sentItems += changes.size();
+        if (changes.size() > 1 && random.nextInt(4) == 0) {
+          int splitAt = random.nextInt(1, changes.size());
+          List<WatchEvent> first = changes.subList(0, splitAt);
+          List<WatchEvent> second = changes.subList(splitAt, changes.size());
+          atClient(
+              endpoint.lagNanos,
+              () -> session.eventsReceived(scheduler.nowNanos(), callId, header, first, true));
+          atClient(
+              endpoint.lagNanos,
+              () -> session.eventsReceived(scheduler.nowNanos(), callId, header, second, false));
+        } else if (!changes.isEmpty() || random.nextInt(8) == 0) {
+          atClient(
+              endpoint.lagNanos,
+              () -> session.eventsReceived(scheduler.nowNanos(), callId, header, changes, false));
         }
       }
     }
 
-    private Header header() {
-      return new Header(blocking ? "" : history.cluster, history.revision());
+    private Header currentHeader() {
+      return new Header(blocking ? "" : history.clusterId, history.revision());
     }
 
-    private RegistryEntry held(String key, RevisionedStore.Kept<RegistryRecord> kept) {
-      return new RegistryEntry(key, kept.value(), kept.created(), kept.changed());
+    private RegistryEntry toEntry(
+        String key, RevisionedStore.VersionedValue<RegistryRecord> versioned) {
+      return new RegistryEntry(
+          key, versioned.value(), versioned.createRevision(), versioned.modRevision());
     }
 
-    private List<RegistryEntry> all(
-        Map<String, RevisionedStore.Kept<RegistryRecord>> state, String after, long since) {
+    private List<RegistryEntry> entriesAfter(
+        Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state,
+        String afterKey,
+        long minModRevision) {
       List<RegistryEntry> found = new ArrayList<>();
       state.forEach(
-          (key, kept) -> {
-            if (key.startsWith(PREFIX) && key.compareTo(after) > 0 && kept.changed() >= since) {
-              found.add(held(key, kept));
+          (key, versioned) -> {
+            if (key.startsWith(PREFIX)
+                && key.compareTo(afterKey) > 0
+                && versioned.modRevision() >= minModRevision) {
+              found.add(toEntry(key, versioned));
             }
           });
       return found;
     }
 
-    private void answerAll(long call, Open to, boolean ends) {
-      List<RegistryEntry> found = all(history.now(), "", 0);
-      Header header = header();
-      items += found.size();
-      to.back(
-          to.node.lag,
+    private void sendFullState(long callId, PendingCall pendingCall, boolean completes) {
+      List<RegistryEntry> found = entriesAfter(history.current(), "", 0);
+      Header header = currentHeader();
+      sentItems += found.size();
+      pendingCall.atClient(
+          pendingCall.endpoint.lagNanos,
           () -> {
-            if (!ends || to.end()) {
-              recovery.pageReceived(agenda.now(), call, header, found, false, -1);
+            if (!completes || pendingCall.complete()) {
+              session.pageReceived(scheduler.nowNanos(), callId, header, found, false, -1);
             }
           });
     }
 
     @Override
-    public void list(long call, int endpoint, long revision, String after, long since, int limit) {
-      story.accept(
-          "call " + call + ": list at " + endpoint + " revision " + revision + " since " + since);
-      Open last = open.get(call);
-      Open to = last == null ? new Open(call, endpoint) : last;
-      to.there(
+    public void list(
+        long callId,
+        int endpointIndex,
+        long revision,
+        String afterKey,
+        long minModRevision,
+        int limit) {
+      trace.accept(
+          "call "
+              + callId
+              + ": list at "
+              + endpointIndex
+              + " revision "
+              + revision
+              + " since "
+              + minModRevision);
+      PendingCall continued = pendingCalls.get(callId);
+      PendingCall pendingCall =
+          continued == null ? new PendingCall(callId, endpointIndex) : continued;
+      pendingCall.atEndpoint(
           () -> {
             if (blocking) {
-              answerAll(call, to, true);
+              sendFullState(callId, pendingCall, true);
               return;
             }
-            if ((revision != 0 && revision < history.compacted())
+            if ((revision != 0 && revision < history.compactedRevision())
                 || revision > history.revision()) {
-              to.back(
+              pendingCall.atClient(
                   0,
                   () -> {
-                    if (to.end()) {
-                      recovery.compacted(agenda.now(), call);
+                    if (pendingCall.complete()) {
+                      session.compacted(scheduler.nowNanos(), callId);
                     }
                   });
               return;
             }
-            Map<String, RevisionedStore.Kept<RegistryRecord>> state =
-                history.at(revision == 0 ? history.revision() : revision);
-            List<RegistryEntry> found = all(state, after, since);
+            Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state =
+                history.stateAt(revision == 0 ? history.revision() : revision);
+            List<RegistryEntry> found = entriesAfter(state, afterKey, minModRevision);
             long count =
                 state.keySet().stream()
-                    .filter(key -> key.startsWith(PREFIX) && key.compareTo(after) > 0)
+                    .filter(key -> key.startsWith(PREFIX) && key.compareTo(afterKey) > 0)
                     .count();
-            boolean more = found.size() > limit;
-            List<RegistryEntry> part = more ? found.subList(0, limit) : found;
-            Header header = header();
-            items += part.size();
+            boolean hasMore = found.size() > limit;
+            List<RegistryEntry> page = hasMore ? found.subList(0, limit) : found;
+            Header header = currentHeader();
+            sentItems += page.size();
             // What a majority has is known to one that lags only when it has caught up.
-            to.back(
-                revision == 0 ? to.node.lag : 0,
+            pendingCall.atClient(
+                revision == 0 ? pendingCall.endpoint.lagNanos : 0,
                 () -> {
-                  if (more || to.end()) {
-                    recovery.pageReceived(agenda.now(), call, header, part, more, count);
+                  if (hasMore || pendingCall.complete()) {
+                    session.pageReceived(
+                        scheduler.nowNanos(), callId, header, page, hasMore, count);
                   }
                 });
           });
     }
 
     @Override
-    public void watch(long call, int endpoint, long from) {
-      story.accept("call " + call + ": watch at " + endpoint + " from " + from);
-      Open to = new Open(call, endpoint);
-      to.there(
+    public void watch(long callId, int endpointIndex, long fromRevision) {
+      trace.accept("call " + callId + ": watch at " + endpointIndex + " from " + fromRevision);
+      PendingCall pendingCall = new PendingCall(callId, endpointIndex);
+      pendingCall.atEndpoint(
           () -> {
             if (blocking) {
-              to.next = from;
-              to.watching = true;
-              to.offer();
-              agenda.at(
-                  agenda.now() + SECOND,
+              pendingCall.nextRevision = fromRevision;
+              pendingCall.watching = true;
+              pendingCall.sendChanges();
+              scheduler.schedule(
+                  scheduler.nowNanos() + NANOS_PER_SECOND,
                   () -> {
-                    if (to.watching && open.get(call) == to && to.node.way == Way.ANSWERS) {
-                      to.watching = false;
-                      answerAll(call, to, true);
+                    if (pendingCall.watching
+                        && pendingCalls.get(callId) == pendingCall
+                        && pendingCall.endpoint.behavior == EndpointBehavior.ANSWERS) {
+                      pendingCall.watching = false;
+                      sendFullState(callId, pendingCall, true);
                     }
                   });
-              if (history.revision() < from - 1 && to.watching) {
+              if (history.revision() < fromRevision - 1 && pendingCall.watching) {
                 // An index past what there is: the answer comes at once.
-                to.watching = false;
-                answerAll(call, to, true);
+                pendingCall.watching = false;
+                sendFullState(callId, pendingCall, true);
               }
-            } else if (from <= history.compacted()) {
-              to.back(
+            } else if (fromRevision <= history.compactedRevision()) {
+              pendingCall.atClient(
                   0,
                   () -> {
-                    if (to.end()) {
-                      recovery.compacted(agenda.now(), call);
+                    if (pendingCall.complete()) {
+                      session.compacted(scheduler.nowNanos(), callId);
                     }
                   });
             } else {
-              Header header = header();
-              to.back(0, () -> recovery.watchOpened(agenda.now(), call, header));
-              to.next = from;
-              to.watching = true;
-              to.offer();
+              Header header = currentHeader();
+              pendingCall.atClient(
+                  0, () -> session.watchOpened(scheduler.nowNanos(), callId, header));
+              pendingCall.nextRevision = fromRevision;
+              pendingCall.watching = true;
+              pendingCall.sendChanges();
             }
           });
     }
 
     @Override
-    public void heartbeat(long call, int endpoint) {
-      story.accept("call " + call + ": pulse at " + endpoint);
-      Open to = new Open(call, endpoint);
-      to.there(
+    public void heartbeat(long callId, int endpointIndex) {
+      trace.accept("call " + callId + ": pulse at " + endpointIndex);
+      PendingCall pendingCall = new PendingCall(callId, endpointIndex);
+      pendingCall.atEndpoint(
           () -> {
-            RevisionedStore.Kept<RegistryRecord> tip = history.now().get(TIP);
-            Header header = blocking ? new Header("", 0) : header();
-            to.back(
-                to.node.lag,
+            RevisionedStore.VersionedValue<RegistryRecord> tip = history.current().get(TIP_KEY);
+            Header header = blocking ? new Header("", 0) : currentHeader();
+            pendingCall.atClient(
+                pendingCall.endpoint.lagNanos,
                 () -> {
-                  if (to.end()) {
-                    story.accept(
+                  if (pendingCall.complete()) {
+                    trace.accept(
                         "call "
-                            + call
+                            + callId
                             + ": tip "
-                            + (tip == null ? 0 : tip.changed())
+                            + (tip == null ? 0 : tip.modRevision())
                             + " "
                             + header);
-                    recovery.heartbeatReceived(
-                        agenda.now(), call, header, tip == null ? 0 : tip.changed());
+                    session.heartbeatReceived(
+                        scheduler.nowNanos(), callId, header, tip == null ? 0 : tip.modRevision());
                   }
                 });
           });
     }
 
     @Override
-    public void cancel(long call) {
-      story.accept("call " + call + ": dropped");
-      Open dropped = open.get(call);
-      if (dropped != null) {
-        dropped.end();
+    public void cancel(long callId) {
+      trace.accept("call " + callId + ": dropped");
+      PendingCall cancelled = pendingCalls.get(callId);
+      if (cancelled != null) {
+        cancelled.complete();
       }
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -21,10 +21,13 @@
  * log, which goes to a file. Ended by its own id alone.
  */
 public final class GatewayProcess {
-  private static final Pattern CLIENTS = Pattern.compile(": listens at 127\\.0\\.0\\.1:(\\d+)$");
-  private static final Pattern FLEET = Pattern.compile(": hears at 127\\.0\\.0\\.1:(\\d+),");
-  private static final Pattern DESK = Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
-  private static final List<String> JAVA =
+  private static final Pattern CLIENT_PORT_PATTERN =
+      Pattern.compile(": listens at 127\\.0\\.0\\.1:(\\d+)$");
+  private static final Pattern FLEET_PORT_PATTERN =
+      Pattern.compile(": hears at 127\\.0\\.0\\.1:(\\d+),");
+  private static final Pattern ADMIN_PORT_PATTERN =
+      Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
+  private static final List<String> DEFAULT_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -54,14 +57,14 @@
           "-Dvertx.disableDnsResolver=true",
           "-XX:SharedArchiveFile=target/amberpath.jsa");
 
-  private static final long STOP_S = 8;
+  private static final long STOP_TIMEOUT_SECONDS = 8;
 
   private final Process process;
-  private final CompletableFuture<Integer> clients = new CompletableFuture<>(),
-      fleet = new CompletableFuture<>(),
-      desk = new CompletableFuture<>();
-  private final Thread reader;
-  private volatile int severe;
+  private final CompletableFuture<Integer> clientPort = new CompletableFuture<>();
+  private final CompletableFuture<Integer> fleetPort = new CompletableFuture<>();
+  private final CompletableFuture<Integer> adminPort = new CompletableFuture<>();
+  private final Thread logReader;
+  private volatile int severeLines;
 
   /**
    * Starts the program of this process's own class path.
@@ -71,7 +74,7 @@
    */
   public GatewayProcess(List<String> main, Map<String, String> environment, Path log)
       throws IOException {
-    this(JAVA, main, environment, log);
+    this(DEFAULT_FLAGS, main, environment, log);
   }
 
   /** Starts the same with the given flags of the runtime. */
@@ -88,13 +91,13 @@
     builder.environment().remove("AMBERPATH_FILE");
     builder.environment().putAll(environment);
     process = builder.start();
-    reader = new Thread(() -> read(log), "log of " + process.pid());
-    reader.setDaemon(true);
-    reader.start();
+    logReader = new Thread(() -> copyLog(log), "log of " + process.pid());
+    logReader.setDaemon(true);
+    logReader.start();
   }
 
   @SuppressWarnings("NonAtomicVolatileUpdate") // This thread alone counts; others only read.
-  private void read(Path log) {
+  private void copyLog(Path log) {
     try (BufferedReader in =
             new BufferedReader(
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
@@ -106,20 +109,20 @@
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         out.write(line);
         out.newLine();
-        told(CLIENTS, line, clients);
-        told(FLEET, line, fleet);
-        told(DESK, line, desk);
-        severe += line.contains("SEVERE") ? 1 : 0;
+        matchPort(CLIENT_PORT_PATTERN, line, clientPort);
+        matchPort(FLEET_PORT_PATTERN, line, fleetPort);
+        matchPort(ADMIN_PORT_PATTERN, line, adminPort);
+        severeLines += line.contains("SEVERE") ? 1 : 0;
       }
     } catch (IOException e) {
       // The process is gone, and its log with it.
     }
-    for (CompletableFuture<Integer> one : List.of(clients, fleet, desk)) {
-      one.completeExceptionally(new IOException("the gateway ended first; its log: " + log));
+    for (CompletableFuture<Integer> port : List.of(clientPort, fleetPort, adminPort)) {
+      port.completeExceptionally(new IOException("the gateway ended first; its log: " + log));
     }
   }
 
-  private static void told(Pattern pattern, String line, CompletableFuture<Integer> port) {
+  private static void matchPort(Pattern pattern, String line, CompletableFuture<Integer> port) {
     Matcher matcher = pattern.matcher(line);
     if (matcher.find()) {
       port.complete(Integer.parseInt(matcher.group(1)));
@@ -127,21 +130,21 @@
   }
 
   /** The ports that it says: for clients once it serves, for datagrams, for operators. */
-  public CompletableFuture<Integer> clients() {
-    return clients;
+  public CompletableFuture<Integer> clientPort() {
+    return clientPort;
   }
 
-  public CompletableFuture<Integer> fleet() {
-    return fleet;
+  public CompletableFuture<Integer> fleetPort() {
+    return fleetPort;
   }
 
-  public CompletableFuture<Integer> desk() {
-    return desk;
+  public CompletableFuture<Integer> adminPort() {
+    return adminPort;
   }
 
   /** Log lines of the worst kind. */
-  public int severe() {
-    return severe;
+  public int severeLines() {
+    return severeLines;
   }
 
   /** The process id under which the system counts what it uses. */
@@ -159,7 +162,7 @@
   }
 
   /** SIGTERM, and no more: the pipes stay open, which the tether would take for the rig's end. */
-  public void term() {
+  public void terminate() {
     process.toHandle().destroy();
   }
 
@@ -169,9 +172,9 @@
   }
 
   /** SIGSTOP, and SIGCONT so much later even if the rig ends meanwhile. */
-  public void stand(long ms) {
+  public void pause(long durationMillis) {
     String pid = Long.toString(process.pid());
-    signal("kill -STOP " + pid + "; sleep " + ms / 1000.0 + "; kill -CONT " + pid);
+    signal("kill -STOP " + pid + "; sleep " + durationMillis / 1000.0 + "; kill -CONT " + pid);
   }
 
   private static void signal(String command) {
@@ -183,12 +186,12 @@
   }
 
   /** Waits for its end, and brings it about in the end. */
-  public int ended() throws InterruptedException {
-    if (!process.waitFor(STOP_S, TimeUnit.SECONDS)) {
+  public int awaitExit() throws InterruptedException {
+    if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       kill();
     }
     int code = process.waitFor();
-    reader.join(STOP_S * 1000);
+    logReader.join(STOP_TIMEOUT_SECONDS * 1000);
     return code;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -17,56 +17,65 @@
  * it now, one way. Only for its event loop.
  */
 public final class NetworkLinks {
-  private static final int NOBODY = -1, SLACK_MS = 1;
+  private static final int UNKNOWN_SENDER = -1;
+  private static final int MIN_DELAY_MILLIS = 1;
 
   /** How a link is: parts of all datagrams, and the longest delay. */
-  public record Way(boolean cut, double loss, double doubled, long delayMs) {
-    public static final Way WELL = new Way(false, 0, 0, 0), CUT = new Way(true, 0, 0, 0);
+  public record LinkCondition(
+      boolean cut, double lossRate, double duplicationRate, long maxDelayMillis) {
+    public static final LinkCondition HEALTHY = new LinkCondition(false, 0, 0, 0);
+    public static final LinkCondition CUT = new LinkCondition(true, 0, 0, 0);
   }
 
   private final Vertx vertx;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<DatagramSocket> relays = new ArrayList<>();
   private final int[] ports;
-  private final Way[][] ways;
-  private final Map<Integer, Integer> senders = new HashMap<>();
-  private final int[] real;
+  private final LinkCondition[][] conditions;
+  private final Map<Integer, Integer> gatewaysByPort = new HashMap<>();
+  private final int[] gatewayPorts;
 
   /** Of each gateway, in the present second: what it sent; and the most in any second. */
-  private final long[] second, datagrams, bytes;
+  private final long[] currentSecond;
 
-  private long mostDatagrams, mostBytes, carried, dropped;
+  private final long[] datagramsInSecond;
+  private final long[] bytesInSecond;
 
-  NetworkLinks(Vertx vertx, int many, long seed) {
+  private long maxDatagramsPerSecond;
+  private long maxBytesPerSecond;
+  private long forwardedDatagrams;
+  private long droppedDatagrams;
+
+  NetworkLinks(Vertx vertx, int gatewayCount, long seed) {
     this.vertx = vertx;
-    chance = new SplittableRandom(seed);
-    ports = new int[many];
-    real = new int[many];
-    second = new long[many];
-    datagrams = new long[many];
-    bytes = new long[many];
-    ways = new Way[many][many];
-    for (Way[] row : ways) {
-      java.util.Arrays.fill(row, Way.WELL);
+    random = new SplittableRandom(seed);
+    ports = new int[gatewayCount];
+    gatewayPorts = new int[gatewayCount];
+    currentSecond = new long[gatewayCount];
+    datagramsInSecond = new long[gatewayCount];
+    bytesInSecond = new long[gatewayCount];
+    conditions = new LinkCondition[gatewayCount][gatewayCount];
+    for (LinkCondition[] row : conditions) {
+      java.util.Arrays.fill(row, LinkCondition.HEALTHY);
     }
   }
 
   Future<?> open() {
-    List<Future<?>> all = new ArrayList<>();
-    for (int one = 0; one < ports.length; one++) {
-      int to = one;
+    List<Future<?>> listening = new ArrayList<>();
+    for (int gateway = 0; gateway < ports.length; gateway++) {
+      int to = gateway;
       DatagramSocket relay = vertx.createDatagramSocket();
       relays.add(relay);
-      all.add(
+      listening.add(
           relay
               .listen(0, "127.0.0.1")
               .onSuccess(
-                  up -> {
-                    ports[to] = up.localAddress().port();
-                    up.handler(packet -> come(to, packet));
+                  ignored -> {
+                    ports[to] = ignored.localAddress().port();
+                    ignored.handler(packet -> datagramReceived(to, packet));
                   }));
     }
-    return Future.all(all);
+    return Future.all(listening);
   }
 
   /** Where the others find it. */
@@ -75,68 +84,70 @@
   }
 
   /** Where it really is; 0 for nowhere. */
-  void at(int gateway, int port) {
-    senders.values().removeIf(one -> one == gateway);
-    real[gateway] = port;
+  void setGatewayPort(int gateway, int port) {
+    gatewaysByPort.values().removeIf(known -> known == gateway);
+    gatewayPorts[gateway] = port;
     if (port != 0) {
-      senders.put(port, gateway);
+      gatewaysByPort.put(port, gateway);
     }
   }
 
-  public void way(int from, int to, Way way) {
-    ways[from][to] = way;
+  public void setCondition(int from, int to, LinkCondition condition) {
+    conditions[from][to] = condition;
   }
 
   /** The most that one gateway sent in any second. */
-  public long mostDatagrams() {
-    return mostDatagrams;
+  public long maxDatagramsPerSecond() {
+    return maxDatagramsPerSecond;
   }
 
-  public long mostBytes() {
-    return mostBytes;
+  public long maxBytesPerSecond() {
+    return maxBytesPerSecond;
   }
 
-  public long carried() {
-    return carried;
+  public long forwardedDatagrams() {
+    return forwardedDatagrams;
   }
 
-  public long dropped() {
-    return dropped;
+  public long droppedDatagrams() {
+    return droppedDatagrams;
   }
 
-  private void come(int to, DatagramPacket packet) {
-    int from = senders.getOrDefault(packet.sender().port(), NOBODY);
-    if (from == NOBODY) { // One that has ended, or has not said yet where it is.
+  private void datagramReceived(int to, DatagramPacket packet) {
+    int from = gatewaysByPort.getOrDefault(packet.sender().port(), UNKNOWN_SENDER);
+    if (from == UNKNOWN_SENDER) { // One that has ended, or has not said yet where it is.
       return;
     }
-    long now = System.nanoTime() / 1_000_000_000;
-    if (second[from] != now) {
-      second[from] = now;
-      datagrams[from] = 0;
-      bytes[from] = 0;
+    long second = System.nanoTime() / 1_000_000_000;
+    if (currentSecond[from] != second) {
+      currentSecond[from] = second;
+      datagramsInSecond[from] = 0;
+      bytesInSecond[from] = 0;
     }
-    mostDatagrams = Math.max(mostDatagrams, ++datagrams[from]);
-    bytes[from] += packet.data().length();
-    mostBytes = Math.max(mostBytes, bytes[from]);
-    Way way = ways[from][to];
-    if (way.cut || chance.nextDouble() < way.loss) {
-      dropped++;
+    maxDatagramsPerSecond = Math.max(maxDatagramsPerSecond, ++datagramsInSecond[from]);
+    bytesInSecond[from] += packet.data().length();
+    maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesInSecond[from]);
+    LinkCondition condition = conditions[from][to];
+    if (condition.cut || random.nextDouble() < condition.lossRate) {
+      droppedDatagrams++;
       return;
     }
-    int copies = chance.nextDouble() < way.doubled ? 2 : 1;
+    int copies = random.nextDouble() < condition.duplicationRate ? 2 : 1;
     for (int copy = 0; copy < copies; copy++) {
-      if (way.delayMs == 0) {
-        pass(to, packet.data());
+      if (condition.maxDelayMillis == 0) {
+        forward(to, packet.data());
       } else {
-        vertx.setTimer(SLACK_MS + chance.nextLong(way.delayMs), due -> pass(to, packet.data()));
+        vertx.setTimer(
+            MIN_DELAY_MILLIS + random.nextLong(condition.maxDelayMillis),
+            timer -> forward(to, packet.data()));
       }
     }
   }
 
-  private void pass(int to, Buffer data) {
-    if (real[to] != 0) {
-      carried++;
-      relays.get(to).send(data, real[to], "127.0.0.1");
+  private void forward(int to, Buffer data) {
+    if (gatewayPorts[to] != 0) {
+      forwardedDatagrams++;
+      relays.get(to).send(data, gatewayPorts[to], "127.0.0.1");
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -12,7 +12,7 @@
 
   /** The class whose main is run, then its own arguments. */
   public static void main(String[] args) throws Exception {
-    Thread watch =
+    Thread watcher =
         new Thread(
             () -> {
               try {
@@ -25,8 +25,8 @@
               Runtime.getRuntime().halt(1);
             },
             "tether");
-    watch.setDaemon(true);
-    watch.start();
+    watcher.setDaemon(true);
+    watcher.start();
     Method main = Class.forName(args[0]).getMethod("main", String[].class);
     main.invoke(null, (Object) java.util.Arrays.copyOfRange(args, 1, args.length));
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -31,14 +31,15 @@
  */
 @SuppressWarnings("try") // Closing waits for processes; an interrupt ends the experiment.
 public final class ProcessTestbed implements AutoCloseable {
-  private static final long PATIENCE_S = 30,
-      MS = 1_000_000,
-      POLL_MS = 200,
-      DROP_MS = 1500,
-      ALLOW_MS = 1500;
-  private static final long WOKEN = 1000 * MS;
-  private static final int EDGES = 8, OBJECTS = 64;
-  private static final double WEIGHT = 0.5;
+  private static final long TIMEOUT_SECONDS = 30;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long POLL_MILLIS = 200;
+  private static final long MAX_PURGE_DELAY_MILLIS = 1500;
+  private static final long REQUEST_TIMEOUT_MILLIS = 1500;
+  private static final long WAKE_ALLOWANCE_NANOS = 1000 * NANOS_PER_MILLI;
+  private static final int EDGE_CACHES = 8;
+  private static final int OBJECTS = 64;
+  private static final double EDGE_WEIGHT = 0.5;
 
   /**
    * What is to be played.
@@ -47,32 +48,38 @@
    * @param told the most that the operators say may run; 0 leaves [fleet] off
    * @param rate GETs a second to each gateway
    * @param folder where settings and logs go
-   * @param more sections of the INI besides [fleet]
+   * @param extraSections sections of the INI besides [fleet]
    */
-  public record Plan(long seed, int gateways, int told, int rate, Path folder, String more) {
-    public Plan(long seed, int gateways, int told, int rate, Path folder) {
-      this(seed, gateways, told, rate, folder, "");
+  public record Plan(
+      long seed,
+      int gateways,
+      int expectedMembers,
+      int requestsPerSecond,
+      Path folder,
+      String extraSections) {
+    public Plan(long seed, int gateways, int expectedMembers, int requestsPerSecond, Path folder) {
+      this(seed, gateways, expectedMembers, requestsPerSecond, folder, "");
     }
   }
 
   /** One gateway's place: its process, its clients, and what it said last. */
-  public static final class Place {
+  public static final class GatewaySlot {
     final int index;
     final String name;
-    final List<LoadGenerator> tills = new ArrayList<>();
+    final List<LoadGenerator> loadGenerators = new ArrayList<>();
 
     /** When it could answer nobody, from and to, by nanoTime. */
-    final List<long[]> away = new ArrayList<>();
+    final List<long[]> awayPeriods = new ArrayList<>();
 
     GatewayProcess process;
 
     /** The desk's last answer, and when it came; null once the process has ended. */
     volatile JsonObject view;
 
-    volatile long runsSince;
-    private int deskPort;
+    volatile long runningSinceNanos;
+    private int adminPort;
 
-    Place(int index) {
+    GatewaySlot(int index) {
       this.index = index;
       name = "g" + index;
     }
@@ -86,17 +93,21 @@
       return view;
     }
 
-    public boolean runs() {
-      return runsSince != 0;
+    public boolean isRunning() {
+      return runningSinceNanos != 0;
     }
 
     /** When it was there last after having been away, by nanoTime. */
-    public long runsSince() {
-      return runsSince;
+    public long runningSinceNanos() {
+      return runningSinceNanos;
     }
 
-    private boolean wasAway(long from, long to) {
-      return away.stream().anyMatch(one -> one[0] <= to && (one[1] == 0 || from <= one[1] + WOKEN));
+    private boolean wasAway(long fromNanos, long toNanos) {
+      return awayPeriods.stream()
+          .anyMatch(
+              period ->
+                  period[0] <= toNanos
+                      && (period[1] == 0 || fromNanos <= period[1] + WAKE_ALLOWANCE_NANOS));
     }
   }
 
@@ -104,56 +115,60 @@
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Map<String, StandInCache> caches = new LinkedHashMap<>();
   private final Map<String, EndpointState> states = new LinkedHashMap<>();
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final StandInJournal journal = new StandInJournal(vertx);
   private final HttpClient client =
       vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(1000));
-  private final List<Place> places = new ArrayList<>();
-  private final long began = System.nanoTime();
+  private final List<GatewaySlot> slots = new ArrayList<>();
+  private final long beganNanos = System.nanoTime();
   private RuleAuditor auditor;
   private final NetworkLinks links;
-  private int severe;
-  private String more;
+  private int severeLines;
+  private String extraSections;
 
   /**
    * Of each second since the rig began: GETs that were to be sent and came back, while no gateway
    * was away.
    */
-  private final long[] offered = new long[3600], came = new long[3600];
+  private final long[] offeredBySecond = new long[3600];
 
-  private final Thread hook = new Thread(this::killAll, "rig");
+  private final long[] returnedBySecond = new long[3600];
+
+  private final Thread killOnExit = new Thread(this::killAll, "rig");
 
   public ProcessTestbed(Plan plan) throws Exception {
     this.plan = plan;
-    more = plan.more();
-    chance = new SplittableRandom(plan.seed());
-    links = new NetworkLinks(vertx, plan.gateways(), chance.nextLong());
-    IntStream.range(0, plan.gateways()).forEach(one -> places.add(new Place(one)));
-    Runtime.getRuntime().addShutdownHook(hook);
+    extraSections = plan.extraSections();
+    random = new SplittableRandom(plan.seed());
+    links = new NetworkLinks(vertx, plan.gateways(), random.nextLong());
+    IntStream.range(0, plan.gateways()).forEach(gateway -> slots.add(new GatewaySlot(gateway)));
+    Runtime.getRuntime().addShutdownHook(killOnExit);
     List<Future<?>> opening =
-        on(
+        callOnLoop(
             () -> {
               auditor = new RuleAuditor(vertx);
-              List<Future<?>> all = new ArrayList<>(List.of(journal.listen(), links.open()));
-              IntStream.range(0, EDGES).forEach(one -> all.add(cache("e" + one, 2, 8)));
-              all.add(cache("h0", 2, 10));
-              all.add(cache("o0", 10, 0));
-              return all;
+              List<Future<?>> pending = new ArrayList<>(List.of(journal.listen(), links.open()));
+              IntStream.range(0, EDGE_CACHES)
+                  .forEach(gateway -> pending.add(listenCache("e" + gateway, 2, 8)));
+              pending.add(listenCache("h0", 2, 10));
+              pending.add(listenCache("o0", 10, 0));
+              return pending;
             });
     EventLoopWaiter.await(Future.all(opening));
-    on(
+    callOnLoop(
         () -> {
-          caches.keySet().forEach(id -> host(id, EndpointState.UP, 0));
+          caches.keySet().forEach(id -> announceCache(id, EndpointState.UP, 0));
           return null;
         });
     Files.writeString(plan.folder().resolve("keys"), "k1 " + "6b".repeat(32) + "\n");
   }
 
-  private Future<?> cache(String id, long answerMs, long fillMs) {
-    StandInCache cache =
-        new StandInCache(vertx, id, answerMs, fillMs, caches::get).telling(auditor::wanted);
-    caches.put(id, cache);
-    return cache.listen();
+  private Future<?> listenCache(String id, long hitMillis, long fillMillis) {
+    StandInCache cacheId =
+        new StandInCache(vertx, id, hitMillis, fillMillis, caches::get)
+            .withListener(auditor::requestReceived);
+    caches.put(id, cacheId);
+    return cacheId.listen();
   }
 
   private static String kind(String id) {
@@ -162,20 +177,20 @@
         : id.startsWith("h") ? LabSettings.HUB : LabSettings.ORIGIN;
   }
 
-  private void host(String id, EndpointState state, long startedAtMs) {
+  private void announceCache(String id, EndpointState state, long startedAtMillis) {
     states.put(id, state);
-    journal.host(
+    journal.announceCache(
         id,
         caches.get(id).address(),
         kind(id),
-        id.startsWith("e") ? WEIGHT : 10,
+        id.startsWith("e") ? EDGE_WEIGHT : 10,
         state,
-        startedAtMs);
+        startedAtMillis);
   }
 
   /** Runs on the rig's event loop, and waits for what comes of it. */
-  public <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+  public <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
   // ---- What a scenario does.
@@ -185,45 +200,45 @@
    * for.
    */
   public void startAll() throws Exception {
-    for (Place one : places) {
-      begin(one);
+    for (GatewaySlot slot : slots) {
+      launch(slot);
     }
-    for (Place one : places) {
-      serve(one);
+    for (GatewaySlot slot : slots) {
+      awaitServing(slot);
     }
-    on(() -> vertx.setPeriodic(POLL_MS, tick -> places.forEach(this::poll)));
+    callOnLoop(() -> vertx.setPeriodic(POLL_MILLIS, tick -> slots.forEach(this::pollView)));
   }
 
   /** Starts a gateway in a place, and waits until it serves. */
   public void start(int index) throws Exception {
-    begin(places.get(index));
-    serve(places.get(index));
+    launch(slots.get(index));
+    awaitServing(slots.get(index));
   }
 
-  private void begin(Place one) throws IOException {
-    Path config = plan.folder().resolve(one.name + ".json"),
-        ini = plan.folder().resolve(one.name + ".ini");
+  private void launch(GatewaySlot slot) throws IOException {
+    Path config = plan.folder().resolve(slot.name + ".json");
+    Path ini = plan.folder().resolve(slot.name + ".ini");
     Files.writeString(
         config,
-        LabSettings.json(one.name, plan.seed() + one.index, journal.address(), plan.gateways()));
-    List<String> main = new ArrayList<>(List.of("org.amberpath.cli.Main", "serve"));
-    if (plan.told() > 0) {
-      write(one);
-      main.addAll(List.of("--file", ini.toString()));
+        LabSettings.json(slot.name, plan.seed() + slot.index, journal.address(), plan.gateways()));
+    List<String> arguments = new ArrayList<>(List.of("org.amberpath.cli.Main", "serve"));
+    if (plan.expectedMembers() > 0) {
+      writeSettings(slot);
+      arguments.addAll(List.of("--file", ini.toString()));
     }
-    one.process =
+    slot.process =
         new GatewayProcess(
-            main,
+            arguments,
             Map.of("PROXY_CONFIG", config.toString()),
-            plan.folder().resolve(one.name + ".log"));
+            plan.folder().resolve(slot.name + ".log"));
   }
 
-  private void write(Place one) throws IOException {
+  private void writeSettings(GatewaySlot slot) throws IOException {
     Files.writeString(
-        plan.folder().resolve(one.name + ".ini"),
+        plan.folder().resolve(slot.name + ".ini"),
         "[fleet]\nname = lab\nlisten = 127.0.0.1:0\nadvertise"
             + " = "
-            + links.address(one.index)
+            + links.address(slot.index)
             + "\nseeds = "
             + links.address(0)
             + ", "
@@ -231,184 +246,200 @@
             + ", "
             + links.address(2)
             + "\ntold = "
-            + plan.told()
+            + plan.expectedMembers()
             + "\nkey = "
             + plan.folder().resolve("keys")
             + "\noperators = 127.0.0.1:0\n"
-            + more);
+            + extraSections);
   }
 
-  private void serve(Place one) throws Exception {
-    if (plan.told() > 0) {
-      int port = one.process.fleet().get(PATIENCE_S, TimeUnit.SECONDS);
-      on(
+  private void awaitServing(GatewaySlot slot) throws Exception {
+    if (plan.expectedMembers() > 0) {
+      int port = slot.process.fleetPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      callOnLoop(
           () -> {
-            links.at(one.index, port);
+            links.setGatewayPort(slot.index, port);
             return null;
           });
-      one.deskPort = one.process.desk().get(PATIENCE_S, TimeUnit.SECONDS);
+      slot.adminPort = slot.process.adminPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
-    int port = one.process.clients().get(PATIENCE_S, TimeUnit.SECONDS);
-    one.runsSince = System.nanoTime();
+    int port = slot.process.clientPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    slot.runningSinceNanos = System.nanoTime();
     List<Future<?>> connecting =
-        on(
+        callOnLoop(
             () -> {
-              if (!one.away.isEmpty()) {
-                one.away.get(one.away.size() - 1)[1] = System.nanoTime();
+              if (!slot.awayPeriods.isEmpty()) {
+                slot.awayPeriods.get(slot.awayPeriods.size() - 1)[1] = System.nanoTime();
               }
-              List<Future<?>> all = new ArrayList<>();
-              for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
-                LoadGenerator tills =
+              List<Future<?>> pending = new ArrayList<>();
+              for (String trafficClass : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
+                LoadGenerator loadGenerator =
                     new LoadGenerator(
-                            vertx, service, ALLOW_MS, chance.nextLong(), got -> returned(one, got))
-                        .excusing(one::wasAway)
-                        .counting(sentAt -> bin(one, offered, sentAt));
-                one.tills.add(tills);
+                            vertx,
+                            trafficClass,
+                            REQUEST_TIMEOUT_MILLIS,
+                            random.nextLong(),
+                            response -> responseReceived(slot, response))
+                        .withLossExcuse(slot::wasAway)
+                        .withSendListener(
+                            sentAtNanos -> countInSecond(slot, offeredBySecond, sentAtNanos));
+                slot.loadGenerators.add(loadGenerator);
                 int rate =
-                    service.equals(LabSettings.CLIPS) ? plan.rate() : Math.max(1, plan.rate() / 10);
-                all.add(tills.start(port, 4, rate));
+                    trafficClass.equals(LabSettings.CLIPS)
+                        ? plan.requestsPerSecond()
+                        : Math.max(1, plan.requestsPerSecond() / 10);
+                pending.add(loadGenerator.start(port, 4, rate));
               }
-              return all;
+              return pending;
             });
     EventLoopWaiter.await(Future.all(connecting));
   }
 
-  private void returned(Place one, LoadGenerator.Returned got) {
-    auditor.returned(got);
-    bin(one, came, got.sentAt());
+  private void responseReceived(GatewaySlot slot, LoadGenerator.Response response) {
+    auditor.responseReceived(response);
+    countInSecond(slot, returnedBySecond, response.sentAtNanos());
   }
 
-  private void bin(Place one, long[] bins, long sentAt) {
-    if (!one.wasAway(sentAt, sentAt + ALLOW_MS * MS)) {
-      bins[(int) Math.min(bins.length - 1, (sentAt - began) / (1000 * MS))]++;
+  private void countInSecond(GatewaySlot slot, long[] countsBySecond, long sentAtNanos) {
+    if (!slot.wasAway(sentAtNanos, sentAtNanos + REQUEST_TIMEOUT_MILLIS * NANOS_PER_MILLI)) {
+      countsBySecond[
+          (int)
+              Math.min(
+                  countsBySecond.length - 1,
+                  (sentAtNanos - beganNanos) / (1000 * NANOS_PER_MILLI))]++;
     }
   }
 
-  private void poll(Place one) {
-    GatewayProcess of = one.process;
-    if (plan.told() > 0 && one.runs()) {
+  private void pollView(GatewaySlot slot) {
+    GatewayProcess process = slot.process;
+    if (plan.expectedMembers() > 0 && slot.isRunning()) {
       client
-          .request(HttpMethod.GET, one.deskPort, "127.0.0.1", "/fleet")
+          .request(HttpMethod.GET, slot.adminPort, "127.0.0.1", "/fleet")
           .compose(request -> request.send())
           .compose(answer -> answer.body())
           .onSuccess(
               body -> {
-                if (one.process == of && one.runs()) {
-                  one.view = body.toJsonObject().put("asked_at", System.nanoTime());
+                if (slot.process == process && slot.isRunning()) {
+                  slot.view = body.toJsonObject().put("asked_at", System.nanoTime());
                 }
               });
     }
   }
 
-  private void gone(Place one) throws Exception {
-    on(
+  private void markAway(GatewaySlot slot) throws Exception {
+    callOnLoop(
         () -> {
-          one.tills
-              .subList(Math.max(0, one.tills.size() - 2), one.tills.size())
+          slot.loadGenerators
+              .subList(Math.max(0, slot.loadGenerators.size() - 2), slot.loadGenerators.size())
               .forEach(LoadGenerator::stop);
-          one.runsSince = 0;
-          one.view = null;
-          one.away.add(new long[] {System.nanoTime(), 0});
+          slot.runningSinceNanos = 0;
+          slot.view = null;
+          slot.awayPeriods.add(new long[] {System.nanoTime(), 0});
           return null;
         });
   }
 
   /** SIGKILL. */
   public void kill(int index) throws Exception {
-    Place one = places.get(index);
-    gone(one);
-    one.process.kill();
-    end(one);
+    GatewaySlot slot = slots.get(index);
+    markAway(slot);
+    slot.process.kill();
+    awaitExit(slot);
   }
 
   /** SIGTERM: its clients send nothing more, what they sent is owed an answer. */
-  public void term(int index) throws Exception {
-    Place one = places.get(index);
-    on(
+  public void terminate(int index) throws Exception {
+    GatewaySlot slot = slots.get(index);
+    callOnLoop(
         () -> {
-          one.tills.subList(one.tills.size() - 2, one.tills.size()).forEach(LoadGenerator::stop);
-          one.runsSince = 0;
-          one.view = null;
+          slot.loadGenerators
+              .subList(slot.loadGenerators.size() - 2, slot.loadGenerators.size())
+              .forEach(LoadGenerator::stop);
+          slot.runningSinceNanos = 0;
+          slot.view = null;
           return null;
         });
-    one.process.term();
+    slot.process.terminate();
   }
 
   /** Waits for the end of one that was killed or told to end, and counts what its log says. */
-  public void end(int index) throws Exception {
-    end(places.get(index));
+  public void awaitExit(int index) throws Exception {
+    awaitExit(slots.get(index));
   }
 
-  private void end(Place one) throws Exception {
-    one.process.ended();
-    severe += one.process.severe();
-    on(
+  private void awaitExit(GatewaySlot slot) throws Exception {
+    slot.process.awaitExit();
+    severeLines += slot.process.severeLines();
+    callOnLoop(
         () -> {
-          links.at(one.index, 0);
-          if (one.away.isEmpty() || one.away.get(one.away.size() - 1)[1] != 0) {
-            one.away.add(new long[] {System.nanoTime(), 0});
+          links.setGatewayPort(slot.index, 0);
+          if (slot.awayPeriods.isEmpty()
+              || slot.awayPeriods.get(slot.awayPeriods.size() - 1)[1] != 0) {
+            slot.awayPeriods.add(new long[] {System.nanoTime(), 0});
           }
           return null;
         });
   }
 
   /** SIGSTOP, and SIGCONT so many milliseconds later. */
-  public void stand(int index, long ms) throws Exception {
-    Place one = places.get(index);
-    on(
+  public void pause(int index, long durationMillis) throws Exception {
+    GatewaySlot slot = slots.get(index);
+    callOnLoop(
         () -> {
           long now = System.nanoTime();
-          one.away.add(new long[] {now, now + ms * MS + WOKEN / 2});
-          one.runsSince = now + ms * MS;
+          slot.awayPeriods.add(
+              new long[] {now, now + durationMillis * NANOS_PER_MILLI + WAKE_ALLOWANCE_NANOS / 2});
+          slot.runningSinceNanos = now + durationMillis * NANOS_PER_MILLI;
           return null;
         });
-    one.process.stand(ms);
+    slot.process.pause(durationMillis);
   }
 
   /**
    * Settings that follow those of [fleet], for all from now on: those that run are told to read
    * them again.
    */
-  public void settings(String sections) throws Exception {
-    more = sections;
-    for (Place one : places) {
-      write(one);
-      if (one.process != null && one.process.isAlive()) {
-        one.process.hangUp();
+  public void reloadAll(String sections) throws Exception {
+    extraSections = sections;
+    for (GatewaySlot slot : slots) {
+      writeSettings(slot);
+      if (slot.process != null && slot.process.isAlive()) {
+        slot.process.hangUp();
       }
     }
   }
 
   /** A cache says nothing more, or goes on. */
-  public void hang(String cache, boolean still) throws Exception {
-    on(
+  public void setCacheHung(String cacheId, boolean hung) throws Exception {
+    callOnLoop(
         () -> {
-          caches.get(cache).hang(still);
+          caches.get(cacheId).setHung(hung);
           return null;
         });
   }
 
   /** How many GETs have come to a cache so far. */
-  public long wants(String cache) throws Exception {
-    return on(() -> caches.get(cache).wants());
+  public long cacheRequestCount(String cacheId) throws Exception {
+    return callOnLoop(() -> caches.get(cacheId).requestCount());
   }
 
   /** Sets a link, one way. */
-  public void link(int from, int to, NetworkLinks.Way way) throws Exception {
-    on(
+  public void setLink(int fromNanos, int toNanos, NetworkLinks.LinkCondition condition)
+      throws Exception {
+    callOnLoop(
         () -> {
-          links.way(from, to, way);
+          links.setCondition(fromNanos, toNanos, condition);
           return null;
         });
   }
 
   /** Sets all links. */
-  public void links(NetworkLinks.Way way) throws Exception {
-    on(
+  public void setAllLinks(NetworkLinks.LinkCondition condition) throws Exception {
+    callOnLoop(
         () -> {
-          for (int from = 0; from < places.size(); from++) {
-            for (int to = 0; to < places.size(); to++) {
-              links.way(from, to, way);
+          for (int fromNanos = 0; fromNanos < slots.size(); fromNanos++) {
+            for (int toNanos = 0; toNanos < slots.size(); toNanos++) {
+              links.setCondition(fromNanos, toNanos, condition);
             }
           }
           return null;
@@ -419,54 +450,58 @@
    * News of caches: an edge drains, one comes back, one restarts cold, an object is purged; half of
    * them stay.
    */
-  public void news() throws Exception {
-    on(
+  public void changeDiscovery() throws Exception {
+    callOnLoop(
         () -> {
-          String id = "e" + chance.nextInt(EDGES);
-          long up =
+          String id = "e" + random.nextInt(EDGE_CACHES);
+          long upCount =
               states.entrySet().stream()
-                  .filter(one -> one.getKey().startsWith("e") && one.getValue() == EndpointState.UP)
+                  .filter(
+                      entry ->
+                          entry.getKey().startsWith("e") && entry.getValue() == EndpointState.UP)
                   .count();
-          switch (chance.nextInt(4)) {
+          switch (random.nextInt(4)) {
             case 0 -> {
-              if (states.get(id) == EndpointState.UP && up > EDGES / 2) {
-                host(id, EndpointState.DRAINING, 0);
-                auditor.drained(id);
+              if (states.get(id) == EndpointState.UP && upCount > EDGE_CACHES / 2) {
+                announceCache(id, EndpointState.DRAINING, 0);
+                auditor.cacheDrained(id);
               }
             }
             case 1 -> {
               if (states.get(id) == EndpointState.DRAINING) {
-                auditor.ready(id);
-                host(id, EndpointState.UP, 0);
+                auditor.cacheReady(id);
+                announceCache(id, EndpointState.UP, 0);
               }
             }
             case 2 -> {
-              if (states.get(id) == EndpointState.UP && up > EDGES / 2) {
-                host(id, EndpointState.GONE, 0);
+              if (states.get(id) == EndpointState.UP && upCount > EDGE_CACHES / 2) {
+                announceCache(id, EndpointState.GONE, 0);
                 caches.get(id).close();
                 vertx.setTimer(
                     50,
-                    back ->
+                    timer ->
                         caches
                             .get(id)
                             .listen()
                             .onSuccess(
                                 listens -> {
-                                  host(id, EndpointState.UP, System.currentTimeMillis());
-                                  auditor.startedCold(id, WEIGHT);
+                                  announceCache(id, EndpointState.UP, System.currentTimeMillis());
+                                  auditor.cacheStartedCold(id, EDGE_WEIGHT);
                                 }));
               }
             }
             default -> {
-              String object = String.format("%016x", 1 + chance.nextInt(OBJECTS));
-              long at = System.currentTimeMillis();
-              journal.purge(object, at);
-              auditor.purged(object, at);
+              String object = String.format("%016x", 1 + random.nextInt(OBJECTS));
+              long atMillis = System.currentTimeMillis();
+              journal.announcePurge(object, atMillis);
+              auditor.objectPurged(object, atMillis);
               caches
                   .values()
                   .forEach(
-                      cache ->
-                          vertx.setTimer(1 + chance.nextLong(DROP_MS), late -> cache.drop(object)));
+                      cacheId ->
+                          vertx.setTimer(
+                              1 + random.nextLong(MAX_PURGE_DELAY_MILLIS),
+                              late -> cacheId.drop(object)));
             }
           }
           return null;
@@ -476,20 +511,20 @@
   // ---- What a scenario looks at.
 
   /** A page of a gateway's desk; fails where it does not answer. */
-  public JsonObject page(int index, String path) throws Exception {
+  public JsonObject adminPage(int index, String path) throws Exception {
     // On the loop: elsewhere an answer may come before anybody listens to it.
     return EventLoopWaiter.await(
-            on(
+            callOnLoop(
                 () ->
                     client
-                        .request(HttpMethod.GET, places.get(index).deskPort, "127.0.0.1", path)
+                        .request(HttpMethod.GET, slots.get(index).adminPort, "127.0.0.1", path)
                         .compose(request -> request.send())
                         .compose(answer -> answer.body())))
         .toJsonObject();
   }
 
-  public List<Place> places() {
-    return places;
+  public List<GatewaySlot> slots() {
+    return slots;
   }
 
   public RuleAuditor auditor() {
@@ -501,25 +536,26 @@
   }
 
   /** Lines of the worst kind in all logs, of those that have ended. */
-  public int severe() {
-    return severe;
+  public int severeLines() {
+    return severeLines;
   }
 
   /**
    * GETs returned of those that were to be sent, from one time to another (nanoTime), of gateways
    * that were there.
    */
-  public double served(long from, long to) throws Exception {
-    return on(
+  public double servedShare(long fromNanos, long toNanos) throws Exception {
+    return callOnLoop(
         () -> {
-          long of = 0, back = 0;
-          for (long second = (from - began) / (1000 * MS) + 1;
-              second < (to - began) / (1000 * MS);
+          long process = 0;
+          long returnedCount = 0;
+          for (long second = (fromNanos - beganNanos) / (1000 * NANOS_PER_MILLI) + 1;
+              second < (toNanos - beganNanos) / (1000 * NANOS_PER_MILLI);
               second++) {
-            of += offered[(int) second];
-            back += came[(int) second];
+            process += offeredBySecond[(int) second];
+            returnedCount += returnedBySecond[(int) second];
           }
-          return of == 0 ? 1 : (double) back / of;
+          return process == 0 ? 1 : (double) returnedCount / process;
         });
   }
 
@@ -528,51 +564,53 @@
    * over all gateways.
    */
   public Map<String, Long> settle() throws Exception {
-    on(
+    callOnLoop(
         () -> {
-          places.forEach(one -> one.tills.forEach(LoadGenerator::stop));
+          slots.forEach(slot -> slot.loadGenerators.forEach(LoadGenerator::stop));
           return null;
         });
-    Thread.sleep(ALLOW_MS + 2 * POLL_MS);
-    return on(
+    Thread.sleep(REQUEST_TIMEOUT_MILLIS + 2 * POLL_MILLIS);
+    return callOnLoop(
         () -> {
-          Map<String, Long> ends = new LinkedHashMap<>();
-          for (LoadGenerator.End end : LoadGenerator.End.values()) {
-            ends.put(end.name().toLowerCase(java.util.Locale.ROOT), 0L);
+          Map<String, Long> outcomes = new LinkedHashMap<>();
+          for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+            outcomes.put(outcome.name().toLowerCase(java.util.Locale.ROOT), 0L);
           }
-          ends.put("excused", 0L);
-          ends.put("unsent", 0L);
-          for (Place place : places) {
-            for (LoadGenerator tills : place.tills) {
-              for (LoadGenerator.End end : LoadGenerator.End.values()) {
-                ends.merge(
-                    end.name().toLowerCase(java.util.Locale.ROOT), tills.ended(end), Long::sum);
+          outcomes.put("excused", 0L);
+          outcomes.put("unsent", 0L);
+          for (GatewaySlot slot : slots) {
+            for (LoadGenerator loadGenerator : slot.loadGenerators) {
+              for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+                outcomes.merge(
+                    outcome.name().toLowerCase(java.util.Locale.ROOT),
+                    loadGenerator.countOf(outcome),
+                    Long::sum);
               }
-              ends.merge("excused", tills.excused(), Long::sum);
-              ends.merge("unsent", tills.unsent(), Long::sum);
+              outcomes.merge("excused", loadGenerator.excusedLosses(), Long::sum);
+              outcomes.merge("unsent", loadGenerator.notSent(), Long::sum);
             }
           }
-          return ends;
+          return outcomes;
         });
   }
 
   private void killAll() {
-    places.stream().filter(one -> one.process != null).forEach(one -> one.process.kill());
+    slots.stream().filter(slot -> slot.process != null).forEach(slot -> slot.process.kill());
   }
 
   @Override
   public void close() throws Exception {
-    for (Place one : places) {
-      if (one.process != null && one.process.isAlive()) {
-        one.process.term();
+    for (GatewaySlot slot : slots) {
+      if (slot.process != null && slot.process.isAlive()) {
+        slot.process.terminate();
       }
     }
-    for (Place one : places) {
-      if (one.process != null) {
-        one.process.ended();
+    for (GatewaySlot slot : slots) {
+      if (slot.process != null) {
+        slot.process.awaitExit();
       }
     }
-    Runtime.getRuntime().removeShutdownHook(hook);
+    Runtime.getRuntime().removeShutdownHook(killOnExit);
     EventLoopWaiter.await(vertx.close());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -16,129 +16,147 @@
  * loop's tick before, and is judged by that time: a loop that stood still blames nobody by mistake,
  * and for how long it stood is counted. Only for the rig's event loop.
  *
- * <p>Bounds: the requests of one experiment that may run once, and {@value #MOST_LINES} lines of
- * what is wrong.
+ * <p>Bounds: the requests of one experiment that may run once, and {@value #MAX_VIOLATIONS} lines
+ * of what is wrong.
  */
 public final class RuleAuditor {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, ON_SOCKETS = 50 * MS, TICK_MS = 5;
-  private static final long DRAIN = 250 * MS + ON_SOCKETS, PURGE_MS = 350, STALL = 25 * MS;
-  private static final int MOST_LINES = 20;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long SOCKET_ALLOWANCE_NANOS = 50 * NANOS_PER_MILLI;
+  private static final long TICK_MILLIS = 5;
+  private static final long MAX_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
+  private static final long MAX_PURGE_MILLIS = 350;
+  private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
+  private static final int MAX_VIOLATIONS = 20;
 
   /** The mean work of a GET at the stand-in caches, in seconds. */
-  private static final double WORK_S = 0.01;
+  private static final double MEAN_WORK_SECONDS = 0.01;
 
-  private static final class Cold {
-    final long at;
+  private static final class WarmUpWindow {
+    final long startedAtNanos;
     final double weight;
 
     /** When wants came, of the last second. */
-    final ArrayDeque<Long> came = new ArrayDeque<>();
+    final ArrayDeque<Long> arrivalsNanos = new ArrayDeque<>();
 
-    Cold(long at, double weight) {
-      this.at = at;
+    WarmUpWindow(long startedAtNanos, double weight) {
+      this.startedAtNanos = startedAtNanos;
       this.weight = weight;
     }
   }
 
-  private final Map<String, Long> drainedAt = new HashMap<>(), purgedAtMs = new HashMap<>();
-  private final Map<String, Cold> cold = new HashMap<>();
-  private final Map<String, String> once = new HashMap<>();
-  private final List<String> wrong = new ArrayList<>();
-  private final long began = System.nanoTime();
-  private long tickAt = began, stood, wants, worstDrain, worstPurgeMs, most, wrongs;
-  private double worstCold;
+  private final Map<String, Long> drainedAtNanos = new HashMap<>();
+  private final Map<String, Long> purgedAtMillis = new HashMap<>();
+  private final Map<String, WarmUpWindow> warmingUp = new HashMap<>();
+  private final Map<String, String> executedOnce = new HashMap<>();
+  private final List<String> violations = new ArrayList<>();
+  private final long beganNanos = System.nanoTime();
+  private long tickNanos = beganNanos;
+  private long stalledNanos;
+  private long requestCount;
+  private long worstDrainNanos;
+  private long worstPurgeMillis;
+  private long longestStallNanos;
+  private long violationCount;
+  private double worstWarmUpLoad;
 
   public RuleAuditor(Vertx vertx) {
     vertx.setPeriodic(
-        TICK_MS,
+        TICK_MILLIS,
         tick -> {
-          long now = System.nanoTime();
-          stood += now - tickAt > STALL ? now - tickAt : 0;
-          most = Math.max(most, now - tickAt);
-          tickAt = now;
+          long nowNanos = System.nanoTime();
+          stalledNanos += nowNanos - tickNanos > STALL_NANOS ? nowNanos - tickNanos : 0;
+          longestStallNanos = Math.max(longestStallNanos, nowNanos - tickNanos);
+          tickNanos = nowNanos;
         });
   }
 
-  public void wrong(String what) {
-    wrongs++;
-    if (wrong.size() < MOST_LINES) {
-      wrong.add((System.nanoTime() - began) / MS + " ms: " + what);
+  public void violation(String message) {
+    violationCount++;
+    if (violations.size() < MAX_VIOLATIONS) {
+      violations.add((System.nanoTime() - beganNanos) / NANOS_PER_MILLI + " ms: " + message);
     }
   }
 
-  public List<String> wrongs() {
-    return wrong;
+  public List<String> violations() {
+    return violations;
   }
 
   /** The part of the time, 0 to 1, that could not be judged. */
-  public double unjudged() {
-    return (double) stood / Math.max(1, System.nanoTime() - began);
+  public double unjudgedShare() {
+    return (double) stalledNanos / Math.max(1, System.nanoTime() - beganNanos);
   }
 
   /** Figures for a report. */
   public Map<String, Object> figures() {
     return Map.of(
         "wants",
-        wants,
+        requestCount,
         "last_get_after_drain_ms",
-        worstDrain / MS,
+        worstDrainNanos / NANOS_PER_MILLI,
         "oldest_after_purge_ms",
-        worstPurgeMs,
+        worstPurgeMillis,
         "cold_part_of_bound",
-        Math.round(worstCold * 100) / 100.0,
+        Math.round(worstWarmUpLoad * 100) / 100.0,
         "judge_stood_ms",
-        stood / MS,
+        stalledNanos / NANOS_PER_MILLI,
         "judge_stood_most_ms",
-        most / MS,
+        longestStallNanos / NANOS_PER_MILLI,
         "wrongs",
-        wrongs);
+        violationCount);
   }
 
   // ---- What the rig did.
 
-  public void drained(String cache) {
-    drainedAt.put(cache, System.nanoTime());
+  public void cacheDrained(String cache) {
+    drainedAtNanos.put(cache, System.nanoTime());
   }
 
-  void ready(String cache) {
-    drainedAt.remove(cache);
+  void cacheReady(String cache) {
+    drainedAtNanos.remove(cache);
   }
 
-  void purged(String object, long atMs) {
-    purgedAtMs.put(object, atMs);
+  void objectPurged(String object, long atMillis) {
+    purgedAtMillis.put(object, atMillis);
   }
 
-  public void startedCold(String cache, double weight) {
-    cold.put(cache, new Cold(System.nanoTime(), weight));
+  public void cacheStartedCold(String cache, double weight) {
+    warmingUp.put(cache, new WarmUpWindow(System.nanoTime(), weight));
   }
 
   // ---- What others saw.
 
-  public void wanted(StandInCache.Wanted want) {
-    wants++;
-    for (String cache : List.of(want.cache(), want.source())) {
-      Long at = drainedAt.get(cache);
-      if (at != null) {
-        worstDrain = Math.max(worstDrain, tickAt - at);
-        if (tickAt - at > DRAIN) {
-          wrong(
+  public void requestReceived(StandInCache.ReceivedRequest request) {
+    requestCount++;
+    for (String cache : List.of(request.cache(), request.source())) {
+      Long drainedNanos = drainedAtNanos.get(cache);
+      if (drainedNanos != null) {
+        worstDrainNanos = Math.max(worstDrainNanos, tickNanos - drainedNanos);
+        if (tickNanos - drainedNanos > MAX_DRAIN_NANOS) {
+          violation(
               "rule 3: "
                   + cache
-                  + (cache.equals(want.cache()) ? " got a GET " : " was named as a source ")
-                  + (tickAt - at) / MS
+                  + (cache.equals(request.cache()) ? " got a GET " : " was named as a source ")
+                  + (tickNanos - drainedNanos) / NANOS_PER_MILLI
                   + " ms after its drain");
         }
       }
     }
-    if (LabSettings.ORDERS.equals(want.service()) && want.runs()) {
-      String before = once.putIfAbsent(want.request(), want.cache());
-      if (before != null) {
-        wrong("rule 2: " + want.request() + " ran at " + before + " and again at " + want.cache());
+    if (LabSettings.ORDERS.equals(request.trafficClass()) && request.executes()) {
+      String previousCache = executedOnce.putIfAbsent(request.request(), request.cache());
+      if (previousCache != null) {
+        violation(
+            "rule 2: "
+                + request.request()
+                + " ran at "
+                + previousCache
+                + " and again at "
+                + request.cache());
       }
     }
-    Cold one = cold.get(want.cache());
-    if (one != null) {
-      cold(one, want.cache());
+    WarmUpWindow window = warmingUp.get(request.cache());
+    if (window != null) {
+      checkWarmUp(window, request.cache());
     }
   }
 
@@ -146,45 +164,54 @@
    * Rule 4, as the platform has it: N + 3 roots of N + 3 requests of mean work in the time that the
    * settings name.
    */
-  private void cold(Cold one, String cache) {
-    long now = System.nanoTime();
-    double age = (now - one.at) / 1e9;
-    if (age > LabSettings.COLD_S) {
-      cold.remove(cache);
+  private void checkWarmUp(WarmUpWindow window, String cache) {
+    long nowNanos = System.nanoTime();
+    double ageSeconds = (nowNanos - window.startedAtNanos) / 1e9;
+    if (ageSeconds > LabSettings.WARM_UP_SECONDS) {
+      warmingUp.remove(cache);
       return;
     }
-    one.came.add(now);
-    while (now - one.came.peek() > LabSettings.FALL_S * SECOND) {
-      one.came.remove();
+    window.arrivalsNanos.add(nowNanos);
+    while (nowNanos - window.arrivalsNanos.peek()
+        > LabSettings.OVERLOAD_WINDOW_SECONDS * NANOS_PER_SECOND) {
+      window.arrivalsNanos.remove();
     }
-    double ramp = LabSettings.COLD_SHARE + (1 - LabSettings.COLD_SHARE) * age / LabSettings.COLD_S;
-    double allowed = LabSettings.FALL_MULTIPLE * ramp * one.weight * LabSettings.FALL_S / WORK_S;
+    double warmUpShare =
+        LabSettings.WARM_UP_INITIAL_SHARE
+            + (1 - LabSettings.WARM_UP_INITIAL_SHARE) * ageSeconds / LabSettings.WARM_UP_SECONDS;
+    double allowed =
+        LabSettings.OVERLOAD_MULTIPLE
+            * warmUpShare
+            * window.weight
+            * LabSettings.OVERLOAD_WINDOW_SECONDS
+            / MEAN_WORK_SECONDS;
     double bound = allowed + 3 * Math.sqrt(allowed) + 3;
-    worstCold = Math.max(worstCold, one.came.size() / bound);
-    if (one.came.size() > bound) {
-      wrong(
+    worstWarmUpLoad = Math.max(worstWarmUpLoad, window.arrivalsNanos.size() / bound);
+    if (window.arrivalsNanos.size() > bound) {
+      violation(
           "rule 4: cold "
               + cache
               + " got "
-              + one.came.size()
+              + window.arrivalsNanos.size()
               + " GETs in its second, and bears "
               + (int) bound);
     }
   }
 
-  public void returned(LoadGenerator.Returned got) {
-    Long purged = purgedAtMs.get(got.object());
-    long sentMs = System.currentTimeMillis() - (System.nanoTime() - got.sentAt()) / MS;
-    if (purged != null && got.issuedMs() < purged && sentMs > purged) {
-      worstPurgeMs = Math.max(worstPurgeMs, sentMs - purged);
-      if (sentMs > purged + PURGE_MS) {
-        wrong(
+  public void responseReceived(LoadGenerator.Response response) {
+    Long purgedAt = purgedAtMillis.get(response.object());
+    long sentAtMillis =
+        System.currentTimeMillis() - (System.nanoTime() - response.sentAtNanos()) / NANOS_PER_MILLI;
+    if (purgedAt != null && response.issuedAtMillis() < purgedAt && sentAtMillis > purgedAt) {
+      worstPurgeMillis = Math.max(worstPurgeMillis, sentAtMillis - purgedAt);
+      if (sentAtMillis > purgedAt + MAX_PURGE_MILLIS) {
+        violation(
             "rule 5: object "
-                + got.object()
+                + response.object()
                 + " from "
-                + (purged - got.issuedMs())
+                + (purgedAt - response.issuedAtMillis())
                 + " ms before its purge, "
-                + (sentMs - purged)
+                + (sentAtMillis - purgedAt)
                 + " ms after it");
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -16,7 +16,7 @@
  * event loop. Bounds: the events of one experiment; a poll a connection.
  */
 public final class StandInJournal {
-  private static final int MOST_EVENTS = 100_000;
+  private static final int MAX_EVENTS = 100_000;
 
   /** One cache in an event; startedAtMs is when it started cold, or 0. */
   public record Instance(
@@ -25,7 +25,7 @@
       String kind,
       double weight,
       EndpointState state,
-      long startedAtMs) {
+      long startedAtMillis) {
     private String json() {
       return "{\"instanceId\":\""
           + id
@@ -42,7 +42,7 @@
           + "\",\"weight\":"
           + weight
           + ",\"startedAtMs\":"
-          + startedAtMs
+          + startedAtMillis
           + "}";
     }
   }
@@ -58,7 +58,7 @@
   public StandInJournal(Vertx vertx) {
     this.vertx = vertx;
     server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
-    server.requestHandler(this::asked);
+    server.requestHandler(this::pollReceived);
   }
 
   public Future<StandInJournal> listen() {
@@ -70,29 +70,29 @@
   }
 
   /** A cache's state; startedAtMs is when it started cold, or 0. */
-  void host(
+  void announceCache(
       String id,
       String address,
       String kind,
       double weight,
       EndpointState state,
-      long startedAtMs) {
-    hosts(false, List.of(new Instance(id, address, kind, weight, state, startedAtMs)));
+      long startedAtMillis) {
+    announceCaches(false, List.of(new Instance(id, address, kind, weight, state, startedAtMillis)));
   }
 
   /** One event of caches: the whole list, or what has changed of it. */
-  public void hosts(boolean whole, List<Instance> instances) {
+  public void announceCaches(boolean fullList, List<Instance> instances) {
     add(
         "\"hosts\":{\"generation\":1,\"reset\":"
-            + whole
+            + fullList
             + ",\"instances\":["
             + instances.stream().map(Instance::json).collect(Collectors.joining(","))
             + "]}");
   }
 
   /** All events so far, in the form in which a configuration holds them. */
-  public String known() {
-    return after(0);
+  public String allEvents() {
+    return eventsAfter(0);
   }
 
   /** Bytes of the answers so far, without their heads. */
@@ -100,34 +100,34 @@
     return bytesSent;
   }
 
-  void purge(String object, long atMs) {
-    add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMs + "}");
+  void announcePurge(String object, long atMillis) {
+    add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
   }
 
   private void add(String event) {
-    if (entries.size() >= MOST_EVENTS) {
-      throw new IllegalStateException("more than " + MOST_EVENTS + " events");
+    if (entries.size() >= MAX_EVENTS) {
+      throw new IllegalStateException("more than " + MAX_EVENTS + " events");
     }
     entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
-    for (Iterator<Poll> each = polls.iterator(); each.hasNext(); ) {
-      Poll poll = each.next();
-      each.remove();
+    for (Iterator<Poll> iterator = polls.iterator(); iterator.hasNext(); ) {
+      Poll poll = iterator.next();
+      iterator.remove();
       reply(poll);
     }
   }
 
-  private void asked(HttpServerRequest request) {
+  private void pollReceived(HttpServerRequest request) {
     Poll poll = new Poll(request, Integer.parseInt(request.getParam("tail")));
-    long wait = Long.parseLong(request.getParam("max_wait"));
+    long maxWaitMillis = Long.parseLong(request.getParam("max_wait"));
     if (poll.tail < entries.size()) {
       reply(poll);
       return;
     }
     polls.add(poll);
-    request.connection().closeHandler(closed -> polls.remove(poll));
+    request.connection().closeHandler(ignored -> polls.remove(poll));
     vertx.setTimer(
-        Math.max(1, wait),
-        over -> {
+        Math.max(1, maxWaitMillis),
+        timer -> {
           if (polls.remove(poll)) {
             reply(poll);
           }
@@ -135,12 +135,12 @@
   }
 
   private void reply(Poll poll) {
-    String body = after(poll.tail);
+    String body = eventsAfter(poll.tail);
     bytesSent += body.length();
     poll.request.response().end(body);
   }
 
-  private String after(int tail) {
+  private String eventsAfter(int tail) {
     return "{\"pos\":"
         + entries.size()
         + ",\"entries\":["
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -28,17 +28,17 @@
  * deletes nothing.
  */
 class FencedPurgeRetentionTest {
-  private static final String PREFIX = "p/",
-      KEY = PREFIX + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
-  private static final long SECOND = 1_000_000_000,
-      RETENTION = 10 * SECOND,
-      NOW_MS = 1_800_000_000_000L;
+  private static final String PREFIX = "p/";
+  private static final String KEY = PREFIX + RecordCodec.TASKS_PREFIX + PurgeRetention.TASK;
+  private static final long SECOND = 1_000_000_000;
+  private static final long RETENTION = 10 * SECOND;
+  private static final long NOW_MS = 1_800_000_000_000L;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
 
   private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+    return EventLoopWaiter.callOnLoop(vertx, what);
   }
 
   private void purge(String name, long agoMs) throws Exception {
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -5,27 +5,27 @@
 
 import java.util.Map;
 import org.amberpath.lab.SeededRuns;
-import org.amberpath.lab.leadership.LeadershipModelExperiment.Way;
+import org.amberpath.lab.leadership.LeadershipModelExperiment.LeadershipVariant;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** Ownership on a virtual clock: the right way holds, and each wrong one is caught. */
 class LeadershipModelExperimentTest {
-  private static Map<String, Object> play(Way way, int runs) {
-    return SeededRuns.many(LeadershipModelExperiment.model(way), 1, runs);
+  private static Map<String, Object> play(LeadershipVariant variant, int runs) {
+    return SeededRuns.runMany(LeadershipModelExperiment.model(variant), 1, runs);
   }
 
   @Test
   void oneHoldsATaskAndNothingOfAnOlderTermTakesEffect() {
-    Map<String, Object> sums = play(Way.RIGHT, 150);
+    Map<String, Object> sums = play(LeadershipVariant.RIGHT, 150);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
     assertTrue((long) sums.get("refused") > 0, "late acts came, and were refused");
   }
 
   @ParameterizedTest
-  @EnumSource(value = Way.class, names = "RIGHT", mode = EnumSource.Mode.EXCLUDE)
-  void aWrongWayIsCaught(Way way) {
-    assertTrue((long) play(way, 150).get("failed") > 0);
+  @EnumSource(value = LeadershipVariant.class, names = "RIGHT", mode = EnumSource.Mode.EXCLUDE)
+  void aWrongWayIsCaught(LeadershipVariant variant) {
+    assertTrue((long) play(variant, 150).get("failed") > 0);
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -12,15 +12,16 @@
 class MembershipModelExperimentTest {
   @Test
   void viewsSettleAndSharesSumToOneAtMost() {
-    Map<String, Object> sums = SeededRuns.many(MembershipModelExperiment.MODEL, 4001, 60);
+    Map<String, Object> sums = SeededRuns.runMany(MembershipModelExperiment.MODEL, 4001, 60);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
   }
 
   @Test
   void aSeedTellsTheSameStoryEachTime() {
-    List<String> first = new ArrayList<>(), second = new ArrayList<>();
-    SeededRuns.one(MembershipModelExperiment.MODEL, 77, first::add);
-    SeededRuns.one(MembershipModelExperiment.MODEL, 77, second::add);
+    List<String> first = new ArrayList<>();
+    List<String> second = new ArrayList<>();
+    SeededRuns.runOne(MembershipModelExperiment.MODEL, 77, first::add);
+    SeededRuns.runOne(MembershipModelExperiment.MODEL, 77, second::add);
     assertEquals(first, second);
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -11,14 +11,16 @@
 class PlannersModelExperimentTest {
   @Test
   void theSumOfWhatIsGrantedStaysWithinTheBoundOnFiveHundredSeeds() {
-    assertEquals(List.of(), SeededRuns.many(PlannersModelExperiment.MODEL, 1, 500).get("missed"));
+    assertEquals(
+        List.of(), SeededRuns.runMany(PlannersModelExperiment.MODEL, 1, 500).get("missed"));
   }
 
   @Test
   void aSeedTellsTheSameStoryToTheLetter() {
-    List<String> first = new ArrayList<>(), second = new ArrayList<>();
-    SeededRuns.one(PlannersModelExperiment.MODEL, 7, first::add);
-    SeededRuns.one(PlannersModelExperiment.MODEL, 7, second::add);
+    List<String> first = new ArrayList<>();
+    List<String> second = new ArrayList<>();
+    SeededRuns.runOne(PlannersModelExperiment.MODEL, 7, first::add);
+    SeededRuns.runOne(PlannersModelExperiment.MODEL, 7, second::add);
     assertEquals(first, second);
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
@@ -13,14 +13,16 @@
 class RegistryModelExperimentTest {
   @Test
   void aThousandSeedsMissNoBar() {
-    assertEquals(List.of(), SeededRuns.many(RegistryModelExperiment.MODEL, 1, 1000).get("missed"));
+    assertEquals(
+        List.of(), SeededRuns.runMany(RegistryModelExperiment.MODEL, 1, 1000).get("missed"));
   }
 
   @Test
   void aSeedTellsTheSameStoryToTheLetter() {
-    List<String> first = new ArrayList<>(), second = new ArrayList<>();
-    SeededRuns.one(RegistryModelExperiment.MODEL, 42, first::add);
-    SeededRuns.one(RegistryModelExperiment.MODEL, 42, second::add);
+    List<String> first = new ArrayList<>();
+    List<String> second = new ArrayList<>();
+    SeededRuns.runOne(RegistryModelExperiment.MODEL, 42, first::add);
+    SeededRuns.runOne(RegistryModelExperiment.MODEL, 42, second::add);
     assertTrue(first.size() > 500);
     assertEquals(first, second);
   }
