--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -30,7 +30,7 @@
 import java.util.logging.Logger;
 import org.amberpath.lab.EventLoopWaiter;
 import org.amberpath.lab.LoopbackTestbed;
-import org.amberpath.lab.registry.StandInRegistry.Way;
+import org.amberpath.lab.registry.StandInRegistry.EndpointBehavior;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.WatchSession.Phase;
 import org.amberpath.registry.runtime.RecordCodec;
@@ -53,12 +53,13 @@
  */
 @Timeout(60)
 class RegistrySourceTest {
-  private static final String SECRET = "s3cr3t-of-the-house", PREFIX = "amberpath/";
+  private static final String SECRET = "s3cr3t-of-the-house";
+  private static final String PREFIX = "amberpath/";
   private static final long SECOND = 1_000_000_000;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final RecordedEndpointList told =
-      new RecordedEndpointList(System::nanoTime, line -> {}, line -> {}).purgedOften();
+      new RecordedEndpointList(System::nanoTime, line -> {}, line -> {}).allowRepeatedPurges();
   private final List<String> logged = new ArrayList<>();
   private final Logger logger = Logger.getLogger("org.amberpath.registry");
   private final Handler handler =
@@ -94,13 +95,14 @@
   }
 
   private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.on(vertx, what);
+    return EventLoopWaiter.callOnLoop(vertx, what);
   }
 
   private void await(Callable<Boolean> what) throws Exception {
     for (int left = 2000; !on(what); left--) {
       assertTrue(
-          left > 0, () -> "not in time; " + told.states() + " " + source.status() + " " + logged);
+          left > 0,
+          () -> "not in time; " + told.endpointStates() + " " + source.status() + " " + logged);
       Thread.sleep(5);
     }
   }
@@ -164,7 +166,7 @@
   }
 
   private Boolean is(String id, EndpointState state) {
-    return told.states().get(id) == state;
+    return told.endpointStates().get(id) == state;
   }
 
   @ParameterizedTest
@@ -179,7 +181,7 @@
     await(() -> is("a", EndpointState.DRAINING));
     on(
         () -> {
-          registry.endpoints().forEach(StandInRegistry.Endpoint::cut);
+          registry.endpoints().forEach(StandInRegistry.Endpoint::breakConnections);
           return null;
         });
     put("b", EndpointState.UP);
@@ -211,7 +213,10 @@
     Thread.sleep(1500);
     on(
         () -> {
-          registry.endpoints().subList(0, 2).forEach(one -> one.become(Way.SILENT));
+          registry
+              .endpoints()
+              .subList(0, 2)
+              .forEach(one -> one.setBehavior(EndpointBehavior.SILENT));
           return null;
         });
     long written = System.nanoTime();
@@ -228,7 +233,7 @@
     Files.writeString(token, SECRET + "-1\n");
     on(
         () -> {
-          registry.askFor(SECRET + "-1");
+          registry.requireToken(SECRET + "-1");
           return null;
         });
     put("a", EndpointState.UP);
@@ -237,16 +242,16 @@
     Files.writeString(token, SECRET + "-2\n");
     on(
         () -> {
-          registry.askFor(SECRET + "-2");
-          registry.endpoints().get(0).cut();
+          registry.requireToken(SECRET + "-2");
+          registry.endpoints().get(0).breakConnections();
           return null;
         });
     put("a", EndpointState.DRAINING);
     await(() -> is("a", EndpointState.DRAINING));
     on(
         () -> {
-          registry.askFor(SECRET + "-3");
-          registry.endpoints().get(0).cut();
+          registry.requireToken(SECRET + "-3");
+          registry.endpoints().get(0).breakConnections();
           return null;
         });
     await(() -> logged.stream().anyMatch(line -> line.contains("UNAUTHORISED")));
@@ -260,7 +265,7 @@
     Files.writeString(password, SECRET);
     on(
         () -> {
-          registry.askFor("given");
+          registry.requireToken("given");
           return null;
         });
     put("a", EndpointState.UP);
@@ -326,7 +331,7 @@
     put("a", EndpointState.UP);
     start(access(ProtocolKind.ETCD, trust, null, null, null, null));
     await(() -> logged.stream().anyMatch(line -> line.contains("UNTRUSTED")));
-    assertEquals(Map.of(), told.states());
+    assertEquals(Map.of(), told.endpointStates());
     Files.writeString(trust, Files.readString(folder.resolve("one.crt")));
     on(
         () -> {
@@ -392,7 +397,7 @@
     await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 1);
     on(
         () -> {
-          registry.endpoints().get(0).finish();
+          registry.endpoints().get(0).endWatches();
           return null;
         });
     put("a", EndpointState.DRAINING);
@@ -409,7 +414,7 @@
     on(
         () -> {
           source.close();
-          registry.endpoints().get(0).become(Way.REFUSES);
+          registry.endpoints().get(0).setBehavior(EndpointBehavior.REFUSES);
           return null;
         });
     told.endpointListStarted(EndpointListKind.FULL);
@@ -421,7 +426,7 @@
     put("a", EndpointState.DRAINING);
     on(
         () -> {
-          registry.endpoints().get(0).become(Way.ANSWERS);
+          registry.endpoints().get(0).setBehavior(EndpointBehavior.ANSWERS);
           return null;
         });
     await(() -> is("a", EndpointState.DRAINING));
@@ -460,7 +465,7 @@
     endpoints(1);
     on(
         () -> {
-          registry.endpoints().get(0).become(Way.REFUSES);
+          registry.endpoints().get(0).setBehavior(EndpointBehavior.REFUSES);
           return null;
         });
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
