--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -16,11 +16,11 @@
 import org.amberpath.lab.Demo;
 import org.amberpath.lab.ExperimentReport;
 import org.amberpath.lab.OverloadExperiment;
-import org.amberpath.lab.SeededRuns;
 import org.amberpath.lab.endpoints.EndpointsSizeExperiment;
 import org.amberpath.lab.leadership.LeadershipExperiment;
 import org.amberpath.lab.leadership.LeadershipModelExperiment;
 import org.amberpath.lab.leadership.LeadershipValueExperiment;
+import org.amberpath.lab.leadership.LeadershipVariant;
 import org.amberpath.lab.membership.MembershipExperiment;
 import org.amberpath.lab.membership.MembershipModelExperiment;
 import org.amberpath.lab.membership.MembershipSizeExperiment;
@@ -30,6 +30,7 @@
 import org.amberpath.lab.registry.RegistryModelExperiment;
 import org.amberpath.lab.registry.RegistrySizeExperiment;
 import org.amberpath.lab.registry.StandInRegistry;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.amberpath.registry.runtime.RegistrySettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -355,7 +356,7 @@
         description =
             "${COMPLETION-CANDIDATES}. All but the first are "
                 + "wrong, to see the model catch them. Default: ${DEFAULT-VALUE}.")
-    private LeadershipModelExperiment.LeadershipVariant way;
+    private LeadershipVariant way;
 
     @Override
     SeededRuns.Model model() {
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -149,7 +149,7 @@
     start("by = lease\n");
     await("somebody may try", () -> leaderOf("probe") >= 0);
     int owner = leaderOf("probe");
-    testbed.setCacheHung("e3", true);
+    testbed.hangCache("e3");
     await(
         "the others leave it to the owner",
         () -> {
@@ -164,7 +164,7 @@
     long calls = testbed.cacheRequestCount("e3") - before;
     assertTrue(calls <= 8, calls + " calls in 4 s by all");
     assertTrue(task(owner, "probe").getLong("done") > 0);
-    testbed.setCacheHung("e3", false);
+    testbed.resumeCache("e3");
     long back = testbed.cacheRequestCount("e3");
     await("it takes its part again", () -> testbed.cacheRequestCount("e3") - back > 40);
     assertRulesKept();
--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -7,88 +7,98 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * The main job, seen: a gateway among stand-ins, a cache that dies and one that is drained, and
- * what came of each GET.
+ * Shows what a gateway does: it serves among stand-ins while one cache crashes and one is drained,
+ * and how requests ended is printed.
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class Demo {
   private static final int REQUESTS_PER_SECOND = 200;
   private static final int CONNECTIONS = 8;
+  private static final int EDGE_CACHES = 4;
+  private static final long REQUEST_TIMEOUT_MILLIS = 1500;
+  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long MAX_DRAIN_NANOS = 300_000_000;
+  private static final String CRASHED = "e1";
+  private static final String DRAINED = "e2";
 
   private Demo() {}
 
+  /** Runs for so many seconds, and prints what happens. */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
+    long thirdMillis = seconds * 1000L / 3;
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
-      testbed.open(1, 4);
+      testbed.open(1, EDGE_CACHES);
       testbed.serve(
-          (vertx, endpointListener, chance) ->
+          (vertx, listener, random) ->
               new RegistrySource(
                   vertx,
                   testbed.registrySettings(RegistrySettings.ProtocolKind.ETCD),
-                  endpointListener,
-                  chance));
+                  listener,
+                  random));
       out.println(
           "a gateway at 127.0.0.1:"
-              + testbed.gateway.port()
+              + testbed.gatewayPort()
               + ", 4 edge caches, a hub, the origin; "
               + REQUESTS_PER_SECOND
               + " GETs/s for "
               + seconds
               + " s");
-      LoadGenerator loadGenerator =
-          new LoadGenerator(testbed.vertx, LabSettings.CLIPS, 1500, seed, ignored -> {});
-      LoopbackTestbed.await(
-          testbed.callOnLoop(
-              () -> loadGenerator.start(testbed.gateway.port(), CONNECTIONS, REQUESTS_PER_SECOND)));
-      Thread.sleep(seconds * 1000L / 3);
+      LoadGenerator loadGenerator = startClients(testbed, seed);
+      Thread.sleep(thirdMillis);
       out.println("cache e1 dies");
-      testbed.callOnLoop(
-          () -> {
-            testbed.caches.get("e1").close();
-            return null;
-          });
-      Thread.sleep(seconds * 1000L / 3);
+      testbed.runOnLoop(() -> testbed.cache(CRASHED).close());
+      Thread.sleep(thirdMillis);
       out.println("cache e2 is drained");
-      long drainedAtNanos =
-          testbed.callOnLoop(
-              () -> {
-                testbed.putCache("e2", EndpointState.DRAINING);
-                return System.nanoTime();
-              });
-      Thread.sleep(seconds * 1000L / 3);
-      testbed.callOnLoop(
-          () -> {
-            loadGenerator.stop();
-            return null;
-          });
-      Thread.sleep(1700);
-      testbed.callOnLoop(
+      long drainedAtNanos = drain(testbed);
+      Thread.sleep(thirdMillis);
+      testbed.runOnLoop(loadGenerator::stop);
+      Thread.sleep(LAST_ANSWER_MILLIS);
+      testbed.runOnLoop(
           () -> {
-            printTable(loadGenerator, testbed, out);
-            long lastRequestAfterNanos =
-                testbed.caches.get("e2").lastRequestNanos() - drainedAtNanos;
-            out.printf(
-                "last GET to e2 %.1f ms after its drain was written%n",
-                lastRequestAfterNanos / 1e6);
-            for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
-              result.figure(
-                  outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
-            }
-            result
-                .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
-                .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
-                .figure("drained_after_ms", lastRequestAfterNanos / 1_000_000)
-                .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
-                .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
-                .bar("nothing new 250 ms after a drain", lastRequestAfterNanos < 300_000_000);
-            return null;
+            long lastNanos = testbed.cache(DRAINED).lastRequestNanos();
+            print(loadGenerator, testbed, out);
+            report(loadGenerator, lastNanos - drainedAtNanos, out, result);
           });
     }
     return result;
   }
 
-  /** What an end means to who asked. */
+  private static LoadGenerator startClients(LoopbackTestbed testbed, long seed) throws Exception {
+    return testbed.startClients(
+        new LoadGenerator(
+            testbed.vertx(), LabSettings.CLIPS, REQUEST_TIMEOUT_MILLIS, seed, ignored -> {}),
+        CONNECTIONS,
+        REQUESTS_PER_SECOND);
+  }
+
+  private static long drain(LoopbackTestbed testbed) throws Exception {
+    return testbed.callOnLoop(
+        () -> {
+          testbed.putCache(DRAINED, EndpointState.DRAINING);
+          return System.nanoTime();
+        });
+  }
+
+  private static void report(
+      LoadGenerator loadGenerator,
+      long lastAfterDrainNanos,
+      PrintStream out,
+      ExperimentReport result) {
+    out.printf("last GET to e2 %.1f ms after its drain was written%n", lastAfterDrainNanos / 1e6);
+    for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
+      result.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
+    }
+    result
+        .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
+        .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
+        .figure("drained_after_ms", lastAfterDrainNanos / 1_000_000)
+        .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
+        .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
+        .bar("nothing new 250 ms after a drain", lastAfterDrainNanos < MAX_DRAIN_NANOS);
+  }
+
+  /** What an outcome means to the client. */
   private static String meaning(LoadGenerator.Outcome outcome) {
     return switch (outcome) {
       case RETURNED -> "a cache made it";
@@ -99,8 +109,7 @@
     };
   }
 
-  private static void printTable(
-      LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
+  private static void print(LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
       out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), meaning(outcome));
     }
@@ -109,13 +118,10 @@
         loadGenerator.latency().getValueAtPercentile(50) / 1e3,
         loadGenerator.latency().getValueAtPercentile(99) / 1e3,
         loadGenerator.latency().getMaxValue() / 1e3);
-    testbed
-        .caches
-        .values()
-        .forEach(
-            cache ->
-                out.printf(
-                    "  %-3s %6d GETs, %d from its own copies, gave %d parts%n",
-                    cache.id(), cache.requestCount(), cache.hitCount(), cache.fillCount()));
+    for (StandInCache cache : testbed.caches()) {
+      out.printf(
+          "  %-3s %6d GETs, %d from its own copies, gave %d parts%n",
+          cache.id(), cache.requestCount(), cache.hitCount(), cache.fillCount());
+    }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
+++ b/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
@@ -6,13 +6,13 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Waits, from a thread of an experiment's own, for what its event loop does. */
+/** Waits, on a thread of an experiment, for what its event loop does: 30 s at most. */
 public final class EventLoopWaiter {
   private static final long TIMEOUT_SECONDS = 30;
 
   private EventLoopWaiter() {}
 
-  /** Runs on the event loop, and waits for what comes of it. */
+  /** Runs on the event loop, and waits for the result. */
   public static <T> T callOnLoop(Vertx vertx, Callable<T> callable) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     vertx
@@ -28,6 +28,17 @@
     return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
+  /** Runs on the event loop, and waits until that is done. */
+  public static void runOnLoop(Vertx vertx, Runnable task) throws Exception {
+    callOnLoop(
+        vertx,
+        () -> {
+          task.run();
+          return null;
+        });
+  }
+
+  /** Waits for a future that completes on an event loop. */
   public static <T> T await(Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/LoadMessages.java
@@ -0,0 +1,73 @@
+package org.amberpath.lab;
+
+import io.vertx.core.buffer.Buffer;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.nio.charset.StandardCharsets;
+import java.util.Map;
+import org.msgpack.core.MessageBufferPacker;
+import org.msgpack.core.MessagePack;
+import org.msgpack.core.MessageUnpacker;
+
+/** The MessagePack-RPC messages of a {@link LoadGenerator}. */
+final class LoadMessages {
+  private static final int REQUEST = 0;
+  private static final int REQUEST_ELEMENTS = 4;
+  private static final int ARGUMENTS = 2;
+  private static final String REJECTED = "Overloaded";
+
+  /** How a response ends a request. */
+  enum Kind {
+    RETURNED,
+    REJECTED,
+    FAILED
+  }
+
+  /**
+   * A response.
+   *
+   * @param issuedAtMillis when the copy was issued (Unix time); 0 for what was not returned
+   */
+  record Response(long number, Kind kind, long issuedAtMillis) {}
+
+  private LoadMessages() {}
+
+  static Buffer request(long number, String trafficClass, Map<String, String> fields) {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer
+          .packArrayHeader(REQUEST_ELEMENTS)
+          .packInt(REQUEST)
+          .packLong(number)
+          .packString(trafficClass)
+          .packArrayHeader(ARGUMENTS)
+          .packMapHeader(fields.size());
+      for (Map.Entry<String, String> field : fields.entrySet()) {
+        packer.packString(field.getKey()).packString(field.getValue());
+      }
+      packer.packBinaryHeader(0);
+      return Buffer.buffer(packer.toByteArray());
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+
+  static Response response(byte[] bytes, int start, int end) {
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
+      unpacker.unpackArrayHeader();
+      unpacker.unpackInt();
+      long number = unpacker.unpackLong();
+      boolean succeeded = unpacker.tryUnpackNil();
+      unpacker.unpackArrayHeader();
+      if (!succeeded) {
+        Kind kind = unpacker.unpackString().equals(REJECTED) ? Kind.REJECTED : Kind.FAILED;
+        return new Response(number, kind, 0);
+      }
+      byte[] payload = unpacker.readPayload(unpacker.unpackBinaryHeader());
+      String body = new String(payload, StandardCharsets.ISO_8859_1);
+      return new Response(
+          number, Kind.RETURNED, Long.parseLong(body.substring(body.indexOf('@') + 1)));
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
+    }
+  }
+}
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -7,17 +7,20 @@
 import org.amberpath.registry.runtime.RegistrySource;
 
 /**
- * More GETs than a gateway can bear: first the rate is doubled until its loop is late, then three
- * times what it bore. Clients send on a schedule whatever comes back. The gateway has a quarter of
- * a core, so that the clients have enough.
+ * More requests than a gateway can bear: first the rate is doubled until its event loop is late,
+ * then three times the highest rate that it sustained. Clients send on a schedule whatever comes
+ * back. The gateway has a quarter of a core, so that the clients have enough.
  */
 @SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
 public final class OverloadExperiment {
   private static final int FIRST_RATE = 500;
   private static final int MAX_RATE = 16_000;
   private static final int CONNECTIONS = 192;
+  private static final int EDGE_CACHES = 4;
   private static final int OVERLOAD_MULTIPLE = 3;
   private static final int GATEWAY_CORE_DIVISOR = 4;
+  private static final long REQUEST_TIMEOUT_MILLIS = 1500;
+  private static final long LAST_ANSWER_MILLIS = 1700;
   private static final long TICK_MILLIS = 10;
   private static final long MAX_LATENCY_MICROS = 10_000_000;
   private static final long MAX_OVERLOADED_LAG_MICROS = 50_000;
@@ -27,16 +30,21 @@
 
   private OverloadExperiment() {}
 
-  /** What came of one rate. */
+  /** What was measured at one rate. */
   private record RateResult(
       int requestRate,
       double returnedPerSecond,
       double rejectedPerSecond,
       long lostCount,
       long loopLagMicros,
-      long latencyMicros) {}
+      long latencyMicros) {
+    private boolean isSustained() {
+      return returnedPerSecond >= MIN_SUSTAINED_SHARE * requestRate
+          && loopLagMicros <= MAX_SUSTAINED_LAG_MICROS;
+    }
+  }
 
-  /** Plays each rate for so many seconds. */
+  /** Runs each rate for so many seconds. */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
     RateResult sustained = null;
@@ -44,8 +52,7 @@
     measure(seed, FIRST_RATE, seconds, out);
     for (int rate = FIRST_RATE; rate <= MAX_RATE; rate *= 2) {
       RateResult measured = measure(seed, rate, seconds, out);
-      if (measured.returnedPerSecond < MIN_SUSTAINED_SHARE * rate
-          || measured.loopLagMicros > MAX_SUSTAINED_LAG_MICROS) {
+      if (!measured.isSustained()) {
         break;
       }
       sustained = measured;
@@ -74,59 +81,59 @@
   private static RateResult measure(long seed, int rate, int seconds, PrintStream out)
       throws Exception {
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
-      testbed.open(1, 4);
+      testbed.open(1, EDGE_CACHES);
       testbed.serve(
-          (vertx, endpointListener, chance) ->
+          (vertx, listener, random) ->
               new RegistrySource(
                   vertx,
                   testbed.registrySettings(RegistrySettings.ProtocolKind.ETCD),
-                  endpointListener,
-                  chance));
+                  listener,
+                  random));
       testbed.slowGatewayLoop(GATEWAY_CORE_DIVISOR);
       LoadGenerator loadGenerator =
-          new LoadGenerator(testbed.vertx, LabSettings.CLIPS, 1500, seed, ignored -> {});
-      LoopbackTestbed.await(
-          testbed.callOnLoop(() -> loadGenerator.start(testbed.gateway.port(), CONNECTIONS, rate)));
+          testbed.startClients(
+              new LoadGenerator(
+                  testbed.vertx(), LabSettings.CLIPS, REQUEST_TIMEOUT_MILLIS, seed, ignored -> {}),
+              CONNECTIONS,
+              rate);
       Thread.sleep(seconds * 500L); // Its code is cold at first.
-      long[] before = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
-      Histogram lag = new Histogram(MAX_LATENCY_MICROS, 3);
-      testbed.watchGatewayLoop(
-          TICK_MILLIS,
-          lateNanos ->
-              lag.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, lateNanos / 1000))));
-      Thread.sleep(seconds * 1000L);
-      long[] after = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
-      testbed.callOnLoop(
-          () -> {
-            loadGenerator.stop();
-            return null;
-          });
-      Thread.sleep(1700);
-      return testbed.callOnLoop(
-          () -> {
-            RateResult measured =
-                new RateResult(
-                    rate,
-                    (after[0] - before[0]) / (double) seconds,
-                    (after[1] - before[1]) / (double) seconds,
-                    loadGenerator.countOf(LoadGenerator.Outcome.LOST),
-                    lag.getValueAtPercentile(99),
-                    loadGenerator.latency().getValueAtPercentile(99));
-            out.printf(
-                Locale.ROOT,
-                "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f"
-                    + " ms%n",
-                rate,
-                measured.returnedPerSecond,
-                measured.rejectedPerSecond,
-                measured.lostCount,
-                measured.loopLagMicros / 1e3,
-                measured.latencyMicros / 1e3);
-            return measured;
-          });
+      RateResult measured = measure(testbed, loadGenerator, rate, seconds);
+      out.printf(
+          Locale.ROOT,
+          "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f ms%n",
+          rate,
+          measured.returnedPerSecond,
+          measured.rejectedPerSecond,
+          measured.lostCount,
+          measured.loopLagMicros / 1e3,
+          measured.latencyMicros / 1e3);
+      return measured;
     }
   }
 
+  private static RateResult measure(
+      LoopbackTestbed testbed, LoadGenerator loadGenerator, int rate, int seconds)
+      throws Exception {
+    long[] before = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
+    Histogram lag = new Histogram(MAX_LATENCY_MICROS, 3);
+    testbed.watchGatewayLoop(
+        TICK_MILLIS,
+        lateNanos -> lag.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, lateNanos / 1000))));
+    Thread.sleep(seconds * 1000L);
+    long[] after = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
+    testbed.runOnLoop(loadGenerator::stop);
+    Thread.sleep(LAST_ANSWER_MILLIS);
+    return testbed.callOnLoop(
+        () ->
+            new RateResult(
+                rate,
+                (after[0] - before[0]) / (double) seconds,
+                (after[1] - before[1]) / (double) seconds,
+                loadGenerator.countOf(LoadGenerator.Outcome.LOST),
+                lag.getValueAtPercentile(99),
+                loadGenerator.latency().getValueAtPercentile(99)));
+  }
+
   private static long[] outcomeCounts(LoadGenerator loadGenerator) {
     return new long[] {
       loadGenerator.countOf(LoadGenerator.Outcome.RETURNED),
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -6,7 +6,6 @@
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetServerOptions;
 import io.vertx.core.net.NetSocket;
-import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -26,8 +25,8 @@
  */
 public final class StandInCache implements AutoCloseable {
   /**
-   * What came to a cache: the request's id, its delivery service, the source to fill from, and
-   * whether it runs.
+   * A request that came to a cache: its id, its traffic class, the source to fill from, and whether
+   * it is executed.
    */
   public record ReceivedRequest(
       String cache, String request, String trafficClass, String source, boolean executes) {}
@@ -61,8 +60,8 @@
   private long connectionCount;
 
   /**
-   * A cache that answers a hit after answerMs and a miss after fillMs more, once its source has
-   * given the part.
+   * A cache that answers a hit after some milliseconds and a miss after some more, once its source
+   * has given the part.
    *
    * @param cachesById finds a source by its id
    */
@@ -98,29 +97,33 @@
             });
   }
 
-  /** Tells each GET as it comes. */
+  /** Tells each request as it comes. */
   public StandInCache withListener(Consumer<ReceivedRequest> listener) {
     this.listener = listener;
     return this;
   }
 
+  /** The id under which it is listed. */
   public String id() {
     return id;
   }
 
+  /** The address at which it listens. */
   public String address() {
     return host + ":" + port;
   }
 
-  /** When the last GET came, by System.nanoTime. */
+  /** When the last request came (nanoTime). */
   public long lastRequestNanos() {
     return lastRequestNanos;
   }
 
+  /** How many requests came. */
   public long requestCount() {
     return requestCount;
   }
 
+  /** How many were answered from a stored copy. */
   public long hitCount() {
     return hitCount;
   }
@@ -135,9 +138,14 @@
     return fillCount;
   }
 
-  /** Keeps all connections open and says nothing, or goes on. */
-  public void setHung(boolean hung) {
-    this.hung = hung;
+  /** Keeps all connections open, and answers nothing. */
+  public void hang() {
+    hung = true;
+  }
+
+  /** Answers again. */
+  public void resume() {
+    hung = false;
   }
 
   /** Drops an object's copies, as a purge does in its own time. */
@@ -145,7 +153,7 @@
     copies.keySet().removeIf(key -> key.startsWith(object + "/"));
   }
 
-  /** Dies: connections are reset, copies are gone. */
+  /** Crashes: connections are reset, copies are gone. */
   @Override
   public void close() {
     server.close();
@@ -183,61 +191,50 @@
   }
 
   private void requestReceived(
-      NetSocket socket, Set<String> openRequests, String request, String encodedFields) {
+      NetSocket socket, Set<String> openRequests, String requestId, String encodedFields) {
     lastRequestNanos = System.nanoTime();
     requestCount++;
-    Map<String, String> fields = new HashMap<>();
-    for (String field : encodedFields.split(",", -1)) {
-      int equals = field.indexOf('=');
-      if (equals > 0) {
-        fields.put(field.substring(0, equals), field.substring(equals + 1));
-      }
-    }
-    String key = fields.get("obj") + "/" + fields.get("seg");
-    long nowMillis = System.currentTimeMillis();
+    StandInCacheRequest request = new StandInCacheRequest(encodedFields);
+    String key = request.key();
     Long issuedAtMillis = copies.get(key);
-    long maxAgeMillis = Long.parseLong(fields.getOrDefault("within", "0"));
-    boolean hit =
-        issuedAtMillis != null && (maxAgeMillis == 0 || nowMillis - issuedAtMillis <= maxAgeMillis);
-    StandInCache source = cachesById.apply(fields.getOrDefault("miss", ""));
+    boolean hit = isFresh(issuedAtMillis, request.maxAgeMillis());
+    StandInCache source = cachesById.apply(request.source());
     listener.accept(
         new ReceivedRequest(
-            id,
-            request,
-            fields.get("kind"),
-            fields.getOrDefault("miss", ""),
-            hit || source != null));
+            id, requestId, request.trafficClass(), request.source(), hit || source != null));
     if (!hit && source == null) {
-      respond(socket, openRequests, request, "nothing", "res=n", "");
+      respond(socket, openRequests, requestId, "nothing", "res=n", "");
       return;
     }
     LongConsumer partReceived =
         filledAtMillis -> {
           if (hit) {
             hitCount++;
-          } else if (Integer.parseInt(fields.getOrDefault("prio", "0")) > 0) {
+          } else if (request.stores()) {
             copies.put(key, filledAtMillis);
           }
-          respond(
-              socket,
-              openRequests,
-              request,
-              "ok",
+          String result =
               "res="
                   + (hit ? "h" : "f")
                   + ",entity="
                   + Long.toHexString(filledAtMillis)
                   + ",issued="
-                  + filledAtMillis,
-              key + "@" + filledAtMillis);
+                  + filledAtMillis;
+          respond(socket, openRequests, requestId, "ok", result, key + "@" + filledAtMillis);
         };
     if (hit) {
       vertx.setTimer(hitMillis, timer -> partReceived.accept(issuedAtMillis));
     } else {
-      vertx.setTimer(hitMillis + fillMillis, timer -> source.fill(key, maxAgeMillis, partReceived));
+      vertx.setTimer(
+          hitMillis + fillMillis, timer -> source.fill(key, request.maxAgeMillis(), partReceived));
     }
   }
 
+  private static boolean isFresh(Long issuedAtMillis, long maxAgeMillis) {
+    return issuedAtMillis != null
+        && (maxAgeMillis == 0 || System.currentTimeMillis() - issuedAtMillis <= maxAgeMillis);
+  }
+
   /**
    * Gives a part to another one: its own copy if that is young enough, or as the origin gives it
    * out now.
@@ -245,11 +242,9 @@
   private void fill(String key, long maxAgeMillis, LongConsumer listener) {
     fillCount++;
     lastRequestNanos = System.nanoTime();
-    long nowMillis = System.currentTimeMillis();
     Long issuedAtMillis = copies.get(key);
     StandInCache origin = cachesById.apply("o0");
-    boolean holds =
-        issuedAtMillis != null && (maxAgeMillis == 0 || nowMillis - issuedAtMillis <= maxAgeMillis);
+    boolean holds = isFresh(issuedAtMillis, maxAgeMillis);
     if (!holds && origin != null && origin != this) {
       vertx.setTimer(
           fillMillis,
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -7,11 +7,13 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Random;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
@@ -115,7 +117,8 @@
         () -> {
           List<String> ids = caches.keySet().stream().sorted().toList();
           journal.announceCaches(
-              true, ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
+              StandInJournal.ListScope.FULL,
+              ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
           ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
           shuffle();
           return null;
@@ -125,7 +128,7 @@
   /** Half of them, in an order from the seed. */
   private void shuffle() {
     List<String> ids = new ArrayList<>(toReplace);
-    java.util.Collections.shuffle(ids, new java.util.Random(random.nextLong()));
+    Collections.shuffle(ids, new Random(random.nextLong()));
     toReplace.clear();
     toReplace.addAll(ids.subList(0, endpoints / 2));
   }
@@ -291,7 +294,7 @@
 
   /** Each change is an event of its own. */
   private void tell(Instance changed) {
-    journal.announceCaches(false, List.of(changed));
+    journal.announceCaches(StandInJournal.ListScope.CHANGES, List.of(changed));
   }
 
   // ---- What came of it.
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ObjectPopularity.java
@@ -0,0 +1,41 @@
+package org.amberpath.lab.fleet;
+
+import java.util.Arrays;
+import java.util.SplittableRandom;
+
+/** Which part of which object a client asks for: objects by Zipf's law, parts evenly. */
+final class ObjectPopularity {
+  static final int OBJECTS = 3000;
+  static final int PARTS_PER_OBJECT = 4;
+  private static final double ZIPF_EXPONENT = 0.9;
+
+  private final double[] cumulative = new double[OBJECTS];
+
+  ObjectPopularity() {
+    double sum = 0;
+    for (int index = 0; index < OBJECTS; index++) {
+      sum += 1 / Math.pow(index + 1, ZIPF_EXPONENT);
+      cumulative[index] = sum;
+    }
+  }
+
+  /** Draws a key: the object's number, from 1 on, and the part. */
+  long drawKey(SplittableRandom random) {
+    double drawn = random.nextDouble() * cumulative[OBJECTS - 1];
+    int found = Arrays.binarySearch(cumulative, drawn);
+    long object = 1L + (found < 0 ? -found - 1 : found);
+    return key(object, random.nextInt(PARTS_PER_OBJECT));
+  }
+
+  static long key(long object, int part) {
+    return object * PARTS_PER_OBJECT + part;
+  }
+
+  static long object(long key) {
+    return key / PARTS_PER_OBJECT;
+  }
+
+  static int part(long key) {
+    return (int) (key % PARTS_PER_OBJECT);
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeaderTasks.java
@@ -0,0 +1,107 @@
+package org.amberpath.lab.leadership;
+
+import java.util.Arrays;
+import java.util.SplittableRandom;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.leadership.Leadership;
+
+/**
+ * What one process does under its leaderships: it decides, looks again, and sends an effect; it may
+ * be paused between any two of these. It hands over once its last effect is over.
+ */
+final class LeaderTasks {
+  private static final int PAUSED_BEFORE_LOOKING_ONE_IN = 40;
+  private static final long MIN_INTERVAL_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+  private static final long MAX_INTERVAL_NANOS = 300 * Simulation.NANOS_PER_MILLI;
+  static final long MAX_PAUSE_NANOS = 6 * Simulation.NANOS_PER_SECOND;
+
+  private final LeadershipModel model;
+  private final Simulation simulation;
+  private final SimulatedCandidate candidate;
+  private final long[] effectsUntilNanos = new long[LeadershipModel.TASKS.size()];
+  private final boolean[] resigning = new boolean[LeadershipModel.TASKS.size()];
+
+  LeaderTasks(LeadershipModel model, SimulatedCandidate candidate) {
+    this.model = model;
+    simulation = model.simulation();
+    this.candidate = candidate;
+  }
+
+  void processRestarted() {
+    Arrays.fill(resigning, false);
+  }
+
+  /** Decides on the next effect of a task, and so on. */
+  void scheduleNext(int task) {
+    candidate.scheduleAfter(
+        simulation.random().nextLong(MIN_INTERVAL_NANOS, MAX_INTERVAL_NANOS),
+        () -> {
+          Leadership leadership = candidate.leadership(task);
+          if (mayAct(task, leadership)) {
+            long term = leadership.term();
+            // It may be paused between deciding and sending; it looks again, and may be paused
+            // after that, too.
+            runAfterPause(() -> lookAgainAndSend(task, leadership, term));
+          }
+          scheduleNext(task);
+        });
+  }
+
+  private boolean mayAct(int task, Leadership leadership) {
+    return leadership.isLeaderFor(candidate.localNanos(), LeadershipModel.EFFECT_NANOS)
+        && !resigning[task];
+  }
+
+  private void lookAgainAndSend(int task, Leadership leadership, long term) {
+    if (model.variant() != LeadershipVariant.NO_SECOND_LOOK
+        && !(leadership.isLeaderFor(candidate.localNanos(), LeadershipModel.EFFECT_NANOS)
+            && leadership.term() == term
+            && !resigning[task])) {
+      model.figures().effectAbandoned();
+    } else {
+      long effectEndsNanos = model.effects().send(candidate, task, term);
+      effectsUntilNanos[task] = Math.max(effectsUntilNanos[task], effectEndsNanos);
+    }
+  }
+
+  private void runAfterPause(Runnable task) {
+    SplittableRandom random = simulation.random();
+    if (simulation.faultsActive() && random.nextInt(PAUSED_BEFORE_LOOKING_ONE_IN) == 0) {
+      candidate.pauseAtLeastUntil(simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS));
+    }
+    candidate.schedule(Math.max(simulation.nowNanos(), candidate.pausedUntilNanos()), task);
+  }
+
+  /**
+   * Starts no new effect of a task, and hands over once the last one is over.
+   *
+   * @return when that is
+   */
+  long resign(int task) {
+    resigning[task] = true;
+    long idleFromNanos = Math.max(simulation.nowNanos(), effectsUntilNanos[task]);
+    candidate.schedule(idleFromNanos, () -> handOver(task));
+    return idleFromNanos;
+  }
+
+  /** Tells all others that it has stopped; the message may be late, or lost. */
+  private void handOver(int task) {
+    Leadership leadership = candidate.leadership(task);
+    if (leadership.isLeader(candidate.localNanos())
+        && simulation.nowNanos() >= effectsUntilNanos[task]) {
+      long term = leadership.term();
+      model.figures().handedOver();
+      for (SimulatedCandidate other : model.candidates()) {
+        if (other != candidate) {
+          other.deliver(
+              candidate.index(),
+              () ->
+                  other.change(
+                      task,
+                      () -> other.leadership(task).predecessorStopped(other.localNanos(), term)));
+        }
+      }
+    }
+    leadership.resign(candidate.localNanos());
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFaults.java
@@ -0,0 +1,175 @@
+package org.amberpath.lab.leadership;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.Random;
+import java.util.SplittableRandom;
+import java.util.stream.IntStream;
+import org.amberpath.lab.simulation.Simulation;
+
+/**
+ * What goes wrong in a run of the leadership model: crashes, pauses, partitions, cut links, wall
+ * clocks that step, power losses, an unavailable or restored registry; and operators who change the
+ * voters.
+ */
+final class LeadershipFaults {
+  private static final int KINDS = 9;
+  private static final int POWER_LOSS_ONE_IN = 6;
+  private static final long MAX_INTERVAL_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_PAUSE_NANOS = 8 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_CUT_NANOS = 8 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_PARTITION_NANOS = 12 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_AWAY_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MIN_DOWN_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final long MAX_DOWN_NANOS = 5 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_EXIT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
+  private static final long VOTER_CHECK_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_VOTER_UPDATE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+  private static final long NO_VOTER_CHANGE_NANOS = 10 * Simulation.NANOS_PER_SECOND;
+
+  private final LeadershipModel model;
+  private final Simulation simulation;
+  private final SplittableRandom random;
+
+  /** For how many checks in a row all have known the present voters. */
+  private int checksAllKnow = 1;
+
+  LeadershipFaults(LeadershipModel model) {
+    this.model = model;
+    simulation = model.simulation();
+    random = simulation.random();
+  }
+
+  /** Injects one fault, and schedules the next. */
+  void inject() {
+    if (!simulation.faultsActive()) {
+      return;
+    }
+    List<SimulatedCandidate> candidates = model.candidates();
+    SimulatedCandidate candidate = candidates.get(random.nextInt(candidates.size()));
+    switch (random.nextInt(KINDS)) {
+      case 0, 1 -> crash(candidate);
+      case 2, 3 -> pause(candidate);
+      case 4 -> resign(candidate, random.nextInt(LeadershipModel.TASKS.size()));
+      case 5 -> partition();
+      case 6 -> {
+        int to = random.nextInt(candidates.size());
+        model.links().cutFor(random.nextLong(MAX_CUT_NANOS), candidate.index(), to);
+      }
+      case 7 -> {
+        candidate.wallClockStepped();
+        if (random.nextInt(POWER_LOSS_ONE_IN) == 0) {
+          simulation.trace("all lose power");
+          candidates.forEach(this::crash);
+        }
+      }
+      default -> registryFault();
+    }
+    simulation.scheduleNextFault(MAX_INTERVAL_NANOS, this::inject);
+  }
+
+  private void pause(SimulatedCandidate candidate) {
+    candidate.pauseAtLeastUntil(simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS));
+    simulation.trace(
+        candidate.name()
+            + " stands still for "
+            + (candidate.pausedUntilNanos() - simulation.nowNanos()) / Simulation.NANOS_PER_MILLI
+            + " ms");
+  }
+
+  private void resign(SimulatedCandidate candidate, int task) {
+    if (candidate.isRunning()
+        && !candidate.isPaused()
+        && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
+      simulation.trace(candidate.name() + " lets " + LeadershipModel.TASKS.get(task) + " go");
+      long idleFromNanos = candidate.tasks().resign(task);
+      candidate.schedule(idleFromNanos + random.nextLong(MAX_EXIT_NANOS), () -> crash(candidate));
+    }
+  }
+
+  private void registryFault() {
+    if (model.byRegistry() && model.registryKeys().isAvailable()) {
+      if (random.nextBoolean()) {
+        model.registryKeys().restoreFromBackup();
+      } else {
+        model.registryKeys().makeUnavailableFor(random.nextLong(MAX_AWAY_NANOS));
+      }
+    }
+  }
+
+  private void crash(SimulatedCandidate candidate) {
+    if (candidate.isRunning()) {
+      simulation.trace(candidate.name() + " is killed");
+      candidate.stop();
+      candidate.wallClockMayGoBack();
+      long crashedIncarnation = candidate.incarnation();
+      simulation.after(
+          random.nextLong(MIN_DOWN_NANOS, MAX_DOWN_NANOS),
+          () -> {
+            if (candidate.incarnation() == crashedIncarnation && !candidate.isRunning()) {
+              candidate.pauseUntil(0);
+              candidate.restart();
+            }
+          });
+    }
+  }
+
+  private void partition() {
+    int count = model.candidates().size();
+    List<Integer> shuffled = new ArrayList<>(IntStream.range(0, count).boxed().toList());
+    Collections.shuffle(shuffled, new Random(random.nextLong()));
+    List<Integer> oneSide = shuffled.subList(0, 1 + random.nextInt(count - 1));
+    simulation.trace("a partition: " + oneSide);
+    boolean[] side = new boolean[count];
+    oneSide.forEach(index -> side[index] = true);
+    model.links().partitionFor(random.nextLong(MAX_PARTITION_NANOS), side);
+  }
+
+  /**
+   * The operators set the next voters, each gateway in its own time; the ones after come a lease
+   * after all have them. Guards against a leader that was elected by the voters before, in the last
+   * moment.
+   */
+  void advanceVoters() {
+    VoterStages voters = model.voters();
+    if (!voters.isLast()
+        && simulation.nowNanos() < simulation.faultsUntilNanos() - NO_VOTER_CHANGE_NANOS) {
+      boolean allKnow =
+          model.candidates().stream()
+              .allMatch(
+                  candidate ->
+                      !candidate.isRunning() || candidate.voterStage() == voters.current());
+      checksAllKnow = allKnow ? checksAllKnow + 1 : 0;
+      if (checksAllKnow > 1) {
+        checksAllKnow = 0;
+        voters.advance();
+        simulation.trace("the electorate becomes " + voters.at(voters.current()));
+        model
+            .candidates()
+            .forEach(
+                candidate ->
+                    candidate.scheduleAfter(
+                        random.nextLong(MAX_VOTER_UPDATE_NANOS), candidate::updateVoters));
+      }
+      simulation.after(VOTER_CHECK_NANOS, this::advanceVoters);
+    }
+  }
+
+  /** Ends all faults: links are restored, all run, and know the last voters. */
+  void end() {
+    simulation.trace("calm");
+    model.links().restoreAll();
+    model.voters().skipToLast();
+    model
+        .candidates()
+        .forEach(
+            candidate -> {
+              candidate.pauseUntil(Math.min(candidate.pausedUntilNanos(), simulation.nowNanos()));
+              if (!candidate.isRunning()) {
+                candidate.restart();
+              }
+              candidate.updateVoters();
+            });
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipFigures.java
@@ -0,0 +1,55 @@
+package org.amberpath.lab.leadership;
+
+import java.util.Map;
+
+/** What is counted in one run of the leadership model. */
+final class LeadershipFigures {
+  private long effectsSent;
+  private long effectsRejected;
+  private long effectsOverlapping;
+  private long effectsAbandoned;
+  private long handovers;
+  private long termsWon;
+  private long higherTermsSeen;
+
+  void effectSent() {
+    effectsSent++;
+  }
+
+  void effectRejected() {
+    effectsRejected++;
+  }
+
+  void effectsOverlapped() {
+    effectsOverlapping++;
+  }
+
+  void effectAbandoned() {
+    effectsAbandoned++;
+  }
+
+  void handedOver() {
+    handovers++;
+  }
+
+  void termWon() {
+    termsWon++;
+  }
+
+  void higherTermSeen() {
+    higherTermsSeen++;
+  }
+
+  /** The figures under the names that reports have for them. */
+  Map<String, Long> report(long steps) {
+    return Map.of(
+        "steps", steps,
+        "acts", effectsSent,
+        "refused", effectsRejected,
+        "acts_in_the_window", effectsOverlapping,
+        "dropped", effectsAbandoned,
+        "handed_over", handovers,
+        "terms", termsWon,
+        "outranked", higherTermsSeen);
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipInvariants.java
@@ -0,0 +1,107 @@
+package org.amberpath.lab.leadership;
+
+import java.util.List;
+import org.amberpath.lab.simulation.InvariantViolation;
+import org.amberpath.lab.simulation.Simulation;
+
+/**
+ * What must hold after each step of the leadership model: one leader of a task at most, none
+ * without a majority of voters within the last lease, and in the calm no task without a leader for
+ * longer than a succession may take.
+ */
+final class LeadershipInvariants {
+  private final LeadershipModel model;
+  private final Simulation simulation;
+  private final long[] vacantSinceNanos = new long[LeadershipModel.TASKS.size()];
+  private long longestVacancyNanos;
+
+  LeadershipInvariants(LeadershipModel model) {
+    this.model = model;
+    simulation = model.simulation();
+  }
+
+  /** Checks them; throws {@link InvariantViolation}. */
+  void check() {
+    boolean majority = model.byRegistry() || majorityCouldVote();
+    for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
+      int leaderCount = 0;
+      StringBuilder leaders = new StringBuilder();
+      for (SimulatedCandidate candidate : model.candidates()) {
+        if (candidate.isLeader(task)) {
+          leaderCount++;
+          leaders
+              .append(' ')
+              .append(candidate.name())
+              .append(" under ")
+              .append(candidate.leadership(task).term());
+        }
+      }
+      String name = LeadershipModel.TASKS.get(task);
+      if (leaderCount > 1) {
+        throw new InvariantViolation("two hold " + name + ":" + leaders);
+      }
+      if (leaderCount > 0 && !majority) {
+        throw new InvariantViolation(
+            "no majority of voters within a lease, and" + leaders + " holds " + name);
+      }
+      if (simulation.nowNanos() > simulation.faultsUntilNanos()) {
+        checkVacancy(task, leaderCount > 0);
+      }
+    }
+  }
+
+  private void checkVacancy(int task, boolean hasLeader) {
+    long nowNanos = simulation.nowNanos();
+    if (hasLeader) {
+      vacantSinceNanos[task] = 0;
+    } else if (vacantSinceNanos[task] == 0) {
+      vacantSinceNanos[task] = nowNanos;
+    }
+    if (vacantSinceNanos[task] != 0) {
+      longestVacancyNanos = Math.max(longestVacancyNanos, nowNanos - vacantSinceNanos[task]);
+    }
+    if (longestVacancyNanos > LeadershipModel.MAX_VACANCY_NANOS
+        && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
+      throw new InvariantViolation(
+          "calm, and "
+              + LeadershipModel.TASKS.get(task)
+              + " had no owner for "
+              + longestVacancyNanos / Simulation.NANOS_PER_MILLI
+              + " ms");
+    }
+  }
+
+  /** Whether a majority of voters could vote at some time within the last lease. */
+  private boolean majorityCouldVote() {
+    long sinceNanos =
+        simulation.nowNanos() - LeadershipModel.TIMINGS.longestNanos(LeadershipModel.LEASE_NANOS);
+    List<String> couldVote =
+        model.candidates().stream()
+            .filter(candidate -> candidate.couldVoteSince(sinceNanos))
+            .map(SimulatedCandidate::name)
+            .toList();
+    return model.voters().isMajority(couldVote);
+  }
+
+  /** Checks, at the end of the calm, that each task has one leader. */
+  void checkEnd() {
+    for (int task = 0; task < LeadershipModel.TASKS.size(); task++) {
+      int taskIndex = task;
+      long leaders =
+          model.candidates().stream().filter(candidate -> candidate.isLeader(taskIndex)).count();
+      if (leaders != 1 && model.variant() != LeadershipVariant.LOWEST_ALIVE) {
+        throw new InvariantViolation(
+            "calm, and "
+                + LeadershipModel.TASKS.get(task)
+                + " has "
+                + leaders
+                + " owners: "
+                + model.candidates().stream()
+                    .map(
+                        candidate ->
+                            candidate.isRunning() ? candidate.leadership(taskIndex).state() : null)
+                    .toList());
+      }
+    }
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/leadership/VoterStages.java
@@ -0,0 +1,67 @@
+package org.amberpath.lab.leadership;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.amberpath.leadership.VoterConfiguration;
+
+/**
+ * The voter configurations that operators set one after the other in a run, and the present one.
+ */
+final class VoterStages {
+  private static final int MIN_GATEWAYS_TO_CHANGE = 5;
+  private static final int VOTERS = 3;
+  private static final int MORE_VOTERS = 5;
+
+  private final List<VoterConfiguration> stages;
+  private int current;
+
+  private VoterStages(List<VoterConfiguration> stages) {
+    this.stages = stages;
+  }
+
+  /** Draws three or five voters, and whether they change: first, joint, next. */
+  static VoterStages draw(List<String> names, SplittableRandom random) {
+    boolean enough = names.size() >= MIN_GATEWAYS_TO_CHANGE;
+    List<String> first = names.subList(0, enough && random.nextBoolean() ? MORE_VOTERS : VOTERS);
+    VoterConfiguration firstStage = new VoterConfiguration(first, List.of());
+    if (!enough || !random.nextBoolean()) {
+      return new VoterStages(List.of(firstStage));
+    }
+    List<String> next = names.subList(names.size() - VOTERS, names.size());
+    return new VoterStages(
+        List.of(
+            firstStage,
+            new VoterConfiguration(first, next),
+            new VoterConfiguration(next, List.of())));
+  }
+
+  VoterConfiguration at(int stage) {
+    return stages.get(stage);
+  }
+
+  int current() {
+    return current;
+  }
+
+  boolean change() {
+    return stages.size() > 1;
+  }
+
+  boolean isLast() {
+    return current + 1 == stages.size();
+  }
+
+  void advance() {
+    current++;
+  }
+
+  void skipToLast() {
+    current = stages.size() - 1;
+  }
+
+  /** Whether these are a majority of the present configuration, or of the one before it. */
+  boolean isMajority(List<String> names) {
+    return stages.get(current).isMajority(names)
+        || (current > 0 && stages.get(current - 1).isMajority(names));
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -0,0 +1,96 @@
+package org.amberpath.lab.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.amberpath.lab.simulation.LinkMatrix;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.membership.GossipMessage;
+
+/**
+ * Carries datagrams between simulated members: they are lost, late and doubled, links are cut, and
+ * recorded ones are sent again by a stranger.
+ */
+final class DatagramNetwork {
+  private static final long ORDINARY_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
+  private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI / 5;
+  private static final long SHORT_DELAY_NANOS = 5 * Simulation.NANOS_PER_MILLI;
+  private static final double MAX_LOSS_RATE = 0.3;
+  private static final double MAX_DUPLICATION_RATE = 0.2;
+  private static final int MAX_RECORDED = 300;
+  private static final int RECORDED_ONE_IN = 20;
+  private static final int REPLAYED_MESSAGES = 60;
+
+  private final Simulation simulation;
+  private final SplittableRandom random;
+  private final LinkMatrix links;
+  private final List<SimulatedMember> members;
+  private final List<GossipMessage> recorded = new ArrayList<>();
+  private double lossRate;
+  private double duplicationRate;
+  private long maxDelayNanos = ORDINARY_DELAY_NANOS;
+
+  DatagramNetwork(Simulation simulation, LinkMatrix links, List<SimulatedMember> members) {
+    this.simulation = simulation;
+    random = simulation.random();
+    this.links = links;
+    this.members = members;
+  }
+
+  void send(SimulatedMember sender, SimulatedMember recipient, GossipMessage message) {
+    record(message);
+    if (links.isCut(sender.index(), recipient.index()) || random.nextDouble() < lossRate) {
+      return;
+    }
+    int copies = random.nextDouble() < duplicationRate ? 2 : 1;
+    for (int copy = 0; copy < copies; copy++) {
+      int generation = recipient.generation();
+      simulation.after(
+          MIN_DELAY_NANOS + random.nextLong(maxDelayNanos),
+          () -> recipient.receive(generation, message));
+    }
+  }
+
+  private void record(GossipMessage message) {
+    if (recorded.size() < MAX_RECORDED || random.nextInt(RECORDED_ONE_IN) == 0) {
+      recorded.add(message);
+      if (recorded.size() > MAX_RECORDED) {
+        recorded.remove(random.nextInt(recorded.size()));
+      }
+    }
+  }
+
+  /** Draws new rates of loss and duplication, and a new longest delay. */
+  void drawConditions() {
+    lossRate = random.nextDouble() * MAX_LOSS_RATE;
+    duplicationRate = random.nextDouble() * MAX_DUPLICATION_RATE;
+    maxDelayNanos =
+        1 + random.nextLong(random.nextBoolean() ? Simulation.NANOS_PER_SECOND : SHORT_DELAY_NANOS);
+    simulation.trace(
+        "loss "
+            + lossRate
+            + ", delays up to "
+            + maxDelayNanos / Simulation.NANOS_PER_MILLI
+            + " ms");
+  }
+
+  /** A stranger sends old datagrams again, to any member. */
+  void replayRecorded() {
+    for (int count = 0; count < REPLAYED_MESSAGES && !recorded.isEmpty(); count++) {
+      GossipMessage message = recorded.get(random.nextInt(recorded.size()));
+      SimulatedMember target = members.get(random.nextInt(members.size()));
+      int generation = target.generation();
+      simulation.after(
+          random.nextLong(Simulation.NANOS_PER_SECOND), () -> target.receive(generation, message));
+    }
+    simulation.trace("old datagrams are sent again");
+  }
+
+  /** Nothing is lost, doubled or late from now on, and all links pass. */
+  void restore() {
+    lossRate = 0;
+    duplicationRate = 0;
+    maxDelayNanos = ORDINARY_DELAY_NANOS;
+    links.restoreAll();
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipFaults.java
@@ -0,0 +1,137 @@
+package org.amberpath.lab.membership;
+
+import java.util.List;
+import java.util.SplittableRandom;
+import org.amberpath.lab.simulation.LinkMatrix;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.membership.SwimProtocol;
+
+/**
+ * What goes wrong in a run of the membership model: crashes, starts with no memory, leaves, pauses,
+ * partitions, lossy links, replayed datagrams, links cut one way.
+ */
+final class MembershipFaults {
+  private static final int KINDS = 10;
+  private static final int SEED_MEMBERS = 3;
+  private static final long MAX_INTERVAL_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_PAUSE_NANOS = 12 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_PARTITION_NANOS = 15 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_CUT_NANOS = 10 * Simulation.NANOS_PER_SECOND;
+
+  private final MembershipModel model;
+  private final LinkMatrix links;
+  private final Simulation simulation;
+  private final SplittableRandom random;
+
+  MembershipFaults(MembershipModel model, LinkMatrix links) {
+    this.model = model;
+    this.links = links;
+    simulation = model.simulation();
+    random = simulation.random();
+  }
+
+  /** Injects one fault, and schedules the next. */
+  void inject() {
+    if (model.isCalm()) {
+      return;
+    }
+    model.figures().faultInjected();
+    model.noteStarts();
+    List<SimulatedMember> members = model.members();
+    SimulatedMember member = members.get(random.nextInt(members.size()));
+    switch (random.nextInt(KINDS)) {
+      case 0, 1 -> {
+        if (mayEnd(member)) {
+          simulation.trace(member.name() + " is killed");
+          member.crash();
+        }
+      }
+      case 2, 3 -> {
+        if (mayStart(member)) {
+          simulation.trace(member.name() + " starts");
+          member.restartUnpaused();
+        }
+      }
+      case 4 -> {
+        if (mayEnd(member)) {
+          simulation.trace(member.name() + " leaves");
+          member.leave();
+        }
+      }
+      case 5 -> pause(member);
+      case 6 -> partitionIfAllowed();
+      case 7 -> model.network().drawConditions();
+      case 8 -> model.network().replayRecorded();
+      default -> cutOneWay(member);
+    }
+    simulation.scheduleNextFault(MAX_INTERVAL_NANOS, this::inject);
+  }
+
+  private boolean mayEnd(SimulatedMember member) {
+    return member.isRunning() && model.runningNames().size() > 1;
+  }
+
+  /**
+   * Beyond the expected size a process that remembers nothing must find those before it as one
+   * fleet.
+   */
+  private boolean mayStart(SimulatedMember member) {
+    boolean joinsLate = model.isBeyondExpected(member) && member.generation() == 0;
+    return !member.isRunning()
+        && (!model.grows() || (!model.hasGrown() && !joinsLate) || (joinsLate && allSettled()));
+  }
+
+  private boolean allSettled() {
+    return model.members().stream()
+        .allMatch(
+            member ->
+                !member.isRunning() || member.protocol().phase() == SwimProtocol.Phase.SETTLED);
+  }
+
+  /**
+   * Beyond the expected size shares are promised to those alone that were admitted before; and a
+   * member that is cut off can't refute false updates.
+   */
+  private boolean mayPartition() {
+    return !model.hasFaultyMember()
+        && (!model.hasGrown()
+            || model.members().stream()
+                .allMatch(member -> !member.isRunning() || member.protocol().quotaShare() > 0));
+  }
+
+  private void pause(SimulatedMember member) {
+    member.pauseUntil(
+        Math.min(
+            simulation.nowNanos() + random.nextLong(MAX_PAUSE_NANOS),
+            simulation.faultsUntilNanos()));
+    simulation.trace(member.name() + " stands still");
+  }
+
+  private void partitionIfAllowed() {
+    if (!mayPartition()) {
+      return;
+    }
+    boolean[] side = new boolean[model.members().size()];
+    for (int index = 0; index < side.length; index++) {
+      side[index] = random.nextBoolean();
+    }
+    simulation.trace("a partition");
+    links.partitionFor(random.nextLong(MAX_PARTITION_NANOS), side);
+  }
+
+  private void cutOneWay(SimulatedMember from) {
+    int to = random.nextInt(model.members().size());
+    simulation.trace("from " + from.name() + " to g" + to + " nothing comes through");
+    links.cutFor(random.nextLong(MAX_CUT_NANOS), from.index(), to);
+  }
+
+  /** Ends all faults. Where all seed members are down nobody could be found: the first starts. */
+  void end() {
+    model.faultsEnded();
+    model.network().restore();
+    simulation.trace("calm");
+    if (model.members().stream().limit(SEED_MEMBERS).noneMatch(SimulatedMember::isRunning)) {
+      model.members().get(0).restartUnpaused();
+    }
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/membership/MembershipObserver.java
@@ -0,0 +1,161 @@
+package org.amberpath.lab.membership;
+
+import io.vertx.core.json.JsonObject;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.stream.Stream;
+import org.HdrHistogram.Histogram;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.testbed.GatewaySlot;
+import org.amberpath.lab.testbed.ProcessTestbed;
+
+/**
+ * Looks at the views of all gateways of an experiment: the sum of their shares, how soon a crash is
+ * known, and whether one that runs is called lost.
+ */
+final class MembershipObserver {
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long FAULT_FREE_NANOS = 15_000 * NANOS_PER_MILLI;
+  private static final long MAX_HEARD_MILLIS = 60_000;
+  private static final String LOST = "lost";
+  private static final String LEFT = "left";
+
+  private final ProcessTestbed testbed;
+  private final int gateways;
+  private final Histogram crashHeardMillis = new Histogram(MAX_HEARD_MILLIS, 3);
+
+  /** Of each gateway, when it was killed; 0 once all know it, or it has started again. */
+  private final long[] killedAtNanos;
+
+  private long lastFaultNanos;
+  private long observations;
+  private double maxShareSum;
+
+  MembershipObserver(ProcessTestbed testbed, int gateways) {
+    this.testbed = testbed;
+    this.gateways = gateways;
+    killedAtNanos = new long[gateways];
+  }
+
+  void killed(int gateway) {
+    killedAtNanos[gateway] = System.nanoTime();
+  }
+
+  void restarted(int gateway) {
+    killedAtNanos[gateway] = 0;
+  }
+
+  /** A fault has begun, that lasts so long. */
+  void faultBegan(long durationMillis) {
+    lastFaultNanos = Math.max(lastFaultNanos, System.nanoTime() + durationMillis * NANOS_PER_MILLI);
+  }
+
+  double maxShareSum() {
+    return maxShareSum;
+  }
+
+  /** Looks at all views once. */
+  void observe() {
+    double shareSum = 0;
+    long nowNanos = System.nanoTime();
+    observations++;
+    for (GatewaySlot slot : testbed.slots()) {
+      JsonObject view = slot.view();
+      if (view != null && slot.isRunning()) {
+        shareSum += view.getDouble("part");
+        checkLosses(slot, view, nowNanos);
+      }
+    }
+    maxShareSum = Math.max(maxShareSum, shareSum);
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      if (killedAtNanos[gateway] != 0 && allKnowGone(gateway)) {
+        long heardMillis = (nowNanos - killedAtNanos[gateway]) / NANOS_PER_MILLI;
+        crashHeardMillis.recordValue(Math.min(MAX_HEARD_MILLIS, heardMillis));
+        killedAtNanos[gateway] = 0;
+      }
+    }
+  }
+
+  private static Stream<JsonObject> members(JsonObject view) {
+    return view.getJsonArray("gateways").stream().map(JsonObject.class::cast);
+  }
+
+  private void checkLosses(GatewaySlot slot, JsonObject view, long nowNanos) {
+    members(view)
+        .filter(member -> member.getString("standing").equals(LOST))
+        .map(member -> Integer.parseInt(member.getString("name").substring(1)))
+        .map(index -> testbed.slots().get(index))
+        .filter(lost -> isFaultFree(slot, nowNanos) && isFaultFree(lost, nowNanos))
+        .forEach(
+            lost ->
+                testbed
+                    .auditor()
+                    .violation(slot.name() + " calls " + lost.name() + " lost, which runs"));
+  }
+
+  private boolean isFaultFree(GatewaySlot slot, long nowNanos) {
+    return slot.isRunning()
+        && nowNanos - slot.runningSinceNanos() > FAULT_FREE_NANOS
+        && nowNanos - lastFaultNanos > FAULT_FREE_NANOS;
+  }
+
+  private boolean allKnowGone(int gateway) {
+    String name = "g" + gateway;
+    return testbed.slots().stream()
+        .filter(slot -> slot.view() != null && slot.isRunning())
+        .flatMap(slot -> members(slot.view()))
+        .filter(member -> member.getString("name").equals(name))
+        .map(member -> member.getString("standing"))
+        .allMatch(status -> status.equals(LOST) || status.equals(LEFT));
+  }
+
+  /** Whether every gateway runs, has settled, and knows all. */
+  boolean allViewsComplete() {
+    return testbed.slots().stream().allMatch(this::isViewComplete);
+  }
+
+  private boolean isViewComplete(GatewaySlot slot) {
+    JsonObject view = slot.view();
+    return slot.isRunning()
+        && view != null
+        && view.getString("phase").equals("settled")
+        && presentNames(view).size() == gateways;
+  }
+
+  private static Set<String> presentNames(JsonObject view) {
+    Set<String> names = new TreeSet<>();
+    names.add(view.getString("name"));
+    members(view)
+        .filter(
+            member ->
+                member.getString("standing").equals("alive")
+                    || member.getString("standing").equals("suspected"))
+        .forEach(member -> names.add(member.getString("name")));
+    return names;
+  }
+
+  /** The views that are not complete. */
+  String describeIncompleteViews() {
+    return testbed.slots().stream()
+        .filter(slot -> !isViewComplete(slot))
+        .map(slot -> slot.name() + " " + describe(slot.view()))
+        .toList()
+        .toString();
+  }
+
+  private static String describe(JsonObject view) {
+    return view == null ? "no view" : view.getString("phase") + " " + presentNames(view);
+  }
+
+  /** Adds how soon crashes were known. */
+  void reportCrashes(ExperimentReport result) {
+    result
+        .figure("heard_of_a_kill_p50_ms", crashHeardMillis.getValueAtPercentile(50))
+        .figure("heard_of_a_kill_max_ms", crashHeardMillis.getMaxValue())
+        .figure("kills_heard_of", crashHeardMillis.getTotalCount());
+  }
+
+  long observations() {
+    return observations;
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/membership/SimulatedMember.java
@@ -0,0 +1,214 @@
+package org.amberpath.lab.membership;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import org.amberpath.lab.simulation.InvariantViolation;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.membership.GossipMessage;
+import org.amberpath.membership.MemberStatus;
+import org.amberpath.membership.MemberUpdate;
+import org.amberpath.membership.ReplayFilter;
+import org.amberpath.membership.SwimProtocol;
+
+/** One gateway of the membership model: the process that runs under its name, if one does. */
+final class SimulatedMember implements SwimProtocol.Output {
+  private static final long TICK_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+  private static final int MAX_DATAGRAMS_PER_SECOND = 200;
+  private static final int FALSE_UPDATE_ONE_IN = 4;
+  private static final int MAX_INCARNATION_ERROR = 5;
+  private static final List<String> SEED_ADDRESSES = List.of("a0", "a1", "a2");
+
+  private final MembershipModel model;
+  private final Simulation simulation;
+  private final int index;
+  private final String name;
+  private final String address;
+  private SwimProtocol protocol;
+  private ReplayFilter replayFilter;
+
+  /** Counts the processes of this name: datagrams and ticks of an older one go nowhere. */
+  private int generation;
+
+  private long pausedUntilNanos;
+  private long currentSecond;
+  private long sentInSecond;
+
+  SimulatedMember(MembershipModel model, int index) {
+    this.model = model;
+    simulation = model.simulation();
+    this.index = index;
+    name = "g" + index;
+    address = "a" + index;
+  }
+
+  int index() {
+    return index;
+  }
+
+  String name() {
+    return name;
+  }
+
+  int generation() {
+    return generation;
+  }
+
+  boolean isRunning() {
+    return protocol != null;
+  }
+
+  /** What it knows of the fleet; null while no process runs. */
+  SwimProtocol protocol() {
+    return protocol;
+  }
+
+  /** Starts a process, which is not paused. */
+  void restartUnpaused() {
+    pausedUntilNanos = 0;
+    restart();
+  }
+
+  /** Starts a process. */
+  void restart() {
+    generation++;
+    SplittableRandom random = simulation.random();
+    // Its clock is all that a process remembers of the starts before it, and the clock may have
+    // gone back.
+    long incarnation =
+        Math.max(
+            1,
+            (simulation.nowNanos() - Simulation.EPOCH_NANOS) / Simulation.NANOS_PER_SECOND
+                + random.nextInt(-MAX_INCARNATION_ERROR, MAX_INCARNATION_ERROR));
+    long instanceId = random.nextLong();
+    replayFilter =
+        new ReplayFilter(instanceId, model.timings().probeIntervalNanos(), simulation.nowNanos());
+    protocol =
+        new SwimProtocol(
+            model.timings(),
+            new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name),
+            SEED_ADDRESSES,
+            random.nextLong(),
+            simulation.nowNanos(),
+            this);
+    int started = generation;
+    simulation.after(random.nextLong(TICK_NANOS), () -> tick(started));
+  }
+
+  /** Ends the process at once. */
+  void crash() {
+    protocol = null;
+  }
+
+  /** Ends the process after it has told the others. */
+  void leave() {
+    protocol.leave(simulation.nowNanos());
+    protocol = null;
+  }
+
+  /** Has the process do nothing until a time. */
+  void pauseUntil(long timeNanos) {
+    pausedUntilNanos = timeNanos;
+  }
+
+  private void tick(int ofGeneration) {
+    if (ofGeneration == generation && protocol != null) {
+      long nowNanos = simulation.nowNanos();
+      if (pausedUntilNanos <= nowNanos) {
+        protocol.tick(nowNanos);
+      }
+      simulation
+          .scheduler()
+          .schedule(Math.max(nowNanos + TICK_NANOS, pausedUntilNanos), () -> tick(ofGeneration));
+    }
+  }
+
+  @Override
+  public void send(String recipientAddress, GossipMessage message) {
+    GossipMessage sent = model.sendsFalseUpdates(this) ? withFalseUpdate(message) : message;
+    long second = simulation.nowNanos() / Simulation.NANOS_PER_SECOND;
+    sentInSecond = second == currentSecond ? sentInSecond + 1 : 1;
+    currentSecond = second;
+    model.figures().datagramSent(sentInSecond);
+    if (sentInSecond > MAX_DATAGRAMS_PER_SECOND) {
+      throw new InvariantViolation(name + " sent " + sentInSecond + " datagrams in a second");
+    }
+    if (sent.updates().size() > model.timings().maxUpdatesPerMessage()) {
+      throw new InvariantViolation(name + " sent " + sent.updates().size() + " rumours at once");
+    }
+    model.network().send(this, model.member(recipientAddress), sent);
+  }
+
+  /** Takes a datagram that was meant for a process of this name; it waits while that is paused. */
+  void receive(int forGeneration, GossipMessage message) {
+    if (forGeneration != generation || protocol == null) {
+      return;
+    }
+    long nowNanos = simulation.nowNanos();
+    if (pausedUntilNanos > nowNanos) {
+      simulation.scheduler().schedule(pausedUntilNanos, () -> receive(forGeneration, message));
+    } else if (replayFilter.tryExamine(nowNanos)) {
+      switch (replayFilter.check(nowNanos, message)) {
+        case TAKEN -> protocol.messageReceived(nowNanos, message);
+        case GREETED -> protocol.greet(nowNanos, message.sender());
+        default -> model.figures().datagramRejected();
+      }
+    }
+  }
+
+  /** Says of another, which it knows to run, that it is gone. */
+  private GossipMessage withFalseUpdate(GossipMessage message) {
+    SplittableRandom random = simulation.random();
+    List<SwimProtocol.ObservedMember> observed = protocol.otherMembers();
+    if (observed.isEmpty()
+        || random.nextInt(FALSE_UPDATE_ONE_IN) > 0
+        || message.updates().size() == model.timings().maxUpdatesPerMessage()) {
+      return message;
+    }
+    MemberUpdate known = observed.get(random.nextInt(observed.size())).update();
+    List<MemberUpdate> updates = new ArrayList<>(message.updates());
+    updates.add(
+        new MemberUpdate(
+            known.name(),
+            known.address(),
+            known.incarnation() + random.nextInt(2),
+            known.instanceId(),
+            random.nextBoolean() ? MemberStatus.LOST : MemberStatus.LEFT,
+            name));
+    model.figures().falseUpdateSent();
+    return new GossipMessage(
+        message.kind(),
+        message.sender(),
+        message.recipientInstanceId(),
+        message.sequenceNumber(),
+        message.probeNumber(),
+        message.countedDigest(),
+        message.presentDigest(),
+        message.subject(),
+        message.hasMore(),
+        message.fullySynced(),
+        updates);
+  }
+
+  @Override
+  public void memberStatusChanged(String memberName, MemberStatus status) {
+    simulation.trace(name + ": " + memberName + " " + status);
+    if (status == MemberStatus.LOST && model.member(memberName).isRunning()) {
+      model.figures().runningMemberLost();
+      if (model.isHealed()) {
+        throw new InvariantViolation(
+            name + " holds " + memberName + " for lost, which runs and can be reached");
+      }
+    }
+  }
+
+  @Override
+  public void phaseChanged(SwimProtocol.Phase before, SwimProtocol.Phase after) {
+    simulation.trace(name + ": " + before + " -> " + after);
+  }
+
+  @Override
+  public void nameConflictDetected(String otherAddress) {
+    throw new InvariantViolation(name + " was told of a twin at " + otherAddress);
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/planning/package-info.java
@@ -0,0 +1,6 @@
+/**
+ * The model of planners that grant quotas and forwarders that hold them, on a virtual clock.
+ *
+ * <p>Called by {@code lab planners-model}; one thread a run. Begin with {@code PlannersModel}.
+ */
+package org.amberpath.lab.planning;
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/registry/EtcdWatchStream.java
@@ -0,0 +1,105 @@
+package org.amberpath.lab.registry;
+
+import io.vertx.core.http.HttpServerResponse;
+import io.vertx.core.json.JsonArray;
+import io.vertx.core.json.JsonObject;
+
+/** One watch of etcd's API: a stream of lines, each with events. */
+final class EtcdWatchStream {
+  /** Events of one line; more of one revision go in two. */
+  private static final int MAX_EVENTS_IN_FIRST_LINE = 2;
+
+  private final StandInRegistry registry;
+  private final StandInEndpoint endpoint;
+  private final HttpServerResponse response;
+  private final String from;
+  private final String end;
+  private long nextRevision;
+
+  EtcdWatchStream(
+      StandInRegistry registry,
+      StandInEndpoint endpoint,
+      HttpServerResponse response,
+      JsonObject createRequest) {
+    this.registry = registry;
+    this.endpoint = endpoint;
+    this.response = response;
+    from = JsonResponses.text(createRequest, "key");
+    end = JsonResponses.text(createRequest, "range_end");
+    nextRevision = JsonResponses.number(createRequest, "start_revision");
+  }
+
+  /** Sends the head and what there is, or that the revision is compacted. */
+  void open() {
+    response.setChunked(true);
+    writeLine(newResult().put("created", true));
+    long compactedRevision = registry.history().compactedRevision();
+    if (nextRevision <= compactedRevision) {
+      writeLine(
+          newResult()
+              .put("canceled", true)
+              .put("compact_revision", Long.toString(compactedRevision)));
+      response.end();
+      return;
+    }
+    endpoint.opened(this);
+    response.closeHandler(closed -> endpoint.closed(this));
+    sendChanges();
+  }
+
+  /** Leaves the stream amid a line. */
+  void breakLine() {
+    response.write("{\"result\":{\"header\":{\"clus");
+  }
+
+  /** Ends the stream in good order. */
+  void end() {
+    response.end();
+  }
+
+  private JsonObject newResult() {
+    return new JsonObject().put("header", EtcdResponder.header(registry));
+  }
+
+  private void writeLine(JsonObject result) {
+    response.write(new JsonObject().put("result", result).encode() + "\n");
+  }
+
+  /** Sends what is new. */
+  void sendChanges() {
+    if (!endpoint.sendsTo(this)) {
+      return;
+    }
+    JsonArray events = new JsonArray();
+    for (RevisionedStore.Change<byte[]> change :
+        registry.history().changesBetween(nextRevision, registry.revision())) {
+      if (change.key().compareTo(from) >= 0 && change.key().compareTo(end) < 0) {
+        events.add(event(change));
+      }
+    }
+    nextRevision = registry.revision() + 1;
+    if (events.size() > MAX_EVENTS_IN_FIRST_LINE) {
+      writeLine(
+          newResult()
+              .put("fragment", true)
+              .put("events", new JsonArray(events.getList().subList(0, MAX_EVENTS_IN_FIRST_LINE))));
+      events = new JsonArray(events.getList().subList(MAX_EVENTS_IN_FIRST_LINE, events.size()));
+    }
+    if (!events.isEmpty()) {
+      writeLine(newResult().put("events", events));
+    }
+  }
+
+  private static JsonObject event(RevisionedStore.Change<byte[]> change) {
+    if (change.versioned() != null) {
+      return new JsonObject().put("kv", EtcdResponder.keyValue(change.key(), change.versioned()));
+    }
+    return new JsonObject()
+        .put("type", "DELETE")
+        .put(
+            "kv",
+            new JsonObject()
+                .put("key", JsonResponses.base64(change.key()))
+                .put("mod_revision", Long.toString(change.revision())));
+  }
+}
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/registry/PendingCall.java
@@ -0,0 +1,194 @@
+package org.amberpath.lab.registry;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.lab.simulation.VirtualScheduler;
+import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.WatchEvent;
+import org.amberpath.registry.WatchSession.Header;
+
+/** A call of a virtual client that has not ended, and the watch that it may have opened. */
+final class PendingCall {
+  private static final long RETRY_AFTER_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final int SPLIT_ONE_IN = 4;
+  private static final int EMPTY_FRAME_ONE_IN = 8;
+
+  private final VirtualRegistry registry;
+  private final VirtualScheduler scheduler;
+  private final VirtualClient client;
+  private final long callId;
+  private final VirtualEndpoint endpoint;
+  private long nextRevision;
+  private long lastArrivalNanos;
+  private boolean watching;
+  private boolean broken;
+
+  PendingCall(VirtualRegistry registry, VirtualClient client, long callId, int endpointIndex) {
+    this.registry = registry;
+    scheduler = registry.scheduler();
+    this.client = client;
+    this.callId = callId;
+    endpoint = registry.endpoints().get(endpointIndex);
+    client.opened(callId, this);
+    endpoint.opened(this);
+  }
+
+  long callId() {
+    return callId;
+  }
+
+  VirtualEndpoint endpoint() {
+    return endpoint;
+  }
+
+  /** Runs a task at the endpoint, if it takes calls then. */
+  void atEndpoint(Runnable task) {
+    endpoint.callMade();
+    scheduler.scheduleAfter(
+        registry.drawOneWayNanos(),
+        () -> {
+          switch (endpoint.behavior()) {
+            case ANSWERS -> task.run();
+            case SILENT ->
+                endpoint.hold(() -> scheduler.scheduleAfter(registry.drawOneWayNanos(), task));
+            case REFUSES -> fail(RegistryFailure.REFUSED, 0);
+            case UNAVAILABLE ->
+                fail(
+                    registry.random().nextBoolean()
+                        ? RegistryFailure.UNAVAILABLE
+                        : RegistryFailure.THROTTLED,
+                    RETRY_AFTER_NANOS);
+            default -> fail(RegistryFailure.UNAUTHORISED, 0);
+          }
+        });
+  }
+
+  /** Runs a task at the client, in order, unless the call has ended by then. */
+  void atClient(long extraNanos, Runnable task) {
+    lastArrivalNanos =
+        Math.max(
+            lastArrivalNanos,
+            scheduler.nowNanos()
+                + registry.drawOneWayNanos()
+                + endpoint.slownessNanos()
+                + extraNanos);
+    scheduler.schedule(lastArrivalNanos, () -> deliver(task));
+  }
+
+  private void deliver(Runnable task) {
+    if (!client.isOpen(this) || broken) {
+      return;
+    }
+    if (endpoint.behavior() == EndpointBehavior.SILENT) {
+      endpoint.hold(() -> deliver(task));
+      return;
+    }
+    registry.responseSent();
+    task.run();
+    client.scheduleTick();
+  }
+
+  /** The connection breaks: nothing more comes of this call but its failure. */
+  void breakConnection() {
+    broken = true;
+    fail(RegistryFailure.BROKEN, 0);
+  }
+
+  private void fail(RegistryFailure failure, long retryAfterNanos) {
+    scheduler.scheduleAfter(
+        registry.drawOneWayNanos(),
+        () -> {
+          if (complete()) {
+            registry.trace("call " + callId + ": " + failure);
+            client.session().callFailed(scheduler.nowNanos(), callId, failure, retryAfterNanos);
+            client.scheduleTick();
+          }
+        });
+  }
+
+  /** Ends the call; false if it had ended before. */
+  boolean complete() {
+    endpoint.closed(this);
+    return client.closed(callId, this);
+  }
+
+  /** Ends the call with an answer: the revision that it asked for is compacted. */
+  void answerCompacted() {
+    atClient(
+        0,
+        () -> {
+          if (complete()) {
+            client.session().compacted(scheduler.nowNanos(), callId);
+          }
+        });
+  }
+
+  /** Watches from a revision on, and sends what there is. */
+  void startWatch(long fromRevision) {
+    nextRevision = fromRevision;
+    watching = true;
+    sendChanges();
+  }
+
+  /** Ends a blocking read with all that there is, if it still waits. */
+  void endBlockingRead() {
+    if (watching) {
+      watching = false;
+      client.answerAll(this);
+    }
+  }
+
+  /** Sends what a watch has not been sent yet, now and then in frames that split a revision. */
+  void sendChanges() {
+    if (!watching) {
+      return;
+    }
+    if (registry.isBlocking()) {
+      if (registry.history().revision() > nextRevision - 1) {
+        endBlockingRead();
+      }
+      return;
+    }
+    List<WatchEvent> changes = changesOfPrefix();
+    nextRevision = registry.history().revision() + 1;
+    Header header = registry.header();
+    registry.itemsSent(changes.size());
+    if (changes.size() > 1 && registry.random().nextInt(SPLIT_ONE_IN) == 0) {
+      int splitAt = registry.random().nextInt(1, changes.size());
+      sendFrame(header, changes.subList(0, splitAt), true);
+      sendFrame(header, changes.subList(splitAt, changes.size()), false);
+    } else if (!changes.isEmpty() || registry.random().nextInt(EMPTY_FRAME_ONE_IN) == 0) {
+      sendFrame(header, changes, false);
+    }
+  }
+
+  private void sendFrame(Header header, List<WatchEvent> changes, boolean hasMore) {
+    atClient(
+        endpoint.lagNanos(),
+        () ->
+            client
+                .session()
+                .eventsReceived(scheduler.nowNanos(), callId, header, changes, hasMore));
+  }
+
+  private List<WatchEvent> changesOfPrefix() {
+    List<WatchEvent> changes = new ArrayList<>();
+    registry
+        .history()
+        .changesBetween(nextRevision, registry.history().revision())
+        .forEach(
+            change -> {
+              if (change.key().startsWith(VirtualRegistry.PREFIX)) {
+                changes.add(
+                    new WatchEvent(
+                        change.revision(),
+                        change.key(),
+                        change.versioned() == null
+                            ? null
+                            : VirtualRegistry.toEntry(change.key(), change.versioned())));
+              }
+            });
+    return changes;
+  }
+}
--- a/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RevisionedStore.java
@@ -13,13 +13,13 @@
  * @param <V> a key's value
  */
 final class RevisionedStore<V> {
-  /** A key at some revision. */
+  /** A value with the revisions that created and last changed its key. */
   record VersionedValue<V>(V value, long createRevision, long modRevision) {}
 
-  /** A key that was written at a revision, or deleted where kept is null. */
+  /** A key that was written at a revision, or deleted where {@code versioned} is null. */
   record Change<V>(long revision, String key, VersionedValue<V> versioned) {}
 
-  final String clusterId;
+  private final String clusterId;
   private final List<Change<V>> changes = new ArrayList<>();
   private final TreeMap<String, VersionedValue<V>> current = new TreeMap<>();
 
@@ -29,13 +29,18 @@
   private long revision = 1;
   private long compactedRevision;
 
-  RevisionedStore(String cluster) {
-    this.clusterId = cluster;
+  RevisionedStore(String clusterId) {
+    this.clusterId = clusterId;
   }
 
-  /** The same as it was, under another cluster's id or its own: what a backup is. */
-  RevisionedStore<V> copyAs(String clusterId) {
-    RevisionedStore<V> copy = new RevisionedStore<>(clusterId);
+  /** The id of the cluster whose history this is. */
+  String clusterId() {
+    return clusterId;
+  }
+
+  /** A copy as of now under another cluster's id or its own: what a backup is. */
+  RevisionedStore<V> copyAs(String copyClusterId) {
+    RevisionedStore<V> copy = new RevisionedStore<>(copyClusterId);
     copy.changes.addAll(changes);
     copy.current.putAll(current);
     copy.compactedState.putAll(compactedState);
@@ -44,14 +49,17 @@
     return copy;
   }
 
+  /** The last revision. */
   long revision() {
     return revision;
   }
 
+  /** The revision below which nothing is kept. */
   long compactedRevision() {
     return compactedRevision;
   }
 
+  /** The keys as they are now; not to be changed. */
   Map<String, VersionedValue<V>> current() {
     return current;
   }
@@ -81,6 +89,7 @@
     return revision;
   }
 
+  /** Forgets all states below a revision. */
   void compact(long upTo) {
     int index = 0;
     for (; index < changes.size() && changes.get(index).revision <= upTo; index++) {
@@ -105,7 +114,7 @@
     return state;
   }
 
-  /** Events from a revision to another, both taken in. */
+  /** Changes from a revision to another, both included. */
   List<Change<V>> changesBetween(long fromRevision, long toRevision) {
     int low = 0;
     int high = changes.size();
--- /dev/null
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -0,0 +1,224 @@
+package org.amberpath.lab.registry;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Consumer;
+import org.amberpath.lab.simulation.Simulation;
+import org.amberpath.lab.simulation.VirtualScheduler;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.registry.WatchCommands;
+import org.amberpath.registry.WatchSession;
+import org.amberpath.registry.WatchSession.Header;
+
+/** One gateway's watch session and view, over a virtual registry. */
+final class VirtualClient implements WatchCommands {
+  private static final long BLOCKING_READ_NANOS = Simulation.NANOS_PER_SECOND;
+
+  private final VirtualRegistry registry;
+  private final VirtualScheduler scheduler;
+  private final RegistryView view;
+  private final WatchSession session;
+  private final Map<Long, PendingCall> pendingCalls = new LinkedHashMap<>();
+  private long nextWakeNanos = Long.MAX_VALUE;
+
+  VirtualClient(
+      VirtualRegistry registry, RegistryView view, int maxKeys, long seed, Consumer<String> log) {
+    this.registry = registry;
+    scheduler = registry.scheduler();
+    this.view = view;
+    session =
+        new WatchSession(
+            view,
+            this,
+            registry.endpoints().size(),
+            maxKeys,
+            registry.isBlocking() ? BLOCKING_READ_NANOS : 0,
+            seed,
+            log);
+    registry.added(this);
+  }
+
+  RegistryView view() {
+    return view;
+  }
+
+  WatchSession session() {
+    return session;
+  }
+
+  void start() {
+    session.start(scheduler.nowNanos());
+    scheduleTick();
+  }
+
+  void opened(long callId, PendingCall call) {
+    pendingCalls.put(callId, call);
+  }
+
+  boolean closed(long callId, PendingCall call) {
+    return pendingCalls.remove(callId, call);
+  }
+
+  boolean isOpen(PendingCall call) {
+    return pendingCalls.get(call.callId()) == call;
+  }
+
+  void registryChanged() {
+    pendingCalls.values().forEach(PendingCall::sendChanges);
+  }
+
+  /** Wakes the session when it wants to; a wake that it no longer wants does nothing. */
+  void scheduleTick() {
+    long dueNanos = session.nextTickNanos();
+    if (dueNanos < nextWakeNanos) {
+      nextWakeNanos = dueNanos;
+      scheduler.schedule(
+          dueNanos,
+          () -> {
+            if (nextWakeNanos == dueNanos) {
+              nextWakeNanos = Long.MAX_VALUE;
+              session.tick(scheduler.nowNanos());
+              scheduleTick();
+            }
+          });
+    }
+  }
+
+  /** Ends a call with all entries as they are now. */
+  void answerAll(PendingCall call) {
+    List<RegistryEntry> entries = registry.entries(registry.history().current(), "", 0);
+    Header header = registry.header();
+    registry.itemsSent(entries.size());
+    call.atClient(
+        call.endpoint().lagNanos(),
+        () -> {
+          if (call.complete()) {
+            session.pageReceived(scheduler.nowNanos(), call.callId(), header, entries, false, -1);
+          }
+        });
+  }
+
+  @Override
+  public void list(
+      long callId,
+      int endpointIndex,
+      long revision,
+      String afterKey,
+      long minModRevision,
+      int limit) {
+    registry.trace(
+        "call "
+            + callId
+            + ": list at "
+            + endpointIndex
+            + " revision "
+            + revision
+            + " since "
+            + minModRevision);
+    PendingCall continued = pendingCalls.get(callId);
+    PendingCall call =
+        continued == null ? new PendingCall(registry, this, callId, endpointIndex) : continued;
+    call.atEndpoint(
+        () -> {
+          RevisionedStore<RegistryRecord> history = registry.history();
+          if (registry.isBlocking()) {
+            answerAll(call);
+          } else if ((revision != 0 && revision < history.compactedRevision())
+              || revision > history.revision()) {
+            call.answerCompacted();
+          } else {
+            answerPage(call, revision, afterKey, minModRevision, limit);
+          }
+        });
+  }
+
+  private void answerPage(
+      PendingCall call, long revision, String afterKey, long minModRevision, int limit) {
+    RevisionedStore<RegistryRecord> history = registry.history();
+    Map<String, RevisionedStore.VersionedValue<RegistryRecord>> state =
+        history.stateAt(revision == 0 ? history.revision() : revision);
+    List<RegistryEntry> found = registry.entries(state, afterKey, minModRevision);
+    long count =
+        state.keySet().stream()
+            .filter(key -> key.startsWith(VirtualRegistry.PREFIX) && key.compareTo(afterKey) > 0)
+            .count();
+    boolean hasMore = found.size() > limit;
+    List<RegistryEntry> page = hasMore ? found.subList(0, limit) : found;
+    Header header = registry.header();
+    registry.itemsSent(page.size());
+    // An endpoint that lags knows what a majority has only when it has caught up.
+    call.atClient(
+        revision == 0 ? call.endpoint().lagNanos() : 0,
+        () -> {
+          if (hasMore || call.complete()) {
+            session.pageReceived(scheduler.nowNanos(), call.callId(), header, page, hasMore, count);
+          }
+        });
+  }
+
+  @Override
+  public void watch(long callId, int endpointIndex, long fromRevision) {
+    registry.trace("call " + callId + ": watch at " + endpointIndex + " from " + fromRevision);
+    PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
+    call.atEndpoint(
+        () -> {
+          if (registry.isBlocking()) {
+            readBlocking(call, fromRevision);
+          } else if (fromRevision <= registry.history().compactedRevision()) {
+            call.answerCompacted();
+          } else {
+            Header header = registry.header();
+            call.atClient(0, () -> session.watchOpened(scheduler.nowNanos(), callId, header));
+            call.startWatch(fromRevision);
+          }
+        });
+  }
+
+  private void readBlocking(PendingCall call, long fromRevision) {
+    call.startWatch(fromRevision);
+    scheduler.scheduleAfter(
+        BLOCKING_READ_NANOS,
+        () -> {
+          if (isOpen(call) && call.endpoint().behavior() == EndpointBehavior.ANSWERS) {
+            call.endBlockingRead();
+          }
+        });
+    if (registry.history().revision() < fromRevision - 1) {
+      // An index past what there is: the answer comes at once.
+      call.endBlockingRead();
+    }
+  }
+
+  @Override
+  public void heartbeat(long callId, int endpointIndex) {
+    registry.trace("call " + callId + ": pulse at " + endpointIndex);
+    PendingCall call = new PendingCall(registry, this, callId, endpointIndex);
+    call.atEndpoint(
+        () -> {
+          RevisionedStore.VersionedValue<RegistryRecord> tip =
+              registry.history().current().get(VirtualRegistry.TIP_KEY);
+          long tipRevision = tip == null ? 0 : tip.modRevision();
+          Header header = registry.isBlocking() ? new Header("", 0) : registry.header();
+          call.atClient(
+              call.endpoint().lagNanos(),
+              () -> {
+                if (call.complete()) {
+                  registry.trace("call " + callId + ": tip " + tipRevision + " " + header);
+                  session.heartbeatReceived(scheduler.nowNanos(), callId, header, tipRevision);
+                }
+              });
+        });
+  }
+
+  @Override
+  public void cancel(long callId) {
+    registry.trace("call " + callId + ": dropped");
+    PendingCall cancelled = pendingCalls.get(callId);
+    if (cancelled != null) {
+      cancelled.complete();
+    }
+  }
+}
--- a/lab/src/main/java/org/amberpath/lab/SeededRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/SeededRuns.java
@@ -1,4 +1,4 @@
-package org.amberpath.lab;
+package org.amberpath.lab.simulation;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -11,26 +11,32 @@
 public final class SeededRuns {
   private static final int MAX_LISTED_FAILURES = 10;
 
-  /** A model: plays one seed, tells its story line by line, and throws where a bar is missed. */
+  /** A model of which each run follows from a seed. */
   public interface Model {
-    Map<String, Long> run(long seed, Consumer<String> story);
+    /**
+     * Runs one seed, and gives its figures.
+     *
+     * @param trace takes each line of the trace
+     * @throws RuntimeException where an invariant does not hold
+     */
+    Map<String, Long> run(long seed, Consumer<String> trace);
   }
 
-  /** What a run came to: its figures, or the bar that it missed. */
+  /** The result of a run: its figures, or the invariant that did not hold; null where all did. */
   public record Result(long seed, Map<String, Long> figures, String violation) {}
 
   private SeededRuns() {}
 
-  /** One run; the same seed tells the same story, line by line. */
-  public static Result runOne(Model model, long seed, Consumer<String> story) {
+  /** Runs one seed; the same seed writes the same trace, line by line. */
+  public static Result runOne(Model model, long seed, Consumer<String> trace) {
     try {
-      return new Result(seed, model.run(seed, story), null);
+      return new Result(seed, model.run(seed, trace), null);
     } catch (RuntimeException e) {
       return new Result(seed, Map.of(), e.getMessage() == null ? e.toString() : e.getMessage());
     }
   }
 
-  /** Sums over the runs from one seed on, and what the first few that missed a bar have to say. */
+  /** Runs many seeds, and sums their figures; the first few violations are listed. */
   public static Map<String, Object> runMany(Model model, long seed, int runs) {
     List<Result> results =
         LongStream.range(seed, seed + runs)
--- a/lab/src/main/java/org/amberpath/lab/VirtualScheduler.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/VirtualScheduler.java
@@ -1,10 +1,10 @@
-package org.amberpath.lab;
+package org.amberpath.lab.simulation;
 
 import java.util.PriorityQueue;
 
 /**
- * A virtual clock: what is due, in the order of its time and, within one nanosecond, in that of its
- * coming.
+ * A virtual clock with a queue of tasks, run in the order of their time and, within one nanosecond,
+ * in the order in which they were scheduled. One thread only.
  */
 public final class VirtualScheduler {
   private record Entry(long timeNanos, long sequence, Runnable task) implements Comparable<Entry> {
@@ -19,21 +19,31 @@
   private long nowNanos;
   private long nextSequence;
 
-  /** Begins at a time. */
+  /** A clock that shows a time, and has nothing to run. */
   public VirtualScheduler(long epochNanos) {
     nowNanos = epochNanos;
   }
 
+  /** The present time of this clock, in nanoseconds. */
   public long nowNanos() {
     return nowNanos;
   }
 
-  /** Plays something at a time; at once where that is past. */
+  /** Runs a task at a time; at once where that time has passed. */
   public void schedule(long timeNanos, Runnable task) {
     entries.add(new Entry(Math.max(nowNanos, timeNanos), nextSequence++, task));
   }
 
-  /** Plays the next entry; false once none is due before the end. */
+  /** Runs a task so many nanoseconds from now. */
+  public void scheduleAfter(long delayNanos, Runnable task) {
+    schedule(nowNanos + delayNanos, task);
+  }
+
+  /**
+   * Runs the next task.
+   *
+   * @return false, with the clock set to the end, once no task is due at or before the end
+   */
   public boolean runNext(long endNanos) {
     if (entries.isEmpty() || entries.peek().timeNanos > endNanos) {
       nowNanos = endNanos;
@@ -44,4 +54,11 @@
     next.task.run();
     return true;
   }
+
+  /** Runs all tasks that are due at or before the end, and sets the clock to the end. */
+  public void runUntil(long endNanos) {
+    while (runNext(endNanos)) {
+      // The condition does the work.
+    }
+  }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -8,6 +8,7 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -17,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One process of a gateway, from its start to its end. What it says of its ports is read from its
- * log, which goes to a file. Ended by its own id alone.
+ * One process of a gateway, from its start to its end. Its ports are read from its log, which goes
+ * to a file. It is ended by its own id alone.
  */
 public final class GatewayProcess {
   private static final Pattern CLIENT_PORT_PATTERN =
@@ -102,10 +103,7 @@
             new BufferedReader(
                 new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         BufferedWriter out =
-            Files.newBufferedWriter(
-                log,
-                java.nio.file.StandardOpenOption.CREATE,
-                java.nio.file.StandardOpenOption.APPEND)) {
+            Files.newBufferedWriter(log, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         out.write(line);
         out.newLine();
@@ -129,20 +127,22 @@
     }
   }
 
-  /** The ports that it says: for clients once it serves, for datagrams, for operators. */
+  /** The port for clients, once it serves. */
   public CompletableFuture<Integer> clientPort() {
     return clientPort;
   }
 
+  /** The port for datagrams of other gateways. */
   public CompletableFuture<Integer> fleetPort() {
     return fleetPort;
   }
 
+  /** The port of the admin endpoint. */
   public CompletableFuture<Integer> adminPort() {
     return adminPort;
   }
 
-  /** Log lines of the worst kind. */
+  /** Severe lines of its log. */
   public int severeLines() {
     return severeLines;
   }
@@ -152,6 +152,7 @@
     return process.pid();
   }
 
+  /** Whether the process has not ended. */
   public boolean isAlive() {
     return process.isAlive();
   }
@@ -161,7 +162,7 @@
     process.destroyForcibly();
   }
 
-  /** SIGTERM, and no more: the pipes stay open, which the tether would take for the rig's end. */
+  /** SIGTERM; the pipes stay open, since {@link ParentWatchdog} ends a process without them. */
   public void terminate() {
     process.toHandle().destroy();
   }
@@ -171,7 +172,7 @@
     signal("kill -HUP " + process.pid());
   }
 
-  /** SIGSTOP, and SIGCONT so much later even if the rig ends meanwhile. */
+  /** SIGSTOP, and SIGCONT so much later even if this process ends meanwhile. */
   public void pause(long durationMillis) {
     String pid = Long.toString(process.pid());
     signal("kill -STOP " + pid + "; sleep " + durationMillis / 1000.0 + "; kill -CONT " + pid);
@@ -185,7 +186,7 @@
     }
   }
 
-  /** Waits for its end, and brings it about in the end. */
+  /** Waits for its end, and kills it if that takes too long. */
   public int awaitExit() throws InterruptedException {
     if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       kill();
--- a/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -6,6 +6,7 @@
 import io.vertx.core.datagram.DatagramPacket;
 import io.vertx.core.datagram.DatagramSocket;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,10 +21,19 @@
   private static final int UNKNOWN_SENDER = -1;
   private static final int MIN_DELAY_MILLIS = 1;
 
-  /** How a link is: parts of all datagrams, and the longest delay. */
+  /**
+   * How a link is.
+   *
+   * @param lossRate the part of all datagrams that is lost
+   * @param duplicationRate the part that is passed twice
+   * @param maxDelayMillis the longest delay; 0 for none
+   */
   public record LinkCondition(
       boolean cut, double lossRate, double duplicationRate, long maxDelayMillis) {
+    /** Passes all at once. */
     public static final LinkCondition HEALTHY = new LinkCondition(false, 0, 0, 0);
+
+    /** Passes nothing. */
     public static final LinkCondition CUT = new LinkCondition(true, 0, 0, 0);
   }
 
@@ -35,10 +45,12 @@
   private final Map<Integer, Integer> gatewaysByPort = new HashMap<>();
   private final int[] gatewayPorts;
 
-  /** Of each gateway, in the present second: what it sent; and the most in any second. */
+  /** Of each gateway, the last second in which it sent. */
   private final long[] currentSecond;
 
+  /** Of each gateway, what it sent in that second. */
   private final long[] datagramsInSecond;
+
   private final long[] bytesInSecond;
 
   private long maxDatagramsPerSecond;
@@ -56,26 +68,26 @@
     bytesInSecond = new long[gatewayCount];
     conditions = new LinkCondition[gatewayCount][gatewayCount];
     for (LinkCondition[] row : conditions) {
-      java.util.Arrays.fill(row, LinkCondition.HEALTHY);
+      Arrays.fill(row, LinkCondition.HEALTHY);
     }
   }
 
   Future<?> open() {
-    List<Future<?>> listening = new ArrayList<>();
+    List<Future<?>> all = new ArrayList<>();
     for (int gateway = 0; gateway < ports.length; gateway++) {
       int to = gateway;
       DatagramSocket relay = vertx.createDatagramSocket();
       relays.add(relay);
-      listening.add(
+      all.add(
           relay
               .listen(0, "127.0.0.1")
               .onSuccess(
-                  ignored -> {
-                    ports[to] = ignored.localAddress().port();
-                    ignored.handler(packet -> datagramReceived(to, packet));
+                  listening -> {
+                    ports[to] = listening.localAddress().port();
+                    listening.handler(packet -> datagramReceived(to, packet));
                   }));
     }
-    return Future.all(listening);
+    return Future.all(all);
   }
 
   /** Where the others find it. */
@@ -92,23 +104,34 @@
     }
   }
 
+  /** Sets how a link is, one way. */
   public void setCondition(int from, int to, LinkCondition condition) {
     conditions[from][to] = condition;
   }
 
-  /** The most that one gateway sent in any second. */
+  /** Sets how all links are. */
+  void setAll(LinkCondition condition) {
+    for (LinkCondition[] row : conditions) {
+      Arrays.fill(row, condition);
+    }
+  }
+
+  /** The most datagrams that one gateway sent in any second. */
   public long maxDatagramsPerSecond() {
     return maxDatagramsPerSecond;
   }
 
+  /** The most bytes that one gateway sent in any second. */
   public long maxBytesPerSecond() {
     return maxBytesPerSecond;
   }
 
+  /** Datagrams that were passed on. */
   public long forwardedDatagrams() {
     return forwardedDatagrams;
   }
 
+  /** Datagrams that were lost. */
   public long droppedDatagrams() {
     return droppedDatagrams;
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -4,8 +4,8 @@
 import java.lang.reflect.Method;
 
 /**
- * Runs a program's main method, and ends the process when the rig that started it is gone: what a
- * rig started does not outlive it, however it ends.
+ * Runs a program's main method, and ends the process when the process that started it is gone: no
+ * gateway outlives its testbed, however that ends.
  */
 public final class ParentWatchdog {
   private ParentWatchdog() {}
@@ -24,7 +24,7 @@
               }
               Runtime.getRuntime().halt(1);
             },
-            "tether");
+            "parent watchdog");
     watcher.setDaemon(true);
     watcher.start();
     Method main = Class.forName(args[0]).getMethod("main", String[].class);
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -12,9 +12,9 @@
 
 /**
  * Judges the rules by what clients, caches and the journal saw, over all gateways together; it
- * knows nothing of the gateways' code. Whatever is read by this rig's loop may have come since the
- * loop's tick before, and is judged by that time: a loop that stood still blames nobody by mistake,
- * and for how long it stood is counted. Only for the rig's event loop.
+ * knows nothing of the gateways' code. Whatever the event loop reads may have come since its tick
+ * before, and is judged by that time: a loop that stalled blames nobody by mistake, and for how
+ * long it stalled is counted. Only for the testbed's event loop.
  *
  * <p>Bounds: the requests of one experiment that may run once, and {@value #MAX_VIOLATIONS} lines
  * of what is wrong.
@@ -29,14 +29,14 @@
   private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
   private static final int MAX_VIOLATIONS = 20;
 
-  /** The mean work of a GET at the stand-in caches, in seconds. */
+  /** The mean work of a request at the stand-in caches. */
   private static final double MEAN_WORK_SECONDS = 0.01;
 
   private static final class WarmUpWindow {
     final long startedAtNanos;
     final double weight;
 
-    /** When wants came, of the last second. */
+    /** When requests came, of the last second. */
     final ArrayDeque<Long> arrivalsNanos = new ArrayDeque<>();
 
     WarmUpWindow(long startedAtNanos, double weight) {
@@ -60,6 +60,7 @@
   private long violationCount;
   private double worstWarmUpLoad;
 
+  /** A judge whose stalls are measured from now on. */
   public RuleAuditor(Vertx vertx) {
     vertx.setPeriodic(
         TICK_MILLIS,
@@ -71,6 +72,7 @@
         });
   }
 
+  /** Keeps what is wrong, up to a bound, and counts it. */
   public void violation(String message) {
     violationCount++;
     if (violations.size() < MAX_VIOLATIONS) {
@@ -78,6 +80,7 @@
     }
   }
 
+  /** What was wrong, the first lines of it. */
   public List<String> violations() {
     return violations;
   }
@@ -106,26 +109,31 @@
         violationCount);
   }
 
-  // ---- What the rig did.
+  // ---- What the testbed did.
 
+  /** A cache drains from now on. */
   public void cacheDrained(String cache) {
     drainedAtNanos.put(cache, System.nanoTime());
   }
 
+  /** A cache is ready again. */
   void cacheReady(String cache) {
     drainedAtNanos.remove(cache);
   }
 
+  /** An object is purged. */
   void objectPurged(String object, long atMillis) {
     purgedAtMillis.put(object, atMillis);
   }
 
+  /** A cache has started with nothing stored. */
   public void cacheStartedCold(String cache, double weight) {
     warmingUp.put(cache, new WarmUpWindow(System.nanoTime(), weight));
   }
 
   // ---- What others saw.
 
+  /** A cache has received a request. */
   public void requestReceived(StandInCache.ReceivedRequest request) {
     requestCount++;
     for (String cache : List.of(request.cache(), request.source())) {
@@ -198,6 +206,7 @@
     }
   }
 
+  /** A client has received a response. */
   public void responseReceived(LoadGenerator.Response response) {
     Long purgedAt = purgedAtMillis.get(response.object());
     long sentAtMillis =
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -9,6 +9,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.stream.Collectors;
+import org.amberpath.lab.LabSettings;
 import org.amberpath.routing.EndpointState;
 
 /**
@@ -18,7 +19,20 @@
 public final class StandInJournal {
   private static final int MAX_EVENTS = 100_000;
 
-  /** One cache in an event; startedAtMs is when it started cold, or 0. */
+  /** What an event of caches lists. */
+  public enum ListScope {
+    /** All caches that there are. */
+    FULL,
+
+    /** Those that have changed. */
+    CHANGES
+  }
+
+  /**
+   * One cache in an event.
+   *
+   * @param startedAtMillis when it started with nothing stored; 0 for one that is warm
+   */
   public record Instance(
       String id,
       String address,
@@ -32,7 +46,7 @@
           + "\",\"hostPort\":\""
           + address
           + "\",\"zone\":\""
-          + org.amberpath.lab.LabSettings.ZONE
+          + LabSettings.ZONE
           + "\",\"machineType\":\""
           + kind
           + "\",\"cell\":0,\"lifecycle\":\""
@@ -55,36 +69,28 @@
   private final List<Poll> polls = new ArrayList<>();
   private long bytesSent;
 
+  /** A journal that does not listen yet. */
   public StandInJournal(Vertx vertx) {
     this.vertx = vertx;
     server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
     server.requestHandler(this::pollReceived);
   }
 
+  /** Listens on a port from the system. */
   public Future<StandInJournal> listen() {
     return server.listen().map(this);
   }
 
+  /** The address at which it listens. */
   public String address() {
     return "127.0.0.1:" + server.actualPort();
   }
 
-  /** A cache's state; startedAtMs is when it started cold, or 0. */
-  void announceCache(
-      String id,
-      String address,
-      String kind,
-      double weight,
-      EndpointState state,
-      long startedAtMillis) {
-    announceCaches(false, List.of(new Instance(id, address, kind, weight, state, startedAtMillis)));
-  }
-
-  /** One event of caches: the whole list, or what has changed of it. */
-  public void announceCaches(boolean fullList, List<Instance> instances) {
+  /** Adds one event of caches. */
+  public void announceCaches(ListScope scope, List<Instance> instances) {
     add(
         "\"hosts\":{\"generation\":1,\"reset\":"
-            + fullList
+            + (scope == ListScope.FULL)
             + ",\"instances\":["
             + instances.stream().map(Instance::json).collect(Collectors.joining(","))
             + "]}");
@@ -100,6 +106,7 @@
     return bytesSent;
   }
 
+  /** Adds the event of a purge. */
   void announcePurge(String object, long atMillis) {
     add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
   }
--- a/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -8,6 +8,7 @@
 import org.amberpath.lab.ExperimentReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.aggregator.ArgumentsAccessor;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The table of what a gateway may need at 3,200 endpoints, against a gateway at 200. */
@@ -25,7 +26,7 @@
   }
 
   @Test
-  void whatIsJustWithinEachRowHolds() {
+  void usageJustWithinEachBoundHolds() {
     assertTrue(compared(3.204, 140.8, 240, 540, 1_764_000, 0.765).getBoolean("holds"));
   }
 
@@ -38,16 +39,19 @@
     "discovery_bytes,2,80,100,200,1764001,0.9",
     "share_served,2,80,100,200,50000,0.764"
   })
-  void whatIsJustBeyondOneRowMissesThatOneAlone(
-      String row,
-      double cpu,
-      double memory,
-      int descriptors,
-      long connections,
-      long bytes,
-      double served) {
+  void usageJustBeyondOneBoundMissesThatBarAlone(ArgumentsAccessor usage) {
+    String row = usage.getString(0);
+
     JsonObject bars =
-        compared(cpu, memory, descriptors, connections, bytes, served).getJsonObject("bars");
+        compared(
+                usage.getDouble(1),
+                usage.getDouble(2),
+                usage.getInteger(3),
+                usage.getLong(4),
+                usage.getLong(5),
+                usage.getDouble(6))
+            .getJsonObject("bars");
+
     for (Map.Entry<String, Object> bar : bars) {
       assertEquals(!bar.getKey().equals(row), bar.getValue(), bar.getKey());
     }
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -4,8 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Map;
-import org.amberpath.lab.SeededRuns;
-import org.amberpath.lab.leadership.LeadershipModelExperiment.LeadershipVariant;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
--- a/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import org.amberpath.lab.SeededRuns;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** The fleet's view on a virtual clock: the same seeds meet the same faults each time. */
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -4,7 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.amberpath.lab.SeededRuns;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** Planners and forwarders that fail in any order, always from the same seeds. */
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.amberpath.lab.ExperimentReport;
-import org.amberpath.lab.SeededRuns;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** The pure half against a registry that fails in any order, always from the same seeds. */
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -29,8 +29,6 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 import org.amberpath.lab.EventLoopWaiter;
-import org.amberpath.lab.LoopbackTestbed;
-import org.amberpath.lab.registry.StandInRegistry.EndpointBehavior;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.WatchSession.Phase;
 import org.amberpath.registry.runtime.RecordCodec;
@@ -91,7 +89,7 @@
           return null;
         });
     logger.removeHandler(handler);
-    LoopbackTestbed.await(vertx.close());
+    EventLoopWaiter.await(vertx.close());
   }
 
   private <T> T on(Callable<T> what) throws Exception {
@@ -109,7 +107,7 @@
 
   private void endpoints(int many) throws Exception {
     for (int one = 0; one < many; one++) {
-      LoopbackTestbed.await(on(() -> registry.open(0)));
+      EventLoopWaiter.await(on(() -> registry.open(0)));
     }
   }
 
@@ -181,7 +179,7 @@
     await(() -> is("a", EndpointState.DRAINING));
     on(
         () -> {
-          registry.endpoints().forEach(StandInRegistry.Endpoint::breakConnections);
+          registry.endpoints().forEach(StandInEndpoint::breakConnections);
           return null;
         });
     put("b", EndpointState.UP);
@@ -385,7 +383,7 @@
             1 << 20));
     await(() -> is("a", EndpointState.UP));
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, without)) {
-      assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
+      assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(desk.list()));
     }
   }
 
@@ -439,7 +437,7 @@
     put("a", EndpointState.UP);
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
       long seen =
-          LoopbackTestbed.await(desk.list()).stream()
+          EventLoopWaiter.await(desk.list()).stream()
               .filter(one -> one.key().endsWith("/a"))
               .findFirst()
               .orElseThrow()
@@ -448,15 +446,15 @@
       RegistryRecord.Cache other =
           new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, EndpointState.UP, 1, 0);
       assertFalse(
-          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
+          EventLoopWaiter.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
       long tip = on(() -> registry.revision());
       assertTrue(
-          LoopbackTestbed.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "b", other, 0)));
+          EventLoopWaiter.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "b", other, 0)));
       assertTrue(
-          LoopbackTestbed.await(
+          EventLoopWaiter.await(
               desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
       assertTrue(on(() -> registry.revision()) > tip);
-      assertEquals(4, LoopbackTestbed.await(desk.list()).size());
+      assertEquals(4, EventLoopWaiter.await(desk.list()).size());
     }
   }
 
@@ -470,7 +468,7 @@
         });
     try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
       ExecutionException e =
-          assertThrows(ExecutionException.class, () -> LoopbackTestbed.await(desk.list()));
+          assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(desk.list()));
       assertTrue(
           e.getCause().getMessage().endsWith("nothing listens there"), e.getCause().getMessage());
     }
