--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipSizeCommand.java
@@ -0,0 +1,32 @@
+package org.amberpath.cli;
+
+import java.util.List;
+import org.amberpath.lab.membership.MembershipSizeExperiment;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** {@code lab fleet-size}: see {@link MembershipSizeExperiment}. */
+@Command(
+    name = "fleet-size",
+    mixinStandardHelpOptions = true,
+    description = "What a fleet's view costs and how soon it knows, by size.")
+final class LabMembershipSizeCommand extends LabExperiment {
+  @Option(
+      names = "--sizes",
+      split = ",",
+      defaultValue = "12,220,1000",
+      description = "Default: ${DEFAULT-VALUE}.")
+  private List<Integer> sizes;
+
+  @Option(
+      names = "--periods",
+      split = ",",
+      defaultValue = "250,500,1000",
+      description = "Between probes, in ms. Default: ${DEFAULT-VALUE}.")
+  private List<Integer> periods;
+
+  @Override
+  public Integer call() {
+    return finish(MembershipSizeExperiment.run(seed(), sizes, periods, System.out));
+  }
+}
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
@@ -0,0 +1,38 @@
+package org.amberpath.cli;
+
+import java.util.Map;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.simulation.SeededRuns;
+import picocli.CommandLine.Option;
+
+/** A model on a virtual clock, each run from a seed of its own; a single run prints its trace. */
+abstract class LabModelExperiment extends LabExperiment {
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  @Option(
+      names = "--runs",
+      defaultValue = "10000",
+      description = "How many; 1 tells its story. Default: " + "${DEFAULT-VALUE}.")
+  private int runs;
+
+  abstract SeededRuns.Model model();
+
+  @Override
+  public final Integer call() {
+    ExperimentReport report = new ExperimentReport(seed());
+    if (runs == 1) {
+      SeededRuns.Result result = SeededRuns.runOne(model(), seed(), System.out::println);
+      return finish(
+          report
+              .figure("missed", String.valueOf(result.violation()))
+              .bar("all bars", result.violation() == null));
+    }
+    long startedNanos = System.nanoTime();
+    Map<String, Object> totals = SeededRuns.runMany(model(), seed(), runs);
+    totals.forEach(report::figure);
+    return finish(
+        report
+            .figure("took_ms", (System.nanoTime() - startedNanos) / NANOS_PER_MILLI)
+            .bar("all bars in all runs", totals.get("failed").equals(0L)));
+  }
+}
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
@@ -0,0 +1,32 @@
+package org.amberpath.cli;
+
+import java.util.Locale;
+import org.amberpath.lab.ExperimentReport;
+import org.amberpath.lab.registry.RegistryExperiment;
+import org.amberpath.registry.runtime.RegistrySettings;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+
+/** {@code lab registry}: see {@link RegistryExperiment}. */
+@Command(
+    name = "registry",
+    mixinStandardHelpOptions = true,
+    description = "A gateway on sockets while its registry changes and breaks off at random.")
+final class LabRegistryCommand extends LabSocketExperiment {
+  @Option(
+      names = "--form",
+      defaultValue = "etcd",
+      description = "etcd or consul. Default: ${DEFAULT-VALUE}.")
+  private String form;
+
+  @Override
+  int defaultSeconds() {
+    return 16;
+  }
+
+  @Override
+  ExperimentReport run(int seconds) throws Exception {
+    return RegistryExperiment.run(
+        seed(), seconds, RegistrySettings.ProtocolKind.valueOf(form.toUpperCase(Locale.ROOT)));
+  }
+}
--- /dev/null
+++ b/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
@@ -0,0 +1,43 @@
+package org.amberpath.cli;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.VertxOptions;
+import io.vertx.core.http.HttpServerOptions;
+import java.util.concurrent.Callable;
+import org.amberpath.lab.registry.StandInRegistry;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/** {@code lab standin}: runs a stand-in until it is stopped. */
+@Command(
+    name = "standin",
+    mixinStandardHelpOptions = true,
+    description = "Runs a stand-in registry until it is stopped; both forms, on the ports given.")
+final class LabStandInCommand implements Callable<Integer> {
+  @Parameters(paramLabel = "WHAT", description = "registry")
+  private String what;
+
+  @Option(
+      names = "--ports",
+      split = ",",
+      defaultValue = "2379,2380,2381",
+      description = "One endpoint each. Default: ${DEFAULT-VALUE}.")
+  private int[] ports;
+
+  @Override
+  public Integer call() throws Exception {
+    if (!what.equals("registry")) {
+      System.err.println("lab standin: registry");
+      return AmberpathCommand.USAGE;
+    }
+    Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+    StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
+    for (int port : ports) {
+      int up = registry.open(port).toCompletionStage().toCompletableFuture().get().port();
+      System.out.println("stand-in registry at 127.0.0.1:" + up);
+    }
+    Thread.currentThread().join();
+    return AmberpathCommand.DONE;
+  }
+}
