--- a/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
+++ b/lab/src/main/java/org/amberpath/lab/leadership/LeadershipValueModel.java
@@ -3,67 +3,91 @@
 import java.io.IOException;
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.lab.VirtualFleet;
+import org.amberpath.lab.fleet.FleetCache;
+import org.amberpath.lab.fleet.FleetFigures;
+import org.amberpath.lab.fleet.VirtualFleet;
+import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.routing.EndpointState;
 
-/** A fifth of the caches hang and come back, and one dies and comes back cold. */
+/** A fifth of the caches hang and come back, and one crashes and starts with nothing stored. */
 final class LeadershipValueModel extends VirtualFleet {
-  static final int WARM_S = 20, OUT_S = 12, AFTER_S = 25;
-  private static final int BACK_S = WARM_S + OUT_S, END_S = BACK_S + AFTER_S;
-  private static final long TOLD_LATE = 500 * MS;
+  static final int OUTAGE_SECONDS = 12;
+  private static final int FAULT_SECOND = 20;
+  private static final int OBSERVED_SECONDS = 25;
+  private static final int RECOVERY_SECOND = FAULT_SECOND + OUTAGE_SECONDS;
+  private static final int END_SECOND = RECOVERY_SECOND + OBSERVED_SECONDS;
+  private static final int HUNG_ONE_IN = 5;
+  private static final long LOSS_ANNOUNCED_NANOS = 500 * Simulation.NANOS_PER_MILLI;
+  private static final long RETURN_ANNOUNCED_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
-  private final int hung;
+  private final int hungCaches;
 
   LeadershipValueModel(Plan plan) throws IOException {
-    super(plan, END_S);
-    hung = Math.max(1, plan.caches() / 5);
+    super(plan, END_SECOND);
+    hungCaches = Math.max(1, plan.edgeCaches() / HUNG_ONE_IN);
   }
 
   @Override
-  protected void script() {
-    int cold = plan.caches() - 1;
-    agenda.at(
-        START + WARM_S * SECOND,
-        () -> {
-          caches.subList(0, hung).forEach(cache -> cache.hangs = true);
-          caches.get(cold).dies();
-        });
-    agenda.at(START + WARM_S * SECOND + TOLD_LATE, () -> tell(cold, EndpointState.GONE, 0));
-    agenda.at(
-        START + BACK_S * SECOND,
-        () -> {
-          caches.subList(0, hung).forEach(Cache::wakes);
-          caches.get(cold).starts();
-        });
-    agenda.at(
-        START + BACK_S * SECOND + 50 * MS,
-        () -> tell(cold, EndpointState.UP, START + BACK_S * SECOND));
+  protected void scheduleScenario() {
+    int crashed = plan().edgeCaches() - 1;
+    long faultNanos = atSecond(FAULT_SECOND);
+    long recoveryNanos = atSecond(RECOVERY_SECOND);
+    scheduler()
+        .schedule(
+            faultNanos,
+            () -> {
+              caches().subList(0, hungCaches).forEach(FleetCache::hang);
+              caches().get(crashed).crash();
+            });
+    scheduler()
+        .schedule(
+            faultNanos + LOSS_ANNOUNCED_NANOS,
+            () -> announceEndpoint(crashed, EndpointState.GONE, 0));
+    scheduler()
+        .schedule(
+            recoveryNanos,
+            () -> {
+              caches().subList(0, hungCaches).forEach(FleetCache::resume);
+              caches().get(crashed).restart();
+            });
+    scheduler()
+        .schedule(
+            recoveryNanos + RETURN_ANNOUNCED_NANOS,
+            () -> announceEndpoint(crashed, EndpointState.UP, recoveryNanos));
   }
 
   @Override
-  protected void came(Cache to, boolean own) {
-    if (to.index < hung && agenda.now() >= START + WARM_S * SECOND) {
-      count("hung", agenda.now());
+  protected void requestArrived(FleetCache cache) {
+    long nowNanos = scheduler().nowNanos();
+    if (cache.index() < hungCaches && nowNanos >= atSecond(FAULT_SECOND)) {
+      figures().count("hung", nowNanos);
     }
   }
 
   @Override
-  protected Map<String, Double> figures() {
-    Map<String, Double> figures = new TreeMap<>();
-    double before = share(WARM_S - 8, WARM_S - 1);
-    figures.put("before", before);
-    figures.put("while_out", share(WARM_S, BACK_S));
-    figures.put("after_5s", share(BACK_S, BACK_S + 5));
-    figures.put("seconds_to_0.95", secondsBack(BACK_S, END_S, before));
+  protected Map<String, Double> report() {
+    FleetFigures figures = figures();
+    Map<String, Double> report = new TreeMap<>();
+    double before = figures.goodShare(FAULT_SECOND - 8, FAULT_SECOND - 1);
+    report.put("before", before);
+    report.put("while_out", figures.goodShare(FAULT_SECOND, RECOVERY_SECOND));
+    report.put("after_5s", figures.goodShare(RECOVERY_SECOND, RECOVERY_SECOND + 5));
+    report.put(
+        "seconds_to_0.95", figures.secondsUntilRestored(RECOVERY_SECOND, END_SECOND, before));
     // The first two seconds hold what was on its way; in five it has been found out.
-    figures.put("calls_while_out_from_2s", sum("hung", WARM_S + 2, BACK_S));
-    figures.put("calls_while_out_from_5s", sum("hung", WARM_S + 5, BACK_S));
-    figures.put("calls_in_the_first_second_back", sum("hung", BACK_S, BACK_S + 1));
-    figures.put("origin_fills_after", sum("origin", BACK_S, END_S));
-    figures.put("viewers_misses_at_the_cold_one", sum("cold_miss", BACK_S, END_S));
-    figures.put("viewers_hits_at_the_cold_one_in_5s", sum("cold_hit", BACK_S, BACK_S + 5));
-    figures.put("cold_most_of_bound", coldMost / 1000.0);
-    figures.put("cold_fell", (double) coldFell);
-    return figures;
+    report.put("calls_while_out_from_2s", figures.total("hung", FAULT_SECOND + 2, RECOVERY_SECOND));
+    report.put("calls_while_out_from_5s", figures.total("hung", FAULT_SECOND + 5, RECOVERY_SECOND));
+    report.put(
+        "calls_in_the_first_second_back",
+        figures.total("hung", RECOVERY_SECOND, RECOVERY_SECOND + 1));
+    report.put("origin_fills_after", figures.total("origin", RECOVERY_SECOND, END_SECOND));
+    report.put(
+        "viewers_misses_at_the_cold_one", figures.total("cold_miss", RECOVERY_SECOND, END_SECOND));
+    report.put(
+        "viewers_hits_at_the_cold_one_in_5s",
+        figures.total("cold_hit", RECOVERY_SECOND, RECOVERY_SECOND + 5));
+    report.put("cold_most_of_bound", figures.peakWarmUpLoad());
+    report.put("cold_fell", (double) figures.warmUpOverloads());
+    return report;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/PlannersModel.java
@@ -4,455 +4,182 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
-import org.amberpath.lab.VirtualProcess;
-import org.amberpath.lab.VirtualScheduler;
-import org.amberpath.leadership.Leadership;
-import org.amberpath.leadership.RegistryLeadership;
-import org.amberpath.planning.MaxMinFairShare;
-import org.amberpath.planning.QuotaGrant;
-import org.amberpath.planning.QuotaHolder;
-import org.amberpath.planning.QuotaLedger;
-import org.amberpath.planning.QuotaRequest;
+import org.amberpath.lab.simulation.InvariantViolation;
+import org.amberpath.lab.simulation.LeaseKey;
+import org.amberpath.lab.simulation.MessageFaults;
+import org.amberpath.lab.simulation.SimulatedProcess;
+import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.planning.QuotaTimings;
 
 /**
  * One run of the pure halves of planners and forwarders on a virtual clock: messages lost, late and
- * doubled, planners killed, frozen and stopped, forwarders restarted, clocks that differ and drift.
+ * doubled, planners killed, paused and stopped, forwarders restarted, clocks that differ and drift.
  * After each step the sum of what all forwarders may use stays within the bound, and one planner at
  * most may grant.
  */
 final class PlannersModel {
-  private static final long MS = 1_000_000, SECOND = 1000 * MS, START = 1_700_000_000L * SECOND;
-  private static final long BUSY = 60 * SECOND,
-      CALM = 20 * SECOND,
-      LEASE = 3 * SECOND,
-      ASKS = 300 * MS;
-  private static final QuotaTimings RULES = new QuotaTimings(2 * SECOND, 8 * SECOND, 1000, 0.125);
-  private static final double SLACK = 1e-6;
-
-  /** A bar that was missed. */
-  static final class Missed extends RuntimeException {
-    Missed(String what) {
-      super(what);
-    }
-  }
-
-  private final SplittableRandom chance;
-  private final VirtualScheduler agenda = new VirtualScheduler(START);
-  private final Consumer<String> story;
-  private final List<Planner> planners = new ArrayList<>();
-  private final List<Forwarder> forwarders = new ArrayList<>();
+  static final QuotaTimings TIMINGS =
+      new QuotaTimings(
+          2 * Simulation.NANOS_PER_SECOND, 8 * Simulation.NANOS_PER_SECOND, 1000, 0.125);
+  static final long LEASE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+
+  private static final long FAULT_PERIOD_NANOS = 60 * Simulation.NANOS_PER_SECOND;
+  private static final long CALM_PERIOD_NANOS = 20 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_MESSAGE_DELAY_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_FAULT_INTERVAL_NANOS = 4 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_PLANNER_PAUSE_NANOS = 8 * Simulation.NANOS_PER_SECOND;
+  private static final long MAX_FORWARDER_PAUSE_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+  private static final long MIN_DOWN_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final long MAX_DOWN_NANOS = 5 * Simulation.NANOS_PER_SECOND;
+  private static final int MIN_PLANNERS = 2;
+  private static final int MIN_FORWARDERS = 4;
+  private static final int MORE_FORWARDERS = 8;
+  private static final int FAULT_KINDS = 6;
+  private static final double ROUNDING = 1e-6;
+
+  private final Simulation simulation;
+  private final MessageFaults messages;
+  private final LeaseKey<SimulatedPlanner> key;
+  private final List<SimulatedPlanner> planners = new ArrayList<>();
+  private final List<SimulatedForwarder> forwarders = new ArrayList<>();
   private final double[] bounds = {100, 7};
-  private final long busyUntil = START + BUSY;
-  private long steps, grants, terms, above, handedOver, refused;
-  // The registry's key: who holds it, under which term and revision, until when.
-  private int holder = -1;
-  private long term, changed, expiry;
-
-  PlannersModel(long seed, Consumer<String> story) {
-    chance = new SplittableRandom(seed);
-    this.story = line -> story.accept((agenda.now() - START) / 1000 + " us: " + line);
-    int many = 2 + chance.nextInt(2), served = 4 + chance.nextInt(8);
-    for (int one = 0; one < many; one++) {
-      planners.add(new Planner(one));
-    }
-    for (int one = 0; one < served; one++) {
-      forwarders.add(new Forwarder(one));
+  private final PlannersFigures figures = new PlannersFigures();
+
+  PlannersModel(long seed, Consumer<String> trace) {
+    simulation = new Simulation(seed, FAULT_PERIOD_NANOS, TimeUnit.MICROSECONDS, trace);
+    messages =
+        new MessageFaults(simulation, MAX_MESSAGE_DELAY_NANOS, MessageFaults.Duplication.ALWAYS);
+    key =
+        new LeaseKey<>(
+            simulation,
+            LEASE_NANOS,
+            LeaseKey.TermRule.NEXT,
+            planners,
+            SimulatedPlanner::keyObserved);
+    int plannerCount = MIN_PLANNERS + simulation.random().nextInt(2);
+    int forwarderCount = MIN_FORWARDERS + simulation.random().nextInt(MORE_FORWARDERS);
+    for (int index = 0; index < plannerCount; index++) {
+      planners.add(new SimulatedPlanner(this, index));
+    }
+    for (int index = 0; index < forwarderCount; index++) {
+      forwarders.add(new SimulatedForwarder(this, index));
     }
   }
 
-  Map<String, Long> run() {
-    planners.forEach(Planner::start);
-    forwarders.forEach(Forwarder::start);
-    agenda.at(START + chance.nextLong(SECOND), this::fault);
-    while (agenda.step(busyUntil + CALM)) {
-      steps++;
-      check();
-    }
-    long granted = forwarders.stream().filter(one -> one.holding.isGranted(one.clock())).count();
-    if (granted < forwarders.size()) {
-      throw new Missed(
-          "calm, and only "
-              + granted
-              + " of "
-              + forwarders.size()
-              + " are granted: "
-              + planners.stream().map(one -> one.leadership.state()).toList());
-    }
-    return Map.of(
-        "steps",
-        steps,
-        "grants",
-        grants,
-        "terms",
-        terms,
-        "above_usual",
-        above,
-        "handed_over",
-        handedOver,
-        "refused",
-        refused);
+  Simulation simulation() {
+    return simulation;
   }
 
-  private void check() {
-    for (int resource = 0; resource < bounds.length; resource++) {
-      double sum = 0;
-      for (Forwarder one : forwarders) {
-        sum += one.up ? one.holding.share(resource, one.clock()) : 0;
-      }
-      if (sum > bounds[resource] + SLACK) {
-        throw new Missed(
-            "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
-      }
-    }
-    if (planners.stream().filter(one -> one.up && one.leadership.isLeader(one.clock())).count()
-        > 1) {
-      throw new Missed("two planners may grant");
-    }
+  MessageFaults messages() {
+    return messages;
   }
 
-  // ---- Clocks, messages, the registry.
-
-  /** A process: with a clock of its own, and times at which it stands still. */
-  private abstract class PlanningProcess extends VirtualProcess {
-    PlanningProcess() {
-      super(agenda, START, chance);
-      up = true;
-    }
-
-    /** Has something arrive here: lost, late or twice, as it comes. */
-    void arrive(Runnable what) {
-      int kind = chance.nextInt(100);
-      if (agenda.now() < busyUntil && kind < 5) {
-        return;
-      }
-      long late =
-          agenda.now() < busyUntil && kind < 12
-              ? chance.nextLong(4 * SECOND)
-              : chance.nextLong(MS, 20 * MS);
-      at(agenda.now() + late, what);
-      if (kind > 96) {
-        at(agenda.now() + late + chance.nextLong(SECOND), what);
-      }
-    }
-
-    /** Asks the registry, which does something; the answer may be lost on the way back. */
-    void registry(Runnable there) {
-      agenda.at(
-          agenda.now() + chance.nextLong(MS, 10 * MS),
-          () -> {
-            if (chance.nextInt(20) > 0 || agenda.now() > busyUntil) {
-              there.run();
-            }
-          });
-    }
+  LeaseKey<SimulatedPlanner> key() {
+    return key;
   }
 
-  private void tell() {
-    long ofTerm = term, at = changed;
-    boolean held = holder >= 0;
-    planners.forEach(
-        one ->
-            one.at(
-                agenda.now() + chance.nextLong(MS, 50 * MS),
-                () -> {
-                  one.leadership.keyObserved(one.clock(), ofTerm, held, at);
-                  one.arm();
-                }));
+  List<SimulatedPlanner> planners() {
+    return planners;
   }
 
-  private void expire(long of) {
-    if (holder >= 0 && changed == of && agenda.now() >= expiry) {
-      holder = -1;
-      changed++;
-      tell();
-    }
+  int forwarderCount() {
+    return forwarders.size();
   }
 
-  private void lease() {
-    expiry = agenda.now() + LEASE;
-    long of = changed;
-    agenda.at(expiry, () -> expire(of));
+  /** Of each resource, what all forwarders together may use; not to be changed. */
+  double[] bounds() {
+    return bounds;
   }
 
-  // ---- Processes.
-
-  private final class Planner extends PlanningProcess implements RegistryLeadership.Commands {
-    final int index;
-    RegistryLeadership leadership;
-    QuotaLedger ledger;
-    double[][] wants;
-    long ledgerTerm;
-
-    Planner(int index) {
-      this.index = index;
-    }
-
-    void start() {
-      life++;
-      up = true;
-      ledger = null;
-      ledgerTerm = 0;
-      leadership = new RegistryLeadership(RULES.leaseTimings(LEASE), this, chance.nextLong());
-      wants = new double[forwarders.size()][];
-      long ofTerm = term, at = changed;
-      boolean held = holder >= 0;
-      leadership.keyObserved(clock(), ofTerm, held, at);
-      arm();
-    }
-
-    void arm() {
-      long due = leadership.nextTickNanos();
-      if (due != Long.MAX_VALUE) {
-        at(
-            agenda.now() + Math.max(MS, due - clock()),
-            () -> {
-              leadership.tick(clock());
-              arm();
-            });
-      }
-    }
-
-    @Override
-    public void campaign(long asTerm, long seenChanged) {
-      registry(
-          () -> {
-            boolean won = holder < 0 && changed == seenChanged && term + 1 == asTerm;
-            if (won) {
-              holder = index;
-              term = asTerm;
-              changed++;
-              terms++;
-              lease();
-              story.accept("planner " + index + " holds the key under term " + term);
-              tell();
-            }
-            at(
-                agenda.now() + chance.nextLong(MS, 10 * MS),
-                () -> {
-                  if (won) {
-                    leadership.campaignWon(clock(), asTerm);
-                    askHandover(asTerm);
-                  } else {
-                    leadership.leaseLost(clock());
-                  }
-                  arm();
-                });
-          });
-    }
-
-    @Override
-    public void keepAlive(long askedAt) {
-      long of = leadership.term();
-      boolean[] heard = {false};
-      registry(
-          () -> {
-            boolean kept = holder == index && term == of;
-            if (kept) {
-              lease();
-            }
-            at(
-                agenda.now() + chance.nextLong(MS, 10 * MS),
-                () -> {
-                  heard[0] = true;
-                  if (kept) {
-                    leadership.leaseRenewed(clock(), askedAt);
-                  } else {
-                    leadership.leaseLost(clock());
-                  }
-                  arm();
-                });
-          });
-      at(
-          agenda.now() + LEASE / 6,
-          () -> {
-            if (!heard[0] && leadership.term() == of) {
-              leadership.renewalUnanswered(clock());
-              arm();
-            }
-          });
-    }
-
-    @Override
-    public void resign() {
-      long of = leadership.term();
-      registry(
-          () -> {
-            if (holder == index && term == of) {
-              holder = -1;
-              changed++;
-              tell();
-            }
-          });
-    }
-
-    /** Asks the planner before for what it granted; it answers once it has stopped. */
-    private void askHandover(long asTerm) {
-      long askedAt = clock();
-      for (Planner other : planners) {
-        if (other != this) {
-          other.arrive(
-              () -> {
-                if (other.leadership.state() == Leadership.State.RESIGNED
-                    && other.ledger != null
-                    && other.ledgerTerm == asTerm - 1) {
-                  List<QuotaLedger.OutstandingGrant> left =
-                      other.ledger.outstandingGrants(other.clock());
-                  arrive(
-                      () -> {
-                        if (leadership.state() == Leadership.State.WAITING
-                            && leadership.term() == asTerm) {
-                          ledger =
-                              QuotaLedger.succeeding(
-                                  RULES, asTerm, bounds, forwarders.size(), left, askedAt, clock());
-                          ledgerTerm = asTerm;
-                          leadership.predecessorStopped(clock(), asTerm - 1);
-                          handedOver++;
-                          arm();
-                        }
-                      });
-                }
-              });
-        }
-      }
-    }
-
-    void asked(Forwarder from, QuotaRequest ask) {
-      wants[ask.member()] = ask.wanted();
-      leadership.tick(clock());
-      if (!leadership.isLeader(clock())) {
-        return;
-      }
-      if (ledgerTerm != leadership.term()) {
-        ledger = new QuotaLedger(RULES, leadership.term(), bounds, forwarders.size());
-        ledgerTerm = leadership.term();
-      }
-      if (!ledger.requestReceived(ask)) {
-        return;
-      }
-      double[] wished = new double[bounds.length];
-      for (int resource = 0; resource < bounds.length; resource++) {
-        double usual = bounds[resource] / wants.length;
-        double[] wanted = new double[wants.length];
-        for (int member = 0; member < wants.length; member++) {
-          wanted[member] = wants[member] == null ? usual : wants[member][resource];
-        }
-        wished[resource] =
-            MaxMinFairShare.of(bounds[resource], wanted, usual * RULES.minimumFraction())[
-                ask.member()];
-      }
-      QuotaGrant grant = ledger.grant(clock(), ask, wished);
-      if (grant != null) {
-        grants++;
-        above += grant.amounts()[0] > bounds[0] / wants.length ? 1 : 0;
-        // It may stand still between deciding and sending.
-        long still =
-            chance.nextInt(50) == 0 && agenda.now() < busyUntil ? chance.nextLong(6 * SECOND) : 0;
-        agenda.at(agenda.now() + still, () -> from.arrive(() -> from.granted(grant)));
-      }
-    }
+  PlannersFigures figures() {
+    return figures;
   }
 
-  private final class Forwarder extends PlanningProcess {
-    final int index;
-    QuotaHolder holding;
-
-    Forwarder(int index) {
-      this.index = index;
+  /** Runs it, and gives its figures. */
+  Map<String, Long> run() {
+    planners.forEach(SimulatedPlanner::restart);
+    forwarders.forEach(SimulatedForwarder::restart);
+    simulation.after(simulation.random().nextLong(Simulation.NANOS_PER_SECOND), this::injectFault);
+    long steps = simulation.run(CALM_PERIOD_NANOS, this::checkInvariants);
+    long granted = forwarders.stream().filter(SimulatedForwarder::isGranted).count();
+    if (granted < forwarders.size()) {
+      throw new InvariantViolation(
+          "calm, and only "
+              + granted
+              + " of "
+              + forwarders.size()
+              + " are granted: "
+              + planners.stream().map(planner -> planner.leadership().state()).toList());
     }
+    return figures.report(steps);
+  }
 
-    void start() {
-      life++;
-      up = true;
-      double[] usual = new double[bounds.length];
-      for (int resource = 0; resource < bounds.length; resource++) {
-        usual[resource] = bounds[resource] / forwarders.size();
+  private void checkInvariants() {
+    for (int resource = 0; resource < bounds.length; resource++) {
+      double sum = 0;
+      for (SimulatedForwarder forwarder : forwarders) {
+        sum += forwarder.usableAmount(resource);
       }
-      holding = new QuotaHolder(RULES, index, life, usual, clock());
-      at(agenda.now() + chance.nextLong(ASKS), this::ask);
-    }
-
-    private void ask() {
-      double[] wanted = new double[bounds.length];
-      for (int resource = 0; resource < bounds.length; resource++) {
-        wanted[resource] =
-            chance.nextInt(3) == 0
-                ? bounds[resource] * chance.nextDouble()
-                : bounds[resource] / forwarders.size() * chance.nextDouble();
+      if (sum > bounds[resource] + ROUNDING) {
+        throw new InvariantViolation(
+            "resource " + resource + ": " + sum + " of " + bounds[resource] + " may be used");
       }
-      QuotaRequest ask = holding.nextRequest(clock(), wanted);
-      planners.forEach(planner -> planner.arrive(() -> planner.asked(this, ask)));
-      at(agenda.now() + ASKS, this::ask);
     }
-
-    void granted(QuotaGrant grant) {
-      QuotaHolder.GrantResult refusal = holding.apply(clock(), grant);
-      refused += refusal == QuotaHolder.GrantResult.APPLIED ? 0 : 1;
-      story.accept(
-          "forwarder "
-              + index
-              + ": grant "
-              + grant.term()
-              + "/"
-              + grant.number()
-              + " "
-              + grant.amounts()[0]
-              + " "
-              + refusal);
+    if (planners.stream().filter(SimulatedPlanner::mayGrant).count() > 1) {
+      throw new InvariantViolation("two planners may grant");
     }
   }
 
-  // ---- What goes wrong.
-
-  private void fault() {
-    if (agenda.now() >= busyUntil) {
+  private void injectFault() {
+    if (!simulation.faultsActive()) {
       return;
     }
-    Planner planner = planners.get(chance.nextInt(planners.size()));
-    Forwarder forwarder = forwarders.get(chance.nextInt(forwarders.size()));
-    switch (chance.nextInt(6)) {
+    SplittableRandom random = simulation.random();
+    SimulatedPlanner planner = planners.get(random.nextInt(planners.size()));
+    SimulatedForwarder forwarder = forwarders.get(random.nextInt(forwarders.size()));
+    switch (random.nextInt(FAULT_KINDS)) {
       case 0 -> {
-        story.accept("planner " + planner.index + " is killed");
-        planner.up = false;
-        restart(planner, planner::start);
-      }
-      case 1, 2 -> {
-        planner.frozenUntil = agenda.now() + chance.nextLong(8 * SECOND);
-        story.accept(
-            "planner "
-                + planner.index
-                + " stands still until "
-                + (planner.frozenUntil - START) / 1000);
+        simulation.trace("planner " + planner.index() + " is killed");
+        planner.stop();
+        restartLater(planner, planner::restart);
       }
+      case 1, 2 -> pause(planner);
       case 3 -> {
-        if (planner.up && agenda.now() >= planner.frozenUntil) {
-          story.accept("planner " + planner.index + " is told to stop");
-          planner.leadership.resign(planner.clock());
-          restart(
-              planner,
-              () -> {
-                planner.up = false;
-                planner.start();
-              });
+        if (planner.isRunning() && !planner.isPaused()) {
+          simulation.trace("planner " + planner.index() + " is told to stop");
+          planner.leadership().resign(planner.localNanos());
+          restartLater(planner, planner::restart);
         }
       }
       case 4 -> {
-        forwarder.up = false;
-        restart(forwarder, forwarder::start);
+        forwarder.stop();
+        restartLater(forwarder, forwarder::restart);
       }
-      default -> forwarder.frozenUntil = agenda.now() + chance.nextLong(3 * SECOND);
+      default ->
+          forwarder.pauseUntil(simulation.nowNanos() + random.nextLong(MAX_FORWARDER_PAUSE_NANOS));
     }
-    agenda.at(agenda.now() + chance.nextLong(4 * SECOND), this::fault);
+    simulation.after(random.nextLong(MAX_FAULT_INTERVAL_NANOS), this::injectFault);
+  }
+
+  private void pause(SimulatedPlanner planner) {
+    planner.pauseUntil(
+        simulation.nowNanos() + simulation.random().nextLong(MAX_PLANNER_PAUSE_NANOS));
+    simulation.trace(
+        "planner "
+            + planner.index()
+            + " stands still until "
+            + (planner.pausedUntilNanos() - Simulation.EPOCH_NANOS) / 1000);
   }
 
-  private void restart(PlanningProcess process, Runnable start) {
-    long of = process.life;
-    agenda.at(
-        agenda.now() + chance.nextLong(50 * MS, 5 * SECOND),
+  private void restartLater(SimulatedProcess process, Runnable restart) {
+    long stoppedIncarnation = process.incarnation();
+    simulation.after(
+        simulation.random().nextLong(MIN_DOWN_NANOS, MAX_DOWN_NANOS),
         () -> {
-          if (process.life == of) {
-            start.run();
+          if (process.incarnation() == stoppedIncarnation) {
+            restart.run();
           }
         });
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -4,15 +4,15 @@
 import java.lang.reflect.Method;
 
 /**
- * Runs a program's main method, and ends the process when the rig that started it is gone: what a
- * rig started does not outlive it, however it ends.
+ * Runs a program's main method, and ends the process when the process that started it is gone: no
+ * gateway outlives its testbed, however that ends.
  */
 public final class ParentWatchdog {
   private ParentWatchdog() {}
 
   /** The class whose main is run, then its own arguments. */
   public static void main(String[] args) throws Exception {
-    Thread watch =
+    Thread watcher =
         new Thread(
             () -> {
               try {
@@ -24,9 +24,9 @@
               }
               Runtime.getRuntime().halt(1);
             },
-            "tether");
-    watch.setDaemon(true);
-    watch.start();
+            "parent watchdog");
+    watcher.setDaemon(true);
+    watcher.start();
     Method main = Class.forName(args[0]).getMethod("main", String[].class);
     main.invoke(null, (Object) java.util.Arrays.copyOfRange(args, 1, args.length));
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -9,6 +9,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.stream.Collectors;
+import org.amberpath.lab.LabSettings;
 import org.amberpath.routing.EndpointState;
 
 /**
@@ -16,23 +17,36 @@
  * event loop. Bounds: the events of one experiment; a poll a connection.
  */
 public final class StandInJournal {
-  private static final int MOST_EVENTS = 100_000;
+  private static final int MAX_EVENTS = 100_000;
 
-  /** One cache in an event; startedAtMs is when it started cold, or 0. */
+  /** What an event of caches lists. */
+  public enum ListScope {
+    /** All caches that there are. */
+    FULL,
+
+    /** Those that have changed. */
+    CHANGES
+  }
+
+  /**
+   * One cache in an event.
+   *
+   * @param startedAtMillis when it started with nothing stored; 0 for one that is warm
+   */
   public record Instance(
       String id,
       String address,
       String kind,
       double weight,
       EndpointState state,
-      long startedAtMs) {
+      long startedAtMillis) {
     private String json() {
       return "{\"instanceId\":\""
           + id
           + "\",\"hostPort\":\""
           + address
           + "\",\"zone\":\""
-          + org.amberpath.lab.LabSettings.ZONE
+          + LabSettings.ZONE
           + "\",\"machineType\":\""
           + kind
           + "\",\"cell\":0,\"lifecycle\":\""
@@ -42,7 +56,7 @@
           + "\",\"weight\":"
           + weight
           + ",\"startedAtMs\":"
-          + startedAtMs
+          + startedAtMillis
           + "}";
     }
   }
@@ -55,44 +69,36 @@
   private final List<Poll> polls = new ArrayList<>();
   private long bytesSent;
 
+  /** A journal that does not listen yet. */
   public StandInJournal(Vertx vertx) {
     this.vertx = vertx;
     server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
-    server.requestHandler(this::asked);
+    server.requestHandler(this::pollReceived);
   }
 
+  /** Listens on a port from the system. */
   public Future<StandInJournal> listen() {
     return server.listen().map(this);
   }
 
+  /** The address at which it listens. */
   public String address() {
     return "127.0.0.1:" + server.actualPort();
   }
 
-  /** A cache's state; startedAtMs is when it started cold, or 0. */
-  void host(
-      String id,
-      String address,
-      String kind,
-      double weight,
-      EndpointState state,
-      long startedAtMs) {
-    hosts(false, List.of(new Instance(id, address, kind, weight, state, startedAtMs)));
-  }
-
-  /** One event of caches: the whole list, or what has changed of it. */
-  public void hosts(boolean whole, List<Instance> instances) {
+  /** Adds one event of caches. */
+  public void announceCaches(ListScope scope, List<Instance> instances) {
     add(
         "\"hosts\":{\"generation\":1,\"reset\":"
-            + whole
+            + (scope == ListScope.FULL)
             + ",\"instances\":["
             + instances.stream().map(Instance::json).collect(Collectors.joining(","))
             + "]}");
   }
 
   /** All events so far, in the form in which a configuration holds them. */
-  public String known() {
-    return after(0);
+  public String allEvents() {
+    return eventsAfter(0);
   }
 
   /** Bytes of the answers so far, without their heads. */
@@ -100,34 +106,35 @@
     return bytesSent;
   }
 
-  void purge(String object, long atMs) {
-    add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMs + "}");
+  /** Adds the event of a purge. */
+  void announcePurge(String object, long atMillis) {
+    add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
   }
 
   private void add(String event) {
-    if (entries.size() >= MOST_EVENTS) {
-      throw new IllegalStateException("more than " + MOST_EVENTS + " events");
+    if (entries.size() >= MAX_EVENTS) {
+      throw new IllegalStateException("more than " + MAX_EVENTS + " events");
     }
     entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
-    for (Iterator<Poll> each = polls.iterator(); each.hasNext(); ) {
-      Poll poll = each.next();
-      each.remove();
+    for (Iterator<Poll> iterator = polls.iterator(); iterator.hasNext(); ) {
+      Poll poll = iterator.next();
+      iterator.remove();
       reply(poll);
     }
   }
 
-  private void asked(HttpServerRequest request) {
+  private void pollReceived(HttpServerRequest request) {
     Poll poll = new Poll(request, Integer.parseInt(request.getParam("tail")));
-    long wait = Long.parseLong(request.getParam("max_wait"));
+    long maxWaitMillis = Long.parseLong(request.getParam("max_wait"));
     if (poll.tail < entries.size()) {
       reply(poll);
       return;
     }
     polls.add(poll);
-    request.connection().closeHandler(closed -> polls.remove(poll));
+    request.connection().closeHandler(ignored -> polls.remove(poll));
     vertx.setTimer(
-        Math.max(1, wait),
-        over -> {
+        Math.max(1, maxWaitMillis),
+        timer -> {
           if (polls.remove(poll)) {
             reply(poll);
           }
@@ -135,12 +142,12 @@
   }
 
   private void reply(Poll poll) {
-    String body = after(poll.tail);
+    String body = eventsAfter(poll.tail);
     bytesSent += body.length();
     poll.request.response().end(body);
   }
 
-  private String after(int tail) {
+  private String eventsAfter(int tail) {
     return "{\"pos\":"
         + entries.size()
         + ",\"entries\":["
