--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -280,8 +280,8 @@
   }
 
   @Override
-  public void gatewayShareChanged(int gateways, double share) {
-    cluster.updateShare(gateways, share > 0, nowNanos);
+  public void gatewayShareChanged(int gateways, double grantedShare) {
+    cluster.updateShare(gateways, grantedShare > 0, nowNanos);
   }
 
   @Override
