--- a/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/StandInEndpoint.java
@@ -28,6 +28,13 @@
   private final Set<HttpConnection> connections = new LinkedHashSet<>();
   private final Set<EtcdWatchStream> watches = new LinkedHashSet<>();
   private HttpServer server;
+
+  /**
+   * The close of the server before. Guards against a server that joins one on the same port that is
+   * still closing, accepts connections, and then has no event loop for them.
+   */
+  private Future<Void> closing = Future.succeededFuture();
+
   private int port;
   private EndpointBehavior behavior = EndpointBehavior.ANSWERS;
   private long lagMillis;
@@ -71,22 +78,33 @@
             });
   }
 
-  /** Changes how it treats what is asked. */
+  /** Changes how it treats requests. */
   public void setBehavior(EndpointBehavior newBehavior) {
-    if (behavior == EndpointBehavior.REFUSES && newBehavior != EndpointBehavior.REFUSES) {
-      listen();
-    } else if (newBehavior == EndpointBehavior.REFUSES && behavior != EndpointBehavior.REFUSES) {
-      server.close();
+    EndpointBehavior before = behavior;
+    behavior = newBehavior;
+    healthySinceNanos = System.nanoTime();
+    if (before == EndpointBehavior.REFUSES && newBehavior != EndpointBehavior.REFUSES) {
+      listenOnceClosed();
+    } else if (newBehavior == EndpointBehavior.REFUSES && before != EndpointBehavior.REFUSES) {
+      closing = server.close();
       breakConnections();
     } else if (newBehavior == EndpointBehavior.UNAVAILABLE
         || newBehavior == EndpointBehavior.UNAUTHORISED) {
       breakConnections();
     }
-    behavior = newBehavior;
-    healthySinceNanos = System.nanoTime();
     notifyWatchers();
   }
 
+  private void listenOnceClosed() {
+    Future<Void> awaited = closing;
+    awaited.onComplete(
+        closed -> {
+          if (awaited == closing && behavior != EndpointBehavior.REFUSES) {
+            listen();
+          }
+        });
+  }
+
   /** Makes changes and answers late by so much. */
   public void setLagMillis(long newLagMillis) {
     lagMillis = newLagMillis;
