--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -5,6 +5,7 @@
 
 import io.vertx.core.json.JsonObject;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
 import org.amberpath.lab.testbed.NetworkLinks.LinkCondition;
@@ -15,7 +16,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Four gateways as real processes that know one another: a cut, a crash, a restart, a standstill, a
+ * Four gateways as real processes that know one another: a cut, a crash, a restart, a pause, a
  * leave.
  */
 class FleetProcessesTest {
@@ -79,7 +80,7 @@
   }
 
   @Test
-  void aCutACrashARestartAStandstillAndALeaveAreSeenAndOver() throws Exception {
+  void cutCrashRestartPauseAndLeaveAreNoticedAndRecoveredFrom() throws Exception {
     awaitSettled("at first");
 
     for (int other = 1; other < GATEWAY_COUNT; other++) {
@@ -102,18 +103,18 @@
     awaitSettled("after the restart");
 
     testbed.pause(1, 6000);
-    await("the standstill is seen", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
-    awaitSettled("after the standstill");
+    await("the pause is noticed", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
+    awaitSettled("after the pause");
 
     testbed.terminate(3);
     await("the leave is heard of", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
     testbed.awaitExit(3);
 
-    Map<String, Long> ends = testbed.settle();
-    assertEquals(java.util.List.of(), testbed.auditor().violations());
-    assertEquals(0, ends.get("lost"), ends.toString());
-    assertEquals(0, ends.get("twice"), ends.toString());
-    assertTrue(ends.get("returned") > 0, ends.toString());
+    Map<String, Long> outcomes = testbed.settle();
+    assertEquals(List.of(), testbed.auditor().violations());
+    assertEquals(0, outcomes.get("lost"), outcomes.toString());
+    assertEquals(0, outcomes.get("twice"), outcomes.toString());
+    assertTrue(outcomes.get("returned") > 0, outcomes.toString());
     assertEquals(0, testbed.severeLines());
   }
 }
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real gateways of which one owns what is done for all: stopped and continued, told to end, trying
- * for the others.
+ * Real gateways of which one leads the tasks of all: paused and resumed, terminated, health
+ * checking for the others.
  */
 class OwnerProcessesTest {
   private static final int GATEWAY_COUNT = 4;
@@ -44,8 +44,8 @@
     EventLoopWaiter.await(vertx.close());
   }
 
-  private void start(String by) throws Exception {
-    int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
+  private void start(String leaderSettings) throws Exception {
+    int port = EventLoopWaiter.await(callOnLoop(() -> registry.open(0))).port();
     testbed =
         new ProcessTestbed(
             new ProcessTestbed.Plan(
@@ -60,9 +60,9 @@
                     + PREFIX
                     + "\njournal = beside\n[owner]\nlease-s = 2\nsweep = yes\nsweep-every-s = 0.2\n"
                     + "probe = yes\n"
-                    + by));
+                    + leaderSettings));
     testbed.startAll();
-    on(
+    callOnLoop(
         () ->
             vertx.setPeriodic(
                 100,
@@ -77,13 +77,13 @@
                                     System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
-  private <T> T on(Callable<T> what) throws Exception {
+  private <T> T callOnLoop(Callable<T> what) throws Exception {
     return EventLoopWaiter.callOnLoop(vertx, what);
   }
 
-  /** What the fence of the sweep holds: the term, and who acted last under it. */
+  /** What the fence of purge retention holds: the term, and who acted last under it. */
   private JsonObject sweepFence() throws Exception {
-    byte[] value = on(() -> registry.entries().get(FENCE));
+    byte[] value = callOnLoop(() -> registry.entries().get(FENCE));
     return value == null
         ? new JsonObject().put("term", 0L).put("by", "")
         : new JsonObject(new String(value, StandardCharsets.UTF_8));
@@ -115,55 +115,59 @@
   }
 
   private void assertRulesKept() throws Exception {
-    Map<String, Long> ends = testbed.settle();
+    Map<String, Long> outcomes = testbed.settle();
     assertEquals(List.of(), testbed.auditor().violations());
-    assertEquals(0, ends.get("lost"), ends.toString());
-    assertEquals(0, ends.get("twice"), ends.toString());
+    assertEquals(0, outcomes.get("lost"), outcomes.toString());
+    assertEquals(0, outcomes.get("twice"), outcomes.toString());
     assertEquals(0, testbed.severeLines());
   }
 
   @Test
-  void anOwnerThatStoodStillPastItsLeaseActsNoMoreAndOneThatEndsHandsOver() throws Exception {
+  void leaderPausedPastItsLeaseActsNoMoreAndLeaderThatEndsHandsOver() throws Exception {
     start("voters = g0, g1, g2\n");
-    await("somebody sweeps", () -> sweepFence().getLong("term") > 0);
+    await("somebody deletes purges", () -> sweepFence().getLong("term") > 0);
     JsonObject first = sweepFence();
-    int owner = Integer.parseInt(first.getString("by").substring(1));
-    testbed.pause(owner, 5000);
-    await("another sweeps", () -> sweepFence().getLong("term") > first.getLong("term"));
+    int leader = Integer.parseInt(first.getString("by").substring(1));
+    testbed.pause(leader, 5000);
+    await("another deletes purges", () -> sweepFence().getLong("term") > first.getLong("term"));
     JsonObject second = sweepFence();
     assertNotEquals(first.getString("by"), second.getString("by"));
+    // The passing of time is what is tested: by then the paused one has resumed.
     Thread.sleep(5000);
-    assertEquals(second, sweepFence(), "the one that woke up changes nothing");
+    assertEquals(second, sweepFence(), "the one that resumed changes nothing");
 
     int next = Integer.parseInt(second.getString("by").substring(1));
     long ended = System.currentTimeMillis();
     testbed.terminate(next);
-    await("the heir sweeps", () -> sweepFence().getLong("term") > second.getLong("term"));
+    await(
+        "the successor deletes purges",
+        () -> sweepFence().getLong("term") > second.getLong("term"));
     assertTrue(System.currentTimeMillis() - ended < 2000, "sooner than by the lease's end");
     testbed.awaitExit(next);
     assertRulesKept();
   }
 
   @Test
-  void byLeasesOneTriesForAllWhatSeveralHaveSetAside() throws Exception {
+  void leaseHolderAloneHealthChecksEjectedCache() throws Exception {
     start("by = lease\n");
-    await("somebody may try", () -> leaderOf("probe") >= 0);
-    int owner = leaderOf("probe");
+    await("somebody leads health checks", () -> leaderOf("probe") >= 0);
+    int leader = leaderOf("probe");
     testbed.hangCache("e3");
     await(
-        "the others leave it to the owner",
+        "the others leave it to the leader",
         () -> {
           int leave = 0;
           for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
-            leave += gateway != owner && task(gateway, "probe").getBoolean("for_all") ? 1 : 0;
+            leave += gateway != leader && task(gateway, "probe").getBoolean("for_all") ? 1 : 0;
           }
           return leave == GATEWAY_COUNT - 1;
         });
     long before = testbed.cacheRequestCount("e3");
+    // The passing of time is what is tested: the calls of these seconds are counted.
     Thread.sleep(4000);
     long calls = testbed.cacheRequestCount("e3") - before;
     assertTrue(calls <= 8, calls + " calls in 4 s by all");
-    assertTrue(task(owner, "probe").getLong("done") > 0);
+    assertTrue(task(leader, "probe").getLong("done") > 0);
     testbed.resumeCache("e3");
     long back = testbed.cacheRequestCount("e3");
     await("it takes its part again", () -> testbed.cacheRequestCount("e3") - back > 40);
--- a/lab/src/main/java/org/amberpath/lab/LabSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/LabSettings.java
@@ -8,29 +8,38 @@
 import org.amberpath.gateway.GatewayOptions;
 
 /**
- * The site that a laboratory's gateway is told of: one store with edge caches, hubs and the origin.
+ * The settings of a gateway in experiments: one store with edge caches, hubs and the origin, and
+ * two traffic classes.
  */
 public final class LabSettings {
-  /** The kinds that its caches are listed under. */
+  /** The kind of edge caches. */
   public static final String EDGE = "edge";
 
+  /** The kind of hubs, the parents of edge caches. */
   public static final String HUB = "hub";
+
+  /** The kind of the origin. */
   public static final String ORIGIN = "origin";
+
+  /** The zone of all of them. */
   public static final String ZONE = "lab";
 
-  /** Its delivery services: one whose GETs may be sent again, and one whose may not. */
+  /** The traffic class whose requests may be sent again. */
   public static final String CLIPS = "clips";
 
+  /** The traffic class whose requests may be sent once. */
   public static final String ORDERS = "orders";
 
-  /**
-   * What is promised to a cache that starts cold: its share at once, and how long until it bears
-   * all.
-   */
+  /** The share of its capacity that a cache gets as soon as it has started with nothing stored. */
   public static final double WARM_UP_INITIAL_SHARE = 0.2;
 
+  /** How long until it gets all of it. */
   public static final double WARM_UP_SECONDS = 2;
+
+  /** What multiple of its share overloads a cache that warms up. */
   public static final double OVERLOAD_MULTIPLE = 3;
+
+  /** The time over which that is counted. */
   public static final double OVERLOAD_WINDOW_SECONDS = 1;
 
   private static final int IDLE_SECONDS = 30;
@@ -62,7 +71,7 @@
     return options(seed, journalAddress, 1);
   }
 
-  /** The same for one of so many. */
+  /** The same for one of so many gateways. */
   public static GatewayOptions options(long seed, String journalAddress, int gateways)
       throws IOException {
     Path file = Files.createTempFile("amberpath-lab", ".json");
@@ -74,7 +83,7 @@
     }
   }
 
-  /** What the platform would tell one of so many gateways. */
+  /** The JSON settings of one of so many gateways. */
   public static String json(String name, long seed, String journalAddress, int gateways) {
     return json(name, seed, journalAddress, gateways, IDLE_SECONDS, "");
   }
--- a/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
+++ b/lab/src/main/java/org/amberpath/lab/membership/DatagramNetwork.java
@@ -9,7 +9,7 @@
 
 /**
  * Carries datagrams between simulated members: they are lost, late and doubled, links are cut, and
- * recorded ones are sent again by a stranger.
+ * recorded ones are replayed.
  */
 final class DatagramNetwork {
   private static final long ORDINARY_DELAY_NANOS = 2 * Simulation.NANOS_PER_MILLI;
@@ -74,7 +74,7 @@
             + " ms");
   }
 
-  /** A stranger sends old datagrams again, to any member. */
+  /** Replays old datagrams to any member. */
   void replayRecorded() {
     for (int count = 0; count < REPLAYED_MESSAGES && !recorded.isEmpty(); count++) {
       GossipMessage message = recorded.get(random.nextInt(recorded.size()));
--- a/lab/src/main/java/org/amberpath/lab/registry/EndpointBehavior.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/EndpointBehavior.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.registry;
 
-/** How an endpoint of a registry treats what is asked of it. */
+/** How an endpoint of a registry treats requests. */
 public enum EndpointBehavior {
   /** It answers. */
   ANSWERS,
--- a/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RecordedEndpointList.java
@@ -13,7 +13,7 @@
 import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.ListedEndpoint;
 
-/** The caches as a registry's view has told them, and what is wrong with the way it did. */
+/** Keeps the caches as a registry's view has listed them, and reports what no view may do. */
 final class RecordedEndpointList implements EndpointListener {
   private final LongSupplier clock;
   private final Consumer<String> trace;
@@ -26,7 +26,7 @@
   private long listingCount;
   private boolean listing;
   private boolean fullListing;
-  private boolean changedSinceAsked;
+  private boolean changedSinceTaken;
   private boolean repeatedPurgesAllowed;
 
   RecordedEndpointList(LongSupplier clock, Consumer<String> trace, Consumer<String> violation) {
@@ -47,12 +47,12 @@
     return this;
   }
 
-  /** Only for the thread that is told. */
+  /** The caches as they are listed now; only for the thread of the view. */
   Map<String, RegistryRecord.Cache> caches() {
     return caches;
   }
 
-  /** For any thread. */
+  /** The state of each cache; for any thread. */
   synchronized Map<String, EndpointState> endpointStates() {
     Map<String, EndpointState> states = new TreeMap<>();
     caches.forEach((id, cache) -> states.put(id, cache.state()));
@@ -63,10 +63,10 @@
     return listingCount;
   }
 
-  /** Whether a list has been told since this was asked last. */
+  /** Whether a list has begun since this was called last. */
   boolean takeChanged() {
-    boolean changedBefore = changedSinceAsked;
-    changedSinceAsked = false;
+    boolean changedBefore = changedSinceTaken;
+    changedSinceTaken = false;
     return changedBefore;
   }
 
@@ -75,7 +75,7 @@
         || allPurgedAtNanos >= sinceNanos;
   }
 
-  /** The registry is another one from here on: what it had may be told again. */
+  /** The registry has been restored: purges that it holds may come again. */
   void historyReplaced() {
     purgedInThisHistory.clear();
   }
@@ -88,7 +88,7 @@
     trace.accept(kind == EndpointListKind.FULL ? "listing of all" : "listing");
     listing = true;
     fullListing = kind == EndpointListKind.FULL;
-    changedSinceAsked = true;
+    changedSinceTaken = true;
     listingCount++;
     if (kind == EndpointListKind.FULL) {
       caches.clear();
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryExperiment.java
@@ -11,7 +11,7 @@
 
 /**
  * A real gateway on sockets while its registry changes several hundred times a minute, compacts,
- * lags, falls silent and disconnects at random, from a seed. What the gateway was told is held
+ * lags, falls silent and disconnects at random, from a seed. What the gateway has applied is held
  * against what the registry holds each time that it is quiet, and what caches and clients saw
  * against the rules.
  */
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryJudge.java
@@ -12,7 +12,7 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Judges what a gateway was told by a registry's view, and what caches and clients saw. Nothing is
+ * Judges what a registry's view listed for a gateway, and what caches and clients saw. Nothing is
  * judged for a while after an event loop of this process has stalled, since that is no fault of the
  * gateway's. For the testbed's event loop, unless a method says otherwise.
  */
@@ -55,7 +55,7 @@
     this.testbed = testbed;
   }
 
-  /** What the gateway was told. */
+  /** What was listed for the gateway. */
   RecordedEndpointList recordedList() {
     return recordedList;
   }
@@ -174,7 +174,9 @@
     }
   }
 
-  /** Holds what the gateway was told against the registry, which has been quiet for a while. */
+  /**
+   * Holds what was listed for the gateway against the registry, which has been quiet for a while.
+   */
   void compareViews() {
     Map<String, EndpointState> registryStates = new HashMap<>();
     testbed.registry().entries().keySet().stream()
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryModel.java
@@ -14,8 +14,8 @@
 
 /**
  * One run of the registry's pure half on a virtual clock: changes ({@link RegistryWorkload}) and
- * faults ({@link RegistryFaults}) in any order from a seed. After each step what the view has told
- * is a state that the registry was in. Everything in it follows from the seed alone.
+ * faults ({@link RegistryFaults}) in any order from a seed. After each step what the view has
+ * listed is a state that the registry was in. Everything in it follows from the seed alone.
  */
 final class RegistryModel {
   static final long PURGE_RETENTION_NANOS = 4 * Simulation.NANOS_PER_SECOND;
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistryWorkload.java
@@ -11,7 +11,7 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * What is written to the registry in a run of its model, and how soon the view must have told
+ * What is written to the registry in a run of its model, and how soon the view must have passed on
  * drains and purges.
  */
 final class RegistryWorkload {
--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualEndpoint.java
@@ -74,10 +74,10 @@
     return registry.endpoints().indexOf(this);
   }
 
-  /** Changes how it treats what is asked. */
+  /** Changes how it treats calls. */
   void setBehavior(EndpointBehavior newBehavior) {
     registry.trace(index() + " becomes " + newBehavior);
-    // A client that was not let in does not ask again soon.
+    // A client that was not let in does not call again soon.
     if (newBehavior == EndpointBehavior.UNAUTHORISED) {
       excusedUntilNanos = NEVER;
     } else if (behavior == EndpointBehavior.UNAUTHORISED) {
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
@@ -3,7 +3,7 @@
 import org.amberpath.leadership.RegistryLeadership;
 
 /**
- * Carries out what a {@link RegistryLeadership} asks of the registry: calls take up to {@value
+ * Carries out the commands of a {@link RegistryLeadership}: calls take up to {@value
  * #MAX_ONE_WAY_NANOS} ns each way, and one in {@value #UNANSWERED_ONE_IN} gets no answer while
  * faults are active.
  */
--- a/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/FencedPurgeRetentionTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * An owner that stood still between reading and deleting, while another took over: its late act
+ * A leader that was paused between reading and deleting, while another took over: its late deletion
  * deletes nothing.
  */
 class FencedPurgeRetentionTest {
@@ -37,12 +37,12 @@
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
 
-  private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.callOnLoop(vertx, what);
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
   private void purge(String name, long agoMs) throws Exception {
-    on(
+    callOnLoop(
         () ->
             registry.write(
                 Map.of(
@@ -57,9 +57,9 @@
 
   @ParameterizedTest
   @EnumSource(RegistrySettings.ProtocolKind.class)
-  void aLateActOfAnOlderTermDeletesNothing(RegistrySettings.ProtocolKind form) throws Exception {
-    int port = EventLoopWaiter.await(on(() -> registry.open(0))).port();
-    RegistrySettings access =
+  void lateDeletionOfLowerTermDeletesNothing(RegistrySettings.ProtocolKind form) throws Exception {
+    int port = EventLoopWaiter.await(callOnLoop(() -> registry.open(0))).port();
+    RegistrySettings settings =
         new RegistrySettings(
             form,
             List.of(SocketAddress.inetSocketAddress(port, "127.0.0.1")),
@@ -76,15 +76,16 @@
             RETENTION,
             1000,
             1 << 20);
-    PurgeRetention sweep = new PurgeRetention(RETENTION, SECOND);
+    PurgeRetention retention = new PurgeRetention(RETENTION, SECOND);
     purge("old", 60_000);
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, access)) {
-      // The first owner reads, and stands still.
-      assertEquals(List.of(), sweep.expiredPurges(EventLoopWaiter.await(desk.list()), 0, NOW_MS));
+    try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, settings)) {
+      // The first leader reads, and is paused.
+      assertEquals(
+          List.of(), retention.expiredPurges(EventLoopWaiter.await(adminClient.list()), 0, NOW_MS));
       purge("young", 1000);
-      List<RegistryEntry> read = EventLoopWaiter.await(desk.list());
+      List<RegistryEntry> read = EventLoopWaiter.await(adminClient.list());
       RegistryEntry fence = PurgeRetention.findFence(read, KEY);
-      List<RegistryEntry> old = sweep.expiredPurges(read, RETENTION + 1, NOW_MS);
+      List<RegistryEntry> old = retention.expiredPurges(read, RETENTION + 1, NOW_MS);
       assertEquals(
           List.of(PREFIX + RecordCodec.PURGES_PREFIX + "old"),
           old.stream().map(RegistryEntry::key).toList());
@@ -92,37 +93,37 @@
       // The second acts under a higher term; another purge grows old.
       assertTrue(
           EventLoopWaiter.await(
-              desk.deletePurges(
+              adminClient.deletePurges(
                   PurgeRetention.TASK, new RegistryRecord.Task(20, "g2"), fence, old)));
       purge("older", 90_000);
-      List<RegistryEntry> left = EventLoopWaiter.await(desk.list());
-      assertEquals(List.of(), sweep.expiredPurges(left, RETENTION + 2, NOW_MS));
+      List<RegistryEntry> left = EventLoopWaiter.await(adminClient.list());
+      assertEquals(List.of(), retention.expiredPurges(left, RETENTION + 2, NOW_MS));
       List<RegistryEntry> late =
-          sweep.expiredPurges(left, 2 * RETENTION + 3, NOW_MS).stream()
+          retention.expiredPurges(left, 2 * RETENTION + 3, NOW_MS).stream()
               .filter(one -> one.key().endsWith("/older"))
               .toList();
       assertEquals(1, late.size());
 
-      // The first wakes up, and goes on with what it read.
+      // The first resumes, and goes on with what it read.
       assertFalse(
           EventLoopWaiter.await(
-              desk.deletePurges(
+              adminClient.deletePurges(
                   PurgeRetention.TASK, new RegistryRecord.Task(10, "g1"), fence, late)));
-      List<RegistryEntry> now = EventLoopWaiter.await(desk.list());
+      List<RegistryEntry> now = EventLoopWaiter.await(adminClient.list());
       assertEquals(new RegistryRecord.Task(20, "g2"), PurgeRetention.findFence(now, KEY).value());
       assertTrue(now.stream().anyMatch(one -> one.key().endsWith("/older")));
 
       // The second goes on by its own fence.
       assertTrue(
           EventLoopWaiter.await(
-              desk.deletePurges(
+              adminClient.deletePurges(
                   PurgeRetention.TASK,
                   new RegistryRecord.Task(20, "g2"),
                   PurgeRetention.findFence(now, KEY),
                   late)));
       assertEquals(
           1,
-          EventLoopWaiter.await(desk.list()).stream()
+          EventLoopWaiter.await(adminClient.list()).stream()
               .filter(one -> one.value() instanceof RegistryRecord.Purge)
               .count());
     }
--- a/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/leadership/LeadershipModelExperimentTest.java
@@ -9,14 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Ownership on a virtual clock: the right way holds, and each wrong one is caught. */
+/** Leadership on a virtual clock: the implementation holds, and each wrong variant is caught. */
 class LeadershipModelExperimentTest {
   private static Map<String, Object> play(LeadershipVariant variant, int runs) {
     return SeededRuns.runMany(LeadershipModelExperiment.model(variant), 1, runs);
   }
 
   @Test
-  void oneHoldsATaskAndNothingOfAnOlderTermTakesEffect() {
+  void oneLeaderAtATimeAndNoEffectOfLowerTermAfterHigher() {
     Map<String, Object> sums = play(LeadershipVariant.RIGHT, 150);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
     assertTrue((long) sums.get("refused") > 0, "late acts came, and were refused");
@@ -24,7 +24,7 @@
 
   @ParameterizedTest
   @EnumSource(value = LeadershipVariant.class, names = "RIGHT", mode = EnumSource.Mode.EXCLUDE)
-  void aWrongWayIsCaught(LeadershipVariant variant) {
+  void wrongVariantViolatesAnInvariant(LeadershipVariant variant) {
     assertTrue((long) play(variant, 150).get("failed") > 0);
   }
 }
--- a/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/membership/MembershipModelExperimentTest.java
@@ -11,13 +11,13 @@
 /** The fleet's view on a virtual clock: the same seeds meet the same faults each time. */
 class MembershipModelExperimentTest {
   @Test
-  void viewsSettleAndSharesSumToOneAtMost() {
+  void membersSettleAndSharesSumToOneAtMost() {
     Map<String, Object> sums = SeededRuns.runMany(MembershipModelExperiment.MODEL, 4001, 60);
     assertEquals(0L, sums.get("failed"), () -> sums.get("missed").toString());
   }
 
   @Test
-  void aSeedTellsTheSameStoryEachTime() {
+  void sameSeedWritesSameTrace() {
     List<String> first = new ArrayList<>();
     List<String> second = new ArrayList<>();
     SeededRuns.runOne(MembershipModelExperiment.MODEL, 77, first::add);
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -10,13 +10,13 @@
 /** Planners and forwarders that fail in any order, always from the same seeds. */
 class PlannersModelExperimentTest {
   @Test
-  void theSumOfWhatIsGrantedStaysWithinTheBoundOnFiveHundredSeeds() {
+  void grantsStayWithinBoundOnFiveHundredSeeds() {
     assertEquals(
         List.of(), SeededRuns.runMany(PlannersModelExperiment.MODEL, 1, 500).get("missed"));
   }
 
   @Test
-  void aSeedTellsTheSameStoryToTheLetter() {
+  void sameSeedWritesSameTrace() {
     List<String> first = new ArrayList<>();
     List<String> second = new ArrayList<>();
     SeededRuns.runOne(PlannersModelExperiment.MODEL, 7, first::add);
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistryModelExperimentTest.java
@@ -12,13 +12,13 @@
 /** The pure half against a registry that fails in any order, always from the same seeds. */
 class RegistryModelExperimentTest {
   @Test
-  void aThousandSeedsMissNoBar() {
+  void viewMatchesRegistryOnThousandSeeds() {
     assertEquals(
         List.of(), SeededRuns.runMany(RegistryModelExperiment.MODEL, 1, 1000).get("missed"));
   }
 
   @Test
-  void aSeedTellsTheSameStoryToTheLetter() {
+  void sameSeedWritesSameTrace() {
     List<String> first = new ArrayList<>();
     List<String> second = new ArrayList<>();
     SeededRuns.runOne(RegistryModelExperiment.MODEL, 42, first::add);
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void manyCachesAndClientsStayWithinTheirBars() {
+  void manyCachesAndClientsStayWithinBounds() {
     ExperimentReport result = RegistrySizeExperiment.run(1, 200, 40, 50);
     assertTrue(result.holds(), result.json());
   }
--- a/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
+++ b/lab/src/test/java/org/amberpath/lab/registry/RegistrySourceTest.java
@@ -18,6 +18,7 @@
 import java.nio.file.Path;
 import java.security.Key;
 import java.security.KeyStore;
+import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
@@ -38,6 +39,8 @@
 import org.amberpath.registry.runtime.RegistrySource;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointState;
+import org.awaitility.Awaitility;
+import org.awaitility.core.ConditionTimeoutException;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -46,17 +49,19 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The live half on sockets against a stand-in registry: what only sockets, files and TLS can get
- * wrong.
+ * The runtime half of the registry on sockets against a stand-in: what only sockets, files and TLS
+ * can get wrong.
  */
 @Timeout(60)
 class RegistrySourceTest {
   private static final String SECRET = "s3cr3t-of-the-house";
   private static final String PREFIX = "amberpath/";
-  private static final long SECOND = 1_000_000_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
+  private static final Duration POLL_INTERVAL = Duration.ofMillis(5);
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-  private final RecordedEndpointList told =
+  private final RecordedEndpointList recordedList =
       new RecordedEndpointList(System::nanoTime, line -> {}, line -> {}).allowRepeatedPurges();
   private final List<String> logged = new ArrayList<>();
   private final Logger logger = Logger.getLogger("org.amberpath.registry");
@@ -80,8 +85,8 @@
   private RegistrySource source;
 
   @AfterEach
-  void end() throws Exception {
-    on(
+  void closeAll() throws Exception {
+    callOnLoop(
         () -> {
           if (source != null) {
             source.close();
@@ -92,26 +97,30 @@
     EventLoopWaiter.await(vertx.close());
   }
 
-  private <T> T on(Callable<T> what) throws Exception {
-    return EventLoopWaiter.callOnLoop(vertx, what);
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  private void await(Callable<Boolean> what) throws Exception {
-    for (int left = 2000; !on(what); left--) {
-      assertTrue(
-          left > 0,
-          () -> "not in time; " + told.endpointStates() + " " + source.status() + " " + logged);
-      Thread.sleep(5);
+  private void await(Callable<Boolean> condition) {
+    try {
+      Awaitility.await()
+          .atMost(TIMEOUT)
+          .pollInterval(POLL_INTERVAL)
+          .until(() -> callOnLoop(condition));
+    } catch (ConditionTimeoutException e) {
+      throw new AssertionError(
+          "not in time; " + recordedList.endpointStates() + " " + source.status() + " " + logged,
+          e);
     }
   }
 
-  private void endpoints(int many) throws Exception {
-    for (int one = 0; one < many; one++) {
-      EventLoopWaiter.await(on(() -> registry.open(0)));
+  private void openEndpoints(int count) throws Exception {
+    for (int one = 0; one < count; one++) {
+      EventLoopWaiter.await(callOnLoop(() -> registry.open(0)));
     }
   }
 
-  private RegistrySettings access(
+  private RegistrySettings settings(
       ProtocolKind form, Path trust, Path token, String user, Path password, Path snapshot) {
     List<SocketAddress> all =
         registry.endpoints().stream()
@@ -129,21 +138,21 @@
         password,
         snapshot,
         0,
-        3600 * SECOND,
-        600 * SECOND,
+        3600 * NANOS_PER_SECOND,
+        600 * NANOS_PER_SECOND,
         1000,
         1 << 20);
   }
 
   private RegistrySettings plain(ProtocolKind form) {
-    return access(form, null, null, null, null, null);
+    return settings(form, null, null, null, null, null);
   }
 
-  private void start(RegistrySettings access) throws Exception {
+  private void start(RegistrySettings settings) throws Exception {
     logger.addHandler(handler);
-    on(
+    callOnLoop(
         () -> {
-          source = new RegistrySource(vertx, access, told, 7);
+          source = new RegistrySource(vertx, settings, recordedList, 7);
           source.start();
           return null;
         });
@@ -160,37 +169,36 @@
     writes.put(
         PREFIX + RecordCodec.TIP_KEY,
         Long.toString(System.nanoTime()).getBytes(StandardCharsets.US_ASCII));
-    on(() -> registry.write(writes));
+    callOnLoop(() -> registry.write(writes));
   }
 
   private Boolean is(String id, EndpointState state) {
-    return told.endpointStates().get(id) == state;
+    return recordedList.endpointStates().get(id) == state;
   }
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void changesComeAsTheyAreWrittenAndSurviveBreaksAndCompaction(ProtocolKind form)
-      throws Exception {
-    endpoints(2);
+  void changesAreAppliedAcrossBrokenConnectionsAndCompaction(ProtocolKind form) throws Exception {
+    openEndpoints(2);
     put("a", EndpointState.UP);
     start(plain(form));
     await(() -> is("a", EndpointState.UP));
     put("a", EndpointState.DRAINING);
     await(() -> is("a", EndpointState.DRAINING));
-    on(
+    callOnLoop(
         () -> {
           registry.endpoints().forEach(StandInEndpoint::breakConnections);
           return null;
         });
     put("b", EndpointState.UP);
     put("a", null);
-    on(
+    callOnLoop(
         () -> {
           registry.compact(0);
           return null;
         });
     await(() -> is("b", EndpointState.UP) && is("a", null));
-    on(
+    callOnLoop(
         () -> {
           registry.write(
               new TreeMap<>(Map.of(PREFIX + RecordCodec.CACHES_PREFIX + "bad", new byte[] {1})));
@@ -202,14 +210,15 @@
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void aDrainComesInTimeThoughBothWatchesFellSilent(ProtocolKind form) throws Exception {
-    endpoints(3);
+  void drainIsAppliedInTimeWhenBothWatchesFallSilent(ProtocolKind form) throws Exception {
+    openEndpoints(3);
     put("a", EndpointState.UP);
     start(plain(form));
     await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 2);
-    // Warm, and steady for longer than a lone endpoint must be.
+    // The passing of time is what is tested: both watches must have been steady for longer than an
+    // endpoint must be before the session relies on it.
     Thread.sleep(1500);
-    on(
+    callOnLoop(
         () -> {
           registry
               .endpoints()
@@ -217,28 +226,29 @@
               .forEach(one -> one.setBehavior(EndpointBehavior.SILENT));
           return null;
         });
-    long written = System.nanoTime();
+    long writtenAtNanos = System.nanoTime();
     put("a", EndpointState.DRAINING);
     await(() -> is("a", EndpointState.DRAINING));
-    long took = (System.nanoTime() - written) / 1_000_000;
-    assertTrue(took < 600, took + " ms, a loaded machine's time included");
+    long appliedAfterMillis = (System.nanoTime() - writtenAtNanos) / 1_000_000;
+    assertTrue(
+        appliedAfterMillis < 600, appliedAfterMillis + " ms, a loaded machine's time included");
   }
 
   @Test
-  void aTokenThatRanOutIsRenewedAndNoSecretIsLogged() throws Exception {
-    endpoints(1);
+  void expiredTokenIsReadAgainAndNoSecretIsLogged() throws Exception {
+    openEndpoints(1);
     Path token = folder.resolve("token");
     Files.writeString(token, SECRET + "-1\n");
-    on(
+    callOnLoop(
         () -> {
           registry.requireToken(SECRET + "-1");
           return null;
         });
     put("a", EndpointState.UP);
-    start(access(ProtocolKind.ETCD, null, token, null, null, null));
+    start(settings(ProtocolKind.ETCD, null, token, null, null, null));
     await(() -> is("a", EndpointState.UP));
     Files.writeString(token, SECRET + "-2\n");
-    on(
+    callOnLoop(
         () -> {
           registry.requireToken(SECRET + "-2");
           registry.endpoints().get(0).breakConnections();
@@ -246,7 +256,7 @@
         });
     put("a", EndpointState.DRAINING);
     await(() -> is("a", EndpointState.DRAINING));
-    on(
+    callOnLoop(
         () -> {
           registry.requireToken(SECRET + "-3");
           registry.endpoints().get(0).breakConnections();
@@ -257,17 +267,17 @@
   }
 
   @Test
-  void aPasswordIsShownForATokenAndNothingElse() throws Exception {
-    endpoints(1);
+  void passwordIsExchangedForTokenAndNotLogged() throws Exception {
+    openEndpoints(1);
     Path password = folder.resolve("password");
     Files.writeString(password, SECRET);
-    on(
+    callOnLoop(
         () -> {
           registry.requireToken("given");
           return null;
         });
     put("a", EndpointState.UP);
-    start(access(ProtocolKind.ETCD, null, null, "reader", password, null));
+    start(settings(ProtocolKind.ETCD, null, null, "reader", password, null));
     await(() -> is("a", EndpointState.UP));
     assertFalse(logged.toString().contains(SECRET));
   }
@@ -318,27 +328,26 @@
   }
 
   @Test
-  void aServerThatIsNotTheOneMeantIsToldApartAndTakenOnceItsAuthorityIsInTheFile()
-      throws Exception {
+  void serverIsTrustedOnceItsCertificateIsInTheTrustFile() throws Exception {
     registry =
         new StandInRegistry(
             vertx, new HttpServerOptions().setSsl(true).setKeyCertOptions(certificate("one")));
-    endpoints(1);
+    openEndpoints(1);
     certificate("other");
     Path trust = Files.copy(folder.resolve("other.crt"), folder.resolve("trust.pem"));
     put("a", EndpointState.UP);
-    start(access(ProtocolKind.ETCD, trust, null, null, null, null));
+    start(settings(ProtocolKind.ETCD, trust, null, null, null, null));
     await(() -> logged.stream().anyMatch(line -> line.contains("UNTRUSTED")));
-    assertEquals(Map.of(), told.endpointStates());
+    assertEquals(Map.of(), recordedList.endpointStates());
     Files.writeString(trust, Files.readString(folder.resolve("one.crt")));
-    on(
+    callOnLoop(
         () -> {
           source.reload();
           return null;
         });
     await(() -> is("a", EndpointState.UP));
     // Read again, files leave an open watch alone.
-    on(
+    callOnLoop(
         () -> {
           source.reload();
           return null;
@@ -348,7 +357,7 @@
   }
 
   @Test
-  void aServerThatAsksForAClientsCertificateIsShownOne() throws Exception {
+  void clientCertificateIsShownToServerThatRequiresOne() throws Exception {
     PemKeyCertOptions server = certificate("server");
     certificate("client");
     registry =
@@ -360,10 +369,10 @@
                 .setClientAuth(ClientAuth.REQUIRED)
                 .setTrustOptions(
                     new PemTrustOptions().addCertPath(folder.resolve("client.crt").toString())));
-    endpoints(1);
+    openEndpoints(1);
     put("a", EndpointState.UP);
     Path trust = folder.resolve("server.crt");
-    RegistrySettings without = access(ProtocolKind.ETCD, trust, null, null, null, null);
+    RegistrySettings without = settings(ProtocolKind.ETCD, trust, null, null, null, null);
     start(
         new RegistrySettings(
             ProtocolKind.ETCD,
@@ -377,23 +386,23 @@
             null,
             null,
             0,
-            SECOND,
-            600 * SECOND,
+            NANOS_PER_SECOND,
+            600 * NANOS_PER_SECOND,
             1000,
             1 << 20));
     await(() -> is("a", EndpointState.UP));
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, without)) {
-      assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(desk.list()));
+    try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, without)) {
+      assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(adminClient.list()));
     }
   }
 
   @Test
-  void aWatchThatTheServerEndsInGoodOrderIsOpenedAgain() throws Exception {
-    endpoints(1);
+  void watchThatServerEndsIsOpenedAgain() throws Exception {
+    openEndpoints(1);
     put("a", EndpointState.UP);
     start(plain(ProtocolKind.ETCD));
     await(() -> is("a", EndpointState.UP) && source.status().watchCount() == 1);
-    on(
+    callOnLoop(
         () -> {
           registry.endpoints().get(0).endWatches();
           return null;
@@ -403,26 +412,27 @@
   }
 
   @Test
-  void aStartWithNoRegistryServesFromTheSnapshotWithItsTrueAge() throws Exception {
-    endpoints(1);
+  void snapshotWithItsAgeIsServedWhileRegistryIsDown() throws Exception {
+    openEndpoints(1);
     put("a", EndpointState.UP);
     Path file = folder.resolve("view");
-    start(access(ProtocolKind.ETCD, null, null, null, null, file));
+    start(settings(ProtocolKind.ETCD, null, null, null, null, file));
     await(() -> Files.exists(file));
-    on(
+    callOnLoop(
         () -> {
           source.close();
           registry.endpoints().get(0).setBehavior(EndpointBehavior.REFUSES);
           return null;
         });
-    told.endpointListStarted(EndpointListKind.FULL);
-    told.endpointListCompleted();
-    start(access(ProtocolKind.ETCD, null, null, null, null, file));
+    recordedList.endpointListStarted(EndpointListKind.FULL);
+    recordedList.endpointListCompleted();
+    start(settings(ProtocolKind.ETCD, null, null, null, null, file));
     await(() -> is("a", EndpointState.UP));
     assertTrue(
-        on(() -> source.status().ageNanos() > 0 && source.status().phase() != Phase.CURRENT));
+        callOnLoop(
+            () -> source.status().ageNanos() > 0 && source.status().phase() != Phase.CURRENT));
     put("a", EndpointState.DRAINING);
-    on(
+    callOnLoop(
         () -> {
           registry.endpoints().get(0).setBehavior(EndpointBehavior.ANSWERS);
           return null;
@@ -432,12 +442,12 @@
 
   @ParameterizedTest
   @EnumSource(ProtocolKind.class)
-  void aWriteFailsIfItsKeyMovedMeanwhile(ProtocolKind form) throws Exception {
-    endpoints(1);
+  void writeFailsIfKeyWasChangedMeanwhile(ProtocolKind form) throws Exception {
+    openEndpoints(1);
     put("a", EndpointState.UP);
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(form))) {
+    try (RegistryAdminClient adminClient = new RegistryAdminClient(vertx, plain(form))) {
       long seen =
-          EventLoopWaiter.await(desk.list()).stream()
+          EventLoopWaiter.await(adminClient.list()).stream()
               .filter(one -> one.key().endsWith("/a"))
               .findFirst()
               .orElseThrow()
@@ -446,29 +456,32 @@
       RegistryRecord.Cache other =
           new RegistryRecord.Cache("a", "127.0.0.1:1", "z", "box", 0, EndpointState.UP, 1, 0);
       assertFalse(
-          EventLoopWaiter.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
-      long tip = on(() -> registry.revision());
+          EventLoopWaiter.await(
+              adminClient.write(PREFIX + RecordCodec.CACHES_PREFIX + "a", other, seen)));
+      long tip = callOnLoop(() -> registry.revision());
       assertTrue(
-          EventLoopWaiter.await(desk.write(PREFIX + RecordCodec.CACHES_PREFIX + "b", other, 0)));
+          EventLoopWaiter.await(
+              adminClient.write(PREFIX + RecordCodec.CACHES_PREFIX + "b", other, 0)));
       assertTrue(
           EventLoopWaiter.await(
-              desk.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
-      assertTrue(on(() -> registry.revision()) > tip);
-      assertEquals(4, EventLoopWaiter.await(desk.list()).size());
+              adminClient.purge("x", new RegistryRecord.Purge(5, 0, System.currentTimeMillis()))));
+      assertTrue(callOnLoop(() -> registry.revision()) > tip);
+      assertEquals(4, EventLoopWaiter.await(adminClient.list()).size());
     }
   }
 
   @Test
-  void staffAreToldWhatTheyCanActOn() throws Exception {
-    endpoints(1);
-    on(
+  void refusedConnectionIsReportedToOperators() throws Exception {
+    openEndpoints(1);
+    callOnLoop(
         () -> {
           registry.endpoints().get(0).setBehavior(EndpointBehavior.REFUSES);
           return null;
         });
-    try (RegistryAdminClient desk = new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
+    try (RegistryAdminClient adminClient =
+        new RegistryAdminClient(vertx, plain(ProtocolKind.ETCD))) {
       ExecutionException e =
-          assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(desk.list()));
+          assertThrows(ExecutionException.class, () -> EventLoopWaiter.await(adminClient.list()));
       assertTrue(
           e.getCause().getMessage().endsWith("nothing listens there"), e.getCause().getMessage());
     }
