--- a/app/src/main/java/org/amberpath/cli/LabExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabExperiment.java
@@ -19,7 +19,7 @@
   private static final List<Logger> NOISY_LOGGERS =
       List.of(
           Logger.getLogger("org.amberpath.registry"),
-          Logger.getLogger("org.amberpath.gateway.ProtocolErrorLog"),
+          Logger.getLogger("org.amberpath.gateway.pipeline.ProtocolErrorLog"),
           Logger.getLogger("io.vertx"),
           Logger.getLogger("io.netty"));
 
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -98,8 +98,8 @@
   }
 
   /** Tells each request as it comes. */
-  public StandInCache withListener(Consumer<ReceivedRequest> listener) {
-    this.listener = listener;
+  public StandInCache withListener(Consumer<ReceivedRequest> requestListener) {
+    listener = requestListener;
     return this;
   }
 
@@ -239,7 +239,7 @@
    * Gives a part to another one: its own copy if that is young enough, or as the origin gives it
    * out now.
    */
-  private void fill(String key, long maxAgeMillis, LongConsumer listener) {
+  private void fill(String key, long maxAgeMillis, LongConsumer whenFilled) {
     fillCount++;
     lastRequestNanos = System.nanoTime();
     Long issuedAtMillis = copies.get(key);
@@ -254,11 +254,11 @@
                   maxAgeMillis,
                   filledAtMillis -> {
                     copies.put(key, filledAtMillis);
-                    listener.accept(filledAtMillis);
+                    whenFilled.accept(filledAtMillis);
                   }));
     } else if (!hung) {
       vertx.setTimer(
-          hitMillis, timer -> listener.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
+          hitMillis, timer -> whenFilled.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
+++ b/lab/src/main/java/org/amberpath/lab/planning/SimulatedPlanner.java
@@ -112,9 +112,7 @@
               term,
               model.bounds(),
               model.forwarderCount(),
-              outstanding,
-              requestedAtNanos,
-              localNanos());
+              new QuotaLedger.Handover(outstanding, requestedAtNanos, localNanos()));
       ledgerTerm = term;
       leadership.predecessorStopped(localNanos(), term - 1);
       model.figures().handedOver();
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -75,19 +75,6 @@
     return ledger;
   }
 
-  /** As the other of this name, with the parts of the handover one by one. */
-  public static QuotaLedger succeeding(
-      QuotaTimings timings,
-      long term,
-      double[] bounds,
-      int members,
-      List<OutstandingGrant> grants,
-      long requestedAtNanos,
-      long nowNanos) {
-    return succeeding(
-        timings, term, bounds, members, new Handover(grants, requestedAtNanos, nowNanos));
-  }
-
   /** The most that all members but one may be using together at any time until an end. */
   private double mostUsedByOthers(int excluded, int resource, long nowNanos, long endNanos) {
     double most = sumOfOthers(excluded, resource, nowNanos);
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -154,7 +154,7 @@
     List<QuotaLedger.OutstandingGrant> outstanding = ledger.outstandingGrants(SECOND);
     // The next leader's clock shows another time.
     long other = 1000 * SECOND;
-    QuotaLedger next = QuotaLedger.succeeding(TIMINGS, 2, bound, 2, outstanding, other, other);
+    QuotaLedger next = QuotaLedger.succeeding(TIMINGS, 2, bound, 2, new QuotaLedger.Handover(outstanding, other, other));
     assertEquals(20, next.inUse(0, other), 1e-9);
     QuotaRequest request = taker.nextRequest(SECOND + 1, HIGH);
     assertTrue(next.requestReceived(request));
--- a/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
@@ -260,7 +260,7 @@
             grant.amounts()[1]);
       }
       long askedAt = now - random.nextLong(500 * MS);
-      return QuotaLedger.succeeding(TIMINGS, nextTerm, bounds, count, left, askedAt, now);
+      return QuotaLedger.succeeding(TIMINGS, nextTerm, bounds, count, new QuotaLedger.Handover(left, askedAt, now));
     }
   }
 
