--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
@@ -0,0 +1,158 @@
+package org.amberpath.registry;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.amberpath.routing.RoutingEvents.State;
+
+/**
+ * The keys of one key-value registry with revisions, history, compaction, backup and restore, as
+ * {@link SeededRegistryWorld} plays it. All randomness comes from the generator of that world.
+ */
+final class SeededRegistryStore {
+  static final String PREFIX = "p/";
+  static final String TIP_KEY = "p/tip";
+
+  private final SplittableRandom random;
+  private final int keyCount;
+  private final long startMillis;
+  private final List<WatchEvent> history = new ArrayList<>();
+  private TreeMap<String, RegistryEntry> entries = new TreeMap<>();
+  private TreeMap<String, RegistryEntry> backup = new TreeMap<>();
+  private long backupRevision;
+  private long revision;
+  private long compactedRevision;
+  private int clusterNumber = 1;
+
+  SeededRegistryStore(SplittableRandom random, int keyCount, long startMillis) {
+    this.random = random;
+    this.keyCount = keyCount;
+    this.startMillis = startMillis;
+  }
+
+  String cluster() {
+    return "c" + clusterNumber;
+  }
+
+  long revision() {
+    return revision;
+  }
+
+  long tip() {
+    RegistryEntry tip = entries.get(TIP_KEY);
+    return tip == null ? 0 : tip.changed();
+  }
+
+  boolean isCompacted(long wanted) {
+    return wanted <= compactedRevision;
+  }
+
+  int count() {
+    return entries.size();
+  }
+
+  /** The keys last written at a revision or later, in their order. */
+  List<RegistryEntry> writtenSince(long since) {
+    return entries.values().stream().filter(entry -> entry.changed() >= since).toList();
+  }
+
+  /** All events of watches since the first revision, in order. */
+  List<WatchEvent> history() {
+    return history;
+  }
+
+  /** The place in the history of the first event at a revision or later. */
+  int historyIndex(long from) {
+    int index = history.size();
+    while (index > 0 && history.get(index - 1).revision() >= from) {
+      index--;
+    }
+    return index;
+  }
+
+  /** One transaction of one to three keys, mostly with the tip. */
+  void write(long nowMillis) {
+    revision++;
+    int writes = random.nextInt(8) == 0 ? 2 + random.nextInt(2) : 1;
+    for (int write = 0; write < writes; write++) {
+      writeOne(nowMillis, random.nextInt(keyCount));
+    }
+    if (random.nextInt(12) > 0) {
+      put(TIP_KEY, new RegistryRecord.Other());
+    }
+  }
+
+  private void writeOne(long nowMillis, int number) {
+    int kind = random.nextInt(20);
+    if (kind < 3) {
+      delete(PREFIX + "caches/" + number);
+    } else if (kind < 6) {
+      int group = random.nextInt(4);
+      put(PREFIX + "purges/" + number, new RegistryRecord.Purge(number % 3, group, nowMillis));
+    } else if (kind == 6) {
+      delete(PREFIX + "purges/" + number);
+    } else if (kind == 7) {
+      put(PREFIX + "caches/" + number, new RegistryRecord.Unreadable("spoilt " + number));
+    } else if (kind == 8) {
+      put(PREFIX + "tasks/" + number % 3, new RegistryRecord.Task(revision, "g" + number));
+    } else {
+      put(PREFIX + "caches/" + number, cache(number, nowMillis));
+    }
+  }
+
+  private RegistryRecord cache(int number, long nowMillis) {
+    State state = random.nextInt(3) == 0 ? State.DRAINING : State.UP;
+    long started = random.nextBoolean() ? 0 : nowMillis - random.nextLong(10_000);
+    return new RegistryRecord.Cache(
+        "e" + number, "127.0.0.1:" + (7000 + number), "z", "box", number % 3, state, 4, started);
+  }
+
+  private void put(String key, RegistryRecord content) {
+    RegistryEntry before = entries.get(key);
+    long created = before == null ? revision : before.created();
+    RegistryEntry entry = new RegistryEntry(key, content, created, revision);
+    entries.put(key, entry);
+    history.add(new WatchEvent(revision, key, entry));
+  }
+
+  private void delete(String key) {
+    if (entries.remove(key) != null) {
+      history.add(new WatchEvent(revision, key, null));
+    }
+  }
+
+  /** Forgets the history up to some revision before the present one. */
+  void compact() {
+    compactedRevision = Math.max(compactedRevision, revision - random.nextLong(4));
+  }
+
+  void takeBackup() {
+    backup = new TreeMap<>(entries);
+    backupRevision = revision;
+  }
+
+  /** Goes back to the backup: revisions after it are given anew. */
+  void restore() {
+    entries = new TreeMap<>(backup);
+    revision = backupRevision;
+    compactedRevision = Math.min(compactedRevision, revision);
+    history.subList(historyIndex(revision + 1), history.size()).clear();
+  }
+
+  /** Goes back to the backup, under another cluster's id. */
+  void replaceCluster() {
+    clusterNumber++;
+    restore();
+  }
+
+  /** What another registry holds. */
+  List<RegistryEntry> foreignEntries() {
+    Map<String, RegistryEntry> foreign = new TreeMap<>();
+    RegistryRecord cache = cache(1000, startMillis);
+    foreign.put("p/caches/1000", new RegistryEntry("p/caches/1000", cache, 800, 899));
+    foreign.put(TIP_KEY, new RegistryEntry(TIP_KEY, new RegistryRecord.Other(), 1, 899));
+    return new ArrayList<>(foreign.values());
+  }
+}
