--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -15,8 +15,10 @@
 import org.amberpath.registry.runtime.RegistryAdminClient;
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySource;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -88,22 +90,22 @@
 
   private void print(RegistryEntry held, String prefix) {
     String key = held.key().substring(prefix.length());
-    JsonObject line = new JsonObject().put("key", key).put("revision", held.changed());
-    if (held.content() instanceof RegistryRecord.Cache cache) {
+    JsonObject line = new JsonObject().put("key", key).put("revision", held.modRevision());
+    if (held.value() instanceof RegistryRecord.Cache cache) {
       line.put("state", say(cache.state()))
           .put("address", cache.address())
           .put("zone", cache.zone())
           .put("kind", cache.kind())
           .put("weight", cache.weight());
-    } else if (held.content() instanceof RegistryRecord.Purge purge) {
+    } else if (held.value() instanceof RegistryRecord.Purge purge) {
       line.put(
               "purge",
               purge.object() != 0
                   ? String.format("%016x", purge.object())
                   : "group " + purge.group())
           .put("at_ms", purge.atMs());
-    } else if (held.content() instanceof RegistryRecord.Unreadable unreadable) {
-      line.put("unreadable", unreadable.why());
+    } else if (held.value() instanceof RegistryRecord.Unreadable unreadable) {
+      line.put("unreadable", unreadable.reason());
     } else {
       return;
     }
@@ -127,7 +129,7 @@
     }
   }
 
-  private static String say(State state) {
+  private static String say(EndpointState state) {
     return switch (state) {
       case UP -> "ready";
       case DRAINING -> "draining";
@@ -136,19 +138,19 @@
   }
 
   /** Changes a cache that is there. */
-  private int change(String id, State to) throws Exception {
+  private int change(String id, EndpointState to) throws Exception {
     return with(
         (desk, access) ->
             desk.list()
                 .compose(
                     all -> {
-                      String key = access.prefix() + RecordCodec.CACHES + id;
+                      String key = access.prefix() + RecordCodec.CACHES_PREFIX + id;
                       RegistryEntry held =
                           all.stream()
                               .filter(one -> one.key().equals(key))
                               .findFirst()
                               .orElse(null);
-                      if (held == null || !(held.content() instanceof RegistryRecord.Cache was)) {
+                      if (held == null || !(held.value() instanceof RegistryRecord.Cache was)) {
                         System.err.println(
                             id
                                 + ": "
@@ -156,7 +158,7 @@
                         return Future.succeededFuture(AmberpathCommand.FAILED);
                       }
                       RegistryRecord.Cache now =
-                          to == State.GONE
+                          to == EndpointState.GONE
                               ? null
                               : new RegistryRecord.Cache(
                                   id,
@@ -167,7 +169,7 @@
                                   to,
                                   was.weight(),
                                   was.startedAtMs());
-                      return desk.write(key, now, held.changed())
+                      return desk.write(key, now, held.modRevision())
                           .map(done -> written(id, say(to), done));
                     }));
   }
@@ -186,7 +188,7 @@
       mixinStandardHelpOptions = true,
       description = "Nothing new goes to a cache.")
   int drain(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.DRAINING);
+    return change(id, EndpointState.DRAINING);
   }
 
   @Command(
@@ -194,7 +196,7 @@
       mixinStandardHelpOptions = true,
       description = "A drained cache takes GETs again.")
   int ready(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.UP);
+    return change(id, EndpointState.UP);
   }
 
   @Command(
@@ -202,7 +204,7 @@
       mixinStandardHelpOptions = true,
       description = "A cache is gone; its id may come anew.")
   int remove(@Parameters(paramLabel = "ID") String id) throws Exception {
-    return change(id, State.GONE);
+    return change(id, EndpointState.GONE);
   }
 
   @Command(
@@ -228,15 +230,22 @@
       throws Exception {
     RegistryRecord.Cache cache =
         new RegistryRecord.Cache(
-            id, address, zone, kind, cell, State.UP, weight, cold ? System.currentTimeMillis() : 0);
-    String fault = RecordCodec.fault(cache);
+            id,
+            address,
+            zone,
+            kind,
+            cell,
+            EndpointState.UP,
+            weight,
+            cold ? System.currentTimeMillis() : 0);
+    String fault = RecordCodec.validationError(cache);
     if (fault != null) {
       System.err.println("add: gateways would not take that: " + fault);
       return AmberpathCommand.USAGE;
     }
     return with(
         (desk, access) ->
-            desk.write(access.prefix() + RecordCodec.CACHES + id, cache, 0)
+            desk.write(access.prefix() + RecordCodec.CACHES_PREFIX + id, cache, 0)
                 .map(done -> written(id, "ready", done)));
   }
 
@@ -266,7 +275,7 @@
     return with(
         (desk, access) ->
             desk.purge(name, new RegistryRecord.Purge(id, group, now))
-                .map(done -> written(RecordCodec.PURGES + name, "purged", done)));
+                .map(done -> written(RecordCodec.PURGES_PREFIX + name, "purged", done)));
   }
 
   @Command(
@@ -291,37 +300,29 @@
   /** Prints what a gateway would be told. */
   private final class Printer implements EndpointListener {
     @Override
-    public void listing(boolean whole) {
-      if (whole) {
+    public void endpointListStarted(EndpointListKind kind) {
+      if (kind == EndpointListKind.FULL) {
         say(new JsonObject().put("key", "list").put("whole", true));
       }
     }
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {
+    public void endpointListed(ListedEndpoint endpoint) {
       say(
           new JsonObject()
-              .put("key", id)
-              .put("state", say(state))
-              .put("address", address)
-              .put("zone", zone)
-              .put("kind", kind)
-              .put("weight", weight));
+              .put("key", endpoint.id())
+              .put("state", say(endpoint.state()))
+              .put("address", endpoint.address())
+              .put("zone", endpoint.zone())
+              .put("kind", endpoint.kind())
+              .put("weight", endpoint.weight()));
     }
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       say(
           new JsonObject()
               .put("key", "purge")
@@ -330,7 +331,7 @@
               .put("at_ms", atMs));
     }
 
-    private String say(State state) {
+    private String say(EndpointState state) {
       return RegistryCommand.say(state);
     }
 
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -26,13 +26,13 @@
     boolean usesJournal = options.journal() != null;
     MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpoints);
     EndpointListener sourceListener =
-        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.port();
-    journalListener = sourceFactory == null ? pipeline.endpoints : merged.port();
+        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.addSource();
+    journalListener = sourceFactory == null ? pipeline.endpoints : merged.addSource();
     journalDecoder = new JournalDecoder(context.clock());
     source =
         sourceFactory == null
             ? null
-            : sourceFactory.create(context.vertx(), sourceListener, options.site().seed());
+            : sourceFactory.create(context.vertx(), sourceListener, options.routingConfig().seed());
     journalClient =
         usesJournal
             ? new JournalClient(
@@ -44,7 +44,7 @@
                     journalListener,
                     context.discoveryFreshness(),
                     pipeline.routingStage::discoveryPolled),
-                context.clock()::now)
+                context.clock()::nowNanos)
             : null;
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -35,9 +35,10 @@
 import org.amberpath.gateway.StandIns.Cache;
 import org.amberpath.gateway.StandIns.Client;
 import org.amberpath.gateway.StandIns.Command;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
 import org.amberpath.routing.RequestRouter;
-import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Outcome;
+import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -138,7 +139,7 @@
 
   @TempDir private Path folder;
   private final Failing calls = new Failing();
-  private final Queue<Outcome> outcomes = new ConcurrentLinkedQueue<>();
+  private final Queue<AttemptOutcome> outcomes = new ConcurrentLinkedQueue<>();
   private StandIns world;
   private Vertx vertx;
   private Cache cache;
@@ -171,13 +172,13 @@
   }
 
   private void serve(GatewayOptions options) throws Exception {
-    RequestRouter control = new RequestRouter(options.site());
+    RequestRouter control = new RequestRouter(options.routingConfig());
     world.gateway =
         new Gateway(
             vertx,
             options,
             GatewayExtensions.NONE,
-            (now, in, to) -> control.round(now, events -> in.replay(heard(events)), to));
+            (now, in, to) -> control.decide(now, events -> in.replayTo(heard(events)), to));
     world
         .gateway
         .start()
@@ -187,14 +188,14 @@
   }
 
   /** Notes how each attempt ended before the decisions hear of it. */
-  private RoutingEvents.Events heard(RoutingEvents.Events to) {
-    return (RoutingEvents.Events)
+  private RoutingEventHandler heard(RoutingEventHandler to) {
+    return (RoutingEventHandler)
         Proxy.newProxyInstance(
             SystemCallFailuresTest.class.getClassLoader(),
-            new Class<?>[] {RoutingEvents.Events.class},
+            new Class<?>[] {RoutingEventHandler.class},
             (proxy, event, told) -> {
-              if (event.getName().equals("ended")) {
-                outcomes.add((Outcome) told[3]);
+              if (event.getName().equals("attemptEnded")) {
+                outcomes.add(((AttemptResult) told[0]).outcome());
               }
               return event.invoke(to, told);
             });
@@ -284,7 +285,7 @@
     cache.next().ok("served");
     assertEquals("served", text(client.answer()));
     await(() -> !outcomes.isEmpty());
-    assertEquals("[RETURNED]", outcomes.toString());
+    assertEquals("[SUCCEEDED]", outcomes.toString());
   }
 
   @Test
@@ -303,7 +304,7 @@
     sent.ok("served");
     assertEquals("served", text(client.answer()));
     await(() -> outcomes.size() == 2);
-    assertEquals("[NOT_SENT, RETURNED]", outcomes.toString());
+    assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
     assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
   }
 
@@ -315,7 +316,7 @@
     client.get(1, "orders", 120, 0);
     assertNotNull(client.answer().error());
     await(() -> !outcomes.isEmpty());
-    assertFalse(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+    assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
     calls.connectFailures = 0;
     client.get(2, "orders", 5000, 0);
     cache.next().ok("served");
@@ -330,7 +331,7 @@
     calls.connectFailures = FOREVER;
     client.get(1, "orders", 5000, 0);
     assertEquals("Overloaded", client.answer().error());
-    assertTrue(outcomes.contains(Outcome.NO_CONNECTION), outcomes.toString());
+    assertTrue(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
   }
 
   @ParameterizedTest
@@ -343,7 +344,7 @@
         text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
     sent.ok("read by nobody");
     assertEquals("Internal", client.answer().error());
-    assertEquals("[LOST]", outcomes.toString());
+    assertEquals("[CONNECTION_LOST]", outcomes.toString());
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -9,8 +9,10 @@
 import java.util.List;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -95,33 +97,25 @@
     }
 
     @Override
-    public void listing(boolean whole) {
-      told.add(whole ? "whole" : "changes");
+    public void endpointListStarted(EndpointListKind kind) {
+      told.add(kind == EndpointListKind.FULL ? "whole" : "changes");
     }
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {
-      if (id.equals(unusable)) {
+    public void endpointListed(ListedEndpoint endpoint) {
+      if (endpoint.id().equals(unusable)) {
         throw new InvalidDocumentException("unusable");
       }
-      told.add(state == State.GONE ? "-" + id : id);
+      told.add(endpoint.state() == EndpointState.GONE ? "-" + endpoint.id() : endpoint.id());
     }
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       told.add("listed");
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       told.add("purge");
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/VirtualFleet.java
@@ -15,16 +15,21 @@
 import org.amberpath.leadership.CachePrefetch;
 import org.amberpath.leadership.HealthCheckCoordinator;
 import org.amberpath.recovery.RecoveryRamp;
+import org.amberpath.routing.AttemptCommand;
+import org.amberpath.routing.AttemptOutcome;
+import org.amberpath.routing.AttemptResult;
+import org.amberpath.routing.EndpointDescription;
+import org.amberpath.routing.EndpointHealthStatus;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointState;
 import org.amberpath.routing.RecentRequests;
+import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RequestRouter;
+import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingActions;
 import org.amberpath.routing.RoutingConfig;
+import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
-import org.amberpath.routing.RoutingEvents.Events;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 
 /**
  * A fleet of real decisions on the virtual clock among simulated caches, hubs and an origin, and
@@ -112,7 +117,8 @@
         new Cache(caches.size(), LabSettings.ORIGIN, weight * plan.caches() * plan.origin()));
     for (int one = 0; one < plan.gateways(); one++) {
       gateways.add(
-          new One(one, LabSettings.options(chance.nextLong(), null, plan.gateways()).site()));
+          new One(
+              one, LabSettings.options(chance.nextLong(), null, plan.gateways()).routingConfig()));
     }
   }
 
@@ -185,16 +191,16 @@
     bins[(int) Math.min(bins.length - 1, (at - START) / SECOND)]++;
   }
 
-  protected final void tell(int cache, State state, long startedAt) {
+  protected final void tell(int cache, EndpointState state, long startedAt) {
     for (One one : gateways) {
       agenda.at(
           agenda.now() + chance.nextLong(50 * MS),
           () ->
               one.tell(
                   to -> {
-                    to.listing(Listing.CHANGES);
+                    to.endpointListStarted(EndpointListKind.CHANGES);
                     one.member(to, caches.get(cache), state, startedAt);
-                    to.listed();
+                    to.endpointListCompleted();
                   }));
     }
   }
@@ -281,7 +287,7 @@
     void want(Wanted wanted) {
       long of = life;
       if (down) {
-        wanted.by.back(wanted, Outcome.NO_CONNECTION, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.CONNECT_FAILED, ResponseDetail.NONE);
         return;
       }
       came(this, wanted.own);
@@ -294,7 +300,7 @@
         count(hit ? "cold_hit" : "cold_miss", agenda.now());
       }
       if (!hit && wanted.heldOnly) {
-        wanted.by.back(wanted, Outcome.NOT_STORED, Note.NOTHING);
+        wanted.by.back(wanted, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
         return;
       }
       Runnable served =
@@ -304,7 +310,10 @@
                     if (life == of && wanted.keeps) {
                       holds.add(wanted.key);
                     }
-                    wanted.by.back(wanted, Outcome.RETURNED, hit ? Note.HIT : Note.FILLED);
+                    wanted.by.back(
+                        wanted,
+                        AttemptOutcome.SUCCEEDED,
+                        hit ? ResponseDetail.HIT : ResponseDetail.FILLED);
                   });
       if (hit) {
         served.run();
@@ -388,11 +397,12 @@
     private RecoveryRamp opening;
     private boolean up;
     private long life, openAt;
-    private final List<Consumer<Events>> came = new ArrayList<>();
-    private List<Consumer<Events>> round = List.of();
+    private final List<Consumer<RoutingEventHandler>> came = new ArrayList<>();
+    private List<Consumer<RoutingEventHandler>> round = List.of();
     private boolean due;
     private final Map<Long, Viewer> viewers = new HashMap<>();
-    private final Map<Long, Consumer<HealthCheckCoordinator.End>> own = new HashMap<>();
+    private final Map<Long, Consumer<HealthCheckCoordinator.HealthCheckOutcome>> own =
+        new HashMap<>();
     private final Map<Long, Long> keys = new HashMap<>();
     private final Map<Long, Integer> copies = new HashMap<>();
     private final Set<String> open = new HashSet<>();
@@ -427,10 +437,15 @@
       opening = new RecoveryRamp(chance.nextLong(), SECOND, agenda.now());
       tell(
           to -> {
-            to.listing(Listing.FULL);
+            to.endpointListStarted(EndpointListKind.FULL);
             caches.forEach(
-                cache -> member(to, cache, cache.down ? State.GONE : State.UP, cache.startedAt));
-            to.listed();
+                cache ->
+                    member(
+                        to,
+                        cache,
+                        cache.down ? EndpointState.GONE : EndpointState.UP,
+                        cache.startedAt));
+            to.endpointListCompleted();
           });
       // Of what its part of the cold budgets bears it knows the caches that are there.
       double bears =
@@ -441,7 +456,7 @@
               / WORK
               * LabSettings.COLD_SHARE
               / plan.gateways();
-      opening.learned(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
+      opening.startupCompleted(agenda.now(), loss && plan.opening() == Opening.BY_RETURNS, bears);
       tick();
     }
 
@@ -465,13 +480,14 @@
       }
     }
 
-    void member(Events to, Cache cache, State state, long startedAt) {
+    void member(RoutingEventHandler to, Cache cache, EndpointState state, long startedAt) {
       String address = "10.0.0." + cache.index + ":90";
-      to.member(
-          cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt);
+      to.endpointListed(
+          new EndpointDescription(
+              cache.index, address, LabSettings.ZONE, cache.kind, 0, state, cache.size, startedAt));
     }
 
-    void tell(Consumer<Events> event) {
+    void tell(Consumer<RoutingEventHandler> event) {
       if (!up) {
         return;
       }
@@ -484,7 +500,7 @@
               due = false;
               round = List.copyOf(came);
               came.clear();
-              router.round(agenda.now(), this, this);
+              router.decide(agenda.now(), this, this);
             });
       }
     }
@@ -502,7 +518,7 @@
     }
 
     @Override
-    public void replay(Events to) {
+    public void replayTo(RoutingEventHandler to) {
       round.forEach(event -> event.accept(to));
     }
 
@@ -530,21 +546,25 @@
       }
       long object = viewer.key / FIRST_PARTS;
       int part = (int) (viewer.key % FIRST_PARTS);
-      if (agenda.now() < openAt || !opening.takes(agenda.now(), part > 0)) {
+      if (agenda.now() < openAt || !opening.tryAdmit(agenda.now(), part > 0)) {
         count("turned_away", agenda.now());
-        again(viewer, agenda.now() < openAt ? NO_HINT_MS * MS : opening.away(part > 0));
+        again(viewer, agenda.now() < openAt ? NO_HINT_MS * MS : opening.retryAfterNanos(part > 0));
         return;
       }
       long id = ++ids;
       viewers.put(id, viewer);
       recent.add(new Asked(object, part), new Asked(object, part));
       keys.put(id, viewer.key);
-      tell(to -> to.get(id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false));
+      tell(
+          to ->
+              to.requestReceived(
+                  new RequestDetails(
+                      id, 0, object, 0, part, viewer.began + LIMIT - agenda.now(), KB, false)));
       agenda.at(
           viewer.began + LIMIT,
           () -> {
             if (viewers.remove(id) != null) {
-              tell(to -> to.left(id));
+              tell(to -> to.clientDisconnected(id));
             }
           });
     }
@@ -552,93 +572,102 @@
     // ---- What the decisions say.
 
     @Override
-    public void forward(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      int copy = copies.merge(get, 1, Integer::sum) - 1;
+    public void sendAttempt(AttemptCommand command) {
+      int copy = copies.merge(command.requestId(), 1, Integer::sum) - 1;
       Wanted wanted =
           new Wanted(
               this,
-              get,
+              command.requestId(),
               copy,
-              keys.get(get),
-              (switches & HELD_ONLY) != 0,
-              rank > 0,
-              caches.get(source),
-              own.containsKey(get));
-      open.add(get + "/" + copy);
-      agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> caches.get(cache).want(wanted));
-      agenda.at(until, () -> end(wanted, cache, Outcome.NO_ANSWER, Note.NOTHING));
+              keys.get(command.requestId()),
+              (command.options() & AttemptCommand.CACHED_ONLY) != 0,
+              command.rank() > 0,
+              caches.get(command.source()),
+              own.containsKey(command.requestId()));
+      open.add(command.requestId() + "/" + copy);
+      agenda.at(
+          agenda.now() + MS + chance.nextLong(MS),
+          () -> caches.get(command.endpoint()).want(wanted));
+      agenda.at(
+          command.deadlineNanos(),
+          () -> end(wanted, command.endpoint(), AttemptOutcome.TIMED_OUT, ResponseDetail.NONE));
     }
 
-    void back(Wanted wanted, Outcome outcome, Note note) {
+    void back(Wanted wanted, AttemptOutcome outcome, ResponseDetail note) {
       agenda.at(agenda.now() + MS + chance.nextLong(MS), () -> end(wanted, -1, outcome, note));
     }
 
-    private void end(Wanted wanted, int cache, Outcome outcome, Note note) {
+    private void end(Wanted wanted, int cache, AttemptOutcome outcome, ResponseDetail note) {
       if (!open.remove(wanted.get + "/" + wanted.copy)) {
         return;
       }
-      boolean returned = outcome == Outcome.RETURNED;
+      boolean returned = outcome == AttemptOutcome.SUCCEEDED;
       Viewer viewer = returned ? viewers.remove(wanted.get) : null;
-      Consumer<HealthCheckCoordinator.End> ends =
-          returned || outcome == Outcome.NOT_STORED ? own.remove(wanted.get) : null;
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends =
+          returned || outcome == AttemptOutcome.NOT_CACHED ? own.remove(wanted.get) : null;
       if (viewer != null && agenda.now() - viewer.began <= OBJECTIVE) {
         count("good", viewer.began);
       }
       if (viewer != null) {
-        opening.returned();
+        opening.requestSucceeded();
       }
       if (ends != null) {
-        ends.accept(HealthCheckCoordinator.End.ANSWERED);
+        ends.accept(HealthCheckCoordinator.HealthCheckOutcome.ANSWERED);
       }
       long took = LIMIT; // The decisions look at it for what was returned alone.
       tell(
           to ->
-              to.ended(
-                  wanted.get,
-                  wanted.copy,
-                  cache,
-                  outcome,
-                  returned ? (long) (WORK * SECOND) : took,
-                  returned || (!viewers.containsKey(wanted.get) && !own.containsKey(wanted.get)),
-                  note));
+              to.attemptEnded(
+                  new AttemptResult(
+                      wanted.get,
+                      wanted.copy,
+                      cache,
+                      outcome,
+                      returned ? (long) (WORK * SECOND) : took,
+                      returned
+                          || (!viewers.containsKey(wanted.get) && !own.containsKey(wanted.get)),
+                      note)));
     }
 
     @Override
-    public void shed(long get, long wait) {
+    public void reject(long get, long wait) {
       Viewer viewer = viewers.remove(get);
       if (viewer != null) {
         count("shed", agenda.now());
         again(viewer, wait > 0 ? wait : NO_HINT_MS * MS);
       }
-      errored(get);
+      fail(get);
     }
 
     @Override
-    public void errored(long get) {
+    public void fail(long get) {
       viewers.remove(get);
-      Consumer<HealthCheckCoordinator.End> ends = own.remove(get);
+      Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends = own.remove(get);
       if (ends != null) {
         ends.accept(
             copies.containsKey(get)
-                ? HealthCheckCoordinator.End.SILENT
-                : HealthCheckCoordinator.End.NOT_SENT);
+                ? HealthCheckCoordinator.HealthCheckOutcome.SILENT
+                : HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
       }
     }
 
     @Override
-    public void callOff(long get, int copy) {
+    public void cancelAttempt(long get, int copy) {
       open.remove(get + "/" + copy);
-      tell(to -> to.ended(get, copy, 0, Outcome.CALLED_OFF, 0, true, Note.NOTHING));
+      tell(
+          to ->
+              to.attemptEnded(
+                  new AttemptResult(
+                      get, copy, 0, AttemptOutcome.CANCELLED, 0, true, ResponseDetail.NONE)));
     }
 
     @Override
-    public void wake(long delay, String handle) {
-      later(delay, () -> tell(to -> to.woken(handle)));
+    public void scheduleTimer(long delay, String handle) {
+      later(delay, () -> tell(to -> to.timerFired(handle)));
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
 
     // ---- What is done for the fleet, by gateway 0.
 
@@ -647,25 +676,30 @@
     }
 
     @Override
-    public void health(int cache, Health health) {
+    public void endpointHealthChanged(int cache, EndpointHealthStatus health) {
       String name = Integer.toString(cache);
-      String owner = health == Health.HEARD ? trials.answers(agenda.now(), name) : "";
+      String owner =
+          health == EndpointHealthStatus.RESPONSIVE
+              ? trials.endpointResponded(agenda.now(), name)
+              : "";
       if (!owner.isEmpty()) {
-        post(Integer.parseInt(owner), to -> to.trials.heard(agenda.now(), List.of(name)));
+        post(
+            Integer.parseInt(owner),
+            to -> to.trials.endpointsResponsive(agenda.now(), List.of(name)));
       }
-      trials.standing(agenda.now(), name, health != Health.DOUBTED);
+      trials.healthChanged(agenda.now(), name, health != EndpointHealthStatus.SUSPECT);
     }
 
     @Override
-    public void cold(int cache, long until) {
-      ahead.cold(agenda.now(), Integer.toString(cache), until);
+    public void endpointWarmingUp(int cache, long until) {
+      ahead.endpointWarmingUp(agenda.now(), Integer.toString(cache), until);
     }
 
     private void tick() {
       long now = agenda.now();
       if (plan.probe()) {
-        HealthCheckCoordinator.Ask ask =
-            trials.due(
+        HealthCheckCoordinator.ReportRequest ask =
+            trials.nextReportRequest(
                 now,
                 gateways.size(),
                 () ->
@@ -675,15 +709,15 @@
                         .toList(),
                 owns(true));
         if (ask != null) {
-          post(Integer.parseInt(ask.to()), to -> to.asked(this, ask));
+          post(Integer.parseInt(ask.recipient()), to -> to.asked(this, ask));
         }
         if (owns(true)) {
           attempt();
-          Map<String, HealthCheckCoordinator.Said> news = trials.news(now);
+          Map<String, HealthCheckCoordinator.HealthReport> news = trials.broadcastReport(now);
           if (!news.isEmpty()) {
             List<String> there = gateways.stream().map(one -> Integer.toString(one.index)).toList();
             trials
-                .toldNow(now, there)
+                .broadcastRecipients(now, there)
                 .forEach(one -> post(Integer.parseInt(one), to -> to.word(0, news)));
           }
         }
@@ -702,68 +736,77 @@
     }
 
     private void trust() {
-      boolean another = trials.forAll(agenda.now(), owns(true));
+      boolean another = trials.isCentralized(agenda.now(), owns(true));
       if (another != forAll) {
         forAll = another;
-        tell(to -> to.tried(another));
+        tell(to -> to.healthChecksDelegated(another));
       }
     }
 
-    private void asked(One by, HealthCheckCoordinator.Ask ask) {
+    private void asked(One by, HealthCheckCoordinator.ReportRequest ask) {
       if (owns(plan.probe())) {
-        Map<String, HealthCheckCoordinator.Said> said =
-            trials.asked(agenda.now(), Integer.toString(by.index), ask.caches());
+        Map<String, HealthCheckCoordinator.HealthReport> said =
+            trials.reportRequested(agenda.now(), Integer.toString(by.index), ask.endpoints());
         attempt();
-        post(by.index, to -> to.word(ask.stamp(), said));
+        post(by.index, to -> to.word(ask.requestedAtNanos(), said));
       }
     }
 
-    private void word(long stamp, Map<String, HealthCheckCoordinator.Said> said) {
-      Map<String, HealthCheckCoordinator.Said> taken =
-          trials.word(agenda.now(), "0", 1, stamp, said);
+    private void word(long stamp, Map<String, HealthCheckCoordinator.HealthReport> said) {
+      Map<String, HealthCheckCoordinator.HealthReport> taken =
+          trials.reportReceived(agenda.now(), "0", 1, stamp, said);
       trust();
       taken.forEach(
           (cache, one) ->
-              tell(to -> to.vouched(Integer.parseInt(cache), one.answers(), one.ago())));
+              tell(
+                  to ->
+                      to.healthReported(Integer.parseInt(cache), one.responded(), one.ageNanos())));
     }
 
     private void attempt() {
-      for (String cache : trials.tries(agenda.now())) {
+      for (String cache : trials.dueHealthChecks(agenda.now())) {
         Asked like = recent.latest();
-        own(like, Integer.parseInt(cache), end -> trials.tried(agenda.now(), cache, end));
+        own(
+            like,
+            Integer.parseInt(cache),
+            end -> trials.healthCheckEnded(agenda.now(), cache, end));
       }
     }
 
     private void fill() {
-      while (ahead.next(agenda.now())) {
-        Asked like = recent.next();
+      while (ahead.tryStartRequest(agenda.now())) {
+        Asked like = recent.nextInPass();
         if (like == null) {
-          recent.turn();
-          ahead.turnOver(agenda.now());
+          recent.startPass();
+          ahead.passEnded(agenda.now());
           return;
         }
         own(
             like,
             -1,
             end -> {
-              ahead.ended();
+              ahead.requestEnded();
               fill();
             });
       }
     }
 
-    private void own(Asked like, int cache, Consumer<HealthCheckCoordinator.End> ends) {
+    private void own(
+        Asked like, int cache, Consumer<HealthCheckCoordinator.HealthCheckOutcome> ends) {
       long id = ++ids;
       own.put(id, ends);
       keys.put(id, like.object * FIRST_PARTS + like.part);
-      tell(to -> to.own(id, 0, like.object, 0, like.part, ACT, KB, cache));
+      tell(
+          to ->
+              to.syntheticRequestReceived(
+                  new RequestDetails(id, 0, like.object, 0, like.part, ACT, KB, false), cache));
       agenda.at(
           agenda.now() + ACT,
           () -> {
-            Consumer<HealthCheckCoordinator.End> late = own.remove(id);
+            Consumer<HealthCheckCoordinator.HealthCheckOutcome> late = own.remove(id);
             if (late != null) {
-              late.accept(HealthCheckCoordinator.End.SILENT);
-              tell(to -> to.left(id));
+              late.accept(HealthCheckCoordinator.HealthCheckOutcome.SILENT);
+              tell(to -> to.clientDisconnected(id));
             }
           });
     }
--- a/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/RegistrySizeExperiment.java
@@ -12,8 +12,10 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.WatchSession;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * The registry's pure half at size on the virtual clock: time to apply a change, cost a client, a
@@ -40,34 +42,26 @@
     }
 
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       told.run();
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {}
+    public void objectPurged(long object, int group, long atMs) {}
   }
 
-  private static RegistryRecord.Cache cache(int number, State state) {
+  private static RegistryRecord.Cache cache(int number, EndpointState state) {
     return new RegistryRecord.Cache(
         "c" + number, "127.0.0.1:" + (1000 + number % 60_000), "z", "box", 0, state, 1, 0);
   }
 
-  private static void write(VirtualRegistry registry, int number, State state) {
+  private static void write(VirtualRegistry registry, int number, EndpointState state) {
     Map<String, RegistryRecord> writes = new TreeMap<>();
     writes.put(VirtualRegistry.PREFIX + "caches/c" + number, cache(number, state));
     writes.put(VirtualRegistry.TIP, new RegistryRecord.Other());
@@ -92,7 +86,7 @@
     VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < caches; number++) {
-      write(registry, number, State.UP);
+      write(registry, number, EndpointState.UP);
     }
     registry.history.compact(registry.history.revision());
     List<VirtualRegistry.Client> all = new ArrayList<>();
@@ -105,7 +99,7 @@
           new RegistryView(
               new Listener(
                   () -> {
-                    Long at = committed.get(self[0].view.applied());
+                    Long at = committed.get(self[0].view.appliedRevision());
                     if (at != null) {
                       delay.recordValue((agenda.now() - at) / 1000);
                     }
@@ -131,7 +125,9 @@
           when,
           () -> {
             write(
-                registry, chance.nextInt(caches), chance.nextBoolean() ? State.UP : State.DRAINING);
+                registry,
+                chance.nextInt(caches),
+                chance.nextBoolean() ? EndpointState.UP : EndpointState.DRAINING);
             committed.put(registry.history.revision(), agenda.now());
           });
     }
@@ -153,7 +149,7 @@
         .figure("cpu_us_a_change_a_client", busy / 1e3 / changes / (BUSY / SECOND) / clients)
         .bar(
             "all at the last revision",
-            all.stream().allMatch(one -> one.view.applied() == registry.history.revision()))
+            all.stream().allMatch(one -> one.view.appliedRevision() == registry.history.revision()))
         .bar("p99 under 250 ms", delay.getValueAtPercentile(99) < 250_000);
   }
 
@@ -171,7 +167,7 @@
     VirtualScheduler agenda = new VirtualScheduler(START);
     VirtualRegistry registry = new VirtualRegistry(agenda, ENDPOINTS, false, chance.nextLong());
     for (int number = 0; number < 50; number++) {
-      write(registry, number, State.UP);
+      write(registry, number, EndpointState.UP);
     }
     List<VirtualRegistry.Client> all = new ArrayList<>();
     for (int one = 0; one < HERD; one++) {
@@ -187,7 +183,7 @@
         back,
         () -> {
           registry.nodes.forEach(node -> node.become(Way.ANSWERS));
-          write(registry, 0, State.DRAINING);
+          write(registry, 0, EndpointState.DRAINING);
         });
     while (agenda.step(back)) {
       // The condition does the work.
@@ -208,7 +204,7 @@
               .allMatch(
                   one ->
                       one.recovery.phase() == WatchSession.Phase.CURRENT
-                          && one.view.applied() == registry.history.revision());
+                          && one.view.appliedRevision() == registry.history.revision());
       current = there && current == 0 ? at + BIN - back : current;
     }
     result
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -1,8 +1,9 @@
 package org.amberpath.registry.runtime;
 
 import java.util.function.LongSupplier;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall
@@ -32,38 +33,31 @@
   }
 
   @Override
-  public void listing(boolean whole) {
-    to.listing(whole);
+  public void endpointListStarted(EndpointListKind kind) {
+    to.endpointListStarted(kind);
   }
 
   @Override
-  public void member(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      State state,
-      double weight,
-      long startedAtMs) {
-    to.member(
-        id,
-        address,
-        zone,
-        kind,
-        cell,
-        state,
-        weight,
-        startedAtMs == 0 ? 0 : startedAtMs + aheadMillis());
+  public void endpointListed(ListedEndpoint endpoint) {
+    to.endpointListed(
+        new ListedEndpoint(
+            endpoint.id(),
+            endpoint.address(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            endpoint.state(),
+            endpoint.weight(),
+            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + aheadMillis()));
   }
 
   @Override
-  public void listed() {
-    to.listed();
+  public void endpointListCompleted() {
+    to.endpointListCompleted();
   }
 
   @Override
-  public void purged(long object, int group, long atMs) {
-    to.purged(object, group, atMs + Math.max(0, aheadMillis()));
+  public void objectPurged(long object, int group, long atMs) {
+    to.objectPurged(object, group, atMs + Math.max(0, aheadMillis()));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -7,8 +7,10 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 
 /** What a view tells of what a registry holds, one story for each way to get it wrong. */
@@ -30,35 +32,31 @@
     }
 
     @Override
-    public void listing(boolean whole) {
-      list = new StringBuilder(whole ? "=[" : "[");
+    public void endpointListStarted(EndpointListKind kind) {
+      list = new StringBuilder(kind == EndpointListKind.FULL ? "=[" : "[");
     }
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {
-      list.append(id).append(state == State.UP ? '+' : state == State.DRAINING ? '~' : '-');
+    public void endpointListed(ListedEndpoint endpoint) {
+      list.append(endpoint.id())
+          .append(
+              endpoint.state() == EndpointState.UP
+                  ? '+'
+                  : endpoint.state() == EndpointState.DRAINING ? '~' : '-');
     }
 
     @Override
-    public void listed() {
+    public void endpointListCompleted() {
       to.add(list + "]");
     }
 
     @Override
-    public void purged(long object, int group, long atMs) {
+    public void objectPurged(long object, int group, long atMs) {
       to.add("purged " + object + "/" + group + " " + (atMs - NOW / MS));
     }
   }
 
-  static RegistryEntry cache(String id, State state, long created, long changed) {
+  static RegistryEntry cache(String id, EndpointState state, long created, long changed) {
     return new RegistryEntry(
         "p/" + id,
         new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, 0),
@@ -75,7 +73,7 @@
   }
 
   private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.changed(), held.key(), held);
+    return new WatchEvent(held.modRevision(), held.key(), held);
   }
 
   private List<String> told() {
@@ -85,76 +83,82 @@
   }
 
   private void starts(RegistryEntry... all) {
-    view.whole(NOW, Arrays.asList(all), "c", 10, NOW, false);
+    view.applySnapshot(NOW, Arrays.asList(all), "c", 10, NOW, false);
     told();
   }
 
   @Test
   void theFirstListIsToldWhole() {
-    view.whole(
+    view.applySnapshot(
         NOW,
-        List.of(cache("a", State.UP, 1, 1), cache("b", State.DRAINING, 2, 3)),
+        List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.DRAINING, 2, 3)),
         "c",
         10,
         NOW,
         false);
     assertEquals(List.of("=[a+b~]"), told());
-    assertEquals(10, view.applied());
+    assertEquals(10, view.appliedRevision());
   }
 
   @Test
   void allKeysOfARevisionAreOneListingAndRevisionsAreToldApart() {
-    starts(cache("a", State.UP, 1, 1));
-    view.changes(
+    starts(cache("a", EndpointState.UP, 1, 1));
+    view.applyEvents(
         NOW,
         List.of(
-            put(cache("b", State.UP, 11, 11)),
-            put(cache("a", State.DRAINING, 1, 11)),
-            put(cache("a", State.UP, 1, 12))));
+            put(cache("b", EndpointState.UP, 11, 11)),
+            put(cache("a", EndpointState.DRAINING, 1, 11)),
+            put(cache("a", EndpointState.UP, 1, 12))));
     assertEquals(List.of("[a~b+]", "[a+]"), told());
   }
 
   @Test
   void whatASecondWatchTellsAgainIsPassedOver() {
-    starts(cache("a", State.UP, 1, 1));
-    view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 11))));
-    view.changes(
-        NOW, List.of(put(cache("a", State.DRAINING, 1, 11)), put(cache("a", State.UP, 1, 12))));
+    starts(cache("a", EndpointState.UP, 1, 1));
+    view.applyEvents(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 11))));
+    view.applyEvents(
+        NOW,
+        List.of(
+            put(cache("a", EndpointState.DRAINING, 1, 11)),
+            put(cache("a", EndpointState.UP, 1, 12))));
     assertEquals(List.of("[a~]", "[a+]"), told());
   }
 
   @Test
   void aCacheThatIsCreatedAnewUnderItsIdIsGoneFirst() {
-    starts(cache("a", State.UP, 1, 1));
-    assertTrue(view.written(NOW, List.of(cache("a", State.UP, 14, 14)), 1, 14, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1));
+    assertTrue(view.applyWrites(NOW, List.of(cache("a", EndpointState.UP, 14, 14)), 1, 14, NOW));
     assertEquals(List.of("[a-]", "[a+]"), told());
   }
 
   @Test
   void aDeletionThatNobodyToldOfNeedsAWholeList() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("a", State.DRAINING, 1, 12)), 1, 13, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
+    assertFalse(
+        view.applyWrites(NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), 1, 13, NOW));
     assertEquals(List.of(), told());
-    view.whole(NOW, List.of(cache("a", State.DRAINING, 1, 12)), "c", 13, NOW, false);
+    view.applySnapshot(
+        NOW, List.of(cache("a", EndpointState.DRAINING, 1, 12)), "c", 13, NOW, false);
     assertEquals(List.of("[b-a~]"), told());
   }
 
   @Test
   void aDeletionThatANewKeyHidesInTheCountIsFoundToo() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2));
-    assertFalse(view.written(NOW, List.of(cache("d", State.UP, 12, 12)), 2, 13, NOW));
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2));
+    assertFalse(view.applyWrites(NOW, List.of(cache("d", EndpointState.UP, 12, 12)), 2, 13, NOW));
   }
 
   @Test
   void aValueThatCantBeReadSpoilsItsOwnKeyAloneAndTheLastGoodOneStays() {
-    starts(cache("a", State.UP, 1, 1));
+    starts(cache("a", EndpointState.UP, 1, 1));
     RegistryEntry spoilt =
         new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
-    view.changes(
-        NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", State.UP, 11, 11))));
+    view.applyEvents(
+        NOW, List.of(put(spoilt), new WatchEvent(11, "p/b", cache("b", EndpointState.UP, 11, 11))));
     assertEquals(List.of("[b+]"), told());
     assertEquals(List.of("p/a: not JSON"), complaints);
-    view.whole(NOW, List.of(spoilt, cache("b", State.UP, 11, 11)), "c", 12, NOW, false);
+    view.applySnapshot(
+        NOW, List.of(spoilt, cache("b", EndpointState.UP, 11, 11)), "c", 12, NOW, false);
     assertEquals(List.of(), told());
     assertEquals(1, complaints.size());
   }
@@ -162,14 +166,14 @@
   @Test
   void aPurgeIsToldOnceAndCountsFromNow() {
     starts();
-    view.changes(NOW, List.of(put(purge(7, 900, 11))));
-    view.whole(NOW, List.of(purge(7, 900, 11)), "c", 12, NOW, false);
+    view.applyEvents(NOW, List.of(put(purge(7, 900, 11))));
+    view.applySnapshot(NOW, List.of(purge(7, 900, 11)), "c", 12, NOW, false);
     assertEquals(List.of("purged 7/0 0"), told());
   }
 
   @Test
   void aPurgeFromBeforeTheStartCountsFromNowWhateverItsWritersClockSays() {
-    view.whole(
+    view.applySnapshot(
         NOW,
         List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)),
         "c",
@@ -181,27 +185,29 @@
 
   @Test
   void afterAGapLongerThanPurgesAreKeptEverythingCountsAsPurged() {
-    starts(cache("a", State.UP, 1, 1));
-    view.whole(NOW, List.of(cache("a", State.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
+    starts(cache("a", EndpointState.UP, 1, 1));
+    view.applySnapshot(
+        NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 20, NOW + RETENTION, false);
     assertEquals(List.of(), told());
-    view.whole(NOW, List.of(cache("a", State.UP, 1, 1)), "c", 21, NOW + 2 * RETENTION + 1, false);
+    view.applySnapshot(
+        NOW, List.of(cache("a", EndpointState.UP, 1, 1)), "c", 21, NOW + 2 * RETENTION + 1, false);
     assertEquals(List.of("purged 0/-1 0"), told());
   }
 
   @Test
   void aRestoredRegistryIsAFullNewListAndEverythingCountsAsPurged() {
-    starts(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 9));
-    view.whole(NOW, List.of(cache("b", State.UP, 2, 5)), "c", 6, NOW, true);
+    starts(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 9));
+    view.applySnapshot(NOW, List.of(cache("b", EndpointState.UP, 2, 5)), "c", 6, NOW, true);
     assertEquals(List.of("=[b+]", "purged 0/-1 0"), told());
-    assertEquals(6, view.applied());
+    assertEquals(6, view.appliedRevision());
   }
 
   @Test
   void anOlderWriteOfAKnownKeyShowsThatRevisionsWereGivenAnew() {
-    starts(cache("b", State.UP, 2, 9));
-    view.whole(
+    starts(cache("b", EndpointState.UP, 2, 9));
+    view.applySnapshot(
         NOW,
-        List.of(cache("b", State.UP, 2, 5), cache("d", State.UP, 11, 11)),
+        List.of(cache("b", EndpointState.UP, 2, 5), cache("d", EndpointState.UP, 11, 11)),
         "c",
         12,
         NOW,
@@ -211,30 +217,31 @@
 
   @Test
   void keysPastTheBoundArePassedOverWhileThoseHeldAreFollowed() {
-    starts(cache("a", State.UP, 1, 1));
+    starts(cache("a", EndpointState.UP, 1, 1));
     for (int more = 0; more < 8; more++) {
-      view.changes(NOW, List.of(put(cache("x" + more, State.UP, 11 + more, 11 + more))));
+      view.applyEvents(
+          NOW, List.of(put(cache("x" + more, EndpointState.UP, 11 + more, 11 + more))));
     }
     assertEquals(5, told().size());
     assertEquals(1, complaints.size());
-    view.changes(NOW, List.of(put(cache("a", State.DRAINING, 1, 30))));
+    view.applyEvents(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 30))));
     assertEquals(List.of("[a~]"), told());
     assertEquals(6, view.size());
   }
 
   @Test
   void aSnapshotIsToldWithItsTrueAgeAndTheRegistryOnlyWhatDiffers() {
-    view.remember(
+    view.restoreSnapshot(
         NOW,
-        List.of(cache("a", State.UP, 1, 1), cache("b", State.UP, 2, 2)),
+        List.of(cache("a", EndpointState.UP, 1, 1), cache("b", EndpointState.UP, 2, 2)),
         "c",
         10,
         NOW - 50 * MS);
     assertEquals(List.of("=[a+b+]"), told());
-    assertEquals(NOW - 50 * MS, view.provenAt());
-    view.whole(
+    assertEquals(NOW - 50 * MS, view.confirmedAtNanos());
+    view.applySnapshot(
         NOW,
-        List.of(cache("a", State.DRAINING, 1, 12), cache("b", State.UP, 2, 2)),
+        List.of(cache("a", EndpointState.DRAINING, 1, 12), cache("b", EndpointState.UP, 2, 2)),
         "c",
         12,
         NOW,
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -13,8 +13,9 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,24 +31,16 @@
   /** Takes no news. */
   private static final class Nobody implements EndpointListener {
     @Override
-    public void listing(boolean whole) {}
+    public void endpointListStarted(EndpointListKind kind) {}
 
     @Override
-    public void member(
-        String id,
-        String address,
-        String zone,
-        String kind,
-        int cell,
-        State state,
-        double weight,
-        long startedAtMs) {}
+    public void endpointListed(ListedEndpoint endpoint) {}
 
     @Override
-    public void listed() {}
+    public void endpointListCompleted() {}
 
     @Override
-    public void purged(long object, int group, long atMs) {}
+    public void objectPurged(long object, int group, long atMs) {}
   }
 
   @Test
@@ -60,7 +53,7 @@
       endpoint.setSoTimeout(PATIENCE_MILLIS);
       RegistrySettings access =
           new RegistrySettings(
-              RegistrySettings.Form.ETCD,
+              RegistrySettings.ProtocolKind.ETCD,
               List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")),
               "p/",
               null,
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -7,8 +7,10 @@
 import java.util.List;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -29,26 +31,18 @@
       new WallTimes(
           new EndpointListener() {
             @Override
-            public void listing(boolean whole) {}
+            public void endpointListStarted(EndpointListKind kind) {}
 
             @Override
-            public void member(
-                String id,
-                String address,
-                String zone,
-                String kind,
-                int cell,
-                State state,
-                double weight,
-                long startedAtMs) {
-              ages.add(startedAtMs == 0 ? -1 : wall - startedAtMs);
+            public void endpointListed(ListedEndpoint endpoint) {
+              ages.add(endpoint.startedAtMillis() == 0 ? -1 : wall - endpoint.startedAtMillis());
             }
 
             @Override
-            public void listed() {}
+            public void endpointListCompleted() {}
 
             @Override
-            public void purged(long object, int group, long atMs) {
+            public void objectPurged(long object, int group, long atMs) {
               ages.add(Math.max(0, wall - atMs));
             }
           },
@@ -60,9 +54,9 @@
   void aStepMakesNothingOlderOrYounger(long step) {
     wall += 1000 + step;
     forward += 1000 * MS;
-    times.purged(7, 0, START + 1000);
-    times.member("a", "", "z", "k", 0, State.UP, 1, START);
-    times.member("b", "", "z", "k", 0, State.UP, 1, 0);
+    times.objectPurged(7, 0, START + 1000);
+    times.endpointListed(new ListedEndpoint("a", "", "z", "k", 0, EndpointState.UP, 1, START));
+    times.endpointListed(new ListedEndpoint("b", "", "z", "k", 0, EndpointState.UP, 1, 0));
     assertEquals(List.of(0L, 1000L, -1L), ages);
     assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
   }
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -11,9 +11,6 @@
 import java.util.List;
 import org.amberpath.routing.RequestRouterTest.FakeHost;
 import org.amberpath.routing.RequestRouterTest.FakeHost.Sent;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
@@ -39,7 +36,7 @@
     long step = everyMillis == 0 ? QUIET_MILLIS : everyMillis;
     for (long passed = 0; passed < QUIET_MILLIS; passed += step) {
       if (everyMillis > 0) {
-        host.returned(host.get(++ids, ids, 0), 50, Note.HIT);
+        host.returned(host.get(++ids, ids, 0), 50, ResponseDetail.HIT);
       }
       host.pass(step);
     }
@@ -51,7 +48,7 @@
   private Sent ask(int hung) {
     Sent sent = host.get(++ids, 100_000 + ids, 0);
     if (sent.cache() != hung) {
-      host.returned(sent, 50, Note.HIT);
+      host.returned(sent, 50, ResponseDetail.HIT);
     }
     return sent;
   }
@@ -77,13 +74,13 @@
     host.pass(PATIENCE_MILLIS + 100);
     Sent retry = host.last(stalled.get());
     assertNotEquals(hung, retry.cache());
-    host.returned(retry, 50, Note.HIT);
+    host.returned(retry, 50, ResponseDetail.HIT);
     assertTrue(host.calledOff.contains(stalled.get() + "/0"));
     assertFalse(waiting.isEmpty());
     for (Sent one : waiting) {
       Sent last = host.last(one.get());
       assertNotEquals(hung, last.cache());
-      host.returned(last, 50, Note.HIT);
+      host.returned(last, 50, ResponseDetail.HIT);
     }
     assertTrue(host.errored.isEmpty() && host.shed.isEmpty());
   }
@@ -93,18 +90,18 @@
   void anEndpointThatIsGoneIsLeftAtOnceAndTakenBackOnceItAnswers(long everyMillis) {
     quiet(everyMillis);
     Sent lost = host.get(++ids, 5, 0);
-    host.ended(lost, Outcome.NO_CONNECTION, 1, Note.NOTHING);
+    host.ended(lost, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     Sent retry = host.last(lost.get());
     assertNotEquals(lost.cache(), retry.cache());
-    host.returned(retry, 50, Note.HIT);
+    host.returned(retry, 50, ResponseDetail.HIT);
     int elsewhere = 0;
     Sent sent = host.get(++ids, 5, 0);
     for (; sent.cache() != lost.cache(); sent = host.get(++ids, 5, 0)) {
-      host.returned(sent, 50, Note.HIT).pass(STEP_MILLIS);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(STEP_MILLIS);
       assertTrue(++elsewhere < 100, "no trial within a second");
     }
     assertTrue(elsewhere > 5);
-    host.returned(sent, 50, Note.HIT).pass(3000);
+    host.returned(sent, 50, ResponseDetail.HIT).pass(3000);
     assertEquals(List.of(), host.aside);
     sent = host.get(++ids, 5, 0);
     assertEquals(lost.cache(), sent.cache());
@@ -112,7 +109,7 @@
 
   @ParameterizedTest
   @CsvSource({"-1, DRAINING", "0, DRAINING", "5000, DRAINING", "50000, DRAINING", "5000, GONE"})
-  void nothingNewGoesToOrThroughWhatDrains(long everyMillis, State state) {
+  void nothingNewGoesToOrThroughWhatDrains(long everyMillis, EndpointState state) {
     quiet(everyMillis);
     host.change(1, state, 0).change(6, state, 0);
     for (int one = 0; one < 60; one++) {
@@ -140,9 +137,9 @@
     host.sized = sized;
     quiet(everyMillis);
     for (int cache = 1; cache < ENDPOINTS; cache++) {
-      host.change(cache, State.GONE, 0);
+      host.change(cache, EndpointState.GONE, 0);
     }
-    host.change(0, State.UP, host.now);
+    host.change(0, EndpointState.UP, host.now);
     int before = host.sent.size();
     for (int one = 0; one < 200; one++) {
       host.get(++ids, 100_000 + ids, 0);
@@ -161,7 +158,7 @@
   void anEndpointThatStartsColdGetsASliceThatWidens(long everyMillis) {
     quiet(everyMillis);
     int usual = share();
-    host.change(1, State.UP, host.now);
+    host.change(1, EndpointState.UP, host.now);
     int thin = share();
     host.pass(5000);
     int wide = share();
@@ -173,7 +170,7 @@
     int count = 0;
     for (int object = 0; object < 400; object++) {
       Sent sent = host.get(++ids, object, 0);
-      host.returned(sent, 50, Note.HIT).pass(STEP_MILLIS / 2);
+      host.returned(sent, 50, ResponseDetail.HIT).pass(STEP_MILLIS / 2);
       count += sent.cache() == 1 ? 1 : 0;
     }
     return count;
@@ -186,11 +183,11 @@
     quiet(everyMillis);
     Sent before = host.get(++ids, 5, 0);
     assertEquals(0, before.age());
-    host.returned(before, 50, Note.HIT);
-    host.event(to -> to.purged(object, group, 100 * MS)).pass(400);
+    host.returned(before, 50, ResponseDetail.HIT);
+    host.event(to -> to.objectPurged(object, group, 100 * MS)).pass(400);
     Sent after = host.get(++ids, 5, 0);
     assertTrue(after.age() > 400 * MS && after.age() < 500 * MS, "age " + after.age());
-    host.returned(after, 50, Note.HIT).pass(6500);
+    host.returned(after, 50, ResponseDetail.HIT).pass(6500);
     assertEquals(0, host.get(++ids, 5, 0).age());
   }
 
@@ -203,10 +200,10 @@
     for (int one = 0; one < 400; one++) {
       Sent sent = host.get(++ids, 100_000 + ids, 0);
       assertNotNull(sent);
-      host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+      host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       while (host.last(sent.get()) != sent) {
         sent = host.last(sent.get());
-        host.ended(sent, Outcome.TURNED_AWAY, 1, Note.NOTHING);
+        host.ended(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       }
     }
     int retries = host.sent.size() - before - 400;
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -6,11 +6,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Consumer;
-import org.amberpath.routing.RoutingEvents.Listing;
-import org.amberpath.routing.RoutingEvents.Note;
-import org.amberpath.routing.RoutingEvents.Outcome;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -100,7 +97,7 @@
     starts();
     for (int list = 0; list < 10; list++) {
       play(150 * MS, 3);
-      gateways.forEach(one -> one.list(Listing.FULL));
+      gateways.forEach(one -> one.list(EndpointListKind.FULL));
     }
     play(SECOND, 3);
   }
@@ -148,12 +145,12 @@
     for (int one = 0; one < count; one++) {
       gateways.add(new Instance(count));
     }
-    gateways.forEach(one -> one.list(Listing.FULL));
+    gateways.forEach(one -> one.list(EndpointListKind.FULL));
   }
 
   private void starts() {
     startedAt = now;
-    gateways.forEach(one -> one.list(Listing.CHANGES));
+    gateways.forEach(one -> one.list(EndpointListKind.CHANGES));
   }
 
   private void play(long time, int getsAStep) {
@@ -182,38 +179,41 @@
   }
 
   private final class Instance implements RoutingActions {
-    private record Answer(long at, long get, int cache, Note note) {}
+    private record Answer(long at, long get, int cache, ResponseDetail note) {}
 
     private final RequestRouter control;
-    private final List<Consumer<RoutingEvents.Events>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
     private final List<Answer> answers = new ArrayList<>();
     private long wakeAt = Long.MAX_VALUE;
 
     Instance(int count) {
-      Map<String, Object> told =
+      Map<String, Object> config =
           Map.ofEntries(
               Map.entry("seed", (long) ++seeds),
               Map.entry("gateways", count),
-              Map.entry("gatewaysHere", count),
+              Map.entry("gatewaysInZone", count),
               Map.entry("zone", "z"),
-              Map.entry("midKind", "parent"),
-              Map.entry("originKind", "origin"),
-              Map.entry("weighsSizes", true),
-              Map.entry("deliveryServices", 1),
-              Map.entry("effect", RoutingConfig.Effect.IDEMPOTENT),
-              Map.entry("group", RoutingConfig.Group.ALL),
-              Map.entry("latencyObjective", objective),
-              Map.entry("stretch", 2.0),
-              Map.entry("revenue", 1.0),
-              Map.entry("maxForwards", 1),
-              Map.entry("flowKbPerSecond", 1000.0),
-              Map.entry("coldShare", SHARE),
-              Map.entry("coldTime", COLD_TIME),
-              Map.entry("fallMultiple", 3.0),
-              Map.entry("fallTime", FALL),
-              Map.entry("parentColdShare", SHARE),
-              Map.entry("parentColdTime", COLD_TIME),
-              Map.entry("parentFallMultiple", 3.0));
+              Map.entry("parentKind", Optional.of("parent")),
+              Map.entry("originKind", Optional.of("origin")),
+              Map.entry("weightIsSize", true),
+              Map.entry("trafficClassCount", 1),
+              Map.entry(
+                  "trafficClass",
+                  new TrafficClassConfig(
+                      Idempotency.IDEMPOTENT,
+                      IdempotencyScope.ALL,
+                      0,
+                      objective,
+                      2,
+                      1,
+                      false,
+                      0,
+                      0)),
+              Map.entry("retries", new RetryConfig(1, false, false, false, 0)),
+              Map.entry("transferKilobytesPerSecond", 1000.0),
+              Map.entry("edgeSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
+              Map.entry("parentSlowStart", new SlowStartConfig(SHARE, COLD_TIME, 3)),
+              Map.entry("overloadWindowNanos", FALL));
       control =
           new RequestRouter(
               (RoutingConfig)
@@ -221,96 +221,119 @@
                       getClass().getClassLoader(),
                       new Class<?>[] {RoutingConfig.class},
                       (proxy, asked, arguments) ->
-                          told.getOrDefault(
+                          config.getOrDefault(
                               asked.getName(),
                               asked.getReturnType() == boolean.class
                                   ? (Object) false
                                   : (Object) 0L)));
     }
 
-    void list(Listing what) {
-      events.add(to -> to.listing(what));
+    void list(EndpointListKind what) {
+      events.add(to -> to.endpointListStarted(what));
       long started = startedAt;
       events.add(
           to ->
-              to.member(
-                  COLD, "10.0.0.1:9", "z", "box", 0, State.UP, weight, cold == COLD ? started : 0));
+              to.endpointListed(
+                  new EndpointDescription(
+                      COLD,
+                      "10.0.0.1:9",
+                      "z",
+                      "box",
+                      0,
+                      EndpointState.UP,
+                      weight,
+                      cold == COLD ? started : 0)));
       if (warmUp) {
-        events.add(to -> to.member(WARM, "10.0.0.2:9", "z", "box", 0, State.UP, warm, 0));
         events.add(
             to ->
-                to.member(
-                    PARENT,
-                    "10.0.0.3:9",
-                    "hub",
-                    "parent",
-                    0,
-                    State.UP,
-                    weight,
-                    cold == PARENT ? started : 0));
-        events.add(to -> to.member(ORIGIN, "10.0.0.4:9", "hub", "origin", 0, State.UP, 400, 0));
+                to.endpointListed(
+                    new EndpointDescription(
+                        WARM, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warm, 0)));
+        events.add(
+            to ->
+                to.endpointListed(
+                    new EndpointDescription(
+                        PARENT,
+                        "10.0.0.3:9",
+                        "hub",
+                        "parent",
+                        0,
+                        EndpointState.UP,
+                        weight,
+                        cold == PARENT ? started : 0)));
+        events.add(
+            to ->
+                to.endpointListed(
+                    new EndpointDescription(
+                        ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0)));
       }
-      events.add(RoutingEvents.Events::listed);
+      events.add(RoutingEventHandler::endpointListCompleted);
     }
 
     void step(int gets) {
       for (Answer answer : List.copyOf(answers)) {
         if (answer.at <= now) {
           answers.remove(answer);
-          boolean has = answer.note != Note.NOTHING;
+          boolean has = answer.note != ResponseDetail.NONE;
           events.add(
               to ->
-                  to.ended(
-                      answer.get,
-                      0,
-                      answer.cache,
-                      has ? Outcome.RETURNED : Outcome.NOT_STORED,
-                      50 * MS,
-                      has,
-                      answer.note));
+                  to.attemptEnded(
+                      new AttemptResult(
+                          answer.get,
+                          0,
+                          answer.cache,
+                          has ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
+                          50 * MS,
+                          has,
+                          answer.note)));
         }
       }
       if (wakeAt <= now) {
         wakeAt = Long.MAX_VALUE;
-        events.add(to -> to.woken("sweep"));
+        events.add(to -> to.timerFired("sweep"));
       }
       for (int one = 0; one < gets; one++) {
         long id = ++ids;
-        events.add(to -> to.get(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false));
+        events.add(
+            to ->
+                to.requestReceived(
+                    new RequestDetails(id, 0, id % 1009, 9, 0, 2 * SECOND, 100, false)));
       }
-      List<Consumer<RoutingEvents.Events>> round = List.copyOf(events);
+      List<Consumer<RoutingEventHandler>> round = List.copyOf(events);
       events.clear();
-      control.round(now, to -> round.forEach(event -> event.accept(to)), this);
+      control.decide(now, to -> round.forEach(event -> event.accept(to)), this);
     }
 
     @Override
-    public void forward(
-        long get, int cache, long until, int source, long age, int rank, int switches) {
-      boolean filled = misses && source != cache;
-      if (cache == cold || (filled && source == cold)) {
+    public void sendAttempt(AttemptCommand command) {
+      boolean filled = misses && command.source() != command.endpoint();
+      if (command.endpoint() == cold || (filled && command.source() == cold)) {
         sends.add(now);
         sent++;
       }
       answers.add(
           new Answer(
-              now + 50 * MS, get, cache, filled ? Note.FILLED : misses ? Note.NOTHING : Note.HIT));
+              now + 50 * MS,
+              command.requestId(),
+              command.endpoint(),
+              filled ? ResponseDetail.FILLED : misses ? ResponseDetail.NONE : ResponseDetail.HIT));
     }
 
     @Override
-    public void shed(long get, long wait) {}
+    public void reject(long get, long wait) {}
 
     @Override
-    public void errored(long get) {}
+    public void fail(long get) {}
 
     @Override
-    public void callOff(long get, int copy) {}
+    public void cancelAttempt(long get, int copy) {}
 
     @Override
-    public void wake(long delay, String handle) {
+    public void scheduleTimer(long delay, String handle) {
       wakeAt = now + delay;
     }
 
     @Override
-    public void watchList() {}
+    public void subscribeEndpoints() {}
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -8,8 +8,6 @@
 import java.util.Objects;
 import java.util.stream.LongStream;
 import org.amberpath.routing.InFlightRequest.Purpose;
-import org.amberpath.routing.RoutingConfig.Effect;
-import org.amberpath.routing.RoutingEvents.State;
 import org.junit.jupiter.api.Test;
 
 class SyntheticRouteSelectorTest {
@@ -32,7 +30,7 @@
   @Test
   void aPrefetchGoesOnlyToTheColdEdgeThatTheObjectBelongsTo() {
     assertNull(prefetch(5), "all are warm");
-    parts.update(1, State.UP, START);
+    parts.update(1, EndpointState.UP, START);
     Route route =
         LongStream.range(0, 50)
             .mapToObj(this::prefetch)
@@ -46,7 +44,7 @@
 
   @Test
   void nothingIsAskedThatMayNotBeRepeated() {
-    parts.site.effect = Effect.NON_IDEMPOTENT;
+    parts.configure(Idempotency.NON_IDEMPOTENT, IdempotencyScope.ALL);
     assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START));
   }
 }
