--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.EndpointState;
 
 /**
  * The keys of one key-value registry with revisions, history, compaction, backup and restore, as
@@ -42,7 +42,7 @@
 
   long tip() {
     RegistryEntry tip = entries.get(TIP_KEY);
-    return tip == null ? 0 : tip.changed();
+    return tip == null ? 0 : tip.modRevision();
   }
 
   boolean isCompacted(long wanted) {
@@ -55,7 +55,7 @@
 
   /** The keys last written at a revision or later, in their order. */
   List<RegistryEntry> writtenSince(long since) {
-    return entries.values().stream().filter(entry -> entry.changed() >= since).toList();
+    return entries.values().stream().filter(entry -> entry.modRevision() >= since).toList();
   }
 
   /** All events of watches since the first revision, in order. */
@@ -103,7 +103,7 @@
   }
 
   private RegistryRecord cache(int number, long nowMillis) {
-    State state = random.nextInt(3) == 0 ? State.DRAINING : State.UP;
+    EndpointState state = random.nextInt(3) == 0 ? EndpointState.DRAINING : EndpointState.UP;
     long started = random.nextBoolean() ? 0 : nowMillis - random.nextLong(10_000);
     return new RegistryRecord.Cache(
         "e" + number, "127.0.0.1:" + (7000 + number), "z", "box", number % 3, state, 4, started);
@@ -111,7 +111,7 @@
 
   private void put(String key, RegistryRecord content) {
     RegistryEntry before = entries.get(key);
-    long created = before == null ? revision : before.created();
+    long created = before == null ? revision : before.createRevision();
     RegistryEntry entry = new RegistryEntry(key, content, created, revision);
     entries.put(key, entry);
     history.add(new WatchEvent(revision, key, entry));
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -13,8 +13,9 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.amberpath.registry.WatchSession.Header;
+import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
-import org.amberpath.routing.RoutingEvents.State;
+import org.amberpath.routing.ListedEndpoint;
 
 /**
  * One watch session among seeded random endpoints, failures, writes, compactions, restored
@@ -126,7 +127,7 @@
   }
 
   private void step() {
-    long due = Math.max(session.due(), now + MS);
+    long due = Math.max(session.nextTickNanos(), now + MS);
     if (!planned.isEmpty() && planned.peek().at <= due) {
       Planned next = planned.poll();
       now = Math.max(now, next.at);
@@ -180,19 +181,19 @@
     }
     if (chance(0.003)) {
       count("event reload");
-      session.renewed(now);
+      session.settingsReloaded(now);
     }
     if (chance(0.01)) {
       strayAnswer();
     }
-    if (view.known() && session.phase() == WatchSession.Phase.CURRENT && chance(0.02)) {
+    if (view.hasData() && session.phase() == WatchSession.Phase.CURRENT && chance(0.02)) {
       snapshot =
           new Snapshot(
               SeededRegistryStore.PREFIX,
-              view.cluster(),
-              view.applied(),
-              view.provenAt(),
-              List.copyOf(view.held()));
+              view.clusterId(),
+              view.appliedRevision(),
+              view.confirmedAtNanos(),
+              List.copyOf(view.entries()));
     }
     if (chance(setting == Setting.RESTARTS ? 0.01 : 0.001)) {
       restart();
@@ -261,11 +262,11 @@
     Header header = new Header(store.cluster(), store.revision());
     count("event stray answer");
     switch (random.nextInt(5)) {
-      case 0 -> session.pulsed(now, id, header, store.tip());
-      case 1 -> session.page(now, id, header, List.of(), false, 0);
-      case 2 -> session.opened(now, id, header);
-      case 3 -> session.told(now, id, header, List.of(), false);
-      default -> session.ended(now, id, RegistryFailure.BROKEN, 0);
+      case 0 -> session.heartbeatReceived(now, id, header, store.tip());
+      case 1 -> session.pageReceived(now, id, header, List.of(), false, 0);
+      case 2 -> session.watchOpened(now, id, header);
+      case 3 -> session.eventsReceived(now, id, header, List.of(), false);
+      default -> session.callFailed(now, id, RegistryFailure.BROKEN, 0);
     }
   }
 
@@ -287,8 +288,12 @@
     session.tick(now);
     if (snapshot != null && chance(0.8)) {
       count("event restart from snapshot");
-      view.remember(
-          now, snapshot.keys(), snapshot.cluster(), snapshot.revision(), snapshot.provenAt());
+      view.restoreSnapshot(
+          now,
+          snapshot.entries(),
+          snapshot.cluster(),
+          snapshot.revision(),
+          snapshot.confirmedAtNanos());
     } else {
       count("event restart");
     }
@@ -343,7 +348,7 @@
 
   private void end(OpenCall call, RegistryFailure why, long retryAfter) {
     count("failure " + why);
-    session.ended(now, call.id, why, retryAfter);
+    session.callFailed(now, call.id, why, retryAfter);
   }
 
   private OpenCall ask(long id, int endpoint, long from) {
@@ -357,7 +362,7 @@
   }
 
   @Override
-  public void pulse(long id, int endpoint) {
+  public void heartbeat(long id, int endpoint) {
     record("pulse", id, endpoint);
     OpenCall call = ask(id, endpoint, 0);
     plan(latency(endpoint), () -> answerPulse(call));
@@ -368,7 +373,7 @@
       calls.remove(call.id);
       Header header = header(call.endpoint);
       long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : store.tip();
-      session.pulsed(now, call.id, header, Math.min(tip, header.revision()));
+      session.heartbeatReceived(now, call.id, header, Math.min(tip, header.revision()));
     }
   }
 
@@ -410,7 +415,7 @@
       calls.remove(call.id);
     }
     long count = setting == Setting.BLOCKING ? -1 : call.listedCount;
-    session.page(now, call.id, header(call.endpoint), page, more, count);
+    session.pageReceived(now, call.id, header(call.endpoint), page, more, count);
   }
 
   private long keysSince(long since) {
@@ -426,7 +431,7 @@
       page.add(new RegistryEntry(key, new RegistryRecord.Other(), 1, 1));
     }
     count("event flood");
-    session.page(now, call.id, header(call.endpoint), page, true, 1_000_000);
+    session.pageReceived(now, call.id, header(call.endpoint), page, true, 1_000_000);
   }
 
   @Override
@@ -453,9 +458,9 @@
     }
     call.historyIndex = store.historyIndex(call.from);
     if (chance(0.02)) {
-      session.told(now, call.id, header(call.endpoint), List.of(), false);
+      session.eventsReceived(now, call.id, header(call.endpoint), List.of(), false);
     }
-    session.opened(now, call.id, header(call.endpoint));
+    session.watchOpened(now, call.id, header(call.endpoint));
     plan(latency(call.endpoint), () -> bringChanges(call));
   }
 
@@ -469,7 +474,7 @@
     Header header = header(call.endpoint);
     if (behaviour == Behaviour.FLOODING) {
       List<WatchEvent> flood = history.subList(Math.max(0, history.size() - 50), history.size());
-      session.told(now, call.id, header, List.copyOf(flood), true);
+      session.eventsReceived(now, call.id, header, List.copyOf(flood), true);
       plan(5 * MS, () -> bringChanges(call));
       return;
     }
@@ -477,7 +482,7 @@
     if (from >= history.size()) {
       if (chance(0.2)) {
         count("event progress");
-        session.told(now, call.id, header, List.of(), false);
+        session.eventsReceived(now, call.id, header, List.of(), false);
       }
       return;
     }
@@ -486,7 +491,7 @@
     boolean partial =
         to < history.size() && history.get(to - 1).revision() == history.get(to).revision();
     count(partial ? "event partial frame" : "event frame");
-    session.told(now, call.id, header, List.copyOf(history.subList(from, to)), partial);
+    session.eventsReceived(now, call.id, header, List.copyOf(history.subList(from, to)), partial);
     plan(latency(call.endpoint), () -> bringChanges(call));
   }
 
@@ -502,11 +507,11 @@
     count("event blocking read");
     boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
     List<RegistryEntry> all = foreign ? store.foreignEntries() : store.writtenSince(0);
-    session.page(now, call.id, header(call.endpoint), all, false, -1);
+    session.pageReceived(now, call.id, header(call.endpoint), all, false, -1);
   }
 
   @Override
-  public void drop(long id) {
+  public void cancel(long id) {
     record("drop", id);
     calls.remove(id);
   }
@@ -525,9 +530,21 @@
   private void recordState() {
     String phase = phase();
     count("phase " + phase);
-    record("state", now - START, phase, session.watches(), session.calls(), session.due() - START);
-    record("view", view.known(), view.cluster(), view.applied(), view.tip(), view.size());
-    record("proven", view.provenAt());
+    record(
+        "state",
+        now - START,
+        phase,
+        session.watchCount(),
+        session.openCallCount(),
+        session.nextTickNanos() - START);
+    record(
+        "view",
+        view.hasData(),
+        view.clusterId(),
+        view.appliedRevision(),
+        view.tipRevision(),
+        view.size());
+    record("proven", view.confirmedAtNanos());
   }
 
   private String phase() {
@@ -567,39 +584,39 @@
   // ---- What the gateway hears.
 
   @Override
-  public void listing(boolean whole) {
+  public void endpointListStarted(EndpointListKind kind) {
+    boolean whole = kind == EndpointListKind.FULL;
     record("listing", whole);
     count("listing " + whole);
   }
 
   @Override
-  public void member(
-      String id,
-      String address,
-      String zone,
-      String kind,
-      int cell,
-      State state,
-      double weight,
-      long startedAtMs) {
-    String recorded =
-        switch (state) {
+  public void endpointListed(ListedEndpoint endpoint) {
+    String state =
+        switch (endpoint.state()) {
           case UP -> "UP";
           case DRAINING -> "DRAINING";
           case GONE -> "GONE";
         };
-    count("member " + recorded);
-    record("member", id, address, cell, recorded, weight, startedAtMs);
+    count("member " + state);
+    record(
+        "member",
+        endpoint.id(),
+        endpoint.address(),
+        endpoint.cell(),
+        state,
+        endpoint.weight(),
+        endpoint.startedAtMillis());
   }
 
   @Override
-  public void listed() {
+  public void endpointListCompleted() {
     record("listed");
   }
 
   @Override
-  public void purged(long object, int group, long atMs) {
-    count(group == EndpointListener.EVERYTHING ? "purged everything" : "purged");
-    record("purged", object, group, atMs);
+  public void objectPurged(long object, int group, long atMillis) {
+    count(group == EndpointListener.ALL_GROUPS ? "purged everything" : "purged");
+    record("purged", object, group, atMillis);
   }
 }
