--- a/registry/src/main/java/org/amberpath/registry/Backoff.java
+++ b/registry/src/main/java/org/amberpath/registry/Backoff.java
@@ -7,18 +7,18 @@
  * Nanoseconds.
  */
 public final class Backoff {
-  private static final int MOST_DOUBLINGS = 20;
+  private static final int MAX_DOUBLINGS = 20;
 
-  private final SplittableRandom chance;
-  private final long first, most;
+  private final SplittableRandom random;
+  private final long firstBoundNanos, maxBoundNanos;
   private int failures;
-  private long notBefore;
+  private long allowedAtNanos;
 
   /** One that has seen no failure: the first bound, and the one that it doubles up to. */
-  public Backoff(SplittableRandom chance, long first, long most) {
-    this.chance = chance;
-    this.first = first;
-    this.most = most;
+  public Backoff(SplittableRandom random, long firstBoundNanos, long maxBoundNanos) {
+    this.random = random;
+    this.firstBoundNanos = firstBoundNanos;
+    this.maxBoundNanos = maxBoundNanos;
   }
 
   /** Whether the last try failed. */
@@ -27,30 +27,30 @@
   }
 
   /** Whether it may be tried now. */
-  public boolean allows(long now) {
-    return now >= notBefore;
+  public boolean allows(long nowNanos) {
+    return nowNanos >= allowedAtNanos;
   }
 
   /**
    * Another failure: the next try comes after at least the given time, and by chance up to the
    * bound after that.
    */
-  public void failed(long now, long atLeast) {
-    long bound = Math.min(most, first << Math.min(failures, MOST_DOUBLINGS));
+  public void recordFailure(long nowNanos, long minDelayNanos) {
+    long boundNanos = Math.min(maxBoundNanos, firstBoundNanos << Math.min(failures, MAX_DOUBLINGS));
     failures++;
-    notBefore = now + atLeast + chance.nextLong(bound + 1);
+    allowedAtNanos = nowNanos + minDelayNanos + random.nextLong(boundNanos + 1);
   }
 
   /** A try went well: the next may come at once. */
-  public void succeeded() {
+  public void reset() {
     failures = 0;
-    notBefore = 0;
+    allowedAtNanos = 0;
   }
 
   /** Brings the next try forward, to some moment within the bound. */
-  public void hasten(long now, long bound) {
-    if (notBefore > now + bound) {
-      notBefore = now + chance.nextLong(bound + 1);
+  public void bringForward(long nowNanos, long boundNanos) {
+    if (allowedAtNanos > nowNanos + boundNanos) {
+      allowedAtNanos = nowNanos + random.nextLong(boundNanos + 1);
     }
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
@@ -9,7 +9,7 @@
  */
 public record RegistryEntry(
     String key, RegistryRecord value, long createRevision, long modRevision) {
-  RegistryEntry saying(RegistryRecord other) {
+  RegistryEntry withValue(RegistryRecord other) {
     return new RegistryEntry(key, other, createRevision, modRevision);
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
@@ -5,7 +5,7 @@
   /** Nothing listens there, or the way there is shut. */
   REFUSED,
   /** Nothing was heard within the time that the call had. */
-  SILENT,
+  TIMED_OUT,
   /** The connection broke, or the server ended the call. */
   BROKEN,
   /** The server says that it can't serve now, or has no leader. */
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -25,7 +25,7 @@
  */
 public final class RegistryView {
   /** By how much the clock of another process may be behind this one without a step. */
-  static final long SKEW = 2_000_000_000;
+  static final long MAX_CLOCK_SKEW_NANOS = 2_000_000_000;
 
   private static final long MS = 1_000_000;
 
@@ -34,7 +34,7 @@
   private final long retention;
   private final String tipKey;
   private final Consumer<String> complaints;
-  private final Starts starts = new Starts();
+  private final EndpointStartTimes starts = new EndpointStartTimes();
   private Map<String, RegistryEntry> keys = new TreeMap<>();
   private String clusterId = "";
   private long appliedRevision, confirmedAtNanos;
@@ -86,7 +86,7 @@
     return confirmedAtNanos;
   }
 
-  public int size() {
+  public int keyCount() {
     return keys.size();
   }
 
@@ -259,7 +259,7 @@
       complaints.accept(one.key() + ": " + spoilt.reason());
     }
     return old != null && old.createRevision() == one.createRevision()
-        ? one.saying(old.value())
+        ? one.withValue(old.value())
         : one;
   }
 
@@ -271,7 +271,9 @@
       if (one.value() instanceof RegistryRecord.Cache cache) {
         ids.add(cache.id());
         member(
-            cache, cache.state(), starts.at(cache.id(), cache.startedAtMs(), now / MS, SKEW / MS));
+            cache,
+            cache.state(),
+            starts.startedAt(cache.id(), cache.startedAtMs(), now / MS, MAX_CLOCK_SKEW_NANOS / MS));
       }
     }
     starts.retain(ids);
@@ -324,8 +326,11 @@
               member(
                   cache,
                   cache.state(),
-                  starts.at(
-                      cache.id(), cache.startedAtMs(), now / MS, Starts.LONGEST_STEP_MILLIS)));
+                  starts.startedAt(
+                      cache.id(),
+                      cache.startedAtMs(),
+                      now / MS,
+                      EndpointStartTimes.MAX_CLOCK_STEP_MILLIS)));
       to.endpointListCompleted();
     }
     for (String key : touched) {
@@ -347,7 +352,7 @@
   }
 
   private void gone(RegistryRecord.Cache cache) {
-    starts.gone(cache.id());
+    starts.remove(cache.id());
     member(cache, EndpointState.GONE, 0);
   }
 
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -13,7 +13,8 @@
     long revision,
     long confirmedAtNanos,
     List<RegistryEntry> entries) {
-  private static final long LONGEST_STEP_NANOS = Starts.LONGEST_STEP_MILLIS * 1_000_000;
+  private static final long MAX_CLOCK_STEP_NANOS =
+      EndpointStartTimes.MAX_CLOCK_STEP_MILLIS * 1_000_000;
 
   /**
    * How old it is, at most: one from the future shows that a clock was set back by at least as
@@ -21,7 +22,9 @@
    */
   public long ageNanos(long now) {
     long age = now - confirmedAtNanos;
-    return age >= 0 ? age : age >= -RegistryView.SKEW ? 0 : age + LONGEST_STEP_NANOS;
+    return age >= 0
+        ? age
+        : age >= -RegistryView.MAX_CLOCK_SKEW_NANOS ? 0 : age + MAX_CLOCK_STEP_NANOS;
   }
 
   /** Why it is not to be served from; null where it may be. */
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -39,9 +39,9 @@
   private static final long MS = 1_000_000;
 
   /** All endpoints together are asked within one more pulse's time, whoever of them is silent. */
-  private static final long PULSE = 100 * MS, LONGEST_HOP = 50 * MS;
+  private static final long HEARTBEAT_NANOS = 100 * MS, LONGEST_HOP = 50 * MS;
 
-  private static final long PULSE_TIME = 400 * MS, OPEN_TIME = 500 * MS;
+  private static final long HEARTBEAT_TIMEOUT_NANOS = 400 * MS, OPEN_TIME = 500 * MS;
 
   /**
    * A gap is read within so long or, at the next try, within twice that; a whole list has so many
@@ -63,13 +63,13 @@
    * Without contact for this long the registry may have become another one under the same
    * revisions.
    */
-  private static final long LONE = 1000 * MS;
+  private static final long CONTACT_LOST_NANOS = 1000 * MS;
 
   private static final long FIRST_BACKOFF = 50 * MS,
       MOST_BACKOFF = 8000 * MS,
       MOST_CUT_OFF = 1000 * MS;
-  private static final long PEOPLE = 5000 * MS, STEADY = 1000 * MS;
-  private static final int CONNECTS = 10, WATCHES = 2, ASIDE = 10;
+  private static final long OPERATOR_BACKOFF_NANOS = 5000 * MS, STEADY = 1000 * MS;
+  private static final int CONNECTS = 10, WATCHES = 2, EXPLORATION_INTERVAL = 10;
   private static final int FIRST_PAGE = 1000, MOST_PAGE = 16_000;
 
   /** An endpoint this much slower than the quickest is left. */
@@ -83,8 +83,8 @@
 
   private final class Endpoint {
     final int index;
-    final Backoff reach = new Backoff(chance, FIRST_BACKOFF, MOST_BACKOFF);
-    final Backoff watching = new Backoff(chance, FIRST_BACKOFF, MOST_BACKOFF);
+    final Backoff reach = new Backoff(random, FIRST_BACKOFF, MOST_BACKOFF);
+    final Backoff watching = new Backoff(random, FIRST_BACKOFF, MOST_BACKOFF);
     Call watch, pulse;
 
     /** The registry that it showed last. */
@@ -107,7 +107,9 @@
      */
     boolean allows(long now) {
       return reach.allows(now)
-          || (now - answeredAt >= hop && now - triedAt >= LONE && !needsPeople);
+          || (now - answeredAt >= failoverNanos
+              && now - triedAt >= CONTACT_LOST_NANOS
+              && !needsPeople);
     }
   }
 
@@ -134,12 +136,12 @@
   }
 
   private final RegistryView view;
-  private final WatchCommands orders;
-  private final SplittableRandom chance;
-  private final Consumer<String> notes;
-  private final int mostKeys;
+  private final WatchCommands commands;
+  private final SplittableRandom random;
+  private final Consumer<String> log;
+  private final int maxKeys;
   private final boolean blocking;
-  private final long blockingTime, hop;
+  private final long blockingTime, failoverNanos;
   private final List<Endpoint> endpoints = new ArrayList<>();
   private final Map<Long, Call> openCallCount = new LinkedHashMap<>();
   private Phase phase = Phase.EMPTY;
@@ -154,19 +156,19 @@
       listedAt,
       tokens,
       tokensAt;
-  private long tipSeen, tipSeenAt, backwardsAt;
+  private long newestTipRevision, newestTipAtNanos, backwardsAt;
   private long listTime = FIRST_LIST_TIME;
   private int pulses, refusals, asked, pageReceived = FIRST_PAGE;
-  private boolean started, wholeNeeded = true, listNeeded = true, restored, backwards, compacted;
+  private boolean started, allKeysNeeded = true, listNeeded = true, restored, backwards, compacted;
 
   /**
    * Makes a recovery that has asked for nothing yet.
    *
    * @param endpoints how many there are
-   * @param mostKeys how many keys are taken at most
+   * @param maxKeys how many keys are taken at most
    * @param blockingTime how long a blocking read is held at most, for a source whose watches are
    *     reads that come back with all keys; 0 for one that tells changes
-   * @param notes takes a line for each change of phase and each endpoint that gave cause
+   * @param log takes a line for each change of phase and each endpoint that gave cause
    */
   public WatchSession(
       RegistryView view,
@@ -177,20 +179,21 @@
       long seed,
       Consumer<String> notes) {
     this.view = view;
-    this.orders = orders;
-    this.notes = notes;
-    this.mostKeys = mostKeys;
+    this.commands = orders;
+    this.log = notes;
+    this.maxKeys = mostKeys;
     this.blockingTime = blockingTime;
     blocking = blockingTime > 0;
-    chance = new SplittableRandom(seed);
+    random = new SplittableRandom(seed);
     for (int index = 0; index < endpoints; index++) {
       this.endpoints.add(new Endpoint(index));
     }
     // Guards endpoints against gateways that all begin with the first of their list.
     for (int left = endpoints; left > 1; left--) {
-      this.endpoints.add(this.endpoints.remove(chance.nextInt(left)));
+      this.endpoints.add(this.endpoints.remove(random.nextInt(left)));
     }
-    hop = endpoints < 2 ? PULSE : Math.min(LONGEST_HOP, PULSE / (endpoints - 1));
+    failoverNanos =
+        endpoints < 2 ? HEARTBEAT_NANOS : Math.min(LONGEST_HOP, HEARTBEAT_NANOS / (endpoints - 1));
   }
 
   public Phase phase() {
@@ -210,7 +213,7 @@
     started = true;
     tokens = CONNECTS;
     tokensAt = heardAt = answeredAt = ownAt = now;
-    nextPulse = now + chance.nextLong(PULSE);
+    nextPulse = now + random.nextLong(HEARTBEAT_NANOS);
     tick(now);
   }
 
@@ -220,8 +223,8 @@
   public void settingsReloaded(long now) {
     for (Endpoint one : endpoints) {
       one.needsPeople = false;
-      one.reach.succeeded();
-      one.watching.succeeded();
+      one.reach.reset();
+      one.watching.reset();
     }
     tick(now);
   }
@@ -230,14 +233,14 @@
   public long nextTickNanos() {
     long due = nextPulse;
     // What is due already was tried in the last tick, and is tried again with the next pulse.
-    if (lastPulse > answeredAt && lastPulse + hop > ticked) {
-      due = Math.min(due, lastPulse + hop);
+    if (lastPulse > answeredAt && lastPulse + failoverNanos > ticked) {
+      due = Math.min(due, lastPulse + failoverNanos);
     }
     for (Call call : openCallCount.values()) {
       due = Math.min(due, call.deadline);
     }
-    if (tipSeen > view.appliedRevision() && tipSeenAt + SETTLE > ticked) {
-      due = Math.min(due, tipSeenAt + SETTLE);
+    if (newestTipRevision > view.appliedRevision() && newestTipAtNanos + SETTLE > ticked) {
+      due = Math.min(due, newestTipAtNanos + SETTLE);
     }
     return due;
   }
@@ -250,21 +253,22 @@
     ticked = now;
     for (Call call : List.copyOf(openCallCount.values())) {
       if (now >= call.deadline && openCallCount.containsKey(call.id)) {
-        orders.cancel(call.id);
-        failed(now, call, RegistryFailure.SILENT, 0);
+        commands.cancel(call.id);
+        failed(now, call, RegistryFailure.TIMED_OUT, 0);
       }
     }
-    if (now - heardAt > LONE && phase != Phase.CUT_OFF) {
-      wholeNeeded = listNeeded = true;
+    if (now - heardAt > CONTACT_LOST_NANOS && phase != Phase.CUT_OFF) {
+      allKeysNeeded = listNeeded = true;
       enter(Phase.CUT_OFF);
     }
-    if (now - answeredAt > PULSE) {
+    if (now - answeredAt > HEARTBEAT_NANOS) {
       endpoints.stream()
           .filter(one -> !one.needsPeople)
-          .forEach(one -> one.reach.hasten(now, MOST_CUT_OFF));
+          .forEach(one -> one.reach.bringForward(now, MOST_CUT_OFF));
     }
     pulse(now);
-    if (tipSeen > view.appliedRevision() && (now >= tipSeenAt + SETTLE || watchCount() == 0)) {
+    if (newestTipRevision > view.appliedRevision()
+        && (now >= newestTipAtNanos + SETTLE || watchCount() == 0)) {
       listNeeded = true;
     }
     dropLate(now);
@@ -275,7 +279,7 @@
 
   private void enter(Phase next) {
     if (phase != next) {
-      notes.accept(phase + " -> " + next);
+      log.accept(phase + " -> " + next);
       phase = next;
     }
   }
@@ -284,13 +288,13 @@
 
   private void pulse(long now) {
     boolean due = now >= nextPulse;
-    boolean unheard = lastPulse > answeredAt && now >= lastPulse + hop;
+    boolean unheard = lastPulse > answeredAt && now >= lastPulse + failoverNanos;
     // Guards the time to hear of a drain: who says no at once is no reason to wait for the next
     // one's turn.
     boolean refused = refusals > asked && refusals < endpoints.size();
     if (due) {
       refusals = asked = 0;
-      nextPulse = now + (watchCount() == 0 ? PULSE / 2 : PULSE);
+      nextPulse = now + (watchCount() == 0 ? HEARTBEAT_NANOS / 2 : HEARTBEAT_NANOS);
     }
     if (!due && !unheard && !refused) {
       return;
@@ -304,24 +308,26 @@
     // Guards against a slow endpoint that is kept, or a quick one never found: now and then another
     // is asked.
     Endpoint aside =
-        due && ++pulses % ASIDE == 0 ? ready.get(chance.nextInt(ready.size())) : ready.get(0);
+        due && ++pulses % EXPLORATION_INTERVAL == 0
+            ? ready.get(random.nextInt(ready.size()))
+            : ready.get(0);
     ask(now, aside);
     ready.remove(aside);
     if (!ready.isEmpty()
         && (watchCount() == 0
             || endpoints.stream()
-                .anyMatch(one -> one.pulse != null && now - one.pulse.sentAt >= hop))) {
+                .anyMatch(one -> one.pulse != null && now - one.pulse.sentAt >= failoverNanos))) {
       // While contact is unsure, two are asked.
       ask(now, ready.get(0));
     }
   }
 
   private void ask(long now, Endpoint at) {
-    Call call = call(Kind.PULSE, at, now, PULSE_TIME);
+    Call call = call(Kind.PULSE, at, now, HEARTBEAT_TIMEOUT_NANOS);
     if (call != null) {
       at.pulse = call;
       lastPulse = now;
-      orders.heartbeat(call.id, at.index);
+      commands.heartbeat(call.id, at.index);
     }
   }
 
@@ -332,10 +338,10 @@
     List<Endpoint> ready = ready(now);
     // Guards the time that a gap may last: who answered last is the likeliest to answer.
     ready.sort(
-        Comparator.comparing((Endpoint one) -> one.lastTook > hop)
+        Comparator.comparing((Endpoint one) -> one.lastTook > failoverNanos)
             .thenComparingLong(one -> -one.answeredAt));
     for (Endpoint at : ready) {
-      boolean whole = wholeNeeded || !view.hasData() || restored;
+      boolean whole = allKeysNeeded || !view.hasData() || restored;
       // Guards against a registry that is far away: a read that takes its usual time is not given
       // up.
       long time = Math.max(listTime, TOOK_TIMES * at.lastTook);
@@ -350,7 +356,7 @@
       call.since = whole ? 0 : view.appliedRevision() + 1;
       call.limit = pageReceived;
       list = call;
-      orders.list(call.id, at.index, 0, "", call.since, call.limit);
+      commands.list(call.id, at.index, 0, "", call.since, call.limit);
       return;
     }
   }
@@ -358,7 +364,7 @@
   private void watch(long now) {
     // Guards against a watch that takes up where another history of revisions left off, or where
     // none is kept any more.
-    if (!view.hasData() || wholeNeeded || compacted) {
+    if (!view.hasData() || allKeysNeeded || compacted) {
       return;
     }
     long there = endpoints.stream().filter(one -> one.watch != null).count();
@@ -375,7 +381,7 @@
         call.open = blocking;
         call.position = view.appliedRevision();
         there++;
-        orders.watch(call.id, at.index, view.appliedRevision() + 1);
+        commands.watch(call.id, at.index, view.appliedRevision() + 1);
       }
     }
   }
@@ -385,7 +391,7 @@
    * costs nothing.
    */
   private Call call(Kind kind, Endpoint at, long now, long time) {
-    if (now - at.heardAt > LONE || (kind == Kind.WATCH && !blocking)) {
+    if (now - at.heardAt > CONTACT_LOST_NANOS || (kind == Kind.WATCH && !blocking)) {
       long whole = (now - tokensAt) * CONNECTS / (1000 * MS);
       if (whole > 0) {
         tokens = Math.min(CONNECTS, tokens + whole);
@@ -408,15 +414,15 @@
     ready.removeIf(one -> !one.allows(now));
     long quickest =
         ready.stream()
-            .filter(one -> now - one.heardAt <= LONE)
+            .filter(one -> now - one.heardAt <= CONTACT_LOST_NANOS)
             .mapToLong(one -> one.took)
             .min()
             .orElse(0);
     ready.sort(
         Comparator.comparingInt(
             one ->
-                (one.pulse != null && now - one.pulse.sentAt >= hop ? 8 : 0)
-                    + (now - one.heardAt > LONE ? 4 : 0)
+                (one.pulse != null && now - one.pulse.sentAt >= failoverNanos ? 8 : 0)
+                    + (now - one.heardAt > CONTACT_LOST_NANOS ? 4 : 0)
                     + (one.reach.isFailing() ? 2 : 0)
                     + (one.took > quickest + SLOWER ? 1 : 0)));
     return ready;
@@ -427,16 +433,16 @@
    * one that lags.
    */
   private void dropLate(long now) {
-    if (now < tipSeenAt + LAG) {
+    if (now < newestTipAtNanos + LAG) {
       return;
     }
     for (Endpoint at : endpoints) {
       if (at.watch != null
           && at.watch.open
-          && at.watch.position < tipSeen
+          && at.watch.position < newestTipRevision
           && now >= Math.max(at.watch.openedAt, at.watch.sentAt) + LAG) {
         Call late = at.watch;
-        orders.cancel(late.id);
+        commands.cancel(late.id);
         failed(now, late, RegistryFailure.LAGGING, 0);
       }
     }
@@ -445,12 +451,12 @@
   /** A list at an endpoint that fell silent is read elsewhere, if anybody has answered since. */
   private void leaveSilent(long now) {
     if (list != null
-        && now - list.askedAt >= 2 * hop
+        && now - list.askedAt >= 2 * failoverNanos
         && list.at.heardAt < list.askedAt
         && answeredAt > list.askedAt) {
       Call silent = list;
-      orders.cancel(silent.id);
-      failed(now, silent, RegistryFailure.SILENT, 0);
+      commands.cancel(silent.id);
+      failed(now, silent, RegistryFailure.TIMED_OUT, 0);
     }
   }
 
@@ -464,15 +470,15 @@
     return call;
   }
 
-  private void heard(long now, Endpoint at) {
+  private void heardFrom(long now, Endpoint at) {
     at.heardAt = heardAt = now;
     at.needsPeople = false;
-    at.reach.succeeded();
+    at.reach.reset();
   }
 
   /** Whether the answer is of the registry that the view is of. */
-  private boolean isOwn(long now, Call call, Header header) {
-    heard(now, call.at);
+  private boolean isOfOwnCluster(long now, Call call, Header header) {
+    heardFrom(now, call.at);
     call.at.shown = header.cluster();
     if (!view.hasData()
         || restored
@@ -482,12 +488,12 @@
       return true;
     }
     long showing = endpoints.stream().filter(one -> one.shown.equals(header.cluster())).count();
-    if (showing * 2 > endpoints.size() || now - ownAt > LONE) {
-      other("the registry is another one");
+    if (showing * 2 > endpoints.size() || now - ownAt > CONTACT_LOST_NANOS) {
+      startNewHistory("the registry is another one");
       return false;
     }
-    notes.accept("endpoint " + call.at.index + " is of another registry");
-    call.at.reach.failed(now, LAG);
+    log.accept("endpoint " + call.at.index + " is of another registry");
+    call.at.reach.recordFailure(now, LAG);
     return false;
   }
 
@@ -495,7 +501,7 @@
    * Whether an answer that a majority stands behind goes on from what was known when it was asked
    * for.
    */
-  private boolean goesOn(long now, Call call, long revision, long tip) {
+  private boolean continuesFrom(long now, Call call, long revision, long tip) {
     if ((revision == 0 || revision >= call.applied) && (tip < 0 || tip >= call.tip)) {
       if (call.sentAt >= backwardsAt) {
         backwards = false;
@@ -509,25 +515,25 @@
       nextPulse = now;
     } else if (call.sentAt >= backwardsAt) {
       backwards = false;
-      other("revisions went back from " + call.applied + " to " + revision);
+      startNewHistory("revisions went back from " + call.applied + " to " + revision);
     }
     return false;
   }
 
-  private void other(String why) {
+  private void startNewHistory(String why) {
     if (!restored) {
-      notes.accept(why + ": all is read anew");
+      log.accept(why + ": all is read anew");
     }
-    restored = wholeNeeded = listNeeded = true;
-    tipSeen = 0;
+    restored = allKeysNeeded = listNeeded = true;
+    newestTipRevision = 0;
     for (Endpoint one : endpoints) {
       if (one.watch != null) {
-        orders.cancel(one.watch.id);
+        commands.cancel(one.watch.id);
         end(one.watch);
       }
     }
     if (list != null) {
-      orders.cancel(list.id);
+      commands.cancel(list.id);
       end(list);
     }
   }
@@ -559,19 +565,21 @@
     answeredAt = call.at.answeredAt = now;
     call.at.lastTook = now - call.sentAt;
     call.at.took = call.at.took == 0 ? call.at.lastTook : (3 * call.at.took + call.at.lastTook) / 4;
-    if (isOwn(now, call, header) && goesOn(now, call, header.revision(), tip) && view.hasData()) {
+    if (isOfOwnCluster(now, call, header)
+        && continuesFrom(now, call, header.revision(), tip)
+        && view.hasData()) {
       if (header.revision() > view.appliedRevision() && now - listedAt > AUDIT) {
         listNeeded = true;
       }
       if (tip > view.appliedRevision()) {
-        if (tip > tipSeen) {
-          tipSeen = tip;
-          tipSeenAt = now;
+        if (tip > newestTipRevision) {
+          newestTipRevision = tip;
+          newestTipAtNanos = now;
         }
-      } else if (!wholeNeeded && !listNeeded) {
-        if (tip > tipSeen) {
-          tipSeen = tip;
-          tipSeenAt = now;
+      } else if (!allKeysNeeded && !listNeeded) {
+        if (tip > newestTipRevision) {
+          newestTipRevision = tip;
+          newestTipAtNanos = now;
         }
         view.confirm(call.sentAt);
         enter(Phase.CURRENT);
@@ -597,7 +605,8 @@
       return;
     }
     if (call.revision == 0) {
-      if (!isOwn(now, call, header) || (!restored && !goesOn(now, call, header.revision(), -1))) {
+      if (!isOfOwnCluster(now, call, header)
+          || (!restored && !continuesFrom(now, call, header.revision(), -1))) {
         end(call);
         tick(now);
         return;
@@ -606,15 +615,15 @@
       call.cluster = header.cluster();
       call.count = count;
     }
-    heard(now, call.at);
+    heardFrom(now, call.at);
     call.items.addAll(items);
-    if (call.items.size() > mostKeys + (long) call.limit) {
-      orders.cancel(call.id);
+    if (call.items.size() > maxKeys + (long) call.limit) {
+      commands.cancel(call.id);
       failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (more && !items.isEmpty()) {
       call.askedAt = now;
       call.deadline = now + WHOLE_TIMES * listTime;
-      orders.list(
+      commands.list(
           call.id,
           call.at.index,
           call.revision,
@@ -636,14 +645,14 @@
       if (call.revision > view.appliedRevision()
           && !view.applyWrites(now, call.items, call.count, call.revision, call.sentAt)) {
         // Something was deleted as well, and only a whole list tells what.
-        wholeNeeded = true;
+        allKeysNeeded = true;
         return;
       }
     } else if (restored || !view.hasData() || call.revision >= view.appliedRevision()) {
       view.applySnapshot(now, call.items, call.cluster, call.revision, call.sentAt, restored);
     }
-    wholeNeeded = listNeeded = restored = compacted = false;
-    listNeeded = tipSeen > view.appliedRevision();
+    allKeysNeeded = listNeeded = restored = compacted = false;
+    listNeeded = newestTipRevision > view.appliedRevision();
     if (!listNeeded) {
       enter(Phase.CURRENT);
     }
@@ -652,18 +661,18 @@
   /** A blocking read came back: all keys, and an index that is to be reset when it went back. */
   private void read(long now, Call call, Header header, List<RegistryEntry> items) {
     end(call);
-    if (isOwn(now, call, header)
-        && goesOn(now, call, header.revision(), -1)
+    if (isOfOwnCluster(now, call, header)
+        && continuesFrom(now, call, header.revision(), -1)
         && !restored
-        && !wholeNeeded) {
+        && !allKeysNeeded) {
       if (header.revision() > view.appliedRevision()) {
         view.applySnapshot(now, items, header.cluster(), header.revision(), call.sentAt, false);
       }
       // Guards against a server that comes back at once for ever.
       if (now - call.sentAt < SETTLE) {
-        call.at.watching.failed(now, 0);
+        call.at.watching.recordFailure(now, 0);
       } else {
-        call.at.watching.succeeded();
+        call.at.watching.reset();
       }
     }
     tick(now);
@@ -672,12 +681,12 @@
   /** A watch is open. */
   public void watchOpened(long now, long id, Header header) {
     Call call = take(id, Kind.WATCH);
-    if (call != null && isOwn(now, call, header)) {
+    if (call != null && isOfOwnCluster(now, call, header)) {
       call.open = true;
       call.openedAt = now;
       call.deadline = Long.MAX_VALUE;
     } else if (call != null && openCallCount.containsKey(id)) {
-      orders.cancel(id);
+      commands.cancel(id);
       end(call);
     }
     tick(now);
@@ -694,20 +703,20 @@
     if (call == null || !call.open) {
       return;
     }
-    if (!isOwn(now, call, header)) {
+    if (!isOfOwnCluster(now, call, header)) {
       if (openCallCount.containsKey(id)) {
-        orders.cancel(id);
+        commands.cancel(id);
         end(call);
       }
       tick(now);
       return;
     }
     if (now - call.openedAt > STEADY) {
-      call.at.watching.succeeded();
+      call.at.watching.reset();
     }
     call.parts.addAll(changes);
-    if (call.parts.size() > mostKeys) {
-      orders.cancel(id);
+    if (call.parts.size() > maxKeys) {
+      commands.cancel(id);
       failed(now, call, RegistryFailure.UNREADABLE, 0);
     } else if (!partial) {
       if (call.parts.isEmpty()) {
@@ -730,7 +739,7 @@
     if (call != null) {
       end(call);
       listNeeded = compacted = true;
-      heard(now, call.at);
+      heardFrom(now, call.at);
       if (call.kind == Kind.LIST) {
         // Guards against a list that is never read to its end while the registry compacts: larger
         // parts.
@@ -753,24 +762,25 @@
     end(call);
     Endpoint at = call.at;
     if (call.kind == Kind.WATCH) {
-      at.watching.failed(now, retryAfter);
+      at.watching.recordFailure(now, retryAfter);
     }
     if (why != RegistryFailure.LAGGING
         && !(call.kind == Kind.WATCH && why == RegistryFailure.BROKEN)) {
-      at.reach.failed(now, Math.max(retryAfter, why.needsOperator() ? PEOPLE : 0));
+      at.reach.recordFailure(
+          now, Math.max(retryAfter, why.needsOperator() ? OPERATOR_BACKOFF_NANOS : 0));
     }
-    if (call.kind == Kind.LIST && why == RegistryFailure.SILENT) {
+    if (call.kind == Kind.LIST && why == RegistryFailure.TIMED_OUT) {
       listTime = Math.min(MOST_LIST_TIME, listTime * 2);
     }
-    if (call.kind == Kind.PULSE && why == RegistryFailure.SILENT) {
-      at.took = at.lastTook = Math.max(at.took, PULSE_TIME);
+    if (call.kind == Kind.PULSE && why == RegistryFailure.TIMED_OUT) {
+      at.took = at.lastTook = Math.max(at.took, HEARTBEAT_TIMEOUT_NANOS);
     } else if (call.kind == Kind.PULSE) {
       refusals++;
     }
     if ((why.needsOperator() && !at.needsPeople)
         || why == RegistryFailure.UNREADABLE
         || why == RegistryFailure.LAGGING) {
-      notes.accept("endpoint " + at.index + ": " + call.kind + " " + why);
+      log.accept("endpoint " + at.index + ": " + call.kind + " " + why);
     }
     at.needsPeople = why.needsOperator();
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -38,17 +38,17 @@
     this.waitMs = waitMs;
   }
 
-  private static Ask get(String uri) {
-    return new Ask(HttpMethod.GET, uri, null);
+  private static Request get(String uri) {
+    return new Request(HttpMethod.GET, uri, null);
   }
 
   @Override
-  public Ask list(long revision, String after, long since, int limit) {
+  public Request listRequest(long revision, String after, long since, int limit) {
     return get("/v1/kv/" + prefix + WHOLE_PREFIX);
   }
 
   @Override
-  public Page page(int status, MultiMap headers, byte[] body) {
+  public Page decodePage(int status, MultiMap headers, byte[] body) {
     long index = index(headers);
     List<RegistryEntry> items = new ArrayList<>();
     if (status == 200) {
@@ -89,25 +89,26 @@
   }
 
   @Override
-  public Ask watch(long from) {
+  public Request watchRequest(long from) {
     return get(
         "/v1/kv/" + prefix + WHOLE_PREFIX + "&index=" + (from - 1) + "&wait=" + waitMs + "ms");
   }
 
   @Override
-  public Frame frame(byte[] line) {
+  public Frame decodeFrame(byte[] line) {
     throw new InvalidDocumentException("registry: no stream is asked for");
   }
 
   @Override
-  public Ask pulse() {
+  public Request heartbeatRequest() {
     return get("/v1/kv/" + prefix + RecordCodec.TIP_KEY + "?consistent=true");
   }
 
   @Override
-  public Tip tip(int status, MultiMap headers, byte[] body) {
+  public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
     List<JsonReader> found = status == 200 ? each(body) : List.of();
-    return new Tip(new Header("", 0), found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex"));
+    return new Heartbeat(
+        new Header("", 0), found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex"));
   }
 
   @Override
@@ -127,8 +128,8 @@
   }
 
   @Override
-  public Ask write(List<Write> writes, long lease, byte[] tip) {
-    return new Ask(
+  public Request transactionRequest(List<Write> writes, long lease, byte[] tip) {
+    return new Request(
         HttpMethod.PUT,
         "/v1/txn",
         EtcdProtocol.json(
@@ -137,10 +138,10 @@
               for (Write write : writes) {
                 verb(
                     to,
-                    write.content() == null ? "delete-cas" : "cas",
+                    write.value() == null ? "delete-cas" : "cas",
                     write.key(),
-                    write.content() == null ? null : RecordCodec.encode(write.content()),
-                    write.changed());
+                    write.value() == null ? null : RecordCodec.encode(write.value()),
+                    write.expectedRevision());
               }
               verb(to, "set", prefix + RecordCodec.TIP_KEY, tip, 0);
               to.writeEndArray();
@@ -163,7 +164,7 @@
   }
 
   @Override
-  public boolean written(int status, byte[] body) {
+  public boolean isCommitted(int status, byte[] body) {
     return status == 200;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -30,7 +30,7 @@
       UNAUTHENTICATED = 16,
       PERMISSION_DENIED = 7,
       EXHAUSTED = 8;
-  private static final int MOST_TASKS = 256;
+  private static final int MAX_TASKS = 256;
 
   private final String prefix;
 
@@ -53,8 +53,8 @@
     return out.toByteArray();
   }
 
-  private static Ask post(String uri, Body body) {
-    return new Ask(
+  private static Request post(String uri, Body body) {
+    return new Request(
         HttpMethod.POST,
         uri,
         json(
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public Ask list(long revision, String after, long since, int limit) {
+  public Request listRequest(long revision, String after, long since, int limit) {
     return post(
         "/v3/kv/range",
         to -> {
@@ -91,17 +91,18 @@
   }
 
   @Override
-  public Page page(int status, MultiMap headers, byte[] body) {
+  public Page decodePage(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
     List<RegistryEntry> items = new ArrayList<>();
     for (JsonReader kv : answer.objects("kvs")) {
       items.add(held(kv));
     }
-    return new Page(header(answer), items, answer.booleanOrFalse("more"), wide(answer, "count"));
+    return new Page(
+        header(answer), items, answer.booleanOrFalse("more"), readLong(answer, "count"));
   }
 
   @Override
-  public Ask watch(long from) {
+  public Request watchRequest(long from) {
     return post(
         "/v3/watch",
         to -> {
@@ -116,14 +117,14 @@
   }
 
   @Override
-  public Frame frame(byte[] line) {
+  public Frame decodeFrame(byte[] line) {
     JsonReader all = read(line);
     if (all.has("error")) {
       JsonReader error = all.object("error");
       return new Frame.Ended(ofCode(error.intOr("grpc_code", error.intOr("code", 0))));
     }
     JsonReader result = all.object("result");
-    if (wide(result, "compact_revision") > 0) {
+    if (readLong(result, "compact_revision") > 0) {
       return new Frame.Compacted();
     }
     if (result.booleanOrFalse("canceled")) {
@@ -136,13 +137,13 @@
     for (JsonReader event : result.objects("events")) {
       JsonReader kv = event.object("kv");
       boolean deleted = event.has("type") && event.string("type").equals("DELETE");
-      changes.add(new WatchEvent(wide(kv, "mod_revision"), key(kv), deleted ? null : held(kv)));
+      changes.add(new WatchEvent(readLong(kv, "mod_revision"), key(kv), deleted ? null : held(kv)));
     }
-    return new Frame.Told(header(result), changes, result.booleanOrFalse("fragment"));
+    return new Frame.Events(header(result), changes, result.booleanOrFalse("fragment"));
   }
 
   @Override
-  public Ask pulse() {
+  public Request heartbeatRequest() {
     return post(
         "/v3/kv/range",
         to -> {
@@ -152,10 +153,10 @@
   }
 
   @Override
-  public Tip tip(int status, MultiMap headers, byte[] body) {
+  public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
     JsonReader answer = read(body);
     List<JsonReader> kvs = answer.objects("kvs");
-    return new Tip(header(answer), kvs.isEmpty() ? 0 : wide(kvs.get(0), "mod_revision"));
+    return new Heartbeat(header(answer), kvs.isEmpty() ? 0 : readLong(kvs.get(0), "mod_revision"));
   }
 
   @Override
@@ -191,19 +192,19 @@
   }
 
   @Override
-  public Ask write(List<Write> writes, long lease, byte[] tip) {
+  public Request transactionRequest(List<Write> writes, long lease, byte[] tip) {
     return transaction(writes, lease, tip, "");
   }
 
   /**
    * Takes a task: its term stays, its owner goes with the lease; nothing if either key has moved.
    */
-  Ask campaign(Write term, Write owner, long lease) {
-    return transaction(List.of(term, owner), lease, null, prefix + RecordCodec.OWNERS);
+  Request campaignRequest(Write term, Write owner, long lease) {
+    return transaction(List.of(term, owner), lease, null, prefix + RecordCodec.OWNERS_PREFIX);
   }
 
   /** The lease is for keys that begin so; the tip may be null. */
-  private Ask transaction(List<Write> writes, long lease, byte[] tip, String leased) {
+  private Request transaction(List<Write> writes, long lease, byte[] tip, String leased) {
     return post(
         "/v3/kv/txn",
         to -> {
@@ -213,7 +214,7 @@
             bytes(to, "key", write.key());
             to.writeStringField("target", "MOD");
             to.writeStringField("result", "EQUAL");
-            to.writeStringField("mod_revision", Long.toString(write.changed()));
+            to.writeStringField("mod_revision", Long.toString(write.expectedRevision()));
             to.writeEndObject();
           }
           to.writeEndArray();
@@ -221,10 +222,10 @@
           for (Write write : writes) {
             to.writeStartObject();
             to.writeObjectFieldStart(
-                write.content() == null ? "request_delete_range" : "request_put");
+                write.value() == null ? "request_delete_range" : "request_put");
             bytes(to, "key", write.key());
-            if (write.content() != null) {
-              to.writeBinaryField("value", RecordCodec.encode(write.content()));
+            if (write.value() != null) {
+              to.writeBinaryField("value", RecordCodec.encode(write.value()));
               to.writeStringField(
                   "lease", write.key().startsWith(leased) ? Long.toString(lease) : "0");
             }
@@ -244,51 +245,51 @@
   }
 
   @Override
-  public boolean written(int status, byte[] body) {
+  public boolean isCommitted(int status, byte[] body) {
     return status == 200 && read(body).booleanOrFalse("succeeded");
   }
 
   /** A lease of so many seconds. */
-  static Ask grant(long seconds) {
+  static Request leaseGrantRequest(long seconds) {
     return post("/v3/lease/grant", to -> to.writeStringField("TTL", Long.toString(seconds)));
   }
 
-  static long granted(byte[] body) {
-    return wide(read(body), "ID");
+  static long decodeLeaseGrant(byte[] body) {
+    return readLong(read(body), "ID");
   }
 
   /** A lease's sign of life. */
-  static Ask keepAlive(long lease) {
+  static Request leaseRenewalRequest(long lease) {
     return post("/v3/lease/keepalive", to -> to.writeStringField("ID", Long.toString(lease)));
   }
 
   /** Whether the lease was there to be kept: one that is over has no time left. */
-  static boolean kept(byte[] body) {
+  static boolean decodeLeaseRenewal(byte[] body) {
     JsonReader answer = read(body);
-    return answer.has("result") && wide(answer.object("result"), "TTL") > 0;
+    return answer.has("result") && readLong(answer.object("result"), "TTL") > 0;
   }
 
-  static Ask revoke(long lease) {
+  static Request leaseRevokeRequest(long lease) {
     return post("/v3/lease/revoke", to -> to.writeStringField("ID", Long.toString(lease)));
   }
 
   /** All tasks' terms and owners. */
-  Ask tasks() {
+  Request tasksRequest() {
     return post(
         "/v3/kv/range",
         to -> {
-          bytes(to, "key", prefix + RecordCodec.OWNERS);
+          bytes(to, "key", prefix + RecordCodec.OWNERS_PREFIX);
           bytes(
               to,
               "range_end",
               prefix
                   + RecordCodec.TASKS_PREFIX.substring(0, RecordCodec.TASKS_PREFIX.length() - 1)
                   + (char) ('/' + 1));
-          to.writeStringField("limit", Integer.toString(MOST_TASKS));
+          to.writeStringField("limit", Integer.toString(MAX_TASKS));
         });
   }
 
-  static Ask login(String user, String password) {
+  static Request loginRequest(String user, String password) {
     return post(
         "/v3/auth/authenticate",
         to -> {
@@ -297,7 +298,7 @@
         });
   }
 
-  static String loggedIn(byte[] body) {
+  static String decodeLogin(byte[] body) {
     return read(body).string("token");
   }
 
@@ -312,7 +313,7 @@
   private static Header header(JsonReader answer) {
     JsonReader header = answer.object("header");
     return new Header(
-        header.has("cluster_id") ? header.string("cluster_id") : "", wide(header, "revision"));
+        header.has("cluster_id") ? header.string("cluster_id") : "", readLong(header, "revision"));
   }
 
   private RegistryEntry held(JsonReader kv) {
@@ -320,8 +321,8 @@
     return new RegistryEntry(
         key,
         RecordCodec.read(key.substring(prefix.length()), bytes(kv, "value")),
-        wide(kv, "create_revision"),
-        wide(kv, "mod_revision"));
+        readLong(kv, "create_revision"),
+        readLong(kv, "mod_revision"));
   }
 
   private String key(JsonReader kv) {
@@ -340,7 +341,7 @@
     }
   }
 
-  private static long wide(JsonReader from, String name) {
+  private static long readLong(JsonReader from, String name) {
     if (!from.has(name)) {
       return 0;
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -26,20 +26,20 @@
    * Who owns a task for now: gone with its lease. Beside {@link #TASKS_PREFIX}, so that one range
    * has both.
    */
-  static final String OWNERS = "task-owners/";
+  static final String OWNERS_PREFIX = "task-owners/";
 
-  private static final int VERSION = 1, LONGEST_VALUE = 4096, LONGEST_NAME = 128;
+  private static final int VERSION = 1, MAX_VALUE_BYTES = 4096, MAX_NAME_LENGTH = 128;
   private static final JsonFactory JSON = new JsonFactory();
 
   private RecordCodec() {}
 
   /** Reads what stands under a key, given without the prefix. */
   static RegistryRecord read(String key, byte[] value) {
-    boolean task = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS);
+    boolean task = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS_PREFIX);
     if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !task) {
       return new RegistryRecord.Other();
     }
-    if (value.length > LONGEST_VALUE) {
+    if (value.length > MAX_VALUE_BYTES) {
       return new RegistryRecord.Unreadable("a value of " + value.length + " bytes");
     }
     try (JsonParser parser = JSON.createParser(value)) {
@@ -87,7 +87,7 @@
 
   private static String name(JsonReader fields, String key, String name) {
     if (name.isEmpty()
-        || name.length() > LONGEST_NAME
+        || name.length() > MAX_NAME_LENGTH
         || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
       throw fields.invalid(key, "no name");
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -20,10 +20,10 @@
  * carried out.
  */
 public final class RegistryAdminClient implements AutoCloseable {
-  private static final int PAGE = 1000, MOST_WRITES = 32;
-  private static final long PATIENCE_MS = 3000,
+  private static final int PAGE = 1000, MAX_WRITES = 32;
+  private static final long TIMEOUT_MILLIS = 3000,
       SECOND = 1_000_000_000,
-      LONGEST_STEP_MILLIS = 3_600_000;
+      MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
   /** What a person is told when nothing can be read or written. */
   public static final class Refused extends RuntimeException {
@@ -35,9 +35,9 @@
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
   private record Got(int status, MultiMap headers, byte[] body) {}
 
-  private final RegistrySettings access;
+  private final RegistrySettings settings;
   private final RegistryProtocol form;
-  private final RegistryHttpClient wires;
+  private final RegistryHttpClient client;
   private final Context loop;
 
   /**
@@ -45,9 +45,9 @@
    */
   public RegistryAdminClient(Vertx vertx, RegistrySettings access) {
     loop = vertx.getOrCreateContext();
-    this.access = access;
-    form = RegistrySource.form(access);
-    wires = new RegistryHttpClient(vertx, access, form);
+    this.settings = access;
+    form = RegistrySource.protocol(access);
+    client = new RegistryHttpClient(vertx, access, form);
   }
 
   /** All keys at one revision; fails with what staff can act on. */
@@ -59,20 +59,21 @@
     return pages(endpoint, 0, "", new ArrayList<>())
         .recover(
             e ->
-                endpoint + 1 < access.endpoints().size()
+                endpoint + 1 < settings.endpoints().size()
                     ? list(endpoint + 1)
                     : Future.failedFuture(e));
   }
 
   private Future<List<RegistryEntry>> pages(
       int endpoint, long revision, String after, List<RegistryEntry> all) {
-    return ask(endpoint, form.list(revision, after, 0, PAGE))
+    return ask(endpoint, form.listRequest(revision, after, 0, PAGE))
         .compose(
             got -> {
-              RegistryProtocol.Page page = form.page(got.status, got.headers, got.body);
+              RegistryProtocol.Page page = form.decodePage(got.status, got.headers, got.body);
               all.addAll(page.items());
-              if (all.size() > access.maxKeys()) {
-                return Future.failedFuture(new Refused("more than " + access.maxKeys() + " keys"));
+              if (all.size() > settings.maxKeys()) {
+                return Future.failedFuture(
+                    new Refused("more than " + settings.maxKeys() + " keys"));
               }
               if (!page.more() || page.items().isEmpty()) {
                 return Future.succeededFuture(all);
@@ -96,18 +97,21 @@
     byte[] tip =
         (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
             .getBytes(StandardCharsets.US_ASCII);
-    boolean grants = leased && access.protocol() == RegistrySettings.ProtocolKind.ETCD;
+    boolean grants = leased && settings.protocol() == RegistrySettings.ProtocolKind.ETCD;
     return reached(0)
         .compose(
             endpoint -> {
               Future<Long> lease =
                   grants
-                      ? ask(endpoint, EtcdProtocol.grant(access.purgeRetentionNanos() / SECOND))
-                          .map(got -> EtcdProtocol.granted(got.body))
+                      ? ask(
+                              endpoint,
+                              EtcdProtocol.leaseGrantRequest(
+                                  settings.purgeRetentionNanos() / SECOND))
+                          .map(got -> EtcdProtocol.decodeLeaseGrant(got.body))
                       : Future.succeededFuture(0L);
               return lease
-                  .compose(id -> ask(endpoint, form.write(writes, id, tip)))
-                  .map(got -> form.written(got.status, got.body));
+                  .compose(id -> ask(endpoint, form.transactionRequest(writes, id, tip)))
+                  .map(got -> form.isCommitted(got.status, got.body));
             });
   }
 
@@ -124,16 +128,16 @@
    */
   public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
     RegistryProtocol.Write made =
-        new RegistryProtocol.Write(access.prefix() + RecordCodec.PURGES_PREFIX + name, purge, 0);
-    if (access.protocol() == RegistrySettings.ProtocolKind.ETCD) {
+        new RegistryProtocol.Write(settings.prefix() + RecordCodec.PURGES_PREFIX + name, purge, 0);
+    if (settings.protocol() == RegistrySettings.ProtocolKind.ETCD) {
       return write(List.of(made), true);
     }
     return list()
         .compose(
             all -> {
               List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
-              lapsed(all, purge.atMs(), access.purgeRetentionNanos()).stream()
-                  .limit(MOST_WRITES - 1)
+              expiredPurges(all, purge.atMs(), settings.purgeRetentionNanos()).stream()
+                  .limit(MAX_WRITES - 1)
                   .forEach(
                       held ->
                           writes.add(
@@ -146,8 +150,8 @@
    * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else
    * to tell it by here, so both may be a step off, each to its own side.
    */
-  static List<RegistryEntry> lapsed(List<RegistryEntry> all, long nowMs, long retention) {
-    long before = nowMs - retention / (SECOND / 1000) - 2 * LONGEST_STEP_MILLIS;
+  static List<RegistryEntry> expiredPurges(List<RegistryEntry> all, long nowMs, long retention) {
+    long before = nowMs - retention / (SECOND / 1000) - 2 * MAX_CLOCK_STEP_MILLIS;
     return all.stream()
         .filter(one -> one.value() instanceof RegistryRecord.Purge old && old.atMs() < before)
         .toList();
@@ -164,11 +168,11 @@
     List<RegistryProtocol.Write> writes = new ArrayList<>();
     writes.add(
         new RegistryProtocol.Write(
-            access.prefix() + RecordCodec.TASKS_PREFIX + task,
+            settings.prefix() + RecordCodec.TASKS_PREFIX + task,
             as,
             fence == null ? 0 : fence.modRevision()));
     old.stream()
-        .limit(MOST_WRITES)
+        .limit(MAX_WRITES)
         .forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.modRevision())));
     return write(writes, false);
   }
@@ -180,8 +184,8 @@
     return each(
         0,
         endpoint ->
-            ask(endpoint, etcd().tasks())
-                .map(got -> form.page(got.status, got.headers, got.body).items()));
+            ask(endpoint, etcd().tasksRequest())
+                .map(got -> form.decodePage(got.status, got.headers, got.body).items()));
   }
 
   /**
@@ -192,18 +196,19 @@
    */
   public Future<Long> campaign(String task, RegistryRecord.Task as, long changed, long seconds) {
     RegistryProtocol.Write term =
-        new RegistryProtocol.Write(access.prefix() + RecordCodec.TASKS_PREFIX + task, as, changed);
+        new RegistryProtocol.Write(
+            settings.prefix() + RecordCodec.TASKS_PREFIX + task, as, changed);
     RegistryProtocol.Write owner =
-        new RegistryProtocol.Write(access.prefix() + RecordCodec.OWNERS + task, as, 0);
+        new RegistryProtocol.Write(settings.prefix() + RecordCodec.OWNERS_PREFIX + task, as, 0);
     return reached(0)
         .compose(
             endpoint ->
-                ask(endpoint, EtcdProtocol.grant(seconds))
-                    .map(got -> EtcdProtocol.granted(got.body))
+                ask(endpoint, EtcdProtocol.leaseGrantRequest(seconds))
+                    .map(got -> EtcdProtocol.decodeLeaseGrant(got.body))
                     .compose(
                         lease ->
-                            ask(endpoint, etcd().campaign(term, owner, lease))
-                                .map(got -> form.written(got.status, got.body) ? lease : 0L)));
+                            ask(endpoint, etcd().campaignRequest(term, owner, lease))
+                                .map(got -> form.isCommitted(got.status, got.body) ? lease : 0L)));
   }
 
   /** Whether the lease was there to be kept. */
@@ -211,12 +216,13 @@
     return each(
         0,
         endpoint ->
-            ask(endpoint, EtcdProtocol.keepAlive(lease)).map(got -> EtcdProtocol.kept(got.body)));
+            ask(endpoint, EtcdProtocol.leaseRenewalRequest(lease))
+                .map(got -> EtcdProtocol.decodeLeaseRenewal(got.body)));
   }
 
   /** Gives a lease back, and with it what hangs on it. */
   public Future<Void> revoke(long lease) {
-    return each(0, endpoint -> ask(endpoint, EtcdProtocol.revoke(lease)).mapEmpty());
+    return each(0, endpoint -> ask(endpoint, EtcdProtocol.leaseRevokeRequest(lease)).mapEmpty());
   }
 
   private EtcdProtocol etcd() {
@@ -228,14 +234,15 @@
     return what.apply(endpoint)
         .recover(
             e ->
-                endpoint + 1 < access.endpoints().size()
+                endpoint + 1 < settings.endpoints().size()
                     ? each(endpoint + 1, what)
                     : Future.failedFuture(e));
   }
 
   /** The task that a key is of, its owner's or its term's; null for another key. */
   public String taskName(RegistryEntry held, boolean owner) {
-    String begins = access.prefix() + (owner ? RecordCodec.OWNERS : RecordCodec.TASKS_PREFIX);
+    String begins =
+        settings.prefix() + (owner ? RecordCodec.OWNERS_PREFIX : RecordCodec.TASKS_PREFIX);
     return held.key().startsWith(begins) && held.value() instanceof RegistryRecord.Task
         ? held.key().substring(begins.length())
         : null;
@@ -243,51 +250,51 @@
 
   /** The first endpoint that answers a read. */
   private Future<Integer> reached(int endpoint) {
-    return ask(endpoint, form.pulse())
+    return ask(endpoint, form.heartbeatRequest())
         .map(endpoint)
         .recover(
             e ->
-                endpoint + 1 < access.endpoints().size()
+                endpoint + 1 < settings.endpoints().size()
                     ? reached(endpoint + 1)
                     : Future.failedFuture(e));
   }
 
-  private Future<Got> ask(int endpoint, RegistryProtocol.Ask ask) {
+  private Future<Got> ask(int endpoint, RegistryProtocol.Request ask) {
     // Guards against an answer that comes while a thread of its own is still about to listen to it.
     return Future.future(
         asked -> loop.runOnContext(now -> askHere(endpoint, ask).onComplete(asked)));
   }
 
-  private Future<Got> askHere(int endpoint, RegistryProtocol.Ask ask) {
+  private Future<Got> askHere(int endpoint, RegistryProtocol.Request ask) {
     Promise<Got> got = Promise.promise();
-    RegistryHttpClient.Sent sent =
-        wires.send(
+    RegistryHttpClient.Exchange sent =
+        client.send(
             endpoint,
             ask,
             false,
-            new RegistryHttpClient.Answer() {
+            new RegistryHttpClient.ResponseHandler() {
               @Override
-              public void whole(int status, MultiMap headers, byte[] body) {
+              public void completed(int status, MultiMap headers, byte[] body) {
                 got.tryComplete(new Got(status, headers, body));
               }
 
               @Override
               public void failed(RegistryFailure why, long retryAfter) {
-                got.tryFail(new Refused(access.endpoints().get(endpoint) + ": " + say(why)));
+                got.tryFail(new Refused(settings.endpoints().get(endpoint) + ": " + say(why)));
               }
             });
     return got.future()
-        .timeout(PATIENCE_MS, TimeUnit.MILLISECONDS)
+        .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .recover(
             e -> {
-              sent.drop();
+              sent.cancel();
               return Future.failedFuture(
                   e instanceof Refused
                       ? e
                       : new Refused(
-                          access.endpoints().get(endpoint)
+                          settings.endpoints().get(endpoint)
                               + ": no answer in "
-                              + PATIENCE_MS
+                              + TIMEOUT_MILLIS
                               + " ms; a write may have been carried out"));
             });
   }
@@ -295,7 +302,7 @@
   private static String say(RegistryFailure why) {
     return switch (why) {
       case REFUSED -> "nothing listens there";
-      case SILENT -> "no connection in time";
+      case TIMED_OUT -> "no connection in time";
       case UNAUTHORISED -> "it does not take this token or user";
       case UNTRUSTED -> "no TLS connection: look at trust, certificate and key";
       case UNAVAILABLE -> "it can't serve now";
@@ -306,6 +313,6 @@
 
   @Override
   public void close() {
-    wires.close();
+    client.close();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -41,8 +41,8 @@
   private static final long SECOND = 1_000_000_000, LONGEST_RETRY_S = 60;
 
   /** What a request came to: one of the ends, once, unless it was dropped. */
-  interface Answer {
-    void whole(int status, MultiMap headers, byte[] body);
+  interface ResponseHandler {
+    void completed(int status, MultiMap headers, byte[] body);
 
     /** A line of a stream; only where lines were asked for. */
     default void line(byte[] line) {}
@@ -51,15 +51,16 @@
   }
 
   /** A request under way. */
-  final class Sent {
+  final class Exchange {
     private final SocketAddress to;
-    private final RegistryProtocol.Ask ask;
+    private final RegistryProtocol.Request ask;
     private final boolean lines;
-    private final Answer answer;
+    private final ResponseHandler answer;
     private HttpClientRequest request;
     private boolean over, renewed;
 
-    private Sent(SocketAddress to, RegistryProtocol.Ask ask, boolean lines, Answer answer) {
+    private Exchange(
+        SocketAddress to, RegistryProtocol.Request ask, boolean lines, ResponseHandler answer) {
       this.to = to;
       this.ask = ask;
       this.lines = lines;
@@ -67,7 +68,7 @@
     }
 
     /** Lets go of it; nothing more is heard. */
-    void drop() {
+    void cancel() {
       over = true;
       if (request != null) {
         request.reset();
@@ -102,7 +103,7 @@
                   }
                 });
         // Guards against a line without end.
-        parser.maxRecordSize(access.maxResponseBytes());
+        parser.maxRecordSize(settings.maxResponseBytes());
         parser.exceptionHandler(e -> unreadable());
         response.handler(parser);
         response.endHandler(end -> end(RegistryFailure.BROKEN, 0));
@@ -111,7 +112,7 @@
       Buffer body = Buffer.buffer();
       response.handler(
           more -> {
-            if (body.length() + (long) more.length() > access.maxResponseBytes()) {
+            if (body.length() + (long) more.length() > settings.maxResponseBytes()) {
               unreadable();
             } else {
               body.appendBuffer(more);
@@ -139,12 +140,13 @@
                 });
         return;
       }
-      RegistryFailure why = form.isCompacted(status, body) ? null : form.failure(status, body);
+      RegistryFailure why =
+          protocol.isCompacted(status, body) ? null : protocol.failure(status, body);
       if (why != null) {
         end(why, retryAfter(response.getHeader("Retry-After")));
       } else {
         over = true;
-        answer.whole(status, response.headers(), body);
+        answer.completed(status, response.headers(), body);
       }
     }
 
@@ -161,7 +163,7 @@
           end(RegistryFailure.UNTRUSTED, 0);
           return;
         } else if (cause instanceof io.netty.channel.ConnectTimeoutException) {
-          end(RegistryFailure.SILENT, 0);
+          end(RegistryFailure.TIMED_OUT, 0);
           return;
         } else if (cause instanceof ConnectException) {
           end(RegistryFailure.REFUSED, 0);
@@ -180,8 +182,8 @@
   }
 
   private final Vertx vertx;
-  private final RegistrySettings access;
-  private final RegistryProtocol form;
+  private final RegistrySettings settings;
+  private final RegistryProtocol protocol;
   private HttpClientAgent client;
 
   /** The client before the files were read anew: its connections stay until they end. */
@@ -191,17 +193,17 @@
 
   RegistryHttpClient(Vertx vertx, RegistrySettings access, RegistryProtocol form) {
     this.vertx = vertx;
-    this.access = access;
-    this.form = form;
+    this.settings = access;
+    this.protocol = form;
     client = client();
   }
 
   private HttpClientAgent client() {
     HttpClientOptions options =
         new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAliveTimeout(IDLE_S);
-    if (access.trust() != null) {
+    if (settings.trust() != null) {
       options.setSsl(true).setTrustOptions(trust());
-      if (access.certificate() != null) {
+      if (settings.certificate() != null) {
         options.setKeyCertOptions(certificate());
       }
     }
@@ -210,25 +212,25 @@
   }
 
   private PemTrustOptions trust() {
-    return new PemTrustOptions().addCertPath(access.trust().toString());
+    return new PemTrustOptions().addCertPath(settings.trust().toString());
   }
 
   private PemKeyCertOptions certificate() {
     return new PemKeyCertOptions()
-        .setCertPath(access.certificate().toString())
-        .setKeyPath(access.key().toString());
+        .setCertPath(settings.certificate().toString())
+        .setKeyPath(settings.key().toString());
   }
 
   /**
    * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an
    * answer may come before anybody listens to it, and is then lost.
    */
-  Sent send(int endpoint, RegistryProtocol.Ask ask, boolean lines, Answer answer) {
+  Exchange send(int endpoint, RegistryProtocol.Request ask, boolean lines, ResponseHandler answer) {
     if (!Context.isOnEventLoopThread()) {
       throw new IllegalStateException("not on an event loop");
     }
-    Sent sent = new Sent(access.endpoints().get(endpoint), ask, lines, answer);
-    if (token.isEmpty() && (access.token() != null || access.user() != null)) {
+    Exchange sent = new Exchange(settings.endpoints().get(endpoint), ask, lines, answer);
+    if (token.isEmpty() && (settings.token() != null || settings.user() != null)) {
       renew(sent.to)
           .onComplete(
               done -> {
@@ -246,7 +248,7 @@
     return sent;
   }
 
-  private RequestOptions options(SocketAddress to, RegistryProtocol.Ask ask, String shown) {
+  private RequestOptions options(SocketAddress to, RegistryProtocol.Request ask, String shown) {
     RequestOptions options =
         new RequestOptions()
             .setServer(to)
@@ -259,7 +261,7 @@
     }
     if (!shown.isEmpty()) {
       options.putHeader(
-          access.protocol() == RegistrySettings.ProtocolKind.ETCD
+          settings.protocol() == RegistrySettings.ProtocolKind.ETCD
               ? "Authorization"
               : "X-Consul-Token",
           shown);
@@ -271,12 +273,13 @@
   private Future<Boolean> renew(SocketAddress from) {
     String before = token;
     Future<String> next;
-    if (access.token() != null) {
-      next = secret(access.token());
-    } else if (access.user() != null) {
+    if (settings.token() != null) {
+      next = secret(settings.token());
+    } else if (settings.user() != null) {
       next =
-          secret(access.password())
-              .compose(password -> login(from, EtcdProtocol.login(access.user(), password)));
+          secret(settings.password())
+              .compose(
+                  password -> login(from, EtcdProtocol.loginRequest(settings.user(), password)));
     } else {
       return Future.succeededFuture(false);
     }
@@ -287,7 +290,7 @@
         });
   }
 
-  private Future<String> login(SocketAddress from, RegistryProtocol.Ask ask) {
+  private Future<String> login(SocketAddress from, RegistryProtocol.Request ask) {
     Promise<String> token = Promise.promise();
     client
         .request(options(from, ask, ""))
@@ -298,7 +301,7 @@
                     ? response.body()
                     : Future.failedFuture(
                         new InvalidDocumentException("log-in: status " + response.statusCode())))
-        .map(body -> EtcdProtocol.loggedIn(body.getBytes()))
+        .map(body -> EtcdProtocol.decodeLogin(body.getBytes()))
         .onComplete(token);
     return token.future();
   }
@@ -321,16 +324,16 @@
    * Takes files anew: for connections to come; those that are open stay. What can't be read changes
    * nothing.
    */
-  Future<Void> renewed() {
+  Future<Void> reload() {
     token = "";
-    if (access.trust() == null) {
+    if (settings.trust() == null) {
       return Future.succeededFuture();
     }
     return vertx
         .executeBlocking(
             () -> {
               trust().getTrustManagerFactory(vertx);
-              return access.certificate() == null
+              return settings.certificate() == null
                   ? null
                   : certificate().getKeyManagerFactory(vertx);
             })
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -16,19 +16,19 @@
 interface RegistryProtocol {
   /** A request to be sent; body null for none. */
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
-  record Ask(HttpMethod method, String uri, byte[] body) {}
+  record Request(HttpMethod method, String uri, byte[] body) {}
 
   /** A part of a list; count as {@link org.amberpath.registry.WatchSession#pageReceived} has it. */
   record Page(Header header, List<RegistryEntry> items, boolean more, long count) {}
 
   /** The answer to a pulse. */
-  record Tip(Header header, long tip) {}
+  record Heartbeat(Header header, long tipRevision) {}
 
   /** What a line of a watch's stream says. */
   sealed interface Frame {
     record Opened(Header header) implements Frame {}
 
-    record Told(Header header, List<WatchEvent> changes, boolean partial) implements Frame {}
+    record Events(Header header, List<WatchEvent> events, boolean partial) implements Frame {}
 
     record Compacted() implements Frame {}
 
@@ -39,20 +39,20 @@
    * One key's write in a transaction; content null deletes. It holds only if the key was last
    * written at changed.
    */
-  record Write(String key, RegistryRecord content, long changed) {}
+  record Write(String key, RegistryRecord value, long expectedRevision) {}
 
-  Ask list(long revision, String after, long since, int limit);
+  Request listRequest(long revision, String after, long since, int limit);
 
-  Page page(int status, MultiMap headers, byte[] body);
+  Page decodePage(int status, MultiMap headers, byte[] body);
 
   /** A stream of lines for one form, a read that is held back for the other. */
-  Ask watch(long from);
+  Request watchRequest(long from);
 
-  Frame frame(byte[] line);
+  Frame decodeFrame(byte[] line);
 
-  Ask pulse();
+  Request heartbeatRequest();
 
-  Tip tip(int status, MultiMap headers, byte[] body);
+  Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body);
 
   /** Whether an answer says that a revision is compacted. */
   boolean isCompacted(int status, byte[] body);
@@ -61,8 +61,8 @@
   RegistryFailure failure(int status, byte[] body);
 
   /** A transaction: all writes and one to the tip, or none. A lease of 0 is none. */
-  Ask write(List<Write> writes, long lease, byte[] tip);
+  Request transactionRequest(List<Write> writes, long lease, byte[] tip);
 
   /** Whether it was carried out; false where a key had moved meanwhile. */
-  boolean written(int status, byte[] body);
+  boolean isCommitted(int status, byte[] body);
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -39,15 +39,15 @@
       int watchCount) {}
 
   private final Vertx vertx;
-  private final RegistrySettings access;
+  private final RegistrySettings settings;
   private final Clock clock = new Clock();
   private final RegistryProtocol form;
-  private final RegistryHttpClient wires;
+  private final RegistryHttpClient client;
   private final WallTimes times;
   private final SnapshotKeeper keeper;
   private final RegistryView view;
-  private final WatchSession recovery;
-  private final Map<Long, RegistryHttpClient.Sent> calls = new HashMap<>();
+  private final WatchSession session;
+  private final Map<Long, RegistryHttpClient.Exchange> calls = new HashMap<>();
   private long timer = -1, ticker = -1, armedFor = Long.MAX_VALUE;
   private int lines, muted;
   private boolean running;
@@ -55,10 +55,10 @@
   /** Makes a source that has asked for nothing yet; the seed gives all its chance. */
   public RegistrySource(Vertx vertx, RegistrySettings access, EndpointListener to, long seed) {
     this.vertx = vertx;
-    this.access = access;
+    this.settings = access;
     boolean blocking = access.protocol() == RegistrySettings.ProtocolKind.CONSUL;
-    form = form(access);
-    wires = new RegistryHttpClient(vertx, access, form);
+    form = protocol(access);
+    client = new RegistryHttpClient(vertx, access, form);
     times = new WallTimes(to, clock::nowNanos, System::currentTimeMillis);
     keeper =
         access.snapshot() == null
@@ -75,7 +75,7 @@
         new RegistryView(
             times, access.tipKey(), access.maxKeys(), access.purgeRetentionNanos(), this::note);
     // The server may hold a read for a sixteenth longer than it is asked to.
-    recovery =
+    session =
         new WatchSession(
             view,
             this,
@@ -86,7 +86,7 @@
             this::note);
   }
 
-  static RegistryProtocol form(RegistrySettings access) {
+  static RegistryProtocol protocol(RegistrySettings access) {
     return access.protocol() == RegistrySettings.ProtocolKind.ETCD
         ? new EtcdProtocol(access.prefix())
         : new ConsulProtocol(access.prefix(), BLOCKING / MS);
@@ -115,7 +115,7 @@
               lines = muted = 0;
               keep();
             });
-    if (access.snapshot() == null) {
+    if (settings.snapshot() == null) {
       begin();
       return;
     }
@@ -136,15 +136,15 @@
 
   /** What the file keeps; null where there is none. */
   private Snapshot kept() throws IOException {
-    SnapshotFile.clean(access.snapshot(), FileOperations.DISK);
-    return Files.exists(access.snapshot())
-        ? SnapshotFile.read(access.snapshot(), access.maxResponseBytes())
+    SnapshotFile.clean(settings.snapshot(), FileOperations.DISK);
+    return Files.exists(settings.snapshot())
+        ? SnapshotFile.read(settings.snapshot(), settings.maxResponseBytes())
         : null;
   }
 
   private void remember(Snapshot kept) {
     long now = clock.nowNanos();
-    String refusal = kept.refusal(now, access.prefix(), access.maxSnapshotAgeNanos());
+    String refusal = kept.refusal(now, settings.prefix(), settings.maxSnapshotAgeNanos());
     if (refusal != null) {
       LOG.warning("registry: the snapshot is passed over: " + refusal);
     } else {
@@ -161,22 +161,22 @@
 
   private void begin() {
     if (running) {
-      recovery.start(clock.nowNanos());
+      session.start(clock.nowNanos());
       arm();
     }
   }
 
   @Override
   public void reload() {
-    wires
-        .renewed()
+    client
+        .reload()
         .onComplete(
             done -> {
               if (done.failed()) {
                 LOG.warning("registry: the files for TLS can't be taken; those read before stay");
               }
               if (running) {
-                recovery.settingsReloaded(clock.nowNanos());
+                session.settingsReloaded(clock.nowNanos());
                 arm();
               }
             });
@@ -187,25 +187,25 @@
     running = false;
     vertx.cancelTimer(timer);
     vertx.cancelTimer(ticker);
-    calls.values().forEach(RegistryHttpClient.Sent::drop);
+    calls.values().forEach(RegistryHttpClient.Exchange::cancel);
     calls.clear();
-    wires.close();
+    client.close();
   }
 
   /** The view as it stands. */
   public Status status() {
     return new Status(
-        recovery.phase(),
+        session.phase(),
         view.hasData(),
         view.appliedRevision(),
         Math.max(0, clock.nowNanos() - view.confirmedAtNanos()),
-        view.size(),
-        recovery.watchCount());
+        view.keyCount(),
+        session.watchCount());
   }
 
   /** Wakes the recovery when it wants to be; one timer at a time. */
   private void arm() {
-    long due = recovery.nextTickNanos();
+    long due = session.nextTickNanos();
     if (due == armedFor || !running) {
       return;
     }
@@ -217,7 +217,7 @@
             delay,
             now -> {
               armedFor = Long.MAX_VALUE;
-              recovery.tick(clock.nowNanos());
+              session.tick(clock.nowNanos());
               arm();
             });
   }
@@ -233,10 +233,10 @@
    * registry's.
    */
   private Snapshot latest() {
-    return !view.hasData() || recovery.phase() != WatchSession.Phase.CURRENT
+    return !view.hasData() || session.phase() != WatchSession.Phase.CURRENT
         ? null
         : new Snapshot(
-            access.prefix(),
+            settings.prefix(),
             view.clusterId(),
             view.appliedRevision(),
             times.unix(view.confirmedAtNanos()),
@@ -246,7 +246,7 @@
   // ---- Orders.
 
   /** One answer, told to the recovery with what it was for. */
-  private abstract class Told implements RegistryHttpClient.Answer {
+  private abstract class Told implements RegistryHttpClient.ResponseHandler {
     final long call;
 
     Told(long call) {
@@ -256,12 +256,12 @@
     abstract void read(int status, MultiMap headers, byte[] body);
 
     @Override
-    public void whole(int status, MultiMap headers, byte[] body) {
+    public void completed(int status, MultiMap headers, byte[] body) {
       calls.remove(call);
       taken(
           () -> {
             if (form.isCompacted(status, body)) {
-              recovery.compacted(clock.nowNanos(), call);
+              session.compacted(clock.nowNanos(), call);
             } else {
               read(status, headers, body);
             }
@@ -275,7 +275,7 @@
       } catch (InvalidDocumentException e) {
         note(e.getMessage());
         cancel(call);
-        recovery.callFailed(clock.nowNanos(), call, RegistryFailure.UNREADABLE, 0);
+        session.callFailed(clock.nowNanos(), call, RegistryFailure.UNREADABLE, 0);
       }
       arm();
     }
@@ -283,26 +283,26 @@
     @Override
     public void failed(RegistryFailure why, long retryAfter) {
       calls.remove(call);
-      recovery.callFailed(clock.nowNanos(), call, why, retryAfter);
+      session.callFailed(clock.nowNanos(), call, why, retryAfter);
       arm();
     }
   }
 
-  private void send(int endpoint, RegistryProtocol.Ask ask, boolean lines, Told answer) {
-    calls.put(answer.call, wires.send(endpoint, ask, lines, answer));
+  private void send(int endpoint, RegistryProtocol.Request ask, boolean lines, Told answer) {
+    calls.put(answer.call, client.send(endpoint, ask, lines, answer));
   }
 
   @Override
   public void list(long call, int endpoint, long revision, String after, long since, int limit) {
     send(
         endpoint,
-        form.list(revision, after, since, limit),
+        form.listRequest(revision, after, since, limit),
         false,
         new Told(call) {
           @Override
           void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Page page = form.page(status, headers, body);
-            recovery.pageReceived(
+            RegistryProtocol.Page page = form.decodePage(status, headers, body);
+            session.pageReceived(
                 clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
           }
         });
@@ -310,22 +310,22 @@
 
   @Override
   public void watch(long call, int endpoint, long from) {
-    boolean lines = access.protocol() == RegistrySettings.ProtocolKind.ETCD;
+    boolean lines = settings.protocol() == RegistrySettings.ProtocolKind.ETCD;
     send(
         endpoint,
-        form.watch(from),
+        form.watchRequest(from),
         lines,
         new Told(call) {
           @Override
           void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Page page = form.page(status, headers, body);
-            recovery.pageReceived(
+            RegistryProtocol.Page page = form.decodePage(status, headers, body);
+            session.pageReceived(
                 clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
           }
 
           @Override
           public void line(byte[] line) {
-            taken(() -> frame(call, form.frame(line)));
+            taken(() -> frame(call, form.decodeFrame(line)));
           }
         });
   }
@@ -333,15 +333,15 @@
   private void frame(long call, RegistryProtocol.Frame frame) {
     long now = clock.nowNanos();
     if (frame instanceof RegistryProtocol.Frame.Opened opened) {
-      recovery.watchOpened(now, call, opened.header());
-    } else if (frame instanceof RegistryProtocol.Frame.Told told) {
-      recovery.eventsReceived(now, call, told.header(), told.changes(), told.partial());
+      session.watchOpened(now, call, opened.header());
+    } else if (frame instanceof RegistryProtocol.Frame.Events told) {
+      session.eventsReceived(now, call, told.header(), told.events(), told.partial());
     } else {
       cancel(call);
       if (frame instanceof RegistryProtocol.Frame.Compacted) {
-        recovery.compacted(now, call);
+        session.compacted(now, call);
       } else if (frame instanceof RegistryProtocol.Frame.Ended ended) {
-        recovery.callFailed(now, call, ended.why(), 0);
+        session.callFailed(now, call, ended.why(), 0);
       }
     }
   }
@@ -350,22 +350,22 @@
   public void heartbeat(long call, int endpoint) {
     send(
         endpoint,
-        form.pulse(),
+        form.heartbeatRequest(),
         false,
         new Told(call) {
           @Override
           void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Tip tip = form.tip(status, headers, body);
-            recovery.heartbeatReceived(clock.nowNanos(), call, tip.header(), tip.tip());
+            RegistryProtocol.Heartbeat tip = form.decodeHeartbeat(status, headers, body);
+            session.heartbeatReceived(clock.nowNanos(), call, tip.header(), tip.tipRevision());
           }
         });
   }
 
   @Override
   public void cancel(long call) {
-    RegistryHttpClient.Sent sent = calls.remove(call);
+    RegistryHttpClient.Exchange sent = calls.remove(call);
     if (sent != null) {
-      sent.drop();
+      sent.cancel();
     }
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -30,8 +30,8 @@
 final class SnapshotFile {
   private static final String MAGIC = "amberpath-registry-snapshot";
   private static final int VERSION = 1;
-  private static final String BESIDE = ".new",
-      OWN = Long.toHexString(new SecureRandom().nextLong());
+  private static final String TEMPORARY_SUFFIX = ".new",
+      PROCESS_SUFFIX = Long.toHexString(new SecureRandom().nextLong());
 
   private SnapshotFile() {}
 
@@ -47,7 +47,7 @@
         (MAGIC + " " + VERSION + " " + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII));
     all.writeBytes(body);
     // Guards against a process that is not quite gone yet and writes beside the same file.
-    Path beside = file.resolveSibling(file.getFileName() + BESIDE + "-" + OWN);
+    Path beside = file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX + "-" + PROCESS_SUFFIX);
     try {
       try (FileChannel out = files.open(beside)) {
         ByteBuffer bytes = ByteBuffer.wrap(all.toByteArray());
@@ -68,13 +68,14 @@
   /** Removes what writes that were cut short have left beside the file. */
   static void clean(Path file, FileOperations files) {
     Pattern stale =
-        Pattern.compile(Pattern.quote(file.getFileName() + BESIDE) + "(-[0-9a-f]{1,16})?");
+        Pattern.compile(
+            Pattern.quote(file.getFileName() + TEMPORARY_SUFFIX) + "(-[0-9a-f]{1,16})?");
     try (DirectoryStream<Path> all =
         Files.newDirectoryStream(
             file.toAbsolutePath().getParent(),
             one ->
                 stale.matcher(one.getFileName().toString()).matches()
-                    && !one.toString().endsWith(OWN))) {
+                    && !one.toString().endsWith(PROCESS_SUFFIX))) {
       all.forEach(one -> deleteQuietly(one, files));
     } catch (IOException | DirectoryIteratorException e) {
       return; // They take place and do no other harm; the next start looks again.
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
@@ -23,7 +23,7 @@
 
   private final Path file;
   private final FileOperations files;
-  private final long every;
+  private final long intervalNanos;
   private final Function<Callable<Void>, Future<Void>> worker;
   private final LongSupplier clock;
   private final Consumer<String> log;
@@ -44,7 +44,7 @@
       Consumer<String> log) {
     this.file = file;
     this.files = files;
-    this.every = every;
+    this.intervalNanos = every;
     this.worker = worker;
     this.clock = clock;
     this.log = log;
@@ -59,7 +59,8 @@
    */
   void tick(Supplier<Snapshot> latest) {
     long now = clock.getAsLong();
-    boolean isDue = backoff.isFailing() ? backoff.allows(now) : !hasBegun || now - begunAt >= every;
+    boolean isDue =
+        backoff.isFailing() ? backoff.allows(now) : !hasBegun || now - begunAt >= intervalNanos;
     if (writing || !isDue) {
       return;
     }
@@ -97,7 +98,7 @@
       log.accept("the snapshot is written again, after " + failures + " failures");
     }
     failures = 0;
-    backoff.succeeded();
+    backoff.reset();
   }
 
   private void failed(Throwable why) {
@@ -105,6 +106,6 @@
       log.accept(
           "the snapshot can't be written, the one before stays and it is tried again: " + why);
     }
-    backoff.failed(clock.getAsLong(), LEAST_RETRY_NANOS);
+    backoff.recordFailure(clock.getAsLong(), LEAST_RETRY_NANOS);
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -226,7 +226,7 @@
     assertEquals(1, complaints.size());
     view.applyEvents(NOW, List.of(put(cache("a", EndpointState.DRAINING, 1, 30))));
     assertEquals(List.of("[a~]"), told());
-    assertEquals(6, view.size());
+    assertEquals(6, view.keyCount());
   }
 
   @Test
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -543,7 +543,7 @@
         view.clusterId(),
         view.appliedRevision(),
         view.tipRevision(),
-        view.size());
+        view.keyCount());
     record("proven", view.confirmedAtNanos());
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -82,7 +82,7 @@
   @Property(tries = 500)
   void noLineIsThrownOverButAsMalformed(@ForAll byte[] line) {
     try {
-      new EtcdProtocol("p/").frame(line);
+      new EtcdProtocol("p/").decodeFrame(line);
     } catch (InvalidDocumentException e) {
       assertTrue(e.getMessage().length() < 200);
     }
@@ -90,7 +90,7 @@
 
   @Test
   void aRangeIsAskedAndReadByThePublishedForm() {
-    RegistryProtocol.Ask ask = etcd.list(7, "p/caches/a", 5, 100);
+    RegistryProtocol.Request ask = etcd.listRequest(7, "p/caches/a", 5, 100);
     assertEquals("/v3/kv/range", ask.uri());
     assertEquals(
         "{'key':'"
@@ -101,7 +101,7 @@
             + "'revision':'7','min_mod_revision':'5'}",
         text(ask.body()).replace('"', '\''));
     RegistryProtocol.Page page =
-        etcd.page(
+        etcd.decodePage(
             200,
             NONE,
             bytes(
@@ -121,16 +121,17 @@
     String header = "'header':{'cluster_id':'12','revision':'40'}";
     assertInstanceOf(
         RegistryProtocol.Frame.Opened.class,
-        etcd.frame(bytes("{'result':{" + header + ",'created':true}}")));
+        etcd.decodeFrame(bytes("{'result':{" + header + ",'created':true}}")));
     assertInstanceOf(
         RegistryProtocol.Frame.Compacted.class,
-        etcd.frame(bytes("{'result':{" + header + ",'canceled':true,'compact_revision':'33'}}")));
+        etcd.decodeFrame(
+            bytes("{'result':{" + header + ",'canceled':true,'compact_revision':'33'}}")));
     assertEquals(
         new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
-        etcd.frame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
-    RegistryProtocol.Frame.Told told =
-        (RegistryProtocol.Frame.Told)
-            etcd.frame(
+        etcd.decodeFrame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
+    RegistryProtocol.Frame.Events told =
+        (RegistryProtocol.Frame.Events)
+            etcd.decodeFrame(
                 bytes(
                     "{'result':{"
                         + header
@@ -139,8 +140,8 @@
                         + base64("p/caches/c1")
                         + "','mod_revision':'40'}}]}}"));
     assertTrue(told.partial());
-    assertNull(told.changes().get(0).entry());
-    assertEquals(40, told.changes().get(0).revision());
+    assertNull(told.events().get(0).entry());
+    assertEquals(40, told.events().get(0).revision());
   }
 
   @ParameterizedTest
@@ -153,7 +154,7 @@
         "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]}"
       })
   void aPageThatIsNotAsPublishedIsMalformed(String body) {
-    assertThrows(InvalidDocumentException.class, () -> etcd.page(200, NONE, bytes(body)));
+    assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)));
   }
 
   @ParameterizedTest
@@ -173,10 +174,11 @@
   @Test
   void aBlockingReadIsAskedAndReadByThePublishedForm() {
     assertEquals(
-        "/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms", consul.watch(41).uri());
+        "/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms",
+        consul.watchRequest(41).uri());
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
     RegistryProtocol.Page page =
-        consul.page(
+        consul.decodePage(
             200,
             headers,
             bytes(
@@ -185,8 +187,8 @@
                     + "','CreateIndex':3,'ModifyIndex':9}]"));
     assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
     assertTrue(page.count() < 0);
-    assertEquals(List.of(), consul.page(404, headers, new byte[0]).items());
-    assertThrows(InvalidDocumentException.class, () -> consul.page(404, NONE, new byte[0]));
+    assertEquals(List.of(), consul.decodePage(404, headers, new byte[0]).items());
+    assertThrows(InvalidDocumentException.class, () -> consul.decodePage(404, NONE, new byte[0]));
   }
 
   // ---- The snapshot's file.
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -70,8 +70,9 @@
       all.add(
           new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
     }
-    List<RegistryEntry> lapsed = RegistryAdminClient.lapsed(all, START, retention);
+    List<RegistryEntry> lapsed = RegistryAdminClient.expiredPurges(all, START, retention);
     assertEquals(all.subList(1, 2), lapsed);
-    assertTrue(RegistryAdminClient.lapsed(all.subList(0, 1), START + HOUR, retention).isEmpty());
+    assertTrue(
+        RegistryAdminClient.expiredPurges(all.subList(0, 1), START + HOUR, retention).isEmpty());
   }
 }
