--- /dev/null
+++ b/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
@@ -0,0 +1,66 @@
+package org.amberpath.registry;
+
+import java.util.function.Consumer;
+
+/**
+ * What follows from a call that failed: backoff, longer timeouts, a log line where an operator may
+ * act on it. Times are nanoseconds.
+ */
+final class CallFailureHandler {
+  /** What an operator must mend is tried again after this time at the earliest. */
+  private static final long OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
+
+  private final OpenCalls calls;
+  private final HeartbeatMonitor heartbeats;
+  private final PagedListing listing;
+  private final Consumer<String> log;
+
+  CallFailureHandler(
+      OpenCalls calls, HeartbeatMonitor heartbeats, PagedListing listing, Consumer<String> log) {
+    this.calls = calls;
+    this.heartbeats = heartbeats;
+    this.listing = listing;
+    this.log = log;
+  }
+
+  /** Gives a call up, which counts as a failure of its endpoint. */
+  void giveUp(long nowNanos, RegistryCall call, RegistryFailure why) {
+    calls.cancel(call);
+    failed(nowNanos, call, why, 0);
+  }
+
+  /**
+   * A call has failed.
+   *
+   * @param retryAfterNanos what the server asked for; 0 for nothing
+   */
+  void failed(long nowNanos, RegistryCall call, RegistryFailure why, long retryAfterNanos) {
+    calls.close(call);
+    RegistryEndpoint endpoint = call.endpoint;
+    boolean isWatch = call instanceof WatchCall;
+    if (isWatch) {
+      endpoint.watchBackoff.recordFailure(nowNanos, retryAfterNanos);
+    }
+    boolean isEndOfWatch = isWatch && why == RegistryFailure.BROKEN;
+    if (why != RegistryFailure.LAGGING && !isEndOfWatch) {
+      long operatorNanos = why.needsOperator() ? OPERATOR_BACKOFF_NANOS : 0;
+      endpoint.requestBackoff.recordFailure(nowNanos, Math.max(retryAfterNanos, operatorNanos));
+    }
+    if (call instanceof ListCall && why == RegistryFailure.TIMED_OUT) {
+      listing.timedOut();
+    }
+    if (call instanceof HeartbeatCall heartbeat) {
+      heartbeats.failed(heartbeat, why);
+    }
+    if (isWorthALogLine(endpoint, why)) {
+      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " " + why);
+    }
+    endpoint.needsOperator = why.needsOperator();
+  }
+
+  private static boolean isWorthALogLine(RegistryEndpoint endpoint, RegistryFailure why) {
+    return (why.needsOperator() && !endpoint.needsOperator)
+        || why == RegistryFailure.UNREADABLE
+        || why == RegistryFailure.LAGGING;
+  }
+}
--- /dev/null
+++ b/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
@@ -0,0 +1,155 @@
+package org.amberpath.registry;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.EndpointState;
+import org.amberpath.routing.ListedEndpoint;
+
+/**
+ * Publishes what differs between two states of a view to the listener of endpoints and purges: each
+ * change once, all changes of one state in one list. Times are nanoseconds since the Unix epoch.
+ */
+final class EndpointChangePublisher {
+  /** By how much the clock of another process may be behind this one without a step. */
+  static final long MAX_CLOCK_SKEW_NANOS = 2_000_000_000;
+
+  private static final long MS = 1_000_000;
+
+  private final EndpointListener listener;
+  private final EndpointStartTimes startTimes = new EndpointStartTimes();
+
+  EndpointChangePublisher(EndpointListener listener) {
+    this.listener = listener;
+  }
+
+  /** Publishes all endpoints as a full list. */
+  void publishAll(Collection<RegistryEntry> entries, long nowNanos) {
+    listener.endpointListStarted(EndpointListKind.FULL);
+    Set<String> ids = new HashSet<>();
+    for (RegistryEntry entry : entries) {
+      if (entry.value() instanceof RegistryRecord.Cache endpoint) {
+        ids.add(endpoint.id());
+        publishPresent(endpoint, nowNanos, MAX_CLOCK_SKEW_NANOS / MS);
+      }
+    }
+    startTimes.retain(ids);
+    listener.endpointListCompleted();
+  }
+
+  /** Publishes all purges that the registry holds. */
+  void publishAllPurges(Collection<RegistryEntry> entries, long nowNanos) {
+    entries.forEach(entry -> publishPurge(null, entry, nowNanos));
+  }
+
+  /** Publishes that all copies from before now count as purged. */
+  void publishEverythingPurged(long nowNanos) {
+    listener.objectPurged(0, EndpointListener.ALL_GROUPS, nowNanos / MS);
+  }
+
+  /** Publishes the purges that were not there before. */
+  void publishNewPurges(
+      Map<String, RegistryEntry> before, Map<String, RegistryEntry> after, long nowNanos) {
+    after.forEach((key, entry) -> publishPurge(before.get(key), entry, nowNanos));
+  }
+
+  /**
+   * Publishes one list with what differs; an endpoint that was created anew under its key is gone
+   * in a list of its own first.
+   *
+   * @param touched the keys to look at, in the order in which they are published
+   */
+  void publishChanges(
+      Map<String, RegistryEntry> before,
+      Map<String, RegistryEntry> after,
+      Collection<String> touched,
+      long nowNanos) {
+    List<RegistryRecord.Cache> replaced = new ArrayList<>();
+    List<RegistryRecord.Cache> gone = new ArrayList<>();
+    List<RegistryRecord.Cache> present = new ArrayList<>();
+    for (String key : touched) {
+      RegistryEntry oldEntry = before.get(key);
+      RegistryEntry newEntry = after.get(key);
+      RegistryRecord.Cache oldEndpoint = endpointOf(oldEntry);
+      RegistryRecord.Cache newEndpoint = endpointOf(newEntry);
+      if (oldEndpoint != null && newEndpoint == null) {
+        gone.add(oldEndpoint);
+      } else if (newEndpoint != null
+          && oldEndpoint != null
+          && oldEntry.createRevision() != newEntry.createRevision()) {
+        replaced.add(oldEndpoint);
+        present.add(newEndpoint);
+      } else if (newEndpoint != null && !newEndpoint.equals(oldEndpoint)) {
+        present.add(newEndpoint);
+      }
+    }
+    publishList(replaced, List.of(), nowNanos);
+    publishList(gone, present, nowNanos);
+    for (String key : touched) {
+      publishPurge(before.get(key), after.get(key), nowNanos);
+    }
+  }
+
+  private static RegistryRecord.Cache endpointOf(RegistryEntry entry) {
+    return entry != null && entry.value() instanceof RegistryRecord.Cache endpoint
+        ? endpoint
+        : null;
+  }
+
+  private void publishList(
+      List<RegistryRecord.Cache> gone, List<RegistryRecord.Cache> present, long nowNanos) {
+    if (gone.isEmpty() && present.isEmpty()) {
+      return;
+    }
+    listener.endpointListStarted(EndpointListKind.CHANGES);
+    gone.forEach(this::publishGone);
+    // An endpoint that appeared while this view was kept has started since, whatever its writer's
+    // clock showed: within a step of that clock.
+    present.forEach(
+        endpoint -> publishPresent(endpoint, nowNanos, EndpointStartTimes.MAX_CLOCK_STEP_MILLIS));
+    listener.endpointListCompleted();
+  }
+
+  private void publishPresent(
+      RegistryRecord.Cache endpoint, long nowNanos, long maxClockErrorMillis) {
+    long startedAtMillis =
+        startTimes.startedAt(
+            endpoint.id(), endpoint.startedAtMs(), nowNanos / MS, maxClockErrorMillis);
+    publish(endpoint, endpoint.state(), startedAtMillis);
+  }
+
+  private void publishGone(RegistryRecord.Cache endpoint) {
+    startTimes.remove(endpoint.id());
+    publish(endpoint, EndpointState.GONE, 0);
+  }
+
+  private void publish(RegistryRecord.Cache endpoint, EndpointState state, long startedAtMillis) {
+    listener.endpointListed(
+        new ListedEndpoint(
+            endpoint.id(),
+            endpoint.address(),
+            endpoint.zone(),
+            endpoint.kind(),
+            endpoint.cell(),
+            state,
+            endpoint.weight(),
+            startedAtMillis));
+  }
+
+  /**
+   * A purge that is new to the view was committed since the view was last current: at the latest
+   * now, which is told in place of the writer's stamp, whose clock may have stepped.
+   */
+  private void publishPurge(RegistryEntry before, RegistryEntry after, long nowNanos) {
+    if (after != null
+        && after.value() instanceof RegistryRecord.Purge purge
+        && (before == null || !purge.equals(before.value()))) {
+      listener.objectPurged(purge.object(), purge.group(), nowNanos / MS);
+    }
+  }
+}
--- a/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * When caches started, by this process's clock: as late as it can be by the stamps of those who
- * wrote them, whose wall clocks may have stepped, and the same each time it is told. Bounds: one
- * entry for each cache that is held.
+ * When endpoints started, by this process's clock: the latest time that the writer's stamp allows,
+ * since its wall clock may have stepped, and the same time whenever it is published. Times are Unix
+ * milliseconds. Bounds: one entry for each endpoint that is in the view.
  */
 final class EndpointStartTimes {
   /** By how much a wall clock steps at most. */
@@ -18,11 +18,10 @@
   private final Map<String, Start> starts = new HashMap<>();
 
   /**
-   * The start to tell, in milliseconds; 0 for long ago.
+   * The time of start to publish; 0 for long ago.
    *
    * @param stampMillis the stamp in the registry
-   * @param maxErrorMillis by how much its writer's clock may be behind: nothing started later than
-   *     now
+   * @param maxErrorMillis by how much its writer's clock may be behind
    */
   long startedAt(String id, long stampMillis, long nowMillis, long maxErrorMillis) {
     if (stampMillis == 0) {
@@ -31,6 +30,7 @@
     }
     Start start = starts.get(id);
     if (start == null || start.stampMillis != stampMillis) {
+      // Nothing in the view started later than now.
       long latestMillis =
           stampMillis > nowMillis - maxErrorMillis ? nowMillis : stampMillis + maxErrorMillis;
       start = new Start(stampMillis, latestMillis);
@@ -39,12 +39,12 @@
     return start.startedAtMillis;
   }
 
-  /** A cache is gone: the same id is another one. */
+  /** An endpoint is gone: what comes under its id later is another one. */
   void remove(String id) {
     starts.remove(id);
   }
 
-  /** Only these are held. */
+  /** Forgets all endpoints but these. */
   void retain(Collection<String> ids) {
     starts.keySet().retainAll(ids);
   }
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -24,7 +24,7 @@
     long age = now - confirmedAtNanos;
     return age >= 0
         ? age
-        : age >= -RegistryView.MAX_CLOCK_SKEW_NANOS ? 0 : age + MAX_CLOCK_STEP_NANOS;
+        : age >= -EndpointChangePublisher.MAX_CLOCK_SKEW_NANOS ? 0 : age + MAX_CLOCK_STEP_NANOS;
   }
 
   /** Why it is not to be served from; null where it may be. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -13,6 +13,7 @@
 import org.amberpath.gateway.EndpointSource;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryListing;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.Snapshot;
 import org.amberpath.registry.WatchCommands;
@@ -149,7 +150,9 @@
       LOG.warning("registry: the snapshot is passed over: " + refusal);
     } else {
       view.restoreSnapshot(
-          now, kept.entries(), kept.cluster(), kept.revision(), now - kept.ageNanos(now));
+          now,
+          new RegistryListing(
+              kept.entries(), kept.cluster(), kept.revision(), now - kept.ageNanos(now)));
       LOG.info(
           "registry: serves from a snapshot of revision "
               + kept.revision()
