--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -1,8 +1,6 @@
 package org.amberpath.registry.runtime;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import com.fasterxml.jackson.core.JsonParser;
 import io.vertx.core.MultiMap;
 import io.vertx.core.http.HttpMethod;
 import java.io.IOException;
@@ -10,32 +8,37 @@
 import java.util.ArrayList;
 import java.util.Base64;
 import java.util.List;
+import java.util.Optional;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryPage;
+import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.WatchSession.Header;
 
 /**
  * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index
- * passes the one told, and brings all keys under the prefix. Reads are made consistent, so that an
+ * passes the given one, and returns all keys under the prefix. Reads are consistent, so that an
  * index that goes back is the registry's.
  */
 final class ConsulProtocol implements RegistryProtocol {
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
-  private static final String INDEX = "X-Consul-Index",
-      WHOLE_PREFIX = "?recurse=true&consistent=true";
+  private static final String INDEX_HEADER = "X-Consul-Index";
+  private static final String ALL_KEYS_QUERY = "?recurse=true&consistent=true";
 
   private final String prefix;
-  private final long waitMs;
+  private final long waitMillis;
 
   /**
-   * A read is held back for waitMs, and up to a sixteenth more, as the server's own jitter has it.
+   * The protocol for the keys under a prefix, which ends in a slash.
+   *
+   * @param waitMillis how long a read is held back; the server adds up to a sixteenth of jitter
    */
-  ConsulProtocol(String prefix, long waitMs) {
+  ConsulProtocol(String prefix, long waitMillis) {
     this.prefix = prefix;
-    this.waitMs = waitMs;
+    this.waitMillis = waitMillis;
   }
 
   private static Request get(String uri) {
@@ -43,55 +46,62 @@
   }
 
   @Override
-  public Request listRequest(long revision, String after, long since, int limit) {
-    return get("/v1/kv/" + prefix + WHOLE_PREFIX);
+  public Request listRequest(long revision, String afterKey, long sinceRevision, int pageSize) {
+    return get("/v1/kv/" + prefix + ALL_KEYS_QUERY);
   }
 
   @Override
-  public Page decodePage(int status, MultiMap headers, byte[] body) {
+  public RegistryPage decodePage(int status, MultiMap headers, byte[] body) {
     long index = index(headers);
-    List<RegistryEntry> items = new ArrayList<>();
+    List<RegistryEntry> entries = new ArrayList<>();
     if (status == 200) {
-      for (JsonReader one : each(body)) {
-        String key = one.string("Key");
-        if (!key.startsWith(prefix)) {
-          throw one.invalid("Key", "not under " + prefix);
-        }
-        items.add(
-            new RegistryEntry(
-                key,
-                RecordCodec.read(key.substring(prefix.length()), EtcdProtocol.bytes(one, "Value")),
-                one.longValue("CreateIndex"),
-                one.longValue("ModifyIndex")));
+      for (JsonReader keyValue : JsonBytes.readArray(body)) {
+        entries.add(entry(keyValue));
       }
     }
-    return new Page(new Header("", index), items, false, -1);
+    return new RegistryPage(new Header("", index), entries, false, -1);
+  }
+
+  private RegistryEntry entry(JsonReader keyValue) {
+    String key = keyValue.string("Key");
+    if (!key.startsWith(prefix)) {
+      throw keyValue.invalid("Key", "not under " + prefix);
+    }
+    return new RegistryEntry(
+        key,
+        RecordCodec.decode(key.substring(prefix.length()), JsonBytes.readBase64(keyValue, "Value")),
+        keyValue.longValue("CreateIndex"),
+        keyValue.longValue("ModifyIndex"));
   }
 
   private static long index(MultiMap headers) {
     try {
-      long index = Long.parseLong(headers.get(INDEX));
+      long index = Long.parseLong(headers.get(INDEX_HEADER));
       if (index > 0) {
         return index;
       }
     } catch (NumberFormatException e) {
-      // Said below: also where there is none.
+      // Reported below: also where there is none.
     }
-    throw new InvalidDocumentException("registry: no index above 0 in " + INDEX);
+    throw new InvalidDocumentException("registry: no index above 0 in " + INDEX_HEADER);
   }
 
-  private static List<JsonReader> each(byte[] body) {
-    try (JsonParser parser = JSON.createParser(body)) {
-      return JsonReader.readEach("registry", parser);
-    } catch (IOException e) {
-      throw new InvalidDocumentException("registry: not JSON");
-    }
+  @Override
+  public Request watchRequest(long fromRevision) {
+    return get(
+        "/v1/kv/"
+            + prefix
+            + ALL_KEYS_QUERY
+            + "&index="
+            + (fromRevision - 1)
+            + "&wait="
+            + waitMillis
+            + "ms");
   }
 
   @Override
-  public Request watchRequest(long from) {
-    return get(
-        "/v1/kv/" + prefix + WHOLE_PREFIX + "&index=" + (from - 1) + "&wait=" + waitMs + "ms");
+  public RegistryHttpClient.ResponseKind watchResponse() {
+    return RegistryHttpClient.ResponseKind.COMPLETE;
   }
 
   @Override
@@ -106,9 +116,9 @@
 
   @Override
   public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
-    List<JsonReader> found = status == 200 ? each(body) : List.of();
-    return new Heartbeat(
-        new Header("", 0), found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex"));
+    List<JsonReader> found = status == 200 ? JsonBytes.readArray(body) : List.of();
+    long tipRevision = found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex");
+    return new Heartbeat(new Header("", 0), tipRevision);
   }
 
   @Override
@@ -117,50 +127,58 @@
   }
 
   @Override
-  public RegistryFailure failure(int status, byte[] body) {
+  public Optional<RegistryFailure> failure(int status, byte[] body) {
     return switch (status) {
-      // Nothing stands under the prefix or there is no tip yet; a key moved before a transaction.
-      case 200, 404, CONFLICT -> null;
-      case 401, 403 -> RegistryFailure.UNAUTHORISED;
-      case 429 -> RegistryFailure.THROTTLED;
-      default -> status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE;
+      // Nothing stands under the prefix or there is no tip yet; a key was written before a
+      // transaction.
+      case 200, NOT_FOUND, CONFLICT -> Optional.empty();
+      case 401, 403 -> Optional.of(RegistryFailure.UNAUTHORISED);
+      case 429 -> Optional.of(RegistryFailure.THROTTLED);
+      default ->
+          Optional.of(status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE);
     };
   }
 
   @Override
-  public Request transactionRequest(List<Write> writes, long lease, byte[] tip) {
-    return new Request(
-        HttpMethod.PUT,
-        "/v1/txn",
-        EtcdProtocol.json(
-            to -> {
-              to.writeStartArray();
+  public Request transactionRequest(List<Write> writes, long leaseId, byte[] tip) {
+    byte[] body =
+        JsonBytes.write(
+            json -> {
+              json.writeStartArray();
               for (Write write : writes) {
-                verb(
-                    to,
-                    write.value() == null ? "delete-cas" : "cas",
-                    write.key(),
-                    write.value() == null ? null : RecordCodec.encode(write.value()),
-                    write.expectedRevision());
+                writeOperation(json, write);
               }
-              verb(to, "set", prefix + RecordCodec.TIP_KEY, tip, 0);
-              to.writeEndArray();
-            }));
+              writeVerb(json, "set", prefix + RecordCodec.TIP_KEY, Optional.of(tip), 0);
+              json.writeEndArray();
+            });
+    return new Request(HttpMethod.PUT, "/v1/txn", body);
+  }
+
+  private static void writeOperation(JsonGenerator json, Write write) throws IOException {
+    Optional<RegistryRecord> value = write.value();
+    writeVerb(
+        json,
+        value.isPresent() ? "cas" : "delete-cas",
+        write.key(),
+        value.map(RecordCodec::encode),
+        write.expectedRevision());
   }
 
-  private static void verb(JsonGenerator to, String verb, String key, byte[] value, long index)
+  private static void writeVerb(
+      JsonGenerator json, String verb, String key, Optional<byte[]> value, long index)
       throws IOException {
-    to.writeStartObject();
-    to.writeObjectFieldStart("KV");
-    to.writeStringField("Verb", verb);
-    to.writeStringField("Key", key);
-    if (value != null) {
-      to.writeStringField(
-          "Value", new String(Base64.getEncoder().encode(value), StandardCharsets.ISO_8859_1));
+    json.writeStartObject();
+    json.writeObjectFieldStart("KV");
+    json.writeStringField("Verb", verb);
+    json.writeStringField("Key", key);
+    if (value.isPresent()) {
+      json.writeStringField(
+          "Value",
+          new String(Base64.getEncoder().encode(value.get()), StandardCharsets.ISO_8859_1));
     }
-    to.writeNumberField("Index", index);
-    to.writeEndObject();
-    to.writeEndObject();
+    json.writeNumberField("Index", index);
+    json.writeEndObject();
+    json.writeEndObject();
   }
 
   @Override
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -14,29 +14,38 @@
 
 /**
  * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is
- * {@link Content.Unreadable}, never an exception.
+ * {@link RegistryRecord.Unreadable}, never an exception.
  */
 public final class RecordCodec {
-  public static final String CACHES_PREFIX = "caches/",
-      PURGES_PREFIX = "purges/",
-      TASKS_PREFIX = "tasks/",
-      TIP_KEY = "tip";
+  /** What the keys of caches begin with, after the prefix of all keys. */
+  public static final String CACHES_PREFIX = "caches/";
+
+  /** What the keys of purges begin with. */
+  public static final String PURGES_PREFIX = "purges/";
+
+  /** What the keys of tasks' terms begin with. */
+  public static final String TASKS_PREFIX = "tasks/";
+
+  /** The key of the tip, which every transaction writes. */
+  public static final String TIP_KEY = "tip";
 
   /**
-   * Who owns a task for now: gone with its lease. Beside {@link #TASKS_PREFIX}, so that one range
-   * has both.
+   * What the keys of tasks' owners begin with, which go with their leases. Beside {@link
+   * #TASKS_PREFIX}, so that one range has both.
    */
   static final String OWNERS_PREFIX = "task-owners/";
 
-  private static final int VERSION = 1, MAX_VALUE_BYTES = 4096, MAX_NAME_LENGTH = 128;
+  private static final int VERSION = 1;
+  private static final int MAX_VALUE_BYTES = 4096;
+  private static final int MAX_NAME_LENGTH = 128;
   private static final JsonFactory JSON = new JsonFactory();
 
   private RecordCodec() {}
 
-  /** Reads what stands under a key, given without the prefix. */
-  static RegistryRecord read(String key, byte[] value) {
-    boolean task = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS_PREFIX);
-    if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !task) {
+  /** Decodes the value of a key, which is given without the prefix of all keys. */
+  static RegistryRecord decode(String key, byte[] value) {
+    boolean isTask = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS_PREFIX);
+    if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !isTask) {
       return new RegistryRecord.Other();
     }
     if (value.length > MAX_VALUE_BYTES) {
@@ -47,7 +56,7 @@
       if (fields.longValue("v") != VERSION) {
         return new RegistryRecord.Unreadable("version " + fields.longValue("v"));
       }
-      if (task) {
+      if (isTask) {
         return new RegistryRecord.Task(
             fields.longValue("term"), name(fields, "by", fields.string("by")));
       }
@@ -115,7 +124,7 @@
 
   /** Why gateways would not read this of a cache; null where they would. */
   public static String validationError(RegistryRecord.Cache cache) {
-    return read(CACHES_PREFIX + cache.id(), encode(cache))
+    return decode(CACHES_PREFIX + cache.id(), encode(cache))
             instanceof RegistryRecord.Unreadable unreadable
         ? unreadable.reason()
         : null;
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -1,318 +1,217 @@
 package org.amberpath.registry.runtime;
 
-import io.vertx.core.Context;
 import io.vertx.core.Future;
-import io.vertx.core.MultiMap;
-import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.concurrent.TimeUnit;
-import java.util.function.Function;
+import java.util.Optional;
 import org.amberpath.registry.RegistryEntry;
-import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryPage;
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * Reads and writes a registry for people: each read from the first endpoint that answers, each
- * write one transaction together with the tip, which is not tried again when it may have been
- * carried out.
+ * Reads and writes a registry for operators and tasks: each read from the first endpoint that
+ * answers, each write one transaction together with the tip, which is not tried again when it may
+ * have been carried out. Futures fail with {@link RegistryRequestException}, or with {@link
+ * org.amberpath.gateway.settings.InvalidDocumentException} where an answer can't be decoded. Called
+ * from any thread.
  */
 public final class RegistryAdminClient implements AutoCloseable {
-  private static final int PAGE = 1000, MAX_WRITES = 32;
-  private static final long TIMEOUT_MILLIS = 3000,
-      SECOND = 1_000_000_000,
-      MAX_CLOCK_STEP_MILLIS = 3_600_000;
+  private static final int PAGE_SIZE = 1000;
+  private static final int MAX_WRITES = 32;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1_000_000_000;
+  private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
-  /** What a person is told when nothing can be read or written. */
-  public static final class Refused extends RuntimeException {
-    Refused(String message) {
-      super(message);
-    }
+  /** How long the keys of a transaction stay. */
+  private enum Lifetime {
+    /** Until they are deleted. */
+    PERMANENT,
+    /** For the retention of purges, where the registry has leases. */
+    RETENTION
   }
 
-  @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
-  private record Got(int status, MultiMap headers, byte[] body) {}
-
   private final RegistrySettings settings;
-  private final RegistryProtocol form;
-  private final RegistryHttpClient client;
-  private final Context loop;
+  private final AdminRequests requests;
+  private final RegistryProtocol protocol;
+  private final LeaseClient leases;
 
-  /**
-   * Asked from any thread; works on the event loop of the one that makes it, or on one of Vert.x's.
-   */
-  public RegistryAdminClient(Vertx vertx, RegistrySettings access) {
-    loop = vertx.getOrCreateContext();
-    this.settings = access;
-    form = RegistrySource.protocol(access);
-    client = new RegistryHttpClient(vertx, access, form);
+  /** Makes a client that has requested nothing yet. */
+  public RegistryAdminClient(Vertx vertx, RegistrySettings settings) {
+    this.settings = settings;
+    requests = new AdminRequests(vertx, settings);
+    protocol = requests.protocol();
+    leases = new LeaseClient(requests, settings.prefix());
   }
 
-  /** All keys at one revision; fails with what staff can act on. */
+  /** All keys at one revision. */
   public Future<List<RegistryEntry>> list() {
-    return list(0);
-  }
-
-  private Future<List<RegistryEntry>> list(int endpoint) {
-    return pages(endpoint, 0, "", new ArrayList<>())
-        .recover(
-            e ->
-                endpoint + 1 < settings.endpoints().size()
-                    ? list(endpoint + 1)
-                    : Future.failedFuture(e));
+    return requests.firstAnswering(endpoint -> listPages(endpoint, 0, "", new ArrayList<>()));
   }
 
-  private Future<List<RegistryEntry>> pages(
-      int endpoint, long revision, String after, List<RegistryEntry> all) {
-    return ask(endpoint, form.listRequest(revision, after, 0, PAGE))
+  private Future<List<RegistryEntry>> listPages(
+      int endpoint, long revision, String afterKey, List<RegistryEntry> entries) {
+    return requests
+        .send(endpoint, protocol.listRequest(revision, afterKey, 0, PAGE_SIZE))
         .compose(
-            got -> {
-              RegistryProtocol.Page page = form.decodePage(got.status, got.headers, got.body);
-              all.addAll(page.items());
-              if (all.size() > settings.maxKeys()) {
+            response -> {
+              RegistryPage page =
+                  protocol.decodePage(response.status(), response.headers(), response.body());
+              entries.addAll(page.entries());
+              if (entries.size() > settings.maxKeys()) {
                 return Future.failedFuture(
-                    new Refused("more than " + settings.maxKeys() + " keys"));
+                    new RegistryRequestException.TooManyKeys(settings.maxKeys()));
               }
-              if (!page.more() || page.items().isEmpty()) {
-                return Future.succeededFuture(all);
+              if (!page.hasMore() || page.entries().isEmpty()) {
+                return Future.succeededFuture(entries);
               }
-              return pages(
+              return listPages(
                   endpoint,
                   revision == 0 ? page.header().revision() : revision,
-                  page.items().get(page.items().size() - 1).key(),
-                  all);
+                  page.entries().get(page.entries().size() - 1).key(),
+                  entries);
             });
   }
 
-  /**
-   * Writes keys and the tip, or nothing.
-   *
-   * @param leased whether the keys go by themselves after the retention, where the registry can do
-   *     that
-   * @return whether nothing had moved meanwhile
-   */
-  private Future<Boolean> write(List<RegistryProtocol.Write> writes, boolean leased) {
-    byte[] tip =
-        (System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime()))
-            .getBytes(StandardCharsets.US_ASCII);
-    boolean grants = leased && settings.protocol() == RegistrySettings.ProtocolKind.ETCD;
-    return reached(0)
+  /** Writes keys and the tip, or nothing; returns whether nothing was written meanwhile. */
+  private Future<Boolean> commit(List<RegistryProtocol.Write> writes, Lifetime lifetime) {
+    String tip = System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime());
+    return requests
+        .firstReachable()
         .compose(
-            endpoint -> {
-              Future<Long> lease =
-                  grants
-                      ? ask(
-                              endpoint,
-                              EtcdProtocol.leaseGrantRequest(
-                                  settings.purgeRetentionNanos() / SECOND))
-                          .map(got -> EtcdProtocol.decodeLeaseGrant(got.body))
-                      : Future.succeededFuture(0L);
-              return lease
-                  .compose(id -> ask(endpoint, form.transactionRequest(writes, id, tip)))
-                  .map(got -> form.isCommitted(got.status, got.body));
-            });
+            endpoint ->
+                leaseFor(endpoint, lifetime)
+                    .compose(
+                        leaseId ->
+                            requests.send(
+                                endpoint,
+                                protocol.transactionRequest(
+                                    writes, leaseId, tip.getBytes(StandardCharsets.US_ASCII))))
+                    .map(response -> protocol.isCommitted(response.status(), response.body())));
+  }
+
+  private Future<Long> leaseFor(int endpoint, Lifetime lifetime) {
+    return lifetime == Lifetime.RETENTION && hasLeases()
+        ? leases.grant(endpoint, settings.purgeRetentionNanos() / NANOS_PER_SECOND)
+        : Future.succeededFuture(0L);
+  }
+
+  private boolean hasLeases() {
+    return settings.protocol() == RegistrySettings.ProtocolKind.ETCD;
   }
 
   /**
-   * Changes one key from what it was when it was read, or makes it: 0 for a key that is not there.
+   * Changes one key, or makes it, if it is as it was read.
+   *
+   * @param value the new value; null deletes the key
+   * @param modRevision at which revision it was last written; 0 for a key that is not there
+   * @return whether it was; otherwise nothing was written
    */
-  public Future<Boolean> write(String key, RegistryRecord content, long changed) {
-    return write(List.of(new RegistryProtocol.Write(key, content, changed)), false);
+  public Future<Boolean> write(String key, RegistryRecord value, long modRevision) {
+    return commit(
+        List.of(new RegistryProtocol.Write(key, Optional.ofNullable(value), modRevision)),
+        Lifetime.PERMANENT);
   }
 
   /**
-   * Writes a purge that stays for the retention; those that are past it go with it where nothing
-   * else lets them go.
+   * Writes a purge that stays for the retention. Where the registry has no leases, purges that are
+   * past their retention are deleted with it.
+   *
+   * @return whether it was written; otherwise one of the keys was written meanwhile
    */
   public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
-    RegistryProtocol.Write made =
-        new RegistryProtocol.Write(settings.prefix() + RecordCodec.PURGES_PREFIX + name, purge, 0);
-    if (settings.protocol() == RegistrySettings.ProtocolKind.ETCD) {
-      return write(List.of(made), true);
+    RegistryProtocol.Write added =
+        RegistryProtocol.Write.put(settings.prefix() + RecordCodec.PURGES_PREFIX + name, purge, 0);
+    if (hasLeases()) {
+      return commit(List.of(added), Lifetime.RETENTION);
     }
     return list()
         .compose(
-            all -> {
-              List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(made));
-              expiredPurges(all, purge.atMs(), settings.purgeRetentionNanos()).stream()
+            entries -> {
+              List<RegistryProtocol.Write> writes = new ArrayList<>(List.of(added));
+              expiredPurges(entries, purge.atMs(), settings.purgeRetentionNanos()).stream()
                   .limit(MAX_WRITES - 1)
-                  .forEach(
-                      held ->
-                          writes.add(
-                              new RegistryProtocol.Write(held.key(), null, held.modRevision())));
-              return write(writes, false);
+                  .forEach(expired -> writes.add(deletion(expired)));
+              return commit(writes, Lifetime.PERMANENT);
             });
   }
 
+  private static RegistryProtocol.Write deletion(RegistryEntry entry) {
+    return RegistryProtocol.Write.delete(entry.key(), entry.modRevision());
+  }
+
   /**
    * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else
    * to tell it by here, so both may be a step off, each to its own side.
    */
-  static List<RegistryEntry> expiredPurges(List<RegistryEntry> all, long nowMs, long retention) {
-    long before = nowMs - retention / (SECOND / 1000) - 2 * MAX_CLOCK_STEP_MILLIS;
-    return all.stream()
-        .filter(one -> one.value() instanceof RegistryRecord.Purge old && old.atMs() < before)
+  static List<RegistryEntry> expiredPurges(
+      List<RegistryEntry> entries, long nowMillis, long retentionNanos) {
+    long beforeMillis = nowMillis - retentionNanos / NANOS_PER_MILLI - 2 * MAX_CLOCK_STEP_MILLIS;
+    return entries.stream()
+        .filter(
+            entry ->
+                entry.value() instanceof RegistryRecord.Purge purge && purge.atMs() < beforeMillis)
         .toList();
   }
 
   /**
-   * Deletes keys for the fleet, or nothing: the task's fence moves with them, so an owner that was
-   * overtaken meanwhile deletes nothing.
+   * Deletes keys for the fleet, or nothing: the task's fence is written with them, so a leader that
+   * was superseded meanwhile deletes nothing.
    *
-   * @param fence what the task's key holds by what was read; null where there is none
+   * @param fence the task's key as it was read; null where there is none
+   * @param expired what is deleted; the first {@value #MAX_WRITES} of them
    */
   public Future<Boolean> deletePurges(
-      String task, RegistryRecord.Task as, RegistryEntry fence, List<RegistryEntry> old) {
+      String task, RegistryRecord.Task leader, RegistryEntry fence, List<RegistryEntry> expired) {
     List<RegistryProtocol.Write> writes = new ArrayList<>();
     writes.add(
-        new RegistryProtocol.Write(
+        RegistryProtocol.Write.put(
             settings.prefix() + RecordCodec.TASKS_PREFIX + task,
-            as,
+            leader,
             fence == null ? 0 : fence.modRevision()));
-    old.stream()
-        .limit(MAX_WRITES)
-        .forEach(one -> writes.add(new RegistryProtocol.Write(one.key(), null, one.modRevision())));
-    return write(writes, false);
+    expired.stream().limit(MAX_WRITES).forEach(entry -> writes.add(deletion(entry)));
+    return commit(writes, Lifetime.PERMANENT);
   }
 
-  // ---- Leases, of the form that has them.
-
-  /** The keys that say who owns which task, and under which term. */
+  /** The keys that say who owns which task, and under which term; etcd alone has them. */
   public Future<List<RegistryEntry>> tasks() {
-    return each(
-        0,
-        endpoint ->
-            ask(endpoint, etcd().tasksRequest())
-                .map(got -> form.decodePage(got.status, got.headers, got.body).items()));
+    return leases.tasks();
   }
 
   /**
-   * Takes a task for the seconds of a lease, if nobody has it and its term is as it was read.
+   * Takes a task for the time to live of a new lease, if nobody has it and its term is as it was
+   * read.
    *
-   * @param changed at what revision the term's key was read; 0 for none
-   * @return the lease; 0 where another was first
+   * @param modRevision at which revision the term's key was last written; 0 for none
+   * @return the lease's id; 0 where another one was first
    */
-  public Future<Long> campaign(String task, RegistryRecord.Task as, long changed, long seconds) {
-    RegistryProtocol.Write term =
-        new RegistryProtocol.Write(
-            settings.prefix() + RecordCodec.TASKS_PREFIX + task, as, changed);
-    RegistryProtocol.Write owner =
-        new RegistryProtocol.Write(settings.prefix() + RecordCodec.OWNERS_PREFIX + task, as, 0);
-    return reached(0)
-        .compose(
-            endpoint ->
-                ask(endpoint, EtcdProtocol.leaseGrantRequest(seconds))
-                    .map(got -> EtcdProtocol.decodeLeaseGrant(got.body))
-                    .compose(
-                        lease ->
-                            ask(endpoint, etcd().campaignRequest(term, owner, lease))
-                                .map(got -> form.isCommitted(got.status, got.body) ? lease : 0L)));
-  }
-
-  /** Whether the lease was there to be kept. */
-  public Future<Boolean> keepAlive(long lease) {
-    return each(
-        0,
-        endpoint ->
-            ask(endpoint, EtcdProtocol.leaseRenewalRequest(lease))
-                .map(got -> EtcdProtocol.decodeLeaseRenewal(got.body)));
+  public Future<Long> campaign(
+      String task, RegistryRecord.Task candidate, long modRevision, long ttlSeconds) {
+    return leases.campaign(task, candidate, modRevision, ttlSeconds);
   }
 
-  /** Gives a lease back, and with it what hangs on it. */
-  public Future<Void> revoke(long lease) {
-    return each(0, endpoint -> ask(endpoint, EtcdProtocol.leaseRevokeRequest(lease)).mapEmpty());
+  /** Lease renewal; false where the lease has expired. */
+  public Future<Boolean> keepAlive(long leaseId) {
+    return leases.renew(leaseId);
   }
 
-  private EtcdProtocol etcd() {
-    return (EtcdProtocol) form;
-  }
-
-  /** The first endpoint that answers; for what may be said twice. */
-  private <T> Future<T> each(int endpoint, Function<Integer, Future<T>> what) {
-    return what.apply(endpoint)
-        .recover(
-            e ->
-                endpoint + 1 < settings.endpoints().size()
-                    ? each(endpoint + 1, what)
-                    : Future.failedFuture(e));
+  /** Gives a lease back, and with it the keys that hang on it. */
+  public Future<Void> revoke(long leaseId) {
+    return leases.revoke(leaseId);
   }
 
   /** The task that a key is of, its owner's or its term's; null for another key. */
-  public String taskName(RegistryEntry held, boolean owner) {
+  public String taskName(RegistryEntry entry, boolean owner) {
     String begins =
         settings.prefix() + (owner ? RecordCodec.OWNERS_PREFIX : RecordCodec.TASKS_PREFIX);
-    return held.key().startsWith(begins) && held.value() instanceof RegistryRecord.Task
-        ? held.key().substring(begins.length())
+    return entry.key().startsWith(begins) && entry.value() instanceof RegistryRecord.Task
+        ? entry.key().substring(begins.length())
         : null;
   }
 
-  /** The first endpoint that answers a read. */
-  private Future<Integer> reached(int endpoint) {
-    return ask(endpoint, form.heartbeatRequest())
-        .map(endpoint)
-        .recover(
-            e ->
-                endpoint + 1 < settings.endpoints().size()
-                    ? reached(endpoint + 1)
-                    : Future.failedFuture(e));
-  }
-
-  private Future<Got> ask(int endpoint, RegistryProtocol.Request ask) {
-    // Guards against an answer that comes while a thread of its own is still about to listen to it.
-    return Future.future(
-        asked -> loop.runOnContext(now -> askHere(endpoint, ask).onComplete(asked)));
-  }
-
-  private Future<Got> askHere(int endpoint, RegistryProtocol.Request ask) {
-    Promise<Got> got = Promise.promise();
-    RegistryHttpClient.Exchange sent =
-        client.send(
-            endpoint,
-            ask,
-            false,
-            new RegistryHttpClient.ResponseHandler() {
-              @Override
-              public void completed(int status, MultiMap headers, byte[] body) {
-                got.tryComplete(new Got(status, headers, body));
-              }
-
-              @Override
-              public void failed(RegistryFailure why, long retryAfter) {
-                got.tryFail(new Refused(settings.endpoints().get(endpoint) + ": " + say(why)));
-              }
-            });
-    return got.future()
-        .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-        .recover(
-            e -> {
-              sent.cancel();
-              return Future.failedFuture(
-                  e instanceof Refused
-                      ? e
-                      : new Refused(
-                          settings.endpoints().get(endpoint)
-                              + ": no answer in "
-                              + TIMEOUT_MILLIS
-                              + " ms; a write may have been carried out"));
-            });
-  }
-
-  private static String say(RegistryFailure why) {
-    return switch (why) {
-      case REFUSED -> "nothing listens there";
-      case TIMED_OUT -> "no connection in time";
-      case UNAUTHORISED -> "it does not take this token or user";
-      case UNTRUSTED -> "no TLS connection: look at trust, certificate and key";
-      case UNAVAILABLE -> "it can't serve now";
-      case THROTTLED -> "it asks for fewer calls";
-      default -> "the connection broke, or what came can't be read";
-    };
-  }
-
   @Override
   public void close() {
-    client.close();
+    requests.close();
   }
 }
--- /dev/null
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpExchange.java
@@ -0,0 +1,192 @@
+package org.amberpath.registry.runtime;
+
+import io.netty.channel.ConnectTimeoutException;
+import io.vertx.core.Future;
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpClientRequest;
+import io.vertx.core.http.HttpClientResponse;
+import io.vertx.core.net.SocketAddress;
+import io.vertx.core.parsetools.RecordParser;
+import java.net.ConnectException;
+import java.util.Optional;
+import java.util.concurrent.CancellationException;
+import javax.net.ssl.SSLException;
+import org.amberpath.registry.RegistryFailure;
+
+/** One request under way, until its handler was called with an end or it was cancelled. */
+final class RegistryHttpExchange {
+  private static final int UNAUTHORIZED = 401;
+  private static final int FORBIDDEN = 403;
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final long MAX_RETRY_AFTER_SECONDS = 60;
+
+  private final RegistryHttpClient client;
+  private final SocketAddress endpoint;
+  private final RegistryProtocol.Request request;
+  private final RegistryHttpClient.ResponseKind kind;
+  private final RegistryHttpClient.ResponseHandler handler;
+  private HttpClientRequest sent;
+  private boolean isOver;
+  private boolean isTokenRenewed;
+
+  RegistryHttpExchange(
+      RegistryHttpClient client,
+      SocketAddress endpoint,
+      RegistryProtocol.Request request,
+      RegistryHttpClient.ResponseKind kind,
+      RegistryHttpClient.ResponseHandler handler) {
+    this.client = client;
+    this.endpoint = endpoint;
+    this.request = request;
+    this.kind = kind;
+    this.handler = handler;
+  }
+
+  SocketAddress endpoint() {
+    return endpoint;
+  }
+
+  /** Gives it up: the handler hears nothing more. */
+  void cancel() {
+    isOver = true;
+    if (sent != null) {
+      sent.reset();
+    }
+  }
+
+  /** Sends the request, unless it was cancelled. */
+  void start() {
+    if (isOver) {
+      return;
+    }
+    client
+        .open(endpoint, request)
+        .compose(
+            opened -> {
+              sent = opened;
+              if (isOver) {
+                opened.reset();
+                return Future.failedFuture(new CancellationException());
+              }
+              return request.body() == null
+                  ? opened.send()
+                  : opened.send(Buffer.buffer(request.body()));
+            })
+        .onSuccess(this::read)
+        .onFailure(this::failed);
+  }
+
+  private void read(HttpClientResponse response) {
+    response.exceptionHandler(this::failed);
+    if (kind == RegistryHttpClient.ResponseKind.LINES && response.statusCode() == 200) {
+      readLines(response);
+      return;
+    }
+    Buffer body = Buffer.buffer();
+    response.handler(
+        part -> {
+          if (body.length() + (long) part.length() > client.maxResponseBytes()) {
+            unreadable();
+          } else {
+            body.appendBuffer(part);
+          }
+        });
+    response.endHandler(end -> completed(response, body.getBytes()));
+  }
+
+  private void readLines(HttpClientResponse response) {
+    RecordParser parser =
+        RecordParser.newDelimited(
+            "\n",
+            line -> {
+              if (!isOver) {
+                handler.line(line.getBytes());
+              }
+            });
+    // Guards against a line without end.
+    parser.maxRecordSize(client.maxResponseBytes());
+    parser.exceptionHandler(e -> unreadable());
+    response.handler(parser);
+    response.endHandler(end -> end(RegistryFailure.BROKEN, 0));
+  }
+
+  private void completed(HttpClientResponse response, byte[] body) {
+    if (isOver) {
+      return;
+    }
+    int status = response.statusCode();
+    if ((status == UNAUTHORIZED || status == FORBIDDEN) && !isTokenRenewed) {
+      renewToken();
+      return;
+    }
+    Optional<RegistryFailure> failure =
+        client.protocol().isCompacted(status, body)
+            ? Optional.empty()
+            : client.protocol().failure(status, body);
+    if (failure.isPresent()) {
+      end(failure.get(), retryAfterNanos(response.getHeader("Retry-After")));
+    } else {
+      isOver = true;
+      handler.completed(status, response.headers(), body);
+    }
+  }
+
+  /** Guards against a token that has expired: a new one is fetched, once. */
+  private void renewToken() {
+    isTokenRenewed = true;
+    client
+        .renewToken(endpoint)
+        .onComplete(
+            renewal -> {
+              if (renewal.succeeded() && renewal.result()) {
+                start();
+              } else {
+                end(RegistryFailure.UNAUTHORISED, 0);
+              }
+            });
+  }
+
+  private void unreadable() {
+    if (!isOver) {
+      sent.reset();
+      end(RegistryFailure.UNREADABLE, 0);
+    }
+  }
+
+  /** Ends it for a cause that is no response. */
+  void failed(Throwable why) {
+    end(failureOf(why), 0);
+  }
+
+  static RegistryFailure failureOf(Throwable why) {
+    for (Throwable cause = why; cause != null; cause = cause.getCause()) {
+      if (cause instanceof SSLException) {
+        return RegistryFailure.UNTRUSTED;
+      } else if (cause instanceof ConnectTimeoutException) {
+        return RegistryFailure.TIMED_OUT;
+      } else if (cause instanceof ConnectException) {
+        return RegistryFailure.REFUSED;
+      }
+    }
+    return RegistryFailure.BROKEN;
+  }
+
+  /** Ends it, unless it is over. */
+  void end(RegistryFailure why, long retryAfterNanos) {
+    if (!isOver) {
+      isOver = true;
+      handler.failed(why, retryAfterNanos);
+    }
+  }
+
+  private static long retryAfterNanos(String header) {
+    try {
+      return header == null
+          ? 0
+          : Math.max(0, Math.min(MAX_RETRY_AFTER_SECONDS, Long.parseLong(header.strip())))
+              * SECOND_NANOS;
+    } catch (NumberFormatException e) {
+      return 0;
+    }
+  }
+}
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -5,23 +5,23 @@
 import java.util.List;
 
 /**
- * * Where a registry is and how it is asked: all that a settings file may say of it, checked. Times
+ * Where a registry is and how it is asked: all that a settings file may hold of it, checked. Times
  * are nanoseconds, sizes bytes.
  *
  * @param protocol which published protocol it speaks
- * @param prefix what all keys begin with, ending in a slash
+ * @param prefix what all keys begin with; ends in a slash
  * @param trust PEM file of the authority that servers' certificates come from; null for an
  *     unencrypted connection
  * @param certificate PEM file of this client's certificate, with key its key; null for none
  * @param token file that holds the token to show; null for none
  * @param user who to log in as, with the password in a file; null for none. Only for {@link
- *     Form#ETCD}
- * @param snapshot file that keeps the view over a restart; null for none
- * @param snapshotIntervalNanos how often it is written at most
+ *     ProtocolKind#ETCD}
+ * @param snapshot file that holds the view over a restart; null for none
+ * @param snapshotIntervalNanos least time between two writes of it
  * @param maxSnapshotAgeNanos a snapshot older than this is passed over
  * @param purgeRetentionNanos how long the registry keeps the key of a purge at least
  * @param maxKeys how many keys are held at most
- * @param maxResponseBytes how long an answer may be
+ * @param maxResponseBytes the size of the longest answer
  */
 public record RegistrySettings(
     ProtocolKind protocol,
@@ -47,6 +47,7 @@
     CONSUL
   }
 
+  /** The key of the tip, which every transaction writes. */
   public String tipKey() {
     return prefix + RecordCodec.TIP_KEY;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -1,36 +1,37 @@
 package org.amberpath.registry.runtime;
 
-import io.vertx.core.MultiMap;
 import io.vertx.core.Vertx;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
-import java.util.concurrent.TimeUnit;
-import java.util.logging.Logger;
+import java.util.Optional;
 import org.amberpath.gateway.Clock;
 import org.amberpath.gateway.EndpointSource;
-import org.amberpath.gateway.settings.InvalidDocumentException;
-import org.amberpath.registry.RegistryFailure;
-import org.amberpath.registry.RegistryListing;
 import org.amberpath.registry.RegistryView;
 import org.amberpath.registry.Snapshot;
-import org.amberpath.registry.WatchCommands;
 import org.amberpath.registry.WatchSession;
+import org.amberpath.registry.WatchSessionConfig;
 import org.amberpath.routing.EndpointListener;
 
 /**
- * A registry as a gateway's source of news: carries out what {@link WatchSession} orders and tells
- * it what came. All of it runs on the event loop that starts it.
+ * A registry as a gateway's source of endpoints and purges: runs a {@link WatchSession} with its
+ * timer, and keeps its view in a snapshot file. All of it runs on the event loop that starts it.
  */
-public final class RegistrySource implements EndpointSource, WatchCommands {
-  private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
-  private static final long BLOCKING = 10_000_000_000L, MS = 1_000_000;
-  private static final int LOG_LINES = 8;
-  private static final long LOG_MS = 1000, READ_MILLIS = 1000;
+public final class RegistrySource implements EndpointSource {
+  private static final long MS = 1_000_000;
+  private static final long BLOCKING_READ_NANOS = 10_000 * MS;
+  private static final long PERIOD_MILLIS = 1000;
 
-  /** What staff may want to know of the view. Ages are nanoseconds, the revision the registry's. */
+  /** Before a timer was set. */
+  private static final long NO_TIMER = -1;
+
+  /**
+   * What an operator may want to know of the view.
+   *
+   * @param hasData whether anything is known
+   * @param revision the registry's, up to which the view has all changes
+   * @param ageNanos since when the view is not known to be current
+   * @param keys how many keys are held
+   * @param watchCount how many watches are open
+   */
   public record Status(
       WatchSession.Phase phase,
       boolean hasData,
@@ -42,130 +43,86 @@
   private final Vertx vertx;
   private final RegistrySettings settings;
   private final Clock clock = new Clock();
-  private final RegistryProtocol form;
+  private final RegistryLog log = new RegistryLog();
   private final RegistryHttpClient client;
+  private final WatchCommandExecutor commands;
   private final WallTimes times;
-  private final SnapshotKeeper keeper;
+  private final Optional<SnapshotKeeper> snapshots;
   private final RegistryView view;
   private final WatchSession session;
-  private final Map<Long, RegistryHttpClient.Exchange> calls = new HashMap<>();
-  private long timer = -1, ticker = -1, armedFor = Long.MAX_VALUE;
-  private int lines, muted;
-  private boolean running;
-
-  /** Makes a source that has asked for nothing yet; the seed gives all its chance. */
-  public RegistrySource(Vertx vertx, RegistrySettings access, EndpointListener to, long seed) {
+  private long tickTimer = NO_TIMER;
+  private long periodTimer = NO_TIMER;
+  private long nextTickNanos = Long.MAX_VALUE;
+  private boolean isRunning;
+
+  /** Makes a source that has requested nothing yet; the seed is that of all random choices. */
+  public RegistrySource(
+      Vertx vertx, RegistrySettings settings, EndpointListener listener, long seed) {
     this.vertx = vertx;
-    this.settings = access;
-    boolean blocking = access.protocol() == RegistrySettings.ProtocolKind.CONSUL;
-    form = protocol(access);
-    client = new RegistryHttpClient(vertx, access, form);
-    times = new WallTimes(to, clock::nowNanos, System::currentTimeMillis);
-    keeper =
-        access.snapshot() == null
-            ? null
-            : new SnapshotKeeper(
-                access.snapshot(),
-                FileOperations.DISK,
-                access.snapshotIntervalNanos(),
-                write -> vertx.executeBlocking(write, false),
-                clock::nowNanos,
-                seed,
-                this::note);
+    this.settings = settings;
+    client = new RegistryHttpClient(vertx, settings, protocol(settings));
+    commands = new WatchCommandExecutor(client, clock::nowNanos, log, this::scheduleTick);
+    times = new WallTimes(listener, clock::nowNanos, System::currentTimeMillis);
+    snapshots =
+        Optional.ofNullable(settings.snapshot())
+            .map(
+                file ->
+                    new SnapshotKeeper(
+                        new SnapshotKeeper.Target(
+                            file, FileOperations.DISK, settings.snapshotIntervalNanos()),
+                        write -> vertx.executeBlocking(write, false),
+                        clock::nowNanos,
+                        seed,
+                        log::info));
     view =
         new RegistryView(
-            times, access.tipKey(), access.maxKeys(), access.purgeRetentionNanos(), this::note);
-    // The server may hold a read for a sixteenth longer than it is asked to.
-    session =
-        new WatchSession(
-            view,
-            this,
-            access.endpoints().size(),
-            access.maxKeys(),
-            blocking ? BLOCKING + BLOCKING / 16 : 0,
-            seed,
-            this::note);
+            times,
+            settings.tipKey(),
+            settings.maxKeys(),
+            settings.purgeRetentionNanos(),
+            log::info);
+    session = new WatchSession(view, commands, config(settings, seed), log::info);
+    commands.attach(session);
   }
 
-  static RegistryProtocol protocol(RegistrySettings access) {
-    return access.protocol() == RegistrySettings.ProtocolKind.ETCD
-        ? new EtcdProtocol(access.prefix())
-        : new ConsulProtocol(access.prefix(), BLOCKING / MS);
+  private static WatchSessionConfig config(RegistrySettings settings, long seed) {
+    boolean hasBlockingReads = settings.protocol() == RegistrySettings.ProtocolKind.CONSUL;
+    // The server may hold a read back for a sixteenth longer than it is asked to.
+    long blockingTimeNanos = hasBlockingReads ? BLOCKING_READ_NANOS + BLOCKING_READ_NANOS / 16 : 0;
+    return new WatchSessionConfig(
+        settings.endpoints().size(), settings.maxKeys(), blockingTimeNanos, seed);
   }
 
-  /** Guards the log against a registry that gives cause for a line with every call. */
-  private void note(String line) {
-    if (lines < LOG_LINES) {
-      lines++;
-      LOG.info("registry: " + line.substring(0, Math.min(line.length(), 200)));
-    } else {
-      muted++;
-    }
+  /** The codec of the protocol that the settings name. */
+  static RegistryProtocol protocol(RegistrySettings settings) {
+    return settings.protocol() == RegistrySettings.ProtocolKind.ETCD
+        ? new EtcdProtocol(settings.prefix())
+        : new ConsulProtocol(settings.prefix(), BLOCKING_READ_NANOS / MS);
   }
 
   @Override
   public void start() {
-    running = true;
-    ticker =
+    isRunning = true;
+    periodTimer =
         vertx.setPeriodic(
-            LOG_MS,
-            tick -> {
-              if (muted > 0) {
-                LOG.info("registry: " + muted + " more lines");
-              }
-              lines = muted = 0;
-              keep();
+            PERIOD_MILLIS,
+            timer -> {
+              log.periodEnded();
+              snapshots.ifPresent(keeper -> keeper.tick(this::currentSnapshot));
             });
     if (settings.snapshot() == null) {
-      begin();
-      return;
-    }
-    // Guards the start against a disk that answers nothing: then it begins without.
-    vertx
-        .executeBlocking(this::kept, false)
-        .timeout(READ_MILLIS, TimeUnit.MILLISECONDS)
-        .onComplete(
-            read -> {
-              if (read.failed()) {
-                LOG.warning("registry: the snapshot is passed over: " + read.cause().getMessage());
-              } else if (read.result() != null) {
-                remember(read.result());
-              }
-              begin();
-            });
-  }
-
-  /** What the file keeps; null where there is none. */
-  private Snapshot kept() throws IOException {
-    SnapshotFile.clean(settings.snapshot(), FileOperations.DISK);
-    return Files.exists(settings.snapshot())
-        ? SnapshotFile.read(settings.snapshot(), settings.maxResponseBytes())
-        : null;
-  }
-
-  private void remember(Snapshot kept) {
-    long now = clock.nowNanos();
-    String refusal = kept.refusal(now, settings.prefix(), settings.maxSnapshotAgeNanos());
-    if (refusal != null) {
-      LOG.warning("registry: the snapshot is passed over: " + refusal);
+      startSession();
     } else {
-      view.restoreSnapshot(
-          now,
-          new RegistryListing(
-              kept.entries(), kept.cluster(), kept.revision(), now - kept.ageNanos(now)));
-      LOG.info(
-          "registry: serves from a snapshot of revision "
-              + kept.revision()
-              + ", "
-              + kept.ageNanos(now) / MS
-              + " ms old");
+      new SnapshotRestore(vertx, settings, clock::nowNanos, log)
+          .restoreInto(view)
+          .onComplete(done -> startSession());
     }
   }
 
-  private void begin() {
-    if (running) {
+  private void startSession() {
+    if (isRunning) {
       session.start(clock.nowNanos());
-      arm();
+      scheduleTick();
     }
   }
 
@@ -176,22 +133,21 @@
         .onComplete(
             done -> {
               if (done.failed()) {
-                LOG.warning("registry: the files for TLS can't be taken; those read before stay");
+                log.warning("the files for TLS can't be taken; those read before stay");
               }
-              if (running) {
+              if (isRunning) {
                 session.settingsReloaded(clock.nowNanos());
-                arm();
+                scheduleTick();
               }
             });
   }
 
   @Override
   public void close() {
-    running = false;
-    vertx.cancelTimer(timer);
-    vertx.cancelTimer(ticker);
-    calls.values().forEach(RegistryHttpClient.Exchange::cancel);
-    calls.clear();
+    isRunning = false;
+    vertx.cancelTimer(tickTimer);
+    vertx.cancelTimer(periodTimer);
+    commands.close();
     client.close();
   }
 
@@ -206,169 +162,35 @@
         session.watchCount());
   }
 
-  /** Wakes the recovery when it wants to be; one timer at a time. */
-  private void arm() {
-    long due = session.nextTickNanos();
-    if (due == armedFor || !running) {
+  /** Has the session tick when it is due; one timer at a time. */
+  private void scheduleTick() {
+    long dueNanos = session.nextTickNanos();
+    if (dueNanos == nextTickNanos || !isRunning) {
       return;
     }
-    vertx.cancelTimer(timer);
-    armedFor = due;
-    long delay = Math.max(1, (due - clock.nowNanos() + MS - 1) / MS);
-    timer =
+    vertx.cancelTimer(tickTimer);
+    nextTickNanos = dueNanos;
+    long delayMillis = Math.max(1, (dueNanos - clock.nowNanos() + MS - 1) / MS);
+    tickTimer =
         vertx.setTimer(
-            delay,
-            now -> {
-              armedFor = Long.MAX_VALUE;
+            delayMillis,
+            timer -> {
+              nextTickNanos = Long.MAX_VALUE;
               session.tick(clock.nowNanos());
-              arm();
+              scheduleTick();
             });
   }
 
-  private void keep() {
-    if (keeper != null) {
-      keeper.tick(this::latest);
-    }
-  }
-
-  /**
-   * The view for the file, its age by the wall clock as it stands; null while it is not the
-   * registry's.
-   */
-  private Snapshot latest() {
+  /** The view for the file, its age by the wall clock; none unless the view is current. */
+  private Optional<Snapshot> currentSnapshot() {
     return !view.hasData() || session.phase() != WatchSession.Phase.CURRENT
-        ? null
-        : new Snapshot(
-            settings.prefix(),
-            view.clusterId(),
-            view.appliedRevision(),
-            times.unix(view.confirmedAtNanos()),
-            List.copyOf(view.entries()));
-  }
-
-  // ---- Orders.
-
-  /** One answer, told to the recovery with what it was for. */
-  private abstract class Told implements RegistryHttpClient.ResponseHandler {
-    final long call;
-
-    Told(long call) {
-      this.call = call;
-    }
-
-    abstract void read(int status, MultiMap headers, byte[] body);
-
-    @Override
-    public void completed(int status, MultiMap headers, byte[] body) {
-      calls.remove(call);
-      taken(
-          () -> {
-            if (form.isCompacted(status, body)) {
-              session.compacted(clock.nowNanos(), call);
-            } else {
-              read(status, headers, body);
-            }
-          });
-    }
-
-    /** What can't be read ends this call alone. */
-    void taken(Runnable reading) {
-      try {
-        reading.run();
-      } catch (InvalidDocumentException e) {
-        note(e.getMessage());
-        cancel(call);
-        session.callFailed(clock.nowNanos(), call, RegistryFailure.UNREADABLE, 0);
-      }
-      arm();
-    }
-
-    @Override
-    public void failed(RegistryFailure why, long retryAfter) {
-      calls.remove(call);
-      session.callFailed(clock.nowNanos(), call, why, retryAfter);
-      arm();
-    }
-  }
-
-  private void send(int endpoint, RegistryProtocol.Request ask, boolean lines, Told answer) {
-    calls.put(answer.call, client.send(endpoint, ask, lines, answer));
-  }
-
-  @Override
-  public void list(long call, int endpoint, long revision, String after, long since, int limit) {
-    send(
-        endpoint,
-        form.listRequest(revision, after, since, limit),
-        false,
-        new Told(call) {
-          @Override
-          void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Page page = form.decodePage(status, headers, body);
-            session.pageReceived(
-                clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
-          }
-        });
-  }
-
-  @Override
-  public void watch(long call, int endpoint, long from) {
-    boolean lines = settings.protocol() == RegistrySettings.ProtocolKind.ETCD;
-    send(
-        endpoint,
-        form.watchRequest(from),
-        lines,
-        new Told(call) {
-          @Override
-          void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Page page = form.decodePage(status, headers, body);
-            session.pageReceived(
-                clock.nowNanos(), call, page.header(), page.items(), page.more(), page.count());
-          }
-
-          @Override
-          public void line(byte[] line) {
-            taken(() -> frame(call, form.decodeFrame(line)));
-          }
-        });
-  }
-
-  private void frame(long call, RegistryProtocol.Frame frame) {
-    long now = clock.nowNanos();
-    if (frame instanceof RegistryProtocol.Frame.Opened opened) {
-      session.watchOpened(now, call, opened.header());
-    } else if (frame instanceof RegistryProtocol.Frame.Events told) {
-      session.eventsReceived(now, call, told.header(), told.events(), told.partial());
-    } else {
-      cancel(call);
-      if (frame instanceof RegistryProtocol.Frame.Compacted) {
-        session.compacted(now, call);
-      } else if (frame instanceof RegistryProtocol.Frame.Ended ended) {
-        session.callFailed(now, call, ended.why(), 0);
-      }
-    }
-  }
-
-  @Override
-  public void heartbeat(long call, int endpoint) {
-    send(
-        endpoint,
-        form.heartbeatRequest(),
-        false,
-        new Told(call) {
-          @Override
-          void read(int status, MultiMap headers, byte[] body) {
-            RegistryProtocol.Heartbeat tip = form.decodeHeartbeat(status, headers, body);
-            session.heartbeatReceived(clock.nowNanos(), call, tip.header(), tip.tipRevision());
-          }
-        });
-  }
-
-  @Override
-  public void cancel(long call) {
-    RegistryHttpClient.Exchange sent = calls.remove(call);
-    if (sent != null) {
-      sent.cancel();
-    }
+        ? Optional.empty()
+        : Optional.of(
+            new Snapshot(
+                settings.prefix(),
+                view.clusterId(),
+                view.appliedRevision(),
+                times.unix(view.confirmedAtNanos()),
+                List.copyOf(view.entries())));
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
@@ -2,6 +2,7 @@
 
 import io.vertx.core.Future;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
 import java.util.function.Consumer;
@@ -17,73 +18,77 @@
  * and one for its end.
  */
 final class SnapshotKeeper {
-  private static final long FIRST_RETRY_NANOS = 1_000_000_000,
-      LONGEST_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
-  private static final long LEAST_RETRY_NANOS = 250_000_000;
+  private static final long FIRST_RETRY_NANOS = 1_000_000_000;
+  private static final long MAX_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
+  private static final long MIN_RETRY_NANOS = 250_000_000;
 
-  private final Path file;
-  private final FileOperations files;
-  private final long intervalNanos;
+  /** Where snapshots are written to, and how often at most. */
+  record Target(Path file, FileOperations files, long intervalNanos) {}
+
+  private final Target target;
   private final Function<Callable<Void>, Future<Void>> worker;
-  private final LongSupplier clock;
+  private final LongSupplier clockNanos;
   private final Consumer<String> log;
   private final Backoff backoff;
   private Snapshot pending;
-  private boolean writing, hasBegun;
-  private long begunAt;
-  private int failures;
+  private boolean isWriting;
+  private boolean hasBegun;
+  private long begunAtNanos;
+  private int failureCount;
 
-  /** Keeps nothing yet; a file is written every so often at most. */
+  /**
+   * A keeper that has written nothing yet.
+   *
+   * @param worker runs a write off the event loop
+   * @param seed that of the backoff's jitter
+   */
   SnapshotKeeper(
-      Path file,
-      FileOperations files,
-      long every,
+      Target target,
       Function<Callable<Void>, Future<Void>> worker,
-      LongSupplier clock,
+      LongSupplier clockNanos,
       long seed,
       Consumer<String> log) {
-    this.file = file;
-    this.files = files;
-    this.intervalNanos = every;
+    this.target = target;
     this.worker = worker;
-    this.clock = clock;
+    this.clockNanos = clockNanos;
     this.log = log;
-    backoff = new Backoff(new SplittableRandom(seed), FIRST_RETRY_NANOS, LONGEST_RETRY_NANOS);
+    backoff = new Backoff(new SplittableRandom(seed), FIRST_RETRY_NANOS, MAX_RETRY_NANOS);
   }
 
   /**
    * Begins a write if one is due.
    *
-   * @param latest the view as it stands; null where it is not to be kept now: then only what is
+   * @param latest the view as it stands; empty where it is not to be kept now: then only what is
    *     pending is written
    */
-  void tick(Supplier<Snapshot> latest) {
-    long now = clock.getAsLong();
+  void tick(Supplier<Optional<Snapshot>> latest) {
+    long nowNanos = clockNanos.getAsLong();
     boolean isDue =
-        backoff.isFailing() ? backoff.allows(now) : !hasBegun || now - begunAt >= intervalNanos;
-    if (writing || !isDue) {
+        backoff.isFailing()
+            ? backoff.allows(nowNanos)
+            : !hasBegun || nowNanos - begunAtNanos >= target.intervalNanos();
+    if (isWriting || !isDue) {
       return;
     }
-    Snapshot fresh = latest.get();
-    pending = fresh == null ? pending : fresh;
+    pending = latest.get().orElse(pending);
     if (pending != null) {
-      begin(now, pending);
+      begin(nowNanos, pending);
     }
   }
 
-  private void begin(long now, Snapshot snapshot) {
-    writing = true;
+  private void begin(long nowNanos, Snapshot snapshot) {
+    isWriting = true;
     hasBegun = true;
-    begunAt = now;
+    begunAtNanos = nowNanos;
     worker
         .apply(
             () -> {
-              SnapshotFile.write(file, snapshot, files);
+              SnapshotFile.write(target.file(), snapshot, target.files());
               return null;
             })
         .onComplete(
             done -> {
-              writing = false;
+              isWriting = false;
               if (done.succeeded()) {
                 succeeded();
               } else {
@@ -94,18 +99,23 @@
 
   private void succeeded() {
     pending = null;
-    if (failures > 0) {
-      log.accept("the snapshot is written again, after " + failures + " failures");
+    if (failureCount > 0) {
+      log.accept("the snapshot is written again, after " + failureCount + " failures");
     }
-    failures = 0;
+    failureCount = 0;
     backoff.reset();
   }
 
   private void failed(Throwable why) {
-    if (failures++ == 0) {
+    if (failureCount++ == 0) {
       log.accept(
-          "the snapshot can't be written, the one before stays and it is tried again: " + why);
+          "the snapshot can't be written, the one before stays and it is tried again: "
+              + describe(why));
     }
-    backoff.recordFailure(clock.getAsLong(), LEAST_RETRY_NANOS);
+    backoff.recordFailure(clockNanos.getAsLong(), MIN_RETRY_NANOS);
+  }
+
+  private static String describe(Throwable why) {
+    return why instanceof SnapshotException ? why.getMessage() : why.toString();
   }
 }
--- /dev/null
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -0,0 +1,80 @@
+package org.amberpath.registry.runtime;
+
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Optional;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
+import org.amberpath.registry.RegistryListing;
+import org.amberpath.registry.RegistryView;
+import org.amberpath.registry.Snapshot;
+
+/**
+ * Restores a view from the snapshot file at the start. The file is read off the event loop; a disk
+ * that does not answer in {@value #TIMEOUT_MILLIS} ms leaves the start without a snapshot.
+ */
+final class SnapshotRestore {
+  private static final long TIMEOUT_MILLIS = 1000;
+  private static final long MS = 1_000_000;
+
+  private final Vertx vertx;
+  private final RegistrySettings settings;
+  private final LongSupplier clockNanos;
+  private final RegistryLog log;
+
+  SnapshotRestore(
+      Vertx vertx, RegistrySettings settings, LongSupplier clockNanos, RegistryLog log) {
+    this.vertx = vertx;
+    this.settings = settings;
+    this.clockNanos = clockNanos;
+    this.log = log;
+  }
+
+  /** Restores what the file holds, if it may be served; ends, never fails, with a log line. */
+  Future<Void> restoreInto(RegistryView view) {
+    return vertx
+        .executeBlocking(this::read, false)
+        .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        .map(
+            snapshot -> {
+              snapshot.ifPresent(present -> restore(present, view));
+              return (Void) null;
+            })
+        .otherwise(
+            why -> {
+              log.warning("the snapshot is passed over: " + why.getMessage());
+              return null;
+            });
+  }
+
+  private Optional<Snapshot> read() throws SnapshotException {
+    Path file = settings.snapshot();
+    SnapshotFile.clean(file, FileOperations.DISK);
+    return Files.exists(file)
+        ? Optional.of(SnapshotFile.read(file, settings.maxResponseBytes()))
+        : Optional.empty();
+  }
+
+  private void restore(Snapshot snapshot, RegistryView view) {
+    long nowNanos = clockNanos.getAsLong();
+    Optional<String> refusal =
+        snapshot.refusal(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
+    if (refusal.isPresent()) {
+      log.warning("the snapshot is passed over: " + refusal.get());
+      return;
+    }
+    long ageNanos = snapshot.ageNanos(nowNanos);
+    view.restoreSnapshot(
+        nowNanos,
+        new RegistryListing(
+            snapshot.entries(), snapshot.cluster(), snapshot.revision(), nowNanos - ageNanos));
+    log.once(
+        "serves from a snapshot of revision "
+            + snapshot.revision()
+            + ", "
+            + ageNanos / MS
+            + " ms old");
+  }
+}
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -6,19 +6,20 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Hands news on whose times are those of a clock that only goes forward, as Unix times by the wall
- * clock as it stands in that moment, which is what {@link EndpointListener} has: so a wall clock
- * that has stepped since the start makes nothing older or younger. A purge is told as no older than
- * it is by either clock.
+ * Passes endpoints and purges on, and turns times of a clock that only goes forward into Unix times
+ * by the wall clock as it stands in that moment, as {@link EndpointListener} has them. So a wall
+ * clock that has stepped since the start makes nothing older or younger. A purge is passed on as no
+ * older than it is by either clock.
  */
 final class WallTimes implements EndpointListener {
   private static final long MS = 1_000_000;
 
-  private final EndpointListener to;
-  private final LongSupplier forwardNanos, wallMillis;
+  private final EndpointListener listener;
+  private final LongSupplier forwardNanos;
+  private final LongSupplier wallMillis;
 
-  WallTimes(EndpointListener to, LongSupplier forwardNanos, LongSupplier wallMillis) {
-    this.to = to;
+  WallTimes(EndpointListener listener, LongSupplier forwardNanos, LongSupplier wallMillis) {
+    this.listener = listener;
     this.forwardNanos = forwardNanos;
     this.wallMillis = wallMillis;
   }
@@ -34,12 +35,12 @@
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
-    to.endpointListStarted(kind);
+    listener.endpointListStarted(kind);
   }
 
   @Override
   public void endpointListed(ListedEndpoint endpoint) {
-    to.endpointListed(
+    listener.endpointListed(
         new ListedEndpoint(
             endpoint.id(),
             endpoint.address(),
@@ -53,11 +54,11 @@
 
   @Override
   public void endpointListCompleted() {
-    to.endpointListCompleted();
+    listener.endpointListCompleted();
   }
 
   @Override
-  public void objectPurged(long object, int group, long atMs) {
-    to.objectPurged(object, group, atMs + Math.max(0, aheadMillis()));
+  public void objectPurged(long object, int group, long atMillis) {
+    listener.objectPurged(object, group, atMillis + Math.max(0, aheadMillis()));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -7,6 +7,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Optional;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
@@ -266,9 +267,10 @@
   @Test
   void aSnapshotSaysWhyItIsNotToBeServedFrom() {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW - 100 * MS, List.of());
-    assertEquals(null, snapshot.refusal(NOW, "p/", 200 * MS));
-    assertEquals("it is of the prefix p/", snapshot.refusal(NOW, "q/", 200 * MS));
-    assertEquals("it is 0 s old", snapshot.refusal(NOW, "p/", 50 * MS));
-    assertEquals("it is from the future", snapshot.refusal(NOW - 5000 * MS, "p/", 200 * MS));
+    assertEquals(Optional.empty(), snapshot.refusal(NOW, "p/", 200 * MS));
+    assertEquals(Optional.of("it is of the prefix p/"), snapshot.refusal(NOW, "q/", 200 * MS));
+    assertEquals(Optional.of("it is 0 s old"), snapshot.refusal(NOW, "p/", 50 * MS));
+    assertEquals(
+        Optional.of("it is from the future"), snapshot.refusal(NOW - 5000 * MS, "p/", 200 * MS));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -4,6 +4,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import org.amberpath.routing.EndpointListKind;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.EndpointState;
@@ -119,6 +120,8 @@
   void aSnapshotIsAsOldAsAStepOfTheClockAllows(long provenS, long ageS) {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
     assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
-    assertEquals(ageS < 0 ? "it is from the future" : null, snapshot.refusal(NOW, "p/", DAY));
+    assertEquals(
+        ageS < 0 ? Optional.of("it is from the future") : Optional.empty(),
+        snapshot.refusal(NOW, "p/", DAY));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -56,7 +56,7 @@
   @Test
   void valuesOfAnEarlierReleaseAreReadAsWhatTheySaid() throws IOException {
     Map<String, RegistryRecord> read = new LinkedHashMap<>();
-    golden().forEach((key, value) -> read.put(key, RecordCodec.read(key, value)));
+    golden().forEach((key, value) -> read.put(key, RecordCodec.decode(key, value)));
     assertEquals(SAID, read);
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
@@ -13,11 +13,13 @@
 import java.nio.file.Path;
 import java.util.Base64;
 import java.util.List;
+import java.util.Optional;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryFailure;
+import org.amberpath.registry.RegistryPage;
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.Snapshot;
 import org.amberpath.routing.EndpointState;
@@ -51,10 +53,10 @@
 
   @Test
   void aCacheReadsAsItWasWritten() {
-    assertEquals(CACHE, RecordCodec.read("caches/c1", RecordCodec.encode(CACHE)));
+    assertEquals(CACHE, RecordCodec.decode("caches/c1", RecordCodec.encode(CACHE)));
     RegistryRecord.Purge purge =
         new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
-    assertEquals(purge, RecordCodec.read("purges/1", RecordCodec.encode(purge)));
+    assertEquals(purge, RecordCodec.decode("purges/1", RecordCodec.encode(purge)));
   }
 
   @ParameterizedTest
@@ -70,13 +72,14 @@
         "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"
       })
   void aValueThatIsNotAsThePageHasItIsUnreadableAndNoMore(String value) {
-    assertInstanceOf(RegistryRecord.Unreadable.class, RecordCodec.read("caches/c1", bytes(value)));
+    assertInstanceOf(
+        RegistryRecord.Unreadable.class, RecordCodec.decode("caches/c1", bytes(value)));
   }
 
   @Property(tries = 500)
   void noValueIsThrownOver(@ForAll byte[] value) {
-    RecordCodec.read("caches/c1", value);
-    RecordCodec.read("purges/1", value);
+    RecordCodec.decode("caches/c1", value);
+    RecordCodec.decode("purges/1", value);
   }
 
   @Property(tries = 500)
@@ -100,7 +103,7 @@
             + "','limit':'100',"
             + "'revision':'7','min_mod_revision':'5'}",
         text(ask.body()).replace('"', '\''));
-    RegistryProtocol.Page page =
+    RegistryPage page =
         etcd.decodePage(
             200,
             NONE,
@@ -110,10 +113,10 @@
                     + "','create_revision':'3','mod_revision':'9','value':'"
                     + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
                     + "'}],'more':true,'count':'2'}"));
-    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
+    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.entries());
     assertEquals(40, page.header().revision());
-    assertTrue(page.more());
-    assertEquals(2, page.count());
+    assertTrue(page.hasMore());
+    assertEquals(2, page.totalCount());
   }
 
   @Test
@@ -167,7 +170,7 @@
     "404,5,UNREADABLE"
   })
   void aStatusSaysWhyItIsNoAnswer(int status, int code, RegistryFailure why) {
-    assertEquals(why, etcd.failure(status, bytes("{'code':" + code + "}")));
+    assertEquals(Optional.of(why), etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
   }
 
@@ -177,7 +180,7 @@
         "/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms",
         consul.watchRequest(41).uri());
     MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
-    RegistryProtocol.Page page =
+    RegistryPage page =
         consul.decodePage(
             200,
             headers,
@@ -185,9 +188,9 @@
                 "[{'Key':'p/caches/c1','Value':'"
                     + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
                     + "','CreateIndex':3,'ModifyIndex':9}]"));
-    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.items());
-    assertTrue(page.count() < 0);
-    assertEquals(List.of(), consul.decodePage(404, headers, new byte[0]).items());
+    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.entries());
+    assertTrue(page.totalCount() < 0);
+    assertEquals(List.of(), consul.decodePage(404, headers, new byte[0]).entries());
     assertThrows(InvalidDocumentException.class, () -> consul.decodePage(404, NONE, new byte[0]));
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -15,6 +15,7 @@
 import java.util.ArrayList;
 import java.util.Deque;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.function.Function;
 import org.amberpath.registry.RegistryEntry;
@@ -139,7 +140,8 @@
   }
 
   private SnapshotKeeper keeper(Function<Callable<Void>, Future<Void>> worker) {
-    return new SnapshotKeeper(file, disk, 5 * SECOND, worker, () -> now, 7, log::add);
+    return new SnapshotKeeper(
+        new SnapshotKeeper.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
   }
 
   private static Future<Void> atOnce(Callable<Void> write) {
@@ -164,7 +166,7 @@
     disk.failing = failing;
     int ticks = 600;
     for (int tick = 0; tick < ticks; tick++, now += SECOND) {
-      keeper.tick(() -> snapshot(2));
+      keeper.tick(() -> Optional.of(snapshot(2)));
       assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
     }
     long tries = disk.calls.stream().filter("open"::equals).count();
@@ -174,7 +176,7 @@
 
     disk.failing = "";
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
-      keeper.tick(() -> null); // Cut off meanwhile: what is pending is still owed.
+      keeper.tick(Optional::empty); // Cut off meanwhile: what is pending is still owed.
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
     assertEquals(2, log.size(), () -> "" + log);
@@ -185,7 +187,7 @@
   void aFolderThatCantBeForcedIsAFailureToo() throws IOException {
     SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
     disk.failing = "forceFolder";
-    keeper.tick(() -> snapshot(2));
+    keeper.tick(() -> Optional.of(snapshot(2)));
     assertEquals(1, log.size());
     assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
   }
@@ -227,12 +229,12 @@
             });
     for (int revision = 2; revision < 100; revision++, now += SECOND) {
       long of = revision;
-      keeper.tick(() -> snapshot(of));
+      keeper.tick(() -> Optional.of(snapshot(of)));
     }
     assertEquals(1, writes.size(), "a slow disk is given nothing more");
     writes.remove().call();
     promises.get(0).complete();
-    keeper.tick(() -> snapshot(100));
+    keeper.tick(() -> Optional.of(snapshot(100)));
     writes.remove().call();
     assertEquals(snapshot(100), SnapshotFile.read(file, LONGEST));
   }
