--- a/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
+++ b/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
@@ -59,6 +59,7 @@
         log.accept("endpoint " + call.endpoint.index + " is of another registry");
         call.endpoint.requestBackoff.recordFailure(nowNanos, WatchStream.MAX_LAG_NANOS);
       }
+      default -> throw new IllegalStateException("unknown result of the cluster audit");
     }
     return false;
   }
@@ -80,6 +81,7 @@
       case IGNORED -> {
         // A later call decides.
       }
+      default -> throw new IllegalStateException("unknown result of the revision audit");
     }
     return false;
   }
--- a/registry/src/main/java/org/amberpath/registry/Backoff.java
+++ b/registry/src/main/java/org/amberpath/registry/Backoff.java
@@ -10,7 +10,8 @@
   private static final int MAX_DOUBLINGS = 20;
 
   private final SplittableRandom random;
-  private final long firstBoundNanos, maxBoundNanos;
+  private final long firstBoundNanos;
+  private final long maxBoundNanos;
   private int failures;
   private long allowedAtNanos;
 
@@ -32,8 +33,7 @@
   }
 
   /**
-   * Another failure: the next try comes after at least the given time, and by chance up to the
-   * bound after that.
+   * Another failure: the next try is allowed after the given time and a random part of the bound.
    */
   public void recordFailure(long nowNanos, long minDelayNanos) {
     long boundNanos = Math.min(maxBoundNanos, firstBoundNanos << Math.min(failures, MAX_DOUBLINGS));
@@ -41,13 +41,13 @@
     allowedAtNanos = nowNanos + minDelayNanos + random.nextLong(boundNanos + 1);
   }
 
-  /** A try went well: the next may come at once. */
+  /** A try has succeeded: the next one is allowed at once. */
   public void reset() {
     failures = 0;
     allowedAtNanos = 0;
   }
 
-  /** Brings the next try forward, to some moment within the bound. */
+  /** Allows the next try no later than a random moment within the bound. */
   public void bringForward(long nowNanos, long boundNanos) {
     if (allowedAtNanos > nowNanos + boundNanos) {
       allowedAtNanos = nowNanos + random.nextLong(boundNanos + 1);
--- a/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
@@ -3,9 +3,9 @@
 /**
  * One key as the registry holds it.
  *
- * @param createRevision revision at which the key came to be; another one under the same key is
- *     another thing
- * @param modRevision revision at which its value was last written
+ * @param createRevision the revision at which the key was created; a key that was deleted and
+ *     created again is another thing under the same name
+ * @param modRevision the revision at which its value was last written
  */
 public record RegistryEntry(
     String key, RegistryRecord value, long createRevision, long modRevision) {
--- a/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
@@ -1,27 +1,27 @@
 package org.amberpath.registry;
 
-/** Why a call to an endpoint ended without what it was made for. */
+/** Why a call to an endpoint has failed; log lines name these. */
 public enum RegistryFailure {
-  /** Nothing listens there, or the way there is shut. */
+  /** The connection was refused. */
   REFUSED,
-  /** Nothing was heard within the time that the call had. */
+  /** No answer within the time that the call had. */
   TIMED_OUT,
   /** The connection broke, or the server ended the call. */
   BROKEN,
-  /** The server says that it can't serve now, or has no leader. */
+  /** The server can't serve now, or its cluster has no leader. */
   UNAVAILABLE,
   /** The server asks for fewer calls. */
   THROTTLED,
-  /** The server does not take who asks. */
+  /** The server rejects the token, or what it permits. */
   UNAUTHORISED,
-  /** No common ground for an encrypted connection, or not the server that was meant. */
+  /** TLS has failed: no common version, or a certificate that is not trusted. */
   UNTRUSTED,
-  /** What came is not as the protocol has it, or is past its bound. */
+  /** The answer is not as the protocol has it, or is past its bound. */
   UNREADABLE,
-  /** A watch that stays behind what the registry holds. */
+  /** A watch has stayed behind what heartbeats show. */
   LAGGING;
 
-  /** Whether asking again soon can't help, since people must change something first. */
+  /** Whether retries are of no use before an operator has changed something. */
   boolean needsOperator() {
     return this == UNAUTHORISED || this == UNTRUSTED;
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
@@ -2,11 +2,12 @@
 
 import org.amberpath.routing.EndpointState;
 
-/** What the value of one key says. Keys and values are those of docs/operate/registry.md. */
+/** The decoded value of one key. Keys and values are those of docs/operate/registry.md. */
 public sealed interface RegistryRecord {
   /**
-   * A cache under its stable id, the last part of its key. Times are Unix milliseconds, 0 for long
-   * ago.
+   * An endpoint under its stable id, the last part of its key.
+   *
+   * @param startedAtMs when it started, in Unix milliseconds by its writer's clock; 0 for long ago
    */
   record Cache(
       String id,
@@ -19,18 +20,25 @@
       long startedAtMs)
       implements RegistryRecord {}
 
-  /** A purge of one object or, with object 0, of a group, by the clock of who wrote it. */
+  /**
+   * A purge of one object or, with object 0, of a group.
+   *
+   * @param atMs when, in Unix milliseconds by its writer's clock
+   */
   record Purge(long object, int group, long atMs) implements RegistryRecord {}
 
   /**
-   * Who acts for the fleet on one task, and under which term: a fence, which each of its writes
-   * moves.
+   * The leader of one task. Its key is a fence: each transaction of the leader writes it, so that
+   * one of a superseded leader fails.
+   *
+   * @param term the leader's term; it only grows
+   * @param by the leader's name
    */
   record Task(long term, String by) implements RegistryRecord {}
 
-  /** Says nothing of caches: the tip, and keys that a later version may add. */
+  /** Not about endpoints or purges: the tip, and keys that a later version may add. */
   record Other() implements RegistryRecord {}
 
-  /** Says something that this version can't read. */
+  /** A value that this version can't decode. */
   record Unreadable(String reason) implements RegistryRecord {}
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -283,6 +283,7 @@
         }
       }
       case CONTINUED -> {}
+      default -> throw new IllegalStateException("unknown result of a page");
     }
     tick(nowNanos);
   }
--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -0,0 +1,97 @@
+package org.amberpath.registry;
+
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.HexFormat;
+import java.util.Map;
+import java.util.TreeMap;
+import org.amberpath.routing.EndpointListKind;
+import org.amberpath.routing.EndpointListener;
+import org.amberpath.routing.ListedEndpoint;
+
+/**
+ * Hashes the outputs of a seeded world in their order, with all arguments, and counts them. The
+ * words in which they are hashed are a stored form: they stay when identifiers or log lines are
+ * renamed.
+ */
+final class RecordedOutputs implements EndpointListener {
+  /** How often each thing came; a reader sees by it what a world reaches. */
+  final Map<String, Integer> counts = new TreeMap<>();
+
+  private final MessageDigest digest = sha256();
+
+  /** The digest of all outputs, as hexadecimal digits. */
+  String digest() {
+    return HexFormat.of().formatHex(digest.digest());
+  }
+
+  void record(String what, Object... arguments) {
+    count("output " + what);
+    StringBuilder line = new StringBuilder(what);
+    for (Object argument : arguments) {
+      line.append(' ').append(argument);
+    }
+    digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
+  }
+
+  void note(String line) {
+    // The log's word for a heartbeat is another one than at the time of the recording.
+    String recorded = line.replace(": HEARTBEAT ", ": PULSE ");
+    count("note " + recorded.replaceAll("[0-9]+", "N"));
+    record("note", recorded);
+  }
+
+  void complaint(String line) {
+    record("complaint", line);
+  }
+
+  void count(String what) {
+    counts.merge(what, 1, Integer::sum);
+  }
+
+  private static MessageDigest sha256() {
+    try {
+      return MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  @Override
+  public void endpointListStarted(EndpointListKind kind) {
+    boolean whole = kind == EndpointListKind.FULL;
+    record("listing", whole);
+    count("listing " + whole);
+  }
+
+  @Override
+  public void endpointListed(ListedEndpoint endpoint) {
+    String state =
+        switch (endpoint.state()) {
+          case UP -> "UP";
+          case DRAINING -> "DRAINING";
+          case GONE -> "GONE";
+        };
+    count("member " + state);
+    record(
+        "member",
+        endpoint.id(),
+        endpoint.address(),
+        endpoint.cell(),
+        state,
+        endpoint.weight(),
+        endpoint.startedAtMillis());
+  }
+
+  @Override
+  public void endpointListCompleted() {
+    record("listed");
+  }
+
+  @Override
+  public void objectPurged(long object, int group, long atMillis) {
+    count(group == EndpointListener.ALL_GROUPS ? "purged everything" : "purged");
+    record("purged", object, group, atMillis);
+  }
+}
--- a/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
@@ -39,6 +39,7 @@
       digest(setting, 1);
       PLAYED
           .get(setting + " 1")
+          .outputs
           .counts
           .forEach((what, count) -> counts.merge(what, count, Integer::sum));
     }
@@ -67,12 +68,12 @@
     assertEquals(
         recorded,
         digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).counts);
+        () -> "counted: " + PLAYED.get(setting + " " + seed).outputs.counts);
   }
 
   /** A digest of events that reach little would hold little: what the worlds must reach. */
   @Test
-  void theRecordedEventsReachEveryCommandOutputAndPhase() {
+  void recordedEventsReachEveryCommandOutputAndPhase() {
     Map<String, Integer> counts = counts();
     for (String reached :
         new String[] {
@@ -104,7 +105,7 @@
   }
 
   @Test
-  void theRecordedEventsReachEveryTurnOfTheRegistryAndOfTheGateway() {
+  void recordedEventsReachEveryEventOfTheRegistryAndOfTheGateway() {
     Map<String, Integer> counts = counts();
     for (String reached :
         new String[] {
@@ -128,7 +129,7 @@
   }
 
   @Test
-  void theRecordedEventsReachEveryKindOfNote() {
+  void recordedEventsReachEveryKindOfLogLine() {
     Map<String, Integer> counts = counts();
     for (String note :
         new String[] {
@@ -150,7 +151,7 @@
 
   @ParameterizedTest
   @EnumSource(value = RegistryFailure.class, mode = EnumSource.Mode.EXCLUDE, names = "LAGGING")
-  void theRecordedEventsReachEveryFailure(RegistryFailure why) {
+  void recordedEventsReachEveryFailure(RegistryFailure why) {
     Map<String, Integer> counts = counts();
     assertTrue(counts.getOrDefault("failure " + why, 0) > 0, why + " of " + counts);
   }
--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -0,0 +1,331 @@
+package org.amberpath.registry;
+
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import java.util.TreeMap;
+import org.amberpath.registry.WatchSession.Header;
+
+/**
+ * The endpoints of a {@link SeededRegistryWorld}: each answers, fails or keeps silent by its
+ * behaviour, which changes at random. Commands are recorded as they are given.
+ */
+final class SeededRegistryEndpoints implements WatchCommands {
+  private enum Behaviour {
+    HEALTHY,
+    SLOW,
+    SILENT,
+    WATCH_SILENT,
+    FAILING,
+    FOREIGN,
+    OUTDATED,
+    FLOODING
+  }
+
+  /** A call as the registry has it. */
+  private static final class OpenCall {
+    private final long id;
+    private final int endpoint;
+    private final long from;
+    private final List<RegistryEntry> listed = new ArrayList<>();
+    private long listedCount;
+    private int historyIndex = -1;
+
+    OpenCall(long id, int endpoint, long from) {
+      this.id = id;
+      this.endpoint = endpoint;
+      this.from = from;
+    }
+  }
+
+  private static final long MS = 1_000_000;
+
+  private final SeededRegistryWorld world;
+  private final RecordedOutputs outputs;
+  private final Behaviour[] behaviours;
+  private final RegistryFailure[] failures;
+  private final TreeMap<Long, OpenCall> calls = new TreeMap<>();
+
+  SeededRegistryEndpoints(SeededRegistryWorld world, RecordedOutputs outputs) {
+    this.world = world;
+    this.outputs = outputs;
+    behaviours = new Behaviour[world.setting.endpoints];
+    failures = new RegistryFailure[world.setting.endpoints];
+    Arrays.fill(behaviours, Behaviour.HEALTHY);
+    Arrays.fill(failures, RegistryFailure.REFUSED);
+  }
+
+  /** The gateway restarts: its calls are gone. */
+  void forgetCalls() {
+    calls.clear();
+  }
+
+  /** Something was written: watches bring it. */
+  void written() {
+    for (OpenCall call : calls.values()) {
+      if (call.historyIndex >= 0) {
+        world.plan(latency(call.endpoint), () -> bringChanges(call));
+      } else if (isBlockingRead(call)) {
+        world.plan(latency(call.endpoint), () -> answerBlockingRead(call, false));
+      }
+    }
+  }
+
+  void changeBehaviour(int endpoint) {
+    Behaviour[] all = Behaviour.values();
+    behaviours[endpoint] =
+        world.chance(0.55) ? Behaviour.HEALTHY : all[world.random.nextInt(all.length)];
+    RegistryFailure[] reasons = RegistryFailure.values();
+    failures[endpoint] = reasons[world.random.nextInt(reasons.length - 1)];
+    outputs.count("behaviour " + behaviours[endpoint]);
+    for (OpenCall call : calls.values()) {
+      if (call.endpoint == endpoint && behaviours[endpoint] == Behaviour.HEALTHY) {
+        world.plan(latency(endpoint), () -> bringChanges(call));
+      }
+    }
+  }
+
+  void outage() {
+    outputs.count("event outage");
+    boolean silent = world.random.nextBoolean();
+    for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
+      behaviours[endpoint] = silent ? Behaviour.SILENT : Behaviour.FAILING;
+      failures[endpoint] = RegistryFailure.REFUSED;
+    }
+    breakWatches(silent ? 0 : 1);
+    world.plan(
+        300 * MS + world.random.nextLong(4_000 * MS),
+        () -> {
+          for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
+            if (world.chance(0.9)) {
+              behaviours[endpoint] = Behaviour.HEALTHY;
+            }
+          }
+        });
+  }
+
+  void breakWatches(double share) {
+    for (OpenCall call : List.copyOf(calls.values())) {
+      if (call.historyIndex >= 0 && world.chance(share)) {
+        calls.remove(call.id);
+        end(call, RegistryFailure.BROKEN, 0);
+      } else if (call.historyIndex >= 0) {
+        call.historyIndex = Math.min(call.historyIndex, world.store.history().size());
+      }
+    }
+  }
+
+  private long latency(int endpoint) {
+    long quick = (1 + 4L * endpoint) * MS + world.random.nextLong(8 * MS);
+    return behaviours[endpoint] == Behaviour.SLOW
+        ? 30 * MS + world.random.nextLong(200 * MS)
+        : quick;
+  }
+
+  private boolean isBlockingRead(OpenCall call) {
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING && call.from > 0;
+  }
+
+  private Header header(int endpoint) {
+    if (behaviours[endpoint] == Behaviour.FOREIGN) {
+      return new Header("foreign", 900);
+    }
+    String cluster =
+        world.setting == SeededRegistryWorld.Setting.BLOCKING ? "" : world.store.cluster();
+    long revision =
+        behaviours[endpoint] == Behaviour.OUTDATED && world.chance(0.4)
+            ? Math.max(1, world.store.revision() - 20)
+            : world.store.revision();
+    return new Header(cluster, revision);
+  }
+
+  /** Whether the endpoint fails the call or says nothing to it. */
+  private boolean fails(OpenCall call) {
+    if (behaviours[call.endpoint] == Behaviour.SILENT) {
+      return true;
+    }
+    if (behaviours[call.endpoint] == Behaviour.FAILING) {
+      RegistryFailure why = failures[call.endpoint];
+      boolean asksToWait =
+          why == RegistryFailure.THROTTLED
+              || (why == RegistryFailure.UNAVAILABLE && world.chance(0.3));
+      calls.remove(call.id);
+      end(call, why, asksToWait ? world.random.nextLong(800 * MS) : 0);
+      return true;
+    }
+    return false;
+  }
+
+  private void end(OpenCall call, RegistryFailure why, long retryAfter) {
+    outputs.count("failure " + why);
+    world.session.callFailed(world.now, call.id, why, retryAfter);
+  }
+
+  private OpenCall ask(long id, int endpoint, long from) {
+    OpenCall call = new OpenCall(id, endpoint, from);
+    calls.put(id, call);
+    return call;
+  }
+
+  private boolean isOpen(OpenCall call) {
+    return calls.get(call.id) == call;
+  }
+
+  @Override
+  public void heartbeat(long id, int endpoint) {
+    outputs.record("pulse", id, endpoint);
+    OpenCall call = ask(id, endpoint, 0);
+    world.plan(latency(endpoint), () -> answerPulse(call));
+  }
+
+  private void answerPulse(OpenCall call) {
+    if (isOpen(call) && !fails(call)) {
+      calls.remove(call.id);
+      Header header = header(call.endpoint);
+      long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tip();
+      world.session.heartbeatReceived(world.now, call.id, header, Math.min(tip, header.revision()));
+    }
+  }
+
+  @Override
+  public void list(long id, int endpoint, long revision, String after, long since, int limit) {
+    outputs.record("list", id, endpoint, revision, after, since, limit);
+    outputs.count(since == 0 ? "list of all keys" : "list of what was written since");
+    outputs.count(revision == 0 ? "first page" : "next page");
+    outputs.count(limit > 1000 ? "page of larger size" : "page of first size");
+    OpenCall call = revision == 0 ? ask(id, endpoint, 0) : calls.get(id);
+    world.plan(latency(endpoint), () -> answerList(call, revision, after, since, limit));
+  }
+
+  private void answerList(OpenCall call, long revision, String after, long since, int limit) {
+    if (!isOpen(call) || fails(call)) {
+      return;
+    }
+    if (behaviours[call.endpoint] == Behaviour.FLOODING) {
+      flood(call, after);
+      return;
+    }
+    if (revision > 0 && world.store.isCompacted(revision)) {
+      outputs.count("event list compacted");
+      calls.remove(call.id);
+      world.session.compacted(world.now, call.id);
+      return;
+    }
+    if (revision == 0) {
+      boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+      call.listed.addAll(
+          foreign ? world.store.foreignEntries() : world.store.writtenSince(keysSince(since)));
+      call.listedCount = foreign ? call.listed.size() : world.store.count();
+    }
+    List<RegistryEntry> rest =
+        call.listed.stream().filter(entry -> entry.key().compareTo(after) > 0).toList();
+    int size = Math.min(limit, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
+    boolean more = rest.size() > size;
+    List<RegistryEntry> page = rest.subList(0, Math.min(size, rest.size()));
+    if (!more) {
+      calls.remove(call.id);
+    }
+    long count = world.setting == SeededRegistryWorld.Setting.BLOCKING ? -1 : call.listedCount;
+    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, more, count);
+  }
+
+  private long keysSince(long since) {
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : since;
+  }
+
+  /** A list without end. */
+  private void flood(OpenCall call, String after) {
+    int first = after.startsWith("p/x") ? Integer.parseInt(after.substring(3)) + 1 : 0;
+    List<RegistryEntry> page = new ArrayList<>();
+    for (int number = first; number < first + 400; number++) {
+      String key = String.format("p/x%06d", number);
+      page.add(new RegistryEntry(key, new RegistryRecord.Other(), 1, 1));
+    }
+    outputs.count("event flood");
+    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, true, 1_000_000);
+  }
+
+  @Override
+  public void watch(long id, int endpoint, long from) {
+    outputs.record("watch", id, endpoint, from);
+    OpenCall call = ask(id, endpoint, Math.max(1, from));
+    if (world.setting == SeededRegistryWorld.Setting.BLOCKING) {
+      world.plan(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
+      world.plan(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
+    } else {
+      world.plan(latency(endpoint), () -> openWatch(call));
+    }
+  }
+
+  private void openWatch(OpenCall call) {
+    if (!isOpen(call) || fails(call)) {
+      return;
+    }
+    if (world.store.isCompacted(call.from)) {
+      outputs.count("event watch compacted");
+      calls.remove(call.id);
+      world.session.compacted(world.now, call.id);
+      return;
+    }
+    call.historyIndex = world.store.historyIndex(call.from);
+    if (world.chance(0.02)) {
+      world.session.eventsReceived(world.now, call.id, header(call.endpoint), List.of(), false);
+    }
+    world.session.watchOpened(world.now, call.id, header(call.endpoint));
+    world.plan(latency(call.endpoint), () -> bringChanges(call));
+  }
+
+  private void bringChanges(OpenCall call) {
+    Behaviour behaviour = behaviours[call.endpoint];
+    boolean silent = behaviour == Behaviour.SILENT || behaviour == Behaviour.WATCH_SILENT;
+    if (!isOpen(call) || call.historyIndex < 0 || silent || fails(call)) {
+      return;
+    }
+    List<WatchEvent> history = world.store.history();
+    Header header = header(call.endpoint);
+    if (behaviour == Behaviour.FLOODING) {
+      List<WatchEvent> flood = history.subList(Math.max(0, history.size() - 50), history.size());
+      world.session.eventsReceived(world.now, call.id, header, List.copyOf(flood), true);
+      world.plan(5 * MS, () -> bringChanges(call));
+      return;
+    }
+    int from = call.historyIndex;
+    if (from >= history.size()) {
+      if (world.chance(0.2)) {
+        outputs.count("event progress");
+        world.session.eventsReceived(world.now, call.id, header, List.of(), false);
+      }
+      return;
+    }
+    int to =
+        world.chance(0.3) ? from + 1 + world.random.nextInt(history.size() - from) : history.size();
+    call.historyIndex = to;
+    boolean partial =
+        to < history.size() && history.get(to - 1).revision() == history.get(to).revision();
+    outputs.count(partial ? "event partial frame" : "event frame");
+    world.session.eventsReceived(
+        world.now, call.id, header, List.copyOf(history.subList(from, to)), partial);
+    world.plan(latency(call.endpoint), () -> bringChanges(call));
+  }
+
+  private void answerBlockingRead(OpenCall call, boolean unchangedToo) {
+    if (!isOpen(call) || !isBlockingRead(call) || fails(call)) {
+      return;
+    }
+    if (behaviours[call.endpoint] == Behaviour.WATCH_SILENT
+        || (!unchangedToo && world.store.revision() < call.from)) {
+      return;
+    }
+    calls.remove(call.id);
+    outputs.count("event blocking read");
+    boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+    List<RegistryEntry> all = foreign ? world.store.foreignEntries() : world.store.writtenSince(0);
+    world.session.pageReceived(world.now, call.id, header(call.endpoint), all, false, -1);
+  }
+
+  @Override
+  public void cancel(long id) {
+    outputs.record("drop", id);
+    calls.remove(id);
+  }
+}
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -18,12 +18,12 @@
  * snapshots usable.
  */
 class WallClockTest {
-  private static final long MS = 1_000_000,
-      SECOND = 1000 * MS,
-      NOW = 1_000_000_000_000L * MS,
-      DAY = 86_400 * SECOND;
+  private static final long MS = 1_000_000;
+  private static final long SECOND = 1000 * MS;
+  private static final long NOW = 1_000_000_000_000L * MS;
+  private static final long DAY = 86_400 * SECOND;
 
-  private final List<String> told = new ArrayList<>();
+  private final List<String> published = new ArrayList<>();
   private final RegistryView view =
       new RegistryView(
           new EndpointListener() {
@@ -32,7 +32,7 @@
 
             @Override
             public void endpointListed(ListedEndpoint endpoint) {
-              told.add(
+              published.add(
                   endpoint.id()
                       + " "
                       + (endpoint.startedAtMillis() == 0
@@ -45,7 +45,7 @@
 
             @Override
             public void objectPurged(long object, int group, long atMs) {
-              told.add("purged " + object + " " + (atMs - NOW / MS));
+              published.add("purged " + object + " " + (atMs - NOW / MS));
             }
           },
           "p/tip",
@@ -53,20 +53,16 @@
           600 * SECOND,
           line -> {});
 
-  private static RegistryEntry cache(
+  private static RegistryEntry endpoint(
       String id, EndpointState state, long startedMs, long created, long changed) {
     long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
     RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
     return new RegistryEntry("p/caches/" + id, content, created, changed);
   }
 
-  private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.modRevision(), held.key(), held);
-  }
-
-  private List<String> told() {
-    List<String> all = List.copyOf(told);
-    told.clear();
+  private List<String> takePublished() {
+    List<String> all = List.copyOf(published);
+    published.clear();
     return all;
   }
 
@@ -75,8 +71,11 @@
   void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
     view.applySnapshot(NOW, new RegistryListing(List.of(), "c", 1, NOW));
     view.applyEvents(
-        NOW, List.of(put(cache("a", EndpointState.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
-    assertEquals(List.of("a " + start), told());
+        NOW,
+        List.of(
+            RegistryFixtures.put(
+                endpoint("a", EndpointState.UP, stamp - (stamp == 0 ? 1 : 0), 2, 2))));
+    assertEquals(List.of("a " + start), takePublished());
   }
 
   @Test
@@ -85,24 +84,28 @@
         NOW,
         new RegistryListing(
             List.of(
-                cache("a", EndpointState.UP, 3_600_000, 1, 1),
-                cache("b", EndpointState.UP, -9000, 1, 1),
-                cache("c", EndpointState.UP, 0, 1, 1)),
+                endpoint("a", EndpointState.UP, 3_600_000, 1, 1),
+                endpoint("b", EndpointState.UP, -9000, 1, 1),
+                endpoint("c", EndpointState.UP, 0, 1, 1)),
             "c",
             1,
             NOW));
-    assertEquals(List.of("a 0", "b -7000", "c long ago"), told());
+    assertEquals(List.of("a 0", "b -7000", "c long ago"), takePublished());
     long later = NOW + 60 * SECOND;
     view.applyEvents(
         later,
         List.of(
-            put(cache("a", EndpointState.DRAINING, 3_600_000, 1, 2)),
-            put(cache("b", EndpointState.DRAINING, -9000, 1, 2))));
-    assertEquals(List.of("a 0", "b -7000"), told());
-    view.applyEvents(later, List.of(put(cache("a", EndpointState.UP, -3_000_000, 1, 3))));
-    assertEquals(List.of("a 60000"), told(), "a new start, though its writer's clock was set back");
-    view.applyEvents(later, List.of(put(cache("b", EndpointState.UP, -9000, 4, 4))));
-    assertEquals(List.of("b long ago", "b 60000"), told(), "gone, and another one under its id");
+            RegistryFixtures.put(endpoint("a", EndpointState.DRAINING, 3_600_000, 1, 2)),
+            RegistryFixtures.put(endpoint("b", EndpointState.DRAINING, -9000, 1, 2))));
+    assertEquals(List.of("a 0", "b -7000"), takePublished());
+    view.applyEvents(
+        later, List.of(RegistryFixtures.put(endpoint("a", EndpointState.UP, -3_000_000, 1, 3))));
+    assertEquals(
+        List.of("a 60000"), takePublished(), "a new start, though its writer's clock was set back");
+    view.applyEvents(
+        later, List.of(RegistryFixtures.put(endpoint("b", EndpointState.UP, -9000, 4, 4))));
+    assertEquals(
+        List.of("b long ago", "b 60000"), takePublished(), "gone, and another one under its id");
   }
 
   @Test
@@ -110,9 +113,9 @@
     RegistryEntry purge =
         new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
     view.restoreSnapshot(NOW, new RegistryListing(List.of(purge), "c", 10, NOW - 50 * MS));
-    assertEquals(List.of("purged 7 0"), told());
+    assertEquals(List.of("purged 7 0"), takePublished());
     view.applySnapshot(NOW, new RegistryListing(List.of(purge), "c", 10, NOW));
-    assertEquals(List.of(), told());
+    assertEquals(List.of(), takePublished());
   }
 
   @ParameterizedTest
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -14,229 +14,240 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is asked of which endpoint when the registry fails, one story for each failure. */
+/** What is requested from which endpoint when the registry fails, a test for each failure. */
 class WatchSessionTest {
-  private static final long MS = 1_000_000, START = 1_000_000_000_000L * MS;
+  private static final long MS = 1_000_000;
+  private static final long START = 1_000_000_000_000L * MS;
 
-  /** An order that was given; from is a watch's revision or a list's since. */
-  private record Order(String what, long call, int endpoint, long from) {}
+  /** A command that was given; from is a watch's revision or a list's since. */
+  private record Command(String what, long call, int endpoint, long from) {}
 
-  private final List<String> told = new ArrayList<>();
-  private final List<String> notes = new ArrayList<>();
-  private final List<Order> orders = new ArrayList<>();
-  private final List<Long> dropped = new ArrayList<>();
+  private final List<String> published = new ArrayList<>();
+  private final List<String> logged = new ArrayList<>();
+  private final List<Command> commands = new ArrayList<>();
+  private final List<Long> cancelled = new ArrayList<>();
   private final RegistryView view =
-      new RegistryView(new RegistryViewTest.Written(told), "p/tip", 100, 60_000 * MS, notes::add);
-  private WatchSession recovery;
+      new RegistryView(
+          new PublishedLists(published, START / MS), "p/tip", 100, 60_000 * MS, logged::add);
+  private WatchSession session;
   private long now = START;
 
-  private final WatchCommands taking =
+  private final WatchCommands recorder =
       new WatchCommands() {
         @Override
         public void list(
             long call, int endpoint, long revision, String after, long since, int limit) {
-          orders.add(new Order("list", call, endpoint, since));
+          commands.add(new Command("list", call, endpoint, since));
         }
 
         @Override
         public void watch(long call, int endpoint, long from) {
-          orders.add(new Order("watch", call, endpoint, from));
+          commands.add(new Command("watch", call, endpoint, from));
         }
 
         @Override
         public void heartbeat(long call, int endpoint) {
-          orders.add(new Order("pulse", call, endpoint, 0));
+          commands.add(new Command("heartbeat", call, endpoint, 0));
         }
 
         @Override
         public void cancel(long call) {
-          dropped.add(call);
+          cancelled.add(call);
         }
       };
 
   private void start(int endpoints) {
-    recovery = new WatchSession(view, taking, endpoints, 100, 0, 5, notes::add);
-    recovery.start(now);
+    session =
+        new WatchSession(view, recorder, new WatchSessionConfig(endpoints, 100, 0, 5), logged::add);
+    session.start(now);
   }
 
-  private List<Order> take(String what) {
-    List<Order> found = orders.stream().filter(one -> one.what.equals(what)).toList();
-    orders.removeAll(found);
+  private List<Command> take(String what) {
+    List<Command> found = commands.stream().filter(one -> one.what.equals(what)).toList();
+    commands.removeAll(found);
     return found;
   }
 
-  /** The last of these orders that was not dropped. */
-  private Order last(String what) {
-    List<Order> all = take(what);
+  /** The last of these commands. */
+  private Command last(String what) {
+    List<Command> all = take(what);
     return all.get(all.size() - 1);
   }
 
-  /** Lets time pass; pulses are answered as the registry would, where it may. */
-  private void pass(long ms, Predicate<Order> answers, long revision, long tip) {
+  /** Lets time pass; heartbeats are answered as the registry would, where the predicate allows. */
+  private void pass(long ms, Predicate<Command> answers, long revision, long tip) {
     long end = now + ms * MS;
     while (now < end) {
-      now = Math.min(end, Math.max(now + MS, recovery.nextTickNanos()));
-      recovery.tick(now);
-      for (Order pulse : take("pulse")) {
-        if (answers.test(pulse)) {
-          recovery.heartbeatReceived(now, pulse.call, new Header("c", revision), tip);
+      now = Math.min(end, Math.max(now + MS, session.nextTickNanos()));
+      session.tick(now);
+      for (Command heartbeat : take("heartbeat")) {
+        if (answers.test(heartbeat)) {
+          session.heartbeatReceived(now, heartbeat.call, new Header("c", revision), tip);
         }
       }
     }
   }
 
-  private static RegistryEntry tip(long changed) {
-    return new RegistryEntry("p/tip", new RegistryRecord.Other(), 2, changed);
-  }
-
-  private void list(Order list, long revision, RegistryEntry... all) {
-    recovery.pageReceived(
+  private void list(Command list, long revision, RegistryEntry... all) {
+    session.pageReceived(
         now, list.call, new Header("c", revision), List.of(all), false, all.length);
   }
 
-  private static WatchEvent put(RegistryEntry held) {
-    return new WatchEvent(held.modRevision(), held.key(), held);
-  }
-
   /** Three endpoints, a list of one cache, two watches. */
-  private List<Order> watching() {
+  private List<Command> watching() {
     return watching(3);
   }
 
-  private List<Order> watching(int endpoints) {
+  private List<Command> watching(int endpoints) {
     start(endpoints);
-    list(take("list").get(0), 10, RegistryViewTest.cache("a", EndpointState.UP, 1, 9), tip(9));
-    List<Order> watches = take("watch");
-    watches.forEach(watch -> recovery.watchOpened(now, watch.call, new Header("c", 10)));
-    told.clear();
+    list(
+        take("list").get(0),
+        10,
+        RegistryFixtures.endpoint("a", EndpointState.UP, 1, 9),
+        RegistryFixtures.tip(9));
+    List<Command> watches = take("watch");
+    watches.forEach(watch -> session.watchOpened(now, watch.call, new Header("c", 10)));
+    published.clear();
     return watches;
   }
 
   @SuppressWarnings("UnnecessaryLambda") // Named, so that a call says what it lets pass.
-  private static final Predicate<Order> ALL = one -> true, NONE = one -> false;
+  private static final Predicate<Command> ALL = command -> true;
+
+  @SuppressWarnings("UnnecessaryLambda") // Likewise.
+  private static final Predicate<Command> NONE = command -> false;
 
   @Test
-  void aListIsReadFirstThenTwoEndpointsAreWatchedFromTheRevisionAfterIt() {
-    List<Order> watches = watching();
+  void listIsReadFirstThenTwoEndpointsAreWatchedFromTheNextRevision() {
+    List<Command> watches = watching();
     assertEquals(2, watches.size());
     assertNotEquals(watches.get(0).endpoint, watches.get(1).endpoint);
     assertTrue(watches.stream().allMatch(one -> one.from == 11));
-    assertEquals(Phase.CURRENT, recovery.phase());
+    assertEquals(Phase.CURRENT, session.phase());
   }
 
   @Test
-  void gatewaysBeginWithDifferentEndpoints() {
+  void sessionsOfDifferentSeedsBeginWithDifferentEndpoints() {
     List<Integer> first = new ArrayList<>();
     for (int seed = 0; seed < 20; seed++) {
-      new WatchSession(view, taking, 3, 100, 0, seed, notes::add).start(now);
+      new WatchSession(view, recorder, new WatchSessionConfig(3, 100, 0, seed), logged::add)
+          .start(now);
       first.add(take("list").get(0).endpoint);
     }
     assertEquals(3, first.stream().distinct().count());
   }
 
   @Test
-  void aFrameThatSplitsARevisionIsToldWhenItIsWhole() {
-    Order watch = watching().get(0);
+  void partialFrameIsReplayedOnceItsRevisionIsComplete() {
+    Command watch = watching().get(0);
     Header header = new Header("c", 12);
-    recovery.eventsReceived(
+    session.eventsReceived(
         now,
         watch.call,
         header,
-        List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 11))),
+        List.of(
+            RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 11))),
         true);
-    assertEquals(List.of(), told);
-    recovery.eventsReceived(
+    assertEquals(List.of(), published);
+    session.eventsReceived(
         now,
         watch.call,
         header,
-        List.of(put(RegistryViewTest.cache("b", EndpointState.UP, 11, 11))),
+        List.of(RegistryFixtures.put(RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11))),
         false);
-    assertEquals(List.of("[a~b+]"), told);
+    assertEquals(List.of("[a~b+]"), published);
   }
 
   @Test
-  void aWatchThatBreaksResumesAtTheNextRevision() {
-    List<Order> watches = watching();
-    recovery.eventsReceived(
+  void brokenWatchResumesAtTheNextRevision() {
+    List<Command> watches = watching();
+    session.eventsReceived(
         now,
         watches.get(0).call,
         new Header("c", 14),
-        List.of(put(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 14))),
+        List.of(
+            RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 14))),
         false);
-    recovery.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
+    session.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
     pass(200, ALL, 14, 9);
     assertEquals(15, take("watch").get(0).from);
   }
 
   @Test
-  void aResumeAtACompactedRevisionReadsWhatWasWrittenSince() {
-    Order watch = watching().get(0);
-    recovery.compacted(now, watch.call);
-    Order list = take("list").get(0);
+  void watchResyncAfterCompactionReadsWhatWasWrittenSince() {
+    Command watch = watching().get(0);
+    session.compacted(now, watch.call);
+    Command list = take("list").get(0);
     assertEquals(11, list.from);
-    list(list, 30, RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 22));
-    assertEquals(List.of(), told, "the count tells that a key is missing");
-    Order whole = take("list").get(0);
+    list(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    assertEquals(List.of(), published, "the count tells that a key is missing");
+    Command whole = take("list").get(0);
     assertEquals(0, whole.from);
-    list(whole, 30, RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 22));
-    assertEquals(List.of("[a~]"), told);
+    list(whole, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    assertEquals(List.of("[a~]"), published);
     assertEquals(31, take("watch").get(0).from);
   }
 
   @Test
-  void aDrainThatNoWatchBringsIsReadInTimeWhicheverEndpointAnswers() {
+  void drainIsReadInTimeWhicheverEndpointAnswersThoughAllWatchesAreSilent() {
     for (int alive = 0; alive < 5; alive++) {
-      WatchSessionTest story = new WatchSessionTest();
-      story.watching(5);
+      WatchSessionTest scenario = new WatchSessionTest();
+      scenario.watching(5);
       int only = alive;
-      story.pass(1000, ALL, 10, 9);
-      long committed = story.now + MS;
+      scenario.pass(1000, ALL, 10, 9);
+      long committed = scenario.now + MS;
       // From here on all but one endpoint of five are silent, and their watches stay open.
-      // A pulse's time, that of all hops, and what a watch has to bring it by itself; answers take
+      // A heartbeat's period, that of all failovers, and the time that a watch has; answers take
       // no time here.
-      while (story.told.isEmpty() && story.now - committed < 240 * MS) {
-        story.pass(1, one -> one.endpoint == only, 11, 11);
-        for (Order list : story.take("list")) {
+      while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
+        scenario.pass(1, one -> one.endpoint == only, 11, 11);
+        for (Command list : scenario.take("list")) {
           if (list.endpoint == only) {
-            story.recovery.pageReceived(
-                story.now,
+            scenario.session.pageReceived(
+                scenario.now,
                 list.call,
                 new Header("c", 11),
-                List.of(RegistryViewTest.cache("a", EndpointState.DRAINING, 1, 11), tip(11)),
+                List.of(
+                    RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 11),
+                    RegistryFixtures.tip(11)),
                 false,
                 2);
           }
         }
       }
-      assertEquals(List.of("[a~]"), story.told, "endpoint " + only + " alone");
+      assertEquals(List.of("[a~]"), scenario.published, "endpoint " + only + " alone");
     }
   }
 
   @Test
-  void aWatchThatStaysBehindWhatAPulseToldIsLeft() {
-    List<Order> watches = watching();
-    recovery.eventsReceived(
-        now, watches.get(0).call, new Header("c", 11), List.of(put(tip(11))), false);
+  void watchBehindTheTipOfAHeartbeatIsReplaced() {
+    List<Command> watches = watching();
+    session.eventsReceived(
+        now,
+        watches.get(0).call,
+        new Header("c", 11),
+        List.of(RegistryFixtures.put(RegistryFixtures.tip(11))),
+        false);
     pass(300, ALL, 11, 11);
-    assertEquals(List.of(watches.get(1).call), dropped);
+    assertEquals(List.of(watches.get(1).call), cancelled);
     assertTrue(take("watch").stream().anyMatch(one -> one.from == 12));
   }
 
   @Test
-  void oneAnswerFromAnOldStateIsPassedOver() {
+  void singleStaleHeartbeatChangesNothing() {
     watching();
     pass(500, ALL, 10, 9);
     boolean[] once = {true};
     pass(2000, one -> true, 10, 9);
     now += MS;
-    recovery.tick(now);
+    session.tick(now);
     pass(
         110,
         one -> {
           boolean old = once[0];
           once[0] = false;
           if (old) {
-            recovery.heartbeatReceived(now, one.call, new Header("c", 4), 4);
+            session.heartbeatReceived(now, one.call, new Header("c", 4), 4);
           }
           return !old;
         },
@@ -247,137 +258,137 @@
   }
 
   @Test
-  void revisionsThatGoBackTwiceAreARestoredRegistry() {
+  void revisionsThatGoBackTwiceAreANewHistory() {
     watching();
     pass(500, ALL, 10, 9);
     pass(300, ALL, 4, 4);
-    Order whole = last("list");
+    Command whole = last("list");
     assertEquals(0, whole.from);
-    list(whole, 4, RegistryViewTest.cache("b", EndpointState.UP, 3, 4));
-    assertEquals("=[b+]", told.get(0));
+    list(whole, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
+    assertEquals("=[b+]", published.get(0));
     assertEquals(5, take("watch").get(0).from);
   }
 
   @Test
-  void anEndpointOfAnotherRegistryIsPassedOverWhileTheOthersAreOwn() {
+  void endpointOfAnotherClusterIsPassedOver() {
     watching();
     pass(
         20_000,
         one -> {
           if (one.endpoint == 2) {
-            recovery.heartbeatReceived(now, one.call, new Header("other", 900), 900);
+            session.heartbeatReceived(now, one.call, new Header("other", 900), 900);
           }
           return one.endpoint != 2;
         },
         10,
         9);
     assertEquals(List.of(), take("list"));
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), published);
   }
 
   @Test
-  void anotherRegistryAtMostEndpointsIsAFullNewList() {
+  void anotherClusterAtMostEndpointsIsANewHistory() {
     watching();
     pass(
         600,
         one -> {
-          recovery.heartbeatReceived(now, one.call, new Header("other", 5), 5);
+          session.heartbeatReceived(now, one.call, new Header("other", 5), 5);
           return false;
         },
         0,
         0);
-    Order whole = last("list");
-    recovery.pageReceived(now, whole.call, new Header("other", 5), List.of(), false, 0);
-    assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), told);
+    Command whole = last("list");
+    session.pageReceived(now, whole.call, new Header("other", 5), List.of(), false, 0);
+    assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), published);
   }
 
   @ParameterizedTest
   @EnumSource(
       value = RegistryFailure.class,
       names = {"UNAUTHORISED", "UNTRUSTED"})
-  void whatPeopleMustMendIsNotRetriedAtSpeed(RegistryFailure why) {
+  void failureThatNeedsAnOperatorIsRetriedSlowly(RegistryFailure why) {
     start(1);
-    int asked = 0;
+    int sent = 0;
     for (int step = 0; step < 1000; step++) {
       now += 10 * MS;
-      recovery.tick(now);
-      for (Order order : List.copyOf(orders)) {
-        asked++;
-        recovery.callFailed(now, order.call, why, 0);
+      session.tick(now);
+      for (Command command : List.copyOf(commands)) {
+        sent++;
+        session.callFailed(now, command.call, why, 0);
       }
-      orders.clear();
+      commands.clear();
     }
-    assertTrue(asked >= 2 && asked <= 8, asked + " calls in 10 s");
+    assertTrue(sent >= 2 && sent <= 8, sent + " calls in 10 s");
   }
 
   @Test
-  void silenceOfAllIsToldAndTheListStays() {
+  void lossOfContactChangesThePhaseAndKeepsTheView() {
     watching();
     pass(1500, NONE, 0, 0);
-    assertEquals(Phase.CUT_OFF, recovery.phase());
-    assertEquals(List.of(), told);
+    assertEquals(Phase.CUT_OFF, session.phase());
+    assertEquals(List.of(), published);
     assertEquals(
         1,
         view.entries().stream().filter(one -> one.value() instanceof RegistryRecord.Cache).count());
   }
 
   @Test
-  void refusedEverywhereTheCallsOfASecondStayWithinTheBudget() {
+  void connectionsStayWithinTheRateLimitWhileAllEndpointsRefuse() {
     start(3);
-    int asked = 0;
+    int sent = 0;
     for (int step = 0; step < 500; step++) {
       now += 10 * MS;
-      recovery.tick(now);
-      for (Order order : List.copyOf(orders)) {
-        asked++;
-        recovery.callFailed(now, order.call, RegistryFailure.REFUSED, 0);
+      session.tick(now);
+      for (Command command : List.copyOf(commands)) {
+        sent++;
+        session.callFailed(now, command.call, RegistryFailure.REFUSED, 0);
       }
-      orders.clear();
+      commands.clear();
     }
-    assertTrue(asked <= 60, asked + " calls in 5 s");
+    assertTrue(sent <= 60, sent + " calls in 5 s");
   }
 
   @Test
-  void aListIsReadByPagesAtOneRevisionAndAnewInLargerPartsWhenThatIsCompacted() {
+  void compactionDuringAPagedListingStartsItAnew() {
     start(1);
-    Order list = take("list").get(0);
-    recovery.pageReceived(
+    Command list = take("list").get(0);
+    session.pageReceived(
         now,
         list.call,
         new Header("c", 10),
-        List.of(RegistryViewTest.cache("a", EndpointState.UP, 1, 1)),
+        List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
         true,
         2);
     assertEquals(1, take("list").size());
-    recovery.compacted(now, list.call);
-    Order again = take("list").get(0);
+    session.compacted(now, list.call);
+    Command again = take("list").get(0);
     list(
         again,
         12,
-        RegistryViewTest.cache("a", EndpointState.UP, 1, 1),
-        RegistryViewTest.cache("b", EndpointState.UP, 2, 2));
-    assertEquals(List.of("=[a+b+]"), told);
+        RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
+        RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2));
+    assertEquals(List.of("=[a+b+]"), published);
   }
 
   @Test
-  void aListThatFallsSilentIsReadElsewhereOnceAnotherAnswers() {
+  void silentListIsReadElsewhereOnceAnotherEndpointAnswers() {
     start(2);
-    Order list = take("list").get(0);
+    Command list = take("list").get(0);
     pass(220, one -> one.endpoint != list.endpoint, 10, 9);
-    assertEquals(List.of(list.call), dropped);
+    assertEquals(List.of(list.call), cancelled);
     assertNotEquals(list.endpoint, last("list").endpoint);
   }
 
   @Test
-  void aServerThatAsksForFewerCallsIsLeftAloneForThatLong() {
+  void retryAfterOfAServerIsHonoured() {
     start(1);
-    recovery.callFailed(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
+    session.callFailed(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
     long since = now;
-    take("pulse")
-        .forEach(one -> recovery.callFailed(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
-    while (orders.isEmpty()) {
-      now = Math.max(now + MS, recovery.nextTickNanos());
-      recovery.tick(now);
+    take("heartbeat")
+        .forEach(one -> session.callFailed(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
+    while (commands.isEmpty()) {
+      now = Math.max(now + MS, session.nextTickNanos());
+      session.tick(now);
     }
     assertTrue(now - since >= 700 * MS, (now - since) / MS + " ms");
   }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryProtocolsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
@@ -7,10 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.vertx.core.MultiMap;
-import java.io.IOException;
 import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.Base64;
 import java.util.List;
 import java.util.Optional;
@@ -21,23 +18,20 @@
 import org.amberpath.registry.RegistryFailure;
 import org.amberpath.registry.RegistryPage;
 import org.amberpath.registry.RegistryRecord;
-import org.amberpath.registry.Snapshot;
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
-import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The codecs and the snapshot's file: what they take, and what they refuse without harm. */
-class RegistryProtocolsTest {
+/** etcd's JSON form: what is sent, and what is taken or refused. */
+class EtcdProtocolTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
-  private static final RegistryRecord.Cache CACHE =
+  private static final RegistryRecord.Cache ENDPOINT =
       new RegistryRecord.Cache(
           "c1", "127.0.0.1:7001", "z", "box", 3, EndpointState.DRAINING, 4, 1_700_000_000_000L);
 
   private final EtcdProtocol etcd = new EtcdProtocol("p/");
-  private final ConsulProtocol consul = new ConsulProtocol("p/", 1000);
 
   private static String base64(String text) {
     return Base64.getEncoder().encodeToString(text.getBytes(StandardCharsets.UTF_8));
@@ -51,39 +45,8 @@
     return new String(body, StandardCharsets.UTF_8);
   }
 
-  @Test
-  void aCacheReadsAsItWasWritten() {
-    assertEquals(CACHE, RecordCodec.decode("caches/c1", RecordCodec.encode(CACHE)));
-    RegistryRecord.Purge purge =
-        new RegistryRecord.Purge(0x7f3a9c21e0b4d655L, 0, 1_700_000_000_000L);
-    assertEquals(purge, RecordCodec.decode("purges/1", RecordCodec.encode(purge)));
-  }
-
-  @ParameterizedTest
-  @ValueSource(
-      strings = {
-        "",
-        "[]",
-        "{'v':2}",
-        "{'v':1,'address':'host:1','zone':'z','kind':'k','state':'ready'}",
-        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'gone'}",
-        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','weight':0}",
-        "{'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'}",
-        "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"
-      })
-  void aValueThatIsNotAsThePageHasItIsUnreadableAndNoMore(String value) {
-    assertInstanceOf(
-        RegistryRecord.Unreadable.class, RecordCodec.decode("caches/c1", bytes(value)));
-  }
-
-  @Property(tries = 500)
-  void noValueIsThrownOver(@ForAll byte[] value) {
-    RecordCodec.decode("caches/c1", value);
-    RecordCodec.decode("purges/1", value);
-  }
-
   @Property(tries = 500)
-  void noLineIsThrownOverButAsMalformed(@ForAll byte[] line) {
+  void anyLineIsDecodedOrInvalid(@ForAll byte[] line) {
     try {
       new EtcdProtocol("p/").decodeFrame(line);
     } catch (InvalidDocumentException e) {
@@ -92,7 +55,7 @@
   }
 
   @Test
-  void aRangeIsAskedAndReadByThePublishedForm() {
+  void rangeIsEncodedAndDecodedAsPublished() {
     RegistryProtocol.Request ask = etcd.listRequest(7, "p/caches/a", 5, 100);
     assertEquals("/v3/kv/range", ask.uri());
     assertEquals(
@@ -111,16 +74,16 @@
                 "{'header':{'cluster_id':'12','revision':'40'},'kvs':[{'key':'"
                     + base64("p/caches/c1")
                     + "','create_revision':'3','mod_revision':'9','value':'"
-                    + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
+                    + Base64.getEncoder().encodeToString(RecordCodec.encode(ENDPOINT))
                     + "'}],'more':true,'count':'2'}"));
-    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.entries());
+    assertEquals(List.of(new RegistryEntry("p/caches/c1", ENDPOINT, 3, 9)), page.entries());
     assertEquals(40, page.header().revision());
     assertTrue(page.hasMore());
     assertEquals(2, page.totalCount());
   }
 
   @Test
-  void aWatchsLinesSayWhatThePublishedFormHas() {
+  void watchFramesAreDecodedAsPublished() {
     String header = "'header':{'cluster_id':'12','revision':'40'}";
     assertInstanceOf(
         RegistryProtocol.Frame.Opened.class,
@@ -156,7 +119,7 @@
         "{'header':{'revision':'4'},'kvs':[{'key':'!!'}]}",
         "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]}"
       })
-  void aPageThatIsNotAsPublishedIsMalformed(String body) {
+  void pageThatIsNotAsPublishedIsInvalid(String body) {
     assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)));
   }
 
@@ -169,72 +132,16 @@
     "400,16,UNAUTHORISED",
     "404,5,UNREADABLE"
   })
-  void aStatusSaysWhyItIsNoAnswer(int status, int code, RegistryFailure why) {
+  void statusAndCodeAreMappedToAFailure(int status, int code, RegistryFailure why) {
     assertEquals(Optional.of(why), etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
   }
 
   @Test
-  void aBlockingReadIsAskedAndReadByThePublishedForm() {
-    assertEquals(
-        "/v1/kv/p/?recurse=true&consistent=true&index=40&wait=1000ms",
-        consul.watchRequest(41).uri());
-    MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
-    RegistryPage page =
-        consul.decodePage(
-            200,
-            headers,
-            bytes(
-                "[{'Key':'p/caches/c1','Value':'"
-                    + Base64.getEncoder().encodeToString(RecordCodec.encode(CACHE))
-                    + "','CreateIndex':3,'ModifyIndex':9}]"));
-    assertEquals(List.of(new RegistryEntry("p/caches/c1", CACHE, 3, 9)), page.entries());
-    assertTrue(page.totalCount() < 0);
-    assertEquals(List.of(), consul.decodePage(404, headers, new byte[0]).entries());
-    assertThrows(InvalidDocumentException.class, () -> consul.decodePage(404, NONE, new byte[0]));
-  }
-
-  // ---- The snapshot's file.
-
-  private static Snapshot snapshot() {
-    return new Snapshot(
-        "p/",
-        "12",
-        40,
-        5,
-        List.of(
-            new RegistryEntry("p/caches/c1", CACHE, 3, 9),
-            new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
-  }
-
-  @Test
-  void aSnapshotReadsAsItWasWritten(@TempDir Path folder) throws IOException {
-    Path file = folder.resolve("view");
-    SnapshotFile.write(file, snapshot());
-    SnapshotFile.write(file, snapshot());
-    assertEquals(snapshot(), SnapshotFile.read(file, 10_000));
-    assertEquals(1, folder.toFile().list().length);
-  }
-
-  @Test
-  void aTornSnapshotIsToldWhereverItWasTorn(@TempDir Path folder) throws IOException {
-    Path file = folder.resolve("view");
-    SnapshotFile.write(file, snapshot());
-    byte[] whole = Files.readAllBytes(file);
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(file, java.util.Arrays.copyOf(whole, length));
-      assertThrows(IOException.class, () -> SnapshotFile.read(file, 10_000));
-    }
-  }
-
-  @Test
-  void aSnapshotOfALaterVersionOrPastTheBoundIsPassedOver(@TempDir Path folder) throws IOException {
-    Path file = folder.resolve("view");
-    SnapshotFile.write(file, snapshot());
-    assertThrows(IOException.class, () -> SnapshotFile.read(file, 20));
-    Files.writeString(file, Files.readString(file).replaceFirst("snapshot 1 ", "snapshot 2 "));
-    assertEquals(
-        "of version 2",
-        assertThrows(IOException.class, () -> SnapshotFile.read(file, 10_000)).getMessage());
+  void leaseRenewalOfAnExpiredLeaseIsFalse() {
+    assertEquals("/v3/lease/keepalive", EtcdLeases.renewalRequest(7).uri());
+    assertEquals("{'ID':'7'}", text(EtcdLeases.renewalRequest(7).body()).replace('"', '\''));
+    assertTrue(EtcdLeases.decodeRenewal(bytes("{'result':{'ID':'7','TTL':'5'}}")));
+    assertEquals(false, EtcdLeases.decodeRenewal(bytes("{'result':{'ID':'7'}}")));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -45,7 +45,7 @@
 
   @Test
   @Timeout(120)
-  void theRegistryIsAskedThoughTheSnapshotsReadNeverEnds(@TempDir Path folder) throws Exception {
+  void registryIsAskedThoughTheReadOfTheSnapshotNeverEnds(@TempDir Path folder) throws Exception {
     Path pipe = folder.resolve("view");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     Vertx vertx = Vertx.vertx();
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -54,14 +54,14 @@
   }
 
   @Test
-  void valuesOfAnEarlierReleaseAreReadAsWhatTheySaid() throws IOException {
+  void valuesOfAnEarlierReleaseAreDecoded() throws IOException {
     Map<String, RegistryRecord> read = new LinkedHashMap<>();
     golden().forEach((key, value) -> read.put(key, RecordCodec.decode(key, value)));
     assertEquals(SAID, read);
   }
 
   @Test
-  void theSameBytesAreWritten() throws IOException {
+  void sameBytesAreEncoded() throws IOException {
     golden()
         .forEach(
             (key, value) ->
--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
@@ -0,0 +1,47 @@
+package org.amberpath.registry.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.nio.file.Files;
+import java.nio.file.Path;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Secrets from files: what is taken, and that no message holds any of it. */
+class RegistryCredentialsTest {
+  private static final int MAX_BYTES = 16_384;
+
+  @TempDir private Path folder;
+
+  @Test
+  void secretIsReadWithoutTheWhiteSpaceAroundIt() throws Exception {
+    Path file = Files.writeString(folder.resolve("token"), " s3cr3t\n");
+    assertEquals("s3cr3t", RegistryCredentials.secret(file));
+  }
+
+  @Test
+  void secretPastTheBoundIsRefusedWithoutItsText() throws Exception {
+    Path file = Files.writeString(folder.resolve("token"), "s".repeat(MAX_BYTES + 1));
+    assertEquals(
+        "the file of a secret is longer than 16384 bytes",
+        assertThrows(
+                CredentialException.SecretTooLong.class, () -> RegistryCredentials.secret(file))
+            .getMessage());
+  }
+
+  @Test
+  void fileThatIsNotThereIsAnUnreadableSecret() {
+    assertEquals(
+        "the file of a secret can't be read",
+        assertThrows(
+                CredentialException.SecretUnreadable.class,
+                () -> RegistryCredentials.secret(folder.resolve("token")))
+            .getMessage());
+  }
+
+  @Test
+  void rejectedLoginGivesTheStatusAlone() {
+    assertEquals("log-in: status 403", new CredentialException.LoginRejected(403).getMessage());
+  }
+}
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -13,6 +13,7 @@
 import java.nio.file.Path;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Deque;
 import java.util.List;
 import java.util.Optional;
@@ -34,7 +35,7 @@
  */
 class SnapshotFailureTest {
   private static final long SECOND = 1_000_000_000;
-  private static final int LONGEST = 10_000;
+  private static final int MAX_BYTES = 10_000;
 
   @TempDir private Path folder;
   private Path file;
@@ -134,7 +135,7 @@
   }
 
   @BeforeEach
-  void keepOne() throws IOException {
+  void writeFirstSnapshot() throws IOException {
     file = folder.resolve("view");
     SnapshotFile.write(file, snapshot(1));
   }
@@ -144,7 +145,7 @@
         new SnapshotKeeper.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
   }
 
-  private static Future<Void> atOnce(Callable<Void> write) {
+  private static Future<Void> runAtOnce(Callable<Void> write) {
     try {
       return Future.succeededFuture(write.call());
     } catch (Exception e) {
@@ -160,14 +161,14 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"open", "write", "force", "move"})
-  void theLastGoodOneStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
+  void lastSnapshotStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
       throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
+    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
     disk.failing = failing;
     int ticks = 600;
     for (int tick = 0; tick < ticks; tick++, now += SECOND) {
       keeper.tick(() -> Optional.of(snapshot(2)));
-      assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
+      assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     }
     long tries = disk.calls.stream().filter("open"::equals).count();
     assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
@@ -178,46 +179,46 @@
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
       keeper.tick(Optional::empty); // Cut off meanwhile: what is pending is still owed.
     }
-    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+    assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
     assertTrue(log.get(1).endsWith("after " + tries + " failures"), log.get(1));
   }
 
   @Test
-  void aFolderThatCantBeForcedIsAFailureToo() throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::atOnce);
+  void failedSyncOfTheDirectoryIsAFailedWrite() throws IOException {
+    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
     disk.failing = "forceFolder";
     keeper.tick(() -> Optional.of(snapshot(2)));
     assertEquals(1, log.size());
-    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+    assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
-  void bytesAreForcedBeforeTheMoveAndTheFolderAfterIt() throws IOException {
+  void fileIsSyncedBeforeTheMoveAndItsDirectoryAfterIt() throws IOException {
     SnapshotFile.write(file, snapshot(2), disk);
     assertEquals(
         List.of("open", "write", "force", "move", "forceFolder"),
         disk.calls.stream().distinct().toList());
-    assertEquals(snapshot(2), SnapshotFile.read(file, LONGEST));
+    assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
-  void whatAKillLeftBesideIsNeverReadAndGoesWithTheNextStart() throws IOException {
+  void leftoverOfAKilledWriteIsNeverReadAndRemovedAtTheNextStart() throws IOException {
     disk.failing = "write";
     disk.killed = true;
-    assertThrows(IOException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
+    assertThrows(SnapshotException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
     String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
     Files.move(
         folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
-    assertEquals(snapshot(1), SnapshotFile.read(file, LONGEST));
+    assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     SnapshotFile.clean(file, FileOperations.DISK);
     assertEquals(List.of("view", "view.newer"), names().stream().sorted().toList());
   }
 
   @Test
-  void oneWriteIsUnderWayAndTheLatestFollowsIt() throws Exception {
+  void onlyTheLatestSnapshotWaitsForAWriteUnderWay() throws Exception {
     Deque<Callable<Void>> writes = new ArrayDeque<>();
     List<Promise<Void>> promises = new ArrayList<>();
     SnapshotKeeper keeper =
@@ -236,16 +237,16 @@
     promises.get(0).complete();
     keeper.tick(() -> Optional.of(snapshot(100)));
     writes.remove().call();
-    assertEquals(snapshot(100), SnapshotFile.read(file, LONGEST));
+    assertEquals(snapshot(100), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
-  void aSnapshotWithAnyByteFlippedOrMissingIsRefused() throws IOException {
+  void snapshotWithAnyByteFlippedOrMissingIsRefused() throws IOException {
     byte[] whole = Files.readAllBytes(file);
     for (int length = 0; length < whole.length; length++) {
-      Files.write(file, java.util.Arrays.copyOf(whole, length));
+      Files.write(file, Arrays.copyOf(whole, length));
       assertThrows(
-          IOException.class, () -> SnapshotFile.read(file, LONGEST), "of length " + length);
+          SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), "of length " + length);
     }
     for (int at = 0; at < whole.length; at++) {
       for (int flip : new int[] {1, 0x20, 0x80, 0xff}) {
@@ -253,16 +254,16 @@
         torn[at] ^= (byte) flip;
         Files.write(file, torn);
         String where = "byte " + at + " by " + flip;
-        assertThrows(IOException.class, () -> SnapshotFile.read(file, LONGEST), where);
+        assertThrows(SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), where);
       }
     }
   }
 
   /** The resource was written by the text of 2026-12-02, before the writer was changed. */
   @Test
-  void theStoredFormStaysReadableBothWays() throws Exception {
+  void storedFormOfVersionOneIsReadAndWrittenByteForByte() throws Exception {
     Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
-    assertEquals(snapshot(40), SnapshotFile.read(kept, LONGEST));
+    assertEquals(snapshot(40), SnapshotFile.read(kept, MAX_BYTES));
     SnapshotFile.write(file, snapshot(40));
     assertEquals(
         -1,
--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
@@ -0,0 +1,130 @@
+package org.amberpath.registry.runtime;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.Arrays;
+import java.util.List;
+import java.util.zip.CRC32C;
+import org.amberpath.registry.RegistryEntry;
+import org.amberpath.registry.RegistryRecord;
+import org.amberpath.registry.Snapshot;
+import org.amberpath.routing.EndpointState;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** The file of a snapshot: what is read, and why one is refused. */
+class SnapshotFileTest {
+  private static final RegistryRecord.Cache ENDPOINT =
+      new RegistryRecord.Cache(
+          "c1", "127.0.0.1:7001", "z", "box", 3, EndpointState.DRAINING, 4, 1_700_000_000_000L);
+  private static final int MAX_BYTES = 10_000;
+
+  @TempDir private Path folder;
+
+  private static Snapshot snapshot() {
+    return new Snapshot(
+        "p/",
+        "12",
+        40,
+        5,
+        List.of(
+            new RegistryEntry("p/caches/c1", ENDPOINT, 3, 9),
+            new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
+  }
+
+  private Path written() throws IOException {
+    Path file = folder.resolve("view");
+    SnapshotFile.write(file, snapshot());
+    return file;
+  }
+
+  private static <E extends SnapshotException> String refusal(Class<E> type, Path file) {
+    return assertThrows(type, () -> SnapshotFile.read(file, MAX_BYTES)).getMessage();
+  }
+
+  @Test
+  void snapshotIsReadAsItWasWritten() throws IOException {
+    Path file = written();
+    SnapshotFile.write(file, snapshot());
+    assertEquals(snapshot(), SnapshotFile.read(file, MAX_BYTES));
+    assertEquals(1, folder.toFile().list().length);
+  }
+
+  @Test
+  void snapshotCutAnywhereIsRefused() throws IOException {
+    Path file = written();
+    byte[] whole = Files.readAllBytes(file);
+    for (int length = 0; length < whole.length; length++) {
+      Files.write(file, Arrays.copyOf(whole, length));
+      assertThrows(SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES));
+    }
+  }
+
+  @Test
+  void snapshotOfALaterVersionOrPastTheBoundIsRefused() throws IOException {
+    Path file = written();
+    assertEquals(
+        "longer than 20 bytes",
+        assertThrows(SnapshotException.TooLong.class, () -> SnapshotFile.read(file, 20))
+            .getMessage());
+    Files.writeString(file, Files.readString(file).replaceFirst("snapshot 1 ", "snapshot 2 "));
+    assertEquals("of version 2", refusal(SnapshotException.UnsupportedVersion.class, file));
+  }
+
+  @Test
+  void fileOfAnotherKindIsNotASnapshot() throws IOException {
+    Path file = Files.writeString(folder.resolve("view"), "another's\n{}");
+    assertEquals("no snapshot", refusal(SnapshotException.NotASnapshot.class, file));
+  }
+
+  @Test
+  void snapshotWithAnotherChecksumIsRefused() throws IOException {
+    Path file = written();
+    Files.writeString(file, Files.readString(file) + " ");
+    assertEquals(
+        "torn: its checksum is another one",
+        refusal(SnapshotException.ChecksumMismatch.class, file));
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "{} | snapshot: field 'prefix' is missing",
+        "[] | snapshot: not an object",
+      })
+  void snapshotWithoutItsFieldsIsMalformed(String body, String message) throws IOException {
+    CRC32C sum = new CRC32C();
+    sum.update(body.getBytes(StandardCharsets.UTF_8));
+    String header = "amberpath-registry-snapshot 1 " + Long.toHexString(sum.getValue());
+    Path file = Files.writeString(folder.resolve("view"), header + "\n" + body);
+    assertEquals(message, refusal(SnapshotException.Malformed.class, file));
+  }
+
+  @Test
+  void fileThatIsNotThereCannotBeRead() {
+    Path file = folder.resolve("view");
+    assertEquals(
+        "it can't be read: java.nio.file.NoSuchFileException: " + file,
+        refusal(SnapshotException.ReadFailed.class, file));
+  }
+
+  @Test
+  void fileInNoDirectoryCannotBeWritten() {
+    Path file = folder.resolve("none").resolve("view");
+    String message =
+        assertThrows(
+                SnapshotException.WriteFailed.class, () -> SnapshotFile.write(file, snapshot()))
+            .getMessage();
+    assertTrue(message.startsWith("java.nio.file.NoSuchFileException: " + file), message);
+  }
+}
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -19,11 +19,13 @@
  * both ways.
  */
 class WallTimesTest {
-  private static final long MS = 1_000_000,
-      START = 1_700_000_000_000L,
-      HOUR = 3_600_000,
-      SECOND = 1_000_000_000;
-  private long wall = START, forward = START * MS;
+  private static final long MS = 1_000_000;
+  private static final long START = 1_700_000_000_000L;
+  private static final long HOUR = 3_600_000;
+  private static final long SECOND = 1_000_000_000;
+
+  private long wall = START;
+  private long forward = START * MS;
   private final List<Long> ages = new ArrayList<>();
 
   /** Ages by the wall clock as it stands, as the gateway has them. */
@@ -70,8 +72,8 @@
       all.add(
           new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
     }
-    List<RegistryEntry> lapsed = RegistryAdminClient.expiredPurges(all, START, retention);
-    assertEquals(all.subList(1, 2), lapsed);
+    List<RegistryEntry> expired = RegistryAdminClient.expiredPurges(all, START, retention);
+    assertEquals(all.subList(1, 2), expired);
     assertTrue(
         RegistryAdminClient.expiredPurges(all.subList(0, 1), START + HOUR, retention).isEmpty());
   }
