--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -258,7 +258,8 @@
                   }));
     } else if (!hung) {
       vertx.setTimer(
-          hitMillis, timer -> whenFilled.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
+          hitMillis,
+          timer -> whenFilled.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
     }
   }
 
--- /dev/null
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -0,0 +1,249 @@
+package org.amberpath.registry;
+
+import java.util.Comparator;
+import java.util.List;
+import java.util.PriorityQueue;
+import java.util.SplittableRandom;
+import org.amberpath.registry.WatchSession.Header;
+
+/**
+ * One watch session among seeded random endpoints, failures, writes, compactions, restored
+ * registries and restarts, without I/O or clock. Every command, every log line and everything that
+ * is published is recorded by {@link RecordedOutputs}, and the session's state after each step.
+ */
+final class SeededRegistryWorld {
+  /** How many endpoints there are, how watches come, and how often the gateway restarts. */
+  enum Setting {
+    /** One endpoint, few keys allowed. */
+    SINGLE(1, 25, 30_000),
+    /** Three endpoints, streaming watches. */
+    THREE(3, 120, 30_000),
+    /** Nine endpoints, purges that are kept for a short time. */
+    NINE(9, 120, 2_000),
+    /** Three endpoints without cluster ids, whose watches are blocking reads. */
+    BLOCKING(3, 120, 30_000),
+    /** Three endpoints, a restart each few seconds, mostly from a snapshot. */
+    RESTARTS(3, 120, 30_000);
+
+    final int endpoints;
+    private final int maxKeys;
+    private final long retentionMillis;
+
+    Setting(int endpoints, int maxKeys, long retentionMillis) {
+      this.endpoints = endpoints;
+      this.maxKeys = maxKeys;
+      this.retentionMillis = retentionMillis;
+    }
+  }
+
+  private record Planned(long at, long order, Runnable event) {}
+
+  private static final long MS = 1_000_000;
+  private static final long START = 1_700_000_000_000L * MS;
+  private static final long DURATION = 300_000 * MS;
+  static final long BLOCKING_TIME = 3_000 * MS;
+
+  /** What came of it. */
+  final RecordedOutputs outputs = new RecordedOutputs();
+
+  final Setting setting;
+  final SplittableRandom random;
+  private final PriorityQueue<Planned> planned =
+      new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+  private final SeededRegistryEndpoints endpoints;
+  final SeededRegistryStore store;
+  WatchSession session;
+  private RegistryView view;
+  private Snapshot snapshot;
+  long now = START;
+  private long order;
+
+  SeededRegistryWorld(Setting setting, long seed) {
+    this.setting = setting;
+    random = new SplittableRandom(seed * 31 + setting.endpoints + setting.retentionMillis);
+    store = new SeededRegistryStore(random, 40, START / MS);
+    endpoints = new SeededRegistryEndpoints(this, outputs);
+  }
+
+  /** Plays the whole time; the digest of all outputs, as hexadecimal digits. */
+  String play() {
+    for (int write = 0; write < 30; write++) {
+      store.write(START / MS);
+    }
+    store.takeBackup();
+    restart();
+    plan(0, this::changeSomething);
+    while (now < START + DURATION) {
+      step();
+      recordState();
+    }
+    return outputs.digest();
+  }
+
+  private void step() {
+    long due = Math.max(session.nextTickNanos(), now + MS);
+    if (!planned.isEmpty() && planned.peek().at <= due) {
+      Planned next = planned.poll();
+      now = Math.max(now, next.at);
+      next.event.run();
+    } else {
+      // A timer fires late, now and then by much.
+      now = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
+      session.tick(now);
+    }
+  }
+
+  void plan(long delay, Runnable event) {
+    planned.add(new Planned(now + delay, ++order, event));
+  }
+
+  // ---- What changes.
+
+  private void changeSomething() {
+    plan(MS + random.nextLong(80 * MS), this::changeSomething);
+    if (chance(0.25)) {
+      write(1);
+    }
+    if (chance(0.01)) {
+      write(30);
+    }
+    if (chance(0.04)) {
+      endpoints.changeBehaviour(random.nextInt(setting.endpoints));
+    }
+    if (chance(0.003)) {
+      endpoints.outage();
+    }
+    if (chance(0.02)) {
+      store.compact();
+    }
+    if (chance(0.01)) {
+      store.takeBackup();
+    }
+    changeRarely();
+  }
+
+  private void changeRarely() {
+    if (chance(0.003)) {
+      outputs.count("event restore");
+      store.restore();
+      endpoints.breakWatches(0.7);
+    }
+    if (chance(0.001)) {
+      outputs.count("event other cluster");
+      store.replaceCluster();
+      endpoints.breakWatches(0.7);
+    }
+    if (chance(0.003)) {
+      outputs.count("event reload");
+      session.settingsReloaded(now);
+    }
+    if (chance(0.01)) {
+      strayAnswer();
+    }
+    if (view.hasData() && session.phase() == WatchSession.Phase.CURRENT && chance(0.02)) {
+      snapshot =
+          new Snapshot(
+              SeededRegistryStore.PREFIX,
+              view.clusterId(),
+              view.appliedRevision(),
+              view.confirmedAtNanos(),
+              List.copyOf(view.entries()));
+    }
+    if (chance(setting == Setting.RESTARTS ? 0.01 : 0.001)) {
+      restart();
+    }
+  }
+
+  private void write(int transactions) {
+    for (int write = 0; write < transactions; write++) {
+      store.write(now / MS);
+    }
+    endpoints.written();
+  }
+
+  /** An answer to a call that is over, or of a kind that it was not made for. */
+  private void strayAnswer() {
+    long id = Math.max(1, order % 200);
+    Header header = new Header(store.cluster(), store.revision());
+    outputs.count("event stray answer");
+    switch (random.nextInt(5)) {
+      case 0 -> session.heartbeatReceived(now, id, header, store.tip());
+      case 1 -> session.pageReceived(now, id, header, List.of(), false, 0);
+      case 2 -> session.watchOpened(now, id, header);
+      case 3 -> session.eventsReceived(now, id, header, List.of(), false);
+      default -> session.callFailed(now, id, RegistryFailure.BROKEN, 0);
+    }
+  }
+
+  private void restart() {
+    endpoints.forgetCalls();
+    long retention = setting.retentionMillis * MS;
+    view =
+        new RegistryView(
+            outputs, SeededRegistryStore.TIP_KEY, setting.maxKeys, retention, outputs::complaint);
+    session =
+        new WatchSession(
+            view,
+            endpoints,
+            new WatchSessionConfig(
+                setting.endpoints,
+                setting.maxKeys,
+                setting == Setting.BLOCKING ? BLOCKING_TIME : 0,
+                random.nextLong()),
+            outputs::note);
+    session.tick(now);
+    if (snapshot != null && chance(0.8)) {
+      outputs.count("event restart from snapshot");
+      view.restoreSnapshot(
+          now,
+          new RegistryListing(
+              snapshot.entries(),
+              snapshot.cluster(),
+              snapshot.revision(),
+              snapshot.confirmedAtNanos()));
+    } else {
+      outputs.count("event restart");
+    }
+    WatchSession begun = session;
+    plan(
+        random.nextLong(20 * MS),
+        () -> {
+          if (session == begun) {
+            begun.start(now);
+          }
+        });
+  }
+
+  private void recordState() {
+    String phase = phase();
+    outputs.count("phase " + phase);
+    outputs.record(
+        "state",
+        now - START,
+        phase,
+        session.watchCount(),
+        session.openCallCount(),
+        session.nextTickNanos() - START);
+    outputs.record(
+        "view",
+        view.hasData(),
+        view.clusterId(),
+        view.appliedRevision(),
+        view.tipRevision(),
+        view.keyCount());
+    outputs.record("proven", view.confirmedAtNanos());
+  }
+
+  private String phase() {
+    return switch (session.phase()) {
+      case EMPTY -> "EMPTY";
+      case CURRENT -> "CURRENT";
+      case BEHIND -> "BEHIND";
+      case CUT_OFF -> "CUT_OFF";
+    };
+  }
+
+  boolean chance(double probability) {
+    return random.nextDouble() < probability;
+  }
+}
