--- a/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
+++ b/lab/src/main/java/org/amberpath/lab/registry/VirtualClient.java
@@ -12,6 +12,7 @@
 import org.amberpath.registry.WatchCommands;
 import org.amberpath.registry.WatchSession;
 import org.amberpath.registry.WatchSession.Header;
+import org.amberpath.registry.WatchSessionConfig;
 
 /** One gateway's watch session and view, over a virtual registry. */
 final class VirtualClient implements WatchCommands {
@@ -33,10 +34,11 @@
         new WatchSession(
             view,
             this,
-            registry.endpoints().size(),
-            maxKeys,
-            registry.isBlocking() ? BLOCKING_READ_NANOS : 0,
-            seed,
+            new WatchSessionConfig(
+                registry.endpoints().size(),
+                maxKeys,
+                registry.isBlocking() ? BLOCKING_READ_NANOS : 0,
+                seed),
             log);
     registry.added(this);
   }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -85,28 +85,6 @@
     failures = new CallFailureHandler(calls, heartbeats, listing, log);
   }
 
-  /**
-   * Makes a session that has requested nothing yet.
-   *
-   * @param endpointCount how many endpoints there are
-   * @param maxKeys how many keys are taken at most
-   * @param blockingTimeNanos as {@link WatchSessionConfig} has it
-   */
-  public WatchSession(
-      RegistryView view,
-      WatchCommands commands,
-      int endpointCount,
-      int maxKeys,
-      long blockingTimeNanos,
-      long seed,
-      Consumer<String> log) {
-    this(
-        view,
-        commands,
-        new WatchSessionConfig(endpointCount, maxKeys, blockingTimeNanos, seed),
-        log);
-  }
-
   /** How well the view is known to be current. */
   public Phase phase() {
     return phase;
