--- a/app/src/test/java/org/amberpath/LogCallScanner.java
+++ b/app/src/test/java/org/amberpath/LogCallScanner.java
@@ -16,7 +16,8 @@
 /**
  * Finds the log calls in Java sources with their constant text. A call is one on a {@code Logger},
  * one on a {@code Consumer<String>} whose name says that it logs, or one of a method that passes a
- * {@code String} parameter on to such a call; line wraps and comments don't matter.
+ * {@code String} parameter on to such a call with no more than a component before it; line wraps
+ * and comments don't matter.
  */
 final class LogCallScanner {
   private static final Pattern METHOD =
@@ -31,6 +32,9 @@
   private static final Pattern LEVEL = Pattern.compile("\\bLevel\\.(\\w+)");
   private static final String LEVELS = "info|warning|severe|config|fine|finer|finest|log";
 
+  /** What a method that passes a message on may put before it. */
+  private static final Pattern COMPONENT = Pattern.compile("\\W*(?:\\w+:\\s*)?");
+
   /** How deep a method that logs may be wrapped. */
   private static final int MAX_WRAPPERS = 3;
 
@@ -60,9 +64,13 @@
 
   /** A call found in a file, with where its arguments are. */
   private record Site(Source source, int start, int end, String level, List<String> texts) {
+    List<String> ownTexts() {
+      return source.literals(start, end);
+    }
+
     List<String> allTexts() {
       List<String> all = new ArrayList<>(texts);
-      all.addAll(source.literals(start, end));
+      all.addAll(ownTexts());
       return all;
     }
   }
@@ -132,6 +140,9 @@
       wrappers.forEach(wrapper -> addCallsOf(wrapper, outer));
       wrappers = outer;
     }
+    for (Wrapper wrapper : wrappers) {
+      calls.add(new Call(wrapper.type, wrapper.level, wrapper.texts, false));
+    }
     return calls;
   }
 
@@ -154,7 +165,8 @@
     }
     Matcher parameter = STRING_PARAMETER.matcher(parameters);
     String arguments = site.source.bare.substring(site.start, site.end);
-    while (parameter.find()) {
+    boolean passesOn = COMPONENT.matcher(String.join("", site.ownTexts())).matches();
+    while (passesOn && parameter.find()) {
       if (Pattern.compile("\\b" + parameter.group(1) + "\\b").matcher(arguments).find()) {
         wrappers.add(new Wrapper(site.source.type, name, site.level, site.allTexts()));
         return;
--- a/app/src/test/java/org/amberpath/LogLinesTest.java
+++ b/app/src/test/java/org/amberpath/LogLinesTest.java
@@ -148,6 +148,33 @@
         calls);
   }
 
+  @Test
+  void methodThatWritesATextOfItsOwnIsTheCallHoweverDeepItIsWrapped() {
+    Set<LogCallScanner.Call> calls =
+        LogCallScanner.inText(
+            "Sample",
+            """
+            class Sample {
+              private static final Logger LOG = Logger.getLogger("x");
+              private void event(String text) {
+                LOG.info(prefix + text);
+              }
+              private void change(String text) {
+                event(text);
+              }
+              void lost(String member) {
+                change("lost member=" + member);
+              }
+              void run(String name) {
+                lost(name);
+              }
+            }
+            """);
+
+    assertEquals(
+        Set.of(new LogCallScanner.Call("Sample", "INFO", List.of("lost member="), false)), calls);
+  }
+
   @Test
   void rowWithOtherConstantTextDoesNotDescribeACall() {
     LogCallScanner.Call call =
