--- a/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
+++ b/gateway/src/main/java/org/amberpath/gateway/ClientListener.java
@@ -8,6 +8,10 @@
 import java.io.IOException;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.WriteBufferAccounting;
+import org.amberpath.gateway.pipeline.PipelineContext;
+import org.amberpath.gateway.pipeline.RequestPipeline;
+import org.amberpath.gateway.transport.AcceptLimit;
+import org.amberpath.gateway.transport.SingleEventLoopTransport;
 
 /** The listening socket for clients. */
 final class ClientListener {
@@ -28,33 +32,39 @@
   ClientListener(GatewayOptions options, RequestPipeline pipeline) {
     this.options = options;
     this.pipeline = pipeline;
-    writeBuffers = new WriteBufferAccounting(options.unreadOfOne(), options.unreadOfAll());
-    Vertx vertx = pipeline.context.vertx();
+    writeBuffers =
+        new WriteBufferAccounting(options.maxUnreadBytesPerClient(), options.maxUnreadBytes());
+    Vertx vertx = pipeline.context().vertx();
     server = vertx.createNetServer(new NetServerOptions().setAcceptBacklog(ACCEPT_BACKLOG));
     server.connectHandler(this::accept);
   }
 
   private void accept(NetSocket socket) {
-    PipelineContext context = pipeline.context;
+    PipelineContext context = pipeline.context();
     ClientConnection client =
-        new ClientConnection(socket, writeBuffers, context.clock()::nowNanos, pipeline.receiver);
+        new ClientConnection(
+            socket, writeBuffers, context.clock()::nowNanos, pipeline.clientHandler());
     context.lagMonitor().accepted(client, AcceptLimit.queuedNanos(socket));
-    pipeline.clients.add(client);
+    pipeline.clients().add(client);
   }
 
   /** Binds the address of the options; a failure is an {@link IOException} that names it. */
   Future<Void> listen() {
-    PipelineContext context = pipeline.context;
+    PipelineContext context = pipeline.context();
     SingleEventLoopTransport.limitNext(
         context.vertx(),
-        new AcceptLimit(options.mostClients() + EXTRA_ACCEPTED, context.clock()::nowNanos));
+        new AcceptLimit(
+            options.maxClientConnections() + EXTRA_ACCEPTED, context.clock()::nowNanos));
     return server
-        .listen(options.listen())
+        .listen(options.listenAddress())
         .recover(
             e ->
                 Future.failedFuture(
                     new IOException(
-                        "PROXY_LISTEN: can't listen at " + options.listen() + ": " + e.getMessage(),
+                        "PROXY_LISTEN: can't listen at "
+                            + options.listenAddress()
+                            + ": "
+                            + e.getMessage(),
                         e)))
         .mapEmpty();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
+++ b/gateway/src/main/java/org/amberpath/gateway/EndpointDiscovery.java
@@ -1,7 +1,11 @@
 package org.amberpath.gateway;
 
+import io.vertx.core.net.SocketAddress;
+import java.util.Optional;
 import org.amberpath.gateway.discovery.JournalClient;
 import org.amberpath.gateway.discovery.JournalDecoder;
+import org.amberpath.gateway.pipeline.PipelineContext;
+import org.amberpath.gateway.pipeline.RequestPipeline;
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.MergedEndpointLists;
 
@@ -22,30 +26,34 @@
   /** Connects both to the pipeline; nothing is polled before {@link #start()}. */
   EndpointDiscovery(
       RequestPipeline pipeline, GatewayOptions options, EndpointSource.Factory sourceFactory) {
-    PipelineContext context = pipeline.context;
-    boolean usesJournal = options.journal() != null;
-    MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpoints);
+    PipelineContext context = pipeline.context();
+    boolean usesJournal = options.journalAddress().isPresent();
+    MergedEndpointLists merged = new MergedEndpointLists(pipeline.endpointListener());
     EndpointListener sourceListener =
-        sourceFactory == null || !usesJournal ? pipeline.endpoints : merged.addSource();
-    journalListener = sourceFactory == null ? pipeline.endpoints : merged.addSource();
+        sourceFactory == null || !usesJournal ? pipeline.endpointListener() : merged.addSource();
+    journalListener = sourceFactory == null ? pipeline.endpointListener() : merged.addSource();
     journalDecoder = new JournalDecoder(context.clock());
     source =
         sourceFactory == null
             ? null
             : sourceFactory.create(context.vertx(), sourceListener, options.routingConfig().seed());
     journalClient =
-        usesJournal
-            ? new JournalClient(
-                context.vertx(),
-                options.journal(),
-                new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.unreadOfAll()),
-                new JournalClient.Sinks(
-                    journalDecoder,
-                    journalListener,
-                    context.discoveryFreshness(),
-                    pipeline.routingStage::discoveryPolled),
-                context.clock()::nowNanos)
-            : null;
+        options.journalAddress().map(address -> newClient(address, pipeline, options)).orElse(null);
+  }
+
+  private JournalClient newClient(
+      SocketAddress address, RequestPipeline pipeline, GatewayOptions options) {
+    PipelineContext context = pipeline.context();
+    return new JournalClient(
+        context.vertx(),
+        address,
+        new JournalClient.Bounds(JournalClient.MAX_WAIT_MILLIS, options.maxUnreadBytes()),
+        new JournalClient.Sinks(
+            journalDecoder,
+            journalListener,
+            context.discoveryFreshness(),
+            pipeline::discoveryPolled),
+        context.clock()::nowNanos);
   }
 
   /**
@@ -55,7 +63,7 @@
    */
   void replayKnown(GatewayOptions options) {
     if (journalClient != null) {
-      journalDecoder.playKnown(options.known(), journalListener);
+      journalDecoder.playKnown(options.knownEntries(), journalListener);
     }
   }
 
@@ -79,15 +87,15 @@
   /**
    * Polls the journal at the address of a new configuration, after its entries were replayed.
    *
-   * @return whether the journal is used at all
+   * @return the address; empty where the journal is not used
    */
-  boolean moveJournal(GatewayOptions next) {
+  Optional<SocketAddress> moveJournal(GatewayOptions next) {
     if (journalClient == null) {
-      return false;
+      return Optional.empty();
     }
     replayKnown(next);
-    journalClient.moveTo(next.journal());
-    return true;
+    next.journalAddress().ifPresent(journalClient::moveTo);
+    return next.journalAddress();
   }
 
   /** Ends both. */
--- a/gateway/src/main/java/org/amberpath/gateway/ClientRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/ClientRequest.java
@@ -1,12 +1,11 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.amberpath.gateway.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.gateway.client.ClientConnection;
 import org.amberpath.gateway.client.DecodedRequest;
+import org.amberpath.gateway.pipeline.FleetCallbacks.SyntheticOutcome;
 import org.amberpath.routing.SocketReads;
 
 /**
@@ -26,7 +25,7 @@
   final DecodedRequest decoded;
 
   /** The id under which endpoints know it. */
-  final String reference;
+  final String requestId;
 
   /** The index of its traffic class. */
   final int trafficClass;
@@ -79,7 +78,7 @@
     this.client = client;
     this.messageId = messageId;
     this.decoded = decoded;
-    this.reference = referenceOf(decoded);
+    this.requestId = requestIdOf(decoded);
     this.trafficClass = trafficClass;
     this.deadlineNanos = deadlineNanos;
     this.completion = null;
@@ -96,15 +95,15 @@
     this.client = null;
     this.messageId = id;
     this.decoded = decoded;
-    this.reference = referenceOf(decoded);
+    this.requestId = requestIdOf(decoded);
     this.trafficClass = trafficClass;
     this.deadlineNanos = deadlineNanos;
     this.completion = completion;
   }
 
   /** The id under which endpoints know a request: they know it by no other. */
-  static String referenceOf(DecodedRequest decoded) {
-    return new String(decoded.requestId(), StandardCharsets.ISO_8859_1);
+  static String requestIdOf(DecodedRequest decoded) {
+    return decoded.requestId().toString();
   }
 
   /** Whether this gateway made it itself, so that no client waits for a response. */
--- a/gateway/src/main/java/org/amberpath/gateway/RequestReceiver.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RequestReceiver.java
@@ -1,7 +1,8 @@
-package org.amberpath.gateway;
+package org.amberpath.gateway.pipeline;
 
 import java.util.function.BooleanSupplier;
 import org.amberpath.gateway.client.ClientConnection;
+import org.amberpath.gateway.client.ClientConnections;
 import org.amberpath.gateway.client.ClientHandler;
 import org.amberpath.gateway.client.DecodedRequest;
 
@@ -63,7 +64,7 @@
   public void protocolViolated(ClientConnection client, String error) {
     context.protocolErrors().add(client, error);
     for (ClientRequest request : context.inFlight().unansweredOf(client)) {
-      responseWriter.errored(request, "protocol error on this connection");
+      responseWriter.fail(request, "protocol error on this connection");
       routingStage.enqueueCancelled(request);
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -10,6 +10,9 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
+import org.amberpath.gateway.discovery.Clock;
+import org.amberpath.gateway.pipeline.BatchRouter;
+import org.amberpath.gateway.testsupport.GatewayTestbed;
 import org.amberpath.routing.EndpointDescription;
 import org.amberpath.routing.RoutingEventHandler;
 import org.junit.jupiter.api.AfterEach;
@@ -19,32 +22,31 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What the decisions are told of purges and starts while the wall clock steps, on loopback. */
+/** The purges and starts that the router is notified of while the wall clock steps, on loopback. */
 class WallClockTest {
-  private static final long HOUR_MS = 3_600_000, SOON_MS = 60_000;
+  private static final long HOUR_MS = 3_600_000;
+  private static final long SOON_MS = 60_000;
 
-  /**
-   * What a cache or a purge was told with: how long ago it was, and for a cache when it started.
-   */
-  private record Told(String what, long agoMs, long at) {}
+  /** A listed cache or a purge: how long ago it was, and for a cache when it started. */
+  private record Notified(String what, long agoMs, long at) {}
 
   @TempDir private Path folder;
   private final AtomicLong step = new AtomicLong();
-  private final BlockingQueue<Told> told = new LinkedBlockingQueue<>();
-  private StandIns world;
+  private final BlockingQueue<Notified> notified = new LinkedBlockingQueue<>();
+  private GatewayTestbed testbed;
 
   @BeforeEach
   void open() throws Exception {
-    world = new StandIns();
+    testbed = new GatewayTestbed();
   }
 
   @AfterEach
   void close() throws Exception {
-    world.close();
+    testbed.close();
   }
 
   private void start() throws Exception {
-    RoutingStage.BatchRouter decisions =
+    BatchRouter decisions =
         (now, in, to) ->
             in.replayTo(
                 (RoutingEventHandler)
@@ -55,47 +57,48 @@
                           if (event.getName().equals("endpointListed")
                               && ((EndpointDescription) with[0]).startedAtNanos() != 0) {
                             EndpointDescription endpoint = (EndpointDescription) with[0];
-                            told.add(
-                                new Told(
+                            notified.add(
+                                new Notified(
                                     endpoint.id(),
                                     (now - endpoint.startedAtNanos()) / 1_000_000,
                                     endpoint.startedAtNanos()));
                           } else if (event.getName().equals("objectPurged")) {
-                            told.add(new Told("purge", (long) with[2] / 1_000_000, 0));
+                            notified.add(new Notified("purge", (long) with[2] / 1_000_000, 0));
                           }
                           return null;
                         }));
-    world.gateway =
+    testbed.gateway =
         new Gateway(
-            world.vertx,
-            GatewayOptions.read(world.environment(folder)),
+            testbed.vertx,
+            GatewayOptions.read(testbed.environment(folder)),
             GatewayExtensions.NONE,
             decisions,
             new Clock(System::nanoTime, () -> System.currentTimeMillis() + step.get()));
-    world
+    testbed
         .gateway
         .start()
         .toCompletionStage()
         .toCompletableFuture()
-        .get(StandIns.PATIENCE_S, TimeUnit.SECONDS);
+        .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private Told next(String what) throws InterruptedException {
-    Told next;
+  private Notified next(String what) throws InterruptedException {
+    Notified next;
     do {
-      next = told.poll(StandIns.PATIENCE_S, TimeUnit.SECONDS);
-      assertNotNull(next, "nothing was told of " + what);
+      next = notified.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      assertNotNull(next, "no event of " + what);
     } while (!next.what.equals(what));
     return next;
   }
 
   private void purge() {
-    world.journal.add("\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
+    testbed.journal.addEntry(
+        "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
   }
 
   /** Tells of a cache, with a start so long ago by a clock that does not step. */
   private void cache(String id, String state, long startedAtMs) throws Exception {
-    world.journal.add(
+    testbed.journal.addEntry(
         "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
             + id
             + "\",\"hostPort\":\"127.0.0.1:1\",\"zone\":\"z\",\"machineType\":\"box\",\"cell\":0,"
@@ -108,7 +111,7 @@
 
   @ParameterizedTest
   @CsvSource({"3600000, false", "3600000, true", "-3600000, false", "-3600000, true"})
-  void aPurgeAndAStartThatAreHeardOfAreAsYoungAsTheyCanBe(long ms, boolean beforeTheStart)
+  void listedPurgesAndStartsAreAsRecentAsTheyCanBe(long ms, boolean beforeTheStart)
       throws Exception {
     step.set(beforeTheStart ? ms : 0);
     start();
@@ -122,7 +125,7 @@
   }
 
   @Test
-  void aStartThatWasToldOfStaysWhereItWas() throws Exception {
+  void listedStartStaysWhereItWas() throws Exception {
     long longAgo = System.currentTimeMillis() - HOUR_MS;
     cache("c1", "ready", longAgo);
     start();
@@ -130,12 +133,12 @@
     for (long ms : new long[] {-HOUR_MS, HOUR_MS}) {
       step.set(ms);
       cache("c1", "ready", longAgo);
-      assertEquals(startedAt, next("c1").at, "told anew, by a clock that stepped");
+      assertEquals(startedAt, next("c1").at, "notified anew, by a clock that stepped");
     }
   }
 
   @Test
-  void aStartKnownFromBeforeIsColdOnceAPurgeBeliesTheClock() throws Exception {
+  void knownStartIsCorrectedOnceAPurgeContradictsTheClock() throws Exception {
     step.set(HOUR_MS);
     cache("c1", "ready", System.currentTimeMillis());
     start();
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -17,17 +17,18 @@
 import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 
-/** Stories of forwards that wait to be sent. */
+/** Commands that wait to be sent. */
 class CachePoolTest {
   private static final byte[] ID =
       "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
 
-  private boolean may, left;
-  private int most = 1;
+  private boolean mayWrite;
+  private boolean disconnected;
+  private int maxConnections = 1;
   private final List<AttemptOutcome> outcomes = new ArrayList<>();
 
   @Test
-  void aForwardWhoseClientLeftWhileItWaitedIsNeverSent() throws Exception {
+  void waitingCommandWhoseClientDisconnectedIsNeverSent() throws Exception {
     Vertx vertx = Vertx.vertx();
     NetClient client = vertx.createNetClient();
     try {
@@ -36,11 +37,9 @@
               "c",
               SocketAddress.inetSocketAddress(1, "127.0.0.1"),
               client,
-              new CachePool.Bounds(() -> 4, 1, 1, 1, 1),
+              new PoolBounds(() -> 4, 1, 1, 1, 1),
               new ConnectionBudget(4, () -> {}),
-              () -> 0,
-              () -> may,
-              (of, why) -> {});
+              new CachePool.Hooks(() -> 0, () -> mayWrite, (from, reason) -> {}));
       pool.send(
           new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
             @Override
@@ -50,13 +49,13 @@
 
             @Override
             protected boolean isExpired(long now) {
-              return left;
+              return disconnected;
             }
           });
       assertEquals(List.of(), outcomes);
-      left = true;
-      may = true;
-      pool.again();
+      disconnected = true;
+      mayWrite = true;
+      pool.retryWaiting();
       assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     } finally {
       vertx.close();
@@ -64,7 +63,7 @@
   }
 
   @Test
-  void behindBytesThatAPeerDoesNotReadNothingIsSent() throws Exception {
+  void noCommandIsSentBehindBytesThatAPeerDoesNotRead() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (ServerSocket cache = new ServerSocket()) {
       cache.setReceiveBufferSize(4096);
@@ -79,19 +78,17 @@
                     "c",
                     SocketAddress.inetSocketAddress(cache.getLocalPort(), "127.0.0.1"),
                     client,
-                    new CachePool.Bounds(() -> most, 100, 1, Long.MAX_VALUE, 1),
+                    new PoolBounds(() -> maxConnections, 100, 1, Long.MAX_VALUE, 1),
                     new ConnectionBudget(2, () -> {}),
-                    () -> 0,
-                    () -> true,
-                    (of, why) -> {});
-            pool[0].send(want(new byte[64 << 20]));
+                    new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
+            pool[0].send(command(new byte[64 << 20]));
           });
       Socket first = cache.accept();
       Thread.sleep(200); // It is sent as far as the peer takes it.
       loop.runOnContext(
           v -> {
-            most = 2;
-            pool[0].send(want(ID));
+            maxConnections = 2;
+            pool[0].send(command(ID));
           });
       cache.setSoTimeout(5000);
       try (Socket second = cache.accept()) {
@@ -104,7 +101,7 @@
     }
   }
 
-  private static CacheCommand want(byte[] body) {
+  private static CacheCommand command(byte[] body) {
     return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
       @Override
       protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -2,14 +2,8 @@
 
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
-import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
-import io.vertx.core.net.NetSocket;
-import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.List;
@@ -18,215 +12,173 @@
 import java.util.function.Consumer;
 import java.util.function.LongConsumer;
 import org.HdrHistogram.Histogram;
-import org.amberpath.gateway.client.MessageReader;
-import org.msgpack.core.MessageBufferPacker;
-import org.msgpack.core.MessagePack;
-import org.msgpack.core.MessageUnpacker;
 
 /**
  * Clients of one gateway that send on a schedule whatever comes back. Latency counts from when a
- * GET was to be sent.
+ * request was to be sent. Only for the event loop of its Vert.x.
  *
- * <p>Bounds: GETs that are open, since each ends at its viewer timeout and some more.
+ * <p>Bounds: open requests, since each ends soon after its timeout.
  */
 public final class LoadGenerator {
-  /** How GETs ended, in the order of how good that is. */
-  public enum End {
+  /** How requests ended, the best first; reports have these names. */
+  public enum Outcome {
+    /** A cache's answer came. */
     RETURNED,
+
+    /** Rejected, with a time after which to ask again. */
     SHED,
+
+    /** Failed: it may have run. */
     ERRORED,
+
+    /** No answer came in time. */
     LOST,
+
+    /** A second answer came. */
     TWICE
   }
 
   /**
-   * One GET that was returned: its object, when the copy was given out (Unix ms) and when it came
-   * (nanoTime).
+   * A request that was returned.
+   *
+   * @param issuedAtMillis when the copy was issued (Unix time)
+   * @param receivedAtNanos when it came (nanoTime)
+   * @param sentAtNanos when the request was to be sent (nanoTime)
    */
-  public record Returned(String object, long issuedMs, long cameAt, long sentAt) {}
+  public record Response(
+      String object, long issuedAtMillis, long receivedAtNanos, long sentAtNanos) {}
 
-  /** Whether a GET that got no answer is nobody's fault, by when it was sent and due (nanoTime). */
-  public interface Excuse {
-    boolean holds(long sentAt, long due);
+  /** Says of a request with no answer whether that is nobody's fault. */
+  public interface LossExcuse {
+    /** Whether a request sent and due at these times (nanoTime) is excused. */
+    boolean excuses(long sentAtNanos, long deadlineNanos);
   }
 
-  private static final class Open {
-    final long due, sentAt;
-    final String object;
-    final Line on;
+  private record PendingRequest(
+      long deadlineNanos, long sentAtNanos, String object, LoadConnection connection) {}
 
-    Open(long due, long sentAt, String object, Line on) {
-      this.due = due;
-      this.sentAt = sentAt;
-      this.object = object;
-      this.on = on;
-    }
-  }
-
-  /** One till's connection; null while it is made anew. */
-  private static final class Line {
-    NetSocket socket;
-    int open;
-  }
+  private static final long NANOS_PER_MILLI = 1_000_000;
+  private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
+  private static final long LOSS_GRACE_NANOS = 50 * NANOS_PER_MILLI;
 
-  /** The protocol's own bound of what may be open on a connection. */
-  private static final int MOST_OPEN = 32;
+  /** A second answer that comes later is not noticed. */
+  private static final long REMEMBERED_NANOS = 10 * NANOS_PER_SECOND;
 
-  private static final int LONGEST = 400_000, OBJECTS = 64, AGAIN_MS = 100;
-  private static final long MS = 1_000_000, GRACE = 50 * MS, HIGHEST_US = 10_000_000;
+  private static final long MAX_LATENCY_MICROS = 10_000_000;
+  private static final long NUMBER_MASK = 0xffff_ffffL;
+  private static final int PARTS = 4;
 
   private final Vertx vertx;
-  private final SplittableRandom chance;
-  private final String service;
-  private final long allowMs;
-
-  /** The first half of all ids: those of other tills are others. */
-  private final int mine;
-
-  private final Consumer<Returned> returned;
-  private final List<Line> lines = new ArrayList<>();
-  private final Map<Long, Open> open = new HashMap<>();
-  private final Map<Long, Long> answered = new HashMap<>();
-  private final Map<End, Long> ends = new EnumMap<>(End.class);
-  private final Histogram latency = new Histogram(HIGHEST_US, 3);
-  private final Histogram lateness = new Histogram(HIGHEST_US, 3);
-  private NetClient client;
-  private Excuse excuse = (sentAt, due) -> false;
-  private LongConsumer sending = at -> {};
-  private long excused, unsent, settledAt = System.nanoTime();
+  private final SplittableRandom random;
+  private final String trafficClass;
+  private final long timeoutMillis;
+
+  /** The first half of all ids: those of other generators are others. */
+  private final int idPrefix;
+
+  private final Consumer<Response> responseListener;
+  private final List<LoadConnection> connections = new ArrayList<>();
+  private final Map<Long, PendingRequest> pending = new HashMap<>();
+  private final Map<Long, Long> answeredAtNanos = new HashMap<>();
+  private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
+  private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
+  private final Histogram lateness = new Histogram(MAX_LATENCY_MICROS, 3);
+  private ObjectChoice objects = ObjectChoice.usual();
+  private LossExcuse lossExcuse = (sentAtNanos, deadlineNanos) -> false;
+  private LongConsumer sendListener = sentAtNanos -> {};
+  private long excusedLosses;
+  private long notSent;
+  private long lastExpiryNanos = System.nanoTime();
   private boolean stopped;
-
-  /** Of each object, how likely it or one before it is asked for; null for the usual few. */
-  private double[] cumulative;
-
-  private long last, next, interval, timer = -1;
+  private long lastRequestNumber;
+  private long nextSendNanos;
+  private long intervalNanos;
+  private long timerId = -1;
 
   /**
-   * Clients of one delivery service, who wait allowMs for each GET; each that is returned is told.
+   * Clients that do not send yet.
+   *
+   * @param timeoutMillis how long they wait for each answer
+   * @param responseListener takes each request that is returned
    */
   public LoadGenerator(
-      Vertx vertx, String service, long allowMs, long seed, Consumer<Returned> returned) {
+      Vertx vertx,
+      String trafficClass,
+      long timeoutMillis,
+      long seed,
+      Consumer<Response> responseListener) {
     this.vertx = vertx;
-    this.service = service;
-    this.allowMs = allowMs;
-    this.returned = returned;
-    chance = new SplittableRandom(seed);
-    mine = chance.nextInt();
+    this.trafficClass = trafficClass;
+    this.timeoutMillis = timeoutMillis;
+    this.responseListener = responseListener;
+    random = new SplittableRandom(seed);
+    idPrefix = random.nextInt();
   }
 
-  /** GETs whose loss is excused are counted apart. */
-  public LoadGenerator excusing(Excuse one) {
-    excuse = one;
+  /** Counts losses that are excused apart. */
+  public LoadGenerator withLossExcuse(LossExcuse excuse) {
+    lossExcuse = excuse;
     return this;
   }
 
-  /** Tells when each GET was to be sent (nanoTime). */
-  public LoadGenerator counting(LongConsumer one) {
-    sending = one;
+  /** Tells when each request was to be sent (nanoTime). */
+  public LoadGenerator withSendListener(LongConsumer listener) {
+    sendListener = listener;
     return this;
   }
 
   /** Asks for so many objects, by Zipf's law with this exponent. */
-  public LoadGenerator spread(int objects, double exponent) {
-    cumulative = new double[objects];
-    double sum = 0;
-    for (int object = 0; object < objects; object++) {
-      sum += Math.pow(object + 1, -exponent);
-      cumulative[object] = sum;
-    }
-    for (int object = 0; object < objects; object++) {
-      cumulative[object] /= sum;
-    }
+  public LoadGenerator withZipfPopularity(int objectCount, double exponent) {
+    objects = ObjectChoice.zipf(objectCount, exponent);
     return this;
   }
 
-  private long object(double drawn) {
-    if (cumulative == null) {
-      return 1 + (long) (drawn * drawn * OBJECTS);
-    }
-    int at = Arrays.binarySearch(cumulative, drawn);
-    return 1L + Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at);
+  /** Losses that were excused. */
+  public long excusedLosses() {
+    return excusedLosses;
   }
 
-  public long excused() {
-    return excused;
+  /** Requests that found no connection with room, and were not sent. */
+  public long notSent() {
+    return notSent;
   }
 
-  /** GETs that found no connection with room, and were not sent. */
-  public long unsent() {
-    return unsent;
-  }
-
-  /** Connects so many tills, and sends so many GETs a second from then on. */
-  public Future<Void> start(int port, int connections, int rate) {
-    client = vertx.createNetClient();
-    List<Future<?>> all = new ArrayList<>();
-    for (int one = 0; one < connections; one++) {
-      Line line = new Line();
-      lines.add(line);
-      all.add(connect(port, line));
+  /** Connects, and sends so many requests a second from then on. */
+  public Future<Void> start(int port, int connectionCount, int requestsPerSecond) {
+    NetClient client = vertx.createNetClient();
+    List<Future<?>> connecting = new ArrayList<>();
+    for (int index = 0; index < connectionCount; index++) {
+      LoadConnection connection =
+          new LoadConnection(vertx, client, port, this::responseReceived, () -> stopped);
+      connections.add(connection);
+      connecting.add(connection.connect());
     }
-    return Future.all(all)
+    return Future.all(connecting)
         .map(
-            up -> {
-              interval = 1_000_000_000L / rate;
-              next = System.nanoTime();
-              timer = vertx.setPeriodic(1, tick -> tick());
+            connected -> {
+              intervalNanos = NANOS_PER_SECOND / requestsPerSecond;
+              nextSendNanos = System.nanoTime();
+              timerId = vertx.setPeriodic(1, tick -> tick());
               return null;
             });
   }
 
-  private Future<NetSocket> connect(int port, Line line) {
-    return client
-        .connect(port, "127.0.0.1")
-        .onSuccess(socket -> take(socket, port, line))
-        .onFailure(e -> vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line)));
-  }
-
-  private void connectAgain(int port, Line line) {
-    if (!stopped) {
-      connect(port, line);
-    }
-  }
-
   /** Sends nothing more; what is open is waited for. */
   public void stop() {
     stopped = true;
   }
 
-  /**
-   * Ends those whose time was over when this was called before. Guards against blame for answers
-   * that wait to be read while these clients themselves stand still.
-   */
-  private void settle() {
-    long now = settledAt;
-    settledAt = System.nanoTime();
-    open.entrySet()
-        .removeIf(
-            entry -> {
-              boolean over = now > entry.getValue().due + GRACE;
-              boolean lost = over && !excuse.holds(entry.getValue().sentAt, entry.getValue().due);
-              entry.getValue().on.open -= over ? 1 : 0;
-              excused += over && !lost ? 1 : 0;
-              if (lost) {
-                count(End.LOST);
-                answered.put(entry.getKey(), now);
-              }
-              return over;
-            });
-    // An answer that comes this long after the first is counted no more.
-    answered.values().removeIf(at -> now - at > 10_000 * MS);
+  /** Requests that are open. */
+  public int pendingCount() {
+    return pending.size();
   }
 
-  public int open() {
-    return open.size();
+  /** How many requests ended so. */
+  public long countOf(Outcome outcome) {
+    return outcomes.getOrDefault(outcome, 0L);
   }
 
-  public long ended(End how) {
-    return ends.getOrDefault(how, 0L);
-  }
-
-  /** Microseconds from the intended sending to the answer, of what was returned. */
+  /** Microseconds from the scheduled sending to the answer, of what was returned. */
   public Histogram latency() {
     return latency;
   }
@@ -237,118 +189,95 @@
   }
 
   private void tick() {
-    long now = System.nanoTime();
-    for (; next <= now && !stopped; next += interval) {
-      lateness.recordValue(Math.min(HIGHEST_US, (now - next) / 1000));
-      sending.accept(next);
-      send(next, now);
+    long nowNanos = System.nanoTime();
+    for (; nextSendNanos <= nowNanos && !stopped; nextSendNanos += intervalNanos) {
+      lateness.recordValue(Math.min(MAX_LATENCY_MICROS, (nowNanos - nextSendNanos) / 1000));
+      sendListener.accept(nextSendNanos);
+      send(nextSendNanos, nowNanos);
     }
-    settle();
-    if (stopped && open.isEmpty()) {
-      vertx.cancelTimer(timer);
+    expireOverdue();
+    if (stopped && pending.isEmpty()) {
+      vertx.cancelTimer(timerId);
     }
   }
 
-  private void send(long intended, long now) {
-    long number = ++last & 0xffff_ffffL;
-    String object = String.format("%016x", object(chance.nextDouble()));
-    Line line = lines.get((int) (number % lines.size()));
-    if (line.socket == null || line.open >= MOST_OPEN) {
-      unsent++;
+  private void send(long scheduledNanos, long nowNanos) {
+    long number = ++lastRequestNumber & NUMBER_MASK;
+    String object = objects.name(random.nextDouble());
+    LoadConnection connection = connections.get((int) (number % connections.size()));
+    if (!connection.hasRoom()) {
+      notSent++;
       return;
     }
-    line.open++;
-    open.put(number, new Open(now + allowMs * MS, intended, object, line));
-    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
-      Map<String, String> fields =
-          Map.of(
-              "ref",
-              String.format("%08x%08x", mine, number),
-              "lookup",
-              object,
-              "allow",
-              Long.toString(allowMs),
-              "chunk",
-              Integer.toString(chance.nextInt(4)),
-              "tag",
-              "17",
-              "room",
-              "4.5");
-      packer
-          .packArrayHeader(4)
-          .packInt(0)
-          .packLong(number)
-          .packString(service)
-          .packArrayHeader(2)
-          .packMapHeader(fields.size());
-      for (Map.Entry<String, String> field : fields.entrySet()) {
-        packer.packString(field.getKey()).packString(field.getValue());
-      }
-      packer.packBinaryHeader(0);
-      line.socket.write(Buffer.buffer(packer.toByteArray()));
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
+    long deadlineNanos = nowNanos + timeoutMillis * NANOS_PER_MILLI;
+    pending.put(number, new PendingRequest(deadlineNanos, scheduledNanos, object, connection));
+    Map<String, String> fields =
+        Map.of(
+            "ref",
+            String.format("%08x%08x", idPrefix, number),
+            "lookup",
+            object,
+            "allow",
+            Long.toString(timeoutMillis),
+            "chunk",
+            Integer.toString(random.nextInt(PARTS)),
+            "tag",
+            "17",
+            "room",
+            "4.5");
+    connection.send(LoadMessages.request(number, trafficClass, fields));
   }
 
-  private void take(NetSocket socket, int port, Line line) {
-    line.socket = socket;
-    socket.exceptionHandler(e -> {});
-    socket.closeHandler(
-        closed -> {
-          line.socket = null;
-          vertx.setTimer(AGAIN_MS, again -> connectAgain(port, line));
-        });
-    socket.handler(
-        new MessageReader(
-            LONGEST,
-            new MessageReader.Sink() {
-              @Override
-              public boolean onMessage(byte[] bytes, int start, int end) {
-                try (MessageUnpacker in =
-                    MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
-                  answer(in);
-                  return true;
-                } catch (IOException e) {
-                  throw new UncheckedIOException(e);
-                }
-              }
-
-              @Override
-              public void onProtocolError(String reason) {
-                socket.close();
-              }
-            }));
+  /**
+   * Ends the requests that were overdue when this was called before. Guards against blame for
+   * answers that wait to be read while these clients themselves stall.
+   */
+  private void expireOverdue() {
+    long nowNanos = lastExpiryNanos;
+    lastExpiryNanos = System.nanoTime();
+    pending.entrySet().removeIf(entry -> expireIfOverdue(entry, nowNanos));
+    answeredAtNanos.values().removeIf(at -> nowNanos - at > REMEMBERED_NANOS);
+  }
+
+  private boolean expireIfOverdue(Map.Entry<Long, PendingRequest> entry, long nowNanos) {
+    PendingRequest request = entry.getValue();
+    if (nowNanos <= request.deadlineNanos + LOSS_GRACE_NANOS) {
+      return false;
+    }
+    request.connection.requestEnded();
+    if (lossExcuse.excuses(request.sentAtNanos, request.deadlineNanos)) {
+      excusedLosses++;
+    } else {
+      increment(Outcome.LOST);
+      answeredAtNanos.put(entry.getKey(), nowNanos);
+    }
+    return true;
   }
 
-  private void count(End how) {
-    ends.merge(how, 1L, Long::sum);
+  private void increment(Outcome outcome) {
+    outcomes.merge(outcome, 1L, Long::sum);
   }
 
-  private void answer(MessageUnpacker in) throws IOException {
-    in.unpackArrayHeader();
-    in.unpackInt();
-    long number = in.unpackLong(), now = System.nanoTime();
-    Open get = open.remove(number);
-    if (get == null) {
-      if (answered.containsKey(number)) {
-        count(End.TWICE);
+  private void responseReceived(LoadMessages.Response response) {
+    long nowNanos = System.nanoTime();
+    PendingRequest request = pending.remove(response.number());
+    if (request == null) {
+      if (answeredAtNanos.containsKey(response.number())) {
+        increment(Outcome.TWICE);
       }
       return;
     }
-    get.on.open--;
-    answered.put(number, now);
-    if (!in.tryUnpackNil()) {
-      in.unpackArrayHeader();
-      count(in.unpackString().equals("Overloaded") ? End.SHED : End.ERRORED);
-      return;
+    request.connection.requestEnded();
+    answeredAtNanos.put(response.number(), nowNanos);
+    switch (response.kind()) {
+      case REJECTED -> increment(Outcome.SHED);
+      case FAILED -> increment(Outcome.ERRORED);
+      default -> {
+        increment(Outcome.RETURNED);
+        latency.recordValue(Math.min(MAX_LATENCY_MICROS, (nowNanos - request.sentAtNanos) / 1000));
+        responseListener.accept(
+            new Response(request.object, response.issuedAtMillis(), nowNanos, request.sentAtNanos));
+      }
     }
-    in.unpackArrayHeader();
-    String body = new String(in.readPayload(in.unpackBinaryHeader()), StandardCharsets.ISO_8859_1);
-    count(End.RETURNED);
-    latency.recordValue(Math.min(HIGHEST_US, (now - get.sentAt) / 1000));
-    returned.accept(
-        new Returned(
-            get.object, Long.parseLong(body.substring(body.indexOf('@') + 1)), now, get.sentAt));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
+++ b/lab/src/main/java/org/amberpath/lab/recovery/PowerLossModel.java
@@ -1,75 +1,91 @@
 package org.amberpath.lab.recovery;
 
 import java.io.IOException;
+import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.lab.VirtualFleet;
+import org.amberpath.lab.fleet.FleetCache;
+import org.amberpath.lab.fleet.FleetFigures;
+import org.amberpath.lab.fleet.FleetGateway;
+import org.amberpath.lab.fleet.VirtualFleet;
+import org.amberpath.lab.simulation.Simulation;
 import org.amberpath.routing.EndpointState;
 
 /**
- * All gateways, caches and hubs lose power in one moment and come back within some seconds, cold,
- * in any order.
+ * All gateways, caches and hubs lose power in one moment and come back within some seconds, with
+ * nothing stored, in any order.
  */
 final class PowerLossModel extends VirtualFleet {
-  static final int WARM_S = 20;
-  private static final int AWAY_S = 6, END_S = 60;
-  private static final long SHORTEST = 500 * MS, TOLD = 50 * MS;
+  private static final int LOSS_SECOND = 20;
+  private static final int MAX_AWAY_SECONDS = 6;
+  private static final int END_SECOND = 60;
+  private static final int LAST_SECOND = END_SECOND - 4;
+  private static final long MAX_AWAY_NANOS = MAX_AWAY_SECONDS * Simulation.NANOS_PER_SECOND;
+  private static final long MIN_AWAY_NANOS = 500 * Simulation.NANOS_PER_MILLI;
+  private static final long ANNOUNCED_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
   PowerLossModel(Plan plan) throws IOException {
-    super(plan, END_S);
+    super(plan, END_SECOND);
   }
 
-  private long away() {
-    return SHORTEST + chance.nextLong(AWAY_S * SECOND - SHORTEST);
+  private long drawAwayNanos() {
+    return MIN_AWAY_NANOS + random().nextLong(MAX_AWAY_NANOS - MIN_AWAY_NANOS);
   }
 
   @Override
-  protected void script() {
-    long loss = START + WARM_S * SECOND;
-    hubsHoldAll();
-    agenda.at(
-        loss,
-        () -> {
-          gateways.forEach(One::dies);
-          caches.subList(0, caches.size() - 1).forEach(Cache::dies);
-        });
-    for (Cache cache : caches.subList(0, caches.size() - 1)) {
-      agenda.at(
-          loss + away(),
-          () -> {
-            cache.starts();
-            long startedAt = agenda.now();
-            agenda.at(agenda.now() + TOLD, () -> tell(cache.index, EndpointState.UP, startedAt));
-          });
+  protected void scheduleScenario() {
+    long lossNanos = atSecond(LOSS_SECOND);
+    fillHubs();
+    List<FleetCache> edgesAndHubs = caches().subList(0, caches().size() - 1);
+    scheduler()
+        .schedule(
+            lossNanos,
+            () -> {
+              gateways().forEach(FleetGateway::crash);
+              edgesAndHubs.forEach(FleetCache::crash);
+            });
+    for (FleetCache cache : edgesAndHubs) {
+      scheduler().schedule(lossNanos + drawAwayNanos(), () -> restart(cache));
     }
-    for (One one : gateways) {
-      agenda.at(loss + away(), () -> one.start(true));
+    for (FleetGateway gateway : gateways()) {
+      scheduler().schedule(lossNanos + drawAwayNanos(), gateway::startAfterPowerLoss);
     }
   }
 
+  private void restart(FleetCache cache) {
+    cache.restart();
+    long startedAtNanos = scheduler().nowNanos();
+    scheduler()
+        .scheduleAfter(
+            ANNOUNCED_NANOS,
+            () -> announceEndpoint(cache.index(), EndpointState.UP, startedAtNanos));
+  }
+
   @Override
-  protected Map<String, Double> figures() {
-    Map<String, Double> figures = new TreeMap<>();
-    double before = share(WARM_S - 8, WARM_S - 1);
-    int back = WARM_S + AWAY_S, last = END_S - 4;
-    figures.put("before", before);
-    figures.put("seconds_to_0.95_from_the_last_return", secondsBack(back, last, before));
-    figures.put("served_in_the_20s_from_the_loss", share(WARM_S, WARM_S + 20));
-    figures.put("good_lost_in_seconds_of_before", lost(last, before));
-    figures.put("origin_peak_in_100ms", (double) originPeak(WARM_S));
-    figures.put("origin_fills", sum("origin", WARM_S, last));
-    figures.put("shed", sum("shed", WARM_S, last));
-    figures.put("turned_away_unread", sum("turned_away", WARM_S, last));
-    figures.put("cold_most_of_bound", coldMost / 1000.0);
-    figures.put("cold_fell", (double) coldFell);
-    return figures;
+  protected Map<String, Double> report() {
+    FleetFigures figures = figures();
+    Map<String, Double> report = new TreeMap<>();
+    double before = figures.goodShare(LOSS_SECOND - 8, LOSS_SECOND - 1);
+    report.put("before", before);
+    report.put(
+        "seconds_to_0.95_from_the_last_return",
+        figures.secondsUntilRestored(LOSS_SECOND + MAX_AWAY_SECONDS, LAST_SECOND, before));
+    report.put("served_in_the_20s_from_the_loss", figures.goodShare(LOSS_SECOND, LOSS_SECOND + 20));
+    report.put("good_lost_in_seconds_of_before", lostSeconds(before));
+    report.put("origin_peak_in_100ms", (double) figures.originFillPeak(LOSS_SECOND));
+    report.put("origin_fills", figures.total("origin", LOSS_SECOND, LAST_SECOND));
+    report.put("shed", figures.total("shed", LOSS_SECOND, LAST_SECOND));
+    report.put("turned_away_unread", figures.total("turned_away", LOSS_SECOND, LAST_SECOND));
+    report.put("cold_most_of_bound", figures.peakWarmUpLoad());
+    report.put("cold_fell", (double) figures.warmUpOverloads());
+    return report;
   }
 
   /** What was not served, in seconds of full service. */
-  private double lost(int last, double before) {
+  private double lostSeconds(double before) {
     double lost = 0;
-    for (int second = WARM_S; second < last; second++) {
-      lost += before - share(second, second + 1);
+    for (int second = LOSS_SECOND; second < LAST_SECOND; second++) {
+      lost += before - figures().goodShare(second, second + 1);
     }
     return lost / before;
   }
--- a/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
+++ b/lab/src/test/java/org/amberpath/lab/planning/PlannersModelExperimentTest.java
@@ -4,21 +4,23 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.amberpath.lab.SeededRuns;
+import org.amberpath.lab.simulation.SeededRuns;
 import org.junit.jupiter.api.Test;
 
 /** Planners and forwarders that fail in any order, always from the same seeds. */
 class PlannersModelExperimentTest {
   @Test
   void theSumOfWhatIsGrantedStaysWithinTheBoundOnFiveHundredSeeds() {
-    assertEquals(List.of(), SeededRuns.many(PlannersModelExperiment.MODEL, 1, 500).get("missed"));
+    assertEquals(
+        List.of(), SeededRuns.runMany(PlannersModelExperiment.MODEL, 1, 500).get("missed"));
   }
 
   @Test
   void aSeedTellsTheSameStoryToTheLetter() {
-    List<String> first = new ArrayList<>(), second = new ArrayList<>();
-    SeededRuns.one(PlannersModelExperiment.MODEL, 7, first::add);
-    SeededRuns.one(PlannersModelExperiment.MODEL, 7, second::add);
+    List<String> first = new ArrayList<>();
+    List<String> second = new ArrayList<>();
+    SeededRuns.runOne(PlannersModelExperiment.MODEL, 7, first::add);
+    SeededRuns.runOne(PlannersModelExperiment.MODEL, 7, second::add);
     assertEquals(first, second);
   }
 }
