--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -2,6 +2,7 @@
 
 import static com.tngtech.archunit.base.DescribedPredicate.describe;
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
+import static com.tngtech.archunit.library.dependencies.SlicesRuleDefinition.slices;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.tngtech.archunit.base.DescribedPredicate;
@@ -114,6 +115,18 @@
         .check(ALL);
   }
 
+  @Test
+  void gatewayPackagesHaveNoCycleAndDependOnNothingOfTheLifecycle() {
+    slices().matching(ROOT + "gateway.(*)..").should().beFreeOfCycles().check(ALL);
+    noClasses()
+        .that()
+        .resideInAPackage(ROOT + "gateway.*..")
+        .should()
+        .dependOnClassesThat()
+        .resideInAPackage(ROOT + "gateway")
+        .check(ALL);
+  }
+
   @ParameterizedTest
   @CsvSource({
     "gateway, registry membership leadership planning recovery cli lab",
