--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -25,7 +25,7 @@
   private static final Pattern CLIENT_PORT_PATTERN =
       Pattern.compile(": listens at 127\\.0\\.0\\.1:(\\d+)$");
   private static final Pattern FLEET_PORT_PATTERN =
-      Pattern.compile(": hears at 127\\.0\\.0\\.1:(\\d+),");
+      Pattern.compile(": membership: joining .* listen=127\\.0\\.0\\.1:(\\d+) ");
   private static final Pattern ADMIN_PORT_PATTERN =
       Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
   private static final List<String> DEFAULT_FLAGS =
