--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -4,19 +4,27 @@
 import java.util.Map;
 
 /**
- * How long connections may have waited in the kernel's accept queue, and their first requests with
- * them. An event loop that was late accepts the queue in parts, so the last connections still wait
- * when it is on time again. Times are nanoseconds.
+ * Tracks how long accepted connections, and their first requests with them, may have waited in the
+ * kernel's accept queue. An event loop that was blocked accepts the queued connections over several
+ * turns, so the last ones still carry a delay when the loop is on time again. Times are
+ * nanoseconds.
  *
- * <p>Bounded by the connections that are accepted in a few turns. All calls come on the event loop.
+ * <p>Memory is bounded by the number of connections that are accepted in a few turns. All calls
+ * come on the event loop.
  *
- * @param <K> a connection
+ * @param <K> identifies a connection
  */
 public final class AcceptLag<K> {
-  /** Accepts of one pass of the loop, at most; a turn with fewer has emptied the queue. */
+  /**
+   * Most connections that the event loop accepts in one pass; a turn with fewer has emptied the
+   * queue.
+   */
   private static final int ACCEPTS_PER_PASS = 16;
 
-  /** How long after it was accepted a connection's first bytes are read, at least. */
+  /**
+   * Shortest time for which an accepted connection is remembered; its first bytes are read within
+   * it.
+   */
   private static final long FIRST_READ_NANOS = 20_000_000L;
 
   private static final long NONE = Long.MIN_VALUE;
@@ -28,7 +36,10 @@
   private int acceptedThisTurn;
 
   /**
-   * A connection was accepted, by a loop that was late by the lag or had not accepted for so long.
+   * Records an accepted connection.
+   *
+   * @param lagNanos the event loop's lag or the time for which accepting was paused, whichever is
+   *     longer; 0 for none
    */
   public void connectionAccepted(K connection, long nowNanos, long lagNanos) {
     acceptedThisTurn++;
@@ -40,7 +51,9 @@
     }
   }
 
-  /** A turn of the loop has ended, in which it accepted if any connection was waiting. */
+  /**
+   * Ends a turn of the event loop, in which the loop has accepted connections if any were queued.
+   */
   public void turnEnded(long nowNanos) {
     if (acceptedThisTurn < ACCEPTS_PER_PASS) {
       backlogSinceNanos = NONE;
@@ -55,8 +68,8 @@
   }
 
   /**
-   * How long bytes that are read now may have waited with their connection, in nanoseconds; 0 where
-   * it was not accepted late.
+   * Returns how long bytes that are read now may have waited with their connection, in nanoseconds;
+   * 0 if the connection was not accepted late.
    */
   public long lagNanos(K connection, long nowNanos) {
     Long sinceNanos =
--- a/routing/src/main/java/org/amberpath/routing/Attempt.java
+++ b/routing/src/main/java/org/amberpath/routing/Attempt.java
@@ -1,12 +1,14 @@
 package org.amberpath.routing;
 
 /**
- * One attempt to have a request answered, sent by a route.
+ * One attempt to obtain the response to a request, sent along a route.
  *
- * @param number its place among the request's attempts, from 0
- * @param sentAtNanos when it was decided
- * @param refundableWorkSeconds the work charged to a source that is warming up, refunded if the
- *     endpoint needed no fill
+ * @param request the request that the attempt was sent for
+ * @param number number of the attempt within its request, from 0
+ * @param route the endpoint and the fill source of the attempt
+ * @param sentAtNanos time at which the attempt was decided
+ * @param refundableWorkSeconds the work charged to a fill source that is warming up, which is
+ *     refunded if the endpoint needed no fill
  */
 record Attempt(
     InFlightRequest request,
@@ -15,27 +17,27 @@
     long sentAtNanos,
     double refundableWorkSeconds) {
 
-  /** Where it was sent. */
+  /** Returns the endpoint that the attempt was sent to. */
   Endpoint endpoint() {
     return route.endpoint();
   }
 
-  /** The endpoint that fills a miss; the attempt's own where nothing is filled. */
+  /** Returns the endpoint that fills a miss; the attempt's own endpoint if a miss is not filled. */
   Endpoint source() {
     return route.source() == null ? route.endpoint() : route.source();
   }
 
-  /** Whether a miss is filled by another endpoint. */
+  /** Whether a miss is filled from another endpoint. */
   boolean hasSource() {
     return source() != endpoint();
   }
 
-  /** Whether only a copy that is cached already may be returned. */
+  /** Whether the endpoint may respond only from its cache. */
   boolean cachedOnly() {
     return route.cachedOnly();
   }
 
-  /** Whether it has waited for longer than its request's patience. */
+  /** Whether the attempt has been in flight for longer than its request's soft timeout. */
   boolean isOverdue(long nowNanos) {
     return nowNanos - sentAtNanos > request.patienceNanos;
   }
--- a/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * Sends attempts by their routes, holds those that have not ended, and has the sweep timer fire
- * while there are any.
+ * Sends attempts along their routes, tracks those that have not ended, and keeps the sweep timer
+ * running while there are any.
  */
 final class AttemptDispatcher {
   private static final long SWEEP_INTERVAL_NANOS = 20_000_000L;
@@ -20,14 +20,14 @@
   private final SlowStart slowStart;
   private final AttemptRecorder recorder;
 
-  /** In the order in which they were sent. */
+  /** Attempts that have not ended, in the order in which they were sent. */
   private final Set<Attempt> openAttempts = new LinkedHashSet<>();
 
   private final Collection<Attempt> openAttemptsView = Collections.unmodifiableSet(openAttempts);
 
   private boolean isSweepScheduled;
 
-  /** A dispatcher without attempts; it reports each one to the recorder. */
+  /** Creates a dispatcher without attempts that passes each sent attempt to the recorder. */
   AttemptDispatcher(
       RoutingConfig config, PurgeLog purges, SlowStart slowStart, AttemptRecorder recorder) {
     this.config = config;
@@ -36,17 +36,17 @@
     this.recorder = recorder;
   }
 
-  /** The attempts that have not ended, in the order in which they were sent; a view. */
+  /** Returns a view of the attempts that have not ended, in the order in which they were sent. */
   Collection<Attempt> openAttempts() {
     return openAttemptsView;
   }
 
-  /** The same as a copy, for loops that send further attempts. */
+  /** Returns a copy of {@link #openAttempts}, for loops that send further attempts. */
   List<Attempt> copyOfOpenAttempts() {
     return new ArrayList<>(openAttempts);
   }
 
-  /** Sends a request's next attempt by the given route. */
+  /** Sends a request's next attempt along the given route. */
   void send(InFlightRequest request, Route route, Batch batch) {
     long nowNanos = batch.nowNanos();
     TrafficClass trafficClass = request.trafficClass;
@@ -69,8 +69,9 @@
   }
 
   /**
-   * Guards against an effect twice: a connection may come up after the endpoints have forgotten the
-   * idempotency key of an attempt that may have executed.
+   * Limits the time at which a retry may be written. Guards against executing a request twice: a
+   * connection may be established only after the endpoints have discarded the idempotency key of an
+   * attempt that may have executed.
    */
   private static void limitRetryStart(InFlightRequest request, Batch batch) {
     TrafficClass trafficClass = request.trafficClass;
@@ -109,7 +110,7 @@
         + (revalidates ? AttemptCommand.REVALIDATE : 0);
   }
 
-  /** Cancels what has not ended of a request's attempts. */
+  /** Cancels the attempts of a request that have not ended. */
   void cancelAll(InFlightRequest request, Batch batch) {
     for (Attempt attempt : request.attempts) {
       if (openAttempts.contains(attempt)) {
@@ -119,9 +120,9 @@
   }
 
   /**
-   * Drops the attempt of a result from those that have not ended.
+   * Removes an attempt from those that have not ended.
    *
-   * @return the attempt; null if there is none of that number, or if it had ended before
+   * @return the attempt; null if the request has none of that number or it had ended before
    */
   Attempt remove(InFlightRequest request, int number) {
     if (number >= request.attempts.size()) {
@@ -135,7 +136,7 @@
     return attempt;
   }
 
-  /** The sweep timer has fired: has it fire again while there are attempts. */
+  /** Handles the sweep timer: schedules it again while there are attempts. */
   void onTimer(Batch batch) {
     isSweepScheduled = false;
     if (!openAttempts.isEmpty()) {
--- a/routing/src/main/java/org/amberpath/routing/AttemptOutcome.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptOutcome.java
@@ -2,13 +2,13 @@
 
 /** How one attempt to send a request to an endpoint ended. */
 public enum AttemptOutcome {
-  /** The endpoint answered with the object. */
+  /** The endpoint responded with the object. */
   SUCCEEDED(false),
-  /** The endpoint answered with an error. */
+  /** The endpoint responded with an error. */
   FAILED(false),
   /** The endpoint rejected the request before running it. */
   REJECTED(true),
-  /** No answer came before the attempt's deadline. */
+  /** No response was received before the attempt's deadline. */
   TIMED_OUT(false),
   /** No connection to the endpoint could be made. */
   CONNECT_FAILED(true),
@@ -16,13 +16,17 @@
   CONNECTION_LOST(false),
   /** The gateway cancelled the attempt. */
   CANCELLED(false),
-  /** The request was never written, for a reason on this host. */
+  /**
+   * The request was not executed, for a reason that says nothing about the endpoint's health: it
+   * was never written because of this host or its deadline, or the endpoint reported it as stale.
+   */
   NOT_SENT(true),
-  /** A cached-only attempt found no copy at the endpoint. */
+  /** The endpoint of a cached-only attempt had no copy. */
   NOT_CACHED(true),
   /**
-   * Never written: a discovery event arrived before its connection was ready. It says nothing about
-   * the endpoint's health.
+   * The request was never written, and the endpoint is not to blame: a discovery event arrived
+   * before a connection was ready, or the time was too short to show that the endpoint does not
+   * respond.
    */
   WITHDRAWN(true);
 
@@ -32,7 +36,10 @@
     this.provesNotExecuted = provesNotExecuted;
   }
 
-  /** Whether the outcome proves that the request had no effect, so that any kind may be retried. */
+  /**
+   * Whether the outcome proves that the request had no effect, so that it may be retried whatever
+   * its {@link Idempotency}.
+   */
   public boolean provesNotExecuted() {
     return provesNotExecuted;
   }
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -3,11 +3,11 @@
 import org.amberpath.routing.InFlightRequest.Purpose;
 
 /**
- * Records each attempt with everything that counts or learns: traffic classes, limits, outlier
- * detection and slow start.
+ * Records each attempt in the components that count or learn from it: traffic classes, concurrency
+ * limits, outlier detection and slow start.
  */
 final class AttemptRecorder {
-  /** A response within this part of its request's patience counts as in time. */
+  /** A response within this fraction of its request's soft timeout counts as timely. */
   private static final double PROMPT_FRACTION = 0.75;
 
   private static final double NANOS_PER_SECOND = 1e9;
@@ -18,7 +18,7 @@
   private final OutlierDetector outlierDetector;
   private final SlowStart slowStart;
 
-  /** A recorder that reports to the given parts. */
+  /** Creates a recorder that updates the given components. */
   AttemptRecorder(
       EndpointTable endpoints,
       ObjectHistory history,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * An attempt is sent: it counts at its endpoint and, as far as it is likely a fill, at its
-   * source.
+   * Records that an attempt is sent: it counts as in flight at its endpoint and, weighted by the
+   * likelihood of a fill, at its source.
    */
   void recordSent(Attempt attempt, long nowNanos) {
     Endpoint endpoint = attempt.endpoint();
@@ -50,7 +50,7 @@
     }
   }
 
-  /** An attempt has ended after the given time. */
+  /** Records that an attempt has ended after the given time. */
   void recordEnded(
       Attempt attempt,
       AttemptOutcome outcome,
@@ -65,7 +65,8 @@
       case CONNECTION_LOST ->
           attempt.endpoint()
               .health
-              .failures++; // Guards against resets of single responses: no outage.
+              .failures++; // A single failure does not eject the endpoint: a reset of one response
+      // is no outage.
       case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
     }
@@ -142,9 +143,10 @@
   }
 
   /**
-   * A time-out cuts the limit of the source. Guards it against responses that were lost behind a
-   * silent endpoint, and against attempts sent so late that their deadline came before they could
-   * be overdue.
+   * Records a timeout at the source's limit: as a late response, or as a timely one if nothing was
+   * to be filled or the source has responded since the attempt became overdue. Guards the limit
+   * against responses that were lost behind an endpoint that does not respond. A retry that was
+   * sent so late that its deadline came before it could be overdue is not recorded.
    */
   private static void recordTimedOut(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
--- a/routing/src/main/java/org/amberpath/routing/AttemptResult.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptResult.java
@@ -1,15 +1,16 @@
 package org.amberpath.routing;
 
 /**
- * How one attempt ended.
+ * The result of one attempt.
  *
- * @param requestId the request that the attempt was made for
+ * @param requestId id of the request that the attempt was sent for
  * @param attempt number of the attempt within its request, from 0
- * @param endpoint index of the endpoint that it went to
- * @param outcome how it ended
- * @param durationNanos how long it took, without the time for which the event loop was blocked
- * @param requestFinished whether the request has its final answer, too
- * @param detail what the response says of the way it came
+ * @param endpoint index of the endpoint that the attempt was sent to
+ * @param outcome how the attempt ended
+ * @param durationNanos duration of the attempt, without the time for which the event loop was
+ *     blocked
+ * @param requestFinished whether the request has received its final response, too
+ * @param detail how the endpoint produced the response, as far as the response states it
  */
 public record AttemptResult(
     long requestId,
--- a/routing/src/main/java/org/amberpath/routing/Batch.java
+++ b/routing/src/main/java/org/amberpath/routing/Batch.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * A batch of events that is decided at one time.
+ * The context of a batch of events, all of which are decided at the same time.
  *
- * @param nowNanos the time at which the whole batch is decided, in nanoseconds
- * @param actions carries out the decisions, in order
+ * @param nowNanos the time at which the batch is decided, in nanoseconds
+ * @param actions receives the decisions, in order
  */
 record Batch(long nowNanos, RoutingActions actions) {}
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -3,7 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Applies changes of the endpoint list and of the fleet to everything that keeps state by endpoint.
+ * Applies changes of the endpoint list and of the fleet to all components that keep state per
+ * endpoint.
  */
 final class ClusterManager {
   private static final double MIN_WEIGHT = 1e-3;
@@ -16,7 +17,7 @@
   private final SplittableRandom random;
   private boolean isSubscribed;
 
-  /** A manager of the given table and of the parts that keep state by its endpoints. */
+  /** Creates a manager of the given table and of the components that keep state per endpoint. */
   ClusterManager(
       RoutingConfig config,
       GatewayShare share,
@@ -32,7 +33,9 @@
     this.random = random;
   }
 
-  /** Subscribes to the endpoint list, where that is needed and has not been done. */
+  /**
+   * Subscribes to the endpoint list if the configuration requires it and no subscription exists.
+   */
   void subscribeIfNeeded(Batch batch) {
     if (!isSubscribed && config.endpointListOnRequest()) {
       isSubscribed = true;
@@ -40,7 +43,7 @@
     }
   }
 
-  /** A list begins: a full one removes all endpoints that it does not name. */
+  /** Begins an endpoint list; a full one removes all endpoints that it does not contain. */
   void beginList(EndpointListKind kind) {
     isSubscribed = kind != EndpointListKind.NONE;
     if (kind == EndpointListKind.FULL) {
@@ -50,7 +53,7 @@
     }
   }
 
-  /** One endpoint of the list that has begun. */
+  /** Adds or updates one endpoint of the list that has begun. */
   void update(EndpointDescription description, Batch batch) {
     Endpoint endpoint = endpoints.getOrAdd(description.index(), description.id());
     endpoint.zone = description.zone();
@@ -96,7 +99,7 @@
     }
   }
 
-  /** The list that had begun is complete. */
+  /** Ends the list and recomputes what depends on all endpoints. */
   void endList(long nowNanos) {
     endpoints.rebuild();
     slowStart.updateWarmPeers(endpoints, nowNanos);
@@ -104,8 +107,8 @@
   }
 
   /**
-   * The number of gateways, or whether this one has a share at all, has changed: limits of shared
-   * targets shrink at once, and grow by responses.
+   * Updates the number of gateways in the fleet and whether this gateway has a share. Limits of
+   * shared targets shrink at once with the share, and grow only by timely responses.
    */
   void updateShare(int gateways, boolean isGranted, long nowNanos) {
     double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -3,15 +3,15 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * How many requests are and may be in flight at once towards one target. Guards against overload:
- * late responses cut the limit, prompt ones widen it. A limit under one request holds over time:
- * what was in flight beyond it is a debt that is paid off before the next one may be sent. Source:
- * docs/design.md, "Concurrency limits".
+ * An adaptive limit on the concurrent requests to one target. Guards against overload: late
+ * responses lower the limit, timely ones raise it. A limit below one request is enforced over time:
+ * requests in flight beyond the limit accrue a debt that must be paid off before the next one may
+ * be sent. Source: docs/design.md, "Concurrency limits".
  */
 final class ConcurrencyLimit {
   /**
-   * The priority factor of requests that are not cached; up to it, a limit under one request allows
-   * no debt at all.
+   * The priority factor of requests whose responses are not cached. Up to this factor, a limit
+   * below one request allows no debt.
    */
   static final double UNCACHED_FACTOR = 0.8;
 
@@ -24,14 +24,14 @@
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * How many are in flight; a fraction where it is only likely that a request is at this target.
+   * Number of requests in flight; a fraction where a request is only likely to be at this target.
    */
   double inFlight;
 
-  /** When the limit was last cut, in nanoseconds. */
+  /** Time at which the limit was last lowered, in nanoseconds. */
   long lastDecreaseNanos;
 
-  /** When the latest request with a response in time was sent, in nanoseconds. */
+  /** Send time of the latest request that has received a timely response, in nanoseconds. */
   long lastPromptSentNanos;
 
   private final LongToDoubleFunction capacityFraction;
@@ -42,26 +42,27 @@
   private long advancedAtNanos;
 
   /**
-   * A limit that has yet to be given its share.
+   * Creates a limit of 0; {@link #setShare} sets the initial limit.
    *
-   * @param capacityFraction by time, the fraction of the limit that the target can serve while it
-   *     warms up, 0 to 1
+   * @param capacityFraction maps a time in nanoseconds to the fraction of the limit that the target
+   *     can serve while it warms up, 0 to 1
    */
   ConcurrencyLimit(LongToDoubleFunction capacityFraction) {
     this.capacityFraction = capacityFraction;
   }
 
-  /** How many may be in flight once the target is warm. */
+  /** Returns how many requests may be in flight once the target is warm. */
   double limit() {
     return limit;
   }
 
   /**
-   * Guards against the sum of many gateways' limits: this gateway's share follows from the list and
-   * the fleet.
+   * Sets this gateway's share of the target, and the initial limit if there is none. Guards against
+   * overload by the sum of many gateways' limits: the share follows from the endpoint list and the
+   * number of gateways in the fleet.
    *
-   * @param share this gateway's part of the target, in targets
-   * @param initialLimit where to begin, a whole target being this gateway's
+   * @param share this gateway's share, as a number of targets
+   * @param initialLimit the initial limit for a share of one target
    */
   void setShare(double share, double initialLimit) {
     gatewayShare = Math.max(share, MIN_SHARE);
@@ -69,18 +70,23 @@
   }
 
   /**
-   * A share that was revoked and is granted again starts anew; one that shrank shrinks the limit.
+   * Scales the limit down with a share that has shrunk; a share that has grown leaves the limit as
+   * it is. If the previous share was 0, resets the limit to 0, so that {@link #setShare} sets the
+   * initial limit again.
    */
   void rescale(double fromShare, double toShare) {
     limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
   }
 
-  /** Starts anew, for a target that has restarted. */
+  /**
+   * Resets the limit to 0 for a target that has restarted, so that {@link #setShare} sets the
+   * initial limit again.
+   */
   void reset() {
     limit = 0;
   }
 
-  /** Accounts for the time that passed since the last call. */
+  /** Updates the smoothed number in flight and the debt for the time since the last call. */
   void advanceTo(long nowNanos) {
     double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
     advancedAtNanos = nowNanos;
@@ -88,7 +94,7 @@
       smoothedInFlight +=
           (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
     }
-    if (inFlight != 0 || debt != 0) { // Stays 0 for most targets, which carry nothing.
+    if (inFlight != 0 || debt != 0) { // Stays 0 for most targets, which have no requests.
       debt =
           Math.max(
               0,
@@ -96,7 +102,11 @@
     }
   }
 
-  /** Whether one more may be sent, by a request that may pass the limit by the given factor. */
+  /**
+   * Whether one more request may be sent.
+   *
+   * @param priorityFactor the factor by which the request may exceed the limit
+   */
   boolean hasRoom(long nowNanos, double priorityFactor) {
     advanceTo(nowNanos);
     double room = limit * capacityFraction.applyAsDouble(nowNanos);
@@ -106,8 +116,8 @@
   }
 
   /**
-   * A rejection counts as one second in flight. Guards against sending the next request at once,
-   * since a quick rejection leaves the limit free.
+   * Records a rejection, which counts as a late response and as one second in flight. Guards
+   * against sending the next request at once, since a quick rejection frees the limit.
    */
   void onRejected(long nowNanos) {
     onResponse(nowNanos, false);
@@ -115,8 +125,8 @@
   }
 
   /**
-   * A response came in time or late. A late one cuts from what is used, so that a limit that was
-   * never reached binds at once.
+   * Records a response. A late one lowers the limit, starting from what is used, so that a limit
+   * that was never reached takes effect at once.
    */
   void onResponse(long nowNanos, boolean inTime) {
     advanceTo(nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -1,24 +1,21 @@
 package org.amberpath.routing;
 
 /**
- * Limits this gateway's requests at each endpoint, its fills into the zone and its fills that reach
- * the origin, each to its share of what returns in time. Past a limit the next endpoint is used,
- * then only cached copies are returned, then requests are rejected. Source: docs/design.md,
- * "Concurrency limits".
+ * Limits this gateway's concurrent requests to each endpoint, its fills into the zone and its fills
+ * that reach the origin. Each limit adapts to what returns in time. Past a limit the next endpoint
+ * is selected, then only cached copies are returned, then requests are rejected. Source:
+ * docs/design.md, "Concurrency limits".
  */
 final class ConcurrencyLimiter {
-  /**
-   * The initial limits are right for a gateway that has this many edge caches, and the following
-   * number of parents, to itself.
-   */
+  /** Number of edge caches per gateway for which the initial limits are dimensioned. */
   private static final double EDGES_PER_GATEWAY = 3;
 
   private static final double PARENTS_PER_GATEWAY = 2;
   private static final double INITIAL_LIMIT = 24;
 
   /**
-   * An endpoint spills over past this multiple of its share of the requests in flight, plus its
-   * share of the allowance.
+   * An endpoint spills over when its requests in flight exceed this multiple of its share, by
+   * weight, of those at all peers, plus its share of the allowance.
    */
   private static final double SPILL_OVER_FACTOR = 1.75;
 
@@ -28,7 +25,7 @@
   private static final double PRIORITY_FACTOR = 1.5;
   private static final double PRIORITY_REVENUE_FACTOR = 1.5;
 
-  /** An origin whose last late response is older than this is not suspected. */
+  /** Time after the origin's last late response until the origin is no longer suspected. */
   private static final long ORIGIN_SUSPICION_NANOS = 1_000_000_000L;
 
   private final ConcurrencyLimit originLimit = new ConcurrencyLimit(nowNanos -> 1);
@@ -36,23 +33,25 @@
   private final EndpointTable endpoints;
   private final TrafficClass[] trafficClasses;
 
-  /** Limits without a share: the first list gives them theirs. */
+  /**
+   * Creates limits without a share; {@link #assignShares} sets the shares when a list is complete.
+   */
   ConcurrencyLimiter(EndpointTable endpoints, TrafficClass[] trafficClasses) {
     this.endpoints = endpoints;
     this.trafficClasses = trafficClasses;
   }
 
-  /** The limit of fills that reach the origin, by whatever parent. */
+  /** Returns the limit of fills that reach the origin, through any parent or directly. */
   ConcurrencyLimit originLimit() {
     return originLimit;
   }
 
-  /** The limit of fills into the zone. */
+  /** Returns the limit of fills into the zone. */
   ConcurrencyLimit uplinkLimit() {
     return uplinkLimit;
   }
 
-  /** Gives each limit its share after a change of the list or of the fleet. */
+  /** Sets the share of each limit after a change of the endpoint list or of the fleet. */
   void assignShares(GatewayShare share) {
     int gatewaysInZone = share.gatewaysInZone();
     double originShare =
@@ -63,7 +62,7 @@
     double sharedInitial =
         INITIAL_LIMIT
             * (1 + 1.0 / gatewaysInZone)
-            / 2; // Where many share, each learns more slowly.
+            / 2; // If many gateways share, each one learns more slowly.
     originLimit.setShare(originShare, sharedInitial);
     uplinkLimit.setShare(
         endpoints.zoneEdges().length / EDGES_PER_GATEWAY / gatewaysInZone, sharedInitial);
@@ -81,8 +80,8 @@
   }
 
   /**
-   * The factor by which a class may exceed a limit: those with the most revenue for the work are
-   * rejected last.
+   * Returns the factor by which requests of a class may exceed a limit: the classes with the most
+   * revenue per unit of work are rejected last.
    */
   double priorityFactor(TrafficClass trafficClass) {
     double bound = PRIORITY_REVENUE_FACTOR * trafficClass.revenue() / trafficClass.workNanos();
@@ -94,27 +93,29 @@
     return PRIORITY_FACTOR;
   }
 
-  /** The same for a fill; lower where the response is not cached. */
+  /** Returns the priority factor of a request's fill; it is lower if the response is not cached. */
   private double fillPriorityFactor(InFlightRequest request) {
     return priorityFactor(request.trafficClass)
         * (request.rank == SegmentAdmission.NOT_CACHED ? ConcurrencyLimit.UNCACHED_FACTOR : 1);
   }
 
-  /** Whether an endpoint has room for one more of that class. */
+  /** Whether an endpoint has room for one more request of the class. */
   boolean hasRoom(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     return endpoint.limit.hasRoom(nowNanos, priorityFactor(trafficClass));
   }
 
   /**
-   * Whether the uplink into the zone has room for a request's fill; what is never cached is sent
-   * regardless.
+   * Whether the uplink into the zone has room for a request's fill. Requests whose responses are
+   * never cached are not limited.
    */
   boolean hasUplinkRoom(InFlightRequest request, long nowNanos) {
     return request.uncacheable || uplinkLimit.hasRoom(nowNanos, fillPriorityFactor(request));
   }
 
   /**
-   * Guards against a slow origin: past its limit only cached copies are returned, stale ones too.
+   * Whether a request must not be filled from the origin, since the origin has failed it or has
+   * reached its limit. Guards against a slow origin: past its limit only cached copies are
+   * returned, including stale ones.
    */
   boolean isOriginSaturated(InFlightRequest request, long nowNanos) {
     return request.originFailed
@@ -122,8 +123,8 @@
   }
 
   /**
-   * The number in flight, per unit of weight, past which an endpoint spills over. Guards against
-   * hot segments and slow caches.
+   * Returns the number of requests in flight, per unit of weight, above which an endpoint spills
+   * over. Guards against hot segments and slow caches.
    */
   double spillOverBound(Endpoint[] peers) {
     double inFlight = 0;
@@ -138,8 +139,9 @@
   }
 
   /**
-   * Whether later fills have returned, through the same source and by way of the origin. Guards
-   * limits against responses that never come.
+   * Whether fills that were sent later, by more than the request's soft timeout, have returned in
+   * time, both through the same source and from the origin. Guards limits against responses that
+   * never arrive.
    */
   boolean isOvertaken(Attempt attempt) {
     return Math.min(attempt.source().limit.lastPromptSentNanos, originLimit.lastPromptSentNanos)
@@ -147,11 +149,11 @@
   }
 
   /**
-   * Counts a fill with its source and, as far as that is likely, with the origin. An overdue fill
-   * counts fully at the origin if that was late last: guards the limits of parents against a slow
-   * origin.
+   * Adds a fill to the requests in flight at its source and, weighted by likelihood, at the origin.
+   * An overdue fill counts fully at the origin if the origin was late more recently than the
+   * source. Guards the limits of parents against a slow origin.
    *
-   * @param likelihood how likely the attempt needs a fill, 0 to 1
+   * @param likelihood the likelihood that the attempt needs a fill, 0 to 1
    */
   void addFill(Attempt attempt, double likelihood, long nowNanos) {
     long suspectedSince =
@@ -167,8 +169,9 @@
   }
 
   /**
-   * Counts all fills anew, from the attempts that have not ended: the longer one is in flight the
-   * more likely it is a fill.
+   * Recomputes the fills in flight from the attempts that have not ended. An attempt that has been
+   * in flight for more than a third of its soft timeout counts as a fill, one below that with the
+   * likelihood of a miss.
    */
   void recountFills(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
@@ -181,13 +184,14 @@
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
       InFlightRequest request = attempt.request();
-      boolean isExpired = nowNanos >= request.deadlineNanos; // Its source has given it up.
+      boolean isExpired =
+          nowNanos >= request.deadlineNanos; // The source has abandoned the fill by then.
       if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
         boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
         addFill(attempt, isLikelyFill ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
     }
-    // Fills that wait at a source past its limit do not use the uplink.
+    // Fills that are queued at a source past its limit do not use the uplink.
     for (Endpoint endpoint : endpoints.all()) {
       uplinkLimit.inFlight +=
           endpoint.isEdge() ? 0 : Math.min(endpoint.limit.inFlight, endpoint.limit.limit());
--- a/routing/src/main/java/org/amberpath/routing/Endpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/Endpoint.java
@@ -1,27 +1,33 @@
 package org.amberpath.routing;
 
-/** A cache, a parent or the origin, as it is listed, with what this gateway knows about it. */
+/**
+ * An edge cache, a parent cache or the origin, as it is listed, with the state that this gateway
+ * keeps about it.
+ */
 final class Endpoint {
-  /** What an endpoint is to the gateway, by the kind under which it is listed. */
+  /** The role of an endpoint, which follows from the kind under which it is listed. */
   enum Role {
     EDGE,
     PARENT,
     ORIGIN
   }
 
-  /** The number under which the gateway's socket side knows it. */
+  /** The index under which actions and events identify the endpoint. */
   final int index;
 
-  /** A hash of its stable id: all gateways agree on the order of endpoints for a key. */
+  /**
+   * Hash of the endpoint's stable id, so that all gateways agree on the order of endpoints for a
+   * key.
+   */
   final long hash;
 
-  /** How many requests it may have in flight. */
+  /** Limit on the requests in flight at the endpoint, or on the fills from it. */
   final ConcurrencyLimit limit;
 
-  /** How far it has warmed up. */
+  /** State of the endpoint's slow start. */
   final WarmUp warmUp = new WarmUp();
 
-  /** Whether it responds. */
+  /** State of the endpoint's outlier detection. */
   final EndpointHealth health = new EndpointHealth();
 
   Role role;
@@ -29,22 +35,28 @@
   String zone;
   int cell;
 
-  /** Its size in transfers at full rate where the configuration lists sizes, else 1. */
+  /**
+   * The endpoint's size in transfers at full rate if the configuration says that weights are sizes,
+   * else 1.
+   */
   double weight;
 
-  /** An endpoint under a stable id, before the rest of its description is known. */
+  /** Creates an endpoint with its index and stable id; the rest of its description is set later. */
   Endpoint(int index, String id) {
     this.index = index;
     hash = RendezvousSelector.mix(id.hashCode());
     limit = new ConcurrencyLimit(warmUp::capacityFraction);
   }
 
-  /** Whether it is an edge cache. */
+  /** Whether the endpoint is an edge cache. */
   boolean isEdge() {
     return role == Role.EDGE;
   }
 
-  /** Whether new requests may go to it or through it: neither draining nor gone. */
+  /**
+   * Whether new requests may be sent to the endpoint or filled from it: it is neither draining nor
+   * gone.
+   */
   boolean isUp() {
     return state == EndpointState.UP;
   }
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -1,14 +1,15 @@
 package org.amberpath.routing;
 
 /**
- * The health of one endpoint, by the responses that this gateway has seen. An ejected endpoint gets
- * single requests, after a backoff that doubles; once it has responded it is on probation, with a
- * part of its keys that doubles. Source: docs/design.md, "Outlier detection".
+ * The health state of one endpoint, derived from the responses that this gateway has received. An
+ * ejected endpoint receives single requests after a backoff that doubles with each ejection. Once
+ * it has responded it is on probation and receives a fraction of its keys that doubles over time.
+ * Source: docs/design.md, "Outlier detection".
  */
 final class EndpointHealth {
   /**
-   * HEALTHY takes all of its keys, EJECTED none but single health checks, PROBATION a part that
-   * grows.
+   * HEALTHY: the endpoint receives all of its keys. EJECTED: it receives no keys, only single
+   * health checks. PROBATION: it receives a growing fraction of its keys.
    */
   enum State {
     HEALTHY,
@@ -23,16 +24,21 @@
   private static final long MAX_PROBATION_DOUBLINGS = 32;
   private static final double OVERDUE_LIMIT = 2;
 
-  /** When the endpoint last responded in any way, in nanoseconds. */
+  /** Time of the endpoint's last response of any kind, in nanoseconds. */
   long lastResponseNanos;
 
-  /** Whether it was reported as suspect for a health check, without enough evidence to eject it. */
+  /**
+   * Whether the endpoint was reported as {@link EndpointHealthStatus#SUSPECT}; cleared when the
+   * endpoint responds, or when a sweep finds it responsive or without overdue requests.
+   */
   boolean suspected;
 
-  /** How many of its requests are overdue; counted anew in each sweep. */
+  /** Number of overdue requests at the endpoint; recomputed in each sweep. */
   int overdue;
 
-  /** Attempts that were lost or found no connection since it last responded. */
+  /**
+   * Attempts since the endpoint's last response that lost their connection or could not connect.
+   */
   int failures;
 
   private State state = State.HEALTHY;
@@ -41,14 +47,17 @@
   private long nextHealthCheckNanos;
   private long backoffNanos = FIRST_BACKOFF_NANOS;
 
-  /** The longest backoff between two checks of an ejected endpoint, in nanoseconds. */
+  /**
+   * Returns the longest backoff between two health checks of an ejected endpoint, in nanoseconds.
+   */
   static long maxBackoffNanos() {
     return MAX_BACKOFF_NANOS;
   }
 
   /**
-   * The fraction of its keys that it gets. On probation it doubles with time, not with responses: a
-   * thin slice would bring none for long.
+   * Returns the fraction of its keys that the endpoint receives, 0 to 1. On probation the fraction
+   * doubles with time, not with responses: a small fraction may not produce a response for a long
+   * time.
    */
   double keyFraction(long nowNanos) {
     return switch (state) {
@@ -59,50 +68,61 @@
     };
   }
 
-  /** How often its part of the keys has doubled; bounded, since no shift may pass a long. */
+  /**
+   * Returns how many times the fraction has doubled on probation, bounded so that the shift in
+   * {@link #keyFraction} does not overflow a long.
+   */
   private long probationDoublings(long nowNanos) {
     return Math.min(
         MAX_PROBATION_DOUBLINGS, (nowNanos - probationSinceNanos) / PROBATION_STEP_NANOS);
   }
 
-  /** Whether it has any keys. */
+  /** Whether the endpoint receives any keys. */
   boolean isServing(long nowNanos) {
     return state == State.HEALTHY || keyFraction(nowNanos) > 0;
   }
 
-  /** Whether it gets single requests as health checks only. */
+  /** Whether the endpoint receives only single requests, as health checks. */
   boolean isEjected() {
     return state == State.EJECTED;
   }
 
-  /** Whether the backoff since its last ejection is over; also true if it was never ejected. */
+  /**
+   * Whether the backoff of the last ejection has passed; also true if the endpoint was never
+   * ejected.
+   */
   boolean isBackoffOver(long nowNanos) {
     return nowNanos >= nextHealthCheckNanos;
   }
 
-  /** The same for a backoff that is longer by so many nanoseconds. */
+  /**
+   * Whether the backoff of the last ejection and an additional delay, in nanoseconds, have passed.
+   */
   boolean isBackoffOver(long nowNanos, double longerByNanos) {
     return nowNanos >= nextHealthCheckNanos + longerByNanos;
   }
 
-  /** Whether enough of its requests are overdue or failed to take it for an outlier. */
+  /**
+   * Whether the overdue requests and failures suffice to treat the endpoint as an outlier: two, or
+   * one while it is ejected.
+   */
   boolean isUnresponsive() {
     return overdue + failures >= (isEjected() ? 1 : OVERDUE_LIMIT);
   }
 
-  /** Whether there is nothing to eject or suspect it for, nor a suspicion to clear. */
+  /** Whether the endpoint has no overdue request, no failure and no suspicion to clear. */
   boolean isUnremarkable() {
     return overdue == 0 && failures == 0 && !suspected;
   }
 
-  /** The backoff of the next ejection, in nanoseconds. */
+  /** Returns the backoff of the next ejection, in nanoseconds. */
   long backoffNanos() {
     return backoffNanos;
   }
 
   /**
-   * Takes all keys away until half the backoff and the given random part of it have passed, and
-   * doubles the next one.
+   * Ejects the endpoint: it receives no keys until half of the backoff and the given random part
+   * have passed. Doubles the backoff of the next ejection, up to the maximum.
    */
   void eject(long nowNanos, long randomPartNanos) {
     failures = 0;
@@ -112,7 +132,12 @@
     state = State.EJECTED;
   }
 
-  /** It was alive at the given time; returns whether that begins its probation. */
+  /**
+   * Begins the endpoint's probation if it is ejected and was alive at the given time, which must
+   * not precede its ejection.
+   *
+   * @return whether probation has begun
+   */
   boolean beginProbation(long aliveAtNanos, long nowNanos) {
     if (state != State.EJECTED || aliveAtNanos < ejectedAtNanos) {
       return false;
@@ -122,14 +147,15 @@
     return true;
   }
 
-  /** Gives all of its keys back, and resets the backoff. */
+  /** Returns the endpoint to {@link State#HEALTHY} and resets the backoff. */
   void recover() {
     state = State.HEALTHY;
     backoffNanos = FIRST_BACKOFF_NANOS;
   }
 
   /**
-   * It has restarted: earlier failures no longer count, but the backoff stays as long as it was.
+   * Returns the endpoint to {@link State#HEALTHY} after it has restarted, but keeps the current
+   * backoff.
    */
   void restart() {
     state = State.HEALTHY;
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
@@ -1,14 +1,17 @@
 package org.amberpath.routing;
 
 /**
- * The health of an edge cache as this gateway sees it, for health checks that one gateway makes for
- * all.
+ * The health of an edge cache as this gateway sees it, for the gateway that makes health checks on
+ * behalf of all.
  */
 public enum EndpointHealthStatus {
-  /** Ejected, or silent while one of its requests is overdue: a health check is wanted. */
+  /**
+   * The endpoint is ejected, or does not respond while one of its requests is overdue; it needs a
+   * health check.
+   */
   SUSPECT,
-  /** Needs no health check. */
+  /** The endpoint needs no health check. */
   HEALTHY,
-  /** Has just answered this gateway. */
+  /** The endpoint has just responded to this gateway. */
   RESPONSIVE
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointListKind.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListKind.java
@@ -1,11 +1,11 @@
 package org.amberpath.routing;
 
-/** What the endpoint list that follows is. */
+/** How the endpoint list that follows relates to the endpoints that are known. */
 public enum EndpointListKind {
-  /** Only the endpoints that changed. */
+  /** The list contains only the endpoints that changed. */
   CHANGES,
-  /** All endpoints: those that are not listed are gone. */
+  /** The list contains all endpoints; those that it does not contain are gone. */
   FULL,
-  /** No list: discovery has ended the subscription. */
+  /** There is no list: discovery has ended the subscription. */
   NONE
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointListener.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointListener.java
@@ -1,33 +1,32 @@
 package org.amberpath.routing;
 
 /**
- * Receives discovery events about endpoints and purges, in order, whatever their source: the
- * journal or a registry. All calls come on the event loop that owns the gateway. Times are Unix
- * milliseconds.
+ * Receives discovery events about endpoints and purges, in order, from any source: the journal or a
+ * registry. All calls come on the event loop that owns the gateway. Times are Unix milliseconds.
  */
 public interface EndpointListener {
-  /** The group of a purge that means all objects of all groups. */
+  /** The group of a purge of all objects of all groups. */
   int ALL_GROUPS = -1;
 
   /**
-   * A list begins; its endpoints follow, then {@link #endpointListCompleted}.
+   * Begins an endpoint list; its endpoints follow, then {@link #endpointListCompleted}.
    *
-   * @param kind {@link EndpointListKind#FULL} replaces all that was known
+   * @param kind {@link EndpointListKind#FULL} replaces all endpoints that are known
    */
   void endpointListStarted(EndpointListKind kind);
 
-  /** One endpoint of the list that has begun. */
+  /** Reports one endpoint of the list that has begun. */
   void endpointListed(ListedEndpoint endpoint);
 
-  /** All endpoints of the list have been reported. */
+  /** Completes the list: all of its endpoints have been reported. */
   void endpointListCompleted();
 
   /**
-   * An object was purged.
+   * Reports a purge of an object or a group.
    *
-   * @param object the object's id; 0 for a whole group
+   * @param object the object's id; 0 for all objects of the group
    * @param group the purge group, or {@link #ALL_GROUPS}
-   * @param atMillis when, by the clock of whoever wrote the purge
+   * @param atMillis the time of the purge, by the clock of the host that wrote it
    */
   void objectPurged(long object, int group, long atMillis);
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointState.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointState.java
@@ -1,11 +1,11 @@
 package org.amberpath.routing;
 
-/** State of an endpoint as discovery lists it, from the least to the most restrictive. */
+/** The state of an endpoint as discovery lists it, from the least to the most restrictive. */
 public enum EndpointState {
-  /** Takes attempts and fills. */
+  /** Accepts attempts and fills. */
   UP,
-  /** Takes no new attempts or fills after the drain's grace. */
+  /** Accepts no new attempts or fills after the drain's grace period. */
   DRAINING,
-  /** Removed; the same id listed again is another endpoint. */
+  /** Removed; the same id listed again denotes a different endpoint. */
   GONE
 }
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The endpoints of the list by index, and those among them that requests of this zone can use. */
+/** The listed endpoints by index, and the subsets that requests of this zone can use. */
 final class EndpointTable {
   private final String zone;
   private final Map<Integer, Endpoint> all = new TreeMap<>();
@@ -16,49 +16,51 @@
   private Endpoint origin;
   private int upEdges;
 
-  /** An empty table of a gateway in that zone. */
+  /** Creates an empty table for a gateway in the given zone. */
   EndpointTable(String zone) {
     this.zone = zone;
   }
 
-  /** All endpoints that are listed, in the order of their indices. */
+  /** Returns all listed endpoints, in the order of their indices. */
   Collection<Endpoint> all() {
     return all.values();
   }
 
-  /** The edge caches of this gateway's zone. */
+  /** Returns the edge caches of this gateway's zone. */
   Endpoint[] zoneEdges() {
     return zoneEdges;
   }
 
-  /** The parents of all zones. */
+  /** Returns the parents of all zones. */
   Endpoint[] parents() {
     return parents;
   }
 
-  /** The origin; null where none is listed. */
+  /** Returns the origin; null if none is listed. */
   Endpoint origin() {
     return origin;
   }
 
-  /** The endpoint of that index, or null. */
+  /** Returns the endpoint of the index; null if there is none. */
   Endpoint get(int index) {
     return all.get(index);
   }
 
-  /** How many edge caches of all zones were up when the last list was completed. */
+  /**
+   * Returns the number of edge caches of all zones that were up when the last list was completed.
+   */
   int upEdges() {
     return upEdges;
   }
 
-  /** The endpoint of that index, created if it is not known yet. */
+  /** Returns the endpoint of the index; creates it if it is unknown. */
   Endpoint getOrAdd(int index, String id) {
     return all.computeIfAbsent(index, missing -> new Endpoint(missing, id));
   }
 
   /**
-   * A list is complete: drops the endpoints that are gone. Guards against unbounded growth by ids
-   * that come and go.
+   * Rebuilds the subsets when a list is complete, and removes the endpoints that are gone. Guards
+   * against unbounded growth by ids that are listed and removed again.
    */
   void rebuild() {
     List<Endpoint> edges = new ArrayList<>();
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -1,55 +1,62 @@
 package org.amberpath.routing;
 
 /**
- * The age of events that carry a Unix time, where the wall clock may step by seconds or an hour,
- * both ways, at any moment. The monotonic and the wall clock are read together, and their
- * difference, the offset, is followed. An event is taken for as young as it can be: a purge then
- * binds longer, and an endpoint that started counts as less warm (docs/design/clocks.md).
+ * Estimates the age of events that carry a Unix timestamp, while the wall clock may step by seconds
+ * or by an hour, in both directions, at any time. The monotonic and the wall clock are read
+ * together, and the difference between them, the offset, is tracked. An event is assumed to be as
+ * young as possible: a purge then applies longer, and an endpoint that started counts as less warm
+ * (docs/design/clocks.md).
  *
- * <p>Three facts bound an age from above. The offset was at least once as small as the smallest one
- * seen since the start. The clock that stamps events was no earlier than the newest stamp received.
- * And an event that a reply brings did not exist when the reply before was made. Times are
- * nanoseconds, stamps Unix milliseconds; all calls come on the event loop.
+ * <p>Three facts bound an age from above. The offset was at some time as small as the smallest one
+ * seen since the start. The clock that stamps events was no earlier than the newest timestamp
+ * received. An event in a reply did not exist when the previous reply was made. Times are
+ * nanoseconds, timestamps Unix milliseconds; all calls come on the event loop.
  */
 public final class EventAge {
-  /** A larger change of the offset between two readings is a step; a smaller one is drift. */
+  /**
+   * A change of the offset between two readings that exceeds this is a step; a smaller one is
+   * drift.
+   */
   private static final long STEP_NANOS = 50_000_000L;
 
-  /** How long discovery may hold an event back and its reply may be in flight, at most. */
+  /** Longest time for which discovery may hold an event back and its reply may be in flight. */
   private static final long MAX_DELIVERY_NANOS = 10_000_000_000L;
 
-  /** The age of the newest event received, at most: less than the grace of any purge. */
+  /** Assumed maximum age of the newest event received; shorter than the grace of any purge. */
   private static final long MAX_NEWEST_AGE_NANOS = 200_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
   private static final long NONE = Long.MIN_VALUE;
 
-  /** By how much the wall clock was ahead of the monotonic one when both were last read. */
+  /** Wall clock minus monotonic clock when both were last read. */
   private long offsetNanos;
 
-  /** The smallest offset seen, moved along with drift. */
+  /** Smallest offset seen, adjusted for drift. */
   private long minOffsetNanos;
 
-  /** The largest offset that follows from a stamp received, or {@link #NONE}. */
+  /** Largest offset that follows from a received timestamp, or {@link #NONE}. */
   private long newestStampOffsetNanos = NONE;
 
   private long previousReplyAtNanos = NONE;
   private long replyAtNanos = NONE;
 
-  /** Whether the reply at hand came from discovery, not from what was known before the start. */
+  /**
+   * Whether the current reply came from discovery rather than from state that was stored before the
+   * start.
+   */
   private boolean isLiveReply;
 
   private boolean isCorrected;
 
-  /** Reads both clocks for the first time. */
+  /** Creates an estimator from the first reading of both clocks. */
   public EventAge(long monotonicNanos, long wallMillis) {
     offsetNanos = wallMillis * NANOS_PER_MILLI - monotonicNanos;
     minOffsetNanos = offsetNanos;
   }
 
   /**
-   * Reads both clocks; must be called often enough that drift between two calls stays far under a
-   * step of 50 ms.
+   * Records a reading of both clocks. Must be called often enough that the drift between two calls
+   * stays far below the step threshold of 50 ms.
    */
   public void clocksRead(long monotonicNanos, long wallMillis) {
     long readOffsetNanos = wallMillis * NANOS_PER_MILLI - monotonicNanos;
@@ -63,10 +70,10 @@
   }
 
   /**
-   * The events of a reply follow.
+   * Begins a reply; its events follow.
    *
-   * @param isLive whether discovery sent it; false for what was known before the start
-   * @param newestPurgeMillis the stamp of its newest purge; 0 for none
+   * @param isLive whether discovery sent the reply; false for state from before the start
+   * @param newestPurgeMillis the timestamp of the reply's newest purge; 0 for none
    */
   public void replyStarted(long monotonicNanos, boolean isLive, long newestPurgeMillis) {
     isLiveReply = isLive;
@@ -80,19 +87,19 @@
     }
   }
 
-  /** All events of the reply have been passed on. */
+  /** Ends the reply: all of its events have been processed. */
   public void replyEnded() {
     isLiveReply = false;
   }
 
-  /** The age of a purge, in nanoseconds, at most; never negative. */
+  /** Returns the upper bound of a purge's age, in nanoseconds; never negative. */
   public long purgeAgeNanos(long monotonicNanos, long stampMillis) {
     long stampOffsetNanos = stampMillis * NANOS_PER_MILLI - monotonicNanos;
     long maxAgeNanos = monotonicNanos - previousReplyAtNanos + MAX_DELIVERY_NANOS;
     if (isLiveReply
         && previousReplyAtNanos != NONE
         && minOffsetNanos - stampOffsetNanos > maxAgeNanos) {
-      // The stamping clock was set back, or this wall clock was ahead from the start.
+      // The clock that stamps events was set back, or this wall clock was ahead from the start.
       newestStampOffsetNanos =
           currentOffsetNanos() - stampOffsetNanos > maxAgeNanos
               ? stampOffsetNanos
@@ -104,8 +111,8 @@
   }
 
   /**
-   * Whether the wall clock has turned out wrong since the last call: endpoints may have started
-   * later than reported.
+   * Returns whether the offset was corrected since the last call, and clears the flag. After a
+   * correction endpoints may have started later than {@link #startAgeNanos} returned.
    */
   public boolean takeCorrection() {
     boolean wasCorrected = isCorrected;
@@ -114,8 +121,8 @@
   }
 
   /**
-   * The time since an endpoint started, in nanoseconds, at most; never negative. For endpoints
-   * known before the start it follows from the wall clock.
+   * Returns the upper bound of the time since an endpoint started, in nanoseconds; never negative.
+   * For endpoints known from before the start it follows from the wall clock alone.
    */
   public long startAgeNanos(long monotonicNanos, long stampMillis) {
     long stampOffsetNanos = stampMillis * NANOS_PER_MILLI - monotonicNanos;
@@ -125,7 +132,7 @@
     return Math.max(0, (isLiveReply ? currentOffsetNanos() : minOffsetNanos) - stampOffsetNanos);
   }
 
-  /** The smallest offset that the present time can have. */
+  /** Returns the smallest offset that is possible now. */
   private long currentOffsetNanos() {
     return newestStampOffsetNanos == NONE
         ? minOffsetNanos
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * This gateway's share of what all gateways use: by the configured number of gateways or, where the
- * fleet has more, by the fleet's. Guards limits against more gateways than are configured, all of
- * which may be in this zone.
+ * This gateway's share of what all gateways use. It follows from the configured number of gateways
+ * or, if the fleet has more, from the fleet's number. Guards limits against more gateways than are
+ * configured, all of which may be in this zone.
  */
 final class GatewayShare {
   private final RoutingConfig config;
@@ -11,14 +11,14 @@
   private int gatewaysInAll;
   private boolean granted = true;
 
-  /** The share by the configured numbers. */
+  /** Creates the share that follows from the configured numbers of gateways. */
   GatewayShare(RoutingConfig config) {
     this.config = config;
     gatewaysInZone = Math.max(1, config.gatewaysInZone());
     gatewaysInAll = Math.max(1, config.gateways());
   }
 
-  /** The fleet has counted its gateways, and granted this one a share or none. */
+  /** Updates the number of gateways in the fleet and whether this gateway is granted a share. */
   void update(int gateways, boolean isGranted) {
     int extraGateways = Math.max(0, gateways - Math.max(1, config.gateways()));
     gatewaysInAll = Math.max(1, config.gateways()) + extraGateways;
@@ -26,17 +26,17 @@
     granted = isGranted;
   }
 
-  /** How many gateways serve the zone, this one too. */
+  /** Returns the number of gateways that serve the zone, including this one. */
   int gatewaysInZone() {
     return gatewaysInZone;
   }
 
-  /** How many gateways there are in all zones. */
+  /** Returns the number of gateways in all zones. */
   int gatewaysInAll() {
     return gatewaysInAll;
   }
 
-  /** Whether other gateways serve the zone. */
+  /** Whether other gateways serve the zone, too. */
   boolean isZoneShared() {
     return gatewaysInZone > 1;
   }
@@ -47,8 +47,9 @@
   }
 
   /**
-   * This gateway's share of an endpoint of that role, 0 to 1: a zone shares its edge caches, all
-   * zones share the others.
+   * Returns this gateway's share of an endpoint of the role, 0 to 1: the gateways of a zone share
+   * its edge caches, the gateways of all zones share the other endpoints. 0 while no share is
+   * granted.
    */
   double fractionOf(Endpoint.Role role) {
     return granted ? 1.0 / (role == Endpoint.Role.EDGE ? gatewaysInZone : gatewaysInAll) : 0;
--- a/routing/src/main/java/org/amberpath/routing/Idempotency.java
+++ b/routing/src/main/java/org/amberpath/routing/Idempotency.java
@@ -1,11 +1,14 @@
 package org.amberpath.routing;
 
-/** Whether running a request of a traffic class a second time has an effect of its own. */
+/** Whether a request of a traffic class may be executed twice. */
 public enum Idempotency {
-  /** A repeat has no effect of its own. */
+  /** A repeat has no additional effect. */
   IDEMPOTENT,
-  /** Endpoints drop a repeat with the same idempotency key, within a scope and a window. */
+  /**
+   * Endpoints drop a repeat that carries the same idempotency key, within a scope and a time
+   * window.
+   */
   IDEMPOTENCY_KEY,
-  /** A repeat takes effect again: never sent again unless known not to have run. */
+  /** A repeat takes effect again: a request is retried only if it is known not to have executed. */
   NON_IDEMPOTENT
 }
--- a/routing/src/main/java/org/amberpath/routing/IdempotencyScope.java
+++ b/routing/src/main/java/org/amberpath/routing/IdempotencyScope.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-/** Which endpoints share idempotency keys, and so drop each other's repeats. */
+/** Which endpoints share idempotency keys and therefore drop each other's repeats. */
 public enum IdempotencyScope {
   /** All endpoints. */
   ALL,
--- a/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
+++ b/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
@@ -3,11 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request between its arrival and the end of its last attempt. Times are nanoseconds. */
+/**
+ * The state of a request from its arrival until its last attempt has ended. Times are nanoseconds.
+ */
 final class InFlightRequest {
   /**
-   * Who made the request: a client, or the gateway by itself, to check an endpoint or to fill one
-   * that has started.
+   * The purpose of a request: a client's request, or a synthetic request of this gateway that
+   * checks an endpoint or prefetches into one that has started.
    */
   enum Purpose {
     CLIENT,
@@ -23,45 +25,51 @@
   final long deadlineNanos;
   final List<Attempt> attempts = new ArrayList<>(2);
 
-  /** Endpoints that no retry goes to or through. */
+  /** Endpoints that no retry is sent to or filled from. */
   final List<Endpoint> excludedEndpoints = new ArrayList<>(2);
 
   Purpose purpose = Purpose.CLIENT;
 
-  /** An attempt without a response for so long counts as overdue. */
+  /** The soft timeout: an attempt without a response for longer than this is overdue. */
   long patienceNanos;
 
-  /** The rank at which its response is cached. */
+  /** Cache rank of the response. */
   int rank = SegmentAdmission.NOT_CACHED;
 
-  /** How many attempts have not ended. */
+  /** Number of attempts that have not ended. */
   int openAttempts;
 
-  /** Whether its response is never cached. */
+  /** Whether the response is never cached. */
   boolean uncacheable;
 
-  /** Whether its size is known. */
+  /** Whether the response's duration is known from its size. */
   boolean sizeKnown;
 
   /**
-   * Whether its patience follows from a size or an earlier response, so that its response can be
-   * judged as late.
+   * Whether the soft timeout derives from a size or an earlier response, so that the response's
+   * latency can be judged.
    */
   boolean durationKnown;
 
-  /** Whether the origin has failed it: another parent would only ask the same origin again. */
+  /**
+   * Whether the origin has failed the request; another parent would only fill from the same origin
+   * again.
+   */
   boolean originFailed;
 
-  /** Whether its response has started to stream to the client. */
+  /** Whether the response has started to stream to the client. */
   boolean streaming;
 
-  /** Whether its final answer is decided. */
+  /** Whether the final response has been decided. */
   boolean done;
 
-  /** The first attempt that may have executed; null for none. */
+  /**
+   * The earliest sent attempt that has ended and may have executed the request; null if there is
+   * none.
+   */
   Attempt firstExecuted;
 
-  /** A request that has just arrived, before its route is selected. */
+  /** Creates the state of a request that has arrived, before its route is selected. */
   InFlightRequest(RequestDetails details, TrafficClass trafficClass, long nowNanos) {
     id = details.id();
     object = details.object();
@@ -71,12 +79,12 @@
     this.trafficClass = trafficClass;
   }
 
-  /** Whether this gateway made it by itself, on behalf of the fleet. */
+  /** Whether this gateway made the request on behalf of the fleet. */
   boolean isSynthetic() {
     return purpose != Purpose.CLIENT;
   }
 
-  /** How long there is to its deadline, in nanoseconds. */
+  /** Returns the time left until the request's deadline, in nanoseconds; negative after it. */
   long timeLeftNanos(long nowNanos) {
     return deadlineNanos - nowNanos;
   }
--- a/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
+++ b/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
@@ -4,8 +4,8 @@
 import java.util.stream.IntStream;
 
 /**
- * Durations by bins of equal ratio, two to a doubling from 4 ms on. All counts are halved when it
- * is full, so that newer samples weigh more.
+ * A histogram of durations with exponential bins: two bins per doubling, from 4 ms on. All counts
+ * are halved when the histogram is full, so that newer samples weigh more.
  */
 final class LatencyHistogram {
   private static final int BINS = 24;
@@ -15,7 +15,7 @@
 
   private final int[] counts = new int[BINS];
 
-  /** Counts a duration, in nanoseconds; one out of range goes to the first or the last bin. */
+  /** Counts a duration in nanoseconds; one out of range is counted in the first or the last bin. */
   void record(long durationNanos) {
     double bin = BINS_PER_DOUBLING * Math.log(durationNanos / LOWEST_NANOS) / Math.log(2);
     counts[(int) Math.max(0, Math.min(BINS - 1, bin))]++;
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The mean duration in nanoseconds, each sample taken at the middle of its bin. Requires at least
-   * one sample.
+   * Returns the mean duration in nanoseconds, with each sample taken at the middle of its bin.
+   * Requires at least one sample.
    */
   long meanNanos() {
     double sum =
--- a/routing/src/main/java/org/amberpath/routing/ListedEndpoint.java
+++ b/routing/src/main/java/org/amberpath/routing/ListedEndpoint.java
@@ -3,14 +3,16 @@
 /**
  * An endpoint as discovery lists it.
  *
- * @param id stable; the same id after {@link EndpointState#GONE} is another endpoint
- * @param address IP address and port; empty to keep the known one
- * @param zone the zone that it belongs to
- * @param kind what it is listed as, which determines its role
- * @param cell the shelf or rack, 0 where none is listed
- * @param state whether it takes attempts and fills
- * @param weight its size, in the unit of the configuration; 1 where none is listed
- * @param startedAtMillis when it started without copies, in Unix milliseconds, 0 for long ago
+ * @param id stable id; an id that is listed again after {@link EndpointState#GONE} denotes a
+ *     different endpoint
+ * @param address IP address and port; empty if the address has not changed
+ * @param zone the zone that the endpoint belongs to
+ * @param kind the kind under which the endpoint is listed, which determines its role
+ * @param cell number of the shelf or rack; 0 if none is listed
+ * @param state whether the endpoint accepts attempts and fills
+ * @param weight the endpoint's size, in the unit of the configuration; 1 if none is listed
+ * @param startedAtMillis when the endpoint started with an empty cache, in Unix milliseconds; 0 if
+ *     it has long been running
  */
 public record ListedEndpoint(
     String id,
--- a/routing/src/main/java/org/amberpath/routing/LoadShedder.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -3,31 +3,32 @@
 import java.util.SplittableRandom;
 
 /**
- * How many requests a gateway that is out of CPU admits a turn of its event loop: those it can
- * answer. The rest is rejected as early as a request can be told from other messages, before it is
- * decoded and decided in full. Times are nanoseconds; all calls come on the event loop.
+ * Limits the requests that a gateway admits in one turn of its event loop to those that it can
+ * serve, when it is out of CPU. The others are rejected as early as a request can be distinguished
+ * from other messages, before it is fully decoded and routed. Times are nanoseconds; all calls come
+ * on the event loop.
  *
- * <p>A single late turn is a pause (a garbage collection, CPU that went elsewhere) and rejects
- * nothing; only a run of late turns is an overload. Then the requests of a turn are halved while
- * turns are late and grow by one while they are not, until none was rejected for some time. Source:
- * docs/design.md, "Out of CPU".
+ * <p>A single late turn is a pause (a garbage collection, or CPU time that went to other processes)
+ * and causes no rejection; only a run of late turns is an overload. Then the number of requests per
+ * turn is halved while turns are late and grows by one per turn while they are not, until no
+ * request has been rejected for {@code RECOVERY_NANOS}. Source: docs/design.md, "Out of CPU".
  */
 public final class LoadShedder {
   private static final long NANOS_PER_MILLI = 1_000_000L;
 
   /**
-   * What a turn always admits: so few requests do not make it late, and a gateway with little
+   * Lower bound of the limit: this many requests do not make a turn late, and a gateway with little
    * traffic rejects none.
    */
   private static final int MIN_REQUESTS_PER_TURN = 8;
 
-  /** A turn that began later than this is late. */
+  /** A turn that begins later than scheduled by more than this is late. */
   private static final long LATE_NANOS = 15 * NANOS_PER_MILLI;
 
-  /** After late turns for so long the gateway is overloaded. */
+  /** A gateway is overloaded once all turns have been late for this long. */
   private static final long OVERLOAD_NANOS = 100 * NANOS_PER_MILLI;
 
-  /** After so long without a rejection the overload is over. */
+  /** The overload has ended once no request has been rejected for this long. */
   private static final long RECOVERY_NANOS = 500 * NANOS_PER_MILLI;
 
   private static final long NONE = Long.MIN_VALUE;
@@ -36,7 +37,7 @@
   private final long maxRetryAfterNanos;
   private final SplittableRandom random;
 
-  /** Since when every turn was late; {@link #NONE} after one that was not. */
+  /** Time since which every turn has been late; {@link #NONE} after one that was not. */
   private long lateSinceNanos = NONE;
 
   private long rejectedAtNanos;
@@ -45,18 +46,21 @@
   private int maxRequestsPerTurn = UNLIMITED;
 
   /**
-   * A shedder that rejects nothing yet.
+   * Creates a load shedder that does not limit requests yet.
    *
-   * @param seed of the spread of {@link #retryAfterNanos}
-   * @param maxRetryAfterNanos the longest wait that a rejection may ask for; 0 where it may ask for
-   *     none
+   * @param seed seed of the random part of {@link #retryAfterNanos}
+   * @param maxRetryAfterNanos the longest wait that a rejection may recommend; 0 to recommend none
    */
   public LoadShedder(long seed, long maxRetryAfterNanos) {
     this.maxRetryAfterNanos = maxRetryAfterNanos;
     random = new SplittableRandom(seed);
   }
 
-  /** A turn of the event loop begins, late by so much. */
+  /**
+   * Begins a turn of the event loop and adjusts the limit.
+   *
+   * @param lateNanos by how much the turn began later than scheduled; 0 or more
+   */
   public void turnStarted(long nowNanos, long lateNanos) {
     if (lateNanos <= LATE_NANOS) {
       lateSinceNanos = NONE;
@@ -76,7 +80,9 @@
     rejectedThisTurn = 0;
   }
 
-  /** Admits one more request in this turn, or counts it as rejected; returns whether it may run. */
+  /**
+   * Admits one more request in this turn or counts it as rejected; returns whether it is admitted.
+   */
   public boolean tryAdmit() {
     if (admittedThisTurn < maxRequestsPerTurn) {
       admittedThisTurn++;
@@ -86,14 +92,15 @@
     return false;
   }
 
-  /** Whether the requests of a turn are limited. */
+  /** Whether the number of requests per turn is limited. */
   public boolean isShedding() {
     return maxRequestsPerTurn < UNLIMITED;
   }
 
   /**
-   * How long the client of a rejected request is asked to wait, or 0 for no advice. Random within
-   * the upper half of the maximum: guards against all clients coming back at once.
+   * Returns the wait that is recommended to the client of a rejected request; 0 for no
+   * recommendation. The wait is random within the upper half of the maximum. Guards against all
+   * clients retrying at the same time.
    */
   public long retryAfterNanos() {
     return maxRetryAfterNanos < 2
--- a/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -1,16 +1,17 @@
 package org.amberpath.routing;
 
 /**
- * The backoff after a system call that failed for lack of a resource of this host: short, since the
- * resource is often free within milliseconds, and doubled with each failure in a row. Guards
- * against a spinning loop.
+ * The exponential backoff after a system call that failed for lack of a resource of this host. It
+ * is short, since the resource is often free again within milliseconds, and doubles with each
+ * consecutive failure. Guards against a busy loop.
  */
 public final class LocalBackoff {
   private static final long FIRST_MILLIS = 10;
   private static final long MAX_MILLIS = 100;
 
   /**
-   * Failures in a row after which waiting requests should go elsewhere: by then 150 ms have passed.
+   * Consecutive failures after which requests should not wait any longer: by then 150 ms have
+   * passed.
    */
   private static final int MAX_FAILURES = 5;
 
@@ -25,7 +26,7 @@
     return pauseMillis;
   }
 
-  /** Records that the call reached the other side, whatever the result. */
+  /** Resets the backoff: the call has reached the other side, whatever its result. */
   public void attemptSucceeded() {
     nextMillis = FIRST_MILLIS;
     failures = 0;
@@ -36,7 +37,7 @@
     return failures > 0;
   }
 
-  /** Whether it has failed for so long that requests should not wait for it. */
+  /** Whether the call has failed so often that requests should not wait for it. */
   public boolean isExhausted() {
     return failures == MAX_FAILURES;
   }
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * Merges the endpoint lists of several sources that are all authoritative, while endpoints move
- * from one to another: the most restrictive state of an endpoint holds. An endpoint that only some
- * sources list is listed as they list it; one that any source listed and then dropped is gone until
- * that source lists it anew, or no source lists it any more.
+ * Merges the endpoint lists of several authoritative discovery sources while endpoints move from
+ * one source to another: the most restrictive state of an endpoint holds. An endpoint that only
+ * some sources list is reported as they list it. One that any source listed and then removed is
+ * gone until that source lists it again, or until no source lists it any more.
  *
- * <p>Bounded by the endpoints that the sources list. All calls come on the event loop that owns the
- * gateway.
+ * <p>Memory is bounded by the endpoints that the sources list. All calls come on the event loop
+ * that owns the gateway.
  */
 public final class MergedEndpointLists {
   private final EndpointListener listener;
@@ -22,14 +22,14 @@
   private final Map<String, ListedEndpoint> reported = new HashMap<>();
   private boolean isFirstList = true;
 
-  /** A merger without sources, which reports the merged list to the listener. */
+  /** Creates a merger without sources that reports the merged list to the listener. */
   public MergedEndpointLists(EndpointListener listener) {
     this.listener = listener;
   }
 
   /**
-   * Adds a source, which reports its list to the returned listener. Where two sources agree on an
-   * endpoint's state, the rest of its description is taken from the one that was added first.
+   * Adds a source, which reports its list to the returned listener. If two sources agree on an
+   * endpoint's state, the rest of its description comes from the source that was added first.
    */
   public EndpointListener addSource() {
     Source source = new Source();
@@ -37,7 +37,7 @@
     return source;
   }
 
-  /** The most restrictive listing of an endpoint; null where no source has it. */
+  /** Returns the most restrictive description of an endpoint; null if no source has it. */
   private ListedEndpoint merge(String id) {
     ListedEndpoint strictest = null;
     for (Source source : sources) {
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Drops an endpoint that is gone at all sources that had it. */
+  /** Removes an endpoint that is gone from all sources that had it. */
   private void removeIfGone(String id) {
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The last starts of the objects that were requested recently. Bounded to 8,192 objects; the one
- * started longest ago is evicted first.
+ * The most recent starts of recently requested objects. Holds at most 8,192 objects; the object
+ * that was started longest ago is evicted first.
  */
 final class ObjectHistory {
   private static final int MAX_OBJECTS = 8192;
@@ -20,12 +20,12 @@
   private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
   /**
-   * Records a request. Where gateways share the zone, a part that does not follow the last one seen
-   * belongs to another playback and counts as a start (docs/design.md, "Departures, and when they
-   * come into play").
+   * Records a request. If other gateways serve the zone, a part that does not come after the last
+   * one seen belongs to another playback and counts as a start (docs/design.md, "Departures, and
+   * when they come into play").
    *
    * @param sharedZone whether other gateways serve the same zone
-   * @return time of the object's start before the current one, in nanoseconds; 0 for none
+   * @return time of the object's start before the latest one, in nanoseconds; 0 if there is none
    */
   long observe(long object, int part, boolean sharedZone, long nowNanos) {
     Entry entry = entries.get(object);
@@ -52,13 +52,16 @@
     return entry;
   }
 
-  /** Time of the object's start before the last one, in nanoseconds; 0 where it has none. */
+  /**
+   * Returns the time of the object's start before the latest one, in nanoseconds; 0 if there is
+   * none.
+   */
   long previousStartNanos(long object) {
     Entry entry = entries.get(object);
     return entry == null ? 0 : entry.previousStartNanos;
   }
 
-  /** Records how long a response took, in nanoseconds. */
+  /** Records the duration of a response, in nanoseconds. */
   void recordResponseTime(long object, long durationNanos) {
     Entry entry = entries.get(object);
     if (entry != null) {
@@ -70,8 +73,8 @@
   }
 
   /**
-   * The shortest response time of an object, in nanoseconds, which stands for an unknown size; 0
-   * where there is none.
+   * Returns the shortest response time of an object, in nanoseconds, which is used if its size is
+   * unknown; 0 if there is none.
    */
   long shortestResponseNanos(long object) {
     Entry entry = entries.get(object);
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -3,16 +3,17 @@
 import java.util.SplittableRandom;
 
 /**
- * Ejects endpoints whose requests are overdue and that do not respond at all, and readmits them
- * gradually. Guards against crashed, hung and cut-off endpoints, which the list shows seconds late.
- * Source: docs/design.md, "Outlier detection" and "Reports of one gateway for all".
+ * Ejects endpoints that have overdue requests and do not respond at all, and readmits them
+ * gradually. Guards against crashed, hung and unreachable endpoints, which the endpoint list shows
+ * only seconds later. Source: docs/design.md, "Outlier detection" and "Reports of one gateway for
+ * all".
  */
 final class OutlierDetector {
   private static final long SILENCE_NANOS = 600_000_000L;
 
   /**
-   * While one gateway checks ejected endpoints for all, the others wait up to this much longer for
-   * each gateway of the zone before they send one a request.
+   * While another gateway checks ejected endpoints, this gateway waits up to this much longer,
+   * times the number of gateways in the zone, before it sends a request to an ejected endpoint.
    */
   private static final long DELEGATED_BACKOFF_PER_GATEWAY_NANOS =
       4 * EndpointHealth.maxBackoffNanos();
@@ -25,8 +26,8 @@
   private boolean checksEjectedEndpoints = true;
 
   /**
-   * A detector of endpoints none of which is ejected; seed and random numbers spread the checks of
-   * many gateways.
+   * Creates a detector without ejected endpoints; the seed and the random numbers spread the checks
+   * of many gateways over time.
    */
   OutlierDetector(
       long seed,
@@ -41,14 +42,14 @@
     this.random = random;
   }
 
-  /** Sets whether another gateway checks ejected endpoints for all. */
+  /** Sets whether another gateway checks ejected endpoints on behalf of all gateways. */
   void setDelegated(boolean delegated) {
     checksEjectedEndpoints = !delegated;
   }
 
   /**
-   * Takes an endpoint's keys away, unless it is the origin, or is ejected and its backoff is not
-   * over.
+   * Ejects an endpoint, except the origin and one that is already ejected with a backoff that has
+   * not passed.
    */
   void eject(Endpoint endpoint, Batch batch) {
     EndpointHealth health = endpoint.health;
@@ -63,7 +64,10 @@
     }
   }
 
-  /** An endpoint has responded to a request that was sent at the given time, in nanoseconds. */
+  /**
+   * Records that an endpoint has responded to a request that was sent at the given time, in
+   * nanoseconds.
+   */
   void onResponse(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
     health.lastResponseNanos = batch.nowNanos();
@@ -80,8 +84,9 @@
   }
 
   /**
-   * The delegated health checker has reported on an endpoint, which may be unknown here. Guards
-   * against reports that newer responses contradict, and against ejecting most endpoints by them.
+   * Applies a health report of the gateway that checks ejected endpoints; the endpoint may be
+   * unknown to this gateway. Guards against reports that newer responses contradict, and against
+   * ejecting most endpoints because of reports.
    */
   void onHealthReport(int endpointIndex, boolean responded, long ageNanos, Batch batch) {
     Endpoint endpoint = endpoints.get(endpointIndex);
@@ -107,9 +112,10 @@
   }
 
   /**
-   * Whether an endpoint accepts a key, by the key's position in the shared hash, 0 to 1: it must
-   * lie in the slices of slow start and of probation. An ejected one accepts a single request after
-   * its backoff.
+   * Whether an endpoint accepts a key. The key must lie in the fractions that slow start and
+   * probation allow; an ejected endpoint accepts a single request after its backoff.
+   *
+   * @param keyPosition the key's position in the shared hash, 0 to 1
    */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
@@ -127,14 +133,15 @@
   }
 
   /**
-   * Whether a health check may be sent: to an ejected endpoint one at a time, after its backoff.
+   * Whether a health check may be sent to an endpoint; an ejected one is sent one at a time, after
+   * its backoff.
    */
   boolean permitsHealthCheck(Endpoint endpoint, long nowNanos) {
     return endpoint.health.isServing(nowNanos)
         || (endpoint.health.isBackoffOver(nowNanos) && endpoint.limit.inFlight == 0);
   }
 
-  /** Counts anew how many requests are overdue at each endpoint. */
+  /** Recomputes the number of overdue requests at each endpoint. */
   void recountOverdue(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
       endpoint.health.overdue = 0;
@@ -151,9 +158,10 @@
   }
 
   /**
-   * Whether an attempt's endpoint is ejected or, since the attempt was sent, has not responded for
-   * long. Guards a single request on a connection that its endpoint has lost: it is not enough to
-   * eject the endpoint, but another one would serve it.
+   * Whether an attempt's endpoint is ejected, or is suspected and has not responded since the
+   * attempt was sent. Guards a single request on a connection that its endpoint has lost: one
+   * overdue request does not suffice to eject the endpoint, but another endpoint would serve the
+   * request.
    */
   boolean isSilentSince(Attempt attempt) {
     EndpointHealth health = attempt.endpoint().health;
@@ -162,15 +170,15 @@
   }
 
   /**
-   * Ejects the endpoints with overdue requests that do not respond, unless most of their peers do
-   * not either.
+   * Ejects the endpoints that have overdue requests and do not respond, unless most of their peers
+   * do not respond either.
    */
   void detectOutliers(Endpoint[] peers, Batch batch) {
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
       if (health.isUnremarkable()) {
-        continue; // True of most endpoints: they have no overdue request.
+        continue; // Applies to most endpoints: they have no overdue requests.
       }
       boolean isSilent =
           endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
@@ -180,7 +188,8 @@
           && health.isServing(batch.nowNanos())
           && health.suspected != (isSilent && health.overdue > 0)) {
         health.suspected =
-            !health.suspected; // Not enough to eject it; other gateways may have seen the same.
+            !health.suspected; // Not sufficient to eject the endpoint; other gateways may have
+        // observed the same.
         batch
             .actions()
             .endpointHealthChanged(
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * How long a response may take before its attempt counts as overdue: by the object's size, else by
- * earlier responses.
+ * Estimates a request's soft timeout, after which an attempt without a response is overdue: from
+ * the object's size or, if the size is unknown, from earlier responses.
  */
 final class PatienceEstimator {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -10,15 +10,21 @@
   private final ObjectHistory history;
   private final double kilobytesPerSecond;
 
-  /** An estimator for transfers at that rate; 0 where the rate is not known. */
+  /**
+   * Creates an estimator.
+   *
+   * @param kilobytesPerSecond the transfer rate; 0 if it is unknown
+   */
   PatienceEstimator(ObjectHistory history, double kilobytesPerSecond) {
     this.history = history;
     this.kilobytesPerSecond = kilobytesPerSecond;
   }
 
   /**
-   * Sets a request's patience; its class learns the duration where that follows from the size (0:
-   * not known).
+   * Sets a request's soft timeout. If the duration follows from the size, the request's class
+   * records it.
+   *
+   * @param kilobytes size of the response; 0 if it is unknown
    */
   void estimate(InFlightRequest request, double kilobytes) {
     TrafficClass trafficClass = request.trafficClass;
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -4,28 +4,28 @@
 import java.util.TreeMap;
 
 /**
- * The purges of the last seconds, by object and group: while caches may still have older copies, a
- * bound on the age excludes them.
+ * The recent purges by object and group. While caches may still hold copies from before a purge, a
+ * bound on a copy's age excludes them.
  */
 final class PurgeLog {
   /**
-   * Subtracted from the allowed age, since clocks and the time of the purge are not exact; also the
-   * smallest age that is asked for.
+   * Subtracted from the maximum age of a copy, since clocks and the time of the purge are inexact;
+   * also the lower bound of the maximum age.
    */
   private static final long MARGIN_NANOS = 1_000_000L;
 
   private final long propagationNanos;
 
-  /** When each object was purged last; the key of a group is its complement. */
+  /** Time of the last purge of each object; the key of a group is its bitwise complement. */
   private final Map<Long, Long> purgedAtNanosByKey = new TreeMap<>();
 
-  /** A log of purges that every cache has carried out after so many nanoseconds. */
+  /** Creates a log of purges that every cache has applied after the given number of nanoseconds. */
   PurgeLog(long propagationNanos) {
     this.propagationNanos = propagationNanos;
   }
 
   /**
-   * Records that an object, or with object 0 a whole group, was purged at that time, in
+   * Records a purge of an object or, with object 0, of all objects of a group, at the given time in
    * nanoseconds.
    */
   void record(long object, int group, long purgedAtNanos, long nowNanos) {
@@ -34,10 +34,10 @@
   }
 
   /**
-   * The oldest copy of an object that may be returned, in nanoseconds. Guards against purged copies
-   * until all caches have dropped theirs.
+   * Returns the maximum age of a copy of an object that may be returned, in nanoseconds. Guards
+   * against purged copies until all caches have dropped theirs.
    *
-   * @param oldestNanos the bound without a purge; 0 for none
+   * @param oldestNanos the maximum age without a purge; 0 for unbounded
    */
   long maxCopyAgeNanos(long object, int group, long oldestNanos, long nowNanos) {
     long lastPurgedAtNanos =
--- a/routing/src/main/java/org/amberpath/routing/RecentRequests.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -7,14 +7,14 @@
 import java.util.Map;
 
 /**
- * What clients requested recently, as models for synthetic requests: the latest for health checks,
- * and passes over all in order of frequency for prefetches.
+ * Holds recent client requests as models for synthetic requests: the latest one for health checks,
+ * and passes over all of them in order of frequency for prefetches.
  *
- * <p>Bounded by a maximum of keys, the least recently requested one is evicted. Counts are halved
- * at each new pass, so that old requests lose weight.
+ * <p>Bounded by a maximum number of keys; the least recently requested key is evicted. Counts are
+ * halved at the start of each pass, so that old requests lose weight.
  *
  * @param <K> identifies what was requested
- * @param <V> what a synthetic request is made from
+ * @param <V> the data that a synthetic request is made from
  */
 public final class RecentRequests<K, V> {
   private static final int MIN_REQUESTS = 2;
@@ -26,12 +26,12 @@
 
   private final Map<K, Entry<V>> entries;
 
-  /** What is left of the present pass, in reverse order. */
+  /** The values that remain in the current pass, in reverse order. */
   private final List<V> pass = new ArrayList<>();
 
   private V latest;
 
-  /** An empty collection that holds so many keys at most. */
+  /** Creates an empty collection that holds at most the given number of keys. */
   public RecentRequests(int maxKeys) {
     entries =
         new LinkedHashMap<>(16, 0.75f, true) {
@@ -42,7 +42,7 @@
         };
   }
 
-  /** Counts a request; its value replaces the earlier one of the same key. */
+  /** Counts a request; its value replaces the previous one of the same key. */
   public void add(K key, V value) {
     Entry<V> entry = entries.computeIfAbsent(key, missing -> new Entry<>());
     entry.value = value;
@@ -50,17 +50,17 @@
     latest = value;
   }
 
-  /** The value of the latest request; null where there was none yet. */
+  /** Returns the value of the latest request; null if there was none yet. */
   public V latest() {
     return latest;
   }
 
-  /** The next value of the pass, the most frequent first; null at its end. */
+  /** Returns the next value of the current pass, the most frequent first; null at its end. */
   public V nextInPass() {
     return pass.isEmpty() ? null : pass.remove(pass.size() - 1);
   }
 
-  /** Begins a pass over all that was requested at least twice, and halves all counts. */
+  /** Begins a pass over all keys that were requested at least twice, and halves all counts. */
   public void startPass() {
     pass.clear();
     List<Entry<V>> candidates = new ArrayList<>(entries.values());
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -1,28 +1,29 @@
 package org.amberpath.routing;
 
 /**
- * Highest random weight over endpoints (rendezvous hashing): gateways agree without communication,
- * a change of the list moves only the keys that it must, and each key's second choice is the same
- * everywhere. Source: docs/design.md, "Added to make it a router".
+ * Selects endpoints by weighted rendezvous hashing (highest random weight): all gateways agree
+ * without communication, a change of the endpoint list moves only the keys that it must, and each
+ * key's second choice is the same at every gateway. Source: docs/design.md, "Added to make it a
+ * router".
  */
 final class RendezvousSelector {
   /**
-   * Which endpoints may be chosen, from the strictest on; the budgets of slow start bind in any
-   * case.
+   * Which endpoints may be selected, from the strictest condition to the most lenient; the budgets
+   * of slow start apply in every case.
    */
   enum Eligibility {
     /**
-     * Those that accept the key, have room under their limit, and hold no more than their share of
-     * the requests in flight.
+     * Endpoints that accept the key, have room under their concurrency limit, and do not exceed
+     * their share of the requests in flight.
      */
     WITH_ROOM,
-    /** Those that accept the key. */
+    /** Endpoints that accept the key. */
     ACCEPTS_KEY,
-    /** All that are up. */
+    /** All endpoints that are up. */
     ANY
   }
 
-  /** Far above the rounding errors of logarithms and exponentials. */
+  /** Tolerance for the rounding errors of logarithms and exponentials, which are far smaller. */
   private static final double ROUNDING = 1e-9;
 
   private record Criteria(
@@ -37,7 +38,7 @@
   private final ConcurrencyLimiter limiter;
   private final SlowStart slowStart;
 
-  /** A selector by the decisions of the given parts. */
+  /** Creates a selector that consults the given components. */
   RendezvousSelector(
       RetryPolicy retryPolicy,
       OutlierDetector outlierDetector,
@@ -50,10 +51,10 @@
   }
 
   /**
-   * The first eligible endpoint by the hash of object and segment, that was not tried before; null
-   * for none.
+   * Returns the eligible endpoint with the highest hash score for the object and segment, without
+   * those that the request excludes; null if there is none.
    *
-   * @param segment 0 where the object alone decides
+   * @param segment the segment to hash; 0 to hash the object alone
    */
   Endpoint select(
       Endpoint[] candidates,
@@ -78,7 +79,7 @@
       long key = mix(request.object * 31 + segment ^ endpoint.hash);
       double keyPosition = toUnit(key);
       if (keyPosition < minKeyPosition && endpoint.weight <= maxWeight) {
-        continue; // Cannot exceed the highest score; saves the logarithm in most cases.
+        continue; // Cannot exceed the highest score; skips the logarithm in most cases.
       }
       double score = endpoint.weight / -Math.log(keyPosition);
       if (score > maxScore && isEligible(endpoint, key, criteria)) {
@@ -105,22 +106,23 @@
   }
 
   /**
-   * Where many gateways share an endpoint, two requests in flight may be a coincidence: the bound
-   * is higher by what is not this gateway's share.
+   * Whether an endpoint exceeds its share of the requests in flight. If many gateways share the
+   * endpoint, two concurrent requests may be a coincidence, so the bound is raised by the fraction
+   * of the endpoint that belongs to other gateways.
    */
   private static boolean isSpillingOver(Endpoint endpoint, double bound) {
     return endpoint.limit.inFlight
         > bound * endpoint.weight + 1 - endpoint.warmUp.profile.gatewayFraction;
   }
 
-  /** Mixes all bits of a value. Its inputs are stable ids, so that all gateways agree. */
+  /** Mixes all bits of a value. The inputs are stable ids, so that all gateways agree. */
   static long mix(long value) {
     long mixed = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
     return mixed ^ (mixed >>> 31);
   }
 
-  /** A hash as a number between 0 and 1, both excluded. */
+  /** Maps a hash to a number between 0 and 1, both exclusive. */
   static double toUnit(long hash) {
     return ((hash >>> 11) + 0.5) * 0x1.0p-53;
   }
--- a/routing/src/main/java/org/amberpath/routing/RequestDetails.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDetails.java
@@ -1,16 +1,16 @@
 package org.amberpath.routing;
 
 /**
- * A request as it arrives.
+ * A request as the router receives it.
  *
  * @param id number of the request at this gateway
  * @param trafficClass index of its traffic class
- * @param object id of the object
+ * @param object id of the requested object
  * @param group the object's purge group
- * @param part the object's part that is asked for, from 0
- * @param timeLeftNanos how long its client still waits
- * @param kilobytes its size; 0 where that is not known
- * @param neverCached whether its answer must not be cached, whatever its traffic class says
+ * @param part index of the requested part of the object, from 0
+ * @param timeLeftNanos time until the client's deadline, in nanoseconds
+ * @param kilobytes size of the response; 0 if it is unknown
+ * @param neverCached whether the response must not be cached, whatever the traffic class allows
  */
 public record RequestDetails(
     long id,
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -6,17 +6,17 @@
 import java.util.TreeMap;
 
 /**
- * Decides, for one gateway, where each request is answered from, filled from and cached. {@link
- * #decide} takes a batch of all events that came in and writes the actions that follow from them,
- * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
- * batch's time, in nanoseconds. All calls come on the event loop that owns the gateway.
+ * Decides for one gateway where each request is served from, filled from and cached. {@link
+ * #decide} receives a batch of all pending events and emits the resulting actions in order. {@link
+ * RoutingConfig} is the configuration; there is no I/O, and the only clock is the batch's time, in
+ * nanoseconds. All calls come on the event loop that owns the gateway.
  *
  * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} decides
- * whether its response is cached, {@link RouteSelector} where it goes, {@link AttemptDispatcher}
- * sends it. What departs from that path lies in {@link OutlierDetector}, {@link SlowStart}, {@link
- * ConcurrencyLimiter} and {@link RetryPolicy}; synthetic requests go by {@link
- * SyntheticRouteSelector}, changes of endpoints and of the fleet by {@link ClusterManager}. Source:
- * docs/design.md.
+ * whether its response is cached, {@link RouteSelector} selects its route and {@link
+ * AttemptDispatcher} sends it. Deviations from that path are decided by {@link OutlierDetector},
+ * {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. Synthetic requests are
+ * routed by {@link SyntheticRouteSelector}; {@link ClusterManager} applies changes of the endpoints
+ * and of the fleet. Source: docs/design.md.
  */
 public final class RequestRouter implements RoutingEventHandler {
   private final RoutingConfig config;
@@ -39,15 +39,18 @@
   private final AttemptDispatcher dispatcher;
   private final ClusterManager cluster;
 
-  /** By id: from arrival until the final answer is decided and the last attempt has ended. */
+  /**
+   * Requests by id, from their arrival until the final response is decided and the last attempt has
+   * ended.
+   */
   private final Map<Long, InFlightRequest> requests = new TreeMap<>();
 
-  /** The batch that is decided at present, and its time. */
+  /** The current batch, and its time. */
   private Batch batch;
 
   private long nowNanos;
 
-  /** A router that knows no endpoint yet. */
+  /** Creates a router without endpoints. */
   public RequestRouter(RoutingConfig config) {
     this.config = config;
     random = new SplittableRandom(config.seed());
@@ -73,8 +76,8 @@
   }
 
   /**
-   * Decides on all events of a batch, at one time in nanoseconds; the actions are written as they
-   * are decided.
+   * Decides on all events of a batch at one time, in nanoseconds, and passes each action on as soon
+   * as it is decided.
    */
   public void decide(long time, RoutingEvents events, RoutingActions actions) {
     nowNanos = time;
@@ -84,11 +87,11 @@
     events.replayTo(this);
   }
 
-  // ---- Requests.
+  // ---- Requests ----
 
   /**
-   * The ordinary path of a request: note its start, decide whether it is cached, choose its route,
-   * send it.
+   * The ordinary path of a request: record its start, decide whether its response is cached, select
+   * its route and send it.
    */
   @Override
   public void requestReceived(RequestDetails details) {
@@ -108,7 +111,7 @@
     }
   }
 
-  /** Health checks and prefetches go by routes of their own, and are never retried or hedged. */
+  /** Routes a health check or a prefetch, which is never retried or hedged. */
   @Override
   public void syntheticRequestReceived(RequestDetails details, int endpoint) {
     InFlightRequest request = open(details);
@@ -128,7 +131,7 @@
     return request;
   }
 
-  // ---- Attempts.
+  // ---- Attempts ----
 
   private boolean route(InFlightRequest request) {
     Route route = routes.select(request, nowNanos);
@@ -167,8 +170,8 @@
   }
 
   /**
-   * A retry where the request's class, its time left and the retry budget permit one; else the
-   * final answer, at once.
+   * Retries the request if its class, its time left and the retry budget permit it; otherwise sends
+   * the final response.
    */
   private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail detail) {
     InFlightRequest request = last.request();
@@ -194,8 +197,8 @@
   }
 
   /**
-   * The final answer of a request that gets no response: a rejection promises that nothing
-   * executed, a failure promises nothing.
+   * Sends the final response of a request without a successful attempt. A rejection tells the
+   * client that the request is safe to repeat; a failure leaves open whether it took effect.
    */
   private void giveUp(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
@@ -225,7 +228,10 @@
     }
   }
 
-  /** The sweep: counts anew what waits, ejects and readmits, and hedges what is stalled. */
+  /**
+   * Runs the periodic sweep: recomputes the fills in flight and the overdue requests, ejects
+   * outliers, updates slow start and hedges stalled requests.
+   */
   @Override
   public void timerFired(String handle) {
     dispatcher.onTimer(batch);
@@ -257,7 +263,7 @@
     }
   }
 
-  // ---- Changes of endpoints, copies and the fleet.
+  // ---- Endpoints, purges and the fleet ----
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
--- a/routing/src/main/java/org/amberpath/routing/ResponseDetail.java
+++ b/routing/src/main/java/org/amberpath/routing/ResponseDetail.java
@@ -1,21 +1,21 @@
 package org.amberpath.routing;
 
 /**
- * By which route an endpoint got its response, as far as the response says. The order is a wire
- * form.
+ * How an endpoint produced its response, as far as the response states it. The order of the
+ * constants is part of the wire format.
  */
 public enum ResponseDetail {
-  /** The response does not say. */
+  /** The response does not state it. */
   NONE,
-  /** Answered from a fresh copy. */
+  /** Served from a fresh copy. */
   HIT,
   /** Filled from a parent cache. */
   FILLED,
   /** Filled from the origin, directly or through a parent. */
   FILLED_BY_ORIGIN,
-  /** Coalesced with a fill that was already under way. */
+  /** Coalesced with a fill that was already in flight. */
   COALESCED,
-  /** Answered from a copy past its fresh time. */
+  /** Served from a copy past its fresh time. */
   STALE,
   /** The fill source rejected the fill. */
   FILL_REJECTED,
@@ -23,7 +23,7 @@
   FILL_SOURCE_UNREACHABLE,
   /** The fill source was asked for a cached copy only and had none. */
   FILL_SOURCE_MISS,
-  /** There was no space for the object. */
+  /** The endpoint had no space to store the object. */
   NOT_STORED_NO_SPACE,
   /** The origin failed. */
   ORIGIN_FAILED
--- a/routing/src/main/java/org/amberpath/routing/RetryBudget.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.amberpath.routing;
 
 /**
- * Tokens for retries and hedged requests: each request adds a fifth of one, each attempt past the
- * first costs one. Forty are saved at most.
+ * A token bucket for retries and hedged requests: each request adds a fifth of a token, each
+ * attempt after the first costs one, and at most 40 are saved.
  */
 final class RetryBudget {
   private static final double TOKENS_PER_REQUEST = 0.2;
@@ -10,19 +10,20 @@
 
   private double tokens = MAX_TOKENS;
 
-  /** A request has arrived. */
+  /** Adds the tokens for a request that has arrived. */
   void deposit() {
     tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
   /**
-   * Makes the next attempt free: the one before put no load on the targets that the budget guards.
+   * Adds a token, so that the next attempt is free: the previous one put no load on the targets
+   * that the budget guards.
    */
   void refund() {
     tokens += 1;
   }
 
-  /** Takes a token if there is one; returns whether there was. */
+  /** Removes a token if there is one; returns whether there was. */
   boolean tryWithdraw() {
     if (tokens < 1) {
       return false;
--- a/routing/src/main/java/org/amberpath/routing/RetryConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryConfig.java
@@ -1,13 +1,13 @@
 package org.amberpath.routing;
 
 /**
- * What the configuration allows beyond the first attempt of a request.
+ * The configuration of retries and hedging.
  *
- * @param maxAttempts attempts of one request, the first among them
- * @param hedging whether a second attempt may run beside the first
+ * @param maxAttempts maximum number of attempts of one request, including the first
+ * @param hedging whether a second attempt may run concurrently with the first
  * @param cancellation whether attempts may be cancelled at their endpoints
- * @param retryAfter whether a rejection may ask for a wait
- * @param maxRetryAfterNanos the longest wait that a rejection may ask for
+ * @param retryAfter whether a rejection may recommend a wait to the client
+ * @param maxRetryAfterNanos the longest wait that a rejection may recommend, in nanoseconds
  */
 public record RetryConfig(
     int maxAttempts,
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -1,22 +1,22 @@
 package org.amberpath.routing;
 
 /**
- * Whether a request may be attempted again, and where: never so that it might have its effect
- * twice.
+ * Decides whether a request may be attempted again, and at which endpoints, so that no request
+ * takes effect twice.
  */
 final class RetryPolicy {
   private static final long MIN_TIME_LEFT_NANOS = 20_000_000L;
 
   private final RetryConfig config;
 
-  /** The policy of a configuration. */
+  /** Creates the policy of a configuration. */
   RetryPolicy(RetryConfig config) {
     this.config = config;
   }
 
   /**
-   * Whether an endpoint may be sent the request again. Guards against an effect twice: a request
-   * that may have executed is retried only where its repeats are dropped or have no effect.
+   * Whether the request may be sent to an endpoint. Guards against executing a request twice: a
+   * request that may have executed is retried only where its repeats are dropped or have no effect.
    */
   boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
     Attempt executed = request.firstExecuted;
@@ -38,7 +38,7 @@
             && (scope == IdempotencyScope.ZONE || first.cell == second.cell));
   }
 
-  /** Whether a request's state permits a further attempt, to whatever endpoint. */
+  /** Whether a request's state permits a further attempt, at any endpoint. */
   boolean permitsAnother(InFlightRequest request, long nowNanos) {
     return !request.streaming
         && !request.isSynthetic()
@@ -46,12 +46,18 @@
         && request.attempts.size() < config.maxAttempts();
   }
 
-  /** Whether the time to its deadline is enough for a retry, here or by the client. */
+  /**
+   * Whether the time left until a request's deadline is sufficient for a retry, by this gateway or
+   * by the client.
+   */
   boolean hasTimeLeft(InFlightRequest request, long nowNanos) {
     return request.timeLeftNanos(nowNanos) >= MIN_TIME_LEFT_NANOS;
   }
 
-  /** Whether an overdue request may be sent to a second endpoint beside the first. */
+  /**
+   * Whether an overdue request may be sent to a second endpoint while the first attempt is in
+   * flight.
+   */
   boolean permitsHedging(Attempt attempt, long nowNanos) {
     InFlightRequest request = attempt.request();
     return !request.done
@@ -62,8 +68,8 @@
   }
 
   /**
-   * Whether the client may repeat a request that got no response: it did not execute, or repeats
-   * are dropped everywhere or have no effect.
+   * Whether the client may repeat a request that received no response: it did not execute, or
+   * repeats are dropped at every endpoint or have no effect.
    */
   boolean isSafeToRepeat(InFlightRequest request) {
     Idempotency idempotency = request.trafficClass.idempotency();
@@ -73,12 +79,15 @@
             && request.trafficClass.idempotencyScope() == IdempotencyScope.ALL);
   }
 
-  /** The shortest wait that a rejection asks for, half of the longest; 0 for no advice. */
+  /**
+   * Returns the shortest wait that a rejection recommends, half of the longest; 0 for no
+   * recommendation.
+   */
   long minRetryAfterNanos() {
     return config.retryAfter() ? config.maxRetryAfterNanos() / 2 : 0;
   }
 
-  /** Whether what went wrong lies behind the endpoint, with the source of its fill. */
+  /** Whether the fault lies with the source of the fill rather than with the endpoint. */
   static boolean isSourceFault(ResponseDetail detail) {
     return detail.compareTo(ResponseDetail.FILL_REJECTED) >= 0
         && detail != ResponseDetail.NOT_STORED_NO_SPACE;
--- a/routing/src/main/java/org/amberpath/routing/Route.java
+++ b/routing/src/main/java/org/amberpath/routing/Route.java
@@ -1,10 +1,10 @@
 package org.amberpath.routing;
 
 /**
- * Where an attempt goes.
+ * The route of one attempt.
  *
- * @param endpoint where it is sent
- * @param source the endpoint that fills a miss; null where nothing is filled
- * @param cachedOnly whether only a copy that is cached already may be returned
+ * @param endpoint the endpoint that the attempt is sent to
+ * @param source the endpoint that fills a cache miss; null if a miss is not filled
+ * @param cachedOnly whether the endpoint may respond only from its cache
  */
 record Route(Endpoint endpoint, Endpoint source, boolean cachedOnly) {}
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -3,7 +3,8 @@
 import org.amberpath.routing.RendezvousSelector.Eligibility;
 
 /**
- * Chooses the edge cache of a request and the source of its fill, each with its fallbacks in order.
+ * Selects the edge cache of a request and the source of its fill, each with an ordered list of
+ * fallbacks.
  */
 final class RouteSelector {
   private final RoutingConfig config;
@@ -12,7 +13,7 @@
   private final ConcurrencyLimiter limiter;
   private final RetryPolicy retryPolicy;
 
-  /** A selector over the endpoints of the table. */
+  /** Creates a selector over the endpoints of the table. */
   RouteSelector(
       RoutingConfig config,
       EndpointTable endpoints,
@@ -26,14 +27,15 @@
     this.retryPolicy = retryPolicy;
   }
 
-  /** The route of a request's next attempt; null if no endpoint may take it. */
+  /** Returns the route of a request's next attempt; null if no endpoint may receive it. */
   Route select(InFlightRequest request, long nowNanos) {
     Endpoint source = selectSource(request, nowNanos);
     Endpoint endpoint =
         request.uncacheable && config.bypassAllowed() && source != null
             ? source
             : selectEdge(request, nowNanos);
-    // The origin, too, may be another than where the request may have run.
+    // Needed for the origin, which may not share idempotency keys with an endpoint that may have
+    // executed the request; the other endpoints are selected by the same condition.
     if (endpoint == null || !retryPolicy.permits(request, endpoint, nowNanos)) {
       return null;
     }
@@ -42,8 +44,9 @@
   }
 
   /**
-   * The edge cache by hash of object and segment, over the eligible caches of the zone; null if the
-   * best one has no room.
+   * Returns the edge cache of the zone that the hash of the object and segment selects, among those
+   * with the strictest eligibility that any of them meets; null if there is none or the selected
+   * one has no room.
    */
   private Endpoint selectEdge(InFlightRequest request, long nowNanos) {
     Endpoint best = null;
@@ -57,15 +60,16 @@
     return best != null && limiter.hasRoom(best, request.trafficClass, nowNanos) ? best : null;
   }
 
-  /** The edge cache that a prefetch belongs to; null for none. */
+  /** Returns the edge cache that the hash selects for a prefetch; null if there is none. */
   Endpoint selectPrefetchEdge(InFlightRequest request, long nowNanos) {
     return rendezvous.select(
         endpoints.zoneEdges(), request, request.segment, Eligibility.ANY, nowNanos);
   }
 
   /**
-   * The source of a fill: by hash of the object over all parents, else the origin; null where
-   * nothing may be filled. There is none past a limit: guards hits against waiting behind misses.
+   * Returns the source of a request's fill: the parent that the hash of the object selects, else
+   * the origin; null if nothing may be filled. There is no source past a limit. Guards hits against
+   * queueing behind misses.
    */
   Endpoint selectSource(InFlightRequest request, long nowNanos) {
     if (!limiter.hasUplinkRoom(request, nowNanos)) {
@@ -91,7 +95,7 @@
     return best == origin && limiter.isOriginSaturated(request, nowNanos) ? null : best;
   }
 
-  /** Whether a request that found no cached copy has a source that may be asked to fill one. */
+  /** Whether a request that found no cached copy has a source that may fill one. */
   boolean canFill(InFlightRequest request, long nowNanos) {
     return selectSource(request, nowNanos) != null && !limiter.isOriginSaturated(request, nowNanos);
   }
--- a/routing/src/main/java/org/amberpath/routing/RoutingActions.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingActions.java
@@ -1,40 +1,41 @@
 package org.amberpath.routing;
 
 /**
- * Carries out a gateway's decisions, in the order in which they are made. Endpoints go by the
- * indices under which they were listed; times are nanoseconds.
+ * Carries out the decisions of {@link RequestRouter}, in the order in which they are made. An
+ * endpoint is identified by the index under which it was listed; times are nanoseconds.
  */
 public interface RoutingActions {
   /** Sends a request to an endpoint. */
   void sendAttempt(AttemptCommand command);
 
   /**
-   * Later attempts of this request must be written by this clock time or not at all, however long
-   * one waits for a connection.
+   * Sets the latest clock time at which a retry of the request may be written. A retry that still
+   * waits for a connection by then must not be written.
    */
   default void limitRetryStart(long requestId, long latestNanos) {}
 
   /**
-   * Final answer: the request did not execute and may be repeated, best after the given wait (0: no
-   * advice).
+   * Sends the final response: the request was rejected and is safe to repeat.
+   *
+   * @param retryAfterNanos the wait that is recommended to the client; 0 for no recommendation
    */
   void reject(long requestId, long retryAfterNanos);
 
-  /** Final answer that promises nothing about the request's effect. */
+  /** Sends the final response: the request failed, and may or may not have taken effect. */
   void fail(long requestId);
 
-  /** Cancels an attempt that is under way. */
+  /** Cancels an attempt that is in flight. */
   void cancelAttempt(long requestId, int attempt);
 
-  /** Has {@link RoutingEventHandler#timerFired} called with the handle after the delay. */
+  /** Schedules a call of {@link RoutingEventHandler#timerFired} with the handle after the delay. */
   void scheduleTimer(long delayNanos, String handle);
 
-  /** Asks for changes of the endpoint list from now on. */
+  /** Subscribes to changes of the endpoint list. */
   void subscribeEndpoints();
 
-  /** The health of an edge cache as seen from here has changed, or may have. */
+  /** Reports the health of an edge cache as this gateway sees it; the status may be unchanged. */
   default void endpointHealthChanged(int endpoint, EndpointHealthStatus status) {}
 
-  /** An edge cache of the zone has just started, and is warming up until this clock time. */
+  /** Reports that an edge cache of the zone has restarted and warms up until this clock time. */
   default void endpointWarmingUp(int endpoint, long untilNanos) {}
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingConfig.java
@@ -3,53 +3,55 @@
 import java.util.Optional;
 
 /**
- * The configuration of the decisions, decoded once at a gateway's start. It never changes while the
- * gateway runs.
+ * The configuration of the router, decoded once when a gateway starts and constant while it runs.
  */
 public interface RoutingConfig {
   /** Seed of this gateway's random choices. */
   long seed();
 
-  /** How many gateways there are in all zones. */
+  /** Number of gateways in all zones. */
   int gateways();
 
-  /** How many gateways there are in this gateway's zone. */
+  /** Number of gateways in this gateway's zone. */
   int gatewaysInZone();
 
   /** The gateway's own zone. */
   String zone();
 
-  /** The kind that parent caches are listed under, if there are any. */
+  /** The kind under which parent caches are listed, if there are any. */
   Optional<String> parentKind();
 
-  /** The kind that the origin is listed under, if it is listed. */
+  /** The kind under which the origin is listed, if it is listed. */
   Optional<String> originKind();
 
-  /** Whether a listed weight is an endpoint's size, in transfers at full rate. */
+  /** Whether a listed weight is an endpoint's size, as a number of transfers at full rate. */
   boolean weightIsSize();
 
-  /** Whether the endpoint list must be subscribed to. */
+  /** Whether the router must subscribe to the endpoint list. */
   boolean endpointListOnRequest();
 
-  /** How many traffic classes there are. */
+  /** Number of traffic classes. */
   int trafficClassCount();
 
-  /** The traffic class of an index, from 0. */
+  /** The configuration of a traffic class by its index, from 0. */
   TrafficClassConfig trafficClass(int index);
 
-  /** What is allowed beyond the first attempt. */
+  /** The configuration of retries and hedging. */
   RetryConfig retries();
 
-  /** Whether parents and the origin accept requests that no cache may answer. */
+  /**
+   * Whether parents and the origin accept requests that bypass the edge caches because their
+   * responses are never cached.
+   */
   boolean bypassAllowed();
 
-  /** Whether endpoints coalesce misses with fills that are under way. */
+  /** Whether endpoints coalesce misses with fills that are in flight. */
   boolean coalescing();
 
-  /** Rate at which an object is transferred, in kilobytes a second; 0 where it is not known. */
+  /** Rate at which an object is transferred, in kilobytes per second; 0 if it is unknown. */
   double transferKilobytesPerSecond();
 
-  /** How long a purge has to be remembered, in nanoseconds. */
+  /** How long the router remembers a purge, in nanoseconds. */
   long purgeRetentionNanos();
 
   /** How edge caches warm up. */
--- a/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
@@ -1,54 +1,71 @@
 package org.amberpath.routing;
 
-/** Receives the events of a batch. Endpoints go by small indices; durations are nanoseconds. */
+/**
+ * Receives the events of a batch. An endpoint is identified by a small index; durations are
+ * nanoseconds.
+ */
 public interface RoutingEventHandler {
-  /** The endpoint of a synthetic request that names none: a prefetch. */
+  /** The endpoint index of a synthetic request without an endpoint, which is a prefetch. */
   int NO_ENDPOINT = -1;
 
-  /** A list of endpoints begins; they follow, then {@link #endpointListCompleted}. */
+  /** Begins an endpoint list; its endpoints follow, then {@link #endpointListCompleted}. */
   void endpointListStarted(EndpointListKind kind);
 
-  /** One endpoint of the list that has begun. */
+  /** Reports one endpoint of the list that has begun. */
   void endpointListed(EndpointDescription endpoint);
 
-  /** All endpoints of the list have been reported. */
+  /** Completes the list: all of its endpoints have been reported. */
   void endpointListCompleted();
 
-  /** A client's request arrived. */
+  /** Reports that a client's request has arrived. */
   void requestReceived(RequestDetails request);
 
   /**
-   * The gateway makes a request of its own on behalf of the fleet, of a class that may be repeated:
-   * a health check of an endpoint or, with {@link #NO_ENDPOINT}, a prefetch into the one that has
-   * just started and that the hash gives the object to.
+   * Reports a synthetic request that the gateway makes on behalf of the fleet, of an idempotent
+   * class.
+   *
+   * @param endpoint the endpoint whose health is checked, or {@link #NO_ENDPOINT} for a prefetch
+   *     into the edge cache that the hash selects, which must have started recently
    */
   void syntheticRequestReceived(RequestDetails request, int endpoint);
 
-  /** A streamed response has begun. */
+  /** Reports that the response of an attempt has begun to stream to the client. */
   void responseStarted(long requestId, int attempt);
 
-  /** An attempt ended. */
+  /** Reports that an attempt has ended. */
   void attemptEnded(AttemptResult result);
 
-  /** The client closed its connection or cancelled the request. */
+  /** Reports that the client has closed its connection or cancelled the request. */
   void clientDisconnected(long requestId);
 
-  /** An object or, with object 0, a whole group was purged this long ago. */
+  /**
+   * Reports a purge of an object or, with object 0, of all objects of a group, at the given time
+   * ago.
+   */
   void objectPurged(long object, int group, long ageNanos);
 
-  /** A timer that was scheduled under this handle is due. */
+  /** Reports that the timer that was scheduled under this handle has fired. */
   void timerFired(String handle);
 
   /**
-   * How many gateways share what the configuration bounds, the configured number or more, and this
-   * one's share of it, 0 to 1: 0 while it may take none. Until this comes, the configured number
-   * holds.
+   * Reports how many gateways share what the configuration bounds, and this gateway's share of it.
+   * Until the first report the configured number applies.
+   *
+   * @param gateways the number of gateways in the fleet
+   * @param share this gateway's share, 0 to 1; 0 while it may not use any
    */
   void gatewayShareChanged(int gateways, double share);
 
-  /** Whether one gateway makes the health checks of ejected endpoints for all. */
+  /**
+   * Reports whether another gateway makes the health checks of ejected endpoints on behalf of all.
+   */
   void healthChecksDelegated(boolean delegated);
 
-  /** What the gateway that makes the health checks found, and how long ago. */
+  /**
+   * Reports the result of a health check by the gateway that makes them on behalf of all.
+   *
+   * @param responded whether the endpoint responded to the check
+   * @param ageNanos time since the check
+   */
   void healthReported(int endpoint, boolean responded, long ageNanos);
 }
--- a/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEvents.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-/** A batch of everything that happened at one gateway since the batch before, in order. */
+/** The events of one gateway since the previous batch, in order. */
 @FunctionalInterface
 public interface RoutingEvents {
   /** Passes each event to the handler, in order, on the caller's thread. */
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -1,22 +1,22 @@
 package org.amberpath.routing;
 
 /**
- * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy
- * Caching of Multimedia Streams", sections 2.2 to 2.4. First segments always are; a later one is
- * only while it is contiguous and, with a full table, has a higher caching value than the lowest in
- * it.
+ * Decides which segments are cached, and at which rank, by the rule of Wu, Yu and Wolf,
+ * "Segment-Based Proxy Caching of Multimedia Streams", sections 2.2 to 2.4. The first segments of
+ * an object are always cached. A later segment is cached only if it is contiguous with a cached one
+ * and, when the table is full, has a higher caching value than the lowest in the table.
  */
 final class SegmentAdmission {
-  /** The rank of a response that is not cached. */
+  /** Rank of a response that is not cached. */
   static final int NOT_CACHED = 0;
 
-  /** The rank of the first segments of an object that was never started before. */
+  /** Rank of the first segments of an object that was not started before. */
   static final int FIRST_START_RANK = 1;
 
-  /** The rank of all others that are cached. */
+  /** Rank of all other segments that are cached. */
   static final int STANDARD_RANK = 2;
 
-  /** Kmin of the paper: the segments before it are cached on every start. */
+  /** Kmin of the paper: segments below this one are cached on every start. */
   private static final int FIRST_SELECTIVE_SEGMENT = 3;
 
   private static final int TABLE_SIZE = 256;
@@ -26,26 +26,30 @@
   private final int[] tableSegments = new int[TABLE_SIZE];
   private int tableUsed;
 
-  /** An empty table over the starts that the history keeps. */
+  /** Creates an empty table that uses the starts in the history. */
   SegmentAdmission(ObjectHistory history) {
     this.history = history;
   }
 
-  /** The segment that a part lies in: 0 is part 0, segment i is parts 2^(i-1) to 2^i - 1. */
+  /**
+   * Returns the segment that contains a part: segment 0 is part 0, segment i is parts 2^(i-1) to
+   * 2^i - 1.
+   */
   static int segmentOf(int part) {
     return Integer.SIZE - Integer.numberOfLeadingZeros(part);
   }
 
-  /** Whether a segment belongs to an object's start, which is always cached. */
+  /** Whether a segment is one of an object's first segments, which are always cached. */
   static boolean isStart(int segment) {
     return segment < FIRST_SELECTIVE_SEGMENT;
   }
 
   /**
-   * The rank at which a client's segment is cached.
+   * Returns the cache rank of a segment that a client requested.
    *
-   * @param previousStartNanos as {@link ObjectHistory#observe} returned it
-   * @param sharedZone whether the segment before may have been requested through another gateway
+   * @param previousStartNanos the object's previous start as {@link ObjectHistory#observe} returned
+   *     it
+   * @param sharedZone whether the previous segment may have been requested through another gateway
    */
   int rankOf(long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
     if (isStart(segment)) {
@@ -56,7 +60,7 @@
         : NOT_CACHED;
   }
 
-  /** The rank at which a prefetched first segment is cached. */
+  /** Returns the cache rank of a prefetched first segment. */
   int prefetchRankOf(long object) {
     return history.previousStartNanos(object) == 0 ? FIRST_START_RANK : STANDARD_RANK;
   }
@@ -93,7 +97,10 @@
     tableSegments[row] = segment;
   }
 
-  /** 1/((T - T') * i) of the paper, with T' the previous start and i the segment. */
+  /**
+   * Returns 1/((T - T') * i) of the paper, where T' is the previous start and i the segment; 0
+   * without a previous start.
+   */
   private static double cachingValue(long previousStartNanos, int segment, long nowNanos) {
     return previousStartNanos == 0
         ? 0
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -5,21 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * Endpoints that have just started get a slice of their keys that widens, and a budget of work per
- * second: all gateways together stay within what such an endpoint can surely serve. The budget is
- * kept as a debt, since a share of less than one request must still let one through at times.
- * Source: docs/design.md, "Slow start".
+ * Limits the load on endpoints that have recently started. Such an endpoint receives a growing
+ * fraction of its keys and a budget of work per second, so that all gateways together stay within
+ * what it is certain to serve. The budget is kept as a debt, since a share of less than one request
+ * must still admit a request from time to time. Source: docs/design.md, "Slow start".
  */
 final class SlowStart {
-  /** Parts of what the endpoint can surely serve; the rest is for load that is not seen here. */
+  /**
+   * Fractions of what the endpoint is certain to serve; the rest is for load that this gateway does
+   * not see.
+   */
   private static final double KEY_FRACTION = 0.9;
 
   private static final double BUDGET_FRACTION = 0.5;
   private static final double PREFETCH_FRACTION = 0.25;
 
   /**
-   * From this part of the peers' weight on, the warm ones serve most of what one that warms up
-   * cannot.
+   * If the warm peers have at least this fraction of the peers' weight, they serve most of the
+   * requests that a peer which warms up cannot serve.
    */
   private static final double MIN_WARM_WEIGHT_FRACTION = 0.25;
 
@@ -36,21 +39,21 @@
   private boolean hasWarmParents = true;
   private long gatewayStartedAtNanos = UNKNOWN;
 
-  /** Slow start within the configured bounds, for this gateway's share of them. */
+  /** Creates slow start with the configured bounds, for this gateway's share of them. */
   SlowStart(RoutingConfig config, GatewayShare share, TrafficClass[] trafficClasses) {
     this.config = config;
     this.share = share;
     this.trafficClasses = trafficClasses;
   }
 
-  /** A batch begins; the first one counts as this gateway's own start. */
+  /** Begins a batch. The time of the first one counts as this gateway's own start. */
   void beginBatch(long nowNanos) {
     gatewayStartedAtNanos = gatewayStartedAtNanos == UNKNOWN ? nowNanos : gatewayStartedAtNanos;
   }
 
   /**
-   * The profile of a kind of endpoints, created from the configuration when the kind is first
-   * listed.
+   * Returns the profile of a kind of endpoints, created from the configuration when the kind is
+   * first listed.
    */
   SlowStartProfile profileOf(String kind, Endpoint.Role role) {
     return profiles.computeIfAbsent(
@@ -62,24 +65,28 @@
   }
 
   /**
-   * An endpoint has started; its first debt is random. Guards against all gateways sending their
-   * first request at once.
+   * Initializes the debt of an endpoint that has started with a random fraction. Guards against all
+   * gateways sending their first request at the same time.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
     endpoint.warmUp.firstDebtFraction = random.nextDouble();
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
-  /** Whether a key lies in an endpoint's slice, by its position in the shared hash, 0 to 1. */
+  /**
+   * Whether a key lies in the fraction of keys that an endpoint accepts while it warms up.
+   *
+   * @param keyPosition the key's position in the shared hash, 0 to 1
+   */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     double capacity = endpoint.warmUp.capacityFraction(nowNanos);
     return capacity >= 1 || keyPosition < KEY_FRACTION * capacity;
   }
 
   /**
-   * Whether this gateway's share of an endpoint's budget has room for one more request. A share
-   * under one request lets one through while there is no debt, and its work becomes a debt: the sum
-   * over all gateways stays within the budget.
+   * Whether this gateway's share of an endpoint's budget has room for one more request. A share of
+   * less than one request admits one while there is no debt, and the request's work becomes a debt,
+   * so that the sum over all gateways stays within the budget.
    */
   boolean hasBudgetFor(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     if (endpoint.warmUp.isComplete(nowNanos)) {
@@ -92,9 +99,10 @@
   }
 
   /**
-   * Guards against requests of all gateways without debt at once, when demand sets in: where they
-   * would be more than the endpoint can serve, and its peers do not serve most of them, credit not
-   * used within an overload window lapses and comes back a turn later.
+   * Whether this gateway may use its credit now. Guards against requests from all gateways without
+   * debt at the same time when demand sets in: if their number exceeds what the endpoint can serve,
+   * and its peers do not serve most of the requests, credit that is not used within an overload
+   * window lapses, and is available again once the work of another request has accrued.
    */
   private boolean isInTurn(Endpoint endpoint, double workSeconds, long nowNanos) {
     double fraction = Math.max(endpoint.warmUp.profile.gatewayFraction, MIN_GATEWAY_FRACTION);
@@ -107,14 +115,17 @@
         || -balanceSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
   }
 
-  /** Adds work that was sent, in seconds, to an endpoint's debt. */
+  /** Adds the work of a sent request, in seconds, to an endpoint's debt. */
   void charge(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0) {
       setDebt(endpoint, debtSeconds(endpoint, nowNanos) + workSeconds, nowNanos);
     }
   }
 
-  /** Subtracts work, in seconds, again: the endpoint did not have to serve it. */
+  /**
+   * Subtracts work, in seconds, that was charged to an endpoint but that the endpoint did not have
+   * to do. Credit that has accrued since is kept.
+   */
   void refund(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0 && !endpoint.warmUp.isComplete(nowNanos)) {
       double balanceSeconds = balanceSeconds(endpoint, nowNanos);
@@ -124,8 +135,8 @@
   }
 
   /**
-   * The work that a source which is warming up is refunded, in seconds, if a warm endpoint needs no
-   * fill.
+   * Returns the work, in seconds, to refund to a fill source that is warming up if the warm
+   * endpoint of the route needs no fill; 0 for other routes.
    */
   double refundableSeconds(Route route, TrafficClass trafficClass, long nowNanos) {
     boolean isRefundable =
@@ -142,7 +153,9 @@
     endpoint.warmUp.firstDebtFraction = WarmUp.NO_FRACTION;
   }
 
-  /** Whether an endpoint can serve one more prefetch; if so, the next one is delayed. */
+  /**
+   * Whether an endpoint can serve one more prefetch; if so, sets the earliest time of the next one.
+   */
   boolean tryPrefetch(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
     if (!share.isGranted()
@@ -162,8 +175,8 @@
   }
 
   /**
-   * Learns the throughput of each kind of endpoint from its warm peers. Guards small caches that
-   * restarted together against the budget of large ones, which return more.
+   * Learns the typical throughput of each kind of endpoints from its warm peers. Guards small
+   * caches that restarted together against the budget of large ones, which return more.
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
@@ -184,13 +197,15 @@
     return peer.isUp() && peer.health.isServing(nowNanos) && peer.warmUp.isComplete(nowNanos);
   }
 
-  /** Updates which peers are warm, after a change of the list and in each sweep. */
+  /**
+   * Updates whether enough peers are warm, after a change of the endpoint list and in each sweep.
+   */
   void updateWarmPeers(EndpointTable endpoints, long nowNanos) {
     hasWarmEdges = areEnoughWarm(endpoints.zoneEdges(), nowNanos);
     hasWarmParents = areEnoughWarm(endpoints.parents(), nowNanos);
   }
 
-  /** Whether enough of the peers are warm to keep their requests away from those that warm up. */
+  /** Whether enough of the peers are warm to serve the requests that peers which warm up cannot. */
   private static boolean areEnoughWarm(Endpoint[] peers, long nowNanos) {
     double totalWeight = 0;
     double warmWeight = 0;
@@ -201,7 +216,7 @@
     return warmWeight >= MIN_WARM_WEIGHT_FRACTION * totalWeight;
   }
 
-  /** This gateway's share has changed. */
+  /** Updates an endpoint's profile after a change of this gateway's share. */
   void onShareChange(Endpoint endpoint) {
     endpoint.warmUp.profile.gatewayFraction = share.fractionOf(endpoint.role);
     boundThroughput(endpoint.warmUp.profile);
@@ -213,8 +228,8 @@
   }
 
   /**
-   * Work per second that this gateway may send: by the size where that is listed, else by the
-   * typical throughput of warm peers.
+   * Returns the work per second that this gateway may send to an endpoint: derived from the
+   * endpoint's size where weights are sizes, else from the typical throughput of warm peers.
    */
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
@@ -228,19 +243,23 @@
         * warmThroughput;
   }
 
-  /** Work that this gateway may send in an overload window, in seconds. */
+  /** Returns the work that this gateway may send in one overload window, in seconds. */
   private double burstSeconds(Endpoint endpoint, long atNanos) {
     return budget(endpoint, atNanos) * config.overloadWindowNanos() / NANOS_PER_SECOND;
   }
 
   /**
-   * The debt for the work sent, in seconds: it is paid off at a rate that rises with the capacity.
+   * Returns the debt for the work sent, in seconds. It is paid off at a rate that rises with the
+   * endpoint's capacity.
    */
   private double debtSeconds(Endpoint endpoint, long nowNanos) {
     return Math.max(0, balanceSeconds(endpoint, nowNanos));
   }
 
-  /** The same, and below 0 for how long there has been no debt. */
+  /**
+   * Returns the debt minus the credit, in seconds: below 0 while there has been no debt, by the
+   * work that the budget would have covered since.
+   */
   private double balanceSeconds(Endpoint endpoint, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
     double paidSeconds =
@@ -253,9 +272,10 @@
   }
 
   /**
-   * Random, so that not all gateways send their first request at once, and by the work as it is
-   * known now. A gateway that started after the endpoint has no credit: its predecessor may have
-   * spent all of it.
+   * Returns the debt of an endpoint that has not been sent a request, in seconds, for the work per
+   * request as it is known now. The debt is random, so that gateways do not all send their first
+   * request at the same time. A gateway that started after the endpoint has no credit, since its
+   * predecessor may have used it up.
    */
   private double firstDebtSeconds(Endpoint endpoint) {
     WarmUp warmUp = endpoint.warmUp;
--- a/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStartProfile.java
@@ -1,26 +1,26 @@
 package org.amberpath.routing;
 
-/** How endpoints of one kind warm up, and what this gateway may send them meanwhile. */
+/** How endpoints of one kind warm up, and how much work this gateway may send them meanwhile. */
 final class SlowStartProfile {
-  /** The part of its capacity that an endpoint has when it starts, 0 to 1. */
+  /** The fraction of its capacity that an endpoint has when it starts, 0 to 1. */
   final double initialFraction;
 
-  /** After how long it has all of it, in nanoseconds. */
+  /** The time from an endpoint's start until it has its full capacity, in nanoseconds. */
   final long durationNanos;
 
-  /** The multiple of its capacity that an endpoint can surely serve. */
+  /** The multiple of its capacity that an endpoint is certain to serve. */
   final double overloadFactor;
 
-  /** This gateway's share of an endpoint of the kind, 0 to 1; 0 while it has none. */
+  /** This gateway's share of an endpoint of the kind, 0 to 1; 0 while the gateway has no share. */
   double gatewayFraction;
 
   /**
-   * Work per second that a warm endpoint of the kind returns to this gateway, or the fraction where
-   * that is more.
+   * Work per second that a warm endpoint of the kind returns to this gateway, but at least {@link
+   * #gatewayFraction}.
    */
   double typicalThroughput;
 
-  /** A profile whose endpoints return this gateway's fraction until more is known. */
+  /** Creates a profile whose typical throughput is this gateway's fraction until it is learned. */
   SlowStartProfile(SlowStartConfig config, double gatewayFraction) {
     initialFraction = config.initialFraction();
     durationNanos = config.durationNanos();
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -1,37 +1,38 @@
 package org.amberpath.routing;
 
 /**
- * Whether the sockets have been read recently enough to begin an attempt. Guards against attempts
- * for clients that have disconnected or cancelled, which is known only once all bytes before that
- * are read. Times are nanoseconds of one monotonic clock; all calls come on the event loop.
+ * Tracks whether the sockets have been read recently enough to send an attempt. Guards against
+ * attempts for clients that have disconnected or cancelled, which is known only once all bytes that
+ * arrived earlier have been read. Times are nanoseconds of one monotonic clock; all calls come on
+ * the event loop.
  */
 public final class SocketReads {
   /**
-   * The age of the last read, at most, when an attempt is sent: half of the time that a close may
+   * Maximum age of the last read when an attempt is sent: half of the time for which a close may
    * stay unread.
    */
   private static final long MAX_READ_AGE_NANOS = 50_000_000L;
 
   /**
-   * From this lag on a connection is read again after its requests, since a close may have waited
-   * behind them.
+   * Event loop lag from which a connection is read again after its requests, since a close may be
+   * queued behind them.
    */
   private static final long MIN_SETTLING_LAG_NANOS = 25_000_000L;
 
   /**
-   * How long a connection that sends more is read again; all requests that a client may have open
-   * are read by then.
+   * Longest time for which a connection that sends more is read again; by then all requests that a
+   * client may have open have been read.
    */
   private static final long MAX_SETTLING_NANOS = 50_000_000L;
 
   /**
-   * Bytes that waited unread at a connection.
+   * Bytes that were queued unread at a connection while the event loop was late.
    *
-   * @param sinceNanos since when, at the earliest
-   * @param foundAtNanos when the first of them were read
+   * @param sinceNanos earliest time at which they may have arrived
+   * @param foundAtNanos time at which the first of them were read
    */
   public record Backlog(long sinceNanos, long foundAtNanos) {
-    /** Whether bytes that are read now may belong to it. */
+    /** Whether bytes that are read now may belong to the backlog. */
     public boolean mayContinue(long nowNanos) {
       return nowNanos - foundAtNanos <= MAX_SETTLING_NANOS;
     }
@@ -39,29 +40,38 @@
 
   private long readAtNanos;
 
-  /** The state at a time at which all sockets were read. */
+  /** Creates the state at a time at which all sockets have been read. */
   public SocketReads(long nowNanos) {
     readAtNanos = nowNanos;
   }
 
-  /** All bytes that had arrived by that time have been read, by one read of each socket. */
+  /**
+   * Records that all bytes that had arrived by the given time have been read, by one read of each
+   * socket.
+   */
   public void socketsRead(long readUntilNanos) {
     readAtNanos = Math.max(readAtNanos, readUntilNanos);
   }
 
-  /** Whether an attempt may be sent by what is known of the clients. */
+  /** Whether the clients' sockets were read recently enough to send an attempt. */
   public boolean isFresh(long nowNanos) {
     return nowNanos - readAtNanos <= MAX_READ_AGE_NANOS;
   }
 
-  /** Whether a request that was read after such a lag must wait until its connection is settled. */
+  /**
+   * Whether a request that was read after the given lag must wait until its connection is settled,
+   * that is, has been read again.
+   */
   public static boolean mustSettle(long lagNanos) {
     return lagNanos >= MIN_SETTLING_LAG_NANOS;
   }
 
   /**
-   * Whether a connection was read again after its last request, or for the maximum time after the
-   * request in question.
+   * Whether a connection has been read again since its last request, or for the maximum time since
+   * the request in question.
+   *
+   * @param receivedAtNanos when the request in question was read
+   * @param lastReceivedAtNanos when the last request of the connection was read
    */
   public boolean isSettled(long receivedAtNanos, long lastReceivedAtNanos) {
     return readAtNanos >= lastReceivedAtNanos || readAtNanos - receivedAtNanos > MAX_SETTLING_NANOS;
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -1,9 +1,9 @@
 package org.amberpath.routing;
 
 /**
- * The routes of requests that this gateway makes by itself, on behalf of the fleet: only idempotent
- * ones, only to edge caches, and only within what slow start leaves. Source: docs/design.md,
- * "Reports of one gateway for all".
+ * Selects the routes of synthetic requests, which this gateway makes on behalf of the fleet: only
+ * idempotent ones, only to edge caches, and only within the budget of slow start. Source:
+ * docs/design.md, "Reports of one gateway for all".
  */
 final class SyntheticRouteSelector {
   private final EndpointTable endpoints;
@@ -13,7 +13,7 @@
   private final OutlierDetector outlierDetector;
   private final ConcurrencyLimiter limiter;
 
-  /** A selector beside the one for clients' requests. */
+  /** Creates a selector that shares the state of the selector for client requests. */
   SyntheticRouteSelector(
       EndpointTable endpoints,
       RouteSelector routes,
@@ -30,7 +30,8 @@
   }
 
   /**
-   * The route of a synthetic request, whose purpose and rank it sets; null if it may not be sent.
+   * Returns the route of a synthetic request and sets the request's purpose and rank; null if the
+   * request may not be sent.
    *
    * @param endpointIndex the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT} for a
    *     prefetch
@@ -46,8 +47,8 @@
   }
 
   /**
-   * The route of a first segment to the edge cache that is warming up, if the hash selects that
-   * cache for the object; else null.
+   * Returns the route of a prefetch: one of an object's first segments, sent to an edge cache that
+   * is warming up, if rendezvous hashing selects that cache for the object; else null.
    */
   Route selectPrefetch(InFlightRequest request, long nowNanos) {
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
@@ -61,8 +62,8 @@
   }
 
   /**
-   * The route of a health check, within this gateway's budget and for cached copies only; null if
-   * it may not be sent.
+   * Returns the route of a health check, which is answered from cached copies only; null if this
+   * gateway's budget or the outlier detector does not permit one.
    */
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -1,6 +1,6 @@
 package org.amberpath.routing;
 
-/** One traffic class: its configuration, and the statistics of its responses so far. */
+/** A traffic class: its configuration and the statistics of its responses. */
 final class TrafficClass {
   private static final int HALVED_AT_RESPONSES = 512;
   private static final double ASSUMED_MISSES = 4.0;
@@ -11,50 +11,56 @@
   private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
 
-  /** The histogram's mean, stored since it is read many times a request. */
+  /** Mean of the histogram, cached because it is read many times per request. */
   private long meanWorkNanos;
 
   private int servedFromCache;
   private int filledByParent;
   private int filledByOrigin;
 
-  /** A traffic class; until there are responses its latency objective stands for its work. */
+  /**
+   * Creates a traffic class; until there are responses, its latency objective stands in for its
+   * work.
+   */
   TrafficClass(TrafficClassConfig config) {
     this.config = config;
     meanWorkNanos = config.latencyObjectiveNanos();
   }
 
-  /** Whether a repeat may have an effect of its own. */
+  /** Whether a request may be executed twice. */
   Idempotency idempotency() {
     return config.idempotency();
   }
 
-  /** Which endpoints drop the repeat of a request with an idempotency key. */
+  /** Which endpoints drop repeats with the same idempotency key. */
   IdempotencyScope idempotencyScope() {
     return config.idempotencyScope();
   }
 
-  /** How long an idempotency key is remembered, in nanoseconds. */
+  /** How long endpoints remember an idempotency key, in nanoseconds. */
   long idempotencyWindowNanos() {
     return config.idempotencyWindowNanos();
   }
 
-  /** How long a response may take besides what grows with its own duration, in nanoseconds. */
+  /**
+   * The fixed part of the latency objective, in nanoseconds, which does not depend on a response's
+   * own duration.
+   */
   long latencyObjectiveNanos() {
     return config.latencyObjectiveNanos();
   }
 
-  /** By how much the latency objective grows with a request's own duration. */
+  /** The factor of a response's own duration that is added to the latency objective. */
   double latencyStretch() {
     return config.latencyStretch();
   }
 
-  /** Whether no response of this class is ever cached. */
+  /** Whether no response of the class is cached. */
   boolean isNeverCached() {
     return config.neverCached();
   }
 
-  /** How long a copy is fresh, in nanoseconds; 0 until it is purged. */
+  /** How long a copy is fresh, in nanoseconds; 0 for until it is purged. */
   long freshNanos() {
     return config.freshNanos();
   }
@@ -69,18 +75,21 @@
     return config.revenue();
   }
 
-  /** The work of one request: the mean time that a cache is busy with it, in nanoseconds. */
+  /** The work of one request: the mean time for which it occupies a cache, in nanoseconds. */
   long workNanos() {
     return meanWorkNanos;
   }
 
-  /** Counts how long a cache was, or will be, busy with a request, in nanoseconds. */
+  /** Records how long a request occupied a cache, or is expected to, in nanoseconds. */
   void recordDuration(long durationNanos) {
     durations.record(durationNanos);
     meanWorkNanos = durations.meanNanos();
   }
 
-  /** Counts by which route a response came. All counts are halved when they are full. */
+  /**
+   * Counts a response by how it was produced. All counts are halved when their sum reaches the
+   * maximum.
+   */
   void recordRoute(ResponseDetail detail) {
     switch (detail) {
       case HIT, STALE -> servedFromCache++;
@@ -94,13 +103,13 @@
     }
   }
 
-  /** The likely fraction of requests that need a fill, 0 to 1. */
+  /** Returns the estimated fraction of requests that need a fill, 0 to 1. */
   double missFraction() {
     int fills = filledByParent + filledByOrigin;
     return (fills + ASSUMED_MISSES) / (servedFromCache + fills + ASSUMED_RESPONSES);
   }
 
-  /** The likely fraction of fills that reach the origin, 0 to 1. */
+  /** Returns the estimated fraction of fills that reach the origin, 0 to 1. */
   double originFraction() {
     return (filledByOrigin + ASSUMED_ORIGIN_FILLS)
         / (filledByParent + filledByOrigin + ASSUMED_FILLS);
--- a/routing/src/main/java/org/amberpath/routing/TrafficClassConfig.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClassConfig.java
@@ -3,15 +3,16 @@
 /**
  * The configuration of one traffic class.
  *
- * @param idempotency whether a repeat has an effect of its own
+ * @param idempotency whether a request may be executed twice
  * @param idempotencyScope which endpoints drop repeats with the same idempotency key
- * @param idempotencyWindowNanos how long an idempotency key is remembered
- * @param latencyObjectiveNanos how long an answer may take at best
- * @param latencyStretch by how much the objective grows with a request's own transfer time
- * @param revenue what one answered request is worth, in the configuration's unit
- * @param neverCached whether no answer of the class is ever cached
- * @param freshNanos how long a copy is fresh; 0 until it is purged
- * @param staleGraceNanos how long past that a copy may still be returned
+ * @param idempotencyWindowNanos how long endpoints remember an idempotency key
+ * @param latencyObjectiveNanos the fixed part of the latency objective, which does not depend on a
+ *     response's own duration
+ * @param latencyStretch the factor of a response's own duration that is added to the objective
+ * @param revenue the revenue of one served request, in the configuration's unit
+ * @param neverCached whether no response of the class is cached
+ * @param freshNanos how long a copy is fresh; 0 for until it is purged
+ * @param staleGraceNanos how long past its fresh time a copy may still be returned
  */
 public record TrafficClassConfig(
     Idempotency idempotency,
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -1,8 +1,10 @@
 package org.amberpath.routing;
 
-/** How far one endpoint has warmed up since it started, and the debt for the work it was sent. */
+/**
+ * The warm-up state of one endpoint since its start, and the debt for the work that it was sent.
+ */
 final class WarmUp {
-  /** Stands for a first debt that has been replaced by a debt for work sent. */
+  /** Marks that the random initial debt has been replaced by a debt for work sent. */
   static final double NO_FRACTION = -1;
 
   private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
@@ -11,19 +13,19 @@
   /** The profile of the endpoint's kind. */
   SlowStartProfile profile;
 
-  /** When it started, in nanoseconds; 0 for long ago. */
+  /** Time of the endpoint's start, in nanoseconds; 0 if it has long been running. */
   long startedAtNanos;
 
   /** Work sent and not yet paid off, in seconds, as of {@link #debtAtNanos}; below 0 for credit. */
   double debtSeconds;
 
   /**
-   * Until the first request is sent the debt follows from this random number, 0 to 1; else {@link
-   * #NO_FRACTION}.
+   * Random fraction, 0 to 1, that determines the debt until the first request is sent; {@link
+   * #NO_FRACTION} afterwards.
    */
   double firstDebtFraction = NO_FRACTION;
 
-  /** When the debt was last changed, in nanoseconds. */
+  /** Time of the last change of the debt, in nanoseconds. */
   long debtAtNanos;
 
   /** The earliest time of the next prefetch, in nanoseconds. */
@@ -32,7 +34,7 @@
   private double throughput;
   private long throughputAtNanos;
 
-  /** The fraction of its capacity that the endpoint is sure to have, 0 to 1. */
+  /** Returns the fraction of its capacity that the endpoint is certain to have, 0 to 1. */
   double capacityFraction(long nowNanos) {
     long sinceNanos = Math.max(0, nowNanos - startedAtNanos);
     return startedAtNanos == 0 || sinceNanos >= profile.durationNanos
@@ -41,17 +43,18 @@
             + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
   }
 
-  /** Whether it has all of its capacity. */
+  /** Whether the endpoint has its full capacity. */
   boolean isComplete(long nowNanos) {
     return capacityFraction(nowNanos) >= 1;
   }
 
   /**
-   * Records work that it has returned, in seconds; work that was only sent does not show what it
-   * can serve.
+   * Records work, in seconds, that the endpoint has returned; work that was only sent does not show
+   * what the endpoint can serve.
    */
   void recordServedWork(double workSeconds, long nowNanos) {
-    if (throughput != 0 || workSeconds != 0) { // Stays 0 for most endpoints, which return nothing.
+    if (throughput != 0
+        || workSeconds != 0) { // Stays 0 for most endpoints, which have returned no work.
       throughput =
           throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
               + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
@@ -59,7 +62,7 @@
     throughputAtNanos = nowNanos;
   }
 
-  /** Work returned per second, over the last few seconds. */
+  /** Returns the work returned per second, as a moving average over 4 s. */
   double throughput(long nowNanos) {
     recordServedWork(0, nowNanos);
     return throughput;
