--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -19,13 +19,13 @@
    * Most connections that the event loop accepts in one pass; a turn with fewer has emptied the
    * queue.
    */
-  private static final int ACCEPTS_PER_PASS = 16;
+  private static final int MAX_ACCEPTS_PER_PASS = 16;
 
   /**
    * Shortest time for which an accepted connection is remembered; its first bytes are read within
    * it.
    */
-  private static final long FIRST_READ_NANOS = 20_000_000L;
+  private static final long MIN_RETENTION_NANOS = 20_000_000L;
 
   private static final long NONE = Long.MIN_VALUE;
 
@@ -55,11 +55,11 @@
    * Ends a turn of the event loop, in which the loop has accepted connections if any were queued.
    */
   public void turnEnded(long nowNanos) {
-    if (acceptedThisTurn < ACCEPTS_PER_PASS) {
+    if (acceptedThisTurn < MAX_ACCEPTS_PER_PASS) {
       backlogSinceNanos = NONE;
     }
     acceptedThisTurn = 0;
-    if (nowNanos - rotatedAtNanos >= FIRST_READ_NANOS
+    if (nowNanos - rotatedAtNanos >= MIN_RETENTION_NANOS
         && !(acceptedRecently.isEmpty() && acceptedEarlier.isEmpty())) {
       rotatedAtNanos = nowNanos;
       acceptedEarlier = acceptedRecently;
--- a/routing/src/main/java/org/amberpath/routing/Attempt.java
+++ b/routing/src/main/java/org/amberpath/routing/Attempt.java
@@ -39,6 +39,6 @@
 
   /** Whether the attempt has been in flight for longer than its request's soft timeout. */
   boolean isOverdue(long nowNanos) {
-    return nowNanos - sentAtNanos > request.patienceNanos;
+    return nowNanos - sentAtNanos > request.softTimeoutNanos;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -51,7 +51,7 @@
     long nowNanos = batch.nowNanos();
     TrafficClass trafficClass = request.trafficClass;
     limitRetryStart(request, batch);
-    batch.actions().sendAttempt(commandOf(request, route, nowNanos));
+    batch.actions().sendAttempt(createCommand(request, route, nowNanos));
     Attempt attempt =
         new Attempt(
             request,
@@ -75,17 +75,17 @@
    */
   private static void limitRetryStart(InFlightRequest request, Batch batch) {
     TrafficClass trafficClass = request.trafficClass;
-    if (request.firstExecuted != null
+    if (request.earliestExecuted != null
         && trafficClass.idempotency() == Idempotency.IDEMPOTENCY_KEY) {
       batch
           .actions()
           .limitRetryStart(
               request.id,
-              request.firstExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
+              request.earliestExecuted.sentAtNanos() + trafficClass.idempotencyWindowNanos());
     }
   }
 
-  private AttemptCommand commandOf(InFlightRequest request, Route route, long nowNanos) {
+  private AttemptCommand createCommand(InFlightRequest request, Route route, long nowNanos) {
     Endpoint endpoint = route.endpoint();
     Endpoint source = route.source() == null ? endpoint : route.source();
     TrafficClass trafficClass = request.trafficClass;
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -8,7 +8,7 @@
  */
 final class AttemptRecorder {
   /** A response within this fraction of its request's soft timeout counts as timely. */
-  private static final double PROMPT_FRACTION = 0.75;
+  private static final double TIMELY_FRACTION = 0.75;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -65,7 +65,8 @@
       case CONNECTION_LOST ->
           attempt.endpoint()
               .health
-              .failures++; // A single failure does not eject the endpoint: a reset of one response
+              .failuresSinceResponse++; // A single failure does not eject the endpoint: a reset of
+      // one response
       // is no outage.
       case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
@@ -85,10 +86,10 @@
     } else {
       recordWork(attempt, attempt.source(), batch);
     }
-    if (isHit && !request.sizeKnown) {
+    if (isHit && !request.durationKnownFromSize) {
       trafficClass.recordDuration(durationNanos);
     }
-    if (request.durationKnown) {
+    if (request.canJudgeLatency) {
       recordLatency(
           attempt,
           durationNanos,
@@ -106,14 +107,14 @@
 
   private void recordLatency(
       Attempt attempt, long durationNanos, boolean isHit, boolean isFilledByOrigin, long nowNanos) {
-    boolean inTime = durationNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
+    boolean inTime = durationNanos <= attempt.request().softTimeoutNanos * TIMELY_FRACTION;
     ConcurrencyLimit limit =
         isFilledByOrigin
             ? limiter.originLimit()
             : isHit ? attempt.endpoint().limit : attempt.source().limit;
     limit.onResponse(nowNanos, inTime);
     if (inTime) {
-      limit.lastPromptSentNanos = Math.max(limit.lastPromptSentNanos, attempt.sentAtNanos());
+      limit.lastTimelySentNanos = Math.max(limit.lastTimelySentNanos, attempt.sentAtNanos());
     }
     if (!isHit && !isFilledByOrigin) {
       limiter.uplinkLimit().onResponse(nowNanos, inTime);
@@ -131,7 +132,7 @@
       attempt.request().trafficClass.recordRoute(detail);
     }
     if (detail == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
-      attempt.source().health.failures++;
+      attempt.source().health.failuresSinceResponse++;
       attempt.source().limit.onResponse(nowNanos, false);
     } else if (detail == ResponseDetail.ORIGIN_FAILED || detail == ResponseDetail.FILL_REJECTED) {
       boolean isOriginFault =
@@ -157,6 +158,6 @@
         nowNanos,
         !attempt.hasSource()
             || source.health.lastResponseNanos
-                > attempt.sentAtNanos() + attempt.request().patienceNanos);
+                > attempt.sentAtNanos() + attempt.request().softTimeoutNanos);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/ClusterManager.java
+++ b/routing/src/main/java/org/amberpath/routing/ClusterManager.java
@@ -11,7 +11,7 @@
 
   private final RoutingConfig config;
   private final EndpointTable endpoints;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final SlowStart slowStart;
   private final ConcurrencyLimiter limiter;
   private final SplittableRandom random;
@@ -26,7 +26,7 @@
       ConcurrencyLimiter limiter,
       SplittableRandom random) {
     this.config = config;
-    this.share = share;
+    this.gatewayShare = share;
     this.endpoints = endpoints;
     this.slowStart = slowStart;
     this.limiter = limiter;
@@ -103,7 +103,7 @@
   void endList(long nowNanos) {
     endpoints.rebuild();
     slowStart.updateWarmPeers(endpoints, nowNanos);
-    limiter.assignShares(share);
+    limiter.assignShares(gatewayShare);
   }
 
   /**
@@ -111,13 +111,16 @@
    * shared targets shrink at once with the share, and grow only by timely responses.
    */
   void updateShare(int gateways, boolean isGranted, long nowNanos) {
-    double edgeBefore = share.fractionOf(Endpoint.Role.EDGE);
-    double otherBefore = share.fractionOf(Endpoint.Role.ORIGIN);
-    share.update(gateways, isGranted);
-    limiter.originLimit().rescale(otherBefore, share.fractionOf(Endpoint.Role.ORIGIN));
+    double previousEdgeFraction = gatewayShare.fractionOf(Endpoint.Role.EDGE);
+    double previousOtherFraction = gatewayShare.fractionOf(Endpoint.Role.ORIGIN);
+    gatewayShare.update(gateways, isGranted);
+    limiter
+        .originLimit()
+        .rescale(previousOtherFraction, gatewayShare.fractionOf(Endpoint.Role.ORIGIN));
     for (Endpoint endpoint : endpoints.all()) {
       endpoint.limit.rescale(
-          endpoint.isEdge() ? edgeBefore : otherBefore, share.fractionOf(endpoint.role));
+          endpoint.isEdge() ? previousEdgeFraction : previousOtherFraction,
+          gatewayShare.fractionOf(endpoint.role));
       slowStart.onShareChange(endpoint);
     }
     endList(nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -20,7 +20,7 @@
   private static final double DECREASE_FACTOR = 0.8;
   private static final long DECREASE_INTERVAL_NANOS = 200_000_000L;
   private static final double SMOOTHING_SECONDS = 2;
-  private static final double REJECTION_DEBT = 1;
+  private static final double REJECTION_DEBT_REQUEST_SECONDS = 1;
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
@@ -32,13 +32,13 @@
   long lastDecreaseNanos;
 
   /** Send time of the latest request that has received a timely response, in nanoseconds. */
-  long lastPromptSentNanos;
+  long lastTimelySentNanos;
 
   private final LongToDoubleFunction capacityFraction;
   private double gatewayShare;
   private double limit;
   private double smoothedInFlight;
-  private double debt;
+  private double debtRequestSeconds;
   private long advancedAtNanos;
 
   /**
@@ -74,8 +74,9 @@
    * it is. If the previous share was 0, resets the limit to 0, so that {@link #setShare} sets the
    * initial limit again.
    */
-  void rescale(double fromShare, double toShare) {
-    limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
+  void rescale(double previousShare, double newShare) {
+    limit =
+        previousShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, newShare / previousShare));
   }
 
   /**
@@ -88,17 +89,19 @@
 
   /** Updates the smoothed number in flight and the debt for the time since the last call. */
   void advanceTo(long nowNanos) {
-    double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
+    double elapsedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
     advancedAtNanos = nowNanos;
     if (inFlight != 0 || smoothedInFlight != 0) {
       smoothedInFlight +=
-          (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
+          (inFlight - smoothedInFlight) * elapsedSeconds / (elapsedSeconds + SMOOTHING_SECONDS);
     }
-    if (inFlight != 0 || debt != 0) { // Stays 0 for most targets, which have no requests.
-      debt =
+    if (inFlight != 0
+        || debtRequestSeconds != 0) { // Stays 0 for most targets, which have no requests.
+      debtRequestSeconds =
           Math.max(
               0,
-              debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
+              debtRequestSeconds
+                  + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * elapsedSeconds);
     }
   }
 
@@ -109,10 +112,10 @@
    */
   boolean hasRoom(long nowNanos, double priorityFactor) {
     advanceTo(nowNanos);
-    double room = limit * capacityFraction.applyAsDouble(nowNanos);
-    return inFlight < room * priorityFactor
-        && (inFlight + 1 <= room * priorityFactor
-            || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
+    double warmedLimit = limit * capacityFraction.applyAsDouble(nowNanos);
+    return inFlight < warmedLimit * priorityFactor
+        && (inFlight + 1 <= warmedLimit * priorityFactor
+            || debtRequestSeconds <= warmedLimit * Math.max(0, priorityFactor - UNCACHED_FACTOR));
   }
 
   /**
@@ -121,7 +124,7 @@
    */
   void onRejected(long nowNanos) {
     onResponse(nowNanos, false);
-    debt += REJECTION_DEBT;
+    debtRequestSeconds += REJECTION_DEBT_REQUEST_SECONDS;
   }
 
   /**
@@ -131,7 +134,7 @@
   void onResponse(long nowNanos, boolean inTime) {
     advanceTo(nowNanos);
     if (inTime) {
-      limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
+      limit += debtRequestSeconds > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
     } else if (nowNanos - lastDecreaseNanos > DECREASE_INTERVAL_NANOS) {
       limit =
           Math.max(
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -59,13 +59,13 @@
             / EDGES_PER_GATEWAY
             / share.gatewaysInAll()
             * (share.isGranted() ? 1 : 0);
-    double sharedInitial =
+    double sharedInitialLimit =
         INITIAL_LIMIT
             * (1 + 1.0 / gatewaysInZone)
             / 2; // If many gateways share, each one learns more slowly.
-    originLimit.setShare(originShare, sharedInitial);
+    originLimit.setShare(originShare, sharedInitialLimit);
     uplinkLimit.setShare(
-        endpoints.zoneEdges().length / EDGES_PER_GATEWAY / gatewaysInZone, sharedInitial);
+        endpoints.zoneEdges().length / EDGES_PER_GATEWAY / gatewaysInZone, sharedInitialLimit);
     double parentShare =
         originShare
             * PARENTS_PER_GATEWAY
@@ -74,7 +74,7 @@
       if (endpoint.isEdge()) {
         endpoint.limit.setShare(1.0 / gatewaysInZone, INITIAL_LIMIT);
       } else {
-        endpoint.limit.setShare(parentShare, sharedInitial);
+        endpoint.limit.setShare(parentShare, sharedInitialLimit);
       }
     }
   }
@@ -143,9 +143,9 @@
    * time, both through the same source and from the origin. Guards limits against responses that
    * never arrive.
    */
-  boolean isOvertaken(Attempt attempt) {
-    return Math.min(attempt.source().limit.lastPromptSentNanos, originLimit.lastPromptSentNanos)
-        > attempt.sentAtNanos() + attempt.request().patienceNanos;
+  boolean isOvertakenByLaterFills(Attempt attempt) {
+    return Math.min(attempt.source().limit.lastTimelySentNanos, originLimit.lastTimelySentNanos)
+        > attempt.sentAtNanos() + attempt.request().softTimeoutNanos;
   }
 
   /**
@@ -186,8 +186,8 @@
       InFlightRequest request = attempt.request();
       boolean isExpired =
           nowNanos >= request.deadlineNanos; // The source has abandoned the fill by then.
-      if (attempt.hasSource() && !isExpired && !isOvertaken(attempt)) {
-        boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.patienceNanos / 3;
+      if (attempt.hasSource() && !isExpired && !isOvertakenByLaterFills(attempt)) {
+        boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.softTimeoutNanos / 3;
         addFill(attempt, isLikelyFill ? 1 : request.trafficClass.missFraction(), nowNanos);
       }
     }
--- a/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
+++ b/routing/src/main/java/org/amberpath/routing/ConnectPatience.java
@@ -15,7 +15,7 @@
   /**
    * Whether a connect that has been pending for the given time is evidence against the endpoint.
    */
-  public static boolean isEvidence(long underWayNanos, long connectTimeoutNanos) {
-    return underWayNanos >= connectTimeoutNanos / TIMEOUT_DIVISOR;
+  public static boolean isEvidence(long pendingNanos, long connectTimeoutNanos) {
+    return pendingNanos >= connectTimeoutNanos / TIMEOUT_DIVISOR;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -17,7 +17,7 @@
    * A delay in reading, one in polling and one in deciding may each use up the grace divided by
    * this.
    */
-  private static final int GRACE_PARTS = 4;
+  private static final int GRACE_DIVISOR = 4;
 
   /** Consecutive late responses after which decisions no longer wait for another one. */
   private static final int MAX_LATE_RESPONSES = 3;
@@ -40,7 +40,7 @@
    * @param nowNanos the time at which the start began
    */
   public DiscoveryFreshness(long graceNanos, boolean pollsJournal, long nowNanos) {
-    maxDelayNanos = Math.max(1, graceNanos / GRACE_PARTS);
+    maxDelayNanos = Math.max(1, graceNanos / GRACE_DIVISOR);
     awaitsResponse = pollsJournal;
     socketsReadAtNanos = nowNanos;
     requestSentAtNanos = nowNanos;
@@ -50,8 +50,8 @@
    * Records that all data that had arrived at this gateway's sockets by the given time has been
    * read.
    */
-  public void socketsRead(long byNanos) {
-    socketsReadAtNanos = Math.max(socketsReadAtNanos, byNanos);
+  public void socketsRead(long readUntilNanos) {
+    socketsReadAtNanos = Math.max(socketsReadAtNanos, readUntilNanos);
   }
 
   /** Records that a poll for all events after the last known one was sent. */
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -17,12 +17,12 @@
     PROBATION
   }
 
-  private static final long FIRST_BACKOFF_NANOS = 250_000_000L;
+  private static final long INITIAL_BACKOFF_NANOS = 250_000_000L;
   private static final long MAX_BACKOFF_NANOS = 4_000_000_000L;
   private static final long PROBATION_STEP_NANOS = 500_000_000L;
-  private static final double FIRST_PROBATION_FRACTION = 1.0 / 16;
+  private static final double INITIAL_PROBATION_FRACTION = 1.0 / 16;
   private static final long MAX_PROBATION_DOUBLINGS = 32;
-  private static final double OVERDUE_LIMIT = 2;
+  private static final double UNRESPONSIVE_THRESHOLD = 2;
 
   /** Time of the endpoint's last response of any kind, in nanoseconds. */
   long lastResponseNanos;
@@ -34,18 +34,18 @@
   boolean suspected;
 
   /** Number of overdue requests at the endpoint; recomputed in each sweep. */
-  int overdue;
+  int overdueRequests;
 
   /**
    * Attempts since the endpoint's last response that lost their connection or could not connect.
    */
-  int failures;
+  int failuresSinceResponse;
 
   private State state = State.HEALTHY;
   private long ejectedAtNanos;
   private long probationSinceNanos;
   private long nextHealthCheckNanos;
-  private long backoffNanos = FIRST_BACKOFF_NANOS;
+  private long backoffNanos = INITIAL_BACKOFF_NANOS;
 
   /**
    * Returns the longest backoff between two health checks of an ejected endpoint, in nanoseconds.
@@ -64,7 +64,7 @@
       case HEALTHY -> 1;
       case EJECTED -> 0;
       case PROBATION ->
-          Math.min(1, FIRST_PROBATION_FRACTION * (1L << probationDoublings(nowNanos)));
+          Math.min(1, INITIAL_PROBATION_FRACTION * (1L << probationDoublings(nowNanos)));
     };
   }
 
@@ -98,8 +98,8 @@
   /**
    * Whether the backoff of the last ejection and an additional delay, in nanoseconds, have passed.
    */
-  boolean isBackoffOver(long nowNanos, double longerByNanos) {
-    return nowNanos >= nextHealthCheckNanos + longerByNanos;
+  boolean isBackoffOver(long nowNanos, double additionalDelayNanos) {
+    return nowNanos >= nextHealthCheckNanos + additionalDelayNanos;
   }
 
   /**
@@ -107,12 +107,12 @@
    * one while it is ejected.
    */
   boolean isUnresponsive() {
-    return overdue + failures >= (isEjected() ? 1 : OVERDUE_LIMIT);
+    return overdueRequests + failuresSinceResponse >= (isEjected() ? 1 : UNRESPONSIVE_THRESHOLD);
   }
 
   /** Whether the endpoint has no overdue request, no failure and no suspicion to clear. */
-  boolean isUnremarkable() {
-    return overdue == 0 && failures == 0 && !suspected;
+  boolean needsNoEvaluation() {
+    return overdueRequests == 0 && failuresSinceResponse == 0 && !suspected;
   }
 
   /** Returns the backoff of the next ejection, in nanoseconds. */
@@ -125,7 +125,7 @@
    * have passed. Doubles the backoff of the next ejection, up to the maximum.
    */
   void eject(long nowNanos, long randomPartNanos) {
-    failures = 0;
+    failuresSinceResponse = 0;
     ejectedAtNanos = nowNanos;
     nextHealthCheckNanos = nowNanos + backoffNanos / 2 + randomPartNanos;
     backoffNanos = Math.min(MAX_BACKOFF_NANOS, 2 * backoffNanos);
@@ -150,7 +150,7 @@
   /** Returns the endpoint to {@link State#HEALTHY} and resets the backoff. */
   void recover() {
     state = State.HEALTHY;
-    backoffNanos = FIRST_BACKOFF_NANOS;
+    backoffNanos = INITIAL_BACKOFF_NANOS;
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -10,7 +10,7 @@
 /** The listed endpoints by index, and the subsets that requests of this zone can use. */
 final class EndpointTable {
   private final String zone;
-  private final Map<Integer, Endpoint> all = new TreeMap<>();
+  private final Map<Integer, Endpoint> endpointsByIndex = new TreeMap<>();
   private Endpoint[] zoneEdges = {};
   private Endpoint[] parents = {};
   private Endpoint origin;
@@ -23,7 +23,7 @@
 
   /** Returns all listed endpoints, in the order of their indices. */
   Collection<Endpoint> all() {
-    return all.values();
+    return endpointsByIndex.values();
   }
 
   /** Returns the edge caches of this gateway's zone. */
@@ -43,7 +43,7 @@
 
   /** Returns the endpoint of the index; null if there is none. */
   Endpoint get(int index) {
-    return all.get(index);
+    return endpointsByIndex.get(index);
   }
 
   /**
@@ -55,7 +55,7 @@
 
   /** Returns the endpoint of the index; creates it if it is unknown. */
   Endpoint getOrAdd(int index, String id) {
-    return all.computeIfAbsent(index, missing -> new Endpoint(missing, id));
+    return endpointsByIndex.computeIfAbsent(index, missing -> new Endpoint(missing, id));
   }
 
   /**
@@ -64,25 +64,25 @@
    */
   void rebuild() {
     List<Endpoint> edges = new ArrayList<>();
-    List<Endpoint> parentsOfAll = new ArrayList<>();
+    List<Endpoint> allParents = new ArrayList<>();
     origin = null;
     upEdges = 0;
-    for (Iterator<Endpoint> each = all.values().iterator(); each.hasNext(); ) {
-      Endpoint endpoint = each.next();
+    for (Iterator<Endpoint> iterator = endpointsByIndex.values().iterator(); iterator.hasNext(); ) {
+      Endpoint endpoint = iterator.next();
       if (endpoint.state == EndpointState.GONE) {
-        each.remove();
+        iterator.remove();
       } else if (endpoint.isEdge()) {
         upEdges += endpoint.isUp() ? 1 : 0;
         if (endpoint.zone.equals(zone)) {
           edges.add(endpoint);
         }
       } else if (endpoint.role == Endpoint.Role.PARENT) {
-        parentsOfAll.add(endpoint);
+        allParents.add(endpoint);
       } else if (origin == null) {
         origin = endpoint;
       }
     }
     zoneEdges = edges.toArray(Endpoint[]::new);
-    parents = parentsOfAll.toArray(Endpoint[]::new);
+    parents = allParents.toArray(Endpoint[]::new);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -59,13 +59,13 @@
    * stays far below the step threshold of 50 ms.
    */
   public void clocksRead(long monotonicNanos, long wallMillis) {
-    long readOffsetNanos = wallMillis * NANOS_PER_MILLI - monotonicNanos;
-    long changeNanos = readOffsetNanos - offsetNanos;
+    long newOffsetNanos = wallMillis * NANOS_PER_MILLI - monotonicNanos;
+    long changeNanos = newOffsetNanos - offsetNanos;
     if (Math.abs(changeNanos) <= STEP_NANOS) {
       minOffsetNanos += changeNanos;
       newestStampOffsetNanos += newestStampOffsetNanos == NONE ? 0 : changeNanos;
     }
-    offsetNanos = readOffsetNanos;
+    offsetNanos = newOffsetNanos;
     minOffsetNanos = Math.min(minOffsetNanos, offsetNanos);
   }
 
@@ -101,13 +101,13 @@
         && minOffsetNanos - stampOffsetNanos > maxAgeNanos) {
       // The clock that stamps events was set back, or this wall clock was ahead from the start.
       newestStampOffsetNanos =
-          currentOffsetNanos() - stampOffsetNanos > maxAgeNanos
+          minCurrentOffsetNanos() - stampOffsetNanos > maxAgeNanos
               ? stampOffsetNanos
               : newestStampOffsetNanos;
-      minOffsetNanos = currentOffsetNanos();
+      minOffsetNanos = minCurrentOffsetNanos();
       isCorrected = true;
     }
-    return Math.max(0, currentOffsetNanos() - stampOffsetNanos);
+    return Math.max(0, minCurrentOffsetNanos() - stampOffsetNanos);
   }
 
   /**
@@ -129,11 +129,11 @@
     if (isLiveReply) {
       newestStampOffsetNanos = Math.max(newestStampOffsetNanos, stampOffsetNanos);
     }
-    return Math.max(0, (isLiveReply ? currentOffsetNanos() : minOffsetNanos) - stampOffsetNanos);
+    return Math.max(0, (isLiveReply ? minCurrentOffsetNanos() : minOffsetNanos) - stampOffsetNanos);
   }
 
   /** Returns the smallest offset that is possible now. */
-  private long currentOffsetNanos() {
+  private long minCurrentOffsetNanos() {
     return newestStampOffsetNanos == NONE
         ? minOffsetNanos
         : Math.min(minOffsetNanos, newestStampOffsetNanos + MAX_NEWEST_AGE_NANOS);
--- a/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
+++ b/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
@@ -31,7 +31,7 @@
   Purpose purpose = Purpose.CLIENT;
 
   /** The soft timeout: an attempt without a response for longer than this is overdue. */
-  long patienceNanos;
+  long softTimeoutNanos;
 
   /** Cache rank of the response. */
   int rank = SegmentAdmission.NOT_CACHED;
@@ -43,13 +43,13 @@
   boolean uncacheable;
 
   /** Whether the response's duration is known from its size. */
-  boolean sizeKnown;
+  boolean durationKnownFromSize;
 
   /**
    * Whether the soft timeout derives from a size or an earlier response, so that the response's
    * latency can be judged.
    */
-  boolean durationKnown;
+  boolean canJudgeLatency;
 
   /**
    * Whether the origin has failed the request; another parent would only fill from the same origin
@@ -67,7 +67,7 @@
    * The earliest sent attempt that has ended and may have executed the request; null if there is
    * none.
    */
-  Attempt firstExecuted;
+  Attempt earliestExecuted;
 
   /** Creates the state of a request that has arrived, before its route is selected. */
   InFlightRequest(RequestDetails details, TrafficClass trafficClass, long nowNanos) {
@@ -91,8 +91,8 @@
 
   /** Records an attempt that has ended and may have executed the request. */
   void recordExecuted(Attempt attempt) {
-    if (firstExecuted == null || attempt.sentAtNanos() < firstExecuted.sentAtNanos()) {
-      firstExecuted = attempt;
+    if (earliestExecuted == null || attempt.sentAtNanos() < earliestExecuted.sentAtNanos()) {
+      earliestExecuted = attempt;
     }
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
+++ b/routing/src/main/java/org/amberpath/routing/LatencyHistogram.java
@@ -9,17 +9,17 @@
  */
 final class LatencyHistogram {
   private static final int BINS = 24;
-  private static final int FULL_AT_SAMPLES = 512;
+  private static final int MAX_SAMPLES = 512;
   private static final int BINS_PER_DOUBLING = 2;
-  private static final double LOWEST_NANOS = 4.0 * 1_000_000L;
+  private static final double MIN_NANOS = 4.0 * 1_000_000L;
 
   private final int[] counts = new int[BINS];
 
   /** Counts a duration in nanoseconds; one out of range is counted in the first or the last bin. */
   void record(long durationNanos) {
-    double bin = BINS_PER_DOUBLING * Math.log(durationNanos / LOWEST_NANOS) / Math.log(2);
+    double bin = BINS_PER_DOUBLING * Math.log(durationNanos / MIN_NANOS) / Math.log(2);
     counts[(int) Math.max(0, Math.min(BINS - 1, bin))]++;
-    if (Arrays.stream(counts).sum() >= FULL_AT_SAMPLES) {
+    if (Arrays.stream(counts).sum() >= MAX_SAMPLES) {
       Arrays.setAll(counts, index -> counts[index] / 2);
     }
   }
@@ -33,6 +33,6 @@
         IntStream.range(0, BINS)
             .mapToDouble(bin -> counts[bin] * Math.pow(2, (bin + 0.5) / BINS_PER_DOUBLING))
             .sum();
-    return (long) (LOWEST_NANOS * sum / Arrays.stream(counts).sum());
+    return (long) (MIN_NANOS * sum / Arrays.stream(counts).sum());
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
+++ b/routing/src/main/java/org/amberpath/routing/LocalBackoff.java
@@ -6,7 +6,7 @@
  * consecutive failure. Guards against a busy loop.
  */
 public final class LocalBackoff {
-  private static final long FIRST_MILLIS = 10;
+  private static final long INITIAL_MILLIS = 10;
   private static final long MAX_MILLIS = 100;
 
   /**
@@ -15,20 +15,20 @@
    */
   private static final int MAX_FAILURES = 5;
 
-  private long nextMillis = FIRST_MILLIS;
+  private long nextMillis = INITIAL_MILLIS;
   private int failures;
 
   /** Records a failure; returns the backoff in milliseconds. */
   public long attemptFailed() {
-    long pauseMillis = nextMillis;
-    nextMillis = Math.min(MAX_MILLIS, 2 * pauseMillis);
+    long backoffMillis = nextMillis;
+    nextMillis = Math.min(MAX_MILLIS, 2 * backoffMillis);
     failures = Math.min(MAX_FAILURES, failures + 1);
-    return pauseMillis;
+    return backoffMillis;
   }
 
   /** Resets the backoff: the call has reached the other side, whatever its result. */
   public void attemptSucceeded() {
-    nextMillis = FIRST_MILLIS;
+    nextMillis = INITIAL_MILLIS;
     failures = 0;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -39,22 +39,22 @@
 
   /** Returns the most restrictive description of an endpoint; null if no source has it. */
   private ListedEndpoint merge(String id) {
-    ListedEndpoint strictest = null;
+    ListedEndpoint mostRestrictive = null;
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
       if (endpoint != null
-          && (strictest == null || endpoint.state().compareTo(strictest.state()) > 0)) {
-        strictest = endpoint;
+          && (mostRestrictive == null || endpoint.state().compareTo(mostRestrictive.state()) > 0)) {
+        mostRestrictive = endpoint;
       }
     }
-    return strictest;
+    return mostRestrictive;
   }
 
   private void report(String id) {
     ListedEndpoint endpoint = merge(id);
-    ListedEndpoint before = reported.get(id);
+    ListedEndpoint previous = reported.get(id);
     boolean isGone = endpoint != null && endpoint.state() == EndpointState.GONE;
-    if (endpoint == null || endpoint.equals(before) || (isGone && before == null)) {
+    if (endpoint == null || endpoint.equals(previous) || (isGone && previous == null)) {
       return;
     }
     listener.endpointListed(endpoint);
@@ -92,15 +92,15 @@
 
     @Override
     public void endpointListed(ListedEndpoint endpoint) {
-      ListedEndpoint before = endpoints.get(endpoint.id());
-      if (endpoint.state() == EndpointState.GONE && before == null) {
+      ListedEndpoint previous = endpoints.get(endpoint.id());
+      if (endpoint.state() == EndpointState.GONE && previous == null) {
         return;
       }
-      boolean keepsAddress = endpoint.address().isEmpty() && before != null;
+      boolean keepsAddress = endpoint.address().isEmpty() && previous != null;
       endpoints.put(
           endpoint.id(),
           keepsAddress
-              ? withAddressAndState(endpoint, before.address(), endpoint.state())
+              ? withAddressAndState(endpoint, previous.address(), endpoint.state())
               : endpoint);
       changedIds.add(endpoint.id());
     }
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -24,12 +24,12 @@
    * one seen belongs to another playback and counts as a start (docs/design.md, "Departures, and
    * when they come into play").
    *
-   * @param sharedZone whether other gateways serve the same zone
+   * @param isZoneShared whether other gateways serve the same zone
    * @return time of the object's start before the latest one, in nanoseconds; 0 if there is none
    */
-  long observe(long object, int part, boolean sharedZone, long nowNanos) {
+  long observe(long object, int part, boolean isZoneShared, long nowNanos) {
     Entry entry = entries.get(object);
-    boolean isOtherPlayback = sharedZone && (entry == null || part <= entry.lastPart);
+    boolean isOtherPlayback = isZoneShared && (entry == null || part <= entry.lastPart);
     if (part == 0 || isOtherPlayback) {
       entry = start(object, nowNanos);
     }
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -9,7 +9,7 @@
  * all".
  */
 final class OutlierDetector {
-  private static final long SILENCE_NANOS = 600_000_000L;
+  private static final long NO_RESPONSE_NANOS = 600_000_000L;
 
   /**
    * While another gateway checks ejected endpoints, this gateway waits up to this much longer,
@@ -20,7 +20,7 @@
 
   private final long seed;
   private final EndpointTable endpoints;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final SlowStart slowStart;
   private final SplittableRandom random;
   private boolean checksEjectedEndpoints = true;
@@ -37,7 +37,7 @@
       SplittableRandom random) {
     this.seed = seed;
     this.endpoints = endpoints;
-    this.share = share;
+    this.gatewayShare = share;
     this.slowStart = slowStart;
     this.random = random;
   }
@@ -71,7 +71,7 @@
   void onResponse(Endpoint endpoint, long sentAtNanos, Batch batch) {
     EndpointHealth health = endpoint.health;
     health.lastResponseNanos = batch.nowNanos();
-    health.failures = 0;
+    health.failuresSinceResponse = 0;
     if (health.suspected) {
       health.suspected = false;
       batch.actions().endpointHealthChanged(endpoint.index, EndpointHealthStatus.RESPONSIVE);
@@ -128,8 +128,8 @@
   }
 
   private double delegatedBackoffNanos(Endpoint endpoint) {
-    double keyPosition = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
-    return keyPosition * share.gatewaysInZone() * DELEGATED_BACKOFF_PER_GATEWAY_NANOS;
+    double spreadFraction = RendezvousSelector.toUnit(RendezvousSelector.mix(endpoint.hash ^ seed));
+    return spreadFraction * gatewayShare.gatewaysInZone() * DELEGATED_BACKOFF_PER_GATEWAY_NANOS;
   }
 
   /**
@@ -144,15 +144,16 @@
   /** Recomputes the number of overdue requests at each endpoint. */
   void recountOverdue(Iterable<Attempt> openAttempts, long nowNanos) {
     for (Endpoint endpoint : endpoints.all()) {
-      endpoint.health.overdue = 0;
+      endpoint.health.overdueRequests = 0;
     }
     for (Attempt attempt : openAttempts) {
       if (!attempt.request().done && attempt.isOverdue(nowNanos)) {
         EndpointHealth health = attempt.endpoint().health;
-        health.overdue++;
+        health.overdueRequests++;
         boolean isEndpointResponsive =
-            health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().patienceNanos;
-        attempt.source().health.overdue += attempt.hasSource() && isEndpointResponsive ? 1 : 0;
+            health.lastResponseNanos > attempt.sentAtNanos() + attempt.request().softTimeoutNanos;
+        attempt.source().health.overdueRequests +=
+            attempt.hasSource() && isEndpointResponsive ? 1 : 0;
       }
     }
   }
@@ -163,7 +164,7 @@
    * overdue request does not suffice to eject the endpoint, but another endpoint would serve the
    * request.
    */
-  boolean isSilentSince(Attempt attempt) {
+  boolean isEndpointUnresponsive(Attempt attempt) {
     EndpointHealth health = attempt.endpoint().health;
     return health.isEjected()
         || (health.suspected && health.lastResponseNanos <= attempt.sentAtNanos());
@@ -177,16 +178,16 @@
     boolean isMajorityHealthy = isMajorityHealthy(peers, batch.nowNanos());
     for (Endpoint endpoint : peers) {
       EndpointHealth health = endpoint.health;
-      if (health.isUnremarkable()) {
+      if (health.needsNoEvaluation()) {
         continue; // Applies to most endpoints: they have no overdue requests.
       }
-      boolean isSilent =
-          endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > SILENCE_NANOS;
-      if (isSilent && health.isUnresponsive() && isMajorityHealthy) {
+      boolean hasNoRecentResponse =
+          endpoint.isUp() && batch.nowNanos() - health.lastResponseNanos > NO_RESPONSE_NANOS;
+      if (hasNoRecentResponse && health.isUnresponsive() && isMajorityHealthy) {
         eject(endpoint, batch);
       } else if (endpoint.isEdge()
           && health.isServing(batch.nowNanos())
-          && health.suspected != (isSilent && health.overdue > 0)) {
+          && health.suspected != (hasNoRecentResponse && health.overdueRequests > 0)) {
         health.suspected =
             !health.suspected; // Not sufficient to eject the endpoint; other gateways may have
         // observed the same.
@@ -200,12 +201,13 @@
   }
 
   private static boolean isMajorityHealthy(Endpoint[] peers, long nowNanos) {
-    int balance = 0;
+    int healthyMinusUnhealthy = 0;
     for (Endpoint peer : peers) {
       if (peer.isUp()) {
-        balance += !peer.health.isUnresponsive() && peer.health.isServing(nowNanos) ? 1 : -1;
+        healthyMinusUnhealthy +=
+            !peer.health.isUnresponsive() && peer.health.isServing(nowNanos) ? 1 : -1;
       }
     }
-    return balance >= 0;
+    return healthyMinusUnhealthy >= 0;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/PurgeLog.java
+++ b/routing/src/main/java/org/amberpath/routing/PurgeLog.java
@@ -12,7 +12,7 @@
    * Subtracted from the maximum age of a copy, since clocks and the time of the purge are inexact;
    * also the lower bound of the maximum age.
    */
-  private static final long MARGIN_NANOS = 1_000_000L;
+  private static final long CLOCK_MARGIN_NANOS = 1_000_000L;
 
   private final long propagationNanos;
 
@@ -37,18 +37,21 @@
    * Returns the maximum age of a copy of an object that may be returned, in nanoseconds. Guards
    * against purged copies until all caches have dropped theirs.
    *
-   * @param oldestNanos the maximum age without a purge; 0 for unbounded
+   * @param unpurgedMaxAgeNanos the maximum age without a purge; 0 for unbounded
    */
-  long maxCopyAgeNanos(long object, int group, long oldestNanos, long nowNanos) {
+  long maxCopyAgeNanos(long object, int group, long unpurgedMaxAgeNanos, long nowNanos) {
     long lastPurgedAtNanos =
         Math.max(
             purgedAtNanosByKey.getOrDefault(object, 0L),
             Math.max(
                 purgedAtNanosByKey.getOrDefault(groupKey(group), 0L),
                 purgedAtNanosByKey.getOrDefault(groupKey(EndpointListener.ALL_GROUPS), 0L)));
-    long boundNanos = Math.max(MARGIN_NANOS, nowNanos - lastPurgedAtNanos - MARGIN_NANOS);
-    boolean mayBeCached = nowNanos - lastPurgedAtNanos <= propagationNanos;
-    return mayBeCached && (oldestNanos == 0 || boundNanos < oldestNanos) ? boundNanos : oldestNanos;
+    long purgedMaxAgeNanos =
+        Math.max(CLOCK_MARGIN_NANOS, nowNanos - lastPurgedAtNanos - CLOCK_MARGIN_NANOS);
+    boolean isPropagating = nowNanos - lastPurgedAtNanos <= propagationNanos;
+    return isPropagating && (unpurgedMaxAgeNanos == 0 || purgedMaxAgeNanos < unpurgedMaxAgeNanos)
+        ? purgedMaxAgeNanos
+        : unpurgedMaxAgeNanos;
   }
 
   private static long groupKey(int group) {
--- a/routing/src/main/java/org/amberpath/routing/RecentRequests.java
+++ b/routing/src/main/java/org/amberpath/routing/RecentRequests.java
@@ -27,9 +27,9 @@
   private final Map<K, Entry<V>> entries;
 
   /** The values that remain in the current pass, in reverse order. */
-  private final List<V> pass = new ArrayList<>();
+  private final List<V> remainingInPass = new ArrayList<>();
 
-  private V latest;
+  private V latestValue;
 
   /** Creates an empty collection that holds at most the given number of keys. */
   public RecentRequests(int maxKeys) {
@@ -47,26 +47,26 @@
     Entry<V> entry = entries.computeIfAbsent(key, missing -> new Entry<>());
     entry.value = value;
     entry.requestCount++;
-    latest = value;
+    latestValue = value;
   }
 
   /** Returns the value of the latest request; null if there was none yet. */
   public V latest() {
-    return latest;
+    return latestValue;
   }
 
   /** Returns the next value of the current pass, the most frequent first; null at its end. */
   public V nextInPass() {
-    return pass.isEmpty() ? null : pass.remove(pass.size() - 1);
+    return remainingInPass.isEmpty() ? null : remainingInPass.remove(remainingInPass.size() - 1);
   }
 
   /** Begins a pass over all keys that were requested at least twice, and halves all counts. */
   public void startPass() {
-    pass.clear();
+    remainingInPass.clear();
     List<Entry<V>> candidates = new ArrayList<>(entries.values());
     candidates.removeIf(entry -> entry.requestCount < MIN_REQUESTS);
     candidates.sort(Comparator.comparingInt(entry -> entry.requestCount));
-    candidates.forEach(entry -> pass.add(entry.value));
+    candidates.forEach(entry -> remainingInPass.add(entry.value));
     entries.values().forEach(entry -> entry.requestCount -= entry.requestCount / 2);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
@@ -9,7 +9,7 @@
    * The part of the event loop's lag by which a deadline may be too late; clients tolerate 50 ms
    * more.
    */
-  private static final long MAX_REMAINING_LAG_NANOS = 100_000_000L;
+  private static final long MAX_UNSUBTRACTED_LAG_NANOS = 100_000_000L;
 
   /** With this much time left or less, no attempt is sent, since it would outlast the request. */
   private static final long MIN_ATTEMPT_NANOS = 5_000_000L;
@@ -24,7 +24,9 @@
    * @param allowanceNanos the client's timeout
    */
   public static long of(long nowNanos, long lagNanos, long allowanceNanos) {
-    return nowNanos - Math.max(lagNanos / 2, lagNanos - MAX_REMAINING_LAG_NANOS) + allowanceNanos;
+    return nowNanos
+        - Math.max(lagNanos / 2, lagNanos - MAX_UNSUBTRACTED_LAG_NANOS)
+        + allowanceNanos;
   }
 
   /** Whether the time left is so short that the request is rejected without an attempt. */
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -22,11 +22,11 @@
   private final RoutingConfig config;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final EndpointTable endpoints;
   private final ObjectHistory history = new ObjectHistory();
   private final SegmentAdmission admission = new SegmentAdmission(history);
-  private final PatienceEstimator patience;
+  private final SoftTimeoutEstimator softTimeoutEstimator;
   private final PurgeLog purges;
   private final SlowStart slowStart;
   private final OutlierDetector outlierDetector;
@@ -56,12 +56,13 @@
     random = new SplittableRandom(config.seed());
     trafficClasses = new TrafficClass[config.trafficClassCount()];
     Arrays.setAll(trafficClasses, index -> new TrafficClass(config.trafficClass(index)));
-    share = new GatewayShare(config);
+    gatewayShare = new GatewayShare(config);
     endpoints = new EndpointTable(config.zone());
-    patience = new PatienceEstimator(history, config.transferKilobytesPerSecond());
+    softTimeoutEstimator = new SoftTimeoutEstimator(history, config.transferKilobytesPerSecond());
     purges = new PurgeLog(config.purgeRetentionNanos());
-    slowStart = new SlowStart(config, share, trafficClasses);
-    outlierDetector = new OutlierDetector(config.seed(), endpoints, share, slowStart, random);
+    slowStart = new SlowStart(config, gatewayShare, trafficClasses);
+    outlierDetector =
+        new OutlierDetector(config.seed(), endpoints, gatewayShare, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
     retryPolicy = new RetryPolicy(config.retries());
     RendezvousSelector rendezvous =
@@ -72,17 +73,17 @@
             endpoints, routes, admission, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
     dispatcher = new AttemptDispatcher(config, purges, slowStart, recorder);
-    cluster = new ClusterManager(config, share, endpoints, slowStart, limiter, random);
+    cluster = new ClusterManager(config, gatewayShare, endpoints, slowStart, limiter, random);
   }
 
   /**
    * Decides on all events of a batch at one time, in nanoseconds, and passes each action on as soon
    * as it is decided.
    */
-  public void decide(long time, RoutingEvents events, RoutingActions actions) {
-    nowNanos = time;
-    batch = new Batch(time, actions);
-    slowStart.beginBatch(time);
+  public void decide(long batchNanos, RoutingEvents events, RoutingActions actions) {
+    nowNanos = batchNanos;
+    batch = new Batch(batchNanos, actions);
+    slowStart.beginBatch(batchNanos);
     cluster.subscribeIfNeeded(batch);
     events.replayTo(this);
   }
@@ -95,39 +96,39 @@
    */
   @Override
   public void requestReceived(RequestDetails details) {
-    InFlightRequest request = open(details);
+    InFlightRequest request = register(details);
     request.uncacheable = details.neverCached() || request.trafficClass.isNeverCached();
     retryBudget.deposit();
-    boolean sharedZone = share.isZoneShared();
+    boolean isZoneShared = gatewayShare.isZoneShared();
     long previousStartNanos =
-        history.observe(details.object(), details.part(), sharedZone, nowNanos);
+        history.observe(details.object(), details.part(), isZoneShared, nowNanos);
     if (!request.uncacheable) {
       request.rank =
           admission.rankOf(
-              details.object(), request.segment, previousStartNanos, sharedZone, nowNanos);
+              details.object(), request.segment, previousStartNanos, isZoneShared, nowNanos);
     }
     if (!route(request)) {
-      giveUp(request);
+      rejectOrFail(request);
     }
   }
 
   /** Routes a health check or a prefetch, which is never retried or hedged. */
   @Override
   public void syntheticRequestReceived(RequestDetails details, int endpoint) {
-    InFlightRequest request = open(details);
+    InFlightRequest request = register(details);
     Route route = syntheticRoutes.select(request, endpoint, nowNanos);
     if (route == null) {
-      giveUp(request);
+      rejectOrFail(request);
     } else {
       dispatcher.send(request, route, batch);
     }
   }
 
-  private InFlightRequest open(RequestDetails details) {
+  private InFlightRequest register(RequestDetails details) {
     InFlightRequest request =
         new InFlightRequest(details, trafficClasses[details.trafficClass()], nowNanos);
     requests.put(details.id(), request);
-    patience.estimate(request, details.kilobytes());
+    softTimeoutEstimator.estimate(request, details.kilobytes());
     return request;
   }
 
@@ -163,7 +164,7 @@
     if (result.requestFinished()) {
       finish(request);
     } else if (!request.done && request.openAttempts == 0) {
-      retryOrGiveUp(attempt, result.outcome(), result.detail());
+      retryOrEnd(attempt, result.outcome(), result.detail());
     } else if (request.done && request.openAttempts == 0) {
       requests.remove(result.requestId());
     }
@@ -173,20 +174,20 @@
    * Retries the request if its class, its time left and the retry budget permit it; otherwise sends
    * the final response.
    */
-  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail detail) {
-    InFlightRequest request = last.request();
+  private void retryOrEnd(Attempt attempt, AttemptOutcome outcome, ResponseDetail detail) {
+    InFlightRequest request = attempt.request();
     request.originFailed |= detail == ResponseDetail.ORIGIN_FAILED;
-    boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
-    boolean neverSent = outcome == AttemptOutcome.WITHDRAWN;
-    if (lackedCopy || request.originFailed || neverSent) {
+    boolean isCachedOnlyMiss = attempt.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
+    boolean isWithdrawn = outcome == AttemptOutcome.WITHDRAWN;
+    if (isCachedOnlyMiss || request.originFailed || isWithdrawn) {
       retryBudget.refund();
     } else {
       request.excludedEndpoints.add(
-          RetryPolicy.isSourceFault(detail) ? last.source() : last.endpoint());
+          RetryPolicy.isSourceFault(detail) ? attempt.source() : attempt.endpoint());
     }
-    boolean isFillHopeless = lackedCopy && !routes.canFill(request, nowNanos);
-    if (isFillHopeless || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
-      giveUp(request);
+    boolean isUnfillableMiss = isCachedOnlyMiss && !routes.canFill(request, nowNanos);
+    if (isUnfillableMiss || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
+      rejectOrFail(request);
     }
   }
 
@@ -200,7 +201,7 @@
    * Sends the final response of a request without a successful attempt. A rejection tells the
    * client that the request is safe to repeat; a failure leaves open whether it took effect.
    */
-  private void giveUp(InFlightRequest request) {
+  private void rejectOrFail(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
       long minNanos = retryPolicy.minRetryAfterNanos();
       batch.actions().reject(request.id, minNanos == 0 ? 0 : minNanos + random.nextLong(minNanos));
@@ -252,13 +253,14 @@
 
   private void hedgeIfStalled(Attempt attempt) {
     InFlightRequest request = attempt.request();
-    boolean isEndpointSilent = outlierDetector.isSilentSince(attempt);
+    boolean isEndpointUnresponsive = outlierDetector.isEndpointUnresponsive(attempt);
     boolean isStalled =
-        isEndpointSilent
-            || limiter.isOvertaken(attempt)
-            || (attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0);
+        isEndpointUnresponsive
+            || limiter.isOvertakenByLaterFills(attempt)
+            || (attempt.source().health.isEjected()
+                && attempt.endpoint().health.overdueRequests > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
-      request.excludedEndpoints.add(isEndpointSilent ? attempt.endpoint() : attempt.source());
+      request.excludedEndpoints.add(isEndpointUnresponsive ? attempt.endpoint() : attempt.source());
       retry(request);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -19,7 +19,7 @@
    * request that may have executed is retried only where its repeats are dropped or have no effect.
    */
   boolean permits(InFlightRequest request, Endpoint endpoint, long nowNanos) {
-    Attempt executed = request.firstExecuted;
+    Attempt executed = request.earliestExecuted;
     if (executed == null) {
       return true;
     }
@@ -73,7 +73,7 @@
    */
   boolean isSafeToRepeat(InFlightRequest request) {
     Idempotency idempotency = request.trafficClass.idempotency();
-    return (request.firstExecuted == null && request.openAttempts == 0)
+    return (request.earliestExecuted == null && request.openAttempts == 0)
         || idempotency == Idempotency.IDEMPOTENT
         || (idempotency == Idempotency.IDEMPOTENCY_KEY
             && request.trafficClass.idempotencyScope() == IdempotencyScope.ALL);
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -19,12 +19,12 @@
   /** Kmin of the paper: segments below this one are cached on every start. */
   private static final int FIRST_SELECTIVE_SEGMENT = 3;
 
-  private static final int TABLE_SIZE = 256;
+  private static final int MAX_ROWS = 256;
 
   private final ObjectHistory history;
-  private final long[] tableObjects = new long[TABLE_SIZE];
-  private final int[] tableSegments = new int[TABLE_SIZE];
-  private int tableUsed;
+  private final long[] tableObjects = new long[MAX_ROWS];
+  private final int[] tableSegments = new int[MAX_ROWS];
+  private int usedRows;
 
   /** Creates an empty table that uses the starts in the history. */
   SegmentAdmission(ObjectHistory history) {
@@ -49,13 +49,15 @@
    *
    * @param previousStartNanos the object's previous start as {@link ObjectHistory#observe} returned
    *     it
-   * @param sharedZone whether the previous segment may have been requested through another gateway
+   * @param isZoneShared whether the previous segment may have been requested through another
+   *     gateway
    */
-  int rankOf(long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
+  int rankOf(
+      long object, int segment, long previousStartNanos, boolean isZoneShared, long nowNanos) {
     if (isStart(segment)) {
       return previousStartNanos == 0 ? FIRST_START_RANK : STANDARD_RANK;
     }
-    return admits(object, segment, previousStartNanos, sharedZone, nowNanos)
+    return admits(object, segment, previousStartNanos, isZoneShared, nowNanos)
         ? STANDARD_RANK
         : NOT_CACHED;
   }
@@ -66,13 +68,13 @@
   }
 
   private boolean admits(
-      long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
+      long object, int segment, long previousStartNanos, boolean isZoneShared, long nowNanos) {
     boolean isContiguous =
         isStart(segment - 1)
-            || (sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos));
-    int lowest = -1;
+            || (isZoneShared && admits(object, segment - 1, previousStartNanos, true, nowNanos));
+    int lowestRow = -1;
     double lowestValue = Double.MAX_VALUE;
-    for (int i = 0; i < tableUsed; i++) {
+    for (int i = 0; i < usedRows; i++) {
       if (tableObjects[i] == object && tableSegments[i] == segment) {
         return true;
       }
@@ -81,14 +83,14 @@
           cachingValue(history.previousStartNanos(tableObjects[i]), tableSegments[i], nowNanos);
       if (value < lowestValue) {
         lowestValue = value;
-        lowest = i;
+        lowestRow = i;
       }
     }
     double value = cachingValue(previousStartNanos, segment, nowNanos);
-    if (!isContiguous || value <= 0 || (tableUsed == TABLE_SIZE && value <= lowestValue)) {
+    if (!isContiguous || value <= 0 || (usedRows == MAX_ROWS && value <= lowestValue)) {
       return false;
     }
-    putRow(tableUsed < TABLE_SIZE ? tableUsed++ : lowest, object, segment);
+    putRow(usedRows < MAX_ROWS ? usedRows++ : lowestRow, object, segment);
     return true;
   }
 
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -28,27 +28,27 @@
 
   private static final double MIN_GATEWAY_FRACTION = 1e-9;
   private static final double MIN_PREFETCH_RATE = 1e-6;
-  private static final long UNKNOWN = Long.MIN_VALUE;
+  private static final long NOT_STARTED = Long.MIN_VALUE;
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final RoutingConfig config;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final TrafficClass[] trafficClasses;
   private final Map<String, SlowStartProfile> profiles = new TreeMap<>();
   private boolean hasWarmEdges = true;
   private boolean hasWarmParents = true;
-  private long gatewayStartedAtNanos = UNKNOWN;
+  private long gatewayStartedAtNanos = NOT_STARTED;
 
   /** Creates slow start with the configured bounds, for this gateway's share of them. */
   SlowStart(RoutingConfig config, GatewayShare share, TrafficClass[] trafficClasses) {
     this.config = config;
-    this.share = share;
+    this.gatewayShare = share;
     this.trafficClasses = trafficClasses;
   }
 
   /** Begins a batch. The time of the first one counts as this gateway's own start. */
   void beginBatch(long nowNanos) {
-    gatewayStartedAtNanos = gatewayStartedAtNanos == UNKNOWN ? nowNanos : gatewayStartedAtNanos;
+    gatewayStartedAtNanos = gatewayStartedAtNanos == NOT_STARTED ? nowNanos : gatewayStartedAtNanos;
   }
 
   /**
@@ -61,7 +61,7 @@
         name ->
             new SlowStartProfile(
                 role == Endpoint.Role.EDGE ? config.edgeSlowStart() : config.parentSlowStart(),
-                share.fractionOf(role)));
+                gatewayShare.fractionOf(role)));
   }
 
   /**
@@ -69,7 +69,7 @@
    * gateways sending their first request at the same time.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
-    endpoint.warmUp.firstDebtFraction = random.nextDouble();
+    endpoint.warmUp.initialDebtFraction = random.nextDouble();
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
@@ -95,7 +95,7 @@
     double workSeconds = trafficClass.workNanos() / NANOS_PER_SECOND;
     double spareSeconds = burstSeconds(endpoint, nowNanos) - workSeconds;
     return debtSeconds(endpoint, nowNanos) <= Math.max(0, spareSeconds)
-        && (spareSeconds >= 0 || isInTurn(endpoint, workSeconds, nowNanos));
+        && (spareSeconds >= 0 || mayUseCredit(endpoint, workSeconds, nowNanos));
   }
 
   /**
@@ -104,15 +104,15 @@
    * and its peers do not serve most of the requests, credit that is not used within an overload
    * window lapses, and is available again once the work of another request has accrued.
    */
-  private boolean isInTurn(Endpoint endpoint, double workSeconds, long nowNanos) {
+  private boolean mayUseCredit(Endpoint endpoint, double workSeconds, long nowNanos) {
     double fraction = Math.max(endpoint.warmUp.profile.gatewayFraction, MIN_GATEWAY_FRACTION);
     double maxConcurrentRequests =
         burstSeconds(endpoint, nowNanos) / BUDGET_FRACTION / workSeconds / fraction;
-    boolean areGatewaysFew =
+    boolean canServeAllGateways =
         1 / fraction <= maxConcurrentRequests + 2 * Math.sqrt(maxConcurrentRequests) + 2;
-    return areGatewaysFew
+    return canServeAllGateways
         || (endpoint.isEdge() ? hasWarmEdges : hasWarmParents)
-        || -balanceSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
+        || -netDebtSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
   }
 
   /** Adds the work of a sent request, in seconds, to an endpoint's debt. */
@@ -128,9 +128,9 @@
    */
   void refund(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0 && !endpoint.warmUp.isComplete(nowNanos)) {
-      double balanceSeconds = balanceSeconds(endpoint, nowNanos);
+      double netDebtSeconds = netDebtSeconds(endpoint, nowNanos);
       setDebt(
-          endpoint, Math.max(Math.min(0, balanceSeconds), balanceSeconds - workSeconds), nowNanos);
+          endpoint, Math.max(Math.min(0, netDebtSeconds), netDebtSeconds - workSeconds), nowNanos);
     }
   }
 
@@ -150,7 +150,7 @@
   private void setDebt(Endpoint endpoint, double debtSeconds, long nowNanos) {
     endpoint.warmUp.debtSeconds = endpoint.warmUp.isComplete(nowNanos) ? 0 : debtSeconds;
     endpoint.warmUp.debtAtNanos = nowNanos;
-    endpoint.warmUp.firstDebtFraction = WarmUp.NO_FRACTION;
+    endpoint.warmUp.initialDebtFraction = WarmUp.NO_INITIAL_DEBT;
   }
 
   /**
@@ -158,7 +158,7 @@
    */
   boolean tryPrefetch(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
-    if (!share.isGranted()
+    if (!gatewayShare.isGranted()
         || warmUp.isComplete(nowNanos)
         || endpoint.health.keyFraction(nowNanos) != 1
         || nowNanos < warmUp.nextPrefetchNanos) {
@@ -201,12 +201,12 @@
    * Updates whether enough peers are warm, after a change of the endpoint list and in each sweep.
    */
   void updateWarmPeers(EndpointTable endpoints, long nowNanos) {
-    hasWarmEdges = areEnoughWarm(endpoints.zoneEdges(), nowNanos);
-    hasWarmParents = areEnoughWarm(endpoints.parents(), nowNanos);
+    hasWarmEdges = hasEnoughWarmWeight(endpoints.zoneEdges(), nowNanos);
+    hasWarmParents = hasEnoughWarmWeight(endpoints.parents(), nowNanos);
   }
 
   /** Whether enough of the peers are warm to serve the requests that peers which warm up cannot. */
-  private static boolean areEnoughWarm(Endpoint[] peers, long nowNanos) {
+  private static boolean hasEnoughWarmWeight(Endpoint[] peers, long nowNanos) {
     double totalWeight = 0;
     double warmWeight = 0;
     for (Endpoint peer : peers) {
@@ -218,13 +218,13 @@
 
   /** Updates an endpoint's profile after a change of this gateway's share. */
   void onShareChange(Endpoint endpoint) {
-    endpoint.warmUp.profile.gatewayFraction = share.fractionOf(endpoint.role);
+    endpoint.warmUp.profile.gatewayFraction = gatewayShare.fractionOf(endpoint.role);
     boundThroughput(endpoint.warmUp.profile);
   }
 
   private void boundThroughput(SlowStartProfile profile) {
     profile.typicalThroughput =
-        share.isGranted() ? Math.max(profile.gatewayFraction, profile.typicalThroughput) : 0;
+        gatewayShare.isGranted() ? Math.max(profile.gatewayFraction, profile.typicalThroughput) : 0;
   }
 
   /**
@@ -253,22 +253,22 @@
    * endpoint's capacity.
    */
   private double debtSeconds(Endpoint endpoint, long nowNanos) {
-    return Math.max(0, balanceSeconds(endpoint, nowNanos));
+    return Math.max(0, netDebtSeconds(endpoint, nowNanos));
   }
 
   /**
    * Returns the debt minus the credit, in seconds: below 0 while there has been no debt, by the
    * work that the budget would have covered since.
    */
-  private double balanceSeconds(Endpoint endpoint, long nowNanos) {
+  private double netDebtSeconds(Endpoint endpoint, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
-    double paidSeconds =
+    double repaidSeconds =
         (budget(endpoint, warmUp.debtAtNanos) + budget(endpoint, nowNanos))
             / 2
             * (nowNanos - warmUp.debtAtNanos)
             / NANOS_PER_SECOND;
-    boolean isFirst = warmUp.firstDebtFraction >= 0;
-    return (isFirst ? firstDebtSeconds(endpoint) : warmUp.debtSeconds) - paidSeconds;
+    boolean isInitialDebt = warmUp.initialDebtFraction >= 0;
+    return (isInitialDebt ? initialDebtSeconds(endpoint) : warmUp.debtSeconds) - repaidSeconds;
   }
 
   /**
@@ -277,13 +277,13 @@
    * request at the same time. A gateway that started after the endpoint has no credit, since its
    * predecessor may have used it up.
    */
-  private double firstDebtSeconds(Endpoint endpoint) {
+  private double initialDebtSeconds(Endpoint endpoint) {
     WarmUp warmUp = endpoint.warmUp;
     double longestWorkSeconds = longestWorkNanos() / NANOS_PER_SECOND;
     double burstSeconds = burstSeconds(endpoint, warmUp.debtAtNanos);
-    boolean isEndpointOlder = warmUp.startedAtNanos < gatewayStartedAtNanos;
-    return warmUp.firstDebtFraction * longestWorkSeconds
-        + (isEndpointOlder ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
+    boolean isOlderThanGateway = warmUp.startedAtNanos < gatewayStartedAtNanos;
+    return warmUp.initialDebtFraction * longestWorkSeconds
+        + (isOlderThanGateway ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
   }
 
   private long longestWorkNanos() {
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -17,13 +17,13 @@
    * Event loop lag from which a connection is read again after its requests, since a close may be
    * queued behind them.
    */
-  private static final long MIN_SETTLING_LAG_NANOS = 25_000_000L;
+  private static final long MIN_REREAD_LAG_NANOS = 25_000_000L;
 
   /**
    * Longest time for which a connection that sends more is read again; by then all requests that a
    * client may have open have been read.
    */
-  private static final long MAX_SETTLING_NANOS = 50_000_000L;
+  private static final long MAX_REREAD_NANOS = 50_000_000L;
 
   /**
    * Bytes that were queued unread at a connection while the event loop was late.
@@ -34,7 +34,7 @@
   public record Backlog(long sinceNanos, long foundAtNanos) {
     /** Whether bytes that are read now may belong to the backlog. */
     public boolean mayContinue(long nowNanos) {
-      return nowNanos - foundAtNanos <= MAX_SETTLING_NANOS;
+      return nowNanos - foundAtNanos <= MAX_REREAD_NANOS;
     }
   }
 
@@ -63,7 +63,7 @@
    * that is, has been read again.
    */
   public static boolean mustSettle(long lagNanos) {
-    return lagNanos >= MIN_SETTLING_LAG_NANOS;
+    return lagNanos >= MIN_REREAD_LAG_NANOS;
   }
 
   /**
@@ -74,6 +74,6 @@
    * @param lastReceivedAtNanos when the last request of the connection was read
    */
   public boolean isSettled(long receivedAtNanos, long lastReceivedAtNanos) {
-    return readAtNanos >= lastReceivedAtNanos || readAtNanos - receivedAtNanos > MAX_SETTLING_NANOS;
+    return readAtNanos >= lastReceivedAtNanos || readAtNanos - receivedAtNanos > MAX_REREAD_NANOS;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/SoftTimeoutEstimator.java
@@ -4,7 +4,7 @@
  * Estimates a request's soft timeout, after which an attempt without a response is overdue: from
  * the object's size or, if the size is unknown, from earlier responses.
  */
-final class PatienceEstimator {
+final class SoftTimeoutEstimator {
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final ObjectHistory history;
@@ -15,7 +15,7 @@
    *
    * @param kilobytesPerSecond the transfer rate; 0 if it is unknown
    */
-  PatienceEstimator(ObjectHistory history, double kilobytesPerSecond) {
+  SoftTimeoutEstimator(ObjectHistory history, double kilobytesPerSecond) {
     this.history = history;
     this.kilobytesPerSecond = kilobytesPerSecond;
   }
@@ -34,14 +34,14 @@
             : 0;
     long workNanos =
         transferNanos > 0 ? transferNanos : history.shortestResponseNanos(request.object);
-    request.sizeKnown = transferNanos > 0;
-    request.durationKnown = workNanos > 0;
-    request.patienceNanos =
+    request.durationKnownFromSize = transferNanos > 0;
+    request.canJudgeLatency = workNanos > 0;
+    request.softTimeoutNanos =
         trafficClass.latencyObjectiveNanos()
             + (long)
                 (trafficClass.latencyStretch()
-                    * (request.durationKnown ? workNanos : trafficClass.workNanos()));
-    if (request.sizeKnown) {
+                    * (request.canJudgeLatency ? workNanos : trafficClass.workNanos()));
+    if (request.durationKnownFromSize) {
       trafficClass.recordDuration(transferNanos);
     }
   }
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -54,7 +54,7 @@
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
     Endpoint source = routes.selectSource(request, nowNanos);
     boolean permitted =
-        isTarget(request, edge)
+        isEligibleTarget(request, edge)
             && source != null
             && SegmentAdmission.isStart(request.segment)
             && slowStart.tryPrefetch(edge, request.trafficClass, nowNanos);
@@ -68,13 +68,13 @@
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
     boolean permitted =
-        isTarget(request, endpoint)
+        isEligibleTarget(request, endpoint)
             && slowStart.hasBudgetFor(endpoint, request.trafficClass, nowNanos)
             && outlierDetector.permitsHealthCheck(endpoint, nowNanos);
     return permitted ? new Route(endpoint, null, true) : null;
   }
 
-  private static boolean isTarget(InFlightRequest request, Endpoint endpoint) {
+  private static boolean isEligibleTarget(InFlightRequest request, Endpoint endpoint) {
     return endpoint != null
         && endpoint.isUp()
         && endpoint.isEdge()
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -2,11 +2,11 @@
 
 /** A traffic class: its configuration and the statistics of its responses. */
 final class TrafficClass {
-  private static final int HALVED_AT_RESPONSES = 512;
-  private static final double ASSUMED_MISSES = 4.0;
-  private static final double ASSUMED_RESPONSES = 8.0;
-  private static final double ASSUMED_ORIGIN_FILLS = 1.0;
-  private static final double ASSUMED_FILLS = 2.0;
+  private static final int MAX_COUNTED_RESPONSES = 512;
+  private static final double PRIOR_MISSES = 4.0;
+  private static final double PRIOR_RESPONSES = 8.0;
+  private static final double PRIOR_ORIGIN_FILLS = 1.0;
+  private static final double PRIOR_FILLS = 2.0;
 
   private final TrafficClassConfig config;
   private final LatencyHistogram durations = new LatencyHistogram();
@@ -96,7 +96,7 @@
       case FILLED_BY_ORIGIN -> filledByOrigin++;
       default -> filledByParent++;
     }
-    if (servedFromCache + filledByParent + filledByOrigin >= HALVED_AT_RESPONSES) {
+    if (servedFromCache + filledByParent + filledByOrigin >= MAX_COUNTED_RESPONSES) {
       servedFromCache /= 2;
       filledByParent /= 2;
       filledByOrigin /= 2;
@@ -106,12 +106,11 @@
   /** Returns the estimated fraction of requests that need a fill, 0 to 1. */
   double missFraction() {
     int fills = filledByParent + filledByOrigin;
-    return (fills + ASSUMED_MISSES) / (servedFromCache + fills + ASSUMED_RESPONSES);
+    return (fills + PRIOR_MISSES) / (servedFromCache + fills + PRIOR_RESPONSES);
   }
 
   /** Returns the estimated fraction of fills that reach the origin, 0 to 1. */
   double originFraction() {
-    return (filledByOrigin + ASSUMED_ORIGIN_FILLS)
-        / (filledByParent + filledByOrigin + ASSUMED_FILLS);
+    return (filledByOrigin + PRIOR_ORIGIN_FILLS) / (filledByParent + filledByOrigin + PRIOR_FILLS);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -5,7 +5,7 @@
  */
 final class WarmUp {
   /** Marks that the random initial debt has been replaced by a debt for work sent. */
-  static final double NO_FRACTION = -1;
+  static final double NO_INITIAL_DEBT = -1;
 
   private static final double THROUGHPUT_WINDOW_NANOS = 4e9;
   private static final double NANOS_PER_SECOND = 1e9;
@@ -21,9 +21,9 @@
 
   /**
    * Random fraction, 0 to 1, that determines the debt until the first request is sent; {@link
-   * #NO_FRACTION} afterwards.
+   * #NO_INITIAL_DEBT} afterwards.
    */
-  double firstDebtFraction = NO_FRACTION;
+  double initialDebtFraction = NO_INITIAL_DEBT;
 
   /** Time of the last change of the debt, in nanoseconds. */
   long debtAtNanos;
@@ -36,11 +36,11 @@
 
   /** Returns the fraction of its capacity that the endpoint is certain to have, 0 to 1. */
   double capacityFraction(long nowNanos) {
-    long sinceNanos = Math.max(0, nowNanos - startedAtNanos);
-    return startedAtNanos == 0 || sinceNanos >= profile.durationNanos
+    long ageNanos = Math.max(0, nowNanos - startedAtNanos);
+    return startedAtNanos == 0 || ageNanos >= profile.durationNanos
         ? 1
         : profile.initialFraction
-            + (1 - profile.initialFraction) * sinceNanos / profile.durationNanos;
+            + (1 - profile.initialFraction) * ageNanos / profile.durationNanos;
   }
 
   /** Whether the endpoint has its full capacity. */
--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -34,7 +34,7 @@
     end(AttemptOutcome.SUCCEEDED, 50, ResponseDetail.FILLED);
     assertEquals(LATER, endpoint.health.lastResponseNanos);
     assertEquals(LATER, source.health.lastResponseNanos);
-    assertEquals(START, source.limit.lastPromptSentNanos);
+    assertEquals(START, source.limit.lastTimelySentNanos);
   }
 
   @Test
@@ -59,7 +59,7 @@
   @Test
   void failedConnectEjectsAndLostConnectionCountsAsFailure() {
     end(AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
-    assertEquals(1, endpoint.health.failures);
+    assertEquals(1, endpoint.health.failuresSinceResponse);
     end(AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertTrue(endpoint.health.isEjected());
   }
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
@@ -37,9 +37,9 @@
     limiter.recountFills(List.of(attempt), START + 50 * MS);
     assertEquals(1, parts.endpoint(5).limit.inFlight, "it has waited for long enough to be a fill");
     assertEquals(1, limiter.uplinkLimit().inFlight);
-    parts.endpoint(5).limit.lastPromptSentNanos = START + 200 * MS;
-    limiter.originLimit().lastPromptSentNanos = START + 200 * MS;
-    assertTrue(limiter.isOvertaken(attempt));
+    parts.endpoint(5).limit.lastTimelySentNanos = START + 200 * MS;
+    limiter.originLimit().lastTimelySentNanos = START + 200 * MS;
+    assertTrue(limiter.isOvertakenByLaterFills(attempt));
     limiter.recountFills(List.of(attempt), START + 300 * MS);
     assertEquals(0, parts.endpoint(5).limit.inFlight);
   }
--- a/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
@@ -51,9 +51,9 @@
 
   @Test
   void singleFailureSufficesOnlyWhileEjected() {
-    health.overdue = 1;
+    health.overdueRequests = 1;
     assertFalse(health.isUnresponsive());
-    health.failures = 1;
+    health.failuresSinceResponse = 1;
     assertTrue(health.isUnresponsive());
     health.eject(NOW, 0);
     assertTrue(health.isUnresponsive(), "overdue alone, since an ejection forgets failures");
--- a/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
@@ -24,7 +24,7 @@
     request.recordExecuted(later);
     request.recordExecuted(first);
     request.recordExecuted(later);
-    assertEquals(first, request.firstExecuted);
+    assertEquals(first, request.earliestExecuted);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -17,11 +17,11 @@
 
   private void detect(int... silent) {
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
-      peer.health.overdue = 0;
+      peer.health.overdueRequests = 0;
       peer.health.lastResponseNanos = START;
     }
     for (int index : silent) {
-      parts.endpoint(index).health.overdue = 2;
+      parts.endpoint(index).health.overdueRequests = 2;
       parts.endpoint(index).health.lastResponseNanos = START - 700 * MS;
     }
     detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START));
@@ -86,9 +86,13 @@
   void overdueFillCountsAtItsSourceOnlyIfTheEndpointResponds() {
     Attempt attempt = parts.attempt(parts.request(5), 1, 5);
     detector.recountOverdue(List.of(attempt), START + 150 * MS);
-    assertEquals(List.of(1, 0), List.of(endpoint.health.overdue, parts.endpoint(5).health.overdue));
+    assertEquals(
+        List.of(1, 0),
+        List.of(endpoint.health.overdueRequests, parts.endpoint(5).health.overdueRequests));
     endpoint.health.lastResponseNanos = START + 140 * MS;
     detector.recountOverdue(List.of(attempt), START + 150 * MS);
-    assertEquals(List.of(1, 1), List.of(endpoint.health.overdue, parts.endpoint(5).health.overdue));
+    assertEquals(
+        List.of(1, 1),
+        List.of(endpoint.health.overdueRequests, parts.endpoint(5).health.overdueRequests));
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -72,8 +72,8 @@
     InFlightRequest request =
         new InFlightRequest(
             new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100, false), trafficClass, START);
-    request.patienceNanos = 100 * MS;
-    request.durationKnown = true;
+    request.softTimeoutNanos = 100 * MS;
+    request.canJudgeLatency = true;
     request.rank = SegmentAdmission.STANDARD_RANK;
     return request;
   }
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -33,11 +33,11 @@
       peer.health.lastResponseNanos = START + WAITED_NANOS;
     }
     health.lastResponseNanos = START + respondedAfterMillis * MS;
-    assertFalse(parts.detector.isSilentSince(attempt), "not yet overdue for long");
+    assertFalse(parts.detector.isEndpointUnresponsive(attempt), "not yet overdue for long");
     parts.detector.recountOverdue(List.of(attempt), START + WAITED_NANOS);
     parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + WAITED_NANOS));
     assertFalse(health.isEjected());
-    assertEquals(silent, parts.detector.isSilentSince(attempt));
+    assertEquals(silent, parts.detector.isEndpointUnresponsive(attempt));
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -53,10 +53,10 @@
   @Test
   void suspicionIsClearedOnceNothingIsOverdue() {
     Endpoint endpoint = parts.endpoint(0);
-    endpoint.health.overdue = 1;
+    endpoint.health.overdueRequests = 1;
     parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START));
     assertTrue(endpoint.health.suspected);
-    endpoint.health.overdue = 0;
+    endpoint.health.overdueRequests = 0;
     parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + 20 * MS));
     assertFalse(endpoint.health.suspected);
   }
