--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -62,12 +62,8 @@
       case SUCCEEDED -> recordSucceeded(attempt, durationNanos, detail, batch);
       case REJECTED, NOT_CACHED, FAILED -> recordRejected(attempt, outcome, detail, batch);
       case TIMED_OUT -> recordTimedOut(attempt, batch.nowNanos());
-      case CONNECTION_LOST ->
-          attempt.endpoint()
-              .health
-              .failuresSinceResponse++; // A single failure does not eject the endpoint: a reset of
-      // one response
-      // is no outage.
+      // A single failure does not eject the endpoint: the reset of one response is no outage.
+      case CONNECTION_LOST -> attempt.endpoint().health.failuresSinceResponse++;
       case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
     }
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -95,8 +95,8 @@
       smoothedInFlight +=
           (inFlight - smoothedInFlight) * elapsedSeconds / (elapsedSeconds + SMOOTHING_SECONDS);
     }
-    if (inFlight != 0
-        || debtRequestSeconds != 0) { // Stays 0 for most targets, which have no requests.
+    // The debt stays 0 for most targets, which have no requests.
+    if (inFlight != 0 || debtRequestSeconds != 0) {
       debtRequestSeconds =
           Math.max(
               0,
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -7,7 +7,10 @@
  * docs/design.md, "Concurrency limits".
  */
 final class ConcurrencyLimiter {
-  /** Number of edge caches per gateway for which the initial limits are dimensioned. */
+  /**
+   * The initial limits fit a gateway that has this many edge caches, and {@link
+   * #PARENTS_PER_GATEWAY} parents, to itself.
+   */
   private static final double EDGES_PER_GATEWAY = 3;
 
   private static final double PARENTS_PER_GATEWAY = 2;
@@ -59,10 +62,8 @@
             / EDGES_PER_GATEWAY
             / share.gatewaysInAll()
             * (share.isGranted() ? 1 : 0);
-    double sharedInitialLimit =
-        INITIAL_LIMIT
-            * (1 + 1.0 / gatewaysInZone)
-            / 2; // If many gateways share, each one learns more slowly.
+    // If many gateways share, each one learns more slowly.
+    double sharedInitialLimit = INITIAL_LIMIT * (1 + 1.0 / gatewaysInZone) / 2;
     originLimit.setShare(originShare, sharedInitialLimit);
     uplinkLimit.setShare(
         endpoints.zoneEdges().length / EDGES_PER_GATEWAY / gatewaysInZone, sharedInitialLimit);
@@ -184,8 +185,8 @@
     uplinkLimit.inFlight = 0;
     for (Attempt attempt : openAttempts) {
       InFlightRequest request = attempt.request();
-      boolean isExpired =
-          nowNanos >= request.deadlineNanos; // The source has abandoned the fill by then.
+      // The source of an expired request has abandoned the fill.
+      boolean isExpired = nowNanos >= request.deadlineNanos;
       if (attempt.hasSource() && !isExpired && !isOvertakenByLaterFills(attempt)) {
         boolean isLikelyFill = nowNanos - attempt.sentAtNanos() > request.softTimeoutNanos / 3;
         addFill(attempt, isLikelyFill ? 1 : request.trafficClass.missFraction(), nowNanos);
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -56,9 +56,8 @@
 
   /** Records that a poll for all events after the last known one was sent. */
   public void requestSent(long nowNanos) {
-    boolean wasBlocked =
-        nowNanos - socketsReadAtNanos
-            > maxDelayNanos; // The loop was blocked since the last response.
+    // True if the event loop was blocked since the last response.
+    boolean wasBlocked = nowNanos - socketsReadAtNanos > maxDelayNanos;
     awaitsResponse |= wasBlocked && lateResponses < MAX_LATE_RESPONSES;
     requestSentAtNanos = nowNanos;
   }
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealth.java
@@ -133,8 +133,8 @@
   }
 
   /**
-   * Begins the endpoint's probation if it is ejected and was alive at the given time, which must
-   * not precede its ejection.
+   * Begins the endpoint's probation if it is ejected and was alive at the given time, unless that
+   * time precedes the ejection.
    *
    * @return whether probation has begun
    */
--- a/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointHealthStatus.java
@@ -1,7 +1,7 @@
 package org.amberpath.routing;
 
 /**
- * The health of an edge cache as this gateway sees it, for the gateway that makes health checks on
+ * The health of an edge cache as this gateway sees it, for health checks that one gateway makes on
  * behalf of all.
  */
 public enum EndpointHealthStatus {
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -92,7 +92,7 @@
     isLiveReply = false;
   }
 
-  /** Returns the upper bound of a purge's age, in nanoseconds; never negative. */
+  /** Returns the smallest upper bound of a purge's age, in nanoseconds; never negative. */
   public long purgeAgeNanos(long monotonicNanos, long stampMillis) {
     long stampOffsetNanos = stampMillis * NANOS_PER_MILLI - monotonicNanos;
     long maxAgeNanos = monotonicNanos - previousReplyAtNanos + MAX_DELIVERY_NANOS;
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Returns the upper bound of the time since an endpoint started, in nanoseconds; never negative.
-   * For endpoints known from before the start it follows from the wall clock alone.
+   * Returns the smallest upper bound of the time since an endpoint started, in nanoseconds; never
+   * negative. For endpoints known from before the start it follows from the wall clock alone.
    */
   public long startAgeNanos(long monotonicNanos, long stampMillis) {
     long stampOffsetNanos = stampMillis * NANOS_PER_MILLI - monotonicNanos;
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Removes an endpoint that is gone from all sources that had it. */
+  /** Removes an endpoint from all sources once each of them lists it as gone or not at all. */
   private void removeIfGone(String id) {
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -12,8 +12,9 @@
   private static final long NO_RESPONSE_NANOS = 600_000_000L;
 
   /**
-   * While another gateway checks ejected endpoints, this gateway waits up to this much longer,
-   * times the number of gateways in the zone, before it sends a request to an ejected endpoint.
+   * While one gateway checks ejected endpoints on behalf of all, a gateway waits up to this much
+   * longer, times the number of gateways in the zone, before it sends a client's request to an
+   * ejected endpoint.
    */
   private static final long DELEGATED_BACKOFF_PER_GATEWAY_NANOS =
       4 * EndpointHealth.maxBackoffNanos();
@@ -42,7 +43,7 @@
     this.random = random;
   }
 
-  /** Sets whether another gateway checks ejected endpoints on behalf of all gateways. */
+  /** Sets whether one gateway checks ejected endpoints on behalf of all gateways. */
   void setDelegated(boolean delegated) {
     checksEjectedEndpoints = !delegated;
   }
@@ -161,7 +162,7 @@
   /**
    * Whether an attempt's endpoint is ejected, or is suspected and has not responded since the
    * attempt was sent. Guards a single request on a connection that its endpoint has lost: one
-   * overdue request does not suffice to eject the endpoint, but another endpoint would serve the
+   * overdue request does not suffice to eject the endpoint, but another endpoint can serve the
    * request.
    */
   boolean isEndpointUnresponsive(Attempt attempt) {
@@ -188,9 +189,8 @@
       } else if (endpoint.isEdge()
           && health.isServing(batch.nowNanos())
           && health.suspected != (hasNoRecentResponse && health.overdueRequests > 0)) {
-        health.suspected =
-            !health.suspected; // Not sufficient to eject the endpoint; other gateways may have
-        // observed the same.
+        // Not sufficient to eject the endpoint; other gateways may have observed the same.
+        health.suspected = !health.suspected;
         batch
             .actions()
             .endpointHealthChanged(
--- a/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
+++ b/routing/src/main/java/org/amberpath/routing/RoutingEventHandler.java
@@ -39,8 +39,10 @@
   void clientDisconnected(long requestId);
 
   /**
-   * Reports a purge of an object or, with object 0, of all objects of a group, at the given time
-   * ago.
+   * Reports a purge.
+   *
+   * @param object the purged object; 0 for all objects of the group
+   * @param ageNanos time since the purge
    */
   void objectPurged(long object, int group, long ageNanos);
 
@@ -51,13 +53,15 @@
    * Reports how many gateways share what the configuration bounds, and this gateway's share of it.
    * Until the first report the configured number applies.
    *
-   * @param gateways the number of gateways in the fleet
+   * @param gateways the number of gateways in the fleet; one below the configured number has no
+   *     effect
    * @param share this gateway's share, 0 to 1; 0 while it may not use any
    */
   void gatewayShareChanged(int gateways, double share);
 
   /**
-   * Reports whether another gateway makes the health checks of ejected endpoints on behalf of all.
+   * Reports whether one gateway, which may be this one, makes the health checks of ejected
+   * endpoints on behalf of all.
    */
   void healthChecksDelegated(boolean delegated);
 
@@ -65,7 +69,7 @@
    * Reports the result of a health check by the gateway that makes them on behalf of all.
    *
    * @param responded whether the endpoint responded to the check
-   * @param ageNanos time since the check
+   * @param ageNanos time since the check was sent
    */
   void healthReported(int endpoint, boolean responded, long ageNanos);
 }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -65,8 +65,8 @@
   }
 
   /**
-   * Initializes the debt of an endpoint that has started with a random fraction. Guards against all
-   * gateways sending their first request at the same time.
+   * Sets a random initial debt for an endpoint that has started. Guards against all gateways
+   * sending their first request at the same time.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
     endpoint.warmUp.initialDebtFraction = random.nextDouble();
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -3,7 +3,10 @@
 /** A traffic class: its configuration and the statistics of its responses. */
 final class TrafficClass {
   private static final int MAX_COUNTED_RESPONSES = 512;
+
+  /** Pseudocounts that stand for responses while there are few. */
   private static final double PRIOR_MISSES = 4.0;
+
   private static final double PRIOR_RESPONSES = 8.0;
   private static final double PRIOR_ORIGIN_FILLS = 1.0;
   private static final double PRIOR_FILLS = 2.0;
@@ -19,7 +22,7 @@
   private int filledByOrigin;
 
   /**
-   * Creates a traffic class; until there are responses, its latency objective stands in for its
+   * Creates a traffic class. Until there are responses, the latency objective stands in for the
    * work.
    */
   TrafficClass(TrafficClassConfig config) {
--- a/routing/src/main/java/org/amberpath/routing/WarmUp.java
+++ b/routing/src/main/java/org/amberpath/routing/WarmUp.java
@@ -53,8 +53,8 @@
    * what the endpoint can serve.
    */
   void recordServedWork(double workSeconds, long nowNanos) {
-    if (throughput != 0
-        || workSeconds != 0) { // Stays 0 for most endpoints, which have returned no work.
+    // The throughput stays 0 for most endpoints, which have returned no work.
+    if (throughput != 0 || workSeconds != 0) {
       throughput =
           throughput * Math.exp(-(nowNanos - throughputAtNanos) / THROUGHPUT_WINDOW_NANOS)
               + workSeconds * NANOS_PER_SECOND / THROUGHPUT_WINDOW_NANOS;
