--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -27,11 +27,11 @@
    */
   private static final long MIN_RETENTION_NANOS = 20_000_000L;
 
-  private static final long NONE = Long.MIN_VALUE;
+  private static final long NO_BACKLOG = Long.MIN_VALUE;
 
   private Map<K, Long> acceptedRecently = new HashMap<>();
   private Map<K, Long> acceptedEarlier = new HashMap<>();
-  private long backlogSinceNanos = NONE;
+  private long backlogSinceNanos = NO_BACKLOG;
   private long rotatedAtNanos;
   private int acceptedThisTurn;
 
@@ -43,10 +43,11 @@
    */
   public void connectionAccepted(K connection, long nowNanos, long lagNanos) {
     acceptedThisTurn++;
-    if (lagNanos > 0 && (backlogSinceNanos == NONE || nowNanos - lagNanos < backlogSinceNanos)) {
+    if (lagNanos > 0
+        && (backlogSinceNanos == NO_BACKLOG || nowNanos - lagNanos < backlogSinceNanos)) {
       backlogSinceNanos = nowNanos - lagNanos;
     }
-    if (backlogSinceNanos != NONE) {
+    if (backlogSinceNanos != NO_BACKLOG) {
       acceptedRecently.put(connection, backlogSinceNanos);
     }
   }
@@ -56,7 +57,7 @@
    */
   public void turnEnded(long nowNanos) {
     if (acceptedThisTurn < MAX_ACCEPTS_PER_PASS) {
-      backlogSinceNanos = NONE;
+      backlogSinceNanos = NO_BACKLOG;
     }
     acceptedThisTurn = 0;
     if (nowNanos - rotatedAtNanos >= MIN_RETENTION_NANOS
--- a/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -103,11 +103,11 @@
 
   private int options(
       TrafficClass trafficClass, Endpoint source, boolean cachedOnly, long nowNanos) {
-    boolean revalidates =
+    boolean shouldRevalidate =
         !cachedOnly && trafficClass.freshNanos() > 0 && source.warmUp.isComplete(nowNanos);
     return (config.coalescing() ? AttemptCommand.COALESCE : 0)
         + (cachedOnly ? AttemptCommand.CACHED_ONLY : 0)
-        + (revalidates ? AttemptCommand.REVALIDATE : 0);
+        + (shouldRevalidate ? AttemptCommand.REVALIDATE : 0);
   }
 
   /** Cancels the attempts of a request that have not ended. */
--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -74,13 +74,13 @@
     InFlightRequest request = attempt.request();
     TrafficClass trafficClass = request.trafficClass;
     boolean isHit = detail == ResponseDetail.HIT || detail == ResponseDetail.NONE;
-    trafficClass.recordRoute(detail);
-    recordWork(attempt, attempt.endpoint(), batch);
+    trafficClass.recordResponse(detail);
+    recordServed(attempt, attempt.endpoint(), batch);
     history.recordResponseTime(request.object, durationNanos);
     if (isHit) {
       slowStart.refund(attempt.source(), attempt.refundableWorkSeconds(), batch.nowNanos());
     } else {
-      recordWork(attempt, attempt.source(), batch);
+      recordServed(attempt, attempt.source(), batch);
     }
     if (isHit && !request.durationKnownFromSize) {
       trafficClass.recordDuration(durationNanos);
@@ -95,7 +95,7 @@
     }
   }
 
-  private void recordWork(Attempt attempt, Endpoint endpoint, Batch batch) {
+  private void recordServed(Attempt attempt, Endpoint endpoint, Batch batch) {
     double workSeconds = attempt.request().trafficClass.workNanos() / NANOS_PER_SECOND;
     endpoint.warmUp.recordServedWork(workSeconds, batch.nowNanos());
     outlierDetector.onResponse(endpoint, attempt.sentAtNanos(), batch);
@@ -125,7 +125,7 @@
       outlierDetector.onResponse(attempt.endpoint(), attempt.sentAtNanos(), batch);
     }
     if (RetryPolicy.isSourceFault(detail)) {
-      attempt.request().trafficClass.recordRoute(detail);
+      attempt.request().trafficClass.recordResponse(detail);
     }
     if (detail == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
       attempt.source().health.failuresSinceResponse++;
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -13,7 +13,7 @@
    * The priority factor of requests whose responses are not cached. Up to this factor, a limit
    * below one request allows no debt.
    */
-  static final double UNCACHED_FACTOR = 0.8;
+  static final double UNCACHED_PRIORITY_FACTOR = 0.8;
 
   private static final double MIN_SHARE = 1e-3;
   private static final double MIN_LIMIT = 3;
@@ -115,7 +115,8 @@
     double warmedLimit = limit * capacityFraction.applyAsDouble(nowNanos);
     return inFlight < warmedLimit * priorityFactor
         && (inFlight + 1 <= warmedLimit * priorityFactor
-            || debtRequestSeconds <= warmedLimit * Math.max(0, priorityFactor - UNCACHED_FACTOR));
+            || debtRequestSeconds
+                <= warmedLimit * Math.max(0, priorityFactor - UNCACHED_PRIORITY_FACTOR));
   }
 
   /**
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimiter.java
@@ -58,9 +58,9 @@
   void assignShares(GatewayShare share) {
     int gatewaysInZone = share.gatewaysInZone();
     double originShare =
-        endpoints.upEdges()
+        endpoints.upEdgeCount()
             / EDGES_PER_GATEWAY
-            / share.gatewaysInAll()
+            / share.gatewaysInAllZones()
             * (share.isGranted() ? 1 : 0);
     // If many gateways share, each one learns more slowly.
     double sharedInitialLimit = INITIAL_LIMIT * (1 + 1.0 / gatewaysInZone) / 2;
@@ -85,9 +85,10 @@
    * revenue per unit of work are rejected last.
    */
   double priorityFactor(TrafficClass trafficClass) {
-    double bound = PRIORITY_REVENUE_FACTOR * trafficClass.revenue() / trafficClass.workNanos();
+    double revenueRateBound =
+        PRIORITY_REVENUE_FACTOR * trafficClass.revenue() / trafficClass.workNanos();
     for (TrafficClass other : trafficClasses) {
-      if (other.revenue() / other.workNanos() > bound) {
+      if (other.revenue() / other.workNanos() > revenueRateBound) {
         return 1;
       }
     }
@@ -97,7 +98,9 @@
   /** Returns the priority factor of a request's fill; it is lower if the response is not cached. */
   private double fillPriorityFactor(InFlightRequest request) {
     return priorityFactor(request.trafficClass)
-        * (request.rank == SegmentAdmission.NOT_CACHED ? ConcurrencyLimit.UNCACHED_FACTOR : 1);
+        * (request.rank == SegmentAdmission.NOT_CACHED
+            ? ConcurrencyLimit.UNCACHED_PRIORITY_FACTOR
+            : 1);
   }
 
   /** Whether an endpoint has room for one more request of the class. */
@@ -118,7 +121,7 @@
    * reached its limit. Guards against a slow origin: past its limit only cached copies are
    * returned, including stale ones.
    */
-  boolean isOriginSaturated(InFlightRequest request, long nowNanos) {
+  boolean mustNotFillFromOrigin(InFlightRequest request, long nowNanos) {
     return request.originFailed
         || (!request.uncacheable && !originLimit.hasRoom(nowNanos, fillPriorityFactor(request)));
   }
@@ -129,14 +132,15 @@
    */
   double spillOverBound(Endpoint[] peers) {
     double inFlight = 0;
-    double weights = 0;
+    double totalWeight = 0;
     for (Endpoint peer : peers) {
       if (peer.isUp()) {
         inFlight += peer.limit.inFlight;
-        weights += peer.weight;
+        totalWeight += peer.weight;
       }
     }
-    return (SPILL_OVER_FACTOR * inFlight + SPILL_OVER_ALLOWANCE) / Math.max(weights, MIN_WEIGHT);
+    return (SPILL_OVER_FACTOR * inFlight + SPILL_OVER_ALLOWANCE)
+        / Math.max(totalWeight, MIN_WEIGHT);
   }
 
   /**
@@ -157,10 +161,10 @@
    * @param likelihood the likelihood that the attempt needs a fill, 0 to 1
    */
   void addFill(Attempt attempt, double likelihood, long nowNanos) {
-    long suspectedSince =
+    long suspectedSinceNanos =
         Math.max(attempt.source().limit.lastDecreaseNanos, nowNanos - ORIGIN_SUSPICION_NANOS);
     boolean isOriginLate =
-        originLimit.lastDecreaseNanos > suspectedSince && attempt.isOverdue(nowNanos);
+        originLimit.lastDecreaseNanos > suspectedSinceNanos && attempt.isOverdue(nowNanos);
     double originFraction =
         isOriginLate || attempt.source() == endpoints.origin()
             ? 1
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -14,7 +14,7 @@
   private Endpoint[] zoneEdges = {};
   private Endpoint[] parents = {};
   private Endpoint origin;
-  private int upEdges;
+  private int upEdgeCount;
 
   /** Creates an empty table for a gateway in the given zone. */
   EndpointTable(String zone) {
@@ -49,8 +49,8 @@
   /**
    * Returns the number of edge caches of all zones that were up when the last list was completed.
    */
-  int upEdges() {
-    return upEdges;
+  int upEdgeCount() {
+    return upEdgeCount;
   }
 
   /** Returns the endpoint of the index; creates it if it is unknown. */
@@ -66,13 +66,13 @@
     List<Endpoint> edges = new ArrayList<>();
     List<Endpoint> allParents = new ArrayList<>();
     origin = null;
-    upEdges = 0;
+    upEdgeCount = 0;
     for (Iterator<Endpoint> iterator = endpointsByIndex.values().iterator(); iterator.hasNext(); ) {
       Endpoint endpoint = iterator.next();
       if (endpoint.state == EndpointState.GONE) {
         iterator.remove();
       } else if (endpoint.isEdge()) {
-        upEdges += endpoint.isUp() ? 1 : 0;
+        upEdgeCount += endpoint.isUp() ? 1 : 0;
         if (endpoint.zone.equals(zone)) {
           edges.add(endpoint);
         }
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -26,7 +26,7 @@
   private static final long MAX_NEWEST_AGE_NANOS = 200_000_000L;
 
   private static final long NANOS_PER_MILLI = 1_000_000L;
-  private static final long NONE = Long.MIN_VALUE;
+  private static final long UNKNOWN = Long.MIN_VALUE;
 
   /** Wall clock minus monotonic clock when both were last read. */
   private long offsetNanos;
@@ -34,11 +34,11 @@
   /** Smallest offset seen, adjusted for drift. */
   private long minOffsetNanos;
 
-  /** Largest offset that follows from a received timestamp, or {@link #NONE}. */
-  private long newestStampOffsetNanos = NONE;
+  /** Largest offset that follows from a received timestamp, or {@link #UNKNOWN}. */
+  private long newestStampOffsetNanos = UNKNOWN;
 
-  private long previousReplyAtNanos = NONE;
-  private long replyAtNanos = NONE;
+  private long previousReplyAtNanos = UNKNOWN;
+  private long replyAtNanos = UNKNOWN;
 
   /**
    * Whether the current reply came from discovery rather than from state that was stored before the
@@ -63,7 +63,7 @@
     long changeNanos = newOffsetNanos - offsetNanos;
     if (Math.abs(changeNanos) <= STEP_NANOS) {
       minOffsetNanos += changeNanos;
-      newestStampOffsetNanos += newestStampOffsetNanos == NONE ? 0 : changeNanos;
+      newestStampOffsetNanos += newestStampOffsetNanos == UNKNOWN ? 0 : changeNanos;
     }
     offsetNanos = newOffsetNanos;
     minOffsetNanos = Math.min(minOffsetNanos, offsetNanos);
@@ -97,7 +97,7 @@
     long stampOffsetNanos = stampMillis * NANOS_PER_MILLI - monotonicNanos;
     long maxAgeNanos = monotonicNanos - previousReplyAtNanos + MAX_DELIVERY_NANOS;
     if (isLiveReply
-        && previousReplyAtNanos != NONE
+        && previousReplyAtNanos != UNKNOWN
         && minOffsetNanos - stampOffsetNanos > maxAgeNanos) {
       // The clock that stamps events was set back, or this wall clock was ahead from the start.
       newestStampOffsetNanos =
@@ -134,7 +134,7 @@
 
   /** Returns the smallest offset that is possible now. */
   private long minCurrentOffsetNanos() {
-    return newestStampOffsetNanos == NONE
+    return newestStampOffsetNanos == UNKNOWN
         ? minOffsetNanos
         : Math.min(minOffsetNanos, newestStampOffsetNanos + MAX_NEWEST_AGE_NANOS);
   }
--- a/routing/src/main/java/org/amberpath/routing/GatewayShare.java
+++ b/routing/src/main/java/org/amberpath/routing/GatewayShare.java
@@ -8,20 +8,20 @@
 final class GatewayShare {
   private final RoutingConfig config;
   private int gatewaysInZone;
-  private int gatewaysInAll;
+  private int gatewaysInAllZones;
   private boolean granted = true;
 
   /** Creates the share that follows from the configured numbers of gateways. */
   GatewayShare(RoutingConfig config) {
     this.config = config;
     gatewaysInZone = Math.max(1, config.gatewaysInZone());
-    gatewaysInAll = Math.max(1, config.gateways());
+    gatewaysInAllZones = Math.max(1, config.gateways());
   }
 
   /** Updates the number of gateways in the fleet and whether this gateway is granted a share. */
   void update(int gateways, boolean isGranted) {
     int extraGateways = Math.max(0, gateways - Math.max(1, config.gateways()));
-    gatewaysInAll = Math.max(1, config.gateways()) + extraGateways;
+    gatewaysInAllZones = Math.max(1, config.gateways()) + extraGateways;
     gatewaysInZone = Math.max(1, config.gatewaysInZone()) + extraGateways;
     granted = isGranted;
   }
@@ -32,8 +32,8 @@
   }
 
   /** Returns the number of gateways in all zones. */
-  int gatewaysInAll() {
-    return gatewaysInAll;
+  int gatewaysInAllZones() {
+    return gatewaysInAllZones;
   }
 
   /** Whether other gateways serve the zone, too. */
@@ -52,6 +52,6 @@
    * granted.
    */
   double fractionOf(Endpoint.Role role) {
-    return granted ? 1.0 / (role == Endpoint.Role.EDGE ? gatewaysInZone : gatewaysInAll) : 0;
+    return granted ? 1.0 / (role == Endpoint.Role.EDGE ? gatewaysInZone : gatewaysInAllZones) : 0;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
+++ b/routing/src/main/java/org/amberpath/routing/InFlightRequest.java
@@ -61,7 +61,7 @@
   boolean streaming;
 
   /** Whether the final response has been decided. */
-  boolean done;
+  boolean finished;
 
   /**
    * The earliest sent attempt that has ended and may have executed the request; null if there is
--- a/routing/src/main/java/org/amberpath/routing/LoadShedder.java
+++ b/routing/src/main/java/org/amberpath/routing/LoadShedder.java
@@ -31,16 +31,16 @@
   /** The overload has ended once no request has been rejected for this long. */
   private static final long RECOVERY_NANOS = 500 * NANOS_PER_MILLI;
 
-  private static final long NONE = Long.MIN_VALUE;
+  private static final long NOT_LATE = Long.MIN_VALUE;
   private static final int UNLIMITED = Integer.MAX_VALUE;
 
   private final long maxRetryAfterNanos;
   private final SplittableRandom random;
 
-  /** Time since which every turn has been late; {@link #NONE} after one that was not. */
-  private long lateSinceNanos = NONE;
+  /** Time since which every turn has been late; {@link #NOT_LATE} after one that was not. */
+  private long lateSinceNanos = NOT_LATE;
 
-  private long rejectedAtNanos;
+  private long lastRejectedAtNanos;
   private int admittedThisTurn;
   private int rejectedThisTurn;
   private int maxRequestsPerTurn = UNLIMITED;
@@ -63,18 +63,18 @@
    */
   public void turnStarted(long nowNanos, long lateNanos) {
     if (lateNanos <= LATE_NANOS) {
-      lateSinceNanos = NONE;
-      rejectedAtNanos = rejectedThisTurn > 0 ? nowNanos : rejectedAtNanos;
+      lateSinceNanos = NOT_LATE;
+      lastRejectedAtNanos = rejectedThisTurn > 0 ? nowNanos : lastRejectedAtNanos;
       if (isShedding()) {
-        boolean isOver = nowNanos - rejectedAtNanos > RECOVERY_NANOS;
-        maxRequestsPerTurn = isOver ? UNLIMITED : maxRequestsPerTurn + 1;
+        boolean hasRecovered = nowNanos - lastRejectedAtNanos > RECOVERY_NANOS;
+        maxRequestsPerTurn = hasRecovered ? UNLIMITED : maxRequestsPerTurn + 1;
       }
-    } else if (lateSinceNanos == NONE) {
+    } else if (lateSinceNanos == NOT_LATE) {
       lateSinceNanos = nowNanos;
     } else if (nowNanos - lateSinceNanos >= OVERLOAD_NANOS) {
       maxRequestsPerTurn =
           Math.max(MIN_REQUESTS_PER_TURN, Math.min(maxRequestsPerTurn, admittedThisTurn) / 2);
-      rejectedAtNanos = nowNanos;
+      lastRejectedAtNanos = nowNanos;
     }
     admittedThisTurn = 0;
     rejectedThisTurn = 0;
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -66,7 +66,7 @@
   }
 
   /** Removes an endpoint from all sources once each of them lists it as gone or not at all. */
-  private void removeIfGone(String id) {
+  private void removeIfGoneEverywhere(String id) {
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
       if (endpoint != null && endpoint.state() != EndpointState.GONE) {
@@ -111,7 +111,7 @@
       isFirstList = false;
       for (String id : changedIds) {
         report(id);
-        removeIfGone(id);
+        removeIfGoneEverywhere(id);
       }
       listener.endpointListCompleted();
       changedIds.clear();
--- a/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
+++ b/routing/src/main/java/org/amberpath/routing/ObjectHistory.java
@@ -31,7 +31,7 @@
     Entry entry = entries.get(object);
     boolean isOtherPlayback = isZoneShared && (entry == null || part <= entry.lastPart);
     if (part == 0 || isOtherPlayback) {
-      entry = start(object, nowNanos);
+      entry = recordStart(object, nowNanos);
     }
     if (entry == null) {
       return 0;
@@ -40,7 +40,7 @@
     return entry.previousStartNanos;
   }
 
-  private Entry start(long object, long nowNanos) {
+  private Entry recordStart(long object, long nowNanos) {
     Entry entry = entries.remove(object);
     entry = entry == null ? new Entry() : entry;
     entry.previousStartNanos = entry.lastStartNanos;
--- a/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
+++ b/routing/src/main/java/org/amberpath/routing/OutlierDetector.java
@@ -120,8 +120,8 @@
    */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     if (endpoint.health.isEjected()) {
-      double extraDelayNanos = checksEjectedEndpoints ? 0 : delegatedBackoffNanos(endpoint);
-      return endpoint.health.isBackoffOver(nowNanos, extraDelayNanos)
+      double additionalDelayNanos = checksEjectedEndpoints ? 0 : delegatedBackoffNanos(endpoint);
+      return endpoint.health.isBackoffOver(nowNanos, additionalDelayNanos)
           && endpoint.limit.inFlight == 0;
     }
     return keyPosition < endpoint.health.keyFraction(nowNanos)
@@ -148,7 +148,7 @@
       endpoint.health.overdueRequests = 0;
     }
     for (Attempt attempt : openAttempts) {
-      if (!attempt.request().done && attempt.isOverdue(nowNanos)) {
+      if (!attempt.request().finished && attempt.isOverdue(nowNanos)) {
         EndpointHealth health = attempt.endpoint().health;
         health.overdueRequests++;
         boolean isEndpointResponsive =
--- a/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RendezvousSelector.java
@@ -24,7 +24,7 @@
   }
 
   /** Tolerance for the rounding errors of logarithms and exponentials, which are far smaller. */
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private record Criteria(
       InFlightRequest request,
@@ -62,10 +62,15 @@
       int segment,
       Eligibility eligibility,
       long nowNanos) {
-    double bound = eligibility == Eligibility.WITH_ROOM ? limiter.spillOverBound(candidates) : 0;
+    double spillOverBound =
+        eligibility == Eligibility.WITH_ROOM ? limiter.spillOverBound(candidates) : 0;
     Criteria criteria =
         new Criteria(
-            request, eligibility, bound, limiter.priorityFactor(request.trafficClass), nowNanos);
+            request,
+            eligibility,
+            spillOverBound,
+            limiter.priorityFactor(request.trafficClass),
+            nowNanos);
     Endpoint best = null;
     double maxScore = -1;
     double maxWeight = 0;
@@ -86,7 +91,7 @@
         best = endpoint;
         maxScore = score;
         maxWeight = Math.max(maxWeight, endpoint.weight);
-        minKeyPosition = Math.exp(-maxWeight / maxScore) - ROUNDING;
+        minKeyPosition = Math.exp(-maxWeight / maxScore) - ROUNDING_TOLERANCE;
       }
     }
     return best;
--- a/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
@@ -21,12 +21,12 @@
    * up to the lag. Half of the lag, which is the mean wait, is subtracted; of a lag above 0.2 s,
    * all but 0.1 s.
    *
-   * @param allowanceNanos the client's timeout
+   * @param clientTimeoutNanos the client's timeout
    */
-  public static long of(long nowNanos, long lagNanos, long allowanceNanos) {
+  public static long of(long nowNanos, long lagNanos, long clientTimeoutNanos) {
     return nowNanos
         - Math.max(lagNanos / 2, lagNanos - MAX_UNSUBTRACTED_LAG_NANOS)
-        + allowanceNanos;
+        + clientTimeoutNanos;
   }
 
   /** Whether the time left is so short that the request is rejected without an attempt. */
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -107,7 +107,7 @@
           admission.rankOf(
               details.object(), request.segment, previousStartNanos, isZoneShared, nowNanos);
     }
-    if (!route(request)) {
+    if (!selectRouteAndSend(request)) {
       rejectOrFail(request);
     }
   }
@@ -134,7 +134,7 @@
 
   // ---- Attempts ----
 
-  private boolean route(InFlightRequest request) {
+  private boolean selectRouteAndSend(InFlightRequest request) {
     Route route = routes.select(request, nowNanos);
     if (route != null) {
       dispatcher.send(request, route, batch);
@@ -163,9 +163,9 @@
     }
     if (result.requestFinished()) {
       finish(request);
-    } else if (!request.done && request.openAttempts == 0) {
-      retryOrEnd(attempt, result.outcome(), result.detail());
-    } else if (request.done && request.openAttempts == 0) {
+    } else if (!request.finished && request.openAttempts == 0) {
+      retryOrFinish(attempt, result.outcome(), result.detail());
+    } else if (request.finished && request.openAttempts == 0) {
       requests.remove(result.requestId());
     }
   }
@@ -174,7 +174,7 @@
    * Retries the request if its class, its time left and the retry budget permit it; otherwise sends
    * the final response.
    */
-  private void retryOrEnd(Attempt attempt, AttemptOutcome outcome, ResponseDetail detail) {
+  private void retryOrFinish(Attempt attempt, AttemptOutcome outcome, ResponseDetail detail) {
     InFlightRequest request = attempt.request();
     request.originFailed |= detail == ResponseDetail.ORIGIN_FAILED;
     boolean isCachedOnlyMiss = attempt.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
@@ -186,15 +186,15 @@
           RetryPolicy.isSourceFault(detail) ? attempt.source() : attempt.endpoint());
     }
     boolean isUnfillableMiss = isCachedOnlyMiss && !routes.canFill(request, nowNanos);
-    if (isUnfillableMiss || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
+    if (isUnfillableMiss || outcome == AttemptOutcome.TIMED_OUT || !tryRetry(request)) {
       rejectOrFail(request);
     }
   }
 
-  private boolean retry(InFlightRequest request) {
+  private boolean tryRetry(InFlightRequest request) {
     return retryPolicy.permitsAnother(request, nowNanos)
         && retryBudget.tryWithdraw()
-        && route(request);
+        && selectRouteAndSend(request);
   }
 
   /**
@@ -203,8 +203,14 @@
    */
   private void rejectOrFail(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long minNanos = retryPolicy.minRetryAfterNanos();
-      batch.actions().reject(request.id, minNanos == 0 ? 0 : minNanos + random.nextLong(minNanos));
+      long minRetryAfterNanos = retryPolicy.minRetryAfterNanos();
+      batch
+          .actions()
+          .reject(
+              request.id,
+              minRetryAfterNanos == 0
+                  ? 0
+                  : minRetryAfterNanos + random.nextLong(minRetryAfterNanos));
     } else {
       batch.actions().fail(request.id);
     }
@@ -212,7 +218,7 @@
   }
 
   private void finish(InFlightRequest request) {
-    request.done = true;
+    request.finished = true;
     if (config.retries().cancellation() && !request.streaming) {
       dispatcher.cancelAll(request, batch);
     }
@@ -224,7 +230,7 @@
   @Override
   public void clientDisconnected(long requestId) {
     InFlightRequest request = requests.get(requestId);
-    if (request != null && !request.done) {
+    if (request != null && !request.finished) {
       finish(request);
     }
   }
@@ -261,7 +267,7 @@
                 && attempt.endpoint().health.overdueRequests > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
       request.excludedEndpoints.add(isEndpointUnresponsive ? attempt.endpoint() : attempt.source());
-      retry(request);
+      tryRetry(request);
     }
   }
 
--- a/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
+++ b/routing/src/main/java/org/amberpath/routing/RetryPolicy.java
@@ -60,7 +60,7 @@
    */
   boolean permitsHedging(Attempt attempt, long nowNanos) {
     InFlightRequest request = attempt.request();
-    return !request.done
+    return !request.finished
         && request.openAttempts == 1
         && attempt.isOverdue(nowNanos)
         && config.hedging()
--- a/routing/src/main/java/org/amberpath/routing/RouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/RouteSelector.java
@@ -40,7 +40,7 @@
       return null;
     }
     return new Route(
-        endpoint, source, source == null || limiter.isOriginSaturated(request, nowNanos));
+        endpoint, source, source == null || limiter.mustNotFillFromOrigin(request, nowNanos));
   }
 
   /**
@@ -92,11 +92,12 @@
         isOriginUsable
             ? origin
             : rendezvous.select(endpoints.parents(), request, 0, Eligibility.ANY, nowNanos);
-    return best == origin && limiter.isOriginSaturated(request, nowNanos) ? null : best;
+    return best == origin && limiter.mustNotFillFromOrigin(request, nowNanos) ? null : best;
   }
 
   /** Whether a request that found no cached copy has a source that may fill one. */
   boolean canFill(InFlightRequest request, long nowNanos) {
-    return selectSource(request, nowNanos) != null && !limiter.isOriginSaturated(request, nowNanos);
+    return selectSource(request, nowNanos) != null
+        && !limiter.mustNotFillFromOrigin(request, nowNanos);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -164,13 +164,13 @@
         || nowNanos < warmUp.nextPrefetchNanos) {
       return false;
     }
-    double rate =
+    double prefetchRate =
         PREFETCH_FRACTION
             / BUDGET_FRACTION
             * budget(endpoint, nowNanos)
             / warmUp.profile.gatewayFraction;
     warmUp.nextPrefetchNanos =
-        nowNanos + (long) (trafficClass.workNanos() / Math.max(MIN_PREFETCH_RATE, rate));
+        nowNanos + (long) (trafficClass.workNanos() / Math.max(MIN_PREFETCH_RATE, prefetchRate));
     return true;
   }
 
@@ -180,15 +180,16 @@
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
-      double sum = 0;
+      double throughputSum = 0;
       int warmCount = 0;
       for (Endpoint peer : peers) {
         if (peer.warmUp.profile == profile && isWarm(peer, nowNanos)) {
-          sum += peer.warmUp.throughput(nowNanos);
+          throughputSum += peer.warmUp.throughput(nowNanos);
           warmCount++;
         }
       }
-      profile.typicalThroughput = warmCount == 0 ? profile.typicalThroughput : sum / warmCount;
+      profile.typicalThroughput =
+          warmCount == 0 ? profile.typicalThroughput : throughputSum / warmCount;
       boundThroughput(profile);
     }
   }
@@ -287,10 +288,10 @@
   }
 
   private long longestWorkNanos() {
-    long longest = 0;
+    long longestNanos = 0;
     for (TrafficClass trafficClass : trafficClasses) {
-      longest = Math.max(longest, trafficClass.workNanos());
+      longestNanos = Math.max(longestNanos, trafficClass.workNanos());
     }
-    return longest;
+    return longestNanos;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
+++ b/routing/src/main/java/org/amberpath/routing/SyntheticRouteSelector.java
@@ -53,12 +53,14 @@
   Route selectPrefetch(InFlightRequest request, long nowNanos) {
     Endpoint edge = routes.selectPrefetchEdge(request, nowNanos);
     Endpoint source = routes.selectSource(request, nowNanos);
-    boolean permitted =
+    boolean isPermitted =
         isEligibleTarget(request, edge)
             && source != null
             && SegmentAdmission.isStart(request.segment)
             && slowStart.tryPrefetch(edge, request.trafficClass, nowNanos);
-    return permitted ? new Route(edge, source, limiter.isOriginSaturated(request, nowNanos)) : null;
+    return isPermitted
+        ? new Route(edge, source, limiter.mustNotFillFromOrigin(request, nowNanos))
+        : null;
   }
 
   /**
@@ -67,11 +69,11 @@
    */
   Route selectHealthCheck(InFlightRequest request, int endpointIndex, long nowNanos) {
     Endpoint endpoint = endpoints.get(endpointIndex);
-    boolean permitted =
+    boolean isPermitted =
         isEligibleTarget(request, endpoint)
             && slowStart.hasBudgetFor(endpoint, request.trafficClass, nowNanos)
             && outlierDetector.permitsHealthCheck(endpoint, nowNanos);
-    return permitted ? new Route(endpoint, null, true) : null;
+    return isPermitted ? new Route(endpoint, null, true) : null;
   }
 
   private static boolean isEligibleTarget(InFlightRequest request, Endpoint endpoint) {
--- a/routing/src/main/java/org/amberpath/routing/TrafficClass.java
+++ b/routing/src/main/java/org/amberpath/routing/TrafficClass.java
@@ -93,7 +93,7 @@
    * Counts a response by how it was produced. All counts are halved when their sum reaches the
    * maximum.
    */
-  void recordRoute(ResponseDetail detail) {
+  void recordResponse(ResponseDetail detail) {
     switch (detail) {
       case HIT, STALE -> servedFromCache++;
       case FILLED_BY_ORIGIN -> filledByOrigin++;
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
@@ -47,13 +47,13 @@
   @Test
   void saturatedOriginStopsFillsExceptOfUncacheableRequests() {
     InFlightRequest request = parts.request(5);
-    assertFalse(limiter.isOriginSaturated(request, START));
+    assertFalse(limiter.mustNotFillFromOrigin(request, START));
     limiter.originLimit().inFlight = 1000;
-    assertTrue(limiter.isOriginSaturated(request, START));
+    assertTrue(limiter.mustNotFillFromOrigin(request, START));
     request.uncacheable = true;
-    assertFalse(limiter.isOriginSaturated(request, START));
+    assertFalse(limiter.mustNotFillFromOrigin(request, START));
     request.originFailed = true;
-    assertTrue(limiter.isOriginSaturated(request, START));
+    assertTrue(limiter.mustNotFillFromOrigin(request, START));
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -21,11 +21,11 @@
     assertEquals(
         List.of(5, 6), Arrays.stream(table.parents()).map(endpoint -> endpoint.index).toList());
     assertEquals(ORIGIN, table.origin().index);
-    assertEquals(5, table.upEdges(), "of all zones");
+    assertEquals(5, table.upEdgeCount(), "of all zones");
     parts.update(4, EndpointState.DRAINING, 0);
     parts.update(ORIGIN, EndpointState.GONE, 0);
     table.rebuild();
-    assertEquals(4, table.upEdges());
+    assertEquals(4, table.upEdgeCount());
     assertNull(table.origin());
   }
 
--- a/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
@@ -20,10 +20,10 @@
   void gatewaysBeyondTheConfiguredNumberMayAllBeInTheZone() {
     share.update(5, true);
     assertEquals(3, share.gatewaysInZone());
-    assertEquals(5, share.gatewaysInAll());
+    assertEquals(5, share.gatewaysInAllZones());
     assertTrue(share.isZoneShared());
     share.update(1, true);
-    assertEquals(3, share.gatewaysInAll(), "never under the configured number");
+    assertEquals(3, share.gatewaysInAllZones(), "never under the configured number");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -21,7 +21,7 @@
     assertEquals(0.5, trafficClass.missFraction());
     assertEquals(0.5, trafficClass.originFraction());
     for (int answer = 0; answer < 400; answer++) {
-      trafficClass.recordRoute(
+      trafficClass.recordResponse(
           answer % 4 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.HIT);
     }
     assertEquals(0.25, trafficClass.missFraction(), 0.02);
