--- a/routing/src/main/java/org/amberpath/routing/AcceptLag.java
+++ b/routing/src/main/java/org/amberpath/routing/AcceptLag.java
@@ -16,13 +16,13 @@
  */
 public final class AcceptLag<K> {
   /**
-   * Most connections that the event loop accepts in one pass; a turn with fewer has emptied the
-   * queue.
+   * Maximum number of connections that the event loop accepts in one pass; a turn with fewer has
+   * emptied the queue.
    */
   private static final int MAX_ACCEPTS_PER_PASS = 16;
 
   /**
-   * Shortest time for which an accepted connection is remembered; its first bytes are read within
+   * Minimum time for which an accepted connection is remembered; its first bytes are read within
    * it.
    */
   private static final long MIN_RETENTION_NANOS = 20_000_000L;
--- a/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptDispatcher.java
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Limits the time at which a retry may be written. Guards against executing a request twice: a
-   * connection may be established only after the endpoints have discarded the idempotency key of an
-   * attempt that may have executed.
+   * Sets the latest time at which a retry may be written. Guards against executing a request twice:
+   * the connection for a retry may be established only after the endpoints have discarded the
+   * idempotency key of an attempt that may have executed.
    */
   private static void limitRetryStart(InFlightRequest request, Batch batch) {
     TrafficClass trafficClass = request.trafficClass;
--- a/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
+++ b/routing/src/main/java/org/amberpath/routing/DiscoveryFreshness.java
@@ -37,7 +37,7 @@
    *
    * @param graceNanos the shortest time within which a drain or a purge must take effect
    * @param pollsJournal whether a journal is polled; other sources push their events
-   * @param nowNanos the time at which the start began
+   * @param nowNanos the time of the start
    */
   public DiscoveryFreshness(long graceNanos, boolean pollsJournal, long nowNanos) {
     maxDelayNanos = Math.max(1, graceNanos / GRACE_DIVISOR);
--- a/routing/src/main/java/org/amberpath/routing/EventAge.java
+++ b/routing/src/main/java/org/amberpath/routing/EventAge.java
@@ -19,7 +19,7 @@
    */
   private static final long STEP_NANOS = 50_000_000L;
 
-  /** Longest time for which discovery may hold an event back and its reply may be in flight. */
+  /** Maximum time for which discovery may hold an event back and its reply may be in flight. */
   private static final long MAX_DELIVERY_NANOS = 10_000_000_000L;
 
   /** Assumed maximum age of the newest event received; shorter than the grace of any purge. */
--- a/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestDeadline.java
@@ -21,7 +21,7 @@
    * up to the lag. Half of the lag, which is the mean wait, is subtracted; of a lag above 0.2 s,
    * all but 0.1 s.
    *
-   * @param clientTimeoutNanos the client's timeout
+   * @param clientTimeoutNanos how long the client waits from the arrival of the request's last byte
    */
   public static long of(long nowNanos, long lagNanos, long clientTimeoutNanos) {
     return nowNanos
--- a/routing/src/main/java/org/amberpath/routing/SocketReads.java
+++ b/routing/src/main/java/org/amberpath/routing/SocketReads.java
@@ -20,7 +20,7 @@
   private static final long MIN_REREAD_LAG_NANOS = 25_000_000L;
 
   /**
-   * Longest time for which a connection that sends more is read again; by then all requests that a
+   * Maximum time for which a connection that sends more is read again; by then all requests that a
    * client may have open have been read.
    */
   private static final long MAX_REREAD_NANOS = 50_000_000L;
