--- a/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
+++ b/routing/src/main/java/org/amberpath/routing/AttemptRecorder.java
@@ -3,12 +3,12 @@
 import org.amberpath.routing.InFlightRequest.Purpose;
 
 /**
- * Records each attempt with everything that counts or learns: traffic classes, limits, outlier
- * detection and slow start.
+ * Records each attempt in the components that count or learn from it: traffic classes, concurrency
+ * limits, outlier detection and slow start.
  */
 final class AttemptRecorder {
-  /** A response within this part of its request's patience counts as in time. */
-  private static final double PROMPT_FRACTION = 0.75;
+  /** A response within this fraction of its request's soft timeout counts as timely. */
+  private static final double TIMELY_FRACTION = 0.75;
 
   private static final double NANOS_PER_SECOND = 1e9;
 
@@ -18,7 +18,7 @@
   private final OutlierDetector outlierDetector;
   private final SlowStart slowStart;
 
-  /** A recorder that reports to the given parts. */
+  /** Creates a recorder that updates the given components. */
   AttemptRecorder(
       EndpointTable endpoints,
       ObjectHistory history,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * An attempt is sent: it counts at its endpoint and, as far as it is likely a fill, at its
-   * source.
+   * Records that an attempt is sent: it counts as in flight at its endpoint and, weighted by the
+   * likelihood of a fill, at its source.
    */
   void recordSent(Attempt attempt, long nowNanos) {
     Endpoint endpoint = attempt.endpoint();
@@ -50,7 +50,7 @@
     }
   }
 
-  /** An attempt has ended after the given time. */
+  /** Records that an attempt has ended after the given time. */
   void recordEnded(
       Attempt attempt,
       AttemptOutcome outcome,
@@ -62,10 +62,8 @@
       case SUCCEEDED -> recordSucceeded(attempt, durationNanos, detail, batch);
       case REJECTED, NOT_CACHED, FAILED -> recordRejected(attempt, outcome, detail, batch);
       case TIMED_OUT -> recordTimedOut(attempt, batch.nowNanos());
-      case CONNECTION_LOST ->
-          attempt.endpoint()
-              .health
-              .failures++; // Guards against resets of single responses: no outage.
+      // A single failure does not eject the endpoint: the reset of one response is no outage.
+      case CONNECTION_LOST -> attempt.endpoint().health.failuresSinceResponse++;
       case CONNECT_FAILED -> outlierDetector.eject(attempt.endpoint(), batch);
       default -> {}
     }
@@ -76,18 +74,18 @@
     InFlightRequest request = attempt.request();
     TrafficClass trafficClass = request.trafficClass;
     boolean isHit = detail == ResponseDetail.HIT || detail == ResponseDetail.NONE;
-    trafficClass.recordRoute(detail);
-    recordWork(attempt, attempt.endpoint(), batch);
+    trafficClass.recordResponse(detail);
+    recordServed(attempt, attempt.endpoint(), batch);
     history.recordResponseTime(request.object, durationNanos);
     if (isHit) {
       slowStart.refund(attempt.source(), attempt.refundableWorkSeconds(), batch.nowNanos());
     } else {
-      recordWork(attempt, attempt.source(), batch);
+      recordServed(attempt, attempt.source(), batch);
     }
-    if (isHit && !request.sizeKnown) {
+    if (isHit && !request.durationKnownFromSize) {
       trafficClass.recordDuration(durationNanos);
     }
-    if (request.durationKnown) {
+    if (request.canJudgeLatency) {
       recordLatency(
           attempt,
           durationNanos,
@@ -97,7 +95,7 @@
     }
   }
 
-  private void recordWork(Attempt attempt, Endpoint endpoint, Batch batch) {
+  private void recordServed(Attempt attempt, Endpoint endpoint, Batch batch) {
     double workSeconds = attempt.request().trafficClass.workNanos() / NANOS_PER_SECOND;
     endpoint.warmUp.recordServedWork(workSeconds, batch.nowNanos());
     outlierDetector.onResponse(endpoint, attempt.sentAtNanos(), batch);
@@ -105,14 +103,14 @@
 
   private void recordLatency(
       Attempt attempt, long durationNanos, boolean isHit, boolean isFilledByOrigin, long nowNanos) {
-    boolean inTime = durationNanos <= attempt.request().patienceNanos * PROMPT_FRACTION;
+    boolean inTime = durationNanos <= attempt.request().softTimeoutNanos * TIMELY_FRACTION;
     ConcurrencyLimit limit =
         isFilledByOrigin
             ? limiter.originLimit()
             : isHit ? attempt.endpoint().limit : attempt.source().limit;
     limit.onResponse(nowNanos, inTime);
     if (inTime) {
-      limit.lastPromptSentNanos = Math.max(limit.lastPromptSentNanos, attempt.sentAtNanos());
+      limit.lastTimelySentNanos = Math.max(limit.lastTimelySentNanos, attempt.sentAtNanos());
     }
     if (!isHit && !isFilledByOrigin) {
       limiter.uplinkLimit().onResponse(nowNanos, inTime);
@@ -127,10 +125,10 @@
       outlierDetector.onResponse(attempt.endpoint(), attempt.sentAtNanos(), batch);
     }
     if (RetryPolicy.isSourceFault(detail)) {
-      attempt.request().trafficClass.recordRoute(detail);
+      attempt.request().trafficClass.recordResponse(detail);
     }
     if (detail == ResponseDetail.FILL_SOURCE_UNREACHABLE) {
-      attempt.source().health.failures++;
+      attempt.source().health.failuresSinceResponse++;
       attempt.source().limit.onResponse(nowNanos, false);
     } else if (detail == ResponseDetail.ORIGIN_FAILED || detail == ResponseDetail.FILL_REJECTED) {
       boolean isOriginFault =
@@ -142,9 +140,10 @@
   }
 
   /**
-   * A time-out cuts the limit of the source. Guards it against responses that were lost behind a
-   * silent endpoint, and against attempts sent so late that their deadline came before they could
-   * be overdue.
+   * Records a timeout at the source's limit: as a late response, or as a timely one if nothing was
+   * to be filled or the source has responded since the attempt became overdue. Guards the limit
+   * against responses that were lost behind an endpoint that does not respond. A retry that was
+   * sent so late that its deadline came before it could be overdue is not recorded.
    */
   private static void recordTimedOut(Attempt attempt, long nowNanos) {
     Endpoint source = attempt.source();
@@ -155,6 +154,6 @@
         nowNanos,
         !attempt.hasSource()
             || source.health.lastResponseNanos
-                > attempt.sentAtNanos() + attempt.request().patienceNanos);
+                > attempt.sentAtNanos() + attempt.request().softTimeoutNanos);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
+++ b/routing/src/main/java/org/amberpath/routing/ConcurrencyLimit.java
@@ -3,65 +3,66 @@
 import java.util.function.LongToDoubleFunction;
 
 /**
- * How many requests are and may be in flight at once towards one target. Guards against overload:
- * late responses cut the limit, prompt ones widen it. A limit under one request holds over time:
- * what was in flight beyond it is a debt that is paid off before the next one may be sent. Source:
- * docs/design.md, "Concurrency limits".
+ * An adaptive limit on the concurrent requests to one target. Guards against overload: late
+ * responses lower the limit, timely ones raise it. A limit below one request is enforced over time:
+ * requests in flight beyond the limit accrue a debt that must be paid off before the next one may
+ * be sent. Source: docs/design.md, "Concurrency limits".
  */
 final class ConcurrencyLimit {
   /**
-   * The priority factor of requests that are not cached; up to it, a limit under one request allows
-   * no debt at all.
+   * The priority factor of requests whose responses are not cached. Up to this factor, a limit
+   * below one request allows no debt.
    */
-  static final double UNCACHED_FACTOR = 0.8;
+  static final double UNCACHED_PRIORITY_FACTOR = 0.8;
 
   private static final double MIN_SHARE = 1e-3;
   private static final double MIN_LIMIT = 3;
   private static final double DECREASE_FACTOR = 0.8;
   private static final long DECREASE_INTERVAL_NANOS = 200_000_000L;
   private static final double SMOOTHING_SECONDS = 2;
-  private static final double REJECTION_DEBT = 1;
+  private static final double REJECTION_DEBT_REQUEST_SECONDS = 1;
   private static final double NANOS_PER_SECOND = 1e9;
 
   /**
-   * How many are in flight; a fraction where it is only likely that a request is at this target.
+   * Number of requests in flight; a fraction where a request is only likely to be at this target.
    */
   double inFlight;
 
-  /** When the limit was last cut, in nanoseconds. */
+  /** Time at which the limit was last lowered, in nanoseconds. */
   long lastDecreaseNanos;
 
-  /** When the latest request with a response in time was sent, in nanoseconds. */
-  long lastPromptSentNanos;
+  /** Send time of the latest request that has received a timely response, in nanoseconds. */
+  long lastTimelySentNanos;
 
   private final LongToDoubleFunction capacityFraction;
   private double gatewayShare;
   private double limit;
   private double smoothedInFlight;
-  private double debt;
+  private double debtRequestSeconds;
   private long advancedAtNanos;
 
   /**
-   * A limit that has yet to be given its share.
+   * Creates a limit of 0; {@link #setShare} sets the initial limit.
    *
-   * @param capacityFraction by time, the fraction of the limit that the target can serve while it
-   *     warms up, 0 to 1
+   * @param capacityFraction maps a time in nanoseconds to the fraction of the limit that the target
+   *     can serve while it warms up, 0 to 1
    */
   ConcurrencyLimit(LongToDoubleFunction capacityFraction) {
     this.capacityFraction = capacityFraction;
   }
 
-  /** How many may be in flight once the target is warm. */
+  /** Returns how many requests may be in flight once the target is warm. */
   double limit() {
     return limit;
   }
 
   /**
-   * Guards against the sum of many gateways' limits: this gateway's share follows from the list and
-   * the fleet.
+   * Sets this gateway's share of the target, and the initial limit if there is none. Guards against
+   * overload by the sum of many gateways' limits: the share follows from the endpoint list and the
+   * number of gateways in the fleet.
    *
-   * @param share this gateway's part of the target, in targets
-   * @param initialLimit where to begin, a whole target being this gateway's
+   * @param share this gateway's share, as a number of targets
+   * @param initialLimit the initial limit for a share of one target
    */
   void setShare(double share, double initialLimit) {
     gatewayShare = Math.max(share, MIN_SHARE);
@@ -69,59 +70,72 @@
   }
 
   /**
-   * A share that was revoked and is granted again starts anew; one that shrank shrinks the limit.
+   * Scales the limit down with a share that has shrunk; a share that has grown leaves the limit as
+   * it is. If the previous share was 0, resets the limit to 0, so that {@link #setShare} sets the
+   * initial limit again.
    */
-  void rescale(double fromShare, double toShare) {
-    limit = fromShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, toShare / fromShare));
+  void rescale(double previousShare, double newShare) {
+    limit =
+        previousShare == 0 ? 0 : Math.max(MIN_SHARE, limit * Math.min(1, newShare / previousShare));
   }
 
-  /** Starts anew, for a target that has restarted. */
+  /**
+   * Resets the limit to 0 for a target that has restarted, so that {@link #setShare} sets the
+   * initial limit again.
+   */
   void reset() {
     limit = 0;
   }
 
-  /** Accounts for the time that passed since the last call. */
+  /** Updates the smoothed number in flight and the debt for the time since the last call. */
   void advanceTo(long nowNanos) {
-    double passedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
+    double elapsedSeconds = (nowNanos - advancedAtNanos) / NANOS_PER_SECOND;
     advancedAtNanos = nowNanos;
     if (inFlight != 0 || smoothedInFlight != 0) {
       smoothedInFlight +=
-          (inFlight - smoothedInFlight) * passedSeconds / (passedSeconds + SMOOTHING_SECONDS);
+          (inFlight - smoothedInFlight) * elapsedSeconds / (elapsedSeconds + SMOOTHING_SECONDS);
     }
-    if (inFlight != 0 || debt != 0) { // Stays 0 for most targets, which carry nothing.
-      debt =
+    // The debt stays 0 for most targets, which have no requests.
+    if (inFlight != 0 || debtRequestSeconds != 0) {
+      debtRequestSeconds =
           Math.max(
               0,
-              debt + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * passedSeconds);
+              debtRequestSeconds
+                  + (inFlight - limit * capacityFraction.applyAsDouble(nowNanos)) * elapsedSeconds);
     }
   }
 
-  /** Whether one more may be sent, by a request that may pass the limit by the given factor. */
+  /**
+   * Whether one more request may be sent.
+   *
+   * @param priorityFactor the factor by which the request may exceed the limit
+   */
   boolean hasRoom(long nowNanos, double priorityFactor) {
     advanceTo(nowNanos);
-    double room = limit * capacityFraction.applyAsDouble(nowNanos);
-    return inFlight < room * priorityFactor
-        && (inFlight + 1 <= room * priorityFactor
-            || debt <= room * Math.max(0, priorityFactor - UNCACHED_FACTOR));
+    double warmedLimit = limit * capacityFraction.applyAsDouble(nowNanos);
+    return inFlight < warmedLimit * priorityFactor
+        && (inFlight + 1 <= warmedLimit * priorityFactor
+            || debtRequestSeconds
+                <= warmedLimit * Math.max(0, priorityFactor - UNCACHED_PRIORITY_FACTOR));
   }
 
   /**
-   * A rejection counts as one second in flight. Guards against sending the next request at once,
-   * since a quick rejection leaves the limit free.
+   * Records a rejection, which counts as a late response and as one second in flight. Guards
+   * against sending the next request at once, since a quick rejection frees the limit.
    */
   void onRejected(long nowNanos) {
     onResponse(nowNanos, false);
-    debt += REJECTION_DEBT;
+    debtRequestSeconds += REJECTION_DEBT_REQUEST_SECONDS;
   }
 
   /**
-   * A response came in time or late. A late one cuts from what is used, so that a limit that was
-   * never reached binds at once.
+   * Records a response. A late one lowers the limit, starting from what is used, so that a limit
+   * that was never reached takes effect at once.
    */
   void onResponse(long nowNanos, boolean inTime) {
     advanceTo(nowNanos);
     if (inTime) {
-      limit += debt > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
+      limit += debtRequestSeconds > 0 || 2 * inFlight >= limit ? gatewayShare / limit : 0;
     } else if (nowNanos - lastDecreaseNanos > DECREASE_INTERVAL_NANOS) {
       limit =
           Math.max(
--- a/routing/src/main/java/org/amberpath/routing/EndpointTable.java
+++ b/routing/src/main/java/org/amberpath/routing/EndpointTable.java
@@ -7,80 +7,82 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** The endpoints of the list by index, and those among them that requests of this zone can use. */
+/** The listed endpoints by index, and the subsets that requests of this zone can use. */
 final class EndpointTable {
   private final String zone;
-  private final Map<Integer, Endpoint> all = new TreeMap<>();
+  private final Map<Integer, Endpoint> endpointsByIndex = new TreeMap<>();
   private Endpoint[] zoneEdges = {};
   private Endpoint[] parents = {};
   private Endpoint origin;
-  private int upEdges;
+  private int upEdgeCount;
 
-  /** An empty table of a gateway in that zone. */
+  /** Creates an empty table for a gateway in the given zone. */
   EndpointTable(String zone) {
     this.zone = zone;
   }
 
-  /** All endpoints that are listed, in the order of their indices. */
+  /** Returns all listed endpoints, in the order of their indices. */
   Collection<Endpoint> all() {
-    return all.values();
+    return endpointsByIndex.values();
   }
 
-  /** The edge caches of this gateway's zone. */
+  /** Returns the edge caches of this gateway's zone. */
   Endpoint[] zoneEdges() {
     return zoneEdges;
   }
 
-  /** The parents of all zones. */
+  /** Returns the parents of all zones. */
   Endpoint[] parents() {
     return parents;
   }
 
-  /** The origin; null where none is listed. */
+  /** Returns the origin; null if none is listed. */
   Endpoint origin() {
     return origin;
   }
 
-  /** The endpoint of that index, or null. */
+  /** Returns the endpoint of the index; null if there is none. */
   Endpoint get(int index) {
-    return all.get(index);
+    return endpointsByIndex.get(index);
   }
 
-  /** How many edge caches of all zones were up when the last list was completed. */
-  int upEdges() {
-    return upEdges;
+  /**
+   * Returns the number of edge caches of all zones that were up when the last list was completed.
+   */
+  int upEdgeCount() {
+    return upEdgeCount;
   }
 
-  /** The endpoint of that index, created if it is not known yet. */
+  /** Returns the endpoint of the index; creates it if it is unknown. */
   Endpoint getOrAdd(int index, String id) {
-    return all.computeIfAbsent(index, missing -> new Endpoint(missing, id));
+    return endpointsByIndex.computeIfAbsent(index, missing -> new Endpoint(missing, id));
   }
 
   /**
-   * A list is complete: drops the endpoints that are gone. Guards against unbounded growth by ids
-   * that come and go.
+   * Rebuilds the subsets when a list is complete, and removes the endpoints that are gone. Guards
+   * against unbounded growth by ids that are listed and removed again.
    */
   void rebuild() {
     List<Endpoint> edges = new ArrayList<>();
-    List<Endpoint> parentsOfAll = new ArrayList<>();
+    List<Endpoint> allParents = new ArrayList<>();
     origin = null;
-    upEdges = 0;
-    for (Iterator<Endpoint> each = all.values().iterator(); each.hasNext(); ) {
-      Endpoint endpoint = each.next();
+    upEdgeCount = 0;
+    for (Iterator<Endpoint> iterator = endpointsByIndex.values().iterator(); iterator.hasNext(); ) {
+      Endpoint endpoint = iterator.next();
       if (endpoint.state == EndpointState.GONE) {
-        each.remove();
+        iterator.remove();
       } else if (endpoint.isEdge()) {
-        upEdges += endpoint.isUp() ? 1 : 0;
+        upEdgeCount += endpoint.isUp() ? 1 : 0;
         if (endpoint.zone.equals(zone)) {
           edges.add(endpoint);
         }
       } else if (endpoint.role == Endpoint.Role.PARENT) {
-        parentsOfAll.add(endpoint);
+        allParents.add(endpoint);
       } else if (origin == null) {
         origin = endpoint;
       }
     }
     zoneEdges = edges.toArray(Endpoint[]::new);
-    parents = parentsOfAll.toArray(Endpoint[]::new);
+    parents = allParents.toArray(Endpoint[]::new);
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
+++ b/routing/src/main/java/org/amberpath/routing/MergedEndpointLists.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * Merges the endpoint lists of several sources that are all authoritative, while endpoints move
- * from one to another: the most restrictive state of an endpoint holds. An endpoint that only some
- * sources list is listed as they list it; one that any source listed and then dropped is gone until
- * that source lists it anew, or no source lists it any more.
+ * Merges the endpoint lists of several authoritative discovery sources while endpoints move from
+ * one source to another: the most restrictive state of an endpoint holds. An endpoint that only
+ * some sources list is reported as they list it. One that any source listed and then removed is
+ * gone until that source lists it again, or until no source lists it any more.
  *
- * <p>Bounded by the endpoints that the sources list. All calls come on the event loop that owns the
- * gateway.
+ * <p>Memory is bounded by the endpoints that the sources list. All calls come on the event loop
+ * that owns the gateway.
  */
 public final class MergedEndpointLists {
   private final EndpointListener listener;
@@ -22,14 +22,14 @@
   private final Map<String, ListedEndpoint> reported = new HashMap<>();
   private boolean isFirstList = true;
 
-  /** A merger without sources, which reports the merged list to the listener. */
+  /** Creates a merger without sources that reports the merged list to the listener. */
   public MergedEndpointLists(EndpointListener listener) {
     this.listener = listener;
   }
 
   /**
-   * Adds a source, which reports its list to the returned listener. Where two sources agree on an
-   * endpoint's state, the rest of its description is taken from the one that was added first.
+   * Adds a source, which reports its list to the returned listener. If two sources agree on an
+   * endpoint's state, the rest of its description comes from the source that was added first.
    */
   public EndpointListener addSource() {
     Source source = new Source();
@@ -37,24 +37,24 @@
     return source;
   }
 
-  /** The most restrictive listing of an endpoint; null where no source has it. */
+  /** Returns the most restrictive description of an endpoint; null if no source has it. */
   private ListedEndpoint merge(String id) {
-    ListedEndpoint strictest = null;
+    ListedEndpoint mostRestrictive = null;
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
       if (endpoint != null
-          && (strictest == null || endpoint.state().compareTo(strictest.state()) > 0)) {
-        strictest = endpoint;
+          && (mostRestrictive == null || endpoint.state().compareTo(mostRestrictive.state()) > 0)) {
+        mostRestrictive = endpoint;
       }
     }
-    return strictest;
+    return mostRestrictive;
   }
 
   private void report(String id) {
     ListedEndpoint endpoint = merge(id);
-    ListedEndpoint before = reported.get(id);
+    ListedEndpoint previous = reported.get(id);
     boolean isGone = endpoint != null && endpoint.state() == EndpointState.GONE;
-    if (endpoint == null || endpoint.equals(before) || (isGone && before == null)) {
+    if (endpoint == null || endpoint.equals(previous) || (isGone && previous == null)) {
       return;
     }
     listener.endpointListed(endpoint);
@@ -65,8 +65,8 @@
     }
   }
 
-  /** Drops an endpoint that is gone at all sources that had it. */
-  private void removeIfGone(String id) {
+  /** Removes an endpoint from all sources once each of them lists it as gone or not at all. */
+  private void removeIfGoneEverywhere(String id) {
     for (Source source : sources) {
       ListedEndpoint endpoint = source.endpoints.get(id);
       if (endpoint != null && endpoint.state() != EndpointState.GONE) {
@@ -92,15 +92,15 @@
 
     @Override
     public void endpointListed(ListedEndpoint endpoint) {
-      ListedEndpoint before = endpoints.get(endpoint.id());
-      if (endpoint.state() == EndpointState.GONE && before == null) {
+      ListedEndpoint previous = endpoints.get(endpoint.id());
+      if (endpoint.state() == EndpointState.GONE && previous == null) {
         return;
       }
-      boolean keepsAddress = endpoint.address().isEmpty() && before != null;
+      boolean keepsAddress = endpoint.address().isEmpty() && previous != null;
       endpoints.put(
           endpoint.id(),
           keepsAddress
-              ? withAddressAndState(endpoint, before.address(), endpoint.state())
+              ? withAddressAndState(endpoint, previous.address(), endpoint.state())
               : endpoint);
       changedIds.add(endpoint.id());
     }
@@ -111,7 +111,7 @@
       isFirstList = false;
       for (String id : changedIds) {
         report(id);
-        removeIfGone(id);
+        removeIfGoneEverywhere(id);
       }
       listener.endpointListCompleted();
       changedIds.clear();
--- a/routing/src/main/java/org/amberpath/routing/RequestRouter.java
+++ b/routing/src/main/java/org/amberpath/routing/RequestRouter.java
@@ -6,27 +6,27 @@
 import java.util.TreeMap;
 
 /**
- * Decides, for one gateway, where each request is answered from, filled from and cached. {@link
- * #decide} takes a batch of all events that came in and writes the actions that follow from them,
- * in order. {@link RoutingConfig} is the configuration; there is no I/O, and the only clock is the
- * batch's time, in nanoseconds. All calls come on the event loop that owns the gateway.
+ * Decides for one gateway where each request is served from, filled from and cached. {@link
+ * #decide} receives a batch of all pending events and emits the resulting actions in order. {@link
+ * RoutingConfig} is the configuration; there is no I/O, and the only clock is the batch's time, in
+ * nanoseconds. All calls come on the event loop that owns the gateway.
  *
  * <p>The ordinary path of a request is {@link #requestReceived}: {@link SegmentAdmission} decides
- * whether its response is cached, {@link RouteSelector} where it goes, {@link AttemptDispatcher}
- * sends it. What departs from that path lies in {@link OutlierDetector}, {@link SlowStart}, {@link
- * ConcurrencyLimiter} and {@link RetryPolicy}; synthetic requests go by {@link
- * SyntheticRouteSelector}, changes of endpoints and of the fleet by {@link ClusterManager}. Source:
- * docs/design.md.
+ * whether its response is cached, {@link RouteSelector} selects its route and {@link
+ * AttemptDispatcher} sends it. Deviations from that path are decided by {@link OutlierDetector},
+ * {@link SlowStart}, {@link ConcurrencyLimiter} and {@link RetryPolicy}. Synthetic requests are
+ * routed by {@link SyntheticRouteSelector}; {@link ClusterManager} applies changes of the endpoints
+ * and of the fleet. Source: docs/design.md.
  */
 public final class RequestRouter implements RoutingEventHandler {
   private final RoutingConfig config;
   private final SplittableRandom random;
   private final TrafficClass[] trafficClasses;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final EndpointTable endpoints;
   private final ObjectHistory history = new ObjectHistory();
   private final SegmentAdmission admission = new SegmentAdmission(history);
-  private final PatienceEstimator patience;
+  private final SoftTimeoutEstimator softTimeoutEstimator;
   private final PurgeLog purges;
   private final SlowStart slowStart;
   private final OutlierDetector outlierDetector;
@@ -39,26 +39,30 @@
   private final AttemptDispatcher dispatcher;
   private final ClusterManager cluster;
 
-  /** By id: from arrival until the final answer is decided and the last attempt has ended. */
+  /**
+   * Requests by id, from their arrival until the final response is decided and the last attempt has
+   * ended.
+   */
   private final Map<Long, InFlightRequest> requests = new TreeMap<>();
 
-  /** The batch that is decided at present, and its time. */
+  /** The current batch, and its time. */
   private Batch batch;
 
   private long nowNanos;
 
-  /** A router that knows no endpoint yet. */
+  /** Creates a router without endpoints. */
   public RequestRouter(RoutingConfig config) {
     this.config = config;
     random = new SplittableRandom(config.seed());
     trafficClasses = new TrafficClass[config.trafficClassCount()];
     Arrays.setAll(trafficClasses, index -> new TrafficClass(config.trafficClass(index)));
-    share = new GatewayShare(config);
+    gatewayShare = new GatewayShare(config);
     endpoints = new EndpointTable(config.zone());
-    patience = new PatienceEstimator(history, config.transferKilobytesPerSecond());
+    softTimeoutEstimator = new SoftTimeoutEstimator(history, config.transferKilobytesPerSecond());
     purges = new PurgeLog(config.purgeRetentionNanos());
-    slowStart = new SlowStart(config, share, trafficClasses);
-    outlierDetector = new OutlierDetector(config.seed(), endpoints, share, slowStart, random);
+    slowStart = new SlowStart(config, gatewayShare, trafficClasses);
+    outlierDetector =
+        new OutlierDetector(config.seed(), endpoints, gatewayShare, slowStart, random);
     limiter = new ConcurrencyLimiter(endpoints, trafficClasses);
     retryPolicy = new RetryPolicy(config.retries());
     RendezvousSelector rendezvous =
@@ -69,68 +73,68 @@
             endpoints, routes, admission, slowStart, outlierDetector, limiter);
     recorder = new AttemptRecorder(endpoints, history, limiter, outlierDetector, slowStart);
     dispatcher = new AttemptDispatcher(config, purges, slowStart, recorder);
-    cluster = new ClusterManager(config, share, endpoints, slowStart, limiter, random);
+    cluster = new ClusterManager(config, gatewayShare, endpoints, slowStart, limiter, random);
   }
 
   /**
-   * Decides on all events of a batch, at one time in nanoseconds; the actions are written as they
-   * are decided.
+   * Decides on all events of a batch at one time, in nanoseconds, and passes each action on as soon
+   * as it is decided.
    */
-  public void decide(long time, RoutingEvents events, RoutingActions actions) {
-    nowNanos = time;
-    batch = new Batch(time, actions);
-    slowStart.beginBatch(time);
+  public void decide(long batchNanos, RoutingEvents events, RoutingActions actions) {
+    nowNanos = batchNanos;
+    batch = new Batch(batchNanos, actions);
+    slowStart.beginBatch(batchNanos);
     cluster.subscribeIfNeeded(batch);
     events.replayTo(this);
   }
 
-  // ---- Requests.
+  // ---- Requests ----
 
   /**
-   * The ordinary path of a request: note its start, decide whether it is cached, choose its route,
-   * send it.
+   * The ordinary path of a request: record its start, decide whether its response is cached, select
+   * its route and send it.
    */
   @Override
   public void requestReceived(RequestDetails details) {
-    InFlightRequest request = open(details);
+    InFlightRequest request = register(details);
     request.uncacheable = details.neverCached() || request.trafficClass.isNeverCached();
     retryBudget.deposit();
-    boolean sharedZone = share.isZoneShared();
+    boolean isZoneShared = gatewayShare.isZoneShared();
     long previousStartNanos =
-        history.observe(details.object(), details.part(), sharedZone, nowNanos);
+        history.observe(details.object(), details.part(), isZoneShared, nowNanos);
     if (!request.uncacheable) {
       request.rank =
           admission.rankOf(
-              details.object(), request.segment, previousStartNanos, sharedZone, nowNanos);
+              details.object(), request.segment, previousStartNanos, isZoneShared, nowNanos);
     }
-    if (!route(request)) {
-      giveUp(request);
+    if (!selectRouteAndSend(request)) {
+      rejectOrFail(request);
     }
   }
 
-  /** Health checks and prefetches go by routes of their own, and are never retried or hedged. */
+  /** Routes a health check or a prefetch, which is never retried or hedged. */
   @Override
   public void syntheticRequestReceived(RequestDetails details, int endpoint) {
-    InFlightRequest request = open(details);
+    InFlightRequest request = register(details);
     Route route = syntheticRoutes.select(request, endpoint, nowNanos);
     if (route == null) {
-      giveUp(request);
+      rejectOrFail(request);
     } else {
       dispatcher.send(request, route, batch);
     }
   }
 
-  private InFlightRequest open(RequestDetails details) {
+  private InFlightRequest register(RequestDetails details) {
     InFlightRequest request =
         new InFlightRequest(details, trafficClasses[details.trafficClass()], nowNanos);
     requests.put(details.id(), request);
-    patience.estimate(request, details.kilobytes());
+    softTimeoutEstimator.estimate(request, details.kilobytes());
     return request;
   }
 
-  // ---- Attempts.
+  // ---- Attempts ----
 
-  private boolean route(InFlightRequest request) {
+  private boolean selectRouteAndSend(InFlightRequest request) {
     Route route = routes.select(request, nowNanos);
     if (route != null) {
       dispatcher.send(request, route, batch);
@@ -159,48 +163,54 @@
     }
     if (result.requestFinished()) {
       finish(request);
-    } else if (!request.done && request.openAttempts == 0) {
-      retryOrGiveUp(attempt, result.outcome(), result.detail());
-    } else if (request.done && request.openAttempts == 0) {
+    } else if (!request.finished && request.openAttempts == 0) {
+      retryOrFinish(attempt, result.outcome(), result.detail());
+    } else if (request.finished && request.openAttempts == 0) {
       requests.remove(result.requestId());
     }
   }
 
   /**
-   * A retry where the request's class, its time left and the retry budget permit one; else the
-   * final answer, at once.
+   * Retries the request if its class, its time left and the retry budget permit it; otherwise sends
+   * the final response.
    */
-  private void retryOrGiveUp(Attempt last, AttemptOutcome outcome, ResponseDetail detail) {
-    InFlightRequest request = last.request();
+  private void retryOrFinish(Attempt attempt, AttemptOutcome outcome, ResponseDetail detail) {
+    InFlightRequest request = attempt.request();
     request.originFailed |= detail == ResponseDetail.ORIGIN_FAILED;
-    boolean lackedCopy = last.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
-    boolean neverSent = outcome == AttemptOutcome.WITHDRAWN;
-    if (lackedCopy || request.originFailed || neverSent) {
+    boolean isCachedOnlyMiss = attempt.cachedOnly() && outcome == AttemptOutcome.NOT_CACHED;
+    boolean isWithdrawn = outcome == AttemptOutcome.WITHDRAWN;
+    if (isCachedOnlyMiss || request.originFailed || isWithdrawn) {
       retryBudget.refund();
     } else {
       request.excludedEndpoints.add(
-          RetryPolicy.isSourceFault(detail) ? last.source() : last.endpoint());
+          RetryPolicy.isSourceFault(detail) ? attempt.source() : attempt.endpoint());
     }
-    boolean isFillHopeless = lackedCopy && !routes.canFill(request, nowNanos);
-    if (isFillHopeless || outcome == AttemptOutcome.TIMED_OUT || !retry(request)) {
-      giveUp(request);
+    boolean isUnfillableMiss = isCachedOnlyMiss && !routes.canFill(request, nowNanos);
+    if (isUnfillableMiss || outcome == AttemptOutcome.TIMED_OUT || !tryRetry(request)) {
+      rejectOrFail(request);
     }
   }
 
-  private boolean retry(InFlightRequest request) {
+  private boolean tryRetry(InFlightRequest request) {
     return retryPolicy.permitsAnother(request, nowNanos)
         && retryBudget.tryWithdraw()
-        && route(request);
+        && selectRouteAndSend(request);
   }
 
   /**
-   * The final answer of a request that gets no response: a rejection promises that nothing
-   * executed, a failure promises nothing.
+   * Sends the final response of a request without a successful attempt. A rejection tells the
+   * client that the request is safe to repeat; a failure leaves open whether it took effect.
    */
-  private void giveUp(InFlightRequest request) {
+  private void rejectOrFail(InFlightRequest request) {
     if (retryPolicy.isSafeToRepeat(request) && retryPolicy.hasTimeLeft(request, nowNanos)) {
-      long minNanos = retryPolicy.minRetryAfterNanos();
-      batch.actions().reject(request.id, minNanos == 0 ? 0 : minNanos + random.nextLong(minNanos));
+      long minRetryAfterNanos = retryPolicy.minRetryAfterNanos();
+      batch
+          .actions()
+          .reject(
+              request.id,
+              minRetryAfterNanos == 0
+                  ? 0
+                  : minRetryAfterNanos + random.nextLong(minRetryAfterNanos));
     } else {
       batch.actions().fail(request.id);
     }
@@ -208,7 +218,7 @@
   }
 
   private void finish(InFlightRequest request) {
-    request.done = true;
+    request.finished = true;
     if (config.retries().cancellation() && !request.streaming) {
       dispatcher.cancelAll(request, batch);
     }
@@ -220,12 +230,15 @@
   @Override
   public void clientDisconnected(long requestId) {
     InFlightRequest request = requests.get(requestId);
-    if (request != null && !request.done) {
+    if (request != null && !request.finished) {
       finish(request);
     }
   }
 
-  /** The sweep: counts anew what waits, ejects and readmits, and hedges what is stalled. */
+  /**
+   * Runs the periodic sweep: recomputes the fills in flight and the overdue requests, ejects
+   * outliers, updates slow start and hedges stalled requests.
+   */
   @Override
   public void timerFired(String handle) {
     dispatcher.onTimer(batch);
@@ -246,18 +259,19 @@
 
   private void hedgeIfStalled(Attempt attempt) {
     InFlightRequest request = attempt.request();
-    boolean isEndpointSilent = outlierDetector.isSilentSince(attempt);
+    boolean isEndpointUnresponsive = outlierDetector.isEndpointUnresponsive(attempt);
     boolean isStalled =
-        isEndpointSilent
-            || limiter.isOvertaken(attempt)
-            || (attempt.source().health.isEjected() && attempt.endpoint().health.overdue > 0);
+        isEndpointUnresponsive
+            || limiter.isOvertakenByLaterFills(attempt)
+            || (attempt.source().health.isEjected()
+                && attempt.endpoint().health.overdueRequests > 0);
     if (isStalled && retryPolicy.permitsHedging(attempt, nowNanos)) {
-      request.excludedEndpoints.add(isEndpointSilent ? attempt.endpoint() : attempt.source());
-      retry(request);
+      request.excludedEndpoints.add(isEndpointUnresponsive ? attempt.endpoint() : attempt.source());
+      tryRetry(request);
     }
   }
 
-  // ---- Changes of endpoints, copies and the fleet.
+  // ---- Endpoints, purges and the fleet ----
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
--- a/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
+++ b/routing/src/main/java/org/amberpath/routing/SegmentAdmission.java
@@ -1,74 +1,80 @@
 package org.amberpath.routing;
 
 /**
- * Which segments are cached, and at which rank: the rule of Wu, Yu and Wolf, "Segment-Based Proxy
- * Caching of Multimedia Streams", sections 2.2 to 2.4. First segments always are; a later one is
- * only while it is contiguous and, with a full table, has a higher caching value than the lowest in
- * it.
+ * Decides which segments are cached, and at which rank, by the rule of Wu, Yu and Wolf,
+ * "Segment-Based Proxy Caching of Multimedia Streams", sections 2.2 to 2.4. The first segments of
+ * an object are always cached. A later segment is cached only if it is contiguous with a cached one
+ * and, when the table is full, has a higher caching value than the lowest in the table.
  */
 final class SegmentAdmission {
-  /** The rank of a response that is not cached. */
+  /** Rank of a response that is not cached. */
   static final int NOT_CACHED = 0;
 
-  /** The rank of the first segments of an object that was never started before. */
+  /** Rank of the first segments of an object that was not started before. */
   static final int FIRST_START_RANK = 1;
 
-  /** The rank of all others that are cached. */
+  /** Rank of all other segments that are cached. */
   static final int STANDARD_RANK = 2;
 
-  /** Kmin of the paper: the segments before it are cached on every start. */
+  /** Kmin of the paper: segments below this one are cached on every start. */
   private static final int FIRST_SELECTIVE_SEGMENT = 3;
 
-  private static final int TABLE_SIZE = 256;
+  private static final int MAX_ROWS = 256;
 
   private final ObjectHistory history;
-  private final long[] tableObjects = new long[TABLE_SIZE];
-  private final int[] tableSegments = new int[TABLE_SIZE];
-  private int tableUsed;
+  private final long[] tableObjects = new long[MAX_ROWS];
+  private final int[] tableSegments = new int[MAX_ROWS];
+  private int usedRows;
 
-  /** An empty table over the starts that the history keeps. */
+  /** Creates an empty table that uses the starts in the history. */
   SegmentAdmission(ObjectHistory history) {
     this.history = history;
   }
 
-  /** The segment that a part lies in: 0 is part 0, segment i is parts 2^(i-1) to 2^i - 1. */
+  /**
+   * Returns the segment that contains a part: segment 0 is part 0, segment i is parts 2^(i-1) to
+   * 2^i - 1.
+   */
   static int segmentOf(int part) {
     return Integer.SIZE - Integer.numberOfLeadingZeros(part);
   }
 
-  /** Whether a segment belongs to an object's start, which is always cached. */
+  /** Whether a segment is one of an object's first segments, which are always cached. */
   static boolean isStart(int segment) {
     return segment < FIRST_SELECTIVE_SEGMENT;
   }
 
   /**
-   * The rank at which a client's segment is cached.
+   * Returns the cache rank of a segment that a client requested.
    *
-   * @param previousStartNanos as {@link ObjectHistory#observe} returned it
-   * @param sharedZone whether the segment before may have been requested through another gateway
+   * @param previousStartNanos the object's previous start as {@link ObjectHistory#observe} returned
+   *     it
+   * @param isZoneShared whether the previous segment may have been requested through another
+   *     gateway
    */
-  int rankOf(long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
+  int rankOf(
+      long object, int segment, long previousStartNanos, boolean isZoneShared, long nowNanos) {
     if (isStart(segment)) {
       return previousStartNanos == 0 ? FIRST_START_RANK : STANDARD_RANK;
     }
-    return admits(object, segment, previousStartNanos, sharedZone, nowNanos)
+    return admits(object, segment, previousStartNanos, isZoneShared, nowNanos)
         ? STANDARD_RANK
         : NOT_CACHED;
   }
 
-  /** The rank at which a prefetched first segment is cached. */
+  /** Returns the cache rank of a prefetched first segment. */
   int prefetchRankOf(long object) {
     return history.previousStartNanos(object) == 0 ? FIRST_START_RANK : STANDARD_RANK;
   }
 
   private boolean admits(
-      long object, int segment, long previousStartNanos, boolean sharedZone, long nowNanos) {
+      long object, int segment, long previousStartNanos, boolean isZoneShared, long nowNanos) {
     boolean isContiguous =
         isStart(segment - 1)
-            || (sharedZone && admits(object, segment - 1, previousStartNanos, true, nowNanos));
-    int lowest = -1;
+            || (isZoneShared && admits(object, segment - 1, previousStartNanos, true, nowNanos));
+    int lowestRow = -1;
     double lowestValue = Double.MAX_VALUE;
-    for (int i = 0; i < tableUsed; i++) {
+    for (int i = 0; i < usedRows; i++) {
       if (tableObjects[i] == object && tableSegments[i] == segment) {
         return true;
       }
@@ -77,14 +83,14 @@
           cachingValue(history.previousStartNanos(tableObjects[i]), tableSegments[i], nowNanos);
       if (value < lowestValue) {
         lowestValue = value;
-        lowest = i;
+        lowestRow = i;
       }
     }
     double value = cachingValue(previousStartNanos, segment, nowNanos);
-    if (!isContiguous || value <= 0 || (tableUsed == TABLE_SIZE && value <= lowestValue)) {
+    if (!isContiguous || value <= 0 || (usedRows == MAX_ROWS && value <= lowestValue)) {
       return false;
     }
-    putRow(tableUsed < TABLE_SIZE ? tableUsed++ : lowest, object, segment);
+    putRow(usedRows < MAX_ROWS ? usedRows++ : lowestRow, object, segment);
     return true;
   }
 
@@ -93,7 +99,10 @@
     tableSegments[row] = segment;
   }
 
-  /** 1/((T - T') * i) of the paper, with T' the previous start and i the segment. */
+  /**
+   * Returns 1/((T - T') * i) of the paper, where T' is the previous start and i the segment; 0
+   * without a previous start.
+   */
   private static double cachingValue(long previousStartNanos, int segment, long nowNanos) {
     return previousStartNanos == 0
         ? 0
--- a/routing/src/main/java/org/amberpath/routing/SlowStart.java
+++ b/routing/src/main/java/org/amberpath/routing/SlowStart.java
@@ -5,52 +5,55 @@
 import java.util.TreeMap;
 
 /**
- * Endpoints that have just started get a slice of their keys that widens, and a budget of work per
- * second: all gateways together stay within what such an endpoint can surely serve. The budget is
- * kept as a debt, since a share of less than one request must still let one through at times.
- * Source: docs/design.md, "Slow start".
+ * Limits the load on endpoints that have recently started. Such an endpoint receives a growing
+ * fraction of its keys and a budget of work per second, so that all gateways together stay within
+ * what it is certain to serve. The budget is kept as a debt, since a share of less than one request
+ * must still admit a request from time to time. Source: docs/design.md, "Slow start".
  */
 final class SlowStart {
-  /** Parts of what the endpoint can surely serve; the rest is for load that is not seen here. */
+  /**
+   * Fractions of what the endpoint is certain to serve; the rest is for load that this gateway does
+   * not see.
+   */
   private static final double KEY_FRACTION = 0.9;
 
   private static final double BUDGET_FRACTION = 0.5;
   private static final double PREFETCH_FRACTION = 0.25;
 
   /**
-   * From this part of the peers' weight on, the warm ones serve most of what one that warms up
-   * cannot.
+   * If the warm peers have at least this fraction of the peers' weight, they serve most of the
+   * requests that a peer which warms up cannot serve.
    */
   private static final double MIN_WARM_WEIGHT_FRACTION = 0.25;
 
   private static final double MIN_GATEWAY_FRACTION = 1e-9;
   private static final double MIN_PREFETCH_RATE = 1e-6;
-  private static final long UNKNOWN = Long.MIN_VALUE;
+  private static final long NOT_STARTED = Long.MIN_VALUE;
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final RoutingConfig config;
-  private final GatewayShare share;
+  private final GatewayShare gatewayShare;
   private final TrafficClass[] trafficClasses;
   private final Map<String, SlowStartProfile> profiles = new TreeMap<>();
   private boolean hasWarmEdges = true;
   private boolean hasWarmParents = true;
-  private long gatewayStartedAtNanos = UNKNOWN;
+  private long gatewayStartedAtNanos = NOT_STARTED;
 
-  /** Slow start within the configured bounds, for this gateway's share of them. */
+  /** Creates slow start with the configured bounds, for this gateway's share of them. */
   SlowStart(RoutingConfig config, GatewayShare share, TrafficClass[] trafficClasses) {
     this.config = config;
-    this.share = share;
+    this.gatewayShare = share;
     this.trafficClasses = trafficClasses;
   }
 
-  /** A batch begins; the first one counts as this gateway's own start. */
+  /** Begins a batch. The time of the first one counts as this gateway's own start. */
   void beginBatch(long nowNanos) {
-    gatewayStartedAtNanos = gatewayStartedAtNanos == UNKNOWN ? nowNanos : gatewayStartedAtNanos;
+    gatewayStartedAtNanos = gatewayStartedAtNanos == NOT_STARTED ? nowNanos : gatewayStartedAtNanos;
   }
 
   /**
-   * The profile of a kind of endpoints, created from the configuration when the kind is first
-   * listed.
+   * Returns the profile of a kind of endpoints, created from the configuration when the kind is
+   * first listed.
    */
   SlowStartProfile profileOf(String kind, Endpoint.Role role) {
     return profiles.computeIfAbsent(
@@ -58,28 +61,32 @@
         name ->
             new SlowStartProfile(
                 role == Endpoint.Role.EDGE ? config.edgeSlowStart() : config.parentSlowStart(),
-                share.fractionOf(role)));
+                gatewayShare.fractionOf(role)));
   }
 
   /**
-   * An endpoint has started; its first debt is random. Guards against all gateways sending their
-   * first request at once.
+   * Sets a random initial debt for an endpoint that has started. Guards against all gateways
+   * sending their first request at the same time.
    */
   void onStart(Endpoint endpoint, SplittableRandom random, long nowNanos) {
-    endpoint.warmUp.firstDebtFraction = random.nextDouble();
+    endpoint.warmUp.initialDebtFraction = random.nextDouble();
     endpoint.warmUp.debtAtNanos = nowNanos;
   }
 
-  /** Whether a key lies in an endpoint's slice, by its position in the shared hash, 0 to 1. */
+  /**
+   * Whether a key lies in the fraction of keys that an endpoint accepts while it warms up.
+   *
+   * @param keyPosition the key's position in the shared hash, 0 to 1
+   */
   boolean acceptsKey(Endpoint endpoint, double keyPosition, long nowNanos) {
     double capacity = endpoint.warmUp.capacityFraction(nowNanos);
     return capacity >= 1 || keyPosition < KEY_FRACTION * capacity;
   }
 
   /**
-   * Whether this gateway's share of an endpoint's budget has room for one more request. A share
-   * under one request lets one through while there is no debt, and its work becomes a debt: the sum
-   * over all gateways stays within the budget.
+   * Whether this gateway's share of an endpoint's budget has room for one more request. A share of
+   * less than one request admits one while there is no debt, and the request's work becomes a debt,
+   * so that the sum over all gateways stays within the budget.
    */
   boolean hasBudgetFor(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     if (endpoint.warmUp.isComplete(nowNanos)) {
@@ -88,44 +95,48 @@
     double workSeconds = trafficClass.workNanos() / NANOS_PER_SECOND;
     double spareSeconds = burstSeconds(endpoint, nowNanos) - workSeconds;
     return debtSeconds(endpoint, nowNanos) <= Math.max(0, spareSeconds)
-        && (spareSeconds >= 0 || isInTurn(endpoint, workSeconds, nowNanos));
+        && (spareSeconds >= 0 || mayUseCredit(endpoint, workSeconds, nowNanos));
   }
 
   /**
-   * Guards against requests of all gateways without debt at once, when demand sets in: where they
-   * would be more than the endpoint can serve, and its peers do not serve most of them, credit not
-   * used within an overload window lapses and comes back a turn later.
+   * Whether this gateway may use its credit now. Guards against requests from all gateways without
+   * debt at the same time when demand sets in: if their number exceeds what the endpoint can serve,
+   * and its peers do not serve most of the requests, credit that is not used within an overload
+   * window lapses, and is available again once the work of another request has accrued.
    */
-  private boolean isInTurn(Endpoint endpoint, double workSeconds, long nowNanos) {
+  private boolean mayUseCredit(Endpoint endpoint, double workSeconds, long nowNanos) {
     double fraction = Math.max(endpoint.warmUp.profile.gatewayFraction, MIN_GATEWAY_FRACTION);
     double maxConcurrentRequests =
         burstSeconds(endpoint, nowNanos) / BUDGET_FRACTION / workSeconds / fraction;
-    boolean areGatewaysFew =
+    boolean canServeAllGateways =
         1 / fraction <= maxConcurrentRequests + 2 * Math.sqrt(maxConcurrentRequests) + 2;
-    return areGatewaysFew
+    return canServeAllGateways
         || (endpoint.isEdge() ? hasWarmEdges : hasWarmParents)
-        || -balanceSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
+        || -netDebtSeconds(endpoint, nowNanos) % workSeconds <= burstSeconds(endpoint, nowNanos);
   }
 
-  /** Adds work that was sent, in seconds, to an endpoint's debt. */
+  /** Adds the work of a sent request, in seconds, to an endpoint's debt. */
   void charge(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0) {
       setDebt(endpoint, debtSeconds(endpoint, nowNanos) + workSeconds, nowNanos);
     }
   }
 
-  /** Subtracts work, in seconds, again: the endpoint did not have to serve it. */
+  /**
+   * Subtracts work, in seconds, that was charged to an endpoint but that the endpoint did not have
+   * to do. Credit that has accrued since is kept.
+   */
   void refund(Endpoint endpoint, double workSeconds, long nowNanos) {
     if (workSeconds > 0 && !endpoint.warmUp.isComplete(nowNanos)) {
-      double balanceSeconds = balanceSeconds(endpoint, nowNanos);
+      double netDebtSeconds = netDebtSeconds(endpoint, nowNanos);
       setDebt(
-          endpoint, Math.max(Math.min(0, balanceSeconds), balanceSeconds - workSeconds), nowNanos);
+          endpoint, Math.max(Math.min(0, netDebtSeconds), netDebtSeconds - workSeconds), nowNanos);
     }
   }
 
   /**
-   * The work that a source which is warming up is refunded, in seconds, if a warm endpoint needs no
-   * fill.
+   * Returns the work, in seconds, to refund to a fill source that is warming up if the warm
+   * endpoint of the route needs no fill; 0 for other routes.
    */
   double refundableSeconds(Route route, TrafficClass trafficClass, long nowNanos) {
     boolean isRefundable =
@@ -139,43 +150,46 @@
   private void setDebt(Endpoint endpoint, double debtSeconds, long nowNanos) {
     endpoint.warmUp.debtSeconds = endpoint.warmUp.isComplete(nowNanos) ? 0 : debtSeconds;
     endpoint.warmUp.debtAtNanos = nowNanos;
-    endpoint.warmUp.firstDebtFraction = WarmUp.NO_FRACTION;
+    endpoint.warmUp.initialDebtFraction = WarmUp.NO_INITIAL_DEBT;
   }
 
-  /** Whether an endpoint can serve one more prefetch; if so, the next one is delayed. */
+  /**
+   * Whether an endpoint can serve one more prefetch; if so, sets the earliest time of the next one.
+   */
   boolean tryPrefetch(Endpoint endpoint, TrafficClass trafficClass, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
-    if (!share.isGranted()
+    if (!gatewayShare.isGranted()
         || warmUp.isComplete(nowNanos)
         || endpoint.health.keyFraction(nowNanos) != 1
         || nowNanos < warmUp.nextPrefetchNanos) {
       return false;
     }
-    double rate =
+    double prefetchRate =
         PREFETCH_FRACTION
             / BUDGET_FRACTION
             * budget(endpoint, nowNanos)
             / warmUp.profile.gatewayFraction;
     warmUp.nextPrefetchNanos =
-        nowNanos + (long) (trafficClass.workNanos() / Math.max(MIN_PREFETCH_RATE, rate));
+        nowNanos + (long) (trafficClass.workNanos() / Math.max(MIN_PREFETCH_RATE, prefetchRate));
     return true;
   }
 
   /**
-   * Learns the throughput of each kind of endpoint from its warm peers. Guards small caches that
-   * restarted together against the budget of large ones, which return more.
+   * Learns the typical throughput of each kind of endpoints from its warm peers. Guards small
+   * caches that restarted together against the budget of large ones, which return more.
    */
   void learnThroughput(Endpoint[] peers, long nowNanos) {
     for (SlowStartProfile profile : profiles.values()) {
-      double sum = 0;
+      double throughputSum = 0;
       int warmCount = 0;
       for (Endpoint peer : peers) {
         if (peer.warmUp.profile == profile && isWarm(peer, nowNanos)) {
-          sum += peer.warmUp.throughput(nowNanos);
+          throughputSum += peer.warmUp.throughput(nowNanos);
           warmCount++;
         }
       }
-      profile.typicalThroughput = warmCount == 0 ? profile.typicalThroughput : sum / warmCount;
+      profile.typicalThroughput =
+          warmCount == 0 ? profile.typicalThroughput : throughputSum / warmCount;
       boundThroughput(profile);
     }
   }
@@ -184,14 +198,16 @@
     return peer.isUp() && peer.health.isServing(nowNanos) && peer.warmUp.isComplete(nowNanos);
   }
 
-  /** Updates which peers are warm, after a change of the list and in each sweep. */
+  /**
+   * Updates whether enough peers are warm, after a change of the endpoint list and in each sweep.
+   */
   void updateWarmPeers(EndpointTable endpoints, long nowNanos) {
-    hasWarmEdges = areEnoughWarm(endpoints.zoneEdges(), nowNanos);
-    hasWarmParents = areEnoughWarm(endpoints.parents(), nowNanos);
+    hasWarmEdges = hasEnoughWarmWeight(endpoints.zoneEdges(), nowNanos);
+    hasWarmParents = hasEnoughWarmWeight(endpoints.parents(), nowNanos);
   }
 
-  /** Whether enough of the peers are warm to keep their requests away from those that warm up. */
-  private static boolean areEnoughWarm(Endpoint[] peers, long nowNanos) {
+  /** Whether enough of the peers are warm to serve the requests that peers which warm up cannot. */
+  private static boolean hasEnoughWarmWeight(Endpoint[] peers, long nowNanos) {
     double totalWeight = 0;
     double warmWeight = 0;
     for (Endpoint peer : peers) {
@@ -201,20 +217,20 @@
     return warmWeight >= MIN_WARM_WEIGHT_FRACTION * totalWeight;
   }
 
-  /** This gateway's share has changed. */
+  /** Updates an endpoint's profile after a change of this gateway's share. */
   void onShareChange(Endpoint endpoint) {
-    endpoint.warmUp.profile.gatewayFraction = share.fractionOf(endpoint.role);
+    endpoint.warmUp.profile.gatewayFraction = gatewayShare.fractionOf(endpoint.role);
     boundThroughput(endpoint.warmUp.profile);
   }
 
   private void boundThroughput(SlowStartProfile profile) {
     profile.typicalThroughput =
-        share.isGranted() ? Math.max(profile.gatewayFraction, profile.typicalThroughput) : 0;
+        gatewayShare.isGranted() ? Math.max(profile.gatewayFraction, profile.typicalThroughput) : 0;
   }
 
   /**
-   * Work per second that this gateway may send: by the size where that is listed, else by the
-   * typical throughput of warm peers.
+   * Returns the work per second that this gateway may send to an endpoint: derived from the
+   * endpoint's size where weights are sizes, else from the typical throughput of warm peers.
    */
   private double budget(Endpoint endpoint, long atNanos) {
     SlowStartProfile profile = endpoint.warmUp.profile;
@@ -228,49 +244,54 @@
         * warmThroughput;
   }
 
-  /** Work that this gateway may send in an overload window, in seconds. */
+  /** Returns the work that this gateway may send in one overload window, in seconds. */
   private double burstSeconds(Endpoint endpoint, long atNanos) {
     return budget(endpoint, atNanos) * config.overloadWindowNanos() / NANOS_PER_SECOND;
   }
 
   /**
-   * The debt for the work sent, in seconds: it is paid off at a rate that rises with the capacity.
+   * Returns the debt for the work sent, in seconds. It is paid off at a rate that rises with the
+   * endpoint's capacity.
    */
   private double debtSeconds(Endpoint endpoint, long nowNanos) {
-    return Math.max(0, balanceSeconds(endpoint, nowNanos));
+    return Math.max(0, netDebtSeconds(endpoint, nowNanos));
   }
 
-  /** The same, and below 0 for how long there has been no debt. */
-  private double balanceSeconds(Endpoint endpoint, long nowNanos) {
+  /**
+   * Returns the debt minus the credit, in seconds: below 0 while there has been no debt, by the
+   * work that the budget would have covered since.
+   */
+  private double netDebtSeconds(Endpoint endpoint, long nowNanos) {
     WarmUp warmUp = endpoint.warmUp;
-    double paidSeconds =
+    double repaidSeconds =
         (budget(endpoint, warmUp.debtAtNanos) + budget(endpoint, nowNanos))
             / 2
             * (nowNanos - warmUp.debtAtNanos)
             / NANOS_PER_SECOND;
-    boolean isFirst = warmUp.firstDebtFraction >= 0;
-    return (isFirst ? firstDebtSeconds(endpoint) : warmUp.debtSeconds) - paidSeconds;
+    boolean isInitialDebt = warmUp.initialDebtFraction >= 0;
+    return (isInitialDebt ? initialDebtSeconds(endpoint) : warmUp.debtSeconds) - repaidSeconds;
   }
 
   /**
-   * Random, so that not all gateways send their first request at once, and by the work as it is
-   * known now. A gateway that started after the endpoint has no credit: its predecessor may have
-   * spent all of it.
+   * Returns the debt of an endpoint that has not been sent a request, in seconds, for the work per
+   * request as it is known now. The debt is random, so that gateways do not all send their first
+   * request at the same time. A gateway that started after the endpoint has no credit, since its
+   * predecessor may have used it up.
    */
-  private double firstDebtSeconds(Endpoint endpoint) {
+  private double initialDebtSeconds(Endpoint endpoint) {
     WarmUp warmUp = endpoint.warmUp;
     double longestWorkSeconds = longestWorkNanos() / NANOS_PER_SECOND;
     double burstSeconds = burstSeconds(endpoint, warmUp.debtAtNanos);
-    boolean isEndpointOlder = warmUp.startedAtNanos < gatewayStartedAtNanos;
-    return warmUp.firstDebtFraction * longestWorkSeconds
-        + (isEndpointOlder ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
+    boolean isOlderThanGateway = warmUp.startedAtNanos < gatewayStartedAtNanos;
+    return warmUp.initialDebtFraction * longestWorkSeconds
+        + (isOlderThanGateway ? Math.max(0, burstSeconds - longestWorkSeconds) : -burstSeconds);
   }
 
   private long longestWorkNanos() {
-    long longest = 0;
+    long longestNanos = 0;
     for (TrafficClass trafficClass : trafficClasses) {
-      longest = Math.max(longest, trafficClass.workNanos());
+      longestNanos = Math.max(longestNanos, trafficClass.workNanos());
     }
-    return longest;
+    return longestNanos;
   }
 }
--- a/routing/src/main/java/org/amberpath/routing/PatienceEstimator.java
+++ b/routing/src/main/java/org/amberpath/routing/SoftTimeoutEstimator.java
@@ -1,24 +1,30 @@
 package org.amberpath.routing;
 
 /**
- * How long a response may take before its attempt counts as overdue: by the object's size, else by
- * earlier responses.
+ * Estimates a request's soft timeout, after which an attempt without a response is overdue: from
+ * the object's size or, if the size is unknown, from earlier responses.
  */
-final class PatienceEstimator {
+final class SoftTimeoutEstimator {
   private static final double NANOS_PER_SECOND = 1e9;
 
   private final ObjectHistory history;
   private final double kilobytesPerSecond;
 
-  /** An estimator for transfers at that rate; 0 where the rate is not known. */
-  PatienceEstimator(ObjectHistory history, double kilobytesPerSecond) {
+  /**
+   * Creates an estimator.
+   *
+   * @param kilobytesPerSecond the transfer rate; 0 if it is unknown
+   */
+  SoftTimeoutEstimator(ObjectHistory history, double kilobytesPerSecond) {
     this.history = history;
     this.kilobytesPerSecond = kilobytesPerSecond;
   }
 
   /**
-   * Sets a request's patience; its class learns the duration where that follows from the size (0:
-   * not known).
+   * Sets a request's soft timeout. If the duration follows from the size, the request's class
+   * records it.
+   *
+   * @param kilobytes size of the response; 0 if it is unknown
    */
   void estimate(InFlightRequest request, double kilobytes) {
     TrafficClass trafficClass = request.trafficClass;
@@ -28,14 +34,14 @@
             : 0;
     long workNanos =
         transferNanos > 0 ? transferNanos : history.shortestResponseNanos(request.object);
-    request.sizeKnown = transferNanos > 0;
-    request.durationKnown = workNanos > 0;
-    request.patienceNanos =
+    request.durationKnownFromSize = transferNanos > 0;
+    request.canJudgeLatency = workNanos > 0;
+    request.softTimeoutNanos =
         trafficClass.latencyObjectiveNanos()
             + (long)
                 (trafficClass.latencyStretch()
-                    * (request.durationKnown ? workNanos : trafficClass.workNanos()));
-    if (request.sizeKnown) {
+                    * (request.canJudgeLatency ? workNanos : trafficClass.workNanos()));
+    if (request.durationKnownFromSize) {
       trafficClass.recordDuration(transferNanos);
     }
   }
