--- a/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
+++ b/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
@@ -5,18 +5,29 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Anti-entropy: exchanges the list of members both ways, a page at a time, so that what gossip
- * missed is mended. A list goes on where the last page ended, with whoever is asked next; it is
- * continued at once while no whole list was heard or the views differ. While they agree, one page
- * each {@value #SYNC_PERIODS} periods is enough.
+ * Anti-entropy by push-pull synchronization: exchanges the member list with other members in both
+ * directions, one page per message, so that a member also receives updates that gossip did not
+ * deliver to it.
+ *
+ * <p>The cursor is the name at which the last received page ended. The next request continues from
+ * the cursor, whichever member receives it. The next page is requested immediately while this
+ * process has not received a complete member list or while its digest of present members differs
+ * from the sender's. Once the list is complete and the digests agree, one page is requested about
+ * every {@value #SYNC_PERIODS} probe intervals.
  */
 final class AntiEntropySync {
   private static final int SYNC_PERIODS = 8;
 
-  /** One request in so many goes to a seed, so that islands that never met find one another. */
+  /**
+   * On average one of this many requests goes to a seed, so that groups of members that have never
+   * exchanged a message discover one another.
+   */
   private static final int SEED_ONE_IN = 4;
 
-  /** How many requests go to seeds for each request of one member, by a large fleet in all. */
+  /**
+   * In a large fleet, the number of requests that all members together send to seeds in the time in
+   * which one member sends one request.
+   */
   private static final int SEED_REQUESTERS = 8;
 
   private final SwimContext context;
@@ -25,10 +36,10 @@
   private boolean viewsDiffer;
   private long requestNumber;
 
-  /** The name after which the list goes on. */
+  /** The member name after which the next page begins; empty for the beginning of the list. */
   private Optional<String> cursor = Optional.empty();
 
-  /** Whether all pages since the list's beginning came from members that had a whole list. */
+  /** Whether every page since the beginning of the list came from a fully synced member. */
   private boolean pagesFromSynced = true;
 
   AntiEntropySync(SwimContext context, List<String> seeds, long nowNanos) {
@@ -37,14 +48,20 @@
     nextSyncNanos = nowNanos;
   }
 
-  /** The first other member became known. */
+  /**
+   * Called when the first other member is added to the table: requests a page at the next tick,
+   * unless this process is already fully synced.
+   */
   void firstContact(long nowNanos) {
     if (!context.local().isFullySynced()) {
       nextSyncNanos = nowNanos;
     }
   }
 
-  /** After a standstill: the list is too old and is asked for anew. */
+  /**
+   * Called after this process was paused: marks its member list as outdated and requests it again
+   * from the beginning.
+   */
   void restart(long nowNanos) {
     context.local().listOutdated();
     cursor = Optional.empty();
@@ -52,12 +69,12 @@
     nextSyncNanos = nowNanos;
   }
 
-  /** Compares another's digest of those that are present with the own one. */
+  /** Compares the sender's digest of present members with the local digest. */
   void compare(GossipMessage message) {
     viewsDiffer = message.presentDigest() != context.table().presentDigest();
   }
 
-  /** Answers a request with the page that it asks for. */
+  /** Sends the requested page of the member list to the sender of the request. */
   void answer(GossipMessage request) {
     context
         .sender()
@@ -68,7 +85,10 @@
             Optional.ofNullable(request.subject()));
   }
 
-  /** Takes a page; one that was not asked for, or was asked for before, is ignored. */
+  /**
+   * Processes a received page. A page is ignored unless it answers the latest request and begins at
+   * the cursor.
+   */
   void pageReceived(GossipMessage page, long nowNanos) {
     if (page.probeNumber() != requestNumber
         || !Optional.ofNullable(page.subject()).equals(cursor)) {
@@ -81,7 +101,9 @@
         context.sender().sendPage(page.sender(), Kind.SYNC, requestNumber, cursor);
       }
     } else {
-      // Guards against a list from a member that has just started, unless all have.
+      // Guards against an incomplete list: a member that has just started sends the few members it
+      // knows. Its list is accepted only once the join timeout has passed, when the complete fleet
+      // may have just started.
       if (pagesFromSynced || context.local().joinTimeoutPassed(nowNanos)) {
         context.local().fullListHeard();
       }
@@ -90,7 +112,7 @@
     }
   }
 
-  /** Asks for the next page if it is time. */
+  /** Requests the next page from a random present member or a seed when the sync is due. */
   void syncIfDue(long nowNanos) {
     if (nowNanos < nextSyncNanos) {
       return;
@@ -100,7 +122,7 @@
     long intervalNanos = synced && !viewsDiffer ? SYNC_PERIODS * periodNanos : periodNanos;
     nextSyncNanos = nowNanos + intervalNanos / 2 + context.random().nextLong(intervalNanos);
     Optional<MemberEntry> member = context.table().any(context.random(), MemberEntry::isPresent);
-    // Guards the seeds of a large fleet.
+    // Guards the seeds of a large fleet against a request rate that grows with the fleet's size.
     int seedOneIn =
         synced
             ? Math.max(SEED_ONE_IN, context.table().countedNames() / SEED_REQUESTERS)
--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -8,29 +8,40 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Probes one member a period: directly, and if no answer comes in time, by way of {@value #HELPERS}
- * other members. A member that answers neither way is suspected. Does the same on behalf of others.
+ * The SWIM failure detector. Probes one member per probe interval with a ping. If the ping is not
+ * acknowledged within the probe timeout, asks up to {@value #HELPERS} other members to probe the
+ * target (SWIM's ping-req). A target that acknowledges neither the direct nor an indirect probe is
+ * suspected. Also relays probes that other members request.
  *
- * <p>Bounds: one own probe at a time, {@value #MAX_RELAYED} for others.
+ * <p>Bounds: one probe of its own at a time, {@value #MAX_RELAYED} relayed probes.
  */
 final class FailureDetector {
   private static final int HELPERS = 3;
   private static final int MAX_RELAYED = 64;
 
-  /** A probe fails after so many answer timeouts, the first of them for the direct way. */
+  /**
+   * A probe fails after this many probe timeouts: one for the direct probe, the others for the
+   * indirect probes.
+   */
   private static final int FAILED_AFTER_TIMEOUTS = 3;
 
-  /** How far the own probe is. */
+  /** The state of this process's own probe. */
   private enum State {
-    /** No probe runs. */
+    /** No probe is in progress. */
     IDLE,
-    /** The member itself was sent a ping. */
+    /** A ping was sent to the target; its acknowledgement is awaited. */
     DIRECT,
-    /** The direct answer is late; other members were asked for help. */
+    /** The direct probe timed out; other members were asked to probe the target. */
     INDIRECT
   }
 
-  /** A probe for another member: who asked, under which number, and until when it may answer. */
+  /**
+   * A probe that this process sends on behalf of another member.
+   *
+   * @param requester the member that asked for the probe and receives its result
+   * @param requestNumber the requester's probe number, which the answer repeats
+   * @param deadlineNanos when the requester is sent a {@link Kind#NACK} unless the target answered
+   */
   private record Relayed(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
 
   private final SwimContext context;
@@ -38,7 +49,7 @@
   private final ProbeOrder order;
   private final UpdateMerger merger;
 
-  /** Probes for others, by this process's own request number. */
+  /** Relayed probes, by the probe number of this process's ping to the target. */
   private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
 
   private long nextProbeNanos;
@@ -47,7 +58,10 @@
   private long requestNumber;
   private long sentAtNanos;
 
-  /** How many of the members that were asked for help have not said that they got no answer. */
+  /**
+   * How many members that were asked for an indirect probe have not yet reported with a {@link
+   * Kind#NACK} that the target did not answer them.
+   */
   private int silentHelpers;
 
   FailureDetector(
@@ -63,7 +77,10 @@
     nextProbeNanos = firstProbeNanos;
   }
 
-  /** Takes the answer to an own probe or to one for another member. */
+  /**
+   * Processes an acknowledgement: ends this process's own probe, or forwards the acknowledgement to
+   * the member that requested a relayed probe.
+   */
   void ackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
       enter(State.IDLE);
@@ -75,14 +92,20 @@
     }
   }
 
-  /** Takes a helper's message that it got no answer: the way to the helper works. */
+  /**
+   * Processes a report that an indirect probe was not answered. The report shows that this process
+   * still receives datagrams from the reporting member.
+   */
   void nackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
       silentHelpers = Math.max(0, silentHelpers - 1);
     }
   }
 
-  /** Probes a member on another's behalf. */
+  /**
+   * Probes the requested member on behalf of the requester. The request is ignored if that member
+   * is unknown or {@value #MAX_RELAYED} relayed probes are in progress.
+   */
   void relay(MemberEntry requester, GossipMessage request, long nowNanos) {
     Optional<MemberEntry> asked = context.table().find(request.subject());
     if (asked.isPresent() && relayed.size() < MAX_RELAYED) {
@@ -93,13 +116,19 @@
     }
   }
 
-  /** After a standstill: what was not heard proves nothing. */
+  /**
+   * Called after this process was paused: cancels all probes, because a paused process could not
+   * receive their answers.
+   */
   void reset() {
     enter(State.IDLE);
     relayed.clear();
   }
 
-  /** Goes on with the own probe if its time is over, and ends those for others. */
+  /**
+   * Advances this process's own probe when its timeout has passed, and reports expired relayed
+   * probes to their requesters with a {@link Kind#NACK}.
+   */
   void checkTimeouts(long nowNanos) {
     checkOwnProbe(nowNanos);
     for (Relayed late : takeLate(nowNanos)) {
@@ -107,7 +136,7 @@
     }
   }
 
-  /** Probes the next member if it is time and no probe runs. */
+  /** Probes the next member in the probe order when a probe is due and none is in progress. */
   void probeIfDue(long nowNanos) {
     if (state != State.IDLE || nowNanos < nextProbeNanos) {
       return;
@@ -126,7 +155,7 @@
             });
   }
 
-  /** The one place where the state changes: a probe goes from direct to indirect, and ends. */
+  /** Changes the state; the only method that does. A probe becomes indirect only from direct. */
   private void enter(State next) {
     if (next == State.INDIRECT && state != State.DIRECT) {
       throw new IllegalStateException(state + " to " + next);
@@ -149,7 +178,7 @@
     } else if (state == State.INDIRECT && waitedNanos >= FAILED_AFTER_TIMEOUTS * timeoutNanos) {
       enter(State.IDLE);
       if (silentHelpers > 0) {
-        localHealth.worsen(); // It may be this process that hears nothing.
+        localHealth.worsen(); // A missing NACK suggests that this process receives no datagrams.
       }
       merger.declare(target, MemberStatus.SUSPECTED, nowNanos);
     }
--- a/membership/src/main/java/org/amberpath/membership/GossipQueue.java
+++ b/membership/src/main/java/org/amberpath/membership/GossipQueue.java
@@ -7,12 +7,13 @@
 import java.util.Optional;
 
 /**
- * The updates that are still to be spread, piggybacked on other messages: first the one about the
- * receiver itself, so that a suspected member hears of it at once (Lifeguard's buddy system), then
- * those that were sent least often.
+ * The queue of updates that are still to be disseminated by piggybacking on other messages. A
+ * receiver that is not alive is first sent the update about itself, so that a suspected member
+ * learns of the suspicion immediately (Lifeguard's buddy system). The other updates follow in the
+ * order of how often they were sent, the least sent first.
  *
- * <p>Bounds: one update a member; each is sent as often as {@value #SPREAD_FACTOR} times the
- * doublings that make up the fleet's size, then dropped.
+ * <p>Bounds: one update per member. An update is sent {@value #SPREAD_FACTOR} times the bit length
+ * of the number of counted members (about its binary logarithm), then dropped.
  */
 final class GossipQueue {
   private static final int SPREAD_FACTOR = 3;
@@ -21,7 +22,7 @@
   private final LocalMember local;
   private final int maxUpdates;
 
-  /** How often the newest update of each member was sent. */
+  /** How often the current update about each member was sent, by the member's name. */
   private final Map<String, Integer> sentCounts = new LinkedHashMap<>();
 
   GossipQueue(MembershipTable table, LocalMember local, int maxUpdates) {
@@ -30,12 +31,12 @@
     this.maxUpdates = maxUpdates;
   }
 
-  /** The update of this member is new: it is spread from the beginning. */
+  /** Queues the current update about a member; an update that is already queued starts over. */
   void enqueue(String name) {
     sentCounts.put(name, 0);
   }
 
-  /** What goes along with a message to this member. */
+  /** Selects the updates to piggyback on a message to this member, and counts them as sent. */
   List<MemberUpdate> updatesFor(MemberEntry receiver) {
     List<MemberUpdate> updates = new ArrayList<>();
     if (receiver.status() != MemberStatus.ALIVE) {
--- a/membership/src/main/java/org/amberpath/membership/LocalHealth.java
+++ b/membership/src/main/java/org/amberpath/membership/LocalHealth.java
@@ -1,9 +1,11 @@
 package org.amberpath.membership;
 
 /**
- * The local health multiplier of Lifeguard: how far this process has reason to doubt itself. It
- * rises when this process is accused, hears from nobody that it asked, or stood still, and falls
- * with each answered probe. A doubtful process waits longer before it accuses another.
+ * The local health multiplier of Lifeguard. The score estimates how likely it is that this process,
+ * and not the member it probes, is slow or unreachable. The score rises when another member
+ * suspects this process, when members that were asked for an indirect probe do not reply, and when
+ * this process was paused. It falls with each acknowledged probe. A higher score lengthens this
+ * process's probe timeouts, so that it suspects other members later.
  *
  * <p>Bounds: the score is 0 to {@value #MAX_SCORE}.
  */
@@ -20,12 +22,15 @@
     score = Math.min(MAX_SCORE, score + 1);
   }
 
-  /** After a standstill: what was not heard proves nothing. */
+  /**
+   * Sets the highest score after this process was paused, because messages that it did not receive
+   * during the pause say nothing about their senders.
+   */
   void worsenToMaximum() {
     score = MAX_SCORE;
   }
 
-  /** A timeout, lengthened by the score. */
+  /** Returns the timeout multiplied by one more than the score. */
   long scale(long timeoutNanos) {
     return timeoutNanos * (1 + score);
   }
--- a/membership/src/main/java/org/amberpath/membership/LocalMember.java
+++ b/membership/src/main/java/org/amberpath/membership/LocalMember.java
@@ -1,8 +1,8 @@
 package org.amberpath.membership;
 
 /**
- * What this process says of itself: its own update, whose incarnation rises with each refutation,
- * and whether it has heard a whole list of members.
+ * The state of the local member: its own update, whose incarnation rises with each refutation, and
+ * whether this process has received a complete member list.
  */
 final class LocalMember {
   private static final int JOIN_TIMEOUT_PERIODS = 8;
@@ -34,32 +34,35 @@
     return update.incarnation();
   }
 
-  /** Whether so long has passed since the start that nobody else is expected to answer. */
+  /**
+   * Whether more than {@value #JOIN_TIMEOUT_PERIODS} probe intervals have passed since the start,
+   * after which a process that has received no answer assumes that no other member is reachable.
+   */
   boolean joinTimeoutPassed(long nowNanos) {
     return nowNanos - startedAtNanos > joinTimeoutNanos;
   }
 
-  /** Whether this process has heard a whole list of members since it started or stood still. */
+  /** Whether this process has received a complete member list since its start or last pause. */
   boolean isFullySynced() {
     return fullySynced;
   }
 
-  /** A whole list was heard. */
+  /** Records that a complete member list was received. */
   void fullListHeard() {
     fullySynced = true;
   }
 
-  /** What was heard is too old to rely on. */
+  /** Records that the member list received so far is outdated. */
   void listOutdated() {
     fullySynced = false;
   }
 
-  /** Takes a higher incarnation, alive. */
+  /** Sets a higher incarnation and the status {@link MemberStatus#ALIVE}. */
   void raiseIncarnation(long incarnation) {
     update = with(incarnation, MemberStatus.ALIVE);
   }
 
-  /** From now on this process says that it left. */
+  /** Sets the status {@link MemberStatus#LEFT}, which all later messages carry. */
   void leave() {
     update = with(update.incarnation(), MemberStatus.LEFT);
   }
--- a/membership/src/main/java/org/amberpath/membership/MemberEntry.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberEntry.java
@@ -3,27 +3,30 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** What is held of one other member. */
+/** The table entry of one other member. */
 final class MemberEntry {
   /** The update that takes precedence over all others about this member. */
   MemberUpdate update;
 
-  /** When the status changed last, in nanoseconds of this process's clock. */
+  /** When the status last changed, in nanoseconds of this process's clock. */
   long changedAtNanos;
 
-  /** The digest of counted names that this member sent last. */
+  /** The digest of counted names in the last message received from this member. */
   long reportedNamesDigest;
 
-  /** When the suspicion ends, in nanoseconds; meaningful while the member is suspected. */
+  /**
+   * When the suspicion expires, in nanoseconds of this process's clock; meaningful only while the
+   * member is suspected.
+   */
   long suspicionDeadlineNanos;
 
-  /** Who reports this member as suspected under its present incarnation. */
+  /** The names of the members that reported this member as suspected in its current incarnation. */
   final Set<String> reporters = new HashSet<>();
 
-  /** How many of this member's requests were answered in the present period. */
+  /** Counts the responses to this member's requests in the current probe interval. */
   final ResponseRateLimiter.Window responses = new ResponseRateLimiter.Window();
 
-  /** The part that this name has in digests. */
+  /** The hash of this member's name, which is its summand in digests. */
   final long nameHash;
 
   MemberEntry(MemberUpdate update) {
@@ -35,7 +38,7 @@
     return update.status();
   }
 
-  /** Whether this member is alive, or suspected and not yet lost. */
+  /** Whether this member is alive or suspected. */
   boolean isPresent() {
     return status() == MemberStatus.ALIVE || status() == MemberStatus.SUSPECTED;
   }
--- a/membership/src/main/java/org/amberpath/membership/MemberPage.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberPage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A part of the list of members.
+ * One page of the member list.
  *
- * @param updates what is held of each, ordered by name
- * @param hasMore whether the list goes on after it
+ * @param updates the current update about each member of the page, ordered by name
+ * @param hasMore whether the list continues after this page
  */
 record MemberPage(List<MemberUpdate> updates, boolean hasMore) {}
--- a/membership/src/main/java/org/amberpath/membership/MemberStatus.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberStatus.java
@@ -1,16 +1,16 @@
 package org.amberpath.membership;
 
 /**
- * The status of a member. Of two updates under one incarnation, the one with the later status takes
- * precedence. The order is also the form on the wire.
+ * The status of a member. Of two updates with the same incarnation, the one whose status is
+ * declared later takes precedence. The ordinals are written to the wire.
  */
 public enum MemberStatus {
-  /** It answers, or nobody has accused it. */
+  /** The member answers probes, or no other member suspects it. */
   ALIVE,
-  /** A probe of it failed; it is still present, and may refute the suspicion. */
+  /** A probe of the member failed; it still counts as present and may refute the suspicion. */
   SUSPECTED,
-  /** It did not refute a suspicion in time. It is still counted, and may come back. */
+  /** The member did not refute a suspicion in time; it is still counted and may come back. */
   LOST,
-  /** It left in order, or an operator said that it is not coming back. */
+  /** The member announced that it leaves, or an operator reported that it will not come back. */
   LEFT
 }
--- a/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberUpdate.java
@@ -1,14 +1,16 @@
 package org.amberpath.membership;
 
 /**
- * What one member says of another, or of itself.
+ * A statement about the state of one member, made by another member or by the member itself.
  *
- * @param name the member's name, the same after a restart
- * @param address where its datagrams go
+ * @param name the member's name, which stays the same after a restart
+ * @param address the address to which datagrams for the member are sent
  * @param incarnation rises with each start and each refutation; only the member itself raises it
- * @param instanceId drawn at random by each process: tells two processes under one name apart
- * @param status as the reporter sees it
- * @param reporter who said so first; accusers of a suspected member are counted by it
+ * @param instanceId a random number that each process draws at its start; distinguishes two
+ *     processes with the same name
+ * @param status the member's status as the reporter sees it
+ * @param reporter the name of the member that made the statement; the number of different reporters
+ *     of a suspicion determines how long it lasts
  */
 public record MemberUpdate(
     String name,
@@ -18,8 +20,8 @@
     MemberStatus status,
     String reporter) {
   /**
-   * Whether this update takes precedence over another of the same member: by a higher incarnation,
-   * under the same incarnation by a later {@link MemberStatus}.
+   * Whether this update takes precedence over another update about the same member: it has the
+   * higher incarnation, or the same incarnation and a later {@link MemberStatus}.
    */
   boolean supersedes(MemberUpdate other) {
     return incarnation > other.incarnation
--- a/membership/src/main/java/org/amberpath/membership/MembershipTable.java
+++ b/membership/src/main/java/org/amberpath/membership/MembershipTable.java
@@ -11,22 +11,26 @@
 import java.util.function.Predicate;
 
 /**
- * All other members that this process knows, by name, and how many of them are present and counted.
- * An update replaces the one that is held if it takes precedence by incarnation, and under the same
- * incarnation by status ({@link MemberUpdate#supersedes}).
+ * The table of all other members that this process knows, ordered by name, with the number of
+ * present and of counted members. Counted members are those among which fleet-wide limits are
+ * divided. {@link UpdateMerger} replaces the update of an entry by one that takes precedence
+ * ({@link MemberUpdate#supersedes}).
  *
- * <p>Bounds: {@value #MAX_MEMBERS} members. A member that left is counted for {@value
- * #COUNTED_AFTER_LEAVE_PERIODS} periods more and remembered for {@value #REMEMBERED_PERIODS}.
+ * <p>Bounds: {@value #MAX_MEMBERS} members. After a member left, it is counted for another {@value
+ * #COUNTED_AFTER_LEAVE_PERIODS} probe intervals and removed after {@value #REMEMBERED_PERIODS}.
  */
 final class MembershipTable {
   private static final int MAX_MEMBERS = 2000;
 
-  /** Long enough that the leave has reached all, so that no late update brings the name back. */
+  /**
+   * How many probe intervals the entry of a member that left is kept: long enough for the leave to
+   * reach all members, so that no delayed update adds the name again.
+   */
   private static final int REMEMBERED_PERIODS = 240;
 
   /**
-   * Guards against a false update by which another left: for so long it is counted on, and can
-   * refute the update.
+   * How many probe intervals a member is still counted after its leave. Guards against a false
+   * update that reports a running member as left: the member has this time to refute the update.
    */
   private static final int COUNTED_AFTER_LEAVE_PERIODS = 24;
 
@@ -52,12 +56,12 @@
     return Optional.ofNullable(entries.get(name));
   }
 
-  /** All entries, ordered by name. */
+  /** Returns a live view of all entries, ordered by name. */
   Collection<MemberEntry> all() {
     return entries.values();
   }
 
-  /** The page of the list that begins after a name, or at its beginning. */
+  /** Returns the page of the member list that begins after a name, or the first page. */
   MemberPage page(Optional<String> after) {
     Collection<MemberEntry> rest = entries.tailMap(after.orElse(""), false).values();
     List<MemberUpdate> updates =
@@ -69,24 +73,24 @@
     return entries.isEmpty();
   }
 
-  /** Whether another name may be added. */
+  /** Whether the table has room for another member. */
   boolean hasRoom() {
     return entries.size() < MAX_MEMBERS;
   }
 
-  /** Adds a member that was not known before. */
+  /** Adds an entry for a member that is not in the table. */
   MemberEntry add(MemberUpdate update) {
     MemberEntry entry = new MemberEntry(update);
     entries.put(update.name(), entry);
     return entry;
   }
 
-  /** Whether this very entry is still held. */
+  /** Whether the table still contains this entry, and not another one for the same name. */
   boolean holds(MemberEntry entry) {
     return entries.get(entry.update.name()) == entry;
   }
 
-  /** One of the entries that match, each as likely; draws no random number if none does. */
+  /** Returns a uniformly random matching entry; draws no random number if no entry matches. */
   Optional<MemberEntry> any(SplittableRandom random, Predicate<MemberEntry> matches) {
     List<MemberEntry> matching = entries.values().stream().filter(matches).toList();
     return matching.isEmpty()
@@ -94,7 +98,7 @@
         : Optional.of(matching.get(random.nextInt(matching.size())));
   }
 
-  /** The names of all that are present, this process's own among them, in their order. */
+  /** Returns the names of all present members including this process, sorted. */
   List<String> presentNames() {
     List<String> names = new ArrayList<>(List.of(ownName));
     entries.values().stream()
@@ -105,8 +109,10 @@
   }
 
   /**
-   * Removes members that left long ago; whether there were any. Guards memory against names that
-   * come and go for ever.
+   * Removes members that left more than {@value #REMEMBERED_PERIODS} probe intervals ago. Guards
+   * against unbounded growth of the table when members with new names keep joining and leaving.
+   *
+   * @return whether any member was removed
    */
   boolean removeLeft(long nowNanos) {
     return entries
@@ -117,13 +123,19 @@
                     && nowNanos - entry.changedAtNanos > REMEMBERED_PERIODS * periodNanos);
   }
 
-  /** Whether a member counts in the division of shared limits: all do but those that left. */
+  /**
+   * Whether a member is counted when fleet-wide limits are divided. All members are, except those
+   * that left at least {@value #COUNTED_AFTER_LEAVE_PERIODS} probe intervals ago.
+   */
   boolean isCounted(MemberEntry entry, long nowNanos) {
     return entry.status() != MemberStatus.LEFT
         || nowNanos - entry.changedAtNanos < COUNTED_AFTER_LEAVE_PERIODS * periodNanos;
   }
 
-  /** Counts anew; to be called when a status has changed, and as time passes. */
+  /**
+   * Recomputes the counts and digests. Must be called after a status change and regularly, because
+   * members that left cease to be counted as time passes.
+   */
   void recount(long nowNanos) {
     countedNames = 1;
     presentMembers = 1;
@@ -141,22 +153,22 @@
     }
   }
 
-  /** How many names count, this process's own among them. */
+  /** Returns the number of counted members including this process. */
   int countedNames() {
     return countedNames;
   }
 
-  /** How many members are present, this process among them. */
+  /** Returns the number of present members including this process. */
   int presentMembers() {
     return presentMembers;
   }
 
-  /** A digest of the names that count. */
+  /** Returns the digest of the names of counted members including this process. */
   long namesDigest() {
     return namesDigest;
   }
 
-  /** A digest of the names of those that are present. */
+  /** Returns the digest of the names of present members including this process. */
   long presentDigest() {
     return presentDigest;
   }
--- a/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
+++ b/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
@@ -5,8 +5,9 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Takes a message: merges what it says of its sender and the gossip that it carries, then answers
- * it by its kind, within the bounds of {@link ResponseRateLimiter}.
+ * Dispatches a received message: merges the sender's update about itself and the piggybacked
+ * updates, then passes the message to the handler of its kind. Requests are answered within the
+ * bounds of {@link ResponseRateLimiter}.
  */
 final class MessageDispatcher {
   private final SwimContext context;
@@ -31,7 +32,11 @@
     this.responses = responses;
   }
 
-  /** Takes a message; whether its sender is a known member then. */
+  /**
+   * Processes a message.
+   *
+   * @return whether its sender is in the member table afterwards
+   */
   boolean receive(GossipMessage message, long nowNanos) {
     MemberUpdate sender = message.sender();
     if (sender.name().equals(context.local().name())) {
@@ -44,7 +49,7 @@
     message.updates().forEach(update -> merger.merge(update, nowNanos));
     Optional<MemberEntry> known = context.table().find(sender.name());
     if (known.isEmpty()) {
-      return false; // The table is full, or the sender's clock is far ahead.
+      return false; // The table is full, or the sender's incarnation is too far in the future.
     }
     MemberEntry entry = known.get();
     if (first) {
@@ -54,8 +59,8 @@
     antiEntropy.compare(message);
     boolean handled = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
     if (entry.update.instanceId() != sender.instanceId() && responses.tryAcquire(entry, nowNanos)) {
-      // Guards against a start that nobody believes, since its clock went back: it is sent what is
-      // held of it.
+      // Guards against a restarted member that all others ignore because its clock went back and
+      // its incarnation is lower than before: it is sent its table entry, which it supersedes.
       context.sender().send(sender, Kind.NACK, 0, List.of(entry.update));
     }
     if (handled) {
--- a/membership/src/main/java/org/amberpath/membership/MessageSender.java
+++ b/membership/src/main/java/org/amberpath/membership/MessageSender.java
@@ -5,8 +5,8 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Fills in what each message says of its sender, and gives out sequence numbers and request
- * numbers.
+ * Builds and sends messages: adds the local member's update, digests and sync state to each, and
+ * allocates sequence numbers and probe numbers.
  */
 final class MessageSender {
   private final LocalMember local;
@@ -21,27 +21,30 @@
     this.out = out;
   }
 
-  /** The next sequence number: each datagram of this process has its own. */
+  /** Allocates the sequence number of the next datagram of this process. */
   long nextSequenceNumber() {
     return ++lastSequenceNumber;
   }
 
-  /** The number of the next request, by which its answer is recognised. */
+  /** Allocates the probe number of the next request, which its answer repeats. */
   long nextProbeNumber() {
     return ++lastProbeNumber;
   }
 
-  /** Sends a message that carries nothing but updates. */
+  /** Sends a message that carries only updates. */
   void send(MemberUpdate to, Kind kind, long requestNumber, List<MemberUpdate> updates) {
     send(to, kind, requestNumber, Optional.empty(), new MemberPage(updates, false));
   }
 
-  /** Asks a member to probe another on this process's behalf. */
+  /** Asks a member to probe the target on behalf of this process. */
   void sendIndirectProbe(MemberUpdate to, long requestNumber, String target) {
     send(to, Kind.ASK, requestNumber, Optional.of(target), new MemberPage(List.of(), false));
   }
 
-  /** Sends the page of the list of members that begins after a name, in a request or an answer. */
+  /**
+   * Sends the page of the member list that begins after a name, in a {@link Kind#SYNC} request or a
+   * {@link Kind#PAGE} answer.
+   */
   void sendPage(MemberUpdate to, Kind kind, long requestNumber, Optional<String> after) {
     send(to, kind, requestNumber, after, table.page(after));
   }
--- a/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
@@ -6,10 +6,10 @@
 import java.util.Set;
 
 /**
- * Reports another process that uses this process's name to operators, once for each such process.
- * One is recognised by a message of its own, or by updates about it that rise above this process's
- * incarnation {@value #RISES} times: a process that has ended doesn't rise above what outlived it,
- * except for what is still on its way.
+ * Detects other processes that use this process's name, and reports each of them once. A conflict
+ * is detected by a message from the other process, or by {@value #RISES} updates about the other
+ * process that supersede this process's own update. A single such update proves no conflict: it may
+ * be a delayed update about an earlier process with this name that has ended.
  *
  * <p>Bounds: {@value #MAX_CONFLICTS} processes.
  */
@@ -20,10 +20,10 @@
   private final LocalMember local;
   private final SwimProtocol.Output out;
 
-  /** The instance ids of the processes that were reported. */
+  /** The instance ids of the reported processes. */
   private final Set<Long> reported = new HashSet<>();
 
-  /** How often each other process under this name rose above this one, by its instance id. */
+  /** How many updates about each other process superseded the local update, by instance id. */
   private final Map<Long, Integer> riseCounts = new HashMap<>();
 
   NameConflictDetector(LocalMember local, SwimProtocol.Output out) {
@@ -31,12 +31,12 @@
     this.out = out;
   }
 
-  /** Whether any conflict was reported. */
+  /** Whether any conflict has been reported. */
   boolean anyReported() {
     return !reported.isEmpty();
   }
 
-  /** A message came from a process under this name; it may be one of this process itself. */
+  /** Reports the process unless it is this process itself or was already reported. */
   void messageUnderOwnName(MemberUpdate from) {
     if (from.instanceId() != local.instanceId()
         && reported.size() < MAX_CONFLICTS
@@ -45,7 +45,7 @@
     }
   }
 
-  /** An update about another process under this name takes precedence over this process. */
+  /** Counts an update about another process with this name that supersedes the local update. */
   void roseAbove(MemberUpdate other) {
     boolean known = riseCounts.containsKey(other.instanceId());
     if ((known || riseCounts.size() < MAX_CONFLICTS)
--- a/membership/src/main/java/org/amberpath/membership/NameDigest.java
+++ b/membership/src/main/java/org/amberpath/membership/NameDigest.java
@@ -1,9 +1,9 @@
 package org.amberpath.membership;
 
 /**
- * Digests of sets of names: the sum of a 64-bit hash of each name, so that the order doesn't
- * matter. Members compare digests in place of whole lists. The hash is part of the wire form: all
- * members must compute the same one.
+ * The hash from which digests of sets of names are made. A digest is the sum of the 64-bit hashes
+ * of the names and does not depend on their order. Members compare digests instead of complete
+ * lists. Digests are sent between members, so all members must compute the same hash.
  */
 final class NameDigest {
   private static final long SEED = 0x9e3779b97f4a7c15L;
--- a/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
+++ b/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
@@ -5,13 +5,16 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Tries to reach, at a bounded rate, members that are lost and seed addresses at which nobody is
- * known, so that a partition that has healed is noticed from both sides.
+ * Reconnects a partitioned fleet: at a bounded rate, contacts lost members and seed addresses at
+ * which no present member is known, so that both sides detect when a network partition has ended.
  */
 final class PartitionHealer {
   private static final int INTERVAL_PERIODS = 3;
 
-  /** How many members of the fleet ask an empty seed address in each interval. */
+  /**
+   * How many members of the fleet, on average, contact a seed address without a present member in
+   * each interval.
+   */
   private static final int SEED_REQUESTERS = 8;
 
   private final SwimContext context;
@@ -26,7 +29,10 @@
     nextTryNanos = nowNanos + intervalNanos;
   }
 
-  /** Tries one lost member and one empty seed address if it is time. */
+  /**
+   * When an attempt is due, contacts a random lost member and, with a probability that falls with
+   * the fleet's size, one seed address at which no present member is known.
+   */
   void tryIfDue(long nowNanos) {
     if (nowNanos < nextTryNanos) {
       return;
@@ -51,8 +57,8 @@
   }
 
   /**
-   * Guards against a member that starts at a seed address while all other seeds are down: it can be
-   * found only by those that know its address.
+   * Guards against a member that stays isolated because it started at a seed address while all
+   * other seeds were down: only members that know the seed address can discover it.
    */
   private void askEmptySeed() {
     List<String> empty = seeds.stream().filter(seed -> !anyPresentAt(seed)).toList();
--- a/membership/src/main/java/org/amberpath/membership/PhaseTracker.java
+++ b/membership/src/main/java/org/amberpath/membership/PhaseTracker.java
@@ -2,7 +2,7 @@
 
 import org.amberpath.membership.SwimProtocol.Phase;
 
-/** The phase of this member's view of the fleet as a whole. */
+/** Tracks the phase of this member's view of the fleet, and reports each phase change. */
 final class PhaseTracker {
   private static final int SETTLED_AFTER_PERIODS = 4;
 
@@ -30,12 +30,12 @@
     return phase;
   }
 
-  /** A status has changed, or may have while this process stood still. */
+  /** Records that a status has changed, or may have changed while this process was paused. */
   void membershipChanged(long nowNanos) {
     changedAtNanos = nowNanos;
   }
 
-  /** Enters the phase that fits what is known now. */
+  /** Enters the phase that follows from the current table and suspicions. */
   void update(SuspicionTimers suspicions, long nowNanos) {
     int present = table.presentMembers();
     int counted = table.countedNames();
@@ -53,7 +53,7 @@
     }
   }
 
-  /** This process leaves; no phase follows. */
+  /** Enters {@link Phase#LEAVING}, the final phase; {@link #update} must not be called again. */
   void leave() {
     enter(Phase.LEAVING);
   }
--- a/membership/src/main/java/org/amberpath/membership/ProbeOrder.java
+++ b/membership/src/main/java/org/amberpath/membership/ProbeOrder.java
@@ -6,9 +6,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The order in which members are probed: each in turn, in a random order that is drawn anew after
- * each round, and a new member at a random place. As in SWIM, this bounds the time until a crash is
- * detected.
+ * The order in which members are probed: round-robin over a random permutation, which is shuffled
+ * again after each round. A new member is inserted at a random position. As in SWIM, the
+ * round-robin order bounds the time until a crash is detected.
  */
 final class ProbeOrder {
   private final SplittableRandom random;
@@ -23,13 +23,13 @@
     order.add(random.nextInt(order.size() + 1), entry);
   }
 
-  /** Drops members that the table has removed. */
+  /** Removes entries that are no longer in the table. */
   void retain(MembershipTable table) {
     order.removeIf(entry -> !table.holds(entry));
     position = Math.min(position, order.size());
   }
 
-  /** The next member that is present; empty if there is none. */
+  /** Returns the next present member and advances the order; empty if no member is present. */
   Optional<MemberEntry> next() {
     for (int tried = 0; tried < order.size(); tried++) {
       if (position >= order.size()) {
--- a/membership/src/main/java/org/amberpath/membership/QuotaAdmission.java
+++ b/membership/src/main/java/org/amberpath/membership/QuotaAdmission.java
@@ -1,8 +1,9 @@
 package org.amberpath.membership;
 
 /**
- * This member's share of what the whole fleet may use. docs/design/fleet-view.md has the proof that
- * the shares of all running members never sum to more than one.
+ * Computes this member's share of the limits that apply to the complete fleet, and decides whether
+ * a member beyond the configured maximum is admitted to a share. docs/design/fleet-view.md has the
+ * proof that the shares of all running members never sum to more than one.
  */
 final class QuotaAdmission {
   private final SwimContext context;
@@ -13,7 +14,8 @@
   }
 
   /**
-   * Admits this member for good once each counted member has said that it counts the same names.
+   * Admits this member permanently once the last message of every counted member carried the same
+   * digest of counted names as the local one.
    */
   void update(long nowNanos) {
     MembershipTable table = context.table();
@@ -28,12 +30,15 @@
     }
   }
 
-  /** By how many shared limits are divided; a loss never lowers it. */
+  /**
+   * Returns the number by which fleet-wide limits are divided: the configured maximum or the number
+   * of counted members, whichever is larger. A lost member remains counted.
+   */
   int divisor() {
     return Math.max(context.timings().maxMembers(), context.table().countedNames());
   }
 
-  /** This member's share, 0 to 1. */
+  /** Returns this member's share of fleet-wide limits: 0, or 1 divided by the divisor. */
   double share(SwimProtocol.Phase phase) {
     boolean withinMaximum = context.table().countedNames() <= context.timings().maxMembers();
     boolean heard = context.local().isFullySynced() || phase == SwimProtocol.Phase.ALONE;
--- a/membership/src/main/java/org/amberpath/membership/Refutation.java
+++ b/membership/src/main/java/org/amberpath/membership/Refutation.java
@@ -1,10 +1,12 @@
 package org.amberpath.membership;
 
 /**
- * Answers updates about this process itself. A suspicion, a loss or a leave is refuted by a higher
- * incarnation. What is remembered of an older process under this name is outlived likewise; while
- * another process under this name runs, refutations are spaced out, so that the two don't drive up
- * one another's incarnation.
+ * Refutes updates about this process. An update that reports this process as suspected, lost or
+ * left is refuted by a higher incarnation, and so is an update about an earlier process with the
+ * same name that supersedes the local update. Once a name conflict was reported, refutations of
+ * updates about other processes are limited to one per {@value #MIN_INTERVAL_PERIODS} probe
+ * intervals, so that two running processes with the same name do not keep raising each other's
+ * incarnation.
  */
 final class Refutation {
   private static final int MIN_INTERVAL_PERIODS = 3;
@@ -29,7 +31,7 @@
     minIntervalNanos = MIN_INTERVAL_PERIODS * periodNanos;
   }
 
-  /** Takes an update about this process's name. */
+  /** Processes an update about this process's name, and refutes it if necessary. */
   void updateAboutSelf(MemberUpdate update, long nowNanos) {
     if (update.instanceId() != local.instanceId()) {
       updateAboutOtherProcess(update, nowNanos);
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 
 /**
- * Decides which datagrams reach a {@link SwimProtocol}: none that was recorded before, none meant
- * for another process or for one that ran here before, and not more than a bounded number, in all
- * and of each sender.
+ * Filters the verified datagrams before they reach a {@link SwimProtocol}: rejects replayed
+ * datagrams and datagrams addressed to another process, and limits the rate of datagrams, in total
+ * and per sender.
  *
- * <p>A datagram is believed if it names this process's instance id, which is drawn at random at its
- * start: what was sent to an older process, also before the whole fleet was restarted, is worth
- * nothing now. One that names no instance id or another is greeted, so that its sender learns of
- * this one. Of those that are believed each sequence number counts once, as in the anti-replay
- * window of RFC 4303.
+ * <p>A datagram is accepted only if it is addressed to this process's instance id, which is drawn
+ * at random when the process starts. Datagrams that were recorded before a restart, even a restart
+ * of the complete fleet, are therefore rejected. The sender of a datagram with another or no
+ * instance id is sent a greeting, from which it learns the current instance id. Each sequence
+ * number of a sender is accepted once, as in the anti-replay window of RFC 4303.
  *
- * <p>Bounds: {@value #MAX_SENDERS} senders, those heard last. Times are nanoseconds of the
- * gateway's own clock. For one thread.
+ * <p>Bounds: {@value #MAX_SENDERS} senders, of which the least recently received is evicted. Times
+ * are nanoseconds of the gateway's own clock. Not thread-safe.
  */
 public final class ReplayFilter {
-  /** What becomes of a datagram. */
+  /** The decision on one datagram. */
   public enum Verdict {
-    /** It is believed. */
+    /** The datagram is accepted. */
     TAKEN,
-    /** It is for another process; its sender may be told of this one. */
+    /** The datagram is addressed to another process; its sender may be sent a greeting. */
     GREETED,
-    /** It came before, or is so old that it may have. */
+    /** The sequence number was received before, or is older than the anti-replay window. */
     REPEATED,
-    /** Its sender, or senders that are greeted, sent too many in this period. */
+    /** The rate limit of the sender, or of greetings, is exceeded in this probe interval. */
     TOO_MANY
   }
 
@@ -49,11 +49,11 @@
   private int examined;
   private int greeted;
 
-  /** What was received of one process. */
+  /** The anti-replay window and the datagram count of one sending process. */
   private static final class Sender {
     private long highestSequenceNumber;
 
-    /** Bit n is set where the n-th number below the highest was received. */
+    /** Bit n is set if the sequence number that is n below the highest was received. */
     private long receivedWindow;
 
     private long periodStartNanos;
@@ -61,10 +61,11 @@
   }
 
   /**
-   * A filter that has seen nothing.
+   * Creates a filter that has received no datagrams.
    *
-   * @param ownInstanceId that of this process
-   * @param periodNanos for which the bounds hold
+   * @param ownInstanceId the instance id of this process
+   * @param periodNanos the length of the window of the rate limits, in nanoseconds
+   * @param nowNanos the current time, at which the first window begins
    */
   public ReplayFilter(long ownInstanceId, long periodNanos, long nowNanos) {
     this.ownInstanceId = ownInstanceId;
@@ -73,8 +74,9 @@
   }
 
   /**
-   * Whether one more datagram may be examined; to be called before anything of it is checked.
-   * Bounds what strangers cost.
+   * Counts a received datagram, and returns whether it may be decoded and verified. Must be called
+   * before any other check of the datagram. Bounds the cost of datagrams from senders without a
+   * valid key.
    */
   public boolean tryExamine(long nowNanos) {
     if (nowNanos - periodStartNanos > periodNanos) {
@@ -85,7 +87,7 @@
     return ++examined <= MAX_EXAMINED_PER_PERIOD;
   }
 
-  /** What becomes of a message whose signature was verified. */
+  /** Decides on a message whose signature was verified. */
   public Verdict check(long nowNanos, GossipMessage message) {
     return check(
         nowNanos,
@@ -94,7 +96,7 @@
         message.sequenceNumber());
   }
 
-  /** The same of any datagram that names its sender, its recipient and its sequence number. */
+  /** Decides on a verified datagram by its sender, recipient and sequence number. */
   public Verdict check(
       long nowNanos, long senderInstanceId, long recipientInstanceId, long sequenceNumber) {
     if (recipientInstanceId != ownInstanceId) {
@@ -111,7 +113,7 @@
     return isNew(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPEATED;
   }
 
-  /** Whether this number was not received before; marks it as received. */
+  /** Marks a sequence number as received, and returns whether it is new within the window. */
   private static boolean isNew(Sender sender, long sequenceNumber) {
     long ahead = sequenceNumber - sender.highestSequenceNumber;
     if (sequenceNumber > sender.highestSequenceNumber) {
--- a/membership/src/main/java/org/amberpath/membership/ResponseRateLimiter.java
+++ b/membership/src/main/java/org/amberpath/membership/ResponseRateLimiter.java
@@ -1,16 +1,17 @@
 package org.amberpath.membership;
 
 /**
- * Bounds the answers a period, to all members and to each. Guards against floods of requests.
+ * Limits the number of responses per probe interval, in total and per member. Guards against floods
+ * of requests, which would otherwise be answered one for one.
  *
- * <p>Bounds: {@value #MAX_PER_PERIOD} answers a period, {@value #MAX_PER_MEMBER} of them to one
- * member.
+ * <p>Bounds: {@value #MAX_PER_PERIOD} responses per probe interval, {@value #MAX_PER_MEMBER} of
+ * them to one member.
  */
 final class ResponseRateLimiter {
   private static final int MAX_PER_PERIOD = 40;
   private static final int MAX_PER_MEMBER = 8;
 
-  /** What was answered since the present period began. */
+  /** A fixed window that counts responses since its start. */
   static final class Window {
     private long startNanos;
     private int count;
@@ -31,12 +32,12 @@
     total.startNanos = nowNanos;
   }
 
-  /** Begins a new period for all members if the last one is over. */
+  /** Begins a new window of the total limit if the current one has ended. */
   void advance(long nowNanos) {
     total.advance(nowNanos, periodNanos);
   }
 
-  /** Takes one answer to this member, if it may have one. */
+  /** Counts one response to this member, and returns whether the limits permit it. */
   boolean tryAcquire(MemberEntry requester, long nowNanos) {
     requester.responses.advance(nowNanos, periodNanos);
     return ++requester.responses.count <= MAX_PER_MEMBER && ++total.count <= MAX_PER_PERIOD;
--- a/membership/src/main/java/org/amberpath/membership/Seeds.java
+++ b/membership/src/main/java/org/amberpath/membership/Seeds.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Seed addresses, of which only the address is known. */
+/** Selects seeds as message receivers; of a seed, only the address is known. */
 final class Seeds {
   private Seeds() {}
 
-  /** One of these addresses, each as likely, as the receiver of a message. */
+  /** Returns a uniformly random address, wrapped as the receiver of a message. */
   static MemberUpdate anyOf(List<String> addresses, SplittableRandom random) {
     String address = addresses.get(random.nextInt(addresses.size()));
     return new MemberUpdate("", address, 0, 0, MemberStatus.ALIVE, "");
--- a/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
+++ b/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * How long a suspicion lasts before the suspected member is lost. As in Lifeguard, it begins long
- * and shortens with each further reporter; it grows with the logarithm of the fleet's size, so that
- * the suspected member has time to hear of it and refute it.
+ * The timers that determine how long a member is suspected before it is declared lost. As in
+ * Lifeguard, a suspicion starts with the maximum duration and is shortened by each further
+ * reporter. The duration grows with the logarithm of the fleet's size, so that the suspected member
+ * has time to receive the suspicion and refute it.
  *
- * <p>Bounds: {@value #MIN_PERIODS} to {@value #MAX_PERIODS} periods for ten members; reporters past
- * {@value #CONFIRMING_REPORTERS} change nothing.
+ * <p>Bounds: {@value #MIN_PERIODS} to {@value #MAX_PERIODS} probe intervals in fleets of up to ten
+ * members. More than {@value #CONFIRMING_REPORTERS} reporters do not shorten the suspicion further.
  */
 final class SuspicionTimers {
   private static final int MIN_PERIODS = 4;
@@ -23,15 +24,18 @@
     this.periodNanos = periodNanos;
   }
 
-  /** Begins the suspicion of a member that has just become suspected. */
+  /** Starts the timer of a member that has just become suspected. */
   void start(MemberEntry entry, long nowNanos) {
     entry.reporters.add(entry.update.reporter());
     entry.suspicionDeadlineNanos = nowNanos + durationNanos(entry.reporters.size());
   }
 
   /**
-   * Takes another report of a member that is suspected already; whether it shortened the suspicion.
-   * Guards against late detection of a crash.
+   * Processes another report about a suspected member, and shortens the suspicion if a new reporter
+   * confirms it. Guards against a crash that is detected only after the maximum duration although
+   * several members have noticed it.
+   *
+   * @return whether the report was a new confirmation
    */
   boolean confirm(MemberEntry entry, MemberUpdate report) {
     boolean confirmed =
@@ -48,12 +52,12 @@
     return confirmed;
   }
 
-  /** Whether any member is suspected. */
+  /** Whether any member is currently suspected. */
   boolean anyRunning() {
     return table.all().stream().anyMatch(entry -> entry.status() == MemberStatus.SUSPECTED);
   }
 
-  /** The members whose suspicion has ended without a refutation, ordered by name. */
+  /** Returns the members whose suspicion has expired without a refutation, ordered by name. */
   List<MemberEntry> expired(long nowNanos) {
     return table.all().stream()
         .filter(
@@ -63,7 +67,7 @@
         .toList();
   }
 
-  /** Puts off all suspicions by the time for which this process stood still. */
+  /** Postpones the expiry of all suspicions by the time for which this process was paused. */
   void postpone(long nanos) {
     table.all().forEach(entry -> entry.suspicionDeadlineNanos += nanos);
   }
--- a/membership/src/main/java/org/amberpath/membership/SwimContext.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimContext.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What the parts of one {@link SwimProtocol} share. */
+/** The objects that the components of one {@link SwimProtocol} share. */
 record SwimContext(
     SwimTimings timings,
     SplittableRandom random,
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -7,69 +7,81 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * One gateway's view of its fleet by the SWIM protocol: told messages and the time, it answers with
- * messages and with changes of who is a member. The entry to this package: {@link #messageReceived}
- * takes a message and {@link #tick} the passing of time.
+ * The state machine of one gateway's membership in its fleet by the SWIM protocol, and the entry
+ * point of this package. {@link #messageReceived} processes a message of another member, and {@link
+ * #tick} the passing of time; both send messages and report membership changes to an {@link
+ * Output}.
  *
  * <p>Direct and indirect probes ({@link FailureDetector}), suspicion and its refutation by a higher
- * incarnation ({@link SuspicionTimers}, {@link Refutation}), and gossip that rides on other
- * messages ({@link GossipQueue}) are those of SWIM (Das, Gupta, Motivala 2002). From Lifeguard
- * (Dadgar, Phillips, Currey 2017) come a member's doubt in its own health ({@link LocalHealth}),
- * suspicions that shorten as others confirm them, and that a suspected member hears of it first.
- * Anti-entropy ({@link AntiEntropySync}) mends what gossip missed.
+ * incarnation ({@link SuspicionTimers}, {@link Refutation}), and gossip that is piggybacked on
+ * other messages ({@link GossipQueue}) follow SWIM (Das, Gupta, Motivala 2002). Three extensions
+ * come from Lifeguard (Dadgar, Phillips, Currey 2017): the local health multiplier ({@link
+ * LocalHealth}), suspicions that are shortened as other members confirm them, and messages to a
+ * suspected member that carry its suspicion first. Anti-entropy ({@link AntiEntropySync}) delivers
+ * updates that gossip did not.
  *
- * <p>{@link #quotaShare} is this gateway's part of limits that the whole fleet shares;
- * docs/design/fleet-view.md has the proof that the shares of all running gateways never sum to more
- * than one.
+ * <p>{@link #quotaShare} is this gateway's share of fleet-wide limits; docs/design/fleet-view.md
+ * has the proof that the shares of all running gateways never sum to more than one.
  *
- * <p>Pure: no I/O, no clock, no threads of its own; for one thread. Times are nanoseconds of this
- * gateway's own clock, which must not go back. Bounds are those of the parts; no method throws for
- * any message that {@code DatagramCodec} lets through.
+ * <p>Performs no I/O, reads no clock and starts no threads; not thread-safe. Times are nanoseconds
+ * of this gateway's own clock, which must not go back. Memory and message rates are bounded by the
+ * components. No method throws for any message that {@code DatagramCodec} accepts.
  */
 public final class SwimProtocol {
-  /** The view as a whole. */
+  /** The phase of this gateway's view of the fleet. */
   public enum Phase {
-    /** Nobody has answered yet. */
+    /** No other member is counted yet. */
     JOINING,
-    /** Nobody answered for eight periods: this gateway serves as if it had no fleet. */
+    /**
+     * No other member is counted, and more than eight probe intervals have passed since the start:
+     * this gateway serves as if it had no fleet.
+     */
     ALONE,
-    /** Something has changed or is suspected, or no whole list was heard yet. */
+    /**
+     * A status changed within the last four probe intervals, a member is suspected, or no complete
+     * member list has been received yet.
+     */
     SETTLING,
-    /** Nothing has changed for four periods. */
+    /**
+     * A complete member list has been received, no member is suspected, and no status has changed
+     * for four probe intervals.
+     */
     SETTLED,
-    /** Half of the counted members, or more, are not present. */
+    /** At least half of the counted members are not present. */
     CUT_OFF,
-    /** This gateway was told to stop. */
+    /** This gateway is leaving its fleet. */
     LEAVING
   }
 
-  /** Where messages and changes go; called within the methods of {@link SwimProtocol}. */
+  /**
+   * Receives messages to send and change events; called from the methods of {@link SwimProtocol}.
+   */
   public interface Output {
-    /** Sends a message; it may be lost. */
+    /** Sends a message to an address; delivery is not guaranteed. */
     void send(String address, GossipMessage message);
 
-    /** Another member has a new status. */
+    /** Reports the new status of another member. */
     void memberStatusChanged(String name, MemberStatus status);
 
-    /** The view has entered another phase. */
+    /** Reports a phase change of this gateway's view. */
     void phaseChanged(Phase from, Phase to);
 
-    /** Another process uses this gateway's name: called once for each such process. */
+    /** Reports another process that uses this gateway's name; called once per such process. */
     void nameConflictDetected(String address);
   }
 
   /**
-   * What is held of another member.
+   * The current state of another member.
    *
-   * @param update the update that takes precedence over all others about it
-   * @param sinceNanos when its status changed last, in nanoseconds
+   * @param update the update that takes precedence over all others about the member
+   * @param sinceNanos when the member's status last changed, in nanoseconds of this gateway's clock
    */
   public record ObservedMember(MemberUpdate update, long sinceNanos) {}
 
-  /** After so many periods without a tick this process stood still. */
+  /** After more than this many probe intervals without a tick, this process was paused. */
   private static final int STANDSTILL_PERIODS = 3;
 
-  /** So many members are sent the leave directly; gossip brings it to the others. */
+  /** The most members that are sent the leave directly; the others receive it by gossip. */
   private static final int LEAVE_MESSAGES = 6;
 
   private final SwimTimings timings;
@@ -90,15 +102,16 @@
   private long tickedAtNanos;
 
   /**
-   * A view that knows of nobody.
+   * Creates a protocol instance that knows no other members.
    *
-   * @param timings what the operators set; the same in the whole fleet
-   * @param self this process: its incarnation is above that of its starts before, as far as its
-   *     clock can tell
-   * @param seeds addresses of which any may answer; its own is passed over
-   * @param seed of the random numbers; another in each process
-   * @param nowNanos in nanoseconds
-   * @param out where messages and changes go
+   * @param timings the configured bounds and times, which must be the same in the complete fleet
+   * @param self the update of this process; its incarnation is above the incarnations of earlier
+   *     processes with this name, unless the clock went back between their starts
+   * @param seeds addresses that are contacted to discover the fleet; the own address among them is
+   *     skipped
+   * @param seed the seed of the random numbers, which differs between processes
+   * @param nowNanos the current time in nanoseconds of this gateway's clock
+   * @param out receives messages and change events
    */
   public SwimProtocol(
       SwimTimings timings,
@@ -154,7 +167,9 @@
 
   // ---- Messages.
 
-  /** Takes another member's message, whose sender is proved and which is new. */
+  /**
+   * Processes a message of another member that was verified and that {@link ReplayFilter} accepted.
+   */
   public void messageReceived(long nowNanos, GossipMessage message) {
     if (!isLeaving() && dispatcher.receive(message, nowNanos)) {
       quota.update(nowNanos);
@@ -162,8 +177,8 @@
   }
 
   /**
-   * Answers a sender that doesn't know this process's instance id, or knows an older one: nothing
-   * that it said counts yet, and from the answer it learns the instance id.
+   * Sends a greeting to a sender that does not know this process's instance id or knows an older
+   * one. The sender's message is not processed; from the greeting it learns the instance id.
    */
   public void greet(long nowNanos, MemberUpdate to) {
     if (!isLeaving() && !to.name().equals(local.name())) {
@@ -173,7 +188,7 @@
 
   // ---- Time.
 
-  /** Tells the time; to be called several times a period. */
+  /** Processes all timers; must be called several times per probe interval. */
   public void tick(long nowNanos) {
     long passedNanos = nowNanos - tickedAtNanos;
     tickedAtNanos = nowNanos;
@@ -198,8 +213,8 @@
   }
 
   /**
-   * Guards the fleet against a process that stood still: what it did not hear proves nothing, and
-   * its own view is old.
+   * Guards the fleet against false suspicions by a process that was paused: messages that it did
+   * not receive during the pause say nothing about their senders, and its member list is outdated.
    */
   private void stoodStill(long passedNanos, long nowNanos) {
     detector.reset();
@@ -212,8 +227,9 @@
   // ---- Operators.
 
   /**
-   * Leaves in order: from now on this gateway has no share. It is sent to some members; the others
-   * hear it from them.
+   * Leaves the fleet gracefully: from now on this gateway's quota share is 0. The leave is sent to
+   * at most {@value #LEAVE_MESSAGES} random present members, from which the others receive it by
+   * gossip.
    */
   public void leave(long nowNanos) {
     phases.leave();
@@ -227,10 +243,10 @@
   }
 
   /**
-   * An operator's word that a lost member is not coming back: only so does its share fall to the
-   * others.
+   * Declares that a lost member has left, because an operator reported that it will not come back.
+   * Only this ends the counting of a lost member and returns its quota share to the others.
    *
-   * @return whether the member was lost
+   * @return whether the named member was lost
    */
   public boolean forget(long nowNanos, String name) {
     Optional<MemberEntry> lost =
@@ -239,25 +255,25 @@
     return lost.isPresent();
   }
 
-  // ---- What is known.
+  // ---- Queries.
 
   private boolean isLeaving() {
     return phases.current() == Phase.LEAVING;
   }
 
-  /** The phase of the view as a whole. */
+  /** Returns the phase of this gateway's view of the fleet. */
   public Phase phase() {
     return phases.current();
   }
 
-  /** What this gateway says of itself. */
+  /** Returns this gateway's update about itself. */
   public MemberUpdate self() {
     return local.update();
   }
 
   /**
-   * All other known members, ordered by name: those that are present, those that are lost, and for
-   * a while those that left.
+   * Returns all other members in the table, ordered by name: present members, lost members, and
+   * members that left until their entries are removed.
    */
   public List<ObservedMember> otherMembers() {
     return table.all().stream()
@@ -265,27 +281,27 @@
         .toList();
   }
 
-  /** The names of all that are present as far as this gateway knows, itself among them. */
+  /** Returns the names of all present members including this gateway, sorted. */
   public List<String> presentNames() {
     return table.presentNames();
   }
 
-  /** What is held of another member that is present. */
+  /** Returns the current update about another member if that member is present. */
   public Optional<MemberUpdate> find(String name) {
     return table.find(name).filter(MemberEntry::isPresent).map(entry -> entry.update);
   }
 
-  /** The next sequence number, for a datagram that is sent beside this protocol's own messages. */
+  /** Allocates a sequence number for a datagram that is not a message of this protocol. */
   public long nextSequenceNumber() {
     return sender.nextSequenceNumber();
   }
 
-  /** How many members are present, this gateway among them. */
+  /** Returns the number of present members including this gateway. */
   public int presentCount() {
     return table.presentMembers();
   }
 
-  /** The status of a member, by its name. */
+  /** Returns the status of the named member; empty if it is unknown. */
   public Optional<MemberStatus> statusOf(String name) {
     return name.equals(local.name())
         ? Optional.of(MemberStatus.ALIVE)
@@ -293,16 +309,19 @@
   }
 
   /**
-   * By how many shared limits are divided: rises when a name becomes known, falls when one left,
-   * never by a loss.
+   * Returns the number by which fleet-wide limits are divided. It rises when a new member becomes
+   * known and falls some time after a member left, but not when a member is lost; it is never below
+   * the configured maximum of members.
    */
   public int countedMembers() {
     return quota.divisor();
   }
 
   /**
-   * This gateway's part of what all share, 0 to 1. A gateway beyond the allowed number has none
-   * until all count it.
+   * Returns this gateway's share of fleet-wide limits, 0 to 1. The share is 0 while the gateway
+   * leaves, and until it has received a complete member list or is {@link Phase#ALONE}. While more
+   * members are counted than the configured maximum, a gateway that was not admitted before has the
+   * share 0 until every counted member reports the same counted names.
    */
   public double quotaShare() {
     return quota.share(phases.current());
--- a/membership/src/main/java/org/amberpath/membership/SwimTimings.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimTimings.java
@@ -1,15 +1,15 @@
 package org.amberpath.membership;
 
 /**
- * The bounds and times of the protocol; the same in the whole fleet.
+ * The configured bounds and times of the protocol, which must be the same in the complete fleet.
  *
- * @param maxMembers the most gateways that may run at once, 1 or more: up to so many, shared limits
- *     are divided by it, whatever is seen
- * @param probeIntervalNanos from one probe of a member to the next, 10 ms or more; the period in
- *     which the other times are counted
- * @param probeTimeoutNanos how long the answer to a probe may take before others are asked for
- *     help, 1 ms to a third of the interval
- * @param maxUpdatesPerMessage how many updates fit into one datagram, 4 or more
+ * @param maxMembers the maximum number of gateways that run at once, 1 or more; fleet-wide limits
+ *     are divided by at least this number, even if fewer members are known
+ * @param probeIntervalNanos the time between two probes of this member, 10 ms or more; the unit of
+ *     the protocol's other times (the probe interval is also called the period)
+ * @param probeTimeoutNanos the time after which an unanswered direct probe is followed by indirect
+ *     probes, 1 ms to a third of the probe interval
+ * @param maxUpdatesPerMessage the maximum number of updates in one datagram, 4 or more
  */
 public record SwimTimings(
     int maxMembers, long probeIntervalNanos, long probeTimeoutNanos, int maxUpdatesPerMessage) {
@@ -19,13 +19,13 @@
   private static final int TIMEOUTS_PER_INTERVAL = 3;
   private static final int MIN_UPDATES = 4;
 
-  /** So many fit into a datagram with the longest names. */
+  /** The number of updates that fit into one datagram with the longest names. */
   private static final int DEFAULT_UPDATES = 10;
 
   /**
-   * Checks the bounds.
+   * Validates the bounds.
    *
-   * @throws IllegalArgumentException where one is broken
+   * @throws IllegalArgumentException if a value is out of its bounds
    */
   public SwimTimings {
     if (maxMembers < 1
@@ -38,12 +38,15 @@
     }
   }
 
-  /** A probe each half second. */
+  /** Returns timings with a probe interval of half a second. */
   public static SwimTimings defaults(int maxMembers) {
     return withProbeInterval(maxMembers, DEFAULT_INTERVAL_NANOS);
   }
 
-  /** Three tenths of the interval for an answer, and as many updates as fit. */
+  /**
+   * Returns timings with a probe timeout of three tenths of the interval and as many updates per
+   * message as fit into a datagram.
+   */
   public static SwimTimings withProbeInterval(int maxMembers, long probeIntervalNanos) {
     return new SwimTimings(
         maxMembers, probeIntervalNanos, probeIntervalNanos * 3 / 10, DEFAULT_UPDATES);
--- a/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
+++ b/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
@@ -3,24 +3,26 @@
 import java.util.Optional;
 
 /**
- * Merges updates into the {@link MembershipTable}: one that takes precedence replaces what is held,
- * is spread further, and starts or ends a suspicion.
+ * Merges updates into the {@link MembershipTable}. An update that takes precedence replaces the one
+ * in the table, is queued for gossip, and starts or ends a suspicion. Updates about this process
+ * are passed to {@link Refutation}.
  */
 final class UpdateMerger {
-  /** What follows from a merge. */
+  /** Receives the changes that merges cause. */
   interface Listener {
-    /** A member became known; called before its first status. */
+    /** Reports a new member; called before {@link #statusChanged} for its first status. */
     void memberAdded(MemberEntry entry);
 
-    /** A member has another status than before, or its first. */
+    /** Reports that a member's status changed or was set for the first time. */
     void statusChanged(MemberEntry entry, long nowNanos);
   }
 
   private static final long SECOND_NANOS = 1_000_000_000;
 
   /**
-   * Incarnations begin with a wall clock's seconds. Guards against an update so far ahead of this
-   * process's clock that it could never be refuted.
+   * How far an incarnation may be ahead of this process's clock, in seconds. Incarnations start as
+   * the wall clock's Unix seconds. Guards against an update whose incarnation is so high that the
+   * member it is about could never refute it.
    */
   private static final long MAX_SECONDS_AHEAD = 2 * 86_400;
 
@@ -46,7 +48,7 @@
     this.listener = listener;
   }
 
-  /** Takes an update that was heard or made here. */
+  /** Merges an update that was received from another member or made by this process. */
   void merge(MemberUpdate update, long nowNanos) {
     if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_SECONDS_AHEAD) {
       return;
@@ -65,7 +67,7 @@
     }
   }
 
-  /** Makes this process's own update about another member, and merges it. */
+  /** Creates an update about another member in the name of this process, and merges it. */
   void declare(MemberEntry entry, MemberStatus status, long nowNanos) {
     MemberUpdate held = entry.update;
     merge(
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -15,23 +15,29 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * HTTP for operators, on loopback: GET {@value #MEMBERS_PATH} and POST {@value #FORGET_PATH}NAME
- * for the members, GET {@value #TASKS_PATH} and POST {@value #RELEASE_PATH}TASK for the tasks of
- * the {@link FleetMessageHandler}. Runs on the gateway's event loop.
+ * The HTTP admin endpoint, on loopback. GET {@value #MEMBERS_PATH} and POST {@value
+ * #FORGET_PATH}NAME show and remove members; GET {@value #TASKS_PATH} and POST {@value
+ * #RELEASE_PATH}TASK show and release the tasks of the {@link FleetMessageHandler}. Runs on the
+ * gateway's event loop.
  *
- * <p>Bounds: {@value #MAX_CONNECTIONS} connections at a time, which are closed when idle.
+ * <p>Answers 503 until the gateway has joined its fleet, 404 for an unknown path, and 409 if the
+ * named member is not lost or this gateway does not lead the named task.
+ *
+ * <p>Bounds: {@value #MAX_CONNECTIONS} open connections, each closed after {@value
+ * #IDLE_TIMEOUT_SECONDS} s without traffic; requests with a request line over {@value
+ * #MAX_REQUEST_LINE_BYTES} bytes or headers over {@value #MAX_HEADER_BYTES} bytes are rejected.
  */
 public final class AdminEndpoint {
-  /** The members and the phase, as JSON. */
+  /** The path of the members, the phase and the datagram counters, as JSON. */
   public static final String MEMBERS_PATH = "/fleet";
 
-  /** Followed by the name of a lost member that is not coming back. */
+  /** The path prefix of the name of a lost member that will not come back. */
   public static final String FORGET_PATH = "/fleet/forget/";
 
-  /** The tasks that this gateway leads, as JSON. */
+  /** The path of the message handler's status, as JSON. */
   public static final String TASKS_PATH = "/owner";
 
-  /** Followed by the name of a task that is to be led by another. */
+  /** The path prefix of the name of a task that another member is to lead. */
   public static final String RELEASE_PATH = "/owner/release/";
 
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
@@ -70,7 +76,7 @@
     server.requestHandler(this::respond);
   }
 
-  /** Begins to listen; completes with the port. */
+  /** Starts listening; the future completes with the bound port. */
   Future<Integer> listen(SocketAddress address) {
     return server
         .listen(address)
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -16,23 +16,24 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * The form of a datagram: MessagePack values one after another, then {@value
- * HmacKeyring#SIGNATURE_BYTES} bytes of signature. First come version, fleet and the key's id;
- * nothing behind them is read before the signature is verified. The order of enum constants is part
- * of the form; golden files hold it.
+ * Encodes and decodes datagrams. A datagram is a sequence of MessagePack values, followed by a
+ * signature of {@value HmacKeyring#SIGNATURE_BYTES} bytes. The header is the format version, the
+ * fleet's name and the id of the signing key; the values after the header are decoded only once the
+ * signature is verified. Enum constants are written as ordinals, so their order is part of the
+ * format; tests check it against golden files.
  *
- * <p>For one thread. Bounds: {@value #MAX_DATAGRAM_BYTES} bytes a datagram, {@value
- * #MAX_PAYLOAD_BYTES} bytes of a {@link UserMessage}.
+ * <p>Not thread-safe. Bounds: {@value #MAX_DATAGRAM_BYTES} bytes per datagram, {@value
+ * #MAX_PAYLOAD_BYTES} bytes in the body of a {@link UserMessage}.
  */
-@SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
+@SuppressWarnings("EnumOrdinal") // Ordinals are part of the wire format.
 public final class DatagramCodec {
-  /** The largest datagram that is read; it fits into one packet of an Ethernet. */
+  /** The largest datagram that is decoded, in bytes; it fits into one Ethernet frame. */
   public static final int MAX_DATAGRAM_BYTES = 1400;
 
-  /** The largest body of a {@link UserMessage}. */
+  /** The largest body of a {@link UserMessage}, in bytes. */
   public static final int MAX_PAYLOAD_BYTES = 1000;
 
-  /** What a member's name is made of. */
+  /** The regular expression of member names. */
   static final String NAME = "[A-Za-z0-9._-]{1,32}";
 
   private static final String ADDRESS = "[0-9.]{7,15}:[0-9]{1,5}";
@@ -46,13 +47,18 @@
   private final String fleet;
   private final int maxUpdates;
 
-  /** The form of one fleet, with so many updates in a datagram at most. */
+  /**
+   * Creates a codec for the datagrams of one fleet.
+   *
+   * @param fleet the fleet's name; datagrams with another name are rejected
+   * @param maxUpdates the maximum number of updates in a decoded message
+   */
   public DatagramCodec(String fleet, int maxUpdates) {
     this.fleet = fleet;
     this.maxUpdates = maxUpdates;
   }
 
-  /** A datagram of this message, signed by the keyring's first key. */
+  /** Encodes a protocol message, and signs it with the keyring's first key. */
   public byte[] encode(GossipMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       packHeader(out, keys);
@@ -81,7 +87,7 @@
     }
   }
 
-  /** A datagram of this message, signed by the keyring's first key. */
+  /** Encodes a user message, and signs it with the keyring's first key. */
   public byte[] encode(UserMessage message, HmacKeyring keys) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       packHeader(out, keys);
@@ -115,7 +121,7 @@
     return signed;
   }
 
-  /** What a datagram holds, or why it is rejected; throws for no bytes whatever. */
+  /** Decodes and verifies a datagram, or returns why it is rejected; never throws for any bytes. */
   public DecodedDatagram decode(byte[] datagram, HmacKeyring keys) {
     int length = datagram.length - HmacKeyring.SIGNATURE_BYTES;
     if (length <= 0 || datagram.length > MAX_DATAGRAM_BYTES) {
@@ -208,7 +214,7 @@
     return value;
   }
 
-  /** Signed and yet not of the form: decoding ends. */
+  /** Ends the decoding of a datagram that is correctly signed but malformed. */
   private static void require(boolean holds) {
     if (!holds) {
       throw new IllegalArgumentException();
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import org.amberpath.membership.ReplayFilter;
 
-/** What became of datagrams, counted for operators since the start. For one thread. */
+/** Counts sent and received datagrams by their result since the start. Not thread-safe. */
 final class DatagramCounters {
-  /** What became of one datagram; operators see the names in lower case. */
+  /** The result of sending or receiving one datagram; the admin endpoint shows it in lower case. */
   enum Result {
     SENT,
     NOT_SENT,
@@ -55,7 +55,7 @@
         });
   }
 
-  /** All counts, in the order of {@link Result}. */
+  /** Returns a live, unmodifiable view of all counts, in the order of {@link Result}. */
   Map<Result, Long> counts() {
     return Collections.unmodifiableMap(counts);
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
@@ -7,8 +7,9 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * Takes received datagrams: decodes them, lets the {@link ReplayFilter} decide, and tells the
- * protocol or the {@link FleetMessageHandler}. Each datagram is counted once.
+ * Processes received datagrams: decodes and verifies them, applies the {@link ReplayFilter}, and
+ * passes accepted messages to the protocol or the {@link FleetMessageHandler}. Each datagram is
+ * counted once in {@link DatagramCounters}.
  */
 final class DatagramReceiver {
   private final DatagramCodec codec;
@@ -30,7 +31,7 @@
     this.handler = handler;
   }
 
-  /** Takes one datagram; throws for no bytes whatever. */
+  /** Processes one datagram; no content of a datagram makes this method throw. */
   void receive(byte[] datagram, HmacKeyring keys, long nowNanos) {
     if (!replayFilter.tryExamine(nowNanos)) {
       counters.count(DatagramCounters.Result.TOO_MANY);
--- a/membership/src/main/java/org/amberpath/membership/runtime/DecodedDatagram.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DecodedDatagram.java
@@ -2,28 +2,28 @@
 
 import org.amberpath.membership.GossipMessage;
 
-/** What a datagram holds. */
+/** The result of decoding a datagram: a message, or the reason why the datagram is rejected. */
 public sealed interface DecodedDatagram {
-  /** Why a datagram is rejected. */
+  /** The reason why a datagram is rejected. */
   enum Fault {
-    /** Not of the form of this version, too long, or a value out of its bounds. */
+    /** The datagram is malformed or too long, or a value is out of its bounds. */
     UNREADABLE,
-    /** Of another version of the form. */
+    /** The datagram has another format version. */
     OTHER_VERSION,
-    /** Of another fleet. */
+    /** The datagram belongs to another fleet. */
     OTHER_FLEET,
-    /** Signed by a key that this gateway doesn't have. */
+    /** The id of the signing key is not in this gateway's keyring. */
     OTHER_KEY,
-    /** The signature is not that of the key that it names. */
+    /** The signature does not match the signing key that the datagram names. */
     FORGED
   }
 
   /** A message of the membership protocol. */
   record Gossip(GossipMessage message) implements DecodedDatagram {}
 
-  /** A message between two members' {@link FleetMessageHandler}s. */
+  /** A message between the {@link FleetMessageHandler}s of two members. */
   record User(UserMessage message) implements DecodedDatagram {}
 
-  /** A datagram of which nothing is believed. */
+  /** A rejected datagram, none of whose content is used. */
   record Rejected(Fault fault) implements DecodedDatagram {}
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/FleetMessageHandler.java
@@ -5,54 +5,62 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Something that a gateway does together with others of its fleet, by messages to them: the port
- * through which a module above this one uses the fleet's datagrams. All methods are called on the
- * gateway's event loop, with Unix nanoseconds that only go forward. Between {@link
- * #membershipStarted} and {@link #close} any of them may come; before, none does.
+ * Handles messages between the members of a fleet: the interface through which a module that
+ * depends on this one uses the fleet's datagrams. All methods are called on the gateway's event
+ * loop; the times that they receive are Unix nanoseconds that never go back. They may be called in
+ * any order between {@link #membershipStarted} and {@link #close}, and none is called before {@link
+ * #membershipStarted}.
  */
 public interface FleetMessageHandler {
-  /** Makes the handler of one gateway. */
+  /** Creates the handler of one gateway. */
   interface Factory {
-    /** Makes a handler; it sends nothing before {@link FleetMessageHandler#membershipStarted}. */
+    /**
+     * Creates a handler, which must not send before {@link FleetMessageHandler#membershipStarted}.
+     */
     FleetMessageHandler create(Vertx vertx, MembershipService membership);
   }
 
-  /** The gateway has begun to join its fleet; messages may be sent from now on. */
+  /** Called when the gateway has begun to join its fleet; from now on messages may be sent. */
   void membershipStarted(long nowNanos);
 
-  /** Tells the time, several times a probe interval. */
+  /** Called several times per probe interval. */
   void tick(long nowNanos);
 
   /**
-   * A message from another member's handler; its sender is proved, and it comes once.
+   * Called for a message from another member's handler. Its signature was verified and replayed
+   * copies are rejected, so each message is delivered at most once.
    *
-   * @param sender the name of the sender
-   * @param body at most {@link DatagramCodec#MAX_PAYLOAD_BYTES} bytes, not checked
+   * @param sender the name of the member that sent the message
+   * @param body at most {@link DatagramCodec#MAX_PAYLOAD_BYTES} bytes, whose content is not checked
    */
   void messageReceived(long nowNanos, String sender, byte[] body);
 
-  /** The router's health state of an endpoint has changed. */
+  /** Called when the router's health state of an endpoint has changed. */
   void endpointHealthChanged(long nowNanos, String endpointId, EndpointHealthStatus health);
 
-  /** An endpoint has just started and is in slow start until this time. */
+  /** Called when an endpoint has just started and is in slow start until the given time. */
   void endpointWarmingUp(long nowNanos, String endpointId, long untilNanos);
 
-  /** SIGHUP was received: files that the settings name may have changed. */
+  /** Called after SIGHUP: files that the settings name may have changed. */
   void settingsReloaded();
 
-  /** The gateway has begun a graceful shutdown. */
+  /** Called when the gateway has begun a graceful shutdown. */
   void drainStarted(long nowNanos);
 
-  /** What operators see of this handler. */
+  /** Returns the status that the admin endpoint shows. */
   JsonObject status(long nowNanos);
 
   /**
-   * Lets another member lead a task.
+   * Releases the leadership of a task, so that another member can lead it.
    *
-   * @return whether this gateway led it
+   * @param name the name of the task
+   * @return whether this gateway led the task
    */
   boolean release(long nowNanos, String name);
 
-  /** The gateway leaves its fleet: the last call, in which messages can still be sent. */
+  /**
+   * Called when the gateway leaves its fleet. This is the last call; messages can still be sent
+   * from within it.
+   */
   void close(long nowNanos);
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -13,12 +13,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys of a fleet: the first of a file signs, each verifies, so that one key follows another
- * without a gap. HMAC with SHA-256 (RFC 2104), of which the first {@value #SIGNATURE_BYTES} bytes
- * are sent. For one thread.
+ * The keyring of a fleet. The first key of the file signs datagrams, and every key verifies them,
+ * so that a key can be replaced without a time in which members reject each other's datagrams.
+ * Signatures are HMAC-SHA256 (RFC 2104), truncated to the first {@value #SIGNATURE_BYTES} bytes.
+ * Not thread-safe.
  */
 public final class HmacKeyring {
-  /** The length of a signature. */
+  /** The length of a signature, in bytes. */
   public static final int SIGNATURE_BYTES = 16;
 
   private static final int MAX_KEYS = 4;
@@ -36,11 +37,12 @@
   }
 
   /**
-   * Reads a file of lines "ID HEX"; blank lines and those that begin with # are passed over.
+   * Reads a key file: one key per line, as "ID HEX". Blank lines and lines that begin with # are
+   * skipped. Blocks the calling thread.
    *
-   * @throws MembershipException.InvalidKeyFile where the file holds something wrong; its message
-   *     names file and line, and never a key
-   * @throws IOException where the file can't be read
+   * @throws MembershipException.InvalidKeyFile if the content of the file is invalid; the message
+   *     names the file and the line, and never contains a key
+   * @throws IOException if the file cannot be read
    */
   public static HmacKeyring read(Path file) throws IOException {
     if (Files.size(file) > MAX_FILE_BYTES) {
@@ -93,7 +95,7 @@
     return key;
   }
 
-  /** A keyring of one key. */
+  /** Creates a keyring with one key. */
   public static HmacKeyring of(String id, byte[] key) {
     return new HmacKeyring(Map.of(id, mac(key)));
   }
@@ -108,7 +110,7 @@
     }
   }
 
-  /** The id of the key that signs. */
+  /** Returns the id of the signing key. */
   String signingKeyId() {
     return signingKeyId;
   }
@@ -117,12 +119,15 @@
     return macs.containsKey(keyId);
   }
 
-  /** The signature of these bytes by the signing key. */
+  /** Returns the signature of the bytes by the signing key. */
   byte[] sign(byte[] bytes) {
     return signature(signingKeyId, bytes, bytes.length);
   }
 
-  /** Whether a datagram's last bytes are the signature of the others by this key. */
+  /**
+   * Whether the last {@value #SIGNATURE_BYTES} bytes of a datagram are the signature of the
+   * preceding bytes by the given key, which must be in the keyring.
+   */
   boolean verifies(String keyId, byte[] datagram) {
     int signedLength = datagram.length - SIGNATURE_BYTES;
     return MessageDigest.isEqual(
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipException.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipException.java
@@ -3,29 +3,29 @@
 import java.io.IOException;
 
 /**
- * Why a gateway can't take part in its fleet. The message is for operators: it names the setting,
- * and never holds a key.
+ * Thrown when a gateway cannot join its fleet or reload its keys. The message is shown to
+ * operators: it names the setting and never contains a key.
  */
 public abstract sealed class MembershipException extends IOException {
   private MembershipException(String message, Throwable cause) {
     super(message, cause);
   }
 
-  /** The gateway's name doesn't fit into a datagram. */
+  /** The gateway's name does not match the pattern of member names. */
   public static final class InvalidName extends MembershipException {
     InvalidName(String name) {
       super("PROXY_NAME: with [fleet] 1 to 32 letters, digits, ._- and not " + name, null);
     }
   }
 
-  /** The key file can be read, and what it holds is wrong. */
+  /** The key file can be read, but its content is invalid. */
   public static final class InvalidKeyFile extends MembershipException {
     InvalidKeyFile(String message) {
       super("[fleet] key: " + message, null);
     }
   }
 
-  /** The key file can't be read, or an address can't be listened at. */
+  /** The key file cannot be read, or an address cannot be bound. */
   public static final class StartFailed extends MembershipException {
     StartFailed(Throwable cause) {
       super("[fleet]: " + cause, cause);
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipLog.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipLog.java
@@ -6,10 +6,11 @@
 import org.amberpath.membership.SwimTimings;
 
 /**
- * The log lines of one gateway's membership, each with its name, the component, the event and what
- * belongs to it as key=value.
+ * Writes the log lines of one gateway's membership. Each line consists of the gateway's name, the
+ * component, the event, and the event's attributes as key=value.
  *
- * <p>Bounds: {@value #MAX_CHANGES_PER_SECOND} changes a second are logged; the others are counted.
+ * <p>Bounds: {@value #MAX_CHANGES_PER_SECOND} changes of statuses, phases and quota shares are
+ * logged per second; further ones are counted, and their number is logged afterwards.
  */
 final class MembershipLog {
   private static final Logger LOG = Logger.getLogger(MembershipService.class.getName());
@@ -25,7 +26,7 @@
     prefix = gateway + ": membership: ";
   }
 
-  /** The gateway has begun to join its fleet. */
+  /** Logs that the gateway has begun to join its fleet. */
   void joining(
       String fleet, String keyId, String boundAddress, String address, SwimTimings timings) {
     event(
@@ -61,12 +62,12 @@
     change("phase_changed from=" + from + " to=" + to);
   }
 
-  /** The share is one part of the divisor, or none. */
+  /** Logs a new quota share: 1 divided by the divisor if granted, 0 otherwise. */
   void quotaShareChanged(int divisor, boolean granted) {
     change("quota_share_changed divisor=" + divisor + " share=" + (granted ? "1/" + divisor : "0"));
   }
 
-  /** Logs a change of the fleet, if there were not too many in this second. */
+  /** Logs a change unless the limit of this second is reached; otherwise counts it. */
   private void change(String text) {
     if (++changesInWindow <= MAX_CHANGES_PER_SECOND) {
       event(text);
@@ -79,7 +80,10 @@
     LOG.info(prefix + text);
   }
 
-  /** Tells the time; to be called several times a second. */
+  /**
+   * Begins a new one-second window when the current one has ended, and logs the number of
+   * suppressed changes. Must be called several times per second.
+   */
   void tick(long nowNanos) {
     if (nowNanos - windowStartNanos > SECOND_NANOS) {
       windowStartNanos = nowNanos;
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -19,11 +19,12 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Runs a {@link SwimProtocol} on the gateway's event loop: datagrams and ticks to it, its messages
- * to the socket, its changes to the log, this gateway's share of fleet-wide limits to the router.
+ * Runs a {@link SwimProtocol} on the gateway's event loop: passes datagrams and ticks to the
+ * protocol, sends the protocol's messages through the socket, logs membership changes, and reports
+ * this gateway's share of fleet-wide limits to the router.
  *
- * <p>All methods are called on the event loop. Bounds: those of {@link ReplayFilter} on what is
- * received, those of {@link MembershipLog} on log lines.
+ * <p>All methods are called on the event loop. {@link ReplayFilter} bounds the rate of processed
+ * datagrams, and {@link MembershipLog} the rate of log lines.
  */
 public final class MembershipService implements FleetCoordinator {
   private static final int TICKS_PER_PROBE_INTERVAL = 5;
@@ -51,9 +52,10 @@
   private double quotaShare = -1;
 
   /**
-   * The membership of one gateway, not started yet.
+   * Creates the membership service of one gateway, which does nothing until {@link #start}.
    *
-   * @param handlerFactory makes what uses the fleet's datagrams; null for nothing
+   * @param handlerFactory creates the handler of user messages; null for a service that discards
+   *     user messages
    */
   public MembershipService(
       Vertx vertx,
@@ -80,7 +82,10 @@
             .map(address -> new AdminEndpoint(vertx, this, handler));
   }
 
-  /** Fails with a {@link MembershipException}. */
+  /**
+   * Loads the keys, binds the socket, begins to join the fleet and starts the admin endpoint if one
+   * is configured. The future fails only with a {@link MembershipException}.
+   */
   @Override
   public Future<Void> start() {
     if (!options.name().matches(DatagramCodec.NAME)) {
@@ -175,7 +180,7 @@
     }
   }
 
-  /** Tells the router once the share is another. */
+  /** Reports the quota share to the log and the router if the share or its divisor has changed. */
   private void updateQuotaShare() {
     if (protocol.countedMembers() == quotaDivisor && protocol.quotaShare() == quotaShare) {
       return;
@@ -186,13 +191,14 @@
     callbacks.quotaShareChanged(quotaDivisor, quotaShare);
   }
 
-  // ---- For a FleetMessageHandler.
+  // ---- Methods for the FleetMessageHandler.
 
   /**
-   * Sends a message to the same handler of a member; it may be lost, as any datagram. One over
-   * {@link DatagramCodec#MAX_PAYLOAD_BYTES} is not sent.
+   * Sends a message to the {@link FleetMessageHandler} of another member; delivery is not
+   * guaranteed. A body of more than {@link DatagramCodec#MAX_PAYLOAD_BYTES} bytes is not sent.
    *
-   * @return whether the member is present
+   * @param to the name of the receiving member
+   * @return whether the receiving member is present
    */
   public boolean sendMessage(String to, byte[] body) {
     Optional<MemberUpdate> recipient = protocol.find(to);
@@ -205,32 +211,32 @@
     return recipient.isPresent();
   }
 
-  /** A seed for random numbers: another in each process. */
+  /** Returns a seed for random numbers that differs between processes. */
   public long seed() {
     return options.routingConfig().seed() ^ protocol.self().instanceId();
   }
 
-  /** This gateway's name. */
+  /** Returns this gateway's name. */
   public String name() {
     return options.name();
   }
 
-  /** The names of all members that are present, this gateway among them, in their order. */
+  /** Returns the names of all present members including this gateway, sorted. */
   public List<String> presentNames() {
     return protocol.presentNames();
   }
 
-  /** What a handler may tell the gateway's router, and ask of it. */
+  /** Returns the callbacks through which the handler reports to the gateway's router. */
   public FleetCallbacks callbacks() {
     return callbacks;
   }
 
-  /** Unix nanoseconds that only go forward. */
+  /** Returns the current time in Unix nanoseconds, which never go back. */
   public long nowNanos() {
     return clock.nowNanos();
   }
 
-  // ---- What the gateway tells.
+  // ---- Events from the gateway.
 
   private Optional<FleetMessageHandler> startedHandler() {
     return timerId == NOT_STARTED ? Optional.empty() : handler;
@@ -253,7 +259,7 @@
     startedHandler().ifPresent(started -> started.drainStarted(clock.nowNanos()));
   }
 
-  /** Reads the key file anew; one that can't be read leaves the present keys. */
+  /** Reloads the key file; if it is invalid or cannot be read, the current keys remain in use. */
   @Override
   public void reload() {
     startedHandler().ifPresent(FleetMessageHandler::settingsReloaded);
@@ -275,9 +281,9 @@
     return socket.close();
   }
 
-  // ---- For the admin endpoint.
+  // ---- Methods for the admin endpoint.
 
-  /** Empty until the gateway has joined. */
+  /** Returns the protocol; empty until the gateway has begun to join its fleet. */
   Optional<SwimProtocol> protocol() {
     return Optional.ofNullable(protocol);
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -5,17 +5,19 @@
 import java.util.List;
 
 /**
- * What operators set of membership. Addresses are numeric.
+ * The operator's settings of membership. All addresses are numeric.
  *
  * @param fleet the fleet's name; datagrams of other fleets are rejected
- * @param listen where datagrams are received; port 0 takes a free one
- * @param advertised the address that is sent to others in its place; null for the same
- * @param seeds addresses of which any may answer at a start
- * @param maxMembers the most gateways that may run at once; 0 for the number of the routing
- *     configuration
- * @param probeIntervalNanos between two probes
- * @param keyFile a file of lines "ID HEX": the first key signs, each verifies
- * @param adminAddress where {@link AdminEndpoint} listens, on loopback; null for nowhere
+ * @param listen the address to receive datagrams at; port 0 selects a free port
+ * @param advertised the address that other members send datagrams to; null if it is the address
+ *     listened at
+ * @param seeds addresses that are contacted to discover the fleet; any one that answers suffices
+ * @param maxMembers the maximum number of gateways that run at once; 0 for the number in the
+ *     routing configuration
+ * @param probeIntervalNanos the time between two probes of this member, in nanoseconds
+ * @param keyFile a file with one key per line, as "ID HEX": the first key signs, every key verifies
+ * @param adminAddress the loopback address that {@link AdminEndpoint} listens at; null to run no
+ *     admin endpoint
  */
 public record MembershipSettings(
     String fleet,
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
@@ -19,7 +19,7 @@
     this.counters = counters;
   }
 
-  /** Binds the socket; completes with the address, its port resolved. */
+  /** Binds the socket; the future completes with the bound address, as "host:port". */
   Future<String> listen(SocketAddress address) {
     socket = vertx.createDatagramSocket();
     return socket
@@ -27,13 +27,13 @@
         .map(bound -> address.hostAddress() + ":" + bound.localAddress().port());
   }
 
-  /** Passes on what is received from now on. */
+  /** Passes each datagram received from now on to the receiver. */
   void onDatagram(Consumer<byte[]> receiver) {
     socket.handler(packet -> receiver.accept(packet.data().getBytes()));
     socket.exceptionHandler(failure -> counters.count(DatagramCounters.Result.NOT_SENT));
   }
 
-  /** Sends a datagram to a numeric address with a port; it may be lost. */
+  /** Sends a datagram to a numeric "host:port" address; delivery is not guaranteed. */
   void send(String address, byte[] datagram) {
     int colon = address.lastIndexOf(':');
     lastSent =
@@ -49,7 +49,7 @@
                     : DatagramCounters.Result.NOT_SENT));
   }
 
-  /** Closes the socket once the last datagram was handed over; never fails. */
+  /** Closes the socket once the last send has completed; the future never fails. */
   Future<Void> close() {
     return lastSent.eventually(socket::close).otherwiseEmpty();
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/ReloadableKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/ReloadableKeyring.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * The keys of a fleet, read anew from their file while the gateway runs. The file is read off the
- * event loop; all methods are called on it.
+ * The keyring of a fleet, which can be reloaded from its file while the gateway runs. All methods
+ * are called on the event loop; the file is read on a worker thread.
  */
 final class ReloadableKeyring {
   private final Vertx vertx;
@@ -19,8 +19,9 @@
   }
 
   /**
-   * Reads the file and uses its keys from then on. A failure leaves the present keys; it is a
-   * {@link MembershipException.InvalidKeyFile} where the file holds something wrong.
+   * Reads the key file and replaces the current keyring. If reading fails, the current keyring
+   * remains; the failure is a {@link MembershipException.InvalidKeyFile} if the content of the file
+   * is invalid.
    */
   Future<HmacKeyring> load() {
     return vertx
@@ -28,7 +29,7 @@
         .onSuccess(loaded -> current = loaded);
   }
 
-  /** The present keys; only after a first successful {@link #load}. */
+  /** Returns the current keyring; null before the first successful {@link #load}. */
   HmacKeyring current() {
     return current;
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/package-info.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/package-info.java
@@ -1,12 +1,13 @@
 /**
- * The runtime part of membership: sockets, signed datagrams, keys, timers, log and the operators'
- * HTTP endpoint around {@link org.amberpath.membership.SwimProtocol}.
+ * The runtime of membership: the socket, signed datagrams, keys, timers, log lines and the HTTP
+ * admin endpoint around {@link org.amberpath.membership.SwimProtocol}.
  *
- * <p>Called by the gateway through {@link org.amberpath.gateway.FleetCoordinator}, and by modules
- * above (leadership) through {@link org.amberpath.membership.runtime.FleetMessageHandler}. All of
- * it runs on the gateway's event loop; only the key file is read off it.
+ * <p>The gateway calls this package through {@link org.amberpath.gateway.FleetCoordinator}. The
+ * leadership module implements {@link org.amberpath.membership.runtime.FleetMessageHandler} to
+ * exchange messages with other members. The package runs on the gateway's event loop, except that
+ * the key file is read on a worker thread.
  *
- * <p>Begin reading at {@link org.amberpath.membership.runtime.MembershipService}, then {@link
- * org.amberpath.membership.runtime.DatagramCodec}.
+ * <p>The entry point is {@link org.amberpath.membership.runtime.MembershipService}; {@link
+ * org.amberpath.membership.runtime.DatagramCodec} defines the datagram format.
  */
 package org.amberpath.membership.runtime;
--- a/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
+++ b/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
@@ -9,7 +9,7 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** Anti-entropy: whom a list is asked of, how it goes on, and when it counts as whole. */
+/** Tests which members a list is requested from, how it continues, and when it is complete. */
 class AntiEntropySyncTest {
   private final ProtocolHarness harness = new ProtocolHarness();
   private final SwimProtocol protocol = harness.protocol;
--- a/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
@@ -9,12 +9,12 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** Probes, suspicion and loss. */
+/** Tests probes, suspicion and loss. */
 class FailureDetectorTest {
   private final ProtocolHarness harness = new ProtocolHarness();
   private final SwimProtocol protocol = harness.protocol;
 
-  /** The member third answers each probe, and says that it gets no answer from other. */
+  /** Makes the member "third" answer each probe, and report that "other" does not answer. */
   private void answerAsThird(ProtocolHarness.Sent sent) {
     if (sent.to().equals("at-third")) {
       Kind answer = sent.message().kind() == Kind.ASK ? Kind.NACK : Kind.ACK;
--- a/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
+++ b/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which updates ride on a message, and how often. */
+/** Tests which updates are piggybacked on a message, and how often. */
 class GossipQueueTest {
   private static final int MAX_UPDATES = 4;
 
--- a/membership/src/test/java/org/amberpath/membership/LocalHealthTest.java
+++ b/membership/src/test/java/org/amberpath/membership/LocalHealthTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Lifeguard's local health multiplier. */
+/** Tests Lifeguard's local health multiplier. */
 class LocalHealthTest {
   private static final long TIMEOUT = 150;
 
--- a/membership/src/test/java/org/amberpath/membership/ProtocolHarness.java
+++ b/membership/src/test/java/org/amberpath/membership/ProtocolHarness.java
@@ -6,8 +6,8 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * One member's protocol, told messages and the time by hand. The member is called me; each other
- * member is at the address that its name gives.
+ * Drives the protocol of one member, named "me", with messages and times that a test sets. The
+ * address of each other member is "at-" followed by its name.
  */
 final class ProtocolHarness implements SwimProtocol.Output {
   static final long MS = 1_000_000;
@@ -15,7 +15,7 @@
   static final String SEED_ADDRESS = "at-seed";
   private static final long TICK = 100 * MS;
 
-  /** A message that the protocol has sent, and to which address. */
+  /** A message that the protocol has sent, with its destination address. */
   record Sent(String to, GossipMessage message) {}
 
   final List<Sent> sent = new ArrayList<>();
@@ -24,7 +24,10 @@
   final SwimProtocol protocol;
   long now;
 
-  /** A member with incarnation 5, of at most two, with its own address and another as seeds. */
+  /**
+   * Creates a member with incarnation 5 in a fleet of at most two members; the seeds are its own
+   * address and {@link #SEED_ADDRESS}.
+   */
   ProtocolHarness() {
     this(SwimTimings.defaults(2), update("me", 5, MemberStatus.ALIVE), 0);
   }
@@ -34,23 +37,27 @@
     protocol = new SwimProtocol(timings, self, List.of("at-me", SEED_ADDRESS), 7, now, this);
   }
 
-  /** What a member says of itself. */
+  /** Creates the update of a member about itself. */
   static MemberUpdate update(String name, long incarnation, MemberStatus status) {
     return new MemberUpdate(name, "at-" + name, incarnation, name.hashCode(), status, name);
   }
 
-  /** What a process under a name says of itself, which is alive. */
+  /** Creates the update of a process about itself, with the status alive. */
   static MemberUpdate process(String name, String address, long incarnation, long instanceId) {
     return new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name);
   }
 
-  /** A message of a member that has a whole list; its number is its sequence number too. */
+  /**
+   * Creates a message of a fully synced member.
+   *
+   * @param number the probe number and also the sequence number
+   */
   static GossipMessage message(
       Kind kind, MemberUpdate sender, long number, List<MemberUpdate> updates) {
     return new GossipMessage(kind, sender, 0, number, number, 0, 0, null, false, true, updates);
   }
 
-  /** A page after which the sender's list goes on. */
+  /** Creates a page after which the sender's list continues. */
   static GossipMessage pageWithMore(String sender, long number, MemberUpdate... updates) {
     MemberUpdate from = update(sender, 1, MemberStatus.ALIVE);
     return new GossipMessage(
@@ -61,23 +68,25 @@
     protocol.messageReceived(now, message);
   }
 
-  /** Receives a message of a member that has a whole list. */
+  /** Receives a message of a fully synced member. */
   void receive(Kind kind, String sender, long number, MemberUpdate... updates) {
     receive(message(kind, update(sender, 1, MemberStatus.ALIVE), number, List.of(updates)));
   }
 
-  /** Receives a message of a member that has not heard a whole list itself. */
+  /** Receives a message of a member that has not received a complete list itself. */
   void receiveUnsynced(Kind kind, String sender, long number) {
     MemberUpdate from = update(sender, 1, MemberStatus.ALIVE);
     receive(new GossipMessage(kind, from, 0, number, number, 0, 0, null, false, false, List.of()));
   }
 
-  /** Receives the last page of a list, in answer to what was asked last. */
+  /** Receives the last page of a list, in answer to the latest request. */
   void receiveLastPage(String sender, MemberUpdate... updates) {
     receive(Kind.PAGE, sender, requestedNumber(), updates);
   }
 
-  /** The same from a member that has not heard a whole list itself. */
+  /**
+   * Receives the last page of a list from a member that has not received a complete list itself.
+   */
   void receiveLastPageUnsynced(String sender) {
     receiveUnsynced(Kind.PAGE, sender, requestedNumber());
   }
@@ -89,7 +98,7 @@
     return lastSent(Kind.SYNC).probeNumber();
   }
 
-  /** Lets time pass, with a tick each 100 ms. */
+  /** Advances the time, with a tick every 100 ms. */
   void advance(long nanos) {
     for (long until = now + nanos; now < until; ) {
       now += TICK;
--- a/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
+++ b/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
@@ -9,7 +9,7 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** A member's share of fleet-wide limits, and by how many they are divided. */
+/** Tests a member's share of fleet-wide limits, and the divisor of the limits. */
 class QuotaAdmissionTest {
   private final ProtocolHarness harness = new ProtocolHarness();
   private final SwimProtocol protocol = harness.protocol;
--- a/membership/src/test/java/org/amberpath/membership/RecordedActions.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedActions.java
@@ -12,29 +12,29 @@
 import java.util.TreeMap;
 
 /**
- * A digest of all actions in the order that they were taken, and how often each came. Enum
- * constants go in by their ordinal, which is their form on the wire, so that a renamed constant
- * leaves the digest as it is. The words of the actions are a stored form: they are part of the
- * recorded digests.
+ * Computes a digest of all actions in the order in which they occurred, and counts each action.
+ * Enum constants enter the digest as ordinals, as on the wire, so that renaming a constant does not
+ * change the digest. The action names enter the digests that are recorded in tests, so they must
+ * not change.
  */
-@SuppressWarnings("EnumOrdinal") // The ordinal is the form on the wire.
+@SuppressWarnings("EnumOrdinal") // Ordinals are the wire format.
 final class RecordedActions {
   private final Map<String, Integer> counts = new TreeMap<>();
   private final MessageDigest digest = sha256();
   private final DataOutputStream out =
       new DataOutputStream(new DigestOutputStream(OutputStream.nullOutputStream(), digest));
 
-  /** How often each action and each thing worth counting came, by its word. */
+  /** Returns how often each action and each counted event occurred, by name. */
   Map<String, Integer> counts() {
     return counts;
   }
 
-  /** Counts something without adding it to the digest. */
+  /** Counts an event without adding it to the digest. */
   void count(String what) {
     counts.merge(what, 1, Integer::sum);
   }
 
-  /** Adds one action with all its arguments: numbers, booleans, texts, enums or null. */
+  /** Adds one action with all its arguments: numbers, booleans, strings, enum constants or null. */
   void add(String action, Object... arguments) {
     count(action);
     try {
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The digest of all that was added, as hexadecimal digits; ends the recording. */
+  /** Returns the digest of all added actions in hexadecimal, and ends the recording. */
   String finish() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
@@ -13,11 +13,12 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every action of {@link SwimProtocol} where it was: a fleet under seeded random faults gives
- * the messages, status changes and phases recorded here, one digest a seed, to the last field and
- * in the same order. A change that is meant to keep behaviour must not alter a digest; a change of
- * behaviour records new ones and says why. The protocol uses logarithms, whose last bit may differ
- * on another kind of processor: the digests were recorded on x86-64.
+ * Guards against unintended changes of {@link SwimProtocol}'s behaviour: a simulated fleet under
+ * seeded random faults must produce exactly the recorded messages, status changes and phases, in
+ * the same order; each seed has one digest. A change that is meant to keep behaviour must not alter
+ * a digest; a change of behaviour records new digests and gives the reason. The protocol uses
+ * logarithms, whose last bit may differ between processor architectures: the digests were recorded
+ * on x86-64.
  */
 class RecordedMembershipTest {
   private static final Map<String, SeededFleet> PLAYED = new TreeMap<>();
@@ -59,8 +60,8 @@
   }
 
   /**
-   * A digest of events that reach little would hold little: what the fleets must reach, over one
-   * seed of each setting.
+   * Guards against simulated events that exercise only a part of the protocol, so that the digests
+   * would not detect changes of the rest: lists what one seed of each setting must reach.
    */
   @Test
   void theRecordedEventsReachEveryActionMessageKindStatusPhaseAndVerdict() {
--- a/membership/src/test/java/org/amberpath/membership/RefutationTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RefutationTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Precedence by incarnation: what a member refutes, what it outlives, what it believes. */
+/** Tests which updates a member refutes by a higher incarnation, and which it ignores. */
 class RefutationTest {
   private static final long SECOND = 1000 * MS;
   private static final long START_SECONDS = 1_700_000_000L;
@@ -71,15 +71,18 @@
     assertEquals(900, harness.lastSent(Kind.NACK).updates().get(0).incarnation());
   }
 
-  /** An incarnation begins with the wall clock, which may have stepped before a start. */
+  /**
+   * Guards against a member that cannot rejoin because the wall clock, from which its incarnation
+   * starts, stepped forward or back before its start.
+   */
   @ParameterizedTest
   @ValueSource(longs = {5, -5, 3600, -3600})
   void clockStepBeforeAStartKeepsNobodyOut(long stepSeconds) {
     long now = START_SECONDS * SECOND;
     ProtocolHarness started =
         new ProtocolHarness(SwimTimings.defaults(2), process("me", "at-me", START_SECONDS, 1), now);
-    // The other's clock is off; the fleet remembers this name's last start under such a clock, and
-    // holds it for lost.
+    // The clock of "other" is off by the step. Its table has an entry of this name from an earlier
+    // start under the same clock, with the status lost.
     MemberUpdate other = process("other", "at-other", START_SECONDS + stepSeconds, 2);
     MemberUpdate remembered =
         new MemberUpdate("me", "at-me", START_SECONDS + stepSeconds, 3, MemberStatus.LOST, "me");
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -8,7 +8,7 @@
 import org.amberpath.membership.ReplayFilter.Verdict;
 import org.junit.jupiter.api.Test;
 
-/** Which datagrams are believed, greeted or dropped. */
+/** Tests which datagrams are accepted, answered with a greeting, or dropped. */
 class ReplayFilterTest {
   private static final long MS = 1_000_000;
   private static final long PERIOD = 500 * MS;
--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -9,25 +9,31 @@
 import java.util.TreeMap;
 
 /**
- * Several members on a virtual clock, without I/O: datagrams lost, late, doubled and reordered,
- * links cut one way, partitions, members that crash, restart under a clock that went back, pause
- * and leave, two processes under one name, a stranger with the key who sends false updates, floods
- * and made-up names. Random numbers are drawn from the fleet's own generator, and only basic
- * arithmetic is done with them, so that a seed gives the same events everywhere. Times are whole
- * milliseconds, so that deadlines are met exactly now and then.
+ * Simulates a fleet on a virtual clock without I/O. Datagrams are lost, delayed, duplicated and
+ * reordered; links fail in one direction; the network is partitioned; members crash, restart with a
+ * clock that went back, pause and leave; two processes use one name; and a sender with the fleet's
+ * key sends false updates, floods and invented names. All random numbers are drawn from the fleet's
+ * own generator and used only in basic arithmetic, so that a seed produces the same events on every
+ * machine. Times are multiples of a millisecond, so that some events coincide exactly with
+ * deadlines.
  */
 final class SeededFleet {
-  /** How large the fleet is, and what happens to it. */
+  /** The size of the fleet and the kinds of faults that occur in it. */
   enum Setting {
-    /** Eight members of at most eight; crashes, restarts, leaves, pauses, losses, partitions. */
+    /**
+     * Eight members with a maximum of eight; crashes, restarts, leaves, pauses, lost datagrams and
+     * partitions.
+     */
     STEADY(8, 8, 900),
-    /** Sixteen members: a list is longer than a page. */
+    /** Sixteen members, so that the member list is longer than one page. */
     LARGE(16, 17, 500),
-    /** Nine members where the operators allow three at a time: quota shares need admission. */
+    /** Nine members with a maximum of three, so that quota shares require admission. */
     GROWING(9, 3, 900),
-    /** Six members and two processes under taken names; a stranger with the key. */
+    /**
+     * Six members and two processes that use the names of others; a hostile sender with the key.
+     */
     CONTESTED(8, 6, 900),
-    /** Four members; floods of requests and thousands of made-up names. */
+    /** Four members; floods of requests and thousands of invented names. */
     FLOODED(4, 4, 200);
 
     final int places;
@@ -86,7 +92,7 @@
     stranger = new SeededStranger(this);
   }
 
-  /** Plays the whole time of the setting; the digest of all actions, as hexadecimal digits. */
+  /** Runs the simulation to its end, and returns the digest of all actions in hexadecimal. */
   String play() {
     int first = setting == Setting.GROWING || setting == Setting.CONTESTED ? 3 : setting.places;
     for (int index = 0; index < first; index++) {
@@ -121,17 +127,17 @@
     return members.get(random.nextInt(members.size()));
   }
 
-  /** A message that was on the network not long ago; null before the first. */
+  /** Returns a random message that was sent earlier; null before the first message. */
   GossipMessage anySeen() {
     return seen.isEmpty() ? null : seen.get(random.nextInt(seen.size()));
   }
 
-  /** Whether faults happen now; between them the fleet has time to settle. */
+  /** Whether faults are injected at this time; between such times the fleet can settle. */
   boolean stormy() {
     return (now - START) / SECOND % (STORM_SECONDS + CALM_SECONDS) < STORM_SECONDS;
   }
 
-  /** Carries a datagram over the network: it may be lost, late, doubled, or overtaken. */
+  /** Transmits a datagram, which may be lost, delayed, duplicated or reordered. */
   void carry(SeededMember from, String address, GossipMessage message) {
     if (seen.size() < 200) {
       seen.add(message);
@@ -229,7 +235,7 @@
     }
   }
 
-  /** What operators do about members that are not coming back. */
+  /** Lets an operator report a random lost member as not coming back. */
   private void forgetLost() {
     SeededMember member = anyMember();
     List<String> lost = member.lost();
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * One place of a {@link SeededFleet}: the process that runs there, if one does. The one class that
- * calls the protocol under test.
+ * A member of a {@link SeededFleet}: at most one process at a time, which runs the protocol under
+ * test. Only this class calls the protocol.
  */
 final class SeededMember implements SwimProtocol.Output {
   private static final long MS = SeededFleet.MS;
@@ -39,14 +39,14 @@
     return instanceId;
   }
 
-  /** What this member says of itself at present; null while it is down. */
+  /** Returns this member's current update about itself; null while the member is down. */
   MemberUpdate self() {
     return protocol == null ? null : protocol.self();
   }
 
-  // ---- What is done to it.
+  // ---- Inputs of the protocol.
 
-  /** Starts a process that remembers nothing; its clock may have gone back. */
+  /** Starts a process without state; its clock may be behind that of the previous process. */
   void start() {
     process++;
     leaving = false;
@@ -110,7 +110,7 @@
     }
   }
 
-  /** The members that this one holds for lost. */
+  /** Returns the names of the members that this member considers lost. */
   List<String> lost() {
     return protocol == null
         ? List.of()
@@ -126,7 +126,8 @@
       return;
     }
     if (pausedUntil > fleet.now()) {
-      fleet.plan(pausedUntil, () -> deliver(message)); // It waits in the socket.
+      // The datagram waits in the socket's receive buffer.
+      fleet.plan(pausedUntil, () -> deliver(message));
       return;
     }
     if (!filter.tryExamine(clock())) {
@@ -169,9 +170,9 @@
     fleet.plan(next, () -> tick(started));
   }
 
-  // ---- What it answers.
+  // ---- Outputs of the protocol.
 
-  /** Records all that can be asked of the protocol after something happened to it. */
+  /** Records the protocol's observable state after an input. */
   private void observe() {
     MemberUpdate self = protocol.self();
     if (self.incarnation() > incarnation) {
--- a/membership/src/test/java/org/amberpath/membership/SeededStranger.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededStranger.java
@@ -6,8 +6,9 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * One who has the key of a {@link SeededFleet} and sends what no member would: false updates,
- * answers that nobody asked for, floods, made-up names, incarnations of the far future.
+ * A hostile sender that has the key of a {@link SeededFleet}. It sends messages that no correct
+ * member sends: false updates, unrequested answers, floods, invented names, and incarnations far in
+ * the future.
  */
 final class SeededStranger {
   private static final long MS = SeededFleet.MS;
@@ -26,7 +27,7 @@
     random = fleet.random;
   }
 
-  /** Does something now and plans the next. */
+  /** Sends one kind of hostile messages now, and schedules the next. */
   void act() {
     fleet.plan(fleet.now() + random.nextInt(1500) * MS, this::act);
     SeededMember target = fleet.anyMember();
@@ -52,7 +53,10 @@
     fleet.plan(fleet.now() + delayMs * MS, () -> target.deliver(message));
   }
 
-  /** More names than a member keeps, ten a message. */
+  /**
+   * Sends updates about invented names, as many per message as fit; in all more names than a member
+   * table holds.
+   */
   private void madeUpNames(SeededMember target) {
     for (int message = 0; message < 40 && madeUp < MADE_UP_NAMES; message++) {
       List<MemberUpdate> updates = new ArrayList<>();
@@ -65,7 +69,10 @@
     }
   }
 
-  /** More requests than one member answers, by many askers, within a quarter of a period. */
+  /**
+   * Sends more requests than one member answers, from up to 40 sender names, within a quarter of a
+   * probe interval.
+   */
   private void flood(SeededMember target) {
     int spreadMs = (int) (fleet.timings.probeIntervalNanos() / MS / 4);
     int askers = 1 + random.nextInt(40);
@@ -75,12 +82,15 @@
     for (int message = 0; message < messages; message++) {
       String name = "s" + message % askers;
       MemberUpdate from = new MemberUpdate(name, "c", 1, name.hashCode(), MemberStatus.ALIVE, name);
-      String about = kind == Kind.ASK ? "s0" : null; // Nobody answers at its address.
+      String about = kind == Kind.ASK ? "s0" : null; // No process runs at the address of s0.
       deliver(target, message(target, kind, from, about, List.of()), random.nextInt(spreadMs + 1));
     }
   }
 
-  /** More processes under the target's name than it reports, and updates about them. */
+  /**
+   * Simulates more processes with the target's name than the target reports as name conflicts, by
+   * their own messages and by updates about them.
+   */
   private void impostors(SeededMember target) {
     for (int other = 0; other < 40; other++) {
       MemberUpdate impostor =
@@ -103,7 +113,7 @@
         name, "c" + name, 1 + random.nextInt(3), name.hashCode(), MemberStatus.ALIVE, name);
   }
 
-  /** As a member would say of itself, or as an older process of it would. */
+  /** Forges the update of a member about itself, or of an earlier process of that member. */
   private MemberUpdate member() {
     SeededMember member = fleet.anyMember();
     long incarnation = incarnationNear(member);
--- a/membership/src/test/java/org/amberpath/membership/SuspicionTimersTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SuspicionTimersTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** How long a suspicion lasts. */
+/** Tests how long a suspicion lasts. */
 class SuspicionTimersTest {
   private final MembershipTable table = new MembershipTable("me", SwimTimings.defaults(2));
   private final SuspicionTimers timers = new SuspicionTimers(table, PERIOD);
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -11,7 +11,7 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** Joining, leaving, and the bound on answers. */
+/** Tests greetings, leaving, the removal of members that left, and the bounds on responses. */
 class SwimProtocolTest {
   private final ProtocolHarness harness = new ProtocolHarness();
   private final SwimProtocol protocol = harness.protocol;
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
@@ -18,12 +18,12 @@
 import org.amberpath.membership.MemberUpdate;
 import org.junit.jupiter.api.Test;
 
-/** Datagrams of version 1, as released code signed them, are decoded and encoded alike. */
+/** Checks that datagrams of format version 1 are decoded and encoded as by an earlier release. */
 class DatagramCodecGoldenTest {
-  /** A kind and its datagram in hexadecimal to a line; written by the code of 7587aa7. */
+  /** Each line holds a kind and its datagram in hexadecimal; written by commit 7587aa7. */
   private static final String GOLDEN_FILE = "/gossip-datagrams-1";
 
-  /** The word of the golden file for a user message. */
+  /** The kind of a user message in the golden file. */
   private static final String USER_MESSAGE = "LETTER";
 
   private static final MemberUpdate SENDER =
@@ -36,7 +36,7 @@
   private final HmacKeyring keys =
       HmacKeyring.of("k1", HexFormat.of().parseHex("0123456789abcdef0123456789abcdef"));
 
-  /** One update for each status, in the order that their numbers on the wire have. */
+  /** Returns one update per status, in the order of the status ordinals on the wire. */
   private static List<MemberUpdate> updates() {
     List<MemberUpdate> updates = new ArrayList<>();
     for (MemberStatus status :
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is encoded is decoded as it was, and everything else is rejected. */
+/** Tests that encoded messages are decoded unchanged, and that all other datagrams are rejected. */
 class DatagramCodecTest {
   private static final String KEY = "0123456789abcdef0123456789abcdef";
   private static final String OTHER_KEY = "ffffffffffffffffffffffffffffffff";
@@ -128,7 +128,7 @@
     assertTrue(!failure.getMessage().contains(KEY), failure.getMessage());
   }
 
-  /** A holder of the key may still send what can't be read. */
+  /** Guards against a sender that has a valid key and signs a malformed datagram. */
   @Property(tries = 500)
   void signedDatagramOfAnotherFormIsRejected(@ForAll @Size(max = 200) byte[] body)
       throws Exception {
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramReceiverTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramReceiverTest.java
@@ -15,7 +15,7 @@
 import org.amberpath.membership.runtime.DatagramCounters.Result;
 import org.junit.jupiter.api.Test;
 
-/** Each received datagram is counted once, as what became of it, and answered accordingly. */
+/** Tests that each received datagram is counted once by its result, and answered accordingly. */
 class DatagramReceiverTest implements SwimProtocol.Output {
   private static final long OWN_INSTANCE_ID = 7;
   private static final MemberUpdate SELF =
--- a/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two services on loopback sockets, and why one doesn't start. */
+/** Tests two services on loopback sockets, the admin endpoint, and the causes of failed starts. */
 class MembershipServiceTest {
   private static final SocketAddress ANY_PORT = SocketAddress.inetSocketAddress(0, "127.0.0.1");
   private static final long INTERVAL = 100_000_000;
@@ -181,7 +181,7 @@
             .map(Buffer::toString));
   }
 
-  /** Sends a message to each other member that is present, at each tick. */
+  /** Sends a message to each other present member at each tick. */
   private record Handler(MembershipService service, Consumer<byte[]> receiver)
       implements FleetMessageHandler {
     @Override
@@ -226,7 +226,7 @@
     public void close(long nowNanos) {}
   }
 
-  /** The router's side, which these tests don't look at. */
+  /** Ignores all reports to the router, which these tests do not check. */
   private static final class IgnoredCallbacks implements FleetCallbacks {
     @Override
     public void quotaShareChanged(int gateways, double share) {}
