--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -9,21 +9,21 @@
 
 /**
  * The SWIM failure detector. Probes one member per probe interval with a ping. If the ping is not
- * acknowledged within the probe timeout, asks up to {@value #HELPERS} other members to probe the
- * target (SWIM's ping-req). A target that acknowledges neither the direct nor an indirect probe is
- * suspected. Also relays probes that other members request.
+ * acknowledged within the probe timeout, asks up to {@value #INDIRECT_PROBES} other members to
+ * probe the target (SWIM's ping-req). A target that acknowledges neither the direct nor an indirect
+ * probe is suspected. Also relays probes that other members request.
  *
- * <p>Bounds: one probe of its own at a time, {@value #MAX_RELAYED} relayed probes.
+ * <p>Bounds: one probe of its own at a time, {@value #MAX_RELAYED_PROBES} relayed probes.
  */
 final class FailureDetector {
-  private static final int HELPERS = 3;
-  private static final int MAX_RELAYED = 64;
+  private static final int INDIRECT_PROBES = 3;
+  private static final int MAX_RELAYED_PROBES = 64;
 
   /**
    * A probe fails after this many probe timeouts: one for the direct probe, the others for the
    * indirect probes.
    */
-  private static final int FAILED_AFTER_TIMEOUTS = 3;
+  private static final int TIMEOUTS_UNTIL_FAILED = 3;
 
   /** The state of this process's own probe. */
   private enum State {
@@ -42,37 +42,37 @@
    * @param requestNumber the requester's probe number, which the answer repeats
    * @param deadlineNanos when the requester is sent a {@link Kind#NACK} unless the target answered
    */
-  private record Relayed(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
+  private record RelayedProbe(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
 
   private final SwimContext context;
   private final LocalHealth localHealth;
-  private final ProbeOrder order;
+  private final ProbeOrder probeOrder;
   private final UpdateMerger merger;
 
   /** Relayed probes, by the probe number of this process's ping to the target. */
-  private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
+  private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
 
   private long nextProbeNanos;
   private State state = State.IDLE;
   private MemberEntry target;
-  private long requestNumber;
+  private long probeNumber;
   private long sentAtNanos;
 
   /**
    * How many members that were asked for an indirect probe have not yet reported with a {@link
    * Kind#NACK} that the target did not answer them.
    */
-  private int silentHelpers;
+  private int missingNacks;
 
   FailureDetector(
       SwimContext context,
       LocalHealth localHealth,
-      ProbeOrder order,
+      ProbeOrder probeOrder,
       UpdateMerger merger,
       long firstProbeNanos) {
     this.context = context;
     this.localHealth = localHealth;
-    this.order = order;
+    this.probeOrder = probeOrder;
     this.merger = merger;
     nextProbeNanos = firstProbeNanos;
   }
@@ -83,12 +83,14 @@
    */
   void ackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
-      enter(State.IDLE);
+      transitionTo(State.IDLE);
       localHealth.improve();
     }
-    Relayed done = relayed.remove(answeredNumber);
-    if (done != null) {
-      context.sender().send(done.requester, Kind.ACK, done.requestNumber, List.of());
+    RelayedProbe relayedProbe = relayedProbes.remove(answeredNumber);
+    if (relayedProbe != null) {
+      context
+          .sender()
+          .send(relayedProbe.requester, Kind.ACK, relayedProbe.requestNumber, List.of());
     }
   }
 
@@ -98,21 +100,22 @@
    */
   void nackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
-      silentHelpers = Math.max(0, silentHelpers - 1);
+      missingNacks = Math.max(0, missingNacks - 1);
     }
   }
 
   /**
    * Probes the requested member on behalf of the requester. The request is ignored if that member
-   * is unknown or {@value #MAX_RELAYED} relayed probes are in progress.
+   * is unknown or {@value #MAX_RELAYED_PROBES} relayed probes are in progress.
    */
-  void relay(MemberEntry requester, GossipMessage request, long nowNanos) {
-    Optional<MemberEntry> asked = context.table().find(request.subject());
-    if (asked.isPresent() && relayed.size() < MAX_RELAYED) {
-      long deadline = nowNanos + context.timings().probeTimeoutNanos();
-      long own = context.sender().nextProbeNumber();
-      relayed.put(own, new Relayed(requester.update, request.probeNumber(), deadline));
-      ping(asked.get(), own);
+  void relayProbe(MemberEntry requester, GossipMessage request, long nowNanos) {
+    Optional<MemberEntry> subject = context.table().find(request.subject());
+    if (subject.isPresent() && relayedProbes.size() < MAX_RELAYED_PROBES) {
+      long deadlineNanos = nowNanos + context.timings().probeTimeoutNanos();
+      long relayNumber = context.sender().nextProbeNumber();
+      relayedProbes.put(
+          relayNumber, new RelayedProbe(requester.update, request.probeNumber(), deadlineNanos));
+      sendPing(subject.get(), relayNumber);
     }
   }
 
@@ -120,9 +123,9 @@
    * Called after this process was paused: cancels all probes, because a paused process could not
    * receive their answers.
    */
-  void reset() {
-    enter(State.IDLE);
-    relayed.clear();
+  void resetAfterPause() {
+    transitionTo(State.IDLE);
+    relayedProbes.clear();
   }
 
   /**
@@ -131,8 +134,8 @@
    */
   void checkTimeouts(long nowNanos) {
     checkOwnProbe(nowNanos);
-    for (Relayed late : takeLate(nowNanos)) {
-      context.sender().send(late.requester, Kind.NACK, late.requestNumber, List.of());
+    for (RelayedProbe expired : removeExpiredRelayedProbes(nowNanos)) {
+      context.sender().send(expired.requester, Kind.NACK, expired.requestNumber, List.of());
     }
   }
 
@@ -142,21 +145,21 @@
       return;
     }
     nextProbeNanos = nowNanos + context.timings().probeIntervalNanos();
-    order
+    probeOrder
         .next()
         .ifPresent(
             next -> {
               target = next;
-              requestNumber = context.sender().nextProbeNumber();
+              probeNumber = context.sender().nextProbeNumber();
               sentAtNanos = nowNanos;
-              silentHelpers = 0;
-              enter(State.DIRECT);
-              ping(next, requestNumber);
+              missingNacks = 0;
+              transitionTo(State.DIRECT);
+              sendPing(next, probeNumber);
             });
   }
 
   /** Changes the state; the only method that does. A probe becomes indirect only from direct. */
-  private void enter(State next) {
+  private void transitionTo(State next) {
     if (next == State.INDIRECT && state != State.DIRECT) {
       throw new IllegalStateException(state + " to " + next);
     }
@@ -164,57 +167,56 @@
   }
 
   private boolean isCurrent(long number) {
-    return state != State.IDLE && requestNumber == number;
+    return state != State.IDLE && probeNumber == number;
   }
 
   private void checkOwnProbe(long nowNanos) {
     long timeoutNanos = localHealth.scale(context.timings().probeTimeoutNanos());
-    long waitedNanos = nowNanos - sentAtNanos;
+    long elapsedNanos = nowNanos - sentAtNanos;
     if (state != State.IDLE && !target.isPresent()) {
-      enter(State.IDLE);
-    } else if (state == State.DIRECT && waitedNanos >= timeoutNanos) {
-      enter(State.INDIRECT);
-      askHelpers();
-    } else if (state == State.INDIRECT && waitedNanos >= FAILED_AFTER_TIMEOUTS * timeoutNanos) {
-      enter(State.IDLE);
-      if (silentHelpers > 0) {
+      transitionTo(State.IDLE);
+    } else if (state == State.DIRECT && elapsedNanos >= timeoutNanos) {
+      transitionTo(State.INDIRECT);
+      sendIndirectProbes();
+    } else if (state == State.INDIRECT && elapsedNanos >= TIMEOUTS_UNTIL_FAILED * timeoutNanos) {
+      transitionTo(State.IDLE);
+      if (missingNacks > 0) {
         localHealth.worsen(); // A missing NACK suggests that this process receives no datagrams.
       }
       merger.declare(target, MemberStatus.SUSPECTED, nowNanos);
     }
   }
 
-  private void askHelpers() {
-    for (int helper = 0; helper < HELPERS; helper++) {
+  private void sendIndirectProbes() {
+    for (int probe = 0; probe < INDIRECT_PROBES; probe++) {
       context
           .table()
-          .any(context.random(), entry -> entry != target && entry.status() == MemberStatus.ALIVE)
+          .randomMember(
+              context.random(), entry -> entry != target && entry.status() == MemberStatus.ALIVE)
           .ifPresent(
               entry -> {
-                silentHelpers++;
-                context
-                    .sender()
-                    .sendIndirectProbe(entry.update, requestNumber, target.update.name());
+                missingNacks++;
+                context.sender().sendIndirectProbe(entry.update, probeNumber, target.update.name());
               });
     }
   }
 
-  private List<Relayed> takeLate(long nowNanos) {
-    List<Relayed> late = new ArrayList<>();
-    relayed
+  private List<RelayedProbe> removeExpiredRelayedProbes(long nowNanos) {
+    List<RelayedProbe> expired = new ArrayList<>();
+    relayedProbes
         .values()
         .removeIf(
             probe -> {
-              boolean over = nowNanos > probe.deadlineNanos;
-              if (over) {
-                late.add(probe);
+              boolean isExpired = nowNanos > probe.deadlineNanos;
+              if (isExpired) {
+                expired.add(probe);
               }
-              return over;
+              return isExpired;
             });
-    return late;
+    return expired;
   }
 
-  private void ping(MemberEntry entry, long number) {
+  private void sendPing(MemberEntry entry, long number) {
     context.sender().send(entry.update, Kind.PING, number, context.gossip().updatesFor(entry));
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/GossipQueue.java
+++ b/membership/src/main/java/org/amberpath/membership/GossipQueue.java
@@ -12,18 +12,18 @@
  * learns of the suspicion immediately (Lifeguard's buddy system). The other updates follow in the
  * order of how often they were sent, the least sent first.
  *
- * <p>Bounds: one update per member. An update is sent {@value #SPREAD_FACTOR} times the bit length
- * of the number of counted members (about its binary logarithm), then dropped.
+ * <p>Bounds: one update per member. An update is sent {@value #RETRANSMIT_MULTIPLIER} times the bit
+ * length of the number of counted members (about its binary logarithm), then dropped.
  */
 final class GossipQueue {
-  private static final int SPREAD_FACTOR = 3;
+  private static final int RETRANSMIT_MULTIPLIER = 3;
 
   private final MembershipTable table;
   private final LocalMember local;
   private final int maxUpdates;
 
   /** How often the current update about each member was sent, by the member's name. */
-  private final Map<String, Integer> sentCounts = new LinkedHashMap<>();
+  private final Map<String, Integer> transmitCounts = new LinkedHashMap<>();
 
   GossipQueue(MembershipTable table, LocalMember local, int maxUpdates) {
     this.table = table;
@@ -33,7 +33,7 @@
 
   /** Queues the current update about a member; an update that is already queued starts over. */
   void enqueue(String name) {
-    sentCounts.put(name, 0);
+    transmitCounts.put(name, 0);
   }
 
   /** Selects the updates to piggyback on a message to this member, and counts them as sent. */
@@ -42,32 +42,32 @@
     if (receiver.status() != MemberStatus.ALIVE) {
       updates.add(receiver.update);
     }
-    int maxSends = SPREAD_FACTOR * doublings(table.countedNames());
-    List<Map.Entry<String, Integer>> leastSentFirst = new ArrayList<>(sentCounts.entrySet());
+    int maxTransmits = RETRANSMIT_MULTIPLIER * bitLength(table.countedMembers());
+    List<Map.Entry<String, Integer>> leastSentFirst = new ArrayList<>(transmitCounts.entrySet());
     leastSentFirst.sort(Map.Entry.comparingByValue());
     for (Map.Entry<String, Integer> queued : leastSentFirst) {
       if (updates.size() == maxUpdates) {
         break;
       }
-      Optional<MemberUpdate> update = newest(queued.getKey());
-      if (update.isEmpty() || queued.getValue() >= maxSends) {
-        sentCounts.remove(queued.getKey());
+      Optional<MemberUpdate> update = currentUpdate(queued.getKey());
+      if (update.isEmpty() || queued.getValue() >= maxTransmits) {
+        transmitCounts.remove(queued.getKey());
       } else if (!queued.getKey().equals(receiver.update.name())) {
         updates.add(update.get());
-        sentCounts.put(queued.getKey(), queued.getValue() + 1);
+        transmitCounts.put(queued.getKey(), queued.getValue() + 1);
       }
     }
     return updates;
   }
 
-  private Optional<MemberUpdate> newest(String name) {
+  private Optional<MemberUpdate> currentUpdate(String name) {
     return table
         .find(name)
         .map(entry -> entry.update)
         .or(() -> name.equals(local.name()) ? Optional.of(local.update()) : Optional.empty());
   }
 
-  private static int doublings(int members) {
-    return Integer.SIZE - Integer.numberOfLeadingZeros(members);
+  private static int bitLength(int value) {
+    return Integer.SIZE - Integer.numberOfLeadingZeros(value);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/LocalMember.java
+++ b/membership/src/main/java/org/amberpath/membership/LocalMember.java
@@ -48,26 +48,26 @@
   }
 
   /** Records that a complete member list was received. */
-  void fullListHeard() {
+  void markFullySynced() {
     fullySynced = true;
   }
 
   /** Records that the member list received so far is outdated. */
-  void listOutdated() {
+  void markOutdated() {
     fullySynced = false;
   }
 
   /** Sets a higher incarnation and the status {@link MemberStatus#ALIVE}. */
   void raiseIncarnation(long incarnation) {
-    update = with(incarnation, MemberStatus.ALIVE);
+    update = updateWith(incarnation, MemberStatus.ALIVE);
   }
 
   /** Sets the status {@link MemberStatus#LEFT}, which all later messages carry. */
   void leave() {
-    update = with(update.incarnation(), MemberStatus.LEFT);
+    update = updateWith(update.incarnation(), MemberStatus.LEFT);
   }
 
-  private MemberUpdate with(long incarnation, MemberStatus status) {
+  private MemberUpdate updateWith(long incarnation, MemberStatus status) {
     return new MemberUpdate(
         update.name(), update.address(), incarnation, update.instanceId(), status, update.name());
   }
--- a/membership/src/main/java/org/amberpath/membership/MemberEntry.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberEntry.java
@@ -9,10 +9,10 @@
   MemberUpdate update;
 
   /** When the status last changed, in nanoseconds of this process's clock. */
-  long changedAtNanos;
+  long statusChangedAtNanos;
 
   /** The digest of counted names in the last message received from this member. */
-  long reportedNamesDigest;
+  long reportedCountedDigest;
 
   /**
    * When the suspicion expires, in nanoseconds of this process's clock; meaningful only while the
@@ -24,7 +24,7 @@
   final Set<String> reporters = new HashSet<>();
 
   /** Counts the responses to this member's requests in the current probe interval. */
-  final ResponseRateLimiter.Window responses = new ResponseRateLimiter.Window();
+  final ResponseRateLimiter.Window responseWindow = new ResponseRateLimiter.Window();
 
   /** The hash of this member's name, which is its summand in digests. */
   final long nameHash;
--- a/membership/src/main/java/org/amberpath/membership/MembershipTable.java
+++ b/membership/src/main/java/org/amberpath/membership/MembershipTable.java
@@ -17,7 +17,7 @@
  * ({@link MemberUpdate#supersedes}).
  *
  * <p>Bounds: {@value #MAX_MEMBERS} members. After a member left, it is counted for another {@value
- * #COUNTED_AFTER_LEAVE_PERIODS} probe intervals and removed after {@value #REMEMBERED_PERIODS}.
+ * #LEFT_COUNTED_PERIODS} probe intervals and removed after {@value #LEFT_RETENTION_PERIODS}.
  */
 final class MembershipTable {
   private static final int MAX_MEMBERS = 2000;
@@ -26,22 +26,22 @@
    * How many probe intervals the entry of a member that left is kept: long enough for the leave to
    * reach all members, so that no delayed update adds the name again.
    */
-  private static final int REMEMBERED_PERIODS = 240;
+  private static final int LEFT_RETENTION_PERIODS = 240;
 
   /**
    * How many probe intervals a member is still counted after its leave. Guards against a false
    * update that reports a running member as left: the member has this time to refute the update.
    */
-  private static final int COUNTED_AFTER_LEAVE_PERIODS = 24;
+  private static final int LEFT_COUNTED_PERIODS = 24;
 
   private final NavigableMap<String, MemberEntry> entries = new TreeMap<>();
   private final String ownName;
   private final long ownNameHash;
   private final long periodNanos;
   private final int maxPageSize;
-  private int countedNames;
+  private int countedMembers;
   private int presentMembers;
-  private long namesDigest;
+  private long countedDigest;
   private long presentDigest;
 
   MembershipTable(String ownName, SwimTimings timings) {
@@ -63,10 +63,10 @@
 
   /** Returns the page of the member list that begins after a name, or the first page. */
   MemberPage page(Optional<String> after) {
-    Collection<MemberEntry> rest = entries.tailMap(after.orElse(""), false).values();
+    Collection<MemberEntry> remaining = entries.tailMap(after.orElse(""), false).values();
     List<MemberUpdate> updates =
-        rest.stream().limit(maxPageSize).map(entry -> entry.update).toList();
-    return new MemberPage(updates, rest.stream().skip(maxPageSize).findAny().isPresent());
+        remaining.stream().limit(maxPageSize).map(entry -> entry.update).toList();
+    return new MemberPage(updates, remaining.stream().skip(maxPageSize).findAny().isPresent());
   }
 
   boolean isEmpty() {
@@ -86,12 +86,12 @@
   }
 
   /** Whether the table still contains this entry, and not another one for the same name. */
-  boolean holds(MemberEntry entry) {
+  boolean contains(MemberEntry entry) {
     return entries.get(entry.update.name()) == entry;
   }
 
   /** Returns a uniformly random matching entry; draws no random number if no entry matches. */
-  Optional<MemberEntry> any(SplittableRandom random, Predicate<MemberEntry> matches) {
+  Optional<MemberEntry> randomMember(SplittableRandom random, Predicate<MemberEntry> matches) {
     List<MemberEntry> matching = entries.values().stream().filter(matches).toList();
     return matching.isEmpty()
         ? Optional.empty()
@@ -109,27 +109,29 @@
   }
 
   /**
-   * Removes members that left more than {@value #REMEMBERED_PERIODS} probe intervals ago. Guards
-   * against unbounded growth of the table when members with new names keep joining and leaving.
+   * Removes members that left more than {@value #LEFT_RETENTION_PERIODS} probe intervals ago.
+   * Guards against unbounded growth of the table when members with new names keep joining and
+   * leaving.
    *
    * @return whether any member was removed
    */
-  boolean removeLeft(long nowNanos) {
+  boolean removeExpiredLeft(long nowNanos) {
     return entries
         .values()
         .removeIf(
             entry ->
                 entry.status() == MemberStatus.LEFT
-                    && nowNanos - entry.changedAtNanos > REMEMBERED_PERIODS * periodNanos);
+                    && nowNanos - entry.statusChangedAtNanos
+                        > LEFT_RETENTION_PERIODS * periodNanos);
   }
 
   /**
    * Whether a member is counted when fleet-wide limits are divided. All members are, except those
-   * that left at least {@value #COUNTED_AFTER_LEAVE_PERIODS} probe intervals ago.
+   * that left at least {@value #LEFT_COUNTED_PERIODS} probe intervals ago.
    */
   boolean isCounted(MemberEntry entry, long nowNanos) {
     return entry.status() != MemberStatus.LEFT
-        || nowNanos - entry.changedAtNanos < COUNTED_AFTER_LEAVE_PERIODS * periodNanos;
+        || nowNanos - entry.statusChangedAtNanos < LEFT_COUNTED_PERIODS * periodNanos;
   }
 
   /**
@@ -137,9 +139,9 @@
    * members that left cease to be counted as time passes.
    */
   void recount(long nowNanos) {
-    countedNames = 1;
+    countedMembers = 1;
     presentMembers = 1;
-    namesDigest = ownNameHash;
+    countedDigest = ownNameHash;
     presentDigest = ownNameHash;
     for (MemberEntry entry : entries.values()) {
       if (entry.isPresent()) {
@@ -147,15 +149,15 @@
         presentMembers++;
       }
       if (isCounted(entry, nowNanos)) {
-        countedNames++;
-        namesDigest += entry.nameHash;
+        countedMembers++;
+        countedDigest += entry.nameHash;
       }
     }
   }
 
   /** Returns the number of counted members including this process. */
-  int countedNames() {
-    return countedNames;
+  int countedMembers() {
+    return countedMembers;
   }
 
   /** Returns the number of present members including this process. */
@@ -164,8 +166,8 @@
   }
 
   /** Returns the digest of the names of counted members including this process. */
-  long namesDigest() {
-    return namesDigest;
+  long countedDigest() {
+    return countedDigest;
   }
 
   /** Returns the digest of the names of present members including this process. */
--- a/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
+++ b/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
@@ -40,30 +40,30 @@
   boolean receive(GossipMessage message, long nowNanos) {
     MemberUpdate sender = message.sender();
     if (sender.name().equals(context.local().name())) {
-      conflicts.messageUnderOwnName(sender);
+      conflicts.ownNameUsedBy(sender);
       return false;
     }
     responses.advance(nowNanos);
-    boolean first = context.table().isEmpty();
+    boolean tableWasEmpty = context.table().isEmpty();
     merger.merge(sender, nowNanos);
     message.updates().forEach(update -> merger.merge(update, nowNanos));
-    Optional<MemberEntry> known = context.table().find(sender.name());
-    if (known.isEmpty()) {
+    Optional<MemberEntry> senderEntry = context.table().find(sender.name());
+    if (senderEntry.isEmpty()) {
       return false; // The table is full, or the sender's incarnation is too far in the future.
     }
-    MemberEntry entry = known.get();
-    if (first) {
-      antiEntropy.firstContact(nowNanos);
+    MemberEntry entry = senderEntry.get();
+    if (tableWasEmpty) {
+      antiEntropy.firstMemberAdded(nowNanos);
     }
-    entry.reportedNamesDigest = message.countedDigest();
-    antiEntropy.compare(message);
-    boolean handled = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
+    entry.reportedCountedDigest = message.countedDigest();
+    antiEntropy.compareDigest(message);
+    boolean permitted = isAnswer(message.kind()) || responses.tryAcquire(entry, nowNanos);
     if (entry.update.instanceId() != sender.instanceId() && responses.tryAcquire(entry, nowNanos)) {
       // Guards against a restarted member that all others ignore because its clock went back and
       // its incarnation is lower than before: it is sent its table entry, which it supersedes.
       context.sender().send(sender, Kind.NACK, 0, List.of(entry.update));
     }
-    if (handled) {
+    if (permitted) {
       handle(entry, message, nowNanos);
     }
     return true;
@@ -83,10 +83,10 @@
                   Kind.ACK,
                   message.probeNumber(),
                   context.gossip().updatesFor(entry));
-      case ASK -> detector.relay(entry, message, nowNanos);
+      case ASK -> detector.relayProbe(entry, message, nowNanos);
       case ACK -> detector.ackReceived(message.probeNumber());
       case NACK -> detector.nackReceived(message.probeNumber());
-      case SYNC -> antiEntropy.answer(message);
+      case SYNC -> antiEntropy.sendRequestedPage(message);
       case PAGE -> antiEntropy.pageReceived(message, nowNanos);
       default -> throw new AssertionError(message.kind());
     }
--- a/membership/src/main/java/org/amberpath/membership/MessageSender.java
+++ b/membership/src/main/java/org/amberpath/membership/MessageSender.java
@@ -11,14 +11,14 @@
 final class MessageSender {
   private final LocalMember local;
   private final MembershipTable table;
-  private final SwimProtocol.Output out;
+  private final SwimProtocol.Output output;
   private long lastSequenceNumber;
   private long lastProbeNumber;
 
-  MessageSender(LocalMember local, MembershipTable table, SwimProtocol.Output out) {
+  MessageSender(LocalMember local, MembershipTable table, SwimProtocol.Output output) {
     this.local = local;
     this.table = table;
-    this.out = out;
+    this.output = output;
   }
 
   /** Allocates the sequence number of the next datagram of this process. */
@@ -32,36 +32,40 @@
   }
 
   /** Sends a message that carries only updates. */
-  void send(MemberUpdate to, Kind kind, long requestNumber, List<MemberUpdate> updates) {
-    send(to, kind, requestNumber, Optional.empty(), new MemberPage(updates, false));
+  void send(MemberUpdate receiver, Kind kind, long requestNumber, List<MemberUpdate> updates) {
+    send(receiver, kind, requestNumber, Optional.empty(), new MemberPage(updates, false));
   }
 
   /** Asks a member to probe the target on behalf of this process. */
-  void sendIndirectProbe(MemberUpdate to, long requestNumber, String target) {
-    send(to, Kind.ASK, requestNumber, Optional.of(target), new MemberPage(List.of(), false));
+  void sendIndirectProbe(MemberUpdate receiver, long requestNumber, String target) {
+    send(receiver, Kind.ASK, requestNumber, Optional.of(target), new MemberPage(List.of(), false));
   }
 
   /**
    * Sends the page of the member list that begins after a name, in a {@link Kind#SYNC} request or a
    * {@link Kind#PAGE} answer.
    */
-  void sendPage(MemberUpdate to, Kind kind, long requestNumber, Optional<String> after) {
-    send(to, kind, requestNumber, after, table.page(after));
+  void sendPage(MemberUpdate receiver, Kind kind, long requestNumber, Optional<String> after) {
+    send(receiver, kind, requestNumber, after, table.page(after));
   }
 
   private void send(
-      MemberUpdate to, Kind kind, long requestNumber, Optional<String> about, MemberPage page) {
-    out.send(
-        to.address(),
+      MemberUpdate receiver,
+      Kind kind,
+      long requestNumber,
+      Optional<String> subject,
+      MemberPage page) {
+    output.send(
+        receiver.address(),
         new GossipMessage(
             kind,
             local.update(),
-            to.instanceId(),
+            receiver.instanceId(),
             nextSequenceNumber(),
             requestNumber,
-            table.namesDigest(),
+            table.countedDigest(),
             table.presentDigest(),
-            about.orElse(null),
+            subject.orElse(null),
             page.hasMore(),
             local.isFullySynced(),
             page.updates()));
--- a/membership/src/main/java/org/amberpath/membership/NameDigest.java
+++ b/membership/src/main/java/org/amberpath/membership/NameDigest.java
@@ -14,8 +14,8 @@
 
   static long hash(String name) {
     long value = SEED;
-    for (int at = 0; at < name.length(); at++) {
-      value = (value ^ name.charAt(at)) * MULTIPLIER;
+    for (int index = 0; index < name.length(); index++) {
+      value = (value ^ name.charAt(index)) * MULTIPLIER;
       value ^= value >>> SHIFT;
     }
     return value;
--- a/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
+++ b/membership/src/main/java/org/amberpath/membership/PartitionHealer.java
@@ -15,38 +15,38 @@
    * How many members of the fleet, on average, contact a seed address without a present member in
    * each interval.
    */
-  private static final int SEED_REQUESTERS = 8;
+  private static final int SEED_REQUESTS_PER_INTERVAL = 8;
 
   private final SwimContext context;
   private final List<String> seeds;
   private final long intervalNanos;
-  private long nextTryNanos;
+  private long nextAttemptNanos;
 
   PartitionHealer(SwimContext context, List<String> seeds, long nowNanos) {
     this.context = context;
     this.seeds = seeds;
     intervalNanos = INTERVAL_PERIODS * context.timings().probeIntervalNanos();
-    nextTryNanos = nowNanos + intervalNanos;
+    nextAttemptNanos = nowNanos + intervalNanos;
   }
 
   /**
    * When an attempt is due, contacts a random lost member and, with a probability that falls with
    * the fleet's size, one seed address at which no present member is known.
    */
-  void tryIfDue(long nowNanos) {
-    if (nowNanos < nextTryNanos) {
+  void healIfDue(long nowNanos) {
+    if (nowNanos < nextAttemptNanos) {
       return;
     }
-    nextTryNanos = nowNanos + intervalNanos / 2 + context.random().nextLong(intervalNanos);
+    nextAttemptNanos = nowNanos + intervalNanos / 2 + context.random().nextLong(intervalNanos);
     context
         .table()
-        .any(context.random(), entry -> entry.status() == MemberStatus.LOST)
-        .ifPresent(this::tryLost);
-    askEmptySeed();
+        .randomMember(context.random(), entry -> entry.status() == MemberStatus.LOST)
+        .ifPresent(this::contactLostMember);
+    contactUnoccupiedSeed();
   }
 
-  private void tryLost(MemberEntry lost) {
-    requestList(lost.update);
+  private void contactLostMember(MemberEntry lost) {
+    requestFirstPage(lost.update);
     context
         .sender()
         .send(
@@ -60,22 +60,22 @@
    * Guards against a member that stays isolated because it started at a seed address while all
    * other seeds were down: only members that know the seed address can discover it.
    */
-  private void askEmptySeed() {
-    List<String> empty = seeds.stream().filter(seed -> !anyPresentAt(seed)).toList();
-    int members = context.table().countedNames();
-    if (!empty.isEmpty() && context.random().nextInt(members) < SEED_REQUESTERS) {
-      requestList(Seeds.anyOf(empty, context.random()));
+  private void contactUnoccupiedSeed() {
+    List<String> unoccupied = seeds.stream().filter(seed -> !hasPresentMemberAt(seed)).toList();
+    int members = context.table().countedMembers();
+    if (!unoccupied.isEmpty() && context.random().nextInt(members) < SEED_REQUESTS_PER_INTERVAL) {
+      requestFirstPage(Seeds.randomSeed(unoccupied, context.random()));
     }
   }
 
-  private boolean anyPresentAt(String address) {
+  private boolean hasPresentMemberAt(String address) {
     return context.table().all().stream()
         .anyMatch(entry -> entry.isPresent() && entry.update.address().equals(address));
   }
 
-  private void requestList(MemberUpdate from) {
+  private void requestFirstPage(MemberUpdate receiver) {
     context
         .sender()
-        .sendPage(from, Kind.SYNC, context.sender().nextProbeNumber(), Optional.empty());
+        .sendPage(receiver, Kind.SYNC, context.sender().nextProbeNumber(), Optional.empty());
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/PhaseTracker.java
+++ b/membership/src/main/java/org/amberpath/membership/PhaseTracker.java
@@ -8,22 +8,22 @@
 
   private final MembershipTable table;
   private final LocalMember local;
-  private final SwimProtocol.Output out;
+  private final SwimProtocol.Output output;
   private final long settledAfterNanos;
   private Phase phase = Phase.JOINING;
-  private long changedAtNanos;
+  private long membershipChangedAtNanos;
 
   PhaseTracker(
       MembershipTable table,
       LocalMember local,
-      SwimProtocol.Output out,
+      SwimProtocol.Output output,
       long periodNanos,
       long nowNanos) {
     this.table = table;
     this.local = local;
-    this.out = out;
+    this.output = output;
     settledAfterNanos = SETTLED_AFTER_PERIODS * periodNanos;
-    changedAtNanos = nowNanos;
+    membershipChangedAtNanos = nowNanos;
   }
 
   Phase current() {
@@ -32,37 +32,37 @@
 
   /** Records that a status has changed, or may have changed while this process was paused. */
   void membershipChanged(long nowNanos) {
-    changedAtNanos = nowNanos;
+    membershipChangedAtNanos = nowNanos;
   }
 
   /** Enters the phase that follows from the current table and suspicions. */
   void update(SuspicionTimers suspicions, long nowNanos) {
     int present = table.presentMembers();
-    int counted = table.countedNames();
+    int counted = table.countedMembers();
     if (counted == 1 && present == 1) {
       boolean alone = phase == Phase.ALONE || local.joinTimeoutPassed(nowNanos);
-      enter(alone ? Phase.ALONE : Phase.JOINING);
+      transitionTo(alone ? Phase.ALONE : Phase.JOINING);
     } else if (2 * present <= counted) {
-      enter(Phase.CUT_OFF);
+      transitionTo(Phase.CUT_OFF);
     } else {
       boolean settled =
           local.isFullySynced()
               && !suspicions.anyRunning()
-              && nowNanos - changedAtNanos > settledAfterNanos;
-      enter(settled ? Phase.SETTLED : Phase.SETTLING);
+              && nowNanos - membershipChangedAtNanos > settledAfterNanos;
+      transitionTo(settled ? Phase.SETTLED : Phase.SETTLING);
     }
   }
 
   /** Enters {@link Phase#LEAVING}, the final phase; {@link #update} must not be called again. */
   void leave() {
-    enter(Phase.LEAVING);
+    transitionTo(Phase.LEAVING);
   }
 
-  private void enter(Phase next) {
+  private void transitionTo(Phase next) {
     if (next != phase) {
-      Phase before = phase;
+      Phase previous = phase;
       phase = next;
-      out.phaseChanged(before, next);
+      output.phaseChanged(previous, next);
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/ProbeOrder.java
+++ b/membership/src/main/java/org/amberpath/membership/ProbeOrder.java
@@ -12,7 +12,7 @@
  */
 final class ProbeOrder {
   private final SplittableRandom random;
-  private final List<MemberEntry> order = new ArrayList<>();
+  private final List<MemberEntry> entries = new ArrayList<>();
   private int position;
 
   ProbeOrder(SplittableRandom random) {
@@ -20,23 +20,23 @@
   }
 
   void add(MemberEntry entry) {
-    order.add(random.nextInt(order.size() + 1), entry);
+    entries.add(random.nextInt(entries.size() + 1), entry);
   }
 
   /** Removes entries that are no longer in the table. */
-  void retain(MembershipTable table) {
-    order.removeIf(entry -> !table.holds(entry));
-    position = Math.min(position, order.size());
+  void removeStaleEntries(MembershipTable table) {
+    entries.removeIf(entry -> !table.contains(entry));
+    position = Math.min(position, entries.size());
   }
 
   /** Returns the next present member and advances the order; empty if no member is present. */
   Optional<MemberEntry> next() {
-    for (int tried = 0; tried < order.size(); tried++) {
-      if (position >= order.size()) {
+    for (int examined = 0; examined < entries.size(); examined++) {
+      if (position >= entries.size()) {
         position = 0;
         shuffle();
       }
-      MemberEntry next = order.get(position++);
+      MemberEntry next = entries.get(position++);
       if (next.isPresent()) {
         return Optional.of(next);
       }
@@ -45,11 +45,11 @@
   }
 
   private void shuffle() {
-    for (int last = order.size() - 1; last > 0; last--) {
-      int other = random.nextInt(last + 1);
-      MemberEntry moved = order.get(last);
-      order.set(last, order.get(other));
-      order.set(other, moved);
+    for (int last = entries.size() - 1; last > 0; last--) {
+      int swapWith = random.nextInt(last + 1);
+      MemberEntry swapped = entries.get(last);
+      entries.set(last, entries.get(swapWith));
+      entries.set(swapWith, swapped);
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/QuotaAdmission.java
+++ b/membership/src/main/java/org/amberpath/membership/QuotaAdmission.java
@@ -21,12 +21,12 @@
     MembershipTable table = context.table();
     if (!admitted && context.local().isFullySynced()) {
       admitted =
-          table.countedNames() > 1
+          table.countedMembers() > 1
               && table.all().stream()
                   .allMatch(
                       entry ->
                           !table.isCounted(entry, nowNanos)
-                              || entry.reportedNamesDigest == table.namesDigest());
+                              || entry.reportedCountedDigest == table.countedDigest());
     }
   }
 
@@ -35,14 +35,14 @@
    * of counted members, whichever is larger. A lost member remains counted.
    */
   int divisor() {
-    return Math.max(context.timings().maxMembers(), context.table().countedNames());
+    return Math.max(context.timings().maxMembers(), context.table().countedMembers());
   }
 
   /** Returns this member's share of fleet-wide limits: 0, or 1 divided by the divisor. */
   double share(SwimProtocol.Phase phase) {
-    boolean withinMaximum = context.table().countedNames() <= context.timings().maxMembers();
-    boolean heard = context.local().isFullySynced() || phase == SwimProtocol.Phase.ALONE;
-    boolean entitled = admitted || (withinMaximum && heard);
+    boolean withinMaximum = context.table().countedMembers() <= context.timings().maxMembers();
+    boolean viewComplete = context.local().isFullySynced() || phase == SwimProtocol.Phase.ALONE;
+    boolean entitled = admitted || (withinMaximum && viewComplete);
     return phase != SwimProtocol.Phase.LEAVING && entitled ? 1.0 / divisor() : 0;
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/Refutation.java
+++ b/membership/src/main/java/org/amberpath/membership/Refutation.java
@@ -16,7 +16,7 @@
   private final NameConflictDetector conflicts;
   private final GossipQueue gossip;
   private final long minIntervalNanos;
-  private long refutedAtNanos = Long.MIN_VALUE;
+  private long lastRefutedAtNanos = Long.MIN_VALUE;
 
   Refutation(
       LocalMember local,
@@ -46,15 +46,17 @@
     if (!update.supersedes(local.update())) {
       return;
     }
-    conflicts.roseAbove(update);
-    boolean never = refutedAtNanos == Long.MIN_VALUE;
-    if (never || nowNanos - refutedAtNanos > minIntervalNanos || !conflicts.anyReported()) {
+    conflicts.localUpdateSuperseded(update);
+    boolean neverRefuted = lastRefutedAtNanos == Long.MIN_VALUE;
+    if (neverRefuted
+        || nowNanos - lastRefutedAtNanos > minIntervalNanos
+        || !conflicts.anyReported()) {
       refute(update, nowNanos);
     }
   }
 
   private void refute(MemberUpdate update, long nowNanos) {
-    refutedAtNanos = nowNanos;
+    lastRefutedAtNanos = nowNanos;
     local.raiseIncarnation(update.incarnation() + 1);
     gossip.enqueue(local.name());
   }
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -25,16 +25,16 @@
     /** The datagram is addressed to another process; its sender may be sent a greeting. */
     GREETED,
     /** The sequence number was received before, or is older than the anti-replay window. */
-    REPEATED,
+    REPLAYED,
     /** The rate limit of the sender, or of greetings, is exceeded in this probe interval. */
-    TOO_MANY
+    RATE_LIMITED
   }
 
   private static final int MAX_SENDERS = 4000;
   private static final int WINDOW_BITS = Long.SIZE;
   private static final int MAX_EXAMINED_PER_PERIOD = 2000;
   private static final int MAX_PER_SENDER_AND_PERIOD = 60;
-  private static final int MAX_GREETED_PER_PERIOD = 8;
+  private static final int MAX_GREETINGS_PER_PERIOD = 8;
 
   private final long ownInstanceId;
   private final long periodNanos;
@@ -47,7 +47,7 @@
       };
   private long periodStartNanos;
   private int examined;
-  private int greeted;
+  private int greetings;
 
   /** The anti-replay window and the datagram count of one sending process. */
   private static final class Sender {
@@ -57,7 +57,7 @@
     private long receivedWindow;
 
     private long periodStartNanos;
-    private int received;
+    private int datagramsInPeriod;
   }
 
   /**
@@ -82,7 +82,7 @@
     if (nowNanos - periodStartNanos > periodNanos) {
       periodStartNanos = nowNanos;
       examined = 0;
-      greeted = 0;
+      greetings = 0;
     }
     return ++examined <= MAX_EXAMINED_PER_PERIOD;
   }
@@ -100,28 +100,28 @@
   public Verdict check(
       long nowNanos, long senderInstanceId, long recipientInstanceId, long sequenceNumber) {
     if (recipientInstanceId != ownInstanceId) {
-      return ++greeted <= MAX_GREETED_PER_PERIOD ? Verdict.GREETED : Verdict.TOO_MANY;
+      return ++greetings <= MAX_GREETINGS_PER_PERIOD ? Verdict.GREETED : Verdict.RATE_LIMITED;
     }
     Sender sender = senders.computeIfAbsent(senderInstanceId, added -> new Sender());
     if (nowNanos - sender.periodStartNanos > periodNanos) {
       sender.periodStartNanos = nowNanos;
-      sender.received = 0;
+      sender.datagramsInPeriod = 0;
     }
-    if (++sender.received > MAX_PER_SENDER_AND_PERIOD) {
-      return Verdict.TOO_MANY;
+    if (++sender.datagramsInPeriod > MAX_PER_SENDER_AND_PERIOD) {
+      return Verdict.RATE_LIMITED;
     }
-    return isNew(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPEATED;
+    return markReceived(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPLAYED;
   }
 
   /** Marks a sequence number as received, and returns whether it is new within the window. */
-  private static boolean isNew(Sender sender, long sequenceNumber) {
-    long ahead = sequenceNumber - sender.highestSequenceNumber;
+  private static boolean markReceived(Sender sender, long sequenceNumber) {
+    long distance = sequenceNumber - sender.highestSequenceNumber;
     if (sequenceNumber > sender.highestSequenceNumber) {
-      sender.receivedWindow = ahead >= WINDOW_BITS ? 1 : sender.receivedWindow << ahead | 1;
+      sender.receivedWindow = distance >= WINDOW_BITS ? 1 : sender.receivedWindow << distance | 1;
       sender.highestSequenceNumber = sequenceNumber;
       return true;
     }
-    long bit = ahead <= 0 && ahead > -WINDOW_BITS ? 1L << -ahead : 0;
+    long bit = distance <= 0 && distance > -WINDOW_BITS ? 1L << -distance : 0;
     boolean repeated = bit == 0 || (sender.receivedWindow & bit) != 0;
     sender.receivedWindow |= bit;
     return !repeated;
--- a/membership/src/main/java/org/amberpath/membership/ResponseRateLimiter.java
+++ b/membership/src/main/java/org/amberpath/membership/ResponseRateLimiter.java
@@ -39,7 +39,7 @@
 
   /** Counts one response to this member, and returns whether the limits permit it. */
   boolean tryAcquire(MemberEntry requester, long nowNanos) {
-    requester.responses.advance(nowNanos, periodNanos);
-    return ++requester.responses.count <= MAX_PER_MEMBER && ++total.count <= MAX_PER_PERIOD;
+    requester.responseWindow.advance(nowNanos, periodNanos);
+    return ++requester.responseWindow.count <= MAX_PER_MEMBER && ++total.count <= MAX_PER_PERIOD;
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/Seeds.java
+++ b/membership/src/main/java/org/amberpath/membership/Seeds.java
@@ -8,7 +8,7 @@
   private Seeds() {}
 
   /** Returns a uniformly random address, wrapped as the receiver of a message. */
-  static MemberUpdate anyOf(List<String> addresses, SplittableRandom random) {
+  static MemberUpdate randomSeed(List<String> addresses, SplittableRandom random) {
     String address = addresses.get(random.nextInt(addresses.size()));
     return new MemberUpdate("", address, 0, 0, MemberStatus.ALIVE, "");
   }
--- a/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
+++ b/membership/src/main/java/org/amberpath/membership/SuspicionTimers.java
@@ -73,14 +73,14 @@
   }
 
   private long durationNanos(int reporters) {
-    double confirmed = Math.log(Math.max(1, reporters)) / Math.log(CONFIRMING_REPORTERS);
+    double confirmation = Math.log(Math.max(1, reporters)) / Math.log(CONFIRMING_REPORTERS);
     return (long)
-        ((MAX_PERIODS - (MAX_PERIODS - MIN_PERIODS) * Math.min(1, confirmed))
+        ((MAX_PERIODS - (MAX_PERIODS - MIN_PERIODS) * Math.min(1, confirmation))
             * periodNanos
             * sizeFactor());
   }
 
   private double sizeFactor() {
-    return Math.max(1, Math.log10(Math.max(1, table.countedNames())));
+    return Math.max(1, Math.log10(Math.max(1, table.countedMembers())));
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimProtocol.java
@@ -74,15 +74,16 @@
    * The current state of another member.
    *
    * @param update the update that takes precedence over all others about the member
-   * @param sinceNanos when the member's status last changed, in nanoseconds of this gateway's clock
+   * @param statusChangedAtNanos when the member's status last changed, in nanoseconds of this
+   *     gateway's clock
    */
-  public record ObservedMember(MemberUpdate update, long sinceNanos) {}
+  public record ObservedMember(MemberUpdate update, long statusChangedAtNanos) {}
 
   /** After more than this many probe intervals without a tick, this process was paused. */
-  private static final int STANDSTILL_PERIODS = 3;
+  private static final int PAUSE_PERIODS = 3;
 
   /** The most members that are sent the leave directly; the others receive it by gossip. */
-  private static final int LEAVE_MESSAGES = 6;
+  private static final int MAX_LEAVE_MESSAGES = 6;
 
   private final SwimTimings timings;
   private final SplittableRandom random;
@@ -99,7 +100,7 @@
   private final MessageDispatcher dispatcher;
   private final QuotaAdmission quota;
   private final PhaseTracker phases;
-  private long tickedAtNanos;
+  private long lastTickNanos;
 
   /**
    * Creates a protocol instance that knows no other members.
@@ -111,7 +112,7 @@
    *     skipped
    * @param seed the seed of the random numbers, which differs between processes
    * @param nowNanos the current time in nanoseconds of this gateway's clock
-   * @param out receives messages and change events
+   * @param output receives messages and change events
    */
   public SwimProtocol(
       SwimTimings timings,
@@ -119,22 +120,24 @@
       List<String> seeds,
       long seed,
       long nowNanos,
-      Output out) {
+      Output output) {
     this.timings = timings;
     long periodNanos = timings.probeIntervalNanos();
     random = new SplittableRandom(seed);
     local = new LocalMember(self, periodNanos, nowNanos);
     table = new MembershipTable(self.name(), timings);
-    sender = new MessageSender(local, table, out);
+    sender = new MessageSender(local, table, output);
     suspicions = new SuspicionTimers(table, periodNanos);
     GossipQueue gossip = new GossipQueue(table, local, timings.maxUpdatesPerMessage());
-    NameConflictDetector conflicts = new NameConflictDetector(local, out);
+    NameConflictDetector conflicts = new NameConflictDetector(local, output);
     probeOrder = new ProbeOrder(random);
-    phases = new PhaseTracker(table, local, out, periodNanos, nowNanos);
+    phases = new PhaseTracker(table, local, output, periodNanos, nowNanos);
     Refutation refutation = new Refutation(local, localHealth, conflicts, gossip, periodNanos);
-    merger = new UpdateMerger(table, local, suspicions, gossip, refutation, new MergeListener(out));
+    merger =
+        new UpdateMerger(table, local, suspicions, gossip, refutation, new MergeListener(output));
     SwimContext context = new SwimContext(timings, random, table, local, sender, gossip);
-    List<String> otherSeeds = seeds.stream().filter(one -> !one.equals(self.address())).toList();
+    List<String> otherSeeds =
+        seeds.stream().filter(address -> !address.equals(self.address())).toList();
     long firstProbeNanos = nowNanos + random.nextLong(periodNanos);
     detector = new FailureDetector(context, localHealth, probeOrder, merger, firstProbeNanos);
     antiEntropy = new AntiEntropySync(context, otherSeeds, nowNanos);
@@ -143,14 +146,14 @@
     dispatcher =
         new MessageDispatcher(context, merger, detector, antiEntropy, conflicts, responses);
     quota = new QuotaAdmission(context);
-    tickedAtNanos = nowNanos;
+    lastTickNanos = nowNanos;
   }
 
   private final class MergeListener implements UpdateMerger.Listener {
-    private final Output out;
+    private final Output output;
 
-    MergeListener(Output out) {
-      this.out = out;
+    MergeListener(Output output) {
+      this.output = output;
     }
 
     @Override
@@ -161,7 +164,7 @@
     @Override
     public void statusChanged(MemberEntry entry, long nowNanos) {
       phases.membershipChanged(nowNanos);
-      out.memberStatusChanged(entry.update.name(), entry.status());
+      output.memberStatusChanged(entry.update.name(), entry.status());
     }
   }
 
@@ -190,25 +193,25 @@
 
   /** Processes all timers; must be called several times per probe interval. */
   public void tick(long nowNanos) {
-    long passedNanos = nowNanos - tickedAtNanos;
-    tickedAtNanos = nowNanos;
+    long elapsedNanos = nowNanos - lastTickNanos;
+    lastTickNanos = nowNanos;
     table.recount(nowNanos);
     if (isLeaving()) {
       return;
     }
-    if (passedNanos > STANDSTILL_PERIODS * timings.probeIntervalNanos()) {
-      stoodStill(passedNanos, nowNanos);
+    if (elapsedNanos > PAUSE_PERIODS * timings.probeIntervalNanos()) {
+      resumeAfterPause(elapsedNanos, nowNanos);
     }
     detector.checkTimeouts(nowNanos);
     suspicions
         .expired(nowNanos)
         .forEach(entry -> merger.declare(entry, MemberStatus.LOST, nowNanos));
-    if (table.removeLeft(nowNanos)) {
-      probeOrder.retain(table);
+    if (table.removeExpiredLeft(nowNanos)) {
+      probeOrder.removeStaleEntries(table);
     }
     detector.probeIfDue(nowNanos);
     antiEntropy.syncIfDue(nowNanos);
-    healer.tryIfDue(nowNanos);
+    healer.healIfDue(nowNanos);
     phases.update(suspicions, nowNanos);
   }
 
@@ -216,27 +219,27 @@
    * Guards the fleet against false suspicions by a process that was paused: messages that it did
    * not receive during the pause say nothing about their senders, and its member list is outdated.
    */
-  private void stoodStill(long passedNanos, long nowNanos) {
-    detector.reset();
-    antiEntropy.restart(nowNanos);
+  private void resumeAfterPause(long pausedNanos, long nowNanos) {
+    detector.resetAfterPause();
+    antiEntropy.restartAfterPause(nowNanos);
     phases.membershipChanged(nowNanos);
     localHealth.worsenToMaximum();
-    suspicions.postpone(passedNanos);
+    suspicions.postpone(pausedNanos);
   }
 
   // ---- Operators.
 
   /**
    * Leaves the fleet gracefully: from now on this gateway's quota share is 0. The leave is sent to
-   * at most {@value #LEAVE_MESSAGES} random present members, from which the others receive it by
-   * gossip.
+   * at most {@value #MAX_LEAVE_MESSAGES} random present members, from which the others receive it
+   * by gossip.
    */
   public void leave(long nowNanos) {
     phases.leave();
     local.leave();
     List<MemberEntry> present =
         new ArrayList<>(table.all().stream().filter(MemberEntry::isPresent).toList());
-    for (int sent = 0; sent < LEAVE_MESSAGES && !present.isEmpty(); sent++) {
+    for (int sent = 0; sent < MAX_LEAVE_MESSAGES && !present.isEmpty(); sent++) {
       MemberEntry receiver = present.remove(random.nextInt(present.size()));
       sender.send(receiver.update, Kind.NACK, 0, List.of());
     }
@@ -277,7 +280,7 @@
    */
   public List<ObservedMember> otherMembers() {
     return table.all().stream()
-        .map(entry -> new ObservedMember(entry.update, entry.changedAtNanos))
+        .map(entry -> new ObservedMember(entry.update, entry.statusChangedAtNanos))
         .toList();
   }
 
--- a/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
+++ b/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
@@ -24,7 +24,7 @@
    * the wall clock's Unix seconds. Guards against an update whose incarnation is so high that the
    * member it is about could never refute it.
    */
-  private static final long MAX_SECONDS_AHEAD = 2 * 86_400;
+  private static final long MAX_INCARNATION_AHEAD_SECONDS = 2 * 86_400;
 
   private final MembershipTable table;
   private final LocalMember local;
@@ -50,32 +50,32 @@
 
   /** Merges an update that was received from another member or made by this process. */
   void merge(MemberUpdate update, long nowNanos) {
-    if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_SECONDS_AHEAD) {
+    if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_INCARNATION_AHEAD_SECONDS) {
       return;
     }
     if (update.name().equals(local.name())) {
       refutation.updateAboutSelf(update, nowNanos);
       return;
     }
-    Optional<MemberEntry> held = table.find(update.name());
-    if (held.isPresent()) {
-      mergeInto(held.get(), update, nowNanos);
+    Optional<MemberEntry> existing = table.find(update.name());
+    if (existing.isPresent()) {
+      mergeInto(existing.get(), update, nowNanos);
     } else if (table.hasRoom()) {
       MemberEntry entry = table.add(update);
       listener.memberAdded(entry);
-      replaced(entry, Optional.empty(), nowNanos);
+      updateApplied(entry, Optional.empty(), nowNanos);
     }
   }
 
   /** Creates an update about another member in the name of this process, and merges it. */
   void declare(MemberEntry entry, MemberStatus status, long nowNanos) {
-    MemberUpdate held = entry.update;
+    MemberUpdate current = entry.update;
     merge(
         new MemberUpdate(
-            held.name(),
-            held.address(),
-            held.incarnation(),
-            held.instanceId(),
+            current.name(),
+            current.address(),
+            current.incarnation(),
+            current.instanceId(),
             status,
             local.name()),
         nowNanos);
@@ -83,22 +83,23 @@
 
   private void mergeInto(MemberEntry entry, MemberUpdate update, long nowNanos) {
     if (update.supersedes(entry.update)) {
-      MemberStatus before = entry.status();
+      MemberStatus previousStatus = entry.status();
       entry.update = update;
       entry.reporters.clear();
-      replaced(entry, Optional.of(before), nowNanos);
+      updateApplied(entry, Optional.of(previousStatus), nowNanos);
     } else if (suspicions.confirm(entry, update)) {
       gossip.enqueue(update.name());
     }
   }
 
-  private void replaced(MemberEntry entry, Optional<MemberStatus> before, long nowNanos) {
+  private void updateApplied(
+      MemberEntry entry, Optional<MemberStatus> previousStatus, long nowNanos) {
     if (entry.status() == MemberStatus.SUSPECTED) {
       suspicions.start(entry, nowNanos);
     }
     gossip.enqueue(entry.update.name());
-    if (before.isEmpty() || before.get() != entry.status()) {
-      entry.changedAtNanos = nowNanos;
+    if (previousStatus.isEmpty() || previousStatus.get() != entry.status()) {
+      entry.statusChangedAtNanos = nowNanos;
       table.recount(nowNanos);
       listener.statusChanged(entry, nowNanos);
     }
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -73,7 +73,7 @@
             connection.close();
           }
         });
-    server.requestHandler(this::respond);
+    server.requestHandler(this::handleRequest);
   }
 
   /** Starts listening; the future completes with the bound port. */
@@ -91,43 +91,43 @@
     server.close();
   }
 
-  private void respond(HttpServerRequest request) {
-    Optional<SwimProtocol> joined = membership.protocol();
-    if (joined.isEmpty()) {
-      end(request, UNAVAILABLE);
+  private void handleRequest(HttpServerRequest request) {
+    Optional<SwimProtocol> startedProtocol = membership.protocol();
+    if (startedProtocol.isEmpty()) {
+      sendResponse(request, UNAVAILABLE);
       return;
     }
-    SwimProtocol protocol = joined.get();
-    long now = membership.nowNanos();
+    SwimProtocol protocol = startedProtocol.get();
+    long nowNanos = membership.nowNanos();
     String path = request.path();
-    boolean get = request.method().equals(HttpMethod.GET);
-    boolean post = request.method().equals(HttpMethod.POST);
-    if (get && path.equals(MEMBERS_PATH)) {
-      end(request, members(protocol));
-    } else if (post && path.startsWith(FORGET_PATH)) {
-      boolean forgotten = protocol.forget(now, path.substring(FORGET_PATH.length()));
-      end(request, forgotten ? OK : CONFLICT);
-    } else if (handler.isPresent() && get && path.equals(TASKS_PATH)) {
-      end(request, handler.get().status(now));
-    } else if (handler.isPresent() && post && path.startsWith(RELEASE_PATH)) {
-      boolean released = handler.get().release(now, path.substring(RELEASE_PATH.length()));
-      end(request, released ? OK : CONFLICT);
+    boolean isGet = request.method().equals(HttpMethod.GET);
+    boolean isPost = request.method().equals(HttpMethod.POST);
+    if (isGet && path.equals(MEMBERS_PATH)) {
+      sendResponse(request, membersAsJson(protocol));
+    } else if (isPost && path.startsWith(FORGET_PATH)) {
+      boolean forgotten = protocol.forget(nowNanos, path.substring(FORGET_PATH.length()));
+      sendResponse(request, forgotten ? OK : CONFLICT);
+    } else if (handler.isPresent() && isGet && path.equals(TASKS_PATH)) {
+      sendResponse(request, handler.get().status(nowNanos));
+    } else if (handler.isPresent() && isPost && path.startsWith(RELEASE_PATH)) {
+      boolean released = handler.get().release(nowNanos, path.substring(RELEASE_PATH.length()));
+      sendResponse(request, released ? OK : CONFLICT);
     } else {
-      end(request, NOT_FOUND);
+      sendResponse(request, NOT_FOUND);
     }
   }
 
-  private static void end(HttpServerRequest request, int status) {
+  private static void sendResponse(HttpServerRequest request, int status) {
     request.response().setStatusCode(status).end();
   }
 
-  private static void end(HttpServerRequest request, JsonObject body) {
+  private static void sendResponse(HttpServerRequest request, JsonObject body) {
     request.response().putHeader("Content-Type", "application/json").end(body.toBuffer());
   }
 
-  private JsonObject members(SwimProtocol protocol) {
+  private JsonObject membersAsJson(SwimProtocol protocol) {
     JsonArray others = new JsonArray();
-    long now = membership.nowNanos();
+    long nowNanos = membership.nowNanos();
     for (SwimProtocol.ObservedMember member : protocol.otherMembers()) {
       others.add(
           new JsonObject()
@@ -135,7 +135,7 @@
               .put("address", member.update().address())
               .put("standing", lowerCase(member.update().status()))
               .put("incarnation", member.update().incarnation())
-              .put("since_ms", (now - member.sinceNanos()) / MS_NANOS));
+              .put("since_ms", (nowNanos - member.statusChangedAtNanos()) / MS_NANOS));
     }
     JsonObject datagrams = new JsonObject();
     membership
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCodec.java
@@ -8,8 +8,8 @@
 import org.amberpath.membership.GossipMessage;
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
-import org.amberpath.membership.runtime.DecodedDatagram.Fault;
 import org.amberpath.membership.runtime.DecodedDatagram.Rejected;
+import org.amberpath.membership.runtime.DecodedDatagram.RejectionReason;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -34,14 +34,14 @@
   public static final int MAX_PAYLOAD_BYTES = 1000;
 
   /** The regular expression of member names. */
-  static final String NAME = "[A-Za-z0-9._-]{1,32}";
+  static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,32}";
 
-  private static final String ADDRESS = "[0-9.]{7,15}:[0-9]{1,5}";
-  private static final int VERSION = 1;
+  private static final String ADDRESS_PATTERN = "[0-9.]{7,15}:[0-9]{1,5}";
+  private static final int FORMAT_VERSION = 1;
   private static final int HAS_MORE_FLAG = 1;
   private static final int FULLY_SYNCED_FLAG = 2;
   private static final GossipMessage.Kind[] KINDS = GossipMessage.Kind.values();
-  private static final int USER_MESSAGE = KINDS.length;
+  private static final int USER_MESSAGE_KIND = KINDS.length;
   private static final MemberStatus[] STATUSES = MemberStatus.values();
 
   private final String fleet;
@@ -59,55 +59,58 @@
   }
 
   /** Encodes a protocol message, and signs it with the keyring's first key. */
-  public byte[] encode(GossipMessage message, HmacKeyring keys) {
-    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      packHeader(out, keys);
-      out.packInt(message.kind().ordinal())
+  public byte[] encode(GossipMessage message, HmacKeyring keyring) {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packHeader(packer, keyring);
+      packer
+          .packInt(message.kind().ordinal())
           .packLong(message.recipientInstanceId())
           .packLong(message.sequenceNumber())
           .packLong(message.probeNumber())
           .packLong(message.countedDigest())
           .packLong(message.presentDigest());
       if (message.subject() == null) {
-        out.packNil();
+        packer.packNil();
       } else {
-        out.packString(message.subject());
+        packer.packString(message.subject());
       }
-      out.packInt(
+      packer.packInt(
           (message.hasMore() ? HAS_MORE_FLAG : 0)
               + (message.fullySynced() ? FULLY_SYNCED_FLAG : 0));
-      out.packArrayHeader(message.updates().size());
-      pack(out, message.sender());
+      packer.packArrayHeader(message.updates().size());
+      pack(packer, message.sender());
       for (MemberUpdate update : message.updates()) {
-        pack(out, update);
+        pack(packer, update);
       }
-      return sign(out.toByteArray(), keys);
+      return sign(packer.toByteArray(), keyring);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
   /** Encodes a user message, and signs it with the keyring's first key. */
-  public byte[] encode(UserMessage message, HmacKeyring keys) {
-    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      packHeader(out, keys);
-      out.packInt(USER_MESSAGE)
+  public byte[] encode(UserMessage message, HmacKeyring keyring) {
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packHeader(packer, keyring);
+      packer
+          .packInt(USER_MESSAGE_KIND)
           .packLong(message.recipientInstanceId())
           .packLong(message.sequenceNumber());
-      pack(out, message.sender());
-      out.packBinaryHeader(message.body().length).writePayload(message.body());
-      return sign(out.toByteArray(), keys);
+      pack(packer, message.sender());
+      packer.packBinaryHeader(message.body().length).writePayload(message.body());
+      return sign(packer.toByteArray(), keyring);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void packHeader(MessageBufferPacker out, HmacKeyring keys) throws IOException {
-    out.packInt(VERSION).packString(fleet).packString(keys.signingKeyId());
+  private void packHeader(MessageBufferPacker packer, HmacKeyring keyring) throws IOException {
+    packer.packInt(FORMAT_VERSION).packString(fleet).packString(keyring.signingKeyId());
   }
 
-  private static void pack(MessageBufferPacker out, MemberUpdate update) throws IOException {
-    out.packString(update.name())
+  private static void pack(MessageBufferPacker packer, MemberUpdate update) throws IOException {
+    packer
+        .packString(update.name())
         .packString(update.address())
         .packLong(update.incarnation())
         .packLong(update.instanceId())
@@ -115,69 +118,70 @@
         .packString(update.reporter());
   }
 
-  private static byte[] sign(byte[] bytes, HmacKeyring keys) {
+  private static byte[] sign(byte[] bytes, HmacKeyring keyring) {
     byte[] signed = Arrays.copyOf(bytes, bytes.length + HmacKeyring.SIGNATURE_BYTES);
-    System.arraycopy(keys.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
+    System.arraycopy(keyring.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
     return signed;
   }
 
   /** Decodes and verifies a datagram, or returns why it is rejected; never throws for any bytes. */
-  public DecodedDatagram decode(byte[] datagram, HmacKeyring keys) {
+  public DecodedDatagram decode(byte[] datagram, HmacKeyring keyring) {
     int length = datagram.length - HmacKeyring.SIGNATURE_BYTES;
     if (length <= 0 || datagram.length > MAX_DATAGRAM_BYTES) {
-      return new Rejected(Fault.UNREADABLE);
+      return new Rejected(RejectionReason.MALFORMED);
     }
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(datagram, 0, length)) {
-      if (in.unpackInt() != VERSION) {
-        return new Rejected(Fault.OTHER_VERSION);
+    try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(datagram, 0, length)) {
+      if (unpacker.unpackInt() != FORMAT_VERSION) {
+        return new Rejected(RejectionReason.UNSUPPORTED_VERSION);
       }
-      if (!in.unpackString().equals(fleet)) {
-        return new Rejected(Fault.OTHER_FLEET);
+      if (!unpacker.unpackString().equals(fleet)) {
+        return new Rejected(RejectionReason.WRONG_FLEET);
       }
-      String keyId = in.unpackString();
-      if (!keys.contains(keyId)) {
-        return new Rejected(Fault.OTHER_KEY);
+      String keyId = unpacker.unpackString();
+      if (!keyring.contains(keyId)) {
+        return new Rejected(RejectionReason.UNKNOWN_KEY);
       }
-      if (!keys.verifies(keyId, datagram)) {
-        return new Rejected(Fault.FORGED);
+      if (!keyring.verify(keyId, datagram)) {
+        return new Rejected(RejectionReason.INVALID_SIGNATURE);
       }
-      int kind = requireBelow(in.unpackInt(), KINDS.length + 1);
-      return kind == USER_MESSAGE
-          ? new DecodedDatagram.User(unpackUserMessage(in))
-          : new DecodedDatagram.Gossip(unpackGossip(KINDS[kind], in));
+      int kind = requireBelow(unpacker.unpackInt(), KINDS.length + 1);
+      return kind == USER_MESSAGE_KIND
+          ? new DecodedDatagram.User(unpackUserMessage(unpacker))
+          : new DecodedDatagram.Gossip(unpackGossip(KINDS[kind], unpacker));
     } catch (IOException | MessagePackException | IllegalArgumentException e) {
-      return new Rejected(Fault.UNREADABLE);
+      return new Rejected(RejectionReason.MALFORMED);
     }
   }
 
-  private static UserMessage unpackUserMessage(MessageUnpacker in) throws IOException {
-    long recipientInstanceId = in.unpackLong();
-    long sequenceNumber = in.unpackLong();
-    MemberUpdate sender = unpackUpdate(in);
-    byte[] body = in.readPayload(requireBelow(in.unpackBinaryHeader(), MAX_PAYLOAD_BYTES + 1));
-    require(!in.hasNext() && sequenceNumber > 0);
+  private static UserMessage unpackUserMessage(MessageUnpacker unpacker) throws IOException {
+    long recipientInstanceId = unpacker.unpackLong();
+    long sequenceNumber = unpacker.unpackLong();
+    MemberUpdate sender = unpackUpdate(unpacker);
+    byte[] body =
+        unpacker.readPayload(requireBelow(unpacker.unpackBinaryHeader(), MAX_PAYLOAD_BYTES + 1));
+    requireValid(!unpacker.hasNext() && sequenceNumber > 0);
     return new UserMessage(sender, recipientInstanceId, sequenceNumber, body);
   }
 
-  private GossipMessage unpackGossip(GossipMessage.Kind kind, MessageUnpacker in)
+  private GossipMessage unpackGossip(GossipMessage.Kind kind, MessageUnpacker unpacker)
       throws IOException {
-    long recipientInstanceId = in.unpackLong();
-    long sequenceNumber = in.unpackLong();
-    long probeNumber = in.unpackLong();
-    long countedDigest = in.unpackLong();
-    long presentDigest = in.unpackLong();
-    String subject = in.tryUnpackNil() ? null : unpackText(in, NAME);
-    int flags = requireBelow(in.unpackInt(), HAS_MORE_FLAG + FULLY_SYNCED_FLAG + 1);
+    long recipientInstanceId = unpacker.unpackLong();
+    long sequenceNumber = unpacker.unpackLong();
+    long probeNumber = unpacker.unpackLong();
+    long countedDigest = unpacker.unpackLong();
+    long presentDigest = unpacker.unpackLong();
+    String subject = unpacker.tryUnpackNil() ? null : unpackMatching(unpacker, NAME_PATTERN);
+    int flags = requireBelow(unpacker.unpackInt(), HAS_MORE_FLAG + FULLY_SYNCED_FLAG + 1);
     boolean hasMore = (flags & HAS_MORE_FLAG) != 0;
-    int count = requireBelow(in.unpackArrayHeader(), maxUpdates + 1);
-    MemberUpdate sender = unpackUpdate(in);
+    int count = requireBelow(unpacker.unpackArrayHeader(), maxUpdates + 1);
+    MemberUpdate sender = unpackUpdate(unpacker);
     List<MemberUpdate> updates = new ArrayList<>(count);
     for (int update = 0; update < count; update++) {
-      updates.add(unpackUpdate(in));
+      updates.add(unpackUpdate(unpacker));
     }
-    require(!in.hasNext() && sequenceNumber > 0);
-    require(kind != GossipMessage.Kind.ASK || subject != null);
-    require(kind != GossipMessage.Kind.PAGE || !hasMore || count > 0);
+    requireValid(!unpacker.hasNext() && sequenceNumber > 0);
+    requireValid(kind != GossipMessage.Kind.ASK || subject != null);
+    requireValid(kind != GossipMessage.Kind.PAGE || !hasMore || count > 0);
     return new GossipMessage(
         kind,
         sender,
@@ -192,31 +196,32 @@
         updates);
   }
 
-  private static MemberUpdate unpackUpdate(MessageUnpacker in) throws IOException {
-    String name = unpackText(in, NAME);
-    String address = unpackText(in, ADDRESS);
-    long incarnation = in.unpackLong();
-    long instanceId = in.unpackLong();
-    require(incarnation >= 0);
-    MemberStatus status = STATUSES[requireBelow(in.unpackInt(), STATUSES.length)];
-    String reporter = unpackText(in, NAME);
+  private static MemberUpdate unpackUpdate(MessageUnpacker unpacker) throws IOException {
+    String name = unpackMatching(unpacker, NAME_PATTERN);
+    String address = unpackMatching(unpacker, ADDRESS_PATTERN);
+    long incarnation = unpacker.unpackLong();
+    long instanceId = unpacker.unpackLong();
+    requireValid(incarnation >= 0);
+    MemberStatus status = STATUSES[requireBelow(unpacker.unpackInt(), STATUSES.length)];
+    String reporter = unpackMatching(unpacker, NAME_PATTERN);
     return new MemberUpdate(name, address, incarnation, instanceId, status, reporter);
   }
 
-  private static String unpackText(MessageUnpacker in, String pattern) throws IOException {
-    String text = in.unpackString();
-    require(text.matches(pattern));
+  private static String unpackMatching(MessageUnpacker unpacker, String pattern)
+      throws IOException {
+    String text = unpacker.unpackString();
+    requireValid(text.matches(pattern));
     return text;
   }
 
   private static int requireBelow(int value, int bound) {
-    require(value >= 0 && value < bound);
+    requireValid(value >= 0 && value < bound);
     return value;
   }
 
   /** Ends the decoding of a datagram that is correctly signed but malformed. */
-  private static void require(boolean holds) {
-    if (!holds) {
+  private static void requireValid(boolean valid) {
+    if (!valid) {
       throw new IllegalArgumentException();
     }
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -39,19 +39,19 @@
         switch (verdict) {
           case TAKEN -> Result.TAKEN;
           case GREETED -> Result.GREETED;
-          case REPEATED -> Result.REPEATED;
-          case TOO_MANY -> Result.TOO_MANY;
+          case REPLAYED -> Result.REPEATED;
+          case RATE_LIMITED -> Result.TOO_MANY;
         });
   }
 
-  void count(DecodedDatagram.Fault fault) {
+  void count(DecodedDatagram.RejectionReason reason) {
     count(
-        switch (fault) {
-          case UNREADABLE -> Result.UNREADABLE;
-          case OTHER_VERSION -> Result.OTHER_VERSION;
-          case OTHER_FLEET -> Result.OTHER_FLEET;
-          case OTHER_KEY -> Result.OTHER_KEY;
-          case FORGED -> Result.FORGED;
+        switch (reason) {
+          case MALFORMED -> Result.UNREADABLE;
+          case UNSUPPORTED_VERSION -> Result.OTHER_VERSION;
+          case WRONG_FLEET -> Result.OTHER_FLEET;
+          case UNKNOWN_KEY -> Result.OTHER_KEY;
+          case INVALID_SIGNATURE -> Result.FORGED;
         });
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
@@ -32,14 +32,14 @@
   }
 
   /** Processes one datagram; no content of a datagram makes this method throw. */
-  void receive(byte[] datagram, HmacKeyring keys, long nowNanos) {
+  void receive(byte[] datagram, HmacKeyring keyring, long nowNanos) {
     if (!replayFilter.tryExamine(nowNanos)) {
       counters.count(DatagramCounters.Result.TOO_MANY);
       return;
     }
-    DecodedDatagram decoded = codec.decode(datagram, keys);
+    DecodedDatagram decoded = codec.decode(datagram, keyring);
     if (decoded instanceof DecodedDatagram.Rejected rejected) {
-      counters.count(rejected.fault());
+      counters.count(rejected.reason());
     } else if (decoded instanceof DecodedDatagram.Gossip gossip) {
       receive(gossip.message(), nowNanos);
     } else if (decoded instanceof DecodedDatagram.User user) {
@@ -67,7 +67,8 @@
       protocol.greet(nowNanos, sender);
     } else if (verdict == ReplayFilter.Verdict.TAKEN) {
       handler.ifPresent(
-          receiver -> receiver.messageReceived(nowNanos, sender.name(), message.body()));
+          messageHandler ->
+              messageHandler.messageReceived(nowNanos, sender.name(), message.body()));
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DecodedDatagram.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DecodedDatagram.java
@@ -5,17 +5,17 @@
 /** The result of decoding a datagram: a message, or the reason why the datagram is rejected. */
 public sealed interface DecodedDatagram {
   /** The reason why a datagram is rejected. */
-  enum Fault {
+  enum RejectionReason {
     /** The datagram is malformed or too long, or a value is out of its bounds. */
-    UNREADABLE,
+    MALFORMED,
     /** The datagram has another format version. */
-    OTHER_VERSION,
+    UNSUPPORTED_VERSION,
     /** The datagram belongs to another fleet. */
-    OTHER_FLEET,
+    WRONG_FLEET,
     /** The id of the signing key is not in this gateway's keyring. */
-    OTHER_KEY,
+    UNKNOWN_KEY,
     /** The signature does not match the signing key that the datagram names. */
-    FORGED
+    INVALID_SIGNATURE
   }
 
   /** A message of the membership protocol. */
@@ -25,5 +25,5 @@
   record User(UserMessage message) implements DecodedDatagram {}
 
   /** A rejected datagram, none of whose content is used. */
-  record Rejected(Fault fault) implements DecodedDatagram {}
+  record Rejected(RejectionReason reason) implements DecodedDatagram {}
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -25,7 +25,7 @@
   private static final int MAX_KEYS = 4;
   private static final int MIN_KEY_BYTES = 16;
   private static final int MAX_FILE_BYTES = 4096;
-  private static final String KEY_ID = "[A-Za-z0-9._-]{1,16}";
+  private static final String KEY_ID_PATTERN = "[A-Za-z0-9._-]{1,16}";
   private static final String ALGORITHM = "HmacSHA256";
 
   private final Map<String, Mac> macs;
@@ -62,45 +62,46 @@
     return new HmacKeyring(macs);
   }
 
-  private static void readKey(String line, String where, Map<String, Mac> macs)
+  private static void readKey(String line, String location, Map<String, Mac> macs)
       throws MembershipException.InvalidKeyFile {
     String[] fields = line.strip().split("\\s+", -1);
-    if (fields.length != 2 || !fields[0].matches(KEY_ID)) {
+    if (fields.length != 2 || !fields[0].matches(KEY_ID_PATTERN)) {
       throw new MembershipException.InvalidKeyFile(
-          where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
+          location + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
     }
     if (macs.size() == MAX_KEYS) {
-      throw new MembershipException.InvalidKeyFile(where + "more than " + MAX_KEYS + " keys");
+      throw new MembershipException.InvalidKeyFile(location + "more than " + MAX_KEYS + " keys");
     }
-    if (macs.put(fields[0], mac(parse(fields[1], where))) != null) {
+    if (macs.put(fields[0], createMac(parseKey(fields[1], location))) != null) {
       throw new MembershipException.InvalidKeyFile(
-          where
+          location
               + (macs.size() == MAX_KEYS
                   ? "more than " + MAX_KEYS + " keys"
                   : "an id given twice"));
     }
   }
 
-  private static byte[] parse(String hex, String where) throws MembershipException.InvalidKeyFile {
+  private static byte[] parseKey(String hex, String location)
+      throws MembershipException.InvalidKeyFile {
     byte[] key;
     try {
       key = HexFormat.of().parseHex(hex);
     } catch (IllegalArgumentException e) {
-      throw new MembershipException.InvalidKeyFile(where + "a key that is not hexadecimal");
+      throw new MembershipException.InvalidKeyFile(location + "a key that is not hexadecimal");
     }
     if (key.length < MIN_KEY_BYTES) {
       throw new MembershipException.InvalidKeyFile(
-          where + "a key of under " + MIN_KEY_BYTES + " bytes");
+          location + "a key of under " + MIN_KEY_BYTES + " bytes");
     }
     return key;
   }
 
   /** Creates a keyring with one key. */
   public static HmacKeyring of(String id, byte[] key) {
-    return new HmacKeyring(Map.of(id, mac(key)));
+    return new HmacKeyring(Map.of(id, createMac(key)));
   }
 
-  private static Mac mac(byte[] key) {
+  private static Mac createMac(byte[] key) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key, ALGORITHM));
@@ -128,7 +129,7 @@
    * Whether the last {@value #SIGNATURE_BYTES} bytes of a datagram are the signature of the
    * preceding bytes by the given key, which must be in the keyring.
    */
-  boolean verifies(String keyId, byte[] datagram) {
+  boolean verify(String keyId, byte[] datagram) {
     int signedLength = datagram.length - SIGNATURE_BYTES;
     return MessageDigest.isEqual(
         signature(keyId, datagram, signedLength),
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipLog.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipLog.java
@@ -28,8 +28,12 @@
 
   /** Logs that the gateway has begun to join its fleet. */
   void joining(
-      String fleet, String keyId, String boundAddress, String address, SwimTimings timings) {
-    event(
+      String fleet,
+      String keyId,
+      String boundAddress,
+      String advertisedAddress,
+      SwimTimings timings) {
+    logEvent(
         "joining fleet="
             + fleet
             + " key="
@@ -37,16 +41,16 @@
             + " listen="
             + boundAddress
             + " advertised="
-            + address
+            + advertisedAddress
             + " max_members="
             + timings.maxMembers());
   }
 
   void keysReloaded(String keyId) {
-    event("keys_reloaded signing_key=" + keyId);
+    logEvent("keys_reloaded signing_key=" + keyId);
   }
 
-  void keysUnchanged(String reason) {
+  void keyReloadFailed(String reason) {
     LOG.warning(prefix + "keys_unchanged reason=" + reason);
   }
 
@@ -55,28 +59,29 @@
   }
 
   void statusChanged(String member, MemberStatus status) {
-    change("status_changed member=" + member + " status=" + status);
+    logChange("status_changed member=" + member + " status=" + status);
   }
 
   void phaseChanged(SwimProtocol.Phase from, SwimProtocol.Phase to) {
-    change("phase_changed from=" + from + " to=" + to);
+    logChange("phase_changed from=" + from + " to=" + to);
   }
 
   /** Logs a new quota share: 1 divided by the divisor if granted, 0 otherwise. */
   void quotaShareChanged(int divisor, boolean granted) {
-    change("quota_share_changed divisor=" + divisor + " share=" + (granted ? "1/" + divisor : "0"));
+    logChange(
+        "quota_share_changed divisor=" + divisor + " share=" + (granted ? "1/" + divisor : "0"));
   }
 
   /** Logs a change unless the limit of this second is reached; otherwise counts it. */
-  private void change(String text) {
+  private void logChange(String text) {
     if (++changesInWindow <= MAX_CHANGES_PER_SECOND) {
-      event(text);
+      logEvent(text);
     } else {
       suppressedChanges++;
     }
   }
 
-  private void event(String text) {
+  private void logEvent(String text) {
     LOG.info(prefix + text);
   }
 
@@ -89,7 +94,7 @@
       windowStartNanos = nowNanos;
       changesInWindow = 0;
       if (suppressedChanges > 0) {
-        event("changes_suppressed count=" + suppressedChanges);
+        logEvent("changes_suppressed count=" + suppressedChanges);
         suppressedChanges = 0;
       }
     }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -88,12 +88,12 @@
    */
   @Override
   public Future<Void> start() {
-    if (!options.name().matches(DatagramCodec.NAME)) {
+    if (!options.name().matches(DatagramCodec.NAME_PATTERN)) {
       return Future.failedFuture(new MembershipException.InvalidName(options.name()));
     }
     return keyring
         .load()
-        .compose(keys -> socket.listen(settings.listen()))
+        .compose(keys -> socket.listen(settings.listenAddress()))
         .compose(
             boundAddress -> {
               join(boundAddress);
@@ -112,14 +112,16 @@
   private void join(String boundAddress) {
     long nowNanos = clock.nowNanos();
     long instanceId = new SecureRandom().nextLong();
-    String address =
-        settings.advertised() == null ? boundAddress : hostAndPort(settings.advertised());
+    String advertised =
+        settings.advertisedAddress() == null
+            ? boundAddress
+            : hostAndPort(settings.advertisedAddress());
     String name = options.name();
     protocol =
         new SwimProtocol(
             timings,
             new MemberUpdate(
-                name, address, nowNanos / SECOND_NANOS, instanceId, MemberStatus.ALIVE, name),
+                name, advertised, nowNanos / SECOND_NANOS, instanceId, MemberStatus.ALIVE, name),
             settings.seeds().stream().map(MembershipService::hostAndPort).toList(),
             options.routingConfig().seed() ^ instanceId,
             nowNanos,
@@ -131,8 +133,9 @@
             new ReplayFilter(instanceId, timings.probeIntervalNanos(), nowNanos),
             protocol,
             handler);
-    log.joining(settings.fleet(), keyring.current().signingKeyId(), boundAddress, address, timings);
-    socket.onDatagram(this::datagramReceived);
+    log.joining(
+        settings.fleet(), keyring.current().signingKeyId(), boundAddress, advertised, timings);
+    socket.receiveWith(this::datagramReceived);
     long tickMillis =
         Math.max(1, timings.probeIntervalNanos() / TICKS_PER_PROBE_INTERVAL / MS_NANOS);
     timerId = vertx.setPeriodic(tickMillis, timer -> tick());
@@ -197,11 +200,11 @@
    * Sends a message to the {@link FleetMessageHandler} of another member; delivery is not
    * guaranteed. A body of more than {@link DatagramCodec#MAX_PAYLOAD_BYTES} bytes is not sent.
    *
-   * @param to the name of the receiving member
+   * @param recipientName the name of the receiving member
    * @return whether the receiving member is present
    */
-  public boolean sendMessage(String to, byte[] body) {
-    Optional<MemberUpdate> recipient = protocol.find(to);
+  public boolean sendMessage(String recipientName, byte[] body) {
+    Optional<MemberUpdate> recipient = protocol.find(recipientName);
     if (recipient.isPresent() && body.length <= DatagramCodec.MAX_PAYLOAD_BYTES) {
       UserMessage message =
           new UserMessage(
@@ -266,7 +269,7 @@
     keyring
         .load()
         .onSuccess(keys -> log.keysReloaded(keys.signingKeyId()))
-        .onFailure(failure -> log.keysUnchanged(failure.getMessage()));
+        .onFailure(failure -> log.keyReloadFailed(failure.getMessage()));
   }
 
   @Override
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSettings.java
@@ -8,9 +8,9 @@
  * The operator's settings of membership. All addresses are numeric.
  *
  * @param fleet the fleet's name; datagrams of other fleets are rejected
- * @param listen the address to receive datagrams at; port 0 selects a free port
- * @param advertised the address that other members send datagrams to; null if it is the address
- *     listened at
+ * @param listenAddress the address to receive datagrams at; port 0 selects a free port
+ * @param advertisedAddress the address that other members send datagrams to; null if it is the
+ *     address listened at
  * @param seeds addresses that are contacted to discover the fleet; any one that answers suffices
  * @param maxMembers the maximum number of gateways that run at once; 0 for the number in the
  *     routing configuration
@@ -21,8 +21,8 @@
  */
 public record MembershipSettings(
     String fleet,
-    SocketAddress listen,
-    SocketAddress advertised,
+    SocketAddress listenAddress,
+    SocketAddress advertisedAddress,
     List<SocketAddress> seeds,
     int maxMembers,
     long probeIntervalNanos,
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
@@ -12,7 +12,7 @@
   private final Vertx vertx;
   private final DatagramCounters counters;
   private DatagramSocket socket;
-  private Future<Void> lastSent = Future.succeededFuture();
+  private Future<Void> lastSend = Future.succeededFuture();
 
   MembershipSocket(Vertx vertx, DatagramCounters counters) {
     this.vertx = vertx;
@@ -28,7 +28,7 @@
   }
 
   /** Passes each datagram received from now on to the receiver. */
-  void onDatagram(Consumer<byte[]> receiver) {
+  void receiveWith(Consumer<byte[]> receiver) {
     socket.handler(packet -> receiver.accept(packet.data().getBytes()));
     socket.exceptionHandler(failure -> counters.count(DatagramCounters.Result.NOT_SENT));
   }
@@ -36,21 +36,21 @@
   /** Sends a datagram to a numeric "host:port" address; delivery is not guaranteed. */
   void send(String address, byte[] datagram) {
     int colon = address.lastIndexOf(':');
-    lastSent =
+    lastSend =
         socket.send(
             Buffer.buffer(datagram),
             Integer.parseInt(address.substring(colon + 1)),
             address.substring(0, colon));
-    lastSent.onComplete(
-        sent ->
+    lastSend.onComplete(
+        result ->
             counters.count(
-                sent.succeeded()
+                result.succeeded()
                     ? DatagramCounters.Result.SENT
                     : DatagramCounters.Result.NOT_SENT));
   }
 
   /** Closes the socket once the last send has completed; the future never fails. */
   Future<Void> close() {
-    return lastSent.eventually(socket::close).otherwiseEmpty();
+    return lastSend.eventually(socket::close).otherwiseEmpty();
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
+++ b/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.PERIOD_NANOS;
 import static org.amberpath.membership.ProtocolHarness.pageWithMore;
 import static org.amberpath.membership.ProtocolHarness.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,23 +15,24 @@
   private final SwimProtocol protocol = harness.protocol;
 
   @Test
-  void ownAddressAmongTheSeedsIsNotAsked() {
-    harness.advance(3 * PERIOD);
+  void ownAddressAmongTheSeedsIsNotContacted() {
+    harness.advance(3 * PERIOD_NANOS);
     assertTrue(
-        harness.sent.stream().allMatch(sent -> sent.to().equals(ProtocolHarness.SEED_ADDRESS)));
+        harness.sent.stream()
+            .allMatch(sent -> sent.address().equals(ProtocolHarness.SEED_ADDRESS)));
     assertEquals(0, protocol.quotaShare());
   }
 
   @Test
-  void pageThatWasNotRequestedIsIgnored() {
-    protocol.tick(harness.now);
+  void unrequestedPageIsIgnored() {
+    protocol.tick(harness.nowNanos);
     harness.receive(Kind.PAGE, "other", 99);
     assertEquals(0, protocol.quotaShare());
   }
 
   @Test
-  void listGoesOnAfterItsLastPageAlsoWhenTheNextIsLost() {
-    protocol.tick(harness.now);
+  void listContinuesAfterTheLastReceivedPageWhenARequestIsLost() {
+    protocol.tick(harness.nowNanos);
     long number = harness.lastSent(Kind.SYNC).probeNumber();
     harness.receive(pageWithMore("other", number, update("third", 1, MemberStatus.ALIVE)));
     assertEquals(
@@ -39,14 +40,14 @@
         harness.lastSent(Kind.SYNC).subject(),
         "continued at once, since no whole list was heard yet");
     harness.sent.clear();
-    harness.advance(3 * PERIOD);
+    harness.advance(3 * PERIOD_NANOS);
     assertTrue(
         harness.sent.stream().anyMatch(sent -> "third".equals(sent.message().subject())),
         "the rest was lost: it is requested again, and not the whole list");
   }
 
   @Test
-  void listOfAMemberThatHasJustStartedIsNotWhole() {
+  void listOfAnUnsyncedMemberIsNotComplete() {
     harness.receiveLastPageUnsynced("other");
     assertEquals(0, protocol.quotaShare());
     harness.receiveLastPage("other");
--- a/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
+++ b/membership/src/test/java/org/amberpath/membership/FailureDetectorTest.java
@@ -1,7 +1,7 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.MS;
-import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.MS_NANOS;
+import static org.amberpath.membership.ProtocolHarness.PERIOD_NANOS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,22 +15,22 @@
   private final SwimProtocol protocol = harness.protocol;
 
   /** Makes the member "third" answer each probe, and report that "other" does not answer. */
-  private void answerAsThird(ProtocolHarness.Sent sent) {
-    if (sent.to().equals("at-third")) {
+  private void answerAsMemberThird(ProtocolHarness.SentMessage sent) {
+    if (sent.address().equals("at-third")) {
       Kind answer = sent.message().kind() == Kind.ASK ? Kind.NACK : Kind.ACK;
       harness.receive(answer, "third", sent.message().probeNumber());
     }
   }
 
   @Test
-  void silentMemberIsSuspectedByDirectAndIndirectProbesAndThenLost() {
+  void unresponsiveMemberIsSuspectedAfterDirectAndIndirectProbesAndThenLost() {
     harness.receiveLastPage("other");
     harness.receiveLastPage("third");
     for (int tick = 0; tick < 200; tick++) {
-      harness.now += 50 * MS;
+      harness.nowNanos += 50 * MS_NANOS;
       harness.sent.clear();
-      protocol.tick(harness.now);
-      List.copyOf(harness.sent).forEach(this::answerAsThird);
+      protocol.tick(harness.nowNanos);
+      List.copyOf(harness.sent).forEach(this::answerAsMemberThird);
     }
     assertEquals(
         List.of("other ALIVE", "third ALIVE", "other SUSPECTED", "other LOST"),
@@ -40,12 +40,12 @@
   }
 
   @Test
-  void memberThatStoodStillSuspectsNobodyAndSettlesAnew() {
+  void pausedMemberSuspectsNobodyAndReturnsToSettling() {
     harness.receiveLastPage("other");
-    harness.advance(2 * PERIOD);
+    harness.advance(2 * PERIOD_NANOS);
     harness.statusChanges.clear();
-    harness.now += 20 * PERIOD;
-    protocol.tick(harness.now);
+    harness.nowNanos += 20 * PERIOD_NANOS;
+    protocol.tick(harness.nowNanos);
     assertTrue(harness.statusChanges.isEmpty(), harness.statusChanges.toString());
     assertEquals(SwimProtocol.Phase.SETTLING, protocol.phase());
   }
--- a/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
+++ b/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
@@ -13,7 +13,7 @@
 
   private final MembershipTable table = new MembershipTable("me", SwimTimings.defaults(2));
   private final LocalMember local =
-      new LocalMember(update("me", 5, MemberStatus.ALIVE), ProtocolHarness.PERIOD, 0);
+      new LocalMember(update("me", 5, MemberStatus.ALIVE), ProtocolHarness.PERIOD_NANOS, 0);
   private final GossipQueue queue = new GossipQueue(table, local, MAX_UPDATES);
 
   private MemberEntry add(String name, MemberStatus status) {
@@ -28,14 +28,14 @@
   }
 
   @Test
-  void suspectedReceiverHearsFirstOfItself() {
+  void suspectedReceiverIsSentItsOwnUpdateFirst() {
     add("a", MemberStatus.ALIVE);
     MemberEntry suspected = add("b", MemberStatus.SUSPECTED);
     assertEquals(List.of("b", "a"), names(queue.updatesFor(suspected)));
   }
 
   @Test
-  void leastSentUpdatesAreSentFirstUpToTheBoundOfAMessage() {
+  void leastSentUpdatesAreSentFirstUpToTheMaximumPerMessage() {
     MemberEntry receiver = add("r", MemberStatus.ALIVE);
     for (String name : List.of("a", "b", "c", "d", "e", "f")) {
       add(name, MemberStatus.ALIVE);
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void updateIsDroppedOnceItWasSentThreeTimesTheDoublingsOfTheFleet() {
+  void updateIsDroppedAfterThreeTimesTheBitLengthOfTheFleetSize() {
     MemberEntry receiver = add("r", MemberStatus.ALIVE);
     add("a", MemberStatus.ALIVE);
     for (int sent = 0; sent < 6; sent++) {
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void ownRefutationIsSpread() {
+  void ownRefutationIsPiggybacked() {
     MemberEntry receiver = add("r", MemberStatus.ALIVE);
     local.raiseIncarnation(9);
     queue.enqueue("me");
--- a/membership/src/test/java/org/amberpath/membership/LocalHealthTest.java
+++ b/membership/src/test/java/org/amberpath/membership/LocalHealthTest.java
@@ -11,11 +11,11 @@
   private final LocalHealth health = new LocalHealth();
 
   @Test
-  void timeoutGrowsWithEachReasonForDoubtUpToABoundAndShrinksWithAnswers() {
+  void timeoutGrowsAsHealthWorsensUpToABoundAndShrinksAsItImproves() {
     assertEquals(TIMEOUT, health.scale(TIMEOUT));
     health.worsen();
     assertEquals(2 * TIMEOUT, health.scale(TIMEOUT));
-    for (int reason = 0; reason < 20; reason++) {
+    for (int event = 0; event < 20; event++) {
       health.worsen();
     }
     assertEquals(7 * TIMEOUT, health.scale(TIMEOUT));
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void standstillIsTheWorstAtOnce() {
+  void pauseSetsTheLongestTimeoutImmediately() {
     health.worsenToMaximum();
     assertEquals(7 * TIMEOUT, health.scale(TIMEOUT));
   }
--- a/membership/src/test/java/org/amberpath/membership/ProtocolHarness.java
+++ b/membership/src/test/java/org/amberpath/membership/ProtocolHarness.java
@@ -10,19 +10,19 @@
  * address of each other member is "at-" followed by its name.
  */
 final class ProtocolHarness implements SwimProtocol.Output {
-  static final long MS = 1_000_000;
-  static final long PERIOD = 500 * MS;
+  static final long MS_NANOS = 1_000_000;
+  static final long PERIOD_NANOS = 500 * MS_NANOS;
   static final String SEED_ADDRESS = "at-seed";
-  private static final long TICK = 100 * MS;
+  private static final long TICK_NANOS = 100 * MS_NANOS;
 
   /** A message that the protocol has sent, with its destination address. */
-  record Sent(String to, GossipMessage message) {}
+  record SentMessage(String address, GossipMessage message) {}
 
-  final List<Sent> sent = new ArrayList<>();
+  final List<SentMessage> sent = new ArrayList<>();
   final List<String> statusChanges = new ArrayList<>();
-  final List<String> conflicts = new ArrayList<>();
+  final List<String> nameConflicts = new ArrayList<>();
   final SwimProtocol protocol;
-  long now;
+  long nowNanos;
 
   /**
    * Creates a member with incarnation 5 in a fleet of at most two members; the seeds are its own
@@ -32,9 +32,9 @@
     this(SwimTimings.defaults(2), update("me", 5, MemberStatus.ALIVE), 0);
   }
 
-  ProtocolHarness(SwimTimings timings, MemberUpdate self, long now) {
-    this.now = now;
-    protocol = new SwimProtocol(timings, self, List.of("at-me", SEED_ADDRESS), 7, now, this);
+  ProtocolHarness(SwimTimings timings, MemberUpdate self, long nowNanos) {
+    this.nowNanos = nowNanos;
+    protocol = new SwimProtocol(timings, self, List.of("at-me", SEED_ADDRESS), 7, nowNanos, this);
   }
 
   /** Creates the update of a member about itself. */
@@ -50,59 +50,62 @@
   /**
    * Creates a message of a fully synced member.
    *
-   * @param number the probe number and also the sequence number
+   * @param probeNumber the probe number and also the sequence number
    */
   static GossipMessage message(
-      Kind kind, MemberUpdate sender, long number, List<MemberUpdate> updates) {
-    return new GossipMessage(kind, sender, 0, number, number, 0, 0, null, false, true, updates);
+      Kind kind, MemberUpdate sender, long probeNumber, List<MemberUpdate> updates) {
+    return new GossipMessage(
+        kind, sender, 0, probeNumber, probeNumber, 0, 0, null, false, true, updates);
   }
 
   /** Creates a page after which the sender's list continues. */
-  static GossipMessage pageWithMore(String sender, long number, MemberUpdate... updates) {
-    MemberUpdate from = update(sender, 1, MemberStatus.ALIVE);
+  static GossipMessage pageWithMore(String sender, long probeNumber, MemberUpdate... updates) {
+    MemberUpdate senderUpdate = update(sender, 1, MemberStatus.ALIVE);
     return new GossipMessage(
-        Kind.PAGE, from, 0, 1, number, 0, 0, null, true, true, List.of(updates));
+        Kind.PAGE, senderUpdate, 0, 1, probeNumber, 0, 0, null, true, true, List.of(updates));
   }
 
   void receive(GossipMessage message) {
-    protocol.messageReceived(now, message);
+    protocol.messageReceived(nowNanos, message);
   }
 
   /** Receives a message of a fully synced member. */
-  void receive(Kind kind, String sender, long number, MemberUpdate... updates) {
-    receive(message(kind, update(sender, 1, MemberStatus.ALIVE), number, List.of(updates)));
+  void receive(Kind kind, String sender, long probeNumber, MemberUpdate... updates) {
+    receive(message(kind, update(sender, 1, MemberStatus.ALIVE), probeNumber, List.of(updates)));
   }
 
   /** Receives a message of a member that has not received a complete list itself. */
-  void receiveUnsynced(Kind kind, String sender, long number) {
-    MemberUpdate from = update(sender, 1, MemberStatus.ALIVE);
-    receive(new GossipMessage(kind, from, 0, number, number, 0, 0, null, false, false, List.of()));
+  void receiveUnsynced(Kind kind, String sender, long probeNumber) {
+    MemberUpdate senderUpdate = update(sender, 1, MemberStatus.ALIVE);
+    receive(
+        new GossipMessage(
+            kind, senderUpdate, 0, probeNumber, probeNumber, 0, 0, null, false, false, List.of()));
   }
 
   /** Receives the last page of a list, in answer to the latest request. */
   void receiveLastPage(String sender, MemberUpdate... updates) {
-    receive(Kind.PAGE, sender, requestedNumber(), updates);
+    receive(Kind.PAGE, sender, lastRequestNumber(), updates);
   }
 
   /**
    * Receives the last page of a list from a member that has not received a complete list itself.
    */
   void receiveLastPageUnsynced(String sender) {
-    receiveUnsynced(Kind.PAGE, sender, requestedNumber());
+    receiveUnsynced(Kind.PAGE, sender, lastRequestNumber());
   }
 
-  private long requestedNumber() {
+  private long lastRequestNumber() {
     if (find(Kind.SYNC).isEmpty()) {
-      protocol.tick(now);
+      protocol.tick(nowNanos);
     }
     return lastSent(Kind.SYNC).probeNumber();
   }
 
   /** Advances the time, with a tick every 100 ms. */
   void advance(long nanos) {
-    for (long until = now + nanos; now < until; ) {
-      now += TICK;
-      protocol.tick(now);
+    for (long untilNanos = nowNanos + nanos; nowNanos < untilNanos; ) {
+      nowNanos += TICK_NANOS;
+      protocol.tick(nowNanos);
     }
   }
 
@@ -112,14 +115,14 @@
 
   private Optional<GossipMessage> find(Kind kind) {
     return sent.stream()
-        .map(Sent::message)
+        .map(SentMessage::message)
         .filter(message -> message.kind() == kind)
         .reduce((first, second) -> second);
   }
 
   @Override
   public void send(String address, GossipMessage message) {
-    sent.add(new Sent(address, message));
+    sent.add(new SentMessage(address, message));
   }
 
   @Override
@@ -132,6 +135,6 @@
 
   @Override
   public void nameConflictDetected(String address) {
-    conflicts.add(address);
+    nameConflicts.add(address);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
+++ b/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.PERIOD_NANOS;
 import static org.amberpath.membership.ProtocolHarness.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -15,35 +15,35 @@
   private final SwimProtocol protocol = harness.protocol;
 
   @Test
-  void memberThatHearsFromNobodyHasTheShareOfTheAllowedNumber() {
-    harness.advance(12 * PERIOD);
+  void isolatedMemberHasTheShareOfTheConfiguredMaximum() {
+    harness.advance(12 * PERIOD_NANOS);
     assertEquals(SwimProtocol.Phase.ALONE, protocol.phase());
     assertEquals(0.5, protocol.quotaShare());
   }
 
   @Test
-  void divisorFallsByALeaveOrAnOperatorsForgetAndNeverByALoss() {
+  void divisorFallsAfterALeaveOrAForgetButNotAfterALoss() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.LOST));
     assertEquals(3, protocol.countedMembers());
     assertEquals(0, protocol.quotaShare(), "beyond the allowed number, and not counted by all yet");
-    assertTrue(protocol.forget(harness.now, "third"));
+    assertTrue(protocol.forget(harness.nowNanos, "third"));
     assertEquals(3, protocol.countedMembers(), "it has time to refute the leave");
-    harness.advance(30 * PERIOD);
+    harness.advance(30 * PERIOD_NANOS);
     assertEquals(2, protocol.countedMembers());
-    assertFalse(protocol.forget(harness.now, "third"), "it is not lost any more");
+    assertFalse(protocol.forget(harness.nowNanos, "third"), "it is not lost any more");
     harness.receive(Kind.PING, "other", 1, update("other", 1, MemberStatus.LEFT));
     assertEquals(2, protocol.countedMembers(), "never under the allowed number");
   }
 
   @Test
-  void falseLeaveOfAnotherLowersNoDivisorBeforeItCouldBeRefuted() {
+  void falseLeaveDoesNotLowerTheDivisorBeforeItCanBeRefuted() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.ALIVE));
     assertEquals(3, protocol.countedMembers());
     harness.receive(Kind.PING, "liar", 2, update("third", 2, MemberStatus.LEFT));
-    harness.advance(10 * PERIOD);
+    harness.advance(10 * PERIOD_NANOS);
     assertEquals(4, protocol.countedMembers());
     harness.receive(Kind.PING, "other", 3, update("third", 3, MemberStatus.ALIVE));
-    harness.advance(30 * PERIOD);
+    harness.advance(30 * PERIOD_NANOS);
     assertEquals(4, protocol.countedMembers(), "it was refuted");
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/RecordedActions.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedActions.java
@@ -30,8 +30,8 @@
   }
 
   /** Counts an event without adding it to the digest. */
-  void count(String what) {
-    counts.merge(what, 1, Integer::sum);
+  void count(String event) {
+    counts.merge(event, 1, Integer::sum);
   }
 
   /** Adds one action with all its arguments: numbers, booleans, strings, enum constants or null. */
--- a/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.membership.SeededFleet.Setting;
+import org.amberpath.membership.SeededFleet.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -21,16 +21,16 @@
  * on x86-64.
  */
 class RecordedMembershipTest {
-  private static final Map<String, SeededFleet> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededFleet> SIMULATED_FLEETS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  private static String digest(Setting setting, long seed) {
+  private static String digest(Scenario scenario, long seed) {
     return DIGESTS.computeIfAbsent(
-        setting + " " + seed,
+        scenario + " " + seed,
         key -> {
-          SeededFleet fleet = new SeededFleet(setting, seed);
-          PLAYED.put(key, fleet);
-          return fleet.play();
+          SeededFleet fleet = new SeededFleet(scenario, seed);
+          SIMULATED_FLEETS.put(key, fleet);
+          return fleet.run();
         });
   }
 
@@ -52,29 +52,29 @@
     "FLOODED, 2, 431730b08827973ceb311694c6f4c003f4ebe1df72e17b716375ad9f26aa0acd",
     "FLOODED, 3, ad24e8601787af57a3d90c57deabb462f736f529193e1b0a1c06afeeeb3b82e6"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void simulatedFleetProducesTheRecordedActions(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
-        digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+        digest(scenario, seed),
+        () -> "counted: " + SIMULATED_FLEETS.get(scenario + " " + seed).actions.counts());
   }
 
   /**
    * Guards against simulated events that exercise only a part of the protocol, so that the digests
-   * would not detect changes of the rest: lists what one seed of each setting must reach.
+   * would not detect changes of the rest: lists what one seed of each scenario must reach.
    */
   @Test
-  void theRecordedEventsReachEveryActionMessageKindStatusPhaseAndVerdict() {
+  void recordedRunsCoverEveryActionMessageKindStatusPhaseAndVerdict() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Setting setting : Setting.values()) {
-      digest(setting, 1);
-      PLAYED
-          .get(setting + " 1")
+    for (Scenario scenario : Scenario.values()) {
+      digest(scenario, 1);
+      SIMULATED_FLEETS
+          .get(scenario + " 1")
           .actions
           .counts()
-          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+          .forEach((event, count) -> counts.merge(event, count, Integer::sum));
     }
-    List<String> needed =
+    List<String> requiredEvents =
         new ArrayList<>(
             List.of(
                 "send",
@@ -91,20 +91,20 @@
                 "unread",
                 "to nobody"));
     for (GossipMessage.Kind kind : GossipMessage.Kind.values()) {
-      needed.add("sent " + kind);
-      needed.add("received " + kind);
+      requiredEvents.add("sent " + kind);
+      requiredEvents.add("received " + kind);
     }
     for (MemberStatus status : MemberStatus.values()) {
-      needed.add("news " + status);
+      requiredEvents.add("news " + status);
     }
     for (SwimProtocol.Phase phase : SwimProtocol.Phase.values()) {
-      needed.add("phase " + phase);
+      requiredEvents.add("phase " + phase);
     }
     for (ReplayFilter.Verdict verdict : ReplayFilter.Verdict.values()) {
-      needed.add("verdict " + verdict);
+      requiredEvents.add("verdict " + verdict);
     }
-    for (String what : needed) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+    for (String event : requiredEvents) {
+      assertTrue(counts.getOrDefault(event, 0) > 0, event + " of " + counts);
     }
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/RefutationTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RefutationTest.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.MS;
+import static org.amberpath.membership.ProtocolHarness.MS_NANOS;
 import static org.amberpath.membership.ProtocolHarness.process;
 import static org.amberpath.membership.ProtocolHarness.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -15,7 +15,7 @@
 
 /** Tests which updates a member refutes by a higher incarnation, and which it ignores. */
 class RefutationTest {
-  private static final long SECOND = 1000 * MS;
+  private static final long SECOND_NANOS = 1000 * MS_NANOS;
   private static final long START_SECONDS = 1_700_000_000L;
 
   private final ProtocolHarness harness = new ProtocolHarness();
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void suspicionOfItselfIsRefutedByAHigherIncarnationOnce() {
+  void suspicionOfTheLocalMemberIsRefutedOnceByAHigherIncarnation() {
     harness.receive(Kind.PING, "other", 1, update("me", 5, MemberStatus.SUSPECTED));
     assertEquals(6, ownIncarnation());
     harness.receive(Kind.PING, "other", 2, update("me", 5, MemberStatus.LOST));
@@ -34,27 +34,27 @@
   }
 
   @Test
-  void restartedMemberOutlivesWhatTheFleetRemembersOfItWithoutANameConflict() {
+  void restartedMemberSupersedesItsOldEntryWithoutANameConflict() {
     MemberUpdate remembered = new MemberUpdate("me", "at-me", 40, 99, MemberStatus.LOST, "other");
     harness.receive(Kind.PING, "other", 1, remembered);
     assertEquals(41, ownIncarnation());
-    assertTrue(harness.conflicts.isEmpty());
+    assertTrue(harness.nameConflicts.isEmpty());
   }
 
   @Test
-  void nameConflictIsReportedOnceAndDrivesUpNoIncarnation() {
+  void nameConflictIsReportedOnceAndDoesNotKeepRaisingTheIncarnation() {
     for (int message = 0; message < 50; message++) {
-      harness.now += MS;
-      MemberUpdate impostor = process("me", "at-twin", 100 + message, 99);
-      harness.receive(ProtocolHarness.message(Kind.PING, impostor, 1, List.of()));
-      harness.receive(Kind.PING, "other", 1, impostor);
+      harness.nowNanos += MS_NANOS;
+      MemberUpdate conflicting = process("me", "at-twin", 100 + message, 99);
+      harness.receive(ProtocolHarness.message(Kind.PING, conflicting, 1, List.of()));
+      harness.receive(Kind.PING, "other", 1, conflicting);
     }
-    assertEquals(List.of("at-twin"), harness.conflicts);
+    assertEquals(List.of("at-twin"), harness.nameConflicts);
     assertTrue(ownIncarnation() <= 102, "" + ownIncarnation());
   }
 
   @Test
-  void updateWhoseIncarnationCouldNeverBeRefutedIsIgnored() {
+  void updateWithAnIncarnationThatCannotBeRefutedIsIgnored() {
     harness.receiveLastPage(
         "other",
         update("third", Long.MAX_VALUE, MemberStatus.LOST),
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void restartedMemberWithALowerIncarnationIsToldWhatIsHeldOfIt() {
+  void restartedMemberWithALowerIncarnationIsSentItsCurrentEntry() {
     harness.receive(Kind.PING, "other", 1, process("third", "at-third", 900, 77));
     harness.sent.clear();
     harness.receiveUnsynced(Kind.SYNC, "third", 2);
@@ -77,10 +77,11 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {5, -5, 3600, -3600})
-  void clockStepBeforeAStartKeepsNobodyOut(long stepSeconds) {
-    long now = START_SECONDS * SECOND;
+  void clockStepBeforeAStartPreventsNoJoin(long stepSeconds) {
+    long nowNanos = START_SECONDS * SECOND_NANOS;
     ProtocolHarness started =
-        new ProtocolHarness(SwimTimings.defaults(2), process("me", "at-me", START_SECONDS, 1), now);
+        new ProtocolHarness(
+            SwimTimings.defaults(2), process("me", "at-me", START_SECONDS, 1), nowNanos);
     // The clock of "other" is off by the step. Its table has an entry of this name from an earlier
     // start under the same clock, with the status lost.
     MemberUpdate other = process("other", "at-other", START_SECONDS + stepSeconds, 2);
@@ -90,6 +91,6 @@
     assertEquals(Optional.of(MemberStatus.ALIVE), started.protocol.statusOf("other"));
     MemberUpdate self = started.sent.get(started.sent.size() - 1).message().sender();
     assertEquals(Math.max(START_SECONDS, START_SECONDS + stepSeconds + 1), self.incarnation());
-    assertTrue(started.conflicts.isEmpty());
+    assertTrue(started.nameConflicts.isEmpty());
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -19,7 +19,7 @@
  */
 final class SeededFleet {
   /** The size of the fleet and the kinds of faults that occur in it. */
-  enum Setting {
+  enum Scenario {
     /**
      * Eight members with a maximum of eight; crashes, restarts, leaves, pauses, lost datagrams and
      * partitions.
@@ -36,168 +36,175 @@
     /** Four members; floods of requests and thousands of invented names. */
     FLOODED(4, 4, 200);
 
-    final int places;
+    final int memberSlots;
     final int maxMembers;
     final int seconds;
 
-    Setting(int places, int maxMembers, int seconds) {
-      this.places = places;
+    Scenario(int memberSlots, int maxMembers, int seconds) {
+      this.memberSlots = memberSlots;
       this.maxMembers = maxMembers;
       this.seconds = seconds;
     }
   }
 
-  private record Planned(long atNanos, long order, Runnable event) {}
+  private record ScheduledEvent(long atNanos, long number, Runnable action) {}
 
-  static final long MS = 1_000_000;
-  static final long SECOND = 1000 * MS;
-  static final long START = 1_700_000_000L * SECOND;
-  private static final int STORM_SECONDS = 50;
-  private static final int CALM_SECONDS = 40;
+  static final long MS_NANOS = 1_000_000;
+  static final long SECOND_NANOS = 1000 * MS_NANOS;
+  static final long START_NANOS = 1_700_000_000L * SECOND_NANOS;
+  private static final int FAULT_PHASE_SECONDS = 50;
+  private static final int CALM_PHASE_SECONDS = 40;
 
   final RecordedActions actions = new RecordedActions();
   final SwimTimings timings;
   final SplittableRandom random;
-  final Setting setting;
+  final Scenario scenario;
   final List<SeededMember> members = new ArrayList<>();
 
-  private final Map<String, SeededMember> byAddress = new TreeMap<>();
-  private final PriorityQueue<Planned> planned =
+  private final Map<String, SeededMember> membersByAddress = new TreeMap<>();
+  private final PriorityQueue<ScheduledEvent> schedule =
       new PriorityQueue<>(
-          Comparator.comparingLong(Planned::atNanos).thenComparingLong(Planned::order));
-  private final List<GossipMessage> seen = new ArrayList<>();
-  private final SeededStranger stranger;
-  private final boolean[][] cut;
-  private long now = START;
-  private long order;
-  private double lossShare;
-  private double doubledShare;
+          Comparator.comparingLong(ScheduledEvent::atNanos)
+              .thenComparingLong(ScheduledEvent::number));
+  private final List<GossipMessage> sentMessages = new ArrayList<>();
+  private final SeededHostileSender hostileSender;
+  private final boolean[][] blockedLinks;
+  private long nowNanos = START_NANOS;
+  private long lastEventNumber;
+  private double lossProbability;
+  private double duplicateProbability;
   private int maxDelayMs = 3;
 
-  SeededFleet(Setting setting, long seed) {
-    this.setting = setting;
-    random = new SplittableRandom(seed * 31 + setting.name().hashCode());
+  SeededFleet(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    random = new SplittableRandom(seed * 31 + scenario.name().hashCode());
     timings =
-        setting == Setting.GROWING
-            ? SwimTimings.withProbeInterval(setting.maxMembers, 300 * MS)
-            : SwimTimings.defaults(setting.maxMembers);
-    cut = new boolean[setting.places][setting.places];
-    for (int index = 0; index < setting.places; index++) {
-      boolean twin = setting == Setting.CONTESTED && index >= setting.maxMembers;
-      String name = "m" + (twin ? index - setting.maxMembers : index);
+        scenario == Scenario.GROWING
+            ? SwimTimings.withProbeInterval(scenario.maxMembers, 300 * MS_NANOS)
+            : SwimTimings.defaults(scenario.maxMembers);
+    blockedLinks = new boolean[scenario.memberSlots][scenario.memberSlots];
+    for (int index = 0; index < scenario.memberSlots; index++) {
+      boolean sharesName = scenario == Scenario.CONTESTED && index >= scenario.maxMembers;
+      String name = "m" + (sharesName ? index - scenario.maxMembers : index);
       SeededMember member = new SeededMember(this, index, name, "a" + index);
       members.add(member);
-      byAddress.put(member.address, member);
+      membersByAddress.put(member.address, member);
     }
-    stranger = new SeededStranger(this);
+    hostileSender = new SeededHostileSender(this);
   }
 
   /** Runs the simulation to its end, and returns the digest of all actions in hexadecimal. */
-  String play() {
-    int first = setting == Setting.GROWING || setting == Setting.CONTESTED ? 3 : setting.places;
-    for (int index = 0; index < first; index++) {
-      plan(START + random.nextInt(2000) * MS, members.get(index)::start);
-    }
-    plan(START + 12 * SECOND, this::fault);
-    if (setting == Setting.CONTESTED || setting == Setting.FLOODED) {
-      plan(START + 15 * SECOND, stranger::act);
-    }
-    long end = START + setting.seconds * SECOND;
-    while (!planned.isEmpty() && planned.peek().atNanos <= end) {
-      Planned next = planned.poll();
-      now = next.atNanos;
-      next.event.run();
+  String run() {
+    int startedAtFirst =
+        scenario == Scenario.GROWING || scenario == Scenario.CONTESTED ? 3 : scenario.memberSlots;
+    for (int index = 0; index < startedAtFirst; index++) {
+      scheduleAt(START_NANOS + random.nextInt(2000) * MS_NANOS, members.get(index)::start);
+    }
+    scheduleAt(START_NANOS + 12 * SECOND_NANOS, this::injectFault);
+    if (scenario == Scenario.CONTESTED || scenario == Scenario.FLOODED) {
+      scheduleAt(START_NANOS + 15 * SECOND_NANOS, hostileSender::sendAndReschedule);
+    }
+    long endNanos = START_NANOS + scenario.seconds * SECOND_NANOS;
+    while (!schedule.isEmpty() && schedule.peek().atNanos <= endNanos) {
+      ScheduledEvent next = schedule.poll();
+      nowNanos = next.atNanos;
+      next.action.run();
     }
     return actions.finish();
   }
 
-  long now() {
-    return now;
+  long nowNanos() {
+    return nowNanos;
   }
 
-  void plan(long atNanos, Runnable event) {
-    planned.add(new Planned(atNanos, ++order, event));
+  void scheduleAt(long atNanos, Runnable event) {
+    schedule.add(new ScheduledEvent(atNanos, ++lastEventNumber, event));
   }
 
   boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
-  SeededMember anyMember() {
+  SeededMember randomMember() {
     return members.get(random.nextInt(members.size()));
   }
 
   /** Returns a random message that was sent earlier; null before the first message. */
-  GossipMessage anySeen() {
-    return seen.isEmpty() ? null : seen.get(random.nextInt(seen.size()));
+  GossipMessage randomSentMessage() {
+    return sentMessages.isEmpty() ? null : sentMessages.get(random.nextInt(sentMessages.size()));
   }
 
   /** Whether faults are injected at this time; between such times the fleet can settle. */
-  boolean stormy() {
-    return (now - START) / SECOND % (STORM_SECONDS + CALM_SECONDS) < STORM_SECONDS;
+  boolean isFaultPhase() {
+    return (nowNanos - START_NANOS) / SECOND_NANOS % (FAULT_PHASE_SECONDS + CALM_PHASE_SECONDS)
+        < FAULT_PHASE_SECONDS;
   }
 
   /** Transmits a datagram, which may be lost, delayed, duplicated or reordered. */
-  void carry(SeededMember from, String address, GossipMessage message) {
-    if (seen.size() < 200) {
-      seen.add(message);
+  void transmit(SeededMember from, String address, GossipMessage message) {
+    if (sentMessages.size() < 200) {
+      sentMessages.add(message);
     } else if (withProbability(0.1)) {
-      seen.set(random.nextInt(seen.size()), message);
+      sentMessages.set(random.nextInt(sentMessages.size()), message);
     }
-    SeededMember target = byAddress.get(address);
-    if (target == null || cut[from.index][target.index] || withProbability(lossShare)) {
+    SeededMember target = membersByAddress.get(address);
+    if (target == null
+        || blockedLinks[from.index][target.index]
+        || withProbability(lossProbability)) {
       actions.count(target == null ? "to nobody" : "lost on the way");
       return;
     }
-    int copies = withProbability(doubledShare) ? 2 : 1;
+    int copies = withProbability(duplicateProbability) ? 2 : 1;
     for (int copy = 0; copy < copies; copy++) {
       int delayMs = 1 + random.nextInt(withProbability(0.02) ? 20 * maxDelayMs : maxDelayMs);
-      plan(now + delayMs * MS, () -> target.deliver(message));
+      scheduleAt(nowNanos + delayMs * MS_NANOS, () -> target.deliver(message));
     }
   }
 
   // ---- Faults.
 
-  private void fault() {
-    plan(now + random.nextInt(withProbability(0.2) ? 1 : 3000) * MS, this::fault);
-    if (!stormy()) {
-      calm();
+  private void injectFault() {
+    scheduleAt(
+        nowNanos + random.nextInt(withProbability(0.2) ? 1 : 3000) * MS_NANOS, this::injectFault);
+    if (!isFaultPhase()) {
+      healFaults();
       return;
     }
-    SeededMember member = anyMember();
+    SeededMember member = randomMember();
     switch (random.nextInt(12)) {
       case 0 -> member.crash();
       case 1 -> member.leave();
       case 2, 3, 4 -> member.startIfDown();
       case 5 -> member.pause(random.nextInt(1 + random.nextInt(6000)));
       case 6 -> partition();
-      case 7 -> weather();
-      case 8 -> cutLink();
-      case 9 -> replay();
-      case 10 -> anyMember().forget("m" + random.nextInt(setting.places + 1));
-      default -> forgetLost();
+      case 7 -> changeNetworkConditions();
+      case 8 -> blockLink();
+      case 9 -> replayOldMessages();
+      case 10 -> randomMember().forget("m" + random.nextInt(scenario.memberSlots + 1));
+      default -> forgetRandomLostMember();
     }
   }
 
-  private void calm() {
-    lossShare = 0;
-    doubledShare = 0;
+  private void healFaults() {
+    lossProbability = 0;
+    duplicateProbability = 0;
     maxDelayMs = 3;
-    for (boolean[] row : cut) {
+    for (boolean[] row : blockedLinks) {
       java.util.Arrays.fill(row, false);
     }
-    SeededMember member = anyMember();
-    if (withProbability(0.3) && (member.index < setting.maxMembers || setting == Setting.GROWING)) {
+    SeededMember member = randomMember();
+    if (withProbability(0.3)
+        && (member.index < scenario.maxMembers || scenario == Scenario.GROWING)) {
       member.startIfDown();
     }
     if (withProbability(0.2)) {
-      forgetLost();
+      forgetRandomLostMember();
     }
   }
 
-  private void weather() {
-    lossShare = withProbability(0.4) ? 0 : random.nextDouble() * 0.4;
-    doubledShare = random.nextDouble() * 0.3;
+  private void changeNetworkConditions() {
+    lossProbability = withProbability(0.4) ? 0 : random.nextDouble() * 0.4;
+    duplicateProbability = random.nextDouble() * 0.3;
     maxDelayMs = 1 + random.nextInt(withProbability(0.3) ? 600 : 20);
   }
 
@@ -206,39 +213,39 @@
     for (int index = 0; index < side.length; index++) {
       side[index] = random.nextBoolean();
     }
-    split(side, true);
-    plan(now + random.nextInt(12_000) * MS, () -> split(side, false));
+    setSidesBlocked(side, true);
+    scheduleAt(nowNanos + random.nextInt(12_000) * MS_NANOS, () -> setSidesBlocked(side, false));
   }
 
-  private void split(boolean[] side, boolean apart) {
+  private void setSidesBlocked(boolean[] side, boolean blocked) {
     for (int from = 0; from < side.length; from++) {
       for (int to = 0; to < side.length; to++) {
         if (side[from] != side[to]) {
-          cut[from][to] = apart;
+          blockedLinks[from][to] = blocked;
         }
       }
     }
   }
 
-  private void cutLink() {
+  private void blockLink() {
     int from = random.nextInt(members.size());
     int to = random.nextInt(members.size());
-    cut[from][to] = true;
-    plan(now + random.nextInt(10_000) * MS, () -> cut[from][to] = false);
+    blockedLinks[from][to] = true;
+    scheduleAt(nowNanos + random.nextInt(10_000) * MS_NANOS, () -> blockedLinks[from][to] = false);
   }
 
-  private void replay() {
-    for (int copy = 0; copy < 20 && !seen.isEmpty(); copy++) {
-      GossipMessage old = anySeen();
-      SeededMember target = anyMember();
-      plan(now + random.nextInt(1000) * MS, () -> target.deliver(old));
+  private void replayOldMessages() {
+    for (int copy = 0; copy < 20 && !sentMessages.isEmpty(); copy++) {
+      GossipMessage old = randomSentMessage();
+      SeededMember target = randomMember();
+      scheduleAt(nowNanos + random.nextInt(1000) * MS_NANOS, () -> target.deliver(old));
     }
   }
 
   /** Lets an operator report a random lost member as not coming back. */
-  private void forgetLost() {
-    SeededMember member = anyMember();
-    List<String> lost = member.lost();
+  private void forgetRandomLostMember() {
+    SeededMember member = randomMember();
+    List<String> lost = member.lostMembers();
     if (!lost.isEmpty()) {
       member.forget(lost.get(random.nextInt(lost.size())));
     }
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -7,8 +7,8 @@
  * test. Only this class calls the protocol.
  */
 final class SeededMember implements SwimProtocol.Output {
-  private static final long MS = SeededFleet.MS;
-  private static final double BYPASS_PROBABILITY = 0.15;
+  private static final long MS_NANOS = SeededFleet.MS_NANOS;
+  private static final double FILTER_BYPASS_PROBABILITY = 0.15;
 
   final int index;
   final String name;
@@ -16,13 +16,13 @@
   private final SeededFleet fleet;
   private SwimProtocol protocol;
   private ReplayFilter filter;
-  private int process;
-  private long clockOffset;
+  private int processNumber;
+  private long clockOffsetNanos;
   private long instanceId;
-  private long pausedUntil;
+  private long pausedUntilNanos;
   private long incarnation;
   private boolean leaving;
-  private int observed;
+  private int observationCount;
 
   SeededMember(SeededFleet fleet, int index, String name, String address) {
     this.fleet = fleet;
@@ -31,7 +31,7 @@
     this.address = address;
   }
 
-  boolean runs() {
+  boolean isRunning() {
     return protocol != null;
   }
 
@@ -48,27 +48,30 @@
 
   /** Starts a process without state; its clock may be behind that of the previous process. */
   void start() {
-    process++;
+    processNumber++;
     leaving = false;
-    pausedUntil = 0;
-    clockOffset = (fleet.random.nextInt(10_001) - 5000) * MS;
+    pausedUntilNanos = 0;
+    clockOffsetNanos = (fleet.random.nextInt(10_001) - 5000) * MS_NANOS;
     instanceId = fleet.random.nextLong();
     List<String> seeds =
-        process > 1 && fleet.withProbability(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
-    filter = new ReplayFilter(instanceId, fleet.timings.probeIntervalNanos(), clock());
-    incarnation = clock() / SeededFleet.SECOND;
+        processNumber > 1 && fleet.withProbability(0.1)
+            ? List.of()
+            : List.of("a0", "a1", "a2", address);
+    filter = new ReplayFilter(instanceId, fleet.timings.probeIntervalNanos(), clockNanos());
+    incarnation = clockNanos() / SeededFleet.SECOND_NANOS;
     protocol =
         new SwimProtocol(
             fleet.timings,
             new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name),
             seeds,
             fleet.random.nextLong(),
-            clock(),
+            clockNanos(),
             this);
-    fleet.actions.add("start", index, clock(), instanceId);
-    observe();
-    int started = process;
-    fleet.plan(fleet.now() + fleet.random.nextInt(100) * MS, () -> tick(started));
+    fleet.actions.add("start", index, clockNanos(), instanceId);
+    recordState();
+    int startedProcess = processNumber;
+    fleet.scheduleAt(
+        fleet.nowNanos() + fleet.random.nextInt(100) * MS_NANOS, () -> tick(startedProcess));
   }
 
   void startIfDown() {
@@ -82,36 +85,38 @@
   }
 
   void pause(int milliseconds) {
-    pausedUntil = fleet.now() + milliseconds * MS;
+    pausedUntilNanos = fleet.nowNanos() + milliseconds * MS_NANOS;
   }
 
   void leave() {
     if (protocol != null && !leaving) {
       leaving = true;
       fleet.actions.add("leave", index);
-      protocol.leave(clock());
-      observe();
-      int left = process;
-      fleet.plan(fleet.now() + fleet.random.nextInt(1500) * MS, () -> end(left));
+      protocol.leave(clockNanos());
+      recordState();
+      int leavingProcess = processNumber;
+      fleet.scheduleAt(
+          fleet.nowNanos() + fleet.random.nextInt(1500) * MS_NANOS,
+          () -> stopProcess(leavingProcess));
     }
   }
 
-  private void end(int left) {
-    if (process == left) {
+  private void stopProcess(int endedProcess) {
+    if (processNumber == endedProcess) {
       protocol = null;
     }
   }
 
   void forget(String other) {
     if (protocol != null) {
-      boolean forgotten = protocol.forget(clock(), other);
+      boolean forgotten = protocol.forget(clockNanos(), other);
       fleet.actions.add(forgotten ? "forgotten" : "not forgotten", index, other);
-      observe();
+      recordState();
     }
   }
 
   /** Returns the names of the members that this member considers lost. */
-  List<String> lost() {
+  List<String> lostMembers() {
     return protocol == null
         ? List.of()
         : protocol.otherMembers().stream()
@@ -125,55 +130,55 @@
     if (protocol == null) {
       return;
     }
-    if (pausedUntil > fleet.now()) {
+    if (pausedUntilNanos > fleet.nowNanos()) {
       // The datagram waits in the socket's receive buffer.
-      fleet.plan(pausedUntil, () -> deliver(message));
+      fleet.scheduleAt(pausedUntilNanos, () -> deliver(message));
       return;
     }
-    if (!filter.tryExamine(clock())) {
+    if (!filter.tryExamine(clockNanos())) {
       fleet.actions.add("unread", index);
       return;
     }
-    ReplayFilter.Verdict verdict = filter.check(clock(), message);
+    ReplayFilter.Verdict verdict = filter.check(clockNanos(), message);
     fleet.actions.count("verdict " + verdict);
     fleet.actions.add("verdict", index, verdict);
-    boolean bypassed = fleet.withProbability(BYPASS_PROBABILITY);
-    if (verdict == ReplayFilter.Verdict.TAKEN || bypassed) {
+    boolean bypassesFilter = fleet.withProbability(FILTER_BYPASS_PROBABILITY);
+    if (verdict == ReplayFilter.Verdict.TAKEN || bypassesFilter) {
       fleet.actions.count("received " + message.kind());
-      protocol.messageReceived(clock(), message);
+      protocol.messageReceived(clockNanos(), message);
     } else if (verdict == ReplayFilter.Verdict.GREETED) {
-      protocol.greet(clock(), message.sender());
+      protocol.greet(clockNanos(), message.sender());
     }
-    observe();
+    recordState();
   }
 
-  private long clock() {
-    return fleet.now() + clockOffset;
+  private long clockNanos() {
+    return fleet.nowNanos() + clockOffsetNanos;
   }
 
-  private void tick(int started) {
-    if (started != process || protocol == null) {
+  private void tick(int startedProcess) {
+    if (startedProcess != processNumber || protocol == null) {
       return;
     }
-    if (pausedUntil <= fleet.now()) {
-      protocol.tick(clock());
-      observe();
+    if (pausedUntilNanos <= fleet.nowNanos()) {
+      protocol.tick(clockNanos());
+      recordState();
     }
-    long periodMs = fleet.timings.probeIntervalNanos() / MS;
+    long periodMs = fleet.timings.probeIntervalNanos() / MS_NANOS;
     long delayMs =
         fleet.withProbability(0.6)
             ? periodMs / 5
             : fleet.withProbability(0.02)
                 ? fleet.random.nextInt((int) (5 * periodMs))
                 : 10L * fleet.random.nextInt((int) (periodMs / 20));
-    long next = Math.max(fleet.now() + delayMs * MS, pausedUntil);
-    fleet.plan(next, () -> tick(started));
+    long nextTickNanos = Math.max(fleet.nowNanos() + delayMs * MS_NANOS, pausedUntilNanos);
+    fleet.scheduleAt(nextTickNanos, () -> tick(startedProcess));
   }
 
   // ---- Outputs of the protocol.
 
   /** Records the protocol's observable state after an input. */
-  private void observe() {
+  private void recordState() {
     MemberUpdate self = protocol.self();
     if (self.incarnation() > incarnation) {
       fleet.actions.count("refuted");
@@ -188,31 +193,31 @@
         protocol.presentCount(),
         protocol.countedMembers(),
         protocol.quotaShare());
-    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.setting.maxMembers) {
+    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.scenario.maxMembers) {
       fleet.actions.count("admitted beyond the allowed number");
     }
-    if (++observed % 50 == 0) {
-      observeOthers();
+    if (++observationCount % 50 == 0) {
+      recordOtherMembers();
     }
   }
 
-  private void observeOthers() {
+  private void recordOtherMembers() {
     for (SwimProtocol.ObservedMember other : protocol.otherMembers()) {
-      add("other", other.update());
-      fleet.actions.add("since", other.sinceNanos());
+      addUpdate("other", other.update());
+      fleet.actions.add("since", other.statusChangedAtNanos());
     }
     fleet.actions.add(
         "there", String.join(" ", protocol.presentNames().stream().limit(200).toList()));
-    String asked = "m" + fleet.random.nextInt(fleet.setting.places + 1);
-    long found = protocol.find(asked).map(MemberUpdate::instanceId).orElse(-1L);
-    fleet.actions.add("find", asked, found);
-    fleet.actions.add("standing", protocol.statusOf(asked).orElse(null));
+    String queriedName = "m" + fleet.random.nextInt(fleet.scenario.memberSlots + 1);
+    long foundInstanceId = protocol.find(queriedName).map(MemberUpdate::instanceId).orElse(-1L);
+    fleet.actions.add("find", queriedName, foundInstanceId);
+    fleet.actions.add("standing", protocol.statusOf(queriedName).orElse(null));
     if (fleet.withProbability(0.1)) {
       fleet.actions.add("serial", protocol.nextSequenceNumber());
     }
   }
 
-  private void add(String action, MemberUpdate update) {
+  private void addUpdate(String action, MemberUpdate update) {
     fleet.actions.add(
         action,
         update.name(),
@@ -224,7 +229,7 @@
   }
 
   @Override
-  public void send(String to, GossipMessage message) {
+  public void send(String receiverAddress, GossipMessage message) {
     RecordedActions actions = fleet.actions;
     actions.count("sent " + message.kind());
     if (message.kind() == GossipMessage.Kind.SYNC && message.subject() != null) {
@@ -236,7 +241,7 @@
     actions.add(
         "send",
         index,
-        to,
+        receiverAddress,
         message.kind(),
         message.recipientInstanceId(),
         message.sequenceNumber(),
@@ -247,15 +252,15 @@
         message.hasMore(),
         message.fullySynced(),
         message.updates().size());
-    add("from", message.sender());
-    message.updates().forEach(update -> add("rumour", update));
-    fleet.carry(this, to, message);
+    addUpdate("from", message.sender());
+    message.updates().forEach(update -> addUpdate("rumour", update));
+    fleet.transmit(this, receiverAddress, message);
   }
 
   @Override
-  public void memberStatusChanged(String who, MemberStatus status) {
+  public void memberStatusChanged(String memberName, MemberStatus status) {
     fleet.actions.count("news " + status);
-    fleet.actions.add("news", index, who, status);
+    fleet.actions.add("news", index, memberName, status);
   }
 
   @Override
@@ -266,7 +271,7 @@
   }
 
   @Override
-  public void nameConflictDetected(String at) {
-    fleet.actions.add("twin", index, at);
+  public void nameConflictDetected(String conflictAddress) {
+    fleet.actions.add("twin", index, conflictAddress);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.PERIOD_NANOS;
 import static org.amberpath.membership.ProtocolHarness.process;
 import static org.amberpath.membership.ProtocolHarness.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -17,9 +17,9 @@
   private final SwimProtocol protocol = harness.protocol;
 
   @Test
-  void leavingMemberHasNoShareAndAnswersNobody() {
+  void leavingMemberHasNoShareAndDoesNotAnswer() {
     harness.receiveLastPage("other");
-    protocol.leave(harness.now);
+    protocol.leave(harness.nowNanos);
     assertEquals(0, protocol.quotaShare());
     assertEquals(MemberStatus.LEFT, harness.lastSent(Kind.NACK).sender().status());
     harness.sent.clear();
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void floodOfProbesIsAnsweredUpToTheBoundsForOneMemberAndForAll() {
+  void floodOfProbesIsAnsweredUpToTheLimitsPerMemberAndInTotal() {
     for (int probe = 0; probe < 1000; probe++) {
       harness.receive(Kind.PING, "other", probe);
     }
@@ -40,19 +40,21 @@
   }
 
   @Test
-  void senderThatKnowsOnlyAnAddressIsGreetedAndNotBelieved() {
-    protocol.greet(harness.now, update("other", 1, MemberStatus.ALIVE));
-    assertEquals(List.of("at-other"), harness.sent.stream().map(ProtocolHarness.Sent::to).toList());
+  void senderThatKnowsOnlyAnAddressIsGreetedAndNotAdded() {
+    protocol.greet(harness.nowNanos, update("other", 1, MemberStatus.ALIVE));
+    assertEquals(
+        List.of("at-other"),
+        harness.sent.stream().map(ProtocolHarness.SentMessage::address).toList());
     assertEquals(Optional.empty(), protocol.statusOf("other"));
-    protocol.greet(harness.now, process("me", "at-twin", 1, 99));
+    protocol.greet(harness.nowNanos, process("me", "at-twin", 1, 99));
     assertEquals(1, harness.sent.size(), "an old datagram of its own is not greeted");
   }
 
   @Test
-  void memberThatLeftIsRemovedAfterAWhile() {
+  void memberThatLeftIsRemovedAfterTheRetention() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.LEFT));
     assertEquals(Optional.of(MemberStatus.LEFT), protocol.statusOf("third"));
-    harness.advance(250 * PERIOD);
+    harness.advance(250 * PERIOD_NANOS);
     assertEquals(Optional.empty(), protocol.statusOf("third"));
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecGoldenTest.java
@@ -24,7 +24,7 @@
   private static final String GOLDEN_FILE = "/gossip-datagrams-1";
 
   /** The kind of a user message in the golden file. */
-  private static final String USER_MESSAGE = "LETTER";
+  private static final String USER_MESSAGE_KIND = "LETTER";
 
   private static final MemberUpdate SENDER =
       new MemberUpdate("g-1", "192.0.2.1:7946", 3, 1700000000123L, MemberStatus.ALIVE, "g-1");
@@ -33,7 +33,7 @@
   private static final long SEQUENCE_NUMBER = 1L << 33;
 
   private final DatagramCodec codec = new DatagramCodec("stores", 8);
-  private final HmacKeyring keys =
+  private final HmacKeyring keyring =
       HmacKeyring.of("k1", HexFormat.of().parseHex("0123456789abcdef0123456789abcdef"));
 
   /** Returns one update per status, in the order of the status ordinals on the wire. */
@@ -41,9 +41,10 @@
     List<MemberUpdate> updates = new ArrayList<>();
     for (MemberStatus status :
         List.of(MemberStatus.ALIVE, MemberStatus.SUSPECTED, MemberStatus.LOST, MemberStatus.LEFT)) {
-      int at = updates.size();
-      String address = "192.0.2." + (10 + at) + ":7946";
-      updates.add(new MemberUpdate("r" + at, address, at * 1000L, -1L - at, status, "g-2"));
+      int index = updates.size();
+      String address = "192.0.2." + (10 + index) + ":7946";
+      updates.add(
+          new MemberUpdate("r" + index, address, index * 1000L, -1L - index, status, "g-2"));
     }
     return updates;
   }
@@ -74,38 +75,38 @@
     return messages;
   }
 
-  private static Map<String, byte[]> golden() throws IOException {
+  private static Map<String, byte[]> readGoldenFile() throws IOException {
     Map<String, byte[]> datagrams = new LinkedHashMap<>();
     try (InputStream in = DatagramCodecGoldenTest.class.getResourceAsStream(GOLDEN_FILE)) {
       String text = new String(in.readAllBytes(), StandardCharsets.US_ASCII);
       text.lines()
           .forEach(
               line -> {
-                int end = line.indexOf(' ');
-                byte[] datagram = HexFormat.of().parseHex(line, end + 1, line.length());
-                datagrams.put(line.substring(0, end), datagram);
+                int separator = line.indexOf(' ');
+                byte[] datagram = HexFormat.of().parseHex(line, separator + 1, line.length());
+                datagrams.put(line.substring(0, separator), datagram);
               });
     }
     return datagrams;
   }
 
   private GossipMessage decodeGossip(byte[] datagram) {
-    DecodedDatagram decoded = codec.decode(datagram, keys);
+    DecodedDatagram decoded = codec.decode(datagram, keyring);
     return assertInstanceOf(DecodedDatagram.Gossip.class, decoded).message();
   }
 
   @Test
-  void gossipOfAnEarlierReleaseIsDecodedAsItWasSent() throws IOException {
-    Map<String, byte[]> golden = golden();
-    golden.remove(USER_MESSAGE);
+  void gossipOfAnEarlierReleaseIsDecodedUnchanged() throws IOException {
+    Map<String, byte[]> golden = readGoldenFile();
+    golden.remove(USER_MESSAGE_KIND);
     Map<String, GossipMessage> decoded = new LinkedHashMap<>();
     golden.forEach((kind, datagram) -> decoded.put(kind, decodeGossip(datagram)));
     assertEquals(messages(), decoded);
   }
 
   @Test
-  void userMessageOfAnEarlierReleaseIsDecodedAsItWasSent() throws IOException {
-    DecodedDatagram decoded = codec.decode(golden().get(USER_MESSAGE), keys);
+  void userMessageOfAnEarlierReleaseIsDecodedUnchanged() throws IOException {
+    DecodedDatagram decoded = codec.decode(readGoldenFile().get(USER_MESSAGE_KIND), keyring);
     UserMessage message = assertInstanceOf(DecodedDatagram.User.class, decoded).message();
     assertEquals(SENDER, message.sender());
     assertEquals(RECIPIENT_INSTANCE_ID, message.recipientInstanceId());
@@ -114,13 +115,14 @@
   }
 
   @Test
-  void eachKindIsEncodedAsByAnEarlierRelease() throws IOException {
-    Map<String, byte[]> golden = golden();
+  void eachKindIsEncodedAsInAnEarlierRelease() throws IOException {
+    Map<String, byte[]> golden = readGoldenFile();
     messages()
         .forEach(
             (kind, message) ->
-                assertArrayEquals(golden.get(kind), codec.encode(message, keys), kind));
+                assertArrayEquals(golden.get(kind), codec.encode(message, keyring), kind));
     UserMessage message = new UserMessage(SENDER, RECIPIENT_INSTANCE_ID, SEQUENCE_NUMBER, BODY);
-    assertArrayEquals(golden.get(USER_MESSAGE), codec.encode(message, keys), USER_MESSAGE);
+    assertArrayEquals(
+        golden.get(USER_MESSAGE_KIND), codec.encode(message, keyring), USER_MESSAGE_KIND);
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -17,7 +17,7 @@
 import org.amberpath.membership.MemberStatus;
 import org.amberpath.membership.MemberUpdate;
 import org.amberpath.membership.SwimTimings;
-import org.amberpath.membership.runtime.DecodedDatagram.Fault;
+import org.amberpath.membership.runtime.DecodedDatagram.RejectionReason;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -32,7 +32,7 @@
   private final DatagramCodec codec = new DatagramCodec("stores", MAX_UPDATES);
   @TempDir private Path folder;
 
-  private HmacKeyring keyring(String text) throws Exception {
+  private HmacKeyring readKeyring(String text) throws Exception {
     return HmacKeyring.read(Files.writeString(folder.resolve("keys"), text));
   }
 
@@ -57,47 +57,54 @@
         Collections.nCopies(updates, longestUpdate(MemberStatus.LOST)));
   }
 
-  private static GossipMessage message(DecodedDatagram decoded) {
+  private static GossipMessage gossipMessage(DecodedDatagram decoded) {
     return assertInstanceOf(DecodedDatagram.Gossip.class, decoded).message();
   }
 
-  private static Fault fault(DecodedDatagram decoded, String what) {
-    return assertInstanceOf(DecodedDatagram.Rejected.class, decoded, what).fault();
+  private static RejectionReason rejectionReason(DecodedDatagram decoded, String description) {
+    return assertInstanceOf(DecodedDatagram.Rejected.class, decoded, description).reason();
   }
 
   @Test
-  void longestMessageFitsIntoADatagramAndIsDecodedAsItWas() throws Exception {
+  void longestMessageFitsIntoADatagramAndIsDecodedUnchanged() throws Exception {
     DatagramCodec longestHeader = new DatagramCodec("f".repeat(32), MAX_UPDATES);
-    HmacKeyring keys = keyring("k".repeat(16) + " " + KEY);
+    HmacKeyring keyring = readKeyring("k".repeat(16) + " " + KEY);
     GossipMessage message = longestMessage(MAX_UPDATES);
-    byte[] datagram = longestHeader.encode(message, keys);
+    byte[] datagram = longestHeader.encode(message, keyring);
     assertTrue(datagram.length <= DatagramCodec.MAX_DATAGRAM_BYTES, "" + datagram.length);
-    assertEquals(message, message(longestHeader.decode(datagram, keys)));
+    assertEquals(message, gossipMessage(longestHeader.decode(datagram, keyring)));
   }
 
   @Test
-  void datagramOfAnotherFleetOrKeyOrChangedOnTheWayIsRejected() throws Exception {
-    HmacKeyring keys = keyring("k1 " + KEY);
-    byte[] datagram = codec.encode(longestMessage(2), keys);
+  void datagramOfAnotherFleetOrKeyOrWithChangedBytesIsRejected() throws Exception {
+    HmacKeyring keyring = readKeyring("k1 " + KEY);
+    byte[] datagram = codec.encode(longestMessage(2), keyring);
     DatagramCodec otherFleet = new DatagramCodec("other", 10);
-    assertEquals(Fault.OTHER_FLEET, fault(otherFleet.decode(datagram, keys), "fleet"));
-    assertEquals(Fault.OTHER_KEY, fault(codec.decode(datagram, keyring("k2 " + KEY)), "id"));
-    assertEquals(Fault.FORGED, fault(codec.decode(datagram, keyring("k1 " + OTHER_KEY)), "key"));
-    for (int at = 0; at < datagram.length; at++) {
+    assertEquals(
+        RejectionReason.WRONG_FLEET,
+        rejectionReason(otherFleet.decode(datagram, keyring), "fleet"));
+    assertEquals(
+        RejectionReason.UNKNOWN_KEY,
+        rejectionReason(codec.decode(datagram, readKeyring("k2 " + KEY)), "id"));
+    assertEquals(
+        RejectionReason.INVALID_SIGNATURE,
+        rejectionReason(codec.decode(datagram, readKeyring("k1 " + OTHER_KEY)), "key"));
+    for (int index = 0; index < datagram.length; index++) {
       byte[] changed = datagram.clone();
-      changed[at] ^= 1;
-      fault(codec.decode(changed, keys), "byte " + at);
-      fault(codec.decode(Arrays.copyOf(datagram, at), keys), "cut at " + at);
+      changed[index] ^= 1;
+      rejectionReason(codec.decode(changed, keyring), "byte " + index);
+      rejectionReason(codec.decode(Arrays.copyOf(datagram, index), keyring), "cut at " + index);
     }
-    fault(codec.decode(Arrays.copyOf(datagram, datagram.length + 1), keys), "a byte more");
+    rejectionReason(
+        codec.decode(Arrays.copyOf(datagram, datagram.length + 1), keyring), "a byte more");
   }
 
   @Test
-  void firstKeyOfAFileSignsAndEachVerifies() throws Exception {
-    HmacKeyring before = keyring("k1 " + KEY);
-    HmacKeyring both = keyring("# new\nk2 " + OTHER_KEY + "\nk1 " + KEY + "\n");
+  void firstKeyOfAFileSignsAndEveryKeyVerifies() throws Exception {
+    HmacKeyring before = readKeyring("k1 " + KEY);
+    HmacKeyring both = readKeyring("# new\nk2 " + OTHER_KEY + "\nk1 " + KEY + "\n");
     GossipMessage message = longestMessage(1);
-    assertEquals(message, message(codec.decode(codec.encode(message, before), both)));
+    assertEquals(message, gossipMessage(codec.decode(codec.encode(message, before), both)));
     assertEquals("k2", both.signingKeyId());
   }
 
@@ -117,29 +124,29 @@
   }
 
   @Test
-  void keyFileOverItsSizeIsRejected() {
+  void keyFileAboveTheMaximumSizeIsRejected() {
     assertInvalidKeyFile(("k1 " + KEY + "\n").repeat(200));
   }
 
   private void assertInvalidKeyFile(String invalid) {
     MembershipException.InvalidKeyFile failure =
-        assertThrows(MembershipException.InvalidKeyFile.class, () -> keyring(invalid), invalid);
+        assertThrows(MembershipException.InvalidKeyFile.class, () -> readKeyring(invalid), invalid);
     assertTrue(failure.getMessage().startsWith("[fleet] key: "), failure.getMessage());
     assertTrue(!failure.getMessage().contains(KEY), failure.getMessage());
   }
 
   /** Guards against a sender that has a valid key and signs a malformed datagram. */
   @Property(tries = 500)
-  void signedDatagramOfAnotherFormIsRejected(@ForAll @Size(max = 200) byte[] body)
-      throws Exception {
-    HmacKeyring keys =
+  void signedMalformedDatagramIsRejected(@ForAll @Size(max = 200) byte[] body) throws Exception {
+    HmacKeyring keyring =
         HmacKeyring.read(Files.writeString(Files.createTempFile("keys", ""), "k1 " + KEY));
-    byte[] valid = codec.encode(longestMessage(0), keys);
+    byte[] valid = codec.encode(longestMessage(0), keyring);
     int header = "stores".length() + "k1".length() + 3;
     byte[] bytes = Arrays.copyOf(valid, header + body.length);
     System.arraycopy(body, 0, bytes, header, body.length);
     byte[] signed = Arrays.copyOf(bytes, bytes.length + HmacKeyring.SIGNATURE_BYTES);
-    System.arraycopy(keys.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
-    assertEquals(Fault.UNREADABLE, fault(codec.decode(signed, keys), "signed"));
+    System.arraycopy(keyring.sign(bytes), 0, signed, bytes.length, HmacKeyring.SIGNATURE_BYTES);
+    assertEquals(
+        RejectionReason.MALFORMED, rejectionReason(codec.decode(signed, keyring), "signed"));
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramReceiverTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramReceiverTest.java
@@ -23,10 +23,10 @@
   private static final MemberUpdate OTHER =
       new MemberUpdate("other", "127.0.0.1:2", 1, 8, MemberStatus.ALIVE, "other");
 
-  private final List<Kind> sent = new ArrayList<>();
+  private final List<Kind> sentKinds = new ArrayList<>();
   private final SwimTimings timings = SwimTimings.defaults(2);
   private final DatagramCodec codec = new DatagramCodec("stores", timings.maxUpdatesPerMessage());
-  private final HmacKeyring keys = HmacKeyring.of("k1", new byte[32]);
+  private final HmacKeyring keyring = HmacKeyring.of("k1", new byte[32]);
   private final DatagramCounters counters = new DatagramCounters();
   private final DatagramReceiver receiver =
       new DatagramReceiver(
@@ -50,7 +50,7 @@
             false,
             true,
             List.of()),
-        keys);
+        keyring);
   }
 
   private void assertCounted(Result result, long count) {
@@ -58,47 +58,47 @@
   }
 
   @Test
-  void newDatagramForThisProcessIsAnsweredAndItsRepetitionIsNot() {
+  void newDatagramIsAnsweredAndItsReplayIsNot() {
     byte[] datagram = ping(OWN_INSTANCE_ID, 1);
-    receiver.receive(datagram, keys, 0);
-    receiver.receive(datagram, keys, 0);
+    receiver.receive(datagram, keyring, 0);
+    receiver.receive(datagram, keyring, 0);
     assertCounted(Result.TAKEN, 1);
     assertCounted(Result.REPEATED, 1);
-    assertEquals(List.of(Kind.ACK), sent);
+    assertEquals(List.of(Kind.ACK), sentKinds);
   }
 
   @Test
   void datagramForAnotherProcessIsGreeted() {
-    receiver.receive(ping(0, 1), keys, 0);
+    receiver.receive(ping(0, 1), keyring, 0);
     assertCounted(Result.GREETED, 1);
-    assertEquals(List.of(Kind.NACK), sent);
+    assertEquals(List.of(Kind.NACK), sentKinds);
   }
 
   @Test
-  void rejectedDatagramsAreCountedByTheirFaultAndNotAnswered() {
-    receiver.receive(new byte[3], keys, 0);
+  void rejectedDatagramsAreCountedByReasonAndNotAnswered() {
+    receiver.receive(new byte[3], keyring, 0);
     receiver.receive(ping(OWN_INSTANCE_ID, 1), HmacKeyring.of("k2", new byte[32]), 0);
     byte[] forged = ping(OWN_INSTANCE_ID, 1);
     forged[forged.length - 1] ^= 1;
-    receiver.receive(forged, keys, 0);
+    receiver.receive(forged, keyring, 0);
     assertCounted(Result.UNREADABLE, 1);
     assertCounted(Result.OTHER_KEY, 1);
     assertCounted(Result.FORGED, 1);
-    assertEquals(List.of(), sent);
+    assertEquals(List.of(), sentKinds);
   }
 
   @Test
   void userMessageWithoutAHandlerIsCountedAndNotAnswered() {
     UserMessage message = new UserMessage(OTHER, OWN_INSTANCE_ID, 1, new byte[1]);
-    receiver.receive(codec.encode(message, keys), keys, 0);
+    receiver.receive(codec.encode(message, keyring), keyring, 0);
     assertCounted(Result.TAKEN, 1);
-    assertEquals(List.of(), sent);
+    assertEquals(List.of(), sentKinds);
   }
 
   @Test
-  void floodIsCountedAsTooManyWithoutBeingExamined() {
+  void datagramsAboveTheExaminedRateAreCountedAsTooMany() {
     for (int datagram = 0; datagram < 2001; datagram++) {
-      receiver.receive(new byte[3], keys, 0);
+      receiver.receive(new byte[3], keyring, 0);
     }
     assertCounted(Result.UNREADABLE, 2000);
     assertCounted(Result.TOO_MANY, 1);
@@ -106,7 +106,7 @@
 
   @Override
   public void send(String address, GossipMessage message) {
-    sent.add(message.kind());
+    sentKinds.add(message.kind());
   }
 
   @Override
--- a/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
@@ -34,7 +34,7 @@
 /** Tests two services on loopback sockets, the admin endpoint, and the causes of failed starts. */
 class MembershipServiceTest {
   private static final SocketAddress ANY_PORT = SocketAddress.inetSocketAddress(0, "127.0.0.1");
-  private static final long INTERVAL = 100_000_000;
+  private static final long PROBE_INTERVAL_NANOS = 100_000_000;
   private static final long TIMEOUT_SECONDS = 20;
   private static final String KEY = "k1 0123456789abcdef0123456789abcdef";
   private static final String OPTIONS =
@@ -55,7 +55,7 @@
     return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private <T> T onLoop(Callable<T> action) throws Exception {
+  private <T> T onEventLoop(Callable<T> action) throws Exception {
     Promise<T> done = Promise.promise();
     vertx.runOnContext(
         turn -> {
@@ -68,53 +68,65 @@
     return await(done.future());
   }
 
-  private MembershipService service(
-      String name, String keys, List<SocketAddress> seeds, FleetMessageHandler.Factory handler)
+  private MembershipService createService(
+      String name,
+      String keyLines,
+      List<SocketAddress> seeds,
+      FleetMessageHandler.Factory handlerFactory)
       throws Exception {
-    Path keyFile = Files.writeString(folder.resolve(name.length() + "keys"), keys);
+    Path keyFile = Files.writeString(folder.resolve(name.length() + "keys"), keyLines);
     Path config = Files.writeString(folder.resolve("config"), OPTIONS);
     GatewayOptions options =
         GatewayOptions.read(Map.of("PROXY_CONFIG", config.toString(), "PROXY_NAME", name), false);
     MembershipSettings settings =
-        new MembershipSettings("stores", ANY_PORT, null, seeds, 0, INTERVAL, keyFile, null);
-    return onLoop(
-        () -> new MembershipService(vertx, settings, options, new IgnoredCallbacks(), handler));
+        new MembershipSettings(
+            "stores", ANY_PORT, null, seeds, 0, PROBE_INTERVAL_NANOS, keyFile, null);
+    return onEventLoop(
+        () ->
+            new MembershipService(
+                vertx, settings, options, new IgnoredCallbacks(), handlerFactory));
   }
 
-  private MembershipService started(
-      String name, List<SocketAddress> seeds, FleetMessageHandler.Factory handler)
+  private MembershipService startService(
+      String name, List<SocketAddress> seeds, FleetMessageHandler.Factory handlerFactory)
       throws Exception {
-    MembershipService service = service(name, KEY, seeds, handler);
-    await(onLoop(service::start));
+    MembershipService service = createService(name, KEY, seeds, handlerFactory);
+    await(onEventLoop(service::start));
     return service;
   }
 
-  private SocketAddress address(MembershipService service) throws Exception {
-    String text = onLoop(() -> service.protocol().orElseThrow().self().address());
+  private SocketAddress addressOf(MembershipService service) throws Exception {
+    String text = onEventLoop(() -> service.protocol().orElseThrow().self().address());
     return GatewayOptions.address("address", text);
   }
 
   @Test
-  void memberThatKnowsASeedJoinsAndItsMessageReachesTheHandlerThere() throws Exception {
+  void memberJoinsThroughASeedAndItsMessageReachesTheSeedsHandler() throws Exception {
     Promise<byte[]> received = Promise.promise();
     MembershipService seed =
-        started("g1", List.of(), (v, service) -> new Handler(service, received::tryComplete));
+        startService(
+            "g1",
+            List.of(),
+            (v, service) -> new BroadcastingHandler(service, received::tryComplete));
     MembershipService joining =
-        started("g22", List.of(address(seed)), (v, service) -> new Handler(service, body -> {}));
+        startService(
+            "g22",
+            List.of(addressOf(seed)),
+            (v, service) -> new BroadcastingHandler(service, body -> {}));
     assertArrayEquals(new byte[] {4, 2}, await(received.future()));
-    assertEquals(List.of("g1", "g22"), onLoop(joining::presentNames));
-    await(onLoop(joining::close));
-    await(onLoop(seed::close));
+    assertEquals(List.of("g1", "g22"), onEventLoop(joining::presentNames));
+    await(onEventLoop(joining::close));
+    await(onEventLoop(seed::close));
   }
 
   @Test
   void adminEndpointShowsTheMembersAndAnswersConflictForAMemberThatIsNotLost() throws Exception {
-    MembershipService service = service("g1", KEY, List.of(), null);
-    AdminEndpoint admin = onLoop(() -> new AdminEndpoint(vertx, service, service.handler()));
-    int port = await(onLoop(() -> admin.listen(ANY_PORT)));
-    assertEquals(503, status(port, HttpMethod.GET, AdminEndpoint.MEMBERS_PATH));
-    await(onLoop(service::start));
-    JsonObject members = new JsonObject(body(port, AdminEndpoint.MEMBERS_PATH));
+    MembershipService service = createService("g1", KEY, List.of(), null);
+    AdminEndpoint admin = onEventLoop(() -> new AdminEndpoint(vertx, service, service.handler()));
+    int port = await(onEventLoop(() -> admin.listen(ANY_PORT)));
+    assertEquals(503, responseStatus(port, HttpMethod.GET, AdminEndpoint.MEMBERS_PATH));
+    await(onEventLoop(service::start));
+    JsonObject members = new JsonObject(responseBody(port, AdminEndpoint.MEMBERS_PATH));
     assertEquals(
         Set.of(
             "name",
@@ -131,38 +143,38 @@
         members.fieldNames());
     assertEquals(2, members.getInteger("told"));
     assertTrue(members.getJsonObject("datagrams").containsKey("other_key"), members.encode());
-    assertEquals(409, status(port, HttpMethod.POST, AdminEndpoint.FORGET_PATH + "g2"));
-    assertEquals(404, status(port, HttpMethod.GET, AdminEndpoint.TASKS_PATH));
-    await(onLoop(service::close));
+    assertEquals(409, responseStatus(port, HttpMethod.POST, AdminEndpoint.FORGET_PATH + "g2"));
+    assertEquals(404, responseStatus(port, HttpMethod.GET, AdminEndpoint.TASKS_PATH));
+    await(onEventLoop(service::close));
   }
 
   @Test
-  void invalidKeyFileKeepsTheServiceFromStarting() throws Exception {
-    MembershipService service = service("g1", "k1 xyz", List.of(), null);
+  void startFailsWithAnInvalidKeyFile() throws Exception {
+    MembershipService service = createService("g1", "k1 xyz", List.of(), null);
     ExecutionException failure =
-        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+        assertThrows(ExecutionException.class, () -> await(onEventLoop(service::start)));
     assertInstanceOf(MembershipException.InvalidKeyFile.class, failure.getCause());
   }
 
   @Test
-  void missingKeyFileKeepsTheServiceFromStarting() throws Exception {
-    MembershipService service = service("g1", KEY, List.of(), null);
+  void startFailsWithoutAKeyFile() throws Exception {
+    MembershipService service = createService("g1", KEY, List.of(), null);
     Files.delete(folder.resolve("2keys"));
     ExecutionException failure =
-        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+        assertThrows(ExecutionException.class, () -> await(onEventLoop(service::start)));
     assertInstanceOf(MembershipException.StartFailed.class, failure.getCause());
     assertTrue(failure.getCause().getMessage().startsWith("[fleet]: "));
   }
 
   @Test
-  void nameThatFitsIntoNoDatagramKeepsTheServiceFromStarting() throws Exception {
-    MembershipService service = service("no name", KEY, List.of(), null);
+  void startFailsWithAnInvalidName() throws Exception {
+    MembershipService service = createService("no name", KEY, List.of(), null);
     ExecutionException failure =
-        assertThrows(ExecutionException.class, () -> await(onLoop(service::start)));
+        assertThrows(ExecutionException.class, () -> await(onEventLoop(service::start)));
     assertInstanceOf(MembershipException.InvalidName.class, failure.getCause());
   }
 
-  private int status(int port, HttpMethod method, String path) throws Exception {
+  private int responseStatus(int port, HttpMethod method, String path) throws Exception {
     HttpClient client = vertx.createHttpClient();
     return await(
         client
@@ -171,7 +183,7 @@
             .map(response -> response.statusCode()));
   }
 
-  private String body(int port, String path) throws Exception {
+  private String responseBody(int port, String path) throws Exception {
     HttpClient client = vertx.createHttpClient();
     return await(
         client
@@ -182,7 +194,7 @@
   }
 
   /** Sends a message to each other present member at each tick. */
-  private record Handler(MembershipService service, Consumer<byte[]> receiver)
+  private record BroadcastingHandler(MembershipService service, Consumer<byte[]> receiver)
       implements FleetMessageHandler {
     @Override
     public void membershipStarted(long nowNanos) {}
