--- a/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
+++ b/membership/src/main/java/org/amberpath/membership/AntiEntropySync.java
@@ -33,7 +33,12 @@
   private final SwimContext context;
   private final List<String> seeds;
   private long nextSyncNanos;
+
+  /**
+   * Whether the last received message carried another digest of present members than the local one.
+   */
   private boolean digestsDiffer;
+
   private long requestNumber;
 
   /** The member name after which the next page begins; empty for the beginning of the list. */
--- a/membership/src/main/java/org/amberpath/membership/MemberStatus.java
+++ b/membership/src/main/java/org/amberpath/membership/MemberStatus.java
@@ -5,7 +5,7 @@
  * declared later takes precedence. The ordinals are written to the wire.
  */
 public enum MemberStatus {
-  /** The member answers probes, or no other member suspects it. */
+  /** The member is not suspected: no probe of it failed, or it refuted the suspicion. */
   ALIVE,
   /** A probe of the member failed; it still counts as present and may refute the suspicion. */
   SUSPECTED,
--- a/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
@@ -8,8 +8,9 @@
 /**
  * Detects other processes that use this process's name, and reports each of them once. A conflict
  * is detected by a message from the other process, or by {@value #MIN_SUPERSEDING_UPDATES} updates
- * about the other process that supersede this process's own update. A single such update proves no
- * conflict: it may be a delayed update about an earlier process with this name that has ended.
+ * about the other process that supersede this process's own update, if the latest of them has the
+ * status alive. Fewer updates prove no conflict: once this process has refuted an update about an
+ * earlier process that has ended, only updates that are still in transit can supersede its own.
  *
  * <p>Bounds: {@value #MAX_CONFLICTS} processes.
  */
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Filters the verified datagrams before they reach a {@link SwimProtocol}: rejects replayed
- * datagrams and datagrams addressed to another process, and limits the rate of datagrams, in total
- * and per sender.
+ * Filters received datagrams before they reach a {@link SwimProtocol}: limits the rate of datagrams
+ * that are decoded, then rejects verified datagrams that are replayed, addressed to another process
+ * or above the rate limit of their sender.
  *
  * <p>A datagram is accepted only if it is addressed to this process's instance id, which is drawn
  * at random when the process starts. Datagrams that were recorded before a restart, even a restart
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -15,13 +15,14 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * The HTTP admin endpoint, on loopback. GET {@value #MEMBERS_PATH} and POST {@value
- * #FORGET_PATH}NAME show and remove members; GET {@value #TASKS_PATH} and POST {@value
- * #RELEASE_PATH}TASK show and release the tasks of the {@link FleetMessageHandler}. Runs on the
- * gateway's event loop.
+ * The HTTP admin endpoint, on loopback. GET {@value #MEMBERS_PATH} returns the members, and POST
+ * {@value #FORGET_PATH}NAME declares that a lost member has left. GET {@value #TASKS_PATH} returns
+ * the status of the {@link FleetMessageHandler}, and POST {@value #RELEASE_PATH}TASK releases the
+ * leadership of one of its tasks. Runs on the gateway's event loop.
  *
- * <p>Answers 503 until the gateway has joined its fleet, 404 for an unknown path, and 409 if the
- * named member is not lost or this gateway does not lead the named task.
+ * <p>Answers 503 until the gateway has begun to join its fleet; 404 for an unknown method or path,
+ * and for the paths of tasks without a {@link FleetMessageHandler}; 409 if the named member is not
+ * lost or this gateway does not lead the named task.
  *
  * <p>Bounds: {@value #MAX_CONNECTIONS} open connections, each closed after {@value
  * #IDLE_TIMEOUT_SECONDS} s without traffic; requests with a request line over {@value
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -9,16 +9,27 @@
 final class DatagramCounters {
   /** The result of sending or receiving one datagram; the admin endpoint shows it in lower case. */
   enum Result {
+    /** Sent by the socket; the receiver may not have received it. */
     SENT,
+    /** Not sent, because the socket reported a failure. */
     NOT_SENT,
+    /** Received and accepted. */
     TAKEN,
+    /** Received with the instance id of another process or none; answered with a greeting. */
     GREETED,
+    /** Rejected as replayed. */
     REPEATED,
+    /** Rejected by a rate limit of {@link ReplayFilter}. */
     TOO_MANY,
+    /** Rejected as malformed. */
     UNREADABLE,
+    /** Rejected because of another format version. */
     OTHER_VERSION,
+    /** Rejected because it belongs to another fleet. */
     OTHER_FLEET,
+    /** Rejected because the signing key is not in the keyring. */
     OTHER_KEY,
+    /** Rejected because of an invalid signature. */
     FORGED
   }
 
--- a/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
@@ -15,10 +15,10 @@
 /**
  * Guards against unintended changes of {@link SwimProtocol}'s behaviour: a simulated fleet under
  * seeded random faults must produce exactly the recorded messages, status changes and phases, in
- * the same order; each seed has one digest. A change that is meant to keep behaviour must not alter
- * a digest; a change of behaviour records new digests and gives the reason. The protocol uses
- * logarithms, whose last bit may differ between processor architectures: the digests were recorded
- * on x86-64.
+ * the same order, of which one digest per scenario and seed is recorded. A change that is meant to
+ * keep behaviour must not alter a digest; a change of behaviour records new digests and gives the
+ * reason. The protocol uses logarithms, whose last bit may differ between processor architectures:
+ * the digests were recorded on x86-64.
  */
 class RecordedMembershipTest {
   private static final Map<String, SeededFleet> SIMULATED_FLEETS = new TreeMap<>();
@@ -61,7 +61,8 @@
 
   /**
    * Guards against simulated events that exercise only a part of the protocol, so that the digests
-   * would not detect changes of the rest: lists what one seed of each scenario must reach.
+   * would not detect changes of the rest: lists what the runs with seed 1 of all scenarios together
+   * must reach.
    */
   @Test
   void recordedRunsCoverEveryActionMessageKindStatusPhaseAndVerdict() {
--- a/membership/src/test/java/org/amberpath/membership/SeededHostileSender.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededHostileSender.java
@@ -15,6 +15,10 @@
   private static final int MAX_INVENTED_NAMES = 2600;
   private static final int FLOOD_MESSAGES = 250;
   private static final int LARGE_FLOOD_MESSAGES = 2500;
+
+  /**
+   * The limit of {@link UpdateMerger} on incarnations ahead of the clock, which is tested closely.
+   */
   private static final long MAX_SECONDS_AHEAD = 2L * 86_400;
 
   private final SeededFleet fleet;
@@ -27,7 +31,7 @@
     random = fleet.random;
   }
 
-  /** Sends one kind of hostile messages now, and schedules the next. */
+  /** Schedules the next call, and sends one kind of hostile messages if the drawn member runs. */
   void sendAndReschedule() {
     fleet.scheduleAt(fleet.nowNanos() + random.nextInt(1500) * MS_NANOS, this::sendAndReschedule);
     SeededMember target = fleet.randomMember();
@@ -57,8 +61,8 @@
   }
 
   /**
-   * Sends updates about invented names, as many per message as fit; in all more names than a member
-   * table holds.
+   * Sends up to 40 messages of updates about invented names. In total, more names are invented than
+   * a member table holds.
    */
   private void sendInventedNames(SeededMember target) {
     for (int message = 0; message < 40 && inventedNames < MAX_INVENTED_NAMES; message++) {
