--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -161,7 +161,7 @@
   /** Changes the state; the only method that does. A probe becomes indirect only from direct. */
   private void transitionTo(State next) {
     if (next == State.INDIRECT && state != State.DIRECT) {
-      throw new IllegalStateException(state + " to " + next);
+      throw new IllegalStateException("invalid probe state transition: " + state + " to " + next);
     }
     state = next;
   }
--- a/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
+++ b/membership/src/main/java/org/amberpath/membership/MessageDispatcher.java
@@ -88,7 +88,7 @@
       case NACK -> detector.nackReceived(message.probeNumber());
       case SYNC -> antiEntropy.sendRequestedPage(message);
       case PAGE -> antiEntropy.pageReceived(message, nowNanos);
-      default -> throw new AssertionError(message.kind());
+      default -> throw new AssertionError("unhandled message kind: " + message.kind());
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/SwimTimings.java
+++ b/membership/src/main/java/org/amberpath/membership/SwimTimings.java
@@ -34,7 +34,21 @@
         || TIMEOUTS_PER_INTERVAL * probeTimeoutNanos > probeIntervalNanos
         || maxUpdatesPerMessage < MIN_UPDATES) {
       throw new IllegalArgumentException(
-          "at least 1 member, an interval of three timeouts and 10 ms at least, 4 updates");
+          "membership timings out of bounds: maxMembers="
+              + maxMembers
+              + " (at least 1), probeIntervalNanos="
+              + probeIntervalNanos
+              + " (at least "
+              + MIN_INTERVAL_NANOS
+              + "), probeTimeoutNanos="
+              + probeTimeoutNanos
+              + " (at least "
+              + MS_NANOS
+              + ", at most a third of the interval), maxUpdatesPerMessage="
+              + maxUpdatesPerMessage
+              + " (at least "
+              + MIN_UPDATES
+              + ")");
     }
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -45,8 +45,10 @@
    * @throws IOException if the file cannot be read
    */
   public static HmacKeyring read(Path file) throws IOException {
-    if (Files.size(file) > MAX_FILE_BYTES) {
-      throw new MembershipException.InvalidKeyFile(file + ": over " + MAX_FILE_BYTES + " bytes");
+    long fileBytes = Files.size(file);
+    if (fileBytes > MAX_FILE_BYTES) {
+      throw new MembershipException.InvalidKeyFile(
+          file + ": the file has " + fileBytes + " bytes, at most " + MAX_FILE_BYTES + " allowed");
     }
     Map<String, Mac> macs = new LinkedHashMap<>();
     int lineNumber = 0;
@@ -57,7 +59,8 @@
       }
     }
     if (macs.isEmpty()) {
-      throw new MembershipException.InvalidKeyFile(file + ": no key in it");
+      throw new MembershipException.InvalidKeyFile(
+          file + ": the file contains no key, expected lines \"ID HEX\"");
     }
     return new HmacKeyring(macs);
   }
@@ -67,7 +70,9 @@
     String[] fields = line.strip().split("\\s+", -1);
     if (fields.length != 2 || !fields[0].matches(KEY_ID_PATTERN)) {
       throw new MembershipException.InvalidKeyFile(
-          location + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
+          location
+              + "expected \"ID HEX\": a key id of 1 to 16 letters, digits, '.', '_' or '-',"
+              + " and the key in hexadecimal");
     }
     if (macs.size() == MAX_KEYS) {
       throw new MembershipException.InvalidKeyFile(location + "more than " + MAX_KEYS + " keys");
@@ -77,7 +82,7 @@
           location
               + (macs.size() == MAX_KEYS
                   ? "more than " + MAX_KEYS + " keys"
-                  : "an id given twice"));
+                  : "key id " + fields[0] + " is used more than once"));
     }
   }
 
@@ -87,11 +92,12 @@
     try {
       key = HexFormat.of().parseHex(hex);
     } catch (IllegalArgumentException e) {
-      throw new MembershipException.InvalidKeyFile(location + "a key that is not hexadecimal");
+      throw new MembershipException.InvalidKeyFile(
+          location + "the key is not a hexadecimal number of complete bytes");
     }
     if (key.length < MIN_KEY_BYTES) {
       throw new MembershipException.InvalidKeyFile(
-          location + "a key of under " + MIN_KEY_BYTES + " bytes");
+          location + "the key has " + key.length + " bytes, expected at least " + MIN_KEY_BYTES);
     }
     return key;
   }
@@ -107,7 +113,7 @@
       mac.init(new SecretKeySpec(key, ALGORITHM));
       return mac;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("a runtime without " + ALGORITHM, e);
+      throw new IllegalStateException("the Java runtime does not provide " + ALGORITHM, e);
     }
   }
 
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipException.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipException.java
@@ -14,7 +14,10 @@
   /** The gateway's name does not match the pattern of member names. */
   public static final class InvalidName extends MembershipException {
     InvalidName(String name) {
-      super("PROXY_NAME: with [fleet] 1 to 32 letters, digits, ._- and not " + name, null);
+      super(
+          "PROXY_NAME: with [fleet], expected 1 to 32 letters, digits, '.', '_' or '-', but is "
+              + name,
+          null);
     }
   }
 
@@ -28,7 +31,7 @@
   /** The key file cannot be read, or an address cannot be bound. */
   public static final class StartFailed extends MembershipException {
     StartFailed(Throwable cause) {
-      super("[fleet]: " + cause, cause);
+      super("[fleet]: membership cannot start: " + cause, cause);
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipService.java
@@ -269,7 +269,12 @@
     keyring
         .load()
         .onSuccess(keys -> log.keysReloaded(keys.signingKeyId()))
-        .onFailure(failure -> log.keyReloadFailed(failure.getMessage()));
+        .onFailure(
+            failure ->
+                log.keyReloadFailed(
+                    failure instanceof MembershipException
+                        ? failure.getMessage()
+                        : failure.toString()));
   }
 
   @Override
--- a/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
+++ b/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
@@ -38,12 +38,12 @@
     assertEquals(
         "third",
         harness.lastSent(Kind.SYNC).subject(),
-        "continued at once, since no whole list was heard yet");
+        "the next page is requested immediately, since no complete list was received yet");
     harness.sent.clear();
     harness.advance(3 * PERIOD_NANOS);
     assertTrue(
         harness.sent.stream().anyMatch(sent -> "third".equals(sent.message().subject())),
-        "the rest was lost: it is requested again, and not the whole list");
+        "the next page was lost: the request continues after the last received page");
   }
 
   @Test
--- a/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
+++ b/membership/src/test/java/org/amberpath/membership/GossipQueueTest.java
@@ -53,7 +53,7 @@
     }
     assertTrue(queue.updatesFor(receiver).isEmpty());
     queue.enqueue("a");
-    assertEquals(List.of("a"), names(queue.updatesFor(receiver)), "a newer one is spread anew");
+    assertEquals(List.of("a"), names(queue.updatesFor(receiver)), "a newer update starts over");
   }
 
   @Test
--- a/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
+++ b/membership/src/test/java/org/amberpath/membership/QuotaAdmissionTest.java
@@ -25,14 +25,14 @@
   void divisorFallsAfterALeaveOrAForgetButNotAfterALoss() {
     harness.receiveLastPage("other", update("third", 1, MemberStatus.LOST));
     assertEquals(3, protocol.countedMembers());
-    assertEquals(0, protocol.quotaShare(), "beyond the allowed number, and not counted by all yet");
+    assertEquals(0, protocol.quotaShare(), "above the configured maximum, and not admitted yet");
     assertTrue(protocol.forget(harness.nowNanos, "third"));
-    assertEquals(3, protocol.countedMembers(), "it has time to refute the leave");
+    assertEquals(3, protocol.countedMembers(), "third still has time to refute the leave");
     harness.advance(30 * PERIOD_NANOS);
     assertEquals(2, protocol.countedMembers());
-    assertFalse(protocol.forget(harness.nowNanos, "third"), "it is not lost any more");
+    assertFalse(protocol.forget(harness.nowNanos, "third"), "third is no longer lost");
     harness.receive(Kind.PING, "other", 1, update("other", 1, MemberStatus.LEFT));
-    assertEquals(2, protocol.countedMembers(), "never under the allowed number");
+    assertEquals(2, protocol.countedMembers(), "never below the configured maximum");
   }
 
   @Test
@@ -44,6 +44,6 @@
     assertEquals(4, protocol.countedMembers());
     harness.receive(Kind.PING, "other", 3, update("third", 3, MemberStatus.ALIVE));
     harness.advance(30 * PERIOD_NANOS);
-    assertEquals(4, protocol.countedMembers(), "it was refuted");
+    assertEquals(4, protocol.countedMembers(), "third refuted the false leave");
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
+++ b/membership/src/test/java/org/amberpath/membership/RecordedMembershipTest.java
@@ -86,11 +86,11 @@
                 "forgotten",
                 "not forgotten",
                 "refuted",
-                "list asked on",
-                "list goes on",
-                "admitted beyond the allowed number",
+                "later page requested",
+                "page with more sent",
+                "admitted above the configured maximum",
                 "unread",
-                "to nobody"));
+                "sent to an unused address"));
     for (GossipMessage.Kind kind : GossipMessage.Kind.values()) {
       requiredEvents.add("sent " + kind);
       requiredEvents.add("received " + kind);
@@ -105,7 +105,7 @@
       requiredEvents.add("verdict " + verdict);
     }
     for (String event : requiredEvents) {
-      assertTrue(counts.getOrDefault(event, 0) > 0, event + " of " + counts);
+      assertTrue(counts.getOrDefault(event, 0) > 0, event + " did not occur; counted: " + counts);
     }
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
+++ b/membership/src/test/java/org/amberpath/membership/ReplayFilterTest.java
@@ -52,14 +52,14 @@
     assertEquals(
         Verdict.REPLAYED,
         check(0, 1, OWN_INSTANCE_ID, 6),
-        "older than the window: it may have come");
+        "older than the window, so it may be a replay");
     assertEquals(Verdict.TAKEN, check(0, 1, OWN_INSTANCE_ID, 7));
     assertEquals(
         Verdict.REPLAYED,
         check(0, 1, OWN_INSTANCE_ID, Long.MIN_VALUE + 3),
-        "no number is so old that it is new");
+        "an overflow of the distance makes no old number new");
     assertEquals(
-        Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 5), "another sender's numbers are its own");
+        Verdict.TAKEN, check(0, 2, OWN_INSTANCE_ID, 5), "sequence numbers are tracked per sender");
   }
 
   @Test
--- a/membership/src/test/java/org/amberpath/membership/SeededFleet.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededFleet.java
@@ -151,7 +151,7 @@
     if (target == null
         || blockedLinks[from.index][target.index]
         || withProbability(lossProbability)) {
-      actions.count(target == null ? "to nobody" : "lost on the way");
+      actions.count(target == null ? "sent to an unused address" : "lost by the network");
       return;
     }
     int copies = withProbability(duplicateProbability) ? 2 : 1;
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -194,7 +194,7 @@
         protocol.countedMembers(),
         protocol.quotaShare());
     if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.scenario.maxMembers) {
-      fleet.actions.count("admitted beyond the allowed number");
+      fleet.actions.count("admitted above the configured maximum");
     }
     if (++observationCount % 50 == 0) {
       recordOtherMembers();
@@ -233,10 +233,10 @@
     RecordedActions actions = fleet.actions;
     actions.count("sent " + message.kind());
     if (message.kind() == GossipMessage.Kind.SYNC && message.subject() != null) {
-      actions.count("list asked on");
+      actions.count("later page requested");
     }
     if (message.hasMore()) {
-      actions.count("list goes on");
+      actions.count("page with more sent");
     }
     actions.add(
         "send",
--- a/membership/src/test/java/org/amberpath/membership/SuspicionTimersTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SuspicionTimersTest.java
@@ -40,10 +40,10 @@
     assertTrue(
         4 * PERIOD_NANOS < deadlineWithTwoReporters && deadlineWithTwoReporters < 12 * PERIOD_NANOS,
         "" + deadlineWithTwoReporters);
-    assertFalse(timers.confirm(entry, suspicion("b", 1)), "it has reported already");
+    assertFalse(timers.confirm(entry, suspicion("b", 1)), "reporter b is already counted");
     assertTrue(timers.confirm(entry, suspicion("c", 1)));
     assertEquals(4 * PERIOD_NANOS, entry.suspicionDeadlineNanos);
-    assertFalse(timers.confirm(entry, suspicion("d", 1)), "three are enough");
+    assertFalse(timers.confirm(entry, suspicion("d", 1)), "a fourth reporter does not confirm");
     assertEquals(4 * PERIOD_NANOS, entry.suspicionDeadlineNanos);
   }
 
--- a/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
+++ b/membership/src/test/java/org/amberpath/membership/SwimProtocolTest.java
@@ -32,7 +32,7 @@
     for (int probe = 0; probe < 1000; probe++) {
       harness.receive(Kind.PING, "other", probe);
     }
-    assertEquals(8, harness.sent.size(), "one member leaves answers for the others");
+    assertEquals(8, harness.sent.size(), "the limit per member leaves responses for others");
     for (int probe = 0; probe < 1000; probe++) {
       harness.receive(Kind.PING, "from" + probe, probe);
     }
@@ -47,7 +47,7 @@
         harness.sent.stream().map(ProtocolHarness.SentMessage::address).toList());
     assertEquals(Optional.empty(), protocol.statusOf("other"));
     protocol.greet(harness.nowNanos, process("me", "at-twin", 1, 99));
-    assertEquals(1, harness.sent.size(), "an old datagram of its own is not greeted");
+    assertEquals(1, harness.sent.size(), "a sender with the own name is not greeted");
   }
 
   @Test
--- a/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/DatagramCodecTest.java
@@ -4,11 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static org.junit.jupiter.params.provider.Arguments.arguments;
 
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.Collections;
+import java.util.stream.Stream;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
@@ -21,7 +23,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
-import org.junit.jupiter.params.provider.ValueSource;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.MethodSource;
 
 /** Tests that encoded messages are decoded unchanged, and that all other datagrams are rejected. */
 class DatagramCodecTest {
@@ -93,10 +96,11 @@
       byte[] changed = datagram.clone();
       changed[index] ^= 1;
       rejectionReason(codec.decode(changed, keyring), "byte " + index);
-      rejectionReason(codec.decode(Arrays.copyOf(datagram, index), keyring), "cut at " + index);
+      rejectionReason(
+          codec.decode(Arrays.copyOf(datagram, index), keyring), "truncated to " + index);
     }
     rejectionReason(
-        codec.decode(Arrays.copyOf(datagram, datagram.length + 1), keyring), "a byte more");
+        codec.decode(Arrays.copyOf(datagram, datagram.length + 1), keyring), "one byte appended");
   }
 
   @Test
@@ -108,30 +112,36 @@
     assertEquals("k2", both.signingKeyId());
   }
 
+  private static Stream<Arguments> invalidKeyFiles() {
+    String format =
+        ", line 1: expected \"ID HEX\": a key id of 1 to 16 letters, digits, '.', '_' or '-',"
+            + " and the key in hexadecimal";
+    return Stream.of(
+        arguments("", ": the file contains no key, expected lines \"ID HEX\""),
+        arguments("k1", format),
+        arguments("k1 xyz", ", line 1: the key is not a hexadecimal number of complete bytes"),
+        arguments("k1 0011", ", line 1: the key has 2 bytes, expected at least 16"),
+        arguments("k1 " + KEY + " more", format),
+        arguments("k/1 " + KEY, format),
+        arguments("k1 " + KEY + "\nk1 " + KEY, ", line 2: key id k1 is used more than once"));
+  }
+
   @ParameterizedTest
-  @ValueSource(
-      strings = {
-        "",
-        "k1",
-        "k1 xyz",
-        "k1 0011",
-        "k1 " + KEY + " more",
-        "k/1 " + KEY,
-        "k1 " + KEY + "\nk1 " + KEY
-      })
-  void invalidKeyFileIsRejectedWithoutItsKeyInTheMessage(String invalid) {
-    assertInvalidKeyFile(invalid);
+  @MethodSource("invalidKeyFiles")
+  void invalidKeyFileIsRejectedWithoutItsKeyInTheMessage(String invalid, String expected) {
+    assertInvalidKeyFile(invalid, expected);
   }
 
   @Test
   void keyFileAboveTheMaximumSizeIsRejected() {
-    assertInvalidKeyFile(("k1 " + KEY + "\n").repeat(200));
+    assertInvalidKeyFile(
+        ("k1 " + KEY + "\n").repeat(200), ": the file has 7200 bytes, at most 4096 allowed");
   }
 
-  private void assertInvalidKeyFile(String invalid) {
+  private void assertInvalidKeyFile(String invalid, String expected) {
     MembershipException.InvalidKeyFile failure =
         assertThrows(MembershipException.InvalidKeyFile.class, () -> readKeyring(invalid), invalid);
-    assertTrue(failure.getMessage().startsWith("[fleet] key: "), failure.getMessage());
+    assertEquals("[fleet] key: " + folder.resolve("keys") + expected, failure.getMessage());
     assertTrue(!failure.getMessage().contains(KEY), failure.getMessage());
   }
 
--- a/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
+++ b/membership/src/test/java/org/amberpath/membership/runtime/MembershipServiceTest.java
@@ -21,9 +21,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
+import java.util.logging.Filter;
+import java.util.logging.Level;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
 import org.amberpath.gateway.GatewayOptions;
 import org.amberpath.gateway.pipeline.FleetCallbacks;
 import org.amberpath.routing.EndpointHealthStatus;
@@ -163,7 +168,9 @@
     ExecutionException failure =
         assertThrows(ExecutionException.class, () -> await(onEventLoop(service::start)));
     assertInstanceOf(MembershipException.StartFailed.class, failure.getCause());
-    assertTrue(failure.getCause().getMessage().startsWith("[fleet]: "));
+    String message = failure.getCause().getMessage();
+    assertTrue(message.startsWith("[fleet]: membership cannot start: "), message);
+    assertTrue(message.contains("NoSuchFileException"), message);
   }
 
   @Test
@@ -172,6 +179,35 @@
     ExecutionException failure =
         assertThrows(ExecutionException.class, () -> await(onEventLoop(service::start)));
     assertInstanceOf(MembershipException.InvalidName.class, failure.getCause());
+    assertEquals(
+        "PROXY_NAME: with [fleet], expected 1 to 32 letters, digits, '.', '_' or '-',"
+            + " but is no name",
+        failure.getCause().getMessage());
+  }
+
+  @Test
+  void failedReloadLogsTheCauseAndTheFile() throws Exception {
+    MembershipService service = startService("g1", List.of(), null);
+    Path keyFile = folder.resolve("2keys");
+    Files.delete(keyFile);
+    Logger logger = Logger.getLogger(MembershipService.class.getName());
+    CompletableFuture<LogRecord> warning = new CompletableFuture<>();
+    Filter original = logger.getFilter();
+    logger.setFilter(
+        logged -> !logged.getLevel().equals(Level.WARNING) || !warning.complete(logged));
+    try {
+      onEventLoop(
+          () -> {
+            service.reload();
+            return null;
+          });
+      assertEquals(
+          "g1: membership: keys_unchanged reason=java.nio.file.NoSuchFileException: " + keyFile,
+          warning.get(TIMEOUT_SECONDS, TimeUnit.SECONDS).getMessage());
+    } finally {
+      logger.setFilter(original);
+    }
+    await(onEventLoop(service::close));
   }
 
   private int responseStatus(int port, HttpMethod method, String path) throws Exception {
