--- a/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
+++ b/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
@@ -67,7 +67,7 @@
     }
   }
 
-  /** Creates an update about another member in the name of this process, and merges it. */
+  /** Creates an update about another member with this process as reporter, and merges it. */
   void declare(MemberEntry entry, MemberStatus status, long nowNanos) {
     MemberUpdate current = entry.update;
     merge(
--- a/membership/src/test/java/org/amberpath/membership/SeededHostileSender.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededHostileSender.java
@@ -16,9 +16,7 @@
   private static final int FLOOD_MESSAGES = 250;
   private static final int LARGE_FLOOD_MESSAGES = 2500;
 
-  /**
-   * The limit of {@link UpdateMerger} on incarnations ahead of the clock, which is tested closely.
-   */
+  /** {@link UpdateMerger}'s limit of an incarnation's lead; some updates are within 3 s of it. */
   private static final long MAX_SECONDS_AHEAD = 2L * 86_400;
 
   private final SeededFleet fleet;
