--- a/membership/src/main/java/org/amberpath/membership/FailureDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/FailureDetector.java
@@ -8,184 +8,215 @@
 import org.amberpath.membership.GossipMessage.Kind;
 
 /**
- * Probes one member a period: directly, and if no answer comes in time, by way of {@value #HELPERS}
- * other members. A member that answers neither way is suspected. Does the same on behalf of others.
+ * The SWIM failure detector. Probes one member per probe interval with a ping. If the ping is not
+ * acknowledged within the probe timeout, asks up to {@value #INDIRECT_PROBES} other members to
+ * probe the target (SWIM's ping-req). A target that acknowledges neither the direct nor an indirect
+ * probe is suspected. Also relays probes that other members request.
  *
- * <p>Bounds: one own probe at a time, {@value #MAX_RELAYED} for others.
+ * <p>Bounds: one probe of its own at a time, {@value #MAX_RELAYED_PROBES} relayed probes.
  */
 final class FailureDetector {
-  private static final int HELPERS = 3;
-  private static final int MAX_RELAYED = 64;
+  private static final int INDIRECT_PROBES = 3;
+  private static final int MAX_RELAYED_PROBES = 64;
 
-  /** A probe fails after so many answer timeouts, the first of them for the direct way. */
-  private static final int FAILED_AFTER_TIMEOUTS = 3;
+  /**
+   * A probe fails after this many probe timeouts: one for the direct probe, the others for the
+   * indirect probes.
+   */
+  private static final int TIMEOUTS_UNTIL_FAILED = 3;
 
-  /** How far the own probe is. */
+  /** The state of this process's own probe. */
   private enum State {
-    /** No probe runs. */
+    /** No probe is in progress. */
     IDLE,
-    /** The member itself was sent a ping. */
+    /** A ping was sent to the target; its acknowledgement is awaited. */
     DIRECT,
-    /** The direct answer is late; other members were asked for help. */
+    /** The direct probe timed out; other members were asked to probe the target. */
     INDIRECT
   }
 
-  /** A probe for another member: who asked, under which number, and until when it may answer. */
-  private record Relayed(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
+  /**
+   * A probe that this process sends on behalf of another member.
+   *
+   * @param requester the member that asked for the probe and receives its result
+   * @param requestNumber the requester's probe number, which the answer repeats
+   * @param deadlineNanos when the requester is sent a {@link Kind#NACK} unless the target answered
+   */
+  private record RelayedProbe(MemberUpdate requester, long requestNumber, long deadlineNanos) {}
 
   private final SwimContext context;
   private final LocalHealth localHealth;
-  private final ProbeOrder order;
+  private final ProbeOrder probeOrder;
   private final UpdateMerger merger;
 
-  /** Probes for others, by this process's own request number. */
-  private final Map<Long, Relayed> relayed = new LinkedHashMap<>();
+  /** Relayed probes, by the probe number of this process's ping to the target. */
+  private final Map<Long, RelayedProbe> relayedProbes = new LinkedHashMap<>();
 
   private long nextProbeNanos;
   private State state = State.IDLE;
   private MemberEntry target;
-  private long requestNumber;
+  private long probeNumber;
   private long sentAtNanos;
 
-  /** How many of the members that were asked for help have not said that they got no answer. */
-  private int silentHelpers;
+  /**
+   * How many members that were asked for an indirect probe have not yet reported with a {@link
+   * Kind#NACK} that the target did not answer them.
+   */
+  private int missingNacks;
 
   FailureDetector(
       SwimContext context,
       LocalHealth localHealth,
-      ProbeOrder order,
+      ProbeOrder probeOrder,
       UpdateMerger merger,
       long firstProbeNanos) {
     this.context = context;
     this.localHealth = localHealth;
-    this.order = order;
+    this.probeOrder = probeOrder;
     this.merger = merger;
     nextProbeNanos = firstProbeNanos;
   }
 
-  /** Takes the answer to an own probe or to one for another member. */
+  /**
+   * Processes an acknowledgement: ends this process's own probe, or forwards the acknowledgement to
+   * the member that requested a relayed probe.
+   */
   void ackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
-      enter(State.IDLE);
+      transitionTo(State.IDLE);
       localHealth.improve();
     }
-    Relayed done = relayed.remove(answeredNumber);
-    if (done != null) {
-      context.sender().send(done.requester, Kind.ACK, done.requestNumber, List.of());
+    RelayedProbe relayedProbe = relayedProbes.remove(answeredNumber);
+    if (relayedProbe != null) {
+      context
+          .sender()
+          .send(relayedProbe.requester, Kind.ACK, relayedProbe.requestNumber, List.of());
     }
   }
 
-  /** Takes a helper's message that it got no answer: the way to the helper works. */
+  /**
+   * Processes a report that an indirect probe was not answered. The report shows that this process
+   * still receives datagrams from the reporting member.
+   */
   void nackReceived(long answeredNumber) {
     if (isCurrent(answeredNumber)) {
-      silentHelpers = Math.max(0, silentHelpers - 1);
+      missingNacks = Math.max(0, missingNacks - 1);
     }
   }
 
-  /** Probes a member on another's behalf. */
-  void relay(MemberEntry requester, GossipMessage request, long nowNanos) {
-    Optional<MemberEntry> asked = context.table().find(request.subject());
-    if (asked.isPresent() && relayed.size() < MAX_RELAYED) {
-      long deadline = nowNanos + context.timings().probeTimeoutNanos();
-      long own = context.sender().nextProbeNumber();
-      relayed.put(own, new Relayed(requester.update, request.probeNumber(), deadline));
-      ping(asked.get(), own);
+  /**
+   * Probes the requested member on behalf of the requester. The request is ignored if that member
+   * is unknown or {@value #MAX_RELAYED_PROBES} relayed probes are in progress.
+   */
+  void relayProbe(MemberEntry requester, GossipMessage request, long nowNanos) {
+    Optional<MemberEntry> subject = context.table().find(request.subject());
+    if (subject.isPresent() && relayedProbes.size() < MAX_RELAYED_PROBES) {
+      long deadlineNanos = nowNanos + context.timings().probeTimeoutNanos();
+      long relayNumber = context.sender().nextProbeNumber();
+      relayedProbes.put(
+          relayNumber, new RelayedProbe(requester.update, request.probeNumber(), deadlineNanos));
+      sendPing(subject.get(), relayNumber);
     }
   }
 
-  /** After a standstill: what was not heard proves nothing. */
-  void reset() {
-    enter(State.IDLE);
-    relayed.clear();
+  /**
+   * Called after this process was paused: cancels all probes, because a paused process could not
+   * receive their answers.
+   */
+  void resetAfterPause() {
+    transitionTo(State.IDLE);
+    relayedProbes.clear();
   }
 
-  /** Goes on with the own probe if its time is over, and ends those for others. */
+  /**
+   * Advances this process's own probe when its timeout has passed, and reports expired relayed
+   * probes to their requesters with a {@link Kind#NACK}.
+   */
   void checkTimeouts(long nowNanos) {
     checkOwnProbe(nowNanos);
-    for (Relayed late : takeLate(nowNanos)) {
-      context.sender().send(late.requester, Kind.NACK, late.requestNumber, List.of());
+    for (RelayedProbe expired : removeExpiredRelayedProbes(nowNanos)) {
+      context.sender().send(expired.requester, Kind.NACK, expired.requestNumber, List.of());
     }
   }
 
-  /** Probes the next member if it is time and no probe runs. */
+  /** Probes the next member in the probe order when a probe is due and none is in progress. */
   void probeIfDue(long nowNanos) {
     if (state != State.IDLE || nowNanos < nextProbeNanos) {
       return;
     }
     nextProbeNanos = nowNanos + context.timings().probeIntervalNanos();
-    order
+    probeOrder
         .next()
         .ifPresent(
             next -> {
               target = next;
-              requestNumber = context.sender().nextProbeNumber();
+              probeNumber = context.sender().nextProbeNumber();
               sentAtNanos = nowNanos;
-              silentHelpers = 0;
-              enter(State.DIRECT);
-              ping(next, requestNumber);
+              missingNacks = 0;
+              transitionTo(State.DIRECT);
+              sendPing(next, probeNumber);
             });
   }
 
-  /** The one place where the state changes: a probe goes from direct to indirect, and ends. */
-  private void enter(State next) {
+  /** Changes the state; the only method that does. A probe becomes indirect only from direct. */
+  private void transitionTo(State next) {
     if (next == State.INDIRECT && state != State.DIRECT) {
-      throw new IllegalStateException(state + " to " + next);
+      throw new IllegalStateException("invalid probe state transition: " + state + " to " + next);
     }
     state = next;
   }
 
   private boolean isCurrent(long number) {
-    return state != State.IDLE && requestNumber == number;
+    return state != State.IDLE && probeNumber == number;
   }
 
   private void checkOwnProbe(long nowNanos) {
     long timeoutNanos = localHealth.scale(context.timings().probeTimeoutNanos());
-    long waitedNanos = nowNanos - sentAtNanos;
+    long elapsedNanos = nowNanos - sentAtNanos;
     if (state != State.IDLE && !target.isPresent()) {
-      enter(State.IDLE);
-    } else if (state == State.DIRECT && waitedNanos >= timeoutNanos) {
-      enter(State.INDIRECT);
-      askHelpers();
-    } else if (state == State.INDIRECT && waitedNanos >= FAILED_AFTER_TIMEOUTS * timeoutNanos) {
-      enter(State.IDLE);
-      if (silentHelpers > 0) {
-        localHealth.worsen(); // It may be this process that hears nothing.
+      transitionTo(State.IDLE);
+    } else if (state == State.DIRECT && elapsedNanos >= timeoutNanos) {
+      transitionTo(State.INDIRECT);
+      sendIndirectProbes();
+    } else if (state == State.INDIRECT && elapsedNanos >= TIMEOUTS_UNTIL_FAILED * timeoutNanos) {
+      transitionTo(State.IDLE);
+      if (missingNacks > 0) {
+        localHealth.worsen(); // A missing NACK suggests that this process receives no datagrams.
       }
       merger.declare(target, MemberStatus.SUSPECTED, nowNanos);
     }
   }
 
-  private void askHelpers() {
-    for (int helper = 0; helper < HELPERS; helper++) {
+  private void sendIndirectProbes() {
+    for (int probe = 0; probe < INDIRECT_PROBES; probe++) {
       context
           .table()
-          .any(context.random(), entry -> entry != target && entry.status() == MemberStatus.ALIVE)
+          .randomMember(
+              context.random(), entry -> entry != target && entry.status() == MemberStatus.ALIVE)
           .ifPresent(
               entry -> {
-                silentHelpers++;
-                context
-                    .sender()
-                    .sendIndirectProbe(entry.update, requestNumber, target.update.name());
+                missingNacks++;
+                context.sender().sendIndirectProbe(entry.update, probeNumber, target.update.name());
               });
     }
   }
 
-  private List<Relayed> takeLate(long nowNanos) {
-    List<Relayed> late = new ArrayList<>();
-    relayed
+  private List<RelayedProbe> removeExpiredRelayedProbes(long nowNanos) {
+    List<RelayedProbe> expired = new ArrayList<>();
+    relayedProbes
         .values()
         .removeIf(
             probe -> {
-              boolean over = nowNanos > probe.deadlineNanos;
-              if (over) {
-                late.add(probe);
+              boolean isExpired = nowNanos > probe.deadlineNanos;
+              if (isExpired) {
+                expired.add(probe);
               }
-              return over;
+              return isExpired;
             });
-    return late;
+    return expired;
   }
 
-  private void ping(MemberEntry entry, long number) {
+  private void sendPing(MemberEntry entry, long number) {
     context.sender().send(entry.update, Kind.PING, number, context.gossip().updatesFor(entry));
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/GossipQueue.java
+++ b/membership/src/main/java/org/amberpath/membership/GossipQueue.java
@@ -7,22 +7,23 @@
 import java.util.Optional;
 
 /**
- * The updates that are still to be spread, piggybacked on other messages: first the one about the
- * receiver itself, so that a suspected member hears of it at once (Lifeguard's buddy system), then
- * those that were sent least often.
+ * The queue of updates that are still to be disseminated by piggybacking on other messages. A
+ * receiver that is not alive is first sent the update about itself, so that a suspected member
+ * learns of the suspicion immediately (Lifeguard's buddy system). The other updates follow in the
+ * order of how often they were sent, the least sent first.
  *
- * <p>Bounds: one update a member; each is sent as often as {@value #SPREAD_FACTOR} times the
- * doublings that make up the fleet's size, then dropped.
+ * <p>Bounds: one update per member. An update is sent {@value #RETRANSMIT_MULTIPLIER} times the bit
+ * length of the number of counted members (about its binary logarithm), then dropped.
  */
 final class GossipQueue {
-  private static final int SPREAD_FACTOR = 3;
+  private static final int RETRANSMIT_MULTIPLIER = 3;
 
   private final MembershipTable table;
   private final LocalMember local;
   private final int maxUpdates;
 
-  /** How often the newest update of each member was sent. */
-  private final Map<String, Integer> sentCounts = new LinkedHashMap<>();
+  /** How often the current update about each member was sent, by the member's name. */
+  private final Map<String, Integer> transmitCounts = new LinkedHashMap<>();
 
   GossipQueue(MembershipTable table, LocalMember local, int maxUpdates) {
     this.table = table;
@@ -30,43 +31,43 @@
     this.maxUpdates = maxUpdates;
   }
 
-  /** The update of this member is new: it is spread from the beginning. */
+  /** Queues the current update about a member; an update that is already queued starts over. */
   void enqueue(String name) {
-    sentCounts.put(name, 0);
+    transmitCounts.put(name, 0);
   }
 
-  /** What goes along with a message to this member. */
+  /** Selects the updates to piggyback on a message to this member, and counts them as sent. */
   List<MemberUpdate> updatesFor(MemberEntry receiver) {
     List<MemberUpdate> updates = new ArrayList<>();
     if (receiver.status() != MemberStatus.ALIVE) {
       updates.add(receiver.update);
     }
-    int maxSends = SPREAD_FACTOR * doublings(table.countedNames());
-    List<Map.Entry<String, Integer>> leastSentFirst = new ArrayList<>(sentCounts.entrySet());
+    int maxTransmits = RETRANSMIT_MULTIPLIER * bitLength(table.countedMembers());
+    List<Map.Entry<String, Integer>> leastSentFirst = new ArrayList<>(transmitCounts.entrySet());
     leastSentFirst.sort(Map.Entry.comparingByValue());
     for (Map.Entry<String, Integer> queued : leastSentFirst) {
       if (updates.size() == maxUpdates) {
         break;
       }
-      Optional<MemberUpdate> update = newest(queued.getKey());
-      if (update.isEmpty() || queued.getValue() >= maxSends) {
-        sentCounts.remove(queued.getKey());
+      Optional<MemberUpdate> update = currentUpdate(queued.getKey());
+      if (update.isEmpty() || queued.getValue() >= maxTransmits) {
+        transmitCounts.remove(queued.getKey());
       } else if (!queued.getKey().equals(receiver.update.name())) {
         updates.add(update.get());
-        sentCounts.put(queued.getKey(), queued.getValue() + 1);
+        transmitCounts.put(queued.getKey(), queued.getValue() + 1);
       }
     }
     return updates;
   }
 
-  private Optional<MemberUpdate> newest(String name) {
+  private Optional<MemberUpdate> currentUpdate(String name) {
     return table
         .find(name)
         .map(entry -> entry.update)
         .or(() -> name.equals(local.name()) ? Optional.of(local.update()) : Optional.empty());
   }
 
-  private static int doublings(int members) {
-    return Integer.SIZE - Integer.numberOfLeadingZeros(members);
+  private static int bitLength(int value) {
+    return Integer.SIZE - Integer.numberOfLeadingZeros(value);
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/MembershipTable.java
+++ b/membership/src/main/java/org/amberpath/membership/MembershipTable.java
@@ -11,33 +11,37 @@
 import java.util.function.Predicate;
 
 /**
- * All other members that this process knows, by name, and how many of them are present and counted.
- * An update replaces the one that is held if it takes precedence by incarnation, and under the same
- * incarnation by status ({@link MemberUpdate#supersedes}).
+ * The table of all other members that this process knows, ordered by name, with the number of
+ * present and of counted members. Counted members are those among which fleet-wide limits are
+ * divided. {@link UpdateMerger} replaces the update of an entry by one that takes precedence
+ * ({@link MemberUpdate#supersedes}).
  *
- * <p>Bounds: {@value #MAX_MEMBERS} members. A member that left is counted for {@value
- * #COUNTED_AFTER_LEAVE_PERIODS} periods more and remembered for {@value #REMEMBERED_PERIODS}.
+ * <p>Bounds: {@value #MAX_MEMBERS} members. After a member left, it is counted for another {@value
+ * #LEFT_COUNTED_PERIODS} probe intervals and removed after {@value #LEFT_RETENTION_PERIODS}.
  */
 final class MembershipTable {
   private static final int MAX_MEMBERS = 2000;
 
-  /** Long enough that the leave has reached all, so that no late update brings the name back. */
-  private static final int REMEMBERED_PERIODS = 240;
+  /**
+   * How many probe intervals the entry of a member that left is kept: long enough for the leave to
+   * reach all members, so that no delayed update adds the name again.
+   */
+  private static final int LEFT_RETENTION_PERIODS = 240;
 
   /**
-   * Guards against a false update by which another left: for so long it is counted on, and can
-   * refute the update.
+   * How many probe intervals a member is still counted after its leave. Guards against a false
+   * update that reports a running member as left: the member has this time to refute the update.
    */
-  private static final int COUNTED_AFTER_LEAVE_PERIODS = 24;
+  private static final int LEFT_COUNTED_PERIODS = 24;
 
   private final NavigableMap<String, MemberEntry> entries = new TreeMap<>();
   private final String ownName;
   private final long ownNameHash;
   private final long periodNanos;
   private final int maxPageSize;
-  private int countedNames;
+  private int countedMembers;
   private int presentMembers;
-  private long namesDigest;
+  private long countedDigest;
   private long presentDigest;
 
   MembershipTable(String ownName, SwimTimings timings) {
@@ -52,49 +56,49 @@
     return Optional.ofNullable(entries.get(name));
   }
 
-  /** All entries, ordered by name. */
+  /** Returns a live view of all entries, ordered by name. */
   Collection<MemberEntry> all() {
     return entries.values();
   }
 
-  /** The page of the list that begins after a name, or at its beginning. */
+  /** Returns the page of the member list that begins after a name, or the first page. */
   MemberPage page(Optional<String> after) {
-    Collection<MemberEntry> rest = entries.tailMap(after.orElse(""), false).values();
+    Collection<MemberEntry> remaining = entries.tailMap(after.orElse(""), false).values();
     List<MemberUpdate> updates =
-        rest.stream().limit(maxPageSize).map(entry -> entry.update).toList();
-    return new MemberPage(updates, rest.stream().skip(maxPageSize).findAny().isPresent());
+        remaining.stream().limit(maxPageSize).map(entry -> entry.update).toList();
+    return new MemberPage(updates, remaining.stream().skip(maxPageSize).findAny().isPresent());
   }
 
   boolean isEmpty() {
     return entries.isEmpty();
   }
 
-  /** Whether another name may be added. */
+  /** Whether the table has room for another member. */
   boolean hasRoom() {
     return entries.size() < MAX_MEMBERS;
   }
 
-  /** Adds a member that was not known before. */
+  /** Adds an entry for a member that is not in the table. */
   MemberEntry add(MemberUpdate update) {
     MemberEntry entry = new MemberEntry(update);
     entries.put(update.name(), entry);
     return entry;
   }
 
-  /** Whether this very entry is still held. */
-  boolean holds(MemberEntry entry) {
+  /** Whether the table still contains this entry, and not another one for the same name. */
+  boolean contains(MemberEntry entry) {
     return entries.get(entry.update.name()) == entry;
   }
 
-  /** One of the entries that match, each as likely; draws no random number if none does. */
-  Optional<MemberEntry> any(SplittableRandom random, Predicate<MemberEntry> matches) {
+  /** Returns a uniformly random matching entry; draws no random number if no entry matches. */
+  Optional<MemberEntry> randomMember(SplittableRandom random, Predicate<MemberEntry> matches) {
     List<MemberEntry> matching = entries.values().stream().filter(matches).toList();
     return matching.isEmpty()
         ? Optional.empty()
         : Optional.of(matching.get(random.nextInt(matching.size())));
   }
 
-  /** The names of all that are present, this process's own among them, in their order. */
+  /** Returns the names of all present members including this process, sorted. */
   List<String> presentNames() {
     List<String> names = new ArrayList<>(List.of(ownName));
     entries.values().stream()
@@ -105,29 +109,39 @@
   }
 
   /**
-   * Removes members that left long ago; whether there were any. Guards memory against names that
-   * come and go for ever.
+   * Removes members that left more than {@value #LEFT_RETENTION_PERIODS} probe intervals ago.
+   * Guards against unbounded growth of the table when members with new names keep joining and
+   * leaving.
+   *
+   * @return whether any member was removed
    */
-  boolean removeLeft(long nowNanos) {
+  boolean removeExpiredLeft(long nowNanos) {
     return entries
         .values()
         .removeIf(
             entry ->
                 entry.status() == MemberStatus.LEFT
-                    && nowNanos - entry.changedAtNanos > REMEMBERED_PERIODS * periodNanos);
+                    && nowNanos - entry.statusChangedAtNanos
+                        > LEFT_RETENTION_PERIODS * periodNanos);
   }
 
-  /** Whether a member counts in the division of shared limits: all do but those that left. */
+  /**
+   * Whether a member is counted when fleet-wide limits are divided. All members are, except those
+   * that left at least {@value #LEFT_COUNTED_PERIODS} probe intervals ago.
+   */
   boolean isCounted(MemberEntry entry, long nowNanos) {
     return entry.status() != MemberStatus.LEFT
-        || nowNanos - entry.changedAtNanos < COUNTED_AFTER_LEAVE_PERIODS * periodNanos;
+        || nowNanos - entry.statusChangedAtNanos < LEFT_COUNTED_PERIODS * periodNanos;
   }
 
-  /** Counts anew; to be called when a status has changed, and as time passes. */
+  /**
+   * Recomputes the counts and digests. Must be called after a status change and regularly, because
+   * members that left cease to be counted as time passes.
+   */
   void recount(long nowNanos) {
-    countedNames = 1;
+    countedMembers = 1;
     presentMembers = 1;
-    namesDigest = ownNameHash;
+    countedDigest = ownNameHash;
     presentDigest = ownNameHash;
     for (MemberEntry entry : entries.values()) {
       if (entry.isPresent()) {
@@ -135,28 +149,28 @@
         presentMembers++;
       }
       if (isCounted(entry, nowNanos)) {
-        countedNames++;
-        namesDigest += entry.nameHash;
+        countedMembers++;
+        countedDigest += entry.nameHash;
       }
     }
   }
 
-  /** How many names count, this process's own among them. */
-  int countedNames() {
-    return countedNames;
+  /** Returns the number of counted members including this process. */
+  int countedMembers() {
+    return countedMembers;
   }
 
-  /** How many members are present, this process among them. */
+  /** Returns the number of present members including this process. */
   int presentMembers() {
     return presentMembers;
   }
 
-  /** A digest of the names that count. */
-  long namesDigest() {
-    return namesDigest;
+  /** Returns the digest of the names of counted members including this process. */
+  long countedDigest() {
+    return countedDigest;
   }
 
-  /** A digest of the names of those that are present. */
+  /** Returns the digest of the names of present members including this process. */
   long presentDigest() {
     return presentDigest;
   }
--- a/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
+++ b/membership/src/main/java/org/amberpath/membership/NameConflictDetector.java
@@ -6,52 +6,54 @@
 import java.util.Set;
 
 /**
- * Reports another process that uses this process's name to operators, once for each such process.
- * One is recognised by a message of its own, or by updates about it that rise above this process's
- * incarnation {@value #RISES} times: a process that has ended doesn't rise above what outlived it,
- * except for what is still on its way.
+ * Detects other processes that use this process's name, and reports each of them once. A conflict
+ * is detected by a message from the other process, or by {@value #MIN_SUPERSEDING_UPDATES} updates
+ * about the other process that supersede this process's own update, if the latest of them has the
+ * status alive. Fewer updates prove no conflict: once this process has refuted an update about an
+ * earlier process that has ended, only updates that are still in transit can supersede its own.
  *
  * <p>Bounds: {@value #MAX_CONFLICTS} processes.
  */
 final class NameConflictDetector {
   private static final int MAX_CONFLICTS = 16;
-  private static final int RISES = 4;
+  private static final int MIN_SUPERSEDING_UPDATES = 4;
 
   private final LocalMember local;
-  private final SwimProtocol.Output out;
+  private final SwimProtocol.Output output;
 
-  /** The instance ids of the processes that were reported. */
-  private final Set<Long> reported = new HashSet<>();
+  /** The instance ids of the reported processes. */
+  private final Set<Long> reportedInstanceIds = new HashSet<>();
 
-  /** How often each other process under this name rose above this one, by its instance id. */
-  private final Map<Long, Integer> riseCounts = new HashMap<>();
+  /** How many updates about each other process superseded the local update, by instance id. */
+  private final Map<Long, Integer> supersedingUpdateCounts = new HashMap<>();
 
-  NameConflictDetector(LocalMember local, SwimProtocol.Output out) {
+  NameConflictDetector(LocalMember local, SwimProtocol.Output output) {
     this.local = local;
-    this.out = out;
+    this.output = output;
   }
 
-  /** Whether any conflict was reported. */
+  /** Whether any conflict has been reported. */
   boolean anyReported() {
-    return !reported.isEmpty();
+    return !reportedInstanceIds.isEmpty();
   }
 
-  /** A message came from a process under this name; it may be one of this process itself. */
-  void messageUnderOwnName(MemberUpdate from) {
-    if (from.instanceId() != local.instanceId()
-        && reported.size() < MAX_CONFLICTS
-        && reported.add(from.instanceId())) {
-      out.nameConflictDetected(from.address());
+  /** Reports the process unless it is this process itself or was already reported. */
+  void ownNameUsedBy(MemberUpdate process) {
+    if (process.instanceId() != local.instanceId()
+        && reportedInstanceIds.size() < MAX_CONFLICTS
+        && reportedInstanceIds.add(process.instanceId())) {
+      output.nameConflictDetected(process.address());
     }
   }
 
-  /** An update about another process under this name takes precedence over this process. */
-  void roseAbove(MemberUpdate other) {
-    boolean known = riseCounts.containsKey(other.instanceId());
-    if ((known || riseCounts.size() < MAX_CONFLICTS)
-        && riseCounts.merge(other.instanceId(), 1, Integer::sum) >= RISES
+  /** Counts an update about another process with this name that supersedes the local update. */
+  void localUpdateSuperseded(MemberUpdate other) {
+    boolean alreadyCounted = supersedingUpdateCounts.containsKey(other.instanceId());
+    if ((alreadyCounted || supersedingUpdateCounts.size() < MAX_CONFLICTS)
+        && supersedingUpdateCounts.merge(other.instanceId(), 1, Integer::sum)
+            >= MIN_SUPERSEDING_UPDATES
         && other.status() == MemberStatus.ALIVE) {
-      messageUnderOwnName(other);
+      ownNameUsedBy(other);
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
+++ b/membership/src/main/java/org/amberpath/membership/ReplayFilter.java
@@ -4,37 +4,37 @@
 import java.util.Map;
 
 /**
- * Decides which datagrams reach a {@link SwimProtocol}: none that was recorded before, none meant
- * for another process or for one that ran here before, and not more than a bounded number, in all
- * and of each sender.
+ * Filters received datagrams before they reach a {@link SwimProtocol}: limits the rate of datagrams
+ * that are decoded, then rejects verified datagrams that are replayed, addressed to another process
+ * or above the rate limit of their sender.
  *
- * <p>A datagram is believed if it names this process's instance id, which is drawn at random at its
- * start: what was sent to an older process, also before the whole fleet was restarted, is worth
- * nothing now. One that names no instance id or another is greeted, so that its sender learns of
- * this one. Of those that are believed each sequence number counts once, as in the anti-replay
- * window of RFC 4303.
+ * <p>A datagram is accepted only if it is addressed to this process's instance id, which is drawn
+ * at random when the process starts. Datagrams that were recorded before a restart, even a restart
+ * of the complete fleet, are therefore rejected. The sender of a datagram with another or no
+ * instance id is sent a greeting, from which it learns the current instance id. Each sequence
+ * number of a sender is accepted once, as in the anti-replay window of RFC 4303.
  *
- * <p>Bounds: {@value #MAX_SENDERS} senders, those heard last. Times are nanoseconds of the
- * gateway's own clock. For one thread.
+ * <p>Bounds: {@value #MAX_SENDERS} senders, of which the least recently received is evicted. Times
+ * are nanoseconds of the gateway's own clock. Not thread-safe.
  */
 public final class ReplayFilter {
-  /** What becomes of a datagram. */
+  /** The decision on one datagram. */
   public enum Verdict {
-    /** It is believed. */
+    /** The datagram is accepted. */
     TAKEN,
-    /** It is for another process; its sender may be told of this one. */
+    /** The datagram is addressed to another process; its sender may be sent a greeting. */
     GREETED,
-    /** It came before, or is so old that it may have. */
-    REPEATED,
-    /** Its sender, or senders that are greeted, sent too many in this period. */
-    TOO_MANY
+    /** The sequence number was received before, or is older than the anti-replay window. */
+    REPLAYED,
+    /** The rate limit of the sender, or of greetings, is exceeded in this probe interval. */
+    RATE_LIMITED
   }
 
   private static final int MAX_SENDERS = 4000;
   private static final int WINDOW_BITS = Long.SIZE;
   private static final int MAX_EXAMINED_PER_PERIOD = 2000;
   private static final int MAX_PER_SENDER_AND_PERIOD = 60;
-  private static final int MAX_GREETED_PER_PERIOD = 8;
+  private static final int MAX_GREETINGS_PER_PERIOD = 8;
 
   private final long ownInstanceId;
   private final long periodNanos;
@@ -47,24 +47,25 @@
       };
   private long periodStartNanos;
   private int examined;
-  private int greeted;
+  private int greetings;
 
-  /** What was received of one process. */
+  /** The anti-replay window and the datagram count of one sending process. */
   private static final class Sender {
     private long highestSequenceNumber;
 
-    /** Bit n is set where the n-th number below the highest was received. */
+    /** Bit n is set if the sequence number that is n below the highest was received. */
     private long receivedWindow;
 
     private long periodStartNanos;
-    private int received;
+    private int datagramsInPeriod;
   }
 
   /**
-   * A filter that has seen nothing.
+   * Creates a filter that has received no datagrams.
    *
-   * @param ownInstanceId that of this process
-   * @param periodNanos for which the bounds hold
+   * @param ownInstanceId the instance id of this process
+   * @param periodNanos the length of the window of the rate limits, in nanoseconds
+   * @param nowNanos the current time, at which the first window begins
    */
   public ReplayFilter(long ownInstanceId, long periodNanos, long nowNanos) {
     this.ownInstanceId = ownInstanceId;
@@ -73,19 +74,20 @@
   }
 
   /**
-   * Whether one more datagram may be examined; to be called before anything of it is checked.
-   * Bounds what strangers cost.
+   * Counts a received datagram, and returns whether it may be decoded and verified. Must be called
+   * before any other check of the datagram. Bounds the cost of datagrams from senders without a
+   * valid key.
    */
   public boolean tryExamine(long nowNanos) {
     if (nowNanos - periodStartNanos > periodNanos) {
       periodStartNanos = nowNanos;
       examined = 0;
-      greeted = 0;
+      greetings = 0;
     }
     return ++examined <= MAX_EXAMINED_PER_PERIOD;
   }
 
-  /** What becomes of a message whose signature was verified. */
+  /** Decides on a message whose signature was verified. */
   public Verdict check(long nowNanos, GossipMessage message) {
     return check(
         nowNanos,
@@ -94,32 +96,32 @@
         message.sequenceNumber());
   }
 
-  /** The same of any datagram that names its sender, its recipient and its sequence number. */
+  /** Decides on a verified datagram by its sender, recipient and sequence number. */
   public Verdict check(
       long nowNanos, long senderInstanceId, long recipientInstanceId, long sequenceNumber) {
     if (recipientInstanceId != ownInstanceId) {
-      return ++greeted <= MAX_GREETED_PER_PERIOD ? Verdict.GREETED : Verdict.TOO_MANY;
+      return ++greetings <= MAX_GREETINGS_PER_PERIOD ? Verdict.GREETED : Verdict.RATE_LIMITED;
     }
     Sender sender = senders.computeIfAbsent(senderInstanceId, added -> new Sender());
     if (nowNanos - sender.periodStartNanos > periodNanos) {
       sender.periodStartNanos = nowNanos;
-      sender.received = 0;
+      sender.datagramsInPeriod = 0;
     }
-    if (++sender.received > MAX_PER_SENDER_AND_PERIOD) {
-      return Verdict.TOO_MANY;
+    if (++sender.datagramsInPeriod > MAX_PER_SENDER_AND_PERIOD) {
+      return Verdict.RATE_LIMITED;
     }
-    return isNew(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPEATED;
+    return markReceived(sender, sequenceNumber) ? Verdict.TAKEN : Verdict.REPLAYED;
   }
 
-  /** Whether this number was not received before; marks it as received. */
-  private static boolean isNew(Sender sender, long sequenceNumber) {
-    long ahead = sequenceNumber - sender.highestSequenceNumber;
+  /** Marks a sequence number as received, and returns whether it is new within the window. */
+  private static boolean markReceived(Sender sender, long sequenceNumber) {
+    long distance = sequenceNumber - sender.highestSequenceNumber;
     if (sequenceNumber > sender.highestSequenceNumber) {
-      sender.receivedWindow = ahead >= WINDOW_BITS ? 1 : sender.receivedWindow << ahead | 1;
+      sender.receivedWindow = distance >= WINDOW_BITS ? 1 : sender.receivedWindow << distance | 1;
       sender.highestSequenceNumber = sequenceNumber;
       return true;
     }
-    long bit = ahead <= 0 && ahead > -WINDOW_BITS ? 1L << -ahead : 0;
+    long bit = distance <= 0 && distance > -WINDOW_BITS ? 1L << -distance : 0;
     boolean repeated = bit == 0 || (sender.receivedWindow & bit) != 0;
     sender.receivedWindow |= bit;
     return !repeated;
--- a/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
+++ b/membership/src/main/java/org/amberpath/membership/UpdateMerger.java
@@ -3,26 +3,28 @@
 import java.util.Optional;
 
 /**
- * Merges updates into the {@link MembershipTable}: one that takes precedence replaces what is held,
- * is spread further, and starts or ends a suspicion.
+ * Merges updates into the {@link MembershipTable}. An update that takes precedence replaces the one
+ * in the table, is queued for gossip, and starts or ends a suspicion. Updates about this process
+ * are passed to {@link Refutation}.
  */
 final class UpdateMerger {
-  /** What follows from a merge. */
+  /** Receives the changes that merges cause. */
   interface Listener {
-    /** A member became known; called before its first status. */
+    /** Reports a new member; called before {@link #statusChanged} for its first status. */
     void memberAdded(MemberEntry entry);
 
-    /** A member has another status than before, or its first. */
+    /** Reports that a member's status changed or was set for the first time. */
     void statusChanged(MemberEntry entry, long nowNanos);
   }
 
   private static final long SECOND_NANOS = 1_000_000_000;
 
   /**
-   * Incarnations begin with a wall clock's seconds. Guards against an update so far ahead of this
-   * process's clock that it could never be refuted.
+   * How far an incarnation may be ahead of this process's clock, in seconds. Incarnations start as
+   * the wall clock's Unix seconds. Guards against an update whose incarnation is so high that the
+   * member it is about could never refute it.
    */
-  private static final long MAX_SECONDS_AHEAD = 2 * 86_400;
+  private static final long MAX_INCARNATION_AHEAD_SECONDS = 2 * 86_400;
 
   private final MembershipTable table;
   private final LocalMember local;
@@ -46,34 +48,34 @@
     this.listener = listener;
   }
 
-  /** Takes an update that was heard or made here. */
+  /** Merges an update that was received from another member or made by this process. */
   void merge(MemberUpdate update, long nowNanos) {
-    if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_SECONDS_AHEAD) {
+    if (update.incarnation() > nowNanos / SECOND_NANOS + MAX_INCARNATION_AHEAD_SECONDS) {
       return;
     }
     if (update.name().equals(local.name())) {
       refutation.updateAboutSelf(update, nowNanos);
       return;
     }
-    Optional<MemberEntry> held = table.find(update.name());
-    if (held.isPresent()) {
-      mergeInto(held.get(), update, nowNanos);
+    Optional<MemberEntry> existing = table.find(update.name());
+    if (existing.isPresent()) {
+      mergeInto(existing.get(), update, nowNanos);
     } else if (table.hasRoom()) {
       MemberEntry entry = table.add(update);
       listener.memberAdded(entry);
-      replaced(entry, Optional.empty(), nowNanos);
+      updateApplied(entry, Optional.empty(), nowNanos);
     }
   }
 
-  /** Makes this process's own update about another member, and merges it. */
+  /** Creates an update about another member with this process as reporter, and merges it. */
   void declare(MemberEntry entry, MemberStatus status, long nowNanos) {
-    MemberUpdate held = entry.update;
+    MemberUpdate current = entry.update;
     merge(
         new MemberUpdate(
-            held.name(),
-            held.address(),
-            held.incarnation(),
-            held.instanceId(),
+            current.name(),
+            current.address(),
+            current.incarnation(),
+            current.instanceId(),
             status,
             local.name()),
         nowNanos);
@@ -81,22 +83,23 @@
 
   private void mergeInto(MemberEntry entry, MemberUpdate update, long nowNanos) {
     if (update.supersedes(entry.update)) {
-      MemberStatus before = entry.status();
+      MemberStatus previousStatus = entry.status();
       entry.update = update;
       entry.reporters.clear();
-      replaced(entry, Optional.of(before), nowNanos);
+      updateApplied(entry, Optional.of(previousStatus), nowNanos);
     } else if (suspicions.confirm(entry, update)) {
       gossip.enqueue(update.name());
     }
   }
 
-  private void replaced(MemberEntry entry, Optional<MemberStatus> before, long nowNanos) {
+  private void updateApplied(
+      MemberEntry entry, Optional<MemberStatus> previousStatus, long nowNanos) {
     if (entry.status() == MemberStatus.SUSPECTED) {
       suspicions.start(entry, nowNanos);
     }
     gossip.enqueue(entry.update.name());
-    if (before.isEmpty() || before.get() != entry.status()) {
-      entry.changedAtNanos = nowNanos;
+    if (previousStatus.isEmpty() || previousStatus.get() != entry.status()) {
+      entry.statusChangedAtNanos = nowNanos;
       table.recount(nowNanos);
       listener.statusChanged(entry, nowNanos);
     }
--- a/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/AdminEndpoint.java
@@ -15,23 +15,30 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * HTTP for operators, on loopback: GET {@value #MEMBERS_PATH} and POST {@value #FORGET_PATH}NAME
- * for the members, GET {@value #TASKS_PATH} and POST {@value #RELEASE_PATH}TASK for the tasks of
- * the {@link FleetMessageHandler}. Runs on the gateway's event loop.
+ * The HTTP admin endpoint, on loopback. GET {@value #MEMBERS_PATH} returns the members, and POST
+ * {@value #FORGET_PATH}NAME declares that a lost member has left. GET {@value #TASKS_PATH} returns
+ * the status of the {@link FleetMessageHandler}, and POST {@value #RELEASE_PATH}TASK releases the
+ * leadership of one of its tasks. Runs on the gateway's event loop.
  *
- * <p>Bounds: {@value #MAX_CONNECTIONS} connections at a time, which are closed when idle.
+ * <p>Answers 503 until the gateway has begun to join its fleet; 404 for an unknown method or path,
+ * and for the paths of tasks without a {@link FleetMessageHandler}; 409 if the named member is not
+ * lost or this gateway does not lead the named task.
+ *
+ * <p>Bounds: {@value #MAX_CONNECTIONS} open connections, each closed after {@value
+ * #IDLE_TIMEOUT_SECONDS} s without traffic; requests with a request line over {@value
+ * #MAX_REQUEST_LINE_BYTES} bytes or headers over {@value #MAX_HEADER_BYTES} bytes are rejected.
  */
 public final class AdminEndpoint {
-  /** The members and the phase, as JSON. */
+  /** The path of the members, the phase and the datagram counters, as JSON. */
   public static final String MEMBERS_PATH = "/fleet";
 
-  /** Followed by the name of a lost member that is not coming back. */
+  /** The path prefix of the name of a lost member that will not come back. */
   public static final String FORGET_PATH = "/fleet/forget/";
 
-  /** The tasks that this gateway leads, as JSON. */
+  /** The path of the message handler's status, as JSON. */
   public static final String TASKS_PATH = "/owner";
 
-  /** Followed by the name of a task that is to be led by another. */
+  /** The path prefix of the name of a task that another member is to lead. */
   public static final String RELEASE_PATH = "/owner/release/";
 
   private static final Logger LOG = Logger.getLogger(AdminEndpoint.class.getName());
@@ -67,10 +74,10 @@
             connection.close();
           }
         });
-    server.requestHandler(this::respond);
+    server.requestHandler(this::handleRequest);
   }
 
-  /** Begins to listen; completes with the port. */
+  /** Starts listening; the future completes with the bound port. */
   Future<Integer> listen(SocketAddress address) {
     return server
         .listen(address)
@@ -85,43 +92,43 @@
     server.close();
   }
 
-  private void respond(HttpServerRequest request) {
-    Optional<SwimProtocol> joined = membership.protocol();
-    if (joined.isEmpty()) {
-      end(request, UNAVAILABLE);
+  private void handleRequest(HttpServerRequest request) {
+    Optional<SwimProtocol> startedProtocol = membership.protocol();
+    if (startedProtocol.isEmpty()) {
+      sendResponse(request, UNAVAILABLE);
       return;
     }
-    SwimProtocol protocol = joined.get();
-    long now = membership.nowNanos();
+    SwimProtocol protocol = startedProtocol.get();
+    long nowNanos = membership.nowNanos();
     String path = request.path();
-    boolean get = request.method().equals(HttpMethod.GET);
-    boolean post = request.method().equals(HttpMethod.POST);
-    if (get && path.equals(MEMBERS_PATH)) {
-      end(request, members(protocol));
-    } else if (post && path.startsWith(FORGET_PATH)) {
-      boolean forgotten = protocol.forget(now, path.substring(FORGET_PATH.length()));
-      end(request, forgotten ? OK : CONFLICT);
-    } else if (handler.isPresent() && get && path.equals(TASKS_PATH)) {
-      end(request, handler.get().status(now));
-    } else if (handler.isPresent() && post && path.startsWith(RELEASE_PATH)) {
-      boolean released = handler.get().release(now, path.substring(RELEASE_PATH.length()));
-      end(request, released ? OK : CONFLICT);
+    boolean isGet = request.method().equals(HttpMethod.GET);
+    boolean isPost = request.method().equals(HttpMethod.POST);
+    if (isGet && path.equals(MEMBERS_PATH)) {
+      sendResponse(request, membersAsJson(protocol));
+    } else if (isPost && path.startsWith(FORGET_PATH)) {
+      boolean forgotten = protocol.forget(nowNanos, path.substring(FORGET_PATH.length()));
+      sendResponse(request, forgotten ? OK : CONFLICT);
+    } else if (handler.isPresent() && isGet && path.equals(TASKS_PATH)) {
+      sendResponse(request, handler.get().status(nowNanos));
+    } else if (handler.isPresent() && isPost && path.startsWith(RELEASE_PATH)) {
+      boolean released = handler.get().release(nowNanos, path.substring(RELEASE_PATH.length()));
+      sendResponse(request, released ? OK : CONFLICT);
     } else {
-      end(request, NOT_FOUND);
+      sendResponse(request, NOT_FOUND);
     }
   }
 
-  private static void end(HttpServerRequest request, int status) {
+  private static void sendResponse(HttpServerRequest request, int status) {
     request.response().setStatusCode(status).end();
   }
 
-  private static void end(HttpServerRequest request, JsonObject body) {
+  private static void sendResponse(HttpServerRequest request, JsonObject body) {
     request.response().putHeader("Content-Type", "application/json").end(body.toBuffer());
   }
 
-  private JsonObject members(SwimProtocol protocol) {
+  private JsonObject membersAsJson(SwimProtocol protocol) {
     JsonArray others = new JsonArray();
-    long now = membership.nowNanos();
+    long nowNanos = membership.nowNanos();
     for (SwimProtocol.ObservedMember member : protocol.otherMembers()) {
       others.add(
           new JsonObject()
@@ -129,7 +136,7 @@
               .put("address", member.update().address())
               .put("standing", lowerCase(member.update().status()))
               .put("incarnation", member.update().incarnation())
-              .put("since_ms", (now - member.sinceNanos()) / MS_NANOS));
+              .put("since_ms", (nowNanos - member.statusChangedAtNanos()) / MS_NANOS));
     }
     JsonObject datagrams = new JsonObject();
     membership
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramCounters.java
@@ -5,20 +5,31 @@
 import java.util.Map;
 import org.amberpath.membership.ReplayFilter;
 
-/** What became of datagrams, counted for operators since the start. For one thread. */
+/** Counts sent and received datagrams by their result since the start. Not thread-safe. */
 final class DatagramCounters {
-  /** What became of one datagram; operators see the names in lower case. */
+  /** The result of sending or receiving one datagram; the admin endpoint shows it in lower case. */
   enum Result {
+    /** Sent by the socket; the receiver may not have received it. */
     SENT,
+    /** Not sent, because the socket reported a failure. */
     NOT_SENT,
+    /** Received and accepted. */
     TAKEN,
+    /** Received with the instance id of another process or none; answered with a greeting. */
     GREETED,
+    /** Rejected as replayed. */
     REPEATED,
+    /** Rejected by a rate limit of {@link ReplayFilter}. */
     TOO_MANY,
+    /** Rejected as malformed. */
     UNREADABLE,
+    /** Rejected because of another format version. */
     OTHER_VERSION,
+    /** Rejected because it belongs to another fleet. */
     OTHER_FLEET,
+    /** Rejected because the signing key is not in the keyring. */
     OTHER_KEY,
+    /** Rejected because of an invalid signature. */
     FORGED
   }
 
@@ -39,23 +50,23 @@
         switch (verdict) {
           case TAKEN -> Result.TAKEN;
           case GREETED -> Result.GREETED;
-          case REPEATED -> Result.REPEATED;
-          case TOO_MANY -> Result.TOO_MANY;
+          case REPLAYED -> Result.REPEATED;
+          case RATE_LIMITED -> Result.TOO_MANY;
         });
   }
 
-  void count(DecodedDatagram.Fault fault) {
+  void count(DecodedDatagram.RejectionReason reason) {
     count(
-        switch (fault) {
-          case UNREADABLE -> Result.UNREADABLE;
-          case OTHER_VERSION -> Result.OTHER_VERSION;
-          case OTHER_FLEET -> Result.OTHER_FLEET;
-          case OTHER_KEY -> Result.OTHER_KEY;
-          case FORGED -> Result.FORGED;
+        switch (reason) {
+          case MALFORMED -> Result.UNREADABLE;
+          case UNSUPPORTED_VERSION -> Result.OTHER_VERSION;
+          case WRONG_FLEET -> Result.OTHER_FLEET;
+          case UNKNOWN_KEY -> Result.OTHER_KEY;
+          case INVALID_SIGNATURE -> Result.FORGED;
         });
   }
 
-  /** All counts, in the order of {@link Result}. */
+  /** Returns a live, unmodifiable view of all counts, in the order of {@link Result}. */
   Map<Result, Long> counts() {
     return Collections.unmodifiableMap(counts);
   }
--- a/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/DatagramReceiver.java
@@ -7,8 +7,9 @@
 import org.amberpath.membership.SwimProtocol;
 
 /**
- * Takes received datagrams: decodes them, lets the {@link ReplayFilter} decide, and tells the
- * protocol or the {@link FleetMessageHandler}. Each datagram is counted once.
+ * Processes received datagrams: decodes and verifies them, applies the {@link ReplayFilter}, and
+ * passes accepted messages to the protocol or the {@link FleetMessageHandler}. Each datagram is
+ * counted once in {@link DatagramCounters}.
  */
 final class DatagramReceiver {
   private final DatagramCodec codec;
@@ -30,15 +31,15 @@
     this.handler = handler;
   }
 
-  /** Takes one datagram; throws for no bytes whatever. */
-  void receive(byte[] datagram, HmacKeyring keys, long nowNanos) {
+  /** Processes one datagram; no content of a datagram makes this method throw. */
+  void receive(byte[] datagram, HmacKeyring keyring, long nowNanos) {
     if (!replayFilter.tryExamine(nowNanos)) {
       counters.count(DatagramCounters.Result.TOO_MANY);
       return;
     }
-    DecodedDatagram decoded = codec.decode(datagram, keys);
+    DecodedDatagram decoded = codec.decode(datagram, keyring);
     if (decoded instanceof DecodedDatagram.Rejected rejected) {
-      counters.count(rejected.fault());
+      counters.count(rejected.reason());
     } else if (decoded instanceof DecodedDatagram.Gossip gossip) {
       receive(gossip.message(), nowNanos);
     } else if (decoded instanceof DecodedDatagram.User user) {
@@ -66,7 +67,8 @@
       protocol.greet(nowNanos, sender);
     } else if (verdict == ReplayFilter.Verdict.TAKEN) {
       handler.ifPresent(
-          receiver -> receiver.messageReceived(nowNanos, sender.name(), message.body()));
+          messageHandler ->
+              messageHandler.messageReceived(nowNanos, sender.name(), message.body()));
     }
   }
 }
--- a/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/HmacKeyring.java
@@ -13,18 +13,19 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keys of a fleet: the first of a file signs, each verifies, so that one key follows another
- * without a gap. HMAC with SHA-256 (RFC 2104), of which the first {@value #SIGNATURE_BYTES} bytes
- * are sent. For one thread.
+ * The keyring of a fleet. The first key of the file signs datagrams, and every key verifies them,
+ * so that a key can be replaced without a time in which members reject each other's datagrams.
+ * Signatures are HMAC-SHA256 (RFC 2104), truncated to the first {@value #SIGNATURE_BYTES} bytes.
+ * Not thread-safe.
  */
 public final class HmacKeyring {
-  /** The length of a signature. */
+  /** The length of a signature, in bytes. */
   public static final int SIGNATURE_BYTES = 16;
 
   private static final int MAX_KEYS = 4;
   private static final int MIN_KEY_BYTES = 16;
   private static final int MAX_FILE_BYTES = 4096;
-  private static final String KEY_ID = "[A-Za-z0-9._-]{1,16}";
+  private static final String KEY_ID_PATTERN = "[A-Za-z0-9._-]{1,16}";
   private static final String ALGORITHM = "HmacSHA256";
 
   private final Map<String, Mac> macs;
@@ -36,15 +37,18 @@
   }
 
   /**
-   * Reads a file of lines "ID HEX"; blank lines and those that begin with # are passed over.
+   * Reads a key file: one key per line, as "ID HEX". Blank lines and lines that begin with # are
+   * skipped. Blocks the calling thread.
    *
-   * @throws MembershipException.InvalidKeyFile where the file holds something wrong; its message
-   *     names file and line, and never a key
-   * @throws IOException where the file can't be read
+   * @throws MembershipException.InvalidKeyFile if the content of the file is invalid; the message
+   *     names the file and the line, and never contains a key
+   * @throws IOException if the file cannot be read
    */
   public static HmacKeyring read(Path file) throws IOException {
-    if (Files.size(file) > MAX_FILE_BYTES) {
-      throw new MembershipException.InvalidKeyFile(file + ": over " + MAX_FILE_BYTES + " bytes");
+    long fileBytes = Files.size(file);
+    if (fileBytes > MAX_FILE_BYTES) {
+      throw new MembershipException.InvalidKeyFile(
+          file + ": the file has " + fileBytes + " bytes, at most " + MAX_FILE_BYTES + " allowed");
     }
     Map<String, Mac> macs = new LinkedHashMap<>();
     int lineNumber = 0;
@@ -55,60 +59,65 @@
       }
     }
     if (macs.isEmpty()) {
-      throw new MembershipException.InvalidKeyFile(file + ": no key in it");
+      throw new MembershipException.InvalidKeyFile(
+          file + ": the file contains no key, expected lines \"ID HEX\"");
     }
     return new HmacKeyring(macs);
   }
 
-  private static void readKey(String line, String where, Map<String, Mac> macs)
+  private static void readKey(String line, String location, Map<String, Mac> macs)
       throws MembershipException.InvalidKeyFile {
     String[] fields = line.strip().split("\\s+", -1);
-    if (fields.length != 2 || !fields[0].matches(KEY_ID)) {
+    if (fields.length != 2 || !fields[0].matches(KEY_ID_PATTERN)) {
       throw new MembershipException.InvalidKeyFile(
-          where + "not an id of 16 letters, digits, ._- at most and a key in hexadecimal");
+          location
+              + "expected \"ID HEX\": a key id of 1 to 16 letters, digits, '.', '_' or '-',"
+              + " and the key in hexadecimal");
     }
     if (macs.size() == MAX_KEYS) {
-      throw new MembershipException.InvalidKeyFile(where + "more than " + MAX_KEYS + " keys");
+      throw new MembershipException.InvalidKeyFile(location + "more than " + MAX_KEYS + " keys");
     }
-    if (macs.put(fields[0], mac(parse(fields[1], where))) != null) {
+    if (macs.put(fields[0], createMac(parseKey(fields[1], location))) != null) {
       throw new MembershipException.InvalidKeyFile(
-          where
+          location
               + (macs.size() == MAX_KEYS
                   ? "more than " + MAX_KEYS + " keys"
-                  : "an id given twice"));
+                  : "key id " + fields[0] + " is used more than once"));
     }
   }
 
-  private static byte[] parse(String hex, String where) throws MembershipException.InvalidKeyFile {
+  private static byte[] parseKey(String hex, String location)
+      throws MembershipException.InvalidKeyFile {
     byte[] key;
     try {
       key = HexFormat.of().parseHex(hex);
     } catch (IllegalArgumentException e) {
-      throw new MembershipException.InvalidKeyFile(where + "a key that is not hexadecimal");
+      throw new MembershipException.InvalidKeyFile(
+          location + "the key is not a hexadecimal number of complete bytes");
     }
     if (key.length < MIN_KEY_BYTES) {
       throw new MembershipException.InvalidKeyFile(
-          where + "a key of under " + MIN_KEY_BYTES + " bytes");
+          location + "the key has " + key.length + " bytes, expected at least " + MIN_KEY_BYTES);
     }
     return key;
   }
 
-  /** A keyring of one key. */
+  /** Creates a keyring with one key. */
   public static HmacKeyring of(String id, byte[] key) {
-    return new HmacKeyring(Map.of(id, mac(key)));
+    return new HmacKeyring(Map.of(id, createMac(key)));
   }
 
-  private static Mac mac(byte[] key) {
+  private static Mac createMac(byte[] key) {
     try {
       Mac mac = Mac.getInstance(ALGORITHM);
       mac.init(new SecretKeySpec(key, ALGORITHM));
       return mac;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("a runtime without " + ALGORITHM, e);
+      throw new IllegalStateException("the Java runtime does not provide " + ALGORITHM, e);
     }
   }
 
-  /** The id of the key that signs. */
+  /** Returns the id of the signing key. */
   String signingKeyId() {
     return signingKeyId;
   }
@@ -117,13 +126,16 @@
     return macs.containsKey(keyId);
   }
 
-  /** The signature of these bytes by the signing key. */
+  /** Returns the signature of the bytes by the signing key. */
   byte[] sign(byte[] bytes) {
     return signature(signingKeyId, bytes, bytes.length);
   }
 
-  /** Whether a datagram's last bytes are the signature of the others by this key. */
-  boolean verifies(String keyId, byte[] datagram) {
+  /**
+   * Whether the last {@value #SIGNATURE_BYTES} bytes of a datagram are the signature of the
+   * preceding bytes by the given key, which must be in the keyring.
+   */
+  boolean verify(String keyId, byte[] datagram) {
     int signedLength = datagram.length - SIGNATURE_BYTES;
     return MessageDigest.isEqual(
         signature(keyId, datagram, signedLength),
--- a/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
+++ b/membership/src/main/java/org/amberpath/membership/runtime/MembershipSocket.java
@@ -12,14 +12,14 @@
   private final Vertx vertx;
   private final DatagramCounters counters;
   private DatagramSocket socket;
-  private Future<Void> lastSent = Future.succeededFuture();
+  private Future<Void> lastSend = Future.succeededFuture();
 
   MembershipSocket(Vertx vertx, DatagramCounters counters) {
     this.vertx = vertx;
     this.counters = counters;
   }
 
-  /** Binds the socket; completes with the address, its port resolved. */
+  /** Binds the socket; the future completes with the bound address, as "host:port". */
   Future<String> listen(SocketAddress address) {
     socket = vertx.createDatagramSocket();
     return socket
@@ -27,30 +27,30 @@
         .map(bound -> address.hostAddress() + ":" + bound.localAddress().port());
   }
 
-  /** Passes on what is received from now on. */
-  void onDatagram(Consumer<byte[]> receiver) {
+  /** Passes each datagram received from now on to the receiver. */
+  void receiveWith(Consumer<byte[]> receiver) {
     socket.handler(packet -> receiver.accept(packet.data().getBytes()));
     socket.exceptionHandler(failure -> counters.count(DatagramCounters.Result.NOT_SENT));
   }
 
-  /** Sends a datagram to a numeric address with a port; it may be lost. */
+  /** Sends a datagram to a numeric "host:port" address; delivery is not guaranteed. */
   void send(String address, byte[] datagram) {
     int colon = address.lastIndexOf(':');
-    lastSent =
+    lastSend =
         socket.send(
             Buffer.buffer(datagram),
             Integer.parseInt(address.substring(colon + 1)),
             address.substring(0, colon));
-    lastSent.onComplete(
-        sent ->
+    lastSend.onComplete(
+        result ->
             counters.count(
-                sent.succeeded()
+                result.succeeded()
                     ? DatagramCounters.Result.SENT
                     : DatagramCounters.Result.NOT_SENT));
   }
 
-  /** Closes the socket once the last datagram was handed over; never fails. */
+  /** Closes the socket once the last send has completed; the future never fails. */
   Future<Void> close() {
-    return lastSent.eventually(socket::close).otherwiseEmpty();
+    return lastSend.eventually(socket::close).otherwiseEmpty();
   }
 }
--- a/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
+++ b/membership/src/test/java/org/amberpath/membership/AntiEntropySyncTest.java
@@ -1,6 +1,6 @@
 package org.amberpath.membership;
 
-import static org.amberpath.membership.ProtocolHarness.PERIOD;
+import static org.amberpath.membership.ProtocolHarness.PERIOD_NANOS;
 import static org.amberpath.membership.ProtocolHarness.pageWithMore;
 import static org.amberpath.membership.ProtocolHarness.update;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -9,44 +9,45 @@
 import org.amberpath.membership.GossipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** Anti-entropy: whom a list is asked of, how it goes on, and when it counts as whole. */
+/** Tests which members a list is requested from, how it continues, and when it is complete. */
 class AntiEntropySyncTest {
   private final ProtocolHarness harness = new ProtocolHarness();
   private final SwimProtocol protocol = harness.protocol;
 
   @Test
-  void ownAddressAmongTheSeedsIsNotAsked() {
-    harness.advance(3 * PERIOD);
+  void ownAddressAmongTheSeedsIsNotContacted() {
+    harness.advance(3 * PERIOD_NANOS);
     assertTrue(
-        harness.sent.stream().allMatch(sent -> sent.to().equals(ProtocolHarness.SEED_ADDRESS)));
+        harness.sent.stream()
+            .allMatch(sent -> sent.address().equals(ProtocolHarness.SEED_ADDRESS)));
     assertEquals(0, protocol.quotaShare());
   }
 
   @Test
-  void pageThatWasNotRequestedIsIgnored() {
-    protocol.tick(harness.now);
+  void unrequestedPageIsIgnored() {
+    protocol.tick(harness.nowNanos);
     harness.receive(Kind.PAGE, "other", 99);
     assertEquals(0, protocol.quotaShare());
   }
 
   @Test
-  void listGoesOnAfterItsLastPageAlsoWhenTheNextIsLost() {
-    protocol.tick(harness.now);
+  void listContinuesAfterTheLastReceivedPageWhenARequestIsLost() {
+    protocol.tick(harness.nowNanos);
     long number = harness.lastSent(Kind.SYNC).probeNumber();
     harness.receive(pageWithMore("other", number, update("third", 1, MemberStatus.ALIVE)));
     assertEquals(
         "third",
         harness.lastSent(Kind.SYNC).subject(),
-        "continued at once, since no whole list was heard yet");
+        "the next page is requested immediately, since no complete list was received yet");
     harness.sent.clear();
-    harness.advance(3 * PERIOD);
+    harness.advance(3 * PERIOD_NANOS);
     assertTrue(
         harness.sent.stream().anyMatch(sent -> "third".equals(sent.message().subject())),
-        "the rest was lost: it is requested again, and not the whole list");
+        "the next page was lost: the request continues after the last received page");
   }
 
   @Test
-  void listOfAMemberThatHasJustStartedIsNotWhole() {
+  void listOfAnUnsyncedMemberIsNotComplete() {
     harness.receiveLastPageUnsynced("other");
     assertEquals(0, protocol.quotaShare());
     harness.receiveLastPage("other");
--- a/membership/src/test/java/org/amberpath/membership/SeededMember.java
+++ b/membership/src/test/java/org/amberpath/membership/SeededMember.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * One place of a {@link SeededFleet}: the process that runs there, if one does. The one class that
- * calls the protocol under test.
+ * A member of a {@link SeededFleet}: at most one process at a time, which runs the protocol under
+ * test. Only this class calls the protocol.
  */
 final class SeededMember implements SwimProtocol.Output {
-  private static final long MS = SeededFleet.MS;
-  private static final double BYPASS_PROBABILITY = 0.15;
+  private static final long MS_NANOS = SeededFleet.MS_NANOS;
+  private static final double FILTER_BYPASS_PROBABILITY = 0.15;
 
   final int index;
   final String name;
@@ -16,13 +16,13 @@
   private final SeededFleet fleet;
   private SwimProtocol protocol;
   private ReplayFilter filter;
-  private int process;
-  private long clockOffset;
+  private int processNumber;
+  private long clockOffsetNanos;
   private long instanceId;
-  private long pausedUntil;
+  private long pausedUntilNanos;
   private long incarnation;
   private boolean leaving;
-  private int observed;
+  private int observationCount;
 
   SeededMember(SeededFleet fleet, int index, String name, String address) {
     this.fleet = fleet;
@@ -31,7 +31,7 @@
     this.address = address;
   }
 
-  boolean runs() {
+  boolean isRunning() {
     return protocol != null;
   }
 
@@ -39,36 +39,39 @@
     return instanceId;
   }
 
-  /** What this member says of itself at present; null while it is down. */
+  /** Returns this member's current update about itself; null while the member is down. */
   MemberUpdate self() {
     return protocol == null ? null : protocol.self();
   }
 
-  // ---- What is done to it.
+  // ---- Inputs of the protocol.
 
-  /** Starts a process that remembers nothing; its clock may have gone back. */
+  /** Starts a process without state; its clock may be behind that of the previous process. */
   void start() {
-    process++;
+    processNumber++;
     leaving = false;
-    pausedUntil = 0;
-    clockOffset = (fleet.random.nextInt(10_001) - 5000) * MS;
+    pausedUntilNanos = 0;
+    clockOffsetNanos = (fleet.random.nextInt(10_001) - 5000) * MS_NANOS;
     instanceId = fleet.random.nextLong();
     List<String> seeds =
-        process > 1 && fleet.withProbability(0.1) ? List.of() : List.of("a0", "a1", "a2", address);
-    filter = new ReplayFilter(instanceId, fleet.timings.probeIntervalNanos(), clock());
-    incarnation = clock() / SeededFleet.SECOND;
+        processNumber > 1 && fleet.withProbability(0.1)
+            ? List.of()
+            : List.of("a0", "a1", "a2", address);
+    filter = new ReplayFilter(instanceId, fleet.timings.probeIntervalNanos(), clockNanos());
+    incarnation = clockNanos() / SeededFleet.SECOND_NANOS;
     protocol =
         new SwimProtocol(
             fleet.timings,
             new MemberUpdate(name, address, incarnation, instanceId, MemberStatus.ALIVE, name),
             seeds,
             fleet.random.nextLong(),
-            clock(),
+            clockNanos(),
             this);
-    fleet.actions.add("start", index, clock(), instanceId);
-    observe();
-    int started = process;
-    fleet.plan(fleet.now() + fleet.random.nextInt(100) * MS, () -> tick(started));
+    fleet.actions.add("start", index, clockNanos(), instanceId);
+    recordState();
+    int startedProcess = processNumber;
+    fleet.scheduleAt(
+        fleet.nowNanos() + fleet.random.nextInt(100) * MS_NANOS, () -> tick(startedProcess));
   }
 
   void startIfDown() {
@@ -82,36 +85,38 @@
   }
 
   void pause(int milliseconds) {
-    pausedUntil = fleet.now() + milliseconds * MS;
+    pausedUntilNanos = fleet.nowNanos() + milliseconds * MS_NANOS;
   }
 
   void leave() {
     if (protocol != null && !leaving) {
       leaving = true;
       fleet.actions.add("leave", index);
-      protocol.leave(clock());
-      observe();
-      int left = process;
-      fleet.plan(fleet.now() + fleet.random.nextInt(1500) * MS, () -> end(left));
+      protocol.leave(clockNanos());
+      recordState();
+      int leavingProcess = processNumber;
+      fleet.scheduleAt(
+          fleet.nowNanos() + fleet.random.nextInt(1500) * MS_NANOS,
+          () -> stopProcess(leavingProcess));
     }
   }
 
-  private void end(int left) {
-    if (process == left) {
+  private void stopProcess(int endedProcess) {
+    if (processNumber == endedProcess) {
       protocol = null;
     }
   }
 
   void forget(String other) {
     if (protocol != null) {
-      boolean forgotten = protocol.forget(clock(), other);
+      boolean forgotten = protocol.forget(clockNanos(), other);
       fleet.actions.add(forgotten ? "forgotten" : "not forgotten", index, other);
-      observe();
+      recordState();
     }
   }
 
-  /** The members that this one holds for lost. */
-  List<String> lost() {
+  /** Returns the names of the members that this member considers lost. */
+  List<String> lostMembers() {
     return protocol == null
         ? List.of()
         : protocol.otherMembers().stream()
@@ -125,54 +130,55 @@
     if (protocol == null) {
       return;
     }
-    if (pausedUntil > fleet.now()) {
-      fleet.plan(pausedUntil, () -> deliver(message)); // It waits in the socket.
+    if (pausedUntilNanos > fleet.nowNanos()) {
+      // The datagram waits in the socket's receive buffer.
+      fleet.scheduleAt(pausedUntilNanos, () -> deliver(message));
       return;
     }
-    if (!filter.tryExamine(clock())) {
+    if (!filter.tryExamine(clockNanos())) {
       fleet.actions.add("unread", index);
       return;
     }
-    ReplayFilter.Verdict verdict = filter.check(clock(), message);
+    ReplayFilter.Verdict verdict = filter.check(clockNanos(), message);
     fleet.actions.count("verdict " + verdict);
     fleet.actions.add("verdict", index, verdict);
-    boolean bypassed = fleet.withProbability(BYPASS_PROBABILITY);
-    if (verdict == ReplayFilter.Verdict.TAKEN || bypassed) {
+    boolean bypassesFilter = fleet.withProbability(FILTER_BYPASS_PROBABILITY);
+    if (verdict == ReplayFilter.Verdict.TAKEN || bypassesFilter) {
       fleet.actions.count("received " + message.kind());
-      protocol.messageReceived(clock(), message);
+      protocol.messageReceived(clockNanos(), message);
     } else if (verdict == ReplayFilter.Verdict.GREETED) {
-      protocol.greet(clock(), message.sender());
+      protocol.greet(clockNanos(), message.sender());
     }
-    observe();
+    recordState();
   }
 
-  private long clock() {
-    return fleet.now() + clockOffset;
+  private long clockNanos() {
+    return fleet.nowNanos() + clockOffsetNanos;
   }
 
-  private void tick(int started) {
-    if (started != process || protocol == null) {
+  private void tick(int startedProcess) {
+    if (startedProcess != processNumber || protocol == null) {
       return;
     }
-    if (pausedUntil <= fleet.now()) {
-      protocol.tick(clock());
-      observe();
+    if (pausedUntilNanos <= fleet.nowNanos()) {
+      protocol.tick(clockNanos());
+      recordState();
     }
-    long periodMs = fleet.timings.probeIntervalNanos() / MS;
+    long periodMs = fleet.timings.probeIntervalNanos() / MS_NANOS;
     long delayMs =
         fleet.withProbability(0.6)
             ? periodMs / 5
             : fleet.withProbability(0.02)
                 ? fleet.random.nextInt((int) (5 * periodMs))
                 : 10L * fleet.random.nextInt((int) (periodMs / 20));
-    long next = Math.max(fleet.now() + delayMs * MS, pausedUntil);
-    fleet.plan(next, () -> tick(started));
+    long nextTickNanos = Math.max(fleet.nowNanos() + delayMs * MS_NANOS, pausedUntilNanos);
+    fleet.scheduleAt(nextTickNanos, () -> tick(startedProcess));
   }
 
-  // ---- What it answers.
+  // ---- Outputs of the protocol.
 
-  /** Records all that can be asked of the protocol after something happened to it. */
-  private void observe() {
+  /** Records the protocol's observable state after an input. */
+  private void recordState() {
     MemberUpdate self = protocol.self();
     if (self.incarnation() > incarnation) {
       fleet.actions.count("refuted");
@@ -187,31 +193,31 @@
         protocol.presentCount(),
         protocol.countedMembers(),
         protocol.quotaShare());
-    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.setting.maxMembers) {
-      fleet.actions.count("admitted beyond the allowed number");
+    if (protocol.quotaShare() > 0 && protocol.countedMembers() > fleet.scenario.maxMembers) {
+      fleet.actions.count("admitted above the configured maximum");
     }
-    if (++observed % 50 == 0) {
-      observeOthers();
+    if (++observationCount % 50 == 0) {
+      recordOtherMembers();
     }
   }
 
-  private void observeOthers() {
+  private void recordOtherMembers() {
     for (SwimProtocol.ObservedMember other : protocol.otherMembers()) {
-      add("other", other.update());
-      fleet.actions.add("since", other.sinceNanos());
+      addUpdate("other", other.update());
+      fleet.actions.add("since", other.statusChangedAtNanos());
     }
     fleet.actions.add(
         "there", String.join(" ", protocol.presentNames().stream().limit(200).toList()));
-    String asked = "m" + fleet.random.nextInt(fleet.setting.places + 1);
-    long found = protocol.find(asked).map(MemberUpdate::instanceId).orElse(-1L);
-    fleet.actions.add("find", asked, found);
-    fleet.actions.add("standing", protocol.statusOf(asked).orElse(null));
+    String queriedName = "m" + fleet.random.nextInt(fleet.scenario.memberSlots + 1);
+    long foundInstanceId = protocol.find(queriedName).map(MemberUpdate::instanceId).orElse(-1L);
+    fleet.actions.add("find", queriedName, foundInstanceId);
+    fleet.actions.add("standing", protocol.statusOf(queriedName).orElse(null));
     if (fleet.withProbability(0.1)) {
       fleet.actions.add("serial", protocol.nextSequenceNumber());
     }
   }
 
-  private void add(String action, MemberUpdate update) {
+  private void addUpdate(String action, MemberUpdate update) {
     fleet.actions.add(
         action,
         update.name(),
@@ -223,19 +229,19 @@
   }
 
   @Override
-  public void send(String to, GossipMessage message) {
+  public void send(String receiverAddress, GossipMessage message) {
     RecordedActions actions = fleet.actions;
     actions.count("sent " + message.kind());
     if (message.kind() == GossipMessage.Kind.SYNC && message.subject() != null) {
-      actions.count("list asked on");
+      actions.count("later page requested");
     }
     if (message.hasMore()) {
-      actions.count("list goes on");
+      actions.count("page with more sent");
     }
     actions.add(
         "send",
         index,
-        to,
+        receiverAddress,
         message.kind(),
         message.recipientInstanceId(),
         message.sequenceNumber(),
@@ -246,15 +252,15 @@
         message.hasMore(),
         message.fullySynced(),
         message.updates().size());
-    add("from", message.sender());
-    message.updates().forEach(update -> add("rumour", update));
-    fleet.carry(this, to, message);
+    addUpdate("from", message.sender());
+    message.updates().forEach(update -> addUpdate("rumour", update));
+    fleet.transmit(this, receiverAddress, message);
   }
 
   @Override
-  public void memberStatusChanged(String who, MemberStatus status) {
+  public void memberStatusChanged(String memberName, MemberStatus status) {
     fleet.actions.count("news " + status);
-    fleet.actions.add("news", index, who, status);
+    fleet.actions.add("news", index, memberName, status);
   }
 
   @Override
@@ -265,7 +271,7 @@
   }
 
   @Override
-  public void nameConflictDetected(String at) {
-    fleet.actions.add("twin", index, at);
+  public void nameConflictDetected(String conflictAddress) {
+    fleet.actions.add("twin", index, conflictAddress);
   }
 }
