--- a/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
@@ -4,8 +4,9 @@
 import org.amberpath.routing.EventAge;
 
 /**
- * The gateway's time: monotonic, and comparable with Unix times that others state. {@link
- * #nowNanos()} may be called from any thread, all else on the event loop.
+ * The gateway's clock: a monotonic time on the scale of Unix time, and the age of purges and of
+ * endpoint starts that other hosts stamped with their wall clocks ({@link EventAge}). {@link
+ * #nowNanos()} may be called from any thread, all other methods only on the event loop.
  */
 public final class Clock implements JournalDecoder.ReplyListener {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -15,16 +16,16 @@
   private final long originNanos;
   private final EventAge eventAge;
 
-  /** The system's clocks. */
+  /** Creates a clock that reads the system's monotonic clock and wall clock. */
   public Clock() {
     this(System::nanoTime, System::currentTimeMillis);
   }
 
   /**
-   * A clock on other sources.
+   * Creates a clock that reads the given time sources.
    *
-   * @param monotonicNanos nanoseconds of any origin, which never go back
-   * @param wallMillis Unix milliseconds, which may be stepped
+   * @param monotonicNanos nanoseconds since an arbitrary origin; the value never decreases
+   * @param wallMillis Unix time in milliseconds; the value may be stepped forwards and backwards
    */
   public Clock(LongSupplier monotonicNanos, LongSupplier wallMillis) {
     this.monotonicNanos = monotonicNanos;
@@ -33,31 +34,47 @@
     eventAge = new EventAge(nowNanos(), wallMillis.getAsLong());
   }
 
-  /** Monotonic nanoseconds since the Unix epoch, by the wall clock as it was at the start. */
+  /**
+   * Returns the monotonic time in nanoseconds since the Unix epoch. Later steps of the wall clock
+   * do not change it: the offset to the epoch is read from the wall clock once, at construction.
+   */
   public long nowNanos() {
     return monotonicNanos.getAsLong() + originNanos;
   }
 
-  /** Compares the two clocks, to notice steps of the wall clock; called at least once a second. */
+  /**
+   * Reads the monotonic clock and the wall clock together to detect steps of the wall clock. Called
+   * at least once a second, so that drift between two calls stays far below the 50 ms that count as
+   * a step.
+   */
   public void readClocks() {
     eventAge.clocksRead(nowNanos(), wallMillis.getAsLong());
   }
 
-  /** The least possible age, in nanoseconds, of a purge with this timestamp. */
+  /**
+   * Returns how old a purge with the given timestamp is, in nanoseconds; 0 or more. Where the
+   * clocks leave room for doubt, the result is the smallest possible age, so that the purge applies
+   * longer.
+   */
   public long purgeAgeNanos(long unixMillis) {
     readClocks();
     return eventAge.purgeAgeNanos(nowNanos(), unixMillis);
   }
 
-  /** The least possible time, in nanoseconds, since an endpoint started that states this time. */
+  /**
+   * Returns how long ago an endpoint with the given start time started, in nanoseconds; 0 or more.
+   * Where the clocks leave room for doubt, the result is the smallest possible age, so that the
+   * endpoint counts as less warm.
+   */
   public long startAgeNanos(long unixMillis) {
     readClocks();
     return eventAge.startAgeNanos(nowNanos(), unixMillis);
   }
 
   /**
-   * Whether the wall clock was corrected since the last call, so that endpoints may have started
-   * later than {@link #startAgeNanos} said.
+   * Returns whether the wall clock has been found wrong since the last call of this method, and
+   * resets that flag. On true, endpoints may have started later than {@link #startAgeNanos}
+   * returned.
    */
   public boolean takeCorrection() {
     return eventAge.takeCorrection();
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -25,20 +25,24 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * Long-polls the journal service for discovery events, one poll after the other. A poll that fails
- * changes no endpoint. Used on one event loop.
+ * HTTP client that long-polls the journal service for discovery events. At most one poll is in
+ * flight; the next one starts when the previous one ends, after a delay of up to 100 ms if it
+ * failed. A failed poll changes no endpoint. All calls are made on one event loop.
  */
 public final class JournalClient {
   private static final Logger LOG = Logger.getLogger(JournalClient.class.getName());
   private static final JsonFactory JSON = new JsonFactory();
 
   /**
-   * How long the service may hold a reply back. An event that a stalled poll kept back counts as
-   * notified 2 s after that.
+   * The longest time that the journal service may hold a reply back while it has no new event. An
+   * event that a stalled poll withholds counts as notified 2 s later.
    */
   public static final long MAX_WAIT_MILLIS = 2000;
 
-  /** How long a reply may take beyond its wait, and from its head to its end. */
+  /**
+   * Timeout of a poll beyond its {@code max_wait}, of a response body from the end of the response
+   * headers, and of a TCP connect.
+   */
   private static final long REPLY_TIMEOUT_MILLIS = 600;
 
   private static final long RETRY_DELAY_MILLIS = 100;
@@ -46,24 +50,24 @@
   private static final int STATUS_OK = 200;
   private static final int MAX_LOGGED_CHARACTERS = 200;
 
-  /** The wait of a poll whose reply the decisions are waiting for. */
+  /** The {@code max_wait} of a poll whose reply routing decisions are waiting for. */
   private static final long URGENT_WAIT_MILLIS = 1;
 
   /**
-   * The bounds of a poll.
+   * The limits of one poll.
    *
-   * @param maxWaitMillis how long the service may hold a reply back
-   * @param maxReplyBytes the longest reply that is accepted
+   * @param maxWaitMillis the longest time that the journal service may hold a reply back
+   * @param maxReplyBytes the size of the largest response body that is accepted
    */
   public record Bounds(long maxWaitMillis, long maxReplyBytes) {}
 
   /**
-   * What is notified of polls and of their replies.
+   * The components that receive the results of polls.
    *
-   * @param decoder decodes replies and keeps the position
-   * @param endpoints receives the decoded events
-   * @param freshness is notified of polls, replies and failures
-   * @param afterPoll runs after each reply and each failure
+   * @param decoder decodes replies and keeps the position in the journal
+   * @param endpoints receives the decoded discovery events
+   * @param freshness is notified when a poll is sent, when its reply is received and when it fails
+   * @param afterPoll runs on the event loop after each reply and each failed poll
    */
   public record Sinks(
       JournalDecoder decoder,
@@ -83,16 +87,20 @@
   private SocketAddress address;
   private HttpClientRequest pending;
 
-  /** The current series of polls; the results of an earlier one are ignored. */
+  /**
+   * Number of the current series of polls, incremented when the address changes and on close. A
+   * result that belongs to an earlier series is ignored.
+   */
   private int series;
 
   private boolean started;
   private int failures;
 
   /**
-   * A client that polls nothing yet.
+   * Creates a client that polls nothing before {@link #start()}.
    *
-   * @param clock monotonic nanoseconds, those of the freshness
+   * @param address the address of the journal service
+   * @param clock monotonic time in nanoseconds, the same clock as that of {@link Sinks#freshness()}
    */
   public JournalClient(
       Vertx vertx, SocketAddress address, Bounds bounds, Sinks sinks, LongSupplier clock) {
@@ -111,13 +119,16 @@
                 .setKeepAliveTimeout(KEEP_ALIVE_SECONDS));
   }
 
-  /** Begins to poll. */
+  /** Sends the first poll; each poll that ends starts the next one. */
   public void start() {
     started = true;
     poll(series);
   }
 
-  /** Polls at another address from now on, at once; the position in the journal is kept. */
+  /**
+   * Aborts the poll in flight and polls the journal at another address, at once if this client was
+   * started. The position in the journal is kept.
+   */
   public void moveTo(SocketAddress next) {
     address = next;
     endSeries();
@@ -148,7 +159,10 @@
         .onComplete(result -> completed(ofSeries, result));
   }
 
-  /** Guards the series against a call that throws, after which nothing would be polled any more. */
+  /**
+   * Requests a connection. Guards against a client call that throws instead of returning a failed
+   * future: no further poll would be scheduled.
+   */
   private Future<HttpClientRequest> connect(RequestOptions options) {
     try {
       return client.request(options);
@@ -169,11 +183,11 @@
     request.setURI("/journal?tail=" + decoder.position() + "&max_wait=" + waitMillis);
     return request
         .send()
-        // Guards against a reply that stops in the middle and stays open: its events count as
-        // notified 2 s after that.
+        // Guards against a journal that stops in the middle of a response body and keeps the
+        // connection open: the events of that reply count as notified 2 s later.
         .compose(response -> body(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
         .timeout(waitMillis + REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-        // Guards against a journal that stalled or disconnected: its connection is not reused.
+        // Guards against reuse of a connection on which the journal stalled or disconnected.
         .onFailure(e -> request.reset());
   }
 
@@ -198,8 +212,9 @@
   }
 
   /**
-   * The delay after a failed poll. One that could not be sent for a local shortage does not count
-   * as a failure of the journal, unless that lasts.
+   * Returns the delay in milliseconds before the next poll after a failed one. A poll that was not
+   * sent because this host lacked a resource, such as descriptors or ports, is reported as a
+   * failure of the journal only once the local backoff is exhausted.
    */
   private long retryDelayMillis(Throwable cause) {
     boolean local = cause != null && ConnectFailure.of(cause).isLocal();
@@ -210,7 +225,10 @@
     return delayMillis;
   }
 
-  /** Collects the body of a reply. Guards against one without end. */
+  /**
+   * Collects the body of a response with status 200. Guards against exhausted memory from an
+   * endless body: the future fails once the body exceeds the maximum size.
+   */
   private Future<Buffer> body(HttpClientResponse response) {
     if (response.statusCode() != STATUS_OK) {
       return Future.failedFuture("status " + response.statusCode());
@@ -231,7 +249,10 @@
     return complete.future();
   }
 
-  /** Plays a reply to the endpoints; whether it could be decoded. */
+  /**
+   * Decodes a reply and passes its events to the endpoint listener; returns whether the reply could
+   * be decoded. A reply that cannot be decoded is logged.
+   */
   private boolean play(Buffer body) {
     try (JsonParser parser = JSON.createParser(body.getBytes())) {
       decoder.play(JsonReader.read("journal", parser), endpoints);
@@ -242,7 +263,10 @@
     }
   }
 
-  /** Logs the first failure of a row only, so that a journal that is down does not fill the log. */
+  /**
+   * Counts a failed poll. Only the first of consecutive failures is logged, so that a journal that
+   * is down does not fill the log.
+   */
   private void logFailure(String reason) {
     if (failures == 0) {
       LOG.warning(
@@ -251,7 +275,7 @@
     failures++;
   }
 
-  /** Ends polling; the client can't be used again. */
+  /** Aborts the poll in flight and stops polling; the client cannot be restarted. */
   public void close() {
     endSeries();
     client.close();
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -10,56 +10,65 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Decodes {@code {"pos":N,"entries":[...]}}: a reply of the journal, and the form of the entries
- * that the configuration holds. Used on one event loop.
+ * Decodes journal replies of the form {@code {"pos":N,"entries":[...]}} and forwards their entries
+ * to an {@link EndpointListener}. The configuration holds the entries known at startup in the same
+ * form. Entries whose number is not above the current position are skipped. Used on one event loop.
  */
 public final class JournalDecoder {
-  /** Where the entries come from that are played. */
+  /** The source of decoded entries. */
   public enum EntrySource {
-    /** A reply that was received just now. */
+    /** A reply of the journal service that has just been received. */
     JOURNAL,
-    /** The configuration, whose entries may be of any age. */
+    /** The configuration; its entries may be of any age. */
     CONFIGURATION
   }
 
-  /** Is notified when a reply is about to be played and when it has been. */
+  /** Receives callbacks before and after the entries of a reply are forwarded. */
   public interface ReplyListener {
     /**
-     * A reply is about to be played.
+     * Called before the entries of a reply are forwarded.
      *
-     * @param source where it comes from
-     * @param newestPurgeMillis the latest timestamp of a purge in it; 0 where there is none
+     * @param source where the entries come from
+     * @param newestPurgeMillis the latest timestamp among the reply's new purges, in Unix
+     *     milliseconds; 0 if it has none
      */
     void replyStarted(EntrySource source, long newestPurgeMillis);
 
-    /** The reply has been played, or could not be. */
+    /** Called after the entries of a reply were forwarded, or forwarding failed. */
     void replyEnded();
   }
 
   private final ReplyListener replyListener;
   private long position;
 
-  /** A decoder at the beginning of the journal. */
+  /** Creates a decoder whose position is the beginning of the journal, 0. */
   public JournalDecoder(ReplyListener replyListener) {
     this.replyListener = replyListener;
   }
 
-  /** The number of the last event that was played. */
+  /**
+   * Returns the journal position up to which replies have been decoded, where the next poll
+   * continues.
+   */
   public long position() {
     return position;
   }
 
   /**
-   * Plays the entries of a reply that are new.
+   * Forwards the new entries of a journal reply to the listener and advances the position.
    *
-   * @throws org.amberpath.gateway.settings.InvalidDocumentException if an entry is invalid; nothing
-   *     of the reply was played then
+   * @throws org.amberpath.gateway.settings.InvalidDocumentException if an entry cannot be decoded;
+   *     no entry was forwarded then. After an exception of the listener the earlier entries have
+   *     been forwarded and the position is unchanged
    */
   public void play(JsonReader reply, EndpointListener listener) {
     play(reply, listener, EntrySource.JOURNAL);
   }
 
-  /** The same for the entries of the configuration, which may be of any age. */
+  /**
+   * Forwards the new entries that the configuration holds to the listener and advances the
+   * position, like {@link #play}. The entries may be older than the previous poll.
+   */
   public void playKnown(JsonReader reply, EndpointListener listener) {
     play(reply, listener, EntrySource.CONFIGURATION);
   }
@@ -76,7 +85,10 @@
     }
   }
 
-  /** Plays the entries that are new; returns the number of the last one. */
+  /**
+   * Forwards the entries whose number is above the position; returns the number of the last of
+   * them, or the position if there is none.
+   */
   private long playEntries(JsonReader reply, EndpointListener target) {
     long at = position;
     ListRun run = new ListRun(target);
@@ -89,7 +101,7 @@
         }
       }
     } finally {
-      run.end(); // Also before an entry that can't be used: what came before it counts.
+      run.end(); // After an exception, too: the entries before the invalid one take effect.
     }
     return at;
   }
@@ -138,9 +150,10 @@
   }
 
   /**
-   * Plays a run of changes of the list as one list, since each list makes its listener go through
-   * all endpoints. A full list begins a list of its own, and so does an id that was gone: it is
-   * another endpoint, of which nothing is known.
+   * Merges consecutive entries with endpoint changes into one list, because the listener iterates
+   * over all endpoints for each list. A full list starts a new list. So does an entry that lists an
+   * id again which the current list has reported as gone: the id then names a new endpoint without
+   * history.
    */
   private static final class ListRun {
     private final EndpointListener listener;
@@ -185,7 +198,10 @@
     }
   }
 
-  /** Finds the newest purge of a reply, and any invalid entry, before it is played. */
+  /**
+   * Receives the entries of a reply in a first pass, before they are forwarded: finds the latest
+   * purge timestamp. An invalid entry makes this pass throw, before anything was forwarded.
+   */
   private static final class NewestPurgeFinder implements EndpointListener {
     private long millis;
 
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Endpoints, drains and purges from the journal service: the long poll ({@link
- * org.amberpath.gateway.discovery.JournalClient}, where to begin), the decoding of its replies, and
- * the {@link org.amberpath.gateway.discovery.Clock} by which the age of what they state is judged.
- * Called by the gateway's lifecycle, on the event loop.
+ * Service discovery through the journal service, which reports endpoints, drains and purges. The
+ * entry point is the long-polling {@link org.amberpath.gateway.discovery.JournalClient}; {@link
+ * org.amberpath.gateway.discovery.JournalDecoder} decodes its replies, and {@link
+ * org.amberpath.gateway.discovery.Clock} computes the age of timestamped events. The gateway's
+ * lifecycle calls this package on the event loop.
  */
 package org.amberpath.gateway.discovery;
