--- a/gateway/src/main/java/org/amberpath/gateway/settings/InvalidDocumentException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/InvalidDocumentException.java
@@ -1,8 +1,8 @@
 package org.amberpath.gateway.settings;
 
 /**
- * A JSON document, or one field of it, is not as its page has it. The message names the document
- * and the field, and says what is wrong.
+ * Thrown when a JSON document or one of its fields is invalid: absent, of the wrong type or out of
+ * range. The message names the document and the field and states the problem.
  */
 public final class InvalidDocumentException extends RuntimeException {
   private static final long serialVersionUID = 1;
@@ -10,26 +10,39 @@
   private final String document;
   private final String key;
 
-  /** The document as a whole is invalid, for a reason that the message gives. */
+  /**
+   * Creates an exception for a document that is invalid as a whole.
+   *
+   * @param message names the document and states the problem
+   */
   public InvalidDocumentException(String message) {
     super(message);
     document = "";
     key = "";
   }
 
-  /** One field of a document is invalid. */
+  /**
+   * Creates an exception for an invalid field of a document.
+   *
+   * @param document the name of the object that holds the field
+   * @param key the key of the field
+   * @param problem what the field is, as it follows "is" in the message: "missing", "not a string"
+   */
   InvalidDocumentException(String document, String key, String problem) {
     super(document + ": field '" + key + "' is " + problem);
     this.document = document;
     this.key = key;
   }
 
-  /** The name of the object in the document, with the keys that lead to it; empty if unknown. */
+  /**
+   * Returns the name of the JSON object that holds the invalid field: the document's name and the
+   * keys that lead to the object, separated by spaces. Empty if the document is invalid as a whole.
+   */
   public String document() {
     return document;
   }
 
-  /** The key of the field; empty where the document as a whole is invalid. */
+  /** Returns the key of the invalid field; empty if the document is invalid as a whole. */
   public String key() {
     return key;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/InvalidSettingsException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/InvalidSettingsException.java
@@ -1,8 +1,9 @@
 package org.amberpath.gateway.settings;
 
 /**
- * Settings that a process cannot start with. The message is one line for the operator; it names the
- * file, the section and the key as far as they are known.
+ * Thrown when settings are missing or invalid, so that the process cannot start with them. The
+ * message is one line for the operator and says what is wrong; {@link #file()}, {@link #section()}
+ * and {@link #key()} locate the setting as far as it is known.
  */
 public final class InvalidSettingsException extends RuntimeException {
   private static final long serialVersionUID = 1;
@@ -12,11 +13,13 @@
   private final String key;
 
   /**
-   * Settings that are invalid.
+   * Creates an exception for settings of any format.
    *
-   * @param file the file, or what else the settings are read from
-   * @param section the section of the file, or the object in it; empty for the file as a whole
-   * @param key the key in the section; empty for the section as a whole
+   * @param file the path of the file, or the name of another source such as the environment
+   * @param section the section of an INI file or the JSON object; empty if the problem concerns the
+   *     whole file
+   * @param key the key in the section; empty if the problem concerns the whole section
+   * @param message the line for the operator
    */
   public InvalidSettingsException(String file, String section, String key, String message) {
     super(message);
@@ -25,7 +28,10 @@
     this.key = key;
   }
 
-  /** Settings in a JSON file that are invalid, with the message of the reader. */
+  /**
+   * Creates an exception for settings in a JSON file. The message, section and key are those of the
+   * cause.
+   */
   public InvalidSettingsException(String file, InvalidDocumentException cause) {
     super(cause.getMessage(), cause);
     this.file = file;
@@ -33,17 +39,20 @@
     key = cause.key();
   }
 
-  /** The file, or what else the settings are read from. */
+  /** Returns the path of the file, or the name of another source such as the environment. */
   public String file() {
     return file;
   }
 
-  /** The section of the file, or the object in it; empty for the file as a whole. */
+  /**
+   * Returns the section of an INI file or the JSON object; empty if the problem concerns the whole
+   * file.
+   */
   public String section() {
     return section;
   }
 
-  /** The key in the section; empty for the section as a whole. */
+  /** Returns the key in the section; empty if the problem concerns the whole section. */
   public String key() {
     return key;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -9,8 +9,9 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, read with messages on what is missing or of the wrong type. Each
- * method that reads throws {@link InvalidDocumentException}. A field that is null counts as absent.
+ * Typed access to the fields of one parsed JSON object. Each method that reads a field throws
+ * {@link InvalidDocumentException} if the field has the wrong type, or if it is absent and the
+ * method has no default. A field whose value is null counts as absent. Immutable.
  */
 public final class JsonReader {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -20,47 +21,50 @@
   private final Map<String, Object> values;
 
   /**
-   * The fields of an object.
+   * Creates a reader for the fields of an object.
    *
-   * @param name the object's name in messages
-   * @param values what the parser made of them: Long, Double, String, Boolean, List and Map
+   * @param name the object's name in error messages
+   * @param values the parsed fields: values are Long, Double, String, Boolean, List, Map or null
    */
   public JsonReader(String name, Map<String, Object> values) {
     this.name = name;
     this.values = values;
   }
 
-  /** The same fields under the name of the message that they make up. */
+  /** Returns a reader for the same fields that uses another name in error messages. */
   public JsonReader named(String other) {
     return new JsonReader(other, values);
   }
 
-  /** Whether a field is present. */
+  /** Returns whether a field is present and not null. */
   public boolean has(String key) {
     return values.get(key) != null;
   }
 
-  /** A boolean; false where it is absent. */
+  /** Returns a boolean field; false if the field is absent. */
   public boolean booleanOrFalse(String key) {
     return has(key) && required(key, Boolean.class, "true or false");
   }
 
-  /** A string. */
+  /** Returns a required string field. */
   public String string(String key) {
     return required(key, String.class, "a string");
   }
 
-  /** An integer of 64 bits. */
+  /** Returns a required 64-bit integer field. */
   public long longValue(String key) {
     return required(key, Long.class, "a whole number");
   }
 
-  /** An integer of 64 bits, with a default. */
+  /** Returns a 64-bit integer field, or the given default if the field is absent. */
   public long longOr(String key, long absent) {
     return has(key) ? longValue(key) : absent;
   }
 
-  /** An integer of 32 bits, with a default. */
+  /**
+   * Returns a 32-bit integer field, or the given default if the field is absent. A value outside
+   * the range of an int is invalid.
+   */
   public int intOr(String key, int absent) {
     long value = longOr(key, absent);
     if (value != (int) value) {
@@ -69,42 +73,51 @@
     return (int) value;
   }
 
-  /** A number. */
+  /** Returns a required numeric field, integer or floating-point. */
   public double doubleValue(String key) {
     return required(key, Number.class, "a number").doubleValue();
   }
 
-  /** A number, with a default. */
+  /** Returns a numeric field, or the given default if the field is absent. */
   public double doubleOr(String key, double absent) {
     return has(key) ? doubleValue(key) : absent;
   }
 
-  /** A time in seconds, as nanoseconds; the wire counts whole microseconds. */
+  /**
+   * Returns a required duration in nanoseconds. The field holds seconds, with a resolution of one
+   * microsecond.
+   */
   public long durationNanos(String key) {
     return secondsToNanos(doubleValue(key));
   }
 
-  /** A time in seconds, as nanoseconds, with a default in nanoseconds. */
+  /**
+   * Returns a duration in nanoseconds, or the given default if the field is absent. The field holds
+   * seconds.
+   */
   public long durationNanosOr(String key, long absentNanos) {
     return has(key) ? durationNanos(key) : absentNanos;
   }
 
-  /** Seconds as nanoseconds, rounded to whole microseconds. */
+  /** Converts seconds to nanoseconds, rounded to the nearest microsecond. */
   public static long secondsToNanos(double seconds) {
     return Math.round(seconds * MICROS_PER_SECOND) * NANOS_PER_MICRO;
   }
 
-  /** An object. */
+  /** Returns a reader for a required object field. */
   public JsonReader object(String key) {
     return new JsonReader(name + " " + key, map(required(key, Map.class, "an object")));
   }
 
-  /** An object; one without fields where it is absent. */
+  /** Returns a reader for an object field; a reader without fields if the field is absent. */
   public JsonReader objectOrEmpty(String key) {
     return has(key) ? object(key) : new JsonReader(name + " " + key, Map.of());
   }
 
-  /** The objects of an array; none where it is absent. */
+  /**
+   * Returns readers for the objects of an array field; an empty list if the field is absent. An
+   * element that is not an object is invalid.
+   */
   public List<JsonReader> objects(String key) {
     List<JsonReader> objects = new ArrayList<>();
     for (Object element : elements(key)) {
@@ -116,12 +129,15 @@
     return objects;
   }
 
-  /** The elements of an array; none where it is absent. */
+  /** Returns the elements of an array field; an empty list if the field is absent. */
   public List<?> elements(String key) {
     return has(key) ? required(key, List.class, "an array") : List.of();
   }
 
-  /** The element at an index of an array; a default where the array is shorter. */
+  /**
+   * Returns the element at an index of an array field; the given default if the field is absent,
+   * the index is outside the array or the element is null.
+   */
   public <T> T elementOr(String key, int index, Class<T> type, T absent) {
     List<?> elements = elements(key);
     if (index < 0 || index >= elements.size() || elements.get(index) == null) {
@@ -133,7 +149,11 @@
     return type.cast(elements.get(index));
   }
 
-  /** The exception that says what a field is, to be thrown by the caller. */
+  /**
+   * Creates an exception for an invalid field of this object, for the caller to throw.
+   *
+   * @param problem what the field is, as it follows "is" in the message: "missing", "not a string"
+   */
   public InvalidDocumentException invalid(String key, String problem) {
     return new InvalidDocumentException(name, key, problem);
   }
@@ -149,15 +169,17 @@
     return type.cast(value);
   }
 
-  @SuppressWarnings("unchecked") // The parser's objects have string keys.
+  @SuppressWarnings("unchecked") // The keys of parsed objects are strings.
   private static Map<String, Object> map(Object value) {
     return (Map<String, Object>) value;
   }
 
   /**
-   * Reads the one JSON object that a text holds.
+   * Parses a document that consists of exactly one JSON object.
    *
-   * @throws IOException if the text is not JSON
+   * @param name the document's name in error messages
+   * @throws IOException if the document is not valid JSON
+   * @throws InvalidDocumentException if it is not an object, or another value follows
    */
   public static JsonReader read(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
@@ -169,9 +191,11 @@
   }
 
   /**
-   * Reads the objects of the one array that a text holds.
+   * Parses a document that consists of exactly one JSON array of objects.
    *
-   * @throws IOException if the text is not JSON
+   * @param name the document's name in error messages
+   * @throws IOException if the document is not valid JSON
+   * @throws InvalidDocumentException if it is not an array of objects, or another value follows
    */
   public static List<JsonReader> readEach(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_ARRAY) {
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -11,8 +11,8 @@
 import org.amberpath.routing.TrafficClassConfig;
 
 /**
- * The routing configuration that a gateway is started with, decoded once from the platform's JSON.
- * Immutable. Durations are nanoseconds.
+ * {@link RoutingConfig} decoded from the {@code settings} object of the platform's JSON
+ * configuration, once at startup. Immutable. Durations are in nanoseconds.
  */
 public final class JsonRoutingConfig implements RoutingConfig {
   private static final String UNKNOWN_KIND = "of no known kind: ";
@@ -40,8 +40,8 @@
   /**
    * Decodes the settings.
    *
-   * @param seed seed of this gateway's random choices
-   * @param settings the platform's settings
+   * @param seed seed of this gateway's random number generator
+   * @param settings the {@code settings} object of the configuration
    * @throws InvalidDocumentException if a field is missing or invalid
    */
   public JsonRoutingConfig(long seed, JsonReader settings) {
@@ -104,7 +104,13 @@
     return List.copyOf(decoded);
   }
 
-  /** Decodes the class at an index; settings of the site hold some of its values. */
+  /**
+   * Decodes one traffic class.
+   *
+   * @param settings the class's own object
+   * @param site the {@code family-info} object, whose arrays hold one value per class
+   * @param index the class's index in those arrays
+   */
   private static TrafficClassConfig trafficClass(JsonReader settings, JsonReader site, int index) {
     return new TrafficClassConfig(
         idempotency(settings),
@@ -142,7 +148,7 @@
     };
   }
 
-  /** The index of the traffic class of a name; -1 where there is none. */
+  /** Returns the index of the traffic class with the given name; -1 if there is none. */
   public int trafficClassIndex(String name) {
     for (int index = 0; index < trafficClasses.size(); index++) {
       if (trafficClasses.get(index).name().equals(name)) {
--- a/gateway/src/main/java/org/amberpath/gateway/settings/NumericAddress.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/NumericAddress.java
@@ -6,7 +6,10 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** Addresses in settings and in lists of endpoints: numeric, so that nothing is ever looked up. */
+/**
+ * Parses the {@code host:port} addresses of settings and endpoint lists. Hosts must be numeric IPv4
+ * or IPv6 addresses, so that parsing never makes a DNS lookup.
+ */
 public final class NumericAddress {
   private static final int PORTS = 1 << 16;
   private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9a-fA-F.:]+");
@@ -14,10 +17,12 @@
   private NumericAddress() {}
 
   /**
-   * An address and port, already resolved.
+   * Parses an address and returns it as a resolved socket address.
    *
-   * @param key what the address is in the message of the exception
-   * @throws InvalidDocumentException if it is neither an IPv4 nor an IPv6 address with a port
+   * @param key the name of the setting or field, with which the message of the exception begins
+   * @param text an IPv4 or IPv6 address, a colon and a port from 0 to 65535; an IPv6 address may
+   *     stand in brackets
+   * @throws InvalidDocumentException if the text is not such an address
    */
   public static SocketAddress parse(String key, String text) {
     int colon = text.lastIndexOf(':');
@@ -29,7 +34,7 @@
             new InetSocketAddress(InetAddress.getByName(host), port));
       }
     } catch (NumberFormatException | UnknownHostException e) {
-      // The message below covers it.
+      // Reported below, like an invalid port or host.
     }
     throw new InvalidDocumentException(key + " no address:port: " + text);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/package-info.java
@@ -1,6 +1,6 @@
 /**
- * JSON settings: the one reader of JSON objects, also for replies of discovery and the simulator's
- * wire, and the routing configuration that is read with it. No I/O; instances are not changed after
- * their construction.
+ * JSON settings: {@link org.amberpath.gateway.settings.JsonReader}, which is also used for
+ * discovery replies and for the simulator's protocol, and the routing configuration that is read
+ * with it. The package does no I/O; all types are immutable.
  */
 package org.amberpath.gateway.settings;
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
@@ -8,8 +8,9 @@
 import org.amberpath.routing.RoutingActions;
 
 /**
- * Encodes one gateway's actions of a round as a part of the simulator's reply; a round without
- * actions writes nothing. Errors in writing are thrown unchecked.
+ * Encodes the routing actions that one gateway takes in a batch as that gateway's element of the
+ * reply's {@code parts} array. Nothing is written for a batch without actions. I/O errors are
+ * thrown as {@link UncheckedIOException}.
  */
 final class ActionEncoder implements RoutingActions {
   private static final long NANOS_PER_MICRO = 1000;
@@ -20,19 +21,24 @@
   private JsonGenerator reply;
   private boolean partStarted;
 
-  /** An encoder for the gateway of this number. */
+  /**
+   * Creates an encoder for one gateway.
+   *
+   * @param gateway the simulator's number of the gateway
+   * @param caches the addresses of the gateway's caches
+   */
   ActionEncoder(int gateway, CacheIndex caches) {
     this.gateway = gateway;
     this.caches = caches;
   }
 
-  /** Writes the following actions to a reply, until {@link #finish}. */
+  /** Starts a batch: actions are written to the given reply until {@link #finish}. */
   void begin(JsonGenerator to) {
     reply = to;
     partStarted = false;
   }
 
-  /** Completes the part of the reply, if there is one. */
+  /** Ends the batch: closes the gateway's element of the reply if any action was written. */
   void finish() throws IOException {
     if (partStarted) {
       reply.writeEndArray();
@@ -99,12 +105,12 @@
     write("keep-informed", () -> reply.writeBooleanField("enable", true));
   }
 
-  /** Reports that the decisions failed in this round. */
+  /** Writes that the router threw an exception in this batch. */
   void failed(RuntimeException failure) {
     write("broken", () -> reply.writeStringField("body-text", String.valueOf(failure)));
   }
 
-  /** Writes the fields of one action. */
+  /** Writes the fields of one action, without its verb. */
   private interface Fields {
     void write() throws IOException;
   }
@@ -126,7 +132,7 @@
     }
   }
 
-  /** A time in seconds with six decimals; what is below a microsecond is cut off. */
+  /** Writes a time in seconds with six decimals, truncated to whole microseconds. */
   private void writeSeconds(String key, long nanos) throws IOException {
     reply.writeFieldName(key);
     reply.writeNumber(BigDecimal.valueOf(nanos / NANOS_PER_MICRO, MICROS_SCALE));
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/CacheIndex.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/CacheIndex.java
@@ -5,12 +5,15 @@
 import java.util.List;
 import java.util.Map;
 
-/** Numbers the addresses of caches in the order in which they were first listed, from 0. */
+/**
+ * Maps cache addresses to indices and back. Indices count up from 0 in the order in which the
+ * addresses were first added; an index is never reused.
+ */
 final class CacheIndex {
   private final Map<String, Integer> indices = new HashMap<>();
   private final List<String> addresses = new ArrayList<>();
 
-  /** The index of an address; a new one where it was not listed yet. */
+  /** Returns the index of an address, and assigns the next free one if the address is new. */
   int add(String address) {
     return indices.computeIfAbsent(
         address,
@@ -20,17 +23,17 @@
         });
   }
 
-  /** Whether an address was listed. */
+  /** Returns whether an address has an index. */
   boolean contains(String address) {
     return indices.containsKey(address);
   }
 
-  /** The index of an address that was listed. */
+  /** Returns the index of an address, which must have been added before. */
   int indexOf(String address) {
     return indices.get(address);
   }
 
-  /** The address of an index that was given out. */
+  /** Returns the address with an index that {@link #add} has returned. */
   String address(int index) {
     return addresses.get(index);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -12,20 +12,26 @@
 import org.amberpath.routing.RoutingEventHandler;
 
 /**
- * Decodes the simulator's events into those of the decisions. An event that the wire does not have
- * is an error that ends the process.
+ * Decodes the simulator's events for one gateway and passes them to the router's event handler. An
+ * unknown or invalid event throws {@link org.amberpath.gateway.settings.InvalidDocumentException},
+ * on which the {@link SimulationHost} exits.
  */
 final class EventDecoder {
   private final JsonRoutingConfig config;
   private final CacheIndex caches;
 
-  /** A decoder for one gateway; caches are numbered as they are listed. */
+  /**
+   * Creates a decoder for one gateway.
+   *
+   * @param config the gateway's configuration, for the names of traffic classes
+   * @param caches receives the address of each listed cache
+   */
   EventDecoder(JsonRoutingConfig config, CacheIndex caches) {
     this.config = config;
     this.caches = caches;
   }
 
-  /** Decodes one event; some concern no decision. */
+  /** Decodes one event; {@code status-back} and {@code heard} do not reach the router. */
   void decode(JsonReader event, RoutingEventHandler to) {
     switch (event.string("verb")) {
       case "view" -> endpointList(event.named("view"), to);
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -9,17 +9,20 @@
 import org.amberpath.gateway.settings.JsonRoutingConfig;
 import org.amberpath.routing.RequestRouter;
 
-/** One gateway on the simulator's wire: its decisions, and the codec of its events and actions. */
+/**
+ * One gateway of a simulation: its {@link RequestRouter}, the decoder of its events and the encoder
+ * of its actions.
+ */
 final class SimulatedGateway {
   private final EventDecoder decoder;
   private final ActionEncoder encoder;
   private final RequestRouter router;
 
   /**
-   * A gateway that has just started.
+   * Creates a gateway in the state after its start: it knows no endpoints.
    *
-   * @param number the simulator's number of it
-   * @param start the event of its start, with its settings
+   * @param number the simulator's number of the gateway
+   * @param start the {@code up} event, with the gateway's seed and settings
    */
   SimulatedGateway(int number, JsonReader start) {
     JsonRoutingConfig config =
@@ -31,10 +34,12 @@
   }
 
   /**
-   * Runs one round and writes its part of the reply, if it has any action.
+   * Routes one batch of events and writes the resulting actions, if any, to the reply. An exception
+   * of the router is printed to standard error and reported in the reply.
    *
-   * @param nowNanos the simulator's time
+   * @param nowNanos the simulated time in nanoseconds
    * @throws IOException if the reply cannot be written
+   * @throws InvalidDocumentException if an event is invalid
    */
   void round(long nowNanos, List<JsonReader> events, JsonGenerator reply) throws IOException {
     encoder.begin(reply);
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -19,8 +19,9 @@
 import org.amberpath.gateway.settings.JsonReader;
 
 /**
- * Hosts many gateways on the simulator's wire: one line with a round's events in, one line with the
- * actions out, until the input ends. Blocks the calling thread.
+ * Runs many simulated gateways in one process and speaks the simulator's protocol of JSON lines:
+ * each input line holds a batch of events with its simulated time, and is answered by one output
+ * line with the actions. Blocks the calling thread until the input ends.
  */
 public final class SimulationHost {
   private static final int EXIT_OK = 0;
@@ -33,7 +34,11 @@
   private final PrintStream err;
   private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-  /** A host without gateways; messages on invalid input go to err. */
+  /**
+   * Creates a host without gateways.
+   *
+   * @param err receives one line on invalid input
+   */
   public SimulationHost(InputStream in, OutputStream out, PrintStream err) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
     this.out = out;
@@ -41,9 +46,10 @@
   }
 
   /**
-   * Answers every line.
+   * Answers the input line by line.
    *
-   * @return the exit code: 0 at the end of the input, 1 on a line that is invalid
+   * @return the exit code: 0 at the end of the input, 1 after an invalid line, which is not
+   *     answered
    * @throws IOException if reading or writing fails
    */
   public int run() throws IOException {
@@ -83,7 +89,11 @@
     }
   }
 
-  /** Events before a gateway's last start or stop in the round concerned the one that is gone. */
+  /**
+   * Applies the starts and stops of one gateway in this batch, then routes the events that follow
+   * the last of them. Events before it are skipped: they belong to the gateway instance that the
+   * start or stop has ended.
+   */
   private void round(long nowNanos, int number, List<JsonReader> events, JsonGenerator reply)
       throws IOException {
     int first = 0;
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' simulator wire (command {@code wirehost}): JSON lines in and out, many gateways in
- * one process, time as the simulator tells it. Single-threaded.
+ * Server side of the operators' simulator protocol (command {@code wirehost}): reads and writes
+ * JSON lines and runs many gateways in one process on simulated time. Single-threaded.
  */
 package org.amberpath.gateway.simulation;
