--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/BackgroundTask.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/BackgroundTask.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway.testsupport;
 
-/** What runs beside a test, until it fails or its thread is interrupted. */
+/** A task on a thread of the testbed that runs concurrently with a test. */
 public interface BackgroundTask {
-  /** Runs; a failure ends the task alone. */
+  /** Runs the task until it ends, throws or is interrupted; an exception does not fail the test. */
   void run() throws Exception;
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** What a client got for one request: an error's code, or the body. */
+/** The response to one request of a {@link TestClient}: an error code, a body or a status. */
 public final class ClientAnswer {
   private final long messageId;
   private final String error;
@@ -18,27 +18,27 @@
     this.fields = fields;
   }
 
-  /** The message id of the request. */
+  /** Returns the message id of the request. */
   public long messageId() {
     return messageId;
   }
 
-  /** The error's code; null where there is none. */
+  /** Returns the error code; null for a result. */
   public String error() {
     return error;
   }
 
-  /** The body; null for an error and for a status. */
+  /** Returns the body; null for an error and for a status response. */
   public byte[] body() {
     return body;
   }
 
-  /** What the answer to a status request says; false for all others. */
+  /** Returns whether a status response reported the gateway as ready; false for other responses. */
   public boolean isReady() {
     return isReady;
   }
 
-  /** The details of the result or the error. */
+  /** Returns the fields that accompany the result or the error. */
   public Map<String, String> fields() {
     return fields;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/CommandHandler.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/CommandHandler.java
@@ -1,7 +1,7 @@
 package org.amberpath.gateway.testsupport;
 
-/** What a cache does with each command. */
+/** Handles the commands that a {@link StubCache} receives. */
 public interface CommandHandler {
-  /** Handles one command. */
+  /** Handles one command; an exception ends the handling of that command only. */
   void handle(ReceivedCommand command) throws Exception;
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -12,12 +12,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A testbed whose endpoints handle commands by themselves, and requests that have to be served. */
+/**
+ * Base class of fault tests: a testbed whose caches answer commands on background threads, and
+ * helpers that send requests of which each must succeed.
+ */
 public abstract class FaultFixture {
-  /** A deadline with which a request is served also where a retry is needed. */
+  /** A request timeout that leaves time for retries. */
   protected static final int LONG_MILLIS = 4000;
 
-  /** Up to so long after its deadline a request only earns nothing; later it is lost. */
+  /**
+   * How long after its deadline an answer may arrive. Up to then the request merely earns nothing;
+   * later it counts as lost.
+   */
   protected static final long LATE_MILLIS = 500;
 
   protected static final int MAX_ATTEMPTS = 3;
@@ -50,7 +56,7 @@
     return String.format("%016x", ofNumber);
   }
 
-  /** The wants among what came to caches, of one request. */
+  /** Returns the {@code want} commands of one request among the commands that caches received. */
   protected static List<TimedCommand> attemptsOf(List<List<TimedCommand>> seen, int ofNumber) {
     return seen.stream()
         .flatMap(List::stream)
@@ -75,7 +81,7 @@
 
   protected static void hang(ReceivedCommand command) {}
 
-  /** One more request, which has to be served with the bytes of its part. */
+  /** Sends the next request and asserts that the answer is the body of the requested part. */
   protected void requestServed(TestClient client) throws Exception {
     int part = ++number % PARTS;
     client.sendRequest(number, "parts", LONG_MILLIS, part);
@@ -85,7 +91,10 @@
         "part " + part, new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** Asks for all parts in turn until the condition holds; every request has to be served. */
+  /**
+   * Requests all parts in turn until the condition holds; asserts that every request is served and
+   * that the condition holds within 20 s.
+   */
   protected void requestUntil(TestClient client, BooleanSupplier done) throws Exception {
     long since = System.nanoTime();
     while (!done.getAsBoolean()) {
@@ -93,7 +102,7 @@
           millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
           "it never comes");
       requestServed(client);
-      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Requests at a rate: the passing of time is tested.
+      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Limits the request rate.
     }
   }
 
@@ -103,8 +112,8 @@
   }
 
   /**
-   * Whatever else came for the connection's requests, nothing is left of it: the next answer is the
-   * status.
+   * Asserts that no further answer to an earlier request is pending on the connection: the next
+   * answer must be the one to a status request.
    */
   protected static void assertNoFurtherAnswer(TestClient client) throws Exception {
     assertEquals(9999, client.requestStatus().messageId());
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
@@ -6,11 +6,11 @@
 import org.amberpath.routing.RequestDetails;
 import org.amberpath.routing.RoutingEventHandler;
 
-/** Passes all events on to another handler. */
+/** Forwards all events to another handler; base class for handlers that intercept some of them. */
 public class ForwardingEventHandler implements RoutingEventHandler {
   private final RoutingEventHandler to;
 
-  /** A handler that passes all events on. */
+  /** Creates a handler that forwards to the given one. */
   public ForwardingEventHandler(RoutingEventHandler to) {
     this.to = to;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway on loopback that knows one cache and the origin, and one client of it. */
+/**
+ * Base class of tests with one gateway on loopback that knows one cache and the origin, and with
+ * one client connected to it.
+ */
 public abstract class GatewayFixture {
   protected static final long TIMEOUT_MILLIS = 5000;
 
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
@@ -14,13 +14,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Gateways in processes of their own. Locale, time zone, working folder, variables and options of
- * the runtime are set here, so that a test has the same verdict whatever started it. What can't be
- * set is whether SIGHUP is ignored: a process that inherits that can't take it back, and {@link
- * #inheritsIgnoredHangUp} says whether it does.
+ * Starts gateways in separate processes. Sets locale, time zone, working directory, environment
+ * variables and JVM options, so that the result of a test does not depend on the environment of the
+ * test run. Whether SIGHUP is ignored cannot be set: a process that inherits SIGHUP as ignored
+ * cannot restore it. {@link #inheritsIgnoredHangUp} tells whether this is the case.
  */
 public final class GatewayProcess {
-  /** What a process that inherits SIGHUP as ignored logs once, as a pattern of the whole line. */
+  /**
+   * Regular expression for the complete log line that a process which inherits SIGHUP as ignored
+   * writes once.
+   */
   public static final String HANG_UP_IGNORED =
       "\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3} WARNING SIGHUP is ignored, as inherited"
           + " from the parent process: PROXY_CONFIG is polled each second instead";
@@ -29,12 +32,12 @@
 
   private GatewayProcess() {}
 
-  /** Starts a gateway that has this environment; what it logs is on its standard output. */
+  /** Starts a gateway with the given environment; its standard output carries its log. */
   public static Process start(Path folder, Map<String, String> environment) throws IOException {
     return start(folder, environment, List.of());
   }
 
-  /** The same with SIGHUP ignored, as under nohup. */
+  /** Starts a gateway that inherits SIGHUP as ignored, as under nohup. */
   public static Process startWithHangUpIgnored(Path folder, Map<String, String> environment)
       throws IOException {
     return start(folder, environment, List.of("sh", "-c", "trap '' HUP; exec \"$0\" \"$@\""));
@@ -66,18 +69,24 @@
         .collect(Collectors.joining(File.pathSeparator));
   }
 
-  /** Whether processes that are started from here inherit SIGHUP as ignored. */
+  /** Returns whether child processes of this process inherit SIGHUP as ignored. */
   public static boolean inheritsIgnoredHangUp() throws Exception {
     return new ProcessBuilder("sh", "-c", "kill -HUP $$").start().waitFor() == 0;
   }
 
-  /** Sends a signal, by its name without SIG. */
+  /**
+   * Sends a signal to a process.
+   *
+   * @param name the signal's name without SIG, such as HUP
+   */
   public static void signal(Process process, String name) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  /** Reads up to a line that contains a part, and returns it; fails the test where none comes. */
+  /**
+   * Reads lines until one contains the given text and returns it; fails the test at end of file.
+   */
   public static String awaitLine(BufferedReader log, String part) throws IOException {
     String line = log.readLine();
     while (line != null && !line.contains(part)) {
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
@@ -22,7 +22,8 @@
 import org.amberpath.gateway.pipeline.BatchRouter;
 
 /**
- * Clients, caches and the journal service, as the protocol has them, round one gateway on loopback.
+ * One gateway on loopback with stub caches, a stub journal and test clients that speak the real
+ * protocols. {@link #close} closes all of them.
  */
 public final class GatewayTestbed implements AutoCloseable {
   public static final String OBJECT_ID = "7f3a9c21e0b4d655";
@@ -51,10 +52,13 @@
   public Gateway gateway;
   public StubCache origin;
 
-  /** A testbed without a gateway, whose journal listens. */
+  /** Creates a testbed with a listening journal and without a gateway. */
   public GatewayTestbed() throws IOException {}
 
-  /** A gateway that knows one edge cache and the origin; both listen. */
+  /**
+   * Starts a gateway that knows one edge cache, c0, and the origin, o0; both listen. Returns the
+   * edge cache.
+   */
   public StubCache start(Path folder) throws Exception {
     StubCache cache = cache();
     journal.listEndpoint("c0", cache.address(), "box", "ready");
@@ -64,7 +68,11 @@
     return cache;
   }
 
-  /** Starts a gateway, with another router than its own unless that is null. */
+  /**
+   * Starts a gateway.
+   *
+   * @param decisions the router to use; null for the gateway's own
+   */
   public void start(GatewayOptions options, BatchRouter decisions) throws Exception {
     gateway =
         decisions == null
@@ -78,7 +86,8 @@
   }
 
   /**
-   * The environment of a gateway whose configuration has the entries that the journal holds now.
+   * Writes a configuration with the journal's present entries to {@code config.json} in the folder
+   * and returns the environment variables of a gateway that uses it.
    */
   public Map<String, String> environment(Path folder) throws IOException {
     Path file = folder.resolve("config.json");
@@ -95,14 +104,17 @@
     return Map.of("PROXY_CONFIG", file.toString());
   }
 
-  /** A further cache, which listens. */
+  /** Creates a listening cache. */
   public StubCache cache() throws IOException {
     StubCache cache = new StubCache(threads);
     resources.add(cache);
     return cache;
   }
 
-  /** An address at which connections neither come up nor are refused. */
+  /**
+   * Returns an address at which connects time out: the accept backlog of its socket is full, so
+   * connections are neither established nor refused.
+   */
   public String fullAddress() throws IOException {
     ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
     resources.add(full);
@@ -117,12 +129,12 @@
     }
   }
 
-  /** A further client of the gateway. */
+  /** Connects a client to the gateway. */
   public TestClient client() throws IOException {
     return client(gateway.port());
   }
 
-  /** A further client of the gateway. */
+  /** Connects a client to the given port on loopback. */
   public TestClient client(int port) throws IOException {
     TestClient client = new TestClient(port);
     resources.add(client);
@@ -145,7 +157,9 @@
   }
 
   /**
-   * The same with some of its text replaced: pairs of what is there and what stands there instead.
+   * Writes a configuration like {@link #environment(Path)} with some of its text replaced.
+   *
+   * @param changes pairs of the text to replace and its replacement
    */
   public Map<String, String> environment(Path folder, String... changes) throws IOException {
     Map<String, String> environment = environment(folder);
@@ -158,24 +172,30 @@
     return environment;
   }
 
-  /** Runs something on the event loop of the gateway, which stands still meanwhile. */
+  /** Runs a task on the gateway's event loop, which is blocked while the task runs. */
   public void runOnEventLoop(Runnable what) {
     gateway.context().runOnContext(turn -> what.run());
   }
 
-  /** Runs a task on another thread; its failure, such as that of a closed socket, ends it alone. */
+  /**
+   * Runs a task on another thread. An exception, such as that of a closed socket, ends the task and
+   * does not fail the test.
+   */
   public void runInBackground(BackgroundTask task) {
     threads.execute(
         () -> {
           try {
             task.run();
           } catch (Exception e) {
-            // The test sees what the task did, or did not do.
+            // The test checks the effects of the task.
           }
         });
   }
 
-  /** Has a cache handle its commands from now on; the list that is returned grows with them. */
+  /**
+   * Passes each {@code want} command that the cache receives from now on to the handler, on a
+   * thread of its own. Returns a thread-safe list to which every received command is added.
+   */
   public List<TimedCommand> handleCommands(StubCache cache, CommandHandler handler) {
     List<TimedCommand> seen = new CopyOnWriteArrayList<>();
     threads.execute(
@@ -199,13 +219,13 @@
     try {
       handler.handle(command);
     } catch (Exception e) {
-      // The gateway has closed this connection, or the test is over.
+      // The gateway has closed the connection, or the test has ended.
     }
   }
 
   /**
-   * A gateway that knows so many edge caches, c0 and up, and the origin; it asks the journal at the
-   * given address.
+   * Starts a gateway that knows the given number of edge caches, with ids from c0, and the origin,
+   * and that polls the journal at the given address. Returns the edge caches.
    */
   public List<StubCache> start(Path folder, int count, String journalAddress) throws Exception {
     List<StubCache> caches = new ArrayList<>();
@@ -219,7 +239,7 @@
     return caches;
   }
 
-  /** What a configuration says that names this journal. */
+  /** Returns options like those of {@link #environment(Path)} with another journal address. */
   public GatewayOptions options(Path folder, String journalAddress) throws IOException {
     Path file = Path.of(environment(folder).get("PROXY_CONFIG"));
     Path next = Files.createTempFile(folder, "config", ".json");
@@ -230,7 +250,7 @@
     return GatewayOptions.read(Map.of("PROXY_CONFIG", next.toString()));
   }
 
-  /** Another journal service, which holds what the first one holds now. */
+  /** Starts another journal service with the present entries of the testbed's journal. */
   public StubJournal copyOfJournal() throws IOException {
     StubJournal second = new StubJournal(threads);
     second.copyEntries(journal);
@@ -238,7 +258,9 @@
     return second;
   }
 
-  /** An address that refuses connections, and that nobody else takes meanwhile. */
+  /**
+   * Returns an address that refuses connections; its port stays reserved until the testbed closes.
+   */
   public String refusingAddress() throws IOException {
     Socket reserved = new Socket();
     resources.add(reserved);
@@ -246,7 +268,7 @@
     return "127.0.0.1:" + reserved.getLocalPort();
   }
 
-  /** A further way to a journal. */
+  /** Starts a relay to a journal. */
   public JournalRelay relay(StubJournal to) throws IOException {
     JournalRelay relay = new JournalRelay(to, threads);
     resources.add(relay);
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -13,26 +13,26 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A way to a journal that can be slow, overloaded or closed. */
+/** A TCP relay to a journal that can delay replies, reset connections or refuse them. */
 public final class JournalRelay implements Closeable {
   private static final int CHUNK_BYTES = 65_536;
 
   private final ExecutorService threads;
   private final StubJournal to;
 
-  /** Bound and never used: keeps the port while nothing listens there. */
+  /** Bound but never connected: keeps the port reserved while nothing listens there. */
   private final Socket reserved = new Socket();
 
   private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
   private ServerSocket server;
   private int accepted;
 
-  /** How much longer each reply takes. */
+  /** The delay in milliseconds before the first bytes of each reply are forwarded; 0 for none. */
   public volatile long delayMillis;
 
   /**
-   * Of so many connections one is served, with one reply, and the others are reset; 0: all are
-   * served.
+   * One of this number of accepted connections is relayed, and the others are reset at once; 0 to
+   * relay all.
    */
   public volatile int resetsAllButOneOf;
 
@@ -44,12 +44,12 @@
     listen();
   }
 
-  /** The address that it listens at. */
+  /** Returns the address that the relay listens at. */
   public String address() {
     return "127.0.0.1:" + reserved.getLocalPort();
   }
 
-  /** Listens, for the first time or again. */
+  /** Starts to listen, again after {@link #refuseConnections}. */
   public void listen() throws IOException {
     ServerSocket listening = new ServerSocket();
     listening.setReuseAddress(true);
@@ -58,8 +58,8 @@
       try {
         listening.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, reserved.getLocalPort()));
       } catch (BindException e) {
-        if (System.nanoTime()
-            > until) { // The one before is being let go by the thread that accepts there.
+        // The accepting thread may not have released the previous server socket yet.
+        if (System.nanoTime() > until) {
           throw e;
         }
         Thread.onSpinWait();
@@ -73,18 +73,18 @@
               accepted(listening.accept());
             }
           } catch (IOException e) {
-            // Closed.
+            // The server socket was closed.
           }
         });
   }
 
-  /** Refuses connections from now on, and resets those that are open. */
+  /** Refuses new connections and resets the open ones. */
   public void refuseConnections() throws IOException {
     server.close();
     resetConnections();
   }
 
-  /** Resets the connections that are open. */
+  /** Resets the open connections. */
   public void resetConnections() throws IOException {
     for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
       reset(one);
@@ -124,7 +124,7 @@
         on.getOutputStream().write(bytes, 0, read);
       }
     } catch (Exception e) {
-      // One side is gone.
+      // One of the two connections was closed.
     }
   }
 
@@ -132,7 +132,7 @@
     try {
       socket.setSoLinger(true, 0);
     } catch (SocketException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
     socket.close();
   }
@@ -143,7 +143,7 @@
     reserved.close();
   }
 
-  /** What is done before a chunk is passed on. */
+  /** A hook that runs before each chunk is forwarded. */
   private interface BeforeChunk {
     void call() throws Exception;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
@@ -11,9 +11,9 @@
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
-/** A router that pauses the event loop once, as long as a test wants. */
+/** A router that blocks the event loop once, until the test resumes it or 20 s have passed. */
 public final class PausingRouter implements BatchRouter {
-  /** The id of the request after which it pauses. */
+  /** The id of the request that {@link #pauseAfterRequest} sends. */
   public static final String PAUSING_REQUEST_ID = "00000000000003e7";
 
   private static final long TIMEOUT_SECONDS = 20;
@@ -23,7 +23,7 @@
   private final CountDownLatch resumed = new CountDownLatch(1);
   private volatile boolean armed;
 
-  /** A router that decides as another one. */
+  /** Creates a router that delegates to the given one. */
   public PausingRouter(BatchRouter router) {
     this.router = router;
   }
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Pauses until {@link #resume}; called on the event loop. */
+  /** Blocks the calling thread, the event loop, until {@link #resume} or for 20 s. */
   public void pauseUntilResumed() {
     paused.countDown();
     try {
@@ -47,7 +47,7 @@
     }
   }
 
-  /** Pauses the event loop after a request of this client's. */
+  /** Sends a request from the client and waits until the event loop has paused after routing it. */
   public void pauseAfterRequest(TestClient client) throws Exception {
     armed = true;
     client.sendRequest(0x3e7, "parts", 4000, 0);
@@ -59,12 +59,12 @@
     assertTrue(paused.await(TIMEOUT_SECONDS, TimeUnit.SECONDS));
   }
 
-  /** Lets the event loop go on. */
+  /** Unblocks the event loop. */
   public void resume() {
     resumed.countDown();
   }
 
-  /** A handler that passes on the name of each event, with its arguments. */
+  /** Creates a handler that passes the method name and arguments of each event to the listener. */
   public static RoutingEventHandler recordingHandler(BiConsumer<String, Object[]> listener) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
@@ -6,14 +6,19 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** What came to a cache on one connection. */
+/**
+ * A command that a {@link StubCache} received.
+ *
+ * @param socket the connection on which it was received, for the reply
+ * @param elements the elements of the RESP array: command word, request id, fields
+ */
 public record ReceivedCommand(Socket socket, List<byte[]> elements) {
-  /** An element of the command, as text. */
+  /** Returns an element of the command as text. */
   public String element(int place) {
     return new String(elements.get(place), StandardCharsets.ISO_8859_1);
   }
 
-  /** The value of a field; null where it is absent. */
+  /** Returns the value of a field; null if the field is absent. */
   public String field(String name) {
     for (String field : element(2).split(",", -1)) {
       if (field.startsWith(name + "=")) {
@@ -23,7 +28,7 @@
     return null;
   }
 
-  /** Replies with a status, fields and a body. */
+  /** Replies with a status, comma-separated fields and a body. */
   public void reply(String status, String fields, byte[] body) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
@@ -40,7 +45,7 @@
     socket.getOutputStream().write(out.toByteArray());
   }
 
-  /** Replies with a body. */
+  /** Replies with status {@code ok} and a body. */
   public void replyOk(String text) throws IOException {
     reply(
         "ok",
@@ -48,7 +53,7 @@
         text.getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Resets the connection. */
+  /** Resets the connection (TCP RST). */
   public void reset() throws IOException {
     socket.setSoLinger(true, 0);
     socket.close();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ServeProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ServeProcess.java
@@ -2,11 +2,11 @@
 
 import org.amberpath.gateway.Server;
 
-/** A gateway as a process of its own, without the command line round it. */
+/** Main class of a gateway in a separate process, without the command line interface. */
 public final class ServeProcess {
   private ServeProcess() {}
 
-  /** Serves by what the environment names, and logs on standard error. */
+  /** Runs a gateway that is configured by the environment and logs to standard error. */
   public static void main(String[] args) {
     Server.run(System.getenv(), System.err);
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
@@ -7,14 +7,17 @@
 import org.amberpath.routing.RequestRouter;
 import org.amberpath.routing.RoutingEvents;
 
-/** A router that stalls the event loop in the next batch, until it is resumed. */
+/**
+ * A router that, once armed, blocks the event loop after routing the next batch, until it is
+ * resumed or 10 s have passed.
+ */
 public final class StallingRouter implements BatchRouter {
   private final BatchRouter router;
   public final CountDownLatch stalled = new CountDownLatch(1);
   public final CountDownLatch resume = new CountDownLatch(1);
   public volatile boolean armed;
 
-  /** A router that decides by the options. */
+  /** Creates a router that delegates to a {@link RequestRouter} with the given options. */
   public StallingRouter(GatewayOptions options) {
     router = new RequestRouter(options.routingConfig())::decide;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A cache that keeps the commands that it receives, for the test to reply to. */
+/** A cache that queues the commands it receives; the test replies to them. */
 public final class StubCache implements Closeable {
   public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
   public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
-  /** Counted down once nothing is accepted any more. */
+  /** Counted down when the accepting thread has ended. */
   private final CountDownLatch stopped = new CountDownLatch(1);
 
   StubCache(ExecutorService threads) throws IOException {
@@ -33,14 +33,14 @@
               threads.execute(() -> read(socket));
             }
           } catch (IOException e) {
-            // Closed.
+            // The server socket was closed.
           } finally {
             stopped.countDown();
           }
         });
   }
 
-  /** The address that it listens at. */
+  /** Returns the address that the cache listens at. */
   public String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
@@ -56,7 +56,7 @@
         commands.add(new ReceivedCommand(socket, elements));
       }
     } catch (IOException | NumberFormatException e) {
-      // The connection is gone.
+      // The connection was closed.
     }
   }
 
@@ -68,7 +68,7 @@
     return Integer.parseInt(line.substring(1).trim());
   }
 
-  /** The next command; fails the test when none comes. */
+  /** Returns the next command; fails the test if none is received within 10 s. */
   public ReceivedCommand nextCommand() throws InterruptedException {
     ReceivedCommand next = commands.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertNotNull(next, "nothing came to the cache");
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Connections are refused once this returns: while its thread is still in accept, the system
-   * keeps the socket listening though it is closed.
+   * Stops listening. Waits for the accepting thread to end, so that connections are refused once
+   * this method returns: the system keeps a closed socket listening while a thread is in accept.
    */
   @Override
   public void close() throws IOException {
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
@@ -12,17 +12,26 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.LinkedBlockingQueue;
 
-/** Long poll over HTTP: a reply comes when there is more, or after the wait. */
+/**
+ * A journal service that answers long polls over HTTP: as soon as it has entries after the
+ * requested position, or after the wait that the poll asks for.
+ */
 public final class StubJournal {
   public final HttpServer server =
       HttpServer.create(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0), 0);
   public final BlockingQueue<String> polls = new LinkedBlockingQueue<>();
   private final List<String> entries = new ArrayList<>();
 
-  /** What replies are instead, while it is set: an empty one never comes. */
+  /**
+   * The body of all replies while it is not null. While it is empty, no reply is sent and polls
+   * stay open.
+   */
   public volatile String replyOverride;
 
-  /** Whether the next reply stops in its midst, on a connection that stays open. */
+  /**
+   * Whether the next reply of more than 40 bytes stops after half of its body and keeps the
+   * connection open; reset by that reply.
+   */
   public volatile boolean truncatesNextReply;
 
   StubJournal(ExecutorService threads) throws IOException {
@@ -31,12 +40,12 @@
     server.start();
   }
 
-  /** The address that it listens at. */
+  /** Returns the address that the journal listens at. */
   public String address() {
     return "127.0.0.1:" + server.getAddress().getPort();
   }
 
-  /** The reply that holds the entries behind a position. */
+  /** Returns the reply with the entries after a position. */
   public synchronized String entriesSince(int tail) {
     return "{\"pos\":"
         + entries.size()
@@ -45,20 +54,28 @@
         + "]}";
   }
 
-  /** Adds an entry. */
+  /**
+   * Adds an entry.
+   *
+   * @param event the JSON fields of the entry except its number
+   */
   public synchronized void addEntry(String event) {
     entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
     notifyAll();
   }
 
-  /** Adds what another journal holds now. */
+  /** Adds the present entries of another journal. */
   public void copyEntries(StubJournal other) {
     synchronized (other) {
       entries.addAll(other.entries);
     }
   }
 
-  /** Adds an entry that lists one endpoint. */
+  /**
+   * Adds an entry that lists one endpoint.
+   *
+   * @param state the lifecycle value: ready, draining or gone
+   */
   public void listEndpoint(String id, String address, String kind, String state) {
     addEntry(
         "\"hosts\":{\"generation\":1,\"reset\":false,\"instances\":[{\"instanceId\":\""
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -9,7 +9,7 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** A client, which blocks the calling thread. */
+/** A client of the gateway; its methods block the calling thread, for at most 10 s a read. */
 public final class TestClient implements Closeable {
   public final Socket socket;
   private final MessageUnpacker in;
@@ -19,7 +19,7 @@
     this(new Socket(GatewayTestbed.LOOPBACK, port));
   }
 
-  /** Connects to a port on loopback. */
+  /** Creates a client on a connected socket. */
   public TestClient(Socket connected) throws IOException {
     socket = connected;
     socket.setTcpNoDelay(true);
@@ -27,7 +27,7 @@
     in = MessagePack.newDefaultUnpacker(socket.getInputStream());
   }
 
-  /** The fields of a request for a part of the one object. */
+  /** Returns the fields of a request for a part of {@link GatewayTestbed#OBJECT_ID}. */
   public static Map<String, String> requestFields(int ref, long allowMs, int part) {
     Map<String, String> fields =
         new LinkedHashMap<>(
@@ -47,7 +47,7 @@
     return fields;
   }
 
-  /** A request in MessagePack-RPC; without a body where that is null. */
+  /** Encodes a MessagePack-RPC request; a null body is left out. */
   public static byte[] encodeRequest(
       long number, String method, Map<String, String> fields, byte[] body) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
@@ -67,7 +67,7 @@
     return packer.toByteArray();
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public TestClient send(byte[] bytes) throws IOException {
     socket.getOutputStream().write(bytes);
     return this;
@@ -79,7 +79,7 @@
     return send(encodeRequest(number, method, requestFields(number, allowMs, part), new byte[0]));
   }
 
-  /** The notification that cancels a request. */
+  /** Encodes the notification that cancels a request. */
   public static byte[] encodeCancel(int number) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
     packer.packArrayHeader(3).packInt(2).packString("withdraw").packArrayHeader(1).packInt(number);
@@ -91,7 +91,7 @@
     return send(encodeCancel(number));
   }
 
-  /** Asks for the status, and receives the next response. */
+  /** Sends a status request with message id 9999 and receives the next response. */
   public ClientAnswer requestStatus() throws IOException {
     return send(encodeRequest(9999, "status", Map.of(), null)).receive();
   }
@@ -130,7 +130,7 @@
     return fields;
   }
 
-  /** Whether the gateway closed the connection, with nothing more on it. */
+  /** Returns whether the gateway has closed the connection without sending more data; blocks. */
   public boolean isClosed() throws IOException {
     try {
       return !in.hasNext();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/package-info.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/package-info.java
@@ -1,7 +1,8 @@
 /**
- * Fixtures of the gateway's tests: stand-ins for clients, caches and the journal around one gateway
- * on loopback ({@link org.amberpath.gateway.testsupport.GatewayTestbed}, where to begin), gateways
- * in processes of their own, and routers that pause or record. Stand-ins block the calling thread;
- * what they do by themselves runs on threads of the testbed.
+ * Fixtures of the gateway's tests. The entry point is {@link
+ * org.amberpath.gateway.testsupport.GatewayTestbed}, which surrounds one gateway on loopback with
+ * test clients, stub caches and a stub journal. Others start gateways in separate processes, and
+ * routers that block the event loop or record events. Methods of the fixtures block the calling
+ * thread; background work runs on threads of the testbed.
  */
 package org.amberpath.gateway.testsupport;
