--- a/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Configurations that are replaced while a gateway runs in a process of its own. */
+/** Tests configuration reloads of a gateway that runs in a separate process. */
 @Timeout(30)
 class ConfigurationReloadTest extends GatewayFixture {
   @Test
@@ -46,8 +46,9 @@
   }
 
   /**
-   * Met on a roll day of the fleet bench that was started by nohup: no new configuration was ever
-   * taken.
+   * Guards against a gateway that never loads a new configuration: a process started under nohup
+   * inherits SIGHUP as ignored. Seen in the fleet bench's rolling configuration change when the
+   * bench was started with nohup.
    */
   @Test
   void configurationIsReloadedWhereSighupIsIgnored() throws Exception {
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -17,12 +17,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Journals that are slow, overloaded, unreachable or replaced while requests are served. */
+/** Tests journals that are slow, overloaded, unreachable or replaced while requests are served. */
 @Timeout(30)
 class DiscoveryFaultsTest extends FaultFixture {
   /**
-   * The first of two has a journal that does not reply, does not let connections come up, or
-   * refuses them.
+   * Reloads the configuration twice in a row. The journal of the first new configuration does not
+   * reply, lets connects time out or refuses them; the journal of the second must be polled. With
+   * {@code lastIsSlow} the second journal replies a second late.
    */
   @ParameterizedTest
   @CsvSource({"silent, false", "unreachable, false", "refusing, false", "silent, true"})
@@ -61,8 +62,8 @@
   }
 
   /**
-   * A reply that takes a second more: requests are served all the while, and a drain is heeded
-   * seconds later.
+   * Every journal reply is delayed by a second: all requests must be served meanwhile, and a drain
+   * must take effect within 6 s.
    */
   @Test
   void slowDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
@@ -73,7 +74,10 @@
     assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), testbed.client(), 6000);
   }
 
-  /** Of four connections three are reset, and the fourth is served. */
+  /**
+   * The journal resets three of every four connections: all requests must be served, and a drain
+   * must take effect within 2 s.
+   */
   @Test
   void overloadedDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
     JournalRelay way = testbed.relay(testbed.journal);
@@ -90,10 +94,10 @@
   }
 
   /**
-   * Away for three seconds, which stand for thirty: DiscoveryFreshness waits for no journal after
-   * two questions that failed, and JournalClient asks again 0.1 s after each, so nothing differs
-   * between the first second and the thirtieth. Where it falls silent instead, a question that is
-   * open then is given up 2.6 s after it was asked.
+   * The journal is unreachable for 3 s, which also covers an outage of 30 s: DiscoveryFreshness
+   * does not wait for the journal after two failed polls, and JournalClient polls again 0.1 s after
+   * each failure, so the first second and the thirtieth are alike. If the journal stops replying
+   * instead of refusing connections, a poll in flight times out 2.6 s after it was sent.
    */
   @ParameterizedTest
   @CsvSource({"refuses, 2000", "silent, 6000"})
@@ -118,7 +122,10 @@
     assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), client, withinMillis);
   }
 
-  /** Drains c0 at a journal; all requests are served, and c0 gets its last one within the bound. */
+  /**
+   * Drains c0 in a journal and asserts that all requests are served and that c0 receives its last
+   * request within the given time after the drain.
+   */
   private void assertDrainTakesEffect(
       StubJournal at,
       StubCache drained,
@@ -129,14 +136,14 @@
     long before = System.nanoTime();
     requestUntil(
         client,
-        () ->
-            seen.stream().anyMatch(one -> one.atNanos() > before)); // It has its part of the keys.
+        // Until c0 has received a request: it owns some of the parts.
+        () -> seen.stream().anyMatch(one -> one.atNanos() > before));
     long arguments = System.nanoTime();
     at.listEndpoint("c0", drained.address(), "box", "draining");
     int[] seenAt = {seen.size(), number};
     requestUntil(
         client,
-        () -> { // Until each part has been asked for three times elsewhere.
+        () -> { // Until each part was requested three times without a request to c0.
           if (seen.size() > seenAt[0]) {
             seenAt[0] = seen.size();
             seenAt[1] = number;
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Drains and purges that arrive before requests are routed take effect on them. */
+/**
+ * Tests that drains and purges that reached the journal while the event loop was blocked, or before
+ * the first journal reply, apply to requests that were received but not yet routed.
+ */
 @Timeout(30)
 class DiscoveryFreshnessAfterLagTest extends GatewayFixture {
   @ParameterizedTest
@@ -94,7 +97,10 @@
     }
   }
 
-  /** A second testbed, whose event loop stalls once the router is armed. */
+  /**
+   * Starts a gateway in a second testbed that knows the given caches. Its event loop stalls in the
+   * first batch after {@link StallingRouter#armed} is set.
+   */
   private StallingRouter startStallingGateway(GatewayTestbed other, StubCache... caches)
       throws Exception {
     for (int at = 0; at < caches.length; at++) {
@@ -107,8 +113,10 @@
   }
 
   /**
-   * Request 2 stalls the event loop; request 3 and an event arrive meanwhile, the event after the
-   * poll had ended if that is said.
+   * Stalls the event loop with request 2; request 3 and then the event arrive during the stall.
+   *
+   * @param pollEnded whether the journal answers the poll in flight before the event, so that the
+   *     event is not part of that reply
    */
   private static void stallWhile(
       GatewayTestbed other,
@@ -121,12 +129,12 @@
     other.client().sendRequest(2, "parts", 4000, 0);
     assertTrue(router.stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     client.sendRequest(3, "parts", 4000, 0);
-    if (pollEnded) { // Its reply waits at the gateway; what comes after that waits at the journal.
+    if (pollEnded) { // The reply waits in the gateway's socket; later events wait in the journal.
       other.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
-      Thread.sleep(STALL_MILLIS / 4); // The passing of time is tested.
+      Thread.sleep(STALL_MILLIS / 4); // Lets the reply arrive while the event loop is blocked.
     }
     event.run();
-    Thread.sleep(STALL_MILLIS); // The passing of time is tested.
+    Thread.sleep(STALL_MILLIS); // Exceeds the lag of 62 ms that DiscoveryFreshness accepts.
     router.resume.countDown();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What endpoint lists, drains and purges of the journal change. */
+/** Tests the effect of endpoint lists, drains and purges that the journal reports. */
 @Timeout(30)
 class EndpointDiscoveryTest extends GatewayFixture {
   @Test
@@ -133,7 +133,7 @@
 
   @Test
   void endpointsThatComeAndGoLeaveNothingBehind() throws Exception {
-    int here = 3; // Two caches and a client.
+    int here = 3; // Connections: two caches and one client.
     for (int many = 0; many < 300; many++) {
       testbed.journal.listEndpoint("x" + many, cache.address(), "box", "ready");
       testbed.journal.listEndpoint("x" + many, "", "box", "gone");
@@ -200,7 +200,7 @@
                             return null;
                           })));
       other.client().sendRequest(1, "parts", 4000, 0);
-      Thread.sleep(STALL_MILLIS / 4); // The attempt waits meanwhile: the passing of time is tested.
+      Thread.sleep(STALL_MILLIS / 4); // Lets the attempt start to wait for its connection.
       other.journal.addEntry(
           "\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
       assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a gateway is told: defaults, and one plain message that names the faulty key. */
+/** Tests the defaults of a gateway's options and the messages that name an invalid key. */
 class GatewayOptionsTest {
   private static final String GOOD =
       "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -17,13 +17,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Which entries of one reply of the journal are played as one list. */
+/**
+ * Tests which entries of one journal reply {@link JournalDecoder} forwards as one endpoint list.
+ */
 class JournalListingTest {
   private final List<String> events = new ArrayList<>();
 
   /**
-   * Entries are words: R a full list, C changes, P a purge, O another kind; then ids, "-" before
-   * one that is gone.
+   * Builds a reply from words, one for each entry. The first letter is the kind: R full list, C
+   * changes, P purge, O unknown kind. For R and C comma-separated ids follow; "-" marks an endpoint
+   * that is gone.
    */
   private static JsonReader reply(String entries) throws IOException {
     StringBuilder text = new StringBuilder("{'pos':9,'entries':[");
@@ -88,7 +91,7 @@
     public void replyEnded() {}
   }
 
-  /** Records its events, and rejects one id. */
+  /** Records the events it receives, and throws for the endpoint with the given id. */
   private final class Listener implements EndpointListener {
     private final String unusable;
 
--- a/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Invalid settings name their file, section and key, beside the message. */
+/** Tests that the exception for invalid settings carries the file, the section and the key. */
 class InvalidSettingsTest {
   @TempDir private Path folder;
 
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The simulator's wire: replies, and invalid input that ends the process with a plain message. */
+/**
+ * Tests the simulator's protocol: replies to batches, and the exit code and message after invalid
+ * input.
+ */
 class SimulationHostTest {
   private static final String UP =
       """
