--- a/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/Clock.java
@@ -13,7 +13,7 @@
 
   private final LongSupplier monotonicNanos;
   private final LongSupplier wallMillis;
-  private final long originNanos;
+  private final long epochOffsetNanos;
   private final EventAge eventAge;
 
   /** Creates a clock that reads the system's monotonic clock and wall clock. */
@@ -30,7 +30,7 @@
   public Clock(LongSupplier monotonicNanos, LongSupplier wallMillis) {
     this.monotonicNanos = monotonicNanos;
     this.wallMillis = wallMillis;
-    originNanos = wallMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
+    epochOffsetNanos = wallMillis.getAsLong() * NANOS_PER_MILLI - monotonicNanos.getAsLong();
     eventAge = new EventAge(nowNanos(), wallMillis.getAsLong());
   }
 
@@ -39,7 +39,7 @@
    * do not change it: the offset to the epoch is read from the wall clock once, at construction.
    */
   public long nowNanos() {
-    return monotonicNanos.getAsLong() + originNanos;
+    return monotonicNanos.getAsLong() + epochOffsetNanos;
   }
 
   /**
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -31,7 +31,7 @@
  */
 public final class JournalClient {
   private static final Logger LOG = Logger.getLogger(JournalClient.class.getName());
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
   /**
    * The longest time that the journal service may hold a reply back while it has no new event. An
@@ -85,16 +85,16 @@
   private final HttpClient client;
   private final LocalBackoff localBackoff = new LocalBackoff();
   private SocketAddress address;
-  private HttpClientRequest pending;
+  private HttpClientRequest pendingRequest;
 
   /**
-   * Number of the current series of polls, incremented when the address changes and on close. A
-   * result that belongs to an earlier series is ignored.
+   * Generation of the polls, incremented when the address changes and on close. The result of a
+   * poll of an earlier generation is ignored.
    */
-  private int series;
+  private int currentGeneration;
 
   private boolean started;
-  private int failures;
+  private int consecutiveFailures;
 
   /**
    * Creates a client that polls nothing before {@link #start()}.
@@ -122,30 +122,30 @@
   /** Sends the first poll; each poll that ends starts the next one. */
   public void start() {
     started = true;
-    poll(series);
+    poll(currentGeneration);
   }
 
   /**
    * Aborts the poll in flight and polls the journal at another address, at once if this client was
    * started. The position in the journal is kept.
    */
-  public void moveTo(SocketAddress next) {
-    address = next;
-    endSeries();
+  public void moveTo(SocketAddress newAddress) {
+    address = newAddress;
+    abortPendingPoll();
     if (started) {
-      poll(series);
+      poll(currentGeneration);
     }
   }
 
-  private void endSeries() {
-    series++;
-    if (pending != null) {
-      pending.reset();
+  private void abortPendingPoll() {
+    currentGeneration++;
+    if (pendingRequest != null) {
+      pendingRequest.reset();
     }
   }
 
-  private void poll(int ofSeries) {
-    if (ofSeries != series) {
+  private void poll(int generation) {
+    if (generation != currentGeneration) {
       return;
     }
     RequestOptions options =
@@ -154,16 +154,16 @@
             .setHost(address.hostAddress())
             .setPort(address.port())
             .setMethod(HttpMethod.GET);
-    connect(options)
-        .compose(request -> send(ofSeries, request))
-        .onComplete(result -> completed(ofSeries, result));
+    openRequest(options)
+        .compose(request -> send(generation, request))
+        .onComplete(result -> pollCompleted(generation, result));
   }
 
   /**
    * Requests a connection. Guards against a client call that throws instead of returning a failed
    * future: no further poll would be scheduled.
    */
-  private Future<HttpClientRequest> connect(RequestOptions options) {
+  private Future<HttpClientRequest> openRequest(RequestOptions options) {
     try {
       return client.request(options);
     } catch (RuntimeException e) {
@@ -171,13 +171,13 @@
     }
   }
 
-  private Future<Buffer> send(int ofSeries, HttpClientRequest request) {
+  private Future<Buffer> send(int generation, HttpClientRequest request) {
     localBackoff.attemptSucceeded();
-    if (ofSeries != series) {
+    if (generation != currentGeneration) {
       request.reset();
       return Future.failedFuture("polled at another address by now");
     }
-    pending = request;
+    pendingRequest = request;
     freshness.requestSent(clock.getAsLong());
     long waitMillis = freshness.awaitsResponse() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
     request.setURI("/journal?tail=" + decoder.position() + "&max_wait=" + waitMillis);
@@ -185,28 +185,29 @@
         .send()
         // Guards against a journal that stops in the middle of a response body and keeps the
         // connection open: the events of that reply count as notified 2 s later.
-        .compose(response -> body(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
+        .compose(
+            response -> readBody(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
         .timeout(waitMillis + REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         // Guards against reuse of a connection on which the journal stalled or disconnected.
         .onFailure(e -> request.reset());
   }
 
-  private void completed(int ofSeries, AsyncResult<Buffer> result) {
-    if (ofSeries != series) {
+  private void pollCompleted(int generation, AsyncResult<Buffer> result) {
+    if (generation != currentGeneration) {
       return;
     }
-    if (result.succeeded() && play(result.result())) {
-      if (failures > 0) {
-        LOG.info("journal: answers again, after " + failures + " failed polls");
-        failures = 0;
+    if (result.succeeded() && decodeReply(result.result())) {
+      if (consecutiveFailures > 0) {
+        LOG.info("journal: answers again, after " + consecutiveFailures + " failed polls");
+        consecutiveFailures = 0;
       }
       freshness.responseReceived(clock.getAsLong());
-      poll(ofSeries);
+      poll(generation);
     } else {
       if (result.failed()) {
         logFailure(String.valueOf(result.cause().getMessage()));
       }
-      vertx.setTimer(retryDelayMillis(result.cause()), retry -> poll(ofSeries));
+      vertx.setTimer(retryDelayMillis(result.cause()), retry -> poll(generation));
     }
     afterPoll.run();
   }
@@ -217,9 +218,9 @@
    * failure of the journal only once the local backoff is exhausted.
    */
   private long retryDelayMillis(Throwable cause) {
-    boolean local = cause != null && ConnectFailure.of(cause).isLocal();
-    long delayMillis = local ? localBackoff.attemptFailed() : RETRY_DELAY_MILLIS;
-    if (!local || localBackoff.isExhausted()) {
+    boolean isLocalFailure = cause != null && ConnectFailure.of(cause).isLocal();
+    long delayMillis = isLocalFailure ? localBackoff.attemptFailed() : RETRY_DELAY_MILLIS;
+    if (!isLocalFailure || localBackoff.isExhausted()) {
       freshness.requestFailed(clock.getAsLong());
     }
     return delayMillis;
@@ -229,33 +230,33 @@
    * Collects the body of a response with status 200. Guards against exhausted memory from an
    * endless body: the future fails once the body exceeds the maximum size.
    */
-  private Future<Buffer> body(HttpClientResponse response) {
+  private Future<Buffer> readBody(HttpClientResponse response) {
     if (response.statusCode() != STATUS_OK) {
       return Future.failedFuture("status " + response.statusCode());
     }
-    Promise<Buffer> complete = Promise.promise();
+    Promise<Buffer> promise = Promise.promise();
     Buffer body = Buffer.buffer();
     response
-        .exceptionHandler(complete::tryFail)
-        .endHandler(end -> complete.tryComplete(body))
+        .exceptionHandler(promise::tryFail)
+        .endHandler(end -> promise.tryComplete(body))
         .handler(
             chunk -> {
               if (body.length() + (long) chunk.length() <= bounds.maxReplyBytes()) {
                 body.appendBuffer(chunk);
               } else {
-                complete.tryFail("a reply of more than " + bounds.maxReplyBytes() + " bytes");
+                promise.tryFail("a reply of more than " + bounds.maxReplyBytes() + " bytes");
               }
             });
-    return complete.future();
+    return promise.future();
   }
 
   /**
    * Decodes a reply and passes its events to the endpoint listener; returns whether the reply could
    * be decoded. A reply that cannot be decoded is logged.
    */
-  private boolean play(Buffer body) {
-    try (JsonParser parser = JSON.createParser(body.getBytes())) {
-      decoder.play(JsonReader.read("journal", parser), endpoints);
+  private boolean decodeReply(Buffer body) {
+    try (JsonParser parser = JSON_FACTORY.createParser(body.getBytes())) {
+      decoder.decode(JsonReader.read("journal", parser), endpoints);
       return true;
     } catch (IOException | RuntimeException e) {
       logFailure("unreadable: " + e.getMessage());
@@ -268,16 +269,16 @@
    * is down does not fill the log.
    */
   private void logFailure(String reason) {
-    if (failures == 0) {
+    if (consecutiveFailures == 0) {
       LOG.warning(
           "journal: " + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
     }
-    failures++;
+    consecutiveFailures++;
   }
 
   /** Aborts the poll in flight and stops polling; the client cannot be restarted. */
   public void close() {
-    endSeries();
+    abortPendingPoll();
     client.close();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -61,25 +61,25 @@
    *     no entry was forwarded then. After an exception of the listener the earlier entries have
    *     been forwarded and the position is unchanged
    */
-  public void play(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, EntrySource.JOURNAL);
+  public void decode(JsonReader reply, EndpointListener listener) {
+    decode(reply, listener, EntrySource.JOURNAL);
   }
 
   /**
    * Forwards the new entries that the configuration holds to the listener and advances the
-   * position, like {@link #play}. The entries may be older than the previous poll.
+   * position, like {@link #decode}. The entries may be older than the previous poll.
    */
   public void playKnown(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, EntrySource.CONFIGURATION);
+    decode(reply, listener, EntrySource.CONFIGURATION);
   }
 
-  private void play(JsonReader reply, EndpointListener listener, EntrySource source) {
-    long last = reply.longOr("pos", 0);
-    NewestPurgeFinder newestPurge = new NewestPurgeFinder();
-    playEntries(reply, newestPurge);
-    replyListener.replyStarted(source, newestPurge.millis);
+  private void decode(JsonReader reply, EndpointListener listener, EntrySource source) {
+    long replyPosition = reply.longOr("pos", 0);
+    NewestPurgeFinder purgeFinder = new NewestPurgeFinder();
+    decodeEntries(reply, purgeFinder);
+    replyListener.replyStarted(source, purgeFinder.newestMillis);
     try {
-      position = Math.max(playEntries(reply, listener), last);
+      position = Math.max(decodeEntries(reply, listener), replyPosition);
     } finally {
       replyListener.replyEnded();
     }
@@ -89,36 +89,38 @@
    * Forwards the entries whose number is above the position; returns the number of the last of
    * them, or the position if there is none.
    */
-  private long playEntries(JsonReader reply, EndpointListener target) {
-    long at = position;
-    ListRun run = new ListRun(target);
+  private long decodeEntries(JsonReader reply, EndpointListener listener) {
+    long lastPosition = position;
+    ListMerger listMerger = new ListMerger(listener);
     try {
       for (JsonReader entry : reply.objects("entries")) {
-        long number = entry.longOr("pos", 0);
-        if (number > at) {
-          entry(entry, target, run);
-          at = number;
+        long entryPosition = entry.longOr("pos", 0);
+        if (entryPosition > lastPosition) {
+          decodeEntry(entry, listener, listMerger);
+          lastPosition = entryPosition;
         }
       }
     } finally {
-      run.end(); // After an exception, too: the entries before the invalid one take effect.
+      // After an exception, too: the entries before the invalid one take effect.
+      listMerger.completeList();
     }
-    return at;
+    return lastPosition;
   }
 
-  private static void entry(JsonReader entry, EndpointListener listener, ListRun run) {
+  private static void decodeEntry(
+      JsonReader entry, EndpointListener listener, ListMerger listMerger) {
     if (entry.has("hosts")) {
       JsonReader hosts = entry.object("hosts");
-      run.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
+      listMerger.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
     } else if (entry.has("expire")) {
-      run.end();
+      listMerger.completeList();
       JsonReader purge = entry.object("expire");
       listener.objectPurged(
-          purge.has("name") ? object(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
+          purge.has("name") ? objectId(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
     }
   }
 
-  private static void endpoint(JsonReader instance, EndpointListener listener) {
+  private static void decodeEndpoint(JsonReader instance, EndpointListener listener) {
     listener.endpointListed(
         new ListedEndpoint(
             instance.string("instanceId"),
@@ -126,12 +128,12 @@
             instance.has("zone") ? instance.string("zone") : "",
             instance.has("machineType") ? instance.string("machineType") : "",
             instance.intOr("cell", 0),
-            state(instance),
+            endpointState(instance),
             instance.doubleOr("weight", 1),
             instance.longOr("startedAtMs", 0)));
   }
 
-  private static long object(JsonReader purge) {
+  private static long objectId(JsonReader purge) {
     try {
       return Long.parseUnsignedLong(purge.string("name"), 16);
     } catch (NumberFormatException e) {
@@ -139,7 +141,7 @@
     }
   }
 
-  private static EndpointState state(JsonReader instance) {
+  private static EndpointState endpointState(JsonReader instance) {
     return switch (instance.string("lifecycle")) {
       case "ready" -> EndpointState.UP;
       case "draining" -> EndpointState.DRAINING;
@@ -155,44 +157,45 @@
    * id again which the current list has reported as gone: the id then names a new endpoint without
    * history.
    */
-  private static final class ListRun {
+  private static final class ListMerger {
     private final EndpointListener listener;
-    private final Set<String> gone = new HashSet<>();
-    private boolean isOpen;
+    private final Set<String> goneIds = new HashSet<>();
+    private boolean isListOpen;
 
-    ListRun(EndpointListener listener) {
+    ListMerger(EndpointListener listener) {
       this.listener = listener;
     }
 
-    void add(boolean full, List<JsonReader> instances) {
-      if (full || isReturn(instances)) {
-        end();
+    void add(boolean isFull, List<JsonReader> instances) {
+      if (isFull || relistsGoneId(instances)) {
+        completeList();
       }
-      if (!isOpen) {
-        listener.endpointListStarted(full ? EndpointListKind.FULL : EndpointListKind.CHANGES);
+      if (!isListOpen) {
+        listener.endpointListStarted(isFull ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       }
       for (JsonReader instance : instances) {
-        endpoint(instance, listener);
-        if (state(instance) == EndpointState.GONE) {
-          gone.add(instance.string("instanceId"));
+        decodeEndpoint(instance, listener);
+        if (endpointState(instance) == EndpointState.GONE) {
+          goneIds.add(instance.string("instanceId"));
         }
       }
-      isOpen = true;
+      isListOpen = true;
     }
 
-    private boolean isReturn(List<JsonReader> instances) {
-      for (JsonReader instance : gone.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (gone.contains(instance.string("instanceId")) && state(instance) != EndpointState.GONE) {
+    private boolean relistsGoneId(List<JsonReader> instances) {
+      for (JsonReader instance : goneIds.isEmpty() ? List.<JsonReader>of() : instances) {
+        if (goneIds.contains(instance.string("instanceId"))
+            && endpointState(instance) != EndpointState.GONE) {
           return true;
         }
       }
       return false;
     }
 
-    void end() {
-      if (isOpen) {
-        isOpen = false;
-        gone.clear();
+    void completeList() {
+      if (isListOpen) {
+        isListOpen = false;
+        goneIds.clear();
         listener.endpointListCompleted();
       }
     }
@@ -203,7 +206,7 @@
    * purge timestamp. An invalid entry makes this pass throw, before anything was forwarded.
    */
   private static final class NewestPurgeFinder implements EndpointListener {
-    private long millis;
+    private long newestMillis;
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
@@ -216,7 +219,7 @@
 
     @Override
     public void objectPurged(long object, int group, long atMs) {
-      millis = Math.max(millis, atMs);
+      newestMillis = Math.max(newestMillis, atMs);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -32,8 +32,8 @@
   }
 
   /** Returns a reader for the same fields that uses another name in error messages. */
-  public JsonReader named(String other) {
-    return new JsonReader(other, values);
+  public JsonReader named(String newName) {
+    return new JsonReader(newName, values);
   }
 
   /** Returns whether a field is present and not null. */
@@ -57,16 +57,16 @@
   }
 
   /** Returns a 64-bit integer field, or the given default if the field is absent. */
-  public long longOr(String key, long absent) {
-    return has(key) ? longValue(key) : absent;
+  public long longOr(String key, long defaultValue) {
+    return has(key) ? longValue(key) : defaultValue;
   }
 
   /**
    * Returns a 32-bit integer field, or the given default if the field is absent. A value outside
    * the range of an int is invalid.
    */
-  public int intOr(String key, int absent) {
-    long value = longOr(key, absent);
+  public int intOr(String key, int defaultValue) {
+    long value = longOr(key, defaultValue);
     if (value != (int) value) {
       throw invalid(key, "too large");
     }
@@ -79,8 +79,8 @@
   }
 
   /** Returns a numeric field, or the given default if the field is absent. */
-  public double doubleOr(String key, double absent) {
-    return has(key) ? doubleValue(key) : absent;
+  public double doubleOr(String key, double defaultValue) {
+    return has(key) ? doubleValue(key) : defaultValue;
   }
 
   /**
@@ -95,8 +95,8 @@
    * Returns a duration in nanoseconds, or the given default if the field is absent. The field holds
    * seconds.
    */
-  public long durationNanosOr(String key, long absentNanos) {
-    return has(key) ? durationNanos(key) : absentNanos;
+  public long durationNanosOr(String key, long defaultNanos) {
+    return has(key) ? durationNanos(key) : defaultNanos;
   }
 
   /** Converts seconds to nanoseconds, rounded to the nearest microsecond. */
@@ -106,7 +106,7 @@
 
   /** Returns a reader for a required object field. */
   public JsonReader object(String key) {
-    return new JsonReader(name + " " + key, map(required(key, Map.class, "an object")));
+    return new JsonReader(name + " " + key, asFields(required(key, Map.class, "an object")));
   }
 
   /** Returns a reader for an object field; a reader without fields if the field is absent. */
@@ -124,7 +124,7 @@
       if (!(element instanceof Map)) {
         throw invalid(key, "not an array of objects");
       }
-      objects.add(new JsonReader(name + " " + key, map(element)));
+      objects.add(new JsonReader(name + " " + key, asFields(element)));
     }
     return objects;
   }
@@ -138,10 +138,10 @@
    * Returns the element at an index of an array field; the given default if the field is absent,
    * the index is outside the array or the element is null.
    */
-  public <T> T elementOr(String key, int index, Class<T> type, T absent) {
+  public <T> T elementOr(String key, int index, Class<T> type, T defaultValue) {
     List<?> elements = elements(key);
     if (index < 0 || index >= elements.size() || elements.get(index) == null) {
-      return absent;
+      return defaultValue;
     }
     if (!type.isInstance(elements.get(index))) {
       throw invalid(key, "holds a value of the wrong type");
@@ -170,7 +170,7 @@
   }
 
   @SuppressWarnings("unchecked") // The keys of parsed objects are strings.
-  private static Map<String, Object> map(Object value) {
+  private static Map<String, Object> asFields(Object value) {
     return (Map<String, Object>) value;
   }
 
@@ -185,7 +185,7 @@
     if (parser.nextToken() != JsonToken.START_OBJECT) {
       throw new InvalidDocumentException(name + ": not an object");
     }
-    JsonReader object = new JsonReader(name, map(value(parser)));
+    JsonReader object = new JsonReader(name, asFields(parseValue(parser)));
     expectEnd(name, parser);
     return object;
   }
@@ -201,7 +201,8 @@
     if (parser.nextToken() != JsonToken.START_ARRAY) {
       throw new InvalidDocumentException(name + ": not an array");
     }
-    List<JsonReader> objects = new JsonReader(name, Map.of("all", value(parser))).objects("all");
+    List<JsonReader> objects =
+        new JsonReader(name, Map.of("all", parseValue(parser))).objects("all");
     expectEnd(name, parser);
     return objects;
   }
@@ -212,10 +213,10 @@
     }
   }
 
-  private static Object value(JsonParser parser) throws IOException {
+  private static Object parseValue(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
       case START_OBJECT -> object(parser);
-      case START_ARRAY -> array(parser);
+      case START_ARRAY -> parseArray(parser);
       case VALUE_NUMBER_INT -> Long.valueOf(parser.getLongValue());
       case VALUE_NUMBER_FLOAT -> Double.valueOf(parser.getDoubleValue());
       case VALUE_STRING -> parser.getText();
@@ -230,15 +231,15 @@
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String key = parser.currentName();
       parser.nextToken();
-      fields.put(key, value(parser));
+      fields.put(key, parseValue(parser));
     }
     return fields;
   }
 
-  private static List<Object> array(JsonParser parser) throws IOException {
+  private static List<Object> parseArray(JsonParser parser) throws IOException {
     List<Object> elements = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      elements.add(value(parser));
+      elements.add(parseValue(parser));
     }
     return elements;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -24,10 +24,10 @@
   private final Optional<String> parentKind;
   private final Optional<String> originKind;
   private final boolean weightIsSize;
-  private final boolean listOnRequest;
+  private final boolean endpointListOnRequest;
   private final RetryConfig retries;
-  private final boolean bypass;
-  private final boolean collapsing;
+  private final boolean bypassAllowed;
+  private final boolean coalescing;
   private final double transferKbPerSecond;
   private final long purgeRetentionNanos;
   private final SlowStartConfig edgeSlowStart;
@@ -45,17 +45,17 @@
    * @throws InvalidDocumentException if a field is missing or invalid
    */
   public JsonRoutingConfig(long seed, JsonReader settings) {
-    JsonReader site = settings.objectOrEmpty("family-info");
+    JsonReader familyInfo = settings.objectOrEmpty("family-info");
     JsonReader bounds = settings.objectOrEmpty("bounds");
     JsonReader guarantees = settings.objectOrEmpty("guarantees");
     this.seed = seed;
     zone = settings.string("my-zone");
     gateways = settings.intOr("replicas-of-me", 1);
-    gatewaysInZone = gatewaysInZone(settings, site);
-    parentKind = kind(settings, site.intOr("mid-kind", -1));
-    originKind = kind(settings, site.intOr("store-kind", -1));
-    weightIsSize = is(settings, "weights", "nominal");
-    listOnRequest = is(settings, "registry-mode", "on_request");
+    gatewaysInZone = gatewaysInZone(settings, familyInfo);
+    parentKind = kindAt(settings, familyInfo.intOr("mid-kind", -1));
+    originKind = kindAt(settings, familyInfo.intOr("store-kind", -1));
+    weightIsSize = hasValue(settings, "weights", "nominal");
+    endpointListOnRequest = hasValue(settings, "registry-mode", "on_request");
     retries =
         new RetryConfig(
             bounds.intOr("max-attempts", 1),
@@ -63,10 +63,10 @@
             bounds.booleanOrFalse("cancel"),
             bounds.booleanOrFalse("retry-after"),
             bounds.durationNanosOr("max-retry-after-s", 0));
-    bypass = site.booleanOrFalse("bypass-allowed");
-    collapsing = site.booleanOrFalse("collapses");
-    transferKbPerSecond = site.doubleOr("flow-kb-per-s", 0);
-    purgeRetentionNanos = site.durationNanosOr("purge-takes-s", 0);
+    bypassAllowed = familyInfo.booleanOrFalse("bypass-allowed");
+    coalescing = familyInfo.booleanOrFalse("collapses");
+    transferKbPerSecond = familyInfo.doubleOr("flow-kb-per-s", 0);
+    purgeRetentionNanos = familyInfo.durationNanosOr("purge-takes-s", 0);
     edgeSlowStart =
         new SlowStartConfig(
             guarantees.doubleOr("cold-share", 1),
@@ -75,31 +75,35 @@
     overloadWindowNanos = guarantees.durationNanosOr("fall-s", 0);
     parentSlowStart =
         new SlowStartConfig(
-            site.doubleOr("parent-cold-from", 1),
-            site.durationNanosOr("parent-ramp-s", 0),
-            site.doubleOr("parent-limit-factor", 1));
-    trafficClasses = trafficClasses(settings.objects("classes"), site);
+            familyInfo.doubleOr("parent-cold-from", 1),
+            familyInfo.durationNanosOr("parent-ramp-s", 0),
+            familyInfo.doubleOr("parent-limit-factor", 1));
+    trafficClasses = trafficClasses(settings.objects("classes"), familyInfo);
   }
 
-  private int gatewaysInZone(JsonReader settings, JsonReader site) {
+  private int gatewaysInZone(JsonReader settings, JsonReader familyInfo) {
     int zoneIndex = settings.elements("zones").indexOf(zone);
-    return site.elementOr("zone-balancers", zoneIndex, Long.class, (long) gateways).intValue();
+    return familyInfo
+        .elementOr("zone-balancers", zoneIndex, Long.class, (long) gateways)
+        .intValue();
   }
 
-  private static boolean is(JsonReader settings, String key, String value) {
+  private static boolean hasValue(JsonReader settings, String key, String value) {
     return settings.has(key) && settings.string(key).equals(value);
   }
 
-  private static Optional<String> kind(JsonReader settings, int index) {
+  private static Optional<String> kindAt(JsonReader settings, int index) {
     return Optional.ofNullable(settings.elementOr("kinds", index, String.class, null));
   }
 
-  private static List<NamedTrafficClass> trafficClasses(List<JsonReader> classes, JsonReader site) {
+  private static List<NamedTrafficClass> trafficClasses(
+      List<JsonReader> classes, JsonReader familyInfo) {
     List<NamedTrafficClass> decoded = new ArrayList<>();
     for (int index = 0; index < classes.size(); index++) {
       decoded.add(
           new NamedTrafficClass(
-              classes.get(index).string("name"), trafficClass(classes.get(index), site, index)));
+              classes.get(index).string("name"),
+              trafficClass(classes.get(index), familyInfo, index)));
     }
     return List.copyOf(decoded);
   }
@@ -108,10 +112,11 @@
    * Decodes one traffic class.
    *
    * @param settings the class's own object
-   * @param site the {@code family-info} object, whose arrays hold one value per class
+   * @param familyInfo the {@code family-info} object, whose arrays hold one value per class
    * @param index the class's index in those arrays
    */
-  private static TrafficClassConfig trafficClass(JsonReader settings, JsonReader site, int index) {
+  private static TrafficClassConfig trafficClass(
+      JsonReader settings, JsonReader familyInfo, int index) {
     return new TrafficClassConfig(
         idempotency(settings),
         idempotencyScope(settings),
@@ -119,13 +124,14 @@
         settings.durationNanos("target-s"),
         settings.doubleOr("aim-stretch", 0),
         settings.doubleOr("points", 1),
-        site.elementOr("never-kept", index, Boolean.class, false),
-        nanosAt(site, "class-fresh-s", index),
-        nanosAt(site, "class-grace-s", index));
+        familyInfo.elementOr("never-kept", index, Boolean.class, false),
+        nanosAt(familyInfo, "class-fresh-s", index),
+        nanosAt(familyInfo, "class-grace-s", index));
   }
 
-  private static long nanosAt(JsonReader site, String key, int index) {
-    return JsonReader.secondsToNanos(site.elementOr(key, index, Number.class, 0).doubleValue());
+  private static long nanosAt(JsonReader familyInfo, String key, int index) {
+    return JsonReader.secondsToNanos(
+        familyInfo.elementOr(key, index, Number.class, 0).doubleValue());
   }
 
   private static Idempotency idempotency(JsonReader settings) {
@@ -195,17 +201,17 @@
 
   @Override
   public boolean endpointListOnRequest() {
-    return listOnRequest;
+    return endpointListOnRequest;
   }
 
   @Override
   public boolean bypassAllowed() {
-    return bypass;
+    return bypassAllowed;
   }
 
   @Override
   public boolean coalescing() {
-    return collapsing;
+    return coalescing;
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/settings/NumericAddress.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/NumericAddress.java
@@ -11,7 +11,7 @@
  * or IPv6 addresses, so that parsing never makes a DNS lookup.
  */
 public final class NumericAddress {
-  private static final int PORTS = 1 << 16;
+  private static final int PORT_COUNT = 1 << 16;
   private static final Pattern NUMERIC_HOST = Pattern.compile("[0-9a-fA-F.:]+");
 
   private NumericAddress() {}
@@ -29,7 +29,7 @@
     String host = colon < 0 ? "" : text.substring(0, colon).replace("[", "").replace("]", "");
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < PORTS) {
+      if (NUMERIC_HOST.matcher(host).matches() && port >= 0 && port < PORT_COUNT) {
         return SocketAddress.inetSocketAddress(
             new InetSocketAddress(InetAddress.getByName(host), port));
       }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/ActionEncoder.java
@@ -16,7 +16,7 @@
   private static final long NANOS_PER_MICRO = 1000;
   private static final int MICROS_SCALE = 6;
 
-  private final int gateway;
+  private final int gatewayNumber;
   private final CacheIndex caches;
   private JsonGenerator reply;
   private boolean partStarted;
@@ -24,22 +24,22 @@
   /**
    * Creates an encoder for one gateway.
    *
-   * @param gateway the simulator's number of the gateway
+   * @param gatewayNumber the simulator's number of the gateway
    * @param caches the addresses of the gateway's caches
    */
-  ActionEncoder(int gateway, CacheIndex caches) {
-    this.gateway = gateway;
+  ActionEncoder(int gatewayNumber, CacheIndex caches) {
+    this.gatewayNumber = gatewayNumber;
     this.caches = caches;
   }
 
-  /** Starts a batch: actions are written to the given reply until {@link #finish}. */
-  void begin(JsonGenerator to) {
-    reply = to;
+  /** Starts a batch: actions are written to the given reply until {@link #finishBatch}. */
+  void beginBatch(JsonGenerator batchReply) {
+    reply = batchReply;
     partStarted = false;
   }
 
   /** Ends the batch: closes the gateway's element of the reply if any action was written. */
-  void finish() throws IOException {
+  void finishBatch() throws IOException {
     if (partStarted) {
       reply.writeEndArray();
       reply.writeEndObject();
@@ -64,38 +64,38 @@
   }
 
   @Override
-  public void reject(long get, long wait) {
+  public void reject(long requestId, long retryAfterNanos) {
     write(
         "overload-reply",
         () -> {
-          reply.writeNumberField("op-id", get);
-          if (wait > 0) {
-            writeSeconds("wait-s", wait);
+          reply.writeNumberField("op-id", requestId);
+          if (retryAfterNanos > 0) {
+            writeSeconds("wait-s", retryAfterNanos);
           }
         });
   }
 
   @Override
-  public void fail(long get) {
-    write("abort", () -> reply.writeNumberField("op-id", get));
+  public void fail(long requestId) {
+    write("abort", () -> reply.writeNumberField("op-id", requestId));
   }
 
   @Override
-  public void cancelAttempt(long get, int copy) {
+  public void cancelAttempt(long requestId, int attempt) {
     write(
         "call-off",
         () -> {
-          reply.writeNumberField("op-id", get);
-          reply.writeNumberField("copy", copy);
+          reply.writeNumberField("op-id", requestId);
+          reply.writeNumberField("copy", attempt);
         });
   }
 
   @Override
-  public void scheduleTimer(long delay, String handle) {
+  public void scheduleTimer(long delayNanos, String handle) {
     write(
         "remind",
         () -> {
-          writeSeconds("delay-s", delay);
+          writeSeconds("delay-s", delayNanos);
           reply.writeStringField("handle", handle);
         });
   }
@@ -106,26 +106,26 @@
   }
 
   /** Writes that the router threw an exception in this batch. */
-  void failed(RuntimeException failure) {
+  void routerFailed(RuntimeException failure) {
     write("broken", () -> reply.writeStringField("body-text", String.valueOf(failure)));
   }
 
   /** Writes the fields of one action, without its verb. */
-  private interface Fields {
+  private interface FieldWriter {
     void write() throws IOException;
   }
 
-  private void write(String verb, Fields fields) {
+  private void write(String verb, FieldWriter fieldWriter) {
     try {
       if (!partStarted) {
         partStarted = true;
         reply.writeStartObject();
-        reply.writeNumberField("i", gateway);
+        reply.writeNumberField("i", gatewayNumber);
         reply.writeArrayFieldStart("cmds");
       }
       reply.writeStartObject();
       reply.writeStringField("verb", verb);
-      fields.write();
+      fieldWriter.write();
       reply.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/CacheIndex.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/CacheIndex.java
@@ -17,8 +17,8 @@
   int add(String address) {
     return indices.computeIfAbsent(
         address,
-        added -> {
-          addresses.add(added);
+        newAddress -> {
+          addresses.add(newAddress);
           return addresses.size() - 1;
         });
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -32,47 +32,47 @@
   }
 
   /** Decodes one event; {@code status-back} and {@code heard} do not reach the router. */
-  void decode(JsonReader event, RoutingEventHandler to) {
+  void decode(JsonReader event, RoutingEventHandler handler) {
     switch (event.string("verb")) {
-      case "view" -> endpointList(event.named("view"), to);
-      case "order" -> request(event.named("order"), to);
-      case "verdict" -> outcome(event.named("verdict"), to);
+      case "view" -> decodeEndpointList(event.named("view"), handler);
+      case "order" -> decodeRequest(event.named("order"), handler);
+      case "verdict" -> decodeOutcome(event.named("verdict"), handler);
       case "head-received" -> {
         JsonReader head = event.named("head-received");
-        to.responseStarted(head.longValue("op-id"), head.intOr("copy", 0));
+        handler.responseStarted(head.longValue("op-id"), head.intOr("copy", 0));
       }
       case "cancelled-by-client" ->
-          to.clientDisconnected(event.named("cancelled-by-client").longValue("op-id"));
-      case "expired-now" -> purge(event.named("expired-now"), to);
-      case "ring" -> to.timerFired(event.named("ring").string("handle"));
+          handler.clientDisconnected(event.named("cancelled-by-client").longValue("op-id"));
+      case "expired-now" -> decodePurge(event.named("expired-now"), handler);
+      case "ring" -> handler.timerFired(event.named("ring").string("handle"));
       case "status-back", "heard" -> {}
       default -> throw event.invalid("verb", "unknown: " + event.string("verb"));
     }
   }
 
-  private void endpointList(JsonReader view, RoutingEventHandler to) {
-    to.endpointListStarted(listing(view));
+  private void decodeEndpointList(JsonReader view, RoutingEventHandler handler) {
+    handler.endpointListStarted(listKind(view));
     for (JsonReader entry : view.objects("members-list")) {
-      to.endpointListed(
+      handler.endpointListed(
           new EndpointDescription(
               caches.add(entry.string("cache")),
               entry.string("cache"),
               entry.has("az") ? entry.string("az") : "",
               entry.has("flavor") ? entry.string("flavor") : "",
               entry.intOr("cohort", 0),
-              state(entry),
+              endpointState(entry),
               entry.doubleOr("power-hint", 1),
               entry.durationNanosOr("came-up-s", 0)));
     }
-    to.endpointListCompleted();
+    handler.endpointListCompleted();
   }
 
-  private void request(JsonReader order, RoutingEventHandler to) {
+  private void decodeRequest(JsonReader order, RoutingEventHandler handler) {
     int trafficClass = config.trafficClassIndex(order.string("tier-class"));
     if (trafficClass < 0) {
       throw order.invalid("tier-class", "no known delivery service: " + order.string("tier-class"));
     }
-    to.requestReceived(
+    handler.requestReceived(
         new RequestDetails(
             order.longValue("op-id"),
             trafficClass,
@@ -84,24 +84,24 @@
             order.booleanOrFalse("is-write")));
   }
 
-  private void outcome(JsonReader verdict, RoutingEventHandler to) {
-    to.attemptEnded(
+  private void decodeOutcome(JsonReader verdict, RoutingEventHandler handler) {
+    handler.attemptEnded(
         new AttemptResult(
             verdict.longValue("op-id"),
             verdict.intOr("copy", 0),
-            cache(verdict),
-            outcome(verdict),
+            cacheIndex(verdict),
+            decodeOutcome(verdict),
             verdict.durationNanosOr("rtt-s", 0),
             verdict.booleanOrFalse("settled"),
-            note(verdict)));
+            responseDetail(verdict)));
   }
 
-  private static void purge(JsonReader purge, RoutingEventHandler to) {
-    to.objectPurged(
+  private static void decodePurge(JsonReader purge, RoutingEventHandler handler) {
+    handler.objectPurged(
         purge.longOr("resource", 0), purge.intOr("tag", 0), purge.durationNanosOr("oldness-s", 0));
   }
 
-  private int cache(JsonReader event) {
+  private int cacheIndex(JsonReader event) {
     String address = event.string("cache");
     if (!caches.contains(address)) {
       throw event.invalid("cache", "no known cache: " + address);
@@ -109,25 +109,25 @@
     return caches.indexOf(address);
   }
 
-  private static EndpointListKind listing(JsonReader view) {
+  private static EndpointListKind listKind(JsonReader view) {
     return switch (view.string("scope")) {
       case "D" -> EndpointListKind.CHANGES;
       case "F", "C" -> EndpointListKind.FULL;
       case "X" -> EndpointListKind.NONE;
-      default -> throw unknown(view, "scope");
+      default -> throw unknownValue(view, "scope");
     };
   }
 
-  private static EndpointState state(JsonReader entry) {
+  private static EndpointState endpointState(JsonReader entry) {
     return switch (entry.string("state")) {
       case "U" -> EndpointState.UP;
       case "L" -> EndpointState.DRAINING;
       case "D" -> EndpointState.GONE;
-      default -> throw unknown(entry, "state");
+      default -> throw unknownValue(entry, "state");
     };
   }
 
-  private static AttemptOutcome outcome(JsonReader verdict) {
+  private static AttemptOutcome decodeOutcome(JsonReader verdict) {
     return switch (verdict.string("rc")) {
       case "served" -> AttemptOutcome.SUCCEEDED;
       case "server_error" -> AttemptOutcome.FAILED;
@@ -138,17 +138,17 @@
       case "called_off" -> AttemptOutcome.CANCELLED;
       case "not_sent" -> AttemptOutcome.NOT_SENT;
       case "not_stored" -> AttemptOutcome.NOT_CACHED;
-      default -> throw unknown(verdict, "rc");
+      default -> throw unknownValue(verdict, "rc");
     };
   }
 
-  private static RuntimeException unknown(JsonReader from, String key) {
-    return from.invalid(key, "of no known kind: " + from.string(key));
+  private static RuntimeException unknownValue(JsonReader object, String key) {
+    return object.invalid(key, "of no known kind: " + object.string(key));
   }
 
-  private static ResponseDetail note(JsonReader verdict) {
+  private static ResponseDetail responseDetail(JsonReader verdict) {
     int index = verdict.intOr("remark", 0);
-    ResponseDetail[] notes = ResponseDetail.values();
-    return index > 0 && index < notes.length ? notes[index] : ResponseDetail.NONE;
+    ResponseDetail[] details = ResponseDetail.values();
+    return index > 0 && index < details.length ? details[index] : ResponseDetail.NONE;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -41,16 +41,17 @@
    * @throws IOException if the reply cannot be written
    * @throws InvalidDocumentException if an event is invalid
    */
-  void round(long nowNanos, List<JsonReader> events, JsonGenerator reply) throws IOException {
-    encoder.begin(reply);
+  void routeBatch(long nowNanos, List<JsonReader> events, JsonGenerator reply) throws IOException {
+    encoder.beginBatch(reply);
     try {
-      router.decide(nowNanos, to -> events.forEach(event -> decoder.decode(event, to)), encoder);
+      router.decide(
+          nowNanos, handler -> events.forEach(event -> decoder.decode(event, handler)), encoder);
     } catch (InvalidDocumentException | UncheckedIOException e) {
       throw e;
     } catch (RuntimeException e) {
       e.printStackTrace();
-      encoder.failed(e);
+      encoder.routerFailed(e);
     }
-    encoder.finish();
+    encoder.finishBatch();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -28,7 +28,7 @@
   private static final int EXIT_INVALID_INPUT = 1;
   private static final int BUFFER_BYTES = 1 << 16;
 
-  private final JsonFactory json = new JsonFactory();
+  private final JsonFactory jsonFactory = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final PrintStream err;
@@ -57,7 +57,7 @@
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       reply.reset();
       try {
-        answer(line, reply);
+        answerBatch(line, reply);
       } catch (JsonProcessingException e) {
         err.println("batch: not JSON: " + e.getOriginalMessage());
         return EXIT_INVALID_INPUT;
@@ -72,17 +72,17 @@
     return EXIT_OK;
   }
 
-  private void answer(String line, OutputStream reply) throws IOException {
+  private void answerBatch(String line, OutputStream reply) throws IOException {
     JsonReader batch;
-    try (JsonParser parser = json.createParser(line)) {
+    try (JsonParser parser = jsonFactory.createParser(line)) {
       batch = JsonReader.read("batch", parser);
     }
     long nowNanos = batch.durationNanos("wall-s");
-    try (JsonGenerator generator = json.createGenerator(reply)) {
+    try (JsonGenerator generator = jsonFactory.createGenerator(reply)) {
       generator.writeStartObject();
       generator.writeArrayFieldStart("parts");
       for (JsonReader part : batch.objects("parts")) {
-        round(nowNanos, part.intOr("i", 0), part.objects("news"), generator);
+        routeBatch(nowNanos, part.intOr("i", 0), part.objects("news"), generator);
       }
       generator.writeEndArray();
       generator.writeEndObject();
@@ -94,22 +94,24 @@
    * the last of them. Events before it are skipped: they belong to the gateway instance that the
    * start or stop has ended.
    */
-  private void round(long nowNanos, int number, List<JsonReader> events, JsonGenerator reply)
+  private void routeBatch(
+      long nowNanos, int gatewayNumber, List<JsonReader> events, JsonGenerator reply)
       throws IOException {
-    int first = 0;
+    int firstIndex = 0;
     for (int index = 0; index < events.size(); index++) {
       String verb = events.get(index).string("verb");
       if (verb.equals("up")) {
-        gateways.put(number, new SimulatedGateway(number, events.get(index).named("up")));
-        first = index + 1;
+        gateways.put(
+            gatewayNumber, new SimulatedGateway(gatewayNumber, events.get(index).named("up")));
+        firstIndex = index + 1;
       } else if (verb.equals("stop")) {
-        gateways.remove(number);
-        first = index + 1;
+        gateways.remove(gatewayNumber);
+        firstIndex = index + 1;
       }
     }
-    SimulatedGateway gateway = gateways.get(number);
+    SimulatedGateway gateway = gateways.get(gatewayNumber);
     if (gateway != null) {
-      gateway.round(nowNanos, events.subList(first, events.size()), reply);
+      gateway.routeBatch(nowNanos, events.subList(firstIndex, events.size()), reply);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -28,18 +28,18 @@
    * changes, P purge, O unknown kind. For R and C comma-separated ids follow; "-" marks an endpoint
    * that is gone.
    */
-  private static JsonReader reply(String entries) throws IOException {
+  private static JsonReader reply(String words) throws IOException {
     StringBuilder text = new StringBuilder("{'pos':9,'entries':[");
     int pos = 0;
-    for (String entry : entries.split(" ", -1)) {
+    for (String word : words.split(" ", -1)) {
       text.append(pos == 0 ? "" : ",").append("{'pos':").append(++pos).append(',');
-      switch (entry.charAt(0)) {
+      switch (word.charAt(0)) {
         case 'P' -> text.append("'expire':{'set':0,'stamp':5}}");
         case 'O' -> text.append("'other':{}}");
         default -> {
-          text.append("'hosts':{'reset':").append(entry.charAt(0) == 'R').append(",'instances':[");
+          text.append("'hosts':{'reset':").append(word.charAt(0) == 'R').append(",'instances':[");
           String separator = "";
-          for (String id : entry.substring(1).split(",", -1)) {
+          for (String id : word.substring(1).split(",", -1)) {
             text.append(separator).append("{'instanceId':'").append(id.replace("-", ""));
             text.append("','lifecycle':'").append(id.startsWith("-") ? "gone'}" : "ready'}");
             separator = ",";
@@ -63,23 +63,24 @@
     "'C-a Cb Ca,c Cd', changes -a b listed changes a c d listed",
     "C-a C-a P Ca, changes -a -a listed purge changes a listed"
   })
-  void runOfChangesIsOneList(String entries, String expected) throws Exception {
-    new JournalDecoder(new NoReplyListener()).play(reply(entries), new Listener(""));
+  void consecutiveChangesAreForwardedAsOneList(String entries, String expected) throws Exception {
+    new JournalDecoder(new NoReplyListener()).decode(reply(entries), new RecordingListener(""));
     assertEquals(expected, String.join(" ", events));
   }
 
   @Test
-  void changesBeforeAnInvalidEndpointArePlayed() throws Exception {
+  void changesBeforeARejectedEndpointAreForwarded() throws Exception {
     JsonReader reply = reply("Ca Cbad Cc");
     JournalDecoder decoder = new JournalDecoder(new NoReplyListener());
     assertThrows(
         InvalidDocumentException.class,
-        () -> decoder.play(reply, new Listener("bad")),
+        () -> decoder.decode(reply, new RecordingListener("bad")),
         "as before");
     assertEquals("changes a listed", String.join(" ", events));
     events.clear();
     assertThrows(
-        InvalidDocumentException.class, () -> decoder.play(reply("Rbad"), new Listener("bad")));
+        InvalidDocumentException.class,
+        () -> decoder.decode(reply("Rbad"), new RecordingListener("bad")));
     assertEquals("whole", String.join(" ", events), "a full list with a hole is none");
   }
 
@@ -92,11 +93,11 @@
   }
 
   /** Records the events it receives, and throws for the endpoint with the given id. */
-  private final class Listener implements EndpointListener {
-    private final String unusable;
+  private final class RecordingListener implements EndpointListener {
+    private final String rejectedId;
 
-    Listener(String unusable) {
-      this.unusable = unusable;
+    RecordingListener(String rejectedId) {
+      this.rejectedId = rejectedId;
     }
 
     @Override
@@ -106,7 +107,7 @@
 
     @Override
     public void endpointListed(ListedEndpoint endpoint) {
-      if (endpoint.id().equals(unusable)) {
+      if (endpoint.id().equals(rejectedId)) {
         throw new InvalidDocumentException("unusable");
       }
       events.add(endpoint.state() == EndpointState.GONE ? "-" + endpoint.id() : endpoint.id());
