--- a/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
@@ -20,28 +20,30 @@
 class ConfigurationReloadTest extends GatewayFixture {
   @Test
   void reloadMovesTheJournalAndAnInvalidConfigurationChangesNothing() throws Exception {
-    GatewayTestbed other = new GatewayTestbed();
+    GatewayTestbed otherTestbed = new GatewayTestbed();
     try {
       Process process = startProcess(0);
       Path file = folder.resolve("config.json");
-      String good = Files.readString(file);
+      String validConfig = Files.readString(file);
       try (BufferedReader log = process.inputReader()) {
         awaitServing(log);
-        for (String bad : List.of("{", good.replace("\"journal\":\"", "\"journal\":\"x"))) {
-          Files.writeString(file, bad);
+        for (String invalidConfig :
+            List.of("{", validConfig.replace("\"journal\":\"", "\"journal\":\"x"))) {
+          Files.writeString(file, invalidConfig);
           sendSighup(process);
           GatewayProcess.awaitLine(log, "SIGHUP: configuration unchanged: ");
         }
-        Files.writeString(file, good.replace(testbed.journal.address(), other.journal.address()));
+        Files.writeString(
+            file, validConfig.replace(testbed.journal.address(), otherTestbed.journal.address()));
         sendSighup(process);
         GatewayProcess.awaitLine(log, "journal polled at");
-        String poll = other.journal.polls.poll(10, TimeUnit.SECONDS);
+        String poll = otherTestbed.journal.polls.poll(10, TimeUnit.SECONDS);
         assertTrue(poll != null && poll.startsWith("tail=2&"), poll);
       } finally {
         process.destroyForcibly();
       }
     } finally {
-      other.close();
+      otherTestbed.close();
     }
   }
 
@@ -51,8 +53,8 @@
    * bench was started with nohup.
    */
   @Test
-  void configurationIsReloadedWhereSighupIsIgnored() throws Exception {
-    GatewayTestbed other = new GatewayTestbed();
+  void configurationIsReloadedWhenSighupIsIgnored() throws Exception {
+    GatewayTestbed otherTestbed = new GatewayTestbed();
     Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     Process process =
         GatewayProcess.startWithHangUpIgnored(
@@ -62,12 +64,14 @@
       awaitServing(log);
       sendSighup(process);
       Files.writeString(
-          file, Files.readString(file).replace(testbed.journal.address(), other.journal.address()));
+          file,
+          Files.readString(file)
+              .replace(testbed.journal.address(), otherTestbed.journal.address()));
       GatewayProcess.awaitLine(log, "journal polled at");
-      assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
+      assertNotNull(otherTestbed.journal.polls.poll(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
-      other.close();
+      otherTestbed.close();
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -27,37 +27,39 @@
    */
   @ParameterizedTest
   @CsvSource({"silent, false", "unreachable, false", "refusing, false", "silent, true"})
-  void lastOfTwoReloadsDeterminesTheJournal(String first, boolean lastIsSlow) throws Exception {
+  void lastOfTwoReloadsDeterminesTheJournal(String firstFault, boolean lastIsSlow)
+      throws Exception {
     List<StubCache> caches = testbed.start(folder, 2, testbed.journal.address());
-    List<List<TimedCommand>> seen = handleAll(caches, FaultFixture::serve);
-    StubJournal between = testbed.copyOfJournal();
-    StubJournal last = testbed.copyOfJournal();
-    between.replyOverride = "";
-    JournalRelay way = testbed.relay(last);
-    way.delayMillis = lastIsSlow ? 1000 : 0;
-    String betweenAddress =
-        switch (first) {
-          case "silent" -> between.address();
+    List<List<TimedCommand>> received = handleAll(caches, FaultFixture::serve);
+    StubJournal firstJournal = testbed.copyOfJournal();
+    StubJournal lastJournal = testbed.copyOfJournal();
+    firstJournal.replyOverride = "";
+    JournalRelay relay = testbed.relay(lastJournal);
+    relay.delayMillis = lastIsSlow ? 1000 : 0;
+    String firstAddress =
+        switch (firstFault) {
+          case "silent" -> firstJournal.address();
           case "unreachable" -> testbed.fullAddress();
           default -> testbed.refusingAddress();
         };
-    GatewayOptions one = testbed.options(folder, betweenAddress);
-    GatewayOptions two = testbed.options(folder, way.address());
-    testbed.gateway.reload(() -> one);
-    testbed.gateway.reload(() -> two);
-    String asked = last.polls.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertNotNull(asked);
-    assertTrue(asked.startsWith("tail=3&"), asked);
+    GatewayOptions firstOptions = testbed.options(folder, firstAddress);
+    GatewayOptions lastOptions = testbed.options(folder, relay.address());
+    testbed.gateway.reload(() -> firstOptions);
+    testbed.gateway.reload(() -> lastOptions);
+    String poll = lastJournal.polls.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    assertNotNull(poll);
+    assertTrue(poll.startsWith("tail=3&"), poll);
     TestClient client = testbed.client();
-    assertDrainTakesEffect(last, caches.get(0), seen.get(0), client, lastIsSlow ? 6000 : 2000);
-    between.replyOverride = null;
-    between.listEndpoint("c1", caches.get(1).address(), "box", "gone");
+    assertDrainTakesEffect(
+        lastJournal, caches.get(0), received.get(0), client, lastIsSlow ? 6000 : 2000);
+    firstJournal.replyOverride = null;
+    firstJournal.listEndpoint("c1", caches.get(1).address(), "box", "gone");
     testbed.journal.listEndpoint("c1", caches.get(1).address(), "box", "gone");
     testbed.journal.polls.clear();
-    between.polls.clear();
+    firstJournal.polls.clear();
     requestFor(client, 500);
     assertTrue(
-        testbed.journal.polls.isEmpty() && between.polls.isEmpty(),
+        testbed.journal.polls.isEmpty() && firstJournal.polls.isEmpty(),
         "journals that were left are not asked");
   }
 
@@ -67,11 +69,11 @@
    */
   @Test
   void slowDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
-    JournalRelay way = testbed.relay(testbed.journal);
-    way.delayMillis = 1000;
-    List<StubCache> caches = testbed.start(folder, 2, way.address());
-    List<List<TimedCommand>> seen = handleAll(caches, FaultFixture::serve);
-    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), testbed.client(), 6000);
+    JournalRelay relay = testbed.relay(testbed.journal);
+    relay.delayMillis = 1000;
+    List<StubCache> caches = testbed.start(folder, 2, relay.address());
+    List<List<TimedCommand>> received = handleAll(caches, FaultFixture::serve);
+    assertDrainTakesEffect(testbed.journal, caches.get(0), received.get(0), testbed.client(), 6000);
   }
 
   /**
@@ -80,17 +82,17 @@
    */
   @Test
   void overloadedDiscoveryServesRequestsAndADrainTakesEffect() throws Exception {
-    JournalRelay way = testbed.relay(testbed.journal);
-    way.resetsAllButOneOf = 4;
-    List<StubCache> caches = testbed.start(folder, 2, way.address());
-    List<List<TimedCommand>> seen = handleAll(caches, FaultFixture::serve);
+    JournalRelay relay = testbed.relay(testbed.journal);
+    relay.relaysOneOf = 4;
+    List<StubCache> caches = testbed.start(folder, 2, relay.address());
+    List<List<TimedCommand>> received = handleAll(caches, FaultFixture::serve);
     TestClient client = testbed.client();
-    for (int times = 0; times < 3; times++) {
-      way.resetConnections();
+    for (int round = 0; round < 3; round++) {
+      relay.resetConnections();
       requestFor(client, 300);
     }
-    way.resetConnections();
-    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), client, 2000);
+    relay.resetConnections();
+    assertDrainTakesEffect(testbed.journal, caches.get(0), received.get(0), client, 2000);
   }
 
   /**
@@ -102,24 +104,24 @@
   @ParameterizedTest
   @CsvSource({"refuses, 2000", "silent, 6000"})
   void unreachableDiscoveryServesRequestsAndTheFirstDrainAfterItsReturnTakesEffect(
-      String how, long withinMillis) throws Exception {
-    JournalRelay way = testbed.relay(testbed.journal);
-    List<StubCache> caches = testbed.start(folder, 2, way.address());
-    List<List<TimedCommand>> seen = handleAll(caches, FaultFixture::serve);
+      String fault, long withinMillis) throws Exception {
+    JournalRelay relay = testbed.relay(testbed.journal);
+    List<StubCache> caches = testbed.start(folder, 2, relay.address());
+    List<List<TimedCommand>> received = handleAll(caches, FaultFixture::serve);
     TestClient client = testbed.client();
-    boolean refuses = how.equals("refuses");
+    boolean refuses = fault.equals("refuses");
     if (refuses) {
-      way.refuseConnections();
+      relay.refuseConnections();
     } else {
       testbed.journal.replyOverride = "";
     }
     requestFor(client, 3000);
     if (refuses) {
-      way.listen();
+      relay.listen();
     } else {
       testbed.journal.replyOverride = null;
     }
-    assertDrainTakesEffect(testbed.journal, caches.get(0), seen.get(0), client, withinMillis);
+    assertDrainTakesEffect(testbed.journal, caches.get(0), received.get(0), client, withinMillis);
   }
 
   /**
@@ -127,32 +129,34 @@
    * request within the given time after the drain.
    */
   private void assertDrainTakesEffect(
-      StubJournal at,
+      StubJournal journal,
       StubCache drained,
-      List<TimedCommand> seen,
+      List<TimedCommand> received,
       TestClient client,
       long withinMillis)
       throws Exception {
-    long before = System.nanoTime();
+    long startNanos = System.nanoTime();
     requestUntil(
         client,
         // Until c0 has received a request: it owns some of the parts.
-        () -> seen.stream().anyMatch(one -> one.atNanos() > before));
-    long arguments = System.nanoTime();
-    at.listEndpoint("c0", drained.address(), "box", "draining");
-    int[] seenAt = {seen.size(), number};
+        () -> received.stream().anyMatch(command -> command.atNanos() > startNanos));
+    long drainedAtNanos = System.nanoTime();
+    journal.listEndpoint("c0", drained.address(), "box", "draining");
+    int[] lastReceived = {received.size(), number};
     requestUntil(
         client,
         () -> { // Until each part was requested three times without a request to c0.
-          if (seen.size() > seenAt[0]) {
-            seenAt[0] = seen.size();
-            seenAt[1] = number;
+          if (received.size() > lastReceived[0]) {
+            lastReceived[0] = received.size();
+            lastReceived[1] = number;
           }
-          return number - seenAt[1] > 3 * PARTS;
+          return number - lastReceived[1] > 3 * PARTS;
         });
-    long last = seen.stream().mapToLong(TimedCommand::atNanos).max().orElseThrow();
+    long lastNanos = received.stream().mapToLong(TimedCommand::atNanos).max().orElseThrow();
     assertTrue(
-        last - arguments < TimeUnit.MILLISECONDS.toNanos(withinMillis),
-        "a request " + TimeUnit.NANOSECONDS.toMillis(last - arguments) + " ms after the drain");
+        lastNanos - drainedAtNanos < TimeUnit.MILLISECONDS.toNanos(withinMillis),
+        "a request "
+            + TimeUnit.NANOSECONDS.toMillis(lastNanos - drainedAtNanos)
+            + " ms after the drain");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -27,72 +27,74 @@
 class DiscoveryFreshnessAfterLagTest extends GatewayFixture {
   @ParameterizedTest
   @CsvSource({"draining, false", "gone, false", "draining, true", "gone, true"})
-  void afterEventLoopLagDrainsAreReadBeforeRequestsAreRouted(String state, boolean pollEnded)
+  void drainsAreReadBeforeRequestsAreRoutedAfterEventLoopLag(String state, boolean pollEnded)
       throws Exception {
-    try (GatewayTestbed other = new GatewayTestbed()) {
-      StubCache[] caches = {other.cache(), other.cache()};
-      StallingRouter router = startStallingGateway(other, caches);
-      TestClient client = other.client();
+    try (GatewayTestbed stallingTestbed = new GatewayTestbed()) {
+      StubCache[] caches = {stallingTestbed.cache(), stallingTestbed.cache()};
+      StallingRouter router = startStallingGateway(stallingTestbed, caches);
+      TestClient client = stallingTestbed.client();
       client.sendRequest(1, "parts", 4000, 0);
       ReceivedCommand first = null;
-      for (int at = 0; first == null; at ^= 1) {
-        first = caches[at].commands.poll(20, TimeUnit.MILLISECONDS);
+      for (int index = 0; first == null; index ^= 1) {
+        first = caches[index].commands.poll(20, TimeUnit.MILLISECONDS);
       }
-      int hashed = caches[0].server.getLocalPort() == first.socket().getLocalPort() ? 0 : 1;
+      int drainedIndex = caches[0].server.getLocalPort() == first.socket().getLocalPort() ? 0 : 1;
       first.replyOk("before");
       assertEquals("before", text(client.receive()));
       stallWhile(
-          other,
+          stallingTestbed,
           router,
           pollEnded,
           client,
-          () -> other.journal.listEndpoint("c" + hashed, caches[hashed].address(), "box", state));
-      ReceivedCommand late = caches[1 - hashed].nextCommand();
-      assertEquals("0000000000000003", late.element(1));
-      late.replyOk("after");
+          () ->
+              stallingTestbed.journal.listEndpoint(
+                  "c" + drainedIndex, caches[drainedIndex].address(), "box", state));
+      ReceivedCommand rerouted = caches[1 - drainedIndex].nextCommand();
+      assertEquals("0000000000000003", rerouted.element(1));
+      rerouted.replyOk("after");
       assertEquals("after", text(client.receive()));
       assertTrue(
-          caches[hashed].commands.stream()
-              .noneMatch(one -> one.element(1).equals("0000000000000003")));
+          caches[drainedIndex].commands.stream()
+              .noneMatch(command -> command.element(1).equals("0000000000000003")));
     }
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void afterEventLoopLagPurgesAreReadBeforeRequestsAreRouted(boolean pollEnded) throws Exception {
-    try (GatewayTestbed other = new GatewayTestbed()) {
-      StubCache only = other.cache();
-      StallingRouter router = startStallingGateway(other, only);
+  void purgesAreReadBeforeRequestsAreRoutedAfterEventLoopLag(boolean pollEnded) throws Exception {
+    try (GatewayTestbed stallingTestbed = new GatewayTestbed()) {
+      StubCache onlyCache = stallingTestbed.cache();
+      StallingRouter router = startStallingGateway(stallingTestbed, onlyCache);
       stallWhile(
-          other,
+          stallingTestbed,
           router,
           pollEnded,
-          other.client(),
+          stallingTestbed.client(),
           () ->
-              other.journal.addEntry(
+              stallingTestbed.journal.addEntry(
                   "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}"));
-      assertNotNull(only.nextCommand().field("within"), "it waited for its connection");
-      assertNotNull(only.nextCommand().field("within"));
+      assertNotNull(onlyCache.nextCommand().field("within"), "it waited for its connection");
+      assertNotNull(onlyCache.nextCommand().field("within"));
     }
   }
 
   @Test
   void requestReceivedBeforeTheFirstJournalReplyIsRoutedAfterIt() throws Exception {
-    try (GatewayTestbed other = new GatewayTestbed()) {
-      StubCache only = other.cache();
-      other.journal.listEndpoint("c0", only.address(), "box", "ready");
-      GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      other.journal.addEntry(
+    try (GatewayTestbed stallingTestbed = new GatewayTestbed()) {
+      StubCache onlyCache = stallingTestbed.cache();
+      stallingTestbed.journal.listEndpoint("c0", onlyCache.address(), "box", "ready");
+      GatewayOptions options = GatewayOptions.read(stallingTestbed.environment(folder));
+      stallingTestbed.journal.addEntry(
           "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
-      other.journal.replyOverride = ""; // The journal does not reply yet.
-      other.gateway = new Gateway(other.vertx, options);
-      var started = other.gateway.start();
-      assertNotNull(other.journal.polls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-      TestClient early = other.client().sendRequest(1, "parts", 4000, 0);
-      assertNull(only.commands.poll(STALL_MILLIS / 2, TimeUnit.MILLISECONDS));
-      assertFalse(early.socket.getInputStream().available() > 0);
-      other.journal.replyOverride = null;
-      assertNotNull(only.nextCommand().field("within"));
+      stallingTestbed.journal.replyOverride = ""; // The journal does not reply yet.
+      stallingTestbed.gateway = new Gateway(stallingTestbed.vertx, options);
+      var started = stallingTestbed.gateway.start();
+      assertNotNull(stallingTestbed.journal.polls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      TestClient earlyClient = stallingTestbed.client().sendRequest(1, "parts", 4000, 0);
+      assertNull(onlyCache.commands.poll(STALL_MILLIS / 2, TimeUnit.MILLISECONDS));
+      assertFalse(earlyClient.socket.getInputStream().available() > 0);
+      stallingTestbed.journal.replyOverride = null;
+      assertNotNull(onlyCache.nextCommand().field("within"));
       started.toCompletionStage().toCompletableFuture().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
@@ -101,14 +103,14 @@
    * Starts a gateway in a second testbed that knows the given caches. Its event loop stalls in the
    * first batch after {@link StallingRouter#armed} is set.
    */
-  private StallingRouter startStallingGateway(GatewayTestbed other, StubCache... caches)
+  private StallingRouter startStallingGateway(GatewayTestbed stallingTestbed, StubCache... caches)
       throws Exception {
-    for (int at = 0; at < caches.length; at++) {
-      other.journal.listEndpoint("c" + at, caches[at].address(), "box", "ready");
+    for (int index = 0; index < caches.length; index++) {
+      stallingTestbed.journal.listEndpoint("c" + index, caches[index].address(), "box", "ready");
     }
-    GatewayOptions options = GatewayOptions.read(other.environment(folder));
+    GatewayOptions options = GatewayOptions.read(stallingTestbed.environment(folder));
     StallingRouter router = new StallingRouter(options);
-    other.start(options, router);
+    stallingTestbed.start(options, router);
     return router;
   }
 
@@ -119,18 +121,18 @@
    *     event is not part of that reply
    */
   private static void stallWhile(
-      GatewayTestbed other,
+      GatewayTestbed stallingTestbed,
       StallingRouter router,
       boolean pollEnded,
       TestClient client,
       Runnable event)
       throws Exception {
     router.armed = true;
-    other.client().sendRequest(2, "parts", 4000, 0);
+    stallingTestbed.client().sendRequest(2, "parts", 4000, 0);
     assertTrue(router.stalled.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     client.sendRequest(3, "parts", 4000, 0);
     if (pollEnded) { // The reply waits in the gateway's socket; later events wait in the journal.
-      other.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
+      stallingTestbed.journal.addEntry("\"expire\":{\"set\":200,\"stamp\":1}");
       Thread.sleep(STALL_MILLIS / 4); // Lets the reply arrive while the event loop is blocked.
     }
     event.run();
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -36,30 +36,30 @@
 class EndpointDiscoveryTest extends GatewayFixture {
   @Test
   void drainingCacheAndDrainingFillSourceGetNoNewRequest() throws Exception {
-    StubCache other = testbed.cache();
+    StubCache otherCache = testbed.cache();
     testbed.journal.listEndpoint("o0", "127.0.0.1:1", "origin", "draining");
     testbed.journal.listEndpoint("c0", cache.address(), "box", "draining");
-    testbed.journal.listEndpoint("c1", other.address(), "box", "ready");
-    String last = "tail=5&max_wait=2000";
+    testbed.journal.listEndpoint("c1", otherCache.address(), "box", "ready");
+    String lastPoll = "tail=5&max_wait=2000";
     for (String poll = "";
-        !last.equals(poll);
+        !lastPoll.equals(poll);
         poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS)) {
       assertNotNull(poll);
     }
     client.sendRequest(1, "parts", 1500, 0);
-    ReceivedCommand command = other.nextCommand();
+    ReceivedCommand command = otherCache.nextCommand();
     assertNull(command.field("miss"));
     assertTrue(cache.commands.isEmpty());
   }
 
   @Test
-  void attemptWaitingForAConnectionIsRoutedAnewWhereItsCacheOrSourceDrains() throws Exception {
+  void attemptWaitingForAConnectionIsReroutedWhenItsCacheOrSourceDrains() throws Exception {
     for (String drained : List.of("c0", "o0")) {
       testbed.close();
       testbed = new GatewayTestbed();
       StubCache origin = testbed.cache();
-      String full = testbed.fullAddress();
-      testbed.journal.listEndpoint("c0", full, "box", "ready");
+      String unreachableAddress = testbed.fullAddress();
+      testbed.journal.listEndpoint("c0", unreachableAddress, "box", "ready");
       testbed.journal.listEndpoint("o0", origin.address(), "origin", "ready");
       Map<String, String> environment = testbed.environment(folder);
       Path file = Path.of(environment.get("PROXY_CONFIG"));
@@ -72,9 +72,12 @@
       client.requestStatus();
       cache = testbed.cache();
       testbed.journal.listEndpoint("c1", cache.address(), "box", "ready");
-      boolean edge = drained.equals("c0");
+      boolean isEdgeCache = drained.equals("c0");
       testbed.journal.listEndpoint(
-          drained, edge ? full : origin.address(), edge ? "box" : "origin", "draining");
+          drained,
+          isEdgeCache ? unreachableAddress : origin.address(),
+          isEdgeCache ? "box" : "origin",
+          "draining");
       cache.nextCommand().replyOk("elsewhere");
       assertEquals("elsewhere", text(client.receive()));
     }
@@ -100,7 +103,7 @@
   }
 
   @Test
-  void silentOrInvalidJournalIsPolledAgainAndTheListStays() throws Exception {
+  void silentOrInvalidJournalIsPolledAgainAndEndpointsAreKept() throws Exception {
     testbed.journal.replyOverride = "{\"pos\":\"many\"}";
     testbed.journal.addEntry("\"expire\":{\"set\":3,\"stamp\":1}");
     awaitPolls(3);
@@ -115,10 +118,10 @@
   }
 
   @Test
-  void fullListReplacesTheFormerOneAndItsAddressesBelongToTheNewCaches() throws Exception {
+  void fullListReplacesThePreviousOneAndAReusedAddressGetsANewConnection() throws Exception {
     client.sendRequest(1, "parts", 1500, 0);
-    ReceivedCommand old = cache.nextCommand();
-    old.replyOk("old");
+    ReceivedCommand oldCommand = cache.nextCommand();
+    oldCommand.replyOk("old");
     client.receive();
     testbed.journal.addEntry(
         "\"hosts\":{\"reset\":true,\"instances\":[{\"instanceId\":\"c9\",\"hostPort\":\""
@@ -126,25 +129,26 @@
             + "\",\"zone\":\"z\",\"machineType\":\"box\",\"lifecycle\":\"ready\"}]}");
     awaitPoll("tail=3&");
     client.sendRequest(2, "parts", 1500, 0);
-    ReceivedCommand fresh = cache.nextCommand();
-    assertNotEquals(old.socket(), fresh.socket());
-    assertNull(fresh.field("miss"), "the origin is not in the new list");
+    ReceivedCommand newCommand = cache.nextCommand();
+    assertNotEquals(oldCommand.socket(), newCommand.socket());
+    assertNull(newCommand.field("miss"), "the origin is not in the new list");
   }
 
   @Test
-  void endpointsThatComeAndGoLeaveNothingBehind() throws Exception {
-    int here = 3; // Connections: two caches and one client.
-    for (int many = 0; many < 300; many++) {
-      testbed.journal.listEndpoint("x" + many, cache.address(), "box", "ready");
-      testbed.journal.listEndpoint("x" + many, "", "box", "gone");
+  void removedEndpointsReleaseTheirResources() throws Exception {
+    int expectedResources = 3; // Connections: two caches and one client.
+    for (int index = 0; index < 300; index++) {
+      testbed.journal.listEndpoint("x" + index, cache.address(), "box", "ready");
+      testbed.journal.listEndpoint("x" + index, "", "box", "gone");
     }
     awaitPoll("tail=602&");
     client.sendRequest(1, "parts", 1500, 0);
     cache.nextCommand().replyOk("still known");
     assertEquals("still known", text(client.receive()));
     Conditions.await(
-        () -> testbed.gateway.resourceCount() <= here, "nothing else is held any more");
-    assertEquals(here, testbed.gateway.resourceCount());
+        () -> testbed.gateway.resourceCount() <= expectedResources,
+        "nothing else is held any more");
+    assertEquals(expectedResources, testbed.gateway.resourceCount());
   }
 
   @Test
@@ -160,38 +164,39 @@
   }
 
   @Test
-  void gatewayServesKnownEndpointsWhereTheJournalIsDownAtTheStart() throws Exception {
-    try (GatewayTestbed other = new GatewayTestbed()) {
-      StubCache only = other.cache();
-      other.journal.listEndpoint("c0", only.address(), "box", "ready");
-      GatewayOptions options = GatewayOptions.read(other.environment(folder));
-      other.journal.server.stop(0);
-      other.start(options, null);
-      TestClient client = other.client();
+  void gatewayServesConfiguredEndpointsWhenTheJournalIsDownAtStartup() throws Exception {
+    try (GatewayTestbed otherTestbed = new GatewayTestbed()) {
+      StubCache onlyCache = otherTestbed.cache();
+      otherTestbed.journal.listEndpoint("c0", onlyCache.address(), "box", "ready");
+      GatewayOptions options = GatewayOptions.read(otherTestbed.environment(folder));
+      otherTestbed.journal.server.stop(0);
+      otherTestbed.start(options, null);
+      TestClient client = otherTestbed.client();
       client.sendRequest(1, "parts", 1500, 0);
-      only.nextCommand().replyOk("known endpoint");
+      onlyCache.nextCommand().replyOk("known endpoint");
       assertEquals("known endpoint", text(client.receive()));
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"\"set\":17", "\"name\":\"7f3a9c21e0b4d655\""})
-  void attemptWaitingForAConnectionIsNeverSentWhereItsObjectIsPurged(String what) throws Exception {
-    try (GatewayTestbed other = new GatewayTestbed()) {
-      other.journal.listEndpoint("c0", other.fullAddress(), "box", "ready");
-      GatewayOptions options = GatewayOptions.read(other.environment(folder));
+  void attemptWaitingForAConnectionIsNeverSentWhenItsObjectIsPurged(String purgedField)
+      throws Exception {
+    try (GatewayTestbed otherTestbed = new GatewayTestbed()) {
+      otherTestbed.journal.listEndpoint("c0", otherTestbed.fullAddress(), "box", "ready");
+      GatewayOptions options = GatewayOptions.read(otherTestbed.environment(folder));
       BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
-      other.start(
+      otherTestbed.start(
           options,
-          (now, in, to) ->
-              in.replayTo(
+          (nowNanos, events, actions) ->
+              events.replayTo(
                   (RoutingEventHandler)
                       Proxy.newProxyInstance(
                           getClass().getClassLoader(),
                           new Class<?>[] {RoutingEventHandler.class},
                           (proxy, event, arguments) -> {
                             if (event.getName().equals("requestReceived")) {
-                              to.sendAttempt(
+                              actions.sendAttempt(
                                   new AttemptCommand(
                                       ((RequestDetails) arguments[0]).id(), 0, 0, 0, 0, 0, 0));
                             } else if (event.getName().equals("attemptEnded")) {
@@ -199,10 +204,10 @@
                             }
                             return null;
                           })));
-      other.client().sendRequest(1, "parts", 4000, 0);
+      otherTestbed.client().sendRequest(1, "parts", 4000, 0);
       Thread.sleep(STALL_MILLIS / 4); // Lets the attempt start to wait for its connection.
-      other.journal.addEntry(
-          "\"expire\":{" + what + ",\"stamp\":" + System.currentTimeMillis() + "}");
+      otherTestbed.journal.addEntry(
+          "\"expire\":{" + purgedField + ",\"stamp\":" + System.currentTimeMillis() + "}");
       assertEquals(AttemptOutcome.WITHDRAWN, outcomes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -16,7 +16,7 @@
 
 /** Tests the defaults of a gateway's options and the messages that name an invalid key. */
 class GatewayOptionsTest {
-  private static final String GOOD =
+  private static final String VALID_CONFIG =
       "{'name':'n3','listen':'127.0.0.1:7','journal':'127.0.0.1:8','seed':'ff',"
           + "'limits':{'memory_mb':192,'sockets':1024},'new':{'a':[1]},"
           + "'settings':{'my-zone':'z','classes':[{'name':'p',"
@@ -34,20 +34,20 @@
   }
 
   @Test
-  void settingsAreReadAndAbsentOnesHaveDefaults() throws Exception {
-    GatewayOptions options = read(GOOD);
+  void settingsAreReadAndAbsentSettingsHaveDefaults() throws Exception {
+    GatewayOptions options = read(VALID_CONFIG);
     assertEquals("n3", options.name());
     assertEquals(7, options.listenAddress().port());
     assertEquals(255, options.routingConfig().seed());
     assertEquals(250_000_000, options.routingConfig().trafficClass(0).latencyObjectiveNanos());
     assertEquals(400_000_000, options.pipelineConfig().caches().connectTimeoutNanos());
     assertEquals(0, options.knownEntries().objects("entries").size());
-    assertEquals(9, read(GOOD, "PROXY_LISTEN", "[::1]:9").listenAddress().port());
+    assertEquals(9, read(VALID_CONFIG, "PROXY_LISTEN", "[::1]:9").listenAddress().port());
   }
 
   @Test
-  void connectionsOfClientsAndCachesStayWithinTheDescriptors() throws Exception {
-    GatewayOptions options = read(GOOD);
+  void clientAndCacheConnectionsStayWithinTheDescriptorLimit() throws Exception {
+    GatewayOptions options = read(VALID_CONFIG);
     CacheConnectionConfig caches = options.pipelineConfig().caches();
     assertTrue(caches.maxConnections() + options.maxClientConnections() < 1024 - 32);
     for (int count : new int[] {1, 20, 60, 400}) {
@@ -76,19 +76,20 @@
         "{'name' | {{'name'" + " | is not JSON"
       },
       quoteCharacter = '"')
-  void invalidKeyIsNamed(String good, String bad, String message) {
-    String json = GOOD.replace(good, bad.equals("''") ? "" : bad);
-    InvalidSettingsException wrong = assertThrows(InvalidSettingsException.class, () -> read(json));
-    assertTrue(wrong.getMessage().contains(message), wrong.getMessage());
+  void messageNamesTheInvalidKey(String validText, String invalidText, String message) {
+    String json = VALID_CONFIG.replace(validText, invalidText.equals("''") ? "" : invalidText);
+    InvalidSettingsException exception =
+        assertThrows(InvalidSettingsException.class, () -> read(json));
+    assertTrue(exception.getMessage().contains(message), exception.getMessage());
   }
 
   @Test
-  void missingFileIsNamed() {
+  void messageNamesTheMissingFile() {
     Map<String, String> environment =
         Map.of("PROXY_CONFIG", folder.resolve("none.json").toString());
-    InvalidSettingsException wrong =
+    InvalidSettingsException exception =
         assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(environment));
-    assertTrue(wrong.getMessage().startsWith("PROXY_CONFIG: "), wrong.getMessage());
+    assertTrue(exception.getMessage().startsWith("PROXY_CONFIG: "), exception.getMessage());
     assertThrows(InvalidSettingsException.class, () -> GatewayOptions.read(Map.of()));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
@@ -24,15 +24,15 @@
         "{'listen':'127.0.0.1:1','seed':'ff','settings':{}}  | configuration settings | my-zone ",
         "[]                                                  | \"\"                   | \"\"      "
       })
-  void invalidSettingsNameTheirPlace(String json, String section, String key) throws Exception {
+  void exceptionCarriesFileSectionAndKey(String json, String section, String key) throws Exception {
     Path file = folder.resolve("gateway.json");
     Files.writeString(file, json.replace('\'', '"'));
-    InvalidSettingsException invalid =
+    InvalidSettingsException exception =
         assertThrows(
             InvalidSettingsException.class,
             () -> GatewayOptions.read(Map.of("PROXY_CONFIG", file.toString()), false));
-    assertEquals(file.toString(), invalid.file());
-    assertEquals(section, invalid.section());
-    assertEquals(key, invalid.key());
+    assertEquals(file.toString(), exception.file());
+    assertEquals(section, exception.section());
+    assertEquals(key, exception.key());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -18,7 +18,7 @@
  * input.
  */
 class SimulationHostTest {
-  private static final String UP =
+  private static final String UP_AND_VIEW =
       """
       {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],
       "classes":[{"name":"pages",
@@ -41,13 +41,13 @@
         .run();
   }
 
-  private static String batch(String news) {
-    return ("{\"wall-s\":8.5,\"parts\":[{\"i\":3,\"news\":[" + news + "]}]}").replace("\n", "");
+  private static String batch(String events) {
+    return ("{\"wall-s\":8.5,\"parts\":[{\"i\":3,\"news\":[" + events + "]}]}").replace("\n", "");
   }
 
   @Test
-  void requestIsForwardedAndTheEndOfInputExitsWithZero() throws IOException {
-    assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP + "," + ORDER)));
+  void requestIsForwardedAndEndOfInputExitsWithCodeZero() throws IOException {
+    assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP_AND_VIEW + "," + ORDER)));
     String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", -1);
     assertEquals("{\"parts\":[]}", replies[0]);
     assertTrue(
@@ -60,7 +60,7 @@
 
   @Test
   void eventsBeforeAStartInTheSameRoundAreIgnored() throws IOException {
-    run(batch(UP), batch(ORDER + ",{\"verb\":\"stop\"}," + UP));
+    run(batch(UP_AND_VIEW), batch(ORDER + ",{\"verb\":\"stop\"}," + UP_AND_VIEW));
     assertFalse(out.toString(StandardCharsets.UTF_8).contains("op-id"));
   }
 
@@ -79,8 +79,8 @@
         "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
             + "| field 'cache' is no known"
       })
-  void invalidInputExitsWithOnePlainMessage(String line, String message) throws IOException {
-    assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
+  void invalidInputExitsWithCodeOneAndOneMessage(String line, String message) throws IOException {
+    assertEquals(1, run(batch(UP_AND_VIEW), line.contains("verb") ? batch(line) : line));
     String messages = err.toString(StandardCharsets.UTF_8);
     assertTrue(messages.contains(message), messages);
     assertEquals(1, messages.lines().count());
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ClientAnswer.java
@@ -10,11 +10,12 @@
   private final boolean isReady;
   private final Map<String, String> fields;
 
-  ClientAnswer(long number, String error, byte[] body, boolean status, Map<String, String> fields) {
-    this.messageId = number;
+  ClientAnswer(
+      long messageId, String error, byte[] body, boolean isReady, Map<String, String> fields) {
+    this.messageId = messageId;
     this.error = error;
     this.body = body;
-    this.isReady = status;
+    this.isReady = isReady;
     this.fields = fields;
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -48,31 +48,32 @@
     testbed.close();
   }
 
-  protected static long millisSince(long nanos) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+  protected static long millisSince(long startNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  protected static String requestId(int ofNumber) {
-    return String.format("%016x", ofNumber);
+  protected static String requestId(int requestNumber) {
+    return String.format("%016x", requestNumber);
   }
 
   /** Returns the {@code want} commands of one request among the commands that caches received. */
-  protected static List<TimedCommand> attemptsOf(List<List<TimedCommand>> seen, int ofNumber) {
-    return seen.stream()
+  protected static List<TimedCommand> attemptsOf(
+      List<List<TimedCommand>> received, int requestNumber) {
+    return received.stream()
         .flatMap(List::stream)
         .filter(
-            one ->
-                one.command().element(0).equals("want")
-                    && one.command().element(1).equals(requestId(ofNumber)))
+            command ->
+                command.command().element(0).equals("want")
+                    && command.command().element(1).equals(requestId(requestNumber)))
         .toList();
   }
 
-  protected List<List<TimedCommand>> handleAll(List<StubCache> caches, CommandHandler reaction) {
-    List<List<TimedCommand>> seen = new ArrayList<>();
+  protected List<List<TimedCommand>> handleAll(List<StubCache> caches, CommandHandler handler) {
+    List<List<TimedCommand>> received = new ArrayList<>();
     for (StubCache cache : caches) {
-      seen.add(testbed.handleCommands(cache, reaction));
+      received.add(testbed.handleCommands(cache, handler));
     }
-    return seen;
+    return received;
   }
 
   protected static void serve(ReceivedCommand command) throws Exception {
@@ -95,11 +96,11 @@
    * Requests all parts in turn until the condition holds; asserts that every request is served and
    * that the condition holds within 20 s.
    */
-  protected void requestUntil(TestClient client, BooleanSupplier done) throws Exception {
-    long since = System.nanoTime();
-    while (!done.getAsBoolean()) {
+  protected void requestUntil(TestClient client, BooleanSupplier condition) throws Exception {
+    long startNanos = System.nanoTime();
+    while (!condition.getAsBoolean()) {
       assertTrue(
-          millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
+          millisSince(startNanos) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
           "it never comes");
       requestServed(client);
       Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Limits the request rate.
@@ -107,8 +108,8 @@
   }
 
   protected void requestFor(TestClient client, long millis) throws Exception {
-    long since = System.nanoTime();
-    requestUntil(client, () -> millisSince(since) > millis);
+    long startNanos = System.nanoTime();
+    requestUntil(client, () -> millisSince(startNanos) > millis);
   }
 
   /**
@@ -119,13 +120,13 @@
     assertEquals(9999, client.requestStatus().messageId());
   }
 
-  protected static CommandHandler failing(String how) {
-    return switch (how) {
+  protected static CommandHandler failing(String fault) {
+    return switch (fault) {
       case "close" -> command -> command.socket().close();
       case "reset" -> ReceivedCommand::reset;
       case "shut" -> command -> command.socket().shutdownOutput();
       case "serve" -> FaultFixture::serve;
-      default -> command -> command.reply(how, "-", new byte[0]);
+      default -> command -> command.reply(fault, "-", new byte[0]);
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ForwardingEventHandler.java
@@ -8,75 +8,75 @@
 
 /** Forwards all events to another handler; base class for handlers that intercept some of them. */
 public class ForwardingEventHandler implements RoutingEventHandler {
-  private final RoutingEventHandler to;
+  private final RoutingEventHandler delegate;
 
   /** Creates a handler that forwards to the given one. */
-  public ForwardingEventHandler(RoutingEventHandler to) {
-    this.to = to;
+  public ForwardingEventHandler(RoutingEventHandler delegate) {
+    this.delegate = delegate;
   }
 
   @Override
-  public void endpointListStarted(EndpointListKind what) {
-    to.endpointListStarted(what);
+  public void endpointListStarted(EndpointListKind kind) {
+    delegate.endpointListStarted(kind);
   }
 
   @Override
   public void endpointListed(EndpointDescription endpoint) {
-    to.endpointListed(endpoint);
+    delegate.endpointListed(endpoint);
   }
 
   @Override
   public void endpointListCompleted() {
-    to.endpointListCompleted();
+    delegate.endpointListCompleted();
   }
 
   @Override
   public void requestReceived(RequestDetails request) {
-    to.requestReceived(request);
+    delegate.requestReceived(request);
   }
 
   @Override
-  public void responseStarted(long id, int copy) {
-    to.responseStarted(id, copy);
+  public void responseStarted(long requestId, int attempt) {
+    delegate.responseStarted(requestId, attempt);
   }
 
   @Override
   public void attemptEnded(AttemptResult result) {
-    to.attemptEnded(result);
+    delegate.attemptEnded(result);
   }
 
   @Override
-  public void clientDisconnected(long id) {
-    to.clientDisconnected(id);
+  public void clientDisconnected(long requestId) {
+    delegate.clientDisconnected(requestId);
   }
 
   @Override
-  public void objectPurged(long object, int group, long ago) {
-    to.objectPurged(object, group, ago);
+  public void objectPurged(long object, int group, long ageNanos) {
+    delegate.objectPurged(object, group, ageNanos);
   }
 
   @Override
   public void timerFired(String handle) {
-    to.timerFired(handle);
+    delegate.timerFired(handle);
   }
 
   @Override
   public void gatewayShareChanged(int gateways, double share) {
-    to.gatewayShareChanged(gateways, share);
+    delegate.gatewayShareChanged(gateways, share);
   }
 
   @Override
-  public void healthChecksDelegated(boolean forAll) {
-    to.healthChecksDelegated(forAll);
+  public void healthChecksDelegated(boolean delegated) {
+    delegate.healthChecksDelegated(delegated);
   }
 
   @Override
-  public void healthReported(int cache, boolean answers, long ago) {
-    to.healthReported(cache, answers, ago);
+  public void healthReported(int endpoint, boolean responded, long ageNanos) {
+    delegate.healthReported(endpoint, responded, ageNanos);
   }
 
   @Override
   public void syntheticRequestReceived(RequestDetails request, int endpoint) {
-    to.syntheticRequestReceived(request, endpoint);
+    delegate.syntheticRequestReceived(request, endpoint);
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
@@ -49,14 +49,14 @@
   }
 
   protected void awaitPolls(int count) throws InterruptedException {
-    for (int poll = 0; poll < count; poll++) {
+    for (int index = 0; index < count; index++) {
       assertNotNull(testbed.journal.polls.poll(10, TimeUnit.SECONDS));
     }
   }
 
-  protected void awaitPoll(String start) throws InterruptedException {
+  protected void awaitPoll(String prefix) throws InterruptedException {
     String poll = "";
-    while (!poll.startsWith(start)) {
+    while (!poll.startsWith(prefix)) {
       poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS);
       assertNotNull(poll);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
@@ -87,12 +87,12 @@
   /**
    * Reads lines until one contains the given text and returns it; fails the test at end of file.
    */
-  public static String awaitLine(BufferedReader log, String part) throws IOException {
+  public static String awaitLine(BufferedReader log, String text) throws IOException {
     String line = log.readLine();
-    while (line != null && !line.contains(part)) {
+    while (line != null && !line.contains(text)) {
       line = log.readLine();
     }
-    assertNotNull(line, "no line with: " + part);
+    assertNotNull(line, "no line with: " + text);
     return line;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayTestbed.java
@@ -71,13 +71,13 @@
   /**
    * Starts a gateway.
    *
-   * @param decisions the router to use; null for the gateway's own
+   * @param router the router to use; null for the gateway's own
    */
-  public void start(GatewayOptions options, BatchRouter decisions) throws Exception {
+  public void start(GatewayOptions options, BatchRouter router) throws Exception {
     gateway =
-        decisions == null
+        router == null
             ? new Gateway(vertx, options)
-            : new Gateway(vertx, options, GatewayExtensions.NONE, decisions);
+            : new Gateway(vertx, options, GatewayExtensions.NONE, router);
     gateway
         .start()
         .toCompletionStage()
@@ -116,16 +116,16 @@
    * connections are neither established nor refused.
    */
   public String fullAddress() throws IOException {
-    ServerSocket full = new ServerSocket(0, 1, LOOPBACK);
-    resources.add(full);
+    ServerSocket server = new ServerSocket(0, 1, LOOPBACK);
+    resources.add(server);
     try {
       while (true) {
         Socket socket = new Socket();
         resources.add(socket);
-        socket.connect(full.getLocalSocketAddress(), 200);
+        socket.connect(server.getLocalSocketAddress(), 200);
       }
     } catch (java.net.SocketTimeoutException e) {
-      return "127.0.0.1:" + full.getLocalPort();
+      return "127.0.0.1:" + server.getLocalPort();
     }
   }
 
@@ -143,8 +143,8 @@
 
   @Override
   public void close() throws IOException {
-    for (Closeable one : resources) {
-      one.close();
+    for (Closeable resource : resources) {
+      resource.close();
     }
     journal.server.stop(0);
     threads.shutdownNow();
@@ -159,22 +159,22 @@
   /**
    * Writes a configuration like {@link #environment(Path)} with some of its text replaced.
    *
-   * @param changes pairs of the text to replace and its replacement
+   * @param replacements pairs of the text to replace and its replacement
    */
-  public Map<String, String> environment(Path folder, String... changes) throws IOException {
+  public Map<String, String> environment(Path folder, String... replacements) throws IOException {
     Map<String, String> environment = environment(folder);
     Path file = Path.of(environment.get("PROXY_CONFIG"));
     String text = Files.readString(file);
-    for (int at = 0; at < changes.length; at += 2) {
-      text = text.replace(changes[at], changes[at + 1]);
+    for (int index = 0; index < replacements.length; index += 2) {
+      text = text.replace(replacements[index], replacements[index + 1]);
     }
     Files.writeString(file, text);
     return environment;
   }
 
   /** Runs a task on the gateway's event loop, which is blocked while the task runs. */
-  public void runOnEventLoop(Runnable what) {
-    gateway.context().runOnContext(turn -> what.run());
+  public void runOnEventLoop(Runnable task) {
+    gateway.context().runOnContext(ignored -> task.run());
   }
 
   /**
@@ -197,22 +197,22 @@
    * thread of its own. Returns a thread-safe list to which every received command is added.
    */
   public List<TimedCommand> handleCommands(StubCache cache, CommandHandler handler) {
-    List<TimedCommand> seen = new CopyOnWriteArrayList<>();
+    List<TimedCommand> received = new CopyOnWriteArrayList<>();
     threads.execute(
         () -> {
           try {
             while (true) {
-              ReceivedCommand next = cache.commands.take();
-              seen.add(new TimedCommand(next, System.nanoTime()));
-              if (next.element(0).equals("want")) {
-                threads.execute(() -> handleOnce(handler, next));
+              ReceivedCommand command = cache.commands.take();
+              received.add(new TimedCommand(command, System.nanoTime()));
+              if (command.element(0).equals("want")) {
+                threads.execute(() -> handleOnce(handler, command));
               }
             }
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    return seen;
+    return received;
   }
 
   private static void handleOnce(CommandHandler handler, ReceivedCommand command) {
@@ -227,11 +227,12 @@
    * Starts a gateway that knows the given number of edge caches, with ids from c0, and the origin,
    * and that polls the journal at the given address. Returns the edge caches.
    */
-  public List<StubCache> start(Path folder, int count, String journalAddress) throws Exception {
+  public List<StubCache> start(Path folder, int cacheCount, String journalAddress)
+      throws Exception {
     List<StubCache> caches = new ArrayList<>();
-    for (int at = 0; at < count; at++) {
+    for (int index = 0; index < cacheCount; index++) {
       caches.add(cache());
-      journal.listEndpoint("c" + at, caches.get(at).address(), "box", "ready");
+      journal.listEndpoint("c" + index, caches.get(index).address(), "box", "ready");
     }
     origin = cache();
     journal.listEndpoint("o0", origin.address(), "origin", "ready");
@@ -242,20 +243,20 @@
   /** Returns options like those of {@link #environment(Path)} with another journal address. */
   public GatewayOptions options(Path folder, String journalAddress) throws IOException {
     Path file = Path.of(environment(folder).get("PROXY_CONFIG"));
-    Path next = Files.createTempFile(folder, "config", ".json");
+    Path copy = Files.createTempFile(folder, "config", ".json");
     Files.writeString(
-        next,
+        copy,
         Files.readString(file)
             .replace("\"journal\":\"" + journal.address(), "\"journal\":\"" + journalAddress));
-    return GatewayOptions.read(Map.of("PROXY_CONFIG", next.toString()));
+    return GatewayOptions.read(Map.of("PROXY_CONFIG", copy.toString()));
   }
 
   /** Starts another journal service with the present entries of the testbed's journal. */
   public StubJournal copyOfJournal() throws IOException {
-    StubJournal second = new StubJournal(threads);
-    second.copyEntries(journal);
-    resources.add(() -> second.server.stop(0));
-    return second;
+    StubJournal copy = new StubJournal(threads);
+    copy.copyEntries(journal);
+    resources.add(() -> copy.server.stop(0));
+    return copy;
   }
 
   /**
@@ -269,8 +270,8 @@
   }
 
   /** Starts a relay to a journal. */
-  public JournalRelay relay(StubJournal to) throws IOException {
-    JournalRelay relay = new JournalRelay(to, threads);
+  public JournalRelay relay(StubJournal target) throws IOException {
+    JournalRelay relay = new JournalRelay(target, threads);
     resources.add(relay);
     return relay;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -17,15 +17,15 @@
 public final class JournalRelay implements Closeable {
   private static final int CHUNK_BYTES = 65_536;
 
-  private final ExecutorService threads;
-  private final StubJournal to;
+  private final ExecutorService executor;
+  private final StubJournal journal;
 
   /** Bound but never connected: keeps the port reserved while nothing listens there. */
-  private final Socket reserved = new Socket();
+  private final Socket reservedSocket = new Socket();
 
-  private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
+  private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
   private ServerSocket server;
-  private int accepted;
+  private int acceptedCount;
 
   /** The delay in milliseconds before the first bytes of each reply are forwarded; 0 for none. */
   public volatile long delayMillis;
@@ -34,43 +34,45 @@
    * One of this number of accepted connections is relayed, and the others are reset at once; 0 to
    * relay all.
    */
-  public volatile int resetsAllButOneOf;
+  public volatile int relaysOneOf;
 
-  JournalRelay(StubJournal to, ExecutorService threads) throws IOException {
-    this.to = to;
-    this.threads = threads;
-    reserved.setReuseAddress(true);
-    reserved.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0));
+  JournalRelay(StubJournal journal, ExecutorService executor) throws IOException {
+    this.journal = journal;
+    this.executor = executor;
+    reservedSocket.setReuseAddress(true);
+    reservedSocket.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0));
     listen();
   }
 
   /** Returns the address that the relay listens at. */
   public String address() {
-    return "127.0.0.1:" + reserved.getLocalPort();
+    return "127.0.0.1:" + reservedSocket.getLocalPort();
   }
 
   /** Starts to listen, again after {@link #refuseConnections}. */
   public void listen() throws IOException {
-    ServerSocket listening = new ServerSocket();
-    listening.setReuseAddress(true);
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
-    while (!listening.isBound()) {
+    ServerSocket newServer = new ServerSocket();
+    newServer.setReuseAddress(true);
+    long deadlineNanos =
+        System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
+    while (!newServer.isBound()) {
       try {
-        listening.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, reserved.getLocalPort()));
+        newServer.bind(
+            new InetSocketAddress(GatewayTestbed.LOOPBACK, reservedSocket.getLocalPort()));
       } catch (BindException e) {
         // The accepting thread may not have released the previous server socket yet.
-        if (System.nanoTime() > until) {
+        if (System.nanoTime() > deadlineNanos) {
           throw e;
         }
         Thread.onSpinWait();
       }
     }
-    server = listening;
-    threads.execute(
+    server = newServer;
+    executor.execute(
         () -> {
           try {
             while (true) {
-              accepted(listening.accept());
+              handleConnection(newServer.accept());
             }
           } catch (IOException e) {
             // The server socket was closed.
@@ -86,42 +88,42 @@
 
   /** Resets the open connections. */
   public void resetConnections() throws IOException {
-    for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
-      reset(one);
+    for (Socket socket = openSockets.poll(); socket != null; socket = openSockets.poll()) {
+      reset(socket);
     }
   }
 
-  private void accepted(Socket from) throws IOException {
-    if (resetsAllButOneOf > 0 && accepted++ % resetsAllButOneOf != 0) {
-      reset(from);
+  private void handleConnection(Socket client) throws IOException {
+    if (relaysOneOf > 0 && acceptedCount++ % relaysOneOf != 0) {
+      reset(client);
       return;
     }
-    Socket on = new Socket(GatewayTestbed.LOOPBACK, to.server.getAddress().getPort());
-    sockets.add(from);
-    sockets.add(on);
-    AtomicBoolean asked = new AtomicBoolean();
-    threads.execute(() -> pump(from, on, () -> asked.set(true)));
-    threads.execute(
+    Socket upstream = new Socket(GatewayTestbed.LOOPBACK, journal.server.getAddress().getPort());
+    openSockets.add(client);
+    openSockets.add(upstream);
+    AtomicBoolean awaitsReply = new AtomicBoolean();
+    executor.execute(() -> pump(client, upstream, () -> awaitsReply.set(true)));
+    executor.execute(
         () ->
             pump(
-                on,
-                from,
+                upstream,
+                client,
                 () -> {
-                  if (asked.getAndSet(false)) {
+                  if (awaitsReply.getAndSet(false)) {
                     Thread.sleep(delayMillis);
                   }
                 }));
   }
 
-  private void pump(Socket from, Socket on, BeforeChunk before) {
-    try (from;
-        on) {
+  private void pump(Socket source, Socket destination, BeforeChunk beforeChunk) {
+    try (source;
+        destination) {
       byte[] bytes = new byte[CHUNK_BYTES];
-      for (int read = from.getInputStream().read(bytes);
-          read >= 0;
-          read = from.getInputStream().read(bytes)) {
-        before.call();
-        on.getOutputStream().write(bytes, 0, read);
+      for (int count = source.getInputStream().read(bytes);
+          count >= 0;
+          count = source.getInputStream().read(bytes)) {
+        beforeChunk.call();
+        destination.getOutputStream().write(bytes, 0, count);
       }
     } catch (Exception e) {
       // One of the two connections was closed.
@@ -140,7 +142,7 @@
   @Override
   public void close() throws IOException {
     refuseConnections();
-    reserved.close();
+    reservedSocket.close();
   }
 
   /** A hook that runs before each chunk is forwarded. */
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/PausingRouter.java
@@ -29,8 +29,8 @@
   }
 
   @Override
-  public void routeBatch(long now, RoutingEvents in, RoutingActions to) {
-    router.routeBatch(now, in, to);
+  public void routeBatch(long nowNanos, RoutingEvents events, RoutingActions actions) {
+    router.routeBatch(nowNanos, events, actions);
     if (armed) {
       armed = false;
       pauseUntilResumed();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/ReceivedCommand.java
@@ -14,8 +14,8 @@
  */
 public record ReceivedCommand(Socket socket, List<byte[]> elements) {
   /** Returns an element of the command as text. */
-  public String element(int place) {
-    return new String(elements.get(place), StandardCharsets.ISO_8859_1);
+  public String element(int index) {
+    return new String(elements.get(index), StandardCharsets.ISO_8859_1);
   }
 
   /** Returns the value of a field; null if the field is absent. */
@@ -32,14 +32,14 @@
   public void reply(String status, String fields, byte[] body) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes("*4\r\n".getBytes(StandardCharsets.ISO_8859_1));
-    for (byte[] one :
+    for (byte[] element :
         List.of(
             elements.get(1),
             status.getBytes(StandardCharsets.ISO_8859_1),
             fields.getBytes(StandardCharsets.ISO_8859_1),
             body)) {
-      out.writeBytes(("$" + one.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
-      out.writeBytes(one);
+      out.writeBytes(("$" + element.length + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
+      out.writeBytes(element);
       out.writeBytes("\r\n".getBytes(StandardCharsets.ISO_8859_1));
     }
     socket.getOutputStream().write(out.toByteArray());
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StallingRouter.java
@@ -23,8 +23,9 @@
   }
 
   @Override
-  public void routeBatch(long now, RoutingEvents in, org.amberpath.routing.RoutingActions to) {
-    router.routeBatch(now, in, to);
+  public void routeBatch(
+      long nowNanos, RoutingEvents events, org.amberpath.routing.RoutingActions actions) {
+    router.routeBatch(nowNanos, events, actions);
     if (armed) {
       armed = false;
       stalled.countDown();
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -30,7 +30,7 @@
           try {
             while (true) {
               Socket socket = server.accept();
-              threads.execute(() -> read(socket));
+              threads.execute(() -> readCommands(socket));
             }
           } catch (IOException e) {
             // The server socket was closed.
@@ -45,12 +45,12 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  private void read(Socket socket) {
+  private void readCommands(Socket socket) {
     try (DataInputStream in = new DataInputStream(socket.getInputStream())) {
       while (true) {
         List<byte[]> elements = new ArrayList<>();
-        for (int left = length(in); left > 0; left--) {
-          elements.add(in.readNBytes(length(in)));
+        for (int remaining = readLength(in); remaining > 0; remaining--) {
+          elements.add(in.readNBytes(readLength(in)));
           in.readNBytes(2);
         }
         commands.add(new ReceivedCommand(socket, elements));
@@ -60,10 +60,12 @@
     }
   }
 
-  private int length(DataInputStream in) throws IOException {
+  private int readLength(DataInputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int one = in.readUnsignedByte(); one != '\n'; one = in.readUnsignedByte()) {
-      line.append((char) one);
+    for (int character = in.readUnsignedByte();
+        character != '\n';
+        character = in.readUnsignedByte()) {
+      line.append((char) character);
     }
     return Integer.parseInt(line.substring(1).trim());
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubJournal.java
@@ -35,7 +35,7 @@
   public volatile boolean truncatesNextReply;
 
   StubJournal(ExecutorService threads) throws IOException {
-    server.createContext("/journal", this::answer);
+    server.createContext("/journal", this::handlePoll);
     server.setExecutor(threads);
     server.start();
   }
@@ -57,10 +57,10 @@
   /**
    * Adds an entry.
    *
-   * @param event the JSON fields of the entry except its number
+   * @param fields the JSON fields of the entry except its number
    */
-  public synchronized void addEntry(String event) {
-    entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
+  public synchronized void addEntry(String fields) {
+    entries.add("{\"pos\":" + (entries.size() + 1) + "," + fields + "}");
     notifyAll();
   }
 
@@ -89,17 +89,17 @@
             + "\",\"weight\":4,\"startedAtMs\":0}]}");
   }
 
-  private void answer(HttpExchange exchange) throws IOException {
+  private void handlePoll(HttpExchange exchange) throws IOException {
     String query = exchange.getRequestURI().getQuery();
     polls.add(query);
     int tail = Integer.parseInt(query.replaceAll(".*tail=(\\d+).*", "$1"));
-    long until =
+    long deadlineNanos =
         System.nanoTime()
             + Long.parseLong(query.replaceAll(".*max_wait=(\\d+).*", "$1")) * 1_000_000;
     String reply = replyOverride;
     try {
       synchronized (this) {
-        while ((reply == null && entries.size() <= tail && System.nanoTime() < until)
+        while ((reply == null && entries.size() <= tail && System.nanoTime() < deadlineNanos)
             || "".equals(reply)) {
           wait(20);
           reply = replyOverride;
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -12,7 +12,7 @@
 /** A client of the gateway; its methods block the calling thread, for at most 10 s a read. */
 public final class TestClient implements Closeable {
   public final Socket socket;
-  private final MessageUnpacker in;
+  private final MessageUnpacker unpacker;
 
   /** Connects to a port on loopback. */
   public TestClient(int port) throws IOException {
@@ -24,7 +24,7 @@
     socket = connected;
     socket.setTcpNoDelay(true);
     socket.setSoTimeout((int) GatewayTestbed.TIMEOUT_SECONDS * 1000);
-    in = MessagePack.newDefaultUnpacker(socket.getInputStream());
+    unpacker = MessagePack.newDefaultUnpacker(socket.getInputStream());
   }
 
   /** Returns the fields of a request for a part of {@link GatewayTestbed#OBJECT_ID}. */
@@ -49,12 +49,12 @@
 
   /** Encodes a MessagePack-RPC request; a null body is left out. */
   public static byte[] encodeRequest(
-      long number, String method, Map<String, String> fields, byte[] body) throws IOException {
+      long messageId, String method, Map<String, String> fields, byte[] body) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
     packer
         .packArrayHeader(4)
         .packInt(0)
-        .packLong(number)
+        .packLong(messageId)
         .packString(method)
         .packArrayHeader(body == null ? 1 : 2)
         .packMapHeader(fields.size());
@@ -74,21 +74,27 @@
   }
 
   /** Sends a request with an empty body. */
-  public TestClient sendRequest(int number, String method, long allowMs, int part)
+  public TestClient sendRequest(int messageId, String method, long allowMs, int part)
       throws IOException {
-    return send(encodeRequest(number, method, requestFields(number, allowMs, part), new byte[0]));
+    return send(
+        encodeRequest(messageId, method, requestFields(messageId, allowMs, part), new byte[0]));
   }
 
   /** Encodes the notification that cancels a request. */
-  public static byte[] encodeCancel(int number) throws IOException {
+  public static byte[] encodeCancel(int messageId) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
-    packer.packArrayHeader(3).packInt(2).packString("withdraw").packArrayHeader(1).packInt(number);
+    packer
+        .packArrayHeader(3)
+        .packInt(2)
+        .packString("withdraw")
+        .packArrayHeader(1)
+        .packInt(messageId);
     return packer.toByteArray();
   }
 
   /** Cancels a request. */
-  public TestClient sendCancel(int number) throws IOException {
-    return send(encodeCancel(number));
+  public TestClient sendCancel(int messageId) throws IOException {
+    return send(encodeCancel(messageId));
   }
 
   /** Sends a status request with message id 9999 and receives the next response. */
@@ -98,34 +104,34 @@
 
   /** Receives the next response. */
   public ClientAnswer receive() throws IOException {
-    in.unpackArrayHeader();
-    in.unpackInt();
-    long number = in.unpackLong();
+    unpacker.unpackArrayHeader();
+    unpacker.unpackInt();
+    long messageId = unpacker.unpackLong();
     String error = null;
     byte[] body = null;
-    boolean status = false;
+    boolean isReady = false;
     Map<String, String> fields = Map.of();
-    if (in.tryUnpackNil()) {
-      in.unpackArrayHeader();
-      if (in.getNextFormat().getValueType().isBooleanType()) {
-        status = in.unpackBoolean();
+    if (unpacker.tryUnpackNil()) {
+      unpacker.unpackArrayHeader();
+      if (unpacker.getNextFormat().getValueType().isBooleanType()) {
+        isReady = unpacker.unpackBoolean();
       } else {
-        body = in.readPayload(in.unpackBinaryHeader());
+        body = unpacker.readPayload(unpacker.unpackBinaryHeader());
       }
-      fields = map();
+      fields = unpackFields();
     } else {
-      in.unpackArrayHeader();
-      error = in.unpackString();
-      fields = map();
-      in.unpackNil();
+      unpacker.unpackArrayHeader();
+      error = unpacker.unpackString();
+      fields = unpackFields();
+      unpacker.unpackNil();
     }
-    return new ClientAnswer(number, error, body, status, fields);
+    return new ClientAnswer(messageId, error, body, isReady, fields);
   }
 
-  private Map<String, String> map() throws IOException {
+  private Map<String, String> unpackFields() throws IOException {
     Map<String, String> fields = new LinkedHashMap<>();
-    for (int left = in.unpackMapHeader(); left > 0; left--) {
-      fields.put(in.unpackString(), in.unpackString());
+    for (int remaining = unpacker.unpackMapHeader(); remaining > 0; remaining--) {
+      fields.put(unpacker.unpackString(), unpacker.unpackString());
     }
     return fields;
   }
@@ -133,7 +139,7 @@
   /** Returns whether the gateway has closed the connection without sending more data; blocks. */
   public boolean isClosed() throws IOException {
     try {
-      return !in.hasNext();
+      return !unpacker.hasNext();
     } catch (java.net.SocketException e) {
       return true;
     }
