--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -175,7 +175,7 @@
     localBackoff.attemptSucceeded();
     if (generation != currentGeneration) {
       request.reset();
-      return Future.failedFuture("polled at another address by now");
+      return Future.failedFuture("superseded by a poll at another address");
     }
     pendingRequest = request;
     freshness.requestSent(clock.getAsLong());
@@ -198,7 +198,12 @@
     }
     if (result.succeeded() && decodeReply(result.result())) {
       if (consecutiveFailures > 0) {
-        LOG.info("journal: answers again, after " + consecutiveFailures + " failed polls");
+        LOG.info(
+            "journal at "
+                + address
+                + ": reply received after "
+                + consecutiveFailures
+                + " failed polls");
         consecutiveFailures = 0;
       }
       freshness.responseReceived(clock.getAsLong());
@@ -232,7 +237,8 @@
    */
   private Future<Buffer> readBody(HttpClientResponse response) {
     if (response.statusCode() != STATUS_OK) {
-      return Future.failedFuture("status " + response.statusCode());
+      return Future.failedFuture(
+          "HTTP status " + response.statusCode() + ", expected " + STATUS_OK);
     }
     Promise<Buffer> promise = Promise.promise();
     Buffer body = Buffer.buffer();
@@ -244,7 +250,7 @@
               if (body.length() + (long) chunk.length() <= bounds.maxReplyBytes()) {
                 body.appendBuffer(chunk);
               } else {
-                promise.tryFail("a reply of more than " + bounds.maxReplyBytes() + " bytes");
+                promise.tryFail("reply exceeds the limit of " + bounds.maxReplyBytes() + " bytes");
               }
             });
     return promise.future();
@@ -259,7 +265,7 @@
       decoder.decode(JsonReader.read("journal", parser), endpoints);
       return true;
     } catch (IOException | RuntimeException e) {
-      logFailure("unreadable: " + e.getMessage());
+      logFailure("reply cannot be decoded: " + e.getMessage());
       return false;
     }
   }
@@ -271,7 +277,10 @@
   private void logFailure(String reason) {
     if (consecutiveFailures == 0) {
       LOG.warning(
-          "journal: " + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
+          "journal at "
+              + address
+              + ": poll failed, retrying; known endpoints are kept: "
+              + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
     }
     consecutiveFailures++;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -137,7 +137,7 @@
     try {
       return Long.parseUnsignedLong(purge.string("name"), 16);
     } catch (NumberFormatException e) {
-      throw purge.invalid("name", "not an object's id: " + purge.string("name"));
+      throw purge.invalid("name", "not a hexadecimal object id: " + purge.string("name"));
     }
   }
 
@@ -147,7 +147,11 @@
       case "draining" -> EndpointState.DRAINING;
       case "gone" -> EndpointState.GONE;
       default ->
-          throw instance.invalid("lifecycle", "of no known kind: " + instance.string("lifecycle"));
+          throw instance.invalid(
+              "lifecycle",
+              "of no known kind: "
+                  + instance.string("lifecycle")
+                  + "; expected ready, draining or gone");
     };
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonReader.java
@@ -68,7 +68,7 @@
   public int intOr(String key, int defaultValue) {
     long value = longOr(key, defaultValue);
     if (value != (int) value) {
-      throw invalid(key, "too large");
+      throw invalid(key, "outside the range of a 32-bit integer: " + value);
     }
     return (int) value;
   }
@@ -144,7 +144,8 @@
       return defaultValue;
     }
     if (!type.isInstance(elements.get(index))) {
-      throw invalid(key, "holds a value of the wrong type");
+      throw invalid(
+          key, "an array whose element " + index + " is not of type " + type.getSimpleName());
     }
     return type.cast(elements.get(index));
   }
@@ -209,7 +210,7 @@
 
   private static void expectEnd(String name, JsonParser parser) throws IOException {
     if (parser.nextToken() != null) {
-      throw new InvalidDocumentException(name + ": more than one value");
+      throw new InvalidDocumentException(name + ": more than one JSON value");
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -15,8 +15,6 @@
  * configuration, once at startup. Immutable. Durations are in nanoseconds.
  */
 public final class JsonRoutingConfig implements RoutingConfig {
-  private static final String UNKNOWN_KIND = "of no known kind: ";
-
   private final long seed;
   private final String zone;
   private final int gateways;
@@ -140,7 +138,9 @@
       case "repeatable" -> Idempotency.IDEMPOTENT;
       case "by_key" -> Idempotency.IDEMPOTENCY_KEY;
       case "once" -> Idempotency.NON_IDEMPOTENT;
-      default -> throw settings.invalid("idempotency", UNKNOWN_KIND + idempotency);
+      default ->
+          throw settings.invalid(
+              "idempotency", "not one of repeatable, by_key, once: " + idempotency);
     };
   }
 
@@ -150,7 +150,7 @@
       case "all" -> IdempotencyScope.ALL;
       case "zone" -> IdempotencyScope.ZONE;
       case "cell" -> IdempotencyScope.CELL;
-      default -> throw settings.invalid("group", UNKNOWN_KIND + group);
+      default -> throw settings.invalid("group", "not one of all, zone, cell: " + group);
     };
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/EventDecoder.java
@@ -70,7 +70,8 @@
   private void decodeRequest(JsonReader order, RoutingEventHandler handler) {
     int trafficClass = config.trafficClassIndex(order.string("tier-class"));
     if (trafficClass < 0) {
-      throw order.invalid("tier-class", "no known delivery service: " + order.string("tier-class"));
+      throw order.invalid(
+          "tier-class", "not a configured traffic class: " + order.string("tier-class"));
     }
     handler.requestReceived(
         new RequestDetails(
@@ -104,7 +105,7 @@
   private int cacheIndex(JsonReader event) {
     String address = event.string("cache");
     if (!caches.contains(address)) {
-      throw event.invalid("cache", "no known cache: " + address);
+      throw event.invalid("cache", "not a listed cache: " + address);
     }
     return caches.indexOf(address);
   }
@@ -143,7 +144,7 @@
   }
 
   private static RuntimeException unknownValue(JsonReader object, String key) {
-    return object.invalid(key, "of no known kind: " + object.string(key));
+    return object.invalid(key, "unknown: " + object.string(key));
   }
 
   private static ResponseDetail responseDetail(JsonReader verdict) {
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFaultsTest.java
@@ -60,7 +60,7 @@
     requestFor(client, 500);
     assertTrue(
         testbed.journal.polls.isEmpty() && firstJournal.polls.isEmpty(),
-        "journals that were left are not asked");
+        "journals of earlier configurations are not polled");
   }
 
   /**
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -73,7 +73,9 @@
           () ->
               stallingTestbed.journal.addEntry(
                   "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}"));
-      assertNotNull(onlyCache.nextCommand().field("within"), "it waited for its connection");
+      assertNotNull(
+          onlyCache.nextCommand().field("within"),
+          "request 2 was still waiting for its connection");
       assertNotNull(onlyCache.nextCommand().field("within"));
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -147,7 +147,7 @@
     assertEquals("still known", text(client.receive()));
     Conditions.await(
         () -> testbed.gateway.resourceCount() <= expectedResources,
-        "nothing else is held any more");
+        "the resources of removed endpoints are released");
     assertEquals(expectedResources, testbed.gateway.resourceCount());
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayOptionsTest.java
@@ -54,7 +54,10 @@
       int connections = caches.maxConnectionsPerCache(count) * count;
       assertTrue(connections <= caches.maxConnections(), "caches " + count);
     }
-    assertEquals(1, caches.maxConnectionsPerCache(3200), "of which not all are up at once");
+    assertEquals(
+        1,
+        caches.maxConnectionsPerCache(3200),
+        "at least one for each cache; not all caches are up at once");
   }
 
   @ParameterizedTest
@@ -70,7 +73,14 @@
         "'sockets':1024 | 'sockets':'x'" + " | limits: field 'sockets' is not a whole",
         "'my-zone':'z', | ''" + " | settings: field 'my-zone' is missing",
         "'idempotency':'once' | 'idempotency':'twice'"
-            + " | field 'idempotency' is of no known kind",
+            + " | field 'idempotency' is not one of repeatable, by_key, once: twice",
+        "'idempotency':'once' | 'idempotency':'once','group':'rack'"
+            + " | field 'group' is not one of all, zone, cell: rack",
+        "'my-zone':'z' | 'my-zone':'z','family-info':{'never-kept':[1]}"
+            + " | settings family-info: field 'never-kept' is an array whose element 0 is not of"
+            + " type Boolean",
+        "'sockets':1024 | 'sockets':2147483648"
+            + " | limits: field 'sockets' is outside the range of a 32-bit integer: 2147483648",
         "'target-s':0.25 | 'target-s':'soon'" + " | field 'target-s' is not a number",
         "'multiplex':100 | 'multiplex':'many'" + " | bounds: field 'multiplex' is not a whole",
         "{'name' | {{'name'" + " | is not JSON"
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import java.io.IOException;
@@ -56,9 +57,9 @@
   @CsvSource({
     "Ca Cb Cc, changes a b c listed",
     "Ca O Cb, changes a b listed",
-    "Ca Rb Cc, changes a listed whole b c listed",
+    "Ca Rb Cc, changes a listed full b c listed",
     "Ca P Cb, changes a listed purge changes b listed",
-    "Ra P, whole a listed purge",
+    "Ra P, full a listed purge",
     "Ca Cb C-a, changes a b -a listed",
     "'C-a Cb Ca,c Cd', changes -a b listed changes a c d listed",
     "C-a C-a P Ca, changes -a -a listed purge changes a listed"
@@ -75,13 +76,37 @@
     assertThrows(
         InvalidDocumentException.class,
         () -> decoder.decode(reply, new RecordingListener("bad")),
-        "as before");
+        "the listener's exception reaches the caller");
     assertEquals("changes a listed", String.join(" ", events));
     events.clear();
     assertThrows(
         InvalidDocumentException.class,
         () -> decoder.decode(reply("Rbad"), new RecordingListener("bad")));
-    assertEquals("whole", String.join(" ", events), "a full list with a hole is none");
+    assertEquals(
+        "full", String.join(" ", events), "a full list with a rejected endpoint is not completed");
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "'expire':{'name':'xyz','stamp':5}"
+            + " | expire: field 'name' is not a hexadecimal object id: xyz",
+        "'hosts':{'instances':[{'instanceId':'a','lifecycle':'lost'}]}"
+            + " | field 'lifecycle' is of no known kind: lost; expected ready, draining or gone"
+      })
+  void messageNamesTheInvalidField(String entry, String message) throws Exception {
+    String json = "{'entries':[{'pos':1," + entry + "}]}";
+    JsonReader reply =
+        JsonReader.read("reply", new JsonFactory().createParser(json.replace('\'', '"')));
+    InvalidDocumentException exception =
+        assertThrows(
+            InvalidDocumentException.class,
+            () ->
+                new JournalDecoder(new NoReplyListener()).decode(reply, new RecordingListener("")));
+    assertTrue(exception.getMessage().endsWith(message), exception.getMessage());
+    assertEquals(List.of(), events);
   }
 
   private static final class NoReplyListener implements JournalDecoder.ReplyListener {
@@ -102,7 +127,7 @@
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {
-      events.add(kind == EndpointListKind.FULL ? "whole" : "changes");
+      events.add(kind == EndpointListKind.FULL ? "full" : "changes");
     }
 
     @Override
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -75,9 +75,11 @@
         "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} "
             + "| order: field 'op-id' is not a whole number",
         "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} "
-            + "| order: field 'tier-class' is no known",
+            + "| order: field 'tier-class' is not a configured traffic class: plays",
         "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
-            + "| field 'cache' is no known"
+            + "| verdict: field 'cache' is not a listed cache: 10.9.9.9:1",
+        "{\"verb\":\"view\",\"scope\":\"Q\"} | view: field 'scope' is unknown: Q",
+        "{\"wall-s\":1,\"parts\":[]}{} | batch: more than one JSON value"
       })
   void invalidInputExitsWithCodeOneAndOneMessage(String line, String message) throws IOException {
     assertEquals(1, run(batch(UP_AND_VIEW), line.contains("verb") ? batch(line) : line));
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -101,7 +101,7 @@
     while (!condition.getAsBoolean()) {
       assertTrue(
           millisSince(startNanos) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
-          "it never comes");
+          "the awaited condition did not hold in time");
       requestServed(client);
       Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Limits the request rate.
     }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
@@ -92,7 +92,7 @@
     while (line != null && !line.contains(text)) {
       line = log.readLine();
     }
-    assertNotNull(line, "no line with: " + text);
+    assertNotNull(line, "the log ended without a line that contains: " + text);
     return line;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -73,7 +73,7 @@
   /** Returns the next command; fails the test if none is received within 10 s. */
   public ReceivedCommand nextCommand() throws InterruptedException {
     ReceivedCommand next = commands.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertNotNull(next, "nothing came to the cache");
+    assertNotNull(next, "the cache received no command in time");
     return next;
   }
 
