--- a/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
+++ b/gateway/src/main/java/org/amberpath/gateway/settings/JsonRoutingConfig.java
@@ -123,11 +123,11 @@
         settings.doubleOr("aim-stretch", 0),
         settings.doubleOr("points", 1),
         familyInfo.elementOr("never-kept", index, Boolean.class, false),
-        nanosAt(familyInfo, "class-fresh-s", index),
-        nanosAt(familyInfo, "class-grace-s", index));
+        durationNanosAt(familyInfo, "class-fresh-s", index),
+        durationNanosAt(familyInfo, "class-grace-s", index));
   }
 
-  private static long nanosAt(JsonReader familyInfo, String key, int index) {
+  private static long durationNanosAt(JsonReader familyInfo, String key, int index) {
     return JsonReader.secondsToNanos(
         familyInfo.elementOr(key, index, Number.class, 0).doubleValue());
   }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulatedGateway.java
@@ -21,15 +21,15 @@
   /**
    * Creates a gateway in the state after its start: it knows no endpoints.
    *
-   * @param number the simulator's number of the gateway
+   * @param gatewayNumber the simulator's number of the gateway
    * @param start the {@code up} event, with the gateway's seed and settings
    */
-  SimulatedGateway(int number, JsonReader start) {
+  SimulatedGateway(int gatewayNumber, JsonReader start) {
     JsonRoutingConfig config =
         new JsonRoutingConfig(start.longValue("seed"), start.object("profile-data"));
     CacheIndex caches = new CacheIndex();
     decoder = new EventDecoder(config, caches);
-    encoder = new ActionEncoder(number, caches);
+    encoder = new ActionEncoder(gatewayNumber, caches);
     router = new RequestRouter(config);
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -82,20 +82,20 @@
 
   @Test
   void requestReceivedBeforeTheFirstJournalReplyIsRoutedAfterIt() throws Exception {
-    try (GatewayTestbed stallingTestbed = new GatewayTestbed()) {
-      StubCache onlyCache = stallingTestbed.cache();
-      stallingTestbed.journal.listEndpoint("c0", onlyCache.address(), "box", "ready");
-      GatewayOptions options = GatewayOptions.read(stallingTestbed.environment(folder));
-      stallingTestbed.journal.addEntry(
+    try (GatewayTestbed secondTestbed = new GatewayTestbed()) {
+      StubCache onlyCache = secondTestbed.cache();
+      secondTestbed.journal.listEndpoint("c0", onlyCache.address(), "box", "ready");
+      GatewayOptions options = GatewayOptions.read(secondTestbed.environment(folder));
+      secondTestbed.journal.addEntry(
           "\"expire\":{\"set\":17,\"stamp\":" + System.currentTimeMillis() + "}");
-      stallingTestbed.journal.replyOverride = ""; // The journal does not reply yet.
-      stallingTestbed.gateway = new Gateway(stallingTestbed.vertx, options);
-      var started = stallingTestbed.gateway.start();
-      assertNotNull(stallingTestbed.journal.polls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
-      TestClient earlyClient = stallingTestbed.client().sendRequest(1, "parts", 4000, 0);
+      secondTestbed.journal.replyOverride = ""; // The journal does not reply yet.
+      secondTestbed.gateway = new Gateway(secondTestbed.vertx, options);
+      var started = secondTestbed.gateway.start();
+      assertNotNull(secondTestbed.journal.polls.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS));
+      TestClient earlyClient = secondTestbed.client().sendRequest(1, "parts", 4000, 0);
       assertNull(onlyCache.commands.poll(STALL_MILLIS / 2, TimeUnit.MILLISECONDS));
       assertFalse(earlyClient.socket.getInputStream().available() > 0);
-      stallingTestbed.journal.replyOverride = null;
+      secondTestbed.journal.replyOverride = null;
       assertNotNull(onlyCache.nextCommand().field("within"));
       started.toCompletionStage().toCompletableFuture().get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -40,9 +40,9 @@
     testbed.journal.listEndpoint("o0", "127.0.0.1:1", "origin", "draining");
     testbed.journal.listEndpoint("c0", cache.address(), "box", "draining");
     testbed.journal.listEndpoint("c1", otherCache.address(), "box", "ready");
-    String lastPoll = "tail=5&max_wait=2000";
+    String pollAfterAllEntries = "tail=5&max_wait=2000";
     for (String poll = "";
-        !lastPoll.equals(poll);
+        !pollAfterAllEntries.equals(poll);
         poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS)) {
       assertNotNull(poll);
     }
@@ -54,7 +54,7 @@
 
   @Test
   void attemptWaitingForAConnectionIsReroutedWhenItsCacheOrSourceDrains() throws Exception {
-    for (String drained : List.of("c0", "o0")) {
+    for (String drainedId : List.of("c0", "o0")) {
       testbed.close();
       testbed = new GatewayTestbed();
       StubCache origin = testbed.cache();
@@ -72,9 +72,9 @@
       client.requestStatus();
       cache = testbed.cache();
       testbed.journal.listEndpoint("c1", cache.address(), "box", "ready");
-      boolean isEdgeCache = drained.equals("c0");
+      boolean isEdgeCache = drainedId.equals("c0");
       testbed.journal.listEndpoint(
-          drained,
+          drainedId,
           isEdgeCache ? unreachableAddress : origin.address(),
           isEdgeCache ? "box" : "origin",
           "draining");
@@ -91,15 +91,16 @@
             + "\",\"stamp\":"
             + (System.currentTimeMillis() - 200)
             + "}");
-    String within = null;
-    for (int number = 1; within == null; number++) {
+    String maxAgeMillis = null;
+    for (int number = 1; maxAgeMillis == null; number++) {
       client.sendRequest(number, "parts", 1500, 0);
       ReceivedCommand command = cache.nextCommand();
-      within = command.field("within");
+      maxAgeMillis = command.field("within");
       command.replyOk("x");
       client.receive();
     }
-    assertTrue(Long.parseLong(within) >= 198 && Long.parseLong(within) < 2000, within);
+    assertTrue(
+        Long.parseLong(maxAgeMillis) >= 198 && Long.parseLong(maxAgeMillis) < 2000, maxAgeMillis);
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalClientTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalClientTest.java
@@ -97,7 +97,7 @@
         new JournalClient.Bounds(100, MAX_REPLY_BYTES),
         new JournalClient.Sinks(
             new JournalDecoder(clock),
-            new NoEndpointListener(),
+            new IgnoringEndpointListener(),
             new DiscoveryFreshness(1_000_000_000, true, clock.nowNanos()),
             () -> {}),
         clock::nowNanos);
@@ -119,7 +119,7 @@
     public void close() {}
   }
 
-  private static final class NoEndpointListener implements EndpointListener {
+  private static final class IgnoringEndpointListener implements EndpointListener {
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
 
--- a/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/discovery/JournalListingTest.java
@@ -65,14 +65,15 @@
     "C-a C-a P Ca, changes -a -a listed purge changes a listed"
   })
   void consecutiveChangesAreForwardedAsOneList(String entries, String expected) throws Exception {
-    new JournalDecoder(new NoReplyListener()).decode(reply(entries), new RecordingListener(""));
+    new JournalDecoder(new IgnoringReplyListener())
+        .decode(reply(entries), new RecordingListener(""));
     assertEquals(expected, String.join(" ", events));
   }
 
   @Test
   void changesBeforeARejectedEndpointAreForwarded() throws Exception {
     JsonReader reply = reply("Ca Cbad Cc");
-    JournalDecoder decoder = new JournalDecoder(new NoReplyListener());
+    JournalDecoder decoder = new JournalDecoder(new IgnoringReplyListener());
     assertThrows(
         InvalidDocumentException.class,
         () -> decoder.decode(reply, new RecordingListener("bad")),
@@ -104,12 +105,13 @@
         assertThrows(
             InvalidDocumentException.class,
             () ->
-                new JournalDecoder(new NoReplyListener()).decode(reply, new RecordingListener("")));
+                new JournalDecoder(new IgnoringReplyListener())
+                    .decode(reply, new RecordingListener("")));
     assertTrue(exception.getMessage().endsWith(message), exception.getMessage());
     assertEquals(List.of(), events);
   }
 
-  private static final class NoReplyListener implements JournalDecoder.ReplyListener {
+  private static final class IgnoringReplyListener implements JournalDecoder.ReplyListener {
     @Override
     public void replyStarted(JournalDecoder.EntrySource source, long newestPurgeMillis) {}
 
