--- a/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DiscoveryFreshnessAfterLagTest.java
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Starts a gateway in a second testbed that knows the given caches. Its event loop stalls in the
-   * first batch after {@link StallingRouter#armed} is set.
+   * Starts a gateway in the given testbed; the gateway knows the given caches. Its event loop
+   * stalls in the first batch after {@link StallingRouter#armed} is set.
    */
   private StallingRouter startStallingGateway(GatewayTestbed stallingTestbed, StubCache... caches)
       throws Exception {
--- a/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndpointDiscoveryTest.java
@@ -137,7 +137,7 @@
 
   @Test
   void removedEndpointsReleaseTheirResources() throws Exception {
-    int expectedResources = 3; // Connections: two caches and one client.
+    int expectedResources = 3; // Two caches and one client.
     for (int index = 0; index < 300; index++) {
       testbed.journal.listEndpoint("x" + index, cache.address(), "box", "ready");
       testbed.journal.listEndpoint("x" + index, "", "box", "gone");
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -21,8 +21,8 @@
   protected static final int LONG_MILLIS = 4000;
 
   /**
-   * How long after its deadline an answer may arrive. Up to then the request merely earns nothing;
-   * later it counts as lost.
+   * How long after the request's deadline an answer counts as late, without credit. After that the
+   * request counts as lost.
    */
   protected static final long LATE_MILLIS = 500;
 
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayProcess.java
@@ -32,7 +32,7 @@
 
   private GatewayProcess() {}
 
-  /** Starts a gateway with the given environment; its standard output carries its log. */
+  /** Starts a gateway with the given environment. Its log is redirected to its standard output. */
   public static Process start(Path folder, Map<String, String> environment) throws IOException {
     return start(folder, environment, List.of());
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -92,7 +92,7 @@
     return packer.toByteArray();
   }
 
-  /** Cancels a request. */
+  /** Sends the notification that cancels a request. */
   public TestClient sendCancel(int messageId) throws IOException {
     return send(encodeCancel(messageId));
   }
@@ -102,7 +102,7 @@
     return send(encodeRequest(9999, "status", Map.of(), null)).receive();
   }
 
-  /** Receives the next response. */
+  /** Receives and decodes the next response. */
   public ClientAnswer receive() throws IOException {
     unpacker.unpackArrayHeader();
     unpacker.unpackInt();
