--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalClient.java
@@ -25,20 +25,24 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * Long-polls the journal service for discovery events, one poll after the other. A poll that fails
- * changes no endpoint. Used on one event loop.
+ * HTTP client that long-polls the journal service for discovery events. At most one poll is in
+ * flight; the next one starts when the previous one ends, after a delay of up to 100 ms if it
+ * failed. A failed poll changes no endpoint. All calls are made on one event loop.
  */
 public final class JournalClient {
   private static final Logger LOG = Logger.getLogger(JournalClient.class.getName());
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final JsonFactory JSON_FACTORY = new JsonFactory();
 
   /**
-   * How long the service may hold a reply back. An event that a stalled poll kept back counts as
-   * notified 2 s after that.
+   * The longest time that the journal service may hold a reply back while it has no new event. An
+   * event that a stalled poll withholds counts as notified 2 s later.
    */
   public static final long MAX_WAIT_MILLIS = 2000;
 
-  /** How long a reply may take beyond its wait, and from its head to its end. */
+  /**
+   * Timeout of a poll beyond its {@code max_wait}, of a response body from the end of the response
+   * headers, and of a TCP connect.
+   */
   private static final long REPLY_TIMEOUT_MILLIS = 600;
 
   private static final long RETRY_DELAY_MILLIS = 100;
@@ -46,24 +50,24 @@
   private static final int STATUS_OK = 200;
   private static final int MAX_LOGGED_CHARACTERS = 200;
 
-  /** The wait of a poll whose reply the decisions are waiting for. */
+  /** The {@code max_wait} of a poll whose reply routing decisions are waiting for. */
   private static final long URGENT_WAIT_MILLIS = 1;
 
   /**
-   * The bounds of a poll.
+   * The limits of one poll.
    *
-   * @param maxWaitMillis how long the service may hold a reply back
-   * @param maxReplyBytes the longest reply that is accepted
+   * @param maxWaitMillis the longest time that the journal service may hold a reply back
+   * @param maxReplyBytes the size of the largest response body that is accepted
    */
   public record Bounds(long maxWaitMillis, long maxReplyBytes) {}
 
   /**
-   * What is notified of polls and of their replies.
+   * The components that receive the results of polls.
    *
-   * @param decoder decodes replies and keeps the position
-   * @param endpoints receives the decoded events
-   * @param freshness is notified of polls, replies and failures
-   * @param afterPoll runs after each reply and each failure
+   * @param decoder decodes replies and keeps the position in the journal
+   * @param endpoints receives the decoded discovery events
+   * @param freshness is notified when a poll is sent, when its reply is received and when it fails
+   * @param afterPoll runs on the event loop after each reply and each failed poll
    */
   public record Sinks(
       JournalDecoder decoder,
@@ -81,18 +85,22 @@
   private final HttpClient client;
   private final LocalBackoff localBackoff = new LocalBackoff();
   private SocketAddress address;
-  private HttpClientRequest pending;
+  private HttpClientRequest pendingRequest;
 
-  /** The current series of polls; the results of an earlier one are ignored. */
-  private int series;
+  /**
+   * Generation of the polls, incremented when the address changes and on close. The result of a
+   * poll of an earlier generation is ignored.
+   */
+  private int currentGeneration;
 
   private boolean started;
-  private int failures;
+  private int consecutiveFailures;
 
   /**
-   * A client that polls nothing yet.
+   * Creates a client that polls nothing before {@link #start()}.
    *
-   * @param clock monotonic nanoseconds, those of the freshness
+   * @param address the address of the journal service
+   * @param clock monotonic time in nanoseconds, the same clock as that of {@link Sinks#freshness()}
    */
   public JournalClient(
       Vertx vertx, SocketAddress address, Bounds bounds, Sinks sinks, LongSupplier clock) {
@@ -111,30 +119,33 @@
                 .setKeepAliveTimeout(KEEP_ALIVE_SECONDS));
   }
 
-  /** Begins to poll. */
+  /** Sends the first poll; each poll that ends starts the next one. */
   public void start() {
     started = true;
-    poll(series);
+    poll(currentGeneration);
   }
 
-  /** Polls at another address from now on, at once; the position in the journal is kept. */
-  public void moveTo(SocketAddress next) {
-    address = next;
-    endSeries();
+  /**
+   * Aborts the poll in flight and polls the journal at another address, at once if this client was
+   * started. The position in the journal is kept.
+   */
+  public void moveTo(SocketAddress newAddress) {
+    address = newAddress;
+    abortPendingPoll();
     if (started) {
-      poll(series);
+      poll(currentGeneration);
     }
   }
 
-  private void endSeries() {
-    series++;
-    if (pending != null) {
-      pending.reset();
+  private void abortPendingPoll() {
+    currentGeneration++;
+    if (pendingRequest != null) {
+      pendingRequest.reset();
     }
   }
 
-  private void poll(int ofSeries) {
-    if (ofSeries != series) {
+  private void poll(int generation) {
+    if (generation != currentGeneration) {
       return;
     }
     RequestOptions options =
@@ -143,13 +154,16 @@
             .setHost(address.hostAddress())
             .setPort(address.port())
             .setMethod(HttpMethod.GET);
-    connect(options)
-        .compose(request -> send(ofSeries, request))
-        .onComplete(result -> completed(ofSeries, result));
+    openRequest(options)
+        .compose(request -> send(generation, request))
+        .onComplete(result -> pollCompleted(generation, result));
   }
 
-  /** Guards the series against a call that throws, after which nothing would be polled any more. */
-  private Future<HttpClientRequest> connect(RequestOptions options) {
+  /**
+   * Requests a connection. Guards against a client call that throws instead of returning a failed
+   * future: no further poll would be scheduled.
+   */
+  private Future<HttpClientRequest> openRequest(RequestOptions options) {
     try {
       return client.request(options);
     } catch (RuntimeException e) {
@@ -157,103 +171,123 @@
     }
   }
 
-  private Future<Buffer> send(int ofSeries, HttpClientRequest request) {
+  private Future<Buffer> send(int generation, HttpClientRequest request) {
     localBackoff.attemptSucceeded();
-    if (ofSeries != series) {
+    if (generation != currentGeneration) {
       request.reset();
-      return Future.failedFuture("polled at another address by now");
+      return Future.failedFuture("superseded by a poll at another address");
     }
-    pending = request;
+    pendingRequest = request;
     freshness.requestSent(clock.getAsLong());
     long waitMillis = freshness.awaitsResponse() ? URGENT_WAIT_MILLIS : bounds.maxWaitMillis();
     request.setURI("/journal?tail=" + decoder.position() + "&max_wait=" + waitMillis);
     return request
         .send()
-        // Guards against a reply that stops in the middle and stays open: its events count as
-        // notified 2 s after that.
-        .compose(response -> body(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
+        // Guards against a journal that stops in the middle of a response body and keeps the
+        // connection open: the events of that reply count as notified 2 s later.
+        .compose(
+            response -> readBody(response).timeout(REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS))
         .timeout(waitMillis + REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
-        // Guards against a journal that stalled or disconnected: its connection is not reused.
+        // Guards against reuse of a connection on which the journal stalled or disconnected.
         .onFailure(e -> request.reset());
   }
 
-  private void completed(int ofSeries, AsyncResult<Buffer> result) {
-    if (ofSeries != series) {
+  private void pollCompleted(int generation, AsyncResult<Buffer> result) {
+    if (generation != currentGeneration) {
       return;
     }
-    if (result.succeeded() && play(result.result())) {
-      if (failures > 0) {
-        LOG.info("journal: answers again, after " + failures + " failed polls");
-        failures = 0;
+    if (result.succeeded() && decodeReply(result.result())) {
+      if (consecutiveFailures > 0) {
+        LOG.info(
+            "journal at "
+                + address
+                + ": reply received after "
+                + consecutiveFailures
+                + " failed polls");
+        consecutiveFailures = 0;
       }
       freshness.responseReceived(clock.getAsLong());
-      poll(ofSeries);
+      poll(generation);
     } else {
       if (result.failed()) {
         logFailure(String.valueOf(result.cause().getMessage()));
       }
-      vertx.setTimer(retryDelayMillis(result.cause()), retry -> poll(ofSeries));
+      vertx.setTimer(retryDelayMillis(result.cause()), retry -> poll(generation));
     }
     afterPoll.run();
   }
 
   /**
-   * The delay after a failed poll. One that could not be sent for a local shortage does not count
-   * as a failure of the journal, unless that lasts.
+   * Returns the delay in milliseconds before the next poll after a failed one. A poll that was not
+   * sent because this host lacked a resource, such as descriptors or ports, is reported as a
+   * failure of the journal only once the local backoff is exhausted.
    */
   private long retryDelayMillis(Throwable cause) {
-    boolean local = cause != null && ConnectFailure.of(cause).isLocal();
-    long delayMillis = local ? localBackoff.attemptFailed() : RETRY_DELAY_MILLIS;
-    if (!local || localBackoff.isExhausted()) {
+    boolean isLocalFailure = cause != null && ConnectFailure.of(cause).isLocal();
+    long delayMillis = isLocalFailure ? localBackoff.attemptFailed() : RETRY_DELAY_MILLIS;
+    if (!isLocalFailure || localBackoff.isExhausted()) {
       freshness.requestFailed(clock.getAsLong());
     }
     return delayMillis;
   }
 
-  /** Collects the body of a reply. Guards against one without end. */
-  private Future<Buffer> body(HttpClientResponse response) {
+  /**
+   * Collects the body of a response with status 200. Guards against exhausted memory from an
+   * endless body: the future fails once the body exceeds the maximum size.
+   */
+  private Future<Buffer> readBody(HttpClientResponse response) {
     if (response.statusCode() != STATUS_OK) {
-      return Future.failedFuture("status " + response.statusCode());
+      return Future.failedFuture(
+          "HTTP status " + response.statusCode() + ", expected " + STATUS_OK);
     }
-    Promise<Buffer> complete = Promise.promise();
+    Promise<Buffer> promise = Promise.promise();
     Buffer body = Buffer.buffer();
     response
-        .exceptionHandler(complete::tryFail)
-        .endHandler(end -> complete.tryComplete(body))
+        .exceptionHandler(promise::tryFail)
+        .endHandler(end -> promise.tryComplete(body))
         .handler(
             chunk -> {
               if (body.length() + (long) chunk.length() <= bounds.maxReplyBytes()) {
                 body.appendBuffer(chunk);
               } else {
-                complete.tryFail("a reply of more than " + bounds.maxReplyBytes() + " bytes");
+                promise.tryFail("reply exceeds the limit of " + bounds.maxReplyBytes() + " bytes");
               }
             });
-    return complete.future();
+    return promise.future();
   }
 
-  /** Plays a reply to the endpoints; whether it could be decoded. */
-  private boolean play(Buffer body) {
-    try (JsonParser parser = JSON.createParser(body.getBytes())) {
-      decoder.play(JsonReader.read("journal", parser), endpoints);
+  /**
+   * Decodes a reply and passes its events to the endpoint listener; returns whether the reply could
+   * be decoded. A reply that cannot be decoded is logged.
+   */
+  private boolean decodeReply(Buffer body) {
+    try (JsonParser parser = JSON_FACTORY.createParser(body.getBytes())) {
+      decoder.decode(JsonReader.read("journal", parser), endpoints);
       return true;
     } catch (IOException | RuntimeException e) {
-      logFailure("unreadable: " + e.getMessage());
+      logFailure("reply cannot be decoded: " + e.getMessage());
       return false;
     }
   }
 
-  /** Logs the first failure of a row only, so that a journal that is down does not fill the log. */
+  /**
+   * Counts a failed poll. Only the first of consecutive failures is logged, so that a journal that
+   * is down does not fill the log.
+   */
   private void logFailure(String reason) {
-    if (failures == 0) {
+    if (consecutiveFailures == 0) {
       LOG.warning(
-          "journal: " + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
+          "journal at "
+              + address
+              + ": poll failed, retrying; known endpoints are kept: "
+              + reason.substring(0, Math.min(reason.length(), MAX_LOGGED_CHARACTERS)));
     }
-    failures++;
+    consecutiveFailures++;
   }
 
-  /** Ends polling; the client can't be used again. */
+  /** Aborts the poll in flight and stops polling; the client cannot be restarted. */
   public void close() {
-    endSeries();
+    abortPendingPoll();
     client.close();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/discovery/JournalDecoder.java
@@ -10,103 +10,117 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Decodes {@code {"pos":N,"entries":[...]}}: a reply of the journal, and the form of the entries
- * that the configuration holds. Used on one event loop.
+ * Decodes journal replies of the form {@code {"pos":N,"entries":[...]}} and forwards their entries
+ * to an {@link EndpointListener}. The configuration holds the entries known at startup in the same
+ * form. Entries whose number is not above the current position are skipped. Used on one event loop.
  */
 public final class JournalDecoder {
-  /** Where the entries come from that are played. */
+  /** The source of decoded entries. */
   public enum EntrySource {
-    /** A reply that was received just now. */
+    /** A reply of the journal service that has just been received. */
     JOURNAL,
-    /** The configuration, whose entries may be of any age. */
+    /** The configuration; its entries may be of any age. */
     CONFIGURATION
   }
 
-  /** Is notified when a reply is about to be played and when it has been. */
+  /** Receives callbacks before and after the entries of a reply are forwarded. */
   public interface ReplyListener {
     /**
-     * A reply is about to be played.
+     * Called before the entries of a reply are forwarded.
      *
-     * @param source where it comes from
-     * @param newestPurgeMillis the latest timestamp of a purge in it; 0 where there is none
+     * @param source where the entries come from
+     * @param newestPurgeMillis the latest timestamp among the reply's new purges, in Unix
+     *     milliseconds; 0 if it has none
      */
     void replyStarted(EntrySource source, long newestPurgeMillis);
 
-    /** The reply has been played, or could not be. */
+    /** Called after the entries of a reply were forwarded, or forwarding failed. */
     void replyEnded();
   }
 
   private final ReplyListener replyListener;
   private long position;
 
-  /** A decoder at the beginning of the journal. */
+  /** Creates a decoder whose position is the beginning of the journal, 0. */
   public JournalDecoder(ReplyListener replyListener) {
     this.replyListener = replyListener;
   }
 
-  /** The number of the last event that was played. */
+  /**
+   * Returns the journal position up to which replies have been decoded, where the next poll
+   * continues.
+   */
   public long position() {
     return position;
   }
 
   /**
-   * Plays the entries of a reply that are new.
+   * Forwards the new entries of a journal reply to the listener and advances the position.
    *
-   * @throws org.amberpath.gateway.settings.InvalidDocumentException if an entry is invalid; nothing
-   *     of the reply was played then
+   * @throws org.amberpath.gateway.settings.InvalidDocumentException if an entry cannot be decoded;
+   *     no entry was forwarded then. After an exception of the listener the earlier entries have
+   *     been forwarded and the position is unchanged
    */
-  public void play(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, EntrySource.JOURNAL);
+  public void decode(JsonReader reply, EndpointListener listener) {
+    decode(reply, listener, EntrySource.JOURNAL);
   }
 
-  /** The same for the entries of the configuration, which may be of any age. */
+  /**
+   * Forwards the new entries that the configuration holds to the listener and advances the
+   * position, like {@link #decode}. The entries may be older than the previous poll.
+   */
   public void playKnown(JsonReader reply, EndpointListener listener) {
-    play(reply, listener, EntrySource.CONFIGURATION);
+    decode(reply, listener, EntrySource.CONFIGURATION);
   }
 
-  private void play(JsonReader reply, EndpointListener listener, EntrySource source) {
-    long last = reply.longOr("pos", 0);
-    NewestPurgeFinder newestPurge = new NewestPurgeFinder();
-    playEntries(reply, newestPurge);
-    replyListener.replyStarted(source, newestPurge.millis);
+  private void decode(JsonReader reply, EndpointListener listener, EntrySource source) {
+    long replyPosition = reply.longOr("pos", 0);
+    NewestPurgeFinder purgeFinder = new NewestPurgeFinder();
+    decodeEntries(reply, purgeFinder);
+    replyListener.replyStarted(source, purgeFinder.newestMillis);
     try {
-      position = Math.max(playEntries(reply, listener), last);
+      position = Math.max(decodeEntries(reply, listener), replyPosition);
     } finally {
       replyListener.replyEnded();
     }
   }
 
-  /** Plays the entries that are new; returns the number of the last one. */
-  private long playEntries(JsonReader reply, EndpointListener target) {
-    long at = position;
-    ListRun run = new ListRun(target);
+  /**
+   * Forwards the entries whose number is above the position; returns the number of the last of
+   * them, or the position if there is none.
+   */
+  private long decodeEntries(JsonReader reply, EndpointListener listener) {
+    long lastPosition = position;
+    ListMerger listMerger = new ListMerger(listener);
     try {
       for (JsonReader entry : reply.objects("entries")) {
-        long number = entry.longOr("pos", 0);
-        if (number > at) {
-          entry(entry, target, run);
-          at = number;
+        long entryPosition = entry.longOr("pos", 0);
+        if (entryPosition > lastPosition) {
+          decodeEntry(entry, listener, listMerger);
+          lastPosition = entryPosition;
         }
       }
     } finally {
-      run.end(); // Also before an entry that can't be used: what came before it counts.
+      // After an exception, too: the entries before the invalid one take effect.
+      listMerger.completeList();
     }
-    return at;
+    return lastPosition;
   }
 
-  private static void entry(JsonReader entry, EndpointListener listener, ListRun run) {
+  private static void decodeEntry(
+      JsonReader entry, EndpointListener listener, ListMerger listMerger) {
     if (entry.has("hosts")) {
       JsonReader hosts = entry.object("hosts");
-      run.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
+      listMerger.add(hosts.booleanOrFalse("reset"), hosts.objects("instances"));
     } else if (entry.has("expire")) {
-      run.end();
+      listMerger.completeList();
       JsonReader purge = entry.object("expire");
       listener.objectPurged(
-          purge.has("name") ? object(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
+          purge.has("name") ? objectId(purge) : 0, purge.intOr("set", 0), purge.longValue("stamp"));
     }
   }
 
-  private static void endpoint(JsonReader instance, EndpointListener listener) {
+  private static void decodeEndpoint(JsonReader instance, EndpointListener listener) {
     listener.endpointListed(
         new ListedEndpoint(
             instance.string("instanceId"),
@@ -114,80 +128,89 @@
             instance.has("zone") ? instance.string("zone") : "",
             instance.has("machineType") ? instance.string("machineType") : "",
             instance.intOr("cell", 0),
-            state(instance),
+            endpointState(instance),
             instance.doubleOr("weight", 1),
             instance.longOr("startedAtMs", 0)));
   }
 
-  private static long object(JsonReader purge) {
+  private static long objectId(JsonReader purge) {
     try {
       return Long.parseUnsignedLong(purge.string("name"), 16);
     } catch (NumberFormatException e) {
-      throw purge.invalid("name", "not an object's id: " + purge.string("name"));
+      throw purge.invalid("name", "not a hexadecimal object id: " + purge.string("name"));
     }
   }
 
-  private static EndpointState state(JsonReader instance) {
+  private static EndpointState endpointState(JsonReader instance) {
     return switch (instance.string("lifecycle")) {
       case "ready" -> EndpointState.UP;
       case "draining" -> EndpointState.DRAINING;
       case "gone" -> EndpointState.GONE;
       default ->
-          throw instance.invalid("lifecycle", "of no known kind: " + instance.string("lifecycle"));
+          throw instance.invalid(
+              "lifecycle",
+              "of no known kind: "
+                  + instance.string("lifecycle")
+                  + "; expected ready, draining or gone");
     };
   }
 
   /**
-   * Plays a run of changes of the list as one list, since each list makes its listener go through
-   * all endpoints. A full list begins a list of its own, and so does an id that was gone: it is
-   * another endpoint, of which nothing is known.
+   * Merges consecutive entries with endpoint changes into one list, because the listener iterates
+   * over all endpoints for each list. A full list starts a new list. So does an entry that lists an
+   * id again which the current list has reported as gone: the id then names a new endpoint without
+   * history.
    */
-  private static final class ListRun {
+  private static final class ListMerger {
     private final EndpointListener listener;
-    private final Set<String> gone = new HashSet<>();
-    private boolean isOpen;
+    private final Set<String> goneIds = new HashSet<>();
+    private boolean isListOpen;
 
-    ListRun(EndpointListener listener) {
+    ListMerger(EndpointListener listener) {
       this.listener = listener;
     }
 
-    void add(boolean full, List<JsonReader> instances) {
-      if (full || isReturn(instances)) {
-        end();
+    void add(boolean isFull, List<JsonReader> instances) {
+      if (isFull || relistsGoneId(instances)) {
+        completeList();
       }
-      if (!isOpen) {
-        listener.endpointListStarted(full ? EndpointListKind.FULL : EndpointListKind.CHANGES);
+      if (!isListOpen) {
+        listener.endpointListStarted(isFull ? EndpointListKind.FULL : EndpointListKind.CHANGES);
       }
       for (JsonReader instance : instances) {
-        endpoint(instance, listener);
-        if (state(instance) == EndpointState.GONE) {
-          gone.add(instance.string("instanceId"));
+        decodeEndpoint(instance, listener);
+        if (endpointState(instance) == EndpointState.GONE) {
+          goneIds.add(instance.string("instanceId"));
         }
       }
-      isOpen = true;
+      isListOpen = true;
     }
 
-    private boolean isReturn(List<JsonReader> instances) {
-      for (JsonReader instance : gone.isEmpty() ? List.<JsonReader>of() : instances) {
-        if (gone.contains(instance.string("instanceId")) && state(instance) != EndpointState.GONE) {
+    private boolean relistsGoneId(List<JsonReader> instances) {
+      for (JsonReader instance : goneIds.isEmpty() ? List.<JsonReader>of() : instances) {
+        if (goneIds.contains(instance.string("instanceId"))
+            && endpointState(instance) != EndpointState.GONE) {
           return true;
         }
       }
       return false;
     }
 
-    void end() {
-      if (isOpen) {
-        isOpen = false;
-        gone.clear();
+    void completeList() {
+      if (isListOpen) {
+        isListOpen = false;
+        goneIds.clear();
         listener.endpointListCompleted();
       }
     }
   }
 
-  /** Finds the newest purge of a reply, and any invalid entry, before it is played. */
+  /**
+   * Receives the entries of a reply in a first pass, before they are forwarded: finds the latest
+   * purge timestamp. An invalid entry makes this pass throw, before anything was forwarded.
+   */
   private static final class NewestPurgeFinder implements EndpointListener {
-    private long millis;
+    private long newestMillis;
 
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
@@ -200,7 +223,7 @@
 
     @Override
     public void objectPurged(long object, int group, long atMs) {
-      millis = Math.max(millis, atMs);
+      newestMillis = Math.max(newestMillis, atMs);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
+++ b/gateway/src/main/java/org/amberpath/gateway/simulation/SimulationHost.java
@@ -19,21 +19,26 @@
 import org.amberpath.gateway.settings.JsonReader;
 
 /**
- * Hosts many gateways on the simulator's wire: one line with a round's events in, one line with the
- * actions out, until the input ends. Blocks the calling thread.
+ * Runs many simulated gateways in one process and speaks the simulator's protocol of JSON lines:
+ * each input line holds a batch of events with its simulated time, and is answered by one output
+ * line with the actions. Blocks the calling thread until the input ends.
  */
 public final class SimulationHost {
   private static final int EXIT_OK = 0;
   private static final int EXIT_INVALID_INPUT = 1;
   private static final int BUFFER_BYTES = 1 << 16;
 
-  private final JsonFactory json = new JsonFactory();
+  private final JsonFactory jsonFactory = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final PrintStream err;
   private final Map<Integer, SimulatedGateway> gateways = new HashMap<>();
 
-  /** A host without gateways; messages on invalid input go to err. */
+  /**
+   * Creates a host without gateways.
+   *
+   * @param err receives one line on invalid input
+   */
   public SimulationHost(InputStream in, OutputStream out, PrintStream err) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), BUFFER_BYTES);
     this.out = out;
@@ -41,9 +46,10 @@
   }
 
   /**
-   * Answers every line.
+   * Answers the input line by line.
    *
-   * @return the exit code: 0 at the end of the input, 1 on a line that is invalid
+   * @return the exit code: 0 at the end of the input, 1 after an invalid line, which is not
+   *     answered
    * @throws IOException if reading or writing fails
    */
   public int run() throws IOException {
@@ -51,7 +57,7 @@
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       reply.reset();
       try {
-        answer(line, reply);
+        answerBatch(line, reply);
       } catch (JsonProcessingException e) {
         err.println("batch: not JSON: " + e.getOriginalMessage());
         return EXIT_INVALID_INPUT;
@@ -66,40 +72,46 @@
     return EXIT_OK;
   }
 
-  private void answer(String line, OutputStream reply) throws IOException {
+  private void answerBatch(String line, OutputStream reply) throws IOException {
     JsonReader batch;
-    try (JsonParser parser = json.createParser(line)) {
+    try (JsonParser parser = jsonFactory.createParser(line)) {
       batch = JsonReader.read("batch", parser);
     }
     long nowNanos = batch.durationNanos("wall-s");
-    try (JsonGenerator generator = json.createGenerator(reply)) {
+    try (JsonGenerator generator = jsonFactory.createGenerator(reply)) {
       generator.writeStartObject();
       generator.writeArrayFieldStart("parts");
       for (JsonReader part : batch.objects("parts")) {
-        round(nowNanos, part.intOr("i", 0), part.objects("news"), generator);
+        routeBatch(nowNanos, part.intOr("i", 0), part.objects("news"), generator);
       }
       generator.writeEndArray();
       generator.writeEndObject();
     }
   }
 
-  /** Events before a gateway's last start or stop in the round concerned the one that is gone. */
-  private void round(long nowNanos, int number, List<JsonReader> events, JsonGenerator reply)
+  /**
+   * Applies the starts and stops of one gateway in this batch, then routes the events that follow
+   * the last of them. Events before it are skipped: they belong to the gateway instance that the
+   * start or stop has ended.
+   */
+  private void routeBatch(
+      long nowNanos, int gatewayNumber, List<JsonReader> events, JsonGenerator reply)
       throws IOException {
-    int first = 0;
+    int firstIndex = 0;
     for (int index = 0; index < events.size(); index++) {
       String verb = events.get(index).string("verb");
       if (verb.equals("up")) {
-        gateways.put(number, new SimulatedGateway(number, events.get(index).named("up")));
-        first = index + 1;
+        gateways.put(
+            gatewayNumber, new SimulatedGateway(gatewayNumber, events.get(index).named("up")));
+        firstIndex = index + 1;
       } else if (verb.equals("stop")) {
-        gateways.remove(number);
-        first = index + 1;
+        gateways.remove(gatewayNumber);
+        firstIndex = index + 1;
       }
     }
-    SimulatedGateway gateway = gateways.get(number);
+    SimulatedGateway gateway = gateways.get(gatewayNumber);
     if (gateway != null) {
-      gateway.round(nowNanos, events.subList(first, events.size()), reply);
+      gateway.routeBatch(nowNanos, events.subList(firstIndex, events.size()), reply);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ConfigurationReloadTest.java
@@ -15,43 +15,46 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Configurations that are replaced while a gateway runs in a process of its own. */
+/** Tests configuration reloads of a gateway that runs in a separate process. */
 @Timeout(30)
 class ConfigurationReloadTest extends GatewayFixture {
   @Test
   void reloadMovesTheJournalAndAnInvalidConfigurationChangesNothing() throws Exception {
-    GatewayTestbed other = new GatewayTestbed();
+    GatewayTestbed otherTestbed = new GatewayTestbed();
     try {
       Process process = startProcess(0);
       Path file = folder.resolve("config.json");
-      String good = Files.readString(file);
+      String validConfig = Files.readString(file);
       try (BufferedReader log = process.inputReader()) {
         awaitServing(log);
-        for (String bad : List.of("{", good.replace("\"journal\":\"", "\"journal\":\"x"))) {
-          Files.writeString(file, bad);
+        for (String invalidConfig :
+            List.of("{", validConfig.replace("\"journal\":\"", "\"journal\":\"x"))) {
+          Files.writeString(file, invalidConfig);
           sendSighup(process);
           GatewayProcess.awaitLine(log, "SIGHUP: configuration unchanged: ");
         }
-        Files.writeString(file, good.replace(testbed.journal.address(), other.journal.address()));
+        Files.writeString(
+            file, validConfig.replace(testbed.journal.address(), otherTestbed.journal.address()));
         sendSighup(process);
         GatewayProcess.awaitLine(log, "journal polled at");
-        String poll = other.journal.polls.poll(10, TimeUnit.SECONDS);
+        String poll = otherTestbed.journal.polls.poll(10, TimeUnit.SECONDS);
         assertTrue(poll != null && poll.startsWith("tail=2&"), poll);
       } finally {
         process.destroyForcibly();
       }
     } finally {
-      other.close();
+      otherTestbed.close();
     }
   }
 
   /**
-   * Met on a roll day of the fleet bench that was started by nohup: no new configuration was ever
-   * taken.
+   * Guards against a gateway that never loads a new configuration: a process started under nohup
+   * inherits SIGHUP as ignored. Seen in the fleet bench's rolling configuration change when the
+   * bench was started with nohup.
    */
   @Test
-  void configurationIsReloadedWhereSighupIsIgnored() throws Exception {
-    GatewayTestbed other = new GatewayTestbed();
+  void configurationIsReloadedWhenSighupIsIgnored() throws Exception {
+    GatewayTestbed otherTestbed = new GatewayTestbed();
     Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     Process process =
         GatewayProcess.startWithHangUpIgnored(
@@ -61,12 +64,14 @@
       awaitServing(log);
       sendSighup(process);
       Files.writeString(
-          file, Files.readString(file).replace(testbed.journal.address(), other.journal.address()));
+          file,
+          Files.readString(file)
+              .replace(testbed.journal.address(), otherTestbed.journal.address()));
       GatewayProcess.awaitLine(log, "journal polled at");
-      assertNotNull(other.journal.polls.poll(10, TimeUnit.SECONDS));
+      assertNotNull(otherTestbed.journal.polls.poll(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
-      other.close();
+      otherTestbed.close();
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/settings/InvalidSettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Invalid settings name their file, section and key, beside the message. */
+/** Tests that the exception for invalid settings carries the file, the section and the key. */
 class InvalidSettingsTest {
   @TempDir private Path folder;
 
@@ -24,15 +24,15 @@
         "{'listen':'127.0.0.1:1','seed':'ff','settings':{}}  | configuration settings | my-zone ",
         "[]                                                  | \"\"                   | \"\"      "
       })
-  void invalidSettingsNameTheirPlace(String json, String section, String key) throws Exception {
+  void exceptionCarriesFileSectionAndKey(String json, String section, String key) throws Exception {
     Path file = folder.resolve("gateway.json");
     Files.writeString(file, json.replace('\'', '"'));
-    InvalidSettingsException invalid =
+    InvalidSettingsException exception =
         assertThrows(
             InvalidSettingsException.class,
             () -> GatewayOptions.read(Map.of("PROXY_CONFIG", file.toString()), false));
-    assertEquals(file.toString(), invalid.file());
-    assertEquals(section, invalid.section());
-    assertEquals(key, invalid.key());
+    assertEquals(file.toString(), exception.file());
+    assertEquals(section, exception.section());
+    assertEquals(key, exception.key());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/simulation/SimulationHostTest.java
@@ -13,9 +13,12 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The simulator's wire: replies, and invalid input that ends the process with a plain message. */
+/**
+ * Tests the simulator's protocol: replies to batches, and the exit code and message after invalid
+ * input.
+ */
 class SimulationHostTest {
-  private static final String UP =
+  private static final String UP_AND_VIEW =
       """
       {"verb":"up","seed":1,"profile-data":{"my-zone":"z","kinds":["box"],
       "classes":[{"name":"pages",
@@ -38,13 +41,13 @@
         .run();
   }
 
-  private static String batch(String news) {
-    return ("{\"wall-s\":8.5,\"parts\":[{\"i\":3,\"news\":[" + news + "]}]}").replace("\n", "");
+  private static String batch(String events) {
+    return ("{\"wall-s\":8.5,\"parts\":[{\"i\":3,\"news\":[" + events + "]}]}").replace("\n", "");
   }
 
   @Test
-  void requestIsForwardedAndTheEndOfInputExitsWithZero() throws IOException {
-    assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP + "," + ORDER)));
+  void requestIsForwardedAndEndOfInputExitsWithCodeZero() throws IOException {
+    assertEquals(0, run("{\"wall-s\":8.4,\"parts\":[]}", batch(UP_AND_VIEW + "," + ORDER)));
     String[] replies = out.toString(StandardCharsets.UTF_8).split("\n", -1);
     assertEquals("{\"parts\":[]}", replies[0]);
     assertTrue(
@@ -57,7 +60,7 @@
 
   @Test
   void eventsBeforeAStartInTheSameRoundAreIgnored() throws IOException {
-    run(batch(UP), batch(ORDER + ",{\"verb\":\"stop\"}," + UP));
+    run(batch(UP_AND_VIEW), batch(ORDER + ",{\"verb\":\"stop\"}," + UP_AND_VIEW));
     assertFalse(out.toString(StandardCharsets.UTF_8).contains("op-id"));
   }
 
@@ -72,12 +75,14 @@
         "{\"verb\":\"order\",\"op-id\":\"x\",\"tier-class\":\"pages\"} "
             + "| order: field 'op-id' is not a whole number",
         "{\"verb\":\"order\",\"op-id\":1,\"tier-class\":\"plays\"} "
-            + "| order: field 'tier-class' is no known",
+            + "| order: field 'tier-class' is not a configured traffic class: plays",
         "{\"verb\":\"verdict\",\"op-id\":1,\"rc\":\"served\",\"cache\":\"10.9.9.9:1\"} "
-            + "| field 'cache' is no known"
+            + "| verdict: field 'cache' is not a listed cache: 10.9.9.9:1",
+        "{\"verb\":\"view\",\"scope\":\"Q\"} | view: field 'scope' is unknown: Q",
+        "{\"wall-s\":1,\"parts\":[]}{} | batch: more than one JSON value"
       })
-  void invalidInputExitsWithOnePlainMessage(String line, String message) throws IOException {
-    assertEquals(1, run(batch(UP), line.contains("verb") ? batch(line) : line));
+  void invalidInputExitsWithCodeOneAndOneMessage(String line, String message) throws IOException {
+    assertEquals(1, run(batch(UP_AND_VIEW), line.contains("verb") ? batch(line) : line));
     String messages = err.toString(StandardCharsets.UTF_8);
     assertTrue(messages.contains(message), messages);
     assertEquals(1, messages.lines().count());
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/FaultFixture.java
@@ -12,12 +12,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A testbed whose endpoints handle commands by themselves, and requests that have to be served. */
+/**
+ * Base class of fault tests: a testbed whose caches answer commands on background threads, and
+ * helpers that send requests of which each must succeed.
+ */
 public abstract class FaultFixture {
-  /** A deadline with which a request is served also where a retry is needed. */
+  /** A request timeout that leaves time for retries. */
   protected static final int LONG_MILLIS = 4000;
 
-  /** Up to so long after its deadline a request only earns nothing; later it is lost. */
+  /**
+   * How long after the request's deadline an answer counts as late, without credit. After that the
+   * request counts as lost.
+   */
   protected static final long LATE_MILLIS = 500;
 
   protected static final int MAX_ATTEMPTS = 3;
@@ -42,31 +48,32 @@
     testbed.close();
   }
 
-  protected static long millisSince(long nanos) {
-    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+  protected static long millisSince(long startNanos) {
+    return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
-  protected static String requestId(int ofNumber) {
-    return String.format("%016x", ofNumber);
+  protected static String requestId(int requestNumber) {
+    return String.format("%016x", requestNumber);
   }
 
-  /** The wants among what came to caches, of one request. */
-  protected static List<TimedCommand> attemptsOf(List<List<TimedCommand>> seen, int ofNumber) {
-    return seen.stream()
+  /** Returns the {@code want} commands of one request among the commands that caches received. */
+  protected static List<TimedCommand> attemptsOf(
+      List<List<TimedCommand>> received, int requestNumber) {
+    return received.stream()
         .flatMap(List::stream)
         .filter(
-            one ->
-                one.command().element(0).equals("want")
-                    && one.command().element(1).equals(requestId(ofNumber)))
+            command ->
+                command.command().element(0).equals("want")
+                    && command.command().element(1).equals(requestId(requestNumber)))
         .toList();
   }
 
-  protected List<List<TimedCommand>> handleAll(List<StubCache> caches, CommandHandler reaction) {
-    List<List<TimedCommand>> seen = new ArrayList<>();
+  protected List<List<TimedCommand>> handleAll(List<StubCache> caches, CommandHandler handler) {
+    List<List<TimedCommand>> received = new ArrayList<>();
     for (StubCache cache : caches) {
-      seen.add(testbed.handleCommands(cache, reaction));
+      received.add(testbed.handleCommands(cache, handler));
     }
-    return seen;
+    return received;
   }
 
   protected static void serve(ReceivedCommand command) throws Exception {
@@ -75,7 +82,7 @@
 
   protected static void hang(ReceivedCommand command) {}
 
-  /** One more request, which has to be served with the bytes of its part. */
+  /** Sends the next request and asserts that the answer is the body of the requested part. */
   protected void requestServed(TestClient client) throws Exception {
     int part = ++number % PARTS;
     client.sendRequest(number, "parts", LONG_MILLIS, part);
@@ -85,38 +92,41 @@
         "part " + part, new String(answer.body(), java.nio.charset.StandardCharsets.UTF_8));
   }
 
-  /** Asks for all parts in turn until the condition holds; every request has to be served. */
-  protected void requestUntil(TestClient client, BooleanSupplier done) throws Exception {
-    long since = System.nanoTime();
-    while (!done.getAsBoolean()) {
+  /**
+   * Requests all parts in turn until the condition holds; asserts that every request is served and
+   * that the condition holds within 20 s.
+   */
+  protected void requestUntil(TestClient client, BooleanSupplier condition) throws Exception {
+    long startNanos = System.nanoTime();
+    while (!condition.getAsBoolean()) {
       assertTrue(
-          millisSince(since) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
-          "it never comes");
+          millisSince(startNanos) < 2 * TimeUnit.SECONDS.toMillis(GatewayTestbed.TIMEOUT_SECONDS),
+          "the awaited condition did not hold in time");
       requestServed(client);
-      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Requests at a rate: the passing of time is tested.
+      Thread.sleep(BETWEEN_REQUESTS_MILLIS); // Limits the request rate.
     }
   }
 
   protected void requestFor(TestClient client, long millis) throws Exception {
-    long since = System.nanoTime();
-    requestUntil(client, () -> millisSince(since) > millis);
+    long startNanos = System.nanoTime();
+    requestUntil(client, () -> millisSince(startNanos) > millis);
   }
 
   /**
-   * Whatever else came for the connection's requests, nothing is left of it: the next answer is the
-   * status.
+   * Asserts that no further answer to an earlier request is pending on the connection: the next
+   * answer must be the one to a status request.
    */
   protected static void assertNoFurtherAnswer(TestClient client) throws Exception {
     assertEquals(9999, client.requestStatus().messageId());
   }
 
-  protected static CommandHandler failing(String how) {
-    return switch (how) {
+  protected static CommandHandler failing(String fault) {
+    return switch (fault) {
       case "close" -> command -> command.socket().close();
       case "reset" -> ReceivedCommand::reset;
       case "shut" -> command -> command.socket().shutdownOutput();
       case "serve" -> FaultFixture::serve;
-      default -> command -> command.reply(how, "-", new byte[0]);
+      default -> command -> command.reply(fault, "-", new byte[0]);
     };
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/GatewayFixture.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A gateway on loopback that knows one cache and the origin, and one client of it. */
+/**
+ * Base class of tests with one gateway on loopback that knows one cache and the origin, and with
+ * one client connected to it.
+ */
 public abstract class GatewayFixture {
   protected static final long TIMEOUT_MILLIS = 5000;
 
@@ -46,14 +49,14 @@
   }
 
   protected void awaitPolls(int count) throws InterruptedException {
-    for (int poll = 0; poll < count; poll++) {
+    for (int index = 0; index < count; index++) {
       assertNotNull(testbed.journal.polls.poll(10, TimeUnit.SECONDS));
     }
   }
 
-  protected void awaitPoll(String start) throws InterruptedException {
+  protected void awaitPoll(String prefix) throws InterruptedException {
     String poll = "";
-    while (!poll.startsWith(start)) {
+    while (!poll.startsWith(prefix)) {
       poll = testbed.journal.polls.poll(10, TimeUnit.SECONDS);
       assertNotNull(poll);
     }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/JournalRelay.java
@@ -13,118 +13,120 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 
-/** A way to a journal that can be slow, overloaded or closed. */
+/** A TCP relay to a journal that can delay replies, reset connections or refuse them. */
 public final class JournalRelay implements Closeable {
   private static final int CHUNK_BYTES = 65_536;
 
-  private final ExecutorService threads;
-  private final StubJournal to;
+  private final ExecutorService executor;
+  private final StubJournal journal;
 
-  /** Bound and never used: keeps the port while nothing listens there. */
-  private final Socket reserved = new Socket();
+  /** Bound but never connected: keeps the port reserved while nothing listens there. */
+  private final Socket reservedSocket = new Socket();
 
-  private final Queue<Socket> sockets = new ConcurrentLinkedQueue<>();
+  private final Queue<Socket> openSockets = new ConcurrentLinkedQueue<>();
   private ServerSocket server;
-  private int accepted;
+  private int acceptedCount;
 
-  /** How much longer each reply takes. */
+  /** The delay in milliseconds before the first bytes of each reply are forwarded; 0 for none. */
   public volatile long delayMillis;
 
   /**
-   * Of so many connections one is served, with one reply, and the others are reset; 0: all are
-   * served.
+   * One of this number of accepted connections is relayed, and the others are reset at once; 0 to
+   * relay all.
    */
-  public volatile int resetsAllButOneOf;
+  public volatile int relaysOneOf;
 
-  JournalRelay(StubJournal to, ExecutorService threads) throws IOException {
-    this.to = to;
-    this.threads = threads;
-    reserved.setReuseAddress(true);
-    reserved.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0));
+  JournalRelay(StubJournal journal, ExecutorService executor) throws IOException {
+    this.journal = journal;
+    this.executor = executor;
+    reservedSocket.setReuseAddress(true);
+    reservedSocket.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, 0));
     listen();
   }
 
-  /** The address that it listens at. */
+  /** Returns the address that the relay listens at. */
   public String address() {
-    return "127.0.0.1:" + reserved.getLocalPort();
+    return "127.0.0.1:" + reservedSocket.getLocalPort();
   }
 
-  /** Listens, for the first time or again. */
+  /** Starts to listen, again after {@link #refuseConnections}. */
   public void listen() throws IOException {
-    ServerSocket listening = new ServerSocket();
-    listening.setReuseAddress(true);
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
-    while (!listening.isBound()) {
+    ServerSocket newServer = new ServerSocket();
+    newServer.setReuseAddress(true);
+    long deadlineNanos =
+        System.nanoTime() + TimeUnit.SECONDS.toNanos(GatewayTestbed.TIMEOUT_SECONDS);
+    while (!newServer.isBound()) {
       try {
-        listening.bind(new InetSocketAddress(GatewayTestbed.LOOPBACK, reserved.getLocalPort()));
+        newServer.bind(
+            new InetSocketAddress(GatewayTestbed.LOOPBACK, reservedSocket.getLocalPort()));
       } catch (BindException e) {
-        if (System.nanoTime()
-            > until) { // The one before is being let go by the thread that accepts there.
+        // The accepting thread may not have released the previous server socket yet.
+        if (System.nanoTime() > deadlineNanos) {
           throw e;
         }
         Thread.onSpinWait();
       }
     }
-    server = listening;
-    threads.execute(
+    server = newServer;
+    executor.execute(
         () -> {
           try {
             while (true) {
-              accepted(listening.accept());
+              handleConnection(newServer.accept());
             }
           } catch (IOException e) {
-            // Closed.
+            // The server socket was closed.
           }
         });
   }
 
-  /** Refuses connections from now on, and resets those that are open. */
+  /** Refuses new connections and resets the open ones. */
   public void refuseConnections() throws IOException {
     server.close();
     resetConnections();
   }
 
-  /** Resets the connections that are open. */
+  /** Resets the open connections. */
   public void resetConnections() throws IOException {
-    for (Socket one = sockets.poll(); one != null; one = sockets.poll()) {
-      reset(one);
+    for (Socket socket = openSockets.poll(); socket != null; socket = openSockets.poll()) {
+      reset(socket);
     }
   }
 
-  private void accepted(Socket from) throws IOException {
-    if (resetsAllButOneOf > 0 && accepted++ % resetsAllButOneOf != 0) {
-      reset(from);
+  private void handleConnection(Socket client) throws IOException {
+    if (relaysOneOf > 0 && acceptedCount++ % relaysOneOf != 0) {
+      reset(client);
       return;
     }
-    Socket on = new Socket(GatewayTestbed.LOOPBACK, to.server.getAddress().getPort());
-    sockets.add(from);
-    sockets.add(on);
-    AtomicBoolean asked = new AtomicBoolean();
-    threads.execute(() -> pump(from, on, () -> asked.set(true)));
-    threads.execute(
+    Socket upstream = new Socket(GatewayTestbed.LOOPBACK, journal.server.getAddress().getPort());
+    openSockets.add(client);
+    openSockets.add(upstream);
+    AtomicBoolean awaitsReply = new AtomicBoolean();
+    executor.execute(() -> pump(client, upstream, () -> awaitsReply.set(true)));
+    executor.execute(
         () ->
             pump(
-                on,
-                from,
+                upstream,
+                client,
                 () -> {
-                  if (asked.getAndSet(false)) {
+                  if (awaitsReply.getAndSet(false)) {
                     Thread.sleep(delayMillis);
                   }
                 }));
   }
 
-  private void pump(Socket from, Socket on, BeforeChunk before) {
-    try (from;
-        on) {
+  private void pump(Socket source, Socket destination, BeforeChunk beforeChunk) {
+    try (source;
+        destination) {
       byte[] bytes = new byte[CHUNK_BYTES];
-      for (int read = from.getInputStream().read(bytes);
-          read >= 0;
-          read = from.getInputStream().read(bytes)) {
-        before.call();
-        on.getOutputStream().write(bytes, 0, read);
+      for (int count = source.getInputStream().read(bytes);
+          count >= 0;
+          count = source.getInputStream().read(bytes)) {
+        beforeChunk.call();
+        destination.getOutputStream().write(bytes, 0, count);
       }
     } catch (Exception e) {
-      // One side is gone.
+      // One of the two connections was closed.
     }
   }
 
@@ -132,7 +134,7 @@
     try {
       socket.setSoLinger(true, 0);
     } catch (SocketException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
     socket.close();
   }
@@ -140,10 +142,10 @@
   @Override
   public void close() throws IOException {
     refuseConnections();
-    reserved.close();
+    reservedSocket.close();
   }
 
-  /** What is done before a chunk is passed on. */
+  /** A hook that runs before each chunk is forwarded. */
   private interface BeforeChunk {
     void call() throws Exception;
   }
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/StubCache.java
@@ -16,12 +16,12 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A cache that keeps the commands that it receives, for the test to reply to. */
+/** A cache that queues the commands it receives; the test replies to them. */
 public final class StubCache implements Closeable {
   public final ServerSocket server = new ServerSocket(0, 50, GatewayTestbed.LOOPBACK);
   public final BlockingQueue<ReceivedCommand> commands = new LinkedBlockingQueue<>();
 
-  /** Counted down once nothing is accepted any more. */
+  /** Counted down when the accepting thread has ended. */
   private final CountDownLatch stopped = new CountDownLatch(1);
 
   StubCache(ExecutorService threads) throws IOException {
@@ -30,54 +30,56 @@
           try {
             while (true) {
               Socket socket = server.accept();
-              threads.execute(() -> read(socket));
+              threads.execute(() -> readCommands(socket));
             }
           } catch (IOException e) {
-            // Closed.
+            // The server socket was closed.
           } finally {
             stopped.countDown();
           }
         });
   }
 
-  /** The address that it listens at. */
+  /** Returns the address that the cache listens at. */
   public String address() {
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  private void read(Socket socket) {
+  private void readCommands(Socket socket) {
     try (DataInputStream in = new DataInputStream(socket.getInputStream())) {
       while (true) {
         List<byte[]> elements = new ArrayList<>();
-        for (int left = length(in); left > 0; left--) {
-          elements.add(in.readNBytes(length(in)));
+        for (int remaining = readLength(in); remaining > 0; remaining--) {
+          elements.add(in.readNBytes(readLength(in)));
           in.readNBytes(2);
         }
         commands.add(new ReceivedCommand(socket, elements));
       }
     } catch (IOException | NumberFormatException e) {
-      // The connection is gone.
+      // The connection was closed.
     }
   }
 
-  private int length(DataInputStream in) throws IOException {
+  private int readLength(DataInputStream in) throws IOException {
     StringBuilder line = new StringBuilder();
-    for (int one = in.readUnsignedByte(); one != '\n'; one = in.readUnsignedByte()) {
-      line.append((char) one);
+    for (int character = in.readUnsignedByte();
+        character != '\n';
+        character = in.readUnsignedByte()) {
+      line.append((char) character);
     }
     return Integer.parseInt(line.substring(1).trim());
   }
 
-  /** The next command; fails the test when none comes. */
+  /** Returns the next command; fails the test if none is received within 10 s. */
   public ReceivedCommand nextCommand() throws InterruptedException {
     ReceivedCommand next = commands.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    assertNotNull(next, "nothing came to the cache");
+    assertNotNull(next, "the cache received no command in time");
     return next;
   }
 
   /**
-   * Connections are refused once this returns: while its thread is still in accept, the system
-   * keeps the socket listening though it is closed.
+   * Stops listening. Waits for the accepting thread to end, so that connections are refused once
+   * this method returns: the system keeps a closed socket listening while a thread is in accept.
    */
   @Override
   public void close() throws IOException {
--- a/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
+++ b/gateway/src/test/java/org/amberpath/gateway/testsupport/TestClient.java
@@ -9,25 +9,25 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** A client, which blocks the calling thread. */
+/** A client of the gateway; its methods block the calling thread, for at most 10 s a read. */
 public final class TestClient implements Closeable {
   public final Socket socket;
-  private final MessageUnpacker in;
+  private final MessageUnpacker unpacker;
 
   /** Connects to a port on loopback. */
   public TestClient(int port) throws IOException {
     this(new Socket(GatewayTestbed.LOOPBACK, port));
   }
 
-  /** Connects to a port on loopback. */
+  /** Creates a client on a connected socket. */
   public TestClient(Socket connected) throws IOException {
     socket = connected;
     socket.setTcpNoDelay(true);
     socket.setSoTimeout((int) GatewayTestbed.TIMEOUT_SECONDS * 1000);
-    in = MessagePack.newDefaultUnpacker(socket.getInputStream());
+    unpacker = MessagePack.newDefaultUnpacker(socket.getInputStream());
   }
 
-  /** The fields of a request for a part of the one object. */
+  /** Returns the fields of a request for a part of {@link GatewayTestbed#OBJECT_ID}. */
   public static Map<String, String> requestFields(int ref, long allowMs, int part) {
     Map<String, String> fields =
         new LinkedHashMap<>(
@@ -47,14 +47,14 @@
     return fields;
   }
 
-  /** A request in MessagePack-RPC; without a body where that is null. */
+  /** Encodes a MessagePack-RPC request; a null body is left out. */
   public static byte[] encodeRequest(
-      long number, String method, Map<String, String> fields, byte[] body) throws IOException {
+      long messageId, String method, Map<String, String> fields, byte[] body) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
     packer
         .packArrayHeader(4)
         .packInt(0)
-        .packLong(number)
+        .packLong(messageId)
         .packString(method)
         .packArrayHeader(body == null ? 1 : 2)
         .packMapHeader(fields.size());
@@ -67,73 +67,79 @@
     return packer.toByteArray();
   }
 
-  /** Sends bytes as they are. */
+  /** Sends raw bytes. */
   public TestClient send(byte[] bytes) throws IOException {
     socket.getOutputStream().write(bytes);
     return this;
   }
 
   /** Sends a request with an empty body. */
-  public TestClient sendRequest(int number, String method, long allowMs, int part)
+  public TestClient sendRequest(int messageId, String method, long allowMs, int part)
       throws IOException {
-    return send(encodeRequest(number, method, requestFields(number, allowMs, part), new byte[0]));
+    return send(
+        encodeRequest(messageId, method, requestFields(messageId, allowMs, part), new byte[0]));
   }
 
-  /** The notification that cancels a request. */
-  public static byte[] encodeCancel(int number) throws IOException {
+  /** Encodes the notification that cancels a request. */
+  public static byte[] encodeCancel(int messageId) throws IOException {
     MessageBufferPacker packer = MessagePack.newDefaultBufferPacker();
-    packer.packArrayHeader(3).packInt(2).packString("withdraw").packArrayHeader(1).packInt(number);
+    packer
+        .packArrayHeader(3)
+        .packInt(2)
+        .packString("withdraw")
+        .packArrayHeader(1)
+        .packInt(messageId);
     return packer.toByteArray();
   }
 
-  /** Cancels a request. */
-  public TestClient sendCancel(int number) throws IOException {
-    return send(encodeCancel(number));
+  /** Sends the notification that cancels a request. */
+  public TestClient sendCancel(int messageId) throws IOException {
+    return send(encodeCancel(messageId));
   }
 
-  /** Asks for the status, and receives the next response. */
+  /** Sends a status request with message id 9999 and receives the next response. */
   public ClientAnswer requestStatus() throws IOException {
     return send(encodeRequest(9999, "status", Map.of(), null)).receive();
   }
 
-  /** Receives the next response. */
+  /** Receives and decodes the next response. */
   public ClientAnswer receive() throws IOException {
-    in.unpackArrayHeader();
-    in.unpackInt();
-    long number = in.unpackLong();
+    unpacker.unpackArrayHeader();
+    unpacker.unpackInt();
+    long messageId = unpacker.unpackLong();
     String error = null;
     byte[] body = null;
-    boolean status = false;
+    boolean isReady = false;
     Map<String, String> fields = Map.of();
-    if (in.tryUnpackNil()) {
-      in.unpackArrayHeader();
-      if (in.getNextFormat().getValueType().isBooleanType()) {
-        status = in.unpackBoolean();
+    if (unpacker.tryUnpackNil()) {
+      unpacker.unpackArrayHeader();
+      if (unpacker.getNextFormat().getValueType().isBooleanType()) {
+        isReady = unpacker.unpackBoolean();
       } else {
-        body = in.readPayload(in.unpackBinaryHeader());
+        body = unpacker.readPayload(unpacker.unpackBinaryHeader());
       }
-      fields = map();
+      fields = unpackFields();
     } else {
-      in.unpackArrayHeader();
-      error = in.unpackString();
-      fields = map();
-      in.unpackNil();
+      unpacker.unpackArrayHeader();
+      error = unpacker.unpackString();
+      fields = unpackFields();
+      unpacker.unpackNil();
     }
-    return new ClientAnswer(number, error, body, status, fields);
+    return new ClientAnswer(messageId, error, body, isReady, fields);
   }
 
-  private Map<String, String> map() throws IOException {
+  private Map<String, String> unpackFields() throws IOException {
     Map<String, String> fields = new LinkedHashMap<>();
-    for (int left = in.unpackMapHeader(); left > 0; left--) {
-      fields.put(in.unpackString(), in.unpackString());
+    for (int remaining = unpacker.unpackMapHeader(); remaining > 0; remaining--) {
+      fields.put(unpacker.unpackString(), unpacker.unpackString());
     }
     return fields;
   }
 
-  /** Whether the gateway closed the connection, with nothing more on it. */
+  /** Returns whether the gateway has closed the connection without sending more data; blocks. */
   public boolean isClosed() throws IOException {
     try {
-      return !in.hasNext();
+      return !unpacker.hasNext();
     } catch (java.net.SocketException e) {
       return true;
     }
