--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -7,8 +7,8 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * One attempt on its way to a cache. The subclass is notified of its outcome, once, unless it was
- * cancelled. Used on the event loop of the pool.
+ * One attempt of a request, sent to a cache as one command. The subclass is notified of its outcome
+ * exactly once, unless the command is cancelled. Confined to the event loop of the pool.
  */
 public abstract class CacheCommand {
   private static final int ENCODING_OVERHEAD_BYTES = 96;
@@ -22,20 +22,21 @@
   private final long deadlineNanos;
   private final List<? extends CacheCommand> attempts;
 
-  /** The connection that it was written to; null before that. */
+  /** The connection that the command was written to; null before that. */
   CacheConnection connection;
 
+  /** Clock time at which the command was written to its connection. */
   long writtenAtNanos;
 
   /**
-   * An attempt.
+   * Creates a command that has not been sent.
    *
-   * @param requestId the request's id, which all attempts of the request share
-   * @param fields the fields of the command, without the time that is left
-   * @param knownTag the entity tag of the copy that the client holds, which is in the fields too;
+   * @param requestId the id of the request, which all its attempts share
+   * @param fields the encoded fields of the command, without the remaining time ({@code ms=})
+   * @param knownTag the entity tag of the copy that the client holds, which the fields contain too;
    *     empty for none
-   * @param body the body as it was received
-   * @param deadlineNanos clock time until which the reply is waited for
+   * @param body the request body as received from the client
+   * @param deadlineNanos clock time until which the reply is awaited
    * @param attempts all attempts of the request
    */
   protected CacheCommand(
@@ -55,49 +56,50 @@
   }
 
   /**
-   * The attempt ended.
+   * Called when the attempt ends.
    *
-   * @param body the body where one was returned; null for any other outcome, and where the client's
-   *     copy is current
+   * @param note what the cache reported about how it produced its reply
+   * @param body the returned body; null if the outcome has none or the client's copy is current
    */
   protected abstract void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body);
 
   /**
-   * Whether it must not be sent any more: its request has been answered, or its time to be sent is
-   * over.
+   * Returns whether the command must not be sent any more, because its request has been answered or
+   * its time window for sending is over.
    *
-   * @param nowNanos the clock's time
+   * @param nowNanos the current clock time
    */
   protected boolean isExpired(long nowNanos) {
     return false;
   }
 
-  /** Whether any of it may have reached the cache. */
+  /** Returns whether any byte of the command may have reached the cache. */
   public final boolean isWritten() {
     return connection != null;
   }
 
   /**
-   * Whether a body that is returned is a copy, with a tag and a time; uncacheable ones have none.
+   * Returns whether a returned body must be a cacheable copy with an entity tag and an issue time;
+   * uncacheable bodies have neither.
    */
   protected boolean expectsCopy() {
     return true;
   }
 
-  /** Whether the client holds the copy of this entity tag. */
+  /** Returns whether the client holds the copy with this entity tag. */
   boolean isKnownTag(String tag) {
     return !tag.isEmpty() && tag.equals(knownTag);
   }
 
   /**
-   * Whether it may be sent on a connection. Guards against a reply to one attempt that is taken for
-   * another's: all attempts of a request share its id.
+   * Returns whether the command may be sent on a connection. Two attempts of a request never share
+   * a connection, because replies are matched by request id and could be assigned to the wrong one.
    */
   boolean mayUse(CacheConnection candidate) {
     return attempts.stream().noneMatch(attempt -> attempt.connection == candidate);
   }
 
-  /** The command in RESP, with the time that is left, in milliseconds and at least 1. */
+  /** Encodes the command in RESP, with the remaining time in milliseconds, at least 1. */
   Buffer encode(long nowNanos) {
     Buffer out = Buffer.buffer(fields.length + body.length + ENCODING_OVERHEAD_BYTES);
     out.appendString("*4\r\n$4\r\nwant\r\n");
@@ -113,7 +115,7 @@
     return out;
   }
 
-  /** The command that cancels this one, in RESP. */
+  /** Encodes the command that cancels this one in RESP. */
   Buffer encodeCancel() {
     return appendBulk(Buffer.buffer("*2\r\n$10\r\nnever_mind\r\n"), requestIdBytes);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -13,15 +13,18 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * One connection to a cache: many commands in flight, replies in any order. Used on the event loop
- * of its pool. Times are nanoseconds of the pool's clock.
+ * One connection to a cache, with multiple commands in flight and replies in any order. Confined to
+ * the event loop of its pool. Times are in nanoseconds of the pool's clock.
  */
 final class CacheConnection implements ReplyReader.Sink {
   /** The states of a connection. */
   private enum State {
-    /** Commands are sent and replies read. */
+    /** Commands are sent and replies are read. The initial state. */
     OPEN,
-    /** A command was waited for in vain and nothing received since: the peer may have vanished. */
+    /**
+     * No byte was received since a command was written that was cancelled after more than the
+     * connect timeout: the peer may be unreachable. The next received byte restores {@link #OPEN}.
+     */
     UNRESPONSIVE,
     /** The socket is closed, or being closed. */
     CLOSED
@@ -35,7 +38,11 @@
   private long lastReadNanos;
   private long lastUsedNanos;
 
-  /** Takes over a socket that is connected; replies have bodies of maxBodyBytes at most. */
+  /**
+   * Installs the handlers of a connected socket.
+   *
+   * @param maxBodyBytes maximum length of a reply's body; a longer one is a protocol error
+   */
   CacheConnection(CachePool pool, NetSocket socket, int maxBodyBytes, long nowNanos) {
     this.pool = pool;
     this.socket = socket;
@@ -43,7 +50,7 @@
     lastUsedNanos = nowNanos;
     reader = new ReplyReader(maxBodyBytes, this);
     socket.handler(this::read);
-    socket.exceptionHandler(e -> {}); // The close event that follows covers it.
+    socket.exceptionHandler(e -> {}); // A close event always follows.
     socket.closeHandler(v -> ended());
   }
 
@@ -55,20 +62,21 @@
     reader.handle(bytes);
   }
 
-  /** How many commands are in flight. */
+  /** Returns the number of commands in flight. */
   int load() {
     return inFlight.size();
   }
 
-  /** For how many nanoseconds it has been idle; 0 while a command is in flight. */
+  /** Returns how long the connection has been idle; 0 while a command is in flight. */
   long idleNanos(long nowNanos) {
     return inFlight.isEmpty() ? nowNanos - lastUsedNanos : 0;
   }
 
   /**
-   * Whether a further command may be sent on it. Guards against a peer that does not read, behind
-   * whose bytes a command would be sent at an unknown time, after drains and cancels; and against
-   * half a reply to a command that is not in flight any more, which would corrupt the next.
+   * Returns whether a further command may be sent on this connection. Not while earlier bytes are
+   * unwritten: the peer does not read, and the command would leave at an unknown time, possibly
+   * after a drain or its own cancellation. Nor with a partial reply when no command is in flight:
+   * the reply belongs to a command that has ended, and its rest would corrupt the next one.
    */
   boolean isUsable() {
     return state == State.OPEN
@@ -81,7 +89,7 @@
     return channel.bytesBeforeUnwritable() < channel.config().getWriteBufferHighWaterMark();
   }
 
-  /** Sends a command; its outcome is reported to it. */
+  /** Writes a command; its outcome is reported by {@link CacheCommand#ended}. */
   void send(CacheCommand command, long nowNanos) {
     command.connection = this;
     command.writtenAtNanos = nowNanos;
@@ -91,23 +99,24 @@
   }
 
   /**
-   * Cancels a command that is in flight; a reply that crosses this is dropped.
+   * Cancels a command in flight; a reply to it that is still received is dropped.
    *
-   * @param timedOut whether its reply was waited for in vain
-   * @param timeoutNanos after how long without any byte the peer counts as unresponsive
+   * @param timedOut whether the command is cancelled because its reply did not arrive in time
+   * @param timeoutNanos time since the command was written, without any byte received, after which
+   *     the connection counts as unresponsive
    */
   void cancel(CacheCommand command, boolean timedOut, long timeoutNanos) {
     if (!inFlight.remove(command.requestId, command) || state == State.CLOSED) {
       return;
     }
-    // Guards against a peer that vanished: a dead connection gets no new commands. One slow reply
-    // is no proof, so what is in flight on it goes on.
+    // A connection whose peer may be unreachable gets no new commands. A slow reply does not prove
+    // that, so commands in flight on the connection continue.
     if (lastReadNanos < command.writtenAtNanos
         && pool.nowNanos() - command.writtenAtNanos > timeoutNanos) {
       state = State.UNRESPONSIVE;
     }
-    // Guards against replies that stop in the middle: what would follow on that connection is
-    // unusable.
+    // An idle connection is closed if its peer may be stuck in the middle of a reply, because later
+    // replies on it could not be parsed.
     if (inFlight.isEmpty()
         && (timedOut || state == State.UNRESPONSIVE || reader.hasPartialReply())) {
       close();
@@ -116,7 +125,7 @@
     }
   }
 
-  /** Ends the command that a reply is for; replies to commands not in flight are dropped. */
+  /** Ends the command that the reply belongs to; drops replies to commands not in flight. */
   @Override
   public void onReply(List<Buffer> elements) {
     CacheCommand command = inFlight.get(CacheReply.requestId(elements));
@@ -143,9 +152,12 @@
     }
   }
 
-  /** Closes at once; commands in flight are lost: the cache may have run them. */
+  /**
+   * Closes immediately. Commands in flight end with {@link AttemptOutcome#CONNECTION_LOST}, because
+   * the cache may have executed them.
+   */
   void close() {
-    // Guards against a peer that vanished: a plain close would wait until it has read all.
+    // NetSocket.close would first wait for pending writes, forever if the peer is unreachable.
     Channels.close(((NetSocketInternal) socket).channelHandlerContext());
     ended();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
@@ -12,31 +12,31 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * Opens the connections of one pool, within the budget of all pools. A connect that fails on this
- * host is tried again after a backoff, since it says nothing of the cache. Used on the event loop
- * of the pool.
+ * Opens the connections of one pool and counts them in the budget of all pools. A connect that
+ * fails on this host is retried after a backoff and not attributed to the cache. Confined to the
+ * event loop of the pool.
  */
 final class CacheConnector {
   private static final Logger LOG = Logger.getLogger(CacheConnector.class.getName());
 
   static {
-    // Guards against a class that can't be loaded once there is no descriptor to read it.
+    // Loads the class now, because that fails later if the process is out of descriptors.
     ConnectFailure.of(null);
   }
 
-  /** Is notified of what comes of the connects. */
+  /** Receives the results of connects. */
   interface Listener {
-    /** A connection is up. */
+    /** Called with each new connection. */
     void connected(NetSocket socket);
 
     /**
-     * No connection came up, and none is tried soon.
+     * Called when a connect has failed and waiting commands should not wait for a retry.
      *
-     * @param outcome how attempts end that no other connection can take
+     * @param outcome the outcome of waiting attempts that no open connection can carry
      */
     void connectFailed(AttemptOutcome outcome);
 
-    /** Whatever waits for a connection may be tried again. */
+    /** Called when commands that wait for a connection may be sent, or connects be retried. */
     void retryWaiting();
   }
 
@@ -48,17 +48,20 @@
   private final LocalBackoff backoff = new LocalBackoff();
   private int connecting;
 
-  /** When the oldest connect was begun, at the latest, of those that are under way. */
+  /**
+   * Start of the current period in which at least one connect has been in progress without
+   * interruption; valid while {@link #connecting} is not 0.
+   */
   private long connectingSinceNanos;
 
   private boolean backingOff;
   private boolean closed;
 
   /**
-   * A connector that has opened nothing yet.
+   * Creates a connector without connections.
    *
    * @param target the cache's name and address, for the log
-   * @param connector begins one connect; it may throw
+   * @param connector starts one connect; may throw
    */
   CacheConnector(
       String target,
@@ -73,17 +76,17 @@
     this.listener = listener;
   }
 
-  /** How many connects are under way. */
+  /** Returns the number of connects in progress. */
   int connecting() {
     return connecting;
   }
 
-  /** Whether a failure on this host is waited out. */
+  /** Returns whether a backoff after a failure on this host is running. */
   boolean isBackingOff() {
     return backingOff;
   }
 
-  /** Begins one more connect. */
+  /** Starts one more connect. */
   void connect() {
     connectingSinceNanos = connecting == 0 ? clock.getAsLong() : connectingSinceNanos;
     connecting++;
@@ -91,7 +94,9 @@
     begin().onComplete(this::ended);
   }
 
-  /** Guards the count of those under way against a call that throws. */
+  /**
+   * Turns an exception into a failed future, so that every started connect is also counted down.
+   */
   private Future<NetSocket> begin() {
     try {
       return connector.get();
@@ -128,14 +133,15 @@
   }
 
   /**
-   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after
-   * a backoff, and is sent elsewhere once that has failed for long.
+   * Handles a connect that failed on this host and never reached the cache, which therefore is not
+   * blamed. Waiting commands are retried after a backoff; once the backoff is exhausted they end as
+   * {@link AttemptOutcome#NOT_SENT}, so that they can be sent to another cache.
    */
   private void failedLocally(ConnectFailure failure, Throwable cause) {
     if (!backoff.isFailing()) {
       LOG.warning(target + ": no connection, " + failure + ": " + cause.getMessage());
     }
-    if (!backingOff) { // Several that fail together are one failure.
+    if (!backingOff) { // Connects that fail during the backoff count as one failure.
       backingOff = true;
       Vertx.currentContext()
           .owner()
@@ -153,8 +159,8 @@
   }
 
   /**
-   * How an attempt ends whose time is over before it was sent: only a cache that was asked in vain
-   * is to blame.
+   * Returns the outcome of an attempt that ran out of time before it was sent. It is attributed to
+   * the cache only if a connect to it has been in progress for long enough to be evidence.
    */
   AttemptOutcome unsentOutcome(long connectTimeoutNanos) {
     boolean blamed =
@@ -165,7 +171,7 @@
     return blamed ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
   }
 
-  /** Closes what comes up from now on. */
+  /** Makes the connector close every connection that is still established. */
   void close() {
     closed = true;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -13,16 +13,18 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * The connections to one cache, within its share of the descriptors, and the commands that wait for
- * one. As few commands as possible share a connection. Used on one event loop.
+ * A pool of connections to one cache, within the cache's share of the descriptors, and the commands
+ * that wait for a connection. Commands are spread over the connections, so that as few as possible
+ * share one. Confined to one event loop.
  */
 public final class CachePool {
   /**
-   * What a pool asks and notifies its owner of.
+   * Callbacks from a pool to its owner.
    *
-   * @param clock monotonic nanoseconds
-   * @param mayWrite whether commands may be written now; else they wait for {@link #retryWaiting}
-   * @param protocolErrors is notified of the pool and of the reason for which a reply is invalid
+   * @param clock monotonic time in nanoseconds
+   * @param mayWrite whether commands may be written now; if not, they wait until {@link
+   *     #retryWaiting} is called
+   * @param protocolErrors receives the pool and the reason for each protocol error of the cache
    */
   public record Hooks(
       LongSupplier clock, BooleanSupplier mayWrite, BiConsumer<Object, String> protocolErrors) {}
@@ -38,10 +40,10 @@
   private boolean closed;
 
   /**
-   * A pool without connections.
+   * Creates a pool without connections.
    *
-   * @param name the cache's name in the log
-   * @param budget bounds the connections of all pools together
+   * @param name the name of the cache in the log
+   * @param budget the bound on the connections of all pools together
    */
   public CachePool(
       String name,
@@ -60,7 +62,7 @@
             toString(), () -> client.connect(address), budget, hooks.clock(), new Connects());
   }
 
-  /** The address that its connections go to. */
+  /** Returns the address of the cache. */
   public SocketAddress address() {
     return address;
   }
@@ -74,17 +76,17 @@
   }
 
   /**
-   * Sends a command, at once where a connection is up. No connection carries two commands of one
-   * request.
+   * Sends a command, immediately if a usable connection is open; otherwise the command waits for
+   * one. No connection carries two commands of one request.
    */
   public void send(CacheCommand command) {
     if (closed) {
       end(command, AttemptOutcome.CONNECT_FAILED);
     } else if (command.isExpired(nowNanos())) {
-      // Guards against what waited here while its client left or its window ended.
+      // While it waited, the client may have disconnected or the time window for sending ended.
       end(command, AttemptOutcome.NOT_SENT);
     } else if (!hooks.mayWrite().getAsBoolean()) {
-      // Guards against a drain or a purge that came after the decision.
+      // A drain or purge that arrived after the routing decision has to be applied first.
       waiting.add(command);
     } else {
       sendNow(command, nowNanos());
@@ -99,7 +101,7 @@
     if (connection != null) {
       connection.send(command, nowNanos);
     } else if (connector.connecting() == 0 && !hasCapacity()) {
-      // A cache that no connection may be opened to for want of descriptors is not blamed for it.
+      // If the budget of all pools prevents the connect, the cache is not blamed.
       end(command, isWithinShare() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED);
       return;
     } else {
@@ -111,8 +113,10 @@
   }
 
   /**
-   * Whether one more connection is to be opened. Guards against many commands that share the fate
-   * of one connection: one is always idle, where there may be more.
+   * Returns whether one more connection is to be opened. Within its bounds the pool keeps one
+   * connection idle, so that commands need not share one and fail together with it.
+   *
+   * @param sent whether the current command was sent on an open connection
    */
   private boolean needsConnection(boolean sent) {
     return sent
@@ -134,8 +138,8 @@
   }
 
   /**
-   * The usable connection with the fewest commands in flight; of idle ones the last used, so that
-   * the rest may be closed when idle for long. Null where there is none.
+   * Returns the usable connection with the fewest commands in flight; null if there is none. Of
+   * idle ones the most recently used is returned, so that the others reach the idle timeout.
    */
   private CacheConnection leastLoaded(CacheCommand command, long nowNanos) {
     CacheConnection best = null;
@@ -156,7 +160,7 @@
         || (one.load() == other.load() && one.idleNanos(nowNanos) < other.idleNanos(nowNanos));
   }
 
-  /** Takes over what the connector opens. */
+  /** Adds new connections to the pool and fails or retries the waiting commands. */
   private final class Connects implements CacheConnector.Listener {
     @Override
     public void connected(NetSocket socket) {
@@ -165,7 +169,7 @@
       CachePool.this.retryWaiting();
     }
 
-    /** Guards against one connect that fails all that wait, although other connections are up. */
+    /** Fails only the waiting commands that no open connection can carry. */
     @Override
     public void connectFailed(AttemptOutcome outcome) {
       long nowNanos = nowNanos();
@@ -179,21 +183,22 @@
   }
 
   /**
-   * How an attempt ends whose time is over before it was sent: only a cache that was asked in vain
-   * is to blame.
+   * Returns the outcome of an attempt that ran out of time before it was sent: {@link
+   * AttemptOutcome#CONNECT_FAILED} if the cache has left a connect unanswered for long enough, else
+   * {@link AttemptOutcome#WITHDRAWN}, which does not blame the cache.
    */
   public AttemptOutcome unsentOutcome() {
     return connector.unsentOutcome(bounds.connectTimeoutNanos());
   }
 
-  /** Tries again to send what waits. */
+  /** Tries again to send the waiting commands. */
   public void retryWaiting() {
     List<CacheCommand> ready = new ArrayList<>(waiting);
     waiting.clear();
     ready.forEach(this::send);
   }
 
-  /** Ends those that wait for a connection and so have not begun to be sent. */
+  /** Ends the waiting commands that match; no byte of them has been sent. */
   public void fail(Predicate<CacheCommand> which, AttemptOutcome outcome) {
     if (waiting.isEmpty()) {
       return;
@@ -203,12 +208,12 @@
     failed.forEach(command -> end(command, outcome));
   }
 
-  /** Cancels a command; it is notified of nothing more. */
+  /** Cancels a command, which is not notified of an outcome. */
   public void cancel(CacheCommand command) {
     abandon(command, false);
   }
 
-  /** The same for a command whose reply was waited for in vain. */
+  /** Cancels a command whose reply did not arrive in time. */
   public void timeOut(CacheCommand command) {
     abandon(command, true);
   }
@@ -220,8 +225,8 @@
   }
 
   /**
-   * Closes connections that nobody used for long, before the cache does, and idle ones past its
-   * share.
+   * Closes idle connections that reached the idle timeout, before the cache closes them, and idle
+   * connections that are unusable or exceed the cache's share.
    */
   public void sweep() {
     long nowNanos = nowNanos();
@@ -236,25 +241,25 @@
     }
   }
 
-  /** Whether nothing is in flight and nothing waits. */
+  /** Returns whether no command is in flight or waiting. */
   public boolean isIdle() {
     return waiting.isEmpty() && connections.stream().allMatch(connection -> connection.load() == 0);
   }
 
-  /** A connection is closed. */
+  /** Removes a closed connection. */
   void closed(CacheConnection connection) {
     if (connections.remove(connection)) {
       budget.closed();
     }
   }
 
-  /** How long the connection has been idle that has been so longest, in nanoseconds; -1: none. */
+  /** Returns the idle time of the longest idle connection, in nanoseconds; -1 if none is idle. */
   public long longestIdleNanos() {
     CacheConnection longest = longestIdle();
     return longest == null ? -1 : longest.idleNanos(nowNanos());
   }
 
-  /** Closes the connection that has been idle longest, if one is idle. */
+  /** Closes the longest idle connection, if any connection is idle. */
   public void closeLongestIdle() {
     CacheConnection longest = longestIdle();
     if (longest != null) {
@@ -274,7 +279,10 @@
     return longest;
   }
 
-  /** Closes its connections; what waits for one ends as not connected. */
+  /**
+   * Closes all connections. Waiting commands, and commands sent later, end with {@link
+   * AttemptOutcome#CONNECT_FAILED}.
+   */
   public void close() {
     closed = true;
     connector.close();
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -7,12 +7,12 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * A cache's reply to one command, on the wire an array of request id, status, fields ({@code
+ * A cache's reply to one command. On the wire it is an array of request id, status, fields ({@code
  * name=value}, separated by commas) and body.
  *
- * @param outcome how the attempt ended
- * @param note how the cache came by its answer
- * @param body the body; null where there is none, also where the client's copy is current
+ * @param outcome the outcome of the attempt
+ * @param note what the cache reported about how it produced the reply
+ * @param body the body; null if there is none, also if the client's copy is current
  */
 record CacheReply(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
   private static final int ELEMENTS = 4;
@@ -26,12 +26,14 @@
   private static final String ISSUED_FIELD = "issued=";
   private static final String NOTE_FIELD = "res=";
 
-  /** The letters of the notes, in the order of the notes behind NOTHING. */
+  /**
+   * Index i holds the letter of the {@link ResponseDetail} with ordinal i + 1; NONE has no letter.
+   */
   private static final String NOTE_LETTERS = "hfojsrblnx";
 
   private static final ResponseDetail[] NOTES = ResponseDetail.values();
 
-  /** The id of the request that a reply is for; the array has one element at least. */
+  /** Returns the request id of a reply, which has at least one element. */
   static String requestId(List<Buffer> elements) {
     return text(elements.get(REQUEST_ID));
   }
@@ -39,8 +41,9 @@
   /**
    * Decodes the reply to a command.
    *
-   * @throws InvalidReplyException if it is incomplete, of an unknown status, without the tag and
-   *     time that a copy has, or confirms a copy that the client does not hold
+   * @throws InvalidReplyException if the reply has the wrong number of elements or an unknown
+   *     status, lacks the entity tag and issue time of a copy, or confirms a copy that the client
+   *     does not hold
    */
   static CacheReply decode(List<Buffer> elements, CacheCommand command)
       throws InvalidReplyException {
@@ -56,7 +59,8 @@
             yield AttemptOutcome.SUCCEEDED;
           }
           case NOT_MODIFIED -> {
-            // Guards clients against a confirmation of a copy that the cache did not name.
+            // The cache has to name the copy that it confirms, so that no other is taken for
+            // current.
             check(isCopy(fields) && command.isKnownTag(field(fields, TAG_FIELD)));
             yield AttemptOutcome.SUCCEEDED;
           }
@@ -80,7 +84,7 @@
     return new InvalidReplyException("an invalid reply");
   }
 
-  /** A copy has a tag and the time at which the origin issued it, in decimal. */
+  /** Returns whether the fields have an entity tag and the origin's issue time in decimal. */
   private static boolean isCopy(String fields) {
     String issued = field(fields, ISSUED_FIELD);
     return !field(fields, TAG_FIELD).isEmpty()
@@ -94,7 +98,11 @@
     return index < 0 ? ResponseDetail.NONE : NOTES[index + 1];
   }
 
-  /** The value behind a name with its equals sign; empty where the name is missing. */
+  /**
+   * Returns the value of a field; empty if the field is missing.
+   *
+   * @param name the field name with its equals sign
+   */
   private static String field(String fields, String name) {
     int start = fields.startsWith(name) ? 0 : fields.indexOf("," + name) + 1;
     if (start == 0 && !fields.startsWith(name)) {
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -7,26 +7,26 @@
 import java.util.Locale;
 
 /**
- * Why a connection did not come up, classified here and nowhere else from the exceptions that Java
- * gives.
+ * The reason why a connect failed. This is the only place that classifies the exceptions that the
+ * JDK and Netty throw.
  */
 public enum ConnectFailure {
-  /** This host is short of descriptors, buffers or memory: the endpoint was not reached. */
+  /** This host lacks descriptors, buffers or memory; no packet reached the endpoint. */
   LOCAL_RESOURCE(true),
-  /** This host has no address, port or route to connect from: the endpoint was not reached. */
+  /** This host has no address, port or route for the connect; no packet reached the endpoint. */
   LOCAL_NETWORK(true),
-  /** The endpoint's host answered that no process listens there. */
+  /** The endpoint's host rejected the connect because no process listens on the port. */
   REFUSED(false),
-  /** No answer came in time. */
+  /** The connect timed out. */
   TIMED_OUT(false),
-  /** The network answered that the endpoint's host can't be reached. */
+  /** The network reported that the endpoint's host is unreachable. */
   UNREACHABLE(false),
-  /** Any other failure; it counts as a fault of the endpoint. */
+  /** Any other failure; it is attributed to the endpoint. */
   OTHER(false);
 
   private static final int MAX_CAUSES = 16;
 
-  /** The system's messages for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
+  /** Messages of the system for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
   private static final List<String> RESOURCE_TEXTS =
       List.of(
           "too many open files",
@@ -36,7 +36,7 @@
           "operation not permitted",
           "interrupted system call");
 
-  /** The same for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
+  /** Messages of the system for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
   private static final List<String> NETWORK_TEXTS =
       List.of(
           "cannot assign requested address",
@@ -53,14 +53,14 @@
     this.local = local;
   }
 
-  /** Whether it is no fault of the endpoint, since the attempt never left this host. */
+  /** Returns whether the connect failed on this host, so that the endpoint is not at fault. */
   public boolean isLocal() {
     return local;
   }
 
   /**
-   * Classifies a failed connect by the first cause that is known; libraries wrap causes and append
-   * addresses.
+   * Classifies a failed connect by the first recognised exception in its chain of causes. Messages
+   * are searched for known texts, since libraries append addresses to them.
    */
   public static ConnectFailure of(Throwable failure) {
     Throwable cause = failure;
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
@@ -1,8 +1,9 @@
 package org.amberpath.gateway.cache;
 
 /**
- * How many connections several pools hold together, and may hold. Guards the limit of descriptors
- * where there are more caches than it has room for.
+ * Counts and bounds the connections of several pools together, so that the descriptors suffice even
+ * if there are more caches than connections can be opened. Pools check the bound before each
+ * connect.
  */
 public final class ConnectionBudget {
   private final int max;
@@ -10,34 +11,34 @@
   private int open;
 
   /**
-   * A budget.
+   * Creates a budget of which nothing is used.
    *
-   * @param max the most connections of all pools together
-   * @param reclaim closes an idle connection, if there is one
+   * @param max maximum number of connections of all pools together
+   * @param reclaim closes an idle connection of any pool, if there is one
    */
   public ConnectionBudget(int max, Runnable reclaim) {
     this.max = max;
     this.reclaim = reclaim;
   }
 
-  /** Whether one more may be opened. */
+  /** Returns whether one more connection may be opened. */
   boolean hasCapacity() {
     return open < max;
   }
 
-  /** Has an idle connection closed where there is no capacity. */
+  /** Closes an idle connection of any pool if no further one may be opened. */
   void reclaimIfFull() {
     if (!hasCapacity()) {
       reclaim.run();
     }
   }
 
-  /** A connection is being opened. */
+  /** Counts a connection that is being opened. */
   void opened() {
     open++;
   }
 
-  /** One that was opened is closed, or did not come up. */
+  /** Counts down a connection that was closed or could not be established. */
   void closed() {
     open--;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/PoolBounds.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/PoolBounds.java
@@ -5,11 +5,11 @@
 /**
  * The bounds of one {@link CachePool}.
  *
- * @param maxConnections how many connections it may hold now
- * @param maxCommandsPerConnection how many commands may be in flight on one
- * @param connectTimeoutNanos how long a connect may take
- * @param idleTimeoutNanos after how long an idle connection is closed
- * @param maxBodyBytes the longest body that is accepted
+ * @param maxConnections supplies the maximum number of connections at the time of the call
+ * @param maxCommandsPerConnection maximum number of commands in flight on one connection
+ * @param connectTimeoutNanos connect timeout in nanoseconds
+ * @param idleTimeoutNanos idle time in nanoseconds after which a connection is closed
+ * @param maxBodyBytes maximum length in bytes of a reply's body
  */
 public record PoolBounds(
     IntSupplier maxConnections,
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Parses a stream of RESP arrays of bulk strings. Used on one event loop. */
+/** Parses a stream of RESP arrays of bulk strings. Confined to one event loop. */
 public final class ReplyReader implements Handler<Buffer> {
   private static final int MAX_ELEMENTS = 16;
   private static final int USUAL_ELEMENTS = 4;
   private static final int MAX_HEADER_BYTES = 32;
 
-  /** A header of this length or more is invalid: a type character and its digits are shorter. */
+  /** Headers of this length or more are invalid: a type character and the digits are shorter. */
   private static final int HEADER_LENGTH_LIMIT = 10;
 
   private static final String LINE_END = "\r\n";
@@ -21,21 +21,21 @@
   private static final char BULK_TYPE = '$';
   private static final int RADIX = 10;
 
-  /** What the next record is. */
+  /** The kind of record that is expected next. */
   private enum State {
     ARRAY_HEADER,
     BULK_HEADER,
     BULK_STRING,
-    /** The stream was invalid; nothing more is parsed. */
+    /** The stream violated the protocol; nothing more is parsed. */
     FAILED
   }
 
-  /** Receives replies, or the reason why no further one will be parsed. */
+  /** Receives the replies of a stream, and its protocol error if there is one. */
   public interface Sink {
-    /** A complete array; it has one element at least. */
+    /** Called with the elements of each complete array, of which there is at least one. */
     void onReply(List<Buffer> elements);
 
-    /** The stream violates the protocol; nothing more is read from it. */
+    /** Called when the stream violates the protocol; the reader ignores all further input. */
     void onProtocolError(String reason);
   }
 
@@ -46,13 +46,13 @@
   private int missingElements;
   private State state = State.ARRAY_HEADER;
 
-  /** Bytes that were received and are no complete line or string yet. */
+  /** Number of received bytes that do not form a complete header line or bulk string yet. */
   private long pendingBytes;
 
   /**
-   * A reader of one stream.
+   * Creates a reader of one stream.
    *
-   * @param maxStringBytes the longest bulk string that is accepted
+   * @param maxStringBytes maximum length of one bulk string in bytes
    */
   public ReplyReader(int maxStringBytes, Sink sink) {
     this.maxStringBytes = maxStringBytes;
@@ -62,12 +62,12 @@
     parser.exceptionHandler(e -> fail(e.getMessage()));
   }
 
-  /** Whether a reply has been received in part. */
+  /** Returns whether the last reply has been received only in part. */
   boolean hasPartialReply() {
     return missingElements > 0 || pendingBytes > 0;
   }
 
-  /** Parses what was read and hands over each reply that is complete. */
+  /** Parses received bytes and passes each reply that is now complete to the sink. */
   @Override
   public void handle(Buffer received) {
     if (state != State.FAILED) {
@@ -113,7 +113,7 @@
       throw new InvalidReplyException("a bulk string does not end where it should");
     }
     parser.delimitedMode(LINE_END);
-    parser.maxRecordSize(MAX_HEADER_BYTES); // Guards against a line that never ends.
+    parser.maxRecordSize(MAX_HEADER_BYTES); // Bounds a header line without end.
     elements.add(record.slice(0, length));
     missingElements--;
     if (missingElements > 0) {
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
@@ -7,8 +7,8 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * Encodes synthetic commands and parses replies to them without a connection, so that the codec is
- * compiled before the first request.
+ * Warms up the codec before the first request: encodes synthetic commands and parses replies to
+ * them without a connection, so that the JIT compiler has compiled that code.
  */
 public final class ReplyWarmUp implements ReplyReader.Sink {
   private static final byte[] REQUEST_ID = "9b1f03aa5c7e2d41".getBytes(StandardCharsets.ISO_8859_1);
@@ -20,7 +20,7 @@
 
   private ReplyWarmUp() {}
 
-  /** Encodes and parses this many; returns how many replies could be parsed. */
+  /** Encodes this number of commands and parses as many replies; returns how many were parsed. */
   public static int play(int commands) {
     ReplyWarmUp sink = new ReplyWarmUp();
     ReplyReader reader = new ReplyReader(FIELDS.length(), sink);
--- a/gateway/src/main/java/org/amberpath/gateway/client/ByteString.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ByteString.java
@@ -4,11 +4,11 @@
 import java.util.Arrays;
 
 /**
- * Bytes as they were received. Immutable as long as nobody changes the array that it was made of,
- * which is shared and not copied: bodies are as long as {@link ClientConnection#MAX_BODY_BYTES}.
+ * An immutable byte sequence that wraps an array without copying it, since bodies can be as long as
+ * {@link ClientConnection#MAX_BODY_BYTES}. Callers must not modify the wrapped array.
  */
 public final class ByteString {
-  /** No bytes. */
+  /** The empty byte string. */
   public static final ByteString EMPTY = new ByteString(new byte[0]);
 
   private final byte[] bytes;
@@ -17,27 +17,27 @@
     this.bytes = bytes;
   }
 
-  /** The bytes of an array, which must not be changed from now on. */
+  /** Wraps an array without copying it; the caller must not modify the array afterwards. */
   public static ByteString of(byte[] bytes) {
     return new ByteString(bytes);
   }
 
-  /** The bytes of a text in US-ASCII. */
+  /** Encodes a text in US-ASCII. */
   public static ByteString ofAscii(String text) {
     return new ByteString(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The array that it was made of; it must not be changed. */
+  /** Returns the wrapped array itself, not a copy; the caller must not modify it. */
   public byte[] array() {
     return bytes;
   }
 
-  /** How many bytes there are. */
+  /** Returns the number of bytes. */
   public int length() {
     return bytes.length;
   }
 
-  /** Whether there are none. */
+  /** Returns whether the length is 0. */
   public boolean isEmpty() {
     return bytes.length == 0;
   }
@@ -52,7 +52,7 @@
     return Arrays.hashCode(bytes);
   }
 
-  /** The bytes as text, one character a byte. */
+  /** Decodes the bytes as ISO 8859-1, one character per byte. */
   @Override
   public String toString() {
     return new String(bytes, StandardCharsets.ISO_8859_1);
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -11,22 +11,25 @@
 import org.amberpath.gateway.transport.Channels;
 
 /**
- * One client's connection: MessagePack-RPC requests in, responses out, in any order. Used on the
- * event loop of its socket alone. At most 32 requests are in flight; bytes that the client does not
- * read are bounded by {@link WriteBufferAccounting}.
+ * The server side of one client's MessagePack-RPC connection. Responses are sent in the order in
+ * which requests complete. At most 32 requests are in flight; {@link WriteBufferAccounting} bounds
+ * the response bytes that are not yet written to the socket. Confined to the event loop of the
+ * socket.
  */
 public final class ClientConnection implements MessageReader.Sink {
-  /** The longest body that clients send or receive. */
+  /** Maximum length in bytes of a body that a client sends or receives. */
   public static final int MAX_BODY_BYTES = 240_000;
 
   private static final int MAX_MESSAGE_BYTES = MAX_BODY_BYTES + 16_384;
 
-  /** How long a client has to read its last responses once they are written. */
+  /**
+   * How long the socket stays open for reading by the client after the last response is written.
+   */
   private static final long LINGER_MILLIS = 300;
 
   private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(LINGER_MILLIS);
 
-  /** How long writing the last responses may take. */
+  /** Maximum time for writing the remaining responses of a connection that is closing. */
   private static final long FLUSH_TIMEOUT_MILLIS = 2000;
 
   private final NetSocket socket;
@@ -37,21 +40,25 @@
   private final WriteBufferAccounting accounting;
   private ClientConnectionState state = ClientConnectionState.OPEN;
 
-  /** Whether a read is being decoded; a violation in it ends the connection after its end. */
+  /**
+   * Whether the bytes of one read are being decoded. A protocol error during that time closes the
+   * connection only after all messages of the read have been handled.
+   */
   private boolean decoding;
 
   private boolean responded;
   private long lastActivityNanos;
   private long lastWriteNanos;
 
-  /** Bytes of responses that are not written yet; counted by the accounting. */
+  /** Response bytes not yet written to the socket; maintained by {@link WriteBufferAccounting}. */
   long unreadBytes;
 
   /**
-   * Takes over a socket that was accepted.
+   * Installs the handlers of an accepted socket and starts to decode what the client sends.
    *
-   * @param accounting bounds the bytes that clients leave unread
-   * @param clock monotonic nanoseconds
+   * @param accounting bounds the unwritten response bytes, shared by all client connections
+   * @param clock monotonic time in nanoseconds
+   * @param handler receives the decoded requests and the events of the connection
    */
   public ClientConnection(
       NetSocket socket,
@@ -70,7 +77,7 @@
             read(bytes);
           }
         });
-    socket.exceptionHandler(e -> {}); // The close event that follows covers it.
+    socket.exceptionHandler(e -> {}); // A close event always follows.
     socket.closeHandler(v -> enter(ClientConnectionState.CLOSED));
   }
 
@@ -83,22 +90,25 @@
       lastActivityNanos = clock.getAsLong();
     }
     if (state == ClientConnectionState.FAILING) {
-      // Guards the requests that were received with the violation: each has its error by now.
+      // Deferred until here, so that each request received in the same read has got its error.
       closeOrFlush();
     }
   }
 
-  /** Whether a message has been received in part. */
+  /** Returns whether the last message has been received only in part. */
   public boolean hasPartialMessage() {
     return reader.hasPartialMessage();
   }
 
-  /** Whether a complete message is due: the first one, or the rest of a partial one. */
+  /**
+   * Returns whether the client still owes a complete message: its first one, or the rest of a
+   * partially received one.
+   */
   public boolean isAwaitingMessage() {
     return !requests.hasReceivedMessage() || reader.hasPartialMessage();
   }
 
-  /** What the client has sent so far. */
+  /** Returns what the client has sent so far, which decides how early it is evicted. */
   public ClientActivity activity() {
     if (isAwaitingMessage()) {
       return ClientActivity.AWAITING_MESSAGE;
@@ -106,14 +116,14 @@
     return requests.hasReceivedRequest() ? ClientActivity.REQUESTS : ClientActivity.NO_REQUEST;
   }
 
-  /** Whether no request is in flight. */
+  /** Returns whether no request is in flight. */
   public boolean isIdle() {
     return requests.isIdle();
   }
 
   /**
-   * Since when a complete message is due, if one is; else when the last message or response passed.
-   * Nanoseconds of the connection's clock.
+   * Returns the time from which {@link #isAwaitingMessage} has been true, if it is; otherwise the
+   * time of the last message or response. In nanoseconds of the connection's clock.
    */
   public long lastActivityNanos() {
     return lastActivityNanos;
@@ -129,22 +139,24 @@
     return state.sendsResponses();
   }
 
-  /** Rejects each request from now on, except one that has been received in part already. */
+  /**
+   * Rejects each further request as overloaded, except one that has already been received in part.
+   */
   public void rejectNewRequests() {
     requests.rejectNewRequests(reader.hasPartialMessage());
   }
 
   /**
-   * Answers an invalid request with an error. Guards against clients that violate the protocol: no
-   * body is sent to this one any more.
+   * Answers an invalid request with an error and reports the protocol error. Afterwards the client
+   * is not trusted: requests on this connection, in flight or new, get only errors.
    */
   public void rejectInvalidRequest(long messageId, String reason) {
     requests.rejectInvalidRequest(messageId, reason);
   }
 
   /**
-   * The stream cannot be used any more: reads nothing more, and ends once each request has its
-   * error.
+   * Stops reading after a protocol error, lets the handler fail the requests in flight, and closes
+   * the connection once the error responses are sent.
    */
   @Override
   public void onProtocolError(String reason) {
@@ -159,7 +171,7 @@
     }
   }
 
-  /** Closes at once, since the client leaves its responses unread and their memory is needed. */
+  /** Closes immediately to free the memory of responses that the client does not read. */
   void abort(String reason) {
     if (state.sendsResponses()) {
       handler.protocolViolated(this, reason);
@@ -167,21 +179,24 @@
     close();
   }
 
-  /** Answers a status request. */
+  /** Answers a status request with whether the gateway is ready. */
   void sendStatus(long messageId, boolean ready) {
     if (requests.finish(messageId)) {
       send(ResponseEncoder.status(messageId, ready));
     }
   }
 
-  /** Answers a request that is in flight with the body of a part. */
+  /** Answers a request in flight with the body of a part; does nothing for any other message id. */
   public void sendBody(long messageId, Buffer body) {
     if (requests.finish(messageId)) {
       send(ResponseEncoder.body(messageId, body));
     }
   }
 
-  /** Answers a request that is in flight: the copy that the client holds is current. */
+  /**
+   * Answers a request in flight with "not modified": the copy that the client holds is current.
+   * Does nothing for any other message id.
+   */
   public void sendNotModified(long messageId) {
     if (requests.finish(messageId)) {
       send(ResponseEncoder.notModified(messageId));
@@ -189,9 +204,10 @@
   }
 
   /**
-   * Rejects a request that is in flight and has not run.
+   * Answers a request in flight as overloaded: it was not executed and may be sent again. Does
+   * nothing for any other message id.
    *
-   * @param retryAfterNanos the Retry-After in nanoseconds; 0 for none
+   * @param retryAfterNanos delay before the client should retry, in nanoseconds; 0 for none
    */
   public void sendOverloaded(long messageId, long retryAfterNanos) {
     if (requests.finish(messageId)) {
@@ -199,7 +215,7 @@
     }
   }
 
-  /** Answers a request that is in flight with an error and its reason. */
+  /** Answers a request in flight with an error; does nothing for any other message id. */
   public void sendError(long messageId, String reason) {
     if (requests.finish(messageId)) {
       send(ResponseEncoder.internalError(messageId, reason));
@@ -213,7 +229,7 @@
     if (!state.sendsResponses()) {
       return;
     }
-    accounting.add(this, response.length()); // First: a write may complete at once.
+    accounting.add(this, response.length()); // Before the write, which may complete synchronously.
     if (state.sendsResponses()) {
       responded = true;
       socket.write(response).onComplete(done -> written(response.length()));
@@ -228,20 +244,23 @@
     halfCloseWhenFlushed();
   }
 
-  /** Whether all responses have been written to the socket. */
+  /** Returns whether all responses have been written to the socket. */
   public boolean isFlushed() {
     return unreadBytes == 0;
   }
 
-  /** Whether the client has had time to read all its responses, so that a close loses none. */
+  /**
+   * Returns whether the client has had {@link #LINGER_MILLIS} to read its last response, or has
+   * been sent none, so that an immediate close loses no response.
+   */
   public boolean hasLingered() {
     return isFlushed() && (!responded || clock.getAsLong() - lastWriteNanos > LINGER_NANOS);
   }
 
-  /** Closes at once where no response can still be on its way, else after flushing. */
+  /** Closes immediately if no response can still be in transit, otherwise after flushing. */
   public void closeOrFlush() {
     if (hasLingered()) {
-      // Guards the CPU and the descriptors: a client without a response is not waited for.
+      // Not waiting for such a client saves CPU and frees its descriptor.
       close();
     } else {
       closeAfterFlush();
@@ -249,10 +268,11 @@
   }
 
   /**
-   * Closes gracefully: nothing more is read, the responses are written, the output is shut down and
-   * the client has a bounded time to read. What it sends meanwhile stays unread, so that it may be
-   * sent again elsewhere. Guards responses on their way: a close over unread bytes resets the
-   * connection, and discards what the client has not read.
+   * Closes gracefully: stops reading, writes the remaining responses, shuts down the output and
+   * closes the socket after the client has had a bounded time to read. What the client sends in the
+   * meantime is not read, so the client may safely send it again elsewhere. Guards responses in
+   * transit: closing a socket that has unread received bytes resets the connection, and a reset
+   * discards the responses that the client has not read yet.
    */
   public void closeAfterFlush() {
     if (state.sendsResponses()) {
@@ -266,9 +286,10 @@
   }
 
   /**
-   * Guards requests that could not be answered any more, and the CPU: bytes stay with the kernel,
-   * also the rest of a read that is under way, and a connection without read interest wakes no
-   * loop. Vert.x's own pause reads on and queues.
+   * Disables reads on the channel, so that further bytes stay in the kernel's receive buffer: no
+   * request is read that could not be answered any more, and the connection without read interest
+   * costs the event loop no CPU. {@code NetSocket.pause} is not enough, because Vert.x then keeps
+   * reading and queues what it read.
    */
   private void stopReading() {
     context().channel().config().setAutoRead(false);
@@ -290,9 +311,9 @@
     return ((NetSocketInternal) socket).channelHandlerContext();
   }
 
-  /** Closes at once, whatever the client has not read. */
+  /** Closes immediately and drops responses that are not yet written. */
   public void close() {
-    // Guards against a peer that does not read: a plain close would wait until it has.
+    // NetSocket.close would first wait for pending writes, forever if the client does not read.
     Channels.close(context());
     enter(ClientConnectionState.CLOSED);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnectionState.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnectionState.java
@@ -1,22 +1,22 @@
 package org.amberpath.gateway.client;
 
-/** The states of a client's connection, in this order; it may skip some, and never goes back. */
+/** The states of a client's connection. Transitions only go forward and may skip states. */
 enum ClientConnectionState {
-  /** Requests are read and answered. */
+  /** Requests are read and answered. The initial state. */
   OPEN,
   /**
-   * The protocol was violated: nothing more is read, and each request that was received in the same
-   * read gets an error.
+   * The client violated the protocol: reading has stopped, and each request that is in flight or
+   * was received in the same read gets an error.
    */
   FAILING,
-  /** Nothing more is read and no response is outstanding; the last ones are being written. */
+  /** Reading has stopped, requests in flight were dropped, and the responses are being written. */
   FLUSHING,
-  /** They are written and the output is shut down; the client is given time to read them. */
+  /** All responses are written and the output is shut down; the client has time to read them. */
   HALF_CLOSED,
   /** The socket is closed. */
   CLOSED;
 
-  /** Whether requests may still get their responses. */
+  /** Returns whether a connection in this state still sends responses to requests. */
   boolean sendsResponses() {
     return this == OPEN || this == FAILING;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -7,29 +7,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * All connections of clients: bounded in their number, and in the time that a client may take for
- * one whole message.
+ * The connections of all clients. Evicts the least useful connection when their number exceeds its
+ * bound, and closes connections whose client does not complete a message in time.
  */
 public final class ClientConnections {
-  /** What is done with requests and with new connections. */
+  /** How requests and new connections are treated. */
   private enum Mode {
-    /** Requests are taken. */
+    /** Requests are admitted. */
     SERVING,
-    /** Each request that is read is rejected. */
+    /** Each newly received request is rejected as overloaded. */
     REJECTING,
-    /** All connections are half-closed, new ones at once. */
+    /** All connections are half-closed, new ones as soon as they are added. */
     ENDED
   }
 
-  /** Clients that break the protocol are closed within 3 s; this and one sweep stay below that. */
+  /**
+   * How long a client may take for a complete message. Clients that violate the protocol must be
+   * disconnected within 3 s, which this time and one sweep interval together do not exceed.
+   */
   private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
 
-  /** How long the loop reads once more from a connection that is to be evicted. */
+  /** Delay before an eviction, in which the event loop reads from the connection once more. */
   private static final long LAST_READ_MILLIS = 2;
 
   /**
-   * Connections held in addition to the bound: those about to be evicted, and those whose clients
-   * read their last responses.
+   * Connections allowed in addition to the bound, for those that are about to be evicted and those
+   * whose clients are still reading their last responses.
    */
   public static final int SPARE_CONNECTIONS = 8;
 
@@ -38,19 +41,22 @@
   private final LongSupplier clock;
   private final Set<ClientConnection> open = new LinkedHashSet<>();
 
-  /** Open ones that are evicted as soon as all is read that had come by then. */
+  /**
+   * Open connections that are evicted {@link #LAST_READ_MILLIS} after their selection at the
+   * latest, unless a request is in flight on them by then.
+   */
   private final Set<ClientConnection> evicting = new LinkedHashSet<>();
 
-  /** Those that take nothing more and still hold a descriptor, the oldest first. */
+  /** Connections that read nothing more but still hold a descriptor, in the order of their end. */
   private final Set<ClientConnection> closing = new LinkedHashSet<>();
 
   private Mode mode = Mode.SERVING;
 
   /**
-   * No connections yet.
+   * Creates an empty set of connections.
    *
-   * @param maxConnections how many may be held, but for {@link #SPARE_CONNECTIONS}
-   * @param clock monotonic nanoseconds
+   * @param maxConnections the bound on connections, not counting {@link #SPARE_CONNECTIONS}
+   * @param clock monotonic time in nanoseconds
    */
   public ClientConnections(Vertx vertx, int maxConnections, LongSupplier clock) {
     this.vertx = vertx;
@@ -59,9 +65,9 @@
   }
 
   /**
-   * Adds a connection that was accepted. Guards the descriptors: past their bound the least useful
-   * connection is evicted, not the newest good one. At every instant no more are held than the
-   * bound and {@link #SPARE_CONNECTIONS}, beside the one that was just accepted.
+   * Adds an accepted connection. Above the bound, the least useful connection is evicted, which
+   * need not be the new one. On return at most {@code maxConnections} + {@link #SPARE_CONNECTIONS}
+   * connections hold a descriptor; one more does while this method runs.
    */
   public void add(ClientConnection added) {
     open.add(added);
@@ -71,7 +77,7 @@
     if (mode == Mode.ENDED) {
       added.closeAfterFlush();
       if (isOverSpare()) {
-        added.close(); // Nothing of it was read, so no response is pending.
+        added.close(); // Nothing has been read from it, so no response is pending.
       }
       return;
     }
@@ -93,11 +99,14 @@
     return size() > maxConnections + SPARE_CONNECTIONS;
   }
 
-  /** The one to evict: the added one itself where all others have requests in flight. */
+  /**
+   * Selects the connection to evict: the idle one of the lowest activity, and among those the one
+   * without activity for longest; the added connection if all others have requests in flight.
+   */
   private ClientConnection leastUseful(ClientConnection added) {
     ClientConnection least = null;
     for (ClientConnection candidate : open) {
-      // Guards requests in flight: half a message behind them does not make a connection useless.
+      // A connection with requests in flight is kept even if a partial message follows them.
       if (candidate != added
           && !evicting.contains(candidate)
           && candidate.isIdle()
@@ -115,8 +124,9 @@
   }
 
   /**
-   * Guards requests that are on their way: a connection is closed only once the loop has read again
-   * and still finds nothing in flight on it.
+   * Evicts a connection after the event loop has had time to read from it once more, and only if no
+   * request is in flight then, so that a request that has already arrived is not lost. A connection
+   * that is awaiting a message is closed immediately.
    */
   private void startEvicting(ClientConnection connection) {
     if (connection.isAwaitingMessage()) {
@@ -140,7 +150,10 @@
     }
   }
 
-  /** A connection takes nothing more; it holds its descriptor until {@link #released}. */
+  /**
+   * Removes a connection that reads nothing more. It counts as holding a descriptor until {@link
+   * #released} is called.
+   */
   public void remove(ClientConnection connection) {
     evicting.remove(connection);
     if (open.remove(connection)) {
@@ -148,12 +161,12 @@
     }
   }
 
-  /** A connection's descriptor is free again. */
+  /** Records that the descriptor of a removed connection is closed. */
   public void released(ClientConnection connection) {
     closing.remove(connection);
   }
 
-  /** From now on each request is rejected, on new connections too: the gateway shuts down. */
+  /** Rejects each further request, on new connections too, because the gateway is shutting down. */
   public void reject() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
@@ -161,33 +174,39 @@
     }
   }
 
-  /** Half-closes all connections, and each new one from now on; no response is pending on any. */
+  /**
+   * Half-closes all connections, and each new one as soon as it is added. To be called when no
+   * request is in flight on any of them.
+   */
   public void end() {
     mode = Mode.ENDED;
     List.copyOf(open).forEach(ClientConnection::closeAfterFlush);
   }
 
-  /** Whether all connections were half-closed. */
+  /** Returns whether {@link #end} has been called. */
   public boolean isEnded() {
     return mode == Mode.ENDED;
   }
 
-  /** Whether no response waits to be written to a connection that is closing. */
+  /** Returns whether all responses to connections that are closing have been written. */
   public boolean allWritten() {
     return closing.stream().allMatch(ClientConnection::isFlushed);
   }
 
-  /** Whether a client has sent part of a message, and not the rest of it. */
+  /** Returns whether any open connection has received a message only in part. */
   public boolean hasPartialMessage() {
     return open.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
-  /** How many descriptors clients hold. */
+  /** Returns the number of descriptors that client connections hold. */
   public int size() {
     return open.size() + closing.size();
   }
 
-  /** Guards against clients that send nothing, or half a message. */
+  /**
+   * Closes connections whose clients have sent nothing, or only part of a message, for longer than
+   * {@link #MESSAGE_TIMEOUT_NANOS}.
+   */
   public void sweep() {
     long nowNanos = clock.getAsLong();
     for (ClientConnection connection : List.copyOf(open)) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientHandler.java
@@ -1,43 +1,45 @@
 package org.amberpath.gateway.client;
 
-/** Handles what clients send; called on the event loop of the connection. */
+/** Receives the requests and the events of client connections, on the event loop of each. */
 public interface ClientHandler {
   /**
-   * Whether one more request is admitted now. One that is not is rejected before its fields are
-   * decoded.
+   * Returns whether one more request is admitted now. The connection rejects a request that is not
+   * admitted as overloaded, without decoding its fields.
    */
   boolean admitsRequest();
 
-  /** The Retry-After of a request that is rejected so, in nanoseconds; 0 for none. */
+  /** Returns the Retry-After for requests that are not admitted, in nanoseconds; 0 for none. */
   long retryAfterNanos();
 
   /**
-   * A request was decoded. Its message id is in flight until it is answered or cancelled.
+   * Called with each decoded and admitted request. The message id is in flight until the request is
+   * answered or cancelled.
    *
-   * @param connection the connection that it arrived on
+   * @param connection the connection on which the request was received
    * @param messageId the client's message id, unique among those in flight on the connection
    */
   void requestReceived(ClientConnection connection, long messageId, DecodedRequest request);
 
-  /** The client cancelled a request that was in flight; it must not be answered. */
+  /** Called when the client cancels a request in flight, which must then not be answered. */
   void requestCancelled(ClientConnection connection, long messageId);
 
-  /** Whether the gateway is ready for requests, as its status says. */
+  /** Returns whether the gateway is ready for requests, as reported to status requests. */
   boolean isReady();
 
   /**
-   * The client violated the protocol. Requests that are in flight may only end with an error.
+   * Called when the client violated the protocol. Its requests in flight may only be answered with
+   * an error from now on.
    *
-   * @param reason what was wrong, for the log
+   * @param reason the violation, for the log
    */
   void protocolViolated(ClientConnection connection, String reason);
 
   /**
-   * The connection reads and writes nothing more; all that was in flight on it is dropped. Its
-   * descriptor may still be open.
+   * Called once, when the connection stops reading and accepts no further responses; the requests
+   * in flight on it are dropped. Its descriptor may still be open.
    */
   void connectionEnded(ClientConnection connection);
 
-  /** The descriptor of an ended connection is closed. */
+  /** Called after {@link #connectionEnded}, when the socket is closed. */
   void descriptorReleased(ClientConnection connection);
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/DecodedRequest.java
@@ -1,21 +1,21 @@
 package org.amberpath.gateway.client;
 
 /**
- * A client's request.
+ * A validated request of a client.
  *
  * @param trafficClass name of the traffic class (the RPC method)
  * @param requestId the request's id, 16 hex digits
  * @param objectName id of the object, 16 hex digits
- * @param partName number of the part, in decimal
+ * @param partName number of the part in decimal, as received
  * @param knownTag entity tag of the copy that the client holds, 16 hex digits; empty for none
- * @param idempotencyKey key by which repeats are recognised, at most 64 printable characters; empty
- *     for none
+ * @param idempotencyKey key by which repeated requests are recognised, at most 64 printable
+ *     characters; empty for none
  * @param body the body, at most {@link ClientConnection#MAX_BODY_BYTES}; may be empty
- * @param objectId the same as objectName, as an unsigned number
- * @param partNumber the same as partName, as a number
+ * @param objectId the value of objectName, as an unsigned 64-bit number
+ * @param partNumber the value of partName
  * @param purgeGroup group by which the object can be purged, 0 to 255
- * @param timeoutNanos how long the client waits for the answer, in nanoseconds
- * @param sizeKb expected size of the answer in KB, 0 where it is not known
+ * @param timeoutNanos how long the client waits for the response, in nanoseconds; at least 1 ms
+ * @param sizeKb expected size of the response in KB; 0 if unknown
  */
 public record DecodedRequest(
     String trafficClass,
--- a/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
@@ -9,29 +9,30 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Frames a TCP stream into complete MessagePack values, wherever it was split or merged. Used on
- * one event loop.
+ * Splits a byte stream into complete MessagePack values, independently of how TCP segmented it.
+ * Confined to one event loop.
  */
 public final class MessageReader implements Handler<Buffer> {
   private static final int MAX_VALUES = 512;
   private static final int INITIAL_BUFFER_BYTES = 1024;
 
-  /** A buffer that has grown past this is not kept between messages. */
+  /** A buffer larger than this is replaced by a smaller one once its messages are consumed. */
   private static final int MAX_RETAINED_BUFFER_BYTES = 16_384;
 
-  /** Receives complete values, or the reason why no further one will be read. */
+  /** Receives the values of a stream, and its protocol error if there is one. */
   public interface Sink {
     /**
-     * A complete value.
+     * Called with each complete value.
      *
      * @param bytes a shared array, valid during the call only
-     * @param start offset of the value's first byte
-     * @param end offset behind its last byte
-     * @return whether further values are to be read
+     * @param start offset of the first byte of the value
+     * @param end offset after the last byte of the value
+     * @return whether to continue with further values; if false, the reader ignores all further
+     *     input
      */
     boolean onMessage(byte[] bytes, int start, int end);
 
-    /** The stream violates the protocol; nothing more is read from it. */
+    /** Called when the stream violates the protocol; the reader ignores all further input. */
     void onProtocolError(String reason);
   }
 
@@ -42,21 +43,21 @@
   private boolean ended;
 
   /**
-   * A reader of one stream.
+   * Creates a reader of one stream.
    *
-   * @param maxMessageBytes the longest value that is accepted
+   * @param maxMessageBytes maximum length of one value in bytes
    */
   public MessageReader(int maxMessageBytes, Sink sink) {
     this.maxMessageBytes = maxMessageBytes;
     this.sink = sink;
   }
 
-  /** Whether a message has been received in part. */
+  /** Returns whether the last value has been received only in part. */
   boolean hasPartialMessage() {
     return size > 0;
   }
 
-  /** Appends what was read and hands over each value that is complete. */
+  /** Appends received bytes and passes each value that is now complete to the sink. */
   @Override
   public void handle(Buffer received) {
     if (ended) {
@@ -104,13 +105,13 @@
     buffer = null;
   }
 
-  /** The offset behind the value at start; start itself if the value is incomplete. */
+  /** Returns the offset after the value at {@code start}, or {@code start} if it is incomplete. */
   private int endOfValue(int start) throws IOException {
     MessageUnpacker in = MessagePack.newDefaultUnpacker(buffer, start, size - start);
     long remaining = 1;
     try {
-      // Guards against deep nesting, and against many values that are received byte by byte and
-      // parsed again each time.
+      // The bound on values guards against deep nesting, and against messages of many values that
+      // are received byte by byte and parsed again after each read.
       for (int values = 0; remaining > 0; values++, remaining--) {
         if (values == MAX_VALUES) {
           throw tooManyValues();
@@ -131,8 +132,8 @@
   }
 
   /**
-   * Guards against lengths that no client sends: they are rejected when they are declared, not when
-   * the bytes have been received.
+   * Skips a payload. Rejects a length above the maximum as soon as its header is read, so that the
+   * oversized payload is never buffered.
    */
   private void skip(MessageUnpacker in, int length) throws IOException {
     if (length < 0 || length + in.getTotalReadBytes() > maxMessageBytes) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
@@ -3,18 +3,19 @@
 import java.io.IOException;
 
 /**
- * A client sent bytes after which the rest of its stream cannot be trusted: no request of that
- * message can be answered, and nothing more is read. The message says what was wrong.
+ * Thrown for a violation of the protocol after which the rest of the client's stream cannot be
+ * trusted: nothing more is read from the connection. The message says what was wrong; it is logged
+ * and not sent to the client.
  */
 public final class ProtocolException extends IOException {
   private static final long serialVersionUID = 1;
 
-  /** A violation, with its reason for the log. */
+  /** Creates the exception with the reason for the log. */
   ProtocolException(String reason) {
     super(reason);
   }
 
-  /** The reason that goes into the log for any failure to decode a message. */
+  /** Returns the text that is logged for a failure to decode a message. */
   static String reasonOf(Exception failure) {
     return failure.getMessage() == null ? failure.toString() : failure.getMessage();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
@@ -8,8 +8,10 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Decodes one complete MessagePack-RPC message, element by element in the order of the methods
- * here: kind, message id, method, request. What follows an invalid element is not decoded.
+ * Decodes one complete MessagePack-RPC message element by element. The methods have to be called in
+ * the order of the elements: {@link #readKind}, then {@link #readMessageId}, {@link #readMethod}
+ * and {@link #readRequest} for a request, or {@link #readCancelledId} for a notification. After an
+ * exception nothing more may be read.
  */
 final class RequestDecoder implements AutoCloseable {
   /** The kinds of message that clients send. */
@@ -28,12 +30,12 @@
 
   private final MessageUnpacker in;
 
-  /** A decoder of the message from start to end of a shared array, which is not copied. */
+  /** Creates a decoder of the message from start to end of a shared array, without copying it. */
   RequestDecoder(byte[] bytes, int start, int end) {
     in = MessagePack.newDefaultUnpacker(bytes, start, end - start);
   }
 
-  /** The kind of the message; anything that clients do not send is an error. */
+  /** Reads the kind of the message; all but requests and notifications are protocol errors. */
   Kind readKind() throws IOException {
     int size = in.unpackArrayHeader();
     int type = in.unpackInt();
@@ -46,12 +48,12 @@
     throw new ProtocolException("no message of type " + type + " and " + size + " elements");
   }
 
-  /** The message id of a request, as it was sent. */
+  /** Reads the message id of a request, which may be out of range. */
   long readMessageId() throws IOException {
     return in.unpackLong();
   }
 
-  /** The method of a request. */
+  /** Reads the method of a request. */
   String readMethod() throws IOException, InvalidRequestException {
     int length =
         in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
@@ -62,7 +64,7 @@
     return new String(in.readPayload(length), StandardCharsets.UTF_8);
   }
 
-  /** The parameters of a request of this method: a map of fields and, optionally, a body. */
+  /** Reads the parameters of a request: a map of fields and, optionally, a body. */
   DecodedRequest readRequest(String method) throws IOException, InvalidRequestException {
     int parameters =
         in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
@@ -72,7 +74,7 @@
     return RequestFields.read(method, in, parameters > 1);
   }
 
-  /** The message id that a notification cancels; empty for any other notification. */
+  /** Reads the message id that a notification cancels; empty if it is no cancellation. */
   OptionalLong readCancelledId() throws IOException {
     String method = in.unpackString();
     if (method.equals(CANCEL_METHOD)
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -9,8 +9,8 @@
 import org.msgpack.value.ValueType;
 
 /**
- * The fields of one request: decodes what decisions need, and leaves the rest as the bytes that
- * were received.
+ * The fields of one request. Decodes the values that routing needs; all others stay as the bytes
+ * that were received.
  */
 final class RequestFields {
   private static final int MAX_FIELDS = 64;
@@ -20,14 +20,19 @@
   private static final int ID_HEX_DIGITS = 16;
   private static final int HEX_RADIX = 16;
 
-  /** The protocol's bounds; where it states none, an hour, an index and a terabyte. */
+  /** Bound of the protocol. */
   private static final long MAX_PURGE_GROUP = 255;
 
+  /** One hour; the protocol states no bound. */
   private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+
+  /** Largest index; the protocol states no bound. */
   private static final long MAX_PARTS = Integer.MAX_VALUE;
+
+  /** One terabyte; the protocol states no bound. */
   private static final long MAX_SIZE_KB = 1 << 30;
 
-  /** Default of a number that must be present. */
+  /** Passed as the default of a number to mark the field as mandatory. */
   private static final long REQUIRED = -1;
 
   private static final double NANOS_PER_MILLI = 1e6;
@@ -47,10 +52,11 @@
   private RequestFields() {}
 
   /**
-   * Reads a map of fields and, if there is one, the body behind it.
+   * Reads a map of fields and, if there is one, the body that follows it.
    *
-   * @throws InvalidRequestException if a field is missing, of the wrong form or out of bounds
-   * @throws IOException if the bytes are no MessagePack
+   * @param withBody whether a body follows the map
+   * @throws InvalidRequestException if a field is missing, malformed or out of bounds
+   * @throws IOException if the bytes are not valid MessagePack
    */
   static DecodedRequest read(String trafficClass, MessageUnpacker in, boolean withBody)
       throws IOException, InvalidRequestException {
@@ -147,8 +153,8 @@
   }
 
   /**
-   * The key by which repeats are recognised, if any. It is forwarded as it was received, so it must
-   * not contain what separates fields there.
+   * Returns the idempotency key, empty for none. It is forwarded to caches as received, so it must
+   * not contain the comma that separates the fields of a command.
    */
   private ByteString idempotencyKey() throws InvalidRequestException {
     byte[] value = values.getOrDefault(IDEMPOTENCY_KEY, EMPTY);
@@ -172,8 +178,10 @@
   }
 
   /**
-   * A plain decimal from 0 to a bound; signs, exponents and the like, which the JDK would parse,
-   * are invalid.
+   * Parses a plain decimal number from 0 to {@code max}. Signs, exponents and other forms that
+   * {@link Double#parseDouble} accepts are invalid.
+   *
+   * @param absent the value of a field that is absent; {@link #REQUIRED} if it must be present
    */
   private double decimal(String key, double absent, double max) throws InvalidRequestException {
     if (absent >= 0 && !values.containsKey(key)) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -6,21 +6,22 @@
 import java.util.Set;
 
 /**
- * The requests of one connection, from decoding to response: which message ids are in flight, and
- * which requests are admitted. Knows nothing of the socket. Used on the connection's event loop.
+ * Tracks the requests of one connection from decoding to response: which message ids are in flight,
+ * and which requests are admitted. Does not use the socket itself. Confined to the connection's
+ * event loop.
  */
 final class RequestSession {
   private static final int MAX_IN_FLIGHT = 32;
   private static final long MAX_MESSAGE_ID = 0xffff_ffffL;
   private static final String STATUS_METHOD = "status";
 
-  /** Which requests are admitted here, before the handler is asked. */
+  /** Which requests are passed to the admission check of the handler; all others are rejected. */
   private enum Admission {
-    /** Each one. */
+    /** All requests. */
     ALL,
-    /** Only the one that had been received in part when rejection began. */
+    /** Only the one that had been partially received when {@link #rejectNewRequests} was called. */
     PARTIAL_MESSAGE,
-    /** None. */
+    /** No request. */
     NONE
   }
 
@@ -31,42 +32,42 @@
   private boolean messageReceived;
   private boolean requestReceived;
 
-  /** Whether the client violated the protocol, so that each further request gets an error. */
+  /** Whether the client has violated the protocol, so that each further request gets an error. */
   private boolean violated;
 
-  /** The requests of a connection that has just been accepted. */
+  /** Creates the session of a new connection, with no request in flight. */
   RequestSession(ClientConnection connection, ClientHandler handler) {
     this.connection = connection;
     this.handler = handler;
   }
 
-  /** Whether a complete and valid message has been received. */
+  /** Returns whether a complete message without protocol error has been received. */
   boolean hasReceivedMessage() {
     return messageReceived;
   }
 
-  /** Whether a request has been received, and no invalid one since. */
+  /** Returns whether a request other than for status was received, and no invalid one since. */
   boolean hasReceivedRequest() {
     return requestReceived;
   }
 
-  /** Whether no request is in flight. */
+  /** Returns whether no request is in flight. */
   boolean isIdle() {
     return inFlight.isEmpty();
   }
 
-  /** Drops what is in flight: none of it can be answered any more. */
+  /** Forgets all requests in flight, because the connection sends no more responses. */
   void dropAll() {
     inFlight.clear();
   }
 
-  /** Each request from now on gets an error, since the client violated the protocol. */
+  /** Makes each further request fail with an error, because the client violated the protocol. */
   void markViolated() {
     violated = true;
   }
 
   /**
-   * Rejects each request from now on.
+   * Rejects each further request as overloaded.
    *
    * @param partialMessage whether a message has been received in part, which is still admitted
    */
@@ -77,7 +78,8 @@
   /**
    * Handles one complete message.
    *
-   * @throws IOException if it violates the protocol, so that the rest of the stream is unusable
+   * @throws IOException if the message violates the protocol, so that the rest of the stream is
+   *     unusable
    */
   void handle(byte[] bytes, int start, int end) throws IOException {
     try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
@@ -105,7 +107,7 @@
       if (method.equals(STATUS_METHOD)) {
         connection.sendStatus(messageId, handler.isReady());
       } else if (admission == Admission.NONE || !handler.admitsRequest()) {
-        // Guards what was admitted against what the gateway has no capacity for.
+        // Rejected before its fields are decoded, to save the CPU for admitted requests.
         requestReceived = true;
         connection.sendOverloaded(messageId, handler.retryAfterNanos());
       } else {
@@ -136,7 +138,7 @@
     }
   }
 
-  /** As {@link ClientConnection#rejectInvalidRequest}. */
+  /** Implements {@link ClientConnection#rejectInvalidRequest}. */
   void rejectInvalidRequest(long messageId, String reason) {
     connection.sendError(messageId, reason);
     violated = true;
@@ -144,7 +146,7 @@
     handler.protocolViolated(connection, reason);
   }
 
-  /** Ends a request; whether it was in flight, so that its one response may be sent. */
+  /** Ends a request; returns whether it was in flight, so that its response is to be sent. */
   boolean finish(long messageId) {
     return inFlight.remove(messageId);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -5,8 +5,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes and answers synthetic requests without a connection, so that the codec is compiled before
- * the first client connects.
+ * Warms up the codec before the first client connects: decodes synthetic requests and encodes their
+ * responses without a connection, so that the JIT compiler has compiled that code.
  */
 public final class RequestWarmUp implements MessageReader.Sink {
   private static final byte[] STATUS_REQUEST = bytes("\u0094\0\u0009\u00a6status\u0091\u0080");
@@ -25,12 +25,12 @@
     return text.getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** An encoded status request, which asks whether the gateway is ready. */
+  /** Returns an encoded status request, which asks whether the gateway is ready. */
   public static Buffer statusRequest() {
     return Buffer.buffer(STATUS_REQUEST);
   }
 
-  /** Decodes and answers this many requests; returns how many could be decoded. */
+  /** Decodes this number of requests and encodes responses; returns how many were decoded. */
   public static int play(int requests) {
     RequestWarmUp sink = new RequestWarmUp();
     MessageReader reader = new MessageReader(PART_REQUEST.length, sink);
--- a/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
@@ -18,7 +18,7 @@
 
   private ResponseEncoder() {}
 
-  /** The body of a part, as the cache sent it. */
+  /** Encodes a response with the body of a part, as received from the cache. */
   static Buffer body(long messageId, Buffer body) {
     return encode(
             messageId,
@@ -27,7 +27,7 @@
         .appendByte(EMPTY_MAP);
   }
 
-  /** The copy that the client holds is current. */
+  /** Encodes the response that the copy held by the client is current. */
   static Buffer notModified(long messageId) {
     return encode(
         messageId,
@@ -41,7 +41,7 @@
                 .packString("1"));
   }
 
-  /** Whether the gateway is ready for requests. */
+  /** Encodes the response to a status request: whether the gateway is ready for requests. */
   static Buffer status(long messageId, boolean ready) {
     return encode(
         messageId,
@@ -49,9 +49,10 @@
   }
 
   /**
-   * The request was rejected and not run.
+   * Encodes the response that a request was rejected and not executed.
    *
-   * @param retryAfterNanos the Retry-After in nanoseconds, rounded up to milliseconds; 0 for none
+   * @param retryAfterNanos delay before the client should retry, in nanoseconds, rounded up to
+   *     milliseconds on the wire; 0 for none
    */
   static Buffer overloaded(long messageId, long retryAfterNanos) {
     long millis = (retryAfterNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI;
@@ -59,12 +60,12 @@
         messageId, "Overloaded", "cooldown", retryAfterNanos > 0 ? Long.toString(millis) : null);
   }
 
-  /** The request failed, for a reason that is sent to the client. */
+  /** Encodes the response that a request failed, with a reason for the client. */
   static Buffer internalError(long messageId, String reason) {
     return error(messageId, "Internal", "why", reason);
   }
 
-  /** An error with one detail; with none where the value is null. */
+  /** Encodes an error with one key and value; without them if the value is null. */
   private static Buffer error(long messageId, String code, String key, String value) {
     return encode(
         messageId,
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * Bounds the bytes of responses that clients have not read yet, for each connection and for all
- * together. Used on one event loop.
+ * Bounds the memory of responses that are not yet written to sockets because clients read slowly or
+ * not at all, per connection and for all connections together. Confined to one event loop.
  */
 public final class WriteBufferAccounting {
   private final long maxBytesPerConnection;
@@ -14,15 +14,15 @@
   private final Set<ClientConnection> pending = new LinkedHashSet<>();
   private long totalBytes;
 
-  /** Bounds in bytes; a connection past them is aborted. */
+  /** Creates the accounting with its bounds in bytes; a connection that exceeds one is aborted. */
   public WriteBufferAccounting(long maxBytesPerConnection, long maxBytesTotal) {
     this.maxBytesPerConnection = maxBytesPerConnection;
     this.maxBytesTotal = maxBytesTotal;
   }
 
   /**
-   * Counts bytes that are about to be written. Guards against clients that do not read: the one
-   * with the most unread bytes loses its connection.
+   * Adds bytes that are about to be written. Aborts the connection if it exceeds its own bound, or
+   * the connection with the most unwritten bytes if the total exceeds its bound.
    */
   void add(ClientConnection connection, long bytes) {
     totalBytes += bytes;
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Counts bytes off that have been written to the socket or dropped. */
+  /** Subtracts bytes that have been written to the socket or dropped. */
   void remove(ClientConnection connection, long bytes) {
     totalBytes -= bytes;
     connection.unreadBytes -= bytes;
--- a/gateway/src/main/java/org/amberpath/gateway/client/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/package-info.java
@@ -1,7 +1,8 @@
 /**
- * MessagePack-RPC with clients. {@link org.amberpath.gateway.client.ClientConnection} is one
- * connection and where to begin; {@link org.amberpath.gateway.client.ClientConnections} bounds them
- * all, and {@link org.amberpath.gateway.client.ClientHandler} is what the pipeline implements.
- * Framing and decoding know nothing of sockets. Called by the pipeline, on the event loop.
+ * The MessagePack-RPC server for clients. {@link org.amberpath.gateway.client.ClientConnection},
+ * the entry point, is one connection; {@link org.amberpath.gateway.client.ClientConnections} bounds
+ * the number of connections; the pipeline implements {@link
+ * org.amberpath.gateway.client.ClientHandler}. Framing and decoding do not depend on sockets.
+ * Everything runs on the event loop.
  */
 package org.amberpath.gateway.client;
--- a/gateway/src/main/java/org/amberpath/gateway/transport/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/AcceptLimit.java
@@ -13,9 +13,9 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * Bounds how many accepted connections hold a descriptor at a time, and knows since when others may
- * have waited in the accept queue. Confined to the event loop that accepts. Times are nanoseconds
- * of the clock it is given.
+ * Bounds the number of accepted connections that hold a descriptor at a time, and records since
+ * when other connections may have been waiting in the kernel's accept queue. Confined to the event
+ * loop that accepts. Times are in nanoseconds of the clock passed to the constructor.
  */
 public final class AcceptLimit {
   private static final AttributeKey<Long> QUEUED_NANOS =
@@ -26,17 +26,17 @@
   private final LocalBackoff backoff = new LocalBackoff();
   private final Map<SocketChannel, DuplexChannel> openChannels = new LinkedHashMap<>();
 
-  /** Closed sockets whose descriptor the selector holds until it selects again. */
+  /** Closed sockets whose descriptors are released only by the next select call. */
   private final List<SocketChannel> releasing = new ArrayList<>();
 
   private boolean paused;
   private long pausedAtNanos;
 
   /**
-   * A limit on the connections of one server.
+   * Creates the limit of one server.
    *
-   * @param maxConnections how many accepted connections may hold a descriptor
-   * @param clock monotonic nanoseconds
+   * @param maxConnections maximum number of accepted connections that hold a descriptor
+   * @param clock monotonic time in nanoseconds
    */
   public AcceptLimit(int maxConnections, LongSupplier clock) {
     this.maxConnections = maxConnections;
@@ -44,8 +44,8 @@
   }
 
   /**
-   * For how long a connection may have waited in the accept queue through a pause; 0 where there
-   * was none.
+   * Returns the longest time in nanoseconds that an accepted connection can have waited in the
+   * accept queue because accepting was paused; 0 if it was not paused.
    */
   public static long queuedNanos(NetSocket socket) {
     Long queuedNanos =
@@ -54,28 +54,29 @@
   }
 
   /**
-   * For how long what waits in the accept queue may have waited there; 0 where the queue was empty
-   * since the last pause.
+   * Returns the longest time in nanoseconds that a connection now in the accept queue can have
+   * waited there because of a pause; 0 if the queue has been empty since the last pause.
    */
   long pausedNanos(long nowNanos) {
     return paused ? Math.max(0, nowNanos - pausedAtNanos) : 0;
   }
 
-  /** Whether what is accepted now may have waited through a pause. */
+  /** Returns whether connections accepted now may have waited in the queue during a pause. */
   boolean isPaused() {
     return paused;
   }
 
-  /** Whether one more connection may be accepted now. */
+  /** Returns whether one more connection may be accepted now. */
   boolean hasCapacity() {
     releasing.removeIf(socket -> !socket.isRegistered());
     return openChannels.size() + releasing.size() < maxConnections;
   }
 
   /**
-   * The oldest half-closed connection, if a new one may take its descriptor; else null. It may not
-   * where most connections are half-closed: the gateway shuts down then, and what is on its way to
-   * clients goes before new connections.
+   * Returns the oldest half-closed connection, which may be closed to free a descriptor for a new
+   * one; null if there is none. Also null if more than half of {@code maxConnections} are
+   * half-closed: then the gateway is shutting down, and delivering the responses in transit takes
+   * precedence over new connections.
    */
   DuplexChannel oldestHalfClosed() {
     List<DuplexChannel> halfClosed =
@@ -85,12 +86,12 @@
         : halfClosed.get(0);
   }
 
-  /** Whether closed connections still hold a descriptor. */
+  /** Returns whether closed connections still hold a descriptor. */
   boolean isReleasing() {
     return !releasing.isEmpty();
   }
 
-  /** Accepting pauses from now on, though connections may wait in the queue. */
+  /** Records that accepting is paused although connections may be waiting in the queue. */
   void pause() {
     if (!paused) {
       paused = true;
@@ -98,26 +99,28 @@
     }
   }
 
-  /** The accept queue is empty: whatever comes from now on has not waited through a pause. */
+  /** Records that the accept queue is empty, so that later connections have not waited in it. */
   void queueEmptied() {
     paused = false;
     backoff.attemptSucceeded();
   }
 
-  /** An accept failed; returns the backoff in milliseconds. */
+  /** Records a failed accept; returns the backoff until the next one in milliseconds. */
   long acceptFailed() {
     pause();
     return backoff.attemptFailed();
   }
 
-  /** A connection was accepted and holds a descriptor from now on. */
+  /**
+   * Records an accepted connection, which holds a descriptor until {@link #closed} and a select.
+   */
   void accepted(DuplexChannel channel, SocketChannel socket) {
     openChannels.put(socket, channel);
     channel.attr(QUEUED_NANOS).set(pausedNanos(clock.getAsLong()));
     backoff.attemptSucceeded();
   }
 
-  /** A connection was closed; its descriptor is free after the next select. */
+  /** Records a closed connection, whose descriptor is released by the next select. */
   void closed(SocketChannel socket) {
     if (openChannels.remove(socket) != null) {
       releasing.add(socket);
--- a/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
@@ -12,20 +12,20 @@
 import java.util.logging.Logger;
 
 /**
- * A listening socket that accepts no connection past an {@link AcceptLimit} and resumes as soon as
- * a descriptor is free. It retries a failed accept within milliseconds, where the library would
- * accept nothing for a whole second.
+ * A listening channel that stops accepting at an {@link AcceptLimit} and resumes as soon as a
+ * descriptor is released. It retries a failed accept after a backoff of milliseconds, whereas Netty
+ * accepts nothing for one second after a failure.
  */
-@SuppressWarnings("deprecation") // Netty has no other type for what it hands over here.
+@SuppressWarnings("deprecation") // Netty passes this deprecated type to continueReading.
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
   private final SystemCalls calls;
   private final AcceptLimit limit;
 
-  /** Whether the last accept failed: the failure is logged once. */
+  /** Whether the last accept failed, so that repeated failures are logged only once. */
   private boolean failing;
 
-  /** Whether the limit was reached, and no descriptor has become free since. */
+  /** Whether the limit was reached and no descriptor has been released since. */
   private boolean full;
 
   /** Whether {@link #afterSelect} is scheduled. */
@@ -68,8 +68,8 @@
   }
 
   /**
-   * After a pause the accept queue is read to its end, so that later connections are not taken for
-   * ones that waited through it.
+   * Keeps reading after a pause until the accept queue is empty, so that connections which arrive
+   * later do not count as having waited during the pause.
    */
   @Override
   protected boolean continueReading(RecvByteBufAllocator.Handle handle) {
@@ -82,7 +82,8 @@
       limit.accepted(channel, socket);
       accepted.add(channel);
       return 1;
-    } catch (RuntimeException e) { // The client has reset it, so its options can't be set.
+    } catch (
+        RuntimeException e) { // Setting options fails on a connection that the client has reset.
       socket.close();
       return 0;
     }
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Resumes, and reads the queue at once: so it is known whether anything waited there. */
+  /** Resumes accepting and reads the queue immediately, which shows whether connections waited. */
   private void resume() {
     if (isOpen() && !retryScheduled) {
       config().setAutoRead(true);
@@ -121,7 +122,8 @@
   }
 
   /**
-   * Guards new connections against half-closed ones, which only wait for their clients to close.
+   * Closes the oldest half-closed connection while the limit is reached, so that connections which
+   * merely wait for their clients to close do not block new ones.
    */
   private void closeOldestHalfClosed() {
     if (full && !limit.hasCapacity()) {
@@ -133,8 +135,8 @@
   }
 
   /**
-   * Resumes once the selector has released a descriptor, which it does when it selects: by the
-   * loop's next turn.
+   * Schedules resuming for the next iteration of the event loop, by which the selector has released
+   * the descriptors of closed connections.
    */
   private void resumeAfterSelect() {
     if (full && !awaitingSelect && isOpen() && limit.isReleasing()) {
@@ -153,7 +155,7 @@
     }
   }
 
-  /** A client's connection, which counts against the limit until its descriptor is released. */
+  /** An accepted connection, which counts against the limit until its descriptor is released. */
   private final class ClientChannel extends NioSocketChannel {
     private final SocketChannel socket;
 
--- a/gateway/src/main/java/org/amberpath/gateway/transport/Channels.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/Channels.java
@@ -9,30 +9,30 @@
 import java.util.logging.Logger;
 
 /**
- * Operations on channels whose end nobody waits for, since the close event of the channel tells of
- * it. A failure is logged at FINE. Used on the event loop of the channel.
+ * Channel operations whose futures are not awaited, because the close event of the channel reports
+ * the outcome. Failures are logged at level FINE. Called on the event loop of the channel.
  */
 public final class Channels {
   private static final Logger LOG = Logger.getLogger(Channels.class.getName());
 
   private Channels() {}
 
-  /** Closes a channel at once, whatever its peer has not read. */
+  /** Closes a channel immediately and drops data that is not yet written. */
   public static void close(ChannelOutboundInvoker channel) {
     logFailure("close", channel.close());
   }
 
-  /** Shuts the output down, so that the peer reads the end of the stream. */
+  /** Shuts down the output, so that the peer reads the end of the stream. */
   public static void shutdownOutput(DuplexChannel channel) {
     logFailure("shutdown", channel.shutdownOutput());
   }
 
-  /** Runs a task after a delay, on the event loop. */
+  /** Runs a task on the event loop after a delay. */
   public static void schedule(EventExecutor eventLoop, Runnable task, long delayMillis) {
     logFailure("timer", eventLoop.schedule(task, delayMillis, TimeUnit.MILLISECONDS));
   }
 
-  /** The end of an operation that needs no more than a line in the log where it fails. */
+  /** Logs the failure of an operation, if it fails. */
   private static void logFailure(String operation, Future<?> result) {
     result.addListener(
         done -> {
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * A transport that accepts connections on the event loop that also serves them. Guards the bound on
- * descriptors: an acceptor with a thread of its own runs ahead of a busy event loop, past any bound
- * that is kept there.
+ * A Vert.x transport that accepts connections on the event loop that also serves them. A separate
+ * acceptor thread would keep accepting while the event loop is busy, and so exceed the bound on
+ * descriptors that the event loop enforces.
  */
 public final class SingleEventLoopTransport extends NioTransport {
   private final SystemCalls calls;
@@ -24,12 +24,12 @@
     this.calls = calls;
   }
 
-  /** A transport for one Vert.x instance. */
+  /** Creates a transport for one Vert.x instance. */
   public static Transport transport() {
     return transport(new SystemCalls());
   }
 
-  /** The same with other system calls, for tests of failing ones. */
+  /** Creates a transport that makes the given system calls, so that tests can let them fail. */
   public static Transport transport(SystemCalls calls) {
     SingleEventLoopTransport implementation = new SingleEventLoopTransport(calls);
     return new Transport() {
@@ -63,7 +63,10 @@
     return eventLoop;
   }
 
-  /** Limits the server that listens next; does nothing where another transport is used. */
+  /**
+   * Sets the limit of the server that listens next; does nothing if the Vert.x instance uses
+   * another transport.
+   */
   public static void limitNext(Vertx vertx, AcceptLimit limit) {
     if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport transport) {
       transport.nextLimit = limit;
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
@@ -7,11 +7,11 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The system calls that the transport makes for new connections; tests replace them by failing
+ * The system calls that the transport makes for new connections; tests override them with failing
  * ones.
  */
 public class SystemCalls {
-  /** Accepts a waiting connection without blocking; null where none waits. */
+  /** Accepts a pending connection without blocking; returns null if there is none. */
   public SocketChannel accept(ServerSocketChannel listening) throws IOException {
     return listening.accept();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/package-info.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/package-info.java
@@ -1,11 +1,12 @@
 /**
- * What the gateway adds to Netty and Vert.x below its connections: one event loop that accepts and
- * serves ({@link org.amberpath.gateway.transport.SingleEventLoopTransport}, where to begin), the
- * bound on accepted connections ({@link org.amberpath.gateway.transport.AcceptLimit}) that keeps
- * the descriptors, the system calls that tests let fail, and operations on channels whose end
- * nobody waits for ({@link org.amberpath.gateway.transport.Channels}).
+ * The gateway's extensions of the Netty and Vert.x transports. The entry point is {@link
+ * org.amberpath.gateway.transport.SingleEventLoopTransport}, with which one event loop both accepts
+ * and serves connections. {@link org.amberpath.gateway.transport.AcceptLimit} bounds the accepted
+ * connections and so the descriptors, {@link org.amberpath.gateway.transport.SystemCalls} can be
+ * replaced by tests, and {@link org.amberpath.gateway.transport.Channels} has operations whose
+ * futures are not awaited.
  *
- * <p>Used by the gateway's lifecycle and by the connections of clients and caches, on the event
+ * <p>Used by the gateway's lifecycle and by the connections to clients and caches, on the event
  * loop.
  */
 package org.amberpath.gateway.transport;
