--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -25,14 +25,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * How many connections a gateway holds that knows more caches than its descriptors have room for.
+ * The number of cache connections of a gateway that knows more caches than it has descriptors for.
  */
 @Timeout(60)
 class CacheConnectionBoundTest {
   private static final int CACHES = 60;
   private static final int REQUESTS = 120;
 
-  /** Of 128 descriptors, less half for clients and 56 for the runtime. */
+  /** 128 descriptors, of which 64 are reserved for clients and 56 for the runtime. */
   private static final int BOUND = 8;
 
   private static final int ALLOWED_MILLIS = 3000;
@@ -43,7 +43,7 @@
   private GatewayTestbed testbed;
   private List<TimedCommand> seen;
 
-  /** One stand-in listens for all caches: the gateway knows them apart by their ids. */
+  /** One stub listens for all caches, which the gateway distinguishes by their ids. */
   @BeforeEach
   void start() throws Exception {
     testbed = new GatewayTestbed();
@@ -98,7 +98,7 @@
     assertFalse(seen.get(seen.size() - 1).command().socket().isClosed(), "the last used stays");
   }
 
-  /** What finds no room goes to a cache that has a connection, or is turned away at once. */
+  /** A request without a connection goes to a cache that has one, or is rejected immediately. */
   @Test
   void noConnectionIsOpenedPastTheBoundWhileAllAreBusy() throws Exception {
     holds.set(true);
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -34,7 +34,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * However a client's connection ends, what was read has an answer, and what has none stays unread.
+ * However the gateway ends a client's connection: each request that was read gets a response, and a
+ * request without a response was not read.
  */
 @Timeout(30)
 class ClientConnectionEndingsTest implements ClientHandler {
@@ -46,13 +47,13 @@
       new ClientConnections(vertx, MAX_CONNECTIONS, clock::nowNanos);
   private final List<TestClient> all = new ArrayList<>();
 
-  /** How many connections were held at most. */
+  /** Maximum number of connections held at a time. */
   private final AtomicInteger maxHeld = new AtomicInteger();
 
-  /** How many connections are held. */
+  /** Number of connections whose descriptor is open. */
   private final AtomicInteger held = new AtomicInteger();
 
-  /** How many requests were read. */
+  /** Number of requests read. */
   private final AtomicInteger read = new AtomicInteger();
 
   private Thread loop;
@@ -142,8 +143,8 @@
 
   private void awaitHeld(int count) throws InterruptedException {
     Conditions.await(() -> held.get() <= count, "connections are closed");
-    CountDownLatch selected =
-        new CountDownLatch(1); // The runtime closes a descriptor when it selects the next time.
+    // The JDK closes a descriptor in the next select call.
+    CountDownLatch selected = new CountDownLatch(1);
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
     await(selected);
   }
@@ -178,7 +179,7 @@
     assertEquals(0, read.get());
   }
 
-  /** Ways in which a connection ends on which nothing is open. */
+  /** Ways in which the gateway ends a connection without requests in flight. */
   private enum End {
     UNREADABLE,
     PAST_THE_BOUND,
@@ -208,7 +209,7 @@
       default -> client = client();
     }
     assertTrue(client.isClosed());
-    client.send(get(3)); // It crossed the end.
+    client.send(get(3)); // Sent before the client knows that the connection has ended.
     awaitHeld(end == End.PAST_THE_BOUND ? MAX_CONNECTIONS : 0);
     TestClient ended = client;
     assertThrows(IOException.class, () -> ended.send(get(4)), "a request was read after the end");
@@ -220,7 +221,7 @@
     for (int one = 0; one < 3 * MAX_CONNECTIONS; one++) {
       TestClient client =
           client().send(TestClient.encodeRequest(9, "status", java.util.Map.of(), null));
-      // It is answered, and has not read that.
+      // The response has arrived and is not read yet.
       Conditions.await(() -> hasUnread(client), "an answer");
     }
     for (TestClient one : all) {
@@ -261,7 +262,7 @@
     }
     long since = System.nanoTime();
     long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
-    awaitHeld(0); // It is closed in time all the same.
+    awaitHeld(0); // The connection is closed although its bytes are not read.
     long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
     long tookNanos = System.nanoTime() - since;
     assertTrue(
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -30,7 +30,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt begins for a client that closed or cancelled while the event loop was late. */
+/**
+ * Guards against attempts for disconnected clients: a client closes its connection or cancels its
+ * requests while the event loop is delayed, and the gateway reads the requests before it reads the
+ * close or the cancellation.
+ */
 @Timeout(60)
 class ClientGoneTest {
   private static final long GONE_MS = 300;
@@ -96,7 +100,7 @@
               }
               return null;
             });
-    Thread.sleep(GONE_MS); // The passing of time is tested.
+    Thread.sleep(GONE_MS); // Lets the event loop lag.
     decisions.resume();
     written.get(PATIENCE_S, TimeUnit.SECONDS);
     Set<String> sent = ConcurrentHashMap.newKeySet();
@@ -108,9 +112,8 @@
             command.replyOk("part");
           }
         });
-    TestClient last =
-        testbed
-            .client(); // What it asks for is sent after all that came before it, unless it is shed.
+    // Its request is sent after all earlier ones, unless it is rejected by load shedding.
+    TestClient last = testbed.client();
     int number = PIPELINE;
     do {
       last.sendRequest(++number, "parts", 15_000, 0);
@@ -121,8 +124,8 @@
   }
 
   /**
-   * In a long round the client of the last attempt may leave: the first attempt, and a retry after
-   * its end.
+   * The client of the last attempt disconnects during a long batch of routing decisions. Neither a
+   * first attempt nor a retry is sent before the sockets are read again.
    */
   @ParameterizedTest
   @ValueSource(strings = {"requestReceived", "attemptEnded"})
@@ -160,7 +163,7 @@
     }
     pause.awaitPaused();
     client.close();
-    Thread.sleep(GONE_MS); // The passing of time is tested.
+    Thread.sleep(GONE_MS); // Lets the event loop lag.
     pause.resume();
     assertEquals(
         event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients that violate the protocol or its bounds, beside others that do not. */
+/** Clients that violate the protocol or its bounds must not affect other clients. */
 @Timeout(30)
 class ClientProtocolTest extends GatewayFixture {
   @ParameterizedTest
@@ -50,7 +50,7 @@
     try {
       bad.send(garbage);
     } catch (java.io.IOException e) {
-      // Closed already.
+      // The gateway has already closed the connection.
     }
     assertTrue(bad.isClosed());
     assertTrue(client.requestStatus().isReady());
@@ -180,7 +180,7 @@
               cache.commands.take().reply("ok", "res=h,entity=1,issued=2", part);
             }
           } catch (Exception e) {
-            // The end of the test.
+            // Expected at the end of the test.
           }
         });
     List<Integer> open = new ArrayList<>();
@@ -205,10 +205,11 @@
     byte[] next =
         TestClient.encodeRequest(2, "parts", TestClient.requestFields(2, 4000, 1), new byte[300]);
     client.send(java.util.Arrays.copyOf(next, next.length - 200));
-    for (int silent = 0; silent < 70; silent++) { // Its clients may hold 64 of 128 descriptors.
+    // Client connections may use 64 of 128 descriptors.
+    for (int silent = 0; silent < 70; silent++) {
       testbed.client();
     }
-    Thread.sleep(STALL_MILLIS / 2); // The passing of time is tested.
+    Thread.sleep(STALL_MILLIS / 2); // Time in which the connection must not be evicted.
     command.replyOk("kept");
     assertEquals("kept", text(client.receive()));
   }
@@ -228,7 +229,7 @@
     }
   }
 
-  /** Decisions that fail on one object. */
+  /** The router throws for part 13 only. */
   @Test
   void failureInTheRouterFailsThatRequestAndNoOther() throws Exception {
     testbed.close();
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** How many descriptors a gateway holds while far more clients connect than it may hold. */
+/** The number of descriptors of a gateway while far more clients connect than it may hold. */
 @Timeout(60)
 class DescriptorBoundTest {
   private static final int LIMIT = 128;
@@ -33,7 +33,10 @@
 
   @TempDir private Path folder;
 
-  /** Also while it ends: those that connect then hold a descriptor each until they are told so. */
+  /**
+   * Covers the shutdown too, during which each new connection holds a descriptor until the gateway
+   * closes it.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void gatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnect(boolean stopping)
@@ -70,7 +73,7 @@
           process.destroy();
           assertTrue(first.isClosed());
         } else {
-          // All that connect now are found at once, as after a pause of the machine.
+          // All connections made now are accepted in one burst, as after a pause of the machine.
           GatewayProcess.signal(process, "STOP");
         }
         connect(port, resting);
@@ -104,7 +107,7 @@
         one.write(ByteBuffer.wrap(status));
       }
     } catch (IOException e) {
-      // It listens no more.
+      // The gateway has closed its listening socket.
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Idle connections to endpoints that have ended or are not answered any more. */
+/** Requests on idle endpoint connections that were closed or no longer deliver replies. */
 @Timeout(30)
 class IdleConnectionFaultsTest extends FaultFixture {
   /**
-   * The next request comes at once, so that it may cross the end of its connection, or after the
-   * gateway has read that. Only a shutdown is on the wire when it returns: a close waits for the
-   * thread that reads there.
+   * The next request is sent either immediately, so that it may cross the end of its connection, or
+   * after the gateway has read that end. For the latter case the stub uses a shutdown, because only
+   * that has reached the wire when the call returns; a close waits for the thread that reads there.
    */
   @ParameterizedTest
   @CsvSource({"close, true", "reset, true", "shut, false"})
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Whichever connection the second request takes has been forgotten: it stays open, and nothing
-   * comes of it.
+   * The endpoint stops replying on the connection that carries the second request, as if it had
+   * lost the connection's state. The connection stays open.
    */
   @ParameterizedTest
   @ValueSource(strings = {"parts", "orders"})
@@ -109,8 +109,8 @@
   }
 
   /**
-   * Several whose first attempts wait there show that the endpoint is silent, and each is sent to
-   * another.
+   * Several first attempts without a reply show that the endpoint is unresponsive, and each request
+   * is retried on another endpoint.
    */
   @Test
   void idempotentRequestsOnUnresponsiveConnectionsAreServedByRetries() throws Exception {
@@ -133,8 +133,8 @@
   }
 
   /**
-   * The connection that it takes has been forgotten: its first attempt waits for nothing, and
-   * another is answered.
+   * The first attempt never gets a reply, as on a connection whose state the endpoint has lost, and
+   * a retry is answered.
    */
   @Test
   void singleIdempotentRequestOnAnUnresponsiveConnectionIsServedByARetry() throws Exception {
@@ -154,7 +154,8 @@
   }
 
   /**
-   * Until each request's connection has ended, and the gateway has read all connections after that.
+   * Waits until the connection of each request has ended and the gateway has then read from all
+   * connections.
    */
   private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
     Conditions.await(() -> ended.get() == number, "an end for each request");
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -54,13 +54,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * What clients get and endpoints are charged with while system calls fail (docs/design/endings.md).
+ * The responses to clients and the outcomes attributed to endpoints while system calls fail
+ * (docs/design/endings.md).
  */
 @Timeout(60)
 class SystemCallFailuresTest {
   private static final int FOREVER = Integer.MAX_VALUE;
 
-  /** System calls that fail, or do little, as long as they are told to. */
+  /** System calls that fail, or transfer one byte at a time, as set by the fields. */
   private static final class Failing extends SystemCalls {
     final AtomicInteger accepts = new AtomicInteger();
     final AtomicInteger opens = new AtomicInteger();
@@ -91,8 +92,8 @@
   }
 
   /**
-   * A connection to an endpoint on which calls fail, move one byte, or are interrupted every other
-   * time.
+   * A connection to an endpoint on which calls fail, or transfer one byte at a time and are
+   * interrupted, that is transfer nothing, every other time.
    */
   private static final class Socket extends NioSocketChannel {
     private final Failing calls;
@@ -192,7 +193,7 @@
         .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Notes how each attempt ended before the router is notified of it. */
+  /** Records the outcome of each attempt before it is passed to the router. */
   private RoutingEventHandler recordOutcomes(RoutingEventHandler to) {
     return (RoutingEventHandler)
         Proxy.newProxyInstance(
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -17,7 +17,7 @@
 import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 
-/** Commands that wait to be sent. */
+/** When {@link CachePool} sends the commands that wait, and on which connection. */
 class CachePoolTest {
   private static final byte[] ID =
       "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
@@ -84,7 +84,7 @@
             pool[0].send(command(new byte[64 << 20]));
           });
       Socket first = cache.accept();
-      Thread.sleep(200); // It is sent as far as the peer takes it.
+      Thread.sleep(200); // The command is written until the receive buffer of the peer is full.
       loop.runOnContext(
           v -> {
             maxConnections = 2;
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What each failed system call is taken for, and how long it is not made again. */
+/** The classification of failed connects, and the backoff after failures on this host. */
 class ConnectFailureTest {
   @ParameterizedTest
   @CsvSource({
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** RESP from caches, and what waits for a connection to one. */
+/** Parsing of RESP from caches, and commands that wait for a connection to a draining cache. */
 class ReplyReaderTest implements ReplyReader.Sink {
   private final List<String> replies = new ArrayList<>();
   private final List<String> protocolErrors = new ArrayList<>();
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.msgpack.core.MessagePack;
 
-/** MessagePack from clients: every width, cut anywhere. */
+/** Framing of MessagePack from clients: all header widths, any segmentation, and the bounds. */
 class MessageReaderTest implements MessageReader.Sink {
   private final List<byte[]> messages = new ArrayList<>();
   private final List<String> protocolErrors = new ArrayList<>();
