--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -104,11 +104,11 @@
     Buffer out = Buffer.buffer(fields.length + body.length + ENCODING_OVERHEAD_BYTES);
     out.appendString("*4\r\n$4\r\nwant\r\n");
     appendBulk(out, requestIdBytes);
-    long leftMillis =
+    long remainingMillis =
         Math.max(1, (deadlineNanos - nowNanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
-    byte[] left = ("ms=" + leftMillis + ",").getBytes(StandardCharsets.ISO_8859_1);
-    out.appendString("$" + (left.length + fields.length) + "\r\n")
-        .appendBytes(left)
+    byte[] timeField = ("ms=" + remainingMillis + ",").getBytes(StandardCharsets.ISO_8859_1);
+    out.appendString("$" + (timeField.length + fields.length) + "\r\n")
+        .appendBytes(timeField)
         .appendBytes(fields);
     out.appendString("\r\n");
     appendBulk(out, body);
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -49,12 +49,12 @@
     lastReadNanos = nowNanos;
     lastUsedNanos = nowNanos;
     reader = new ReplyReader(maxBodyBytes, this);
-    socket.handler(this::read);
+    socket.handler(this::onRead);
     socket.exceptionHandler(e -> {}); // A close event always follows.
-    socket.closeHandler(v -> ended());
+    socket.closeHandler(v -> onClosed());
   }
 
-  private void read(Buffer bytes) {
+  private void onRead(Buffer bytes) {
     lastReadNanos = pool.nowNanos();
     if (state == State.UNRESPONSIVE) {
       state = State.OPEN;
@@ -63,7 +63,7 @@
   }
 
   /** Returns the number of commands in flight. */
-  int load() {
+  int inFlightCount() {
     return inFlight.size();
   }
 
@@ -159,16 +159,16 @@
   void close() {
     // NetSocket.close would first wait for pending writes, forever if the peer is unreachable.
     Channels.close(((NetSocketInternal) socket).channelHandlerContext());
-    ended();
+    onClosed();
   }
 
-  private void ended() {
+  private void onClosed() {
     if (state != State.CLOSED) {
       state = State.CLOSED;
-      pool.closed(this);
-      List<CacheCommand> lost = new ArrayList<>(inFlight.values());
+      pool.connectionClosed(this);
+      List<CacheCommand> lostCommands = new ArrayList<>(inFlight.values());
       inFlight.clear();
-      lost.forEach(
+      lostCommands.forEach(
           command -> command.ended(AttemptOutcome.CONNECTION_LOST, ResponseDetail.NONE, null));
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
@@ -41,18 +41,18 @@
   }
 
   private final String target;
-  private final Supplier<Future<NetSocket>> connector;
+  private final Supplier<Future<NetSocket>> connectFunction;
   private final ConnectionBudget budget;
   private final LongSupplier clock;
   private final Listener listener;
   private final LocalBackoff backoff = new LocalBackoff();
-  private int connecting;
+  private int pendingConnects;
 
   /**
    * Start of the current period in which at least one connect has been in progress without
-   * interruption; valid while {@link #connecting} is not 0.
+   * interruption; valid while {@link #pendingConnects} is not 0.
    */
-  private long connectingSinceNanos;
+  private long connectsPendingSinceNanos;
 
   private boolean backingOff;
   private boolean closed;
@@ -61,24 +61,24 @@
    * Creates a connector without connections.
    *
    * @param target the cache's name and address, for the log
-   * @param connector starts one connect; may throw
+   * @param connectFunction starts one connect; may throw
    */
   CacheConnector(
       String target,
-      Supplier<Future<NetSocket>> connector,
+      Supplier<Future<NetSocket>> connectFunction,
       ConnectionBudget budget,
       LongSupplier clock,
       Listener listener) {
     this.target = target;
-    this.connector = connector;
+    this.connectFunction = connectFunction;
     this.budget = budget;
     this.clock = clock;
     this.listener = listener;
   }
 
   /** Returns the number of connects in progress. */
-  int connecting() {
-    return connecting;
+  int pendingConnects() {
+    return pendingConnects;
   }
 
   /** Returns whether a backoff after a failure on this host is running. */
@@ -88,43 +88,44 @@
 
   /** Starts one more connect. */
   void connect() {
-    connectingSinceNanos = connecting == 0 ? clock.getAsLong() : connectingSinceNanos;
-    connecting++;
-    budget.opened();
-    begin().onComplete(this::ended);
+    connectsPendingSinceNanos =
+        pendingConnects == 0 ? clock.getAsLong() : connectsPendingSinceNanos;
+    pendingConnects++;
+    budget.connectionOpened();
+    startConnect().onComplete(this::onConnectResult);
   }
 
   /**
    * Turns an exception into a failed future, so that every started connect is also counted down.
    */
-  private Future<NetSocket> begin() {
+  private Future<NetSocket> startConnect() {
     try {
-      return connector.get();
+      return connectFunction.get();
     } catch (RuntimeException e) {
       return Future.failedFuture(e);
     }
   }
 
-  private void ended(AsyncResult<NetSocket> result) {
-    connecting--;
+  private void onConnectResult(AsyncResult<NetSocket> result) {
+    pendingConnects--;
     if (closed || result.failed()) {
-      budget.closed();
+      budget.connectionClosed();
     }
     ConnectFailure failure = result.succeeded() ? null : ConnectFailure.of(result.cause());
     if (failure != null && failure.isLocal()) {
-      failedLocally(failure, result.cause());
+      handleLocalFailure(failure, result.cause());
       return;
     }
     backoff.attemptSucceeded();
     if (failure == null) {
-      connected(result.result());
+      onConnected(result.result());
     } else {
       listener.connectFailed(AttemptOutcome.CONNECT_FAILED);
       listener.retryWaiting();
     }
   }
 
-  private void connected(NetSocket socket) {
+  private void onConnected(NetSocket socket) {
     if (closed) {
       socket.close();
     } else {
@@ -137,7 +138,7 @@
    * blamed. Waiting commands are retried after a backoff; once the backoff is exhausted they end as
    * {@link AttemptOutcome#NOT_SENT}, so that they can be sent to another cache.
    */
-  private void failedLocally(ConnectFailure failure, Throwable cause) {
+  private void handleLocalFailure(ConnectFailure failure, Throwable cause) {
     if (!backoff.isFailing()) {
       LOG.warning(target + ": no connection, " + failure + ": " + cause.getMessage());
     }
@@ -163,12 +164,12 @@
    * the cache only if a connect to it has been in progress for long enough to be evidence.
    */
   AttemptOutcome unsentOutcome(long connectTimeoutNanos) {
-    boolean blamed =
+    boolean cacheAtFault =
         !backoff.isFailing()
-            && connecting > 0
+            && pendingConnects > 0
             && ConnectPatience.isEvidence(
-                clock.getAsLong() - connectingSinceNanos, connectTimeoutNanos);
-    return blamed ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
+                clock.getAsLong() - connectsPendingSinceNanos, connectTimeoutNanos);
+    return cacheAtFault ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
   }
 
   /** Makes the connector close every connection that is still established. */
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CachePool.java
@@ -36,7 +36,7 @@
   private final Hooks hooks;
   private final CacheConnector connector;
   private final List<CacheConnection> connections = new ArrayList<>();
-  private final List<CacheCommand> waiting = new ArrayList<>();
+  private final List<CacheCommand> waitingCommands = new ArrayList<>();
   private boolean closed;
 
   /**
@@ -59,7 +59,11 @@
     this.hooks = hooks;
     connector =
         new CacheConnector(
-            toString(), () -> client.connect(address), budget, hooks.clock(), new Connects());
+            toString(),
+            () -> client.connect(address),
+            budget,
+            hooks.clock(),
+            new ConnectListener());
   }
 
   /** Returns the address of the cache. */
@@ -81,13 +85,13 @@
    */
   public void send(CacheCommand command) {
     if (closed) {
-      end(command, AttemptOutcome.CONNECT_FAILED);
+      endUnsent(command, AttemptOutcome.CONNECT_FAILED);
     } else if (command.isExpired(nowNanos())) {
       // While it waited, the client may have disconnected or the time window for sending ended.
-      end(command, AttemptOutcome.NOT_SENT);
+      endUnsent(command, AttemptOutcome.NOT_SENT);
     } else if (!hooks.mayWrite().getAsBoolean()) {
       // A drain or purge that arrived after the routing decision has to be applied first.
-      waiting.add(command);
+      waitingCommands.add(command);
     } else {
       sendNow(command, nowNanos());
     }
@@ -95,17 +99,17 @@
 
   private void sendNow(CacheCommand command, long nowNanos) {
     CacheConnection connection = leastLoaded(command, nowNanos);
-    if (connections.isEmpty() && connector.connecting() == 0 && !connector.isBackingOff()) {
-      budget.reclaimIfFull();
+    if (connections.isEmpty() && connector.pendingConnects() == 0 && !connector.isBackingOff()) {
+      budget.closeIdleIfFull();
     }
     if (connection != null) {
       connection.send(command, nowNanos);
-    } else if (connector.connecting() == 0 && !hasCapacity()) {
+    } else if (connector.pendingConnects() == 0 && !hasCapacity()) {
       // If the budget of all pools prevents the connect, the cache is not blamed.
-      end(command, isWithinShare() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED);
+      endUnsent(command, isWithinShare() ? AttemptOutcome.NOT_SENT : AttemptOutcome.CONNECT_FAILED);
       return;
     } else {
-      waiting.add(command);
+      waitingCommands.add(command);
     }
     if (!connector.isBackingOff() && hasCapacity() && needsConnection(connection != null)) {
       connector.connect();
@@ -116,16 +120,16 @@
    * Returns whether one more connection is to be opened. Within its bounds the pool keeps one
    * connection idle, so that commands need not share one and fail together with it.
    *
-   * @param sent whether the current command was sent on an open connection
+   * @param commandSent whether the current command was sent on an open connection
    */
-  private boolean needsConnection(boolean sent) {
-    return sent
-        ? connector.connecting() == 0
-            && connections.stream().noneMatch(connection -> connection.load() == 0)
-        : connector.connecting() < waiting.size();
+  private boolean needsConnection(boolean commandSent) {
+    return commandSent
+        ? connector.pendingConnects() == 0
+            && connections.stream().noneMatch(connection -> connection.inFlightCount() == 0)
+        : connector.pendingConnects() < waitingCommands.size();
   }
 
-  private static void end(CacheCommand command, AttemptOutcome outcome) {
+  private static void endUnsent(CacheCommand command, AttemptOutcome outcome) {
     command.ended(outcome, ResponseDetail.NONE, null);
   }
 
@@ -134,7 +138,7 @@
   }
 
   private boolean isWithinShare() {
-    return connections.size() + connector.connecting() < bounds.maxConnections().getAsInt();
+    return connections.size() + connector.pendingConnects() < bounds.maxConnections().getAsInt();
   }
 
   /**
@@ -145,7 +149,7 @@
     CacheConnection best = null;
     for (CacheConnection candidate : connections) {
       if (candidate.isUsable()
-          && candidate.load() < bounds.maxCommandsPerConnection()
+          && candidate.inFlightCount() < bounds.maxCommandsPerConnection()
           && candidate.idleNanos(nowNanos) < bounds.idleTimeoutNanos()
           && command.mayUse(candidate)
           && (best == null || isLessLoaded(candidate, best, nowNanos))) {
@@ -155,13 +159,15 @@
     return best;
   }
 
-  private static boolean isLessLoaded(CacheConnection one, CacheConnection other, long nowNanos) {
-    return one.load() < other.load()
-        || (one.load() == other.load() && one.idleNanos(nowNanos) < other.idleNanos(nowNanos));
+  private static boolean isLessLoaded(
+      CacheConnection first, CacheConnection second, long nowNanos) {
+    return first.inFlightCount() < second.inFlightCount()
+        || (first.inFlightCount() == second.inFlightCount()
+            && first.idleNanos(nowNanos) < second.idleNanos(nowNanos));
   }
 
   /** Adds new connections to the pool and fails or retries the waiting commands. */
-  private final class Connects implements CacheConnector.Listener {
+  private final class ConnectListener implements CacheConnector.Listener {
     @Override
     public void connected(NetSocket socket) {
       connections.add(
@@ -193,33 +199,33 @@
 
   /** Tries again to send the waiting commands. */
   public void retryWaiting() {
-    List<CacheCommand> ready = new ArrayList<>(waiting);
-    waiting.clear();
-    ready.forEach(this::send);
+    List<CacheCommand> retriedCommands = new ArrayList<>(waitingCommands);
+    waitingCommands.clear();
+    retriedCommands.forEach(this::send);
   }
 
   /** Ends the waiting commands that match; no byte of them has been sent. */
-  public void fail(Predicate<CacheCommand> which, AttemptOutcome outcome) {
-    if (waiting.isEmpty()) {
+  public void fail(Predicate<CacheCommand> filter, AttemptOutcome outcome) {
+    if (waitingCommands.isEmpty()) {
       return;
     }
-    List<CacheCommand> failed = waiting.stream().filter(which).toList();
-    waiting.removeAll(failed);
-    failed.forEach(command -> end(command, outcome));
+    List<CacheCommand> failed = waitingCommands.stream().filter(filter).toList();
+    waitingCommands.removeAll(failed);
+    failed.forEach(command -> endUnsent(command, outcome));
   }
 
   /** Cancels a command, which is not notified of an outcome. */
   public void cancel(CacheCommand command) {
-    abandon(command, false);
+    cancelOrRemove(command, false);
   }
 
   /** Cancels a command whose reply did not arrive in time. */
   public void timeOut(CacheCommand command) {
-    abandon(command, true);
+    cancelOrRemove(command, true);
   }
 
-  private void abandon(CacheCommand command, boolean timedOut) {
-    if (!waiting.remove(command) && command.connection != null) {
+  private void cancelOrRemove(CacheCommand command, boolean timedOut) {
+    if (!waitingCommands.remove(command) && command.connection != null) {
       command.connection.cancel(command, timedOut, bounds.connectTimeoutNanos());
     }
   }
@@ -232,7 +238,7 @@
     long nowNanos = nowNanos();
     int max = bounds.maxConnections().getAsInt();
     for (CacheConnection connection : List.copyOf(connections)) {
-      if (connection.load() == 0
+      if (connection.inFlightCount() == 0
           && (!connection.isUsable()
               || connection.idleNanos(nowNanos) >= bounds.idleTimeoutNanos()
               || connections.size() > max)) {
@@ -243,13 +249,14 @@
 
   /** Returns whether no command is in flight or waiting. */
   public boolean isIdle() {
-    return waiting.isEmpty() && connections.stream().allMatch(connection -> connection.load() == 0);
+    return waitingCommands.isEmpty()
+        && connections.stream().allMatch(connection -> connection.inFlightCount() == 0);
   }
 
   /** Removes a closed connection. */
-  void closed(CacheConnection connection) {
+  void connectionClosed(CacheConnection connection) {
     if (connections.remove(connection)) {
-      budget.closed();
+      budget.connectionClosed();
     }
   }
 
@@ -271,7 +278,7 @@
     long nowNanos = nowNanos();
     CacheConnection longest = null;
     for (CacheConnection candidate : connections) {
-      if (candidate.load() == 0
+      if (candidate.inFlightCount() == 0
           && (longest == null || candidate.idleNanos(nowNanos) > longest.idleNanos(nowNanos))) {
         longest = candidate;
       }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -15,13 +15,13 @@
  * @param body the body; null if there is none, also if the client's copy is current
  */
 record CacheReply(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
-  private static final int ELEMENTS = 4;
-  private static final int REQUEST_ID = 0;
-  private static final int STATUS = 1;
-  private static final int FIELDS = 2;
-  private static final int BODY = 3;
-  private static final String WITH_BODY = "ok";
-  private static final String NOT_MODIFIED = "current";
+  private static final int ELEMENT_COUNT = 4;
+  private static final int REQUEST_ID_INDEX = 0;
+  private static final int STATUS_INDEX = 1;
+  private static final int FIELDS_INDEX = 2;
+  private static final int BODY_INDEX = 3;
+  private static final String OK_STATUS = "ok";
+  private static final String CURRENT_STATUS = "current";
   private static final String TAG_FIELD = "entity=";
   private static final String ISSUED_FIELD = "issued=";
   private static final String NOTE_FIELD = "res=";
@@ -31,11 +31,11 @@
    */
   private static final String NOTE_LETTERS = "hfojsrblnx";
 
-  private static final ResponseDetail[] NOTES = ResponseDetail.values();
+  private static final ResponseDetail[] DETAILS = ResponseDetail.values();
 
   /** Returns the request id of a reply, which has at least one element. */
   static String requestId(List<Buffer> elements) {
-    return text(elements.get(REQUEST_ID));
+    return decodeLatin1(elements.get(REQUEST_ID_INDEX));
   }
 
   /**
@@ -47,21 +47,21 @@
    */
   static CacheReply decode(List<Buffer> elements, CacheCommand command)
       throws InvalidReplyException {
-    if (elements.size() != ELEMENTS) {
+    if (elements.size() != ELEMENT_COUNT) {
       throw invalid();
     }
-    String status = text(elements.get(STATUS));
-    String fields = text(elements.get(FIELDS));
+    String status = decodeLatin1(elements.get(STATUS_INDEX));
+    String fields = decodeLatin1(elements.get(FIELDS_INDEX));
     AttemptOutcome outcome =
         switch (status) {
-          case WITH_BODY -> {
-            check(!command.expectsCopy() || isCopy(fields));
+          case OK_STATUS -> {
+            check(!command.expectsCopy() || hasCopyFields(fields));
             yield AttemptOutcome.SUCCEEDED;
           }
-          case NOT_MODIFIED -> {
+          case CURRENT_STATUS -> {
             // The cache has to name the copy that it confirms, so that no other is taken for
             // current.
-            check(isCopy(fields) && command.isKnownTag(field(fields, TAG_FIELD)));
+            check(hasCopyFields(fields) && command.isKnownTag(fieldValue(fields, TAG_FIELD)));
             yield AttemptOutcome.SUCCEEDED;
           }
           case "nothing" -> AttemptOutcome.NOT_CACHED;
@@ -71,7 +71,7 @@
           default -> throw invalid();
         };
     return new CacheReply(
-        outcome, note(fields), status.equals(WITH_BODY) ? elements.get(BODY) : null);
+        outcome, note(fields), status.equals(OK_STATUS) ? elements.get(BODY_INDEX) : null);
   }
 
   private static void check(boolean valid) throws InvalidReplyException {
@@ -85,17 +85,17 @@
   }
 
   /** Returns whether the fields have an entity tag and the origin's issue time in decimal. */
-  private static boolean isCopy(String fields) {
-    String issued = field(fields, ISSUED_FIELD);
-    return !field(fields, TAG_FIELD).isEmpty()
+  private static boolean hasCopyFields(String fields) {
+    String issued = fieldValue(fields, ISSUED_FIELD);
+    return !fieldValue(fields, TAG_FIELD).isEmpty()
         && !issued.isEmpty()
         && issued.chars().allMatch(digit -> digit >= '0' && digit <= '9');
   }
 
   private static ResponseDetail note(String fields) {
-    String letter = field(fields, NOTE_FIELD);
+    String letter = fieldValue(fields, NOTE_FIELD);
     int index = letter.length() == 1 ? NOTE_LETTERS.indexOf(letter) : -1;
-    return index < 0 ? ResponseDetail.NONE : NOTES[index + 1];
+    return index < 0 ? ResponseDetail.NONE : DETAILS[index + 1];
   }
 
   /**
@@ -103,7 +103,7 @@
    *
    * @param name the field name with its equals sign
    */
-  private static String field(String fields, String name) {
+  private static String fieldValue(String fields, String name) {
     int start = fields.startsWith(name) ? 0 : fields.indexOf("," + name) + 1;
     if (start == 0 && !fields.startsWith(name)) {
       return "";
@@ -112,7 +112,7 @@
     return fields.substring(start + name.length(), end < 0 ? fields.length() : end);
   }
 
-  private static String text(Buffer bytes) {
+  private static String decodeLatin1(Buffer bytes) {
     return bytes.toString(StandardCharsets.ISO_8859_1);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -24,10 +24,10 @@
   /** Any other failure; it is attributed to the endpoint. */
   OTHER(false);
 
-  private static final int MAX_CAUSES = 16;
+  private static final int MAX_CAUSE_DEPTH = 16;
 
   /** Messages of the system for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
-  private static final List<String> RESOURCE_TEXTS =
+  private static final List<String> LOCAL_RESOURCE_MESSAGES =
       List.of(
           "too many open files",
           "no buffer space available",
@@ -37,14 +37,14 @@
           "interrupted system call");
 
   /** Messages of the system for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
-  private static final List<String> NETWORK_TEXTS =
+  private static final List<String> LOCAL_NETWORK_MESSAGES =
       List.of(
           "cannot assign requested address",
           "address already in use",
           "network is unreachable",
           "network is down");
 
-  private static final List<String> UNREACHABLE_TEXTS =
+  private static final List<String> UNREACHABLE_MESSAGES =
       List.of("no route to host", "host is down", "host is unreachable");
 
   private final boolean local;
@@ -64,7 +64,7 @@
    */
   public static ConnectFailure of(Throwable failure) {
     Throwable cause = failure;
-    for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
+    for (int depth = 0; cause != null && depth < MAX_CAUSE_DEPTH; depth++) {
       ConnectFailure kind = classify(cause);
       if (kind != OTHER) {
         return kind;
@@ -75,20 +75,21 @@
   }
 
   private static ConnectFailure classify(Throwable cause) {
-    String text = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
-    if (cause instanceof OutOfMemoryError || containsAny(text, RESOURCE_TEXTS)) {
+    String message = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
+    if (cause instanceof OutOfMemoryError || containsAny(message, LOCAL_RESOURCE_MESSAGES)) {
       return LOCAL_RESOURCE;
-    } else if (cause instanceof BindException || containsAny(text, NETWORK_TEXTS)) {
+    } else if (cause instanceof BindException || containsAny(message, LOCAL_NETWORK_MESSAGES)) {
       return LOCAL_NETWORK;
-    } else if (cause instanceof NoRouteToHostException || containsAny(text, UNREACHABLE_TEXTS)) {
+    } else if (cause instanceof NoRouteToHostException
+        || containsAny(message, UNREACHABLE_MESSAGES)) {
       return UNREACHABLE;
-    } else if (cause instanceof SocketTimeoutException || text.contains("timed out")) {
+    } else if (cause instanceof SocketTimeoutException || message.contains("timed out")) {
       return TIMED_OUT;
     }
-    return text.contains("connection refused") ? REFUSED : OTHER;
+    return message.contains("connection refused") ? REFUSED : OTHER;
   }
 
-  private static boolean containsAny(String text, List<String> fragments) {
-    return fragments.stream().anyMatch(text::contains);
+  private static boolean containsAny(String message, List<String> fragments) {
+    return fragments.stream().anyMatch(message::contains);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectionBudget.java
@@ -6,40 +6,40 @@
  * connect.
  */
 public final class ConnectionBudget {
-  private final int max;
-  private final Runnable reclaim;
-  private int open;
+  private final int maxConnections;
+  private final Runnable closeIdleConnection;
+  private int openConnections;
 
   /**
    * Creates a budget of which nothing is used.
    *
-   * @param max maximum number of connections of all pools together
-   * @param reclaim closes an idle connection of any pool, if there is one
+   * @param maxConnections maximum number of connections of all pools together
+   * @param closeIdleConnection closes an idle connection of any pool, if there is one
    */
-  public ConnectionBudget(int max, Runnable reclaim) {
-    this.max = max;
-    this.reclaim = reclaim;
+  public ConnectionBudget(int maxConnections, Runnable closeIdleConnection) {
+    this.maxConnections = maxConnections;
+    this.closeIdleConnection = closeIdleConnection;
   }
 
   /** Returns whether one more connection may be opened. */
   boolean hasCapacity() {
-    return open < max;
+    return openConnections < maxConnections;
   }
 
   /** Closes an idle connection of any pool if no further one may be opened. */
-  void reclaimIfFull() {
+  void closeIdleIfFull() {
     if (!hasCapacity()) {
-      reclaim.run();
+      closeIdleConnection.run();
     }
   }
 
   /** Counts a connection that is being opened. */
-  void opened() {
-    open++;
+  void connectionOpened() {
+    openConnections++;
   }
 
   /** Counts down a connection that was closed or could not be established. */
-  void closed() {
-    open--;
+  void connectionClosed() {
+    openConnections--;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -9,7 +9,7 @@
 /** Parses a stream of RESP arrays of bulk strings. Confined to one event loop. */
 public final class ReplyReader implements Handler<Buffer> {
   private static final int MAX_ELEMENTS = 16;
-  private static final int USUAL_ELEMENTS = 4;
+  private static final int EXPECTED_ELEMENTS = 4;
   private static final int MAX_HEADER_BYTES = 32;
 
   /** Headers of this length or more are invalid: a type character and the digits are shorter. */
@@ -19,7 +19,7 @@
   private static final int LINE_END_BYTES = 2;
   private static final char ARRAY_TYPE = '*';
   private static final char BULK_TYPE = '$';
-  private static final int RADIX = 10;
+  private static final int DECIMAL_RADIX = 10;
 
   /** The kind of record that is expected next. */
   private enum State {
@@ -42,8 +42,8 @@
   private final Sink sink;
   private final int maxStringBytes;
   private final RecordParser parser = RecordParser.newDelimited(LINE_END);
-  private List<Buffer> elements = new ArrayList<>(USUAL_ELEMENTS);
-  private int missingElements;
+  private List<Buffer> elements = new ArrayList<>(EXPECTED_ELEMENTS);
+  private int remainingElements;
   private State state = State.ARRAY_HEADER;
 
   /** Number of received bytes that do not form a complete header line or bulk string yet. */
@@ -58,13 +58,13 @@
     this.maxStringBytes = maxStringBytes;
     this.sink = sink;
     parser.maxRecordSize(MAX_HEADER_BYTES);
-    parser.handler(this::record);
+    parser.handler(this::handleRecord);
     parser.exceptionHandler(e -> fail(e.getMessage()));
   }
 
   /** Returns whether the last reply has been received only in part. */
   boolean hasPartialReply() {
-    return missingElements > 0 || pendingBytes > 0;
+    return remainingElements > 0 || pendingBytes > 0;
   }
 
   /** Parses received bytes and passes each reply that is now complete to the sink. */
@@ -76,12 +76,12 @@
     }
   }
 
-  private void record(Buffer record) {
+  private void handleRecord(Buffer record) {
     try {
       switch (state) {
-        case ARRAY_HEADER -> arrayHeader(record);
-        case BULK_HEADER -> bulkHeader(record);
-        case BULK_STRING -> bulkString(record);
+        case ARRAY_HEADER -> readArrayHeader(record);
+        case BULK_HEADER -> readBulkHeader(record);
+        case BULK_STRING -> readBulkString(record);
         default -> {}
       }
     } catch (InvalidReplyException e) {
@@ -89,24 +89,24 @@
     }
   }
 
-  private void arrayHeader(Buffer line) throws InvalidReplyException {
+  private void readArrayHeader(Buffer line) throws InvalidReplyException {
     pendingBytes -= line.length() + LINE_END_BYTES;
-    missingElements = length(line, ARRAY_TYPE, MAX_ELEMENTS);
-    if (missingElements == 0) {
+    remainingElements = parseLength(line, ARRAY_TYPE, MAX_ELEMENTS);
+    if (remainingElements == 0) {
       throw new InvalidReplyException("an empty array");
     }
     state = State.BULK_HEADER;
   }
 
-  private void bulkHeader(Buffer line) throws InvalidReplyException {
+  private void readBulkHeader(Buffer line) throws InvalidReplyException {
     pendingBytes -= line.length() + LINE_END_BYTES;
-    int length = length(line, BULK_TYPE, maxStringBytes);
+    int length = parseLength(line, BULK_TYPE, maxStringBytes);
     state = State.BULK_STRING;
     parser.maxRecordSize(length + LINE_END_BYTES + MAX_HEADER_BYTES);
     parser.fixedSizeMode(length + LINE_END_BYTES);
   }
 
-  private void bulkString(Buffer record) throws InvalidReplyException {
+  private void readBulkString(Buffer record) throws InvalidReplyException {
     pendingBytes -= record.length();
     int length = record.length() - LINE_END_BYTES;
     if (record.getByte(length) != '\r' || record.getByte(length + 1) != '\n') {
@@ -115,25 +115,25 @@
     parser.delimitedMode(LINE_END);
     parser.maxRecordSize(MAX_HEADER_BYTES); // Bounds a header line without end.
     elements.add(record.slice(0, length));
-    missingElements--;
-    if (missingElements > 0) {
+    remainingElements--;
+    if (remainingElements > 0) {
       state = State.BULK_HEADER;
       return;
     }
     state = State.ARRAY_HEADER;
     List<Buffer> complete = elements;
-    elements = new ArrayList<>(USUAL_ELEMENTS);
+    elements = new ArrayList<>(EXPECTED_ELEMENTS);
     sink.onReply(complete);
   }
 
-  private static int length(Buffer line, char type, int max) throws InvalidReplyException {
+  private static int parseLength(Buffer line, char type, int max) throws InvalidReplyException {
     boolean valid =
         line.length() > 1 && line.length() < HEADER_LENGTH_LIMIT && line.getByte(0) == type;
     int length = 0;
-    for (int at = 1; valid && at < line.length(); at++) {
-      int digit = line.getByte(at) - '0';
-      length = RADIX * length + digit;
-      valid = digit >= 0 && digit < RADIX && length <= max;
+    for (int index = 1; valid && index < line.length(); index++) {
+      int digit = line.getByte(index) - '0';
+      length = DECIMAL_RADIX * length + digit;
+      valid = digit >= 0 && digit < DECIMAL_RADIX && length <= max;
     }
     if (!valid) {
       throw new InvalidReplyException("not '" + type + "' and a length up to " + max);
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyWarmUp.java
@@ -22,8 +22,8 @@
 
   /** Encodes this number of commands and parses as many replies; returns how many were parsed. */
   public static int play(int commands) {
-    ReplyWarmUp sink = new ReplyWarmUp();
-    ReplyReader reader = new ReplyReader(FIELDS.length(), sink);
+    ReplyWarmUp warmUp = new ReplyWarmUp();
+    ReplyReader reader = new ReplyReader(FIELDS.length(), warmUp);
     for (int number = 0; number < commands; number++) {
       CacheCommand command = newCommand(number);
       command.encode(number);
@@ -37,7 +37,7 @@
                   + FIELDS
                   + "\r\n$0\r\n\r\n"));
     }
-    return sink.parsed;
+    return warmUp.parsed;
   }
 
   private static CacheCommand newCommand(long deadlineNanos) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -36,7 +36,7 @@
   private final ClientHandler handler;
   private final LongSupplier clock;
   private final MessageReader reader = new MessageReader(MAX_MESSAGE_BYTES, this);
-  private final RequestSession requests;
+  private final RequestSession session;
   private final WriteBufferAccounting accounting;
   private ClientConnectionState state = ClientConnectionState.OPEN;
 
@@ -44,14 +44,14 @@
    * Whether the bytes of one read are being decoded. A protocol error during that time closes the
    * connection only after all messages of the read have been handled.
    */
-  private boolean decoding;
+  private boolean decodingRead;
 
-  private boolean responded;
+  private boolean responseSent;
   private long lastActivityNanos;
   private long lastWriteNanos;
 
   /** Response bytes not yet written to the socket; maintained by {@link WriteBufferAccounting}. */
-  long unreadBytes;
+  long unwrittenBytes;
 
   /**
    * Installs the handlers of an accepted socket and starts to decode what the client sends.
@@ -69,24 +69,24 @@
     this.accounting = accounting;
     this.clock = clock;
     this.handler = handler;
-    requests = new RequestSession(this, handler);
+    session = new RequestSession(this, handler);
     lastActivityNanos = clock.getAsLong();
     socket.handler(
         bytes -> {
           if (state.sendsResponses()) {
-            read(bytes);
+            onRead(bytes);
           }
         });
     socket.exceptionHandler(e -> {}); // A close event always follows.
-    socket.closeHandler(v -> enter(ClientConnectionState.CLOSED));
+    socket.closeHandler(v -> transitionTo(ClientConnectionState.CLOSED));
   }
 
-  private void read(Buffer bytes) {
+  private void onRead(Buffer bytes) {
     boolean startsMessage = !reader.hasPartialMessage();
-    decoding = true;
+    decodingRead = true;
     reader.handle(bytes);
-    decoding = false;
-    if (requests.hasReceivedMessage() && (startsMessage || !reader.hasPartialMessage())) {
+    decodingRead = false;
+    if (session.hasReceivedMessage() && (startsMessage || !reader.hasPartialMessage())) {
       lastActivityNanos = clock.getAsLong();
     }
     if (state == ClientConnectionState.FAILING) {
@@ -105,7 +105,7 @@
    * partially received one.
    */
   public boolean isAwaitingMessage() {
-    return !requests.hasReceivedMessage() || reader.hasPartialMessage();
+    return !session.hasReceivedMessage() || reader.hasPartialMessage();
   }
 
   /** Returns what the client has sent so far, which decides how early it is evicted. */
@@ -113,12 +113,12 @@
     if (isAwaitingMessage()) {
       return ClientActivity.AWAITING_MESSAGE;
     }
-    return requests.hasReceivedRequest() ? ClientActivity.REQUESTS : ClientActivity.NO_REQUEST;
+    return session.hasReceivedRequest() ? ClientActivity.REQUESTS : ClientActivity.NO_REQUEST;
   }
 
   /** Returns whether no request is in flight. */
   public boolean isIdle() {
-    return requests.isIdle();
+    return session.isIdle();
   }
 
   /**
@@ -132,7 +132,7 @@
   @Override
   public boolean onMessage(byte[] bytes, int start, int end) {
     try {
-      requests.handle(bytes, start, end);
+      session.handle(bytes, start, end);
     } catch (IOException | RuntimeException e) {
       onProtocolError(ProtocolException.reasonOf(e));
     }
@@ -143,7 +143,7 @@
    * Rejects each further request as overloaded, except one that has already been received in part.
    */
   public void rejectNewRequests() {
-    requests.rejectNewRequests(reader.hasPartialMessage());
+    session.rejectNewRequests(reader.hasPartialMessage());
   }
 
   /**
@@ -151,7 +151,7 @@
    * is not trusted: requests on this connection, in flight or new, get only errors.
    */
   public void rejectInvalidRequest(long messageId, String reason) {
-    requests.rejectInvalidRequest(messageId, reason);
+    session.rejectInvalidRequest(messageId, reason);
   }
 
   /**
@@ -161,11 +161,11 @@
   @Override
   public void onProtocolError(String reason) {
     if (state == ClientConnectionState.OPEN) {
-      requests.markViolated();
-      enter(ClientConnectionState.FAILING);
+      session.markViolated();
+      transitionTo(ClientConnectionState.FAILING);
       stopReading();
       handler.protocolViolated(this, reason);
-      if (!decoding) {
+      if (!decodingRead) {
         closeOrFlush();
       }
     }
@@ -181,14 +181,14 @@
 
   /** Answers a status request with whether the gateway is ready. */
   void sendStatus(long messageId, boolean ready) {
-    if (requests.finish(messageId)) {
+    if (session.removeInFlight(messageId)) {
       send(ResponseEncoder.status(messageId, ready));
     }
   }
 
   /** Answers a request in flight with the body of a part; does nothing for any other message id. */
   public void sendBody(long messageId, Buffer body) {
-    if (requests.finish(messageId)) {
+    if (session.removeInFlight(messageId)) {
       send(ResponseEncoder.body(messageId, body));
     }
   }
@@ -198,7 +198,7 @@
    * Does nothing for any other message id.
    */
   public void sendNotModified(long messageId) {
-    if (requests.finish(messageId)) {
+    if (session.removeInFlight(messageId)) {
       send(ResponseEncoder.notModified(messageId));
     }
   }
@@ -210,20 +210,20 @@
    * @param retryAfterNanos delay before the client should retry, in nanoseconds; 0 for none
    */
   public void sendOverloaded(long messageId, long retryAfterNanos) {
-    if (requests.finish(messageId)) {
+    if (session.removeInFlight(messageId)) {
       send(ResponseEncoder.overloaded(messageId, retryAfterNanos));
     }
   }
 
   /** Answers a request in flight with an error; does nothing for any other message id. */
   public void sendError(long messageId, String reason) {
-    if (requests.finish(messageId)) {
+    if (session.removeInFlight(messageId)) {
       send(ResponseEncoder.internalError(messageId, reason));
     }
   }
 
   private void send(Buffer response) {
-    if (requests.hasReceivedMessage() && !reader.hasPartialMessage()) {
+    if (session.hasReceivedMessage() && !reader.hasPartialMessage()) {
       lastActivityNanos = clock.getAsLong();
     }
     if (!state.sendsResponses()) {
@@ -231,14 +231,14 @@
     }
     accounting.add(this, response.length()); // Before the write, which may complete synchronously.
     if (state.sendsResponses()) {
-      responded = true;
-      socket.write(response).onComplete(done -> written(response.length()));
+      responseSent = true;
+      socket.write(response).onComplete(done -> onWritten(response.length()));
     } else {
-      written(response.length());
+      onWritten(response.length());
     }
   }
 
-  private void written(long bytes) {
+  private void onWritten(long bytes) {
     accounting.remove(this, bytes);
     lastWriteNanos = clock.getAsLong();
     halfCloseWhenFlushed();
@@ -246,7 +246,7 @@
 
   /** Returns whether all responses have been written to the socket. */
   public boolean isFlushed() {
-    return unreadBytes == 0;
+    return unwrittenBytes == 0;
   }
 
   /**
@@ -254,7 +254,7 @@
    * been sent none, so that an immediate close loses no response.
    */
   public boolean hasLingered() {
-    return isFlushed() && (!responded || clock.getAsLong() - lastWriteNanos > LINGER_NANOS);
+    return isFlushed() && (!responseSent || clock.getAsLong() - lastWriteNanos > LINGER_NANOS);
   }
 
   /** Closes immediately if no response can still be in transit, otherwise after flushing. */
@@ -277,10 +277,10 @@
   public void closeAfterFlush() {
     if (state.sendsResponses()) {
       stopReading();
-      enter(ClientConnectionState.FLUSHING);
+      transitionTo(ClientConnectionState.FLUSHING);
       halfCloseWhenFlushed();
       if (state == ClientConnectionState.FLUSHING) {
-        closeAfter(FLUSH_TIMEOUT_MILLIS);
+        scheduleClose(FLUSH_TIMEOUT_MILLIS);
       }
     }
   }
@@ -297,13 +297,13 @@
 
   private void halfCloseWhenFlushed() {
     if (state == ClientConnectionState.FLUSHING && isFlushed()) {
-      enter(ClientConnectionState.HALF_CLOSED);
+      transitionTo(ClientConnectionState.HALF_CLOSED);
       Channels.shutdownOutput((DuplexChannel) context().channel());
-      closeAfter(LINGER_MILLIS);
+      scheduleClose(LINGER_MILLIS);
     }
   }
 
-  private void closeAfter(long millis) {
+  private void scheduleClose(long millis) {
     Channels.schedule(context().executor(), this::close, millis);
   }
 
@@ -315,17 +315,17 @@
   public void close() {
     // NetSocket.close would first wait for pending writes, forever if the client does not read.
     Channels.close(context());
-    enter(ClientConnectionState.CLOSED);
+    transitionTo(ClientConnectionState.CLOSED);
   }
 
-  private void enter(ClientConnectionState next) {
+  private void transitionTo(ClientConnectionState next) {
     ClientConnectionState previous = state;
     if (next.compareTo(previous) <= 0) {
       return;
     }
     state = next;
     if (previous.sendsResponses() && !next.sendsResponses()) {
-      requests.dropAll();
+      session.dropAll();
       handler.connectionEnded(this);
     }
     if (next == ClientConnectionState.CLOSED) {
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -18,7 +18,7 @@
     /** Each newly received request is rejected as overloaded. */
     REJECTING,
     /** All connections are half-closed, new ones as soon as they are added. */
-    ENDED
+    HALF_CLOSED
   }
 
   /**
@@ -28,7 +28,7 @@
   private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
 
   /** Delay before an eviction, in which the event loop reads from the connection once more. */
-  private static final long LAST_READ_MILLIS = 2;
+  private static final long EVICTION_DELAY_MILLIS = 2;
 
   /**
    * Connections allowed in addition to the bound, for those that are about to be evicted and those
@@ -39,16 +39,16 @@
   private final Vertx vertx;
   private final int maxConnections;
   private final LongSupplier clock;
-  private final Set<ClientConnection> open = new LinkedHashSet<>();
+  private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
 
   /**
-   * Open connections that are evicted {@link #LAST_READ_MILLIS} after their selection at the
+   * Open connections that are evicted {@link #EVICTION_DELAY_MILLIS} after their selection at the
    * latest, unless a request is in flight on them by then.
    */
-  private final Set<ClientConnection> evicting = new LinkedHashSet<>();
+  private final Set<ClientConnection> evictingConnections = new LinkedHashSet<>();
 
   /** Connections that read nothing more but still hold a descriptor, in the order of their end. */
-  private final Set<ClientConnection> closing = new LinkedHashSet<>();
+  private final Set<ClientConnection> closingConnections = new LinkedHashSet<>();
 
   private Mode mode = Mode.SERVING;
 
@@ -70,32 +70,32 @@
    * connections hold a descriptor; one more does while this method runs.
    */
   public void add(ClientConnection added) {
-    open.add(added);
+    openConnections.add(added);
     if (mode != Mode.SERVING) {
       added.rejectNewRequests();
     }
-    if (mode == Mode.ENDED) {
+    if (mode == Mode.HALF_CLOSED) {
       added.closeAfterFlush();
-      if (isOverSpare()) {
+      if (exceedsSpareConnections()) {
         added.close(); // Nothing has been read from it, so no response is pending.
       }
       return;
     }
-    if (open.size() - evicting.size() > maxConnections) {
-      startEvicting(leastUseful(added));
+    if (openConnections.size() - evictingConnections.size() > maxConnections) {
+      startEvicting(findLeastUseful(added));
     }
-    while (isOverSpare()) {
-      if (!closing.isEmpty()) {
-        closing.iterator().next().close();
-      } else if (!evicting.isEmpty()) {
-        evict(evicting.iterator().next());
+    while (exceedsSpareConnections()) {
+      if (!closingConnections.isEmpty()) {
+        closingConnections.iterator().next().close();
+      } else if (!evictingConnections.isEmpty()) {
+        evict(evictingConnections.iterator().next());
       } else {
         added.close();
       }
     }
   }
 
-  private boolean isOverSpare() {
+  private boolean exceedsSpareConnections() {
     return size() > maxConnections + SPARE_CONNECTIONS;
   }
 
@@ -103,12 +103,12 @@
    * Selects the connection to evict: the idle one of the lowest activity, and among those the one
    * without activity for longest; the added connection if all others have requests in flight.
    */
-  private ClientConnection leastUseful(ClientConnection added) {
+  private ClientConnection findLeastUseful(ClientConnection added) {
     ClientConnection least = null;
-    for (ClientConnection candidate : open) {
+    for (ClientConnection candidate : openConnections) {
       // A connection with requests in flight is kept even if a partial message follows them.
       if (candidate != added
-          && !evicting.contains(candidate)
+          && !evictingConnections.contains(candidate)
           && candidate.isIdle()
           && (least == null || isLessUseful(candidate, least))) {
         least = candidate;
@@ -117,10 +117,10 @@
     return least == null ? added : least;
   }
 
-  private static boolean isLessUseful(ClientConnection one, ClientConnection other) {
-    return one.activity().compareTo(other.activity()) < 0
-        || (one.activity() == other.activity()
-            && one.lastActivityNanos() < other.lastActivityNanos());
+  private static boolean isLessUseful(ClientConnection first, ClientConnection second) {
+    return first.activity().compareTo(second.activity()) < 0
+        || (first.activity() == second.activity()
+            && first.lastActivityNanos() < second.lastActivityNanos());
   }
 
   /**
@@ -133,18 +133,18 @@
       connection.closeOrFlush();
       return;
     }
-    evicting.add(connection);
+    evictingConnections.add(connection);
     vertx.setTimer(
-        LAST_READ_MILLIS,
+        EVICTION_DELAY_MILLIS,
         timer -> {
-          if (evicting.contains(connection)) {
+          if (evictingConnections.contains(connection)) {
             evict(connection);
           }
         });
   }
 
   private void evict(ClientConnection connection) {
-    evicting.remove(connection);
+    evictingConnections.remove(connection);
     if (connection.isIdle()) {
       connection.closeOrFlush();
     }
@@ -155,22 +155,22 @@
    * #released} is called.
    */
   public void remove(ClientConnection connection) {
-    evicting.remove(connection);
-    if (open.remove(connection)) {
-      closing.add(connection);
+    evictingConnections.remove(connection);
+    if (openConnections.remove(connection)) {
+      closingConnections.add(connection);
     }
   }
 
   /** Records that the descriptor of a removed connection is closed. */
   public void released(ClientConnection connection) {
-    closing.remove(connection);
+    closingConnections.remove(connection);
   }
 
   /** Rejects each further request, on new connections too, because the gateway is shutting down. */
   public void reject() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
-      open.forEach(ClientConnection::rejectNewRequests);
+      openConnections.forEach(ClientConnection::rejectNewRequests);
     }
   }
 
@@ -179,28 +179,28 @@
    * request is in flight on any of them.
    */
   public void end() {
-    mode = Mode.ENDED;
-    List.copyOf(open).forEach(ClientConnection::closeAfterFlush);
+    mode = Mode.HALF_CLOSED;
+    List.copyOf(openConnections).forEach(ClientConnection::closeAfterFlush);
   }
 
   /** Returns whether {@link #end} has been called. */
   public boolean isEnded() {
-    return mode == Mode.ENDED;
+    return mode == Mode.HALF_CLOSED;
   }
 
   /** Returns whether all responses to connections that are closing have been written. */
   public boolean allWritten() {
-    return closing.stream().allMatch(ClientConnection::isFlushed);
+    return closingConnections.stream().allMatch(ClientConnection::isFlushed);
   }
 
   /** Returns whether any open connection has received a message only in part. */
   public boolean hasPartialMessage() {
-    return open.stream().anyMatch(ClientConnection::hasPartialMessage);
+    return openConnections.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
   /** Returns the number of descriptors that client connections hold. */
   public int size() {
-    return open.size() + closing.size();
+    return openConnections.size() + closingConnections.size();
   }
 
   /**
@@ -209,7 +209,7 @@
    */
   public void sweep() {
     long nowNanos = clock.getAsLong();
-    for (ClientConnection connection : List.copyOf(open)) {
+    for (ClientConnection connection : List.copyOf(openConnections)) {
       if (connection.isAwaitingMessage()
           && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
         connection.onProtocolError("no whole message in time");
--- a/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
@@ -39,8 +39,8 @@
   private final int maxMessageBytes;
   private final Sink sink;
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-  private int size;
-  private boolean ended;
+  private int bufferedBytes;
+  private boolean stopped;
 
   /**
    * Creates a reader of one stream.
@@ -54,13 +54,13 @@
 
   /** Returns whether the last value has been received only in part. */
   boolean hasPartialMessage() {
-    return size > 0;
+    return bufferedBytes > 0;
   }
 
   /** Appends received bytes and passes each value that is now complete to the sink. */
   @Override
   public void handle(Buffer received) {
-    if (ended) {
+    if (stopped) {
       return;
     }
     append(received);
@@ -68,13 +68,13 @@
     try {
       for (int end = endOfValue(start); end > start; end = endOfValue(start)) {
         if (!sink.onMessage(buffer, start, end)) {
-          end();
+          stop();
           return;
         }
         start = end;
       }
     } catch (IOException | RuntimeException e) {
-      end();
+      stop();
       sink.onProtocolError(ProtocolException.reasonOf(e));
       return;
     }
@@ -82,50 +82,52 @@
   }
 
   private void append(Buffer received) {
-    int needed = size + received.length();
-    if (buffer.length < needed) {
-      buffer = Arrays.copyOf(buffer, Math.max(needed, Math.min(2 * size, maxMessageBytes)));
+    int neededBytes = bufferedBytes + received.length();
+    if (buffer.length < neededBytes) {
+      buffer =
+          Arrays.copyOf(
+              buffer, Math.max(neededBytes, Math.min(2 * bufferedBytes, maxMessageBytes)));
     }
-    received.getBytes(0, received.length(), buffer, size);
-    size = needed;
+    received.getBytes(0, received.length(), buffer, bufferedBytes);
+    bufferedBytes = neededBytes;
   }
 
-  private void discard(int consumed) {
-    size -= consumed;
-    byte[] from = buffer;
-    if (size <= MAX_RETAINED_BUFFER_BYTES && buffer.length > MAX_RETAINED_BUFFER_BYTES) {
-      buffer = new byte[Math.max(size, INITIAL_BUFFER_BYTES)];
+  private void discard(int consumedBytes) {
+    bufferedBytes -= consumedBytes;
+    byte[] oldBuffer = buffer;
+    if (bufferedBytes <= MAX_RETAINED_BUFFER_BYTES && buffer.length > MAX_RETAINED_BUFFER_BYTES) {
+      buffer = new byte[Math.max(bufferedBytes, INITIAL_BUFFER_BYTES)];
     }
-    System.arraycopy(from, consumed, buffer, 0, size);
+    System.arraycopy(oldBuffer, consumedBytes, buffer, 0, bufferedBytes);
   }
 
-  private void end() {
-    ended = true;
-    size = 0;
+  private void stop() {
+    stopped = true;
+    bufferedBytes = 0;
     buffer = null;
   }
 
   /** Returns the offset after the value at {@code start}, or {@code start} if it is incomplete. */
   private int endOfValue(int start) throws IOException {
-    MessageUnpacker in = MessagePack.newDefaultUnpacker(buffer, start, size - start);
-    long remaining = 1;
+    MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(buffer, start, bufferedBytes - start);
+    long remainingValues = 1;
     try {
       // The bound on values guards against deep nesting, and against messages of many values that
       // are received byte by byte and parsed again after each read.
-      for (int values = 0; remaining > 0; values++, remaining--) {
-        if (values == MAX_VALUES) {
+      for (int valueCount = 0; remainingValues > 0; valueCount++, remainingValues--) {
+        if (valueCount == MAX_VALUES) {
           throw tooManyValues();
         }
-        switch (in.getNextFormat().getValueType()) {
-          case ARRAY -> remaining += checkedCount(in.unpackArrayHeader());
-          case MAP -> remaining += 2L * checkedCount(in.unpackMapHeader());
-          case STRING -> skip(in, in.unpackRawStringHeader());
-          case BINARY -> skip(in, in.unpackBinaryHeader());
-          case EXTENSION -> skip(in, in.unpackExtensionTypeHeader().getLength());
-          default -> in.skipValue();
+        switch (unpacker.getNextFormat().getValueType()) {
+          case ARRAY -> remainingValues += checkedCount(unpacker.unpackArrayHeader());
+          case MAP -> remainingValues += 2L * checkedCount(unpacker.unpackMapHeader());
+          case STRING -> skip(unpacker, unpacker.unpackRawStringHeader());
+          case BINARY -> skip(unpacker, unpacker.unpackBinaryHeader());
+          case EXTENSION -> skip(unpacker, unpacker.unpackExtensionTypeHeader().getLength());
+          default -> unpacker.skipValue();
         }
       }
-      return start + (int) in.getTotalReadBytes();
+      return start + (int) unpacker.getTotalReadBytes();
     } catch (MessageInsufficientBufferException e) {
       return start;
     }
@@ -135,11 +137,11 @@
    * Skips a payload. Rejects a length above the maximum as soon as its header is read, so that the
    * oversized payload is never buffered.
    */
-  private void skip(MessageUnpacker in, int length) throws IOException {
-    if (length < 0 || length + in.getTotalReadBytes() > maxMessageBytes) {
+  private void skip(MessageUnpacker unpacker, int length) throws IOException {
+    if (length < 0 || length + unpacker.getTotalReadBytes() > maxMessageBytes) {
       throw new ProtocolException("message longer than " + maxMessageBytes + " bytes");
     }
-    in.readPayloadAsReference(length);
+    unpacker.readPayloadAsReference(length);
   }
 
   private static int checkedCount(int declared) throws ProtocolException {
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
@@ -28,17 +28,17 @@
   private static final int MAX_METHOD_BYTES = 64;
   private static final int MAX_PARAMETERS = 2;
 
-  private final MessageUnpacker in;
+  private final MessageUnpacker unpacker;
 
   /** Creates a decoder of the message from start to end of a shared array, without copying it. */
   RequestDecoder(byte[] bytes, int start, int end) {
-    in = MessagePack.newDefaultUnpacker(bytes, start, end - start);
+    unpacker = MessagePack.newDefaultUnpacker(bytes, start, end - start);
   }
 
   /** Reads the kind of the message; all but requests and notifications are protocol errors. */
   Kind readKind() throws IOException {
-    int size = in.unpackArrayHeader();
-    int type = in.unpackInt();
+    int size = unpacker.unpackArrayHeader();
+    int type = unpacker.unpackInt();
     if (type == REQUEST_TYPE && size == REQUEST_ELEMENTS) {
       return Kind.REQUEST;
     }
@@ -50,43 +50,47 @@
 
   /** Reads the message id of a request, which may be out of range. */
   long readMessageId() throws IOException {
-    return in.unpackLong();
+    return unpacker.unpackLong();
   }
 
   /** Reads the method of a request. */
   String readMethod() throws IOException, InvalidRequestException {
     int length =
-        in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
+        unpacker.getNextFormat().getValueType() == ValueType.STRING
+            ? unpacker.unpackRawStringHeader()
+            : -1;
     if (length < 0 || length > MAX_METHOD_BYTES) {
       throw new InvalidRequestException(
           "method: not a string of up to " + MAX_METHOD_BYTES + " bytes");
     }
-    return new String(in.readPayload(length), StandardCharsets.UTF_8);
+    return new String(unpacker.readPayload(length), StandardCharsets.UTF_8);
   }
 
   /** Reads the parameters of a request: a map of fields and, optionally, a body. */
   DecodedRequest readRequest(String method) throws IOException, InvalidRequestException {
     int parameters =
-        in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
+        unpacker.getNextFormat().getValueType() == ValueType.ARRAY
+            ? unpacker.unpackArrayHeader()
+            : 0;
     if (parameters < 1 || parameters > MAX_PARAMETERS) {
       throw new InvalidRequestException("not fields and a body");
     }
-    return RequestFields.read(method, in, parameters > 1);
+    return RequestFields.read(method, unpacker, parameters > 1);
   }
 
   /** Reads the message id that a notification cancels; empty if it is no cancellation. */
   OptionalLong readCancelledId() throws IOException {
-    String method = in.unpackString();
+    String method = unpacker.unpackString();
     if (method.equals(CANCEL_METHOD)
-        && in.unpackArrayHeader() > 0
-        && in.getNextFormat().getValueType() == ValueType.INTEGER) {
-      return OptionalLong.of(in.unpackLong());
+        && unpacker.unpackArrayHeader() > 0
+        && unpacker.getNextFormat().getValueType() == ValueType.INTEGER) {
+      return OptionalLong.of(unpacker.unpackLong());
     }
     return OptionalLong.empty();
   }
 
   @Override
   public void close() throws IOException {
-    in.close();
+    unpacker.close();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -54,85 +54,87 @@
   /**
    * Reads a map of fields and, if there is one, the body that follows it.
    *
-   * @param withBody whether a body follows the map
+   * @param hasBody whether a body follows the map
    * @throws InvalidRequestException if a field is missing, malformed or out of bounds
    * @throws IOException if the bytes are not valid MessagePack
    */
-  static DecodedRequest read(String trafficClass, MessageUnpacker in, boolean withBody)
+  static DecodedRequest read(String trafficClass, MessageUnpacker unpacker, boolean hasBody)
       throws IOException, InvalidRequestException {
     RequestFields fields = new RequestFields();
-    fields.readMap(in);
-    ByteString body = withBody ? readBody(in) : ByteString.EMPTY;
-    ByteString objectName = fields.hex(OBJECT_KEY);
-    ByteString partName = ByteString.of(fields.required(PART_KEY));
+    fields.readMap(unpacker);
+    ByteString body = hasBody ? readBody(unpacker) : ByteString.EMPTY;
+    ByteString objectName = fields.hexField(OBJECT_KEY);
+    ByteString partName = ByteString.of(fields.requiredField(PART_KEY));
     ByteString knownTag =
-        fields.values.containsKey(KNOWN_TAG_KEY) ? fields.hex(KNOWN_TAG_KEY) : ByteString.EMPTY;
-    double timeoutMillis = fields.decimal(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
+        fields.values.containsKey(KNOWN_TAG_KEY)
+            ? fields.hexField(KNOWN_TAG_KEY)
+            : ByteString.EMPTY;
+    double timeoutMillis = fields.decimalField(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
     if (timeoutMillis < 1) {
       throw new InvalidRequestException("allow: not a time to wait");
     }
     return new DecodedRequest(
         trafficClass,
-        fields.hex(REQUEST_ID_KEY),
+        fields.hexField(REQUEST_ID_KEY),
         objectName,
         partName,
         knownTag,
         fields.idempotencyKey(),
         body,
         Long.parseUnsignedLong(objectName.toString(), HEX_RADIX),
-        (int) fields.integer(PART_KEY, REQUIRED, MAX_PARTS),
-        (int) fields.integer(PURGE_GROUP_KEY, 0, MAX_PURGE_GROUP),
+        (int) fields.integerField(PART_KEY, REQUIRED, MAX_PARTS),
+        (int) fields.integerField(PURGE_GROUP_KEY, 0, MAX_PURGE_GROUP),
         (long) (timeoutMillis * NANOS_PER_MILLI),
-        fields.decimal(SIZE_KEY, 0, MAX_SIZE_KB));
+        fields.decimalField(SIZE_KEY, 0, MAX_SIZE_KB));
   }
 
-  private void readMap(MessageUnpacker in) throws IOException, InvalidRequestException {
-    if (in.getNextFormat().getValueType() != ValueType.MAP) {
+  private void readMap(MessageUnpacker unpacker) throws IOException, InvalidRequestException {
+    if (unpacker.getNextFormat().getValueType() != ValueType.MAP) {
       throw new InvalidRequestException("fields: not a map");
     }
-    int count = in.unpackMapHeader();
+    int count = unpacker.unpackMapHeader();
     if (count > MAX_FIELDS) {
       throw new InvalidRequestException("fields: more than " + MAX_FIELDS);
     }
     for (int i = 0; i < count; i++) {
-      byte[] key = readString(in, "fields: a key");
+      byte[] key = readString(unpacker, "fields: a key");
       if (key.length > MAX_KEY_BYTES) {
         throw new InvalidRequestException("fields: a key longer than " + MAX_KEY_BYTES + " bytes");
       }
-      String name = ascii(key);
-      if (values.put(name, readString(in, name)) != null) {
+      String name = decodeLatin1(key);
+      if (values.put(name, readString(unpacker, name)) != null) {
         throw new InvalidRequestException("fields: one key twice");
       }
     }
   }
 
-  private static byte[] readString(MessageUnpacker in, String name)
+  private static byte[] readString(MessageUnpacker unpacker, String name)
       throws IOException, InvalidRequestException {
-    MessageFormat format = in.getNextFormat();
+    MessageFormat format = unpacker.getNextFormat();
     if (format.getValueType() != ValueType.STRING) {
       throw new InvalidRequestException(name + ": not a string");
     }
-    return in.readPayload(in.unpackRawStringHeader());
+    return unpacker.readPayload(unpacker.unpackRawStringHeader());
   }
 
-  private static ByteString readBody(MessageUnpacker in)
+  private static ByteString readBody(MessageUnpacker unpacker)
       throws IOException, InvalidRequestException {
-    ValueType type = in.getNextFormat().getValueType();
+    ValueType type = unpacker.getNextFormat().getValueType();
     if (type == ValueType.NIL) {
       return ByteString.EMPTY;
     }
     if (type != ValueType.BINARY) {
       throw new InvalidRequestException("body: not bytes");
     }
-    int length = in.unpackBinaryHeader();
+    int length = unpacker.unpackBinaryHeader();
     if (length > ClientConnection.MAX_BODY_BYTES) {
       throw new InvalidRequestException(
           "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes");
     }
-    return ByteString.of(in.readPayload(length));
+    return ByteString.of(unpacker.readPayload(length));
   }
 
-  private byte[] required(String key) throws InvalidRequestException {
+  private byte[] requiredField(String key) throws InvalidRequestException {
     byte[] value = values.get(key);
     if (value == null) {
       throw new InvalidRequestException(key + ": missing");
@@ -140,8 +142,8 @@
     return value;
   }
 
-  private ByteString hex(String key) throws InvalidRequestException {
-    byte[] value = required(key);
+  private ByteString hexField(String key) throws InvalidRequestException {
+    byte[] value = requiredField(key);
     boolean valid = value.length == ID_HEX_DIGITS;
     for (byte digit : value) {
       valid &= Character.digit(digit, HEX_RADIX) >= 0;
@@ -169,9 +171,10 @@
     return ByteString.of(value);
   }
 
-  private long integer(String key, long absent, long max) throws InvalidRequestException {
-    double value = decimal(key, (double) absent, (double) max);
-    if (values.containsKey(key) && ascii(values.get(key)).indexOf('.') >= 0) {
+  private long integerField(String key, long defaultValue, long max)
+      throws InvalidRequestException {
+    double value = decimalField(key, (double) defaultValue, (double) max);
+    if (values.containsKey(key) && decodeLatin1(values.get(key)).indexOf('.') >= 0) {
       throw new InvalidRequestException(key + ": not a whole number");
     }
     return (long) value;
@@ -181,27 +184,29 @@
    * Parses a plain decimal number from 0 to {@code max}. Signs, exponents and other forms that
    * {@link Double#parseDouble} accepts are invalid.
    *
-   * @param absent the value of a field that is absent; {@link #REQUIRED} if it must be present
+   * @param defaultValue the value of a field that is absent; {@link #REQUIRED} if it must be
+   *     present
    */
-  private double decimal(String key, double absent, double max) throws InvalidRequestException {
-    if (absent >= 0 && !values.containsKey(key)) {
-      return absent;
+  private double decimalField(String key, double defaultValue, double max)
+      throws InvalidRequestException {
+    if (defaultValue >= 0 && !values.containsKey(key)) {
+      return defaultValue;
     }
-    byte[] value = required(key);
+    byte[] value = requiredField(key);
     boolean valid = value.length > 0 && value.length <= MAX_NUMBER_BYTES && value[0] != '.';
-    int points = 0;
+    int decimalPoints = 0;
     for (byte character : value) {
-      points += character == '.' ? 1 : 0;
-      valid &= (character >= '0' && character <= '9') || (character == '.' && points == 1);
+      decimalPoints += character == '.' ? 1 : 0;
+      valid &= (character >= '0' && character <= '9') || (character == '.' && decimalPoints == 1);
     }
-    double number = valid ? Double.parseDouble(ascii(value)) : -1;
+    double number = valid ? Double.parseDouble(decodeLatin1(value)) : -1;
     if (number < 0 || number > max) {
       throw new InvalidRequestException(key + ": not a number from 0 to " + (long) max);
     }
     return number;
   }
 
-  private static String ascii(byte[] bytes) {
+  private static String decodeLatin1(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -33,7 +33,7 @@
   private boolean requestReceived;
 
   /** Whether the client has violated the protocol, so that each further request gets an error. */
-  private boolean violated;
+  private boolean protocolViolated;
 
   /** Creates the session of a new connection, with no request in flight. */
   RequestSession(ClientConnection connection, ClientHandler handler) {
@@ -63,7 +63,7 @@
 
   /** Makes each further request fail with an error, because the client violated the protocol. */
   void markViolated() {
-    violated = true;
+    protocolViolated = true;
   }
 
   /**
@@ -84,9 +84,9 @@
   void handle(byte[] bytes, int start, int end) throws IOException {
     try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
       if (decoder.readKind() == RequestDecoder.Kind.REQUEST) {
-        request(decoder);
+        handleRequest(decoder);
       } else {
-        notification(decoder);
+        handleNotification(decoder);
       }
     }
     messageReceived = true;
@@ -95,10 +95,10 @@
     }
   }
 
-  private void request(RequestDecoder decoder) throws IOException {
+  private void handleRequest(RequestDecoder decoder) throws IOException {
     long messageId = decoder.readMessageId();
     addInFlight(messageId);
-    if (violated) {
+    if (protocolViolated) {
       connection.sendError(messageId, "the protocol was violated on this connection");
       return;
     }
@@ -131,7 +131,7 @@
     }
   }
 
-  private void notification(RequestDecoder decoder) throws IOException {
+  private void handleNotification(RequestDecoder decoder) throws IOException {
     OptionalLong cancelled = decoder.readCancelledId();
     if (cancelled.isPresent() && inFlight.remove(cancelled.getAsLong())) {
       handler.requestCancelled(connection, cancelled.getAsLong());
@@ -141,13 +141,13 @@
   /** Implements {@link ClientConnection#rejectInvalidRequest}. */
   void rejectInvalidRequest(long messageId, String reason) {
     connection.sendError(messageId, reason);
-    violated = true;
+    protocolViolated = true;
     requestReceived = false;
     handler.protocolViolated(connection, reason);
   }
 
   /** Ends a request; returns whether it was in flight, so that its response is to be sent. */
-  boolean finish(long messageId) {
+  boolean removeInFlight(long messageId) {
     return inFlight.remove(messageId);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestWarmUp.java
@@ -32,12 +32,12 @@
 
   /** Decodes this number of requests and encodes responses; returns how many were decoded. */
   public static int play(int requests) {
-    RequestWarmUp sink = new RequestWarmUp();
-    MessageReader reader = new MessageReader(PART_REQUEST.length, sink);
+    RequestWarmUp warmUp = new RequestWarmUp();
+    MessageReader reader = new MessageReader(PART_REQUEST.length, warmUp);
     for (int request = 0; request < requests; request++) {
       reader.handle(Buffer.buffer(PART_REQUEST));
     }
-    return sink.decoded;
+    return warmUp.decoded;
   }
 
   @Override
--- a/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ResponseEncoder.java
@@ -79,14 +79,14 @@
   }
 
   /** Packs the error and the result of a response. */
-  private interface Contents {
+  private interface PayloadPacker {
     void pack(MessageBufferPacker packer) throws IOException;
   }
 
-  private static Buffer encode(long messageId, Contents contents) {
+  private static Buffer encode(long messageId, PayloadPacker payload) {
     try (MessageBufferPacker packer = PACKER.newBufferPacker()) {
       packer.packArrayHeader(RESPONSE_ELEMENTS).packInt(RESPONSE_TYPE).packLong(messageId);
-      contents.pack(packer);
+      payload.pack(packer);
       return Buffer.buffer(packer.toByteArray());
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -11,7 +11,7 @@
 public final class WriteBufferAccounting {
   private final long maxBytesPerConnection;
   private final long maxBytesTotal;
-  private final Set<ClientConnection> pending = new LinkedHashSet<>();
+  private final Set<ClientConnection> pendingConnections = new LinkedHashSet<>();
   private long totalBytes;
 
   /** Creates the accounting with its bounds in bytes; a connection that exceeds one is aborted. */
@@ -26,13 +26,13 @@
    */
   void add(ClientConnection connection, long bytes) {
     totalBytes += bytes;
-    connection.unreadBytes += bytes;
-    pending.add(connection);
-    if (connection.unreadBytes > maxBytesPerConnection) {
+    connection.unwrittenBytes += bytes;
+    pendingConnections.add(connection);
+    if (connection.unwrittenBytes > maxBytesPerConnection) {
       connection.abort("reads too slowly");
     } else if (totalBytes > maxBytesTotal) {
-      pending.stream()
-          .max(Comparator.comparingLong(one -> one.unreadBytes))
+      pendingConnections.stream()
+          .max(Comparator.comparingLong(one -> one.unwrittenBytes))
           .orElse(connection)
           .abort("reads most slowly of all");
     }
@@ -41,9 +41,9 @@
   /** Subtracts bytes that have been written to the socket or dropped. */
   void remove(ClientConnection connection, long bytes) {
     totalBytes -= bytes;
-    connection.unreadBytes -= bytes;
-    if (connection.unreadBytes == 0) {
-      pending.remove(connection);
+    connection.unwrittenBytes -= bytes;
+    if (connection.unwrittenBytes == 0) {
+      pendingConnections.remove(connection);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/AcceptLimit.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/AcceptLimit.java
@@ -27,7 +27,7 @@
   private final Map<SocketChannel, DuplexChannel> openChannels = new LinkedHashMap<>();
 
   /** Closed sockets whose descriptors are released only by the next select call. */
-  private final List<SocketChannel> releasing = new ArrayList<>();
+  private final List<SocketChannel> releasingSockets = new ArrayList<>();
 
   private boolean paused;
   private long pausedAtNanos;
@@ -68,8 +68,8 @@
 
   /** Returns whether one more connection may be accepted now. */
   boolean hasCapacity() {
-    releasing.removeIf(socket -> !socket.isRegistered());
-    return openChannels.size() + releasing.size() < maxConnections;
+    releasingSockets.removeIf(socket -> !socket.isRegistered());
+    return openChannels.size() + releasingSockets.size() < maxConnections;
   }
 
   /**
@@ -88,7 +88,7 @@
 
   /** Returns whether closed connections still hold a descriptor. */
   boolean isReleasing() {
-    return !releasing.isEmpty();
+    return !releasingSockets.isEmpty();
   }
 
   /** Records that accepting is paused although connections may be waiting in the queue. */
@@ -123,7 +123,7 @@
   /** Records a closed connection, whose descriptor is released by the next select. */
   void closed(SocketChannel socket) {
     if (openChannels.remove(socket) != null) {
-      releasing.add(socket);
+      releasingSockets.add(socket);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
@@ -19,14 +19,14 @@
 @SuppressWarnings("deprecation") // Netty passes this deprecated type to continueReading.
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
-  private final SystemCalls calls;
+  private final SystemCalls systemCalls;
   private final AcceptLimit limit;
 
   /** Whether the last accept failed, so that repeated failures are logged only once. */
-  private boolean failing;
+  private boolean acceptFailing;
 
   /** Whether the limit was reached and no descriptor has been released since. */
-  private boolean full;
+  private boolean limitReached;
 
   /** Whether {@link #afterSelect} is scheduled. */
   private boolean awaitingSelect;
@@ -34,15 +34,15 @@
   /** Whether a retry of a failed accept is scheduled. */
   private boolean retryScheduled;
 
-  BoundedServerChannel(SystemCalls calls, AcceptLimit limit) {
-    this.calls = calls;
+  BoundedServerChannel(SystemCalls systemCalls, AcceptLimit limit) {
+    this.systemCalls = systemCalls;
     this.limit = limit;
   }
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
     if (!limit.hasCapacity()) {
-      full = true;
+      limitReached = true;
       pause();
       closeOldestHalfClosed();
       resumeAfterSelect();
@@ -50,20 +50,20 @@
     }
     SocketChannel socket;
     try {
-      socket = calls.accept(javaChannel());
+      socket = systemCalls.accept(javaChannel());
     } catch (IOException e) {
       if (!isOpen()) {
         throw e;
       }
-      retry(e);
+      scheduleRetry(e);
       return 0;
     }
     if (socket == null) {
       limit.queueEmptied();
-      failing = false;
+      acceptFailing = false;
       return 0;
     }
-    failing = false;
+    acceptFailing = false;
     return register(socket, accepted);
   }
 
@@ -94,9 +94,9 @@
     config().setAutoRead(false);
   }
 
-  private void retry(IOException failure) {
-    if (!failing) {
-      failing = true;
+  private void scheduleRetry(IOException failure) {
+    if (!acceptFailing) {
+      acceptFailing = true;
       LOG.warning("accept: " + failure.getMessage() + "; retried within milliseconds");
     }
     long backoffMillis = limit.acceptFailed();
@@ -126,7 +126,7 @@
    * merely wait for their clients to close do not block new ones.
    */
   private void closeOldestHalfClosed() {
-    if (full && !limit.hasCapacity()) {
+    if (limitReached && !limit.hasCapacity()) {
       Channel halfClosed = limit.oldestHalfClosed();
       if (halfClosed != null) {
         Channels.close(halfClosed);
@@ -139,7 +139,7 @@
    * the descriptors of closed connections.
    */
   private void resumeAfterSelect() {
-    if (full && !awaitingSelect && isOpen() && limit.isReleasing()) {
+    if (limitReached && !awaitingSelect && isOpen() && limit.isReleasing()) {
       awaitingSelect = true;
       Channels.schedule(eventLoop(), this::afterSelect, 0);
     }
@@ -148,7 +148,7 @@
   private void afterSelect() {
     awaitingSelect = false;
     if (limit.hasCapacity()) {
-      full = false;
+      limitReached = false;
       resume();
     } else {
       resumeAfterSelect();
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
@@ -16,12 +16,12 @@
  * descriptors that the event loop enforces.
  */
 public final class SingleEventLoopTransport extends NioTransport {
-  private final SystemCalls calls;
+  private final SystemCalls systemCalls;
   private EventLoopGroup eventLoop;
   private AcceptLimit nextLimit;
 
-  private SingleEventLoopTransport(SystemCalls calls) {
-    this.calls = calls;
+  private SingleEventLoopTransport(SystemCalls systemCalls) {
+    this.systemCalls = systemCalls;
   }
 
   /** Creates a transport for one Vert.x instance. */
@@ -30,8 +30,8 @@
   }
 
   /** Creates a transport that makes the given system calls, so that tests can let them fail. */
-  public static Transport transport(SystemCalls calls) {
-    SingleEventLoopTransport implementation = new SingleEventLoopTransport(calls);
+  public static Transport transport(SystemCalls systemCalls) {
+    SingleEventLoopTransport implementation = new SingleEventLoopTransport(systemCalls);
     return new Transport() {
       @Override
       public String name() {
@@ -81,11 +81,11 @@
     AcceptLimit limit =
         nextLimit == null ? new AcceptLimit(Integer.MAX_VALUE, System::nanoTime) : nextLimit;
     nextLimit = null;
-    return () -> new BoundedServerChannel(calls, limit);
+    return () -> new BoundedServerChannel(systemCalls, limit);
   }
 
   @Override
   public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
-    return domainSocket ? super.channelFactory(true) : calls::socket;
+    return domainSocket ? super.channelFactory(true) : systemCalls::openSocket;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
@@ -12,12 +12,12 @@
  */
 public class SystemCalls {
   /** Accepts a pending connection without blocking; returns null if there is none. */
-  public SocketChannel accept(ServerSocketChannel listening) throws IOException {
-    return listening.accept();
+  public SocketChannel accept(ServerSocketChannel serverChannel) throws IOException {
+    return serverChannel.accept();
   }
 
   /** Opens a socket for an outbound connection. */
-  public Channel socket() {
+  public Channel openSocket() {
     return new NioSocketChannel();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -33,31 +33,31 @@
   private static final int REQUESTS = 120;
 
   /** 128 descriptors, of which 64 are reserved for clients and 56 for the runtime. */
-  private static final int BOUND = 8;
+  private static final int MAX_CACHE_CONNECTIONS = 8;
 
-  private static final int ALLOWED_MILLIS = 3000;
+  private static final int REQUEST_TIMEOUT_MILLIS = 3000;
 
   @TempDir private Path folder;
-  private final Queue<ReceivedCommand> held = new ConcurrentLinkedQueue<>();
-  private final AtomicBoolean holds = new AtomicBoolean();
+  private final Queue<ReceivedCommand> heldCommands = new ConcurrentLinkedQueue<>();
+  private final AtomicBoolean holdCommands = new AtomicBoolean();
   private GatewayTestbed testbed;
-  private List<TimedCommand> seen;
+  private List<TimedCommand> receivedCommands;
 
   /** One stub listens for all caches, which the gateway distinguishes by their ids. */
   @BeforeEach
-  void start() throws Exception {
+  void startGateway() throws Exception {
     testbed = new GatewayTestbed();
     StubCache cache = testbed.cache();
-    for (int at = 0; at < CACHES; at++) {
-      testbed.journal.listEndpoint("c" + at, cache.address(), "box", "ready");
+    for (int index = 0; index < CACHES; index++) {
+      testbed.journal.listEndpoint("c" + index, cache.address(), "box", "ready");
     }
     testbed.journal.listEndpoint("o0", cache.address(), "origin", "ready");
-    seen =
+    receivedCommands =
         testbed.handleCommands(
             cache,
             command -> {
-              if (holds.get()) {
-                held.add(command);
+              if (holdCommands.get()) {
+                heldCommands.add(command);
               } else {
                 command.replyOk("served");
               }
@@ -66,21 +66,21 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void closeTestbed() throws Exception {
     testbed.close();
   }
 
   private TestClient send(TestClient client, int number) throws Exception {
-    Map<String, String> fields = TestClient.requestFields(number, ALLOWED_MILLIS, 0);
+    Map<String, String> fields = TestClient.requestFields(number, REQUEST_TIMEOUT_MILLIS, 0);
     fields.put("lookup", String.format("%016x", number));
     return client.send(TestClient.encodeRequest(number, "orders", fields, new byte[0]));
   }
 
   private List<Socket> connections() {
-    return seen.stream().map(one -> one.command().socket()).distinct().toList();
+    return receivedCommands.stream().map(one -> one.command().socket()).distinct().toList();
   }
 
-  private long open() {
+  private long openConnections() {
     return connections().stream().filter(one -> !one.isClosed()).count();
   }
 
@@ -89,21 +89,27 @@
     TestClient client = testbed.client();
     for (int number = 1; number <= REQUESTS; number++) {
       assertEquals(null, send(client, number).receive().error());
-      Conditions.await(() -> open() <= BOUND, "more connections than the bound");
+      Conditions.await(
+          () -> openConnections() <= MAX_CACHE_CONNECTIONS, "more connections than the bound");
     }
-    List<Socket> all = connections();
-    assertTrue(all.size() > 2 * BOUND, "caches were asked in turn: " + all.size());
-    assertEquals(BOUND, open(), "none is closed before the bound is reached");
-    assertTrue(all.get(0).isClosed());
-    assertFalse(seen.get(seen.size() - 1).command().socket().isClosed(), "the last used stays");
+    List<Socket> allConnections = connections();
+    assertTrue(
+        allConnections.size() > 2 * MAX_CACHE_CONNECTIONS,
+        "caches were asked in turn: " + allConnections.size());
+    assertEquals(
+        MAX_CACHE_CONNECTIONS, openConnections(), "none is closed before the bound is reached");
+    assertTrue(allConnections.get(0).isClosed());
+    assertFalse(
+        receivedCommands.get(receivedCommands.size() - 1).command().socket().isClosed(),
+        "the last used stays");
   }
 
   /** A request without a connection goes to a cache that has one, or is rejected immediately. */
   @Test
   void noConnectionIsOpenedPastTheBoundWhileAllAreBusy() throws Exception {
-    holds.set(true);
+    holdCommands.set(true);
     AtomicInteger answered = new AtomicInteger();
-    for (int number = 1; number <= BOUND * 4; number++) {
+    for (int number = 1; number <= MAX_CACHE_CONNECTIONS * 4; number++) {
       TestClient client = send(testbed.client(), number);
       testbed.runInBackground(
           () -> {
@@ -112,15 +118,20 @@
           });
     }
     Conditions.await(
-        () -> held.size() + answered.get() == BOUND * 4, "all are sent or turned away");
-    assertTrue(held.size() >= BOUND, "as many as have a connection are sent");
-    assertTrue(connections().size() <= BOUND, connections().size() + " connections");
-    holds.set(false);
-    for (ReceivedCommand command : held) {
+        () -> heldCommands.size() + answered.get() == MAX_CACHE_CONNECTIONS * 4,
+        "all are sent or turned away");
+    assertTrue(
+        heldCommands.size() >= MAX_CACHE_CONNECTIONS, "as many as have a connection are sent");
+    assertTrue(
+        connections().size() <= MAX_CACHE_CONNECTIONS, connections().size() + " connections");
+    holdCommands.set(false);
+    for (ReceivedCommand command : heldCommands) {
       command.replyOk("served");
     }
-    Conditions.await(() -> answered.get() == BOUND * 4, "what was held is answered");
+    Conditions.await(
+        () -> answered.get() == MAX_CACHE_CONNECTIONS * 4, "what was held is answered");
     assertEquals(null, send(testbed.client(), REQUESTS).receive().error(), "there is room again");
-    assertTrue(connections().size() <= BOUND + 1, connections().size() + " connections");
+    assertTrue(
+        connections().size() <= MAX_CACHE_CONNECTIONS + 1, connections().size() + " connections");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -45,32 +45,32 @@
   private final Clock clock = new Clock();
   private final ClientConnections clients =
       new ClientConnections(vertx, MAX_CONNECTIONS, clock::nowNanos);
-  private final List<TestClient> all = new ArrayList<>();
+  private final List<TestClient> testClients = new ArrayList<>();
 
   /** Maximum number of connections held at a time. */
-  private final AtomicInteger maxHeld = new AtomicInteger();
+  private final AtomicInteger maxHeldConnections = new AtomicInteger();
 
   /** Number of connections whose descriptor is open. */
-  private final AtomicInteger held = new AtomicInteger();
+  private final AtomicInteger heldConnections = new AtomicInteger();
 
   /** Number of requests read. */
-  private final AtomicInteger read = new AtomicInteger();
+  private final AtomicInteger requestsRead = new AtomicInteger();
 
-  private Thread loop;
+  private Thread eventLoopThread;
   private int port;
 
   @BeforeEach
   void listen() throws Exception {
-    WriteBufferAccounting queues = new WriteBufferAccounting(1 << 20, 1 << 20);
+    WriteBufferAccounting accounting = new WriteBufferAccounting(1 << 20, 1 << 20);
     port =
         vertx
             .createNetServer()
             .connectHandler(
                 socket -> {
-                  loop = Thread.currentThread();
-                  held.incrementAndGet();
-                  clients.add(new ClientConnection(socket, queues, clock::nowNanos, this));
-                  maxHeld.accumulateAndGet(clients.size(), Math::max);
+                  eventLoopThread = Thread.currentThread();
+                  heldConnections.incrementAndGet();
+                  clients.add(new ClientConnection(socket, accounting, clock::nowNanos, this));
+                  maxHeldConnections.accumulateAndGet(clients.size(), Math::max);
                 })
             .listen(0, "127.0.0.1")
             .toCompletionStage()
@@ -81,7 +81,7 @@
 
   @AfterEach
   void close() throws Exception {
-    for (TestClient one : all) {
+    for (TestClient one : testClients) {
       one.close();
     }
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
@@ -98,13 +98,13 @@
   }
 
   @Override
-  public void requestReceived(ClientConnection from, long number, DecodedRequest get) {
-    read.incrementAndGet();
-    from.sendNotModified(number);
+  public void requestReceived(ClientConnection connection, long messageId, DecodedRequest request) {
+    requestsRead.incrementAndGet();
+    connection.sendNotModified(messageId);
   }
 
   @Override
-  public void requestCancelled(ClientConnection from, long number) {}
+  public void requestCancelled(ClientConnection connection, long messageId) {}
 
   @Override
   public boolean isReady() {
@@ -112,108 +112,113 @@
   }
 
   @Override
-  public void protocolViolated(ClientConnection from, String why) {}
+  public void protocolViolated(ClientConnection connection, String reason) {}
 
   @Override
-  public void connectionEnded(ClientConnection from) {
-    clients.remove(from);
+  public void connectionEnded(ClientConnection connection) {
+    clients.remove(connection);
   }
 
   @Override
-  public void descriptorReleased(ClientConnection from) {
-    clients.released(from);
-    held.decrementAndGet();
+  public void descriptorReleased(ClientConnection connection) {
+    clients.released(connection);
+    heldConnections.decrementAndGet();
   }
 
   private TestClient client() throws IOException {
     TestClient client = new TestClient(port);
-    all.add(client);
+    testClients.add(client);
     return client;
   }
 
-  private void onLoop(Runnable what) throws InterruptedException {
+  private void runOnEventLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     vertx.runOnContext(
         turn -> {
-          what.run();
+          task.run();
           done.countDown();
         });
     assertTrue(done.await(10, TimeUnit.SECONDS));
   }
 
-  private void awaitHeld(int count) throws InterruptedException {
-    Conditions.await(() -> held.get() <= count, "connections are closed");
+  private void awaitHeldAtMost(int count) throws InterruptedException {
+    Conditions.await(() -> heldConnections.get() <= count, "connections are closed");
     // The JDK closes a descriptor in the next select call.
     CountDownLatch selected = new CountDownLatch(1);
     vertx.runOnContext(turn -> vertx.setTimer(20, later -> selected.countDown()));
     await(selected);
   }
 
-  private static byte[] get(int number) throws IOException {
+  private static byte[] encodePartRequest(int number) throws IOException {
     return TestClient.encodeRequest(
         number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]);
   }
 
-  private static byte[] bytes(String hex, byte[]... behind) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.write(HexFormat.of().parseHex(hex));
-    for (byte[] one : behind) {
-      all.write(one);
+  private static byte[] bytes(String hex, byte[]... messages) throws IOException {
+    ByteArrayOutputStream stream = new ByteArrayOutputStream();
+    stream.write(HexFormat.of().parseHex(hex));
+    for (byte[] one : messages) {
+      stream.write(one);
     }
-    return all.toByteArray();
+    return stream.toByteArray();
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"c0", "93020000", "9502c0c0c0c0", "940001c0c0"})
-  void requestsReceivedWithAnInvalidMessageGetAnErrorEach(String first) throws Exception {
-    TestClient client = client().send(bytes(first + "c0", get(5), get(6)));
-    List<Long> errors = new ArrayList<>();
+  void requestsReceivedWithAnInvalidMessageGetAnErrorEach(String invalidMessage) throws Exception {
+    TestClient client =
+        client().send(bytes(invalidMessage + "c0", encodePartRequest(5), encodePartRequest(6)));
+    List<Long> failedIds = new ArrayList<>();
     for (ClientAnswer answer = client.receive();
         answer.messageId() != 6;
         answer = client.receive()) {
       assertEquals("Internal", answer.error());
-      errors.add(answer.messageId());
+      failedIds.add(answer.messageId());
     }
-    assertTrue(errors.contains(5L), errors.toString());
+    assertTrue(failedIds.contains(5L), failedIds.toString());
     assertTrue(client.isClosed());
-    assertEquals(0, read.get());
+    assertEquals(0, requestsRead.get());
   }
 
   /** Ways in which the gateway ends a connection without requests in flight. */
-  private enum End {
-    UNREADABLE,
-    PAST_THE_BOUND,
-    STOPPED,
-    NEW_WHEN_STOPPED
+  private enum Ending {
+    INVALID_MESSAGE,
+    EVICTED,
+    SHUTDOWN,
+    ACCEPTED_AFTER_SHUTDOWN
   }
 
   @ParameterizedTest
   @EnumSource
-  void requestsAfterTheEndStayUnread(End end) throws Exception {
+  void requestsAfterTheEndOfAConnectionAreNotRead(Ending ending) throws Exception {
     TestClient client = client();
-    if (end == End.NEW_WHEN_STOPPED) {
-      onLoop(clients::end);
+    if (ending == Ending.ACCEPTED_AFTER_SHUTDOWN) {
+      runOnEventLoop(clients::end);
     } else {
-      client.send(get(1)).receive();
+      client.send(encodePartRequest(1)).receive();
     }
-    int before = read.get();
-    switch (end) {
-      case UNREADABLE -> client.send(bytes("c1"));
-      case PAST_THE_BOUND -> {
+    int expectedRequestsRead = requestsRead.get();
+    switch (ending) {
+      case INVALID_MESSAGE -> client.send(bytes("c1"));
+      case EVICTED -> {
         for (int more = 0; more < MAX_CONNECTIONS; more++) {
-          client().send(get(2)).receive();
+          client().send(encodePartRequest(2)).receive();
         }
-        before += MAX_CONNECTIONS;
+        expectedRequestsRead += MAX_CONNECTIONS;
       }
-      case STOPPED -> onLoop(clients::end);
+      case SHUTDOWN -> runOnEventLoop(clients::end);
       default -> client = client();
     }
     assertTrue(client.isClosed());
-    client.send(get(3)); // Sent before the client knows that the connection has ended.
-    awaitHeld(end == End.PAST_THE_BOUND ? MAX_CONNECTIONS : 0);
-    TestClient ended = client;
-    assertThrows(IOException.class, () -> ended.send(get(4)), "a request was read after the end");
-    assertEquals(before, read.get());
+    client.send(
+        encodePartRequest(3)); // Sent before the client knows that the connection has ended.
+    awaitHeldAtMost(ending == Ending.EVICTED ? MAX_CONNECTIONS : 0);
+    TestClient endedClient = client;
+    assertThrows(
+        IOException.class,
+        () -> endedClient.send(encodePartRequest(4)),
+        "a request was read after the end");
+    assertEquals(expectedRequestsRead, requestsRead.get());
   }
 
   @Test
@@ -224,12 +229,13 @@
       // The response has arrived and is not read yet.
       Conditions.await(() -> hasUnread(client), "an answer");
     }
-    for (TestClient one : all) {
+    for (TestClient one : testClients) {
       assertTrue(one.receive().isReady());
     }
-    awaitHeld(MAX_CONNECTIONS);
+    awaitHeldAtMost(MAX_CONNECTIONS);
     assertTrue(
-        maxHeld.get() <= MAX_CONNECTIONS + ClientConnections.SPARE_CONNECTIONS, "held " + maxHeld);
+        maxHeldConnections.get() <= MAX_CONNECTIONS + ClientConnections.SPARE_CONNECTIONS,
+        "held " + maxHeldConnections);
   }
 
   private static boolean hasUnread(TestClient client) {
@@ -250,23 +256,26 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void halfClosedConnectionThatIsNotReadKeepsNoEventLoopBusy(boolean clientEndsToo)
+  void halfClosedConnectionWithUnreadBytesKeepsTheEventLoopIdle(boolean clientShutsDownOutput)
       throws Exception {
     TestClient client = client();
-    client.send(get(1)).receive();
+    client.send(encodePartRequest(1)).receive();
     client.send(bytes("c1"));
     assertTrue(client.isClosed());
     client.send(new byte[10_000]);
-    if (clientEndsToo) {
+    if (clientShutsDownOutput) {
       client.socket.shutdownOutput();
     }
-    long since = System.nanoTime();
-    long before = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId());
-    awaitHeld(0); // The connection is closed although its bytes are not read.
-    long busy = ManagementFactory.getThreadMXBean().getThreadCpuTime(loop.getId()) - before;
-    long tookNanos = System.nanoTime() - since;
+    long startNanos = System.nanoTime();
+    long cpuNanosBefore =
+        ManagementFactory.getThreadMXBean().getThreadCpuTime(eventLoopThread.getId());
+    awaitHeldAtMost(0); // The connection is closed although its bytes are not read.
+    long cpuNanos =
+        ManagementFactory.getThreadMXBean().getThreadCpuTime(eventLoopThread.getId())
+            - cpuNanosBefore;
+    long elapsedNanos = System.nanoTime() - startNanos;
     assertTrue(
-        busy < tookNanos / 2,
-        "busy for " + busy / 1_000_000 + " of " + tookNanos / 1_000_000 + " ms");
+        cpuNanos < elapsedNanos / 2,
+        "busy for " + cpuNanos / 1_000_000 + " of " + elapsedNanos / 1_000_000 + " ms");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -37,23 +37,23 @@
  */
 @Timeout(60)
 class ClientGoneTest {
-  private static final long GONE_MS = 300;
-  private static final long PATIENCE_S = 20;
-  private static final int PIPELINE = 32;
+  private static final long EVENT_LOOP_LAG_MILLIS = 300;
+  private static final long TIMEOUT_SECONDS = 20;
+  private static final int PIPELINED_REQUESTS = 32;
 
   @TempDir private Path folder;
   private GatewayTestbed testbed;
   private StubCache cache;
 
   @BeforeEach
-  void start() throws Exception {
+  void startCache() throws Exception {
     testbed = new GatewayTestbed();
     cache = testbed.cache();
     testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
   }
 
   @AfterEach
-  void end() throws Exception {
+  void closeTestbed() throws Exception {
     testbed.close();
   }
 
@@ -70,56 +70,59 @@
 
   @ParameterizedTest
   @CsvSource({"close, 0", "reset, 0", "withdraw, 0", "close, 60000", "withdraw, 60000"})
-  void afterEventLoopLagNoPipelinedRequestOfADisconnectedClientIsSent(String how, int bytes)
+  void afterEventLoopLagNoPipelinedRequestOfADisconnectedClientIsSent(String ending, int bodyBytes)
       throws Exception {
-    PausingRouter decisions =
+    PausingRouter router =
         new PausingRouter(
             new org.amberpath.routing.RequestRouter(options().routingConfig())::decide);
-    testbed.start(options(), decisions);
+    testbed.start(options(), router);
     TestClient client = testbed.client();
     assertTrue(client.requestStatus().isReady());
-    decisions.pauseAfterRequest(testbed.client());
+    router.pauseAfterRequest(testbed.client());
     ByteArrayOutputStream pipeline = new ByteArrayOutputStream();
-    for (int number = 1; number <= PIPELINE; number++) {
+    for (int number = 1; number <= PIPELINED_REQUESTS; number++) {
       pipeline.writeBytes(
           TestClient.encodeRequest(
-              number, "parts", TestClient.requestFields(number, 15_000, number), new byte[bytes]));
+              number,
+              "parts",
+              TestClient.requestFields(number, 15_000, number),
+              new byte[bodyBytes]));
     }
-    for (int number = 1; number <= PIPELINE && how.equals("withdraw"); number++) {
+    for (int number = 1; number <= PIPELINED_REQUESTS && ending.equals("withdraw"); number++) {
       pipeline.writeBytes(TestClient.encodeCancel(number));
     }
-    var written =
+    var writing =
         testbed.threads.submit(
             () -> {
               client.send(pipeline.toByteArray());
-              if (how.equals("reset")) {
+              if (ending.equals("reset")) {
                 client.socket.setSoLinger(true, 0);
               }
-              if (!how.equals("withdraw")) {
+              if (!ending.equals("withdraw")) {
                 client.close();
               }
               return null;
             });
-    Thread.sleep(GONE_MS); // Lets the event loop lag.
-    decisions.resume();
-    written.get(PATIENCE_S, TimeUnit.SECONDS);
-    Set<String> sent = ConcurrentHashMap.newKeySet();
+    Thread.sleep(EVENT_LOOP_LAG_MILLIS); // Lets the event loop lag.
+    router.resume();
+    writing.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    Set<String> sentIds = ConcurrentHashMap.newKeySet();
     testbed.runInBackground(
         () -> {
           while (true) {
             ReceivedCommand command = cache.commands.take();
-            sent.add(command.element(1));
+            sentIds.add(command.element(1));
             command.replyOk("part");
           }
         });
     // Its request is sent after all earlier ones, unless it is rejected by load shedding.
-    TestClient last = testbed.client();
-    int number = PIPELINE;
+    TestClient lastClient = testbed.client();
+    int number = PIPELINED_REQUESTS;
     do {
-      last.sendRequest(++number, "parts", 15_000, 0);
-    } while (last.receive().error() != null);
-    for (int left = 1; left <= PIPELINE; left++) {
-      assertFalse(sent.contains(String.format("%016x", left)), "sent " + sent);
+      lastClient.sendRequest(++number, "parts", 15_000, 0);
+    } while (lastClient.receive().error() != null);
+    for (int requestNumber = 1; requestNumber <= PIPELINED_REQUESTS; requestNumber++) {
+      assertFalse(sentIds.contains(String.format("%016x", requestNumber)), "sent " + sentIds);
     }
   }
 
@@ -131,7 +134,7 @@
   @ValueSource(strings = {"requestReceived", "attemptEnded"})
   void attemptAtTheEndOfALongBatchWaitsUntilTheSocketsAreRead(String event) throws Exception {
     BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
-    PausingRouter pause = new PausingRouter(null);
+    PausingRouter pausingRouter = new PausingRouter(null);
     testbed.start(
         options(),
         (now, in, to) ->
@@ -141,14 +144,14 @@
                       if (name.equals("attemptEnded")) {
                         outcomes.add(((AttemptResult) arguments[0]).outcome());
                       }
-                      boolean begins =
+                      boolean startsAttempt =
                           name.equals("requestReceived")
                               || (name.equals("attemptEnded")
                                   && ((AttemptResult) arguments[0]).attempt() == 0);
-                      if (name.equals(event) && begins) {
-                        pause.pauseUntilResumed();
+                      if (name.equals(event) && startsAttempt) {
+                        pausingRouter.pauseUntilResumed();
                       }
-                      if (begins) {
+                      if (startsAttempt) {
                         long id =
                             name.equals("requestReceived")
                                 ? ((RequestDetails) arguments[0]).id()
@@ -161,14 +164,14 @@
     if (event.equals("attemptEnded")) {
       cache.nextCommand().reply("refused", "-", new byte[0]);
     }
-    pause.awaitPaused();
+    pausingRouter.awaitPaused();
     client.close();
-    Thread.sleep(GONE_MS); // Lets the event loop lag.
-    pause.resume();
+    Thread.sleep(EVENT_LOOP_LAG_MILLIS); // Lets the event loop lag.
+    pausingRouter.resume();
     assertEquals(
         event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
-        outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
-    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
+        outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -38,21 +38,21 @@
         "91919191919191",
         "93020000"
       })
-  void clientThatSendsNoMessagePackLosesItsConnectionAndNoOther(String hex) throws Exception {
-    TestClient bad = testbed.client();
+  void clientThatSendsInvalidMessagePackLosesOnlyItsConnection(String hex) throws Exception {
+    TestClient violatingClient = testbed.client();
     byte[] bytes = new byte[hex.length() / 2];
-    for (int at = 0; at < bytes.length; at++) {
-      bytes[at] = (byte) Integer.parseInt(hex.substring(2 * at, 2 * at + 2), 16);
+    for (int index = 0; index < bytes.length; index++) {
+      bytes[index] = (byte) Integer.parseInt(hex.substring(2 * index, 2 * index + 2), 16);
     }
-    bad.send(bytes);
+    violatingClient.send(bytes);
     byte[] garbage = new byte[300_000];
     java.util.Arrays.fill(garbage, (byte) 0x91);
     try {
-      bad.send(garbage);
+      violatingClient.send(garbage);
     } catch (java.io.IOException e) {
       // The gateway has already closed the connection.
     }
-    assertTrue(bad.isClosed());
+    assertTrue(violatingClient.isClosed());
     assertTrue(client.requestStatus().isReady());
   }
 
@@ -111,66 +111,67 @@
 
   @Test
   void tooManyRequestsInFlightCloseTheConnectionAndNoneIsForwarded() throws Exception {
-    ByteArrayOutputStream flood = new ByteArrayOutputStream();
+    ByteArrayOutputStream requests = new ByteArrayOutputStream();
     for (int number = 1; number <= 33; number++) {
-      flood.writeBytes(
+      requests.writeBytes(
           TestClient.encodeRequest(
               number, "parts", TestClient.requestFields(number, 1500, 0), new byte[0]));
     }
-    client.send(flood.toByteArray());
+    client.send(requests.toByteArray());
     for (int number = 1; number <= 33; number++) {
       assertEquals("Internal", client.receive().error());
     }
     assertTrue(client.isClosed());
-    TestClient good = testbed.client();
-    good.sendRequest(99, "parts", 1500, 0);
+    TestClient otherClient = testbed.client();
+    otherClient.sendRequest(99, "parts", 1500, 0);
     ReceivedCommand command = cache.nextCommand();
     while (!command.element(1).equals(String.format("%016x", 99))) {
       command = cache.nextCommand();
     }
     command.replyOk("another's");
-    assertEquals("another's", text(good.receive()));
+    assertEquals("another's", text(otherClient.receive()));
   }
 
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 60})
-  void clientThatSendsNoCompleteMessageIsDisconnectedInTime(int bytes) throws Exception {
-    TestClient silent = testbed.client();
-    byte[] whole = TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), null);
-    silent.send(java.util.Arrays.copyOf(whole, bytes));
-    long since = System.nanoTime();
-    assertTrue(silent.isClosed());
-    assertTrue(System.nanoTime() - since < 3_000_000_000L);
+  void clientThatSendsNoCompleteMessageIsDisconnectedInTime(int sentBytes) throws Exception {
+    TestClient incompleteClient = testbed.client();
+    byte[] message =
+        TestClient.encodeRequest(1, "parts", TestClient.requestFields(1, 1500, 0), null);
+    incompleteClient.send(java.util.Arrays.copyOf(message, sentBytes));
+    long startNanos = System.nanoTime();
+    assertTrue(incompleteClient.isClosed());
+    assertTrue(System.nanoTime() - startNanos < 3_000_000_000L);
   }
 
   @Test
-  void leastActiveConnectionIsEvictedPastTheConnectionBound() throws Exception {
-    TestClient idle = testbed.client();
-    idle.sendRequest(7, "parts", 1500, 0);
+  void leastActiveConnectionIsEvictedAboveTheConnectionBound() throws Exception {
+    TestClient idleClient = testbed.client();
+    idleClient.sendRequest(7, "parts", 1500, 0);
     cache.nextCommand().replyOk("a usual client");
-    idle.receive();
+    idleClient.receive();
     client.sendRequest(1, "parts", 9000, 0);
     ReceivedCommand command = cache.nextCommand();
-    List<TestClient> held = new ArrayList<>();
+    List<TestClient> statusClients = new ArrayList<>();
     for (int count = 0; count < 80; count++) {
-      held.add(testbed.client());
-      assertTrue(held.get(count).requestStatus().isReady());
+      statusClients.add(testbed.client());
+      assertTrue(statusClients.get(count).requestStatus().isReady());
     }
-    assertTrue(held.get(0).isClosed());
-    assertTrue(held.get(79).requestStatus().isReady());
-    TestClient silent = testbed.client();
-    TestClient fresh = testbed.client();
-    assertTrue(fresh.requestStatus().isReady());
-    assertTrue(silent.isClosed());
+    assertTrue(statusClients.get(0).isClosed());
+    assertTrue(statusClients.get(79).requestStatus().isReady());
+    TestClient silentClient = testbed.client();
+    TestClient newClient = testbed.client();
+    assertTrue(newClient.requestStatus().isReady());
+    assertTrue(silentClient.isClosed());
     command.replyOk("still there");
     assertEquals("still there", text(client.receive()));
     assertTrue(
-        idle.requestStatus().isReady(),
+        idleClient.requestStatus().isReady(),
         "one that asks for GETs does not go for many that ask for the status");
   }
 
   @Test
-  void clientThatDoesNotReadLosesItsConnectionAndNoOther() throws Exception {
+  void clientThatDoesNotReadLosesOnlyItsConnection() throws Exception {
     TestClient slowClient = testbed.client();
     byte[] part = new byte[240_000];
     testbed.threads.execute(
@@ -183,15 +184,15 @@
             // Expected at the end of the test.
           }
         });
-    List<Integer> open = new ArrayList<>();
+    List<Integer> sentRequests = new ArrayList<>();
     try {
       for (int number = 1; number < 5000; number++) {
         slowClient.sendRequest(number, "parts", 1500, 0);
         client.sendRequest(10_000 + number, "parts", 1500, 0).receive();
-        open.add(number);
+        sentRequests.add(number);
       }
     } catch (java.net.SocketException e) {
-      assertTrue(open.size() > 4);
+      assertTrue(sentRequests.size() > 4);
       assertTrue(client.requestStatus().isReady());
       return;
     }
@@ -202,9 +203,9 @@
   void connectionWithARequestInFlightIsNotEvictedForNewOnes() throws Exception {
     client.sendRequest(1, "parts", 4000, 0);
     ReceivedCommand command = cache.nextCommand();
-    byte[] next =
+    byte[] nextRequest =
         TestClient.encodeRequest(2, "parts", TestClient.requestFields(2, 4000, 1), new byte[300]);
-    client.send(java.util.Arrays.copyOf(next, next.length - 200));
+    client.send(java.util.Arrays.copyOf(nextRequest, nextRequest.length - 200));
     // Client connections may use 64 of 128 descriptors.
     for (int silent = 0; silent < 70; silent++) {
       testbed.client();
@@ -215,7 +216,7 @@
   }
 
   @Test
-  void requestsPastTheInFlightBoundAreRejected() throws Exception {
+  void requestsAboveTheInFlightBoundAreRejected() throws Exception {
     TestClient other = testbed.client();
     for (int number = 1; number <= 48; number++) {
       (number <= 24 ? client : other).sendRequest(number, "parts", 5000, number);
@@ -231,17 +232,17 @@
 
   /** The router throws for part 13 only. */
   @Test
-  void failureInTheRouterFailsThatRequestAndNoOther() throws Exception {
+  void failureInTheRouterFailsOnlyThatRequest() throws Exception {
     testbed.close();
     testbed = new GatewayTestbed();
     cache = testbed.cache();
     testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
     GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
-    RequestRouter control = new RequestRouter(options.routingConfig());
+    RequestRouter router = new RequestRouter(options.routingConfig());
     testbed.start(
         options,
         (now, in, to) ->
-            control.decide(
+            router.decide(
                 now,
                 events ->
                     in.replayTo(
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -28,8 +28,8 @@
 /** The number of descriptors of a gateway while far more clients connect than it may hold. */
 @Timeout(60)
 class DescriptorBoundTest {
-  private static final int LIMIT = 128;
-  private static final int CLIENTS = 900;
+  private static final int MAX_DESCRIPTORS = 128;
+  private static final int CLIENT_COUNT = 900;
 
   @TempDir private Path folder;
 
@@ -39,11 +39,11 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void gatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnect(boolean stopping)
+  void gatewayStaysWithinItsDescriptorsWhileFarMoreClientsConnect(boolean shuttingDown)
       throws Exception {
-    List<SocketChannel> resting = new ArrayList<>();
-    AtomicBoolean ends = new AtomicBoolean();
-    AtomicInteger held = new AtomicInteger();
+    List<SocketChannel> idleSockets = new ArrayList<>();
+    AtomicBoolean countingEnds = new AtomicBoolean();
+    AtomicInteger maxOpenDescriptors = new AtomicInteger();
     try (GatewayTestbed testbed = new GatewayTestbed()) {
       Process process =
           GatewayProcess.start(
@@ -55,56 +55,59 @@
                   testbed.environment(folder).get("PROXY_CONFIG")));
       try {
         int port = awaitServing(process.inputReader());
-        File descriptors = new File("/proc/" + process.pid() + "/fd");
+        File descriptorFolder = new File("/proc/" + process.pid() + "/fd");
         Future<?> counting =
             testbed.threads.submit(
                 () -> {
-                  while (!ends.get()) {
-                    String[] open = descriptors.list();
-                    held.accumulateAndGet(open == null ? 0 : open.length, Math::max);
+                  while (!countingEnds.get()) {
+                    String[] open = descriptorFolder.list();
+                    maxOpenDescriptors.accumulateAndGet(open == null ? 0 : open.length, Math::max);
                   }
                 });
-        TestClient first = testbed.client(port);
-        for (int count = 0; count < LIMIT / 2 - 1; count++) {
+        TestClient firstClient = testbed.client(port);
+        for (int count = 0; count < MAX_DESCRIPTORS / 2 - 1; count++) {
           assertEquals(9999, testbed.client(port).requestStatus().messageId());
         }
-        first.requestStatus();
-        if (stopping) {
+        firstClient.requestStatus();
+        if (shuttingDown) {
           process.destroy();
-          assertTrue(first.isClosed());
+          assertTrue(firstClient.isClosed());
         } else {
           // All connections made now are accepted in one burst, as after a pause of the machine.
           GatewayProcess.signal(process, "STOP");
         }
-        connect(port, resting);
-        if (!stopping) {
+        connect(port, idleSockets);
+        if (!shuttingDown) {
           GatewayProcess.signal(process, "CONT");
           assertEquals(
               9999, testbed.client(port).requestStatus().messageId(), "a newcomer has a place");
         } else {
           assertTrue(process.waitFor(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
-        ends.set(true);
+        countingEnds.set(true);
         counting.get();
-        assertTrue(held.get() > LIMIT / 2 && held.get() <= LIMIT, held + " descriptors");
+        assertTrue(
+            maxOpenDescriptors.get() > MAX_DESCRIPTORS / 2
+                && maxOpenDescriptors.get() <= MAX_DESCRIPTORS,
+            maxOpenDescriptors + " descriptors");
       } finally {
-        ends.set(true);
+        countingEnds.set(true);
         process.destroyForcibly();
-        for (SocketChannel one : resting) {
+        for (SocketChannel one : idleSockets) {
           one.close();
         }
       }
     }
   }
 
-  private static void connect(int port, List<SocketChannel> resting) throws Exception {
+  private static void connect(int port, List<SocketChannel> idleSockets) throws Exception {
     byte[] status = TestClient.encodeRequest(1, "status", Map.of(), null);
     try {
-      for (int count = 0; count < CLIENTS; count++) {
-        SocketChannel one =
+      for (int count = 0; count < CLIENT_COUNT; count++) {
+        SocketChannel socket =
             SocketChannel.open(new InetSocketAddress(GatewayTestbed.LOOPBACK, port));
-        resting.add(one);
-        one.write(ByteBuffer.wrap(status));
+        idleSockets.add(socket);
+        socket.write(ByteBuffer.wrap(status));
       }
     } catch (IOException e) {
       // The gateway has closed its listening socket.
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -31,42 +31,42 @@
    */
   @ParameterizedTest
   @CsvSource({"close, true", "reset, true", "shut, false"})
-  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(String how, boolean crosses)
-      throws Exception {
-    Map<Integer, Integer> runs = new ConcurrentHashMap<>();
-    AtomicInteger ended = new AtomicInteger();
-    List<List<TimedCommand>> seen =
+  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(
+      String ending, boolean sentBeforeEndIsRead) throws Exception {
+    Map<Integer, Integer> executions = new ConcurrentHashMap<>();
+    AtomicInteger endedConnections = new AtomicInteger();
+    List<List<TimedCommand>> receivedCommands =
         handleAll(
             testbed.start(folder, 3, testbed.journal.address()),
             command -> {
-              runs.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
+              executions.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
               serve(command);
-              failing(how).handle(command);
-              ended.incrementAndGet();
+              failing(ending).handle(command);
+              endedConnections.incrementAndGet();
             });
     TestClient client = testbed.client();
-    for (int times = 0; times < 20; times++) {
-      if (!crosses) {
-        awaitRead(client, ended);
+    for (int repetition = 0; repetition < 20; repetition++) {
+      if (!sentBeforeEndIsRead) {
+        awaitEndsRead(client, endedConnections);
       }
       requestServed(client);
-      if (!crosses) {
-        awaitRead(client, ended);
+      if (!sentBeforeEndIsRead) {
+        awaitEndsRead(client, endedConnections);
       }
       client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
       ClientAnswer answer = client.receive();
       assertEquals(number, answer.messageId());
       int maxAttempts = "Overloaded".equals(answer.error()) ? 0 : 1;
       assertTrue(
-          runs.getOrDefault(number, 0) <= maxAttempts,
-          "run " + runs.get(number) + " times: " + answer.error());
-      if (!crosses) {
+          executions.getOrDefault(number, 0) <= maxAttempts,
+          "run " + executions.get(number) + " times: " + answer.error());
+      if (!sentBeforeEndIsRead) {
         assertEquals(null, answer.error(), "its connection had ended long before");
       }
     }
     assertNoFurtherAnswer(client);
-    for (int one = 1; one <= number; one++) {
-      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
+    for (int requestNumber = 1; requestNumber <= number; requestNumber++) {
+      assertTrue(attemptsOf(receivedCommands, requestNumber).size() <= MAX_ATTEMPTS);
     }
   }
 
@@ -76,34 +76,34 @@
    */
   @ParameterizedTest
   @ValueSource(strings = {"parts", "orders"})
-  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String service)
+  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String trafficClass)
       throws Exception {
-    Set<Socket> forgotten = ConcurrentHashMap.newKeySet();
-    List<List<TimedCommand>> seen =
+    Set<Socket> unresponsiveSockets = ConcurrentHashMap.newKeySet();
+    List<List<TimedCommand>> receivedCommands =
         handleAll(
             testbed.start(folder, 2, testbed.journal.address()),
             command -> {
-              if (command.element(1).equals(requestId(2)) && forgotten.isEmpty()) {
-                forgotten.add(command.socket());
+              if (command.element(1).equals(requestId(2)) && unresponsiveSockets.isEmpty()) {
+                unresponsiveSockets.add(command.socket());
               }
-              if (!forgotten.contains(command.socket())) {
+              if (!unresponsiveSockets.contains(command.socket())) {
                 serve(command);
               }
             });
     TestClient client = testbed.client();
-    int allow = 1500;
-    client.sendRequest(++number, service, allow, 0);
+    int timeoutMillis = 1500;
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
     assertEquals(null, client.receive().error());
-    long since = System.nanoTime();
-    client.sendRequest(++number, service, allow, 0);
+    long startNanos = System.nanoTime();
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
     ClientAnswer answer = client.receive();
     assertEquals(number, answer.messageId());
-    assertTrue(millisSince(since) < allow + LATE_MILLIS);
-    if (service.equals("orders")) {
-      assertEquals(1, attemptsOf(seen, number).size());
+    assertTrue(millisSince(startNanos) < timeoutMillis + LATE_MILLIS);
+    if (trafficClass.equals("orders")) {
+      assertEquals(1, attemptsOf(receivedCommands, number).size());
       assertEquals("Internal", answer.error(), "it may have run");
     }
-    client.sendRequest(++number, service, allow, 0);
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
     assertEquals(null, client.receive().error(), "on another connection");
     assertNoFurtherAnswer(client);
   }
@@ -157,8 +157,8 @@
    * Waits until the connection of each request has ended and the gateway has then read from all
    * connections.
    */
-  private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
-    Conditions.await(() -> ended.get() == number, "an end for each request");
+  private void awaitEndsRead(TestClient client, AtomicInteger endedConnections) throws Exception {
+    Conditions.await(() -> endedConnections.get() == number, "an end for each request");
     client.requestStatus();
     client.requestStatus();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -59,35 +59,35 @@
  */
 @Timeout(60)
 class SystemCallFailuresTest {
-  private static final int FOREVER = Integer.MAX_VALUE;
+  private static final int ALWAYS = Integer.MAX_VALUE;
 
   /** System calls that fail, or transfer one byte at a time, as set by the fields. */
-  private static final class Failing extends SystemCalls {
-    final AtomicInteger accepts = new AtomicInteger();
-    final AtomicInteger opens = new AtomicInteger();
-    final AtomicInteger connects = new AtomicInteger();
+  private static final class FailingSystemCalls extends SystemCalls {
+    final AtomicInteger acceptCount = new AtomicInteger();
+    final AtomicInteger openCount = new AtomicInteger();
+    final AtomicInteger connectCount = new AtomicInteger();
     volatile int acceptFailures;
     volatile int openFailures;
     volatile int connectFailures;
-    volatile Predicate<Integer> ports = port -> true;
+    volatile Predicate<Integer> affectedPorts = port -> true;
     volatile IOException failure = new SocketException("Too many open files");
     volatile IOException readFailure;
-    volatile boolean little;
+    volatile boolean shortTransfers;
 
     @Override
     public SocketChannel accept(ServerSocketChannel from) throws IOException {
-      if (accepts.getAndIncrement() < acceptFailures) {
+      if (acceptCount.getAndIncrement() < acceptFailures) {
         throw failure;
       }
       return super.accept(from);
     }
 
     @Override
-    public Channel socket() {
-      if (opens.getAndIncrement() < openFailures) {
+    public Channel openSocket() {
+      if (openCount.getAndIncrement() < openFailures) {
         throw new ChannelException("Failed to open a socket.", failure);
       }
-      return new Socket(this);
+      return new FailingSocketChannel(this);
     }
   }
 
@@ -95,38 +95,38 @@
    * A connection to an endpoint on which calls fail, or transfer one byte at a time and are
    * interrupted, that is transfer nothing, every other time.
    */
-  private static final class Socket extends NioSocketChannel {
-    private final Failing calls;
+  private static final class FailingSocketChannel extends NioSocketChannel {
+    private final FailingSystemCalls systemCalls;
     private boolean interrupted;
 
-    Socket(Failing calls) {
-      this.calls = calls;
+    FailingSocketChannel(FailingSystemCalls systemCalls) {
+      this.systemCalls = systemCalls;
     }
 
     @Override
     protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-      if (calls.ports.test(((InetSocketAddress) remote).getPort())
-          && calls.connects.getAndIncrement() < calls.connectFailures) {
+      if (systemCalls.affectedPorts.test(((InetSocketAddress) remote).getPort())
+          && systemCalls.connectCount.getAndIncrement() < systemCalls.connectFailures) {
         doClose();
-        throw calls.failure;
+        throw systemCalls.failure;
       }
       return super.doConnect(remote, local);
     }
 
     @Override
     protected int doReadBytes(ByteBuf into) throws Exception {
-      if (calls.readFailure != null) {
-        throw calls.readFailure;
+      if (systemCalls.readFailure != null) {
+        throw systemCalls.readFailure;
       }
-      interrupted ^= calls.little;
-      return !calls.little
+      interrupted ^= systemCalls.shortTransfers;
+      return !systemCalls.shortTransfers
           ? super.doReadBytes(into)
           : interrupted ? 0 : into.writeBytes(javaChannel(), 1);
     }
 
     @Override
     protected void doWrite(ChannelOutboundBuffer out) throws Exception {
-      if (!calls.little) {
+      if (!systemCalls.shortTransfers) {
         super.doWrite(out);
         return;
       }
@@ -144,18 +144,18 @@
   }
 
   @TempDir private Path folder;
-  private final Failing calls = new Failing();
+  private final FailingSystemCalls systemCalls = new FailingSystemCalls();
   private final Queue<AttemptOutcome> outcomes = new ConcurrentLinkedQueue<>();
   private GatewayTestbed testbed;
   private Vertx vertx;
   private StubCache cache;
 
   @BeforeEach
-  void start() throws Exception {
+  void createTestbed() throws Exception {
     testbed = new GatewayTestbed();
     vertx =
         Vertx.builder()
-            .withTransport(SingleEventLoopTransport.transport(calls))
+            .withTransport(SingleEventLoopTransport.transport(systemCalls))
             .with(new VertxOptions().setEventLoopPoolSize(1))
             .build();
     cache = testbed.cache();
@@ -163,7 +163,7 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void closeTestbed() throws Exception {
     testbed.close();
     vertx
         .close()
@@ -172,12 +172,12 @@
         .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  private TestClient serve() throws Exception {
-    serve(GatewayOptions.read(testbed.environment(folder)));
+  private TestClient startGateway() throws Exception {
+    startGateway(GatewayOptions.read(testbed.environment(folder)));
     return testbed.client();
   }
 
-  private void serve(GatewayOptions options) throws Exception {
+  private void startGateway(GatewayOptions options) throws Exception {
     RequestRouter router = new RequestRouter(options.routingConfig());
     testbed.gateway =
         new Gateway(
@@ -221,42 +221,45 @@
         "Cannot allocate memory",
         "Software caused connection abort"
       })
-  void failedAcceptIsRetriedWithinMillisecondsWithoutABusyLoop(String text) throws Exception {
-    serve();
-    calls.failure = new IOException(text);
-    calls.accepts.set(0);
-    calls.acceptFailures = 6;
-    long began = System.nanoTime();
+  void failedAcceptIsRetriedWithinMillisecondsWithoutABusyLoop(String message) throws Exception {
+    startGateway();
+    systemCalls.failure = new IOException(message);
+    systemCalls.acceptCount.set(0);
+    systemCalls.acceptFailures = 6;
+    long startNanos = System.nanoTime();
     assertEquals(9999, testbed.client().requestStatus().messageId());
-    long tookMillis = (System.nanoTime() - began) / 1_000_000;
+    long elapsedMillis = (System.nanoTime() - startNanos) / 1_000_000;
     assertTrue(
-        tookMillis >= 10 + 20 + 40 + 80 + 100 + 100 && tookMillis < 3000, tookMillis + " ms");
-    assertTrue(calls.accepts.get() <= 12, calls.accepts + " calls");
+        elapsedMillis >= 10 + 20 + 40 + 80 + 100 + 100 && elapsedMillis < 3000,
+        elapsedMillis + " ms");
+    assertTrue(systemCalls.acceptCount.get() <= 12, systemCalls.acceptCount + " calls");
   }
 
   @Test
-  void connectionStatesForHowLongItWaitedInThePausedAcceptQueue() throws Exception {
-    Queue<Long> waited = new ConcurrentLinkedQueue<>();
+  void acceptedConnectionReportsItsTimeInThePausedAcceptQueue() throws Exception {
+    Queue<Long> queuedNanos = new ConcurrentLinkedQueue<>();
     SingleEventLoopTransport.limitNext(vertx, new AcceptLimit(4, System::nanoTime));
     int port =
         vertx
             .createNetServer()
-            .connectHandler(socket -> waited.add(AcceptLimit.queuedNanos(socket)))
+            .connectHandler(socket -> queuedNanos.add(AcceptLimit.queuedNanos(socket)))
             .listen(0, "127.0.0.1")
             .toCompletionStage()
             .toCompletableFuture()
             .get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS)
             .actualPort();
-    calls.acceptFailures = 4;
+    systemCalls.acceptFailures = 4;
     testbed.client(port);
     testbed.client(port);
-    Conditions.await(() -> waited.size() == 2, "the attempts or connections that are expected");
+    Conditions.await(
+        () -> queuedNanos.size() == 2, "the attempts or connections that are expected");
     for (int connection = 0; connection < 2; connection++) {
-      assertTrue(waited.remove() >= 150_000_000);
+      assertTrue(queuedNanos.remove() >= 150_000_000);
     }
     testbed.client(port);
-    Conditions.await(() -> waited.size() == 1, "the attempts or connections that are expected");
-    assertEquals(0, waited.remove());
+    Conditions.await(
+        () -> queuedNanos.size() == 1, "the attempts or connections that are expected");
+    assertEquals(0, queuedNanos.remove());
   }
 
   @ParameterizedTest
@@ -268,15 +271,17 @@
     "false, Network is unreachable",
     "false, Cannot assign requested address"
   })
-  void connectThatFailsLocallyIsRetriedAndNotBlamedOnTheEndpoint(boolean open, String text)
+  void connectThatFailsLocallyIsRetriedAndNotBlamedOnTheEndpoint(boolean openFails, String message)
       throws Exception {
-    TestClient client = serve();
-    calls.failure =
-        text.startsWith("Cannot assign") ? new BindException(text) : new SocketException(text);
-    calls.opens.set(0);
-    calls.connects.set(0);
-    calls.openFailures = open ? 3 : 0;
-    calls.connectFailures = open ? 0 : 3;
+    TestClient client = startGateway();
+    systemCalls.failure =
+        message.startsWith("Cannot assign")
+            ? new BindException(message)
+            : new SocketException(message);
+    systemCalls.openCount.set(0);
+    systemCalls.connectCount.set(0);
+    systemCalls.openFailures = openFails ? 3 : 0;
+    systemCalls.connectFailures = openFails ? 0 : 3;
     client.sendRequest(1, "orders", 5000, 0);
     cache.nextCommand().replyOk("served");
     assertEquals("served", text(client.receive()));
@@ -285,37 +290,38 @@
   }
 
   @Test
-  void requestIsServedByAnotherEndpointWhereConnectsFailLocallyForLong() throws Exception {
+  void requestIsServedByAnotherEndpointIfConnectsKeepFailingLocally() throws Exception {
     StubCache other = testbed.cache();
     testbed.journal.listEndpoint("c1", other.address(), "box", "ready");
-    TestClient client = serve();
-    int[] only = {0};
-    calls.ports = port -> (only[0] = only[0] == 0 ? port : only[0]) == port;
-    calls.connects.set(0);
-    calls.connectFailures = FOREVER;
+    TestClient client = startGateway();
+    int[] failingPort = {0};
+    systemCalls.affectedPorts =
+        port -> (failingPort[0] = failingPort[0] == 0 ? port : failingPort[0]) == port;
+    systemCalls.connectCount.set(0);
+    systemCalls.connectFailures = ALWAYS;
     client.sendRequest(1, "orders", 5000, 0);
     Conditions.await(
         () -> !cache.commands.isEmpty() || !other.commands.isEmpty(),
         "the attempts or connections that are expected");
-    ReceivedCommand sent = cache.commands.isEmpty() ? other.nextCommand() : cache.nextCommand();
-    assertFalse(sent.socket().getLocalPort() == only[0]);
-    sent.replyOk("served");
+    ReceivedCommand command = cache.commands.isEmpty() ? other.nextCommand() : cache.nextCommand();
+    assertFalse(command.socket().getLocalPort() == failingPort[0]);
+    command.replyOk("served");
     assertEquals("served", text(client.receive()));
     Conditions.await(() -> outcomes.size() == 2, "the attempts or connections that are expected");
     assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
-    assertTrue(calls.connects.get() <= 6, calls.connects + " calls");
+    assertTrue(systemCalls.connectCount.get() <= 6, systemCalls.connectCount + " calls");
   }
 
   @Test
   void attemptThatTimesOutWhileConnectsFailLocallyIsBlamedOnNoEndpoint() throws Exception {
-    TestClient client = serve();
-    calls.connects.set(0);
-    calls.connectFailures = FOREVER;
+    TestClient client = startGateway();
+    systemCalls.connectCount.set(0);
+    systemCalls.connectFailures = ALWAYS;
     client.sendRequest(1, "orders", 120, 0);
     assertNotNull(client.receive().error());
     Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
     assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
-    calls.connectFailures = 0;
+    systemCalls.connectFailures = 0;
     client.sendRequest(2, "orders", 5000, 0);
     cache.nextCommand().replyOk("served");
     assertEquals("served", text(client.receive()));
@@ -323,10 +329,10 @@
 
   @Test
   void refusedConnectIsBlamedOnItsEndpoint() throws Exception {
-    TestClient client = serve();
-    calls.failure = new ConnectException("Connection refused");
-    calls.connects.set(0);
-    calls.connectFailures = FOREVER;
+    TestClient client = startGateway();
+    systemCalls.failure = new ConnectException("Connection refused");
+    systemCalls.connectCount.set(0);
+    systemCalls.connectFailures = ALWAYS;
     client.sendRequest(1, "orders", 5000, 0);
     assertEquals("Overloaded", client.receive().error());
     assertTrue(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
@@ -334,34 +340,36 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"Connection timed out", "No route to host", "Connection reset by peer"})
-  void connectionThatFailsUnderARequestMayHaveExecutedIt(String text) throws Exception {
-    TestClient client = serve();
+  void requestOnAConnectionThatFailsMayHaveBeenExecuted(String message) throws Exception {
+    TestClient client = startGateway();
     client.sendRequest(1, "orders", 5000, 0);
-    ReceivedCommand sent = cache.nextCommand();
-    calls.readFailure =
-        text.startsWith("No route") ? new NoRouteToHostException(text) : new IOException(text);
-    sent.replyOk("read by nobody");
+    ReceivedCommand command = cache.nextCommand();
+    systemCalls.readFailure =
+        message.startsWith("No route")
+            ? new NoRouteToHostException(message)
+            : new IOException(message);
+    command.replyOk("read by nobody");
     assertEquals("Internal", client.receive().error());
     assertEquals("[CONNECTION_LOST]", outcomes.toString());
   }
 
   @Test
   void shortAndInterruptedReadsAndWritesChangeNothing() throws Exception {
-    TestClient client = serve();
-    calls.little = true;
+    TestClient client = startGateway();
+    systemCalls.shortTransfers = true;
     client.sendRequest(1, "orders", 9000, 0);
-    String part = "p".repeat(3000);
-    cache.nextCommand().replyOk(part);
-    assertEquals(part, text(client.receive()));
+    String body = "p".repeat(3000);
+    cache.nextCommand().replyOk(body);
+    assertEquals(body, text(client.receive()));
   }
 
   @Test
-  void journalThatCannotBePolledForALocalFailureIsWaitedFor() throws Exception {
+  void journalPollThatFailsLocallyIsRetried() throws Exception {
     GatewayOptions options = GatewayOptions.read(testbed.environment(folder));
-    int journal = testbed.journal.server.getAddress().getPort();
-    calls.ports = port -> port == journal;
-    calls.connectFailures = 3;
-    serve(options);
+    int journalPort = testbed.journal.server.getAddress().getPort();
+    systemCalls.affectedPorts = port -> port == journalPort;
+    systemCalls.connectFailures = 3;
+    startGateway(options);
     assertNotNull(testbed.journal.polls.poll(), "it serves by what it knew, and never asked");
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/CachePoolTest.java
@@ -19,7 +19,7 @@
 
 /** When {@link CachePool} sends the commands that wait, and on which connection. */
 class CachePoolTest {
-  private static final byte[] ID =
+  private static final byte[] REQUEST_ID =
       "9b1f03aa5c7e2d41".getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
 
   private boolean mayWrite;
@@ -41,7 +41,7 @@
               new ConnectionBudget(4, () -> {}),
               new CachePool.Hooks(() -> 0, () -> mayWrite, (from, reason) -> {}));
       pool.send(
-          new CacheCommand(ID, ID, ID, ID, 1000, List.of()) {
+          new CacheCommand(REQUEST_ID, REQUEST_ID, REQUEST_ID, REQUEST_ID, 1000, List.of()) {
             @Override
             protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
               outcomes.add(outcome);
@@ -63,15 +63,15 @@
   }
 
   @Test
-  void noCommandIsSentBehindBytesThatAPeerDoesNotRead() throws Exception {
+  void noCommandIsSentAfterBytesThatThePeerDoesNotRead() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (ServerSocket cache = new ServerSocket()) {
       cache.setReceiveBufferSize(4096);
       cache.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      Context loop = vertx.getOrCreateContext();
+      Context eventLoop = vertx.getOrCreateContext();
       NetClient client = vertx.createNetClient();
       CachePool[] pool = new CachePool[1];
-      loop.runOnContext(
+      eventLoop.runOnContext(
           v -> {
             pool[0] =
                 new CachePool(
@@ -81,14 +81,14 @@
                     new PoolBounds(() -> maxConnections, 100, 1, Long.MAX_VALUE, 1),
                     new ConnectionBudget(2, () -> {}),
                     new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
-            pool[0].send(command(new byte[64 << 20]));
+            pool[0].send(newCommand(new byte[64 << 20]));
           });
       Socket first = cache.accept();
       Thread.sleep(200); // The command is written until the receive buffer of the peer is full.
-      loop.runOnContext(
+      eventLoop.runOnContext(
           v -> {
             maxConnections = 2;
-            pool[0].send(command(ID));
+            pool[0].send(newCommand(REQUEST_ID));
           });
       cache.setSoTimeout(5000);
       try (Socket second = cache.accept()) {
@@ -101,8 +101,8 @@
     }
   }
 
-  private static CacheCommand command(byte[] body) {
-    return new CacheCommand(ID, ID, ID, body, 1000, List.of()) {
+  private static CacheCommand newCommand(byte[] body) {
+    return new CacheCommand(REQUEST_ID, REQUEST_ID, REQUEST_ID, body, 1000, List.of()) {
       @Override
       protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {}
     };
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ConnectFailureTest.java
@@ -31,16 +31,16 @@
     "No route to host, UNREACHABLE",
     "Connection reset by peer, OTHER"
   })
-  void failuresAreClassifiedThroughWrappersAndAddresses(String text, ConnectFailure kind) {
-    assertEquals(kind, ConnectFailure.of(new ConnectException(text + ": /127.0.0.1:6379")));
+  void failuresAreClassifiedThroughWrappersAndAddresses(String message, ConnectFailure kind) {
+    assertEquals(kind, ConnectFailure.of(new ConnectException(message + ": /127.0.0.1:6379")));
     assertEquals(
         kind,
-        ConnectFailure.of(new IllegalStateException("no channel", new SocketException(text))));
+        ConnectFailure.of(new IllegalStateException("no channel", new SocketException(message))));
     assertEquals(kind.isLocal(), kind.name().startsWith("LOCAL"));
   }
 
   @Test
-  void exceptionClassesDecideWhereTextsAreInAnotherLanguage() {
+  void exceptionClassesDecideIfMessagesAreInAnotherLanguage() {
     assertEquals(
         ConnectFailure.LOCAL_NETWORK,
         ConnectFailure.of(
@@ -49,16 +49,16 @@
                     new BindException("Die angeforderte Adresse kann nicht zugewiesen werden"))));
     assertEquals(
         ConnectFailure.UNREACHABLE, ConnectFailure.of(new NoRouteToHostException("Keine Route")));
-    Throwable loop = new IOException("a");
-    loop.initCause(new IOException("b", loop));
-    assertEquals(ConnectFailure.OTHER, ConnectFailure.of(loop));
+    Throwable cyclicCause = new IOException("a");
+    cyclicCause.initCause(new IOException("b", cyclicCause));
+    assertEquals(ConnectFailure.OTHER, ConnectFailure.of(cyclicCause));
   }
 
   @Test
   void backoffDoublesUpToABoundAndRestartsAfterASuccess() {
     LocalBackoff backoff = new LocalBackoff();
-    for (long pause : new long[] {10, 20, 40, 80}) {
-      assertEquals(pause, backoff.attemptFailed());
+    for (long expectedMillis : new long[] {10, 20, 40, 80}) {
+      assertEquals(expectedMillis, backoff.attemptFailed());
       assertFalse(backoff.isExhausted());
     }
     assertEquals(100, backoff.attemptFailed());
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -38,19 +38,21 @@
     protocolErrors.add(reason);
   }
 
-  private void read(String text, int size) {
-    byte[] all = text.getBytes(StandardCharsets.ISO_8859_1);
-    for (int at = 0; at < all.length; at += size) {
-      reader.handle(Buffer.buffer(Arrays.copyOfRange(all, at, Math.min(all.length, at + size))));
+  private void read(String text, int segmentBytes) {
+    byte[] stream = text.getBytes(StandardCharsets.ISO_8859_1);
+    for (int offset = 0; offset < stream.length; offset += segmentBytes) {
+      reader.handle(
+          Buffer.buffer(
+              Arrays.copyOfRange(stream, offset, Math.min(stream.length, offset + segmentBytes))));
     }
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 5, 1000})
-  void repliesAreCompleteHoweverTheyAreSplit(int size) {
+  void repliesAreCompleteHoweverTheyAreSplit(int segmentBytes) {
     String first = "*4\r\n$2\r\nid\r\n$2\r\nok\r\n$5\r\nres=h\r\n$7\r\na\r\n$0\r\n\r\n";
     String second = "*2\r\n$2\r\nid\r\n$0\r\n\r\n";
-    read(first + second, size);
+    read(first + second, segmentBytes);
     assertEquals(List.of("id|ok|res=h|a\r\n$0\r\n", "id|"), replies);
     assertTrue(protocolErrors.isEmpty());
   }
@@ -81,7 +83,7 @@
     assertEquals(20, ReplyWarmUp.play(20));
   }
 
-  private CacheCommand want() {
+  private CacheCommand newCommand() {
     return new CacheCommand(
         new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
       @Override
@@ -92,7 +94,7 @@
   }
 
   @Test
-  void commandWaitingForAConnectionIsNeverSentWhereItsCacheDrains() {
+  void commandWaitingForAConnectionToADrainingCacheIsNeverSent() {
     Promise<NetSocket> connection = Promise.promise();
     NetClient client =
         (NetClient)
@@ -108,9 +110,9 @@
             new PoolBounds(() -> 1, 100, 1, 1, 100),
             new ConnectionBudget(1, () -> {}),
             new CachePool.Hooks(() -> 0, () -> true, (from, reason) -> {}));
-    CacheCommand drained = want();
+    CacheCommand drained = newCommand();
     pool.send(drained);
-    pool.send(want());
+    pool.send(newCommand());
     pool.fail(one -> one == drained, AttemptOutcome.NOT_SENT);
     assertEquals(List.of(AttemptOutcome.NOT_SENT), outcomes);
     connection.fail("refused");
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -37,24 +37,26 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 7, 64, 4000})
-  void messagesAreCompleteHoweverTheyAreSplit(int size) {
-    byte[] all =
+  void messagesAreCompleteHoweverTheyAreSplit(int segmentBytes) {
+    byte[] stream =
         HexFormat.of()
             .parseHex("9301a3616263c4020d0a" + "94000793c0c2c380" + "c0" + "dd00000002a0c400");
-    for (int at = 0; at < all.length; at += size) {
-      reader.handle(Buffer.buffer(Arrays.copyOfRange(all, at, Math.min(all.length, at + size))));
+    for (int offset = 0; offset < stream.length; offset += segmentBytes) {
+      reader.handle(
+          Buffer.buffer(
+              Arrays.copyOfRange(stream, offset, Math.min(stream.length, offset + segmentBytes))));
     }
     assertEquals(List.of(10, 8, 1, 8), messages.stream().map(one -> one.length).toList());
     ByteArrayOutputStream joined = new ByteArrayOutputStream();
     messages.forEach(joined::writeBytes);
-    assertArrayEquals(all, joined.toByteArray());
+    assertArrayEquals(stream, joined.toByteArray());
   }
 
   @ParameterizedTest
   @CsvSource({"d9, c4, 81", "da00, c500, de0001", "db000000, c6000000, df00000001"})
-  void everyWidthOfStringsBinariesAndMapsIsRead(String string, String bin, String map)
-      throws Exception {
-    String fields = map.substring(0, map.length() - 1) + "6";
+  void everyWidthOfStringsBinariesAndMapsIsRead(
+      String stringHeader, String binaryHeader, String mapHeader) throws Exception {
+    String fields = mapHeader.substring(0, mapHeader.length() - 1) + "6";
     StringBuilder hex = new StringBuilder(fields);
     for (String[] field :
         new String[][] {
@@ -66,17 +68,19 @@
           {"room", "412.5"}
         }) {
       for (String text : field) {
-        hex.append(string).append(String.format("%02x", text.length()));
+        hex.append(stringHeader).append(String.format("%02x", text.length()));
         hex.append(HexFormat.of().formatHex(text.getBytes(StandardCharsets.US_ASCII)));
       }
     }
-    byte[] bytes = HexFormat.of().parseHex(hex + bin + "020d0a");
-    DecodedRequest get = RequestFields.read("parts", MessagePack.newDefaultUnpacker(bytes), true);
-    assertEquals(-1, get.objectId());
+    byte[] bytes = HexFormat.of().parseHex(hex + binaryHeader + "020d0a");
+    DecodedRequest request =
+        RequestFields.read("parts", MessagePack.newDefaultUnpacker(bytes), true);
+    assertEquals(-1, request.objectId());
     assertEquals(
         List.of(3, 17, 1_500_000_000L, 412.5),
-        List.of(get.partNumber(), get.purgeGroup(), get.timeoutNanos(), get.sizeKb()));
-    assertArrayEquals(new byte[] {13, 10}, get.body().array());
+        List.of(
+            request.partNumber(), request.purgeGroup(), request.timeoutNanos(), request.sizeKb()));
+    assertArrayEquals(new byte[] {13, 10}, request.body().array());
   }
 
   @Test
@@ -89,9 +93,9 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"91", "8100", "dd7fffffff", "df7fffffff"})
-  void deepNestingAndTooManyValuesAreRejected(String part) {
-    for (int at = 0; at < 600; at++) {
-      reader.handle(Buffer.buffer(HexFormat.of().parseHex(part)));
+  void deepNestingAndTooManyValuesAreRejected(String repeatedHex) {
+    for (int repetition = 0; repetition < 600; repetition++) {
+      reader.handle(Buffer.buffer(HexFormat.of().parseHex(repeatedHex)));
     }
     assertEquals(List.of("message of more than 512 values"), protocolErrors);
   }
