--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheCommand.java
@@ -17,7 +17,10 @@
   final String requestId;
   private final byte[] requestIdBytes;
   private final byte[] fields;
-  private final String knownTag;
+
+  /** The entity tag of the copy that the client holds; empty for none. */
+  final String knownTag;
+
   private final byte[] body;
   private final long deadlineNanos;
   private final List<? extends CacheCommand> attempts;
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnection.java
@@ -147,7 +147,7 @@
   @Override
   public void onProtocolError(String reason) {
     if (state != State.CLOSED) {
-      pool.protocolError(reason);
+      pool.protocolError(reason + "; connection closed");
       close();
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
@@ -140,7 +140,13 @@
    */
   private void handleLocalFailure(ConnectFailure failure, Throwable cause) {
     if (!backoff.isFailing()) {
-      LOG.warning(target + ": no connection, " + failure + ": " + cause.getMessage());
+      LOG.warning(
+          target
+              + ": connect failed on this host, "
+              + failure
+              + ": "
+              + cause.getMessage()
+              + "; retrying with backoff");
     }
     if (!backingOff) { // Connects that fail during the backoff count as one failure.
       backingOff = true;
--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -3,6 +3,7 @@
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
+import org.amberpath.gateway.transport.ReceivedText;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.ResponseDetail;
 
@@ -48,40 +49,65 @@
   static CacheReply decode(List<Buffer> elements, CacheCommand command)
       throws InvalidReplyException {
     if (elements.size() != ELEMENT_COUNT) {
-      throw invalid();
+      throw new InvalidReplyException(
+          "reply: got an array of "
+              + elements.size()
+              + ", expected "
+              + ELEMENT_COUNT
+              + " elements: request id, status, fields, body");
     }
     String status = decodeLatin1(elements.get(STATUS_INDEX));
     String fields = decodeLatin1(elements.get(FIELDS_INDEX));
     AttemptOutcome outcome =
         switch (status) {
           case OK_STATUS -> {
-            check(!command.expectsCopy() || hasCopyFields(fields));
+            if (command.expectsCopy()) {
+              checkCopyFields(status, fields);
+            }
             yield AttemptOutcome.SUCCEEDED;
           }
           case CURRENT_STATUS -> {
             // The cache has to name the copy that it confirms, so that no other is taken for
             // current.
-            check(hasCopyFields(fields) && command.isKnownTag(fieldValue(fields, TAG_FIELD)));
+            checkCopyFields(status, fields);
+            checkKnownTag(fieldValue(fields, TAG_FIELD), command);
             yield AttemptOutcome.SUCCEEDED;
           }
           case "nothing" -> AttemptOutcome.NOT_CACHED;
           case "refused" -> AttemptOutcome.REJECTED;
           case "error" -> AttemptOutcome.FAILED;
           case "stale" -> AttemptOutcome.NOT_SENT;
-          default -> throw invalid();
+          default ->
+              throw new InvalidReplyException(
+                  "reply: status: got "
+                      + ReceivedText.quote(status)
+                      + ", expected ok, current, nothing, refused, error or stale");
         };
     return new CacheReply(
         outcome, note(fields), status.equals(OK_STATUS) ? elements.get(BODY_INDEX) : null);
   }
 
-  private static void check(boolean valid) throws InvalidReplyException {
-    if (!valid) {
-      throw invalid();
+  private static void checkCopyFields(String status, String fields) throws InvalidReplyException {
+    if (!hasCopyFields(fields)) {
+      throw new InvalidReplyException(
+          "reply: status "
+              + status
+              + ": got entity="
+              + ReceivedText.quote(fieldValue(fields, TAG_FIELD))
+              + " issued="
+              + ReceivedText.quote(fieldValue(fields, ISSUED_FIELD))
+              + ", expected an entity tag and a decimal time");
     }
   }
 
-  private static InvalidReplyException invalid() {
-    return new InvalidReplyException("an invalid reply");
+  private static void checkKnownTag(String tag, CacheCommand command) throws InvalidReplyException {
+    if (!command.isKnownTag(tag)) {
+      throw new InvalidReplyException(
+          "reply: status current: got entity="
+              + ReceivedText.quote(tag)
+              + ", expected the tag of the client's copy, "
+              + (command.knownTag.isEmpty() ? "which has none" : command.knownTag));
+    }
   }
 
   /** Returns whether the fields have an entity tag and the origin's issue time in decimal. */
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ReplyReader.java
@@ -5,6 +5,7 @@
 import io.vertx.core.parsetools.RecordParser;
 import java.util.ArrayList;
 import java.util.List;
+import org.amberpath.gateway.transport.ReceivedText;
 
 /** Parses a stream of RESP arrays of bulk strings. Confined to one event loop. */
 public final class ReplyReader implements Handler<Buffer> {
@@ -59,7 +60,15 @@
     this.sink = sink;
     parser.maxRecordSize(MAX_HEADER_BYTES);
     parser.handler(this::handleRecord);
-    parser.exceptionHandler(e -> fail(e.getMessage()));
+    parser.exceptionHandler(
+        e ->
+            fail(
+                headerName()
+                    + ": got no line end within "
+                    + MAX_HEADER_BYTES
+                    + " bytes, expected a type and a length ("
+                    + e.getMessage()
+                    + ")"));
   }
 
   /** Returns whether the last reply has been received only in part. */
@@ -91,16 +100,13 @@
 
   private void readArrayHeader(Buffer line) throws InvalidReplyException {
     pendingBytes -= line.length() + LINE_END_BYTES;
-    remainingElements = parseLength(line, ARRAY_TYPE, MAX_ELEMENTS);
-    if (remainingElements == 0) {
-      throw new InvalidReplyException("an empty array");
-    }
+    remainingElements = parseLength(line, ARRAY_TYPE, 1, MAX_ELEMENTS);
     state = State.BULK_HEADER;
   }
 
   private void readBulkHeader(Buffer line) throws InvalidReplyException {
     pendingBytes -= line.length() + LINE_END_BYTES;
-    int length = parseLength(line, BULK_TYPE, maxStringBytes);
+    int length = parseLength(line, BULK_TYPE, 0, maxStringBytes);
     state = State.BULK_STRING;
     parser.maxRecordSize(length + LINE_END_BYTES + MAX_HEADER_BYTES);
     parser.fixedSizeMode(length + LINE_END_BYTES);
@@ -110,7 +116,13 @@
     pendingBytes -= record.length();
     int length = record.length() - LINE_END_BYTES;
     if (record.getByte(length) != '\r' || record.getByte(length + 1) != '\n') {
-      throw new InvalidReplyException("a bulk string does not end where it should");
+      throw new InvalidReplyException(
+          elementName()
+              + ": got "
+              + ReceivedText.quote(record.getBytes(length, record.length()))
+              + " after "
+              + length
+              + " bytes, expected CR LF");
     }
     parser.delimitedMode(LINE_END);
     parser.maxRecordSize(MAX_HEADER_BYTES); // Bounds a header line without end.
@@ -126,7 +138,7 @@
     sink.onReply(complete);
   }
 
-  private static int parseLength(Buffer line, char type, int max) throws InvalidReplyException {
+  private int parseLength(Buffer line, char type, int min, int max) throws InvalidReplyException {
     boolean valid =
         line.length() > 1 && line.length() < HEADER_LENGTH_LIMIT && line.getByte(0) == type;
     int length = 0;
@@ -135,12 +147,35 @@
       length = DECIMAL_RADIX * length + digit;
       valid = digit >= 0 && digit < DECIMAL_RADIX && length <= max;
     }
-    if (!valid) {
-      throw new InvalidReplyException("not '" + type + "' and a length up to " + max);
+    if (!valid || length < min) {
+      throw invalidHeader(line, type, min, max);
     }
     return length;
   }
 
+  private InvalidReplyException invalidHeader(Buffer line, char type, int min, int max) {
+    return new InvalidReplyException(
+        headerName()
+            + ": got "
+            + ReceivedText.quote(line.getBytes())
+            + ", expected '"
+            + type
+            + "' and a length from "
+            + min
+            + " to "
+            + max);
+  }
+
+  private String headerName() {
+    return state == State.ARRAY_HEADER ? "reply: array header" : elementName() + ": header";
+  }
+
+  /** Names the element that is being read, counted from 1. */
+  private String elementName() {
+    int count = elements.size() + remainingElements;
+    return "reply: element " + (elements.size() + 1) + " of " + count;
+  }
+
   private void fail(String reason) {
     if (state != State.FAILED) {
       state = State.FAILED;
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnection.java
@@ -164,7 +164,7 @@
       session.markViolated();
       transitionTo(ClientConnectionState.FAILING);
       stopReading();
-      handler.protocolViolated(this, reason);
+      handler.protocolViolated(this, reason + "; connection closed");
       if (!decodingRead) {
         closeOrFlush();
       }
@@ -174,7 +174,7 @@
   /** Closes immediately to free the memory of responses that the client does not read. */
   void abort(String reason) {
     if (state.sendsResponses()) {
-      handler.protocolViolated(this, reason);
+      handler.protocolViolated(this, reason + "; connection closed");
     }
     close();
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -27,6 +27,8 @@
    */
   private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
 
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
   /** Delay before an eviction, in which the event loop reads from the connection once more. */
   private static final long EVICTION_DELAY_MILLIS = 2;
 
@@ -212,7 +214,11 @@
     for (ClientConnection connection : List.copyOf(openConnections)) {
       if (connection.isAwaitingMessage()
           && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
-        connection.onProtocolError("no whole message in time");
+        connection.onProtocolError(
+            (connection.hasPartialMessage() ? "message: only a part" : "message: nothing")
+                + " received, expected a complete message within "
+                + MESSAGE_TIMEOUT_NANOS / NANOS_PER_MILLI
+                + " ms");
       }
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ProtocolException.java
@@ -17,6 +17,8 @@
 
   /** Returns the text that is logged for a failure to decode a message. */
   static String reasonOf(Exception failure) {
-    return failure.getMessage() == null ? failure.toString() : failure.getMessage();
+    return failure instanceof ProtocolException
+        ? failure.getMessage()
+        : "message: could not be handled: " + failure;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
@@ -45,7 +45,12 @@
     if (type == NOTIFICATION_TYPE && size == NOTIFICATION_ELEMENTS) {
       return Kind.NOTIFICATION;
     }
-    throw new ProtocolException("no message of type " + type + " and " + size + " elements");
+    throw new ProtocolException(
+        "message: got type "
+            + type
+            + " with "
+            + size
+            + " elements, expected a request (type 0, 4 elements) or a notification (2, 3)");
   }
 
   /** Reads the message id of a request, which may be out of range. */
@@ -55,25 +60,27 @@
 
   /** Reads the method of a request. */
   String readMethod() throws IOException, InvalidRequestException {
-    int length =
-        unpacker.getNextFormat().getValueType() == ValueType.STRING
-            ? unpacker.unpackRawStringHeader()
-            : -1;
+    ValueType type = unpacker.getNextFormat().getValueType();
+    int length = type == ValueType.STRING ? unpacker.unpackRawStringHeader() : -1;
     if (length < 0 || length > MAX_METHOD_BYTES) {
       throw new InvalidRequestException(
-          "method: not a string of up to " + MAX_METHOD_BYTES + " bytes");
+          "method: not a string of up to " + MAX_METHOD_BYTES + " bytes",
+          length < 0 ? "got " + type : "got " + length + " bytes");
     }
     return new String(unpacker.readPayload(length), StandardCharsets.UTF_8);
   }
 
   /** Reads the parameters of a request: a map of fields and, optionally, a body. */
   DecodedRequest readRequest(String method) throws IOException, InvalidRequestException {
-    int parameters =
-        unpacker.getNextFormat().getValueType() == ValueType.ARRAY
-            ? unpacker.unpackArrayHeader()
-            : 0;
+    ValueType type = unpacker.getNextFormat().getValueType();
+    int parameters = type == ValueType.ARRAY ? unpacker.unpackArrayHeader() : 0;
     if (parameters < 1 || parameters > MAX_PARAMETERS) {
-      throw new InvalidRequestException("not fields and a body");
+      throw new InvalidRequestException(
+          "not fields and a body",
+          "parameters: got "
+              + type
+              + (type == ValueType.ARRAY ? " of " + parameters : "")
+              + ", expected ARRAY of 1 or 2: fields, optionally a body");
     }
     return RequestFields.read(method, unpacker, parameters > 1);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -4,6 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import org.amberpath.gateway.transport.ReceivedText;
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
@@ -71,7 +72,8 @@
             : ByteString.EMPTY;
     double timeoutMillis = fields.decimalField(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
     if (timeoutMillis < 1) {
-      throw new InvalidRequestException("allow: not a time to wait");
+      throw new InvalidRequestException(
+          "allow: not a time to wait", "got " + timeoutMillis + ", expected at least 1 ms");
     }
     return new DecodedRequest(
         trafficClass,
@@ -89,21 +91,25 @@
   }
 
   private void readMap(MessageUnpacker unpacker) throws IOException, InvalidRequestException {
-    if (unpacker.getNextFormat().getValueType() != ValueType.MAP) {
-      throw new InvalidRequestException("fields: not a map");
+    ValueType type = unpacker.getNextFormat().getValueType();
+    if (type != ValueType.MAP) {
+      throw new InvalidRequestException("fields: not a map", "got " + type);
     }
     int count = unpacker.unpackMapHeader();
     if (count > MAX_FIELDS) {
-      throw new InvalidRequestException("fields: more than " + MAX_FIELDS);
+      throw new InvalidRequestException("fields: more than " + MAX_FIELDS, "got " + count);
     }
     for (int i = 0; i < count; i++) {
       byte[] key = readString(unpacker, "fields: a key");
       if (key.length > MAX_KEY_BYTES) {
-        throw new InvalidRequestException("fields: a key longer than " + MAX_KEY_BYTES + " bytes");
+        throw new InvalidRequestException(
+            "fields: a key longer than " + MAX_KEY_BYTES + " bytes",
+            "got " + ReceivedText.quote(key));
       }
       String name = decodeLatin1(key);
       if (values.put(name, readString(unpacker, name)) != null) {
-        throw new InvalidRequestException("fields: one key twice");
+        throw new InvalidRequestException(
+            "fields: one key twice", "got " + ReceivedText.quote(key) + " again");
       }
     }
   }
@@ -112,7 +118,7 @@
       throws IOException, InvalidRequestException {
     MessageFormat format = unpacker.getNextFormat();
     if (format.getValueType() != ValueType.STRING) {
-      throw new InvalidRequestException(name + ": not a string");
+      throw new InvalidRequestException(name + ": not a string", "got " + format.getValueType());
     }
     return unpacker.readPayload(unpacker.unpackRawStringHeader());
   }
@@ -124,12 +130,12 @@
       return ByteString.EMPTY;
     }
     if (type != ValueType.BINARY) {
-      throw new InvalidRequestException("body: not bytes");
+      throw new InvalidRequestException("body: not bytes", "got " + type);
     }
     int length = unpacker.unpackBinaryHeader();
     if (length > ClientConnection.MAX_BODY_BYTES) {
       throw new InvalidRequestException(
-          "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes");
+          "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes", "got " + length);
     }
     return ByteString.of(unpacker.readPayload(length));
   }
@@ -149,7 +155,8 @@
       valid &= Character.digit(digit, HEX_RADIX) >= 0;
     }
     if (!valid) {
-      throw new InvalidRequestException(key + ": not 16 hex digits");
+      throw new InvalidRequestException(
+          key + ": not 16 hex digits", "got " + ReceivedText.quote(value));
     }
     return ByteString.of(value);
   }
@@ -166,7 +173,8 @@
     }
     if (!valid) {
       throw new InvalidRequestException(
-          IDEMPOTENCY_KEY + ": not up to " + MAX_IDEMPOTENCY_KEY_BYTES + " plain characters");
+          IDEMPOTENCY_KEY + ": not up to " + MAX_IDEMPOTENCY_KEY_BYTES + " plain characters",
+          "got " + ReceivedText.quote(value));
     }
     return ByteString.of(value);
   }
@@ -175,7 +183,8 @@
       throws InvalidRequestException {
     double value = decimalField(key, (double) defaultValue, (double) max);
     if (values.containsKey(key) && decodeLatin1(values.get(key)).indexOf('.') >= 0) {
-      throw new InvalidRequestException(key + ": not a whole number");
+      throw new InvalidRequestException(
+          key + ": not a whole number", "got " + ReceivedText.quote(values.get(key)));
     }
     return (long) value;
   }
@@ -201,7 +210,8 @@
     }
     double number = valid ? Double.parseDouble(decodeLatin1(value)) : -1;
     if (number < 0 || number > max) {
-      throw new InvalidRequestException(key + ": not a number from 0 to " + (long) max);
+      throw new InvalidRequestException(
+          key + ": not a number from 0 to " + (long) max, "got " + ReceivedText.quote(value));
     }
     return number;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -116,18 +116,23 @@
         handler.requestReceived(connection, messageId, request);
       }
     } catch (InvalidRequestException e) {
-      rejectInvalidRequest(messageId, e.getMessage());
+      rejectInvalidRequest(messageId, e.getMessage(), e.logText());
     }
   }
 
   private void addInFlight(long messageId) throws ProtocolException {
     if (messageId < 0 || messageId > MAX_MESSAGE_ID || !inFlight.add(messageId)) {
       throw new ProtocolException(
-          "message id " + messageId + " is out of range or in flight already");
+          "message id: got "
+              + messageId
+              + (inFlight.contains(messageId)
+                  ? ", which is in flight already"
+                  : ", expected 0 to " + MAX_MESSAGE_ID));
     }
     if (inFlight.size() > MAX_IN_FLIGHT) {
       connection.sendError(messageId, "more than " + MAX_IN_FLIGHT + " requests are in flight");
-      throw new ProtocolException("message id " + messageId + " is one request too many");
+      throw new ProtocolException(
+          "request " + messageId + ": more than " + MAX_IN_FLIGHT + " requests are in flight");
     }
   }
 
@@ -140,10 +145,16 @@
 
   /** Implements {@link ClientConnection#rejectInvalidRequest}. */
   void rejectInvalidRequest(long messageId, String reason) {
+    rejectInvalidRequest(messageId, reason, reason);
+  }
+
+  private void rejectInvalidRequest(long messageId, String reason, String logText) {
     connection.sendError(messageId, reason);
     protocolViolated = true;
     requestReceived = false;
-    handler.protocolViolated(connection, reason);
+    handler.protocolViolated(
+        connection,
+        "request " + messageId + ": " + logText + "; all further requests on this connection fail");
   }
 
   /** Ends a request; returns whether it was in flight, so that its response is to be sent. */
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -29,12 +29,23 @@
     connection.unwrittenBytes += bytes;
     pendingConnections.add(connection);
     if (connection.unwrittenBytes > maxBytesPerConnection) {
-      connection.abort("reads too slowly");
+      connection.abort(
+          "reads too slowly: "
+              + connection.unwrittenBytes
+              + " response bytes unwritten, allowed "
+              + maxBytesPerConnection);
     } else if (totalBytes > maxBytesTotal) {
-      pendingConnections.stream()
-          .max(Comparator.comparingLong(one -> one.unwrittenBytes))
-          .orElse(connection)
-          .abort("reads most slowly of all");
+      ClientConnection slowest =
+          pendingConnections.stream()
+              .max(Comparator.comparingLong(one -> one.unwrittenBytes))
+              .orElse(connection);
+      slowest.abort(
+          "reads most slowly of all clients: "
+              + slowest.unwrittenBytes
+              + " response bytes unwritten, of all clients "
+              + totalBytes
+              + ", allowed "
+              + maxBytesTotal);
     }
   }
 
--- a/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
@@ -97,7 +97,7 @@
   private void scheduleRetry(IOException failure) {
     if (!acceptFailing) {
       acceptFailing = true;
-      LOG.warning("accept: " + failure.getMessage() + "; retried within milliseconds");
+      LOG.warning("accept failed: " + failure.getMessage() + "; retrying with backoff");
     }
     long backoffMillis = limit.acceptFailed();
     pause();
--- a/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientConnectionEndingsTest.java
@@ -6,6 +6,7 @@
 
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
+import io.vertx.core.buffer.Buffer;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -13,6 +14,9 @@
 import java.util.ArrayList;
 import java.util.HexFormat;
 import java.util.List;
+import java.util.Map;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -30,6 +34,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
@@ -40,6 +45,10 @@
 @Timeout(30)
 class ClientConnectionEndingsTest implements ClientHandler {
   private static final int MAX_CONNECTIONS = 20;
+  private static final int MAX_UNWRITTEN_BYTES = 1 << 20;
+
+  /** Number of the part whose body exceeds {@link #MAX_UNWRITTEN_BYTES}. */
+  private static final int LARGE_PART = 13;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Clock clock = new Clock();
@@ -53,6 +62,9 @@
   /** Number of connections whose descriptor is open. */
   private final AtomicInteger heldConnections = new AtomicInteger();
 
+  /** The reasons of protocol errors, as they are logged. */
+  private final Queue<String> protocolErrors = new ConcurrentLinkedQueue<>();
+
   /** Number of requests read. */
   private final AtomicInteger requestsRead = new AtomicInteger();
 
@@ -61,7 +73,8 @@
 
   @BeforeEach
   void listen() throws Exception {
-    WriteBufferAccounting accounting = new WriteBufferAccounting(1 << 20, 1 << 20);
+    WriteBufferAccounting accounting =
+        new WriteBufferAccounting(MAX_UNWRITTEN_BYTES, MAX_UNWRITTEN_BYTES);
     port =
         vertx
             .createNetServer()
@@ -100,6 +113,9 @@
   @Override
   public void requestReceived(ClientConnection connection, long messageId, DecodedRequest request) {
     requestsRead.incrementAndGet();
+    if (request.partNumber() == LARGE_PART) {
+      connection.sendBody(messageId, Buffer.buffer(new byte[2 * MAX_UNWRITTEN_BYTES]));
+    }
     connection.sendNotModified(messageId);
   }
 
@@ -112,7 +128,9 @@
   }
 
   @Override
-  public void protocolViolated(ClientConnection connection, String reason) {}
+  public void protocolViolated(ClientConnection connection, String reason) {
+    protocolErrors.add(reason);
+  }
 
   @Override
   public void connectionEnded(ClientConnection connection) {
@@ -221,6 +239,64 @@
     assertEquals(expectedRequestsRead, requestsRead.get());
   }
 
+  @Test
+  void invalidRequestIsAnsweredWithItsReasonAndLoggedWithADetail() throws Exception {
+    TestClient client = client().send(bytes("940005a57061727473c0"));
+    assertEquals("not fields and a body", client.receive().fields().get("why"));
+    assertEquals(
+        List.of(
+            "request 5: not fields and a body: parameters: got NIL, expected ARRAY of 1 or 2:"
+                + " fields, optionally a body; all further requests on this connection fail"),
+        List.copyOf(protocolErrors));
+  }
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "9400ff|message id: got -1, expected 0 to 4294967295",
+        "c1|message: could not be handled: org.msgpack.core.MessageFormatException:"
+            + " Cannot convert NEVER_USED to ValueType",
+      })
+  void protocolErrorIsLoggedWithWhatWasFoundAndExpected(String hex, String reason)
+      throws Exception {
+    TestClient client = client().send(bytes(hex + "c0c0"));
+    assertTrue(client.isClosed());
+    assertEquals(1, protocolErrors.size());
+    String logged = protocolErrors.remove();
+    assertTrue(logged.startsWith(reason) && logged.endsWith("; connection closed"), logged);
+  }
+
+  @ParameterizedTest
+  @CsvSource({"'', nothing", "94, only a part"})
+  void missingMessageIsLoggedWithTheTimeout(String hex, String received) throws Exception {
+    TestClient client = client().send(bytes(hex));
+    Conditions.await(() -> heldConnections.get() == 1, "the connection is accepted");
+    Thread.sleep(2100); // Longer than the timeout for a complete message.
+    runOnEventLoop(clients::sweep);
+    assertTrue(client.isClosed());
+    assertEquals(
+        List.of(
+            "message: "
+                + received
+                + " received, expected a complete message within 2000 ms; connection closed"),
+        List.copyOf(protocolErrors));
+  }
+
+  @Test
+  void clientWithTooManyUnwrittenBytesIsLoggedWithTheirNumberAndBound() throws Exception {
+    Map<String, String> fields = TestClient.requestFields(5, 1500, LARGE_PART);
+    TestClient client = client().send(TestClient.encodeRequest(5, "parts", fields, null));
+    assertTrue(client.isClosed());
+    assertEquals(1, protocolErrors.size());
+    String logged = protocolErrors.remove();
+    assertTrue(
+        logged.matches(
+            "reads too slowly: 20971\\d\\d response bytes unwritten, allowed 1048576; connection"
+                + " closed"),
+        logged);
+  }
+
   @Test
   void burstOfNewConnectionsStaysWithinTheBoundAndLosesNoResponse() throws Exception {
     for (int one = 0; one < 3 * MAX_CONNECTIONS; one++) {
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -26,11 +26,15 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
+import java.util.List;
 import java.util.Queue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Predicate;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
 import org.amberpath.gateway.testsupport.ClientAnswer;
 import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
@@ -143,6 +147,35 @@
     }
   }
 
+  /** Collects the messages of one logger while it is open. */
+  private static final class LogRecorder extends Handler {
+    final Queue<String> messages = new ConcurrentLinkedQueue<>();
+    private final Logger logger;
+
+    LogRecorder(String loggerName) {
+      logger = Logger.getLogger(loggerName);
+      logger.addHandler(this);
+    }
+
+    @Override
+    public void publish(LogRecord line) {
+      messages.add(line.getMessage());
+    }
+
+    @Override
+    public void flush() {}
+
+    @Override
+    public void close() {
+      logger.removeHandler(this);
+    }
+  }
+
+  private final LogRecorder acceptLog =
+      new LogRecorder("org.amberpath.gateway.transport.BoundedServerChannel");
+  private final LogRecorder connectLog =
+      new LogRecorder("org.amberpath.gateway.cache.CacheConnector");
+
   @TempDir private Path folder;
   private final FailingSystemCalls systemCalls = new FailingSystemCalls();
   private final Queue<AttemptOutcome> outcomes = new ConcurrentLinkedQueue<>();
@@ -164,6 +197,8 @@
 
   @AfterEach
   void closeTestbed() throws Exception {
+    acceptLog.close();
+    connectLog.close();
     testbed.close();
     vertx
         .close()
@@ -233,6 +268,9 @@
         elapsedMillis >= 10 + 20 + 40 + 80 + 100 + 100 && elapsedMillis < 3000,
         elapsedMillis + " ms");
     assertTrue(systemCalls.acceptCount.get() <= 12, systemCalls.acceptCount + " calls");
+    assertEquals(
+        List.of("accept failed: " + message + "; retrying with backoff"),
+        List.copyOf(acceptLog.messages));
   }
 
   @Test
@@ -321,6 +359,14 @@
     assertNotNull(client.receive().error());
     Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
     assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
+    String logged = connectLog.messages.remove();
+    assertTrue(
+        logged.startsWith(
+                "c0 at "
+                    + cache.address()
+                    + ": connect failed on this host, LOCAL_RESOURCE: Too many open files")
+            && logged.endsWith("; retrying with backoff"),
+        logged);
     systemCalls.connectFailures = 0;
     client.sendRequest(2, "orders", 5000, 0);
     cache.nextCommand().replyOk("served");
--- a/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/cache/ReplyReaderTest.java
@@ -1,6 +1,7 @@
 package org.amberpath.gateway.cache;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.vertx.core.Promise;
@@ -13,10 +14,14 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.stream.Stream;
 import org.amberpath.routing.AttemptOutcome;
 import org.amberpath.routing.ResponseDetail;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.Arguments;
+import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.MethodSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Parsing of RESP from caches, and commands that wait for a connection to a draining cache. */
@@ -78,14 +83,90 @@
     assertTrue(replies.isEmpty());
   }
 
+  private static Stream<Arguments> invalidStreams() {
+    return Stream.of(
+        Arguments.of(
+            "+OK\r\n", "reply: array header: got \"+OK\", expected '*' and a length from 1 to 16"),
+        Arguments.of(
+            "*0\r\n", "reply: array header: got \"*0\", expected '*' and a length from 1 to 16"),
+        Arguments.of(
+            "\u0001" + "x".repeat(27) + "\r\n",
+            "reply: array header: got \"?"
+                + "x".repeat(23)
+                + "...\" (28 bytes), expected '*' and a length from 1 to 16"),
+        Arguments.of(
+            "*2\r\n$2\r\nid\r\n$101\r\n",
+            "reply: element 2 of 2: header: got \"$101\", expected '$' and a length from 0 to 100"),
+        Arguments.of(
+            "*3\r\n$1\r\nabc", "reply: element 1 of 3: got \"bc\" after 1 bytes, expected CR LF"),
+        Arguments.of(
+            "*1\r\n$" + "1".repeat(50),
+            "reply: element 1 of 1: header: got no line end within 32 bytes, expected a type and a"
+                + " length (The current record is too long)"));
+  }
+
+  @ParameterizedTest
+  @MethodSource("invalidStreams")
+  void protocolErrorNamesTheElementWithWhatWasFoundAndExpected(String text, String message) {
+    read(text, text.length());
+    assertEquals(List.of(message), protocolErrors);
+  }
+
+  private static final String STATUSES = ", expected ok, current, nothing, refused, error or stale";
+
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
+        "id,ok,res=h|reply: got an array of 3, expected 4 elements: request id, status, fields,"
+            + " body",
+        "id,no\u0007,res=h,|reply: status: got \"no?\"" + STATUSES,
+        "id,ok,issued=12x,|reply: status ok: got entity=\"\" issued=\"12x\", expected an entity tag"
+            + " and a decimal time",
+        "id,current,entity=7f;issued=1,|reply: status current: got entity=\"7f\", expected the tag"
+            + " of the client's copy, 9b1f03aa5c7e2d41",
+      })
+  void invalidReplyNamesTheFieldWithWhatWasFoundAndExpected(String elements, String message) {
+    List<Buffer> reply =
+        Arrays.stream(elements.split(",", -1))
+            .map(element -> Buffer.buffer(element.replace(';', ',')))
+            .toList();
+    CacheCommand command = newCommand("9b1f03aa5c7e2d41");
+    InvalidReplyException failure =
+        assertThrows(InvalidReplyException.class, () -> CacheReply.decode(reply, command));
+    assertEquals(message, failure.getMessage());
+  }
+
+  @Test
+  void confirmationOfACopyThatTheClientDoesNotHoldIsInvalid() {
+    List<Buffer> reply =
+        Stream.of("id", "current", "entity=7f,issued=1", "").map(Buffer::buffer).toList();
+    InvalidReplyException failure =
+        assertThrows(InvalidReplyException.class, () -> CacheReply.decode(reply, newCommand()));
+    assertEquals(
+        "reply: status current: got entity=\"7f\", expected the tag of the client's copy, which has"
+            + " none",
+        failure.getMessage());
+  }
+
   @Test
   void warmUpParsesWhatItEncodes() {
     assertEquals(20, ReplyWarmUp.play(20));
   }
 
   private CacheCommand newCommand() {
+    return newCommand("");
+  }
+
+  private CacheCommand newCommand(String knownTag) {
     return new CacheCommand(
-        new byte[16], new byte[0], new byte[0], new byte[0], 2_000_000_000L, List.of()) {
+        new byte[16],
+        new byte[0],
+        knownTag.getBytes(StandardCharsets.ISO_8859_1),
+        new byte[0],
+        2_000_000_000L,
+        List.of()) {
       @Override
       protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
         outcomes.add(outcome);
--- a/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/client/MessageReaderTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.vertx.core.buffer.Buffer;
@@ -83,6 +84,54 @@
     assertArrayEquals(new byte[] {13, 10}, request.body().array());
   }
 
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      value = {
+        "a161|not fields and a body|parameters: got STRING, expected ARRAY of 1 or 2: fields,"
+            + " optionally a body",
+        "93c0c0c0|not fields and a body|parameters: got ARRAY of 3, expected ARRAY of 1 or 2:"
+            + " fields, optionally a body",
+        "91c0|fields: not a map|got NIL",
+        "91de0041|fields: more than 64|got 65",
+        "9182a16ba131a16ba132|fields: one key twice|got \"k\" again",
+        "9181a3726566c0|ref: not a string|got NIL",
+        "9181a66c6f6f6b7570a3016667|lookup: not 16 hex digits|got \"?fg\"",
+        "9280a3616263|body: not bytes|got STRING",
+      })
+  void invalidRequestSendsTheReasonAndLogsADetail(String hex, String reason, String detail) {
+    byte[] parameters = HexFormat.of().parseHex(hex);
+    RequestDecoder decoder = new RequestDecoder(parameters, 0, parameters.length);
+    InvalidRequestException failure =
+        assertThrows(InvalidRequestException.class, () -> decoder.readRequest("parts"));
+    assertEquals(reason, failure.getMessage());
+    assertEquals(reason + ": " + detail, failure.logText());
+  }
+
+  @ParameterizedTest
+  @CsvSource({"c0, got NIL", "d941, got 65 bytes"})
+  void invalidMethodSendsTheReasonAndLogsADetail(String hex, String detail) {
+    byte[] method = HexFormat.of().parseHex(hex);
+    RequestDecoder decoder = new RequestDecoder(method, 0, method.length);
+    InvalidRequestException failure =
+        assertThrows(InvalidRequestException.class, decoder::readMethod);
+    assertEquals("method: not a string of up to 64 bytes", failure.getMessage());
+    assertEquals(failure.getMessage() + ": " + detail, failure.logText());
+  }
+
+  @Test
+  void messageOfAnotherTypeIsLoggedWithTheExpectedOnes() {
+    byte[] message = HexFormat.of().parseHex("9305c0c0");
+    ProtocolException failure =
+        assertThrows(
+            ProtocolException.class,
+            () -> new RequestDecoder(message, 0, message.length).readKind());
+    assertEquals(
+        "message: got type 5 with 3 elements, expected a request (type 0, 4 elements) or a"
+            + " notification (2, 3)",
+        failure.getMessage());
+  }
+
   @Test
   void tooLongMessageIsRejectedWhenItIsDeclared() {
     reader.handle(Buffer.buffer(HexFormat.of().parseHex("92c67fffff")));
