--- a/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/CacheConnectionBoundTest.java
@@ -90,18 +90,19 @@
     for (int number = 1; number <= REQUESTS; number++) {
       assertEquals(null, send(client, number).receive().error());
       Conditions.await(
-          () -> openConnections() <= MAX_CACHE_CONNECTIONS, "more connections than the bound");
+          () -> openConnections() <= MAX_CACHE_CONNECTIONS,
+          "at most as many open cache connections as the bound");
     }
     List<Socket> allConnections = connections();
     assertTrue(
         allConnections.size() > 2 * MAX_CACHE_CONNECTIONS,
-        "caches were asked in turn: " + allConnections.size());
+        "expected requests to more caches than the bound, got " + allConnections.size());
     assertEquals(
-        MAX_CACHE_CONNECTIONS, openConnections(), "none is closed before the bound is reached");
+        MAX_CACHE_CONNECTIONS, openConnections(), "no connection is closed below the bound");
     assertTrue(allConnections.get(0).isClosed());
     assertFalse(
         receivedCommands.get(receivedCommands.size() - 1).command().socket().isClosed(),
-        "the last used stays");
+        "the most recently used connection stays open");
   }
 
   /** A request without a connection goes to a cache that has one, or is rejected immediately. */
@@ -119,9 +120,8 @@
     }
     Conditions.await(
         () -> heldCommands.size() + answered.get() == MAX_CACHE_CONNECTIONS * 4,
-        "all are sent or turned away");
-    assertTrue(
-        heldCommands.size() >= MAX_CACHE_CONNECTIONS, "as many as have a connection are sent");
+        "all requests are sent or rejected");
+    assertTrue(heldCommands.size() >= MAX_CACHE_CONNECTIONS, "one request per connection is sent");
     assertTrue(
         connections().size() <= MAX_CACHE_CONNECTIONS, connections().size() + " connections");
     holdCommands.set(false);
@@ -129,8 +129,11 @@
       command.replyOk("served");
     }
     Conditions.await(
-        () -> answered.get() == MAX_CACHE_CONNECTIONS * 4, "what was held is answered");
-    assertEquals(null, send(testbed.client(), REQUESTS).receive().error(), "there is room again");
+        () -> answered.get() == MAX_CACHE_CONNECTIONS * 4, "all held requests are answered");
+    assertEquals(
+        null,
+        send(testbed.client(), REQUESTS).receive().error(),
+        "a connection is available again");
     assertTrue(
         connections().size() <= MAX_CACHE_CONNECTIONS + 1, connections().size() + " connections");
   }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -122,7 +122,9 @@
       lastClient.sendRequest(++number, "parts", 15_000, 0);
     } while (lastClient.receive().error() != null);
     for (int requestNumber = 1; requestNumber <= PIPELINED_REQUESTS; requestNumber++) {
-      assertFalse(sentIds.contains(String.format("%016x", requestNumber)), "sent " + sentIds);
+      assertFalse(
+          sentIds.contains(String.format("%016x", requestNumber)),
+          "sent for a disconnected client: " + sentIds);
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientProtocolTest.java
@@ -167,7 +167,7 @@
     assertEquals("still there", text(client.receive()));
     assertTrue(
         idleClient.requestStatus().isReady(),
-        "one that asks for GETs does not go for many that ask for the status");
+        "a client with a part request is evicted after clients with status requests only");
   }
 
   @Test
@@ -196,7 +196,7 @@
       assertTrue(client.requestStatus().isReady());
       return;
     }
-    assertFalse(true, "the client that does not read still has its connection");
+    assertFalse(true, "the connection of the client that does not read is still open");
   }
 
   @Test
--- a/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/DescriptorBoundTest.java
@@ -80,7 +80,7 @@
         if (!shuttingDown) {
           GatewayProcess.signal(process, "CONT");
           assertEquals(
-              9999, testbed.client(port).requestStatus().messageId(), "a newcomer has a place");
+              9999, testbed.client(port).requestStatus().messageId(), "a new client is served");
         } else {
           assertTrue(process.waitFor(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS));
         }
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -61,7 +61,7 @@
           executions.getOrDefault(number, 0) <= maxAttempts,
           "run " + executions.get(number) + " times: " + answer.error());
       if (!sentBeforeEndIsRead) {
-        assertEquals(null, answer.error(), "its connection had ended long before");
+        assertEquals(null, answer.error(), "the gateway had read the end of its connection");
       }
     }
     assertNoFurtherAnswer(client);
@@ -101,10 +101,10 @@
     assertTrue(millisSince(startNanos) < timeoutMillis + LATE_MILLIS);
     if (trafficClass.equals("orders")) {
       assertEquals(1, attemptsOf(receivedCommands, number).size());
-      assertEquals("Internal", answer.error(), "it may have run");
+      assertEquals("Internal", answer.error(), "it may have been executed");
     }
     client.sendRequest(++number, trafficClass, timeoutMillis, 0);
-    assertEquals(null, client.receive().error(), "on another connection");
+    assertEquals(null, client.receive().error(), "served on another connection");
     assertNoFurtherAnswer(client);
   }
 
@@ -158,7 +158,8 @@
    * connections.
    */
   private void awaitEndsRead(TestClient client, AtomicInteger endedConnections) throws Exception {
-    Conditions.await(() -> endedConnections.get() == number, "an end for each request");
+    Conditions.await(
+        () -> endedConnections.get() == number, "the connection of each request has ended");
     client.requestStatus();
     client.requestStatus();
   }
--- a/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SystemCallFailuresTest.java
@@ -289,14 +289,12 @@
     systemCalls.acceptFailures = 4;
     testbed.client(port);
     testbed.client(port);
-    Conditions.await(
-        () -> queuedNanos.size() == 2, "the attempts or connections that are expected");
+    Conditions.await(() -> queuedNanos.size() == 2, "both connections are accepted");
     for (int connection = 0; connection < 2; connection++) {
       assertTrue(queuedNanos.remove() >= 150_000_000);
     }
     testbed.client(port);
-    Conditions.await(
-        () -> queuedNanos.size() == 1, "the attempts or connections that are expected");
+    Conditions.await(() -> queuedNanos.size() == 1, "the third connection is accepted");
     assertEquals(0, queuedNanos.remove());
   }
 
@@ -323,7 +321,7 @@
     client.sendRequest(1, "orders", 5000, 0);
     cache.nextCommand().replyOk("served");
     assertEquals("served", text(client.receive()));
-    Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
+    Conditions.await(() -> !outcomes.isEmpty(), "the attempt has ended");
     assertEquals("[SUCCEEDED]", outcomes.toString());
   }
 
@@ -340,12 +338,12 @@
     client.sendRequest(1, "orders", 5000, 0);
     Conditions.await(
         () -> !cache.commands.isEmpty() || !other.commands.isEmpty(),
-        "the attempts or connections that are expected");
+        "a command is received by one of the caches");
     ReceivedCommand command = cache.commands.isEmpty() ? other.nextCommand() : cache.nextCommand();
     assertFalse(command.socket().getLocalPort() == failingPort[0]);
     command.replyOk("served");
     assertEquals("served", text(client.receive()));
-    Conditions.await(() -> outcomes.size() == 2, "the attempts or connections that are expected");
+    Conditions.await(() -> outcomes.size() == 2, "both attempts have ended");
     assertEquals("[NOT_SENT, SUCCEEDED]", outcomes.toString());
     assertTrue(systemCalls.connectCount.get() <= 6, systemCalls.connectCount + " calls");
   }
@@ -357,7 +355,7 @@
     systemCalls.connectFailures = ALWAYS;
     client.sendRequest(1, "orders", 120, 0);
     assertNotNull(client.receive().error());
-    Conditions.await(() -> !outcomes.isEmpty(), "the attempts or connections that are expected");
+    Conditions.await(() -> !outcomes.isEmpty(), "the attempt has ended");
     assertFalse(outcomes.contains(AttemptOutcome.CONNECT_FAILED), outcomes.toString());
     String logged = connectLog.messages.remove();
     assertTrue(
@@ -416,6 +414,7 @@
     systemCalls.affectedPorts = port -> port == journalPort;
     systemCalls.connectFailures = 3;
     startGateway(options);
-    assertNotNull(testbed.journal.polls.poll(), "it serves by what it knew, and never asked");
+    assertNotNull(
+        testbed.journal.polls.poll(), "the gateway serves without having polled the journal");
   }
 }
