--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheReply.java
@@ -67,8 +67,7 @@
             yield AttemptOutcome.SUCCEEDED;
           }
           case CURRENT_STATUS -> {
-            // The cache has to name the copy that it confirms, so that no other is taken for
-            // current.
+            // The reply must name the copy that the client holds, so that it confirms no other.
             checkCopyFields(status, fields);
             checkKnownTag(fieldValue(fields, TAG_FIELD), command);
             yield AttemptOutcome.SUCCEEDED;
