--- a/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/CacheConnector.java
@@ -12,114 +12,120 @@
 import org.amberpath.routing.LocalBackoff;
 
 /**
- * Opens the connections of one pool, within the budget of all pools. A connect that fails on this
- * host is tried again after a backoff, since it says nothing of the cache. Used on the event loop
- * of the pool.
+ * Opens the connections of one pool and counts them in the budget of all pools. A connect that
+ * fails on this host is retried after a backoff and not attributed to the cache. Confined to the
+ * event loop of the pool.
  */
 final class CacheConnector {
   private static final Logger LOG = Logger.getLogger(CacheConnector.class.getName());
 
   static {
-    // Guards against a class that can't be loaded once there is no descriptor to read it.
+    // Loads the class now, because that fails later if the process is out of descriptors.
     ConnectFailure.of(null);
   }
 
-  /** Is notified of what comes of the connects. */
+  /** Receives the results of connects. */
   interface Listener {
-    /** A connection is up. */
+    /** Called with each new connection. */
     void connected(NetSocket socket);
 
     /**
-     * No connection came up, and none is tried soon.
+     * Called when a connect has failed and waiting commands should not wait for a retry.
      *
-     * @param outcome how attempts end that no other connection can take
+     * @param outcome the outcome of waiting attempts that no open connection can carry
      */
     void connectFailed(AttemptOutcome outcome);
 
-    /** Whatever waits for a connection may be tried again. */
+    /** Called when commands that wait for a connection may be sent, or connects be retried. */
     void retryWaiting();
   }
 
   private final String target;
-  private final Supplier<Future<NetSocket>> connector;
+  private final Supplier<Future<NetSocket>> connectFunction;
   private final ConnectionBudget budget;
   private final LongSupplier clock;
   private final Listener listener;
   private final LocalBackoff backoff = new LocalBackoff();
-  private int connecting;
+  private int pendingConnects;
 
-  /** When the oldest connect was begun, at the latest, of those that are under way. */
-  private long connectingSinceNanos;
+  /**
+   * Start of the current period in which at least one connect has been in progress without
+   * interruption; valid while {@link #pendingConnects} is not 0.
+   */
+  private long connectsPendingSinceNanos;
 
   private boolean backingOff;
   private boolean closed;
 
   /**
-   * A connector that has opened nothing yet.
+   * Creates a connector without connections.
    *
    * @param target the cache's name and address, for the log
-   * @param connector begins one connect; it may throw
+   * @param connectFunction starts one connect; may throw
    */
   CacheConnector(
       String target,
-      Supplier<Future<NetSocket>> connector,
+      Supplier<Future<NetSocket>> connectFunction,
       ConnectionBudget budget,
       LongSupplier clock,
       Listener listener) {
     this.target = target;
-    this.connector = connector;
+    this.connectFunction = connectFunction;
     this.budget = budget;
     this.clock = clock;
     this.listener = listener;
   }
 
-  /** How many connects are under way. */
-  int connecting() {
-    return connecting;
+  /** Returns the number of connects in progress. */
+  int pendingConnects() {
+    return pendingConnects;
   }
 
-  /** Whether a failure on this host is waited out. */
+  /** Returns whether a backoff after a failure on this host is running. */
   boolean isBackingOff() {
     return backingOff;
   }
 
-  /** Begins one more connect. */
+  /** Starts one more connect. */
   void connect() {
-    connectingSinceNanos = connecting == 0 ? clock.getAsLong() : connectingSinceNanos;
-    connecting++;
-    budget.opened();
-    begin().onComplete(this::ended);
+    connectsPendingSinceNanos =
+        pendingConnects == 0 ? clock.getAsLong() : connectsPendingSinceNanos;
+    pendingConnects++;
+    budget.connectionOpened();
+    startConnect().onComplete(this::onConnectResult);
   }
 
-  /** Guards the count of those under way against a call that throws. */
-  private Future<NetSocket> begin() {
+  /**
+   * Turns an exception into a failed future, so that every started connect is also counted down.
+   */
+  private Future<NetSocket> startConnect() {
     try {
-      return connector.get();
+      return connectFunction.get();
     } catch (RuntimeException e) {
       return Future.failedFuture(e);
     }
   }
 
-  private void ended(AsyncResult<NetSocket> result) {
-    connecting--;
+  private void onConnectResult(AsyncResult<NetSocket> result) {
+    pendingConnects--;
     if (closed || result.failed()) {
-      budget.closed();
+      budget.connectionClosed();
     }
     ConnectFailure failure = result.succeeded() ? null : ConnectFailure.of(result.cause());
     if (failure != null && failure.isLocal()) {
-      failedLocally(failure, result.cause());
+      handleLocalFailure(failure, result.cause());
       return;
     }
     backoff.attemptSucceeded();
     if (failure == null) {
-      connected(result.result());
+      onConnected(result.result());
     } else {
       listener.connectFailed(AttemptOutcome.CONNECT_FAILED);
       listener.retryWaiting();
     }
   }
 
-  private void connected(NetSocket socket) {
+  private void onConnected(NetSocket socket) {
     if (closed) {
       socket.close();
     } else {
@@ -128,14 +134,21 @@
   }
 
   /**
-   * Nothing was asked of the cache, so nothing is held against it: what waits is tried again after
-   * a backoff, and is sent elsewhere once that has failed for long.
+   * Handles a connect that failed on this host and never reached the cache, which therefore is not
+   * blamed. Waiting commands are retried after a backoff; once the backoff is exhausted they end as
+   * {@link AttemptOutcome#NOT_SENT}, so that they can be sent to another cache.
    */
-  private void failedLocally(ConnectFailure failure, Throwable cause) {
+  private void handleLocalFailure(ConnectFailure failure, Throwable cause) {
     if (!backoff.isFailing()) {
-      LOG.warning(target + ": no connection, " + failure + ": " + cause.getMessage());
+      LOG.warning(
+          target
+              + ": connect failed on this host, "
+              + failure
+              + ": "
+              + cause.getMessage()
+              + "; retrying with backoff");
     }
-    if (!backingOff) { // Several that fail together are one failure.
+    if (!backingOff) { // Connects that fail during the backoff count as one failure.
       backingOff = true;
       Vertx.currentContext()
           .owner()
@@ -153,19 +166,19 @@
   }
 
   /**
-   * How an attempt ends whose time is over before it was sent: only a cache that was asked in vain
-   * is to blame.
+   * Returns the outcome of an attempt that ran out of time before it was sent. It is attributed to
+   * the cache only if a connect to it has been in progress for long enough to be evidence.
    */
   AttemptOutcome unsentOutcome(long connectTimeoutNanos) {
-    boolean blamed =
+    boolean cacheAtFault =
         !backoff.isFailing()
-            && connecting > 0
+            && pendingConnects > 0
             && ConnectPatience.isEvidence(
-                clock.getAsLong() - connectingSinceNanos, connectTimeoutNanos);
-    return blamed ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
+                clock.getAsLong() - connectsPendingSinceNanos, connectTimeoutNanos);
+    return cacheAtFault ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.WITHDRAWN;
   }
 
-  /** Closes what comes up from now on. */
+  /** Makes the connector close every connection that is still established. */
   void close() {
     closed = true;
   }
--- a/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
+++ b/gateway/src/main/java/org/amberpath/gateway/cache/ConnectFailure.java
@@ -7,27 +7,27 @@
 import java.util.Locale;
 
 /**
- * Why a connection did not come up, classified here and nowhere else from the exceptions that Java
- * gives.
+ * The reason why a connect failed. This is the only place that classifies the exceptions that the
+ * JDK and Netty throw.
  */
 public enum ConnectFailure {
-  /** This host is short of descriptors, buffers or memory: the endpoint was not reached. */
+  /** This host lacks descriptors, buffers or memory; no packet reached the endpoint. */
   LOCAL_RESOURCE(true),
-  /** This host has no address, port or route to connect from: the endpoint was not reached. */
+  /** This host has no address, port or route for the connect; no packet reached the endpoint. */
   LOCAL_NETWORK(true),
-  /** The endpoint's host answered that no process listens there. */
+  /** The endpoint's host rejected the connect because no process listens on the port. */
   REFUSED(false),
-  /** No answer came in time. */
+  /** The connect timed out. */
   TIMED_OUT(false),
-  /** The network answered that the endpoint's host can't be reached. */
+  /** The network reported that the endpoint's host is unreachable. */
   UNREACHABLE(false),
-  /** Any other failure; it counts as a fault of the endpoint. */
+  /** Any other failure; it is attributed to the endpoint. */
   OTHER(false);
 
-  private static final int MAX_CAUSES = 16;
+  private static final int MAX_CAUSE_DEPTH = 16;
 
-  /** The system's messages for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
-  private static final List<String> RESOURCE_TEXTS =
+  /** Messages of the system for EMFILE and ENFILE, ENOBUFS, ENOMEM, EAGAIN, EPERM, EINTR. */
+  private static final List<String> LOCAL_RESOURCE_MESSAGES =
       List.of(
           "too many open files",
           "no buffer space available",
@@ -36,15 +36,15 @@
           "operation not permitted",
           "interrupted system call");
 
-  /** The same for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
-  private static final List<String> NETWORK_TEXTS =
+  /** Messages of the system for EADDRNOTAVAIL, EADDRINUSE, ENETUNREACH, ENETDOWN. */
+  private static final List<String> LOCAL_NETWORK_MESSAGES =
       List.of(
           "cannot assign requested address",
           "address already in use",
           "network is unreachable",
           "network is down");
 
-  private static final List<String> UNREACHABLE_TEXTS =
+  private static final List<String> UNREACHABLE_MESSAGES =
       List.of("no route to host", "host is down", "host is unreachable");
 
   private final boolean local;
@@ -53,18 +53,18 @@
     this.local = local;
   }
 
-  /** Whether it is no fault of the endpoint, since the attempt never left this host. */
+  /** Returns whether the connect failed on this host, so that the endpoint is not at fault. */
   public boolean isLocal() {
     return local;
   }
 
   /**
-   * Classifies a failed connect by the first cause that is known; libraries wrap causes and append
-   * addresses.
+   * Classifies a failed connect by the first recognised exception in its chain of causes. Messages
+   * are searched for known texts, since libraries append addresses to them.
    */
   public static ConnectFailure of(Throwable failure) {
     Throwable cause = failure;
-    for (int depth = 0; cause != null && depth < MAX_CAUSES; depth++) {
+    for (int depth = 0; cause != null && depth < MAX_CAUSE_DEPTH; depth++) {
       ConnectFailure kind = classify(cause);
       if (kind != OTHER) {
         return kind;
@@ -75,20 +75,21 @@
   }
 
   private static ConnectFailure classify(Throwable cause) {
-    String text = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
-    if (cause instanceof OutOfMemoryError || containsAny(text, RESOURCE_TEXTS)) {
+    String message = String.valueOf(cause.getMessage()).toLowerCase(Locale.ROOT);
+    if (cause instanceof OutOfMemoryError || containsAny(message, LOCAL_RESOURCE_MESSAGES)) {
       return LOCAL_RESOURCE;
-    } else if (cause instanceof BindException || containsAny(text, NETWORK_TEXTS)) {
+    } else if (cause instanceof BindException || containsAny(message, LOCAL_NETWORK_MESSAGES)) {
       return LOCAL_NETWORK;
-    } else if (cause instanceof NoRouteToHostException || containsAny(text, UNREACHABLE_TEXTS)) {
+    } else if (cause instanceof NoRouteToHostException
+        || containsAny(message, UNREACHABLE_MESSAGES)) {
       return UNREACHABLE;
-    } else if (cause instanceof SocketTimeoutException || text.contains("timed out")) {
+    } else if (cause instanceof SocketTimeoutException || message.contains("timed out")) {
       return TIMED_OUT;
     }
-    return text.contains("connection refused") ? REFUSED : OTHER;
+    return message.contains("connection refused") ? REFUSED : OTHER;
   }
 
-  private static boolean containsAny(String text, List<String> fragments) {
-    return fragments.stream().anyMatch(text::contains);
+  private static boolean containsAny(String message, List<String> fragments) {
+    return fragments.stream().anyMatch(message::contains);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/ClientConnections.java
@@ -7,50 +7,58 @@
 import java.util.function.LongSupplier;
 
 /**
- * All connections of clients: bounded in their number, and in the time that a client may take for
- * one whole message.
+ * The connections of all clients. Evicts the least useful connection when their number exceeds its
+ * bound, and closes connections whose client does not complete a message in time.
  */
 public final class ClientConnections {
-  /** What is done with requests and with new connections. */
+  /** How requests and new connections are treated. */
   private enum Mode {
-    /** Requests are taken. */
+    /** Requests are admitted. */
     SERVING,
-    /** Each request that is read is rejected. */
+    /** Each newly received request is rejected as overloaded. */
     REJECTING,
-    /** All connections are half-closed, new ones at once. */
-    ENDED
+    /** All connections are half-closed, new ones as soon as they are added. */
+    HALF_CLOSED
   }
 
-  /** Clients that break the protocol are closed within 3 s; this and one sweep stay below that. */
+  /**
+   * How long a client may take for a complete message. Clients that violate the protocol must be
+   * disconnected within 3 s, which this time and one sweep interval together do not exceed.
+   */
   private static final long MESSAGE_TIMEOUT_NANOS = 2_000_000_000L;
 
-  /** How long the loop reads once more from a connection that is to be evicted. */
-  private static final long LAST_READ_MILLIS = 2;
+  private static final long NANOS_PER_MILLI = 1_000_000;
+
+  /** Delay before an eviction, in which the event loop reads from the connection once more. */
+  private static final long EVICTION_DELAY_MILLIS = 2;
 
   /**
-   * Connections held in addition to the bound: those about to be evicted, and those whose clients
-   * read their last responses.
+   * Connections allowed in addition to the bound, for those that are about to be evicted and those
+   * whose clients are still reading their last responses.
    */
   public static final int SPARE_CONNECTIONS = 8;
 
   private final Vertx vertx;
   private final int maxConnections;
   private final LongSupplier clock;
-  private final Set<ClientConnection> open = new LinkedHashSet<>();
+  private final Set<ClientConnection> openConnections = new LinkedHashSet<>();
 
-  /** Open ones that are evicted as soon as all is read that had come by then. */
-  private final Set<ClientConnection> evicting = new LinkedHashSet<>();
+  /**
+   * Open connections that are evicted {@link #EVICTION_DELAY_MILLIS} after their selection at the
+   * latest, unless a request is in flight on them by then.
+   */
+  private final Set<ClientConnection> evictingConnections = new LinkedHashSet<>();
 
-  /** Those that take nothing more and still hold a descriptor, the oldest first. */
-  private final Set<ClientConnection> closing = new LinkedHashSet<>();
+  /** Connections that read nothing more but still hold a descriptor, in the order of their end. */
+  private final Set<ClientConnection> closingConnections = new LinkedHashSet<>();
 
   private Mode mode = Mode.SERVING;
 
   /**
-   * No connections yet.
+   * Creates an empty set of connections.
    *
-   * @param maxConnections how many may be held, but for {@link #SPARE_CONNECTIONS}
-   * @param clock monotonic nanoseconds
+   * @param maxConnections the bound on connections, not counting {@link #SPARE_CONNECTIONS}
+   * @param clock monotonic time in nanoseconds
    */
   public ClientConnections(Vertx vertx, int maxConnections, LongSupplier clock) {
     this.vertx = vertx;
@@ -59,47 +67,50 @@
   }
 
   /**
-   * Adds a connection that was accepted. Guards the descriptors: past their bound the least useful
-   * connection is evicted, not the newest good one. At every instant no more are held than the
-   * bound and {@link #SPARE_CONNECTIONS}, beside the one that was just accepted.
+   * Adds an accepted connection. Above the bound, the least useful connection is evicted, which
+   * need not be the new one. On return at most {@code maxConnections} + {@link #SPARE_CONNECTIONS}
+   * connections hold a descriptor; one more does while this method runs.
    */
   public void add(ClientConnection added) {
-    open.add(added);
+    openConnections.add(added);
     if (mode != Mode.SERVING) {
       added.rejectNewRequests();
     }
-    if (mode == Mode.ENDED) {
+    if (mode == Mode.HALF_CLOSED) {
       added.closeAfterFlush();
-      if (isOverSpare()) {
-        added.close(); // Nothing of it was read, so no response is pending.
+      if (exceedsSpareConnections()) {
+        added.close(); // Nothing has been read from it, so no response is pending.
       }
       return;
     }
-    if (open.size() - evicting.size() > maxConnections) {
-      startEvicting(leastUseful(added));
+    if (openConnections.size() - evictingConnections.size() > maxConnections) {
+      startEvicting(findLeastUseful(added));
     }
-    while (isOverSpare()) {
-      if (!closing.isEmpty()) {
-        closing.iterator().next().close();
-      } else if (!evicting.isEmpty()) {
-        evict(evicting.iterator().next());
+    while (exceedsSpareConnections()) {
+      if (!closingConnections.isEmpty()) {
+        closingConnections.iterator().next().close();
+      } else if (!evictingConnections.isEmpty()) {
+        evict(evictingConnections.iterator().next());
       } else {
         added.close();
       }
     }
   }
 
-  private boolean isOverSpare() {
+  private boolean exceedsSpareConnections() {
     return size() > maxConnections + SPARE_CONNECTIONS;
   }
 
-  /** The one to evict: the added one itself where all others have requests in flight. */
-  private ClientConnection leastUseful(ClientConnection added) {
+  /**
+   * Selects the connection to evict: the idle one of the lowest activity, and among those the one
+   * without activity for longest; the added connection if all others have requests in flight.
+   */
+  private ClientConnection findLeastUseful(ClientConnection added) {
     ClientConnection least = null;
-    for (ClientConnection candidate : open) {
-      // Guards requests in flight: half a message behind them does not make a connection useless.
+    for (ClientConnection candidate : openConnections) {
+      // A connection with requests in flight is kept even if a partial message follows them.
       if (candidate != added
-          && !evicting.contains(candidate)
+          && !evictingConnections.contains(candidate)
           && candidate.isIdle()
           && (least == null || isLessUseful(candidate, least))) {
         least = candidate;
@@ -108,92 +119,106 @@
     return least == null ? added : least;
   }
 
-  private static boolean isLessUseful(ClientConnection one, ClientConnection other) {
-    return one.activity().compareTo(other.activity()) < 0
-        || (one.activity() == other.activity()
-            && one.lastActivityNanos() < other.lastActivityNanos());
+  private static boolean isLessUseful(ClientConnection first, ClientConnection second) {
+    return first.activity().compareTo(second.activity()) < 0
+        || (first.activity() == second.activity()
+            && first.lastActivityNanos() < second.lastActivityNanos());
   }
 
   /**
-   * Guards requests that are on their way: a connection is closed only once the loop has read again
-   * and still finds nothing in flight on it.
+   * Evicts a connection after the event loop has had time to read from it once more, and only if no
+   * request is in flight then, so that a request that has already arrived is not lost. A connection
+   * that is awaiting a message is closed immediately.
    */
   private void startEvicting(ClientConnection connection) {
     if (connection.isAwaitingMessage()) {
       connection.closeOrFlush();
       return;
     }
-    evicting.add(connection);
+    evictingConnections.add(connection);
     vertx.setTimer(
-        LAST_READ_MILLIS,
+        EVICTION_DELAY_MILLIS,
         timer -> {
-          if (evicting.contains(connection)) {
+          if (evictingConnections.contains(connection)) {
             evict(connection);
           }
         });
   }
 
   private void evict(ClientConnection connection) {
-    evicting.remove(connection);
+    evictingConnections.remove(connection);
     if (connection.isIdle()) {
       connection.closeOrFlush();
     }
   }
 
-  /** A connection takes nothing more; it holds its descriptor until {@link #released}. */
+  /**
+   * Removes a connection that reads nothing more. It counts as holding a descriptor until {@link
+   * #released} is called.
+   */
   public void remove(ClientConnection connection) {
-    evicting.remove(connection);
-    if (open.remove(connection)) {
-      closing.add(connection);
+    evictingConnections.remove(connection);
+    if (openConnections.remove(connection)) {
+      closingConnections.add(connection);
     }
   }
 
-  /** A connection's descriptor is free again. */
+  /** Records that the descriptor of a removed connection is closed. */
   public void released(ClientConnection connection) {
-    closing.remove(connection);
+    closingConnections.remove(connection);
   }
 
-  /** From now on each request is rejected, on new connections too: the gateway shuts down. */
+  /** Rejects each further request, on new connections too, because the gateway is shutting down. */
   public void reject() {
     if (mode == Mode.SERVING) {
       mode = Mode.REJECTING;
-      open.forEach(ClientConnection::rejectNewRequests);
+      openConnections.forEach(ClientConnection::rejectNewRequests);
     }
   }
 
-  /** Half-closes all connections, and each new one from now on; no response is pending on any. */
+  /**
+   * Half-closes all connections, and each new one as soon as it is added. To be called when no
+   * request is in flight on any of them.
+   */
   public void end() {
-    mode = Mode.ENDED;
-    List.copyOf(open).forEach(ClientConnection::closeAfterFlush);
+    mode = Mode.HALF_CLOSED;
+    List.copyOf(openConnections).forEach(ClientConnection::closeAfterFlush);
   }
 
-  /** Whether all connections were half-closed. */
+  /** Returns whether {@link #end} has been called. */
   public boolean isEnded() {
-    return mode == Mode.ENDED;
+    return mode == Mode.HALF_CLOSED;
   }
 
-  /** Whether no response waits to be written to a connection that is closing. */
+  /** Returns whether all responses to connections that are closing have been written. */
   public boolean allWritten() {
-    return closing.stream().allMatch(ClientConnection::isFlushed);
+    return closingConnections.stream().allMatch(ClientConnection::isFlushed);
   }
 
-  /** Whether a client has sent part of a message, and not the rest of it. */
+  /** Returns whether any open connection has received a message only in part. */
   public boolean hasPartialMessage() {
-    return open.stream().anyMatch(ClientConnection::hasPartialMessage);
+    return openConnections.stream().anyMatch(ClientConnection::hasPartialMessage);
   }
 
-  /** How many descriptors clients hold. */
+  /** Returns the number of descriptors that client connections hold. */
   public int size() {
-    return open.size() + closing.size();
+    return openConnections.size() + closingConnections.size();
   }
 
-  /** Guards against clients that send nothing, or half a message. */
+  /**
+   * Closes connections whose clients have sent nothing, or only part of a message, for longer than
+   * {@link #MESSAGE_TIMEOUT_NANOS}.
+   */
   public void sweep() {
     long nowNanos = clock.getAsLong();
-    for (ClientConnection connection : List.copyOf(open)) {
+    for (ClientConnection connection : List.copyOf(openConnections)) {
       if (connection.isAwaitingMessage()
           && nowNanos - connection.lastActivityNanos() > MESSAGE_TIMEOUT_NANOS) {
-        connection.onProtocolError("no whole message in time");
+        connection.onProtocolError(
+            (connection.hasPartialMessage() ? "message: only a part" : "message: nothing")
+                + " received, expected a complete message within "
+                + MESSAGE_TIMEOUT_NANOS / NANOS_PER_MILLI
+                + " ms");
       }
     }
   }
--- a/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/MessageReader.java
@@ -9,57 +9,58 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Frames a TCP stream into complete MessagePack values, wherever it was split or merged. Used on
- * one event loop.
+ * Splits a byte stream into complete MessagePack values, independently of how TCP segmented it.
+ * Confined to one event loop.
  */
 public final class MessageReader implements Handler<Buffer> {
   private static final int MAX_VALUES = 512;
   private static final int INITIAL_BUFFER_BYTES = 1024;
 
-  /** A buffer that has grown past this is not kept between messages. */
+  /** A buffer larger than this is replaced by a smaller one once its messages are consumed. */
   private static final int MAX_RETAINED_BUFFER_BYTES = 16_384;
 
-  /** Receives complete values, or the reason why no further one will be read. */
+  /** Receives the values of a stream, and its protocol error if there is one. */
   public interface Sink {
     /**
-     * A complete value.
+     * Called with each complete value.
      *
      * @param bytes a shared array, valid during the call only
-     * @param start offset of the value's first byte
-     * @param end offset behind its last byte
-     * @return whether further values are to be read
+     * @param start offset of the first byte of the value
+     * @param end offset after the last byte of the value
+     * @return whether to continue with further values; if false, the reader ignores all further
+     *     input
      */
     boolean onMessage(byte[] bytes, int start, int end);
 
-    /** The stream violates the protocol; nothing more is read from it. */
+    /** Called when the stream violates the protocol; the reader ignores all further input. */
     void onProtocolError(String reason);
   }
 
   private final int maxMessageBytes;
   private final Sink sink;
   private byte[] buffer = new byte[INITIAL_BUFFER_BYTES];
-  private int size;
-  private boolean ended;
+  private int bufferedBytes;
+  private boolean stopped;
 
   /**
-   * A reader of one stream.
+   * Creates a reader of one stream.
    *
-   * @param maxMessageBytes the longest value that is accepted
+   * @param maxMessageBytes maximum length of one value in bytes
    */
   public MessageReader(int maxMessageBytes, Sink sink) {
     this.maxMessageBytes = maxMessageBytes;
     this.sink = sink;
   }
 
-  /** Whether a message has been received in part. */
+  /** Returns whether the last value has been received only in part. */
   boolean hasPartialMessage() {
-    return size > 0;
+    return bufferedBytes > 0;
   }
 
-  /** Appends what was read and hands over each value that is complete. */
+  /** Appends received bytes and passes each value that is now complete to the sink. */
   @Override
   public void handle(Buffer received) {
-    if (ended) {
+    if (stopped) {
       return;
     }
     append(received);
@@ -67,13 +68,13 @@
     try {
       for (int end = endOfValue(start); end > start; end = endOfValue(start)) {
         if (!sink.onMessage(buffer, start, end)) {
-          end();
+          stop();
           return;
         }
         start = end;
       }
     } catch (IOException | RuntimeException e) {
-      end();
+      stop();
       sink.onProtocolError(ProtocolException.reasonOf(e));
       return;
     }
@@ -81,64 +82,66 @@
   }
 
   private void append(Buffer received) {
-    int needed = size + received.length();
-    if (buffer.length < needed) {
-      buffer = Arrays.copyOf(buffer, Math.max(needed, Math.min(2 * size, maxMessageBytes)));
+    int neededBytes = bufferedBytes + received.length();
+    if (buffer.length < neededBytes) {
+      buffer =
+          Arrays.copyOf(
+              buffer, Math.max(neededBytes, Math.min(2 * bufferedBytes, maxMessageBytes)));
     }
-    received.getBytes(0, received.length(), buffer, size);
-    size = needed;
+    received.getBytes(0, received.length(), buffer, bufferedBytes);
+    bufferedBytes = neededBytes;
   }
 
-  private void discard(int consumed) {
-    size -= consumed;
-    byte[] from = buffer;
-    if (size <= MAX_RETAINED_BUFFER_BYTES && buffer.length > MAX_RETAINED_BUFFER_BYTES) {
-      buffer = new byte[Math.max(size, INITIAL_BUFFER_BYTES)];
+  private void discard(int consumedBytes) {
+    bufferedBytes -= consumedBytes;
+    byte[] oldBuffer = buffer;
+    if (bufferedBytes <= MAX_RETAINED_BUFFER_BYTES && buffer.length > MAX_RETAINED_BUFFER_BYTES) {
+      buffer = new byte[Math.max(bufferedBytes, INITIAL_BUFFER_BYTES)];
     }
-    System.arraycopy(from, consumed, buffer, 0, size);
+    System.arraycopy(oldBuffer, consumedBytes, buffer, 0, bufferedBytes);
   }
 
-  private void end() {
-    ended = true;
-    size = 0;
+  private void stop() {
+    stopped = true;
+    bufferedBytes = 0;
     buffer = null;
   }
 
-  /** The offset behind the value at start; start itself if the value is incomplete. */
+  /** Returns the offset after the value at {@code start}, or {@code start} if it is incomplete. */
   private int endOfValue(int start) throws IOException {
-    MessageUnpacker in = MessagePack.newDefaultUnpacker(buffer, start, size - start);
-    long remaining = 1;
+    MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(buffer, start, bufferedBytes - start);
+    long remainingValues = 1;
     try {
-      // Guards against deep nesting, and against many values that are received byte by byte and
-      // parsed again each time.
-      for (int values = 0; remaining > 0; values++, remaining--) {
-        if (values == MAX_VALUES) {
+      // The bound on values guards against deep nesting, and against messages of many values that
+      // are received byte by byte and parsed again after each read.
+      for (int valueCount = 0; remainingValues > 0; valueCount++, remainingValues--) {
+        if (valueCount == MAX_VALUES) {
           throw tooManyValues();
         }
-        switch (in.getNextFormat().getValueType()) {
-          case ARRAY -> remaining += checkedCount(in.unpackArrayHeader());
-          case MAP -> remaining += 2L * checkedCount(in.unpackMapHeader());
-          case STRING -> skip(in, in.unpackRawStringHeader());
-          case BINARY -> skip(in, in.unpackBinaryHeader());
-          case EXTENSION -> skip(in, in.unpackExtensionTypeHeader().getLength());
-          default -> in.skipValue();
+        switch (unpacker.getNextFormat().getValueType()) {
+          case ARRAY -> remainingValues += checkedCount(unpacker.unpackArrayHeader());
+          case MAP -> remainingValues += 2L * checkedCount(unpacker.unpackMapHeader());
+          case STRING -> skip(unpacker, unpacker.unpackRawStringHeader());
+          case BINARY -> skip(unpacker, unpacker.unpackBinaryHeader());
+          case EXTENSION -> skip(unpacker, unpacker.unpackExtensionTypeHeader().getLength());
+          default -> unpacker.skipValue();
         }
       }
-      return start + (int) in.getTotalReadBytes();
+      return start + (int) unpacker.getTotalReadBytes();
     } catch (MessageInsufficientBufferException e) {
       return start;
     }
   }
 
   /**
-   * Guards against lengths that no client sends: they are rejected when they are declared, not when
-   * the bytes have been received.
+   * Skips a payload. Rejects a length above the maximum as soon as its header is read, so that the
+   * oversized payload is never buffered.
    */
-  private void skip(MessageUnpacker in, int length) throws IOException {
-    if (length < 0 || length + in.getTotalReadBytes() > maxMessageBytes) {
+  private void skip(MessageUnpacker unpacker, int length) throws IOException {
+    if (length < 0 || length + unpacker.getTotalReadBytes() > maxMessageBytes) {
       throw new ProtocolException("message longer than " + maxMessageBytes + " bytes");
     }
-    in.readPayloadAsReference(length);
+    unpacker.readPayloadAsReference(length);
   }
 
   private static int checkedCount(int declared) throws ProtocolException {
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestDecoder.java
@@ -8,8 +8,10 @@
 import org.msgpack.value.ValueType;
 
 /**
- * Decodes one complete MessagePack-RPC message, element by element in the order of the methods
- * here: kind, message id, method, request. What follows an invalid element is not decoded.
+ * Decodes one complete MessagePack-RPC message element by element. The methods have to be called in
+ * the order of the elements: {@link #readKind}, then {@link #readMessageId}, {@link #readMethod}
+ * and {@link #readRequest} for a request, or {@link #readCancelledId} for a notification. After an
+ * exception nothing more may be read.
  */
 final class RequestDecoder implements AutoCloseable {
   /** The kinds of message that clients send. */
@@ -26,65 +28,76 @@
   private static final int MAX_METHOD_BYTES = 64;
   private static final int MAX_PARAMETERS = 2;
 
-  private final MessageUnpacker in;
+  private final MessageUnpacker unpacker;
 
-  /** A decoder of the message from start to end of a shared array, which is not copied. */
+  /** Creates a decoder of the message from start to end of a shared array, without copying it. */
   RequestDecoder(byte[] bytes, int start, int end) {
-    in = MessagePack.newDefaultUnpacker(bytes, start, end - start);
+    unpacker = MessagePack.newDefaultUnpacker(bytes, start, end - start);
   }
 
-  /** The kind of the message; anything that clients do not send is an error. */
+  /** Reads the kind of the message; all but requests and notifications are protocol errors. */
   Kind readKind() throws IOException {
-    int size = in.unpackArrayHeader();
-    int type = in.unpackInt();
+    int size = unpacker.unpackArrayHeader();
+    int type = unpacker.unpackInt();
     if (type == REQUEST_TYPE && size == REQUEST_ELEMENTS) {
       return Kind.REQUEST;
     }
     if (type == NOTIFICATION_TYPE && size == NOTIFICATION_ELEMENTS) {
       return Kind.NOTIFICATION;
     }
-    throw new ProtocolException("no message of type " + type + " and " + size + " elements");
+    throw new ProtocolException(
+        "message: got type "
+            + type
+            + " with "
+            + size
+            + " elements, expected a request (type 0, 4 elements) or a notification (2, 3)");
   }
 
-  /** The message id of a request, as it was sent. */
+  /** Reads the message id of a request, which may be out of range. */
   long readMessageId() throws IOException {
-    return in.unpackLong();
+    return unpacker.unpackLong();
   }
 
-  /** The method of a request. */
+  /** Reads the method of a request. */
   String readMethod() throws IOException, InvalidRequestException {
-    int length =
-        in.getNextFormat().getValueType() == ValueType.STRING ? in.unpackRawStringHeader() : -1;
+    ValueType type = unpacker.getNextFormat().getValueType();
+    int length = type == ValueType.STRING ? unpacker.unpackRawStringHeader() : -1;
     if (length < 0 || length > MAX_METHOD_BYTES) {
       throw new InvalidRequestException(
-          "method: not a string of up to " + MAX_METHOD_BYTES + " bytes");
+          "method: not a string of up to " + MAX_METHOD_BYTES + " bytes",
+          length < 0 ? "got " + type : "got " + length + " bytes");
     }
-    return new String(in.readPayload(length), StandardCharsets.UTF_8);
+    return new String(unpacker.readPayload(length), StandardCharsets.UTF_8);
   }
 
-  /** The parameters of a request of this method: a map of fields and, optionally, a body. */
+  /** Reads the parameters of a request: a map of fields and, optionally, a body. */
   DecodedRequest readRequest(String method) throws IOException, InvalidRequestException {
-    int parameters =
-        in.getNextFormat().getValueType() == ValueType.ARRAY ? in.unpackArrayHeader() : 0;
+    ValueType type = unpacker.getNextFormat().getValueType();
+    int parameters = type == ValueType.ARRAY ? unpacker.unpackArrayHeader() : 0;
     if (parameters < 1 || parameters > MAX_PARAMETERS) {
-      throw new InvalidRequestException("not fields and a body");
+      throw new InvalidRequestException(
+          "not fields and a body",
+          "parameters: got "
+              + type
+              + (type == ValueType.ARRAY ? " of " + parameters : "")
+              + ", expected ARRAY of 1 or 2: fields, optionally a body");
     }
-    return RequestFields.read(method, in, parameters > 1);
+    return RequestFields.read(method, unpacker, parameters > 1);
   }
 
-  /** The message id that a notification cancels; empty for any other notification. */
+  /** Reads the message id that a notification cancels; empty if it is no cancellation. */
   OptionalLong readCancelledId() throws IOException {
-    String method = in.unpackString();
+    String method = unpacker.unpackString();
     if (method.equals(CANCEL_METHOD)
-        && in.unpackArrayHeader() > 0
-        && in.getNextFormat().getValueType() == ValueType.INTEGER) {
-      return OptionalLong.of(in.unpackLong());
+        && unpacker.unpackArrayHeader() > 0
+        && unpacker.getNextFormat().getValueType() == ValueType.INTEGER) {
+      return OptionalLong.of(unpacker.unpackLong());
     }
     return OptionalLong.empty();
   }
 
   @Override
   public void close() throws IOException {
-    in.close();
+    unpacker.close();
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestFields.java
@@ -4,13 +4,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
+import org.amberpath.gateway.transport.ReceivedText;
 import org.msgpack.core.MessageFormat;
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.value.ValueType;
 
 /**
- * The fields of one request: decodes what decisions need, and leaves the rest as the bytes that
- * were received.
+ * The fields of one request. Decodes the values that routing needs; all others stay as the bytes
+ * that were received.
  */
 final class RequestFields {
   private static final int MAX_FIELDS = 64;
@@ -20,14 +21,19 @@
   private static final int ID_HEX_DIGITS = 16;
   private static final int HEX_RADIX = 16;
 
-  /** The protocol's bounds; where it states none, an hour, an index and a terabyte. */
+  /** Bound of the protocol. */
   private static final long MAX_PURGE_GROUP = 255;
 
+  /** One hour; the protocol states no bound. */
   private static final long MAX_TIMEOUT_MILLIS = 3_600_000;
+
+  /** Largest index; the protocol states no bound. */
   private static final long MAX_PARTS = Integer.MAX_VALUE;
+
+  /** One terabyte; the protocol states no bound. */
   private static final long MAX_SIZE_KB = 1 << 30;
 
-  /** Default of a number that must be present. */
+  /** Passed as the default of a number to mark the field as mandatory. */
   private static final long REQUIRED = -1;
 
   private static final double NANOS_PER_MILLI = 1e6;
@@ -47,86 +53,94 @@
   private RequestFields() {}
 
   /**
-   * Reads a map of fields and, if there is one, the body behind it.
+   * Reads a map of fields and, if there is one, the body that follows it.
    *
-   * @throws InvalidRequestException if a field is missing, of the wrong form or out of bounds
-   * @throws IOException if the bytes are no MessagePack
+   * @param hasBody whether a body follows the map
+   * @throws InvalidRequestException if a field is missing, malformed or out of bounds
+   * @throws IOException if the bytes are not valid MessagePack
    */
-  static DecodedRequest read(String trafficClass, MessageUnpacker in, boolean withBody)
+  static DecodedRequest read(String trafficClass, MessageUnpacker unpacker, boolean hasBody)
       throws IOException, InvalidRequestException {
     RequestFields fields = new RequestFields();
-    fields.readMap(in);
-    ByteString body = withBody ? readBody(in) : ByteString.EMPTY;
-    ByteString objectName = fields.hex(OBJECT_KEY);
-    ByteString partName = ByteString.of(fields.required(PART_KEY));
+    fields.readMap(unpacker);
+    ByteString body = hasBody ? readBody(unpacker) : ByteString.EMPTY;
+    ByteString objectName = fields.hexField(OBJECT_KEY);
+    ByteString partName = ByteString.of(fields.requiredField(PART_KEY));
     ByteString knownTag =
-        fields.values.containsKey(KNOWN_TAG_KEY) ? fields.hex(KNOWN_TAG_KEY) : ByteString.EMPTY;
-    double timeoutMillis = fields.decimal(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
+        fields.values.containsKey(KNOWN_TAG_KEY)
+            ? fields.hexField(KNOWN_TAG_KEY)
+            : ByteString.EMPTY;
+    double timeoutMillis = fields.decimalField(TIMEOUT_KEY, REQUIRED, MAX_TIMEOUT_MILLIS);
     if (timeoutMillis < 1) {
-      throw new InvalidRequestException("allow: not a time to wait");
+      throw new InvalidRequestException(
+          "allow: not a time to wait", "got " + timeoutMillis + ", expected at least 1 ms");
     }
     return new DecodedRequest(
         trafficClass,
-        fields.hex(REQUEST_ID_KEY),
+        fields.hexField(REQUEST_ID_KEY),
         objectName,
         partName,
         knownTag,
         fields.idempotencyKey(),
         body,
         Long.parseUnsignedLong(objectName.toString(), HEX_RADIX),
-        (int) fields.integer(PART_KEY, REQUIRED, MAX_PARTS),
-        (int) fields.integer(PURGE_GROUP_KEY, 0, MAX_PURGE_GROUP),
+        (int) fields.integerField(PART_KEY, REQUIRED, MAX_PARTS),
+        (int) fields.integerField(PURGE_GROUP_KEY, 0, MAX_PURGE_GROUP),
         (long) (timeoutMillis * NANOS_PER_MILLI),
-        fields.decimal(SIZE_KEY, 0, MAX_SIZE_KB));
+        fields.decimalField(SIZE_KEY, 0, MAX_SIZE_KB));
   }
 
-  private void readMap(MessageUnpacker in) throws IOException, InvalidRequestException {
-    if (in.getNextFormat().getValueType() != ValueType.MAP) {
-      throw new InvalidRequestException("fields: not a map");
+  private void readMap(MessageUnpacker unpacker) throws IOException, InvalidRequestException {
+    ValueType type = unpacker.getNextFormat().getValueType();
+    if (type != ValueType.MAP) {
+      throw new InvalidRequestException("fields: not a map", "got " + type);
     }
-    int count = in.unpackMapHeader();
+    int count = unpacker.unpackMapHeader();
     if (count > MAX_FIELDS) {
-      throw new InvalidRequestException("fields: more than " + MAX_FIELDS);
+      throw new InvalidRequestException("fields: more than " + MAX_FIELDS, "got " + count);
     }
     for (int i = 0; i < count; i++) {
-      byte[] key = readString(in, "fields: a key");
+      byte[] key = readString(unpacker, "fields: a key");
       if (key.length > MAX_KEY_BYTES) {
-        throw new InvalidRequestException("fields: a key longer than " + MAX_KEY_BYTES + " bytes");
+        throw new InvalidRequestException(
+            "fields: a key longer than " + MAX_KEY_BYTES + " bytes",
+            "got " + ReceivedText.quote(key));
       }
-      String name = ascii(key);
-      if (values.put(name, readString(in, name)) != null) {
-        throw new InvalidRequestException("fields: one key twice");
+      String name = decodeLatin1(key);
+      if (values.put(name, readString(unpacker, name)) != null) {
+        throw new InvalidRequestException(
+            "fields: one key twice", "got " + ReceivedText.quote(key) + " again");
       }
     }
   }
 
-  private static byte[] readString(MessageUnpacker in, String name)
+  private static byte[] readString(MessageUnpacker unpacker, String name)
       throws IOException, InvalidRequestException {
-    MessageFormat format = in.getNextFormat();
+    MessageFormat format = unpacker.getNextFormat();
     if (format.getValueType() != ValueType.STRING) {
-      throw new InvalidRequestException(name + ": not a string");
+      throw new InvalidRequestException(name + ": not a string", "got " + format.getValueType());
     }
-    return in.readPayload(in.unpackRawStringHeader());
+    return unpacker.readPayload(unpacker.unpackRawStringHeader());
   }
 
-  private static ByteString readBody(MessageUnpacker in)
+  private static ByteString readBody(MessageUnpacker unpacker)
       throws IOException, InvalidRequestException {
-    ValueType type = in.getNextFormat().getValueType();
+    ValueType type = unpacker.getNextFormat().getValueType();
     if (type == ValueType.NIL) {
       return ByteString.EMPTY;
     }
     if (type != ValueType.BINARY) {
-      throw new InvalidRequestException("body: not bytes");
+      throw new InvalidRequestException("body: not bytes", "got " + type);
     }
-    int length = in.unpackBinaryHeader();
+    int length = unpacker.unpackBinaryHeader();
     if (length > ClientConnection.MAX_BODY_BYTES) {
       throw new InvalidRequestException(
-          "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes");
+          "body: longer than " + ClientConnection.MAX_BODY_BYTES + " bytes", "got " + length);
     }
-    return ByteString.of(in.readPayload(length));
+    return ByteString.of(unpacker.readPayload(length));
   }
 
-  private byte[] required(String key) throws InvalidRequestException {
+  private byte[] requiredField(String key) throws InvalidRequestException {
     byte[] value = values.get(key);
     if (value == null) {
       throw new InvalidRequestException(key + ": missing");
@@ -134,21 +148,22 @@
     return value;
   }
 
-  private ByteString hex(String key) throws InvalidRequestException {
-    byte[] value = required(key);
+  private ByteString hexField(String key) throws InvalidRequestException {
+    byte[] value = requiredField(key);
     boolean valid = value.length == ID_HEX_DIGITS;
     for (byte digit : value) {
       valid &= Character.digit(digit, HEX_RADIX) >= 0;
     }
     if (!valid) {
-      throw new InvalidRequestException(key + ": not 16 hex digits");
+      throw new InvalidRequestException(
+          key + ": not 16 hex digits", "got " + ReceivedText.quote(value));
     }
     return ByteString.of(value);
   }
 
   /**
-   * The key by which repeats are recognised, if any. It is forwarded as it was received, so it must
-   * not contain what separates fields there.
+   * Returns the idempotency key, empty for none. It is forwarded to caches as received, so it must
+   * not contain the comma that separates the fields of a command.
    */
   private ByteString idempotencyKey() throws InvalidRequestException {
     byte[] value = values.getOrDefault(IDEMPOTENCY_KEY, EMPTY);
@@ -158,42 +173,50 @@
     }
     if (!valid) {
       throw new InvalidRequestException(
-          IDEMPOTENCY_KEY + ": not up to " + MAX_IDEMPOTENCY_KEY_BYTES + " plain characters");
+          IDEMPOTENCY_KEY + ": not up to " + MAX_IDEMPOTENCY_KEY_BYTES + " plain characters",
+          "got " + ReceivedText.quote(value));
     }
     return ByteString.of(value);
   }
 
-  private long integer(String key, long absent, long max) throws InvalidRequestException {
-    double value = decimal(key, (double) absent, (double) max);
-    if (values.containsKey(key) && ascii(values.get(key)).indexOf('.') >= 0) {
-      throw new InvalidRequestException(key + ": not a whole number");
+  private long integerField(String key, long defaultValue, long max)
+      throws InvalidRequestException {
+    double value = decimalField(key, (double) defaultValue, (double) max);
+    if (values.containsKey(key) && decodeLatin1(values.get(key)).indexOf('.') >= 0) {
+      throw new InvalidRequestException(
+          key + ": not a whole number", "got " + ReceivedText.quote(values.get(key)));
     }
     return (long) value;
   }
 
   /**
-   * A plain decimal from 0 to a bound; signs, exponents and the like, which the JDK would parse,
-   * are invalid.
+   * Parses a plain decimal number from 0 to {@code max}. Signs, exponents and other forms that
+   * {@link Double#parseDouble} accepts are invalid.
+   *
+   * @param defaultValue the value of a field that is absent; {@link #REQUIRED} if it must be
+   *     present
    */
-  private double decimal(String key, double absent, double max) throws InvalidRequestException {
-    if (absent >= 0 && !values.containsKey(key)) {
-      return absent;
+  private double decimalField(String key, double defaultValue, double max)
+      throws InvalidRequestException {
+    if (defaultValue >= 0 && !values.containsKey(key)) {
+      return defaultValue;
     }
-    byte[] value = required(key);
+    byte[] value = requiredField(key);
     boolean valid = value.length > 0 && value.length <= MAX_NUMBER_BYTES && value[0] != '.';
-    int points = 0;
+    int decimalPoints = 0;
     for (byte character : value) {
-      points += character == '.' ? 1 : 0;
-      valid &= (character >= '0' && character <= '9') || (character == '.' && points == 1);
+      decimalPoints += character == '.' ? 1 : 0;
+      valid &= (character >= '0' && character <= '9') || (character == '.' && decimalPoints == 1);
     }
-    double number = valid ? Double.parseDouble(ascii(value)) : -1;
+    double number = valid ? Double.parseDouble(decodeLatin1(value)) : -1;
     if (number < 0 || number > max) {
-      throw new InvalidRequestException(key + ": not a number from 0 to " + (long) max);
+      throw new InvalidRequestException(
+          key + ": not a number from 0 to " + (long) max, "got " + ReceivedText.quote(value));
     }
     return number;
   }
 
-  private static String ascii(byte[] bytes) {
+  private static String decodeLatin1(byte[] bytes) {
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/RequestSession.java
@@ -6,21 +6,22 @@
 import java.util.Set;
 
 /**
- * The requests of one connection, from decoding to response: which message ids are in flight, and
- * which requests are admitted. Knows nothing of the socket. Used on the connection's event loop.
+ * Tracks the requests of one connection from decoding to response: which message ids are in flight,
+ * and which requests are admitted. Does not use the socket itself. Confined to the connection's
+ * event loop.
  */
 final class RequestSession {
   private static final int MAX_IN_FLIGHT = 32;
   private static final long MAX_MESSAGE_ID = 0xffff_ffffL;
   private static final String STATUS_METHOD = "status";
 
-  /** Which requests are admitted here, before the handler is asked. */
+  /** Which requests are passed to the admission check of the handler; all others are rejected. */
   private enum Admission {
-    /** Each one. */
+    /** All requests. */
     ALL,
-    /** Only the one that had been received in part when rejection began. */
+    /** Only the one that had been partially received when {@link #rejectNewRequests} was called. */
     PARTIAL_MESSAGE,
-    /** None. */
+    /** No request. */
     NONE
   }
 
@@ -31,42 +32,42 @@
   private boolean messageReceived;
   private boolean requestReceived;
 
-  /** Whether the client violated the protocol, so that each further request gets an error. */
-  private boolean violated;
+  /** Whether the client has violated the protocol, so that each further request gets an error. */
+  private boolean protocolViolated;
 
-  /** The requests of a connection that has just been accepted. */
+  /** Creates the session of a new connection, with no request in flight. */
   RequestSession(ClientConnection connection, ClientHandler handler) {
     this.connection = connection;
     this.handler = handler;
   }
 
-  /** Whether a complete and valid message has been received. */
+  /** Returns whether a complete message without protocol error has been received. */
   boolean hasReceivedMessage() {
     return messageReceived;
   }
 
-  /** Whether a request has been received, and no invalid one since. */
+  /** Returns whether a request other than for status was received, and no invalid one since. */
   boolean hasReceivedRequest() {
     return requestReceived;
   }
 
-  /** Whether no request is in flight. */
+  /** Returns whether no request is in flight. */
   boolean isIdle() {
     return inFlight.isEmpty();
   }
 
-  /** Drops what is in flight: none of it can be answered any more. */
+  /** Forgets all requests in flight, because the connection sends no more responses. */
   void dropAll() {
     inFlight.clear();
   }
 
-  /** Each request from now on gets an error, since the client violated the protocol. */
+  /** Makes each further request fail with an error, because the client violated the protocol. */
   void markViolated() {
-    violated = true;
+    protocolViolated = true;
   }
 
   /**
-   * Rejects each request from now on.
+   * Rejects each further request as overloaded.
    *
    * @param partialMessage whether a message has been received in part, which is still admitted
    */
@@ -77,14 +78,15 @@
   /**
    * Handles one complete message.
    *
-   * @throws IOException if it violates the protocol, so that the rest of the stream is unusable
+   * @throws IOException if the message violates the protocol, so that the rest of the stream is
+   *     unusable
    */
   void handle(byte[] bytes, int start, int end) throws IOException {
     try (RequestDecoder decoder = new RequestDecoder(bytes, start, end)) {
       if (decoder.readKind() == RequestDecoder.Kind.REQUEST) {
-        request(decoder);
+        handleRequest(decoder);
       } else {
-        notification(decoder);
+        handleNotification(decoder);
       }
     }
     messageReceived = true;
@@ -93,10 +95,10 @@
     }
   }
 
-  private void request(RequestDecoder decoder) throws IOException {
+  private void handleRequest(RequestDecoder decoder) throws IOException {
     long messageId = decoder.readMessageId();
     addInFlight(messageId);
-    if (violated) {
+    if (protocolViolated) {
       connection.sendError(messageId, "the protocol was violated on this connection");
       return;
     }
@@ -105,7 +107,7 @@
       if (method.equals(STATUS_METHOD)) {
         connection.sendStatus(messageId, handler.isReady());
       } else if (admission == Admission.NONE || !handler.admitsRequest()) {
-        // Guards what was admitted against what the gateway has no capacity for.
+        // Rejected before its fields are decoded, to save the CPU for admitted requests.
         requestReceived = true;
         connection.sendOverloaded(messageId, handler.retryAfterNanos());
       } else {
@@ -114,38 +116,49 @@
         handler.requestReceived(connection, messageId, request);
       }
     } catch (InvalidRequestException e) {
-      rejectInvalidRequest(messageId, e.getMessage());
+      rejectInvalidRequest(messageId, e.getMessage(), e.logText());
     }
   }
 
   private void addInFlight(long messageId) throws ProtocolException {
     if (messageId < 0 || messageId > MAX_MESSAGE_ID || !inFlight.add(messageId)) {
       throw new ProtocolException(
-          "message id " + messageId + " is out of range or in flight already");
+          "message id: got "
+              + messageId
+              + (inFlight.contains(messageId)
+                  ? ", which is in flight already"
+                  : ", expected 0 to " + MAX_MESSAGE_ID));
     }
     if (inFlight.size() > MAX_IN_FLIGHT) {
       connection.sendError(messageId, "more than " + MAX_IN_FLIGHT + " requests are in flight");
-      throw new ProtocolException("message id " + messageId + " is one request too many");
+      throw new ProtocolException(
+          "request " + messageId + ": more than " + MAX_IN_FLIGHT + " requests are in flight");
     }
   }
 
-  private void notification(RequestDecoder decoder) throws IOException {
+  private void handleNotification(RequestDecoder decoder) throws IOException {
     OptionalLong cancelled = decoder.readCancelledId();
     if (cancelled.isPresent() && inFlight.remove(cancelled.getAsLong())) {
       handler.requestCancelled(connection, cancelled.getAsLong());
     }
   }
 
-  /** As {@link ClientConnection#rejectInvalidRequest}. */
+  /** Implements {@link ClientConnection#rejectInvalidRequest}. */
   void rejectInvalidRequest(long messageId, String reason) {
+    rejectInvalidRequest(messageId, reason, reason);
+  }
+
+  private void rejectInvalidRequest(long messageId, String reason, String logText) {
     connection.sendError(messageId, reason);
-    violated = true;
+    protocolViolated = true;
     requestReceived = false;
-    handler.protocolViolated(connection, reason);
+    handler.protocolViolated(
+        connection,
+        "request " + messageId + ": " + logText + "; all further requests on this connection fail");
   }
 
-  /** Ends a request; whether it was in flight, so that its one response may be sent. */
-  boolean finish(long messageId) {
+  /** Ends a request; returns whether it was in flight, so that its response is to be sent. */
+  boolean removeInFlight(long messageId) {
     return inFlight.remove(messageId);
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
+++ b/gateway/src/main/java/org/amberpath/gateway/client/WriteBufferAccounting.java
@@ -5,45 +5,56 @@
 import java.util.Set;
 
 /**
- * Bounds the bytes of responses that clients have not read yet, for each connection and for all
- * together. Used on one event loop.
+ * Bounds the memory of responses that are not yet written to sockets because clients read slowly or
+ * not at all, per connection and for all connections together. Confined to one event loop.
  */
 public final class WriteBufferAccounting {
   private final long maxBytesPerConnection;
   private final long maxBytesTotal;
-  private final Set<ClientConnection> pending = new LinkedHashSet<>();
+  private final Set<ClientConnection> pendingConnections = new LinkedHashSet<>();
   private long totalBytes;
 
-  /** Bounds in bytes; a connection past them is aborted. */
+  /** Creates the accounting with its bounds in bytes; a connection that exceeds one is aborted. */
   public WriteBufferAccounting(long maxBytesPerConnection, long maxBytesTotal) {
     this.maxBytesPerConnection = maxBytesPerConnection;
     this.maxBytesTotal = maxBytesTotal;
   }
 
   /**
-   * Counts bytes that are about to be written. Guards against clients that do not read: the one
-   * with the most unread bytes loses its connection.
+   * Adds bytes that are about to be written. Aborts the connection if it exceeds its own bound, or
+   * the connection with the most unwritten bytes if the total exceeds its bound.
    */
   void add(ClientConnection connection, long bytes) {
     totalBytes += bytes;
-    connection.unreadBytes += bytes;
-    pending.add(connection);
-    if (connection.unreadBytes > maxBytesPerConnection) {
-      connection.abort("reads too slowly");
+    connection.unwrittenBytes += bytes;
+    pendingConnections.add(connection);
+    if (connection.unwrittenBytes > maxBytesPerConnection) {
+      connection.abort(
+          "reads too slowly: "
+              + connection.unwrittenBytes
+              + " response bytes unwritten, allowed "
+              + maxBytesPerConnection);
     } else if (totalBytes > maxBytesTotal) {
-      pending.stream()
-          .max(Comparator.comparingLong(one -> one.unreadBytes))
-          .orElse(connection)
-          .abort("reads most slowly of all");
+      ClientConnection slowest =
+          pendingConnections.stream()
+              .max(Comparator.comparingLong(one -> one.unwrittenBytes))
+              .orElse(connection);
+      slowest.abort(
+          "reads most slowly of all clients: "
+              + slowest.unwrittenBytes
+              + " response bytes unwritten, of all clients "
+              + totalBytes
+              + ", allowed "
+              + maxBytesTotal);
     }
   }
 
-  /** Counts bytes off that have been written to the socket or dropped. */
+  /** Subtracts bytes that have been written to the socket or dropped. */
   void remove(ClientConnection connection, long bytes) {
     totalBytes -= bytes;
-    connection.unreadBytes -= bytes;
-    if (connection.unreadBytes == 0) {
-      pending.remove(connection);
+    connection.unwrittenBytes -= bytes;
+    if (connection.unwrittenBytes == 0) {
+      pendingConnections.remove(connection);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/BoundedServerChannel.java
@@ -12,21 +12,21 @@
 import java.util.logging.Logger;
 
 /**
- * A listening socket that accepts no connection past an {@link AcceptLimit} and resumes as soon as
- * a descriptor is free. It retries a failed accept within milliseconds, where the library would
- * accept nothing for a whole second.
+ * A listening channel that stops accepting at an {@link AcceptLimit} and resumes as soon as a
+ * descriptor is released. It retries a failed accept after a backoff of milliseconds, whereas Netty
+ * accepts nothing for one second after a failure.
  */
-@SuppressWarnings("deprecation") // Netty has no other type for what it hands over here.
+@SuppressWarnings("deprecation") // Netty passes this deprecated type to continueReading.
 final class BoundedServerChannel extends NioServerSocketChannel {
   private static final Logger LOG = Logger.getLogger(BoundedServerChannel.class.getName());
-  private final SystemCalls calls;
+  private final SystemCalls systemCalls;
   private final AcceptLimit limit;
 
-  /** Whether the last accept failed: the failure is logged once. */
-  private boolean failing;
+  /** Whether the last accept failed, so that repeated failures are logged only once. */
+  private boolean acceptFailing;
 
-  /** Whether the limit was reached, and no descriptor has become free since. */
-  private boolean full;
+  /** Whether the limit was reached and no descriptor has been released since. */
+  private boolean limitReached;
 
   /** Whether {@link #afterSelect} is scheduled. */
   private boolean awaitingSelect;
@@ -34,15 +34,15 @@
   /** Whether a retry of a failed accept is scheduled. */
   private boolean retryScheduled;
 
-  BoundedServerChannel(SystemCalls calls, AcceptLimit limit) {
-    this.calls = calls;
+  BoundedServerChannel(SystemCalls systemCalls, AcceptLimit limit) {
+    this.systemCalls = systemCalls;
     this.limit = limit;
   }
 
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
     if (!limit.hasCapacity()) {
-      full = true;
+      limitReached = true;
       pause();
       closeOldestHalfClosed();
       resumeAfterSelect();
@@ -50,26 +50,26 @@
     }
     SocketChannel socket;
     try {
-      socket = calls.accept(javaChannel());
+      socket = systemCalls.accept(javaChannel());
     } catch (IOException e) {
       if (!isOpen()) {
         throw e;
       }
-      retry(e);
+      scheduleRetry(e);
       return 0;
     }
     if (socket == null) {
       limit.queueEmptied();
-      failing = false;
+      acceptFailing = false;
       return 0;
     }
-    failing = false;
+    acceptFailing = false;
     return register(socket, accepted);
   }
 
   /**
-   * After a pause the accept queue is read to its end, so that later connections are not taken for
-   * ones that waited through it.
+   * Keeps reading after a pause until the accept queue is empty, so that connections which arrive
+   * later do not count as having waited during the pause.
    */
   @Override
   protected boolean continueReading(RecvByteBufAllocator.Handle handle) {
@@ -82,7 +82,8 @@
       limit.accepted(channel, socket);
       accepted.add(channel);
       return 1;
-    } catch (RuntimeException e) { // The client has reset it, so its options can't be set.
+    } catch (
+        RuntimeException e) { // Setting options fails on a connection that the client has reset.
       socket.close();
       return 0;
     }
@@ -93,10 +94,10 @@
     config().setAutoRead(false);
   }
 
-  private void retry(IOException failure) {
-    if (!failing) {
-      failing = true;
-      LOG.warning("accept: " + failure.getMessage() + "; retried within milliseconds");
+  private void scheduleRetry(IOException failure) {
+    if (!acceptFailing) {
+      acceptFailing = true;
+      LOG.warning("accept failed: " + failure.getMessage() + "; retrying with backoff");
     }
     long backoffMillis = limit.acceptFailed();
     pause();
@@ -112,7 +113,7 @@
     }
   }
 
-  /** Resumes, and reads the queue at once: so it is known whether anything waited there. */
+  /** Resumes accepting and reads the queue immediately, which shows whether connections waited. */
   private void resume() {
     if (isOpen() && !retryScheduled) {
       config().setAutoRead(true);
@@ -121,10 +122,11 @@
   }
 
   /**
-   * Guards new connections against half-closed ones, which only wait for their clients to close.
+   * Closes the oldest half-closed connection while the limit is reached, so that connections which
+   * merely wait for their clients to close do not block new ones.
    */
   private void closeOldestHalfClosed() {
-    if (full && !limit.hasCapacity()) {
+    if (limitReached && !limit.hasCapacity()) {
       Channel halfClosed = limit.oldestHalfClosed();
       if (halfClosed != null) {
         Channels.close(halfClosed);
@@ -133,11 +135,11 @@
   }
 
   /**
-   * Resumes once the selector has released a descriptor, which it does when it selects: by the
-   * loop's next turn.
+   * Schedules resuming for the next iteration of the event loop, by which the selector has released
+   * the descriptors of closed connections.
    */
   private void resumeAfterSelect() {
-    if (full && !awaitingSelect && isOpen() && limit.isReleasing()) {
+    if (limitReached && !awaitingSelect && isOpen() && limit.isReleasing()) {
       awaitingSelect = true;
       Channels.schedule(eventLoop(), this::afterSelect, 0);
     }
@@ -146,14 +148,14 @@
   private void afterSelect() {
     awaitingSelect = false;
     if (limit.hasCapacity()) {
-      full = false;
+      limitReached = false;
       resume();
     } else {
       resumeAfterSelect();
     }
   }
 
-  /** A client's connection, which counts against the limit until its descriptor is released. */
+  /** An accepted connection, which counts against the limit until its descriptor is released. */
   private final class ClientChannel extends NioSocketChannel {
     private final SocketChannel socket;
 
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SingleEventLoopTransport.java
@@ -11,27 +11,27 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * A transport that accepts connections on the event loop that also serves them. Guards the bound on
- * descriptors: an acceptor with a thread of its own runs ahead of a busy event loop, past any bound
- * that is kept there.
+ * A Vert.x transport that accepts connections on the event loop that also serves them. A separate
+ * acceptor thread would keep accepting while the event loop is busy, and so exceed the bound on
+ * descriptors that the event loop enforces.
  */
 public final class SingleEventLoopTransport extends NioTransport {
-  private final SystemCalls calls;
+  private final SystemCalls systemCalls;
   private EventLoopGroup eventLoop;
   private AcceptLimit nextLimit;
 
-  private SingleEventLoopTransport(SystemCalls calls) {
-    this.calls = calls;
+  private SingleEventLoopTransport(SystemCalls systemCalls) {
+    this.systemCalls = systemCalls;
   }
 
-  /** A transport for one Vert.x instance. */
+  /** Creates a transport for one Vert.x instance. */
   public static Transport transport() {
     return transport(new SystemCalls());
   }
 
-  /** The same with other system calls, for tests of failing ones. */
-  public static Transport transport(SystemCalls calls) {
-    SingleEventLoopTransport implementation = new SingleEventLoopTransport(calls);
+  /** Creates a transport that makes the given system calls, so that tests can let them fail. */
+  public static Transport transport(SystemCalls systemCalls) {
+    SingleEventLoopTransport implementation = new SingleEventLoopTransport(systemCalls);
     return new Transport() {
       @Override
       public String name() {
@@ -63,7 +63,10 @@
     return eventLoop;
   }
 
-  /** Limits the server that listens next; does nothing where another transport is used. */
+  /**
+   * Sets the limit of the server that listens next; does nothing if the Vert.x instance uses
+   * another transport.
+   */
   public static void limitNext(Vertx vertx, AcceptLimit limit) {
     if (((VertxInternal) vertx).transport() instanceof SingleEventLoopTransport transport) {
       transport.nextLimit = limit;
@@ -78,11 +81,11 @@
     AcceptLimit limit =
         nextLimit == null ? new AcceptLimit(Integer.MAX_VALUE, System::nanoTime) : nextLimit;
     nextLimit = null;
-    return () -> new BoundedServerChannel(calls, limit);
+    return () -> new BoundedServerChannel(systemCalls, limit);
   }
 
   @Override
   public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
-    return domainSocket ? super.channelFactory(true) : calls::socket;
+    return domainSocket ? super.channelFactory(true) : systemCalls::openSocket;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
+++ b/gateway/src/main/java/org/amberpath/gateway/transport/SystemCalls.java
@@ -7,17 +7,17 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * The system calls that the transport makes for new connections; tests replace them by failing
+ * The system calls that the transport makes for new connections; tests override them with failing
  * ones.
  */
 public class SystemCalls {
-  /** Accepts a waiting connection without blocking; null where none waits. */
-  public SocketChannel accept(ServerSocketChannel listening) throws IOException {
-    return listening.accept();
+  /** Accepts a pending connection without blocking; returns null if there is none. */
+  public SocketChannel accept(ServerSocketChannel serverChannel) throws IOException {
+    return serverChannel.accept();
   }
 
   /** Opens a socket for an outbound connection. */
-  public Channel socket() {
+  public Channel openSocket() {
     return new NioSocketChannel();
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ClientGoneTest.java
@@ -30,26 +30,30 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** No attempt begins for a client that closed or cancelled while the event loop was late. */
+/**
+ * Guards against attempts for disconnected clients: a client closes its connection or cancels its
+ * requests while the event loop is delayed, and the gateway reads the requests before it reads the
+ * close or the cancellation.
+ */
 @Timeout(60)
 class ClientGoneTest {
-  private static final long GONE_MS = 300;
-  private static final long PATIENCE_S = 20;
-  private static final int PIPELINE = 32;
+  private static final long EVENT_LOOP_LAG_MILLIS = 300;
+  private static final long TIMEOUT_SECONDS = 20;
+  private static final int PIPELINED_REQUESTS = 32;
 
   @TempDir private Path folder;
   private GatewayTestbed testbed;
   private StubCache cache;
 
   @BeforeEach
-  void start() throws Exception {
+  void startCache() throws Exception {
     testbed = new GatewayTestbed();
     cache = testbed.cache();
     testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
   }
 
   @AfterEach
-  void end() throws Exception {
+  void closeTestbed() throws Exception {
     testbed.close();
   }
 
@@ -66,69 +70,73 @@
 
   @ParameterizedTest
   @CsvSource({"close, 0", "reset, 0", "withdraw, 0", "close, 60000", "withdraw, 60000"})
-  void afterEventLoopLagNoPipelinedRequestOfADisconnectedClientIsSent(String how, int bytes)
+  void afterEventLoopLagNoPipelinedRequestOfADisconnectedClientIsSent(String ending, int bodyBytes)
       throws Exception {
-    PausingRouter decisions =
+    PausingRouter router =
         new PausingRouter(
             new org.amberpath.routing.RequestRouter(options().routingConfig())::decide);
-    testbed.start(options(), decisions);
+    testbed.start(options(), router);
     TestClient client = testbed.client();
     assertTrue(client.requestStatus().isReady());
-    decisions.pauseAfterRequest(testbed.client());
+    router.pauseAfterRequest(testbed.client());
     ByteArrayOutputStream pipeline = new ByteArrayOutputStream();
-    for (int number = 1; number <= PIPELINE; number++) {
+    for (int number = 1; number <= PIPELINED_REQUESTS; number++) {
       pipeline.writeBytes(
           TestClient.encodeRequest(
-              number, "parts", TestClient.requestFields(number, 15_000, number), new byte[bytes]));
+              number,
+              "parts",
+              TestClient.requestFields(number, 15_000, number),
+              new byte[bodyBytes]));
     }
-    for (int number = 1; number <= PIPELINE && how.equals("withdraw"); number++) {
+    for (int number = 1; number <= PIPELINED_REQUESTS && ending.equals("withdraw"); number++) {
       pipeline.writeBytes(TestClient.encodeCancel(number));
     }
-    var written =
+    var writing =
         testbed.threads.submit(
             () -> {
               client.send(pipeline.toByteArray());
-              if (how.equals("reset")) {
+              if (ending.equals("reset")) {
                 client.socket.setSoLinger(true, 0);
               }
-              if (!how.equals("withdraw")) {
+              if (!ending.equals("withdraw")) {
                 client.close();
               }
               return null;
             });
-    Thread.sleep(GONE_MS); // The passing of time is tested.
-    decisions.resume();
-    written.get(PATIENCE_S, TimeUnit.SECONDS);
-    Set<String> sent = ConcurrentHashMap.newKeySet();
+    Thread.sleep(EVENT_LOOP_LAG_MILLIS); // Lets the event loop lag.
+    router.resume();
+    writing.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    Set<String> sentIds = ConcurrentHashMap.newKeySet();
     testbed.runInBackground(
         () -> {
           while (true) {
             ReceivedCommand command = cache.commands.take();
-            sent.add(command.element(1));
+            sentIds.add(command.element(1));
             command.replyOk("part");
           }
         });
-    TestClient last =
-        testbed
-            .client(); // What it asks for is sent after all that came before it, unless it is shed.
-    int number = PIPELINE;
+    // Its request is sent after all earlier ones, unless it is rejected by load shedding.
+    TestClient lastClient = testbed.client();
+    int number = PIPELINED_REQUESTS;
     do {
-      last.sendRequest(++number, "parts", 15_000, 0);
-    } while (last.receive().error() != null);
-    for (int left = 1; left <= PIPELINE; left++) {
-      assertFalse(sent.contains(String.format("%016x", left)), "sent " + sent);
+      lastClient.sendRequest(++number, "parts", 15_000, 0);
+    } while (lastClient.receive().error() != null);
+    for (int requestNumber = 1; requestNumber <= PIPELINED_REQUESTS; requestNumber++) {
+      assertFalse(
+          sentIds.contains(String.format("%016x", requestNumber)),
+          "sent for a disconnected client: " + sentIds);
     }
   }
 
   /**
-   * In a long round the client of the last attempt may leave: the first attempt, and a retry after
-   * its end.
+   * The client of the last attempt disconnects during a long batch of routing decisions. Neither a
+   * first attempt nor a retry is sent before the sockets are read again.
    */
   @ParameterizedTest
   @ValueSource(strings = {"requestReceived", "attemptEnded"})
   void attemptAtTheEndOfALongBatchWaitsUntilTheSocketsAreRead(String event) throws Exception {
     BlockingQueue<AttemptOutcome> outcomes = new LinkedBlockingQueue<>();
-    PausingRouter pause = new PausingRouter(null);
+    PausingRouter pausingRouter = new PausingRouter(null);
     testbed.start(
         options(),
         (now, in, to) ->
@@ -138,14 +146,14 @@
                       if (name.equals("attemptEnded")) {
                         outcomes.add(((AttemptResult) arguments[0]).outcome());
                       }
-                      boolean begins =
+                      boolean startsAttempt =
                           name.equals("requestReceived")
                               || (name.equals("attemptEnded")
                                   && ((AttemptResult) arguments[0]).attempt() == 0);
-                      if (name.equals(event) && begins) {
-                        pause.pauseUntilResumed();
+                      if (name.equals(event) && startsAttempt) {
+                        pausingRouter.pauseUntilResumed();
                       }
-                      if (begins) {
+                      if (startsAttempt) {
                         long id =
                             name.equals("requestReceived")
                                 ? ((RequestDetails) arguments[0]).id()
@@ -158,14 +166,14 @@
     if (event.equals("attemptEnded")) {
       cache.nextCommand().reply("refused", "-", new byte[0]);
     }
-    pause.awaitPaused();
+    pausingRouter.awaitPaused();
     client.close();
-    Thread.sleep(GONE_MS); // The passing of time is tested.
-    pause.resume();
+    Thread.sleep(EVENT_LOOP_LAG_MILLIS); // Lets the event loop lag.
+    pausingRouter.resume();
     assertEquals(
         event.equals("requestReceived") ? AttemptOutcome.NOT_SENT : AttemptOutcome.REJECTED,
-        outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
-    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(PATIENCE_S, TimeUnit.SECONDS));
+        outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+    assertEquals(AttemptOutcome.NOT_SENT, outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS));
     assertNull(cache.commands.poll());
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/IdleConnectionFaultsTest.java
@@ -21,96 +21,96 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Idle connections to endpoints that have ended or are not answered any more. */
+/** Requests on idle endpoint connections that were closed or no longer deliver replies. */
 @Timeout(30)
 class IdleConnectionFaultsTest extends FaultFixture {
   /**
-   * The next request comes at once, so that it may cross the end of its connection, or after the
-   * gateway has read that. Only a shutdown is on the wire when it returns: a close waits for the
-   * thread that reads there.
+   * The next request is sent either immediately, so that it may cross the end of its connection, or
+   * after the gateway has read that end. For the latter case the stub uses a shutdown, because only
+   * that has reached the wire when the call returns; a close waits for the thread that reads there.
    */
   @ParameterizedTest
   @CsvSource({"close, true", "reset, true", "shut, false"})
-  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(String how, boolean crosses)
-      throws Exception {
-    Map<Integer, Integer> runs = new ConcurrentHashMap<>();
-    AtomicInteger ended = new AtomicInteger();
-    List<List<TimedCommand>> seen =
+  void requestAfterTheEndOfAnIdleConnectionIsServedOrNeverRetried(
+      String ending, boolean sentBeforeEndIsRead) throws Exception {
+    Map<Integer, Integer> executions = new ConcurrentHashMap<>();
+    AtomicInteger endedConnections = new AtomicInteger();
+    List<List<TimedCommand>> receivedCommands =
         handleAll(
             testbed.start(folder, 3, testbed.journal.address()),
             command -> {
-              runs.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
+              executions.merge(Integer.parseInt(command.element(1), 16), 1, Integer::sum);
               serve(command);
-              failing(how).handle(command);
-              ended.incrementAndGet();
+              failing(ending).handle(command);
+              endedConnections.incrementAndGet();
             });
     TestClient client = testbed.client();
-    for (int times = 0; times < 20; times++) {
-      if (!crosses) {
-        awaitRead(client, ended);
+    for (int repetition = 0; repetition < 20; repetition++) {
+      if (!sentBeforeEndIsRead) {
+        awaitEndsRead(client, endedConnections);
       }
       requestServed(client);
-      if (!crosses) {
-        awaitRead(client, ended);
+      if (!sentBeforeEndIsRead) {
+        awaitEndsRead(client, endedConnections);
       }
       client.sendRequest(++number, "orders", LONG_MILLIS, number % PARTS);
       ClientAnswer answer = client.receive();
       assertEquals(number, answer.messageId());
       int maxAttempts = "Overloaded".equals(answer.error()) ? 0 : 1;
       assertTrue(
-          runs.getOrDefault(number, 0) <= maxAttempts,
-          "run " + runs.get(number) + " times: " + answer.error());
-      if (!crosses) {
-        assertEquals(null, answer.error(), "its connection had ended long before");
+          executions.getOrDefault(number, 0) <= maxAttempts,
+          "run " + executions.get(number) + " times: " + answer.error());
+      if (!sentBeforeEndIsRead) {
+        assertEquals(null, answer.error(), "the gateway had read the end of its connection");
       }
     }
     assertNoFurtherAnswer(client);
-    for (int one = 1; one <= number; one++) {
-      assertTrue(attemptsOf(seen, one).size() <= MAX_ATTEMPTS);
+    for (int requestNumber = 1; requestNumber <= number; requestNumber++) {
+      assertTrue(attemptsOf(receivedCommands, requestNumber).size() <= MAX_ATTEMPTS);
     }
   }
 
   /**
-   * Whichever connection the second request takes has been forgotten: it stays open, and nothing
-   * comes of it.
+   * The endpoint stops replying on the connection that carries the second request, as if it had
+   * lost the connection's state. The connection stays open.
    */
   @ParameterizedTest
   @ValueSource(strings = {"parts", "orders"})
-  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String service)
+  void requestOnAnUnresponsiveConnectionIsAnsweredInTimeAndTheNextIsServed(String trafficClass)
       throws Exception {
-    Set<Socket> forgotten = ConcurrentHashMap.newKeySet();
-    List<List<TimedCommand>> seen =
+    Set<Socket> unresponsiveSockets = ConcurrentHashMap.newKeySet();
+    List<List<TimedCommand>> receivedCommands =
         handleAll(
             testbed.start(folder, 2, testbed.journal.address()),
             command -> {
-              if (command.element(1).equals(requestId(2)) && forgotten.isEmpty()) {
-                forgotten.add(command.socket());
+              if (command.element(1).equals(requestId(2)) && unresponsiveSockets.isEmpty()) {
+                unresponsiveSockets.add(command.socket());
               }
-              if (!forgotten.contains(command.socket())) {
+              if (!unresponsiveSockets.contains(command.socket())) {
                 serve(command);
               }
             });
     TestClient client = testbed.client();
-    int allow = 1500;
-    client.sendRequest(++number, service, allow, 0);
+    int timeoutMillis = 1500;
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
     assertEquals(null, client.receive().error());
-    long since = System.nanoTime();
-    client.sendRequest(++number, service, allow, 0);
+    long startNanos = System.nanoTime();
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
     ClientAnswer answer = client.receive();
     assertEquals(number, answer.messageId());
-    assertTrue(millisSince(since) < allow + LATE_MILLIS);
-    if (service.equals("orders")) {
-      assertEquals(1, attemptsOf(seen, number).size());
-      assertEquals("Internal", answer.error(), "it may have run");
+    assertTrue(millisSince(startNanos) < timeoutMillis + LATE_MILLIS);
+    if (trafficClass.equals("orders")) {
+      assertEquals(1, attemptsOf(receivedCommands, number).size());
+      assertEquals("Internal", answer.error(), "it may have been executed");
     }
-    client.sendRequest(++number, service, allow, 0);
-    assertEquals(null, client.receive().error(), "on another connection");
+    client.sendRequest(++number, trafficClass, timeoutMillis, 0);
+    assertEquals(null, client.receive().error(), "served on another connection");
     assertNoFurtherAnswer(client);
   }
 
   /**
-   * Several whose first attempts wait there show that the endpoint is silent, and each is sent to
-   * another.
+   * Several first attempts without a reply show that the endpoint is unresponsive, and each request
+   * is retried on another endpoint.
    */
   @Test
   void idempotentRequestsOnUnresponsiveConnectionsAreServedByRetries() throws Exception {
@@ -133,8 +133,8 @@
   }
 
   /**
-   * The connection that it takes has been forgotten: its first attempt waits for nothing, and
-   * another is answered.
+   * The first attempt never gets a reply, as on a connection whose state the endpoint has lost, and
+   * a retry is answered.
    */
   @Test
   void singleIdempotentRequestOnAnUnresponsiveConnectionIsServedByARetry() throws Exception {
@@ -154,10 +154,12 @@
   }
 
   /**
-   * Until each request's connection has ended, and the gateway has read all connections after that.
+   * Waits until the connection of each request has ended and the gateway has then read from all
+   * connections.
    */
-  private void awaitRead(TestClient client, AtomicInteger ended) throws Exception {
-    Conditions.await(() -> ended.get() == number, "an end for each request");
+  private void awaitEndsRead(TestClient client, AtomicInteger endedConnections) throws Exception {
+    Conditions.await(
+        () -> endedConnections.get() == number, "the connection of each request has ended");
     client.requestStatus();
     client.requestStatus();
   }
