--- a/gateway/src/main/java/org/amberpath/gateway/Server.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Server.java
@@ -119,7 +119,11 @@
                 .toCompletableFuture()
                 .get(timeoutNanos, TimeUnit.NANOSECONDS);
           } catch (Exception e) {
-            err.println("stop: " + e);
+            err.println(
+                "graceful shutdown not completed within "
+                    + TimeUnit.NANOSECONDS.toMillis(timeoutNanos)
+                    + " ms; the process exits now: "
+                    + e);
           }
         };
     Runtime.getRuntime().addShutdownHook(new Thread(stop, "stop"));
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/AdmissionControl.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AdmissionControl.java
@@ -104,7 +104,12 @@
         syntheticRequests.addRecent(request);
       }
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a request was not recorded for synthetic requests", e);
+      LOG.log(
+          Level.SEVERE,
+          "request "
+              + request.requestId
+              + " could not be recorded for synthetic requests; it is processed as usual",
+          e);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AttemptSender.java
@@ -213,7 +213,10 @@
     try {
       responseWriter.writeBody(request, body);
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a response could not be written", e);
+      LOG.log(
+          Level.SEVERE,
+          "request " + request.requestId + ": the response could not be written to the client",
+          e);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
@@ -81,7 +81,8 @@
       pool.send(this);
     } catch (RuntimeException e) {
       // Guards against an attempt that is neither sent nor ended, for which its request would wait.
-      LOG.log(Level.SEVERE, "an attempt could not be sent", e);
+      LOG.log(
+          Level.SEVERE, description() + " could not be sent to " + pool + "; the attempt ends", e);
       abandon(isWritten() ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT, false);
     }
   }
@@ -110,7 +111,14 @@
           pool.cancel(this);
         }
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "an attempt could not be cancelled", e);
+        LOG.log(
+            Level.SEVERE,
+            description()
+                + " could not be cancelled at "
+                + pool
+                + "; the attempt ends as "
+                + outcome,
+            e);
       }
       ended(outcome, ResponseDetail.NONE, null);
     }
@@ -131,6 +139,10 @@
         : group == plan.request.decoded.purgeGroup();
   }
 
+  private String description() {
+    return "request " + plan.request.requestId + ": attempt " + plan.index;
+  }
+
   @Override
   protected boolean expectsCopy() {
     return plan.cacheable;
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/ProtocolErrorLog.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/ProtocolErrorLog.java
@@ -26,7 +26,7 @@
     if (count > 0) {
       String line = lastPeer + ": " + lastError;
       LOG.warning(
-          (count == 1 ? "" : count + " times, last: ")
+          (count == 1 ? "protocol error: " : count + " protocol errors, last: ")
               + line.substring(0, Math.min(line.length(), MAX_LINE_CHARS)));
       count = 0;
       lastPeer = null;
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
@@ -242,7 +242,14 @@
     try {
       router.routeBatch(context.clock().nowNanos(), this, actions);
     } catch (RuntimeException | StackOverflowError | AssertionError e) {
-      LOG.log(Level.SEVERE, "routing a batch of events failed", e);
+      LOG.log(
+          Level.SEVERE,
+          "routing a batch of "
+              + batch.size()
+              + " events failed after "
+              + replayedCount
+              + " events; the requests of the others are failed unless an attempt is in flight",
+          e);
       while (replayedCount < batch.size()) {
         QueuedEvent queued = batch.get(replayedCount++);
         failRequest(queued.request);
@@ -274,7 +281,8 @@
         attemptSender.sendDeferred();
       } catch (RuntimeException e) {
         // A failure of the deferred attempts must not keep the next batch from being routed.
-        LOG.log(Level.SEVERE, "deferred attempts could not be sent", e);
+        LOG.log(
+            Level.SEVERE, "sending deferred attempts failed; the next batch is still routed", e);
       }
     }
   }
@@ -290,6 +298,10 @@
     }
   }
 
+  private static String originOf(QueuedEvent queued) {
+    return queued.request == null ? "discovery or a timer" : "request " + queued.request.requestId;
+  }
+
   /** Records that an event of a request was passed to the router, or never will be. */
   private void eventReplayed(ClientRequest request) {
     if (request != null) {
@@ -309,7 +321,12 @@
       try {
         queued.event.accept(events);
       } catch (RuntimeException | StackOverflowError | AssertionError e) {
-        LOG.log(Level.SEVERE, "routing an event failed", e);
+        LOG.log(
+            Level.SEVERE,
+            "routing an event of "
+                + originOf(queued)
+                + " failed; the other events of the batch are still routed",
+            e);
         failRequest(queued.request);
       } finally {
         eventReplayed(queued.request);
--- a/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/AttemptOutcomeTest.java
@@ -52,8 +52,8 @@
     client.sendRequest(1000, "parts", 1500, 0);
     ReceivedCommand command = cache.nextCommand();
     assertEquals(String.format("%016x", 1000), command.element(1));
-    command.replyOk("there is room");
-    assertEquals("there is room", text(client.receive()));
+    command.replyOk("served");
+    assertEquals("served", text(client.receive()));
   }
 
   @Test
@@ -114,8 +114,8 @@
     assertNotEquals(unansweredCommand.socket(), newCommand.socket());
     newCommand.replyOk("fresh");
     assertEquals("fresh", text(client.receive()));
-    slowCommand.replyOk("slow, and not given up");
-    assertEquals("slow, and not given up", text(client.receive()));
+    slowCommand.replyOk("slow response");
+    assertEquals("slow response", text(client.receive()));
   }
 
   @Test
@@ -128,8 +128,8 @@
         .write("+PONG\r\n".getBytes(StandardCharsets.US_ASCII));
     assertEquals("Internal", client.receive().error());
     client.sendRequest(2, "orders", 1500, 0);
-    cache.nextCommand().replyOk("on another");
-    assertEquals("on another", text(client.receive()));
+    cache.nextCommand().replyOk("on another connection");
+    assertEquals("on another connection", text(client.receive()));
   }
 
   @ParameterizedTest
@@ -157,8 +157,8 @@
     client.sendRequest(2, "parts", 1500, 0);
     ReceivedCommand next = cache.nextCommand();
     assertNotEquals(command.socket(), next.socket());
-    next.replyOk("on another");
-    assertEquals("on another", text(client.receive()));
+    next.replyOk("on another connection");
+    assertEquals("on another connection", text(client.receive()));
   }
 
   @Test
@@ -203,8 +203,8 @@
     ReceivedCommand command = cache.nextCommand();
     client.sendRequest(2, "parts", 5000, 13);
     eventLoopBlocked.await();
-    command.replyOk("came while it stood still");
-    assertEquals("came while it stood still", text(client.receive()));
+    command.replyOk("arrived during the lag");
+    assertEquals("arrived during the lag", text(client.receive()));
     assertTrue(durationsNanos.take() < 300_000_000L);
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -106,8 +106,8 @@
     testbed.gateway.stop();
     Thread.sleep(1000); // New requests are rejected from 750 ms after the stop on.
     client.send(Arrays.copyOfRange(request, 100, request.length));
-    cache.nextCommand().replyOk("whole at last");
-    assertEquals("whole at last", text(client.receive()));
+    cache.nextCommand().replyOk("complete request");
+    assertEquals("complete request", text(client.receive()));
     assertTrue(client.isClosed());
   }
 
@@ -157,7 +157,7 @@
     }
     for (int routed = 0; routed < 48; ) {
       int batchSize = batchSizes.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-      assertTrue(batchSize <= 32, "a round of " + batchSize);
+      assertTrue(batchSize <= 32, "batch of " + batchSize + " requests");
       routed += batchSize;
     }
   }
--- a/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
@@ -113,7 +113,7 @@
             millisSince(sentAt) < LONG_MILLIS / 2,
             trafficClass + " after " + millisSince(sentAt) + " ms");
         if (trafficClass.equals("orders") && mayHaveRun) {
-          assertEquals("Internal", answer.error(), "it may have run");
+          assertEquals("Internal", answer.error(), "the request may have been executed");
         }
         assertNoFurtherAnswer(client);
       }
@@ -140,7 +140,10 @@
         long sentAt = System.nanoTime();
         client.sendRequest(++number, trafficClass, LONG_MILLIS, part);
         ClientAnswer answer = client.receive();
-        assertEquals("Overloaded", answer.error(), "nothing ran of " + trafficClass + " " + number);
+        assertEquals(
+            "Overloaded",
+            answer.error(),
+            "request " + number + " of " + trafficClass + " was not executed");
         assertEquals(number, answer.messageId());
         assertTrue(
             millisSince(sentAt) < LONG_MILLIS / 2,
@@ -264,7 +267,7 @@
                             other ->
                                 other.command().element(0).equals("never_mind")
                                     && other.command().element(1).equals(requestId)),
-            "given up: " + requestId);
+            "command cancelled: " + requestId);
       }
     }
   }
@@ -300,7 +303,9 @@
     assertNotNull(client.receive().error());
     client.requestStatus();
     assertEquals(
-        List.of(EndpointHealthStatus.HEALTHY), healthStatuses, "as the list said at the start");
+        List.of(EndpointHealthStatus.HEALTHY),
+        healthStatuses,
+        "only the initial status was reported");
   }
 
   /**
@@ -315,7 +320,8 @@
       long lateMillis =
           TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - deadlines.get(answer.messageId()));
       assertNotNull(answer.error());
-      assertTrue(answered.add(answer.messageId()), "answered twice: " + answer.messageId());
+      assertTrue(
+          answered.add(answer.messageId()), "second answer to request " + answer.messageId());
       assertTrue(
           lateMillis < LATE_MILLIS,
           answer.messageId() + " answered " + lateMillis + " ms after its deadline");
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
@@ -44,10 +44,10 @@
     }
     TestClient lateClient = testbed.client();
     lateClient.sendRequest(2, "parts", 1500, 1);
-    cache.nextCommand().replyOk("came late");
-    assertEquals("came late", text(lateClient.receive()));
-    command.replyOk("was taken");
-    assertEquals("was taken", text(client.receive()));
+    cache.nextCommand().replyOk("late request");
+    assertEquals("late request", text(lateClient.receive()));
+    command.replyOk("received before the stop");
+    assertEquals("received before the stop", text(client.receive()));
     stopped.get(10, TimeUnit.SECONDS);
     assertEquals(Gateway.Phase.STOPPED, testbed.gateway.phase());
     assertTrue(client.isClosed());
@@ -80,8 +80,8 @@
       while (processClient.requestStatus().isReady()) {
         assertTrue(process.isAlive());
       }
-      command.replyOk("before the end");
-      assertEquals("before the end", text(processClient.receive()));
+      command.replyOk("before the exit");
+      assertEquals("before the exit", text(processClient.receive()));
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -12,7 +12,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import java.util.logging.Handler;
+import java.util.logging.LogRecord;
+import java.util.logging.Logger;
 import org.amberpath.gateway.pipeline.BatchRouter;
 import org.amberpath.gateway.testsupport.Conditions;
 import org.amberpath.gateway.testsupport.GatewayTestbed;
@@ -43,11 +47,14 @@
   private static final long ALLOWANCE_MILLIS = 15_000;
   private static final long TIMEOUT_SECONDS = 20;
   private static final int CONNECTIONS = 40;
+  private static final Logger ROUTING_LOG =
+      Logger.getLogger("org.amberpath.gateway.pipeline.RoutingStage");
 
   @TempDir private Path folder;
   private GatewayTestbed testbed;
   private StubCache cache;
   private Vertx singleLoopVertx;
+  private Handler logHandler;
 
   @BeforeEach
   void start() throws Exception {
@@ -58,6 +65,7 @@
 
   @AfterEach
   void end() throws Exception {
+    ROUTING_LOG.removeHandler(logHandler); // Ignores null.
     if (singleLoopVertx != null) {
       singleLoopVertx
           .close()
@@ -163,7 +171,12 @@
         (requestId, leftMillis) ->
             assertTrue(
                 leftMillis <= maxLeftMillis,
-                requestId + " has " + leftMillis + " ms, of " + maxLeftMillis));
+                requestId
+                    + " has "
+                    + leftMillis
+                    + " ms left, at most "
+                    + maxLeftMillis
+                    + " expected"));
   }
 
   @ParameterizedTest
@@ -203,13 +216,13 @@
    * response, or that are still held afterwards.
    */
   @ParameterizedTest
-  @ValueSource(strings = {"round", "recursion", "assertion"})
+  @ValueSource(strings = {"batch", "recursion", "assertion"})
   void requestIsAnsweredInTimeWhateverFailsInTheRouter(String failure) throws Exception {
     testbed.start(
         GatewayOptions.read(testbed.environment(folder)),
         (nowNanos, events, actions) -> {
-          if (failure.equals("round") && testbed.gateway.phase() == Gateway.Phase.SERVING) {
-            throw new IllegalStateException("a round");
+          if (failure.equals("batch") && testbed.gateway.phase() == Gateway.Phase.SERVING) {
+            throw new IllegalStateException("failed batch");
           }
           events.replayTo(
               PausingRouter.recordingHandler(
@@ -217,12 +230,13 @@
                     if (name.equals("requestReceived")) {
                       throw failure.equals("recursion")
                           ? new StackOverflowError()
-                          : new AssertionError("an event");
+                          : new AssertionError("failed event");
                     }
                   }));
         });
     int heldBefore = testbed.gateway.resourceCount();
     TestClient client = testbed.client();
+    List<String> logged = recordRoutingFailures();
     long allowanceMillis = 500;
     long sentAt = System.nanoTime();
     client.send(
@@ -236,10 +250,37 @@
     }
     long tookMillis = (System.nanoTime() - sentAt) / 1_000_000;
     assertTrue(tookMillis < 10 * allowanceMillis, tookMillis + " ms");
+    String expected =
+        failure.equals("batch")
+            ? "routing a batch of \\d+ events failed after 0 events; the requests of the others are"
+                + " failed unless an attempt is in flight"
+            : "routing an event of request 0000000000000001 failed; the other events of the batch"
+                + " are still routed";
+    assertTrue(logged.stream().anyMatch(line -> line.matches(expected)), logged.toString());
     assertTrue(client.requestStatus().isReady());
     client.close();
     Conditions.await(
-        () -> testbed.gateway.resourceCount() <= heldBefore, "nothing is held any more");
+        () -> testbed.gateway.resourceCount() <= heldBefore, "the requests are released");
+  }
+
+  /** Returns a list to which each message of the routing stage's log is added from now on. */
+  private List<String> recordRoutingFailures() {
+    List<String> messages = new CopyOnWriteArrayList<>();
+    logHandler =
+        new Handler() {
+          @Override
+          public void publish(LogRecord record) {
+            messages.add(record.getMessage());
+          }
+
+          @Override
+          public void flush() {}
+
+          @Override
+          public void close() {}
+        };
+    ROUTING_LOG.addHandler(logHandler);
+    return messages;
   }
 
   private static byte[] concat(byte[] first, byte[] second) {
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -46,7 +46,7 @@
       assertTrue(
           now + schedule.timeLeftNanos(now)
               <= SIGTERM_AT_NANOS + (killMillis - 139) * NANOS_PER_MILLI,
-          "time left at " + elapsedMillis);
+          "waits past its limit at " + elapsedMillis + " ms");
       rejected = rejected < 0 && schedule.rejects(now) ? elapsedMillis : rejected;
       failed = failed < 0 && schedule.failsInFlight(now) ? elapsedMillis : failed;
       if (halfClosed < 0 && schedule.halfCloses(now, false)) {
@@ -60,7 +60,7 @@
     assertTrue(
         rejected <= failed && failed <= halfClosed && halfClosed <= exited,
         rejected + " " + failed + " " + halfClosed + " " + exited);
-    assertTrue(failed >= killMillis - 250, "no answer sooner than it has to be: " + failed);
+    assertTrue(failed >= killMillis - 250, "fails requests in flight too early, at " + failed);
     assertTrue(exited < killMillis - 170 + checkIntervalMillis, "exits at " + exited);
   }
 
@@ -69,13 +69,14 @@
     ShutdownSchedule schedule = new ShutdownSchedule(0, 3000 * NANOS_PER_MILLI);
     assertFalse(schedule.halfCloses(740 * NANOS_PER_MILLI, true));
     assertTrue(schedule.halfCloses(750 * NANOS_PER_MILLI, true));
-    assertFalse(schedule.exits(750 * NANOS_PER_MILLI, true, true), "not half-closed yet");
+    assertFalse(
+        schedule.exits(750 * NANOS_PER_MILLI, true, true), "connections are not half-closed yet");
     schedule.halfClosed(750 * NANOS_PER_MILLI);
-    assertTrue(schedule.exits(751 * NANOS_PER_MILLI, true, true), "no connection is left");
+    assertTrue(schedule.exits(751 * NANOS_PER_MILLI, true, true), "no client connection is left");
     assertFalse(schedule.exits(1000 * NANOS_PER_MILLI, true, false), "clients still read");
     assertTrue(schedule.exits(1100 * NANOS_PER_MILLI, true, false));
     assertFalse(
-        schedule.exits(1100 * NANOS_PER_MILLI, false, false), "an answer is not written yet");
+        schedule.exits(1100 * NANOS_PER_MILLI, false, false), "a response is not written yet");
     assertTrue(schedule.exits(3600 * NANOS_PER_MILLI, false, false));
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -74,9 +74,11 @@
     }
     ClientAnswer lateAnswer = testbed.client().sendRequest(30, "parts", 1500, 0).receive();
     assertEquals("Overloaded", lateAnswer.error());
-    assertNull(cache.commands.poll(), "forwarded while the gateway stops");
-    pendingCommand.replyOk("open until now");
-    assertEquals("open until now", new String(busyClient.receive().body(), StandardCharsets.UTF_8));
+    assertNull(
+        cache.commands.poll(), "a request was forwarded although the gateway rejects requests");
+    pendingCommand.replyOk("pending until now");
+    assertEquals(
+        "pending until now", new String(busyClient.receive().body(), StandardCharsets.UTF_8));
     for (TestClient idle : idleClients) {
       assertTrue(idle.isClosed());
       idle.sendRequest(31, "parts", 1500, 0); // Sent before the client has read the close.
@@ -90,7 +92,7 @@
       assertThrows(
           IOException.class,
           () -> idle.sendRequest(32, "parts", 1500, 0),
-          "a request was read after the end");
+          "a request was read after the connection was half-closed");
     }
   }
 
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -111,11 +111,10 @@
   void healthCheckRepeatsAClientsRequestUnderANewId() throws Exception {
     assertFalse(
         callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, outcome -> {}),
-        "nobody has asked for anything yet");
+        "no client request was recorded yet");
     serveOneRequest();
     assertFalse(
-        callbacks.sendSyntheticRequest("c9", TIMEOUT_NANOS, outcome -> {}),
-        "there is no such cache");
+        callbacks.sendSyntheticRequest("c9", TIMEOUT_NANOS, outcome -> {}), "the cache is unknown");
     CompletableFuture<FleetCallbacks.SyntheticOutcome> outcome = sendSynthetic("c0");
     ReceivedCommand command = cache.nextCommand();
     assertNotEquals("0000000000000001", command.element(1));
@@ -126,10 +125,11 @@
     assertEquals(
         FleetCallbacks.SyntheticOutcome.ANSWERED,
         outcome.get(5, TimeUnit.SECONDS),
-        "that it has not the part is an answer too");
+        "a response without the part counts as answered");
     client.sendRequest(2, "parts", 1500, 3);
     cache.nextCommand().replyOk("next");
-    assertEquals(2, client.receive().messageId(), "the client is returned nothing but its own");
+    assertEquals(
+        2, client.receive().messageId(), "the client gets no response of the synthetic request");
   }
 
   @Test
@@ -141,11 +141,11 @@
     assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, outcome.get(5, TimeUnit.SECONDS));
     assertTrue(System.nanoTime() - startedAt < 2 * TIMEOUT_NANOS);
     ReceivedCommand next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
-    assertTrue(next == null || !next.element(0).equals("want"), "nothing but that it is given up");
+    assertTrue(next == null || !next.element(0).equals("want"), "only a cancellation may follow");
     assertEquals(
         FleetCallbacks.SyntheticOutcome.NOT_SENT,
         sendSynthetic("o0").get(5, TimeUnit.SECONDS),
-        "the origin is not tried");
+        "the origin gets no health check");
   }
 
   @Test
@@ -158,7 +158,7 @@
     assertTrue(draining);
     assertFalse(
         callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, late -> {}),
-        "nothing is begun any more");
+        "a draining gateway makes no synthetic request");
     assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/WallClockTest.java
@@ -98,7 +98,7 @@
     RouterNotification notification;
     do {
       notification = notifications.poll(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      assertNotNull(notification, "no event of " + subject);
+      assertNotNull(notification, "no notification of " + subject);
     } while (!notification.subject.equals(subject));
     return notification;
   }
@@ -152,7 +152,7 @@
       assertEquals(
           startedAt,
           awaitNotification("c1").startedAtNanos,
-          "notified anew, by a clock that stepped");
+          "start time after a step of the wall clock");
     }
   }
 
@@ -162,7 +162,7 @@
     listCache("c1", "ready", System.currentTimeMillis());
     start();
     assertTrue(
-        awaitNotification("c1").ageMillis >= HOUR_MILLIS, "nothing speaks against the clock yet");
+        awaitNotification("c1").ageMillis >= HOUR_MILLIS, "the wall clock is not corrected yet");
     purge();
     purge(); // A purge in the first reply may be of any age.
     assertTrue(awaitNotification("c1").ageMillis < RECENT_MILLIS);
