--- a/gateway/src/main/java/org/amberpath/gateway/Gateway.java
+++ b/gateway/src/main/java/org/amberpath/gateway/Gateway.java
@@ -262,7 +262,8 @@
 
   /**
    * Shuts down gracefully: answers all requests in flight and those that still arrive, then closes
-   * all connections, before SIGKILL may follow SIGTERM. The future completes when all is closed.
+   * all connections, before SIGKILL may follow SIGTERM. The future completes when all is closed, or
+   * when closing has taken 0.1 s.
    */
   public Future<Void> stop() {
     // The schedule starts at this call, not at the event loop's next turn. Guards against a lagging
--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -36,10 +36,10 @@
   private static final int MIN_MEMORY_MB = 32;
   private static final int BYTES_PER_MB_SHIFT = 20;
 
-  /** The fraction of the configured memory that one client may leave unread is 1 / 48. */
+  /** One client may leave unread at most the configured memory divided by this. */
   private static final int UNREAD_PER_CLIENT_DIVISOR = 48;
 
-  /** The fraction of the configured memory that all clients may leave unread is 1 / 12. */
+  /** All clients together may leave unread at most the configured memory divided by this. */
   private static final int UNREAD_TOTAL_DIVISOR = 12;
 
   private static final int MAX_BODY_BYTES = 240_000;
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/EventLoopLagMonitor.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/EventLoopLagMonitor.java
@@ -9,8 +9,8 @@
 import org.amberpath.routing.SocketReads;
 
 /**
- * Measures how late the event loop runs, be it for lack of CPU or in a garbage collection pause. A
- * periodic timer ticks every 10 ms; the lag is the time by which a tick is late. All values are
+ * Measures how late the event loop runs for lack of CPU or because of a pause of the Java runtime.
+ * A periodic timer ticks every 10 ms; the lag is the time by which a tick is late. All values are
  * nanoseconds.
  */
 public final class EventLoopLagMonitor {
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/RoutingStage.java
@@ -16,9 +16,9 @@
  * batch. The router's actions are carried out within the call. Discovery events come first in each
  * batch.
  *
- * <p>Batches wait while the gateway's knowledge of drains and purges may be stale, for as long as
- * {@link DiscoveryFreshness} says at most, or while the clients' sockets were not read recently
- * enough by {@link SocketReads}.
+ * <p>Batches wait while the gateway's knowledge of drains and purges may be stale, a time that
+ * {@link DiscoveryFreshness} bounds. They also wait while the latest read of the clients' sockets
+ * is too old, as {@link SocketReads} says.
  */
 final class RoutingStage implements RoutingEvents {
   private static final Logger LOG = Logger.getLogger(RoutingStage.class.getName());
@@ -53,7 +53,7 @@
   /** Other queued events. Bounded by the requests in flight, their attempts and timers. */
   private List<QueuedEvent> requestEvents = new ArrayList<>();
 
-  /** The batch that the router is given at present, or was given last. */
+  /** The batch that is being routed, or was routed last. */
   private List<QueuedEvent> batch = List.of();
 
   /** The number of events of the batch that the router has been given. */
