--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/InFlightRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/InFlightRequests.java
@@ -35,8 +35,8 @@
    * Returns whether a request with this reference is in flight; endpoints identify requests by it
    * alone.
    */
-  boolean containsRequestId(String reference) {
-    return requestIds.contains(reference);
+  boolean containsRequestId(String requestId) {
+    return requestIds.contains(requestId);
   }
 
   /** Adds a request. */
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/SyntheticRequests.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/SyntheticRequests.java
@@ -117,10 +117,10 @@
    * client's copy and its idempotency key.
    */
   private DecodedRequest copyOf(DecodedRequest original, long timeoutNanos) {
-    String reference = String.format("%016x", random.nextLong());
+    String requestId = String.format("%016x", random.nextLong());
     return new DecodedRequest(
         original.trafficClass(),
-        ByteString.ofAscii(reference),
+        ByteString.ofAscii(requestId),
         original.objectName(),
         original.partName(),
         ByteString.EMPTY,
--- a/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/EndingsTest.java
@@ -96,7 +96,7 @@
   }
 
   @Test
-  void requestReceivedInPartBeforeAShutdownIsAnswered() throws Exception {
+  void partiallyReceivedRequestIsAnsweredDuringAShutdown() throws Exception {
     StubCache cache = testbed.start(folder);
     TestClient client = testbed.client();
     assertTrue(client.requestStatus().isReady());
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void partialReplyToNoCommandDoesNotCorruptTheNextReply() throws Exception {
+  void partialReplyWithoutACommandDoesNotCorruptTheNextReply() throws Exception {
     StubCache cache = testbed.start(folder);
     TestClient client = testbed.client();
     client.sendRequest(1, "orders", 4000, 0);
@@ -214,7 +214,7 @@
   }
 
   @Test
-  void truncatedJournalReplyIsPolledAgainBeforeItCountsAsNotified() throws Exception {
+  void truncatedJournalReplyIsPolledAgainFromTheSamePosition() throws Exception {
     testbed.start(folder);
     String earlierPoll;
     do { // Until a long poll has been open for 300 ms, so that 1 s or more of its wait is left.
--- a/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/FailingEndpointsTest.java
@@ -75,15 +75,15 @@
       requestEachClass(lateClient, allowanceMillis, deadlines);
       Thread.sleep(50); // Spreads the requests over the first part of the shutdown.
     }
-    for (var one : answers) {
+    for (var answer : answers) {
       assertEquals(
           3 * allowancesMillis.length,
-          one.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS).size());
+          answer.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS).size());
     }
     stopped.get(GatewayTestbed.TIMEOUT_SECONDS, TimeUnit.SECONDS);
     assertTrue(millisSince(stoppedAt) < 3700, "ended after " + millisSince(stoppedAt) + " ms");
-    for (int one = 1; one <= number; one++) {
-      assertTrue(attemptsOf(commandsByCache, one).size() <= MAX_ATTEMPTS);
+    for (int answer = 1; answer <= number; answer++) {
+      assertTrue(attemptsOf(commandsByCache, answer).size() <= MAX_ATTEMPTS);
     }
   }
 
@@ -217,7 +217,7 @@
     "error, true",
     "close, true"
   })
-  void requestsWithMillisecondsLeftGetOneResponseAndNoAttemptOutlivesThem(
+  void requestsWithMillisecondsLeftGetOneResponseAndLeaveNoAttemptInFlight(
       String behavior, boolean connected) throws Exception {
     List<StubCache> caches = new ArrayList<>(testbed.start(folder, 2, testbed.journal.address()));
     caches.add(testbed.origin);
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
@@ -112,7 +112,7 @@
         + " kind: asleep",
     "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
   })
-  void startFailureIsOneMessage(String key, String value, String message) throws Exception {
+  void failedStartPrintsOneMessage(String key, String value, String message) throws Exception {
     Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     if (key.equals("known")) {
       Files.writeString(file, Files.readString(file).replace("ready", value));
--- a/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestDeadlineTest.java
@@ -181,7 +181,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 5})
-  void requestWithHardlyAnyTimeLeftIsAnsweredOnceAndNeverSent(long allowanceMillis)
+  void requestWithTooLittleTimeLeftIsAnsweredOnceAndNeverSent(long allowanceMillis)
       throws Exception {
     testbed.start(GatewayOptions.read(testbed.environment(folder)), null);
     TestClient client = testbed.client();
@@ -284,8 +284,8 @@
   }
 
   private static byte[] concat(byte[] first, byte[] second) {
-    byte[] both = Arrays.copyOf(first, first.length + second.length);
-    System.arraycopy(second, 0, both, first.length, second.length);
-    return both;
+    byte[] joined = Arrays.copyOf(first, first.length + second.length);
+    System.arraycopy(second, 0, joined, first.length, second.length);
+    return joined;
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownScheduleTest.java
@@ -81,14 +81,14 @@
   }
 
   @Test
-  void allStepsAreTakenAtOnceAfterLagPastAllOfThem() {
+  void allStepsAreDueAfterALagPastTheEnd() {
     ShutdownSchedule schedule = new ShutdownSchedule(0, 100 * NANOS_PER_MILLI);
-    long late = 900 * NANOS_PER_MILLI;
+    long lateNanos = 900 * NANOS_PER_MILLI;
     assertTrue(
-        schedule.rejects(late)
-            && schedule.failsInFlight(late)
-            && schedule.halfCloses(late, false)
-            && schedule.exits(late, false, false));
-    assertEquals(NANOS_PER_MILLI, schedule.timeLeftNanos(late));
+        schedule.rejects(lateNanos)
+            && schedule.failsInFlight(lateNanos)
+            && schedule.halfCloses(lateNanos, false)
+            && schedule.exits(lateNanos, false, false));
+    assertEquals(NANOS_PER_MILLI, schedule.timeLeftNanos(lateNanos));
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/ShutdownTest.java
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void lateEventLoopShortensTheShutdownWithShortDeadlines() throws Exception {
+  void eventLoopLagDoesNotDelayTheEndOfAShutdown() throws Exception {
     StubCache cache = testbed.cache();
     testbed.journal.listEndpoint("c0", cache.address(), "box", "ready");
     Map<String, String> environment = testbed.environment(folder);
