--- a/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
+++ b/gateway/src/main/java/org/amberpath/gateway/GatewayOptions.java
@@ -18,31 +18,37 @@
 import org.amberpath.gateway.settings.NumericAddress;
 
 /**
- * The settings that a gateway is started with, read and checked here and nowhere else; what is
- * absent has its default. Immutable. Durations are nanoseconds.
+ * The settings that a gateway is started with, from the configuration file and the environment. All
+ * of them are parsed and validated here; an absent setting has its default. Immutable. Durations
+ * are nanoseconds.
  */
 public final class GatewayOptions {
   private static final int DEFAULT_DESCRIPTORS = 1024;
   private static final int MIN_DESCRIPTORS = 128;
 
-  /** What the runtime needs for itself: its files, its selector, what is being accepted. */
+  /**
+   * Descriptors that are reserved for the runtime: its files, the selector and connections that are
+   * being accepted.
+   */
   private static final int RUNTIME_DESCRIPTORS = 56;
 
   private static final int DEFAULT_MEMORY_MB = 192;
   private static final int MIN_MEMORY_MB = 32;
   private static final int BYTES_PER_MB_SHIFT = 20;
 
-  /** The parts of the memory that one client and all clients may leave unread. */
-  private static final int UNREAD_PART_OF_CLIENT = 48;
+  /** One client may leave unread at most the configured memory divided by this. */
+  private static final int UNREAD_PER_CLIENT_DIVISOR = 48;
+
+  /** All clients together may leave unread at most the configured memory divided by this. */
+  private static final int UNREAD_TOTAL_DIVISOR = 12;
 
-  private static final int UNREAD_PART_OF_ALL = 12;
   private static final int MAX_BODY_BYTES = 240_000;
 
-  /** The longest viewer timeout, where a class has none or a longer one. */
+  /** The upper bound of a class's viewer timeout, and its value where a class states none. */
   private static final long MAX_DEADLINE_NANOS = 3_000_000_000L;
 
   private static final long DEFAULT_CONNECT_TIMEOUT_NANOS = 400_000_000;
-  private static final long DEFAULT_IDLE_NANOS = 30_000_000_000L;
+  private static final long DEFAULT_CACHE_IDLE_TIMEOUT_NANOS = 30_000_000_000L;
   private static final long DEFAULT_DRAIN_GRACE_NANOS = 250_000_000;
   private static final long DEFAULT_PURGE_GRACE_NANOS = 300_000_000;
 
@@ -55,8 +61,8 @@
   private final JsonReader knownEntries;
   private final long connectTimeoutNanos;
 
-  /** After how long a cache closes an idle connection. */
-  private final long cacheIdleNanos;
+  /** The time after which a cache closes an idle connection. */
+  private final long cacheIdleTimeoutNanos;
 
   private final long maxDeadlineNanos;
   private final long discoveryGraceNanos;
@@ -66,27 +72,27 @@
   private final long memoryBytes;
 
   private GatewayOptions(
-      Map<String, String> environment, JsonReader document, boolean withJournal) {
+      Map<String, String> environment, JsonReader document, boolean usesJournal) {
     name =
         environment.getOrDefault(
             "PROXY_NAME", document.has("name") ? document.string("name") : "gateway");
     String address = environment.get("PROXY_LISTEN");
     listenAddress =
         address != null ? address("PROXY_LISTEN", address) : address(document, "listen");
-    journalAddress = withJournal ? Optional.of(address(document, "journal")) : Optional.empty();
+    journalAddress = usesJournal ? Optional.of(address(document, "journal")) : Optional.empty();
     knownEntries =
         document.has("known") ? document.object("known") : new JsonReader("known", Map.of());
     JsonReader limits = document.objectOrEmpty("limits");
-    descriptors = intOfAtLeast(limits, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
+    descriptors = intAtLeast(limits, "sockets", DEFAULT_DESCRIPTORS, MIN_DESCRIPTORS);
     memoryBytes =
-        (long) intOfAtLeast(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)
+        (long) intAtLeast(limits, "memory_mb", DEFAULT_MEMORY_MB, MIN_MEMORY_MB)
             << BYTES_PER_MB_SHIFT;
     JsonReader settings = document.object("settings");
     routingConfig = new JsonRoutingConfig(seed(document), settings);
     JsonReader bounds = settings.objectOrEmpty("bounds");
     connectTimeoutNanos =
         bounds.durationNanosOr("connect-timeout-s", DEFAULT_CONNECT_TIMEOUT_NANOS);
-    cacheIdleNanos = bounds.durationNanosOr("conn-idle-s", DEFAULT_IDLE_NANOS);
+    cacheIdleTimeoutNanos = bounds.durationNanosOr("conn-idle-s", DEFAULT_CACHE_IDLE_TIMEOUT_NANOS);
     discoveryGraceNanos =
         Math.min(
             settings
@@ -97,31 +103,40 @@
                 .durationNanosOr("heed-within-s", DEFAULT_PURGE_GRACE_NANOS));
     maxCommandsPerConnection = Math.max(1, bounds.intOr("multiplex", 1));
     maxInFlight = Math.max(1, bounds.intOr("max-open", Integer.MAX_VALUE));
-    long longest = 0;
+    long longestDeadlineNanos = 0;
     for (JsonReader trafficClass : settings.objects("classes")) {
-      longest = Math.max(longest, trafficClass.durationNanosOr("hard-limit-s", MAX_DEADLINE_NANOS));
+      longestDeadlineNanos =
+          Math.max(
+              longestDeadlineNanos,
+              trafficClass.durationNanosOr("hard-limit-s", MAX_DEADLINE_NANOS));
     }
-    maxDeadlineNanos = Math.min(longest, MAX_DEADLINE_NANOS);
+    maxDeadlineNanos = Math.min(longestDeadlineNanos, MAX_DEADLINE_NANOS);
   }
 
   /**
-   * Reads the configuration that the environment names.
+   * Reads the configuration file that the environment variable PROXY_CONFIG names.
    *
-   * @throws InvalidSettingsException if it is invalid; its message names the key
+   * @throws InvalidSettingsException if it can't be read or is invalid; the message names the key
    */
   public static GatewayOptions read(Map<String, String> environment) {
     return read(environment, true);
   }
 
-  /** The same; without a journal where endpoints are discovered by other means. */
-  public static GatewayOptions read(Map<String, String> environment, boolean withJournal) {
+  /**
+   * Reads the configuration file that the environment variable PROXY_CONFIG names.
+   *
+   * @param usesJournal false where endpoints are discovered by other means than the journal, whose
+   *     address is not read then
+   * @throws InvalidSettingsException if it can't be read or is invalid; the message names the key
+   */
+  public static GatewayOptions read(Map<String, String> environment, boolean usesJournal) {
     String path = environment.get("PROXY_CONFIG");
     if (path == null) {
       throw new InvalidSettingsException(
           "environment", "", "PROXY_CONFIG", "environment: PROXY_CONFIG is missing");
     }
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(Path.of(path)))) {
-      return new GatewayOptions(environment, JsonReader.read("configuration", parser), withJournal);
+      return new GatewayOptions(environment, JsonReader.read("configuration", parser), usesJournal);
     } catch (JsonProcessingException e) {
       throw new InvalidSettingsException(
           path, "", "", "PROXY_CONFIG: " + path + " is not JSON: " + e.getOriginalMessage());
@@ -133,19 +148,19 @@
     }
   }
 
-  private static int intOfAtLeast(JsonReader settings, String key, int absent, int min) {
-    int value = settings.intOr(key, absent);
+  private static int intAtLeast(JsonReader settings, String key, int defaultValue, int min) {
+    int value = settings.intOr(key, defaultValue);
     if (value < min) {
       throw settings.invalid(key, "under " + min);
     }
     return value;
   }
 
-  private static long seed(JsonReader all) {
+  private static long seed(JsonReader document) {
     try {
-      return Long.parseUnsignedLong(all.string("seed"), HEX_RADIX);
+      return Long.parseUnsignedLong(document.string("seed"), HEX_RADIX);
     } catch (NumberFormatException e) {
-      throw all.invalid("seed", "not a hexadecimal number");
+      throw document.invalid("seed", "not a hexadecimal number");
     }
   }
 
@@ -160,16 +175,16 @@
   }
 
   /**
-   * An address and port, already resolved: nothing is ever looked up.
+   * Parses a numeric IP address with a port; no name is looked up.
    *
-   * @param key what the address is in the message of the exception
+   * @param key the name of the setting, for the message of the exception
    * @throws InvalidDocumentException if it is neither an IPv4 nor an IPv6 address with a port
    */
   public static SocketAddress address(String key, String text) {
     return NumericAddress.parse(key, text);
   }
 
-  /** The settings of the pipeline. */
+  /** Returns the settings of the request pipeline. */
   public PipelineConfig pipelineConfig() {
     return new PipelineConfig(
         routingConfig,
@@ -180,61 +195,74 @@
         cacheConnectionConfig());
   }
 
-  /** Connections to caches may hold the descriptors that clients and the runtime leave. */
+  /**
+   * Returns the limits on connections to caches, which may hold the descriptors that are left by
+   * clients and the runtime. An idle connection is closed after 3/4 of the time after which the
+   * cache would close it.
+   */
   private CacheConnectionConfig cacheConnectionConfig() {
     return new CacheConnectionConfig(
         descriptors - maxClientConnections() - RUNTIME_DESCRIPTORS,
         maxCommandsPerConnection,
         connectTimeoutNanos,
-        cacheIdleNanos * 3 / 4,
+        cacheIdleTimeoutNanos * 3 / 4,
         MAX_BODY_BYTES);
   }
 
-  /** The gateway's name in its log. */
+  /** Returns the gateway's name in its log. */
   public String name() {
     return name;
   }
 
-  /** Where clients connect to. */
+  /** Returns the address that clients connect to. */
   public SocketAddress listenAddress() {
     return listenAddress;
   }
 
-  /** Where the journal listens; empty where it is not used. */
+  /** Returns the address of the journal; empty where the journal is not used. */
   public Optional<SocketAddress> journalAddress() {
     return journalAddress;
   }
 
-  /** The settings of routing. */
+  /** Returns the settings of the router. */
   public JsonRoutingConfig routingConfig() {
     return routingConfig;
   }
 
-  /** The journal's entries that the configuration holds, in the form of a reply of the journal. */
+  /**
+   * Returns the journal entries that the configuration contains, in the format of a journal reply.
+   */
   public JsonReader knownEntries() {
     return knownEntries;
   }
 
-  /** The longest viewer timeout of all classes: SIGKILL may come some time after that. */
+  /**
+   * Returns the longest viewer timeout of all traffic classes. The time between SIGTERM and SIGKILL
+   * is longer than this by a fixed part; see {@link ShutdownSchedule}.
+   */
   public long maxDeadlineNanos() {
     return maxDeadlineNanos;
   }
 
   /**
-   * Connections that clients may hold: usual ones hold a third of the descriptors, half as many
-   * more while another gateway restarts, and others come beside them.
+   * Returns how many connections clients may hold: half of the descriptors. Clients usually hold a
+   * third of the descriptors, and half as many more while another gateway restarts; other
+   * connections come in addition.
    */
   public int maxClientConnections() {
     return descriptors / 2;
   }
 
-  /** How many bytes of its responses one client may leave unread. */
+  /** Returns how many bytes of its responses one client may leave unread. */
   public long maxUnreadBytesPerClient() {
-    return memoryBytes / UNREAD_PART_OF_CLIENT;
+    return memoryBytes / UNREAD_PER_CLIENT_DIVISOR;
   }
 
-  /** How many all clients together may leave unread; also the longest reply of the journal. */
+  /**
+   * Returns how many bytes of their responses all clients together may leave unread. It is also the
+   * length limit of a journal reply.
+   */
   public long maxUnreadBytes() {
-    return memoryBytes / UNREAD_PART_OF_ALL;
+    return memoryBytes / UNREAD_TOTAL_DIVISOR;
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
+++ b/gateway/src/main/java/org/amberpath/gateway/StartupWarmUp.java
@@ -23,10 +23,10 @@
 import org.amberpath.routing.RoutingEventHandler;
 
 /**
- * Runs made-up requests before clients are let in, so that the first real ones find compiled code.
- * Guards against a gateway that, short of CPU, answers late while its code is interpreted, and
- * takes its own lateness for that of the endpoints. They run through a router of its own, and are
- * seen nowhere else.
+ * Warms up the just-in-time compiler with made-up requests before the gateway serves clients.
+ * Guards against a gateway that, short of CPU, answers late while its code is still interpreted and
+ * attributes its own delay to the endpoints. The made-up requests are routed by a separate router;
+ * they neither reach an endpoint nor change the state of the gateway's router.
  */
 final class StartupWarmUp implements RoutingActions {
   private static final Logger LOG = Logger.getLogger(StartupWarmUp.class.getName());
@@ -36,10 +36,12 @@
   private static final long IN_PROCESS_TIMEOUT_NANOS = 1_000_000_000;
   private static final long SOCKETS_TIMEOUT_MILLIS = 250;
 
-  /** The made-up requests: the time between two, how long an endpoint takes, how long they wait. */
+  /** The simulated time between two made-up requests. */
   private static final long REQUEST_INTERVAL_NANOS = 5_000_000;
 
+  /** The simulated time that an endpoint takes to respond. */
   private static final long RESPONSE_TIME_NANOS = 50_000_000;
+
   private static final long REQUEST_TIMEOUT_NANOS = 40 * RESPONSE_TIME_NANOS;
   private static final int ENDPOINTS = 8;
   private static final int OBJECTS = 40;
@@ -63,14 +65,14 @@
   }
 
   /**
-   * Warms up the router and the codecs, for one second at most. It blocks the event loop, so it
-   * runs before anything listens.
+   * Warms up the router and the codecs, for one second at most. It blocks the event loop, so the
+   * gateway calls it before it listens.
    */
   void runInProcess() {
     router.decide(nowNanos, this::listEndpoints, this);
     for (int batch = 0; batch < BATCHES && !isTimeOver(); batch++) {
       for (int request = 0; request < BATCH_SIZE; request++) {
-        routeOne(++requests);
+        routeRequest(++requests);
       }
       RequestWarmUp.play(BATCH_SIZE);
       ReplyWarmUp.play(BATCH_SIZE);
@@ -82,8 +84,9 @@
   }
 
   /**
-   * Then warms up the sockets, over a connection to this gateway's own address. Completes in every
-   * case: no failure of it keeps the gateway from serving.
+   * Warms up the socket code by status requests over a connection to this gateway's own address: up
+   * to 100 requests, for 250 ms at most. The future always succeeds, also where the connection
+   * fails, so that a failed warm-up does not keep the gateway from serving.
    */
   Future<Void> runOverSockets(SocketAddress ownAddress) {
     NetClient client = vertx.createNetClient();
@@ -100,7 +103,7 @@
     vertx.setTimer(SOCKETS_TIMEOUT_MILLIS, timer -> done.tryComplete());
     return done.future()
         .onComplete(
-            end -> {
+            ended -> {
               client.close();
               long tookMillis = (System.nanoTime() - startNanos) / 1_000_000;
               LOG.info("warm-up: " + requests + " requests in " + tookMillis + " ms");
@@ -115,12 +118,12 @@
     }
   }
 
-  private void routeOne(int number) {
+  private void routeRequest(int number) {
     long id = number;
     int trafficClass = number % config.trafficClassCount();
     long objectId = id % OBJECTS + 1;
     int partNumber = (int) (id % PARTS);
-    ResponseDetail note = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
+    ResponseDetail detail = number % 3 == 0 ? ResponseDetail.FILLED : ResponseDetail.HIT;
     nowNanos += REQUEST_INTERVAL_NANOS;
     router.decide(
         nowNanos,
@@ -148,7 +151,7 @@
                   AttemptOutcome.SUCCEEDED,
                   RESPONSE_TIME_NANOS,
                   true,
-                  note));
+                  detail));
         },
         this);
   }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/AttemptSender.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/AttemptSender.java
@@ -13,13 +13,16 @@
 import org.amberpath.routing.ResponseDetail;
 import org.amberpath.routing.RoutingConfig;
 
-/** Fourth stage: sends attempts to endpoints; each ends once, with its outcome. */
+/**
+ * Fourth stage of the pipeline: sends the attempts that the router decides on to endpoints, and
+ * reports the outcome of each attempt to the router once.
+ */
 final class AttemptSender implements OutboundAttempt.Listener {
   private static final Logger LOG = Logger.getLogger(AttemptSender.class.getName());
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final int USUAL_FIELDS_BYTES = 160;
+  private static final int INITIAL_FIELDS_BYTES = 160;
 
-  /** The endpoints' names for the bits of {@link AttemptCommand#options()}. */
+  /** The flags of the cache protocol for the bits of {@link AttemptCommand#options()}, by bit. */
   private static final String[] FLAG_NAMES = {"join", "held", "nocopy", "renew"};
 
   private final PipelineContext context;
@@ -39,25 +42,27 @@
     this.config = config;
   }
 
-  /** Sets the stage that is notified of outcomes; called once, before anything is sent. */
+  /** Sets the stage that outcomes are reported to; called once, before any attempt is sent. */
   void setRoutingStage(RoutingStage stage) {
     routingStage = stage;
   }
 
   /**
-   * Makes an attempt; does nothing for a request that is finished (null). One past the bound on
-   * attempts, or of an answered request, ends as not sent.
+   * Makes an attempt and starts its timeout. An attempt beyond the configured maximum per request,
+   * or of an answered request, ends as {@link AttemptOutcome#NOT_SENT} at once.
+   *
+   * @param request the request; null if it is finished, then nothing is done
    */
   void send(ClientRequest request, AttemptCommand command) {
     if (request == null) {
       return;
     }
     long nowNanos = context.clock().nowNanos();
-    OutboundAttempt attempt = create(request, command, nowNanos);
+    OutboundAttempt attempt = createAttempt(request, command, nowNanos);
     request.attempts.add(attempt);
     request.pendingAttempts++;
     if (request.answered || attempt.plan.index() >= config.retries().maxAttempts()) {
-      attempt.skip();
+      attempt.endUnsent();
       return;
     }
     attempt.timeoutTimer =
@@ -73,8 +78,9 @@
     return Math.max(1, (nanos + NANOS_PER_MILLI - 1) / NANOS_PER_MILLI);
   }
 
-  private OutboundAttempt create(ClientRequest request, AttemptCommand command, long nowNanos) {
-    long untilNanos = command.deadlineNanos();
+  private OutboundAttempt createAttempt(
+      ClientRequest request, AttemptCommand command, long nowNanos) {
+    long commandDeadlineNanos = command.deadlineNanos();
     OutboundAttempt.Plan plan =
         new OutboundAttempt.Plan(
             request,
@@ -83,81 +89,94 @@
             command.source(),
             nowNanos,
             context.lagMonitor().totalLagNanos(),
-            untilNanos <= 0 ? request.deadlineNanos : Math.min(untilNanos, request.deadlineNanos),
+            commandDeadlineNanos <= 0
+                ? request.deadlineNanos
+                : Math.min(commandDeadlineNanos, request.deadlineNanos),
             !config.trafficClass(request.trafficClass).neverCached());
     return new OutboundAttempt(
         plan, encodeFields(request, command), endpoints.pool(command.endpoint()), this);
   }
 
-  /** Sends what was deferred while discovery or the sockets had to be read first. */
+  /**
+   * Retries the attempts that were deferred because discovery or the clients' sockets had to be
+   * read first.
+   */
   void sendDeferred() {
     endpoints.retryWaiting();
   }
 
-  /** The fields of the endpoints' protocol, without the time that is left. */
+  /**
+   * Encodes the fields of the cache protocol, except for the time that is left, which is added when
+   * the command is written.
+   */
   private byte[] encodeFields(ClientRequest request, AttemptCommand command) {
     DecodedRequest decoded = request.decoded;
-    ByteArrayOutputStream out = new ByteArrayOutputStream(USUAL_FIELDS_BYTES);
-    put(out, "kind=", decoded.trafficClass());
-    put(out, ",obj=", decoded.objectName());
-    put(out, ",seg=", decoded.partName());
+    ByteArrayOutputStream out = new ByteArrayOutputStream(INITIAL_FIELDS_BYTES);
+    appendField(out, "kind=", decoded.trafficClass());
+    appendField(out, ",obj=", decoded.objectName());
+    appendField(out, ",seg=", decoded.partName());
     if (command.source() != command.endpoint()) {
-      put(out, ",miss=", endpoints.endpointId(command.source()));
+      appendField(out, ",miss=", endpoints.endpointId(command.source()));
     }
     if (command.rank() > 0) {
-      put(out, ",prio=", Integer.toString(command.rank()));
+      appendField(out, ",prio=", Integer.toString(command.rank()));
     }
     if (command.maxAgeNanos() > 0) {
       long maxAgeMillis = Math.max(1, command.maxAgeNanos() / NANOS_PER_MILLI);
-      put(out, ",within=", Long.toString(maxAgeMillis));
+      appendField(out, ",within=", Long.toString(maxAgeMillis));
     }
-    putFlags(out, command.options());
+    appendFlags(out, command.options());
     if (!decoded.knownTag().isEmpty()) {
-      put(out, ",mine=", decoded.knownTag());
+      appendField(out, ",mine=", decoded.knownTag());
     }
-    if (!decoded.idempotencyKey().isEmpty()) { // Endpoints know by it what they ran.
-      put(out, ",token=", decoded.idempotencyKey());
+    if (!decoded.idempotencyKey().isEmpty()) { // Endpoints detect repeated requests by it.
+      appendField(out, ",token=", decoded.idempotencyKey());
     }
     return out.toByteArray();
   }
 
-  private static void putFlags(ByteArrayOutputStream out, int flags) {
+  private static void appendFlags(ByteArrayOutputStream out, int flags) {
     String separator = ",f=";
     for (int bit = 0; bit < FLAG_NAMES.length; bit++) {
       if ((flags & 1 << bit) != 0) {
-        put(out, separator, FLAG_NAMES[bit]);
+        appendField(out, separator, FLAG_NAMES[bit]);
         separator = "+";
       }
     }
   }
 
-  private static void put(ByteArrayOutputStream out, String name, String value) {
-    put(out, name, ByteString.of(value.getBytes(StandardCharsets.UTF_8)));
+  private static void appendField(ByteArrayOutputStream out, String name, String value) {
+    appendField(out, name, ByteString.of(value.getBytes(StandardCharsets.UTF_8)));
   }
 
-  private static void put(ByteArrayOutputStream out, String name, ByteString value) {
+  private static void appendField(ByteArrayOutputStream out, String name, ByteString value) {
     out.writeBytes(name.getBytes(StandardCharsets.ISO_8859_1));
     out.writeBytes(value.array());
   }
 
-  /** Lets no attempt of a request that is made from now on begin after a clock time. */
+  /**
+   * Sets the clock time after which no later attempt of the request is written; does nothing for a
+   * finished request (null).
+   */
   void setSendBy(ClientRequest request, long timeNanos) {
     if (request != null) {
       request.sendByNanos = timeNanos;
     }
   }
 
-  /** Cancels one attempt of a request, if it has not ended. */
+  /** Cancels an attempt, unless it has ended or its request is finished (null). */
   void cancel(ClientRequest request, int index) {
     if (request != null && index < request.attempts.size()) {
       request.attempts.get(index).cancel();
     }
   }
 
-  /** The first response goes to the client; the router is notified of every outcome. */
+  /**
+   * Writes the first successful response to the client, and reports every outcome to the router.
+   */
   @Override
   public void attemptEnded(
-      OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail note, Buffer body) {
+      OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail detail, Buffer body) {
     OutboundAttempt.Plan plan = attempt.plan;
     ClientRequest request = plan.request();
     context.vertx().cancelTimer(attempt.timeoutTimer);
@@ -167,9 +186,9 @@
     if (outcome == AttemptOutcome.SUCCEEDED) {
       writeResponse(request, body);
     }
-    // Guards endpoints against the blame for this gateway's own lag.
-    long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagBeforeNanos();
-    long tookNanos = Math.max(0, context.clock().nowNanos() - plan.startedAtNanos() - lagNanos);
+    // This gateway's own lag is not counted as response time of the endpoint.
+    long lagNanos = context.lagMonitor().totalLagNanos() - plan.lagAtStartNanos();
+    long durationNanos = Math.max(0, context.clock().nowNanos() - plan.startedAtNanos() - lagNanos);
     boolean answered = request.answered;
     routingStage.enqueue(
         request,
@@ -180,20 +199,24 @@
                     plan.index(),
                     plan.endpoint(),
                     outcome,
-                    tookNanos,
+                    durationNanos,
                     answered,
-                    note)));
+                    detail)));
     context.inFlight().removeIfFinished(request);
   }
 
   /**
-   * Guards the endpoint's connection, and what else is in flight on it, against a client's fault.
+   * Writes a response to the client and logs a failure. Guards the connection to the endpoint, and
+   * the other commands in flight on it, against a failure of the client's connection.
    */
   private void writeResponse(ClientRequest request, Buffer body) {
     try {
       responseWriter.writeBody(request, body);
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "a response could not be written", e);
+      LOG.log(
+          Level.SEVERE,
+          "request " + request.requestId + ": the response could not be written to the client",
+          e);
     }
   }
 }
--- a/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
+++ b/gateway/src/main/java/org/amberpath/gateway/pipeline/OutboundAttempt.java
@@ -9,32 +9,36 @@
 import org.amberpath.routing.EndpointListener;
 import org.amberpath.routing.ResponseDetail;
 
-/** One attempt of a request at one endpoint, from the decision to its one outcome. */
+/**
+ * One attempt of a request at one endpoint, from the router's decision to its outcome. Each attempt
+ * ends exactly once.
+ */
 final class OutboundAttempt extends CacheCommand {
   private static final Logger LOG = Logger.getLogger(OutboundAttempt.class.getName());
 
-  /** Is notified of the end of each attempt. */
+  /** Receives the outcome of each attempt. */
   interface Listener {
     /**
-     * An attempt has ended; called once for each.
+     * Called once for each attempt, when it has ended.
      *
-     * @param body null unless the endpoint returned the bytes; null too where the client's own copy
-     *     is current
+     * @param detail how the endpoint served the request; NONE where it did not respond
+     * @param body the body that the endpoint returned; null for an outcome without a body, and
+     *     where the client's own copy is current
      */
     void attemptEnded(
-        OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail note, Buffer body);
+        OutboundAttempt attempt, AttemptOutcome outcome, ResponseDetail detail, Buffer body);
   }
 
   /**
-   * What is fixed when an attempt is made.
+   * The properties of an attempt that are fixed when it is made.
    *
-   * @param request the request it belongs to
-   * @param index its index among the request's attempts
-   * @param endpoint the index of its endpoint
+   * @param request the request that the attempt belongs to
+   * @param index the index of the attempt among those of its request, from 0
+   * @param endpoint the index of the endpoint that the attempt goes to
    * @param source the index of the endpoint that a miss is filled from
-   * @param startedAtNanos the clock time at which it was made
-   * @param lagBeforeNanos the event loop's total lag at that time
-   * @param deadlineNanos the clock time at which it times out
+   * @param startedAtNanos the clock time at which the attempt was made
+   * @param lagAtStartNanos the event loop's total lag at that time
+   * @param deadlineNanos the clock time at which the attempt times out
    * @param cacheable whether responses of the request's traffic class may be cached
    */
   record Plan(
@@ -43,13 +47,13 @@
       int endpoint,
       int source,
       long startedAtNanos,
-      long lagBeforeNanos,
+      long lagAtStartNanos,
       long deadlineNanos,
       boolean cacheable) {}
 
   final Plan plan;
 
-  /** Its timeout; -1 before that is set. */
+  /** The id of the timeout's timer; -1 before it is set. */
   long timeoutTimer = -1;
 
   private final CachePool pool;
@@ -71,29 +75,30 @@
     sendByNanos = plan.request.sendByNanos;
   }
 
-  /** Sends it, now or as soon as a connection is free. */
+  /** Sends the attempt, now or as soon as a connection is available. */
   void send() {
     try {
       pool.send(this);
     } catch (RuntimeException e) {
-      // Guards the request against an attempt that is neither sent nor ended.
-      LOG.log(Level.SEVERE, "an attempt could not be sent", e);
+      // Guards against an attempt that is neither sent nor ended, for which its request would wait.
+      LOG.log(
+          Level.SEVERE, description() + " could not be sent to " + pool + "; the attempt ends", e);
       abandon(isWritten() ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT, false);
     }
   }
 
-  /** Its deadline has passed. */
+  /** Ends the attempt, because its deadline has passed. */
   void timeOut() {
     abandon(isWritten() ? AttemptOutcome.TIMED_OUT : pool.unsentOutcome(), true);
   }
 
-  /** The router cancels it. */
+  /** Ends the attempt, because the router has cancelled it. */
   void cancel() {
     abandon(AttemptOutcome.CANCELLED, false);
   }
 
-  /** It is not sent at all. */
-  void skip() {
+  /** Ends the attempt as not sent, without passing it to the connection pool. */
+  void endUnsent() {
     ended(AttemptOutcome.NOT_SENT, ResponseDetail.NONE, null);
   }
 
@@ -106,13 +111,25 @@
           pool.cancel(this);
         }
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "an attempt could not be cancelled", e);
+        LOG.log(
+            Level.SEVERE,
+            description()
+                + " could not be cancelled at "
+                + pool
+                + "; the attempt ends as "
+                + outcome,
+            e);
       }
       ended(outcome, ResponseDetail.NONE, null);
     }
   }
 
-  /** Whether a purge affects it. */
+  /**
+   * Returns whether a purge affects the object of this attempt.
+   *
+   * @param objectId the purged object; 0 for a purge of an entire group
+   * @param group the purge group, or {@link EndpointListener#ALL_GROUPS}
+   */
   boolean isPurged(long objectId, int group) {
     if (group == EndpointListener.ALL_GROUPS) {
       return true;
@@ -122,6 +139,10 @@
         : group == plan.request.decoded.purgeGroup();
   }
 
+  private String description() {
+    return "request " + plan.request.requestId + ": attempt " + plan.index;
+  }
+
   @Override
   protected boolean expectsCopy() {
     return plan.cacheable;
@@ -133,10 +154,10 @@
   }
 
   @Override
-  protected void ended(AttemptOutcome outcome, ResponseDetail note, Buffer body) {
+  protected void ended(AttemptOutcome outcome, ResponseDetail detail, Buffer body) {
     if (!hasEnded) {
       hasEnded = true;
-      listener.attemptEnded(this, outcome, note, body);
+      listener.attemptEnded(this, outcome, detail, body);
     }
   }
 }
--- a/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/GatewayLifecycleTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Starts and stops, in the process of the test and in processes of their own. */
+/** Tests starts and shutdowns of gateways, in the test's process and in separate processes. */
 @Timeout(30)
 class GatewayLifecycleTest extends GatewayFixture {
   @Test
@@ -35,19 +35,19 @@
   }
 
   @Test
-  void stoppingGatewayAnswersWhatItReceivedAndWhatStillArrives() throws Exception {
+  void stoppingGatewayAnswersReceivedAndNewRequests() throws Exception {
     client.sendRequest(1, "parts", 2500, 0);
-    ReceivedCommand taken = cache.nextCommand();
+    ReceivedCommand command = cache.nextCommand();
     var stopped = testbed.gateway.stop().toCompletionStage().toCompletableFuture();
     while (client.requestStatus().isReady()) {
       assertFalse(stopped.isDone());
     }
-    TestClient late = testbed.client();
-    late.sendRequest(2, "parts", 1500, 1);
-    cache.nextCommand().replyOk("came late");
-    assertEquals("came late", text(late.receive()));
-    taken.replyOk("was taken");
-    assertEquals("was taken", text(client.receive()));
+    TestClient lateClient = testbed.client();
+    lateClient.sendRequest(2, "parts", 1500, 1);
+    cache.nextCommand().replyOk("late request");
+    assertEquals("late request", text(lateClient.receive()));
+    command.replyOk("received before the stop");
+    assertEquals("received before the stop", text(client.receive()));
     stopped.get(10, TimeUnit.SECONDS);
     assertEquals(Gateway.Phase.STOPPED, testbed.gateway.phase());
     assertTrue(client.isClosed());
@@ -57,10 +57,10 @@
   void requestInFlightJustBeforeSigkillIsAnswered() throws Exception {
     client.sendRequest(1, "parts", 9000, 0);
     cache.nextCommand();
-    long since = System.nanoTime();
+    long stoppedAt = System.nanoTime();
     testbed.gateway.stop();
     assertEquals("Internal", client.receive().error());
-    assertTrue(System.nanoTime() - since < 3_700_000_000L);
+    assertTrue(System.nanoTime() - stoppedAt < 3_700_000_000L);
   }
 
   @Test
@@ -69,20 +69,19 @@
     Process process = startProcess(port);
     try (BufferedReader log = process.inputReader()) {
       awaitServing(log);
-      TestClient outside = testbed.client(port);
-      assertTrue(outside.requestStatus().isReady());
-      outside.sendRequest(1, "parts", 2500, 0);
+      TestClient processClient = testbed.client(port);
+      assertTrue(processClient.requestStatus().isReady());
+      processClient.sendRequest(1, "parts", 2500, 0);
       ReceivedCommand command = cache.nextCommand();
-      sendSighup(
-          process); // A reload that is under way, and the same word once more, change nothing in
-      // that.
+      // Neither a reload in progress nor a second SIGTERM changes the shutdown.
+      sendSighup(process);
       process.destroy();
       process.destroy();
-      while (outside.requestStatus().isReady()) {
+      while (processClient.requestStatus().isReady()) {
         assertTrue(process.isAlive());
       }
-      command.replyOk("before the end");
-      assertEquals("before the end", text(outside.receive()));
+      command.replyOk("before the exit");
+      assertEquals("before the exit", text(processClient.receive()));
       assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     } finally {
       process.destroyForcibly();
@@ -96,8 +95,8 @@
       Process process = startProcess(port);
       try (BufferedReader log = process.inputReader()) {
         awaitServing(log);
-        TestClient outside = testbed.client(port);
-        outside.sendRequest(start, "parts", 5000, 0);
+        TestClient processClient = testbed.client(port);
+        processClient.sendRequest(start, "parts", 5000, 0);
         assertEquals("1", cache.nextCommand().field("prio"));
       } finally {
         process.destroyForcibly().waitFor();
@@ -113,7 +112,7 @@
         + " kind: asleep",
     "config, /nowhere.json, PROXY_CONFIG: /nowhere.json can't be read"
   })
-  void startFailureIsOneMessage(String key, String value, String message) throws Exception {
+  void failedStartPrintsOneMessage(String key, String value, String message) throws Exception {
     Path file = Path.of(testbed.environment(folder).get("PROXY_CONFIG"));
     if (key.equals("known")) {
       Files.writeString(file, Files.readString(file).replace("ready", value));
--- a/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/SyntheticRequestsTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Requests that a gateway makes itself, on behalf of the fleet: their outcomes, and that neither a
- * client nor a shutdown waits for them.
+ * Tests synthetic requests, which a gateway makes on behalf of the fleet: their outcomes, that no
+ * client gets their responses, and that a shutdown does not wait for them.
  */
 @Timeout(30)
 class SyntheticRequestsTest {
@@ -37,7 +37,7 @@
   private FleetCallbacks callbacks;
   private boolean draining;
 
-  /** A coordinator that does nothing but keep its callbacks. */
+  /** A coordinator that does nothing but record the begin of draining. */
   private final class IdleCoordinator implements FleetCoordinator {
     @Override
     public Future<Void> start() {
@@ -77,8 +77,8 @@
             options,
             new GatewayExtensions(
                 null,
-                (Vertx vertx, GatewayOptions of, FleetCallbacks to) -> {
-                  callbacks = to;
+                (Vertx vertx, GatewayOptions ignoredOptions, FleetCallbacks fleetCallbacks) -> {
+                  callbacks = fleetCallbacks;
                   return new IdleCoordinator();
                 }));
     testbed
@@ -95,10 +95,10 @@
     testbed.close();
   }
 
-  private CompletableFuture<FleetCallbacks.SyntheticOutcome> sendSynthetic(String id) {
-    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = new CompletableFuture<>();
-    callbacks.sendSyntheticRequest(id, TIMEOUT_NANOS, end::complete);
-    return end;
+  private CompletableFuture<FleetCallbacks.SyntheticOutcome> sendSynthetic(String endpointId) {
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> outcome = new CompletableFuture<>();
+    callbacks.sendSyntheticRequest(endpointId, TIMEOUT_NANOS, outcome::complete);
+    return outcome;
   }
 
   private void serveOneRequest() throws Exception {
@@ -110,12 +110,12 @@
   @Test
   void healthCheckRepeatsAClientsRequestUnderANewId() throws Exception {
     assertFalse(
-        callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, end -> {}),
-        "nobody has asked for anything yet");
+        callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, outcome -> {}),
+        "no client request was recorded yet");
     serveOneRequest();
     assertFalse(
-        callbacks.sendSyntheticRequest("c9", TIMEOUT_NANOS, end -> {}), "there is no such cache");
-    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = sendSynthetic("c0");
+        callbacks.sendSyntheticRequest("c9", TIMEOUT_NANOS, outcome -> {}), "the cache is unknown");
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> outcome = sendSynthetic("c0");
     ReceivedCommand command = cache.nextCommand();
     assertNotEquals("0000000000000001", command.element(1));
     assertEquals(
@@ -124,27 +124,28 @@
     command.reply("nothing", "res=n", new byte[0]);
     assertEquals(
         FleetCallbacks.SyntheticOutcome.ANSWERED,
-        end.get(5, TimeUnit.SECONDS),
-        "that it has not the part is an answer too");
+        outcome.get(5, TimeUnit.SECONDS),
+        "a response without the part counts as answered");
     client.sendRequest(2, "parts", 1500, 3);
     cache.nextCommand().replyOk("next");
-    assertEquals(2, client.receive().messageId(), "the client is returned nothing but its own");
+    assertEquals(
+        2, client.receive().messageId(), "the client gets no response of the synthetic request");
   }
 
   @Test
   void unansweredSyntheticRequestTimesOutAndIsNotRetried() throws Exception {
     serveOneRequest();
-    long began = System.nanoTime();
-    CompletableFuture<FleetCallbacks.SyntheticOutcome> end = sendSynthetic("c0");
+    long startedAt = System.nanoTime();
+    CompletableFuture<FleetCallbacks.SyntheticOutcome> outcome = sendSynthetic("c0");
     cache.nextCommand();
-    assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, end.get(5, TimeUnit.SECONDS));
-    assertTrue(System.nanoTime() - began < 2 * TIMEOUT_NANOS);
+    assertEquals(FleetCallbacks.SyntheticOutcome.SILENT, outcome.get(5, TimeUnit.SECONDS));
+    assertTrue(System.nanoTime() - startedAt < 2 * TIMEOUT_NANOS);
     ReceivedCommand next = cache.commands.poll(300, TimeUnit.MILLISECONDS);
-    assertTrue(next == null || !next.element(0).equals("want"), "nothing but that it is given up");
+    assertTrue(next == null || !next.element(0).equals("want"), "only a cancellation may follow");
     assertEquals(
         FleetCallbacks.SyntheticOutcome.NOT_SENT,
         sendSynthetic("o0").get(5, TimeUnit.SECONDS),
-        "the origin is not tried");
+        "the origin gets no health check");
   }
 
   @Test
@@ -152,12 +153,12 @@
     serveOneRequest();
     assertTrue(callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, end -> {}));
     cache.nextCommand();
-    long began = System.nanoTime();
+    long startedAt = System.nanoTime();
     testbed.gateway.stop().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     assertTrue(draining);
     assertFalse(
         callbacks.sendSyntheticRequest("c0", TIMEOUT_NANOS, late -> {}),
-        "nothing is begun any more");
-    assertTrue(System.nanoTime() - began < 3_000_000_000L);
+        "a draining gateway makes no synthetic request");
+    assertTrue(System.nanoTime() - startedAt < 3_000_000_000L);
   }
 }
