--- a/gateway/src/test/java/org/amberpath/gateway/RequestForwardingTest.java
+++ b/gateway/src/test/java/org/amberpath/gateway/RequestForwardingTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -65,7 +66,16 @@
 
   @Test
   void responsesAreReturnedInAnyOrderOnOneConnection() throws Exception {
-    client.sendRequest(1, "parts", 1500, 0).sendRequest(2, "parts", 1500, 1);
+    // Both requests arrive in one read: a later one could be sent on the idle second connection
+    // that
+    // the pool opens once the first connection is in use.
+    ByteArrayOutputStream requests = new ByteArrayOutputStream();
+    for (int part = 0; part < 2; part++) {
+      requests.writeBytes(
+          TestClient.encodeRequest(
+              part + 1, "parts", TestClient.requestFields(part + 1, 1500, part), new byte[0]));
+    }
+    client.send(requests.toByteArray());
     ReceivedCommand first = cache.nextCommand();
     ReceivedCommand second = cache.nextCommand();
     assertSame(first.socket(), second.socket());
