--- a/leadership/src/main/java/org/amberpath/leadership/AcceptRound.java
+++ b/leadership/src/main/java/org/amberpath/leadership/AcceptRound.java
@@ -4,9 +4,9 @@
 import java.util.TreeSet;
 
 /**
- * The accept rounds of a candidate, or of a leader that renews its lease: one at a time. Each has a
- * number of its own, also under the same ballot, so that a late acceptance of an earlier round,
- * whose lease ends sooner, does not count for a later one.
+ * Accept rounds of a candidate, or of a leader that renews its lease; at most one round is open.
+ * Rounds are numbered, also under the same ballot, so that a late acceptance of an earlier round,
+ * whose lease expires sooner, does not count for a later round.
  */
 final class AcceptRound {
   private final Set<String> acceptances = new TreeSet<>();
@@ -20,7 +20,7 @@
     acceptances.clear();
   }
 
-  /** Ends the round: it is complete, or void. */
+  /** Closes the round: further acceptances do not count. */
   void close() {
     open = false;
   }
@@ -29,7 +29,10 @@
     return number;
   }
 
-  /** Counts a voter's acceptance of a round; false if it is of none that is open, or counted. */
+  /**
+   * Records a voter's acceptance of the round of this number. Returns false if that round is not
+   * open, or if the voter's acceptance is already recorded.
+   */
   boolean addAcceptance(String voter, long ofNumber) {
     return open && ofNumber == number && acceptances.add(voter);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -4,12 +4,12 @@
 import java.util.TreeMap;
 
 /**
- * The task of prefetching recent objects into endpoints that are warming up: when, and how many
- * requests at a time. Which objects, and whether an endpoint has budget for one, the router decides
- * for each request.
+ * The task of prefetching recent objects into endpoints that are in slow start. This class limits
+ * when requests start and how many are in flight; for each request the router chooses the object
+ * and checks that the endpoint has budget for it.
  *
  * <p>Bounds: {@value #MAX_ENDPOINTS} endpoints, {@value #MAX_IN_FLIGHT} requests in flight, {@value
- * #MAX_PER_TICK} started a tick.
+ * #MAX_PER_TICK} started per tick.
  */
 public final class CachePrefetch {
   /** The task's name. */
@@ -26,7 +26,10 @@
   private int startedInTick;
   private long pausedUntilNanos;
 
-  /** An endpoint is in slow start until a time. */
+  /**
+   * Records that an endpoint is in slow start until {@code untilNanos}. While {@value
+   * #MAX_ENDPOINTS} others are recorded, the endpoint is ignored.
+   */
   public void endpointWarmingUp(long nowNanos, String endpoint, long untilNanos) {
     warmingUpUntilNanos.values().removeIf(until -> until <= nowNanos);
     if (warmingUpUntilNanos.size() < MAX_ENDPOINTS || warmingUpUntilNanos.containsKey(endpoint)) {
@@ -34,12 +37,15 @@
     }
   }
 
-  /** Begins a tick: as many requests as one tick allows may be started. */
+  /** Begins a tick: resets the number of requests that were started in the tick. */
   public void tick() {
     startedInTick = 0;
   }
 
-  /** Whether one more request is to be made now; it is in flight until {@link #requestEnded}. */
+  /**
+   * Starts a request if the bounds allow it; it is in flight until {@link #requestEnded} or {@link
+   * #passEnded}. Returns whether a request was started.
+   */
   public boolean tryStartRequest(long nowNanos) {
     boolean started =
         nowNanos >= pausedUntilNanos
@@ -53,18 +59,21 @@
     return started;
   }
 
-  /** A request has ended. */
+  /** Records that a request has ended. */
   public void requestEnded() {
     inFlight--;
   }
 
-  /** All recent objects have had their turn, and no request was made; the next pass is later. */
+  /**
+   * Records that the router has gone through all recent objects, so that the request just started
+   * was not sent. The next pass begins after a pause.
+   */
   public void passEnded(long nowNanos) {
     inFlight--;
     pausedUntilNanos = nowNanos + PAUSE_BETWEEN_PASSES_NANOS;
   }
 
-  /** Whether no request is in flight: the task may be handed over. */
+  /** Returns whether no request is in flight, so that the task may be handed over. */
   public boolean isIdle() {
     return inFlight == 0;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * The order in which gateways stand for election to a task: by highest hash of task and name
- * (rendezvous hashing), so that all agree on it and tasks are spread. It only says who tries first.
+ * The order in which gateways stand for election to a task: descending by the hash of task and
+ * gateway name (rendezvous hashing), so that all gateways compute the same order and tasks are
+ * spread over the gateways. The order determines who stands first, not who is elected.
  */
 public final class CandidateOrder {
   private CandidateOrder() {}
 
-  /** How many of these gateways come before one of them. */
+  /** Returns how many of these gateways precede one of them in the order for a task. */
   public static int place(String task, String gateway, List<String> gateways) {
     long own = hash(task, gateway);
     return (int)
@@ -25,7 +26,7 @@
             .count();
   }
 
-  /** These gateways in their order. */
+  /** Returns these gateways in the order for a task. */
   public static List<String> order(String task, List<String> gateways) {
     Map<String, Long> hashes = new HashMap<>();
     gateways.forEach(gateway -> hashes.put(gateway, hash(task, gateway)));
--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -5,23 +5,26 @@
 import org.amberpath.leadership.HealthCheckCoordinator.HealthCheckOutcome;
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 
-/** One endpoint that the leader checks: who asked for it, and what came of the checks. */
+/**
+ * The state of one endpoint that the leader health-checks: the gateways that requested the checks,
+ * and the results.
+ */
 final class EndpointHealthCheck {
   private static final long MS = 1_000_000;
 
-  /** Between two checks of an endpoint that responds. */
+  /** Pause between two checks of an endpoint that responds. */
   private static final long RESPONSIVE_PAUSE_NANOS = 500 * MS;
 
-  /** For how long a gateway's response outweighs the leader's own checks without one. */
+  /** How long a response that another gateway received overrides the leader's unanswered checks. */
   private static final long RESPONSE_ELSEWHERE_NANOS = 30_000 * MS;
 
-  /** So many gateways must suspect an endpoint, */
+  /** Number of gateways that must suspect an endpoint before its silence is broadcast. */
   private static final int MIN_REQUESTERS = 2;
 
-  /** and so many checks in a row get no response, before all gateways are told. */
+  /** Number of consecutive unanswered checks before an endpoint's silence is broadcast. */
   private static final int MIN_SILENT_CHECKS = 2;
 
-  /** The first gateways that asked; {@value #MIN_REQUESTERS} are enough to know. */
+  /** The first gateways that requested checks, at most {@value #MIN_REQUESTERS}. */
   private final Set<String> requesters = new TreeSet<>();
 
   private long requestedAtNanos;
@@ -29,13 +32,15 @@
   private long pauseNanos = HealthCheckPauses.FIRST_PAUSE_NANOS;
   private long respondedElsewhereUntilNanos;
 
-  /** When the check in flight, if any, was sent. */
+  /** When the check in flight, if any, was started. */
   private long sentAtNanos;
 
-  /** When the last check that has ended did, and was sent. */
+  /** When the last result arrived, of an own check or from another gateway; 0 for none. */
   private long lastEndedNanos;
 
+  /** When the last completed check was started. */
   private long lastSentNanos;
+
   private int silentChecks;
   private boolean inFlight;
   private boolean responded;
@@ -65,7 +70,10 @@
     sentAtNanos = nowNanos;
   }
 
-  /** Takes the outcome of the check in flight; true where all gateways are to learn of it. */
+  /**
+   * Records the outcome of the check in flight. Returns whether the next broadcast is to start at
+   * once.
+   */
   boolean ended(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
     inFlight = false;
     if (outcome == HealthCheckOutcome.NOT_SENT) {
@@ -93,7 +101,10 @@
     return changed || silentChecks == MIN_SILENT_CHECKS;
   }
 
-  /** Another gateway has a response from it; true where the leader's checks said otherwise. */
+  /**
+   * Records that another gateway received a response from the endpoint. Returns whether the
+   * endpoint was not known to respond.
+   */
   boolean respondedElsewhere(long nowNanos) {
     boolean changed = !responded;
     respondedElsewhereUntilNanos = nowNanos + RESPONSE_ELSEWHERE_NANOS;
@@ -103,7 +114,10 @@
     return changed;
   }
 
-  /** Silence is as old as its request: a response elsewhere since then contradicts it. */
+  /**
+   * Returns the last result. Silence is dated from when the check was sent, because a response that
+   * another gateway received since then contradicts it.
+   */
   HealthReport report(long nowNanos) {
     if (lastEndedNanos == 0) {
       return new HealthReport(responded, -1);
@@ -111,7 +125,10 @@
     return new HealthReport(responded, nowNanos - (responded ? lastEndedNanos : lastSentNanos));
   }
 
-  /** Whether all gateways are to know: it is silent, or was reported so and responds again. */
+  /**
+   * Returns whether broadcasts include the endpoint: it is silent, or was, and its recovery is to
+   * be broadcast too.
+   */
   boolean isForAll() {
     reportedSilent |= silentChecks >= MIN_SILENT_CHECKS && requesters.size() >= MIN_REQUESTERS;
     return reportedSilent;
--- a/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
+++ b/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * Fencing at a recipient of leaders' messages: it remembers the highest term of each task, and who
- * led it. A message of an older term is refused, and so is one of a second leader under the same
+ * Fencing check at a recipient of leaders' messages. It stores the highest term of each task and
+ * that term's leader, and rejects messages of lower terms and of a second leader under the same
  * term.
  *
- * <p>Bounds: {@value #MAX_TASKS} tasks; the least recently used is forgotten.
+ * <p>Bounds: {@value #MAX_TASKS} tasks; the least recently used is evicted.
  */
 public final class FencingGuard {
   private static final int MAX_TASKS = 256;
@@ -23,7 +23,9 @@
         }
       };
 
-  /** Whether a message may take effect; the term of one that may is remembered. */
+  /**
+   * Returns whether a message of this term and leader may take effect, and stores its term if so.
+   */
   public boolean tryAdmit(String task, long term, String leader) {
     Term known = terms.get(task);
     boolean admitted =
@@ -36,7 +38,7 @@
     return admitted;
   }
 
-  /** The highest term seen of a task, to be sent with a refusal; 0 for none. */
+  /** Returns the highest term seen for a task, which a refusal reports; 0 for none. */
   public long highestTerm(String task) {
     Term known = terms.get(task);
     return known == null ? 0 : known.number;
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
@@ -9,8 +9,8 @@
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 
 /**
- * The leader's part: which endpoints gateways have asked it to check, and which checks are in
- * flight.
+ * The leader's side of centralized health checks: the endpoints that gateways have requested checks
+ * of, and the checks in flight.
  *
  * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} endpoints, {@value #MAX_IN_FLIGHT}
  * checks in flight.
@@ -26,7 +26,10 @@
     this.pauses = pauses;
   }
 
-  /** Has an endpoint checked from now on; empty where there is no room for it. */
+  /**
+   * Registers a gateway's request to check an endpoint. Returns empty if the endpoint is new and
+   * the maximum number of endpoints is reached.
+   */
   Optional<EndpointHealthCheck> request(long nowNanos, String endpoint, String requester) {
     checks.values().removeIf(check -> !check.isInFlight() && !isRequested(nowNanos, check));
     EndpointHealthCheck check = checks.get(endpoint);
@@ -45,7 +48,10 @@
     return pauses.isRequested(check.requestAgeNanos(nowNanos));
   }
 
-  /** Starts the checks that are due, each until {@link #ended}. */
+  /**
+   * Starts the checks that are due, and returns their endpoints; each check is in flight until
+   * {@link #ended}.
+   */
   List<String> startDue(long nowNanos) {
     List<String> due = new ArrayList<>();
     checks.forEach(
@@ -59,20 +65,23 @@
     return due;
   }
 
-  /** Takes the outcome of a check; true where all gateways are to learn of it. */
+  /** Records the outcome of a check. Returns whether the next broadcast is to start at once. */
   boolean ended(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
     inFlight = Math.max(0, inFlight - 1);
     EndpointHealthCheck check = checks.get(endpoint);
     return check != null && check.ended(nowNanos, outcome, pauses.maxPauseNanos());
   }
 
-  /** Another gateway has a response; true where the leader's checks said otherwise. */
+  /**
+   * Records that another gateway received a response from an endpoint. Returns whether the endpoint
+   * was not known to respond.
+   */
   boolean respondedElsewhere(long nowNanos, String endpoint) {
     EndpointHealthCheck check = checks.get(endpoint);
     return check != null && check.respondedElsewhere(nowNanos);
   }
 
-  /** The endpoints that all gateways are to know of. */
+  /** Returns the endpoints that broadcasts include. */
   List<String> forAll(long nowNanos) {
     List<String> endpoints = new ArrayList<>();
     checks.forEach(
@@ -84,7 +93,7 @@
     return endpoints;
   }
 
-  /** The last result of an endpoint that {@link #forAll} has named. */
+  /** Returns the last result of an endpoint that {@link #forAll} has returned. */
   HealthReport report(long nowNanos, String endpoint) {
     return checks.get(endpoint).report(nowNanos);
   }
@@ -93,7 +102,7 @@
     return inFlight == 0;
   }
 
-  /** Forgets all but what is in flight: another process leads. */
+  /** Removes all endpoints without a check in flight, because this gateway does not lead. */
   void clear() {
     checks.values().removeIf(check -> !check.isInFlight());
   }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -6,25 +6,27 @@
 import java.util.function.Supplier;
 
 /**
- * The task of health-checking ejected and suspect endpoints, once for the fleet.
+ * The task of health-checking ejected and suspect endpoints: one leader performs the checks for the
+ * fleet.
  *
  * <p>A gateway that suspects an endpoint requests a report from the leader ({@link
- * #nextReportRequest}), which checks it ({@link #dueHealthChecks}) and reports how long ago it
- * responded, or was checked in vain. While reports arrive, gateways leave health checks to the
- * leader ({@link #isCentralized}). Once several gateways suspect an endpoint and the leader's
- * checks get no response either, all gateways are told ({@link #broadcastReport}), since where each
- * sees little each would find it out late. What a report is worth against a gateway's own
- * observations is decided by its router.
+ * #nextReportRequest}). The leader checks the endpoint ({@link #dueHealthChecks}) and reports how
+ * long ago it responded, or how long ago an unanswered check was sent. While reports arrive,
+ * gateways leave health checks to the leader ({@link #isCentralized}). Once several gateways
+ * suspect an endpoint and the leader's checks get no response either, the leader reports the
+ * endpoint to all gateways ({@link #broadcastReport}), because gateways that each send few requests
+ * would detect the failure late. Each gateway's router weighs a report against the gateway's own
+ * observations.
  *
- * <p>Reports carry the leader's term; fencing refuses those of older terms. Bounds: {@value
- * #MAX_ENDPOINTS} endpoints each way, {@value #MAX_NAMED} a message. Times are nanoseconds of this
- * process's monotonic clock.
+ * <p>Reports carry the leader's term; fencing rejects those of older terms. Bounds: {@value
+ * #MAX_ENDPOINTS} suspects at each gateway, as many checked endpoints at the leader, {@value
+ * #MAX_NAMED} endpoints per message. Times are nanoseconds of this process's monotonic clock.
  */
 public final class HealthCheckCoordinator {
   /** The task's name. */
   public static final String TASK = "probe";
 
-  /** How many endpoints a message names. */
+  /** The maximum number of endpoints in a message. */
   public static final int MAX_NAMED = 10;
 
   static final int MAX_ENDPOINTS = 64;
@@ -32,14 +34,16 @@
   /**
    * A request for reports.
    *
-   * @param requestedAtNanos comes back with the answer
+   * @param requestedAtNanos when the request was made, by the requester's clock; the answer echoes
+   *     it
    */
   public record ReportRequest(String recipient, long requestedAtNanos, List<String> endpoints) {}
 
   /**
    * The result of an endpoint's last health check.
    *
-   * @param ageNanos how long ago it responded, or was sent the check in vain; -1 for none yet
+   * @param ageNanos how long ago the endpoint responded, or how long ago the unanswered check was
+   *     sent; -1 if there is no result yet
    */
   public record HealthReport(boolean responded, long ageNanos) {
     HealthReport older(long nanos) {
@@ -51,9 +55,12 @@
   public enum HealthCheckOutcome {
     /** The endpoint responded. */
     ANSWERED,
-    /** It was sent, and no response came in time. */
+    /** The check was sent, and no response arrived in time. */
     SILENT,
-    /** The router let none pass. */
+    /**
+     * The check was not sent: the router did not admit it, or this gateway could not lead until its
+     * end.
+     */
     NOT_SENT
   }
 
@@ -65,9 +72,9 @@
   // ---- Every gateway.
 
   /**
-   * The router's opinion of an endpoint has changed.
+   * Records a change of the router's health status of an endpoint.
    *
-   * @param healthy whether it is neither ejected nor suspect
+   * @param healthy whether the endpoint is neither ejected nor suspect
    */
   public void healthChanged(long nowNanos, String endpoint, boolean healthy) {
     if (healthy) {
@@ -78,10 +85,11 @@
   }
 
   /**
-   * An endpoint responds to this gateway. Guards against a leader that can't reach it, and has
-   * reported it silent to all.
+   * Records that an endpoint responds to this gateway. Guards against a leader that cannot reach an
+   * endpoint and reports it as silent to all gateways.
    *
-   * @return the leader to be told of it; empty for none
+   * @return the leader to notify; empty if the last report did not call the endpoint silent, or if
+   *     reports are no longer trusted
    */
   public String endpointResponded(long nowNanos, String endpoint) {
     return requester.responded(nowNanos, endpoint);
@@ -93,12 +101,14 @@
   }
 
   /**
-   * The report request that is due.
+   * Returns the report request that is due.
    *
-   * @param gateways how many there are, this one included
-   * @param candidates the others, in {@link CandidateOrder}; asked for only when needed
-   * @param leading whether this gateway leads the task: then it checks for itself
-   * @return null for none
+   * @param gateways the number of gateways, including this one
+   * @param candidates supplies the other gateways in {@link CandidateOrder}; called only if a
+   *     request is due
+   * @param leading whether this gateway leads the task; it then registers its own suspects for
+   *     checks
+   * @return the request; null if there is none to send
    */
   public ReportRequest nextReportRequest(
       long nowNanos, int gateways, Supplier<List<String>> candidates, boolean leading) {
@@ -116,30 +126,37 @@
   }
 
   /**
-   * A leader's reports. A response counts only in answer to the last request or to none, and is
-   * taken for as old as it may be.
+   * Processes a leader's reports. A response is accepted only if the reports answer the last
+   * request or are unsolicited, and its age is increased by the longest time that the reports may
+   * have travelled.
    *
-   * @param requestNanos the request that they answer; 0 for none
-   * @return the reports that count, with their ages by this clock; null where fencing refuses all
+   * @param requestNanos when the request was made that the reports answer; 0 for unsolicited
+   *     reports
+   * @return the accepted reports, with their ages at this gateway; null if fencing rejects all of
+   *     them
    */
   public Map<String, HealthReport> reportReceived(
       long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
     return requester.reportReceived(nowNanos, from, term, requestNanos, reports).orElse(null);
   }
 
-  /** The highest term seen, to be sent with a refusal. */
+  /** Returns the highest term seen, which a refusal reports. */
   public long highestTerm() {
     return requester.highestTerm();
   }
 
-  /** Whether a leader, this gateway or another, makes the health checks of this gateway. */
+  /**
+   * Returns whether a leader, this gateway or another, performs the health checks for this gateway.
+   */
   public boolean isCentralized(long nowNanos, boolean leading) {
     return leading || requester.isReportTrusted(nowNanos);
   }
 
   // ---- The leader.
 
-  /** A gateway's request: its endpoints are checked from now on. Returns what is known so far. */
+  /**
+   * Registers a gateway's request to check endpoints. Returns the last results of those endpoints.
+   */
   public Map<String, HealthReport> reportRequested(
       long nowNanos, String requestedBy, List<String> endpoints) {
     Map<String, HealthReport> reports = new TreeMap<>();
@@ -151,12 +168,18 @@
     return reports;
   }
 
-  /** The health checks to be sent now, each in flight until {@link #healthCheckEnded}. */
+  /**
+   * Starts the health checks that are due, and returns their endpoints; each check is in flight
+   * until {@link #healthCheckEnded}.
+   */
   public List<String> dueHealthChecks(long nowNanos) {
     return assignments.startDue(nowNanos);
   }
 
-  /** Another gateway has responses from these: they are not silent for all. */
+  /**
+   * Records that another gateway received responses from these endpoints, which are then reported
+   * as responsive.
+   */
   public void endpointsResponsive(long nowNanos, List<String> endpoints) {
     for (String endpoint : firstNamed(endpoints)) {
       if (assignments.respondedElsewhere(nowNanos, endpoint)) {
@@ -165,14 +188,17 @@
     }
   }
 
-  /** The outcome of a health check; pauses grow while there is no response. */
+  /**
+   * Records the outcome of a health check. The pauses between checks grow while there is no
+   * response.
+   */
   public void healthCheckEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
     if (assignments.ended(nowNanos, endpoint, outcome)) {
       broadcast.changed(nowNanos);
     }
   }
 
-  /** The reports for the {@link #broadcastRecipients} of this tick. */
+  /** Returns the reports to send to the {@link #broadcastRecipients} of this tick. */
   public Map<String, HealthReport> broadcastReport(long nowNanos) {
     Map<String, HealthReport> reports = new TreeMap<>();
     for (String endpoint : broadcast.select(assignments.forAll(nowNanos))) {
@@ -181,17 +207,17 @@
     return reports;
   }
 
-  /** Which of the gateways present are sent the report in this tick. */
+  /** Returns which of the gateways present are to be sent the report in this tick. */
   public List<String> broadcastRecipients(long nowNanos, List<String> present) {
     return broadcast.nextRecipients(nowNanos, present);
   }
 
-  /** Whether no health check is in flight: the task may be handed over. */
+  /** Returns whether no health check is in flight, so that the task may be handed over. */
   public boolean isIdle() {
     return assignments.isIdle();
   }
 
-  /** This gateway does not lead: what it knows as the leader is forgotten. */
+  /** Discards the state of the leader's side, because this gateway does not lead. */
   public void leadershipLost() {
     assignments.clear();
     broadcast.clear();
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckPauses.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckPauses.java
@@ -1,22 +1,29 @@
 package org.amberpath.leadership;
 
-/** How often reports are requested and endpoints checked, by the number of gateways. */
+/** The intervals of report requests and health checks, which depend on the number of gateways. */
 final class HealthCheckPauses {
   private static final long MS = 1_000_000;
 
-  /** The least time between two report requests of one gateway. */
+  /** The minimum time between two report requests of one gateway. */
   static final long MIN_REQUEST_INTERVAL_NANOS = 500 * MS;
 
-  /** The first pause after a check without a response; each later one is twice as long. */
+  /**
+   * The pause after a check that was not sent, and the initial value of the pause that doubles with
+   * each unanswered check.
+   */
   static final long FIRST_PAUSE_NANOS = 125 * MS;
 
-  /** What the whole fleet sends a leader, whatever its size. */
+  /** The maximum rate at which the fleet sends report requests to a leader, for any fleet size. */
   private static final int MAX_REQUESTS_PER_SECOND = 200;
 
-  /** A report is trusted, and a request valid for one more, for so many intervals. */
+  /**
+   * The number of request intervals for which a report is trusted; a request is valid for one more.
+   */
   private static final int TRUSTED_INTERVALS = 3;
 
-  /** The leader checks this many times less than all gateways would by themselves. */
+  /**
+   * The factor by which the leader sends fewer checks than all gateways together would without it.
+   */
   private static final int FEWER_CHECKS = 10;
 
   private static final long LONGEST_PAUSE_NANOS = 4000 * MS;
@@ -35,22 +42,24 @@
                 LONGEST_PAUSE_NANOS, FEWER_CHECKS * LONGEST_PAUSE_NANOS / Math.max(1, gateways)));
   }
 
-  /** Between two report requests of one gateway. */
+  /** The time between two report requests of one gateway. */
   long requestIntervalNanos() {
     return requestIntervalNanos;
   }
 
-  /** Between two checks of an endpoint that does not respond, at the most. */
+  /** The maximum time between two checks of an endpoint that does not respond. */
   long maxPauseNanos() {
     return maxPauseNanos;
   }
 
-  /** Whether a report of this age still says that a leader checks for all. */
+  /**
+   * Whether a report of this age still shows that a leader performs the checks for all gateways.
+   */
   boolean isTrusted(long reportAgeNanos) {
     return reportAgeNanos < TRUSTED_INTERVALS * requestIntervalNanos;
   }
 
-  /** Whether a request of this age still has an endpoint checked. */
+  /** Whether the leader still checks an endpoint whose last request has this age. */
   boolean isRequested(long requestAgeNanos) {
     return requestAgeNanos <= (TRUSTED_INTERVALS + 1) * requestIntervalNanos;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
@@ -5,28 +5,31 @@
 import java.util.List;
 
 /**
- * The order in which a leader reports to all gateways: {@value #MAX_RECIPIENTS_PER_TICK} a tick,
- * each once in {@value #INTERVAL_MILLIS} ms, or at once where something has changed. More endpoints
- * than fit into a message take turns from one broadcast to the next.
+ * Schedules a leader's broadcasts of reports to all gateways: {@value #MAX_RECIPIENTS_PER_TICK}
+ * recipients per tick, a broadcast every {@value #INTERVAL_MILLIS} ms, or sooner if a result has
+ * changed. If there are more endpoints than fit into a message, successive broadcasts report
+ * different ones.
  */
 final class HealthReportBroadcast {
   private static final int MAX_RECIPIENTS_PER_TICK = 20;
   private static final int INTERVAL_MILLIS = 4000;
   private static final long MS = 1_000_000;
 
-  /** A bound of the round's number, which has no other meaning. */
+  /** Round numbers wrap at this value; a round number only selects the endpoints of a broadcast. */
   private static final int MAX_ROUND = 64;
 
   private final ArrayDeque<String> recipientsLeft = new ArrayDeque<>();
   private long nextBroadcastNanos;
   private int round;
 
-  /** The next broadcast begins as soon as the current one has ended. */
+  /** Records a changed result: the next broadcast begins as soon as the current one has ended. */
   void changed(long nowNanos) {
     nextBroadcastNanos = nowNanos;
   }
 
-  /** The recipients of this tick, of all gateways present. */
+  /**
+   * Returns the recipients of this tick. Begins a broadcast to all gateways present if one is due.
+   */
   List<String> nextRecipients(long nowNanos, List<String> present) {
     if (recipientsLeft.isEmpty() && nowNanos >= nextBroadcastNanos) {
       recipientsLeft.addAll(present);
@@ -40,7 +43,7 @@
     return recipients;
   }
 
-  /** The endpoints that this broadcast reports of. */
+  /** Returns those of the given endpoints that the current broadcast reports on. */
   List<String> select(List<String> endpoints) {
     List<String> selected = new ArrayList<>();
     int count = Math.min(HealthCheckCoordinator.MAX_NAMED, endpoints.size());
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
@@ -13,22 +13,25 @@
 import org.amberpath.leadership.HealthCheckCoordinator.ReportRequest;
 
 /**
- * Every gateway's part: which endpoints it suspects, which gateway it asks to check them, and what
- * a report is worth.
+ * Each gateway's side of centralized health checks: the endpoints that it suspects, the gateway
+ * that it requests checks from, and which reports it accepts.
  *
- * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} suspects, and as many endpoints last
- * reported on; a suspect without room is checked by this gateway alone.
+ * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} suspects, and as many endpoints whose
+ * last report is stored; further suspects are checked by this gateway alone.
  */
 final class HealthReportRequester {
   private static final long MS = 1_000_000;
 
-  /** The leader is not known: so many gateways are asked in turn. */
+  /** The number of candidates that are asked in turn while the leader is not known. */
   private static final int MAX_CANDIDATES = 3;
 
-  /** The least pause after a request before a new suspect is asked for. */
+  /**
+   * The minimum pause between a request and the next one, if a new suspect brings the next one
+   * forward.
+   */
   private static final long NEW_SUSPECT_PAUSE_NANOS = 50 * MS;
 
-  /** The longest that a report without a request may have travelled. */
+  /** The longest assumed travel time of an unsolicited report. */
   private static final long MAX_TRAVEL_NANOS = 1000 * MS;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
@@ -36,7 +39,7 @@
   private final HealthCheckPauses pauses;
   private final Set<String> suspects = new TreeSet<>();
 
-  /** Whether the last report on an endpoint was of silence. */
+  /** Whether the last accepted report on an endpoint said that it is silent. */
   private final Map<String, Boolean> reportedSilent =
       new LinkedHashMap<>() {
         @Override
@@ -47,7 +50,7 @@
 
   private final FencingGuard fence = new FencingGuard();
 
-  /** Who has reported last; empty for none that is known. */
+  /** The gateway that reported last; empty if no leader is known. */
   private String leader = "";
 
   private long requestedAtNanos = NEVER_NANOS;
@@ -77,7 +80,10 @@
     return suspects;
   }
 
-  /** Whom to tell that an endpoint responds here; empty where nobody reported it silent. */
+  /**
+   * Returns the leader to notify that an endpoint responds to this gateway; empty if the last
+   * report did not call the endpoint silent, or if reports are no longer trusted.
+   */
   String responded(long nowNanos, String endpoint) {
     boolean contradicts = Boolean.TRUE.equals(reportedSilent.remove(endpoint));
     return contradicts && isReportTrusted(nowNanos) ? leader : "";
@@ -87,7 +93,7 @@
     return pauses.isTrusted(nowNanos - reportedAtNanos);
   }
 
-  /** Whether a request is due; the next one is, an interval later. */
+  /** Returns whether a request is due, and if so schedules the next one an interval later. */
   boolean tryStartRequest(long nowNanos) {
     if (suspects.isEmpty() || nowNanos < nextRequestNanos) {
       return false;
@@ -96,7 +102,10 @@
     return true;
   }
 
-  /** The request that is due: to the gateway that reported last, else to a candidate. */
+  /**
+   * Creates the request that is due, to the gateway that reported last or else to a candidate.
+   * Returns empty if there is no other gateway.
+   */
   Optional<ReportRequest> request(long nowNanos, Supplier<List<String>> candidates) {
     List<String> others = candidates.get();
     if (others.isEmpty()) {
@@ -111,7 +120,7 @@
     requestedAtNanos = nowNanos;
     lastRequestAnswered = false;
     if (!known) {
-      // Another candidate may lead.
+      // This candidate may not be the leader, so the next candidate is asked soon.
       nextRequestNanos = nowNanos + HealthCheckPauses.MIN_REQUEST_INTERVAL_NANOS / MAX_CANDIDATES;
     }
     return Optional.of(new ReportRequest(recipient, requestedAtNanos, nextSuspects()));
@@ -127,9 +136,10 @@
   }
 
   /**
-   * A report; empty where a higher term was seen.
+   * Processes reports and returns the accepted ones; empty if fencing rejects the leader's term.
    *
-   * @param requestNanos the request that it answers; 0 for none
+   * @param requestNanos when the request was made that the reports answer; 0 for unsolicited
+   *     reports
    */
   Optional<Map<String, HealthReport>> reportReceived(
       long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
@@ -147,7 +157,8 @@
       leader = from;
       reportedAtNanos = nowNanos;
     }
-    // A response that was reported is older by what the report may have travelled.
+    // The age of a reported response grows by the longest time that the report may have
+    // travelled.
     long addedAgeNanos = answersLast ? nowNanos - requestNanos : MAX_TRAVEL_NANOS;
     Map<String, HealthReport> accepted = new TreeMap<>();
     reports.forEach(
--- a/leadership/src/main/java/org/amberpath/leadership/InvalidLeadershipConfigException.java
+++ b/leadership/src/main/java/org/amberpath/leadership/InvalidLeadershipConfigException.java
@@ -1,6 +1,6 @@
 package org.amberpath.leadership;
 
-/** A configuration of leadership that its invariants can't be kept with. */
+/** Thrown for a configuration of leader election with which its invariants cannot hold. */
 public abstract sealed class InvalidLeadershipConfigException extends IllegalArgumentException {
   private static final long serialVersionUID = 1;
 
@@ -8,7 +8,7 @@
     super(message);
   }
 
-  /** Timings out of their bounds. */
+  /** Thrown for timings that are out of their bounds. */
   public static final class Timings extends InvalidLeadershipConfigException {
     private static final long serialVersionUID = 1;
 
@@ -17,7 +17,10 @@
     }
   }
 
-  /** A list of voters that is empty, even, too long, or names one twice. */
+  /**
+   * Thrown for a list of voters that is empty or too long, has an even length, or contains a
+   * duplicate.
+   */
   public static final class Voters extends InvalidLeadershipConfigException {
     private static final long serialVersionUID = 1;
 
--- a/leadership/src/main/java/org/amberpath/leadership/Leadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Leadership.java
@@ -1,25 +1,25 @@
 package org.amberpath.leadership;
 
 /**
- * Whether this process leads a named task now. Two implementations: {@link RegistryLeadership} by a
- * lease in the registry, {@link QuorumLeadership} by votes. Times are nanoseconds of this process's
- * own monotonic clock.
+ * Leader election for one named task, as one process takes part in it. It has two implementations:
+ * {@link RegistryLeadership} by a lease in the registry, {@link QuorumLeadership} by a lease from a
+ * quorum of voters. Times are nanoseconds of this process's own monotonic clock.
  *
- * <p>Whoever acts for a task calls {@link #isLeader} when it decides and again when it sends: an
- * earlier result is worth nothing, since the process may have been suspended in between.
+ * <p>Code that acts for a task calls {@link #isLeader} when it decides and again when it sends: the
+ * process may have been suspended in between, so an earlier result may be out of date.
  */
 public interface Leadership {
-  /** Where a process is on the way to leadership. The admin endpoint shows the names. */
+  /** The election state of a process. The admin endpoint shows the names of the constants. */
   enum State {
     /** Another process leads, or none does. */
     FOLLOWING,
-    /** An election that this process has started is undecided. */
+    /** This process has started an election that is undecided. */
     ASKING,
-    /** Elected; waits until what former leaders began has ended. */
+    /** Elected, but waits until the actions of former leaders have ended. */
     WAITING,
     /** Leads, and may act while its lease lasts. */
     HOLDING,
-    /** Is shutting down, and stands for no election any more. */
+    /** Shutting down, and no longer stands for election. */
     RESIGNED
   }
 
@@ -27,14 +27,15 @@
   State state();
 
   /**
-   * The term that it leads, or led last; 0 for none. It goes with every action as fencing token.
+   * The term that this process leads, or led last; 0 for none. Every action carries it as the
+   * fencing token.
    */
   long term();
 
-  /** Whether it may act for the task at this time. */
+  /** Whether this process may act for the task at this time. */
   boolean isLeader(long nowNanos);
 
-  /** When its lease ends by its own clock, if it holds one. */
+  /** When the lease of this process expires by its own clock, if it holds one. */
   long leaseExpiresAtNanos();
 
   /**
@@ -49,18 +50,30 @@
   /** When {@link #tick} is due next; {@link Long#MAX_VALUE} for never. */
   long nextTickNanos();
 
-  /** Starts elections and renewals that are due, and ends a lease whose time is over. */
+  /** Starts elections and renewals that are due, and ends a lease that has expired. */
   void tick(long nowNanos);
 
-  /** A recipient has refused this process's term for a higher one: it stands down. */
+  /**
+   * Records the term that a recipient reported when it refused this process's term. This process
+   * stands down if that term is higher than its own.
+   */
   void higherTermSeen(long nowNanos, long seenTerm);
 
-  /** The leader of a term has stopped with nothing in flight: its successor need not wait. */
+  /**
+   * Records that the leader of a term has stopped with nothing in flight, so that its successor
+   * need not wait.
+   */
   void predecessorStopped(long nowNanos, long stoppedTerm);
 
-  /** Gives the task up on an operator's request, and stands for no election for a lease. */
+  /**
+   * Gives the task up on an operator's request, and does not stand for election for one lease
+   * duration.
+   */
   void release(long nowNanos);
 
-  /** Gives the task up for good: the process is shutting down, and nothing is in flight. */
+  /**
+   * Gives the task up permanently, because the process shuts down. During a drain it is called once
+   * nothing is in flight.
+   */
   void resign(long nowNanos);
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -4,18 +4,17 @@
 import java.util.TreeMap;
 
 /**
- * A voter of the quorum, the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012), without a
- * disk: a lease that it has accepted ends by itself, so one that has restarted votes for nobody
- * until the longest lease that it may have accepted before is over, and then has nothing to
- * remember.
+ * A voter of the quorum: the acceptor of PaxosLease (Trencseni, Gazso, Reinhardt 2012). It stores
+ * nothing on disk. Accepted leases expire, so a restarted voter does not vote until the longest
+ * lease that it may have accepted before has expired, after which its lost state no longer matters.
  *
- * <p>Bounds: {@value #MAX_TASKS} tasks; messages on more get no answer. Times are nanoseconds of
- * the voter's own monotonic clock.
+ * <p>Bounds: {@value #MAX_TASKS} tasks; messages on further tasks get no answer. Times are
+ * nanoseconds of the voter's own monotonic clock.
  */
 public final class LeaseAcceptor {
   private static final int MAX_TASKS = 64;
 
-  /** What was promised and accepted for one task. */
+  /** The promise and the acceptance of a voter for one task. */
   private static final class Vote {
     private long promisedBallot;
     private String promisedTo = "";
@@ -23,12 +22,12 @@
     private String leaseHolder = "";
     private long leaseExpiresAtNanos;
 
-    /** Whether another than this candidate holds the lease. */
+    /** Whether a process other than this candidate holds the lease. */
     boolean isHeldByAnother(long nowNanos, String candidate) {
       return nowNanos < leaseExpiresAtNanos && !candidate.equals(leaseHolder);
     }
 
-    /** Whether a promise forbids to vote for this candidate's ballot. */
+    /** Whether an earlier promise forbids a vote for this candidate's ballot. */
     boolean isPromisedAgainst(long ballot, String candidate) {
       return ballot < promisedBallot || (ballot == promisedBallot && !candidate.equals(promisedTo));
     }
@@ -43,23 +42,23 @@
   private final long votesFromNanos;
   private final Map<String, Vote> votes = new TreeMap<>();
 
-  /** A voter that has just started, and remembers nothing. */
+  /** Creates a voter that has just started, and does not vote for the longest lease. */
   public LeaseAcceptor(LeaseTimings timings, long nowNanos) {
     this(timings, nowNanos, timings.longestNanos(timings.leaseNanos()));
   }
 
   /**
-   * A voter that votes for nobody at first.
+   * Creates a voter that does not vote at first.
    *
-   * @param silentNanos for how long; a model passes less than the longest lease to show what goes
-   *     wrong then
+   * @param silentNanos how long the voter does not vote; a model passes less than the longest lease
+   *     to show which invariant that violates
    */
   public LeaseAcceptor(LeaseTimings timings, long nowNanos, long silentNanos) {
     this.timings = timings;
     votesFromNanos = nowNanos + silentNanos;
   }
 
-  /** The answer to a candidate's message; null for none. */
+  /** Processes a candidate's message and returns the answer; null for none. */
   public LeaseMessage messageReceived(long nowNanos, String candidate, LeaseMessage message) {
     if (nowNanos < votesFromNanos) {
       return null;
@@ -88,8 +87,8 @@
   private static LeaseMessage prepare(
       long nowNanos, Vote vote, String candidate, LeaseMessage message) {
     if (vote.isHeldByAnother(nowNanos, candidate)) {
-      // No promise is made. Guards a leader against candidates whose higher ballots would have its
-      // lease renewal refused.
+      // No promise is made. Guards against candidates with higher ballots, because of
+      // which the voter would refuse the leader's lease renewal.
       return answer(LeaseMessage.Kind.PROMISE, message, vote.leaseExpiresAtNanos - nowNanos);
     }
     if (vote.isPromisedAgainst(message.ballot(), candidate)) {
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
@@ -1,19 +1,21 @@
 package org.amberpath.leadership;
 
 /**
- * One message between a candidate and a voter, on one task.
+ * A message between a candidate and a voter about one task.
  *
  * @param ballot the candidate's ballot number
  * @param other of PROPOSE and ACCEPTED: the number of the accept round under that ballot; of
- *     PROMISE: for how many nanoseconds another still holds the lease, 0 for none; of REFUSED: the
- *     ballot that the voter has promised
- * @param last of PROMISE: the ballot that this voter accepted last, 0 for none that it remembers
+ *     PROMISE: the nanoseconds left of another process's lease, 0 for none; of REFUSED: the ballot
+ *     that the voter has promised
+ * @param last of PROMISE: the ballot that this voter accepted last, 0 if it has no record of one
  */
 public record LeaseMessage(Kind kind, String task, long ballot, long other, long last) {
-  /** The highest valid ballot. A higher one, which would leave none above it, is not decoded. */
+  /**
+   * The highest valid ballot. Higher ones are not decoded, because no candidate could outbid them.
+   */
   public static final long HIGHEST = 1L << 62;
 
-  /** A message that names no ballot accepted before. */
+  /** Creates a message without a previously accepted ballot. */
   public LeaseMessage(Kind kind, String task, long ballot, long other) {
     this(kind, task, ballot, other, 0);
   }
@@ -22,15 +24,15 @@
   public enum Kind {
     /** From a candidate: asks for a promise to accept no lower ballot. */
     PREPARE,
-    /** From a voter: it has promised, or another still holds the lease. */
+    /** From a voter: it has promised, or another process still holds the lease. */
     PROMISE,
     /** From a candidate or leader: asks to accept its lease under this ballot. */
     PROPOSE,
-    /** From a voter: it has accepted, and keeps the lease from now on. */
+    /** From a voter: it has accepted the lease, which lasts from now on at the voter. */
     ACCEPTED,
     /** From a voter: it has promised a higher ballot. */
     REFUSED,
-    /** From a leader: it gives up the lease that was accepted. */
+    /** From a leader: it gives up its accepted lease. */
     RELEASE
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
@@ -1,13 +1,14 @@
 package org.amberpath.leadership;
 
 /**
- * Timings that all leaders, candidates and voters of an installation agree on. Clocks need not show
- * the same time, only run at nearly the same speed.
+ * Timings that all leaders, candidates and voters of an installation agree on. Clocks need not be
+ * synchronized, but must run at nearly the same rate.
  *
  * @param leaseNanos how long leadership lasts without a lease renewal
- * @param settleNanos how long a new leader waits before it acts, so that what former leaders began
- *     has ended: the longest action, and the longest that a message of the last moment travels
- * @param driftPpm by how many millionths a clock may run fast or slow
+ * @param settleNanos how long a new leader waits before it acts, so that the actions of former
+ *     leaders have ended: the longest duration of an action plus the longest travel time of a
+ *     message
+ * @param driftPpm the maximum drift of a clock in parts per million, fast or slow
  */
 public record LeaseTimings(long leaseNanos, long settleNanos, int driftPpm) {
   private static final long MILLION = 1_000_000;
@@ -15,7 +16,7 @@
   /**
    * Checks the bounds that the invariants depend on.
    *
-   * @throws InvalidLeadershipConfigException.Timings if one is out of them
+   * @throws InvalidLeadershipConfigException.Timings if a timing is out of its bounds
    */
   public LeaseTimings {
     if (leaseNanos < MILLION || settleNanos < 0 || driftPpm < 0 || driftPpm > MILLION / 20) {
--- a/leadership/src/main/java/org/amberpath/leadership/ObservedKey.java
+++ b/leadership/src/main/java/org/amberpath/leadership/ObservedKey.java
@@ -1,18 +1,26 @@
 package org.amberpath.leadership;
 
-/** What is known of a task's key in the registry, and of the terms it has held. */
+/** The last known state of a task's key in the registry, and the terms that were used. */
 final class ObservedKey {
   private long term;
   private long revision;
   private boolean vacant;
 
-  /** The term before the current one; what its leader began has to end first. */
+  /**
+   * The term before the current one, whose leader's actions have to end before the current leader
+   * acts.
+   */
   private long previousTerm;
 
-  /** Terms up to here were used, whatever a restored registry says. */
+  /**
+   * The highest term known to be used; a registry that was restored from a backup may hold a lower
+   * one.
+   */
   private long highestUsedTerm;
 
-  /** Takes a state of the key; false for one that is older than what is known. */
+  /**
+   * Applies an observed state of the key. Returns false if the state is older than the known one.
+   */
   boolean update(long observedTerm, boolean held, long observedRevision) {
     if (observedTerm < term) {
       return false;
@@ -26,7 +34,7 @@
     return true;
   }
 
-  /** This process holds the key now, under this term. */
+  /** Records that this process holds the key under this term. */
   void taken(long ownTerm) {
     if (ownTerm != term) {
       previousTerm = term;
@@ -35,7 +43,10 @@
     vacant = false;
   }
 
-  /** The registry went back to an older state: its terms count anew, and are skipped. */
+  /**
+   * Records that the registry was restored to an older state: its lower terms are accepted again,
+   * but {@link #nextTerm} stays above all used ones.
+   */
   void restored() {
     termUsed(term);
     term = 0;
--- a/leadership/src/main/java/org/amberpath/leadership/PrepareRound.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PrepareRound.java
@@ -3,15 +3,21 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** The prepare round of one ballot: who has promised, and which ballot was accepted before. */
+/**
+ * The prepare round of one ballot: the voters that have promised, and the highest ballot that they
+ * accepted before.
+ */
 final class PrepareRound {
   private final Set<String> promises = new TreeSet<>();
   private long lastAcceptedBallot;
 
-  /** Whether a voter remembers no ballot that it accepted: then the last leader is uncertain. */
+  /**
+   * Whether a voter that promised has no record of an accepted ballot, so that the last leader is
+   * uncertain.
+   */
   private boolean lastLeaderUncertain;
 
-  /** Counts a voter's promise; false if it is counted already. */
+  /** Records a voter's promise. Returns false if the promise is already recorded. */
   boolean addPromise(String voter, long acceptedBefore) {
     if (!promises.add(voter)) {
       return false;
@@ -25,14 +31,15 @@
     return promises;
   }
 
-  /** Forgets the promises, but not what they said of the last leader. */
+  /** Clears the promises, but keeps what they reported about the last leader. */
   void clearPromises() {
     promises.clear();
   }
 
   /**
-   * Whether the leader of this term is the last that was elected. Guards against a report of an
-   * older leader than the last, and against a voter that has forgotten who was the last.
+   * Returns whether the leader of this term is the last that was elected. Guards against a stop
+   * notice of an earlier leader, and against a voter that lost its record of the last one in a
+   * restart.
    */
   boolean isLastLeader(long term) {
     return term > 0 && term == lastAcceptedBallot && !lastLeaderUncertain;
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -8,9 +8,10 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * The task of deleting purges past their retention from the registry: which, and when to look.
+ * The task of deleting purges past their retention from the registry: decides when to sweep the
+ * registry, and which purges to delete.
  *
- * <p>Bounds: {@value #MAX_DELETED} keys at a time; one remembered entry for each purge in the
+ * <p>Bounds: {@value #MAX_DELETED} deleted keys per sweep; one tracked entry for each purge in the
  * registry.
  */
 public final class PurgeRetention {
@@ -20,10 +21,10 @@
   private static final int MAX_DELETED = 31;
   private static final long MS = 1_000_000;
 
-  /** By how much a wall clock may be wrong, to either side. */
+  /** The maximum error of a wall clock in either direction. */
   private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
-  /** A key as it was last written, and since when this process knows it. */
+  /** The revision at which a key was last written, and when this process first observed it. */
   private record Observed(long revision, long sinceNanos) {}
 
   private final long retentionNanos;
@@ -33,41 +34,45 @@
   private boolean sweeping;
 
   /**
-   * A task that has not looked yet.
+   * Creates a task that has not swept yet.
    *
-   * @param retentionNanos how long a purge stays in the registry
-   * @param intervalNanos between two looks
+   * @param retentionNanos the retention of a purge in the registry
+   * @param intervalNanos the time between two sweeps
    */
   public PurgeRetention(long retentionNanos, long intervalNanos) {
     this.retentionNanos = retentionNanos;
     this.intervalNanos = intervalNanos;
   }
 
-  /** Whether it is time to look, and no sweep is under way. */
+  /** Returns whether a sweep is due, and none is in progress. */
   public boolean isDue(long nowNanos) {
     return !sweeping && nowNanos >= nextSweepNanos;
   }
 
-  /** A sweep is under way until {@link #sweepEnded}. */
+  /** Records that a sweep has started; it is in progress until {@link #sweepEnded}. */
   public void sweepStarted() {
     sweeping = true;
   }
 
-  /** A sweep has ended; the next is due at once where this one has deleted all that it may. */
+  /**
+   * Records that a sweep has ended. The next is due at once if this one reached the bound of
+   * {@value #MAX_DELETED} deleted keys.
+   */
   public void sweepEnded(long nowNanos, int deleted) {
     sweeping = false;
     nextSweepNanos = deleted == MAX_DELETED ? nowNanos : nowNanos + intervalNanos;
   }
 
   /**
-   * The purges that may be deleted, the oldest first: those that this process has known for longer
-   * than the retention, and those whose timestamp says so even if the wall clocks of writer and
-   * reader are wrong in opposite directions. Guards against deleting a purge that gateways have not
-   * seen yet; a new leader need not wait for the retention again.
+   * Returns the purges that may be deleted, the oldest first: those that this process has observed
+   * for longer than the retention, and those whose timestamp is past the retention even if the wall
+   * clocks of writer and reader are wrong in opposite directions. Guards against deleting a purge
+   * that gateways have not seen yet. By the timestamps a new leader need not wait for the retention
+   * again.
    *
-   * @param entries all that the registry holds
-   * @param nowNanos when they were read, by the monotonic clock
-   * @param wallMillis the wall clock then
+   * @param entries all entries of the registry
+   * @param nowNanos when the entries were read, by the monotonic clock
+   * @param wallMillis when the entries were read, by the wall clock
    */
   public List<RegistryEntry> expiredPurges(
       List<RegistryEntry> entries, long nowNanos, long wallMillis) {
@@ -96,9 +101,9 @@
   }
 
   /**
-   * The task's key, which holds the term that deletions are fenced by.
+   * Returns the task's key, whose term fences the deletions.
    *
-   * @return null where the registry has none
+   * @return the entry; null if the registry has none
    */
   public static RegistryEntry findFence(List<RegistryEntry> entries, String key) {
     return entries.stream()
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -3,30 +3,33 @@
 import java.util.SplittableRandom;
 
 /**
- * Leadership of a task by a quorum of configured voters, without a registry or disks: the proposer
- * of PaxosLease. A candidate chooses a ballot above all that it knows and asks for promises
- * (prepare round); once a quorum has promised, it proposes its lease (accept round). A lease that a
- * quorum accepts counts from when it was proposed, and ends before the voters' own time for it. A
- * lease renewal is another accept round under the same ballot.
+ * Leader election by a quorum of configured voters, without a registry or disks: the proposer of
+ * PaxosLease. A candidate chooses a ballot above all that it knows and asks for promises (prepare
+ * round); once a quorum has promised, it proposes its lease (accept round). A lease that a quorum
+ * accepts lasts from when it was proposed, and expires before it does at the voters. A lease
+ * renewal is another accept round under the same ballot.
  *
- * <p>The term is the ballot. It begins with the candidate's wall clock in milliseconds, so that it
- * rises also over a restart of all voters; where a clock was set back, recipients refuse the term
- * and report what they have seen (fencing), and the next ballot is above that.
+ * <p>The term is the ballot. It is at least the candidate's wall clock in milliseconds, so that it
+ * also rises over a restart of all voters. If a clock was set back, recipients refuse the term and
+ * report the highest that they have seen (fencing), and the next ballot is above that.
  */
 public class QuorumLeadership implements Leadership {
-  /** Sends messages to voters; they may be lost, late or duplicated. */
+  /** Sends messages to voters; messages may be lost, delayed or duplicated. */
   public interface Transport {
     /** Sends a message to a voter, which may be this process itself. */
     void send(String voter, LeaseMessage message);
   }
 
-  /** A lease ends this part of it before its time, and elections are spread over as much. */
+  /**
+   * A lease expires early by the lease duration divided by this; elections are spread at random
+   * over the same time.
+   */
   private static final int MARGIN_DIVISOR = 8;
 
-  /** A candidate gives an election up after this part of a lease. */
+  /** A candidate gives an election up after the lease duration divided by this. */
   private static final int ELECTION_TIMEOUT_DIVISOR = 4;
 
-  /** A leader renews its lease after this part of it. */
+  /** A leader renews its lease after the lease duration divided by this. */
   private static final int RENEWAL_DIVISOR = 3;
 
   private static final int MAX_POSITION = 4;
@@ -56,9 +59,9 @@
   private int position;
 
   /**
-   * A process that follows, and stands for election unless it learns of a leader.
+   * Creates a process that follows, and stands for election unless it learns of a leader.
    *
-   * @param seed of the random delays that keep candidates apart
+   * @param seed the seed of the random delays that keep candidates from standing at the same time
    */
   public QuorumLeadership(
       LeaseTimings timings,
@@ -96,7 +99,7 @@
     return leaseExpiresAtNanos;
   }
 
-  /** Counts quorums by another configuration of voters from now on; open rounds are void. */
+  /** Replaces the configuration of voters. Open rounds are discarded. */
   public void updateVoters(VoterConfiguration next) {
     voters = next;
     prepare.clearPromises();
@@ -106,12 +109,15 @@
     }
   }
 
-  /** Sets the wall clock, in milliseconds, that the next ballot begins with at the least. */
+  /** Sets the wall clock, in milliseconds, which is the least value of the next ballot. */
   public void wallClockRead(long millis) {
     wallClockMillis = millis;
   }
 
-  /** Sets this process's place in {@link CandidateOrder}: the first stand for election first. */
+  /**
+   * Sets this process's place in {@link CandidateOrder}: a process with a lower place stands for
+   * election sooner.
+   */
   public void place(int place) {
     position = Math.min(place, MAX_POSITION);
   }
@@ -135,7 +141,7 @@
       nextAttemptNanos = nowNanos + electionDelayNanos();
     } else if (phase.isCandidate()
         && nowNanos - roundStartedNanos >= timings.leaseNanos() / ELECTION_TIMEOUT_DIVISOR) {
-      // Guards against candidates that outbid one another for ever.
+      // Guards against candidates that outbid one another indefinitely.
       enter(QuorumPhase.FOLLOWING);
       nextAttemptNanos = nowNanos + random.nextLong(timings.leaseNanos() / 2);
     }
@@ -152,7 +158,7 @@
     }
   }
 
-  /** The one place where the phase changes. */
+  /** Changes the phase; nothing else assigns it. */
   private void enter(QuorumPhase next) {
     phase = next;
   }
@@ -182,7 +188,10 @@
     return position * marginNanos + random.nextLong(marginNanos);
   }
 
-  /** A voter's answer; late, duplicate and foreign ones change nothing. */
+  /**
+   * Processes a voter's answer. Late or duplicate answers and those of processes that are not
+   * voters have no effect, except that a refusal always raises the highest ballot seen.
+   */
   public void responseReceived(long nowNanos, String voter, LeaseMessage response) {
     if (response.kind() == LeaseMessage.Kind.REFUSED) {
       highestBallotSeen = Math.max(highestBallotSeen, response.other());
@@ -202,7 +211,8 @@
 
   private void promised(long nowNanos, String voter, LeaseMessage response) {
     if (response.other() > 0) {
-      // Another holds the lease: the next election is due when that may have ended.
+      // Another process holds the lease: the next election is due when that lease may
+      // have expired.
       nextAttemptNanos =
           Math.max(nextAttemptNanos, nowNanos + response.other() + electionDelayNanos());
     } else if (prepare.addPromise(voter, response.last())
@@ -212,7 +222,10 @@
     }
   }
 
-  /** A quorum has accepted the open round: an election is won, or the lease renewed. */
+  /**
+   * Handles the acceptance of the open round by a quorum: the election is won, or the lease
+   * renewed.
+   */
   private void accepted(long nowNanos) {
     accept.close();
     long expiresAtNanos =
@@ -230,7 +243,8 @@
                     : timings.longestNanos(timings.settleNanos()));
         leaseExtended(expiresAtNanos);
       } else {
-        enter(QuorumPhase.PREPARING); // Too late; another promise may still begin the next round.
+        // Too late; another promise may still start a new accept round.
+        enter(QuorumPhase.PREPARING);
       }
     } else if (phase.hasLease() && nowNanos < leaseExpiresAtNanos) {
       leaseExtended(expiresAtNanos);
@@ -244,9 +258,9 @@
   }
 
   /**
-   * When the lease of an accepted round begins: when it was proposed, since voters count from
-   * later. From any later time two processes could hold a lease at once, which a model overrides
-   * this to show.
+   * Returns when the lease of an accepted round begins: when it was proposed, because the voters'
+   * leases begin later. If it began any later, two processes could hold a lease at once; a model
+   * overrides this method to show that.
    */
   protected long leaseStartNanos(long proposedAtNanos, long acceptedAtNanos) {
     return proposedAtNanos;
@@ -269,7 +283,8 @@
       settledAtNanos = Math.min(settledAtNanos, nowNanos);
       tick(nowNanos);
     } else if (phase == QuorumPhase.FOLLOWING && stoppedTerm >= highestBallotSeen) {
-      // Nobody leads: the first in order need not wait for the lease that it was told of before.
+      // Nobody leads: candidates need not wait for the lease that voters reported
+      // before.
       nextAttemptNanos =
           Math.min(nextAttemptNanos, nowNanos + electionDelayNanos() / HANDOVER_DELAY_DIVISOR);
     }
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumPhase.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumPhase.java
@@ -1,22 +1,21 @@
 package org.amberpath.leadership;
 
 /**
- * Where a process is in the election of {@link QuorumLeadership}. On the way to leadership the
- * phases follow one another; from each the process may fall back to FOLLOWING, and RESIGNED is
- * final.
+ * The phase of a process in the election of {@link QuorumLeadership}. The phases up to HOLDING
+ * follow one another; from each the process may return to FOLLOWING, and RESIGNED is final.
  */
 enum QuorumPhase {
-  /** No election of this process is under way. */
+  /** This process has no election in progress. */
   FOLLOWING(Leadership.State.FOLLOWING),
   /** The prepare round of a ballot is open. */
   PREPARING(Leadership.State.ASKING),
   /** A quorum has promised; the accept round is open. */
   PROPOSING(Leadership.State.ASKING),
-  /** A quorum has accepted; what former leaders began runs out. */
+  /** A quorum has accepted the lease; the actions of former leaders may not have ended yet. */
   WAITING(Leadership.State.WAITING),
-  /** Leads while its lease, which accept rounds renew, lasts. */
+  /** Leads until its lease expires; accept rounds renew the lease. */
   HOLDING(Leadership.State.HOLDING),
-  /** Stands for no election any more. */
+  /** No longer stands for election. */
   RESIGNED(Leadership.State.RESIGNED);
 
   private final Leadership.State state;
@@ -25,7 +24,7 @@
     this.state = state;
   }
 
-  /** What others see of it. */
+  /** The state that callers of {@link Leadership#state} see. */
   Leadership.State state() {
     return state;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -3,47 +3,50 @@
 import java.util.SplittableRandom;
 
 /**
- * Leadership of a task by a lease in the registry. Each term is one above the last in the task's
- * key, which is taken by compare-and-set, or more where a recipient has seen a higher one
- * (fencing): a registry that was restored from a backup has lower terms.
+ * Leader election by a lease in the registry. A candidate writes the task's key by compare-and-set.
+ * Its term is one above the last in the key, or above a higher term that a recipient has seen
+ * (fencing), because a registry that was restored from a backup holds lower terms.
  *
- * <p>A lease counts from when it was requested, and each lease renewal likewise, so by the leader's
- * clock it ends before the registry lets another process win the key.
+ * <p>A lease lasts from when it or its renewal was requested, so that by the leader's clock it
+ * expires before the registry lets another process win the key.
  */
 public final class RegistryLeadership implements Leadership {
-  /** What the runtime does at the registry on behalf of this class. */
+  /** The registry operations that the runtime performs for this class. */
   public interface Commands {
     /**
-     * Takes a lease, and with it the task's key. Ends in {@link #campaignWon} or {@link
+     * Requests a lease, and with it the task's key. Completes with {@link #campaignWon} or {@link
      * #leaseLost}.
      *
-     * @param term to be written to the key
-     * @param revision at which the key must still be; 0 for a key that does not exist
+     * @param term the term to write to the key
+     * @param revision the revision that the key must still have; 0 for a key that does not exist
      */
     void campaign(long term, long revision);
 
     /**
-     * Renews the lease. Ends in {@link #leaseRenewed}, {@link #leaseLost} or {@link
+     * Renews the lease. Completes with {@link #leaseRenewed}, {@link #leaseLost} or {@link
      * #renewalUnanswered}.
      *
-     * @param requestedAtNanos comes back with the result
+     * @param requestedAtNanos when the renewal was requested; passed back with the result
      */
     void keepAlive(long requestedAtNanos);
 
-    /** Gives the lease up, and the key with it. */
+    /** Revokes the lease, which removes the key that is attached to it. */
     void resign();
   }
 
-  /** A lease ends this part of it before its time, and elections are spread over as much. */
+  /**
+   * A lease expires early by the lease duration divided by this; campaigns are spread at random
+   * over the same time.
+   */
   private static final int MARGIN_DIVISOR = 8;
 
-  /** A lost election is repeated after this part of a lease. */
+  /** A lost campaign is repeated after the lease duration divided by this. */
   private static final int CAMPAIGN_RETRY_DIVISOR = 2;
 
-  /** A lease is renewed after this part of it. */
+  /** A lease is renewed after the lease duration divided by this. */
   private static final int RENEWAL_DIVISOR = 3;
 
-  /** An unanswered renewal is repeated after this part of a lease. */
+  /** An unanswered renewal is repeated after the lease duration divided by this. */
   private static final int RENEWAL_RETRY_DIVISOR = 16;
 
   private final LeaseTimings timings;
@@ -57,7 +60,7 @@
   private long campaignTerm;
   private long highestStoppedTerm;
 
-  /** When the campaign or renewal that is in flight, or was last, was requested. */
+  /** When the campaign or renewal in flight, or else the last one, was requested. */
   private long requestedAtNanos;
 
   private boolean renewalInFlight;
@@ -67,9 +70,10 @@
   private long nextRenewalNanos;
 
   /**
-   * A process that follows.
+   * Creates a process that follows.
    *
-   * @param seed of the random delays that keep candidates apart
+   * @param seed the seed of the random delays that keep candidates from campaigning at the same
+   *     time
    */
   public RegistryLeadership(LeaseTimings timings, Commands commands, long seed) {
     this.timings = timings;
@@ -90,33 +94,37 @@
   }
 
   /**
-   * The task's key was read.
+   * Applies a state of the task's key that was read from the registry.
    *
-   * @param observedTerm the last term taken
+   * @param observedTerm the term in the key
    * @param held whether a process holds the key
-   * @param revision at which it was last written
+   * @param revision the revision at which the key was last written
    */
   public void keyObserved(long nowNanos, long observedTerm, boolean held, long revision) {
     boolean wasVacant = key.isVacant();
     if (!key.update(observedTerm, held, revision)) {
       return;
     }
-    // The watch may report this process's own campaign before its answer arrives.
+    // The observed key may show this process's own campaign before its answer arrives.
     boolean maybeOwn = state == State.ASKING && observedTerm == campaignTerm;
     if (held && observedTerm > term && state != State.RESIGNED && !maybeOwn) {
       enter(State.FOLLOWING);
     }
     if (!held && !wasVacant) {
-      // Guards against candidates that all campaign in the same moment.
+      // Guards against candidates that all campaign at the same time.
       nextCampaignNanos = Math.max(nextCampaignNanos, nowNanos + random.nextLong(marginNanos));
     }
     tick(nowNanos);
   }
 
-  /** The registry went back to an older state: its key counts anew, and terms go on above. */
+  /**
+   * Records that the registry was restored to an older state: lower terms of its key are accepted
+   * again, and the next term is above all used ones.
+   */
   public void registryRestored() {
     key.restored();
-    // Terms are taken again: one that was reported as stopped may be another's (model, seed 2414).
+    // Terms may be used twice: a stopped term may now be another leader's (model, seed
+    // 2414).
     highestStoppedTerm = 0;
   }
 
@@ -148,7 +156,7 @@
     }
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; nothing else assigns it. */
   private void enter(State next) {
     state = next;
   }
@@ -157,7 +165,7 @@
     return state == State.WAITING || state == State.HOLDING;
   }
 
-  /** A campaign was won: the key is this process's under this term. */
+  /** Handles a won campaign: this process holds the key under this term. */
   public void campaignWon(long nowNanos, long wonTerm) {
     if (state != State.ASKING) {
       return;
@@ -184,7 +192,7 @@
     }
   }
 
-  /** A campaign was lost, or a renewal refused: another process may lead. */
+  /** Handles a lost campaign or a refused renewal: another process may lead. */
   public void leaseLost(long nowNanos) {
     if (state != State.RESIGNED) {
       enter(State.FOLLOWING);
@@ -194,10 +202,10 @@
   }
 
   /**
-   * The registry has renewed the lease.
+   * Handles a renewal of the lease by the registry.
    *
-   * @param requestedNanos when that was requested; an answer to an older request than the last
-   *     leaves the last in flight
+   * @param requestedNanos when the renewal was requested; the answer to an older request leaves the
+   *     last request in flight
    */
   public void leaseRenewed(long nowNanos, long requestedNanos) {
     if (hasLease()) {
@@ -208,14 +216,17 @@
     tick(nowNanos);
   }
 
-  /** A renewal got no answer: it is repeated while there is time. */
+  /** Handles an unanswered renewal: it is repeated until the lease expires. */
   public void renewalUnanswered(long nowNanos) {
     renewalInFlight = false;
     nextRenewalNanos = nowNanos + leaseNanos / RENEWAL_RETRY_DIVISOR;
     tick(nowNanos);
   }
 
-  /** Counts a lease from its request, with the slowest registry clock that the drift allows. */
+  /**
+   * Extends the lease, from its request, by the shortest time that it lasts at the registry with
+   * the allowed clock drift, less the margin.
+   */
   private void extendLease(long requestedNanos) {
     leaseExpiresAtNanos =
         Math.max(
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -6,12 +6,12 @@
 import java.util.TreeSet;
 
 /**
- * The voters by name, as operators configure them: never derived from the members present. While
- * one list replaces another, a quorum is a majority of each, so that two quorums of adjacent stages
- * always have a voter in common.
+ * The names of the voters, as operators configure them; they are never derived from the members
+ * present. While one list replaces another, a quorum is a majority of each list, so that two
+ * quorums of adjacent stages always have a voter in common.
  *
  * @param current the voters
- * @param next the voters that replace them; empty while nothing changes
+ * @param next the voters that replace them; empty while no change is in progress
  */
 public record VoterConfiguration(List<String> current, List<String> next) {
   private static final int MAX_VOTERS = 9;
@@ -19,7 +19,8 @@
   /**
    * Checks both lists.
    *
-   * @throws InvalidLeadershipConfigException.Voters if one is even, too long, or names one twice
+   * @throws InvalidLeadershipConfigException.Voters if a list has an even length, is too long or
+   *     contains a duplicate, or if there are no current voters
    */
   public VoterConfiguration {
     current = List.copyOf(current);
@@ -37,14 +38,14 @@
     }
   }
 
-  /** Voters of these names, with no change under way. */
+  /** Creates a configuration of these voters, with no change in progress. */
   public static VoterConfiguration of(String... names) {
     return new VoterConfiguration(List.of(names), List.of());
   }
 
   /**
-   * Whether this is an adjacent stage of another: every quorum of one has a voter in common with
-   * every quorum of the other.
+   * Returns whether this configuration and another are adjacent stages of a change: every quorum of
+   * one has a voter in common with every quorum of the other.
    */
   public boolean follows(VoterConfiguration other) {
     return (current.equals(other.current) && (next.isEmpty() || other.next.isEmpty()))
@@ -52,14 +53,14 @@
         || (other.next.isEmpty() && next.equals(other.current));
   }
 
-  /** The voters of both lists, sorted by name. */
+  /** Returns the voters of both lists, sorted by name. */
   public Set<String> allVoters() {
     Set<String> all = new TreeSet<>(current);
     all.addAll(next);
     return all;
   }
 
-  /** Whether these voters are a quorum: a majority of each list. */
+  /** Returns whether these voters are a quorum: a majority of each list. */
   public boolean isMajority(Collection<String> voters) {
     return isMajority(current, voters) && (next.isEmpty() || isMajority(next, voters));
   }
