--- a/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/CachePrefetchTask.java
@@ -6,7 +6,7 @@
 import org.amberpath.leadership.Leadership;
 import org.amberpath.membership.runtime.MembershipService;
 
-/** Makes the leader's prefetch requests to endpoints that are warming up. */
+/** Sends the leader's prefetch requests to endpoints that are in slow start. */
 final class CachePrefetchTask implements TaskRunner {
   private final MembershipService membership;
   private final CachePrefetch prefetch = new CachePrefetch();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -14,14 +14,18 @@
 import org.amberpath.membership.runtime.MembershipService;
 import org.amberpath.routing.EndpointHealthStatus;
 
-/** Makes the leader's health checks, and carries requests and reports between gateways. */
+/**
+ * Sends the leader's health checks, and exchanges report requests and reports with other gateways.
+ */
 final class HealthCheckTask implements TaskRunner {
   private static final String TASK = HealthCheckCoordinator.TASK;
 
   private final MembershipService membership;
   private final HealthCheckCoordinator coordinator = new HealthCheckCoordinator();
 
-  /** How long a health check may take: it has ended before another gateway may lead. */
+  /**
+   * The time-out of a health check, which is sent only if it ends before another gateway may lead.
+   */
   private final long checkTimeoutNanos;
 
   private boolean centralized;
@@ -46,7 +50,10 @@
     return coordinator.isIdle();
   }
 
-  /** The router's opinion of an endpoint has changed, or a suspect one has responded. */
+  /**
+   * Handles a change of the router's health status of an endpoint, or a response of a suspect
+   * endpoint.
+   */
   void endpointHealthChanged(long nowNanos, String endpoint, EndpointHealthStatus status) {
     if (!HealthReportCodec.isValidName(endpoint)) {
       return;
@@ -136,8 +143,8 @@
   }
 
   /**
-   * Sends a health check; false where none was sent. Leadership is checked again in this moment, so
-   * that a check has ended, at the endpoint too, before another gateway may lead.
+   * Sends a health check; returns false if none was sent. Leadership is checked again here, so that
+   * the check ends, also at the endpoint, before another gateway may lead.
    */
   private boolean sendCheck(String endpoint, Leadership leadership) {
     return leadership.isLeaderFor(membership.nowNanos(), checkTimeoutNanos)
@@ -159,7 +166,7 @@
         });
   }
 
-  /** A message of this task from another gateway. */
+  /** Handles a message of this task from another gateway. */
   void messageReceived(long nowNanos, String from, TaskMessage message, Leadership leadership) {
     switch (message.kind()) {
       case REQUEST -> {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthReportCodec.java
@@ -11,8 +11,11 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** A {@link TaskMessage} as bytes: MessagePack values one after another, the version first. */
-@SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
+/**
+ * Encodes and decodes a {@link TaskMessage} as a sequence of MessagePack values that starts with
+ * the version.
+ */
+@SuppressWarnings("EnumOrdinal") // Kinds are encoded by their ordinals.
 final class HealthReportCodec {
   /** Differs from the version of lease messages, so that neither is decoded as the other. */
   private static final int VERSION = 101;
@@ -49,7 +52,7 @@
     }
   }
 
-  /** The message in these bytes; empty where there is none of this version, or an invalid one. */
+  /** Decodes a message. Returns empty if the bytes are of another version or invalid. */
   static Optional<TaskMessage> decode(byte[] bytes) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       int version = unpacker.unpackInt();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -16,15 +16,18 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Stands for election to the configured tasks, by votes ({@link QuorumVoting}) or by leases in the
- * registry ({@link RegistryLeaseClient}), and runs those that it leads. At most three tasks. Called
- * on the gateway's event loop.
+ * Stands for election to the configured tasks, by a quorum of voters ({@link QuorumVoting}) or by
+ * leases in the registry ({@link RegistryLeaseClient}), and runs the tasks that this gateway leads.
+ * There are at most three tasks. All methods are called on the gateway's event loop.
  */
 public final class LeadershipService implements FleetMessageHandler {
-  /** So many candidates, the first in order, are told that a leader has stopped. */
+  /** The number of candidates, the first in order, that a leader notifies when it has stopped. */
   private static final int MAX_SUCCESSORS = 4;
 
-  /** What a message may travel; a new leader's wait, less this, is how long an action may take. */
+  /**
+   * The longest travel time of a message. An action may take as long as a new leader waits, less
+   * this.
+   */
   private static final long MESSAGE_TRAVEL_NANOS = 100_000_000;
 
   private final Vertx vertx;
@@ -32,15 +35,17 @@
   private final MembershipService membership;
   private final Map<String, OwnedTask> tasks = new LinkedHashMap<>();
 
-  /** One of these is set once the membership has started, by which decides. */
+  /** Set once membership has started, if a quorum of voters elects the leaders. */
   private Optional<QuorumVoting> voting = Optional.empty();
 
+  /** Set once membership has started, if leases in the registry elect the leaders. */
   private Optional<RegistryLeaseClient> leases = Optional.empty();
+
   private Optional<HealthCheckTask> healthChecks = Optional.empty();
   private Optional<CachePrefetchTask> prefetch = Optional.empty();
   private boolean draining;
 
-  /** A service that begins with {@link #membershipStarted}. */
+  /** Creates a service that starts its tasks in {@link #membershipStarted}. */
   public LeadershipService(Vertx vertx, LeadershipSettings settings, MembershipService membership) {
     this.vertx = vertx;
     this.settings = settings;
@@ -119,7 +124,7 @@
     }
   }
 
-  // ---- The gateway's events.
+  // ---- Gateway events.
 
   @Override
   public void tick(long nowNanos) {
@@ -161,7 +166,9 @@
     tasks.values().forEach(task -> handOver(nowNanos, task));
   }
 
-  /** Resigns from a task once nothing of it is in flight, and tells the next in order. */
+  /**
+   * Resigns from a task once nothing of it is in flight, and notifies the next candidates in order.
+   */
   private void handOver(long nowNanos, OwnedTask task) {
     Leadership leadership = task.leadership();
     if (leadership.state() == Leadership.State.RESIGNED || !task.runner().isIdle()) {
@@ -180,7 +187,7 @@
     task.logTransition();
   }
 
-  // ---- The operators' requests.
+  // ---- Admin requests.
 
   @Override
   public JsonObject status(long nowNanos) {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipSettings.java
@@ -8,14 +8,16 @@
 /**
  * The settings of the section {@code [owner]}.
  *
- * @param voters the configured voters, by gateway name; null where leases in the registry decide
- * @param reloadVoters reads the voters anew; it is called off the event loop
- * @param leaseRegistry the registry whose leases decide; null where voters do
- * @param timings of leases, whichever decides
- * @param purgeRegistry where purges past their retention are deleted; null for nowhere
- * @param purgeSweepIntervalNanos between two looks for such purges
- * @param healthChecks whether one gateway health-checks ejected endpoints for all
- * @param prefetch whether one gateway prefetches into endpoints that are warming up
+ * @param voters the configured voters, by gateway name; null if leases in the registry elect the
+ *     leaders
+ * @param reloadVoters reads the configured voters again; called off the event loop
+ * @param leaseRegistry the registry whose leases elect the leaders; null if voters do
+ * @param timings the timings of leases, for either kind of election
+ * @param purgeRegistry the registry in which purges past their retention are deleted; null to
+ *     delete none
+ * @param purgeSweepIntervalNanos the time between two sweeps for such purges
+ * @param healthChecks whether one gateway health-checks ejected endpoints for all gateways
+ * @param prefetch whether one gateway prefetches objects into endpoints that are in slow start
  */
 public record LeadershipSettings(
     VoterConfiguration voters,
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -9,10 +9,13 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** A {@link LeaseMessage} as bytes: MessagePack values one after another, the version first. */
-@SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
+/**
+ * Encodes and decodes a {@link LeaseMessage} as a sequence of MessagePack values that starts with
+ * the version.
+ */
+@SuppressWarnings("EnumOrdinal") // Kinds are encoded by their ordinals.
 final class LeaseMessageCodec {
-  /** Which task names are valid in a message. */
+  /** The pattern of valid task names in a message. */
   static final String TASK_PATTERN = "[a-z-]{1,32}";
 
   private static final int VERSION = 2;
@@ -40,7 +43,7 @@
     return value >= 0 && value <= LeaseMessage.HIGHEST;
   }
 
-  /** The message in these bytes; empty where there is none of this version, or an invalid one. */
+  /** Decodes a message. Returns empty if the bytes are of another version or invalid. */
   static Optional<LeaseMessage> decode(byte[] bytes) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       int version = unpacker.unpackInt();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/OwnedTask.java
@@ -5,7 +5,7 @@
 import java.util.logging.Logger;
 import org.amberpath.leadership.Leadership;
 
-/** One task at this gateway: its leadership, and what runs under it. */
+/** One task at this gateway: its leadership, and the runner that acts under it. */
 final class OwnedTask {
   private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
   private static final long MS = 1_000_000;
@@ -33,7 +33,7 @@
     return runner.task();
   }
 
-  /** Logs a change of state; there are no more than a few a lease. */
+  /** Logs a change of state, of which there are no more than a few per lease. */
   void logTransition() {
     if (leadership.state() != loggedState) {
       LOG.info(
@@ -58,7 +58,7 @@
     runner.tick(nowNanos, leadership);
   }
 
-  /** What the admin endpoint shows. */
+  /** Returns the task's part of the admin endpoint's answer. */
   JsonObject status(long nowNanos) {
     boolean leads = leadership.isLeader(nowNanos);
     JsonObject status =
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
@@ -15,7 +15,7 @@
 
 /**
  * Deletes purges past their retention from the registry. Each deletion writes the task's key in the
- * same transaction, which fences it: under an older term nothing is deleted.
+ * same transaction, which fences the deletion: a leader with an older term deletes nothing.
  */
 final class PurgeRetentionTask implements TaskRunner {
   private final MembershipService membership;
@@ -64,7 +64,10 @@
             });
   }
 
-  /** Deletes what has expired, if this gateway still leads under the term; the count deleted. */
+  /**
+   * Deletes the expired purges if this gateway still leads under the term. Returns how many were
+   * deleted.
+   */
   private Future<Integer> deleteExpired(
       List<RegistryEntry> entries, long term, Leadership leadership) {
     RegistryEntry fence = PurgeRetention.findFence(entries, fenceKey);
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
@@ -17,8 +17,8 @@
 import org.amberpath.membership.runtime.MembershipService;
 
 /**
- * Leadership by a quorum of voters: carries ballots between candidates and voters as messages of
- * the fleet, and votes if this gateway is a voter.
+ * Leader election by a quorum of voters: exchanges lease messages between candidates and voters
+ * over membership's messages, and votes if this gateway is a voter.
  */
 final class QuorumVoting {
   private static final Logger LOG = Logger.getLogger(LeadershipService.class.getName());
@@ -28,13 +28,13 @@
   private final LeaseTimings timings;
   private final Supplier<VoterConfiguration> reloadVoters;
 
-  /** Is told a task's name after its candidate has taken a voter's answer. */
+  /** Receives a task's name after the task's candidate has processed a voter's answer. */
   private final Consumer<String> candidateListener;
 
   private final Map<String, QuorumLeadership> candidates = new LinkedHashMap<>();
   private VoterConfiguration voters;
 
-  /** Null while this gateway is no voter. */
+  /** Null while this gateway is not a voter. */
   private LeaseAcceptor acceptor;
 
   QuorumVoting(
@@ -60,7 +60,7 @@
     }
   }
 
-  /** The leadership of a task, which is a candidate from now on. */
+  /** Creates the leadership of a task, for which this gateway is a candidate from now on. */
   Leadership leadership(String task, long nowNanos) {
     QuorumLeadership candidate =
         new QuorumLeadership(timings, task, voters, this::send, membership.seed(), nowNanos);
@@ -76,7 +76,10 @@
     return voters.allVoters();
   }
 
-  /** Before each tick of a task: its wall clock, and its place among the gateways present. */
+  /**
+   * Passes the wall clock and this gateway's place among the gateways present to a task's
+   * candidate. Called before each tick of the task.
+   */
   void updateCandidate(String task) {
     QuorumLeadership candidate = candidates.get(task);
     candidate.wallClockRead(System.currentTimeMillis());
@@ -85,14 +88,15 @@
 
   private void send(String recipient, LeaseMessage message) {
     if (recipient.equals(membership.name())) {
-      // This gateway's own voter and candidate are sent messages like any other, after this turn.
+      // Messages to this gateway's own voter and candidate arrive asynchronously too, in
+      // a later turn of the event loop.
       vertx.runOnContext(turn -> messageReceived(membership.nowNanos(), recipient, message));
     } else {
       membership.sendMessage(recipient, LeaseMessageCodec.encode(message));
     }
   }
 
-  /** A lease message, to this gateway's voter or to its candidate. */
+  /** Handles a lease message to this gateway's voter or to its candidate. */
   void messageReceived(long nowNanos, String from, LeaseMessage message) {
     switch (message.kind()) {
       case PREPARE, PROPOSE, RELEASE -> {
@@ -113,7 +117,8 @@
   }
 
   /**
-   * Reads the configured voters anew; what can't be read, or is no adjacent stage, has no effect.
+   * Reads the configured voters again. The voters stay unchanged if that fails, or if the new
+   * configuration is not an adjacent stage of the current one.
    */
   void reload() {
     vertx
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -15,14 +15,14 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * Leadership by leases in the registry. Of each task one key, attached to the leader's lease, says
- * that it has a leader, and another, which stays, holds the term. Both are read periodically, for
- * all tasks at once.
+ * Leader election by leases in the registry. Each task has two keys: one is attached to the
+ * leader's lease and exists while the task has a leader; the other persists and holds the term.
+ * Both are read periodically, for all tasks at once.
  */
 final class RegistryLeaseClient {
   private static final long SECOND = 1_000_000_000;
 
-  /** Keys are read so often a lease. */
+  /** The number of times that the keys are read per lease duration. */
   private static final int READS_PER_LEASE = 8;
 
   private final RegistryAdminClient registry;
@@ -32,7 +32,7 @@
   private long nextReadNanos;
   private boolean reading;
 
-  /** How many reads were started; orders reads and campaigns. */
+  /** The number of reads started, by which reads and campaigns are ordered. */
   private long reads;
 
   RegistryLeaseClient(
@@ -49,7 +49,7 @@
     private long leaseId;
     private long revision;
 
-    /** The last read that was started before the last campaign was answered. */
+    /** The number of the last read that was started before the last campaign was answered. */
     private long campaignRead;
 
     TaskLease(String task) {
@@ -103,7 +103,10 @@
       }
     }
 
-    /** Takes what a read has found, unless it was started before a campaign was answered. */
+    /**
+     * Applies the result of a read, unless the read was started before the last campaign was
+     * answered.
+     */
     void keysRead(long nowNanos, long read, RegistryEntry termKey, boolean held) {
       if (read <= campaignRead && campaignRead > 0) {
         return;
@@ -118,12 +121,12 @@
     }
   }
 
-  /** The leadership of a task, which is a candidate from now on. */
+  /** Returns the leadership of a task, for which this gateway is a candidate from now on. */
   Leadership leadership(String task) {
     return leases.computeIfAbsent(task, TaskLease::new).leadership;
   }
 
-  /** Reads the keys when that is due. */
+  /** Reads the keys if a read is due. */
   void tick(long nowNanos) {
     if (reading || nowNanos < nextReadNanos) {
       return;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/TaskMessage.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TaskMessage.java
@@ -7,12 +7,12 @@
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 
 /**
- * What gateways tell one another of a task, besides lease messages.
+ * A message about a task between gateways, other than a lease message.
  *
- * @param term of the leader that sends it; of HIGHER_TERM_SEEN the term that was seen
- * @param requestNanos of REQUEST: when it was made, by the sender's clock; of REPORT: the request
- *     that it answers, 0 for none
- * @param reports by endpoint
+ * @param term the term of the leader that sends it; of HIGHER_TERM_SEEN the highest term seen
+ * @param requestNanos of REQUEST: when it was made, by the sender's clock; of REPORT: that time of
+ *     the request that it answers, 0 for an unsolicited report
+ * @param reports results by endpoint; those of a REQUEST only name the endpoints
  */
 record TaskMessage(
     Kind kind, String task, long term, long requestNanos, Map<String, HealthReport> reports) {
@@ -24,18 +24,18 @@
     RESPONSIVE,
     /** From the leader: results of its health checks. */
     REPORT,
-    /** To a leader: its term was refused for a higher one. */
+    /** To a leader: its term was refused, because a higher one was seen. */
     HIGHER_TERM_SEEN,
     /** From a leader: it has stopped, with nothing in flight. */
     STOPPED
   }
 
-  /** A message that names a term alone. */
+  /** Creates a message with a term only. */
   static TaskMessage of(Kind kind, String task, long term) {
     return new TaskMessage(kind, task, term, 0, Map.of());
   }
 
-  /** A request for reports. */
+  /** Creates a request for reports. */
   static TaskMessage request(String task, long requestNanos, List<String> endpoints) {
     Map<String, HealthReport> none = new TreeMap<>();
     endpoints.forEach(endpoint -> none.put(endpoint, new HealthReport(false, -1)));
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/TaskRunner.java
@@ -4,25 +4,25 @@
 import org.amberpath.leadership.Leadership;
 
 /**
- * Runs one task at a gateway, whether that leads it or not. Leadership is checked again whenever
- * something is sent. Called on the event loop.
+ * Runs one task at a gateway, whether or not the gateway leads it. Implementations check leadership
+ * again whenever they send something. Called on the event loop.
  */
 interface TaskRunner {
   /** The task's name. */
   String task();
 
-  /** Several times a probe interval; acts only as far as its leadership allows. */
+  /** Called several times per probe interval; acts only as far as {@code leadership} allows. */
   void tick(long nowNanos, Leadership leadership);
 
-  /** The gateway drains: nothing new is begun. */
+  /** Called when the gateway starts to drain; the runner starts nothing new. */
   default void drainStarted() {}
 
   /** Whether nothing of the task is in flight. */
   boolean isIdle();
 
-  /** Adds what the admin endpoint shows of the task. */
+  /** Adds the task's fields to the admin endpoint's answer. */
   void addStatus(JsonObject status);
 
-  /** Frees what it holds. */
+  /** Releases the runner's resources. */
   default void close() {}
 }
