--- a/planning/src/main/java/org/amberpath/planning/InvalidQuotaTimingsException.java
+++ b/planning/src/main/java/org/amberpath/planning/InvalidQuotaTimingsException.java
@@ -1,6 +1,6 @@
 package org.amberpath.planning;
 
-/** Timings of quotas that the bound on their sum can't be kept with. */
+/** Thrown for timings of quotas with which the sum of shares could exceed its bound. */
 public final class InvalidQuotaTimingsException extends IllegalArgumentException {
   private static final long serialVersionUID = 1;
 
--- a/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
+++ b/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
@@ -2,17 +2,18 @@
 
 import java.util.Arrays;
 
-/** Divides a bound among those who want parts of it, max-min fair. */
+/** Divides a bound into shares that are max-min fair. */
 public final class MaxMinFairShare {
   private MaxMinFairShare() {}
 
   /**
-   * Max-min fair shares by water-filling: the most even division in which nobody has more than it
-   * wants.
+   * Max-min fair shares by water-filling: the most even division in which no share is larger than
+   * wanted, except for the floor.
    *
-   * @param wanted what each could use; less than the floor counts as the floor
-   * @param floor the least share; as many floors as there are shares must fit into the bound
-   * @return shares that add up to the bound at most
+   * @param wanted the amount that each participant could use; an amount below the floor counts as
+   *     the floor
+   * @param floor the minimum share; the floor times the number of shares must not exceed the bound
+   * @return the shares in the order of {@code wanted}, whose sum is at most the bound
    */
   public static double[] of(double bound, double[] wanted, double floor) {
     int count = wanted.length;
--- a/planning/src/main/java/org/amberpath/planning/MemberGrants.java
+++ b/planning/src/main/java/org/amberpath/planning/MemberGrants.java
@@ -5,14 +5,18 @@
 import java.util.stream.Stream;
 import org.amberpath.planning.QuotaLedger.OutstandingGrant;
 
-/** What a ledger knows of one member: its last request, and the grants that may be in force. */
+/** The state of one member in a ledger: its last request, and the grants that may be in force. */
 final class MemberGrants {
-  /** Past so many outstanding grants, nothing is granted until the member confirms one. */
+  /**
+   * The maximum number of outstanding grants, at which nothing is granted until the member confirms
+   * one.
+   */
   private static final int MAX_OUTSTANDING = 16;
 
   /**
-   * A grant. A share above the usual one may be used until {@code raisedUntilNanos}; one below is
-   * kept to, once confirmed, until {@code loweredUntilNanos} at the least.
+   * A grant. The member may use a share above the usual one until {@code raisedUntilNanos}. It
+   * keeps to a share below the usual one, once it has confirmed that, at least until {@code
+   * loweredUntilNanos}.
    */
   private static final class Grant {
     private final long number;
@@ -35,7 +39,7 @@
   private long instanceId = Long.MIN_VALUE;
   private long sequenceNumber = Long.MIN_VALUE;
 
-  /** Every request from now on was made after this time of the leader's clock. */
+  /** The last request, and every later one, was made after this time of the leader's clock. */
   private long requestedAfterNanos = Long.MIN_VALUE;
 
   MemberGrants(QuotaTimings timings, double[] usual) {
@@ -43,10 +47,10 @@
     this.usual = usual;
   }
 
-  /** Takes over a grant of the term before; see {@link QuotaLedger.Handover}. */
+  /** Adds a grant of the previous term; see {@link QuotaLedger.Handover}. */
   void takeOver(OutstandingGrant outstanding, QuotaLedger.Handover handover) {
     instanceId = Math.max(instanceId, outstanding.instanceId());
-    // Numbers of the term before are below all of this one.
+    // Numbers of the previous term are mapped below all numbers of this term.
     Grant grant =
         new Grant(
             outstanding.number() - Long.MAX_VALUE,
@@ -66,13 +70,17 @@
     grants.add(grant);
   }
 
-  /** Takes what a request confirms; false where it is a duplicate or late. */
+  /**
+   * Applies the confirmation in a request. Returns false if the request is a duplicate or out of
+   * order.
+   */
   boolean requestReceived(QuotaRequest request, long term) {
     if (request.instanceId() < instanceId
         || (request.instanceId() == instanceId && request.sequenceNumber() <= sequenceNumber)) {
       return false;
     }
-    // A later start keeps to the minimum share, and no longer than to what it had before.
+    // A restarted member keeps to the minimum share for the hold time, so its use stays
+    // within the grants of its earlier start.
     instanceId = request.instanceId();
     sequenceNumber = request.sequenceNumber();
     if (request.term() == term) {
@@ -87,10 +95,10 @@
     return grants.size() >= MAX_OUTSTANDING;
   }
 
-  /** Records a grant that is sent now. */
+  /** Records a grant that is sent to the member now. */
   void add(long number, long raisedUntilNanos, double[] amounts) {
-    // A member that has just started, and has heard of no leader, confirms nothing: the requests of
-    // the start before say how old its request is at the most.
+    // A member that has just started and has applied no grant confirms nothing: the
+    // requests of its previous start bound the age of its request.
     long loweredUntilNanos =
         requestedAfterNanos == Long.MIN_VALUE
             ? Long.MIN_VALUE
@@ -98,7 +106,10 @@
     grants.add(new Grant(number, raisedUntilNanos, loweredUntilNanos, amounts));
   }
 
-  /** Forgets what can't be in force; a confirmed grant stays, as it tells what came after. */
+  /**
+   * Removes the grants that cannot be in force. A confirmed grant stays until a later one is
+   * confirmed, because it rules out the grants before it.
+   */
   void forgetExpired(long nowNanos) {
     grants.removeIf(
         grant ->
@@ -107,7 +118,7 @@
                 && nowNanos > grant.raisedUntilNanos + timings.longestNanos(timings.holdNanos()));
   }
 
-  /** The most of a resource that this member may be using at a time. */
+  /** Returns the most of a resource that this member may be using at the given time. */
   double mostUsed(int resource, long atNanos) {
     double most = 0;
     boolean confirmed = false;
@@ -120,7 +131,8 @@
         most = Math.max(most, usual[resource]);
         confirmed = true;
       } else {
-        // If it was lost the grant before it is in force, which is counted by itself.
+        // If this grant was lost, the previous one is in force, which is counted
+        // separately.
         most = Math.max(most, amount);
         confirmed |= grant.inForce;
       }
@@ -128,7 +140,10 @@
     return confirmed ? most : Math.max(most, usual[resource]);
   }
 
-  /** What this member is counted with at the least until an end: as much takes from nobody. */
+  /**
+   * Returns the least amount that this member is counted with until {@code endNanos}; a grant of
+   * that amount takes nothing from the other members.
+   */
   double leastCounted(int resource, long nowNanos, long endNanos) {
     double least = mostUsed(resource, nowNanos);
     for (Grant grant : grants) {
@@ -141,7 +156,10 @@
     return least;
   }
 
-  /** The times until an end at which a lower share of this member may run out. */
+  /**
+   * Returns the times until {@code endNanos} at which a share of this member below the usual one
+   * may expire.
+   */
   long[] endsOfLoweredShares(long nowNanos, long endNanos) {
     return grants.stream()
         .mapToLong(grant -> grant.loweredUntilNanos)
@@ -149,7 +167,7 @@
         .toArray();
   }
 
-  /** The grants that may be in force, for the leader that follows. */
+  /** Returns the grants that may be in force, for the next leader. */
   Stream<OutstandingGrant> outstanding(int member, long nowNanos) {
     return grants.stream()
         .map(
--- a/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
@@ -4,36 +4,36 @@
 import java.util.Map;
 
 /**
- * A member's side: what it requests, which grant is in force, and how much of each resource it may
- * use now. A share above the usual one ends with its time; one below is kept to for longer, and the
- * usual share returns over a ramp. Without a leader it comes back to the usual share, which a
- * gateway alone takes.
+ * A member's side of quotas: its requests, the grant in force, and how much of each resource it may
+ * use now. A share above the usual one ends with the time of its grant. A share below the usual one
+ * is kept for the longer hold time, and then rises to the usual one over a ramp. Without a leader
+ * the member thus returns to its usual share, which a gateway uses when it is on its own.
  *
- * <p>Bounds: the last {@value #MAX_REMEMBERED_REQUESTS} requests are remembered; a grant for an
- * older one is rejected.
+ * <p>Bounds: the times of the last {@value #MAX_REMEMBERED_REQUESTS} requests are stored; a grant
+ * for an older request is rejected.
  */
 public final class QuotaHolder {
   private static final int MAX_REMEMBERED_REQUESTS = 32;
 
-  /** What became of a grant. */
+  /** The result of {@link #apply}. */
   public enum GrantResult {
-    /** It is in force. */
+    /** The grant is in force. */
     APPLIED,
-    /** A later leader is known. */
+    /** A grant of a higher term is in force. */
     OLD_TERM,
-    /** A later grant of this term is in force. */
+    /** This grant or a later one of the same term is in force. */
     OLD_NUMBER,
-    /** A grant for a later request is in force. */
+    /** A grant for the same request or a later one is in force. */
     OLD_REQUEST,
-    /** It answers no request that is remembered. */
+    /** The grant answers none of the stored requests. */
     UNKNOWN_REQUEST,
-    /** It is for another member or another start, or has another number of resources. */
+    /** The grant is for another member or another start, or has another number of resources. */
     WRONG_RECIPIENT,
-    /** Its time was over when it arrived. */
+    /** The time of the grant had elapsed when it arrived. */
     EXPIRED
   }
 
-  /** The grant in force; its time counts from when it was requested. */
+  /** The grant in force, whose time counts from when it was requested. */
   private record Applied(
       long term, long number, long requestNumber, long grantedAtNanos, long sinceNanos) {
     static final Applied NONE = new Applied(0, 0, 0, Long.MIN_VALUE, 0);
@@ -58,10 +58,11 @@
   private double[] amounts;
 
   /**
-   * A member that has just started: it keeps to the minimum share until it is granted more, or
-   * nobody can count any more on what it may have confirmed before.
+   * Creates a member that has just started. It keeps to the minimum share until it is granted more,
+   * or until no leader can still rely on a low share that the member may have confirmed before the
+   * start.
    *
-   * @param instanceId grows from start to start
+   * @param instanceId identifies this start of the member; grows from start to start
    * @param usual the usual share of each resource
    */
   public QuotaHolder(
@@ -73,7 +74,7 @@
     startedAtNanos = nowNanos;
   }
 
-  /** The next request; the time of its grant counts from now. */
+  /** Creates the next request; the time of its grant counts from now. */
   public QuotaRequest nextRequest(long nowNanos, double[] wanted) {
     lastRequest++;
     requestedAtNanos.put(lastRequest, nowNanos);
@@ -87,7 +88,7 @@
         wanted.clone());
   }
 
-  /** Brings a grant into force, unless it is for another, older than what is known, or expired. */
+  /** Applies a grant, unless it is for another member or start, outdated, or expired. */
   public GrantResult apply(long nowNanos, QuotaGrant grant) {
     if (grant.member() != member
         || grant.instanceId() != instanceId
@@ -100,7 +101,8 @@
     if (grant.term() == applied.term && grant.number() <= applied.number) {
       return GrantResult.OLD_NUMBER;
     }
-    // A confirmed lower share must not end sooner: the time of an older request would.
+    // A confirmed lower share must not end sooner, which it would if its time counted from
+    // an older request.
     if (grant.requestNumber() <= applied.requestNumber) {
       return GrantResult.OLD_REQUEST;
     }
@@ -123,7 +125,10 @@
     return GrantResult.APPLIED;
   }
 
-  /** Guards against a faulty leader: less than the minimum share, or no number at all. */
+  /**
+   * Raises the granted amounts to the minimum share. Guards against a faulty leader that grants
+   * less than that, or NaN.
+   */
   private void raiseToMinimum() {
     for (int resource = 0; resource < amounts.length; resource++) {
       double minimum = usual[resource] * timings.minimumFraction();
@@ -131,7 +136,7 @@
     }
   }
 
-  /** How much of a resource may be used at a time, the present or a later one. */
+  /** Returns how much of a resource may be used at the given time, which is now or later. */
   public double share(int resource, long nowNanos) {
     double usualShare = usual[resource];
     if (amounts == null) {
@@ -145,15 +150,15 @@
   }
 
   /**
-   * From a lower share back to the usual one, over the time of a grant, once nobody can count on
-   * the lower one.
+   * Returns the share at a point of the ramp from a lower share to the usual one. The ramp begins
+   * after the hold time, when no leader can rely on the lower share, and takes the time of a grant.
    */
   private double ramp(double low, double usualShare, long ageNanos) {
     double progress = (double) (ageNanos - timings.holdNanos()) / timings.grantNanos();
     return low + (usualShare - low) * Math.max(0, Math.min(1, progress));
   }
 
-  /** Whether a grant is in force whose leader may still renew it. */
+  /** Whether a grant is in force whose time has not elapsed. */
   public boolean isGranted(long nowNanos) {
     return amounts != null && nowNanos - applied.sinceNanos < timings.grantNanos();
   }
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -5,29 +5,31 @@
 import java.util.List;
 
 /**
- * The leader's side: what it has granted, and what it may grant. The sum of what all members may
- * use at any moment from now on stays within the bound of each resource, whatever messages are
- * lost, late or duplicated, and whoever restarts or is never heard of. A member without a grant
- * holds its usual share, an equal part of the bound.
+ * The leader's side of quotas: the grants that it has made, and how much it may still grant. At any
+ * time from now on, the sum of what all members may use stays within the bound of each resource,
+ * even if messages are lost, late or duplicated, and members restart or never send a request. A
+ * member without a grant holds its usual share, an equal part of the bound.
  *
- * <p>A share above the usual one is counted until it must have expired; one below counts only once
- * its member has confirmed it, and only as long as it must still be kept to. A member that restarts
- * keeps to the minimum share for as long as a lower one could have held, so no grant is below that.
+ * <p>A share above the usual one is counted until it must have expired. A share below the usual one
+ * is counted only once its member has confirmed it, and only while the member must still keep to
+ * it. A member that restarts keeps to the minimum share for as long as a lower one could have held,
+ * so no grant is below the minimum share.
  */
 public final class QuotaLedger {
   /**
-   * One grant as it is handed over to the next leader; durations are what is left of them.
+   * A grant as handed over to the next leader; its durations are the remaining ones.
    *
    * @param member the index of the member
-   * @param instanceId which start of the member it was for
-   * @param sequenceNumber the member's last request
+   * @param instanceId the start of the member that the grant was for
+   * @param sequenceNumber the sequence number of the member's last request
    * @param number the number of the grant
    * @param amounts the share of each resource
-   * @param raisedLeftNanos for how many nanoseconds a share above the usual one may still be used
-   * @param loweredLeftNanos for how many nanoseconds one below must still be kept to
-   * @param inForce whether the member has confirmed it
+   * @param raisedLeftNanos the nanoseconds for which a share above the usual one may still be used
+   * @param loweredLeftNanos the nanoseconds for which the member must still keep to a share below
+   *     the usual one; 0 for none
+   * @param inForce whether the member has confirmed the grant
    */
-  @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
+  @SuppressWarnings("ArrayRecordComponent") // Instances are passed on, never compared.
   public record OutstandingGrant(
       int member,
       long instanceId,
@@ -39,11 +41,11 @@
       boolean inForce) {}
 
   /**
-   * What a leader that has stopped granting has left.
+   * The outstanding grants of a leader that has stopped granting.
    *
-   * @param grants its outstanding grants
-   * @param requestedAtNanos when they were requested of it: they are of no earlier time
-   * @param receivedAtNanos when they arrived
+   * @param grants the outstanding grants
+   * @param requestedAtNanos when the next leader requested the grants, which are no older than that
+   * @param receivedAtNanos when the grants arrived at the next leader
    */
   public record Handover(
       List<OutstandingGrant> grants, long requestedAtNanos, long receivedAtNanos) {}
@@ -55,7 +57,7 @@
   private final MemberGrants[] members;
   private long lastNumber;
 
-  /** A ledger of a term that begins with no member above its usual share. */
+  /** Creates the ledger of a term that begins with no member above its usual share. */
   public QuotaLedger(QuotaTimings timings, long term, double[] bounds, int members) {
     this.timings = timings;
     this.term = term;
@@ -65,7 +67,7 @@
     Arrays.setAll(this.members, member -> new MemberGrants(timings, usual));
   }
 
-  /** A ledger that continues from that of the term before. */
+  /** Creates a ledger that continues from the ledger of the previous term. */
   public static QuotaLedger succeeding(
       QuotaTimings timings, long term, double[] bounds, int members, Handover handover) {
     QuotaLedger ledger = new QuotaLedger(timings, term, bounds, members);
@@ -75,11 +77,14 @@
     return ledger;
   }
 
-  /** The most that all members but one may be using together at any time until an end. */
+  /**
+   * Returns the most that all members except one may be using together at any time until {@code
+   * endNanos}.
+   */
   private double mostUsedByOthers(int excluded, int resource, long nowNanos, long endNanos) {
     double most = sumOfOthers(excluded, resource, nowNanos);
     for (MemberGrants member : members) {
-      // The sum only grows where a share below the usual one runs out.
+      // The sum only grows when a share below the usual one expires.
       for (long atNanos : member.endsOfLoweredShares(nowNanos, endNanos)) {
         most = Math.max(most, sumOfOthers(excluded, resource, atNanos));
       }
@@ -95,7 +100,10 @@
     return sum;
   }
 
-  /** Takes what a request confirms. False where it is not to be answered: a duplicate, or late. */
+  /**
+   * Applies the confirmation in a request. Returns false if the request is not to be answered: a
+   * duplicate, out of order, or of an unknown member.
+   */
   public boolean requestReceived(QuotaRequest request) {
     return request.member() >= 0
         && request.member() < members.length
@@ -103,10 +111,10 @@
   }
 
   /**
-   * Grants what was requested, as far as the bounds allow; never less than the minimum share.
+   * Grants shares as far as the bounds allow, never less than the minimum share.
    *
-   * @param wished the shares that are fair, at least the minimum ones
-   * @return null where nothing may be granted until the member confirms a grant
+   * @param wished the shares to grant if the bounds allow it, each at least the minimum share
+   * @return the grant; null if nothing may be granted until the member confirms an earlier one
    */
   public QuotaGrant grant(long nowNanos, QuotaRequest request, double[] wished) {
     for (MemberGrants each : members) {
@@ -152,7 +160,10 @@
         usualShare * timings.minimumFraction(), Math.min(Math.min(wished, usualShare), allowed));
   }
 
-  /** All that may be in force, for the next leader: to be requested once this one has stopped. */
+  /**
+   * Returns the grants that may be in force. The next leader requests them once this one has
+   * stopped granting.
+   */
   public List<OutstandingGrant> outstandingGrants(long nowNanos) {
     List<OutstandingGrant> all = new ArrayList<>();
     for (int member = 0; member < members.length; member++) {
@@ -161,7 +172,7 @@
     return all;
   }
 
-  /** The most of a resource that all members may be using now. */
+  /** Returns the most of a resource that all members together may be using now. */
   public double inUse(int resource, long nowNanos) {
     return sumOfOthers(-1, resource, nowNanos);
   }
--- a/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
@@ -3,15 +3,16 @@
 import org.amberpath.leadership.LeaseTimings;
 
 /**
- * Timings that all leaders and members of an installation agree on. Clocks need not show the same
- * time, only run at nearly the same speed.
+ * Timings that all leaders and members of an installation agree on. Clocks need not be
+ * synchronized, but must run at nearly the same rate.
  *
- * @param grantNanos how long a share above the usual one holds, from when it was requested
- * @param holdNanos how long a share below the usual one is kept to, from then; longer, so that who
- *     gives outlasts who takes
- * @param driftPpm by how many millionths a clock may run fast or slow
- * @param minimumFraction the least share, as a part of the usual one; a member that has just
- *     started keeps to it
+ * @param grantNanos how long a share above the usual one may be used, from when it was requested
+ * @param holdNanos how long a member keeps to a share below the usual one, from when it was
+ *     requested; at least twice {@code grantNanos}, so that a lowered share outlasts the raised
+ *     shares that it made room for
+ * @param driftPpm the maximum drift of a clock in parts per million, fast or slow
+ * @param minimumFraction the minimum share as a fraction of the usual one; a member that has just
+ *     started keeps to the minimum share
  */
 public record QuotaTimings(long grantNanos, long holdNanos, int driftPpm, double minimumFraction) {
   private static final long MILLION = 1_000_000;
@@ -19,7 +20,7 @@
   /**
    * Checks the bounds that the invariants depend on.
    *
-   * @throws InvalidQuotaTimingsException if one is out of them
+   * @throws InvalidQuotaTimingsException if a timing is out of its bounds
    */
   public QuotaTimings {
     if (grantNanos <= 0
@@ -50,7 +51,10 @@
     return durationNanos - durationNanos / MILLION * driftPpm * 2 - 1;
   }
 
-  /** The leader's lease: a new leader waits until what former ones granted has expired. */
+  /**
+   * Returns the timings of the leader's lease, by which a new leader waits until the grants of
+   * former leaders have expired.
+   */
   public LeaseTimings leaseTimings(long leaseNanos) {
     return new LeaseTimings(leaseNanos, grantNanos, driftPpm);
   }
--- a/planning/src/main/java/org/amberpath/planning/package-info.java
+++ b/planning/src/main/java/org/amberpath/planning/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Quotas: a leader grants each gateway a share of limits that all have in common, such that the sum
- * of what all may use never exceeds a limit, whatever messages are lost or late and whoever
- * restarts.
+ * Quotas: a leader grants each gateway a share of limits that apply to all gateways together, such
+ * that the sum of what they may use never exceeds a limit, even if messages are lost or late and
+ * gateways restart.
  *
- * <p>Pure code: every method is told the time, in nanoseconds of the process's own monotonic clock,
- * and does no I/O. Only the models of the lab call it yet (issue 17); no type here is thread-safe.
+ * <p>Pure code: every method takes the time as an argument, in nanoseconds of the process's own
+ * monotonic clock, and does no I/O. Only the models of the lab call it yet (issue 17); no type here
+ * is thread-safe.
  *
  * <p>Begin with {@link org.amberpath.planning.QuotaHolder}, a gateway's side, and {@link
  * org.amberpath.planning.QuotaLedger}, the leader's. Who leads is decided by {@link
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -3,22 +3,28 @@
 import java.util.SplittableRandom;
 
 /**
- * How many requests a gateway admits that has started together with all others, by how many of
- * those that it admitted before have succeeded in time. Times are nanoseconds of one monotonic
- * clock. It decides on no endpoint.
+ * Admission control of a gateway that has started at the same time as all others. The admitted rate
+ * depends on how many of the previously admitted requests have succeeded in time. Times are
+ * nanoseconds of one monotonic clock. This class does not choose endpoints.
  */
 public final class RecoveryRamp {
   /** The phases, in order; none is entered twice. */
   public enum Phase {
     /**
-     * Endpoints and purges are not known yet, or whether other gateways run: nothing is admitted.
+     * Nothing is admitted, because the endpoints and purges are not known yet, or it is not known
+     * whether other gateways run.
      */
     LEARNING,
-    /** The rate that this gateway's share of the slow-start budgets allows. */
+    /** The admitted rate is what this gateway's share of the slow-start budgets allows. */
     INITIAL_RATE,
-    /** The rate that succeeded, and half as much again each {@value #STEP_MILLIS} ms. */
+    /**
+     * The admitted rate grows by half each {@value #STEP_MILLIS} ms while enough requests succeed.
+     */
     RAMP_UP,
-    /** All is admitted: nothing had to be rejected for a while, or other gateways ran on. */
+    /**
+     * Everything is admitted, because nothing had to be rejected for a while, or because other
+     * gateways did not restart.
+     */
     SERVING
   }
 
@@ -28,23 +34,23 @@
   private static final long MAX_LEARNING_NANOS = 3 * SECOND;
   private static final long MIN_RETRY_AFTER_NANOS = 100 * MS;
 
-  /** After so long without a rejection all is admitted. */
+  /** The time without a rejection after which everything is admitted. */
   private static final long CALM_NANOS = 2 * SECOND;
 
   private static final double RATE_FACTOR = 1.5;
 
-  /** The rate is raised where this part of the admitted requests has succeeded, */
+  /** The rate is raised only if at least this fraction of the admitted requests has succeeded. */
   private static final double MIN_SUCCESSES_TO_RAISE = 0.8;
 
-  /** and this part of the rate was used. */
+  /** The rate is raised only if at least this fraction of it was used. */
   private static final double MIN_USE_TO_RAISE = 0.8;
 
-  /** The rate is lowered where less than this part has succeeded. */
+  /** The rate is lowered if less than this fraction of the admitted requests has succeeded. */
   private static final double MIN_SUCCESSES_TO_KEEP = 0.5;
 
   private static final double BURST_SECONDS = 0.25;
 
-  /** What was counted in one step. */
+  /** The counters of one step, which lasts {@value #STEP_MILLIS} ms. */
   private static final class Step {
     private final long startedAtNanos;
     private int admitted;
@@ -61,12 +67,12 @@
   private final SplittableRandom random;
   private Phase phase = Phase.LEARNING;
 
-  /** Requests a second. */
+  /** Requests per second. */
   private double initialRate;
 
   private double rate;
 
-  /** The token bucket: requests that may be admitted at once. */
+  /** The tokens in the bucket: how many requests may be admitted at once. */
   private double tokens;
 
   private long refilledAtNanos;
@@ -76,10 +82,11 @@
   private Step previousStep = new Step(0);
 
   /**
-   * A start.
+   * Creates the admission control of a gateway that starts now.
    *
-   * @param seed spreads the times of {@link #retryAfterNanos}
-   * @param maxRetryAfterNanos the longest of them; 0 where clients can't be told
+   * @param seed the seed of the random spread of {@link #retryAfterNanos}
+   * @param maxRetryAfterNanos the maximum of {@link #retryAfterNanos}; 0 if clients cannot be told
+   *     when to retry
    */
   public RecoveryRamp(long seed, long maxRetryAfterNanos, long nowNanos) {
     random = new SplittableRandom(seed);
@@ -92,7 +99,7 @@
     return phase;
   }
 
-  /** How many requests a second are admitted now. */
+  /** Returns how many requests per second are admitted now. */
   public double rate() {
     return switch (phase) {
       case LEARNING -> 0;
@@ -102,11 +109,12 @@
   }
 
   /**
-   * Endpoints and purges are known, or their sources have failed.
+   * Ends the learning phase: endpoints and purges are known, or their sources have failed.
    *
-   * @param allRestarted whether all gateways have started together, by what the others say and by
-   *     endpoints in slow start
-   * @param ratePerSecond the requests that this gateway's share of the slow-start budgets allows
+   * @param allRestarted whether all gateways have started at the same time, as far as reports of
+   *     the others and endpoints in slow start show
+   * @param ratePerSecond the requests per second that this gateway's share of the slow-start
+   *     budgets allows
    */
   public void startupCompleted(long nowNanos, boolean allRestarted, double ratePerSecond) {
     if (phase != Phase.LEARNING) {
@@ -124,7 +132,7 @@
     enter(allRestarted ? Phase.INITIAL_RATE : Phase.SERVING, nowNanos);
   }
 
-  /** The one place where the phase changes. */
+  /** Changes the phase; nothing else assigns it. */
   private void enter(Phase next, long nowNanos) {
     phase = next;
     if (next == Phase.SERVING) {
@@ -133,8 +141,8 @@
   }
 
   /**
-   * Several times a step. Sources that neither answer nor fail are not waited for without end: then
-   * it starts with what is known.
+   * Called several times per step. If sources neither answer nor fail within {@link
+   * #MAX_LEARNING_NANOS}, the learning phase ends without them.
    */
   public void tick(long nowNanos) {
     if (phase == Phase.LEARNING && nowNanos - startedAtNanos >= MAX_LEARNING_NANOS) {
@@ -153,7 +161,7 @@
     double seconds = (nowNanos - step.startedAtNanos) / 1e9;
     double admittedRate = step.admitted / seconds;
     double succeededRate = step.succeeded / seconds;
-    // What was admitted a step ago has succeeded by now, or is late.
+    // Requests that were admitted in the previous step have succeeded by now, or are late.
     int expected = Math.min(step.admitted, previousStep.admitted);
     if (step.succeeded >= MIN_SUCCESSES_TO_RAISE * expected
         && admittedRate >= MIN_USE_TO_RAISE * Math.min(rate, admittedRate + 1)) {
@@ -167,9 +175,10 @@
   }
 
   /**
-   * Whether a request is admitted.
+   * Returns whether a request is admitted.
    *
-   * @param continued whether it continues a client's session: such come before new ones
+   * @param continued whether the request continues a client's session; such requests take
+   *     precedence over new sessions
    */
   public boolean tryAdmit(long nowNanos, boolean continued) {
     if (phase == Phase.SERVING) {
@@ -190,17 +199,18 @@
     return false;
   }
 
-  /** An admitted request has succeeded in time. */
+  /** Records that an admitted request has succeeded in time. */
   public void requestSucceeded() {
     step.succeeded++;
   }
 
   /**
-   * When a rejected client is to come back: by how many are rejected and admitted, spread at
-   * random.
+   * Returns after what time a rejected client should retry, which depends on the numbers of
+   * rejected and admitted requests and is spread at random.
    *
-   * @param continued whether its request continues a session: such come back in half the time
-   * @return 0 where clients can't be told
+   * @param continued whether the client's request continues a session; such clients retry after
+   *     half the time
+   * @return the time in nanoseconds; 0 if clients cannot be told when to retry
    */
   public long retryAfterNanos(boolean continued) {
     if (maxRetryAfterNanos == 0) {
@@ -218,7 +228,7 @@
     return continued ? wait / 2 : wait;
   }
 
-  /** Since when it is SERVING; 0 before. */
+  /** Returns when the SERVING phase began; 0 before. */
   public long servingSinceNanos() {
     return servingSinceNanos;
   }
