--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many prefetch requests are started, and when. */
+/** Bounds on the prefetch requests of a tick and in flight, and the pause between passes. */
 class CachePrefetchTest {
   private static final long MS = 1_000_000;
   private final CachePrefetch prefetch = new CachePrefetch();
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -15,7 +15,7 @@
 import org.amberpath.leadership.HealthCheckCoordinator.ReportRequest;
 import org.junit.jupiter.api.Test;
 
-/** A gateway that requests reports, and a leader that makes the health checks. */
+/** A gateway that requests reports, and a leader that performs the health checks. */
 class HealthCheckCoordinatorTest {
   private static final long MS = 1_000_000;
   private static final List<String> OTHERS = List.of("a", "b", "c", "d");
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -13,7 +13,10 @@
 import org.amberpath.leadership.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** One candidate or leader among three voters, and what fencing lets pass at recipients. */
+/**
+ * One candidate or leader with three voters, and which of its messages fencing admits at
+ * recipients.
+ */
 class QuorumLeadershipTest {
   private static final long SECOND = 1_000_000_000;
   private static final long LEASE = 3 * SECOND;
@@ -43,7 +46,10 @@
     return voters.get(request.voter).messageReceived(now, candidate, request.message);
   }
 
-  /** Delivers all that was sent to these voters, their answers, and what is sent then. */
+  /**
+   * Delivers all messages to these voters and their answers, also those that the answers cause;
+   * drops messages to other voters.
+   */
   private void deliver(QuorumLeadership candidate, String name, String... answering) {
     while (!sent.isEmpty()) {
       Sent request = sent.remove(0);
@@ -110,7 +116,10 @@
     assertFalse(leader.isLeader(leader.leaseExpiresAtNanos()));
   }
 
-  /** Found by the model, seed 243: two processes led the task. */
+  /**
+   * Guards against two leaders at once, which the model found with seed 243: a late acceptance of
+   * an earlier round extended the lease.
+   */
   @Test
   void lateAcceptanceOfEarlierRoundDoesNotExtendTheLease() {
     electLeader();
@@ -122,7 +131,7 @@
     now += LEASE / 8;
     leader.tick(now);
     assertEquals(Kind.PROPOSE, sent.get(0).message.kind());
-    sent.clear(); // The second round is lost; the first is answered late.
+    sent.clear(); // The second round is lost, and the first is answered late.
     for (Sent request : first) {
       leader.responseReceived(now, request.voter, answer(request, "candidate"));
     }
@@ -224,7 +233,7 @@
 
   private long wallMillis = 1;
 
-  /** Another leader is elected by these voters, and lets the task go. */
+  /** Has another leader elected by these voters, which then resigns; returns its term. */
   private long electAndResign(String... answering) {
     QuorumLeadership other = candidate(VoterConfiguration.of("a", "b", "c"));
     other.wallClockRead(wallMillis += 10);
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every question, answer, health check and report of {@link HealthCheckCoordinator} where it
- * was: 180 s of random events a seed give the actions recorded here, one digest a seed. A change
- * that is meant to keep behaviour must not alter a digest; a change of behaviour records new ones
- * and says why.
+ * Guards against unintended changes of behaviour: the digest of every request, answer, health check
+ * and report of {@link HealthCheckCoordinator} in 180 s of random events must equal the one
+ * recorded here, for each setting and seed. A change that is meant to keep behaviour must not alter
+ * a digest; a change of behaviour records new digests and states the reason.
  */
 class RecordedHealthChecksTest {
   private static final Map<String, SeededHealthCheckWorld> PLAYED = new TreeMap<>();
@@ -53,7 +53,10 @@
         () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and states.
+   */
   @Test
   void recordedEventsReachEveryActionOutcomeAndState() {
     Map<String, Integer> counts = new TreeMap<>();
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every message, answer and state of {@link QuorumLeadership}, {@link LeaseAcceptor} and
- * {@link FencingGuard} where it was: 400 s of random events a seed give the actions recorded here,
- * one digest a seed. A change that is meant to keep behaviour must not alter a digest; a change of
- * behaviour records new ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every message, answer and state of
+ * {@link QuorumLeadership}, {@link LeaseAcceptor} and {@link FencingGuard} in 400 s of random
+ * events must equal the one recorded here, for each setting and seed. A change that is meant to
+ * keep behaviour must not alter a digest; a change of behaviour records new digests and states the
+ * reason.
  */
 class RecordedLeadershipTest {
   private static final Map<String, SeededVotersWorld> PLAYED = new TreeMap<>();
@@ -53,7 +54,10 @@
         () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and states.
+   */
   @Test
   void recordedEventsReachEveryMessageAnswerStateAndTransition() {
     Map<String, Integer> counts = new TreeMap<>();
@@ -73,7 +77,8 @@
           "request 0",
           "request 2",
           "request 5",
-          // PROMISE of a free task and of one that is another's, ACCEPTED, REFUSED.
+          // PROMISE for a vacant task and for one that another process leads,
+          // ACCEPTED, REFUSED.
           "answer 1",
           "answer 1 other",
           "answer 3 other",
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
@@ -10,9 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every command and state of {@link RegistryLeadership} where it was: 400 s of random events
- * a seed give the actions recorded here, one digest a seed. A change that is meant to keep
- * behaviour must not alter a digest; a change of behaviour records new ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every command and state of {@link
+ * RegistryLeadership} in 400 s of random events must equal the one recorded here, for each seed. A
+ * change that is meant to keep behaviour must not alter a digest; a change of behaviour records new
+ * digests and states the reason.
  */
 class RecordedRegistryLeadershipTest {
   private static final Map<Long, SeededRegistryWorld> PLAYED = new TreeMap<>();
@@ -39,7 +40,10 @@
     assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and states.
+   */
   @Test
   void recordedEventsReachEveryCommandStateAndTransition() {
     Map<String, Integer> counts = new TreeMap<>();
--- a/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
@@ -8,7 +8,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who leads a task by a lease in the registry, and when that ends by its own clock. */
+/**
+ * Leader election by a lease in the registry, and when the lease expires by the leader's own clock.
+ */
 class RegistryLeadershipTest {
   private static final long SECOND = 1_000_000_000;
   private static final long LEASE = 3 * SECOND;
@@ -36,7 +38,7 @@
           },
           5);
 
-  /** Wins term 5 as soon as the key is vacant; returns when. */
+  /** Has the process win term 5 as soon as the key is vacant; returns when it won. */
   private long winCampaign() {
     leader.keyObserved(0, 4, false, 9);
     long now = leader.nextTickNanos();
--- a/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
@@ -10,23 +10,24 @@
 import java.util.stream.IntStream;
 
 /**
- * Several gateways of a fleet that eject caches and have them health-checked by a leader, without
- * I/O or a real clock: caches that hang, links to them that are cut for one gateway, letters lost,
- * late and doubled, leaders that change, that believe to lead for longer than they do, or are away.
- * Every question, answer, health check and report is recorded in order. Random numbers are drawn
- * from the world's own generator, so that a seed gives the same events everywhere.
+ * Simulates several gateways of a fleet that eject caches and have them health-checked by a leader,
+ * without I/O or a real clock. Faults: caches hang, single gateways lose the link to a cache,
+ * messages are lost, delayed and duplicated, leaders change, act on after their leadership has
+ * ended, or are absent. Every request, answer, health check and report is recorded in order. Random
+ * numbers are drawn from the simulation's own generator, so that a seed gives the same events
+ * everywhere.
  */
-@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+@SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
 final class SeededHealthCheckWorld {
-  /** How large the fleet is and how many caches it has. */
+  /** The size of the fleet, the number of caches, and the message loss. */
   enum Setting {
     /** Five gateways, six caches. */
     SMALL,
-    /** Twelve gateways that take part of twenty-five, forty caches. */
+    /** Twelve simulated gateways of a fleet of twenty-five, forty caches. */
     MIDDLE,
-    /** Eight gateways that take part of seven hundred, more caches than are tracked. */
+    /** Eight simulated gateways of a fleet of seven hundred, more caches than are tracked. */
     LARGE,
-    /** As SMALL, and a third of all letters is lost. */
+    /** As SMALL, and a third of all messages is lost. */
     LOSSY
   }
 
@@ -62,7 +63,7 @@
     }
   }
 
-  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
   String play() {
     gateways.forEach(gateway -> at(now + random.nextLong(100 * MS), gateway::tick));
     at(now, this::cacheChanges);
@@ -170,7 +171,10 @@
       at(now + random.nextLong(60 * MS, 140 * MS), this::tick);
     }
 
-    /** What this gateway sees of some caches by its own requests. */
+    /**
+     * Reports to the coordinator whether some randomly chosen caches respond to this gateway's own
+     * requests.
+     */
     private void observe() {
       for (int looked = 0; looked < 4; looked++) {
         int cache = random.nextInt(hung.length);
@@ -286,7 +290,7 @@
     return text.toString();
   }
 
-  // ---- What changes.
+  // ---- Changes and faults.
 
   private void cacheChanges() {
     int cache = random.nextInt(hung.length);
--- a/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
@@ -7,11 +7,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Several processes that elect a leader by a lease in a registry, without I/O or a real clock:
- * requests and answers lost and late, processes killed and standing still, clocks that drift, a
- * registry that is away or restored from a backup. Every command and state is recorded in order.
- * Random numbers are drawn from the world's own generator, so that a seed gives the same events
- * everywhere.
+ * Simulates several processes that elect a leader by a lease in a registry, without I/O or a real
+ * clock. Faults: requests and answers are lost and delayed, processes are killed and suspended,
+ * clocks drift, the registry is unavailable or restored from a backup. Every command and state is
+ * recorded in order. Random numbers are drawn from the simulation's own generator, so that a seed
+ * gives the same events everywhere.
  */
 final class SeededRegistryWorld {
   private record Event(long atNanos, long order, Runnable action) {}
@@ -30,7 +30,7 @@
   private long now;
   private long order;
   private long awayUntil;
-  // The registry's key.
+  // The state of the registry's key.
   private Candidate holder;
   private long term;
   private long changed = 1;
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
   String play() {
     processes.forEach(process -> at(random.nextLong(SECOND), process::start));
     at(random.nextLong(SECOND), this::fault);
@@ -67,7 +67,9 @@
     events.add(new Event(atNanos, ++order, action));
   }
 
-  /** Has something done at the registry, which may be away; requests may be lost. */
+  /**
+   * Performs an action at the registry, unless the registry is unavailable or the request is lost.
+   */
   private void registry(Runnable action) {
     at(
         now + requestTime(),
@@ -284,7 +286,7 @@
     }
   }
 
-  /** The recorder's own text, which stay when a constant is renamed. */
+  /** Returns the recorded text of a state, which stays the same when a constant is renamed. */
   private static String stateWord(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
@@ -295,7 +297,7 @@
     };
   }
 
-  // ---- What goes wrong.
+  // ---- Faults.
 
   private void fault() {
     Candidate process = processes.get(random.nextInt(processes.size()));
@@ -326,7 +328,10 @@
     at(now + random.nextLong(4 * SECOND), this::fault);
   }
 
-  /** A registry from a backup has older terms, and answers nobody for a lease. */
+  /**
+   * Restores the registry from a backup: it does not answer for one lease, and then may hold an
+   * older term.
+   */
   private void restored() {
     if (withProbability(0.5)) {
       return;
--- a/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
@@ -11,20 +11,20 @@
 import java.util.stream.IntStream;
 
 /**
- * Several processes that elect a leader for each of two tasks by votes, without I/O or a real
- * clock: messages lost, late and doubled, processes killed and started without memory, standing
- * still, cut off from one another, wall clocks that step, clocks that drift, all restarted at once,
- * and lists of voters that follow one another. Every message, answer and state is recorded in
- * order. Random numbers are drawn from the world's own generator, so that a seed gives the same
- * events everywhere.
+ * Simulates several processes that elect a leader for each of two tasks by a quorum, without I/O or
+ * a real clock. Faults: messages are lost, delayed and duplicated, processes are killed and
+ * restarted without state, suspended, or partitioned, wall clocks step, clocks drift, all processes
+ * restart at once, and lists of voters replace one another. Every message, answer and state is
+ * recorded in order. Random numbers are drawn from the simulation's own generator, so that a seed
+ * gives the same events everywhere.
  */
-@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+@SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
 final class SeededVotersWorld {
-  /** How many processes and voters there are, and how much goes wrong. */
+  /** The numbers of processes and voters, and the message loss. */
   enum Setting {
     /** Four processes, the first three vote. */
     THREE_VOTERS,
-    /** Seven processes, the first five vote, and much is lost. */
+    /** Seven processes, the first five vote, and more messages are lost. */
     FIVE_VOTERS,
     /** Six processes; the voters change from the first three to the last three and back. */
     CHANGING_VOTERS,
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
   String play() {
     processes.forEach(process -> at(random.nextLong(SECOND), process::start));
     at(random.nextLong(SECOND), this::fault);
@@ -103,7 +103,10 @@
     events.add(new Event(atNanos, ++order, action));
   }
 
-  /** Has something arrive at a process: lost, late or twice, and not before it goes on. */
+  /**
+   * Delivers a message to a process. The message may be lost, delayed or duplicated, and waits
+   * while the process is suspended.
+   */
   private void deliver(Candidate from, Candidate to, Runnable arrival) {
     if (cut[from.index][to.index]
         || (busy() && withProbability(setting == Setting.FIVE_VOTERS ? 0.15 : 0.05))) {
@@ -139,12 +142,15 @@
       name = "g" + index;
     }
 
-    /** The process's own clock, which only goes forward. */
+    /** The process's own monotonic clock. */
     long clock() {
       return offsetNanos + now + now / 1_000_000 * driftPpm;
     }
 
-    /** Runs something in this life of the process, and once it no longer stands still. */
+    /**
+     * Runs an action unless the process has stopped or restarted by then; a suspended process runs
+     * it when it resumes.
+     */
     void at(long atNanos, Runnable action) {
       int scheduledIn = life;
       SeededVotersWorld.this.at(
@@ -224,7 +230,10 @@
       at(now + random.nextLong(10 * MS, 60 * MS), this::round);
     }
 
-    /** What this leader does takes effect at another process, unless that has seen a later term. */
+    /**
+     * Sends an action of this leader to another process, where it takes effect unless that process
+     * has seen a higher term.
+     */
     private void act(String task, long term) {
       Candidate recipient = processes.get(random.nextInt(processes.size()));
       deliver(
@@ -262,7 +271,8 @@
       actions.count("answer " + answer.kind().ordinal() + (answer.other() > 0 ? " other" : ""));
       deliver(this, from, () -> from.answered(name, answer));
       if (withProbability(0.002)) {
-        // An answer from one that does not vote.
+        // Sends an answer on behalf of the last process, which in most settings is not
+        // a voter.
         Candidate stranger = processes.get(processes.size() - 1);
         deliver(this, from, () -> from.answered(stranger.name, answer));
       }
@@ -302,7 +312,7 @@
           leadership.isLeaderFor(clock(), 300 * MS));
     }
 
-    /** Resigns, and says so to the others; the word may be late or lost. */
+    /** Resigns and notifies the other processes; notifications may be delayed or lost. */
     void resign(String task) {
       QuorumLeadership leadership = leaderships.get(task);
       boolean held = leadership.isLeader(clock());
@@ -334,7 +344,7 @@
     }
   }
 
-  /** The recorder's own text, which stay when a constant is renamed. */
+  /** Returns the recorded text of a state, which stays the same when a constant is renamed. */
   private static String stateWord(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
@@ -357,7 +367,10 @@
         + message.last();
   }
 
-  /** Each process learns of the next voters in its own time, a lease and more after the last. */
+  /**
+   * Changes to the next voters, which each process applies within 2 s; stages are at least 20 s
+   * apart, more than a lease.
+   */
   private void nextStage() {
     stage = (stage + 1) % stages.size();
     for (Candidate process : processes) {
@@ -366,7 +379,7 @@
     at(now + 20 * SECOND + random.nextLong(20 * SECOND), this::nextStage);
   }
 
-  // ---- What goes wrong.
+  // ---- Faults.
 
   private void fault() {
     Candidate process = processes.get(random.nextInt(processes.size()));
@@ -436,7 +449,7 @@
     }
   }
 
-  /** Messages on many other tasks, and word of an older leader. */
+  /** Sends messages about many other tasks, and a stop notice of an older leader. */
   private void strays(Candidate process, String task) {
     long oldTerm = process.up ? process.leaderships.get(task).term() - random.nextLong(3) : 0;
     process.at(now, () -> process.handedOver(task, oldTerm));
--- a/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A purge is deleted once this process has known it for the retention, whatever the wall clocks of
- * writer and reader say.
+ * Guards against purges that are deleted too early or never because the wall clock of the writer or
+ * of the reader steps: a purge is deleted once this process has observed it for the retention.
  */
 class SweepClockTest {
   private static final long SECOND = 1_000_000_000;
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader's wall clock steps: its lease and lease renewals are by the monotonic clock, and terms
- * only rise.
+ * Guards against a leader whose lease, renewals or terms follow a step of its wall clock: leases
+ * and renewals use the monotonic clock, and terms only rise.
  */
 class VoteClockTest {
   private static final long SECOND = 1_000_000_000;
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecGoldenTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecGoldenTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The bytes of lease and task messages, as gateways of other versions expect them. They were
- * recorded before the kinds were renamed.
+ * Guards against changes of the bytes of lease and task messages, which gateways of other versions
+ * expect. The bytes were recorded before the kinds were renamed.
  */
 class LeadershipCodecGoldenTest {
   private static final long TERM = 1_700_000_000_123L;
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -17,7 +17,7 @@
 import org.amberpath.leadership.runtime.TaskMessage.Kind;
 import org.amberpath.membership.runtime.DatagramCodec;
 
-/** Lease and task messages as bytes: decoded to what was encoded, and other bytes to nothing. */
+/** Lease and task messages decode to what was encoded, and invalid bytes decode to nothing. */
 class LeadershipCodecTest {
   @Property(tries = 200)
   void leaseMessagesDecodeToWhatWasEncoded(
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What is granted and what is held: a test for each way in which the sum could exceed the bound.
+ * Grants and shares of a ledger and two holders, with a test for each way in which the sum of the
+ * shares could exceed the bound.
  */
 class QuotaLedgerTest {
   private static final long SECOND = 1_000_000_000;
@@ -31,7 +32,7 @@
   private final QuotaHolder giver = new QuotaHolder(TIMINGS, 0, 1, USUAL, 0);
   private final QuotaHolder taker = new QuotaHolder(TIMINGS, 1, 1, USUAL, 0);
 
-  /** A request that is received, granted and applied at once; returns what was granted. */
+  /** Makes a request that is received, granted and applied at once; returns the granted amount. */
   private double grant(long now, QuotaHolder to, double... wished) {
     QuotaRequest request = to.nextRequest(now, wished);
     assertTrue(ledger.requestReceived(request));
@@ -40,7 +41,7 @@
     return grant.amounts()[0];
   }
 
-  /** The giver applies a low share whose time the leader can bound, and confirms it. */
+  /** Has the giver apply a low share whose time the leader can bound, and confirm it. */
   private void lend(long now) {
     grant(now, giver, LOW);
     grant(now, giver, LOW);
@@ -152,7 +153,7 @@
     grant(SECOND, taker, HIGH);
     ledger.requestReceived(giver.nextRequest(SECOND, LOW));
     List<QuotaLedger.OutstandingGrant> outstanding = ledger.outstandingGrants(SECOND);
-    // The next leader's clock shows another time.
+    // The next leader's clock is not synchronized with the first leader's.
     long other = 1000 * SECOND;
     QuotaLedger next =
         QuotaLedger.succeeding(
@@ -186,7 +187,7 @@
     double largest = Arrays.stream(shares).max().orElseThrow();
     for (int index = 0; index < all.length; index++) {
       assertTrue(shares[index] <= Math.max(floor, all[index]) + 1e-9);
-      // Who has less than it wants has no less than any other.
+      // A share that is less than wanted is no less than any other share.
       assertTrue(shares[index] >= all[index] - 1e-9 || shares[index] >= largest - 1e-9);
     }
   }
--- a/planning/src/test/java/org/amberpath/planning/RecordedActions.java
+++ b/planning/src/test/java/org/amberpath/planning/RecordedActions.java
@@ -8,12 +8,14 @@
 import java.util.TreeMap;
 
 /**
- * The actions of a class under test, in order, as one SHA-256 digest. An action is a line of text:
- * a word of the recorder and the arguments. The words are a stored form: they stay when methods and
- * constants of the class under test are renamed, so that a digest stays equal.
+ * Computes one SHA-256 digest of the actions of a class under test, in order. An action is a line
+ * of text: a word that the recorder chooses, and the arguments. The words are part of the stored
+ * digests: they stay the same when methods and constants of the class under test are renamed.
  */
 final class RecordedActions {
-  /** How often each action and state was recorded; a reader sees by it what the events reach. */
+  /**
+   * How often each action and state was recorded, which shows what the events of a test exercise.
+   */
   private final Map<String, Integer> counts = new TreeMap<>();
 
   private final MessageDigest digest = sha256();
@@ -33,7 +35,7 @@
     digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Counts what was reached without recording it. */
+  /** Counts an event without adding it to the digest. */
   void count(String what) {
     counts.merge(what, 1, Integer::sum);
   }
@@ -42,7 +44,7 @@
     return counts;
   }
 
-  /** The digest of all that was recorded, as hexadecimal digits; to be asked for once. */
+  /** Returns the digest of all recorded actions as hexadecimal digits. May be called once only. */
   String digest() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
+++ b/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every request, grant, refusal and share of {@link QuotaLedger}, {@link QuotaHolder} and
- * {@link MaxMinFairShare} where it was: 300 s of random events a seed give the actions recorded
- * here, one digest a seed. A change that is meant to keep behaviour must not alter a digest; a
- * change of behaviour records new ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every request, grant, rejection and
+ * share of {@link QuotaLedger}, {@link QuotaHolder} and {@link MaxMinFairShare} in 300 s of random
+ * events must equal the one recorded here, for each setting and seed. A change that is meant to
+ * keep behaviour must not alter a digest; a change of behaviour records new digests and states the
+ * reason.
  */
 class RecordedQuotasTest {
   private static final Map<String, SeededQuotaWorld> PLAYED = new TreeMap<>();
@@ -50,7 +51,10 @@
         () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and results.
+   */
   @Test
   void recordedEventsReachEveryActionAndRefusal() {
     Map<String, Integer> counts = new TreeMap<>();
--- a/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
@@ -8,19 +8,20 @@
 import java.util.SplittableRandom;
 
 /**
- * Several holders of quotas and the planners that grant them, without I/O or a real clock: requests
- * and grants lost, late and doubled, holders that restart or hear nothing, planners that follow one
- * another with and without a handover, that are away, that grant under an older term or wrongly,
- * clocks that drift. Every request, grant, refusal and share is recorded in order. Random numbers
- * are drawn from the world's own generator, so that a seed gives the same events everywhere.
+ * Simulates several holders of quotas and the leaders that grant them, without I/O or a real clock.
+ * Faults: requests and grants are lost, delayed and duplicated, holders restart or receive nothing,
+ * leaders succeed one another with and without a handover, are absent, or grant under an older
+ * term, grants are invalid, and clocks drift. Every request, grant, rejection and share is recorded
+ * in order. Random numbers are drawn from the simulation's own generator, so that a seed gives the
+ * same events everywhere.
  */
-@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+@SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
 final class SeededQuotaWorld {
-  /** How many holders there are, and how much goes wrong. */
+  /** The number of holders, and the loss and delay of messages. */
   enum Setting {
     /** Five holders. */
     FIVE,
-    /** Two holders, half of all messages are late. */
+    /** Two holders, half of all messages are delayed. */
     TWO_LATE,
     /** Nine holders, a third of all messages is lost. */
     NINE_LOSSY
@@ -56,7 +57,7 @@
     planner = new Planner(1, new QuotaLedger(TIMINGS, 1, bounds, count));
   }
 
-  /** Plays all events; the digest of all actions, as hexadecimal digits. */
+  /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
   String play() {
     holders.forEach(holder -> at(now + random.nextLong(300 * MS), holder::request));
     at(now, this::fault);
@@ -98,7 +99,7 @@
     return Arrays.stream(bounds).map(bound -> bound / count).toArray();
   }
 
-  /** A process that holds shares. */
+  /** A member with its quota holder. */
   private final class HolderProcess {
     private final int index;
     private final int driftPpm = random.nextInt(-900, 900);
@@ -172,7 +173,7 @@
     }
   }
 
-  /** The recorder's own words, which stay when a constant is renamed. */
+  /** Returns the recorded text of a result, which stays the same when a constant is renamed. */
   private static String resultWord(QuotaHolder.GrantResult refusal) {
     return switch (refusal) {
       case APPLIED -> "taken";
@@ -185,7 +186,7 @@
     };
   }
 
-  /** One leader's ledger. */
+  /** A leader with its ledger. */
   private final class Planner {
     private final long term;
     private final QuotaLedger ledger;
@@ -244,7 +245,7 @@
           grant.amounts()[1]);
     }
 
-    /** The ledger of the next term, with what this one has granted. */
+    /** Creates the ledger of the next term from the outstanding grants of this one. */
     QuotaLedger handOver(long nextTerm) {
       List<QuotaLedger.OutstandingGrant> left = ledger.outstandingGrants(now);
       for (QuotaLedger.OutstandingGrant grant : left) {
@@ -265,7 +266,7 @@
     }
   }
 
-  // ---- What goes wrong.
+  // ---- Faults.
 
   private void plannerChanges() {
     Planner before = planner;
@@ -296,11 +297,14 @@
     at(now + random.nextLong(2 * SECOND), this::fault);
   }
 
-  /** A grant for another member or start, of another length, to no request, or without a figure. */
+  /**
+   * Creates an invalid grant: for another member or start, with another number of resources, for no
+   * stored request, or with an amount of NaN.
+   */
   private QuotaGrant wrongGrant(HolderProcess holder) {
     long term = holder.holder.term();
     if (withProbability(0.4)) {
-      // To a request of several seconds ago, which may be forgotten by now.
+      // Answers a request of several seconds ago, whose time may no longer be stored.
       long answers = holder.lastRequest - 28 - random.nextInt(8);
       return new QuotaGrant(
           holder.index, holder.run, answers, term, Long.MAX_VALUE, now, new double[] {1, 1});
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every admission, phase and wait of {@link RecoveryRamp} where it was: 60 starts of 30 s
- * with random traffic and answers a seed give the actions recorded here, one digest a seed. A
- * change that is meant to keep behaviour must not alter a digest; a change of behaviour records new
- * ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every admission, phase and retry
+ * time of {@link RecoveryRamp} in 60 starts of 30 s with random traffic and answers must equal the
+ * one recorded here, for each seed. A change that is meant to keep behaviour must not alter a
+ * digest; a change of behaviour records new digests and states the reason.
  */
 class RecordedRecoveryTest {
   private static final long MS = 1_000_000;
@@ -37,7 +37,7 @@
         });
   }
 
-  /** One start of a gateway with all others, with traffic and answers of its own. */
+  /** Simulates one start of a gateway, with random traffic and answers. */
   private static void play(SplittableRandom random, RecordedActions actions) {
     long now = random.nextLong(1000 * SECOND);
     long end = now + 30 * SECOND;
@@ -88,7 +88,7 @@
     }
   }
 
-  /** The recorder's own words, which stay when a constant is renamed. */
+  /** Returns the recorded text of a phase, which stays the same when a constant is renamed. */
   private static String phaseWord(RecoveryRamp.Phase phase) {
     return switch (phase) {
       case LEARNING -> "learning";
@@ -108,7 +108,10 @@
     assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: seed 1 must
+   * reach these actions, phases and transitions.
+   */
   @Test
   void recordedEventsReachEveryActionPhaseAndTransition() {
     digest(1);
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -7,14 +7,17 @@
 import org.amberpath.recovery.RecoveryRamp.Phase;
 import org.junit.jupiter.api.Test;
 
-/** One start of a gateway, with a hundred requests a second. */
+/** Admission during one start of a gateway. */
 class RecoveryRampTest {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private long now = SECOND;
   private final RecoveryRamp ramp = new RecoveryRamp(7, SECOND, now);
 
-  /** Lets time pass; of those admitted, each n-th succeeds. Returns how many were admitted. */
+  /**
+   * Advances the clock under a constant request rate. Of the admitted requests each {@code
+   * succeedsEach}-th succeeds, none if 0. Returns how many were admitted.
+   */
   private int advance(long millis, int requestsPerSecond, int succeedsEach, boolean continued) {
     int admitted = 0;
     long next = now;
