--- a/leadership/src/main/java/org/amberpath/leadership/AcceptRound.java
+++ b/leadership/src/main/java/org/amberpath/leadership/AcceptRound.java
@@ -33,8 +33,8 @@
    * Records a voter's acceptance of the round of this number. Returns false if that round is not
    * open, or if the voter's acceptance is already recorded.
    */
-  boolean addAcceptance(String voter, long ofNumber) {
-    return open && ofNumber == number && acceptances.add(voter);
+  boolean addAcceptance(String voter, long roundNumber) {
+    return open && roundNumber == number && acceptances.add(voter);
   }
 
   Set<String> acceptances() {
--- a/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CandidateOrder.java
@@ -14,7 +14,7 @@
   private CandidateOrder() {}
 
   /** Returns how many of these gateways precede one of them in the order for a task. */
-  public static int place(String task, String gateway, List<String> gateways) {
+  public static int position(String task, String gateway, List<String> gateways) {
     long own = hash(task, gateway);
     return (int)
         gateways.stream()
--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -16,7 +16,7 @@
   private static final long RESPONSIVE_PAUSE_NANOS = 500 * MS;
 
   /** How long a response that another gateway received overrides the leader's unanswered checks. */
-  private static final long RESPONSE_ELSEWHERE_NANOS = 30_000 * MS;
+  private static final long PEER_RESPONSE_VALIDITY_NANOS = 30_000 * MS;
 
   /** Number of gateways that must suspect an endpoint before its silence is broadcast. */
   private static final int MIN_REQUESTERS = 2;
@@ -29,24 +29,24 @@
 
   private long requestedAtNanos;
   private long nextCheckNanos;
-  private long pauseNanos = HealthCheckPauses.FIRST_PAUSE_NANOS;
-  private long respondedElsewhereUntilNanos;
+  private long pauseNanos = HealthCheckIntervals.INITIAL_PAUSE_NANOS;
+  private long peerResponseValidUntilNanos;
 
   /** When the check in flight, if any, was started. */
-  private long sentAtNanos;
+  private long checkStartedNanos;
 
   /** When the last result arrived, of an own check or from another gateway; 0 for none. */
-  private long lastEndedNanos;
+  private long lastResultNanos;
 
   /** When the last completed check was started. */
-  private long lastSentNanos;
+  private long lastCheckStartedNanos;
 
   private int silentChecks;
   private boolean inFlight;
   private boolean responded;
-  private boolean reportedSilent;
+  private boolean silenceBroadcast;
 
-  void requested(long nowNanos, String requester) {
+  void requestReceived(long nowNanos, String requester) {
     requestedAtNanos = nowNanos;
     if (requesters.size() < MIN_REQUESTERS) {
       requesters.add(requester);
@@ -65,33 +65,33 @@
     return !inFlight && nowNanos >= nextCheckNanos;
   }
 
-  void started(long nowNanos) {
+  void checkStarted(long nowNanos) {
     inFlight = true;
-    sentAtNanos = nowNanos;
+    checkStartedNanos = nowNanos;
   }
 
   /**
    * Records the outcome of the check in flight. Returns whether the next broadcast is to start at
    * once.
    */
-  boolean ended(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
+  boolean checkEnded(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
     inFlight = false;
     if (outcome == HealthCheckOutcome.NOT_SENT) {
-      nextCheckNanos = nowNanos + HealthCheckPauses.FIRST_PAUSE_NANOS;
+      nextCheckNanos = nowNanos + HealthCheckIntervals.INITIAL_PAUSE_NANOS;
       return false;
     }
-    if (outcome == HealthCheckOutcome.SILENT && nowNanos < respondedElsewhereUntilNanos) {
+    if (outcome == HealthCheckOutcome.SILENT && nowNanos < peerResponseValidUntilNanos) {
       nextCheckNanos = nowNanos + maxPauseNanos;
       return false;
     }
     boolean respondedNow = outcome == HealthCheckOutcome.ANSWERED;
-    boolean changed = responded != respondedNow && lastEndedNanos > 0;
+    boolean changed = responded != respondedNow && lastResultNanos > 0;
     responded = respondedNow;
-    lastEndedNanos = nowNanos;
-    lastSentNanos = sentAtNanos;
+    lastResultNanos = nowNanos;
+    lastCheckStartedNanos = checkStartedNanos;
     if (responded) {
       silentChecks = 0;
-      pauseNanos = HealthCheckPauses.FIRST_PAUSE_NANOS;
+      pauseNanos = HealthCheckIntervals.INITIAL_PAUSE_NANOS;
       nextCheckNanos = nowNanos + RESPONSIVE_PAUSE_NANOS;
     } else {
       silentChecks++;
@@ -105,11 +105,11 @@
    * Records that another gateway received a response from the endpoint. Returns whether the
    * endpoint was not known to respond.
    */
-  boolean respondedElsewhere(long nowNanos) {
+  boolean peerReceivedResponse(long nowNanos) {
     boolean changed = !responded;
-    respondedElsewhereUntilNanos = nowNanos + RESPONSE_ELSEWHERE_NANOS;
+    peerResponseValidUntilNanos = nowNanos + PEER_RESPONSE_VALIDITY_NANOS;
     responded = true;
-    lastEndedNanos = nowNanos;
+    lastResultNanos = nowNanos;
     silentChecks = 0;
     return changed;
   }
@@ -119,18 +119,19 @@
    * another gateway received since then contradicts it.
    */
   HealthReport report(long nowNanos) {
-    if (lastEndedNanos == 0) {
+    if (lastResultNanos == 0) {
       return new HealthReport(responded, -1);
     }
-    return new HealthReport(responded, nowNanos - (responded ? lastEndedNanos : lastSentNanos));
+    return new HealthReport(
+        responded, nowNanos - (responded ? lastResultNanos : lastCheckStartedNanos));
   }
 
   /**
    * Returns whether broadcasts include the endpoint: it is silent, or was, and its recovery is to
    * be broadcast too.
    */
-  boolean isForAll() {
-    reportedSilent |= silentChecks >= MIN_SILENT_CHECKS && requesters.size() >= MIN_REQUESTERS;
-    return reportedSilent;
+  boolean isBroadcast() {
+    silenceBroadcast |= silentChecks >= MIN_SILENT_CHECKS && requesters.size() >= MIN_REQUESTERS;
+    return silenceBroadcast;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
+++ b/leadership/src/main/java/org/amberpath/leadership/FencingGuard.java
@@ -13,12 +13,12 @@
 public final class FencingGuard {
   private static final int MAX_TASKS = 256;
 
-  private record Term(long number, String leader) {}
+  private record HighestTerm(long number, String leader) {}
 
-  private final Map<String, Term> terms =
+  private final Map<String, HighestTerm> terms =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Term> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, HighestTerm> eldest) {
           return size() > MAX_TASKS;
         }
       };
@@ -27,20 +27,20 @@
    * Returns whether a message of this term and leader may take effect, and stores its term if so.
    */
   public boolean tryAdmit(String task, long term, String leader) {
-    Term known = terms.get(task);
+    HighestTerm known = terms.get(task);
     boolean admitted =
         known == null
             || term > known.number
             || (term == known.number && leader.equals(known.leader));
     if (admitted) {
-      terms.put(task, new Term(term, leader));
+      terms.put(task, new HighestTerm(term, leader));
     }
     return admitted;
   }
 
   /** Returns the highest term seen for a task, which a refusal reports; 0 for none. */
   public long highestTerm(String task) {
-    Term known = terms.get(task);
+    HighestTerm known = terms.get(task);
     return known == null ? 0 : known.number;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
@@ -18,19 +18,19 @@
 final class HealthCheckAssignments {
   private static final int MAX_IN_FLIGHT = 8;
 
-  private final HealthCheckPauses pauses;
+  private final HealthCheckIntervals intervals;
   private final Map<String, EndpointHealthCheck> checks = new LinkedHashMap<>();
   private int inFlight;
 
-  HealthCheckAssignments(HealthCheckPauses pauses) {
-    this.pauses = pauses;
+  HealthCheckAssignments(HealthCheckIntervals intervals) {
+    this.intervals = intervals;
   }
 
   /**
    * Registers a gateway's request to check an endpoint. Returns empty if the endpoint is new and
    * the maximum number of endpoints is reached.
    */
-  Optional<EndpointHealthCheck> request(long nowNanos, String endpoint, String requester) {
+  Optional<EndpointHealthCheck> registerRequest(long nowNanos, String endpoint, String requester) {
     checks.values().removeIf(check -> !check.isInFlight() && !isRequested(nowNanos, check));
     EndpointHealthCheck check = checks.get(endpoint);
     if (check == null) {
@@ -40,24 +40,24 @@
       check = new EndpointHealthCheck();
       checks.put(endpoint, check);
     }
-    check.requested(nowNanos, requester);
+    check.requestReceived(nowNanos, requester);
     return Optional.of(check);
   }
 
   private boolean isRequested(long nowNanos, EndpointHealthCheck check) {
-    return pauses.isRequested(check.requestAgeNanos(nowNanos));
+    return intervals.isRequestValid(check.requestAgeNanos(nowNanos));
   }
 
   /**
    * Starts the checks that are due, and returns their endpoints; each check is in flight until
-   * {@link #ended}.
+   * {@link #checkEnded}.
    */
-  List<String> startDue(long nowNanos) {
+  List<String> startDueChecks(long nowNanos) {
     List<String> due = new ArrayList<>();
     checks.forEach(
         (endpoint, check) -> {
           if (inFlight < MAX_IN_FLIGHT && isRequested(nowNanos, check) && check.isDue(nowNanos)) {
-            check.started(nowNanos);
+            check.checkStarted(nowNanos);
             inFlight++;
             due.add(endpoint);
           }
@@ -66,34 +66,34 @@
   }
 
   /** Records the outcome of a check. Returns whether the next broadcast is to start at once. */
-  boolean ended(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
+  boolean checkEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
     inFlight = Math.max(0, inFlight - 1);
     EndpointHealthCheck check = checks.get(endpoint);
-    return check != null && check.ended(nowNanos, outcome, pauses.maxPauseNanos());
+    return check != null && check.checkEnded(nowNanos, outcome, intervals.maxPauseNanos());
   }
 
   /**
    * Records that another gateway received a response from an endpoint. Returns whether the endpoint
    * was not known to respond.
    */
-  boolean respondedElsewhere(long nowNanos, String endpoint) {
+  boolean peerReceivedResponse(long nowNanos, String endpoint) {
     EndpointHealthCheck check = checks.get(endpoint);
-    return check != null && check.respondedElsewhere(nowNanos);
+    return check != null && check.peerReceivedResponse(nowNanos);
   }
 
   /** Returns the endpoints that broadcasts include. */
-  List<String> forAll(long nowNanos) {
+  List<String> broadcastEndpoints(long nowNanos) {
     List<String> endpoints = new ArrayList<>();
     checks.forEach(
         (endpoint, check) -> {
-          if (check.isForAll() && isRequested(nowNanos, check)) {
+          if (check.isBroadcast() && isRequested(nowNanos, check)) {
             endpoints.add(endpoint);
           }
         });
     return endpoints;
   }
 
-  /** Returns the last result of an endpoint that {@link #forAll} has returned. */
+  /** Returns the last result of an endpoint that {@link #broadcastEndpoints} has returned. */
   HealthReport report(long nowNanos, String endpoint) {
     return checks.get(endpoint).report(nowNanos);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -20,14 +20,15 @@
  *
  * <p>Reports carry the leader's term; fencing rejects those of older terms. Bounds: {@value
  * #MAX_ENDPOINTS} suspects at each gateway, as many checked endpoints at the leader, {@value
- * #MAX_NAMED} endpoints per message. Times are nanoseconds of this process's monotonic clock.
+ * #MAX_ENDPOINTS_PER_MESSAGE} endpoints per message. Times are nanoseconds of this process's
+ * monotonic clock.
  */
 public final class HealthCheckCoordinator {
   /** The task's name. */
   public static final String TASK = "probe";
 
   /** The maximum number of endpoints in a message. */
-  public static final int MAX_NAMED = 10;
+  public static final int MAX_ENDPOINTS_PER_MESSAGE = 10;
 
   static final int MAX_ENDPOINTS = 64;
 
@@ -46,7 +47,7 @@
    *     sent; -1 if there is no result yet
    */
   public record HealthReport(boolean responded, long ageNanos) {
-    HealthReport older(long nanos) {
+    HealthReport agedBy(long nanos) {
       return new HealthReport(responded, ageNanos + nanos);
     }
   }
@@ -64,9 +65,9 @@
     NOT_SENT
   }
 
-  private final HealthCheckPauses pauses = new HealthCheckPauses();
-  private final HealthReportRequester requester = new HealthReportRequester(pauses);
-  private final HealthCheckAssignments assignments = new HealthCheckAssignments(pauses);
+  private final HealthCheckIntervals intervals = new HealthCheckIntervals();
+  private final HealthReportRequester requester = new HealthReportRequester(intervals);
+  private final HealthCheckAssignments assignments = new HealthCheckAssignments(intervals);
   private final HealthReportBroadcast broadcast = new HealthReportBroadcast();
 
   // ---- Every gateway.
@@ -78,9 +79,9 @@
    */
   public void healthChanged(long nowNanos, String endpoint, boolean healthy) {
     if (healthy) {
-      requester.trusted(endpoint);
+      requester.endpointTrusted(endpoint);
     } else {
-      requester.suspected(nowNanos, endpoint);
+      requester.endpointSuspected(nowNanos, endpoint);
     }
   }
 
@@ -92,7 +93,7 @@
    *     reports are no longer trusted
    */
   public String endpointResponded(long nowNanos, String endpoint) {
-    return requester.responded(nowNanos, endpoint);
+    return requester.endpointResponded(nowNanos, endpoint);
   }
 
   /** Whether this gateway suspects any endpoint. */
@@ -112,17 +113,17 @@
    */
   public ReportRequest nextReportRequest(
       long nowNanos, int gateways, Supplier<List<String>> candidates, boolean leading) {
-    pauses.fleetSizeChanged(gateways);
+    intervals.fleetSizeChanged(gateways);
     if (!requester.tryStartRequest(nowNanos)) {
       return null;
     }
     if (leading) {
       for (String endpoint : requester.suspects()) {
-        assignments.request(nowNanos, endpoint, "");
+        assignments.registerRequest(nowNanos, endpoint, "");
       }
       return null;
     }
-    return requester.request(nowNanos, candidates).orElse(null);
+    return requester.nextRequest(nowNanos, candidates).orElse(null);
   }
 
   /**
@@ -158,11 +159,11 @@
    * Registers a gateway's request to check endpoints. Returns the last results of those endpoints.
    */
   public Map<String, HealthReport> reportRequested(
-      long nowNanos, String requestedBy, List<String> endpoints) {
+      long nowNanos, String requestingGateway, List<String> endpoints) {
     Map<String, HealthReport> reports = new TreeMap<>();
-    for (String endpoint : firstNamed(endpoints)) {
+    for (String endpoint : limitToMessage(endpoints)) {
       assignments
-          .request(nowNanos, endpoint, requestedBy)
+          .registerRequest(nowNanos, endpoint, requestingGateway)
           .ifPresent(check -> reports.put(endpoint, check.report(nowNanos)));
     }
     return reports;
@@ -173,7 +174,7 @@
    * until {@link #healthCheckEnded}.
    */
   public List<String> dueHealthChecks(long nowNanos) {
-    return assignments.startDue(nowNanos);
+    return assignments.startDueChecks(nowNanos);
   }
 
   /**
@@ -181,9 +182,9 @@
    * as responsive.
    */
   public void endpointsResponsive(long nowNanos, List<String> endpoints) {
-    for (String endpoint : firstNamed(endpoints)) {
-      if (assignments.respondedElsewhere(nowNanos, endpoint)) {
-        broadcast.changed(nowNanos);
+    for (String endpoint : limitToMessage(endpoints)) {
+      if (assignments.peerReceivedResponse(nowNanos, endpoint)) {
+        broadcast.resultChanged(nowNanos);
       }
     }
   }
@@ -193,15 +194,15 @@
    * response.
    */
   public void healthCheckEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
-    if (assignments.ended(nowNanos, endpoint, outcome)) {
-      broadcast.changed(nowNanos);
+    if (assignments.checkEnded(nowNanos, endpoint, outcome)) {
+      broadcast.resultChanged(nowNanos);
     }
   }
 
   /** Returns the reports to send to the {@link #broadcastRecipients} of this tick. */
   public Map<String, HealthReport> broadcastReport(long nowNanos) {
     Map<String, HealthReport> reports = new TreeMap<>();
-    for (String endpoint : broadcast.select(assignments.forAll(nowNanos))) {
+    for (String endpoint : broadcast.selectEndpoints(assignments.broadcastEndpoints(nowNanos))) {
       reports.put(endpoint, assignments.report(nowNanos, endpoint));
     }
     return reports;
@@ -223,7 +224,7 @@
     broadcast.clear();
   }
 
-  private static List<String> firstNamed(List<String> endpoints) {
-    return endpoints.subList(0, Math.min(MAX_NAMED, endpoints.size()));
+  private static List<String> limitToMessage(List<String> endpoints) {
+    return endpoints.subList(0, Math.min(MAX_ENDPOINTS_PER_MESSAGE, endpoints.size()));
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckPauses.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
@@ -1,7 +1,7 @@
 package org.amberpath.leadership;
 
 /** The intervals of report requests and health checks, which depend on the number of gateways. */
-final class HealthCheckPauses {
+final class HealthCheckIntervals {
   private static final long MS = 1_000_000;
 
   /** The minimum time between two report requests of one gateway. */
@@ -11,7 +11,7 @@
    * The pause after a check that was not sent, and the initial value of the pause that doubles with
    * each unanswered check.
    */
-  static final long FIRST_PAUSE_NANOS = 125 * MS;
+  static final long INITIAL_PAUSE_NANOS = 125 * MS;
 
   /** The maximum rate at which the fleet sends report requests to a leader, for any fleet size. */
   private static final int MAX_REQUESTS_PER_SECOND = 200;
@@ -24,22 +24,23 @@
   /**
    * The factor by which the leader sends fewer checks than all gateways together would without it.
    */
-  private static final int FEWER_CHECKS = 10;
+  private static final int CHECK_REDUCTION_FACTOR = 10;
 
-  private static final long LONGEST_PAUSE_NANOS = 4000 * MS;
-  private static final long SHORTEST_MAX_PAUSE_NANOS = 1000 * MS;
+  private static final long MAX_PAUSE_UPPER_BOUND_NANOS = 4000 * MS;
+  private static final long MAX_PAUSE_LOWER_BOUND_NANOS = 1000 * MS;
 
   private long requestIntervalNanos = MIN_REQUEST_INTERVAL_NANOS;
-  private long maxPauseNanos = LONGEST_PAUSE_NANOS;
+  private long maxPauseNanos = MAX_PAUSE_UPPER_BOUND_NANOS;
 
   void fleetSizeChanged(int gateways) {
     requestIntervalNanos =
         Math.max(MIN_REQUEST_INTERVAL_NANOS, gateways * (1000 * MS / MAX_REQUESTS_PER_SECOND));
     maxPauseNanos =
         Math.max(
-            SHORTEST_MAX_PAUSE_NANOS,
+            MAX_PAUSE_LOWER_BOUND_NANOS,
             Math.min(
-                LONGEST_PAUSE_NANOS, FEWER_CHECKS * LONGEST_PAUSE_NANOS / Math.max(1, gateways)));
+                MAX_PAUSE_UPPER_BOUND_NANOS,
+                CHECK_REDUCTION_FACTOR * MAX_PAUSE_UPPER_BOUND_NANOS / Math.max(1, gateways)));
   }
 
   /** The time between two report requests of one gateway. */
@@ -55,12 +56,12 @@
   /**
    * Whether a report of this age still shows that a leader performs the checks for all gateways.
    */
-  boolean isTrusted(long reportAgeNanos) {
+  boolean isReportTrusted(long reportAgeNanos) {
     return reportAgeNanos < TRUSTED_INTERVALS * requestIntervalNanos;
   }
 
   /** Whether the leader still checks an endpoint whose last request has this age. */
-  boolean isRequested(long requestAgeNanos) {
+  boolean isRequestValid(long requestAgeNanos) {
     return requestAgeNanos <= (TRUSTED_INTERVALS + 1) * requestIntervalNanos;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportBroadcast.java
@@ -18,12 +18,12 @@
   /** Round numbers wrap at this value; a round number only selects the endpoints of a broadcast. */
   private static final int MAX_ROUND = 64;
 
-  private final ArrayDeque<String> recipientsLeft = new ArrayDeque<>();
+  private final ArrayDeque<String> pendingRecipients = new ArrayDeque<>();
   private long nextBroadcastNanos;
   private int round;
 
   /** Records a changed result: the next broadcast begins as soon as the current one has ended. */
-  void changed(long nowNanos) {
+  void resultChanged(long nowNanos) {
     nextBroadcastNanos = nowNanos;
   }
 
@@ -31,30 +31,32 @@
    * Returns the recipients of this tick. Begins a broadcast to all gateways present if one is due.
    */
   List<String> nextRecipients(long nowNanos, List<String> present) {
-    if (recipientsLeft.isEmpty() && nowNanos >= nextBroadcastNanos) {
-      recipientsLeft.addAll(present);
+    if (pendingRecipients.isEmpty() && nowNanos >= nextBroadcastNanos) {
+      pendingRecipients.addAll(present);
       round = (round + 1) % MAX_ROUND;
       nextBroadcastNanos = nowNanos + INTERVAL_MILLIS * MS;
     }
     List<String> recipients = new ArrayList<>();
-    while (!recipientsLeft.isEmpty() && recipients.size() < MAX_RECIPIENTS_PER_TICK) {
-      recipients.add(recipientsLeft.poll());
+    while (!pendingRecipients.isEmpty() && recipients.size() < MAX_RECIPIENTS_PER_TICK) {
+      recipients.add(pendingRecipients.poll());
     }
     return recipients;
   }
 
   /** Returns those of the given endpoints that the current broadcast reports on. */
-  List<String> select(List<String> endpoints) {
+  List<String> selectEndpoints(List<String> endpoints) {
     List<String> selected = new ArrayList<>();
-    int count = Math.min(HealthCheckCoordinator.MAX_NAMED, endpoints.size());
+    int count = Math.min(HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE, endpoints.size());
     for (int index = 0; index < count; index++) {
       selected.add(
-          endpoints.get((round * HealthCheckCoordinator.MAX_NAMED + index) % endpoints.size()));
+          endpoints.get(
+              (round * HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE + index)
+                  % endpoints.size()));
     }
     return selected;
   }
 
   void clear() {
-    recipientsLeft.clear();
+    pendingRecipients.clear();
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
@@ -32,11 +32,11 @@
   private static final long NEW_SUSPECT_PAUSE_NANOS = 50 * MS;
 
   /** The longest assumed travel time of an unsolicited report. */
-  private static final long MAX_TRAVEL_NANOS = 1000 * MS;
+  private static final long MAX_REPORT_DELAY_NANOS = 1000 * MS;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
 
-  private final HealthCheckPauses pauses;
+  private final HealthCheckIntervals intervals;
   private final Set<String> suspects = new TreeSet<>();
 
   /** Whether the last accepted report on an endpoint said that it is silent. */
@@ -48,7 +48,7 @@
         }
       };
 
-  private final FencingGuard fence = new FencingGuard();
+  private final FencingGuard fencingGuard = new FencingGuard();
 
   /** The gateway that reported last; empty if no leader is known. */
   private String leader = "";
@@ -60,11 +60,11 @@
   private int nextCandidate;
   private int nextSuspect;
 
-  HealthReportRequester(HealthCheckPauses pauses) {
-    this.pauses = pauses;
+  HealthReportRequester(HealthCheckIntervals intervals) {
+    this.intervals = intervals;
   }
 
-  void suspected(long nowNanos, String endpoint) {
+  void endpointSuspected(long nowNanos, String endpoint) {
     if (suspects.size() < HealthCheckCoordinator.MAX_ENDPOINTS && suspects.add(endpoint)) {
       nextRequestNanos =
           Math.min(
@@ -72,7 +72,7 @@
     }
   }
 
-  void trusted(String endpoint) {
+  void endpointTrusted(String endpoint) {
     suspects.remove(endpoint);
   }
 
@@ -84,13 +84,13 @@
    * Returns the leader to notify that an endpoint responds to this gateway; empty if the last
    * report did not call the endpoint silent, or if reports are no longer trusted.
    */
-  String responded(long nowNanos, String endpoint) {
+  String endpointResponded(long nowNanos, String endpoint) {
     boolean contradicts = Boolean.TRUE.equals(reportedSilent.remove(endpoint));
     return contradicts && isReportTrusted(nowNanos) ? leader : "";
   }
 
   boolean isReportTrusted(long nowNanos) {
-    return pauses.isTrusted(nowNanos - reportedAtNanos);
+    return intervals.isReportTrusted(nowNanos - reportedAtNanos);
   }
 
   /** Returns whether a request is due, and if so schedules the next one an interval later. */
@@ -98,7 +98,7 @@
     if (suspects.isEmpty() || nowNanos < nextRequestNanos) {
       return false;
     }
-    nextRequestNanos = nowNanos + pauses.requestIntervalNanos();
+    nextRequestNanos = nowNanos + intervals.requestIntervalNanos();
     return true;
   }
 
@@ -106,7 +106,7 @@
    * Creates the request that is due, to the gateway that reported last or else to a candidate.
    * Returns empty if there is no other gateway.
    */
-  Optional<ReportRequest> request(long nowNanos, Supplier<List<String>> candidates) {
+  Optional<ReportRequest> nextRequest(long nowNanos, Supplier<List<String>> candidates) {
     List<String> others = candidates.get();
     if (others.isEmpty()) {
       return Optional.empty();
@@ -114,25 +114,30 @@
     if (!lastRequestAnswered) {
       leader = "";
     }
-    boolean known = others.contains(leader);
+    boolean leaderPresent = others.contains(leader);
     String recipient =
-        known ? leader : others.get(nextCandidate++ % Math.min(MAX_CANDIDATES, others.size()));
+        leaderPresent
+            ? leader
+            : others.get(nextCandidate++ % Math.min(MAX_CANDIDATES, others.size()));
     requestedAtNanos = nowNanos;
     lastRequestAnswered = false;
-    if (!known) {
+    if (!leaderPresent) {
       // This candidate may not be the leader, so the next candidate is asked soon.
-      nextRequestNanos = nowNanos + HealthCheckPauses.MIN_REQUEST_INTERVAL_NANOS / MAX_CANDIDATES;
+      nextRequestNanos =
+          nowNanos + HealthCheckIntervals.MIN_REQUEST_INTERVAL_NANOS / MAX_CANDIDATES;
     }
     return Optional.of(new ReportRequest(recipient, requestedAtNanos, nextSuspects()));
   }
 
   private List<String> nextSuspects() {
     List<String> all = List.copyOf(suspects);
-    List<String> named = new ArrayList<>();
-    for (int index = 0; index < Math.min(HealthCheckCoordinator.MAX_NAMED, all.size()); index++) {
-      named.add(all.get(nextSuspect++ % all.size()));
+    List<String> selected = new ArrayList<>();
+    for (int index = 0;
+        index < Math.min(HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE, all.size());
+        index++) {
+      selected.add(all.get(nextSuspect++ % all.size()));
     }
-    return named;
+    return selected;
   }
 
   /**
@@ -143,36 +148,37 @@
    */
   Optional<Map<String, HealthReport>> reportReceived(
       long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
-    if (!fence.tryAdmit(HealthCheckCoordinator.TASK, term, from)) {
+    if (!fencingGuard.tryAdmit(HealthCheckCoordinator.TASK, term, from)) {
       return Optional.empty();
     }
     boolean answersLast = requestNanos == requestedAtNanos;
     if (answersLast) {
       lastRequestAnswered = true;
       nextRequestNanos =
-          Math.max(nextRequestNanos, requestedAtNanos + pauses.requestIntervalNanos());
+          Math.max(nextRequestNanos, requestedAtNanos + intervals.requestIntervalNanos());
     }
-    boolean current = answersLast || requestNanos == 0;
-    if (current) {
+    boolean answersLastOrUnsolicited = answersLast || requestNanos == 0;
+    if (answersLastOrUnsolicited) {
       leader = from;
       reportedAtNanos = nowNanos;
     }
     // The age of a reported response grows by the longest time that the report may have
     // travelled.
-    long addedAgeNanos = answersLast ? nowNanos - requestNanos : MAX_TRAVEL_NANOS;
+    long addedAgeNanos = answersLast ? nowNanos - requestNanos : MAX_REPORT_DELAY_NANOS;
     Map<String, HealthReport> accepted = new TreeMap<>();
     reports.forEach(
         (endpoint, report) -> {
           if (report.ageNanos() >= 0
-              && (!report.responded() || (current && suspects.contains(endpoint)))) {
+              && (!report.responded()
+                  || (answersLastOrUnsolicited && suspects.contains(endpoint)))) {
             reportedSilent.put(endpoint, !report.responded());
-            accepted.put(endpoint, report.responded() ? report.older(addedAgeNanos) : report);
+            accepted.put(endpoint, report.responded() ? report.agedBy(addedAgeNanos) : report);
           }
         });
     return Optional.of(accepted);
   }
 
   long highestTerm() {
-    return fence.highestTerm(HealthCheckCoordinator.TASK);
+    return fencingGuard.highestTerm(HealthCheckCoordinator.TASK);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -39,7 +39,7 @@
   }
 
   private final LeaseTimings timings;
-  private final long votesFromNanos;
+  private final long votingStartsAtNanos;
   private final Map<String, Vote> votes = new TreeMap<>();
 
   /** Creates a voter that has just started, and does not vote for the longest lease. */
@@ -50,17 +50,17 @@
   /**
    * Creates a voter that does not vote at first.
    *
-   * @param silentNanos how long the voter does not vote; a model passes less than the longest lease
-   *     to show which invariant that violates
+   * @param nonVotingNanos how long the voter does not vote; a model passes less than the longest
+   *     lease to show which invariant that violates
    */
-  public LeaseAcceptor(LeaseTimings timings, long nowNanos, long silentNanos) {
+  public LeaseAcceptor(LeaseTimings timings, long nowNanos, long nonVotingNanos) {
     this.timings = timings;
-    votesFromNanos = nowNanos + silentNanos;
+    votingStartsAtNanos = nowNanos + nonVotingNanos;
   }
 
   /** Processes a candidate's message and returns the answer; null for none. */
   public LeaseMessage messageReceived(long nowNanos, String candidate, LeaseMessage message) {
-    if (nowNanos < votesFromNanos) {
+    if (nowNanos < votingStartsAtNanos) {
       return null;
     }
     Vote vote = votes.get(message.task());
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
@@ -7,13 +7,15 @@
  * @param other of PROPOSE and ACCEPTED: the number of the accept round under that ballot; of
  *     PROMISE: the nanoseconds left of another process's lease, 0 for none; of REFUSED: the ballot
  *     that the voter has promised
- * @param last of PROMISE: the ballot that this voter accepted last, 0 if it has no record of one
+ * @param lastAcceptedBallot of PROMISE: the ballot that this voter accepted last, 0 if it has no
+ *     record of one
  */
-public record LeaseMessage(Kind kind, String task, long ballot, long other, long last) {
+public record LeaseMessage(
+    Kind kind, String task, long ballot, long other, long lastAcceptedBallot) {
   /**
    * The highest valid ballot. Higher ones are not decoded, because no candidate could outbid them.
    */
-  public static final long HIGHEST = 1L << 62;
+  public static final long HIGHEST_BALLOT = 1L << 62;
 
   /** Creates a message without a previously accepted ballot. */
   public LeaseMessage(Kind kind, String task, long ballot, long other) {
--- a/leadership/src/main/java/org/amberpath/leadership/ObservedKey.java
+++ b/leadership/src/main/java/org/amberpath/leadership/ObservedKey.java
@@ -35,7 +35,7 @@
   }
 
   /** Records that this process holds the key under this term. */
-  void taken(long ownTerm) {
+  void acquired(long ownTerm) {
     if (ownTerm != term) {
       previousTerm = term;
     }
--- a/leadership/src/main/java/org/amberpath/leadership/PrepareRound.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PrepareRound.java
@@ -18,12 +18,12 @@
   private boolean lastLeaderUncertain;
 
   /** Records a voter's promise. Returns false if the promise is already recorded. */
-  boolean addPromise(String voter, long acceptedBefore) {
+  boolean addPromise(String voter, long previouslyAcceptedBallot) {
     if (!promises.add(voter)) {
       return false;
     }
-    lastAcceptedBallot = Math.max(lastAcceptedBallot, acceptedBefore);
-    lastLeaderUncertain |= acceptedBefore == 0;
+    lastAcceptedBallot = Math.max(lastAcceptedBallot, previouslyAcceptedBallot);
+    lastLeaderUncertain |= previouslyAcceptedBallot == 0;
     return true;
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
+++ b/leadership/src/main/java/org/amberpath/leadership/PurgeRetention.java
@@ -25,11 +25,11 @@
   private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
   /** The revision at which a key was last written, and when this process first observed it. */
-  private record Observed(long revision, long sinceNanos) {}
+  private record ObservedRevision(long revision, long firstObservedNanos) {}
 
   private final long retentionNanos;
   private final long intervalNanos;
-  private Map<String, Observed> observed = Map.of();
+  private Map<String, ObservedRevision> observed = Map.of();
   private long nextSweepNanos;
   private boolean sweeping;
 
@@ -77,15 +77,15 @@
   public List<RegistryEntry> expiredPurges(
       List<RegistryEntry> entries, long nowNanos, long wallMillis) {
     long writtenBeforeMillis = wallMillis - retentionNanos / MS - 2 * MAX_CLOCK_STEP_MILLIS;
-    Map<String, Observed> present = new HashMap<>();
+    Map<String, ObservedRevision> present = new HashMap<>();
     for (RegistryEntry entry : entries) {
       if (entry.value() instanceof RegistryRecord.Purge) {
-        Observed known = observed.get(entry.key());
+        ObservedRevision known = observed.get(entry.key());
         present.put(
             entry.key(),
             known != null && known.revision == entry.modRevision()
                 ? known
-                : new Observed(entry.modRevision(), nowNanos));
+                : new ObservedRevision(entry.modRevision(), nowNanos));
       }
     }
     observed = present;
@@ -94,7 +94,7 @@
             entry ->
                 entry.value() instanceof RegistryRecord.Purge purge
                     && (purge.atMs() < writtenBeforeMillis
-                        || nowNanos - present.get(entry.key()).sinceNanos > retentionNanos))
+                        || nowNanos - present.get(entry.key()).firstObservedNanos > retentionNanos))
         .sorted(Comparator.comparingLong(RegistryEntry::modRevision))
         .limit(MAX_DELETED)
         .toList();
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -40,8 +40,8 @@
   private final String task;
   private final SplittableRandom random;
   private final long marginNanos;
-  private final AcceptRound accept = new AcceptRound();
-  private PrepareRound prepare = new PrepareRound();
+  private final AcceptRound acceptRound = new AcceptRound();
+  private PrepareRound prepareRound = new PrepareRound();
   private VoterConfiguration voters;
   private QuorumPhase phase = QuorumPhase.FOLLOWING;
   private long ballot;
@@ -102,8 +102,8 @@
   /** Replaces the configuration of voters. Open rounds are discarded. */
   public void updateVoters(VoterConfiguration next) {
     voters = next;
-    prepare.clearPromises();
-    accept.close();
+    prepareRound.clearPromises();
+    acceptRound.close();
     if (phase.isCandidate()) {
       enter(QuorumPhase.FOLLOWING);
     }
@@ -118,8 +118,8 @@
    * Sets this process's place in {@link CandidateOrder}: a process with a lower place stands for
    * election sooner.
    */
-  public void place(int place) {
-    position = Math.min(place, MAX_POSITION);
+  public void updatePosition(int newPosition) {
+    position = Math.min(newPosition, MAX_POSITION);
   }
 
   @Override
@@ -167,20 +167,20 @@
     enter(QuorumPhase.PREPARING);
     ballot = Math.max(Math.max(highestBallotSeen, ballot) + 1, wallClockMillis);
     highestBallotSeen = ballot;
-    prepare = new PrepareRound();
-    accept.close();
+    prepareRound = new PrepareRound();
+    acceptRound.close();
     roundStartedNanos = nowNanos;
     sendToVoters(LeaseMessage.Kind.PREPARE);
   }
 
   private void startAcceptRound(long nowNanos) {
-    accept.start();
+    acceptRound.start();
     roundStartedNanos = nowNanos;
     sendToVoters(LeaseMessage.Kind.PROPOSE);
   }
 
   private void sendToVoters(LeaseMessage.Kind kind) {
-    LeaseMessage message = new LeaseMessage(kind, task, ballot, accept.number());
+    LeaseMessage message = new LeaseMessage(kind, task, ballot, acceptRound.number());
     voters.allVoters().forEach(voter -> transport.send(voter, message));
   }
 
@@ -196,27 +196,27 @@
     if (response.kind() == LeaseMessage.Kind.REFUSED) {
       highestBallotSeen = Math.max(highestBallotSeen, response.other());
     }
-    boolean ofThisBallot = response.ballot() == ballot && response.task().equals(task);
-    if (!ofThisBallot || !voters.allVoters().contains(voter)) {
+    boolean matchesCurrentBallot = response.ballot() == ballot && response.task().equals(task);
+    if (!matchesCurrentBallot || !voters.allVoters().contains(voter)) {
       return;
     }
     if (response.kind() == LeaseMessage.Kind.PROMISE && phase == QuorumPhase.PREPARING) {
-      promised(nowNanos, voter, response);
+      promiseReceived(nowNanos, voter, response);
     } else if (response.kind() == LeaseMessage.Kind.ACCEPTED
-        && accept.addAcceptance(voter, response.other())
-        && voters.isMajority(accept.acceptances())) {
-      accepted(nowNanos);
+        && acceptRound.addAcceptance(voter, response.other())
+        && voters.isMajority(acceptRound.acceptances())) {
+      roundAccepted(nowNanos);
     }
   }
 
-  private void promised(long nowNanos, String voter, LeaseMessage response) {
+  private void promiseReceived(long nowNanos, String voter, LeaseMessage response) {
     if (response.other() > 0) {
       // Another process holds the lease: the next election is due when that lease may
       // have expired.
       nextAttemptNanos =
           Math.max(nextAttemptNanos, nowNanos + response.other() + electionDelayNanos());
-    } else if (prepare.addPromise(voter, response.last())
-        && voters.isMajority(prepare.promises())) {
+    } else if (prepareRound.addPromise(voter, response.lastAcceptedBallot())
+        && voters.isMajority(prepareRound.promises())) {
       enter(QuorumPhase.PROPOSING);
       startAcceptRound(nowNanos);
     }
@@ -226,8 +226,8 @@
    * Handles the acceptance of the open round by a quorum: the election is won, or the lease
    * renewed.
    */
-  private void accepted(long nowNanos) {
-    accept.close();
+  private void roundAccepted(long nowNanos) {
+    acceptRound.close();
     long expiresAtNanos =
         leaseStartNanos(roundStartedNanos, nowNanos)
             + timings.shortestNanos(timings.leaseNanos())
@@ -238,21 +238,21 @@
         enter(QuorumPhase.WAITING);
         settledAtNanos =
             nowNanos
-                + (prepare.isLastLeader(highestStoppedTerm)
+                + (prepareRound.isLastLeader(highestStoppedTerm)
                     ? 0
                     : timings.longestNanos(timings.settleNanos()));
-        leaseExtended(expiresAtNanos);
+        extendLease(expiresAtNanos);
       } else {
         // Too late; another promise may still start a new accept round.
         enter(QuorumPhase.PREPARING);
       }
     } else if (phase.hasLease() && nowNanos < leaseExpiresAtNanos) {
-      leaseExtended(expiresAtNanos);
+      extendLease(expiresAtNanos);
     }
     tick(nowNanos);
   }
 
-  private void leaseExtended(long expiresAtNanos) {
+  private void extendLease(long expiresAtNanos) {
     leaseExpiresAtNanos = expiresAtNanos;
     nextAttemptNanos = roundStartedNanos + timings.leaseNanos() / RENEWAL_DIVISOR;
   }
@@ -279,7 +279,7 @@
   @Override
   public void predecessorStopped(long nowNanos, long stoppedTerm) {
     highestStoppedTerm = Math.max(highestStoppedTerm, stoppedTerm);
-    if (phase == QuorumPhase.WAITING && prepare.isLastLeader(highestStoppedTerm)) {
+    if (phase == QuorumPhase.WAITING && prepareRound.isLastLeader(highestStoppedTerm)) {
       settledAtNanos = Math.min(settledAtNanos, nowNanos);
       tick(nowNanos);
     } else if (phase == QuorumPhase.FOLLOWING && stoppedTerm >= highestBallotSeen) {
@@ -310,6 +310,6 @@
       sendToVoters(LeaseMessage.Kind.RELEASE);
     }
     leaseExpiresAtNanos = nowNanos;
-    accept.close();
+    acceptRound.close();
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -106,8 +106,8 @@
       return;
     }
     // The observed key may show this process's own campaign before its answer arrives.
-    boolean maybeOwn = state == State.ASKING && observedTerm == campaignTerm;
-    if (held && observedTerm > term && state != State.RESIGNED && !maybeOwn) {
+    boolean maybeOwnCampaign = state == State.ASKING && observedTerm == campaignTerm;
+    if (held && observedTerm > term && state != State.RESIGNED && !maybeOwnCampaign) {
       enter(State.FOLLOWING);
     }
     if (!held && !wasVacant) {
@@ -170,7 +170,7 @@
     if (state != State.ASKING) {
       return;
     }
-    key.taken(wonTerm);
+    key.acquired(wonTerm);
     term = wonTerm;
     enter(State.WAITING);
     leaseExpiresAtNanos = 0;
@@ -247,17 +247,17 @@
   public void higherTermSeen(long nowNanos, long seenTerm) {
     key.termUsed(seenTerm);
     if (state != State.RESIGNED && term < seenTerm) {
-      standDown();
+      stepDown();
     }
   }
 
   @Override
   public void release(long nowNanos) {
     nextCampaignNanos = nowNanos + leaseNanos;
-    standDown();
+    stepDown();
   }
 
-  private void standDown() {
+  private void stepDown() {
     boolean hadLease = hasLease();
     if (state != State.RESIGNED) {
       enter(State.FOLLOWING);
--- a/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
+++ b/leadership/src/main/java/org/amberpath/leadership/VoterConfiguration.java
@@ -47,7 +47,7 @@
    * Returns whether this configuration and another are adjacent stages of a change: every quorum of
    * one has a voter in common with every quorum of the other.
    */
-  public boolean follows(VoterConfiguration other) {
+  public boolean isAdjacentTo(VoterConfiguration other) {
     return (current.equals(other.current) && (next.isEmpty() || other.next.isEmpty()))
         || (next.isEmpty() && current.equals(other.next))
         || (other.next.isEmpty() && next.equals(other.current));
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/HealthCheckTask.java
@@ -121,10 +121,10 @@
             callbacks.healthCheckReported(endpoint, report.responded(), report.ageNanos()));
   }
 
-  private void setCentralized(boolean now) {
-    if (now != centralized) {
-      centralized = now;
-      membership.callbacks().healthChecksCentralized(now);
+  private void setCentralized(boolean nowCentralized) {
+    if (nowCentralized != centralized) {
+      centralized = nowCentralized;
+      membership.callbacks().healthChecksCentralized(nowCentralized);
     }
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -28,7 +28,7 @@
    * The longest travel time of a message. An action may take as long as a new leader waits, less
    * this.
    */
-  private static final long MESSAGE_TRAVEL_NANOS = 100_000_000;
+  private static final long MAX_MESSAGE_DELAY_NANOS = 100_000_000;
 
   private final Vertx vertx;
   private final LeadershipSettings settings;
@@ -64,24 +64,24 @@
               new RegistryLeaseClient(
                   vertx, settings.leaseRegistry(), settings.timings(), membership));
     }
-    long maxActionNanos = settings.timings().settleNanos() - MESSAGE_TRAVEL_NANOS;
+    long maxActionNanos = settings.timings().settleNanos() - MAX_MESSAGE_DELAY_NANOS;
     if (settings.purgeRegistry() != null) {
-      add(
+      addTask(
           nowNanos,
           new PurgeRetentionTask(
               vertx, membership, settings.purgeRegistry(), settings.purgeSweepIntervalNanos()));
     }
     if (settings.healthChecks()) {
       healthChecks = Optional.of(new HealthCheckTask(membership, maxActionNanos));
-      add(nowNanos, healthChecks.get());
+      addTask(nowNanos, healthChecks.get());
     }
     if (settings.prefetch()) {
       prefetch = Optional.of(new CachePrefetchTask(membership, maxActionNanos));
-      add(nowNanos, prefetch.get());
+      addTask(nowNanos, prefetch.get());
     }
   }
 
-  private void add(long nowNanos, TaskRunner runner) {
+  private void addTask(long nowNanos, TaskRunner runner) {
     Leadership leadership =
         leases
             .map(client -> client.leadership(runner.task()))
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -31,7 +31,7 @@
           .packString(message.task())
           .packLong(message.ballot())
           .packLong(message.other())
-          .packLong(message.last());
+          .packLong(message.lastAcceptedBallot());
       return packer.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -40,7 +40,7 @@
 
   /** Whether a number is in the range of ballots and terms. */
   static boolean isValidNumber(long value) {
-    return value >= 0 && value <= LeaseMessage.HIGHEST;
+    return value >= 0 && value <= LeaseMessage.HIGHEST_BALLOT;
   }
 
   /** Decodes a message. Returns empty if the bytes are of another version or invalid. */
@@ -51,7 +51,7 @@
       String task = unpacker.unpackString();
       long ballot = unpacker.unpackLong();
       long other = unpacker.unpackLong();
-      long last = unpacker.unpackLong();
+      long lastAcceptedBallot = unpacker.unpackLong();
       boolean valid =
           version == VERSION
               && kind >= 0
@@ -59,10 +59,10 @@
               && task.matches(TASK_PATTERN)
               && isValidNumber(ballot)
               && isValidNumber(other)
-              && isValidNumber(last)
+              && isValidNumber(lastAcceptedBallot)
               && !unpacker.hasNext();
       return valid
-          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, other, last))
+          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, other, lastAcceptedBallot))
           : Optional.empty();
     } catch (IOException | MessagePackException e) {
       return Optional.empty();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/PurgeRetentionTask.java
@@ -87,10 +87,10 @@
     RegistryRecord.Task leader = new RegistryRecord.Task(term, membership.name());
     return registry
         .deletePurges(PurgeRetention.TASK, leader, fence, expired)
-        .map(admitted -> counted(admitted, expired.size()));
+        .map(admitted -> recordDeletion(admitted, expired.size()));
   }
 
-  private int counted(boolean admitted, int count) {
+  private int recordDeletion(boolean admitted, int count) {
     if (!admitted) {
       refused++;
       return 0;
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
@@ -83,7 +83,8 @@
   void updateCandidate(String task) {
     QuorumLeadership candidate = candidates.get(task);
     candidate.wallClockRead(System.currentTimeMillis());
-    candidate.place(CandidateOrder.place(task, membership.name(), membership.presentNames()));
+    candidate.updatePosition(
+        CandidateOrder.position(task, membership.name(), membership.presentNames()));
   }
 
   private void send(String recipient, LeaseMessage message) {
@@ -123,18 +124,18 @@
   void reload() {
     vertx
         .executeBlocking(reloadVoters::get)
-        .onSuccess(this::reloaded)
+        .onSuccess(this::votersReloaded)
         .onFailure(
             e ->
                 LOG.warning(
                     membership.name() + ": leadership: voters unchanged error=" + e.getMessage()));
   }
 
-  private void reloaded(VoterConfiguration next) {
+  private void votersReloaded(VoterConfiguration next) {
     if (next.equals(voters)) {
       return;
     }
-    if (!next.follows(voters)) {
+    if (!next.isAdjacentTo(voters)) {
       LOG.warning(
           membership.name()
               + ": leadership: voters unchanged voters="
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -33,7 +33,7 @@
   private boolean reading;
 
   /** The number of reads started, by which reads and campaigns are ordered. */
-  private long reads;
+  private long readsStarted;
 
   RegistryLeaseClient(
       Vertx vertx, RegistrySettings settings, LeaseTimings timings, MembershipService membership) {
@@ -50,7 +50,7 @@
     private long revision;
 
     /** The number of the last read that was started before the last campaign was answered. */
-    private long campaignRead;
+    private long lastReadBeforeCampaign;
 
     TaskLease(String task) {
       this.task = task;
@@ -59,7 +59,7 @@
 
     @Override
     public void campaign(long term, long keyRevision) {
-      campaignRead = reads;
+      lastReadBeforeCampaign = readsStarted;
       registry
           .campaign(
               task,
@@ -70,7 +70,7 @@
     }
 
     private void campaignEnded(long term, AsyncResult<Long> granted) {
-      campaignRead = reads;
+      lastReadBeforeCampaign = readsStarted;
       if (granted.failed() || granted.result() == 0) {
         leadership.leaseLost(membership.nowNanos());
       } else {
@@ -107,8 +107,8 @@
      * Applies the result of a read, unless the read was started before the last campaign was
      * answered.
      */
-    void keysRead(long nowNanos, long read, RegistryEntry termKey, boolean held) {
-      if (read <= campaignRead && campaignRead > 0) {
+    void keysRead(long nowNanos, long readNumber, RegistryEntry termKey, boolean held) {
+      if (readNumber <= lastReadBeforeCampaign && lastReadBeforeCampaign > 0) {
         return;
       }
       long readRevision = termKey == null ? 0 : termKey.modRevision();
@@ -132,7 +132,7 @@
       return;
     }
     reading = true;
-    long read = ++reads;
+    long readNumber = ++readsStarted;
     nextReadNanos = nowNanos + timings.leaseNanos() / READS_PER_LEASE;
     registry
         .tasks()
@@ -140,12 +140,12 @@
             keys -> {
               reading = false;
               if (keys.succeeded()) {
-                keysRead(keys.result(), read);
+                keysRead(keys.result(), readNumber);
               }
             });
   }
 
-  private void keysRead(List<RegistryEntry> keys, long read) {
+  private void keysRead(List<RegistryEntry> keys, long readNumber) {
     for (TaskLease lease : leases.values()) {
       RegistryEntry termKey = null;
       boolean held = false;
@@ -153,7 +153,7 @@
         termKey = lease.task.equals(registry.taskName(key, false)) ? key : termKey;
         held |= lease.task.equals(registry.taskName(key, true));
       }
-      lease.keysRead(membership.nowNanos(), read, termKey, held);
+      lease.keysRead(membership.nowNanos(), readNumber, termKey, held);
     }
   }
 
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -87,9 +87,9 @@
       if (ms % 500 == 0) {
         leader.reportRequested(now, "a", List.of("x"));
       }
-      for (String cache : leader.dueHealthChecks(now)) {
+      for (String endpoint : leader.dueHealthChecks(now)) {
         checks++;
-        leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT);
+        leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT);
       }
     }
     assertTrue(checks >= 5 && checks <= 10, checks + " in 20 s");
@@ -103,9 +103,9 @@
     int checks = 0;
     for (int ms = 0; ms < 20_000; ms += 10, now += 10 * MS) {
       leader.reportRequested(now, "a", List.of("x"));
-      for (String cache : leader.dueHealthChecks(now)) {
+      for (String endpoint : leader.dueHealthChecks(now)) {
         checks++;
-        leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT);
+        leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT);
       }
     }
     assertTrue(checks >= 20 && checks <= 25, checks + " in 20 s");
@@ -156,11 +156,12 @@
               gateway.healthChanged(now, "cache-" + index, false);
               leader.reportRequested(now, "a", List.of("cache-" + index));
             });
-    assertEquals(HealthCheckCoordinator.MAX_NAMED, nextRequest().endpoints().size());
+    assertEquals(
+        HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE, nextRequest().endpoints().size());
     assertEquals(8, leader.dueHealthChecks(now).size());
   }
 
-  private void silentCheck(String... requesters) {
+  private void runSilentCheck(String... requesters) {
     now += 5000 * MS;
     for (String requester : requesters) {
       leader.reportRequested(now, requester, List.of("x"));
@@ -168,18 +169,20 @@
     leader
         .dueHealthChecks(now)
         .forEach(
-            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
+            endpoint ->
+                leader.healthCheckEnded(now + 400 * MS, endpoint, HealthCheckOutcome.SILENT));
     now += 400 * MS;
   }
 
   @Test
   void silenceIsBroadcastAfterTwoRequestersAndTwoSilentChecks() {
-    silentCheck("a", "b");
+    runSilentCheck("a", "b");
     assertEquals(Map.of(), leader.broadcastReport(now), "one check");
     leader
         .dueHealthChecks(now)
         .forEach(
-            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
+            endpoint ->
+                leader.healthCheckEnded(now + 400 * MS, endpoint, HealthCheckOutcome.SILENT));
     now += 400 * MS;
     Map<String, HealthReport> silent = leader.broadcastReport(now);
     assertEquals(
@@ -207,17 +210,17 @@
       leader.reportRequested(now, "a", List.of("x"));
       leader
           .dueHealthChecks(now)
-          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
+          .forEach(endpoint -> leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT));
     }
     assertEquals(Map.of(), leader.broadcastReport(now));
   }
 
   @Test
   void endpointThatOnlyTheLeaderCannotReachIsReportedResponsive() {
-    silentCheck("a", "b");
+    runSilentCheck("a", "b");
     leader
         .dueHealthChecks(now)
-        .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
+        .forEach(endpoint -> leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT));
     Map<String, HealthReport> silent = leader.broadcastReport(now);
     assertFalse(silent.get("x").responded());
     assertEquals("", gateway.endpointResponded(now, "x"), "it was not reported silent");
@@ -230,7 +233,7 @@
       leader.reportRequested(now, "b", List.of("x"));
       leader
           .dueHealthChecks(now)
-          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
+          .forEach(endpoint -> leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT));
     }
     assertTrue(
         leader.broadcastReport(now).get("x").responded(),
@@ -241,11 +244,12 @@
 
   @Test
   void checkInFlightDoesNotMakeTheLastResultYounger() {
-    silentCheck("a", "b");
+    runSilentCheck("a", "b");
     leader
         .dueHealthChecks(now)
         .forEach(
-            cache -> leader.healthCheckEnded(now + 400 * MS, cache, HealthCheckOutcome.SILENT));
+            endpoint ->
+                leader.healthCheckEnded(now + 400 * MS, endpoint, HealthCheckOutcome.SILENT));
     now += 1000 * MS;
     leader.reportRequested(now, "a", List.of("x"));
     assertEquals(List.of("x"), leader.dueHealthChecks(now));
@@ -259,20 +263,23 @@
   void silentEndpointsBeyondOneMessageAreBroadcastInTurn() {
     List<String> endpoints = IntStream.range(0, 25).mapToObj(index -> "c" + index).toList();
     for (int round = 0; round < 200; round++, now += 50 * MS) {
-      for (int at = 0; at < endpoints.size(); at += HealthCheckCoordinator.MAX_NAMED) {
+      for (int at = 0;
+          at < endpoints.size();
+          at += HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE) {
         List<String> named =
             endpoints.subList(
-                at, Math.min(endpoints.size(), at + HealthCheckCoordinator.MAX_NAMED));
+                at,
+                Math.min(endpoints.size(), at + HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE));
         leader.reportRequested(now, "a", named);
         leader.reportRequested(now, "b", named);
       }
       leader
           .dueHealthChecks(now)
-          .forEach(cache -> leader.healthCheckEnded(now, cache, HealthCheckOutcome.SILENT));
+          .forEach(endpoint -> leader.healthCheckEnded(now, endpoint, HealthCheckOutcome.SILENT));
     }
     Set<String> reported = new TreeSet<>();
     for (int round = 0; round < 100; round++, now += 500 * MS) {
-      endpoints.forEach(cache -> leader.reportRequested(now, "a", List.of(cache)));
+      endpoints.forEach(endpoint -> leader.reportRequested(now, "a", List.of(endpoint)));
       leader.broadcastRecipients(now, List.of("a"));
       reported.addAll(leader.broadcastReport(now).keySet());
     }
--- a/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/PurgeRetentionClockTest.java
@@ -13,7 +13,7 @@
  * Guards against purges that are deleted too early or never because the wall clock of the writer or
  * of the reader steps: a purge is deleted once this process has observed it for the retention.
  */
-class SweepClockTest {
+class PurgeRetentionClockTest {
   private static final long SECOND = 1_000_000_000;
   private static final long RETENTION = 600 * SECOND;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipClockTest.java
@@ -13,7 +13,7 @@
  * Guards against a leader whose lease, renewals or terms follow a step of its wall clock: leases
  * and renewals use the monotonic clock, and terms only rise.
  */
-class VoteClockTest {
+class QuorumLeadershipClockTest {
   private static final long SECOND = 1_000_000_000;
   private static final long LEASE = 3 * SECOND;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -285,8 +285,8 @@
     VoterConfiguration first = VoterConfiguration.of("a", "b", "c");
     VoterConfiguration last = VoterConfiguration.of("c", "d", "e");
     VoterConfiguration both = new VoterConfiguration(first.current(), last.current());
-    assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
-    assertFalse(last.follows(first));
-    assertFalse(new VoterConfiguration(last.current(), first.current()).follows(both));
+    assertTrue(both.isAdjacentTo(first) && last.isAdjacentTo(both) && first.isAdjacentTo(both));
+    assertFalse(last.isAdjacentTo(first));
+    assertFalse(new VoterConfiguration(last.current(), first.current()).isAdjacentTo(both));
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.leadership.SeededHealthCheckWorld.Setting;
+import org.amberpath.leadership.SeededHealthCheckSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -17,17 +17,17 @@
  * a digest; a change of behaviour records new digests and states the reason.
  */
 class RecordedHealthChecksTest {
-  private static final Map<String, SeededHealthCheckWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededHealthCheckSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  private static String digest(Setting setting, long seed) {
-    String key = setting + " " + seed;
+  private static String digest(Scenario scenario, long seed) {
+    String key = scenario + " " + seed;
     return DIGESTS.computeIfAbsent(
         key,
         missing -> {
-          SeededHealthCheckWorld world = new SeededHealthCheckWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          SeededHealthCheckSimulation simulation = new SeededHealthCheckSimulation(scenario, seed);
+          SIMULATIONS.put(key, simulation);
+          return simulation.run();
         });
   }
 
@@ -46,11 +46,11 @@
     "LOSSY, 2, 6027d3357f95c8f98d7fc96ba97c622aaa73c73ed43081dbeefd361e940dc809",
     "LOSSY, 3, 79101a0aed916c53904dd56af8a9208b4d0b5b2bea704a59073d973358d1c7a7"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
-        digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+        digest(scenario, seed),
+        () -> "counted: " + SIMULATIONS.get(scenario + " " + seed).actions.counts());
   }
 
   /**
@@ -60,17 +60,17 @@
   @Test
   void recordedEventsReachEveryActionOutcomeAndState() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Setting setting : Setting.values()) {
+    for (Scenario scenario : Scenario.values()) {
       for (long seed = 1; seed <= 3; seed++) {
-        digest(setting, seed);
-        PLAYED
-            .get(setting + " " + seed)
+        digest(scenario, seed);
+        SIMULATIONS
+            .get(scenario + " " + seed)
             .actions
             .counts()
-            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+            .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
       }
     }
-    for (String what :
+    for (String expected :
         new String[] {
           "ask",
           "answer",
@@ -96,7 +96,7 @@
           "restarted",
           "lost"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.leadership.SeededVotersWorld.Setting;
+import org.amberpath.leadership.SeededQuorumSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,17 +18,17 @@
  * reason.
  */
 class RecordedLeadershipTest {
-  private static final Map<String, SeededVotersWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededQuorumSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  private static String digest(Setting setting, long seed) {
-    String key = setting + " " + seed;
+  private static String digest(Scenario scenario, long seed) {
+    String key = scenario + " " + seed;
     return DIGESTS.computeIfAbsent(
         key,
         missing -> {
-          SeededVotersWorld world = new SeededVotersWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          SeededQuorumSimulation simulation = new SeededQuorumSimulation(scenario, seed);
+          SIMULATIONS.put(key, simulation);
+          return simulation.run();
         });
   }
 
@@ -47,11 +47,11 @@
     "ONE_VOTER, 2, 19c39b6f92d523f60470e37cb7872ce2c45e7e7089848157c6486f6613ec7005",
     "ONE_VOTER, 3, ab2a5423ab992b2e71399aee063f60a265830655d7c21930b86ab565a8a329f3"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
-        digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+        digest(scenario, seed),
+        () -> "counted: " + SIMULATIONS.get(scenario + " " + seed).actions.counts());
   }
 
   /**
@@ -61,17 +61,17 @@
   @Test
   void recordedEventsReachEveryMessageAnswerStateAndTransition() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Setting setting : Setting.values()) {
+    for (Scenario scenario : Scenario.values()) {
       for (long seed = 1; seed <= 3; seed++) {
-        digest(setting, seed);
-        PLAYED
-            .get(setting + " " + seed)
+        digest(scenario, seed);
+        SIMULATIONS
+            .get(scenario + " " + seed)
             .actions
             .counts()
-            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+            .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
       }
     }
-    for (String what :
+    for (String expected :
         new String[] {
           // PREPARE, PROPOSE, RELEASE.
           "request 0",
@@ -112,7 +112,7 @@
           "doubled",
           "all restart"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
@@ -16,16 +16,17 @@
  * digests and states the reason.
  */
 class RecordedRegistryLeadershipTest {
-  private static final Map<Long, SeededRegistryWorld> PLAYED = new TreeMap<>();
+  private static final Map<Long, SeededRegistryLeadershipSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<Long, String> DIGESTS = new TreeMap<>();
 
   private static String digest(long seed) {
     return DIGESTS.computeIfAbsent(
         seed,
         missing -> {
-          SeededRegistryWorld world = new SeededRegistryWorld(seed);
-          PLAYED.put(seed, world);
-          return world.play();
+          SeededRegistryLeadershipSimulation simulation =
+              new SeededRegistryLeadershipSimulation(seed);
+          SIMULATIONS.put(seed, simulation);
+          return simulation.run();
         });
   }
 
@@ -37,7 +38,8 @@
     "4, 1c95903f8fdbcb005c9d620f5f67adf84dc6e97b1f2ffd9b153849bdd15f626f"
   })
   void everyActionIsTheRecordedOne(long seed, String recorded) {
-    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).actions.counts());
+    assertEquals(
+        recorded, digest(seed), () -> "counted: " + SIMULATIONS.get(seed).actions.counts());
   }
 
   /**
@@ -49,13 +51,13 @@
     Map<String, Integer> counts = new TreeMap<>();
     for (long seed = 1; seed <= 4; seed++) {
       digest(seed);
-      PLAYED
+      SIMULATIONS
           .get(seed)
           .actions
           .counts()
-          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+          .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
     }
-    for (String what :
+    for (String expected :
         new String[] {
           "campaign",
           "won",
@@ -83,7 +85,7 @@
           "waiting>resigned",
           "holding>resigned"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededHealthCheckSimulation.java
@@ -18,9 +18,9 @@
  * everywhere.
  */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
-final class SeededHealthCheckWorld {
+final class SeededHealthCheckSimulation {
   /** The size of the fleet, the number of caches, and the message loss. */
-  enum Setting {
+  enum Scenario {
     /** Five gateways, six caches. */
     SMALL,
     /** Twelve simulated gateways of a fleet of twenty-five, forty caches. */
@@ -33,12 +33,12 @@
 
   private record Event(long atNanos, long order, Runnable action) {}
 
-  static final long PLAYED_NANOS = 180_000_000_000L;
+  static final long DURATION_NANOS = 180_000_000_000L;
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
 
   final RecordedActions actions = new RecordedActions();
-  private final Setting setting;
+  private final Scenario scenario;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
@@ -51,24 +51,24 @@
   private int leader = -1;
   private int formerLeader = -1;
 
-  SeededHealthCheckWorld(Setting setting, long seed) {
-    this.setting = setting;
-    random = new SplittableRandom(seed * 31 + setting.ordinal());
-    int fleetSize = new int[] {5, 25, 700, 5}[setting.ordinal()];
+  SeededHealthCheckSimulation(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    random = new SplittableRandom(seed * 31 + scenario.ordinal());
+    int fleetSize = new int[] {5, 25, 700, 5}[scenario.ordinal()];
     fleet = IntStream.range(0, fleetSize).mapToObj(index -> "g" + index).toList();
-    hung = new boolean[new int[] {6, 40, 90, 6}[setting.ordinal()]];
-    int count = new int[] {5, 12, 8, 5}[setting.ordinal()];
+    hung = new boolean[new int[] {6, 40, 90, 6}[scenario.ordinal()]];
+    int count = new int[] {5, 12, 8, 5}[scenario.ordinal()];
     for (int index = 0; index < count; index++) {
       gateways.add(new Gateway(index, count));
     }
   }
 
   /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
-  String play() {
-    gateways.forEach(gateway -> at(now + random.nextLong(100 * MS), gateway::tick));
-    at(now, this::cacheChanges);
-    at(now, this::leaderChanges);
-    long end = now + PLAYED_NANOS;
+  String run() {
+    gateways.forEach(gateway -> schedule(now + random.nextLong(100 * MS), gateway::tick));
+    schedule(now, this::changeCaches);
+    schedule(now, this::changeLeader);
+    long end = now + DURATION_NANOS;
     while (!events.isEmpty() && events.peek().atNanos <= end) {
       Event event = events.poll();
       now = event.atNanos;
@@ -81,31 +81,32 @@
     return random.nextDouble() < probability;
   }
 
-  private void at(long atNanos, Runnable action) {
+  private void schedule(long atNanos, Runnable action) {
     events.add(new Event(atNanos, ++order, action));
   }
 
-  private void deliver(String to, Arrival arrival) {
-    int index = number(to);
-    if (index >= gateways.size() || withProbability(setting == Setting.LOSSY ? 0.33 : 0.02)) {
+  private void deliver(String to, Delivery delivery) {
+    int index = indexOf(to);
+    if (index >= gateways.size() || withProbability(scenario == Scenario.LOSSY ? 0.33 : 0.02)) {
       actions.count("lost");
       return;
     }
     long delay = withProbability(0.02) ? random.nextLong(3 * SECOND) : random.nextLong(MS, 20 * MS);
-    at(now + delay, () -> arrival.at(gateways.get(index)));
+    schedule(now + delay, () -> delivery.deliverTo(gateways.get(index)));
     if (withProbability(0.03)) {
-      at(now + delay + random.nextLong(SECOND), () -> arrival.at(gateways.get(index)));
+      schedule(
+          now + delay + random.nextLong(SECOND), () -> delivery.deliverTo(gateways.get(index)));
     }
   }
 
-  private interface Arrival {
-    void at(Gateway gateway);
+  private interface Delivery {
+    void deliverTo(Gateway gateway);
   }
 
   private final class Gateway {
     private final int index;
     private final String name;
-    private final boolean[] cut = new boolean[hung.length];
+    private final boolean[] linkDown = new boolean[hung.length];
     private final TreeSet<String> ejected = new TreeSet<>();
     private final List<String> candidates;
     private HealthCheckCoordinator coordinator = new HealthCheckCoordinator();
@@ -116,7 +117,7 @@
       name = "g" + index;
       candidates =
           CandidateOrder.order(HealthCheckCoordinator.TASK, fleet).stream()
-              .filter(other -> !other.equals(name) && number(other) < count + 2)
+              .filter(other -> !other.equals(name) && indexOf(other) < count + 2)
               .toList();
     }
 
@@ -124,8 +125,8 @@
       return index == leader || index == formerLeader;
     }
 
-    private boolean answers(int cache) {
-      return !hung[cache] && !cut[cache];
+    private boolean responds(int cache) {
+      return !hung[cache] && !linkDown[cache];
     }
 
     void restart() {
@@ -136,9 +137,9 @@
 
     private void tick() {
       observe();
-      boolean own = leads();
+      boolean leading = leads();
       HealthCheckCoordinator.ReportRequest request =
-          coordinator.nextReportRequest(now, fleet.size(), () -> candidates, own);
+          coordinator.nextReportRequest(now, fleet.size(), () -> candidates, leading);
       if (request != null) {
         actions.record(
             "ask",
@@ -152,23 +153,23 @@
             gateway ->
                 gateway.reportRequested(this, request.requestedAtNanos(), request.endpoints()));
       }
-      if (own) {
-        check();
-        report();
+      if (leading) {
+        sendDueChecks();
+        broadcastReport();
       } else {
         coordinator.leadershipLost();
       }
       actions.record(
           "state",
           name,
-          own,
-          coordinator.isCentralized(now, own),
+          leading,
+          coordinator.isCentralized(now, leading),
           coordinator.hasSuspects(),
           coordinator.isIdle(),
           coordinator.highestTerm());
-      actions.count("for all " + coordinator.isCentralized(now, own));
+      actions.count("for all " + coordinator.isCentralized(now, leading));
       actions.count("idle " + coordinator.isIdle());
-      at(now + random.nextLong(60 * MS, 140 * MS), this::tick);
+      schedule(now + random.nextLong(60 * MS, 140 * MS), this::tick);
     }
 
     /**
@@ -176,19 +177,19 @@
      * requests.
      */
     private void observe() {
-      for (int looked = 0; looked < 4; looked++) {
+      for (int observed = 0; observed < 4; observed++) {
         int cache = random.nextInt(hung.length);
         String cacheName = "c" + cache;
-        if (!answers(cache)) {
+        if (!responds(cache)) {
           if (withProbability(0.6)) {
             ejected.add(cacheName);
             coordinator.healthChanged(now, cacheName, false);
           }
         } else {
-          String owner = coordinator.endpointResponded(now, cacheName);
-          if (!owner.isEmpty()) {
-            actions.record("heard", name, owner, cacheName);
-            deliver(owner, gateway -> gateway.endpointsResponsive(List.of(cacheName)));
+          String notifiedLeader = coordinator.endpointResponded(now, cacheName);
+          if (!notifiedLeader.isEmpty()) {
+            actions.record("heard", name, notifiedLeader, cacheName);
+            deliver(notifiedLeader, gateway -> gateway.endpointsResponsive(List.of(cacheName)));
           }
           if (ejected.remove(cacheName)) {
             coordinator.healthChanged(now, cacheName, true);
@@ -197,18 +198,18 @@
       }
     }
 
-    private void check() {
+    private void sendDueChecks() {
       for (String cache : coordinator.dueHealthChecks(now)) {
         actions.record("check", name, cache);
-        int number = number(cache);
-        boolean answers = answers(number);
+        int number = indexOf(cache);
+        boolean answers = responds(number);
         if (withProbability(0.05)) {
-          ended(cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
+          checkEnded(cache, HealthCheckCoordinator.HealthCheckOutcome.NOT_SENT);
         } else {
-          at(
+          schedule(
               now + (answers ? random.nextLong(5 * MS, 90 * MS) : 400 * MS),
               () ->
-                  ended(
+                  checkEnded(
                       cache,
                       answers
                           ? HealthCheckCoordinator.HealthCheckOutcome.ANSWERED
@@ -217,33 +218,35 @@
       }
     }
 
-    private void ended(String cache, HealthCheckCoordinator.HealthCheckOutcome outcome) {
+    private void checkEnded(String cache, HealthCheckCoordinator.HealthCheckOutcome outcome) {
       actions.record("checked", name, cache, outcome.ordinal());
       actions.count("checked " + outcome.ordinal());
       coordinator.healthCheckEnded(now, cache, outcome);
     }
 
-    private void report() {
+    private void broadcastReport() {
       Map<String, HealthCheckCoordinator.HealthReport> reports = coordinator.broadcastReport(now);
       if (!reports.isEmpty()) {
         actions.record("news", name, describe(reports));
-        long reportedUnder = believedTerm;
+        long reportTerm = believedTerm;
         List<String> recipients = coordinator.broadcastRecipients(now, fleet);
         actions.record("to", name, String.join(",", recipients));
         for (String recipient : recipients) {
-          deliver(recipient, gateway -> gateway.reportReceived(name, reportedUnder, 0, reports));
+          deliver(recipient, gateway -> gateway.reportReceived(name, reportTerm, 0, reports));
         }
       }
     }
 
-    private void reportRequested(Gateway by, long stamp, List<String> caches) {
+    private void reportRequested(Gateway requester, long requestedAtNanos, List<String> caches) {
       if (leads()) {
         Map<String, HealthCheckCoordinator.HealthReport> reports =
-            coordinator.reportRequested(now, by.name, caches);
-        actions.record("answer", name, by.name, describe(reports));
-        long answeredUnder = believedTerm;
-        deliver(by.name, gateway -> gateway.reportReceived(name, answeredUnder, stamp, reports));
-        check();
+            coordinator.reportRequested(now, requester.name, caches);
+        actions.record("answer", name, requester.name, describe(reports));
+        long reportTerm = believedTerm;
+        deliver(
+            requester.name,
+            gateway -> gateway.reportReceived(name, reportTerm, requestedAtNanos, reports));
+        sendDueChecks();
       }
     }
 
@@ -256,20 +259,20 @@
 
     private void reportReceived(
         String from,
-        long ofTerm,
-        long stamp,
+        long reportTerm,
+        long requestedAtNanos,
         Map<String, HealthCheckCoordinator.HealthReport> reports) {
       Map<String, HealthCheckCoordinator.HealthReport> accepted =
-          coordinator.reportReceived(now, from, ofTerm, stamp, reports);
+          coordinator.reportReceived(now, from, reportTerm, requestedAtNanos, reports);
       if (accepted == null) {
-        actions.record("word refused", name, from, ofTerm, coordinator.highestTerm());
+        actions.record("word refused", name, from, reportTerm, coordinator.highestTerm());
       } else {
-        actions.record("word", name, from, ofTerm, stamp, describe(accepted));
+        actions.record("word", name, from, reportTerm, requestedAtNanos, describe(accepted));
       }
     }
   }
 
-  private static int number(String name) {
+  private static int indexOf(String name) {
     return Integer.parseInt(name.substring(1));
   }
 
@@ -292,15 +295,15 @@
 
   // ---- Changes and faults.
 
-  private void cacheChanges() {
+  private void changeCaches() {
     int cache = random.nextInt(hung.length);
     if (withProbability(0.5)) {
       hung[cache] = !hung[cache] && withProbability(0.7);
     } else {
       Gateway gateway = gateways.get(random.nextInt(gateways.size()));
-      gateway.cut[cache] = !gateway.cut[cache] && withProbability(0.6);
+      gateway.linkDown[cache] = !gateway.linkDown[cache] && withProbability(0.6);
     }
-    if (setting == Setting.LARGE && withProbability(0.03)) {
+    if (scenario == Scenario.LARGE && withProbability(0.03)) {
       boolean hang = withProbability(0.5);
       for (int each = 0; each < hung.length; each++) {
         hung[each] = hang && each % 10 != 0;
@@ -309,11 +312,11 @@
     if (withProbability(0.02)) {
       gateways.get(random.nextInt(gateways.size())).restart();
     }
-    long pause = setting == Setting.SMALL || setting == Setting.LOSSY ? 1500 * MS : 300 * MS;
-    at(now + random.nextLong(pause), this::cacheChanges);
+    long pause = scenario == Scenario.SMALL || scenario == Scenario.LOSSY ? 1500 * MS : 300 * MS;
+    schedule(now + random.nextLong(pause), this::changeCaches);
   }
 
-  private void leaderChanges() {
+  private void changeLeader() {
     formerLeader = withProbability(0.4) ? leader : -1;
     leader = withProbability(0.15) ? -1 : random.nextInt(gateways.size());
     if (leader >= 0) {
@@ -321,7 +324,7 @@
       gateways.get(leader).believedTerm = term;
     }
     actions.record("leader", leader, formerLeader, term);
-    at(now + 3 * SECOND, () -> formerLeader = -1);
-    at(now + 3 * SECOND + random.nextLong(30 * SECOND), this::leaderChanges);
+    schedule(now + 3 * SECOND, () -> formerLeader = -1);
+    schedule(now + 3 * SECOND + random.nextLong(30 * SECOND), this::changeLeader);
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/SeededVotersWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededQuorumSimulation.java
@@ -19,9 +19,9 @@
  * gives the same events everywhere.
  */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
-final class SeededVotersWorld {
+final class SeededQuorumSimulation {
   /** The numbers of processes and voters, and the message loss. */
-  enum Setting {
+  enum Scenario {
     /** Four processes, the first three vote. */
     THREE_VOTERS,
     /** Seven processes, the first five vote, and more messages are lost. */
@@ -34,56 +34,56 @@
 
   private record Event(long atNanos, long order, Runnable action) {}
 
-  static final long PLAYED_NANOS = 400_000_000_000L;
+  static final long DURATION_NANOS = 400_000_000_000L;
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private static final long LEASE = 3 * SECOND;
-  private static final long BUSY = 40 * SECOND;
-  private static final long CALM = 20 * SECOND;
+  private static final long FAULTY_PERIOD = 40 * SECOND;
+  private static final long CALM_PERIOD = 20 * SECOND;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
   private static final List<String> TASKS = List.of("probe", "sweep");
 
   final RecordedActions actions = new RecordedActions();
-  private final Setting setting;
+  private final Scenario scenario;
   private final SplittableRandom random;
   private final LeaseTimings timings;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
   private final List<Candidate> processes = new ArrayList<>();
   private final List<VoterConfiguration> stages = new ArrayList<>();
-  private final boolean[][] cut;
+  private final boolean[][] linkDown;
   private long now;
   private long order;
   private int stage;
 
-  SeededVotersWorld(Setting setting, long seed) {
-    this.setting = setting;
-    random = new SplittableRandom(seed * 31 + setting.ordinal());
-    timings = new LeaseTimings(LEASE, setting == Setting.ONE_VOTER ? 0 : 600 * MS, 1000);
-    int count = new int[] {4, 7, 6, 3}[setting.ordinal()];
+  SeededQuorumSimulation(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    random = new SplittableRandom(seed * 31 + scenario.ordinal());
+    timings = new LeaseTimings(LEASE, scenario == Scenario.ONE_VOTER ? 0 : 600 * MS, 1000);
+    int count = new int[] {4, 7, 6, 3}[scenario.ordinal()];
     List<String> names = IntStream.range(0, count).mapToObj(index -> "g" + index).toList();
-    List<String> first = names.subList(0, new int[] {3, 5, 3, 1}[setting.ordinal()]);
+    List<String> first = names.subList(0, new int[] {3, 5, 3, 1}[scenario.ordinal()]);
     stages.add(new VoterConfiguration(first, List.of()));
-    if (setting == Setting.CHANGING_VOTERS) {
+    if (scenario == Scenario.CHANGING_VOTERS) {
       List<String> last = names.subList(count - 3, count);
       stages.add(new VoterConfiguration(first, last));
       stages.add(new VoterConfiguration(last, List.of()));
       stages.add(new VoterConfiguration(last, first));
     }
-    cut = new boolean[count][count];
+    linkDown = new boolean[count][count];
     for (int index = 0; index < count; index++) {
       processes.add(new Candidate(index));
     }
   }
 
   /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
-  String play() {
-    processes.forEach(process -> at(random.nextLong(SECOND), process::start));
-    at(random.nextLong(SECOND), this::fault);
+  String run() {
+    processes.forEach(process -> schedule(random.nextLong(SECOND), process::start));
+    schedule(random.nextLong(SECOND), this::scheduleFaults);
     if (stages.size() > 1) {
-      at(20 * SECOND, this::nextStage);
+      schedule(20 * SECOND, this::nextStage);
     }
-    while (!events.isEmpty() && events.peek().atNanos <= PLAYED_NANOS) {
+    while (!events.isEmpty() && events.peek().atNanos <= DURATION_NANOS) {
       Event event = events.poll();
       now = event.atNanos;
       event.action.run();
@@ -91,15 +91,15 @@
     return actions.digest();
   }
 
-  private boolean busy() {
-    return now % (BUSY + CALM) < BUSY;
+  private boolean faultsActive() {
+    return now % (FAULTY_PERIOD + CALM_PERIOD) < FAULTY_PERIOD;
   }
 
   private boolean withProbability(double probability) {
     return random.nextDouble() < probability;
   }
 
-  private void at(long atNanos, Runnable action) {
+  private void schedule(long atNanos, Runnable action) {
     events.add(new Event(atNanos, ++order, action));
   }
 
@@ -107,20 +107,20 @@
    * Delivers a message to a process. The message may be lost, delayed or duplicated, and waits
    * while the process is suspended.
    */
-  private void deliver(Candidate from, Candidate to, Runnable arrival) {
-    if (cut[from.index][to.index]
-        || (busy() && withProbability(setting == Setting.FIVE_VOTERS ? 0.15 : 0.05))) {
+  private void deliver(Candidate from, Candidate to, Runnable delivery) {
+    if (linkDown[from.index][to.index]
+        || (faultsActive() && withProbability(scenario == Scenario.FIVE_VOTERS ? 0.15 : 0.05))) {
       actions.count("lost");
       return;
     }
     long delay =
-        busy() && withProbability(0.06)
+        faultsActive() && withProbability(0.06)
             ? random.nextLong(5 * SECOND)
             : random.nextLong(MS, 20 * MS);
-    to.at(now + delay, arrival);
+    to.schedule(now + delay, delivery);
     if (withProbability(0.04)) {
       actions.count("doubled");
-      to.at(now + delay + random.nextLong(2 * SECOND), arrival);
+      to.schedule(now + delay + random.nextLong(2 * SECOND), delivery);
     }
   }
 
@@ -133,9 +133,9 @@
     private long wallOffsetMillis = random.nextLong(-300, 300);
     private FencingGuard fence = new FencingGuard();
     private LeaseAcceptor acceptor;
-    private int life;
-    private boolean up;
-    private long frozenUntil;
+    private int incarnation;
+    private boolean running;
+    private long suspendedUntilNanos;
 
     Candidate(int index) {
       this.index = index;
@@ -151,16 +151,16 @@
      * Runs an action unless the process has stopped or restarted by then; a suspended process runs
      * it when it resumes.
      */
-    void at(long atNanos, Runnable action) {
-      int scheduledIn = life;
-      SeededVotersWorld.this.at(
+    void schedule(long atNanos, Runnable action) {
+      int scheduledIncarnation = incarnation;
+      SeededQuorumSimulation.this.schedule(
           atNanos,
           () -> {
-            if (!up || life != scheduledIn) {
+            if (!running || incarnation != scheduledIncarnation) {
               return;
             }
-            if (now < frozenUntil) {
-              at(frozenUntil, action);
+            if (now < suspendedUntilNanos) {
+              schedule(suspendedUntilNanos, action);
             } else {
               action.run();
             }
@@ -168,9 +168,9 @@
     }
 
     void start() {
-      life++;
-      up = true;
-      frozenUntil = 0;
+      incarnation++;
+      running = true;
+      suspendedUntilNanos = 0;
       fence = new FencingGuard();
       VoterConfiguration voters = stages.get(stage);
       acceptor = voters.allVoters().contains(name) ? newAcceptor() : null;
@@ -182,12 +182,12 @@
                 timings,
                 task,
                 voters,
-                (voter, message) -> request(voter, message),
+                (voter, message) -> sendRequest(voter, message),
                 random.nextLong(),
                 clock()));
-        record(task);
+        recordState(task);
       }
-      round();
+      tickPeriodically();
     }
 
     private LeaseAcceptor newAcceptor() {
@@ -197,70 +197,70 @@
     }
 
     void kill() {
-      if (up) {
-        up = false;
+      if (running) {
+        running = false;
         actions.record("killed", name);
         wallOffsetMillis -= withProbability(0.3) ? random.nextLong(3000) : 0;
-        int killedIn = life;
-        SeededVotersWorld.this.at(
+        int killedIncarnation = incarnation;
+        SeededQuorumSimulation.this.schedule(
             now + random.nextLong(50 * MS, 5 * SECOND),
             () -> {
-              if (!up && life == killedIn) {
+              if (!running && incarnation == killedIncarnation) {
                 start();
               }
             });
       }
     }
 
-    private void round() {
+    private void tickPeriodically() {
       for (String task : TASKS) {
         QuorumLeadership leadership = leaderships.get(task);
         leadership.wallClockRead(WALL_MILLIS + now / MS + wallOffsetMillis);
-        leadership.place((index + task.length()) % processes.size());
+        leadership.updatePosition((index + task.length()) % processes.size());
         if (clock() >= leadership.nextTickNanos() || withProbability(0.05)) {
           Leadership.State before = leadership.state();
           leadership.tick(clock());
-          transition(task, before);
+          recordTransition(task, before);
         }
-        record(task);
+        recordState(task);
         if (leadership.isLeader(clock()) && withProbability(0.1)) {
-          act(task, leadership.term());
+          sendAction(task, leadership.term());
         }
       }
-      at(now + random.nextLong(10 * MS, 60 * MS), this::round);
+      schedule(now + random.nextLong(10 * MS, 60 * MS), this::tickPeriodically);
     }
 
     /**
      * Sends an action of this leader to another process, where it takes effect unless that process
      * has seen a higher term.
      */
-    private void act(String task, long term) {
+    private void sendAction(String task, long term) {
       Candidate recipient = processes.get(random.nextInt(processes.size()));
       deliver(
           this,
           recipient,
           () -> {
-            boolean passes = recipient.fence.tryAdmit(task, term, name);
-            long seen = recipient.fence.highestTerm(task);
-            actions.record(passes ? "acted" : "refused", recipient.name, task, term, seen);
-            if (!passes) {
-              deliver(recipient, this, () -> outranked(task, seen));
+            boolean admitted = recipient.fence.tryAdmit(task, term, name);
+            long seenTerm = recipient.fence.highestTerm(task);
+            actions.record(admitted ? "acted" : "refused", recipient.name, task, term, seenTerm);
+            if (!admitted) {
+              deliver(recipient, this, () -> higherTermSeen(task, seenTerm));
             }
           });
     }
 
-    void outranked(String task, long seen) {
-      change(task, leadership -> leadership.higherTermSeen(clock(), seen));
+    void higherTermSeen(String task, long seenTerm) {
+      change(task, leadership -> leadership.higherTermSeen(clock(), seenTerm));
     }
 
-    private void request(String voter, LeaseMessage message) {
+    private void sendRequest(String voter, LeaseMessage message) {
       actions.record("request", name, voter, describe(message));
       actions.count("request " + message.kind().ordinal());
-      Candidate to = processes.get(Integer.parseInt(voter.substring(1)));
-      deliver(this, to, () -> to.vote(this, message));
+      Candidate recipient = processes.get(Integer.parseInt(voter.substring(1)));
+      deliver(this, recipient, () -> recipient.voteRequested(this, message));
     }
 
-    private void vote(Candidate from, LeaseMessage message) {
+    private void voteRequested(Candidate from, LeaseMessage message) {
       LeaseMessage answer =
           acceptor == null ? null : acceptor.messageReceived(clock(), from.name, message);
       actions.record("answer", name, from.name, answer == null ? "none" : describe(answer));
@@ -269,16 +269,16 @@
         return;
       }
       actions.count("answer " + answer.kind().ordinal() + (answer.other() > 0 ? " other" : ""));
-      deliver(this, from, () -> from.answered(name, answer));
+      deliver(this, from, () -> from.answerReceived(name, answer));
       if (withProbability(0.002)) {
         // Sends an answer on behalf of the last process, which in most settings is not
         // a voter.
         Candidate stranger = processes.get(processes.size() - 1);
-        deliver(this, from, () -> from.answered(stranger.name, answer));
+        deliver(this, from, () -> from.answerReceived(stranger.name, answer));
       }
     }
 
-    private void answered(String voter, LeaseMessage answer) {
+    private void answerReceived(String voter, LeaseMessage answer) {
       change(answer.task(), leadership -> leadership.responseReceived(clock(), voter, answer));
     }
 
@@ -287,22 +287,22 @@
       if (leadership != null) {
         Leadership.State before = leadership.state();
         event.accept(leadership);
-        transition(task, before);
-        record(task);
+        recordTransition(task, before);
+        recordState(task);
       }
     }
 
-    private void transition(String task, Leadership.State before) {
+    private void recordTransition(String task, Leadership.State before) {
       Leadership.State after = leaderships.get(task).state();
       if (after != before) {
-        actions.record(stateWord(before) + ">" + stateWord(after), name, task);
+        actions.record(recordedText(before) + ">" + recordedText(after), name, task);
       }
     }
 
-    private void record(String task) {
+    private void recordState(String task) {
       QuorumLeadership leadership = leaderships.get(task);
       actions.record(
-          "state " + stateWord(leadership.state()),
+          "state " + recordedText(leadership.state()),
           name,
           task,
           leadership.term(),
@@ -315,17 +315,17 @@
     /** Resigns and notifies the other processes; notifications may be delayed or lost. */
     void resign(String task) {
       QuorumLeadership leadership = leaderships.get(task);
-      boolean held = leadership.isLeader(clock());
+      boolean led = leadership.isLeader(clock());
       long term = leadership.term();
       change(task, resigning -> resigning.resign(clock()));
-      if (held) {
+      if (led) {
         for (Candidate other : processes) {
-          deliver(this, other, () -> other.handedOver(task, term));
+          deliver(this, other, () -> other.predecessorStopped(task, term));
         }
       }
     }
 
-    void handedOver(String task, long term) {
+    void predecessorStopped(String task, long term) {
       actions.record("handed over", name, task, term);
       change(task, leadership -> leadership.predecessorStopped(clock(), term));
     }
@@ -345,7 +345,7 @@
   }
 
   /** Returns the recorded text of a state, which stays the same when a constant is renamed. */
-  private static String stateWord(Leadership.State state) {
+  private static String recordedText(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
       case ASKING -> "asking";
@@ -364,7 +364,7 @@
         + " "
         + message.other()
         + " "
-        + message.last();
+        + message.lastAcceptedBallot();
   }
 
   /**
@@ -374,52 +374,54 @@
   private void nextStage() {
     stage = (stage + 1) % stages.size();
     for (Candidate process : processes) {
-      process.at(now + random.nextLong(2 * SECOND), process::votersChanged);
+      process.schedule(now + random.nextLong(2 * SECOND), process::votersChanged);
     }
-    at(now + 20 * SECOND + random.nextLong(20 * SECOND), this::nextStage);
+    schedule(now + 20 * SECOND + random.nextLong(20 * SECOND), this::nextStage);
   }
 
   // ---- Faults.
 
-  private void fault() {
+  private void scheduleFaults() {
     Candidate process = processes.get(random.nextInt(processes.size()));
     String task = TASKS.get(random.nextInt(TASKS.size()));
-    if (busy()) {
-      happens(process, task);
-    } else if (withProbability(0.2) && process.up && now >= process.frozenUntil) {
+    if (faultsActive()) {
+      injectFault(process, task);
+    } else if (withProbability(0.2) && process.running && now >= process.suspendedUntilNanos) {
       actions.record("releases", process.name, task);
       process.change(task, leadership -> leadership.release(process.clock()));
-    } else if (withProbability(0.3) && process.up && now >= process.frozenUntil) {
+    } else if (withProbability(0.3) && process.running && now >= process.suspendedUntilNanos) {
       process.resign(task);
-      at(now + random.nextLong(2 * SECOND), process::kill);
+      schedule(now + random.nextLong(2 * SECOND), process::kill);
     }
-    at(now + random.nextLong(3 * SECOND), this::fault);
+    schedule(now + random.nextLong(3 * SECOND), this::scheduleFaults);
   }
 
-  private void happens(Candidate process, String task) {
+  private void injectFault(Candidate process, String task) {
     switch (random.nextInt(10)) {
       case 0, 1 -> process.kill();
-      case 2 -> process.frozenUntil = now + random.nextLong(8 * SECOND);
-      case 3 -> cutOff(process);
+      case 2 -> process.suspendedUntilNanos = now + random.nextLong(8 * SECOND);
+      case 3 -> cutLink(process);
       case 4 -> partition();
-      case 5 -> wallClockSteps(process);
+      case 5 -> stepWallClock(process);
       case 6 -> {
-        process.at(now, () -> process.resign(task));
-        at(now + random.nextLong(4 * SECOND), process::kill);
+        process.schedule(now, () -> process.resign(task));
+        schedule(now + random.nextLong(4 * SECOND), process::kill);
       }
-      case 7 -> strays(process, task);
+      case 7 -> sendStrayMessages(process, task);
       case 8 -> {
-        long seen = process.up ? process.leaderships.get(task).term() + random.nextLong(-5, 50) : 0;
-        process.at(now, () -> process.outranked(task, seen));
+        long seenTerm =
+            process.running ? process.leaderships.get(task).term() + random.nextLong(-5, 50) : 0;
+        process.schedule(now, () -> process.higherTermSeen(task, seenTerm));
       }
-      default -> process.at(now, () -> process.change(task, it -> it.release(process.clock())));
+      default ->
+          process.schedule(now, () -> process.change(task, it -> it.release(process.clock())));
     }
   }
 
-  private void cutOff(Candidate process) {
+  private void cutLink(Candidate process) {
     int other = random.nextInt(processes.size());
-    cut[process.index][other] = true;
-    at(now + random.nextLong(8 * SECOND), () -> cut[process.index][other] = false);
+    linkDown[process.index][other] = true;
+    schedule(now + random.nextLong(8 * SECOND), () -> linkDown[process.index][other] = false);
   }
 
   private void partition() {
@@ -427,21 +429,21 @@
     for (int index = 0; index < side.length; index++) {
       side[index] = random.nextBoolean();
     }
-    split(side, true);
-    at(now + random.nextLong(10 * SECOND), () -> split(side, false));
+    setPartitioned(side, true);
+    schedule(now + random.nextLong(10 * SECOND), () -> setPartitioned(side, false));
   }
 
-  private void split(boolean[] side, boolean apart) {
+  private void setPartitioned(boolean[] side, boolean partitioned) {
     for (int from = 0; from < side.length; from++) {
       for (int to = 0; to < side.length; to++) {
         if (side[from] != side[to]) {
-          cut[from][to] = apart;
+          linkDown[from][to] = partitioned;
         }
       }
     }
   }
 
-  private void wallClockSteps(Candidate process) {
+  private void stepWallClock(Candidate process) {
     process.wallOffsetMillis = withProbability(0.1) ? 3_600_000 : random.nextLong(-3000, 3000);
     if (withProbability(0.2)) {
       actions.count("all restart");
@@ -450,9 +452,9 @@
   }
 
   /** Sends messages about many other tasks, and a stop notice of an older leader. */
-  private void strays(Candidate process, String task) {
-    long oldTerm = process.up ? process.leaderships.get(task).term() - random.nextLong(3) : 0;
-    process.at(now, () -> process.handedOver(task, oldTerm));
+  private void sendStrayMessages(Candidate process, String task) {
+    long oldTerm = process.running ? process.leaderships.get(task).term() - random.nextLong(3) : 0;
+    process.schedule(now, () -> process.predecessorStopped(task, oldTerm));
     for (int stray = 0; stray < 150; stray++) {
       String other = "t" + random.nextInt(120);
       LeaseMessage message =
@@ -461,12 +463,12 @@
               other,
               random.nextLong(5),
               random.nextLong(3));
-      process.at(now, () -> process.vote(process, message));
+      process.schedule(now, () -> process.voteRequested(process, message));
     }
     for (int stray = 0; stray < 400; stray++) {
       String fenced = "t" + random.nextInt(500);
       long ofTerm = 1L + random.nextInt(2);
-      process.at(
+      process.schedule(
           now,
           () ->
               actions.record(
--- a/leadership/src/test/java/org/amberpath/leadership/SeededRegistryWorld.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededRegistryLeadershipSimulation.java
@@ -13,10 +13,10 @@
  * recorded in order. Random numbers are drawn from the simulation's own generator, so that a seed
  * gives the same events everywhere.
  */
-final class SeededRegistryWorld {
+final class SeededRegistryLeadershipSimulation {
   private record Event(long atNanos, long order, Runnable action) {}
 
-  static final long PLAYED_NANOS = 400_000_000_000L;
+  static final long DURATION_NANOS = 400_000_000_000L;
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private static final long LEASE = 3 * SECOND;
@@ -29,14 +29,14 @@
   private final List<Candidate> processes = new ArrayList<>();
   private long now;
   private long order;
-  private long awayUntil;
+  private long unavailableUntilNanos;
   // The state of the registry's key.
   private Candidate holder;
   private long term;
-  private long changed = 1;
-  private long expiry;
+  private long revision = 1;
+  private long leaseExpiresAtNanos;
 
-  SeededRegistryWorld(long seed) {
+  SeededRegistryLeadershipSimulation(long seed) {
     random = new SplittableRandom(seed);
     for (int index = 0; index < 4; index++) {
       processes.add(new Candidate("g" + index));
@@ -44,10 +44,10 @@
   }
 
   /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
-  String play() {
-    processes.forEach(process -> at(random.nextLong(SECOND), process::start));
-    at(random.nextLong(SECOND), this::fault);
-    while (!events.isEmpty() && events.peek().atNanos <= PLAYED_NANOS) {
+  String run() {
+    processes.forEach(process -> schedule(random.nextLong(SECOND), process::start));
+    schedule(random.nextLong(SECOND), this::injectFault);
+    while (!events.isEmpty() && events.peek().atNanos <= DURATION_NANOS) {
       Event event = events.poll();
       now = event.atNanos;
       event.action.run();
@@ -55,7 +55,7 @@
     return actions.digest();
   }
 
-  private boolean busy() {
+  private boolean faultsActive() {
     return now % (60 * SECOND) < 40 * SECOND;
   }
 
@@ -63,48 +63,48 @@
     return random.nextDouble() < probability;
   }
 
-  private void at(long atNanos, Runnable action) {
+  private void schedule(long atNanos, Runnable action) {
     events.add(new Event(atNanos, ++order, action));
   }
 
   /**
    * Performs an action at the registry, unless the registry is unavailable or the request is lost.
    */
-  private void registry(Runnable action) {
-    at(
-        now + requestTime(),
+  private void sendToRegistry(Runnable action) {
+    schedule(
+        now + randomDeliveryNanos(),
         () -> {
-          if (now >= awayUntil && (!busy() || withProbability(0.93))) {
+          if (now >= unavailableUntilNanos && (!faultsActive() || withProbability(0.93))) {
             action.run();
           }
         });
   }
 
-  private long requestTime() {
-    return busy() && withProbability(0.05)
+  private long randomDeliveryNanos() {
+    return faultsActive() && withProbability(0.05)
         ? random.nextLong(4 * SECOND)
         : random.nextLong(MS, 10 * MS);
   }
 
   private void keyChanged() {
-    changed++;
-    long changedNow = changed;
+    revision++;
+    long newRevision = revision;
     long ofTerm = term;
     boolean held = holder != null;
     for (Candidate process : processes) {
-      long late =
+      long delayNanos =
           withProbability(0.05) ? random.nextLong(2 * SECOND) : random.nextLong(MS, 50 * MS);
-      process.at(now + late, () -> process.seen(ofTerm, held, changedNow));
+      process.schedule(now + delayNanos, () -> process.keyObserved(ofTerm, held, newRevision));
     }
   }
 
-  private void lease() {
-    expiry = now + LEASE;
-    long held = changed;
-    at(
-        expiry,
+  private void startLease() {
+    leaseExpiresAtNanos = now + LEASE;
+    long leaseRevision = revision;
+    schedule(
+        leaseExpiresAtNanos,
         () -> {
-          if (holder != null && changed == held && now >= expiry) {
+          if (holder != null && revision == leaseRevision && now >= leaseExpiresAtNanos) {
             holder = null;
             keyChanged();
           }
@@ -116,9 +116,9 @@
     private final int driftPpm = random.nextInt(-900, 900);
     private final long offsetNanos = random.nextLong(1000 * SECOND);
     private RegistryLeadership leadership;
-    private int life;
-    private boolean up;
-    private long frozenUntil;
+    private int incarnation;
+    private boolean running;
+    private long suspendedUntilNanos;
 
     Candidate(String name) {
       this.name = name;
@@ -128,51 +128,51 @@
       return offsetNanos + now + now / 1_000_000 * driftPpm;
     }
 
-    private void at(long atNanos, Runnable action) {
-      int scheduledIn = life;
-      SeededRegistryWorld.this.at(
+    private void schedule(long atNanos, Runnable action) {
+      int scheduledIncarnation = incarnation;
+      SeededRegistryLeadershipSimulation.this.schedule(
           atNanos,
           () -> {
-            if (up && life == scheduledIn) {
-              if (now < frozenUntil) {
-                at(frozenUntil, action);
+            if (running && incarnation == scheduledIncarnation) {
+              if (now < suspendedUntilNanos) {
+                schedule(suspendedUntilNanos, action);
               } else {
                 action.run();
-                record();
+                recordState();
               }
             }
           });
     }
 
     private void start() {
-      life++;
-      up = true;
-      frozenUntil = 0;
+      incarnation++;
+      running = true;
+      suspendedUntilNanos = 0;
       leadership = new RegistryLeadership(TIMINGS, this, random.nextLong());
-      leadership.keyObserved(clock(), term, holder != null, changed);
-      record();
-      round();
+      leadership.keyObserved(clock(), term, holder != null, revision);
+      recordState();
+      tickPeriodically();
     }
 
-    private void round() {
+    private void tickPeriodically() {
       if (clock() >= leadership.nextTickNanos() || withProbability(0.02)) {
-        change(() -> leadership.tick(clock()));
+        recordTransition(() -> leadership.tick(clock()));
       }
-      at(now + random.nextLong(10 * MS, 60 * MS), this::round);
+      schedule(now + random.nextLong(10 * MS, 60 * MS), this::tickPeriodically);
     }
 
-    private void change(Runnable event) {
+    private void recordTransition(Runnable event) {
       Leadership.State before = leadership.state();
       event.run();
       Leadership.State after = leadership.state();
       if (after != before) {
-        actions.record(stateWord(before) + ">" + stateWord(after), name);
+        actions.record(recordedText(before) + ">" + recordedText(after), name);
       }
     }
 
-    private void record() {
+    private void recordState() {
       actions.record(
-          "state " + stateWord(leadership.state()),
+          "state " + recordedText(leadership.state()),
           name,
           leadership.term(),
           leadership.leaseExpiresAtNanos(),
@@ -180,30 +180,30 @@
           leadership.isLeader(clock()));
     }
 
-    private void seen(long ofTerm, boolean held, long changedAt) {
-      change(() -> leadership.keyObserved(clock(), ofTerm, held, changedAt));
+    private void keyObserved(long observedTerm, boolean held, long observedRevision) {
+      recordTransition(() -> leadership.keyObserved(clock(), observedTerm, held, observedRevision));
     }
 
     @Override
-    public void campaign(long asTerm, long seenChanged) {
-      actions.record("campaign", name, asTerm, seenChanged);
-      registry(
+    public void campaign(long campaignTerm, long expectedRevision) {
+      actions.record("campaign", name, campaignTerm, expectedRevision);
+      sendToRegistry(
           () -> {
-            boolean won = holder == null && changed == seenChanged && asTerm > term;
+            boolean won = holder == null && revision == expectedRevision && campaignTerm > term;
             if (won) {
               holder = this;
-              term = asTerm;
+              term = campaignTerm;
               keyChanged();
-              lease();
+              startLease();
             }
-            at(
-                now + requestTime(),
+            schedule(
+                now + randomDeliveryNanos(),
                 () ->
-                    change(
+                    recordTransition(
                         () -> {
-                          actions.record(won ? "won" : "lost", name, asTerm);
+                          actions.record(won ? "won" : "lost", name, campaignTerm);
                           if (won) {
-                            leadership.campaignWon(clock(), asTerm);
+                            leadership.campaignWon(clock(), campaignTerm);
                           } else {
                             leadership.leaseLost(clock());
                           }
@@ -212,31 +212,33 @@
     }
 
     @Override
-    public void keepAlive(long askedAt) {
-      actions.record("keep alive", name, askedAt);
-      long of = leadership.term();
-      registry(
+    public void keepAlive(long requestedAtNanos) {
+      actions.record("keep alive", name, requestedAtNanos);
+      long leaseTerm = leadership.term();
+      sendToRegistry(
           () -> {
-            boolean renewed = holder == this && term == of;
+            boolean renewed = holder == this && term == leaseTerm;
             if (renewed) {
-              lease();
+              startLease();
             }
-            at(now + requestTime(), () -> change(() -> renewalEnded(renewed, askedAt)));
+            schedule(
+                now + randomDeliveryNanos(),
+                () -> recordTransition(() -> renewalEnded(renewed, requestedAtNanos)));
           });
-      at(
+      schedule(
           now + 500 * MS,
           () -> {
             if (withProbability(0.1)) {
               actions.record("unheard", name);
-              change(() -> leadership.renewalUnanswered(clock()));
+              recordTransition(() -> leadership.renewalUnanswered(clock()));
             }
           });
     }
 
-    private void renewalEnded(boolean renewed, long askedAt) {
-      actions.record(renewed ? "kept" : "not kept", name, askedAt);
+    private void renewalEnded(boolean renewed, long requestedAtNanos) {
+      actions.record(renewed ? "kept" : "not kept", name, requestedAtNanos);
       if (renewed) {
-        leadership.leaseRenewed(clock(), askedAt);
+        leadership.leaseRenewed(clock(), requestedAtNanos);
       } else {
         leadership.leaseLost(clock());
       }
@@ -245,40 +247,41 @@
     @Override
     public void resign() {
       actions.record("resign", name);
-      long of = leadership.term();
-      registry(
+      long leaseTerm = leadership.term();
+      sendToRegistry(
           () -> {
-            if (holder == this && term == of) {
+            if (holder == this && term == leaseTerm) {
               holder = null;
               keyChanged();
             }
           });
     }
 
-    private void resigns() {
-      boolean held = leadership.isLeader(clock());
-      long of = leadership.term();
-      change(() -> leadership.resign(clock()));
-      if (held) {
+    private void resignAndNotify() {
+      boolean led = leadership.isLeader(clock());
+      long stoppedTerm = leadership.term();
+      recordTransition(() -> leadership.resign(clock()));
+      if (led) {
         for (Candidate other : processes) {
-          other.at(
+          other.schedule(
               now + random.nextLong(300 * MS),
               () -> {
-                actions.record("handed over", other.name, of);
-                other.change(() -> other.leadership.predecessorStopped(other.clock(), of));
+                actions.record("handed over", other.name, stoppedTerm);
+                other.recordTransition(
+                    () -> other.leadership.predecessorStopped(other.clock(), stoppedTerm));
               });
         }
       }
     }
 
     private void kill() {
-      if (up) {
-        up = false;
-        int killedIn = life;
-        SeededRegistryWorld.this.at(
+      if (running) {
+        running = false;
+        int killedIncarnation = incarnation;
+        SeededRegistryLeadershipSimulation.this.schedule(
             now + random.nextLong(50 * MS, 5 * SECOND),
             () -> {
-              if (life == killedIn) {
+              if (incarnation == killedIncarnation) {
                 start();
               }
             });
@@ -287,7 +290,7 @@
   }
 
   /** Returns the recorded text of a state, which stays the same when a constant is renamed. */
-  private static String stateWord(Leadership.State state) {
+  private static String recordedText(Leadership.State state) {
     return switch (state) {
       case FOLLOWING -> "following";
       case ASKING -> "asking";
@@ -299,54 +302,61 @@
 
   // ---- Faults.
 
-  private void fault() {
+  private void injectFault() {
     Candidate process = processes.get(random.nextInt(processes.size()));
-    switch (random.nextInt(busy() ? 8 : 2)) {
+    switch (random.nextInt(faultsActive() ? 8 : 2)) {
       case 0 -> {
-        process.at(now, process::resigns);
-        at(now + random.nextLong(2 * SECOND), process::kill);
+        process.schedule(now, process::resignAndNotify);
+        schedule(now + random.nextLong(2 * SECOND), process::kill);
       }
       case 1 ->
-          process.at(now, () -> process.change(() -> process.leadership.release(process.clock())));
+          process.schedule(
+              now,
+              () -> process.recordTransition(() -> process.leadership.release(process.clock())));
       case 2 -> process.kill();
-      case 3 -> process.frozenUntil = now + random.nextLong(8 * SECOND);
-      case 4 -> awayUntil = now + random.nextLong(6 * SECOND);
-      case 5 -> restored();
+      case 3 -> process.suspendedUntilNanos = now + random.nextLong(8 * SECOND);
+      case 4 -> unavailableUntilNanos = now + random.nextLong(6 * SECOND);
+      case 5 -> restoreFromBackup();
       case 6 -> {
-        long seen = term + random.nextLong(-3, 10);
-        process.at(
+        long seenTerm = term + random.nextLong(-3, 10);
+        process.schedule(
             now,
-            () -> process.change(() -> process.leadership.higherTermSeen(process.clock(), seen)));
+            () ->
+                process.recordTransition(
+                    () -> process.leadership.higherTermSeen(process.clock(), seenTerm)));
       }
       default -> {
-        long of = term - random.nextLong(3);
-        process.at(
+        long stoppedTerm = term - random.nextLong(3);
+        process.schedule(
             now,
-            () -> process.change(() -> process.leadership.predecessorStopped(process.clock(), of)));
+            () ->
+                process.recordTransition(
+                    () -> process.leadership.predecessorStopped(process.clock(), stoppedTerm)));
       }
     }
-    at(now + random.nextLong(4 * SECOND), this::fault);
+    schedule(now + random.nextLong(4 * SECOND), this::injectFault);
   }
 
   /**
    * Restores the registry from a backup: it does not answer for one lease, and then may hold an
    * older term.
    */
-  private void restored() {
+  private void restoreFromBackup() {
     if (withProbability(0.5)) {
       return;
     }
     actions.record("restored");
-    awayUntil = now + LEASE;
-    at(
+    unavailableUntilNanos = now + LEASE;
+    schedule(
         now + LEASE,
         () -> {
           holder = null;
           term = Math.max(0, term - random.nextLong(6));
           processes.forEach(
               process ->
-                  process.at(
-                      now, () -> process.change(() -> process.leadership.registryRestored())));
+                  process.schedule(
+                      now,
+                      () -> process.recordTransition(() -> process.leadership.registryRestored())));
           keyChanged();
         });
   }
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -22,9 +22,9 @@
   @Property(tries = 200)
   void leaseMessagesDecodeToWhatWasEncoded(
       @ForAll LeaseMessage.Kind kind,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long ballot,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long other,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long last) {
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long ballot,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long other,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long last) {
     LeaseMessage message = new LeaseMessage(kind, "probe", ballot, other, last);
     byte[] bytes = LeaseMessageCodec.encode(message);
     assertEquals(Optional.of(message), LeaseMessageCodec.decode(bytes));
@@ -34,7 +34,7 @@
   @Property(tries = 200)
   void taskMessagesDecodeToWhatWasEncodedAndFitIntoAPayload(
       @ForAll Kind kind,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long term,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long term,
       @ForAll long requestNanos,
       @ForAll @IntRange(max = 10) int count,
       @ForAll @LongRange(min = -1) long ageNanos) {
@@ -65,7 +65,7 @@
 
   @Property(tries = 50)
   void numbersAboveTheHighestAreNotDecoded(
-      @ForAll @LongRange(min = LeaseMessage.HIGHEST + 1) long number) {
+      @ForAll @LongRange(min = LeaseMessage.HIGHEST_BALLOT + 1) long number) {
     LeaseMessage message = new LeaseMessage(LeaseMessage.Kind.REFUSED, "probe", 1, number);
     assertEquals(Optional.empty(), LeaseMessageCodec.decode(LeaseMessageCodec.encode(message)));
     TaskMessage taskMessage = TaskMessage.of(Kind.HIGHER_TERM_SEEN, "probe", number);
--- a/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
+++ b/planning/src/main/java/org/amberpath/planning/MaxMinFairShare.java
@@ -22,12 +22,12 @@
     Arrays.sort(
         ascending, (a, b) -> wanted[a] != wanted[b] ? Double.compare(wanted[a], wanted[b]) : a - b);
     double[] shares = new double[count];
-    double left = bound;
-    for (int place = 0; place < count; place++) {
-      int index = ascending[place];
-      double even = left / (count - place);
-      shares[index] = Math.min(even, Math.max(floor, wanted[index]));
-      left -= shares[index];
+    double remaining = bound;
+    for (int position = 0; position < count; position++) {
+      int index = ascending[position];
+      double equalShare = remaining / (count - position);
+      shares[index] = Math.min(equalShare, Math.max(floor, wanted[index]));
+      remaining -= shares[index];
     }
     return shares;
   }
--- a/planning/src/main/java/org/amberpath/planning/MemberGrants.java
+++ b/planning/src/main/java/org/amberpath/planning/MemberGrants.java
@@ -34,7 +34,7 @@
   }
 
   private final QuotaTimings timings;
-  private final double[] usual;
+  private final double[] usualShares;
   private final Deque<Grant> grants = new ArrayDeque<>();
   private long instanceId = Long.MIN_VALUE;
   private long sequenceNumber = Long.MIN_VALUE;
@@ -42,23 +42,23 @@
   /** The last request, and every later one, was made after this time of the leader's clock. */
   private long requestedAfterNanos = Long.MIN_VALUE;
 
-  MemberGrants(QuotaTimings timings, double[] usual) {
+  MemberGrants(QuotaTimings timings, double[] usualShares) {
     this.timings = timings;
-    this.usual = usual;
+    this.usualShares = usualShares;
   }
 
   /** Adds a grant of the previous term; see {@link QuotaLedger.Handover}. */
-  void takeOver(OutstandingGrant outstanding, QuotaLedger.Handover handover) {
+  void addHandedOver(OutstandingGrant outstanding, QuotaLedger.Handover handover) {
     instanceId = Math.max(instanceId, outstanding.instanceId());
     // Numbers of the previous term are mapped below all numbers of this term.
     Grant grant =
         new Grant(
             outstanding.number() - Long.MAX_VALUE,
-            handover.receivedAtNanos() + timings.longestNanos(outstanding.raisedLeftNanos()),
-            outstanding.loweredLeftNanos() == 0
+            handover.receivedAtNanos() + timings.longestNanos(outstanding.raisedRemainingNanos()),
+            outstanding.loweredRemainingNanos() == 0
                 ? Long.MIN_VALUE
                 : handover.requestedAtNanos()
-                    + timings.shortestNanos(outstanding.loweredLeftNanos()),
+                    + timings.shortestNanos(outstanding.loweredRemainingNanos()),
             outstanding.amounts().clone());
     grant.inForce = outstanding.inForce();
     if (grant.inForce && grant.loweredUntilNanos != Long.MIN_VALUE) {
@@ -91,7 +91,7 @@
     return true;
   }
 
-  boolean isFull() {
+  boolean hasMaxOutstanding() {
     return grants.size() >= MAX_OUTSTANDING;
   }
 
@@ -110,7 +110,7 @@
    * Removes the grants that cannot be in force. A confirmed grant stays until a later one is
    * confirmed, because it rules out the grants before it.
    */
-  void forgetExpired(long nowNanos) {
+  void removeExpired(long nowNanos) {
     grants.removeIf(
         grant ->
             !grant.inForce
@@ -119,48 +119,49 @@
   }
 
   /** Returns the most of a resource that this member may be using at the given time. */
-  double mostUsed(int resource, long atNanos) {
-    double most = 0;
+  double maxUse(int resource, long atNanos) {
+    double maxAmount = 0;
     boolean confirmed = false;
     for (Grant grant : grants) {
       double amount = grant.amounts[resource];
-      if (amount >= usual[resource]) {
-        most = Math.max(most, atNanos <= grant.raisedUntilNanos ? amount : usual[resource]);
+      if (amount >= usualShares[resource]) {
+        maxAmount =
+            Math.max(maxAmount, atNanos <= grant.raisedUntilNanos ? amount : usualShares[resource]);
         confirmed |= grant.inForce;
       } else if (grant.inForce && atNanos >= grant.loweredUntilNanos) {
-        most = Math.max(most, usual[resource]);
+        maxAmount = Math.max(maxAmount, usualShares[resource]);
         confirmed = true;
       } else {
         // If this grant was lost, the previous one is in force, which is counted
         // separately.
-        most = Math.max(most, amount);
+        maxAmount = Math.max(maxAmount, amount);
         confirmed |= grant.inForce;
       }
     }
-    return confirmed ? most : Math.max(most, usual[resource]);
+    return confirmed ? maxAmount : Math.max(maxAmount, usualShares[resource]);
   }
 
   /**
    * Returns the least amount that this member is counted with until {@code endNanos}; a grant of
    * that amount takes nothing from the other members.
    */
-  double leastCounted(int resource, long nowNanos, long endNanos) {
-    double least = mostUsed(resource, nowNanos);
+  double minCountedUse(int resource, long nowNanos, long endNanos) {
+    double minAmount = maxUse(resource, nowNanos);
     for (Grant grant : grants) {
       for (long atNanos : new long[] {grant.raisedUntilNanos + 1, grant.loweredUntilNanos}) {
         if (atNanos > nowNanos && atNanos <= endNanos) {
-          least = Math.min(least, mostUsed(resource, atNanos));
+          minAmount = Math.min(minAmount, maxUse(resource, atNanos));
         }
       }
     }
-    return least;
+    return minAmount;
   }
 
   /**
    * Returns the times until {@code endNanos} at which a share of this member below the usual one
    * may expire.
    */
-  long[] endsOfLoweredShares(long nowNanos, long endNanos) {
+  long[] loweredShareExpiries(long nowNanos, long endNanos) {
     return grants.stream()
         .mapToLong(grant -> grant.loweredUntilNanos)
         .filter(atNanos -> atNanos > nowNanos && atNanos <= endNanos)
--- a/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaHolder.java
@@ -34,16 +34,16 @@
   }
 
   /** The grant in force, whose time counts from when it was requested. */
-  private record Applied(
-      long term, long number, long requestNumber, long grantedAtNanos, long sinceNanos) {
-    static final Applied NONE = new Applied(0, 0, 0, Long.MIN_VALUE, 0);
+  private record AppliedGrant(
+      long term, long number, long requestNumber, long grantedAtNanos, long requestedAtNanos) {
+    static final AppliedGrant NONE = new AppliedGrant(0, 0, 0, Long.MIN_VALUE, 0);
   }
 
   private final QuotaTimings timings;
   private final int member;
   private final long instanceId;
   private final long startedAtNanos;
-  private final double[] usual;
+  private final double[] usualShares;
   private final Map<Long, Long> requestedAtNanos =
       new LinkedHashMap<>() {
         @Override
@@ -52,7 +52,7 @@
         }
       };
   private long lastRequest;
-  private Applied applied = Applied.NONE;
+  private AppliedGrant appliedGrant = AppliedGrant.NONE;
 
   /** The shares of the grant in force; null before the first. */
   private double[] amounts;
@@ -63,14 +63,14 @@
    * start.
    *
    * @param instanceId identifies this start of the member; grows from start to start
-   * @param usual the usual share of each resource
+   * @param usualShares the usual share of each resource
    */
   public QuotaHolder(
-      QuotaTimings timings, int member, long instanceId, double[] usual, long nowNanos) {
+      QuotaTimings timings, int member, long instanceId, double[] usualShares, long nowNanos) {
     this.timings = timings;
     this.member = member;
     this.instanceId = instanceId;
-    this.usual = usual.clone();
+    this.usualShares = usualShares.clone();
     startedAtNanos = nowNanos;
   }
 
@@ -82,9 +82,9 @@
         member,
         instanceId,
         lastRequest,
-        applied.term,
-        applied.number,
-        applied.grantedAtNanos,
+        appliedGrant.term,
+        appliedGrant.number,
+        appliedGrant.grantedAtNanos,
         wanted.clone());
   }
 
@@ -92,34 +92,34 @@
   public GrantResult apply(long nowNanos, QuotaGrant grant) {
     if (grant.member() != member
         || grant.instanceId() != instanceId
-        || grant.amounts().length != usual.length) {
+        || grant.amounts().length != usualShares.length) {
       return GrantResult.WRONG_RECIPIENT;
     }
-    if (grant.term() < applied.term) {
+    if (grant.term() < appliedGrant.term) {
       return GrantResult.OLD_TERM;
     }
-    if (grant.term() == applied.term && grant.number() <= applied.number) {
+    if (grant.term() == appliedGrant.term && grant.number() <= appliedGrant.number) {
       return GrantResult.OLD_NUMBER;
     }
     // A confirmed lower share must not end sooner, which it would if its time counted from
     // an older request.
-    if (grant.requestNumber() <= applied.requestNumber) {
+    if (grant.requestNumber() <= appliedGrant.requestNumber) {
       return GrantResult.OLD_REQUEST;
     }
-    Long sinceNanos = requestedAtNanos.get(grant.requestNumber());
-    if (sinceNanos == null) {
+    Long grantRequestedAtNanos = requestedAtNanos.get(grant.requestNumber());
+    if (grantRequestedAtNanos == null) {
       return GrantResult.UNKNOWN_REQUEST;
     }
-    if (nowNanos - sinceNanos >= timings.grantNanos()) {
+    if (nowNanos - grantRequestedAtNanos >= timings.grantNanos()) {
       return GrantResult.EXPIRED;
     }
-    applied =
-        new Applied(
+    appliedGrant =
+        new AppliedGrant(
             grant.term(),
             grant.number(),
             grant.requestNumber(),
             grant.grantedAtNanos(),
-            sinceNanos);
+            grantRequestedAtNanos);
     amounts = grant.amounts().clone();
     raiseToMinimum();
     return GrantResult.APPLIED;
@@ -131,40 +131,40 @@
    */
   private void raiseToMinimum() {
     for (int resource = 0; resource < amounts.length; resource++) {
-      double minimum = usual[resource] * timings.minimumFraction();
+      double minimum = usualShares[resource] * timings.minimumFraction();
       amounts[resource] = amounts[resource] >= minimum ? amounts[resource] : minimum;
     }
   }
 
   /** Returns how much of a resource may be used at the given time, which is now or later. */
   public double share(int resource, long nowNanos) {
-    double usualShare = usual[resource];
+    double usualShare = usualShares[resource];
     if (amounts == null) {
       return ramp(usualShare * timings.minimumFraction(), usualShare, nowNanos - startedAtNanos);
     }
-    double granted = amounts[resource];
-    if (granted >= usualShare) {
-      return isGranted(nowNanos) ? granted : usualShare;
+    double grantedShare = amounts[resource];
+    if (grantedShare >= usualShare) {
+      return isGranted(nowNanos) ? grantedShare : usualShare;
     }
-    return ramp(granted, usualShare, nowNanos - applied.sinceNanos);
+    return ramp(grantedShare, usualShare, nowNanos - appliedGrant.requestedAtNanos);
   }
 
   /**
    * Returns the share at a point of the ramp from a lower share to the usual one. The ramp begins
    * after the hold time, when no leader can rely on the lower share, and takes the time of a grant.
    */
-  private double ramp(double low, double usualShare, long ageNanos) {
+  private double ramp(double loweredShare, double usualShare, long ageNanos) {
     double progress = (double) (ageNanos - timings.holdNanos()) / timings.grantNanos();
-    return low + (usualShare - low) * Math.max(0, Math.min(1, progress));
+    return loweredShare + (usualShare - loweredShare) * Math.max(0, Math.min(1, progress));
   }
 
   /** Whether a grant is in force whose time has not elapsed. */
   public boolean isGranted(long nowNanos) {
-    return amounts != null && nowNanos - applied.sinceNanos < timings.grantNanos();
+    return amounts != null && nowNanos - appliedGrant.requestedAtNanos < timings.grantNanos();
   }
 
   /** The term of the last grant applied; 0 for none. */
   public long term() {
-    return applied.term;
+    return appliedGrant.term;
   }
 }
--- a/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaLedger.java
@@ -24,9 +24,10 @@
    * @param sequenceNumber the sequence number of the member's last request
    * @param number the number of the grant
    * @param amounts the share of each resource
-   * @param raisedLeftNanos the nanoseconds for which a share above the usual one may still be used
-   * @param loweredLeftNanos the nanoseconds for which the member must still keep to a share below
-   *     the usual one; 0 for none
+   * @param raisedRemainingNanos the nanoseconds for which a share above the usual one may still be
+   *     used
+   * @param loweredRemainingNanos the nanoseconds for which the member must still keep to a share
+   *     below the usual one; 0 for none
    * @param inForce whether the member has confirmed the grant
    */
   @SuppressWarnings("ArrayRecordComponent") // Instances are passed on, never compared.
@@ -36,8 +37,8 @@
       long sequenceNumber,
       long number,
       double[] amounts,
-      long raisedLeftNanos,
-      long loweredLeftNanos,
+      long raisedRemainingNanos,
+      long loweredRemainingNanos,
       boolean inForce) {}
 
   /**
@@ -53,7 +54,7 @@
   private final QuotaTimings timings;
   private final long term;
   private final double[] bounds;
-  private final double[] usual;
+  private final double[] usualShares;
   private final MemberGrants[] members;
   private long lastNumber;
 
@@ -62,9 +63,9 @@
     this.timings = timings;
     this.term = term;
     this.bounds = bounds.clone();
-    usual = Arrays.stream(bounds).map(bound -> bound / members).toArray();
+    usualShares = Arrays.stream(bounds).map(bound -> bound / members).toArray();
     this.members = new MemberGrants[members];
-    Arrays.setAll(this.members, member -> new MemberGrants(timings, usual));
+    Arrays.setAll(this.members, member -> new MemberGrants(timings, usualShares));
   }
 
   /** Creates a ledger that continues from the ledger of the previous term. */
@@ -72,7 +73,7 @@
       QuotaTimings timings, long term, double[] bounds, int members, Handover handover) {
     QuotaLedger ledger = new QuotaLedger(timings, term, bounds, members);
     for (OutstandingGrant grant : handover.grants) {
-      ledger.members[grant.member()].takeOver(grant, handover);
+      ledger.members[grant.member()].addHandedOver(grant, handover);
     }
     return ledger;
   }
@@ -81,21 +82,21 @@
    * Returns the most that all members except one may be using together at any time until {@code
    * endNanos}.
    */
-  private double mostUsedByOthers(int excluded, int resource, long nowNanos, long endNanos) {
-    double most = sumOfOthers(excluded, resource, nowNanos);
+  private double maxUseByOthers(int excluded, int resource, long nowNanos, long endNanos) {
+    double maxSum = sumExcluding(excluded, resource, nowNanos);
     for (MemberGrants member : members) {
       // The sum only grows when a share below the usual one expires.
-      for (long atNanos : member.endsOfLoweredShares(nowNanos, endNanos)) {
-        most = Math.max(most, sumOfOthers(excluded, resource, atNanos));
+      for (long atNanos : member.loweredShareExpiries(nowNanos, endNanos)) {
+        maxSum = Math.max(maxSum, sumExcluding(excluded, resource, atNanos));
       }
     }
-    return most;
+    return maxSum;
   }
 
-  private double sumOfOthers(int excluded, int resource, long atNanos) {
+  private double sumExcluding(int excluded, int resource, long atNanos) {
     double sum = 0;
     for (int member = 0; member < members.length; member++) {
-      sum += member == excluded ? 0 : members[member].mostUsed(resource, atNanos);
+      sum += member == excluded ? 0 : members[member].maxUse(resource, atNanos);
     }
     return sum;
   }
@@ -113,20 +114,20 @@
   /**
    * Grants shares as far as the bounds allow, never less than the minimum share.
    *
-   * @param wished the shares to grant if the bounds allow it, each at least the minimum share
+   * @param fairShares the shares to grant if the bounds allow it, each at least the minimum share
    * @return the grant; null if nothing may be granted until the member confirms an earlier one
    */
-  public QuotaGrant grant(long nowNanos, QuotaRequest request, double[] wished) {
+  public QuotaGrant grant(long nowNanos, QuotaRequest request, double[] fairShares) {
     for (MemberGrants each : members) {
-      each.forgetExpired(nowNanos);
+      each.removeExpired(nowNanos);
     }
     MemberGrants member = members[request.member()];
-    if (member.isFull()) {
+    if (member.hasMaxOutstanding()) {
       return null;
     }
     double[] amounts = new double[bounds.length];
     for (int resource = 0; resource < bounds.length; resource++) {
-      amounts[resource] = amount(nowNanos, request.member(), resource, wished[resource]);
+      amounts[resource] = amount(nowNanos, request.member(), resource, fairShares[resource]);
     }
     lastNumber++;
     member.add(lastNumber, raisedUntilNanos(nowNanos), amounts);
@@ -144,20 +145,20 @@
     return nowNanos + timings.longestNanos(timings.grantNanos());
   }
 
-  private double amount(long nowNanos, int member, int resource, double wished) {
-    double usualShare = usual[resource];
+  private double amount(long nowNanos, int member, int resource, double fairShare) {
+    double usualShare = usualShares[resource];
     double bound = bounds[resource];
-    double free = bound - mostUsedByOthers(member, resource, nowNanos, raisedUntilNanos(nowNanos));
-    if (wished > usualShare && free > usualShare) {
-      return Math.min(wished, free);
+    double free = bound - maxUseByOthers(member, resource, nowNanos, raisedUntilNanos(nowNanos));
+    if (fairShare > usualShare && free > usualShare) {
+      return Math.min(fairShare, free);
     }
     long endNanos = nowNanos + timings.longestNanos(timings.holdNanos());
     double allowed =
         Math.max(
-            members[member].leastCounted(resource, nowNanos, endNanos),
-            bound - mostUsedByOthers(member, resource, nowNanos, endNanos));
+            members[member].minCountedUse(resource, nowNanos, endNanos),
+            bound - maxUseByOthers(member, resource, nowNanos, endNanos));
     return Math.max(
-        usualShare * timings.minimumFraction(), Math.min(Math.min(wished, usualShare), allowed));
+        usualShare * timings.minimumFraction(), Math.min(Math.min(fairShare, usualShare), allowed));
   }
 
   /**
@@ -174,6 +175,6 @@
 
   /** Returns the most of a resource that all members together may be using now. */
   public double inUse(int resource, long nowNanos) {
-    return sumOfOthers(-1, resource, nowNanos);
+    return sumExcluding(-1, resource, nowNanos);
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -29,63 +29,67 @@
 
   private final double[] bound = {20};
   private QuotaLedger ledger = new QuotaLedger(TIMINGS, 1, bound, 2);
-  private final QuotaHolder giver = new QuotaHolder(TIMINGS, 0, 1, USUAL, 0);
-  private final QuotaHolder taker = new QuotaHolder(TIMINGS, 1, 1, USUAL, 0);
+  private final QuotaHolder lowShareHolder = new QuotaHolder(TIMINGS, 0, 1, USUAL, 0);
+  private final QuotaHolder highShareHolder = new QuotaHolder(TIMINGS, 1, 1, USUAL, 0);
 
   /** Makes a request that is received, granted and applied at once; returns the granted amount. */
-  private double grant(long now, QuotaHolder to, double... wished) {
-    QuotaRequest request = to.nextRequest(now, wished);
+  private double grant(long now, QuotaHolder holder, double... wanted) {
+    QuotaRequest request = holder.nextRequest(now, wanted);
     assertTrue(ledger.requestReceived(request));
-    QuotaGrant grant = ledger.grant(now, request, wished);
-    assertEquals(QuotaHolder.GrantResult.APPLIED, to.apply(now, grant));
+    QuotaGrant grant = ledger.grant(now, request, wanted);
+    assertEquals(QuotaHolder.GrantResult.APPLIED, holder.apply(now, grant));
     return grant.amounts()[0];
   }
 
-  /** Has the giver apply a low share whose time the leader can bound, and confirm it. */
-  private void lend(long now) {
-    grant(now, giver, LOW);
-    grant(now, giver, LOW);
-    assertTrue(ledger.requestReceived(giver.nextRequest(now, LOW)));
+  /**
+   * Has {@link #lowShareHolder} apply a low share whose time the leader can bound, and confirm it.
+   */
+  private void confirmLowShare(long now) {
+    grant(now, lowShareHolder, LOW);
+    grant(now, lowShareHolder, LOW);
+    assertTrue(ledger.requestReceived(lowShareHolder.nextRequest(now, LOW)));
   }
 
   @Test
   void shareIsRaisedOnlyAfterAnotherHolderConfirmsALowerOne() {
-    assertEquals(2, grant(SECOND, giver, LOW));
-    assertEquals(10, grant(SECOND, taker, HIGH), "the low share is not confirmed yet");
-    assertEquals(2, grant(2 * SECOND, giver, LOW));
-    assertEquals(10, grant(2 * SECOND, taker, HIGH), "the time of its request is not known yet");
-    assertTrue(ledger.requestReceived(giver.nextRequest(2 * SECOND, LOW)));
-    assertEquals(18, grant(2 * SECOND, taker, HIGH));
+    assertEquals(2, grant(SECOND, lowShareHolder, LOW));
+    assertEquals(10, grant(SECOND, highShareHolder, HIGH), "the low share is not confirmed yet");
+    assertEquals(2, grant(2 * SECOND, lowShareHolder, LOW));
+    assertEquals(
+        10, grant(2 * SECOND, highShareHolder, HIGH), "the time of its request is not known yet");
+    assertTrue(ledger.requestReceived(lowShareHolder.nextRequest(2 * SECOND, LOW)));
+    assertEquals(18, grant(2 * SECOND, highShareHolder, HIGH));
   }
 
   @Test
   void raisedShareExpiresBeforeTheLoweredOneRampsUp() {
-    lend(SECOND);
-    grant(SECOND, taker, HIGH);
+    confirmLowShare(SECOND);
+    grant(SECOND, highShareHolder, HIGH);
     for (long now = SECOND; now < 20 * SECOND; now += SECOND / 100) {
-      assertTrue(giver.share(0, now) + taker.share(0, now) <= 20 + 1e-9, "at " + now);
+      assertTrue(
+          lowShareHolder.share(0, now) + highShareHolder.share(0, now) <= 20 + 1e-9, "at " + now);
     }
-    assertEquals(18, taker.share(0, 2 * SECOND));
-    assertEquals(10, taker.share(0, 3 * SECOND));
-    assertEquals(2, giver.share(0, 9 * SECOND - 1));
-    assertEquals(10, giver.share(0, 12 * SECOND));
+    assertEquals(18, highShareHolder.share(0, 2 * SECOND));
+    assertEquals(10, highShareHolder.share(0, 3 * SECOND));
+    assertEquals(2, lowShareHolder.share(0, 9 * SECOND - 1));
+    assertEquals(10, lowShareHolder.share(0, 12 * SECOND));
   }
 
   @Test
   void usualShareReturnsWithoutAStep() {
-    grant(SECOND, giver, LOW);
-    double before = giver.share(0, SECOND);
+    grant(SECOND, lowShareHolder, LOW);
+    double before = lowShareHolder.share(0, SECOND);
     for (long now = SECOND; now < 14 * SECOND; now += SECOND / 100) {
-      assertTrue(giver.share(0, now) - before <= 0.05, "a step at " + now);
-      before = giver.share(0, now);
+      assertTrue(lowShareHolder.share(0, now) - before <= 0.05, "a step at " + now);
+      before = lowShareHolder.share(0, now);
     }
     assertEquals(10, before);
   }
 
   @Test
   void restartedHolderKeepsMinimumShareForTheHoldTime() {
-    lend(SECOND);
-    grant(SECOND, taker, HIGH);
+    confirmLowShare(SECOND);
+    grant(SECOND, highShareHolder, HIGH);
     QuotaHolder restarted = new QuotaHolder(TIMINGS, 0, 2, USUAL, 2 * SECOND);
     assertEquals(1.25, restarted.share(0, 2 * SECOND));
     assertEquals(1.25, restarted.share(0, 10 * SECOND - 1));
@@ -93,8 +97,8 @@
 
   @Test
   void lowShareOfRestartedHolderRaisesNoOther() {
-    lend(SECOND);
-    grant(2 * SECOND, taker, HIGH);
+    confirmLowShare(SECOND);
+    grant(2 * SECOND, highShareHolder, HIGH);
     QuotaHolder restarted = new QuotaHolder(TIMINGS, 0, 2, USUAL, 2 * SECOND);
     assertEquals(2, grant(2 * SECOND, restarted, LOW));
     assertTrue(ledger.requestReceived(restarted.nextRequest(2 * SECOND, LOW)));
@@ -103,44 +107,45 @@
 
   @Test
   void grantOfOlderTermNumberOrRequestIsRejected() {
-    QuotaRequest first = giver.nextRequest(SECOND, LOW);
-    QuotaRequest second = giver.nextRequest(SECOND, LOW);
+    QuotaRequest first = lowShareHolder.nextRequest(SECOND, LOW);
+    QuotaRequest second = lowShareHolder.nextRequest(SECOND, LOW);
     assertEquals(
         QuotaHolder.GrantResult.APPLIED,
-        giver.apply(SECOND, new QuotaGrant(0, 1, second.sequenceNumber(), 3, 7, 0, LOW)));
-    QuotaRequest third = giver.nextRequest(SECOND, LOW);
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 1, second.sequenceNumber(), 3, 7, 0, LOW)));
+    QuotaRequest third = lowShareHolder.nextRequest(SECOND, LOW);
     assertEquals(
         QuotaHolder.GrantResult.OLD_TERM,
-        giver.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 2, 9, 0, LOW)));
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 2, 9, 0, LOW)));
     assertEquals(
         QuotaHolder.GrantResult.OLD_NUMBER,
-        giver.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 7, 0, LOW)));
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 7, 0, LOW)));
     assertEquals(
         QuotaHolder.GrantResult.OLD_REQUEST,
-        giver.apply(SECOND, new QuotaGrant(0, 1, first.sequenceNumber(), 3, 8, 0, LOW)));
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 1, first.sequenceNumber(), 3, 8, 0, LOW)));
     assertEquals(
         QuotaHolder.GrantResult.UNKNOWN_REQUEST,
-        giver.apply(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 1, 99, 3, 8, 0, LOW)));
     assertEquals(
         QuotaHolder.GrantResult.WRONG_RECIPIENT,
-        giver.apply(SECOND, new QuotaGrant(0, 2, third.sequenceNumber(), 3, 8, 0, LOW)));
+        lowShareHolder.apply(SECOND, new QuotaGrant(0, 2, third.sequenceNumber(), 3, 8, 0, LOW)));
     assertEquals(
         QuotaHolder.GrantResult.EXPIRED,
-        giver.apply(3 * SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 8, 0, LOW)));
+        lowShareHolder.apply(
+            3 * SECOND, new QuotaGrant(0, 1, third.sequenceNumber(), 3, 8, 0, LOW)));
   }
 
   @Test
   void invalidGrantedAmountIsRaisedToMinimumShare() {
-    QuotaRequest request = giver.nextRequest(SECOND, LOW);
-    giver.apply(
+    QuotaRequest request = lowShareHolder.nextRequest(SECOND, LOW);
+    lowShareHolder.apply(
         SECOND, new QuotaGrant(0, 1, request.sequenceNumber(), 1, 1, 0, new double[] {Double.NaN}));
-    assertEquals(1.25, giver.share(0, SECOND));
+    assertEquals(1.25, lowShareHolder.share(0, SECOND));
   }
 
   @Test
   void duplicateOrLateRequestIsNotAnswered() {
-    QuotaRequest first = giver.nextRequest(SECOND, LOW);
-    QuotaRequest second = giver.nextRequest(SECOND, LOW);
+    QuotaRequest first = lowShareHolder.nextRequest(SECOND, LOW);
+    QuotaRequest second = lowShareHolder.nextRequest(SECOND, LOW);
     assertTrue(ledger.requestReceived(second));
     assertFalse(ledger.requestReceived(second));
     assertFalse(ledger.requestReceived(first));
@@ -149,9 +154,9 @@
 
   @Test
   void succeedingLedgerContinuesFromOutstandingGrants() {
-    lend(SECOND);
-    grant(SECOND, taker, HIGH);
-    ledger.requestReceived(giver.nextRequest(SECOND, LOW));
+    confirmLowShare(SECOND);
+    grant(SECOND, highShareHolder, HIGH);
+    ledger.requestReceived(lowShareHolder.nextRequest(SECOND, LOW));
     List<QuotaLedger.OutstandingGrant> outstanding = ledger.outstandingGrants(SECOND);
     // The next leader's clock is not synchronized with the first leader's.
     long other = 1000 * SECOND;
@@ -159,7 +164,7 @@
         QuotaLedger.succeeding(
             TIMINGS, 2, bound, 2, new QuotaLedger.Handover(outstanding, other, other));
     assertEquals(20, next.inUse(0, other), 1e-9);
-    QuotaRequest request = taker.nextRequest(SECOND + 1, HIGH);
+    QuotaRequest request = highShareHolder.nextRequest(SECOND + 1, HIGH);
     assertTrue(next.requestReceived(request));
     assertEquals(18, next.grant(other, request, HIGH).amounts()[0], 1e-9);
   }
@@ -168,7 +173,7 @@
   void outstandingGrantsOfSilentMemberAreBounded() {
     int granted = 0;
     for (int attempt = 0; attempt < 100; attempt++) {
-      QuotaRequest request = giver.nextRequest(SECOND, LOW);
+      QuotaRequest request = lowShareHolder.nextRequest(SECOND, LOW);
       ledger.requestReceived(
           new QuotaRequest(0, 1, request.sequenceNumber(), 0, 0, Long.MIN_VALUE, LOW));
       granted += ledger.grant(SECOND, request, LOW) == null ? 0 : 1;
--- a/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
+++ b/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
@@ -5,7 +5,7 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.planning.SeededQuotaWorld.Setting;
+import org.amberpath.planning.SeededQuotaSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -18,17 +18,17 @@
  * reason.
  */
 class RecordedQuotasTest {
-  private static final Map<String, SeededQuotaWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededQuotaSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  private static String digest(Setting setting, long seed) {
-    String key = setting + " " + seed;
+  private static String digest(Scenario scenario, long seed) {
+    String key = scenario + " " + seed;
     return DIGESTS.computeIfAbsent(
         key,
         missing -> {
-          SeededQuotaWorld world = new SeededQuotaWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          SeededQuotaSimulation simulation = new SeededQuotaSimulation(scenario, seed);
+          SIMULATIONS.put(key, simulation);
+          return simulation.run();
         });
   }
 
@@ -44,11 +44,11 @@
     "NINE_LOSSY, 2, b84f450e09ac46aba29c82795fcb4e5c6e010a02fbb72f47460aec577013a840",
     "NINE_LOSSY, 3, b8b481ff748b5738023e4f0a527af2fd92c93a728d356be8323266a274ea59e8"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
-        digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+        digest(scenario, seed),
+        () -> "counted: " + SIMULATIONS.get(scenario + " " + seed).actions.counts());
   }
 
   /**
@@ -56,19 +56,19 @@
    * together must reach these actions and results.
    */
   @Test
-  void recordedEventsReachEveryActionAndRefusal() {
+  void recordedEventsReachEveryActionAndResult() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Setting setting : Setting.values()) {
+    for (Scenario scenario : Scenario.values()) {
       for (long seed = 1; seed <= 3; seed++) {
-        digest(setting, seed);
-        PLAYED
-            .get(setting + " " + seed)
+        digest(scenario, seed);
+        SIMULATIONS
+            .get(scenario + " " + seed)
             .actions
             .counts()
-            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+            .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
       }
     }
-    for (String what :
+    for (String expected :
         new String[] {
           "request",
           "heard true",
@@ -91,7 +91,7 @@
           "restart",
           "lost"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/planning/src/test/java/org/amberpath/planning/SeededQuotaWorld.java
+++ b/planning/src/test/java/org/amberpath/planning/SeededQuotaSimulation.java
@@ -16,9 +16,9 @@
  * same events everywhere.
  */
 @SuppressWarnings("EnumOrdinal") // The order of the constants is part of the recorded seeds.
-final class SeededQuotaWorld {
+final class SeededQuotaSimulation {
   /** The number of holders, and the loss and delay of messages. */
-  enum Setting {
+  enum Scenario {
     /** Five holders. */
     FIVE,
     /** Two holders, half of all messages are delayed. */
@@ -29,13 +29,13 @@
 
   private record Event(long atNanos, long order, Runnable action) {}
 
-  static final long PLAYED_NANOS = 300_000_000_000L;
+  static final long DURATION_NANOS = 300_000_000_000L;
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private static final QuotaTimings TIMINGS = new QuotaTimings(2 * SECOND, 8 * SECOND, 1000, 0.125);
 
   final RecordedActions actions = new RecordedActions();
-  private final Setting setting;
+  private final Scenario scenario;
   private final SplittableRandom random;
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::atNanos).thenComparingLong(Event::order));
@@ -44,25 +44,25 @@
   private final List<HolderProcess> holders = new ArrayList<>();
   private long now = 1000 * SECOND;
   private long order;
-  private Planner planner;
-  private Planner formerPlanner;
+  private Leader leader;
+  private Leader formerLeader;
 
-  SeededQuotaWorld(Setting setting, long seed) {
-    this.setting = setting;
-    random = new SplittableRandom(seed * 31 + setting.ordinal());
-    count = new int[] {5, 2, 9}[setting.ordinal()];
+  SeededQuotaSimulation(Scenario scenario, long seed) {
+    this.scenario = scenario;
+    random = new SplittableRandom(seed * 31 + scenario.ordinal());
+    count = new int[] {5, 2, 9}[scenario.ordinal()];
     for (int index = 0; index < count; index++) {
       holders.add(new HolderProcess(index));
     }
-    planner = new Planner(1, new QuotaLedger(TIMINGS, 1, bounds, count));
+    leader = new Leader(1, new QuotaLedger(TIMINGS, 1, bounds, count));
   }
 
   /** Runs all events. Returns the digest of all actions as hexadecimal digits. */
-  String play() {
-    holders.forEach(holder -> at(now + random.nextLong(300 * MS), holder::request));
-    at(now, this::fault);
-    at(now + 10 * SECOND, this::plannerChanges);
-    long end = now + PLAYED_NANOS;
+  String run() {
+    holders.forEach(holder -> schedule(now + random.nextLong(300 * MS), holder::sendRequest));
+    schedule(now, this::injectFault);
+    schedule(now + 10 * SECOND, this::changeLeader);
+    long end = now + DURATION_NANOS;
     while (!events.isEmpty() && events.peek().atNanos <= end) {
       Event event = events.poll();
       now = event.atNanos;
@@ -75,23 +75,23 @@
     return random.nextDouble() < probability;
   }
 
-  private void at(long atNanos, Runnable action) {
+  private void schedule(long atNanos, Runnable action) {
     events.add(new Event(atNanos, ++order, action));
   }
 
-  private void deliver(Runnable arrival) {
-    if (withProbability(setting == Setting.NINE_LOSSY ? 0.33 : 0.05)) {
+  private void deliver(Runnable delivery) {
+    if (withProbability(scenario == Scenario.NINE_LOSSY ? 0.33 : 0.05)) {
       actions.count("lost");
       return;
     }
-    boolean late = withProbability(setting == Setting.TWO_LATE ? 0.5 : 0.05);
+    boolean late = withProbability(scenario == Scenario.TWO_LATE ? 0.5 : 0.05);
     long delay =
         late
             ? random.nextLong(withProbability(0.1) ? 14 * SECOND : 2 * SECOND)
             : random.nextLong(MS, 20 * MS);
-    at(now + delay, arrival);
+    schedule(now + delay, delivery);
     if (withProbability(0.04)) {
-      at(now + delay + random.nextLong(SECOND), arrival);
+      schedule(now + delay + random.nextLong(SECOND), delivery);
     }
   }
 
@@ -104,8 +104,8 @@
     private final int index;
     private final int driftPpm = random.nextInt(-900, 900);
     private QuotaHolder holder;
-    private long run;
-    private long deafUntil;
+    private long instanceId;
+    private long receivesNothingUntilNanos;
     private long lastRequest;
 
     HolderProcess(int index) {
@@ -118,13 +118,13 @@
     }
 
     void restart() {
-      run++;
-      holder = new QuotaHolder(TIMINGS, index, run, usualShares(), clock());
-      actions.record("restart", index, run);
+      instanceId++;
+      holder = new QuotaHolder(TIMINGS, index, instanceId, usualShares(), clock());
+      actions.record("restart", index, instanceId);
       recordShares();
     }
 
-    private void request() {
+    private void sendRequest() {
       double[] wanted = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
         double maxWanted = withProbability(0.3) ? bounds[resource] : bounds[resource] / count;
@@ -142,40 +142,40 @@
           request.echoedNanos(),
           request.wanted()[0],
           request.wanted()[1]);
-      Planner to = withProbability(0.05) && formerPlanner != null ? formerPlanner : planner;
-      if (to != null) {
-        deliver(() -> to.requested(this, request));
+      Leader recipient = withProbability(0.05) && formerLeader != null ? formerLeader : leader;
+      if (recipient != null) {
+        deliver(() -> recipient.requestReceived(this, request));
       }
       recordShares();
-      at(now + random.nextLong(100 * MS, 500 * MS), this::request);
+      schedule(now + random.nextLong(100 * MS, 500 * MS), this::sendRequest);
     }
 
-    private void granted(QuotaGrant grant) {
-      if (now < deafUntil) {
+    private void grantReceived(QuotaGrant grant) {
+      if (now < receivesNothingUntilNanos) {
         return;
       }
-      QuotaHolder.GrantResult refusal = holder.apply(clock(), grant);
-      actions.record("take " + resultWord(refusal), index, grant.term(), grant.number());
+      QuotaHolder.GrantResult result = holder.apply(clock(), grant);
+      actions.record("take " + recordedText(result), index, grant.term(), grant.number());
       recordShares();
     }
 
     private void recordShares() {
-      for (long later : new long[] {0, SECOND, 5 * SECOND, 9 * SECOND, 12 * SECOND}) {
-        long then = clock() + later;
+      for (long offsetNanos : new long[] {0, SECOND, 5 * SECOND, 9 * SECOND, 12 * SECOND}) {
+        long atNanos = clock() + offsetNanos;
         actions.record(
             "share",
             index,
-            holder.share(0, then),
-            holder.share(1, then),
-            holder.isGranted(then),
+            holder.share(0, atNanos),
+            holder.share(1, atNanos),
+            holder.isGranted(atNanos),
             holder.term());
       }
     }
   }
 
   /** Returns the recorded text of a result, which stays the same when a constant is renamed. */
-  private static String resultWord(QuotaHolder.GrantResult refusal) {
-    return switch (refusal) {
+  private static String recordedText(QuotaHolder.GrantResult result) {
+    return switch (result) {
       case APPLIED -> "taken";
       case OLD_TERM -> "old term";
       case OLD_NUMBER -> "old number";
@@ -187,54 +187,55 @@
   }
 
   /** A leader with its ledger. */
-  private final class Planner {
+  private final class Leader {
     private final long term;
     private final QuotaLedger ledger;
-    private final double[][] wants = new double[count][];
+    private final double[][] wantedByMember = new double[count][];
 
-    Planner(long term, QuotaLedger ledger) {
+    Leader(long term, QuotaLedger ledger) {
       this.term = term;
       this.ledger = ledger;
     }
 
-    private void requested(HolderProcess from, QuotaRequest request) {
-      wants[request.member()] = request.wanted();
+    private void requestReceived(HolderProcess from, QuotaRequest request) {
+      wantedByMember[request.member()] = request.wanted();
       boolean answered = ledger.requestReceived(request);
       actions.record("heard " + answered, term, request.member(), request.sequenceNumber());
       if (!answered) {
         return;
       }
-      QuotaGrant grant = ledger.grant(now, request, wished(request));
+      QuotaGrant grant = ledger.grant(now, request, targetShares(request));
       if (grant == null) {
         actions.record("no grant", term, request.member(), request.sequenceNumber());
       } else {
         recordGrant(grant);
-        long stoodStill = withProbability(0.01) ? random.nextLong(4 * SECOND) : 0;
-        at(now + stoodStill, () -> deliver(() -> from.granted(grant)));
+        long suspendedNanos = withProbability(0.01) ? random.nextLong(4 * SECOND) : 0;
+        schedule(now + suspendedNanos, () -> deliver(() -> from.grantReceived(grant)));
       }
       actions.record("in use", ledger.inUse(0, now), ledger.inUse(1, now));
     }
 
-    private double[] wished(QuotaRequest request) {
-      double[] wished = new double[bounds.length];
+    private double[] targetShares(QuotaRequest request) {
+      double[] targets = new double[bounds.length];
       for (int resource = 0; resource < bounds.length; resource++) {
-        double usual = bounds[resource] / wants.length;
-        double[] wanted = new double[wants.length];
-        for (int member = 0; member < wants.length; member++) {
-          wanted[member] = wants[member] == null ? usual : wants[member][resource];
+        double usual = bounds[resource] / wantedByMember.length;
+        double[] wanted = new double[wantedByMember.length];
+        for (int member = 0; member < wantedByMember.length; member++) {
+          wanted[member] =
+              wantedByMember[member] == null ? usual : wantedByMember[member][resource];
         }
         double[] shares =
             MaxMinFairShare.of(bounds[resource], wanted, usual * TIMINGS.minimumFraction());
-        wished[resource] =
+        targets[resource] =
             withProbability(0.2) ? wanted[request.member()] : shares[request.member()];
       }
-      return wished;
+      return targets;
     }
 
     private void recordGrant(QuotaGrant grant) {
-      boolean above = grant.amounts()[0] > bounds[0] / count;
+      boolean aboveUsual = grant.amounts()[0] > bounds[0] / count;
       actions.record(
-          above ? "grant above" : "grant",
+          aboveUsual ? "grant above" : "grant",
           grant.member(),
           grant.instanceId(),
           grant.requestNumber(),
@@ -247,72 +248,76 @@
 
     /** Creates the ledger of the next term from the outstanding grants of this one. */
     QuotaLedger handOver(long nextTerm) {
-      List<QuotaLedger.OutstandingGrant> left = ledger.outstandingGrants(now);
-      for (QuotaLedger.OutstandingGrant grant : left) {
+      List<QuotaLedger.OutstandingGrant> outstanding = ledger.outstandingGrants(now);
+      for (QuotaLedger.OutstandingGrant grant : outstanding) {
         actions.record(
             grant.inForce() ? "left in force" : "left",
             grant.member(),
             grant.instanceId(),
             grant.sequenceNumber(),
             grant.number(),
-            grant.raisedLeftNanos(),
-            grant.loweredLeftNanos(),
+            grant.raisedRemainingNanos(),
+            grant.loweredRemainingNanos(),
             grant.amounts()[0],
             grant.amounts()[1]);
       }
-      long askedAt = now - random.nextLong(500 * MS);
+      long requestedAtNanos = now - random.nextLong(500 * MS);
       return QuotaLedger.succeeding(
-          TIMINGS, nextTerm, bounds, count, new QuotaLedger.Handover(left, askedAt, now));
+          TIMINGS,
+          nextTerm,
+          bounds,
+          count,
+          new QuotaLedger.Handover(outstanding, requestedAtNanos, now));
     }
   }
 
   // ---- Faults.
 
-  private void plannerChanges() {
-    Planner before = planner;
-    long nextTerm = (before == null ? formerPlanner.term : before.term) + 1;
-    if (before != null && withProbability(0.4)) {
-      formerPlanner = before;
-      planner = new Planner(nextTerm, before.handOver(nextTerm));
+  private void changeLeader() {
+    Leader previousLeader = leader;
+    long nextTerm = (previousLeader == null ? formerLeader.term : previousLeader.term) + 1;
+    if (previousLeader != null && withProbability(0.4)) {
+      formerLeader = previousLeader;
+      leader = new Leader(nextTerm, previousLeader.handOver(nextTerm));
       actions.record("handed over", nextTerm);
-    } else if (before != null && withProbability(0.4)) {
-      formerPlanner = before;
-      planner = null;
+    } else if (previousLeader != null && withProbability(0.4)) {
+      formerLeader = previousLeader;
+      leader = null;
       actions.record("away", nextTerm);
     } else {
-      formerPlanner = before == null ? formerPlanner : before;
-      planner = new Planner(nextTerm, new QuotaLedger(TIMINGS, nextTerm, bounds, count));
+      formerLeader = previousLeader == null ? formerLeader : previousLeader;
+      leader = new Leader(nextTerm, new QuotaLedger(TIMINGS, nextTerm, bounds, count));
       actions.record("anew", nextTerm);
     }
-    at(now + random.nextLong(20 * SECOND), this::plannerChanges);
+    schedule(now + random.nextLong(20 * SECOND), this::changeLeader);
   }
 
-  private void fault() {
+  private void injectFault() {
     HolderProcess holder = holders.get(random.nextInt(count));
     switch (random.nextInt(4)) {
       case 0 -> holder.restart();
-      case 1 -> holder.deafUntil = now + random.nextLong(15 * SECOND);
-      default -> holder.granted(wrongGrant(holder));
+      case 1 -> holder.receivesNothingUntilNanos = now + random.nextLong(15 * SECOND);
+      default -> holder.grantReceived(invalidGrant(holder));
     }
-    at(now + random.nextLong(2 * SECOND), this::fault);
+    schedule(now + random.nextLong(2 * SECOND), this::injectFault);
   }
 
   /**
    * Creates an invalid grant: for another member or start, with another number of resources, for no
    * stored request, or with an amount of NaN.
    */
-  private QuotaGrant wrongGrant(HolderProcess holder) {
+  private QuotaGrant invalidGrant(HolderProcess holder) {
     long term = holder.holder.term();
     if (withProbability(0.4)) {
       // Answers a request of several seconds ago, whose time may no longer be stored.
       long answers = holder.lastRequest - 28 - random.nextInt(8);
       return new QuotaGrant(
-          holder.index, holder.run, answers, term, Long.MAX_VALUE, now, new double[] {1, 1});
+          holder.index, holder.instanceId, answers, term, Long.MAX_VALUE, now, new double[] {1, 1});
     }
     double[] amounts = withProbability(0.2) ? new double[] {1} : new double[] {Double.NaN, 1};
     return new QuotaGrant(
         withProbability(0.2) ? holder.index + 1 : holder.index,
-        withProbability(0.2) ? holder.run - 1 : holder.run,
+        withProbability(0.2) ? holder.instanceId - 1 : holder.instanceId,
         random.nextLong(1, 400),
         term,
         withProbability(0.5) ? 1 : random.nextLong(200),
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -35,18 +35,18 @@
   private static final long MIN_RETRY_AFTER_NANOS = 100 * MS;
 
   /** The time without a rejection after which everything is admitted. */
-  private static final long CALM_NANOS = 2 * SECOND;
+  private static final long MIN_NANOS_WITHOUT_REJECTION = 2 * SECOND;
 
   private static final double RATE_FACTOR = 1.5;
 
   /** The rate is raised only if at least this fraction of the admitted requests has succeeded. */
-  private static final double MIN_SUCCESSES_TO_RAISE = 0.8;
+  private static final double MIN_SUCCESS_FRACTION_TO_RAISE = 0.8;
 
   /** The rate is raised only if at least this fraction of it was used. */
-  private static final double MIN_USE_TO_RAISE = 0.8;
+  private static final double MIN_USED_FRACTION_TO_RAISE = 0.8;
 
   /** The rate is lowered if less than this fraction of the admitted requests has succeeded. */
-  private static final double MIN_SUCCESSES_TO_KEEP = 0.5;
+  private static final double MIN_SUCCESS_FRACTION_TO_KEEP = 0.5;
 
   private static final double BURST_SECONDS = 0.25;
 
@@ -149,7 +149,7 @@
       startupCompleted(nowNanos, true, 1);
     }
     if (phase == Phase.INITIAL_RATE || phase == Phase.RAMP_UP) {
-      if (nowNanos - lastRejectedNanos >= CALM_NANOS) {
+      if (nowNanos - lastRejectedNanos >= MIN_NANOS_WITHOUT_REJECTION) {
         enter(Phase.SERVING, nowNanos);
       } else if (nowNanos - step.startedAtNanos >= STEP_MILLIS * MS) {
         endStep(nowNanos);
@@ -163,11 +163,11 @@
     double succeededRate = step.succeeded / seconds;
     // Requests that were admitted in the previous step have succeeded by now, or are late.
     int expected = Math.min(step.admitted, previousStep.admitted);
-    if (step.succeeded >= MIN_SUCCESSES_TO_RAISE * expected
-        && admittedRate >= MIN_USE_TO_RAISE * Math.min(rate, admittedRate + 1)) {
+    if (step.succeeded >= MIN_SUCCESS_FRACTION_TO_RAISE * expected
+        && admittedRate >= MIN_USED_FRACTION_TO_RAISE * Math.min(rate, admittedRate + 1)) {
       enter(Phase.RAMP_UP, nowNanos);
       rate = rate * RATE_FACTOR;
-    } else if (step.succeeded < MIN_SUCCESSES_TO_KEEP * expected) {
+    } else if (step.succeeded < MIN_SUCCESS_FRACTION_TO_KEEP * expected) {
       rate = Math.max(initialRate, succeededRate * RATE_FACTOR);
     }
     previousStep = step;
@@ -177,10 +177,10 @@
   /**
    * Returns whether a request is admitted.
    *
-   * @param continued whether the request continues a client's session; such requests take
+   * @param continuesSession whether the request continues a client's session; such requests take
    *     precedence over new sessions
    */
-  public boolean tryAdmit(long nowNanos, boolean continued) {
+  public boolean tryAdmit(long nowNanos, boolean continuesSession) {
     if (phase == Phase.SERVING) {
       return true;
     }
@@ -188,7 +188,7 @@
       double maxTokens = 1 + rate * BURST_SECONDS;
       tokens = Math.min(maxTokens, tokens + rate * (nowNanos - refilledAtNanos) / 1e9);
       refilledAtNanos = nowNanos;
-      if (tokens >= (continued ? 1 : 1 + (maxTokens - 1) / 4)) {
+      if (tokens >= (continuesSession ? 1 : 1 + (maxTokens - 1) / 4)) {
         tokens--;
         step.admitted++;
         return true;
@@ -208,24 +208,24 @@
    * Returns after what time a rejected client should retry, which depends on the numbers of
    * rejected and admitted requests and is spread at random.
    *
-   * @param continued whether the client's request continues a session; such clients retry after
-   *     half the time
+   * @param continuesSession whether the client's request continues a session; such clients retry
+   *     after half the time
    * @return the time in nanoseconds; 0 if clients cannot be told when to retry
    */
-  public long retryAfterNanos(boolean continued) {
+  public long retryAfterNanos(boolean continuesSession) {
     if (maxRetryAfterNanos == 0) {
       return 0;
     }
     double perSecond = Math.max(1, phase == Phase.LEARNING ? 1 : rate);
     double backlogSeconds = Math.max(step.rejected, previousStep.rejected) / perSecond * 2;
-    double longest = maxRetryAfterNanos;
-    long span =
+    double maxNanos = maxRetryAfterNanos;
+    long maxWaitNanos =
         (long)
             Math.max(
-                Math.min(MIN_RETRY_AFTER_NANOS, longest),
-                Math.min(longest, backlogSeconds * SECOND));
-    long wait = span / 2 + random.nextLong(Math.max(1, span / 2));
-    return continued ? wait / 2 : wait;
+                Math.min(MIN_RETRY_AFTER_NANOS, maxNanos),
+                Math.min(maxNanos, backlogSeconds * SECOND));
+    long waitNanos = maxWaitNanos / 2 + random.nextLong(Math.max(1, maxWaitNanos / 2));
+    return continuesSession ? waitNanos / 2 : waitNanos;
   }
 
   /** Returns when the SERVING phase began; 0 before. */
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -20,7 +20,7 @@
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private static final int STARTS = 60;
-  private static final Map<Long, RecordedActions> PLAYED = new TreeMap<>();
+  private static final Map<Long, RecordedActions> ACTIONS = new TreeMap<>();
   private static final Map<Long, String> DIGESTS = new TreeMap<>();
 
   private static String digest(long seed) {
@@ -28,17 +28,17 @@
         seed,
         missing -> {
           RecordedActions actions = new RecordedActions();
-          PLAYED.put(seed, actions);
+          ACTIONS.put(seed, actions);
           SplittableRandom random = new SplittableRandom(seed);
           for (int start = 0; start < STARTS; start++) {
-            play(random, actions);
+            runStart(random, actions);
           }
           return actions.digest();
         });
   }
 
   /** Simulates one start of a gateway, with random traffic and answers. */
-  private static void play(SplittableRandom random, RecordedActions actions) {
+  private static void runStart(SplittableRandom random, RecordedActions actions) {
     long now = random.nextLong(1000 * SECOND);
     long end = now + 30 * SECOND;
     long learnedAt = now + random.nextLong(5 * SECOND);
@@ -65,10 +65,10 @@
         request(ramp, now, random, answered, actions);
       }
       if (ramp.phase() != before) {
-        actions.record(phaseWord(before) + ">" + phaseWord(ramp.phase()), now, ramp.rate());
+        actions.record(recordedText(before) + ">" + recordedText(ramp.phase()), now, ramp.rate());
         before = ramp.phase();
       }
-      actions.record("state " + phaseWord(before), ramp.rate(), ramp.servingSinceNanos());
+      actions.record("state " + recordedText(before), ramp.rate(), ramp.servingSinceNanos());
     }
   }
 
@@ -78,18 +78,18 @@
       SplittableRandom random,
       double answered,
       RecordedActions actions) {
-    boolean halfway = random.nextBoolean();
-    boolean admitted = ramp.tryAdmit(now, halfway);
-    actions.record(admitted ? "admitted" : "rejected", now, halfway);
+    boolean continuesSession = random.nextBoolean();
+    boolean admitted = ramp.tryAdmit(now, continuesSession);
+    actions.record(admitted ? "admitted" : "rejected", now, continuesSession);
     if (!admitted) {
-      actions.record("wait", ramp.retryAfterNanos(halfway));
+      actions.record("wait", ramp.retryAfterNanos(continuesSession));
     } else if (random.nextDouble() < answered) {
       ramp.requestSucceeded();
     }
   }
 
   /** Returns the recorded text of a phase, which stays the same when a constant is renamed. */
-  private static String phaseWord(RecoveryRamp.Phase phase) {
+  private static String recordedText(RecoveryRamp.Phase phase) {
     return switch (phase) {
       case LEARNING -> "learning";
       case INITIAL_RATE -> "trickle";
@@ -105,7 +105,7 @@
     "3, 89b773a649a1ceca798a73acd35131b7e9903e32491bedcd3f20f552ec383753"
   })
   void everyActionIsTheRecordedOne(long seed, String recorded) {
-    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).counts());
+    assertEquals(recorded, digest(seed), () -> "counted: " + ACTIONS.get(seed).counts());
   }
 
   /**
@@ -115,8 +115,8 @@
   @Test
   void recordedEventsReachEveryActionPhaseAndTransition() {
     digest(1);
-    Map<String, Integer> counts = PLAYED.get(1L).counts();
-    for (String what :
+    Map<String, Integer> counts = ACTIONS.get(1L).counts();
+    for (String expected :
         new String[] {
           "admitted",
           "rejected",
@@ -131,7 +131,7 @@
           "trickle>serving",
           "ramp>serving"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -18,16 +18,17 @@
    * Advances the clock under a constant request rate. Of the admitted requests each {@code
    * succeedsEach}-th succeeds, none if 0. Returns how many were admitted.
    */
-  private int advance(long millis, int requestsPerSecond, int succeedsEach, boolean continued) {
+  private int advance(
+      long millis, int requestsPerSecond, int successInterval, boolean continuesSession) {
     int admitted = 0;
     long next = now;
     for (long end = now + millis * MS; now < end; now += MS) {
       ramp.tick(now);
       while (next <= now) {
         next += SECOND / requestsPerSecond;
-        if (ramp.tryAdmit(now, continued)) {
+        if (ramp.tryAdmit(now, continuesSession)) {
           admitted++;
-          if (succeedsEach > 0 && admitted % succeedsEach == 0) {
+          if (successInterval > 0 && admitted % successInterval == 0) {
             ramp.requestSucceeded();
           }
         }
