--- a/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
@@ -21,7 +21,17 @@
   public LeaseTimings {
     if (leaseNanos < MILLION || settleNanos < 0 || driftPpm < 0 || driftPpm > MILLION / 20) {
       throw new InvalidLeadershipConfigException.Timings(
-          "lease " + leaseNanos + ", settle " + settleNanos + ", drift " + driftPpm);
+          "lease timings out of bounds: lease "
+              + leaseNanos
+              + " ns (at least "
+              + MILLION
+              + "), settle "
+              + settleNanos
+              + " ns (at least 0), clock drift "
+              + driftPpm
+              + " ppm (0 to "
+              + MILLION / 20
+              + ")");
     }
   }
 
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/QuorumVoting.java
@@ -128,7 +128,9 @@
         .onFailure(
             e ->
                 LOG.warning(
-                    membership.name() + ": leadership: voters unchanged error=" + e.getMessage()));
+                    membership.name()
+                        + ": leadership: voters unchanged, reading the settings failed error="
+                        + e.getMessage()));
   }
 
   private void votersReloaded(VoterConfiguration next) {
@@ -138,9 +140,15 @@
     if (!next.isAdjacentTo(voters)) {
       LOG.warning(
           membership.name()
-              + ": leadership: voters unchanged voters="
-              + voters.allVoters()
-              + " error=one list replaces another only by way of next-voters");
+              + ": leadership: voters unchanged, the configured change skips a stage voters="
+              + voters.current()
+              + " next="
+              + voters.next()
+              + " configured="
+              + next.current()
+              + " configured_next="
+              + next.next()
+              + " (a list is replaced in two reloads: first it is added as next-voters)");
       return;
     }
     voters = next;
--- a/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
@@ -30,14 +30,17 @@
         || !(minimumFraction > 0)
         || minimumFraction > 1) {
       throw new InvalidQuotaTimingsException(
-          "grant "
+          "quota timings out of bounds: grant "
               + grantNanos
-              + ", hold "
+              + " ns (above 0), hold "
               + holdNanos
-              + ", drift "
+              + " ns (at least twice grant), clock drift "
               + driftPpm
-              + ", thin "
-              + minimumFraction);
+              + " ppm (0 to "
+              + MILLION / 10
+              + "), minimum fraction "
+              + minimumFraction
+              + " (above 0, at most 1)");
     }
   }
 
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -199,9 +199,15 @@
 
   @Test
   void inconsistentTimingsAreRejected() {
-    assertThrows(
-        IllegalArgumentException.class,
-        () -> new QuotaTimings(GRANT_NANOS, GRANT_NANOS, 1000, 0.5));
+    IllegalArgumentException shortHold =
+        assertThrows(
+            IllegalArgumentException.class,
+            () -> new QuotaTimings(GRANT_NANOS, GRANT_NANOS, 1000, 0.5));
+    assertEquals(
+        "quota timings out of bounds: grant 2000000000 ns (above 0), hold 2000000000 ns (at least"
+            + " twice grant), clock drift 1000 ppm (0 to 100000), minimum fraction 0.5 (above 0, at"
+            + " most 1)",
+        shortHold.getMessage());
     assertThrows(
         IllegalArgumentException.class, () -> new QuotaTimings(GRANT_NANOS, HOLD_NANOS, 1000, 0));
   }
