--- a/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseAcceptor.java
@@ -108,10 +108,10 @@
     vote.acceptedBallot = message.ballot();
     vote.leaseHolder = candidate;
     vote.leaseExpiresAtNanos = nowNanos + timings.longestNanos(timings.leaseNanos());
-    return answer(LeaseMessage.Kind.ACCEPTED, message, message.other());
+    return answer(LeaseMessage.Kind.ACCEPTED, message, message.detail());
   }
 
-  private static LeaseMessage answer(LeaseMessage.Kind kind, LeaseMessage message, long other) {
-    return new LeaseMessage(kind, message.task(), message.ballot(), other);
+  private static LeaseMessage answer(LeaseMessage.Kind kind, LeaseMessage message, long detail) {
+    return new LeaseMessage(kind, message.task(), message.ballot(), detail);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseMessage.java
@@ -4,22 +4,22 @@
  * A message between a candidate and a voter about one task.
  *
  * @param ballot the candidate's ballot number
- * @param other of PROPOSE and ACCEPTED: the number of the accept round under that ballot; of
+ * @param detail of PROPOSE and ACCEPTED: the number of the accept round under that ballot; of
  *     PROMISE: the nanoseconds left of another process's lease, 0 for none; of REFUSED: the ballot
  *     that the voter has promised
  * @param lastAcceptedBallot of PROMISE: the ballot that this voter accepted last, 0 if it has no
  *     record of one
  */
 public record LeaseMessage(
-    Kind kind, String task, long ballot, long other, long lastAcceptedBallot) {
+    Kind kind, String task, long ballot, long detail, long lastAcceptedBallot) {
   /**
    * The highest valid ballot. Higher ones are not decoded, because no candidate could outbid them.
    */
   public static final long HIGHEST_BALLOT = 1L << 62;
 
   /** Creates a message without a previously accepted ballot. */
-  public LeaseMessage(Kind kind, String task, long ballot, long other) {
-    this(kind, task, ballot, other, 0);
+  public LeaseMessage(Kind kind, String task, long ballot, long detail) {
+    this(kind, task, ballot, detail, 0);
   }
 
   /** The kinds of message, in the order of their numbers on the wire. */
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -194,7 +194,7 @@
    */
   public void responseReceived(long nowNanos, String voter, LeaseMessage response) {
     if (response.kind() == LeaseMessage.Kind.REFUSED) {
-      highestBallotSeen = Math.max(highestBallotSeen, response.other());
+      highestBallotSeen = Math.max(highestBallotSeen, response.detail());
     }
     boolean matchesCurrentBallot = response.ballot() == ballot && response.task().equals(task);
     if (!matchesCurrentBallot || !voters.allVoters().contains(voter)) {
@@ -203,18 +203,18 @@
     if (response.kind() == LeaseMessage.Kind.PROMISE && phase == QuorumPhase.PREPARING) {
       promiseReceived(nowNanos, voter, response);
     } else if (response.kind() == LeaseMessage.Kind.ACCEPTED
-        && acceptRound.addAcceptance(voter, response.other())
+        && acceptRound.addAcceptance(voter, response.detail())
         && voters.isMajority(acceptRound.acceptances())) {
       roundAccepted(nowNanos);
     }
   }
 
   private void promiseReceived(long nowNanos, String voter, LeaseMessage response) {
-    if (response.other() > 0) {
+    if (response.detail() > 0) {
       // Another process holds the lease: the next election is due when that lease may
       // have expired.
       nextAttemptNanos =
-          Math.max(nextAttemptNanos, nowNanos + response.other() + electionDelayNanos());
+          Math.max(nextAttemptNanos, nowNanos + response.detail() + electionDelayNanos());
     } else if (prepareRound.addPromise(voter, response.lastAcceptedBallot())
         && voters.isMajority(prepareRound.promises())) {
       enter(QuorumPhase.PROPOSING);
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -30,7 +30,7 @@
           .packInt(message.kind().ordinal())
           .packString(message.task())
           .packLong(message.ballot())
-          .packLong(message.other())
+          .packLong(message.detail())
           .packLong(message.lastAcceptedBallot());
       return packer.toByteArray();
     } catch (IOException e) {
@@ -50,7 +50,7 @@
       int kind = unpacker.unpackInt();
       String task = unpacker.unpackString();
       long ballot = unpacker.unpackLong();
-      long other = unpacker.unpackLong();
+      long detail = unpacker.unpackLong();
       long lastAcceptedBallot = unpacker.unpackLong();
       boolean valid =
           version == VERSION
@@ -58,11 +58,11 @@
               && kind < KINDS.length
               && task.matches(TASK_PATTERN)
               && isValidNumber(ballot)
-              && isValidNumber(other)
+              && isValidNumber(detail)
               && isValidNumber(lastAcceptedBallot)
               && !unpacker.hasNext();
       return valid
-          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, other, lastAcceptedBallot))
+          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, detail, lastAcceptedBallot))
           : Optional.empty();
     } catch (IOException | MessagePackException e) {
       return Optional.empty();
--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -32,15 +32,15 @@
   void requestsInFlightAreBoundedAndTheNextPassBeginsAfterAPause() {
     prefetch.endpointWarmingUp(1, "x", 10_000 * MS);
     assertEquals(8, startAll(1));
-    int more = 0;
+    int startedLater = 0;
     for (int ended = 0; ended < 1000; ended++) {
       prefetch.requestEnded();
-      more += prefetch.tryStartRequest(1) ? 1 : 0;
-      if (more < ended + 1) {
+      startedLater += prefetch.tryStartRequest(1) ? 1 : 0;
+      if (startedLater < ended + 1) {
         break;
       }
     }
-    assertEquals(64 - 8, more, "no more in one tick");
+    assertEquals(64 - 8, startedLater, "no more in one tick");
     prefetch.tick();
     assertTrue(prefetch.tryStartRequest(1));
     prefetch.passEnded(1);
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -243,7 +243,7 @@
   }
 
   @Test
-  void checkInFlightDoesNotMakeTheLastResultYounger() {
+  void checkInFlightDoesNotChangeTheAgeOfTheLastResult() {
     runSilentCheck("a", "b");
     leader
         .dueHealthChecks(now)
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -87,17 +87,17 @@
   }
 
   @Test
-  void restartedVoterVotesForNobodyForTheLongestLease() {
-    LeaseAcceptor fresh = new LeaseAcceptor(TIMINGS, now);
+  void restartedVoterDoesNotVoteForTheLongestLease() {
+    LeaseAcceptor restarted = new LeaseAcceptor(TIMINGS, now);
     LeaseMessage prepare = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
-    assertNull(fresh.messageReceived(now + LEASE, "candidate", prepare));
+    assertNull(restarted.messageReceived(now + LEASE, "candidate", prepare));
     assertEquals(
         Kind.PROMISE,
-        fresh.messageReceived(now + TIMINGS.longestNanos(LEASE), "candidate", prepare).kind());
+        restarted.messageReceived(now + TIMINGS.longestNanos(LEASE), "candidate", prepare).kind());
   }
 
   @Test
-  void leaseCountsFromProposalAndEndsBeforeTheVotersTime() {
+  void leaseCountsFromProposalAndExpiresBeforeItDoesAtTheVoters() {
     long requestedAt = now;
     leader.tick(now);
     now += SECOND;
@@ -105,14 +105,14 @@
     now += TIMINGS.longestNanos(SETTLE);
     leader.tick(now);
     assertTrue(leader.leaseExpiresAtNanos() < requestedAt + SECOND + LEASE);
-    LeaseMessage other =
+    LeaseMessage promise =
         voters
             .get("a")
             .messageReceived(
                 leader.leaseExpiresAtNanos(),
                 "other",
                 new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
-    assertTrue(other.other() > 0, "the voter still keeps the lease");
+    assertTrue(promise.detail() > 0, "the voter still keeps the lease");
     assertFalse(leader.isLeader(leader.leaseExpiresAtNanos()));
   }
 
@@ -123,19 +123,19 @@
   @Test
   void lateAcceptanceOfEarlierRoundDoesNotExtendTheLease() {
     electLeader();
-    long until = leader.leaseExpiresAtNanos();
+    long expiresAt = leader.leaseExpiresAtNanos();
     now = leader.nextTickNanos();
     leader.tick(now);
-    List<Sent> first = new ArrayList<>(sent);
+    List<Sent> firstRound = new ArrayList<>(sent);
     sent.clear();
     now += LEASE / 8;
     leader.tick(now);
     assertEquals(Kind.PROPOSE, sent.get(0).message.kind());
     sent.clear(); // The second round is lost, and the first is answered late.
-    for (Sent request : first) {
+    for (Sent request : firstRound) {
       leader.responseReceived(now, request.voter, answer(request, "candidate"));
     }
-    assertEquals(until, leader.leaseExpiresAtNanos());
+    assertEquals(expiresAt, leader.leaseExpiresAtNanos());
   }
 
   @Test
@@ -147,7 +147,7 @@
               .get(voter)
               .messageReceived(
                   now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
-      assertTrue(answer.kind() == Kind.PROMISE && answer.other() > 0);
+      assertTrue(answer.kind() == Kind.PROMISE && answer.detail() > 0);
       assertEquals(
           Kind.REFUSED,
           voters
@@ -189,7 +189,7 @@
             .get("a")
             .messageReceived(
                 now, "other", new LeaseMessage(Kind.PREPARE, TASK, leader.term() + 1, 0));
-    assertEquals(0, answer.other());
+    assertEquals(0, answer.detail());
   }
 
   @Test
@@ -281,7 +281,7 @@
   }
 
   @Test
-  void voterListIsReplacedOnlyByWayOfBothLists() {
+  void voterListIsReplacedOnlyThroughAStageWithBothLists() {
     VoterConfiguration first = VoterConfiguration.of("a", "b", "c");
     VoterConfiguration last = VoterConfiguration.of("c", "d", "e");
     VoterConfiguration both = new VoterConfiguration(first.current(), last.current());
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedHealthChecksTest.java
@@ -46,7 +46,7 @@
     "LOSSY, 2, 6027d3357f95c8f98d7fc96ba97c622aaa73c73ed43081dbeefd361e940dc809",
     "LOSSY, 3, 79101a0aed916c53904dd56af8a9208b4d0b5b2bea704a59073d973358d1c7a7"
   })
-  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
+  void actionsMatchRecordedDigest(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
         digest(scenario, seed),
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
@@ -47,7 +47,7 @@
     "ONE_VOTER, 2, 19c39b6f92d523f60470e37cb7872ce2c45e7e7089848157c6486f6613ec7005",
     "ONE_VOTER, 3, ab2a5423ab992b2e71399aee063f60a265830655d7c21930b86ab565a8a329f3"
   })
-  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
+  void actionsMatchRecordedDigest(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
         digest(scenario, seed),
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
@@ -37,7 +37,7 @@
     "3, cdc645eba1deef75a1bb6cb8e8c869775081d726076754245dc2d180e0084ed2",
     "4, 1c95903f8fdbcb005c9d620f5f67adf84dc6e97b1f2ffd9b153849bdd15f626f"
   })
-  void everyActionIsTheRecordedOne(long seed, String recorded) {
+  void actionsMatchRecordedDigest(long seed, String recorded) {
     assertEquals(
         recorded, digest(seed), () -> "counted: " + SIMULATIONS.get(seed).actions.counts());
   }
--- a/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RegistryLeadershipTest.java
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void leaseCountsFromRequestAndEndsBeforeTheRegistrysTime() {
+  void leaseCountsFromRequestAndExpiresBeforeItDoesAtTheRegistry() {
     long now = winCampaign();
     leader.predecessorStopped(now, 4);
     leader.tick(now + SECOND);
--- a/leadership/src/test/java/org/amberpath/leadership/SeededQuorumSimulation.java
+++ b/leadership/src/test/java/org/amberpath/leadership/SeededQuorumSimulation.java
@@ -268,7 +268,7 @@
         actions.count("no answer to " + message.kind().ordinal());
         return;
       }
-      actions.count("answer " + answer.kind().ordinal() + (answer.other() > 0 ? " other" : ""));
+      actions.count("answer " + answer.kind().ordinal() + (answer.detail() > 0 ? " other" : ""));
       deliver(this, from, () -> from.answerReceived(name, answer));
       if (withProbability(0.002)) {
         // Sends an answer on behalf of the last process, which in most settings is not
@@ -362,7 +362,7 @@
         + " "
         + message.ballot()
         + " "
-        + message.other()
+        + message.detail()
         + " "
         + message.lastAcceptedBallot();
   }
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -23,9 +23,9 @@
   void leaseMessagesDecodeToWhatWasEncoded(
       @ForAll LeaseMessage.Kind kind,
       @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long ballot,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long other,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long last) {
-    LeaseMessage message = new LeaseMessage(kind, "probe", ballot, other, last);
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long detail,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long lastAcceptedBallot) {
+    LeaseMessage message = new LeaseMessage(kind, "probe", ballot, detail, lastAcceptedBallot);
     byte[] bytes = LeaseMessageCodec.encode(message);
     assertEquals(Optional.of(message), LeaseMessageCodec.decode(bytes));
     assertEquals(Optional.empty(), HealthReportCodec.decode(bytes), "not a task message");
@@ -64,7 +64,7 @@
   }
 
   @Property(tries = 50)
-  void numbersAboveTheHighestAreNotDecoded(
+  void numbersAboveTheHighestBallotAreNotDecoded(
       @ForAll @LongRange(min = LeaseMessage.HIGHEST_BALLOT + 1) long number) {
     LeaseMessage message = new LeaseMessage(LeaseMessage.Kind.REFUSED, "probe", 1, number);
     assertEquals(Optional.empty(), LeaseMessageCodec.decode(LeaseMessageCodec.encode(message)));
--- a/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
+++ b/planning/src/test/java/org/amberpath/planning/QuotaLedgerTest.java
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void usualShareReturnsWithoutAStep() {
+  void lowShareReturnsToUsualShareWithoutAStep() {
     grant(SECOND, lowShareHolder, LOW);
     double before = lowShareHolder.share(0, SECOND);
     for (long now = SECOND; now < 14 * SECOND; now += SECOND / 100) {
--- a/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
+++ b/planning/src/test/java/org/amberpath/planning/RecordedQuotasTest.java
@@ -44,7 +44,7 @@
     "NINE_LOSSY, 2, b84f450e09ac46aba29c82795fcb4e5c6e010a02fbb72f47460aec577013a840",
     "NINE_LOSSY, 3, b8b481ff748b5738023e4f0a527af2fd92c93a728d356be8323266a274ea59e8"
   })
-  void everyActionIsTheRecordedOne(Scenario scenario, long seed, String recorded) {
+  void actionsMatchRecordedDigest(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
         digest(scenario, seed),
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -125,10 +125,10 @@
     tokens = 1;
     refilledAtNanos = nowNanos;
     lastRejectedNanos = nowNanos;
-    Step first = new Step(nowNanos);
-    first.rejected = step.rejected;
-    first.succeeded = step.succeeded;
-    step = first;
+    Step firstStep = new Step(nowNanos);
+    firstStep.rejected = step.rejected;
+    firstStep.succeeded = step.succeeded;
+    step = firstStep;
     enter(allRestarted ? Phase.INITIAL_RATE : Phase.SERVING, nowNanos);
   }
 
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -41,28 +41,28 @@
   private static void runStart(SplittableRandom random, RecordedActions actions) {
     long now = random.nextLong(1000 * SECOND);
     long end = now + 30 * SECOND;
-    long learnedAt = now + random.nextLong(5 * SECOND);
+    long startupCompletedAt = now + random.nextLong(5 * SECOND);
     double requestsPerMilli = random.nextInt(6) == 0 ? 0 : random.nextDouble() * 0.4;
-    double answered = random.nextInt(4) == 0 ? 0.3 * random.nextDouble() : 1;
-    long maxWait = random.nextInt(5) == 0 ? 0 : random.nextLong(50 * MS, 10 * SECOND);
-    RecoveryRamp ramp = new RecoveryRamp(random.nextLong(), maxWait, now);
-    boolean learned = false;
+    double successProbability = random.nextInt(4) == 0 ? 0.3 * random.nextDouble() : 1;
+    long maxRetryAfter = random.nextInt(5) == 0 ? 0 : random.nextLong(50 * MS, 10 * SECOND);
+    RecoveryRamp ramp = new RecoveryRamp(random.nextLong(), maxRetryAfter, now);
+    boolean startupCompleted = false;
     RecoveryRamp.Phase before = ramp.phase();
     while (now < end) {
       now += random.nextLong(500_000, 2 * MS);
-      if (!learned && now >= learnedAt) {
-        learned = true;
+      if (!startupCompleted && now >= startupCompletedAt) {
+        startupCompleted = true;
         ramp.startupCompleted(now, random.nextInt(5) > 0, random.nextDouble() * 40);
       }
       if (random.nextInt(8) == 0) {
         ramp.tick(now);
       }
       if (random.nextInt(3000) == 0) {
-        answered = random.nextDouble();
+        successProbability = random.nextDouble();
         requestsPerMilli = random.nextDouble() * 0.4;
       }
       if (random.nextDouble() < requestsPerMilli) {
-        request(ramp, now, random, answered, actions);
+        request(ramp, now, random, successProbability, actions);
       }
       if (ramp.phase() != before) {
         actions.record(recordedText(before) + ">" + recordedText(ramp.phase()), now, ramp.rate());
@@ -76,14 +76,14 @@
       RecoveryRamp ramp,
       long now,
       SplittableRandom random,
-      double answered,
+      double successProbability,
       RecordedActions actions) {
     boolean continuesSession = random.nextBoolean();
     boolean admitted = ramp.tryAdmit(now, continuesSession);
     actions.record(admitted ? "admitted" : "rejected", now, continuesSession);
     if (!admitted) {
       actions.record("wait", ramp.retryAfterNanos(continuesSession));
-    } else if (random.nextDouble() < answered) {
+    } else if (random.nextDouble() < successProbability) {
       ramp.requestSucceeded();
     }
   }
@@ -104,7 +104,7 @@
     "2, 14d8fbcfb130389da3bf688f4f24f0bf9044755cea3a3cd4fd178de1b15c2c5e",
     "3, 89b773a649a1ceca798a73acd35131b7e9903e32491bedcd3f20f552ec383753"
   })
-  void everyActionIsTheRecordedOne(long seed, String recorded) {
+  void actionsMatchRecordedDigest(long seed, String recorded) {
     assertEquals(recorded, digest(seed), () -> "counted: " + ACTIONS.get(seed).counts());
   }
 
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -55,8 +55,9 @@
   @Test
   void admittedRateGrowsWithSuccessesUntilNothingIsRejected() {
     ramp.startupCompleted(now, true, 10);
-    int first = advance(500, 100, 1, false);
-    assertTrue(first >= 4 && first <= 10, first + " in the first half second");
+    int admittedFirst = advance(500, 100, 1, false);
+    assertTrue(
+        admittedFirst >= 4 && admittedFirst <= 10, admittedFirst + " in the first half second");
     advance(500, 100, 1, false);
     assertEquals(Phase.RAMP_UP, ramp.phase());
     advance(6000, 100, 1, false);
@@ -90,14 +91,14 @@
   @Test
   void continuedSessionsAreAdmittedFirstAndRetrySooner() {
     ramp.startupCompleted(now, true, 40);
-    int continued = 0;
-    int fresh = 0;
+    int continuedSessions = 0;
+    int newSessions = 0;
     for (int request = 0; request < 4000; request++, now += MS) {
       ramp.tick(now);
-      fresh += ramp.tryAdmit(now, false) ? 1 : 0;
-      continued += ramp.tryAdmit(now, true) ? 1 : 0;
+      newSessions += ramp.tryAdmit(now, false) ? 1 : 0;
+      continuedSessions += ramp.tryAdmit(now, true) ? 1 : 0;
     }
-    assertTrue(continued > 20 * fresh, continued + " and " + fresh);
+    assertTrue(continuedSessions > 20 * newSessions, continuedSessions + " and " + newSessions);
     long sum = 0;
     long continuedSum = 0;
     for (int client = 0; client < 100; client++) {
