--- a/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
+++ b/leadership/src/main/java/org/amberpath/leadership/CachePrefetch.java
@@ -78,7 +78,7 @@
     return inFlight == 0;
   }
 
-  /** Whether any endpoint is known to be warming up. */
+  /** Whether any recorded endpoint is still in slow start. */
   public boolean hasWarmingUpEndpoint(long nowNanos) {
     return warmingUpUntilNanos.values().stream().anyMatch(until -> until > nowNanos);
   }
--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -44,6 +44,8 @@
   private int silentChecks;
   private boolean inFlight;
   private boolean responded;
+
+  /** Whether the endpoint has met the criteria for a broadcast of its silence at any time. */
   private boolean silenceBroadcast;
 
   void requestReceived(long nowNanos, String requester) {
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
@@ -26,7 +26,9 @@
    */
   private static final int CHECK_REDUCTION_FACTOR = 10;
 
+  /** Bounds of {@link #maxPauseNanos}, which falls as the fleet grows. */
   private static final long MAX_PAUSE_UPPER_BOUND_NANOS = 4000 * MS;
+
   private static final long MAX_PAUSE_LOWER_BOUND_NANOS = 1000 * MS;
 
   private long requestIntervalNanos = MIN_REQUEST_INTERVAL_NANOS;
--- a/leadership/src/main/java/org/amberpath/leadership/Leadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/Leadership.java
@@ -55,7 +55,7 @@
 
   /**
    * Records the term that a recipient reported when it refused this process's term. This process
-   * stands down if that term is higher than its own.
+   * steps down if that term is higher than its own.
    */
   void higherTermSeen(long nowNanos, long seenTerm);
 
--- a/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
+++ b/leadership/src/main/java/org/amberpath/leadership/LeaseTimings.java
@@ -35,12 +35,12 @@
     }
   }
 
-  /** The longest that a duration measured by another clock may last by this one. */
+  /** Returns the longest time by this clock that a duration measured by another clock may take. */
   public long longestNanos(long durationNanos) {
     return durationNanos + durationNanos / MILLION * driftPpm * 2 + 1;
   }
 
-  /** The shortest that a duration measured by another clock may last by this one. */
+  /** Returns the shortest time by this clock that a duration measured by another clock may take. */
   public long shortestNanos(long durationNanos) {
     return durationNanos - durationNanos / MILLION * driftPpm * 2 - 1;
   }
--- a/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/QuorumLeadership.java
@@ -32,7 +32,10 @@
   /** A leader renews its lease after the lease duration divided by this. */
   private static final int RENEWAL_DIVISOR = 3;
 
+  /** The highest position that counts, which bounds the delay before an election. */
   private static final int MAX_POSITION = 4;
+
+  /** The delay before an election is divided by this once the leader has stopped. */
   private static final int HANDOVER_DELAY_DIVISOR = 4;
 
   private final LeaseTimings timings;
--- a/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
+++ b/leadership/src/main/java/org/amberpath/leadership/RegistryLeadership.java
@@ -123,8 +123,8 @@
    */
   public void registryRestored() {
     key.restored();
-    // Terms may be used twice: a stopped term may now be another leader's (model, seed
-    // 2414).
+    // Terms may be used twice: a term reported as stopped may by now be another leader's
+    // (found by the model, seed 2414).
     highestStoppedTerm = 0;
   }
 
--- a/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
+++ b/planning/src/main/java/org/amberpath/planning/QuotaTimings.java
@@ -44,12 +44,12 @@
     }
   }
 
-  /** The longest that a duration measured by another clock may last by this one. */
+  /** Returns the longest time by this clock that a duration measured by another clock may take. */
   long longestNanos(long durationNanos) {
     return durationNanos + durationNanos / MILLION * driftPpm * 2 + 1;
   }
 
-  /** The shortest that a duration measured by another clock may last by this one. */
+  /** Returns the shortest time by this clock that a duration measured by another clock may take. */
   long shortestNanos(long durationNanos) {
     return durationNanos - durationNanos / MILLION * driftPpm * 2 - 1;
   }
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -18,7 +18,9 @@
     /** The admitted rate is what this gateway's share of the slow-start budgets allows. */
     INITIAL_RATE,
     /**
-     * The admitted rate grows by half each {@value #STEP_MILLIS} ms while enough requests succeed.
+     * The admitted rate grows by half each {@value #STEP_MILLIS} ms while enough requests succeed,
+     * and falls to {@value #RATE_FACTOR} times the rate of successes, but not below the initial
+     * rate, if too few succeed.
      */
     RAMP_UP,
     /**
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -7,7 +7,7 @@
 import org.amberpath.recovery.RecoveryRamp.Phase;
 import org.junit.jupiter.api.Test;
 
-/** Admission during one start of a gateway. */
+/** Admitted rate, phases and retry times during one start of a gateway. */
 class RecoveryRampTest {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
