--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Records the outcome of the check in flight. Returns whether the next broadcast is to start at
-   * once.
+   * Records the outcome of the check in flight. Returns whether the next broadcast is due at once:
+   * the result has changed, or a second check has confirmed the silence.
    */
   boolean checkEnded(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
     inFlight = false;
@@ -104,8 +104,8 @@
   }
 
   /**
-   * Records that another gateway received a response from the endpoint. Returns whether the
-   * endpoint was not known to respond.
+   * Records that another gateway received a response from the endpoint. Returns whether that
+   * changes the result: the endpoint was not known to respond.
    */
   boolean peerReceivedResponse(long nowNanos) {
     boolean changed = !responded;
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
@@ -65,7 +65,7 @@
     return due;
   }
 
-  /** Records the outcome of a check. Returns whether the next broadcast is to start at once. */
+  /** Records the outcome of a check. Returns whether the next broadcast is due at once. */
   boolean checkEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
     inFlight = Math.max(0, inFlight - 1);
     EndpointHealthCheck check = checks.get(endpoint);
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Records that another gateway received a response from an endpoint. Returns whether the endpoint
-   * was not known to respond.
+   * Records that another gateway received a response from an endpoint. Returns whether that changes
+   * the result.
    */
   boolean peerReceivedResponse(long nowNanos, String endpoint) {
     EndpointHealthCheck check = checks.get(endpoint);
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckIntervals.java
@@ -22,7 +22,8 @@
   private static final int TRUSTED_INTERVALS = 3;
 
   /**
-   * The factor by which the leader sends fewer checks than all gateways together would without it.
+   * The leader sends this many times fewer checks than all gateways together would without a
+   * leader.
    */
   private static final int CHECK_REDUCTION_FACTOR = 10;
 
--- a/planning/src/main/java/org/amberpath/planning/MemberGrants.java
+++ b/planning/src/main/java/org/amberpath/planning/MemberGrants.java
@@ -108,7 +108,7 @@
 
   /**
    * Removes the grants that cannot be in force. A confirmed grant stays until a later one is
-   * confirmed, because it rules out the grants before it.
+   * confirmed, because it shows that the member uses this grant or a later one.
    */
   void removeExpired(long nowNanos) {
     grants.removeIf(
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -110,7 +110,7 @@
 
   /**
    * Guards against events that exercise too little for the digests to show a change: seed 1 must
-   * reach these actions, phases and transitions.
+   * reach these actions, phases and transitions of phases.
    */
   @Test
   void recordedEventsReachEveryActionPhaseAndTransition() {
