--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -25,7 +25,7 @@
     prefetch.endpointWarmingUp(1, "x", 100 * MS);
     assertTrue(startAll(1) > 0);
     assertFalse(prefetch.isIdle());
-    assertEquals(0, startAll(100 * MS), "its slow start has ended");
+    assertEquals(0, startAll(100 * MS), "the slow start of the endpoint has ended");
   }
 
   @Test
@@ -40,7 +40,7 @@
         break;
       }
     }
-    assertEquals(64 - 8, startedLater, "no more in one tick");
+    assertEquals(64 - 8, startedLater, "64 requests are the maximum per tick");
     prefetch.tick();
     assertTrue(prefetch.tryStartRequest(1));
     prefetch.passEnded(1);
--- a/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/HealthCheckCoordinatorTest.java
@@ -59,7 +59,7 @@
     ReportRequest request = nextRequest();
     assertEquals(Map.of("x", NONE), leader.reportRequested(now, "a", request.endpoints()));
     assertEquals(List.of("x"), leader.dueHealthChecks(now));
-    assertEquals(List.of(), leader.dueHealthChecks(now), "one at a time");
+    assertEquals(List.of(), leader.dueHealthChecks(now), "one check of an endpoint at a time");
     leader.healthCheckEnded(now + 30 * MS, "x", HealthCheckOutcome.ANSWERED);
     now += 100 * MS;
     Map<String, HealthReport> reports = leader.reportRequested(now, "a", request.endpoints());
@@ -73,7 +73,7 @@
             3,
             next.requestedAtNanos(),
             reports),
-        "the report may have travelled for the whole round trip");
+        "the report may have travelled for the complete round trip");
     gateway.healthChanged(now, "x", true);
     assertEquals(
         Map.of(),
@@ -133,7 +133,7 @@
     assertEquals(
         Map.of(),
         gateway.reportReceived(now, "a", 9, second.requestedAtNanos(), Map.of("y", RESPONDED_NOW)),
-        "not suspected here");
+        "this gateway does not suspect the endpoint");
   }
 
   @Test
@@ -177,7 +177,7 @@
   @Test
   void silenceIsBroadcastAfterTwoRequestersAndTwoSilentChecks() {
     runSilentCheck("a", "b");
-    assertEquals(Map.of(), leader.broadcastReport(now), "one check");
+    assertEquals(Map.of(), leader.broadcastReport(now), "after one silent check");
     leader
         .dueHealthChecks(now)
         .forEach(
@@ -201,7 +201,7 @@
     assertEquals(
         Map.of("x", new HealthReport(true, 1000 * MS)),
         gateway.reportReceived(now, "o", 1, 0, Map.of("x", RESPONDED_NOW)),
-        "without a request it may have travelled for long");
+        "an unsolicited report may have travelled for 1 s");
   }
 
   @Test
@@ -237,7 +237,7 @@
     }
     assertTrue(
         leader.broadcastReport(now).get("x").responded(),
-        "the leader's own checks count for nothing for a while");
+        "for 30 s the other gateway's response overrides the leader's checks");
     gateway.reportReceived(now, "o", 1, 0, leader.broadcastReport(now));
     assertEquals("", gateway.endpointResponded(now, "x"), "the leader knows already");
   }
--- a/leadership/src/test/java/org/amberpath/leadership/PurgeRetentionClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/PurgeRetentionClockTest.java
@@ -59,11 +59,11 @@
     assertEquals(
         List.of(),
         retention.expiredPurges(List.of(purge(0, 6)), RETENTION + 1, 0),
-        "written again under its key");
+        "the purge was written again under its key");
     assertEquals(List.of(), retention.expiredPurges(List.of(), RETENTION + 2, 0));
     assertEquals(
         List.of(),
         retention.expiredPurges(List.of(purge(0, 6)), 2 * RETENTION + 3, 0),
-        "it was absent meanwhile");
+        "the purge was absent in the meantime");
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipClockTest.java
@@ -53,10 +53,10 @@
     leader.wallClockRead(WALL_MILLIS + stepMillis);
     assertEquals(expiresAt, leader.leaseExpiresAtNanos());
     advance(10 * SECOND);
-    assertTrue(leader.isLeader(now), "its lease was renewed all along");
+    assertTrue(leader.isLeader(now), "the lease has been renewed without a gap");
     assertEquals(WALL_MILLIS, leader.term());
     assertFalse(
-        leader.isLeader(leader.leaseExpiresAtNanos()), "its lease ends by the monotonic clock");
+        leader.isLeader(leader.leaseExpiresAtNanos()), "the lease expires by the monotonic clock");
 
     leader.release(now);
     advance(2 * LEASE + SECOND);
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -253,7 +253,10 @@
     now += LEASE;
     leader.tick(now);
     deliver(leader, "candidate", "b", "c");
-    assertEquals(Leadership.State.WAITING, leader.state(), "c has not accepted the predecessor");
+    assertEquals(
+        Leadership.State.WAITING,
+        leader.state(),
+        "voter c has not accepted the predecessor's lease");
     leader.resign(now);
     deliver(leader, "candidate", "a", "b", "c");
     sent.clear();
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -42,7 +42,10 @@
     assertEquals(0, advance(2900, 100, 1, true));
     assertEquals(Phase.LEARNING, ramp.phase());
     advance(200, 100, 1, true);
-    assertEquals(Phase.INITIAL_RATE, ramp.phase(), "sources that never answer are not waited for");
+    assertEquals(
+        Phase.INITIAL_RATE,
+        ramp.phase(),
+        "learning ends after 3 s without an answer of the sources");
   }
 
   @Test
@@ -75,7 +78,8 @@
     advance(2000, 100, 4, false);
     assertTrue(ramp.rate() < before / 2, before + " -> " + ramp.rate());
     advance(3000, 100, 0, false);
-    assertEquals(10, ramp.rate(), "but never less than its share of the slow-start budgets");
+    assertEquals(
+        10, ramp.rate(), "the rate does not fall below the share of the slow-start budgets");
     assertEquals(Phase.RAMP_UP, ramp.phase());
   }
 
@@ -109,6 +113,7 @@
     }
     assertTrue(continuedSum < 0.6 * sum);
     assertFalse(
-        new RecoveryRamp(7, 0, now).retryAfterNanos(false) > 0, "where clients can't be told");
+        new RecoveryRamp(7, 0, now).retryAfterNanos(false) > 0,
+        "0 if clients cannot be told when to retry");
   }
 }
