--- a/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
+++ b/leadership/src/main/java/org/amberpath/leadership/EndpointHealthCheck.java
@@ -5,43 +5,50 @@
 import org.amberpath.leadership.HealthCheckCoordinator.HealthCheckOutcome;
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 
-/** One endpoint that the leader checks: who asked for it, and what came of the checks. */
+/**
+ * The state of one endpoint that the leader health-checks: the gateways that requested the checks,
+ * and the results.
+ */
 final class EndpointHealthCheck {
   private static final long MS = 1_000_000;
 
-  /** Between two checks of an endpoint that responds. */
+  /** Pause between two checks of an endpoint that responds. */
   private static final long RESPONSIVE_PAUSE_NANOS = 500 * MS;
 
-  /** For how long a gateway's response outweighs the leader's own checks without one. */
-  private static final long RESPONSE_ELSEWHERE_NANOS = 30_000 * MS;
+  /** How long a response that another gateway received overrides the leader's unanswered checks. */
+  private static final long PEER_RESPONSE_VALIDITY_NANOS = 30_000 * MS;
 
-  /** So many gateways must suspect an endpoint, */
+  /** Number of gateways that must suspect an endpoint before its silence is broadcast. */
   private static final int MIN_REQUESTERS = 2;
 
-  /** and so many checks in a row get no response, before all gateways are told. */
+  /** Number of consecutive unanswered checks before an endpoint's silence is broadcast. */
   private static final int MIN_SILENT_CHECKS = 2;
 
-  /** The first gateways that asked; {@value #MIN_REQUESTERS} are enough to know. */
+  /** The first gateways that requested checks, at most {@value #MIN_REQUESTERS}. */
   private final Set<String> requesters = new TreeSet<>();
 
   private long requestedAtNanos;
   private long nextCheckNanos;
-  private long pauseNanos = HealthCheckPauses.FIRST_PAUSE_NANOS;
-  private long respondedElsewhereUntilNanos;
+  private long pauseNanos = HealthCheckIntervals.INITIAL_PAUSE_NANOS;
+  private long peerResponseValidUntilNanos;
 
-  /** When the check in flight, if any, was sent. */
-  private long sentAtNanos;
+  /** When the check in flight, if any, was started. */
+  private long checkStartedNanos;
 
-  /** When the last check that has ended did, and was sent. */
-  private long lastEndedNanos;
+  /** When the last result arrived, of an own check or from another gateway; 0 for none. */
+  private long lastResultNanos;
+
+  /** When the last completed check was started. */
+  private long lastCheckStartedNanos;
 
-  private long lastSentNanos;
   private int silentChecks;
   private boolean inFlight;
   private boolean responded;
-  private boolean reportedSilent;
 
-  void requested(long nowNanos, String requester) {
+  /** Whether the endpoint has met the criteria for a broadcast of its silence at any time. */
+  private boolean silenceBroadcast;
+
+  void requestReceived(long nowNanos, String requester) {
     requestedAtNanos = nowNanos;
     if (requesters.size() < MIN_REQUESTERS) {
       requesters.add(requester);
@@ -60,30 +67,33 @@
     return !inFlight && nowNanos >= nextCheckNanos;
   }
 
-  void started(long nowNanos) {
+  void checkStarted(long nowNanos) {
     inFlight = true;
-    sentAtNanos = nowNanos;
+    checkStartedNanos = nowNanos;
   }
 
-  /** Takes the outcome of the check in flight; true where all gateways are to learn of it. */
-  boolean ended(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
+  /**
+   * Records the outcome of the check in flight. Returns whether the next broadcast is due at once:
+   * the result has changed, or a second check has confirmed the silence.
+   */
+  boolean checkEnded(long nowNanos, HealthCheckOutcome outcome, long maxPauseNanos) {
     inFlight = false;
     if (outcome == HealthCheckOutcome.NOT_SENT) {
-      nextCheckNanos = nowNanos + HealthCheckPauses.FIRST_PAUSE_NANOS;
+      nextCheckNanos = nowNanos + HealthCheckIntervals.INITIAL_PAUSE_NANOS;
       return false;
     }
-    if (outcome == HealthCheckOutcome.SILENT && nowNanos < respondedElsewhereUntilNanos) {
+    if (outcome == HealthCheckOutcome.SILENT && nowNanos < peerResponseValidUntilNanos) {
       nextCheckNanos = nowNanos + maxPauseNanos;
       return false;
     }
     boolean respondedNow = outcome == HealthCheckOutcome.ANSWERED;
-    boolean changed = responded != respondedNow && lastEndedNanos > 0;
+    boolean changed = responded != respondedNow && lastResultNanos > 0;
     responded = respondedNow;
-    lastEndedNanos = nowNanos;
-    lastSentNanos = sentAtNanos;
+    lastResultNanos = nowNanos;
+    lastCheckStartedNanos = checkStartedNanos;
     if (responded) {
       silentChecks = 0;
-      pauseNanos = HealthCheckPauses.FIRST_PAUSE_NANOS;
+      pauseNanos = HealthCheckIntervals.INITIAL_PAUSE_NANOS;
       nextCheckNanos = nowNanos + RESPONSIVE_PAUSE_NANOS;
     } else {
       silentChecks++;
@@ -93,27 +103,37 @@
     return changed || silentChecks == MIN_SILENT_CHECKS;
   }
 
-  /** Another gateway has a response from it; true where the leader's checks said otherwise. */
-  boolean respondedElsewhere(long nowNanos) {
+  /**
+   * Records that another gateway received a response from the endpoint. Returns whether that
+   * changes the result: the endpoint was not known to respond.
+   */
+  boolean peerReceivedResponse(long nowNanos) {
     boolean changed = !responded;
-    respondedElsewhereUntilNanos = nowNanos + RESPONSE_ELSEWHERE_NANOS;
+    peerResponseValidUntilNanos = nowNanos + PEER_RESPONSE_VALIDITY_NANOS;
     responded = true;
-    lastEndedNanos = nowNanos;
+    lastResultNanos = nowNanos;
     silentChecks = 0;
     return changed;
   }
 
-  /** Silence is as old as its request: a response elsewhere since then contradicts it. */
+  /**
+   * Returns the last result. Silence is dated from when the check was sent, because a response that
+   * another gateway received since then contradicts it.
+   */
   HealthReport report(long nowNanos) {
-    if (lastEndedNanos == 0) {
+    if (lastResultNanos == 0) {
       return new HealthReport(responded, -1);
     }
-    return new HealthReport(responded, nowNanos - (responded ? lastEndedNanos : lastSentNanos));
+    return new HealthReport(
+        responded, nowNanos - (responded ? lastResultNanos : lastCheckStartedNanos));
   }
 
-  /** Whether all gateways are to know: it is silent, or was reported so and responds again. */
-  boolean isForAll() {
-    reportedSilent |= silentChecks >= MIN_SILENT_CHECKS && requesters.size() >= MIN_REQUESTERS;
-    return reportedSilent;
+  /**
+   * Returns whether broadcasts include the endpoint: it is silent, or was, and its recovery is to
+   * be broadcast too.
+   */
+  boolean isBroadcast() {
+    silenceBroadcast |= silentChecks >= MIN_SILENT_CHECKS && requesters.size() >= MIN_REQUESTERS;
+    return silenceBroadcast;
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckAssignments.java
@@ -9,8 +9,8 @@
 import org.amberpath.leadership.HealthCheckCoordinator.HealthReport;
 
 /**
- * The leader's part: which endpoints gateways have asked it to check, and which checks are in
- * flight.
+ * The leader's side of centralized health checks: the endpoints that gateways have requested checks
+ * of, and the checks in flight.
  *
  * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} endpoints, {@value #MAX_IN_FLIGHT}
  * checks in flight.
@@ -18,16 +18,19 @@
 final class HealthCheckAssignments {
   private static final int MAX_IN_FLIGHT = 8;
 
-  private final HealthCheckPauses pauses;
+  private final HealthCheckIntervals intervals;
   private final Map<String, EndpointHealthCheck> checks = new LinkedHashMap<>();
   private int inFlight;
 
-  HealthCheckAssignments(HealthCheckPauses pauses) {
-    this.pauses = pauses;
+  HealthCheckAssignments(HealthCheckIntervals intervals) {
+    this.intervals = intervals;
   }
 
-  /** Has an endpoint checked from now on; empty where there is no room for it. */
-  Optional<EndpointHealthCheck> request(long nowNanos, String endpoint, String requester) {
+  /**
+   * Registers a gateway's request to check an endpoint. Returns empty if the endpoint is new and
+   * the maximum number of endpoints is reached.
+   */
+  Optional<EndpointHealthCheck> registerRequest(long nowNanos, String endpoint, String requester) {
     checks.values().removeIf(check -> !check.isInFlight() && !isRequested(nowNanos, check));
     EndpointHealthCheck check = checks.get(endpoint);
     if (check == null) {
@@ -37,21 +40,24 @@
       check = new EndpointHealthCheck();
       checks.put(endpoint, check);
     }
-    check.requested(nowNanos, requester);
+    check.requestReceived(nowNanos, requester);
     return Optional.of(check);
   }
 
   private boolean isRequested(long nowNanos, EndpointHealthCheck check) {
-    return pauses.isRequested(check.requestAgeNanos(nowNanos));
+    return intervals.isRequestValid(check.requestAgeNanos(nowNanos));
   }
 
-  /** Starts the checks that are due, each until {@link #ended}. */
-  List<String> startDue(long nowNanos) {
+  /**
+   * Starts the checks that are due, and returns their endpoints; each check is in flight until
+   * {@link #checkEnded}.
+   */
+  List<String> startDueChecks(long nowNanos) {
     List<String> due = new ArrayList<>();
     checks.forEach(
         (endpoint, check) -> {
           if (inFlight < MAX_IN_FLIGHT && isRequested(nowNanos, check) && check.isDue(nowNanos)) {
-            check.started(nowNanos);
+            check.checkStarted(nowNanos);
             inFlight++;
             due.add(endpoint);
           }
@@ -59,32 +65,35 @@
     return due;
   }
 
-  /** Takes the outcome of a check; true where all gateways are to learn of it. */
-  boolean ended(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
+  /** Records the outcome of a check. Returns whether the next broadcast is due at once. */
+  boolean checkEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
     inFlight = Math.max(0, inFlight - 1);
     EndpointHealthCheck check = checks.get(endpoint);
-    return check != null && check.ended(nowNanos, outcome, pauses.maxPauseNanos());
+    return check != null && check.checkEnded(nowNanos, outcome, intervals.maxPauseNanos());
   }
 
-  /** Another gateway has a response; true where the leader's checks said otherwise. */
-  boolean respondedElsewhere(long nowNanos, String endpoint) {
+  /**
+   * Records that another gateway received a response from an endpoint. Returns whether that changes
+   * the result.
+   */
+  boolean peerReceivedResponse(long nowNanos, String endpoint) {
     EndpointHealthCheck check = checks.get(endpoint);
-    return check != null && check.respondedElsewhere(nowNanos);
+    return check != null && check.peerReceivedResponse(nowNanos);
   }
 
-  /** The endpoints that all gateways are to know of. */
-  List<String> forAll(long nowNanos) {
+  /** Returns the endpoints that broadcasts include. */
+  List<String> broadcastEndpoints(long nowNanos) {
     List<String> endpoints = new ArrayList<>();
     checks.forEach(
         (endpoint, check) -> {
-          if (check.isForAll() && isRequested(nowNanos, check)) {
+          if (check.isBroadcast() && isRequested(nowNanos, check)) {
             endpoints.add(endpoint);
           }
         });
     return endpoints;
   }
 
-  /** The last result of an endpoint that {@link #forAll} has named. */
+  /** Returns the last result of an endpoint that {@link #broadcastEndpoints} has returned. */
   HealthReport report(long nowNanos, String endpoint) {
     return checks.get(endpoint).report(nowNanos);
   }
@@ -93,7 +102,7 @@
     return inFlight == 0;
   }
 
-  /** Forgets all but what is in flight: another process leads. */
+  /** Removes all endpoints without a check in flight, because this gateway does not lead. */
   void clear() {
     checks.values().removeIf(check -> !check.isInFlight());
   }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthCheckCoordinator.java
@@ -6,43 +6,48 @@
 import java.util.function.Supplier;
 
 /**
- * The task of health-checking ejected and suspect endpoints, once for the fleet.
+ * The task of health-checking ejected and suspect endpoints: one leader performs the checks for the
+ * fleet.
  *
  * <p>A gateway that suspects an endpoint requests a report from the leader ({@link
- * #nextReportRequest}), which checks it ({@link #dueHealthChecks}) and reports how long ago it
- * responded, or was checked in vain. While reports arrive, gateways leave health checks to the
- * leader ({@link #isCentralized}). Once several gateways suspect an endpoint and the leader's
- * checks get no response either, all gateways are told ({@link #broadcastReport}), since where each
- * sees little each would find it out late. What a report is worth against a gateway's own
- * observations is decided by its router.
+ * #nextReportRequest}). The leader checks the endpoint ({@link #dueHealthChecks}) and reports how
+ * long ago it responded, or how long ago an unanswered check was sent. While reports arrive,
+ * gateways leave health checks to the leader ({@link #isCentralized}). Once several gateways
+ * suspect an endpoint and the leader's checks get no response either, the leader reports the
+ * endpoint to all gateways ({@link #broadcastReport}), because gateways that each send few requests
+ * would detect the failure late. Each gateway's router weighs a report against the gateway's own
+ * observations.
  *
- * <p>Reports carry the leader's term; fencing refuses those of older terms. Bounds: {@value
- * #MAX_ENDPOINTS} endpoints each way, {@value #MAX_NAMED} a message. Times are nanoseconds of this
- * process's monotonic clock.
+ * <p>Reports carry the leader's term; fencing rejects those of older terms. Bounds: {@value
+ * #MAX_ENDPOINTS} suspects at each gateway, as many checked endpoints at the leader, {@value
+ * #MAX_ENDPOINTS_PER_MESSAGE} endpoints per message. Times are nanoseconds of this process's
+ * monotonic clock.
  */
 public final class HealthCheckCoordinator {
   /** The task's name. */
   public static final String TASK = "probe";
 
-  /** How many endpoints a message names. */
-  public static final int MAX_NAMED = 10;
+  /** The maximum number of endpoints in a message. */
+  public static final int MAX_ENDPOINTS_PER_MESSAGE = 10;
 
   static final int MAX_ENDPOINTS = 64;
 
   /**
    * A request for reports.
    *
-   * @param requestedAtNanos comes back with the answer
+   * @param requestedAtNanos when the request was made, by the requester's clock; the answer echoes
+   *     it
    */
   public record ReportRequest(String recipient, long requestedAtNanos, List<String> endpoints) {}
 
   /**
    * The result of an endpoint's last health check.
    *
-   * @param ageNanos how long ago it responded, or was sent the check in vain; -1 for none yet
+   * @param ageNanos how long ago the endpoint responded, or how long ago the unanswered check was
+   *     sent; -1 if there is no result yet
    */
   public record HealthReport(boolean responded, long ageNanos) {
-    HealthReport older(long nanos) {
+    HealthReport agedBy(long nanos) {
       return new HealthReport(responded, ageNanos + nanos);
     }
   }
@@ -51,40 +56,44 @@
   public enum HealthCheckOutcome {
     /** The endpoint responded. */
     ANSWERED,
-    /** It was sent, and no response came in time. */
+    /** The check was sent, and no response arrived in time. */
     SILENT,
-    /** The router let none pass. */
+    /**
+     * The check was not sent: the router did not admit it, or this gateway could not lead until its
+     * end.
+     */
     NOT_SENT
   }
 
-  private final HealthCheckPauses pauses = new HealthCheckPauses();
-  private final HealthReportRequester requester = new HealthReportRequester(pauses);
-  private final HealthCheckAssignments assignments = new HealthCheckAssignments(pauses);
+  private final HealthCheckIntervals intervals = new HealthCheckIntervals();
+  private final HealthReportRequester requester = new HealthReportRequester(intervals);
+  private final HealthCheckAssignments assignments = new HealthCheckAssignments(intervals);
   private final HealthReportBroadcast broadcast = new HealthReportBroadcast();
 
   // ---- Every gateway.
 
   /**
-   * The router's opinion of an endpoint has changed.
+   * Records a change of the router's health status of an endpoint.
    *
-   * @param healthy whether it is neither ejected nor suspect
+   * @param healthy whether the endpoint is neither ejected nor suspect
    */
   public void healthChanged(long nowNanos, String endpoint, boolean healthy) {
     if (healthy) {
-      requester.trusted(endpoint);
+      requester.endpointTrusted(endpoint);
     } else {
-      requester.suspected(nowNanos, endpoint);
+      requester.endpointSuspected(nowNanos, endpoint);
     }
   }
 
   /**
-   * An endpoint responds to this gateway. Guards against a leader that can't reach it, and has
-   * reported it silent to all.
+   * Records that an endpoint responds to this gateway. Guards against a leader that cannot reach an
+   * endpoint and reports it as silent to all gateways.
    *
-   * @return the leader to be told of it; empty for none
+   * @return the leader to notify; empty if the last report did not call the endpoint silent, or if
+   *     reports are no longer trusted
    */
   public String endpointResponded(long nowNanos, String endpoint) {
-    return requester.responded(nowNanos, endpoint);
+    return requester.endpointResponded(nowNanos, endpoint);
   }
 
   /** Whether this gateway suspects any endpoint. */
@@ -93,111 +102,129 @@
   }
 
   /**
-   * The report request that is due.
+   * Returns the report request that is due.
    *
-   * @param gateways how many there are, this one included
-   * @param candidates the others, in {@link CandidateOrder}; asked for only when needed
-   * @param leading whether this gateway leads the task: then it checks for itself
-   * @return null for none
+   * @param gateways the number of gateways, including this one
+   * @param candidates supplies the other gateways in {@link CandidateOrder}; called only if a
+   *     request is due
+   * @param leading whether this gateway leads the task; it then registers its own suspects for
+   *     checks
+   * @return the request; null if there is none to send
    */
   public ReportRequest nextReportRequest(
       long nowNanos, int gateways, Supplier<List<String>> candidates, boolean leading) {
-    pauses.fleetSizeChanged(gateways);
+    intervals.fleetSizeChanged(gateways);
     if (!requester.tryStartRequest(nowNanos)) {
       return null;
     }
     if (leading) {
       for (String endpoint : requester.suspects()) {
-        assignments.request(nowNanos, endpoint, "");
+        assignments.registerRequest(nowNanos, endpoint, "");
       }
       return null;
     }
-    return requester.request(nowNanos, candidates).orElse(null);
+    return requester.nextRequest(nowNanos, candidates).orElse(null);
   }
 
   /**
-   * A leader's reports. A response counts only in answer to the last request or to none, and is
-   * taken for as old as it may be.
+   * Processes a leader's reports. A response is accepted only if the reports answer the last
+   * request or are unsolicited, and its age is increased by the longest time that the reports may
+   * have travelled.
    *
-   * @param requestNanos the request that they answer; 0 for none
-   * @return the reports that count, with their ages by this clock; null where fencing refuses all
+   * @param requestNanos when the request was made that the reports answer; 0 for unsolicited
+   *     reports
+   * @return the accepted reports, with their ages at this gateway; null if fencing rejects all of
+   *     them
    */
   public Map<String, HealthReport> reportReceived(
       long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
     return requester.reportReceived(nowNanos, from, term, requestNanos, reports).orElse(null);
   }
 
-  /** The highest term seen, to be sent with a refusal. */
+  /** Returns the highest term seen, which a refusal reports. */
   public long highestTerm() {
     return requester.highestTerm();
   }
 
-  /** Whether a leader, this gateway or another, makes the health checks of this gateway. */
+  /**
+   * Returns whether a leader, this gateway or another, performs the health checks for this gateway.
+   */
   public boolean isCentralized(long nowNanos, boolean leading) {
     return leading || requester.isReportTrusted(nowNanos);
   }
 
   // ---- The leader.
 
-  /** A gateway's request: its endpoints are checked from now on. Returns what is known so far. */
+  /**
+   * Registers a gateway's request to check endpoints. Returns the last results of those endpoints.
+   */
   public Map<String, HealthReport> reportRequested(
-      long nowNanos, String requestedBy, List<String> endpoints) {
+      long nowNanos, String requestingGateway, List<String> endpoints) {
     Map<String, HealthReport> reports = new TreeMap<>();
-    for (String endpoint : firstNamed(endpoints)) {
+    for (String endpoint : limitToMessage(endpoints)) {
       assignments
-          .request(nowNanos, endpoint, requestedBy)
+          .registerRequest(nowNanos, endpoint, requestingGateway)
           .ifPresent(check -> reports.put(endpoint, check.report(nowNanos)));
     }
     return reports;
   }
 
-  /** The health checks to be sent now, each in flight until {@link #healthCheckEnded}. */
+  /**
+   * Starts the health checks that are due, and returns their endpoints; each check is in flight
+   * until {@link #healthCheckEnded}.
+   */
   public List<String> dueHealthChecks(long nowNanos) {
-    return assignments.startDue(nowNanos);
+    return assignments.startDueChecks(nowNanos);
   }
 
-  /** Another gateway has responses from these: they are not silent for all. */
+  /**
+   * Records that another gateway received responses from these endpoints, which are then reported
+   * as responsive.
+   */
   public void endpointsResponsive(long nowNanos, List<String> endpoints) {
-    for (String endpoint : firstNamed(endpoints)) {
-      if (assignments.respondedElsewhere(nowNanos, endpoint)) {
-        broadcast.changed(nowNanos);
+    for (String endpoint : limitToMessage(endpoints)) {
+      if (assignments.peerReceivedResponse(nowNanos, endpoint)) {
+        broadcast.resultChanged(nowNanos);
       }
     }
   }
 
-  /** The outcome of a health check; pauses grow while there is no response. */
+  /**
+   * Records the outcome of a health check. The pauses between checks grow while there is no
+   * response.
+   */
   public void healthCheckEnded(long nowNanos, String endpoint, HealthCheckOutcome outcome) {
-    if (assignments.ended(nowNanos, endpoint, outcome)) {
-      broadcast.changed(nowNanos);
+    if (assignments.checkEnded(nowNanos, endpoint, outcome)) {
+      broadcast.resultChanged(nowNanos);
     }
   }
 
-  /** The reports for the {@link #broadcastRecipients} of this tick. */
+  /** Returns the reports to send to the {@link #broadcastRecipients} of this tick. */
   public Map<String, HealthReport> broadcastReport(long nowNanos) {
     Map<String, HealthReport> reports = new TreeMap<>();
-    for (String endpoint : broadcast.select(assignments.forAll(nowNanos))) {
+    for (String endpoint : broadcast.selectEndpoints(assignments.broadcastEndpoints(nowNanos))) {
       reports.put(endpoint, assignments.report(nowNanos, endpoint));
     }
     return reports;
   }
 
-  /** Which of the gateways present are sent the report in this tick. */
+  /** Returns which of the gateways present are to be sent the report in this tick. */
   public List<String> broadcastRecipients(long nowNanos, List<String> present) {
     return broadcast.nextRecipients(nowNanos, present);
   }
 
-  /** Whether no health check is in flight: the task may be handed over. */
+  /** Returns whether no health check is in flight, so that the task may be handed over. */
   public boolean isIdle() {
     return assignments.isIdle();
   }
 
-  /** This gateway does not lead: what it knows as the leader is forgotten. */
+  /** Discards the state of the leader's side, because this gateway does not lead. */
   public void leadershipLost() {
     assignments.clear();
     broadcast.clear();
   }
 
-  private static List<String> firstNamed(List<String> endpoints) {
-    return endpoints.subList(0, Math.min(MAX_NAMED, endpoints.size()));
+  private static List<String> limitToMessage(List<String> endpoints) {
+    return endpoints.subList(0, Math.min(MAX_ENDPOINTS_PER_MESSAGE, endpoints.size()));
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
+++ b/leadership/src/main/java/org/amberpath/leadership/HealthReportRequester.java
@@ -13,30 +13,33 @@
 import org.amberpath.leadership.HealthCheckCoordinator.ReportRequest;
 
 /**
- * Every gateway's part: which endpoints it suspects, which gateway it asks to check them, and what
- * a report is worth.
+ * Each gateway's side of centralized health checks: the endpoints that it suspects, the gateway
+ * that it requests checks from, and which reports it accepts.
  *
- * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} suspects, and as many endpoints last
- * reported on; a suspect without room is checked by this gateway alone.
+ * <p>Bounds: {@value HealthCheckCoordinator#MAX_ENDPOINTS} suspects, and as many endpoints whose
+ * last report is stored; further suspects are checked by this gateway alone.
  */
 final class HealthReportRequester {
   private static final long MS = 1_000_000;
 
-  /** The leader is not known: so many gateways are asked in turn. */
+  /** The number of candidates that are asked in turn while the leader is not known. */
   private static final int MAX_CANDIDATES = 3;
 
-  /** The least pause after a request before a new suspect is asked for. */
+  /**
+   * The minimum pause between a request and the next one, if a new suspect brings the next one
+   * forward.
+   */
   private static final long NEW_SUSPECT_PAUSE_NANOS = 50 * MS;
 
-  /** The longest that a report without a request may have travelled. */
-  private static final long MAX_TRAVEL_NANOS = 1000 * MS;
+  /** The longest assumed travel time of an unsolicited report. */
+  private static final long MAX_REPORT_DELAY_NANOS = 1000 * MS;
 
   private static final long NEVER_NANOS = Long.MIN_VALUE / 2;
 
-  private final HealthCheckPauses pauses;
+  private final HealthCheckIntervals intervals;
   private final Set<String> suspects = new TreeSet<>();
 
-  /** Whether the last report on an endpoint was of silence. */
+  /** Whether the last accepted report on an endpoint said that it is silent. */
   private final Map<String, Boolean> reportedSilent =
       new LinkedHashMap<>() {
         @Override
@@ -45,9 +48,9 @@
         }
       };
 
-  private final FencingGuard fence = new FencingGuard();
+  private final FencingGuard fencingGuard = new FencingGuard();
 
-  /** Who has reported last; empty for none that is known. */
+  /** The gateway that reported last; empty if no leader is known. */
   private String leader = "";
 
   private long requestedAtNanos = NEVER_NANOS;
@@ -57,11 +60,11 @@
   private int nextCandidate;
   private int nextSuspect;
 
-  HealthReportRequester(HealthCheckPauses pauses) {
-    this.pauses = pauses;
+  HealthReportRequester(HealthCheckIntervals intervals) {
+    this.intervals = intervals;
   }
 
-  void suspected(long nowNanos, String endpoint) {
+  void endpointSuspected(long nowNanos, String endpoint) {
     if (suspects.size() < HealthCheckCoordinator.MAX_ENDPOINTS && suspects.add(endpoint)) {
       nextRequestNanos =
           Math.min(
@@ -69,7 +72,7 @@
     }
   }
 
-  void trusted(String endpoint) {
+  void endpointTrusted(String endpoint) {
     suspects.remove(endpoint);
   }
 
@@ -77,27 +80,33 @@
     return suspects;
   }
 
-  /** Whom to tell that an endpoint responds here; empty where nobody reported it silent. */
-  String responded(long nowNanos, String endpoint) {
+  /**
+   * Returns the leader to notify that an endpoint responds to this gateway; empty if the last
+   * report did not call the endpoint silent, or if reports are no longer trusted.
+   */
+  String endpointResponded(long nowNanos, String endpoint) {
     boolean contradicts = Boolean.TRUE.equals(reportedSilent.remove(endpoint));
     return contradicts && isReportTrusted(nowNanos) ? leader : "";
   }
 
   boolean isReportTrusted(long nowNanos) {
-    return pauses.isTrusted(nowNanos - reportedAtNanos);
+    return intervals.isReportTrusted(nowNanos - reportedAtNanos);
   }
 
-  /** Whether a request is due; the next one is, an interval later. */
+  /** Returns whether a request is due, and if so schedules the next one an interval later. */
   boolean tryStartRequest(long nowNanos) {
     if (suspects.isEmpty() || nowNanos < nextRequestNanos) {
       return false;
     }
-    nextRequestNanos = nowNanos + pauses.requestIntervalNanos();
+    nextRequestNanos = nowNanos + intervals.requestIntervalNanos();
     return true;
   }
 
-  /** The request that is due: to the gateway that reported last, else to a candidate. */
-  Optional<ReportRequest> request(long nowNanos, Supplier<List<String>> candidates) {
+  /**
+   * Creates the request that is due, to the gateway that reported last or else to a candidate.
+   * Returns empty if there is no other gateway.
+   */
+  Optional<ReportRequest> nextRequest(long nowNanos, Supplier<List<String>> candidates) {
     List<String> others = candidates.get();
     if (others.isEmpty()) {
       return Optional.empty();
@@ -105,63 +114,71 @@
     if (!lastRequestAnswered) {
       leader = "";
     }
-    boolean known = others.contains(leader);
+    boolean leaderPresent = others.contains(leader);
     String recipient =
-        known ? leader : others.get(nextCandidate++ % Math.min(MAX_CANDIDATES, others.size()));
+        leaderPresent
+            ? leader
+            : others.get(nextCandidate++ % Math.min(MAX_CANDIDATES, others.size()));
     requestedAtNanos = nowNanos;
     lastRequestAnswered = false;
-    if (!known) {
-      // Another candidate may lead.
-      nextRequestNanos = nowNanos + HealthCheckPauses.MIN_REQUEST_INTERVAL_NANOS / MAX_CANDIDATES;
+    if (!leaderPresent) {
+      // This candidate may not be the leader, so the next candidate is asked soon.
+      nextRequestNanos =
+          nowNanos + HealthCheckIntervals.MIN_REQUEST_INTERVAL_NANOS / MAX_CANDIDATES;
     }
     return Optional.of(new ReportRequest(recipient, requestedAtNanos, nextSuspects()));
   }
 
   private List<String> nextSuspects() {
     List<String> all = List.copyOf(suspects);
-    List<String> named = new ArrayList<>();
-    for (int index = 0; index < Math.min(HealthCheckCoordinator.MAX_NAMED, all.size()); index++) {
-      named.add(all.get(nextSuspect++ % all.size()));
+    List<String> selected = new ArrayList<>();
+    for (int index = 0;
+        index < Math.min(HealthCheckCoordinator.MAX_ENDPOINTS_PER_MESSAGE, all.size());
+        index++) {
+      selected.add(all.get(nextSuspect++ % all.size()));
     }
-    return named;
+    return selected;
   }
 
   /**
-   * A report; empty where a higher term was seen.
+   * Processes reports and returns the accepted ones; empty if fencing rejects the leader's term.
    *
-   * @param requestNanos the request that it answers; 0 for none
+   * @param requestNanos when the request was made that the reports answer; 0 for unsolicited
+   *     reports
    */
   Optional<Map<String, HealthReport>> reportReceived(
       long nowNanos, String from, long term, long requestNanos, Map<String, HealthReport> reports) {
-    if (!fence.tryAdmit(HealthCheckCoordinator.TASK, term, from)) {
+    if (!fencingGuard.tryAdmit(HealthCheckCoordinator.TASK, term, from)) {
       return Optional.empty();
     }
     boolean answersLast = requestNanos == requestedAtNanos;
     if (answersLast) {
       lastRequestAnswered = true;
       nextRequestNanos =
-          Math.max(nextRequestNanos, requestedAtNanos + pauses.requestIntervalNanos());
+          Math.max(nextRequestNanos, requestedAtNanos + intervals.requestIntervalNanos());
     }
-    boolean current = answersLast || requestNanos == 0;
-    if (current) {
+    boolean answersLastOrUnsolicited = answersLast || requestNanos == 0;
+    if (answersLastOrUnsolicited) {
       leader = from;
       reportedAtNanos = nowNanos;
     }
-    // A response that was reported is older by what the report may have travelled.
-    long addedAgeNanos = answersLast ? nowNanos - requestNanos : MAX_TRAVEL_NANOS;
+    // The age of a reported response grows by the longest time that the report may have
+    // travelled.
+    long addedAgeNanos = answersLast ? nowNanos - requestNanos : MAX_REPORT_DELAY_NANOS;
     Map<String, HealthReport> accepted = new TreeMap<>();
     reports.forEach(
         (endpoint, report) -> {
           if (report.ageNanos() >= 0
-              && (!report.responded() || (current && suspects.contains(endpoint)))) {
+              && (!report.responded()
+                  || (answersLastOrUnsolicited && suspects.contains(endpoint)))) {
             reportedSilent.put(endpoint, !report.responded());
-            accepted.put(endpoint, report.responded() ? report.older(addedAgeNanos) : report);
+            accepted.put(endpoint, report.responded() ? report.agedBy(addedAgeNanos) : report);
           }
         });
     return Optional.of(accepted);
   }
 
   long highestTerm() {
-    return fence.highestTerm(HealthCheckCoordinator.TASK);
+    return fencingGuard.highestTerm(HealthCheckCoordinator.TASK);
   }
 }
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeadershipService.java
@@ -16,31 +16,36 @@
 import org.amberpath.routing.EndpointHealthStatus;
 
 /**
- * Stands for election to the configured tasks, by votes ({@link QuorumVoting}) or by leases in the
- * registry ({@link RegistryLeaseClient}), and runs those that it leads. At most three tasks. Called
- * on the gateway's event loop.
+ * Stands for election to the configured tasks, by a quorum of voters ({@link QuorumVoting}) or by
+ * leases in the registry ({@link RegistryLeaseClient}), and runs the tasks that this gateway leads.
+ * There are at most three tasks. All methods are called on the gateway's event loop.
  */
 public final class LeadershipService implements FleetMessageHandler {
-  /** So many candidates, the first in order, are told that a leader has stopped. */
+  /** The number of candidates, the first in order, that a leader notifies when it has stopped. */
   private static final int MAX_SUCCESSORS = 4;
 
-  /** What a message may travel; a new leader's wait, less this, is how long an action may take. */
-  private static final long MESSAGE_TRAVEL_NANOS = 100_000_000;
+  /**
+   * The longest travel time of a message. An action may take as long as a new leader waits, less
+   * this.
+   */
+  private static final long MAX_MESSAGE_DELAY_NANOS = 100_000_000;
 
   private final Vertx vertx;
   private final LeadershipSettings settings;
   private final MembershipService membership;
   private final Map<String, OwnedTask> tasks = new LinkedHashMap<>();
 
-  /** One of these is set once the membership has started, by which decides. */
+  /** Set once membership has started, if a quorum of voters elects the leaders. */
   private Optional<QuorumVoting> voting = Optional.empty();
 
+  /** Set once membership has started, if leases in the registry elect the leaders. */
   private Optional<RegistryLeaseClient> leases = Optional.empty();
+
   private Optional<HealthCheckTask> healthChecks = Optional.empty();
   private Optional<CachePrefetchTask> prefetch = Optional.empty();
   private boolean draining;
 
-  /** A service that begins with {@link #membershipStarted}. */
+  /** Creates a service that starts its tasks in {@link #membershipStarted}. */
   public LeadershipService(Vertx vertx, LeadershipSettings settings, MembershipService membership) {
     this.vertx = vertx;
     this.settings = settings;
@@ -59,24 +64,24 @@
               new RegistryLeaseClient(
                   vertx, settings.leaseRegistry(), settings.timings(), membership));
     }
-    long maxActionNanos = settings.timings().settleNanos() - MESSAGE_TRAVEL_NANOS;
+    long maxActionNanos = settings.timings().settleNanos() - MAX_MESSAGE_DELAY_NANOS;
     if (settings.purgeRegistry() != null) {
-      add(
+      addTask(
           nowNanos,
           new PurgeRetentionTask(
               vertx, membership, settings.purgeRegistry(), settings.purgeSweepIntervalNanos()));
     }
     if (settings.healthChecks()) {
       healthChecks = Optional.of(new HealthCheckTask(membership, maxActionNanos));
-      add(nowNanos, healthChecks.get());
+      addTask(nowNanos, healthChecks.get());
     }
     if (settings.prefetch()) {
       prefetch = Optional.of(new CachePrefetchTask(membership, maxActionNanos));
-      add(nowNanos, prefetch.get());
+      addTask(nowNanos, prefetch.get());
     }
   }
 
-  private void add(long nowNanos, TaskRunner runner) {
+  private void addTask(long nowNanos, TaskRunner runner) {
     Leadership leadership =
         leases
             .map(client -> client.leadership(runner.task()))
@@ -119,7 +124,7 @@
     }
   }
 
-  // ---- The gateway's events.
+  // ---- Gateway events.
 
   @Override
   public void tick(long nowNanos) {
@@ -161,7 +166,9 @@
     tasks.values().forEach(task -> handOver(nowNanos, task));
   }
 
-  /** Resigns from a task once nothing of it is in flight, and tells the next in order. */
+  /**
+   * Resigns from a task once nothing of it is in flight, and notifies the next candidates in order.
+   */
   private void handOver(long nowNanos, OwnedTask task) {
     Leadership leadership = task.leadership();
     if (leadership.state() == Leadership.State.RESIGNED || !task.runner().isIdle()) {
@@ -180,7 +187,7 @@
     task.logTransition();
   }
 
-  // ---- The operators' requests.
+  // ---- Admin requests.
 
   @Override
   public JsonObject status(long nowNanos) {
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/LeaseMessageCodec.java
@@ -9,10 +9,13 @@
 import org.msgpack.core.MessagePackException;
 import org.msgpack.core.MessageUnpacker;
 
-/** A {@link LeaseMessage} as bytes: MessagePack values one after another, the version first. */
-@SuppressWarnings("EnumOrdinal") // The order of the constants is the form on the wire.
+/**
+ * Encodes and decodes a {@link LeaseMessage} as a sequence of MessagePack values that starts with
+ * the version.
+ */
+@SuppressWarnings("EnumOrdinal") // Kinds are encoded by their ordinals.
 final class LeaseMessageCodec {
-  /** Which task names are valid in a message. */
+  /** The pattern of valid task names in a message. */
   static final String TASK_PATTERN = "[a-z-]{1,32}";
 
   private static final int VERSION = 2;
@@ -27,8 +30,8 @@
           .packInt(message.kind().ordinal())
           .packString(message.task())
           .packLong(message.ballot())
-          .packLong(message.other())
-          .packLong(message.last());
+          .packLong(message.detail())
+          .packLong(message.lastAcceptedBallot());
       return packer.toByteArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
@@ -37,29 +40,29 @@
 
   /** Whether a number is in the range of ballots and terms. */
   static boolean isValidNumber(long value) {
-    return value >= 0 && value <= LeaseMessage.HIGHEST;
+    return value >= 0 && value <= LeaseMessage.HIGHEST_BALLOT;
   }
 
-  /** The message in these bytes; empty where there is none of this version, or an invalid one. */
+  /** Decodes a message. Returns empty if the bytes are of another version or invalid. */
   static Optional<LeaseMessage> decode(byte[] bytes) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       int version = unpacker.unpackInt();
       int kind = unpacker.unpackInt();
       String task = unpacker.unpackString();
       long ballot = unpacker.unpackLong();
-      long other = unpacker.unpackLong();
-      long last = unpacker.unpackLong();
+      long detail = unpacker.unpackLong();
+      long lastAcceptedBallot = unpacker.unpackLong();
       boolean valid =
           version == VERSION
               && kind >= 0
               && kind < KINDS.length
               && task.matches(TASK_PATTERN)
               && isValidNumber(ballot)
-              && isValidNumber(other)
-              && isValidNumber(last)
+              && isValidNumber(detail)
+              && isValidNumber(lastAcceptedBallot)
               && !unpacker.hasNext();
       return valid
-          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, other, last))
+          ? Optional.of(new LeaseMessage(KINDS[kind], task, ballot, detail, lastAcceptedBallot))
           : Optional.empty();
     } catch (IOException | MessagePackException e) {
       return Optional.empty();
--- a/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
+++ b/leadership/src/main/java/org/amberpath/leadership/runtime/RegistryLeaseClient.java
@@ -15,14 +15,14 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 
 /**
- * Leadership by leases in the registry. Of each task one key, attached to the leader's lease, says
- * that it has a leader, and another, which stays, holds the term. Both are read periodically, for
- * all tasks at once.
+ * Leader election by leases in the registry. Each task has two keys: one is attached to the
+ * leader's lease and exists while the task has a leader; the other persists and holds the term.
+ * Both are read periodically, for all tasks at once.
  */
 final class RegistryLeaseClient {
   private static final long SECOND = 1_000_000_000;
 
-  /** Keys are read so often a lease. */
+  /** The number of times that the keys are read per lease duration. */
   private static final int READS_PER_LEASE = 8;
 
   private final RegistryAdminClient registry;
@@ -32,8 +32,8 @@
   private long nextReadNanos;
   private boolean reading;
 
-  /** How many reads were started; orders reads and campaigns. */
-  private long reads;
+  /** The number of reads started, by which reads and campaigns are ordered. */
+  private long readsStarted;
 
   RegistryLeaseClient(
       Vertx vertx, RegistrySettings settings, LeaseTimings timings, MembershipService membership) {
@@ -49,8 +49,8 @@
     private long leaseId;
     private long revision;
 
-    /** The last read that was started before the last campaign was answered. */
-    private long campaignRead;
+    /** The number of the last read that was started before the last campaign was answered. */
+    private long lastReadBeforeCampaign;
 
     TaskLease(String task) {
       this.task = task;
@@ -59,7 +59,7 @@
 
     @Override
     public void campaign(long term, long keyRevision) {
-      campaignRead = reads;
+      lastReadBeforeCampaign = readsStarted;
       registry
           .campaign(
               task,
@@ -70,7 +70,7 @@
     }
 
     private void campaignEnded(long term, AsyncResult<Long> granted) {
-      campaignRead = reads;
+      lastReadBeforeCampaign = readsStarted;
       if (granted.failed() || granted.result() == 0) {
         leadership.leaseLost(membership.nowNanos());
       } else {
@@ -103,9 +103,12 @@
       }
     }
 
-    /** Takes what a read has found, unless it was started before a campaign was answered. */
-    void keysRead(long nowNanos, long read, RegistryEntry termKey, boolean held) {
-      if (read <= campaignRead && campaignRead > 0) {
+    /**
+     * Applies the result of a read, unless the read was started before the last campaign was
+     * answered.
+     */
+    void keysRead(long nowNanos, long readNumber, RegistryEntry termKey, boolean held) {
+      if (readNumber <= lastReadBeforeCampaign && lastReadBeforeCampaign > 0) {
         return;
       }
       long readRevision = termKey == null ? 0 : termKey.modRevision();
@@ -118,18 +121,18 @@
     }
   }
 
-  /** The leadership of a task, which is a candidate from now on. */
+  /** Returns the leadership of a task, for which this gateway is a candidate from now on. */
   Leadership leadership(String task) {
     return leases.computeIfAbsent(task, TaskLease::new).leadership;
   }
 
-  /** Reads the keys when that is due. */
+  /** Reads the keys if a read is due. */
   void tick(long nowNanos) {
     if (reading || nowNanos < nextReadNanos) {
       return;
     }
     reading = true;
-    long read = ++reads;
+    long readNumber = ++readsStarted;
     nextReadNanos = nowNanos + timings.leaseNanos() / READS_PER_LEASE;
     registry
         .tasks()
@@ -137,12 +140,12 @@
             keys -> {
               reading = false;
               if (keys.succeeded()) {
-                keysRead(keys.result(), read);
+                keysRead(keys.result(), readNumber);
               }
             });
   }
 
-  private void keysRead(List<RegistryEntry> keys, long read) {
+  private void keysRead(List<RegistryEntry> keys, long readNumber) {
     for (TaskLease lease : leases.values()) {
       RegistryEntry termKey = null;
       boolean held = false;
@@ -150,7 +153,7 @@
         termKey = lease.task.equals(registry.taskName(key, false)) ? key : termKey;
         held |= lease.task.equals(registry.taskName(key, true));
       }
-      lease.keysRead(membership.nowNanos(), read, termKey, held);
+      lease.keysRead(membership.nowNanos(), readNumber, termKey, held);
     }
   }
 
--- a/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/CachePrefetchTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many prefetch requests are started, and when. */
+/** Bounds on the prefetch requests of a tick and in flight, and the pause between passes. */
 class CachePrefetchTest {
   private static final long MS = 1_000_000;
   private final CachePrefetch prefetch = new CachePrefetch();
@@ -25,22 +25,22 @@
     prefetch.endpointWarmingUp(1, "x", 100 * MS);
     assertTrue(startAll(1) > 0);
     assertFalse(prefetch.isIdle());
-    assertEquals(0, startAll(100 * MS), "its slow start has ended");
+    assertEquals(0, startAll(100 * MS), "the slow start of the endpoint has ended");
   }
 
   @Test
   void requestsInFlightAreBoundedAndTheNextPassBeginsAfterAPause() {
     prefetch.endpointWarmingUp(1, "x", 10_000 * MS);
     assertEquals(8, startAll(1));
-    int more = 0;
+    int startedLater = 0;
     for (int ended = 0; ended < 1000; ended++) {
       prefetch.requestEnded();
-      more += prefetch.tryStartRequest(1) ? 1 : 0;
-      if (more < ended + 1) {
+      startedLater += prefetch.tryStartRequest(1) ? 1 : 0;
+      if (startedLater < ended + 1) {
         break;
       }
     }
-    assertEquals(64 - 8, more, "no more in one tick");
+    assertEquals(64 - 8, startedLater, "64 requests are the maximum per tick");
     prefetch.tick();
     assertTrue(prefetch.tryStartRequest(1));
     prefetch.passEnded(1);
--- a/leadership/src/test/java/org/amberpath/leadership/SweepClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/PurgeRetentionClockTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * A purge is deleted once this process has known it for the retention, whatever the wall clocks of
- * writer and reader say.
+ * Guards against purges that are deleted too early or never because the wall clock of the writer or
+ * of the reader steps: a purge is deleted once this process has observed it for the retention.
  */
-class SweepClockTest {
+class PurgeRetentionClockTest {
   private static final long SECOND = 1_000_000_000;
   private static final long RETENTION = 600 * SECOND;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
@@ -59,11 +59,11 @@
     assertEquals(
         List.of(),
         retention.expiredPurges(List.of(purge(0, 6)), RETENTION + 1, 0),
-        "written again under its key");
+        "the purge was written again under its key");
     assertEquals(List.of(), retention.expiredPurges(List.of(), RETENTION + 2, 0));
     assertEquals(
         List.of(),
         retention.expiredPurges(List.of(purge(0, 6)), 2 * RETENTION + 3, 0),
-        "it was absent meanwhile");
+        "the purge was absent in the meantime");
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/VoteClockTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipClockTest.java
@@ -10,10 +10,10 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A leader's wall clock steps: its lease and lease renewals are by the monotonic clock, and terms
- * only rise.
+ * Guards against a leader whose lease, renewals or terms follow a step of its wall clock: leases
+ * and renewals use the monotonic clock, and terms only rise.
  */
-class VoteClockTest {
+class QuorumLeadershipClockTest {
   private static final long SECOND = 1_000_000_000;
   private static final long LEASE = 3 * SECOND;
   private static final long WALL_MILLIS = 1_700_000_000_000L;
@@ -53,10 +53,10 @@
     leader.wallClockRead(WALL_MILLIS + stepMillis);
     assertEquals(expiresAt, leader.leaseExpiresAtNanos());
     advance(10 * SECOND);
-    assertTrue(leader.isLeader(now), "its lease was renewed all along");
+    assertTrue(leader.isLeader(now), "the lease has been renewed without a gap");
     assertEquals(WALL_MILLIS, leader.term());
     assertFalse(
-        leader.isLeader(leader.leaseExpiresAtNanos()), "its lease ends by the monotonic clock");
+        leader.isLeader(leader.leaseExpiresAtNanos()), "the lease expires by the monotonic clock");
 
     leader.release(now);
     advance(2 * LEASE + SECOND);
--- a/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/QuorumLeadershipTest.java
@@ -13,7 +13,10 @@
 import org.amberpath.leadership.LeaseMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** One candidate or leader among three voters, and what fencing lets pass at recipients. */
+/**
+ * One candidate or leader with three voters, and which of its messages fencing admits at
+ * recipients.
+ */
 class QuorumLeadershipTest {
   private static final long SECOND = 1_000_000_000;
   private static final long LEASE = 3 * SECOND;
@@ -43,7 +46,10 @@
     return voters.get(request.voter).messageReceived(now, candidate, request.message);
   }
 
-  /** Delivers all that was sent to these voters, their answers, and what is sent then. */
+  /**
+   * Delivers all messages to these voters and their answers, also those that the answers cause;
+   * drops messages to other voters.
+   */
   private void deliver(QuorumLeadership candidate, String name, String... answering) {
     while (!sent.isEmpty()) {
       Sent request = sent.remove(0);
@@ -81,17 +87,17 @@
   }
 
   @Test
-  void restartedVoterVotesForNobodyForTheLongestLease() {
-    LeaseAcceptor fresh = new LeaseAcceptor(TIMINGS, now);
+  void restartedVoterDoesNotVoteForTheLongestLease() {
+    LeaseAcceptor restarted = new LeaseAcceptor(TIMINGS, now);
     LeaseMessage prepare = new LeaseMessage(Kind.PREPARE, TASK, 5, 0);
-    assertNull(fresh.messageReceived(now + LEASE, "candidate", prepare));
+    assertNull(restarted.messageReceived(now + LEASE, "candidate", prepare));
     assertEquals(
         Kind.PROMISE,
-        fresh.messageReceived(now + TIMINGS.longestNanos(LEASE), "candidate", prepare).kind());
+        restarted.messageReceived(now + TIMINGS.longestNanos(LEASE), "candidate", prepare).kind());
   }
 
   @Test
-  void leaseCountsFromProposalAndEndsBeforeTheVotersTime() {
+  void leaseCountsFromProposalAndExpiresBeforeItDoesAtTheVoters() {
     long requestedAt = now;
     leader.tick(now);
     now += SECOND;
@@ -99,34 +105,37 @@
     now += TIMINGS.longestNanos(SETTLE);
     leader.tick(now);
     assertTrue(leader.leaseExpiresAtNanos() < requestedAt + SECOND + LEASE);
-    LeaseMessage other =
+    LeaseMessage promise =
         voters
             .get("a")
             .messageReceived(
                 leader.leaseExpiresAtNanos(),
                 "other",
                 new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
-    assertTrue(other.other() > 0, "the voter still keeps the lease");
+    assertTrue(promise.detail() > 0, "the voter still keeps the lease");
     assertFalse(leader.isLeader(leader.leaseExpiresAtNanos()));
   }
 
-  /** Found by the model, seed 243: two processes led the task. */
+  /**
+   * Guards against two leaders at once, which the model found with seed 243: a late acceptance of
+   * an earlier round extended the lease.
+   */
   @Test
   void lateAcceptanceOfEarlierRoundDoesNotExtendTheLease() {
     electLeader();
-    long until = leader.leaseExpiresAtNanos();
+    long expiresAt = leader.leaseExpiresAtNanos();
     now = leader.nextTickNanos();
     leader.tick(now);
-    List<Sent> first = new ArrayList<>(sent);
+    List<Sent> firstRound = new ArrayList<>(sent);
     sent.clear();
     now += LEASE / 8;
     leader.tick(now);
     assertEquals(Kind.PROPOSE, sent.get(0).message.kind());
-    sent.clear(); // The second round is lost; the first is answered late.
-    for (Sent request : first) {
+    sent.clear(); // The second round is lost, and the first is answered late.
+    for (Sent request : firstRound) {
       leader.responseReceived(now, request.voter, answer(request, "candidate"));
     }
-    assertEquals(until, leader.leaseExpiresAtNanos());
+    assertEquals(expiresAt, leader.leaseExpiresAtNanos());
   }
 
   @Test
@@ -138,7 +147,7 @@
               .get(voter)
               .messageReceived(
                   now, "other", new LeaseMessage(Kind.PREPARE, TASK, Long.MAX_VALUE, 0));
-      assertTrue(answer.kind() == Kind.PROMISE && answer.other() > 0);
+      assertTrue(answer.kind() == Kind.PROMISE && answer.detail() > 0);
       assertEquals(
           Kind.REFUSED,
           voters
@@ -180,7 +189,7 @@
             .get("a")
             .messageReceived(
                 now, "other", new LeaseMessage(Kind.PREPARE, TASK, leader.term() + 1, 0));
-    assertEquals(0, answer.other());
+    assertEquals(0, answer.detail());
   }
 
   @Test
@@ -224,7 +233,7 @@
 
   private long wallMillis = 1;
 
-  /** Another leader is elected by these voters, and lets the task go. */
+  /** Has another leader elected by these voters, which then resigns; returns its term. */
   private long electAndResign(String... answering) {
     QuorumLeadership other = candidate(VoterConfiguration.of("a", "b", "c"));
     other.wallClockRead(wallMillis += 10);
@@ -244,7 +253,10 @@
     now += LEASE;
     leader.tick(now);
     deliver(leader, "candidate", "b", "c");
-    assertEquals(Leadership.State.WAITING, leader.state(), "c has not accepted the predecessor");
+    assertEquals(
+        Leadership.State.WAITING,
+        leader.state(),
+        "voter c has not accepted the predecessor's lease");
     leader.resign(now);
     deliver(leader, "candidate", "a", "b", "c");
     sent.clear();
@@ -272,12 +284,12 @@
   }
 
   @Test
-  void voterListIsReplacedOnlyByWayOfBothLists() {
+  void voterListIsReplacedOnlyThroughAStageWithBothLists() {
     VoterConfiguration first = VoterConfiguration.of("a", "b", "c");
     VoterConfiguration last = VoterConfiguration.of("c", "d", "e");
     VoterConfiguration both = new VoterConfiguration(first.current(), last.current());
-    assertTrue(both.follows(first) && last.follows(both) && first.follows(both));
-    assertFalse(last.follows(first));
-    assertFalse(new VoterConfiguration(last.current(), first.current()).follows(both));
+    assertTrue(both.isAdjacentTo(first) && last.isAdjacentTo(both) && first.isAdjacentTo(both));
+    assertFalse(last.isAdjacentTo(first));
+    assertFalse(new VoterConfiguration(last.current(), first.current()).isAdjacentTo(both));
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedLeadershipTest.java
@@ -5,29 +5,30 @@
 
 import java.util.Map;
 import java.util.TreeMap;
-import org.amberpath.leadership.SeededVotersWorld.Setting;
+import org.amberpath.leadership.SeededQuorumSimulation.Scenario;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every message, answer and state of {@link QuorumLeadership}, {@link LeaseAcceptor} and
- * {@link FencingGuard} where it was: 400 s of random events a seed give the actions recorded here,
- * one digest a seed. A change that is meant to keep behaviour must not alter a digest; a change of
- * behaviour records new ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every message, answer and state of
+ * {@link QuorumLeadership}, {@link LeaseAcceptor} and {@link FencingGuard} in 400 s of random
+ * events must equal the one recorded here, for each setting and seed. A change that is meant to
+ * keep behaviour must not alter a digest; a change of behaviour records new digests and states the
+ * reason.
  */
 class RecordedLeadershipTest {
-  private static final Map<String, SeededVotersWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededQuorumSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  private static String digest(Setting setting, long seed) {
-    String key = setting + " " + seed;
+  private static String digest(Scenario scenario, long seed) {
+    String key = scenario + " " + seed;
     return DIGESTS.computeIfAbsent(
         key,
         missing -> {
-          SeededVotersWorld world = new SeededVotersWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          SeededQuorumSimulation simulation = new SeededQuorumSimulation(scenario, seed);
+          SIMULATIONS.put(key, simulation);
+          return simulation.run();
         });
   }
 
@@ -46,34 +47,38 @@
     "ONE_VOTER, 2, 19c39b6f92d523f60470e37cb7872ce2c45e7e7089848157c6486f6613ec7005",
     "ONE_VOTER, 3, ab2a5423ab992b2e71399aee063f60a265830655d7c21930b86ab565a8a329f3"
   })
-  void everyActionIsTheRecordedOne(Setting setting, long seed, String recorded) {
+  void actionsMatchRecordedDigest(Scenario scenario, long seed, String recorded) {
     assertEquals(
         recorded,
-        digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).actions.counts());
+        digest(scenario, seed),
+        () -> "counted: " + SIMULATIONS.get(scenario + " " + seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and states.
+   */
   @Test
   void recordedEventsReachEveryMessageAnswerStateAndTransition() {
     Map<String, Integer> counts = new TreeMap<>();
-    for (Setting setting : Setting.values()) {
+    for (Scenario scenario : Scenario.values()) {
       for (long seed = 1; seed <= 3; seed++) {
-        digest(setting, seed);
-        PLAYED
-            .get(setting + " " + seed)
+        digest(scenario, seed);
+        SIMULATIONS
+            .get(scenario + " " + seed)
             .actions
             .counts()
-            .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+            .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
       }
     }
-    for (String what :
+    for (String expected :
         new String[] {
           // PREPARE, PROPOSE, RELEASE.
           "request 0",
           "request 2",
           "request 5",
-          // PROMISE of a free task and of one that is another's, ACCEPTED, REFUSED.
+          // PROMISE for a vacant task and for one that another process leads,
+          // ACCEPTED, REFUSED.
           "answer 1",
           "answer 1 other",
           "answer 3 other",
@@ -107,7 +112,7 @@
           "doubled",
           "all restart"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/RecordedRegistryLeadershipTest.java
@@ -10,21 +10,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every command and state of {@link RegistryLeadership} where it was: 400 s of random events
- * a seed give the actions recorded here, one digest a seed. A change that is meant to keep
- * behaviour must not alter a digest; a change of behaviour records new ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every command and state of {@link
+ * RegistryLeadership} in 400 s of random events must equal the one recorded here, for each seed. A
+ * change that is meant to keep behaviour must not alter a digest; a change of behaviour records new
+ * digests and states the reason.
  */
 class RecordedRegistryLeadershipTest {
-  private static final Map<Long, SeededRegistryWorld> PLAYED = new TreeMap<>();
+  private static final Map<Long, SeededRegistryLeadershipSimulation> SIMULATIONS = new TreeMap<>();
   private static final Map<Long, String> DIGESTS = new TreeMap<>();
 
   private static String digest(long seed) {
     return DIGESTS.computeIfAbsent(
         seed,
         missing -> {
-          SeededRegistryWorld world = new SeededRegistryWorld(seed);
-          PLAYED.put(seed, world);
-          return world.play();
+          SeededRegistryLeadershipSimulation simulation =
+              new SeededRegistryLeadershipSimulation(seed);
+          SIMULATIONS.put(seed, simulation);
+          return simulation.run();
         });
   }
 
@@ -35,23 +37,27 @@
     "3, cdc645eba1deef75a1bb6cb8e8c869775081d726076754245dc2d180e0084ed2",
     "4, 1c95903f8fdbcb005c9d620f5f67adf84dc6e97b1f2ffd9b153849bdd15f626f"
   })
-  void everyActionIsTheRecordedOne(long seed, String recorded) {
-    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).actions.counts());
+  void actionsMatchRecordedDigest(long seed, String recorded) {
+    assertEquals(
+        recorded, digest(seed), () -> "counted: " + SIMULATIONS.get(seed).actions.counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach, over all. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: all seeds
+   * together must reach these actions and states.
+   */
   @Test
   void recordedEventsReachEveryCommandStateAndTransition() {
     Map<String, Integer> counts = new TreeMap<>();
     for (long seed = 1; seed <= 4; seed++) {
       digest(seed);
-      PLAYED
+      SIMULATIONS
           .get(seed)
           .actions
           .counts()
-          .forEach((what, count) -> counts.merge(what, count, Integer::sum));
+          .forEach((expected, count) -> counts.merge(expected, count, Integer::sum));
     }
-    for (String what :
+    for (String expected :
         new String[] {
           "campaign",
           "won",
@@ -79,7 +85,7 @@
           "waiting>resigned",
           "holding>resigned"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
+++ b/leadership/src/test/java/org/amberpath/leadership/runtime/LeadershipCodecTest.java
@@ -17,15 +17,15 @@
 import org.amberpath.leadership.runtime.TaskMessage.Kind;
 import org.amberpath.membership.runtime.DatagramCodec;
 
-/** Lease and task messages as bytes: decoded to what was encoded, and other bytes to nothing. */
+/** Lease and task messages decode to what was encoded, and invalid bytes decode to nothing. */
 class LeadershipCodecTest {
   @Property(tries = 200)
   void leaseMessagesDecodeToWhatWasEncoded(
       @ForAll LeaseMessage.Kind kind,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long ballot,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long other,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long last) {
-    LeaseMessage message = new LeaseMessage(kind, "probe", ballot, other, last);
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long ballot,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long detail,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long lastAcceptedBallot) {
+    LeaseMessage message = new LeaseMessage(kind, "probe", ballot, detail, lastAcceptedBallot);
     byte[] bytes = LeaseMessageCodec.encode(message);
     assertEquals(Optional.of(message), LeaseMessageCodec.decode(bytes));
     assertEquals(Optional.empty(), HealthReportCodec.decode(bytes), "not a task message");
@@ -34,7 +34,7 @@
   @Property(tries = 200)
   void taskMessagesDecodeToWhatWasEncodedAndFitIntoAPayload(
       @ForAll Kind kind,
-      @ForAll @LongRange(max = LeaseMessage.HIGHEST) long term,
+      @ForAll @LongRange(max = LeaseMessage.HIGHEST_BALLOT) long term,
       @ForAll long requestNanos,
       @ForAll @IntRange(max = 10) int count,
       @ForAll @LongRange(min = -1) long ageNanos) {
@@ -64,8 +64,8 @@
   }
 
   @Property(tries = 50)
-  void numbersAboveTheHighestAreNotDecoded(
-      @ForAll @LongRange(min = LeaseMessage.HIGHEST + 1) long number) {
+  void numbersAboveTheHighestBallotAreNotDecoded(
+      @ForAll @LongRange(min = LeaseMessage.HIGHEST_BALLOT + 1) long number) {
     LeaseMessage message = new LeaseMessage(LeaseMessage.Kind.REFUSED, "probe", 1, number);
     assertEquals(Optional.empty(), LeaseMessageCodec.decode(LeaseMessageCodec.encode(message)));
     TaskMessage taskMessage = TaskMessage.of(Kind.HIGHER_TERM_SEEN, "probe", number);
--- a/planning/src/main/java/org/amberpath/planning/MemberGrants.java
+++ b/planning/src/main/java/org/amberpath/planning/MemberGrants.java
@@ -5,14 +5,18 @@
 import java.util.stream.Stream;
 import org.amberpath.planning.QuotaLedger.OutstandingGrant;
 
-/** What a ledger knows of one member: its last request, and the grants that may be in force. */
+/** The state of one member in a ledger: its last request, and the grants that may be in force. */
 final class MemberGrants {
-  /** Past so many outstanding grants, nothing is granted until the member confirms one. */
+  /**
+   * The maximum number of outstanding grants, at which nothing is granted until the member confirms
+   * one.
+   */
   private static final int MAX_OUTSTANDING = 16;
 
   /**
-   * A grant. A share above the usual one may be used until {@code raisedUntilNanos}; one below is
-   * kept to, once confirmed, until {@code loweredUntilNanos} at the least.
+   * A grant. The member may use a share above the usual one until {@code raisedUntilNanos}. It
+   * keeps to a share below the usual one, once it has confirmed that, at least until {@code
+   * loweredUntilNanos}.
    */
   private static final class Grant {
     private final long number;
@@ -30,31 +34,31 @@
   }
 
   private final QuotaTimings timings;
-  private final double[] usual;
+  private final double[] usualShares;
   private final Deque<Grant> grants = new ArrayDeque<>();
   private long instanceId = Long.MIN_VALUE;
   private long sequenceNumber = Long.MIN_VALUE;
 
-  /** Every request from now on was made after this time of the leader's clock. */
+  /** The last request, and every later one, was made after this time of the leader's clock. */
   private long requestedAfterNanos = Long.MIN_VALUE;
 
-  MemberGrants(QuotaTimings timings, double[] usual) {
+  MemberGrants(QuotaTimings timings, double[] usualShares) {
     this.timings = timings;
-    this.usual = usual;
+    this.usualShares = usualShares;
   }
 
-  /** Takes over a grant of the term before; see {@link QuotaLedger.Handover}. */
-  void takeOver(OutstandingGrant outstanding, QuotaLedger.Handover handover) {
+  /** Adds a grant of the previous term; see {@link QuotaLedger.Handover}. */
+  void addHandedOver(OutstandingGrant outstanding, QuotaLedger.Handover handover) {
     instanceId = Math.max(instanceId, outstanding.instanceId());
-    // Numbers of the term before are below all of this one.
+    // Numbers of the previous term are mapped below all numbers of this term.
     Grant grant =
         new Grant(
             outstanding.number() - Long.MAX_VALUE,
-            handover.receivedAtNanos() + timings.longestNanos(outstanding.raisedLeftNanos()),
-            outstanding.loweredLeftNanos() == 0
+            handover.receivedAtNanos() + timings.longestNanos(outstanding.raisedRemainingNanos()),
+            outstanding.loweredRemainingNanos() == 0
                 ? Long.MIN_VALUE
                 : handover.requestedAtNanos()
-                    + timings.shortestNanos(outstanding.loweredLeftNanos()),
+                    + timings.shortestNanos(outstanding.loweredRemainingNanos()),
             outstanding.amounts().clone());
     grant.inForce = outstanding.inForce();
     if (grant.inForce && grant.loweredUntilNanos != Long.MIN_VALUE) {
@@ -66,13 +70,17 @@
     grants.add(grant);
   }
 
-  /** Takes what a request confirms; false where it is a duplicate or late. */
+  /**
+   * Applies the confirmation in a request. Returns false if the request is a duplicate or out of
+   * order.
+   */
   boolean requestReceived(QuotaRequest request, long term) {
     if (request.instanceId() < instanceId
         || (request.instanceId() == instanceId && request.sequenceNumber() <= sequenceNumber)) {
       return false;
     }
-    // A later start keeps to the minimum share, and no longer than to what it had before.
+    // A restarted member keeps to the minimum share for the hold time, so its use stays
+    // within the grants of its earlier start.
     instanceId = request.instanceId();
     sequenceNumber = request.sequenceNumber();
     if (request.term() == term) {
@@ -83,14 +91,14 @@
     return true;
   }
 
-  boolean isFull() {
+  boolean hasMaxOutstanding() {
     return grants.size() >= MAX_OUTSTANDING;
   }
 
-  /** Records a grant that is sent now. */
+  /** Records a grant that is sent to the member now. */
   void add(long number, long raisedUntilNanos, double[] amounts) {
-    // A member that has just started, and has heard of no leader, confirms nothing: the requests of
-    // the start before say how old its request is at the most.
+    // A member that has just started and has applied no grant confirms nothing: the
+    // requests of its previous start bound the age of its request.
     long loweredUntilNanos =
         requestedAfterNanos == Long.MIN_VALUE
             ? Long.MIN_VALUE
@@ -98,8 +106,11 @@
     grants.add(new Grant(number, raisedUntilNanos, loweredUntilNanos, amounts));
   }
 
-  /** Forgets what can't be in force; a confirmed grant stays, as it tells what came after. */
-  void forgetExpired(long nowNanos) {
+  /**
+   * Removes the grants that cannot be in force. A confirmed grant stays until a later one is
+   * confirmed, because it shows that the member uses this grant or a later one.
+   */
+  void removeExpired(long nowNanos) {
     grants.removeIf(
         grant ->
             !grant.inForce
@@ -107,49 +118,57 @@
                 && nowNanos > grant.raisedUntilNanos + timings.longestNanos(timings.holdNanos()));
   }
 
-  /** The most of a resource that this member may be using at a time. */
-  double mostUsed(int resource, long atNanos) {
-    double most = 0;
+  /** Returns the most of a resource that this member may be using at the given time. */
+  double maxUse(int resource, long atNanos) {
+    double maxAmount = 0;
     boolean confirmed = false;
     for (Grant grant : grants) {
       double amount = grant.amounts[resource];
-      if (amount >= usual[resource]) {
-        most = Math.max(most, atNanos <= grant.raisedUntilNanos ? amount : usual[resource]);
+      if (amount >= usualShares[resource]) {
+        maxAmount =
+            Math.max(maxAmount, atNanos <= grant.raisedUntilNanos ? amount : usualShares[resource]);
         confirmed |= grant.inForce;
       } else if (grant.inForce && atNanos >= grant.loweredUntilNanos) {
-        most = Math.max(most, usual[resource]);
+        maxAmount = Math.max(maxAmount, usualShares[resource]);
         confirmed = true;
       } else {
-        // If it was lost the grant before it is in force, which is counted by itself.
-        most = Math.max(most, amount);
+        // If this grant was lost, the previous one is in force, which is counted
+        // separately.
+        maxAmount = Math.max(maxAmount, amount);
         confirmed |= grant.inForce;
       }
     }
-    return confirmed ? most : Math.max(most, usual[resource]);
+    return confirmed ? maxAmount : Math.max(maxAmount, usualShares[resource]);
   }
 
-  /** What this member is counted with at the least until an end: as much takes from nobody. */
-  double leastCounted(int resource, long nowNanos, long endNanos) {
-    double least = mostUsed(resource, nowNanos);
+  /**
+   * Returns the least amount that this member is counted with until {@code endNanos}; a grant of
+   * that amount takes nothing from the other members.
+   */
+  double minCountedUse(int resource, long nowNanos, long endNanos) {
+    double minAmount = maxUse(resource, nowNanos);
     for (Grant grant : grants) {
       for (long atNanos : new long[] {grant.raisedUntilNanos + 1, grant.loweredUntilNanos}) {
         if (atNanos > nowNanos && atNanos <= endNanos) {
-          least = Math.min(least, mostUsed(resource, atNanos));
+          minAmount = Math.min(minAmount, maxUse(resource, atNanos));
         }
       }
     }
-    return least;
+    return minAmount;
   }
 
-  /** The times until an end at which a lower share of this member may run out. */
-  long[] endsOfLoweredShares(long nowNanos, long endNanos) {
+  /**
+   * Returns the times until {@code endNanos} at which a share of this member below the usual one
+   * may expire.
+   */
+  long[] loweredShareExpiries(long nowNanos, long endNanos) {
     return grants.stream()
         .mapToLong(grant -> grant.loweredUntilNanos)
         .filter(atNanos -> atNanos > nowNanos && atNanos <= endNanos)
         .toArray();
   }
 
-  /** The grants that may be in force, for the leader that follows. */
+  /** Returns the grants that may be in force, for the next leader. */
   Stream<OutstandingGrant> outstanding(int member, long nowNanos) {
     return grants.stream()
         .map(
--- a/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
+++ b/recovery/src/main/java/org/amberpath/recovery/RecoveryRamp.java
@@ -3,22 +3,30 @@
 import java.util.SplittableRandom;
 
 /**
- * How many requests a gateway admits that has started together with all others, by how many of
- * those that it admitted before have succeeded in time. Times are nanoseconds of one monotonic
- * clock. It decides on no endpoint.
+ * Admission control of a gateway that has started at the same time as all others. The admitted rate
+ * depends on how many of the previously admitted requests have succeeded in time. Times are
+ * nanoseconds of one monotonic clock. This class does not choose endpoints.
  */
 public final class RecoveryRamp {
   /** The phases, in order; none is entered twice. */
   public enum Phase {
     /**
-     * Endpoints and purges are not known yet, or whether other gateways run: nothing is admitted.
+     * Nothing is admitted, because the endpoints and purges are not known yet, or it is not known
+     * whether other gateways run.
      */
     LEARNING,
-    /** The rate that this gateway's share of the slow-start budgets allows. */
+    /** The admitted rate is what this gateway's share of the slow-start budgets allows. */
     INITIAL_RATE,
-    /** The rate that succeeded, and half as much again each {@value #STEP_MILLIS} ms. */
+    /**
+     * The admitted rate grows by half each {@value #STEP_MILLIS} ms while enough requests succeed,
+     * and falls to {@value #RATE_FACTOR} times the rate of successes, but not below the initial
+     * rate, if too few succeed.
+     */
     RAMP_UP,
-    /** All is admitted: nothing had to be rejected for a while, or other gateways ran on. */
+    /**
+     * Everything is admitted, because nothing had to be rejected for a while, or because other
+     * gateways did not restart.
+     */
     SERVING
   }
 
@@ -28,23 +36,23 @@
   private static final long MAX_LEARNING_NANOS = 3 * SECOND;
   private static final long MIN_RETRY_AFTER_NANOS = 100 * MS;
 
-  /** After so long without a rejection all is admitted. */
-  private static final long CALM_NANOS = 2 * SECOND;
+  /** The time without a rejection after which everything is admitted. */
+  private static final long MIN_NANOS_WITHOUT_REJECTION = 2 * SECOND;
 
   private static final double RATE_FACTOR = 1.5;
 
-  /** The rate is raised where this part of the admitted requests has succeeded, */
-  private static final double MIN_SUCCESSES_TO_RAISE = 0.8;
+  /** The rate is raised only if at least this fraction of the admitted requests has succeeded. */
+  private static final double MIN_SUCCESS_FRACTION_TO_RAISE = 0.8;
 
-  /** and this part of the rate was used. */
-  private static final double MIN_USE_TO_RAISE = 0.8;
+  /** The rate is raised only if at least this fraction of it was used. */
+  private static final double MIN_USED_FRACTION_TO_RAISE = 0.8;
 
-  /** The rate is lowered where less than this part has succeeded. */
-  private static final double MIN_SUCCESSES_TO_KEEP = 0.5;
+  /** The rate is lowered if less than this fraction of the admitted requests has succeeded. */
+  private static final double MIN_SUCCESS_FRACTION_TO_KEEP = 0.5;
 
   private static final double BURST_SECONDS = 0.25;
 
-  /** What was counted in one step. */
+  /** The counters of one step, which lasts {@value #STEP_MILLIS} ms. */
   private static final class Step {
     private final long startedAtNanos;
     private int admitted;
@@ -61,12 +69,12 @@
   private final SplittableRandom random;
   private Phase phase = Phase.LEARNING;
 
-  /** Requests a second. */
+  /** Requests per second. */
   private double initialRate;
 
   private double rate;
 
-  /** The token bucket: requests that may be admitted at once. */
+  /** The tokens in the bucket: how many requests may be admitted at once. */
   private double tokens;
 
   private long refilledAtNanos;
@@ -76,10 +84,11 @@
   private Step previousStep = new Step(0);
 
   /**
-   * A start.
+   * Creates the admission control of a gateway that starts now.
    *
-   * @param seed spreads the times of {@link #retryAfterNanos}
-   * @param maxRetryAfterNanos the longest of them; 0 where clients can't be told
+   * @param seed the seed of the random spread of {@link #retryAfterNanos}
+   * @param maxRetryAfterNanos the maximum of {@link #retryAfterNanos}; 0 if clients cannot be told
+   *     when to retry
    */
   public RecoveryRamp(long seed, long maxRetryAfterNanos, long nowNanos) {
     random = new SplittableRandom(seed);
@@ -92,7 +101,7 @@
     return phase;
   }
 
-  /** How many requests a second are admitted now. */
+  /** Returns how many requests per second are admitted now. */
   public double rate() {
     return switch (phase) {
       case LEARNING -> 0;
@@ -102,11 +111,12 @@
   }
 
   /**
-   * Endpoints and purges are known, or their sources have failed.
+   * Ends the learning phase: endpoints and purges are known, or their sources have failed.
    *
-   * @param allRestarted whether all gateways have started together, by what the others say and by
-   *     endpoints in slow start
-   * @param ratePerSecond the requests that this gateway's share of the slow-start budgets allows
+   * @param allRestarted whether all gateways have started at the same time, as far as reports of
+   *     the others and endpoints in slow start show
+   * @param ratePerSecond the requests per second that this gateway's share of the slow-start
+   *     budgets allows
    */
   public void startupCompleted(long nowNanos, boolean allRestarted, double ratePerSecond) {
     if (phase != Phase.LEARNING) {
@@ -117,14 +127,14 @@
     tokens = 1;
     refilledAtNanos = nowNanos;
     lastRejectedNanos = nowNanos;
-    Step first = new Step(nowNanos);
-    first.rejected = step.rejected;
-    first.succeeded = step.succeeded;
-    step = first;
+    Step firstStep = new Step(nowNanos);
+    firstStep.rejected = step.rejected;
+    firstStep.succeeded = step.succeeded;
+    step = firstStep;
     enter(allRestarted ? Phase.INITIAL_RATE : Phase.SERVING, nowNanos);
   }
 
-  /** The one place where the phase changes. */
+  /** Changes the phase; nothing else assigns it. */
   private void enter(Phase next, long nowNanos) {
     phase = next;
     if (next == Phase.SERVING) {
@@ -133,15 +143,15 @@
   }
 
   /**
-   * Several times a step. Sources that neither answer nor fail are not waited for without end: then
-   * it starts with what is known.
+   * Called several times per step. If sources neither answer nor fail within {@link
+   * #MAX_LEARNING_NANOS}, the learning phase ends without them.
    */
   public void tick(long nowNanos) {
     if (phase == Phase.LEARNING && nowNanos - startedAtNanos >= MAX_LEARNING_NANOS) {
       startupCompleted(nowNanos, true, 1);
     }
     if (phase == Phase.INITIAL_RATE || phase == Phase.RAMP_UP) {
-      if (nowNanos - lastRejectedNanos >= CALM_NANOS) {
+      if (nowNanos - lastRejectedNanos >= MIN_NANOS_WITHOUT_REJECTION) {
         enter(Phase.SERVING, nowNanos);
       } else if (nowNanos - step.startedAtNanos >= STEP_MILLIS * MS) {
         endStep(nowNanos);
@@ -153,13 +163,13 @@
     double seconds = (nowNanos - step.startedAtNanos) / 1e9;
     double admittedRate = step.admitted / seconds;
     double succeededRate = step.succeeded / seconds;
-    // What was admitted a step ago has succeeded by now, or is late.
+    // Requests that were admitted in the previous step have succeeded by now, or are late.
     int expected = Math.min(step.admitted, previousStep.admitted);
-    if (step.succeeded >= MIN_SUCCESSES_TO_RAISE * expected
-        && admittedRate >= MIN_USE_TO_RAISE * Math.min(rate, admittedRate + 1)) {
+    if (step.succeeded >= MIN_SUCCESS_FRACTION_TO_RAISE * expected
+        && admittedRate >= MIN_USED_FRACTION_TO_RAISE * Math.min(rate, admittedRate + 1)) {
       enter(Phase.RAMP_UP, nowNanos);
       rate = rate * RATE_FACTOR;
-    } else if (step.succeeded < MIN_SUCCESSES_TO_KEEP * expected) {
+    } else if (step.succeeded < MIN_SUCCESS_FRACTION_TO_KEEP * expected) {
       rate = Math.max(initialRate, succeededRate * RATE_FACTOR);
     }
     previousStep = step;
@@ -167,11 +177,12 @@
   }
 
   /**
-   * Whether a request is admitted.
+   * Returns whether a request is admitted.
    *
-   * @param continued whether it continues a client's session: such come before new ones
+   * @param continuesSession whether the request continues a client's session; such requests take
+   *     precedence over new sessions
    */
-  public boolean tryAdmit(long nowNanos, boolean continued) {
+  public boolean tryAdmit(long nowNanos, boolean continuesSession) {
     if (phase == Phase.SERVING) {
       return true;
     }
@@ -179,7 +190,7 @@
       double maxTokens = 1 + rate * BURST_SECONDS;
       tokens = Math.min(maxTokens, tokens + rate * (nowNanos - refilledAtNanos) / 1e9);
       refilledAtNanos = nowNanos;
-      if (tokens >= (continued ? 1 : 1 + (maxTokens - 1) / 4)) {
+      if (tokens >= (continuesSession ? 1 : 1 + (maxTokens - 1) / 4)) {
         tokens--;
         step.admitted++;
         return true;
@@ -190,35 +201,36 @@
     return false;
   }
 
-  /** An admitted request has succeeded in time. */
+  /** Records that an admitted request has succeeded in time. */
   public void requestSucceeded() {
     step.succeeded++;
   }
 
   /**
-   * When a rejected client is to come back: by how many are rejected and admitted, spread at
-   * random.
+   * Returns after what time a rejected client should retry, which depends on the numbers of
+   * rejected and admitted requests and is spread at random.
    *
-   * @param continued whether its request continues a session: such come back in half the time
-   * @return 0 where clients can't be told
+   * @param continuesSession whether the client's request continues a session; such clients retry
+   *     after half the time
+   * @return the time in nanoseconds; 0 if clients cannot be told when to retry
    */
-  public long retryAfterNanos(boolean continued) {
+  public long retryAfterNanos(boolean continuesSession) {
     if (maxRetryAfterNanos == 0) {
       return 0;
     }
     double perSecond = Math.max(1, phase == Phase.LEARNING ? 1 : rate);
     double backlogSeconds = Math.max(step.rejected, previousStep.rejected) / perSecond * 2;
-    double longest = maxRetryAfterNanos;
-    long span =
+    double maxNanos = maxRetryAfterNanos;
+    long maxWaitNanos =
         (long)
             Math.max(
-                Math.min(MIN_RETRY_AFTER_NANOS, longest),
-                Math.min(longest, backlogSeconds * SECOND));
-    long wait = span / 2 + random.nextLong(Math.max(1, span / 2));
-    return continued ? wait / 2 : wait;
+                Math.min(MIN_RETRY_AFTER_NANOS, maxNanos),
+                Math.min(maxNanos, backlogSeconds * SECOND));
+    long waitNanos = maxWaitNanos / 2 + random.nextLong(Math.max(1, maxWaitNanos / 2));
+    return continuesSession ? waitNanos / 2 : waitNanos;
   }
 
-  /** Since when it is SERVING; 0 before. */
+  /** Returns when the SERVING phase began; 0 before. */
   public long servingSinceNanos() {
     return servingSinceNanos;
   }
--- a/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecordedRecoveryTest.java
@@ -11,16 +11,16 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Holds every admission, phase and wait of {@link RecoveryRamp} where it was: 60 starts of 30 s
- * with random traffic and answers a seed give the actions recorded here, one digest a seed. A
- * change that is meant to keep behaviour must not alter a digest; a change of behaviour records new
- * ones and says why.
+ * Guards against unintended changes of behaviour: the digest of every admission, phase and retry
+ * time of {@link RecoveryRamp} in 60 starts of 30 s with random traffic and answers must equal the
+ * one recorded here, for each seed. A change that is meant to keep behaviour must not alter a
+ * digest; a change of behaviour records new digests and states the reason.
  */
 class RecordedRecoveryTest {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private static final int STARTS = 60;
-  private static final Map<Long, RecordedActions> PLAYED = new TreeMap<>();
+  private static final Map<Long, RecordedActions> ACTIONS = new TreeMap<>();
   private static final Map<Long, String> DIGESTS = new TreeMap<>();
 
   private static String digest(long seed) {
@@ -28,47 +28,47 @@
         seed,
         missing -> {
           RecordedActions actions = new RecordedActions();
-          PLAYED.put(seed, actions);
+          ACTIONS.put(seed, actions);
           SplittableRandom random = new SplittableRandom(seed);
           for (int start = 0; start < STARTS; start++) {
-            play(random, actions);
+            runStart(random, actions);
           }
           return actions.digest();
         });
   }
 
-  /** One start of a gateway with all others, with traffic and answers of its own. */
-  private static void play(SplittableRandom random, RecordedActions actions) {
+  /** Simulates one start of a gateway, with random traffic and answers. */
+  private static void runStart(SplittableRandom random, RecordedActions actions) {
     long now = random.nextLong(1000 * SECOND);
     long end = now + 30 * SECOND;
-    long learnedAt = now + random.nextLong(5 * SECOND);
+    long startupCompletedAt = now + random.nextLong(5 * SECOND);
     double requestsPerMilli = random.nextInt(6) == 0 ? 0 : random.nextDouble() * 0.4;
-    double answered = random.nextInt(4) == 0 ? 0.3 * random.nextDouble() : 1;
-    long maxWait = random.nextInt(5) == 0 ? 0 : random.nextLong(50 * MS, 10 * SECOND);
-    RecoveryRamp ramp = new RecoveryRamp(random.nextLong(), maxWait, now);
-    boolean learned = false;
+    double successProbability = random.nextInt(4) == 0 ? 0.3 * random.nextDouble() : 1;
+    long maxRetryAfter = random.nextInt(5) == 0 ? 0 : random.nextLong(50 * MS, 10 * SECOND);
+    RecoveryRamp ramp = new RecoveryRamp(random.nextLong(), maxRetryAfter, now);
+    boolean startupCompleted = false;
     RecoveryRamp.Phase before = ramp.phase();
     while (now < end) {
       now += random.nextLong(500_000, 2 * MS);
-      if (!learned && now >= learnedAt) {
-        learned = true;
+      if (!startupCompleted && now >= startupCompletedAt) {
+        startupCompleted = true;
         ramp.startupCompleted(now, random.nextInt(5) > 0, random.nextDouble() * 40);
       }
       if (random.nextInt(8) == 0) {
         ramp.tick(now);
       }
       if (random.nextInt(3000) == 0) {
-        answered = random.nextDouble();
+        successProbability = random.nextDouble();
         requestsPerMilli = random.nextDouble() * 0.4;
       }
       if (random.nextDouble() < requestsPerMilli) {
-        request(ramp, now, random, answered, actions);
+        request(ramp, now, random, successProbability, actions);
       }
       if (ramp.phase() != before) {
-        actions.record(phaseWord(before) + ">" + phaseWord(ramp.phase()), now, ramp.rate());
+        actions.record(recordedText(before) + ">" + recordedText(ramp.phase()), now, ramp.rate());
         before = ramp.phase();
       }
-      actions.record("state " + phaseWord(before), ramp.rate(), ramp.servingSinceNanos());
+      actions.record("state " + recordedText(before), ramp.rate(), ramp.servingSinceNanos());
     }
   }
 
@@ -76,20 +76,20 @@
       RecoveryRamp ramp,
       long now,
       SplittableRandom random,
-      double answered,
+      double successProbability,
       RecordedActions actions) {
-    boolean halfway = random.nextBoolean();
-    boolean admitted = ramp.tryAdmit(now, halfway);
-    actions.record(admitted ? "admitted" : "rejected", now, halfway);
+    boolean continuesSession = random.nextBoolean();
+    boolean admitted = ramp.tryAdmit(now, continuesSession);
+    actions.record(admitted ? "admitted" : "rejected", now, continuesSession);
     if (!admitted) {
-      actions.record("wait", ramp.retryAfterNanos(halfway));
-    } else if (random.nextDouble() < answered) {
+      actions.record("wait", ramp.retryAfterNanos(continuesSession));
+    } else if (random.nextDouble() < successProbability) {
       ramp.requestSucceeded();
     }
   }
 
-  /** The recorder's own words, which stay when a constant is renamed. */
-  private static String phaseWord(RecoveryRamp.Phase phase) {
+  /** Returns the recorded text of a phase, which stays the same when a constant is renamed. */
+  private static String recordedText(RecoveryRamp.Phase phase) {
     return switch (phase) {
       case LEARNING -> "learning";
       case INITIAL_RATE -> "trickle";
@@ -104,16 +104,19 @@
     "2, 14d8fbcfb130389da3bf688f4f24f0bf9044755cea3a3cd4fd178de1b15c2c5e",
     "3, 89b773a649a1ceca798a73acd35131b7e9903e32491bedcd3f20f552ec383753"
   })
-  void everyActionIsTheRecordedOne(long seed, String recorded) {
-    assertEquals(recorded, digest(seed), () -> "counted: " + PLAYED.get(seed).counts());
+  void actionsMatchRecordedDigest(long seed, String recorded) {
+    assertEquals(recorded, digest(seed), () -> "counted: " + ACTIONS.get(seed).counts());
   }
 
-  /** A digest of events that reach little would hold little: what they must reach. */
+  /**
+   * Guards against events that exercise too little for the digests to show a change: seed 1 must
+   * reach these actions, phases and transitions of phases.
+   */
   @Test
   void recordedEventsReachEveryActionPhaseAndTransition() {
     digest(1);
-    Map<String, Integer> counts = PLAYED.get(1L).counts();
-    for (String what :
+    Map<String, Integer> counts = ACTIONS.get(1L).counts();
+    for (String expected :
         new String[] {
           "admitted",
           "rejected",
@@ -128,7 +131,7 @@
           "trickle>serving",
           "ramp>serving"
         }) {
-      assertTrue(counts.getOrDefault(what, 0) > 0, what + " of " + counts);
+      assertTrue(counts.getOrDefault(expected, 0) > 0, expected + " of " + counts);
     }
   }
 }
--- a/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
+++ b/recovery/src/test/java/org/amberpath/recovery/RecoveryRampTest.java
@@ -7,24 +7,28 @@
 import org.amberpath.recovery.RecoveryRamp.Phase;
 import org.junit.jupiter.api.Test;
 
-/** One start of a gateway, with a hundred requests a second. */
+/** Admitted rate, phases and retry times during one start of a gateway. */
 class RecoveryRampTest {
   private static final long MS = 1_000_000;
   private static final long SECOND = 1000 * MS;
   private long now = SECOND;
   private final RecoveryRamp ramp = new RecoveryRamp(7, SECOND, now);
 
-  /** Lets time pass; of those admitted, each n-th succeeds. Returns how many were admitted. */
-  private int advance(long millis, int requestsPerSecond, int succeedsEach, boolean continued) {
+  /**
+   * Advances the clock under a constant request rate. Of the admitted requests each {@code
+   * succeedsEach}-th succeeds, none if 0. Returns how many were admitted.
+   */
+  private int advance(
+      long millis, int requestsPerSecond, int successInterval, boolean continuesSession) {
     int admitted = 0;
     long next = now;
     for (long end = now + millis * MS; now < end; now += MS) {
       ramp.tick(now);
       while (next <= now) {
         next += SECOND / requestsPerSecond;
-        if (ramp.tryAdmit(now, continued)) {
+        if (ramp.tryAdmit(now, continuesSession)) {
           admitted++;
-          if (succeedsEach > 0 && admitted % succeedsEach == 0) {
+          if (successInterval > 0 && admitted % successInterval == 0) {
             ramp.requestSucceeded();
           }
         }
@@ -38,7 +42,10 @@
     assertEquals(0, advance(2900, 100, 1, true));
     assertEquals(Phase.LEARNING, ramp.phase());
     advance(200, 100, 1, true);
-    assertEquals(Phase.INITIAL_RATE, ramp.phase(), "sources that never answer are not waited for");
+    assertEquals(
+        Phase.INITIAL_RATE,
+        ramp.phase(),
+        "learning ends after 3 s without an answer of the sources");
   }
 
   @Test
@@ -51,8 +58,9 @@
   @Test
   void admittedRateGrowsWithSuccessesUntilNothingIsRejected() {
     ramp.startupCompleted(now, true, 10);
-    int first = advance(500, 100, 1, false);
-    assertTrue(first >= 4 && first <= 10, first + " in the first half second");
+    int admittedFirst = advance(500, 100, 1, false);
+    assertTrue(
+        admittedFirst >= 4 && admittedFirst <= 10, admittedFirst + " in the first half second");
     advance(500, 100, 1, false);
     assertEquals(Phase.RAMP_UP, ramp.phase());
     advance(6000, 100, 1, false);
@@ -70,7 +78,8 @@
     advance(2000, 100, 4, false);
     assertTrue(ramp.rate() < before / 2, before + " -> " + ramp.rate());
     advance(3000, 100, 0, false);
-    assertEquals(10, ramp.rate(), "but never less than its share of the slow-start budgets");
+    assertEquals(
+        10, ramp.rate(), "the rate does not fall below the share of the slow-start budgets");
     assertEquals(Phase.RAMP_UP, ramp.phase());
   }
 
@@ -86,14 +95,14 @@
   @Test
   void continuedSessionsAreAdmittedFirstAndRetrySooner() {
     ramp.startupCompleted(now, true, 40);
-    int continued = 0;
-    int fresh = 0;
+    int continuedSessions = 0;
+    int newSessions = 0;
     for (int request = 0; request < 4000; request++, now += MS) {
       ramp.tick(now);
-      fresh += ramp.tryAdmit(now, false) ? 1 : 0;
-      continued += ramp.tryAdmit(now, true) ? 1 : 0;
+      newSessions += ramp.tryAdmit(now, false) ? 1 : 0;
+      continuedSessions += ramp.tryAdmit(now, true) ? 1 : 0;
     }
-    assertTrue(continued > 20 * fresh, continued + " and " + fresh);
+    assertTrue(continuedSessions > 20 * newSessions, continuedSessions + " and " + newSessions);
     long sum = 0;
     long continuedSum = 0;
     for (int client = 0; client < 100; client++) {
@@ -104,6 +113,7 @@
     }
     assertTrue(continuedSum < 0.6 * sum);
     assertFalse(
-        new RecoveryRamp(7, 0, now).retryAfterNanos(false) > 0, "where clients can't be told");
+        new RecoveryRamp(7, 0, now).retryAfterNanos(false) > 0,
+        "0 if clients cannot be told when to retry");
   }
 }
