--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Knowledge of drains and purges that may be too old to decide by. Times are milliseconds. */
+/**
+ * Tests when a gateway's knowledge of drains and purges is recent enough to make decisions. All
+ * times here are milliseconds.
+ */
 class DiscoveryFreshnessTest {
   private static final long GRACE = 250;
 
@@ -40,7 +43,7 @@
   void responseReadAfterAnEventLoopStallIsFollowedByAnotherPoll() {
     completeOnePoll();
     freshness.requestSent(11);
-    freshness.responseReceived(411); // It may have arrived at 12, before a purge at 13.
+    freshness.responseReceived(411); // The response may have arrived at 12, before a purge at 13.
     freshness.socketsRead(411);
     assertFalse(freshness.permitsDecisions(412));
     freshness.requestSent(412);
@@ -53,7 +56,7 @@
     completeOnePoll();
     freshness.requestSent(11);
     assertFalse(freshness.permitsDecisions(411));
-    freshness.socketsRead(411); // No response had arrived, so there was no event.
+    freshness.socketsRead(411); // No response had arrived, so there was no new event.
     assertTrue(freshness.permitsDecisions(412));
   }
 
@@ -85,8 +88,9 @@
   }
 
   /**
-   * An event loop that is blocked now and then for up to a second, and a journal some milliseconds
-   * away with events at random times: no decision is made without the events older than the grace.
+   * Simulates an event loop that is blocked at random times for up to a second, and a journal at a
+   * round trip of up to 30 ms that receives events at random times: a gateway may decide only if it
+   * knows all events that are older than the grace.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -116,10 +120,12 @@
     long stalledAt;
     int knownEvents;
 
-    /** When the response to the poll in flight arrives; negative for none. */
+    /**
+     * Time at which the response to the poll in flight arrives; negative if no poll is in flight.
+     */
     long replyAt = -1;
 
-    /** How many events that response holds. */
+    /** Number of events known once that response has been read, counted from the first one. */
     int replyEvents;
 
     Simulation(SplittableRandom random) {
@@ -133,7 +139,7 @@
     int run() {
       int decided = 0;
       while (now < END_MILLIS) {
-        long readAt = now; // The event loop reads its sockets.
+        long readAt = now; // In each turn the event loop first reads its sockets.
         stallAtTimes();
         if (replyAt >= 0 && replyAt <= readAt) {
           replyAt = -1;
@@ -144,13 +150,13 @@
         if (replyAt < 0) {
           poll();
         }
-        if (now >= tickDue) { // Then its timers.
+        if (now >= tickDue) { // Then it fires its timers.
           age.socketsRead(lastTick);
           lastTick = now;
           tickDue = now + TICK_MILLIS;
         }
         stallAtTimes();
-        if (age.permitsDecisions(now)) { // Then what it decides.
+        if (age.permitsDecisions(now)) { // Then it makes its decisions.
           decided++;
           assertEquals(
               eventsBy(now - GRACE), Math.min(knownEvents, eventsBy(now - GRACE)), "at " + now);
--- a/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Endpoints that drain, go, or come back under the index of another. */
+/**
+ * Tests endpoints that drain or are removed, and an endpoint that reuses the index of a removed
+ * one.
+ */
 class EndpointChangeTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What endpoints that have just started are sent. */
+/** Tests how many requests a recently started endpoint is sent. */
 class EndpointSlowStartTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -44,15 +44,19 @@
     for (long id = 1; id <= 200; id++) {
       host.request(id, id, 0);
     }
-    // A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which this
-    // gateway has a share.
+    // An initial fraction of 0.1, times a weight of 4 and an overload factor of 3, in an overload
+    // window of 1 s: 1.2 s of work, which is 12 requests of 0.1 s each. This gateway may send a
+    // part of them.
     assertTrue(
         host.sentAttempts.size() >= 2 && host.sentAttempts.size() <= 12,
         "sent " + host.sentAttempts.size());
     assertEquals(200, host.sentAttempts.size() + host.rejected.size());
   }
 
-  /** Found by a search for bad days: peers under overload are sent more than they return. */
+  /**
+   * Guards against a budget that follows the load on overloaded peers, which are sent more than
+   * they return; found by a search for failure scenarios.
+   */
   @Test
   void slowStartBudgetFollowsWhatPeersReturnNotWhatTheyAreSent() {
     host.weightIsSize = false;
@@ -72,8 +76,8 @@
   }
 
   /**
-   * Found by a search for bad days: small caches that restarted together were given the budget of
-   * the large ones.
+   * Guards small caches that restarted together against the budget of large ones; found by a search
+   * for failure scenarios.
    */
   @Test
   void slowStartBudgetFollowsWhatPeersOfTheSameKindReturn() {
@@ -98,8 +102,8 @@
   }
 
   /**
-   * Found by a search for bad days: caches and parents restarted together, and nearly every request
-   * was a fill.
+   * Guards a parent in slow start against fills beyond its budget. Found by a search for failure
+   * scenarios: caches and parents restarted together, and nearly every request was a fill.
    */
   @Test
   void parentInSlowStartIsChargedInFullForRequestsAtCachesInSlowStart() {
@@ -119,8 +123,9 @@
     }
     long attemptsThroughParent =
         host.sentAttempts.stream().skip(before).filter(sent -> sent.source() == 5).count();
-    // A tenth of 4 transfers, times 2, for a second: 0.8 s of work of 0.1 s each, of which this
-    // gateway has less than a third.
+    // An initial fraction of 0.1, times a weight of 4 and an overload factor of 2, in an overload
+    // window of 1 s: 0.8 s of work, which is 8 requests of 0.1 s each. This gateway's share is less
+    // than a third of them.
     assertTrue(attemptsThroughParent <= 2, "attempts " + attemptsThroughParent);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/FakeHost.java
+++ b/routing/src/test/java/org/amberpath/routing/FakeHost.java
@@ -8,23 +8,28 @@
 import java.util.function.Consumer;
 
 /**
- * The host of one router under test: configures it for a small zone, passes events to it, fires its
- * timer and records what it decides. Milliseconds where a name says so, else nanoseconds.
+ * Hosts one router under test: provides the configuration, delivers events in batches, runs the
+ * virtual clock and the timer, and records the router's actions. Times are nanoseconds, except
+ * where a name says milliseconds.
  *
- * <p>Endpoints 0 to 3 are edge caches of the gateway's own zone, 4 is one of another zone, 5 and 6
- * are parents, 7 is the origin. All have a weight of 4.
+ * <p>Endpoints 0 to 3 are edge caches in the gateway's own zone, 4 is an edge cache in another
+ * zone, 5 and 6 are parents, and 7 is the origin. All have a weight of 4.
  */
 final class FakeHost implements RoutingConfig, RoutingActions {
   static final long MS = 1_000_000L;
 
-  /** How long the client of a request waits for it. */
+  /** How long a client waits for the response to its request. */
   static final long CLIENT_TIMEOUT_NANOS = 2000 * MS;
 
   private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * MS;
   private static final int GROUP = 9;
   private static final double KILOBYTES = 100;
 
-  /** An attempt that the router has sent, with its number within its request. */
+  /**
+   * An attempt that the router has sent; the other components are those of {@link AttemptCommand}.
+   *
+   * @param attempt number of the attempt within its request, from 0
+   */
   record SentAttempt(
       long requestId,
       int attempt,
@@ -53,10 +58,16 @@
   final List<Long> failed = new ArrayList<>();
   final List<String> cancelled = new ArrayList<>();
 
-  /** Endpoints that the router reports as suspect, in the order of the reports. */
+  /**
+   * Endpoints whose latest reported status is {@link EndpointHealthStatus#SUSPECT}, in the order of
+   * the reports.
+   */
   final List<Integer> suspected = new ArrayList<>();
 
-  /** Endpoints that the router reports as responsive. */
+  /**
+   * The endpoint of each report of {@link EndpointHealthStatus#RESPONSIVE}, in the order of the
+   * reports.
+   */
   final List<Integer> responsive = new ArrayList<>();
 
   final List<Integer> warmingUp = new ArrayList<>();
@@ -67,7 +78,10 @@
   private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
   private long timerAtNanos = Long.MAX_VALUE;
 
-  /** Adds a full list, in the given order, to the next batch. */
+  /**
+   * Adds a full endpoint list, in the given order, to the next batch; all listed endpoints are up
+   * and warm.
+   */
   FakeHost listEndpoints(int... order) {
     events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
     for (int endpoint : order) {
@@ -77,7 +91,10 @@
     return this;
   }
 
-  /** Starts the router anew under another traffic class, knowing nothing but the endpoints. */
+  /**
+   * Replaces the router with a new one for the given traffic class, which knows nothing but the
+   * endpoint list.
+   */
   void configure(Idempotency idempotency, IdempotencyScope scope, boolean neverCached) {
     this.idempotency = idempotency;
     idempotencyScope = scope;
@@ -86,12 +103,16 @@
     listEndpoints();
   }
 
-  /** Lists all endpoints as warm. */
+  /** Delivers a full list of all eight endpoints, up and warm. */
   FakeHost listEndpoints() {
     return listEndpoints(0, 1, 2, 3, 4, 5, 6, 7).decide();
   }
 
-  /** Lists one endpoint as changed; it started at that time, or long ago for 0. */
+  /**
+   * Delivers a list of changes that contains one endpoint.
+   *
+   * @param startedAtNanos time of the endpoint's start; 0 if it has long been running
+   */
   FakeHost changeEndpoint(int endpoint, EndpointState state, long startedAtNanos) {
     events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
     events.add(to -> listEndpoint(to, endpoint, state, startedAtNanos));
@@ -119,21 +140,30 @@
   }
 
   /**
-   * A request of the next id arrives.
+   * Delivers a client's request with the next ID.
    *
-   * @return the attempt that was sent for it, or null
+   * @return the attempt that was sent for the request; null if none was sent
    */
   SentAttempt request(long object, int part) {
     return request(lastRequestId + 1, object, part);
   }
 
-  /** The same with a given id. */
+  /**
+   * Delivers a client's request with the given ID.
+   *
+   * @return the latest attempt of the request; null if none was sent
+   */
   SentAttempt request(long id, long object, int part) {
     deliver(to -> to.requestReceived(details(id, object, part, CLIENT_TIMEOUT_NANOS)));
     return lastAttempt(id);
   }
 
-  /** A request that is answered from a cached copy at once. */
+  /**
+   * Delivers a client's request and reports that its attempt returned a cached copy after 50 ms;
+   * the clock does not advance.
+   *
+   * @return the attempt
+   */
   SentAttempt requestWithHit(long object, int part) {
     SentAttempt attempt = request(object, part);
     succeed(attempt, 50, ResponseDetail.HIT);
@@ -141,10 +171,11 @@
   }
 
   /**
-   * The gateway makes a synthetic request.
+   * Delivers a synthetic request.
    *
-   * @param endpoint the endpoint to check, or {@link RoutingEventHandler#NO_ENDPOINT}
-   * @return the attempt that was sent for it, or null
+   * @param endpoint the endpoint whose health is checked, or {@link
+   *     RoutingEventHandler#NO_ENDPOINT} for a prefetch
+   * @return the attempt that was sent for the request; null if none was sent
    */
   SentAttempt syntheticRequest(long object, int part, int endpoint) {
     long id = lastRequestId + 1;
@@ -160,12 +191,12 @@
     return new RequestDetails(id, 0, object, GROUP, part, timeLeftNanos, KILOBYTES, false);
   }
 
-  /** The latest attempt of the latest request, or null. */
+  /** Returns the latest attempt of the request with the highest ID; null if there is none. */
   SentAttempt lastAttempt() {
     return lastAttempt(lastRequestId);
   }
 
-  /** The latest attempt of a request, or null. */
+  /** Returns the latest attempt of a request; null if there is none. */
   SentAttempt lastAttempt(long id) {
     return sentAttempts.stream()
         .filter(attempt -> attempt.requestId == id)
@@ -173,7 +204,7 @@
         .orElse(null);
   }
 
-  /** An attempt ends; its request is finished if it succeeded. */
+  /** Reports the end of an attempt; a successful attempt finishes its request. */
   FakeHost endAttempt(
       SentAttempt attempt, AttemptOutcome outcome, long durationMillis, ResponseDetail detail) {
     boolean requestFinished = outcome == AttemptOutcome.SUCCEEDED;
@@ -191,12 +222,16 @@
     return decide();
   }
 
-  /** An attempt succeeds. */
+  /** Reports that an attempt has succeeded. */
   FakeHost succeed(SentAttempt attempt, long durationMillis, ResponseDetail detail) {
     return endAttempt(attempt, AttemptOutcome.SUCCEEDED, durationMillis, detail);
   }
 
-  /** Has an edge cache ejected by a connect that fails, and returns its index. */
+  /**
+   * Ejects an edge cache through a failed connect, and lets the retry at another endpoint succeed.
+   *
+   * @return index of the ejected edge cache
+   */
   int ejectOneEndpoint() {
     SentAttempt attempt = request(5, 0);
     endAttempt(attempt, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
@@ -205,7 +240,7 @@
     return attempt.endpoint();
   }
 
-  /** Passes an event to the router, in a batch of its own. */
+  /** Delivers an event to the router, in one batch with the events that were added before it. */
   FakeHost deliver(Consumer<RoutingEventHandler> event) {
     events.add(event);
     return decide();
@@ -227,7 +262,7 @@
     warmingUp.add(endpoint);
   }
 
-  /** Lets time pass, and fires the timer when it is due. */
+  /** Advances the clock and fires the timer each time it is due. */
   FakeHost advanceMillis(long millis) {
     long untilNanos = nowNanos + millis * MS;
     while (timerAtNanos <= untilNanos) {
@@ -239,7 +274,10 @@
     return this;
   }
 
-  /** Has the router decide on all events since the last batch. */
+  /**
+   * Delivers the events added since the last batch to the router, which is created if there is
+   * none.
+   */
   FakeHost decide() {
     router = router == null ? new RequestRouter(this) : router;
     router.decide(nowNanos, to -> events.forEach(event -> event.accept(to)), this);
--- a/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -6,11 +6,14 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** What many gateways together send an endpoint in slow start, each by its share. */
+/**
+ * Tests how many requests many gateways together send an endpoint in slow start, each gateway by
+ * its share.
+ */
 class FleetShareTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
-  /** Each of one hundred gateways has a share of less than one request of the budget. */
+  /** Each of the 100 gateways has a share of the budget that is less than one request. */
   @Test
   void oneHundredGatewaysTogetherUseAndKeepTheSlowStartBudget() {
     int sent = 0;
@@ -28,16 +31,18 @@
       }
       sent += gatewayHost.sentAttempts.size();
     }
-    // A tenth to 0.28 of 4 transfers, times 3, for two seconds: 4.5 s of work of 0.1 s each.
+    // The capacity rises from 0.1 to 0.28 of a weight of 4; times an overload factor of 3, for 2 s:
+    // 4.5 s of work, which is 45 requests of 0.1 s each.
     assertTrue(sent >= 5 && sent <= 30, "sent " + sent);
   }
 
   /**
-   * The attempts at an endpoint in slow start in two seconds, from more gateways than are
-   * configured.
+   * Returns how many attempts the gateways together send an endpoint in slow start within 2 s.
    *
-   * @param share the share that each gateway is granted; negative where the fleet grants none and
-   *     the configured number holds
+   * @param gateways number of gateways that send requests
+   * @param configuredGateways number of gateways in the zone by the configuration
+   * @param share the share granted to each gateway, 0 to 1; negative if the fleet reports none, so
+   *     that the configured number applies
    */
   private static int countAttemptsInSlowStart(int gateways, int configuredGateways, double share) {
     int sent = 0;
--- a/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -10,7 +10,10 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Reports of the gateway that checks ejected endpoints for all, and what is reported to it. */
+/**
+ * Tests the reports of the gateway that checks ejected endpoints on behalf of all, and the health
+ * statuses that are reported to that gateway.
+ */
 class HealthReportTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Event loops that are late, for a moment or for long. */
+/** Tests event loops that are late in single turns, and ones that are late continuously. */
 class LoadShedderTest {
   private static final long MS = 1_000_000;
   private static final long TICK_NANOS = 10 * MS;
@@ -37,7 +37,10 @@
     assertFalse(loadShedder.isShedding());
   }
 
-  /** An event loop that can serve a thousand requests a second, and receives a multiple of that. */
+  /**
+   * Simulates an event loop that can serve 1,000 requests per second and receives a multiple of
+   * that.
+   */
   @ParameterizedTest
   @ValueSource(doubles = {1.2, 3, 10})
   void overloadedEventLoopIsSoonOnTimeAndStaysBusy(double overloadFactor) {
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Two authoritative sources, while endpoints move from one to the other. */
+/** Tests the merged list of two authoritative sources while endpoints move between them. */
 class MergedEndpointListsTest {
   private final Map<String, EndpointState> listedStates = new TreeMap<>();
   private final MergedEndpointLists merged =
--- a/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
@@ -7,7 +7,7 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that crash, hang or lose responses. */
+/** Tests endpoints that are unreachable, hang or lose responses. */
 class OutlierEjectionTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Found on incident ie243ac: single responses were cut off everywhere, and each time a cache was
-   * ejected.
+   * Guards against ejecting an endpoint for single lost responses. Found on incident ie243ac:
+   * single responses were cut off at all caches, and each time a cache was ejected.
    */
   @Test
   void endpointThatLosesSingleResponsesButReturnsOthersIsNotEjected() {
@@ -60,7 +60,7 @@
     assertTrue(host.cancelled.contains(stalled.requestId() + "/0"));
   }
 
-  /** The one edge cache that responds must not get all keys of the others. */
+  /** Guards the only edge cache that responds against receiving all keys of the others. */
   @Test
   void noEndpointIsEjectedWhileMostPeersAreSilent() {
     for (int i = 0; i < 60; i++) {
--- a/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
@@ -8,11 +8,14 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Concurrency limits of edge caches, fill sources and the origin. */
+/** Tests the concurrency limits of edge caches, fill sources and the origin. */
 class OverloadRoutingTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
-  /** Found on incident i42021b: the origin holds everything, so that cached-only binds nothing. */
+  /**
+   * Guards a saturated origin against fills while no parent is up. Found on incident i42021b: the
+   * origin has every object, so sending it attempts as cached-only did not limit its load.
+   */
   @Test
   void saturatedOriginIsNoFillSourceEvenWithoutParents() {
     host.changeEndpoint(5, EndpointState.GONE, 0).changeEndpoint(6, EndpointState.GONE, 0);
@@ -26,7 +29,8 @@
   }
 
   /**
-   * Found with a slow origin: fills of both parents timed out, and all fills went to the origin.
+   * Guards against sending all fills straight to the origin. Found with a slow origin: fills
+   * through both parents timed out, and then all fills went to the origin.
    */
   @Test
   void parentsStayFillSourcesWhileTheOriginFails() {
@@ -45,7 +49,10 @@
     assertTrue(host.request(500, 0).source() != 7);
   }
 
-  /** Found under overload and on three incidents: misses queued, and hits waited behind them. */
+  /**
+   * Guards against hits that wait behind queued misses; found under overload and on three
+   * incidents.
+   */
   @Test
   void lateFillsMakeAttemptsCachedOnlyAndMissesAreRejected() {
     for (int i = 0; i < 60; i++) {
@@ -61,9 +68,7 @@
     assertEquals(List.of(cachedOnly.requestId()), host.rejected);
   }
 
-  /**
-   * Found with a slow origin: requests were rejected though a stale copy would have served them.
-   */
+  /** Guards against rejecting requests that a stale copy can serve; found with a slow origin. */
   @Test
   void lateOriginAllowsStaleCopiesWithoutRevalidation() {
     host.freshNanos = 5000 * MS;
@@ -97,7 +102,10 @@
     assertTrue(host.rejected.size() > 50, "rejected " + host.rejected.size());
   }
 
-  /** Found under overload: requests over the limit went straight to a parent and overloaded it. */
+  /**
+   * Guards against overload of a parent. Found under overload: requests over the limits of the edge
+   * caches were sent straight to a parent.
+   */
   @Test
   void requestsOverTheLimitDoNotBypassTheEdgeCaches() {
     host.bypassAllowed = true;
@@ -106,8 +114,9 @@
   }
 
   /**
-   * Found with one response in a hundred lost: the parents' limits closed, and a sixth of the
-   * requests was rejected.
+   * Guards against lost responses that lower a limit. Found when one response in a hundred was
+   * lost: the parents' limits fell until they had no room, and a sixth of the requests was
+   * rejected.
    */
   @Test
   void lostResponsesDoNotCutTheLimitOfAResponsiveSource() {
--- a/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bound on the age of copies after a purge. */
+/**
+ * Tests the bound on the age of copies after a purge of one object, of one group or of all groups.
+ */
 class PurgedCopiesTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
@@ -14,8 +14,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Faults after ten quiet minutes are handled as at the start: at the start, without requests, and
- * with one request in 5 s or in 50 s.
+ * Tests that a fault after ten quiet minutes is handled as it is right after the start. In each
+ * test the first argument is the interval between the requests of the quiet period, in
+ * milliseconds: 5,000 or 50,000; 0 for a quiet period without requests; -1 for no quiet period.
  */
 @SuppressWarnings("ReferenceEquality") // Compares the recorded attempts by identity.
 class QuietThenFaultTest {
@@ -42,7 +43,8 @@
   }
 
   /**
-   * A request for an object of its own, answered at once unless it goes to the endpoint that hangs.
+   * Delivers a request for an object that no other request is for, and reports a hit at once unless
+   * the request went to the endpoint that hangs.
    */
   private SentAttempt requestUnlessHung(int hung) {
     SentAttempt sent = host.request(++lastRequestId, 100_000 + lastRequestId, 0);
@@ -119,8 +121,9 @@
   }
 
   /**
-   * A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which this
-   * gateway has a share.
+   * The bound is an initial fraction of 0.1, times a weight of 4 and an overload factor of 3, in an
+   * overload window of 1 s: 1.2 s of work, which is 12 requests of 0.1 s each. This gateway may
+   * send a part of them.
    */
   @ParameterizedTest
   @CsvSource({
@@ -149,8 +152,8 @@
   }
 
   /**
-   * Among warm peers: a thin slice of the keys at first, most of its share half way through its
-   * warm-up.
+   * Among warm peers, an endpoint in slow start receives a small fraction of its keys at first, and
+   * most of them halfway through its warm-up of 10 s.
    */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
@@ -192,7 +195,9 @@
     assertEquals(0, host.request(++lastRequestId, 5, 0).maxAgeNanos());
   }
 
-  /** The retry budget saves no more in a quiet period than it holds at the start. */
+  /**
+   * The retry budget saves no more tokens in a quiet period than the 40 that it holds at the start.
+   */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
   void retriesAreLimitedToAShareOfTheRequests(long intervalMillis) {
--- a/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -29,7 +29,7 @@
   void leastRecentRequestIsEvictedAndCountsDecay() {
     addAll(1, 1, 2, 2, 3, 3, 4, 4);
     recent.startPass();
-    recent.startPass(); // All requested twice now count once.
+    recent.startPass(); // The first pass halved each count from 2 to 1.
     assertNull(recent.nextInPass());
     addAll(2);
     recent.startPass();
--- a/routing/src/test/java/org/amberpath/routing/RecordedActions.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedActions.java
@@ -8,19 +8,23 @@
 import java.util.TreeMap;
 
 /**
- * A digest of all actions in order, with all their arguments, and how often each came. The digests
- * hold an action's recorded text, whatever its method is called now.
+ * Records the router's actions: a digest over all of them, in order and with all arguments, and the
+ * number of each. An action's name in the digest is a stored form; it stays when a method of {@link
+ * RoutingActions} is renamed.
  */
 final class RecordedActions {
   private static final int MAX_ARGUMENTS = 7;
 
-  /** How often each action, outcome and detail came: shows what the events reach. */
+  /**
+   * Number of occurrences by name, of actions, outcomes, details and other events; shows what the
+   * digest covers.
+   */
   private final Map<String, Integer> counts = new TreeMap<>();
 
   private final MessageDigest digest = sha256();
   private final ByteBuffer buffer = ByteBuffer.allocate((1 + MAX_ARGUMENTS) * Long.BYTES);
 
-  /** Adds an action to the digest, and counts it. */
+  /** Adds an action to the digest and counts it. */
   void add(String action, long... arguments) {
     count("action " + action);
     buffer.clear();
@@ -31,17 +35,17 @@
     digest.update(buffer.flip());
   }
 
-  /** Counts what is not part of the digest. */
+  /** Counts an occurrence that is not part of the digest. */
   void count(String what) {
     counts.merge(what, 1, Integer::sum);
   }
 
-  /** How often each came. */
+  /** Returns the number of occurrences by name; names of actions begin with "action ". */
   Map<String, Integer> counts() {
     return counts;
   }
 
-  /** The digest of all actions so far, as hexadecimal digits; afterwards it begins anew. */
+  /** Returns the digest of all actions so far, in hexadecimal, and resets it; the counts stay. */
   String finishDigest() {
     return HexFormat.of().formatHex(digest.digest());
   }
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -11,17 +11,17 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards every decision against change: 10,000 rounds of random events a seed give the actions
- * recorded here, one digest a seed, to the last argument and in the same order. A change that is
- * meant to keep behaviour must not alter a digest; a change of behaviour records new ones and says
- * why. The decisions use logarithms and powers, whose last bit may differ on another kind of
- * processor: the digests were recorded on x86-64.
+ * Guards against unintended changes of routing decisions. For each setting and seed, the router
+ * decides on 10,000 batches of random events, and one digest covers all its actions, with all
+ * arguments and in order. A change that is meant to preserve behaviour must not alter a digest; a
+ * change of behaviour records new digests and says why. The decisions use logarithms and powers,
+ * whose last bit may differ on another kind of processor: the digests were recorded on x86-64.
  */
 class RecordedDecisionsTest {
   private static final Map<String, SeededWorld> WORLDS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  /** The one place that knows the class under test. */
+  /** Returns the decisions of a new router; nothing else here refers to the class under test. */
   private static SeededWorld.Module module(RoutingConfig config) {
     return new RequestRouter(config)::decide;
   }
@@ -59,7 +59,10 @@
         () -> "counted: " + WORLDS.get(setting + " " + seed).counts());
   }
 
-  /** A digest holds only what its events reach: what the worlds must reach, over one seed each. */
+  /**
+   * Guards against digests that cover too little: one seed of each setting must together cause
+   * every action, outcome and detail.
+   */
   @Test
   void recordedEventsReachEveryActionOutcomeAndDetail() {
     Map<String, Integer> counts = new TreeMap<>();
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -38,7 +38,10 @@
     assertEquals(300, (float) large, 60);
   }
 
-  /** Skipped logarithms must not change the selection: compared with the full scores. */
+  /**
+   * Guards the shortcut that skips logarithms: the selection must equal that by the complete
+   * scores.
+   */
   @Test
   void highestScoreIsChosenAmongEndpointsOfManyWeights() {
     Endpoint[] candidates = new Endpoint[300];
--- a/routing/src/test/java/org/amberpath/routing/RequestRetryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRetryTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Retries and hedged requests: never an effect twice, and only a share of the requests. */
+/**
+ * Tests retries and hedged requests: no request takes effect twice, and retries are limited to a
+ * fraction of the requests.
+ */
 @SuppressWarnings("ReferenceEquality") // Compares the recorded attempts by identity.
 class RequestRetryTest {
   private final FakeHost host = new FakeHost().listEndpoints();
@@ -106,7 +109,8 @@
   }
 
   /**
-   * Found with one response in a hundred lost: lost ones stayed in the limits until the timeout.
+   * Guards against lost responses that occupy the limits. Found when one response in a hundred was
+   * lost: each lost one counted in the limits until its timeout.
    */
   @Test
   void overtakenFillIsHedgedAndCountsInNoLimit() {
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The ordinary path of a request: admission to caches, and the route by hash. */
+/**
+ * Tests requests without faults: which segments the caches admit, and which routes rendezvous
+ * hashing selects.
+ */
 class RequestRouterTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -79,7 +82,7 @@
     }
   }
 
-  /** Where gateways share a zone, most starts of an object go by other gateways. */
+  /** Where gateways share a zone, other gateways receive most of the starts of an object. */
   @ParameterizedTest
   @CsvSource({"1, 0", "10, 2"})
   void partOutOfSequenceCountsAsAStartWhereGatewaysShareAZone(int gateways, int rank) {
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -8,7 +8,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is known of a request's time where the event loop was late. Times are milliseconds here. */
+/**
+ * Tests deadlines, socket reads and accepted connections after the event loop was late. Times are
+ * milliseconds, multiplied by {@link #MS} where nanoseconds are expected.
+ */
 class RequestTimesTest {
   private static final long MS = 1_000_000;
 
@@ -55,11 +58,11 @@
     accept(lag, 1, 1, 1000, 0);
     assertEquals(0, lag.lagNanos(1, 1000 * MS));
     lag.turnEnded(1000 * MS);
-    accept(lag, 2, 17, 2000, 900); // The first pass after the event loop lag.
+    accept(lag, 2, 17, 2000, 900); // The first pass after a lag of 900 ms.
     lag.turnEnded(2000 * MS);
     accept(lag, 18, 33, 2030, 0);
     lag.turnEnded(2030 * MS);
-    accept(lag, 34, 40, 2060, 0); // Fewer than one pass takes: the queue is empty.
+    accept(lag, 34, 40, 2060, 0); // Fewer than the 16 that one pass accepts: the queue is empty.
     assertEquals(960, lag.lagNanos(40, 2060 * MS) / MS);
     assertEquals(960, lag.lagNanos(18, 2060 * MS) / MS);
     lag.turnEnded(2060 * MS);
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -15,8 +15,8 @@
   private final RetryPolicy policy = parts.retryPolicy;
 
   /**
-   * After an attempt at endpoint 0 that may have run: endpoint 2 is of its cell, 1 of its zone, 5
-   * of neither.
+   * The request may have executed at endpoint 0. Endpoint 2 is in the same cell, endpoint 1 in
+   * another cell of the same zone, and endpoint 5 in another zone.
    */
   @ParameterizedTest
   @CsvSource({
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -3,8 +3,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The parts of a router, wired as in {@link RequestRouter}, over the endpoints of {@link FakeHost}:
- * for tests of single parts.
+ * The components of a router, wired as in {@link RequestRouter}, with the endpoints of {@link
+ * FakeHost}; used by tests of single components.
  */
 final class RoutingParts {
   static final long MS = 1_000_000L;
@@ -34,7 +34,10 @@
       new ClusterManager(host, share, endpoints, slowStart, limiter, new SplittableRandom(1));
   private long ids;
 
-  /** Edge caches 0 to 3 in the zone, 4 in another, parents 5 and 6, origin 7, all warm. */
+  /**
+   * Lists the endpoints, all up and warm: edge caches 0 to 3 in the gateway's zone, edge cache 4 in
+   * another zone, parents 5 and 6, and origin 7.
+   */
   RoutingParts() {
     cluster.beginList(EndpointListKind.FULL);
     for (int index = 0; index <= ORIGIN; index++) {
@@ -43,7 +46,7 @@
     cluster.endList(START);
   }
 
-  /** The traffic class of requests from now on. */
+  /** Sets the traffic class of requests that are created from now on. */
   void configure(Idempotency idempotency, IdempotencyScope scope) {
     host.idempotency = idempotency;
     host.idempotencyScope = scope;
@@ -67,7 +70,7 @@
     return new Batch(nowNanos, host);
   }
 
-  /** A request with two seconds left and a patience of 100 ms. */
+  /** Creates a request that has two seconds left and a soft timeout of 100 ms. */
   InFlightRequest request(long object) {
     InFlightRequest request =
         new InFlightRequest(
@@ -78,7 +81,7 @@
     return request;
   }
 
-  /** A request's next attempt, sent at the start. */
+  /** Creates the next attempt of a request, sent at {@link #START}, and adds it to the request. */
   Attempt attempt(InFlightRequest request, int endpoint, int source) {
     Route route = new Route(endpoint(endpoint), endpoint(source), false);
     Attempt attempt =
--- a/routing/src/test/java/org/amberpath/routing/SeededConfig.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededConfig.java
@@ -2,15 +2,21 @@
 
 import java.util.Optional;
 
-/** The configuration of the gateway in a {@link SeededWorld}, by setting. */
+/** The configuration of the gateway in a {@link SeededWorld}, which depends on the setting. */
 final class SeededConfig implements RoutingConfig {
-  /** What the gateway is configured with, and how much traffic it gets. Their order is recorded. */
+  /**
+   * Selects the gateway's configuration and its traffic. The ordinals are part of the random seeds,
+   * and so of the recorded digests.
+   */
   enum Setting {
-    /** One gateway; hedging, cancellation, weights, transfer rate, a large catalogue. */
+    /** A single gateway; hedging, cancellation, weights, a transfer rate and many objects. */
     ALONE,
-    /** One of twenty gateways in the zone and sixty in all; all features, copies that expire. */
+    /** One of 20 gateways in the zone and 60 in all; all features, and copies that expire. */
     TWENTY,
-    /** No weights, cancellation, transfer rate or Retry-After; a list by subscription; bypass. */
+    /**
+     * No weights, cancellation, transfer rate or Retry-After; the endpoint list is subscribed to,
+     * and bypass is allowed.
+     */
     PLAIN,
     /** No hedging, parents or coalescing; four edge caches that are mostly overloaded. */
     NARROW
--- a/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
@@ -7,9 +7,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 
-/** Endpoints that end the attempts of a {@link SeededWorld}, well or with faults. */
+/**
+ * Simulates the endpoints of a {@link SeededWorld}: ends each attempt with a response or a fault,
+ * by the behaviours of its endpoint and its fill source.
+ */
 final class SeededEndpoints {
-  /** How an endpoint answers. The order is part of the recorded seeds. */
+  /**
+   * How an endpoint responds. Random draws select by ordinal, so the order is part of the recorded
+   * digests.
+   */
   enum Behaviour {
     HEALTHY,
     SLOW,
@@ -48,12 +54,12 @@
     behaviours.put(endpoint, behaviour);
   }
 
-  /** The requests with open attempts, by id. */
+  /** Returns the IDs of the requests with open attempts, in ascending order. */
   List<Long> openRequests() {
     return List.copyOf(open.keySet());
   }
 
-  /** Takes an attempt, and schedules its end. */
+  /** Accepts an attempt and schedules its end. */
   void accept(AttemptCommand command) {
     int number = attemptCounts.merge(command.requestId(), 1, Integer::sum) - 1;
     recorded.count("attempt " + number);
@@ -64,7 +70,7 @@
     respond(attempt, command.deadlineNanos(), command.source(), cachedOnly);
   }
 
-  /** Ends an attempt as cancelled, at once. */
+  /** Schedules the end of an open attempt as cancelled, for the current time. */
   void cancel(long requestId, int number) {
     for (SentAttempt attempt : List.copyOf(open.getOrDefault(requestId, List.of()))) {
       if (attempt.number == number) {
@@ -81,7 +87,10 @@
     }
   }
 
-  /** Schedules how an attempt ends, by how its endpoint and the source of its fill behave. */
+  /**
+   * Schedules how an attempt ends. The behaviour is that of the endpoint; if the endpoint is
+   * healthy and needs a fill, it is that of the fill source.
+   */
   private void respond(SentAttempt attempt, long deadlineNanos, int source, boolean cachedOnly) {
     boolean hit = withProbability(hitProbability);
     Behaviour own = behaviours.getOrDefault(attempt.endpoint, Behaviour.HEALTHY);
--- a/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
@@ -6,7 +6,10 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** A virtual clock, and events that are due at times of it; of equal times the first one first. */
+/**
+ * A virtual clock with scheduled events; events that are due at the same time occur in the order in
+ * which they were scheduled.
+ */
 final class SeededSchedule {
   private record ScheduledEvent(long atNanos, long order, Consumer<RoutingEventHandler> event) {}
 
@@ -33,12 +36,12 @@
     events.add(new ScheduledEvent(atNanos, ++lastOrder, event));
   }
 
-  /** Whether anything was ever scheduled. */
+  /** Whether any event was ever scheduled. */
   boolean wasUsed() {
     return lastOrder > 0;
   }
 
-  /** Takes the events that are due by now. */
+  /** Removes and returns the events that are due. */
   List<Consumer<RoutingEventHandler>> takeDue() {
     List<Consumer<RoutingEventHandler>> due = new ArrayList<>();
     while (!events.isEmpty() && events.peek().atNanos() <= nowNanos) {
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -11,15 +11,15 @@
 import org.amberpath.routing.SeededEndpoints.Behaviour;
 
 /**
- * One gateway under seeded random traffic, faults, list changes and events of the fleet, without
- * I/O or clock. Every action that the router takes goes into {@link RecordedActions} in order, with
- * all its arguments. Random numbers are drawn from the world's own generator, and only basic
- * arithmetic is done with them, so that a seed gives the same events everywhere. The order of the
- * draws is part of the recorded digests.
+ * Simulates one gateway under seeded random traffic, faults, changes of the endpoint list and
+ * events of the fleet, without I/O and on a virtual clock. Every action of the router is added to
+ * {@link RecordedActions}, in order and with all its arguments. Random numbers are drawn from the
+ * world's own generator and only used in basic arithmetic, so that a seed gives the same events on
+ * every platform. The order of the draws is part of the recorded digests.
  */
-@SuppressWarnings("EnumOrdinal") // The orders are part of the recorded seeds.
+@SuppressWarnings("EnumOrdinal") // The ordinals are part of the random seeds.
 final class SeededWorld implements RoutingActions {
-  /** Decides on a batch of events; built anew for each world. */
+  /** The module under test, which decides on batches of events; each world has its own. */
   interface Module {
     void decide(long nowNanos, RoutingEvents events, RoutingActions actions);
   }
@@ -39,7 +39,7 @@
   private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
   private final Map<Integer, EndpointState> states = new TreeMap<>();
 
-  /** How often the index of an endpoint was reused, which gives it another id. */
+  /** How often each endpoint index was reused; each reuse gives the endpoint another ID. */
   private final Map<Integer, Integer> reuses = new HashMap<>();
 
   private long lastRequestId;
@@ -57,15 +57,15 @@
     return config;
   }
 
-  /** How often each action, outcome and detail came. */
+  /** Returns the number of each action, outcome, detail and event that occurred. */
   Map<String, Integer> counts() {
     return recorded.counts();
   }
 
-  /** Plays all rounds; the digest of all actions, as hexadecimal digits. */
+  /** Runs all rounds and returns the digest of all actions, in hexadecimal. */
   String play(Module module) {
     if (setting == Setting.NARROW) {
-      // The first kinds are listed while no share is granted.
+      // The kinds of endpoints are first listed while this gateway has no share.
       events.add(to -> to.gatewayShareChanged(config.gateways(), 0));
     }
     fullList();
@@ -297,7 +297,7 @@
                     endpoint, address, zone, kind, endpoint % 3, state, weight, startedAtNanos)));
   }
 
-  // ---- What the router decided.
+  // ---- The actions of the router.
 
   @Override
   public void sendAttempt(AttemptCommand command) {
@@ -357,7 +357,8 @@
   }
 
   /**
-   * The text under which the digests have a status: a stored form, whatever its constant is called.
+   * Returns the name of a status in the recorded digests, a stored form that stays when the
+   * constant is renamed.
    */
   private static String recordedName(EndpointHealthStatus status) {
     return switch (status) {
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * An attempt that waits alone at an endpoint that gives no sign of life, and what its hedge costs.
+ * Tests a single overdue attempt at an endpoint that does not respond, and how the attempt and its
+ * hedge count in the limits.
  */
 class SilentEndpointHedgeTest {
   private static final long WAITED_NANOS = 700 * MS;
@@ -21,8 +22,8 @@
   private final Attempt attempt = parts.attempt(parts.request(1), 1, 5);
 
   /**
-   * One overdue request is not enough to eject an endpoint; a response since it was sent shows that
-   * the endpoint is alive.
+   * One overdue request does not suffice to eject an endpoint; a response that arrived after the
+   * request was sent shows that the endpoint is alive.
    */
   @ParameterizedTest
   @CsvSource({"0, true", "-1, true", "50, false"})
@@ -50,7 +51,10 @@
     assertEquals(0, parts.limiter.uplinkLimit().inFlight);
   }
 
-  /** A hedge sent shortly before the deadline: its source had no time to be late. */
+  /**
+   * A hedge that was sent shortly before the deadline times out before it is overdue; its source
+   * was not late.
+   */
   @ParameterizedTest
   @CsvSource({"50, false", "150, true"})
   void timedOutHedgeCutsTheLimitOfItsSourceOnlyIfItWasOverdue(long waitedMillis, boolean cut) {
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Slow start: what any number of gateways together send an endpoint that has just started, in any
- * overload window, against the bound at which it is overloaded. Virtual time; more demand than the
- * endpoint can serve.
+ * Tests that all gateways together, whatever their number, send a recently started endpoint no more
+ * requests in any overload window than the number above which it is overloaded. Time is virtual,
+ * and demand exceeds what the endpoint can serve.
  */
 class SlowStartBoundTest {
   private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -60,7 +60,10 @@
         "a third of it is used: " + attemptsAtStartedEndpoint);
   }
 
-  /** While peers are warm a gateway with few requests has its share of the budget at any time. */
+  /**
+   * While warm peers serve most of the requests, a gateway with few requests may use its share of
+   * the budget at any time: its credit does not lapse.
+   */
   @Test
   void infrequentRequestsDoNotWaitWhileWarmPeersServeTheRest() {
     hasWarmPeers = true;
@@ -158,7 +161,7 @@
     run(4 * SECOND_NANOS, 3);
   }
 
-  /** Starts so many gateways that know the list as it is now. */
+  /** Adds the given number of gateways, and sends the current endpoint list to all gateways. */
   private void startGateways(int count) {
     for (int index = 0; index < count; index++) {
       gateways.add(new SimulatedGateway(count));
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
@@ -8,7 +8,10 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Sweeps skip endpoints without requests, with the same results as if they did not. */
+/**
+ * Guards the sweep's shortcuts for endpoints without requests: results must be the same as if every
+ * sweep processed every endpoint.
+ */
 class SweepOfUnusedEndpointsTest {
   private static final int SWEEPS = 500;
 
@@ -41,7 +44,7 @@
     assertEquals(Math.exp(-1), warmUp.throughput(lastNanos + 4000 * MS), 1e-12);
   }
 
-  /** Endpoints that are warm, in their kind's mean; those that are unused count too. */
+  /** The mean is over all warm endpoints of a kind, including those that have returned no work. */
   @Test
   void typicalThroughputIsTheMeanOverWarmPeersOfAKind() {
     parts.endpoint(0).warmUp.recordServedWork(40, START);
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
@@ -11,7 +11,10 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Health checks and prefetches that the gateway makes by itself. */
+/**
+ * Tests the synthetic requests of the gateway: health checks of endpoints and prefetches into
+ * endpoints in slow start.
+ */
 class SyntheticRequestTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -48,8 +51,9 @@
       }
       host.advanceMillis(5);
     }
-    // Weight 4 at 0.1 s a request is 40 a second; a quarter of three times a fifth to a quarter of
-    // it, beside the clients' requests.
+    // A weight of 4 at 0.1 s per request is 40 requests per second. Prefetches get a quarter of 3
+    // times (the overload factor) the current fraction of it, which rises from 0.1 to 0.19 in this
+    // second, in addition to clients' requests; the bound uses a fraction of 0.3.
     assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " in a second");
     assertTrue(unsent > 100, "keys of other caches are not prefetched: " + unsent);
     for (int object = 1; object < 97; object++) {
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -8,27 +8,33 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Ages of events while the wall clock, or the clock that stamps them, steps. Milliseconds. */
+/**
+ * Tests the estimated ages of events while this gateway's wall clock, or the clock that stamps the
+ * events, steps. Times are milliseconds.
+ */
 class WallClockStepTest {
   private static final long MS = 1_000_000L;
   private static final long EPOCH = 1_764_576_000_000L;
   private static final long SLACK = 200;
   private long passed;
 
-  /** By how much this gateway's wall clock is ahead. */
+  /** How far this gateway's wall clock is ahead of the true time; negative if it is behind. */
   private long step;
 
-  /** By how much the clock that stamps events is ahead. */
+  /** How far the clock that stamps events is ahead of the true time; negative if it is behind. */
   private long stampStep;
 
   private EventAge eventAge = new EventAge(0, EPOCH);
 
-  /** The gateway restarts with a wall clock that is so far ahead. */
+  /**
+   * Restarts the gateway with a wall clock that is ahead by the given time; negative for behind.
+   */
   private void startsWithWallAhead(long ahead) {
     step = ahead;
     eventAge = new EventAge(passed * MS, EPOCH + passed + step);
   }
 
+  /** Advances the true time, and reads both clocks at least every 250 ms. */
   private void pass(long time) {
     for (long end = passed + time; passed < end; passed += Math.min(250, end - passed)) {
       eventAge.clocksRead(passed * MS, EPOCH + passed + step);
@@ -36,7 +42,12 @@
     eventAge.clocksRead(passed * MS, EPOCH + passed + step);
   }
 
-  /** The age, in milliseconds, of a purge that was so long ago and is received now. */
+  /**
+   * Returns the estimated age of a purge that is received now.
+   *
+   * @param ago the true age of the purge
+   * @param live whether discovery sends the purge; false for state from before the gateway's start
+   */
   private long purge(long ago, boolean live) {
     long stamp = EPOCH + passed - ago + stampStep;
     eventAge.clocksRead(passed * MS, EPOCH + passed + step);
@@ -46,6 +57,12 @@
     return age;
   }
 
+  /**
+   * Returns the estimated time since the start of an endpoint that is listed now.
+   *
+   * @param ago the true time since the start
+   * @param live whether discovery sends the list; false for state from before the gateway's start
+   */
   private long start(long ago, boolean live) {
     eventAge.clocksRead(passed * MS, EPOCH + passed + step);
     eventAge.replyStarted(passed * MS, live, 0);
