--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -30,18 +30,18 @@
     parts.update(1, EndpointState.UP, START);
     assertFalse(endpoint.health.isEjected());
     assertEquals(0.1, endpoint.warmUp.capacityFraction(START), 1e-9);
-    assertEquals(List.of(1), parts.host.warmingUp);
+    assertEquals(List.of(1), parts.host.warmUpReports);
     parts.update(1, EndpointState.UP, START - 100 * MS);
-    assertEquals(List.of(1), parts.host.warmingUp, "an older start is known already");
+    assertEquals(List.of(1), parts.host.warmUpReports, "an older start is known already");
   }
 
   @Test
-  void moreGatewaysShrinkTheLimitsAtOnce() {
-    double edge = parts.endpoint(0).limit.limit();
-    double origin = parts.limiter.originLimit().limit();
+  void moreGatewaysLowerTheLimitsAtOnce() {
+    double previousEdgeLimit = parts.endpoint(0).limit.limit();
+    double previousOriginLimit = parts.limiter.originLimit().limit();
     parts.cluster.updateShare(5, true, START);
-    assertEquals(edge / 3, parts.endpoint(0).limit.limit(), 1e-9);
-    assertEquals(origin * 3 / 5, parts.limiter.originLimit().limit(), 1e-9);
+    assertEquals(previousEdgeLimit / 3, parts.endpoint(0).limit.limit(), 1e-9);
+    assertEquals(previousOriginLimit * 3 / 5, parts.limiter.originLimit().limit(), 1e-9);
     parts.cluster.updateShare(5, false, START);
     assertTrue(parts.endpoint(0).limit.limit() < 0.01, "nothing is granted");
   }
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void limitIsFullWhenReachedAndPriorityMayExceedIt() {
+  void onlyPriorityRequestsMayExceedTheLimit() {
     ConcurrencyLimit limit = limit(1);
     limit.inFlight = 24;
     assertFalse(limit.hasRoom(NOW, 1));
@@ -26,20 +26,20 @@
   }
 
   @Test
-  void lateResponsesCutTheLimitOnceAnIntervalAndPromptOnesWidenIt() {
+  void lateResponsesLowerTheLimitOncePerIntervalAndTimelyOnesRaiseIt() {
     ConcurrencyLimit limit = limit(1);
     limit.onResponse(NOW, false);
-    double cut = limit.limit();
-    assertEquals(0.8, cut, 2.4, "from what is used, not from what is allowed");
+    double loweredLimit = limit.limit();
+    assertEquals(0.8, loweredLimit, 2.4, "from what is used, not from what is allowed");
     limit.onResponse(NOW + MS, false);
-    assertEquals(cut, limit.limit());
-    limit.inFlight = cut;
+    assertEquals(loweredLimit, limit.limit());
+    limit.inFlight = loweredLimit;
     limit.onResponse(NOW + 2 * MS, true);
-    assertTrue(limit.limit() > cut);
+    assertTrue(limit.limit() > loweredLimit);
   }
 
   @Test
-  void limitUnderOneRequestHoldsOverTime() {
+  void limitBelowOneRequestIsEnforcedOverTime() {
     ConcurrencyLimit limit = limit(0.01);
     assertTrue(limit.hasRoom(NOW, 1), "no debt yet");
     limit.inFlight = 1;
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void smallerShareShrinksTheLimitAndRegainedShareStartsAnew() {
+  void smallerShareLowersTheLimitAndRegainedShareResetsIt() {
     ConcurrencyLimit limit = limit(1);
     limit.rescale(1, 0.5);
     assertEquals(12, limit.limit());
--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -16,9 +16,9 @@
  * times here are milliseconds.
  */
 class DiscoveryFreshnessTest {
-  private static final long GRACE = 250;
+  private static final long GRACE_MILLIS = 250;
 
-  private final DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE, true, 0);
+  private final DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE_MILLIS, true, 0);
 
   @Test
   void decisionsWaitForTheFirstResponseAfterTheStart() {
@@ -32,7 +32,7 @@
 
   @Test
   void gatewayWithoutAJournalWaitsForNoResponse() {
-    DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE, false, 0);
+    DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE_MILLIS, false, 0);
     assertTrue(freshness.permitsDecisions(10));
     assertFalse(freshness.permitsDecisions(400), "its event loop was blocked");
     freshness.socketsRead(400);
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void pollInFlightDuringAStallIsCurrentOnceSocketsAreRead() {
+  void pollInFlightDuringAStallSufficesOnceSocketsAreRead() {
     completeOnePoll();
     freshness.requestSent(11);
     assertFalse(freshness.permitsDecisions(411));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void failingJournalIsWaitedForOnlyOnce() {
+  void decisionsWaitForAFailingJournalOnlyOnce() {
     freshness.requestFailed(5);
     freshness.socketsRead(105);
     assertFalse(freshness.permitsDecisions(106));
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void permanentlyLateEventLoopStopsWaiting() {
+  void decisionsStopWaitingIfTheEventLoopIsPermanentlyLate() {
     for (long at = 1000; at < 4000; at += 1000) {
       freshness.requestSent(at - 900);
       freshness.responseReceived(at);
@@ -96,11 +96,11 @@
   @ValueSource(longs = {1, 2, 3})
   void noDecisionMissesAnEventOlderThanTheGrace(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    int decided = 0;
+    int decisions = 0;
     for (int run = 0; run < 200; run++) {
-      decided += new Simulation(random.split()).run();
+      decisions += new Simulation(random.split()).run();
     }
-    assertTrue(decided > 200 * 500, "decided only " + decided);
+    assertTrue(decisions > 200 * 500, "decided only " + decisions);
   }
 
   private static final class Simulation {
@@ -111,83 +111,87 @@
     private static final long MAX_STALL_MILLIS = 1000;
 
     final SplittableRandom random;
-    final long roundTrip;
-    final DiscoveryFreshness age = new DiscoveryFreshness(GRACE, true, 0);
-    final List<Long> events = new ArrayList<>();
-    long now;
-    long tickDue;
-    long lastTick;
-    long stalledAt;
+    final long roundTripMillis;
+    final DiscoveryFreshness simulatedFreshness = new DiscoveryFreshness(GRACE_MILLIS, true, 0);
+    final List<Long> eventTimes = new ArrayList<>();
+    long nowMillis;
+    long nextTickAt;
+    long lastTickAt;
+    long lastStallEndedAt;
     int knownEvents;
 
     /**
      * Time at which the response to the poll in flight arrives; negative if no poll is in flight.
      */
-    long replyAt = -1;
+    long responseArrivesAt = -1;
 
     /** Number of events known once that response has been read, counted from the first one. */
-    int replyEvents;
+    int knownEventsAfterResponse;
 
     Simulation(SplittableRandom random) {
       this.random = random;
-      roundTrip = random.nextLong(GRACE / 8);
+      roundTripMillis = random.nextLong(GRACE_MILLIS / 8);
       for (long at = 0; at < END_MILLIS; at += 1 + random.nextLong(400)) {
-        events.add(at);
+        eventTimes.add(at);
       }
     }
 
     int run() {
-      int decided = 0;
-      while (now < END_MILLIS) {
-        long readAt = now; // In each turn the event loop first reads its sockets.
-        stallAtTimes();
-        if (replyAt >= 0 && replyAt <= readAt) {
-          replyAt = -1;
-          knownEvents = replyEvents;
-          age.responseReceived(now);
-          stallAtTimes();
+      int decisions = 0;
+      while (nowMillis < END_MILLIS) {
+        long socketsReadAt = nowMillis; // In each turn the event loop first reads its sockets.
+        stallAtRandom();
+        if (responseArrivesAt >= 0 && responseArrivesAt <= socketsReadAt) {
+          responseArrivesAt = -1;
+          knownEvents = knownEventsAfterResponse;
+          simulatedFreshness.responseReceived(nowMillis);
+          stallAtRandom();
         }
-        if (replyAt < 0) {
+        if (responseArrivesAt < 0) {
           poll();
         }
-        if (now >= tickDue) { // Then it fires its timers.
-          age.socketsRead(lastTick);
-          lastTick = now;
-          tickDue = now + TICK_MILLIS;
+        if (nowMillis >= nextTickAt) { // Then it fires its timers.
+          simulatedFreshness.socketsRead(lastTickAt);
+          lastTickAt = nowMillis;
+          nextTickAt = nowMillis + TICK_MILLIS;
         }
-        stallAtTimes();
-        if (age.permitsDecisions(now)) { // Then it makes its decisions.
-          decided++;
+        stallAtRandom();
+        if (simulatedFreshness.permitsDecisions(nowMillis)) { // Then it makes its decisions.
+          decisions++;
           assertEquals(
-              eventsBy(now - GRACE), Math.min(knownEvents, eventsBy(now - GRACE)), "at " + now);
-        } else if (!age.awaitsResponse()) {
-          tickDue = now;
+              countEventsUntil(nowMillis - GRACE_MILLIS),
+              Math.min(knownEvents, countEventsUntil(nowMillis - GRACE_MILLIS)),
+              "at " + nowMillis);
+        } else if (!simulatedFreshness.awaitsResponse()) {
+          nextTickAt = nowMillis;
         }
-        now += 1 + random.nextLong(4);
+        nowMillis += 1 + random.nextLong(4);
       }
-      return decided;
+      return decisions;
     }
 
     private void poll() {
-      age.requestSent(now);
-      long arrives = now + roundTrip / 2;
-      long until = arrives + (age.awaitsResponse() ? 1 : POLL_MILLIS);
-      long answered =
-          eventsBy(arrives) > knownEvents
-              ? arrives
-              : Math.min(until, knownEvents < events.size() ? events.get(knownEvents) : until);
-      replyEvents = eventsBy(answered);
-      replyAt = answered + roundTrip / 2;
+      simulatedFreshness.requestSent(nowMillis);
+      long pollArrivesAt = nowMillis + roundTripMillis / 2;
+      long respondsBy = pollArrivesAt + (simulatedFreshness.awaitsResponse() ? 1 : POLL_MILLIS);
+      long respondedAt =
+          countEventsUntil(pollArrivesAt) > knownEvents
+              ? pollArrivesAt
+              : Math.min(
+                  respondsBy,
+                  knownEvents < eventTimes.size() ? eventTimes.get(knownEvents) : respondsBy);
+      knownEventsAfterResponse = countEventsUntil(respondedAt);
+      responseArrivesAt = respondedAt + roundTripMillis / 2;
     }
 
-    private int eventsBy(long at) {
-      return (int) events.stream().filter(event -> event <= at).count();
+    private int countEventsUntil(long at) {
+      return (int) eventTimes.stream().filter(event -> event <= at).count();
     }
 
-    private void stallAtTimes() {
-      if (now - stalledAt > MIN_STALL_INTERVAL_MILLIS && random.nextInt(200) == 0) {
-        now += random.nextLong(MAX_STALL_MILLIS);
-        stalledAt = now;
+    private void stallAtRandom() {
+      if (nowMillis - lastStallEndedAt > MIN_STALL_INTERVAL_MILLIS && random.nextInt(200) == 0) {
+        nowMillis += random.nextLong(MAX_STALL_MILLIS);
+        lastStallEndedAt = nowMillis;
       }
     }
   }
--- a/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
@@ -34,11 +34,11 @@
 
   @Test
   void reusedEndpointIndexIsAnotherEndpoint() {
-    Set<Long> before = new HashSet<>();
-    Set<Long> both = new HashSet<>();
+    Set<Long> objectsBefore = new HashSet<>();
+    Set<Long> objectsInBoth = new HashSet<>();
     LongStream.rangeClosed(1, 200)
         .filter(object -> host.requestWithHit(object, 0).endpoint() == 0)
-        .forEach(before::add);
+        .forEach(objectsBefore::add);
     host.changeEndpoint(0, EndpointState.GONE, 0);
     host.deliver(
         to -> {
@@ -49,11 +49,11 @@
         });
     LongStream.rangeClosed(1, 200)
         .filter(object -> host.requestWithHit(object, 0).endpoint() == 0)
-        .forEach(both::add);
-    assertTrue(both.size() > 20);
-    both.retainAll(before);
+        .forEach(objectsInBoth::add);
+    assertTrue(objectsInBoth.size() > 20);
+    objectsInBoth.retainAll(objectsBefore);
     assertTrue(
-        both.size() < before.size() * 2 / 3,
-        both.size() + " of " + before.size() + " keys are the same");
+        objectsInBoth.size() < objectsBefore.size() * 2 / 3,
+        objectsInBoth.size() + " of " + objectsBefore.size() + " keys are the same");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
@@ -12,7 +12,7 @@
   private final EndpointHealth health = new EndpointHealth();
 
   @Test
-  void endpointOnProbationGetsAKeyFractionThatDoubles() {
+  void endpointOnProbationReceivesAKeyFractionThatDoubles() {
     health.eject(NOW, 0);
     assertEquals(0, health.keyFraction(NOW));
     assertFalse(health.beginProbation(NOW - 1, NOW + 10 * MS), "it lived before, not since");
@@ -40,7 +40,7 @@
     health.eject(NOW, 0);
     assertTrue(health.isBackoffOver(NOW + 250 * MS));
     assertFalse(health.isBackoffOver(NOW + 250 * MS, 1e9));
-    for (int more = 0; more < 9; more++) {
+    for (int ejection = 0; ejection < 9; ejection++) {
       health.eject(NOW, 0);
     }
     assertEquals(EndpointHealth.maxBackoffNanos(), health.backoffNanos());
--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -15,14 +15,15 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 5})
-  void endpointInSlowStartGetsAThinKeySliceThatWidens(int endpoint) {
-    int usual = countAttemptsThrough(endpoint, 0);
+  void endpointInSlowStartReceivesAGrowingFractionOfItsKeys(int endpoint) {
+    int whenWarm = countAttemptsThrough(endpoint, 0);
     host.changeEndpoint(endpoint, EndpointState.UP, host.nowNanos);
-    int thin = countAttemptsThrough(endpoint, 0);
+    int afterStart = countAttemptsThrough(endpoint, 0);
     host.advanceMillis(5000);
-    int wide = countAttemptsThrough(endpoint, 0);
-    assertTrue(thin > 0 && thin < usual / 4, "thin " + thin + " of " + usual);
-    assertTrue(wide > usual / 2 && wide < usual, "wide " + wide + " of " + usual);
+    int halfway = countAttemptsThrough(endpoint, 0);
+    assertTrue(
+        afterStart > 0 && afterStart < whenWarm / 4, "thin " + afterStart + " of " + whenWarm);
+    assertTrue(halfway > whenWarm / 2 && halfway < whenWarm, "wide " + halfway + " of " + whenWarm);
   }
 
   private int countAttemptsThrough(int endpoint, long firstObject) {
@@ -36,7 +37,7 @@
   }
 
   @Test
-  void onlyEdgeCacheOfItsZoneIsHeldToItsSlowStartBudget() {
+  void onlyEdgeCacheOfItsZoneStaysWithinItsSlowStartBudget() {
     for (int cache = 1; cache < 4; cache++) {
       host.changeEndpoint(cache, EndpointState.GONE, 0);
     }
@@ -50,7 +51,7 @@
     assertTrue(
         host.sentAttempts.size() >= 2 && host.sentAttempts.size() <= 12,
         "sent " + host.sentAttempts.size());
-    assertEquals(200, host.sentAttempts.size() + host.rejected.size());
+    assertEquals(200, host.sentAttempts.size() + host.rejectedRequests.size());
   }
 
   /**
@@ -66,12 +67,12 @@
           .advanceMillis(10);
     }
     host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
-    int before = host.sentAttempts.size();
+    int sentBefore = host.sentAttempts.size();
     for (int i = 1000; i < 3000; i++) {
       host.endAttempt(host.request(i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
     }
     long attemptsAtEndpoint0 =
-        host.sentAttempts.stream().skip(before).filter(sent -> sent.endpoint() == 0).count();
+        host.sentAttempts.stream().skip(sentBefore).filter(sent -> sent.endpoint() == 0).count();
     assertTrue(attemptsAtEndpoint0 >= 1 && attemptsAtEndpoint0 <= 2, "sent " + attemptsAtEndpoint0);
   }
 
@@ -86,7 +87,7 @@
       FakeHost gatewayHost = new FakeHost();
       gatewayHost.weightIsSize = false;
       gatewayHost.kindOfEndpoint0 = kind == 0 ? "box" : "small";
-      gatewayHost.listEndpoints(1, 2, 3, 5, 6, 7).decide();
+      gatewayHost.listEndpoints(1, 2, 3, 5, 6, 7).deliverBatch();
       for (int i = 0; i < 400; i++) {
         gatewayHost.advanceMillis(10).succeed(gatewayHost.request(i, i, 0), 50, ResponseDetail.HIT);
       }
@@ -114,7 +115,7 @@
         .forEach(cache -> host.changeEndpoint(cache, EndpointState.UP, host.nowNanos));
     host.changeEndpoint(5, EndpointState.UP, host.nowNanos)
         .changeEndpoint(6, EndpointState.GONE, 0);
-    int before = host.sentAttempts.size();
+    int sentBefore = host.sentAttempts.size();
     for (int i = 1000; i < 1300; i++) {
       SentAttempt sent = host.request(i, 0);
       if (sent != null) {
@@ -122,7 +123,7 @@
       }
     }
     long attemptsThroughParent =
-        host.sentAttempts.stream().skip(before).filter(sent -> sent.source() == 5).count();
+        host.sentAttempts.stream().skip(sentBefore).filter(sent -> sent.source() == 5).count();
     // An initial fraction of 0.1, times a weight of 4 and an overload factor of 2, in an overload
     // window of 1 s: 0.8 s of work, which is 8 requests of 0.1 s each. This gateway's share is less
     // than a third of them.
--- a/routing/src/test/java/org/amberpath/routing/FakeHost.java
+++ b/routing/src/test/java/org/amberpath/routing/FakeHost.java
@@ -23,16 +23,16 @@
 
   private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * MS;
   private static final int GROUP = 9;
-  private static final double KILOBYTES = 100;
+  private static final double RESPONSE_KILOBYTES = 100;
 
   /**
    * An attempt that the router has sent; the other components are those of {@link AttemptCommand}.
    *
-   * @param attempt number of the attempt within its request, from 0
+   * @param number number of the attempt within its request, from 0
    */
   record SentAttempt(
       long requestId,
-      int attempt,
+      int number,
       int endpoint,
       long deadlineNanos,
       int source,
@@ -54,28 +54,28 @@
   String kindOfEndpoint0 = "box";
   int seed = 7;
   final List<SentAttempt> sentAttempts = new ArrayList<>();
-  final List<Long> rejected = new ArrayList<>();
-  final List<Long> failed = new ArrayList<>();
-  final List<String> cancelled = new ArrayList<>();
+  final List<Long> rejectedRequests = new ArrayList<>();
+  final List<Long> failedRequests = new ArrayList<>();
+  final List<String> cancelledAttempts = new ArrayList<>();
 
   /**
    * Endpoints whose latest reported status is {@link EndpointHealthStatus#SUSPECT}, in the order of
    * the reports.
    */
-  final List<Integer> suspected = new ArrayList<>();
+  final List<Integer> suspectEndpoints = new ArrayList<>();
 
   /**
    * The endpoint of each report of {@link EndpointHealthStatus#RESPONSIVE}, in the order of the
    * reports.
    */
-  final List<Integer> responsive = new ArrayList<>();
+  final List<Integer> responsiveReports = new ArrayList<>();
 
-  final List<Integer> warmingUp = new ArrayList<>();
+  final List<Integer> warmUpReports = new ArrayList<>();
   long nowNanos = 1_000_000 * MS;
   long retryStartLimitNanos;
   private long lastRequestId;
   private RequestRouter router;
-  private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
+  private final List<Consumer<RoutingEventHandler>> pendingEvents = new ArrayList<>();
   private long timerAtNanos = Long.MAX_VALUE;
 
   /**
@@ -83,11 +83,11 @@
    * and warm.
    */
   FakeHost listEndpoints(int... order) {
-    events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
+    pendingEvents.add(to -> to.endpointListStarted(EndpointListKind.FULL));
     for (int endpoint : order) {
-      events.add(to -> listEndpoint(to, endpoint, EndpointState.UP, 0));
+      pendingEvents.add(to -> listEndpoint(to, endpoint, EndpointState.UP, 0));
     }
-    events.add(RoutingEventHandler::endpointListCompleted);
+    pendingEvents.add(RoutingEventHandler::endpointListCompleted);
     return this;
   }
 
@@ -105,7 +105,7 @@
 
   /** Delivers a full list of all eight endpoints, up and warm. */
   FakeHost listEndpoints() {
-    return listEndpoints(0, 1, 2, 3, 4, 5, 6, 7).decide();
+    return listEndpoints(0, 1, 2, 3, 4, 5, 6, 7).deliverBatch();
   }
 
   /**
@@ -114,10 +114,10 @@
    * @param startedAtNanos time of the endpoint's start; 0 if it has long been running
    */
   FakeHost changeEndpoint(int endpoint, EndpointState state, long startedAtNanos) {
-    events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
-    events.add(to -> listEndpoint(to, endpoint, state, startedAtNanos));
-    events.add(RoutingEventHandler::endpointListCompleted);
-    return decide();
+    pendingEvents.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
+    pendingEvents.add(to -> listEndpoint(to, endpoint, state, startedAtNanos));
+    pendingEvents.add(RoutingEventHandler::endpointListCompleted);
+    return deliverBatch();
   }
 
   private void listEndpoint(
@@ -154,7 +154,7 @@
    * @return the latest attempt of the request; null if none was sent
    */
   SentAttempt request(long id, long object, int part) {
-    deliver(to -> to.requestReceived(details(id, object, part, CLIENT_TIMEOUT_NANOS)));
+    deliver(to -> to.requestReceived(createDetails(id, object, part, CLIENT_TIMEOUT_NANOS)));
     return lastAttempt(id);
   }
 
@@ -182,13 +182,13 @@
     deliver(
         to ->
             to.syntheticRequestReceived(
-                details(id, object, part, SYNTHETIC_TIMEOUT_NANOS), endpoint));
+                createDetails(id, object, part, SYNTHETIC_TIMEOUT_NANOS), endpoint));
     return lastAttempt(id);
   }
 
-  private RequestDetails details(long id, long object, int part, long timeLeftNanos) {
+  private RequestDetails createDetails(long id, long object, int part, long timeLeftNanos) {
     lastRequestId = Math.max(lastRequestId, id);
-    return new RequestDetails(id, 0, object, GROUP, part, timeLeftNanos, KILOBYTES, false);
+    return new RequestDetails(id, 0, object, GROUP, part, timeLeftNanos, RESPONSE_KILOBYTES, false);
   }
 
   /** Returns the latest attempt of the request with the highest ID; null if there is none. */
@@ -208,18 +208,18 @@
   FakeHost endAttempt(
       SentAttempt attempt, AttemptOutcome outcome, long durationMillis, ResponseDetail detail) {
     boolean requestFinished = outcome == AttemptOutcome.SUCCEEDED;
-    events.add(
+    pendingEvents.add(
         to ->
             to.attemptEnded(
                 new AttemptResult(
                     attempt.requestId,
-                    attempt.attempt,
+                    attempt.number,
                     attempt.endpoint,
                     outcome,
                     durationMillis * MS,
                     requestFinished,
                     detail)));
-    return decide();
+    return deliverBatch();
   }
 
   /** Reports that an attempt has succeeded. */
@@ -235,31 +235,31 @@
   int ejectOneEndpoint() {
     SentAttempt attempt = request(5, 0);
     endAttempt(attempt, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(attempt.endpoint()), suspected);
+    assertEquals(List.of(attempt.endpoint()), suspectEndpoints);
     succeed(lastAttempt(), 50, ResponseDetail.HIT);
     return attempt.endpoint();
   }
 
   /** Delivers an event to the router, in one batch with the events that were added before it. */
   FakeHost deliver(Consumer<RoutingEventHandler> event) {
-    events.add(event);
-    return decide();
+    pendingEvents.add(event);
+    return deliverBatch();
   }
 
   @Override
   public void endpointHealthChanged(int endpoint, EndpointHealthStatus health) {
-    suspected.remove((Integer) endpoint);
+    suspectEndpoints.remove((Integer) endpoint);
     if (health == EndpointHealthStatus.RESPONSIVE) {
-      responsive.add(endpoint);
+      responsiveReports.add(endpoint);
     }
     if (health == EndpointHealthStatus.SUSPECT) {
-      suspected.add(endpoint);
+      suspectEndpoints.add(endpoint);
     }
   }
 
   @Override
   public void endpointWarmingUp(int endpoint, long untilNanos) {
-    warmingUp.add(endpoint);
+    warmUpReports.add(endpoint);
   }
 
   /** Advances the clock and fires the timer each time it is due. */
@@ -278,16 +278,16 @@
    * Delivers the events added since the last batch to the router, which is created if there is
    * none.
    */
-  FakeHost decide() {
+  FakeHost deliverBatch() {
     router = router == null ? new RequestRouter(this) : router;
-    router.decide(nowNanos, to -> events.forEach(event -> event.accept(to)), this);
-    events.clear();
+    router.decide(nowNanos, to -> pendingEvents.forEach(event -> event.accept(to)), this);
+    pendingEvents.clear();
     return this;
   }
 
   @Override
   public void sendAttempt(AttemptCommand command) {
-    int number =
+    int attemptNumber =
         (int)
             sentAttempts.stream()
                 .filter(attempt -> attempt.requestId == command.requestId())
@@ -295,7 +295,7 @@
     sentAttempts.add(
         new SentAttempt(
             command.requestId(),
-            number,
+            attemptNumber,
             command.endpoint(),
             command.deadlineNanos(),
             command.source(),
@@ -311,17 +311,17 @@
 
   @Override
   public void reject(long requestId, long retryAfterNanos) {
-    rejected.add(requestId);
+    rejectedRequests.add(requestId);
   }
 
   @Override
   public void fail(long requestId) {
-    failed.add(requestId);
+    failedRequests.add(requestId);
   }
 
   @Override
   public void cancelAttempt(long requestId, int attempt) {
-    cancelled.add(requestId + "/" + attempt);
+    cancelledAttempts.add(requestId + "/" + attempt);
   }
 
   @Override
--- a/routing/src/test/java/org/amberpath/routing/QuietThenFaultTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
@@ -19,26 +19,26 @@
  * milliseconds: 5,000 or 50,000; 0 for a quiet period without requests; -1 for no quiet period.
  */
 @SuppressWarnings("ReferenceEquality") // Compares the recorded attempts by identity.
-class QuietThenFaultTest {
-  private static final long QUIET_MILLIS = 10 * 60_000;
+class FaultAfterQuietPeriodTest {
+  private static final long QUIET_PERIOD_MILLIS = 10 * 60_000;
   private static final long STEP_MILLIS = 10;
-  private static final long PATIENCE_MILLIS = 300 + 2 * 100;
-  private static final int ENDPOINTS = 4;
+  private static final long SOFT_TIMEOUT_MILLIS = 300 + 2 * 100;
+  private static final int ZONE_EDGE_COUNT = 4;
 
   private final FakeHost host = new FakeHost();
   private long lastRequestId;
 
-  private void runQuietPeriod(long intervalMillis) {
+  private void runQuietPeriod(long requestIntervalMillis) {
     host.listEndpoints();
-    if (intervalMillis < 0) {
+    if (requestIntervalMillis < 0) {
       return;
     }
-    long step = intervalMillis == 0 ? QUIET_MILLIS : intervalMillis;
-    for (long passed = 0; passed < QUIET_MILLIS; passed += step) {
-      if (intervalMillis > 0) {
+    long stepMillis = requestIntervalMillis == 0 ? QUIET_PERIOD_MILLIS : requestIntervalMillis;
+    for (long elapsedMillis = 0; elapsedMillis < QUIET_PERIOD_MILLIS; elapsedMillis += stepMillis) {
+      if (requestIntervalMillis > 0) {
         host.succeed(host.request(++lastRequestId, lastRequestId, 0), 50, ResponseDetail.HIT);
       }
-      host.advanceMillis(step);
+      host.advanceMillis(stepMillis);
     }
   }
 
@@ -46,9 +46,9 @@
    * Delivers a request for an object that no other request is for, and reports a hit at once unless
    * the request went to the endpoint that hangs.
    */
-  private SentAttempt requestUnlessHung(int hung) {
+  private SentAttempt requestAndServeUnlessHung(int hungEndpoint) {
     SentAttempt sent = host.request(++lastRequestId, 100_000 + lastRequestId, 0);
-    if (sent.endpoint() != hung) {
+    if (sent.endpoint() != hungEndpoint) {
       host.succeed(sent, 50, ResponseDetail.HIT);
     }
     return sent;
@@ -56,65 +56,68 @@
 
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
-  void hungEndpointIsEjectedAndItsRequestsAreHedgedElsewhere(long intervalMillis) {
-    runQuietPeriod(intervalMillis);
-    SentAttempt stalled = host.request(++lastRequestId, 5, 0);
-    int hung = stalled.endpoint();
-    long since = host.nowNanos;
-    List<SentAttempt> waiting = new ArrayList<>();
-    while (!host.suspected.contains(hung)) {
-      SentAttempt sent = requestUnlessHung(hung);
-      if (sent.endpoint() == hung) {
-        waiting.add(sent);
+  void hungEndpointIsEjectedAndItsRequestsAreHedgedElsewhere(long requestIntervalMillis) {
+    runQuietPeriod(requestIntervalMillis);
+    SentAttempt firstHungAttempt = host.request(++lastRequestId, 5, 0);
+    int hungEndpoint = firstHungAttempt.endpoint();
+    long hungSinceNanos = host.nowNanos;
+    List<SentAttempt> hungAttempts = new ArrayList<>();
+    while (!host.suspectEndpoints.contains(hungEndpoint)) {
+      SentAttempt sent = requestAndServeUnlessHung(hungEndpoint);
+      if (sent.endpoint() == hungEndpoint) {
+        hungAttempts.add(sent);
       }
       host.advanceMillis(STEP_MILLIS);
-      assertTrue(host.nowNanos - since < 1500 * MS, "not ejected");
+      assertTrue(host.nowNanos - hungSinceNanos < 1500 * MS, "not ejected");
     }
-    assertTrue(host.nowNanos - since >= 600 * MS, "ejected before it had been silent");
-    assertEquals(List.of(hung), host.suspected);
-    host.advanceMillis(PATIENCE_MILLIS + 100);
-    SentAttempt retry = host.lastAttempt(stalled.requestId());
-    assertNotEquals(hung, retry.endpoint());
-    host.succeed(retry, 50, ResponseDetail.HIT);
-    assertTrue(host.cancelled.contains(stalled.requestId() + "/0"));
-    assertFalse(waiting.isEmpty());
-    for (SentAttempt attempt : waiting) {
+    assertTrue(host.nowNanos - hungSinceNanos >= 600 * MS, "ejected before it had been silent");
+    assertEquals(List.of(hungEndpoint), host.suspectEndpoints);
+    host.advanceMillis(SOFT_TIMEOUT_MILLIS + 100);
+    SentAttempt hedge = host.lastAttempt(firstHungAttempt.requestId());
+    assertNotEquals(hungEndpoint, hedge.endpoint());
+    host.succeed(hedge, 50, ResponseDetail.HIT);
+    assertTrue(host.cancelledAttempts.contains(firstHungAttempt.requestId() + "/0"));
+    assertFalse(hungAttempts.isEmpty());
+    for (SentAttempt attempt : hungAttempts) {
       SentAttempt last = host.lastAttempt(attempt.requestId());
-      assertNotEquals(hung, last.endpoint());
+      assertNotEquals(hungEndpoint, last.endpoint());
       host.succeed(last, 50, ResponseDetail.HIT);
     }
-    assertTrue(host.failed.isEmpty() && host.rejected.isEmpty());
+    assertTrue(host.failedRequests.isEmpty() && host.rejectedRequests.isEmpty());
   }
 
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
-  void unreachableEndpointIsEjectedAtOnceAndReadmittedOnceItResponds(long intervalMillis) {
-    runQuietPeriod(intervalMillis);
-    SentAttempt lostAttempt = host.request(++lastRequestId, 5, 0);
-    host.endAttempt(lostAttempt, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    SentAttempt retry = host.lastAttempt(lostAttempt.requestId());
-    assertNotEquals(lostAttempt.endpoint(), retry.endpoint());
+  void unreachableEndpointIsEjectedAtOnceAndReadmittedOnceItResponds(long requestIntervalMillis) {
+    runQuietPeriod(requestIntervalMillis);
+    SentAttempt failedAttempt = host.request(++lastRequestId, 5, 0);
+    host.endAttempt(failedAttempt, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
+    SentAttempt retry = host.lastAttempt(failedAttempt.requestId());
+    assertNotEquals(failedAttempt.endpoint(), retry.endpoint());
     host.succeed(retry, 50, ResponseDetail.HIT);
-    int elsewhere = 0;
+    int requestsToOthers = 0;
     SentAttempt sent = host.request(++lastRequestId, 5, 0);
-    for (; sent.endpoint() != lostAttempt.endpoint(); sent = host.request(++lastRequestId, 5, 0)) {
+    for (;
+        sent.endpoint() != failedAttempt.endpoint();
+        sent = host.request(++lastRequestId, 5, 0)) {
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(STEP_MILLIS);
-      assertTrue(++elsewhere < 100, "no health check within a second");
+      assertTrue(++requestsToOthers < 100, "no health check within a second");
     }
-    assertTrue(elsewhere > 5);
+    assertTrue(requestsToOthers > 5);
     host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(3000);
-    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(), host.suspectEndpoints);
     sent = host.request(++lastRequestId, 5, 0);
-    assertEquals(lostAttempt.endpoint(), sent.endpoint());
+    assertEquals(failedAttempt.endpoint(), sent.endpoint());
   }
 
   @ParameterizedTest
   @CsvSource({"-1, DRAINING", "0, DRAINING", "5000, DRAINING", "50000, DRAINING", "5000, GONE"})
-  void drainingOrGoneEndpointGetsNoNewAttemptsOrFills(long intervalMillis, EndpointState state) {
-    runQuietPeriod(intervalMillis);
+  void drainingOrGoneEndpointGetsNoNewAttemptsOrFills(
+      long requestIntervalMillis, EndpointState state) {
+    runQuietPeriod(requestIntervalMillis);
     host.changeEndpoint(1, state, 0).changeEndpoint(6, state, 0);
-    for (int count = 0; count < 60; count++) {
-      SentAttempt sent = requestUnlessHung(-1);
+    for (int index = 0; index < 60; index++) {
+      SentAttempt sent = requestAndServeUnlessHung(-1);
       assertNotEquals(1, sent.endpoint());
       assertEquals(5, sent.source());
     }
@@ -135,20 +138,21 @@
     "0, false",
     "5000, false"
   })
-  void onlyEdgeCacheOfItsZoneIsHeldToItsSlowStartBudget(long intervalMillis, boolean sized) {
-    host.weightIsSize = sized;
-    runQuietPeriod(intervalMillis);
-    for (int cache = 1; cache < ENDPOINTS; cache++) {
+  void onlyEdgeCacheOfItsZoneStaysWithinItsSlowStartBudget(
+      long requestIntervalMillis, boolean weightIsSize) {
+    host.weightIsSize = weightIsSize;
+    runQuietPeriod(requestIntervalMillis);
+    for (int cache = 1; cache < ZONE_EDGE_COUNT; cache++) {
       host.changeEndpoint(cache, EndpointState.GONE, 0);
     }
     host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
-    int before = host.sentAttempts.size();
-    for (int count = 0; count < 200; count++) {
+    int sentBefore = host.sentAttempts.size();
+    for (int index = 0; index < 200; index++) {
       host.request(++lastRequestId, 100_000 + lastRequestId, 0);
     }
-    int sent = host.sentAttempts.size() - before;
+    int sent = host.sentAttempts.size() - sentBefore;
     assertTrue(sent >= 1 && sent <= 12, "sent " + sent);
-    assertEquals(200, sent + host.rejected.size());
+    assertEquals(200, sent + host.rejectedRequests.size());
   }
 
   /**
@@ -157,32 +161,33 @@
    */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
-  void endpointInSlowStartGetsAThinKeySliceThatWidens(long intervalMillis) {
-    runQuietPeriod(intervalMillis);
-    int usual = countAttemptsAtEndpoint1();
+  void endpointInSlowStartReceivesAGrowingFractionOfItsKeys(long requestIntervalMillis) {
+    runQuietPeriod(requestIntervalMillis);
+    int whenWarm = countAttemptsAtEndpoint1();
     host.changeEndpoint(1, EndpointState.UP, host.nowNanos);
-    int thin = countAttemptsAtEndpoint1();
+    int afterStart = countAttemptsAtEndpoint1();
     host.advanceMillis(5000);
-    int wide = countAttemptsAtEndpoint1();
-    assertTrue(thin > 0 && thin < usual / 4, "thin " + thin + " of " + usual);
-    assertTrue(wide > usual / 2, "wide " + wide + " of " + usual);
+    int halfway = countAttemptsAtEndpoint1();
+    assertTrue(
+        afterStart > 0 && afterStart < whenWarm / 4, "thin " + afterStart + " of " + whenWarm);
+    assertTrue(halfway > whenWarm / 2, "wide " + halfway + " of " + whenWarm);
   }
 
   private int countAttemptsAtEndpoint1() {
-    int count = 0;
+    int index = 0;
     for (int object = 0; object < 400; object++) {
       SentAttempt sent = host.request(++lastRequestId, object, 0);
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(STEP_MILLIS / 2);
-      count += sent.endpoint() == 1 ? 1 : 0;
+      index += sent.endpoint() == 1 ? 1 : 0;
     }
-    return count;
+    return index;
   }
 
   @ParameterizedTest
   @CsvSource({"-1, 5, 0", "0, 5, 0", "5000, 5, 0", "50000, 0, 9", "5000, 0, -1"})
   void purgeBoundsTheCopyAgeUntilAllCachesHaveDroppedTheirs(
-      long intervalMillis, long object, int group) {
-    runQuietPeriod(intervalMillis);
+      long requestIntervalMillis, long object, int group) {
+    runQuietPeriod(requestIntervalMillis);
     SentAttempt before = host.request(++lastRequestId, 5, 0);
     assertEquals(0, before.maxAgeNanos());
     host.succeed(before, 50, ResponseDetail.HIT);
@@ -200,10 +205,10 @@
    */
   @ParameterizedTest
   @CsvSource({"-1", "0", "5000", "50000"})
-  void retriesAreLimitedToAShareOfTheRequests(long intervalMillis) {
-    runQuietPeriod(intervalMillis);
-    int before = host.sentAttempts.size();
-    for (int count = 0; count < 400; count++) {
+  void retriesAreLimitedToAFractionOfTheRequests(long requestIntervalMillis) {
+    runQuietPeriod(requestIntervalMillis);
+    int sentBefore = host.sentAttempts.size();
+    for (int index = 0; index < 400; index++) {
       SentAttempt sent = host.request(++lastRequestId, 100_000 + lastRequestId, 0);
       assertNotNull(sent);
       host.endAttempt(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
@@ -212,7 +217,7 @@
         host.endAttempt(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
       }
     }
-    int retries = host.sentAttempts.size() - before - 400;
+    int retries = host.sentAttempts.size() - sentBefore - 400;
     assertTrue(retries > 40 && retries <= 40 + 400 / 5, "retries " + retries);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -15,7 +15,7 @@
 
   /** Each of the 100 gateways has a share of the budget that is less than one request. */
   @Test
-  void oneHundredGatewaysTogetherUseAndKeepTheSlowStartBudget() {
+  void oneHundredGatewaysTogetherUseAndStayWithinTheSlowStartBudget() {
     int sent = 0;
     for (int gateway = 0; gateway < 100; gateway++) {
       FakeHost gatewayHost = new FakeHost();
@@ -70,10 +70,12 @@
   }
 
   @Test
-  void gatewaysBeyondTheConfiguredNumberTogetherKeepTheSlowStartBudget() {
-    int unaware = countAttemptsInSlowStart(60, 10, -1);
-    int aware = countAttemptsInSlowStart(60, 10, 1.0 / 80);
-    assertTrue(unaware >= 60 && aware <= 30, "unaware " + unaware + ", aware " + aware);
+  void gatewaysBeyondTheConfiguredNumberTogetherStayWithinTheSlowStartBudget() {
+    int sentWithoutShare = countAttemptsInSlowStart(60, 10, -1);
+    int sentWithShare = countAttemptsInSlowStart(60, 10, 1.0 / 80);
+    assertTrue(
+        sentWithoutShare >= 60 && sentWithShare <= 30,
+        "unaware " + sentWithoutShare + ", aware " + sentWithShare);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -18,7 +18,7 @@
   private final FakeHost host = new FakeHost().listEndpoints();
 
   @Test
-  void ejectedEndpointIsLeftToTheDelegatedHealthCheckerAndItsReportReadmitsIt() {
+  void ejectedEndpointIsCheckedOnlyByTheDelegateWhoseReportReadmitsIt() {
     host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
     int cache = host.ejectOneEndpoint();
     host.deliver(to -> to.healthChecksDelegated(true));
@@ -29,9 +29,9 @@
       host.succeed(sent, 50, ResponseDetail.HIT);
     }
     host.deliver(to -> to.healthReported(cache, true, 30_000 * MS)).advanceMillis(3000);
-    assertEquals(List.of(cache), host.suspected, "a report from before the ejection");
+    assertEquals(List.of(cache), host.suspectEndpoints, "a report from before the ejection");
     host.deliver(to -> to.healthReported(cache, true, 100 * MS));
-    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(3000);
     assertEquals(cache, host.requestWithHit(5, 0).endpoint());
   }
@@ -40,40 +40,40 @@
   void positiveHealthReportIsIgnoredUntilTheBackoffIsOver() {
     int cache = host.ejectOneEndpoint();
     host.advanceMillis(500).deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(), host.suspected, "the first report readmits it");
+    assertEquals(List.of(), host.suspectEndpoints, "the first report readmits it");
     SentAttempt sent = host.request(5, 0);
     while (sent.endpoint() != cache) {
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(100);
       sent = host.request(5, 0);
     }
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(cache), host.suspected);
+    assertEquals(List.of(cache), host.suspectEndpoints);
     host.deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(cache), host.suspected, "it was unreachable since");
+    assertEquals(List.of(cache), host.suspectEndpoints, "it was unreachable since");
   }
 
   @Test
-  void singleOverdueRequestAtASilentEndpointRaisesSuspicionAndItsResponseClearsIt() {
+  void endpointWithOneOverdueRequestIsSuspectUntilItResponds() {
     SentAttempt sent = host.request(5, 0);
     host.advanceMillis(300);
-    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(600);
-    assertEquals(List.of(sent.endpoint()), host.suspected);
+    assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
     assertNotNull(host.request(5, 0), "requests still go to it");
     host.succeed(sent, 900, ResponseDetail.HIT);
-    assertEquals(List.of(), host.suspected);
-    assertEquals(List.of(sent.endpoint()), host.responsive);
+    assertEquals(List.of(), host.suspectEndpoints);
+    assertEquals(List.of(sent.endpoint()), host.responsiveReports);
   }
 
   @Test
   void negativeHealthReportEjectsUnlessAResponseIsNewerOrMostPeersAreEjected() {
     SentAttempt sent = host.requestWithHit(5, 0);
     host.advanceMillis(1000).deliver(to -> to.healthReported(sent.endpoint(), false, 2000 * MS));
-    assertEquals(List.of(), host.suspected, "a response is newer");
+    assertEquals(List.of(), host.suspectEndpoints, "a response is newer");
     host.deliver(to -> to.healthReported(sent.endpoint(), false, 500 * MS));
-    assertEquals(List.of(sent.endpoint()), host.suspected);
+    assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
     IntStream.range(0, 4)
         .forEach(cache -> host.deliver(to -> to.healthReported(cache, false, 100 * MS)));
-    assertEquals(3, host.suspected.size(), "one more than half of four");
+    assertEquals(3, host.suspectEndpoints.size(), "one more than half of four");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/InFlightRequestTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void attemptIsOverduePastThePatienceOfItsRequest() {
+  void attemptIsOverdueAfterTheSoftTimeoutOfItsRequest() {
     Attempt attempt = parts.attempt(request, 0, 0);
     assertFalse(attempt.hasSource());
     assertFalse(attempt.isOverdue(START + 100 * MS));
--- a/routing/src/test/java/org/amberpath/routing/LatencyHistogramTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LatencyHistogramTest.java
@@ -10,7 +10,7 @@
   private final LatencyHistogram histogram = new LatencyHistogram();
 
   @Test
-  void meanLiesWithinABinOfTheSamples() {
+  void meanIsWithinOneBinOfTheSamples() {
     for (int sample = 0; sample < 100; sample++) {
       histogram.record(100 * MS);
     }
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -15,24 +15,24 @@
   private static final long MAX_RETRY_AFTER_NANOS = 1000 * MS;
 
   private final LoadShedder loadShedder = new LoadShedder(7, MAX_RETRY_AFTER_NANOS);
-  private long now;
+  private long nowNanos;
 
   @Test
-  void singlePauseRejectsNothing() {
-    turn(400 * MS);
+  void singlePauseCausesNoRejection() {
+    startTurn(400 * MS);
     for (int request = 0; request < 500; request++) {
       assertTrue(loadShedder.tryAdmit());
     }
-    turn(30 * MS);
-    turn(0);
+    startTurn(30 * MS);
+    startTurn(0);
     assertFalse(loadShedder.isShedding());
   }
 
   @Test
-  void separatePausesRejectNothing() {
-    for (int at = 0; at < 50; at++) {
-      turn(200 * MS);
-      turn(0);
+  void separatePausesCauseNoRejection() {
+    for (int pause = 0; pause < 50; pause++) {
+      startTurn(200 * MS);
+      startTurn(0);
     }
     assertFalse(loadShedder.isShedding());
   }
@@ -44,32 +44,34 @@
   @ParameterizedTest
   @ValueSource(doubles = {1.2, 3, 10})
   void overloadedEventLoopIsSoonOnTimeAndStaysBusy(double overloadFactor) {
-    long cost = MS;
-    long rejectionCost = cost / 30;
+    long requestNanos = MS;
+    long rejectionNanos = requestNanos / 30;
     double dueRequests = 0;
-    long lag = 0;
-    long answered = 0;
-    long worst = 0;
+    long turnNanos = 0;
+    long admittedCount = 0;
+    long longestTurnNanos = 0;
     for (int turn = 0; turn < 3000; turn++) {
-      turn(Math.max(0, lag - TICK_NANOS));
-      dueRequests += Math.max(TICK_NANOS, lag) * overloadFactor / cost;
-      long work = 0;
+      startTurn(Math.max(0, turnNanos - TICK_NANOS));
+      dueRequests += Math.max(TICK_NANOS, turnNanos) * overloadFactor / requestNanos;
+      long workNanos = 0;
       for (; dueRequests >= 1; dueRequests--) {
         boolean isAdmitted = loadShedder.tryAdmit();
-        answered += isAdmitted && turn >= 200 ? 1 : 0;
-        work += isAdmitted ? cost : rejectionCost;
+        admittedCount += isAdmitted && turn >= 200 ? 1 : 0;
+        workNanos += isAdmitted ? requestNanos : rejectionNanos;
       }
-      lag = work;
-      worst = turn >= 200 ? Math.max(worst, lag) : worst;
+      turnNanos = workNanos;
+      longestTurnNanos = turn >= 200 ? Math.max(longestTurnNanos, turnNanos) : longestTurnNanos;
     }
-    assertTrue(worst <= 50 * MS, "a turn of " + worst / MS + " ms");
-    assertTrue(answered * cost > 0.5 * (now - 200 * TICK_NANOS), answered + " of " + now / cost);
+    assertTrue(longestTurnNanos <= 50 * MS, "a turn of " + longestTurnNanos / MS + " ms");
+    assertTrue(
+        admittedCount * requestNanos > 0.5 * (nowNanos - 200 * TICK_NANOS),
+        admittedCount + " of " + nowNanos / requestNanos);
   }
 
   @Test
-  void gatewayWithLittleTrafficRejectsNothingHoweverLateItIs() {
-    for (int at = 0; at < 100; at++) {
-      turn(200 * MS);
+  void gatewayWithLittleTrafficRejectsNoRequestHoweverLateItIs() {
+    for (int turn = 0; turn < 100; turn++) {
+      startTurn(200 * MS);
       for (int request = 0; request < 8; request++) {
         assertTrue(loadShedder.tryAdmit());
       }
@@ -80,11 +82,11 @@
   void allRequestsAreAdmittedAgainAfterTheOverload() {
     for (int turn = 0; turn < 20; turn++) {
       loadShedder.tryAdmit();
-      turn(90 * MS);
+      startTurn(90 * MS);
     }
     assertTrue(loadShedder.isShedding());
     for (int turn = 0; turn < 60; turn++) {
-      turn(0);
+      startTurn(0);
     }
     assertFalse(loadShedder.isShedding());
   }
@@ -97,8 +99,8 @@
     assertEquals(0, new LoadShedder(7, 0).retryAfterNanos());
   }
 
-  private void turn(long lateNanos) {
-    now += TICK_NANOS + lateNanos;
-    loadShedder.turnStarted(now, lateNanos);
+  private void startTurn(long lateNanos) {
+    nowNanos += TICK_NANOS + lateNanos;
+    loadShedder.turnStarted(nowNanos, lateNanos);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/MergedEndpointListsTest.java
@@ -69,7 +69,7 @@
   }
 
   @Test
-  void endpointDroppedByOneSourceIsGoneUntilItIsListedAnew() {
+  void endpointRemovedByOneSourceIsGoneUntilThatSourceListsItAgain() {
     list(journal, EndpointListKind.FULL, "a", EndpointState.UP);
     list(registry, EndpointListKind.FULL, "a", EndpointState.UP, "b", EndpointState.UP);
     list(registry, EndpointListKind.FULL, "b", EndpointState.UP);
--- a/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ObjectHistoryTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void objectStartedLongestAgoIsForgottenFirst() {
+  void objectStartedLongestAgoIsEvictedFirst() {
     history.observe(1, 0, false, 1);
     history.observe(2, 0, false, 2);
     history.observe(1, 0, false, 3);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void shortestResponseOfAKnownObjectIsRemembered() {
+  void shortestResponseTimeOfAKnownObjectIsStored() {
     history.recordResponseTime(5, 70);
     assertEquals(0, history.shortestResponseNanos(5));
     history.observe(5, 0, false, 100);
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -15,12 +15,12 @@
   private final OutlierDetector detector = parts.detector;
   private final Endpoint endpoint = parts.endpoint(1);
 
-  private void detect(int... silent) {
+  private void detect(int... unresponsive) {
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
       peer.health.overdueRequests = 0;
       peer.health.lastResponseNanos = START;
     }
-    for (int index : silent) {
+    for (int index : unresponsive) {
       parts.endpoint(index).health.overdueRequests = 2;
       parts.endpoint(index).health.lastResponseNanos = START - 700 * MS;
     }
@@ -31,14 +31,14 @@
   void silentEndpointWithOverdueRequestsIsEjected() {
     detect(1);
     assertTrue(endpoint.health.isEjected());
-    assertEquals(List.of(1), parts.host.suspected);
+    assertEquals(List.of(1), parts.host.suspectEndpoints);
   }
 
   @Test
   void noEndpointIsEjectedWhileMostPeersAreSilent() {
     detect(0, 1, 2);
     assertFalse(endpoint.health.isEjected());
-    assertEquals(List.of(0, 1, 2), parts.host.suspected, "but reported for a health check");
+    assertEquals(List.of(0, 1, 2), parts.host.suspectEndpoints, "but reported for a health check");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
@@ -15,14 +15,14 @@
   void unreachableEndpointIsEjectedThenCheckedAndReadmitted() {
     SentAttempt sent = host.request(1, 5, 0);
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    SentAttempt second = host.lastAttempt(1);
-    assertNotEquals(sent.endpoint(), second.endpoint());
-    host.succeed(second, 50, ResponseDetail.HIT);
-    assertEquals(second.endpoint(), host.requestWithHit(5, 0).endpoint(), "ejected");
+    SentAttempt retry = host.lastAttempt(1);
+    assertNotEquals(sent.endpoint(), retry.endpoint());
+    host.succeed(retry, 50, ResponseDetail.HIT);
+    assertEquals(retry.endpoint(), host.requestWithHit(5, 0).endpoint(), "ejected");
     host.advanceMillis(400);
     assertEquals(
         sent.endpoint(), host.requestWithHit(5, 0).endpoint(), "one request as a health check");
-    assertEquals(second.endpoint(), host.requestWithHit(5, 0).endpoint(), "few keys at first");
+    assertEquals(retry.endpoint(), host.requestWithHit(5, 0).endpoint(), "few keys at first");
     host.advanceMillis(3000);
     assertEquals(
         sent.endpoint(),
@@ -46,18 +46,18 @@
 
   @Test
   void hungEndpointIsEjectedAndItsRequestsAreHedgedElsewhere() {
-    SentAttempt stalled = host.request(5, 0);
+    SentAttempt firstHungAttempt = host.request(5, 0);
     for (int i = 0; i < 150; i++) {
       SentAttempt sent = host.request(2000 + i, 0);
-      if (sent.endpoint() != stalled.endpoint()) {
+      if (sent.endpoint() != firstHungAttempt.endpoint()) {
         host.succeed(sent, 50, ResponseDetail.HIT);
       }
       host.advanceMillis(10);
     }
-    SentAttempt hedge = host.lastAttempt(stalled.requestId());
-    assertNotEquals(stalled.endpoint(), hedge.endpoint());
+    SentAttempt hedge = host.lastAttempt(firstHungAttempt.requestId());
+    assertNotEquals(firstHungAttempt.endpoint(), hedge.endpoint());
     host.succeed(hedge, 50, ResponseDetail.HIT);
-    assertTrue(host.cancelled.contains(stalled.requestId() + "/0"));
+    assertTrue(host.cancelledAttempts.contains(firstHungAttempt.requestId() + "/0"));
   }
 
   /** Guards the only edge cache that responds against receiving all keys of the others. */
--- a/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
@@ -34,12 +34,12 @@
    */
   @Test
   void parentsStayFillSourcesWhileTheOriginFails() {
-    int ended = 0;
+    int endedCount = 0;
     for (int i = 0; i < 40; i++) {
       host.advanceMillis(50).request(i, 0);
-      while (ended < host.sentAttempts.size()) {
+      while (endedCount < host.sentAttempts.size()) {
         host.endAttempt(
-            host.sentAttempts.get(ended++),
+            host.sentAttempts.get(endedCount++),
             AttemptOutcome.FAILED,
             50,
             ResponseDetail.FILL_SOURCE_UNREACHABLE);
@@ -65,7 +65,7 @@
     SentAttempt cachedOnly = host.request(500, 0);
     assertEquals(cachedOnly.endpoint(), cachedOnly.source());
     host.endAttempt(cachedOnly, AttemptOutcome.NOT_CACHED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(cachedOnly.requestId()), host.rejected);
+    assertEquals(List.of(cachedOnly.requestId()), host.rejectedRequests);
   }
 
   /** Guards against rejecting requests that a stale copy can serve; found with a slow origin. */
@@ -91,7 +91,7 @@
   }
 
   @Test
-  void lateHitsCloseTheEdgeLimitsAndRequestsAreRejected() {
+  void lateHitsLowerTheEdgeLimitsAndRequestsAreRejected() {
     for (int i = 0; i < 200; i++) {
       SentAttempt sent = host.request(i, 0);
       host.advanceMillis(250).succeed(sent, 1500, ResponseDetail.HIT);
@@ -99,7 +99,7 @@
     for (int i = 300; i < 400; i++) {
       host.request(i, 0);
     }
-    assertTrue(host.rejected.size() > 50, "rejected " + host.rejected.size());
+    assertTrue(host.rejectedRequests.size() > 50, "rejected " + host.rejectedRequests.size());
   }
 
   /**
@@ -109,7 +109,7 @@
   @Test
   void requestsOverTheLimitDoNotBypassTheEdgeCaches() {
     host.bypassAllowed = true;
-    lateHitsCloseTheEdgeLimitsAndRequestsAreRejected();
+    lateHitsLowerTheEdgeLimitsAndRequestsAreRejected();
     assertTrue(host.sentAttempts.stream().allMatch(sent -> sent.endpoint() < 4));
   }
 
@@ -119,23 +119,23 @@
    * rejected.
    */
   @Test
-  void lostResponsesDoNotCutTheLimitOfAResponsiveSource() {
-    for (int i = 0; i < 30; i++) {
-      SentAttempt lostAttempt = host.request(1000 + i, 0);
-      for (int after = 0; after < 12; after++) {
+  void lostResponsesDoNotLowerTheLimitOfAResponsiveSource() {
+    for (int round = 0; round < 30; round++) {
+      SentAttempt lostAttempt = host.request(1000 + round, 0);
+      for (int request = 0; request < 12; request++) {
         host.advanceMillis(150)
-            .succeed(host.request(2000 + 100 * i + after, 0), 50, ResponseDetail.FILLED);
+            .succeed(host.request(2000 + 100 * round + request, 0), 50, ResponseDetail.FILLED);
       }
       host.endAttempt(lostAttempt, AttemptOutcome.TIMED_OUT, 1800, ResponseDetail.NONE);
     }
-    int before = host.sentAttempts.size();
-    for (int i = 0; i < 24; i++) {
-      host.request(9000 + i, 0);
+    int sentBefore = host.sentAttempts.size();
+    for (int round = 0; round < 24; round++) {
+      host.request(9000 + round, 0);
     }
     assertEquals(
         24,
         host.sentAttempts.stream()
-            .skip(before)
+            .skip(sentBefore)
             .filter(attempt -> attempt.source() == 5 || attempt.source() == 6)
             .count());
   }
--- a/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecentRequestsTest.java
@@ -6,34 +6,34 @@
 import org.junit.jupiter.api.Test;
 
 class RecentRequestsTest {
-  private final RecentRequests<Integer, String> recent = new RecentRequests<>(3);
+  private final RecentRequests<Integer, String> recentRequests = new RecentRequests<>(3);
 
   private void addAll(int... keys) {
     for (int key : keys) {
-      recent.add(key, "object " + key);
+      recentRequests.add(key, "object " + key);
     }
   }
 
   @Test
   void mostFrequentRequestComesFirstAndSingleRequestsAreSkipped() {
     addAll(1, 2, 2, 3, 3, 3);
-    assertEquals("object 3", recent.latest());
-    assertNull(recent.nextInPass());
-    recent.startPass();
-    assertEquals("object 3", recent.nextInPass());
-    assertEquals("object 2", recent.nextInPass());
-    assertNull(recent.nextInPass());
+    assertEquals("object 3", recentRequests.latest());
+    assertNull(recentRequests.nextInPass());
+    recentRequests.startPass();
+    assertEquals("object 3", recentRequests.nextInPass());
+    assertEquals("object 2", recentRequests.nextInPass());
+    assertNull(recentRequests.nextInPass());
   }
 
   @Test
   void leastRecentRequestIsEvictedAndCountsDecay() {
     addAll(1, 1, 2, 2, 3, 3, 4, 4);
-    recent.startPass();
-    recent.startPass(); // The first pass halved each count from 2 to 1.
-    assertNull(recent.nextInPass());
+    recentRequests.startPass();
+    recentRequests.startPass(); // The first pass halved each count from 2 to 1.
+    assertNull(recentRequests.nextInPass());
     addAll(2);
-    recent.startPass();
-    assertEquals("object 2", recent.nextInPass());
-    assertNull(recent.nextInPass(), "1 was evicted, the others were requested once");
+    recentRequests.startPass();
+    assertEquals("object 2", recentRequests.nextInPass());
+    assertNull(recentRequests.nextInPass(), "1 was evicted, the others were requested once");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RecordedActions.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedActions.java
@@ -36,8 +36,8 @@
   }
 
   /** Counts an occurrence that is not part of the digest. */
-  void count(String what) {
-    counts.merge(what, 1, Integer::sum);
+  void count(String name) {
+    counts.merge(name, 1, Integer::sum);
   }
 
   /** Returns the number of occurrences by name; names of actions begin with "action ". */
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -22,7 +22,7 @@
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   /** Returns the decisions of a new router; nothing else here refers to the class under test. */
-  private static SeededWorld.Module module(RoutingConfig config) {
+  private static SeededWorld.RoutingModule createModule(RoutingConfig config) {
     return new RequestRouter(config)::decide;
   }
 
@@ -33,7 +33,7 @@
         missing -> {
           SeededWorld world = new SeededWorld(setting, seed);
           WORLDS.put(key, world);
-          return world.play(module(world.config()));
+          return world.run(createModule(world.config()));
         });
   }
 
@@ -52,9 +52,9 @@
     "NARROW, 2, 9f28aff515ddfb10377942304344227adebed9373bd9bed2793086deb7a6350a",
     "NARROW, 3, 0fdfcea1fa6122eea4ed5eea3adc4069015389ddb84e1d4b92b4d5f6c654ef40"
   })
-  void actionsMatchTheRecordedDigest(Setting setting, long seed, String recorded) {
+  void actionsMatchTheRecordedDigest(Setting setting, long seed, String recordedDigest) {
     assertEquals(
-        recorded,
+        recordedDigest,
         digest(setting, seed),
         () -> "counted: " + WORLDS.get(setting + " " + seed).counts());
   }
@@ -64,7 +64,7 @@
    * every action, outcome and detail.
    */
   @Test
-  void recordedEventsReachEveryActionOutcomeAndDetail() {
+  void recordedEventsCauseEveryActionOutcomeAndDetail() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -34,8 +34,9 @@
   @Test
   void keysAreDividedByWeight() {
     parts.endpoint(0).weight = 12;
-    long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
-    assertEquals(300, (float) large, 60);
+    long keysOfHeaviest =
+        LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
+    assertEquals(300, (float) keysOfHeaviest, 60);
   }
 
   /**
--- a/routing/src/test/java/org/amberpath/routing/RequestRetryTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRetryTest.java
@@ -25,12 +25,12 @@
     assertEquals(host.nowNanos + 2000 * MS, sent.deadlineNanos());
     host.nowNanos += 2000 * MS;
     host.endAttempt(sent, AttemptOutcome.TIMED_OUT, 2000, ResponseDetail.NONE);
-    assertEquals(List.of(1L), host.failed);
+    assertEquals(List.of(1L), host.failedRequests);
     host.deliver(to -> to.clientDisconnected(1))
         .endAttempt(sent, AttemptOutcome.CANCELLED, 2000, ResponseDetail.NONE)
         .advanceMillis(3000);
-    assertEquals(1, host.sentAttempts.size() + host.rejected.size());
-    assertEquals(1, host.failed.size());
+    assertEquals(1, host.sentAttempts.size() + host.rejectedRequests.size());
+    assertEquals(1, host.failedRequests.size());
   }
 
   @ParameterizedTest
@@ -49,8 +49,8 @@
     host.configure(idempotency, scope, false);
     host.endAttempt(host.request(1, 5, 0), outcome, 10, ResponseDetail.NONE);
     assertEquals(expected.equals("RETRIED") ? 2 : 1, host.sentAttempts.size());
-    assertEquals(expected.equals("FAILED") ? List.of(1L) : List.of(), host.failed);
-    assertTrue(host.rejected.isEmpty());
+    assertEquals(expected.equals("FAILED") ? List.of(1L) : List.of(), host.failedRequests);
+    assertTrue(host.rejectedRequests.isEmpty());
   }
 
   @ParameterizedTest
@@ -64,7 +64,7 @@
       host.endAttempt(host.lastAttempt(1), AttemptOutcome.REJECTED, 10, ResponseDetail.NONE);
     }
     assertEquals(attempts, host.sentAttempts.size());
-    assertEquals(attempts == 1 ? List.of(1L) : List.of(), host.failed);
+    assertEquals(attempts == 1 ? List.of(1L) : List.of(), host.failedRequests);
   }
 
   @Test
@@ -81,11 +81,12 @@
     host.nowNanos += 1100 * MS;
     host.endAttempt(host.lastAttempt(1), AttemptOutcome.FAILED, 10, ResponseDetail.NONE);
     assertEquals(2, host.sentAttempts.size());
-    assertEquals(List.of(1L), host.failed, "a rejection would invite a repeat outside the scope");
+    assertEquals(
+        List.of(1L), host.failedRequests, "a rejection would invite a repeat outside the scope");
   }
 
   @Test
-  void retriesAreLimitedToAShareOfTheRequests() {
+  void retriesAreLimitedToAFractionOfTheRequests() {
     for (int i = 0; i < 400; i++) {
       SentAttempt sent = host.request(i, 0);
       host.endAttempt(sent, AttemptOutcome.REJECTED, 1, ResponseDetail.NONE);
@@ -96,7 +97,7 @@
     }
     int retries = host.sentAttempts.size() - 400;
     assertTrue(retries > 40 && retries <= 40 + 400 / 5, "retries " + retries);
-    assertEquals(400, host.rejected.size());
+    assertEquals(400, host.rejectedRequests.size());
   }
 
   @Test
@@ -115,13 +116,13 @@
   @Test
   void overtakenFillIsHedgedAndCountsInNoLimit() {
     SentAttempt lostAttempt = host.request(1000, 0);
-    for (int after = 0; after < 6; after++) {
+    for (int round = 0; round < 6; round++) {
       host.advanceMillis(150);
       for (int object = 0; object < 8; object++) {
-        SentAttempt next = host.request(2000 + 10 * after + object, 0);
+        SentAttempt laterAttempt = host.request(2000 + 10 * round + object, 0);
         host.advanceMillis(20)
             .succeed(
-                next,
+                laterAttempt,
                 20,
                 object % 2 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.FILLED);
       }
@@ -130,6 +131,6 @@
     SentAttempt hedge = host.lastAttempt(lostAttempt.requestId());
     assertNotEquals(lostAttempt, hedge);
     host.succeed(hedge, 50, ResponseDetail.HIT);
-    assertEquals(List.of(lostAttempt.requestId() + "/0"), host.cancelled);
+    assertEquals(List.of(lostAttempt.requestId() + "/0"), host.cancelledAttempts);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -22,13 +22,14 @@
   @ParameterizedTest
   @CsvSource({"2, 3", "4, 7", "8, 15", "16, 31"})
   void partsOfOneSegmentGoToOneEdgeCacheAndSegmentsSpread(int first, int last) {
-    int spread = 0;
+    int segmentsAtOtherCaches = 0;
     for (long object = 1; object <= 40; object++) {
       int cache = host.requestWithHit(object, first).endpoint();
       assertEquals(cache, host.requestWithHit(object, last).endpoint());
-      spread += host.requestWithHit(object, last + 1).endpoint() != cache ? 1 : 0;
+      segmentsAtOtherCaches += host.requestWithHit(object, last + 1).endpoint() != cache ? 1 : 0;
     }
-    assertTrue(spread > 20, "next segments at other caches: " + spread);
+    assertTrue(
+        segmentsAtOtherCaches > 20, "next segments at other caches: " + segmentsAtOtherCaches);
   }
 
   @Test
@@ -70,28 +71,29 @@
   }
 
   @Test
-  void gatewaysThatReceivedTheListInAnotherOrderChooseTheSameRoutes() {
-    FakeHost other = new FakeHost().listEndpoints(7, 6, 5, 4, 3, 2, 1, 0).decide();
+  void gatewaysWithTheListInAnotherOrderSelectTheSameRoutes() {
+    FakeHost otherHost = new FakeHost().listEndpoints(7, 6, 5, 4, 3, 2, 1, 0).deliverBatch();
     for (long object = 1; object <= 50; object++) {
-      SentAttempt here = host.request(object, object, 0);
-      SentAttempt there = other.request(object, object, 0);
+      SentAttempt attempt = host.request(object, object, 0);
+      SentAttempt otherAttempt = otherHost.request(object, object, 0);
       assertEquals(
-          List.of(here.endpoint(), here.source()), List.of(there.endpoint(), there.source()));
-      host.succeed(here, 50, ResponseDetail.HIT);
-      other.succeed(there, 50, ResponseDetail.HIT);
+          List.of(attempt.endpoint(), attempt.source()),
+          List.of(otherAttempt.endpoint(), otherAttempt.source()));
+      host.succeed(attempt, 50, ResponseDetail.HIT);
+      otherHost.succeed(otherAttempt, 50, ResponseDetail.HIT);
     }
   }
 
   /** Where gateways share a zone, other gateways receive most of the starts of an object. */
   @ParameterizedTest
   @CsvSource({"1, 0", "10, 2"})
-  void partOutOfSequenceCountsAsAStartWhereGatewaysShareAZone(int gateways, int rank) {
+  void partOutOfSequenceCountsAsAStartWhereGatewaysShareAZone(int gateways, int expectedRank) {
     FakeHost gatewayHost = new FakeHost();
     gatewayHost.gatewaysInZone = gateways;
     gatewayHost.listEndpoints().request(1, 5, 9);
     gatewayHost.advanceMillis(3000);
     assertEquals(
-        rank,
+        expectedRank,
         gatewayHost.request(2, 5, 9).rank(),
         "of another playback, so the object is started again");
     assertEquals(0, gatewayHost.request(3, 6, 9).rank(), "of a first playback");
@@ -101,15 +103,15 @@
   void requestWithoutAnyEdgeCacheIsRejectedAtOnce() {
     IntStream.range(0, 4).forEach(cache -> host.changeEndpoint(cache, EndpointState.GONE, 0));
     host.request(1, 5, 0);
-    assertEquals(List.of(1L), host.rejected);
+    assertEquals(List.of(1L), host.rejectedRequests);
   }
 
   @Test
   void hotSegmentSpillsOverToTheNextCaches() {
-    Set<Integer> used = new HashSet<>();
+    Set<Integer> usedEndpoints = new HashSet<>();
     for (int i = 0; i < 20; i++) {
-      used.add(host.request(5, 4).endpoint());
+      usedEndpoints.add(host.request(5, 4).endpoint());
     }
-    assertTrue(used.size() > 1);
+    assertTrue(usedEndpoints.size() > 1);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -17,8 +17,8 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "60, 30", "200, 100", "300, 200", "900, 800"})
-  void deadlineLosesHalfTheLagAndAllButATenthOfASecondOfALongOne(long lag, long off) {
-    assertEquals(5000 + 1500 - off, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
+  void halfOfTheLagOrAllButATenthOfASecondIsSubtractedFromTheDeadline(long lag, long subtracted) {
+    assertEquals(5000 + 1500 - subtracted, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
   }
 
   @Test
@@ -72,9 +72,10 @@
     assertEquals(0, lag.lagNanos(40, 2090 * MS), "what comes later on it was not waiting");
   }
 
-  private static void accept(AcceptLag<Integer> lag, int first, int last, long now, long late) {
+  private static void accept(
+      AcceptLag<Integer> lag, int first, int last, long nowMillis, long lagMillis) {
     for (int connection = first; connection <= last; connection++) {
-      lag.connectionAccepted(connection, now * MS, late * MS);
+      lag.connectionAccepted(connection, nowMillis * MS, lagMillis * MS);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RetryBudgetTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryBudgetTest.java
@@ -9,7 +9,7 @@
 class RetryBudgetTest {
   private final RetryBudget budget = new RetryBudget();
 
-  private int drain() {
+  private int withdrawAll() {
     int withdrawn = 0;
     while (budget.tryWithdraw()) {
       withdrawn++;
@@ -22,16 +22,16 @@
     for (int request = 0; request < 1000; request++) {
       budget.deposit();
     }
-    assertEquals(40, drain());
+    assertEquals(40, withdrawAll());
     for (int request = 0; request < 54; request++) {
       budget.deposit();
     }
-    assertEquals(10, drain());
+    assertEquals(10, withdrawAll());
   }
 
   @Test
   void refundMakesTheNextAttemptFree() {
-    drain();
+    withdrawAll();
     assertFalse(budget.tryWithdraw());
     budget.refund();
     assertTrue(budget.tryWithdraw());
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -31,14 +31,14 @@
       IdempotencyScope scope,
       boolean sameCell,
       boolean sameZone,
-      boolean elsewhere) {
+      boolean otherZone) {
     parts.configure(idempotency, scope);
     InFlightRequest request = parts.request(5);
     assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
     request.recordExecuted(parts.attempt(request, 0, 5));
     assertEquals(sameCell, policy.permits(request, parts.endpoint(2), START));
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
-    assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
+    assertEquals(otherZone, policy.permits(request, parts.endpoint(5), START));
     assertEquals(
         idempotency == Idempotency.IDEMPOTENT,
         policy.permits(request, parts.endpoint(2), START + 1000 * MS));
--- a/routing/src/test/java/org/amberpath/routing/RoutingParts.java
+++ b/routing/src/test/java/org/amberpath/routing/RoutingParts.java
@@ -32,7 +32,7 @@
       new AttemptRecorder(endpoints, history, limiter, detector, slowStart);
   final ClusterManager cluster =
       new ClusterManager(host, share, endpoints, slowStart, limiter, new SplittableRandom(1));
-  private long ids;
+  private long lastRequestId;
 
   /**
    * Lists the endpoints, all up and warm: edge caches 0 to 3 in the gateway's zone, edge cache 4 in
@@ -74,7 +74,9 @@
   InFlightRequest request(long object) {
     InFlightRequest request =
         new InFlightRequest(
-            new RequestDetails(++ids, 0, object, 9, 0, 2000 * MS, 100, false), trafficClass, START);
+            new RequestDetails(++lastRequestId, 0, object, 9, 0, 2000 * MS, 100, false),
+            trafficClass,
+            START);
     request.softTimeoutNanos = 100 * MS;
     request.canJudgeLatency = true;
     request.rank = SegmentAdmission.STANDARD_RANK;
--- a/routing/src/test/java/org/amberpath/routing/SeededConfig.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededConfig.java
@@ -109,7 +109,7 @@
 
   @Override
   public TrafficClassConfig trafficClass(int index) {
-    boolean expires = setting == Setting.TWENTY;
+    boolean copiesExpire = setting == Setting.TWENTY;
     return new TrafficClassConfig(
         idempotency(index),
         index == 1
@@ -120,8 +120,8 @@
         2,
         1 + index % 3,
         index == 5,
-        expires ? (index + 1) * 1000L * MS : 0,
-        expires ? 4000 * MS : 0);
+        copiesExpire ? (index + 1) * 1000L * MS : 0,
+        copiesExpire ? 4000 * MS : 0);
   }
 
   private static Idempotency idempotency(int index) {
--- a/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
@@ -36,7 +36,7 @@
   private final RecordedActions recorded;
   private final double hitProbability;
   private final Map<Integer, Behaviour> behaviours = new HashMap<>();
-  private final Map<Long, List<SentAttempt>> open = new TreeMap<>();
+  private final Map<Long, List<SentAttempt>> openByRequest = new TreeMap<>();
   private final Map<Long, Integer> attemptCounts = new HashMap<>();
 
   SeededEndpoints(
@@ -56,7 +56,7 @@
 
   /** Returns the IDs of the requests with open attempts, in ascending order. */
   List<Long> openRequests() {
-    return List.copyOf(open.keySet());
+    return List.copyOf(openByRequest.keySet());
   }
 
   /** Accepts an attempt and schedules its end. */
@@ -65,19 +65,19 @@
     recorded.count("attempt " + number);
     SentAttempt attempt =
         new SentAttempt(command.requestId(), number, command.endpoint(), schedule.nowNanos());
-    open.computeIfAbsent(command.requestId(), id -> new ArrayList<>()).add(attempt);
+    openByRequest.computeIfAbsent(command.requestId(), id -> new ArrayList<>()).add(attempt);
     boolean cachedOnly = (command.options() & AttemptCommand.CACHED_ONLY) != 0;
-    respond(attempt, command.deadlineNanos(), command.source(), cachedOnly);
+    scheduleResponse(attempt, command.deadlineNanos(), command.source(), cachedOnly);
   }
 
   /** Schedules the end of an open attempt as cancelled, for the current time. */
   void cancel(long requestId, int number) {
-    for (SentAttempt attempt : List.copyOf(open.getOrDefault(requestId, List.of()))) {
+    for (SentAttempt attempt : List.copyOf(openByRequest.getOrDefault(requestId, List.of()))) {
       if (attempt.number == number) {
         schedule.schedule(
             schedule.nowNanos(),
             to ->
-                ended(
+                reportEnded(
                     to,
                     attempt,
                     AttemptOutcome.CANCELLED,
@@ -91,65 +91,73 @@
    * Schedules how an attempt ends. The behaviour is that of the endpoint; if the endpoint is
    * healthy and needs a fill, it is that of the fill source.
    */
-  private void respond(SentAttempt attempt, long deadlineNanos, int source, boolean cachedOnly) {
-    boolean hit = withProbability(hitProbability);
-    Behaviour own = behaviours.getOrDefault(attempt.endpoint, Behaviour.HEALTHY);
-    Behaviour ofSource =
+  private void scheduleResponse(
+      SentAttempt attempt, long deadlineNanos, int source, boolean cachedOnly) {
+    boolean isHit = withProbability(hitProbability);
+    Behaviour endpointBehaviour = behaviours.getOrDefault(attempt.endpoint, Behaviour.HEALTHY);
+    Behaviour sourceBehaviour =
         source == attempt.endpoint
             ? Behaviour.HEALTHY
             : behaviours.getOrDefault(source, Behaviour.HEALTHY);
-    Behaviour effective = own != Behaviour.HEALTHY || hit || cachedOnly ? own : ofSource;
-    long durationNanos = (15 + random.nextInt(60)) * MS + (hit ? 0 : 30 * MS);
-    boolean atSource =
-        own == Behaviour.HEALTHY && !hit && !cachedOnly && source != attempt.endpoint;
-    switch (effective) {
+    Behaviour effectiveBehaviour =
+        endpointBehaviour != Behaviour.HEALTHY || isHit || cachedOnly
+            ? endpointBehaviour
+            : sourceBehaviour;
+    long durationNanos = (15 + random.nextInt(60)) * MS + (isHit ? 0 : 30 * MS);
+    boolean isSourceFault =
+        endpointBehaviour == Behaviour.HEALTHY
+            && !isHit
+            && !cachedOnly
+            && source != attempt.endpoint;
+    switch (effectiveBehaviour) {
       case HEALTHY ->
-          respondNormally(attempt, deadlineNanos, durationNanos, hit, cachedOnly, source);
+          scheduleNormalResponse(attempt, deadlineNanos, durationNanos, isHit, cachedOnly, source);
       case SLOW ->
-          respondNormally(attempt, deadlineNanos, 15 * durationNanos, hit, cachedOnly, source);
+          scheduleNormalResponse(
+              attempt, deadlineNanos, 15 * durationNanos, isHit, cachedOnly, source);
       case HUNG ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               deadlineNanos - schedule.nowNanos(),
               AttemptOutcome.TIMED_OUT,
               ResponseDetail.NONE);
       case RESETTING ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               durationNanos,
-              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECTION_LOST,
-              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
+              isSourceFault ? AttemptOutcome.FAILED : AttemptOutcome.CONNECTION_LOST,
+              isSourceFault ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case REJECTING ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               MS,
               AttemptOutcome.REJECTED,
-              atSource
+              isSourceFault
                   ? ResponseDetail.FILL_REJECTED
                   : withProbability(0.1)
                       ? ResponseDetail.NOT_STORED_NO_SPACE
                       : ResponseDetail.NONE);
       case UNREACHABLE ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               2 * MS,
-              atSource ? AttemptOutcome.FAILED : AttemptOutcome.CONNECT_FAILED,
-              atSource ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
+              isSourceFault ? AttemptOutcome.FAILED : AttemptOutcome.CONNECT_FAILED,
+              isSourceFault ? ResponseDetail.FILL_SOURCE_UNREACHABLE : ResponseDetail.NONE);
       case FAILING ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               durationNanos,
               AttemptOutcome.FAILED,
-              atSource || attempt.endpoint == SeededWorld.ORIGIN
+              isSourceFault || attempt.endpoint == SeededWorld.ORIGIN
                   ? ResponseDetail.ORIGIN_FAILED
                   : ResponseDetail.NONE);
       default ->
-          end(
+          scheduleEnd(
               attempt,
               deadlineNanos,
               MS,
@@ -158,17 +166,17 @@
     }
   }
 
-  private void respondNormally(
+  private void scheduleNormalResponse(
       SentAttempt attempt,
       long deadlineNanos,
       long durationNanos,
-      boolean hit,
+      boolean isHit,
       boolean cachedOnly,
       int source) {
-    if (!hit && cachedOnly) {
-      end(attempt, deadlineNanos, 3 * MS, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
+    if (!isHit && cachedOnly) {
+      scheduleEnd(attempt, deadlineNanos, 3 * MS, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
     } else if (withProbability(0.01)) {
-      end(
+      scheduleEnd(
           attempt,
           deadlineNanos,
           5 * MS,
@@ -178,7 +186,7 @@
               : ResponseDetail.NOT_STORED_NO_SPACE);
     } else {
       ResponseDetail detail =
-          hit
+          isHit
               ? withProbability(0.9)
                   ? ResponseDetail.HIT
                   : withProbability(0.5) ? ResponseDetail.STALE : ResponseDetail.NONE
@@ -186,40 +194,43 @@
                   ? ResponseDetail.FILLED_BY_ORIGIN
                   : withProbability(0.2) ? ResponseDetail.COALESCED : ResponseDetail.FILLED;
       if (withProbability(0.1)) {
-        long halfway =
+        long halfwayNanos =
             schedule.nowNanos() + Math.min(durationNanos, deadlineNanos - schedule.nowNanos()) / 2;
-        schedule.schedule(halfway, to -> to.responseStarted(attempt.requestId, attempt.number));
+        schedule.schedule(
+            halfwayNanos, to -> to.responseStarted(attempt.requestId, attempt.number));
       }
-      end(attempt, deadlineNanos, durationNanos, AttemptOutcome.SUCCEEDED, detail);
+      scheduleEnd(attempt, deadlineNanos, durationNanos, AttemptOutcome.SUCCEEDED, detail);
     }
   }
 
-  private void end(
+  private void scheduleEnd(
       SentAttempt attempt,
       long deadlineNanos,
       long durationNanos,
       AttemptOutcome plannedOutcome,
       ResponseDetail plannedDetail) {
-    boolean late = schedule.nowNanos() + durationNanos >= deadlineNanos;
-    AttemptOutcome outcome = late ? AttemptOutcome.TIMED_OUT : plannedOutcome;
-    ResponseDetail detail = late ? ResponseDetail.NONE : plannedDetail;
-    long at = late ? deadlineNanos : schedule.nowNanos() + durationNanos;
-    schedule.schedule(at, to -> ended(to, attempt, outcome, at - attempt.sentAtNanos, detail));
+    boolean isTimedOut = schedule.nowNanos() + durationNanos >= deadlineNanos;
+    AttemptOutcome outcome = isTimedOut ? AttemptOutcome.TIMED_OUT : plannedOutcome;
+    ResponseDetail detail = isTimedOut ? ResponseDetail.NONE : plannedDetail;
+    long endedAtNanos = isTimedOut ? deadlineNanos : schedule.nowNanos() + durationNanos;
+    schedule.schedule(
+        endedAtNanos,
+        to -> reportEnded(to, attempt, outcome, endedAtNanos - attempt.sentAtNanos, detail));
   }
 
-  private void ended(
+  private void reportEnded(
       RoutingEventHandler to,
       SentAttempt attempt,
       AttemptOutcome outcome,
       long durationNanos,
       ResponseDetail detail) {
-    List<SentAttempt> openAttempts = open.getOrDefault(attempt.requestId, List.of());
+    List<SentAttempt> openAttempts = openByRequest.getOrDefault(attempt.requestId, List.of());
     if (!openAttempts.contains(attempt)) {
       return;
     }
     openAttempts.remove(attempt);
     if (openAttempts.isEmpty()) {
-      open.remove(attempt.requestId);
+      openByRequest.remove(attempt.requestId);
     }
     recorded.count("outcome " + outcome);
     recorded.count("detail " + detail);
--- a/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
@@ -11,14 +11,14 @@
  * which they were scheduled.
  */
 final class SeededSchedule {
-  private record ScheduledEvent(long atNanos, long order, Consumer<RoutingEventHandler> event) {}
+  private record ScheduledEvent(long atNanos, long sequence, Consumer<RoutingEventHandler> event) {}
 
   private final PriorityQueue<ScheduledEvent> events =
       new PriorityQueue<>(
           Comparator.comparingLong(ScheduledEvent::atNanos)
-              .thenComparingLong(ScheduledEvent::order));
+              .thenComparingLong(ScheduledEvent::sequence));
   private long nowNanos;
-  private long lastOrder;
+  private long lastSequence;
 
   SeededSchedule(long nowNanos) {
     this.nowNanos = nowNanos;
@@ -33,16 +33,16 @@
   }
 
   void schedule(long atNanos, Consumer<RoutingEventHandler> event) {
-    events.add(new ScheduledEvent(atNanos, ++lastOrder, event));
+    events.add(new ScheduledEvent(atNanos, ++lastSequence, event));
   }
 
   /** Whether any event was ever scheduled. */
-  boolean wasUsed() {
-    return lastOrder > 0;
+  boolean hasScheduledAny() {
+    return lastSequence > 0;
   }
 
   /** Removes and returns the events that are due. */
-  List<Consumer<RoutingEventHandler>> takeDue() {
+  List<Consumer<RoutingEventHandler>> removeDue() {
     List<Consumer<RoutingEventHandler>> due = new ArrayList<>();
     while (!events.isEmpty() && events.peek().atNanos() <= nowNanos) {
       due.add(events.poll().event());
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -20,7 +20,7 @@
 @SuppressWarnings("EnumOrdinal") // The ordinals are part of the random seeds.
 final class SeededWorld implements RoutingActions {
   /** The module under test, which decides on batches of events; each world has its own. */
-  interface Module {
+  interface RoutingModule {
     void decide(long nowNanos, RoutingEvents events, RoutingActions actions);
   }
 
@@ -33,14 +33,14 @@
   private final Setting setting;
   private final SeededConfig config;
   private final SplittableRandom random;
-  private final RecordedActions recorded = new RecordedActions();
+  private final RecordedActions recordedActions = new RecordedActions();
   private final SeededSchedule schedule = new SeededSchedule(5_000 * MS);
   private final SeededEndpoints simulatedEndpoints;
-  private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
-  private final Map<Integer, EndpointState> states = new TreeMap<>();
+  private final List<Consumer<RoutingEventHandler>> pendingEvents = new ArrayList<>();
+  private final Map<Integer, EndpointState> listedStates = new TreeMap<>();
 
   /** How often each endpoint index was reused; each reuse gives the endpoint another ID. */
-  private final Map<Integer, Integer> reuses = new HashMap<>();
+  private final Map<Integer, Integer> reuseCounts = new HashMap<>();
 
   private long lastRequestId;
   private int maxRequestsPerRound = 3;
@@ -50,7 +50,8 @@
     config = new SeededConfig(setting, seed);
     random = new SplittableRandom(seed * 31 + setting.ordinal());
     simulatedEndpoints =
-        new SeededEndpoints(random, schedule, recorded, setting == Setting.NARROW ? 0.4 : 0.65);
+        new SeededEndpoints(
+            random, schedule, recordedActions, setting == Setting.NARROW ? 0.4 : 0.65);
   }
 
   SeededConfig config() {
@@ -59,32 +60,32 @@
 
   /** Returns the number of each action, outcome, detail and event that occurred. */
   Map<String, Integer> counts() {
-    return recorded.counts();
+    return recordedActions.counts();
   }
 
   /** Runs all rounds and returns the digest of all actions, in hexadecimal. */
-  String play(Module module) {
+  String run(RoutingModule module) {
     if (setting == Setting.NARROW) {
       // The kinds of endpoints are first listed while this gateway has no share.
-      events.add(to -> to.gatewayShareChanged(config.gateways(), 0));
+      pendingEvents.add(to -> to.gatewayShareChanged(config.gateways(), 0));
     }
-    fullList();
+    addFullList();
     for (int round = 0; round < ROUNDS; round++) {
       if (round == ROUNDS / 50) {
-        events.add(to -> to.gatewayShareChanged(config.gateways(), 1.0 / config.gateways()));
+        pendingEvents.add(to -> to.gatewayShareChanged(config.gateways(), 1.0 / config.gateways()));
       }
       schedule.advance(withProbability(0.002) ? 400 * MS : MS / 2 + random.nextLong(9 * MS));
-      events.addAll(schedule.takeDue());
+      pendingEvents.addAll(schedule.removeDue());
       addRandomEvents();
       int count = random.nextInt(maxRequestsPerRound + 1);
       for (int index = 0; index < count; index++) {
         addRequest();
       }
-      List<Consumer<RoutingEventHandler>> batch = List.copyOf(events);
-      events.clear();
+      List<Consumer<RoutingEventHandler>> batch = List.copyOf(pendingEvents);
+      pendingEvents.clear();
       module.decide(schedule.nowNanos(), to -> batch.forEach(event -> event.accept(to)), this);
     }
-    return recorded.finishDigest();
+    return recordedActions.finishDigest();
   }
 
   private void addRandomEvents() {
@@ -95,46 +96,46 @@
     if (withProbability(0.03)) {
       Behaviour[] all = Behaviour.values();
       simulatedEndpoints.setBehaviour(
-          anyEndpoint(),
+          drawEndpoint(),
           withProbability(0.6) ? Behaviour.HEALTHY : all[random.nextInt(all.length)]);
     }
     if (withProbability(0.006)) {
-      changeList(1);
+      addListOfChanges(1);
     }
     if (withProbability(0.0008)) {
-      changeList(5);
+      addListOfChanges(5);
     }
     if (withProbability(0.0008)) {
-      fullList();
+      addFullList();
     }
     if (withProbability(0.0005)) {
-      events.add(to -> to.endpointListStarted(EndpointListKind.NONE));
+      pendingEvents.add(to -> to.endpointListStarted(EndpointListKind.NONE));
     }
     addPurges();
     if (withProbability(0.03)) {
-      disconnectClient();
+      addDisconnect();
     }
     addFleetEvents();
   }
 
   private void addPurges() {
     if (withProbability(0.02)) {
-      long object = object();
+      long object = drawObject();
       long ageNanos = random.nextLong(300 * MS);
-      events.add(to -> to.objectPurged(object, group(object), ageNanos));
+      pendingEvents.add(to -> to.objectPurged(object, groupOf(object), ageNanos));
     }
     if (withProbability(0.001)) {
       int group = withProbability(0.2) ? EndpointListener.ALL_GROUPS : random.nextInt(7);
-      events.add(to -> to.objectPurged(0, group, 20 * MS));
+      pendingEvents.add(to -> to.objectPurged(0, group, 20 * MS));
     }
   }
 
-  private void disconnectClient() {
+  private void addDisconnect() {
     List<Long> open = simulatedEndpoints.openRequests();
     if (!open.isEmpty()) {
       long requestId = open.get(random.nextInt(open.size()));
-      events.add(to -> to.clientDisconnected(requestId));
-      recorded.count("event disconnected");
+      pendingEvents.add(to -> to.clientDisconnected(requestId));
+      recordedActions.count("event disconnected");
     }
   }
 
@@ -142,36 +143,36 @@
     if (withProbability(0.001)) {
       int gateways = config.gateways() * (1 + random.nextInt(3)) - random.nextInt(2);
       double share = withProbability(0.3) ? 0 : 1.0 / Math.max(1, gateways);
-      events.add(to -> to.gatewayShareChanged(gateways, share));
-      recorded.count(share > 0 ? "event share granted" : "event share revoked");
+      pendingEvents.add(to -> to.gatewayShareChanged(gateways, share));
+      recordedActions.count(share > 0 ? "event share granted" : "event share revoked");
     }
     if (withProbability(0.002)) {
       boolean delegated = random.nextBoolean();
-      events.add(to -> to.healthChecksDelegated(delegated));
+      pendingEvents.add(to -> to.healthChecksDelegated(delegated));
     }
     if (withProbability(0.02)) {
-      int endpoint = withProbability(0.05) ? UNKNOWN_ENDPOINT : anyEndpoint();
+      int endpoint = withProbability(0.05) ? UNKNOWN_ENDPOINT : drawEndpoint();
       boolean responded = withProbability(0.7);
       long ageNanos = random.nextLong(2000 * MS);
-      events.add(to -> to.healthReported(endpoint, responded, ageNanos));
+      pendingEvents.add(to -> to.healthReported(endpoint, responded, ageNanos));
     }
     if (withProbability(0.2)) {
       long id = ++lastRequestId;
-      int endpoint = withProbability(0.6) ? RoutingEventHandler.NO_ENDPOINT : anyEndpoint();
+      int endpoint = withProbability(0.6) ? RoutingEventHandler.NO_ENDPOINT : drawEndpoint();
       int trafficClass = withProbability(0.8) ? 0 : random.nextInt(SeededConfig.TRAFFIC_CLASSES);
-      long object = object();
-      int part = part();
-      events.add(
+      long object = drawObject();
+      int part = drawPart();
+      pendingEvents.add(
           to ->
               to.syntheticRequestReceived(
                   new RequestDetails(
                       id,
                       trafficClass,
                       object,
-                      group(object),
+                      groupOf(object),
                       part,
                       500 * MS,
-                      kilobytes(id),
+                      kilobytesOf(id),
                       false),
                   endpoint));
     }
@@ -180,91 +181,91 @@
   private void addRequest() {
     long id = ++lastRequestId;
     int trafficClass = withProbability(0.7) ? 0 : random.nextInt(SeededConfig.TRAFFIC_CLASSES);
-    long object = object();
-    int part = part();
+    long object = drawObject();
+    int part = drawPart();
     long timeLeftNanos =
         withProbability(0.02) ? 10 * MS : withProbability(0.2) ? 300 * MS : 2000 * MS;
     boolean neverCached = withProbability(0.02);
-    events.add(
+    pendingEvents.add(
         to ->
             to.requestReceived(
                 new RequestDetails(
                     id,
                     trafficClass,
                     object,
-                    group(object),
+                    groupOf(object),
                     part,
                     timeLeftNanos,
-                    kilobytes(id),
+                    kilobytesOf(id),
                     neverCached)));
   }
 
-  private double kilobytes(long id) {
+  private double kilobytesOf(long id) {
     return id % 5 == 0 ? 0 : 20 + id % 200;
   }
 
-  private static int group(long object) {
+  private static int groupOf(long object) {
     return (int) (object % 7);
   }
 
-  private long object() {
+  private long drawObject() {
     if (setting == Setting.ALONE && withProbability(0.6)) {
       return 1000L + random.nextInt(40_000);
     }
-    double skewed = random.nextDouble();
-    return 1L + (int) (skewed * skewed * skewed * 500);
+    double uniform = random.nextDouble();
+    return 1L + (int) (uniform * uniform * uniform * 500);
   }
 
-  private int part() {
+  private int drawPart() {
     return withProbability(0.4) ? 0 : withProbability(0.4) ? random.nextInt(4) : random.nextInt(60);
   }
 
   // ---- The endpoint list.
 
-  private int edges() {
+  private int edgeCount() {
     return setting == Setting.NARROW ? 4 : setting == Setting.PLAIN ? 7 : 14;
   }
 
-  private int parents() {
+  private int parentCount() {
     return setting == Setting.NARROW ? 0 : setting == Setting.PLAIN ? 1 : 3;
   }
 
-  private List<Integer> endpoints() {
+  private List<Integer> listedIndexes() {
     List<Integer> all = new ArrayList<>();
-    for (int edge = 0; edge < edges() + 2; edge++) {
+    for (int edge = 0; edge < edgeCount() + 2; edge++) {
       all.add(edge);
     }
-    for (int parent = 0; parent < parents(); parent++) {
+    for (int parent = 0; parent < parentCount(); parent++) {
       all.add(FIRST_PARENT + parent);
     }
     all.add(ORIGIN);
     return all;
   }
 
-  private int anyEndpoint() {
-    List<Integer> all = endpoints();
+  private int drawEndpoint() {
+    List<Integer> all = listedIndexes();
     return withProbability(0.1) ? ORIGIN : all.get(random.nextInt(all.size()));
   }
 
-  private void fullList() {
-    events.add(to -> to.endpointListStarted(EndpointListKind.FULL));
-    for (int endpoint : endpoints()) {
+  private void addFullList() {
+    pendingEvents.add(to -> to.endpointListStarted(EndpointListKind.FULL));
+    for (int endpoint : listedIndexes()) {
       if (!withProbability(0.05)) {
         listEndpoint(
             endpoint,
             EndpointState.UP,
-            withProbability(0.1) && schedule.wasUsed() ? schedule.nowNanos() : 0);
+            withProbability(0.1) && schedule.hasScheduledAny() ? schedule.nowNanos() : 0);
       }
     }
-    events.add(RoutingEventHandler::endpointListCompleted);
+    pendingEvents.add(RoutingEventHandler::endpointListCompleted);
   }
 
-  private void changeList(int count) {
-    events.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
+  private void addListOfChanges(int count) {
+    pendingEvents.add(to -> to.endpointListStarted(EndpointListKind.CHANGES));
     for (int index = 0; index < count; index++) {
-      int endpoint = anyEndpoint();
+      int endpoint = drawEndpoint();
       EndpointState state =
-          states.getOrDefault(endpoint, EndpointState.UP) == EndpointState.UP
+          listedStates.getOrDefault(endpoint, EndpointState.UP) == EndpointState.UP
                   && withProbability(0.4)
               ? EndpointState.values()[1 + random.nextInt(2)]
               : EndpointState.UP;
@@ -275,22 +276,22 @@
       listEndpoint(
           endpoint, state, withProbability(0.8) ? schedule.nowNanos() - startedAgoNanos : 0);
     }
-    events.add(RoutingEventHandler::endpointListCompleted);
+    pendingEvents.add(RoutingEventHandler::endpointListCompleted);
   }
 
   private void listEndpoint(int endpoint, EndpointState state, long startedAtNanos) {
-    if (states.put(endpoint, state) == EndpointState.GONE) {
-      reuses.merge(endpoint, 1, Integer::sum);
+    if (listedStates.put(endpoint, state) == EndpointState.GONE) {
+      reuseCounts.merge(endpoint, 1, Integer::sum);
     }
-    recorded.count("event listed " + state + (startedAtNanos > 0 ? " warming up" : ""));
-    String address = "10.0." + reuses.getOrDefault(endpoint, 0) + "." + endpoint + ":90";
-    String zone = endpoint >= FIRST_PARENT ? "hub" : endpoint < edges() ? "here" : "there";
+    recordedActions.count("event listed " + state + (startedAtNanos > 0 ? " warming up" : ""));
+    String address = "10.0." + reuseCounts.getOrDefault(endpoint, 0) + "." + endpoint + ":90";
+    String zone = endpoint >= FIRST_PARENT ? "hub" : endpoint < edgeCount() ? "here" : "there";
     String kind =
         endpoint == ORIGIN
             ? "origin"
             : endpoint >= FIRST_PARENT ? "parent" : endpoint % 3 == 0 ? "small" : "box";
     double weight = endpoint >= FIRST_PARENT ? 24 : endpoint % 3 == 0 ? 2 : 6;
-    events.add(
+    pendingEvents.add(
         to ->
             to.endpointListed(
                 new EndpointDescription(
@@ -301,7 +302,7 @@
 
   @Override
   public void sendAttempt(AttemptCommand command) {
-    recorded.add(
+    recordedActions.add(
         "forward",
         command.requestId(),
         command.endpoint(),
@@ -310,9 +311,9 @@
         command.maxAgeNanos(),
         command.rank(),
         command.options());
-    recorded.count("rank " + command.rank());
-    recorded.count("options " + command.options());
-    recorded.count(
+    recordedActions.count("rank " + command.rank());
+    recordedActions.count("options " + command.options());
+    recordedActions.count(
         command.source() == command.endpoint()
             ? "no source"
             : command.source() == ORIGIN ? "source is the origin" : "source is a parent");
@@ -321,39 +322,39 @@
 
   @Override
   public void limitRetryStart(long requestId, long latestNanos) {
-    recorded.add("sendBy", requestId, latestNanos);
+    recordedActions.add("sendBy", requestId, latestNanos);
   }
 
   @Override
   public void reject(long requestId, long retryAfterNanos) {
-    recorded.add("shed", requestId, retryAfterNanos);
+    recordedActions.add("shed", requestId, retryAfterNanos);
   }
 
   @Override
   public void fail(long requestId) {
-    recorded.add("errored", requestId);
+    recordedActions.add("errored", requestId);
   }
 
   @Override
   public void cancelAttempt(long requestId, int attempt) {
-    recorded.add("callOff", requestId, attempt);
+    recordedActions.add("callOff", requestId, attempt);
     simulatedEndpoints.cancel(requestId, attempt);
   }
 
   @Override
   public void scheduleTimer(long delayNanos, String handle) {
-    recorded.add("wake", delayNanos, handle.hashCode());
+    recordedActions.add("wake", delayNanos, handle.hashCode());
     schedule.schedule(schedule.nowNanos() + delayNanos, to -> to.timerFired(handle));
   }
 
   @Override
   public void subscribeEndpoints() {
-    recorded.add("watchList");
+    recordedActions.add("watchList");
   }
 
   @Override
   public void endpointHealthChanged(int endpoint, EndpointHealthStatus status) {
-    recorded.add("health " + recordedName(status), endpoint);
+    recordedActions.add("health " + recordedName(status), endpoint);
   }
 
   /**
@@ -370,7 +371,7 @@
 
   @Override
   public void endpointWarmingUp(int endpoint, long untilNanos) {
-    recorded.add("cold", endpoint, untilNanos);
+    recordedActions.add("cold", endpoint, untilNanos);
   }
 
   private boolean withProbability(double probability) {
--- a/routing/src/test/java/org/amberpath/routing/SegmentAdmissionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SegmentAdmissionTest.java
@@ -11,7 +11,7 @@
 
   @ParameterizedTest
   @CsvSource({"0, 0", "1, 1", "2, 2", "3, 2", "4, 3", "7, 3", "8, 4"})
-  void segmentsDouble(int part, int segment) {
+  void segmentLengthsDouble(int part, int segment) {
     assertEquals(segment, SegmentAdmission.segmentOf(part));
   }
 
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -24,14 +24,14 @@
   private static final long SECOND_NANOS = 1000 * NANOS_PER_MILLI;
   private static final long OVERLOAD_WINDOW_NANOS = SECOND_NANOS;
   private static final long WARM_UP_NANOS = 30 * SECOND_NANOS;
-  private static final long WORK_NANOS = 100 * NANOS_PER_MILLI;
+  private static final long WORK_PER_REQUEST_NANOS = 100 * NANOS_PER_MILLI;
   private static final double INITIAL_FRACTION = 0.2;
   private static final int STARTED_EDGE = 0;
   private static final int WARM_EDGE = 1;
   private static final int PARENT = 2;
   private static final int ORIGIN = 3;
 
-  private long latencyObjectiveNanos = WORK_NANOS;
+  private long latencyObjectiveNanos = WORK_PER_REQUEST_NANOS;
   private long nowNanos = 1000 * SECOND_NANOS;
   private long startedAtNanos;
   private long lastRequestId;
@@ -43,20 +43,26 @@
   private boolean hasWarmPeers;
   private boolean everyRequestMisses;
   private final List<SimulatedGateway> gateways = new ArrayList<>();
-  private final List<Long> sentAtNanos = new ArrayList<>();
+  private final List<Long> sentInWindowNanos = new ArrayList<>();
 
   @ParameterizedTest
   @CsvSource({
     "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "1, 40", "2, 40", "10, 40", "40, 40", "100, 40"
   })
-  void boundHoldsWhenAllGatewaysLearnOfTheStart(int count, double size) {
-    weight = size;
-    startGateways(count);
+  void boundHoldsWhenAllGatewaysLearnOfTheStart(int gatewayCount, double endpointWeight) {
+    weight = endpointWeight;
+    startGateways(gatewayCount);
     startEndpoint();
-    run(4 * SECOND_NANOS, 3);
+    runFor(4 * SECOND_NANOS, 3);
     assertTrue(
         attemptsAtStartedEndpoint
-            >= 4 * 3 * INITIAL_FRACTION * weight * OVERLOAD_WINDOW_NANOS / WORK_NANOS / 3,
+            >= 4
+                * 3
+                * INITIAL_FRACTION
+                * weight
+                * OVERLOAD_WINDOW_NANOS
+                / WORK_PER_REQUEST_NANOS
+                / 3,
         "a third of it is used: " + attemptsAtStartedEndpoint);
   }
 
@@ -70,10 +76,10 @@
     warmWeight = weight;
     startGateways(100);
     startEndpoint();
-    run(10 * SECOND_NANOS, 0);
+    runFor(10 * SECOND_NANOS, 0);
     int turns = 400;
     for (int turn = 0; turn < turns; turn++, nowNanos += 50 * NANOS_PER_MILLI) {
-      gateways.get(turn % gateways.size()).step(10);
+      gateways.get(turn % gateways.size()).runTurn(10);
       assertWithinBound();
     }
     assertTrue(attemptsAtStartedEndpoint >= turns * 3 / 4, "sent " + attemptsAtStartedEndpoint);
@@ -92,47 +98,48 @@
     "40, 1500",
     "100, 1500"
   })
-  void boundHoldsWhenGatewaysRestartAndForgetWhatTheySent(int count, int afterMs) {
+  void boundHoldsWhenGatewaysRestartAndForgetWhatTheySent(
+      int gatewayCount, int restartAfterMillis) {
     weight = 40;
-    startGateways(count);
+    startGateways(gatewayCount);
     startEndpoint();
-    run(afterMs * NANOS_PER_MILLI, 3);
+    runFor(restartAfterMillis * NANOS_PER_MILLI, 3);
     gateways.clear();
-    startGateways(count);
-    run(3 * SECOND_NANOS, 3);
+    startGateways(gatewayCount);
+    runFor(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 10, 40, 100})
-  void boundHoldsWithALatencyObjectiveFarUnderTheMeanWork(int count) {
-    latencyObjectiveNanos = WORK_NANOS / 10;
+  void boundHoldsWithALatencyObjectiveFarUnderTheMeanWork(int gatewayCount) {
+    latencyObjectiveNanos = WORK_PER_REQUEST_NANOS / 10;
     startedAtNanos = nowNanos - SECOND_NANOS;
-    startGateways(count);
-    run(3 * SECOND_NANOS, 3);
+    startGateways(gatewayCount);
+    runFor(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 10, 40, 100})
-  void boundHoldsAcrossNewEndpointLists(int count) {
-    startGateways(count);
+  void boundHoldsAcrossNewEndpointLists(int gatewayCount) {
+    startGateways(gatewayCount);
     startEndpoint();
     for (int list = 0; list < 10; list++) {
-      run(150 * NANOS_PER_MILLI, 3);
+      runFor(150 * NANOS_PER_MILLI, 3);
       gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.FULL));
     }
-    run(SECOND_NANOS, 3);
+    runFor(SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
   @CsvSource({
     "1, 1", "2, 1", "10, 1", "40, 1", "100, 1", "1, 4", "2, 4", "10, 4", "40, 4", "100, 4", "100, 8"
   })
-  void boundHoldsWhenDemandSetsInLate(int count, double size) {
-    weight = size;
-    startGateways(count);
+  void boundHoldsWhenDemandBeginsLate(int gatewayCount, double endpointWeight) {
+    weight = endpointWeight;
+    startGateways(gatewayCount);
     startEndpoint();
-    run(5 * SECOND_NANOS, 0);
-    run(3 * SECOND_NANOS, 3);
+    runFor(5 * SECOND_NANOS, 0);
+    runFor(3 * SECOND_NANOS, 3);
   }
 
   @ParameterizedTest
@@ -148,23 +155,23 @@
     "40, true",
     "100, true"
   })
-  void boundHoldsForAParentUnderFills(int count, boolean afterHits) {
+  void boundHoldsForAParentUnderFills(int gatewayCount, boolean afterHits) {
     weight = 40;
     startedEndpoint = PARENT;
     hasWarmPeers = true;
-    startGateways(count);
+    startGateways(gatewayCount);
     if (afterHits) {
-      run(3 * SECOND_NANOS, 3);
+      runFor(3 * SECOND_NANOS, 3);
     }
     everyRequestMisses = true;
     startEndpoint();
-    run(4 * SECOND_NANOS, 3);
+    runFor(4 * SECOND_NANOS, 3);
   }
 
   /** Adds the given number of gateways, and sends the current endpoint list to all gateways. */
-  private void startGateways(int count) {
-    for (int index = 0; index < count; index++) {
-      gateways.add(new SimulatedGateway(count));
+  private void startGateways(int gatewayCount) {
+    for (int index = 0; index < gatewayCount; index++) {
+      gateways.add(new SimulatedGateway(gatewayCount));
     }
     gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.FULL));
   }
@@ -174,28 +181,31 @@
     gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.CHANGES));
   }
 
-  private void run(long durationNanos, int requestsPerStep) {
+  private void runFor(long durationNanos, int requestsPerStep) {
     for (long end = nowNanos + durationNanos; nowNanos < end; nowNanos += STEP_NANOS) {
       gateways.forEach(
           gateway ->
-              gateway.step(
+              gateway.runTurn(
                   requestsPerStep == 0 ? 0 : Math.max(requestsPerStep, 30 / gateways.size())));
       assertWithinBound();
     }
   }
 
   private void assertWithinBound() {
-    sentAtNanos.removeIf(at -> at <= nowNanos - OVERLOAD_WINDOW_NANOS);
+    sentInWindowNanos.removeIf(at -> at <= nowNanos - OVERLOAD_WINDOW_NANOS);
     double capacityFraction =
         INITIAL_FRACTION
             + (1 - INITIAL_FRACTION)
                 * Math.min(1, Math.max(0, nowNanos - startedAtNanos) / (double) WARM_UP_NANOS);
-    double allowed = 3 * capacityFraction * weight * OVERLOAD_WINDOW_NANOS / WORK_NANOS;
+    double maxRequests =
+        3 * capacityFraction * weight * OVERLOAD_WINDOW_NANOS / WORK_PER_REQUEST_NANOS;
     double bound =
-        allowed < 30 ? allowed + 3 * Math.sqrt(allowed) + 3 : allowed + 2 * Math.sqrt(allowed) + 2;
+        maxRequests < 30
+            ? maxRequests + 3 * Math.sqrt(maxRequests) + 3
+            : maxRequests + 2 * Math.sqrt(maxRequests) + 2;
     assertTrue(
-        startedAtNanos == 0 || sentAtNanos.size() <= bound,
-        sentAtNanos.size()
+        startedAtNanos == 0 || sentInWindowNanos.size() <= bound,
+        sentInWindowNanos.size()
             + " requests in an overload window, "
             + bound
             + " allowed, "
@@ -205,19 +215,19 @@
 
   private final class SimulatedGateway implements RoutingActions {
     private record PendingResponse(
-        long atNanos, long requestId, int endpoint, ResponseDetail note) {}
+        long dueAtNanos, long requestId, int endpoint, ResponseDetail detail) {}
 
     private final RequestRouter router;
-    private final List<Consumer<RoutingEventHandler>> events = new ArrayList<>();
+    private final List<Consumer<RoutingEventHandler>> pendingEvents = new ArrayList<>();
     private final List<PendingResponse> pendingResponses = new ArrayList<>();
     private long timerAtNanos = Long.MAX_VALUE;
 
-    SimulatedGateway(int count) {
+    SimulatedGateway(int gatewayCount) {
       Map<String, Object> config =
           Map.ofEntries(
               Map.entry("seed", (long) ++lastSeed),
-              Map.entry("gateways", count),
-              Map.entry("gatewaysInZone", count),
+              Map.entry("gateways", gatewayCount),
+              Map.entry("gatewaysInZone", gatewayCount),
               Map.entry("zone", "z"),
               Map.entry("parentKind", Optional.of("parent")),
               Map.entry("originKind", Optional.of("origin")),
@@ -255,9 +265,9 @@
     }
 
     void listEndpoints(EndpointListKind kind) {
-      events.add(to -> to.endpointListStarted(kind));
-      long started = startedAtNanos;
-      events.add(
+      pendingEvents.add(to -> to.endpointListStarted(kind));
+      long startedNanos = startedAtNanos;
+      pendingEvents.add(
           to ->
               to.endpointListed(
                   new EndpointDescription(
@@ -268,14 +278,14 @@
                       0,
                       EndpointState.UP,
                       weight,
-                      startedEndpoint == STARTED_EDGE ? started : 0)));
+                      startedEndpoint == STARTED_EDGE ? startedNanos : 0)));
       if (hasWarmPeers) {
-        events.add(
+        pendingEvents.add(
             to ->
                 to.endpointListed(
                     new EndpointDescription(
                         WARM_EDGE, "10.0.0.2:9", "z", "box", 0, EndpointState.UP, warmWeight, 0)));
-        events.add(
+        pendingEvents.add(
             to ->
                 to.endpointListed(
                     new EndpointDescription(
@@ -286,22 +296,22 @@
                         0,
                         EndpointState.UP,
                         weight,
-                        startedEndpoint == PARENT ? started : 0)));
-        events.add(
+                        startedEndpoint == PARENT ? startedNanos : 0)));
+        pendingEvents.add(
             to ->
                 to.endpointListed(
                     new EndpointDescription(
                         ORIGIN, "10.0.0.4:9", "hub", "origin", 0, EndpointState.UP, 400, 0)));
       }
-      events.add(RoutingEventHandler::endpointListCompleted);
+      pendingEvents.add(RoutingEventHandler::endpointListCompleted);
     }
 
-    void step(int requests) {
+    void runTurn(int requests) {
       for (PendingResponse response : List.copyOf(pendingResponses)) {
-        if (response.atNanos <= nowNanos) {
+        if (response.dueAtNanos <= nowNanos) {
           pendingResponses.remove(response);
-          boolean hasCopy = response.note != ResponseDetail.NONE;
-          events.add(
+          boolean hasCopy = response.detail != ResponseDetail.NONE;
+          pendingEvents.add(
               to ->
                   to.attemptEnded(
                       new AttemptResult(
@@ -311,31 +321,31 @@
                           hasCopy ? AttemptOutcome.SUCCEEDED : AttemptOutcome.NOT_CACHED,
                           50 * NANOS_PER_MILLI,
                           hasCopy,
-                          response.note)));
+                          response.detail)));
         }
       }
       if (timerAtNanos <= nowNanos) {
         timerAtNanos = Long.MAX_VALUE;
-        events.add(to -> to.timerFired("sweep"));
+        pendingEvents.add(to -> to.timerFired("sweep"));
       }
       for (int index = 0; index < requests; index++) {
         long id = ++lastRequestId;
-        events.add(
+        pendingEvents.add(
             to ->
                 to.requestReceived(
                     new RequestDetails(id, 0, id % 1009, 9, 0, 2 * SECOND_NANOS, 100, false)));
       }
-      List<Consumer<RoutingEventHandler>> batch = List.copyOf(events);
-      events.clear();
+      List<Consumer<RoutingEventHandler>> batch = List.copyOf(pendingEvents);
+      pendingEvents.clear();
       router.decide(nowNanos, to -> batch.forEach(event -> event.accept(to)), this);
     }
 
     @Override
     public void sendAttempt(AttemptCommand command) {
-      boolean filled = everyRequestMisses && command.source() != command.endpoint();
+      boolean needsFill = everyRequestMisses && command.source() != command.endpoint();
       if (command.endpoint() == startedEndpoint
-          || (filled && command.source() == startedEndpoint)) {
-        sentAtNanos.add(nowNanos);
+          || (needsFill && command.source() == startedEndpoint)) {
+        sentInWindowNanos.add(nowNanos);
         attemptsAtStartedEndpoint++;
       }
       pendingResponses.add(
@@ -343,7 +353,7 @@
               nowNanos + 50 * NANOS_PER_MILLI,
               command.requestId(),
               command.endpoint(),
-              filled
+              needsFill
                   ? ResponseDetail.FILLED
                   : everyRequestMisses ? ResponseDetail.NONE : ResponseDetail.HIT));
     }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void endpointWarmingUpAcceptsAKeySliceWithinABudget() {
+  void endpointWarmingUpAcceptsAFractionOfItsKeysWithinABudget() {
     parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.acceptsKey(endpoint, 0.08, START));
     assertFalse(slowStart.acceptsKey(endpoint, 0.1, START), "a tenth, less what others do unseen");
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void onlyHealthyEndpointsWarmingUpArePrefetchedToAtIntervals() {
+  void prefetchesGoAtIntervalsOnlyToHealthyEndpointsWarmingUp() {
     assertFalse(slowStart.tryPrefetch(endpoint, parts.trafficClass, START), "warm");
     parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.tryPrefetch(endpoint, parts.trafficClass, START));
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void throughputIsLearntFromWarmPeersOfTheSameKind() {
+  void throughputIsLearnedFromWarmPeersOfTheSameKind() {
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
       peer.warmUp.recordServedWork(20, START);
     }
--- a/routing/src/test/java/org/amberpath/routing/PatienceEstimatorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SoftTimeoutEstimatorTest.java
@@ -7,13 +7,13 @@
 
 import org.junit.jupiter.api.Test;
 
-class PatienceEstimatorTest {
+class SoftTimeoutEstimatorTest {
   private final RoutingParts parts = new RoutingParts();
   private final SoftTimeoutEstimator estimator = new SoftTimeoutEstimator(parts.history, 1000);
   private final InFlightRequest request = parts.request(5);
 
   @Test
-  void knownSizeDeterminesThePatience() {
+  void knownSizeDeterminesTheSoftTimeout() {
     estimator.estimate(request, 100);
     assertEquals((300 + 2 * 100) * MS, request.softTimeoutNanos);
     assertTrue(request.durationKnownFromSize && request.canJudgeLatency);
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
@@ -30,14 +30,14 @@
     assertEquals(healthCheck, host.lastAttempt(healthCheck.requestId()), "never retried");
     host.advanceMillis(5000);
     host.succeed(host.syntheticRequest(6, 0, cache), 50, ResponseDetail.HIT);
-    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(), host.suspectEndpoints);
   }
 
   @Test
-  void prefetchesTakeABoundedPartOfTheSlowStartBudget() {
+  void prefetchesUseABoundedPartOfTheSlowStartBudget() {
     host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
     host.changeEndpoint(1, EndpointState.UP, host.nowNanos);
-    assertEquals(List.of(1), host.warmingUp);
+    assertEquals(List.of(1), host.warmUpReports);
     int sent = 0;
     int unsent = 0;
     for (int ms = 0; ms < 1000; ms += 5) {
--- a/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
+++ b/routing/src/test/java/org/amberpath/routing/TrafficClassTest.java
@@ -10,7 +10,7 @@
   private final TrafficClass trafficClass = new TrafficClass(new FakeHost().trafficClass(0));
 
   @Test
-  void latencyObjectiveStandsForTheWorkUntilThereAreResponses() {
+  void latencyObjectiveStandsInForTheWorkUntilThereAreResponses() {
     assertEquals(300 * MS, trafficClass.workNanos());
     trafficClass.recordDuration(50 * MS);
     assertEquals(50.0 * MS, (double) trafficClass.workNanos(), 10.0 * MS);
@@ -20,9 +20,9 @@
   void fractionsFollowTheRoutesOfResponses() {
     assertEquals(0.5, trafficClass.missFraction());
     assertEquals(0.5, trafficClass.originFraction());
-    for (int answer = 0; answer < 400; answer++) {
+    for (int response = 0; response < 400; response++) {
       trafficClass.recordResponse(
-          answer % 4 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.HIT);
+          response % 4 == 0 ? ResponseDetail.FILLED_BY_ORIGIN : ResponseDetail.HIT);
     }
     assertEquals(0.25, trafficClass.missFraction(), 0.02);
     assertTrue(trafficClass.originFraction() > 0.95);
--- a/routing/src/test/java/org/amberpath/routing/SilentEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnresponsiveEndpointHedgeTest.java
@@ -15,8 +15,8 @@
  * Tests a single overdue attempt at an endpoint that does not respond, and how the attempt and its
  * hedge count in the limits.
  */
-class SilentEndpointHedgeTest {
-  private static final long WAITED_NANOS = 700 * MS;
+class UnresponsiveEndpointHedgeTest {
+  private static final long IN_FLIGHT_NANOS = 700 * MS;
 
   private final RoutingParts parts = new RoutingParts();
   private final Attempt attempt = parts.attempt(parts.request(1), 1, 5);
@@ -27,18 +27,19 @@
    */
   @ParameterizedTest
   @CsvSource({"0, true", "-1, true", "50, false"})
-  void endpointIsSilentForAnAttemptWithoutAResponseSinceItWasSent(
-      long respondedAfterMillis, boolean silent) {
+  void endpointIsUnresponsiveForAnAttemptWithoutAResponseSinceItWasSent(
+      long respondedAfterMillis, boolean isUnresponsive) {
     EndpointHealth health = attempt.endpoint().health;
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
-      peer.health.lastResponseNanos = START + WAITED_NANOS;
+      peer.health.lastResponseNanos = START + IN_FLIGHT_NANOS;
     }
     health.lastResponseNanos = START + respondedAfterMillis * MS;
     assertFalse(parts.detector.isEndpointUnresponsive(attempt), "not yet overdue for long");
-    parts.detector.recountOverdue(List.of(attempt), START + WAITED_NANOS);
-    parts.detector.detectOutliers(parts.endpoints.zoneEdges(), parts.batch(START + WAITED_NANOS));
+    parts.detector.recountOverdue(List.of(attempt), START + IN_FLIGHT_NANOS);
+    parts.detector.detectOutliers(
+        parts.endpoints.zoneEdges(), parts.batch(START + IN_FLIGHT_NANOS));
     assertFalse(health.isEjected());
-    assertEquals(silent, parts.detector.isEndpointUnresponsive(attempt));
+    assertEquals(isUnresponsive, parts.detector.isEndpointUnresponsive(attempt));
   }
 
   @Test
@@ -57,17 +58,18 @@
    */
   @ParameterizedTest
   @CsvSource({"50, false", "150, true"})
-  void timedOutHedgeCutsTheLimitOfItsSourceOnlyIfItWasOverdue(long waitedMillis, boolean cut) {
+  void timedOutHedgeLowersTheLimitOfItsSourceOnlyIfItWasOverdue(
+      long inFlightMillis, boolean isLowered) {
     Attempt hedge = parts.attempt(attempt.request(), 2, 6);
-    double before = hedge.source().limit.limit();
-    long nowNanos = START + waitedMillis * MS;
+    double previousLimit = hedge.source().limit.limit();
+    long nowNanos = START + inFlightMillis * MS;
     parts.recorder.recordSent(hedge, START);
     parts.recorder.recordEnded(
         hedge,
         AttemptOutcome.TIMED_OUT,
-        waitedMillis * MS,
+        inFlightMillis * MS,
         ResponseDetail.NONE,
         parts.batch(nowNanos));
-    assertEquals(cut, hedge.source().limit.limit() < before);
+    assertEquals(isLowered, hedge.source().limit.limit() < previousLimit);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
@@ -12,13 +12,13 @@
  * Guards the sweep's shortcuts for endpoints without requests: results must be the same as if every
  * sweep processed every endpoint.
  */
-class SweepOfUnusedEndpointsTest {
+class UnusedEndpointSweepTest {
   private static final int SWEEPS = 500;
 
   private final RoutingParts parts = new RoutingParts();
 
   @Test
-  void idleTimeGivesALimitNoCredit() {
+  void idleTimeAccruesNoCreditForALimit() {
     ConcurrencyLimit idle = new ConcurrencyLimit(nowNanos -> 1);
     idle.setShare(0.01, 24);
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -14,45 +14,48 @@
  */
 class WallClockStepTest {
   private static final long MS = 1_000_000L;
-  private static final long EPOCH = 1_764_576_000_000L;
-  private static final long SLACK = 200;
-  private long passed;
+  private static final long EPOCH_MILLIS = 1_764_576_000_000L;
+  private static final long TOLERANCE_MILLIS = 200;
+  private long elapsedMillis;
 
   /** How far this gateway's wall clock is ahead of the true time; negative if it is behind. */
-  private long step;
+  private long wallAheadMillis;
 
   /** How far the clock that stamps events is ahead of the true time; negative if it is behind. */
-  private long stampStep;
+  private long stampsAheadMillis;
 
-  private EventAge eventAge = new EventAge(0, EPOCH);
+  private EventAge eventAge = new EventAge(0, EPOCH_MILLIS);
 
   /**
    * Restarts the gateway with a wall clock that is ahead by the given time; negative for behind.
    */
-  private void startsWithWallAhead(long ahead) {
-    step = ahead;
-    eventAge = new EventAge(passed * MS, EPOCH + passed + step);
+  private void restartWithWallAhead(long aheadMillis) {
+    wallAheadMillis = aheadMillis;
+    eventAge = new EventAge(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
   }
 
   /** Advances the true time, and reads both clocks at least every 250 ms. */
-  private void pass(long time) {
-    for (long end = passed + time; passed < end; passed += Math.min(250, end - passed)) {
-      eventAge.clocksRead(passed * MS, EPOCH + passed + step);
+  private void advance(long millis) {
+    for (long end = elapsedMillis + millis;
+        elapsedMillis < end;
+        elapsedMillis += Math.min(250, end - elapsedMillis)) {
+      eventAge.clocksRead(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
     }
-    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
+    eventAge.clocksRead(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
   }
 
   /**
    * Returns the estimated age of a purge that is received now.
    *
-   * @param ago the true age of the purge
-   * @param live whether discovery sends the purge; false for state from before the gateway's start
+   * @param trueAgeMillis the true age of the purge
+   * @param isLive whether discovery sends the purge; false for state from before the gateway's
+   *     start
    */
-  private long purge(long ago, boolean live) {
-    long stamp = EPOCH + passed - ago + stampStep;
-    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
-    eventAge.replyStarted(passed * MS, live, stamp);
-    long age = eventAge.purgeAgeNanos(passed * MS, stamp) / MS;
+  private long purgeAgeMillis(long trueAgeMillis, boolean isLive) {
+    long stamp = EPOCH_MILLIS + elapsedMillis - trueAgeMillis + stampsAheadMillis;
+    eventAge.clocksRead(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
+    eventAge.replyStarted(elapsedMillis * MS, isLive, stamp);
+    long age = eventAge.purgeAgeNanos(elapsedMillis * MS, stamp) / MS;
     eventAge.replyEnded();
     return age;
   }
@@ -60,25 +63,29 @@
   /**
    * Returns the estimated time since the start of an endpoint that is listed now.
    *
-   * @param ago the true time since the start
-   * @param live whether discovery sends the list; false for state from before the gateway's start
+   * @param trueAgeMillis the true time since the start
+   * @param isLive whether discovery sends the list; false for state from before the gateway's start
    */
-  private long start(long ago, boolean live) {
-    eventAge.clocksRead(passed * MS, EPOCH + passed + step);
-    eventAge.replyStarted(passed * MS, live, 0);
-    long age = eventAge.startAgeNanos(passed * MS, EPOCH + passed - ago + stampStep) / MS;
+  private long startAgeMillis(long trueAgeMillis, boolean isLive) {
+    eventAge.clocksRead(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
+    eventAge.replyStarted(elapsedMillis * MS, isLive, 0);
+    long age =
+        eventAge.startAgeNanos(
+                elapsedMillis * MS,
+                EPOCH_MILLIS + elapsedMillis - trueAgeMillis + stampsAheadMillis)
+            / MS;
     eventAge.replyEnded();
     return age;
   }
 
   @Test
   void withoutAStepAgesFollowTheWallClock() {
-    assertEquals(3_600_000, start(3_600_000, false));
-    pass(1000);
-    assertEquals(20, purge(20, true));
-    pass(1000);
-    assertTrue(purge(700, true) >= 700);
-    assertTrue(start(1500, true) >= 1500);
+    assertEquals(3_600_000, startAgeMillis(3_600_000, false));
+    advance(1000);
+    assertEquals(20, purgeAgeMillis(20, true));
+    advance(1000);
+    assertTrue(purgeAgeMillis(700, true) >= 700);
+    assertTrue(startAgeMillis(1500, true) >= 1500);
   }
 
   @ParameterizedTest
@@ -93,56 +100,59 @@
     "-5000, -5000",
     "0, -3600000"
   })
-  void afterAStepNoEventLooksOlderThanItIs(long wall, long stamps) {
-    pass(1000);
-    purge(30, true);
-    pass(2000);
-    step = wall;
-    stampStep = stamps;
+  void afterAStepNoEventIsEstimatedOlderThanItIs(long wallAhead, long stampsAhead) {
+    advance(1000);
+    purgeAgeMillis(30, true);
+    advance(2000);
+    wallAheadMillis = wallAhead;
+    stampsAheadMillis = stampsAhead;
     for (int event = 0; event < 3; event++) {
-      long age = purge(40, true);
-      assertTrue(age >= 0 && age <= 40 + SLACK, "a purge of 40 ms ago: " + age);
-      long started = start(300, true);
-      assertTrue(started >= 0 && started <= 300 + SLACK, "a start 0.3 s ago: " + started);
-      pass(700);
+      long age = purgeAgeMillis(40, true);
+      assertTrue(age >= 0 && age <= 40 + TOLERANCE_MILLIS, "a purge of 40 ms ago: " + age);
+      long startAge = startAgeMillis(300, true);
+      assertTrue(
+          startAge >= 0 && startAge <= 300 + TOLERANCE_MILLIS, "a start 0.3 s ago: " + startAge);
+      advance(700);
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {-3_600_000, -5000, 5000, 3_600_000})
-  void stepBeforeTheStartDoesNotAgeLiveEvents(long ahead) {
-    startsWithWallAhead(ahead);
-    assertTrue(purge(100, false) <= 100 + SLACK, "known at the start");
-    pass(1000);
-    assertTrue(start(50, true) <= 50 + SLACK);
-    assertTrue(purge(50, true) <= 50 + SLACK);
+  void stepBeforeTheStartDoesNotAgeLiveEvents(long aheadMillis) {
+    restartWithWallAhead(aheadMillis);
+    assertTrue(purgeAgeMillis(100, false) <= 100 + TOLERANCE_MILLIS, "known at the start");
+    advance(1000);
+    assertTrue(startAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
+    assertTrue(purgeAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
   }
 
   @Test
   void implausiblyOldPurgeCorrectsAWallClockAheadFromTheStart() {
-    startsWithWallAhead(3_600_000);
-    assertTrue(start(2000, false) > 3_600_000, "known before the start, and not contradicted yet");
-    pass(1000);
-    purge(0, true);
+    restartWithWallAhead(3_600_000);
+    assertTrue(
+        startAgeMillis(2000, false) > 3_600_000,
+        "known before the start, and not contradicted yet");
+    advance(1000);
+    purgeAgeMillis(0, true);
     assertEquals(
         false, eventAge.takeCorrection(), "what came before the first reply may be of any age");
-    pass(1000);
-    assertTrue(purge(50, true) <= 50 + SLACK);
+    advance(1000);
+    assertTrue(purgeAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
     assertEquals(true, eventAge.takeCorrection());
     assertEquals(false, eventAge.takeCorrection(), "reported once");
-    assertTrue(start(4000, false) <= 4000 + SLACK);
+    assertTrue(startAgeMillis(4000, false) <= 4000 + TOLERANCE_MILLIS);
   }
 
   @Test
   void driftIsFollowedWithoutCountingAsAStep() {
     for (int hour = 0; hour < 24 * 30; hour++) {
       for (int second = 0; second < 360; second++) {
-        step += second % 100 == 0 ? 1 : 0;
-        passed += 10_000;
-        eventAge.clocksRead(passed * MS, EPOCH + passed + step);
+        wallAheadMillis += second % 100 == 0 ? 1 : 0;
+        elapsedMillis += 10_000;
+        eventAge.clocksRead(elapsedMillis * MS, EPOCH_MILLIS + elapsedMillis + wallAheadMillis);
       }
     }
-    stampStep = step;
-    assertTrue(purge(150, true) >= 150, "a month of a clock that runs fast");
+    stampsAheadMillis = wallAheadMillis;
+    assertTrue(purgeAgeMillis(150, true) >= 150, "a month of a clock that runs fast");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void throughputDecaysOverSomeSeconds() {
+  void throughputDecaysOverFourSeconds() {
     warmUp.recordServedWork(4, 0);
     assertEquals(1, warmUp.throughput(0));
     assertEquals(Math.exp(-1), warmUp.throughput(4_000_000_000L), 1e-9);
