--- a/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/AttemptRecorderTest.java
@@ -28,7 +28,9 @@
     assertEquals(1, endpoint.limit.inFlight);
     assertEquals(0.5, source.limit.inFlight);
     assertEquals(
-        START, endpoint.health.lastResponseNanos, "silence counts from the first request on");
+        START,
+        endpoint.health.lastResponseNanos,
+        "time without a response counts from the first request");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ClusterManagerTest.java
@@ -32,7 +32,10 @@
     assertEquals(0.1, endpoint.warmUp.capacityFraction(START), 1e-9);
     assertEquals(List.of(1), parts.host.warmUpReports);
     parts.update(1, EndpointState.UP, START - 100 * MS);
-    assertEquals(List.of(1), parts.host.warmUpReports, "an older start is known already");
+    assertEquals(
+        List.of(1),
+        parts.host.warmUpReports,
+        "an earlier start time than the known one is ignored");
   }
 
   @Test
@@ -43,6 +46,6 @@
     assertEquals(previousEdgeLimit / 3, parts.endpoint(0).limit.limit(), 1e-9);
     assertEquals(previousOriginLimit * 3 / 5, parts.limiter.originLimit().limit(), 1e-9);
     parts.cluster.updateShare(5, false, START);
-    assertTrue(parts.endpoint(0).limit.limit() < 0.01, "nothing is granted");
+    assertTrue(parts.endpoint(0).limit.limit() < 0.01, "no share is granted");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimitTest.java
@@ -30,7 +30,7 @@
     ConcurrencyLimit limit = limit(1);
     limit.onResponse(NOW, false);
     double loweredLimit = limit.limit();
-    assertEquals(0.8, loweredLimit, 2.4, "from what is used, not from what is allowed");
+    assertEquals(0.8, loweredLimit, 2.4, "lowered from the number in flight, not from the limit");
     limit.onResponse(NOW + MS, false);
     assertEquals(loweredLimit, limit.limit());
     limit.inFlight = loweredLimit;
@@ -45,7 +45,8 @@
     limit.inFlight = 1;
     assertFalse(limit.hasRoom(NOW + 100 * MS, 1));
     limit.inFlight = 0;
-    assertFalse(limit.hasRoom(NOW + 100 * MS, 1), "0.1 s of one request against 0.24");
+    assertFalse(
+        limit.hasRoom(NOW + 100 * MS, 1), "debt of 0.1 s with 1 request at a limit of 0.24");
     assertTrue(limit.hasRoom(NOW + 500 * MS, 1));
   }
 
--- a/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/ConcurrencyLimiterTest.java
@@ -35,7 +35,8 @@
   void overtakenFillIsNotRecounted() {
     Attempt attempt = parts.attempt(parts.request(5), 0, 5);
     limiter.recountFills(List.of(attempt), START + 50 * MS);
-    assertEquals(1, parts.endpoint(5).limit.inFlight, "it has waited for long enough to be a fill");
+    assertEquals(
+        1, parts.endpoint(5).limit.inFlight, "in flight for over a third of the soft timeout");
     assertEquals(1, limiter.uplinkLimit().inFlight);
     parts.endpoint(5).limit.lastTimelySentNanos = START + 200 * MS;
     limiter.originLimit().lastTimelySentNanos = START + 200 * MS;
--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -34,7 +34,7 @@
   void gatewayWithoutAJournalWaitsForNoResponse() {
     DiscoveryFreshness freshness = new DiscoveryFreshness(GRACE_MILLIS, false, 0);
     assertTrue(freshness.permitsDecisions(10));
-    assertFalse(freshness.permitsDecisions(400), "its event loop was blocked");
+    assertFalse(freshness.permitsDecisions(400), "the event loop was blocked");
     freshness.socketsRead(400);
     assertTrue(freshness.permitsDecisions(401));
   }
@@ -66,7 +66,8 @@
     freshness.socketsRead(105);
     assertFalse(freshness.permitsDecisions(106));
     freshness.requestFailed(106);
-    assertTrue(freshness.permitsDecisions(106), "static stability: decisions follow what is known");
+    assertTrue(
+        freshness.permitsDecisions(106), "static stability: decisions use the last known state");
   }
 
   @Test
@@ -100,7 +101,7 @@
     for (int run = 0; run < 200; run++) {
       decisions += new Simulation(random.split()).run();
     }
-    assertTrue(decisions > 200 * 500, "decided only " + decisions);
+    assertTrue(decisions > 200 * 500, "only " + decisions + " decisions");
   }
 
   private static final class Simulation {
@@ -161,7 +162,7 @@
           assertEquals(
               countEventsUntil(nowMillis - GRACE_MILLIS),
               Math.min(knownEvents, countEventsUntil(nowMillis - GRACE_MILLIS)),
-              "at " + nowMillis);
+              "at " + nowMillis + " ms");
         } else if (!simulatedFreshness.awaitsResponse()) {
           nextTickAt = nowMillis;
         }
--- a/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointHealthTest.java
@@ -15,7 +15,8 @@
   void endpointOnProbationReceivesAKeyFractionThatDoubles() {
     health.eject(NOW, 0);
     assertEquals(0, health.keyFraction(NOW));
-    assertFalse(health.beginProbation(NOW - 1, NOW + 10 * MS), "it lived before, not since");
+    assertFalse(
+        health.beginProbation(NOW - 1, NOW + 10 * MS), "alive before the ejection, not since");
     assertTrue(health.beginProbation(NOW, NOW + 10 * MS));
     assertEquals(1.0 / 16, health.keyFraction(NOW + 10 * MS));
     assertEquals(1.0 / 8, health.keyFraction(NOW + 510 * MS));
@@ -56,6 +57,7 @@
     health.failuresSinceResponse = 1;
     assertTrue(health.isUnresponsive());
     health.eject(NOW, 0);
-    assertTrue(health.isUnresponsive(), "overdue alone, since an ejection forgets failures");
+    assertTrue(
+        health.isUnresponsive(), "one overdue request suffices; the ejection reset the failures");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -22,8 +22,11 @@
     host.advanceMillis(5000);
     int halfway = countAttemptsThrough(endpoint, 0);
     assertTrue(
-        afterStart > 0 && afterStart < whenWarm / 4, "thin " + afterStart + " of " + whenWarm);
-    assertTrue(halfway > whenWarm / 2 && halfway < whenWarm, "wide " + halfway + " of " + whenWarm);
+        afterStart > 0 && afterStart < whenWarm / 4,
+        "after the start " + afterStart + ", when warm " + whenWarm);
+    assertTrue(
+        halfway > whenWarm / 2 && halfway < whenWarm,
+        "halfway " + halfway + ", when warm " + whenWarm);
   }
 
   private int countAttemptsThrough(int endpoint, long firstObject) {
@@ -99,7 +102,7 @@
     }
     assertTrue(
         sent[0] > sent[1] && sent[1] > 0,
-        "of the common kind " + sent[0] + ", of a kind of its own " + sent[1]);
+        "sent one of the peers' kind " + sent[0] + ", one of another kind " + sent[1]);
   }
 
   /**
@@ -127,6 +130,6 @@
     // An initial fraction of 0.1, times a weight of 4 and an overload factor of 2, in an overload
     // window of 1 s: 0.8 s of work, which is 8 requests of 0.1 s each. This gateway's share is less
     // than a third of them.
-    assertTrue(attemptsThroughParent <= 2, "attempts " + attemptsThroughParent);
+    assertTrue(attemptsThroughParent <= 2, "attempts through the parent: " + attemptsThroughParent);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointTableTest.java
@@ -21,7 +21,7 @@
     assertEquals(
         List.of(5, 6), Arrays.stream(table.parents()).map(endpoint -> endpoint.index).toList());
     assertEquals(ORIGIN, table.origin().index);
-    assertEquals(5, table.upEdgeCount(), "of all zones");
+    assertEquals(5, table.upEdgeCount(), "edge caches of all zones");
     parts.update(4, EndpointState.DRAINING, 0);
     parts.update(ORIGIN, EndpointState.GONE, 0);
     table.rebuild();
--- a/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
@@ -68,9 +68,11 @@
         hungAttempts.add(sent);
       }
       host.advanceMillis(STEP_MILLIS);
-      assertTrue(host.nowNanos - hungSinceNanos < 1500 * MS, "not ejected");
+      assertTrue(host.nowNanos - hungSinceNanos < 1500 * MS, "not ejected within 1.5 s");
     }
-    assertTrue(host.nowNanos - hungSinceNanos >= 600 * MS, "ejected before it had been silent");
+    assertTrue(
+        host.nowNanos - hungSinceNanos >= 600 * MS,
+        "ejected before 600 ms had passed without a response");
     assertEquals(List.of(hungEndpoint), host.suspectEndpoints);
     host.advanceMillis(SOFT_TIMEOUT_MILLIS + 100);
     SentAttempt hedge = host.lastAttempt(firstHungAttempt.requestId());
@@ -169,8 +171,9 @@
     host.advanceMillis(5000);
     int halfway = countAttemptsAtEndpoint1();
     assertTrue(
-        afterStart > 0 && afterStart < whenWarm / 4, "thin " + afterStart + " of " + whenWarm);
-    assertTrue(halfway > whenWarm / 2, "wide " + halfway + " of " + whenWarm);
+        afterStart > 0 && afterStart < whenWarm / 4,
+        "after the start " + afterStart + ", when warm " + whenWarm);
+    assertTrue(halfway > whenWarm / 2, "halfway " + halfway + ", when warm " + whenWarm);
   }
 
   private int countAttemptsAtEndpoint1() {
@@ -195,7 +198,7 @@
     SentAttempt after = host.request(++lastRequestId, 5, 0);
     assertTrue(
         after.maxAgeNanos() > 400 * MS && after.maxAgeNanos() < 500 * MS,
-        "age " + after.maxAgeNanos());
+        "maximum copy age " + after.maxAgeNanos());
     host.succeed(after, 50, ResponseDetail.HIT).advanceMillis(6500);
     assertEquals(0, host.request(++lastRequestId, 5, 0).maxAgeNanos());
   }
--- a/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -75,7 +75,7 @@
     int sentWithShare = countAttemptsInSlowStart(60, 10, 1.0 / 80);
     assertTrue(
         sentWithoutShare >= 60 && sentWithShare <= 30,
-        "unaware " + sentWithoutShare + ", aware " + sentWithShare);
+        "sent without a granted share " + sentWithoutShare + ", with one " + sentWithShare);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/GatewayShareTest.java
@@ -23,7 +23,7 @@
     assertEquals(5, share.gatewaysInAllZones());
     assertTrue(share.isZoneShared());
     share.update(1, true);
-    assertEquals(3, share.gatewaysInAllZones(), "never under the configured number");
+    assertEquals(3, share.gatewaysInAllZones(), "never below the configured number");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -29,7 +29,8 @@
       host.succeed(sent, 50, ResponseDetail.HIT);
     }
     host.deliver(to -> to.healthReported(cache, true, 30_000 * MS)).advanceMillis(3000);
-    assertEquals(List.of(cache), host.suspectEndpoints, "a report from before the ejection");
+    assertEquals(
+        List.of(cache), host.suspectEndpoints, "a report from before the ejection is ignored");
     host.deliver(to -> to.healthReported(cache, true, 100 * MS));
     assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(3000);
@@ -40,7 +41,10 @@
   void positiveHealthReportIsIgnoredUntilTheBackoffIsOver() {
     int cache = host.ejectOneEndpoint();
     host.advanceMillis(500).deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(), host.suspectEndpoints, "the first report readmits it");
+    assertEquals(
+        List.of(),
+        host.suspectEndpoints,
+        "the first report after the backoff readmits the endpoint");
     SentAttempt sent = host.request(5, 0);
     while (sent.endpoint() != cache) {
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(100);
@@ -49,7 +53,8 @@
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
     assertEquals(List.of(cache), host.suspectEndpoints);
     host.deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(cache), host.suspectEndpoints, "it was unreachable since");
+    assertEquals(
+        List.of(cache), host.suspectEndpoints, "the backoff of the second ejection is not over");
   }
 
   @Test
@@ -59,7 +64,7 @@
     assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(600);
     assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
-    assertNotNull(host.request(5, 0), "requests still go to it");
+    assertNotNull(host.request(5, 0), "requests are still sent");
     host.succeed(sent, 900, ResponseDetail.HIT);
     assertEquals(List.of(), host.suspectEndpoints);
     assertEquals(List.of(sent.endpoint()), host.responsiveReports);
@@ -74,6 +79,7 @@
     assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
     IntStream.range(0, 4)
         .forEach(cache -> host.deliver(to -> to.healthReported(cache, false, 100 * MS)));
-    assertEquals(3, host.suspectEndpoints.size(), "one more than half of four");
+    assertEquals(
+        3, host.suspectEndpoints.size(), "no further ejection once most of the four are ejected");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -65,7 +65,7 @@
     assertTrue(longestTurnNanos <= 50 * MS, "a turn of " + longestTurnNanos / MS + " ms");
     assertTrue(
         admittedCount * requestNanos > 0.5 * (nowNanos - 200 * TICK_NANOS),
-        admittedCount + " of " + nowNanos / requestNanos);
+        "admitted " + admittedCount + ", time for " + nowNanos / requestNanos);
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -38,7 +38,7 @@
   void noEndpointIsEjectedWhileMostPeersAreSilent() {
     detect(0, 1, 2);
     assertFalse(endpoint.health.isEjected());
-    assertEquals(List.of(0, 1, 2), parts.host.suspectEndpoints, "but reported for a health check");
+    assertEquals(List.of(0, 1, 2), parts.host.suspectEndpoints, "but reported as suspect");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
@@ -18,16 +18,22 @@
     SentAttempt retry = host.lastAttempt(1);
     assertNotEquals(sent.endpoint(), retry.endpoint());
     host.succeed(retry, 50, ResponseDetail.HIT);
-    assertEquals(retry.endpoint(), host.requestWithHit(5, 0).endpoint(), "ejected");
+    assertEquals(
+        retry.endpoint(),
+        host.requestWithHit(5, 0).endpoint(),
+        "the ejected endpoint gets no request");
     host.advanceMillis(400);
     assertEquals(
         sent.endpoint(), host.requestWithHit(5, 0).endpoint(), "one request as a health check");
-    assertEquals(retry.endpoint(), host.requestWithHit(5, 0).endpoint(), "few keys at first");
+    assertEquals(
+        retry.endpoint(),
+        host.requestWithHit(5, 0).endpoint(),
+        "on probation it gets few keys at first");
     host.advanceMillis(3000);
     assertEquals(
         sent.endpoint(),
         host.requestWithHit(5, 0).endpoint(),
-        "readmitted, though hardly a request came");
+        "readmitted although few requests were sent");
   }
 
   /**
@@ -75,6 +81,6 @@
             .filter(sent -> sent.endpoint() == 3)
             .count();
     assertTrue(
-        attemptsAtResponsive <= 13, "attempts at the responsive one " + attemptsAtResponsive);
+        attemptsAtResponsive <= 13, "attempts at the responsive endpoint: " + attemptsAtResponsive);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
@@ -12,9 +12,13 @@
   void purgeBoundsTheCopyAgeUntilAllCachesHaveCarriedItOut() {
     purges.record(5, 9, 10_000 * MS, 10_000 * MS);
     assertEquals(999 * MS, purges.maxCopyAgeNanos(5, 9, 0, 11_000 * MS));
-    assertEquals(500 * MS, purges.maxCopyAgeNanos(5, 9, 500 * MS, 11_000 * MS), "already younger");
+    assertEquals(
+        500 * MS,
+        purges.maxCopyAgeNanos(5, 9, 500 * MS, 11_000 * MS),
+        "the bound without a purge is stricter");
     assertEquals(0, purges.maxCopyAgeNanos(6, 9, 0, 11_000 * MS), "another object");
-    assertEquals(0, purges.maxCopyAgeNanos(5, 9, 0, 16_001 * MS), "all have dropped it");
+    assertEquals(
+        0, purges.maxCopyAgeNanos(5, 9, 0, 16_001 * MS), "all caches have applied the purge");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
@@ -21,7 +21,9 @@
     assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
     host.deliver(to -> to.objectPurged(object, group, 100 * MS)).advanceMillis(400);
     long age = host.requestWithHit(5, 0).maxAgeNanos();
-    assertTrue(age > 400 * MS && age < 500 * MS, "younger than the purge: " + age);
+    assertTrue(
+        age > 400 * MS && age < 500 * MS,
+        "copies must be younger than the purge, maximum age " + age);
     assertEquals(
         object == 0, host.requestWithHit(6, 0).maxAgeNanos() > 0, "another object of the group");
     SentAttempt busy = host.request(7, 0);
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -87,13 +87,17 @@
           "health WELL",
           "health HEARD"
         }) {
-      assertTrue(counts.getOrDefault("action " + action, 0) > 0, action + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("action " + action, 0) > 0, "no action " + action + " in " + counts);
     }
     for (AttemptOutcome outcome : AttemptOutcome.values()) {
-      assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("outcome " + outcome, 0) > 0,
+          "no outcome " + outcome + " in " + counts);
     }
     for (ResponseDetail detail : ResponseDetail.values()) {
-      assertTrue(counts.getOrDefault("detail " + detail, 0) > 0, detail + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("detail " + detail, 0) > 0, "no detail " + detail + " in " + counts);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestRouterTest.java
@@ -64,10 +64,16 @@
     }
     host.advanceMillis(500);
     host.requestWithHit(300, 0);
-    assertEquals(0, host.requestWithHit(300, 4).rank(), "as rare as the others");
+    assertEquals(
+        0,
+        host.requestWithHit(300, 4).rank(),
+        "requested no more often than the segments in the table");
     host.advanceMillis(100);
     host.requestWithHit(300, 0);
-    assertEquals(2, host.requestWithHit(300, 4).rank(), "now more frequent than the others");
+    assertEquals(
+        2,
+        host.requestWithHit(300, 4).rank(),
+        "requested more often than the segments in the table");
   }
 
   @Test
@@ -93,10 +99,8 @@
     gatewayHost.listEndpoints().request(1, 5, 9);
     gatewayHost.advanceMillis(3000);
     assertEquals(
-        expectedRank,
-        gatewayHost.request(2, 5, 9).rank(),
-        "of another playback, so the object is started again");
-    assertEquals(0, gatewayHost.request(3, 6, 9).rank(), "of a first playback");
+        expectedRank, gatewayHost.request(2, 5, 9).rank(), "the same part in another playback");
+    assertEquals(0, gatewayHost.request(3, 6, 9).rank(), "a part of the first playback");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -47,7 +47,8 @@
     assertFalse(reads.isSettled(9 * MS, 11 * MS));
     reads.socketsRead(60 * MS);
     assertTrue(
-        reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
+        reads.isSettled(9 * MS, 61 * MS),
+        "settled after the maximum time although the client keeps sending");
     assertTrue(new SocketReads.Backlog(0, 900 * MS).mayContinue(950 * MS));
     assertFalse(new SocketReads.Backlog(0, 900 * MS).mayContinue(951 * MS));
   }
@@ -69,7 +70,7 @@
     accept(lag, 41, 41, 2061, 0);
     assertEquals(0, lag.lagNanos(41, 2061 * MS));
     lag.turnEnded(2090 * MS);
-    assertEquals(0, lag.lagNanos(40, 2090 * MS), "what comes later on it was not waiting");
+    assertEquals(0, lag.lagNanos(40, 2090 * MS), "bytes that arrive later were not queued");
   }
 
   private static void accept(
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -34,7 +34,7 @@
       boolean otherZone) {
     parts.configure(idempotency, scope);
     InFlightRequest request = parts.request(5);
-    assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
+    assertTrue(policy.permits(request, parts.endpoint(5), START), "no attempt has executed");
     request.recordExecuted(parts.attempt(request, 0, 5));
     assertEquals(sameCell, policy.permits(request, parts.endpoint(2), START));
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -63,7 +63,7 @@
                 * OVERLOAD_WINDOW_NANOS
                 / WORK_PER_REQUEST_NANOS
                 / 3,
-        "a third of it is used: " + attemptsAtStartedEndpoint);
+        "a third of the bound must be used, sent " + attemptsAtStartedEndpoint);
   }
 
   /**
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -24,7 +24,9 @@
   void endpointWarmingUpAcceptsAFractionOfItsKeysWithinABudget() {
     parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.acceptsKey(endpoint, 0.08, START));
-    assertFalse(slowStart.acceptsKey(endpoint, 0.1, START), "a tenth, less what others do unseen");
+    assertFalse(
+        slowStart.acceptsKey(endpoint, 0.1, START),
+        "0.1 of the keys, minus a reserve for unseen load");
     slowStart.charge(endpoint, 1, START);
     assertFalse(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START));
     assertTrue(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START + 2000 * MS));
@@ -63,6 +65,7 @@
     }
     slowStart.learnThroughput(parts.endpoints.zoneEdges(), START);
     assertEquals(5, endpoint.warmUp.profile.typicalThroughput, 1e-9);
-    assertEquals(1.0 / 3, parts.endpoint(5).warmUp.profile.typicalThroughput, "another kind");
+    assertEquals(
+        1.0 / 3, parts.endpoint(5).warmUp.profile.typicalThroughput, "parents are of another kind");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
@@ -25,7 +25,7 @@
     host.advanceMillis(500);
     SentAttempt healthCheck = host.syntheticRequest(6, 0, cache);
     assertEquals(List.of(cache, 0), List.of(healthCheck.endpoint(), healthCheck.rank()));
-    assertNull(host.syntheticRequest(6, 0, cache), "one at a time");
+    assertNull(host.syntheticRequest(6, 0, cache), "one health check at a time");
     host.endAttempt(healthCheck, AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(healthCheck, host.lastAttempt(healthCheck.requestId()), "never retried");
     host.advanceMillis(5000);
@@ -54,12 +54,12 @@
     // A weight of 4 at 0.1 s per request is 40 requests per second. Prefetches get a quarter of 3
     // times (the overload factor) the current fraction of it, which rises from 0.1 to 0.19 in this
     // second, in addition to clients' requests; the bound uses a fraction of 0.3.
-    assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " in a second");
+    assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " prefetches in a second");
     assertTrue(unsent > 100, "keys of other caches are not prefetched: " + unsent);
     for (int object = 1; object < 97; object++) {
       assertNull(
           host.advanceMillis(20).syntheticRequest(object, 9, RoutingEventHandler.NO_ENDPOINT),
-          "a later segment");
+          "a later segment is not prefetched");
     }
     assertNotNull(
         IntStream.range(1, 97)
@@ -70,7 +70,7 @@
             .filter(Objects::nonNull)
             .findFirst()
             .orElse(null),
-        "first segments");
+        "no first segment was prefetched");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRouteSelectorTest.java
@@ -23,13 +23,17 @@
   void healthCheckGoesToAnEdgeCacheForCachedCopiesOnly() {
     Route route = parts.syntheticRoutes.selectHealthCheck(parts.request(5), 1, START);
     assertEquals(new Route(parts.endpoint(1), null, true), route);
-    assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 5, START), "a parent");
-    assertNull(parts.syntheticRoutes.selectHealthCheck(parts.request(5), 99, START), "unknown");
+    assertNull(
+        parts.syntheticRoutes.selectHealthCheck(parts.request(5), 5, START),
+        "endpoint 5 is a parent");
+    assertNull(
+        parts.syntheticRoutes.selectHealthCheck(parts.request(5), 99, START),
+        "endpoint 99 is unknown");
   }
 
   @Test
   void prefetchGoesOnlyToTheWarmingEdgeCacheOfItsKey() {
-    assertNull(prefetch(5), "all are warm");
+    assertNull(prefetch(5), "all endpoints are warm");
     parts.update(1, EndpointState.UP, START);
     Route route =
         LongStream.range(0, 50)
--- a/routing/src/test/java/org/amberpath/routing/UnresponsiveEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnresponsiveEndpointHedgeTest.java
@@ -34,7 +34,7 @@
       peer.health.lastResponseNanos = START + IN_FLIGHT_NANOS;
     }
     health.lastResponseNanos = START + respondedAfterMillis * MS;
-    assertFalse(parts.detector.isEndpointUnresponsive(attempt), "not yet overdue for long");
+    assertFalse(parts.detector.isEndpointUnresponsive(attempt), "not suspected before the sweep");
     parts.detector.recountOverdue(List.of(attempt), START + IN_FLIGHT_NANOS);
     parts.detector.detectOutliers(
         parts.endpoints.zoneEdges(), parts.batch(START + IN_FLIGHT_NANOS));
--- a/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
@@ -28,7 +28,8 @@
     idle.inFlight = 1;
     assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1));
     idle.inFlight = 0;
-    assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1), "0.1 s of one request against 0.24");
+    assertFalse(
+        idle.hasRoom(lastNanos + 100 * MS, 1), "debt of 0.1 s with 1 request at a limit of 0.24");
     assertTrue(idle.hasRoom(lastNanos + 500 * MS, 1));
   }
 
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -120,7 +120,7 @@
   @ValueSource(longs = {-3_600_000, -5000, 5000, 3_600_000})
   void stepBeforeTheStartDoesNotAgeLiveEvents(long aheadMillis) {
     restartWithWallAhead(aheadMillis);
-    assertTrue(purgeAgeMillis(100, false) <= 100 + TOLERANCE_MILLIS, "known at the start");
+    assertTrue(purgeAgeMillis(100, false) <= 100 + TOLERANCE_MILLIS, "a purge known at the start");
     advance(1000);
     assertTrue(startAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
     assertTrue(purgeAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
@@ -131,11 +131,10 @@
     restartWithWallAhead(3_600_000);
     assertTrue(
         startAgeMillis(2000, false) > 3_600_000,
-        "known before the start, and not contradicted yet");
+        "known from before the start, and not corrected yet");
     advance(1000);
     purgeAgeMillis(0, true);
-    assertEquals(
-        false, eventAge.takeCorrection(), "what came before the first reply may be of any age");
+    assertEquals(false, eventAge.takeCorrection(), "events of the first reply may be of any age");
     advance(1000);
     assertTrue(purgeAgeMillis(50, true) <= 50 + TOLERANCE_MILLIS);
     assertEquals(true, eventAge.takeCorrection());
@@ -153,6 +152,6 @@
       }
     }
     stampsAheadMillis = wallAheadMillis;
-    assertTrue(purgeAgeMillis(150, true) >= 150, "a month of a clock that runs fast");
+    assertTrue(purgeAgeMillis(150, true) >= 150, "both clocks have run fast for a month");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WarmUpTest.java
@@ -12,7 +12,7 @@
   @Test
   void capacityRisesLinearlyFromTheInitialFraction() {
     warmUp.profile = new SlowStartProfile(new SlowStartConfig(0.2, 1000, 3), 1);
-    assertTrue(warmUp.isComplete(500), "started long ago");
+    assertTrue(warmUp.isComplete(500), "no start time: it has long been running");
     warmUp.startedAtNanos = 5000;
     assertEquals(0.2, warmUp.capacityFraction(4000));
     assertEquals(0.6, warmUp.capacityFraction(5500), 1e-9);
