--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -80,6 +80,7 @@
     assertTrue(freshness.permitsDecisions(3001));
   }
 
+  /** Completes one poll in time, so that decisions are permitted at 10 ms. */
   private void completeOnePoll() {
     freshness.socketsRead(5);
     freshness.requestSent(6);
@@ -104,6 +105,7 @@
     assertTrue(decisions > 200 * 500, "only " + decisions + " decisions");
   }
 
+  /** One run of an event loop with random stalls and of a journal with random events. */
   private static final class Simulation {
     private static final long END_MILLIS = 20_000;
     private static final long TICK_MILLIS = 10;
--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -29,6 +29,10 @@
         "halfway " + halfway + ", when warm " + whenWarm);
   }
 
+  /**
+   * Returns how many of 400 requests, each for another object, use the endpoint as target or as
+   * fill source.
+   */
   private int countAttemptsThrough(int endpoint, long firstObject) {
     int count = 0;
     for (long object = firstObject; object < firstObject + 400; object++) {
--- a/routing/src/test/java/org/amberpath/routing/FakeHost.java
+++ b/routing/src/test/java/org/amberpath/routing/FakeHost.java
@@ -46,7 +46,12 @@
 
   Idempotency idempotency = Idempotency.IDEMPOTENT;
   IdempotencyScope idempotencyScope = IdempotencyScope.ALL;
+
+  /**
+   * The traffic class's fresh time and its stale grace; 0 for copies that stay fresh until a purge.
+   */
   long freshNanos;
+
   boolean bypassAllowed;
   boolean neverCached;
   boolean weightIsSize = true;
@@ -54,8 +59,14 @@
   String kindOfEndpoint0 = "box";
   int seed = 7;
   final List<SentAttempt> sentAttempts = new ArrayList<>();
+
+  /** IDs of the requests that the router rejected. */
   final List<Long> rejectedRequests = new ArrayList<>();
+
+  /** IDs of the requests that the router failed. */
   final List<Long> failedRequests = new ArrayList<>();
+
+  /** Attempts that the router cancelled, as request ID, slash and attempt number. */
   final List<String> cancelledAttempts = new ArrayList<>();
 
   /**
@@ -70,9 +81,14 @@
    */
   final List<Integer> responsiveReports = new ArrayList<>();
 
+  /** The endpoint of each report that an edge cache warms up, in the order of the reports. */
   final List<Integer> warmUpReports = new ArrayList<>();
+
   long nowNanos = 1_000_000 * MS;
+
+  /** The latest limit that the router has set for the start of a retry. */
   long retryStartLimitNanos;
+
   private long lastRequestId;
   private RequestRouter router;
   private final List<Consumer<RoutingEventHandler>> pendingEvents = new ArrayList<>();
--- a/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
@@ -176,6 +176,7 @@
     assertTrue(halfway > whenWarm / 2, "halfway " + halfway + ", when warm " + whenWarm);
   }
 
+  /** Returns how many of 400 requests, each for another object, are sent to endpoint 1. */
   private int countAttemptsAtEndpoint1() {
     int index = 0;
     for (int object = 0; object < 400; object++) {
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Guards the shortcut that skips logarithms: the selection must equal that by the complete
-   * scores.
+   * Guards the shortcut that skips logarithms: the selection must equal the endpoint with the
+   * highest complete score.
    */
   @Test
   void highestScoreIsChosenAmongEndpointsOfManyWeights() {
--- a/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
@@ -13,8 +13,9 @@
  */
 final class SeededEndpoints {
   /**
-   * How an endpoint responds. Random draws select by ordinal, so the order is part of the recorded
-   * digests.
+   * How an endpoint responds: in time, 15 times slower, not at all, by losing the connection, by
+   * rejecting, by refusing the connect, with an error, or never, since the gateway does not write
+   * the request. Random draws select by ordinal, so the order is part of the recorded digests.
    */
   enum Behaviour {
     HEALTHY,
--- a/routing/src/test/java/org/amberpath/routing/SeededWorld.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededWorld.java
@@ -13,9 +13,9 @@
 /**
  * Simulates one gateway under seeded random traffic, faults, changes of the endpoint list and
  * events of the fleet, without I/O and on a virtual clock. Every action of the router is added to
- * {@link RecordedActions}, in order and with all its arguments. Random numbers are drawn from the
- * world's own generator and only used in basic arithmetic, so that a seed gives the same events on
- * every platform. The order of the draws is part of the recorded digests.
+ * {@link RecordedActions}, in order and with all its arguments. Random numbers come from the
+ * world's own generator and are used only in basic arithmetic, so that a seed gives the same events
+ * on every platform. The order of the draws is part of the recorded digests.
  */
 @SuppressWarnings("EnumOrdinal") // The ordinals are part of the random seeds.
 final class SeededWorld implements RoutingActions {
@@ -220,7 +220,7 @@
     return withProbability(0.4) ? 0 : withProbability(0.4) ? random.nextInt(4) : random.nextInt(60);
   }
 
-  // ---- The endpoint list.
+  // ---- Changes of the endpoint list.
 
   private int edgeCount() {
     return setting == Setting.NARROW ? 4 : setting == Setting.PLAIN ? 7 : 14;
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -191,6 +191,11 @@
     }
   }
 
+  /**
+   * Asserts that the attempts of the last overload window are within the bound: 3 times (the
+   * overload factor) what the endpoint serves at its current capacity, n, plus a margin of 2 *
+   * sqrt(n) + 2, or of 3 * sqrt(n) + 3 if n is below 30.
+   */
   private void assertWithinBound() {
     sentInWindowNanos.removeIf(at -> at <= nowNanos - OVERLOAD_WINDOW_NANOS);
     double capacityFraction =
@@ -213,6 +218,7 @@
             + " ms after the start");
   }
 
+  /** A gateway with its own router, whose attempts all end after 50 ms. */
   private final class SimulatedGateway implements RoutingActions {
     private record PendingResponse(
         long dueAtNanos, long requestId, int endpoint, ResponseDetail detail) {}
--- a/routing/src/test/java/org/amberpath/routing/UnresponsiveEndpointHedgeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnresponsiveEndpointHedgeTest.java
@@ -23,7 +23,8 @@
 
   /**
    * One overdue request does not suffice to eject an endpoint; a response that arrived after the
-   * request was sent shows that the endpoint is alive.
+   * request was sent shows that the endpoint is alive. The first argument is the time of the last
+   * response relative to the send time, in milliseconds.
    */
   @ParameterizedTest
   @CsvSource({"0, true", "-1, true", "50, false"})
