--- a/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointChangeTest.java
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void reusedEndpointIndexIsAnotherEndpoint() {
+  void reusedIndexDenotesAnotherEndpoint() {
     Set<Long> objectsBefore = new HashSet<>();
     Set<Long> objectsInBoth = new HashSet<>();
     LongStream.rangeClosed(1, 200)
--- a/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
+++ b/routing/src/test/java/org/amberpath/routing/LoadShedderTest.java
@@ -92,7 +92,7 @@
   }
 
   @Test
-  void retryAfterIsSpreadOverHalfOfItsMaximum() {
+  void retryAfterIsSpreadOverTheUpperHalfOfItsMaximum() {
     long first = loadShedder.retryAfterNanos();
     assertTrue(first >= MAX_RETRY_AFTER_NANOS / 2 && first <= MAX_RETRY_AFTER_NANOS);
     assertTrue(first != loadShedder.retryAfterNanos());
--- a/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierDetectorTest.java
@@ -28,14 +28,14 @@
   }
 
   @Test
-  void silentEndpointWithOverdueRequestsIsEjected() {
+  void unresponsiveEndpointWithOverdueRequestsIsEjected() {
     detect(1);
     assertTrue(endpoint.health.isEjected());
     assertEquals(List.of(1), parts.host.suspectEndpoints);
   }
 
   @Test
-  void noEndpointIsEjectedWhileMostPeersAreSilent() {
+  void noEndpointIsEjectedWhileMostPeersAreUnresponsive() {
     detect(0, 1, 2);
     assertFalse(endpoint.health.isEjected());
     assertEquals(List.of(0, 1, 2), parts.host.suspectEndpoints, "but reported as suspect");
--- a/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
@@ -68,7 +68,7 @@
 
   /** Guards the only edge cache that responds against receiving all keys of the others. */
   @Test
-  void noEndpointIsEjectedWhileMostPeersAreSilent() {
+  void noEndpointIsEjectedWhileMostPeersAreUnresponsive() {
     for (int i = 0; i < 60; i++) {
       SentAttempt sent = host.advanceMillis(25).request(i, 0);
       if (sent.endpoint() == 3) {
--- a/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgeLogTest.java
@@ -9,7 +9,7 @@
   private final PurgeLog purges = new PurgeLog(6000 * MS);
 
   @Test
-  void purgeBoundsTheCopyAgeUntilAllCachesHaveCarriedItOut() {
+  void purgeBoundsTheCopyAgeUntilAllCachesHaveAppliedIt() {
     purges.record(5, 9, 10_000 * MS, 10_000 * MS);
     assertEquals(999 * MS, purges.maxCopyAgeNanos(5, 9, 0, 11_000 * MS));
     assertEquals(
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void noAttemptBeginsWithFiveMillisecondsLeft() {
+  void noAttemptBeginsWithFiveMillisecondsLeftOrLess() {
     assertTrue(RequestDeadline.isTooShort(5 * MS));
     assertTrue(RequestDeadline.isTooShort(-MS));
     assertFalse(RequestDeadline.isTooShort(6 * MS));
--- a/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededEndpoints.java
@@ -34,7 +34,7 @@
 
   private final SplittableRandom random;
   private final SeededSchedule schedule;
-  private final RecordedActions recorded;
+  private final RecordedActions recordedActions;
   private final double hitProbability;
   private final Map<Integer, Behaviour> behaviours = new HashMap<>();
   private final Map<Long, List<SentAttempt>> openByRequest = new TreeMap<>();
@@ -47,7 +47,7 @@
       double hitProbability) {
     this.random = random;
     this.schedule = schedule;
-    this.recorded = recorded;
+    this.recordedActions = recorded;
     this.hitProbability = hitProbability;
   }
 
@@ -63,7 +63,7 @@
   /** Accepts an attempt and schedules its end. */
   void accept(AttemptCommand command) {
     int number = attemptCounts.merge(command.requestId(), 1, Integer::sum) - 1;
-    recorded.count("attempt " + number);
+    recordedActions.count("attempt " + number);
     SentAttempt attempt =
         new SentAttempt(command.requestId(), number, command.endpoint(), schedule.nowNanos());
     openByRequest.computeIfAbsent(command.requestId(), id -> new ArrayList<>()).add(attempt);
@@ -233,8 +233,8 @@
     if (openAttempts.isEmpty()) {
       openByRequest.remove(attempt.requestId);
     }
-    recorded.count("outcome " + outcome);
-    recorded.count("detail " + detail);
+    recordedActions.count("outcome " + outcome);
+    recordedActions.count("detail " + detail);
     to.attemptEnded(
         new AttemptResult(
             attempt.requestId,
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -111,7 +111,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 10, 40, 100})
-  void boundHoldsWithALatencyObjectiveFarUnderTheMeanWork(int gatewayCount) {
+  void boundHoldsWithALatencyObjectiveFarBelowTheMeanWork(int gatewayCount) {
     latencyObjectiveNanos = WORK_PER_REQUEST_NANOS / 10;
     startedAtNanos = nowNanos - SECOND_NANOS;
     startGateways(gatewayCount);
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -14,7 +14,7 @@
   private final Endpoint endpoint = parts.endpoint(1);
 
   @Test
-  void warmEndpointAcceptsAllKeysAndHasNoBudget() {
+  void warmEndpointAcceptsAllKeysWithoutABudget() {
     slowStart.charge(endpoint, 100, START);
     assertTrue(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START));
     assertTrue(slowStart.acceptsKey(endpoint, 0.999, START));
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void refundReturnsWorkButSavesNoCredit() {
+  void refundLowersTheDebtButAccruesNoCredit() {
     parts.update(1, EndpointState.UP, START);
     slowStart.charge(endpoint, 1, START);
     slowStart.refund(endpoint, 0.9, START);
--- a/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void workReturnedAfterALongPauseCountsFromThenOn() {
+  void workReturnedAfterALongPauseCountsFromItsReturn() {
     WarmUp warmUp = parts.endpoint(0).warmUp;
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
       assertEquals(0, warmUp.throughput(START + sweep * 20L * MS));
