--- a/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
+++ b/routing/src/test/java/org/amberpath/routing/DiscoveryFreshnessTest.java
@@ -105,7 +105,7 @@
     assertTrue(decisions > 200 * 500, "only " + decisions + " decisions");
   }
 
-  /** One run of an event loop with random stalls and of a journal with random events. */
+  /** One run of an event loop with random stalls, and of a journal with events at random times. */
   private static final class Simulation {
     private static final long END_MILLIS = 20_000;
     private static final long TICK_MILLIS = 10;
--- a/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FaultAfterQuietPeriodTest.java
@@ -126,9 +126,9 @@
   }
 
   /**
-   * The bound is an initial fraction of 0.1, times a weight of 4 and an overload factor of 3, in an
-   * overload window of 1 s: 1.2 s of work, which is 12 requests of 0.1 s each. This gateway may
-   * send a part of them.
+   * The bound where weights are sizes: an initial fraction of 0.1, times a weight of 4 and an
+   * overload factor of 3, in an overload window of 1 s, is 1.2 s of work, which is 12 requests of
+   * 0.1 s each. This gateway may send a part of them.
    */
   @ParameterizedTest
   @CsvSource({
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -192,9 +192,9 @@
   }
 
   /**
-   * Asserts that the attempts of the last overload window are within the bound: 3 times (the
-   * overload factor) what the endpoint serves at its current capacity, n, plus a margin of 2 *
-   * sqrt(n) + 2, or of 3 * sqrt(n) + 3 if n is below 30.
+   * Asserts the bound on the attempts of the last overload window. With n as 3 times (the overload
+   * factor) the number of requests that the endpoint serves at its current capacity, the bound is n
+   * + 2 * sqrt(n) + 2, or n + 3 * sqrt(n) + 3 if n is below 30.
    */
   private void assertWithinBound() {
     sentInWindowNanos.removeIf(at -> at <= nowNanos - OVERLOAD_WINDOW_NANOS);
@@ -218,7 +218,10 @@
             + " ms after the start");
   }
 
-  /** A gateway with its own router, whose attempts all end after 50 ms. */
+  /**
+   * A gateway with its own router, whose attempts end after 50 ms: with a hit, with a fill, or
+   * without a cached copy.
+   */
   private final class SimulatedGateway implements RoutingActions {
     private record PendingResponse(
         long dueAtNanos, long requestId, int endpoint, ResponseDetail detail) {}
