--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -89,7 +89,7 @@
    */
   @Test
   void slowStartBudgetFollowsWhatPeersOfTheSameKindReturn() {
-    int[] sent = new int[2];
+    int[] sentByKind = new int[2];
     for (int kind = 0; kind < 2; kind++) {
       FakeHost gatewayHost = new FakeHost();
       gatewayHost.weightIsSize = false;
@@ -101,12 +101,12 @@
       gatewayHost.changeEndpoint(0, EndpointState.UP, gatewayHost.nowNanos);
       for (int i = 1000; i < 1400; i++) {
         SentAttempt attempt = gatewayHost.request(i, i, 0);
-        sent[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
+        sentByKind[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
       }
     }
     assertTrue(
-        sent[0] > sent[1] && sent[1] > 0,
-        "sent one of the peers' kind " + sent[0] + ", one of another kind " + sent[1]);
+        sentByKind[0] > sentByKind[1] && sentByKind[1] > 0,
+        "sent one of the peers' kind " + sentByKind[0] + ", one of another kind " + sentByKind[1]);
   }
 
   /**
--- a/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
+++ b/routing/src/test/java/org/amberpath/routing/FleetShareTest.java
@@ -17,10 +17,10 @@
   @Test
   void oneHundredGatewaysTogetherUseAndStayWithinTheSlowStartBudget() {
     int sent = 0;
-    for (int gateway = 0; gateway < 100; gateway++) {
+    for (int gatewayIndex = 0; gatewayIndex < 100; gatewayIndex++) {
       FakeHost gatewayHost = new FakeHost();
       gatewayHost.gatewaysInZone = 100;
-      gatewayHost.seed = gateway;
+      gatewayHost.seed = gatewayIndex;
       gatewayHost.listEndpoints();
       IntStream.range(1, 4)
           .forEach(cache -> gatewayHost.changeEndpoint(cache, EndpointState.GONE, 0));
@@ -46,10 +46,10 @@
    */
   private static int countAttemptsInSlowStart(int gateways, int configuredGateways, double share) {
     int sent = 0;
-    for (int gateway = 0; gateway < gateways; gateway++) {
+    for (int gatewayIndex = 0; gatewayIndex < gateways; gatewayIndex++) {
       FakeHost gatewayHost = new FakeHost();
       gatewayHost.gatewaysInZone = configuredGateways;
-      gatewayHost.seed = gateway;
+      gatewayHost.seed = gatewayIndex;
       gatewayHost.listEndpoints();
       IntStream.range(1, 4)
           .forEach(cache -> gatewayHost.changeEndpoint(cache, EndpointState.GONE, 0));
--- a/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -20,41 +20,46 @@
   @Test
   void ejectedEndpointIsCheckedOnlyByTheDelegateWhoseReportReadmitsIt() {
     host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
-    int cache = host.ejectOneEndpoint();
+    int ejectedCache = host.ejectOneEndpoint();
     host.deliver(to -> to.healthChecksDelegated(true));
     for (int second = 0; second < 20; second++) {
       host.advanceMillis(1000);
       SentAttempt sent = host.request(5, 0);
-      assertNotEquals(cache, sent.endpoint(), "checked by this gateway after " + second + " s");
+      assertNotEquals(
+          ejectedCache, sent.endpoint(), "checked by this gateway after " + second + " s");
       host.succeed(sent, 50, ResponseDetail.HIT);
     }
-    host.deliver(to -> to.healthReported(cache, true, 30_000 * MS)).advanceMillis(3000);
+    host.deliver(to -> to.healthReported(ejectedCache, true, 30_000 * MS)).advanceMillis(3000);
     assertEquals(
-        List.of(cache), host.suspectEndpoints, "a report from before the ejection is ignored");
-    host.deliver(to -> to.healthReported(cache, true, 100 * MS));
+        List.of(ejectedCache),
+        host.suspectEndpoints,
+        "a report from before the ejection is ignored");
+    host.deliver(to -> to.healthReported(ejectedCache, true, 100 * MS));
     assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(3000);
-    assertEquals(cache, host.requestWithHit(5, 0).endpoint());
+    assertEquals(ejectedCache, host.requestWithHit(5, 0).endpoint());
   }
 
   @Test
   void positiveHealthReportIsIgnoredUntilTheBackoffIsOver() {
-    int cache = host.ejectOneEndpoint();
-    host.advanceMillis(500).deliver(to -> to.healthReported(cache, true, 0));
+    int ejectedCache = host.ejectOneEndpoint();
+    host.advanceMillis(500).deliver(to -> to.healthReported(ejectedCache, true, 0));
     assertEquals(
         List.of(),
         host.suspectEndpoints,
         "the first report after the backoff readmits the endpoint");
     SentAttempt sent = host.request(5, 0);
-    while (sent.endpoint() != cache) {
+    while (sent.endpoint() != ejectedCache) {
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(100);
       sent = host.request(5, 0);
     }
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(cache), host.suspectEndpoints);
-    host.deliver(to -> to.healthReported(cache, true, 0));
+    assertEquals(List.of(ejectedCache), host.suspectEndpoints);
+    host.deliver(to -> to.healthReported(ejectedCache, true, 0));
     assertEquals(
-        List.of(cache), host.suspectEndpoints, "the backoff of the second ejection is not over");
+        List.of(ejectedCache),
+        host.suspectEndpoints,
+        "the backoff of the second ejection is not over");
   }
 
   @Test
--- a/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
@@ -20,15 +20,15 @@
   void copiesOlderThanAPurgeAreExcludedUntilAllCachesHaveDroppedThem(long object, int group) {
     assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
     host.deliver(to -> to.objectPurged(object, group, 100 * MS)).advanceMillis(400);
-    long age = host.requestWithHit(5, 0).maxAgeNanos();
+    long maxAgeNanos = host.requestWithHit(5, 0).maxAgeNanos();
     assertTrue(
-        age > 400 * MS && age < 500 * MS,
-        "copies must be younger than the purge, maximum age " + age);
+        maxAgeNanos > 400 * MS && maxAgeNanos < 500 * MS,
+        "copies must be younger than the purge, maximum age " + maxAgeNanos);
     assertEquals(
         object == 0, host.requestWithHit(6, 0).maxAgeNanos() > 0, "another object of the group");
-    SentAttempt busy = host.request(7, 0);
+    SentAttempt openAttempt = host.request(7, 0);
     host.advanceMillis(6500);
     assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
-    assertNotNull(busy);
+    assertNotNull(openAttempt);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -69,7 +69,7 @@
   @Test
   void excludedEndpointsAreNeverSelectedUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
-    for (int left = 4; left > 0; left--) {
+    for (int remaining = 4; remaining > 0; remaining--) {
       request.excludedEndpoints.add(select(request, Eligibility.WITH_ROOM));
     }
     assertEquals(4, request.excludedEndpoints.stream().distinct().count());
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -55,28 +55,29 @@
 
   @Test
   void acceptedConnectionsCarryTheLagUntilTheAcceptQueueIsEmpty() {
-    AcceptLag<Integer> lag = new AcceptLag<>();
-    accept(lag, 1, 1, 1000, 0);
-    assertEquals(0, lag.lagNanos(1, 1000 * MS));
-    lag.turnEnded(1000 * MS);
-    accept(lag, 2, 17, 2000, 900); // The first pass after a lag of 900 ms.
-    lag.turnEnded(2000 * MS);
-    accept(lag, 18, 33, 2030, 0);
-    lag.turnEnded(2030 * MS);
-    accept(lag, 34, 40, 2060, 0); // Fewer than the 16 that one pass accepts: the queue is empty.
-    assertEquals(960, lag.lagNanos(40, 2060 * MS) / MS);
-    assertEquals(960, lag.lagNanos(18, 2060 * MS) / MS);
-    lag.turnEnded(2060 * MS);
-    accept(lag, 41, 41, 2061, 0);
-    assertEquals(0, lag.lagNanos(41, 2061 * MS));
-    lag.turnEnded(2090 * MS);
-    assertEquals(0, lag.lagNanos(40, 2090 * MS), "bytes that arrive later were not queued");
+    AcceptLag<Integer> acceptLag = new AcceptLag<>();
+    accept(acceptLag, 1, 1, 1000, 0);
+    assertEquals(0, acceptLag.lagNanos(1, 1000 * MS));
+    acceptLag.turnEnded(1000 * MS);
+    accept(acceptLag, 2, 17, 2000, 900); // The first pass after a lag of 900 ms.
+    acceptLag.turnEnded(2000 * MS);
+    accept(acceptLag, 18, 33, 2030, 0);
+    acceptLag.turnEnded(2030 * MS);
+    accept(
+        acceptLag, 34, 40, 2060, 0); // Fewer than the 16 that one pass accepts: the queue is empty.
+    assertEquals(960, acceptLag.lagNanos(40, 2060 * MS) / MS);
+    assertEquals(960, acceptLag.lagNanos(18, 2060 * MS) / MS);
+    acceptLag.turnEnded(2060 * MS);
+    accept(acceptLag, 41, 41, 2061, 0);
+    assertEquals(0, acceptLag.lagNanos(41, 2061 * MS));
+    acceptLag.turnEnded(2090 * MS);
+    assertEquals(0, acceptLag.lagNanos(40, 2090 * MS), "bytes that arrive later were not queued");
   }
 
   private static void accept(
-      AcceptLag<Integer> lag, int first, int last, long nowMillis, long lagMillis) {
+      AcceptLag<Integer> acceptLag, int first, int last, long nowMillis, long lagMillis) {
     for (int connection = first; connection <= last; connection++) {
-      lag.connectionAccepted(connection, nowMillis * MS, lagMillis * MS);
+      acceptLag.connectionAccepted(connection, nowMillis * MS, lagMillis * MS);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartBoundTest.java
@@ -123,7 +123,7 @@
   void boundHoldsAcrossNewEndpointLists(int gatewayCount) {
     startGateways(gatewayCount);
     startEndpoint();
-    for (int list = 0; list < 10; list++) {
+    for (int round = 0; round < 10; round++) {
       runFor(150 * NANOS_PER_MILLI, 3);
       gateways.forEach(gateway -> gateway.listEndpoints(EndpointListKind.FULL));
     }
--- a/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SyntheticRequestTest.java
@@ -20,16 +20,16 @@
 
   @Test
   void syntheticHealthChecksAreSentOneAtATimeUncachedAndNeverRetried() {
-    int cache = host.ejectOneEndpoint();
-    assertNull(host.syntheticRequest(6, 0, cache), "not before the backoff is over");
+    int ejectedCache = host.ejectOneEndpoint();
+    assertNull(host.syntheticRequest(6, 0, ejectedCache), "not before the backoff is over");
     host.advanceMillis(500);
-    SentAttempt healthCheck = host.syntheticRequest(6, 0, cache);
-    assertEquals(List.of(cache, 0), List.of(healthCheck.endpoint(), healthCheck.rank()));
-    assertNull(host.syntheticRequest(6, 0, cache), "one health check at a time");
+    SentAttempt healthCheck = host.syntheticRequest(6, 0, ejectedCache);
+    assertEquals(List.of(ejectedCache, 0), List.of(healthCheck.endpoint(), healthCheck.rank()));
+    assertNull(host.syntheticRequest(6, 0, ejectedCache), "one health check at a time");
     host.endAttempt(healthCheck, AttemptOutcome.CONNECTION_LOST, 1, ResponseDetail.NONE);
     assertEquals(healthCheck, host.lastAttempt(healthCheck.requestId()), "never retried");
     host.advanceMillis(5000);
-    host.succeed(host.syntheticRequest(6, 0, cache), 50, ResponseDetail.HIT);
+    host.succeed(host.syntheticRequest(6, 0, ejectedCache), 50, ResponseDetail.HIT);
     assertEquals(List.of(), host.suspectEndpoints);
   }
 
@@ -39,11 +39,11 @@
     host.changeEndpoint(1, EndpointState.UP, host.nowNanos);
     assertEquals(List.of(1), host.warmUpReports);
     int sent = 0;
-    int unsent = 0;
+    int notPrefetched = 0;
     for (int ms = 0; ms < 1000; ms += 5) {
       SentAttempt prefetch =
           host.syntheticRequest(1 + (ms / 5 + 1) % 97, 0, RoutingEventHandler.NO_ENDPOINT);
-      unsent += prefetch == null ? 1 : 0;
+      notPrefetched += prefetch == null ? 1 : 0;
       if (prefetch != null) {
         sent++;
         assertEquals(List.of(1, 1), List.of(prefetch.endpoint(), prefetch.rank()));
@@ -55,7 +55,7 @@
     // times (the overload factor) the current fraction of it, which rises from 0.1 to 0.19 in this
     // second, in addition to clients' requests; the bound uses a fraction of 0.3.
     assertTrue(sent >= 3 && sent <= 40 * 3 * 0.25 * 0.3, sent + " prefetches in a second");
-    assertTrue(unsent > 100, "keys of other caches are not prefetched: " + unsent);
+    assertTrue(notPrefetched > 100, "keys of other caches are not prefetched: " + notPrefetched);
     for (int object = 1; object < 97; object++) {
       assertNull(
           host.advanceMillis(20).syntheticRequest(object, 9, RoutingEventHandler.NO_ENDPOINT),
--- a/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
+++ b/routing/src/test/java/org/amberpath/routing/WallClockStepTest.java
@@ -107,8 +107,9 @@
     wallAheadMillis = wallAhead;
     stampsAheadMillis = stampsAhead;
     for (int event = 0; event < 3; event++) {
-      long age = purgeAgeMillis(40, true);
-      assertTrue(age >= 0 && age <= 40 + TOLERANCE_MILLIS, "a purge of 40 ms ago: " + age);
+      long purgeAge = purgeAgeMillis(40, true);
+      assertTrue(
+          purgeAge >= 0 && purgeAge <= 40 + TOLERANCE_MILLIS, "a purge of 40 ms ago: " + purgeAge);
       long startAge = startAgeMillis(300, true);
       assertTrue(
           startAge >= 0 && startAge <= 300 + TOLERANCE_MILLIS, "a start 0.3 s ago: " + startAge);
