--- a/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/EndpointSlowStartTest.java
@@ -9,22 +9,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What endpoints that have just started are sent. */
+/** Tests how many requests a recently started endpoint is sent. */
 class EndpointSlowStartTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
   @ParameterizedTest
   @ValueSource(ints = {1, 5})
-  void endpointInSlowStartGetsAThinKeySliceThatWidens(int endpoint) {
-    int usual = countAttemptsThrough(endpoint, 0);
+  void endpointInSlowStartReceivesAGrowingFractionOfItsKeys(int endpoint) {
+    int whenWarm = countAttemptsThrough(endpoint, 0);
     host.changeEndpoint(endpoint, EndpointState.UP, host.nowNanos);
-    int thin = countAttemptsThrough(endpoint, 0);
+    int afterStart = countAttemptsThrough(endpoint, 0);
     host.advanceMillis(5000);
-    int wide = countAttemptsThrough(endpoint, 0);
-    assertTrue(thin > 0 && thin < usual / 4, "thin " + thin + " of " + usual);
-    assertTrue(wide > usual / 2 && wide < usual, "wide " + wide + " of " + usual);
+    int halfway = countAttemptsThrough(endpoint, 0);
+    assertTrue(
+        afterStart > 0 && afterStart < whenWarm / 4,
+        "after the start " + afterStart + ", when warm " + whenWarm);
+    assertTrue(
+        halfway > whenWarm / 2 && halfway < whenWarm,
+        "halfway " + halfway + ", when warm " + whenWarm);
   }
 
+  /**
+   * Returns how many of 400 requests, each for another object, use the endpoint as target or as
+   * fill source.
+   */
   private int countAttemptsThrough(int endpoint, long firstObject) {
     int count = 0;
     for (long object = firstObject; object < firstObject + 400; object++) {
@@ -36,7 +44,7 @@
   }
 
   @Test
-  void onlyEdgeCacheOfItsZoneIsHeldToItsSlowStartBudget() {
+  void onlyEdgeCacheOfItsZoneStaysWithinItsSlowStartBudget() {
     for (int cache = 1; cache < 4; cache++) {
       host.changeEndpoint(cache, EndpointState.GONE, 0);
     }
@@ -44,15 +52,19 @@
     for (long id = 1; id <= 200; id++) {
       host.request(id, id, 0);
     }
-    // A tenth of 4 transfers, times 3, for a second: 1.2 s of work of 0.1 s each, of which this
-    // gateway has a share.
+    // An initial fraction of 0.1, times a weight of 4 and an overload factor of 3, in an overload
+    // window of 1 s: 1.2 s of work, which is 12 requests of 0.1 s each. This gateway may send a
+    // part of them.
     assertTrue(
         host.sentAttempts.size() >= 2 && host.sentAttempts.size() <= 12,
         "sent " + host.sentAttempts.size());
-    assertEquals(200, host.sentAttempts.size() + host.rejected.size());
+    assertEquals(200, host.sentAttempts.size() + host.rejectedRequests.size());
   }
 
-  /** Found by a search for bad days: peers under overload are sent more than they return. */
+  /**
+   * Guards against a budget that follows the load on overloaded peers, which are sent more than
+   * they return; found by a search for failure scenarios.
+   */
   @Test
   void slowStartBudgetFollowsWhatPeersReturnNotWhatTheyAreSent() {
     host.weightIsSize = false;
@@ -62,44 +74,44 @@
           .advanceMillis(10);
     }
     host.changeEndpoint(0, EndpointState.UP, host.nowNanos);
-    int before = host.sentAttempts.size();
+    int sentBefore = host.sentAttempts.size();
     for (int i = 1000; i < 3000; i++) {
       host.endAttempt(host.request(i, 0), AttemptOutcome.FAILED, 1, ResponseDetail.NONE);
     }
     long attemptsAtEndpoint0 =
-        host.sentAttempts.stream().skip(before).filter(sent -> sent.endpoint() == 0).count();
+        host.sentAttempts.stream().skip(sentBefore).filter(sent -> sent.endpoint() == 0).count();
     assertTrue(attemptsAtEndpoint0 >= 1 && attemptsAtEndpoint0 <= 2, "sent " + attemptsAtEndpoint0);
   }
 
   /**
-   * Found by a search for bad days: small caches that restarted together were given the budget of
-   * the large ones.
+   * Guards small caches that restarted together against the budget of large ones; found by a search
+   * for failure scenarios.
    */
   @Test
   void slowStartBudgetFollowsWhatPeersOfTheSameKindReturn() {
-    int[] sent = new int[2];
+    int[] sentByKind = new int[2];
     for (int kind = 0; kind < 2; kind++) {
       FakeHost gatewayHost = new FakeHost();
       gatewayHost.weightIsSize = false;
       gatewayHost.kindOfEndpoint0 = kind == 0 ? "box" : "small";
-      gatewayHost.listEndpoints(1, 2, 3, 5, 6, 7).decide();
+      gatewayHost.listEndpoints(1, 2, 3, 5, 6, 7).deliverBatch();
       for (int i = 0; i < 400; i++) {
         gatewayHost.advanceMillis(10).succeed(gatewayHost.request(i, i, 0), 50, ResponseDetail.HIT);
       }
       gatewayHost.changeEndpoint(0, EndpointState.UP, gatewayHost.nowNanos);
       for (int i = 1000; i < 1400; i++) {
         SentAttempt attempt = gatewayHost.request(i, i, 0);
-        sent[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
+        sentByKind[kind] += attempt != null && attempt.endpoint() == 0 ? 1 : 0;
       }
     }
     assertTrue(
-        sent[0] > sent[1] && sent[1] > 0,
-        "of the common kind " + sent[0] + ", of a kind of its own " + sent[1]);
+        sentByKind[0] > sentByKind[1] && sentByKind[1] > 0,
+        "sent one of the peers' kind " + sentByKind[0] + ", one of another kind " + sentByKind[1]);
   }
 
   /**
-   * Found by a search for bad days: caches and parents restarted together, and nearly every request
-   * was a fill.
+   * Guards a parent in slow start against fills beyond its budget. Found by a search for failure
+   * scenarios: caches and parents restarted together, and nearly every request was a fill.
    */
   @Test
   void parentInSlowStartIsChargedInFullForRequestsAtCachesInSlowStart() {
@@ -110,7 +122,7 @@
         .forEach(cache -> host.changeEndpoint(cache, EndpointState.UP, host.nowNanos));
     host.changeEndpoint(5, EndpointState.UP, host.nowNanos)
         .changeEndpoint(6, EndpointState.GONE, 0);
-    int before = host.sentAttempts.size();
+    int sentBefore = host.sentAttempts.size();
     for (int i = 1000; i < 1300; i++) {
       SentAttempt sent = host.request(i, 0);
       if (sent != null) {
@@ -118,9 +130,10 @@
       }
     }
     long attemptsThroughParent =
-        host.sentAttempts.stream().skip(before).filter(sent -> sent.source() == 5).count();
-    // A tenth of 4 transfers, times 2, for a second: 0.8 s of work of 0.1 s each, of which this
-    // gateway has less than a third.
-    assertTrue(attemptsThroughParent <= 2, "attempts " + attemptsThroughParent);
+        host.sentAttempts.stream().skip(sentBefore).filter(sent -> sent.source() == 5).count();
+    // An initial fraction of 0.1, times a weight of 4 and an overload factor of 2, in an overload
+    // window of 1 s: 0.8 s of work, which is 8 requests of 0.1 s each. This gateway's share is less
+    // than a third of them.
+    assertTrue(attemptsThroughParent <= 2, "attempts through the parent: " + attemptsThroughParent);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
+++ b/routing/src/test/java/org/amberpath/routing/HealthReportTest.java
@@ -10,67 +10,81 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Reports of the gateway that checks ejected endpoints for all, and what is reported to it. */
+/**
+ * Tests the reports of the gateway that checks ejected endpoints on behalf of all, and the health
+ * statuses that are reported to that gateway.
+ */
 class HealthReportTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
   @Test
-  void ejectedEndpointIsLeftToTheDelegatedHealthCheckerAndItsReportReadmitsIt() {
+  void ejectedEndpointIsCheckedOnlyByTheDelegateWhoseReportReadmitsIt() {
     host.deliver(to -> to.gatewayShareChanged(200, 1 / 200.0));
-    int cache = host.ejectOneEndpoint();
+    int ejectedCache = host.ejectOneEndpoint();
     host.deliver(to -> to.healthChecksDelegated(true));
     for (int second = 0; second < 20; second++) {
       host.advanceMillis(1000);
       SentAttempt sent = host.request(5, 0);
-      assertNotEquals(cache, sent.endpoint(), "checked by this gateway after " + second + " s");
+      assertNotEquals(
+          ejectedCache, sent.endpoint(), "checked by this gateway after " + second + " s");
       host.succeed(sent, 50, ResponseDetail.HIT);
     }
-    host.deliver(to -> to.healthReported(cache, true, 30_000 * MS)).advanceMillis(3000);
-    assertEquals(List.of(cache), host.suspected, "a report from before the ejection");
-    host.deliver(to -> to.healthReported(cache, true, 100 * MS));
-    assertEquals(List.of(), host.suspected);
+    host.deliver(to -> to.healthReported(ejectedCache, true, 30_000 * MS)).advanceMillis(3000);
+    assertEquals(
+        List.of(ejectedCache),
+        host.suspectEndpoints,
+        "a report from before the ejection is ignored");
+    host.deliver(to -> to.healthReported(ejectedCache, true, 100 * MS));
+    assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(3000);
-    assertEquals(cache, host.requestWithHit(5, 0).endpoint());
+    assertEquals(ejectedCache, host.requestWithHit(5, 0).endpoint());
   }
 
   @Test
   void positiveHealthReportIsIgnoredUntilTheBackoffIsOver() {
-    int cache = host.ejectOneEndpoint();
-    host.advanceMillis(500).deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(), host.suspected, "the first report readmits it");
+    int ejectedCache = host.ejectOneEndpoint();
+    host.advanceMillis(500).deliver(to -> to.healthReported(ejectedCache, true, 0));
+    assertEquals(
+        List.of(),
+        host.suspectEndpoints,
+        "the first report after the backoff readmits the endpoint");
     SentAttempt sent = host.request(5, 0);
-    while (sent.endpoint() != cache) {
+    while (sent.endpoint() != ejectedCache) {
       host.succeed(sent, 50, ResponseDetail.HIT).advanceMillis(100);
       sent = host.request(5, 0);
     }
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(cache), host.suspected);
-    host.deliver(to -> to.healthReported(cache, true, 0));
-    assertEquals(List.of(cache), host.suspected, "it was unreachable since");
+    assertEquals(List.of(ejectedCache), host.suspectEndpoints);
+    host.deliver(to -> to.healthReported(ejectedCache, true, 0));
+    assertEquals(
+        List.of(ejectedCache),
+        host.suspectEndpoints,
+        "the backoff of the second ejection is not over");
   }
 
   @Test
-  void singleOverdueRequestAtASilentEndpointRaisesSuspicionAndItsResponseClearsIt() {
+  void endpointWithOneOverdueRequestIsSuspectUntilItResponds() {
     SentAttempt sent = host.request(5, 0);
     host.advanceMillis(300);
-    assertEquals(List.of(), host.suspected);
+    assertEquals(List.of(), host.suspectEndpoints);
     host.advanceMillis(600);
-    assertEquals(List.of(sent.endpoint()), host.suspected);
-    assertNotNull(host.request(5, 0), "requests still go to it");
+    assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
+    assertNotNull(host.request(5, 0), "requests are still sent");
     host.succeed(sent, 900, ResponseDetail.HIT);
-    assertEquals(List.of(), host.suspected);
-    assertEquals(List.of(sent.endpoint()), host.responsive);
+    assertEquals(List.of(), host.suspectEndpoints);
+    assertEquals(List.of(sent.endpoint()), host.responsiveReports);
   }
 
   @Test
   void negativeHealthReportEjectsUnlessAResponseIsNewerOrMostPeersAreEjected() {
     SentAttempt sent = host.requestWithHit(5, 0);
     host.advanceMillis(1000).deliver(to -> to.healthReported(sent.endpoint(), false, 2000 * MS));
-    assertEquals(List.of(), host.suspected, "a response is newer");
+    assertEquals(List.of(), host.suspectEndpoints, "a response is newer");
     host.deliver(to -> to.healthReported(sent.endpoint(), false, 500 * MS));
-    assertEquals(List.of(sent.endpoint()), host.suspected);
+    assertEquals(List.of(sent.endpoint()), host.suspectEndpoints);
     IntStream.range(0, 4)
         .forEach(cache -> host.deliver(to -> to.healthReported(cache, false, 100 * MS)));
-    assertEquals(3, host.suspected.size(), "one more than half of four");
+    assertEquals(
+        3, host.suspectEndpoints.size(), "no further ejection once most of the four are ejected");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OutlierEjectionTest.java
@@ -7,7 +7,7 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Endpoints that crash, hang or lose responses. */
+/** Tests endpoints that are unreachable, hang or lose responses. */
 class OutlierEjectionTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -15,24 +15,30 @@
   void unreachableEndpointIsEjectedThenCheckedAndReadmitted() {
     SentAttempt sent = host.request(1, 5, 0);
     host.endAttempt(sent, AttemptOutcome.CONNECT_FAILED, 1, ResponseDetail.NONE);
-    SentAttempt second = host.lastAttempt(1);
-    assertNotEquals(sent.endpoint(), second.endpoint());
-    host.succeed(second, 50, ResponseDetail.HIT);
-    assertEquals(second.endpoint(), host.requestWithHit(5, 0).endpoint(), "ejected");
+    SentAttempt retry = host.lastAttempt(1);
+    assertNotEquals(sent.endpoint(), retry.endpoint());
+    host.succeed(retry, 50, ResponseDetail.HIT);
+    assertEquals(
+        retry.endpoint(),
+        host.requestWithHit(5, 0).endpoint(),
+        "the ejected endpoint gets no request");
     host.advanceMillis(400);
     assertEquals(
         sent.endpoint(), host.requestWithHit(5, 0).endpoint(), "one request as a health check");
-    assertEquals(second.endpoint(), host.requestWithHit(5, 0).endpoint(), "few keys at first");
+    assertEquals(
+        retry.endpoint(),
+        host.requestWithHit(5, 0).endpoint(),
+        "on probation it gets few keys at first");
     host.advanceMillis(3000);
     assertEquals(
         sent.endpoint(),
         host.requestWithHit(5, 0).endpoint(),
-        "readmitted, though hardly a request came");
+        "readmitted although few requests were sent");
   }
 
   /**
-   * Found on incident ie243ac: single responses were cut off everywhere, and each time a cache was
-   * ejected.
+   * Guards against ejecting an endpoint for single lost responses. Found on incident ie243ac:
+   * single responses were cut off at all caches, and each time a cache was ejected.
    */
   @Test
   void endpointThatLosesSingleResponsesButReturnsOthersIsNotEjected() {
@@ -46,23 +52,23 @@
 
   @Test
   void hungEndpointIsEjectedAndItsRequestsAreHedgedElsewhere() {
-    SentAttempt stalled = host.request(5, 0);
+    SentAttempt firstHungAttempt = host.request(5, 0);
     for (int i = 0; i < 150; i++) {
       SentAttempt sent = host.request(2000 + i, 0);
-      if (sent.endpoint() != stalled.endpoint()) {
+      if (sent.endpoint() != firstHungAttempt.endpoint()) {
         host.succeed(sent, 50, ResponseDetail.HIT);
       }
       host.advanceMillis(10);
     }
-    SentAttempt hedge = host.lastAttempt(stalled.requestId());
-    assertNotEquals(stalled.endpoint(), hedge.endpoint());
+    SentAttempt hedge = host.lastAttempt(firstHungAttempt.requestId());
+    assertNotEquals(firstHungAttempt.endpoint(), hedge.endpoint());
     host.succeed(hedge, 50, ResponseDetail.HIT);
-    assertTrue(host.cancelled.contains(stalled.requestId() + "/0"));
+    assertTrue(host.cancelledAttempts.contains(firstHungAttempt.requestId() + "/0"));
   }
 
-  /** The one edge cache that responds must not get all keys of the others. */
+  /** Guards the only edge cache that responds against receiving all keys of the others. */
   @Test
-  void noEndpointIsEjectedWhileMostPeersAreSilent() {
+  void noEndpointIsEjectedWhileMostPeersAreUnresponsive() {
     for (int i = 0; i < 60; i++) {
       SentAttempt sent = host.advanceMillis(25).request(i, 0);
       if (sent.endpoint() == 3) {
@@ -75,6 +81,6 @@
             .filter(sent -> sent.endpoint() == 3)
             .count();
     assertTrue(
-        attemptsAtResponsive <= 13, "attempts at the responsive one " + attemptsAtResponsive);
+        attemptsAtResponsive <= 13, "attempts at the responsive endpoint: " + attemptsAtResponsive);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
+++ b/routing/src/test/java/org/amberpath/routing/OverloadRoutingTest.java
@@ -8,11 +8,14 @@
 import org.amberpath.routing.FakeHost.SentAttempt;
 import org.junit.jupiter.api.Test;
 
-/** Concurrency limits of edge caches, fill sources and the origin. */
+/** Tests the concurrency limits of edge caches, fill sources and the origin. */
 class OverloadRoutingTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
-  /** Found on incident i42021b: the origin holds everything, so that cached-only binds nothing. */
+  /**
+   * Guards a saturated origin against fills while no parent is up. Found on incident i42021b: the
+   * origin has every object, so sending it attempts as cached-only did not limit its load.
+   */
   @Test
   void saturatedOriginIsNoFillSourceEvenWithoutParents() {
     host.changeEndpoint(5, EndpointState.GONE, 0).changeEndpoint(6, EndpointState.GONE, 0);
@@ -26,16 +29,17 @@
   }
 
   /**
-   * Found with a slow origin: fills of both parents timed out, and all fills went to the origin.
+   * Guards against sending all fills straight to the origin. Found with a slow origin: fills
+   * through both parents timed out, and then all fills went to the origin.
    */
   @Test
   void parentsStayFillSourcesWhileTheOriginFails() {
-    int ended = 0;
+    int endedCount = 0;
     for (int i = 0; i < 40; i++) {
       host.advanceMillis(50).request(i, 0);
-      while (ended < host.sentAttempts.size()) {
+      while (endedCount < host.sentAttempts.size()) {
         host.endAttempt(
-            host.sentAttempts.get(ended++),
+            host.sentAttempts.get(endedCount++),
             AttemptOutcome.FAILED,
             50,
             ResponseDetail.FILL_SOURCE_UNREACHABLE);
@@ -45,7 +49,10 @@
     assertTrue(host.request(500, 0).source() != 7);
   }
 
-  /** Found under overload and on three incidents: misses queued, and hits waited behind them. */
+  /**
+   * Guards against hits that wait behind queued misses; found under overload and on three
+   * incidents.
+   */
   @Test
   void lateFillsMakeAttemptsCachedOnlyAndMissesAreRejected() {
     for (int i = 0; i < 60; i++) {
@@ -58,12 +65,10 @@
     SentAttempt cachedOnly = host.request(500, 0);
     assertEquals(cachedOnly.endpoint(), cachedOnly.source());
     host.endAttempt(cachedOnly, AttemptOutcome.NOT_CACHED, 1, ResponseDetail.NONE);
-    assertEquals(List.of(cachedOnly.requestId()), host.rejected);
+    assertEquals(List.of(cachedOnly.requestId()), host.rejectedRequests);
   }
 
-  /**
-   * Found with a slow origin: requests were rejected though a stale copy would have served them.
-   */
+  /** Guards against rejecting requests that a stale copy can serve; found with a slow origin. */
   @Test
   void lateOriginAllowsStaleCopiesWithoutRevalidation() {
     host.freshNanos = 5000 * MS;
@@ -86,7 +91,7 @@
   }
 
   @Test
-  void lateHitsCloseTheEdgeLimitsAndRequestsAreRejected() {
+  void lateHitsLowerTheEdgeLimitsAndRequestsAreRejected() {
     for (int i = 0; i < 200; i++) {
       SentAttempt sent = host.request(i, 0);
       host.advanceMillis(250).succeed(sent, 1500, ResponseDetail.HIT);
@@ -94,39 +99,43 @@
     for (int i = 300; i < 400; i++) {
       host.request(i, 0);
     }
-    assertTrue(host.rejected.size() > 50, "rejected " + host.rejected.size());
+    assertTrue(host.rejectedRequests.size() > 50, "rejected " + host.rejectedRequests.size());
   }
 
-  /** Found under overload: requests over the limit went straight to a parent and overloaded it. */
+  /**
+   * Guards against overload of a parent. Found under overload: requests over the limits of the edge
+   * caches were sent straight to a parent.
+   */
   @Test
   void requestsOverTheLimitDoNotBypassTheEdgeCaches() {
     host.bypassAllowed = true;
-    lateHitsCloseTheEdgeLimitsAndRequestsAreRejected();
+    lateHitsLowerTheEdgeLimitsAndRequestsAreRejected();
     assertTrue(host.sentAttempts.stream().allMatch(sent -> sent.endpoint() < 4));
   }
 
   /**
-   * Found with one response in a hundred lost: the parents' limits closed, and a sixth of the
-   * requests was rejected.
+   * Guards against lost responses that lower a limit. Found when one response in a hundred was
+   * lost: the parents' limits fell until they had no room, and a sixth of the requests was
+   * rejected.
    */
   @Test
-  void lostResponsesDoNotCutTheLimitOfAResponsiveSource() {
-    for (int i = 0; i < 30; i++) {
-      SentAttempt lostAttempt = host.request(1000 + i, 0);
-      for (int after = 0; after < 12; after++) {
+  void lostResponsesDoNotLowerTheLimitOfAResponsiveSource() {
+    for (int round = 0; round < 30; round++) {
+      SentAttempt lostAttempt = host.request(1000 + round, 0);
+      for (int request = 0; request < 12; request++) {
         host.advanceMillis(150)
-            .succeed(host.request(2000 + 100 * i + after, 0), 50, ResponseDetail.FILLED);
+            .succeed(host.request(2000 + 100 * round + request, 0), 50, ResponseDetail.FILLED);
       }
       host.endAttempt(lostAttempt, AttemptOutcome.TIMED_OUT, 1800, ResponseDetail.NONE);
     }
-    int before = host.sentAttempts.size();
-    for (int i = 0; i < 24; i++) {
-      host.request(9000 + i, 0);
+    int sentBefore = host.sentAttempts.size();
+    for (int round = 0; round < 24; round++) {
+      host.request(9000 + round, 0);
     }
     assertEquals(
         24,
         host.sentAttempts.stream()
-            .skip(before)
+            .skip(sentBefore)
             .filter(attempt -> attempt.source() == 5 || attempt.source() == 6)
             .count());
   }
--- a/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/PurgedCopiesTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bound on the age of copies after a purge. */
+/**
+ * Tests the bound on the age of copies after a purge of one object, of one group or of all groups.
+ */
 class PurgedCopiesTest {
   private final FakeHost host = new FakeHost().listEndpoints();
 
@@ -18,13 +20,15 @@
   void copiesOlderThanAPurgeAreExcludedUntilAllCachesHaveDroppedThem(long object, int group) {
     assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
     host.deliver(to -> to.objectPurged(object, group, 100 * MS)).advanceMillis(400);
-    long age = host.requestWithHit(5, 0).maxAgeNanos();
-    assertTrue(age > 400 * MS && age < 500 * MS, "younger than the purge: " + age);
+    long maxAgeNanos = host.requestWithHit(5, 0).maxAgeNanos();
+    assertTrue(
+        maxAgeNanos > 400 * MS && maxAgeNanos < 500 * MS,
+        "copies must be younger than the purge, maximum age " + maxAgeNanos);
     assertEquals(
         object == 0, host.requestWithHit(6, 0).maxAgeNanos() > 0, "another object of the group");
-    SentAttempt busy = host.request(7, 0);
+    SentAttempt openAttempt = host.request(7, 0);
     host.advanceMillis(6500);
     assertEquals(0, host.requestWithHit(5, 0).maxAgeNanos());
-    assertNotNull(busy);
+    assertNotNull(openAttempt);
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RecordedDecisionsTest.java
@@ -11,18 +11,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Guards every decision against change: 10,000 rounds of random events a seed give the actions
- * recorded here, one digest a seed, to the last argument and in the same order. A change that is
- * meant to keep behaviour must not alter a digest; a change of behaviour records new ones and says
- * why. The decisions use logarithms and powers, whose last bit may differ on another kind of
- * processor: the digests were recorded on x86-64.
+ * Guards against unintended changes of routing decisions. For each setting and seed, the router
+ * decides on 10,000 batches of random events, and one digest covers all its actions, with all
+ * arguments and in order. A change that is meant to preserve behaviour must not alter a digest; a
+ * change of behaviour records new digests and says why. The decisions use logarithms and powers,
+ * whose last bit may differ on another kind of processor: the digests were recorded on x86-64.
  */
 class RecordedDecisionsTest {
   private static final Map<String, SeededWorld> WORLDS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
-  /** The one place that knows the class under test. */
-  private static SeededWorld.Module module(RoutingConfig config) {
+  /** Returns the decisions of a new router; nothing else here refers to the class under test. */
+  private static SeededWorld.RoutingModule createModule(RoutingConfig config) {
     return new RequestRouter(config)::decide;
   }
 
@@ -33,7 +33,7 @@
         missing -> {
           SeededWorld world = new SeededWorld(setting, seed);
           WORLDS.put(key, world);
-          return world.play(module(world.config()));
+          return world.run(createModule(world.config()));
         });
   }
 
@@ -52,16 +52,19 @@
     "NARROW, 2, 9f28aff515ddfb10377942304344227adebed9373bd9bed2793086deb7a6350a",
     "NARROW, 3, 0fdfcea1fa6122eea4ed5eea3adc4069015389ddb84e1d4b92b4d5f6c654ef40"
   })
-  void actionsMatchTheRecordedDigest(Setting setting, long seed, String recorded) {
+  void actionsMatchTheRecordedDigest(Setting setting, long seed, String recordedDigest) {
     assertEquals(
-        recorded,
+        recordedDigest,
         digest(setting, seed),
         () -> "counted: " + WORLDS.get(setting + " " + seed).counts());
   }
 
-  /** A digest holds only what its events reach: what the worlds must reach, over one seed each. */
+  /**
+   * Guards against digests that cover too little: one seed of each setting must together cause
+   * every action, outcome and detail.
+   */
   @Test
-  void recordedEventsReachEveryActionOutcomeAndDetail() {
+  void recordedEventsCauseEveryActionOutcomeAndDetail() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
@@ -84,13 +87,17 @@
           "health WELL",
           "health HEARD"
         }) {
-      assertTrue(counts.getOrDefault("action " + action, 0) > 0, action + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("action " + action, 0) > 0, "no action " + action + " in " + counts);
     }
     for (AttemptOutcome outcome : AttemptOutcome.values()) {
-      assertTrue(counts.getOrDefault("outcome " + outcome, 0) > 0, outcome + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("outcome " + outcome, 0) > 0,
+          "no outcome " + outcome + " in " + counts);
     }
     for (ResponseDetail detail : ResponseDetail.values()) {
-      assertTrue(counts.getOrDefault("detail " + detail, 0) > 0, detail + " of " + counts);
+      assertTrue(
+          counts.getOrDefault("detail " + detail, 0) > 0, "no detail " + detail + " in " + counts);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RendezvousSelectorTest.java
@@ -34,11 +34,15 @@
   @Test
   void keysAreDividedByWeight() {
     parts.endpoint(0).weight = 12;
-    long large = LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
-    assertEquals(300, (float) large, 60);
+    long keysOfHeaviest =
+        LongStream.range(0, 600).filter(object -> select(object).index == 0).count();
+    assertEquals(300, (float) keysOfHeaviest, 60);
   }
 
-  /** Skipped logarithms must not change the selection: compared with the full scores. */
+  /**
+   * Guards the shortcut that skips logarithms: the selection must equal the endpoint with the
+   * highest complete score.
+   */
   @Test
   void highestScoreIsChosenAmongEndpointsOfManyWeights() {
     Endpoint[] candidates = new Endpoint[300];
@@ -65,7 +69,7 @@
   @Test
   void excludedEndpointsAreNeverSelectedUntilNoneIsLeft() {
     InFlightRequest request = parts.request(5);
-    for (int left = 4; left > 0; left--) {
+    for (int remaining = 4; remaining > 0; remaining--) {
       request.excludedEndpoints.add(select(request, Eligibility.WITH_ROOM));
     }
     assertEquals(4, request.excludedEndpoints.stream().distinct().count());
--- a/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RequestTimesTest.java
@@ -8,18 +8,21 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What is known of a request's time where the event loop was late. Times are milliseconds here. */
+/**
+ * Tests deadlines, socket reads and accepted connections after the event loop was late. Times are
+ * milliseconds, multiplied by {@link #MS} where nanoseconds are expected.
+ */
 class RequestTimesTest {
   private static final long MS = 1_000_000;
 
   @ParameterizedTest
   @CsvSource({"0, 0", "60, 30", "200, 100", "300, 200", "900, 800"})
-  void deadlineLosesHalfTheLagAndAllButATenthOfASecondOfALongOne(long lag, long off) {
-    assertEquals(5000 + 1500 - off, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
+  void halfOfTheLagOrAllButATenthOfASecondIsSubtractedFromTheDeadline(long lag, long subtracted) {
+    assertEquals(5000 + 1500 - subtracted, RequestDeadline.of(5000 * MS, lag * MS, 1500 * MS) / MS);
   }
 
   @Test
-  void noAttemptBeginsWithFiveMillisecondsLeft() {
+  void noAttemptBeginsWithFiveMillisecondsLeftOrLess() {
     assertTrue(RequestDeadline.isTooShort(5 * MS));
     assertTrue(RequestDeadline.isTooShort(-MS));
     assertFalse(RequestDeadline.isTooShort(6 * MS));
@@ -44,34 +47,37 @@
     assertFalse(reads.isSettled(9 * MS, 11 * MS));
     reads.socketsRead(60 * MS);
     assertTrue(
-        reads.isSettled(9 * MS, 61 * MS), "a client that never stops sending is not waited for");
+        reads.isSettled(9 * MS, 61 * MS),
+        "settled after the maximum time although the client keeps sending");
     assertTrue(new SocketReads.Backlog(0, 900 * MS).mayContinue(950 * MS));
     assertFalse(new SocketReads.Backlog(0, 900 * MS).mayContinue(951 * MS));
   }
 
   @Test
   void acceptedConnectionsCarryTheLagUntilTheAcceptQueueIsEmpty() {
-    AcceptLag<Integer> lag = new AcceptLag<>();
-    accept(lag, 1, 1, 1000, 0);
-    assertEquals(0, lag.lagNanos(1, 1000 * MS));
-    lag.turnEnded(1000 * MS);
-    accept(lag, 2, 17, 2000, 900); // The first pass after the event loop lag.
-    lag.turnEnded(2000 * MS);
-    accept(lag, 18, 33, 2030, 0);
-    lag.turnEnded(2030 * MS);
-    accept(lag, 34, 40, 2060, 0); // Fewer than one pass takes: the queue is empty.
-    assertEquals(960, lag.lagNanos(40, 2060 * MS) / MS);
-    assertEquals(960, lag.lagNanos(18, 2060 * MS) / MS);
-    lag.turnEnded(2060 * MS);
-    accept(lag, 41, 41, 2061, 0);
-    assertEquals(0, lag.lagNanos(41, 2061 * MS));
-    lag.turnEnded(2090 * MS);
-    assertEquals(0, lag.lagNanos(40, 2090 * MS), "what comes later on it was not waiting");
+    AcceptLag<Integer> acceptLag = new AcceptLag<>();
+    accept(acceptLag, 1, 1, 1000, 0);
+    assertEquals(0, acceptLag.lagNanos(1, 1000 * MS));
+    acceptLag.turnEnded(1000 * MS);
+    accept(acceptLag, 2, 17, 2000, 900); // The first pass after a lag of 900 ms.
+    acceptLag.turnEnded(2000 * MS);
+    accept(acceptLag, 18, 33, 2030, 0);
+    acceptLag.turnEnded(2030 * MS);
+    accept(
+        acceptLag, 34, 40, 2060, 0); // Fewer than the 16 that one pass accepts: the queue is empty.
+    assertEquals(960, acceptLag.lagNanos(40, 2060 * MS) / MS);
+    assertEquals(960, acceptLag.lagNanos(18, 2060 * MS) / MS);
+    acceptLag.turnEnded(2060 * MS);
+    accept(acceptLag, 41, 41, 2061, 0);
+    assertEquals(0, acceptLag.lagNanos(41, 2061 * MS));
+    acceptLag.turnEnded(2090 * MS);
+    assertEquals(0, acceptLag.lagNanos(40, 2090 * MS), "bytes that arrive later were not queued");
   }
 
-  private static void accept(AcceptLag<Integer> lag, int first, int last, long now, long late) {
+  private static void accept(
+      AcceptLag<Integer> acceptLag, int first, int last, long nowMillis, long lagMillis) {
     for (int connection = first; connection <= last; connection++) {
-      lag.connectionAccepted(connection, now * MS, late * MS);
+      acceptLag.connectionAccepted(connection, nowMillis * MS, lagMillis * MS);
     }
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
+++ b/routing/src/test/java/org/amberpath/routing/RetryPolicyTest.java
@@ -15,8 +15,8 @@
   private final RetryPolicy policy = parts.retryPolicy;
 
   /**
-   * After an attempt at endpoint 0 that may have run: endpoint 2 is of its cell, 1 of its zone, 5
-   * of neither.
+   * The request may have executed at endpoint 0. Endpoint 2 is in the same cell, endpoint 1 in
+   * another cell of the same zone, and endpoint 5 in another zone.
    */
   @ParameterizedTest
   @CsvSource({
@@ -31,14 +31,14 @@
       IdempotencyScope scope,
       boolean sameCell,
       boolean sameZone,
-      boolean elsewhere) {
+      boolean otherZone) {
     parts.configure(idempotency, scope);
     InFlightRequest request = parts.request(5);
-    assertTrue(policy.permits(request, parts.endpoint(5), START), "nothing has run");
+    assertTrue(policy.permits(request, parts.endpoint(5), START), "no attempt has executed");
     request.recordExecuted(parts.attempt(request, 0, 5));
     assertEquals(sameCell, policy.permits(request, parts.endpoint(2), START));
     assertEquals(sameZone, policy.permits(request, parts.endpoint(1), START));
-    assertEquals(elsewhere, policy.permits(request, parts.endpoint(5), START));
+    assertEquals(otherZone, policy.permits(request, parts.endpoint(5), START));
     assertEquals(
         idempotency == Idempotency.IDEMPOTENT,
         policy.permits(request, parts.endpoint(2), START + 1000 * MS));
--- a/routing/src/test/java/org/amberpath/routing/SeededConfig.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededConfig.java
@@ -2,15 +2,21 @@
 
 import java.util.Optional;
 
-/** The configuration of the gateway in a {@link SeededWorld}, by setting. */
+/** The configuration of the gateway in a {@link SeededWorld}, which depends on the setting. */
 final class SeededConfig implements RoutingConfig {
-  /** What the gateway is configured with, and how much traffic it gets. Their order is recorded. */
+  /**
+   * Selects the gateway's configuration and its traffic. The ordinals are part of the random seeds,
+   * and so of the recorded digests.
+   */
   enum Setting {
-    /** One gateway; hedging, cancellation, weights, transfer rate, a large catalogue. */
+    /** A single gateway; hedging, cancellation, weights, a transfer rate and many objects. */
     ALONE,
-    /** One of twenty gateways in the zone and sixty in all; all features, copies that expire. */
+    /** One of 20 gateways in the zone and 60 in all; all features, and copies that expire. */
     TWENTY,
-    /** No weights, cancellation, transfer rate or Retry-After; a list by subscription; bypass. */
+    /**
+     * No weights, cancellation, transfer rate or Retry-After; the endpoint list is subscribed to,
+     * and bypass is allowed.
+     */
     PLAIN,
     /** No hedging, parents or coalescing; four edge caches that are mostly overloaded. */
     NARROW
@@ -103,7 +109,7 @@
 
   @Override
   public TrafficClassConfig trafficClass(int index) {
-    boolean expires = setting == Setting.TWENTY;
+    boolean copiesExpire = setting == Setting.TWENTY;
     return new TrafficClassConfig(
         idempotency(index),
         index == 1
@@ -114,8 +120,8 @@
         2,
         1 + index % 3,
         index == 5,
-        expires ? (index + 1) * 1000L * MS : 0,
-        expires ? 4000 * MS : 0);
+        copiesExpire ? (index + 1) * 1000L * MS : 0,
+        copiesExpire ? 4000 * MS : 0);
   }
 
   private static Idempotency idempotency(int index) {
--- a/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
+++ b/routing/src/test/java/org/amberpath/routing/SeededSchedule.java
@@ -6,16 +6,19 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 
-/** A virtual clock, and events that are due at times of it; of equal times the first one first. */
+/**
+ * A virtual clock with scheduled events; events that are due at the same time occur in the order in
+ * which they were scheduled.
+ */
 final class SeededSchedule {
-  private record ScheduledEvent(long atNanos, long order, Consumer<RoutingEventHandler> event) {}
+  private record ScheduledEvent(long atNanos, long sequence, Consumer<RoutingEventHandler> event) {}
 
   private final PriorityQueue<ScheduledEvent> events =
       new PriorityQueue<>(
           Comparator.comparingLong(ScheduledEvent::atNanos)
-              .thenComparingLong(ScheduledEvent::order));
+              .thenComparingLong(ScheduledEvent::sequence));
   private long nowNanos;
-  private long lastOrder;
+  private long lastSequence;
 
   SeededSchedule(long nowNanos) {
     this.nowNanos = nowNanos;
@@ -30,16 +33,16 @@
   }
 
   void schedule(long atNanos, Consumer<RoutingEventHandler> event) {
-    events.add(new ScheduledEvent(atNanos, ++lastOrder, event));
+    events.add(new ScheduledEvent(atNanos, ++lastSequence, event));
   }
 
-  /** Whether anything was ever scheduled. */
-  boolean wasUsed() {
-    return lastOrder > 0;
+  /** Whether any event was ever scheduled. */
+  boolean hasScheduledAny() {
+    return lastSequence > 0;
   }
 
-  /** Takes the events that are due by now. */
-  List<Consumer<RoutingEventHandler>> takeDue() {
+  /** Removes and returns the events that are due. */
+  List<Consumer<RoutingEventHandler>> removeDue() {
     List<Consumer<RoutingEventHandler>> due = new ArrayList<>();
     while (!events.isEmpty() && events.peek().atNanos() <= nowNanos) {
       due.add(events.poll().event());
--- a/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
+++ b/routing/src/test/java/org/amberpath/routing/SlowStartTest.java
@@ -14,24 +14,26 @@
   private final Endpoint endpoint = parts.endpoint(1);
 
   @Test
-  void warmEndpointAcceptsAllKeysAndHasNoBudget() {
+  void warmEndpointAcceptsAllKeysWithoutABudget() {
     slowStart.charge(endpoint, 100, START);
     assertTrue(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START));
     assertTrue(slowStart.acceptsKey(endpoint, 0.999, START));
   }
 
   @Test
-  void endpointWarmingUpAcceptsAKeySliceWithinABudget() {
+  void endpointWarmingUpAcceptsAFractionOfItsKeysWithinABudget() {
     parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.acceptsKey(endpoint, 0.08, START));
-    assertFalse(slowStart.acceptsKey(endpoint, 0.1, START), "a tenth, less what others do unseen");
+    assertFalse(
+        slowStart.acceptsKey(endpoint, 0.1, START),
+        "0.1 of the keys, minus a reserve for unseen load");
     slowStart.charge(endpoint, 1, START);
     assertFalse(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START));
     assertTrue(slowStart.hasBudgetFor(endpoint, parts.trafficClass, START + 2000 * MS));
   }
 
   @Test
-  void refundReturnsWorkButSavesNoCredit() {
+  void refundLowersTheDebtButAccruesNoCredit() {
     parts.update(1, EndpointState.UP, START);
     slowStart.charge(endpoint, 1, START);
     slowStart.refund(endpoint, 0.9, START);
@@ -47,7 +49,7 @@
   }
 
   @Test
-  void onlyHealthyEndpointsWarmingUpArePrefetchedToAtIntervals() {
+  void prefetchesGoAtIntervalsOnlyToHealthyEndpointsWarmingUp() {
     assertFalse(slowStart.tryPrefetch(endpoint, parts.trafficClass, START), "warm");
     parts.update(1, EndpointState.UP, START);
     assertTrue(slowStart.tryPrefetch(endpoint, parts.trafficClass, START));
@@ -57,12 +59,13 @@
   }
 
   @Test
-  void throughputIsLearntFromWarmPeersOfTheSameKind() {
+  void throughputIsLearnedFromWarmPeersOfTheSameKind() {
     for (Endpoint peer : parts.endpoints.zoneEdges()) {
       peer.warmUp.recordServedWork(20, START);
     }
     slowStart.learnThroughput(parts.endpoints.zoneEdges(), START);
     assertEquals(5, endpoint.warmUp.profile.typicalThroughput, 1e-9);
-    assertEquals(1.0 / 3, parts.endpoint(5).warmUp.profile.typicalThroughput, "another kind");
+    assertEquals(
+        1.0 / 3, parts.endpoint(5).warmUp.profile.typicalThroughput, "parents are of another kind");
   }
 }
--- a/routing/src/test/java/org/amberpath/routing/SweepOfUnusedEndpointsTest.java
+++ b/routing/src/test/java/org/amberpath/routing/UnusedEndpointSweepTest.java
@@ -8,14 +8,17 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Sweeps skip endpoints without requests, with the same results as if they did not. */
-class SweepOfUnusedEndpointsTest {
+/**
+ * Guards the sweep's shortcuts for endpoints without requests: results must be the same as if every
+ * sweep processed every endpoint.
+ */
+class UnusedEndpointSweepTest {
   private static final int SWEEPS = 500;
 
   private final RoutingParts parts = new RoutingParts();
 
   @Test
-  void idleTimeGivesALimitNoCredit() {
+  void idleTimeAccruesNoCreditForALimit() {
     ConcurrencyLimit idle = new ConcurrencyLimit(nowNanos -> 1);
     idle.setShare(0.01, 24);
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
@@ -25,12 +28,13 @@
     idle.inFlight = 1;
     assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1));
     idle.inFlight = 0;
-    assertFalse(idle.hasRoom(lastNanos + 100 * MS, 1), "0.1 s of one request against 0.24");
+    assertFalse(
+        idle.hasRoom(lastNanos + 100 * MS, 1), "debt of 0.1 s with 1 request at a limit of 0.24");
     assertTrue(idle.hasRoom(lastNanos + 500 * MS, 1));
   }
 
   @Test
-  void workReturnedAfterALongPauseCountsFromThenOn() {
+  void workReturnedAfterALongPauseCountsFromItsReturn() {
     WarmUp warmUp = parts.endpoint(0).warmUp;
     for (int sweep = 0; sweep < SWEEPS; sweep++) {
       assertEquals(0, warmUp.throughput(START + sweep * 20L * MS));
@@ -41,7 +45,7 @@
     assertEquals(Math.exp(-1), warmUp.throughput(lastNanos + 4000 * MS), 1e-12);
   }
 
-  /** Endpoints that are warm, in their kind's mean; those that are unused count too. */
+  /** The mean is over all warm endpoints of a kind, including those that have returned no work. */
   @Test
   void typicalThroughputIsTheMeanOverWarmPeersOfAKind() {
     parts.endpoint(0).warmUp.recordServedWork(40, START);
