--- a/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
+++ b/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
@@ -4,8 +4,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Decides which answers a session may use, by the verdicts of {@link RevisionAuditor}, and begins a
- * new history where they show that the registry was restored or replaced. Times are nanoseconds.
+ * Decides by the verdicts of {@link RevisionAuditor} whether the session may use a response, and
+ * starts a new history of revisions if the registry was restored or replaced. Times are
+ * nanoseconds.
  */
 final class AnswerValidator {
   private final RevisionAuditor auditor;
@@ -36,18 +37,22 @@
     auditor.start(nowNanos);
   }
 
-  /** When any endpoint last answered with anything but a failure. */
+  /** When any endpoint last returned a response that is not a failure. */
   long heardAtNanos() {
     return heardAtNanos;
   }
 
-  /** An endpoint has answered with anything but a failure. */
+  /** Records a response that is not a failure. */
   void heard(long nowNanos, RegistryEndpoint endpoint) {
     heardAtNanos = nowNanos;
     endpoint.heard(nowNanos);
   }
 
-  /** Whether an answer is of the cluster that the view is of. */
+  /**
+   * Records the response's endpoint as in contact, and returns whether the response is from the
+   * cluster that the view holds. A response from another cluster either starts a new history or, if
+   * only this endpoint belongs to that cluster, makes the endpoint back off.
+   */
   boolean isOfOwnCluster(long nowNanos, RegistryCall call, Header header) {
     heard(nowNanos, call.endpoint);
     switch (auditor.auditCluster(nowNanos, call.endpoint, header)) {
@@ -65,10 +70,12 @@
   }
 
   /**
-   * Whether an answer's revision follows what was known when the call was sent.
+   * Returns whether a response's revision is not older than what the view held when the call was
+   * sent. The first older one requests another heartbeat as confirmation; the second one starts a
+   * new history.
    *
-   * @param revision the newest revision; 0 where the answer has none
-   * @param tipRevision the tip's revision; negative where the answer has none
+   * @param revision the newest revision; 0 if the response has none
+   * @param tipRevision the tip's revision; negative if the response has none
    */
   boolean continues(long nowNanos, RegistryCall call, long revision, long tipRevision) {
     switch (auditor.auditRevision(nowNanos, call, revision, tipRevision)) {
@@ -79,7 +86,7 @@
       case WENT_BACK ->
           startNewHistory("revisions went back from " + call.viewRevision + " to " + revision);
       case IGNORED -> {
-        // A later call decides.
+        // The response to a call that was sent later decides.
       }
       default -> throw new IllegalStateException("unknown result of the revision audit");
     }
--- a/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
+++ b/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * What follows from a call that failed: backoff, longer timeouts, a log line where an operator may
- * act on it. Times are nanoseconds.
+ * Handles failed calls: applies backoffs, lengthens timeouts, and logs failures that an operator
+ * can act on. Times are nanoseconds.
  */
 final class CallFailureHandler {
-  /** What an operator must mend is tried again after this time at the earliest. */
+  /** Minimum delay before a retry after a failure that needs an operator. */
   private static final long OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
 
   private final OpenCalls calls;
@@ -23,16 +23,16 @@
     this.log = log;
   }
 
-  /** Gives a call up, which counts as a failure of its endpoint. */
+  /** Cancels a call and counts it as a failure of its endpoint. */
   void giveUp(long nowNanos, RegistryCall call, RegistryFailure why) {
     calls.cancel(call);
     failed(nowNanos, call, why, 0);
   }
 
   /**
-   * A call has failed.
+   * Handles a call that has failed.
    *
-   * @param retryAfterNanos what the server asked for; 0 for nothing
+   * @param retryAfterNanos the delay that the server asked for; 0 for none
    */
   void failed(long nowNanos, RegistryCall call, RegistryFailure why, long retryAfterNanos) {
     calls.close(call);
--- a/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
@@ -12,11 +12,12 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Publishes what differs between two states of a view to the listener of endpoints and purges: each
- * change once, all changes of one state in one list. Times are nanoseconds since the Unix epoch.
+ * Publishes the difference between two states of a view to the listener of endpoints and purges:
+ * each change once, all changes of one state in one list. Times are nanoseconds since the Unix
+ * epoch.
  */
 final class EndpointChangePublisher {
-  /** By how much the clock of another process may be behind this one without a step. */
+  /** How far the clock of another process may be behind this one without a step. */
   static final long MAX_CLOCK_SKEW_NANOS = 2_000_000_000;
 
   private static final long MS = 1_000_000;
@@ -42,27 +43,27 @@
     listener.endpointListCompleted();
   }
 
-  /** Publishes all purges that the registry holds. */
+  /** Publishes all purges of the view. */
   void publishAllPurges(Collection<RegistryEntry> entries, long nowNanos) {
     entries.forEach(entry -> publishPurge(null, entry, nowNanos));
   }
 
-  /** Publishes that all copies from before now count as purged. */
+  /** Publishes that all cached copies from before now are purged. */
   void publishEverythingPurged(long nowNanos) {
     listener.objectPurged(0, EndpointListener.ALL_GROUPS, nowNanos / MS);
   }
 
-  /** Publishes the purges that were not there before. */
+  /** Publishes the purges that are new or changed. */
   void publishNewPurges(
       Map<String, RegistryEntry> before, Map<String, RegistryEntry> after, long nowNanos) {
     after.forEach((key, entry) -> publishPurge(before.get(key), entry, nowNanos));
   }
 
   /**
-   * Publishes one list with what differs; an endpoint that was created anew under its key is gone
-   * in a list of its own first.
+   * Publishes the difference in one list. An endpoint whose key was deleted and created again is
+   * first published as removed, in a list of its own.
    *
-   * @param touched the keys to look at, in the order in which they are published
+   * @param touched the keys to compare, in the order in which they are published
    */
   void publishChanges(
       Map<String, RegistryEntry> before,
@@ -108,8 +109,8 @@
     }
     listener.endpointListStarted(EndpointListKind.CHANGES);
     gone.forEach(this::publishGone);
-    // An endpoint that appeared while this view was kept has started since, whatever its writer's
-    // clock showed: within a step of that clock.
+    // An endpoint that appeared while this view was kept has started since then, whatever its
+    // writer's clock showed: within the largest step of that clock.
     present.forEach(
         endpoint -> publishPresent(endpoint, nowNanos, EndpointStartTimes.MAX_CLOCK_STEP_MILLIS));
     listener.endpointListCompleted();
@@ -142,8 +143,9 @@
   }
 
   /**
-   * A purge that is new to the view was committed since the view was last current: at the latest
-   * now, which is told in place of the writer's stamp, whose clock may have stepped.
+   * Publishes a purge that is new to the view. It was committed after the view was last current and
+   * no later than now, so now is published in place of the writer's timestamp, whose clock may have
+   * stepped.
    */
   private void publishPurge(RegistryEntry before, RegistryEntry after, long nowNanos) {
     if (after != null
--- a/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
@@ -5,12 +5,13 @@
 import java.util.Map;
 
 /**
- * When endpoints started, by this process's clock: the latest time that the writer's stamp allows,
- * since its wall clock may have stepped, and the same time whenever it is published. Times are Unix
- * milliseconds. Bounds: one entry for each endpoint that is in the view.
+ * Estimates when endpoints started, by this process's clock: the latest time that the writer's
+ * timestamp allows, since the writer's wall clock may have stepped. An estimate stays the same
+ * until the timestamp changes. Times are Unix milliseconds. Bounds: one entry per endpoint in the
+ * view.
  */
 final class EndpointStartTimes {
-  /** By how much a wall clock steps at most. */
+  /** The largest step of a wall clock that is allowed for. */
   static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
   private record Start(long stampMillis, long startedAtMillis) {}
@@ -18,10 +19,10 @@
   private final Map<String, Start> starts = new HashMap<>();
 
   /**
-   * The time of start to publish; 0 for long ago.
+   * Returns the start time to publish; 0 if the endpoint started long ago.
    *
-   * @param stampMillis the stamp in the registry
-   * @param maxErrorMillis by how much its writer's clock may be behind
+   * @param stampMillis the timestamp in the registry; 0 for long ago
+   * @param maxErrorMillis how far the writer's clock may be behind this one
    */
   long startedAt(String id, long stampMillis, long nowMillis, long maxErrorMillis) {
     if (stampMillis == 0) {
@@ -30,7 +31,7 @@
     }
     Start start = starts.get(id);
     if (start == null || start.stampMillis != stampMillis) {
-      // Nothing in the view started later than now.
+      // No endpoint of the view has started in the future.
       long latestMillis =
           stampMillis > nowMillis - maxErrorMillis ? nowMillis : stampMillis + maxErrorMillis;
       start = new Start(stampMillis, latestMillis);
@@ -39,12 +40,12 @@
     return start.startedAtMillis;
   }
 
-  /** An endpoint is gone: what comes under its id later is another one. */
+  /** Forgets an endpoint that was removed; a later one under the same id is another endpoint. */
   void remove(String id) {
     starts.remove(id);
   }
 
-  /** Forgets all endpoints but these. */
+  /** Forgets all endpoints except these. */
   void retain(Collection<String> ids) {
     starts.keySet().retainAll(ids);
   }
--- a/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
+++ b/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
@@ -4,21 +4,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Heartbeats: each {@link #PERIOD_NANOS} one linearizable read of the tip, the key that every write
- * touches. Its answer shows whether the view is current, so that watches which are open but silent
- * are found out; who does not answer is passed over for the next endpoint. Times are nanoseconds.
+ * Sends heartbeats and tracks their responses. A heartbeat is a linearizable read of the tip, the
+ * key that every write touches, sent once per {@link #PERIOD_NANOS}. The response shows whether the
+ * view is current, so a watch that is open but delivers nothing is detected. When a response is
+ * overdue, the next heartbeat goes to another endpoint without waiting for the period. Times are
+ * nanoseconds.
  *
- * <p>Bounds: one heartbeat an endpoint, two sent at a time.
+ * <p>Bounds: one open heartbeat per endpoint; at most two sent at a time.
  */
 final class HeartbeatMonitor {
   private static final long MS = 1_000_000;
 
-  /** How often a heartbeat is sent; twice as often while no watch is open. */
+  /** Interval between heartbeats; half of it while no watch is open. */
   static final long PERIOD_NANOS = 100 * MS;
 
   private static final long TIMEOUT_NANOS = 400 * MS;
 
-  /** Each so many heartbeats a random endpoint is asked, so that a quick one is found. */
+  /**
+   * Every this many periods the heartbeat goes to a random endpoint, so that one that has become
+   * fast is found.
+   */
   private static final int EXPLORATION_INTERVAL = 10;
 
   private final RegistryEndpointSelector endpoints;
@@ -30,10 +35,12 @@
   private long answeredAtNanos;
   private int periods;
 
-  /** Heartbeats that failed with an answer in this period, and how many of them were replaced. */
+  /** Heartbeats of this period that failed other than by a timeout. */
   private int refusals;
 
+  /** How many of those another heartbeat has already followed. */
   private int replacedRefusals;
+
   private long newestTipRevision;
   private long newestTipAtNanos;
 
@@ -53,12 +60,17 @@
     nextAtNanos = nowNanos + random.nextLong(PERIOD_NANOS);
   }
 
-  /** Has the next heartbeat sent as soon as time passes. */
+  /** Makes the next heartbeat due at the given time; the session's next tick sends it. */
   void sendAtOnce(long nowNanos) {
     nextAtNanos = nowNanos;
   }
 
-  /** When {@link #sendDue} has something to do next, after it was called at the given time. */
+  /**
+   * Returns when {@link #sendDue} is next due: at the end of the period or, while a heartbeat is
+   * unanswered, at the earlier failover time.
+   *
+   * @param tickedAtNanos when {@link #sendDue} last ran
+   */
   long due(long tickedAtNanos) {
     long failoverAtNanos = lastSentAtNanos + endpoints.failoverNanos();
     return isUnanswered() && failoverAtNanos > tickedAtNanos
@@ -70,11 +82,15 @@
     return lastSentAtNanos > answeredAtNanos;
   }
 
-  /** Sends the heartbeats that are due. */
+  /**
+   * Sends a heartbeat if the period has ended, if the last one is overdue, or if one failed. Sends
+   * a second one, to another endpoint, while no watch is open or any heartbeat is overdue.
+   */
   void sendDue(long nowNanos) {
     boolean isDue = nowNanos >= nextAtNanos;
     boolean failsOver = isUnanswered() && nowNanos >= lastSentAtNanos + endpoints.failoverNanos();
-    // Guards the time until a drain is known: a refusal is no reason to wait for the next period.
+    // Guards against a drain that is noticed late: after a failed heartbeat, another endpoint is
+    // asked at once and not only in the next period.
     boolean replaces = refusals > replacedRefusals && refusals < endpoints.count();
     if (isDue) {
       refusals = 0;
@@ -117,13 +133,13 @@
             });
   }
 
-  /** A heartbeat was answered. */
+  /** Records the response to a heartbeat and its latency. */
   void answered(long nowNanos, HeartbeatCall call) {
     answeredAtNanos = nowNanos;
     call.endpoint.heartbeatAnswered(nowNanos, nowNanos - call.sentAtNanos);
   }
 
-  /** A heartbeat ended without an answer. */
+  /** Records a heartbeat that timed out or failed. */
   void failed(HeartbeatCall call, RegistryFailure why) {
     if (why == RegistryFailure.TIMED_OUT) {
       call.endpoint.heartbeatTimedOut(TIMEOUT_NANOS);
@@ -132,12 +148,15 @@
     }
   }
 
-  /** When the last heartbeat was answered. */
+  /** When the last response to a heartbeat was received. */
   long answeredAtNanos() {
     return answeredAtNanos;
   }
 
-  /** A heartbeat showed the revision at which the tip was written. */
+  /**
+   * Records the tip's revision in a heartbeat's response, if it is newer than those reported
+   * before.
+   */
   void tipReported(long nowNanos, long revision) {
     if (revision > newestTipRevision) {
       newestTipRevision = revision;
@@ -145,17 +164,17 @@
     }
   }
 
-  /** Revisions were given anew: what was reported says nothing any more. */
+  /** Discards the reported tip revision, which says nothing in a new history of revisions. */
   void forgetTip() {
     newestTipRevision = 0;
   }
 
-  /** The newest revision of the tip that a heartbeat showed. */
+  /** The newest tip revision that a heartbeat has reported; 0 for none. */
   long newestTipRevision() {
     return newestTipRevision;
   }
 
-  /** When a heartbeat first showed it. */
+  /** When a heartbeat first reported {@link #newestTipRevision}. */
   long newestTipAtNanos() {
     return newestTipAtNanos;
   }
--- a/registry/src/main/java/org/amberpath/registry/ListCall.java
+++ b/registry/src/main/java/org/amberpath/registry/ListCall.java
@@ -3,28 +3,28 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A list that is read by pages, all at the revision of the first one. */
+/** A list that is read page by page, all at the revision of the first page. */
 final class ListCall extends RegistryCall {
-  /** Whether it reads all keys; otherwise those that were written since a revision. */
+  /** Whether all keys are read; otherwise those written since a revision. */
   final boolean readsAllKeys;
 
-  /** Only keys written at this revision or later; 0 for all. */
+  /** Only keys written at this revision or later are read; 0 for all. */
   final long sinceRevision;
 
-  /** How many keys a page may hold. */
+  /** Maximum number of keys per page. */
   final int pageSize;
 
   final List<RegistryEntry> entries = new ArrayList<>();
 
-  /** When the page that is waited for was requested. */
+  /** When the outstanding page was requested. */
   long pageRequestedAtNanos;
 
-  /** The revision that is read at; 0 before the first page. */
+  /** The revision at which the list is read; 0 before the first page. */
   long revision;
 
   String clusterId = "";
 
-  /** How many keys there are in all; negative where pages bring all keys whatever was asked for. */
+  /** Total number of keys; negative if a page always holds all keys, whatever was requested. */
   long totalCount;
 
   ListCall(Start start, long timeoutNanos, boolean readsAllKeys, long sinceRevision, int pageSize) {
--- a/registry/src/main/java/org/amberpath/registry/OpenCalls.java
+++ b/registry/src/main/java/org/amberpath/registry/OpenCalls.java
@@ -7,16 +7,19 @@
 import java.util.function.Function;
 
 /**
- * The calls of a session that have not ended, in the order in which they were sent. Bounds: one
- * list for all endpoints; a watch and a heartbeat an endpoint; new connections as {@link
- * RequestRateLimiter} allows.
+ * Tracks the open calls of a session in the order in which they were sent, and limits them: one
+ * list in total, one watch and one heartbeat per endpoint, and new connections at the rate of
+ * {@link RequestRateLimiter}.
  */
 final class OpenCalls {
-  /** Which connection a call takes. */
+  /** The connection that a call uses. */
   enum Connection {
-    /** One of those that are open to an endpoint in contact; otherwise a new one. */
+    /**
+     * A pooled connection. One exists if the endpoint is in contact; otherwise the call opens a new
+     * one, which counts against the rate limit.
+     */
     SHARED,
-    /** Always a new one. */
+    /** Always a new connection. */
     DEDICATED
   }
 
@@ -48,18 +51,18 @@
     return calls.get(call.id) == call;
   }
 
-  /** The call with this number, if it is open and of that kind. */
+  /** Returns the open call with this id if it is of the given kind. */
   <C extends RegistryCall> Optional<C> find(long id, Class<C> kind) {
     RegistryCall call = calls.get(id);
     return kind.isInstance(call) ? Optional.of(kind.cast(call)) : Optional.empty();
   }
 
-  /** The list that is being read. */
+  /** The list that is being read; empty if none is open. */
   Optional<ListCall> list() {
     return Optional.ofNullable(list);
   }
 
-  /** The earliest time at which a call is given up; no later than the given one. */
+  /** Returns the earliest deadline of the open calls, or the given time if that is earlier. */
   long earliestDeadline(long latestNanos) {
     long earliest = latestNanos;
     for (RegistryCall call : calls.values()) {
@@ -68,7 +71,12 @@
     return earliest;
   }
 
-  /** Makes a call to be sent; none while the budget of new connections is used up. */
+  /**
+   * Creates and registers a call; the caller sends it. Returns empty if the call needs a new
+   * connection and the rate limit allows none now.
+   *
+   * @param made creates the call from what is known when it is sent
+   */
   <C extends RegistryCall> Optional<C> open(
       long nowNanos,
       RegistryEndpoint endpoint,
@@ -94,7 +102,7 @@
     return Optional.of(call);
   }
 
-  /** A call has ended, or its answers are of no use any more. */
+  /** Removes a call that has ended, or whose response is no longer used. */
   void close(RegistryCall call) {
     calls.remove(call.id);
     if (call.endpoint.watch == call) {
@@ -108,7 +116,7 @@
     }
   }
 
-  /** Gives a call up: nothing more may be heard of it. */
+  /** Cancels a call: the session receives nothing more for it. */
   void cancel(RegistryCall call) {
     commands.cancel(call.id);
     close(call);
--- a/registry/src/main/java/org/amberpath/registry/PagedListing.java
+++ b/registry/src/main/java/org/amberpath/registry/PagedListing.java
@@ -3,33 +3,35 @@
 import java.util.Optional;
 
 /**
- * Reads lists by pages, all pages at one revision: all keys as a snapshot, or those that were
+ * Reads lists page by page, all pages at the revision of the first one: either all keys, or those
  * written since the view's revision. Times are nanoseconds.
  *
- * <p>Bounds: one list at a time; as many entries as the view may hold and one page more.
+ * <p>Bounds: one list at a time; as many entries as the view may hold, plus one page.
  */
 final class PagedListing {
-  /** What became of a page. */
+  /** What follows from a received page. */
   enum PageResult {
-    /** The next one was requested. */
+    /** The next page was requested. */
     CONTINUED,
-    /** It was the last one. */
+    /** The list is complete. */
     COMPLETE,
-    /** The list is longer than it may be. */
+    /** The list exceeds its bound. */
     TOO_LONG
   }
 
   private static final long MS = 1_000_000;
 
-  /** How long a list of changes may take, at first and after lists that timed out. */
+  /**
+   * Initial timeout of a list of changes. It doubles up to the maximum after lists that timed out.
+   */
   private static final long FIRST_TIMEOUT_NANOS = 50 * MS;
 
   private static final long MAX_TIMEOUT_NANOS = 800 * MS;
 
-  /** A list of all keys, and a page after the first, has so many times as long. */
+  /** Factor on the timeout for a list of all keys, and for each page after the first. */
   private static final int ALL_KEYS_TIMEOUT_FACTOR = 6;
 
-  /** A list has so many times as long as the endpoint's last heartbeat took. */
+  /** The timeout is at least this many times the latency of the endpoint's last heartbeat. */
   private static final int LATENCY_TIMEOUT_FACTOR = 3;
 
   private static final int FIRST_PAGE_SIZE = 1000;
@@ -60,12 +62,15 @@
     this.maxKeys = maxKeys;
   }
 
-  /** When the last list was complete. */
+  /** When the last list was completed. */
   long completedAtNanos() {
     return completedAtNanos;
   }
 
-  /** Opens the call of the list that a resync needs, if none is being read; it is sent next. */
+  /**
+   * Opens the call of the list that the resync needs, unless one is being read. The caller passes
+   * it to {@link #send} next.
+   */
   Optional<ListCall> openDue(long nowNanos) {
     if (calls.list().isPresent() || !resync.isNeeded()) {
       return Optional.empty();
@@ -78,7 +83,8 @@
   private Optional<ListCall> open(long nowNanos, RegistryEndpoint endpoint) {
     boolean readsAllKeys = resync.needsAllKeys();
     long sinceRevision = readsAllKeys ? 0 : view.appliedRevision() + 1;
-    // Guards against a registry that is far away: a list that takes its usual time is not given up.
+    // Guards against giving up each list from a registry with a long round trip: a list may take a
+    // multiple of that endpoint's heartbeat latency.
     long changesTimeoutNanos =
         Math.max(timeoutNanos, LATENCY_TIMEOUT_FACTOR * endpoint.lastLatencyNanos);
     long listTimeoutNanos =
@@ -95,14 +101,14 @@
     commands.list(call.id, call.endpoint.index, 0, "", call.sinceRevision, call.pageSize);
   }
 
-  /** The first page shows at which revision the list is read. */
+  /** Records the revision, cluster id and key count of the first page. */
   void begin(ListCall call, RegistryPage page) {
     call.revision = page.header().revision();
     call.clusterId = page.header().cluster();
     call.totalCount = page.totalCount();
   }
 
-  /** Takes a page, and requests the next one where there is more. */
+  /** Collects a page's entries, and requests the next page if there are more. */
   PageResult takePage(long nowNanos, ListCall call, RegistryPage page) {
     call.entries.addAll(page.entries());
     if (call.entries.size() > maxKeys + (long) call.pageSize) {
@@ -121,10 +127,11 @@
   }
 
   /**
-   * Applies a complete list to the view; the resync is over unless deletions are missing, which
-   * only a list of all keys shows.
+   * Applies a complete list to the view. The resync then ends, unless a list of changes shows that
+   * keys were deleted too: only a list of all keys shows which. If a heartbeat has already reported
+   * a newer tip, another list of changes follows.
    *
-   * @param newestTipRevision the newest revision of the tip that a heartbeat showed
+   * @param newestTipRevision the newest tip revision that a heartbeat has reported
    */
   void apply(long nowNanos, ListCall call, long newestTipRevision) {
     pageSize = FIRST_PAGE_SIZE;
@@ -149,7 +156,10 @@
             : WatchResync.Scope.NONE);
   }
 
-  /** The list at an endpoint that fell silent, if anybody answered a heartbeat meanwhile. */
+  /**
+   * Returns the open list if its endpoint has sent nothing for two failover times while another
+   * endpoint has answered a heartbeat meanwhile.
+   */
   Optional<ListCall> silent(long nowNanos, long heartbeatAnsweredAtNanos) {
     return calls
         .list()
@@ -160,14 +170,14 @@
                     && heartbeatAnsweredAtNanos > call.pageRequestedAtNanos);
   }
 
-  /** A list timed out: the next one has twice as long. */
+  /** Doubles the timeout of the next list after a list has timed out. */
   void timedOut() {
     timeoutNanos = Math.min(MAX_TIMEOUT_NANOS, timeoutNanos * 2);
   }
 
   /**
-   * The revision of a list was compacted. Guards against a list that is never read to its end while
-   * the registry compacts: the next one has larger pages.
+   * Doubles the page size of the next list after the revision of this one was compacted. Guards
+   * against a registry that compacts faster than its list can be read.
    */
   void compacted(ListCall call) {
     pageSize = Math.min(MAX_PAGE_SIZE, call.pageSize * 2);
--- a/registry/src/main/java/org/amberpath/registry/RegistryCall.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryCall.java
@@ -1,11 +1,8 @@
 package org.amberpath.registry;
 
-/**
- * One call to an endpoint that has not ended: a list, a watch or a heartbeat. Times are
- * nanoseconds.
- */
+/** One open call to an endpoint: a list, a watch or a heartbeat. Times are nanoseconds. */
 abstract sealed class RegistryCall permits HeartbeatCall, ListCall, WatchCall {
-  /** The kind of a call, as the log names it. */
+  /** The kind of a call, which log lines name. */
   enum Kind {
     LIST,
     WATCH,
@@ -13,11 +10,10 @@
   }
 
   /**
-   * What is known of a call when it is sent.
+   * The session's state at the time when the call is sent.
    *
-   * @param viewRevision the revision that the view was at: what a majority answers later is not
-   *     from before it
-   * @param tipRevision the tip's revision in the view
+   * @param viewRevision the view's revision: a linearizable response to this call can't be older
+   * @param tipRevision the revision at which the tip was last written, as the view has it
    */
   record Start(
       long id, RegistryEndpoint endpoint, long sentAtNanos, long viewRevision, long tipRevision) {}
--- a/registry/src/main/java/org/amberpath/registry/RegistryEndpoint.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEndpoint.java
@@ -2,32 +2,32 @@
 
 import java.util.SplittableRandom;
 
-/** What a session knows of one endpoint of the registry. Times are nanoseconds. */
+/** The state that a session keeps for one endpoint of the registry. Times are nanoseconds. */
 final class RegistryEndpoint {
   private static final long MS = 1_000_000;
   private static final long FIRST_BACKOFF_NANOS = 50 * MS;
   private static final long MAX_BACKOFF_NANOS = 8000 * MS;
 
-  /** Without an answer for this long an endpoint is out of contact. */
+  /** An endpoint without a response for this long, other than failures, is out of contact. */
   static final long CONTACT_LOST_NANOS = 1000 * MS;
 
-  /** Before the first event of its kind. */
+  /** Timestamp of an event that has not happened yet. */
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   final int index;
   final Backoff requestBackoff;
   final Backoff watchBackoff;
 
-  /** The open watch; null where there is none. */
+  /** The watch that is open or was requested; null for none. */
   WatchCall watch;
 
-  /** The heartbeat that is not answered yet; null where there is none. */
+  /** The unanswered heartbeat; null for none. */
   HeartbeatCall heartbeat;
 
-  /** The id of the cluster in its last answer; empty before one. */
+  /** The cluster id in the last response; empty before the first one. */
   String clusterId = "";
 
-  /** How long heartbeats take: a moving average, in which each new one counts a quarter. */
+  /** Moving average of the heartbeat latency; a new sample has a weight of one quarter. */
   long averageLatencyNanos;
 
   long lastLatencyNanos;
@@ -35,15 +35,15 @@
   long heardAtNanos = NEVER;
   long triedAtNanos = NEVER;
 
-  /** Whether its last failure needs an operator to change something. */
+  /** Whether the last failure can't be overcome by retries, but needs an operator. */
   boolean needsOperator;
 
   private final long failoverNanos;
 
   /**
-   * An endpoint that was never tried.
+   * Creates the state of an endpoint that was never asked.
    *
-   * @param failoverNanos after how long without an answer another endpoint is asked
+   * @param failoverNanos time without a response after which another endpoint is asked
    */
   RegistryEndpoint(int index, SplittableRandom random, long failoverNanos) {
     this.index = index;
@@ -53,8 +53,9 @@
   }
 
   /**
-   * Whether a request may be sent now. Guards against an endpoint that came back unseen when it is
-   * the last one left: in spite of its backoff it may be tried once in {@link #CONTACT_LOST_NANOS}.
+   * Whether a request may be sent now. Guards against a backoff that hides the recovery of the only
+   * endpoint left: even during its backoff, an endpoint whose heartbeats go unanswered may be asked
+   * once per {@link #CONTACT_LOST_NANOS}.
    */
   boolean allowsRequest(long nowNanos) {
     return requestBackoff.allows(nowNanos)
@@ -63,29 +64,32 @@
             && !needsOperator);
   }
 
-  /** Whether it has answered lately. */
+  /** Whether a response that is not a failure was received within {@link #CONTACT_LOST_NANOS}. */
   boolean isInContact(long nowNanos) {
     return nowNanos - heardAtNanos <= CONTACT_LOST_NANOS;
   }
 
-  /** Whether its heartbeat has waited for so long that another endpoint is to be asked. */
+  /**
+   * Whether its heartbeat has been unanswered for at least the failover time, so that another
+   * endpoint is to be asked.
+   */
   boolean isHeartbeatOverdue(long nowNanos) {
     return heartbeat != null && nowNanos - heartbeat.sentAtNanos >= failoverNanos;
   }
 
-  /** Whether its watch brings changes. */
+  /** Whether the watch has been opened by the server and delivers changes. */
   boolean hasOpenWatch() {
     return watch != null && watch.isOpen;
   }
 
-  /** It has answered, with anything but a failure. */
+  /** Records a response that is not a failure. */
   void heard(long nowNanos) {
     heardAtNanos = nowNanos;
     needsOperator = false;
     requestBackoff.reset();
   }
 
-  /** It has answered a heartbeat. */
+  /** Records the response to a heartbeat. */
   void heartbeatAnswered(long nowNanos, long latencyNanos) {
     heartbeatAnsweredAtNanos = nowNanos;
     lastLatencyNanos = latencyNanos;
@@ -95,13 +99,15 @@
             : (3 * averageLatencyNanos + lastLatencyNanos) / 4;
   }
 
-  /** A heartbeat was not answered in the time that it had. */
+  /** Records a heartbeat that timed out: its latency counts as at least the timeout. */
   void heartbeatTimedOut(long timeoutNanos) {
     averageLatencyNanos = Math.max(averageLatencyNanos, timeoutNanos);
     lastLatencyNanos = averageLatencyNanos;
   }
 
-  /** Settings were read anew: it may be asked at once. */
+  /**
+   * Clears the backoffs after a reload of the settings' files: the endpoint may be asked at once.
+   */
   void resetBackoff() {
     needsOperator = false;
     requestBackoff.reset();
--- a/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
@@ -6,20 +6,23 @@
 import java.util.SplittableRandom;
 
 /**
- * The endpoints of a registry, and which of them is asked first. Their order begins as a random one
- * of the seed, so that gateways do not all begin with the first one of their lists. Times are
- * nanoseconds.
+ * Ranks the endpoints of a registry by the order in which requests go to them. The initial order is
+ * a random one from the seed, so that gateways do not all begin with the first endpoint of their
+ * lists. Times are nanoseconds.
  */
 final class RegistryEndpointSelector {
   private static final long MS = 1_000_000;
 
-  /** All endpoints together are tried within one more heartbeat's time, however many are silent. */
+  /**
+   * Upper bound of the failover time. Failover through all endpoints takes at most one heartbeat
+   * period, however many of them do not respond.
+   */
   private static final long MAX_FAILOVER_NANOS = 50 * MS;
 
-  /** While nobody answers, no endpoint's backoff lasts longer. */
+  /** Upper bound of an endpoint's backoff while no endpoint responds. */
   private static final long MAX_BACKOFF_OUT_OF_CONTACT_NANOS = 1000 * MS;
 
-  /** An endpoint that is slower than the quickest one by more than this is asked later. */
+  /** An endpoint whose latency exceeds the lowest one by more than this ranks lower. */
   private static final long LATENCY_TOLERANCE_NANOS = 25 * MS;
 
   private static final int OVERDUE_WEIGHT = 8;
@@ -30,7 +33,7 @@
   private final List<RegistryEndpoint> endpoints = new ArrayList<>();
   private final long failoverNanos;
 
-  /** So many endpoints, none of which was tried. */
+  /** Creates this many endpoints, in random order. */
   RegistryEndpointSelector(int count, SplittableRandom random) {
     failoverNanos =
         count < 2
@@ -44,7 +47,6 @@
     }
   }
 
-  /** All endpoints, in the order of the seed. */
   List<RegistryEndpoint> all() {
     return endpoints;
   }
@@ -53,12 +55,15 @@
     return endpoints.size();
   }
 
-  /** After how long without an answer another endpoint is asked. */
+  /** Time without a response after which another endpoint is asked. */
   long failoverNanos() {
     return failoverNanos;
   }
 
-  /** Those that may be asked, best first: in contact, not failing, quick. */
+  /**
+   * Returns the endpoints that may be asked, best first: those whose heartbeat is not overdue, then
+   * by contact, recent failures and latency.
+   */
   List<RegistryEndpoint> ready(long nowNanos) {
     List<RegistryEndpoint> ready = new ArrayList<>(endpoints);
     ready.removeIf(endpoint -> !endpoint.allowsRequest(nowNanos));
@@ -82,7 +87,8 @@
   }
 
   /**
-   * Those that may be asked for a list: who answered a heartbeat last is the likeliest to answer.
+   * Returns the endpoints that may be asked for a list: those whose last heartbeat was fast first
+   * and, among them, the one that responded to a heartbeat last, which is the likeliest to respond.
    */
   List<RegistryEndpoint> readyForList(long nowNanos) {
     List<RegistryEndpoint> ready = ready(nowNanos);
@@ -101,19 +107,22 @@
     return (int) endpoints.stream().filter(RegistryEndpoint::hasOpenWatch).count();
   }
 
-  /** How many watches are open or were asked for. */
+  /** Number of watches that are open or were requested. */
   long watchCount() {
     return endpoints.stream().filter(endpoint -> endpoint.watch != null).count();
   }
 
-  /** Whether most endpoints showed this cluster in their last answers. */
+  /** Whether the last responses of more than half of all endpoints carried this cluster id. */
   boolean isMajorityOf(String clusterId) {
     long showing =
         endpoints.stream().filter(endpoint -> endpoint.clusterId.equals(clusterId)).count();
     return showing * 2 > endpoints.size();
   }
 
-  /** Nobody answers: backoffs are cut short, but for those that need an operator. */
+  /**
+   * Shortens the backoffs of all endpoints, except those whose failure needs an operator. The
+   * session calls this while no heartbeat is answered.
+   */
   void shortenBackoffs(long nowNanos) {
     for (RegistryEndpoint endpoint : endpoints) {
       if (!endpoint.needsOperator) {
@@ -122,7 +131,10 @@
     }
   }
 
-  /** Settings were read anew: each endpoint may be asked at once. */
+  /**
+   * Clears all backoffs after a reload of the settings' files, so that each endpoint may be asked
+   * at once.
+   */
   void resetBackoffs() {
     endpoints.forEach(RegistryEndpoint::resetBackoff);
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEntry.java
@@ -1,11 +1,11 @@
 package org.amberpath.registry;
 
 /**
- * One key as the registry holds it.
+ * One key and its value.
  *
  * @param createRevision the revision at which the key was created; a key that was deleted and
- *     created again is another thing under the same name
- * @param modRevision the revision at which its value was last written
+ *     created again is a different entry under the same name
+ * @param modRevision the revision at which the value was last written
  */
 public record RegistryEntry(
     String key, RegistryRecord value, long createRevision, long modRevision) {
--- a/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryFailure.java
@@ -1,27 +1,27 @@
 package org.amberpath.registry;
 
-/** Why a call to an endpoint has failed; log lines name these. */
+/** Why a call to an endpoint failed. Log lines contain these names. */
 public enum RegistryFailure {
   /** The connection was refused. */
   REFUSED,
-  /** No answer within the time that the call had. */
+  /** The call passed its deadline without a complete response. */
   TIMED_OUT,
-  /** The connection broke, or the server ended the call. */
+  /** The connection was lost, or the server ended the call. */
   BROKEN,
-  /** The server can't serve now, or its cluster has no leader. */
+  /** The server can't serve requests at present, or its cluster has no leader. */
   UNAVAILABLE,
-  /** The server asks for fewer calls. */
+  /** The server limits the request rate. */
   THROTTLED,
-  /** The server rejects the token, or what it permits. */
+  /** The server rejects the token, or the token does not permit the request. */
   UNAUTHORISED,
-  /** TLS has failed: no common version, or a certificate that is not trusted. */
+  /** The TLS handshake failed: no common version, or an untrusted certificate. */
   UNTRUSTED,
-  /** The answer is not as the protocol has it, or is past its bound. */
+  /** The response does not follow the protocol, or exceeds a bound. */
   UNREADABLE,
-  /** A watch has stayed behind what heartbeats show. */
+  /** A watch delivers changes later than heartbeats report them. */
   LAGGING;
 
-  /** Whether retries are of no use before an operator has changed something. */
+  /** Whether retries can't succeed before an operator has changed something. */
   boolean needsOperator() {
     return this == UNAUTHORISED || this == UNTRUSTED;
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
@@ -7,9 +7,9 @@
 import java.util.function.Consumer;
 
 /**
- * The entries of a view by key. An entry whose value is unreadable keeps the last readable value
- * while its key is the same one. Bounds: maxKeys keys; one past them is passed over with a log
- * line, while those that are here are followed.
+ * The entries of a view by key. An entry whose value can't be decoded keeps the last readable
+ * value, as long as its key was not deleted and created again. Bounds: maxKeys keys. Further keys
+ * are skipped with one log line, while changes to the known ones are still applied.
  */
 final class RegistryKeys {
   private final int maxKeys;
@@ -22,12 +22,12 @@
     this.log = log;
   }
 
-  /** All entries, in the order of their keys. */
+  /** All entries, ordered by key. */
   Map<String, RegistryEntry> all() {
     return Collections.unmodifiableMap(entries);
   }
 
-  /** The entry of a key; null where there is none. */
+  /** Returns the entry of a key; null if there is none. */
   RegistryEntry get(String key) {
     return entries.get(key);
   }
@@ -40,12 +40,12 @@
     return entries.size();
   }
 
-  /** Whether keys were passed over, so that these are not all. */
+  /** Whether keys were skipped at the limit, so that the entries are incomplete. */
   boolean isOverfull() {
     return isOverfull;
   }
 
-  /** Replaces all entries by these, as they are; returns those before. */
+  /** Replaces all entries as given and returns the previous ones. */
   Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> all) {
     Map<String, RegistryEntry> before = entries;
     Map<String, RegistryEntry> replaced = new TreeMap<>();
@@ -61,14 +61,14 @@
     return before;
   }
 
-  /** Takes the last readable values from earlier entries where these are unreadable. */
+  /** Replaces unreadable values by the readable ones of the earlier entries. */
   void keepReadable(Map<String, RegistryEntry> before) {
     for (Map.Entry<String, RegistryEntry> entry : entries.entrySet()) {
       entry.setValue(lastReadable(before.get(entry.getKey()), entry.getValue()));
     }
   }
 
-  /** Puts an entry, and notes what was there before it under its key, null for nothing. */
+  /** Puts an entry and records the previous one of its key, null for none, in {@code before}. */
   void put(RegistryEntry entry, Map<String, RegistryEntry> before) {
     RegistryEntry old = entries.get(entry.key());
     if (old == null && entries.size() >= maxKeys) {
@@ -79,7 +79,7 @@
     entries.put(entry.key(), lastReadable(old, entry));
   }
 
-  /** Removes a key, and notes what was there before. */
+  /** Removes a key and records its previous entry in {@code before}. */
   void remove(String key, Map<String, RegistryEntry> before) {
     before.putIfAbsent(key, entries.remove(key));
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryListing.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryListing.java
@@ -3,10 +3,11 @@
 import java.util.Collection;
 
 /**
- * A complete list of keys at one revision.
+ * All keys, or all keys written since a revision, as they are at one revision.
  *
- * @param clusterId the registry's own id; empty where it has none
- * @param requestedAtNanos when the list was requested: what it shows is as new as that at least
+ * @param clusterId the registry's cluster id; empty if it has none
+ * @param requestedAtNanos when the list was requested, which is the earliest time that its contents
+ *     reflect
  */
 public record RegistryListing(
     Collection<RegistryEntry> entries, String clusterId, long revision, long requestedAtNanos) {}
--- a/registry/src/main/java/org/amberpath/registry/RegistryPage.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryPage.java
@@ -4,11 +4,11 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * One page of a list or, for protocols that hold reads back, all keys.
+ * One page of a list or, for protocols with blocking reads, all keys.
  *
- * @param hasMore whether there are keys after the last one of these
- * @param totalCount how many keys there are in all; negative where an answer holds all keys
- *     whatever was asked for
+ * @param hasMore whether further keys follow the last one of this page
+ * @param totalCount total number of keys; negative if a response always holds all keys, whatever
+ *     was requested
  */
 public record RegistryPage(
     Header header, List<RegistryEntry> entries, boolean hasMore, long totalCount) {}
--- a/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryRecord.java
@@ -2,12 +2,14 @@
 
 import org.amberpath.routing.EndpointState;
 
-/** The decoded value of one key. Keys and values are those of docs/operate/registry.md. */
+/** The decoded value of one key. docs/operate/registry.md defines keys and values. */
 public sealed interface RegistryRecord {
   /**
-   * An endpoint under its stable id, the last part of its key.
+   * A cache endpoint.
    *
-   * @param startedAtMs when it started, in Unix milliseconds by its writer's clock; 0 for long ago
+   * @param id the endpoint's stable id, which is the last part of its key
+   * @param startedAtMs when the cache started, in Unix milliseconds of its writer's clock; 0 for
+   *     long ago
    */
   record Cache(
       String id,
@@ -21,24 +23,31 @@
       implements RegistryRecord {}
 
   /**
-   * A purge of one object or, with object 0, of a group.
+   * A purge of one object or, if {@code object} is 0, of a group.
    *
-   * @param atMs when, in Unix milliseconds by its writer's clock
+   * @param atMs when the purge was issued, in Unix milliseconds of its writer's clock
    */
   record Purge(long object, int group, long atMs) implements RegistryRecord {}
 
   /**
-   * The leader of one task. Its key is a fence: each transaction of the leader writes it, so that
-   * one of a superseded leader fails.
+   * The leader of one task. Its key is a fence: each transaction of the leader writes it, so a
+   * transaction of a superseded leader fails.
    *
-   * @param term the leader's term; it only grows
+   * @param term the leader's term, which only grows
    * @param by the leader's name
    */
   record Task(long term, String by) implements RegistryRecord {}
 
-  /** Not about endpoints or purges: the tip, and keys that a later version may add. */
+  /**
+   * A key that is about neither endpoints, purges nor tasks: the tip, and keys that a later version
+   * may add.
+   */
   record Other() implements RegistryRecord {}
 
-  /** A value that this version can't decode. */
+  /**
+   * A value that this version can't decode.
+   *
+   * @param reason what is wrong, for the log
+   */
   record Unreadable(String reason) implements RegistryRecord {}
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -9,10 +9,10 @@
 import org.amberpath.routing.EndpointListener;
 
 /**
- * What a gateway knows of the registry. Lists and watch events are replayed into it; each
+ * A gateway's in-memory copy of the registry. Lists and watch events are applied to it; each
  * difference is published once, in the order of revisions, all keys of one revision in one list.
- * Times are nanoseconds since the Unix epoch by one clock that only goes forward. Called on the
- * thread of its {@link WatchSession}.
+ * Times are nanoseconds since the Unix epoch, read from one monotonic clock. Called on the thread
+ * of its {@link WatchSession}.
  *
  * <p>Bounds: those of {@link RegistryKeys}.
  */
@@ -27,12 +27,12 @@
   private boolean hasData;
 
   /**
-   * Makes an empty view.
+   * Creates an empty view.
    *
    * @param tipKey the key that each write touches
-   * @param maxKeys how many keys are held at most
-   * @param retentionNanos how long the registry keeps the key of a purge at least
-   * @param log takes a line for each value that can't be read, the key first
+   * @param maxKeys maximum number of keys
+   * @param retentionNanos the shortest time for which the registry keeps the key of a purge
+   * @param log receives a line for each value that can't be decoded, beginning with its key
    */
   public RegistryView(
       EndpointListener listener,
@@ -46,48 +46,53 @@
     keys = new RegistryKeys(maxKeys, log);
   }
 
-  /** Whether anything was ever published: from the registry, or from a snapshot. */
+  /** Whether endpoints were ever published, from the registry or from a snapshot. */
   public boolean hasData() {
     return hasData;
   }
 
-  /** All changes up to this revision are in the view. */
+  /** The revision up to which the view includes all changes. */
   public long appliedRevision() {
     return revision;
   }
 
-  /** The revision at which the tip was last written, as far as the view knows; 0 for never. */
+  /**
+   * The revision at which the tip was last written, as the view has it; 0 if it was never written.
+   */
   public long tipRevision() {
     RegistryEntry tip = keys.get(tipKey);
     return tip == null ? 0 : tip.modRevision();
   }
 
-  /** The registry's own id; empty where it has none. */
+  /** The registry's cluster id; empty if it has none. */
   public String clusterId() {
     return clusterId;
   }
 
-  /** At this time the view held all that the registry did. */
+  /** When the view was last known to hold all that the registry held. */
   public long confirmedAtNanos() {
     return confirmedAtNanos;
   }
 
-  /** How many keys are held. */
+  /** Number of keys in the view. */
   public int keyCount() {
     return keys.count();
   }
 
-  /** What is held, in the order of keys. */
+  /** All entries, ordered by key. */
   public Collection<RegistryEntry> entries() {
     return keys.all().values();
   }
 
-  /** The view was found to hold all that the registry did at a time. */
+  /** Records that the view held all that the registry held at the given time. */
   public void confirm(long asOfNanos) {
     confirmedAtNanos = Math.max(confirmedAtNanos, asOfNanos);
   }
 
-  /** Takes a snapshot from before a restart: it is published in full, with its true age. */
+  /**
+   * Restores the view from a snapshot that was written before a restart, and publishes it in full.
+   * The view keeps the age of the snapshot.
+   */
   public void restoreSnapshot(long nowNanos, RegistryListing snapshot) {
     keys.replaceAll(snapshot.entries());
     clusterId = snapshot.clusterId();
@@ -98,8 +103,8 @@
   }
 
   /**
-   * Takes all keys. Publishes the difference, or all where nothing was known or the registry turns
-   * out to be another one.
+   * Replaces the view by a list of all keys. Publishes the difference, or everything if the view
+   * was empty or the list shows that the registry was replaced or restored.
    */
   public void applySnapshot(long nowNanos, RegistryListing listing) {
     boolean isOtherHistory =
@@ -107,7 +112,10 @@
     applySnapshot(nowNanos, listing, isOtherHistory);
   }
 
-  /** Takes all keys of another history of revisions: everything before it counts as purged. */
+  /**
+   * Replaces the view by all keys of a new history of revisions; all copies from before then count
+   * as purged.
+   */
   public void applyNewHistory(long nowNanos, RegistryListing listing) {
     applySnapshot(nowNanos, listing, true);
   }
@@ -131,7 +139,7 @@
       touched.addAll(keys.all().keySet());
       publisher.publishChanges(before, keys.all(), touched, nowNanos);
     }
-    // Guards against purges that came and went unseen: their keys are no longer there.
+    // Guards against purges that were written and expired unseen: their keys no longer exist.
     if (isGapTooLong || (isOtherHistory && !isFirst)) {
       publisher.publishEverythingPurged(nowNanos);
     }
@@ -143,7 +151,10 @@
     publisher.publishAll(entries(), nowNanos);
   }
 
-  /** Whether a key was written earlier than it is known to have been: revisions were given anew. */
+  /**
+   * Whether a listed key has a lower modification revision than the view holds for it, which shows
+   * a new history of revisions.
+   */
   private boolean hasEarlierWrite(Collection<RegistryEntry> listed) {
     return listed.stream()
         .anyMatch(
@@ -154,11 +165,11 @@
   }
 
   /**
-   * Replays all keys that were written after {@link #appliedRevision}, as they stand at a revision.
+   * Applies all keys written after {@link #appliedRevision}, as they are at one revision.
    *
-   * @param totalCount how many keys there are in all at that revision
-   * @return whether that is the whole difference; otherwise keys were deleted too, and nothing was
-   *     replayed
+   * @param totalCount number of keys in the registry at that revision
+   * @return whether these keys are the complete difference; if false, keys were deleted too, and
+   *     nothing was applied
    */
   public boolean applyWrites(long nowNanos, RegistryListing written, long totalCount) {
     long newKeys = written.entries().stream().filter(entry -> !keys.contains(entry.key())).count();
@@ -173,7 +184,10 @@
     return true;
   }
 
-  /** Replays the events of a watch, in the order of their revisions; known ones are passed over. */
+  /**
+   * Applies the events of a watch in the order of their revisions; events up to {@link
+   * #appliedRevision} are skipped.
+   */
   public void applyEvents(long nowNanos, List<WatchEvent> events) {
     int next = 0;
     while (next < events.size()) {
@@ -201,7 +215,7 @@
     publisher.publishChanges(before, keys.all(), before.keySet(), nowNanos);
   }
 
-  /** Nothing of these keys changed up to a revision. */
+  /** Advances the view to a revision up to which none of its keys has changed. */
   public void advanceTo(long unchangedRevision) {
     revision = Math.max(revision, unchangedRevision);
   }
--- a/registry/src/main/java/org/amberpath/registry/RequestRateLimiter.java
+++ b/registry/src/main/java/org/amberpath/registry/RequestRateLimiter.java
@@ -1,9 +1,9 @@
 package org.amberpath.registry;
 
 /**
- * Limits how many connections a session opens a second, so that a fleet that lost its registry does
- * not flood it when it comes back. A token bucket: {@value #CONNECTIONS_PER_SECOND} tokens at most,
- * as many are added a second. Times are nanoseconds.
+ * Limits the rate of new connections of a session, so that a fleet that has lost its registry does
+ * not flood it when it comes back. A token bucket of {@value #CONNECTIONS_PER_SECOND} tokens,
+ * refilled at the same number per second. Times are nanoseconds.
  */
 final class RequestRateLimiter {
   private static final int CONNECTIONS_PER_SECOND = 10;
@@ -12,13 +12,12 @@
   private long tokens;
   private long refilledAtNanos;
 
-  /** Fills the bucket. */
   void start(long nowNanos) {
     tokens = CONNECTIONS_PER_SECOND;
     refilledAtNanos = nowNanos;
   }
 
-  /** Takes a token; false where there is none. */
+  /** Takes a token; returns false if there is none. */
   boolean tryAcquire(long nowNanos) {
     long earned = (nowNanos - refilledAtNanos) * CONNECTIONS_PER_SECOND / SECOND_NANOS;
     if (earned > 0) {
--- a/registry/src/main/java/org/amberpath/registry/RevisionAuditor.java
+++ b/registry/src/main/java/org/amberpath/registry/RevisionAuditor.java
@@ -3,30 +3,32 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Audits the cluster id and the revision of answers, so that a registry which was restored from a
- * backup, or replaced by another one, is told apart from an endpoint which lags. Times are
- * nanoseconds.
+ * Checks the cluster id and the revision of responses, to distinguish a registry that was restored
+ * from a backup or replaced by another one from an endpoint that lags. Times are nanoseconds.
  */
 final class RevisionAuditor {
-  /** What the cluster id of an answer shows. */
+  /** Result of the check of a response's cluster id. */
   enum ClusterVerdict {
-    /** It is the cluster that the view is of. */
+    /** The response is from the cluster that the view holds. */
     SAME,
-    /** The cluster that the view is of is no longer there. */
+    /** The cluster that the view holds no longer exists. */
     REPLACED,
-    /** This endpoint belongs to another cluster, unlike most others. */
+    /** This endpoint belongs to another cluster than most others. */
     FOREIGN
   }
 
-  /** What the revision of an answer shows. */
+  /** Result of the check of a response's revision. */
   enum RevisionVerdict {
-    /** It follows what the view held when the call was sent. */
+    /** The revision is not older than what the view held when the call was sent. */
     CONTINUES,
-    /** It went back, and is to be asked for once more before that is believed. */
+    /** The revision went back for the first time; another response must confirm it. */
     UNCONFIRMED,
-    /** It went back, in an answer to a call from before that was noticed. */
+    /**
+     * The revision went back, in the response to a call that was sent before the regression was
+     * noticed.
+     */
     IGNORED,
-    /** It went back twice: revisions were given anew. */
+    /** The revision went back twice: a new history of revisions has begun. */
     WENT_BACK
   }
 
@@ -47,7 +49,7 @@
     ownClusterHeardAtNanos = nowNanos;
   }
 
-  /** Judges the cluster id of an answer from that endpoint. */
+  /** Checks the cluster id of an endpoint's response. */
   ClusterVerdict auditCluster(long nowNanos, RegistryEndpoint endpoint, Header header) {
     endpoint.clusterId = header.cluster();
     if (!view.hasData()
@@ -64,10 +66,10 @@
   }
 
   /**
-   * Judges the revision of an answer that a majority of the registry's servers stands behind.
+   * Checks the revision of a linearizable response.
    *
-   * @param revision the newest revision; 0 where the answer has none
-   * @param tipRevision the tip's revision; negative where the answer has none
+   * @param revision the newest revision; 0 if the response has none
+   * @param tipRevision the tip's revision; negative if the response has none
    */
   RevisionVerdict auditRevision(long nowNanos, RegistryCall call, long revision, long tipRevision) {
     boolean isAnswerToLaterCall = call.sentAtNanos >= regressionNoticedAtNanos;
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -4,13 +4,14 @@
 import java.util.Optional;
 
 /**
- * A view as a snapshot file holds it over a restart.
+ * The contents of a snapshot file, which holds a view across a restart.
  *
- * @param prefix what all its keys begin with
- * @param cluster the registry's own id; empty where it has none
- * @param revision up to which the entries have all changes
- * @param confirmedAtNanos when it was all that the registry held, in nanoseconds of Unix time
- * @param entries all keys, in their order
+ * @param prefix prefix of all its keys
+ * @param cluster the registry's cluster id; empty if it has none
+ * @param revision the revision up to which the entries include all changes
+ * @param confirmedAtNanos when the view was last confirmed to be current, in nanoseconds of Unix
+ *     time
+ * @param entries all entries, ordered by key
  */
 public record Snapshot(
     String prefix,
@@ -23,8 +24,10 @@
       EndpointStartTimes.MAX_CLOCK_STEP_MILLIS * 1_000_000;
 
   /**
-   * How old it is, at most: one from the future shows that a clock was set back by at least as
-   * much, and a step is an hour at most. Negative where no such step explains it.
+   * Returns an upper bound of the snapshot's age. A timestamp in the future shows that a wall clock
+   * was set back by at least as much; since a step is assumed to be an hour at most, the age is at
+   * most an hour less that difference. A timestamp ahead by no more than the clock skew between
+   * processes counts as age 0. The result is negative if no step of an hour explains the timestamp.
    */
   public long ageNanos(long nowNanos) {
     long ageNanos = nowNanos - confirmedAtNanos;
@@ -36,7 +39,13 @@
         : ageNanos + MAX_CLOCK_STEP_NANOS;
   }
 
-  /** Why it is not to be served from; empty where it may be. */
+  /**
+   * Returns why the snapshot must not be served from; empty if it may be.
+   *
+   * @param nowNanos the current Unix time in nanoseconds
+   * @param wantedPrefix prefix of the keys that the gateway reads
+   * @param maxAgeNanos the largest accepted age
+   */
   public Optional<String> refusal(long nowNanos, String wantedPrefix, long maxAgeNanos) {
     if (!prefix.equals(wantedPrefix)) {
       return Optional.of("it is of the prefix " + prefix);
@@ -44,7 +53,7 @@
     if (nowNanos - confirmedAtNanos > maxAgeNanos) {
       return Optional.of("it is " + (nowNanos - confirmedAtNanos) / SECOND_NANOS + " s old");
     }
-    // Guards against a clock that was set back: its age would be less than it is.
+    // Guards against a clock that was set back, by which the snapshot looks younger than it is.
     return ageNanos(nowNanos) < 0 || ageNanos(nowNanos) > maxAgeNanos
         ? Optional.of("it is from the future")
         : Optional.empty();
--- a/registry/src/main/java/org/amberpath/registry/WatchCall.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchCall.java
@@ -3,15 +3,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A watch: a stream of events or, for some protocols, a read that is held back for long. */
+/** A watch: a stream of events or, for protocols without one, a blocking read. */
 final class WatchCall extends RegistryCall {
-  /** Events of frames whose last revision is not complete yet. */
+  /**
+   * Events that were received but not yet applied, since more events of the last revision follow.
+   */
   final List<WatchEvent> pendingEvents = new ArrayList<>();
 
   boolean isOpen;
   long openedAtNanos;
 
-  /** All events up to this revision were received. */
+  /** The revision up to which this watch has delivered all events. */
   long receivedRevision;
 
   WatchCall(Start start, long timeoutNanos, boolean isOpen) {
--- a/registry/src/main/java/org/amberpath/registry/WatchEvent.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchEvent.java
@@ -1,8 +1,9 @@
 package org.amberpath.registry;
 
 /**
- * One event of a watch.
+ * One change of a key, as a watch delivers it.
  *
- * @param entry the key as it is since this revision; null where it was deleted
+ * @param revision the revision at which the key was written or deleted
+ * @param entry the key's state at that revision; null if the key was deleted
  */
 public record WatchEvent(long revision, String key, RegistryEntry entry) {}
--- a/registry/src/main/java/org/amberpath/registry/WatchResync.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchResync.java
@@ -1,49 +1,58 @@
 package org.amberpath.registry;
 
 /**
- * Which watch resync a session needs: what has to be read, by pages, before the view is what the
- * registry holds. A need only grows until a list has been applied.
+ * Tracks which resync a session needs: what it must list until the view equals the registry. The
+ * needed scope only grows until a list has been applied.
  */
 final class WatchResync {
-  /** What is to be read; each level includes those before it. */
+  /** What has to be listed; each scope includes those before it. */
   enum Scope {
-    /** Nothing: watches bring what changes. */
+    /** Nothing: the watches deliver all changes. */
     NONE,
-    /** What was written after the view's revision. */
+    /** The keys written after the view's revision. */
     CHANGES,
-    /** The same; watches wait too, since the revision that they would start at was compacted. */
+    /**
+     * The same. Watches stay closed until the list is applied, since a compaction has removed the
+     * revision at which they would start.
+     */
     CHANGES_AFTER_COMPACTION,
-    /** All keys, as the snapshot of one revision: at the start, after a loss of contact. */
+    /** All keys at one revision: at the start, and after a loss of contact. */
     ALL_KEYS,
-    /** All keys, which replace those of another history of revisions. */
+    /** All keys, which replace those of an earlier history of revisions. */
     NEW_HISTORY
   }
 
   private Scope scope = Scope.ALL_KEYS;
 
-  /** Asks for a resync of this scope at least. */
+  /** Widens the needed scope to at least this one. */
   void require(Scope needed) {
     if (needed.compareTo(scope) > 0) {
       scope = needed;
     }
   }
 
-  /** A list was applied: nothing is left to be read but what is given. */
+  /**
+   * Records that a list was applied.
+   *
+   * @param rest the scope that is still needed
+   */
   void completed(Scope rest) {
     scope = rest;
   }
 
-  /** Whether anything is to be read. */
+  /** Whether a list is needed. */
   boolean isNeeded() {
     return scope != Scope.NONE;
   }
 
-  /** Whether all keys are to be read. */
+  /** Whether the list must hold all keys. */
   boolean needsAllKeys() {
     return scope.compareTo(Scope.ALL_KEYS) >= 0;
   }
 
-  /** Whether revisions are known to have been given anew. */
+  /**
+   * Whether a new history of revisions has begun, because the registry was restored or replaced.
+   */
   boolean isNewHistory() {
     return scope == Scope.NEW_HISTORY;
   }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -6,31 +6,41 @@
 import java.util.function.Consumer;
 
 /**
- * A watch session: decides what is requested from which endpoint, and when, so that the view stays
- * what the registry holds. It is told what was received and what time it is, and gives commands; it
- * has no socket, thread or clock. Times are nanoseconds of one clock that only goes forward.
+ * Keeps a {@link RegistryView} in sync with the registry: decides what to request from which
+ * endpoint, and when. Callers pass in responses and the current time, and the session issues {@link
+ * WatchCommands}; it has no socket, thread or clock. Times are nanoseconds of one monotonic clock.
  *
- * <p>Two watches on two endpoints bring each change ({@link WatchStream}). Heartbeats show whether
- * the view is current, so that watches which fell silent are found out ({@link HeartbeatMonitor}).
- * A gap is closed by a watch resync ({@link WatchResync}): a list of what was written since or,
- * where keys may have been deleted or revisions given anew, of all keys ({@link PagedListing}).
+ * <p>Two watches on two endpoints deliver each change ({@link WatchStream}). Heartbeats show
+ * whether the view is current, so that watches that deliver nothing are detected ({@link
+ * HeartbeatMonitor}). A resync closes a gap ({@link WatchResync}): a list of the keys written since
+ * the view's revision or, if keys may have been deleted or a new history of revisions has begun, of
+ * all keys ({@link PagedListing}).
  *
- * <p>Bounds: endpoints as configured; one list, two watches and one heartbeat an endpoint open at
- * once; new connections as {@link RequestRateLimiter} allows. All calls come from one thread.
+ * <p>Bounds: the configured endpoints; one list in total, two watches, and one heartbeat per
+ * endpoint open at once; new connections at the rate of {@link RequestRateLimiter}. All calls come
+ * from one thread.
  */
 public final class WatchSession {
-  /** How well the view is known to be what the registry holds; the log names the phases. */
+  /** How current the view is known to be. Log lines name the phases. */
   public enum Phase {
-    /** Nothing is known. */
+    /**
+     * Initial phase: nothing was received from the registry yet. With a view restored from a
+     * snapshot, it becomes BEHIND when the first list is requested.
+     */
     EMPTY,
-    /** The view was all that the registry held when the last heartbeat was sent. */
+    /**
+     * The view held all that the registry held when the last answered heartbeat or list was sent.
+     */
     CURRENT,
-    /** A watch resync is under way. */
+    /** A resync is reading what the view lacks. */
     BEHIND,
-    /** No endpoint answers; only an answer that shows the view to be current ends this. */
+    /**
+     * No endpoint has responded for a second; only a response that shows the view to be current
+     * ends this phase.
+     */
     CUT_OFF;
 
-    /** Whether a session of this phase may go to the next one. */
+    /** Whether the transition from this phase to the given one is legal. */
     public boolean allows(Phase next) {
       return switch (next) {
         case EMPTY -> false;
@@ -40,15 +50,26 @@
     }
   }
 
-  /** What an answer tells of the registry; revision 0 where it tells none. */
+  /**
+   * Cluster id and revision in a response.
+   *
+   * @param cluster the registry's cluster id; empty if the protocol has none
+   * @param revision the registry's revision at the time of the response; 0 if the response has none
+   */
   public record Header(String cluster, long revision) {}
 
   private static final long MS = 1_000_000;
 
-  /** What a watch may still bring by itself before a list is requested instead. */
+  /**
+   * How long a watch may take to deliver a change that a heartbeat has reported before a list is
+   * requested instead.
+   */
   private static final long SETTLE_NANOS = 20 * MS;
 
-  /** How long a change that touched no tip may stay unknown while all watches are silent. */
+  /**
+   * How long a change whose writer did not touch the tip may go unnoticed while the watches deliver
+   * nothing.
+   */
   private static final long AUDIT_NANOS = 5000 * MS;
 
   private final RegistryView view;
@@ -66,9 +87,10 @@
   private long tickedAtNanos;
 
   /**
-   * Makes a session that has requested nothing yet.
+   * Creates a session; it sends nothing before {@link #start}.
    *
-   * @param log takes a line for each change of phase and each endpoint that gave cause
+   * @param log receives a line for each phase transition and for endpoint failures that an operator
+   *     can act on
    */
   public WatchSession(
       RegistryView view, WatchCommands commands, WatchSessionConfig config, Consumer<String> log) {
@@ -85,22 +107,22 @@
     failures = new CallFailureHandler(calls, heartbeats, listing, log);
   }
 
-  /** How well the view is known to be current. */
+  /** How current the view is known to be. */
   public Phase phase() {
     return phase;
   }
 
-  /** How many watches are open. */
+  /** Number of open watches. */
   public int watchCount() {
     return endpoints.openWatchCount();
   }
 
-  /** How many calls have not ended. */
+  /** Number of calls that have not ended. */
   public int openCallCount() {
     return calls.count();
   }
 
-  /** Begins; called once. */
+  /** Starts the session; called once. */
   public void start(long nowNanos) {
     isStarted = true;
     calls.start(nowNanos);
@@ -110,17 +132,17 @@
   }
 
   /**
-   * Addresses, keys or tokens may be others now: every endpoint may be asked at once. Watches stay
-   * open.
+   * Clears all backoffs after a reload of the settings' files, since keys or tokens may have
+   * changed: every endpoint may be asked at once. Open watches stay open.
    */
   public void settingsReloaded(long nowNanos) {
     endpoints.resetBackoffs();
     tick(nowNanos);
   }
 
-  /** When {@link #tick} is due next. */
+  /** When {@link #tick} is next due. */
   public long nextTickNanos() {
-    // What was due already was tried in the last tick, and is tried again with the next heartbeat.
+    // What was due at the last tick was tried then, and is tried again with the next heartbeat.
     long due = calls.earliestDeadline(heartbeats.due(tickedAtNanos));
     long settledAtNanos = heartbeats.newestTipAtNanos() + SETTLE_NANOS;
     return isBehindTip() && settledAtNanos > tickedAtNanos ? Math.min(due, settledAtNanos) : due;
@@ -130,7 +152,10 @@
     return heartbeats.newestTipRevision() > view.appliedRevision();
   }
 
-  /** Time has passed: calls time out, and what is due is requested. */
+  /**
+   * Advances the session to the given time: fails calls that are past their deadline, and sends the
+   * requests that are due.
+   */
   public void tick(long nowNanos) {
     if (!isStarted) {
       return;
@@ -143,7 +168,8 @@
     }
     if (nowNanos - answers.heardAtNanos() > RegistryEndpoint.CONTACT_LOST_NANOS
         && phase != Phase.CUT_OFF) {
-      // The registry may have become another one under the same revisions.
+      // While no endpoint was reachable, the registry may have been replaced by another one with
+      // the same revisions.
       resync.require(WatchResync.Scope.ALL_KEYS);
       transitionTo(Phase.CUT_OFF);
     }
@@ -184,12 +210,12 @@
     phase = next;
   }
 
-  // ---- What was received.
+  // ---- Responses from the registry.
 
   /**
-   * A heartbeat was answered.
+   * Handles the response to a heartbeat.
    *
-   * @param tipRevision the revision at which the tip was written; 0 where there is none
+   * @param tipRevision the revision at which the tip was last written; 0 if the tip doesn't exist
    */
   public void heartbeatReceived(long nowNanos, long id, Header header, long tipRevision) {
     Optional<HeartbeatCall> found = calls.find(id, HeartbeatCall.class);
@@ -222,11 +248,11 @@
   }
 
   /**
-   * A page of a list, or the answer to a read that was held back.
+   * Handles a page of a list, or the response to a blocking read.
    *
-   * @param more whether there are keys after these
-   * @param count how many keys there are in all; negative where the answer holds all keys whatever
-   *     was asked for
+   * @param more whether further keys follow those of this page
+   * @param count total number of keys; negative if a response always holds all keys, whatever was
+   *     requested
    */
   public void pageReceived(
       long nowNanos,
@@ -276,7 +302,7 @@
     tick(nowNanos);
   }
 
-  /** A watch is open. */
+  /** Handles the server's confirmation that a watch is open. */
   public void watchOpened(long nowNanos, long id, Header header) {
     calls
         .find(id, WatchCall.class)
@@ -292,10 +318,10 @@
   }
 
   /**
-   * A frame of a watch. One without events is a progress notification: nothing changed up to the
-   * header's revision.
+   * Handles a frame of a watch. One without events is a progress notification: no key changed up to
+   * the header's revision.
    *
-   * @param partial whether more events of the last revision follow
+   * @param partial whether more events of the last revision follow in another frame
    */
   public void eventsReceived(
       long nowNanos, long id, Header header, List<WatchEvent> events, boolean partial) {
@@ -315,8 +341,8 @@
   }
 
   /**
-   * A compaction has removed what was requested: the revision at which a watch was to start, or at
-   * which a list is read.
+   * Handles the response that a compaction has removed the requested revision: the one at which a
+   * watch was to start, or at which a list is read.
    */
   public void compacted(long nowNanos, long id) {
     calls
@@ -336,7 +362,11 @@
     answers.heard(nowNanos, call.endpoint);
   }
 
-  /** A call has failed; retryAfterNanos is what the server asked for, 0 for nothing. */
+  /**
+   * Handles the failure of a call.
+   *
+   * @param retryAfterNanos the delay that the server asked for; 0 for none
+   */
   public void callFailed(long nowNanos, long id, RegistryFailure why, long retryAfterNanos) {
     calls
         .find(id, RegistryCall.class)
--- a/registry/src/main/java/org/amberpath/registry/WatchStream.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchStream.java
@@ -5,9 +5,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Keeps two watches open on two endpoints. Each brings all changes; what one has brought is passed
- * over, by its revision, when the other one brings it. A watch that stays behind what heartbeats
- * show is left. Times are nanoseconds.
+ * Keeps two watches open, on two endpoints. Each delivers all changes; the view skips by revision
+ * what the other one has already delivered. A watch that delivers changes later than heartbeats
+ * report them is given up. Times are nanoseconds.
  *
  * <p>Bounds: {@value #MAX_WATCHES} watches; as many events of an incomplete revision as the view
  * may hold keys.
@@ -16,13 +16,13 @@
   private static final long MS = 1_000_000;
   private static final long OPEN_TIMEOUT_NANOS = 500 * MS;
 
-  /** What a heartbeat showed must have come by a watch within this time. */
+  /** The longest time that a watch may take to deliver a change that a heartbeat has reported. */
   static final long MAX_LAG_NANOS = 150 * MS;
 
-  /** A watch that was open for this long counts as steady: its backoff begins anew. */
+  /** A watch that was open for this long counts as stable, and its backoff is reset. */
   private static final long STEADY_NANOS = 1000 * MS;
 
-  /** A held-back read that returns sooner counts as a failure of the watch. */
+  /** A blocking read that returns sooner counts as a failure of the watch. */
   private static final long MIN_BLOCKING_READ_NANOS = 20 * MS;
 
   private static final int MAX_WATCHES = 2;
@@ -49,7 +49,7 @@
     this.config = config;
   }
 
-  /** Opens the watches that are missing, each at the revision after the view's. */
+  /** Opens the missing watches, each at the revision after the view's. */
   void openDue(long nowNanos) {
     if (!view.hasData() || !resync.allowsWatches()) {
       return;
@@ -84,7 +84,9 @@
             start -> new WatchCall(start, OPEN_TIMEOUT_NANOS, false));
   }
 
-  /** The server has opened a watch; from now on it stays open for as long as it brings changes. */
+  /**
+   * Marks a watch as opened by the server. It has no deadline any more, but is given up if it lags.
+   */
   void opened(long nowNanos, WatchCall call) {
     call.isOpen = true;
     call.openedAtNanos = nowNanos;
@@ -92,10 +94,11 @@
   }
 
   /**
-   * Takes a frame. Events are replayed into the view once their last revision is complete.
+   * Handles a frame of a watch. Events are applied to the view once those of their last revision
+   * are complete.
    *
-   * @param partial whether more events of the last revision follow
-   * @return whether the bound on events held back is kept
+   * @param partial whether more events of the last revision follow in another frame
+   * @return false if the pending events exceed their bound
    */
   boolean takeFrame(
       long nowNanos, WatchCall call, Header header, List<WatchEvent> events, boolean partial) {
@@ -114,7 +117,7 @@
 
   private void replay(long nowNanos, WatchCall call, Header header) {
     if (call.pendingEvents.isEmpty()) {
-      // A progress notification: nothing of these keys changed up to the header's revision.
+      // A progress notification: no key of the view changed up to the header's revision.
       call.receivedRevision = Math.max(call.receivedRevision, header.revision());
       view.advanceTo(header.revision());
       return;
@@ -125,7 +128,7 @@
     call.pendingEvents.clear();
   }
 
-  /** Takes the answer of a read that was held back: all keys. */
+  /** Handles the response to a blocking read, which holds all keys. */
   void takeBlockingRead(long nowNanos, WatchCall call, RegistryPage page) {
     long revision = page.header().revision();
     if (revision > view.appliedRevision()) {
@@ -133,7 +136,8 @@
           nowNanos,
           new RegistryListing(page.entries(), page.header().cluster(), revision, call.sentAtNanos));
     }
-    // Guards against a server that answers at once for ever.
+    // Guards against a server that answers blocking reads at once and so causes a busy loop of
+    // reads.
     if (nowNanos - call.sentAtNanos < MIN_BLOCKING_READ_NANOS) {
       call.endpoint.watchBackoff.recordFailure(nowNanos, 0);
     } else {
@@ -142,11 +146,11 @@
   }
 
   /**
-   * Watches that have not brought what a heartbeat showed: silent though open, or of a server that
-   * lags.
+   * Returns the open watches that have not delivered what a heartbeat reported {@link
+   * #MAX_LAG_NANOS} ago: the connection delivers nothing, or the server lags.
    *
-   * @param tipRevision the newest revision of the tip that a heartbeat showed
-   * @param tipAtNanos when a heartbeat first showed it
+   * @param tipRevision the newest tip revision that a heartbeat has reported
+   * @param tipAtNanos when a heartbeat first reported it
    */
   List<WatchCall> late(long nowNanos, long tipRevision, long tipAtNanos) {
     if (nowNanos < tipAtNanos + MAX_LAG_NANOS) {
@@ -162,7 +166,7 @@
         .toList();
   }
 
-  /** Gives all watches up, those that are not open yet too. */
+  /** Cancels all watches, including those that the server has not opened yet. */
   void cancelAll() {
     for (RegistryEndpoint endpoint : endpoints.all()) {
       if (endpoint.watch != null) {
