--- a/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
@@ -10,15 +10,15 @@
 import org.amberpath.registry.RegistryFailure;
 
 /**
- * Requests of operators and tasks: each has {@value #TIMEOUT_MILLIS} ms and fails with a {@link
- * RegistryRequestException}. Called from any thread; works on the event loop of the one that makes
- * it, or on one of Vert.x's.
+ * Sends requests of operators and tasks. Each request times out after {@value #TIMEOUT_MILLIS} ms
+ * and fails with a {@link RegistryRequestException}. Thread-safe: the requests run on the event
+ * loop on which this object was created, or on one of Vert.x's if it was created elsewhere.
  */
 final class AdminRequests {
   private static final long TIMEOUT_MILLIS = 3000;
 
   /** A complete response that is no failure. */
-  @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
+  @SuppressWarnings("ArrayRecordComponent") // Passed on, never compared.
   record Response(int status, MultiMap headers, byte[] body) {}
 
   private final RegistrySettings settings;
@@ -37,7 +37,10 @@
     return protocol;
   }
 
-  /** The result of the first endpoint that answers; for what may be sent twice. */
+  /**
+   * Returns the result of the first endpoint that responds. Only for requests that may be sent more
+   * than once.
+   */
   <T> Future<T> firstAnswering(IntFunction<Future<T>> request) {
     return answeringFrom(0, request);
   }
@@ -52,14 +55,14 @@
                     : Future.failedFuture(e));
   }
 
-  /** The first endpoint that answers a read. */
+  /** Returns the first endpoint that responds to a read. */
   Future<Integer> firstReachable() {
     return firstAnswering(endpoint -> send(endpoint, protocol.heartbeatRequest()).map(endpoint));
   }
 
-  /** Sends a request to one endpoint. */
   Future<Response> send(int endpoint, RegistryProtocol.Request request) {
-    // Guards against an answer that comes while a thread of its own is still about to listen to it.
+    // Guards against a lost response: off the event loop, a response could arrive before its
+    // handler is set.
     return Future.future(
         response ->
             eventLoop.runOnContext(now -> sendOnEventLoop(endpoint, request).onComplete(response)));
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -18,9 +18,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index
- * passes the given one, and returns all keys under the prefix. Reads are consistent, so that an
- * index that goes back is the registry's.
+ * Codec of Consul's key-value HTTP API. A watch is a blocking read: the server responds once the
+ * index passes the given one, with all keys under the prefix. Reads are consistent, so an index
+ * that goes back went back in the registry itself and not only on a stale server.
  */
 final class ConsulProtocol implements RegistryProtocol {
   private static final int NOT_FOUND = 404;
@@ -32,9 +32,10 @@
   private final long waitMillis;
 
   /**
-   * The protocol for the keys under a prefix, which ends in a slash.
+   * Creates the codec for the keys under a prefix, which ends in a slash.
    *
-   * @param waitMillis how long a read is held back; the server adds up to a sixteenth of jitter
+   * @param waitMillis how long the server may hold a blocking read; the server adds up to a
+   *     sixteenth of jitter
    */
   ConsulProtocol(String prefix, long waitMillis) {
     this.prefix = prefix;
@@ -81,7 +82,7 @@
         return index;
       }
     } catch (NumberFormatException e) {
-      // Reported below: also where there is none.
+      // Reported below, as is a missing header.
     }
     throw new InvalidDocumentException("registry: no index above 0 in " + INDEX_HEADER);
   }
@@ -129,7 +130,7 @@
   @Override
   public Optional<RegistryFailure> failure(int status, byte[] body) {
     return switch (status) {
-      // Nothing stands under the prefix or there is no tip yet; a key was written before a
+      // No key exists under the prefix, the tip does not exist yet, or a key had changed before a
       // transaction.
       case 200, NOT_FOUND, CONFLICT -> Optional.empty();
       case 401, 403 -> Optional.of(RegistryFailure.UNAUTHORISED);
--- a/registry/src/main/java/org/amberpath/registry/runtime/CredentialException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/CredentialException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** No token could be had. No message holds anything that was read from a file or sent. */
+/** A token could not be obtained. Messages contain nothing that was read from a file or sent. */
 abstract sealed class CredentialException extends Exception {
   private static final long serialVersionUID = 1;
 
@@ -10,7 +10,7 @@
     super(message, cause);
   }
 
-  /** The file of a secret can't be read. */
+  /** The secret file can't be read. */
   static final class SecretUnreadable extends CredentialException {
     private static final long serialVersionUID = 1;
 
@@ -19,7 +19,7 @@
     }
   }
 
-  /** The file of a secret is longer than a secret may be. */
+  /** The secret file exceeds the maximum size. */
   static final class SecretTooLong extends CredentialException {
     private static final long serialVersionUID = 1;
 
@@ -28,7 +28,7 @@
     }
   }
 
-  /** The registry does not let this user log in. */
+  /** The registry rejected the login. */
   static final class LoginRejected extends CredentialException {
     private static final long serialVersionUID = 1;
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
@@ -8,13 +8,13 @@
 import org.amberpath.gateway.settings.JsonReader;
 
 /**
- * The forms that etcd's JSON gateway has for requests and for values: bytes are in base64, 64-bit
- * numbers are strings, and what is zero is absent.
+ * Encoding of etcd's JSON gateway: bytes are base64, 64-bit integers are strings, and zero values
+ * are omitted.
  */
 final class EtcdJson {
   private EtcdJson() {}
 
-  /** A request whose body is an object. */
+  /** Creates a POST request with an object as body. */
   static RegistryProtocol.Request post(String uri, JsonBytes.Body fields) {
     return new RegistryProtocol.Request(
         HttpMethod.POST,
@@ -27,18 +27,18 @@
             }));
   }
 
-  /** Writes a string's bytes in base64. */
+  /** Writes a string's UTF-8 bytes in base64. */
   static void writeBytes(JsonGenerator json, String name, String value) throws IOException {
     json.writeStringField(
         name, Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Writes a 64-bit number. */
+  /** Writes a 64-bit integer as a string. */
   static void writeLong(JsonGenerator json, String name, long value) throws IOException {
     json.writeStringField(name, Long.toString(value));
   }
 
-  /** Reads a 64-bit number that is not negative; 0 where it is absent. */
+  /** Reads a 64-bit integer that is not negative; 0 if it is absent. */
   static long readLong(JsonReader from, String name) {
     if (!from.has(name)) {
       return 0;
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdLeases.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdLeases.java
@@ -3,40 +3,41 @@
 import org.amberpath.gateway.settings.JsonReader;
 
 /**
- * Leases of etcd: what hangs on one goes with it. Lease renewal keeps one for another time to live.
+ * Requests and responses of etcd's lease API. The expiry of a lease deletes the keys attached to
+ * it; renewal restarts its time to live.
  */
 final class EtcdLeases {
   private static final int MAX_TASKS = 256;
 
   private EtcdLeases() {}
 
-  /** Asks for a lease. */
+  /** Encodes the request for a new lease. */
   static RegistryProtocol.Request grantRequest(long ttlSeconds) {
     return EtcdJson.post("/v3/lease/grant", json -> EtcdJson.writeLong(json, "TTL", ttlSeconds));
   }
 
-  /** The id of the lease that was granted. */
+  /** Decodes the id of a granted lease. */
   static long decodeGrant(byte[] body) {
     return EtcdJson.readLong(JsonBytes.readObject(body), "ID");
   }
 
-  /** Asks for lease renewal. */
+  /** Encodes a lease renewal. */
   static RegistryProtocol.Request renewalRequest(long leaseId) {
     return EtcdJson.post("/v3/lease/keepalive", json -> EtcdJson.writeLong(json, "ID", leaseId));
   }
 
-  /** Whether the lease was renewed: one that has expired has no time to live. */
+  /** Whether the lease was renewed: etcd returns no time to live for an expired one. */
   static boolean decodeRenewal(byte[] body) {
     JsonReader answer = JsonBytes.readObject(body);
     return answer.has("result") && EtcdJson.readLong(answer.object("result"), "TTL") > 0;
   }
 
-  /** Gives a lease back. */
+  /** Encodes the revocation of a lease. */
   static RegistryProtocol.Request revokeRequest(long leaseId) {
     return EtcdJson.post("/v3/lease/revoke", json -> EtcdJson.writeLong(json, "ID", leaseId));
   }
 
-  /** Lists all tasks' terms and owners, which are one range of keys. */
+  /** Encodes the list of all tasks' terms and owners, which form one range of keys. */
   static RegistryProtocol.Request tasksRequest(String prefix) {
     String endOfTasks =
         RecordCodec.TASKS_PREFIX.substring(0, RecordCodec.TASKS_PREFIX.length() - 1)
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -14,8 +14,8 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The JSON form of etcd's API, version 3 (rpc.proto and its HTTP annotations); a watch is a stream
- * of lines. Status codes are those that the published mapping of gRPC codes to HTTP gives.
+ * Codec of the JSON gateway of etcd's v3 API (rpc.proto and its HTTP annotations). The response to
+ * a watch is a stream of lines. Status codes follow the published mapping of gRPC codes to HTTP.
  */
 final class EtcdProtocol implements RegistryProtocol {
   private static final int GRPC_PERMISSION_DENIED = 7;
@@ -25,12 +25,12 @@
 
   private final String prefix;
 
-  /** The protocol for the keys under a prefix, which ends in a slash. */
+  /** Creates the codec for the keys under a prefix, which ends in a slash. */
   EtcdProtocol(String prefix) {
     this.prefix = prefix;
   }
 
-  /** The first key past all that begin with the prefix. */
+  /** Returns the least key above all keys with the prefix. */
   private String rangeEnd() {
     int last = prefix.length() - 1;
     return prefix.substring(0, last) + (char) (prefix.charAt(last) + 1);
@@ -41,7 +41,7 @@
     return EtcdJson.post(
         "/v3/kv/range",
         json -> {
-          // The least key after another one is that one with a zero byte.
+          // The least key after another one is that key with a zero byte appended.
           EtcdJson.writeBytes(json, "key", afterKey.isEmpty() ? prefix : afterKey + '\0');
           EtcdJson.writeBytes(json, "range_end", rangeEnd());
           EtcdJson.writeLong(json, "limit", pageSize);
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Takes a task: its term stays, its owner goes with the lease; nothing if either key was written
-   * since it was read.
+   * Encodes the transaction that acquires a task. The term's key is permanent, the owner's key is
+   * deleted with the lease. Nothing is written if either key had changed.
    */
   Request campaignRequest(Write term, Write owner, long leaseId) {
     return new EtcdTransaction(
@@ -189,7 +189,7 @@
     return status == 200 && JsonBytes.readObject(body).booleanOrFalse("succeeded");
   }
 
-  /** Logs in. */
+  /** Encodes a login. */
   static Request loginRequest(String user, String password) {
     return EtcdJson.post(
         "/v3/auth/authenticate",
@@ -199,7 +199,7 @@
         });
   }
 
-  /** The token of a login. */
+  /** Decodes the token of a login. */
   static String decodeLogin(byte[] body) {
     return JsonBytes.readObject(body).string("token");
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdTransaction.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdTransaction.java
@@ -7,10 +7,11 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * Encodes a transaction of etcd: all writes, or none if a key was written since it was read.
+ * Encodes an etcd transaction, which carries out all writes, or none if one of the keys was written
+ * since it was read.
  *
- * @param leaseId the lease of keys that begin with leasedPrefix; 0 for none
- * @param tip the new value of the tip, if the transaction touches it
+ * @param leaseId the lease to attach to keys that begin with {@code leasedPrefix}; 0 for none
+ * @param tip the new value of the tip; empty if the transaction does not write it
  */
 @SuppressWarnings("ArrayRecordComponent") // Encoded once, never compared.
 record EtcdTransaction(
--- a/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
@@ -8,12 +8,12 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** What a snapshot needs of a disk, each call of which may fail: a test's disk fails on purpose. */
+/** The disk operations of {@link SnapshotFile}. Tests implement disks whose operations fail. */
 interface FileOperations {
-  /** The machine's own disk. */
+  /** The local disk. */
   FileOperations DISK = new FileOperations() {};
 
-  /** An empty file that is written to. */
+  /** Creates or truncates a file and opens it for writing. */
   default FileChannel open(Path file) throws IOException {
     return FileChannel.open(
         file,
@@ -22,29 +22,29 @@
         StandardOpenOption.TRUNCATE_EXISTING);
   }
 
-  /** Writes as much as the disk takes at once. */
+  /** Writes as many bytes as the disk accepts in one call. */
   default void write(FileChannel to, ByteBuffer bytes) throws IOException {
     to.write(bytes);
   }
 
-  /** Returns once a file's bytes outlast a loss of power. */
+  /** Forces a file's contents to disk; returns once they survive a power loss. */
   default void force(FileChannel file) throws IOException {
     file.force(true);
   }
 
-  /** Takes the place of another file, at once or not at all. */
+  /** Atomically replaces a file. */
   default void move(Path from, Path to) throws IOException {
     Files.move(from, to, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Returns once a folder's names outlast a loss of power. */
+  /** Forces a directory's entries to disk; returns once they survive a power loss. */
   default void forceFolder(Path folder) throws IOException {
     try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
       names.force(true);
     }
   }
 
-  /** Removes a file, if it is there. */
+  /** Deletes a file if it exists. */
   default void delete(Path file) throws IOException {
     Files.deleteIfExists(file);
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
@@ -11,22 +11,22 @@
 import org.amberpath.gateway.settings.InvalidDocumentException;
 import org.amberpath.gateway.settings.JsonReader;
 
-/** JSON from and to memory, as the protocols of registries and the snapshot file have it. */
+/** Encodes and decodes JSON in memory, for the registry protocols and the snapshot file. */
 final class JsonBytes {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** The name of an answer in messages. */
+  /** The name of a registry response in error messages. */
   private static final String ANSWER = "registry";
 
   private JsonBytes() {}
 
-  /** What is written. */
+  /** Writes the contents of a document. */
   interface Body {
-    /** Writes all of it. */
+    /** Writes the contents. */
     void writeTo(JsonGenerator json) throws IOException;
   }
 
-  /** Writes JSON to memory. */
+  /** Encodes a document. */
   static byte[] write(Body body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(out)) {
@@ -37,7 +37,7 @@
     return out.toByteArray();
   }
 
-  /** Reads an answer that is an object; throws {@link InvalidDocumentException} if it is not. */
+  /** Decodes a response that is an object; throws {@link InvalidDocumentException} if it is not. */
   static JsonReader readObject(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
       return JsonReader.read(ANSWER, parser);
@@ -46,7 +46,10 @@
     }
   }
 
-  /** Reads an answer that is an array of objects, likewise. */
+  /**
+   * Decodes a response that is an array of objects; throws {@link InvalidDocumentException} if it
+   * is not.
+   */
   static List<JsonReader> readArray(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
       return JsonReader.readEach(ANSWER, parser);
@@ -59,7 +62,7 @@
     return new InvalidDocumentException(ANSWER + ": not JSON");
   }
 
-  /** The bytes of a field in base64; none where it is absent. */
+  /** Decodes a base64 field; returns an empty array if it is absent. */
   static byte[] readBase64(JsonReader from, String name) {
     try {
       return from.has(name) ? Base64.getDecoder().decode(from.string(name)) : new byte[0];
--- a/registry/src/main/java/org/amberpath/registry/runtime/LeaseClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/LeaseClient.java
@@ -5,7 +5,9 @@
 import org.amberpath.registry.RegistryEntry;
 import org.amberpath.registry.RegistryRecord;
 
-/** Leases and the tasks that are owned by them: grant, lease renewal, revocation; etcd alone. */
+/**
+ * Grants, renews and revokes leases, and acquires tasks that are owned through them. Only for etcd.
+ */
 final class LeaseClient {
   private final AdminRequests requests;
   private final String prefix;
@@ -19,14 +21,14 @@
     return (EtcdProtocol) requests.protocol();
   }
 
-  /** A new lease's id. */
+  /** Grants a lease and returns its id. */
   Future<Long> grant(int endpoint, long ttlSeconds) {
     return requests
         .send(endpoint, EtcdLeases.grantRequest(ttlSeconds))
         .map(response -> EtcdLeases.decodeGrant(response.body()));
   }
 
-  /** The keys of all tasks, their owners' and their terms'. */
+  /** Lists the keys of all tasks' owners and terms. */
   Future<List<RegistryEntry>> tasks() {
     return requests.firstAnswering(
         endpoint ->
@@ -39,7 +41,10 @@
                             .entries()));
   }
 
-  /** Takes a task under a new lease, whose id is returned; 0 where another one was first. */
+  /**
+   * Acquires a task under a new lease and returns the lease's id; returns 0 if another candidate
+   * was first.
+   */
   Future<Long> campaign(
       String task, RegistryRecord.Task candidate, long modRevision, long ttlSeconds) {
     RegistryProtocol.Write term =
@@ -62,7 +67,7 @@
         .map(response -> etcd().isCommitted(response.status(), response.body()) ? leaseId : 0L);
   }
 
-  /** Whether the lease was there to be renewed. */
+  /** Renews a lease; returns false if it has expired. */
   Future<Boolean> renew(long leaseId) {
     return requests.firstAnswering(
         endpoint ->
@@ -71,7 +76,7 @@
                 .map(response -> EtcdLeases.decodeRenewal(response.body())));
   }
 
-  /** Gives a lease back. */
+  /** Revokes a lease. */
   Future<Void> revoke(long leaseId) {
     return requests.firstAnswering(
         endpoint -> requests.send(endpoint, EtcdLeases.revokeRequest(leaseId)).mapEmpty());
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -13,25 +13,25 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is
- * {@link RegistryRecord.Unreadable}, never an exception.
+ * Codec of keys and values, version 1; docs/operate/registry.md defines the format. A value that
+ * can't be decoded becomes {@link RegistryRecord.Unreadable}; no exception is thrown.
  */
 public final class RecordCodec {
-  /** What the keys of caches begin with, after the prefix of all keys. */
+  /** Prefix of the keys of caches, after the prefix of all keys. */
   public static final String CACHES_PREFIX = "caches/";
 
-  /** What the keys of purges begin with. */
+  /** Prefix of the keys of purges, after the prefix of all keys. */
   public static final String PURGES_PREFIX = "purges/";
 
-  /** What the keys of tasks' terms begin with. */
+  /** Prefix of the keys of tasks' terms, after the prefix of all keys. */
   public static final String TASKS_PREFIX = "tasks/";
 
   /** The key of the tip, which every transaction writes. */
   public static final String TIP_KEY = "tip";
 
   /**
-   * What the keys of tasks' owners begin with, which go with their leases. Beside {@link
-   * #TASKS_PREFIX}, so that one range has both.
+   * Prefix of the keys of tasks' owners, which are deleted with their leases. It sorts next to
+   * {@link #TASKS_PREFIX}, so that one range covers both.
    */
   static final String OWNERS_PREFIX = "task-owners/";
 
@@ -42,7 +42,11 @@
 
   private RecordCodec() {}
 
-  /** Decodes the value of a key, which is given without the prefix of all keys. */
+  /**
+   * Decodes the value of a key.
+   *
+   * @param key the key without the prefix of all keys
+   */
   static RegistryRecord decode(String key, byte[] value) {
     boolean isTask = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS_PREFIX);
     if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !isTask) {
@@ -122,7 +126,7 @@
     return new RegistryRecord.Purge(object, group, fields.longValue("at_ms"));
   }
 
-  /** Why gateways would not read this of a cache; null where they would. */
+  /** Returns why gateways could not decode this cache's record; null if they can. */
   public static String validationError(RegistryRecord.Cache cache) {
     return decode(CACHES_PREFIX + cache.id(), encode(cache))
             instanceof RegistryRecord.Unreadable unreadable
@@ -130,7 +134,7 @@
         : null;
   }
 
-  /** The value that says this of a cache or a purge. */
+  /** Encodes a cache, a purge or a task. */
   public static byte[] encode(RegistryRecord content) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     try (JsonGenerator to = JSON.createGenerator(out)) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -11,11 +11,11 @@
 import org.amberpath.registry.RegistryRecord;
 
 /**
- * Reads and writes a registry for operators and tasks: each read from the first endpoint that
- * answers, each write one transaction together with the tip, which is not tried again when it may
- * have been carried out. Futures fail with {@link RegistryRequestException}, or with {@link
- * org.amberpath.gateway.settings.InvalidDocumentException} where an answer can't be decoded. Called
- * from any thread.
+ * Reads and writes a registry for operators and tasks. A read uses the first endpoint that
+ * responds. A write is one transaction that includes the tip; it is not retried once it may have
+ * been carried out. Futures fail with {@link RegistryRequestException}, or with {@link
+ * org.amberpath.gateway.settings.InvalidDocumentException} if a response can't be decoded.
+ * Thread-safe.
  */
 public final class RegistryAdminClient implements AutoCloseable {
   private static final int PAGE_SIZE = 1000;
@@ -24,11 +24,13 @@
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
-  /** How long the keys of a transaction stay. */
+  /** How long the keys of a transaction exist. */
   private enum Lifetime {
     /** Until they are deleted. */
     PERMANENT,
-    /** For the retention of purges, where the registry has leases. */
+    /**
+     * For the retention of purges, if the registry has leases; otherwise until they are deleted.
+     */
     RETENTION
   }
 
@@ -37,7 +39,7 @@
   private final RegistryProtocol protocol;
   private final LeaseClient leases;
 
-  /** Makes a client that has requested nothing yet. */
+  /** Creates a client; it connects with its first request. */
   public RegistryAdminClient(Vertx vertx, RegistrySettings settings) {
     this.settings = settings;
     requests = new AdminRequests(vertx, settings);
@@ -45,7 +47,7 @@
     leases = new LeaseClient(requests, settings.prefix());
   }
 
-  /** All keys at one revision. */
+  /** Lists all keys at one revision. */
   public Future<List<RegistryEntry>> list() {
     return requests.firstAnswering(endpoint -> listPages(endpoint, 0, "", new ArrayList<>()));
   }
@@ -74,7 +76,10 @@
             });
   }
 
-  /** Writes keys and the tip, or nothing; returns whether nothing was written meanwhile. */
+  /**
+   * Writes keys and the tip in one transaction; returns false if nothing was written because one of
+   * the keys had changed.
+   */
   private Future<Boolean> commit(List<RegistryProtocol.Write> writes, Lifetime lifetime) {
     String tip = System.currentTimeMillis() + " " + Long.toHexString(System.nanoTime());
     return requests
@@ -102,11 +107,12 @@
   }
 
   /**
-   * Changes one key, or makes it, if it is as it was read.
+   * Writes one key if it has not changed since it was read.
    *
    * @param value the new value; null deletes the key
-   * @param modRevision at which revision it was last written; 0 for a key that is not there
-   * @return whether it was; otherwise nothing was written
+   * @param modRevision the revision at which the key was last written; 0 for a key that does not
+   *     exist
+   * @return whether the key was written; false if it had changed
    */
   public Future<Boolean> write(String key, RegistryRecord value, long modRevision) {
     return commit(
@@ -115,10 +121,10 @@
   }
 
   /**
-   * Writes a purge that stays for the retention. Where the registry has no leases, purges that are
-   * past their retention are deleted with it.
+   * Writes a purge that is kept for the retention time. If the registry has no leases, the same
+   * transaction deletes purges that are past their retention.
    *
-   * @return whether it was written; otherwise one of the keys was written meanwhile
+   * @return whether the purge was written; false if one of the keys had changed
    */
   public Future<Boolean> purge(String name, RegistryRecord.Purge purge) {
     RegistryProtocol.Write added =
@@ -142,8 +148,9 @@
   }
 
   /**
-   * Purges that are past the retention whichever clocks wrote their stamps: there is nothing else
-   * to tell it by here, so both may be a step off, each to its own side.
+   * Returns the purges that are past the retention, whichever clocks wrote their timestamps. The
+   * timestamps are the only evidence of age, and the writer's clock and this one may each be off by
+   * the largest step, in opposite directions.
    */
   static List<RegistryEntry> expiredPurges(
       List<RegistryEntry> entries, long nowMillis, long retentionNanos) {
@@ -156,11 +163,12 @@
   }
 
   /**
-   * Deletes keys for the fleet, or nothing: the task's fence is written with them, so a leader that
-   * was superseded meanwhile deletes nothing.
+   * Deletes purges for the fleet in one transaction that also writes the task's fence, so that a
+   * leader that was superseded meanwhile deletes nothing.
    *
-   * @param fence the task's key as it was read; null where there is none
-   * @param expired what is deleted; the first {@value #MAX_WRITES} of them
+   * @param fence the task's entry as it was read; null if it does not exist
+   * @param expired the purges to delete; only the first {@value #MAX_WRITES} are deleted
+   * @return whether the purges were deleted; false if one of the keys had changed
    */
   public Future<Boolean> deletePurges(
       String task, RegistryRecord.Task leader, RegistryEntry fence, List<RegistryEntry> expired) {
@@ -174,34 +182,40 @@
     return commit(writes, Lifetime.PERMANENT);
   }
 
-  /** The keys that say who owns which task, and under which term; etcd alone has them. */
+  /** Lists the keys of the tasks' owners and terms. Only etcd has them. */
   public Future<List<RegistryEntry>> tasks() {
     return leases.tasks();
   }
 
   /**
-   * Takes a task for the time to live of a new lease, if nobody has it and its term is as it was
-   * read.
+   * Acquires a task under a new lease if the task has no owner and its term has not changed since
+   * it was read.
    *
-   * @param modRevision at which revision the term's key was last written; 0 for none
-   * @return the lease's id; 0 where another one was first
+   * @param modRevision the revision at which the term's key was last written; 0 if it does not
+   *     exist
+   * @param ttlSeconds the lease's time to live
+   * @return the lease's id; 0 if another candidate was first
    */
   public Future<Long> campaign(
       String task, RegistryRecord.Task candidate, long modRevision, long ttlSeconds) {
     return leases.campaign(task, candidate, modRevision, ttlSeconds);
   }
 
-  /** Lease renewal; false where the lease has expired. */
+  /** Renews a lease; returns false if it has expired. */
   public Future<Boolean> keepAlive(long leaseId) {
     return leases.renew(leaseId);
   }
 
-  /** Gives a lease back, and with it the keys that hang on it. */
+  /** Revokes a lease, which deletes the keys attached to it. */
   public Future<Void> revoke(long leaseId) {
     return leases.revoke(leaseId);
   }
 
-  /** The task that a key is of, its owner's or its term's; null for another key. */
+  /**
+   * Returns the name of the task that an entry belongs to; null if it belongs to none.
+   *
+   * @param owner true to match owner keys, false to match term keys
+   */
   public String taskName(RegistryEntry entry, boolean owner) {
     String begins =
         settings.prefix() + (owner ? RecordCodec.OWNERS_PREFIX : RecordCodec.TASKS_PREFIX);
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
@@ -8,13 +8,13 @@
 import java.nio.file.Path;
 
 /**
- * The token that requests show: from a file, or from a log-in with a password that is in a file.
- * Files are read off the event loop; all else runs on it.
+ * Provides the access token of requests: read from a file, or obtained by a login with a password
+ * from a file. Files are read off the event loop; everything else runs on it.
  */
 final class RegistryCredentials {
-  /** Logs in at the endpoint that a token is needed for. */
+  /** Logs in at the endpoint for which a token is needed. */
   interface Login {
-    /** Sends a log-in and returns its token. */
+    /** Sends a login request and returns its token. */
     Future<String> send(RegistryProtocol.Request login);
   }
 
@@ -29,24 +29,24 @@
     this.settings = settings;
   }
 
-  /** The token to show; empty for none. */
+  /** The current token; empty for none. */
   String token() {
     return token;
   }
 
-  /** Whether a token must be fetched before anything is sent. */
+  /** Whether a token must be fetched before a request can be sent. */
   boolean isTokenMissing() {
     return token.isEmpty() && (settings.token() != null || settings.user() != null);
   }
 
-  /** Forgets the token, since its file may be another one now. */
+  /** Discards the token, since its file may have changed. */
   void forgetToken() {
     token = "";
   }
 
   /**
-   * Fetches the token anew; false where it is the one that was rejected. Fails with {@link
-   * CredentialException}, or as the log-in does.
+   * Fetches a new token; returns false if it equals the previous one, which was rejected. Fails
+   * with {@link CredentialException}, or with the login's failure.
    */
   Future<Boolean> renewToken(Login login) {
     String before = token;
@@ -72,7 +72,7 @@
     return vertx.executeBlocking(() -> secret(file));
   }
 
-  /** Reads a secret from a file, without the white space around it. */
+  /** Reads a secret from a file and strips surrounding white space. */
   static String secret(Path file) throws CredentialException {
     try {
       if (Files.size(file) > MAX_SECRET_BYTES) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -15,9 +15,9 @@
 import org.amberpath.registry.RegistryFailure;
 
 /**
- * Requests to the endpoints of a registry, with TLS and a token where the settings have them.
- * Secrets are in no message of a failure, since none is made from what was sent or read. All calls
- * come on one event loop.
+ * HTTP client of a registry, with TLS and a token if they are configured. Failure messages contain
+ * no secrets, since none is built from data that was sent or read. All calls come on one event
+ * loop.
  */
 final class RegistryHttpClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
@@ -25,23 +25,30 @@
   private static final int MAX_CONNECTIONS = 12;
   private static final int MAX_WAITING = 64;
 
-  /** What a request came to: one of the ends, once, unless it was cancelled. */
+  /**
+   * Receives the result of a request. Exactly one of {@link #completed} and {@link #failed} is
+   * called, once, unless the request is cancelled.
+   */
   interface ResponseHandler {
-    /** A complete response that is no failure. */
+    /** Receives a complete response that is no failure. */
     void completed(int status, MultiMap headers, byte[] body);
 
-    /** A line of a stream; only where a stream was asked for. */
+    /** Receives a line of the response; only for {@link ResponseKind#LINES}. */
     default void line(byte[] line) {}
 
-    /** No response, or one that is a failure; retryAfterNanos as the server asks, 0 for nothing. */
+    /**
+     * Receives the failure of a request.
+     *
+     * @param retryAfterNanos the delay that the server asked for; 0 for none
+     */
     void failed(RegistryFailure why, long retryAfterNanos);
   }
 
   /** How a response is read. */
   enum ResponseKind {
-    /** All of it at once. */
+    /** As one body. */
     COMPLETE,
-    /** A stream of lines, each as it is received. */
+    /** As a stream of lines, each passed on when it is received. */
     LINES
   }
 
@@ -52,7 +59,10 @@
   private final RegistryCredentials credentials;
   private HttpClientAgent client;
 
-  /** The client before the files were read anew: its connections stay until they end. */
+  /**
+   * The client with the files from before the last reload; its connections stay open until they
+   * end.
+   */
   private HttpClientAgent retired;
 
   RegistryHttpClient(Vertx vertx, RegistrySettings settings, RegistryProtocol protocol) {
@@ -76,8 +86,8 @@
   }
 
   /**
-   * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an
-   * answer may come before anybody listens to it, and is then lost.
+   * Sends a request, after fetching a token if one is needed and missing. Must be called on an
+   * event loop: elsewhere a response could arrive before its handler is set, and would be lost.
    */
   RegistryHttpExchange send(
       int endpoint, RegistryProtocol.Request request, ResponseKind kind, ResponseHandler handler) {
@@ -104,18 +114,18 @@
     return exchange;
   }
 
-  /** Whether the registry has answered, but with no token. */
+  /** Whether the registry responded, but without a token. */
   private static boolean isRejection(Throwable cause) {
     return cause instanceof CredentialException.LoginRejected
         || cause instanceof InvalidDocumentException;
   }
 
-  /** Opens a request, with the token as it is now. */
+  /** Opens a request with the current token. */
   Future<HttpClientRequest> open(SocketAddress endpoint, RegistryProtocol.Request request) {
     return client.request(options(endpoint, request, credentials.token()));
   }
 
-  /** Fetches the token anew; false where it is the one that was rejected. */
+  /** Fetches a new token; returns false if it equals the rejected one. */
   Future<Boolean> renewToken(SocketAddress endpoint) {
     return credentials.renewToken(login -> logIn(endpoint, login));
   }
@@ -161,8 +171,8 @@
   }
 
   /**
-   * Reads the files anew, for connections to come; those that are open stay. What can't be read
-   * changes nothing.
+   * Rereads the token and TLS files for new connections; open connections stay. If a TLS file can't
+   * be used, the client keeps the previous ones.
    */
   Future<Void> reload() {
     credentials.forgetToken();
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpExchange.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpExchange.java
@@ -13,7 +13,10 @@
 import javax.net.ssl.SSLException;
 import org.amberpath.registry.RegistryFailure;
 
-/** One request under way, until its handler was called with an end or it was cancelled. */
+/**
+ * One HTTP request and its response. It ends when its handler is called with a result, or when it
+ * is cancelled.
+ */
 final class RegistryHttpExchange {
   private static final int UNAUTHORIZED = 401;
   private static final int FORBIDDEN = 403;
@@ -46,7 +49,7 @@
     return endpoint;
   }
 
-  /** Gives it up: the handler hears nothing more. */
+  /** Cancels the request: the handler is not called any more. */
   void cancel() {
     isOver = true;
     if (sent != null) {
@@ -103,7 +106,7 @@
                 handler.line(line.getBytes());
               }
             });
-    // Guards against a line without end.
+    // Guards against unbounded memory use by a line that never ends.
     parser.maxRecordSize(client.maxResponseBytes());
     parser.exceptionHandler(e -> unreadable());
     response.handler(parser);
@@ -131,7 +134,10 @@
     }
   }
 
-  /** Guards against a token that has expired: a new one is fetched, once. */
+  /**
+   * Guards against an expired token: fetches a new token and sends the request again, once per
+   * request.
+   */
   private void renewToken() {
     isTokenRenewed = true;
     client
@@ -153,7 +159,7 @@
     }
   }
 
-  /** Ends it for a cause that is no response. */
+  /** Ends the request with the failure that an exception stands for. */
   void failed(Throwable why) {
     end(failureOf(why), 0);
   }
@@ -171,7 +177,7 @@
     return RegistryFailure.BROKEN;
   }
 
-  /** Ends it, unless it is over. */
+  /** Ends the request with a failure, unless it has ended already. */
   void end(RegistryFailure why, long retryAfterNanos) {
     if (!isOver) {
       isOver = true;
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
@@ -3,9 +3,9 @@
 import java.util.logging.Logger;
 
 /**
- * The log of a registry source. Guards it against a registry that gives cause for a line with every
- * call: {@value #MAX_LINES} lines a period, {@value #MAX_LINE_LENGTH} characters each; what is past
- * that is counted. On the event loop.
+ * The log of a registry source. Guards against log flooding by a registry whose responses each give
+ * rise to a line: {@value #MAX_LINES} lines per period, {@value #MAX_LINE_LENGTH} characters each;
+ * further lines are only counted. Used on the event loop.
  */
 final class RegistryLog {
   private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
@@ -15,7 +15,7 @@
   private int lineCount;
   private int suppressedCount;
 
-  /** Logs a line of the session or the view, within the bound. */
+  /** Logs a line of the session or the view, within the limit. */
   void info(String line) {
     if (lineCount < MAX_LINES) {
       lineCount++;
@@ -25,17 +25,17 @@
     }
   }
 
-  /** Logs what happens once a start or a reload. */
+  /** Logs an event of a start or a reload, outside the limit. */
   void once(String line) {
     LOG.info("registry: " + line);
   }
 
-  /** Logs what an operator should look at, likewise. */
+  /** Logs a warning to the operator, outside the limit. */
   void warning(String line) {
     LOG.warning("registry: " + line);
   }
 
-  /** A period is over: the next lines are logged again. */
+  /** Ends the period: logs the number of suppressed lines and resets the limit. */
   void periodEnded() {
     if (suppressedCount > 0) {
       LOG.info("registry: " + suppressedCount + " more lines");
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -11,30 +11,39 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The codec of one published protocol: encodes requests, decodes answers. What can't be decoded is
- * an {@link org.amberpath.gateway.settings.InvalidDocumentException}.
+ * The codec of one protocol: encodes requests and decodes responses. A decoder throws {@link
+ * org.amberpath.gateway.settings.InvalidDocumentException} for a response that it can't decode.
  */
 interface RegistryProtocol {
-  /** A request to be sent; body null for none. */
+  /**
+   * An HTTP request.
+   *
+   * @param body the request's body; null for none
+   */
   @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
   record Request(HttpMethod method, String uri, byte[] body) {}
 
   /**
-   * The answer to a heartbeat.
+   * The response to a heartbeat.
    *
-   * @param tipRevision at which revision the tip was written; 0 where there is none
+   * @param tipRevision the revision at which the tip was written; 0 if the tip doesn't exist
    */
   record Heartbeat(Header header, long tipRevision) {}
 
-  /** One line of a watch's stream. */
+  /** One line of a watch's response stream. */
   sealed interface Frame {
-    /** The watch is open. */
+    /** The server has opened the watch. */
     record Opened(Header header) implements Frame {}
 
-    /** Events; none for a progress notification. More of the last revision follow if partial. */
+    /**
+     * Events of the watch.
+     *
+     * @param events the events; empty for a progress notification
+     * @param partial whether more events of the last revision follow in another frame
+     */
     record Events(Header header, List<WatchEvent> events, boolean partial) implements Frame {}
 
-    /** The revision that the watch was to start at is compacted. */
+    /** A compaction has removed the revision at which the watch was to start. */
     record Compacted() implements Frame {}
 
     /** The server has ended the watch. */
@@ -42,53 +51,63 @@
   }
 
   /**
-   * One key's write in a transaction, which is carried out only if the key is as it was read.
+   * A write of one key in a transaction. It succeeds only if the key has not changed since it was
+   * read.
    *
-   * @param value the new value; empty deletes the key
-   * @param expectedRevision at which revision the key was last written; 0 for one that is not there
+   * @param value the new value; empty to delete the key
+   * @param expectedRevision the revision at which the key was last written; 0 for a key that does
+   *     not exist
    */
   record Write(String key, Optional<RegistryRecord> value, long expectedRevision) {
-    /** Writes a value. */
+    /** Creates a write of a value. */
     static Write put(String key, RegistryRecord value, long expectedRevision) {
       return new Write(key, Optional.of(value), expectedRevision);
     }
 
-    /** Deletes a key. */
+    /** Creates a deletion of a key. */
     static Write delete(String key, long expectedRevision) {
       return new Write(key, Optional.empty(), expectedRevision);
     }
   }
 
-  /** Reads a page; the arguments are those of {@link org.amberpath.registry.WatchCommands#list}. */
+  /**
+   * Encodes the request for a page; the parameters are those of {@link
+   * org.amberpath.registry.WatchCommands#list}.
+   */
   Request listRequest(long revision, String afterKey, long sinceRevision, int pageSize);
 
-  /** The page that was read. */
+  /** Decodes a page. */
   RegistryPage decodePage(int status, MultiMap headers, byte[] body);
 
-  /** A stream of lines for one protocol, a read that is held back for the other. */
+  /** Encodes the request for a watch: a stream of lines for etcd, a blocking read for Consul. */
   Request watchRequest(long fromRevision);
 
   /** How the response to {@link #watchRequest} is read. */
   RegistryHttpClient.ResponseKind watchResponse();
 
-  /** A line of a watch's stream. */
+  /** Decodes a line of a watch's response stream. */
   Frame decodeFrame(byte[] line);
 
-  /** Reads the tip, linearizably. */
+  /** Encodes a linearizable read of the tip. */
   Request heartbeatRequest();
 
-  /** The tip that was read. */
+  /** Decodes the response to a heartbeat. */
   Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body);
 
-  /** Whether an answer says that a compaction has removed the revision. */
+  /** Whether a response reports that a compaction has removed the requested revision. */
   boolean isCompacted(int status, byte[] body);
 
-  /** Why an answer of this status is none; empty where it is one. */
+  /** Returns the failure that a response reports; empty if it is none. */
   Optional<RegistryFailure> failure(int status, byte[] body);
 
-  /** A transaction: all writes and one to the tip, or none. A lease of 0 is none. */
+  /**
+   * Encodes a transaction of all writes and one of the tip.
+   *
+   * @param leaseId the lease to attach to the keys; 0 for none
+   * @param tip the tip's new value
+   */
   Request transactionRequest(List<Write> writes, long leaseId, byte[] tip);
 
-  /** Whether a transaction was carried out; false where a key was written meanwhile. */
+  /** Whether a transaction was carried out; false if one of its keys had changed. */
   boolean isCommitted(int status, byte[] body);
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryRequestException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryRequestException.java
@@ -2,7 +2,7 @@
 
 import org.amberpath.registry.RegistryFailure;
 
-/** Nothing could be read or written; the message is for the operator who asked. */
+/** A request of an operator or a task failed; the message is shown to the operator. */
 public abstract sealed class RegistryRequestException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
@@ -10,7 +10,7 @@
     super(message);
   }
 
-  /** An endpoint has failed the request. */
+  /** An endpoint failed the request. */
   public static final class EndpointFailed extends RegistryRequestException {
     private static final long serialVersionUID = 1;
 
@@ -39,7 +39,7 @@
     }
   }
 
-  /** An endpoint has not answered in time, so that it is not known whether a write was made. */
+  /** An endpoint did not respond in time, so a write may or may not have been carried out. */
   public static final class AnswerTimedOut extends RegistryRequestException {
     private static final long serialVersionUID = 1;
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -5,23 +5,24 @@
 import java.util.List;
 
 /**
- * Where a registry is and how it is asked: all that a settings file may hold of it, checked. Times
- * are nanoseconds, sizes bytes.
+ * Validated settings of a registry connection. Times are nanoseconds, sizes bytes.
  *
- * @param protocol which published protocol it speaks
- * @param prefix what all keys begin with; ends in a slash
- * @param trust PEM file of the authority that servers' certificates come from; null for an
- *     unencrypted connection
- * @param certificate PEM file of this client's certificate, with key its key; null for none
- * @param token file that holds the token to show; null for none
- * @param user who to log in as, with the password in a file; null for none. Only for {@link
- *     ProtocolKind#ETCD}
- * @param snapshot file that holds the view over a restart; null for none
- * @param snapshotIntervalNanos least time between two writes of it
- * @param maxSnapshotAgeNanos a snapshot older than this is passed over
- * @param purgeRetentionNanos how long the registry keeps the key of a purge at least
- * @param maxKeys how many keys are held at most
- * @param maxResponseBytes the size of the longest answer
+ * @param protocol the registry's protocol
+ * @param endpoints addresses of the registry's endpoints
+ * @param prefix prefix of all keys; ends in a slash
+ * @param trust PEM file of the certificate authority of the servers; null for unencrypted
+ *     connections
+ * @param certificate PEM file of the client certificate; null for none
+ * @param key PEM file of the client certificate's key; null for none
+ * @param token file that holds the access token; null for none
+ * @param user user to log in as; null for none. Only for {@link ProtocolKind#ETCD}
+ * @param password file that holds the user's password; null for none
+ * @param snapshot file that holds the view across a restart; null for none
+ * @param snapshotIntervalNanos minimum time between two writes of the snapshot
+ * @param maxSnapshotAgeNanos a snapshot older than this is ignored at the start
+ * @param purgeRetentionNanos the shortest time for which the registry keeps the key of a purge
+ * @param maxKeys maximum number of keys in the view
+ * @param maxResponseBytes maximum size of a response, and of the snapshot file
  */
 public record RegistrySettings(
     ProtocolKind protocol,
@@ -39,11 +40,11 @@
     long purgeRetentionNanos,
     int maxKeys,
     int maxResponseBytes) {
-  /** The published protocols. */
+  /** The supported protocols. */
   public enum ProtocolKind {
-    /** The JSON form of version 3 of etcd's API: ranges, watches, transactions, leases. */
+    /** The JSON gateway of etcd's v3 API: ranges, watches, transactions, leases. */
     ETCD,
-    /** Consul's key-value store by HTTP: blocking reads, transactions. */
+    /** Consul's key-value HTTP API: blocking reads, transactions. */
     CONSUL
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -12,25 +12,26 @@
 import org.amberpath.routing.EndpointListener;
 
 /**
- * A registry as a gateway's source of endpoints and purges: runs a {@link WatchSession} with its
- * timer, and keeps its view in a snapshot file. All of it runs on the event loop that starts it.
+ * Supplies a gateway with endpoints and purges from a registry: runs a {@link WatchSession} with
+ * its timer, and saves its view in a snapshot file. Everything runs on the event loop that starts
+ * it, except reading and writing files.
  */
 public final class RegistrySource implements EndpointSource {
   private static final long MS = 1_000_000;
   private static final long BLOCKING_READ_NANOS = 10_000 * MS;
   private static final long PERIOD_MILLIS = 1000;
 
-  /** Before a timer was set. */
+  /** The id of no timer. */
   private static final long NO_TIMER = -1;
 
   /**
-   * What an operator may want to know of the view.
+   * The state of the view, for operators.
    *
-   * @param hasData whether anything is known
-   * @param revision the registry's, up to which the view has all changes
-   * @param ageNanos since when the view is not known to be current
-   * @param keys how many keys are held
-   * @param watchCount how many watches are open
+   * @param hasData whether endpoints were published, from the registry or from a snapshot
+   * @param revision the registry's revision up to which the view includes all changes
+   * @param ageNanos time since the view was last known to be current
+   * @param keys number of keys in the view
+   * @param watchCount number of open watches
    */
   public record Status(
       WatchSession.Phase phase,
@@ -55,7 +56,11 @@
   private long nextTickNanos = Long.MAX_VALUE;
   private boolean isRunning;
 
-  /** Makes a source that has requested nothing yet; the seed is that of all random choices. */
+  /**
+   * Creates a source; it sends nothing before {@link #start}.
+   *
+   * @param seed seed of all random choices
+   */
   public RegistrySource(
       Vertx vertx, RegistrySettings settings, EndpointListener listener, long seed) {
     this.vertx = vertx;
@@ -87,13 +92,13 @@
 
   private static WatchSessionConfig config(RegistrySettings settings, long seed) {
     boolean hasBlockingReads = settings.protocol() == RegistrySettings.ProtocolKind.CONSUL;
-    // The server may hold a read back for a sixteenth longer than it is asked to.
+    // The server may hold a blocking read for a sixteenth longer than requested.
     long blockingTimeNanos = hasBlockingReads ? BLOCKING_READ_NANOS + BLOCKING_READ_NANOS / 16 : 0;
     return new WatchSessionConfig(
         settings.endpoints().size(), settings.maxKeys(), blockingTimeNanos, seed);
   }
 
-  /** The codec of the protocol that the settings name. */
+  /** Returns the codec of the configured protocol. */
   static RegistryProtocol protocol(RegistrySettings settings) {
     return settings.protocol() == RegistrySettings.ProtocolKind.ETCD
         ? new EtcdProtocol(settings.prefix())
@@ -151,7 +156,7 @@
     client.close();
   }
 
-  /** The view as it stands. */
+  /** The current state of the view. */
   public Status status() {
     return new Status(
         session.phase(),
@@ -162,7 +167,7 @@
         session.watchCount());
   }
 
-  /** Has the session tick when it is due; one timer at a time. */
+  /** Sets the timer for the session's next tick; one timer at a time. */
   private void scheduleTick() {
     long dueNanos = session.nextTickNanos();
     if (dueNanos == nextTickNanos || !isRunning) {
@@ -181,7 +186,10 @@
             });
   }
 
-  /** The view for the file, its age by the wall clock; none unless the view is current. */
+  /**
+   * Returns the view for the snapshot file, with its age by the wall clock; empty unless the view
+   * is current.
+   */
   private Optional<Snapshot> currentSnapshot() {
     return !view.hasData() || session.phase() != WatchSession.Phase.CURRENT
         ? Optional.empty()
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryTls.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryTls.java
@@ -6,7 +6,7 @@
 import io.vertx.core.net.PemKeyCertOptions;
 import io.vertx.core.net.PemTrustOptions;
 
-/** TLS to the endpoints of a registry, from PEM files that the settings name. */
+/** TLS configuration of connections to a registry, from the configured PEM files. */
 final class RegistryTls {
   private final RegistrySettings settings;
 
@@ -14,12 +14,11 @@
     this.settings = settings;
   }
 
-  /** Whether connections are encrypted. */
   boolean isEnabled() {
     return settings.trust() != null;
   }
 
-  /** Adds TLS to the options of a client. */
+  /** Adds the TLS options, if TLS is enabled, to those of an HTTP client. */
   void addTo(HttpClientOptions options) {
     if (isEnabled()) {
       options.setSsl(true).setTrustOptions(trust());
@@ -29,7 +28,7 @@
     }
   }
 
-  /** Reads all files, off the event loop; fails where one of them can't be used. */
+  /** Reads all files off the event loop; fails if one of them can't be used. */
   Future<Void> validate(Vertx vertx) {
     return vertx.executeBlocking(
         () -> {
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
@@ -16,7 +16,10 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.Snapshot;
 
-/** The bytes of a snapshot: a first line with version and checksum, then JSON; version 1. */
+/**
+ * Codec of the snapshot file, version 1: a header line with magic, version and CRC-32C checksum,
+ * then JSON.
+ */
 final class SnapshotCodec {
   private static final String MAGIC = "amberpath-registry-snapshot";
   private static final int VERSION = 1;
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A snapshot file can't be read, written, or taken; the message says why, for the log. */
+/**
+ * A snapshot file can't be read, written or accepted. The message states the reason, for the log.
+ */
 abstract sealed class SnapshotException extends IOException {
   private static final long serialVersionUID = 1;
 
@@ -10,7 +12,7 @@
     super(message, cause);
   }
 
-  /** The file is longer than a snapshot may be. */
+  /** The file exceeds the maximum size. */
   static final class TooLong extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -19,7 +21,7 @@
     }
   }
 
-  /** The file's first line is not that of a snapshot. */
+  /** The file's first line is not a snapshot header. */
   static final class NotASnapshot extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -28,7 +30,7 @@
     }
   }
 
-  /** The file is of another version of the form. */
+  /** The file has an unsupported format version. */
   static final class UnsupportedVersion extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -37,7 +39,7 @@
     }
   }
 
-  /** The file is not as it was written. */
+  /** The file's contents do not match its checksum. */
   static final class ChecksumMismatch extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -46,7 +48,7 @@
     }
   }
 
-  /** The file is as it was written, but its fields are not those of a snapshot. */
+  /** The checksum matches, but the fields are not those of a snapshot. */
   static final class Malformed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -55,7 +57,7 @@
     }
   }
 
-  /** The disk does not let the file be read. */
+  /** The file can't be read from disk. */
   static final class ReadFailed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -64,7 +66,7 @@
     }
   }
 
-  /** The disk does not let the file be written; the one before stays. */
+  /** The file can't be written; the previous one stays in place. */
   static final class WriteFailed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -12,30 +12,34 @@
 import org.amberpath.registry.Snapshot;
 
 /**
- * The file of a snapshot. It is written under a temporary name and moved into its place, so that a
- * crash leaves the one before. Blocks: not for the event loop.
+ * Reads and writes the snapshot file. A write goes to a temporary file that then atomically
+ * replaces the previous one, so a crash leaves the previous one intact. Blocking: must not be
+ * called on the event loop.
  */
 final class SnapshotFile {
   private static final String TEMPORARY_SUFFIX = ".new";
 
-  /** Guards against a process that is not quite gone yet and writes beside the same file. */
+  /**
+   * Suffix of this process's temporary files. Guards against a predecessor that has not exited yet
+   * and would write to the same temporary file.
+   */
   private static final String PROCESS_SUFFIX = Long.toHexString(new SecureRandom().nextLong());
 
   private SnapshotFile() {}
 
-  /** Writes the whole of it to the machine's disk, or leaves the file as it was. */
+  /** Writes a snapshot to the local disk. On failure the previous file stays. */
   static void write(Path file, Snapshot snapshot) throws SnapshotException {
     write(file, snapshot, FileOperations.DISK);
   }
 
-  /** Writes the whole of it, or leaves the file as it was. */
+  /** Writes a snapshot. If the write fails, the previous file stays. */
   static void write(Path file, Snapshot snapshot, FileOperations files) throws SnapshotException {
     byte[] bytes = SnapshotCodec.encode(snapshot);
     Path temporary =
         file.resolveSibling(file.getFileName() + TEMPORARY_SUFFIX + "-" + PROCESS_SUFFIX);
     try {
       replace(file, temporary, bytes, files);
-      // Guards the move itself against a loss of power.
+      // Guards against a power loss that undoes the rename.
       files.forceFolder(file.toAbsolutePath().getParent());
     } catch (IOException e) {
       throw new SnapshotException.WriteFailed(e);
@@ -59,7 +63,7 @@
     }
   }
 
-  /** Removes what writes that were cut short have left beside the file. */
+  /** Deletes temporary files that interrupted writes have left next to the snapshot file. */
   static void clean(Path file, FileOperations files) {
     Pattern stale =
         Pattern.compile(
@@ -72,7 +76,7 @@
                     && !path.toString().endsWith(PROCESS_SUFFIX))) {
       leftovers.forEach(path -> deleteQuietly(path, files));
     } catch (IOException | DirectoryIteratorException e) {
-      return; // They take place and do no other harm; the next start looks again.
+      return; // They use disk space but do no other harm; the next start tries again.
     }
   }
 
@@ -80,11 +84,11 @@
     try {
       files.delete(file);
     } catch (IOException e) {
-      return; // It is never read, and goes with the next start.
+      return; // The file is never read, and the next start deletes it.
     }
   }
 
-  /** Reads a file of so many bytes at most. */
+  /** Reads a snapshot; fails if the file is larger than {@code maxBytes}. */
   static Snapshot read(Path file, int maxBytes) throws SnapshotException {
     byte[] bytes;
     try {
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
@@ -13,16 +13,16 @@
 import org.amberpath.registry.Snapshot;
 
 /**
- * Writes snapshots to a file off the event loop, and again where that failed. Bounds: one write
- * under way, one snapshot pending, which is the latest; one line of log for each run of failures
- * and one for its end.
+ * Writes snapshots to a file, off the event loop, and retries failed writes. Bounds: one write in
+ * progress and one pending snapshot, the latest; one log line at the first failure of a series, and
+ * one at its end.
  */
 final class SnapshotKeeper {
   private static final long FIRST_RETRY_NANOS = 1_000_000_000;
   private static final long MAX_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
   private static final long MIN_RETRY_NANOS = 250_000_000;
 
-  /** Where snapshots are written to, and how often at most. */
+  /** The snapshot file, the disk it is on, and the minimum time between two writes. */
   record Target(Path file, FileOperations files, long intervalNanos) {}
 
   private final Target target;
@@ -37,10 +37,10 @@
   private int failureCount;
 
   /**
-   * A keeper that has written nothing yet.
+   * Creates a keeper; its first write begins in {@link #tick}.
    *
    * @param worker runs a write off the event loop
-   * @param seed that of the backoff's jitter
+   * @param seed seed of the backoff's jitter
    */
   SnapshotKeeper(
       Target target,
@@ -58,8 +58,8 @@
   /**
    * Begins a write if one is due.
    *
-   * @param latest the view as it stands; empty where it is not to be kept now: then only what is
-   *     pending is written
+   * @param latest returns the current view; empty if the view must not be saved now, in which case
+   *     only a pending snapshot is written
    */
   void tick(Supplier<Optional<Snapshot>> latest) {
     long nowNanos = clockNanos.getAsLong();
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -12,8 +12,8 @@
 import org.amberpath.registry.Snapshot;
 
 /**
- * Restores a view from the snapshot file at the start. The file is read off the event loop; a disk
- * that does not answer in {@value #TIMEOUT_MILLIS} ms leaves the start without a snapshot.
+ * Restores a view from the snapshot file at the start. The file is read off the event loop. If the
+ * disk takes longer than {@value #TIMEOUT_MILLIS} ms, the gateway starts without the snapshot.
  */
 final class SnapshotRestore {
   private static final long TIMEOUT_MILLIS = 1000;
@@ -32,7 +32,10 @@
     this.log = log;
   }
 
-  /** Restores what the file holds, if it may be served; ends, never fails, with a log line. */
+  /**
+   * Restores the view from the file if it is valid and recent enough. The future never fails: a
+   * snapshot that can't be used is logged and ignored.
+   */
   Future<Void> restoreInto(RegistryView view) {
     return vertx
         .executeBlocking(this::read, false)
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -6,10 +6,10 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Passes endpoints and purges on, and turns times of a clock that only goes forward into Unix times
- * by the wall clock as it stands in that moment, as {@link EndpointListener} has them. So a wall
- * clock that has stepped since the start makes nothing older or younger. A purge is passed on as no
- * older than it is by either clock.
+ * Forwards endpoints and purges, and converts their times from a monotonic clock to Unix times by
+ * the current offset of the wall clock, as {@link EndpointListener} requires. A step of the wall
+ * clock since the start therefore changes no age. A purge is forwarded with the later of its times
+ * by the two clocks, so that it counts as no older than it is by either clock.
  */
 final class WallTimes implements EndpointListener {
   private static final long MS = 1_000_000;
@@ -24,7 +24,7 @@
     this.wallMillis = wallMillis;
   }
 
-  /** A time of the clock that only goes forward as a Unix time, both in nanoseconds. */
+  /** Converts a time of the monotonic clock to a Unix time, both in nanoseconds. */
   long unix(long nanos) {
     return nanos + aheadMillis() * MS;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
@@ -11,8 +11,8 @@
 import org.amberpath.registry.WatchSession;
 
 /**
- * Executes the commands of a {@link WatchSession} as HTTP requests and hands it what was received.
- * On the event loop.
+ * Executes the commands of a {@link WatchSession} as HTTP requests and passes the responses to the
+ * session. Used on the event loop.
  */
 final class WatchCommandExecutor implements WatchCommands {
   private final RegistryHttpClient client;
@@ -24,9 +24,10 @@
   private WatchSession session;
 
   /**
-   * An executor that has no session yet.
+   * Creates an executor; {@link #attach} must be called before the first command.
    *
-   * @param afterEvent runs after the session was handed something: it may want to tick earlier
+   * @param afterEvent runs after each event passed to the session, which may then need an earlier
+   *     tick
    */
   WatchCommandExecutor(
       RegistryHttpClient client, LongSupplier clockNanos, RegistryLog log, Runnable afterEvent) {
@@ -37,18 +38,18 @@
     this.afterEvent = afterEvent;
   }
 
-  /** Sets the session whose commands these are, before it gives the first one. */
+  /** Sets the session that receives the responses. */
   void attach(WatchSession commanding) {
     session = commanding;
   }
 
-  /** Cancels all requests. */
+  /** Cancels all open requests. */
   void close() {
     exchanges.values().forEach(RegistryHttpExchange::cancel);
     exchanges.clear();
   }
 
-  /** Decodes the response to one call and hands it to the session. */
+  /** Decodes the response to one call and passes it to the session. */
   private abstract class CallHandler implements RegistryHttpClient.ResponseHandler {
     final long call;
 
@@ -56,7 +57,7 @@
       this.call = call;
     }
 
-    /** Decodes a complete response. */
+    /** Decodes a complete response and passes it to the session. */
     abstract void decode(int status, MultiMap headers, byte[] body);
 
     @Override
@@ -72,7 +73,7 @@
           });
     }
 
-    /** What can't be decoded ends this call alone. */
+    /** Runs a decoder; a response that it can't decode fails this call alone. */
     void handle(Runnable decoding) {
       try {
         decoding.run();
@@ -92,7 +93,7 @@
     }
   }
 
-  /** Pages of a list. */
+  /** Handles the pages of a list. */
   private class PageHandler extends CallHandler {
     PageHandler(long call) {
       super(call);
@@ -111,7 +112,7 @@
     }
   }
 
-  /** A stream of frames, or the one page of a read that was held back. */
+  /** Handles a watch: a stream of frames, or the single page of a blocking read. */
   private final class WatchHandler extends PageHandler {
     WatchHandler(long call) {
       super(call);
