--- a/registry/src/test/java/org/amberpath/registry/PublishedLists.java
+++ b/registry/src/test/java/org/amberpath/registry/PublishedLists.java
@@ -7,8 +7,9 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Writes down what a view publishes: a list in brackets, a full one after an equals sign, with each
- * endpoint's id and a sign for its state; purges with their time since a start.
+ * Records what a view publishes as text: a list in brackets, a full one after an equals sign, with
+ * each endpoint's id and a sign for its state (+ up, ~ draining, - removed); and purges with their
+ * time in milliseconds since a start.
  */
 final class PublishedLists implements EndpointListener {
   private final List<String> published;
--- a/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -12,16 +12,15 @@
 
 /**
  * Hashes the outputs of a seeded world in their order, with all arguments, and counts them. The
- * words in which they are hashed are a stored form: they stay when identifiers or log lines are
- * renamed.
+ * hashed texts are a stored form: they stay when identifiers or log lines are renamed.
  */
 final class RecordedOutputs implements EndpointListener {
-  /** How often each thing came; a reader sees by it what a world reaches. */
+  /** Number of outputs and events by name, which shows what a world covers. */
   final Map<String, Integer> counts = new TreeMap<>();
 
   private final MessageDigest digest = sha256();
 
-  /** The digest of all outputs, as hexadecimal digits. */
+  /** Returns the digest of all outputs as hexadecimal digits. */
   String digest() {
     return HexFormat.of().formatHex(digest.digest());
   }
@@ -36,7 +35,7 @@
   }
 
   void note(String line) {
-    // The log's word for a heartbeat is another one than at the time of the recording.
+    // The recorded form names heartbeats PULSE.
     String recorded = line.replace(": HEARTBEAT ", ": PULSE ");
     count("note " + recorded.replaceAll("[0-9]+", "N"));
     record("note", recorded);
--- a/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Holds every command of the watch session where it was: five minutes of random answers, failures
- * and restarts a seed give the outputs recorded here, one digest a seed, to the last argument and
- * in the same order. A change that is meant to keep behaviour must not alter a digest; a change of
- * behaviour records new ones and says why.
+ * Compares each command and output of the watch session, with all arguments and in order, with
+ * recorded ones: five minutes of random responses, failures and restarts per seed, one digest per
+ * seed. A change that is meant to keep behaviour must not alter a digest; a change of behaviour
+ * records new ones and says why.
  */
 class RecordedWatchSessionTest {
   private static final Map<String, SeededRegistryWorld> PLAYED = new TreeMap<>();
@@ -32,7 +32,7 @@
         });
   }
 
-  /** How often each thing came, over the first seed of each setting. */
+  /** Sums the counts of the first seed of each setting. */
   private static Map<String, Integer> counts() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
@@ -71,7 +71,9 @@
         () -> "counted: " + PLAYED.get(setting + " " + seed).outputs.counts);
   }
 
-  /** A digest of events that reach little would hold little: what the worlds must reach. */
+  /**
+   * A digest covers only what its world reaches: these are the cases that the worlds must reach.
+   */
   @Test
   void recordedEventsReachEveryCommandOutputAndPhase() {
     Map<String, Integer> counts = counts();
--- a/registry/src/test/java/org/amberpath/registry/RegistryFixtures.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryFixtures.java
@@ -2,14 +2,14 @@
 
 import org.amberpath.routing.EndpointState;
 
-/** Entries and events that tests of this package share. */
+/** Entries and events that the tests of this package share. */
 final class RegistryFixtures {
   static final String PREFIX = "p/";
   static final String TIP_KEY = PREFIX + "tip";
 
   private RegistryFixtures() {}
 
-  /** An endpoint under its id. */
+  /** Creates the entry of an endpoint. */
   static RegistryEntry endpoint(
       String id, EndpointState state, long createRevision, long modRevision) {
     return new RegistryEntry(
@@ -19,12 +19,12 @@
         modRevision);
   }
 
-  /** The tip, as it was last written. */
+  /** Creates the tip's entry. */
   static RegistryEntry tip(long modRevision) {
     return new RegistryEntry(TIP_KEY, new RegistryRecord.Other(), 2, modRevision);
   }
 
-  /** The event of a watch that brings an entry. */
+  /** Creates the watch event that delivers an entry. */
   static WatchEvent put(RegistryEntry entry) {
     return new WatchEvent(entry.modRevision(), entry.key(), entry);
   }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -11,7 +11,7 @@
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What a view publishes of what a registry holds, and what it must not publish. */
+/** Tests what a view publishes after lists, watch events, snapshots and restores. */
 class RegistryViewTest {
   private static final long MS = 1_000_000;
   private static final long NOW = 1_000_000_000_000L * MS;
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -7,8 +7,8 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The endpoints of a {@link SeededRegistryWorld}: each answers, fails or keeps silent by its
- * behaviour, which changes at random. Commands are recorded as they are given.
+ * The endpoints of a {@link SeededRegistryWorld}. Each one responds, fails or stays silent by its
+ * behaviour, which changes at random. Commands are recorded when they are issued.
  */
 final class SeededRegistryEndpoints implements WatchCommands {
   private enum Behaviour {
@@ -22,7 +22,7 @@
     FLOODING
   }
 
-  /** A call as the registry has it. */
+  /** An open call, on the registry's side. */
   private static final class OpenCall {
     private final long id;
     private final int endpoint;
@@ -55,12 +55,12 @@
     Arrays.fill(failures, RegistryFailure.REFUSED);
   }
 
-  /** The gateway restarts: its calls are gone. */
+  /** Drops all calls when the gateway restarts. */
   void forgetCalls() {
     calls.clear();
   }
 
-  /** Something was written: watches bring it. */
+  /** Schedules the delivery of a write to the watches and blocking reads. */
   void written() {
     for (OpenCall call : calls.values()) {
       if (call.historyIndex >= 0) {
@@ -139,7 +139,10 @@
     return new Header(cluster, revision);
   }
 
-  /** Whether the endpoint fails the call or says nothing to it. */
+  /**
+   * Fails the call if the endpoint's behaviour says so. Returns whether the call was failed or
+   * stays unanswered.
+   */
   private boolean fails(OpenCall call) {
     if (behaviours[call.endpoint] == Behaviour.SILENT) {
       return true;
@@ -233,7 +236,7 @@
     return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : since;
   }
 
-  /** A list without end. */
+  /** Returns a page of an endless list. */
   private void flood(OpenCall call, String after) {
     int first = after.startsWith("p/x") ? Integer.parseInt(after.substring(3)) + 1 : 0;
     List<RegistryEntry> page = new ArrayList<>();
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
@@ -8,8 +8,8 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * The keys of one key-value registry with revisions, history, compaction, backup and restore, as
- * {@link SeededRegistryWorld} plays it. All randomness comes from the generator of that world.
+ * A key-value store with revisions, history, compaction, backup and restore, which {@link
+ * SeededRegistryWorld} simulates. All randomness comes from that world's generator.
  */
 final class SeededRegistryStore {
   static final String PREFIX = "p/";
@@ -53,17 +53,17 @@
     return entries.size();
   }
 
-  /** The keys last written at a revision or later, in their order. */
+  /** The entries last written at a revision or later, ordered by key. */
   List<RegistryEntry> writtenSince(long since) {
     return entries.values().stream().filter(entry -> entry.modRevision() >= since).toList();
   }
 
-  /** All events of watches since the first revision, in order. */
+  /** All watch events since the first revision, in order. */
   List<WatchEvent> history() {
     return history;
   }
 
-  /** The place in the history of the first event at a revision or later. */
+  /** Index in the history of the first event at a revision or later. */
   int historyIndex(long from) {
     int index = history.size();
     while (index > 0 && history.get(index - 1).revision() >= from) {
@@ -72,7 +72,9 @@
     return index;
   }
 
-  /** One transaction of one to three keys, mostly with the tip. */
+  /**
+   * Commits a transaction of one to three keys, which in eleven of twelve cases writes the tip too.
+   */
   void write(long nowMillis) {
     revision++;
     int writes = random.nextInt(8) == 0 ? 2 + random.nextInt(2) : 1;
@@ -123,7 +125,7 @@
     }
   }
 
-  /** Forgets the history up to some revision before the present one. */
+  /** Compacts the history up to a random recent revision. */
   void compact() {
     compactedRevision = Math.max(compactedRevision, revision - random.nextLong(4));
   }
@@ -133,7 +135,7 @@
     backupRevision = revision;
   }
 
-  /** Goes back to the backup: revisions after it are given anew. */
+  /** Restores the backup: later revisions will be assigned again. */
   void restore() {
     entries = new TreeMap<>(backup);
     revision = backupRevision;
@@ -141,13 +143,13 @@
     history.subList(historyIndex(revision + 1), history.size()).clear();
   }
 
-  /** Goes back to the backup, under another cluster's id. */
+  /** Restores the backup under a new cluster id. */
   void replaceCluster() {
     clusterNumber++;
     restore();
   }
 
-  /** What another registry holds. */
+  /** The entries of an unrelated registry. */
   List<RegistryEntry> foreignEntries() {
     Map<String, RegistryEntry> foreign = new TreeMap<>();
     RegistryRecord cache = cache(1000, startMillis);
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -7,22 +7,22 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * One watch session among seeded random endpoints, failures, writes, compactions, restored
- * registries and restarts, without I/O or clock. Every command, every log line and everything that
- * is published is recorded by {@link RecordedOutputs}, and the session's state after each step.
+ * Runs a watch session against seeded random endpoints, failures, writes, compactions, restored
+ * registries and restarts, without I/O or a real clock. {@link RecordedOutputs} records each
+ * command, each log line, everything that is published, and the session's state after each step.
  */
 final class SeededRegistryWorld {
-  /** How many endpoints there are, how watches come, and how often the gateway restarts. */
+  /** Number of endpoints, kind of watches, limits, and how often the gateway restarts. */
   enum Setting {
-    /** One endpoint, few keys allowed. */
+    /** One endpoint, at most 25 keys. */
     SINGLE(1, 25, 30_000),
     /** Three endpoints, streaming watches. */
     THREE(3, 120, 30_000),
-    /** Nine endpoints, purges that are kept for a short time. */
+    /** Nine endpoints, purges that are retained for two seconds only. */
     NINE(9, 120, 2_000),
     /** Three endpoints without cluster ids, whose watches are blocking reads. */
     BLOCKING(3, 120, 30_000),
-    /** Three endpoints, a restart each few seconds, mostly from a snapshot. */
+    /** Three endpoints, a restart every few seconds, mostly from a snapshot. */
     RESTARTS(3, 120, 30_000);
 
     final int endpoints;
@@ -43,7 +43,7 @@
   private static final long DURATION = 300_000 * MS;
   static final long BLOCKING_TIME = 3_000 * MS;
 
-  /** What came of it. */
+  /** The recorded outputs. */
   final RecordedOutputs outputs = new RecordedOutputs();
 
   final Setting setting;
@@ -65,7 +65,7 @@
     endpoints = new SeededRegistryEndpoints(this, outputs);
   }
 
-  /** Plays the whole time; the digest of all outputs, as hexadecimal digits. */
+  /** Runs the simulation to its end and returns the digest of all outputs as hexadecimal digits. */
   String play() {
     for (int write = 0; write < 30; write++) {
       store.write(START / MS);
@@ -87,7 +87,7 @@
       now = Math.max(now, next.at);
       next.event.run();
     } else {
-      // A timer fires late, now and then by much.
+      // A timer fires up to a millisecond late, and occasionally up to 2.5 seconds late.
       now = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
       session.tick(now);
     }
@@ -97,7 +97,7 @@
     planned.add(new Planned(now + delay, ++order, event));
   }
 
-  // ---- What changes.
+  // ---- Random changes.
 
   private void changeSomething() {
     plan(MS + random.nextLong(80 * MS), this::changeSomething);
@@ -161,7 +161,7 @@
     endpoints.written();
   }
 
-  /** An answer to a call that is over, or of a kind that it was not made for. */
+  /** Passes in a response to a call that has ended or is of another kind. */
   private void strayAnswer() {
     long id = Math.max(1, order % 200);
     Header header = new Header(store.cluster(), store.revision());
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Stamps of wall clocks that have stepped, by seconds or an hour: purges stay young, starts late,
- * snapshots usable.
+ * Timestamps of wall clocks that have stepped by seconds or an hour must not make a purge older, a
+ * cache's start earlier, or a snapshot unusable.
  */
 class WallClockTest {
   private static final long MS = 1_000_000;
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -14,12 +14,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is requested from which endpoint when the registry fails, a test for each failure. */
+/**
+ * Tests which requests a session sends to which endpoint when the registry fails, one test per
+ * failure.
+ */
 class WatchSessionTest {
   private static final long MS = 1_000_000;
   private static final long START = 1_000_000_000_000L * MS;
 
-  /** A command that was given; from is a watch's revision or a list's since. */
+  /** A recorded command; {@code from} is a watch's start revision or a list's lower bound. */
   private record Command(String what, long call, int endpoint, long from) {}
 
   private final List<String> published = new ArrayList<>();
@@ -68,13 +71,16 @@
     return found;
   }
 
-  /** The last of these commands. */
+  /** Removes the recorded commands of this kind and returns the last one. */
   private Command last(String what) {
     List<Command> all = take(what);
     return all.get(all.size() - 1);
   }
 
-  /** Lets time pass; heartbeats are answered as the registry would, where the predicate allows. */
+  /**
+   * Advances time by the given milliseconds, and answers the heartbeats that the predicate accepts
+   * with the given revisions.
+   */
   private void pass(long ms, Predicate<Command> answers, long revision, long tip) {
     long end = now + ms * MS;
     while (now < end) {
@@ -93,7 +99,7 @@
         now, list.call, new Header("c", revision), List.of(all), false, all.length);
   }
 
-  /** Three endpoints, a list of one cache, two watches. */
+  /** Starts a session with three endpoints, one listed cache and two open watches. */
   private List<Command> watching() {
     return watching(3);
   }
@@ -111,10 +117,10 @@
     return watches;
   }
 
-  @SuppressWarnings("UnnecessaryLambda") // Named, so that a call says what it lets pass.
+  @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
   private static final Predicate<Command> ALL = command -> true;
 
-  @SuppressWarnings("UnnecessaryLambda") // Likewise.
+  @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
   private static final Predicate<Command> NONE = command -> false;
 
   @Test
@@ -196,9 +202,9 @@
       int only = alive;
       scenario.pass(1000, ALL, 10, 9);
       long committed = scenario.now + MS;
-      // From here on all but one endpoint of five are silent, and their watches stay open.
-      // A heartbeat's period, that of all failovers, and the time that a watch has; answers take
-      // no time here.
+      // From here on all but one of five endpoints are silent, and their watches stay open. The
+      // limit of 240 ms is the sum of a heartbeat period, the failovers through all endpoints, and
+      // the time that a watch has to deliver a change; responses take no time here.
       while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
         scenario.pass(1, one -> one.endpoint == only, 11, 11);
         for (Command list : scenario.take("list")) {
--- a/registry/src/test/java/org/amberpath/registry/runtime/ConsulProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/ConsulProtocolTest.java
@@ -15,7 +15,7 @@
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Consul's key-value store: what is sent, and what is taken or refused. */
+/** Tests the encoding of Consul requests, and which responses are decoded or rejected. */
 class ConsulProtocolTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
   private static final RegistryRecord.Cache ENDPOINT =
--- a/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** etcd's JSON form: what is sent, and what is taken or refused. */
+/** Tests the encoding of etcd requests, and which responses are decoded or rejected. */
 class EtcdProtocolTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
   private static final RegistryRecord.Cache ENDPOINT =
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A disk that answers nothing, as a pipe does that nobody writes to: the start goes on without the
- * snapshot.
+ * Guards against a start that waits for a hung disk. A named pipe that nobody writes to stands for
+ * the snapshot file: the source must contact the registry without it.
  */
 class HungDiskTest {
   private static final long SECOND = 1_000_000_000;
   private static final int PATIENCE_MILLIS = 30_000;
 
-  /** Takes no news. */
+  /** Ignores all notifications. */
   private static final class Nobody implements EndpointListener {
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
@@ -74,7 +74,7 @@
       try (Socket asked = endpoint.accept()) {
         assertTrue(asked.isConnected());
       } finally {
-        Files.newOutputStream(pipe).close(); // Ends the read that still waits.
+        Files.newOutputStream(pipe).close(); // Ends the pending read.
         loop.runOnContext(now -> source.close());
       }
     } finally {
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -12,10 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Keys and values of version 1, as released code wrote them, stay readable and are written alike.
+ * Guards the stored format: records of version 1 that released code wrote must be decoded, and must
+ * be encoded to the same bytes.
  */
 class RecordCodecGoldenTest {
-  /** A key and its value to a line; written by the code of 7587aa7, never by this one. */
+  /** One key and its value per line, written by the code of commit 7587aa7; never regenerated. */
   private static final String GOLDEN = "/registry-records-1";
 
   private static final Map<String, RegistryRecord> SAID = said();
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Values of keys: what is taken, and what is unreadable without harm. */
+/**
+ * Tests which values are decoded, and that invalid ones become unreadable records without an
+ * exception.
+ */
 class RecordCodecTest {
   private static final RegistryRecord.Cache ENDPOINT =
       new RegistryRecord.Cache(
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Secrets from files: what is taken, and that no message holds any of it. */
+/** Tests which secret files are accepted, and that no message contains a secret. */
 class RegistryCredentialsTest {
   private static final int MAX_BYTES = 16_384;
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What an operator reads when a request has failed. */
+/** The messages that an operator reads when a request has failed. */
 class RegistryRequestExceptionTest {
 
   @ParameterizedTest
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A disk that fails, or a kill in the middle of a write: the last good snapshot stays, nothing torn
- * is read.
+ * Guards against the loss of the last good snapshot, and against reading an incomplete one, when
+ * the disk fails or the process is killed during a write.
  */
 class SnapshotFailureTest {
   private static final long SECOND = 1_000_000_000;
@@ -44,8 +44,8 @@
   private long now = SECOND;
 
   /**
-   * Fails at one kind of call, after half of the bytes were written; a killed one can't even tidy
-   * up.
+   * A disk that fails at one operation, after half of the bytes were written. With {@code killed}
+   * set, temporary files are not deleted either, as after a kill of the process.
    */
   private static final class FailingDisk implements FileOperations {
     final List<String> calls = new ArrayList<>();
@@ -177,7 +177,8 @@
 
     disk.failing = "";
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
-      keeper.tick(Optional::empty); // Cut off meanwhile: what is pending is still owed.
+      // No current view is available, but the pending snapshot must still be written.
+      keeper.tick(Optional::empty);
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
@@ -208,8 +209,8 @@
     disk.killed = true;
     assertThrows(SnapshotException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
     String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
-    Files.move(
-        folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
+    // The name that another process would use.
+    Files.move(folder.resolve(left), folder.resolve("view.new-1f"));
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
     assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
@@ -259,7 +260,10 @@
     }
   }
 
-  /** The resource was written by the text of 2026-12-02, before the writer was changed. */
+  /**
+   * Guards the stored format of version 1. The resource was written on 2026-12-02, by the encoder
+   * before its rewrite.
+   */
   @Test
   void storedFormOfVersionOneIsReadAndWrittenByteForByte() throws Exception {
     Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The file of a snapshot: what is read, and why one is refused. */
+/** Tests that snapshots are read back, and for which reasons a file is rejected. */
 class SnapshotFileTest {
   private static final RegistryRecord.Cache ENDPOINT =
       new RegistryRecord.Cache(
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A wall clock that steps while a gateway runs, or before somebody writes: by seconds or an hour,
- * both ways.
+ * Guards against wrong ages when a wall clock steps by seconds or an hour, in either direction,
+ * while a gateway runs or before a writer stamps a record.
  */
 class WallTimesTest {
   private static final long MS = 1_000_000;
@@ -28,7 +28,7 @@
   private long forward = START * MS;
   private final List<Long> ages = new ArrayList<>();
 
-  /** Ages by the wall clock as it stands, as the gateway has them. */
+  /** Records ages by the current wall clock, as the gateway computes them. */
   private final WallTimes times =
       new WallTimes(
           new EndpointListener() {
