--- a/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
+++ b/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
@@ -15,7 +15,7 @@
   private final WatchStream watches;
   private final OpenCalls calls;
   private final Consumer<String> log;
-  private long heardAtNanos;
+  private long lastAnswerAtNanos;
 
   AnswerValidator(
       RevisionAuditor auditor,
@@ -33,19 +33,19 @@
   }
 
   void start(long nowNanos) {
-    heardAtNanos = nowNanos;
+    lastAnswerAtNanos = nowNanos;
     auditor.start(nowNanos);
   }
 
   /** When any endpoint last returned a response that is not a failure. */
-  long heardAtNanos() {
-    return heardAtNanos;
+  long lastAnswerAtNanos() {
+    return lastAnswerAtNanos;
   }
 
   /** Records a response that is not a failure. */
-  void heard(long nowNanos, RegistryEndpoint endpoint) {
-    heardAtNanos = nowNanos;
-    endpoint.heard(nowNanos);
+  void recordAnswer(long nowNanos, RegistryEndpoint endpoint) {
+    lastAnswerAtNanos = nowNanos;
+    endpoint.recordAnswer(nowNanos);
   }
 
   /**
@@ -53,8 +53,8 @@
    * cluster that the view holds. A response from another cluster either starts a new history or, if
    * only this endpoint belongs to that cluster, makes the endpoint back off.
    */
-  boolean isOfOwnCluster(long nowNanos, RegistryCall call, Header header) {
-    heard(nowNanos, call.endpoint);
+  boolean isFromOwnCluster(long nowNanos, RegistryCall call, Header header) {
+    recordAnswer(nowNanos, call.endpoint);
     switch (auditor.auditCluster(nowNanos, call.endpoint, header)) {
       case SAME -> {
         return true;
@@ -77,7 +77,7 @@
    * @param revision the newest revision; 0 if the response has none
    * @param tipRevision the tip's revision; negative if the response has none
    */
-  boolean continues(long nowNanos, RegistryCall call, long revision, long tipRevision) {
+  boolean continuesHistory(long nowNanos, RegistryCall call, long revision, long tipRevision) {
     switch (auditor.auditRevision(nowNanos, call, revision, tipRevision)) {
       case CONTINUES -> {
         return true;
@@ -93,9 +93,9 @@
     return false;
   }
 
-  private void startNewHistory(String why) {
+  private void startNewHistory(String reason) {
     if (!resync.isNewHistory()) {
-      log.accept(why + ": all is read anew");
+      log.accept(reason + ": all is read anew");
     }
     resync.require(WatchResync.Scope.NEW_HISTORY);
     heartbeats.forgetTip();
--- a/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
+++ b/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
@@ -8,7 +8,7 @@
  */
 final class CallFailureHandler {
   /** Minimum delay before a retry after a failure that needs an operator. */
-  private static final long OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
+  private static final long MIN_OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
 
   private final OpenCalls calls;
   private final HeartbeatMonitor heartbeats;
@@ -24,9 +24,9 @@
   }
 
   /** Cancels a call and counts it as a failure of its endpoint. */
-  void giveUp(long nowNanos, RegistryCall call, RegistryFailure why) {
+  void cancelAndFail(long nowNanos, RegistryCall call, RegistryFailure failure) {
     calls.cancel(call);
-    failed(nowNanos, call, why, 0);
+    handleFailure(nowNanos, call, failure, 0);
   }
 
   /**
@@ -34,33 +34,34 @@
    *
    * @param retryAfterNanos the delay that the server asked for; 0 for none
    */
-  void failed(long nowNanos, RegistryCall call, RegistryFailure why, long retryAfterNanos) {
+  void handleFailure(
+      long nowNanos, RegistryCall call, RegistryFailure failure, long retryAfterNanos) {
     calls.close(call);
     RegistryEndpoint endpoint = call.endpoint;
     boolean isWatch = call instanceof WatchCall;
     if (isWatch) {
       endpoint.watchBackoff.recordFailure(nowNanos, retryAfterNanos);
     }
-    boolean isEndOfWatch = isWatch && why == RegistryFailure.BROKEN;
-    if (why != RegistryFailure.LAGGING && !isEndOfWatch) {
-      long operatorNanos = why.needsOperator() ? OPERATOR_BACKOFF_NANOS : 0;
-      endpoint.requestBackoff.recordFailure(nowNanos, Math.max(retryAfterNanos, operatorNanos));
+    boolean isEndOfWatch = isWatch && failure == RegistryFailure.BROKEN;
+    if (failure != RegistryFailure.LAGGING && !isEndOfWatch) {
+      long minDelayNanos = failure.needsOperator() ? MIN_OPERATOR_BACKOFF_NANOS : 0;
+      endpoint.requestBackoff.recordFailure(nowNanos, Math.max(retryAfterNanos, minDelayNanos));
     }
-    if (call instanceof ListCall && why == RegistryFailure.TIMED_OUT) {
-      listing.timedOut();
+    if (call instanceof ListCall && failure == RegistryFailure.TIMED_OUT) {
+      listing.recordTimeout();
     }
     if (call instanceof HeartbeatCall heartbeat) {
-      heartbeats.failed(heartbeat, why);
+      heartbeats.recordFailure(heartbeat, failure);
     }
-    if (isWorthALogLine(endpoint, why)) {
-      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " " + why);
+    if (needsLogLine(endpoint, failure)) {
+      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " " + failure);
     }
-    endpoint.needsOperator = why.needsOperator();
+    endpoint.needsOperator = failure.needsOperator();
   }
 
-  private static boolean isWorthALogLine(RegistryEndpoint endpoint, RegistryFailure why) {
-    return (why.needsOperator() && !endpoint.needsOperator)
-        || why == RegistryFailure.UNREADABLE
-        || why == RegistryFailure.LAGGING;
+  private static boolean needsLogLine(RegistryEndpoint endpoint, RegistryFailure failure) {
+    return (failure.needsOperator() && !endpoint.needsOperator)
+        || failure == RegistryFailure.UNREADABLE
+        || failure == RegistryFailure.LAGGING;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
@@ -63,23 +63,23 @@
    * Publishes the difference in one list. An endpoint whose key was deleted and created again is
    * first published as removed, in a list of its own.
    *
-   * @param touched the keys to compare, in the order in which they are published
+   * @param changedKeys the keys to compare, in the order in which they are published
    */
   void publishChanges(
       Map<String, RegistryEntry> before,
       Map<String, RegistryEntry> after,
-      Collection<String> touched,
+      Collection<String> changedKeys,
       long nowNanos) {
     List<RegistryRecord.Cache> replaced = new ArrayList<>();
-    List<RegistryRecord.Cache> gone = new ArrayList<>();
+    List<RegistryRecord.Cache> removed = new ArrayList<>();
     List<RegistryRecord.Cache> present = new ArrayList<>();
-    for (String key : touched) {
+    for (String key : changedKeys) {
       RegistryEntry oldEntry = before.get(key);
       RegistryEntry newEntry = after.get(key);
       RegistryRecord.Cache oldEndpoint = endpointOf(oldEntry);
       RegistryRecord.Cache newEndpoint = endpointOf(newEntry);
       if (oldEndpoint != null && newEndpoint == null) {
-        gone.add(oldEndpoint);
+        removed.add(oldEndpoint);
       } else if (newEndpoint != null
           && oldEndpoint != null
           && oldEntry.createRevision() != newEntry.createRevision()) {
@@ -90,8 +90,8 @@
       }
     }
     publishList(replaced, List.of(), nowNanos);
-    publishList(gone, present, nowNanos);
-    for (String key : touched) {
+    publishList(removed, present, nowNanos);
+    for (String key : changedKeys) {
       publishPurge(before.get(key), after.get(key), nowNanos);
     }
   }
@@ -103,12 +103,12 @@
   }
 
   private void publishList(
-      List<RegistryRecord.Cache> gone, List<RegistryRecord.Cache> present, long nowNanos) {
-    if (gone.isEmpty() && present.isEmpty()) {
+      List<RegistryRecord.Cache> removed, List<RegistryRecord.Cache> present, long nowNanos) {
+    if (removed.isEmpty() && present.isEmpty()) {
       return;
     }
     listener.endpointListStarted(EndpointListKind.CHANGES);
-    gone.forEach(this::publishGone);
+    removed.forEach(this::publishRemoved);
     // An endpoint that appeared while this view was kept has started since then, whatever its
     // writer's clock showed: within the largest step of that clock.
     present.forEach(
@@ -124,7 +124,7 @@
     publish(endpoint, endpoint.state(), startedAtMillis);
   }
 
-  private void publishGone(RegistryRecord.Cache endpoint) {
+  private void publishRemoved(RegistryRecord.Cache endpoint) {
     startTimes.remove(endpoint.id());
     publish(endpoint, EndpointState.GONE, 0);
   }
--- a/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointStartTimes.java
@@ -14,27 +14,29 @@
   /** The largest step of a wall clock that is allowed for. */
   static final long MAX_CLOCK_STEP_MILLIS = 3_600_000;
 
-  private record Start(long stampMillis, long startedAtMillis) {}
+  private record Start(long timestampMillis, long startedAtMillis) {}
 
   private final Map<String, Start> starts = new HashMap<>();
 
   /**
    * Returns the start time to publish; 0 if the endpoint started long ago.
    *
-   * @param stampMillis the timestamp in the registry; 0 for long ago
+   * @param timestampMillis the timestamp in the registry; 0 for long ago
    * @param maxErrorMillis how far the writer's clock may be behind this one
    */
-  long startedAt(String id, long stampMillis, long nowMillis, long maxErrorMillis) {
-    if (stampMillis == 0) {
+  long startedAt(String id, long timestampMillis, long nowMillis, long maxErrorMillis) {
+    if (timestampMillis == 0) {
       starts.remove(id);
       return 0;
     }
     Start start = starts.get(id);
-    if (start == null || start.stampMillis != stampMillis) {
+    if (start == null || start.timestampMillis != timestampMillis) {
       // No endpoint of the view has started in the future.
       long latestMillis =
-          stampMillis > nowMillis - maxErrorMillis ? nowMillis : stampMillis + maxErrorMillis;
-      start = new Start(stampMillis, latestMillis);
+          timestampMillis > nowMillis - maxErrorMillis
+              ? nowMillis
+              : timestampMillis + maxErrorMillis;
+      start = new Start(timestampMillis, latestMillis);
       starts.put(id, start);
     }
     return start.startedAtMillis;
--- a/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
+++ b/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
@@ -30,16 +30,16 @@
   private final OpenCalls calls;
   private final WatchCommands commands;
   private final SplittableRandom random;
-  private long nextAtNanos;
+  private long nextPeriodAtNanos;
   private long lastSentAtNanos;
   private long answeredAtNanos;
-  private int periods;
+  private int periodCount;
 
   /** Heartbeats of this period that failed other than by a timeout. */
-  private int refusals;
+  private int failuresInPeriod;
 
   /** How many of those another heartbeat has already followed. */
-  private int replacedRefusals;
+  private int replacedFailures;
 
   private long newestTipRevision;
   private long newestTipAtNanos;
@@ -57,25 +57,25 @@
 
   void start(long nowNanos) {
     answeredAtNanos = nowNanos;
-    nextAtNanos = nowNanos + random.nextLong(PERIOD_NANOS);
+    nextPeriodAtNanos = nowNanos + random.nextLong(PERIOD_NANOS);
   }
 
   /** Makes the next heartbeat due at the given time; the session's next tick sends it. */
   void sendAtOnce(long nowNanos) {
-    nextAtNanos = nowNanos;
+    nextPeriodAtNanos = nowNanos;
   }
 
   /**
    * Returns when {@link #sendDue} is next due: at the end of the period or, while a heartbeat is
    * unanswered, at the earlier failover time.
    *
-   * @param tickedAtNanos when {@link #sendDue} last ran
+   * @param lastTickNanos when {@link #sendDue} last ran
    */
-  long due(long tickedAtNanos) {
+  long nextDueNanos(long lastTickNanos) {
     long failoverAtNanos = lastSentAtNanos + endpoints.failoverNanos();
-    return isUnanswered() && failoverAtNanos > tickedAtNanos
-        ? Math.min(nextAtNanos, failoverAtNanos)
-        : nextAtNanos;
+    return isUnanswered() && failoverAtNanos > lastTickNanos
+        ? Math.min(nextPeriodAtNanos, failoverAtNanos)
+        : nextPeriodAtNanos;
   }
 
   private boolean isUnanswered() {
@@ -87,35 +87,37 @@
    * a second one, to another endpoint, while no watch is open or any heartbeat is overdue.
    */
   void sendDue(long nowNanos) {
-    boolean isDue = nowNanos >= nextAtNanos;
+    boolean isPeriodOver = nowNanos >= nextPeriodAtNanos;
     boolean failsOver = isUnanswered() && nowNanos >= lastSentAtNanos + endpoints.failoverNanos();
     // Guards against a drain that is noticed late: after a failed heartbeat, another endpoint is
     // asked at once and not only in the next period.
-    boolean replaces = refusals > replacedRefusals && refusals < endpoints.count();
-    if (isDue) {
-      refusals = 0;
-      replacedRefusals = 0;
-      nextAtNanos = nowNanos + (endpoints.openWatchCount() == 0 ? PERIOD_NANOS / 2 : PERIOD_NANOS);
+    boolean replacesFailed =
+        failuresInPeriod > replacedFailures && failuresInPeriod < endpoints.count();
+    if (isPeriodOver) {
+      failuresInPeriod = 0;
+      replacedFailures = 0;
+      nextPeriodAtNanos =
+          nowNanos + (endpoints.openWatchCount() == 0 ? PERIOD_NANOS / 2 : PERIOD_NANOS);
     }
-    if (!isDue && !failsOver && !replaces) {
+    if (!isPeriodOver && !failsOver && !replacesFailed) {
       return;
     }
-    List<RegistryEndpoint> ready = endpoints.ready(nowNanos);
-    ready.removeIf(endpoint -> endpoint.heartbeat != null);
-    if (ready.isEmpty()) {
+    List<RegistryEndpoint> candidates = endpoints.available(nowNanos);
+    candidates.removeIf(endpoint -> endpoint.heartbeat != null);
+    if (candidates.isEmpty()) {
       return;
     }
-    replacedRefusals = refusals;
+    replacedFailures = failuresInPeriod;
     RegistryEndpoint first =
-        isDue && ++periods % EXPLORATION_INTERVAL == 0
-            ? ready.get(random.nextInt(ready.size()))
-            : ready.get(0);
+        isPeriodOver && ++periodCount % EXPLORATION_INTERVAL == 0
+            ? candidates.get(random.nextInt(candidates.size()))
+            : candidates.get(0);
     send(nowNanos, first);
-    ready.remove(first);
-    boolean isContactUnsure =
+    candidates.remove(first);
+    boolean sendsSecond =
         endpoints.openWatchCount() == 0 || endpoints.anyHeartbeatOverdue(nowNanos);
-    if (isContactUnsure && !ready.isEmpty()) {
-      send(nowNanos, ready.get(0));
+    if (sendsSecond && !candidates.isEmpty()) {
+      send(nowNanos, candidates.get(0));
     }
   }
 
@@ -134,17 +136,17 @@
   }
 
   /** Records the response to a heartbeat and its latency. */
-  void answered(long nowNanos, HeartbeatCall call) {
+  void recordAnswer(long nowNanos, HeartbeatCall call) {
     answeredAtNanos = nowNanos;
-    call.endpoint.heartbeatAnswered(nowNanos, nowNanos - call.sentAtNanos);
+    call.endpoint.recordHeartbeatAnswer(nowNanos, nowNanos - call.sentAtNanos);
   }
 
   /** Records a heartbeat that timed out or failed. */
-  void failed(HeartbeatCall call, RegistryFailure why) {
-    if (why == RegistryFailure.TIMED_OUT) {
-      call.endpoint.heartbeatTimedOut(TIMEOUT_NANOS);
+  void recordFailure(HeartbeatCall call, RegistryFailure failure) {
+    if (failure == RegistryFailure.TIMED_OUT) {
+      call.endpoint.recordHeartbeatTimeout(TIMEOUT_NANOS);
     } else {
-      refusals++;
+      failuresInPeriod++;
     }
   }
 
@@ -157,7 +159,7 @@
    * Records the tip's revision in a heartbeat's response, if it is newer than those reported
    * before.
    */
-  void tipReported(long nowNanos, long revision) {
+  void recordTip(long nowNanos, long revision) {
     if (revision > newestTipRevision) {
       newestTipRevision = revision;
       newestTipAtNanos = nowNanos;
--- a/registry/src/main/java/org/amberpath/registry/OpenCalls.java
+++ b/registry/src/main/java/org/amberpath/registry/OpenCalls.java
@@ -75,20 +75,20 @@
    * Creates and registers a call; the caller sends it. Returns empty if the call needs a new
    * connection and the rate limit allows none now.
    *
-   * @param made creates the call from what is known when it is sent
+   * @param factory creates the call from what is known when it is sent
    */
   <C extends RegistryCall> Optional<C> open(
       long nowNanos,
       RegistryEndpoint endpoint,
       Connection connection,
-      Function<RegistryCall.Start, C> made) {
-    boolean connects = connection == Connection.DEDICATED || !endpoint.isInContact(nowNanos);
-    if (connects && !rateLimiter.tryAcquire(nowNanos)) {
+      Function<RegistryCall.Start, C> factory) {
+    boolean needsConnection = connection == Connection.DEDICATED || !endpoint.isInContact(nowNanos);
+    if (needsConnection && !rateLimiter.tryAcquire(nowNanos)) {
       return Optional.empty();
     }
-    endpoint.triedAtNanos = nowNanos;
+    endpoint.lastRequestAtNanos = nowNanos;
     C call =
-        made.apply(
+        factory.apply(
             new RegistryCall.Start(
                 ++lastId, endpoint, nowNanos, view.appliedRevision(), view.tipRevision()));
     calls.put(call.id, call);
--- a/registry/src/main/java/org/amberpath/registry/PagedListing.java
+++ b/registry/src/main/java/org/amberpath/registry/PagedListing.java
@@ -75,7 +75,7 @@
     if (calls.list().isPresent() || !resync.isNeeded()) {
       return Optional.empty();
     }
-    return endpoints.readyForList(nowNanos).stream()
+    return endpoints.availableForList(nowNanos).stream()
         .findFirst()
         .flatMap(endpoint -> open(nowNanos, endpoint));
   }
@@ -102,14 +102,14 @@
   }
 
   /** Records the revision, cluster id and key count of the first page. */
-  void begin(ListCall call, RegistryPage page) {
+  void recordFirstPage(ListCall call, RegistryPage page) {
     call.revision = page.header().revision();
     call.clusterId = page.header().cluster();
     call.totalCount = page.totalCount();
   }
 
   /** Collects a page's entries, and requests the next page if there are more. */
-  PageResult takePage(long nowNanos, ListCall call, RegistryPage page) {
+  PageResult addPage(long nowNanos, ListCall call, RegistryPage page) {
     call.entries.addAll(page.entries());
     if (call.entries.size() > maxKeys + (long) call.pageSize) {
       return PageResult.TOO_LONG;
@@ -160,18 +160,18 @@
    * Returns the open list if its endpoint has sent nothing for two failover times while another
    * endpoint has answered a heartbeat meanwhile.
    */
-  Optional<ListCall> silent(long nowNanos, long heartbeatAnsweredAtNanos) {
+  Optional<ListCall> findStalled(long nowNanos, long heartbeatAnsweredAtNanos) {
     return calls
         .list()
         .filter(
             call ->
                 nowNanos - call.pageRequestedAtNanos >= 2 * endpoints.failoverNanos()
-                    && call.endpoint.heardAtNanos < call.pageRequestedAtNanos
+                    && call.endpoint.lastAnswerAtNanos < call.pageRequestedAtNanos
                     && heartbeatAnsweredAtNanos > call.pageRequestedAtNanos);
   }
 
   /** Doubles the timeout of the next list after a list has timed out. */
-  void timedOut() {
+  void recordTimeout() {
     timeoutNanos = Math.min(MAX_TIMEOUT_NANOS, timeoutNanos * 2);
   }
 
@@ -179,7 +179,7 @@
    * Doubles the page size of the next list after the revision of this one was compacted. Guards
    * against a registry that compacts faster than its list can be read.
    */
-  void compacted(ListCall call) {
+  void recordCompaction(ListCall call) {
     pageSize = Math.min(MAX_PAGE_SIZE, call.pageSize * 2);
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryEndpoint.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEndpoint.java
@@ -32,8 +32,8 @@
 
   long lastLatencyNanos;
   long heartbeatAnsweredAtNanos = NEVER;
-  long heardAtNanos = NEVER;
-  long triedAtNanos = NEVER;
+  long lastAnswerAtNanos = NEVER;
+  long lastRequestAtNanos = NEVER;
 
   /** Whether the last failure can't be overcome by retries, but needs an operator. */
   boolean needsOperator;
@@ -60,13 +60,13 @@
   boolean allowsRequest(long nowNanos) {
     return requestBackoff.allows(nowNanos)
         || (nowNanos - heartbeatAnsweredAtNanos >= failoverNanos
-            && nowNanos - triedAtNanos >= CONTACT_LOST_NANOS
+            && nowNanos - lastRequestAtNanos >= CONTACT_LOST_NANOS
             && !needsOperator);
   }
 
   /** Whether a response that is not a failure was received within {@link #CONTACT_LOST_NANOS}. */
   boolean isInContact(long nowNanos) {
-    return nowNanos - heardAtNanos <= CONTACT_LOST_NANOS;
+    return nowNanos - lastAnswerAtNanos <= CONTACT_LOST_NANOS;
   }
 
   /**
@@ -83,14 +83,14 @@
   }
 
   /** Records a response that is not a failure. */
-  void heard(long nowNanos) {
-    heardAtNanos = nowNanos;
+  void recordAnswer(long nowNanos) {
+    lastAnswerAtNanos = nowNanos;
     needsOperator = false;
     requestBackoff.reset();
   }
 
   /** Records the response to a heartbeat. */
-  void heartbeatAnswered(long nowNanos, long latencyNanos) {
+  void recordHeartbeatAnswer(long nowNanos, long latencyNanos) {
     heartbeatAnsweredAtNanos = nowNanos;
     lastLatencyNanos = latencyNanos;
     averageLatencyNanos =
@@ -100,7 +100,7 @@
   }
 
   /** Records a heartbeat that timed out: its latency counts as at least the timeout. */
-  void heartbeatTimedOut(long timeoutNanos) {
+  void recordHeartbeatTimeout(long timeoutNanos) {
     averageLatencyNanos = Math.max(averageLatencyNanos, timeoutNanos);
     lastLatencyNanos = averageLatencyNanos;
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryEndpointSelector.java
@@ -42,8 +42,8 @@
     for (int index = 0; index < count; index++) {
       endpoints.add(new RegistryEndpoint(index, random, failoverNanos));
     }
-    for (int left = count; left > 1; left--) {
-      endpoints.add(endpoints.remove(random.nextInt(left)));
+    for (int remaining = count; remaining > 1; remaining--) {
+      endpoints.add(endpoints.remove(random.nextInt(remaining)));
     }
   }
 
@@ -64,24 +64,25 @@
    * Returns the endpoints that may be asked, best first: those whose heartbeat is not overdue, then
    * by contact, recent failures and latency.
    */
-  List<RegistryEndpoint> ready(long nowNanos) {
-    List<RegistryEndpoint> ready = new ArrayList<>(endpoints);
-    ready.removeIf(endpoint -> !endpoint.allowsRequest(nowNanos));
-    long quickestNanos =
-        ready.stream()
+  List<RegistryEndpoint> available(long nowNanos) {
+    List<RegistryEndpoint> available = new ArrayList<>(endpoints);
+    available.removeIf(endpoint -> !endpoint.allowsRequest(nowNanos));
+    long lowestLatencyNanos =
+        available.stream()
             .filter(endpoint -> endpoint.isInContact(nowNanos))
             .mapToLong(endpoint -> endpoint.averageLatencyNanos)
             .min()
             .orElse(0);
-    ready.sort(Comparator.comparingInt(endpoint -> rank(endpoint, nowNanos, quickestNanos)));
-    return ready;
+    available.sort(
+        Comparator.comparingInt(endpoint -> rank(endpoint, nowNanos, lowestLatencyNanos)));
+    return available;
   }
 
-  private static int rank(RegistryEndpoint endpoint, long nowNanos, long quickestNanos) {
+  private static int rank(RegistryEndpoint endpoint, long nowNanos, long lowestLatencyNanos) {
     return (endpoint.isHeartbeatOverdue(nowNanos) ? OVERDUE_WEIGHT : 0)
         + (endpoint.isInContact(nowNanos) ? 0 : OUT_OF_CONTACT_WEIGHT)
         + (endpoint.requestBackoff.isFailing() ? FAILING_WEIGHT : 0)
-        + (endpoint.averageLatencyNanos > quickestNanos + LATENCY_TOLERANCE_NANOS
+        + (endpoint.averageLatencyNanos > lowestLatencyNanos + LATENCY_TOLERANCE_NANOS
             ? SLOW_WEIGHT
             : 0);
   }
@@ -90,13 +91,13 @@
    * Returns the endpoints that may be asked for a list: those whose last heartbeat was fast first
    * and, among them, the one that responded to a heartbeat last, which is the likeliest to respond.
    */
-  List<RegistryEndpoint> readyForList(long nowNanos) {
-    List<RegistryEndpoint> ready = ready(nowNanos);
-    ready.sort(
+  List<RegistryEndpoint> availableForList(long nowNanos) {
+    List<RegistryEndpoint> available = available(nowNanos);
+    available.sort(
         Comparator.comparing(
                 (RegistryEndpoint endpoint) -> endpoint.lastLatencyNanos > failoverNanos)
             .thenComparingLong(endpoint -> -endpoint.heartbeatAnsweredAtNanos));
-    return ready;
+    return available;
   }
 
   boolean anyHeartbeatOverdue(long nowNanos) {
@@ -113,10 +114,10 @@
   }
 
   /** Whether the last responses of more than half of all endpoints carried this cluster id. */
-  boolean isMajorityOf(String clusterId) {
-    long showing =
+  boolean isClusterOfMajority(String clusterId) {
+    long matching =
         endpoints.stream().filter(endpoint -> endpoint.clusterId.equals(clusterId)).count();
-    return showing * 2 > endpoints.size();
+    return matching * 2 > endpoints.size();
   }
 
   /**
--- a/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
@@ -15,7 +15,7 @@
   private final int maxKeys;
   private final Consumer<String> log;
   private Map<String, RegistryEntry> entries = new TreeMap<>();
-  private boolean isOverfull;
+  private boolean isTruncated;
 
   RegistryKeys(int maxKeys, Consumer<String> log) {
     this.maxKeys = maxKeys;
@@ -41,20 +41,20 @@
   }
 
   /** Whether keys were skipped at the limit, so that the entries are incomplete. */
-  boolean isOverfull() {
-    return isOverfull;
+  boolean isTruncated() {
+    return isTruncated;
   }
 
   /** Replaces all entries as given and returns the previous ones. */
   Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> all) {
     Map<String, RegistryEntry> before = entries;
     Map<String, RegistryEntry> replaced = new TreeMap<>();
-    isOverfull = false;
+    isTruncated = false;
     for (RegistryEntry entry : all) {
       if (replaced.size() < maxKeys || replaced.containsKey(entry.key())) {
         replaced.put(entry.key(), entry);
       } else {
-        passedOver();
+        recordOverflow();
       }
     }
     entries = replaced;
@@ -70,13 +70,13 @@
 
   /** Puts an entry and records the previous one of its key, null for none, in {@code before}. */
   void put(RegistryEntry entry, Map<String, RegistryEntry> before) {
-    RegistryEntry old = entries.get(entry.key());
-    if (old == null && entries.size() >= maxKeys) {
-      passedOver();
+    RegistryEntry previous = entries.get(entry.key());
+    if (previous == null && entries.size() >= maxKeys) {
+      recordOverflow();
       return;
     }
-    before.putIfAbsent(entry.key(), old);
-    entries.put(entry.key(), lastReadable(old, entry));
+    before.putIfAbsent(entry.key(), previous);
+    entries.put(entry.key(), lastReadable(previous, entry));
   }
 
   /** Removes a key and records its previous entry in {@code before}. */
@@ -84,22 +84,22 @@
     before.putIfAbsent(key, entries.remove(key));
   }
 
-  private void passedOver() {
-    if (!isOverfull) {
-      isOverfull = true;
+  private void recordOverflow() {
+    if (!isTruncated) {
+      isTruncated = true;
       log.accept("more than " + maxKeys + " keys: those past it are passed over");
     }
   }
 
-  private RegistryEntry lastReadable(RegistryEntry old, RegistryEntry entry) {
+  private RegistryEntry lastReadable(RegistryEntry previous, RegistryEntry entry) {
     if (!(entry.value() instanceof RegistryRecord.Unreadable unreadable)) {
       return entry;
     }
-    if (old == null || old.modRevision() != entry.modRevision()) {
+    if (previous == null || previous.modRevision() != entry.modRevision()) {
       log.accept(entry.key() + ": " + unreadable.reason());
     }
-    return old != null && old.createRevision() == entry.createRevision()
-        ? entry.withValue(old.value())
+    return previous != null && previous.createRevision() == entry.createRevision()
+        ? entry.withValue(previous.value())
         : entry;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -20,7 +20,7 @@
   private final RegistryKeys keys;
   private final EndpointChangePublisher publisher;
   private final String tipKey;
-  private final long retentionNanos;
+  private final long purgeRetentionNanos;
   private String clusterId = "";
   private long revision;
   private long confirmedAtNanos;
@@ -31,17 +31,17 @@
    *
    * @param tipKey the key that each write touches
    * @param maxKeys maximum number of keys
-   * @param retentionNanos the shortest time for which the registry keeps the key of a purge
+   * @param purgeRetentionNanos the shortest time for which the registry keeps the key of a purge
    * @param log receives a line for each value that can't be decoded, beginning with its key
    */
   public RegistryView(
       EndpointListener listener,
       String tipKey,
       int maxKeys,
-      long retentionNanos,
+      long purgeRetentionNanos,
       Consumer<String> log) {
     this.tipKey = tipKey;
-    this.retentionNanos = retentionNanos;
+    this.purgeRetentionNanos = purgeRetentionNanos;
     publisher = new EndpointChangePublisher(listener);
     keys = new RegistryKeys(maxKeys, log);
   }
@@ -123,7 +123,7 @@
   private void applySnapshot(long nowNanos, RegistryListing listing, boolean isOtherHistory) {
     boolean isFirst = !hasData;
     boolean isGapTooLong =
-        hasData && listing.requestedAtNanos() - confirmedAtNanos > retentionNanos;
+        hasData && listing.requestedAtNanos() - confirmedAtNanos > purgeRetentionNanos;
     Map<String, RegistryEntry> before = keys.replaceAll(listing.entries());
     keys.keepReadable(isOtherHistory ? Map.of() : before);
     clusterId = listing.clusterId();
@@ -135,9 +135,9 @@
       publishAll(nowNanos);
       publisher.publishNewPurges(before, keys.all(), nowNanos);
     } else {
-      TreeSet<String> touched = new TreeSet<>(before.keySet());
-      touched.addAll(keys.all().keySet());
-      publisher.publishChanges(before, keys.all(), touched, nowNanos);
+      TreeSet<String> changedKeys = new TreeSet<>(before.keySet());
+      changedKeys.addAll(keys.all().keySet());
+      publisher.publishChanges(before, keys.all(), changedKeys, nowNanos);
     }
     // Guards against purges that were written and expired unseen: their keys no longer exist.
     if (isGapTooLong || (isOtherHistory && !isFirst)) {
@@ -173,7 +173,7 @@
    */
   public boolean applyWrites(long nowNanos, RegistryListing written, long totalCount) {
     long newKeys = written.entries().stream().filter(entry -> !keys.contains(entry.key())).count();
-    if (keys.isOverfull() || keys.count() + newKeys != totalCount) {
+    if (keys.isTruncated() || keys.count() + newKeys != totalCount) {
       return false;
     }
     Map<String, RegistryEntry> before = new TreeMap<>();
--- a/registry/src/main/java/org/amberpath/registry/RevisionAuditor.java
+++ b/registry/src/main/java/org/amberpath/registry/RevisionAuditor.java
@@ -35,7 +35,7 @@
   private final RegistryEndpointSelector endpoints;
   private final RegistryView view;
   private final WatchResync resync;
-  private long ownClusterHeardAtNanos;
+  private long ownClusterSeenAtNanos;
   private boolean isRegressionSuspected;
   private long regressionNoticedAtNanos;
 
@@ -46,7 +46,7 @@
   }
 
   void start(long nowNanos) {
-    ownClusterHeardAtNanos = nowNanos;
+    ownClusterSeenAtNanos = nowNanos;
   }
 
   /** Checks the cluster id of an endpoint's response. */
@@ -56,11 +56,11 @@
         || resync.isNewHistory()
         || view.clusterId().isEmpty()
         || header.cluster().equals(view.clusterId())) {
-      ownClusterHeardAtNanos = nowNanos;
+      ownClusterSeenAtNanos = nowNanos;
       return ClusterVerdict.SAME;
     }
-    return endpoints.isMajorityOf(header.cluster())
-            || nowNanos - ownClusterHeardAtNanos > RegistryEndpoint.CONTACT_LOST_NANOS
+    return endpoints.isClusterOfMajority(header.cluster())
+            || nowNanos - ownClusterSeenAtNanos > RegistryEndpoint.CONTACT_LOST_NANOS
         ? ClusterVerdict.REPLACED
         : ClusterVerdict.FOREIGN;
   }
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -46,7 +46,7 @@
    * @param wantedPrefix prefix of the keys that the gateway reads
    * @param maxAgeNanos the largest accepted age
    */
-  public Optional<String> refusal(long nowNanos, String wantedPrefix, long maxAgeNanos) {
+  public Optional<String> rejectionReason(long nowNanos, String wantedPrefix, long maxAgeNanos) {
     if (!prefix.equals(wantedPrefix)) {
       return Optional.of("it is of the prefix " + prefix);
     }
--- a/registry/src/main/java/org/amberpath/registry/WatchCommands.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchCommands.java
@@ -10,22 +10,23 @@
    * page.
    *
    * @param revision the revision to read at; 0 for a linearizable read of the newest one
-   * @param after only keys after this one; empty for all
-   * @param since only keys written at this revision or later; 0 for all. A protocol without such a
-   *     filter reads all keys
-   * @param limit maximum number of keys in the page
+   * @param afterKey only keys after this one; empty for all
+   * @param sinceRevision only keys written at this revision or later; 0 for all. A protocol without
+   *     such a filter reads all keys
+   * @param pageSize maximum number of keys in the page
    */
-  void list(long call, int endpoint, long revision, String after, long since, int limit);
+  void list(
+      long callId, int endpoint, long revision, String afterKey, long sinceRevision, int pageSize);
 
   /** Watches all changes from a revision on. */
-  void watch(long call, int endpoint, long from);
+  void watch(long callId, int endpoint, long fromRevision);
 
   /**
    * Reads the registry's newest revision and the one at which the tip was last written,
    * linearizably.
    */
-  void heartbeat(long call, int endpoint);
+  void heartbeat(long callId, int endpoint);
 
   /** Cancels a call: the session receives nothing more for it. */
-  void cancel(long call);
+  void cancel(long callId);
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchResync.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchResync.java
@@ -34,10 +34,10 @@
   /**
    * Records that a list was applied.
    *
-   * @param rest the scope that is still needed
+   * @param remaining the scope that is still needed
    */
-  void completed(Scope rest) {
-    scope = rest;
+  void completed(Scope remaining) {
+    scope = remaining;
   }
 
   /** Whether a list is needed. */
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -70,7 +70,7 @@
    * How long a change whose writer did not touch the tip may go unnoticed while the watches deliver
    * nothing.
    */
-  private static final long AUDIT_NANOS = 5000 * MS;
+  private static final long AUDIT_INTERVAL_NANOS = 5000 * MS;
 
   private final RegistryView view;
   private final Consumer<String> log;
@@ -78,13 +78,13 @@
   private final OpenCalls calls;
   private final WatchResync resync = new WatchResync();
   private final HeartbeatMonitor heartbeats;
-  private final AnswerValidator answers;
-  private final CallFailureHandler failures;
+  private final AnswerValidator answerValidator;
+  private final CallFailureHandler failureHandler;
   private final PagedListing listing;
   private final WatchStream watches;
   private Phase phase = Phase.EMPTY;
   private boolean isStarted;
-  private long tickedAtNanos;
+  private long lastTickNanos;
 
   /**
    * Creates a session; it sends nothing before {@link #start}.
@@ -103,8 +103,8 @@
     listing = new PagedListing(endpoints, calls, commands, view, resync, config.maxKeys());
     watches = new WatchStream(endpoints, calls, commands, view, resync, config);
     RevisionAuditor auditor = new RevisionAuditor(endpoints, view, resync);
-    answers = new AnswerValidator(auditor, resync, heartbeats, watches, calls, log);
-    failures = new CallFailureHandler(calls, heartbeats, listing, log);
+    answerValidator = new AnswerValidator(auditor, resync, heartbeats, watches, calls, log);
+    failureHandler = new CallFailureHandler(calls, heartbeats, listing, log);
   }
 
   /** How current the view is known to be. */
@@ -126,7 +126,7 @@
   public void start(long nowNanos) {
     isStarted = true;
     calls.start(nowNanos);
-    answers.start(nowNanos);
+    answerValidator.start(nowNanos);
     heartbeats.start(nowNanos);
     tick(nowNanos);
   }
@@ -143,9 +143,11 @@
   /** When {@link #tick} is next due. */
   public long nextTickNanos() {
     // What was due at the last tick was tried then, and is tried again with the next heartbeat.
-    long due = calls.earliestDeadline(heartbeats.due(tickedAtNanos));
+    long dueNanos = calls.earliestDeadline(heartbeats.nextDueNanos(lastTickNanos));
     long settledAtNanos = heartbeats.newestTipAtNanos() + SETTLE_NANOS;
-    return isBehindTip() && settledAtNanos > tickedAtNanos ? Math.min(due, settledAtNanos) : due;
+    return isBehindTip() && settledAtNanos > lastTickNanos
+        ? Math.min(dueNanos, settledAtNanos)
+        : dueNanos;
   }
 
   private boolean isBehindTip() {
@@ -160,13 +162,13 @@
     if (!isStarted) {
       return;
     }
-    tickedAtNanos = nowNanos;
+    lastTickNanos = nowNanos;
     for (RegistryCall call : calls.all()) {
       if (nowNanos >= call.deadlineNanos && calls.isOpen(call)) {
-        failures.giveUp(nowNanos, call, RegistryFailure.TIMED_OUT);
+        failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.TIMED_OUT);
       }
     }
-    if (nowNanos - answers.heardAtNanos() > RegistryEndpoint.CONTACT_LOST_NANOS
+    if (nowNanos - answerValidator.lastAnswerAtNanos() > RegistryEndpoint.CONTACT_LOST_NANOS
         && phase != Phase.CUT_OFF) {
       // While no endpoint was reachable, the registry may have been replaced by another one with
       // the same revisions.
@@ -183,11 +185,11 @@
       resync.require(WatchResync.Scope.CHANGES);
     }
     watches
-        .late(nowNanos, heartbeats.newestTipRevision(), heartbeats.newestTipAtNanos())
-        .forEach(call -> failures.giveUp(nowNanos, call, RegistryFailure.LAGGING));
+        .findLagging(nowNanos, heartbeats.newestTipRevision(), heartbeats.newestTipAtNanos())
+        .forEach(call -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.LAGGING));
     listing
-        .silent(nowNanos, heartbeats.answeredAtNanos())
-        .ifPresent(call -> failures.giveUp(nowNanos, call, RegistryFailure.TIMED_OUT));
+        .findStalled(nowNanos, heartbeats.answeredAtNanos())
+        .ifPresent(call -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.TIMED_OUT));
     listing.openDue(nowNanos).ifPresent(this::sendList);
     watches.openDue(nowNanos);
   }
@@ -224,9 +226,9 @@
     }
     HeartbeatCall call = found.get();
     calls.close(call);
-    heartbeats.answered(nowNanos, call);
-    if (answers.isOfOwnCluster(nowNanos, call, header)
-        && answers.continues(nowNanos, call, header.revision(), tipRevision)
+    heartbeats.recordAnswer(nowNanos, call);
+    if (answerValidator.isFromOwnCluster(nowNanos, call, header)
+        && answerValidator.continuesHistory(nowNanos, call, header.revision(), tipRevision)
         && view.hasData()) {
       compareTip(nowNanos, call, header, tipRevision);
     }
@@ -234,14 +236,14 @@
   }
 
   private void compareTip(long nowNanos, HeartbeatCall call, Header header, long tipRevision) {
-    boolean isAuditDue = nowNanos - listing.completedAtNanos() > AUDIT_NANOS;
+    boolean isAuditDue = nowNanos - listing.completedAtNanos() > AUDIT_INTERVAL_NANOS;
     if (header.revision() > view.appliedRevision() && isAuditDue) {
       resync.require(WatchResync.Scope.CHANGES);
     }
     if (tipRevision > view.appliedRevision()) {
-      heartbeats.tipReported(nowNanos, tipRevision);
+      heartbeats.recordTip(nowNanos, tipRevision);
     } else if (!resync.isNeeded()) {
-      heartbeats.tipReported(nowNanos, tipRevision);
+      heartbeats.recordTip(nowNanos, tipRevision);
       view.confirm(call.sentAtNanos);
       transitionTo(Phase.CURRENT);
     }
@@ -250,36 +252,36 @@
   /**
    * Handles a page of a list, or the response to a blocking read.
    *
-   * @param more whether further keys follow those of this page
-   * @param count total number of keys; negative if a response always holds all keys, whatever was
-   *     requested
+   * @param hasMore whether further keys follow those of this page
+   * @param totalCount total number of keys; negative if a response always holds all keys, whatever
+   *     was requested
    */
   public void pageReceived(
       long nowNanos,
       long id,
       Header header,
       List<RegistryEntry> entries,
-      boolean more,
-      long count) {
-    RegistryPage page = new RegistryPage(header, entries, more, count);
-    calls.find(id, ListCall.class).ifPresent(call -> listPage(nowNanos, call, page));
-    calls.find(id, WatchCall.class).ifPresent(call -> blockingRead(nowNanos, call, page));
+      boolean hasMore,
+      long totalCount) {
+    RegistryPage page = new RegistryPage(header, entries, hasMore, totalCount);
+    calls.find(id, ListCall.class).ifPresent(call -> handleListPage(nowNanos, call, page));
+    calls.find(id, WatchCall.class).ifPresent(call -> handleBlockingRead(nowNanos, call, page));
   }
 
-  private void listPage(long nowNanos, ListCall call, RegistryPage page) {
+  private void handleListPage(long nowNanos, ListCall call, RegistryPage page) {
     if (call.revision == 0) {
-      if (!answers.isOfOwnCluster(nowNanos, call, page.header())
+      if (!answerValidator.isFromOwnCluster(nowNanos, call, page.header())
           || (!resync.isNewHistory()
-              && !answers.continues(nowNanos, call, page.header().revision(), -1))) {
+              && !answerValidator.continuesHistory(nowNanos, call, page.header().revision(), -1))) {
         calls.close(call);
         tick(nowNanos);
         return;
       }
-      listing.begin(call, page);
+      listing.recordFirstPage(call, page);
     }
-    answers.heard(nowNanos, call.endpoint);
-    switch (listing.takePage(nowNanos, call, page)) {
-      case TOO_LONG -> failures.giveUp(nowNanos, call, RegistryFailure.UNREADABLE);
+    answerValidator.recordAnswer(nowNanos, call.endpoint);
+    switch (listing.addPage(nowNanos, call, page)) {
+      case TOO_LONG -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.UNREADABLE);
       case COMPLETE -> {
         listing.apply(nowNanos, call, heartbeats.newestTipRevision());
         if (!resync.isNeeded()) {
@@ -292,12 +294,12 @@
     tick(nowNanos);
   }
 
-  private void blockingRead(long nowNanos, WatchCall call, RegistryPage page) {
+  private void handleBlockingRead(long nowNanos, WatchCall call, RegistryPage page) {
     calls.close(call);
-    if (answers.isOfOwnCluster(nowNanos, call, page.header())
-        && answers.continues(nowNanos, call, page.header().revision(), -1)
+    if (answerValidator.isFromOwnCluster(nowNanos, call, page.header())
+        && answerValidator.continuesHistory(nowNanos, call, page.header().revision(), -1)
         && !resync.needsAllKeys()) {
-      watches.takeBlockingRead(nowNanos, call, page);
+      watches.handleBlockingRead(nowNanos, call, page);
     }
     tick(nowNanos);
   }
@@ -308,8 +310,8 @@
         .find(id, WatchCall.class)
         .ifPresent(
             call -> {
-              if (answers.isOfOwnCluster(nowNanos, call, header)) {
-                watches.opened(nowNanos, call);
+              if (answerValidator.isFromOwnCluster(nowNanos, call, header)) {
+                watches.markOpen(nowNanos, call);
               } else if (calls.isOpen(call)) {
                 calls.cancel(call);
               }
@@ -330,12 +332,12 @@
       return;
     }
     WatchCall call = found.get();
-    if (!answers.isOfOwnCluster(nowNanos, call, header)) {
+    if (!answerValidator.isFromOwnCluster(nowNanos, call, header)) {
       if (calls.isOpen(call)) {
         calls.cancel(call);
       }
-    } else if (!watches.takeFrame(nowNanos, call, header, events, partial)) {
-      failures.giveUp(nowNanos, call, RegistryFailure.UNREADABLE);
+    } else if (!watches.handleFrame(nowNanos, call, header, events, partial)) {
+      failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.UNREADABLE);
     }
     tick(nowNanos);
   }
@@ -349,17 +351,17 @@
         .find(id, ListCall.class)
         .ifPresent(
             call -> {
-              compactedCall(nowNanos, call);
-              listing.compacted(call);
+              handleCompaction(nowNanos, call);
+              listing.recordCompaction(call);
             });
-    calls.find(id, WatchCall.class).ifPresent(call -> compactedCall(nowNanos, call));
+    calls.find(id, WatchCall.class).ifPresent(call -> handleCompaction(nowNanos, call));
     tick(nowNanos);
   }
 
-  private void compactedCall(long nowNanos, RegistryCall call) {
+  private void handleCompaction(long nowNanos, RegistryCall call) {
     calls.close(call);
     resync.require(WatchResync.Scope.CHANGES_AFTER_COMPACTION);
-    answers.heard(nowNanos, call.endpoint);
+    answerValidator.recordAnswer(nowNanos, call.endpoint);
   }
 
   /**
@@ -367,10 +369,10 @@
    *
    * @param retryAfterNanos the delay that the server asked for; 0 for none
    */
-  public void callFailed(long nowNanos, long id, RegistryFailure why, long retryAfterNanos) {
+  public void callFailed(long nowNanos, long id, RegistryFailure failure, long retryAfterNanos) {
     calls
         .find(id, RegistryCall.class)
-        .ifPresent(call -> failures.failed(nowNanos, call, why, retryAfterNanos));
+        .ifPresent(call -> failureHandler.handleFailure(nowNanos, call, failure, retryAfterNanos));
     tick(nowNanos);
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchStream.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchStream.java
@@ -20,7 +20,7 @@
   static final long MAX_LAG_NANOS = 150 * MS;
 
   /** A watch that was open for this long counts as stable, and its backoff is reset. */
-  private static final long STEADY_NANOS = 1000 * MS;
+  private static final long STABLE_AFTER_NANOS = 1000 * MS;
 
   /** A blocking read that returns sooner counts as a failure of the watch. */
   private static final long MIN_BLOCKING_READ_NANOS = 20 * MS;
@@ -55,7 +55,7 @@
       return;
     }
     long count = endpoints.watchCount();
-    for (RegistryEndpoint endpoint : endpoints.ready(nowNanos)) {
+    for (RegistryEndpoint endpoint : endpoints.available(nowNanos)) {
       if (count >= Math.min(MAX_WATCHES, endpoints.count())) {
         return;
       }
@@ -87,7 +87,7 @@
   /**
    * Marks a watch as opened by the server. It has no deadline any more, but is given up if it lags.
    */
-  void opened(long nowNanos, WatchCall call) {
+  void markOpen(long nowNanos, WatchCall call) {
     call.isOpen = true;
     call.openedAtNanos = nowNanos;
     call.deadlineNanos = Long.MAX_VALUE;
@@ -100,9 +100,9 @@
    * @param partial whether more events of the last revision follow in another frame
    * @return false if the pending events exceed their bound
    */
-  boolean takeFrame(
+  boolean handleFrame(
       long nowNanos, WatchCall call, Header header, List<WatchEvent> events, boolean partial) {
-    if (nowNanos - call.openedAtNanos > STEADY_NANOS) {
+    if (nowNanos - call.openedAtNanos > STABLE_AFTER_NANOS) {
       call.endpoint.watchBackoff.reset();
     }
     call.pendingEvents.addAll(events);
@@ -110,12 +110,12 @@
       return false;
     }
     if (!partial) {
-      replay(nowNanos, call, header);
+      applyPendingEvents(nowNanos, call, header);
     }
     return true;
   }
 
-  private void replay(long nowNanos, WatchCall call, Header header) {
+  private void applyPendingEvents(long nowNanos, WatchCall call, Header header) {
     if (call.pendingEvents.isEmpty()) {
       // A progress notification: no key of the view changed up to the header's revision.
       call.receivedRevision = Math.max(call.receivedRevision, header.revision());
@@ -129,7 +129,7 @@
   }
 
   /** Handles the response to a blocking read, which holds all keys. */
-  void takeBlockingRead(long nowNanos, WatchCall call, RegistryPage page) {
+  void handleBlockingRead(long nowNanos, WatchCall call, RegistryPage page) {
     long revision = page.header().revision();
     if (revision > view.appliedRevision()) {
       view.applySnapshot(
@@ -152,7 +152,7 @@
    * @param tipRevision the newest tip revision that a heartbeat has reported
    * @param tipAtNanos when a heartbeat first reported it
    */
-  List<WatchCall> late(long nowNanos, long tipRevision, long tipAtNanos) {
+  List<WatchCall> findLagging(long nowNanos, long tipRevision, long tipAtNanos) {
     if (nowNanos < tipAtNanos + MAX_LAG_NANOS) {
       return List.of();
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
@@ -42,16 +42,16 @@
    * than once.
    */
   <T> Future<T> firstAnswering(IntFunction<Future<T>> request) {
-    return answeringFrom(0, request);
+    return sendFrom(0, request);
   }
 
-  private <T> Future<T> answeringFrom(int endpoint, IntFunction<Future<T>> request) {
+  private <T> Future<T> sendFrom(int endpoint, IntFunction<Future<T>> request) {
     return request
         .apply(endpoint)
         .recover(
             e ->
                 endpoint + 1 < settings.endpoints().size()
-                    ? answeringFrom(endpoint + 1, request)
+                    ? sendFrom(endpoint + 1, request)
                     : Future.failedFuture(e));
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -117,8 +117,8 @@
 
   @Override
   public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
-    List<JsonReader> found = status == 200 ? JsonBytes.readArray(body) : List.of();
-    long tipRevision = found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex");
+    List<JsonReader> keyValues = status == 200 ? JsonBytes.readArray(body) : List.of();
+    long tipRevision = keyValues.isEmpty() ? 0 : keyValues.get(0).longValue("ModifyIndex");
     return new Heartbeat(new Header("", 0), tipRevision);
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
@@ -39,18 +39,18 @@
   }
 
   /** Reads a 64-bit integer that is not negative; 0 if it is absent. */
-  static long readLong(JsonReader from, String name) {
-    if (!from.has(name)) {
+  static long readLong(JsonReader json, String name) {
+    if (!json.has(name)) {
       return 0;
     }
     try {
-      long value = Long.parseLong(from.string(name));
+      long value = Long.parseLong(json.string(name));
       if (value >= 0) {
         return value;
       }
     } catch (NumberFormatException e) {
       // Reported below.
     }
-    throw from.invalid(name, "no 64-bit number from 0 on");
+    throw json.invalid(name, "no 64-bit number from 0 on");
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdLeases.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdLeases.java
@@ -28,8 +28,8 @@
 
   /** Whether the lease was renewed: etcd returns no time to live for an expired one. */
   static boolean decodeRenewal(byte[] body) {
-    JsonReader answer = JsonBytes.readObject(body);
-    return answer.has("result") && EtcdJson.readLong(answer.object("result"), "TTL") > 0;
+    JsonReader response = JsonBytes.readObject(body);
+    return response.has("result") && EtcdJson.readLong(response.object("result"), "TTL") > 0;
   }
 
   /** Encodes the revocation of a lease. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -52,13 +52,16 @@
 
   @Override
   public RegistryPage decodePage(int status, MultiMap headers, byte[] body) {
-    JsonReader answer = JsonBytes.readObject(body);
+    JsonReader response = JsonBytes.readObject(body);
     List<RegistryEntry> entries = new ArrayList<>();
-    for (JsonReader keyValue : answer.objects("kvs")) {
+    for (JsonReader keyValue : response.objects("kvs")) {
       entries.add(entry(keyValue));
     }
     return new RegistryPage(
-        header(answer), entries, answer.booleanOrFalse("more"), EtcdJson.readLong(answer, "count"));
+        header(response),
+        entries,
+        response.booleanOrFalse("more"),
+        EtcdJson.readLong(response, "count"));
   }
 
   @Override
@@ -86,7 +89,7 @@
     JsonReader frame = JsonBytes.readObject(line);
     if (frame.has("error")) {
       JsonReader error = frame.object("error");
-      return new Frame.Ended(ofGrpcCode(error.intOr("grpc_code", error.intOr("code", 0))));
+      return new Frame.Ended(failureOfGrpcCode(error.intOr("grpc_code", error.intOr("code", 0))));
     }
     JsonReader result = frame.object("result");
     if (EtcdJson.readLong(result, "compact_revision") > 0) {
@@ -126,10 +129,11 @@
 
   @Override
   public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
-    JsonReader answer = JsonBytes.readObject(body);
-    List<JsonReader> found = answer.objects("kvs");
+    JsonReader response = JsonBytes.readObject(body);
+    List<JsonReader> keyValues = response.objects("kvs");
     return new Heartbeat(
-        header(answer), found.isEmpty() ? 0 : EtcdJson.readLong(found.get(0), "mod_revision"));
+        header(response),
+        keyValues.isEmpty() ? 0 : EtcdJson.readLong(keyValues.get(0), "mod_revision"));
   }
 
   @Override
@@ -143,7 +147,7 @@
       case 200 -> Optional.empty();
       case 401, 403 -> Optional.of(RegistryFailure.UNAUTHORISED);
       case 429 -> Optional.of(RegistryFailure.THROTTLED);
-      case 400 -> Optional.of(ofGrpcCode(grpcCode(body)));
+      case 400 -> Optional.of(failureOfGrpcCode(grpcCode(body)));
       default ->
           Optional.of(status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE);
     };
@@ -157,7 +161,7 @@
     }
   }
 
-  private static RegistryFailure ofGrpcCode(int code) {
+  private static RegistryFailure failureOfGrpcCode(int code) {
     return switch (code) {
       case GRPC_UNAUTHENTICATED, GRPC_PERMISSION_DENIED -> RegistryFailure.UNAUTHORISED;
       case GRPC_RESOURCE_EXHAUSTED -> RegistryFailure.THROTTLED;
@@ -204,8 +208,8 @@
     return JsonBytes.readObject(body).string("token");
   }
 
-  private static Header header(JsonReader answer) {
-    JsonReader header = answer.object("header");
+  private static Header header(JsonReader response) {
+    JsonReader header = response.object("header");
     return new Header(
         header.has("cluster_id") ? header.string("cluster_id") : "",
         EtcdJson.readLong(header, "revision"));
--- a/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/FileOperations.java
@@ -38,8 +38,8 @@
   }
 
   /** Forces a directory's entries to disk; returns once they survive a power loss. */
-  default void forceFolder(Path folder) throws IOException {
-    try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
+  default void forceDirectory(Path directory) throws IOException {
+    try (FileChannel names = FileChannel.open(directory, StandardOpenOption.READ)) {
       names.force(true);
     }
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
@@ -16,7 +16,7 @@
   private static final JsonFactory JSON = new JsonFactory();
 
   /** The name of a registry response in error messages. */
-  private static final String ANSWER = "registry";
+  private static final String RESPONSE_NAME = "registry";
 
   private JsonBytes() {}
 
@@ -40,7 +40,7 @@
   /** Decodes a response that is an object; throws {@link InvalidDocumentException} if it is not. */
   static JsonReader readObject(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
-      return JsonReader.read(ANSWER, parser);
+      return JsonReader.read(RESPONSE_NAME, parser);
     } catch (IOException e) {
       throw notJson();
     }
@@ -52,22 +52,22 @@
    */
   static List<JsonReader> readArray(byte[] body) {
     try (JsonParser parser = JSON.createParser(body)) {
-      return JsonReader.readEach(ANSWER, parser);
+      return JsonReader.readEach(RESPONSE_NAME, parser);
     } catch (IOException e) {
       throw notJson();
     }
   }
 
   private static InvalidDocumentException notJson() {
-    return new InvalidDocumentException(ANSWER + ": not JSON");
+    return new InvalidDocumentException(RESPONSE_NAME + ": not JSON");
   }
 
   /** Decodes a base64 field; returns an empty array if it is absent. */
-  static byte[] readBase64(JsonReader from, String name) {
+  static byte[] readBase64(JsonReader json, String name) {
     try {
-      return from.has(name) ? Base64.getDecoder().decode(from.string(name)) : new byte[0];
+      return json.has(name) ? Base64.getDecoder().decode(json.string(name)) : new byte[0];
     } catch (IllegalArgumentException e) {
-      throw from.invalid(name, "not base64");
+      throw json.invalid(name, "not base64");
     }
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -62,11 +62,11 @@
       }
       if (isTask) {
         return new RegistryRecord.Task(
-            fields.longValue("term"), name(fields, "by", fields.string("by")));
+            fields.longValue("term"), requireName(fields, "by", fields.string("by")));
       }
       return key.startsWith(CACHES_PREFIX)
-          ? cache(key.substring(CACHES_PREFIX.length()), fields)
-          : purge(fields);
+          ? decodeCache(key.substring(CACHES_PREFIX.length()), fields)
+          : decodePurge(fields);
     } catch (IOException e) {
       return new RegistryRecord.Unreadable("not JSON");
     } catch (InvalidDocumentException e) {
@@ -74,7 +74,7 @@
     }
   }
 
-  private static RegistryRecord cache(String id, JsonReader fields) {
+  private static RegistryRecord decodeCache(String id, JsonReader fields) {
     EndpointState state =
         switch (fields.string("state")) {
           case "ready" -> EndpointState.UP;
@@ -88,26 +88,26 @@
       throw fields.invalid("weight", "no size");
     }
     return new RegistryRecord.Cache(
-        name(fields, "id", id),
+        requireName(fields, "id", id),
         address,
-        name(fields, "zone", fields.string("zone")),
-        name(fields, "kind", fields.string("kind")),
+        requireName(fields, "zone", fields.string("zone")),
+        requireName(fields, "kind", fields.string("kind")),
         fields.intOr("cell", 0),
         state,
         weight,
         fields.longOr("started_at_ms", 0));
   }
 
-  private static String name(JsonReader fields, String key, String name) {
+  private static String requireName(JsonReader fields, String key, String name) {
     if (name.isEmpty()
         || name.length() > MAX_NAME_LENGTH
-        || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
+        || name.chars().anyMatch(character -> character <= ' ' || character == ',')) {
       throw fields.invalid(key, "no name");
     }
     return name;
   }
 
-  private static RegistryRecord purge(JsonReader fields) {
+  private static RegistryRecord decodePurge(JsonReader fields) {
     long object = 0;
     if (fields.has("object")) {
       try {
@@ -135,30 +135,30 @@
   }
 
   /** Encodes a cache, a purge or a task. */
-  public static byte[] encode(RegistryRecord content) {
+  public static byte[] encode(RegistryRecord value) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    try (JsonGenerator to = JSON.createGenerator(out)) {
-      to.writeStartObject();
-      to.writeNumberField("v", VERSION);
-      if (content instanceof RegistryRecord.Cache cache) {
-        to.writeStringField("address", cache.address());
-        to.writeStringField("zone", cache.zone());
-        to.writeStringField("kind", cache.kind());
-        to.writeNumberField("cell", cache.cell());
-        to.writeStringField("state", cache.state() == EndpointState.UP ? "ready" : "draining");
-        to.writeNumberField("weight", cache.weight());
-        to.writeNumberField("started_at_ms", cache.startedAtMs());
-      } else if (content instanceof RegistryRecord.Purge purge) {
+    try (JsonGenerator json = JSON.createGenerator(out)) {
+      json.writeStartObject();
+      json.writeNumberField("v", VERSION);
+      if (value instanceof RegistryRecord.Cache cache) {
+        json.writeStringField("address", cache.address());
+        json.writeStringField("zone", cache.zone());
+        json.writeStringField("kind", cache.kind());
+        json.writeNumberField("cell", cache.cell());
+        json.writeStringField("state", cache.state() == EndpointState.UP ? "ready" : "draining");
+        json.writeNumberField("weight", cache.weight());
+        json.writeNumberField("started_at_ms", cache.startedAtMs());
+      } else if (value instanceof RegistryRecord.Purge purge) {
         if (purge.object() != 0) {
-          to.writeStringField("object", String.format("%016x", purge.object()));
+          json.writeStringField("object", String.format("%016x", purge.object()));
         }
-        to.writeNumberField("group", purge.group());
-        to.writeNumberField("at_ms", purge.atMs());
-      } else if (content instanceof RegistryRecord.Task task) {
-        to.writeNumberField("term", task.term());
-        to.writeStringField("by", task.by());
+        json.writeNumberField("group", purge.group());
+        json.writeNumberField("at_ms", purge.atMs());
+      } else if (value instanceof RegistryRecord.Task task) {
+        json.writeNumberField("term", task.term());
+        json.writeStringField("by", task.by());
       }
-      to.writeEndObject();
+      json.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -154,11 +154,11 @@
    */
   static List<RegistryEntry> expiredPurges(
       List<RegistryEntry> entries, long nowMillis, long retentionNanos) {
-    long beforeMillis = nowMillis - retentionNanos / NANOS_PER_MILLI - 2 * MAX_CLOCK_STEP_MILLIS;
+    long cutoffMillis = nowMillis - retentionNanos / NANOS_PER_MILLI - 2 * MAX_CLOCK_STEP_MILLIS;
     return entries.stream()
         .filter(
             entry ->
-                entry.value() instanceof RegistryRecord.Purge purge && purge.atMs() < beforeMillis)
+                entry.value() instanceof RegistryRecord.Purge purge && purge.atMs() < cutoffMillis)
         .toList();
   }
 
@@ -214,13 +214,13 @@
   /**
    * Returns the name of the task that an entry belongs to; null if it belongs to none.
    *
-   * @param owner true to match owner keys, false to match term keys
+   * @param isOwnerKey true to match owner keys, false to match term keys
    */
-  public String taskName(RegistryEntry entry, boolean owner) {
-    String begins =
-        settings.prefix() + (owner ? RecordCodec.OWNERS_PREFIX : RecordCodec.TASKS_PREFIX);
-    return entry.key().startsWith(begins) && entry.value() instanceof RegistryRecord.Task
-        ? entry.key().substring(begins.length())
+  public String taskName(RegistryEntry entry, boolean isOwnerKey) {
+    String keyPrefix =
+        settings.prefix() + (isOwnerKey ? RecordCodec.OWNERS_PREFIX : RecordCodec.TASKS_PREFIX);
+    return entry.key().startsWith(keyPrefix) && entry.value() instanceof RegistryRecord.Task
+        ? entry.key().substring(keyPrefix.length())
         : null;
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
@@ -40,7 +40,7 @@
   }
 
   /** Discards the token, since its file may have changed. */
-  void forgetToken() {
+  void discardToken() {
     token = "";
   }
 
@@ -49,31 +49,31 @@
    * with {@link CredentialException}, or with the login's failure.
    */
   Future<Boolean> renewToken(Login login) {
-    String before = token;
-    Future<String> next;
+    String previous = token;
+    Future<String> fetch;
     if (settings.token() != null) {
-      next = readSecret(settings.token());
+      fetch = readSecret(settings.token());
     } else if (settings.user() != null) {
-      next =
+      fetch =
           readSecret(settings.password())
               .compose(
                   password -> login.send(EtcdProtocol.loginRequest(settings.user(), password)));
     } else {
       return Future.succeededFuture(false);
     }
-    return next.map(
+    return fetch.map(
         fetched -> {
           token = fetched;
-          return !fetched.equals(before);
+          return !fetched.equals(previous);
         });
   }
 
   private Future<String> readSecret(Path file) {
-    return vertx.executeBlocking(() -> secret(file));
+    return vertx.executeBlocking(() -> readSecretFile(file));
   }
 
   /** Reads a secret from a file and strips surrounding white space. */
-  static String secret(Path file) throws CredentialException {
+  static String readSecretFile(Path file) throws CredentialException {
     try {
       if (Files.size(file) > MAX_SECRET_BYTES) {
         throw new CredentialException.SecretTooLong(MAX_SECRET_BYTES);
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -21,9 +21,9 @@
  */
 final class RegistryHttpClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
-  private static final int IDLE_SECONDS = 30;
+  private static final int KEEP_ALIVE_SECONDS = 30;
   private static final int MAX_CONNECTIONS = 12;
-  private static final int MAX_WAITING = 64;
+  private static final int MAX_QUEUED_REQUESTS = 64;
 
   /**
    * Receives the result of a request. Exactly one of {@link #completed} and {@link #failed} is
@@ -41,7 +41,7 @@
      *
      * @param retryAfterNanos the delay that the server asked for; 0 for none
      */
-    void failed(RegistryFailure why, long retryAfterNanos);
+    void failed(RegistryFailure failure, long retryAfterNanos);
   }
 
   /** How a response is read. */
@@ -63,7 +63,7 @@
    * The client with the files from before the last reload; its connections stay open until they
    * end.
    */
-  private HttpClientAgent retired;
+  private HttpClientAgent previousClient;
 
   RegistryHttpClient(Vertx vertx, RegistrySettings settings, RegistryProtocol protocol) {
     this.vertx = vertx;
@@ -78,11 +78,13 @@
     HttpClientOptions options =
         new HttpClientOptions()
             .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
-            .setKeepAliveTimeout(IDLE_SECONDS);
+            .setKeepAliveTimeout(KEEP_ALIVE_SECONDS);
     tls.addTo(options);
     return vertx.createHttpClient(
         options,
-        new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS).setMaxWaitQueueSize(MAX_WAITING));
+        new PoolOptions()
+            .setHttp1MaxSize(MAX_CONNECTIONS)
+            .setMaxWaitQueueSize(MAX_QUEUED_REQUESTS));
   }
 
   /**
@@ -103,9 +105,9 @@
                 if (renewal.succeeded() && renewal.result()) {
                   exchange.start();
                 } else if (renewal.failed() && !isRejection(renewal.cause())) {
-                  exchange.failed(renewal.cause());
+                  exchange.failWith(renewal.cause());
                 } else {
-                  exchange.end(RegistryFailure.UNAUTHORISED, 0);
+                  exchange.fail(RegistryFailure.UNAUTHORISED, 0);
                 }
               });
     } else {
@@ -122,7 +124,7 @@
 
   /** Opens a request with the current token. */
   Future<HttpClientRequest> open(SocketAddress endpoint, RegistryProtocol.Request request) {
-    return client.request(options(endpoint, request, credentials.token()));
+    return client.request(requestOptions(endpoint, request, credentials.token()));
   }
 
   /** Fetches a new token; returns false if it equals the rejected one. */
@@ -132,7 +134,7 @@
 
   private Future<String> logIn(SocketAddress endpoint, RegistryProtocol.Request login) {
     return client
-        .request(options(endpoint, login, ""))
+        .request(requestOptions(endpoint, login, ""))
         .compose(request -> request.send(Buffer.buffer(login.body())))
         .compose(
             response ->
@@ -143,7 +145,7 @@
         .map(body -> EtcdProtocol.decodeLogin(body.getBytes()));
   }
 
-  private RequestOptions options(
+  private RequestOptions requestOptions(
       SocketAddress endpoint, RegistryProtocol.Request request, String token) {
     RequestOptions options =
         new RequestOptions()
@@ -175,25 +177,25 @@
    * be used, the client keeps the previous ones.
    */
   Future<Void> reload() {
-    credentials.forgetToken();
+    credentials.discardToken();
     if (!tls.isEnabled()) {
       return Future.succeededFuture();
     }
     return tls.validate(vertx)
         .map(
             valid -> {
-              if (retired != null) {
-                retired.close();
+              if (previousClient != null) {
+                previousClient.close();
               }
-              retired = client;
+              previousClient = client;
               client = newClient();
               return null;
             });
   }
 
   void close() {
-    if (retired != null) {
-      retired.close();
+    if (previousClient != null) {
+      previousClient.close();
     }
     client.close();
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpExchange.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpExchange.java
@@ -28,8 +28,8 @@
   private final RegistryProtocol.Request request;
   private final RegistryHttpClient.ResponseKind kind;
   private final RegistryHttpClient.ResponseHandler handler;
-  private HttpClientRequest sent;
-  private boolean isOver;
+  private HttpClientRequest httpRequest;
+  private boolean isEnded;
   private boolean isTokenRenewed;
 
   RegistryHttpExchange(
@@ -51,23 +51,23 @@
 
   /** Cancels the request: the handler is not called any more. */
   void cancel() {
-    isOver = true;
-    if (sent != null) {
-      sent.reset();
+    isEnded = true;
+    if (httpRequest != null) {
+      httpRequest.reset();
     }
   }
 
   /** Sends the request, unless it was cancelled. */
   void start() {
-    if (isOver) {
+    if (isEnded) {
       return;
     }
     client
         .open(endpoint, request)
         .compose(
             opened -> {
-              sent = opened;
-              if (isOver) {
+              httpRequest = opened;
+              if (isEnded) {
                 opened.reset();
                 return Future.failedFuture(new CancellationException());
               }
@@ -75,12 +75,12 @@
                   ? opened.send()
                   : opened.send(Buffer.buffer(request.body()));
             })
-        .onSuccess(this::read)
-        .onFailure(this::failed);
+        .onSuccess(this::readResponse)
+        .onFailure(this::failWith);
   }
 
-  private void read(HttpClientResponse response) {
-    response.exceptionHandler(this::failed);
+  private void readResponse(HttpClientResponse response) {
+    response.exceptionHandler(this::failWith);
     if (kind == RegistryHttpClient.ResponseKind.LINES && response.statusCode() == 200) {
       readLines(response);
       return;
@@ -89,7 +89,7 @@
     response.handler(
         part -> {
           if (body.length() + (long) part.length() > client.maxResponseBytes()) {
-            unreadable();
+            failUnreadable();
           } else {
             body.appendBuffer(part);
           }
@@ -102,19 +102,19 @@
         RecordParser.newDelimited(
             "\n",
             line -> {
-              if (!isOver) {
+              if (!isEnded) {
                 handler.line(line.getBytes());
               }
             });
     // Guards against unbounded memory use by a line that never ends.
     parser.maxRecordSize(client.maxResponseBytes());
-    parser.exceptionHandler(e -> unreadable());
+    parser.exceptionHandler(e -> failUnreadable());
     response.handler(parser);
-    response.endHandler(end -> end(RegistryFailure.BROKEN, 0));
+    response.endHandler(end -> fail(RegistryFailure.BROKEN, 0));
   }
 
   private void completed(HttpClientResponse response, byte[] body) {
-    if (isOver) {
+    if (isEnded) {
       return;
     }
     int status = response.statusCode();
@@ -127,9 +127,9 @@
             ? Optional.empty()
             : client.protocol().failure(status, body);
     if (failure.isPresent()) {
-      end(failure.get(), retryAfterNanos(response.getHeader("Retry-After")));
+      fail(failure.get(), retryAfterNanos(response.getHeader("Retry-After")));
     } else {
-      isOver = true;
+      isEnded = true;
       handler.completed(status, response.headers(), body);
     }
   }
@@ -147,25 +147,25 @@
               if (renewal.succeeded() && renewal.result()) {
                 start();
               } else {
-                end(RegistryFailure.UNAUTHORISED, 0);
+                fail(RegistryFailure.UNAUTHORISED, 0);
               }
             });
   }
 
-  private void unreadable() {
-    if (!isOver) {
-      sent.reset();
-      end(RegistryFailure.UNREADABLE, 0);
+  private void failUnreadable() {
+    if (!isEnded) {
+      httpRequest.reset();
+      fail(RegistryFailure.UNREADABLE, 0);
     }
   }
 
   /** Ends the request with the failure that an exception stands for. */
-  void failed(Throwable why) {
-    end(failureOf(why), 0);
+  void failWith(Throwable error) {
+    fail(failureOf(error), 0);
   }
 
-  static RegistryFailure failureOf(Throwable why) {
-    for (Throwable cause = why; cause != null; cause = cause.getCause()) {
+  static RegistryFailure failureOf(Throwable error) {
+    for (Throwable cause = error; cause != null; cause = cause.getCause()) {
       if (cause instanceof SSLException) {
         return RegistryFailure.UNTRUSTED;
       } else if (cause instanceof ConnectTimeoutException) {
@@ -178,10 +178,10 @@
   }
 
   /** Ends the request with a failure, unless it has ended already. */
-  void end(RegistryFailure why, long retryAfterNanos) {
-    if (!isOver) {
-      isOver = true;
-      handler.failed(why, retryAfterNanos);
+  void fail(RegistryFailure failure, long retryAfterNanos) {
+    if (!isEnded) {
+      isEnded = true;
+      handler.failed(failure, retryAfterNanos);
     }
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
@@ -26,7 +26,7 @@
   }
 
   /** Logs an event of a start or a reload, outside the limit. */
-  void once(String line) {
+  void infoUnlimited(String line) {
     LOG.info("registry: " + line);
   }
 
@@ -36,7 +36,7 @@
   }
 
   /** Ends the period: logs the number of suppressed lines and resets the limit. */
-  void periodEnded() {
+  void endPeriod() {
     if (suppressedCount > 0) {
       LOG.info("registry: " + suppressedCount + " more lines");
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -47,7 +47,7 @@
     record Compacted() implements Frame {}
 
     /** The server has ended the watch. */
-    record Ended(RegistryFailure why) implements Frame {}
+    record Ended(RegistryFailure failure) implements Frame {}
   }
 
   /**
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -19,7 +19,7 @@
 public final class RegistrySource implements EndpointSource {
   private static final long MS = 1_000_000;
   private static final long BLOCKING_READ_NANOS = 10_000 * MS;
-  private static final long PERIOD_MILLIS = 1000;
+  private static final long HOUSEKEEPING_MILLIS = 1000;
 
   /** The id of no timer. */
   private static final long NO_TIMER = -1;
@@ -46,13 +46,13 @@
   private final Clock clock = new Clock();
   private final RegistryLog log = new RegistryLog();
   private final RegistryHttpClient client;
-  private final WatchCommandExecutor commands;
-  private final WallTimes times;
-  private final Optional<SnapshotKeeper> snapshots;
+  private final WatchCommandExecutor commandExecutor;
+  private final WallTimes wallTimes;
+  private final Optional<SnapshotWriter> snapshotWriter;
   private final RegistryView view;
   private final WatchSession session;
   private long tickTimer = NO_TIMER;
-  private long periodTimer = NO_TIMER;
+  private long housekeepingTimer = NO_TIMER;
   private long nextTickNanos = Long.MAX_VALUE;
   private boolean isRunning;
 
@@ -66,14 +66,14 @@
     this.vertx = vertx;
     this.settings = settings;
     client = new RegistryHttpClient(vertx, settings, protocol(settings));
-    commands = new WatchCommandExecutor(client, clock::nowNanos, log, this::scheduleTick);
-    times = new WallTimes(listener, clock::nowNanos, System::currentTimeMillis);
-    snapshots =
+    commandExecutor = new WatchCommandExecutor(client, clock::nowNanos, log, this::scheduleTick);
+    wallTimes = new WallTimes(listener, clock::nowNanos, System::currentTimeMillis);
+    snapshotWriter =
         Optional.ofNullable(settings.snapshot())
             .map(
                 file ->
-                    new SnapshotKeeper(
-                        new SnapshotKeeper.Target(
+                    new SnapshotWriter(
+                        new SnapshotWriter.Target(
                             file, FileOperations.DISK, settings.snapshotIntervalNanos()),
                         write -> vertx.executeBlocking(write, false),
                         clock::nowNanos,
@@ -81,13 +81,13 @@
                         log::info));
     view =
         new RegistryView(
-            times,
+            wallTimes,
             settings.tipKey(),
             settings.maxKeys(),
             settings.purgeRetentionNanos(),
             log::info);
-    session = new WatchSession(view, commands, config(settings, seed), log::info);
-    commands.attach(session);
+    session = new WatchSession(view, commandExecutor, config(settings, seed), log::info);
+    commandExecutor.attach(session);
   }
 
   private static WatchSessionConfig config(RegistrySettings settings, long seed) {
@@ -108,12 +108,12 @@
   @Override
   public void start() {
     isRunning = true;
-    periodTimer =
+    housekeepingTimer =
         vertx.setPeriodic(
-            PERIOD_MILLIS,
+            HOUSEKEEPING_MILLIS,
             timer -> {
-              log.periodEnded();
-              snapshots.ifPresent(keeper -> keeper.tick(this::currentSnapshot));
+              log.endPeriod();
+              snapshotWriter.ifPresent(keeper -> keeper.tick(this::currentSnapshot));
             });
     if (settings.snapshot() == null) {
       startSession();
@@ -151,8 +151,8 @@
   public void close() {
     isRunning = false;
     vertx.cancelTimer(tickTimer);
-    vertx.cancelTimer(periodTimer);
-    commands.close();
+    vertx.cancelTimer(housekeepingTimer);
+    commandExecutor.close();
     client.close();
   }
 
@@ -198,7 +198,7 @@
                 settings.prefix(),
                 view.clusterId(),
                 view.appliedRevision(),
-                times.unix(view.confirmedAtNanos()),
+                wallTimes.toUnixNanos(view.confirmedAtNanos()),
                 List.copyOf(view.entries())));
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -40,7 +40,7 @@
     try {
       replace(file, temporary, bytes, files);
       // Guards against a power loss that undoes the rename.
-      files.forceFolder(file.toAbsolutePath().getParent());
+      files.forceDirectory(file.toAbsolutePath().getParent());
     } catch (IOException e) {
       throw new SnapshotException.WriteFailed(e);
     }
@@ -50,9 +50,9 @@
       throws IOException {
     try {
       try (FileChannel out = files.open(temporary)) {
-        ByteBuffer rest = ByteBuffer.wrap(bytes);
-        while (rest.hasRemaining()) {
-          files.write(out, rest);
+        ByteBuffer remaining = ByteBuffer.wrap(bytes);
+        while (remaining.hasRemaining()) {
+          files.write(out, remaining);
         }
         files.force(out);
       }
@@ -64,15 +64,15 @@
   }
 
   /** Deletes temporary files that interrupted writes have left next to the snapshot file. */
-  static void clean(Path file, FileOperations files) {
-    Pattern stale =
+  static void deleteLeftovers(Path file, FileOperations files) {
+    Pattern leftoverName =
         Pattern.compile(
             Pattern.quote(file.getFileName() + TEMPORARY_SUFFIX) + "(-[0-9a-f]{1,16})?");
     try (DirectoryStream<Path> leftovers =
         Files.newDirectoryStream(
             file.toAbsolutePath().getParent(),
             path ->
-                stale.matcher(path.getFileName().toString()).matches()
+                leftoverName.matcher(path.getFileName().toString()).matches()
                     && !path.toString().endsWith(PROCESS_SUFFIX))) {
       leftovers.forEach(path -> deleteQuietly(path, files));
     } catch (IOException | DirectoryIteratorException e) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -54,7 +54,7 @@
 
   private Optional<Snapshot> read() throws SnapshotException {
     Path file = settings.snapshot();
-    SnapshotFile.clean(file, FileOperations.DISK);
+    SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
     return Files.exists(file)
         ? Optional.of(SnapshotFile.read(file, settings.maxResponseBytes()))
         : Optional.empty();
@@ -62,10 +62,10 @@
 
   private void restore(Snapshot snapshot, RegistryView view) {
     long nowNanos = clockNanos.getAsLong();
-    Optional<String> refusal =
-        snapshot.refusal(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
-    if (refusal.isPresent()) {
-      log.warning("the snapshot is passed over: " + refusal.get());
+    Optional<String> rejectionReason =
+        snapshot.rejectionReason(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
+    if (rejectionReason.isPresent()) {
+      log.warning("the snapshot is passed over: " + rejectionReason.get());
       return;
     }
     long ageNanos = snapshot.ageNanos(nowNanos);
@@ -73,7 +73,7 @@
         nowNanos,
         new RegistryListing(
             snapshot.entries(), snapshot.cluster(), snapshot.revision(), nowNanos - ageNanos));
-    log.once(
+    log.infoUnlimited(
         "serves from a snapshot of revision "
             + snapshot.revision()
             + ", "
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
@@ -17,7 +17,7 @@
  * progress and one pending snapshot, the latest; one log line at the first failure of a series, and
  * one at its end.
  */
-final class SnapshotKeeper {
+final class SnapshotWriter {
   private static final long FIRST_RETRY_NANOS = 1_000_000_000;
   private static final long MAX_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
   private static final long MIN_RETRY_NANOS = 250_000_000;
@@ -32,8 +32,8 @@
   private final Backoff backoff;
   private Snapshot pending;
   private boolean isWriting;
-  private boolean hasBegun;
-  private long begunAtNanos;
+  private boolean hasStartedWrite;
+  private long writeStartedAtNanos;
   private int failureCount;
 
   /**
@@ -42,7 +42,7 @@
    * @param worker runs a write off the event loop
    * @param seed seed of the backoff's jitter
    */
-  SnapshotKeeper(
+  SnapshotWriter(
       Target target,
       Function<Callable<Void>, Future<Void>> worker,
       LongSupplier clockNanos,
@@ -58,28 +58,28 @@
   /**
    * Begins a write if one is due.
    *
-   * @param latest returns the current view; empty if the view must not be saved now, in which case
-   *     only a pending snapshot is written
+   * @param currentView returns the current view; empty if the view must not be saved now, in which
+   *     case only a pending snapshot is written
    */
-  void tick(Supplier<Optional<Snapshot>> latest) {
+  void tick(Supplier<Optional<Snapshot>> currentView) {
     long nowNanos = clockNanos.getAsLong();
     boolean isDue =
         backoff.isFailing()
             ? backoff.allows(nowNanos)
-            : !hasBegun || nowNanos - begunAtNanos >= target.intervalNanos();
+            : !hasStartedWrite || nowNanos - writeStartedAtNanos >= target.intervalNanos();
     if (isWriting || !isDue) {
       return;
     }
-    pending = latest.get().orElse(pending);
+    pending = currentView.get().orElse(pending);
     if (pending != null) {
-      begin(nowNanos, pending);
+      startWrite(nowNanos, pending);
     }
   }
 
-  private void begin(long nowNanos, Snapshot snapshot) {
+  private void startWrite(long nowNanos, Snapshot snapshot) {
     isWriting = true;
-    hasBegun = true;
-    begunAtNanos = nowNanos;
+    hasStartedWrite = true;
+    writeStartedAtNanos = nowNanos;
     worker
         .apply(
             () -> {
@@ -90,14 +90,14 @@
             done -> {
               isWriting = false;
               if (done.succeeded()) {
-                succeeded();
+                writeSucceeded();
               } else {
-                failed(done.cause());
+                writeFailed(done.cause());
               }
             });
   }
 
-  private void succeeded() {
+  private void writeSucceeded() {
     pending = null;
     if (failureCount > 0) {
       log.accept("the snapshot is written again, after " + failureCount + " failures");
@@ -106,16 +106,16 @@
     backoff.reset();
   }
 
-  private void failed(Throwable why) {
+  private void writeFailed(Throwable cause) {
     if (failureCount++ == 0) {
       log.accept(
           "the snapshot can't be written, the one before stays and it is tried again: "
-              + describe(why));
+              + describe(cause));
     }
     backoff.recordFailure(clockNanos.getAsLong(), MIN_RETRY_NANOS);
   }
 
-  private static String describe(Throwable why) {
-    return why instanceof SnapshotException ? why.getMessage() : why.toString();
+  private static String describe(Throwable cause) {
+    return cause instanceof SnapshotException ? cause.getMessage() : cause.toString();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -15,22 +15,22 @@
   private static final long MS = 1_000_000;
 
   private final EndpointListener listener;
-  private final LongSupplier forwardNanos;
+  private final LongSupplier monotonicNanos;
   private final LongSupplier wallMillis;
 
-  WallTimes(EndpointListener listener, LongSupplier forwardNanos, LongSupplier wallMillis) {
+  WallTimes(EndpointListener listener, LongSupplier monotonicNanos, LongSupplier wallMillis) {
     this.listener = listener;
-    this.forwardNanos = forwardNanos;
+    this.monotonicNanos = monotonicNanos;
     this.wallMillis = wallMillis;
   }
 
   /** Converts a time of the monotonic clock to a Unix time, both in nanoseconds. */
-  long unix(long nanos) {
-    return nanos + aheadMillis() * MS;
+  long toUnixNanos(long monotonic) {
+    return monotonic + wallOffsetMillis() * MS;
   }
 
-  private long aheadMillis() {
-    return wallMillis.getAsLong() - forwardNanos.getAsLong() / MS;
+  private long wallOffsetMillis() {
+    return wallMillis.getAsLong() - monotonicNanos.getAsLong() / MS;
   }
 
   @Override
@@ -49,7 +49,7 @@
             endpoint.cell(),
             endpoint.state(),
             endpoint.weight(),
-            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + aheadMillis()));
+            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + wallOffsetMillis()));
   }
 
   @Override
@@ -59,6 +59,6 @@
 
   @Override
   public void objectPurged(long object, int group, long atMillis) {
-    listener.objectPurged(object, group, atMillis + Math.max(0, aheadMillis()));
+    listener.objectPurged(object, group, atMillis + Math.max(0, wallOffsetMillis()));
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
@@ -39,8 +39,8 @@
   }
 
   /** Sets the session that receives the responses. */
-  void attach(WatchSession commanding) {
-    session = commanding;
+  void attach(WatchSession watchSession) {
+    session = watchSession;
   }
 
   /** Cancels all open requests. */
@@ -51,10 +51,10 @@
 
   /** Decodes the response to one call and passes it to the session. */
   private abstract class CallHandler implements RegistryHttpClient.ResponseHandler {
-    final long call;
+    final long callId;
 
-    CallHandler(long call) {
-      this.call = call;
+    CallHandler(long callId) {
+      this.callId = callId;
     }
 
     /** Decodes a complete response and passes it to the session. */
@@ -62,11 +62,11 @@
 
     @Override
     public void completed(int status, MultiMap headers, byte[] body) {
-      exchanges.remove(call);
-      handle(
+      exchanges.remove(callId);
+      runDecoder(
           () -> {
             if (protocol.isCompacted(status, body)) {
-              session.compacted(clockNanos.getAsLong(), call);
+              session.compacted(clockNanos.getAsLong(), callId);
             } else {
               decode(status, headers, body);
             }
@@ -74,29 +74,29 @@
     }
 
     /** Runs a decoder; a response that it can't decode fails this call alone. */
-    void handle(Runnable decoding) {
+    void runDecoder(Runnable decoding) {
       try {
         decoding.run();
       } catch (InvalidDocumentException e) {
         log.info(e.getMessage());
-        cancel(call);
-        session.callFailed(clockNanos.getAsLong(), call, RegistryFailure.UNREADABLE, 0);
+        cancel(callId);
+        session.callFailed(clockNanos.getAsLong(), callId, RegistryFailure.UNREADABLE, 0);
       }
       afterEvent.run();
     }
 
     @Override
-    public void failed(RegistryFailure why, long retryAfterNanos) {
-      exchanges.remove(call);
-      session.callFailed(clockNanos.getAsLong(), call, why, retryAfterNanos);
+    public void failed(RegistryFailure failure, long retryAfterNanos) {
+      exchanges.remove(callId);
+      session.callFailed(clockNanos.getAsLong(), callId, failure, retryAfterNanos);
       afterEvent.run();
     }
   }
 
   /** Handles the pages of a list. */
   private class PageHandler extends CallHandler {
-    PageHandler(long call) {
-      super(call);
+    PageHandler(long callId) {
+      super(callId);
     }
 
     @Override
@@ -104,7 +104,7 @@
       RegistryPage page = protocol.decodePage(status, headers, body);
       session.pageReceived(
           clockNanos.getAsLong(),
-          call,
+          callId,
           page.header(),
           page.entries(),
           page.hasMore(),
@@ -114,27 +114,28 @@
 
   /** Handles a watch: a stream of frames, or the single page of a blocking read. */
   private final class WatchHandler extends PageHandler {
-    WatchHandler(long call) {
-      super(call);
+    WatchHandler(long callId) {
+      super(callId);
     }
 
     @Override
     public void line(byte[] line) {
-      handle(() -> frame(protocol.decodeFrame(line)));
+      runDecoder(() -> handleFrame(protocol.decodeFrame(line)));
     }
 
-    private void frame(RegistryProtocol.Frame frame) {
+    private void handleFrame(RegistryProtocol.Frame frame) {
       long nowNanos = clockNanos.getAsLong();
       if (frame instanceof RegistryProtocol.Frame.Opened opened) {
-        session.watchOpened(nowNanos, call, opened.header());
+        session.watchOpened(nowNanos, callId, opened.header());
       } else if (frame instanceof RegistryProtocol.Frame.Events events) {
-        session.eventsReceived(nowNanos, call, events.header(), events.events(), events.partial());
+        session.eventsReceived(
+            nowNanos, callId, events.header(), events.events(), events.partial());
       } else if (frame instanceof RegistryProtocol.Frame.Compacted) {
-        cancel(call);
-        session.compacted(nowNanos, call);
+        cancel(callId);
+        session.compacted(nowNanos, callId);
       } else if (frame instanceof RegistryProtocol.Frame.Ended ended) {
-        cancel(call);
-        session.callFailed(nowNanos, call, ended.why(), 0);
+        cancel(callId);
+        session.callFailed(nowNanos, callId, ended.failure(), 0);
       }
     }
   }
@@ -144,42 +145,47 @@
       RegistryProtocol.Request request,
       RegistryHttpClient.ResponseKind kind,
       CallHandler handler) {
-    exchanges.put(handler.call, client.send(endpoint, request, kind, handler));
+    exchanges.put(handler.callId, client.send(endpoint, request, kind, handler));
   }
 
   @Override
-  public void list(long call, int endpoint, long revision, String after, long since, int limit) {
+  public void list(
+      long callId, int endpoint, long revision, String afterKey, long sinceRevision, int pageSize) {
     send(
         endpoint,
-        protocol.listRequest(revision, after, since, limit),
+        protocol.listRequest(revision, afterKey, sinceRevision, pageSize),
         RegistryHttpClient.ResponseKind.COMPLETE,
-        new PageHandler(call));
+        new PageHandler(callId));
   }
 
   @Override
-  public void watch(long call, int endpoint, long from) {
-    send(endpoint, protocol.watchRequest(from), protocol.watchResponse(), new WatchHandler(call));
+  public void watch(long callId, int endpoint, long fromRevision) {
+    send(
+        endpoint,
+        protocol.watchRequest(fromRevision),
+        protocol.watchResponse(),
+        new WatchHandler(callId));
   }
 
   @Override
-  public void heartbeat(long call, int endpoint) {
+  public void heartbeat(long callId, int endpoint) {
     send(
         endpoint,
         protocol.heartbeatRequest(),
         RegistryHttpClient.ResponseKind.COMPLETE,
-        new CallHandler(call) {
+        new CallHandler(callId) {
           @Override
           void decode(int status, MultiMap headers, byte[] body) {
             RegistryProtocol.Heartbeat heartbeat = protocol.decodeHeartbeat(status, headers, body);
             session.heartbeatReceived(
-                clockNanos.getAsLong(), call, heartbeat.header(), heartbeat.tipRevision());
+                clockNanos.getAsLong(), callId, heartbeat.header(), heartbeat.tipRevision());
           }
         });
   }
 
   @Override
-  public void cancel(long call) {
-    RegistryHttpExchange exchange = exchanges.remove(call);
+  public void cancel(long callId) {
+    RegistryHttpExchange exchange = exchanges.remove(callId);
     if (exchange != null) {
       exchange.cancel();
     }
--- a/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -34,14 +34,14 @@
     digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  void note(String line) {
+  void recordSessionLogLine(String line) {
     // The recorded form names heartbeats PULSE.
     String recorded = line.replace(": HEARTBEAT ", ": PULSE ");
     count("note " + recorded.replaceAll("[0-9]+", "N"));
     record("note", recorded);
   }
 
-  void complaint(String line) {
+  void recordViewLogLine(String line) {
     record("complaint", line);
   }
 
@@ -59,9 +59,9 @@
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
-    boolean whole = kind == EndpointListKind.FULL;
-    record("listing", whole);
-    count("listing " + whole);
+    boolean isFull = kind == EndpointListKind.FULL;
+    record("listing", isFull);
+    count("listing " + isFull);
   }
 
   @Override
--- a/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
@@ -18,7 +18,7 @@
  * records new ones and says why.
  */
 class RecordedWatchSessionTest {
-  private static final Map<String, SeededRegistryWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededRegistryWorld> WORLDS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   private static String digest(Setting setting, long seed) {
@@ -27,8 +27,8 @@
         key,
         missing -> {
           SeededRegistryWorld world = new SeededRegistryWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          WORLDS.put(key, world);
+          return world.run();
         });
   }
 
@@ -37,7 +37,7 @@
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
-      PLAYED
+      WORLDS
           .get(setting + " 1")
           .outputs
           .counts
@@ -68,7 +68,7 @@
     assertEquals(
         recorded,
         digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).outputs.counts);
+        () -> "counted: " + WORLDS.get(setting + " " + seed).outputs.counts);
   }
 
   /**
@@ -153,8 +153,8 @@
 
   @ParameterizedTest
   @EnumSource(value = RegistryFailure.class, mode = EnumSource.Mode.EXCLUDE, names = "LAGGING")
-  void recordedEventsReachEveryFailure(RegistryFailure why) {
+  void recordedEventsReachEveryFailure(RegistryFailure failure) {
     Map<String, Integer> counts = counts();
-    assertTrue(counts.getOrDefault("failure " + why, 0) > 0, why + " of " + counts);
+    assertTrue(counts.getOrDefault("failure " + failure, 0) > 0, failure + " of " + counts);
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -36,7 +36,7 @@
     return all;
   }
 
-  private void starts(RegistryEntry... all) {
+  private void startWith(RegistryEntry... all) {
     view.applySnapshot(NOW, new RegistryListing(Arrays.asList(all), "c", 10, NOW));
     takePublished();
   }
@@ -58,7 +58,7 @@
 
   @Test
   void eachRevisionIsPublishedAsOneList() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applyEvents(
         NOW,
         List.of(
@@ -69,8 +69,8 @@
   }
 
   @Test
-  void eventsOfASecondWatchArePassedOver() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void eventsAlreadyAppliedAreSkipped() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applyEvents(
         NOW,
         List.of(
@@ -84,8 +84,8 @@
   }
 
   @Test
-  void endpointCreatedAnewUnderItsIdIsGoneFirst() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void recreatedEndpointIsPublishedAsRemovedFirst() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     assertTrue(
         view.applyWrites(
             NOW,
@@ -97,7 +97,7 @@
 
   @Test
   void missedDeletionNeedsAListOfAllKeys() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2));
     assertFalse(
@@ -119,7 +119,7 @@
 
   @Test
   void missedDeletionHiddenByANewKeyIsDetected() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2));
     assertFalse(
@@ -131,8 +131,8 @@
   }
 
   @Test
-  void unreadableValueKeepsTheLastReadableOneOfItsKeyAlone() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void unreadableValueKeepsTheLastReadableValueOfItsKeyOnly() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     RegistryEntry unreadable =
         new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
     view.applyEvents(
@@ -155,14 +155,14 @@
 
   @Test
   void purgeIsPublishedOnceAndCountsFromNow() {
-    starts();
+    startWith();
     view.applyEvents(NOW, List.of(RegistryFixtures.put(purge(7, 900, 11))));
     view.applySnapshot(NOW, new RegistryListing(List.of(purge(7, 900, 11)), "c", 12, NOW));
     assertEquals(List.of("purged 7/0 0"), takePublished());
   }
 
   @Test
-  void aPurgeFromBeforeTheStartCountsFromNowWhateverItsWritersClockSays() {
+  void purgeFromBeforeTheStartCountsFromNowWhateverItsTimestamp() {
     view.applySnapshot(
         NOW,
         new RegistryListing(
@@ -172,7 +172,7 @@
 
   @Test
   void gapLongerThanTheRetentionPurgesEverything() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applySnapshot(
         NOW,
         new RegistryListing(
@@ -193,7 +193,7 @@
 
   @Test
   void newHistoryIsAFullListAndPurgesEverything() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
     view.applyNewHistory(
@@ -206,7 +206,7 @@
 
   @Test
   void earlierWriteOfAKnownKeyIsANewHistory() {
-    starts(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
+    startWith(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
     view.applySnapshot(
         NOW,
         new RegistryListing(
@@ -220,8 +220,8 @@
   }
 
   @Test
-  void keysPastTheBoundArePassedOverWhileOthersAreFollowed() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void keysBeyondTheLimitAreSkippedWhileKnownOnesAreUpdated() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     for (int more = 0; more < 8; more++) {
       view.applyEvents(
           NOW,
@@ -265,12 +265,14 @@
   }
 
   @Test
-  void snapshotGivesTheReasonOfItsRefusal() {
+  void rejectedSnapshotGivesTheReason() {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW - 100 * MS, List.of());
-    assertEquals(Optional.empty(), snapshot.refusal(NOW, "p/", 200 * MS));
-    assertEquals(Optional.of("it is of the prefix p/"), snapshot.refusal(NOW, "q/", 200 * MS));
-    assertEquals(Optional.of("it is 0 s old"), snapshot.refusal(NOW, "p/", 50 * MS));
+    assertEquals(Optional.empty(), snapshot.rejectionReason(NOW, "p/", 200 * MS));
     assertEquals(
-        Optional.of("it is from the future"), snapshot.refusal(NOW - 5000 * MS, "p/", 200 * MS));
+        Optional.of("it is of the prefix p/"), snapshot.rejectionReason(NOW, "q/", 200 * MS));
+    assertEquals(Optional.of("it is 0 s old"), snapshot.rejectionReason(NOW, "p/", 50 * MS));
+    assertEquals(
+        Optional.of("it is from the future"),
+        snapshot.rejectionReason(NOW - 5000 * MS, "p/", 200 * MS));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -56,17 +56,17 @@
   }
 
   /** Drops all calls when the gateway restarts. */
-  void forgetCalls() {
+  void dropCalls() {
     calls.clear();
   }
 
   /** Schedules the delivery of a write to the watches and blocking reads. */
-  void written() {
+  void deliverWrites() {
     for (OpenCall call : calls.values()) {
       if (call.historyIndex >= 0) {
-        world.plan(latency(call.endpoint), () -> bringChanges(call));
+        world.schedule(latency(call.endpoint), () -> deliverChanges(call));
       } else if (isBlockingRead(call)) {
-        world.plan(latency(call.endpoint), () -> answerBlockingRead(call, false));
+        world.schedule(latency(call.endpoint), () -> answerBlockingRead(call, false));
       }
     }
   }
@@ -75,25 +75,25 @@
     Behaviour[] all = Behaviour.values();
     behaviours[endpoint] =
         world.chance(0.55) ? Behaviour.HEALTHY : all[world.random.nextInt(all.length)];
-    RegistryFailure[] reasons = RegistryFailure.values();
-    failures[endpoint] = reasons[world.random.nextInt(reasons.length - 1)];
+    RegistryFailure[] allFailures = RegistryFailure.values();
+    failures[endpoint] = allFailures[world.random.nextInt(allFailures.length - 1)];
     outputs.count("behaviour " + behaviours[endpoint]);
     for (OpenCall call : calls.values()) {
       if (call.endpoint == endpoint && behaviours[endpoint] == Behaviour.HEALTHY) {
-        world.plan(latency(endpoint), () -> bringChanges(call));
+        world.schedule(latency(endpoint), () -> deliverChanges(call));
       }
     }
   }
 
   void outage() {
     outputs.count("event outage");
-    boolean silent = world.random.nextBoolean();
+    boolean isSilent = world.random.nextBoolean();
     for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
-      behaviours[endpoint] = silent ? Behaviour.SILENT : Behaviour.FAILING;
+      behaviours[endpoint] = isSilent ? Behaviour.SILENT : Behaviour.FAILING;
       failures[endpoint] = RegistryFailure.REFUSED;
     }
-    breakWatches(silent ? 0 : 1);
-    world.plan(
+    breakWatches(isSilent ? 0 : 1);
+    world.schedule(
         300 * MS + world.random.nextLong(4_000 * MS),
         () -> {
           for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
@@ -108,7 +108,7 @@
     for (OpenCall call : List.copyOf(calls.values())) {
       if (call.historyIndex >= 0 && world.chance(share)) {
         calls.remove(call.id);
-        end(call, RegistryFailure.BROKEN, 0);
+        fail(call, RegistryFailure.BROKEN, 0);
       } else if (call.historyIndex >= 0) {
         call.historyIndex = Math.min(call.historyIndex, world.store.history().size());
       }
@@ -143,28 +143,28 @@
    * Fails the call if the endpoint's behaviour says so. Returns whether the call was failed or
    * stays unanswered.
    */
-  private boolean fails(OpenCall call) {
+  private boolean failsOrIgnores(OpenCall call) {
     if (behaviours[call.endpoint] == Behaviour.SILENT) {
       return true;
     }
     if (behaviours[call.endpoint] == Behaviour.FAILING) {
-      RegistryFailure why = failures[call.endpoint];
+      RegistryFailure failure = failures[call.endpoint];
       boolean asksToWait =
-          why == RegistryFailure.THROTTLED
-              || (why == RegistryFailure.UNAVAILABLE && world.chance(0.3));
+          failure == RegistryFailure.THROTTLED
+              || (failure == RegistryFailure.UNAVAILABLE && world.chance(0.3));
       calls.remove(call.id);
-      end(call, why, asksToWait ? world.random.nextLong(800 * MS) : 0);
+      fail(call, failure, asksToWait ? world.random.nextLong(800 * MS) : 0);
       return true;
     }
     return false;
   }
 
-  private void end(OpenCall call, RegistryFailure why, long retryAfter) {
-    outputs.count("failure " + why);
-    world.session.callFailed(world.now, call.id, why, retryAfter);
+  private void fail(OpenCall call, RegistryFailure failure, long retryAfter) {
+    outputs.count("failure " + failure);
+    world.session.callFailed(world.now, call.id, failure, retryAfter);
   }
 
-  private OpenCall ask(long id, int endpoint, long from) {
+  private OpenCall openCall(long id, int endpoint, long from) {
     OpenCall call = new OpenCall(id, endpoint, from);
     calls.put(id, call);
     return call;
@@ -177,12 +177,12 @@
   @Override
   public void heartbeat(long id, int endpoint) {
     outputs.record("pulse", id, endpoint);
-    OpenCall call = ask(id, endpoint, 0);
-    world.plan(latency(endpoint), () -> answerPulse(call));
+    OpenCall call = openCall(id, endpoint, 0);
+    world.schedule(latency(endpoint), () -> answerHeartbeat(call));
   }
 
-  private void answerPulse(OpenCall call) {
-    if (isOpen(call) && !fails(call)) {
+  private void answerHeartbeat(OpenCall call) {
+    if (isOpen(call) && !failsOrIgnores(call)) {
       calls.remove(call.id);
       Header header = header(call.endpoint);
       long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tip();
@@ -196,12 +196,12 @@
     outputs.count(since == 0 ? "list of all keys" : "list of what was written since");
     outputs.count(revision == 0 ? "first page" : "next page");
     outputs.count(limit > 1000 ? "page of larger size" : "page of first size");
-    OpenCall call = revision == 0 ? ask(id, endpoint, 0) : calls.get(id);
-    world.plan(latency(endpoint), () -> answerList(call, revision, after, since, limit));
+    OpenCall call = revision == 0 ? openCall(id, endpoint, 0) : calls.get(id);
+    world.schedule(latency(endpoint), () -> answerList(call, revision, after, since, limit));
   }
 
   private void answerList(OpenCall call, long revision, String after, long since, int limit) {
-    if (!isOpen(call) || fails(call)) {
+    if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.FLOODING) {
@@ -215,21 +215,21 @@
       return;
     }
     if (revision == 0) {
-      boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+      boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
       call.listed.addAll(
-          foreign ? world.store.foreignEntries() : world.store.writtenSince(keysSince(since)));
-      call.listedCount = foreign ? call.listed.size() : world.store.count();
+          isForeign ? world.store.foreignEntries() : world.store.writtenSince(keysSince(since)));
+      call.listedCount = isForeign ? call.listed.size() : world.store.count();
     }
-    List<RegistryEntry> rest =
+    List<RegistryEntry> remaining =
         call.listed.stream().filter(entry -> entry.key().compareTo(after) > 0).toList();
     int size = Math.min(limit, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
-    boolean more = rest.size() > size;
-    List<RegistryEntry> page = rest.subList(0, Math.min(size, rest.size()));
-    if (!more) {
+    boolean hasMore = remaining.size() > size;
+    List<RegistryEntry> page = remaining.subList(0, Math.min(size, remaining.size()));
+    if (!hasMore) {
       calls.remove(call.id);
     }
     long count = world.setting == SeededRegistryWorld.Setting.BLOCKING ? -1 : call.listedCount;
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, more, count);
+    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, hasMore, count);
   }
 
   private long keysSince(long since) {
@@ -251,17 +251,17 @@
   @Override
   public void watch(long id, int endpoint, long from) {
     outputs.record("watch", id, endpoint, from);
-    OpenCall call = ask(id, endpoint, Math.max(1, from));
+    OpenCall call = openCall(id, endpoint, Math.max(1, from));
     if (world.setting == SeededRegistryWorld.Setting.BLOCKING) {
-      world.plan(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
-      world.plan(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
+      world.schedule(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
+      world.schedule(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
     } else {
-      world.plan(latency(endpoint), () -> openWatch(call));
+      world.schedule(latency(endpoint), () -> openWatch(call));
     }
   }
 
   private void openWatch(OpenCall call) {
-    if (!isOpen(call) || fails(call)) {
+    if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
     if (world.store.isCompacted(call.from)) {
@@ -275,13 +275,13 @@
       world.session.eventsReceived(world.now, call.id, header(call.endpoint), List.of(), false);
     }
     world.session.watchOpened(world.now, call.id, header(call.endpoint));
-    world.plan(latency(call.endpoint), () -> bringChanges(call));
+    world.schedule(latency(call.endpoint), () -> deliverChanges(call));
   }
 
-  private void bringChanges(OpenCall call) {
+  private void deliverChanges(OpenCall call) {
     Behaviour behaviour = behaviours[call.endpoint];
-    boolean silent = behaviour == Behaviour.SILENT || behaviour == Behaviour.WATCH_SILENT;
-    if (!isOpen(call) || call.historyIndex < 0 || silent || fails(call)) {
+    boolean isSilent = behaviour == Behaviour.SILENT || behaviour == Behaviour.WATCH_SILENT;
+    if (!isOpen(call) || call.historyIndex < 0 || isSilent || failsOrIgnores(call)) {
       return;
     }
     List<WatchEvent> history = world.store.history();
@@ -289,7 +289,7 @@
     if (behaviour == Behaviour.FLOODING) {
       List<WatchEvent> flood = history.subList(Math.max(0, history.size() - 50), history.size());
       world.session.eventsReceived(world.now, call.id, header, List.copyOf(flood), true);
-      world.plan(5 * MS, () -> bringChanges(call));
+      world.schedule(5 * MS, () -> deliverChanges(call));
       return;
     }
     int from = call.historyIndex;
@@ -308,21 +308,22 @@
     outputs.count(partial ? "event partial frame" : "event frame");
     world.session.eventsReceived(
         world.now, call.id, header, List.copyOf(history.subList(from, to)), partial);
-    world.plan(latency(call.endpoint), () -> bringChanges(call));
+    world.schedule(latency(call.endpoint), () -> deliverChanges(call));
   }
 
-  private void answerBlockingRead(OpenCall call, boolean unchangedToo) {
-    if (!isOpen(call) || !isBlockingRead(call) || fails(call)) {
+  private void answerBlockingRead(OpenCall call, boolean evenIfUnchanged) {
+    if (!isOpen(call) || !isBlockingRead(call) || failsOrIgnores(call)) {
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.WATCH_SILENT
-        || (!unchangedToo && world.store.revision() < call.from)) {
+        || (!evenIfUnchanged && world.store.revision() < call.from)) {
       return;
     }
     calls.remove(call.id);
     outputs.count("event blocking read");
-    boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
-    List<RegistryEntry> all = foreign ? world.store.foreignEntries() : world.store.writtenSince(0);
+    boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+    List<RegistryEntry> all =
+        isForeign ? world.store.foreignEntries() : world.store.writtenSince(0);
     world.session.pageReceived(world.now, call.id, header(call.endpoint), all, false, -1);
   }
 
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -36,7 +36,7 @@
     }
   }
 
-  private record Planned(long at, long order, Runnable event) {}
+  private record ScheduledEvent(long atNanos, long order, Runnable event) {}
 
   private static final long MS = 1_000_000;
   private static final long START = 1_700_000_000_000L * MS;
@@ -48,8 +48,10 @@
 
   final Setting setting;
   final SplittableRandom random;
-  private final PriorityQueue<Planned> planned =
-      new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+  private final PriorityQueue<ScheduledEvent> scheduled =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledEvent::atNanos)
+              .thenComparingLong(ScheduledEvent::order));
   private final SeededRegistryEndpoints endpoints;
   final SeededRegistryStore store;
   WatchSession session;
@@ -66,13 +68,13 @@
   }
 
   /** Runs the simulation to its end and returns the digest of all outputs as hexadecimal digits. */
-  String play() {
+  String run() {
     for (int write = 0; write < 30; write++) {
       store.write(START / MS);
     }
     store.takeBackup();
     restart();
-    plan(0, this::changeSomething);
+    schedule(0, this::changeSomething);
     while (now < START + DURATION) {
       step();
       recordState();
@@ -82,9 +84,9 @@
 
   private void step() {
     long due = Math.max(session.nextTickNanos(), now + MS);
-    if (!planned.isEmpty() && planned.peek().at <= due) {
-      Planned next = planned.poll();
-      now = Math.max(now, next.at);
+    if (!scheduled.isEmpty() && scheduled.peek().atNanos <= due) {
+      ScheduledEvent next = scheduled.poll();
+      now = Math.max(now, next.atNanos);
       next.event.run();
     } else {
       // A timer fires up to a millisecond late, and occasionally up to 2.5 seconds late.
@@ -93,14 +95,14 @@
     }
   }
 
-  void plan(long delay, Runnable event) {
-    planned.add(new Planned(now + delay, ++order, event));
+  void schedule(long delay, Runnable event) {
+    scheduled.add(new ScheduledEvent(now + delay, ++order, event));
   }
 
   // ---- Random changes.
 
   private void changeSomething() {
-    plan(MS + random.nextLong(80 * MS), this::changeSomething);
+    schedule(MS + random.nextLong(80 * MS), this::changeSomething);
     if (chance(0.25)) {
       write(1);
     }
@@ -138,7 +140,7 @@
       session.settingsReloaded(now);
     }
     if (chance(0.01)) {
-      strayAnswer();
+      passInStrayAnswer();
     }
     if (view.hasData() && session.phase() == WatchSession.Phase.CURRENT && chance(0.02)) {
       snapshot =
@@ -158,11 +160,11 @@
     for (int write = 0; write < transactions; write++) {
       store.write(now / MS);
     }
-    endpoints.written();
+    endpoints.deliverWrites();
   }
 
   /** Passes in a response to a call that has ended or is of another kind. */
-  private void strayAnswer() {
+  private void passInStrayAnswer() {
     long id = Math.max(1, order % 200);
     Header header = new Header(store.cluster(), store.revision());
     outputs.count("event stray answer");
@@ -176,11 +178,15 @@
   }
 
   private void restart() {
-    endpoints.forgetCalls();
+    endpoints.dropCalls();
     long retention = setting.retentionMillis * MS;
     view =
         new RegistryView(
-            outputs, SeededRegistryStore.TIP_KEY, setting.maxKeys, retention, outputs::complaint);
+            outputs,
+            SeededRegistryStore.TIP_KEY,
+            setting.maxKeys,
+            retention,
+            outputs::recordViewLogLine);
     session =
         new WatchSession(
             view,
@@ -190,7 +196,7 @@
                 setting.maxKeys,
                 setting == Setting.BLOCKING ? BLOCKING_TIME : 0,
                 random.nextLong()),
-            outputs::note);
+            outputs::recordSessionLogLine);
     session.tick(now);
     if (snapshot != null && chance(0.8)) {
       outputs.count("event restart from snapshot");
@@ -204,12 +210,12 @@
     } else {
       outputs.count("event restart");
     }
-    WatchSession begun = session;
-    plan(
+    WatchSession startedSession = session;
+    schedule(
         random.nextLong(20 * MS),
         () -> {
-          if (session == begun) {
-            begun.start(now);
+          if (session == startedSession) {
+            startedSession.start(now);
           }
         });
   }
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -68,7 +68,7 @@
 
   @ParameterizedTest
   @CsvSource({"-5000,0", "-3600000,0", "3600000,0", "0,0", "-7200000,-3600000"})
-  void aCacheThatIsSeenToComeStartedAsLateAsAStepOfItsWritersClockAllows(long stamp, long start) {
+  void newCacheIsGivenTheLatestStartThatItsTimestampAllows(long stamp, long start) {
     view.applySnapshot(NOW, new RegistryListing(List.of(), "c", 1, NOW));
     view.applyEvents(
         NOW,
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void aStartStaysWhatItWasToldAsUntilTheCacheIsAnotherOne() {
+  void startTimeStaysUntilTheCacheIsReplaced() {
     view.applySnapshot(
         NOW,
         new RegistryListing(
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void aPurgeInASnapshotCountsFromTheStart() {
+  void purgeInASnapshotCountsFromTheRestore() {
     RegistryEntry purge =
         new RegistryEntry("p/purges/1", new RegistryRecord.Purge(7, 0, NOW / MS - 3_600_000), 2, 2);
     view.restoreSnapshot(NOW, new RegistryListing(List.of(purge), "c", 10, NOW - 50 * MS));
@@ -120,11 +120,11 @@
 
   @ParameterizedTest
   @CsvSource({"-10,10", "-3610,3610", "1,0", "10,3590", "3590,10", "3700,-100"})
-  void aSnapshotIsAsOldAsAStepOfTheClockAllows(long provenS, long ageS) {
+  void snapshotAgeIsTheLargestThatAClockStepAllows(long provenS, long ageS) {
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
     assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
     assertEquals(
         ageS < 0 ? Optional.of("it is from the future") : Optional.empty(),
-        snapshot.refusal(NOW, "p/", DAY));
+        snapshot.rejectionReason(NOW, "p/", DAY));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -23,7 +23,7 @@
   private static final long START = 1_000_000_000_000L * MS;
 
   /** A recorded command; {@code from} is a watch's start revision or a list's lower bound. */
-  private record Command(String what, long call, int endpoint, long from) {}
+  private record Command(String kind, long call, int endpoint, long from) {}
 
   private final List<String> published = new ArrayList<>();
   private final List<String> logged = new ArrayList<>();
@@ -65,15 +65,15 @@
     session.start(now);
   }
 
-  private List<Command> take(String what) {
-    List<Command> found = commands.stream().filter(one -> one.what.equals(what)).toList();
+  private List<Command> takeCommands(String kind) {
+    List<Command> found = commands.stream().filter(command -> command.kind.equals(kind)).toList();
     commands.removeAll(found);
     return found;
   }
 
   /** Removes the recorded commands of this kind and returns the last one. */
-  private Command last(String what) {
-    List<Command> all = take(what);
+  private Command takeLastCommand(String kind) {
+    List<Command> all = takeCommands(kind);
     return all.get(all.size() - 1);
   }
 
@@ -81,12 +81,12 @@
    * Advances time by the given milliseconds, and answers the heartbeats that the predicate accepts
    * with the given revisions.
    */
-  private void pass(long ms, Predicate<Command> answers, long revision, long tip) {
+  private void advance(long ms, Predicate<Command> answers, long revision, long tip) {
     long end = now + ms * MS;
     while (now < end) {
       now = Math.min(end, Math.max(now + MS, session.nextTickNanos()));
       session.tick(now);
-      for (Command heartbeat : take("heartbeat")) {
+      for (Command heartbeat : takeCommands("heartbeat")) {
         if (answers.test(heartbeat)) {
           session.heartbeatReceived(now, heartbeat.call, new Header("c", revision), tip);
         }
@@ -94,24 +94,24 @@
     }
   }
 
-  private void list(Command list, long revision, RegistryEntry... all) {
+  private void answerList(Command list, long revision, RegistryEntry... all) {
     session.pageReceived(
         now, list.call, new Header("c", revision), List.of(all), false, all.length);
   }
 
   /** Starts a session with three endpoints, one listed cache and two open watches. */
-  private List<Command> watching() {
-    return watching(3);
+  private List<Command> startWithOpenWatches() {
+    return startWithOpenWatches(3);
   }
 
-  private List<Command> watching(int endpoints) {
+  private List<Command> startWithOpenWatches(int endpoints) {
     start(endpoints);
-    list(
-        take("list").get(0),
+    answerList(
+        takeCommands("list").get(0),
         10,
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 9),
         RegistryFixtures.tip(9));
-    List<Command> watches = take("watch");
+    List<Command> watches = takeCommands("watch");
     watches.forEach(watch -> session.watchOpened(now, watch.call, new Header("c", 10)));
     published.clear();
     return watches;
@@ -125,10 +125,10 @@
 
   @Test
   void listIsReadFirstThenTwoEndpointsAreWatchedFromTheNextRevision() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     assertEquals(2, watches.size());
     assertNotEquals(watches.get(0).endpoint, watches.get(1).endpoint);
-    assertTrue(watches.stream().allMatch(one -> one.from == 11));
+    assertTrue(watches.stream().allMatch(command -> command.from == 11));
     assertEquals(Phase.CURRENT, session.phase());
   }
 
@@ -138,14 +138,14 @@
     for (int seed = 0; seed < 20; seed++) {
       new WatchSession(view, recorder, new WatchSessionConfig(3, 100, 0, seed), logged::add)
           .start(now);
-      first.add(take("list").get(0).endpoint);
+      first.add(takeCommands("list").get(0).endpoint);
     }
     assertEquals(3, first.stream().distinct().count());
   }
 
   @Test
   void partialFrameIsReplayedOnceItsRevisionIsComplete() {
-    Command watch = watching().get(0);
+    Command watch = startWithOpenWatches().get(0);
     Header header = new Header("c", 12);
     session.eventsReceived(
         now,
@@ -166,7 +166,7 @@
 
   @Test
   void brokenWatchResumesAtTheNextRevision() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
         now,
         watches.get(0).call,
@@ -175,39 +175,39 @@
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 14))),
         false);
     session.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
-    pass(200, ALL, 14, 9);
-    assertEquals(15, take("watch").get(0).from);
+    advance(200, ALL, 14, 9);
+    assertEquals(15, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void watchResyncAfterCompactionReadsWhatWasWrittenSince() {
-    Command watch = watching().get(0);
+  void watchResyncAfterCompactionListsTheKeysWrittenSince() {
+    Command watch = startWithOpenWatches().get(0);
     session.compacted(now, watch.call);
-    Command list = take("list").get(0);
+    Command list = takeCommands("list").get(0);
     assertEquals(11, list.from);
-    list(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    answerList(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
     assertEquals(List.of(), published, "the count tells that a key is missing");
-    Command whole = take("list").get(0);
-    assertEquals(0, whole.from);
-    list(whole, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    Command fullList = takeCommands("list").get(0);
+    assertEquals(0, fullList.from);
+    answerList(fullList, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
     assertEquals(List.of("[a~]"), published);
-    assertEquals(31, take("watch").get(0).from);
+    assertEquals(31, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void drainIsReadInTimeWhicheverEndpointAnswersThoughAllWatchesAreSilent() {
+  void drainIsAppliedInTimeWhicheverEndpointRespondsWhileAllWatchesAreSilent() {
     for (int alive = 0; alive < 5; alive++) {
       WatchSessionTest scenario = new WatchSessionTest();
-      scenario.watching(5);
+      scenario.startWithOpenWatches(5);
       int only = alive;
-      scenario.pass(1000, ALL, 10, 9);
+      scenario.advance(1000, ALL, 10, 9);
       long committed = scenario.now + MS;
       // From here on all but one of five endpoints are silent, and their watches stay open. The
       // limit of 240 ms is the sum of a heartbeat period, the failovers through all endpoints, and
       // the time that a watch has to deliver a change; responses take no time here.
       while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
-        scenario.pass(1, one -> one.endpoint == only, 11, 11);
-        for (Command list : scenario.take("list")) {
+        scenario.advance(1, command -> command.endpoint == only, 11, 11);
+        for (Command list : scenario.takeCommands("list")) {
           if (list.endpoint == only) {
             scenario.session.pageReceived(
                 scenario.now,
@@ -227,84 +227,84 @@
 
   @Test
   void watchBehindTheTipOfAHeartbeatIsReplaced() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
         now,
         watches.get(0).call,
         new Header("c", 11),
         List.of(RegistryFixtures.put(RegistryFixtures.tip(11))),
         false);
-    pass(300, ALL, 11, 11);
+    advance(300, ALL, 11, 11);
     assertEquals(List.of(watches.get(1).call), cancelled);
-    assertTrue(take("watch").stream().anyMatch(one -> one.from == 12));
+    assertTrue(takeCommands("watch").stream().anyMatch(command -> command.from == 12));
   }
 
   @Test
   void singleStaleHeartbeatChangesNothing() {
-    watching();
-    pass(500, ALL, 10, 9);
+    startWithOpenWatches();
+    advance(500, ALL, 10, 9);
     boolean[] once = {true};
-    pass(2000, one -> true, 10, 9);
+    advance(2000, command -> true, 10, 9);
     now += MS;
     session.tick(now);
-    pass(
+    advance(
         110,
-        one -> {
+        command -> {
           boolean old = once[0];
           once[0] = false;
           if (old) {
-            session.heartbeatReceived(now, one.call, new Header("c", 4), 4);
+            session.heartbeatReceived(now, command.call, new Header("c", 4), 4);
           }
           return !old;
         },
         10,
         9);
-    pass(1000, ALL, 10, 9);
-    assertEquals(List.of(), take("list"));
+    advance(1000, ALL, 10, 9);
+    assertEquals(List.of(), takeCommands("list"));
   }
 
   @Test
   void revisionsThatGoBackTwiceAreANewHistory() {
-    watching();
-    pass(500, ALL, 10, 9);
-    pass(300, ALL, 4, 4);
-    Command whole = last("list");
-    assertEquals(0, whole.from);
-    list(whole, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
+    startWithOpenWatches();
+    advance(500, ALL, 10, 9);
+    advance(300, ALL, 4, 4);
+    Command fullList = takeLastCommand("list");
+    assertEquals(0, fullList.from);
+    answerList(fullList, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
     assertEquals("=[b+]", published.get(0));
-    assertEquals(5, take("watch").get(0).from);
+    assertEquals(5, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void endpointOfAnotherClusterIsPassedOver() {
-    watching();
-    pass(
+  void endpointOfAnotherClusterIsIgnored() {
+    startWithOpenWatches();
+    advance(
         20_000,
-        one -> {
-          if (one.endpoint == 2) {
-            session.heartbeatReceived(now, one.call, new Header("other", 900), 900);
+        command -> {
+          if (command.endpoint == 2) {
+            session.heartbeatReceived(now, command.call, new Header("other", 900), 900);
           }
-          return one.endpoint != 2;
+          return command.endpoint != 2;
         },
         10,
         9);
-    assertEquals(List.of(), take("list"));
+    assertEquals(List.of(), takeCommands("list"));
     assertEquals(List.of(), published);
   }
 
   @Test
   void anotherClusterAtMostEndpointsIsANewHistory() {
-    watching();
-    pass(
+    startWithOpenWatches();
+    advance(
         600,
-        one -> {
-          session.heartbeatReceived(now, one.call, new Header("other", 5), 5);
+        command -> {
+          session.heartbeatReceived(now, command.call, new Header("other", 5), 5);
           return false;
         },
         0,
         0);
-    Command whole = last("list");
-    session.pageReceived(now, whole.call, new Header("other", 5), List.of(), false, 0);
+    Command fullList = takeLastCommand("list");
+    session.pageReceived(now, fullList.call, new Header("other", 5), List.of(), false, 0);
     assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), published);
   }
 
@@ -312,7 +312,7 @@
   @EnumSource(
       value = RegistryFailure.class,
       names = {"UNAUTHORISED", "UNTRUSTED"})
-  void failureThatNeedsAnOperatorIsRetriedSlowly(RegistryFailure why) {
+  void failureThatNeedsAnOperatorIsRetriedSlowly(RegistryFailure failure) {
     start(1);
     int sent = 0;
     for (int step = 0; step < 1000; step++) {
@@ -320,7 +320,7 @@
       session.tick(now);
       for (Command command : List.copyOf(commands)) {
         sent++;
-        session.callFailed(now, command.call, why, 0);
+        session.callFailed(now, command.call, failure, 0);
       }
       commands.clear();
     }
@@ -329,13 +329,15 @@
 
   @Test
   void lossOfContactChangesThePhaseAndKeepsTheView() {
-    watching();
-    pass(1500, NONE, 0, 0);
+    startWithOpenWatches();
+    advance(1500, NONE, 0, 0);
     assertEquals(Phase.CUT_OFF, session.phase());
     assertEquals(List.of(), published);
     assertEquals(
         1,
-        view.entries().stream().filter(one -> one.value() instanceof RegistryRecord.Cache).count());
+        view.entries().stream()
+            .filter(command -> command.value() instanceof RegistryRecord.Cache)
+            .count());
   }
 
   @Test
@@ -355,9 +357,9 @@
   }
 
   @Test
-  void compactionDuringAPagedListingStartsItAnew() {
+  void compactionDuringAPagedListingRestartsIt() {
     start(1);
-    Command list = take("list").get(0);
+    Command list = takeCommands("list").get(0);
     session.pageReceived(
         now,
         list.call,
@@ -365,10 +367,10 @@
         List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
         true,
         2);
-    assertEquals(1, take("list").size());
+    assertEquals(1, takeCommands("list").size());
     session.compacted(now, list.call);
-    Command again = take("list").get(0);
-    list(
+    Command again = takeCommands("list").get(0);
+    answerList(
         again,
         12,
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
@@ -377,21 +379,22 @@
   }
 
   @Test
-  void silentListIsReadElsewhereOnceAnotherEndpointAnswers() {
+  void stalledListMovesToAnotherEndpointThatAnswers() {
     start(2);
-    Command list = take("list").get(0);
-    pass(220, one -> one.endpoint != list.endpoint, 10, 9);
+    Command list = takeCommands("list").get(0);
+    advance(220, command -> command.endpoint != list.endpoint, 10, 9);
     assertEquals(List.of(list.call), cancelled);
-    assertNotEquals(list.endpoint, last("list").endpoint);
+    assertNotEquals(list.endpoint, takeLastCommand("list").endpoint);
   }
 
   @Test
   void retryAfterOfAServerIsHonoured() {
     start(1);
-    session.callFailed(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
+    session.callFailed(now, takeCommands("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
     long since = now;
-    take("heartbeat")
-        .forEach(one -> session.callFailed(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
+    takeCommands("heartbeat")
+        .forEach(
+            command -> session.callFailed(now, command.call, RegistryFailure.THROTTLED, 700 * MS));
     while (commands.isEmpty()) {
       now = Math.max(now + MS, session.nextTickNanos());
       session.tick(now);
--- a/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
@@ -56,8 +56,8 @@
 
   @Test
   void rangeIsEncodedAndDecodedAsPublished() {
-    RegistryProtocol.Request ask = etcd.listRequest(7, "p/caches/a", 5, 100);
-    assertEquals("/v3/kv/range", ask.uri());
+    RegistryProtocol.Request request = etcd.listRequest(7, "p/caches/a", 5, 100);
+    assertEquals("/v3/kv/range", request.uri());
     assertEquals(
         "{'key':'"
             + base64("p/caches/a\0")
@@ -65,7 +65,7 @@
             + base64("p0")
             + "','limit':'100',"
             + "'revision':'7','min_mod_revision':'5'}",
-        text(ask.body()).replace('"', '\''));
+        text(request.body()).replace('"', '\''));
     RegistryPage page =
         etcd.decodePage(
             200,
@@ -95,7 +95,7 @@
     assertEquals(
         new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
         etcd.decodeFrame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
-    RegistryProtocol.Frame.Events told =
+    RegistryProtocol.Frame.Events events =
         (RegistryProtocol.Frame.Events)
             etcd.decodeFrame(
                 bytes(
@@ -105,9 +105,9 @@
                         + "{'type':'DELETE','kv':{'key':'"
                         + base64("p/caches/c1")
                         + "','mod_revision':'40'}}]}}"));
-    assertTrue(told.partial());
-    assertNull(told.events().get(0).entry());
-    assertEquals(40, told.events().get(0).revision());
+    assertTrue(events.partial());
+    assertNull(events.events().get(0).entry());
+    assertEquals(40, events.events().get(0).revision());
   }
 
   @ParameterizedTest
@@ -132,8 +132,8 @@
     "400,16,UNAUTHORISED",
     "404,5,UNREADABLE"
   })
-  void statusAndCodeAreMappedToAFailure(int status, int code, RegistryFailure why) {
-    assertEquals(Optional.of(why), etcd.failure(status, bytes("{'code':" + code + "}")));
+  void statusAndCodeAreMappedToAFailure(int status, int code, RegistryFailure failure) {
+    assertEquals(Optional.of(failure), etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -26,10 +26,10 @@
  */
 class HungDiskTest {
   private static final long SECOND = 1_000_000_000;
-  private static final int PATIENCE_MILLIS = 30_000;
+  private static final int TIMEOUT_MILLIS = 30_000;
 
   /** Ignores all notifications. */
-  private static final class Nobody implements EndpointListener {
+  private static final class IgnoringListener implements EndpointListener {
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
 
@@ -45,12 +45,12 @@
 
   @Test
   @Timeout(120)
-  void registryIsAskedThoughTheReadOfTheSnapshotNeverEnds(@TempDir Path folder) throws Exception {
+  void registryIsContactedWhileTheSnapshotReadHangs(@TempDir Path folder) throws Exception {
     Path pipe = folder.resolve("view");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     Vertx vertx = Vertx.vertx();
     try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
-      endpoint.setSoTimeout(PATIENCE_MILLIS);
+      endpoint.setSoTimeout(TIMEOUT_MILLIS);
       RegistrySettings access =
           new RegistrySettings(
               RegistrySettings.ProtocolKind.ETCD,
@@ -69,7 +69,7 @@
               100,
               1 << 20);
       Context loop = vertx.getOrCreateContext();
-      RegistrySource source = new RegistrySource(vertx, access, new Nobody(), 7);
+      RegistrySource source = new RegistrySource(vertx, access, new IgnoringListener(), 7);
       loop.runOnContext(now -> source.start());
       try (Socket asked = endpoint.accept()) {
         assertTrue(asked.isConnected());
@@ -82,7 +82,7 @@
           .close()
           .toCompletionStage()
           .toCompletableFuture()
-          .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+          .get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecGoldenTest.java
@@ -19,23 +19,23 @@
   /** One key and its value per line, written by the code of commit 7587aa7; never regenerated. */
   private static final String GOLDEN = "/registry-records-1";
 
-  private static final Map<String, RegistryRecord> SAID = said();
+  private static final Map<String, RegistryRecord> RECORDS = records();
 
-  private static Map<String, RegistryRecord> said() {
-    Map<String, RegistryRecord> said = new LinkedHashMap<>();
-    said.put(
+  private static Map<String, RegistryRecord> records() {
+    Map<String, RegistryRecord> records = new LinkedHashMap<>();
+    records.put(
         "caches/c-1",
         new RegistryRecord.Cache(
             "c-1", "192.0.2.1:8080", "z1", "memory", 0, EndpointState.UP, 1, 1700000000123L));
-    said.put(
+    records.put(
         "caches/c-2",
         new RegistryRecord.Cache(
             "c-2", "[2001:db8::1]:8081", "z-2", "disk", 7, EndpointState.DRAINING, 0.25, 0));
-    said.put("purges/one", new RegistryRecord.Purge(0xfedcba9876543210L, 0, 1700000000456L));
-    said.put("purges/group", new RegistryRecord.Purge(0, 12, 1700000000789L));
-    said.put("tasks/sweep", new RegistryRecord.Task(5, "g-1"));
-    said.put("task-owners/sweep", new RegistryRecord.Task(Long.MAX_VALUE, "g-2"));
-    return said;
+    records.put("purges/one", new RegistryRecord.Purge(0xfedcba9876543210L, 0, 1700000000456L));
+    records.put("purges/group", new RegistryRecord.Purge(0, 12, 1700000000789L));
+    records.put("tasks/sweep", new RegistryRecord.Task(5, "g-1"));
+    records.put("task-owners/sweep", new RegistryRecord.Task(Long.MAX_VALUE, "g-2"));
+    return records;
   }
 
   private static Map<String, byte[]> golden() throws IOException {
@@ -58,7 +58,7 @@
   void valuesOfAnEarlierReleaseAreDecoded() throws IOException {
     Map<String, RegistryRecord> read = new LinkedHashMap<>();
     golden().forEach((key, value) -> read.put(key, RecordCodec.decode(key, value)));
-    assertEquals(SAID, read);
+    assertEquals(RECORDS, read);
   }
 
   @Test
@@ -68,7 +68,7 @@
             (key, value) ->
                 assertEquals(
                     new String(value, StandardCharsets.UTF_8),
-                    new String(RecordCodec.encode(SAID.get(key)), StandardCharsets.UTF_8),
+                    new String(RecordCodec.encode(RECORDS.get(key)), StandardCharsets.UTF_8),
                     key));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
@@ -45,7 +45,7 @@
         "{'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'}",
         "{'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','cell':99999999999}"
       })
-  void valueThatIsNotOfTheFormIsUnreadable(String value) {
+  void malformedValueIsUnreadable(String value) {
     assertInstanceOf(
         RegistryRecord.Unreadable.class, RecordCodec.decode("caches/c1", bytes(value)));
   }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
@@ -17,31 +17,32 @@
   @Test
   void secretIsReadWithoutTheWhiteSpaceAroundIt() throws Exception {
     Path file = Files.writeString(folder.resolve("token"), " s3cr3t\n");
-    assertEquals("s3cr3t", RegistryCredentials.secret(file));
+    assertEquals("s3cr3t", RegistryCredentials.readSecretFile(file));
   }
 
   @Test
-  void secretPastTheBoundIsRefusedWithoutItsText() throws Exception {
+  void oversizedSecretIsRejectedWithoutItsText() throws Exception {
     Path file = Files.writeString(folder.resolve("token"), "s".repeat(MAX_BYTES + 1));
     assertEquals(
         "the file of a secret is longer than 16384 bytes",
         assertThrows(
-                CredentialException.SecretTooLong.class, () -> RegistryCredentials.secret(file))
+                CredentialException.SecretTooLong.class,
+                () -> RegistryCredentials.readSecretFile(file))
             .getMessage());
   }
 
   @Test
-  void fileThatIsNotThereIsAnUnreadableSecret() {
+  void missingFileIsAnUnreadableSecret() {
     assertEquals(
         "the file of a secret can't be read",
         assertThrows(
                 CredentialException.SecretUnreadable.class,
-                () -> RegistryCredentials.secret(folder.resolve("token")))
+                () -> RegistryCredentials.readSecretFile(folder.resolve("token")))
             .getMessage());
   }
 
   @Test
-  void rejectedLoginGivesTheStatusAlone() {
+  void rejectedLoginGivesOnlyTheStatus() {
     assertEquals("log-in: status 403", new CredentialException.LoginRejected(403).getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
@@ -25,7 +25,7 @@
         "UNREADABLE | e: the connection broke, or what came can't be read",
         "LAGGING | e: the connection broke, or what came can't be read",
       })
-  void failureOfAnEndpointNamesItAndWhatToLookAt(RegistryFailure why, String message) {
+  void endpointFailureNamesTheEndpointAndTheCause(RegistryFailure why, String message) {
     RegistryRequestException.EndpointFailed failed =
         new RegistryRequestException.EndpointFailed("e", why);
     assertEquals(message, failed.getMessage());
@@ -33,14 +33,14 @@
   }
 
   @Test
-  void answerThatTimedOutLeavesAWriteOpen() {
+  void timeoutSaysThatAWriteMayHaveBeenCarriedOut() {
     assertEquals(
         "e: no answer in 3000 ms; a write may have been carried out",
         new RegistryRequestException.AnswerTimedOut("e", 3000).getMessage());
   }
 
   @Test
-  void tooManyKeysNamesTheBound() {
+  void tooManyKeysNamesTheLimit() {
     assertEquals("more than 5 keys", new RegistryRequestException.TooManyKeys(5).getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -49,19 +49,19 @@
    */
   private static final class FailingDisk implements FileOperations {
     final List<String> calls = new ArrayList<>();
-    String failing = "";
-    boolean killed;
+    String failingOperation = "";
+    boolean isKilled;
 
-    private void call(String what) throws IOException {
+    private void recordCall(String what) throws IOException {
       calls.add(what);
-      if (what.equals(failing) || (killed && what.equals("delete"))) {
+      if (what.equals(failingOperation) || (isKilled && what.equals("delete"))) {
         throw new IOException("No space left on device");
       }
     }
 
     @Override
     public FileChannel open(Path at) throws IOException {
-      call("open");
+      recordCall("open");
       return FileOperations.super.open(at);
     }
 
@@ -71,30 +71,30 @@
       bytes.limit(bytes.position() + (bytes.remaining() + 1) / 2);
       FileOperations.super.write(to, bytes);
       bytes.limit(end);
-      call("write");
+      recordCall("write");
     }
 
     @Override
     public void force(FileChannel of) throws IOException {
-      call("force");
+      recordCall("force");
       FileOperations.super.force(of);
     }
 
     @Override
     public void move(Path from, Path to) throws IOException {
-      call("move");
+      recordCall("move");
       FileOperations.super.move(from, to);
     }
 
     @Override
-    public void forceFolder(Path of) throws IOException {
-      call("forceFolder");
-      FileOperations.super.forceFolder(of);
+    public void forceDirectory(Path of) throws IOException {
+      recordCall("forceDirectory");
+      FileOperations.super.forceDirectory(of);
     }
 
     @Override
     public void delete(Path of) throws IOException {
-      call("delete");
+      recordCall("delete");
       FileOperations.super.delete(of);
     }
   }
@@ -140,9 +140,9 @@
     SnapshotFile.write(file, snapshot(1));
   }
 
-  private SnapshotKeeper keeper(Function<Callable<Void>, Future<Void>> worker) {
-    return new SnapshotKeeper(
-        new SnapshotKeeper.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
+  private SnapshotWriter keeper(Function<Callable<Void>, Future<Void>> worker) {
+    return new SnapshotWriter(
+        new SnapshotWriter.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
   }
 
   private static Future<Void> runAtOnce(Callable<Void> write) {
@@ -163,8 +163,8 @@
   @ValueSource(strings = {"open", "write", "force", "move"})
   void lastSnapshotStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
       throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
-    disk.failing = failing;
+    SnapshotWriter keeper = keeper(SnapshotFailureTest::runAtOnce);
+    disk.failingOperation = failing;
     int ticks = 600;
     for (int tick = 0; tick < ticks; tick++, now += SECOND) {
       keeper.tick(() -> Optional.of(snapshot(2)));
@@ -175,7 +175,7 @@
     assertEquals(List.of("view"), names());
     assertEquals(1, log.size(), () -> "" + log);
 
-    disk.failing = "";
+    disk.failingOperation = "";
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
       // No current view is available, but the pending snapshot must still be written.
       keeper.tick(Optional::empty);
@@ -187,8 +187,8 @@
 
   @Test
   void failedSyncOfTheDirectoryIsAFailedWrite() throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
-    disk.failing = "forceFolder";
+    SnapshotWriter keeper = keeper(SnapshotFailureTest::runAtOnce);
+    disk.failingOperation = "forceDirectory";
     keeper.tick(() -> Optional.of(snapshot(2)));
     assertEquals(1, log.size());
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
@@ -198,31 +198,32 @@
   void fileIsSyncedBeforeTheMoveAndItsDirectoryAfterIt() throws IOException {
     SnapshotFile.write(file, snapshot(2), disk);
     assertEquals(
-        List.of("open", "write", "force", "move", "forceFolder"),
+        List.of("open", "write", "force", "move", "forceDirectory"),
         disk.calls.stream().distinct().toList());
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
   void leftoverOfAKilledWriteIsNeverReadAndRemovedAtTheNextStart() throws IOException {
-    disk.failing = "write";
-    disk.killed = true;
+    disk.failingOperation = "write";
+    disk.isKilled = true;
     assertThrows(SnapshotException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
-    String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
+    String leftover =
+        names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
     // The name that another process would use.
-    Files.move(folder.resolve(left), folder.resolve("view.new-1f"));
+    Files.move(folder.resolve(leftover), folder.resolve("view.new-1f"));
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
     assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
-    SnapshotFile.clean(file, FileOperations.DISK);
+    SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
     assertEquals(List.of("view", "view.newer"), names().stream().sorted().toList());
   }
 
   @Test
-  void onlyTheLatestSnapshotWaitsForAWriteUnderWay() throws Exception {
+  void onlyTheLatestSnapshotWaitsForAWriteInProgress() throws Exception {
     Deque<Callable<Void>> writes = new ArrayDeque<>();
     List<Promise<Void>> promises = new ArrayList<>();
-    SnapshotKeeper keeper =
+    SnapshotWriter keeper =
         keeper(
             write -> {
               writes.add(write);
@@ -242,19 +243,19 @@
   }
 
   @Test
-  void snapshotWithAnyByteFlippedOrMissingIsRefused() throws IOException {
-    byte[] whole = Files.readAllBytes(file);
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(file, Arrays.copyOf(whole, length));
+  void snapshotWithAnyByteFlippedOrMissingIsRejected() throws IOException {
+    byte[] complete = Files.readAllBytes(file);
+    for (int length = 0; length < complete.length; length++) {
+      Files.write(file, Arrays.copyOf(complete, length));
       assertThrows(
           SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), "of length " + length);
     }
-    for (int at = 0; at < whole.length; at++) {
+    for (int offset = 0; offset < complete.length; offset++) {
       for (int flip : new int[] {1, 0x20, 0x80, 0xff}) {
-        byte[] torn = whole.clone();
-        torn[at] ^= (byte) flip;
-        Files.write(file, torn);
-        String where = "byte " + at + " by " + flip;
+        byte[] corrupted = complete.clone();
+        corrupted[offset] ^= (byte) flip;
+        Files.write(file, corrupted);
+        String where = "byte " + offset + " by " + flip;
         assertThrows(SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), where);
       }
     }
@@ -266,12 +267,12 @@
    */
   @Test
   void storedFormOfVersionOneIsReadAndWrittenByteForByte() throws Exception {
-    Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
-    assertEquals(snapshot(40), SnapshotFile.read(kept, MAX_BYTES));
+    Path golden = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
+    assertEquals(snapshot(40), SnapshotFile.read(golden, MAX_BYTES));
     SnapshotFile.write(file, snapshot(40));
     assertEquals(
         -1,
-        Files.mismatch(kept, file),
+        Files.mismatch(golden, file),
         "the text before reads what this one writes: the same bytes");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
@@ -40,58 +40,59 @@
             new RegistryEntry("p/tip", new RegistryRecord.Other(), 1, 40)));
   }
 
-  private Path written() throws IOException {
+  private Path writtenFile() throws IOException {
     Path file = folder.resolve("view");
     SnapshotFile.write(file, snapshot());
     return file;
   }
 
-  private static <E extends SnapshotException> String refusal(Class<E> type, Path file) {
+  private static <E extends SnapshotException> String messageOfRejection(Class<E> type, Path file) {
     return assertThrows(type, () -> SnapshotFile.read(file, MAX_BYTES)).getMessage();
   }
 
   @Test
   void snapshotIsReadAsItWasWritten() throws IOException {
-    Path file = written();
+    Path file = writtenFile();
     SnapshotFile.write(file, snapshot());
     assertEquals(snapshot(), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(1, folder.toFile().list().length);
   }
 
   @Test
-  void snapshotCutAnywhereIsRefused() throws IOException {
-    Path file = written();
-    byte[] whole = Files.readAllBytes(file);
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(file, Arrays.copyOf(whole, length));
+  void truncatedSnapshotIsRejected() throws IOException {
+    Path file = writtenFile();
+    byte[] complete = Files.readAllBytes(file);
+    for (int length = 0; length < complete.length; length++) {
+      Files.write(file, Arrays.copyOf(complete, length));
       assertThrows(SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES));
     }
   }
 
   @Test
-  void snapshotOfALaterVersionOrPastTheBoundIsRefused() throws IOException {
-    Path file = written();
+  void snapshotOfALaterVersionOrBeyondTheSizeLimitIsRejected() throws IOException {
+    Path file = writtenFile();
     assertEquals(
         "longer than 20 bytes",
         assertThrows(SnapshotException.TooLong.class, () -> SnapshotFile.read(file, 20))
             .getMessage());
     Files.writeString(file, Files.readString(file).replaceFirst("snapshot 1 ", "snapshot 2 "));
-    assertEquals("of version 2", refusal(SnapshotException.UnsupportedVersion.class, file));
+    assertEquals(
+        "of version 2", messageOfRejection(SnapshotException.UnsupportedVersion.class, file));
   }
 
   @Test
-  void fileOfAnotherKindIsNotASnapshot() throws IOException {
+  void fileWithoutASnapshotHeaderIsRejected() throws IOException {
     Path file = Files.writeString(folder.resolve("view"), "another's\n{}");
-    assertEquals("no snapshot", refusal(SnapshotException.NotASnapshot.class, file));
+    assertEquals("no snapshot", messageOfRejection(SnapshotException.NotASnapshot.class, file));
   }
 
   @Test
-  void snapshotWithAnotherChecksumIsRefused() throws IOException {
-    Path file = written();
+  void snapshotWithAWrongChecksumIsRejected() throws IOException {
+    Path file = writtenFile();
     Files.writeString(file, Files.readString(file) + " ");
     assertEquals(
         "torn: its checksum is another one",
-        refusal(SnapshotException.ChecksumMismatch.class, file));
+        messageOfRejection(SnapshotException.ChecksumMismatch.class, file));
   }
 
   @ParameterizedTest
@@ -107,19 +108,19 @@
     sum.update(body.getBytes(StandardCharsets.UTF_8));
     String header = "amberpath-registry-snapshot 1 " + Long.toHexString(sum.getValue());
     Path file = Files.writeString(folder.resolve("view"), header + "\n" + body);
-    assertEquals(message, refusal(SnapshotException.Malformed.class, file));
+    assertEquals(message, messageOfRejection(SnapshotException.Malformed.class, file));
   }
 
   @Test
-  void fileThatIsNotThereCannotBeRead() {
+  void missingFileCannotBeRead() {
     Path file = folder.resolve("view");
     assertEquals(
         "it can't be read: java.nio.file.NoSuchFileException: " + file,
-        refusal(SnapshotException.ReadFailed.class, file));
+        messageOfRejection(SnapshotException.ReadFailed.class, file));
   }
 
   @Test
-  void fileInNoDirectoryCannotBeWritten() {
+  void fileInAMissingDirectoryCannotBeWritten() {
     Path file = folder.resolve("none").resolve("view");
     String message =
         assertThrows(
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -25,7 +25,7 @@
   private static final long SECOND = 1_000_000_000;
 
   private long wall = START;
-  private long forward = START * MS;
+  private long monotonic = START * MS;
   private final List<Long> ages = new ArrayList<>();
 
   /** Records ages by the current wall clock, as the gateway computes them. */
@@ -48,24 +48,24 @@
               ages.add(Math.max(0, wall - atMs));
             }
           },
-          () -> forward,
+          () -> monotonic,
           () -> wall);
 
   @ParameterizedTest
   @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
-  void aStepMakesNothingOlderOrYounger(long step) {
+  void clockStepChangesNoAge(long step) {
     wall += 1000 + step;
-    forward += 1000 * MS;
+    monotonic += 1000 * MS;
     times.objectPurged(7, 0, START + 1000);
     times.endpointListed(new ListedEndpoint("a", "", "z", "k", 0, EndpointState.UP, 1, START));
     times.endpointListed(new ListedEndpoint("b", "", "z", "k", 0, EndpointState.UP, 1, 0));
     assertEquals(List.of(0L, 1000L, -1L), ages);
-    assertEquals((wall - 500) * MS, times.unix(forward - 500 * MS));
+    assertEquals((wall - 500) * MS, times.toUnixNanos(monotonic - 500 * MS));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
-  void aPurgeTakesNoKeyAlongThatIsYoungWhicheverClockHasStepped(long step) {
+  void recentPurgeIsNeverExpiredWhicheverClockHasStepped(long step) {
     long retention = 600 * SECOND;
     List<RegistryEntry> all = new ArrayList<>();
     for (long written : new long[] {START + step, START - 600_000 - 2 * HOUR - 1}) {
