--- a/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
+++ b/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
@@ -59,12 +59,18 @@
       case SAME -> {
         return true;
       }
-      case REPLACED -> startNewHistory("the registry is another one");
+      case REPLACED ->
+          startNewHistory("the registry now has cluster id '" + header.cluster() + "'");
       case FOREIGN -> {
-        log.accept("endpoint " + call.endpoint.index + " is of another registry");
+        log.accept(
+            "endpoint "
+                + call.endpoint.index
+                + ": response discarded, it has the id of another cluster: '"
+                + header.cluster()
+                + "'");
         call.endpoint.requestBackoff.recordFailure(nowNanos, WatchStream.MAX_LAG_NANOS);
       }
-      default -> throw new IllegalStateException("unknown result of the cluster audit");
+      default -> throw new IllegalStateException("unknown verdict of the cluster audit");
     }
     return false;
   }
@@ -88,14 +94,14 @@
       case IGNORED -> {
         // The response to a call that was sent later decides.
       }
-      default -> throw new IllegalStateException("unknown result of the revision audit");
+      default -> throw new IllegalStateException("unknown verdict of the revision audit");
     }
     return false;
   }
 
   private void startNewHistory(String reason) {
     if (!resync.isNewHistory()) {
-      log.accept(reason + ": all is read anew");
+      log.accept(reason + "; requesting all keys again");
     }
     resync.require(WatchResync.Scope.NEW_HISTORY);
     heartbeats.forgetTip();
--- a/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
+++ b/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
@@ -54,7 +54,7 @@
       heartbeats.recordFailure(heartbeat, failure);
     }
     if (needsLogLine(endpoint, failure)) {
-      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " " + failure);
+      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " failed: " + failure);
     }
     endpoint.needsOperator = failure.needsOperator();
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
@@ -87,7 +87,10 @@
   private void recordOverflow() {
     if (!isTruncated) {
       isTruncated = true;
-      log.accept("more than " + maxKeys + " keys: those past it are passed over");
+      log.accept(
+          "the registry holds more than "
+              + maxKeys
+              + " keys (most-keys): further keys are ignored");
     }
   }
 
@@ -96,7 +99,7 @@
       return entry;
     }
     if (previous == null || previous.modRevision() != entry.modRevision()) {
-      log.accept(entry.key() + ": " + unreadable.reason());
+      log.accept(entry.key() + ": value can't be decoded: " + unreadable.reason());
     }
     return previous != null && previous.createRevision() == entry.createRevision()
         ? entry.withValue(previous.value())
--- a/registry/src/main/java/org/amberpath/registry/Snapshot.java
+++ b/registry/src/main/java/org/amberpath/registry/Snapshot.java
@@ -48,14 +48,19 @@
    */
   public Optional<String> rejectionReason(long nowNanos, String wantedPrefix, long maxAgeNanos) {
     if (!prefix.equals(wantedPrefix)) {
-      return Optional.of("it is of the prefix " + prefix);
+      return Optional.of("its prefix is " + prefix + ", expected " + wantedPrefix);
     }
     if (nowNanos - confirmedAtNanos > maxAgeNanos) {
-      return Optional.of("it is " + (nowNanos - confirmedAtNanos) / SECOND_NANOS + " s old");
+      return Optional.of(
+          "it is "
+              + (nowNanos - confirmedAtNanos) / SECOND_NANOS
+              + " s old, at most "
+              + maxAgeNanos / SECOND_NANOS
+              + " s are allowed");
     }
     // Guards against a clock that was set back, by which the snapshot looks younger than it is.
     return ageNanos(nowNanos) < 0 || ageNanos(nowNanos) > maxAgeNanos
-        ? Optional.of("it is from the future")
+        ? Optional.of("its timestamp is in the future")
         : Optional.empty();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -206,7 +206,7 @@
       return;
     }
     if (!phase.allows(next)) {
-      throw new IllegalStateException(phase + " -> " + next);
+      throw new IllegalStateException("illegal phase transition: " + phase + " -> " + next);
     }
     log.accept(phase + " -> " + next);
     phase = next;
@@ -289,7 +289,7 @@
         }
       }
       case CONTINUED -> {}
-      default -> throw new IllegalStateException("unknown result of a page");
+      default -> throw new IllegalStateException("unknown result of adding a page");
     }
     tick(nowNanos);
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -66,7 +66,7 @@
   private RegistryEntry entry(JsonReader keyValue) {
     String key = keyValue.string("Key");
     if (!key.startsWith(prefix)) {
-      throw keyValue.invalid("Key", "not under " + prefix);
+      throw keyValue.invalid("Key", "not under the prefix " + prefix);
     }
     return new RegistryEntry(
         key,
@@ -84,7 +84,8 @@
     } catch (NumberFormatException e) {
       // Reported below, as is a missing header.
     }
-    throw new InvalidDocumentException("registry: no index above 0 in " + INDEX_HEADER);
+    throw new InvalidDocumentException(
+        "registry: header " + INDEX_HEADER + " is missing or not an integer above 0");
   }
 
   @Override
@@ -107,7 +108,7 @@
 
   @Override
   public Frame decodeFrame(byte[] line) {
-    throw new InvalidDocumentException("registry: no stream is asked for");
+    throw new InvalidDocumentException("registry: a Consul response has no frames to decode");
   }
 
   @Override
--- a/registry/src/main/java/org/amberpath/registry/runtime/CredentialException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/CredentialException.java
@@ -15,7 +15,7 @@
     private static final long serialVersionUID = 1;
 
     SecretUnreadable(IOException cause) {
-      super("the file of a secret can't be read", cause);
+      super("the secret file can't be read", cause);
     }
   }
 
@@ -24,7 +24,7 @@
     private static final long serialVersionUID = 1;
 
     SecretTooLong(int maxBytes) {
-      super("the file of a secret is longer than " + maxBytes + " bytes", null);
+      super("the secret file is longer than " + maxBytes + " bytes", null);
     }
   }
 
@@ -33,7 +33,7 @@
     private static final long serialVersionUID = 1;
 
     LoginRejected(int status) {
-      super("log-in: status " + status, null);
+      super("login rejected with HTTP status " + status, null);
     }
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdJson.java
@@ -51,6 +51,6 @@
     } catch (NumberFormatException e) {
       // Reported below.
     }
-    throw json.invalid(name, "no 64-bit number from 0 on");
+    throw json.invalid(name, "not a 64-bit integer of at least 0");
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -227,7 +227,7 @@
   private String key(JsonReader keyValue) {
     String key = new String(JsonBytes.readBase64(keyValue, "key"), StandardCharsets.UTF_8);
     if (!key.startsWith(prefix)) {
-      throw keyValue.invalid("key", "not under " + prefix);
+      throw keyValue.invalid("key", "not under the prefix " + prefix);
     }
     return key;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/JsonBytes.java
@@ -59,7 +59,7 @@
   }
 
   private static InvalidDocumentException notJson() {
-    return new InvalidDocumentException(RESPONSE_NAME + ": not JSON");
+    return new InvalidDocumentException(RESPONSE_NAME + ": the response is not valid JSON");
   }
 
   /** Decodes a base64 field; returns an empty array if it is absent. */
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -53,12 +53,14 @@
       return new RegistryRecord.Other();
     }
     if (value.length > MAX_VALUE_BYTES) {
-      return new RegistryRecord.Unreadable("a value of " + value.length + " bytes");
+      return new RegistryRecord.Unreadable(
+          "value of " + value.length + " bytes, at most " + MAX_VALUE_BYTES + " are allowed");
     }
     try (JsonParser parser = JSON.createParser(value)) {
       JsonReader fields = JsonReader.read("value", parser);
       if (fields.longValue("v") != VERSION) {
-        return new RegistryRecord.Unreadable("version " + fields.longValue("v"));
+        return new RegistryRecord.Unreadable(
+            "version " + fields.longValue("v") + ", expected " + VERSION);
       }
       if (isTask) {
         return new RegistryRecord.Task(
@@ -68,7 +70,7 @@
           ? decodeCache(key.substring(CACHES_PREFIX.length()), fields)
           : decodePurge(fields);
     } catch (IOException e) {
-      return new RegistryRecord.Unreadable("not JSON");
+      return new RegistryRecord.Unreadable("value is not valid JSON");
     } catch (InvalidDocumentException e) {
       return new RegistryRecord.Unreadable(e.getMessage());
     }
@@ -85,7 +87,7 @@
     GatewayOptions.address("value: field 'address' is", address);
     double weight = fields.doubleOr("weight", 1);
     if (!(weight > 0) || Double.isInfinite(weight)) {
-      throw fields.invalid("weight", "no size");
+      throw fields.invalid("weight", "not a finite number above 0");
     }
     return new RegistryRecord.Cache(
         requireName(fields, "id", id),
@@ -102,7 +104,8 @@
     if (name.isEmpty()
         || name.length() > MAX_NAME_LENGTH
         || name.chars().anyMatch(character -> character <= ' ' || character == ',')) {
-      throw fields.invalid(key, "no name");
+      throw fields.invalid(
+          key, "not a name of 1 to " + MAX_NAME_LENGTH + " characters without spaces and commas");
     }
     return name;
   }
@@ -113,7 +116,7 @@
       try {
         object = Long.parseUnsignedLong(fields.string("object"), 16);
       } catch (NumberFormatException e) {
-        throw fields.invalid("object", "not an object's id");
+        throw fields.invalid("object", "not an object id in hexadecimal");
       }
     }
     if (object == 0 && !fields.has("group")) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -94,7 +94,7 @@
   RegistryHttpExchange send(
       int endpoint, RegistryProtocol.Request request, ResponseKind kind, ResponseHandler handler) {
     if (!Context.isOnEventLoopThread()) {
-      throw new IllegalStateException("not on an event loop");
+      throw new IllegalStateException("requests must be sent on an event loop thread");
     }
     RegistryHttpExchange exchange =
         new RegistryHttpExchange(this, settings.endpoints().get(endpoint), request, kind, handler);
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
@@ -38,7 +38,7 @@
   /** Ends the period: logs the number of suppressed lines and resets the limit. */
   void endPeriod() {
     if (suppressedCount > 0) {
-      LOG.info("registry: " + suppressedCount + " more lines");
+      LOG.info("registry: " + suppressedCount + " more lines were not logged");
     }
     lineCount = 0;
     suppressedCount = 0;
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryRequestException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryRequestException.java
@@ -28,13 +28,14 @@
 
     private static String describe(RegistryFailure failure) {
       return switch (failure) {
-        case REFUSED -> "nothing listens there";
-        case TIMED_OUT -> "no connection in time";
-        case UNAUTHORISED -> "it does not take this token or user";
-        case UNTRUSTED -> "no TLS connection: look at trust, certificate and key";
-        case UNAVAILABLE -> "it can't serve now";
-        case THROTTLED -> "it asks for fewer calls";
-        case BROKEN, UNREADABLE, LAGGING -> "the connection broke, or what came can't be read";
+        case REFUSED -> "connection refused: nothing listens there";
+        case TIMED_OUT -> "the connection timed out";
+        case UNAUTHORISED -> "the token or user was rejected";
+        case UNTRUSTED -> "the TLS handshake failed: check trust, certificate and key";
+        case UNAVAILABLE -> "the endpoint can't serve requests now";
+        case THROTTLED -> "the endpoint limits the request rate: retry later";
+        case BROKEN, UNREADABLE, LAGGING ->
+            "the connection broke, or the response can't be decoded";
       };
     }
   }
@@ -45,7 +46,10 @@
 
     AnswerTimedOut(String endpoint, long timeoutMillis) {
       super(
-          endpoint + ": no answer in " + timeoutMillis + " ms; a write may have been carried out");
+          endpoint
+              + ": no response within "
+              + timeoutMillis
+              + " ms; a write may have been carried out");
     }
   }
 
@@ -54,7 +58,7 @@
     private static final long serialVersionUID = 1;
 
     TooManyKeys(int maxKeys) {
-      super("more than " + maxKeys + " keys");
+      super("the registry holds more than " + maxKeys + " keys (most-keys)");
     }
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -138,7 +138,9 @@
         .onComplete(
             done -> {
               if (done.failed()) {
-                log.warning("the files for TLS can't be taken; those read before stay");
+                log.warning(
+                    "a TLS file can't be loaded (trust, certificate or key);"
+                        + " the previous ones stay in use");
               }
               if (isRunning) {
                 session.settingsReloaded(clock.nowNanos());
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
@@ -17,7 +17,7 @@
     private static final long serialVersionUID = 1;
 
     TooLong(int maxBytes) {
-      super("longer than " + maxBytes + " bytes", null);
+      super("the file is larger than " + maxBytes + " bytes", null);
     }
   }
 
@@ -26,7 +26,7 @@
     private static final long serialVersionUID = 1;
 
     NotASnapshot() {
-      super("no snapshot", null);
+      super("the file has no snapshot header", null);
     }
   }
 
@@ -35,7 +35,7 @@
     private static final long serialVersionUID = 1;
 
     UnsupportedVersion(String version) {
-      super("of version " + version, null);
+      super("the file has the unsupported version " + version, null);
     }
   }
 
@@ -44,7 +44,7 @@
     private static final long serialVersionUID = 1;
 
     ChecksumMismatch() {
-      super("torn: its checksum is another one", null);
+      super("the file is corrupted: its checksum does not match", null);
     }
   }
 
@@ -62,7 +62,7 @@
     private static final long serialVersionUID = 1;
 
     ReadFailed(IOException cause) {
-      super("it can't be read: " + cause, cause);
+      super("the file can't be read: " + cause, cause);
     }
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -47,7 +47,8 @@
             })
         .otherwise(
             why -> {
-              log.warning("the snapshot is passed over: " + why.getMessage());
+              log.warning(
+                  "the snapshot " + settings.snapshot() + " is ignored: " + why.getMessage());
               return null;
             });
   }
@@ -65,7 +66,7 @@
     Optional<String> rejectionReason =
         snapshot.rejectionReason(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
     if (rejectionReason.isPresent()) {
-      log.warning("the snapshot is passed over: " + rejectionReason.get());
+      log.warning("the snapshot " + settings.snapshot() + " is ignored: " + rejectionReason.get());
       return;
     }
     long ageNanos = snapshot.ageNanos(nowNanos);
@@ -74,7 +75,7 @@
         new RegistryListing(
             snapshot.entries(), snapshot.cluster(), snapshot.revision(), nowNanos - ageNanos));
     log.infoUnlimited(
-        "serves from a snapshot of revision "
+        "serving from the snapshot of revision "
             + snapshot.revision()
             + ", "
             + ageNanos / MS
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
@@ -100,7 +100,7 @@
   private void writeSucceeded() {
     pending = null;
     if (failureCount > 0) {
-      log.accept("the snapshot is written again, after " + failureCount + " failures");
+      log.accept("the snapshot is written again, after " + failureCount + " failed attempts");
     }
     failureCount = 0;
     backoff.reset();
@@ -109,8 +109,7 @@
   private void writeFailed(Throwable cause) {
     if (failureCount++ == 0) {
       log.accept(
-          "the snapshot can't be written, the one before stays and it is tried again: "
-              + describe(cause));
+          "the snapshot " + target.file() + " can't be written, retrying: " + describe(cause));
     }
     backoff.recordFailure(clockNanos.getAsLong(), MIN_RETRY_NANOS);
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
@@ -78,7 +78,7 @@
       try {
         decoding.run();
       } catch (InvalidDocumentException e) {
-        log.info(e.getMessage());
+        log.info("a response can't be decoded: " + e.getMessage());
         cancel(callId);
         session.callFailed(clockNanos.getAsLong(), callId, RegistryFailure.UNREADABLE, 0);
       }
--- a/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -35,14 +35,34 @@
   }
 
   void recordSessionLogLine(String line) {
-    // The recorded form names heartbeats PULSE.
-    String recorded = line.replace(": HEARTBEAT ", ": PULSE ");
+    String recorded = recordedForm(line);
     count("note " + recorded.replaceAll("[0-9]+", "N"));
     record("note", recorded);
   }
 
   void recordViewLogLine(String line) {
-    record("complaint", line);
+    record("complaint", recordedForm(line));
+  }
+
+  /** Maps a log line to the text under which the digests were recorded. */
+  private static String recordedForm(String line) {
+    return line.replaceFirst("^(endpoint [0-9]+: [A-Z]+) failed: ([A-Z_]+)$", "$1 $2")
+        .replace(": HEARTBEAT ", ": PULSE ")
+        .replaceFirst(
+            "^(endpoint [0-9]+): response discarded, it has the id of another cluster:"
+                + " '(c[0-9]+|foreign|)'$",
+            "$1 is of another registry")
+        .replaceFirst(
+            "^the registry now has cluster id '(c[0-9]+|foreign|)'; requesting all keys again$",
+            "the registry is another one: all is read anew")
+        .replaceFirst(
+            "^(revisions went back from [0-9]+ to [0-9]+); requesting all keys again$",
+            "$1: all is read anew")
+        .replaceFirst(
+            "^the registry holds (more than [0-9]+ keys) \\(most-keys\\):"
+                + " further keys are ignored$",
+            "$1: those past it are passed over")
+        .replaceFirst("^(p/\\S+: )value can't be decoded: ", "$1");
   }
 
   void count(String what) {
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -141,7 +141,7 @@
             RegistryFixtures.put(unreadable),
             new WatchEvent(11, "p/b", RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11))));
     assertEquals(List.of("[b+]"), takePublished());
-    assertEquals(List.of("p/a: not JSON"), logged);
+    assertEquals(List.of("p/a: value can't be decoded: not JSON"), logged);
     view.applySnapshot(
         NOW,
         new RegistryListing(
@@ -230,7 +230,9 @@
                   RegistryFixtures.endpoint("x" + more, EndpointState.UP, 11 + more, 11 + more))));
     }
     assertEquals(5, takePublished().size());
-    assertEquals(1, logged.size());
+    assertEquals(
+        List.of("the registry holds more than 6 keys (most-keys): further keys are ignored"),
+        logged);
     view.applyEvents(
         NOW,
         List.of(
@@ -269,10 +271,13 @@
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW - 100 * MS, List.of());
     assertEquals(Optional.empty(), snapshot.rejectionReason(NOW, "p/", 200 * MS));
     assertEquals(
-        Optional.of("it is of the prefix p/"), snapshot.rejectionReason(NOW, "q/", 200 * MS));
-    assertEquals(Optional.of("it is 0 s old"), snapshot.rejectionReason(NOW, "p/", 50 * MS));
+        Optional.of("its prefix is p/, expected q/"),
+        snapshot.rejectionReason(NOW, "q/", 200 * MS));
+    assertEquals(
+        Optional.of("it is 0 s old, at most 0 s are allowed"),
+        snapshot.rejectionReason(NOW, "p/", 50 * MS));
     assertEquals(
-        Optional.of("it is from the future"),
+        Optional.of("its timestamp is in the future"),
         snapshot.rejectionReason(NOW - 5000 * MS, "p/", 200 * MS));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -101,11 +101,11 @@
     view.applyEvents(
         later, List.of(RegistryFixtures.put(endpoint("a", EndpointState.UP, -3_000_000, 1, 3))));
     assertEquals(
-        List.of("a 60000"), takePublished(), "a new start, though its writer's clock was set back");
+        List.of("a 60000"), takePublished(), "a restart, although its writer's clock was set back");
     view.applyEvents(
         later, List.of(RegistryFixtures.put(endpoint("b", EndpointState.UP, -9000, 4, 4))));
     assertEquals(
-        List.of("b long ago", "b 60000"), takePublished(), "gone, and another one under its id");
+        List.of("b long ago", "b 60000"), takePublished(), "removed, then another cache under the same id");
   }
 
   @Test
@@ -124,7 +124,7 @@
     Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
     assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
     assertEquals(
-        ageS < 0 ? Optional.of("it is from the future") : Optional.empty(),
+        ageS < 0 ? Optional.of("its timestamp is in the future") : Optional.empty(),
         snapshot.rejectionReason(NOW, "p/", DAY));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -186,7 +186,7 @@
     Command list = takeCommands("list").get(0);
     assertEquals(11, list.from);
     answerList(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
-    assertEquals(List.of(), published, "the count tells that a key is missing");
+    assertEquals(List.of(), published, "the key count shows that a deletion was missed");
     Command fullList = takeCommands("list").get(0);
     assertEquals(0, fullList.from);
     answerList(fullList, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
@@ -221,7 +221,7 @@
           }
         }
       }
-      assertEquals(List.of("[a~]"), scenario.published, "endpoint " + only + " alone");
+      assertEquals(List.of("[a~]"), scenario.published, "only endpoint " + only + " responds");
     }
   }
 
@@ -236,6 +236,8 @@
         false);
     advance(300, ALL, 11, 11);
     assertEquals(List.of(watches.get(1).call), cancelled);
+    String line = "endpoint " + watches.get(1).endpoint + ": WATCH failed: LAGGING";
+    assertTrue(logged.contains(line), logged::toString);
     assertTrue(takeCommands("watch").stream().anyMatch(command -> command.from == 12));
   }
 
@@ -272,6 +274,9 @@
     assertEquals(0, fullList.from);
     answerList(fullList, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
     assertEquals("=[b+]", published.get(0));
+    assertTrue(
+        logged.contains("revisions went back from 10 to 4; requesting all keys again"),
+        logged::toString);
     assertEquals(5, takeCommands("watch").get(0).from);
   }
 
@@ -290,6 +295,8 @@
         9);
     assertEquals(List.of(), takeCommands("list"));
     assertEquals(List.of(), published);
+    String line = "endpoint 2: response discarded, it has the id of another cluster: 'other'";
+    assertTrue(logged.contains(line), logged::toString);
   }
 
   @Test
@@ -306,6 +313,9 @@
     Command fullList = takeLastCommand("list");
     session.pageReceived(now, fullList.call, new Header("other", 5), List.of(), false, 0);
     assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), published);
+    assertTrue(
+        logged.contains("the registry now has cluster id 'other'; requesting all keys again"),
+        logged::toString);
   }
 
   @ParameterizedTest
--- a/registry/src/test/java/org/amberpath/registry/runtime/ConsulProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/ConsulProtocolTest.java
@@ -45,6 +45,28 @@
     assertEquals(List.of(new RegistryEntry("p/caches/c1", ENDPOINT, 3, 9)), page.entries());
     assertTrue(page.totalCount() < 0);
     assertEquals(List.of(), consul.decodePage(404, headers, new byte[0]).entries());
-    assertThrows(InvalidDocumentException.class, () -> consul.decodePage(404, NONE, new byte[0]));
+    assertEquals(
+        "registry: header X-Consul-Index is missing or not an integer above 0",
+        assertThrows(
+                InvalidDocumentException.class, () -> consul.decodePage(404, NONE, new byte[0]))
+            .getMessage());
+  }
+
+  @Test
+  void keyOutsideThePrefixIsInvalid() {
+    MultiMap headers = MultiMap.caseInsensitiveMultiMap().add("X-Consul-Index", "41");
+    byte[] body = bytes("[{'Key':'q/caches/c1','CreateIndex':3,'ModifyIndex':9}]");
+    String message =
+        assertThrows(InvalidDocumentException.class, () -> consul.decodePage(200, headers, body))
+            .getMessage();
+    assertTrue(message.endsWith("field 'Key' is not under the prefix p/"), message);
+  }
+
+  @Test
+  void watchHasNoFrames() {
+    assertEquals(
+        "registry: a Consul response has no frames to decode",
+        assertThrows(InvalidDocumentException.class, () -> consul.decodeFrame(new byte[0]))
+            .getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
@@ -123,6 +123,23 @@
     assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)));
   }
 
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "{'header':{'revision':'-4'}} | field 'revision' is not a 64-bit integer of at least 0",
+        "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]} "
+            + "| field 'key' is not under the prefix p/",
+        "{ | registry: the response is not valid JSON",
+      })
+  void invalidPageGivesTheReason(String body, String reason) {
+    String message =
+        assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)))
+            .getMessage();
+    assertTrue(message.endsWith(reason), message);
+  }
+
   @ParameterizedTest
   @CsvSource({
     "401,0,UNAUTHORISED",
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -29,7 +29,7 @@
   private static final int TIMEOUT_MILLIS = 30_000;
 
   /** Ignores all notifications. */
-  private static final class IgnoringListener implements EndpointListener {
+  static final class IgnoringListener implements EndpointListener {
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RecordCodecTest.java
@@ -10,6 +10,7 @@
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
@@ -50,6 +51,33 @@
         RegistryRecord.Unreadable.class, RecordCodec.decode("caches/c1", bytes(value)));
   }
 
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "caches/c1 | { | value is not valid JSON",
+        "caches/c1 | {'v':2} | version 2, expected 1",
+        "caches/c1 | {'v':1,'address':'127.0.0.1:1','zone':'','kind':'k','state':'ready'} "
+            + "| value: field 'zone' is not a name of 1 to 128 characters"
+            + " without spaces and commas",
+        "caches/c1 "
+            + "| {'v':1,'address':'127.0.0.1:1','zone':'z','kind':'k','state':'ready','weight':0} "
+            + "| value: field 'weight' is not a finite number above 0",
+        "purges/1 | {'v':1,'object':'xyz','at_ms':1} "
+            + "| value: field 'object' is not an object id in hexadecimal",
+      })
+  void unreadableValueGivesTheReason(String key, String value, String reason) {
+    assertEquals(new RegistryRecord.Unreadable(reason), RecordCodec.decode(key, bytes(value)));
+  }
+
+  @Test
+  void oversizedValueGivesItsSizeAndTheLimit() {
+    assertEquals(
+        new RegistryRecord.Unreadable("value of 4097 bytes, at most 4096 are allowed"),
+        RecordCodec.decode("caches/c1", new byte[4097]));
+  }
+
   @Property(tries = 500)
   void anyValueIsDecodedWithoutAnException(@ForAll byte[] value) {
     RecordCodec.decode("caches/c1", value);
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryCredentialsTest.java
@@ -24,7 +24,7 @@
   void oversizedSecretIsRejectedWithoutItsText() throws Exception {
     Path file = Files.writeString(folder.resolve("token"), "s".repeat(MAX_BYTES + 1));
     assertEquals(
-        "the file of a secret is longer than 16384 bytes",
+        "the secret file is longer than 16384 bytes",
         assertThrows(
                 CredentialException.SecretTooLong.class,
                 () -> RegistryCredentials.readSecretFile(file))
@@ -34,7 +34,7 @@
   @Test
   void missingFileIsAnUnreadableSecret() {
     assertEquals(
-        "the file of a secret can't be read",
+        "the secret file can't be read",
         assertThrows(
                 CredentialException.SecretUnreadable.class,
                 () -> RegistryCredentials.readSecretFile(folder.resolve("token")))
@@ -43,6 +43,8 @@
 
   @Test
   void rejectedLoginGivesOnlyTheStatus() {
-    assertEquals("log-in: status 403", new CredentialException.LoginRejected(403).getMessage());
+    assertEquals(
+        "login rejected with HTTP status 403",
+        new CredentialException.LoginRejected(403).getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
@@ -15,15 +15,15 @@
       delimiter = '|',
       quoteCharacter = '"',
       value = {
-        "REFUSED | e: nothing listens there",
-        "TIMED_OUT | e: no connection in time",
-        "UNAUTHORISED | e: it does not take this token or user",
-        "UNTRUSTED | e: no TLS connection: look at trust, certificate and key",
-        "UNAVAILABLE | e: it can't serve now",
-        "THROTTLED | e: it asks for fewer calls",
-        "BROKEN | e: the connection broke, or what came can't be read",
-        "UNREADABLE | e: the connection broke, or what came can't be read",
-        "LAGGING | e: the connection broke, or what came can't be read",
+        "REFUSED | e: connection refused: nothing listens there",
+        "TIMED_OUT | e: the connection timed out",
+        "UNAUTHORISED | e: the token or user was rejected",
+        "UNTRUSTED | e: the TLS handshake failed: check trust, certificate and key",
+        "UNAVAILABLE | e: the endpoint can't serve requests now",
+        "THROTTLED | e: the endpoint limits the request rate: retry later",
+        "BROKEN | e: the connection broke, or the response can't be decoded",
+        "UNREADABLE | e: the connection broke, or the response can't be decoded",
+        "LAGGING | e: the connection broke, or the response can't be decoded",
       })
   void endpointFailureNamesTheEndpointAndTheCause(RegistryFailure why, String message) {
     RegistryRequestException.EndpointFailed failed =
@@ -35,12 +35,14 @@
   @Test
   void timeoutSaysThatAWriteMayHaveBeenCarriedOut() {
     assertEquals(
-        "e: no answer in 3000 ms; a write may have been carried out",
+        "e: no response within 3000 ms; a write may have been carried out",
         new RegistryRequestException.AnswerTimedOut("e", 3000).getMessage());
   }
 
   @Test
   void tooManyKeysNamesTheLimit() {
-    assertEquals("more than 5 keys", new RegistryRequestException.TooManyKeys(5).getMessage());
+    assertEquals(
+        "the registry holds more than 5 keys (most-keys)",
+        new RegistryRequestException.TooManyKeys(5).getMessage());
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -173,7 +173,12 @@
     long tries = disk.calls.stream().filter("open"::equals).count();
     assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
     assertEquals(List.of("view"), names());
-    assertEquals(1, log.size(), () -> "" + log);
+    assertEquals(
+        List.of(
+            "the snapshot "
+                + file
+                + " can't be written, retrying: java.io.IOException: No space left on device"),
+        log);
 
     disk.failingOperation = "";
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
@@ -182,7 +187,7 @@
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
-    assertTrue(log.get(1).endsWith("after " + tries + " failures"), log.get(1));
+    assertTrue(log.get(1).endsWith("after " + tries + " failed attempts"), log.get(1));
   }
 
   @Test
@@ -234,7 +239,7 @@
       long of = revision;
       keeper.tick(() -> Optional.of(snapshot(of)));
     }
-    assertEquals(1, writes.size(), "a slow disk is given nothing more");
+    assertEquals(1, writes.size(), "no second write starts while one is in progress");
     writes.remove().call();
     promises.get(0).complete();
     keeper.tick(() -> Optional.of(snapshot(100)));
@@ -273,6 +278,6 @@
     assertEquals(
         -1,
         Files.mismatch(golden, file),
-        "the text before reads what this one writes: the same bytes");
+        "the earlier encoder wrote the same bytes");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFileTest.java
@@ -72,18 +72,21 @@
   void snapshotOfALaterVersionOrBeyondTheSizeLimitIsRejected() throws IOException {
     Path file = writtenFile();
     assertEquals(
-        "longer than 20 bytes",
+        "the file is larger than 20 bytes",
         assertThrows(SnapshotException.TooLong.class, () -> SnapshotFile.read(file, 20))
             .getMessage());
     Files.writeString(file, Files.readString(file).replaceFirst("snapshot 1 ", "snapshot 2 "));
     assertEquals(
-        "of version 2", messageOfRejection(SnapshotException.UnsupportedVersion.class, file));
+        "the file has the unsupported version 2",
+        messageOfRejection(SnapshotException.UnsupportedVersion.class, file));
   }
 
   @Test
   void fileWithoutASnapshotHeaderIsRejected() throws IOException {
     Path file = Files.writeString(folder.resolve("view"), "another's\n{}");
-    assertEquals("no snapshot", messageOfRejection(SnapshotException.NotASnapshot.class, file));
+    assertEquals(
+        "the file has no snapshot header",
+        messageOfRejection(SnapshotException.NotASnapshot.class, file));
   }
 
   @Test
@@ -91,7 +94,7 @@
     Path file = writtenFile();
     Files.writeString(file, Files.readString(file) + " ");
     assertEquals(
-        "torn: its checksum is another one",
+        "the file is corrupted: its checksum does not match",
         messageOfRejection(SnapshotException.ChecksumMismatch.class, file));
   }
 
@@ -115,7 +118,7 @@
   void missingFileCannotBeRead() {
     Path file = folder.resolve("view");
     assertEquals(
-        "it can't be read: java.nio.file.NoSuchFileException: " + file,
+        "the file can't be read: java.nio.file.NoSuchFileException: " + file,
         messageOfRejection(SnapshotException.ReadFailed.class, file));
   }
 
