--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -32,7 +32,8 @@
    * @param tipKey the key that each write touches
    * @param maxKeys maximum number of keys
    * @param purgeRetentionNanos the shortest time for which the registry keeps the key of a purge
-   * @param log receives a line for each value that can't be decoded, beginning with its key
+   * @param log receives a line for each value that can't be decoded, beginning with its key, and
+   *     one when the registry holds more keys than the maximum
    */
   public RegistryView(
       EndpointListener listener,
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -20,7 +20,7 @@
    *
    * @param body the request's body; null for none
    */
-  @SuppressWarnings("ArrayRecordComponent") // Handed over, never compared.
+  @SuppressWarnings("ArrayRecordComponent") // Passed on, never compared.
   record Request(HttpMethod method, String uri, byte[] body) {}
 
   /**
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
@@ -66,7 +66,10 @@
     }
   }
 
-  /** The file can't be written; the previous one stays in place. */
+  /**
+   * The file can't be written: the previous one stays in place. If only the sync of the directory
+   * failed, the new one is in place but may not survive a power loss.
+   */
   static final class WriteFailed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotFile.java
@@ -27,12 +27,15 @@
 
   private SnapshotFile() {}
 
-  /** Writes a snapshot to the local disk. On failure the previous file stays. */
+  /**
+   * Writes a snapshot to the local disk. On failure the previous file stays in place, unless only
+   * the sync of the directory failed.
+   */
   static void write(Path file, Snapshot snapshot) throws SnapshotException {
     write(file, snapshot, FileOperations.DISK);
   }
 
-  /** Writes a snapshot. If the write fails, the previous file stays. */
+  /** Writes a snapshot to the given disk, with the same result on failure. */
   static void write(Path file, Snapshot snapshot, FileOperations files) throws SnapshotException {
     byte[] bytes = SnapshotCodec.encode(snapshot);
     Path temporary =
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
@@ -37,7 +37,7 @@
   private int failureCount;
 
   /**
-   * Creates a keeper; its first write begins in {@link #tick}.
+   * Creates a writer; its first write starts in {@link #tick}.
    *
    * @param worker runs a write off the event loop
    * @param seed seed of the backoff's jitter
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Begins a write if one is due.
+   * Starts a write if one is due.
    *
    * @param currentView returns the current view; empty if the view must not be saved now, in which
    *     case only a pending snapshot is written
