--- a/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
+++ b/registry/src/main/java/org/amberpath/registry/EndpointChangePublisher.java
@@ -70,9 +70,9 @@
       Map<String, RegistryEntry> after,
       Collection<String> changedKeys,
       long nowNanos) {
-    List<RegistryRecord.Cache> replaced = new ArrayList<>();
+    List<RegistryRecord.Cache> recreated = new ArrayList<>();
     List<RegistryRecord.Cache> removed = new ArrayList<>();
-    List<RegistryRecord.Cache> present = new ArrayList<>();
+    List<RegistryRecord.Cache> updated = new ArrayList<>();
     for (String key : changedKeys) {
       RegistryEntry oldEntry = before.get(key);
       RegistryEntry newEntry = after.get(key);
@@ -83,14 +83,14 @@
       } else if (newEndpoint != null
           && oldEndpoint != null
           && oldEntry.createRevision() != newEntry.createRevision()) {
-        replaced.add(oldEndpoint);
-        present.add(newEndpoint);
+        recreated.add(oldEndpoint);
+        updated.add(newEndpoint);
       } else if (newEndpoint != null && !newEndpoint.equals(oldEndpoint)) {
-        present.add(newEndpoint);
+        updated.add(newEndpoint);
       }
     }
-    publishList(replaced, List.of(), nowNanos);
-    publishList(removed, present, nowNanos);
+    publishList(recreated, List.of(), nowNanos);
+    publishList(removed, updated, nowNanos);
     for (String key : changedKeys) {
       publishPurge(before.get(key), after.get(key), nowNanos);
     }
@@ -103,15 +103,15 @@
   }
 
   private void publishList(
-      List<RegistryRecord.Cache> removed, List<RegistryRecord.Cache> present, long nowNanos) {
-    if (removed.isEmpty() && present.isEmpty()) {
+      List<RegistryRecord.Cache> removed, List<RegistryRecord.Cache> updated, long nowNanos) {
+    if (removed.isEmpty() && updated.isEmpty()) {
       return;
     }
     listener.endpointListStarted(EndpointListKind.CHANGES);
     removed.forEach(this::publishRemoved);
     // An endpoint that appeared while this view was kept has started since then, whatever its
     // writer's clock showed: within the largest step of that clock.
-    present.forEach(
+    updated.forEach(
         endpoint -> publishPresent(endpoint, nowNanos, EndpointStartTimes.MAX_CLOCK_STEP_MILLIS));
     listener.endpointListCompleted();
   }
--- a/registry/src/main/java/org/amberpath/registry/OpenCalls.java
+++ b/registry/src/main/java/org/amberpath/registry/OpenCalls.java
@@ -63,8 +63,8 @@
   }
 
   /** Returns the earliest deadline of the open calls, or the given time if that is earlier. */
-  long earliestDeadline(long latestNanos) {
-    long earliest = latestNanos;
+  long earliestDeadline(long defaultNanos) {
+    long earliest = defaultNanos;
     for (RegistryCall call : calls.values()) {
       earliest = Math.min(earliest, call.deadlineNanos);
     }
--- a/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
@@ -46,18 +46,18 @@
   }
 
   /** Replaces all entries as given and returns the previous ones. */
-  Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> all) {
+  Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> newEntries) {
     Map<String, RegistryEntry> before = entries;
-    Map<String, RegistryEntry> replaced = new TreeMap<>();
+    Map<String, RegistryEntry> kept = new TreeMap<>();
     isTruncated = false;
-    for (RegistryEntry entry : all) {
-      if (replaced.size() < maxKeys || replaced.containsKey(entry.key())) {
-        replaced.put(entry.key(), entry);
+    for (RegistryEntry entry : newEntries) {
+      if (kept.size() < maxKeys || kept.containsKey(entry.key())) {
+        kept.put(entry.key(), entry);
       } else {
         recordOverflow();
       }
     }
-    entries = replaced;
+    entries = kept;
     return before;
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySource.java
@@ -113,14 +113,14 @@
             HOUSEKEEPING_MILLIS,
             timer -> {
               log.endPeriod();
-              snapshotWriter.ifPresent(keeper -> keeper.tick(this::currentSnapshot));
+              snapshotWriter.ifPresent(writer -> writer.tick(this::currentSnapshot));
             });
     if (settings.snapshot() == null) {
       startSession();
     } else {
       new SnapshotRestore(vertx, settings, clock::nowNanos, log)
           .restoreInto(view)
-          .onComplete(done -> startSession());
+          .onComplete(restored -> startSession());
     }
   }
 
@@ -136,8 +136,8 @@
     client
         .reload()
         .onComplete(
-            done -> {
-              if (done.failed()) {
+            result -> {
+              if (result.failed()) {
                 log.warning(
                     "a TLS file can't be loaded (trust, certificate or key);"
                         + " the previous ones stay in use");
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
@@ -30,10 +30,10 @@
   static byte[] encode(Snapshot snapshot) {
     byte[] body = JsonBytes.write(json -> writeBody(json, snapshot));
     String header = MAGIC + " " + VERSION + " " + checksum(body) + "\n";
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes(header.getBytes(StandardCharsets.US_ASCII));
-    all.writeBytes(body);
-    return all.toByteArray();
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    bytes.writeBytes(header.getBytes(StandardCharsets.US_ASCII));
+    bytes.writeBytes(body);
+    return bytes.toByteArray();
   }
 
   private static void writeBody(JsonGenerator json, Snapshot snapshot) throws IOException {
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -42,13 +42,13 @@
         .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .map(
             snapshot -> {
-              snapshot.ifPresent(present -> restore(present, view));
+              snapshot.ifPresent(restored -> restore(restored, view));
               return (Void) null;
             })
         .otherwise(
-            why -> {
+            cause -> {
               log.warning(
-                  "the snapshot " + settings.snapshot() + " is ignored: " + why.getMessage());
+                  "the snapshot " + settings.snapshot() + " is ignored: " + cause.getMessage());
               return null;
             });
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
@@ -87,12 +87,12 @@
               return null;
             })
         .onComplete(
-            done -> {
+            result -> {
               isWriting = false;
-              if (done.succeeded()) {
+              if (result.succeeded()) {
                 writeSucceeded();
               } else {
-                writeFailed(done.cause());
+                writeFailed(result.cause());
               }
             });
   }
--- a/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -25,9 +25,9 @@
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  void record(String what, Object... arguments) {
-    count("output " + what);
-    StringBuilder line = new StringBuilder(what);
+  void record(String name, Object... arguments) {
+    count("output " + name);
+    StringBuilder line = new StringBuilder(name);
     for (Object argument : arguments) {
       line.append(' ').append(argument);
     }
@@ -65,8 +65,8 @@
         .replaceFirst("^(p/\\S+: )value can't be decoded: ", "$1");
   }
 
-  void count(String what) {
-    counts.merge(what, 1, Integer::sum);
+  void count(String name) {
+    counts.merge(name, 1, Integer::sum);
   }
 
   private static MessageDigest sha256() {
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -22,12 +22,12 @@
   private final RegistryView view =
       new RegistryView(new PublishedLists(published, NOW / MS), "p/tip", 6, RETENTION, logged::add);
 
-  private static RegistryEntry purge(long object, long agoMs, long changed) {
+  private static RegistryEntry purge(long object, long agoMs, long modRevision) {
     return new RegistryEntry(
         "p/purge" + object,
         new RegistryRecord.Purge(object, 0, NOW / MS - agoMs),
-        changed,
-        changed);
+        modRevision,
+        modRevision);
   }
 
   private List<String> takePublished() {
@@ -36,8 +36,8 @@
     return all;
   }
 
-  private void startWith(RegistryEntry... all) {
-    view.applySnapshot(NOW, new RegistryListing(Arrays.asList(all), "c", 10, NOW));
+  private void startWith(RegistryEntry... entries) {
+    view.applySnapshot(NOW, new RegistryListing(Arrays.asList(entries), "c", 10, NOW));
     takePublished();
   }
 
@@ -222,12 +222,13 @@
   @Test
   void keysBeyondTheLimitAreSkippedWhileKnownOnesAreUpdated() {
     startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
-    for (int more = 0; more < 8; more++) {
+    for (int number = 0; number < 8; number++) {
       view.applyEvents(
           NOW,
           List.of(
               RegistryFixtures.put(
-                  RegistryFixtures.endpoint("x" + more, EndpointState.UP, 11 + more, 11 + more))));
+                  RegistryFixtures.endpoint(
+                      "x" + number, EndpointState.UP, 11 + number, 11 + number))));
     }
     assertEquals(5, takePublished().size());
     assertEquals(
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -26,15 +26,15 @@
   private static final class OpenCall {
     private final long id;
     private final int endpoint;
-    private final long from;
+    private final long fromRevision;
     private final List<RegistryEntry> listed = new ArrayList<>();
     private long listedCount;
     private int historyIndex = -1;
 
-    OpenCall(long id, int endpoint, long from) {
+    OpenCall(long id, int endpoint, long fromRevision) {
       this.id = id;
       this.endpoint = endpoint;
-      this.from = from;
+      this.fromRevision = fromRevision;
     }
   }
 
@@ -123,7 +123,7 @@
   }
 
   private boolean isBlockingRead(OpenCall call) {
-    return world.setting == SeededRegistryWorld.Setting.BLOCKING && call.from > 0;
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING && call.fromRevision > 0;
   }
 
   private Header header(int endpoint) {
@@ -159,13 +159,13 @@
     return false;
   }
 
-  private void fail(OpenCall call, RegistryFailure failure, long retryAfter) {
+  private void fail(OpenCall call, RegistryFailure failure, long retryAfterNanos) {
     outputs.count("failure " + failure);
-    world.session.callFailed(world.now, call.id, failure, retryAfter);
+    world.session.callFailed(world.nowNanos, call.id, failure, retryAfterNanos);
   }
 
-  private OpenCall openCall(long id, int endpoint, long from) {
-    OpenCall call = new OpenCall(id, endpoint, from);
+  private OpenCall openCall(long id, int endpoint, long fromRevision) {
+    OpenCall call = new OpenCall(id, endpoint, fromRevision);
     calls.put(id, call);
     return call;
   }
@@ -175,9 +175,9 @@
   }
 
   @Override
-  public void heartbeat(long id, int endpoint) {
-    outputs.record("pulse", id, endpoint);
-    OpenCall call = openCall(id, endpoint, 0);
+  public void heartbeat(long callId, int endpoint) {
+    outputs.record("pulse", callId, endpoint);
+    OpenCall call = openCall(callId, endpoint, 0);
     world.schedule(latency(endpoint), () -> answerHeartbeat(call));
   }
 
@@ -186,72 +186,80 @@
       calls.remove(call.id);
       Header header = header(call.endpoint);
       long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tip();
-      world.session.heartbeatReceived(world.now, call.id, header, Math.min(tip, header.revision()));
+      world.session.heartbeatReceived(
+          world.nowNanos, call.id, header, Math.min(tip, header.revision()));
     }
   }
 
   @Override
-  public void list(long id, int endpoint, long revision, String after, long since, int limit) {
-    outputs.record("list", id, endpoint, revision, after, since, limit);
-    outputs.count(since == 0 ? "list of all keys" : "list of what was written since");
+  public void list(
+      long callId, int endpoint, long revision, String afterKey, long sinceRevision, int pageSize) {
+    outputs.record("list", callId, endpoint, revision, afterKey, sinceRevision, pageSize);
+    outputs.count(sinceRevision == 0 ? "list of all keys" : "list of what was written since");
     outputs.count(revision == 0 ? "first page" : "next page");
-    outputs.count(limit > 1000 ? "page of larger size" : "page of first size");
-    OpenCall call = revision == 0 ? openCall(id, endpoint, 0) : calls.get(id);
-    world.schedule(latency(endpoint), () -> answerList(call, revision, after, since, limit));
+    outputs.count(pageSize > 1000 ? "page of larger size" : "page of first size");
+    OpenCall call = revision == 0 ? openCall(callId, endpoint, 0) : calls.get(callId);
+    world.schedule(
+        latency(endpoint), () -> answerList(call, revision, afterKey, sinceRevision, pageSize));
   }
 
-  private void answerList(OpenCall call, long revision, String after, long since, int limit) {
+  private void answerList(
+      OpenCall call, long revision, String afterKey, long sinceRevision, int pageSize) {
     if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.FLOODING) {
-      flood(call, after);
+      answerEndlessPage(call, afterKey);
       return;
     }
     if (revision > 0 && world.store.isCompacted(revision)) {
       outputs.count("event list compacted");
       calls.remove(call.id);
-      world.session.compacted(world.now, call.id);
+      world.session.compacted(world.nowNanos, call.id);
       return;
     }
     if (revision == 0) {
       boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
       call.listed.addAll(
-          isForeign ? world.store.foreignEntries() : world.store.writtenSince(keysSince(since)));
+          isForeign
+              ? world.store.foreignEntries()
+              : world.store.writtenSince(effectiveSinceRevision(sinceRevision)));
       call.listedCount = isForeign ? call.listed.size() : world.store.count();
     }
     List<RegistryEntry> remaining =
-        call.listed.stream().filter(entry -> entry.key().compareTo(after) > 0).toList();
-    int size = Math.min(limit, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
+        call.listed.stream().filter(entry -> entry.key().compareTo(afterKey) > 0).toList();
+    int size = Math.min(pageSize, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
     boolean hasMore = remaining.size() > size;
     List<RegistryEntry> page = remaining.subList(0, Math.min(size, remaining.size()));
     if (!hasMore) {
       calls.remove(call.id);
     }
     long count = world.setting == SeededRegistryWorld.Setting.BLOCKING ? -1 : call.listedCount;
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, hasMore, count);
+    world.session.pageReceived(
+        world.nowNanos, call.id, header(call.endpoint), page, hasMore, count);
   }
 
-  private long keysSince(long since) {
-    return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : since;
+  private long effectiveSinceRevision(long sinceRevision) {
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : sinceRevision;
   }
 
   /** Returns a page of an endless list. */
-  private void flood(OpenCall call, String after) {
-    int first = after.startsWith("p/x") ? Integer.parseInt(after.substring(3)) + 1 : 0;
+  private void answerEndlessPage(OpenCall call, String afterKey) {
+    int first = afterKey.startsWith("p/x") ? Integer.parseInt(afterKey.substring(3)) + 1 : 0;
     List<RegistryEntry> page = new ArrayList<>();
     for (int number = first; number < first + 400; number++) {
       String key = String.format("p/x%06d", number);
       page.add(new RegistryEntry(key, new RegistryRecord.Other(), 1, 1));
     }
     outputs.count("event flood");
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, true, 1_000_000);
+    world.session.pageReceived(
+        world.nowNanos, call.id, header(call.endpoint), page, true, 1_000_000);
   }
 
   @Override
-  public void watch(long id, int endpoint, long from) {
-    outputs.record("watch", id, endpoint, from);
-    OpenCall call = openCall(id, endpoint, Math.max(1, from));
+  public void watch(long callId, int endpoint, long fromRevision) {
+    outputs.record("watch", callId, endpoint, fromRevision);
+    OpenCall call = openCall(callId, endpoint, Math.max(1, fromRevision));
     if (world.setting == SeededRegistryWorld.Setting.BLOCKING) {
       world.schedule(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
       world.schedule(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
@@ -264,17 +272,18 @@
     if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
-    if (world.store.isCompacted(call.from)) {
+    if (world.store.isCompacted(call.fromRevision)) {
       outputs.count("event watch compacted");
       calls.remove(call.id);
-      world.session.compacted(world.now, call.id);
+      world.session.compacted(world.nowNanos, call.id);
       return;
     }
-    call.historyIndex = world.store.historyIndex(call.from);
+    call.historyIndex = world.store.historyIndex(call.fromRevision);
     if (world.chance(0.02)) {
-      world.session.eventsReceived(world.now, call.id, header(call.endpoint), List.of(), false);
+      world.session.eventsReceived(
+          world.nowNanos, call.id, header(call.endpoint), List.of(), false);
     }
-    world.session.watchOpened(world.now, call.id, header(call.endpoint));
+    world.session.watchOpened(world.nowNanos, call.id, header(call.endpoint));
     world.schedule(latency(call.endpoint), () -> deliverChanges(call));
   }
 
@@ -288,7 +297,7 @@
     Header header = header(call.endpoint);
     if (behaviour == Behaviour.FLOODING) {
       List<WatchEvent> flood = history.subList(Math.max(0, history.size() - 50), history.size());
-      world.session.eventsReceived(world.now, call.id, header, List.copyOf(flood), true);
+      world.session.eventsReceived(world.nowNanos, call.id, header, List.copyOf(flood), true);
       world.schedule(5 * MS, () -> deliverChanges(call));
       return;
     }
@@ -296,7 +305,7 @@
     if (from >= history.size()) {
       if (world.chance(0.2)) {
         outputs.count("event progress");
-        world.session.eventsReceived(world.now, call.id, header, List.of(), false);
+        world.session.eventsReceived(world.nowNanos, call.id, header, List.of(), false);
       }
       return;
     }
@@ -307,7 +316,7 @@
         to < history.size() && history.get(to - 1).revision() == history.get(to).revision();
     outputs.count(partial ? "event partial frame" : "event frame");
     world.session.eventsReceived(
-        world.now, call.id, header, List.copyOf(history.subList(from, to)), partial);
+        world.nowNanos, call.id, header, List.copyOf(history.subList(from, to)), partial);
     world.schedule(latency(call.endpoint), () -> deliverChanges(call));
   }
 
@@ -316,7 +325,7 @@
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.WATCH_SILENT
-        || (!evenIfUnchanged && world.store.revision() < call.from)) {
+        || (!evenIfUnchanged && world.store.revision() < call.fromRevision)) {
       return;
     }
     calls.remove(call.id);
@@ -324,12 +333,12 @@
     boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
     List<RegistryEntry> all =
         isForeign ? world.store.foreignEntries() : world.store.writtenSince(0);
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), all, false, -1);
+    world.session.pageReceived(world.nowNanos, call.id, header(call.endpoint), all, false, -1);
   }
 
   @Override
-  public void cancel(long id) {
-    outputs.record("drop", id);
-    calls.remove(id);
+  public void cancel(long callId) {
+    outputs.record("drop", callId);
+    calls.remove(callId);
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
@@ -45,8 +45,8 @@
     return tip == null ? 0 : tip.modRevision();
   }
 
-  boolean isCompacted(long wanted) {
-    return wanted <= compactedRevision;
+  boolean isCompacted(long requestedRevision) {
+    return requestedRevision <= compactedRevision;
   }
 
   int count() {
@@ -54,8 +54,8 @@
   }
 
   /** The entries last written at a revision or later, ordered by key. */
-  List<RegistryEntry> writtenSince(long since) {
-    return entries.values().stream().filter(entry -> entry.modRevision() >= since).toList();
+  List<RegistryEntry> writtenSince(long sinceRevision) {
+    return entries.values().stream().filter(entry -> entry.modRevision() >= sinceRevision).toList();
   }
 
   /** All watch events since the first revision, in order. */
@@ -64,9 +64,9 @@
   }
 
   /** Index in the history of the first event at a revision or later. */
-  int historyIndex(long from) {
+  int historyIndex(long fromRevision) {
     int index = history.size();
-    while (index > 0 && history.get(index - 1).revision() >= from) {
+    while (index > 0 && history.get(index - 1).revision() >= fromRevision) {
       index--;
     }
     return index;
@@ -111,10 +111,10 @@
         "e" + number, "127.0.0.1:" + (7000 + number), "z", "box", number % 3, state, 4, started);
   }
 
-  private void put(String key, RegistryRecord content) {
+  private void put(String key, RegistryRecord value) {
     RegistryEntry before = entries.get(key);
     long created = before == null ? revision : before.createRevision();
-    RegistryEntry entry = new RegistryEntry(key, content, created, revision);
+    RegistryEntry entry = new RegistryEntry(key, value, created, revision);
     entries.put(key, entry);
     history.add(new WatchEvent(revision, key, entry));
   }
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -57,8 +57,8 @@
   WatchSession session;
   private RegistryView view;
   private Snapshot snapshot;
-  long now = START;
-  private long order;
+  long nowNanos = START;
+  private long scheduledCount;
 
   SeededRegistryWorld(Setting setting, long seed) {
     this.setting = setting;
@@ -75,7 +75,7 @@
     store.takeBackup();
     restart();
     schedule(0, this::changeSomething);
-    while (now < START + DURATION) {
+    while (nowNanos < START + DURATION) {
       step();
       recordState();
     }
@@ -83,20 +83,20 @@
   }
 
   private void step() {
-    long due = Math.max(session.nextTickNanos(), now + MS);
+    long due = Math.max(session.nextTickNanos(), nowNanos + MS);
     if (!scheduled.isEmpty() && scheduled.peek().atNanos <= due) {
       ScheduledEvent next = scheduled.poll();
-      now = Math.max(now, next.atNanos);
+      nowNanos = Math.max(nowNanos, next.atNanos);
       next.event.run();
     } else {
       // A timer fires up to a millisecond late, and occasionally up to 2.5 seconds late.
-      now = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
-      session.tick(now);
+      nowNanos = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
+      session.tick(nowNanos);
     }
   }
 
   void schedule(long delay, Runnable event) {
-    scheduled.add(new ScheduledEvent(now + delay, ++order, event));
+    scheduled.add(new ScheduledEvent(nowNanos + delay, ++scheduledCount, event));
   }
 
   // ---- Random changes.
@@ -137,7 +137,7 @@
     }
     if (chance(0.003)) {
       outputs.count("event reload");
-      session.settingsReloaded(now);
+      session.settingsReloaded(nowNanos);
     }
     if (chance(0.01)) {
       passInStrayAnswer();
@@ -158,22 +158,22 @@
 
   private void write(int transactions) {
     for (int write = 0; write < transactions; write++) {
-      store.write(now / MS);
+      store.write(nowNanos / MS);
     }
     endpoints.deliverWrites();
   }
 
   /** Passes in a response to a call that has ended or is of another kind. */
   private void passInStrayAnswer() {
-    long id = Math.max(1, order % 200);
+    long id = Math.max(1, scheduledCount % 200);
     Header header = new Header(store.cluster(), store.revision());
     outputs.count("event stray answer");
     switch (random.nextInt(5)) {
-      case 0 -> session.heartbeatReceived(now, id, header, store.tip());
-      case 1 -> session.pageReceived(now, id, header, List.of(), false, 0);
-      case 2 -> session.watchOpened(now, id, header);
-      case 3 -> session.eventsReceived(now, id, header, List.of(), false);
-      default -> session.callFailed(now, id, RegistryFailure.BROKEN, 0);
+      case 0 -> session.heartbeatReceived(nowNanos, id, header, store.tip());
+      case 1 -> session.pageReceived(nowNanos, id, header, List.of(), false, 0);
+      case 2 -> session.watchOpened(nowNanos, id, header);
+      case 3 -> session.eventsReceived(nowNanos, id, header, List.of(), false);
+      default -> session.callFailed(nowNanos, id, RegistryFailure.BROKEN, 0);
     }
   }
 
@@ -197,11 +197,11 @@
                 setting == Setting.BLOCKING ? BLOCKING_TIME : 0,
                 random.nextLong()),
             outputs::recordSessionLogLine);
-    session.tick(now);
+    session.tick(nowNanos);
     if (snapshot != null && chance(0.8)) {
       outputs.count("event restart from snapshot");
       view.restoreSnapshot(
-          now,
+          nowNanos,
           new RegistryListing(
               snapshot.entries(),
               snapshot.cluster(),
@@ -215,7 +215,7 @@
         random.nextLong(20 * MS),
         () -> {
           if (session == startedSession) {
-            startedSession.start(now);
+            startedSession.start(nowNanos);
           }
         });
   }
@@ -225,7 +225,7 @@
     outputs.count("phase " + phase);
     outputs.record(
         "state",
-        now - START,
+        nowNanos - START,
         phase,
         session.watchCount(),
         session.openCallCount(),
--- a/registry/src/test/java/org/amberpath/registry/WallClockTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WallClockTest.java
@@ -54,10 +54,11 @@
           line -> {});
 
   private static RegistryEntry endpoint(
-      String id, EndpointState state, long startedMs, long created, long changed) {
-    long at = startedMs == 0 ? 0 : NOW / MS + startedMs;
-    RegistryRecord content = new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, at);
-    return new RegistryEntry("p/caches/" + id, content, created, changed);
+      String id, EndpointState state, long startedMs, long createRevision, long modRevision) {
+    long startedAtMillis = startedMs == 0 ? 0 : NOW / MS + startedMs;
+    RegistryRecord cache =
+        new RegistryRecord.Cache(id, "127.0.0.1:1", "z", "k", 0, state, 1, startedAtMillis);
+    return new RegistryEntry("p/caches/" + id, cache, createRevision, modRevision);
   }
 
   private List<String> takePublished() {
@@ -105,7 +106,9 @@
     view.applyEvents(
         later, List.of(RegistryFixtures.put(endpoint("b", EndpointState.UP, -9000, 4, 4))));
     assertEquals(
-        List.of("b long ago", "b 60000"), takePublished(), "removed, then another cache under the same id");
+        List.of("b long ago", "b 60000"),
+        takePublished(),
+        "removed, then another cache under the same id");
   }
 
   @Test
@@ -120,11 +123,11 @@
 
   @ParameterizedTest
   @CsvSource({"-10,10", "-3610,3610", "1,0", "10,3590", "3590,10", "3700,-100"})
-  void snapshotAgeIsTheLargestThatAClockStepAllows(long provenS, long ageS) {
-    Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + provenS * SECOND, List.of());
-    assertEquals(ageS * SECOND, snapshot.ageNanos(NOW));
+  void snapshotAgeIsTheLargestThatAClockStepAllows(long confirmedSeconds, long ageSeconds) {
+    Snapshot snapshot = new Snapshot("p/", "c", 10, NOW + confirmedSeconds * SECOND, List.of());
+    assertEquals(ageSeconds * SECOND, snapshot.ageNanos(NOW));
     assertEquals(
-        ageS < 0 ? Optional.of("its timestamp is in the future") : Optional.empty(),
+        ageSeconds < 0 ? Optional.of("its timestamp is in the future") : Optional.empty(),
         snapshot.rejectionReason(NOW, "p/", DAY));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -94,9 +94,9 @@
     }
   }
 
-  private void answerList(Command list, long revision, RegistryEntry... all) {
+  private void answerList(Command list, long revision, RegistryEntry... entries) {
     session.pageReceived(
-        now, list.call, new Header("c", revision), List.of(all), false, all.length);
+        now, list.call, new Header("c", revision), List.of(entries), false, entries.length);
   }
 
   /** Starts a session with three endpoints, one listed cache and two open watches. */
@@ -118,10 +118,10 @@
   }
 
   @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
-  private static final Predicate<Command> ALL = command -> true;
+  private static final Predicate<Command> ANSWER_ALL = command -> true;
 
   @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
-  private static final Predicate<Command> NONE = command -> false;
+  private static final Predicate<Command> ANSWER_NONE = command -> false;
 
   @Test
   void listIsReadFirstThenTwoEndpointsAreWatchedFromTheNextRevision() {
@@ -175,7 +175,7 @@
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 14))),
         false);
     session.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
-    advance(200, ALL, 14, 9);
+    advance(200, ANSWER_ALL, 14, 9);
     assertEquals(15, takeCommands("watch").get(0).from);
   }
 
@@ -196,19 +196,19 @@
 
   @Test
   void drainIsAppliedInTimeWhicheverEndpointRespondsWhileAllWatchesAreSilent() {
-    for (int alive = 0; alive < 5; alive++) {
+    for (int index = 0; index < 5; index++) {
       WatchSessionTest scenario = new WatchSessionTest();
       scenario.startWithOpenWatches(5);
-      int only = alive;
-      scenario.advance(1000, ALL, 10, 9);
+      int responding = index;
+      scenario.advance(1000, ANSWER_ALL, 10, 9);
       long committed = scenario.now + MS;
       // From here on all but one of five endpoints are silent, and their watches stay open. The
       // limit of 240 ms is the sum of a heartbeat period, the failovers through all endpoints, and
       // the time that a watch has to deliver a change; responses take no time here.
       while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
-        scenario.advance(1, command -> command.endpoint == only, 11, 11);
+        scenario.advance(1, command -> command.endpoint == responding, 11, 11);
         for (Command list : scenario.takeCommands("list")) {
-          if (list.endpoint == only) {
+          if (list.endpoint == responding) {
             scenario.session.pageReceived(
                 scenario.now,
                 list.call,
@@ -221,7 +221,8 @@
           }
         }
       }
-      assertEquals(List.of("[a~]"), scenario.published, "only endpoint " + only + " responds");
+      assertEquals(
+          List.of("[a~]"), scenario.published, "only endpoint " + responding + " responds");
     }
   }
 
@@ -234,7 +235,7 @@
         new Header("c", 11),
         List.of(RegistryFixtures.put(RegistryFixtures.tip(11))),
         false);
-    advance(300, ALL, 11, 11);
+    advance(300, ANSWER_ALL, 11, 11);
     assertEquals(List.of(watches.get(1).call), cancelled);
     String line = "endpoint " + watches.get(1).endpoint + ": WATCH failed: LAGGING";
     assertTrue(logged.contains(line), logged::toString);
@@ -244,32 +245,32 @@
   @Test
   void singleStaleHeartbeatChangesNothing() {
     startWithOpenWatches();
-    advance(500, ALL, 10, 9);
-    boolean[] once = {true};
+    advance(500, ANSWER_ALL, 10, 9);
+    boolean[] sendsStale = {true};
     advance(2000, command -> true, 10, 9);
     now += MS;
     session.tick(now);
     advance(
         110,
         command -> {
-          boolean old = once[0];
-          once[0] = false;
-          if (old) {
+          boolean isStale = sendsStale[0];
+          sendsStale[0] = false;
+          if (isStale) {
             session.heartbeatReceived(now, command.call, new Header("c", 4), 4);
           }
-          return !old;
+          return !isStale;
         },
         10,
         9);
-    advance(1000, ALL, 10, 9);
+    advance(1000, ANSWER_ALL, 10, 9);
     assertEquals(List.of(), takeCommands("list"));
   }
 
   @Test
   void revisionsThatGoBackTwiceAreANewHistory() {
     startWithOpenWatches();
-    advance(500, ALL, 10, 9);
-    advance(300, ALL, 4, 4);
+    advance(500, ANSWER_ALL, 10, 9);
+    advance(300, ANSWER_ALL, 4, 4);
     Command fullList = takeLastCommand("list");
     assertEquals(0, fullList.from);
     answerList(fullList, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
@@ -340,7 +341,7 @@
   @Test
   void lossOfContactChangesThePhaseAndKeepsTheView() {
     startWithOpenWatches();
-    advance(1500, NONE, 0, 0);
+    advance(1500, ANSWER_NONE, 0, 0);
     assertEquals(Phase.CUT_OFF, session.phase());
     assertEquals(List.of(), published);
     assertEquals(
@@ -401,7 +402,7 @@
   void retryAfterOfAServerIsHonoured() {
     start(1);
     session.callFailed(now, takeCommands("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
-    long since = now;
+    long failedAtNanos = now;
     takeCommands("heartbeat")
         .forEach(
             command -> session.callFailed(now, command.call, RegistryFailure.THROTTLED, 700 * MS));
@@ -409,6 +410,6 @@
       now = Math.max(now + MS, session.nextTickNanos());
       session.tick(now);
     }
-    assertTrue(now - since >= 700 * MS, (now - since) / MS + " ms");
+    assertTrue(now - failedAtNanos >= 700 * MS, (now - failedAtNanos) / MS + " ms");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -51,7 +51,7 @@
     Vertx vertx = Vertx.vertx();
     try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
       endpoint.setSoTimeout(TIMEOUT_MILLIS);
-      RegistrySettings access =
+      RegistrySettings settings =
           new RegistrySettings(
               RegistrySettings.ProtocolKind.ETCD,
               List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")),
@@ -69,10 +69,10 @@
               100,
               1 << 20);
       Context loop = vertx.getOrCreateContext();
-      RegistrySource source = new RegistrySource(vertx, access, new IgnoringListener(), 7);
+      RegistrySource source = new RegistrySource(vertx, settings, new IgnoringListener(), 7);
       loop.runOnContext(now -> source.start());
-      try (Socket asked = endpoint.accept()) {
-        assertTrue(asked.isConnected());
+      try (Socket connection = endpoint.accept()) {
+        assertTrue(connection.isConnected());
       } finally {
         Files.newOutputStream(pipe).close(); // Ends the pending read.
         loop.runOnContext(now -> source.close());
--- a/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/RegistryRequestExceptionTest.java
@@ -25,11 +25,11 @@
         "UNREADABLE | e: the connection broke, or the response can't be decoded",
         "LAGGING | e: the connection broke, or the response can't be decoded",
       })
-  void endpointFailureNamesTheEndpointAndTheCause(RegistryFailure why, String message) {
+  void endpointFailureNamesTheEndpointAndTheCause(RegistryFailure failure, String message) {
     RegistryRequestException.EndpointFailed failed =
-        new RegistryRequestException.EndpointFailed("e", why);
+        new RegistryRequestException.EndpointFailed("e", failure);
     assertEquals(message, failed.getMessage());
-    assertEquals(why, failed.failure());
+    assertEquals(failure, failed.failure());
   }
 
   @Test
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -52,17 +52,17 @@
     String failingOperation = "";
     boolean isKilled;
 
-    private void recordCall(String what) throws IOException {
-      calls.add(what);
-      if (what.equals(failingOperation) || (isKilled && what.equals("delete"))) {
+    private void recordCall(String operation) throws IOException {
+      calls.add(operation);
+      if (operation.equals(failingOperation) || (isKilled && operation.equals("delete"))) {
         throw new IOException("No space left on device");
       }
     }
 
     @Override
-    public FileChannel open(Path at) throws IOException {
+    public FileChannel open(Path path) throws IOException {
       recordCall("open");
-      return FileOperations.super.open(at);
+      return FileOperations.super.open(path);
     }
 
     @Override
@@ -75,9 +75,9 @@
     }
 
     @Override
-    public void force(FileChannel of) throws IOException {
+    public void force(FileChannel file) throws IOException {
       recordCall("force");
-      FileOperations.super.force(of);
+      FileOperations.super.force(file);
     }
 
     @Override
@@ -87,15 +87,15 @@
     }
 
     @Override
-    public void forceDirectory(Path of) throws IOException {
+    public void forceDirectory(Path directory) throws IOException {
       recordCall("forceDirectory");
-      FileOperations.super.forceDirectory(of);
+      FileOperations.super.forceDirectory(directory);
     }
 
     @Override
-    public void delete(Path of) throws IOException {
+    public void delete(Path path) throws IOException {
       recordCall("delete");
-      FileOperations.super.delete(of);
+      FileOperations.super.delete(path);
     }
   }
 
@@ -140,7 +140,7 @@
     SnapshotFile.write(file, snapshot(1));
   }
 
-  private SnapshotWriter keeper(Function<Callable<Void>, Future<Void>> worker) {
+  private SnapshotWriter newWriter(Function<Callable<Void>, Future<Void>> worker) {
     return new SnapshotWriter(
         new SnapshotWriter.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
   }
@@ -153,9 +153,9 @@
     }
   }
 
-  private List<String> names() throws IOException {
+  private List<String> fileNames() throws IOException {
     try (var all = Files.list(folder)) {
-      return all.map(one -> one.getFileName().toString()).toList();
+      return all.map(path -> path.getFileName().toString()).toList();
     }
   }
 
@@ -163,16 +163,16 @@
   @ValueSource(strings = {"open", "write", "force", "move"})
   void lastSnapshotStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
       throws IOException {
-    SnapshotWriter keeper = keeper(SnapshotFailureTest::runAtOnce);
+    SnapshotWriter writer = newWriter(SnapshotFailureTest::runAtOnce);
     disk.failingOperation = failing;
     int ticks = 600;
     for (int tick = 0; tick < ticks; tick++, now += SECOND) {
-      keeper.tick(() -> Optional.of(snapshot(2)));
+      writer.tick(() -> Optional.of(snapshot(2)));
       assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     }
     long tries = disk.calls.stream().filter("open"::equals).count();
     assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
-    assertEquals(List.of("view"), names());
+    assertEquals(List.of("view"), fileNames());
     assertEquals(
         List.of(
             "the snapshot "
@@ -183,7 +183,7 @@
     disk.failingOperation = "";
     for (int tick = 0; tick < 61; tick++, now += SECOND) {
       // No current view is available, but the pending snapshot must still be written.
-      keeper.tick(Optional::empty);
+      writer.tick(Optional::empty);
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
@@ -192,9 +192,9 @@
 
   @Test
   void failedSyncOfTheDirectoryIsAFailedWrite() throws IOException {
-    SnapshotWriter keeper = keeper(SnapshotFailureTest::runAtOnce);
+    SnapshotWriter writer = newWriter(SnapshotFailureTest::runAtOnce);
     disk.failingOperation = "forceDirectory";
-    keeper.tick(() -> Optional.of(snapshot(2)));
+    writer.tick(() -> Optional.of(snapshot(2)));
     assertEquals(1, log.size());
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
@@ -214,35 +214,35 @@
     disk.isKilled = true;
     assertThrows(SnapshotException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
     String leftover =
-        names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
+        fileNames().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
     // The name that another process would use.
     Files.move(folder.resolve(leftover), folder.resolve("view.new-1f"));
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
     assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
-    assertEquals(List.of("view", "view.newer"), names().stream().sorted().toList());
+    assertEquals(List.of("view", "view.newer"), fileNames().stream().sorted().toList());
   }
 
   @Test
   void onlyTheLatestSnapshotWaitsForAWriteInProgress() throws Exception {
     Deque<Callable<Void>> writes = new ArrayDeque<>();
     List<Promise<Void>> promises = new ArrayList<>();
-    SnapshotWriter keeper =
-        keeper(
+    SnapshotWriter writer =
+        newWriter(
             write -> {
               writes.add(write);
               promises.add(Promise.promise());
               return promises.get(promises.size() - 1).future();
             });
     for (int revision = 2; revision < 100; revision++, now += SECOND) {
-      long of = revision;
-      keeper.tick(() -> Optional.of(snapshot(of)));
+      long currentRevision = revision;
+      writer.tick(() -> Optional.of(snapshot(currentRevision)));
     }
     assertEquals(1, writes.size(), "no second write starts while one is in progress");
     writes.remove().call();
     promises.get(0).complete();
-    keeper.tick(() -> Optional.of(snapshot(100)));
+    writer.tick(() -> Optional.of(snapshot(100)));
     writes.remove().call();
     assertEquals(snapshot(100), SnapshotFile.read(file, MAX_BYTES));
   }
@@ -275,9 +275,6 @@
     Path golden = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
     assertEquals(snapshot(40), SnapshotFile.read(golden, MAX_BYTES));
     SnapshotFile.write(file, snapshot(40));
-    assertEquals(
-        -1,
-        Files.mismatch(golden, file),
-        "the earlier encoder wrote the same bytes");
+    assertEquals(-1, Files.mismatch(golden, file), "the earlier encoder wrote the same bytes");
   }
 }
