--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -89,8 +89,8 @@
   /**
    * Creates a session; it sends nothing before {@link #start}.
    *
-   * @param log receives a line for each phase transition and for endpoint failures that an operator
-   *     can act on
+   * @param log receives a line for each phase transition, each new history of revisions, and each
+   *     endpoint failure that an operator can act on
    */
   public WatchSession(
       RegistryView view, WatchCommands commands, WatchSessionConfig config, Consumer<String> log) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -26,7 +26,7 @@
   /** Prefix of the keys of tasks' terms, after the prefix of all keys. */
   public static final String TASKS_PREFIX = "tasks/";
 
-  /** The key of the tip, which every transaction writes. */
+  /** The key of the tip, which every transaction writes except the one that acquires a task. */
   public static final String TIP_KEY = "tip";
 
   /**
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistrySettings.java
@@ -48,7 +48,7 @@
     CONSUL
   }
 
-  /** The key of the tip, which every transaction writes. */
+  /** Returns the full key of the tip; see {@link RecordCodec#TIP_KEY}. */
   public String tipKey() {
     return prefix + RecordCodec.TIP_KEY;
   }
