--- a/registry/src/main/java/org/amberpath/registry/RegistryView.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryView.java
@@ -108,9 +108,9 @@
    * was empty or the list shows that the registry was replaced or restored.
    */
   public void applySnapshot(long nowNanos, RegistryListing listing) {
-    boolean isOtherHistory =
+    boolean isNewHistory =
         hasData && (!listing.clusterId().equals(clusterId) || hasEarlierWrite(listing.entries()));
-    applySnapshot(nowNanos, listing, isOtherHistory);
+    applySnapshot(nowNanos, listing, isNewHistory);
   }
 
   /**
@@ -121,18 +121,18 @@
     applySnapshot(nowNanos, listing, true);
   }
 
-  private void applySnapshot(long nowNanos, RegistryListing listing, boolean isOtherHistory) {
+  private void applySnapshot(long nowNanos, RegistryListing listing, boolean isNewHistory) {
     boolean isFirst = !hasData;
     boolean isGapTooLong =
         hasData && listing.requestedAtNanos() - confirmedAtNanos > purgeRetentionNanos;
     Map<String, RegistryEntry> before = keys.replaceAll(listing.entries());
-    keys.keepReadable(isOtherHistory ? Map.of() : before);
+    keys.keepReadable(isNewHistory ? Map.of() : before);
     clusterId = listing.clusterId();
     revision = listing.revision();
     if (isFirst) {
       publishAll(nowNanos);
       publisher.publishAllPurges(entries(), nowNanos);
-    } else if (isOtherHistory) {
+    } else if (isNewHistory) {
       publishAll(nowNanos);
       publisher.publishNewPurges(before, keys.all(), nowNanos);
     } else {
@@ -141,7 +141,7 @@
       publisher.publishChanges(before, keys.all(), changedKeys, nowNanos);
     }
     // Guards against purges that were written and expired unseen: their keys no longer exist.
-    if (isGapTooLong || (isOtherHistory && !isFirst)) {
+    if (isGapTooLong || (isNewHistory && !isFirst)) {
       publisher.publishEverythingPurged(nowNanos);
     }
     confirmedAtNanos = listing.requestedAtNanos();
@@ -198,12 +198,12 @@
         next++;
       }
       if (eventRevision > revision) {
-        replayRevision(nowNanos, eventRevision, events.subList(first, next));
+        applyRevision(nowNanos, eventRevision, events.subList(first, next));
       }
     }
   }
 
-  private void replayRevision(long nowNanos, long eventRevision, List<WatchEvent> events) {
+  private void applyRevision(long nowNanos, long eventRevision, List<WatchEvent> events) {
     Map<String, RegistryEntry> before = new TreeMap<>();
     for (WatchEvent event : events) {
       if (event.entry() == null) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/AdminRequests.java
@@ -41,7 +41,7 @@
    * Returns the result of the first endpoint that responds. Only for requests that may be sent more
    * than once.
    */
-  <T> Future<T> firstAnswering(IntFunction<Future<T>> request) {
+  <T> Future<T> fromFirstResponding(IntFunction<Future<T>> request) {
     return sendFrom(0, request);
   }
 
@@ -57,7 +57,8 @@
 
   /** Returns the first endpoint that responds to a read. */
   Future<Integer> firstReachable() {
-    return firstAnswering(endpoint -> send(endpoint, protocol.heartbeatRequest()).map(endpoint));
+    return fromFirstResponding(
+        endpoint -> send(endpoint, protocol.heartbeatRequest()).map(endpoint));
   }
 
   Future<Response> send(int endpoint, RegistryProtocol.Request request) {
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -102,7 +102,7 @@
   }
 
   @Override
-  public RegistryHttpClient.ResponseKind watchResponse() {
+  public RegistryHttpClient.ResponseKind watchResponseKind() {
     return RegistryHttpClient.ResponseKind.COMPLETE;
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -80,7 +80,7 @@
   }
 
   @Override
-  public RegistryHttpClient.ResponseKind watchResponse() {
+  public RegistryHttpClient.ResponseKind watchResponseKind() {
     return RegistryHttpClient.ResponseKind.LINES;
   }
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/LeaseClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/LeaseClient.java
@@ -30,7 +30,7 @@
 
   /** Lists the keys of all tasks' owners and terms. */
   Future<List<RegistryEntry>> tasks() {
-    return requests.firstAnswering(
+    return requests.fromFirstResponding(
         endpoint ->
             requests
                 .send(endpoint, EtcdLeases.tasksRequest(prefix))
@@ -69,7 +69,7 @@
 
   /** Renews a lease; returns false if it has expired. */
   Future<Boolean> renew(long leaseId) {
-    return requests.firstAnswering(
+    return requests.fromFirstResponding(
         endpoint ->
             requests
                 .send(endpoint, EtcdLeases.renewalRequest(leaseId))
@@ -78,7 +78,7 @@
 
   /** Revokes a lease. */
   Future<Void> revoke(long leaseId) {
-    return requests.firstAnswering(
+    return requests.fromFirstResponding(
         endpoint -> requests.send(endpoint, EtcdLeases.revokeRequest(leaseId)).mapEmpty());
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryAdminClient.java
@@ -49,7 +49,7 @@
 
   /** Lists all keys at one revision. */
   public Future<List<RegistryEntry>> list() {
-    return requests.firstAnswering(endpoint -> listPages(endpoint, 0, "", new ArrayList<>()));
+    return requests.fromFirstResponding(endpoint -> listPages(endpoint, 0, "", new ArrayList<>()));
   }
 
   private Future<List<RegistryEntry>> listPages(
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryProtocol.java
@@ -83,7 +83,7 @@
   Request watchRequest(long fromRevision);
 
   /** How the response to {@link #watchRequest} is read. */
-  RegistryHttpClient.ResponseKind watchResponse();
+  RegistryHttpClient.ResponseKind watchResponseKind();
 
   /** Decodes a line of a watch's response stream. */
   Frame decodeFrame(byte[] line);
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -25,8 +25,8 @@
   }
 
   /** Converts a time of the monotonic clock to a Unix time, both in nanoseconds. */
-  long toUnixNanos(long monotonic) {
-    return monotonic + wallOffsetMillis() * MS;
+  long toUnixNanos(long timeNanos) {
+    return timeNanos + wallOffsetMillis() * MS;
   }
 
   private long wallOffsetMillis() {
--- a/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WatchCommandExecutor.java
@@ -163,7 +163,7 @@
     send(
         endpoint,
         protocol.watchRequest(fromRevision),
-        protocol.watchResponse(),
+        protocol.watchResponseKind(),
         new WatchHandler(callId));
   }
 
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -64,9 +64,9 @@
   void deliverWrites() {
     for (OpenCall call : calls.values()) {
       if (call.historyIndex >= 0) {
-        world.schedule(latency(call.endpoint), () -> deliverChanges(call));
+        world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
       } else if (isBlockingRead(call)) {
-        world.schedule(latency(call.endpoint), () -> answerBlockingRead(call, false));
+        world.schedule(latencyNanos(call.endpoint), () -> answerBlockingRead(call, false));
       }
     }
   }
@@ -80,7 +80,7 @@
     outputs.count("behaviour " + behaviours[endpoint]);
     for (OpenCall call : calls.values()) {
       if (call.endpoint == endpoint && behaviours[endpoint] == Behaviour.HEALTHY) {
-        world.schedule(latency(endpoint), () -> deliverChanges(call));
+        world.schedule(latencyNanos(endpoint), () -> deliverChanges(call));
       }
     }
   }
@@ -115,11 +115,11 @@
     }
   }
 
-  private long latency(int endpoint) {
-    long quick = (1 + 4L * endpoint) * MS + world.random.nextLong(8 * MS);
+  private long latencyNanos(int endpoint) {
+    long fastNanos = (1 + 4L * endpoint) * MS + world.random.nextLong(8 * MS);
     return behaviours[endpoint] == Behaviour.SLOW
         ? 30 * MS + world.random.nextLong(200 * MS)
-        : quick;
+        : fastNanos;
   }
 
   private boolean isBlockingRead(OpenCall call) {
@@ -178,14 +178,14 @@
   public void heartbeat(long callId, int endpoint) {
     outputs.record("pulse", callId, endpoint);
     OpenCall call = openCall(callId, endpoint, 0);
-    world.schedule(latency(endpoint), () -> answerHeartbeat(call));
+    world.schedule(latencyNanos(endpoint), () -> answerHeartbeat(call));
   }
 
   private void answerHeartbeat(OpenCall call) {
     if (isOpen(call) && !failsOrIgnores(call)) {
       calls.remove(call.id);
       Header header = header(call.endpoint);
-      long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tip();
+      long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tipRevision();
       world.session.heartbeatReceived(
           world.nowNanos, call.id, header, Math.min(tip, header.revision()));
     }
@@ -200,7 +200,8 @@
     outputs.count(pageSize > 1000 ? "page of larger size" : "page of first size");
     OpenCall call = revision == 0 ? openCall(callId, endpoint, 0) : calls.get(callId);
     world.schedule(
-        latency(endpoint), () -> answerList(call, revision, afterKey, sinceRevision, pageSize));
+        latencyNanos(endpoint),
+        () -> answerList(call, revision, afterKey, sinceRevision, pageSize));
   }
 
   private void answerList(
@@ -223,7 +224,7 @@
       call.listed.addAll(
           isForeign
               ? world.store.foreignEntries()
-              : world.store.writtenSince(effectiveSinceRevision(sinceRevision)));
+              : world.store.entriesWrittenSince(effectiveSinceRevision(sinceRevision)));
       call.listedCount = isForeign ? call.listed.size() : world.store.count();
     }
     List<RegistryEntry> remaining =
@@ -261,10 +262,10 @@
     outputs.record("watch", callId, endpoint, fromRevision);
     OpenCall call = openCall(callId, endpoint, Math.max(1, fromRevision));
     if (world.setting == SeededRegistryWorld.Setting.BLOCKING) {
-      world.schedule(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
-      world.schedule(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
+      world.schedule(latencyNanos(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
+      world.schedule(SeededRegistryWorld.BLOCKING_TIME_NANOS, () -> answerBlockingRead(call, true));
     } else {
-      world.schedule(latency(endpoint), () -> openWatch(call));
+      world.schedule(latencyNanos(endpoint), () -> openWatch(call));
     }
   }
 
@@ -284,7 +285,7 @@
           world.nowNanos, call.id, header(call.endpoint), List.of(), false);
     }
     world.session.watchOpened(world.nowNanos, call.id, header(call.endpoint));
-    world.schedule(latency(call.endpoint), () -> deliverChanges(call));
+    world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
   }
 
   private void deliverChanges(OpenCall call) {
@@ -301,23 +302,26 @@
       world.schedule(5 * MS, () -> deliverChanges(call));
       return;
     }
-    int from = call.historyIndex;
-    if (from >= history.size()) {
+    int fromIndex = call.historyIndex;
+    if (fromIndex >= history.size()) {
       if (world.chance(0.2)) {
         outputs.count("event progress");
         world.session.eventsReceived(world.nowNanos, call.id, header, List.of(), false);
       }
       return;
     }
-    int to =
-        world.chance(0.3) ? from + 1 + world.random.nextInt(history.size() - from) : history.size();
-    call.historyIndex = to;
+    int toIndex =
+        world.chance(0.3)
+            ? fromIndex + 1 + world.random.nextInt(history.size() - fromIndex)
+            : history.size();
+    call.historyIndex = toIndex;
     boolean partial =
-        to < history.size() && history.get(to - 1).revision() == history.get(to).revision();
+        toIndex < history.size()
+            && history.get(toIndex - 1).revision() == history.get(toIndex).revision();
     outputs.count(partial ? "event partial frame" : "event frame");
     world.session.eventsReceived(
-        world.nowNanos, call.id, header, List.copyOf(history.subList(from, to)), partial);
-    world.schedule(latency(call.endpoint), () -> deliverChanges(call));
+        world.nowNanos, call.id, header, List.copyOf(history.subList(fromIndex, toIndex)), partial);
+    world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
   }
 
   private void answerBlockingRead(OpenCall call, boolean evenIfUnchanged) {
@@ -332,7 +336,7 @@
     outputs.count("event blocking read");
     boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
     List<RegistryEntry> all =
-        isForeign ? world.store.foreignEntries() : world.store.writtenSince(0);
+        isForeign ? world.store.foreignEntries() : world.store.entriesWrittenSince(0);
     world.session.pageReceived(world.nowNanos, call.id, header(call.endpoint), all, false, -1);
   }
 
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryStore.java
@@ -40,7 +40,7 @@
     return revision;
   }
 
-  long tip() {
+  long tipRevision() {
     RegistryEntry tip = entries.get(TIP_KEY);
     return tip == null ? 0 : tip.modRevision();
   }
@@ -54,7 +54,7 @@
   }
 
   /** The entries last written at a revision or later, ordered by key. */
-  List<RegistryEntry> writtenSince(long sinceRevision) {
+  List<RegistryEntry> entriesWrittenSince(long sinceRevision) {
     return entries.values().stream().filter(entry -> entry.modRevision() >= sinceRevision).toList();
   }
 
@@ -79,14 +79,14 @@
     revision++;
     int writes = random.nextInt(8) == 0 ? 2 + random.nextInt(2) : 1;
     for (int write = 0; write < writes; write++) {
-      writeOne(nowMillis, random.nextInt(keyCount));
+      writeRandomKey(nowMillis, random.nextInt(keyCount));
     }
     if (random.nextInt(12) > 0) {
       put(TIP_KEY, new RegistryRecord.Other());
     }
   }
 
-  private void writeOne(long nowMillis, int number) {
+  private void writeRandomKey(long nowMillis, int number) {
     int kind = random.nextInt(20);
     if (kind < 3) {
       delete(PREFIX + "caches/" + number);
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -39,9 +39,9 @@
   private record ScheduledEvent(long atNanos, long order, Runnable event) {}
 
   private static final long MS = 1_000_000;
-  private static final long START = 1_700_000_000_000L * MS;
-  private static final long DURATION = 300_000 * MS;
-  static final long BLOCKING_TIME = 3_000 * MS;
+  private static final long START_NANOS = 1_700_000_000_000L * MS;
+  private static final long DURATION_NANOS = 300_000 * MS;
+  static final long BLOCKING_TIME_NANOS = 3_000 * MS;
 
   /** The recorded outputs. */
   final RecordedOutputs outputs = new RecordedOutputs();
@@ -57,25 +57,25 @@
   WatchSession session;
   private RegistryView view;
   private Snapshot snapshot;
-  long nowNanos = START;
+  long nowNanos = START_NANOS;
   private long scheduledCount;
 
   SeededRegistryWorld(Setting setting, long seed) {
     this.setting = setting;
     random = new SplittableRandom(seed * 31 + setting.endpoints + setting.retentionMillis);
-    store = new SeededRegistryStore(random, 40, START / MS);
+    store = new SeededRegistryStore(random, 40, START_NANOS / MS);
     endpoints = new SeededRegistryEndpoints(this, outputs);
   }
 
   /** Runs the simulation to its end and returns the digest of all outputs as hexadecimal digits. */
   String run() {
     for (int write = 0; write < 30; write++) {
-      store.write(START / MS);
+      store.write(START_NANOS / MS);
     }
     store.takeBackup();
     restart();
     schedule(0, this::changeSomething);
-    while (nowNanos < START + DURATION) {
+    while (nowNanos < START_NANOS + DURATION_NANOS) {
       step();
       recordState();
     }
@@ -83,20 +83,20 @@
   }
 
   private void step() {
-    long due = Math.max(session.nextTickNanos(), nowNanos + MS);
-    if (!scheduled.isEmpty() && scheduled.peek().atNanos <= due) {
+    long dueNanos = Math.max(session.nextTickNanos(), nowNanos + MS);
+    if (!scheduled.isEmpty() && scheduled.peek().atNanos <= dueNanos) {
       ScheduledEvent next = scheduled.poll();
       nowNanos = Math.max(nowNanos, next.atNanos);
       next.event.run();
     } else {
       // A timer fires up to a millisecond late, and occasionally up to 2.5 seconds late.
-      nowNanos = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
+      nowNanos = dueNanos + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
       session.tick(nowNanos);
     }
   }
 
-  void schedule(long delay, Runnable event) {
-    scheduled.add(new ScheduledEvent(nowNanos + delay, ++scheduledCount, event));
+  void schedule(long delayNanos, Runnable event) {
+    scheduled.add(new ScheduledEvent(nowNanos + delayNanos, ++scheduledCount, event));
   }
 
   // ---- Random changes.
@@ -169,7 +169,7 @@
     Header header = new Header(store.cluster(), store.revision());
     outputs.count("event stray answer");
     switch (random.nextInt(5)) {
-      case 0 -> session.heartbeatReceived(nowNanos, id, header, store.tip());
+      case 0 -> session.heartbeatReceived(nowNanos, id, header, store.tipRevision());
       case 1 -> session.pageReceived(nowNanos, id, header, List.of(), false, 0);
       case 2 -> session.watchOpened(nowNanos, id, header);
       case 3 -> session.eventsReceived(nowNanos, id, header, List.of(), false);
@@ -179,13 +179,13 @@
 
   private void restart() {
     endpoints.dropCalls();
-    long retention = setting.retentionMillis * MS;
+    long retentionNanos = setting.retentionMillis * MS;
     view =
         new RegistryView(
             outputs,
             SeededRegistryStore.TIP_KEY,
             setting.maxKeys,
-            retention,
+            retentionNanos,
             outputs::recordViewLogLine);
     session =
         new WatchSession(
@@ -194,7 +194,7 @@
             new WatchSessionConfig(
                 setting.endpoints,
                 setting.maxKeys,
-                setting == Setting.BLOCKING ? BLOCKING_TIME : 0,
+                setting == Setting.BLOCKING ? BLOCKING_TIME_NANOS : 0,
                 random.nextLong()),
             outputs::recordSessionLogLine);
     session.tick(nowNanos);
@@ -225,11 +225,11 @@
     outputs.count("phase " + phase);
     outputs.record(
         "state",
-        nowNanos - START,
+        nowNanos - START_NANOS,
         phase,
         session.watchCount(),
         session.openCallCount(),
-        session.nextTickNanos() - START);
+        session.nextTickNanos() - START_NANOS);
     outputs.record(
         "view",
         view.hasData(),
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -20,7 +20,7 @@
  */
 class WatchSessionTest {
   private static final long MS = 1_000_000;
-  private static final long START = 1_000_000_000_000L * MS;
+  private static final long START_NANOS = 1_000_000_000_000L * MS;
 
   /** A recorded command; {@code from} is a watch's start revision or a list's lower bound. */
   private record Command(String kind, long call, int endpoint, long from) {}
@@ -31,9 +31,9 @@
   private final List<Long> cancelled = new ArrayList<>();
   private final RegistryView view =
       new RegistryView(
-          new PublishedLists(published, START / MS), "p/tip", 100, 60_000 * MS, logged::add);
+          new PublishedLists(published, START_NANOS / MS), "p/tip", 100, 60_000 * MS, logged::add);
   private WatchSession session;
-  private long now = START;
+  private long nowNanos = START_NANOS;
 
   private final WatchCommands recorder =
       new WatchCommands() {
@@ -62,7 +62,7 @@
   private void start(int endpoints) {
     session =
         new WatchSession(view, recorder, new WatchSessionConfig(endpoints, 100, 0, 5), logged::add);
-    session.start(now);
+    session.start(nowNanos);
   }
 
   private List<Command> takeCommands(String kind) {
@@ -82,13 +82,13 @@
    * with the given revisions.
    */
   private void advance(long ms, Predicate<Command> answers, long revision, long tip) {
-    long end = now + ms * MS;
-    while (now < end) {
-      now = Math.min(end, Math.max(now + MS, session.nextTickNanos()));
-      session.tick(now);
+    long endNanos = nowNanos + ms * MS;
+    while (nowNanos < endNanos) {
+      nowNanos = Math.min(endNanos, Math.max(nowNanos + MS, session.nextTickNanos()));
+      session.tick(nowNanos);
       for (Command heartbeat : takeCommands("heartbeat")) {
         if (answers.test(heartbeat)) {
-          session.heartbeatReceived(now, heartbeat.call, new Header("c", revision), tip);
+          session.heartbeatReceived(nowNanos, heartbeat.call, new Header("c", revision), tip);
         }
       }
     }
@@ -96,7 +96,7 @@
 
   private void answerList(Command list, long revision, RegistryEntry... entries) {
     session.pageReceived(
-        now, list.call, new Header("c", revision), List.of(entries), false, entries.length);
+        nowNanos, list.call, new Header("c", revision), List.of(entries), false, entries.length);
   }
 
   /** Starts a session with three endpoints, one listed cache and two open watches. */
@@ -112,7 +112,7 @@
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 9),
         RegistryFixtures.tip(9));
     List<Command> watches = takeCommands("watch");
-    watches.forEach(watch -> session.watchOpened(now, watch.call, new Header("c", 10)));
+    watches.forEach(watch -> session.watchOpened(nowNanos, watch.call, new Header("c", 10)));
     published.clear();
     return watches;
   }
@@ -137,7 +137,7 @@
     List<Integer> first = new ArrayList<>();
     for (int seed = 0; seed < 20; seed++) {
       new WatchSession(view, recorder, new WatchSessionConfig(3, 100, 0, seed), logged::add)
-          .start(now);
+          .start(nowNanos);
       first.add(takeCommands("list").get(0).endpoint);
     }
     assertEquals(3, first.stream().distinct().count());
@@ -148,7 +148,7 @@
     Command watch = startWithOpenWatches().get(0);
     Header header = new Header("c", 12);
     session.eventsReceived(
-        now,
+        nowNanos,
         watch.call,
         header,
         List.of(
@@ -156,7 +156,7 @@
         true);
     assertEquals(List.of(), published);
     session.eventsReceived(
-        now,
+        nowNanos,
         watch.call,
         header,
         List.of(RegistryFixtures.put(RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11))),
@@ -168,13 +168,13 @@
   void brokenWatchResumesAtTheNextRevision() {
     List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
-        now,
+        nowNanos,
         watches.get(0).call,
         new Header("c", 14),
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 14))),
         false);
-    session.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
+    session.callFailed(nowNanos, watches.get(0).call, RegistryFailure.BROKEN, 0);
     advance(200, ANSWER_ALL, 14, 9);
     assertEquals(15, takeCommands("watch").get(0).from);
   }
@@ -182,7 +182,7 @@
   @Test
   void watchResyncAfterCompactionListsTheKeysWrittenSince() {
     Command watch = startWithOpenWatches().get(0);
-    session.compacted(now, watch.call);
+    session.compacted(nowNanos, watch.call);
     Command list = takeCommands("list").get(0);
     assertEquals(11, list.from);
     answerList(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
@@ -201,16 +201,16 @@
       scenario.startWithOpenWatches(5);
       int responding = index;
       scenario.advance(1000, ANSWER_ALL, 10, 9);
-      long committed = scenario.now + MS;
+      long committedAtNanos = scenario.nowNanos + MS;
       // From here on all but one of five endpoints are silent, and their watches stay open. The
       // limit of 240 ms is the sum of a heartbeat period, the failovers through all endpoints, and
       // the time that a watch has to deliver a change; responses take no time here.
-      while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
+      while (scenario.published.isEmpty() && scenario.nowNanos - committedAtNanos < 240 * MS) {
         scenario.advance(1, command -> command.endpoint == responding, 11, 11);
         for (Command list : scenario.takeCommands("list")) {
           if (list.endpoint == responding) {
             scenario.session.pageReceived(
-                scenario.now,
+                scenario.nowNanos,
                 list.call,
                 new Header("c", 11),
                 List.of(
@@ -230,7 +230,7 @@
   void watchBehindTheTipOfAHeartbeatIsReplaced() {
     List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
-        now,
+        nowNanos,
         watches.get(0).call,
         new Header("c", 11),
         List.of(RegistryFixtures.put(RegistryFixtures.tip(11))),
@@ -248,15 +248,15 @@
     advance(500, ANSWER_ALL, 10, 9);
     boolean[] sendsStale = {true};
     advance(2000, command -> true, 10, 9);
-    now += MS;
-    session.tick(now);
+    nowNanos += MS;
+    session.tick(nowNanos);
     advance(
         110,
         command -> {
           boolean isStale = sendsStale[0];
           sendsStale[0] = false;
           if (isStale) {
-            session.heartbeatReceived(now, command.call, new Header("c", 4), 4);
+            session.heartbeatReceived(nowNanos, command.call, new Header("c", 4), 4);
           }
           return !isStale;
         },
@@ -288,7 +288,7 @@
         20_000,
         command -> {
           if (command.endpoint == 2) {
-            session.heartbeatReceived(now, command.call, new Header("other", 900), 900);
+            session.heartbeatReceived(nowNanos, command.call, new Header("other", 900), 900);
           }
           return command.endpoint != 2;
         },
@@ -306,14 +306,14 @@
     advance(
         600,
         command -> {
-          session.heartbeatReceived(now, command.call, new Header("other", 5), 5);
+          session.heartbeatReceived(nowNanos, command.call, new Header("other", 5), 5);
           return false;
         },
         0,
         0);
     Command fullList = takeLastCommand("list");
-    session.pageReceived(now, fullList.call, new Header("other", 5), List.of(), false, 0);
-    assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), published);
+    session.pageReceived(nowNanos, fullList.call, new Header("other", 5), List.of(), false, 0);
+    assertEquals(List.of("=[]", "purged 0/-1 " + (nowNanos - START_NANOS) / MS), published);
     assertTrue(
         logged.contains("the registry now has cluster id 'other'; requesting all keys again"),
         logged::toString);
@@ -327,11 +327,11 @@
     start(1);
     int sent = 0;
     for (int step = 0; step < 1000; step++) {
-      now += 10 * MS;
-      session.tick(now);
+      nowNanos += 10 * MS;
+      session.tick(nowNanos);
       for (Command command : List.copyOf(commands)) {
         sent++;
-        session.callFailed(now, command.call, failure, 0);
+        session.callFailed(nowNanos, command.call, failure, 0);
       }
       commands.clear();
     }
@@ -356,11 +356,11 @@
     start(3);
     int sent = 0;
     for (int step = 0; step < 500; step++) {
-      now += 10 * MS;
-      session.tick(now);
+      nowNanos += 10 * MS;
+      session.tick(nowNanos);
       for (Command command : List.copyOf(commands)) {
         sent++;
-        session.callFailed(now, command.call, RegistryFailure.REFUSED, 0);
+        session.callFailed(nowNanos, command.call, RegistryFailure.REFUSED, 0);
       }
       commands.clear();
     }
@@ -372,14 +372,14 @@
     start(1);
     Command list = takeCommands("list").get(0);
     session.pageReceived(
-        now,
+        nowNanos,
         list.call,
         new Header("c", 10),
         List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
         true,
         2);
     assertEquals(1, takeCommands("list").size());
-    session.compacted(now, list.call);
+    session.compacted(nowNanos, list.call);
     Command again = takeCommands("list").get(0);
     answerList(
         again,
@@ -401,15 +401,17 @@
   @Test
   void retryAfterOfAServerIsHonoured() {
     start(1);
-    session.callFailed(now, takeCommands("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
-    long failedAtNanos = now;
+    session.callFailed(
+        nowNanos, takeCommands("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
+    long failedAtNanos = nowNanos;
     takeCommands("heartbeat")
         .forEach(
-            command -> session.callFailed(now, command.call, RegistryFailure.THROTTLED, 700 * MS));
+            command ->
+                session.callFailed(nowNanos, command.call, RegistryFailure.THROTTLED, 700 * MS));
     while (commands.isEmpty()) {
-      now = Math.max(now + MS, session.nextTickNanos());
-      session.tick(now);
+      nowNanos = Math.max(nowNanos + MS, session.nextTickNanos());
+      session.tick(nowNanos);
     }
-    assertTrue(now - failedAtNanos >= 700 * MS, (now - failedAtNanos) / MS + " ms");
+    assertTrue(nowNanos - failedAtNanos >= 700 * MS, (nowNanos - failedAtNanos) / MS + " ms");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -25,7 +25,7 @@
  * the snapshot file: the source must contact the registry without it.
  */
 class HungDiskTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final int TIMEOUT_MILLIS = 30_000;
 
   /** Ignores all notifications. */
@@ -63,19 +63,19 @@
               null,
               null,
               pipe,
-              SECOND,
-              SECOND,
-              600 * SECOND,
+              SECOND_NANOS,
+              SECOND_NANOS,
+              600 * SECOND_NANOS,
               100,
               1 << 20);
-      Context loop = vertx.getOrCreateContext();
+      Context eventLoop = vertx.getOrCreateContext();
       RegistrySource source = new RegistrySource(vertx, settings, new IgnoringListener(), 7);
-      loop.runOnContext(now -> source.start());
+      eventLoop.runOnContext(now -> source.start());
       try (Socket connection = endpoint.accept()) {
         assertTrue(connection.isConnected());
       } finally {
         Files.newOutputStream(pipe).close(); // Ends the pending read.
-        loop.runOnContext(now -> source.close());
+        eventLoop.runOnContext(now -> source.close());
       }
     } finally {
       vertx
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -34,14 +34,14 @@
  * the disk fails or the process is killed during a write.
  */
 class SnapshotFailureTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final int MAX_BYTES = 10_000;
 
   @TempDir private Path folder;
   private Path file;
   private final List<String> log = new ArrayList<>();
   private final FailingDisk disk = new FailingDisk();
-  private long now = SECOND;
+  private long nowNanos = SECOND_NANOS;
 
   /**
    * A disk that fails at one operation, after half of the bytes were written. With {@code killed}
@@ -142,7 +142,11 @@
 
   private SnapshotWriter newWriter(Function<Callable<Void>, Future<Void>> worker) {
     return new SnapshotWriter(
-        new SnapshotWriter.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
+        new SnapshotWriter.Target(file, disk, 5 * SECOND_NANOS),
+        worker,
+        () -> nowNanos,
+        7,
+        log::add);
   }
 
   private static Future<Void> runAtOnce(Callable<Void> write) {
@@ -166,12 +170,12 @@
     SnapshotWriter writer = newWriter(SnapshotFailureTest::runAtOnce);
     disk.failingOperation = failing;
     int ticks = 600;
-    for (int tick = 0; tick < ticks; tick++, now += SECOND) {
+    for (int tick = 0; tick < ticks; tick++, nowNanos += SECOND_NANOS) {
       writer.tick(() -> Optional.of(snapshot(2)));
       assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     }
-    long tries = disk.calls.stream().filter("open"::equals).count();
-    assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
+    long attempts = disk.calls.stream().filter("open"::equals).count();
+    assertTrue(attempts >= 8 && attempts < ticks / 5, attempts + " tries");
     assertEquals(List.of("view"), fileNames());
     assertEquals(
         List.of(
@@ -181,13 +185,13 @@
         log);
 
     disk.failingOperation = "";
-    for (int tick = 0; tick < 61; tick++, now += SECOND) {
+    for (int tick = 0; tick < 61; tick++, nowNanos += SECOND_NANOS) {
       // No current view is available, but the pending snapshot must still be written.
       writer.tick(Optional::empty);
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
-    assertTrue(log.get(1).endsWith("after " + tries + " failed attempts"), log.get(1));
+    assertTrue(log.get(1).endsWith("after " + attempts + " failed attempts"), log.get(1));
   }
 
   @Test
@@ -235,7 +239,7 @@
               promises.add(Promise.promise());
               return promises.get(promises.size() - 1).future();
             });
-    for (int revision = 2; revision < 100; revision++, now += SECOND) {
+    for (int revision = 2; revision < 100; revision++, nowNanos += SECOND_NANOS) {
       long currentRevision = revision;
       writer.tick(() -> Optional.of(snapshot(currentRevision)));
     }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotRestoreTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotRestoreTest.java
@@ -17,8 +17,8 @@
 /** Tests the log lines of a snapshot that is restored or ignored at the start. */
 class SnapshotRestoreTest {
   private static final long MS = 1_000_000;
-  private static final long SECOND = 1000 * MS;
-  private static final long NOW = 1_000_000_000_000L * MS;
+  private static final long SECOND_NANOS = 1000 * MS;
+  private static final long NOW_NANOS = 1_000_000_000_000L * MS;
 
   @TempDir private Path folder;
 
@@ -34,9 +34,9 @@
         null,
         null,
         snapshot,
-        SECOND,
-        60 * SECOND,
-        600 * SECOND,
+        SECOND_NANOS,
+        60 * SECOND_NANOS,
+        600 * SECOND_NANOS,
         100,
         10_000);
   }
@@ -48,8 +48,8 @@
     try {
       RegistryView view =
           new RegistryView(
-              new HungDiskTest.IgnoringListener(), "p/tip", 100, 600 * SECOND, line -> {});
-      new SnapshotRestore(vertx, settings(file), () -> NOW, new RegistryLog())
+              new HungDiskTest.IgnoringListener(), "p/tip", 100, 600 * SECOND_NANOS, line -> {});
+      new SnapshotRestore(vertx, settings(file), () -> NOW_NANOS, new RegistryLog())
           .restoreInto(view)
           .toCompletionStage()
           .toCompletableFuture()
@@ -65,7 +65,7 @@
   @Timeout(120)
   void restoredSnapshotIsLoggedWithItsRevisionAndAge() throws Exception {
     Path file = folder.resolve("view");
-    SnapshotFile.write(file, new Snapshot("p/", "12", 40, NOW - 50 * MS, List.of()));
+    SnapshotFile.write(file, new Snapshot("p/", "12", 40, NOW_NANOS - 50 * MS, List.of()));
     assertEquals(
         List.of("INFO registry: serving from the snapshot of revision 40, 50 ms old"),
         restore(file));
@@ -75,7 +75,8 @@
   @Timeout(120)
   void ignoredSnapshotIsLoggedWithItsPathAndTheReason() throws Exception {
     Path file = folder.resolve("view");
-    SnapshotFile.write(file, new Snapshot("p/", "12", 40, NOW - 90 * SECOND, List.of()));
+    SnapshotFile.write(
+        file, new Snapshot("p/", "12", 40, NOW_NANOS - 90 * SECOND_NANOS, List.of()));
     assertEquals(
         List.of(
             "WARNING registry: the snapshot "
--- a/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/WallTimesTest.java
@@ -20,13 +20,13 @@
  */
 class WallTimesTest {
   private static final long MS = 1_000_000;
-  private static final long START = 1_700_000_000_000L;
-  private static final long HOUR = 3_600_000;
-  private static final long SECOND = 1_000_000_000;
+  private static final long START_MILLIS = 1_700_000_000_000L;
+  private static final long HOUR_MILLIS = 3_600_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
 
-  private long wall = START;
-  private long monotonic = START * MS;
-  private final List<Long> ages = new ArrayList<>();
+  private long wallMillis = START_MILLIS;
+  private long monotonicNanos = START_MILLIS * MS;
+  private final List<Long> agesMillis = new ArrayList<>();
 
   /** Records ages by the current wall clock, as the gateway computes them. */
   private final WallTimes times =
@@ -37,7 +37,8 @@
 
             @Override
             public void endpointListed(ListedEndpoint endpoint) {
-              ages.add(endpoint.startedAtMillis() == 0 ? -1 : wall - endpoint.startedAtMillis());
+              agesMillis.add(
+                  endpoint.startedAtMillis() == 0 ? -1 : wallMillis - endpoint.startedAtMillis());
             }
 
             @Override
@@ -45,36 +46,45 @@
 
             @Override
             public void objectPurged(long object, int group, long atMs) {
-              ages.add(Math.max(0, wall - atMs));
+              agesMillis.add(Math.max(0, wallMillis - atMs));
             }
           },
-          () -> monotonic,
-          () -> wall);
+          () -> monotonicNanos,
+          () -> wallMillis);
 
   @ParameterizedTest
-  @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
-  void clockStepChangesNoAge(long step) {
-    wall += 1000 + step;
-    monotonic += 1000 * MS;
-    times.objectPurged(7, 0, START + 1000);
-    times.endpointListed(new ListedEndpoint("a", "", "z", "k", 0, EndpointState.UP, 1, START));
+  @ValueSource(longs = {0, 5000, -5000, HOUR_MILLIS, -HOUR_MILLIS})
+  void clockStepChangesNoAge(long stepMillis) {
+    wallMillis += 1000 + stepMillis;
+    monotonicNanos += 1000 * MS;
+    times.objectPurged(7, 0, START_MILLIS + 1000);
+    times.endpointListed(
+        new ListedEndpoint("a", "", "z", "k", 0, EndpointState.UP, 1, START_MILLIS));
     times.endpointListed(new ListedEndpoint("b", "", "z", "k", 0, EndpointState.UP, 1, 0));
-    assertEquals(List.of(0L, 1000L, -1L), ages);
-    assertEquals((wall - 500) * MS, times.toUnixNanos(monotonic - 500 * MS));
+    assertEquals(List.of(0L, 1000L, -1L), agesMillis);
+    assertEquals((wallMillis - 500) * MS, times.toUnixNanos(monotonicNanos - 500 * MS));
   }
 
   @ParameterizedTest
-  @ValueSource(longs = {0, 5000, -5000, HOUR, -HOUR})
-  void recentPurgeIsNeverExpiredWhicheverClockHasStepped(long step) {
-    long retention = 600 * SECOND;
-    List<RegistryEntry> all = new ArrayList<>();
-    for (long written : new long[] {START + step, START - 600_000 - 2 * HOUR - 1}) {
-      all.add(
-          new RegistryEntry("p/purges/" + written, new RegistryRecord.Purge(7, 0, written), 1, 1));
+  @ValueSource(longs = {0, 5000, -5000, HOUR_MILLIS, -HOUR_MILLIS})
+  void recentPurgeIsNeverExpiredWhicheverClockHasStepped(long stepMillis) {
+    long retentionNanos = 600 * SECOND_NANOS;
+    List<RegistryEntry> purges = new ArrayList<>();
+    for (long writtenAtMillis :
+        new long[] {START_MILLIS + stepMillis, START_MILLIS - 600_000 - 2 * HOUR_MILLIS - 1}) {
+      purges.add(
+          new RegistryEntry(
+              "p/purges/" + writtenAtMillis,
+              new RegistryRecord.Purge(7, 0, writtenAtMillis),
+              1,
+              1));
     }
-    List<RegistryEntry> expired = RegistryAdminClient.expiredPurges(all, START, retention);
-    assertEquals(all.subList(1, 2), expired);
+    List<RegistryEntry> expired =
+        RegistryAdminClient.expiredPurges(purges, START_MILLIS, retentionNanos);
+    assertEquals(purges.subList(1, 2), expired);
     assertTrue(
-        RegistryAdminClient.expiredPurges(all.subList(0, 1), START + HOUR, retention).isEmpty());
+        RegistryAdminClient.expiredPurges(
+                purges.subList(0, 1), START_MILLIS + HOUR_MILLIS, retentionNanos)
+            .isEmpty());
   }
 }
