--- a/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
+++ b/registry/src/main/java/org/amberpath/registry/AnswerValidator.java
@@ -4,8 +4,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Decides which answers a session may use, by the verdicts of {@link RevisionAuditor}, and begins a
- * new history where they show that the registry was restored or replaced. Times are nanoseconds.
+ * Decides by the verdicts of {@link RevisionAuditor} whether the session may use a response, and
+ * starts a new history of revisions if the registry was restored or replaced. Times are
+ * nanoseconds.
  */
 final class AnswerValidator {
   private final RevisionAuditor auditor;
@@ -14,7 +15,7 @@
   private final WatchStream watches;
   private final OpenCalls calls;
   private final Consumer<String> log;
-  private long heardAtNanos;
+  private long lastAnswerAtNanos;
 
   AnswerValidator(
       RevisionAuditor auditor,
@@ -32,45 +33,57 @@
   }
 
   void start(long nowNanos) {
-    heardAtNanos = nowNanos;
+    lastAnswerAtNanos = nowNanos;
     auditor.start(nowNanos);
   }
 
-  /** When any endpoint last answered with anything but a failure. */
-  long heardAtNanos() {
-    return heardAtNanos;
+  /** When any endpoint last returned a response that is not a failure. */
+  long lastAnswerAtNanos() {
+    return lastAnswerAtNanos;
   }
 
-  /** An endpoint has answered with anything but a failure. */
-  void heard(long nowNanos, RegistryEndpoint endpoint) {
-    heardAtNanos = nowNanos;
-    endpoint.heard(nowNanos);
+  /** Records a response that is not a failure. */
+  void recordAnswer(long nowNanos, RegistryEndpoint endpoint) {
+    lastAnswerAtNanos = nowNanos;
+    endpoint.recordAnswer(nowNanos);
   }
 
-  /** Whether an answer is of the cluster that the view is of. */
-  boolean isOfOwnCluster(long nowNanos, RegistryCall call, Header header) {
-    heard(nowNanos, call.endpoint);
+  /**
+   * Records the response's endpoint as in contact, and returns whether the response is from the
+   * cluster that the view holds. A response from another cluster either starts a new history or, if
+   * only this endpoint belongs to that cluster, makes the endpoint back off.
+   */
+  boolean isFromOwnCluster(long nowNanos, RegistryCall call, Header header) {
+    recordAnswer(nowNanos, call.endpoint);
     switch (auditor.auditCluster(nowNanos, call.endpoint, header)) {
       case SAME -> {
         return true;
       }
-      case REPLACED -> startNewHistory("the registry is another one");
+      case REPLACED ->
+          startNewHistory("the registry now has cluster id '" + header.cluster() + "'");
       case FOREIGN -> {
-        log.accept("endpoint " + call.endpoint.index + " is of another registry");
+        log.accept(
+            "endpoint "
+                + call.endpoint.index
+                + ": response discarded, it has the id of another cluster: '"
+                + header.cluster()
+                + "'");
         call.endpoint.requestBackoff.recordFailure(nowNanos, WatchStream.MAX_LAG_NANOS);
       }
-      default -> throw new IllegalStateException("unknown result of the cluster audit");
+      default -> throw new IllegalStateException("unknown verdict of the cluster audit");
     }
     return false;
   }
 
   /**
-   * Whether an answer's revision follows what was known when the call was sent.
+   * Returns whether a response's revision is not older than what the view held when the call was
+   * sent. The first older one requests another heartbeat as confirmation; the second one starts a
+   * new history.
    *
-   * @param revision the newest revision; 0 where the answer has none
-   * @param tipRevision the tip's revision; negative where the answer has none
+   * @param revision the newest revision; 0 if the response has none
+   * @param tipRevision the tip's revision; negative if the response has none
    */
-  boolean continues(long nowNanos, RegistryCall call, long revision, long tipRevision) {
+  boolean continuesHistory(long nowNanos, RegistryCall call, long revision, long tipRevision) {
     switch (auditor.auditRevision(nowNanos, call, revision, tipRevision)) {
       case CONTINUES -> {
         return true;
@@ -79,16 +92,16 @@
       case WENT_BACK ->
           startNewHistory("revisions went back from " + call.viewRevision + " to " + revision);
       case IGNORED -> {
-        // A later call decides.
+        // The response to a call that was sent later decides.
       }
-      default -> throw new IllegalStateException("unknown result of the revision audit");
+      default -> throw new IllegalStateException("unknown verdict of the revision audit");
     }
     return false;
   }
 
-  private void startNewHistory(String why) {
+  private void startNewHistory(String reason) {
     if (!resync.isNewHistory()) {
-      log.accept(why + ": all is read anew");
+      log.accept(reason + "; requesting all keys again");
     }
     resync.require(WatchResync.Scope.NEW_HISTORY);
     heartbeats.forgetTip();
--- a/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
+++ b/registry/src/main/java/org/amberpath/registry/CallFailureHandler.java
@@ -3,12 +3,12 @@
 import java.util.function.Consumer;
 
 /**
- * What follows from a call that failed: backoff, longer timeouts, a log line where an operator may
- * act on it. Times are nanoseconds.
+ * Handles failed calls: applies backoffs, lengthens timeouts, and logs failures that an operator
+ * can act on. Times are nanoseconds.
  */
 final class CallFailureHandler {
-  /** What an operator must mend is tried again after this time at the earliest. */
-  private static final long OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
+  /** Minimum delay before a retry after a failure that needs an operator. */
+  private static final long MIN_OPERATOR_BACKOFF_NANOS = 5_000_000_000L;
 
   private final OpenCalls calls;
   private final HeartbeatMonitor heartbeats;
@@ -23,44 +23,45 @@
     this.log = log;
   }
 
-  /** Gives a call up, which counts as a failure of its endpoint. */
-  void giveUp(long nowNanos, RegistryCall call, RegistryFailure why) {
+  /** Cancels a call and counts it as a failure of its endpoint. */
+  void cancelAndFail(long nowNanos, RegistryCall call, RegistryFailure failure) {
     calls.cancel(call);
-    failed(nowNanos, call, why, 0);
+    handleFailure(nowNanos, call, failure, 0);
   }
 
   /**
-   * A call has failed.
+   * Handles a call that has failed.
    *
-   * @param retryAfterNanos what the server asked for; 0 for nothing
+   * @param retryAfterNanos the delay that the server asked for; 0 for none
    */
-  void failed(long nowNanos, RegistryCall call, RegistryFailure why, long retryAfterNanos) {
+  void handleFailure(
+      long nowNanos, RegistryCall call, RegistryFailure failure, long retryAfterNanos) {
     calls.close(call);
     RegistryEndpoint endpoint = call.endpoint;
     boolean isWatch = call instanceof WatchCall;
     if (isWatch) {
       endpoint.watchBackoff.recordFailure(nowNanos, retryAfterNanos);
     }
-    boolean isEndOfWatch = isWatch && why == RegistryFailure.BROKEN;
-    if (why != RegistryFailure.LAGGING && !isEndOfWatch) {
-      long operatorNanos = why.needsOperator() ? OPERATOR_BACKOFF_NANOS : 0;
-      endpoint.requestBackoff.recordFailure(nowNanos, Math.max(retryAfterNanos, operatorNanos));
+    boolean isEndOfWatch = isWatch && failure == RegistryFailure.BROKEN;
+    if (failure != RegistryFailure.LAGGING && !isEndOfWatch) {
+      long minDelayNanos = failure.needsOperator() ? MIN_OPERATOR_BACKOFF_NANOS : 0;
+      endpoint.requestBackoff.recordFailure(nowNanos, Math.max(retryAfterNanos, minDelayNanos));
     }
-    if (call instanceof ListCall && why == RegistryFailure.TIMED_OUT) {
-      listing.timedOut();
+    if (call instanceof ListCall && failure == RegistryFailure.TIMED_OUT) {
+      listing.recordTimeout();
     }
     if (call instanceof HeartbeatCall heartbeat) {
-      heartbeats.failed(heartbeat, why);
+      heartbeats.recordFailure(heartbeat, failure);
     }
-    if (isWorthALogLine(endpoint, why)) {
-      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " " + why);
+    if (needsLogLine(endpoint, failure)) {
+      log.accept("endpoint " + endpoint.index + ": " + call.kind() + " failed: " + failure);
     }
-    endpoint.needsOperator = why.needsOperator();
+    endpoint.needsOperator = failure.needsOperator();
   }
 
-  private static boolean isWorthALogLine(RegistryEndpoint endpoint, RegistryFailure why) {
-    return (why.needsOperator() && !endpoint.needsOperator)
-        || why == RegistryFailure.UNREADABLE
-        || why == RegistryFailure.LAGGING;
+  private static boolean needsLogLine(RegistryEndpoint endpoint, RegistryFailure failure) {
+    return (failure.needsOperator() && !endpoint.needsOperator)
+        || failure == RegistryFailure.UNREADABLE
+        || failure == RegistryFailure.LAGGING;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
+++ b/registry/src/main/java/org/amberpath/registry/HeartbeatMonitor.java
@@ -4,36 +4,43 @@
 import java.util.SplittableRandom;
 
 /**
- * Heartbeats: each {@link #PERIOD_NANOS} one linearizable read of the tip, the key that every write
- * touches. Its answer shows whether the view is current, so that watches which are open but silent
- * are found out; who does not answer is passed over for the next endpoint. Times are nanoseconds.
+ * Sends heartbeats and tracks their responses. A heartbeat is a linearizable read of the tip, the
+ * key that every write touches, sent once per {@link #PERIOD_NANOS}. The response shows whether the
+ * view is current, so a watch that is open but delivers nothing is detected. When a response is
+ * overdue, the next heartbeat goes to another endpoint without waiting for the period. Times are
+ * nanoseconds.
  *
- * <p>Bounds: one heartbeat an endpoint, two sent at a time.
+ * <p>Bounds: one open heartbeat per endpoint; at most two sent at a time.
  */
 final class HeartbeatMonitor {
   private static final long MS = 1_000_000;
 
-  /** How often a heartbeat is sent; twice as often while no watch is open. */
+  /** Interval between heartbeats; half of it while no watch is open. */
   static final long PERIOD_NANOS = 100 * MS;
 
   private static final long TIMEOUT_NANOS = 400 * MS;
 
-  /** Each so many heartbeats a random endpoint is asked, so that a quick one is found. */
+  /**
+   * Every this many periods the heartbeat goes to a random endpoint, so that one that has become
+   * fast is found.
+   */
   private static final int EXPLORATION_INTERVAL = 10;
 
   private final RegistryEndpointSelector endpoints;
   private final OpenCalls calls;
   private final WatchCommands commands;
   private final SplittableRandom random;
-  private long nextAtNanos;
+  private long nextPeriodAtNanos;
   private long lastSentAtNanos;
   private long answeredAtNanos;
-  private int periods;
+  private int periodCount;
 
-  /** Heartbeats that failed with an answer in this period, and how many of them were replaced. */
-  private int refusals;
+  /** Heartbeats of this period that failed other than by a timeout. */
+  private int failuresInPeriod;
+
+  /** How many of those another heartbeat has already followed. */
+  private int replacedFailures;
 
-  private int replacedRefusals;
   private long newestTipRevision;
   private long newestTipAtNanos;
 
@@ -50,56 +57,67 @@
 
   void start(long nowNanos) {
     answeredAtNanos = nowNanos;
-    nextAtNanos = nowNanos + random.nextLong(PERIOD_NANOS);
+    nextPeriodAtNanos = nowNanos + random.nextLong(PERIOD_NANOS);
   }
 
-  /** Has the next heartbeat sent as soon as time passes. */
+  /** Makes the next heartbeat due at the given time; the session's next tick sends it. */
   void sendAtOnce(long nowNanos) {
-    nextAtNanos = nowNanos;
+    nextPeriodAtNanos = nowNanos;
   }
 
-  /** When {@link #sendDue} has something to do next, after it was called at the given time. */
-  long due(long tickedAtNanos) {
+  /**
+   * Returns when {@link #sendDue} is next due: at the end of the period or, while a heartbeat is
+   * unanswered, at the earlier failover time.
+   *
+   * @param lastTickNanos when {@link #sendDue} last ran
+   */
+  long nextDueNanos(long lastTickNanos) {
     long failoverAtNanos = lastSentAtNanos + endpoints.failoverNanos();
-    return isUnanswered() && failoverAtNanos > tickedAtNanos
-        ? Math.min(nextAtNanos, failoverAtNanos)
-        : nextAtNanos;
+    return isUnanswered() && failoverAtNanos > lastTickNanos
+        ? Math.min(nextPeriodAtNanos, failoverAtNanos)
+        : nextPeriodAtNanos;
   }
 
   private boolean isUnanswered() {
     return lastSentAtNanos > answeredAtNanos;
   }
 
-  /** Sends the heartbeats that are due. */
+  /**
+   * Sends a heartbeat if the period has ended, if the last one is overdue, or if one failed. Sends
+   * a second one, to another endpoint, while no watch is open or any heartbeat is overdue.
+   */
   void sendDue(long nowNanos) {
-    boolean isDue = nowNanos >= nextAtNanos;
+    boolean isPeriodOver = nowNanos >= nextPeriodAtNanos;
     boolean failsOver = isUnanswered() && nowNanos >= lastSentAtNanos + endpoints.failoverNanos();
-    // Guards the time until a drain is known: a refusal is no reason to wait for the next period.
-    boolean replaces = refusals > replacedRefusals && refusals < endpoints.count();
-    if (isDue) {
-      refusals = 0;
-      replacedRefusals = 0;
-      nextAtNanos = nowNanos + (endpoints.openWatchCount() == 0 ? PERIOD_NANOS / 2 : PERIOD_NANOS);
+    // Guards against a drain that is noticed late: after a failed heartbeat, another endpoint is
+    // asked at once and not only in the next period.
+    boolean replacesFailed =
+        failuresInPeriod > replacedFailures && failuresInPeriod < endpoints.count();
+    if (isPeriodOver) {
+      failuresInPeriod = 0;
+      replacedFailures = 0;
+      nextPeriodAtNanos =
+          nowNanos + (endpoints.openWatchCount() == 0 ? PERIOD_NANOS / 2 : PERIOD_NANOS);
     }
-    if (!isDue && !failsOver && !replaces) {
+    if (!isPeriodOver && !failsOver && !replacesFailed) {
       return;
     }
-    List<RegistryEndpoint> ready = endpoints.ready(nowNanos);
-    ready.removeIf(endpoint -> endpoint.heartbeat != null);
-    if (ready.isEmpty()) {
+    List<RegistryEndpoint> candidates = endpoints.available(nowNanos);
+    candidates.removeIf(endpoint -> endpoint.heartbeat != null);
+    if (candidates.isEmpty()) {
       return;
     }
-    replacedRefusals = refusals;
+    replacedFailures = failuresInPeriod;
     RegistryEndpoint first =
-        isDue && ++periods % EXPLORATION_INTERVAL == 0
-            ? ready.get(random.nextInt(ready.size()))
-            : ready.get(0);
+        isPeriodOver && ++periodCount % EXPLORATION_INTERVAL == 0
+            ? candidates.get(random.nextInt(candidates.size()))
+            : candidates.get(0);
     send(nowNanos, first);
-    ready.remove(first);
-    boolean isContactUnsure =
+    candidates.remove(first);
+    boolean sendsSecond =
         endpoints.openWatchCount() == 0 || endpoints.anyHeartbeatOverdue(nowNanos);
-    if (isContactUnsure && !ready.isEmpty()) {
-      send(nowNanos, ready.get(0));
+    if (sendsSecond && !candidates.isEmpty()) {
+      send(nowNanos, candidates.get(0));
     }
   }
 
@@ -117,45 +135,48 @@
             });
   }
 
-  /** A heartbeat was answered. */
-  void answered(long nowNanos, HeartbeatCall call) {
+  /** Records the response to a heartbeat and its latency. */
+  void recordAnswer(long nowNanos, HeartbeatCall call) {
     answeredAtNanos = nowNanos;
-    call.endpoint.heartbeatAnswered(nowNanos, nowNanos - call.sentAtNanos);
+    call.endpoint.recordHeartbeatAnswer(nowNanos, nowNanos - call.sentAtNanos);
   }
 
-  /** A heartbeat ended without an answer. */
-  void failed(HeartbeatCall call, RegistryFailure why) {
-    if (why == RegistryFailure.TIMED_OUT) {
-      call.endpoint.heartbeatTimedOut(TIMEOUT_NANOS);
+  /** Records a heartbeat that timed out or failed. */
+  void recordFailure(HeartbeatCall call, RegistryFailure failure) {
+    if (failure == RegistryFailure.TIMED_OUT) {
+      call.endpoint.recordHeartbeatTimeout(TIMEOUT_NANOS);
     } else {
-      refusals++;
+      failuresInPeriod++;
     }
   }
 
-  /** When the last heartbeat was answered. */
+  /** When the last response to a heartbeat was received. */
   long answeredAtNanos() {
     return answeredAtNanos;
   }
 
-  /** A heartbeat showed the revision at which the tip was written. */
-  void tipReported(long nowNanos, long revision) {
+  /**
+   * Records the tip's revision in a heartbeat's response, if it is newer than those reported
+   * before.
+   */
+  void recordTip(long nowNanos, long revision) {
     if (revision > newestTipRevision) {
       newestTipRevision = revision;
       newestTipAtNanos = nowNanos;
     }
   }
 
-  /** Revisions were given anew: what was reported says nothing any more. */
+  /** Discards the reported tip revision, which says nothing in a new history of revisions. */
   void forgetTip() {
     newestTipRevision = 0;
   }
 
-  /** The newest revision of the tip that a heartbeat showed. */
+  /** The newest tip revision that a heartbeat has reported; 0 for none. */
   long newestTipRevision() {
     return newestTipRevision;
   }
 
-  /** When a heartbeat first showed it. */
+  /** When a heartbeat first reported {@link #newestTipRevision}. */
   long newestTipAtNanos() {
     return newestTipAtNanos;
   }
--- a/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
+++ b/registry/src/main/java/org/amberpath/registry/RegistryKeys.java
@@ -7,27 +7,27 @@
 import java.util.function.Consumer;
 
 /**
- * The entries of a view by key. An entry whose value is unreadable keeps the last readable value
- * while its key is the same one. Bounds: maxKeys keys; one past them is passed over with a log
- * line, while those that are here are followed.
+ * The entries of a view by key. An entry whose value can't be decoded keeps the last readable
+ * value, as long as its key was not deleted and created again. Bounds: maxKeys keys. Further keys
+ * are skipped with one log line, while changes to the known ones are still applied.
  */
 final class RegistryKeys {
   private final int maxKeys;
   private final Consumer<String> log;
   private Map<String, RegistryEntry> entries = new TreeMap<>();
-  private boolean isOverfull;
+  private boolean isTruncated;
 
   RegistryKeys(int maxKeys, Consumer<String> log) {
     this.maxKeys = maxKeys;
     this.log = log;
   }
 
-  /** All entries, in the order of their keys. */
+  /** All entries, ordered by key. */
   Map<String, RegistryEntry> all() {
     return Collections.unmodifiableMap(entries);
   }
 
-  /** The entry of a key; null where there is none. */
+  /** Returns the entry of a key; null if there is none. */
   RegistryEntry get(String key) {
     return entries.get(key);
   }
@@ -40,66 +40,69 @@
     return entries.size();
   }
 
-  /** Whether keys were passed over, so that these are not all. */
-  boolean isOverfull() {
-    return isOverfull;
+  /** Whether keys were skipped at the limit, so that the entries are incomplete. */
+  boolean isTruncated() {
+    return isTruncated;
   }
 
-  /** Replaces all entries by these, as they are; returns those before. */
-  Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> all) {
+  /** Replaces all entries as given and returns the previous ones. */
+  Map<String, RegistryEntry> replaceAll(Collection<RegistryEntry> newEntries) {
     Map<String, RegistryEntry> before = entries;
-    Map<String, RegistryEntry> replaced = new TreeMap<>();
-    isOverfull = false;
-    for (RegistryEntry entry : all) {
-      if (replaced.size() < maxKeys || replaced.containsKey(entry.key())) {
-        replaced.put(entry.key(), entry);
+    Map<String, RegistryEntry> kept = new TreeMap<>();
+    isTruncated = false;
+    for (RegistryEntry entry : newEntries) {
+      if (kept.size() < maxKeys || kept.containsKey(entry.key())) {
+        kept.put(entry.key(), entry);
       } else {
-        passedOver();
+        recordOverflow();
       }
     }
-    entries = replaced;
+    entries = kept;
     return before;
   }
 
-  /** Takes the last readable values from earlier entries where these are unreadable. */
+  /** Replaces unreadable values by the readable ones of the earlier entries. */
   void keepReadable(Map<String, RegistryEntry> before) {
     for (Map.Entry<String, RegistryEntry> entry : entries.entrySet()) {
       entry.setValue(lastReadable(before.get(entry.getKey()), entry.getValue()));
     }
   }
 
-  /** Puts an entry, and notes what was there before it under its key, null for nothing. */
+  /** Puts an entry and records the previous one of its key, null for none, in {@code before}. */
   void put(RegistryEntry entry, Map<String, RegistryEntry> before) {
-    RegistryEntry old = entries.get(entry.key());
-    if (old == null && entries.size() >= maxKeys) {
-      passedOver();
+    RegistryEntry previous = entries.get(entry.key());
+    if (previous == null && entries.size() >= maxKeys) {
+      recordOverflow();
       return;
     }
-    before.putIfAbsent(entry.key(), old);
-    entries.put(entry.key(), lastReadable(old, entry));
+    before.putIfAbsent(entry.key(), previous);
+    entries.put(entry.key(), lastReadable(previous, entry));
   }
 
-  /** Removes a key, and notes what was there before. */
+  /** Removes a key and records its previous entry in {@code before}. */
   void remove(String key, Map<String, RegistryEntry> before) {
     before.putIfAbsent(key, entries.remove(key));
   }
 
-  private void passedOver() {
-    if (!isOverfull) {
-      isOverfull = true;
-      log.accept("more than " + maxKeys + " keys: those past it are passed over");
+  private void recordOverflow() {
+    if (!isTruncated) {
+      isTruncated = true;
+      log.accept(
+          "the registry holds more than "
+              + maxKeys
+              + " keys (most-keys): further keys are ignored");
     }
   }
 
-  private RegistryEntry lastReadable(RegistryEntry old, RegistryEntry entry) {
+  private RegistryEntry lastReadable(RegistryEntry previous, RegistryEntry entry) {
     if (!(entry.value() instanceof RegistryRecord.Unreadable unreadable)) {
       return entry;
     }
-    if (old == null || old.modRevision() != entry.modRevision()) {
-      log.accept(entry.key() + ": " + unreadable.reason());
+    if (previous == null || previous.modRevision() != entry.modRevision()) {
+      log.accept(entry.key() + ": value can't be decoded: " + unreadable.reason());
     }
-    return old != null && old.createRevision() == entry.createRevision()
-        ? entry.withValue(old.value())
+    return previous != null && previous.createRevision() == entry.createRevision()
+        ? entry.withValue(previous.value())
         : entry;
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/WatchSession.java
+++ b/registry/src/main/java/org/amberpath/registry/WatchSession.java
@@ -6,31 +6,41 @@
 import java.util.function.Consumer;
 
 /**
- * A watch session: decides what is requested from which endpoint, and when, so that the view stays
- * what the registry holds. It is told what was received and what time it is, and gives commands; it
- * has no socket, thread or clock. Times are nanoseconds of one clock that only goes forward.
+ * Keeps a {@link RegistryView} in sync with the registry: decides what to request from which
+ * endpoint, and when. Callers pass in responses and the current time, and the session issues {@link
+ * WatchCommands}; it has no socket, thread or clock. Times are nanoseconds of one monotonic clock.
  *
- * <p>Two watches on two endpoints bring each change ({@link WatchStream}). Heartbeats show whether
- * the view is current, so that watches which fell silent are found out ({@link HeartbeatMonitor}).
- * A gap is closed by a watch resync ({@link WatchResync}): a list of what was written since or,
- * where keys may have been deleted or revisions given anew, of all keys ({@link PagedListing}).
+ * <p>Two watches on two endpoints deliver each change ({@link WatchStream}). Heartbeats show
+ * whether the view is current, so that watches that deliver nothing are detected ({@link
+ * HeartbeatMonitor}). A resync closes a gap ({@link WatchResync}): a list of the keys written since
+ * the view's revision or, if keys may have been deleted or a new history of revisions has begun, of
+ * all keys ({@link PagedListing}).
  *
- * <p>Bounds: endpoints as configured; one list, two watches and one heartbeat an endpoint open at
- * once; new connections as {@link RequestRateLimiter} allows. All calls come from one thread.
+ * <p>Bounds: the configured endpoints; one list in total, two watches, and one heartbeat per
+ * endpoint open at once; new connections at the rate of {@link RequestRateLimiter}. All calls come
+ * from one thread.
  */
 public final class WatchSession {
-  /** How well the view is known to be what the registry holds; the log names the phases. */
+  /** How current the view is known to be. Log lines name the phases. */
   public enum Phase {
-    /** Nothing is known. */
+    /**
+     * Initial phase: nothing was received from the registry yet. With a view restored from a
+     * snapshot, it becomes BEHIND when the first list is requested.
+     */
     EMPTY,
-    /** The view was all that the registry held when the last heartbeat was sent. */
+    /**
+     * The view held all that the registry held when the last answered heartbeat or list was sent.
+     */
     CURRENT,
-    /** A watch resync is under way. */
+    /** A resync is reading what the view lacks. */
     BEHIND,
-    /** No endpoint answers; only an answer that shows the view to be current ends this. */
+    /**
+     * No endpoint has responded for a second; only a response that shows the view to be current
+     * ends this phase.
+     */
     CUT_OFF;
 
-    /** Whether a session of this phase may go to the next one. */
+    /** Whether the transition from this phase to the given one is legal. */
     public boolean allows(Phase next) {
       return switch (next) {
         case EMPTY -> false;
@@ -40,16 +50,27 @@
     }
   }
 
-  /** What an answer tells of the registry; revision 0 where it tells none. */
+  /**
+   * Cluster id and revision in a response.
+   *
+   * @param cluster the registry's cluster id; empty if the protocol has none
+   * @param revision the registry's revision at the time of the response; 0 if the response has none
+   */
   public record Header(String cluster, long revision) {}
 
   private static final long MS = 1_000_000;
 
-  /** What a watch may still bring by itself before a list is requested instead. */
+  /**
+   * How long a watch may take to deliver a change that a heartbeat has reported before a list is
+   * requested instead.
+   */
   private static final long SETTLE_NANOS = 20 * MS;
 
-  /** How long a change that touched no tip may stay unknown while all watches are silent. */
-  private static final long AUDIT_NANOS = 5000 * MS;
+  /**
+   * How long a change whose writer did not touch the tip may go unnoticed while the watches deliver
+   * nothing.
+   */
+  private static final long AUDIT_INTERVAL_NANOS = 5000 * MS;
 
   private final RegistryView view;
   private final Consumer<String> log;
@@ -57,18 +78,19 @@
   private final OpenCalls calls;
   private final WatchResync resync = new WatchResync();
   private final HeartbeatMonitor heartbeats;
-  private final AnswerValidator answers;
-  private final CallFailureHandler failures;
+  private final AnswerValidator answerValidator;
+  private final CallFailureHandler failureHandler;
   private final PagedListing listing;
   private final WatchStream watches;
   private Phase phase = Phase.EMPTY;
   private boolean isStarted;
-  private long tickedAtNanos;
+  private long lastTickNanos;
 
   /**
-   * Makes a session that has requested nothing yet.
+   * Creates a session; it sends nothing before {@link #start}.
    *
-   * @param log takes a line for each change of phase and each endpoint that gave cause
+   * @param log receives a line for each phase transition, each new history of revisions, and each
+   *     endpoint failure that an operator can act on
    */
   public WatchSession(
       RegistryView view, WatchCommands commands, WatchSessionConfig config, Consumer<String> log) {
@@ -81,69 +103,75 @@
     listing = new PagedListing(endpoints, calls, commands, view, resync, config.maxKeys());
     watches = new WatchStream(endpoints, calls, commands, view, resync, config);
     RevisionAuditor auditor = new RevisionAuditor(endpoints, view, resync);
-    answers = new AnswerValidator(auditor, resync, heartbeats, watches, calls, log);
-    failures = new CallFailureHandler(calls, heartbeats, listing, log);
+    answerValidator = new AnswerValidator(auditor, resync, heartbeats, watches, calls, log);
+    failureHandler = new CallFailureHandler(calls, heartbeats, listing, log);
   }
 
-  /** How well the view is known to be current. */
+  /** How current the view is known to be. */
   public Phase phase() {
     return phase;
   }
 
-  /** How many watches are open. */
+  /** Number of open watches. */
   public int watchCount() {
     return endpoints.openWatchCount();
   }
 
-  /** How many calls have not ended. */
+  /** Number of calls that have not ended. */
   public int openCallCount() {
     return calls.count();
   }
 
-  /** Begins; called once. */
+  /** Starts the session; called once. */
   public void start(long nowNanos) {
     isStarted = true;
     calls.start(nowNanos);
-    answers.start(nowNanos);
+    answerValidator.start(nowNanos);
     heartbeats.start(nowNanos);
     tick(nowNanos);
   }
 
   /**
-   * Addresses, keys or tokens may be others now: every endpoint may be asked at once. Watches stay
-   * open.
+   * Clears all backoffs after a reload of the settings' files, since keys or tokens may have
+   * changed: every endpoint may be asked at once. Open watches stay open.
    */
   public void settingsReloaded(long nowNanos) {
     endpoints.resetBackoffs();
     tick(nowNanos);
   }
 
-  /** When {@link #tick} is due next. */
+  /** When {@link #tick} is next due. */
   public long nextTickNanos() {
-    // What was due already was tried in the last tick, and is tried again with the next heartbeat.
-    long due = calls.earliestDeadline(heartbeats.due(tickedAtNanos));
+    // What was due at the last tick was tried then, and is tried again with the next heartbeat.
+    long dueNanos = calls.earliestDeadline(heartbeats.nextDueNanos(lastTickNanos));
     long settledAtNanos = heartbeats.newestTipAtNanos() + SETTLE_NANOS;
-    return isBehindTip() && settledAtNanos > tickedAtNanos ? Math.min(due, settledAtNanos) : due;
+    return isBehindTip() && settledAtNanos > lastTickNanos
+        ? Math.min(dueNanos, settledAtNanos)
+        : dueNanos;
   }
 
   private boolean isBehindTip() {
     return heartbeats.newestTipRevision() > view.appliedRevision();
   }
 
-  /** Time has passed: calls time out, and what is due is requested. */
+  /**
+   * Advances the session to the given time: fails calls that are past their deadline, and sends the
+   * requests that are due.
+   */
   public void tick(long nowNanos) {
     if (!isStarted) {
       return;
     }
-    tickedAtNanos = nowNanos;
+    lastTickNanos = nowNanos;
     for (RegistryCall call : calls.all()) {
       if (nowNanos >= call.deadlineNanos && calls.isOpen(call)) {
-        failures.giveUp(nowNanos, call, RegistryFailure.TIMED_OUT);
+        failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.TIMED_OUT);
       }
     }
-    if (nowNanos - answers.heardAtNanos() > RegistryEndpoint.CONTACT_LOST_NANOS
+    if (nowNanos - answerValidator.lastAnswerAtNanos() > RegistryEndpoint.CONTACT_LOST_NANOS
         && phase != Phase.CUT_OFF) {
-      // The registry may have become another one under the same revisions.
+      // While no endpoint was reachable, the registry may have been replaced by another one with
+      // the same revisions.
       resync.require(WatchResync.Scope.ALL_KEYS);
       transitionTo(Phase.CUT_OFF);
     }
@@ -157,11 +185,11 @@
       resync.require(WatchResync.Scope.CHANGES);
     }
     watches
-        .late(nowNanos, heartbeats.newestTipRevision(), heartbeats.newestTipAtNanos())
-        .forEach(call -> failures.giveUp(nowNanos, call, RegistryFailure.LAGGING));
+        .findLagging(nowNanos, heartbeats.newestTipRevision(), heartbeats.newestTipAtNanos())
+        .forEach(call -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.LAGGING));
     listing
-        .silent(nowNanos, heartbeats.answeredAtNanos())
-        .ifPresent(call -> failures.giveUp(nowNanos, call, RegistryFailure.TIMED_OUT));
+        .findStalled(nowNanos, heartbeats.answeredAtNanos())
+        .ifPresent(call -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.TIMED_OUT));
     listing.openDue(nowNanos).ifPresent(this::sendList);
     watches.openDue(nowNanos);
   }
@@ -178,18 +206,18 @@
       return;
     }
     if (!phase.allows(next)) {
-      throw new IllegalStateException(phase + " -> " + next);
+      throw new IllegalStateException("illegal phase transition: " + phase + " -> " + next);
     }
     log.accept(phase + " -> " + next);
     phase = next;
   }
 
-  // ---- What was received.
+  // ---- Responses from the registry.
 
   /**
-   * A heartbeat was answered.
+   * Handles the response to a heartbeat.
    *
-   * @param tipRevision the revision at which the tip was written; 0 where there is none
+   * @param tipRevision the revision at which the tip was last written; 0 if the tip doesn't exist
    */
   public void heartbeatReceived(long nowNanos, long id, Header header, long tipRevision) {
     Optional<HeartbeatCall> found = calls.find(id, HeartbeatCall.class);
@@ -198,9 +226,9 @@
     }
     HeartbeatCall call = found.get();
     calls.close(call);
-    heartbeats.answered(nowNanos, call);
-    if (answers.isOfOwnCluster(nowNanos, call, header)
-        && answers.continues(nowNanos, call, header.revision(), tipRevision)
+    heartbeats.recordAnswer(nowNanos, call);
+    if (answerValidator.isFromOwnCluster(nowNanos, call, header)
+        && answerValidator.continuesHistory(nowNanos, call, header.revision(), tipRevision)
         && view.hasData()) {
       compareTip(nowNanos, call, header, tipRevision);
     }
@@ -208,52 +236,52 @@
   }
 
   private void compareTip(long nowNanos, HeartbeatCall call, Header header, long tipRevision) {
-    boolean isAuditDue = nowNanos - listing.completedAtNanos() > AUDIT_NANOS;
+    boolean isAuditDue = nowNanos - listing.completedAtNanos() > AUDIT_INTERVAL_NANOS;
     if (header.revision() > view.appliedRevision() && isAuditDue) {
       resync.require(WatchResync.Scope.CHANGES);
     }
     if (tipRevision > view.appliedRevision()) {
-      heartbeats.tipReported(nowNanos, tipRevision);
+      heartbeats.recordTip(nowNanos, tipRevision);
     } else if (!resync.isNeeded()) {
-      heartbeats.tipReported(nowNanos, tipRevision);
+      heartbeats.recordTip(nowNanos, tipRevision);
       view.confirm(call.sentAtNanos);
       transitionTo(Phase.CURRENT);
     }
   }
 
   /**
-   * A page of a list, or the answer to a read that was held back.
+   * Handles a page of a list, or the response to a blocking read.
    *
-   * @param more whether there are keys after these
-   * @param count how many keys there are in all; negative where the answer holds all keys whatever
-   *     was asked for
+   * @param hasMore whether further keys follow those of this page
+   * @param totalCount total number of keys; negative if a response always holds all keys, whatever
+   *     was requested
    */
   public void pageReceived(
       long nowNanos,
       long id,
       Header header,
       List<RegistryEntry> entries,
-      boolean more,
-      long count) {
-    RegistryPage page = new RegistryPage(header, entries, more, count);
-    calls.find(id, ListCall.class).ifPresent(call -> listPage(nowNanos, call, page));
-    calls.find(id, WatchCall.class).ifPresent(call -> blockingRead(nowNanos, call, page));
+      boolean hasMore,
+      long totalCount) {
+    RegistryPage page = new RegistryPage(header, entries, hasMore, totalCount);
+    calls.find(id, ListCall.class).ifPresent(call -> handleListPage(nowNanos, call, page));
+    calls.find(id, WatchCall.class).ifPresent(call -> handleBlockingRead(nowNanos, call, page));
   }
 
-  private void listPage(long nowNanos, ListCall call, RegistryPage page) {
+  private void handleListPage(long nowNanos, ListCall call, RegistryPage page) {
     if (call.revision == 0) {
-      if (!answers.isOfOwnCluster(nowNanos, call, page.header())
+      if (!answerValidator.isFromOwnCluster(nowNanos, call, page.header())
           || (!resync.isNewHistory()
-              && !answers.continues(nowNanos, call, page.header().revision(), -1))) {
+              && !answerValidator.continuesHistory(nowNanos, call, page.header().revision(), -1))) {
         calls.close(call);
         tick(nowNanos);
         return;
       }
-      listing.begin(call, page);
+      listing.recordFirstPage(call, page);
     }
-    answers.heard(nowNanos, call.endpoint);
-    switch (listing.takePage(nowNanos, call, page)) {
-      case TOO_LONG -> failures.giveUp(nowNanos, call, RegistryFailure.UNREADABLE);
+    answerValidator.recordAnswer(nowNanos, call.endpoint);
+    switch (listing.addPage(nowNanos, call, page)) {
+      case TOO_LONG -> failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.UNREADABLE);
       case COMPLETE -> {
         listing.apply(nowNanos, call, heartbeats.newestTipRevision());
         if (!resync.isNeeded()) {
@@ -261,29 +289,29 @@
         }
       }
       case CONTINUED -> {}
-      default -> throw new IllegalStateException("unknown result of a page");
+      default -> throw new IllegalStateException("unknown result of adding a page");
     }
     tick(nowNanos);
   }
 
-  private void blockingRead(long nowNanos, WatchCall call, RegistryPage page) {
+  private void handleBlockingRead(long nowNanos, WatchCall call, RegistryPage page) {
     calls.close(call);
-    if (answers.isOfOwnCluster(nowNanos, call, page.header())
-        && answers.continues(nowNanos, call, page.header().revision(), -1)
+    if (answerValidator.isFromOwnCluster(nowNanos, call, page.header())
+        && answerValidator.continuesHistory(nowNanos, call, page.header().revision(), -1)
         && !resync.needsAllKeys()) {
-      watches.takeBlockingRead(nowNanos, call, page);
+      watches.handleBlockingRead(nowNanos, call, page);
     }
     tick(nowNanos);
   }
 
-  /** A watch is open. */
+  /** Handles the server's confirmation that a watch is open. */
   public void watchOpened(long nowNanos, long id, Header header) {
     calls
         .find(id, WatchCall.class)
         .ifPresent(
             call -> {
-              if (answers.isOfOwnCluster(nowNanos, call, header)) {
-                watches.opened(nowNanos, call);
+              if (answerValidator.isFromOwnCluster(nowNanos, call, header)) {
+                watches.markOpen(nowNanos, call);
               } else if (calls.isOpen(call)) {
                 calls.cancel(call);
               }
@@ -292,10 +320,10 @@
   }
 
   /**
-   * A frame of a watch. One without events is a progress notification: nothing changed up to the
-   * header's revision.
+   * Handles a frame of a watch. One without events is a progress notification: no key changed up to
+   * the header's revision.
    *
-   * @param partial whether more events of the last revision follow
+   * @param partial whether more events of the last revision follow in another frame
    */
   public void eventsReceived(
       long nowNanos, long id, Header header, List<WatchEvent> events, boolean partial) {
@@ -304,43 +332,47 @@
       return;
     }
     WatchCall call = found.get();
-    if (!answers.isOfOwnCluster(nowNanos, call, header)) {
+    if (!answerValidator.isFromOwnCluster(nowNanos, call, header)) {
       if (calls.isOpen(call)) {
         calls.cancel(call);
       }
-    } else if (!watches.takeFrame(nowNanos, call, header, events, partial)) {
-      failures.giveUp(nowNanos, call, RegistryFailure.UNREADABLE);
+    } else if (!watches.handleFrame(nowNanos, call, header, events, partial)) {
+      failureHandler.cancelAndFail(nowNanos, call, RegistryFailure.UNREADABLE);
     }
     tick(nowNanos);
   }
 
   /**
-   * A compaction has removed what was requested: the revision at which a watch was to start, or at
-   * which a list is read.
+   * Handles the response that a compaction has removed the requested revision: the one at which a
+   * watch was to start, or at which a list is read.
    */
   public void compacted(long nowNanos, long id) {
     calls
         .find(id, ListCall.class)
         .ifPresent(
             call -> {
-              compactedCall(nowNanos, call);
-              listing.compacted(call);
+              handleCompaction(nowNanos, call);
+              listing.recordCompaction(call);
             });
-    calls.find(id, WatchCall.class).ifPresent(call -> compactedCall(nowNanos, call));
+    calls.find(id, WatchCall.class).ifPresent(call -> handleCompaction(nowNanos, call));
     tick(nowNanos);
   }
 
-  private void compactedCall(long nowNanos, RegistryCall call) {
+  private void handleCompaction(long nowNanos, RegistryCall call) {
     calls.close(call);
     resync.require(WatchResync.Scope.CHANGES_AFTER_COMPACTION);
-    answers.heard(nowNanos, call.endpoint);
+    answerValidator.recordAnswer(nowNanos, call.endpoint);
   }
 
-  /** A call has failed; retryAfterNanos is what the server asked for, 0 for nothing. */
-  public void callFailed(long nowNanos, long id, RegistryFailure why, long retryAfterNanos) {
+  /**
+   * Handles the failure of a call.
+   *
+   * @param retryAfterNanos the delay that the server asked for; 0 for none
+   */
+  public void callFailed(long nowNanos, long id, RegistryFailure failure, long retryAfterNanos) {
     calls
         .find(id, RegistryCall.class)
-        .ifPresent(call -> failures.failed(nowNanos, call, why, retryAfterNanos));
+        .ifPresent(call -> failureHandler.handleFailure(nowNanos, call, failure, retryAfterNanos));
     tick(nowNanos);
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/ConsulProtocol.java
@@ -18,9 +18,9 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * Consul's key-value store by HTTP, as its API pages have it: a read is held back until the index
- * passes the given one, and returns all keys under the prefix. Reads are consistent, so that an
- * index that goes back is the registry's.
+ * Codec of Consul's key-value HTTP API. A watch is a blocking read: the server responds once the
+ * index passes the given one, with all keys under the prefix. Reads are consistent, so an index
+ * that goes back went back in the registry itself and not only on a stale server.
  */
 final class ConsulProtocol implements RegistryProtocol {
   private static final int NOT_FOUND = 404;
@@ -32,9 +32,10 @@
   private final long waitMillis;
 
   /**
-   * The protocol for the keys under a prefix, which ends in a slash.
+   * Creates the codec for the keys under a prefix, which ends in a slash.
    *
-   * @param waitMillis how long a read is held back; the server adds up to a sixteenth of jitter
+   * @param waitMillis how long the server may hold a blocking read; the server adds up to a
+   *     sixteenth of jitter
    */
   ConsulProtocol(String prefix, long waitMillis) {
     this.prefix = prefix;
@@ -65,7 +66,7 @@
   private RegistryEntry entry(JsonReader keyValue) {
     String key = keyValue.string("Key");
     if (!key.startsWith(prefix)) {
-      throw keyValue.invalid("Key", "not under " + prefix);
+      throw keyValue.invalid("Key", "not under the prefix " + prefix);
     }
     return new RegistryEntry(
         key,
@@ -81,9 +82,10 @@
         return index;
       }
     } catch (NumberFormatException e) {
-      // Reported below: also where there is none.
+      // Reported below, as is a missing header.
     }
-    throw new InvalidDocumentException("registry: no index above 0 in " + INDEX_HEADER);
+    throw new InvalidDocumentException(
+        "registry: header " + INDEX_HEADER + " is missing or not an integer above 0");
   }
 
   @Override
@@ -100,13 +102,13 @@
   }
 
   @Override
-  public RegistryHttpClient.ResponseKind watchResponse() {
+  public RegistryHttpClient.ResponseKind watchResponseKind() {
     return RegistryHttpClient.ResponseKind.COMPLETE;
   }
 
   @Override
   public Frame decodeFrame(byte[] line) {
-    throw new InvalidDocumentException("registry: no stream is asked for");
+    throw new InvalidDocumentException("registry: a Consul response has no frames to decode");
   }
 
   @Override
@@ -116,8 +118,8 @@
 
   @Override
   public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
-    List<JsonReader> found = status == 200 ? JsonBytes.readArray(body) : List.of();
-    long tipRevision = found.isEmpty() ? 0 : found.get(0).longValue("ModifyIndex");
+    List<JsonReader> keyValues = status == 200 ? JsonBytes.readArray(body) : List.of();
+    long tipRevision = keyValues.isEmpty() ? 0 : keyValues.get(0).longValue("ModifyIndex");
     return new Heartbeat(new Header("", 0), tipRevision);
   }
 
@@ -129,7 +131,7 @@
   @Override
   public Optional<RegistryFailure> failure(int status, byte[] body) {
     return switch (status) {
-      // Nothing stands under the prefix or there is no tip yet; a key was written before a
+      // No key exists under the prefix, the tip does not exist yet, or a key had changed before a
       // transaction.
       case 200, NOT_FOUND, CONFLICT -> Optional.empty();
       case 401, 403 -> Optional.of(RegistryFailure.UNAUTHORISED);
--- a/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/EtcdProtocol.java
@@ -14,8 +14,8 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The JSON form of etcd's API, version 3 (rpc.proto and its HTTP annotations); a watch is a stream
- * of lines. Status codes are those that the published mapping of gRPC codes to HTTP gives.
+ * Codec of the JSON gateway of etcd's v3 API (rpc.proto and its HTTP annotations). The response to
+ * a watch is a stream of lines. Status codes follow the published mapping of gRPC codes to HTTP.
  */
 final class EtcdProtocol implements RegistryProtocol {
   private static final int GRPC_PERMISSION_DENIED = 7;
@@ -25,12 +25,12 @@
 
   private final String prefix;
 
-  /** The protocol for the keys under a prefix, which ends in a slash. */
+  /** Creates the codec for the keys under a prefix, which ends in a slash. */
   EtcdProtocol(String prefix) {
     this.prefix = prefix;
   }
 
-  /** The first key past all that begin with the prefix. */
+  /** Returns the least key above all keys with the prefix. */
   private String rangeEnd() {
     int last = prefix.length() - 1;
     return prefix.substring(0, last) + (char) (prefix.charAt(last) + 1);
@@ -41,7 +41,7 @@
     return EtcdJson.post(
         "/v3/kv/range",
         json -> {
-          // The least key after another one is that one with a zero byte.
+          // The least key after another one is that key with a zero byte appended.
           EtcdJson.writeBytes(json, "key", afterKey.isEmpty() ? prefix : afterKey + '\0');
           EtcdJson.writeBytes(json, "range_end", rangeEnd());
           EtcdJson.writeLong(json, "limit", pageSize);
@@ -52,13 +52,16 @@
 
   @Override
   public RegistryPage decodePage(int status, MultiMap headers, byte[] body) {
-    JsonReader answer = JsonBytes.readObject(body);
+    JsonReader response = JsonBytes.readObject(body);
     List<RegistryEntry> entries = new ArrayList<>();
-    for (JsonReader keyValue : answer.objects("kvs")) {
+    for (JsonReader keyValue : response.objects("kvs")) {
       entries.add(entry(keyValue));
     }
     return new RegistryPage(
-        header(answer), entries, answer.booleanOrFalse("more"), EtcdJson.readLong(answer, "count"));
+        header(response),
+        entries,
+        response.booleanOrFalse("more"),
+        EtcdJson.readLong(response, "count"));
   }
 
   @Override
@@ -77,7 +80,7 @@
   }
 
   @Override
-  public RegistryHttpClient.ResponseKind watchResponse() {
+  public RegistryHttpClient.ResponseKind watchResponseKind() {
     return RegistryHttpClient.ResponseKind.LINES;
   }
 
@@ -86,7 +89,7 @@
     JsonReader frame = JsonBytes.readObject(line);
     if (frame.has("error")) {
       JsonReader error = frame.object("error");
-      return new Frame.Ended(ofGrpcCode(error.intOr("grpc_code", error.intOr("code", 0))));
+      return new Frame.Ended(failureOfGrpcCode(error.intOr("grpc_code", error.intOr("code", 0))));
     }
     JsonReader result = frame.object("result");
     if (EtcdJson.readLong(result, "compact_revision") > 0) {
@@ -126,10 +129,11 @@
 
   @Override
   public Heartbeat decodeHeartbeat(int status, MultiMap headers, byte[] body) {
-    JsonReader answer = JsonBytes.readObject(body);
-    List<JsonReader> found = answer.objects("kvs");
+    JsonReader response = JsonBytes.readObject(body);
+    List<JsonReader> keyValues = response.objects("kvs");
     return new Heartbeat(
-        header(answer), found.isEmpty() ? 0 : EtcdJson.readLong(found.get(0), "mod_revision"));
+        header(response),
+        keyValues.isEmpty() ? 0 : EtcdJson.readLong(keyValues.get(0), "mod_revision"));
   }
 
   @Override
@@ -143,7 +147,7 @@
       case 200 -> Optional.empty();
       case 401, 403 -> Optional.of(RegistryFailure.UNAUTHORISED);
       case 429 -> Optional.of(RegistryFailure.THROTTLED);
-      case 400 -> Optional.of(ofGrpcCode(grpcCode(body)));
+      case 400 -> Optional.of(failureOfGrpcCode(grpcCode(body)));
       default ->
           Optional.of(status >= 500 ? RegistryFailure.UNAVAILABLE : RegistryFailure.UNREADABLE);
     };
@@ -157,7 +161,7 @@
     }
   }
 
-  private static RegistryFailure ofGrpcCode(int code) {
+  private static RegistryFailure failureOfGrpcCode(int code) {
     return switch (code) {
       case GRPC_UNAUTHENTICATED, GRPC_PERMISSION_DENIED -> RegistryFailure.UNAUTHORISED;
       case GRPC_RESOURCE_EXHAUSTED -> RegistryFailure.THROTTLED;
@@ -171,8 +175,8 @@
   }
 
   /**
-   * Takes a task: its term stays, its owner goes with the lease; nothing if either key was written
-   * since it was read.
+   * Encodes the transaction that acquires a task. The term's key is permanent, the owner's key is
+   * deleted with the lease. Nothing is written if either key had changed.
    */
   Request campaignRequest(Write term, Write owner, long leaseId) {
     return new EtcdTransaction(
@@ -189,7 +193,7 @@
     return status == 200 && JsonBytes.readObject(body).booleanOrFalse("succeeded");
   }
 
-  /** Logs in. */
+  /** Encodes a login. */
   static Request loginRequest(String user, String password) {
     return EtcdJson.post(
         "/v3/auth/authenticate",
@@ -199,13 +203,13 @@
         });
   }
 
-  /** The token of a login. */
+  /** Decodes the token of a login. */
   static String decodeLogin(byte[] body) {
     return JsonBytes.readObject(body).string("token");
   }
 
-  private static Header header(JsonReader answer) {
-    JsonReader header = answer.object("header");
+  private static Header header(JsonReader response) {
+    JsonReader header = response.object("header");
     return new Header(
         header.has("cluster_id") ? header.string("cluster_id") : "",
         EtcdJson.readLong(header, "revision"));
@@ -223,7 +227,7 @@
   private String key(JsonReader keyValue) {
     String key = new String(JsonBytes.readBase64(keyValue, "key"), StandardCharsets.UTF_8);
     if (!key.startsWith(prefix)) {
-      throw keyValue.invalid("key", "not under " + prefix);
+      throw keyValue.invalid("key", "not under the prefix " + prefix);
     }
     return key;
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RecordCodec.java
@@ -13,25 +13,25 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Keys and values, version 1, as docs/operate/registry.md has them. A value that can't be read is
- * {@link RegistryRecord.Unreadable}, never an exception.
+ * Codec of keys and values, version 1; docs/operate/registry.md defines the format. A value that
+ * can't be decoded becomes {@link RegistryRecord.Unreadable}; no exception is thrown.
  */
 public final class RecordCodec {
-  /** What the keys of caches begin with, after the prefix of all keys. */
+  /** Prefix of the keys of caches, after the prefix of all keys. */
   public static final String CACHES_PREFIX = "caches/";
 
-  /** What the keys of purges begin with. */
+  /** Prefix of the keys of purges, after the prefix of all keys. */
   public static final String PURGES_PREFIX = "purges/";
 
-  /** What the keys of tasks' terms begin with. */
+  /** Prefix of the keys of tasks' terms, after the prefix of all keys. */
   public static final String TASKS_PREFIX = "tasks/";
 
-  /** The key of the tip, which every transaction writes. */
+  /** The key of the tip, which every transaction writes except the one that acquires a task. */
   public static final String TIP_KEY = "tip";
 
   /**
-   * What the keys of tasks' owners begin with, which go with their leases. Beside {@link
-   * #TASKS_PREFIX}, so that one range has both.
+   * Prefix of the keys of tasks' owners, which are deleted with their leases. It sorts next to
+   * {@link #TASKS_PREFIX}, so that one range covers both.
    */
   static final String OWNERS_PREFIX = "task-owners/";
 
@@ -42,35 +42,41 @@
 
   private RecordCodec() {}
 
-  /** Decodes the value of a key, which is given without the prefix of all keys. */
+  /**
+   * Decodes the value of a key.
+   *
+   * @param key the key without the prefix of all keys
+   */
   static RegistryRecord decode(String key, byte[] value) {
     boolean isTask = key.startsWith(TASKS_PREFIX) || key.startsWith(OWNERS_PREFIX);
     if (!key.startsWith(CACHES_PREFIX) && !key.startsWith(PURGES_PREFIX) && !isTask) {
       return new RegistryRecord.Other();
     }
     if (value.length > MAX_VALUE_BYTES) {
-      return new RegistryRecord.Unreadable("a value of " + value.length + " bytes");
+      return new RegistryRecord.Unreadable(
+          "value of " + value.length + " bytes, at most " + MAX_VALUE_BYTES + " are allowed");
     }
     try (JsonParser parser = JSON.createParser(value)) {
       JsonReader fields = JsonReader.read("value", parser);
       if (fields.longValue("v") != VERSION) {
-        return new RegistryRecord.Unreadable("version " + fields.longValue("v"));
+        return new RegistryRecord.Unreadable(
+            "version " + fields.longValue("v") + ", expected " + VERSION);
       }
       if (isTask) {
         return new RegistryRecord.Task(
-            fields.longValue("term"), name(fields, "by", fields.string("by")));
+            fields.longValue("term"), requireName(fields, "by", fields.string("by")));
       }
       return key.startsWith(CACHES_PREFIX)
-          ? cache(key.substring(CACHES_PREFIX.length()), fields)
-          : purge(fields);
+          ? decodeCache(key.substring(CACHES_PREFIX.length()), fields)
+          : decodePurge(fields);
     } catch (IOException e) {
-      return new RegistryRecord.Unreadable("not JSON");
+      return new RegistryRecord.Unreadable("value is not valid JSON");
     } catch (InvalidDocumentException e) {
       return new RegistryRecord.Unreadable(e.getMessage());
     }
   }
 
-  private static RegistryRecord cache(String id, JsonReader fields) {
+  private static RegistryRecord decodeCache(String id, JsonReader fields) {
     EndpointState state =
         switch (fields.string("state")) {
           case "ready" -> EndpointState.UP;
@@ -81,35 +87,36 @@
     GatewayOptions.address("value: field 'address' is", address);
     double weight = fields.doubleOr("weight", 1);
     if (!(weight > 0) || Double.isInfinite(weight)) {
-      throw fields.invalid("weight", "no size");
+      throw fields.invalid("weight", "not a finite number above 0");
     }
     return new RegistryRecord.Cache(
-        name(fields, "id", id),
+        requireName(fields, "id", id),
         address,
-        name(fields, "zone", fields.string("zone")),
-        name(fields, "kind", fields.string("kind")),
+        requireName(fields, "zone", fields.string("zone")),
+        requireName(fields, "kind", fields.string("kind")),
         fields.intOr("cell", 0),
         state,
         weight,
         fields.longOr("started_at_ms", 0));
   }
 
-  private static String name(JsonReader fields, String key, String name) {
+  private static String requireName(JsonReader fields, String key, String name) {
     if (name.isEmpty()
         || name.length() > MAX_NAME_LENGTH
-        || name.chars().anyMatch(one -> one <= ' ' || one == ',')) {
-      throw fields.invalid(key, "no name");
+        || name.chars().anyMatch(character -> character <= ' ' || character == ',')) {
+      throw fields.invalid(
+          key, "not a name of 1 to " + MAX_NAME_LENGTH + " characters without spaces and commas");
     }
     return name;
   }
 
-  private static RegistryRecord purge(JsonReader fields) {
+  private static RegistryRecord decodePurge(JsonReader fields) {
     long object = 0;
     if (fields.has("object")) {
       try {
         object = Long.parseUnsignedLong(fields.string("object"), 16);
       } catch (NumberFormatException e) {
-        throw fields.invalid("object", "not an object's id");
+        throw fields.invalid("object", "not an object id in hexadecimal");
       }
     }
     if (object == 0 && !fields.has("group")) {
@@ -122,7 +129,7 @@
     return new RegistryRecord.Purge(object, group, fields.longValue("at_ms"));
   }
 
-  /** Why gateways would not read this of a cache; null where they would. */
+  /** Returns why gateways could not decode this cache's record; null if they can. */
   public static String validationError(RegistryRecord.Cache cache) {
     return decode(CACHES_PREFIX + cache.id(), encode(cache))
             instanceof RegistryRecord.Unreadable unreadable
@@ -130,31 +137,31 @@
         : null;
   }
 
-  /** The value that says this of a cache or a purge. */
-  public static byte[] encode(RegistryRecord content) {
+  /** Encodes a cache, a purge or a task. */
+  public static byte[] encode(RegistryRecord value) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    try (JsonGenerator to = JSON.createGenerator(out)) {
-      to.writeStartObject();
-      to.writeNumberField("v", VERSION);
-      if (content instanceof RegistryRecord.Cache cache) {
-        to.writeStringField("address", cache.address());
-        to.writeStringField("zone", cache.zone());
-        to.writeStringField("kind", cache.kind());
-        to.writeNumberField("cell", cache.cell());
-        to.writeStringField("state", cache.state() == EndpointState.UP ? "ready" : "draining");
-        to.writeNumberField("weight", cache.weight());
-        to.writeNumberField("started_at_ms", cache.startedAtMs());
-      } else if (content instanceof RegistryRecord.Purge purge) {
+    try (JsonGenerator json = JSON.createGenerator(out)) {
+      json.writeStartObject();
+      json.writeNumberField("v", VERSION);
+      if (value instanceof RegistryRecord.Cache cache) {
+        json.writeStringField("address", cache.address());
+        json.writeStringField("zone", cache.zone());
+        json.writeStringField("kind", cache.kind());
+        json.writeNumberField("cell", cache.cell());
+        json.writeStringField("state", cache.state() == EndpointState.UP ? "ready" : "draining");
+        json.writeNumberField("weight", cache.weight());
+        json.writeNumberField("started_at_ms", cache.startedAtMs());
+      } else if (value instanceof RegistryRecord.Purge purge) {
         if (purge.object() != 0) {
-          to.writeStringField("object", String.format("%016x", purge.object()));
+          json.writeStringField("object", String.format("%016x", purge.object()));
         }
-        to.writeNumberField("group", purge.group());
-        to.writeNumberField("at_ms", purge.atMs());
-      } else if (content instanceof RegistryRecord.Task task) {
-        to.writeNumberField("term", task.term());
-        to.writeStringField("by", task.by());
+        json.writeNumberField("group", purge.group());
+        json.writeNumberField("at_ms", purge.atMs());
+      } else if (value instanceof RegistryRecord.Task task) {
+        json.writeNumberField("term", task.term());
+        json.writeStringField("by", task.by());
       }
-      to.writeEndObject();
+      json.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryCredentials.java
@@ -8,13 +8,13 @@
 import java.nio.file.Path;
 
 /**
- * The token that requests show: from a file, or from a log-in with a password that is in a file.
- * Files are read off the event loop; all else runs on it.
+ * Provides the access token of requests: read from a file, or obtained by a login with a password
+ * from a file. Files are read off the event loop; everything else runs on it.
  */
 final class RegistryCredentials {
-  /** Logs in at the endpoint that a token is needed for. */
+  /** Logs in at the endpoint for which a token is needed. */
   interface Login {
-    /** Sends a log-in and returns its token. */
+    /** Sends a login request and returns its token. */
     Future<String> send(RegistryProtocol.Request login);
   }
 
@@ -29,51 +29,51 @@
     this.settings = settings;
   }
 
-  /** The token to show; empty for none. */
+  /** The current token; empty for none. */
   String token() {
     return token;
   }
 
-  /** Whether a token must be fetched before anything is sent. */
+  /** Whether a token must be fetched before a request can be sent. */
   boolean isTokenMissing() {
     return token.isEmpty() && (settings.token() != null || settings.user() != null);
   }
 
-  /** Forgets the token, since its file may be another one now. */
-  void forgetToken() {
+  /** Discards the token, since its file may have changed. */
+  void discardToken() {
     token = "";
   }
 
   /**
-   * Fetches the token anew; false where it is the one that was rejected. Fails with {@link
-   * CredentialException}, or as the log-in does.
+   * Fetches a new token; returns false if it equals the previous one, which was rejected. Fails
+   * with {@link CredentialException}, or with the login's failure.
    */
   Future<Boolean> renewToken(Login login) {
-    String before = token;
-    Future<String> next;
+    String previous = token;
+    Future<String> fetch;
     if (settings.token() != null) {
-      next = readSecret(settings.token());
+      fetch = readSecret(settings.token());
     } else if (settings.user() != null) {
-      next =
+      fetch =
           readSecret(settings.password())
               .compose(
                   password -> login.send(EtcdProtocol.loginRequest(settings.user(), password)));
     } else {
       return Future.succeededFuture(false);
     }
-    return next.map(
+    return fetch.map(
         fetched -> {
           token = fetched;
-          return !fetched.equals(before);
+          return !fetched.equals(previous);
         });
   }
 
   private Future<String> readSecret(Path file) {
-    return vertx.executeBlocking(() -> secret(file));
+    return vertx.executeBlocking(() -> readSecretFile(file));
   }
 
-  /** Reads a secret from a file, without the white space around it. */
-  static String secret(Path file) throws CredentialException {
+  /** Reads a secret from a file and strips surrounding white space. */
+  static String readSecretFile(Path file) throws CredentialException {
     try {
       if (Files.size(file) > MAX_SECRET_BYTES) {
         throw new CredentialException.SecretTooLong(MAX_SECRET_BYTES);
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryHttpClient.java
@@ -15,33 +15,40 @@
 import org.amberpath.registry.RegistryFailure;
 
 /**
- * Requests to the endpoints of a registry, with TLS and a token where the settings have them.
- * Secrets are in no message of a failure, since none is made from what was sent or read. All calls
- * come on one event loop.
+ * HTTP client of a registry, with TLS and a token if they are configured. Failure messages contain
+ * no secrets, since none is built from data that was sent or read. All calls come on one event
+ * loop.
  */
 final class RegistryHttpClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 400;
-  private static final int IDLE_SECONDS = 30;
+  private static final int KEEP_ALIVE_SECONDS = 30;
   private static final int MAX_CONNECTIONS = 12;
-  private static final int MAX_WAITING = 64;
+  private static final int MAX_QUEUED_REQUESTS = 64;
 
-  /** What a request came to: one of the ends, once, unless it was cancelled. */
+  /**
+   * Receives the result of a request. Exactly one of {@link #completed} and {@link #failed} is
+   * called, once, unless the request is cancelled.
+   */
   interface ResponseHandler {
-    /** A complete response that is no failure. */
+    /** Receives a complete response that is no failure. */
     void completed(int status, MultiMap headers, byte[] body);
 
-    /** A line of a stream; only where a stream was asked for. */
+    /** Receives a line of the response; only for {@link ResponseKind#LINES}. */
     default void line(byte[] line) {}
 
-    /** No response, or one that is a failure; retryAfterNanos as the server asks, 0 for nothing. */
-    void failed(RegistryFailure why, long retryAfterNanos);
+    /**
+     * Receives the failure of a request.
+     *
+     * @param retryAfterNanos the delay that the server asked for; 0 for none
+     */
+    void failed(RegistryFailure failure, long retryAfterNanos);
   }
 
   /** How a response is read. */
   enum ResponseKind {
-    /** All of it at once. */
+    /** As one body. */
     COMPLETE,
-    /** A stream of lines, each as it is received. */
+    /** As a stream of lines, each passed on when it is received. */
     LINES
   }
 
@@ -52,8 +59,11 @@
   private final RegistryCredentials credentials;
   private HttpClientAgent client;
 
-  /** The client before the files were read anew: its connections stay until they end. */
-  private HttpClientAgent retired;
+  /**
+   * The client with the files from before the last reload; its connections stay open until they
+   * end.
+   */
+  private HttpClientAgent previousClient;
 
   RegistryHttpClient(Vertx vertx, RegistrySettings settings, RegistryProtocol protocol) {
     this.vertx = vertx;
@@ -68,21 +78,23 @@
     HttpClientOptions options =
         new HttpClientOptions()
             .setConnectTimeout(CONNECT_TIMEOUT_MILLIS)
-            .setKeepAliveTimeout(IDLE_SECONDS);
+            .setKeepAliveTimeout(KEEP_ALIVE_SECONDS);
     tls.addTo(options);
     return vertx.createHttpClient(
         options,
-        new PoolOptions().setHttp1MaxSize(MAX_CONNECTIONS).setMaxWaitQueueSize(MAX_WAITING));
+        new PoolOptions()
+            .setHttp1MaxSize(MAX_CONNECTIONS)
+            .setMaxWaitQueueSize(MAX_QUEUED_REQUESTS));
   }
 
   /**
-   * Sends a request once there is a token, where one is needed. On an event loop only: elsewhere an
-   * answer may come before anybody listens to it, and is then lost.
+   * Sends a request, after fetching a token if one is needed and missing. Must be called on an
+   * event loop: elsewhere a response could arrive before its handler is set, and would be lost.
    */
   RegistryHttpExchange send(
       int endpoint, RegistryProtocol.Request request, ResponseKind kind, ResponseHandler handler) {
     if (!Context.isOnEventLoopThread()) {
-      throw new IllegalStateException("not on an event loop");
+      throw new IllegalStateException("requests must be sent on an event loop thread");
     }
     RegistryHttpExchange exchange =
         new RegistryHttpExchange(this, settings.endpoints().get(endpoint), request, kind, handler);
@@ -93,9 +105,9 @@
                 if (renewal.succeeded() && renewal.result()) {
                   exchange.start();
                 } else if (renewal.failed() && !isRejection(renewal.cause())) {
-                  exchange.failed(renewal.cause());
+                  exchange.failWith(renewal.cause());
                 } else {
-                  exchange.end(RegistryFailure.UNAUTHORISED, 0);
+                  exchange.fail(RegistryFailure.UNAUTHORISED, 0);
                 }
               });
     } else {
@@ -104,25 +116,25 @@
     return exchange;
   }
 
-  /** Whether the registry has answered, but with no token. */
+  /** Whether the registry responded, but without a token. */
   private static boolean isRejection(Throwable cause) {
     return cause instanceof CredentialException.LoginRejected
         || cause instanceof InvalidDocumentException;
   }
 
-  /** Opens a request, with the token as it is now. */
+  /** Opens a request with the current token. */
   Future<HttpClientRequest> open(SocketAddress endpoint, RegistryProtocol.Request request) {
-    return client.request(options(endpoint, request, credentials.token()));
+    return client.request(requestOptions(endpoint, request, credentials.token()));
   }
 
-  /** Fetches the token anew; false where it is the one that was rejected. */
+  /** Fetches a new token; returns false if it equals the rejected one. */
   Future<Boolean> renewToken(SocketAddress endpoint) {
     return credentials.renewToken(login -> logIn(endpoint, login));
   }
 
   private Future<String> logIn(SocketAddress endpoint, RegistryProtocol.Request login) {
     return client
-        .request(options(endpoint, login, ""))
+        .request(requestOptions(endpoint, login, ""))
         .compose(request -> request.send(Buffer.buffer(login.body())))
         .compose(
             response ->
@@ -133,7 +145,7 @@
         .map(body -> EtcdProtocol.decodeLogin(body.getBytes()));
   }
 
-  private RequestOptions options(
+  private RequestOptions requestOptions(
       SocketAddress endpoint, RegistryProtocol.Request request, String token) {
     RequestOptions options =
         new RequestOptions()
@@ -161,29 +173,29 @@
   }
 
   /**
-   * Reads the files anew, for connections to come; those that are open stay. What can't be read
-   * changes nothing.
+   * Rereads the token and TLS files for new connections; open connections stay. If a TLS file can't
+   * be used, the client keeps the previous ones.
    */
   Future<Void> reload() {
-    credentials.forgetToken();
+    credentials.discardToken();
     if (!tls.isEnabled()) {
       return Future.succeededFuture();
     }
     return tls.validate(vertx)
         .map(
             valid -> {
-              if (retired != null) {
-                retired.close();
+              if (previousClient != null) {
+                previousClient.close();
               }
-              retired = client;
+              previousClient = client;
               client = newClient();
               return null;
             });
   }
 
   void close() {
-    if (retired != null) {
-      retired.close();
+    if (previousClient != null) {
+      previousClient.close();
     }
     client.close();
   }
--- a/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/RegistryLog.java
@@ -3,9 +3,9 @@
 import java.util.logging.Logger;
 
 /**
- * The log of a registry source. Guards it against a registry that gives cause for a line with every
- * call: {@value #MAX_LINES} lines a period, {@value #MAX_LINE_LENGTH} characters each; what is past
- * that is counted. On the event loop.
+ * The log of a registry source. Guards against log flooding by a registry whose responses each give
+ * rise to a line: {@value #MAX_LINES} lines per period, {@value #MAX_LINE_LENGTH} characters each;
+ * further lines are only counted. Used on the event loop.
  */
 final class RegistryLog {
   private static final Logger LOG = Logger.getLogger(RegistrySource.class.getName());
@@ -15,7 +15,7 @@
   private int lineCount;
   private int suppressedCount;
 
-  /** Logs a line of the session or the view, within the bound. */
+  /** Logs a line of the session or the view, within the limit. */
   void info(String line) {
     if (lineCount < MAX_LINES) {
       lineCount++;
@@ -25,20 +25,20 @@
     }
   }
 
-  /** Logs what happens once a start or a reload. */
-  void once(String line) {
+  /** Logs an event of a start or a reload, outside the limit. */
+  void infoUnlimited(String line) {
     LOG.info("registry: " + line);
   }
 
-  /** Logs what an operator should look at, likewise. */
+  /** Logs a warning to the operator, outside the limit. */
   void warning(String line) {
     LOG.warning("registry: " + line);
   }
 
-  /** A period is over: the next lines are logged again. */
-  void periodEnded() {
+  /** Ends the period: logs the number of suppressed lines and resets the limit. */
+  void endPeriod() {
     if (suppressedCount > 0) {
-      LOG.info("registry: " + suppressedCount + " more lines");
+      LOG.info("registry: " + suppressedCount + " more lines were not logged");
     }
     lineCount = 0;
     suppressedCount = 0;
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotCodec.java
@@ -16,7 +16,10 @@
 import org.amberpath.registry.RegistryRecord;
 import org.amberpath.registry.Snapshot;
 
-/** The bytes of a snapshot: a first line with version and checksum, then JSON; version 1. */
+/**
+ * Codec of the snapshot file, version 1: a header line with magic, version and CRC-32C checksum,
+ * then JSON.
+ */
 final class SnapshotCodec {
   private static final String MAGIC = "amberpath-registry-snapshot";
   private static final int VERSION = 1;
@@ -27,10 +30,10 @@
   static byte[] encode(Snapshot snapshot) {
     byte[] body = JsonBytes.write(json -> writeBody(json, snapshot));
     String header = MAGIC + " " + VERSION + " " + checksum(body) + "\n";
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes(header.getBytes(StandardCharsets.US_ASCII));
-    all.writeBytes(body);
-    return all.toByteArray();
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    bytes.writeBytes(header.getBytes(StandardCharsets.US_ASCII));
+    bytes.writeBytes(body);
+    return bytes.toByteArray();
   }
 
   private static void writeBody(JsonGenerator json, Snapshot snapshot) throws IOException {
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotException.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A snapshot file can't be read, written, or taken; the message says why, for the log. */
+/**
+ * A snapshot file can't be read, written or accepted. The message states the reason, for the log.
+ */
 abstract sealed class SnapshotException extends IOException {
   private static final long serialVersionUID = 1;
 
@@ -10,43 +12,43 @@
     super(message, cause);
   }
 
-  /** The file is longer than a snapshot may be. */
+  /** The file exceeds the maximum size. */
   static final class TooLong extends SnapshotException {
     private static final long serialVersionUID = 1;
 
     TooLong(int maxBytes) {
-      super("longer than " + maxBytes + " bytes", null);
+      super("the file is larger than " + maxBytes + " bytes", null);
     }
   }
 
-  /** The file's first line is not that of a snapshot. */
+  /** The file's first line is not a snapshot header. */
   static final class NotASnapshot extends SnapshotException {
     private static final long serialVersionUID = 1;
 
     NotASnapshot() {
-      super("no snapshot", null);
+      super("the file has no snapshot header", null);
     }
   }
 
-  /** The file is of another version of the form. */
+  /** The file has an unsupported format version. */
   static final class UnsupportedVersion extends SnapshotException {
     private static final long serialVersionUID = 1;
 
     UnsupportedVersion(String version) {
-      super("of version " + version, null);
+      super("the file has the unsupported version " + version, null);
     }
   }
 
-  /** The file is not as it was written. */
+  /** The file's contents do not match its checksum. */
   static final class ChecksumMismatch extends SnapshotException {
     private static final long serialVersionUID = 1;
 
     ChecksumMismatch() {
-      super("torn: its checksum is another one", null);
+      super("the file is corrupted: its checksum does not match", null);
     }
   }
 
-  /** The file is as it was written, but its fields are not those of a snapshot. */
+  /** The checksum matches, but the fields are not those of a snapshot. */
   static final class Malformed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
@@ -55,16 +57,19 @@
     }
   }
 
-  /** The disk does not let the file be read. */
+  /** The file can't be read from disk. */
   static final class ReadFailed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
     ReadFailed(IOException cause) {
-      super("it can't be read: " + cause, cause);
+      super("the file can't be read: " + cause, cause);
     }
   }
 
-  /** The disk does not let the file be written; the one before stays. */
+  /**
+   * The file can't be written: the previous one stays in place. If only the sync of the directory
+   * failed, the new one is in place but may not survive a power loss.
+   */
   static final class WriteFailed extends SnapshotException {
     private static final long serialVersionUID = 1;
 
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotRestore.java
@@ -12,8 +12,8 @@
 import org.amberpath.registry.Snapshot;
 
 /**
- * Restores a view from the snapshot file at the start. The file is read off the event loop; a disk
- * that does not answer in {@value #TIMEOUT_MILLIS} ms leaves the start without a snapshot.
+ * Restores a view from the snapshot file at the start. The file is read off the event loop. If the
+ * disk takes longer than {@value #TIMEOUT_MILLIS} ms, the gateway starts without the snapshot.
  */
 final class SnapshotRestore {
   private static final long TIMEOUT_MILLIS = 1000;
@@ -32,26 +32,30 @@
     this.log = log;
   }
 
-  /** Restores what the file holds, if it may be served; ends, never fails, with a log line. */
+  /**
+   * Restores the view from the file if it is valid and recent enough. The future never fails: a
+   * snapshot that can't be used is logged and ignored.
+   */
   Future<Void> restoreInto(RegistryView view) {
     return vertx
         .executeBlocking(this::read, false)
         .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
         .map(
             snapshot -> {
-              snapshot.ifPresent(present -> restore(present, view));
+              snapshot.ifPresent(restored -> restore(restored, view));
               return (Void) null;
             })
         .otherwise(
-            why -> {
-              log.warning("the snapshot is passed over: " + why.getMessage());
+            cause -> {
+              log.warning(
+                  "the snapshot " + settings.snapshot() + " is ignored: " + cause.getMessage());
               return null;
             });
   }
 
   private Optional<Snapshot> read() throws SnapshotException {
     Path file = settings.snapshot();
-    SnapshotFile.clean(file, FileOperations.DISK);
+    SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
     return Files.exists(file)
         ? Optional.of(SnapshotFile.read(file, settings.maxResponseBytes()))
         : Optional.empty();
@@ -59,10 +63,10 @@
 
   private void restore(Snapshot snapshot, RegistryView view) {
     long nowNanos = clockNanos.getAsLong();
-    Optional<String> refusal =
-        snapshot.refusal(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
-    if (refusal.isPresent()) {
-      log.warning("the snapshot is passed over: " + refusal.get());
+    Optional<String> rejectionReason =
+        snapshot.rejectionReason(nowNanos, settings.prefix(), settings.maxSnapshotAgeNanos());
+    if (rejectionReason.isPresent()) {
+      log.warning("the snapshot " + settings.snapshot() + " is ignored: " + rejectionReason.get());
       return;
     }
     long ageNanos = snapshot.ageNanos(nowNanos);
@@ -70,8 +74,8 @@
         nowNanos,
         new RegistryListing(
             snapshot.entries(), snapshot.cluster(), snapshot.revision(), nowNanos - ageNanos));
-    log.once(
-        "serves from a snapshot of revision "
+    log.infoUnlimited(
+        "serving from the snapshot of revision "
             + snapshot.revision()
             + ", "
             + ageNanos / MS
--- a/registry/src/main/java/org/amberpath/registry/runtime/SnapshotKeeper.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/SnapshotWriter.java
@@ -13,16 +13,16 @@
 import org.amberpath.registry.Snapshot;
 
 /**
- * Writes snapshots to a file off the event loop, and again where that failed. Bounds: one write
- * under way, one snapshot pending, which is the latest; one line of log for each run of failures
- * and one for its end.
+ * Writes snapshots to a file, off the event loop, and retries failed writes. Bounds: one write in
+ * progress and one pending snapshot, the latest; one log line at the first failure of a series, and
+ * one at its end.
  */
-final class SnapshotKeeper {
+final class SnapshotWriter {
   private static final long FIRST_RETRY_NANOS = 1_000_000_000;
   private static final long MAX_RETRY_NANOS = 60 * FIRST_RETRY_NANOS;
   private static final long MIN_RETRY_NANOS = 250_000_000;
 
-  /** Where snapshots are written to, and how often at most. */
+  /** The snapshot file, the disk it is on, and the minimum time between two writes. */
   record Target(Path file, FileOperations files, long intervalNanos) {}
 
   private final Target target;
@@ -32,17 +32,17 @@
   private final Backoff backoff;
   private Snapshot pending;
   private boolean isWriting;
-  private boolean hasBegun;
-  private long begunAtNanos;
+  private boolean hasStartedWrite;
+  private long writeStartedAtNanos;
   private int failureCount;
 
   /**
-   * A keeper that has written nothing yet.
+   * Creates a writer; its first write starts in {@link #tick}.
    *
    * @param worker runs a write off the event loop
-   * @param seed that of the backoff's jitter
+   * @param seed seed of the backoff's jitter
    */
-  SnapshotKeeper(
+  SnapshotWriter(
       Target target,
       Function<Callable<Void>, Future<Void>> worker,
       LongSupplier clockNanos,
@@ -56,30 +56,30 @@
   }
 
   /**
-   * Begins a write if one is due.
+   * Starts a write if one is due.
    *
-   * @param latest the view as it stands; empty where it is not to be kept now: then only what is
-   *     pending is written
+   * @param currentView returns the current view; empty if the view must not be saved now, in which
+   *     case only a pending snapshot is written
    */
-  void tick(Supplier<Optional<Snapshot>> latest) {
+  void tick(Supplier<Optional<Snapshot>> currentView) {
     long nowNanos = clockNanos.getAsLong();
     boolean isDue =
         backoff.isFailing()
             ? backoff.allows(nowNanos)
-            : !hasBegun || nowNanos - begunAtNanos >= target.intervalNanos();
+            : !hasStartedWrite || nowNanos - writeStartedAtNanos >= target.intervalNanos();
     if (isWriting || !isDue) {
       return;
     }
-    pending = latest.get().orElse(pending);
+    pending = currentView.get().orElse(pending);
     if (pending != null) {
-      begin(nowNanos, pending);
+      startWrite(nowNanos, pending);
     }
   }
 
-  private void begin(long nowNanos, Snapshot snapshot) {
+  private void startWrite(long nowNanos, Snapshot snapshot) {
     isWriting = true;
-    hasBegun = true;
-    begunAtNanos = nowNanos;
+    hasStartedWrite = true;
+    writeStartedAtNanos = nowNanos;
     worker
         .apply(
             () -> {
@@ -87,35 +87,34 @@
               return null;
             })
         .onComplete(
-            done -> {
+            result -> {
               isWriting = false;
-              if (done.succeeded()) {
-                succeeded();
+              if (result.succeeded()) {
+                writeSucceeded();
               } else {
-                failed(done.cause());
+                writeFailed(result.cause());
               }
             });
   }
 
-  private void succeeded() {
+  private void writeSucceeded() {
     pending = null;
     if (failureCount > 0) {
-      log.accept("the snapshot is written again, after " + failureCount + " failures");
+      log.accept("the snapshot is written again, after " + failureCount + " failed attempts");
     }
     failureCount = 0;
     backoff.reset();
   }
 
-  private void failed(Throwable why) {
+  private void writeFailed(Throwable cause) {
     if (failureCount++ == 0) {
       log.accept(
-          "the snapshot can't be written, the one before stays and it is tried again: "
-              + describe(why));
+          "the snapshot " + target.file() + " can't be written, retrying: " + describe(cause));
     }
     backoff.recordFailure(clockNanos.getAsLong(), MIN_RETRY_NANOS);
   }
 
-  private static String describe(Throwable why) {
-    return why instanceof SnapshotException ? why.getMessage() : why.toString();
+  private static String describe(Throwable cause) {
+    return cause instanceof SnapshotException ? cause.getMessage() : cause.toString();
   }
 }
--- a/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
+++ b/registry/src/main/java/org/amberpath/registry/runtime/WallTimes.java
@@ -6,31 +6,31 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Passes endpoints and purges on, and turns times of a clock that only goes forward into Unix times
- * by the wall clock as it stands in that moment, as {@link EndpointListener} has them. So a wall
- * clock that has stepped since the start makes nothing older or younger. A purge is passed on as no
- * older than it is by either clock.
+ * Forwards endpoints and purges, and converts their times from a monotonic clock to Unix times by
+ * the current offset of the wall clock, as {@link EndpointListener} requires. A step of the wall
+ * clock since the start therefore changes no age. A purge is forwarded with the later of its times
+ * by the two clocks, so that it counts as no older than it is by either clock.
  */
 final class WallTimes implements EndpointListener {
   private static final long MS = 1_000_000;
 
   private final EndpointListener listener;
-  private final LongSupplier forwardNanos;
+  private final LongSupplier monotonicNanos;
   private final LongSupplier wallMillis;
 
-  WallTimes(EndpointListener listener, LongSupplier forwardNanos, LongSupplier wallMillis) {
+  WallTimes(EndpointListener listener, LongSupplier monotonicNanos, LongSupplier wallMillis) {
     this.listener = listener;
-    this.forwardNanos = forwardNanos;
+    this.monotonicNanos = monotonicNanos;
     this.wallMillis = wallMillis;
   }
 
-  /** A time of the clock that only goes forward as a Unix time, both in nanoseconds. */
-  long unix(long nanos) {
-    return nanos + aheadMillis() * MS;
+  /** Converts a time of the monotonic clock to a Unix time, both in nanoseconds. */
+  long toUnixNanos(long timeNanos) {
+    return timeNanos + wallOffsetMillis() * MS;
   }
 
-  private long aheadMillis() {
-    return wallMillis.getAsLong() - forwardNanos.getAsLong() / MS;
+  private long wallOffsetMillis() {
+    return wallMillis.getAsLong() - monotonicNanos.getAsLong() / MS;
   }
 
   @Override
@@ -49,7 +49,7 @@
             endpoint.cell(),
             endpoint.state(),
             endpoint.weight(),
-            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + aheadMillis()));
+            endpoint.startedAtMillis() == 0 ? 0 : endpoint.startedAtMillis() + wallOffsetMillis()));
   }
 
   @Override
@@ -59,6 +59,6 @@
 
   @Override
   public void objectPurged(long object, int group, long atMillis) {
-    listener.objectPurged(object, group, atMillis + Math.max(0, aheadMillis()));
+    listener.objectPurged(object, group, atMillis + Math.max(0, wallOffsetMillis()));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedOutputs.java
@@ -12,42 +12,61 @@
 
 /**
  * Hashes the outputs of a seeded world in their order, with all arguments, and counts them. The
- * words in which they are hashed are a stored form: they stay when identifiers or log lines are
- * renamed.
+ * hashed texts are a stored form: they stay when identifiers or log lines are renamed.
  */
 final class RecordedOutputs implements EndpointListener {
-  /** How often each thing came; a reader sees by it what a world reaches. */
+  /** Number of outputs and events by name, which shows what a world covers. */
   final Map<String, Integer> counts = new TreeMap<>();
 
   private final MessageDigest digest = sha256();
 
-  /** The digest of all outputs, as hexadecimal digits. */
+  /** Returns the digest of all outputs as hexadecimal digits. */
   String digest() {
     return HexFormat.of().formatHex(digest.digest());
   }
 
-  void record(String what, Object... arguments) {
-    count("output " + what);
-    StringBuilder line = new StringBuilder(what);
+  void record(String name, Object... arguments) {
+    count("output " + name);
+    StringBuilder line = new StringBuilder(name);
     for (Object argument : arguments) {
       line.append(' ').append(argument);
     }
     digest.update(line.append('\n').toString().getBytes(StandardCharsets.UTF_8));
   }
 
-  void note(String line) {
-    // The log's word for a heartbeat is another one than at the time of the recording.
-    String recorded = line.replace(": HEARTBEAT ", ": PULSE ");
+  void recordSessionLogLine(String line) {
+    String recorded = recordedForm(line);
     count("note " + recorded.replaceAll("[0-9]+", "N"));
     record("note", recorded);
   }
 
-  void complaint(String line) {
-    record("complaint", line);
+  void recordViewLogLine(String line) {
+    record("complaint", recordedForm(line));
   }
 
-  void count(String what) {
-    counts.merge(what, 1, Integer::sum);
+  /** Maps a log line to the text under which the digests were recorded. */
+  private static String recordedForm(String line) {
+    return line.replaceFirst("^(endpoint [0-9]+: [A-Z]+) failed: ([A-Z_]+)$", "$1 $2")
+        .replace(": HEARTBEAT ", ": PULSE ")
+        .replaceFirst(
+            "^(endpoint [0-9]+): response discarded, it has the id of another cluster:"
+                + " '(c[0-9]+|foreign|)'$",
+            "$1 is of another registry")
+        .replaceFirst(
+            "^the registry now has cluster id '(c[0-9]+|foreign|)'; requesting all keys again$",
+            "the registry is another one: all is read anew")
+        .replaceFirst(
+            "^(revisions went back from [0-9]+ to [0-9]+); requesting all keys again$",
+            "$1: all is read anew")
+        .replaceFirst(
+            "^the registry holds (more than [0-9]+ keys) \\(most-keys\\):"
+                + " further keys are ignored$",
+            "$1: those past it are passed over")
+        .replaceFirst("^(p/\\S+: )value can't be decoded: ", "$1");
+  }
+
+  void count(String name) {
+    counts.merge(name, 1, Integer::sum);
   }
 
   private static MessageDigest sha256() {
@@ -60,9 +79,9 @@
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
-    boolean whole = kind == EndpointListKind.FULL;
-    record("listing", whole);
-    count("listing " + whole);
+    boolean isFull = kind == EndpointListKind.FULL;
+    record("listing", isFull);
+    count("listing " + isFull);
   }
 
   @Override
--- a/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RecordedWatchSessionTest.java
@@ -12,13 +12,13 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Holds every command of the watch session where it was: five minutes of random answers, failures
- * and restarts a seed give the outputs recorded here, one digest a seed, to the last argument and
- * in the same order. A change that is meant to keep behaviour must not alter a digest; a change of
- * behaviour records new ones and says why.
+ * Compares each command and output of the watch session, with all arguments and in order, with
+ * recorded ones: five minutes of random responses, failures and restarts per seed, one digest per
+ * seed. A change that is meant to keep behaviour must not alter a digest; a change of behaviour
+ * records new ones and says why.
  */
 class RecordedWatchSessionTest {
-  private static final Map<String, SeededRegistryWorld> PLAYED = new TreeMap<>();
+  private static final Map<String, SeededRegistryWorld> WORLDS = new TreeMap<>();
   private static final Map<String, String> DIGESTS = new TreeMap<>();
 
   private static String digest(Setting setting, long seed) {
@@ -27,17 +27,17 @@
         key,
         missing -> {
           SeededRegistryWorld world = new SeededRegistryWorld(setting, seed);
-          PLAYED.put(key, world);
-          return world.play();
+          WORLDS.put(key, world);
+          return world.run();
         });
   }
 
-  /** How often each thing came, over the first seed of each setting. */
+  /** Sums the counts of the first seed of each setting. */
   private static Map<String, Integer> counts() {
     Map<String, Integer> counts = new TreeMap<>();
     for (Setting setting : Setting.values()) {
       digest(setting, 1);
-      PLAYED
+      WORLDS
           .get(setting + " 1")
           .outputs
           .counts
@@ -68,10 +68,12 @@
     assertEquals(
         recorded,
         digest(setting, seed),
-        () -> "counted: " + PLAYED.get(setting + " " + seed).outputs.counts);
+        () -> "counted: " + WORLDS.get(setting + " " + seed).outputs.counts);
   }
 
-  /** A digest of events that reach little would hold little: what the worlds must reach. */
+  /**
+   * A digest covers only what its world reaches: these are the cases that the worlds must reach.
+   */
   @Test
   void recordedEventsReachEveryCommandOutputAndPhase() {
     Map<String, Integer> counts = counts();
@@ -151,8 +153,8 @@
 
   @ParameterizedTest
   @EnumSource(value = RegistryFailure.class, mode = EnumSource.Mode.EXCLUDE, names = "LAGGING")
-  void recordedEventsReachEveryFailure(RegistryFailure why) {
+  void recordedEventsReachEveryFailure(RegistryFailure failure) {
     Map<String, Integer> counts = counts();
-    assertTrue(counts.getOrDefault("failure " + why, 0) > 0, why + " of " + counts);
+    assertTrue(counts.getOrDefault("failure " + failure, 0) > 0, failure + " of " + counts);
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
+++ b/registry/src/test/java/org/amberpath/registry/RegistryViewTest.java
@@ -11,23 +11,24 @@
 import org.amberpath.routing.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** What a view publishes of what a registry holds, and what it must not publish. */
+/** Tests what a view publishes after lists, watch events, snapshots and restores. */
 class RegistryViewTest {
   private static final long MS = 1_000_000;
-  private static final long NOW = 1_000_000_000_000L * MS;
-  private static final long RETENTION = 60_000 * MS;
+  private static final long NOW_NANOS = 1_000_000_000_000L * MS;
+  private static final long RETENTION_NANOS = 60_000 * MS;
 
   private final List<String> published = new ArrayList<>();
   private final List<String> logged = new ArrayList<>();
   private final RegistryView view =
-      new RegistryView(new PublishedLists(published, NOW / MS), "p/tip", 6, RETENTION, logged::add);
+      new RegistryView(
+          new PublishedLists(published, NOW_NANOS / MS), "p/tip", 6, RETENTION_NANOS, logged::add);
 
-  private static RegistryEntry purge(long object, long agoMs, long changed) {
+  private static RegistryEntry purge(long object, long agoMs, long modRevision) {
     return new RegistryEntry(
         "p/purge" + object,
-        new RegistryRecord.Purge(object, 0, NOW / MS - agoMs),
-        changed,
-        changed);
+        new RegistryRecord.Purge(object, 0, NOW_NANOS / MS - agoMs),
+        modRevision,
+        modRevision);
   }
 
   private List<String> takePublished() {
@@ -36,31 +37,31 @@
     return all;
   }
 
-  private void starts(RegistryEntry... all) {
-    view.applySnapshot(NOW, new RegistryListing(Arrays.asList(all), "c", 10, NOW));
+  private void startWith(RegistryEntry... entries) {
+    view.applySnapshot(NOW_NANOS, new RegistryListing(Arrays.asList(entries), "c", 10, NOW_NANOS));
     takePublished();
   }
 
   @Test
   void firstListIsPublishedInFull() {
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(
                 RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
                 RegistryFixtures.endpoint("b", EndpointState.DRAINING, 2, 3)),
             "c",
             10,
-            NOW));
+            NOW_NANOS));
     assertEquals(List.of("=[a+b~]"), takePublished());
     assertEquals(10, view.appliedRevision());
   }
 
   @Test
   void eachRevisionIsPublishedAsOneList() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applyEvents(
-        NOW,
+        NOW_NANOS,
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11)),
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 11)),
@@ -69,14 +70,14 @@
   }
 
   @Test
-  void eventsOfASecondWatchArePassedOver() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void eventsAlreadyAppliedAreSkipped() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applyEvents(
-        NOW,
+        NOW_NANOS,
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 11))));
     view.applyEvents(
-        NOW,
+        NOW_NANOS,
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 11)),
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 12))));
@@ -84,155 +85,171 @@
   }
 
   @Test
-  void endpointCreatedAnewUnderItsIdIsGoneFirst() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void recreatedEndpointIsPublishedAsRemovedFirst() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     assertTrue(
         view.applyWrites(
-            NOW,
+            NOW_NANOS,
             new RegistryListing(
-                List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 14, 14)), "c", 14, NOW),
+                List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 14, 14)),
+                "c",
+                14,
+                NOW_NANOS),
             1));
     assertEquals(List.of("[a-]", "[a+]"), takePublished());
   }
 
   @Test
   void missedDeletionNeedsAListOfAllKeys() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2));
     assertFalse(
         view.applyWrites(
-            NOW,
+            NOW_NANOS,
             new RegistryListing(
                 List.of(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 12)),
                 "c",
                 13,
-                NOW),
+                NOW_NANOS),
             1));
     assertEquals(List.of(), takePublished());
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
-            List.of(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 12)), "c", 13, NOW));
+            List.of(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 12)),
+            "c",
+            13,
+            NOW_NANOS));
     assertEquals(List.of("[b-a~]"), takePublished());
   }
 
   @Test
   void missedDeletionHiddenByANewKeyIsDetected() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2));
     assertFalse(
         view.applyWrites(
-            NOW,
+            NOW_NANOS,
             new RegistryListing(
-                List.of(RegistryFixtures.endpoint("d", EndpointState.UP, 12, 12)), "c", 13, NOW),
+                List.of(RegistryFixtures.endpoint("d", EndpointState.UP, 12, 12)),
+                "c",
+                13,
+                NOW_NANOS),
             2));
   }
 
   @Test
-  void unreadableValueKeepsTheLastReadableOneOfItsKeyAlone() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+  void unreadableValueKeepsTheLastReadableValueOfItsKeyOnly() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     RegistryEntry unreadable =
         new RegistryEntry("p/a", new RegistryRecord.Unreadable("not JSON"), 1, 11);
     view.applyEvents(
-        NOW,
+        NOW_NANOS,
         List.of(
             RegistryFixtures.put(unreadable),
             new WatchEvent(11, "p/b", RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11))));
     assertEquals(List.of("[b+]"), takePublished());
-    assertEquals(List.of("p/a: not JSON"), logged);
+    assertEquals(List.of("p/a: value can't be decoded: not JSON"), logged);
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(unreadable, RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11)),
             "c",
             12,
-            NOW));
+            NOW_NANOS));
     assertEquals(List.of(), takePublished());
     assertEquals(1, logged.size());
   }
 
   @Test
   void purgeIsPublishedOnceAndCountsFromNow() {
-    starts();
-    view.applyEvents(NOW, List.of(RegistryFixtures.put(purge(7, 900, 11))));
-    view.applySnapshot(NOW, new RegistryListing(List.of(purge(7, 900, 11)), "c", 12, NOW));
+    startWith();
+    view.applyEvents(NOW_NANOS, List.of(RegistryFixtures.put(purge(7, 900, 11))));
+    view.applySnapshot(
+        NOW_NANOS, new RegistryListing(List.of(purge(7, 900, 11)), "c", 12, NOW_NANOS));
     assertEquals(List.of("purged 7/0 0"), takePublished());
   }
 
   @Test
-  void aPurgeFromBeforeTheStartCountsFromNowWhateverItsWritersClockSays() {
+  void purgeFromBeforeTheStartCountsFromNowWhateverItsTimestamp() {
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
-            List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)), "c", 10, NOW));
+            List.of(purge(7, 5000, 3), purge(8, 500, 4), purge(9, -3_600_000, 5)),
+            "c",
+            10,
+            NOW_NANOS));
     assertEquals(List.of("=[]", "purged 7/0 0", "purged 8/0 0", "purged 9/0 0"), takePublished());
   }
 
   @Test
   void gapLongerThanTheRetentionPurgesEverything() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
             "c",
             20,
-            NOW + RETENTION));
+            NOW_NANOS + RETENTION_NANOS));
     assertEquals(List.of(), takePublished());
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
             "c",
             21,
-            NOW + 2 * RETENTION + 1));
+            NOW_NANOS + 2 * RETENTION_NANOS + 1));
     assertEquals(List.of("purged 0/-1 0"), takePublished());
   }
 
   @Test
   void newHistoryIsAFullListAndPurgesEverything() {
-    starts(
+    startWith(
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
         RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
     view.applyNewHistory(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
-            List.of(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 5)), "c", 6, NOW));
+            List.of(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 5)), "c", 6, NOW_NANOS));
     assertEquals(List.of("=[b+]", "purged 0/-1 0"), takePublished());
     assertEquals(6, view.appliedRevision());
   }
 
   @Test
   void earlierWriteOfAKnownKeyIsANewHistory() {
-    starts(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
+    startWith(RegistryFixtures.endpoint("b", EndpointState.UP, 2, 9));
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(
                 RegistryFixtures.endpoint("b", EndpointState.UP, 2, 5),
                 RegistryFixtures.endpoint("d", EndpointState.UP, 11, 11)),
             "c",
             12,
-            NOW));
+            NOW_NANOS));
     assertEquals(List.of("=[b+d+]", "purged 0/-1 0"), takePublished());
   }
 
   @Test
-  void keysPastTheBoundArePassedOverWhileOthersAreFollowed() {
-    starts(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
-    for (int more = 0; more < 8; more++) {
+  void keysBeyondTheLimitAreSkippedWhileKnownOnesAreUpdated() {
+    startWith(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1));
+    for (int number = 0; number < 8; number++) {
       view.applyEvents(
-          NOW,
+          NOW_NANOS,
           List.of(
               RegistryFixtures.put(
-                  RegistryFixtures.endpoint("x" + more, EndpointState.UP, 11 + more, 11 + more))));
+                  RegistryFixtures.endpoint(
+                      "x" + number, EndpointState.UP, 11 + number, 11 + number))));
     }
     assertEquals(5, takePublished().size());
-    assertEquals(1, logged.size());
+    assertEquals(
+        List.of("the registry holds more than 6 keys (most-keys): further keys are ignored"),
+        logged);
     view.applyEvents(
-        NOW,
+        NOW_NANOS,
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 30))));
     assertEquals(List.of("[a~]"), takePublished());
@@ -242,35 +259,40 @@
   @Test
   void snapshotIsPublishedInFullAndTheRegistryByDifference() {
     view.restoreSnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(
                 RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
                 RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2)),
             "c",
             10,
-            NOW - 50 * MS));
+            NOW_NANOS - 50 * MS));
     assertEquals(List.of("=[a+b+]"), takePublished());
-    assertEquals(NOW - 50 * MS, view.confirmedAtNanos());
+    assertEquals(NOW_NANOS - 50 * MS, view.confirmedAtNanos());
     view.applySnapshot(
-        NOW,
+        NOW_NANOS,
         new RegistryListing(
             List.of(
                 RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 12),
                 RegistryFixtures.endpoint("b", EndpointState.UP, 2, 2)),
             "c",
             12,
-            NOW));
+            NOW_NANOS));
     assertEquals(List.of("[a~]"), takePublished());
   }
 
   @Test
-  void snapshotGivesTheReasonOfItsRefusal() {
-    Snapshot snapshot = new Snapshot("p/", "c", 10, NOW - 100 * MS, List.of());
-    assertEquals(Optional.empty(), snapshot.refusal(NOW, "p/", 200 * MS));
-    assertEquals(Optional.of("it is of the prefix p/"), snapshot.refusal(NOW, "q/", 200 * MS));
-    assertEquals(Optional.of("it is 0 s old"), snapshot.refusal(NOW, "p/", 50 * MS));
+  void rejectedSnapshotGivesTheReason() {
+    Snapshot snapshot = new Snapshot("p/", "c", 10, NOW_NANOS - 100 * MS, List.of());
+    assertEquals(Optional.empty(), snapshot.rejectionReason(NOW_NANOS, "p/", 200 * MS));
+    assertEquals(
+        Optional.of("its prefix is p/, expected q/"),
+        snapshot.rejectionReason(NOW_NANOS, "q/", 200 * MS));
+    assertEquals(
+        Optional.of("it is 0 s old, at most 0 s are allowed"),
+        snapshot.rejectionReason(NOW_NANOS, "p/", 50 * MS));
     assertEquals(
-        Optional.of("it is from the future"), snapshot.refusal(NOW - 5000 * MS, "p/", 200 * MS));
+        Optional.of("its timestamp is in the future"),
+        snapshot.rejectionReason(NOW_NANOS - 5000 * MS, "p/", 200 * MS));
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryEndpoints.java
@@ -7,8 +7,8 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * The endpoints of a {@link SeededRegistryWorld}: each answers, fails or keeps silent by its
- * behaviour, which changes at random. Commands are recorded as they are given.
+ * The endpoints of a {@link SeededRegistryWorld}. Each one responds, fails or stays silent by its
+ * behaviour, which changes at random. Commands are recorded when they are issued.
  */
 final class SeededRegistryEndpoints implements WatchCommands {
   private enum Behaviour {
@@ -22,19 +22,19 @@
     FLOODING
   }
 
-  /** A call as the registry has it. */
+  /** An open call, on the registry's side. */
   private static final class OpenCall {
     private final long id;
     private final int endpoint;
-    private final long from;
+    private final long fromRevision;
     private final List<RegistryEntry> listed = new ArrayList<>();
     private long listedCount;
     private int historyIndex = -1;
 
-    OpenCall(long id, int endpoint, long from) {
+    OpenCall(long id, int endpoint, long fromRevision) {
       this.id = id;
       this.endpoint = endpoint;
-      this.from = from;
+      this.fromRevision = fromRevision;
     }
   }
 
@@ -55,18 +55,18 @@
     Arrays.fill(failures, RegistryFailure.REFUSED);
   }
 
-  /** The gateway restarts: its calls are gone. */
-  void forgetCalls() {
+  /** Drops all calls when the gateway restarts. */
+  void dropCalls() {
     calls.clear();
   }
 
-  /** Something was written: watches bring it. */
-  void written() {
+  /** Schedules the delivery of a write to the watches and blocking reads. */
+  void deliverWrites() {
     for (OpenCall call : calls.values()) {
       if (call.historyIndex >= 0) {
-        world.plan(latency(call.endpoint), () -> bringChanges(call));
+        world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
       } else if (isBlockingRead(call)) {
-        world.plan(latency(call.endpoint), () -> answerBlockingRead(call, false));
+        world.schedule(latencyNanos(call.endpoint), () -> answerBlockingRead(call, false));
       }
     }
   }
@@ -75,25 +75,25 @@
     Behaviour[] all = Behaviour.values();
     behaviours[endpoint] =
         world.chance(0.55) ? Behaviour.HEALTHY : all[world.random.nextInt(all.length)];
-    RegistryFailure[] reasons = RegistryFailure.values();
-    failures[endpoint] = reasons[world.random.nextInt(reasons.length - 1)];
+    RegistryFailure[] allFailures = RegistryFailure.values();
+    failures[endpoint] = allFailures[world.random.nextInt(allFailures.length - 1)];
     outputs.count("behaviour " + behaviours[endpoint]);
     for (OpenCall call : calls.values()) {
       if (call.endpoint == endpoint && behaviours[endpoint] == Behaviour.HEALTHY) {
-        world.plan(latency(endpoint), () -> bringChanges(call));
+        world.schedule(latencyNanos(endpoint), () -> deliverChanges(call));
       }
     }
   }
 
   void outage() {
     outputs.count("event outage");
-    boolean silent = world.random.nextBoolean();
+    boolean isSilent = world.random.nextBoolean();
     for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
-      behaviours[endpoint] = silent ? Behaviour.SILENT : Behaviour.FAILING;
+      behaviours[endpoint] = isSilent ? Behaviour.SILENT : Behaviour.FAILING;
       failures[endpoint] = RegistryFailure.REFUSED;
     }
-    breakWatches(silent ? 0 : 1);
-    world.plan(
+    breakWatches(isSilent ? 0 : 1);
+    world.schedule(
         300 * MS + world.random.nextLong(4_000 * MS),
         () -> {
           for (int endpoint = 0; endpoint < world.setting.endpoints; endpoint++) {
@@ -108,22 +108,22 @@
     for (OpenCall call : List.copyOf(calls.values())) {
       if (call.historyIndex >= 0 && world.chance(share)) {
         calls.remove(call.id);
-        end(call, RegistryFailure.BROKEN, 0);
+        fail(call, RegistryFailure.BROKEN, 0);
       } else if (call.historyIndex >= 0) {
         call.historyIndex = Math.min(call.historyIndex, world.store.history().size());
       }
     }
   }
 
-  private long latency(int endpoint) {
-    long quick = (1 + 4L * endpoint) * MS + world.random.nextLong(8 * MS);
+  private long latencyNanos(int endpoint) {
+    long fastNanos = (1 + 4L * endpoint) * MS + world.random.nextLong(8 * MS);
     return behaviours[endpoint] == Behaviour.SLOW
         ? 30 * MS + world.random.nextLong(200 * MS)
-        : quick;
+        : fastNanos;
   }
 
   private boolean isBlockingRead(OpenCall call) {
-    return world.setting == SeededRegistryWorld.Setting.BLOCKING && call.from > 0;
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING && call.fromRevision > 0;
   }
 
   private Header header(int endpoint) {
@@ -139,30 +139,33 @@
     return new Header(cluster, revision);
   }
 
-  /** Whether the endpoint fails the call or says nothing to it. */
-  private boolean fails(OpenCall call) {
+  /**
+   * Fails the call if the endpoint's behaviour says so. Returns whether the call was failed or
+   * stays unanswered.
+   */
+  private boolean failsOrIgnores(OpenCall call) {
     if (behaviours[call.endpoint] == Behaviour.SILENT) {
       return true;
     }
     if (behaviours[call.endpoint] == Behaviour.FAILING) {
-      RegistryFailure why = failures[call.endpoint];
+      RegistryFailure failure = failures[call.endpoint];
       boolean asksToWait =
-          why == RegistryFailure.THROTTLED
-              || (why == RegistryFailure.UNAVAILABLE && world.chance(0.3));
+          failure == RegistryFailure.THROTTLED
+              || (failure == RegistryFailure.UNAVAILABLE && world.chance(0.3));
       calls.remove(call.id);
-      end(call, why, asksToWait ? world.random.nextLong(800 * MS) : 0);
+      fail(call, failure, asksToWait ? world.random.nextLong(800 * MS) : 0);
       return true;
     }
     return false;
   }
 
-  private void end(OpenCall call, RegistryFailure why, long retryAfter) {
-    outputs.count("failure " + why);
-    world.session.callFailed(world.now, call.id, why, retryAfter);
+  private void fail(OpenCall call, RegistryFailure failure, long retryAfterNanos) {
+    outputs.count("failure " + failure);
+    world.session.callFailed(world.nowNanos, call.id, failure, retryAfterNanos);
   }
 
-  private OpenCall ask(long id, int endpoint, long from) {
-    OpenCall call = new OpenCall(id, endpoint, from);
+  private OpenCall openCall(long id, int endpoint, long fromRevision) {
+    OpenCall call = new OpenCall(id, endpoint, fromRevision);
     calls.put(id, call);
     return call;
   }
@@ -172,160 +175,174 @@
   }
 
   @Override
-  public void heartbeat(long id, int endpoint) {
-    outputs.record("pulse", id, endpoint);
-    OpenCall call = ask(id, endpoint, 0);
-    world.plan(latency(endpoint), () -> answerPulse(call));
+  public void heartbeat(long callId, int endpoint) {
+    outputs.record("pulse", callId, endpoint);
+    OpenCall call = openCall(callId, endpoint, 0);
+    world.schedule(latencyNanos(endpoint), () -> answerHeartbeat(call));
   }
 
-  private void answerPulse(OpenCall call) {
-    if (isOpen(call) && !fails(call)) {
+  private void answerHeartbeat(OpenCall call) {
+    if (isOpen(call) && !failsOrIgnores(call)) {
       calls.remove(call.id);
       Header header = header(call.endpoint);
-      long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tip();
-      world.session.heartbeatReceived(world.now, call.id, header, Math.min(tip, header.revision()));
+      long tip = behaviours[call.endpoint] == Behaviour.FOREIGN ? 899 : world.store.tipRevision();
+      world.session.heartbeatReceived(
+          world.nowNanos, call.id, header, Math.min(tip, header.revision()));
     }
   }
 
   @Override
-  public void list(long id, int endpoint, long revision, String after, long since, int limit) {
-    outputs.record("list", id, endpoint, revision, after, since, limit);
-    outputs.count(since == 0 ? "list of all keys" : "list of what was written since");
+  public void list(
+      long callId, int endpoint, long revision, String afterKey, long sinceRevision, int pageSize) {
+    outputs.record("list", callId, endpoint, revision, afterKey, sinceRevision, pageSize);
+    outputs.count(sinceRevision == 0 ? "list of all keys" : "list of what was written since");
     outputs.count(revision == 0 ? "first page" : "next page");
-    outputs.count(limit > 1000 ? "page of larger size" : "page of first size");
-    OpenCall call = revision == 0 ? ask(id, endpoint, 0) : calls.get(id);
-    world.plan(latency(endpoint), () -> answerList(call, revision, after, since, limit));
+    outputs.count(pageSize > 1000 ? "page of larger size" : "page of first size");
+    OpenCall call = revision == 0 ? openCall(callId, endpoint, 0) : calls.get(callId);
+    world.schedule(
+        latencyNanos(endpoint),
+        () -> answerList(call, revision, afterKey, sinceRevision, pageSize));
   }
 
-  private void answerList(OpenCall call, long revision, String after, long since, int limit) {
-    if (!isOpen(call) || fails(call)) {
+  private void answerList(
+      OpenCall call, long revision, String afterKey, long sinceRevision, int pageSize) {
+    if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.FLOODING) {
-      flood(call, after);
+      answerEndlessPage(call, afterKey);
       return;
     }
     if (revision > 0 && world.store.isCompacted(revision)) {
       outputs.count("event list compacted");
       calls.remove(call.id);
-      world.session.compacted(world.now, call.id);
+      world.session.compacted(world.nowNanos, call.id);
       return;
     }
     if (revision == 0) {
-      boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+      boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
       call.listed.addAll(
-          foreign ? world.store.foreignEntries() : world.store.writtenSince(keysSince(since)));
-      call.listedCount = foreign ? call.listed.size() : world.store.count();
+          isForeign
+              ? world.store.foreignEntries()
+              : world.store.entriesWrittenSince(effectiveSinceRevision(sinceRevision)));
+      call.listedCount = isForeign ? call.listed.size() : world.store.count();
     }
-    List<RegistryEntry> rest =
-        call.listed.stream().filter(entry -> entry.key().compareTo(after) > 0).toList();
-    int size = Math.min(limit, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
-    boolean more = rest.size() > size;
-    List<RegistryEntry> page = rest.subList(0, Math.min(size, rest.size()));
-    if (!more) {
+    List<RegistryEntry> remaining =
+        call.listed.stream().filter(entry -> entry.key().compareTo(afterKey) > 0).toList();
+    int size = Math.min(pageSize, world.chance(0.5) ? 1000 : 1 + world.random.nextInt(30));
+    boolean hasMore = remaining.size() > size;
+    List<RegistryEntry> page = remaining.subList(0, Math.min(size, remaining.size()));
+    if (!hasMore) {
       calls.remove(call.id);
     }
     long count = world.setting == SeededRegistryWorld.Setting.BLOCKING ? -1 : call.listedCount;
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, more, count);
+    world.session.pageReceived(
+        world.nowNanos, call.id, header(call.endpoint), page, hasMore, count);
   }
 
-  private long keysSince(long since) {
-    return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : since;
+  private long effectiveSinceRevision(long sinceRevision) {
+    return world.setting == SeededRegistryWorld.Setting.BLOCKING ? 0 : sinceRevision;
   }
 
-  /** A list without end. */
-  private void flood(OpenCall call, String after) {
-    int first = after.startsWith("p/x") ? Integer.parseInt(after.substring(3)) + 1 : 0;
+  /** Returns a page of an endless list. */
+  private void answerEndlessPage(OpenCall call, String afterKey) {
+    int first = afterKey.startsWith("p/x") ? Integer.parseInt(afterKey.substring(3)) + 1 : 0;
     List<RegistryEntry> page = new ArrayList<>();
     for (int number = first; number < first + 400; number++) {
       String key = String.format("p/x%06d", number);
       page.add(new RegistryEntry(key, new RegistryRecord.Other(), 1, 1));
     }
     outputs.count("event flood");
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), page, true, 1_000_000);
+    world.session.pageReceived(
+        world.nowNanos, call.id, header(call.endpoint), page, true, 1_000_000);
   }
 
   @Override
-  public void watch(long id, int endpoint, long from) {
-    outputs.record("watch", id, endpoint, from);
-    OpenCall call = ask(id, endpoint, Math.max(1, from));
+  public void watch(long callId, int endpoint, long fromRevision) {
+    outputs.record("watch", callId, endpoint, fromRevision);
+    OpenCall call = openCall(callId, endpoint, Math.max(1, fromRevision));
     if (world.setting == SeededRegistryWorld.Setting.BLOCKING) {
-      world.plan(latency(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
-      world.plan(SeededRegistryWorld.BLOCKING_TIME, () -> answerBlockingRead(call, true));
+      world.schedule(latencyNanos(endpoint), () -> answerBlockingRead(call, world.chance(0.05)));
+      world.schedule(SeededRegistryWorld.BLOCKING_TIME_NANOS, () -> answerBlockingRead(call, true));
     } else {
-      world.plan(latency(endpoint), () -> openWatch(call));
+      world.schedule(latencyNanos(endpoint), () -> openWatch(call));
     }
   }
 
   private void openWatch(OpenCall call) {
-    if (!isOpen(call) || fails(call)) {
+    if (!isOpen(call) || failsOrIgnores(call)) {
       return;
     }
-    if (world.store.isCompacted(call.from)) {
+    if (world.store.isCompacted(call.fromRevision)) {
       outputs.count("event watch compacted");
       calls.remove(call.id);
-      world.session.compacted(world.now, call.id);
+      world.session.compacted(world.nowNanos, call.id);
       return;
     }
-    call.historyIndex = world.store.historyIndex(call.from);
+    call.historyIndex = world.store.historyIndex(call.fromRevision);
     if (world.chance(0.02)) {
-      world.session.eventsReceived(world.now, call.id, header(call.endpoint), List.of(), false);
+      world.session.eventsReceived(
+          world.nowNanos, call.id, header(call.endpoint), List.of(), false);
     }
-    world.session.watchOpened(world.now, call.id, header(call.endpoint));
-    world.plan(latency(call.endpoint), () -> bringChanges(call));
+    world.session.watchOpened(world.nowNanos, call.id, header(call.endpoint));
+    world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
   }
 
-  private void bringChanges(OpenCall call) {
+  private void deliverChanges(OpenCall call) {
     Behaviour behaviour = behaviours[call.endpoint];
-    boolean silent = behaviour == Behaviour.SILENT || behaviour == Behaviour.WATCH_SILENT;
-    if (!isOpen(call) || call.historyIndex < 0 || silent || fails(call)) {
+    boolean isSilent = behaviour == Behaviour.SILENT || behaviour == Behaviour.WATCH_SILENT;
+    if (!isOpen(call) || call.historyIndex < 0 || isSilent || failsOrIgnores(call)) {
       return;
     }
     List<WatchEvent> history = world.store.history();
     Header header = header(call.endpoint);
     if (behaviour == Behaviour.FLOODING) {
       List<WatchEvent> flood = history.subList(Math.max(0, history.size() - 50), history.size());
-      world.session.eventsReceived(world.now, call.id, header, List.copyOf(flood), true);
-      world.plan(5 * MS, () -> bringChanges(call));
+      world.session.eventsReceived(world.nowNanos, call.id, header, List.copyOf(flood), true);
+      world.schedule(5 * MS, () -> deliverChanges(call));
       return;
     }
-    int from = call.historyIndex;
-    if (from >= history.size()) {
+    int fromIndex = call.historyIndex;
+    if (fromIndex >= history.size()) {
       if (world.chance(0.2)) {
         outputs.count("event progress");
-        world.session.eventsReceived(world.now, call.id, header, List.of(), false);
+        world.session.eventsReceived(world.nowNanos, call.id, header, List.of(), false);
       }
       return;
     }
-    int to =
-        world.chance(0.3) ? from + 1 + world.random.nextInt(history.size() - from) : history.size();
-    call.historyIndex = to;
+    int toIndex =
+        world.chance(0.3)
+            ? fromIndex + 1 + world.random.nextInt(history.size() - fromIndex)
+            : history.size();
+    call.historyIndex = toIndex;
     boolean partial =
-        to < history.size() && history.get(to - 1).revision() == history.get(to).revision();
+        toIndex < history.size()
+            && history.get(toIndex - 1).revision() == history.get(toIndex).revision();
     outputs.count(partial ? "event partial frame" : "event frame");
     world.session.eventsReceived(
-        world.now, call.id, header, List.copyOf(history.subList(from, to)), partial);
-    world.plan(latency(call.endpoint), () -> bringChanges(call));
+        world.nowNanos, call.id, header, List.copyOf(history.subList(fromIndex, toIndex)), partial);
+    world.schedule(latencyNanos(call.endpoint), () -> deliverChanges(call));
   }
 
-  private void answerBlockingRead(OpenCall call, boolean unchangedToo) {
-    if (!isOpen(call) || !isBlockingRead(call) || fails(call)) {
+  private void answerBlockingRead(OpenCall call, boolean evenIfUnchanged) {
+    if (!isOpen(call) || !isBlockingRead(call) || failsOrIgnores(call)) {
       return;
     }
     if (behaviours[call.endpoint] == Behaviour.WATCH_SILENT
-        || (!unchangedToo && world.store.revision() < call.from)) {
+        || (!evenIfUnchanged && world.store.revision() < call.fromRevision)) {
       return;
     }
     calls.remove(call.id);
     outputs.count("event blocking read");
-    boolean foreign = behaviours[call.endpoint] == Behaviour.FOREIGN;
-    List<RegistryEntry> all = foreign ? world.store.foreignEntries() : world.store.writtenSince(0);
-    world.session.pageReceived(world.now, call.id, header(call.endpoint), all, false, -1);
+    boolean isForeign = behaviours[call.endpoint] == Behaviour.FOREIGN;
+    List<RegistryEntry> all =
+        isForeign ? world.store.foreignEntries() : world.store.entriesWrittenSince(0);
+    world.session.pageReceived(world.nowNanos, call.id, header(call.endpoint), all, false, -1);
   }
 
   @Override
-  public void cancel(long id) {
-    outputs.record("drop", id);
-    calls.remove(id);
+  public void cancel(long callId) {
+    outputs.record("drop", callId);
+    calls.remove(callId);
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
+++ b/registry/src/test/java/org/amberpath/registry/SeededRegistryWorld.java
@@ -7,22 +7,22 @@
 import org.amberpath.registry.WatchSession.Header;
 
 /**
- * One watch session among seeded random endpoints, failures, writes, compactions, restored
- * registries and restarts, without I/O or clock. Every command, every log line and everything that
- * is published is recorded by {@link RecordedOutputs}, and the session's state after each step.
+ * Runs a watch session against seeded random endpoints, failures, writes, compactions, restored
+ * registries and restarts, without I/O or a real clock. {@link RecordedOutputs} records each
+ * command, each log line, everything that is published, and the session's state after each step.
  */
 final class SeededRegistryWorld {
-  /** How many endpoints there are, how watches come, and how often the gateway restarts. */
+  /** Number of endpoints, kind of watches, limits, and how often the gateway restarts. */
   enum Setting {
-    /** One endpoint, few keys allowed. */
+    /** One endpoint, at most 25 keys. */
     SINGLE(1, 25, 30_000),
     /** Three endpoints, streaming watches. */
     THREE(3, 120, 30_000),
-    /** Nine endpoints, purges that are kept for a short time. */
+    /** Nine endpoints, purges that are retained for two seconds only. */
     NINE(9, 120, 2_000),
     /** Three endpoints without cluster ids, whose watches are blocking reads. */
     BLOCKING(3, 120, 30_000),
-    /** Three endpoints, a restart each few seconds, mostly from a snapshot. */
+    /** Three endpoints, a restart every few seconds, mostly from a snapshot. */
     RESTARTS(3, 120, 30_000);
 
     final int endpoints;
@@ -36,44 +36,46 @@
     }
   }
 
-  private record Planned(long at, long order, Runnable event) {}
+  private record ScheduledEvent(long atNanos, long order, Runnable event) {}
 
   private static final long MS = 1_000_000;
-  private static final long START = 1_700_000_000_000L * MS;
-  private static final long DURATION = 300_000 * MS;
-  static final long BLOCKING_TIME = 3_000 * MS;
+  private static final long START_NANOS = 1_700_000_000_000L * MS;
+  private static final long DURATION_NANOS = 300_000 * MS;
+  static final long BLOCKING_TIME_NANOS = 3_000 * MS;
 
-  /** What came of it. */
+  /** The recorded outputs. */
   final RecordedOutputs outputs = new RecordedOutputs();
 
   final Setting setting;
   final SplittableRandom random;
-  private final PriorityQueue<Planned> planned =
-      new PriorityQueue<>(Comparator.comparingLong(Planned::at).thenComparingLong(Planned::order));
+  private final PriorityQueue<ScheduledEvent> scheduled =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledEvent::atNanos)
+              .thenComparingLong(ScheduledEvent::order));
   private final SeededRegistryEndpoints endpoints;
   final SeededRegistryStore store;
   WatchSession session;
   private RegistryView view;
   private Snapshot snapshot;
-  long now = START;
-  private long order;
+  long nowNanos = START_NANOS;
+  private long scheduledCount;
 
   SeededRegistryWorld(Setting setting, long seed) {
     this.setting = setting;
     random = new SplittableRandom(seed * 31 + setting.endpoints + setting.retentionMillis);
-    store = new SeededRegistryStore(random, 40, START / MS);
+    store = new SeededRegistryStore(random, 40, START_NANOS / MS);
     endpoints = new SeededRegistryEndpoints(this, outputs);
   }
 
-  /** Plays the whole time; the digest of all outputs, as hexadecimal digits. */
-  String play() {
+  /** Runs the simulation to its end and returns the digest of all outputs as hexadecimal digits. */
+  String run() {
     for (int write = 0; write < 30; write++) {
-      store.write(START / MS);
+      store.write(START_NANOS / MS);
     }
     store.takeBackup();
     restart();
-    plan(0, this::changeSomething);
-    while (now < START + DURATION) {
+    schedule(0, this::changeSomething);
+    while (nowNanos < START_NANOS + DURATION_NANOS) {
       step();
       recordState();
     }
@@ -81,26 +83,26 @@
   }
 
   private void step() {
-    long due = Math.max(session.nextTickNanos(), now + MS);
-    if (!planned.isEmpty() && planned.peek().at <= due) {
-      Planned next = planned.poll();
-      now = Math.max(now, next.at);
+    long dueNanos = Math.max(session.nextTickNanos(), nowNanos + MS);
+    if (!scheduled.isEmpty() && scheduled.peek().atNanos <= dueNanos) {
+      ScheduledEvent next = scheduled.poll();
+      nowNanos = Math.max(nowNanos, next.atNanos);
       next.event.run();
     } else {
-      // A timer fires late, now and then by much.
-      now = due + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
-      session.tick(now);
+      // A timer fires up to a millisecond late, and occasionally up to 2.5 seconds late.
+      nowNanos = dueNanos + (chance(0.003) ? random.nextLong(2_500 * MS) : random.nextLong(MS));
+      session.tick(nowNanos);
     }
   }
 
-  void plan(long delay, Runnable event) {
-    planned.add(new Planned(now + delay, ++order, event));
+  void schedule(long delayNanos, Runnable event) {
+    scheduled.add(new ScheduledEvent(nowNanos + delayNanos, ++scheduledCount, event));
   }
 
-  // ---- What changes.
+  // ---- Random changes.
 
   private void changeSomething() {
-    plan(MS + random.nextLong(80 * MS), this::changeSomething);
+    schedule(MS + random.nextLong(80 * MS), this::changeSomething);
     if (chance(0.25)) {
       write(1);
     }
@@ -135,10 +137,10 @@
     }
     if (chance(0.003)) {
       outputs.count("event reload");
-      session.settingsReloaded(now);
+      session.settingsReloaded(nowNanos);
     }
     if (chance(0.01)) {
-      strayAnswer();
+      passInStrayAnswer();
     }
     if (view.hasData() && session.phase() == WatchSession.Phase.CURRENT && chance(0.02)) {
       snapshot =
@@ -156,31 +158,35 @@
 
   private void write(int transactions) {
     for (int write = 0; write < transactions; write++) {
-      store.write(now / MS);
+      store.write(nowNanos / MS);
     }
-    endpoints.written();
+    endpoints.deliverWrites();
   }
 
-  /** An answer to a call that is over, or of a kind that it was not made for. */
-  private void strayAnswer() {
-    long id = Math.max(1, order % 200);
+  /** Passes in a response to a call that has ended or is of another kind. */
+  private void passInStrayAnswer() {
+    long id = Math.max(1, scheduledCount % 200);
     Header header = new Header(store.cluster(), store.revision());
     outputs.count("event stray answer");
     switch (random.nextInt(5)) {
-      case 0 -> session.heartbeatReceived(now, id, header, store.tip());
-      case 1 -> session.pageReceived(now, id, header, List.of(), false, 0);
-      case 2 -> session.watchOpened(now, id, header);
-      case 3 -> session.eventsReceived(now, id, header, List.of(), false);
-      default -> session.callFailed(now, id, RegistryFailure.BROKEN, 0);
+      case 0 -> session.heartbeatReceived(nowNanos, id, header, store.tipRevision());
+      case 1 -> session.pageReceived(nowNanos, id, header, List.of(), false, 0);
+      case 2 -> session.watchOpened(nowNanos, id, header);
+      case 3 -> session.eventsReceived(nowNanos, id, header, List.of(), false);
+      default -> session.callFailed(nowNanos, id, RegistryFailure.BROKEN, 0);
     }
   }
 
   private void restart() {
-    endpoints.forgetCalls();
-    long retention = setting.retentionMillis * MS;
+    endpoints.dropCalls();
+    long retentionNanos = setting.retentionMillis * MS;
     view =
         new RegistryView(
-            outputs, SeededRegistryStore.TIP_KEY, setting.maxKeys, retention, outputs::complaint);
+            outputs,
+            SeededRegistryStore.TIP_KEY,
+            setting.maxKeys,
+            retentionNanos,
+            outputs::recordViewLogLine);
     session =
         new WatchSession(
             view,
@@ -188,14 +194,14 @@
             new WatchSessionConfig(
                 setting.endpoints,
                 setting.maxKeys,
-                setting == Setting.BLOCKING ? BLOCKING_TIME : 0,
+                setting == Setting.BLOCKING ? BLOCKING_TIME_NANOS : 0,
                 random.nextLong()),
-            outputs::note);
-    session.tick(now);
+            outputs::recordSessionLogLine);
+    session.tick(nowNanos);
     if (snapshot != null && chance(0.8)) {
       outputs.count("event restart from snapshot");
       view.restoreSnapshot(
-          now,
+          nowNanos,
           new RegistryListing(
               snapshot.entries(),
               snapshot.cluster(),
@@ -204,12 +210,12 @@
     } else {
       outputs.count("event restart");
     }
-    WatchSession begun = session;
-    plan(
+    WatchSession startedSession = session;
+    schedule(
         random.nextLong(20 * MS),
         () -> {
-          if (session == begun) {
-            begun.start(now);
+          if (session == startedSession) {
+            startedSession.start(nowNanos);
           }
         });
   }
@@ -219,11 +225,11 @@
     outputs.count("phase " + phase);
     outputs.record(
         "state",
-        now - START,
+        nowNanos - START_NANOS,
         phase,
         session.watchCount(),
         session.openCallCount(),
-        session.nextTickNanos() - START);
+        session.nextTickNanos() - START_NANOS);
     outputs.record(
         "view",
         view.hasData(),
--- a/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
+++ b/registry/src/test/java/org/amberpath/registry/WatchSessionTest.java
@@ -14,13 +14,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What is requested from which endpoint when the registry fails, a test for each failure. */
+/**
+ * Tests which requests a session sends to which endpoint when the registry fails, one test per
+ * failure.
+ */
 class WatchSessionTest {
   private static final long MS = 1_000_000;
-  private static final long START = 1_000_000_000_000L * MS;
+  private static final long START_NANOS = 1_000_000_000_000L * MS;
 
-  /** A command that was given; from is a watch's revision or a list's since. */
-  private record Command(String what, long call, int endpoint, long from) {}
+  /** A recorded command; {@code from} is a watch's start revision or a list's lower bound. */
+  private record Command(String kind, long call, int endpoint, long from) {}
 
   private final List<String> published = new ArrayList<>();
   private final List<String> logged = new ArrayList<>();
@@ -28,9 +31,9 @@
   private final List<Long> cancelled = new ArrayList<>();
   private final RegistryView view =
       new RegistryView(
-          new PublishedLists(published, START / MS), "p/tip", 100, 60_000 * MS, logged::add);
+          new PublishedLists(published, START_NANOS / MS), "p/tip", 100, 60_000 * MS, logged::add);
   private WatchSession session;
-  private long now = START;
+  private long nowNanos = START_NANOS;
 
   private final WatchCommands recorder =
       new WatchCommands() {
@@ -59,70 +62,73 @@
   private void start(int endpoints) {
     session =
         new WatchSession(view, recorder, new WatchSessionConfig(endpoints, 100, 0, 5), logged::add);
-    session.start(now);
+    session.start(nowNanos);
   }
 
-  private List<Command> take(String what) {
-    List<Command> found = commands.stream().filter(one -> one.what.equals(what)).toList();
+  private List<Command> takeCommands(String kind) {
+    List<Command> found = commands.stream().filter(command -> command.kind.equals(kind)).toList();
     commands.removeAll(found);
     return found;
   }
 
-  /** The last of these commands. */
-  private Command last(String what) {
-    List<Command> all = take(what);
+  /** Removes the recorded commands of this kind and returns the last one. */
+  private Command takeLastCommand(String kind) {
+    List<Command> all = takeCommands(kind);
     return all.get(all.size() - 1);
   }
 
-  /** Lets time pass; heartbeats are answered as the registry would, where the predicate allows. */
-  private void pass(long ms, Predicate<Command> answers, long revision, long tip) {
-    long end = now + ms * MS;
-    while (now < end) {
-      now = Math.min(end, Math.max(now + MS, session.nextTickNanos()));
-      session.tick(now);
-      for (Command heartbeat : take("heartbeat")) {
+  /**
+   * Advances time by the given milliseconds, and answers the heartbeats that the predicate accepts
+   * with the given revisions.
+   */
+  private void advance(long ms, Predicate<Command> answers, long revision, long tip) {
+    long endNanos = nowNanos + ms * MS;
+    while (nowNanos < endNanos) {
+      nowNanos = Math.min(endNanos, Math.max(nowNanos + MS, session.nextTickNanos()));
+      session.tick(nowNanos);
+      for (Command heartbeat : takeCommands("heartbeat")) {
         if (answers.test(heartbeat)) {
-          session.heartbeatReceived(now, heartbeat.call, new Header("c", revision), tip);
+          session.heartbeatReceived(nowNanos, heartbeat.call, new Header("c", revision), tip);
         }
       }
     }
   }
 
-  private void list(Command list, long revision, RegistryEntry... all) {
+  private void answerList(Command list, long revision, RegistryEntry... entries) {
     session.pageReceived(
-        now, list.call, new Header("c", revision), List.of(all), false, all.length);
+        nowNanos, list.call, new Header("c", revision), List.of(entries), false, entries.length);
   }
 
-  /** Three endpoints, a list of one cache, two watches. */
-  private List<Command> watching() {
-    return watching(3);
+  /** Starts a session with three endpoints, one listed cache and two open watches. */
+  private List<Command> startWithOpenWatches() {
+    return startWithOpenWatches(3);
   }
 
-  private List<Command> watching(int endpoints) {
+  private List<Command> startWithOpenWatches(int endpoints) {
     start(endpoints);
-    list(
-        take("list").get(0),
+    answerList(
+        takeCommands("list").get(0),
         10,
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 9),
         RegistryFixtures.tip(9));
-    List<Command> watches = take("watch");
-    watches.forEach(watch -> session.watchOpened(now, watch.call, new Header("c", 10)));
+    List<Command> watches = takeCommands("watch");
+    watches.forEach(watch -> session.watchOpened(nowNanos, watch.call, new Header("c", 10)));
     published.clear();
     return watches;
   }
 
-  @SuppressWarnings("UnnecessaryLambda") // Named, so that a call says what it lets pass.
-  private static final Predicate<Command> ALL = command -> true;
+  @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
+  private static final Predicate<Command> ANSWER_ALL = command -> true;
 
-  @SuppressWarnings("UnnecessaryLambda") // Likewise.
-  private static final Predicate<Command> NONE = command -> false;
+  @SuppressWarnings("UnnecessaryLambda") // Named for readability at the call sites.
+  private static final Predicate<Command> ANSWER_NONE = command -> false;
 
   @Test
   void listIsReadFirstThenTwoEndpointsAreWatchedFromTheNextRevision() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     assertEquals(2, watches.size());
     assertNotEquals(watches.get(0).endpoint, watches.get(1).endpoint);
-    assertTrue(watches.stream().allMatch(one -> one.from == 11));
+    assertTrue(watches.stream().allMatch(command -> command.from == 11));
     assertEquals(Phase.CURRENT, session.phase());
   }
 
@@ -131,18 +137,18 @@
     List<Integer> first = new ArrayList<>();
     for (int seed = 0; seed < 20; seed++) {
       new WatchSession(view, recorder, new WatchSessionConfig(3, 100, 0, seed), logged::add)
-          .start(now);
-      first.add(take("list").get(0).endpoint);
+          .start(nowNanos);
+      first.add(takeCommands("list").get(0).endpoint);
     }
     assertEquals(3, first.stream().distinct().count());
   }
 
   @Test
   void partialFrameIsReplayedOnceItsRevisionIsComplete() {
-    Command watch = watching().get(0);
+    Command watch = startWithOpenWatches().get(0);
     Header header = new Header("c", 12);
     session.eventsReceived(
-        now,
+        nowNanos,
         watch.call,
         header,
         List.of(
@@ -150,7 +156,7 @@
         true);
     assertEquals(List.of(), published);
     session.eventsReceived(
-        now,
+        nowNanos,
         watch.call,
         header,
         List.of(RegistryFixtures.put(RegistryFixtures.endpoint("b", EndpointState.UP, 11, 11))),
@@ -160,51 +166,51 @@
 
   @Test
   void brokenWatchResumesAtTheNextRevision() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
-        now,
+        nowNanos,
         watches.get(0).call,
         new Header("c", 14),
         List.of(
             RegistryFixtures.put(RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 14))),
         false);
-    session.callFailed(now, watches.get(0).call, RegistryFailure.BROKEN, 0);
-    pass(200, ALL, 14, 9);
-    assertEquals(15, take("watch").get(0).from);
+    session.callFailed(nowNanos, watches.get(0).call, RegistryFailure.BROKEN, 0);
+    advance(200, ANSWER_ALL, 14, 9);
+    assertEquals(15, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void watchResyncAfterCompactionReadsWhatWasWrittenSince() {
-    Command watch = watching().get(0);
-    session.compacted(now, watch.call);
-    Command list = take("list").get(0);
+  void watchResyncAfterCompactionListsTheKeysWrittenSince() {
+    Command watch = startWithOpenWatches().get(0);
+    session.compacted(nowNanos, watch.call);
+    Command list = takeCommands("list").get(0);
     assertEquals(11, list.from);
-    list(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
-    assertEquals(List.of(), published, "the count tells that a key is missing");
-    Command whole = take("list").get(0);
-    assertEquals(0, whole.from);
-    list(whole, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    answerList(list, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
+    assertEquals(List.of(), published, "the key count shows that a deletion was missed");
+    Command fullList = takeCommands("list").get(0);
+    assertEquals(0, fullList.from);
+    answerList(fullList, 30, RegistryFixtures.endpoint("a", EndpointState.DRAINING, 1, 22));
     assertEquals(List.of("[a~]"), published);
-    assertEquals(31, take("watch").get(0).from);
+    assertEquals(31, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void drainIsReadInTimeWhicheverEndpointAnswersThoughAllWatchesAreSilent() {
-    for (int alive = 0; alive < 5; alive++) {
+  void drainIsAppliedInTimeWhicheverEndpointRespondsWhileAllWatchesAreSilent() {
+    for (int index = 0; index < 5; index++) {
       WatchSessionTest scenario = new WatchSessionTest();
-      scenario.watching(5);
-      int only = alive;
-      scenario.pass(1000, ALL, 10, 9);
-      long committed = scenario.now + MS;
-      // From here on all but one endpoint of five are silent, and their watches stay open.
-      // A heartbeat's period, that of all failovers, and the time that a watch has; answers take
-      // no time here.
-      while (scenario.published.isEmpty() && scenario.now - committed < 240 * MS) {
-        scenario.pass(1, one -> one.endpoint == only, 11, 11);
-        for (Command list : scenario.take("list")) {
-          if (list.endpoint == only) {
+      scenario.startWithOpenWatches(5);
+      int responding = index;
+      scenario.advance(1000, ANSWER_ALL, 10, 9);
+      long committedAtNanos = scenario.nowNanos + MS;
+      // From here on all but one of five endpoints are silent, and their watches stay open. The
+      // limit of 240 ms is the sum of a heartbeat period, the failovers through all endpoints, and
+      // the time that a watch has to deliver a change; responses take no time here.
+      while (scenario.published.isEmpty() && scenario.nowNanos - committedAtNanos < 240 * MS) {
+        scenario.advance(1, command -> command.endpoint == responding, 11, 11);
+        for (Command list : scenario.takeCommands("list")) {
+          if (list.endpoint == responding) {
             scenario.session.pageReceived(
-                scenario.now,
+                scenario.nowNanos,
                 list.call,
                 new Header("c", 11),
                 List.of(
@@ -215,106 +221,117 @@
           }
         }
       }
-      assertEquals(List.of("[a~]"), scenario.published, "endpoint " + only + " alone");
+      assertEquals(
+          List.of("[a~]"), scenario.published, "only endpoint " + responding + " responds");
     }
   }
 
   @Test
   void watchBehindTheTipOfAHeartbeatIsReplaced() {
-    List<Command> watches = watching();
+    List<Command> watches = startWithOpenWatches();
     session.eventsReceived(
-        now,
+        nowNanos,
         watches.get(0).call,
         new Header("c", 11),
         List.of(RegistryFixtures.put(RegistryFixtures.tip(11))),
         false);
-    pass(300, ALL, 11, 11);
+    advance(300, ANSWER_ALL, 11, 11);
     assertEquals(List.of(watches.get(1).call), cancelled);
-    assertTrue(take("watch").stream().anyMatch(one -> one.from == 12));
+    String line = "endpoint " + watches.get(1).endpoint + ": WATCH failed: LAGGING";
+    assertTrue(logged.contains(line), logged::toString);
+    assertTrue(takeCommands("watch").stream().anyMatch(command -> command.from == 12));
   }
 
   @Test
   void singleStaleHeartbeatChangesNothing() {
-    watching();
-    pass(500, ALL, 10, 9);
-    boolean[] once = {true};
-    pass(2000, one -> true, 10, 9);
-    now += MS;
-    session.tick(now);
-    pass(
+    startWithOpenWatches();
+    advance(500, ANSWER_ALL, 10, 9);
+    boolean[] sendsStale = {true};
+    advance(2000, command -> true, 10, 9);
+    nowNanos += MS;
+    session.tick(nowNanos);
+    advance(
         110,
-        one -> {
-          boolean old = once[0];
-          once[0] = false;
-          if (old) {
-            session.heartbeatReceived(now, one.call, new Header("c", 4), 4);
+        command -> {
+          boolean isStale = sendsStale[0];
+          sendsStale[0] = false;
+          if (isStale) {
+            session.heartbeatReceived(nowNanos, command.call, new Header("c", 4), 4);
           }
-          return !old;
+          return !isStale;
         },
         10,
         9);
-    pass(1000, ALL, 10, 9);
-    assertEquals(List.of(), take("list"));
+    advance(1000, ANSWER_ALL, 10, 9);
+    assertEquals(List.of(), takeCommands("list"));
   }
 
   @Test
   void revisionsThatGoBackTwiceAreANewHistory() {
-    watching();
-    pass(500, ALL, 10, 9);
-    pass(300, ALL, 4, 4);
-    Command whole = last("list");
-    assertEquals(0, whole.from);
-    list(whole, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
+    startWithOpenWatches();
+    advance(500, ANSWER_ALL, 10, 9);
+    advance(300, ANSWER_ALL, 4, 4);
+    Command fullList = takeLastCommand("list");
+    assertEquals(0, fullList.from);
+    answerList(fullList, 4, RegistryFixtures.endpoint("b", EndpointState.UP, 3, 4));
     assertEquals("=[b+]", published.get(0));
-    assertEquals(5, take("watch").get(0).from);
+    assertTrue(
+        logged.contains("revisions went back from 10 to 4; requesting all keys again"),
+        logged::toString);
+    assertEquals(5, takeCommands("watch").get(0).from);
   }
 
   @Test
-  void endpointOfAnotherClusterIsPassedOver() {
-    watching();
-    pass(
+  void endpointOfAnotherClusterIsIgnored() {
+    startWithOpenWatches();
+    advance(
         20_000,
-        one -> {
-          if (one.endpoint == 2) {
-            session.heartbeatReceived(now, one.call, new Header("other", 900), 900);
+        command -> {
+          if (command.endpoint == 2) {
+            session.heartbeatReceived(nowNanos, command.call, new Header("other", 900), 900);
           }
-          return one.endpoint != 2;
+          return command.endpoint != 2;
         },
         10,
         9);
-    assertEquals(List.of(), take("list"));
+    assertEquals(List.of(), takeCommands("list"));
     assertEquals(List.of(), published);
+    String line = "endpoint 2: response discarded, it has the id of another cluster: 'other'";
+    assertTrue(logged.contains(line), logged::toString);
   }
 
   @Test
   void anotherClusterAtMostEndpointsIsANewHistory() {
-    watching();
-    pass(
+    startWithOpenWatches();
+    advance(
         600,
-        one -> {
-          session.heartbeatReceived(now, one.call, new Header("other", 5), 5);
+        command -> {
+          session.heartbeatReceived(nowNanos, command.call, new Header("other", 5), 5);
           return false;
         },
         0,
         0);
-    Command whole = last("list");
-    session.pageReceived(now, whole.call, new Header("other", 5), List.of(), false, 0);
-    assertEquals(List.of("=[]", "purged 0/-1 " + (now - START) / MS), published);
+    Command fullList = takeLastCommand("list");
+    session.pageReceived(nowNanos, fullList.call, new Header("other", 5), List.of(), false, 0);
+    assertEquals(List.of("=[]", "purged 0/-1 " + (nowNanos - START_NANOS) / MS), published);
+    assertTrue(
+        logged.contains("the registry now has cluster id 'other'; requesting all keys again"),
+        logged::toString);
   }
 
   @ParameterizedTest
   @EnumSource(
       value = RegistryFailure.class,
       names = {"UNAUTHORISED", "UNTRUSTED"})
-  void failureThatNeedsAnOperatorIsRetriedSlowly(RegistryFailure why) {
+  void failureThatNeedsAnOperatorIsRetriedSlowly(RegistryFailure failure) {
     start(1);
     int sent = 0;
     for (int step = 0; step < 1000; step++) {
-      now += 10 * MS;
-      session.tick(now);
+      nowNanos += 10 * MS;
+      session.tick(nowNanos);
       for (Command command : List.copyOf(commands)) {
         sent++;
-        session.callFailed(now, command.call, why, 0);
+        session.callFailed(nowNanos, command.call, failure, 0);
       }
       commands.clear();
     }
@@ -323,13 +340,15 @@
 
   @Test
   void lossOfContactChangesThePhaseAndKeepsTheView() {
-    watching();
-    pass(1500, NONE, 0, 0);
+    startWithOpenWatches();
+    advance(1500, ANSWER_NONE, 0, 0);
     assertEquals(Phase.CUT_OFF, session.phase());
     assertEquals(List.of(), published);
     assertEquals(
         1,
-        view.entries().stream().filter(one -> one.value() instanceof RegistryRecord.Cache).count());
+        view.entries().stream()
+            .filter(command -> command.value() instanceof RegistryRecord.Cache)
+            .count());
   }
 
   @Test
@@ -337,11 +356,11 @@
     start(3);
     int sent = 0;
     for (int step = 0; step < 500; step++) {
-      now += 10 * MS;
-      session.tick(now);
+      nowNanos += 10 * MS;
+      session.tick(nowNanos);
       for (Command command : List.copyOf(commands)) {
         sent++;
-        session.callFailed(now, command.call, RegistryFailure.REFUSED, 0);
+        session.callFailed(nowNanos, command.call, RegistryFailure.REFUSED, 0);
       }
       commands.clear();
     }
@@ -349,20 +368,20 @@
   }
 
   @Test
-  void compactionDuringAPagedListingStartsItAnew() {
+  void compactionDuringAPagedListingRestartsIt() {
     start(1);
-    Command list = take("list").get(0);
+    Command list = takeCommands("list").get(0);
     session.pageReceived(
-        now,
+        nowNanos,
         list.call,
         new Header("c", 10),
         List.of(RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1)),
         true,
         2);
-    assertEquals(1, take("list").size());
-    session.compacted(now, list.call);
-    Command again = take("list").get(0);
-    list(
+    assertEquals(1, takeCommands("list").size());
+    session.compacted(nowNanos, list.call);
+    Command again = takeCommands("list").get(0);
+    answerList(
         again,
         12,
         RegistryFixtures.endpoint("a", EndpointState.UP, 1, 1),
@@ -371,25 +390,28 @@
   }
 
   @Test
-  void silentListIsReadElsewhereOnceAnotherEndpointAnswers() {
+  void stalledListMovesToAnotherEndpointThatAnswers() {
     start(2);
-    Command list = take("list").get(0);
-    pass(220, one -> one.endpoint != list.endpoint, 10, 9);
+    Command list = takeCommands("list").get(0);
+    advance(220, command -> command.endpoint != list.endpoint, 10, 9);
     assertEquals(List.of(list.call), cancelled);
-    assertNotEquals(list.endpoint, last("list").endpoint);
+    assertNotEquals(list.endpoint, takeLastCommand("list").endpoint);
   }
 
   @Test
   void retryAfterOfAServerIsHonoured() {
     start(1);
-    session.callFailed(now, take("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
-    long since = now;
-    take("heartbeat")
-        .forEach(one -> session.callFailed(now, one.call, RegistryFailure.THROTTLED, 700 * MS));
+    session.callFailed(
+        nowNanos, takeCommands("list").get(0).call, RegistryFailure.THROTTLED, 700 * MS);
+    long failedAtNanos = nowNanos;
+    takeCommands("heartbeat")
+        .forEach(
+            command ->
+                session.callFailed(nowNanos, command.call, RegistryFailure.THROTTLED, 700 * MS));
     while (commands.isEmpty()) {
-      now = Math.max(now + MS, session.nextTickNanos());
-      session.tick(now);
+      nowNanos = Math.max(nowNanos + MS, session.nextTickNanos());
+      session.tick(nowNanos);
     }
-    assertTrue(now - since >= 700 * MS, (now - since) / MS + " ms");
+    assertTrue(nowNanos - failedAtNanos >= 700 * MS, (nowNanos - failedAtNanos) / MS + " ms");
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/EtcdProtocolTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** etcd's JSON form: what is sent, and what is taken or refused. */
+/** Tests the encoding of etcd requests, and which responses are decoded or rejected. */
 class EtcdProtocolTest {
   private static final MultiMap NONE = MultiMap.caseInsensitiveMultiMap();
   private static final RegistryRecord.Cache ENDPOINT =
@@ -56,8 +56,8 @@
 
   @Test
   void rangeIsEncodedAndDecodedAsPublished() {
-    RegistryProtocol.Request ask = etcd.listRequest(7, "p/caches/a", 5, 100);
-    assertEquals("/v3/kv/range", ask.uri());
+    RegistryProtocol.Request request = etcd.listRequest(7, "p/caches/a", 5, 100);
+    assertEquals("/v3/kv/range", request.uri());
     assertEquals(
         "{'key':'"
             + base64("p/caches/a\0")
@@ -65,7 +65,7 @@
             + base64("p0")
             + "','limit':'100',"
             + "'revision':'7','min_mod_revision':'5'}",
-        text(ask.body()).replace('"', '\''));
+        text(request.body()).replace('"', '\''));
     RegistryPage page =
         etcd.decodePage(
             200,
@@ -95,7 +95,7 @@
     assertEquals(
         new RegistryProtocol.Frame.Ended(RegistryFailure.UNAUTHORISED),
         etcd.decodeFrame(bytes("{'error':{'grpc_code':16,'message':'x'}}")));
-    RegistryProtocol.Frame.Events told =
+    RegistryProtocol.Frame.Events events =
         (RegistryProtocol.Frame.Events)
             etcd.decodeFrame(
                 bytes(
@@ -105,9 +105,9 @@
                         + "{'type':'DELETE','kv':{'key':'"
                         + base64("p/caches/c1")
                         + "','mod_revision':'40'}}]}}"));
-    assertTrue(told.partial());
-    assertNull(told.events().get(0).entry());
-    assertEquals(40, told.events().get(0).revision());
+    assertTrue(events.partial());
+    assertNull(events.events().get(0).entry());
+    assertEquals(40, events.events().get(0).revision());
   }
 
   @ParameterizedTest
@@ -123,6 +123,23 @@
     assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)));
   }
 
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '"',
+      value = {
+        "{'header':{'revision':'-4'}} | field 'revision' is not a 64-bit integer of at least 0",
+        "{'header':{'revision':'4'},'kvs':[{'key':'cQ=='}]} "
+            + "| field 'key' is not under the prefix p/",
+        "{ | registry: the response is not valid JSON",
+      })
+  void invalidPageGivesTheReason(String body, String reason) {
+    String message =
+        assertThrows(InvalidDocumentException.class, () -> etcd.decodePage(200, NONE, bytes(body)))
+            .getMessage();
+    assertTrue(message.endsWith(reason), message);
+  }
+
   @ParameterizedTest
   @CsvSource({
     "401,0,UNAUTHORISED",
@@ -132,8 +149,8 @@
     "400,16,UNAUTHORISED",
     "404,5,UNREADABLE"
   })
-  void statusAndCodeAreMappedToAFailure(int status, int code, RegistryFailure why) {
-    assertEquals(Optional.of(why), etcd.failure(status, bytes("{'code':" + code + "}")));
+  void statusAndCodeAreMappedToAFailure(int status, int code, RegistryFailure failure) {
+    assertEquals(Optional.of(failure), etcd.failure(status, bytes("{'code':" + code + "}")));
     assertTrue(etcd.isCompacted(400, bytes("{'code':11,'message':'compacted'}")));
   }
 
--- a/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/HungDiskTest.java
@@ -21,15 +21,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A disk that answers nothing, as a pipe does that nobody writes to: the start goes on without the
- * snapshot.
+ * Guards against a start that waits for a hung disk. A named pipe that nobody writes to stands for
+ * the snapshot file: the source must contact the registry without it.
  */
 class HungDiskTest {
-  private static final long SECOND = 1_000_000_000;
-  private static final int PATIENCE_MILLIS = 30_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
+  private static final int TIMEOUT_MILLIS = 30_000;
 
-  /** Takes no news. */
-  private static final class Nobody implements EndpointListener {
+  /** Ignores all notifications. */
+  static final class IgnoringListener implements EndpointListener {
     @Override
     public void endpointListStarted(EndpointListKind kind) {}
 
@@ -45,13 +45,13 @@
 
   @Test
   @Timeout(120)
-  void registryIsAskedThoughTheReadOfTheSnapshotNeverEnds(@TempDir Path folder) throws Exception {
+  void registryIsContactedWhileTheSnapshotReadHangs(@TempDir Path folder) throws Exception {
     Path pipe = folder.resolve("view");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     Vertx vertx = Vertx.vertx();
     try (ServerSocket endpoint = new ServerSocket(0, 16, InetAddress.getLoopbackAddress())) {
-      endpoint.setSoTimeout(PATIENCE_MILLIS);
-      RegistrySettings access =
+      endpoint.setSoTimeout(TIMEOUT_MILLIS);
+      RegistrySettings settings =
           new RegistrySettings(
               RegistrySettings.ProtocolKind.ETCD,
               List.of(SocketAddress.inetSocketAddress(endpoint.getLocalPort(), "127.0.0.1")),
@@ -63,26 +63,26 @@
               null,
               null,
               pipe,
-              SECOND,
-              SECOND,
-              600 * SECOND,
+              SECOND_NANOS,
+              SECOND_NANOS,
+              600 * SECOND_NANOS,
               100,
               1 << 20);
-      Context loop = vertx.getOrCreateContext();
-      RegistrySource source = new RegistrySource(vertx, access, new Nobody(), 7);
-      loop.runOnContext(now -> source.start());
-      try (Socket asked = endpoint.accept()) {
-        assertTrue(asked.isConnected());
+      Context eventLoop = vertx.getOrCreateContext();
+      RegistrySource source = new RegistrySource(vertx, settings, new IgnoringListener(), 7);
+      eventLoop.runOnContext(now -> source.start());
+      try (Socket connection = endpoint.accept()) {
+        assertTrue(connection.isConnected());
       } finally {
-        Files.newOutputStream(pipe).close(); // Ends the read that still waits.
-        loop.runOnContext(now -> source.close());
+        Files.newOutputStream(pipe).close(); // Ends the pending read.
+        eventLoop.runOnContext(now -> source.close());
       }
     } finally {
       vertx
           .close()
           .toCompletionStage()
           .toCompletableFuture()
-          .get(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+          .get(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 }
--- a/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
+++ b/registry/src/test/java/org/amberpath/registry/runtime/SnapshotFailureTest.java
@@ -30,39 +30,39 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A disk that fails, or a kill in the middle of a write: the last good snapshot stays, nothing torn
- * is read.
+ * Guards against the loss of the last good snapshot, and against reading an incomplete one, when
+ * the disk fails or the process is killed during a write.
  */
 class SnapshotFailureTest {
-  private static final long SECOND = 1_000_000_000;
+  private static final long SECOND_NANOS = 1_000_000_000;
   private static final int MAX_BYTES = 10_000;
 
   @TempDir private Path folder;
   private Path file;
   private final List<String> log = new ArrayList<>();
   private final FailingDisk disk = new FailingDisk();
-  private long now = SECOND;
+  private long nowNanos = SECOND_NANOS;
 
   /**
-   * Fails at one kind of call, after half of the bytes were written; a killed one can't even tidy
-   * up.
+   * A disk that fails at one operation, after half of the bytes were written. With {@code killed}
+   * set, temporary files are not deleted either, as after a kill of the process.
    */
   private static final class FailingDisk implements FileOperations {
     final List<String> calls = new ArrayList<>();
-    String failing = "";
-    boolean killed;
+    String failingOperation = "";
+    boolean isKilled;
 
-    private void call(String what) throws IOException {
-      calls.add(what);
-      if (what.equals(failing) || (killed && what.equals("delete"))) {
+    private void recordCall(String operation) throws IOException {
+      calls.add(operation);
+      if (operation.equals(failingOperation) || (isKilled && operation.equals("delete"))) {
         throw new IOException("No space left on device");
       }
     }
 
     @Override
-    public FileChannel open(Path at) throws IOException {
-      call("open");
-      return FileOperations.super.open(at);
+    public FileChannel open(Path path) throws IOException {
+      recordCall("open");
+      return FileOperations.super.open(path);
     }
 
     @Override
@@ -71,31 +71,31 @@
       bytes.limit(bytes.position() + (bytes.remaining() + 1) / 2);
       FileOperations.super.write(to, bytes);
       bytes.limit(end);
-      call("write");
+      recordCall("write");
     }
 
     @Override
-    public void force(FileChannel of) throws IOException {
-      call("force");
-      FileOperations.super.force(of);
+    public void force(FileChannel file) throws IOException {
+      recordCall("force");
+      FileOperations.super.force(file);
     }
 
     @Override
     public void move(Path from, Path to) throws IOException {
-      call("move");
+      recordCall("move");
       FileOperations.super.move(from, to);
     }
 
     @Override
-    public void forceFolder(Path of) throws IOException {
-      call("forceFolder");
-      FileOperations.super.forceFolder(of);
+    public void forceDirectory(Path directory) throws IOException {
+      recordCall("forceDirectory");
+      FileOperations.super.forceDirectory(directory);
     }
 
     @Override
-    public void delete(Path of) throws IOException {
-      call("delete");
-      FileOperations.super.delete(of);
+    public void delete(Path path) throws IOException {
+      recordCall("delete");
+      FileOperations.super.delete(path);
     }
   }
 
@@ -140,9 +140,13 @@
     SnapshotFile.write(file, snapshot(1));
   }
 
-  private SnapshotKeeper keeper(Function<Callable<Void>, Future<Void>> worker) {
-    return new SnapshotKeeper(
-        new SnapshotKeeper.Target(file, disk, 5 * SECOND), worker, () -> now, 7, log::add);
+  private SnapshotWriter newWriter(Function<Callable<Void>, Future<Void>> worker) {
+    return new SnapshotWriter(
+        new SnapshotWriter.Target(file, disk, 5 * SECOND_NANOS),
+        worker,
+        () -> nowNanos,
+        7,
+        log::add);
   }
 
   private static Future<Void> runAtOnce(Callable<Void> write) {
@@ -153,9 +157,9 @@
     }
   }
 
-  private List<String> names() throws IOException {
+  private List<String> fileNames() throws IOException {
     try (var all = Files.list(folder)) {
-      return all.map(one -> one.getFileName().toString()).toList();
+      return all.map(path -> path.getFileName().toString()).toList();
     }
   }
 
@@ -163,32 +167,38 @@
   @ValueSource(strings = {"open", "write", "force", "move"})
   void lastSnapshotStaysWhileTheDiskFailsAndTheLatestIsWrittenOnceItWorks(String failing)
       throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
-    disk.failing = failing;
+    SnapshotWriter writer = newWriter(SnapshotFailureTest::runAtOnce);
+    disk.failingOperation = failing;
     int ticks = 600;
-    for (int tick = 0; tick < ticks; tick++, now += SECOND) {
-      keeper.tick(() -> Optional.of(snapshot(2)));
+    for (int tick = 0; tick < ticks; tick++, nowNanos += SECOND_NANOS) {
+      writer.tick(() -> Optional.of(snapshot(2)));
       assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
     }
-    long tries = disk.calls.stream().filter("open"::equals).count();
-    assertTrue(tries >= 8 && tries < ticks / 5, tries + " tries");
-    assertEquals(List.of("view"), names());
-    assertEquals(1, log.size(), () -> "" + log);
+    long attempts = disk.calls.stream().filter("open"::equals).count();
+    assertTrue(attempts >= 8 && attempts < ticks / 5, attempts + " tries");
+    assertEquals(List.of("view"), fileNames());
+    assertEquals(
+        List.of(
+            "the snapshot "
+                + file
+                + " can't be written, retrying: java.io.IOException: No space left on device"),
+        log);
 
-    disk.failing = "";
-    for (int tick = 0; tick < 61; tick++, now += SECOND) {
-      keeper.tick(Optional::empty); // Cut off meanwhile: what is pending is still owed.
+    disk.failingOperation = "";
+    for (int tick = 0; tick < 61; tick++, nowNanos += SECOND_NANOS) {
+      // No current view is available, but the pending snapshot must still be written.
+      writer.tick(Optional::empty);
     }
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
     assertEquals(2, log.size(), () -> "" + log);
-    assertTrue(log.get(1).endsWith("after " + tries + " failures"), log.get(1));
+    assertTrue(log.get(1).endsWith("after " + attempts + " failed attempts"), log.get(1));
   }
 
   @Test
   void failedSyncOfTheDirectoryIsAFailedWrite() throws IOException {
-    SnapshotKeeper keeper = keeper(SnapshotFailureTest::runAtOnce);
-    disk.failing = "forceFolder";
-    keeper.tick(() -> Optional.of(snapshot(2)));
+    SnapshotWriter writer = newWriter(SnapshotFailureTest::runAtOnce);
+    disk.failingOperation = "forceDirectory";
+    writer.tick(() -> Optional.of(snapshot(2)));
     assertEquals(1, log.size());
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
@@ -197,77 +207,78 @@
   void fileIsSyncedBeforeTheMoveAndItsDirectoryAfterIt() throws IOException {
     SnapshotFile.write(file, snapshot(2), disk);
     assertEquals(
-        List.of("open", "write", "force", "move", "forceFolder"),
+        List.of("open", "write", "force", "move", "forceDirectory"),
         disk.calls.stream().distinct().toList());
     assertEquals(snapshot(2), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
   void leftoverOfAKilledWriteIsNeverReadAndRemovedAtTheNextStart() throws IOException {
-    disk.failing = "write";
-    disk.killed = true;
+    disk.failingOperation = "write";
+    disk.isKilled = true;
     assertThrows(SnapshotException.class, () -> SnapshotFile.write(file, snapshot(2), disk));
-    String left = names().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
-    Files.move(
-        folder.resolve(left), folder.resolve("view.new-1f")); // As another process names its own.
+    String leftover =
+        fileNames().stream().filter(name -> !name.equals("view")).findFirst().orElseThrow();
+    // The name that another process would use.
+    Files.move(folder.resolve(leftover), folder.resolve("view.new-1f"));
     Files.writeString(folder.resolve("view.new"), "half");
     Files.writeString(folder.resolve("view.newer"), "another's");
     assertEquals(snapshot(1), SnapshotFile.read(file, MAX_BYTES));
-    SnapshotFile.clean(file, FileOperations.DISK);
-    assertEquals(List.of("view", "view.newer"), names().stream().sorted().toList());
+    SnapshotFile.deleteLeftovers(file, FileOperations.DISK);
+    assertEquals(List.of("view", "view.newer"), fileNames().stream().sorted().toList());
   }
 
   @Test
-  void onlyTheLatestSnapshotWaitsForAWriteUnderWay() throws Exception {
+  void onlyTheLatestSnapshotWaitsForAWriteInProgress() throws Exception {
     Deque<Callable<Void>> writes = new ArrayDeque<>();
     List<Promise<Void>> promises = new ArrayList<>();
-    SnapshotKeeper keeper =
-        keeper(
+    SnapshotWriter writer =
+        newWriter(
             write -> {
               writes.add(write);
               promises.add(Promise.promise());
               return promises.get(promises.size() - 1).future();
             });
-    for (int revision = 2; revision < 100; revision++, now += SECOND) {
-      long of = revision;
-      keeper.tick(() -> Optional.of(snapshot(of)));
+    for (int revision = 2; revision < 100; revision++, nowNanos += SECOND_NANOS) {
+      long currentRevision = revision;
+      writer.tick(() -> Optional.of(snapshot(currentRevision)));
     }
-    assertEquals(1, writes.size(), "a slow disk is given nothing more");
+    assertEquals(1, writes.size(), "no second write starts while one is in progress");
     writes.remove().call();
     promises.get(0).complete();
-    keeper.tick(() -> Optional.of(snapshot(100)));
+    writer.tick(() -> Optional.of(snapshot(100)));
     writes.remove().call();
     assertEquals(snapshot(100), SnapshotFile.read(file, MAX_BYTES));
   }
 
   @Test
-  void snapshotWithAnyByteFlippedOrMissingIsRefused() throws IOException {
-    byte[] whole = Files.readAllBytes(file);
-    for (int length = 0; length < whole.length; length++) {
-      Files.write(file, Arrays.copyOf(whole, length));
+  void snapshotWithAnyByteFlippedOrMissingIsRejected() throws IOException {
+    byte[] complete = Files.readAllBytes(file);
+    for (int length = 0; length < complete.length; length++) {
+      Files.write(file, Arrays.copyOf(complete, length));
       assertThrows(
           SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), "of length " + length);
     }
-    for (int at = 0; at < whole.length; at++) {
+    for (int offset = 0; offset < complete.length; offset++) {
       for (int flip : new int[] {1, 0x20, 0x80, 0xff}) {
-        byte[] torn = whole.clone();
-        torn[at] ^= (byte) flip;
-        Files.write(file, torn);
-        String where = "byte " + at + " by " + flip;
+        byte[] corrupted = complete.clone();
+        corrupted[offset] ^= (byte) flip;
+        Files.write(file, corrupted);
+        String where = "byte " + offset + " by " + flip;
         assertThrows(SnapshotException.class, () -> SnapshotFile.read(file, MAX_BYTES), where);
       }
     }
   }
 
-  /** The resource was written by the text of 2026-12-02, before the writer was changed. */
+  /**
+   * Guards the stored format of version 1. The resource was written on 2026-12-02, by the encoder
+   * before its rewrite.
+   */
   @Test
   void storedFormOfVersionOneIsReadAndWrittenByteForByte() throws Exception {
-    Path kept = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
-    assertEquals(snapshot(40), SnapshotFile.read(kept, MAX_BYTES));
+    Path golden = Path.of(getClass().getResource("/registry-snapshot-1").toURI());
+    assertEquals(snapshot(40), SnapshotFile.read(golden, MAX_BYTES));
     SnapshotFile.write(file, snapshot(40));
-    assertEquals(
-        -1,
-        Files.mismatch(kept, file),
-        "the text before reads what this one writes: the same bytes");
+    assertEquals(-1, Files.mismatch(golden, file), "the earlier encoder wrote the same bytes");
   }
 }
