--- a/app/src/main/java/org/amberpath/cli/AdminClient.java
+++ b/app/src/main/java/org/amberpath/cli/AdminClient.java
@@ -15,8 +15,8 @@
 
 /**
  * Client of the admin endpoint of a running gateway ({@code
- * org.amberpath.membership.runtime.AdminEndpoint}). Requests block the calling thread for 5 s at
- * most to connect and 5 s for the response.
+ * org.amberpath.membership.runtime.AdminEndpoint}). Requests block the calling thread for at most 5
+ * s to connect and 5 s for the response.
  */
 final class AdminClient {
   static final int OK = 200;
@@ -30,9 +30,9 @@
   }
 
   /**
-   * A client for the address at {@code [fleet] operators}.
+   * Creates a client for the address that {@code [fleet] operators} sets in a deployment file.
    *
-   * @throws InvalidSettingsException if the file names no such address
+   * @throws InvalidSettingsException if the file sets no such address
    */
   static AdminClient fromFile(Path file) {
     return DeploymentFile.read(file)
@@ -48,7 +48,7 @@
                     file + ": [fleet] operators: missing"));
   }
 
-  /** Reads a page; any status but 200 is an error. */
+  /** Sends a GET and parses the response as JSON; any status other than 200 is an error. */
   JsonObject get(String path) throws AdminException, InterruptedException {
     HttpResponse<String> response = send("GET", path);
     if (response.statusCode() != OK) {
@@ -57,7 +57,9 @@
     return new JsonObject(response.body());
   }
 
-  /** Requests a change; returns the status, 200 if the gateway made it. */
+  /**
+   * Sends a POST that requests a change; returns the status, 200 if the gateway made the change.
+   */
   int post(String path) throws AdminException, InterruptedException {
     return send("POST", path).statusCode();
   }
--- a/app/src/main/java/org/amberpath/cli/AdminException.java
+++ b/app/src/main/java/org/amberpath/cli/AdminException.java
@@ -1,6 +1,6 @@
 package org.amberpath.cli;
 
-/** A request to the admin endpoint of a running gateway failed; the message says how. */
+/** Signals that a request to the admin endpoint of a running gateway failed. */
 abstract sealed class AdminException extends Exception
     permits AdminException.Unreachable, AdminException.UnexpectedStatus {
   private static final long serialVersionUID = 1;
@@ -9,7 +9,10 @@
     super(message, cause);
   }
 
-  /** No response came: nothing listens there, the connection broke, or it timed out. */
+  /**
+   * No response was received: nothing listens at the address, the connection was closed, or the
+   * request timed out.
+   */
   static final class Unreachable extends AdminException {
     private static final long serialVersionUID = 1;
 
@@ -18,7 +21,7 @@
     }
   }
 
-  /** The response to a read has another status than 200. */
+  /** The response to a GET has a status other than 200. */
   static final class UnexpectedStatus extends AdminException {
     private static final long serialVersionUID = 1;
 
--- a/app/src/main/java/org/amberpath/cli/AdminOptions.java
+++ b/app/src/main/java/org/amberpath/cli/AdminOptions.java
@@ -21,7 +21,7 @@
     return json;
   }
 
-  /** A client for the gateway that the file names; reads the file. */
+  /** Reads the deployment file and creates a client for the admin address that it sets. */
   AdminClient client() {
     return AdminClient.fromFile(file);
   }
--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -11,7 +11,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
-/** The command line. Results go to standard output, the log to standard error. */
+/**
+ * Root command: parses the command line with picocli and runs the subcommand. Results go to
+ * standard output, the log to standard error.
+ */
 @Command(
     name = "amberpath",
     mixinStandardHelpOptions = true,
@@ -29,14 +32,19 @@
       LabCommand.class
     })
 public final class AmberpathCommand {
-  /** Exit codes, the same for all commands. */
+  /** Exit code of a command that succeeded. */
   static final int DONE = 0;
 
+  /** Exit code of a command that failed for any other reason than those below. */
   static final int FAILED = 1;
+
+  /** Exit code for invalid usage or invalid settings. */
   static final int USAGE = 2;
+
+  /** Exit code of an experiment that missed one of its pass criteria (bars). */
   static final int MISSED = 3;
 
-  /** How log lines look. */
+  /** Formats of log lines; the constants are the values of {@code --log}. */
   enum Log {
     plain,
     json
@@ -60,8 +68,8 @@
   private AmberpathCommand() {}
 
   /**
-   * Runs a command and ends the process with its exit code; returns only if a gateway was started,
-   * which then runs on threads of its own.
+   * Runs a command and exits the process with the command's exit code. Returns only if a gateway
+   * was started, which keeps running on its own threads.
    */
   public static void run(String... args) {
     int code = line().execute(args);
--- a/app/src/main/java/org/amberpath/cli/CheckCommand.java
+++ b/app/src/main/java/org/amberpath/cli/CheckCommand.java
@@ -8,7 +8,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Reads a settings file as {@code serve} does, and reports the first thing wrong with it. */
+/**
+ * Validates a settings file with the parser that {@code serve} uses and reports its first fault. A
+ * {@code .json} file is parsed as the gateway's {@code PROXY_CONFIG}, any other file as a
+ * deployment file.
+ */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import picocli.CommandLine.Command;
 
-/** Experiments on loopback or on a virtual clock. The last line of each is one JSON object. */
+/**
+ * Groups the experiments, which run on loopback sockets or on a virtual clock. Each prints its
+ * report, one JSON object, as the last line.
+ */
 @Command(
     name = "lab",
     mixinStandardHelpOptions = true,
@@ -27,7 +30,7 @@
       LabStandInCommand.class
     })
 final class LabCommand {
-  /** One line of the list. */
+  /** One line that {@code lab list} prints. */
   private record Experiment(String name, String description) {}
 
   private static final List<Experiment> EXPERIMENTS =
--- a/app/src/main/java/org/amberpath/cli/LabExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabExperiment.java
@@ -11,9 +11,15 @@
 import org.amberpath.lab.ExperimentReport;
 import picocli.CommandLine.Option;
 
-/** What all experiments take, and how they end: one JSON object as the last line. */
+/**
+ * Base class of the experiments: holds the option that all of them accept and prints the report,
+ * one JSON object, as the last line.
+ */
 abstract class LabExperiment implements Callable<Integer> {
-  /** Held here, since the runtime forgets a logger's level with the logger. */
+  /**
+   * A strong reference to the logger: the log manager refers to loggers weakly, and a logger that
+   * is garbage-collected loses its level.
+   */
   private static final Logger GATEWAY_LOGGER = Logger.getLogger("amberpath");
 
   private static final List<Logger> NOISY_LOGGERS =
@@ -36,13 +42,16 @@
     return seed;
   }
 
-  /** Prints the report, and gives the exit code. */
+  /** Prints the report and returns the exit code, which says whether all of its bars hold. */
   static int finish(ExperimentReport report) {
     System.out.println(report.json());
     return report.holds() ? AmberpathCommand.DONE : AmberpathCommand.MISSED;
   }
 
-  /** Checks the number of real gateways that an experiment starts. */
+  /**
+   * Returns the number of gateway processes that an experiment starts; throws if it is not from
+   * {@value #MIN_GATEWAYS} to {@value #MAX_GATEWAYS}.
+   */
   static int checkedGateways(int gateways) {
     if (gateways < MIN_GATEWAYS || gateways > MAX_GATEWAYS) {
       throw new InvalidSettingsException(
@@ -54,12 +63,15 @@
     return gateways;
   }
 
-  /** The folder for settings and logs; a new one for null. */
+  /** Creates the folder for settings and logs; if it is null, creates a temporary folder. */
   static Path folder(Path out) throws IOException {
     return out == null ? Files.createTempDirectory("amberpath-lab") : Files.createDirectories(out);
   }
 
-  /** Guards an experiment's own lines against those of a gateway in the same process. */
+  /**
+   * Keeps the log lines of a gateway in the same process out of the experiment's output: the
+   * gateway logs only warnings and errors, the noisy loggers nothing.
+   */
   static void silenceLogs() {
     GATEWAY_LOGGER.setLevel(Level.WARNING);
     NOISY_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
--- a/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
@@ -5,7 +5,10 @@
 import org.amberpath.lab.simulation.SeededRuns;
 import picocli.CommandLine.Option;
 
-/** A model on a virtual clock, each run from a seed of its own; a single run prints its trace. */
+/**
+ * Base class of experiments that run a model on a virtual clock, by default many times, each run
+ * from its own seed. With {@code --runs 1} the run prints its trace.
+ */
 abstract class LabModelExperiment extends LabExperiment {
   private static final long NANOS_PER_MILLI = 1_000_000;
 
--- a/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
@@ -3,14 +3,14 @@
 import org.amberpath.lab.ExperimentReport;
 import picocli.CommandLine.Option;
 
-/** An experiment on sockets, for so many seconds. */
+/** Base class of experiments that run gateways on loopback sockets for a set time. */
 abstract class LabSocketExperiment extends LabExperiment {
   @Option(
       names = "--seconds",
       description = "How long, for each stretch. Default: the experiment's own.")
   private Integer seconds;
 
-  /** How long it runs where nothing is said. */
+  /** Returns the duration in seconds that applies without {@code --seconds}. */
   abstract int defaultSeconds();
 
   abstract ExperimentReport run(int seconds) throws Exception;
--- a/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** {@code lab standin}: runs a stand-in until it is stopped. */
+/** {@code lab standin}: runs a stand-in registry until the process is terminated. */
 @Command(
     name = "standin",
     mixinStandardHelpOptions = true,
--- a/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Parameters;
 
-/** Lists the tasks of which a running gateway may be the leader, and releases leadership of one. */
+/** Lists the tasks that a running gateway may lead, and makes it release leadership of one. */
 @Command(
     name = "leader",
     aliases = "owner",
--- a/app/src/main/java/org/amberpath/cli/Main.java
+++ b/app/src/main/java/org/amberpath/cli/Main.java
@@ -9,16 +9,16 @@
  * Main class of the jar. The two commands that the deploy file names, {@code serve} without a
  * settings file and {@code simulate}, are recognized here, before any class of the command line is
  * loaded: a gateway's start-up time and memory don't depend on picocli or the operators' commands.
- * All else goes to {@link AmberpathCommand}.
+ * All other command lines go to {@link AmberpathCommand}.
  */
 public final class Main {
   private Main() {}
 
   /**
-   * Runs one command and, unless a gateway was started, ends the process with the command's exit
+   * Runs one command and, unless a gateway was started, exits the process with the command's exit
    * code.
    *
-   * @param args the command with its options, as {@code --help} describes them
+   * @param args the command and its options, as described by {@code --help}
    * @throws IOException if the simulator's streams can't be read or written
    */
   public static void main(String[] args) throws IOException {
@@ -32,14 +32,14 @@
     }
   }
 
-  /** Whether a gateway is to be started without a settings file. */
+  /** Returns whether the arguments start a gateway without a deployment file. */
   static boolean isPlainServe(String[] args, Map<String, String> environment) {
     return args.length == 1
         && args[0].equals("serve")
         && !environment.containsKey("AMBERPATH_FILE");
   }
 
-  /** Whether the simulation host is to be started, by its name or by its alias. */
+  /** Returns whether the arguments start the simulation host, by its name or by its alias. */
   static boolean isPlainSimulate(String[] args) {
     return args.length == 1
         && (args[0].equals(SimulateCommand.NAME) || args[0].equals(SimulateCommand.ALIAS));
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Shows the members that a running gateway knows, and has it forget one that was lost. */
+/**
+ * Lists the members that a running gateway knows, prints changes to them, and makes the gateway
+ * forget a lost member.
+ */
 @Command(
     name = "members",
     aliases = "fleet",
@@ -73,7 +76,7 @@
     return AmberpathCommand.DONE;
   }
 
-  /** The gateway's own phase and share, and the status of each other member. */
+  /** Returns, by name, the gateway's own phase and share and the status of each other member. */
   private static Map<String, String> statusByName(JsonObject status) {
     Map<String, String> statuses = new HashMap<>();
     statuses.put(
@@ -102,7 +105,12 @@
         });
   }
 
-  /** Null before for a member that is new, null after for one that was forgotten. */
+  /**
+   * Prints the change of one member.
+   *
+   * @param before the former status; null for a member that was added
+   * @param after the new status; null for a member that the gateway no longer lists
+   */
   private void printChange(String name, String before, String after) {
     System.out.println(
         options.json()
--- a/app/src/main/java/org/amberpath/cli/NewCacheOptions.java
+++ b/app/src/main/java/org/amberpath/cli/NewCacheOptions.java
@@ -4,7 +4,7 @@
 import org.amberpath.routing.EndpointState;
 import picocli.CommandLine.Option;
 
-/** Options of {@code registry add}: all that the registry holds of a cache beside its id. */
+/** Options of {@code registry add}: the fields of a cache's registry record other than its id. */
 final class NewCacheOptions {
   @Option(names = "--address", required = true, description = "Numeric address:port.")
   private String address;
@@ -27,7 +27,10 @@
   @Option(names = "--cold", description = "It has just started and holds nothing.")
   private boolean cold;
 
-  /** The record of a cache that is up; one that is cold counts as started now. */
+  /**
+   * Returns the record of a cache in state UP. With {@code --cold} its start time is the current
+   * time, otherwise 0, which stands for long ago.
+   */
   RegistryRecord.Cache toRecord(String id) {
     return new RegistryRecord.Cache(
         id,
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -33,7 +33,7 @@
     synopsisSubcommandLabel = "COMMAND",
     description = "Reads and writes the registry of caches and purges.")
 final class RegistryCommand {
-  /** For a whole command, all of its requests together. */
+  /** Time limit for all requests of one command together, and for closing Vert.x after a watch. */
   private static final long TIMEOUT_SECONDS = 30;
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -49,7 +49,7 @@
   @Option(names = "--json", description = "One JSON object a line.")
   private boolean json;
 
-  /** Requests to a registry whose result is an exit code. */
+  /** Sends the registry requests of one command; the result is the exit code. */
   private interface Operation {
     Future<Integer> run(RegistryAdminClient client, String prefix);
   }
@@ -165,7 +165,11 @@
     return Future.succeededFuture(AmberpathCommand.FAILED);
   }
 
-  /** Prints the outcome of a write; a transaction whose condition failed wrote nothing. */
+  /**
+   * Prints the outcome of a write and returns the exit code.
+   *
+   * @param written false if the transaction's condition failed, so that nothing was written
+   */
   private int report(String key, String state, boolean written) {
     if (!written) {
       System.err.println(key + ": nothing was written: its key moved meanwhile; look again");
--- a/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
@@ -9,9 +9,9 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Prints registry entries and what a gateway would be notified of, a line each on standard output:
- * a JSON object, or the key and then {@code field=value}. As an {@link EndpointListener} it is
- * called on the event loop of the registry source.
+ * Prints registry entries and endpoint notifications to standard output, one line each: a JSON
+ * object, or the key followed by {@code field=value} pairs. The methods of {@link EndpointListener}
+ * are called on the event loop of the registry source.
  */
 final class RegistryLinePrinter implements EndpointListener {
   private final boolean json;
@@ -20,7 +20,7 @@
     this.json = json;
   }
 
-  /** The name of a state in output, as in the registry's records. */
+  /** Returns the name of a state in the output, which is its name in the registry's records. */
   static String stateLabel(EndpointState state) {
     return switch (state) {
       case UP -> "ready";
@@ -29,7 +29,7 @@
     };
   }
 
-  /** Prints a cache, a purge or an unreadable value; other entries are left out. */
+  /** Prints a cache, a purge or an unreadable value; entries of other kinds are not printed. */
   void entry(RegistryEntry entry, String prefix) {
     JsonObject line =
         new JsonObject()
@@ -56,7 +56,7 @@
     print(line);
   }
 
-  /** Prints the state that was written for a key. */
+  /** Prints a key and the state that was written to it. */
   void written(String key, String state) {
     print(new JsonObject().put("key", key).put("state", state));
   }
--- a/app/src/main/java/org/amberpath/cli/ServeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/ServeCommand.java
@@ -18,15 +18,15 @@
 import picocli.CommandLine.Option;
 
 /**
- * Starts a gateway on sockets. The sections of the settings file say which extensions it gets: a
- * registry as endpoint source, membership, leadership. Without a file it has none of them.
+ * Starts a gateway on sockets. Each section of the deployment file enables one extension: a
+ * registry as endpoint source, membership, or leadership. Without a file, none is enabled.
  */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
     description = "Runs a gateway on sockets.")
 final class ServeCommand implements Callable<Integer> {
-  /** In place of an exit code: the gateway's threads keep the process running. */
+  /** Returned instead of an exit code: the gateway's threads keep the process running. */
   static final int KEEPS_RUNNING = -1;
 
   @Option(
--- a/app/src/main/java/org/amberpath/cli/SimulateCommand.java
+++ b/app/src/main/java/org/amberpath/cli/SimulateCommand.java
@@ -6,8 +6,8 @@
 import picocli.CommandLine.Command;
 
 /**
- * Runs the decisions of many gateways on the operators' simulator: JSON lines on standard input and
- * output, until the input ends.
+ * Runs the routing decisions of many gateways for the operators' simulator: reads JSON lines from
+ * standard input and writes JSON lines to standard output until the input ends.
  */
 @Command(
     name = SimulateCommand.NAME,
@@ -17,7 +17,7 @@
 final class SimulateCommand implements Callable<Integer> {
   static final String NAME = "simulate";
 
-  /** The name in deploy/balancer.toml. */
+  /** The name by which deploy/balancer.toml starts this command. */
   static final String ALIAS = "wirehost";
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -15,8 +15,8 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * The settings of an installation beside the platform's JSON, read from one INI file and checked as
- * a whole. A section that is absent leaves its feature off. Immutable.
+ * The settings of an installation that are not in the platform's JSON file, parsed from one INI
+ * file and validated completely. A feature whose section is absent is disabled. Immutable.
  */
 public final class DeploymentFile {
   private static final Map<String, Set<String>> KEYS_BY_SECTION =
@@ -53,30 +53,37 @@
   }
 
   /**
-   * Reads and checks a file.
+   * Parses and validates a file.
    *
-   * @throws InvalidDeploymentFileException if it can't be read, or at its first fault
+   * @throws InvalidDeploymentFileException if the file can't be read or parsed, or for the first
+   *     invalid section, key or value
    */
   public static DeploymentFile read(Path file) {
     return new DeploymentFile(file);
   }
 
-  /** The section [registry]; empty if no registry is used. */
+  /** Returns the settings of section {@code [registry]}; empty if the section is absent. */
   public Optional<RegistrySettings> registry() {
     return Optional.ofNullable(registry);
   }
 
-  /** Whether the journal is polled in addition to the registry; false without a registry. */
+  /** Returns whether the journal is polled in addition to a registry; false without a registry. */
   public boolean alsoPollsJournal() {
     return alsoPollsJournal;
   }
 
-  /** The section [fleet]; empty if the gateway has no membership. */
+  /**
+   * Returns the settings of section {@code [fleet]}; empty if the section is absent, in which case
+   * the gateway runs no membership protocol.
+   */
   public Optional<MembershipSettings> membership() {
     return Optional.ofNullable(membership);
   }
 
-  /** The section [owner]; empty if the gateway neither votes nor leads tasks. */
+  /**
+   * Returns the settings of section {@code [owner]}; empty if the section is absent, in which case
+   * the gateway neither votes nor leads tasks.
+   */
   public Optional<LeadershipSettings> leadership() {
     return Optional.ofNullable(leadership);
   }
@@ -102,7 +109,7 @@
     }
   }
 
-  /** Unknown sections, unknown keys and keys given twice, in the order of the file. */
+  /** Throws for the first unknown section, unknown key or duplicate key, in file order. */
   private static void checkNames(Path file, INIConfiguration ini) {
     for (String section : ini.getSections()) {
       if (section == null || !KEYS_BY_SECTION.containsKey(section)) {
--- a/app/src/main/java/org/amberpath/cli/settings/IniSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/IniSection.java
@@ -15,13 +15,13 @@
 import org.apache.commons.configuration2.SubnodeConfiguration;
 
 /**
- * Typed access to the keys of one section. Every method throws {@link
- * InvalidDeploymentFileException} with file, section and key where a value is missing or invalid.
+ * Provides typed access to the keys of one section of a deployment file. The methods throw {@link
+ * InvalidDeploymentFileException}, with file, section and key, for a missing or invalid value.
  */
 final class IniSection {
   static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  /** Upper bound on addresses in one list. */
+  /** Upper bound on the number of addresses in one list. */
   private static final int MAX_ADDRESSES = 9;
 
   private final Path file;
@@ -34,14 +34,14 @@
     this.values = values;
   }
 
-  /** Checks that each key is a known one and is given once, in the order of the file. */
+  /** Throws for the first key, in file order, that is unknown or set more than once. */
   void checkKeys(Set<String> known) {
     Set<String> seen = new HashSet<>();
     values
         .getKeys()
         .forEachRemaining(
             escaped -> {
-              // Commons Configuration writes a dot within a key as two.
+              // Commons Configuration escapes a dot within a key as two dots.
               String key = escaped.replace("..", ".");
               if (!known.contains(key)) {
                 throw invalid(key, "no such key");
@@ -56,12 +56,18 @@
     return InvalidDeploymentFileException.atKey(file, name, key, what);
   }
 
-  /** A value as written, without blanks around it; may be empty. */
+  /**
+   * Returns a value without surrounding whitespace, which may be the empty string; empty if the key
+   * is absent.
+   */
   Optional<String> string(String key) {
     return Optional.ofNullable(values.getString(key, null)).map(String::strip);
   }
 
-  /** A value with a default; a key without a value is invalid unless the default is empty. */
+  /**
+   * Returns a value without surrounding whitespace, or the default if the key is absent. A blank
+   * value is invalid unless the default is blank.
+   */
   String string(String key, String defaultValue) {
     String value = values.getString(key, defaultValue);
     if (value.isBlank() && !defaultValue.isBlank()) {
@@ -70,7 +76,7 @@
     return value.strip();
   }
 
-  /** One of several values, without a default. */
+  /** Returns a value that has to be one of the choices; an absent key is invalid. */
   String requiredChoice(String key, String... choices) {
     return oneOf(
         key,
@@ -79,7 +85,7 @@
         choices);
   }
 
-  /** One of several values, of which the first is the default. */
+  /** Returns a value that has to be one of the choices; the first choice is the default. */
   String choice(String key, String... choices) {
     return oneOf(key, string(key, choices[0]), choices);
   }
@@ -91,18 +97,21 @@
     return value;
   }
 
-  /** Yes or no; no is the default. */
+  /** Returns whether the value is {@code yes}; the only other value is {@code no}, the default. */
   boolean isYes(String key) {
     String value = string(key, "no");
     return oneOf(key, value, "yes", "no").equals("yes");
   }
 
-  /** Items separated by commas or blanks; empty if the key is absent. */
+  /** Splits a value at commas and whitespace; empty if the key is absent. */
   List<String> listItems(String key) {
     return Arrays.stream(string(key, "").split("[,\\s]+")).filter(item -> !item.isEmpty()).toList();
   }
 
-  /** A file that can be read now. */
+  /**
+   * Returns the path of a file that is readable at the time of this call; empty if the key is
+   * absent or has no value.
+   */
   Optional<Path> readableFile(String key) {
     Optional<String> value = nonEmptyString(key);
     if (value.isPresent() && !Files.isReadable(Path.of(value.get()))) {
@@ -111,7 +120,10 @@
     return value.map(Path::of);
   }
 
-  /** A file that may be absent, in a folder that exists. */
+  /**
+   * Returns the path of a file that need not exist, in a folder that exists; empty if the key is
+   * absent or has no value.
+   */
   Optional<Path> writableFile(String key) {
     Optional<String> value = nonEmptyString(key);
     if (value.isPresent()) {
@@ -127,7 +139,10 @@
     return string(key).filter(value -> !value.isEmpty());
   }
 
-  /** One numeric IPv4 address with a port; datagrams have room for no longer address. */
+  /**
+   * Returns a numeric IPv4 address with a port; empty if the key is absent. IPv6 addresses are
+   * invalid because they do not fit into the datagram format.
+   */
   Optional<SocketAddress> ipv4Address(String key) {
     Optional<String> value = string(key);
     try {
@@ -136,12 +151,12 @@
         return address;
       }
     } catch (InvalidDocumentException e) {
-      // Reported below, with the key.
+      // Reported below, with section and key.
     }
     throw invalid(key, "no numeric IPv4 address:port: " + value.get());
   }
 
-  /** One to nine numeric addresses with ports, each once. */
+  /** Returns 1 to {@value #MAX_ADDRESSES} numeric addresses with ports, without duplicates. */
   List<SocketAddress> addresses(String key) {
     List<SocketAddress> addresses = new ArrayList<>();
     for (String text : listItems(key)) {
@@ -168,14 +183,14 @@
     }
   }
 
-  /** Seconds within bounds, as nanoseconds. */
+  /** Returns a number of seconds from {@code min} to {@code max}, converted to nanoseconds. */
   long secondsToNanos(String key, String defaultValue, double min, double max) {
     return number(key, defaultValue, min, max)
         .multiply(BigDecimal.valueOf(NANOS_PER_SECOND))
         .longValue();
   }
 
-  /** A whole number within bounds. */
+  /** Returns an integer from {@code min} to {@code max}. */
   int integer(String key, String defaultValue, int min, int max) {
     BigDecimal number = number(key, defaultValue, min, max);
     if (number.stripTrailingZeros().scale() > 0) {
@@ -193,7 +208,7 @@
         return number;
       }
     } catch (NumberFormatException e) {
-      // Reported below, with the bounds.
+      // Reported below, with the bounds of the value.
     }
     throw invalid(key, "no number from " + plain(min) + " to " + plain(max) + ": " + value);
   }
--- a/app/src/main/java/org/amberpath/cli/settings/InvalidDeploymentFileException.java
+++ b/app/src/main/java/org/amberpath/cli/settings/InvalidDeploymentFileException.java
@@ -3,8 +3,9 @@
 import java.nio.file.Path;
 
 /**
- * A deployment file can't be read, or its first fault; the message is {@code FILE: [section] key:
- * what is wrong}, with as much of it as is known.
+ * Signals that a deployment file can't be read, or reports its first fault. The message has the
+ * form {@code FILE: [section] key: what is wrong}; section and key are left out of it if the fault
+ * is not at one of them.
  */
 public final class InvalidDeploymentFileException extends RuntimeException {
   private static final long serialVersionUID = 1;
@@ -13,17 +14,17 @@
     super(message);
   }
 
-  /** The file itself can't be read or is no INI. */
+  /** Returns the exception for a file that can't be read or parsed as INI. */
   static InvalidDeploymentFileException inFile(Path file, String what) {
     return new InvalidDeploymentFileException(file + ": " + what);
   }
 
-  /** A section is unknown or missing. */
+  /** Returns the exception for an unknown or missing section. */
   static InvalidDeploymentFileException inSection(Path file, String section, String what) {
     return new InvalidDeploymentFileException(file + ": [" + section + "]: " + what);
   }
 
-  /** A key is unknown or missing, or its value is invalid. */
+  /** Returns the exception for an unknown or missing key, or for an invalid value. */
   static InvalidDeploymentFileException atKey(Path file, String section, String key, String what) {
     return new InvalidDeploymentFileException(file + ": [" + section + "] " + key + ": " + what);
   }
--- a/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -10,7 +10,10 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 
-/** Reads [owner]: how a leader is elected, for how long, and which tasks it does. */
+/**
+ * Reads section {@code [owner]}: how the leader of a task is elected, how long its lease lasts, and
+ * which tasks are enabled.
+ */
 final class LeadershipSection {
   static final String NAME = "owner";
   static final Set<String> KEYS =
@@ -25,10 +28,13 @@
           "probe",
           "warm");
 
-  /** Assumed bound on the difference in rate of two machines' clocks, parts per million. */
+  /** Assumed upper bound on how fast or slow a machine's clock runs, in parts per million. */
   private static final int MAX_CLOCK_DRIFT_PPM = 1000;
 
-  /** A task that sends requests needs this much of the settle time after messages' delays. */
+  /**
+   * Lower bound on the settle time if a task sends requests: the former leader's last request has
+   * to end before its successor acts, beyond the delay of the messages themselves.
+   */
   private static final long MIN_SETTLE_NANOS_WITH_REQUESTS = 300_000_000;
 
   private final IniSection section;
@@ -38,9 +44,9 @@
   }
 
   /**
-   * Reads the section.
+   * Reads and validates the section.
    *
-   * @param reloadVoters reads the voters from the file as it is then; may do I/O
+   * @param reloadVoters reads the voters from the file again when it is called; blocks on I/O
    */
   LeadershipSettings read(
       Optional<RegistrySettings> registry,
--- a/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import org.amberpath.membership.runtime.MembershipSettings;
 
-/** Reads [fleet]: the addresses, seeds, keys and timing of the membership protocol. */
+/** Reads section {@code [fleet]}: addresses, seeds, keys and timing of the membership protocol. */
 final class MembershipSection {
   static final String NAME = "fleet";
   static final Set<String> KEYS =
--- a/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -9,7 +9,10 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 
-/** Reads [registry]: where the registry is, how to authenticate, and bounds on what it sends. */
+/**
+ * Reads section {@code [registry]}: endpoints, credentials and snapshot file of the registry
+ * client, and limits on the registry's data.
+ */
 final class RegistrySection {
   static final String NAME = "registry";
   static final Set<String> KEYS =
@@ -40,7 +43,7 @@
     this.section = section;
   }
 
-  /** How a client authenticates; what is not used is empty. */
+  /** Files and user name with which the client authenticates; empty where not set. */
   private record Credentials(
       Optional<Path> trust,
       Optional<Path> certificate,
@@ -49,7 +52,9 @@
       Optional<Path> password,
       Optional<String> user) {}
 
-  /** Whether the journal is polled as well, instead of not at all. */
+  /**
+   * Returns whether the journal is polled in addition to the registry, rather than replaced by it.
+   */
   boolean alsoPollsJournal() {
     return section.choice("journal", "instead", "beside").equals("beside");
   }
--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -18,7 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Dependencies between modules run one way; pure code does no I/O and reads no clock. */
+/**
+ * Checks that modules depend only on modules below them, and that pure code does no I/O and reads
+ * no clock.
+ */
 class ArchitectureTest {
   private static final String ROOT = "org.amberpath.";
   private static final JavaClasses ALL =
@@ -26,7 +29,7 @@
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.amberpath");
 
-  /** Every pure package; that of a new subsystem is added here. */
+  /** All packages of pure code; the pure package of a new subsystem has to be added. */
   private static final List<String> PURE =
       List.of(
           ROOT + "routing",
--- a/app/src/test/java/org/amberpath/DocumentedNamesTest.java
+++ b/app/src/test/java/org/amberpath/DocumentedNamesTest.java
@@ -19,19 +19,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Types, members and files that the pages for readers name exist in the sources. */
+/** Checks that types, members and files that the documentation names exist. */
 class DocumentedNamesTest {
   private static final Path ROOT = Path.of("..");
 
-  /** Types of libraries that the pages name. */
+  /** Types of libraries that the documentation names. */
   private static final Set<String> LIBRARY_TYPES = Set.of("NetSocket", "Optional");
 
-  /** This page names what does not exist any more. */
+  /** This page lists former names, so the files that it names need not exist. */
   private static final Path RENAMED = ROOT.resolve("docs").resolve("renamed.md");
 
   private static final Pattern CODE = Pattern.compile("`([^`\\n]+)`");
 
-  /** A type, with a member or nested type if one is named. */
+  /** A type, optionally followed by a member or nested type. */
   private static final Pattern NAME =
       Pattern.compile("([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:\\.(\\w+))?(?:\\(.*\\))?");
 
@@ -39,7 +39,10 @@
       Pattern.compile("\\b(?:class|interface|enum|record|@interface) ([A-Z]\\w*)");
   private static final Pattern LINK = Pattern.compile("\\]\\((?!https?:)([^)#]+)(?:#[^)]*)?\\)");
 
-  /** Of each declared type the text of its file. */
+  /**
+   * Returns the source text of each type by simple name; texts of types with the same name are
+   * concatenated.
+   */
   private static Map<String, String> sourcesByType() throws IOException {
     Map<String, String> sources = new HashMap<>();
     for (Path file : files(".java")) {
--- a/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
+++ b/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The experiment on the number of endpoints, at a tiny size: all that it compares is measured at
- * both sizes.
+ * Runs {@code lab endpoints-size} with 20 and 40 endpoints and checks that every figure that the
+ * experiment compares is measured at both sizes.
  */
 class EndpointsSizeProcessTest {
   private static final double MIN_MEMORY_MEGABYTES = 10;
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Four gateways as real processes that know one another: a cut, a crash, a restart, a pause, a
- * leave.
+ * Runs four gateway processes in one fleet and checks that each detects a partition, a crash, a
+ * restart, a pause and a graceful leave, and that the fleet recovers from them.
  */
 class FleetProcessesTest {
   private static final int GATEWAY_COUNT = 4;
@@ -37,7 +37,10 @@
     testbed.close();
   }
 
-  /** What one gateway holds of another. */
+  /**
+   * Returns the status of gateway {@code other} as gateway {@code of} last reported it; the empty
+   * string if it has reported none.
+   */
   private String statusOf(int of, int other) {
     JsonObject view = testbed.slots().get(of).view();
     return view == null
--- a/app/src/test/java/org/amberpath/LogCallScanner.java
+++ b/app/src/test/java/org/amberpath/LogCallScanner.java
@@ -14,10 +14,10 @@
 import java.util.stream.Stream;
 
 /**
- * Finds the log calls in Java sources with their constant text. A call is one on a {@code Logger},
- * one on a {@code Consumer<String>} whose name says that it logs, or one of a method that passes a
- * {@code String} parameter on to such a call with no more than a component before it; line wraps
- * and comments don't matter.
+ * Finds the log calls in Java sources and the constant text of their messages. A log call is a call
+ * of a {@code Logger}, a call of a {@code Consumer<String>} whose name marks it as a log, or a call
+ * of a wrapper: a method that passes a {@code String} parameter on to a log call and adds at most a
+ * component name before the parameter. Line wraps and comments are ignored.
  */
 final class LogCallScanner {
   private static final Pattern METHOD =
@@ -32,27 +32,27 @@
   private static final Pattern LEVEL = Pattern.compile("\\bLevel\\.(\\w+)");
   private static final String LEVELS = "info|warning|severe|config|fine|finer|finest|log";
 
-  /** What a method that passes a message on may put before it. */
+  /** The constant text that a wrapper may add before the message: at most a component name. */
   private static final Pattern COMPONENT = Pattern.compile("\\W*(?:\\w+:\\s*)?");
 
-  /** How deep a method that logs may be wrapped. */
+  /** Upper bound on the nesting depth of wrappers. */
   private static final int MAX_WRAPPERS = 3;
 
   /**
    * A log call.
    *
    * @param type the simple name of the class whose file holds it
-   * @param level of java.util.logging
-   * @param texts the string literals of its message, in order, wrappers' first
-   * @param hasOpenPrefix whether what it calls may put a component before the message
+   * @param level the name of the java.util.logging level
+   * @param texts the string literals of its message, in order, those of wrappers first
+   * @param hasOpenPrefix whether the called consumer may add a component name before the message
    */
   record Call(String type, String level, List<String> texts, boolean hasOpenPrefix) {
-    /** The constant text by which a call and its row are compared. */
+    /** Returns the constant text by which a call and its row in docs/oncall.md are compared. */
     String key() {
       return LogCallScanner.key(String.join("", texts));
     }
 
-    /** A row of docs/oncall.md to be completed by hand. */
+    /** Returns a row for docs/oncall.md in which meaning and action remain to be filled in. */
     String rowToComplete() {
       String pattern = "<x>" + String.join("<x>", texts) + "<x>";
       return "| `" + pattern + "` | `" + type + "` | " + level + " | ? | ? |";
@@ -62,7 +62,7 @@
   /** A method that passes its argument on to a log call. */
   private record Wrapper(String type, String method, String level, List<String> texts) {}
 
-  /** A call found in a file, with where its arguments are. */
+  /** A call in a file, with the start and end offsets of its arguments. */
   private record Site(Source source, int start, int end, String level, List<String> texts) {
     List<String> ownTexts() {
       return source.literals(start, end);
@@ -82,7 +82,7 @@
     this.sources = sources;
   }
 
-  /** The calls in all Java files below some folders. */
+  /** Returns the log calls in all Java files below the folders. */
   static Set<Call> inFolders(List<Path> folders) throws IOException {
     List<Source> sources = new ArrayList<>();
     for (Path folder : folders) {
@@ -101,12 +101,15 @@
     return new LogCallScanner(sources).scan();
   }
 
-  /** The calls in one file. */
+  /** Returns the log calls in one file. */
   static Set<Call> inText(String type, String text) {
     return new LogCallScanner(List.of(new Source(type, text))).scan();
   }
 
-  /** Text without what differs from call to call: placeholders, formats, blanks, brackets. */
+  /**
+   * Removes the parts that vary between calls or are optional in a row: placeholders, format
+   * specifiers, whitespace and square brackets.
+   */
   static String key(String text) {
     return text.replaceAll("<[a-z][a-z0-9 ,'-]*>", "")
         .replaceAll("%[-#+0-9.,]*[a-zA-Z]|\\{\\d*}", "")
@@ -154,7 +157,10 @@
     return level.find() ? level.group(1) : "?";
   }
 
-  /** Takes a site for a wrapper if it passes on a parameter, otherwise for a call. */
+  /**
+   * Records a site as a wrapper if it passes on a {@code String} parameter of its method, otherwise
+   * as a log call.
+   */
   private void add(Site site, List<Wrapper> wrappers) {
     Matcher method = METHOD.matcher(site.source.bare).region(0, site.start);
     String name = "";
@@ -175,7 +181,7 @@
     calls.add(new Call(site.source.type, site.level, site.allTexts(), false));
   }
 
-  /** Adds the calls of a wrapper; one that nothing calls by its name is a log call itself. */
+  /** Adds the calls of a wrapper; a wrapper that is called nowhere is recorded as a log call. */
   private void addCallsOf(Wrapper wrapper, List<Wrapper> outer) {
     int found = 0;
     for (Source source : sources) {
@@ -201,7 +207,7 @@
     }
   }
 
-  /** The text of a file, and the same with comments and the inside of literals blanked out. */
+  /** The text of a file, and a copy with comments and the contents of literals blanked out. */
   private static final class Source {
     private static final Pattern COMMENT_OR_LITERAL =
         Pattern.compile(
@@ -236,7 +242,7 @@
       return names;
     }
 
-    /** Where the parenthesis ends that was opened just before a position. */
+    /** Returns the offset of the parenthesis that closes the one opened just before a position. */
     int closing(int position) {
       int depth = 1;
       int at = position;
@@ -247,7 +253,10 @@
       return at - 1;
     }
 
-    /** Whether a name with its parentheses is a declaration: a type stands before it. */
+    /**
+     * Returns whether a name with its parentheses is a method declaration: a type precedes it, and
+     * a body follows.
+     */
     boolean isDeclaration(int start, int end) {
       return bare.substring(0, start).matches("(?s).*\\b(?!return|else)\\w+\\s+")
           && bare.substring(end + 1).matches("(?s)\\s*(?:throws [\\w., ]+)?[{;].*")
--- a/app/src/test/java/org/amberpath/LogLinesTest.java
+++ b/app/src/test/java/org/amberpath/LogLinesTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * docs/oncall.md has a row for each log call of the sources, and no other row. A row is found by
- * its class, its level and its constant text: what stands outside of {@code <...>}, without blanks
- * and brackets.
+ * Checks that docs/oncall.md has a row for each log call of the sources and no row without a log
+ * call. Rows are matched by class, level and constant text, which is the text outside of {@code
+ * <...>} without whitespace and square brackets.
  */
 class LogLinesTest {
   private static final Path ROOT = Path.of("..");
   private static final Pattern ROW =
       Pattern.compile("(?m)^\\| `([^`]+)` \\| `(\\w+)` \\| ([A-Z]+) \\| (.+?) \\| (.+?) \\|$");
 
-  /** A row of the table. */
+  /** A row of the table in docs/oncall.md. */
   private record Row(String pattern, String type, String level, String meaning, String action) {
     boolean describes(LogCallScanner.Call call) {
       String key = LogCallScanner.key(pattern);
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real gateways of which one leads the tasks of all: paused and resumed, terminated, health
- * checking for the others.
+ * Runs four gateway processes that elect a leader for each task. Checks that a leader paused past
+ * its lease does not act after it resumes, that a leader that is terminated hands over before its
+ * lease ends, and that only the lease holder health-checks an ejected cache.
  */
 class OwnerProcessesTest {
   private static final int GATEWAY_COUNT = 4;
@@ -81,7 +82,10 @@
     return EventLoopWaiter.callOnLoop(vertx, what);
   }
 
-  /** What the fence of purge retention holds: the term, and who acted last under it. */
+  /**
+   * Reads the fencing record of the purge retention task: the term, and the gateway that last acted
+   * in it; term 0 if there is no record yet.
+   */
   private JsonObject sweepFence() throws Exception {
     byte[] value = callOnLoop(() -> registry.entries().get(FENCE));
     return value == null
@@ -132,7 +136,7 @@
     await("another deletes purges", () -> sweepFence().getLong("term") > first.getLong("term"));
     JsonObject second = sweepFence();
     assertNotEquals(first.getString("by"), second.getString("by"));
-    // The passing of time is what is tested: by then the paused one has resumed.
+    // Waits past the end of the pause: nothing observable marks that a resumed leader does not act.
     Thread.sleep(5000);
     assertEquals(second, sweepFence(), "the one that resumed changes nothing");
 
@@ -163,7 +167,7 @@
           return leave == GATEWAY_COUNT - 1;
         });
     long before = testbed.cacheRequestCount("e3");
-    // The passing of time is what is tested: the calls of these seconds are counted.
+    // Counts the calls during a fixed time.
     Thread.sleep(4000);
     long calls = testbed.cacheRequestCount("e3") - before;
     assertTrue(calls <= 8, calls + " calls in 4 s by all");
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -14,7 +14,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The platform's requirements on deploy/balancer.toml, checked on the text of the file. */
+/** Checks the text of deploy/balancer.toml against the platform's requirements. */
 class RunLineTest {
   private final String deploy;
   private final String run;
@@ -67,7 +67,9 @@
     assertTrue(deploy.contains("\npackages = [] "));
   }
 
-  /** The interfaces between decisions and the rest hold none themselves. */
+  /**
+   * Interfaces between the decision logic and its callers, which contain no decisions themselves.
+   */
   private static final Set<String> INTERFACES =
       Set.of(
           "RoutingEvents",
--- a/app/src/test/java/org/amberpath/cli/AdminClientTest.java
+++ b/app/src/test/java/org/amberpath/cli/AdminClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Requests to a gateway's admin endpoint: what is returned, and the message of each error. */
+/** Tests the results of requests to a gateway's admin endpoint and the message of each error. */
 class AdminClientTest {
   private static final int NOT_FOUND = 404;
   private static final int CONFLICT = 409;
@@ -86,7 +86,7 @@
                     silent.accept().close();
                   }
                 } catch (IOException e) {
-                  // The test has ended.
+                  // The test has closed the server socket.
                 }
               });
       closer.start();
--- a/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import picocli.CommandLine;
 
-/** Names, aliases and exit codes of the commands. */
+/** Tests the names, aliases and exit codes of the commands. */
 class AmberpathCommandTest {
   private static final String REGISTRY =
       "[registry]\nform = etcd\nendpoints = 127.0.0.1:2379, 127.0.0.1:2380\n";
--- a/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
+++ b/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The deployment file: defaults, and one message with file, section and key at a fault. */
+/** Tests the defaults of a deployment file, and the file, section and key in its error messages. */
 class DeploymentFileTest {
   private static final String REGISTRY =
       "[registry]\nform = etcd\nendpoints = 127.0.0.1:2379, 127.0.0.1:2380\n";
