--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -33,30 +33,31 @@
     })
 public final class AmberpathCommand {
   /** Exit code of a command that succeeded. */
-  static final int DONE = 0;
+  static final int SUCCESS = 0;
 
   /** Exit code of a command that failed for any other reason than those below. */
-  static final int FAILED = 1;
+  static final int FAILURE = 1;
 
   /** Exit code for invalid usage or invalid settings. */
-  static final int USAGE = 2;
+  static final int USAGE_ERROR = 2;
 
   /** Exit code of an experiment that missed one of its pass criteria (bars). */
-  static final int MISSED = 3;
+  static final int BARS_MISSED = 3;
 
   /** Formats of log lines; the constants are the values of {@code --log}. */
-  enum Log {
+  enum LogFormat {
     plain,
     json
   }
 
   @Option(
       names = "--log",
+      paramLabel = "<log>",
       scope = ScopeType.INHERIT,
       defaultValue = "plain",
       description = "Log lines: ${COMPLETION-CANDIDATES}.")
-  void log(Log form) {
-    if (form == Log.json) {
+  void setLogFormat(LogFormat format) {
+    if (format == LogFormat.json) {
       EcsFormatter formatter = new EcsFormatter();
       formatter.setServiceName("amberpath");
       for (Handler handler : Logger.getLogger("").getHandlers()) {
@@ -72,23 +73,23 @@
    * was started, which keeps running on its own threads.
    */
   public static void run(String... args) {
-    int code = line().execute(args);
-    if (code != ServeCommand.KEEPS_RUNNING) {
-      System.exit(code);
+    int exitCode = commandLine().execute(args);
+    if (exitCode != ServeCommand.KEEPS_RUNNING) {
+      System.exit(exitCode);
     }
   }
 
-  static CommandLine line() {
-    CommandLine line = new CommandLine(new AmberpathCommand());
-    line.setExecutionExceptionHandler(
-        (e, of, parsed) -> {
-          of.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
+  static CommandLine commandLine() {
+    CommandLine commandLine = new CommandLine(new AmberpathCommand());
+    commandLine.setExecutionExceptionHandler(
+        (e, command, parseResult) -> {
+          command.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
           return e instanceof InvalidDeploymentFileException
                   || e instanceof InvalidSettingsException
                   || e instanceof InvalidDocumentException
-              ? USAGE
-              : FAILED;
+              ? USAGE_ERROR
+              : FAILURE;
         });
-    return line;
+    return commandLine;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/CheckCommand.java
+++ b/app/src/main/java/org/amberpath/cli/CheckCommand.java
@@ -29,6 +29,6 @@
       DeploymentFile.read(file);
     }
     System.out.println(file + ": good");
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -80,6 +80,6 @@
     for (Experiment experiment : EXPERIMENTS) {
       System.out.printf("%-16s%s%n", experiment.name, experiment.description);
     }
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabEndpointsSizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabEndpointsSizeCommand.java
@@ -21,9 +21,10 @@
 
   @Option(
       names = "--times",
+      paramLabel = "<times>",
       defaultValue = "16",
       description = "How many times as many. Default: ${DEFAULT-VALUE}.")
-  private int times;
+  private int scaleFactor;
 
   @Option(
       names = "--gateways",
@@ -33,20 +34,23 @@
 
   @Option(
       names = "--rate",
+      paramLabel = "<rate>",
       defaultValue = "30",
       description = "Requests a second to that one. Default: ${DEFAULT-VALUE}.")
-  private int rate;
+  private int requestRate;
 
   @Option(
       names = "--sockets",
+      paramLabel = "<sockets>",
       defaultValue = "1024",
       description = "Its limit of descriptors. Default: ${DEFAULT-VALUE}.")
-  private int sockets;
+  private int descriptorLimit;
 
   @Option(
       names = "--out",
+      paramLabel = "<out>",
       description = "Where settings and logs go. Default: a new folder for a while.")
-  private Path out;
+  private Path outputFolder;
 
   @Override
   int defaultSeconds() {
@@ -57,7 +61,14 @@
   ExperimentReport run(int seconds) throws Exception {
     return EndpointsSizeExperiment.run(
         new EndpointsSizeExperiment.Plan(
-            seed(), caches, times, gateways, rate, sockets, seconds, folder(out)),
+            seed(),
+            caches,
+            scaleFactor,
+            gateways,
+            requestRate,
+            descriptorLimit,
+            seconds,
+            createFolder(outputFolder)),
         System.out);
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabExperiment.java
@@ -43,29 +43,31 @@
   }
 
   /** Prints the report and returns the exit code, which says whether all of its bars hold. */
-  static int finish(ExperimentReport report) {
+  static int printReport(ExperimentReport report) {
     System.out.println(report.json());
-    return report.holds() ? AmberpathCommand.DONE : AmberpathCommand.MISSED;
+    return report.holds() ? AmberpathCommand.SUCCESS : AmberpathCommand.BARS_MISSED;
   }
 
   /**
    * Returns the number of gateway processes that an experiment starts; throws if it is not from
    * {@value #MIN_GATEWAYS} to {@value #MAX_GATEWAYS}.
    */
-  static int checkedGateways(int gateways) {
-    if (gateways < MIN_GATEWAYS || gateways > MAX_GATEWAYS) {
+  static int checkGatewayCount(int gatewayCount) {
+    if (gatewayCount < MIN_GATEWAYS || gatewayCount > MAX_GATEWAYS) {
       throw new InvalidSettingsException(
           "command line",
           "",
           "--gateways",
           "--gateways: from " + MIN_GATEWAYS + " to " + MAX_GATEWAYS);
     }
-    return gateways;
+    return gatewayCount;
   }
 
   /** Creates the folder for settings and logs; if it is null, creates a temporary folder. */
-  static Path folder(Path out) throws IOException {
-    return out == null ? Files.createTempDirectory("amberpath-lab") : Files.createDirectories(out);
+  static Path createFolder(Path folder) throws IOException {
+    return folder == null
+        ? Files.createTempDirectory("amberpath-lab")
+        : Files.createDirectories(folder);
   }
 
   /**
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipCommand.java
@@ -21,8 +21,9 @@
 
   @Option(
       names = "--out",
+      paramLabel = "<out>",
       description = "Where settings and logs go. Default: a new folder for a while.")
-  private Path out;
+  private Path outputFolder;
 
   @Override
   int defaultSeconds() {
@@ -32,7 +33,8 @@
   @Override
   ExperimentReport run(int seconds) throws Exception {
     return LeadershipExperiment.run(
-        new LeadershipExperiment.Plan(seed(), checkedGateways(gateways), seconds, folder(out)),
+        new LeadershipExperiment.Plan(
+            seed(), checkGatewayCount(gateways), seconds, createFolder(outputFolder)),
         System.out);
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipModelCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipModelCommand.java
@@ -14,14 +14,15 @@
 final class LabLeadershipModelCommand extends LabModelExperiment {
   @Option(
       names = "--way",
+      paramLabel = "<way>",
       defaultValue = "RIGHT",
       description =
           "${COMPLETION-CANDIDATES}. All but the first are "
               + "wrong, to see the model catch them. Default: ${DEFAULT-VALUE}.")
-  private LeadershipVariant way;
+  private LeadershipVariant variant;
 
   @Override
   SeededRuns.Model model() {
-    return LeadershipModelExperiment.model(way);
+    return LeadershipModelExperiment.model(variant);
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipValueCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipValueCommand.java
@@ -27,6 +27,6 @@
 
   @Override
   public Integer call() {
-    return finish(LeadershipValueExperiment.run(seed(), gateways, caches, pairs, System.out));
+    return printReport(LeadershipValueExperiment.run(seed(), gateways, caches, pairs, System.out));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabMembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipCommand.java
@@ -19,12 +19,13 @@
   private int gateways;
 
   @Option(names = "--alone", description = "Without the same day with [fleet] off beside it.")
-  private boolean alone;
+  private boolean withoutBaseline;
 
   @Option(
       names = "--out",
+      paramLabel = "<out>",
       description = "Where settings and logs go. Default: a new folder for a while.")
-  private Path out;
+  private Path outputFolder;
 
   @Override
   int defaultSeconds() {
@@ -35,7 +36,11 @@
   ExperimentReport run(int seconds) throws Exception {
     return MembershipExperiment.run(
         new MembershipExperiment.Plan(
-            seed(), checkedGateways(gateways), seconds, !alone, folder(out)),
+            seed(),
+            checkGatewayCount(gateways),
+            seconds,
+            !withoutBaseline,
+            createFolder(outputFolder)),
         System.out);
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabMembershipSizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipSizeCommand.java
@@ -20,13 +20,14 @@
 
   @Option(
       names = "--periods",
+      paramLabel = "<periods>",
       split = ",",
       defaultValue = "250,500,1000",
       description = "Between probes, in ms. Default: ${DEFAULT-VALUE}.")
-  private List<Integer> periods;
+  private List<Integer> periodsMillis;
 
   @Override
   public Integer call() {
-    return finish(MembershipSizeExperiment.run(seed(), sizes, periods, System.out));
+    return printReport(MembershipSizeExperiment.run(seed(), sizes, periodsMillis, System.out));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
@@ -25,7 +25,7 @@
     ExperimentReport report = new ExperimentReport(seed());
     if (runs == 1) {
       SeededRuns.Result result = SeededRuns.runOne(model(), seed(), System.out::println);
-      return finish(
+      return printReport(
           report
               .figure("missed", String.valueOf(result.violation()))
               .bar("all bars", result.violation() == null));
@@ -33,7 +33,7 @@
     long startedNanos = System.nanoTime();
     Map<String, Object> totals = SeededRuns.runMany(model(), seed(), runs);
     totals.forEach(report::figure);
-    return finish(
+    return printReport(
         report
             .figure("took_ms", (System.nanoTime() - startedNanos) / NANOS_PER_MILLI)
             .bar("all bars in all runs", totals.get("failed").equals(0L)));
--- a/app/src/main/java/org/amberpath/cli/LabPowerLossCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabPowerLossCommand.java
@@ -27,12 +27,14 @@
 
   @Option(
       names = "--origin",
+      paramLabel = "<origin>",
       defaultValue = "0.2",
       description = "The part of all GETs that the origin bears. Default: ${DEFAULT-VALUE}.")
-  private double origin;
+  private double originCapacity;
 
   @Override
   public Integer call() {
-    return finish(PowerLossSizeExperiment.run(seed(), gateways, caches, pairs, origin, System.out));
+    return printReport(
+        PowerLossSizeExperiment.run(seed(), gateways, caches, pairs, originCapacity, System.out));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
@@ -15,9 +15,10 @@
 final class LabRegistryCommand extends LabSocketExperiment {
   @Option(
       names = "--form",
+      paramLabel = "<form>",
       defaultValue = "etcd",
       description = "etcd or consul. Default: ${DEFAULT-VALUE}.")
-  private String form;
+  private String protocol;
 
   @Override
   int defaultSeconds() {
@@ -27,6 +28,6 @@
   @Override
   ExperimentReport run(int seconds) throws Exception {
     return RegistryExperiment.run(
-        seed(), seconds, RegistrySettings.ProtocolKind.valueOf(form.toUpperCase(Locale.ROOT)));
+        seed(), seconds, RegistrySettings.ProtocolKind.valueOf(protocol.toUpperCase(Locale.ROOT)));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabRegistrySizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistrySizeCommand.java
@@ -18,12 +18,13 @@
 
   @Option(
       names = "--changes",
+      paramLabel = "<changes>",
       defaultValue = "200",
       description = "A second. Default: ${DEFAULT-VALUE}.")
-  private int changes;
+  private int changesPerSecond;
 
   @Override
   public Integer call() {
-    return finish(RegistrySizeExperiment.run(seed(), caches, clients, changes));
+    return printReport(RegistrySizeExperiment.run(seed(), caches, clients, changesPerSecond));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
@@ -18,6 +18,6 @@
   @Override
   public final Integer call() throws Exception {
     silenceLogs();
-    return finish(run(seconds == null ? defaultSeconds() : seconds));
+    return printReport(run(seconds == null ? defaultSeconds() : seconds));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
@@ -16,7 +16,7 @@
     description = "Runs a stand-in registry until it is stopped; both forms, on the ports given.")
 final class LabStandInCommand implements Callable<Integer> {
   @Parameters(paramLabel = "WHAT", description = "registry")
-  private String what;
+  private String kind;
 
   @Option(
       names = "--ports",
@@ -27,17 +27,17 @@
 
   @Override
   public Integer call() throws Exception {
-    if (!what.equals("registry")) {
+    if (!kind.equals("registry")) {
       System.err.println("lab standin: registry");
-      return AmberpathCommand.USAGE;
+      return AmberpathCommand.USAGE_ERROR;
     }
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
     for (int port : ports) {
-      int up = registry.open(port).toCompletionStage().toCompletableFuture().get().port();
-      System.out.println("stand-in registry at 127.0.0.1:" + up);
+      int boundPort = registry.open(port).toCompletionStage().toCompletableFuture().get().port();
+      System.out.println("stand-in registry at 127.0.0.1:" + boundPort);
     }
     Thread.currentThread().join();
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -24,7 +24,7 @@
     JsonObject status = options.client().get(AdminEndpoint.TASKS_PATH);
     if (options.json()) {
       System.out.println(status.encode());
-      return AmberpathCommand.DONE;
+      return AmberpathCommand.SUCCESS;
     }
     System.out.printf(
         "%s%s, of the voters %s%n",
@@ -34,7 +34,7 @@
     for (Object element : status.getJsonArray("tasks")) {
       printTask((JsonObject) element);
     }
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 
   private static void printTask(JsonObject task) {
@@ -59,9 +59,9 @@
         && options.client().post(AdminEndpoint.RELEASE_PATH + task) == AdminClient.OK) {
       JsonObject result = new JsonObject().put("task", task).put("released", true);
       System.out.println(options.json() ? result.encode() : task + ": released");
-      return AmberpathCommand.DONE;
+      return AmberpathCommand.SUCCESS;
     }
     System.err.println(task + ": this gateway does not own it");
-    return AmberpathCommand.FAILED;
+    return AmberpathCommand.FAILURE;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -31,7 +31,7 @@
     JsonObject status = options.client().get(AdminEndpoint.MEMBERS_PATH);
     if (options.json()) {
       System.out.println(status.encode());
-      return AmberpathCommand.DONE;
+      return AmberpathCommand.SUCCESS;
     }
     System.out.printf(
         "%s in %s: %s, %d there, one part of %d%s (told %d)%n",
@@ -45,7 +45,7 @@
     for (Object element : status.getJsonArray("gateways")) {
       printMember((JsonObject) element);
     }
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 
   private static void printMember(JsonObject member) {
@@ -73,7 +73,7 @@
       previous = current;
       Thread.sleep(POLL_INTERVAL_MILLIS);
     }
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 
   /** Returns, by name, the gateway's own phase and share and the status of each other member. */
@@ -129,9 +129,9 @@
         && options.client().post(AdminEndpoint.FORGET_PATH + name) == AdminClient.OK) {
       JsonObject result = new JsonObject().put("name", name).put("is", "left");
       System.out.println(options.json() ? result.encode() : name + ": left");
-      return AmberpathCommand.DONE;
+      return AmberpathCommand.SUCCESS;
     }
     System.err.println(name + ": nothing was changed: this gateway does not hold it for lost");
-    return AmberpathCommand.FAILED;
+    return AmberpathCommand.FAILURE;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -78,7 +78,7 @@
           .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
       System.err.println(e.getCause().getMessage());
-      return AmberpathCommand.FAILED;
+      return AmberpathCommand.FAILURE;
     } finally {
       vertx.close();
     }
@@ -93,7 +93,7 @@
                 .map(
                     entries -> {
                       entries.forEach(entry -> printer().entry(entry, prefix));
-                      return AmberpathCommand.DONE;
+                      return AmberpathCommand.SUCCESS;
                     }));
   }
 
@@ -137,15 +137,15 @@
     Optional<RegistryEntry> entry =
         entries.stream().filter(candidate -> candidate.key().equals(key)).findFirst();
     if (entry.isEmpty()) {
-      return failed(id + ": no such cache");
+      return reportFailure(id + ": no such cache");
     }
     if (!(entry.get().value() instanceof RegistryRecord.Cache cache)) {
-      return failed(id + ": its value can't be read");
+      return reportFailure(id + ": its value can't be read");
     }
-    RegistryRecord.Cache changed = state == EndpointState.GONE ? null : withState(cache, state);
+    RegistryRecord.Cache updated = state == EndpointState.GONE ? null : withState(cache, state);
     return client
-        .write(key, changed, entry.get().modRevision())
-        .map(written -> report(id, RegistryLinePrinter.stateLabel(state), written));
+        .write(key, updated, entry.get().modRevision())
+        .map(written -> reportWrite(id, RegistryLinePrinter.stateLabel(state), written));
   }
 
   private static RegistryRecord.Cache withState(RegistryRecord.Cache cache, EndpointState state) {
@@ -160,9 +160,9 @@
         cache.startedAtMs());
   }
 
-  private static Future<Integer> failed(String message) {
+  private static Future<Integer> reportFailure(String message) {
     System.err.println(message);
-    return Future.succeededFuture(AmberpathCommand.FAILED);
+    return Future.succeededFuture(AmberpathCommand.FAILURE);
   }
 
   /**
@@ -170,13 +170,13 @@
    *
    * @param written false if the transaction's condition failed, so that nothing was written
    */
-  private int report(String key, String state, boolean written) {
+  private int reportWrite(String key, String state, boolean written) {
     if (!written) {
       System.err.println(key + ": nothing was written: its key moved meanwhile; look again");
-      return AmberpathCommand.FAILED;
+      return AmberpathCommand.FAILURE;
     }
     printer().written(key, state);
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 
   @Command(
@@ -186,15 +186,15 @@
   int add(@Parameters(paramLabel = "ID") String id, @Mixin NewCacheOptions options)
       throws Exception {
     RegistryRecord.Cache cache = options.toRecord(id);
-    String fault = RecordCodec.validationError(cache);
-    if (fault != null) {
-      return usage("add: gateways would not take that: " + fault);
+    String validationError = RecordCodec.validationError(cache);
+    if (validationError != null) {
+      return usageError("add: gateways would not take that: " + validationError);
     }
     return run(
         (client, prefix) ->
             client
                 .write(prefix + RecordCodec.CACHES_PREFIX + id, cache, 0)
-                .map(written -> report(id, "ready", written)));
+                .map(written -> reportWrite(id, "ready", written)));
   }
 
   @Command(
@@ -211,23 +211,25 @@
     try {
       objectId = object == null ? 0 : Long.parseUnsignedLong(object, 16);
     } catch (NumberFormatException e) {
-      return usage("purge: --object: no hexadecimal id: " + object);
+      return usageError("purge: --object: no hexadecimal id: " + object);
     }
     if (objectId == 0 && group <= 0) {
-      return usage("purge: --object or --group");
+      return usageError("purge: --object or --group");
     }
     long atMillis = System.currentTimeMillis();
-    String name = atMillis + "-" + Long.toHexString(System.nanoTime());
+    String purgeId = atMillis + "-" + Long.toHexString(System.nanoTime());
     return run(
         (client, prefix) ->
             client
-                .purge(name, new RegistryRecord.Purge(objectId, group, atMillis))
-                .map(written -> report(RecordCodec.PURGES_PREFIX + name, "purged", written)));
+                .purge(purgeId, new RegistryRecord.Purge(objectId, group, atMillis))
+                .map(
+                    written ->
+                        reportWrite(RecordCodec.PURGES_PREFIX + purgeId, "purged", written)));
   }
 
-  private static int usage(String message) {
+  private static int usageError(String message) {
     System.err.println(message);
-    return AmberpathCommand.USAGE;
+    return AmberpathCommand.USAGE_ERROR;
   }
 
   @Command(
@@ -246,6 +248,6 @@
     Thread.sleep(seconds == 0 ? Long.MAX_VALUE : seconds * MILLIS_PER_SECOND);
     context.runOnContext(ignored -> source.close());
     vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -48,7 +48,7 @@
     leadership =
         ini.getSections().contains(LeadershipSection.NAME)
             ? new LeadershipSection(section(file, ini, LeadershipSection.NAME))
-                .read(registry(), membership(), () -> readVotersAnew(file))
+                .read(registry(), membership(), () -> reloadVoters(file))
             : null;
   }
 
@@ -88,7 +88,7 @@
     return Optional.ofNullable(leadership);
   }
 
-  private static VoterConfiguration readVotersAnew(Path file) {
+  private static VoterConfiguration reloadVoters(Path file) {
     return read(file)
         .leadership()
         .orElseThrow(
@@ -98,8 +98,8 @@
 
   private static INIConfiguration parse(Path file) {
     INIConfiguration ini = new INIConfiguration();
-    try (Reader in = Files.newBufferedReader(file)) {
-      ini.read(in);
+    try (Reader reader = Files.newBufferedReader(file)) {
+      ini.read(reader);
       return ini;
     } catch (IOException e) {
       throw InvalidDeploymentFileException.inFile(
--- a/app/src/main/java/org/amberpath/cli/settings/IniSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/IniSection.java
@@ -35,25 +35,25 @@
   }
 
   /** Throws for the first key, in file order, that is unknown or set more than once. */
-  void checkKeys(Set<String> known) {
-    Set<String> seen = new HashSet<>();
+  void checkKeys(Set<String> knownKeys) {
+    Set<String> seenKeys = new HashSet<>();
     values
         .getKeys()
         .forEachRemaining(
-            escaped -> {
+            escapedKey -> {
               // Commons Configuration escapes a dot within a key as two dots.
-              String key = escaped.replace("..", ".");
-              if (!known.contains(key)) {
+              String key = escapedKey.replace("..", ".");
+              if (!knownKeys.contains(key)) {
                 throw invalid(key, "no such key");
               }
-              if (!seen.add(key) || values.getList(escaped).size() > 1) {
+              if (!seenKeys.add(key) || values.getList(escapedKey).size() > 1) {
                 throw invalid(key, "given twice");
               }
             });
   }
 
-  InvalidDeploymentFileException invalid(String key, String what) {
-    return InvalidDeploymentFileException.atKey(file, name, key, what);
+  InvalidDeploymentFileException invalid(String key, String problem) {
+    return InvalidDeploymentFileException.atKey(file, name, key, problem);
   }
 
   /**
@@ -78,7 +78,7 @@
 
   /** Returns a value that has to be one of the choices; an absent key is invalid. */
   String requiredChoice(String key, String... choices) {
-    return oneOf(
+    return checkChoice(
         key,
         string(key)
             .orElseThrow(() -> invalid(key, "missing; one of " + String.join(", ", choices))),
@@ -87,10 +87,10 @@
 
   /** Returns a value that has to be one of the choices; the first choice is the default. */
   String choice(String key, String... choices) {
-    return oneOf(key, string(key, choices[0]), choices);
+    return checkChoice(key, string(key, choices[0]), choices);
   }
 
-  private String oneOf(String key, String value, String... choices) {
+  private String checkChoice(String key, String value, String... choices) {
     if (!List.of(choices).contains(value)) {
       throw invalid(key, "none of " + String.join(", ", choices) + ": " + value);
     }
@@ -100,7 +100,7 @@
   /** Returns whether the value is {@code yes}; the only other value is {@code no}, the default. */
   boolean isYes(String key) {
     String value = string(key, "no");
-    return oneOf(key, value, "yes", "no").equals("yes");
+    return checkChoice(key, value, "yes", "no").equals("yes");
   }
 
   /** Splits a value at commas and whitespace; empty if the key is absent. */
@@ -210,10 +210,11 @@
     } catch (NumberFormatException e) {
       // Reported below, with the bounds of the value.
     }
-    throw invalid(key, "no number from " + plain(min) + " to " + plain(max) + ": " + value);
+    throw invalid(
+        key, "no number from " + toPlainString(min) + " to " + toPlainString(max) + ": " + value);
   }
 
-  private static String plain(double number) {
+  private static String toPlainString(double number) {
     return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
   }
 }
--- a/app/src/main/java/org/amberpath/cli/settings/InvalidDeploymentFileException.java
+++ b/app/src/main/java/org/amberpath/cli/settings/InvalidDeploymentFileException.java
@@ -15,17 +15,18 @@
   }
 
   /** Returns the exception for a file that can't be read or parsed as INI. */
-  static InvalidDeploymentFileException inFile(Path file, String what) {
-    return new InvalidDeploymentFileException(file + ": " + what);
+  static InvalidDeploymentFileException inFile(Path file, String problem) {
+    return new InvalidDeploymentFileException(file + ": " + problem);
   }
 
   /** Returns the exception for an unknown or missing section. */
-  static InvalidDeploymentFileException inSection(Path file, String section, String what) {
-    return new InvalidDeploymentFileException(file + ": [" + section + "]: " + what);
+  static InvalidDeploymentFileException inSection(Path file, String section, String problem) {
+    return new InvalidDeploymentFileException(file + ": [" + section + "]: " + problem);
   }
 
   /** Returns the exception for an unknown or missing key, or for an invalid value. */
-  static InvalidDeploymentFileException atKey(Path file, String section, String key, String what) {
-    return new InvalidDeploymentFileException(file + ": [" + section + "] " + key + ": " + what);
+  static InvalidDeploymentFileException atKey(
+      Path file, String section, String key, String problem) {
+    return new InvalidDeploymentFileException(file + ": [" + section + "] " + key + ": " + problem);
   }
 }
--- a/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -52,30 +52,31 @@
       Optional<RegistrySettings> registry,
       Optional<MembershipSettings> membership,
       Supplier<VoterConfiguration> reloadVoters) {
-    boolean sweeps = section.isYes("sweep");
-    boolean healthChecks = section.isYes("probe");
-    boolean prefetches = section.isYes("warm");
-    boolean byLease = section.choice("by", "votes", "lease").equals("lease");
+    boolean purgeRetentionEnabled = section.isYes("sweep");
+    boolean healthChecksEnabled = section.isYes("probe");
+    boolean prefetchEnabled = section.isYes("warm");
+    boolean usesRegistryLease = section.choice("by", "votes", "lease").equals("lease");
     if (membership.isEmpty()) {
       throw section.invalid("voters", "needs [fleet]: votes go over its datagrams");
     }
-    if (sweeps && registry.isEmpty()) {
+    if (purgeRetentionEnabled && registry.isEmpty()) {
       throw section.invalid("sweep", "needs [registry]");
     }
-    if (byLease && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
+    if (usesRegistryLease
+        && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
       throw section.invalid("by", "lease needs [registry] of the form etcd");
     }
-    VoterConfiguration voters = byLease ? null : voters();
-    LeaseTimings timings = timings(byLease, healthChecks || prefetches);
+    VoterConfiguration voters = usesRegistryLease ? null : voters();
+    LeaseTimings timings = timings(usesRegistryLease, healthChecksEnabled || prefetchEnabled);
     return new LeadershipSettings(
         voters,
         reloadVoters,
-        byLease ? registry.get() : null,
+        usesRegistryLease ? registry.get() : null,
         timings,
-        sweeps ? registry.get() : null,
+        purgeRetentionEnabled ? registry.get() : null,
         section.secondsToNanos("sweep-every-s", "5", 0.1, 3600),
-        healthChecks,
-        prefetches);
+        healthChecksEnabled,
+        prefetchEnabled);
   }
 
   private VoterConfiguration voters() {
@@ -86,9 +87,9 @@
     }
   }
 
-  private LeaseTimings timings(boolean byLease, boolean tasksSendRequests) {
+  private LeaseTimings timings(boolean usesRegistryLease, boolean tasksSendRequests) {
     long leaseNanos =
-        byLease
+        usesRegistryLease
             ? section.integer("lease-s", "3", 2, 60) * IniSection.NANOS_PER_SECOND
             : section.secondsToNanos("lease-s", "3", 1, 60);
     long settleNanos = section.secondsToNanos("settle-s", "0.6", 0, 60);
--- a/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
@@ -25,25 +25,26 @@
     if (!name.matches("[A-Za-z0-9._-]{1,32}")) {
       throw section.invalid("name", "not 1 to 32 letters, digits, ._-: " + name);
     }
-    Optional<SocketAddress> admin = section.ipv4Address("operators");
-    if (admin.isPresent() && !admin.get().hostAddress().startsWith("127.")) {
-      throw section.invalid("operators", "not on loopback: " + admin.get());
+    Optional<SocketAddress> adminAddress = section.ipv4Address("operators");
+    if (adminAddress.isPresent() && !adminAddress.get().hostAddress().startsWith("127.")) {
+      throw section.invalid("operators", "not on loopback: " + adminAddress.get());
     }
     Path keyFile = section.readableFile("key").orElseThrow(() -> section.invalid("key", "missing"));
-    SocketAddress listen =
+    SocketAddress listenAddress =
         section.ipv4Address("listen").orElseThrow(() -> section.invalid("listen", "missing"));
-    Optional<SocketAddress> advertised = section.ipv4Address("advertise");
-    if (listen.hostAddress().equals("0.0.0.0") && advertised.isEmpty()) {
-      throw section.invalid("advertise", "missing: nobody can answer " + listen.hostAddress());
+    Optional<SocketAddress> advertisedAddress = section.ipv4Address("advertise");
+    if (listenAddress.hostAddress().equals("0.0.0.0") && advertisedAddress.isEmpty()) {
+      throw section.invalid(
+          "advertise", "missing: nobody can answer " + listenAddress.hostAddress());
     }
     return new MembershipSettings(
         name,
-        listen,
-        advertised.orElse(null),
+        listenAddress,
+        advertisedAddress.orElse(null),
         section.addresses("seeds"),
         section.integer("told", "0", 0, MAX_MEMBERS),
         section.secondsToNanos("period-s", "0.5", 0.1, 10),
         keyFile,
-        admin.orElse(null));
+        adminAddress.orElse(null));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -72,7 +72,7 @@
             section.readableFile("password"),
             section.string("user"));
     List<SocketAddress> endpoints = section.addresses("endpoints");
-    check(credentials, protocol);
+    checkCredentials(credentials, protocol);
     return new RegistrySettings(
         protocol,
         endpoints,
@@ -91,7 +91,7 @@
         section.integer("longest-answer-kb", "8192", 64, 262_144) << BYTES_PER_KIB_SHIFT);
   }
 
-  private void check(Credentials credentials, ProtocolKind protocol) {
+  private void checkCredentials(Credentials credentials, ProtocolKind protocol) {
     boolean hasCertificate = credentials.certificate().isPresent();
     boolean hasUser = credentials.user().isPresent();
     if (hasCertificate && credentials.trust().isEmpty()) {
--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -24,13 +24,13 @@
  */
 class ArchitectureTest {
   private static final String ROOT = "org.amberpath.";
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.amberpath");
 
   /** All packages of pure code; the pure package of a new subsystem has to be added. */
-  private static final List<String> PURE =
+  private static final List<String> PURE_PACKAGES =
       List.of(
           ROOT + "routing",
           ROOT + "registry",
@@ -39,13 +39,13 @@
           ROOT + "planning",
           ROOT + "recovery");
 
-  private static final String[] TOOLS = {ROOT + "cli..", ROOT + "lab.."};
-  private static final String GATEWAY = ROOT + "gateway..";
+  private static final String[] TOOL_PACKAGES = {ROOT + "cli..", ROOT + "lab.."};
+  private static final String GATEWAY_PACKAGES = ROOT + "gateway..";
 
   private static final DescribedPredicate<JavaClass> PURE_CLASS =
-      describe("in a pure package", one -> PURE.contains(one.getPackageName()));
+      describe("in a pure package", one -> PURE_PACKAGES.contains(one.getPackageName()));
 
-  private static final DescribedPredicate<JavaClass> OUTSIDE =
+  private static final DescribedPredicate<JavaClass> IO_OR_CONCURRENCY_CLASS =
       describe(
           "does I/O, threads or sockets",
           one -> {
@@ -68,7 +68,7 @@
                 || name.equals("java.time.Clock");
           });
 
-  private static final DescribedPredicate<JavaMethodCall> CLOCK =
+  private static final DescribedPredicate<JavaMethodCall> CLOCK_OR_ENVIRONMENT_CALL =
       describe(
           "reads a clock or the environment",
           call ->
@@ -78,19 +78,29 @@
 
   @Test
   void everyPurePackageExists() {
-    for (String pure : PURE) {
-      assertTrue(ALL.stream().anyMatch(one -> one.getPackageName().equals(pure)), pure);
+    for (String packageName : PURE_PACKAGES) {
+      assertTrue(
+          PRODUCTION_CLASSES.stream().anyMatch(one -> one.getPackageName().equals(packageName)),
+          packageName);
     }
   }
 
   @Test
   void pureCodeDoesNoInputOrOutput() {
-    noClasses().that(PURE_CLASS).should().dependOnClassesThat(OUTSIDE).check(ALL);
+    noClasses()
+        .that(PURE_CLASS)
+        .should()
+        .dependOnClassesThat(IO_OR_CONCURRENCY_CLASS)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
   void pureCodeReadsNoClockOrEnvironment() {
-    noClasses().that(PURE_CLASS).should().callMethodWhere(CLOCK).check(ALL);
+    noClasses()
+        .that(PURE_CLASS)
+        .should()
+        .callMethodWhere(CLOCK_OR_ENVIRONMENT_CALL)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
@@ -99,8 +109,8 @@
         .that(PURE_CLASS)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("..runtime..", GATEWAY)
-        .check(ALL);
+        .resideInAnyPackage("..runtime..", GATEWAY_PACKAGES)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
@@ -115,19 +125,19 @@
                 one ->
                     one.getPackageName().startsWith(ROOT)
                         && !one.getPackageName().startsWith(ROOT + "routing")))
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void gatewayPackagesHaveNoCycleAndDependOnNothingOfTheLifecycle() {
-    slices().matching(ROOT + "gateway.(*)..").should().beFreeOfCycles().check(ALL);
+  void gatewaySubpackagesHaveNoCyclesAndDoNotDependOnTheirParent() {
+    slices().matching(ROOT + "gateway.(*)..").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     noClasses()
         .that()
         .resideInAPackage(ROOT + "gateway.*..")
         .should()
         .dependOnClassesThat()
         .resideInAPackage(ROOT + "gateway")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @ParameterizedTest
@@ -137,26 +147,28 @@
     "registry, leadership planning cli lab",
     "leadership, planning cli lab",
   })
-  void moduleDependsOnNoneAboveIt(String module, String above) {
+  void moduleDependsOnNoHigherModule(String module, String higherModules) {
     String[] packages =
-        Stream.of(above.split(" ", -1)).map(one -> ROOT + one + "..").toArray(String[]::new);
+        Stream.of(higherModules.split(" ", -1))
+            .map(one -> ROOT + one + "..")
+            .toArray(String[]::new);
     noClasses()
         .that()
         .resideInAPackage(ROOT + module + "..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(packages)
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void onlyTheCommandLineDependsOnTheLab() {
+  void onlyToolPackagesDependOnToolPackages() {
     noClasses()
         .that()
-        .resideOutsideOfPackages(TOOLS)
+        .resideOutsideOfPackages(TOOL_PACKAGES)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(TOOLS)
-        .check(ALL);
+        .resideInAnyPackage(TOOL_PACKAGES)
+        .check(PRODUCTION_CLASSES);
   }
 }
--- a/app/src/test/java/org/amberpath/DocumentedNamesTest.java
+++ b/app/src/test/java/org/amberpath/DocumentedNamesTest.java
@@ -27,15 +27,15 @@
   private static final Set<String> LIBRARY_TYPES = Set.of("NetSocket", "Optional");
 
   /** This page lists former names, so the files that it names need not exist. */
-  private static final Path RENAMED = ROOT.resolve("docs").resolve("renamed.md");
+  private static final Path RENAMED_PAGE = ROOT.resolve("docs").resolve("renamed.md");
 
-  private static final Pattern CODE = Pattern.compile("`([^`\\n]+)`");
+  private static final Pattern CODE_SPAN = Pattern.compile("`([^`\\n]+)`");
 
   /** A type, optionally followed by a member or nested type. */
-  private static final Pattern NAME =
+  private static final Pattern TYPE_OR_MEMBER =
       Pattern.compile("([A-Z][A-Za-z0-9]*[a-z][A-Za-z0-9]*)(?:\\.(\\w+))?(?:\\(.*\\))?");
 
-  private static final Pattern DECLARATION =
+  private static final Pattern TYPE_DECLARATION =
       Pattern.compile("\\b(?:class|interface|enum|record|@interface) ([A-Z]\\w*)");
   private static final Pattern LINK = Pattern.compile("\\]\\((?!https?:)([^)#]+)(?:#[^)]*)?\\)");
 
@@ -45,9 +45,9 @@
    */
   private static Map<String, String> sourcesByType() throws IOException {
     Map<String, String> sources = new HashMap<>();
-    for (Path file : files(".java")) {
+    for (Path file : sourceFiles(".java")) {
       String text = Files.readString(file);
-      Matcher declaration = DECLARATION.matcher(text);
+      Matcher declaration = TYPE_DECLARATION.matcher(text);
       while (declaration.find()) {
         sources.merge(declaration.group(1), text, String::concat);
       }
@@ -55,7 +55,7 @@
     return sources;
   }
 
-  private static List<Path> files(String suffix) throws IOException {
+  private static List<Path> sourceFiles(String suffix) throws IOException {
     List<Path> found = new ArrayList<>();
     try (Stream<Path> modules = Files.list(ROOT)) {
       for (Path module : modules.filter(path -> Files.exists(path.resolve("pom.xml"))).toList()) {
@@ -73,26 +73,26 @@
   void typesAndMembersThatThePageNamesExist(String page) throws IOException {
     Map<String, String> sources = sourcesByType();
     List<String> unknown = new ArrayList<>();
-    int names = 0;
+    int nameCount = 0;
 
-    Matcher code = CODE.matcher(Files.readString(ROOT.resolve(page)));
-    while (code.find()) {
-      Matcher name = NAME.matcher(code.group(1));
+    Matcher codeSpan = CODE_SPAN.matcher(Files.readString(ROOT.resolve(page)));
+    while (codeSpan.find()) {
+      Matcher name = TYPE_OR_MEMBER.matcher(codeSpan.group(1));
       if (name.matches() && !LIBRARY_TYPES.contains(name.group(1))) {
-        names++;
+        nameCount++;
         String source = sources.get(name.group(1));
         boolean known =
             source != null
                 && (name.group(2) == null
                     || Pattern.compile("\\b" + name.group(2) + "\\b").matcher(source).find());
         if (!known) {
-          unknown.add(code.group(1));
+          unknown.add(codeSpan.group(1));
         }
       }
     }
 
     assertEquals(List.of(), unknown, page);
-    assertTrue(names > 0, page);
+    assertTrue(nameCount > 0, page);
   }
 
   @Test
@@ -117,25 +117,25 @@
 
   @Test
   void pagesNamedInPlainTextExist() throws IOException {
-    Pattern named = Pattern.compile("\\bdocs/[a-z0-9/-]+\\.md\\b");
-    List<String> absent = new ArrayList<>();
-    List<Path> texts = new ArrayList<>(files(".java"));
+    Pattern pagePath = Pattern.compile("\\bdocs/[a-z0-9/-]+\\.md\\b");
+    List<String> missing = new ArrayList<>();
+    List<Path> texts = new ArrayList<>(sourceFiles(".java"));
     texts.add(ROOT.resolve("README.md"));
     texts.add(ROOT.resolve("CONTRIBUTING.md"));
     try (Stream<Path> docs = Files.walk(ROOT.resolve("docs"))) {
       docs.filter(file -> file.toString().endsWith(".md")).forEach(texts::add);
     }
-    texts.remove(RENAMED);
+    texts.remove(RENAMED_PAGE);
 
     for (Path text : texts) {
-      Matcher page = named.matcher(Files.readString(text));
+      Matcher page = pagePath.matcher(Files.readString(text));
       while (page.find()) {
         if (!Files.exists(ROOT.resolve(page.group()))) {
-          absent.add(text + " names " + page.group());
+          missing.add(text + " names " + page.group());
         }
       }
     }
 
-    assertEquals(List.of(), absent);
+    assertEquals(List.of(), missing);
   }
 }
--- a/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
+++ b/app/src/test/java/org/amberpath/EndpointsSizeProcessTest.java
@@ -58,13 +58,13 @@
 
   @Test
   void testbedStartsGatewaysWithTheDeployedFlags() throws Exception {
-    String run =
+    String runLine =
         Files.readAllLines(Path.of("..", "deploy", "balancer.toml")).stream()
             .filter(line -> line.startsWith("run = "))
             .findFirst()
             .orElseThrow();
     List<String> flags =
-        Stream.of(run.replaceFirst(".*exec java ", "").replaceFirst(" -jar .*", "").split(" "))
+        Stream.of(runLine.replaceFirst(".*exec java ", "").replaceFirst(" -jar .*", "").split(" "))
             .toList();
     assertEquals(flags, GatewayProcess.DEPLOYED_FLAGS);
   }
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -38,33 +38,39 @@
   }
 
   /**
-   * Returns the status of gateway {@code other} as gateway {@code of} last reported it; the empty
-   * string if it has reported none.
+   * Returns the status of gateway {@code member} as gateway {@code observer} last reported it; the
+   * empty string if it has reported none.
    */
-  private String statusOf(int of, int other) {
-    JsonObject view = testbed.slots().get(of).view();
+  private String statusOf(int observer, int member) {
+    JsonObject view = testbed.slots().get(observer).view();
     return view == null
         ? ""
         : view.getJsonArray("gateways").stream()
             .map(JsonObject.class::cast)
-            .filter(gateway -> gateway.getString("name").equals("g" + other))
+            .filter(gateway -> gateway.getString("name").equals("g" + member))
             .map(gateway -> gateway.getString("standing"))
             .findFirst()
             .orElse("");
   }
 
-  private String phase(int of) {
-    JsonObject view = testbed.slots().get(of).view();
+  private String phaseOf(int gateway) {
+    JsonObject view = testbed.slots().get(gateway).view();
     return view == null ? "" : view.getString("phase");
   }
 
-  private void await(String what, Predicate<Integer> each, int... gateways) throws Exception {
-    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
+  private void await(String description, Predicate<Integer> condition, int... gateways)
+      throws Exception {
+    long deadlineMillis = System.currentTimeMillis() + TIMEOUT_MILLIS;
     for (int gateway : gateways) {
-      while (!each.test(gateway)) {
+      while (!condition.test(gateway)) {
         assertTrue(
-            System.currentTimeMillis() < end,
-            "not in time: " + what + ", g" + gateway + ": " + testbed.slots().get(gateway).view());
+            System.currentTimeMillis() < deadlineMillis,
+            "not in time: "
+                + description
+                + ", g"
+                + gateway
+                + ": "
+                + testbed.slots().get(gateway).view());
         Thread.sleep(50);
       }
     }
@@ -74,7 +80,7 @@
     await(
         "settled " + when,
         gateway ->
-            phase(gateway).equals("settled")
+            phaseOf(gateway).equals("settled")
                 && testbed.slots().get(gateway).view().getInteger("there") == GATEWAY_COUNT,
         0,
         1,
@@ -83,14 +89,14 @@
   }
 
   @Test
-  void cutCrashRestartPauseAndLeaveAreNoticedAndRecoveredFrom() throws Exception {
+  void partitionCrashRestartPauseAndLeaveAreDetectedAndRecoveredFrom() throws Exception {
     awaitSettled("at first");
 
     for (int other = 1; other < GATEWAY_COUNT; other++) {
       testbed.setLink(0, other, LinkCondition.CUT);
       testbed.setLink(other, 0, LinkCondition.CUT);
     }
-    await("cut off", gateway -> phase(gateway).equals("cut_off"), 0);
+    await("cut off", gateway -> phaseOf(gateway).equals("cut_off"), 0);
     await("the others lost it", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
     assertEquals(
         0.25,
--- a/app/src/test/java/org/amberpath/LogCallScanner.java
+++ b/app/src/test/java/org/amberpath/LogCallScanner.java
@@ -20,20 +20,20 @@
  * component name before the parameter. Line wraps and comments are ignored.
  */
 final class LogCallScanner {
-  private static final Pattern METHOD =
+  private static final Pattern METHOD_DECLARATION =
       Pattern.compile(
           "\\b(?!if|for|while|switch|catch|try|synchronized)(\\w+)\\(([^(){};]*)\\)"
               + "\\s*(?:throws [\\w., ]+)?\\{");
 
   private static final Pattern STRING_PARAMETER = Pattern.compile("\\bString (\\w+)");
-  private static final Pattern LOGGER = Pattern.compile("\\bLogger (\\w+)\\b");
-  private static final Pattern LOG_CONSUMER =
+  private static final Pattern LOGGER_DECLARATION = Pattern.compile("\\bLogger (\\w+)\\b");
+  private static final Pattern LOG_CONSUMER_DECLARATION =
       Pattern.compile("\\bConsumer<String> (\\w*(?:[lL]og|notes|complaints)\\w*)\\b");
-  private static final Pattern LEVEL = Pattern.compile("\\bLevel\\.(\\w+)");
-  private static final String LEVELS = "info|warning|severe|config|fine|finer|finest|log";
+  private static final Pattern LEVEL_CONSTANT = Pattern.compile("\\bLevel\\.(\\w+)");
+  private static final String LOGGER_METHODS = "info|warning|severe|config|fine|finer|finest|log";
 
   /** The constant text that a wrapper may add before the message: at most a component name. */
-  private static final Pattern COMPONENT = Pattern.compile("\\W*(?:\\w+:\\s*)?");
+  private static final Pattern COMPONENT_PREFIX = Pattern.compile("\\W*(?:\\w+:\\s*)?");
 
   /** Upper bound on the nesting depth of wrappers. */
   private static final int MAX_WRAPPERS = 3;
@@ -63,7 +63,7 @@
   private record Wrapper(String type, String method, String level, List<String> texts) {}
 
   /** A call in a file, with the start and end offsets of its arguments. */
-  private record Site(Source source, int start, int end, String level, List<String> texts) {
+  private record CallSite(Source source, int start, int end, String level, List<String> texts) {
     List<String> ownTexts() {
       return source.literals(start, end);
     }
@@ -119,29 +119,29 @@
   private Set<Call> scan() {
     List<Wrapper> wrappers = new ArrayList<>();
     for (Source source : sources) {
-      for (String logger : source.names(LOGGER)) {
+      for (String logger : source.declaredNames(LOGGER_DECLARATION)) {
         Matcher call =
-            Pattern.compile("\\b" + logger + "\\s*\\.\\s*(" + LEVELS + ")\\s*\\(")
-                .matcher(source.bare);
+            Pattern.compile("\\b" + logger + "\\s*\\.\\s*(" + LOGGER_METHODS + ")\\s*\\(")
+                .matcher(source.code);
         while (call.find()) {
-          int end = source.closing(call.end());
-          String level = level(call.group(1), source.bare.substring(call.end(), end));
-          add(new Site(source, call.end(), end, level, List.of()), wrappers);
+          int end = source.closingParenthesis(call.end());
+          String level = level(call.group(1), source.code.substring(call.end(), end));
+          addSite(new CallSite(source, call.end(), end, level, List.of()), wrappers);
         }
       }
-      for (String consumer : source.names(LOG_CONSUMER)) {
+      for (String consumer : source.declaredNames(LOG_CONSUMER_DECLARATION)) {
         Matcher call =
-            Pattern.compile("\\b" + consumer + "\\s*\\.\\s*accept\\s*\\(").matcher(source.bare);
+            Pattern.compile("\\b" + consumer + "\\s*\\.\\s*accept\\s*\\(").matcher(source.code);
         while (call.find()) {
-          List<String> texts = source.literals(call.end(), source.closing(call.end()));
+          List<String> texts = source.literals(call.end(), source.closingParenthesis(call.end()));
           calls.add(new Call(source.type, "INFO", texts, true));
         }
       }
     }
     for (int depth = 0; depth < MAX_WRAPPERS; depth++) {
-      List<Wrapper> outer = new ArrayList<>();
-      wrappers.forEach(wrapper -> addCallsOf(wrapper, outer));
-      wrappers = outer;
+      List<Wrapper> outerWrappers = new ArrayList<>();
+      wrappers.forEach(wrapper -> addCallsOf(wrapper, outerWrappers));
+      wrappers = outerWrappers;
     }
     for (Wrapper wrapper : wrappers) {
       calls.add(new Call(wrapper.type, wrapper.level, wrapper.texts, false));
@@ -153,7 +153,7 @@
     if (!method.equals("log")) {
       return method.toUpperCase(Locale.ROOT);
     }
-    Matcher level = LEVEL.matcher(arguments);
+    Matcher level = LEVEL_CONSTANT.matcher(arguments);
     return level.find() ? level.group(1) : "?";
   }
 
@@ -161,8 +161,8 @@
    * Records a site as a wrapper if it passes on a {@code String} parameter of its method, otherwise
    * as a log call.
    */
-  private void add(Site site, List<Wrapper> wrappers) {
-    Matcher method = METHOD.matcher(site.source.bare).region(0, site.start);
+  private void addSite(CallSite site, List<Wrapper> wrappers) {
+    Matcher method = METHOD_DECLARATION.matcher(site.source.code).region(0, site.start);
     String name = "";
     String parameters = "";
     while (method.find()) {
@@ -170,9 +170,10 @@
       parameters = method.group(2);
     }
     Matcher parameter = STRING_PARAMETER.matcher(parameters);
-    String arguments = site.source.bare.substring(site.start, site.end);
-    boolean passesOn = COMPONENT.matcher(String.join("", site.ownTexts())).matches();
-    while (passesOn && parameter.find()) {
+    String arguments = site.source.code.substring(site.start, site.end);
+    boolean addsOnlyComponent =
+        COMPONENT_PREFIX.matcher(String.join("", site.ownTexts())).matches();
+    while (addsOnlyComponent && parameter.find()) {
       if (Pattern.compile("\\b" + parameter.group(1) + "\\b").matcher(arguments).find()) {
         wrappers.add(new Wrapper(site.source.type, name, site.level, site.allTexts()));
         return;
@@ -182,27 +183,29 @@
   }
 
   /** Adds the calls of a wrapper; a wrapper that is called nowhere is recorded as a log call. */
-  private void addCallsOf(Wrapper wrapper, List<Wrapper> outer) {
-    int found = 0;
+  private void addCallsOf(Wrapper wrapper, List<Wrapper> outerWrappers) {
+    int callCount = 0;
     for (Source source : sources) {
       String receiver = "(?<![\\w.])(?:this\\.)?";
       if (!source.type.equals(wrapper.type)) {
-        Set<String> names = source.names(Pattern.compile("\\b" + wrapper.type + " (\\w+)\\b"));
+        Set<String> names =
+            source.declaredNames(Pattern.compile("\\b" + wrapper.type + " (\\w+)\\b"));
         if (names.isEmpty()) {
           continue;
         }
         receiver = "\\b(?:" + String.join("|", names) + ")\\s*\\.\\s*";
       }
-      Matcher call = Pattern.compile(receiver + wrapper.method + "\\s*\\(").matcher(source.bare);
+      Matcher call = Pattern.compile(receiver + wrapper.method + "\\s*\\(").matcher(source.code);
       while (call.find()) {
-        int end = source.closing(call.end());
+        int end = source.closingParenthesis(call.end());
         if (!source.isDeclaration(call.start(), end)) {
-          add(new Site(source, call.end(), end, wrapper.level, wrapper.texts), outer);
-          found++;
+          addSite(
+              new CallSite(source, call.end(), end, wrapper.level, wrapper.texts), outerWrappers);
+          callCount++;
         }
       }
     }
-    if (found == 0) {
+    if (callCount == 0) {
       calls.add(new Call(wrapper.type, wrapper.level, wrapper.texts, false));
     }
   }
@@ -216,26 +219,28 @@
 
     private final String type;
     private final String text;
-    private final String bare;
+    private final String code;
 
     Source(String type, String text) {
       this.type = type;
       this.text = text;
       StringBuilder blanked = new StringBuilder(text);
-      Matcher part = COMMENT_OR_LITERAL.matcher(text);
-      while (part.find()) {
-        boolean literal = !part.group().startsWith("/");
-        int inset = literal ? 1 : 0;
-        for (int at = part.start() + inset; at < part.end() - inset; at++) {
-          blanked.setCharAt(at, ' ');
+      Matcher matcher = COMMENT_OR_LITERAL.matcher(text);
+      while (matcher.find()) {
+        boolean literal = !matcher.group().startsWith("/");
+        int delimiterLength = literal ? 1 : 0;
+        for (int offset = matcher.start() + delimiterLength;
+            offset < matcher.end() - delimiterLength;
+            offset++) {
+          blanked.setCharAt(offset, ' ');
         }
       }
-      bare = blanked.toString();
+      code = blanked.toString();
     }
 
-    Set<String> names(Pattern declaration) {
+    Set<String> declaredNames(Pattern declaration) {
       Set<String> names = new LinkedHashSet<>();
-      Matcher matcher = declaration.matcher(bare);
+      Matcher matcher = declaration.matcher(code);
       while (matcher.find()) {
         names.add(matcher.group(1));
       }
@@ -243,14 +248,14 @@
     }
 
     /** Returns the offset of the parenthesis that closes the one opened just before a position. */
-    int closing(int position) {
+    int closingParenthesis(int position) {
       int depth = 1;
-      int at = position;
+      int offset = position;
       while (depth > 0) {
-        char next = bare.charAt(at++);
+        char next = code.charAt(offset++);
         depth += next == '(' ? 1 : next == ')' ? -1 : 0;
       }
-      return at - 1;
+      return offset - 1;
     }
 
     /**
@@ -258,18 +263,18 @@
      * a body follows.
      */
     boolean isDeclaration(int start, int end) {
-      return bare.substring(0, start).matches("(?s).*\\b(?!return|else)\\w+\\s+")
-          && bare.substring(end + 1).matches("(?s)\\s*(?:throws [\\w., ]+)?[{;].*")
-          && !bare.substring(end + 1).stripLeading().startsWith(";");
+      return code.substring(0, start).matches("(?s).*\\b(?!return|else)\\w+\\s+")
+          && code.substring(end + 1).matches("(?s)\\s*(?:throws [\\w., ]+)?[{;].*")
+          && !code.substring(end + 1).stripLeading().startsWith(";");
     }
 
     List<String> literals(int start, int end) {
       List<String> literals = new ArrayList<>();
-      Matcher literal = Pattern.compile("\"[^\"]*\"|'[^']*'").matcher(bare).region(start, end);
+      Matcher literal = Pattern.compile("\"[^\"]*\"|'[^']*'").matcher(code).region(start, end);
       while (literal.find()) {
-        String inside = text.substring(literal.start() + 1, literal.end() - 1).translateEscapes();
-        if (!inside.isEmpty()) {
-          literals.add(inside);
+        String content = text.substring(literal.start() + 1, literal.end() - 1).translateEscapes();
+        if (!content.isEmpty()) {
+          literals.add(content);
         }
       }
       return literals;
--- a/app/src/test/java/org/amberpath/LogLinesTest.java
+++ b/app/src/test/java/org/amberpath/LogLinesTest.java
@@ -23,7 +23,7 @@
  */
 class LogLinesTest {
   private static final Path ROOT = Path.of("..");
-  private static final Pattern ROW =
+  private static final Pattern TABLE_ROW =
       Pattern.compile("(?m)^\\| `([^`]+)` \\| `(\\w+)` \\| ([A-Z]+) \\| (.+?) \\| (.+?) \\|$");
 
   /** A row of the table in docs/oncall.md. */
@@ -51,7 +51,7 @@
   private static List<Row> rows() throws IOException {
     String page = Files.readString(ROOT.resolve("docs").resolve("oncall.md"));
     List<Row> rows = new ArrayList<>();
-    Matcher row = ROW.matcher(page);
+    Matcher row = TABLE_ROW.matcher(page);
     while (row.find()) {
       rows.add(new Row(row.group(1), row.group(2), row.group(3), row.group(4), row.group(5)));
     }
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void callsOfAMethodThatPassesItsLineOnAreFoundInItsPlace() {
+  void callsOfAWrapperAreFoundInsteadOfTheWrapper() {
     Set<LogCallScanner.Call> calls =
         LogCallScanner.inText(
             "Sample",
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void methodThatWritesATextOfItsOwnIsTheCallHoweverDeepItIsWrapped() {
+  void wrapperThatAddsTextIsTheLogCallAtAnyNestingDepth() {
     Set<LogCallScanner.Call> calls =
         LogCallScanner.inText(
             "Sample",
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -31,13 +31,13 @@
   private static final int GATEWAY_COUNT = 4;
   private static final long TIMEOUT_MILLIS = 40_000;
   private static final String PREFIX = "amberpath/test/";
-  private static final String FENCE = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
+  private static final String SWEEP_FENCE_KEY = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   @TempDir private Path folder;
   private ProcessTestbed testbed;
-  private long purges;
+  private long purgesWritten;
 
   @AfterEach
   void stop() throws Exception {
@@ -70,16 +70,16 @@
                 tick ->
                     registry.write(
                         Map.of(
-                            PREFIX + RecordCodec.PURGES_PREFIX + ++purges,
+                            PREFIX + RecordCodec.PURGES_PREFIX + ++purgesWritten,
                             RecordCodec.encode(
                                 new RegistryRecord.Purge(
-                                    0xf000_0000L + purges,
+                                    0xf000_0000L + purgesWritten,
                                     0,
                                     System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
-  private <T> T callOnLoop(Callable<T> what) throws Exception {
-    return EventLoopWaiter.callOnLoop(vertx, what);
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
   /**
@@ -87,21 +87,23 @@
    * in it; term 0 if there is no record yet.
    */
   private JsonObject sweepFence() throws Exception {
-    byte[] value = callOnLoop(() -> registry.entries().get(FENCE));
+    byte[] value = callOnLoop(() -> registry.entries().get(SWEEP_FENCE_KEY));
     return value == null
         ? new JsonObject().put("term", 0L).put("by", "")
         : new JsonObject(new String(value, StandardCharsets.UTF_8));
   }
 
-  private void await(String what, Callable<Boolean> holds) throws Exception {
-    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
-    while (!holds.call()) {
-      assertTrue(System.currentTimeMillis() < end, "not in time: " + what + ", " + sweepFence());
+  private void await(String description, Callable<Boolean> condition) throws Exception {
+    long deadlineMillis = System.currentTimeMillis() + TIMEOUT_MILLIS;
+    while (!condition.call()) {
+      assertTrue(
+          System.currentTimeMillis() < deadlineMillis,
+          "not in time: " + description + ", " + sweepFence());
       Thread.sleep(50);
     }
   }
 
-  private JsonObject task(int gateway, String name) throws Exception {
+  private JsonObject taskStatus(int gateway, String name) throws Exception {
     return testbed.adminPage(gateway, "/owner").getJsonArray("tasks").stream()
         .map(JsonObject.class::cast)
         .filter(entry -> entry.getString("task").equals(name))
@@ -111,7 +113,8 @@
 
   private int leaderOf(String name) throws Exception {
     for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
-      if (testbed.slots().get(gateway).isRunning() && task(gateway, name).getBoolean("holds")) {
+      if (testbed.slots().get(gateway).isRunning()
+          && taskStatus(gateway, name).getBoolean("holds")) {
         return gateway;
       }
     }
@@ -127,32 +130,34 @@
   }
 
   @Test
-  void leaderPausedPastItsLeaseActsNoMoreAndLeaderThatEndsHandsOver() throws Exception {
+  void pausedLeaderStopsActingAfterItsLeaseAndTerminatedLeaderHandsOver() throws Exception {
     start("voters = g0, g1, g2\n");
     await("somebody deletes purges", () -> sweepFence().getLong("term") > 0);
-    JsonObject first = sweepFence();
-    int leader = Integer.parseInt(first.getString("by").substring(1));
+    JsonObject firstFence = sweepFence();
+    int leader = Integer.parseInt(firstFence.getString("by").substring(1));
     testbed.pause(leader, 5000);
-    await("another deletes purges", () -> sweepFence().getLong("term") > first.getLong("term"));
-    JsonObject second = sweepFence();
-    assertNotEquals(first.getString("by"), second.getString("by"));
+    await(
+        "another deletes purges", () -> sweepFence().getLong("term") > firstFence.getLong("term"));
+    JsonObject secondFence = sweepFence();
+    assertNotEquals(firstFence.getString("by"), secondFence.getString("by"));
     // Waits past the end of the pause: nothing observable marks that a resumed leader does not act.
     Thread.sleep(5000);
-    assertEquals(second, sweepFence(), "the one that resumed changes nothing");
+    assertEquals(secondFence, sweepFence(), "the one that resumed changes nothing");
 
-    int next = Integer.parseInt(second.getString("by").substring(1));
-    long ended = System.currentTimeMillis();
-    testbed.terminate(next);
+    int successor = Integer.parseInt(secondFence.getString("by").substring(1));
+    long terminatedAtMillis = System.currentTimeMillis();
+    testbed.terminate(successor);
     await(
         "the successor deletes purges",
-        () -> sweepFence().getLong("term") > second.getLong("term"));
-    assertTrue(System.currentTimeMillis() - ended < 2000, "sooner than by the lease's end");
-    testbed.awaitExit(next);
+        () -> sweepFence().getLong("term") > secondFence.getLong("term"));
+    assertTrue(
+        System.currentTimeMillis() - terminatedAtMillis < 2000, "sooner than by the lease's end");
+    testbed.awaitExit(successor);
     assertRulesKept();
   }
 
   @Test
-  void leaseHolderAloneHealthChecksEjectedCache() throws Exception {
+  void onlyLeaseHolderHealthChecksEjectedCache() throws Exception {
     start("by = lease\n");
     await("somebody leads health checks", () -> leaderOf("probe") >= 0);
     int leader = leaderOf("probe");
@@ -160,21 +165,22 @@
     await(
         "the others leave it to the leader",
         () -> {
-          int leave = 0;
+          int deferringGateways = 0;
           for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
-            leave += gateway != leader && task(gateway, "probe").getBoolean("for_all") ? 1 : 0;
+            deferringGateways +=
+                gateway != leader && taskStatus(gateway, "probe").getBoolean("for_all") ? 1 : 0;
           }
-          return leave == GATEWAY_COUNT - 1;
+          return deferringGateways == GATEWAY_COUNT - 1;
         });
-    long before = testbed.cacheRequestCount("e3");
+    long requestsBefore = testbed.cacheRequestCount("e3");
     // Counts the calls during a fixed time.
     Thread.sleep(4000);
-    long calls = testbed.cacheRequestCount("e3") - before;
-    assertTrue(calls <= 8, calls + " calls in 4 s by all");
-    assertTrue(task(leader, "probe").getLong("done") > 0);
+    long healthChecks = testbed.cacheRequestCount("e3") - requestsBefore;
+    assertTrue(healthChecks <= 8, healthChecks + " calls in 4 s by all");
+    assertTrue(taskStatus(leader, "probe").getLong("done") > 0);
     testbed.resumeCache("e3");
-    long back = testbed.cacheRequestCount("e3");
-    await("it takes its part again", () -> testbed.cacheRequestCount("e3") - back > 40);
+    long requestsAtResume = testbed.cacheRequestCount("e3");
+    await("it takes its part again", () -> testbed.cacheRequestCount("e3") - requestsAtResume > 40);
     assertRulesKept();
   }
 }
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -16,38 +16,41 @@
 
 /** Checks the text of deploy/balancer.toml against the platform's requirements. */
 class RunLineTest {
-  private final String deploy;
-  private final String run;
+  private final String deployFile;
+  private final String runLine;
 
   RunLineTest() throws IOException {
-    deploy = Files.readString(Path.of("..", "deploy", "balancer.toml"));
-    run = line("run");
+    deployFile = Files.readString(Path.of("..", "deploy", "balancer.toml"));
+    runLine = value("run");
   }
 
-  private String line(String key) {
-    Matcher line = Pattern.compile("(?m)^" + key + " = \"(.*)\"\\s*#").matcher(deploy);
-    assertTrue(line.find(), key);
-    return line.group(1);
+  private String value(String key) {
+    Matcher matcher = Pattern.compile("(?m)^" + key + " = \"(.*)\"\\s*#").matcher(deployFile);
+    assertTrue(matcher.find(), key);
+    return matcher.group(1);
   }
 
   @Test
   void runLineReplacesTheShellWithOneProcess() {
-    assertTrue(run.startsWith("exec java "), run);
-    assertFalse(run.matches(".*[;&|<>`$()].*"), "starts or feeds a second program: " + run);
+    assertTrue(runLine.startsWith("exec java "), runLine);
+    assertFalse(runLine.matches(".*[;&|<>`$()].*"), "starts or feeds a second program: " + runLine);
     assertFalse(
-        run.contains("OnError") || run.contains("OnOutOfMemory") || run.contains("-agent"), run);
+        runLine.contains("OnError")
+            || runLine.contains("OnOutOfMemory")
+            || runLine.contains("-agent"),
+        runLine);
   }
 
   @Test
   void runLineUsesIpv4AndNoNameLookup() {
-    assertTrue(run.contains(" -Djava.net.preferIPv4Stack=true "), run);
-    assertTrue(run.contains(" -Dvertx.disableDnsResolver=true "), run);
+    assertTrue(runLine.contains(" -Djava.net.preferIPv4Stack=true "), runLine);
+    assertTrue(runLine.contains(" -Dvertx.disableDnsResolver=true "), runLine);
   }
 
   @Test
-  void runLineSwitchesOnNoOptionalFeature() {
-    assertTrue(run.endsWith(" -jar target/amberpath.jar serve"), run);
-    for (String off :
+  void runLineEnablesNoOptionalFeature() {
+    assertTrue(runLine.endsWith(" -jar target/amberpath.jar serve"), runLine);
+    for (String optionalFeature :
         List.of(
             "AMBERPATH_FILE",
             "--file",
@@ -57,20 +60,20 @@
             "fleet",
             "owner",
             "recovery")) {
-      assertFalse(run.contains(off), off);
+      assertFalse(runLine.contains(optionalFeature), optionalFeature);
     }
   }
 
   @Test
   void buildNeedsOnlyMavenAndJava() {
-    assertTrue(line("build").startsWith("mvn -q -DskipTests package"));
-    assertTrue(deploy.contains("\npackages = [] "));
+    assertTrue(value("build").startsWith("mvn -q -DskipTests package"));
+    assertTrue(deployFile.contains("\npackages = [] "));
   }
 
   /**
    * Interfaces between the decision logic and its callers, which contain no decisions themselves.
    */
-  private static final Set<String> INTERFACES =
+  private static final Set<String> BOUNDARY_INTERFACES =
       Set.of(
           "RoutingEvents",
           "RoutingEventHandler",
@@ -80,20 +83,20 @@
 
   @Test
   void policyListNamesEveryDecisionFile() throws IOException {
-    Matcher list = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deploy);
+    Matcher list = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deployFile);
     assertTrue(list.find());
-    Set<String> named = new TreeSet<>();
+    Set<String> listedFiles = new TreeSet<>();
     Matcher path = Pattern.compile("\"(.+?)\"").matcher(list.group(1));
     while (path.find()) {
       assertTrue(Files.exists(Path.of("..", path.group(1))), path.group(1));
-      named.add(path.group(1));
+      listedFiles.add(path.group(1));
     }
     String folder = "routing/src/main/java/org/amberpath/routing";
     try (Stream<Path> files = Files.list(Path.of("..", folder))) {
       files
           .map(file -> file.getFileName().toString())
-          .filter(name -> !INTERFACES.contains(name.replace(".java", "")))
-          .forEach(name -> assertTrue(named.contains(folder + "/" + name), name));
+          .filter(name -> !BOUNDARY_INTERFACES.contains(name.replace(".java", "")))
+          .forEach(name -> assertTrue(listedFiles.contains(folder + "/" + name), name));
     }
   }
 }
--- a/app/src/test/java/org/amberpath/cli/AdminClientTest.java
+++ b/app/src/test/java/org/amberpath/cli/AdminClientTest.java
@@ -25,24 +25,24 @@
   private static final int CONFLICT = 409;
 
   @TempDir private Path folder;
-  private HttpServer gateway;
+  private HttpServer adminServer;
   private AdminClient client;
 
   @BeforeEach
-  void startGateway() throws Exception {
-    gateway = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
-    gateway.start();
-    client = new AdminClient(SocketAddress.inetSocketAddress(gateway.getAddress()));
+  void startAdminServer() throws Exception {
+    adminServer = HttpServer.create(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 0);
+    adminServer.start();
+    client = new AdminClient(SocketAddress.inetSocketAddress(adminServer.getAddress()));
   }
 
   @AfterEach
-  void stopGateway() {
-    gateway.stop(0);
+  void stopAdminServer() {
+    adminServer.stop(0);
   }
 
   private void respond(String path, int status, String body) {
     byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-    gateway.createContext(
+    adminServer.createContext(
         path,
         exchange -> {
           exchange.sendResponseHeaders(status, bytes.length);
@@ -52,14 +52,14 @@
   }
 
   @Test
-  void responseOfAReadIsItsJson() throws Exception {
+  void getReturnsTheParsedJson() throws Exception {
     respond("/page", AdminClient.OK, "{\"name\":\"g1\"}");
 
     assertEquals("g1", client.get("/page").getString("name"));
   }
 
   @Test
-  void otherStatusOfAReadIsAnUnexpectedStatus() {
+  void getWithAnotherStatusThrowsUnexpectedStatus() {
     respond("/page", NOT_FOUND, "none");
 
     AdminException.UnexpectedStatus e =
@@ -69,30 +69,31 @@
   }
 
   @Test
-  void statusOfAChangeIsReturned() throws Exception {
+  void postReturnsTheStatus() throws Exception {
     respond("/change", CONFLICT, "no");
 
     assertEquals(CONFLICT, client.post("/change"));
   }
 
   @Test
-  void connectionThatIsClosedWithoutAResponseIsUnreachable() throws Exception {
-    try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+  void connectionClosedWithoutResponseThrowsUnreachable() throws Exception {
+    try (ServerSocket closingServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       Thread closer =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    silent.accept().close();
+                    closingServer.accept().close();
                   }
                 } catch (IOException e) {
                   // The test has closed the server socket.
                 }
               });
       closer.start();
-      String authority = "127.0.0.1:" + silent.getLocalPort();
+      String authority = "127.0.0.1:" + closingServer.getLocalPort();
       AdminClient unreachable =
-          new AdminClient(SocketAddress.inetSocketAddress(silent.getLocalPort(), "127.0.0.1"));
+          new AdminClient(
+              SocketAddress.inetSocketAddress(closingServer.getLocalPort(), "127.0.0.1"));
 
       AdminException.Unreachable e =
           assertThrows(AdminException.Unreachable.class, () -> unreachable.get("/page"));
@@ -102,7 +103,7 @@
   }
 
   @Test
-  void fileWithoutAnAdminAddressIsInvalidSettings() throws Exception {
+  void fileWithoutAdminAddressThrowsInvalidSettings() throws Exception {
     Path file = Files.writeString(folder.resolve("a.ini"), "");
 
     InvalidSettingsException e =
--- a/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
@@ -23,34 +23,34 @@
 
   @TempDir private Path folder;
 
-  private Path file(String text) throws Exception {
+  private Path writeFile(String text) throws Exception {
     return Files.writeString(folder.resolve("a.ini"), text);
   }
 
-  private int run(StringWriter err, String... args) {
-    CommandLine line = AmberpathCommand.line();
-    line.setErr(new PrintWriter(err, true));
-    return line.execute(args);
+  private int execute(StringWriter err, String... args) {
+    CommandLine commandLine = AmberpathCommand.commandLine();
+    commandLine.setErr(new PrintWriter(err, true));
+    return commandLine.execute(args);
   }
 
   @Test
   void exitCodeIsTwoForUsageAndSettings() throws Exception {
     StringWriter err = new StringWriter();
-    assertEquals(0, run(err, "check", file(REGISTRY).toString()));
-    assertEquals(2, run(err, "check", file("[registry]\n").toString()));
-    assertEquals(2, run(err, "nonsense"));
-    assertEquals(2, run(err));
-    assertEquals(2, run(err, "registry", "--file", file("").toString(), "list"));
+    assertEquals(0, execute(err, "check", writeFile(REGISTRY).toString()));
+    assertEquals(2, execute(err, "check", writeFile("[registry]\n").toString()));
+    assertEquals(2, execute(err, "nonsense"));
+    assertEquals(2, execute(err));
+    assertEquals(2, execute(err, "registry", "--file", writeFile("").toString(), "list"));
     assertTrue(err.toString().contains("[registry]: missing"), err.toString());
-    assertEquals(2, run(err, "fleet", "--file", file(REGISTRY).toString(), "list"));
+    assertEquals(2, execute(err, "fleet", "--file", writeFile(REGISTRY).toString(), "list"));
     assertTrue(err.toString().contains("[fleet] operators: missing"), err.toString());
-    assertEquals(0, run(err, "lab", "list"));
+    assertEquals(0, execute(err, "lab", "list"));
   }
 
   @ParameterizedTest
   @CsvSource({"simulate, wirehost", "members, fleet", "leader, owner"})
   void renamedCommandKeepsItsFormerNameAsAlias(String name, String alias) {
-    Map<String, CommandLine> commands = AmberpathCommand.line().getSubcommands();
+    Map<String, CommandLine> commands = AmberpathCommand.commandLine().getSubcommands();
 
     assertEquals(name, commands.get(name).getCommandName());
     assertSame(commands.get(name), commands.get(alias));
@@ -59,12 +59,12 @@
   @ParameterizedTest
   @CsvSource({"members, fleet", "leader, owner"})
   void aliasRunsTheSameCommand(String name, String alias) throws Exception {
-    String settings = file(REGISTRY).toString();
+    String settings = writeFile(REGISTRY).toString();
     StringWriter byName = new StringWriter();
     StringWriter byAlias = new StringWriter();
 
-    assertEquals(2, run(byName, name, "--file", settings, "list"));
-    assertEquals(2, run(byAlias, alias, "--file", settings, "list"));
+    assertEquals(2, execute(byName, name, "--file", settings, "list"));
+    assertEquals(2, execute(byAlias, alias, "--file", settings, "list"));
 
     assertEquals(byName.toString(), byAlias.toString());
     assertTrue(byName.toString().contains("[fleet] operators: missing"), byName.toString());
--- a/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
+++ b/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
@@ -29,25 +29,25 @@
 
   @TempDir private Path folder;
 
-  private Path file(String text) throws Exception {
+  private Path writeFile(String text) throws Exception {
     return Files.writeString(folder.resolve("a.ini"), text);
   }
 
   @Test
   void absentKeysHaveTheirDefaults() throws Exception {
-    RegistrySettings registry = DeploymentFile.read(file(REGISTRY)).registry().orElseThrow();
+    RegistrySettings registry = DeploymentFile.read(writeFile(REGISTRY)).registry().orElseThrow();
 
     assertEquals(RegistrySettings.ProtocolKind.ETCD, registry.protocol());
     assertEquals(2, registry.endpoints().size());
     assertEquals("amberpath/", registry.prefix());
     assertEquals(600_000_000_000L, registry.purgeRetentionNanos());
-    assertFalse(DeploymentFile.read(file(REGISTRY)).alsoPollsJournal());
+    assertFalse(DeploymentFile.read(writeFile(REGISTRY)).alsoPollsJournal());
   }
 
   @Test
   void documentedExampleIsValidAndNamesEveryKey() throws Exception {
     String example = Files.readString(Path.of("..", "deploy", "amberpath.ini"));
-    String switchedOn =
+    String uncommented =
         example
             .replaceAll("(?m)^;(\\[?[a-z-]+\\]?( = |$))", "$1")
             .replaceAll("(?m)^(trust|certificate|key|token|user|password|snapshot) = .*$", "")
@@ -55,15 +55,15 @@
                 "(?m)^\\[fleet\\]$",
                 "[fleet]\nkey = " + Files.writeString(folder.resolve("keys"), "k1 00"));
 
-    DeploymentFile allOff = DeploymentFile.read(file(example));
-    DeploymentFile allOn = DeploymentFile.read(file(switchedOn));
+    DeploymentFile disabled = DeploymentFile.read(writeFile(example));
+    DeploymentFile enabled = DeploymentFile.read(writeFile(uncommented));
 
-    assertEquals("amberpath", allOn.membership().orElseThrow().fleet());
-    assertEquals(3, allOn.leadership().orElseThrow().voters().current().size());
-    assertEquals(20_000, allOn.registry().orElseThrow().maxKeys());
-    assertTrue(allOff.registry().isEmpty());
-    assertTrue(allOff.membership().isEmpty());
-    assertTrue(allOff.leadership().isEmpty());
+    assertEquals("amberpath", enabled.membership().orElseThrow().fleet());
+    assertEquals(3, enabled.leadership().orElseThrow().voters().current().size());
+    assertEquals(20_000, enabled.registry().orElseThrow().maxKeys());
+    assertTrue(disabled.registry().isEmpty());
+    assertTrue(disabled.membership().isEmpty());
+    assertTrue(disabled.leadership().isEmpty());
   }
 
   @ParameterizedTest
@@ -89,7 +89,7 @@
       })
   void invalidRegistryKeyIsReportedWithFileSectionAndKey(String from, String to, String message)
       throws Exception {
-    Path file = file(REGISTRY.replace(from, to == null ? "" : to.replace("\\n", "\n")));
+    Path file = writeFile(REGISTRY.replace(from, to == null ? "" : to.replace("\\n", "\n")));
 
     InvalidDeploymentFileException e =
         assertThrows(InvalidDeploymentFileException.class, () -> DeploymentFile.read(file));
@@ -123,7 +123,7 @@
       throws Exception {
     Path key = Files.writeString(folder.resolve("keys"), "k1 00");
     Path file =
-        file(
+        writeFile(
             (FLEET + "key = " + key + "\n").replace(from, to == null ? "" : to.replace("~", "\n")));
 
     InvalidDeploymentFileException e =
@@ -148,7 +148,7 @@
     String registry = message.contains("needs [registry]") ? "" : REGISTRY;
     String fleet = FLEET + "key = " + key + "\n";
     String owner = "[owner]\nvoters = g1\n" + keys.replace("~", "\n") + "\n";
-    Path file = file(registry + fleet + owner);
+    Path file = writeFile(registry + fleet + owner);
 
     InvalidDeploymentFileException e =
         assertThrows(InvalidDeploymentFileException.class, () -> DeploymentFile.read(file));
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void fileThatIsAbsentIsReportedByName() {
+  void missingFileIsReportedByName() {
     Path file = folder.resolve("absent.ini");
 
     InvalidDeploymentFileException e =
@@ -167,13 +167,13 @@
   }
 
   @Test
-  void reloadedVotersAreThoseOfTheFileAsItIsThen() throws Exception {
+  void reloadVotersReadsTheFileAgain() throws Exception {
     Path key = Files.writeString(folder.resolve("keys"), "k1 00");
-    String others = FLEET + "key = " + key + "\n[owner]\nvoters = ";
-    Path file = file(others + "g1\n");
+    String contentBeforeVoters = FLEET + "key = " + key + "\n[owner]\nvoters = ";
+    Path file = writeFile(contentBeforeVoters + "g1\n");
     LeadershipSettings leadership = DeploymentFile.read(file).leadership().orElseThrow();
 
-    file(others + "g1, g2, g3\n");
+    writeFile(contentBeforeVoters + "g1, g2, g3\n");
 
     assertEquals(1, leadership.voters().current().size());
     assertEquals(3, leadership.reloadVoters().get().current().size());
