--- a/app/src/main/java/org/amberpath/cli/AdminException.java
+++ b/app/src/main/java/org/amberpath/cli/AdminException.java
@@ -17,7 +17,7 @@
     private static final long serialVersionUID = 1;
 
     Unreachable(String address, Exception cause) {
-      super("no gateway answers at " + address + ": " + cause, cause);
+      super("no response from a gateway at " + address + ": " + cause, cause);
     }
   }
 
@@ -26,7 +26,7 @@
     private static final long serialVersionUID = 1;
 
     UnexpectedStatus(int status) {
-      super("the gateway has no such page: status " + status, null);
+      super("unexpected response from the gateway: status " + status + ", expected 200", null);
     }
   }
 }
--- a/app/src/main/java/org/amberpath/cli/AdminOptions.java
+++ b/app/src/main/java/org/amberpath/cli/AdminOptions.java
@@ -10,10 +10,12 @@
       required = true,
       defaultValue = "${AMBERPATH_FILE}",
       paramLabel = "INI",
-      description = "The gateway's settings, with [fleet] operators; AMBERPATH_FILE otherwise.")
+      description =
+          "Deployment file whose [fleet] operators key is the address of the gateway's admin"
+              + " endpoint. Default: the value of AMBERPATH_FILE.")
   private Path file;
 
-  @Option(names = "--json", description = "One JSON object a line.")
+  @Option(names = "--json", description = "Print results as JSON, one object per line.")
   private boolean json;
 
   /** Whether results are printed as JSON. */
--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -19,9 +19,11 @@
     name = "amberpath",
     mixinStandardHelpOptions = true,
     version = "amberpath 0.1.0",
-    description = "Routes GETs of cached objects.",
+    description = "Runs and operates a gateway that routes GET requests to caches.",
     synopsisSubcommandLabel = "COMMAND",
-    footer = "Exit codes: 0 done, 1 failed, 2 usage or settings, 3 an experiment's bar missed.",
+    footer =
+        "Exit codes: 0 success, 1 failure, 2 invalid usage or settings, 3 an experiment missed a"
+            + " bar.",
     subcommands = {
       ServeCommand.class,
       SimulateCommand.class,
@@ -55,7 +57,7 @@
       paramLabel = "<log>",
       scope = ScopeType.INHERIT,
       defaultValue = "plain",
-      description = "Log lines: ${COMPLETION-CANDIDATES}.")
+      description = "Format of log lines: ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}.")
   void setLogFormat(LogFormat format) {
     if (format == LogFormat.json) {
       EcsFormatter formatter = new EcsFormatter();
--- a/app/src/main/java/org/amberpath/cli/CheckCommand.java
+++ b/app/src/main/java/org/amberpath/cli/CheckCommand.java
@@ -16,9 +16,12 @@
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Reads settings and says what is wrong.")
+    description = "Validates a settings file and reports the first error in it.")
 final class CheckCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "An INI file, or the platform's JSON.")
+  @Parameters(
+      paramLabel = "FILE",
+      description =
+          "A deployment file (INI), or the platform's settings if the name ends in .json.")
   private Path file;
 
   @Override
@@ -28,7 +31,7 @@
     } else {
       DeploymentFile.read(file);
     }
-    System.out.println(file + ": good");
+    System.out.println(file + ": valid");
     return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabCommand.java
@@ -10,7 +10,7 @@
 @Command(
     name = "lab",
     mixinStandardHelpOptions = true,
-    description = "Tries a gateway among stand-ins.",
+    description = "Runs experiments with gateways among stand-ins or on a virtual clock.",
     synopsisSubcommandLabel = "EXPERIMENT",
     subcommands = {
       LabDemoCommand.class,
@@ -37,45 +37,48 @@
       List.of(
           new Experiment(
               "demo",
-              "a gateway among stand-ins: a cache dies, one is drained; what came of each GET"),
+              "a gateway among stand-in caches, of which one crashes and one is drained; counts how"
+                  + " requests ended"),
           new Experiment(
               "flood",
-              "three times the GETs that a gateway bears; what it answers, and how late its loop"
-                  + " is"),
+              "three times the request rate that a gateway sustains; measures responses and"
+                  + " event-loop lag"),
           new Experiment(
-              "registry",
-              "a gateway on sockets while its registry changes, compacts, lags and breaks off"),
+              "registry", "a gateway whose registry changes, compacts, lags and disconnects"),
           new Experiment(
-              "registry-model", "the registry's pure half on a virtual clock, faults in any order"),
+              "registry-model",
+              "the registry client's logic on a virtual clock, with random faults"),
           new Experiment(
               "fleet",
-              "real gateways that know one another: kills, standstills, partitions, lossy links"),
+              "gateway processes in one fleet, with kills, pauses, partitions and lossy links"),
           new Experiment(
               "fleet-model",
-              "gateways' views of their fleet on a virtual clock: joins, crashes, partitions"),
+              "the membership protocol on a virtual clock, with joins, crashes and partitions"),
           new Experiment(
               "fleet-size",
-              "what a fleet's view costs and how soon it knows, at several sizes, on the virtual"
+              "traffic and detection times of the membership protocol by fleet size, on a virtual"
                   + " clock"),
           new Experiment(
               "owner",
-              "real gateways of which one at a time sweeps a registry: kills, standstills, cuts"),
+              "gateway processes, one of which at a time deletes expired purges, with kills, pauses"
+                  + " and partitions"),
           new Experiment(
-              "owner-model",
-              "who owns a task, by lease and by votes, on a virtual clock; wrong ways too"),
+              "owner-model", "leader election on a virtual clock, also in faulty variants"),
           new Experiment(
               "planners-model",
-              "terms, grants and shares of planners and forwarders on a virtual clock"),
+              "terms, grants and shares of planners and forwarders on a virtual clock, with random"
+                  + " faults"),
           new Experiment(
               "registry-size",
-              "many caches, changes and watching clients on the virtual clock; a herd after an"
-                  + " outage"),
+              "a registry with many caches, changes and clients on a virtual clock; reconnection of"
+                  + " all clients after an outage"),
           new Experiment(
               "endpoints-size",
-              "what a real gateway needs at the usual number of caches and at 16 times as many"),
-          new Experiment("standin", "a stand-in to try things against: registry"));
+              "resources that a gateway process needs for the usual number of caches and for 16"
+                  + " times as many"),
+          new Experiment("standin", "a stand-in registry for experiments by hand"));
 
-  @Command(name = "list", description = "The experiments, a line each.")
+  @Command(name = "list", description = "Lists the experiments, one per line.")
   int list() {
     for (Experiment experiment : EXPERIMENTS) {
       System.out.printf("%-16s%s%n", experiment.name, experiment.description);
--- a/app/src/main/java/org/amberpath/cli/LabEndpointsSizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabEndpointsSizeCommand.java
@@ -11,45 +11,47 @@
     name = "endpoints-size",
     mixinStandardHelpOptions = true,
     description =
-        "What one real gateway needs at the usual number of caches and at many times as many.")
+        "Measures the resources that a gateway process needs for the usual number of caches and for"
+            + " a multiple of it.")
 final class LabEndpointsSizeCommand extends LabSocketExperiment {
   @Option(
       names = "--caches",
       defaultValue = "200",
-      description = "The usual number, parents among them. Default: ${DEFAULT-VALUE}.")
+      description = "Usual number of caches, including parents. Default: ${DEFAULT-VALUE}.")
   private int caches;
 
   @Option(
       names = "--times",
       paramLabel = "<times>",
       defaultValue = "16",
-      description = "How many times as many. Default: ${DEFAULT-VALUE}.")
+      description = "Multiple of the usual number to compare with. Default: ${DEFAULT-VALUE}.")
   private int scaleFactor;
 
   @Option(
       names = "--gateways",
       defaultValue = "100",
-      description = "That the settings tell of; one runs. Default: ${DEFAULT-VALUE}.")
+      description =
+          "Number of gateways in the settings; only one of them runs. Default: ${DEFAULT-VALUE}.")
   private int gateways;
 
   @Option(
       names = "--rate",
       paramLabel = "<rate>",
       defaultValue = "30",
-      description = "Requests a second to that one. Default: ${DEFAULT-VALUE}.")
+      description = "Requests per second sent to the gateway that runs. Default: ${DEFAULT-VALUE}.")
   private int requestRate;
 
   @Option(
       names = "--sockets",
       paramLabel = "<sockets>",
       defaultValue = "1024",
-      description = "Its limit of descriptors. Default: ${DEFAULT-VALUE}.")
+      description = "Limit on the gateway's open file descriptors. Default: ${DEFAULT-VALUE}.")
   private int descriptorLimit;
 
   @Option(
       names = "--out",
       paramLabel = "<out>",
-      description = "Where settings and logs go. Default: a new folder for a while.")
+      description = "Folder for settings and logs. Default: a new temporary folder.")
   private Path outputFolder;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabExperiment.java
@@ -35,7 +35,7 @@
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "Gives all chance. Default: ${DEFAULT-VALUE}.")
+      description = "Seed of all random choices. Default: ${DEFAULT-VALUE}.")
   private long seed;
 
   final long seed() {
@@ -58,7 +58,7 @@
           "command line",
           "",
           "--gateways",
-          "--gateways: from " + MIN_GATEWAYS + " to " + MAX_GATEWAYS);
+          "--gateways: not from " + MIN_GATEWAYS + " to " + MAX_GATEWAYS + ": " + gatewayCount);
     }
     return gatewayCount;
   }
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipCommand.java
@@ -11,18 +11,18 @@
     name = "owner",
     mixinStandardHelpOptions = true,
     description =
-        "Several real gateways of which one at a time owns a task, with faults between them.")
+        "Runs several gateway processes, one of which at a time leads a task, and injects faults.")
 final class LabLeadershipCommand extends LabSocketExperiment {
   @Option(
       names = "--gateways",
       defaultValue = "5",
-      description = "3 to 60. Default: ${DEFAULT-VALUE}.")
+      description = "Number of gateway processes, from 3 to 60. Default: ${DEFAULT-VALUE}.")
   private int gateways;
 
   @Option(
       names = "--out",
       paramLabel = "<out>",
-      description = "Where settings and logs go. Default: a new folder for a while.")
+      description = "Folder for settings and logs. Default: a new temporary folder.")
   private Path outputFolder;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipModelCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipModelCommand.java
@@ -10,15 +10,15 @@
 @Command(
     name = "owner-model",
     mixinStandardHelpOptions = true,
-    description = "Who owns a task, by lease and by votes, on a virtual clock.")
+    description = "Checks leader election on a virtual clock with random faults.")
 final class LabLeadershipModelCommand extends LabModelExperiment {
   @Option(
       names = "--way",
       paramLabel = "<way>",
       defaultValue = "RIGHT",
       description =
-          "${COMPLETION-CANDIDATES}. All but the first are "
-              + "wrong, to see the model catch them. Default: ${DEFAULT-VALUE}.")
+          "How leaders are elected: ${COMPLETION-CANDIDATES}. All but the first are faulty"
+              + " variants that the model has to detect. Default: ${DEFAULT-VALUE}.")
   private LeadershipVariant variant;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabLeadershipValueCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabLeadershipValueCommand.java
@@ -8,21 +8,26 @@
 @Command(
     name = "owner-worth",
     mixinStandardHelpOptions = true,
-    description = "What it is worth that one gateway tries and fills for all, on a virtual clock.")
+    description =
+        "Compares a fleet without led tasks with one in which a leader health-checks and prefetches"
+            + " for all gateways, on a virtual clock.")
 final class LabLeadershipValueCommand extends LabExperiment {
-  @Option(names = "--gateways", defaultValue = "12", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--gateways",
+      defaultValue = "12",
+      description = "Number of gateways. Default: ${DEFAULT-VALUE}.")
   private int gateways;
 
   @Option(
       names = "--caches",
       defaultValue = "10",
-      description = "Edge caches. Default: ${DEFAULT-VALUE}.")
+      description = "Number of edge caches. Default: ${DEFAULT-VALUE}.")
   private int caches;
 
   @Option(
       names = "--pairs",
       defaultValue = "5",
-      description = "Seeds, each with and without. Default: ${DEFAULT-VALUE}.")
+      description = "Number of seeds; all variants run with each. Default: ${DEFAULT-VALUE}.")
   private int pairs;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabMembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipCommand.java
@@ -10,21 +10,21 @@
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
-    description = "Several real gateways that know one another, with faults between them.")
+    description = "Runs several gateway processes in one fleet and injects faults.")
 final class LabMembershipCommand extends LabSocketExperiment {
   @Option(
       names = "--gateways",
       defaultValue = "8",
-      description = "3 to 60. Default: ${DEFAULT-VALUE}.")
+      description = "Number of gateway processes, from 3 to 60. Default: ${DEFAULT-VALUE}.")
   private int gateways;
 
-  @Option(names = "--alone", description = "Without the same day with [fleet] off beside it.")
+  @Option(names = "--alone", description = "Skip the comparison run with [fleet] off.")
   private boolean withoutBaseline;
 
   @Option(
       names = "--out",
       paramLabel = "<out>",
-      description = "Where settings and logs go. Default: a new folder for a while.")
+      description = "Folder for settings and logs. Default: a new temporary folder.")
   private Path outputFolder;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabMembershipModelCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipModelCommand.java
@@ -8,7 +8,7 @@
 @Command(
     name = "fleet-model",
     mixinStandardHelpOptions = true,
-    description = "The pure half of the fleet's view on a virtual clock, faults in any order.")
+    description = "Checks the membership protocol on a virtual clock with random faults.")
 final class LabMembershipModelCommand extends LabModelExperiment {
   @Override
   SeededRuns.Model model() {
--- a/app/src/main/java/org/amberpath/cli/LabMembershipSizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabMembershipSizeCommand.java
@@ -9,13 +9,15 @@
 @Command(
     name = "fleet-size",
     mixinStandardHelpOptions = true,
-    description = "What a fleet's view costs and how soon it knows, by size.")
+    description =
+        "Measures traffic and detection times of the membership protocol by fleet size, on a"
+            + " virtual clock.")
 final class LabMembershipSizeCommand extends LabExperiment {
   @Option(
       names = "--sizes",
       split = ",",
       defaultValue = "12,220,1000",
-      description = "Default: ${DEFAULT-VALUE}.")
+      description = "Numbers of gateways. Default: ${DEFAULT-VALUE}.")
   private List<Integer> sizes;
 
   @Option(
@@ -23,7 +25,7 @@
       paramLabel = "<periods>",
       split = ",",
       defaultValue = "250,500,1000",
-      description = "Between probes, in ms. Default: ${DEFAULT-VALUE}.")
+      description = "Intervals between probes, in milliseconds. Default: ${DEFAULT-VALUE}.")
   private List<Integer> periodsMillis;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabModelExperiment.java
@@ -15,7 +15,7 @@
   @Option(
       names = "--runs",
       defaultValue = "10000",
-      description = "How many; 1 tells its story. Default: " + "${DEFAULT-VALUE}.")
+      description = "Number of runs; a single run prints its trace. Default: ${DEFAULT-VALUE}.")
   private int runs;
 
   abstract SeededRuns.Model model();
--- a/app/src/main/java/org/amberpath/cli/LabOverloadCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabOverloadCommand.java
@@ -8,7 +8,7 @@
 @Command(
     name = "flood",
     mixinStandardHelpOptions = true,
-    description = "More GETs than a gateway can bear.")
+    description = "Sends a gateway three times the request rate that it sustains.")
 final class LabOverloadCommand extends LabSocketExperiment {
   @Override
   int defaultSeconds() {
--- a/app/src/main/java/org/amberpath/cli/LabPlannersModelCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabPlannersModelCommand.java
@@ -8,7 +8,9 @@
 @Command(
     name = "planners-model",
     mixinStandardHelpOptions = true,
-    description = "Terms, grants and shares of planners and forwarders on a virtual clock.")
+    description =
+        "Checks terms, grants and shares of planners and forwarders on a virtual clock with random"
+            + " faults.")
 final class LabPlannersModelCommand extends LabModelExperiment {
   @Override
   SeededRuns.Model model() {
--- a/app/src/main/java/org/amberpath/cli/LabPowerLossCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabPowerLossCommand.java
@@ -8,28 +8,34 @@
 @Command(
     name = "powerloss-size",
     mixinStandardHelpOptions = true,
-    description = "A power loss of all, with three ways of opening, on a virtual clock.")
+    description =
+        "Compares three policies by which gateways open after a power loss of all gateways and"
+            + " caches, on a virtual clock.")
 final class LabPowerLossCommand extends LabExperiment {
-  @Option(names = "--gateways", defaultValue = "45", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--gateways",
+      defaultValue = "45",
+      description = "Number of gateways. Default: ${DEFAULT-VALUE}.")
   private int gateways;
 
   @Option(
       names = "--caches",
       defaultValue = "20",
-      description = "Edge caches. Default: ${DEFAULT-VALUE}.")
+      description = "Number of edge caches. Default: ${DEFAULT-VALUE}.")
   private int caches;
 
   @Option(
       names = "--pairs",
       defaultValue = "5",
-      description = "Seeds, each in all ways. Default: ${DEFAULT-VALUE}.")
+      description = "Number of seeds; all policies run with each. Default: ${DEFAULT-VALUE}.")
   private int pairs;
 
   @Option(
       names = "--origin",
       paramLabel = "<origin>",
       defaultValue = "0.2",
-      description = "The part of all GETs that the origin bears. Default: ${DEFAULT-VALUE}.")
+      description =
+          "Share of all GET requests that the origin can serve. Default: ${DEFAULT-VALUE}.")
   private double originCapacity;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
@@ -11,13 +11,13 @@
 @Command(
     name = "registry",
     mixinStandardHelpOptions = true,
-    description = "A gateway on sockets while its registry changes and breaks off at random.")
+    description = "Runs a gateway whose registry changes and fails at random.")
 final class LabRegistryCommand extends LabSocketExperiment {
   @Option(
       names = "--form",
       paramLabel = "<form>",
       defaultValue = "etcd",
-      description = "etcd or consul. Default: ${DEFAULT-VALUE}.")
+      description = "Protocol of the registry: etcd or consul. Default: ${DEFAULT-VALUE}.")
   private String protocol;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabRegistryModelCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistryModelCommand.java
@@ -8,7 +8,7 @@
 @Command(
     name = "registry-model",
     mixinStandardHelpOptions = true,
-    description = "The registry's pure half on a virtual clock, faults in any order.")
+    description = "Checks the registry client's logic on a virtual clock with random faults.")
 final class LabRegistryModelCommand extends LabModelExperiment {
   @Override
   SeededRuns.Model model() {
--- a/app/src/main/java/org/amberpath/cli/LabRegistrySizeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistrySizeCommand.java
@@ -8,19 +8,27 @@
 @Command(
     name = "registry-size",
     mixinStandardHelpOptions = true,
-    description = "Many caches, changes and watching clients, then all of them after an outage.")
+    description =
+        "Measures the cost of a registry with many caches, changes and clients on a virtual clock,"
+            + " and the reconnection of all clients after an outage.")
 final class LabRegistrySizeCommand extends LabExperiment {
-  @Option(names = "--caches", defaultValue = "5000", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--caches",
+      defaultValue = "5000",
+      description = "Number of caches. Default: ${DEFAULT-VALUE}.")
   private int caches;
 
-  @Option(names = "--clients", defaultValue = "1000", description = "Default: ${DEFAULT-VALUE}.")
+  @Option(
+      names = "--clients",
+      defaultValue = "1000",
+      description = "Number of clients that watch the registry. Default: ${DEFAULT-VALUE}.")
   private int clients;
 
   @Option(
       names = "--changes",
       paramLabel = "<changes>",
       defaultValue = "200",
-      description = "A second. Default: ${DEFAULT-VALUE}.")
+      description = "Changes per second. Default: ${DEFAULT-VALUE}.")
   private int changesPerSecond;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
@@ -7,7 +7,9 @@
 abstract class LabSocketExperiment extends LabExperiment {
   @Option(
       names = "--seconds",
-      description = "How long, for each stretch. Default: the experiment's own.")
+      description =
+          "Duration in seconds; for experiments of several phases, of each phase. Default: set by"
+              + " the experiment.")
   private Integer seconds;
 
   /** Returns the duration in seconds that applies without {@code --seconds}. */
--- a/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabStandInCommand.java
@@ -13,22 +13,24 @@
 @Command(
     name = "standin",
     mixinStandardHelpOptions = true,
-    description = "Runs a stand-in registry until it is stopped; both forms, on the ports given.")
+    description =
+        "Runs a stand-in registry, which speaks the protocols of etcd and Consul, until it is"
+            + " stopped.")
 final class LabStandInCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "WHAT", description = "registry")
+  @Parameters(paramLabel = "WHAT", description = "Stand-in to run; only registry is available.")
   private String kind;
 
   @Option(
       names = "--ports",
       split = ",",
       defaultValue = "2379,2380,2381",
-      description = "One endpoint each. Default: ${DEFAULT-VALUE}.")
+      description = "Ports on loopback, one endpoint on each. Default: ${DEFAULT-VALUE}.")
   private int[] ports;
 
   @Override
   public Integer call() throws Exception {
     if (!kind.equals("registry")) {
-      System.err.println("lab standin: registry");
+      System.err.println("lab standin: WHAT: expected registry, got " + kind);
       return AmberpathCommand.USAGE_ERROR;
     }
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
--- a/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LeadershipCommand.java
@@ -12,14 +12,14 @@
     aliases = "owner",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    description = "Asks a running gateway which tasks it leads, or has it release one.")
+    description = "Lists the tasks that a running gateway may lead, or makes it release one.")
 final class LeadershipCommand {
   @Mixin private AdminOptions options;
 
   @Command(
       name = "list",
       mixinStandardHelpOptions = true,
-      description = "Its tasks, and whether it leads them.")
+      description = "Lists the gateway's tasks and whether it leads them.")
   int list() throws Exception {
     JsonObject status = options.client().get(AdminEndpoint.TASKS_PATH);
     if (options.json()) {
@@ -27,9 +27,9 @@
       return AmberpathCommand.SUCCESS;
     }
     System.out.printf(
-        "%s%s, of the voters %s%n",
+        "%s%s; voters: %s%n",
         status.getString("name"),
-        status.getBoolean("votes") ? " votes" : "",
+        status.getBoolean("votes") ? " (voter)" : "",
         status.getJsonArray("voters").getList());
     for (Object element : status.getJsonArray("tasks")) {
       printTask((JsonObject) element);
@@ -43,7 +43,7 @@
         task.getString("task"),
         task.getString("state"),
         task.getLong("term"),
-        task.getBoolean("holds") ? ", its own for " + task.getLong("left_ms") + " ms more" : "",
+        task.getBoolean("holds") ? ", lease expires in " + task.getLong("left_ms") + " ms" : "",
         task.getLong("done"),
         task.getLong("refused"),
         task.getLong("failed"));
@@ -53,7 +53,8 @@
       name = "release",
       mixinStandardHelpOptions = true,
       description =
-          "Takes a task from this gateway, and leaves it to others for the time of a lease.")
+          "Makes the gateway give up a task; it does not seek election again for one"
+              + " lease duration.")
   int release(@Parameters(paramLabel = "TASK") String task) throws Exception {
     if (task.matches("[a-z-]{1,32}")
         && options.client().post(AdminEndpoint.RELEASE_PATH + task) == AdminClient.OK) {
@@ -61,7 +62,7 @@
       System.out.println(options.json() ? result.encode() : task + ": released");
       return AmberpathCommand.SUCCESS;
     }
-    System.err.println(task + ": this gateway does not own it");
+    System.err.println(task + ": not released: the gateway does not lead this task");
     return AmberpathCommand.FAILURE;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -19,14 +19,18 @@
     aliases = "fleet",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    description = "Asks a running gateway what it knows of the others.")
+    description =
+        "Lists and watches the members that a running gateway knows, or removes a lost one.")
 final class MembershipCommand {
   private static final int POLL_INTERVAL_MILLIS = 500;
   private static final double MILLIS_PER_SECOND = 1e3;
 
   @Mixin private AdminOptions options;
 
-  @Command(name = "list", mixinStandardHelpOptions = true, description = "The members as they are.")
+  @Command(
+      name = "list",
+      mixinStandardHelpOptions = true,
+      description = "Lists the members and their status.")
   int list() throws Exception {
     JsonObject status = options.client().get(AdminEndpoint.MEMBERS_PATH);
     if (options.json()) {
@@ -34,13 +38,13 @@
       return AmberpathCommand.SUCCESS;
     }
     System.out.printf(
-        "%s in %s: %s, %d there, one part of %d%s (told %d)%n",
+        "%s in fleet %s: phase %s, %d present, share 1/%d%s (told = %d)%n",
         status.getString("name"),
         status.getString("fleet"),
         status.getString("phase"),
         status.getInteger("there"),
         status.getInteger("counted"),
-        status.getDouble("part") > 0 ? "" : ", none of it its own yet",
+        status.getDouble("part") > 0 ? "" : ", not assigned yet",
         status.getInteger("told"));
     for (Object element : status.getJsonArray("gateways")) {
       printMember((JsonObject) element);
@@ -60,9 +64,12 @@
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
-      description = "Each change, as it is seen.")
+      description = "Prints changes of members' status as the gateway reports them.")
   int watch(
-      @Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.")
+      @Option(
+              names = "--seconds",
+              defaultValue = "0",
+              description = "Seconds to watch; 0 for no limit. Default: ${DEFAULT-VALUE}.")
           int seconds)
       throws Exception {
     long endNanos = System.nanoTime() + Duration.ofSeconds(seconds).toNanos();
@@ -123,7 +130,7 @@
   @Command(
       name = "forget",
       mixinStandardHelpOptions = true,
-      description = "A lost gateway is not coming back: its part falls to the others.")
+      description = "Removes a lost member that will not return; the others take over its share.")
   int forget(@Parameters(paramLabel = "NAME") String name) throws Exception {
     if (name.matches("[A-Za-z0-9._-]{1,32}")
         && options.client().post(AdminEndpoint.FORGET_PATH + name) == AdminClient.OK) {
@@ -131,7 +138,7 @@
       System.out.println(options.json() ? result.encode() : name + ": left");
       return AmberpathCommand.SUCCESS;
     }
-    System.err.println(name + ": nothing was changed: this gateway does not hold it for lost");
+    System.err.println(name + ": not removed: the gateway does not list this member as lost");
     return AmberpathCommand.FAILURE;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/NewCacheOptions.java
+++ b/app/src/main/java/org/amberpath/cli/NewCacheOptions.java
@@ -6,25 +6,34 @@
 
 /** Options of {@code registry add}: the fields of a cache's registry record other than its id. */
 final class NewCacheOptions {
-  @Option(names = "--address", required = true, description = "Numeric address:port.")
+  @Option(names = "--address", required = true, description = "Numeric address:port of the cache.")
   private String address;
 
   @Option(
       names = "--zone",
       required = true,
-      description = "The zone, as the site's settings name it.")
+      description = "Zone of the cache, as named in the platform's settings.")
   private String zone;
 
-  @Option(names = "--kind", required = true, description = "The kind, likewise.")
+  @Option(
+      names = "--kind",
+      required = true,
+      description = "Kind of the cache, as named in the platform's settings.")
   private String kind;
 
-  @Option(names = "--weight", defaultValue = "1", description = "Its size. Default: 1.")
+  @Option(
+      names = "--weight",
+      defaultValue = "1",
+      description = "Size of the cache, in the unit of the platform's settings. Default: 1.")
   private double weight;
 
-  @Option(names = "--cell", defaultValue = "0", description = "Its shelf. Default: 0.")
+  @Option(
+      names = "--cell",
+      defaultValue = "0",
+      description = "Cell (rack) of the cache; 0 for none. Default: 0.")
   private int cell;
 
-  @Option(names = "--cold", description = "It has just started and holds nothing.")
+  @Option(names = "--cold", description = "The cache has just started and holds no copies.")
   private boolean cold;
 
   /**
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -31,7 +31,7 @@
     name = "registry",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    description = "Reads and writes the registry of caches and purges.")
+    description = "Lists, watches and changes caches and purges in the registry.")
 final class RegistryCommand {
   /** Time limit for all requests of one command together, and for closing Vert.x after a watch. */
   private static final long TIMEOUT_SECONDS = 30;
@@ -43,10 +43,11 @@
       required = true,
       defaultValue = "${AMBERPATH_FILE}",
       paramLabel = "INI",
-      description = "Settings with [registry]; AMBERPATH_FILE otherwise.")
+      description =
+          "Deployment file with section [registry]. Default: the value of AMBERPATH_FILE.")
   private Path file;
 
-  @Option(names = "--json", description = "One JSON object a line.")
+  @Option(names = "--json", description = "Print results as JSON, one object per line.")
   private boolean json;
 
   /** Sends the registry requests of one command; the result is the exit code. */
@@ -84,7 +85,10 @@
     }
   }
 
-  @Command(name = "list", mixinStandardHelpOptions = true, description = "All caches and purges.")
+  @Command(
+      name = "list",
+      mixinStandardHelpOptions = true,
+      description = "Lists all caches and purges.")
   int list() throws Exception {
     return run(
         (client, prefix) ->
@@ -100,7 +104,7 @@
   @Command(
       name = "drain",
       mixinStandardHelpOptions = true,
-      description = "Nothing new goes to a cache.")
+      description = "Drains a cache: gateways send it no new requests.")
   int drain(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.DRAINING);
   }
@@ -108,7 +112,7 @@
   @Command(
       name = "ready",
       mixinStandardHelpOptions = true,
-      description = "A drained cache takes GETs again.")
+      description = "Returns a drained cache to service.")
   int ready(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.UP);
   }
@@ -116,7 +120,7 @@
   @Command(
       name = "remove",
       mixinStandardHelpOptions = true,
-      description = "A cache is gone; its id may come anew.")
+      description = "Removes a cache; its id may be added again.")
   int remove(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.GONE);
   }
@@ -137,10 +141,10 @@
     Optional<RegistryEntry> entry =
         entries.stream().filter(candidate -> candidate.key().equals(key)).findFirst();
     if (entry.isEmpty()) {
-      return reportFailure(id + ": no such cache");
+      return reportFailure(id + ": no such cache in the registry");
     }
     if (!(entry.get().value() instanceof RegistryRecord.Cache cache)) {
-      return reportFailure(id + ": its value can't be read");
+      return reportFailure(id + ": the registry's record of this cache can't be decoded");
     }
     RegistryRecord.Cache updated = state == EndpointState.GONE ? null : withState(cache, state);
     return client
@@ -172,7 +176,10 @@
    */
   private int reportWrite(String key, String state, boolean written) {
     if (!written) {
-      System.err.println(key + ": nothing was written: its key moved meanwhile; look again");
+      System.err.println(
+          key
+              + ": not written: the key exists already or has changed since it was read; list it"
+              + " and retry");
       return AmberpathCommand.FAILURE;
     }
     printer().written(key, state);
@@ -182,13 +189,13 @@
   @Command(
       name = "add",
       mixinStandardHelpOptions = true,
-      description = "A cache that is not there yet.")
+      description = "Adds a cache whose id is not in the registry.")
   int add(@Parameters(paramLabel = "ID") String id, @Mixin NewCacheOptions options)
       throws Exception {
     RegistryRecord.Cache cache = options.toRecord(id);
     String validationError = RecordCodec.validationError(cache);
     if (validationError != null) {
-      return usageError("add: gateways would not take that: " + validationError);
+      return usageError("add: gateways would reject this record: " + validationError);
     }
     return run(
         (client, prefix) ->
@@ -201,20 +208,23 @@
       name = "purge",
       mixinStandardHelpOptions = true,
       description =
-          "Copies of an object, or of a group, from before now are not returned any more.")
+          "Purges an object or a group: gateways no longer return copies older than the purge.")
   int purge(
-      @Option(names = "--object", description = "Its id, hexadecimal.") String object,
-      @Option(names = "--group", defaultValue = "0", description = "Where no object is named.")
+      @Option(names = "--object", description = "Hexadecimal id of the object.") String object,
+      @Option(
+              names = "--group",
+              defaultValue = "0",
+              description = "Number of the group, if no object is given.")
           int group)
       throws Exception {
     long objectId;
     try {
       objectId = object == null ? 0 : Long.parseUnsignedLong(object, 16);
     } catch (NumberFormatException e) {
-      return usageError("purge: --object: no hexadecimal id: " + object);
+      return usageError("purge: --object: not a hexadecimal id: " + object);
     }
     if (objectId == 0 && group <= 0) {
-      return usageError("purge: --object or --group");
+      return usageError("purge: neither --object nor --group is given, or they are 0");
     }
     long atMillis = System.currentTimeMillis();
     String purgeId = atMillis + "-" + Long.toHexString(System.nanoTime());
@@ -235,9 +245,13 @@
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
-      description = "Follows the registry as a gateway does, and prints what it would be told.")
+      description =
+          "Watches the registry as a gateway does and prints the updates that a gateway receives.")
   int watch(
-      @Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.")
+      @Option(
+              names = "--seconds",
+              defaultValue = "0",
+              description = "Seconds to watch; 0 for no limit. Default: ${DEFAULT-VALUE}.")
           int seconds)
       throws Exception {
     RegistrySettings settings = settings();
--- a/app/src/main/java/org/amberpath/cli/ServeCommand.java
+++ b/app/src/main/java/org/amberpath/cli/ServeCommand.java
@@ -24,7 +24,7 @@
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
-    description = "Runs a gateway on sockets.")
+    description = "Runs a gateway that serves clients on sockets.")
 final class ServeCommand implements Callable<Integer> {
   /** Returned instead of an exit code: the gateway's threads keep the process running. */
   static final int KEEPS_RUNNING = -1;
@@ -33,7 +33,9 @@
       names = "--file",
       defaultValue = "${AMBERPATH_FILE}",
       paramLabel = "INI",
-      description = "Settings beside the platform's JSON; AMBERPATH_FILE otherwise.")
+      description =
+          "Deployment file, in addition to the platform's JSON settings. Default: the value of"
+              + " AMBERPATH_FILE.")
   private Path file;
 
   @Override
--- a/app/src/main/java/org/amberpath/cli/SimulateCommand.java
+++ b/app/src/main/java/org/amberpath/cli/SimulateCommand.java
@@ -13,7 +13,9 @@
     name = SimulateCommand.NAME,
     aliases = SimulateCommand.ALIAS,
     mixinStandardHelpOptions = true,
-    description = "Runs the decisions of many gateways on the simulator, JSON lines in and out.")
+    description =
+        "Runs the routing decisions of many gateways for the simulator, with JSON lines on standard"
+            + " input and output.")
 final class SimulateCommand implements Callable<Integer> {
   static final String NAME = "simulate";
 
--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -105,7 +105,7 @@
       throw InvalidDeploymentFileException.inFile(
           file, "can't be read: " + e.getClass().getSimpleName());
     } catch (ConfigurationException e) {
-      throw InvalidDeploymentFileException.inFile(file, "no INI: " + e.getMessage());
+      throw InvalidDeploymentFileException.inFile(file, "not a valid INI file: " + e.getMessage());
     }
   }
 
@@ -114,7 +114,7 @@
     for (String section : ini.getSections()) {
       if (section == null || !KEYS_BY_SECTION.containsKey(section)) {
         throw InvalidDeploymentFileException.inSection(
-            file, section == null ? "" : section, "no such section");
+            file, section == null ? "" : section, "unknown section");
       }
       section(file, ini, section).checkKeys(KEYS_BY_SECTION.get(section));
     }
--- a/app/src/main/java/org/amberpath/cli/settings/IniSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/IniSection.java
@@ -44,10 +44,10 @@
               // Commons Configuration escapes a dot within a key as two dots.
               String key = escapedKey.replace("..", ".");
               if (!knownKeys.contains(key)) {
-                throw invalid(key, "no such key");
+                throw invalid(key, "unknown key");
               }
               if (!seenKeys.add(key) || values.getList(escapedKey).size() > 1) {
-                throw invalid(key, "given twice");
+                throw invalid(key, "set more than once");
               }
             });
   }
@@ -81,7 +81,8 @@
     return checkChoice(
         key,
         string(key)
-            .orElseThrow(() -> invalid(key, "missing; one of " + String.join(", ", choices))),
+            .orElseThrow(
+                () -> invalid(key, "missing; expected one of " + String.join(", ", choices))),
         choices);
   }
 
@@ -92,7 +93,7 @@
 
   private String checkChoice(String key, String value, String... choices) {
     if (!List.of(choices).contains(value)) {
-      throw invalid(key, "none of " + String.join(", ", choices) + ": " + value);
+      throw invalid(key, "not one of " + String.join(", ", choices) + ": " + value);
     }
     return value;
   }
@@ -115,7 +116,7 @@
   Optional<Path> readableFile(String key) {
     Optional<String> value = nonEmptyString(key);
     if (value.isPresent() && !Files.isReadable(Path.of(value.get()))) {
-      throw invalid(key, "can't be read: " + value.get());
+      throw invalid(key, "not a readable file: " + value.get());
     }
     return value.map(Path::of);
   }
@@ -129,7 +130,7 @@
     if (value.isPresent()) {
       Path folder = Path.of(value.get()).toAbsolutePath().getParent();
       if (folder == null || !Files.isDirectory(folder)) {
-        throw invalid(key, "in no folder that is there: " + value.get());
+        throw invalid(key, "the folder of this file does not exist: " + value.get());
       }
     }
     return value.map(Path::of);
@@ -153,7 +154,7 @@
     } catch (InvalidDocumentException e) {
       // Reported below, with section and key.
     }
-    throw invalid(key, "no numeric IPv4 address:port: " + value.get());
+    throw invalid(key, "not a numeric IPv4 address:port: " + value.get());
   }
 
   /** Returns 1 to {@value #MAX_ADDRESSES} numeric addresses with ports, without duplicates. */
@@ -162,7 +163,7 @@
     for (String text : listItems(key)) {
       SocketAddress address = address(key, text);
       if (addresses.contains(address)) {
-        throw invalid(key, text + " is given twice");
+        throw invalid(key, text + " is listed more than once");
       }
       addresses.add(address);
     }
@@ -170,7 +171,7 @@
       throw invalid(key, "missing");
     }
     if (addresses.size() > MAX_ADDRESSES) {
-      throw invalid(key, "more than " + MAX_ADDRESSES);
+      throw invalid(key, "more than " + MAX_ADDRESSES + " addresses");
     }
     return addresses;
   }
@@ -179,7 +180,7 @@
     try {
       return GatewayOptions.address("", text);
     } catch (InvalidDocumentException e) {
-      throw invalid(key, "no numeric address:port: " + text);
+      throw invalid(key, "not a numeric address:port: " + text);
     }
   }
 
@@ -194,7 +195,7 @@
   int integer(String key, String defaultValue, int min, int max) {
     BigDecimal number = number(key, defaultValue, min, max);
     if (number.stripTrailingZeros().scale() > 0) {
-      throw invalid(key, "no whole number: " + number);
+      throw invalid(key, "not an integer: " + number);
     }
     return number.intValue();
   }
@@ -211,7 +212,8 @@
       // Reported below, with the bounds of the value.
     }
     throw invalid(
-        key, "no number from " + toPlainString(min) + " to " + toPlainString(max) + ": " + value);
+        key,
+        "not a number from " + toPlainString(min) + " to " + toPlainString(max) + ": " + value);
   }
 
   private static String toPlainString(double number) {
--- a/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -57,14 +57,14 @@
     boolean prefetchEnabled = section.isYes("warm");
     boolean usesRegistryLease = section.choice("by", "votes", "lease").equals("lease");
     if (membership.isEmpty()) {
-      throw section.invalid("voters", "needs [fleet]: votes go over its datagrams");
+      throw section.invalid("voters", "requires section [fleet]: gateways vote by its datagrams");
     }
     if (purgeRetentionEnabled && registry.isEmpty()) {
-      throw section.invalid("sweep", "needs [registry]");
+      throw section.invalid("sweep", "requires section [registry]");
     }
     if (usesRegistryLease
         && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
-      throw section.invalid("by", "lease needs [registry] of the form etcd");
+      throw section.invalid("by", "lease requires section [registry] with form = etcd");
     }
     VoterConfiguration voters = usesRegistryLease ? null : voters();
     LeaseTimings timings = timings(usesRegistryLease, healthChecksEnabled || prefetchEnabled);
@@ -97,7 +97,7 @@
         && (settleNanos < MIN_SETTLE_NANOS_WITH_REQUESTS || 2 * settleNanos > leaseNanos)) {
       throw section.invalid(
           "settle-s",
-          "with probe or warm from "
+          "with probe or warm, has to be from "
               + MIN_SETTLE_NANOS_WITH_REQUESTS / 1e9
               + " to half of lease-s");
     }
--- a/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/MembershipSection.java
@@ -23,11 +23,11 @@
   MembershipSettings read() {
     String name = section.string("name", "amberpath");
     if (!name.matches("[A-Za-z0-9._-]{1,32}")) {
-      throw section.invalid("name", "not 1 to 32 letters, digits, ._-: " + name);
+      throw section.invalid("name", "not 1 to 32 letters, digits or ._-: " + name);
     }
     Optional<SocketAddress> adminAddress = section.ipv4Address("operators");
     if (adminAddress.isPresent() && !adminAddress.get().hostAddress().startsWith("127.")) {
-      throw section.invalid("operators", "not on loopback: " + adminAddress.get());
+      throw section.invalid("operators", "not a loopback address: " + adminAddress.get());
     }
     Path keyFile = section.readableFile("key").orElseThrow(() -> section.invalid("key", "missing"));
     SocketAddress listenAddress =
@@ -35,7 +35,8 @@
     Optional<SocketAddress> advertisedAddress = section.ipv4Address("advertise");
     if (listenAddress.hostAddress().equals("0.0.0.0") && advertisedAddress.isEmpty()) {
       throw section.invalid(
-          "advertise", "missing: nobody can answer " + listenAddress.hostAddress());
+          "advertise",
+          "missing: required because others can't send to listen = " + listenAddress.hostAddress());
     }
     return new MembershipSettings(
         name,
--- a/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -95,16 +95,19 @@
     boolean hasCertificate = credentials.certificate().isPresent();
     boolean hasUser = credentials.user().isPresent();
     if (hasCertificate && credentials.trust().isEmpty()) {
-      throw section.invalid("certificate", "needs 'trust'");
+      throw section.invalid("certificate", "requires trust");
     }
     if (hasCertificate != credentials.key().isPresent()) {
-      throw section.invalid(hasCertificate ? "key" : "certificate", "missing: both or neither");
+      throw section.invalid(
+          hasCertificate ? "key" : "certificate",
+          "missing: certificate and key require each other");
     }
     if (hasUser != credentials.password().isPresent()) {
-      throw section.invalid(hasUser ? "password" : "user", "missing: both or neither");
+      throw section.invalid(
+          hasUser ? "password" : "user", "missing: user and password require each other");
     }
     if (hasUser && (credentials.token().isPresent() || protocol == ProtocolKind.CONSUL)) {
-      throw section.invalid("user", "only with form = etcd and without 'token'");
+      throw section.invalid("user", "only valid with form = etcd and without token");
     }
   }
 
@@ -112,7 +115,11 @@
     String prefix = section.string("prefix", "amberpath/");
     if (!prefix.matches("[A-Za-z0-9._-][A-Za-z0-9._/-]*/") || prefix.length() > MAX_PREFIX_LENGTH) {
       throw section.invalid(
-          "prefix", "not of letters, digits and ._-/ with a slash at its end: " + prefix);
+          "prefix",
+          "has to be up to "
+              + MAX_PREFIX_LENGTH
+              + " letters, digits or ._-/, start with no slash and end with one: "
+              + prefix);
     }
     return prefix;
   }
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -65,7 +65,7 @@
       while (!condition.test(gateway)) {
         assertTrue(
             System.currentTimeMillis() < deadlineMillis,
-            "not in time: "
+            "timed out waiting: "
                 + description
                 + ", g"
                 + gateway
@@ -97,26 +97,26 @@
       testbed.setLink(other, 0, LinkCondition.CUT);
     }
     await("cut off", gateway -> phaseOf(gateway).equals("cut_off"), 0);
-    await("the others lost it", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
+    await("the others list it as lost", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
     assertEquals(
         0.25,
         testbed.slots().get(0).view().getDouble("part"),
-        "a side of a partition takes no larger part");
+        "the share does not grow during a partition");
     assertEquals(0.25, testbed.slots().get(1).view().getDouble("part"));
     testbed.setAllLinks(LinkCondition.HEALTHY);
     awaitSettled("after the cut");
 
     testbed.kill(2);
-    await("the crash is heard of", gateway -> statusOf(gateway, 2).equals("lost"), 0, 1, 3);
+    await("the crash is detected", gateway -> statusOf(gateway, 2).equals("lost"), 0, 1, 3);
     testbed.start(2);
     awaitSettled("after the restart");
 
     testbed.pause(1, 6000);
-    await("the pause is noticed", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
+    await("the pause is detected", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
     awaitSettled("after the pause");
 
     testbed.terminate(3);
-    await("the leave is heard of", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
+    await("the leave is received", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
     testbed.awaitExit(3);
 
     Map<String, Long> outcomes = testbed.settle();
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -98,7 +98,7 @@
     while (!condition.call()) {
       assertTrue(
           System.currentTimeMillis() < deadlineMillis,
-          "not in time: " + description + ", " + sweepFence());
+          "timed out waiting: " + description + ", " + sweepFence());
       Thread.sleep(50);
     }
   }
@@ -132,17 +132,18 @@
   @Test
   void pausedLeaderStopsActingAfterItsLeaseAndTerminatedLeaderHandsOver() throws Exception {
     start("voters = g0, g1, g2\n");
-    await("somebody deletes purges", () -> sweepFence().getLong("term") > 0);
+    await("a leader deletes purges", () -> sweepFence().getLong("term") > 0);
     JsonObject firstFence = sweepFence();
     int leader = Integer.parseInt(firstFence.getString("by").substring(1));
     testbed.pause(leader, 5000);
     await(
-        "another deletes purges", () -> sweepFence().getLong("term") > firstFence.getLong("term"));
+        "another gateway deletes purges",
+        () -> sweepFence().getLong("term") > firstFence.getLong("term"));
     JsonObject secondFence = sweepFence();
     assertNotEquals(firstFence.getString("by"), secondFence.getString("by"));
     // Waits past the end of the pause: nothing observable marks that a resumed leader does not act.
     Thread.sleep(5000);
-    assertEquals(secondFence, sweepFence(), "the one that resumed changes nothing");
+    assertEquals(secondFence, sweepFence(), "the resumed gateway changes nothing");
 
     int successor = Integer.parseInt(secondFence.getString("by").substring(1));
     long terminatedAtMillis = System.currentTimeMillis();
@@ -151,7 +152,7 @@
         "the successor deletes purges",
         () -> sweepFence().getLong("term") > secondFence.getLong("term"));
     assertTrue(
-        System.currentTimeMillis() - terminatedAtMillis < 2000, "sooner than by the lease's end");
+        System.currentTimeMillis() - terminatedAtMillis < 2000, "hands over before its lease ends");
     testbed.awaitExit(successor);
     assertRulesKept();
   }
@@ -159,11 +160,11 @@
   @Test
   void onlyLeaseHolderHealthChecksEjectedCache() throws Exception {
     start("by = lease\n");
-    await("somebody leads health checks", () -> leaderOf("probe") >= 0);
+    await("a gateway leads health checks", () -> leaderOf("probe") >= 0);
     int leader = leaderOf("probe");
     testbed.hangCache("e3");
     await(
-        "the others leave it to the leader",
+        "the other gateways leave health checks to the leader",
         () -> {
           int deferringGateways = 0;
           for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
@@ -176,11 +177,13 @@
     // Counts the calls during a fixed time.
     Thread.sleep(4000);
     long healthChecks = testbed.cacheRequestCount("e3") - requestsBefore;
-    assertTrue(healthChecks <= 8, healthChecks + " calls in 4 s by all");
+    assertTrue(healthChecks <= 8, healthChecks + " requests to the cache in 4 s");
     assertTrue(taskStatus(leader, "probe").getLong("done") > 0);
     testbed.resumeCache("e3");
     long requestsAtResume = testbed.cacheRequestCount("e3");
-    await("it takes its part again", () -> testbed.cacheRequestCount("e3") - requestsAtResume > 40);
+    await(
+        "the cache receives requests again",
+        () -> testbed.cacheRequestCount("e3") - requestsAtResume > 40);
     assertRulesKept();
   }
 }
--- a/app/src/test/java/org/amberpath/cli/AdminClientTest.java
+++ b/app/src/test/java/org/amberpath/cli/AdminClientTest.java
@@ -65,7 +65,7 @@
     AdminException.UnexpectedStatus e =
         assertThrows(AdminException.UnexpectedStatus.class, () -> client.get("/page"));
 
-    assertEquals("the gateway has no such page: status 404", e.getMessage());
+    assertEquals("unexpected response from the gateway: status 404, expected 200", e.getMessage());
   }
 
   @Test
@@ -98,7 +98,8 @@
       AdminException.Unreachable e =
           assertThrows(AdminException.Unreachable.class, () -> unreachable.get("/page"));
 
-      assertEquals("no gateway answers at " + authority + ": " + e.getCause(), e.getMessage());
+      assertEquals(
+          "no response from a gateway at " + authority + ": " + e.getCause(), e.getMessage());
     }
   }
 
--- a/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
+++ b/app/src/test/java/org/amberpath/cli/AmberpathCommandTest.java
@@ -3,6 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.PrintWriter;
@@ -10,10 +11,12 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
+import org.amberpath.gateway.settings.InvalidSettingsException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
+import org.junit.jupiter.params.provider.ValueSource;
 import picocli.CommandLine;
 
 /** Tests the names, aliases and exit codes of the commands. */
@@ -47,6 +50,31 @@
     assertEquals(0, execute(err, "lab", "list"));
   }
 
+  @Test
+  void checkReportsThatAFileIsValid() throws Exception {
+    String file = writeFile(REGISTRY).toString();
+
+    assertEquals(
+        new CommandRunner.Result(0, file + ": valid\n", ""), CommandRunner.run("check", file));
+  }
+
+  @Test
+  void unknownStandInIsAUsageError() {
+    assertEquals(
+        new CommandRunner.Result(2, "", "lab standin: WHAT: expected registry, got cache\n"),
+        CommandRunner.run("lab", "standin", "cache"));
+  }
+
+  @ParameterizedTest
+  @ValueSource(ints = {2, 61})
+  void numberOfGatewaysOutOfBoundsIsInvalid(int gatewayCount) {
+    InvalidSettingsException e =
+        assertThrows(
+            InvalidSettingsException.class, () -> LabExperiment.checkGatewayCount(gatewayCount));
+
+    assertEquals("--gateways: not from 3 to 60: " + gatewayCount, e.getMessage());
+  }
+
   @ParameterizedTest
   @CsvSource({"simulate, wirehost", "members, fleet", "leader, owner"})
   void renamedCommandKeepsItsFormerNameAsAlias(String name, String alias) {
--- a/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
+++ b/app/src/test/java/org/amberpath/cli/settings/DeploymentFileTest.java
@@ -70,22 +70,38 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "form = etcd|form = zoo|[registry] form: none of etcd, consul: zoo",
-        "form = etcd||[registry] form: missing; one of etcd, consul",
+        "form = etcd|form = zoo|[registry] form: not one of etcd, consul: zoo",
+        "form = etcd||[registry] form: missing; expected one of etcd, consul",
         "endpoints = 127.0.0.1:2379, 127.0.0.1:2380|endpoints = here:1|"
-            + "[registry] endpoints: no numeric address:port: here:1",
+            + "[registry] endpoints: not a numeric address:port: here:1",
         "endpoints = 127.0.0.1:2379, 127.0.0.1:2380||[registry] endpoints: missing",
-        "form = etcd|form = etcd\\nendpoint = 1|[registry] endpoint: no such key",
+        "form = etcd|form = etcd\\nendpoint = 1|[registry] endpoint: unknown key",
         "form = etcd|form = etcd\\nmost-keys = 1.5e3x|"
-            + "[registry] most-keys: no number from 10 to 1000000: 1.5e3x",
+            + "[registry] most-keys: not a number from 10 to 1000000: 1.5e3x",
         "form = etcd|form = etcd\\nretention-s = 5|"
-            + "[registry] retention-s: no number from 10 to 86400: 5",
+            + "[registry] retention-s: not a number from 10 to 86400: 5",
         "form = etcd|form = etcd\\nprefix = a b|"
-            + "[registry] prefix: not of letters, digits and ._-/ with a slash at its end: a b",
-        "form = etcd|form = etcd\\ntrust = /nowhere|[registry] trust: can't be read: /nowhere",
-        "form = etcd|form = etcd\\nuser = me|[registry] password: missing: both or neither",
-        "form = etcd|form = etcd\\nform = consul|[registry] form: given twice",
-        "[registry]|[registrar]|[registrar]: no such section"
+            + "[registry] prefix: has to be up to 128 letters, digits or ._-/, start with no slash"
+            + " and end with one: a b",
+        "form = etcd|form = etcd\\ntrust = /nowhere|"
+            + "[registry] trust: not a readable file: /nowhere",
+        "form = etcd|form = etcd\\nuser = me|"
+            + "[registry] password: missing: user and password require each other",
+        "form = etcd|form = etcd\\nform = consul|[registry] form: set more than once",
+        "[registry]|[registrar]|[registrar]: unknown section",
+        "127.0.0.1:2380|127.0.0.1:2379|"
+            + "[registry] endpoints: 127.0.0.1:2379 is listed more than once",
+        "127.0.0.1:2380|127.0.0.1:1 127.0.0.1:2 127.0.0.1:3 127.0.0.1:4 127.0.0.1:5 "
+            + "127.0.0.1:6 127.0.0.1:7 127.0.0.1:8 127.0.0.1:9|"
+            + "[registry] endpoints: more than 9 addresses",
+        "form = etcd|form = etcd\\nsnapshot = /nowhere/a|"
+            + "[registry] snapshot: the folder of this file does not exist: /nowhere/a",
+        "form = etcd|form = etcd\\ncertificate = /dev/null|"
+            + "[registry] certificate: requires trust",
+        "form = etcd|form = etcd\\ntrust = /dev/null\\ncertificate = /dev/null|"
+            + "[registry] key: missing: certificate and key require each other",
+        "form = etcd|form = consul\\nuser = me\\npassword = /dev/null|"
+            + "[registry] user: only valid with form = etcd and without token"
       })
   void invalidRegistryKeyIsReportedWithFileSectionAndKey(String from, String to, String message)
       throws Exception {
@@ -101,23 +117,24 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "name = a|name = a b|[fleet] name: not 1 to 32 letters, digits, ._-: a b",
+        "name = a|name = a b|[fleet] name: not 1 to 32 letters, digits or ._-: a b",
         "listen = 127.0.0.1:7946||[fleet] listen: missing",
         "listen = 127.0.0.1:7946|listen = [::1]:7946|"
-            + "[fleet] listen: no numeric IPv4 address:port: [::1]:7946",
+            + "[fleet] listen: not a numeric IPv4 address:port: [::1]:7946",
         "listen = 127.0.0.1:7946|listen = 0.0.0.0:7946|"
-            + "[fleet] advertise: missing: nobody can answer 0.0.0.0",
+            + "[fleet] advertise: missing: required because others can't send to listen = 0.0.0.0",
         "seeds = 127.0.0.1:7946||[fleet] seeds: missing",
         "operators = 127.0.0.1:7900|operators = 10.0.0.1:7900|"
-            + "[fleet] operators: not on loopback: 10.0.0.1:7900",
-        "name = a|told = 2001|[fleet] told: no number from 0 to 2000: 2001",
-        "name = a|period-s = 0.05|[fleet] period-s: no number from 0.1 to 10: 0.05",
-        "name = a|perod-s = 1|[fleet] perod-s: no such key",
+            + "[fleet] operators: not a loopback address: 10.0.0.1:7900",
+        "name = a|told = 2001|[fleet] told: not a number from 0 to 2000: 2001",
+        "name = a|period-s = 0.05|[fleet] period-s: not a number from 0.1 to 10: 0.05",
+        "name = a|perod-s = 1|[fleet] perod-s: unknown key",
         "key = |;|[fleet] key: missing",
         "name = a|[owner]~[fleet]~name = a|[owner] voters: no voters",
         "name = a|[owner]~voters = g1, g2~[fleet]~name = a|"
             + "[owner] voters: an odd number of voters, 9 at most, each once: [g1, g2]",
-        "name = a|[owner]~voters = g1~sweep = yes~[fleet]~name = a|[owner] sweep: needs [registry]"
+        "name = a|[owner]~voters = g1~sweep = yes~[fleet]~name = a|"
+            + "[owner] sweep: requires section [registry]"
       })
   void invalidFleetOrOwnerKeyIsReportedWithFileSectionAndKey(String from, String to, String message)
       throws Exception {
@@ -136,16 +153,16 @@
   @CsvSource(
       delimiter = '|',
       value = {
-        "[owner] lease-s: no whole number: 2.5|by = lease~lease-s = 2.5",
-        "[owner] settle-s: with probe or warm from 0.3 to half of lease-s|"
+        "[owner] lease-s: not an integer: 2.5|by = lease~lease-s = 2.5",
+        "[owner] settle-s: with probe or warm, has to be from 0.3 to half of lease-s|"
             + "probe = yes~settle-s = 1.6",
-        "[owner] probe: none of yes, no: maybe|probe = maybe",
-        "[owner] by: lease needs [registry] of the form etcd|by = lease"
+        "[owner] probe: not one of yes, no: maybe|probe = maybe",
+        "[owner] by: lease requires section [registry] with form = etcd|by = lease"
       })
   void invalidOwnerKeyIsReportedWithFileSectionAndKey(String message, String keys)
       throws Exception {
     Path key = Files.writeString(folder.resolve("keys"), "k1 00");
-    String registry = message.contains("needs [registry]") ? "" : REGISTRY;
+    String registry = message.contains("requires section [registry]") ? "" : REGISTRY;
     String fleet = FLEET + "key = " + key + "\n";
     String owner = "[owner]\nvoters = g1\n" + keys.replace("~", "\n") + "\n";
     Path file = writeFile(registry + fleet + owner);
@@ -156,6 +173,18 @@
     assertEquals(file + ": " + message, e.getMessage());
   }
 
+  @Test
+  void ownerSectionWithoutFleetSectionIsReported() throws Exception {
+    Path file = writeFile("[owner]\nvoters = g1\n");
+
+    InvalidDeploymentFileException e =
+        assertThrows(InvalidDeploymentFileException.class, () -> DeploymentFile.read(file));
+
+    assertEquals(
+        file + ": [owner] voters: requires section [fleet]: gateways vote by its datagrams",
+        e.getMessage());
+  }
+
   @Test
   void missingFileIsReportedByName() {
     Path file = folder.resolve("absent.ini");
