--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -15,8 +15,9 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * The settings of an installation that are not in the platform's JSON file, parsed from one INI
- * file and validated completely. A feature whose section is absent is disabled. Immutable.
+ * The settings of an installation that are not in the platform's JSON file ({@code PROXY_CONFIG}),
+ * parsed from one INI file and validated completely. A feature whose section is absent is disabled.
+ * Immutable.
  */
 public final class DeploymentFile {
   private static final Map<String, Set<String>> KEYS_BY_SECTION =
