--- a/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
@@ -8,8 +8,8 @@
   @Option(
       names = "--seconds",
       description =
-          "Duration in seconds; for experiments of several phases, of each phase. Default: set by"
-              + " the experiment.")
+          "Duration in seconds of the run, or of each measurement if the experiment takes several."
+              + " Default: set by the experiment.")
   private Integer seconds;
 
   /** Returns the duration in seconds that applies without {@code --seconds}. */
