--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -96,7 +96,7 @@
                 .list()
                 .map(
                     entries -> {
-                      entries.forEach(entry -> printer().entry(entry, prefix));
+                      entries.forEach(entry -> printer().printEntry(entry, prefix));
                       return AmberpathCommand.SUCCESS;
                     }));
   }
@@ -182,7 +182,7 @@
               + " and retry");
       return AmberpathCommand.FAILURE;
     }
-    printer().written(key, state);
+    printer().printWritten(key, state);
     return AmberpathCommand.SUCCESS;
   }
 
--- a/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
@@ -30,7 +30,7 @@
   }
 
   /** Prints a cache, a purge or an unreadable value; entries of other kinds are not printed. */
-  void entry(RegistryEntry entry, String prefix) {
+  void printEntry(RegistryEntry entry, String prefix) {
     JsonObject line =
         new JsonObject()
             .put("key", entry.key().substring(prefix.length()))
@@ -53,24 +53,24 @@
     } else {
       return;
     }
-    print(line);
+    printLine(line);
   }
 
   /** Prints a key and the state that was written to it. */
-  void written(String key, String state) {
-    print(new JsonObject().put("key", key).put("state", state));
+  void printWritten(String key, String state) {
+    printLine(new JsonObject().put("key", key).put("state", state));
   }
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
     if (kind == EndpointListKind.FULL) {
-      print(new JsonObject().put("key", "list").put("whole", true));
+      printLine(new JsonObject().put("key", "list").put("whole", true));
     }
   }
 
   @Override
   public void endpointListed(ListedEndpoint endpoint) {
-    print(
+    printLine(
         new JsonObject()
             .put("key", endpoint.id())
             .put("state", stateLabel(endpoint.state()))
@@ -85,7 +85,7 @@
 
   @Override
   public void objectPurged(long object, int group, long atMs) {
-    print(
+    printLine(
         new JsonObject()
             .put("key", "purge")
             .put("object", String.format("%016x", object))
@@ -93,7 +93,7 @@
             .put("at_ms", atMs));
   }
 
-  private void print(JsonObject line) {
+  private void printLine(JsonObject line) {
     System.out.println(json ? line.encode() : asText(line));
   }
 
--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -43,24 +43,25 @@
   private static final String GATEWAY_PACKAGES = ROOT + "gateway..";
 
   private static final DescribedPredicate<JavaClass> PURE_CLASS =
-      describe("in a pure package", one -> PURE_PACKAGES.contains(one.getPackageName()));
+      describe(
+          "in a pure package", javaClass -> PURE_PACKAGES.contains(javaClass.getPackageName()));
 
   private static final DescribedPredicate<JavaClass> IO_OR_CONCURRENCY_CLASS =
       describe(
           "does I/O, threads or sockets",
-          one -> {
-            String in = one.getPackageName();
-            String name = one.getName();
-            return in.startsWith("io.")
-                || in.startsWith("java.net")
-                || in.startsWith("java.nio")
-                || in.startsWith("java.util.concurrent")
-                || in.startsWith("java.util.logging")
-                || in.startsWith("sun.")
-                || in.startsWith("com.")
-                || (in.startsWith("org.") && !in.startsWith(ROOT))
+          javaClass -> {
+            String packageName = javaClass.getPackageName();
+            String name = javaClass.getName();
+            return packageName.startsWith("io.")
+                || packageName.startsWith("java.net")
+                || packageName.startsWith("java.nio")
+                || packageName.startsWith("java.util.concurrent")
+                || packageName.startsWith("java.util.logging")
+                || packageName.startsWith("sun.")
+                || packageName.startsWith("com.")
+                || (packageName.startsWith("org.") && !packageName.startsWith(ROOT))
                 || name.equals("java.lang.Thread")
-                || (in.equals("java.io")
+                || (packageName.equals("java.io")
                     && !name.equals("java.io.Serializable")
                     && !name.startsWith("java.io.Print"))
                 || name.equals("java.util.Random")
@@ -80,7 +81,8 @@
   void everyPurePackageExists() {
     for (String packageName : PURE_PACKAGES) {
       assertTrue(
-          PRODUCTION_CLASSES.stream().anyMatch(one -> one.getPackageName().equals(packageName)),
+          PRODUCTION_CLASSES.stream()
+              .anyMatch(javaClass -> javaClass.getPackageName().equals(packageName)),
           packageName);
     }
   }
@@ -122,9 +124,9 @@
         .dependOnClassesThat(
             describe(
                 "in another module",
-                one ->
-                    one.getPackageName().startsWith(ROOT)
-                        && !one.getPackageName().startsWith(ROOT + "routing")))
+                javaClass ->
+                    javaClass.getPackageName().startsWith(ROOT)
+                        && !javaClass.getPackageName().startsWith(ROOT + "routing")))
         .check(PRODUCTION_CLASSES);
   }
 
@@ -150,7 +152,7 @@
   void moduleDependsOnNoHigherModule(String module, String higherModules) {
     String[] packages =
         Stream.of(higherModules.split(" ", -1))
-            .map(one -> ROOT + one + "..")
+            .map(higherModule -> ROOT + higherModule + "..")
             .toArray(String[]::new);
     noClasses()
         .that()
--- a/app/src/test/java/org/amberpath/RunLineTest.java
+++ b/app/src/test/java/org/amberpath/RunLineTest.java
@@ -83,13 +83,13 @@
 
   @Test
   void policyListNamesEveryDecisionFile() throws IOException {
-    Matcher list = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deployFile);
-    assertTrue(list.find());
+    Matcher policyList = Pattern.compile("(?s)\npolicy = \\[(.*?)\n]").matcher(deployFile);
+    assertTrue(policyList.find());
     Set<String> listedFiles = new TreeSet<>();
-    Matcher path = Pattern.compile("\"(.+?)\"").matcher(list.group(1));
-    while (path.find()) {
-      assertTrue(Files.exists(Path.of("..", path.group(1))), path.group(1));
-      listedFiles.add(path.group(1));
+    Matcher listedPath = Pattern.compile("\"(.+?)\"").matcher(policyList.group(1));
+    while (listedPath.find()) {
+      assertTrue(Files.exists(Path.of("..", listedPath.group(1))), listedPath.group(1));
+      listedFiles.add(listedPath.group(1));
     }
     String folder = "routing/src/main/java/org/amberpath/routing";
     try (Stream<Path> files = Files.list(Path.of("..", folder))) {
