--- a/app/src/main/java/org/amberpath/cli/MembershipCommand.java
+++ b/app/src/main/java/org/amberpath/cli/MembershipCommand.java
@@ -54,7 +54,7 @@
 
   private static void printMember(JsonObject member) {
     System.out.printf(
-        "  %-32s %-9s %-21s since %.1f s%n",
+        "  %-32s %-9s %-21s for %.1f s%n",
         member.getString("name"),
         member.getString("standing"),
         member.getString("address"),
--- a/app/src/test/java/org/amberpath/cli/AdminCommandsTest.java
+++ b/app/src/test/java/org/amberpath/cli/AdminCommandsTest.java
@@ -70,7 +70,7 @@
             + "  "
             + "g2"
             + " ".repeat(31)
-            + "alive     127.0.0.1:7947        since 1.5 s\n",
+            + "alive     127.0.0.1:7947        for 1.5 s\n",
         result.out());
   }
 
