--- a/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
+++ b/app/src/main/java/org/amberpath/cli/AmberpathCommand.java
@@ -11,14 +11,19 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
 
-/** The command line. Results go to standard output, the log to standard error. */
+/**
+ * Root command: parses the command line with picocli and runs the subcommand. Results go to
+ * standard output, the log to standard error.
+ */
 @Command(
     name = "amberpath",
     mixinStandardHelpOptions = true,
     version = "amberpath 0.1.0",
-    description = "Routes GETs of cached objects.",
+    description = "Runs and operates a gateway that routes GET requests to caches.",
     synopsisSubcommandLabel = "COMMAND",
-    footer = "Exit codes: 0 done, 1 failed, 2 usage or settings, 3 an experiment's bar missed.",
+    footer =
+        "Exit codes: 0 success, 1 failure, 2 invalid usage or settings, 3 an experiment missed a"
+            + " bar.",
     subcommands = {
       ServeCommand.class,
       SimulateCommand.class,
@@ -29,26 +34,32 @@
       LabCommand.class
     })
 public final class AmberpathCommand {
-  /** Exit codes, the same for all commands. */
-  static final int DONE = 0;
+  /** Exit code of a command that succeeded. */
+  static final int SUCCESS = 0;
 
-  static final int FAILED = 1;
-  static final int USAGE = 2;
-  static final int MISSED = 3;
+  /** Exit code of a command that failed for any other reason than those below. */
+  static final int FAILURE = 1;
 
-  /** How log lines look. */
-  enum Log {
+  /** Exit code for invalid usage or invalid settings. */
+  static final int USAGE_ERROR = 2;
+
+  /** Exit code of an experiment that missed one of its pass criteria (bars). */
+  static final int BARS_MISSED = 3;
+
+  /** Formats of log lines; the constants are the values of {@code --log}. */
+  enum LogFormat {
     plain,
     json
   }
 
   @Option(
       names = "--log",
+      paramLabel = "<log>",
       scope = ScopeType.INHERIT,
       defaultValue = "plain",
-      description = "Log lines: ${COMPLETION-CANDIDATES}.")
-  void log(Log form) {
-    if (form == Log.json) {
+      description = "Format of log lines: ${COMPLETION-CANDIDATES}. Default: ${DEFAULT-VALUE}.")
+  void setLogFormat(LogFormat format) {
+    if (format == LogFormat.json) {
       EcsFormatter formatter = new EcsFormatter();
       formatter.setServiceName("amberpath");
       for (Handler handler : Logger.getLogger("").getHandlers()) {
@@ -60,27 +71,27 @@
   private AmberpathCommand() {}
 
   /**
-   * Runs a command and ends the process with its exit code; returns only if a gateway was started,
-   * which then runs on threads of its own.
+   * Runs a command and exits the process with the command's exit code. Returns only if a gateway
+   * was started, which keeps running on its own threads.
    */
   public static void run(String... args) {
-    int code = line().execute(args);
-    if (code != ServeCommand.KEEPS_RUNNING) {
-      System.exit(code);
+    int exitCode = commandLine().execute(args);
+    if (exitCode != ServeCommand.KEEPS_RUNNING) {
+      System.exit(exitCode);
     }
   }
 
-  static CommandLine line() {
-    CommandLine line = new CommandLine(new AmberpathCommand());
-    line.setExecutionExceptionHandler(
-        (e, of, parsed) -> {
-          of.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
+  static CommandLine commandLine() {
+    CommandLine commandLine = new CommandLine(new AmberpathCommand());
+    commandLine.setExecutionExceptionHandler(
+        (e, command, parseResult) -> {
+          command.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
           return e instanceof InvalidDeploymentFileException
                   || e instanceof InvalidSettingsException
                   || e instanceof InvalidDocumentException
-              ? USAGE
-              : FAILED;
+              ? USAGE_ERROR
+              : FAILURE;
         });
-    return line;
+    return commandLine;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/CheckCommand.java
+++ b/app/src/main/java/org/amberpath/cli/CheckCommand.java
@@ -8,13 +8,20 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
 
-/** Reads a settings file as {@code serve} does, and reports the first thing wrong with it. */
+/**
+ * Validates a settings file with the parser that {@code serve} uses and reports its first fault. A
+ * {@code .json} file is parsed as the gateway's {@code PROXY_CONFIG}, any other file as a
+ * deployment file.
+ */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Reads settings and says what is wrong.")
+    description = "Validates a settings file and reports the first error in it.")
 final class CheckCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "FILE", description = "An INI file, or the platform's JSON.")
+  @Parameters(
+      paramLabel = "FILE",
+      description =
+          "A deployment file (INI), or the platform's settings if the name ends in .json.")
   private Path file;
 
   @Override
@@ -24,7 +31,7 @@
     } else {
       DeploymentFile.read(file);
     }
-    System.out.println(file + ": good");
-    return AmberpathCommand.DONE;
+    System.out.println(file + ": valid");
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/LabRegistryCommand.java
@@ -11,13 +11,14 @@
 @Command(
     name = "registry",
     mixinStandardHelpOptions = true,
-    description = "A gateway on sockets while its registry changes and breaks off at random.")
+    description = "Runs a gateway whose registry changes and fails at random.")
 final class LabRegistryCommand extends LabSocketExperiment {
   @Option(
       names = "--form",
+      paramLabel = "<form>",
       defaultValue = "etcd",
-      description = "etcd or consul. Default: ${DEFAULT-VALUE}.")
-  private String form;
+      description = "Protocol of the registry: etcd or consul. Default: ${DEFAULT-VALUE}.")
+  private String protocol;
 
   @Override
   int defaultSeconds() {
@@ -27,6 +28,6 @@
   @Override
   ExperimentReport run(int seconds) throws Exception {
     return RegistryExperiment.run(
-        seed(), seconds, RegistrySettings.ProtocolKind.valueOf(form.toUpperCase(Locale.ROOT)));
+        seed(), seconds, RegistrySettings.ProtocolKind.valueOf(protocol.toUpperCase(Locale.ROOT)));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
+++ b/app/src/main/java/org/amberpath/cli/LabSocketExperiment.java
@@ -3,14 +3,16 @@
 import org.amberpath.lab.ExperimentReport;
 import picocli.CommandLine.Option;
 
-/** An experiment on sockets, for so many seconds. */
+/** Base class of experiments that run gateways on loopback sockets for a set time. */
 abstract class LabSocketExperiment extends LabExperiment {
   @Option(
       names = "--seconds",
-      description = "How long, for each stretch. Default: the experiment's own.")
+      description =
+          "Duration in seconds of the run, or of each measurement if the experiment takes several."
+              + " Default: set by the experiment.")
   private Integer seconds;
 
-  /** How long it runs where nothing is said. */
+  /** Returns the duration in seconds that applies without {@code --seconds}. */
   abstract int defaultSeconds();
 
   abstract ExperimentReport run(int seconds) throws Exception;
@@ -18,6 +20,6 @@
   @Override
   public final Integer call() throws Exception {
     silenceLogs();
-    return finish(run(seconds == null ? defaultSeconds() : seconds));
+    return printReport(run(seconds == null ? defaultSeconds() : seconds));
   }
 }
--- a/app/src/main/java/org/amberpath/cli/RegistryCommand.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryCommand.java
@@ -31,9 +31,9 @@
     name = "registry",
     mixinStandardHelpOptions = true,
     synopsisSubcommandLabel = "COMMAND",
-    description = "Reads and writes the registry of caches and purges.")
+    description = "Lists, watches and changes caches and purges in the registry.")
 final class RegistryCommand {
-  /** For a whole command, all of its requests together. */
+  /** Time limit for all requests of one command together, and for closing Vert.x after a watch. */
   private static final long TIMEOUT_SECONDS = 30;
 
   private static final long MILLIS_PER_SECOND = 1000;
@@ -43,13 +43,14 @@
       required = true,
       defaultValue = "${AMBERPATH_FILE}",
       paramLabel = "INI",
-      description = "Settings with [registry]; AMBERPATH_FILE otherwise.")
+      description =
+          "Deployment file with section [registry]. Default: the value of AMBERPATH_FILE.")
   private Path file;
 
-  @Option(names = "--json", description = "One JSON object a line.")
+  @Option(names = "--json", description = "Print results as JSON, one object per line.")
   private boolean json;
 
-  /** Requests to a registry whose result is an exit code. */
+  /** Sends the registry requests of one command; the result is the exit code. */
   private interface Operation {
     Future<Integer> run(RegistryAdminClient client, String prefix);
   }
@@ -78,13 +79,16 @@
           .get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     } catch (ExecutionException e) {
       System.err.println(e.getCause().getMessage());
-      return AmberpathCommand.FAILED;
+      return AmberpathCommand.FAILURE;
     } finally {
       vertx.close();
     }
   }
 
-  @Command(name = "list", mixinStandardHelpOptions = true, description = "All caches and purges.")
+  @Command(
+      name = "list",
+      mixinStandardHelpOptions = true,
+      description = "Lists all caches and purges.")
   int list() throws Exception {
     return run(
         (client, prefix) ->
@@ -92,15 +96,15 @@
                 .list()
                 .map(
                     entries -> {
-                      entries.forEach(entry -> printer().entry(entry, prefix));
-                      return AmberpathCommand.DONE;
+                      entries.forEach(entry -> printer().printEntry(entry, prefix));
+                      return AmberpathCommand.SUCCESS;
                     }));
   }
 
   @Command(
       name = "drain",
       mixinStandardHelpOptions = true,
-      description = "Nothing new goes to a cache.")
+      description = "Drains a cache: gateways send it no new requests.")
   int drain(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.DRAINING);
   }
@@ -108,7 +112,7 @@
   @Command(
       name = "ready",
       mixinStandardHelpOptions = true,
-      description = "A drained cache takes GETs again.")
+      description = "Returns a drained cache to service.")
   int ready(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.UP);
   }
@@ -116,7 +120,7 @@
   @Command(
       name = "remove",
       mixinStandardHelpOptions = true,
-      description = "A cache is gone; its id may come anew.")
+      description = "Removes a cache; its id may be added again.")
   int remove(@Parameters(paramLabel = "ID") String id) throws Exception {
     return changeState(id, EndpointState.GONE);
   }
@@ -137,15 +141,15 @@
     Optional<RegistryEntry> entry =
         entries.stream().filter(candidate -> candidate.key().equals(key)).findFirst();
     if (entry.isEmpty()) {
-      return failed(id + ": no such cache");
+      return reportFailure(id + ": no such cache in the registry");
     }
     if (!(entry.get().value() instanceof RegistryRecord.Cache cache)) {
-      return failed(id + ": its value can't be read");
+      return reportFailure(id + ": the registry's record of this cache can't be decoded");
     }
-    RegistryRecord.Cache changed = state == EndpointState.GONE ? null : withState(cache, state);
+    RegistryRecord.Cache updated = state == EndpointState.GONE ? null : withState(cache, state);
     return client
-        .write(key, changed, entry.get().modRevision())
-        .map(written -> report(id, RegistryLinePrinter.stateLabel(state), written));
+        .write(key, updated, entry.get().modRevision())
+        .map(written -> reportWrite(id, RegistryLinePrinter.stateLabel(state), written));
   }
 
   private static RegistryRecord.Cache withState(RegistryRecord.Cache cache, EndpointState state) {
@@ -160,78 +164,94 @@
         cache.startedAtMs());
   }
 
-  private static Future<Integer> failed(String message) {
+  private static Future<Integer> reportFailure(String message) {
     System.err.println(message);
-    return Future.succeededFuture(AmberpathCommand.FAILED);
+    return Future.succeededFuture(AmberpathCommand.FAILURE);
   }
 
-  /** Prints the outcome of a write; a transaction whose condition failed wrote nothing. */
-  private int report(String key, String state, boolean written) {
+  /**
+   * Prints the outcome of a write and returns the exit code.
+   *
+   * @param written false if the transaction's condition failed, so that nothing was written
+   */
+  private int reportWrite(String key, String state, boolean written) {
     if (!written) {
-      System.err.println(key + ": nothing was written: its key moved meanwhile; look again");
-      return AmberpathCommand.FAILED;
+      System.err.println(
+          key
+              + ": not written: the key exists already or has changed since it was read; list it"
+              + " and retry");
+      return AmberpathCommand.FAILURE;
     }
-    printer().written(key, state);
-    return AmberpathCommand.DONE;
+    printer().printWritten(key, state);
+    return AmberpathCommand.SUCCESS;
   }
 
   @Command(
       name = "add",
       mixinStandardHelpOptions = true,
-      description = "A cache that is not there yet.")
+      description = "Adds a cache whose id is not in the registry.")
   int add(@Parameters(paramLabel = "ID") String id, @Mixin NewCacheOptions options)
       throws Exception {
     RegistryRecord.Cache cache = options.toRecord(id);
-    String fault = RecordCodec.validationError(cache);
-    if (fault != null) {
-      return usage("add: gateways would not take that: " + fault);
+    String validationError = RecordCodec.validationError(cache);
+    if (validationError != null) {
+      return usageError("add: gateways would reject this record: " + validationError);
     }
     return run(
         (client, prefix) ->
             client
                 .write(prefix + RecordCodec.CACHES_PREFIX + id, cache, 0)
-                .map(written -> report(id, "ready", written)));
+                .map(written -> reportWrite(id, "ready", written)));
   }
 
   @Command(
       name = "purge",
       mixinStandardHelpOptions = true,
       description =
-          "Copies of an object, or of a group, from before now are not returned any more.")
+          "Purges an object or a group: gateways no longer return copies older than the purge.")
   int purge(
-      @Option(names = "--object", description = "Its id, hexadecimal.") String object,
-      @Option(names = "--group", defaultValue = "0", description = "Where no object is named.")
+      @Option(names = "--object", description = "Hexadecimal id of the object.") String object,
+      @Option(
+              names = "--group",
+              defaultValue = "0",
+              description = "Number of the group, if no object is given.")
           int group)
       throws Exception {
     long objectId;
     try {
       objectId = object == null ? 0 : Long.parseUnsignedLong(object, 16);
     } catch (NumberFormatException e) {
-      return usage("purge: --object: no hexadecimal id: " + object);
+      return usageError("purge: --object: not a hexadecimal id: " + object);
     }
     if (objectId == 0 && group <= 0) {
-      return usage("purge: --object or --group");
+      return usageError("purge: neither --object nor --group is given, or they are 0");
     }
     long atMillis = System.currentTimeMillis();
-    String name = atMillis + "-" + Long.toHexString(System.nanoTime());
+    String purgeId = atMillis + "-" + Long.toHexString(System.nanoTime());
     return run(
         (client, prefix) ->
             client
-                .purge(name, new RegistryRecord.Purge(objectId, group, atMillis))
-                .map(written -> report(RecordCodec.PURGES_PREFIX + name, "purged", written)));
+                .purge(purgeId, new RegistryRecord.Purge(objectId, group, atMillis))
+                .map(
+                    written ->
+                        reportWrite(RecordCodec.PURGES_PREFIX + purgeId, "purged", written)));
   }
 
-  private static int usage(String message) {
+  private static int usageError(String message) {
     System.err.println(message);
-    return AmberpathCommand.USAGE;
+    return AmberpathCommand.USAGE_ERROR;
   }
 
   @Command(
       name = "watch",
       mixinStandardHelpOptions = true,
-      description = "Follows the registry as a gateway does, and prints what it would be told.")
+      description =
+          "Watches the registry as a gateway does and prints the updates that a gateway receives.")
   int watch(
-      @Option(names = "--seconds", defaultValue = "0", description = "0: until it is stopped.")
+      @Option(
+              names = "--seconds",
+              defaultValue = "0",
+              description = "Seconds to watch; 0 for no limit. Default: ${DEFAULT-VALUE}.")
           int seconds)
       throws Exception {
     RegistrySettings settings = settings();
@@ -242,6 +262,6 @@
     Thread.sleep(seconds == 0 ? Long.MAX_VALUE : seconds * MILLIS_PER_SECOND);
     context.runOnContext(ignored -> source.close());
     vertx.close().toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    return AmberpathCommand.DONE;
+    return AmberpathCommand.SUCCESS;
   }
 }
--- a/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
+++ b/app/src/main/java/org/amberpath/cli/RegistryLinePrinter.java
@@ -9,9 +9,9 @@
 import org.amberpath.routing.ListedEndpoint;
 
 /**
- * Prints registry entries and what a gateway would be notified of, a line each on standard output:
- * a JSON object, or the key and then {@code field=value}. As an {@link EndpointListener} it is
- * called on the event loop of the registry source.
+ * Prints registry entries and endpoint notifications to standard output, one line each: a JSON
+ * object, or the key followed by {@code field=value} pairs. The methods of {@link EndpointListener}
+ * are called on the event loop of the registry source.
  */
 final class RegistryLinePrinter implements EndpointListener {
   private final boolean json;
@@ -20,7 +20,7 @@
     this.json = json;
   }
 
-  /** The name of a state in output, as in the registry's records. */
+  /** Returns the name of a state in the output, which is its name in the registry's records. */
   static String stateLabel(EndpointState state) {
     return switch (state) {
       case UP -> "ready";
@@ -29,8 +29,8 @@
     };
   }
 
-  /** Prints a cache, a purge or an unreadable value; other entries are left out. */
-  void entry(RegistryEntry entry, String prefix) {
+  /** Prints a cache, a purge or an unreadable value; entries of other kinds are not printed. */
+  void printEntry(RegistryEntry entry, String prefix) {
     JsonObject line =
         new JsonObject()
             .put("key", entry.key().substring(prefix.length()))
@@ -53,24 +53,24 @@
     } else {
       return;
     }
-    print(line);
+    printLine(line);
   }
 
-  /** Prints the state that was written for a key. */
-  void written(String key, String state) {
-    print(new JsonObject().put("key", key).put("state", state));
+  /** Prints a key and the state that was written to it. */
+  void printWritten(String key, String state) {
+    printLine(new JsonObject().put("key", key).put("state", state));
   }
 
   @Override
   public void endpointListStarted(EndpointListKind kind) {
     if (kind == EndpointListKind.FULL) {
-      print(new JsonObject().put("key", "list").put("whole", true));
+      printLine(new JsonObject().put("key", "list").put("whole", true));
     }
   }
 
   @Override
   public void endpointListed(ListedEndpoint endpoint) {
-    print(
+    printLine(
         new JsonObject()
             .put("key", endpoint.id())
             .put("state", stateLabel(endpoint.state()))
@@ -85,7 +85,7 @@
 
   @Override
   public void objectPurged(long object, int group, long atMs) {
-    print(
+    printLine(
         new JsonObject()
             .put("key", "purge")
             .put("object", String.format("%016x", object))
@@ -93,7 +93,7 @@
             .put("at_ms", atMs));
   }
 
-  private void print(JsonObject line) {
+  private void printLine(JsonObject line) {
     System.out.println(json ? line.encode() : asText(line));
   }
 
--- a/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
+++ b/app/src/main/java/org/amberpath/cli/settings/DeploymentFile.java
@@ -15,8 +15,9 @@
 import org.apache.commons.configuration2.ex.ConfigurationException;
 
 /**
- * The settings of an installation beside the platform's JSON, read from one INI file and checked as
- * a whole. A section that is absent leaves its feature off. Immutable.
+ * The settings of an installation that are not in the platform's JSON file ({@code PROXY_CONFIG}),
+ * parsed from one INI file and validated completely. A feature whose section is absent is disabled.
+ * Immutable.
  */
 public final class DeploymentFile {
   private static final Map<String, Set<String>> KEYS_BY_SECTION =
@@ -48,40 +49,47 @@
     leadership =
         ini.getSections().contains(LeadershipSection.NAME)
             ? new LeadershipSection(section(file, ini, LeadershipSection.NAME))
-                .read(registry(), membership(), () -> readVotersAnew(file))
+                .read(registry(), membership(), () -> reloadVoters(file))
             : null;
   }
 
   /**
-   * Reads and checks a file.
+   * Parses and validates a file.
    *
-   * @throws InvalidDeploymentFileException if it can't be read, or at its first fault
+   * @throws InvalidDeploymentFileException if the file can't be read or parsed, or for the first
+   *     invalid section, key or value
    */
   public static DeploymentFile read(Path file) {
     return new DeploymentFile(file);
   }
 
-  /** The section [registry]; empty if no registry is used. */
+  /** Returns the settings of section {@code [registry]}; empty if the section is absent. */
   public Optional<RegistrySettings> registry() {
     return Optional.ofNullable(registry);
   }
 
-  /** Whether the journal is polled in addition to the registry; false without a registry. */
+  /** Returns whether the journal is polled in addition to a registry; false without a registry. */
   public boolean alsoPollsJournal() {
     return alsoPollsJournal;
   }
 
-  /** The section [fleet]; empty if the gateway has no membership. */
+  /**
+   * Returns the settings of section {@code [fleet]}; empty if the section is absent, in which case
+   * the gateway runs no membership protocol.
+   */
   public Optional<MembershipSettings> membership() {
     return Optional.ofNullable(membership);
   }
 
-  /** The section [owner]; empty if the gateway neither votes nor leads tasks. */
+  /**
+   * Returns the settings of section {@code [owner]}; empty if the section is absent, in which case
+   * the gateway neither votes nor leads tasks.
+   */
   public Optional<LeadershipSettings> leadership() {
     return Optional.ofNullable(leadership);
   }
 
-  private static VoterConfiguration readVotersAnew(Path file) {
+  private static VoterConfiguration reloadVoters(Path file) {
     return read(file)
         .leadership()
         .orElseThrow(
@@ -91,23 +99,23 @@
 
   private static INIConfiguration parse(Path file) {
     INIConfiguration ini = new INIConfiguration();
-    try (Reader in = Files.newBufferedReader(file)) {
-      ini.read(in);
+    try (Reader reader = Files.newBufferedReader(file)) {
+      ini.read(reader);
       return ini;
     } catch (IOException e) {
       throw InvalidDeploymentFileException.inFile(
           file, "can't be read: " + e.getClass().getSimpleName());
     } catch (ConfigurationException e) {
-      throw InvalidDeploymentFileException.inFile(file, "no INI: " + e.getMessage());
+      throw InvalidDeploymentFileException.inFile(file, "not a valid INI file: " + e.getMessage());
     }
   }
 
-  /** Unknown sections, unknown keys and keys given twice, in the order of the file. */
+  /** Throws for the first unknown section, unknown key or duplicate key, in file order. */
   private static void checkNames(Path file, INIConfiguration ini) {
     for (String section : ini.getSections()) {
       if (section == null || !KEYS_BY_SECTION.containsKey(section)) {
         throw InvalidDeploymentFileException.inSection(
-            file, section == null ? "" : section, "no such section");
+            file, section == null ? "" : section, "unknown section");
       }
       section(file, ini, section).checkKeys(KEYS_BY_SECTION.get(section));
     }
--- a/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/LeadershipSection.java
@@ -10,7 +10,10 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 
-/** Reads [owner]: how a leader is elected, for how long, and which tasks it does. */
+/**
+ * Reads section {@code [owner]}: how the leader of a task is elected, how long its lease lasts, and
+ * which tasks are enabled.
+ */
 final class LeadershipSection {
   static final String NAME = "owner";
   static final Set<String> KEYS =
@@ -25,10 +28,13 @@
           "probe",
           "warm");
 
-  /** Assumed bound on the difference in rate of two machines' clocks, parts per million. */
+  /** Assumed upper bound on how fast or slow a machine's clock runs, in parts per million. */
   private static final int MAX_CLOCK_DRIFT_PPM = 1000;
 
-  /** A task that sends requests needs this much of the settle time after messages' delays. */
+  /**
+   * Lower bound on the settle time if a task sends requests: the former leader's last request has
+   * to end before its successor acts, beyond the delay of the messages themselves.
+   */
   private static final long MIN_SETTLE_NANOS_WITH_REQUESTS = 300_000_000;
 
   private final IniSection section;
@@ -38,38 +44,39 @@
   }
 
   /**
-   * Reads the section.
+   * Reads and validates the section.
    *
-   * @param reloadVoters reads the voters from the file as it is then; may do I/O
+   * @param reloadVoters reads the voters from the file again when it is called; blocks on I/O
    */
   LeadershipSettings read(
       Optional<RegistrySettings> registry,
       Optional<MembershipSettings> membership,
       Supplier<VoterConfiguration> reloadVoters) {
-    boolean sweeps = section.isYes("sweep");
-    boolean healthChecks = section.isYes("probe");
-    boolean prefetches = section.isYes("warm");
-    boolean byLease = section.choice("by", "votes", "lease").equals("lease");
+    boolean purgeRetentionEnabled = section.isYes("sweep");
+    boolean healthChecksEnabled = section.isYes("probe");
+    boolean prefetchEnabled = section.isYes("warm");
+    boolean usesRegistryLease = section.choice("by", "votes", "lease").equals("lease");
     if (membership.isEmpty()) {
-      throw section.invalid("voters", "needs [fleet]: votes go over its datagrams");
+      throw section.invalid("voters", "requires section [fleet]: gateways vote by its datagrams");
     }
-    if (sweeps && registry.isEmpty()) {
-      throw section.invalid("sweep", "needs [registry]");
+    if (purgeRetentionEnabled && registry.isEmpty()) {
+      throw section.invalid("sweep", "requires section [registry]");
     }
-    if (byLease && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
-      throw section.invalid("by", "lease needs [registry] of the form etcd");
+    if (usesRegistryLease
+        && registry.map(RegistrySettings::protocol).orElse(null) != ProtocolKind.ETCD) {
+      throw section.invalid("by", "lease requires section [registry] with form = etcd");
     }
-    VoterConfiguration voters = byLease ? null : voters();
-    LeaseTimings timings = timings(byLease, healthChecks || prefetches);
+    VoterConfiguration voters = usesRegistryLease ? null : voters();
+    LeaseTimings timings = timings(usesRegistryLease, healthChecksEnabled || prefetchEnabled);
     return new LeadershipSettings(
         voters,
         reloadVoters,
-        byLease ? registry.get() : null,
+        usesRegistryLease ? registry.get() : null,
         timings,
-        sweeps ? registry.get() : null,
+        purgeRetentionEnabled ? registry.get() : null,
         section.secondsToNanos("sweep-every-s", "5", 0.1, 3600),
-        healthChecks,
-        prefetches);
+        healthChecksEnabled,
+        prefetchEnabled);
   }
 
   private VoterConfiguration voters() {
@@ -80,9 +87,9 @@
     }
   }
 
-  private LeaseTimings timings(boolean byLease, boolean tasksSendRequests) {
+  private LeaseTimings timings(boolean usesRegistryLease, boolean tasksSendRequests) {
     long leaseNanos =
-        byLease
+        usesRegistryLease
             ? section.integer("lease-s", "3", 2, 60) * IniSection.NANOS_PER_SECOND
             : section.secondsToNanos("lease-s", "3", 1, 60);
     long settleNanos = section.secondsToNanos("settle-s", "0.6", 0, 60);
@@ -90,7 +97,7 @@
         && (settleNanos < MIN_SETTLE_NANOS_WITH_REQUESTS || 2 * settleNanos > leaseNanos)) {
       throw section.invalid(
           "settle-s",
-          "with probe or warm from "
+          "with probe or warm, has to be from "
               + MIN_SETTLE_NANOS_WITH_REQUESTS / 1e9
               + " to half of lease-s");
     }
--- a/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
+++ b/app/src/main/java/org/amberpath/cli/settings/RegistrySection.java
@@ -9,7 +9,10 @@
 import org.amberpath.registry.runtime.RegistrySettings;
 import org.amberpath.registry.runtime.RegistrySettings.ProtocolKind;
 
-/** Reads [registry]: where the registry is, how to authenticate, and bounds on what it sends. */
+/**
+ * Reads section {@code [registry]}: endpoints, credentials and snapshot file of the registry
+ * client, and limits on the registry's data.
+ */
 final class RegistrySection {
   static final String NAME = "registry";
   static final Set<String> KEYS =
@@ -40,7 +43,7 @@
     this.section = section;
   }
 
-  /** How a client authenticates; what is not used is empty. */
+  /** Files and user name with which the client authenticates; empty where not set. */
   private record Credentials(
       Optional<Path> trust,
       Optional<Path> certificate,
@@ -49,7 +52,9 @@
       Optional<Path> password,
       Optional<String> user) {}
 
-  /** Whether the journal is polled as well, instead of not at all. */
+  /**
+   * Returns whether the journal is polled in addition to the registry, rather than replaced by it.
+   */
   boolean alsoPollsJournal() {
     return section.choice("journal", "instead", "beside").equals("beside");
   }
@@ -67,7 +72,7 @@
             section.readableFile("password"),
             section.string("user"));
     List<SocketAddress> endpoints = section.addresses("endpoints");
-    check(credentials, protocol);
+    checkCredentials(credentials, protocol);
     return new RegistrySettings(
         protocol,
         endpoints,
@@ -86,20 +91,23 @@
         section.integer("longest-answer-kb", "8192", 64, 262_144) << BYTES_PER_KIB_SHIFT);
   }
 
-  private void check(Credentials credentials, ProtocolKind protocol) {
+  private void checkCredentials(Credentials credentials, ProtocolKind protocol) {
     boolean hasCertificate = credentials.certificate().isPresent();
     boolean hasUser = credentials.user().isPresent();
     if (hasCertificate && credentials.trust().isEmpty()) {
-      throw section.invalid("certificate", "needs 'trust'");
+      throw section.invalid("certificate", "requires trust");
     }
     if (hasCertificate != credentials.key().isPresent()) {
-      throw section.invalid(hasCertificate ? "key" : "certificate", "missing: both or neither");
+      throw section.invalid(
+          hasCertificate ? "key" : "certificate",
+          "missing: certificate and key require each other");
     }
     if (hasUser != credentials.password().isPresent()) {
-      throw section.invalid(hasUser ? "password" : "user", "missing: both or neither");
+      throw section.invalid(
+          hasUser ? "password" : "user", "missing: user and password require each other");
     }
     if (hasUser && (credentials.token().isPresent() || protocol == ProtocolKind.CONSUL)) {
-      throw section.invalid("user", "only with form = etcd and without 'token'");
+      throw section.invalid("user", "only valid with form = etcd and without token");
     }
   }
 
@@ -107,7 +115,11 @@
     String prefix = section.string("prefix", "amberpath/");
     if (!prefix.matches("[A-Za-z0-9._-][A-Za-z0-9._/-]*/") || prefix.length() > MAX_PREFIX_LENGTH) {
       throw section.invalid(
-          "prefix", "not of letters, digits and ._-/ with a slash at its end: " + prefix);
+          "prefix",
+          "has to be up to "
+              + MAX_PREFIX_LENGTH
+              + " letters, digits or ._-/, start with no slash and end with one: "
+              + prefix);
     }
     return prefix;
   }
--- a/app/src/test/java/org/amberpath/ArchitectureTest.java
+++ b/app/src/test/java/org/amberpath/ArchitectureTest.java
@@ -18,16 +18,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Dependencies between modules run one way; pure code does no I/O and reads no clock. */
+/**
+ * Checks that modules depend only on modules below them, and that pure code does no I/O and reads
+ * no clock.
+ */
 class ArchitectureTest {
   private static final String ROOT = "org.amberpath.";
-  private static final JavaClasses ALL =
+  private static final JavaClasses PRODUCTION_CLASSES =
       new ClassFileImporter()
           .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
           .importPackages("org.amberpath");
 
-  /** Every pure package; that of a new subsystem is added here. */
-  private static final List<String> PURE =
+  /** All packages of pure code; the pure package of a new subsystem has to be added. */
+  private static final List<String> PURE_PACKAGES =
       List.of(
           ROOT + "routing",
           ROOT + "registry",
@@ -36,28 +39,29 @@
           ROOT + "planning",
           ROOT + "recovery");
 
-  private static final String[] TOOLS = {ROOT + "cli..", ROOT + "lab.."};
-  private static final String GATEWAY = ROOT + "gateway..";
+  private static final String[] TOOL_PACKAGES = {ROOT + "cli..", ROOT + "lab.."};
+  private static final String GATEWAY_PACKAGES = ROOT + "gateway..";
 
   private static final DescribedPredicate<JavaClass> PURE_CLASS =
-      describe("in a pure package", one -> PURE.contains(one.getPackageName()));
+      describe(
+          "in a pure package", javaClass -> PURE_PACKAGES.contains(javaClass.getPackageName()));
 
-  private static final DescribedPredicate<JavaClass> OUTSIDE =
+  private static final DescribedPredicate<JavaClass> IO_OR_CONCURRENCY_CLASS =
       describe(
           "does I/O, threads or sockets",
-          one -> {
-            String in = one.getPackageName();
-            String name = one.getName();
-            return in.startsWith("io.")
-                || in.startsWith("java.net")
-                || in.startsWith("java.nio")
-                || in.startsWith("java.util.concurrent")
-                || in.startsWith("java.util.logging")
-                || in.startsWith("sun.")
-                || in.startsWith("com.")
-                || (in.startsWith("org.") && !in.startsWith(ROOT))
+          javaClass -> {
+            String packageName = javaClass.getPackageName();
+            String name = javaClass.getName();
+            return packageName.startsWith("io.")
+                || packageName.startsWith("java.net")
+                || packageName.startsWith("java.nio")
+                || packageName.startsWith("java.util.concurrent")
+                || packageName.startsWith("java.util.logging")
+                || packageName.startsWith("sun.")
+                || packageName.startsWith("com.")
+                || (packageName.startsWith("org.") && !packageName.startsWith(ROOT))
                 || name.equals("java.lang.Thread")
-                || (in.equals("java.io")
+                || (packageName.equals("java.io")
                     && !name.equals("java.io.Serializable")
                     && !name.startsWith("java.io.Print"))
                 || name.equals("java.util.Random")
@@ -65,7 +69,7 @@
                 || name.equals("java.time.Clock");
           });
 
-  private static final DescribedPredicate<JavaMethodCall> CLOCK =
+  private static final DescribedPredicate<JavaMethodCall> CLOCK_OR_ENVIRONMENT_CALL =
       describe(
           "reads a clock or the environment",
           call ->
@@ -75,19 +79,30 @@
 
   @Test
   void everyPurePackageExists() {
-    for (String pure : PURE) {
-      assertTrue(ALL.stream().anyMatch(one -> one.getPackageName().equals(pure)), pure);
+    for (String packageName : PURE_PACKAGES) {
+      assertTrue(
+          PRODUCTION_CLASSES.stream()
+              .anyMatch(javaClass -> javaClass.getPackageName().equals(packageName)),
+          packageName);
     }
   }
 
   @Test
   void pureCodeDoesNoInputOrOutput() {
-    noClasses().that(PURE_CLASS).should().dependOnClassesThat(OUTSIDE).check(ALL);
+    noClasses()
+        .that(PURE_CLASS)
+        .should()
+        .dependOnClassesThat(IO_OR_CONCURRENCY_CLASS)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
   void pureCodeReadsNoClockOrEnvironment() {
-    noClasses().that(PURE_CLASS).should().callMethodWhere(CLOCK).check(ALL);
+    noClasses()
+        .that(PURE_CLASS)
+        .should()
+        .callMethodWhere(CLOCK_OR_ENVIRONMENT_CALL)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
@@ -96,8 +111,8 @@
         .that(PURE_CLASS)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage("..runtime..", GATEWAY)
-        .check(ALL);
+        .resideInAnyPackage("..runtime..", GATEWAY_PACKAGES)
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
@@ -109,22 +124,22 @@
         .dependOnClassesThat(
             describe(
                 "in another module",
-                one ->
-                    one.getPackageName().startsWith(ROOT)
-                        && !one.getPackageName().startsWith(ROOT + "routing")))
-        .check(ALL);
+                javaClass ->
+                    javaClass.getPackageName().startsWith(ROOT)
+                        && !javaClass.getPackageName().startsWith(ROOT + "routing")))
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void gatewayPackagesHaveNoCycleAndDependOnNothingOfTheLifecycle() {
-    slices().matching(ROOT + "gateway.(*)..").should().beFreeOfCycles().check(ALL);
+  void gatewaySubpackagesHaveNoCyclesAndDoNotDependOnTheirParent() {
+    slices().matching(ROOT + "gateway.(*)..").should().beFreeOfCycles().check(PRODUCTION_CLASSES);
     noClasses()
         .that()
         .resideInAPackage(ROOT + "gateway.*..")
         .should()
         .dependOnClassesThat()
         .resideInAPackage(ROOT + "gateway")
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @ParameterizedTest
@@ -134,26 +149,28 @@
     "registry, leadership planning cli lab",
     "leadership, planning cli lab",
   })
-  void moduleDependsOnNoneAboveIt(String module, String above) {
+  void moduleDependsOnNoHigherModule(String module, String higherModules) {
     String[] packages =
-        Stream.of(above.split(" ", -1)).map(one -> ROOT + one + "..").toArray(String[]::new);
+        Stream.of(higherModules.split(" ", -1))
+            .map(higherModule -> ROOT + higherModule + "..")
+            .toArray(String[]::new);
     noClasses()
         .that()
         .resideInAPackage(ROOT + module + "..")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(packages)
-        .check(ALL);
+        .check(PRODUCTION_CLASSES);
   }
 
   @Test
-  void onlyTheCommandLineDependsOnTheLab() {
+  void onlyToolPackagesDependOnToolPackages() {
     noClasses()
         .that()
-        .resideOutsideOfPackages(TOOLS)
+        .resideOutsideOfPackages(TOOL_PACKAGES)
         .should()
         .dependOnClassesThat()
-        .resideInAnyPackage(TOOLS)
-        .check(ALL);
+        .resideInAnyPackage(TOOL_PACKAGES)
+        .check(PRODUCTION_CLASSES);
   }
 }
--- a/app/src/test/java/org/amberpath/FleetProcessesTest.java
+++ b/app/src/test/java/org/amberpath/FleetProcessesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Four gateways as real processes that know one another: a cut, a crash, a restart, a pause, a
- * leave.
+ * Runs four gateway processes in one fleet and checks that each detects a partition, a crash, a
+ * restart, a pause and a graceful leave, and that the fleet recovers from them.
  */
 class FleetProcessesTest {
   private static final int GATEWAY_COUNT = 4;
@@ -37,31 +37,40 @@
     testbed.close();
   }
 
-  /** What one gateway holds of another. */
-  private String statusOf(int of, int other) {
-    JsonObject view = testbed.slots().get(of).view();
+  /**
+   * Returns the status of gateway {@code member} as gateway {@code observer} last reported it; the
+   * empty string if it has reported none.
+   */
+  private String statusOf(int observer, int member) {
+    JsonObject view = testbed.slots().get(observer).view();
     return view == null
         ? ""
         : view.getJsonArray("gateways").stream()
             .map(JsonObject.class::cast)
-            .filter(gateway -> gateway.getString("name").equals("g" + other))
+            .filter(gateway -> gateway.getString("name").equals("g" + member))
             .map(gateway -> gateway.getString("standing"))
             .findFirst()
             .orElse("");
   }
 
-  private String phase(int of) {
-    JsonObject view = testbed.slots().get(of).view();
+  private String phaseOf(int gateway) {
+    JsonObject view = testbed.slots().get(gateway).view();
     return view == null ? "" : view.getString("phase");
   }
 
-  private void await(String what, Predicate<Integer> each, int... gateways) throws Exception {
-    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
+  private void await(String description, Predicate<Integer> condition, int... gateways)
+      throws Exception {
+    long deadlineMillis = System.currentTimeMillis() + TIMEOUT_MILLIS;
     for (int gateway : gateways) {
-      while (!each.test(gateway)) {
+      while (!condition.test(gateway)) {
         assertTrue(
-            System.currentTimeMillis() < end,
-            "not in time: " + what + ", g" + gateway + ": " + testbed.slots().get(gateway).view());
+            System.currentTimeMillis() < deadlineMillis,
+            "timed out waiting: "
+                + description
+                + ", g"
+                + gateway
+                + ": "
+                + testbed.slots().get(gateway).view());
         Thread.sleep(50);
       }
     }
@@ -71,7 +80,7 @@
     await(
         "settled " + when,
         gateway ->
-            phase(gateway).equals("settled")
+            phaseOf(gateway).equals("settled")
                 && testbed.slots().get(gateway).view().getInteger("there") == GATEWAY_COUNT,
         0,
         1,
@@ -80,34 +89,34 @@
   }
 
   @Test
-  void cutCrashRestartPauseAndLeaveAreNoticedAndRecoveredFrom() throws Exception {
+  void partitionCrashRestartPauseAndLeaveAreDetectedAndRecoveredFrom() throws Exception {
     awaitSettled("at first");
 
     for (int other = 1; other < GATEWAY_COUNT; other++) {
       testbed.setLink(0, other, LinkCondition.CUT);
       testbed.setLink(other, 0, LinkCondition.CUT);
     }
-    await("cut off", gateway -> phase(gateway).equals("cut_off"), 0);
-    await("the others lost it", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
+    await("cut off", gateway -> phaseOf(gateway).equals("cut_off"), 0);
+    await("the others list it as lost", gateway -> statusOf(gateway, 0).equals("lost"), 1, 2, 3);
     assertEquals(
         0.25,
         testbed.slots().get(0).view().getDouble("part"),
-        "a side of a partition takes no larger part");
+        "the share does not grow during a partition");
     assertEquals(0.25, testbed.slots().get(1).view().getDouble("part"));
     testbed.setAllLinks(LinkCondition.HEALTHY);
     awaitSettled("after the cut");
 
     testbed.kill(2);
-    await("the crash is heard of", gateway -> statusOf(gateway, 2).equals("lost"), 0, 1, 3);
+    await("the crash is detected", gateway -> statusOf(gateway, 2).equals("lost"), 0, 1, 3);
     testbed.start(2);
     awaitSettled("after the restart");
 
     testbed.pause(1, 6000);
-    await("the pause is noticed", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
+    await("the pause is detected", gateway -> statusOf(gateway, 1).equals("lost"), 0, 2, 3);
     awaitSettled("after the pause");
 
     testbed.terminate(3);
-    await("the leave is heard of", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
+    await("the leave is received", gateway -> statusOf(gateway, 3).equals("left"), 0, 1, 2);
     testbed.awaitExit(3);
 
     Map<String, Long> outcomes = testbed.settle();
--- a/app/src/test/java/org/amberpath/LogLinesTest.java
+++ b/app/src/test/java/org/amberpath/LogLinesTest.java
@@ -17,16 +17,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * docs/oncall.md has a row for each log call of the sources, and no other row. A row is found by
- * its class, its level and its constant text: what stands outside of {@code <...>}, without blanks
- * and brackets.
+ * Checks that docs/oncall.md has a row for each log call of the sources and no row without a log
+ * call. Rows are matched by class, level and constant text, which is the text outside of {@code
+ * <...>} without whitespace and square brackets.
  */
 class LogLinesTest {
   private static final Path ROOT = Path.of("..");
-  private static final Pattern ROW =
+  private static final Pattern TABLE_ROW =
       Pattern.compile("(?m)^\\| `([^`]+)` \\| `(\\w+)` \\| ([A-Z]+) \\| (.+?) \\| (.+?) \\|$");
 
-  /** A row of the table. */
+  /** A row of the table in docs/oncall.md. */
   private record Row(String pattern, String type, String level, String meaning, String action) {
     boolean describes(LogCallScanner.Call call) {
       String key = LogCallScanner.key(pattern);
@@ -51,7 +51,7 @@
   private static List<Row> rows() throws IOException {
     String page = Files.readString(ROOT.resolve("docs").resolve("oncall.md"));
     List<Row> rows = new ArrayList<>();
-    Matcher row = ROW.matcher(page);
+    Matcher row = TABLE_ROW.matcher(page);
     while (row.find()) {
       rows.add(new Row(row.group(1), row.group(2), row.group(3), row.group(4), row.group(5)));
     }
@@ -124,7 +124,7 @@
   }
 
   @Test
-  void callsOfAMethodThatPassesItsLineOnAreFoundInItsPlace() {
+  void callsOfAWrapperAreFoundInsteadOfTheWrapper() {
     Set<LogCallScanner.Call> calls =
         LogCallScanner.inText(
             "Sample",
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void methodThatWritesATextOfItsOwnIsTheCallHoweverDeepItIsWrapped() {
+  void wrapperThatAddsTextIsTheLogCallAtAnyNestingDepth() {
     Set<LogCallScanner.Call> calls =
         LogCallScanner.inText(
             "Sample",
--- a/app/src/test/java/org/amberpath/OwnerProcessesTest.java
+++ b/app/src/test/java/org/amberpath/OwnerProcessesTest.java
@@ -23,20 +23,21 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Real gateways of which one leads the tasks of all: paused and resumed, terminated, health
- * checking for the others.
+ * Runs four gateway processes that elect a leader for each task. Checks that a leader paused past
+ * its lease does not act after it resumes, that a leader that is terminated hands over before its
+ * lease ends, and that only the lease holder health-checks an ejected cache.
  */
 class OwnerProcessesTest {
   private static final int GATEWAY_COUNT = 4;
   private static final long TIMEOUT_MILLIS = 40_000;
   private static final String PREFIX = "amberpath/test/";
-  private static final String FENCE = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
+  private static final String SWEEP_FENCE_KEY = PREFIX + RecordCodec.TASKS_PREFIX + "sweep";
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   @TempDir private Path folder;
   private ProcessTestbed testbed;
-  private long purges;
+  private long purgesWritten;
 
   @AfterEach
   void stop() throws Exception {
@@ -69,35 +70,40 @@
                 tick ->
                     registry.write(
                         Map.of(
-                            PREFIX + RecordCodec.PURGES_PREFIX + ++purges,
+                            PREFIX + RecordCodec.PURGES_PREFIX + ++purgesWritten,
                             RecordCodec.encode(
                                 new RegistryRecord.Purge(
-                                    0xf000_0000L + purges,
+                                    0xf000_0000L + purgesWritten,
                                     0,
                                     System.currentTimeMillis() - 3 * 3_600_000))))));
   }
 
-  private <T> T callOnLoop(Callable<T> what) throws Exception {
-    return EventLoopWaiter.callOnLoop(vertx, what);
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
+    return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  /** What the fence of purge retention holds: the term, and who acted last under it. */
+  /**
+   * Reads the fencing record of the purge retention task: the term, and the gateway that last acted
+   * in it; term 0 if there is no record yet.
+   */
   private JsonObject sweepFence() throws Exception {
-    byte[] value = callOnLoop(() -> registry.entries().get(FENCE));
+    byte[] value = callOnLoop(() -> registry.entries().get(SWEEP_FENCE_KEY));
     return value == null
         ? new JsonObject().put("term", 0L).put("by", "")
         : new JsonObject(new String(value, StandardCharsets.UTF_8));
   }
 
-  private void await(String what, Callable<Boolean> holds) throws Exception {
-    long end = System.currentTimeMillis() + TIMEOUT_MILLIS;
-    while (!holds.call()) {
-      assertTrue(System.currentTimeMillis() < end, "not in time: " + what + ", " + sweepFence());
+  private void await(String description, Callable<Boolean> condition) throws Exception {
+    long deadlineMillis = System.currentTimeMillis() + TIMEOUT_MILLIS;
+    while (!condition.call()) {
+      assertTrue(
+          System.currentTimeMillis() < deadlineMillis,
+          "timed out waiting: " + description + ", " + sweepFence());
       Thread.sleep(50);
     }
   }
 
-  private JsonObject task(int gateway, String name) throws Exception {
+  private JsonObject taskStatus(int gateway, String name) throws Exception {
     return testbed.adminPage(gateway, "/owner").getJsonArray("tasks").stream()
         .map(JsonObject.class::cast)
         .filter(entry -> entry.getString("task").equals(name))
@@ -107,7 +113,8 @@
 
   private int leaderOf(String name) throws Exception {
     for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
-      if (testbed.slots().get(gateway).isRunning() && task(gateway, name).getBoolean("holds")) {
+      if (testbed.slots().get(gateway).isRunning()
+          && taskStatus(gateway, name).getBoolean("holds")) {
         return gateway;
       }
     }
@@ -123,54 +130,60 @@
   }
 
   @Test
-  void leaderPausedPastItsLeaseActsNoMoreAndLeaderThatEndsHandsOver() throws Exception {
+  void pausedLeaderStopsActingAfterItsLeaseAndTerminatedLeaderHandsOver() throws Exception {
     start("voters = g0, g1, g2\n");
-    await("somebody deletes purges", () -> sweepFence().getLong("term") > 0);
-    JsonObject first = sweepFence();
-    int leader = Integer.parseInt(first.getString("by").substring(1));
+    await("a leader deletes purges", () -> sweepFence().getLong("term") > 0);
+    JsonObject firstFence = sweepFence();
+    int leader = Integer.parseInt(firstFence.getString("by").substring(1));
     testbed.pause(leader, 5000);
-    await("another deletes purges", () -> sweepFence().getLong("term") > first.getLong("term"));
-    JsonObject second = sweepFence();
-    assertNotEquals(first.getString("by"), second.getString("by"));
-    // The passing of time is what is tested: by then the paused one has resumed.
+    await(
+        "another gateway deletes purges",
+        () -> sweepFence().getLong("term") > firstFence.getLong("term"));
+    JsonObject secondFence = sweepFence();
+    assertNotEquals(firstFence.getString("by"), secondFence.getString("by"));
+    // Waits past the end of the pause: nothing observable marks that a resumed leader does not act.
     Thread.sleep(5000);
-    assertEquals(second, sweepFence(), "the one that resumed changes nothing");
+    assertEquals(secondFence, sweepFence(), "the resumed gateway changes nothing");
 
-    int next = Integer.parseInt(second.getString("by").substring(1));
-    long ended = System.currentTimeMillis();
-    testbed.terminate(next);
+    int successor = Integer.parseInt(secondFence.getString("by").substring(1));
+    long terminatedAtMillis = System.currentTimeMillis();
+    testbed.terminate(successor);
     await(
         "the successor deletes purges",
-        () -> sweepFence().getLong("term") > second.getLong("term"));
-    assertTrue(System.currentTimeMillis() - ended < 2000, "sooner than by the lease's end");
-    testbed.awaitExit(next);
+        () -> sweepFence().getLong("term") > secondFence.getLong("term"));
+    assertTrue(
+        System.currentTimeMillis() - terminatedAtMillis < 2000, "hands over before its lease ends");
+    testbed.awaitExit(successor);
     assertRulesKept();
   }
 
   @Test
-  void leaseHolderAloneHealthChecksEjectedCache() throws Exception {
+  void onlyLeaseHolderHealthChecksEjectedCache() throws Exception {
     start("by = lease\n");
-    await("somebody leads health checks", () -> leaderOf("probe") >= 0);
+    await("a gateway leads health checks", () -> leaderOf("probe") >= 0);
     int leader = leaderOf("probe");
     testbed.hangCache("e3");
     await(
-        "the others leave it to the leader",
+        "the other gateways leave health checks to the leader",
         () -> {
-          int leave = 0;
+          int deferringGateways = 0;
           for (int gateway = 0; gateway < GATEWAY_COUNT; gateway++) {
-            leave += gateway != leader && task(gateway, "probe").getBoolean("for_all") ? 1 : 0;
+            deferringGateways +=
+                gateway != leader && taskStatus(gateway, "probe").getBoolean("for_all") ? 1 : 0;
           }
-          return leave == GATEWAY_COUNT - 1;
+          return deferringGateways == GATEWAY_COUNT - 1;
         });
-    long before = testbed.cacheRequestCount("e3");
-    // The passing of time is what is tested: the calls of these seconds are counted.
+    long requestsBefore = testbed.cacheRequestCount("e3");
+    // Counts the calls during a fixed time.
     Thread.sleep(4000);
-    long calls = testbed.cacheRequestCount("e3") - before;
-    assertTrue(calls <= 8, calls + " calls in 4 s by all");
-    assertTrue(task(leader, "probe").getLong("done") > 0);
+    long healthChecks = testbed.cacheRequestCount("e3") - requestsBefore;
+    assertTrue(healthChecks <= 8, healthChecks + " requests to the cache in 4 s");
+    assertTrue(taskStatus(leader, "probe").getLong("done") > 0);
     testbed.resumeCache("e3");
-    long back = testbed.cacheRequestCount("e3");
-    await("it takes its part again", () -> testbed.cacheRequestCount("e3") - back > 40);
+    long requestsAtResume = testbed.cacheRequestCount("e3");
+    await(
+        "the cache receives requests again",
+        () -> testbed.cacheRequestCount("e3") - requestsAtResume > 40);
     assertRulesKept();
   }
 }
