--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -7,10 +7,10 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Shows what a gateway does: it serves among stand-ins while one cache crashes and one is drained,
- * and how requests ended is printed.
+ * Demonstration of one gateway among stand-in endpoints: one cache crashes, another is drained, and
+ * the report counts how the clients' requests ended.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class Demo {
   private static final int REQUESTS_PER_SECOND = 200;
   private static final int CONNECTIONS = 8;
@@ -23,7 +23,12 @@
 
   private Demo() {}
 
-  /** Runs for so many seconds, and prints what happens. */
+  /**
+   * Runs the demonstration and prints its progress.
+   *
+   * @param seconds the duration in seconds: one third before the crash, one third between the crash
+   *     and the drain, one third after the drain
+   */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
     long thirdMillis = seconds * 1000L / 3;
@@ -98,7 +103,7 @@
         .bar("nothing new 250 ms after a drain", lastAfterDrainNanos < MAX_DRAIN_NANOS);
   }
 
-  /** What an outcome means to the client. */
+  /** Returns the explanation of an outcome that is printed next to its count. */
   private static String meaning(LoadGenerator.Outcome outcome) {
     return switch (outcome) {
       case RETURNED -> "a cache made it";
--- a/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
+++ b/lab/src/main/java/org/amberpath/lab/EventLoopWaiter.java
@@ -6,13 +6,17 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** Waits, on a thread of an experiment, for what its event loop does: 30 s at most. */
+/**
+ * Lets the thread of an experiment run code on a Vert.x event loop and block until the result is
+ * available, for at most {@value #TIMEOUT_SECONDS} s; later the call fails with a {@link
+ * java.util.concurrent.TimeoutException}.
+ */
 public final class EventLoopWaiter {
   private static final long TIMEOUT_SECONDS = 30;
 
   private EventLoopWaiter() {}
 
-  /** Runs on the event loop, and waits for the result. */
+  /** Runs a callable on the event loop and blocks until its result is available. */
   public static <T> T callOnLoop(Vertx vertx, Callable<T> callable) throws Exception {
     CompletableFuture<T> result = new CompletableFuture<>();
     vertx
@@ -28,7 +32,7 @@
     return result.get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
 
-  /** Runs on the event loop, and waits until that is done. */
+  /** Runs a task on the event loop and blocks until it has completed. */
   public static void runOnLoop(Vertx vertx, Runnable task) throws Exception {
     callOnLoop(
         vertx,
@@ -38,7 +42,7 @@
         });
   }
 
-  /** Waits for a future that completes on an event loop. */
+  /** Blocks until a future that an event loop completes has its result. */
   public static <T> T await(Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
   }
--- a/lab/src/main/java/org/amberpath/lab/LabSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/LabSettings.java
@@ -8,43 +8,49 @@
 import org.amberpath.gateway.GatewayOptions;
 
 /**
- * The settings of a gateway in experiments: one store with edge caches, hubs and the origin, and
- * two traffic classes.
+ * The settings of a gateway in experiments: one cache hierarchy of edge caches, hubs and an origin
+ * in one zone, and two traffic classes.
  */
 public final class LabSettings {
-  /** The kind of edge caches. */
+  /** The endpoint kind of edge caches. */
   public static final String EDGE = "edge";
 
-  /** The kind of hubs, the parents of edge caches. */
+  /** The endpoint kind of hubs, the parents of edge caches. */
   public static final String HUB = "hub";
 
-  /** The kind of the origin. */
+  /** The endpoint kind of the origin. */
   public static final String ORIGIN = "origin";
 
-  /** The zone of all of them. */
+  /** The zone of the gateway and of all endpoints. */
   public static final String ZONE = "lab";
 
-  /** The traffic class whose requests may be sent again. */
+  /** The traffic class of idempotent requests, which the gateway may retry. */
   public static final String CLIPS = "clips";
 
-  /** The traffic class whose requests may be sent once. */
+  /** The traffic class of requests that may execute at most once. */
   public static final String ORDERS = "orders";
 
-  /** The share of its capacity that a cache gets as soon as it has started with nothing stored. */
+  /**
+   * The share of its capacity, from 0 to 1, that a cache may receive immediately after it started
+   * with nothing stored.
+   */
   public static final double WARM_UP_INITIAL_SHARE = 0.2;
 
-  /** How long until it gets all of it. */
+  /**
+   * Seconds after such a start until the cache may receive its full capacity; the share grows
+   * linearly.
+   */
   public static final double WARM_UP_SECONDS = 2;
 
-  /** What multiple of its share overloads a cache that warms up. */
+  /** The multiple of its present share above which a cache that warms up counts as overloaded. */
   public static final double OVERLOAD_MULTIPLE = 3;
 
-  /** The time over which that is counted. */
+  /** The window, in seconds, over which the load of a cache that warms up is counted. */
   public static final double OVERLOAD_WINDOW_SECONDS = 1;
 
   private static final int IDLE_SECONDS = 30;
 
-  @SuppressWarnings("InlineFormatString") // Eight lines of JSON read better apart from the call.
+  @SuppressWarnings("InlineFormatString") // The JSON template is too long for the call.
   private static final String SETTINGS =
       """
       {"my-zone":"lab","zones":["lab"],"kinds":["edge","hub","origin"],"replicas-of-me":%d,\
@@ -63,15 +69,21 @@
   private LabSettings() {}
 
   /**
-   * A gateway's options, read as a process reads them.
+   * Returns the options of the only gateway, read from a temporary JSON file as a gateway process
+   * reads its own.
    *
-   * @param journalAddress the address of a journal service; null for none
+   * @param journalAddress HOST:PORT of a journal service; null for none
    */
   public static GatewayOptions options(long seed, String journalAddress) throws IOException {
     return options(seed, journalAddress, 1);
   }
 
-  /** The same for one of so many gateways. */
+  /**
+   * Returns the options of one gateway.
+   *
+   * @param journalAddress HOST:PORT of a journal service; null for none
+   * @param gateways how many gateways run, which the settings name as {@code replicas-of-me}
+   */
   public static GatewayOptions options(long seed, String journalAddress, int gateways)
       throws IOException {
     Path file = Files.createTempFile("amberpath-lab", ".json");
@@ -83,14 +95,21 @@
     }
   }
 
-  /** The JSON settings of one of so many gateways. */
+  /**
+   * Returns the JSON settings of one gateway.
+   *
+   * @param journalAddress HOST:PORT of a journal service; null for none
+   * @param gateways how many gateways run, which the settings name as {@code replicas-of-me}
+   */
   public static String json(String name, long seed, String journalAddress, int gateways) {
     return json(name, seed, journalAddress, gateways, IDLE_SECONDS, "");
   }
 
   /**
-   * The same with the time after which caches close idle connections, and more keys, each followed
-   * by a comma.
+   * Returns the JSON settings of one gateway with additional top-level keys.
+   *
+   * @param idleSeconds seconds after which caches close idle connections ({@code conn-idle-s})
+   * @param extraKeys additional top-level keys with their values, each followed by a comma
    */
   public static String json(
       String name,
--- a/lab/src/main/java/org/amberpath/lab/LoadConnection.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadConnection.java
@@ -9,9 +9,12 @@
 import java.util.function.Consumer;
 import org.amberpath.gateway.client.MessageReader;
 
-/** One client connection of a {@link LoadGenerator}; it is made anew where it closes. */
+/**
+ * One client connection of a {@link LoadGenerator}. It reconnects {@value #RECONNECT_DELAY_MILLIS}
+ * ms after a failed connection attempt or a close, until the load generator stops.
+ */
 final class LoadConnection {
-  /** The protocol's own bound of what may be open on a connection. */
+  /** The limit that the client protocol sets for open requests on one connection. */
   private static final int MAX_PENDING = 32;
 
   private static final int MAX_MESSAGE_BYTES = 400_000;
@@ -23,7 +26,7 @@
   private final Consumer<LoadMessages.Response> responseListener;
   private final BooleanSupplier isStopped;
 
-  /** Null while it is made. */
+  /** The open socket; null while the connection is being established. */
   private NetSocket socket;
 
   private int pendingCount;
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -14,43 +14,54 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients of one gateway that send on a schedule whatever comes back. Latency counts from when a
- * request was to be sent. Only for the event loop of its Vert.x.
+ * Open-loop load generator: simulates the clients of one gateway, which send requests at fixed
+ * intervals whether or not earlier ones have been answered. Latency counts from the scheduled
+ * sending time. Not thread-safe: confined to the event loop of its Vert.x instance.
  *
- * <p>Bounds: open requests, since each ends soon after its timeout.
+ * <p>Bounds: the open requests, each of which ends soon after its timeout.
  */
 public final class LoadGenerator {
-  /** How requests ended, the best first; reports have these names. */
+  /** How a request ended, from best to worst. Reports write the lower-case constant names. */
   public enum Outcome {
-    /** A cache's answer came. */
+    /** The gateway returned the response of a cache. */
     RETURNED,
 
-    /** Rejected, with a time after which to ask again. */
+    /** The gateway rejected the request and named a time after which to retry. */
     SHED,
 
-    /** Failed: it may have run. */
+    /** The gateway reported a failure; the request may have been executed. */
     ERRORED,
 
-    /** No answer came in time. */
+    /** No response arrived before the end of the timeout and of a short grace period. */
     LOST,
 
-    /** A second answer came. */
+    /**
+     * A second response to the same request arrived, or one to a request that had been counted as
+     * lost.
+     */
     TWICE
   }
 
   /**
    * A request that was returned.
    *
-   * @param issuedAtMillis when the copy was issued (Unix time)
-   * @param receivedAtNanos when it came (nanoTime)
-   * @param sentAtNanos when the request was to be sent (nanoTime)
+   * @param object the object's name, 16 hex digits
+   * @param issuedAtMillis when the origin issued the returned copy (Unix time)
+   * @param receivedAtNanos when the response arrived ({@link System#nanoTime})
+   * @param sentAtNanos when the request was scheduled to be sent ({@link System#nanoTime})
    */
   public record Response(
       String object, long issuedAtMillis, long receivedAtNanos, long sentAtNanos) {}
 
-  /** Says of a request with no answer whether that is nobody's fault. */
+  /** Decides which unanswered requests are not counted as {@link Outcome#LOST}. */
   public interface LossExcuse {
-    /** Whether a request sent and due at these times (nanoTime) is excused. */
+    /**
+     * Returns whether the loss of a request is excused, for instance because the gateway was
+     * paused.
+     *
+     * @param sentAtNanos when the request was scheduled to be sent ({@link System#nanoTime})
+     * @param deadlineNanos when its timeout ended ({@link System#nanoTime})
+     */
     boolean excuses(long sentAtNanos, long deadlineNanos);
   }
 
@@ -61,7 +72,10 @@
   private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final long LOSS_GRACE_NANOS = 50 * NANOS_PER_MILLI;
 
-  /** A second answer that comes later is not noticed. */
+  /**
+   * How long the ids of answered and lost requests are kept; a duplicate response that arrives
+   * later goes undetected.
+   */
   private static final long REMEMBERED_NANOS = 10 * NANOS_PER_SECOND;
 
   private static final long MAX_LATENCY_MICROS = 10_000_000;
@@ -73,7 +87,10 @@
   private final String trafficClass;
   private final long timeoutMillis;
 
-  /** The first half of all ids: those of other generators are others. */
+  /**
+   * The upper 32 bits of all request ids, drawn at random so that the ids of several load
+   * generators differ.
+   */
   private final int idPrefix;
 
   private final Consumer<Response> responseListener;
@@ -96,10 +113,12 @@
   private long timerId = -1;
 
   /**
-   * Clients that do not send yet.
+   * Creates a load generator that does not send yet.
    *
-   * @param timeoutMillis how long they wait for each answer
-   * @param responseListener takes each request that is returned
+   * @param trafficClass the traffic class, sent as the method of each request
+   * @param timeoutMillis how long a client waits for each response, also sent to the gateway
+   * @param seed the seed of the random number generator and of the request ids
+   * @param responseListener receives each request that is returned
    */
   public LoadGenerator(
       Vertx vertx,
@@ -115,35 +134,49 @@
     idPrefix = random.nextInt();
   }
 
-  /** Counts losses that are excused apart. */
+  /**
+   * Sets which unanswered requests count as {@link #excusedLosses} and not as {@link Outcome#LOST}.
+   */
   public LoadGenerator withLossExcuse(LossExcuse excuse) {
     lossExcuse = excuse;
     return this;
   }
 
-  /** Tells when each request was to be sent (nanoTime). */
+  /**
+   * Sets a listener that receives the scheduled sending time ({@link System#nanoTime}) of each
+   * request, including those that are not sent for want of a free connection.
+   */
   public LoadGenerator withSendListener(LongConsumer listener) {
     sendListener = listener;
     return this;
   }
 
-  /** Asks for so many objects, by Zipf's law with this exponent. */
+  /**
+   * Replaces the default set of objects by the given number of objects, requested by Zipf's law
+   * with this exponent.
+   */
   public LoadGenerator withZipfPopularity(int objectCount, double exponent) {
     objects = ObjectChoice.zipf(objectCount, exponent);
     return this;
   }
 
-  /** Losses that were excused. */
+  /** Returns the number of unanswered requests that were excused. */
   public long excusedLosses() {
     return excusedLosses;
   }
 
-  /** Requests that found no connection with room, and were not sent. */
+  /**
+   * Returns the number of requests that were not sent because their connection was closed or had as
+   * many open requests as the protocol allows.
+   */
   public long notSent() {
     return notSent;
   }
 
-  /** Connects, and sends so many requests a second from then on. */
+  /**
+   * Connects to the gateway on loopback and, once all connections are open, sends the given number
+   * of requests per second.
+   */
   public Future<Void> start(int port, int connectionCount, int requestsPerSecond) {
     NetClient client = vertx.createNetClient();
     List<Future<?>> connecting = new ArrayList<>();
@@ -163,27 +196,32 @@
             });
   }
 
-  /** Sends nothing more; what is open is waited for. */
+  /** Stops sending; requests that are open are still awaited until their timeout. */
   public void stop() {
     stopped = true;
   }
 
-  /** Requests that are open. */
+  /** Returns the number of open requests. */
   public int pendingCount() {
     return pending.size();
   }
 
-  /** How many requests ended so. */
+  /** Returns the number of requests that ended with an outcome. */
   public long countOf(Outcome outcome) {
     return outcomes.getOrDefault(outcome, 0L);
   }
 
-  /** Microseconds from the scheduled sending to the answer, of what was returned. */
+  /**
+   * Returns the histogram, in microseconds, from the scheduled sending time to the response, of the
+   * returned requests.
+   */
   public Histogram latency() {
     return latency;
   }
 
-  /** Microseconds by which these clients themselves were late in sending. */
+  /**
+   * Returns the histogram, in microseconds, of how late the load generator itself was in sending.
+   */
   public Histogram lateness() {
     return lateness;
   }
@@ -229,8 +267,9 @@
   }
 
   /**
-   * Ends the requests that were overdue when this was called before. Guards against blame for
-   * answers that wait to be read while these clients themselves stall.
+   * Ends the requests that were already overdue at the previous call. Guards against counting a
+   * response as lost that waits in the socket buffer while the event loop of the load generator is
+   * stalled.
    */
   private void expireOverdue() {
     long nowNanos = lastExpiryNanos;
--- a/lab/src/main/java/org/amberpath/lab/LoadMessages.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadMessages.java
@@ -9,14 +9,14 @@
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessageUnpacker;
 
-/** The MessagePack-RPC messages of a {@link LoadGenerator}. */
+/** Encodes requests and decodes responses of a {@link LoadGenerator} (MessagePack-RPC). */
 final class LoadMessages {
   private static final int REQUEST = 0;
   private static final int REQUEST_ELEMENTS = 4;
   private static final int ARGUMENTS = 2;
   private static final String REJECTED = "Overloaded";
 
-  /** How a response ends a request. */
+  /** The kinds of response, as far as the load generator distinguishes them. */
   enum Kind {
     RETURNED,
     REJECTED,
@@ -24,9 +24,11 @@
   }
 
   /**
-   * A response.
+   * A decoded response.
    *
-   * @param issuedAtMillis when the copy was issued (Unix time); 0 for what was not returned
+   * @param number the message id of the request that is answered
+   * @param issuedAtMillis when the origin issued the returned copy (Unix time); 0 unless the kind
+   *     is {@link Kind#RETURNED}
    */
   record Response(long number, Kind kind, long issuedAtMillis) {}
 
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -25,13 +25,14 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * A gateway on loopback among stand-ins: a registry of several endpoints, edge caches, a hub and
- * the origin, clients. The gateway has an event loop of its own, the stand-ins share another. An
- * experiment calls it from one thread of its own, unless a method says otherwise.
+ * Testbed that runs one gateway in this process, on loopback, among stand-ins: a registry with
+ * several endpoints, edge caches, a hub, an origin, and clients. The gateway has an event loop of
+ * its own; all stand-ins share another one. An experiment calls the testbed from a single thread of
+ * its own, unless a method requires the event loop of the stand-ins.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class LoopbackTestbed implements AutoCloseable {
-  /** Where the registry's keys begin. */
+  /** The prefix of all the registry's keys. */
   public static final String PREFIX = "amberpath/lab/";
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
@@ -54,44 +55,49 @@
   private long writes;
   private Gateway gateway;
 
-  /** A testbed in which nothing listens yet. */
+  /** Creates a testbed in which nothing listens yet. */
   public LoopbackTestbed(long seed) {
     this.seed = seed;
   }
 
-  /** The event loop of the stand-ins. */
+  /** Returns the Vert.x instance of the stand-ins, which has one event loop. */
   public Vertx vertx() {
     return vertx;
   }
 
-  /** The registry; only for the stand-ins' event loop. */
+  /** Returns the stand-in registry. Use on the stand-ins' event loop only. */
   public StandInRegistry registry() {
     return registry;
   }
 
-  /** All caches; only for the stand-ins' event loop. */
+  /** Returns all caches, hub and origin included. Use on the stand-ins' event loop only. */
   public Collection<StandInCache> caches() {
     return caches.values();
   }
 
-  /** One cache: e0, e1 and so on, h0, o0; only for the stand-ins' event loop. */
+  /**
+   * Returns one cache by its id: e0, e1 and so on for edge caches, h0 for the hub, o0 for the
+   * origin. Use on the stand-ins' event loop only.
+   */
   public StandInCache cache(String id) {
     return caches.get(id);
   }
 
-  /** Runs on the stand-ins' event loop, and waits for the result. */
+  /** Runs a callable on the stand-ins' event loop and blocks until its result is available. */
   public <T> T callOnLoop(Callable<T> callable) throws Exception {
     return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  /** Runs on the stand-ins' event loop, and waits until that is done. */
+  /** Runs a task on the stand-ins' event loop and blocks until it has completed. */
   public void runOnLoop(Runnable task) throws Exception {
     EventLoopWaiter.runOnLoop(vertx, task);
   }
 
   /**
-   * Opens the registry's endpoints and so many edge caches, a hub and the origin, all in the
-   * registry.
+   * Starts the registry and the caches, and registers the caches.
+   *
+   * @param endpointCount how many endpoints the registry listens on
+   * @param edgeCount how many edge caches there are, next to one hub and one origin
    */
   public void open(int endpointCount, int edgeCount) throws Exception {
     EventLoopWaiter.await(
@@ -117,7 +123,10 @@
     return cache.listen();
   }
 
-  /** Writes a cache's state into the registry, with the tip; for the stand-ins' event loop. */
+  /**
+   * Writes a cache's record and the tip counter into the registry, in one transaction. Call on the
+   * stand-ins' event loop only.
+   */
   public void putCache(String id, EndpointState state) {
     String kind =
         id.startsWith("e")
@@ -132,14 +141,17 @@
                     id, address, LabSettings.ZONE, kind, 0, state, CACHE_WEIGHT, 0))));
   }
 
-  /** Deletes a cache from the registry, with the tip; for the stand-ins' event loop. */
+  /**
+   * Deletes a cache's record from the registry and advances the tip counter, in one transaction.
+   * Call on the stand-ins' event loop only.
+   */
   public void deleteCache(String id) {
     write(PREFIX + RecordCodec.CACHES_PREFIX + id, Optional.empty());
   }
 
   /**
-   * Writes one key, or deletes it where there is no value, and the tip, in one transaction; for the
-   * stand-ins' event loop.
+   * Writes one key, or deletes the key if the value is empty, and advances the tip counter, in one
+   * transaction. Call on the stand-ins' event loop only.
    */
   public void write(String key, Optional<byte[]> value) {
     Map<String, byte[]> transaction = new TreeMap<>();
@@ -149,7 +161,10 @@
     registry.write(transaction);
   }
 
-  /** How the gateway reaches the registry. */
+  /**
+   * Returns the settings with which the gateway's registry client connects to the stand-in
+   * registry.
+   */
   public RegistrySettings registrySettings(RegistrySettings.ProtocolKind protocol) {
     List<SocketAddress> endpoints =
         registry.endpoints().stream()
@@ -173,7 +188,7 @@
         MAX_MESSAGE_BYTES);
   }
 
-  /** Starts the gateway, which hears of caches from the source that the factory makes. */
+  /** Starts the gateway; the factory makes the source from which it receives its caches. */
   public void serve(EndpointSource.Factory factory) throws Exception {
     gateway =
         new Gateway(
@@ -181,12 +196,12 @@
     EventLoopWaiter.await(gateway.start());
   }
 
-  /** The port of the gateway for clients. */
+  /** Returns the port on which the gateway accepts clients. */
   public int gatewayPort() {
     return gateway.port();
   }
 
-  /** Connects clients to the gateway; they send from then on. */
+  /** Connects a load generator to the gateway and starts its sending. */
   public LoadGenerator startClients(
       LoadGenerator loadGenerator, int connections, int requestsPerSecond) throws Exception {
     EventLoopWaiter.await(
@@ -194,7 +209,12 @@
     return loadGenerator;
   }
 
-  /** Tells by how many nanoseconds each tick of the gateway's event loop is late, on that loop. */
+  /**
+   * Reports how late the gateway's event loop runs a periodic timer.
+   *
+   * @param tickMillis the period of the timer, in milliseconds
+   * @param listener receives the delay of each tick in nanoseconds, on the gateway's event loop
+   */
   public void watchGatewayLoop(long tickMillis, LongConsumer listener) {
     long[] dueNanos = {System.nanoTime() + tickMillis * NANOS_PER_MILLI};
     gatewayVertx.setPeriodic(
@@ -206,7 +226,11 @@
         });
   }
 
-  /** Leaves the gateway's event loop one part in so many of its core; the rest is spun away. */
+  /**
+   * Slows the gateway down by busy-waiting on its event loop.
+   *
+   * @param shareDivisor the gateway keeps one part in this many of its core's time
+   */
   public void slowGatewayLoop(int shareDivisor) {
     gatewayVertx.getOrCreateContext().runOnContext(loop -> spin(shareDivisor, System.nanoTime()));
   }
--- a/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
+++ b/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
@@ -2,23 +2,28 @@
 
 import java.util.Arrays;
 
-/** Which object a client asks for: by Zipf's law, or the usual few. */
+/**
+ * Chooses the object that a client requests: by Zipf's law, or from the default set of {@value
+ * #DEFAULT_OBJECTS} objects.
+ */
 final class ObjectChoice {
   private static final int DEFAULT_OBJECTS = 64;
 
-  /** Of each object, how likely it or one before it is asked for; empty for the usual few. */
+  /** The cumulative probability of each object and all before it; empty for the default set. */
   private final double[] cumulative;
 
   private ObjectChoice(double[] cumulative) {
     this.cumulative = cumulative;
   }
 
-  /** A few objects, the first most often. */
+  /**
+   * Returns a choice among the default objects, in which lower numbers are requested more often.
+   */
   static ObjectChoice usual() {
     return new ObjectChoice(new double[0]);
   }
 
-  /** So many objects, by Zipf's law with this exponent. */
+  /** Returns a choice among the given number of objects, by Zipf's law with this exponent. */
   static ObjectChoice zipf(int objects, double exponent) {
     double[] cumulative = new double[objects];
     double sum = 0;
@@ -32,7 +37,9 @@
     return new ObjectChoice(cumulative);
   }
 
-  /** The name of the object for a number drawn evenly from 0 to 1. */
+  /**
+   * Returns the name of the object (16 hex digits) that a number drawn evenly from [0, 1) selects.
+   */
   String name(double uniform) {
     return String.format("%016x", number(uniform));
   }
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -7,11 +7,13 @@
 import org.amberpath.registry.runtime.RegistrySource;
 
 /**
- * More requests than a gateway can bear: first the rate is doubled until its event loop is late,
- * then three times the highest rate that it sustained. Clients send on a schedule whatever comes
- * back. The gateway has a quarter of a core, so that the clients have enough.
+ * Offers a gateway more requests than it can serve. The rate is doubled until the gateway no longer
+ * sustains it (too few requests returned, or its event loop too late); then three times the highest
+ * sustained rate is offered. Clients send on a schedule whether or not earlier requests have been
+ * answered. The gateway is limited to a quarter of a core, which leaves enough processor time for
+ * the clients.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class OverloadExperiment {
   private static final int FIRST_RATE = 500;
   private static final int MAX_RATE = 16_000;
@@ -30,7 +32,14 @@
 
   private OverloadExperiment() {}
 
-  /** What was measured at one rate. */
+  /**
+   * The measurements at one request rate.
+   *
+   * @param requestRate requests per second that were offered
+   * @param lostCount requests without a response, over the whole measurement
+   * @param loopLagMicros 99th percentile of the delay of the gateway's event loop
+   * @param latencyMicros 99th percentile of the latency of returned requests
+   */
   private record RateResult(
       int requestRate,
       double returnedPerSecond,
@@ -44,7 +53,11 @@
     }
   }
 
-  /** Runs each rate for so many seconds. */
+  /**
+   * Runs the experiment.
+   *
+   * @param seconds the duration of the measurement at each rate, in seconds
+   */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport result = new ExperimentReport(seed);
     RateResult sustained = null;
@@ -96,7 +109,7 @@
                   testbed.vertx(), LabSettings.CLIPS, REQUEST_TIMEOUT_MILLIS, seed, ignored -> {}),
               CONNECTIONS,
               rate);
-      Thread.sleep(seconds * 500L); // Its code is cold at first.
+      Thread.sleep(seconds * 500L); // Lets the JIT compile the hot paths first.
       RateResult measured = measure(testbed, loadGenerator, rate, seconds);
       out.printf(
           Locale.ROOT,
--- a/lab/src/main/java/org/amberpath/lab/PairedRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/PairedRuns.java
@@ -11,18 +11,19 @@
 import java.util.stream.LongStream;
 
 /**
- * The same seeds in several variants of a model: figures of each run, paired by seed.
+ * Runs the same seeds in several variants of a model and holds the figures of each run, paired by
+ * seed.
  *
- * @param <V> the variants
+ * @param <V> the enum of the variants
  */
 public final class PairedRuns<V extends Enum<V>> {
   /**
-   * One run of a model.
+   * A model that can be run in several variants.
    *
-   * @param <V> its variants
+   * @param <V> the variants of the model
    */
   public interface Model<V> {
-    /** Runs one seed in one variant, and gives its figures by name. */
+    /** Runs one seed in one variant and returns the figures of the run by name. */
     Map<String, Double> run(long seed, V variant) throws IOException;
   }
 
@@ -34,7 +35,12 @@
     this.results = results;
   }
 
-  /** Runs so many seeds from one on, each in all variants, on all processors. */
+  /**
+   * Runs consecutive seeds, each in all variants, in parallel on all processors.
+   *
+   * @param firstSeed the first seed
+   * @param pairs how many seeds are run
+   */
   public static <V extends Enum<V>> PairedRuns<V> run(
       long firstSeed, int pairs, Class<V> variants, Model<V> model) {
     return new PairedRuns<>(
@@ -58,12 +64,12 @@
     return figures;
   }
 
-  /** The names of all figures, in the model's order. */
+  /** Returns the names of all figures, in the order in which the model reports them. */
   public List<String> names() {
     return List.copyOf(results.get(0).values().iterator().next().keySet());
   }
 
-  /** The mean of a figure over all seeds. */
+  /** Returns the mean of a figure over all seeds, in one variant. */
   public double mean(V variant, String name) {
     return results.stream()
         .mapToDouble(figures -> figures.get(variant).get(name))
@@ -71,14 +77,17 @@
         .orElse(0);
   }
 
-  /** Whether a figure meets a condition in every run of every variant. */
+  /** Returns whether a figure meets a condition in every run of every variant. */
   public boolean allMatch(String name, DoublePredicate condition) {
     return results.stream()
         .flatMap(figures -> figures.values().stream())
         .allMatch(figures -> condition.test(figures.get(name)));
   }
 
-  /** By how much a figure is higher in some variants than in another, for each seed. */
+  /**
+   * Returns, for each seed, by how much a figure is higher in each of the compared variants than in
+   * the baseline: the differences of one seed are separated by slashes, seeds by spaces.
+   */
   public String differences(String name, V baseline, List<V> compared) {
     return results.stream()
         .map(
@@ -94,7 +103,9 @@
         .collect(Collectors.joining());
   }
 
-  /** Adds the means of a figure to a report, under its name and the variant's. */
+  /**
+   * Adds the mean of a figure in each variant to a report, under the name {@code FIGURE_variant}.
+   */
   public void reportMeans(String name, ExperimentReport report) {
     for (V variant : variants.getEnumConstants()) {
       report.figure(name + "_" + variant.name().toLowerCase(Locale.ROOT), mean(variant, name));
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -18,15 +18,21 @@
 import org.amberpath.gateway.cache.ReplyReader;
 
 /**
- * A cache, parent or origin on loopback. It holds copies by object and part, each with the time at
- * which the origin gave it out, fills a miss in some milliseconds, and keeps what came when.
+ * Stand-in for a cache, parent or origin on loopback that speaks the cache protocol. It stores
+ * copies by object and part, each with the time at which the origin issued it, takes a fixed time
+ * for a hit and a longer one for a miss, and counts requests, hits, fills and connections. Confined
+ * to the event loop of its Vert.x instance.
  *
- * <p>Bounds: the copies that its clients ask for, at most 10,000, the oldest forgotten first.
+ * <p>Bounds: at most {@value #MAX_COPIES} copies; the copy that was stored first is evicted first.
  */
 public final class StandInCache implements AutoCloseable {
   /**
-   * A request that came to a cache: its id, its traffic class, the source to fill from, and whether
-   * it is executed.
+   * A request that a cache received.
+   *
+   * @param cache the id of the cache that received it
+   * @param request the id of the request
+   * @param source the id of the cache from which a miss is filled; empty for none
+   * @param executes whether the cache executes the request: it holds a copy or finds the source
    */
   public record ReceivedRequest(
       String cache, String request, String trafficClass, String source, boolean executes) {}
@@ -60,10 +66,12 @@
   private long connectionCount;
 
   /**
-   * A cache that answers a hit after some milliseconds and a miss after some more, once its source
-   * has given the part.
+   * Creates a cache that does not listen yet.
    *
-   * @param cachesById finds a source by its id
+   * @param hitMillis the delay of a response from a stored copy, in milliseconds
+   * @param fillMillis the additional delay before a miss is requested from its source, in
+   *     milliseconds
+   * @param cachesById finds a source by its id; returns null for an unknown id
    */
   public StandInCache(
       Vertx vertx,
@@ -78,13 +86,15 @@
     this.fillMillis = fillMillis;
   }
 
-  /** Listens at another address of loopback. */
+  /** Sets the loopback address on which this cache will listen. */
   public StandInCache listeningAt(String address) {
     host = address;
     return this;
   }
 
-  /** Listens on a port from the system, or on the one that it had. */
+  /**
+   * Listens on a port that the system chooses or, after an earlier call, on the same port again.
+   */
   public Future<StandInCache> listen() {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
     server.connectHandler(this::connected);
@@ -97,63 +107,63 @@
             });
   }
 
-  /** Tells each request as it comes. */
+  /** Sets the listener that is notified of each request on its arrival. */
   public StandInCache withListener(Consumer<ReceivedRequest> requestListener) {
     listener = requestListener;
     return this;
   }
 
-  /** The id under which it is listed. */
+  /** Returns the id under which this cache is listed. */
   public String id() {
     return id;
   }
 
-  /** The address at which it listens. */
+  /** Returns HOST:PORT on which this cache listens. */
   public String address() {
     return host + ":" + port;
   }
 
-  /** When the last request came (nanoTime). */
+  /** Returns when the last request or fill arrived ({@link System#nanoTime}). */
   public long lastRequestNanos() {
     return lastRequestNanos;
   }
 
-  /** How many requests came. */
+  /** Returns the number of requests received. */
   public long requestCount() {
     return requestCount;
   }
 
-  /** How many were answered from a stored copy. */
+  /** Returns the number of requests answered from a stored copy. */
   public long hitCount() {
     return hitCount;
   }
 
-  /** How many connections were made to it. */
+  /** Returns the number of connections accepted. */
   public long connectionCount() {
     return connectionCount;
   }
 
-  /** How many parts it gave to others. */
+  /** Returns the number of fills that other caches requested from this one. */
   public long fillCount() {
     return fillCount;
   }
 
-  /** Keeps all connections open, and answers nothing. */
+  /** Hangs: keeps all connections open and sends no responses. */
   public void hang() {
     hung = true;
   }
 
-  /** Answers again. */
+  /** Ends a hang; responses are sent again. */
   public void resume() {
     hung = false;
   }
 
-  /** Drops an object's copies, as a purge does in its own time. */
+  /** Drops all stored parts of an object, as a cache does when it carries out a purge. */
   public void drop(String object) {
     copies.keySet().removeIf(key -> key.startsWith(object + "/"));
   }
 
-  /** Crashes: connections are reset, copies are gone. */
+  /** Crashes: stops listening, drops all copies and closes all connections. */
   @Override
   public void close() {
     server.close();
@@ -236,8 +246,8 @@
   }
 
   /**
-   * Gives a part to another one: its own copy if that is young enough, or as the origin gives it
-   * out now.
+   * Fills another cache with a part: from its own copy if that is fresh enough, else with a copy
+   * that the origin issues now.
    */
   private void fill(String key, long maxAgeMillis, LongConsumer whenFilled) {
     fillCount++;
--- a/lab/src/main/java/org/amberpath/lab/StandInCacheRequest.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCacheRequest.java
@@ -3,7 +3,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The fields of a request to a {@link StandInCache}: {@code name=value}, with commas between. */
+/**
+ * The fields of a request to a {@link StandInCache}: {@code name=value} pairs, separated by commas.
+ */
 final class StandInCacheRequest {
   private final Map<String, String> fields = new HashMap<>();
 
@@ -16,7 +18,7 @@
     }
   }
 
-  /** The object and the part. */
+  /** Returns the key of the requested copy: {@code OBJECT/PART}. */
   String key() {
     return fields.get("obj") + "/" + fields.get("seg");
   }
@@ -25,17 +27,17 @@
     return fields.get("kind");
   }
 
-  /** The cache to fill a miss from; empty for none. */
+  /** Returns the id of the cache from which a miss is filled; empty for none. */
   String source() {
     return fields.getOrDefault("miss", "");
   }
 
-  /** How old a copy may be; 0 for any age. */
+  /** Returns the maximum age of a copy in milliseconds; 0 for any age. */
   long maxAgeMillis() {
     return Long.parseLong(fields.getOrDefault("within", "0"));
   }
 
-  /** Whether a filled part is stored. */
+  /** Returns whether the cache stores a part that it fills. */
   boolean stores() {
     return Integer.parseInt(fields.getOrDefault("prio", "0")) > 0;
   }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -5,21 +5,23 @@
 import org.amberpath.lab.ExperimentReport;
 
 /**
- * What one real gateway needs at the usual number of endpoints and at many times as many, at the
- * same traffic and the same capacity of all endpoints together.
+ * Compares the resource usage of one real gateway at the usual number of endpoints with its usage
+ * at a multiple of that number. The traffic and the total capacity of the endpoints are the same in
+ * both cases.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class EndpointsSizeExperiment {
   /**
-   * What is to be tried.
+   * The parameters of the experiment.
    *
-   * @param endpoints the usual number of caches and parents
-   * @param times how many times as many are tried beside it
-   * @param gateways how many the settings tell of, of which one runs
-   * @param requestRate requests a second to that one
-   * @param sockets its limit of descriptors
-   * @param seconds how long at each size
-   * @param folder where settings and logs go
+   * @param endpoints the usual number of caches and parents, the origin not included
+   * @param times the factor by which the second measurement multiplies that number
+   * @param gateways how many gateways the settings name; one of them runs
+   * @param requestRate requests of the repeatable traffic class per second to the running gateway;
+   *     a tenth of it, at least one, is added in the other class
+   * @param sockets the limit of descriptors in the settings of the gateway
+   * @param seconds the duration of each measurement, in seconds
+   * @param folder the folder of settings and logs
    */
   public record Plan(
       long seed,
@@ -33,7 +35,7 @@
 
   private EndpointsSizeExperiment() {}
 
-  /** Measures both sizes, one after the other, and compares them. */
+  /** Measures both sizes one after the other and compares their usage. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
     ExperimentReport result =
         new ExperimentReport(plan.seed())
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -28,22 +28,24 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * One real gateway among stand-in endpoints, half of which are replaced in steps while clients ask.
- * Bounds: the endpoints of one size and those that replace half of them, two descriptors each and
- * the gateway's connections.
+ * Testbed of one real gateway among stand-in endpoints, half of which are replaced in steps while
+ * clients send requests.
+ *
+ * <p>Bounds: the endpoints of one size and those that replace half of them, with two descriptors
+ * each, and the connections of the gateway.
  */
-@SuppressWarnings("try") // Closing waits for a process; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 final class EndpointsTestbed implements AutoCloseable {
   /**
-   * Not 127.0.0.1: with so many ports, other processes on this machine would meet one that was
-   * theirs before.
+   * The address of the endpoints, not 127.0.0.1: with this many ports in use, processes of other
+   * experiments on the same machine would connect to ports that were theirs before.
    */
   private static final String LOOPBACK = "127.83." + ProcessHandle.current().pid() % 250 + ".1";
 
-  /** One endpoint in twenty is a parent, from which caches are filled. */
+  /** One endpoint in this many is a parent, from which caches are filled. */
   private static final int ENDPOINTS_PER_PARENT = 20;
 
-  /** The capacity of all endpoints together, for each gateway that the settings tell of. */
+  /** The total capacity of the endpoints, per gateway that the settings name. */
   private static final double CAPACITY_PER_GATEWAY = 1;
 
   private static final String ORIGIN_ID = "o0";
@@ -59,7 +61,9 @@
   private static final long ALLOW_MILLIS = 1500;
   private static final long STEP_MILLIS = 500;
 
-  /** Replacement begins after this part of the time, and takes this part of it. */
+  /**
+   * The fractions of the measurement after which the replacement begins, and during which it lasts.
+   */
   private static final double REPLACEMENT_START = 0.2;
 
   private static final double REPLACEMENT_LENGTH = 0.6;
@@ -125,7 +129,7 @@
         });
   }
 
-  /** Half of them, in an order from the seed. */
+  /** Selects half of the endpoints for replacement, in a random order that the seed determines. */
   private void shuffle() {
     List<String> ids = new ArrayList<>(toReplace);
     Collections.shuffle(ids, new Random(random.nextLong()));
@@ -167,8 +171,8 @@
   }
 
   /**
-   * Starts the gateway, lets clients ask while endpoints are replaced, and says what the gateway
-   * needed.
+   * Starts the gateway, runs the clients while endpoints are replaced, and returns the resource
+   * usage of the gateway.
    */
   GatewayUsage measure() throws Exception {
     int port = startGateway();
@@ -256,7 +260,7 @@
             }));
   }
 
-  // ---- Replacing endpoints.
+  // ---- Replacement of endpoints.
 
   private long replaceInSteps() {
     long lengthMillis = (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_LENGTH);
@@ -292,12 +296,12 @@
             });
   }
 
-  /** Each change is an event of its own. */
+  /** Announces one changed endpoint, in a journal event of its own. */
   private void tell(Instance changed) {
     journal.announceCaches(StandInJournal.ListScope.CHANGES, List.of(changed));
   }
 
-  // ---- What came of it.
+  // ---- Results.
 
   private long countOf(LoadGenerator.Outcome outcome) {
     return clients.stream().mapToLong(generator -> generator.countOf(outcome)).sum();
--- a/lab/src/main/java/org/amberpath/lab/endpoints/GatewayUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/GatewayUsage.java
@@ -4,15 +4,15 @@
 import java.util.Map;
 
 /**
- * What one gateway needed over an experiment at one number of endpoints.
+ * The resource usage of one gateway over a measurement at one number of endpoints.
  *
- * @param endpoints caches and parents that were listed at once
- * @param cpuSeconds of the process, from its start to the last answer
- * @param peakMemoryMegabytes most resident memory
- * @param peakDescriptors most open descriptors at a sample
- * @param cacheConnections connections that caches accepted
- * @param discoveryBytes of answers from the journal after the list of the start
- * @param shareServed requests returned, of those that were to be sent
+ * @param endpoints how many caches and parents were listed at the same time
+ * @param cpuSeconds processor time of the process in seconds, from its start to the last response
+ * @param peakMemoryMegabytes the highest resident memory, in MiB
+ * @param peakDescriptors the highest number of open descriptors in any sample
+ * @param cacheConnections how many connections the caches accepted
+ * @param discoveryBytes bytes of journal responses after the list that the settings contain
+ * @param shareServed the fraction of scheduled requests that were returned, from 0 to 1
  */
 public record GatewayUsage(
     int endpoints,
@@ -22,7 +22,7 @@
     long cacheConnections,
     long discoveryBytes,
     double shareServed) {
-  /** For a report, each figure under its name. */
+  /** Returns each figure under its name in a report. */
   public Map<String, Object> figures() {
     Map<String, Object> figures = new LinkedHashMap<>();
     figures.put("endpoints", endpoints);
--- a/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** What the system counts of one process, from /proc. */
+/** Reads the resource usage of one process from /proc and from its {@link ProcessHandle}. */
 final class ProcessUsage {
   private static final String PEAK_MEMORY = "VmHWM:";
   private static final double KILOBYTES_PER_MEGABYTE = 1024;
@@ -24,12 +24,15 @@
     return Path.of("/proc", Long.toString(processId), name);
   }
 
-  /** Counts the open descriptors, and keeps the most; a process that has ended has none. */
+  /**
+   * Samples the number of open descriptors and keeps the highest; a process that has ended has
+   * none.
+   */
   void sampleDescriptors() {
     try (Stream<Path> open = Files.list(file("fd"))) {
       peakDescriptors = Math.max(peakDescriptors, (int) open.count());
     } catch (IOException e) {
-      // It has ended; what it held before is kept.
+      // The process has ended; the highest earlier sample is kept.
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -2,7 +2,11 @@
 
 import org.amberpath.lab.ExperimentReport;
 
-/** How far the needs of a gateway may grow with the number of endpoints, at the same traffic. */
+/**
+ * Bounds of the resource usage of a gateway at an increased number of endpoints and the same
+ * traffic: most are a multiple of its usage at the usual number, plus a constant and an allowance
+ * for each thousand endpoints.
+ */
 public final class UsageBounds {
   private static final double CPU_TIMES = 1.4;
   private static final double CPU_SECONDS = 0.02;
@@ -22,7 +26,7 @@
 
   private UsageBounds() {}
 
-  /** Adds a bar for each row of the table, with the bound that it came to. */
+  /** Adds one bar for each figure to a report, and the bound that the figure was compared with. */
   public static void compare(GatewayUsage usual, GatewayUsage scaled, ExperimentReport result) {
     double thousands = scaled.endpoints() / 1000.0;
     atMost(
--- a/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
@@ -11,12 +11,13 @@
 import org.amberpath.routing.RequestDetails;
 
 /**
- * The clients of one gateway, which send on a schedule whatever comes back, and the gateway's
- * opening to them after its start. A client whose request is rejected sends it again until its time
- * is over.
+ * The clients of one gateway and the admission of their requests after a start of the gateway.
+ * Clients send at random intervals (Poisson arrivals) whether or not earlier requests have been
+ * answered. A client whose request is rejected retries until its timeout of {@value
+ * #REQUEST_TIMEOUT_NANOS} ns.
  */
 final class ClientTraffic {
-  /** One request of a client, under all ids that it had. */
+  /** One request of a client, which gets a new request id with each retry. */
   private record ClientRequest(long key, long startedAtNanos, int retries) {}
 
   private static final long REQUEST_TIMEOUT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
@@ -33,7 +34,10 @@
   private final VirtualScheduler scheduler;
   private final SplittableRandom random;
 
-  /** As a part of the mean: some gateways get several times as much as others. */
+  /**
+   * The rate of these clients as a fraction of the mean over all gateways; gateways differ by up to
+   * a factor of seven.
+   */
   private final double trafficShare;
 
   private final Map<Long, ClientRequest> open = new HashMap<>();
@@ -48,7 +52,10 @@
     trafficShare = MIN_TRAFFIC_SHARE + TRAFFIC_SHARE_SPREAD * random.nextDouble();
   }
 
-  /** The gateway has started: draws when it opens. */
+  /**
+   * Called when the gateway has started: draws the time at which it begins to admit requests, and
+   * resets its admission ramp.
+   */
   void gatewayStarted(OpeningPolicy policy) {
     opensAtNanos =
         policy == OpeningPolicy.STAGGERED
@@ -58,7 +65,10 @@
         new RecoveryRamp(random.nextLong(), Simulation.NANOS_PER_SECOND, scheduler.nowNanos());
   }
 
-  /** The gateway knows the caches that are there, and what its part of them bears. */
+  /**
+   * Called when the gateway knows the listed caches: gives the ramp the request rate that this
+   * gateway's share of the caches can serve at the start of their warm-up.
+   */
   void endpointsListed(OpeningPolicy policy) {
     double edgeCapacity =
         fleet.caches().stream()
@@ -74,7 +84,7 @@
         scheduler.nowNanos(), policy == OpeningPolicy.BY_RETURNS, warmUpCapacity);
   }
 
-  /** The gateway has lost power: its clients send again. */
+  /** Called when the gateway has lost power: its clients retry their open requests. */
   void gatewayCrashed() {
     List<ClientRequest> interrupted = List.copyOf(open.values());
     open.clear();
@@ -89,7 +99,7 @@
     return open.containsKey(requestId);
   }
 
-  /** Schedules the next request, and so on. */
+  /** Schedules the arrival of the next request, which in turn schedules the one after it. */
   void scheduleArrivals() {
     double requestsPerSecond = VirtualFleet.REQUESTS_PER_SECOND * trafficShare;
     scheduler.scheduleAfter(
@@ -160,7 +170,10 @@
     }
   }
 
-  /** A request has its answer. */
+  /**
+   * Called when a request has been returned; counts it as good within the latency objective of
+   * {@value #LATENCY_OBJECTIVE_NANOS} ns.
+   */
   void answered(long requestId) {
     ClientRequest request = open.remove(requestId);
     if (request != null) {
@@ -171,7 +184,12 @@
     }
   }
 
-  /** A request is rejected; a hint of 0 is none. */
+  /**
+   * Called when the router rejects a request.
+   *
+   * @param retryAfterNanos the delay after which the client is asked to retry; 0 for none, which
+   *     selects the default delay
+   */
   void rejected(long requestId, long retryAfterNanos) {
     ClientRequest request = open.remove(requestId);
     if (request != null) {
@@ -180,7 +198,7 @@
     }
   }
 
-  /** A request has failed. */
+  /** Called when a request has failed; its client does not retry it. */
   void failed(long requestId) {
     open.remove(requestId);
   }
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
@@ -14,8 +14,8 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * An edge cache, a hub or the origin of a {@link VirtualFleet}. It works on as many transfers at
- * once as its capacity; what finds no place waits.
+ * An edge cache, hub or origin of a {@link VirtualFleet}. It runs as many transfers concurrently as
+ * its capacity allows, at least one; further transfers wait in a queue without a bound.
  */
 public final class FleetCache {
   private static final double MIN_WORK = 0.8;
@@ -35,7 +35,9 @@
   private boolean hung;
   private boolean down;
 
-  /** When it started with nothing stored; 0 for one that has been there all the time. */
+  /**
+   * When the cache last started with nothing stored; 0 if it has run since the start of the model.
+   */
   private long startedAtNanos;
 
   private long incarnation;
@@ -49,7 +51,7 @@
     this.capacity = capacity;
   }
 
-  /** Its place in the list of all caches. */
+  /** Returns the index of this cache in the list of all caches. */
   public int index() {
     return index;
   }
@@ -70,7 +72,7 @@
     return startedAtNanos;
   }
 
-  /** Loses all that it has, and takes no connections. */
+  /** Crashes the cache: it loses its copies and its work in progress, and refuses connections. */
   public void crash() {
     down = true;
     incarnation++;
@@ -80,18 +82,18 @@
     activeTransfers = 0;
   }
 
-  /** Starts with nothing stored. */
+  /** Restarts the cache with nothing stored. */
   public void restart() {
     down = false;
     startedAtNanos = scheduler.nowNanos();
   }
 
-  /** Takes requests, and answers none. */
+  /** Hangs the cache: it accepts requests and answers none. */
   public void hang() {
     hung = true;
   }
 
-  /** Ends a hang; what it worked on is gone. */
+  /** Ends a hang; the transfers that were waiting or in progress are lost. */
   public void resume() {
     hung = false;
     waitingTransfers.clear();
@@ -173,7 +175,10 @@
     request.gateway().attemptAnswered(request, outcome, detail);
   }
 
-  /** Gives a part to another cache: its own copy, or what the origin has. */
+  /**
+   * Fills another cache with a part: from a stored copy, or from the origin. Concurrent fills of
+   * the same part share one request to the origin.
+   */
   private void fill(long key, Runnable filled) {
     if (down || hung) {
       return;
@@ -185,7 +190,7 @@
       }
       startTransfer(filled);
     } else if (fillsInProgress.containsKey(key)) {
-      fillsInProgress.get(key).add(filled); // Joins the fill that is under way.
+      fillsInProgress.get(key).add(filled); // Joins the fill in progress.
     } else {
       List<Runnable> waiters = new ArrayList<>(List.of(filled));
       fillsInProgress.put(key, waiters);
@@ -203,7 +208,11 @@
     }
   }
 
-  /** What it gets while it warms up, from all gateways, against what the settings promise. */
+  /**
+   * Records how much load this cache receives from all gateways during its warm-up, against the
+   * bound that follows from the settings: the allowed number of requests plus three standard
+   * deviations of Poisson arrivals, plus 3.
+   */
   private void measureWarmUpLoad() {
     long nowNanos = scheduler.nowNanos();
     recentArrivalsNanos.add(nowNanos);
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import org.amberpath.lab.simulation.Simulation;
 
-/** What is counted in one run of a fleet, by seconds from its start. */
+/** The counters of one run of a fleet, each in bins of one second from the start of the run. */
 public final class FleetFigures {
   private static final int BINS_PER_SECOND = 10;
   private static final int MORE_SECONDS = 10;
@@ -23,7 +23,7 @@
     originFillBins = new int[seconds * BINS_PER_SECOND];
   }
 
-  /** Counts one event at a time. */
+  /** Counts one event in the second of its time on the virtual clock. */
   public void count(String counter, long timeNanos) {
     long[] counts = countsBySecond.computeIfAbsent(counter, name -> new long[seconds]);
     long second = (timeNanos - Simulation.EPOCH_NANOS) / Simulation.NANOS_PER_SECOND;
@@ -37,14 +37,22 @@
     originFillBins[(int) Math.min(originFillBins.length - 1, bin)]++;
   }
 
-  /** So many requests came to a cache that warms up, in a window in which it bears so many. */
+  /**
+   * Records the load of a cache that warms up.
+   *
+   * @param requests the requests that the cache received in the present window
+   * @param bound the number of requests that it can serve in a window
+   */
   void warmUpLoad(int requests, double bound) {
     peakWarmUpLoadPerMille =
         Math.max(peakWarmUpLoadPerMille, (long) (PER_MILLE * requests / bound));
     warmUpOverloads += requests > bound ? 1 : 0;
   }
 
-  /** How often a counter was counted, from one second to another, that excluded. */
+  /**
+   * Returns the sum of a counter over the seconds from {@code fromSecond} to {@code toSecond},
+   * excluding the latter.
+   */
   public double total(String counter, int fromSecond, int toSecond) {
     double sum = 0;
     long[] counts = countsBySecond.getOrDefault(counter, new long[seconds]);
@@ -54,20 +62,28 @@
     return sum;
   }
 
-  /** Of the requests that began in these seconds, the part returned within the objective. */
+  /**
+   * Returns the fraction of the requests that began in these seconds and were returned within the
+   * latency objective; 1 if none began. {@code toSecond} is excluded.
+   */
   public double goodShare(int fromSecond, int toSecond) {
     double begun = total("asked", fromSecond, toSecond);
     return begun == 0 ? 1 : total("good", fromSecond, toSecond) / begun;
   }
 
-  /** The most fills from the origin in a tenth of a second, from a second on. */
+  /**
+   * Returns the highest number of fills from the origin in any tenth of a second, from a second on.
+   */
   public int originFillPeak(int fromSecond) {
     return Arrays.stream(originFillBins, fromSecond * BINS_PER_SECOND, originFillBins.length)
         .max()
         .orElse(0);
   }
 
-  /** How long from a second on until service stays at 0.95 of what it was before. */
+  /**
+   * Returns the seconds from {@code fromSecond} until the good share stays at 0.95 or more of what
+   * it was before, up to {@code toSecond}.
+   */
   public double secondsUntilRestored(int fromSecond, int toSecond, double shareBefore) {
     double restoredAfter = toSecond - fromSecond;
     for (int second = toSecond - 1;
@@ -78,12 +94,12 @@
     return restoredAfter;
   }
 
-  /** The highest load of a cache that warmed up, as a part of what it bears. */
+  /** Returns the highest load of any cache during its warm-up, as a fraction of its bound. */
   public double peakWarmUpLoad() {
     return peakWarmUpLoadPerMille / PER_MILLE;
   }
 
-  /** How often a cache that warmed up got more than it bears. */
+  /** Returns how often a cache received more than its bound during its warm-up. */
   public long warmUpOverloads() {
     return warmUpOverloads;
   }
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
@@ -25,7 +25,9 @@
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
-/** One gateway of a {@link VirtualFleet}: the real decisions over simulated connections. */
+/**
+ * One gateway of a {@link VirtualFleet}: the real {@link RequestRouter} over simulated connections.
+ */
 public final class FleetGateway implements RoutingEvents, RoutingActions {
   private static final long TICK_NANOS = 100 * Simulation.NANOS_PER_MILLI;
   private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
@@ -33,7 +35,7 @@
   private static final long RETURNED_DURATION_NANOS =
       (long) (VirtualFleet.WORK_SECONDS * Simulation.NANOS_PER_SECOND);
 
-  /** The decisions look at the duration of what was returned alone. */
+  /** Any duration serves here: the router uses the duration of returned attempts only. */
   private static final long OTHER_DURATION_NANOS = 2 * Simulation.NANOS_PER_SECOND;
 
   private final VirtualFleet fleet;
@@ -78,12 +80,15 @@
     return tasks;
   }
 
-  /** Starts with nothing, and opens at once. */
+  /** Starts the gateway without any state; it admits requests immediately. */
   void start() {
     start(OpeningPolicy.AT_ONCE);
   }
 
-  /** Starts with nothing, as all others do, and opens as planned. */
+  /**
+   * Starts the gateway without any state after a power loss of the whole fleet; it admits requests
+   * according to the planned opening policy.
+   */
   public void startAfterPowerLoss() {
     start(fleet.plan().openingPolicy());
   }
@@ -99,7 +104,7 @@
     tick();
   }
 
-  /** Loses power and all that it held; its clients send again. */
+  /** Crashes the gateway: it loses all state, and its clients retry. */
   public void crash() {
     running = false;
     incarnation++;
@@ -117,7 +122,7 @@
     scheduleHere(TICK_NANOS, this::tick);
   }
 
-  /** A new id for a request for a part. */
+  /** Returns a new id for a request for a part. */
   long newRequestId(long key) {
     long id = ++lastRequestId;
     keysByRequest.put(id, key);
@@ -140,7 +145,7 @@
     events.endpointListCompleted();
   }
 
-  /** The gateway hears of a change of one cache. */
+  /** Notifies the router of a change of one cache. */
   void endpointChanged(FleetCache cache, EndpointState state, long startedAtNanos) {
     enqueue(
         events -> {
@@ -164,7 +169,9 @@
             startedAtNanos));
   }
 
-  /** Adds an event to the next round of decisions. */
+  /**
+   * Adds an event to the next round of decisions of the router; ignored while the gateway is down.
+   */
   void enqueue(Consumer<RoutingEventHandler> event) {
     if (!running) {
       return;
@@ -183,7 +190,7 @@
     }
   }
 
-  /** Runs a task of this incarnation. */
+  /** Runs a task after a delay, unless the gateway has crashed or restarted by then. */
   private void scheduleHere(long delayNanos, Runnable task) {
     long scheduledIn = incarnation;
     scheduler.scheduleAfter(
@@ -233,7 +240,7 @@
     return requestId + "/" + attempt;
   }
 
-  /** A cache answers; the answer is on its way. */
+  /** Called when a cache sends its answer; the answer arrives after a random network delay. */
   void attemptAnswered(CacheRequest request, AttemptOutcome outcome, ResponseDetail detail) {
     scheduler.scheduleAfter(drawOneWayNanos(), () -> endAttempt(request, -1, outcome, detail));
   }
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
@@ -15,8 +15,8 @@
 import org.amberpath.routing.RequestDetails;
 
 /**
- * What one gateway does and knows of the tasks that gateway 0 carries out for the fleet: health
- * checks of ejected caches and the filling of those that warm up, both by synthetic requests.
+ * The part of one gateway in the tasks that gateway 0 carries out for the fleet: health checks of
+ * ejected caches, and prefetching into caches that warm up. Both send synthetic requests.
  */
 final class FleetTasks {
   private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * Simulation.NANOS_PER_MILLI;
@@ -52,7 +52,7 @@
     syntheticRequests.clear();
   }
 
-  /** A client has asked for a part, which synthetic requests may ask for later. */
+  /** Records that a client has requested a part; synthetic requests reuse the recorded parts. */
   void objectRequested(long key) {
     recentKeys.add(key, key);
   }
@@ -61,12 +61,12 @@
     return syntheticRequests.containsKey(requestId);
   }
 
-  /** A synthetic request has its answer. */
+  /** Called when a cache has answered a synthetic request. */
   void answered(long requestId) {
     ended(requestId, HealthCheckOutcome.ANSWERED);
   }
 
-  /** A synthetic request, if it is one, has ended without an answer. */
+  /** Ends a synthetic request with an outcome; does nothing if the request is not synthetic. */
   void ended(long requestId, HealthCheckOutcome outcome) {
     Consumer<HealthCheckOutcome> completion = syntheticRequests.remove(requestId);
     if (completion != null) {
--- a/lab/src/main/java/org/amberpath/lab/fleet/LedTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/LedTasks.java
@@ -1,14 +1,14 @@
 package org.amberpath.lab.fleet;
 
-/** Which tasks one gateway carries out for the whole fleet. */
+/** The tasks that the leading gateway carries out for the fleet. */
 public enum LedTasks {
-  /** None: each gateway is alone. */
+  /** None: each gateway works on its own. */
   ALONE,
 
   /** Health checks of ejected caches. */
   PROBE,
 
-  /** Health checks, and the filling of caches that warm up. */
+  /** Health checks of ejected caches, and prefetching into caches that warm up. */
   PROBE_AND_WARM;
 
   boolean includesHealthChecks() {
--- a/lab/src/main/java/org/amberpath/lab/fleet/ObjectPopularity.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ObjectPopularity.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** Which part of which object a client asks for: objects by Zipf's law, parts evenly. */
+/** Draws the object and the part that a client requests: objects by Zipf's law, parts uniformly. */
 final class ObjectPopularity {
   static final int OBJECTS = 3000;
   static final int PARTS_PER_OBJECT = 4;
@@ -19,7 +19,7 @@
     }
   }
 
-  /** Draws a key: the object's number, from 1 on, and the part. */
+  /** Draws a key, which encodes the number of the object, from 1 on, and the part. */
   long drawKey(SplittableRandom random) {
     double drawn = random.nextDouble() * cumulative[OBJECTS - 1];
     int found = Arrays.binarySearch(cumulative, drawn);
--- a/lab/src/main/java/org/amberpath/lab/fleet/OpeningPolicy.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/OpeningPolicy.java
@@ -1,13 +1,13 @@
 package org.amberpath.lab.fleet;
 
-/** How a gateway opens after all have lost power. */
+/** How a gateway admits requests when it starts after a power loss of the whole fleet. */
 public enum OpeningPolicy {
-  /** At once, for all. */
+  /** All requests immediately. */
   AT_ONCE,
 
-  /** At a random time, for all. */
+  /** All requests, from a time that each gateway draws at random. */
   STAGGERED,
 
-  /** For more and more, by what comes back in time. */
+  /** A growing rate, which is raised and lowered by how many admitted requests succeed in time. */
   BY_RETURNS
 }
--- a/lab/src/main/java/org/amberpath/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/VirtualFleet.java
@@ -11,18 +11,19 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * A fleet of gateways with the real decisions, on the virtual clock, among simulated caches, hubs
- * and an origin, and clients that send on a schedule. Tasks of the fleet, if any, are led by
- * gateway 0 all the time: whether leadership holds is another model's matter. A scenario is a
- * subclass.
+ * A fleet of simulated gateways on a virtual clock, each with the real request router, among
+ * simulated edge caches, hubs and an origin, with clients that send on a schedule. Gateway 0 leads
+ * the fleet's tasks, if any, for the complete run; whether leader election is correct is the
+ * subject of another model. Each scenario is a subclass.
  *
- * <p>Bounds: the requests of one run, at {@value #REQUESTS_PER_SECOND} a second and gateway.
+ * <p>Bounds: the requests of one run, on average {@value #REQUESTS_PER_SECOND} per second and
+ * gateway.
  */
 public abstract class VirtualFleet {
-  /** The mean rate of one gateway's clients. */
+  /** The mean request rate of the clients of one gateway, per second. */
   static final int REQUESTS_PER_SECOND = 10;
 
-  /** The mean work of one transfer at a cache. */
+  /** The mean duration of one transfer at a cache, in seconds. */
   static final double WORK_SECONDS = 0.05;
 
   static final double REQUEST_KILOBYTES = 5000;
@@ -32,11 +33,13 @@
   private static final long MAX_ANNOUNCE_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
   /**
-   * What is to be simulated.
+   * The parameters of a run.
    *
-   * @param ledTasks what gateway 0 does for all
-   * @param openingPolicy how gateways open after a power loss
-   * @param originCapacity what the origin bears, as a part of all edge caches
+   * @param gateways how many gateways there are
+   * @param edgeCaches how many edge caches there are
+   * @param ledTasks the tasks that gateway 0 carries out for the fleet
+   * @param openingPolicy how gateways admit requests after a power loss
+   * @param originCapacity the capacity of the origin, as a fraction of that of all edge caches
    */
   public record Plan(
       long seed,
@@ -45,7 +48,10 @@
       LedTasks ledTasks,
       OpeningPolicy openingPolicy,
       double originCapacity) {
-    /** A fleet whose origin bears all, and whose gateways open at once. */
+    /**
+     * Creates the plan of a fleet whose origin has the capacity of all edge caches, and whose
+     * gateways admit all requests immediately after a power loss.
+     */
     public Plan(long seed, int gateways, int edgeCaches, LedTasks ledTasks) {
       this(seed, gateways, edgeCaches, ledTasks, OpeningPolicy.AT_ONCE, 1);
     }
@@ -60,7 +66,7 @@
   private final List<FleetGateway> gateways = new ArrayList<>();
   private final long endNanos;
 
-  /** A fleet that runs for so many seconds. */
+  /** Creates a fleet whose run ends after the given number of seconds. */
   protected VirtualFleet(Plan plan, int endSeconds) throws IOException {
     this.plan = plan;
     endNanos = atSecond(endSeconds);
@@ -89,16 +95,16 @@
     caches.add(new FleetCache(this, caches.size(), kind, capacity));
   }
 
-  /** Schedules what happens in the scenario. */
+  /** Schedules the events of the scenario. */
   protected abstract void scheduleScenario();
 
-  /** What the scenario reports, by name. */
+  /** Returns the figures of the scenario by name. */
   protected abstract Map<String, Double> report();
 
-  /** A request has come to a cache. */
+  /** Called when a request has arrived at a cache that is not down. */
   protected void requestArrived(FleetCache cache) {}
 
-  /** Runs it, and gives what the scenario reports. */
+  /** Runs the scenario to its end and returns its figures by name. */
   public final Map<String, Double> run() {
     for (FleetGateway gateway : gateways) {
       scheduler.scheduleAfter(
@@ -113,37 +119,37 @@
     return report();
   }
 
-  /** A second of the run, by the virtual clock. */
+  /** Converts a second of the run to a time of the virtual clock, in nanoseconds. */
   protected static long atSecond(int second) {
     return Simulation.EPOCH_NANOS + second * Simulation.NANOS_PER_SECOND;
   }
 
-  /** What is simulated. */
+  /** Returns the parameters of the run. */
   protected final Plan plan() {
     return plan;
   }
 
-  /** The one source of random numbers. */
+  /** Returns the only random number generator of the run. */
   protected final SplittableRandom random() {
     return random;
   }
 
-  /** The virtual clock. */
+  /** Returns the scheduler with the virtual clock. */
   protected final VirtualScheduler scheduler() {
     return scheduler;
   }
 
-  /** What has been counted. */
+  /** Returns the counters of the run. */
   protected final FleetFigures figures() {
     return figures;
   }
 
-  /** Edge caches, then hubs, then the origin; not to be changed. */
+  /** Returns the edge caches, then the hubs, then the origin. Callers must not modify the list. */
   protected final List<FleetCache> caches() {
     return caches;
   }
 
-  /** All gateways; not to be changed. */
+  /** Returns all gateways. Callers must not modify the list. */
   protected final List<FleetGateway> gateways() {
     return gateways;
   }
@@ -160,7 +166,7 @@
     return endNanos;
   }
 
-  /** Fills the hubs with all that there is: they have been there for long. */
+  /** Stores all parts of all objects in the hubs, as if the hubs had run for a long time. */
   protected final void fillHubs() {
     List<FleetCache> hubs = caches.subList(plan.edgeCaches(), plan.edgeCaches() + HUB_COUNT);
     long end = ObjectPopularity.key(ObjectPopularity.OBJECTS + 1L, 0);
@@ -171,7 +177,9 @@
     }
   }
 
-  /** Has all gateways hear of a cache's state, each in its own time. */
+  /**
+   * Announces the state of a cache to all gateways, each of which receives it after a random delay.
+   */
   protected final void announceEndpoint(int cache, EndpointState state, long startedAtNanos) {
     for (FleetGateway gateway : gateways) {
       scheduler.scheduleAfter(
--- a/lab/src/main/java/org/amberpath/lab/fleet/package-info.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A fleet of gateways with the real decisions on a virtual clock, among simulated caches and
- * clients. Scenarios of leadership and recovery are built on it.
+ * A fleet of gateways with the real request router on a virtual clock, among simulated caches and
+ * clients. Scenarios of leadership and recovery extend it.
  *
- * <p>One thread a run; the same seed gives the same run. Begin with {@link
+ * <p>Each run uses one thread; the same seed gives the same run. Start reading at {@link
  * org.amberpath.lab.fleet.VirtualFleet}.
  */
 package org.amberpath.lab.fleet;
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
@@ -4,21 +4,27 @@
 import java.util.function.BiConsumer;
 
 /**
- * A key of a simulated registry that one process at a time holds by a lease. All processes that
- * watch it observe each change within {@value #MAX_NOTIFY_NANOS} ns.
+ * A key of a simulated registry that at most one process holds at a time, under a lease. Each
+ * watcher is notified of each change after at most {@value #MAX_NOTIFY_NANOS} ns.
  *
- * @param <P> the processes that watch it
+ * @param <P> the type of the processes that watch the key
  */
 public final class LeaseKey<P extends SimulatedProcess> {
-  /** What a watcher observes: the last term, whether the key is held, and its revision. */
+  /**
+   * The state of the key that a watcher observes.
+   *
+   * @param term the last term under which the key was held
+   * @param held whether the key is held now
+   * @param modRevision the revision of the key, one higher after each change of its holder
+   */
   public record Observed(long term, boolean held, long modRevision) {}
 
-  /** Which terms a candidate may take. */
+  /** The terms under which a candidate may acquire the key. */
   public enum TermRule {
-    /** The one after the last. */
+    /** Only the term after the last one. */
     NEXT,
 
-    /** Any above the last. */
+    /** Any term higher than the last one. */
     ANY_HIGHER
   }
 
@@ -37,10 +43,12 @@
   private long expiresAtNanos;
 
   /**
-   * A key that nobody has held.
+   * Creates a key that has never been held.
    *
-   * @param watchers the processes that are notified, those that are added later too
-   * @param listener runs at each watcher with each change
+   * @param leaseNanos the duration of a lease, in nanoseconds
+   * @param watchers the processes that are notified of changes; the live list, so processes that
+   *     are added later are notified too
+   * @param listener called for each watcher with each change
    */
   public LeaseKey(
       Simulation simulation,
@@ -55,17 +63,22 @@
     this.listener = listener;
   }
 
-  /** The key as it is now. */
+  /** Returns the present state of the key. */
   public Observed observe() {
     return new Observed(term, holder != NOBODY, modRevision);
   }
 
-  /** The length of a lease. */
+  /** Returns the duration of a lease, in nanoseconds. */
   long leaseNanos() {
     return leaseNanos;
   }
 
-  /** Gives the key to a candidate, if nobody holds it and nothing has changed since it looked. */
+  /**
+   * Gives the key to a candidate if the key is free, its revision is still the one that the
+   * candidate observed, and the term rule admits the term.
+   *
+   * @return whether the candidate now holds the key
+   */
   boolean tryAcquire(int candidate, long candidateTerm, long seenModRevision) {
     boolean termAllowed =
         termRule == TermRule.NEXT ? candidateTerm == term + 1 : candidateTerm > term;
@@ -80,7 +93,11 @@
     return true;
   }
 
-  /** Extends the lease, if this candidate holds the key under this term. */
+  /**
+   * Extends the lease if this candidate holds the key under this term.
+   *
+   * @return whether the lease was extended
+   */
   boolean tryExtend(int candidate, long ofTerm) {
     boolean held = holder == candidate && term == ofTerm;
     if (held) {
@@ -89,14 +106,17 @@
     return held;
   }
 
-  /** Frees the key, if this candidate holds it under this term. */
+  /** Releases the key if this candidate holds it under this term. */
   void release(int candidate, long ofTerm) {
     if (holder == candidate && term == ofTerm) {
       free();
     }
   }
 
-  /** Sets the key back to a backup that is older by so many terms; notifies nobody. */
+  /**
+   * Restores the key from a backup that lacks the last {@code lostTerms} terms: nobody holds the
+   * key afterwards, and no watcher is notified.
+   */
   public void restoreFromBackup(long lostTerms) {
     holder = NOBODY;
     term = Math.max(0, term - lostTerms);
@@ -124,7 +144,9 @@
     }
   }
 
-  /** Has all watchers observe the key as it is now, each in its own time. */
+  /**
+   * Notifies all watchers of the present state of the key, each after a random delay of its own.
+   */
   public void notifyWatchers() {
     Observed observed = observe();
     watchers.forEach(
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
@@ -3,9 +3,9 @@
 import org.amberpath.leadership.RegistryLeadership;
 
 /**
- * Carries out the commands of a {@link RegistryLeadership}: calls take up to {@value
- * #MAX_ONE_WAY_NANOS} ns each way, and one in {@value #UNANSWERED_ONE_IN} gets no answer while
- * faults are active.
+ * Executes the commands of a {@link RegistryLeadership} against a {@link LeaseKey}. Requests and
+ * responses take up to {@value #MAX_ONE_WAY_NANOS} ns each way; while faults are active, one
+ * request in {@value #UNANSWERED_ONE_IN} is lost.
  */
 public abstract class LeaseKeyClient implements RegistryLeadership.Commands {
   private static final int UNANSWERED_ONE_IN = 20;
@@ -19,9 +19,9 @@
   private final int candidate;
 
   /**
-   * A client in one process.
+   * Creates the client of one process.
    *
-   * @param candidate the name by which this process holds the key
+   * @param candidate the number under which this process holds the key
    */
   protected LeaseKeyClient(
       Simulation simulation, LeaseKey<?> key, SimulatedProcess process, int candidate) {
@@ -31,29 +31,35 @@
     this.candidate = candidate;
   }
 
-  /** The leadership of the process's present incarnation. */
+  /** Returns the leadership of the process's present incarnation. */
   protected abstract RegistryLeadership leadership();
 
-  /** Runs an answer at the process: whatever follows from a change of its leadership. */
+  /**
+   * Runs the handler of a response in the process, together with whatever follows from a change of
+   * its leadership.
+   */
   protected abstract void runAnswer(Runnable answer);
 
-  /** The leadership may want another timer. */
+  /** Called when the leadership may need a timer at another time. */
   protected abstract void timerChanged();
 
-  /** Whether the registry takes calls now. */
+  /** Returns whether the registry accepts requests now. */
   protected boolean isRegistryAvailable() {
     return true;
   }
 
-  /** Whether an answer to an earlier incarnation reaches the present one. */
+  /**
+   * Returns whether the response to a request of an earlier incarnation is delivered to the present
+   * one.
+   */
   protected boolean answersLaterIncarnations() {
     return false;
   }
 
-  /** The registry has given the key to this candidate. */
+  /** Called when the registry has given the key to this candidate, before the process knows. */
   protected void keyGranted(long term) {}
 
-  /** The process has been told that it holds the key. */
+  /** Called when the process has received the response that it holds the key. */
   protected void campaignWon(long term) {}
 
   private void atRegistry(Runnable request) {
--- a/lab/src/main/java/org/amberpath/lab/simulation/LinkMatrix.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LinkMatrix.java
@@ -2,39 +2,40 @@
 
 import java.util.Arrays;
 
-/** Which links between the processes of a model, one way each, let nothing through. */
+/** The one-way links between the processes of a model, each of which is up or cut. */
 public final class LinkMatrix {
   private final Simulation simulation;
   private final boolean[][] cut;
 
-  /** All links between so many processes, none of them cut. */
+  /** Creates the links between the given number of processes, none of them cut. */
   public LinkMatrix(Simulation simulation, int processes) {
     this.simulation = simulation;
     cut = new boolean[processes][processes];
   }
 
-  /** Whether nothing passes from one process to another. */
+  /** Returns whether the link from one process to another is cut. */
   public boolean isCut(int from, int to) {
     return cut[from][to];
   }
 
-  /** Cuts one link, one way, for a time. */
+  /** Cuts the link in one direction, and restores it after the given time. */
   public void cutFor(long durationNanos, int from, int to) {
     cut[from][to] = true;
     simulation.after(durationNanos, () -> cut[from][to] = false);
   }
 
   /**
-   * Cuts all links between two sides, both ways, for a time.
+   * Partitions the processes into two sides: cuts all links between the sides in both directions,
+   * and restores them after the given time.
    *
-   * @param side of each process, which side it is on
+   * @param side the side of each process, by its index
    */
   public void partitionFor(long durationNanos, boolean[] side) {
     setBetween(side, true);
     simulation.after(durationNanos, () -> setBetween(side, false));
   }
 
-  /** Restores all links. */
+  /** Restores all links that are cut. */
   public void restoreAll() {
     for (boolean[] row : cut) {
       Arrays.fill(row, false);
--- a/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
@@ -3,16 +3,16 @@
 import java.util.SplittableRandom;
 
 /**
- * Delivers messages to processes of a model: some are lost, late or delivered twice while faults
- * are active.
+ * Delivers messages to the processes of a model. While faults are active, some messages are lost,
+ * delayed or duplicated.
  */
 public final class MessageFaults {
-  /** When a message is delivered a second time. */
+  /** When a message may be delivered a second time. */
   public enum Duplication {
-    /** Only while faults are active, within a second of the sending. */
+    /** Only while faults are active, within a second after the sending. */
     WHILE_FAULTS_ACTIVE,
 
-    /** At any time, within a second of the first delivery. */
+    /** At any time, within a second after the first delivery. */
     ALWAYS
   }
 
@@ -29,9 +29,9 @@
   private final Duplication duplication;
 
   /**
-   * Faults of the messages of one run.
+   * Creates the message faults of one run.
    *
-   * @param maxDelayNanos the longest delay of a late message
+   * @param maxDelayNanos the longest delay of a late message, in nanoseconds
    */
   public MessageFaults(Simulation simulation, long maxDelayNanos, Duplication duplication) {
     this.simulation = simulation;
@@ -39,12 +39,18 @@
     this.duplication = duplication;
   }
 
-  /** Runs a task at the recipient when, and as often as, the message arrives. */
+  /**
+   * Delivers a message: runs a task in the recipient once, twice, or not at all if the message is
+   * lost.
+   */
   public void deliver(SimulatedProcess recipient, Runnable task) {
     deliver(recipient, task, simulation.random().nextInt(DRAWS));
   }
 
-  /** The same over a link, which may be cut at the time of sending. */
+  /**
+   * Delivers a message over a link; the message is lost if the link is cut at the time of sending.
+   * The random draw is made in either case, so that a cut does not shift later draws.
+   */
   public void deliverOver(
       LinkMatrix links, int from, int to, SimulatedProcess recipient, Runnable task) {
     int draw = simulation.random().nextInt(DRAWS);
--- a/lab/src/main/java/org/amberpath/lab/simulation/SeededRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/SeededRuns.java
@@ -7,27 +7,32 @@
 import java.util.function.Consumer;
 import java.util.stream.LongStream;
 
-/** Many runs of a model, each from a seed of its own. */
+/** Runs a model with one or many seeds. */
 public final class SeededRuns {
   private static final int MAX_LISTED_FAILURES = 10;
 
-  /** A model of which each run follows from a seed. */
+  /** A model whose run is determined by its seed. */
   public interface Model {
     /**
-     * Runs one seed, and gives its figures.
+     * Runs one seed and returns the figures of the run by name.
      *
-     * @param trace takes each line of the trace
-     * @throws RuntimeException where an invariant does not hold
+     * @param trace receives each line of the trace
+     * @throws RuntimeException if an invariant does not hold
      */
     Map<String, Long> run(long seed, Consumer<String> trace);
   }
 
-  /** The result of a run: its figures, or the invariant that did not hold; null where all did. */
+  /**
+   * The result of a run.
+   *
+   * @param figures the figures by name; empty if an invariant was violated
+   * @param violation the message of the violated invariant; null if all invariants held
+   */
   public record Result(long seed, Map<String, Long> figures, String violation) {}
 
   private SeededRuns() {}
 
-  /** Runs one seed; the same seed writes the same trace, line by line. */
+  /** Runs one seed. The same seed writes the same trace, line by line. */
   public static Result runOne(Model model, long seed, Consumer<String> trace) {
     try {
       return new Result(seed, model.run(seed, trace), null);
@@ -36,7 +41,14 @@
     }
   }
 
-  /** Runs many seeds, and sums their figures; the first few violations are listed. */
+  /**
+   * Runs consecutive seeds in parallel and sums their figures.
+   *
+   * @param seed the first seed
+   * @param runs how many seeds are run
+   * @return the sums, the number of runs, the number of those that failed, and the first {@value
+   *     #MAX_LISTED_FAILURES} violations, each with its seed
+   */
   public static Map<String, Object> runMany(Model model, long seed, int runs) {
     List<Result> results =
         LongStream.range(seed, seed + runs)
--- a/lab/src/main/java/org/amberpath/lab/simulation/SimulatedProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/SimulatedProcess.java
@@ -3,9 +3,10 @@
 import java.util.SplittableRandom;
 
 /**
- * A process of a model. Its local clock is off by up to {@value #MAX_CLOCK_OFFSET_NANOS} ns and
- * drifts. It can be stopped, started anew (a new incarnation) and paused: what is due while it is
- * paused runs when the pause ends, and what was scheduled by an earlier incarnation never runs.
+ * A process of a model. Its local clock starts with an offset of up to {@value
+ * #MAX_CLOCK_OFFSET_NANOS} ns and drifts by up to {@value #MAX_CLOCK_DRIFT} of the elapsed time. It
+ * can be stopped, restarted as a new incarnation, and paused: tasks that become due during a pause
+ * run when the pause ends; tasks that an earlier incarnation scheduled never run.
  */
 public abstract class SimulatedProcess {
   private static final long MAX_CLOCK_OFFSET_NANOS = 300 * Simulation.NANOS_PER_MILLI;
@@ -18,7 +19,7 @@
   private long pausedUntilNanos;
   private long incarnation;
 
-  /** A process that does not run yet; offset and rate of its clock are drawn here. */
+  /** Creates a process that does not run yet; draws the offset and the rate of its clock. */
   protected SimulatedProcess(Simulation simulation) {
     scheduler = simulation.scheduler();
     SplittableRandom random = simulation.random();
@@ -26,55 +27,60 @@
     clockRate = 1 + (random.nextDouble() - 0.5) * 2 * MAX_CLOCK_DRIFT;
   }
 
-  /** Starts it anew, with nothing of what an earlier incarnation scheduled. */
+  /** Starts the process as a new incarnation, which runs no task of an earlier one. */
   protected final void beginIncarnation() {
     incarnation++;
     running = true;
   }
 
-  /** Stops it; tasks of this incarnation that are due from now on do not run. */
+  /** Stops the process; tasks of this incarnation that become due later do not run. */
   public final void stop() {
     running = false;
   }
 
-  /** Whether it runs; a paused process runs. */
+  /** Returns whether the process runs; a paused process counts as running. */
   public final boolean isRunning() {
     return running;
   }
 
-  /** How many times it has been started. */
+  /** Returns how many times the process has been started. */
   public final long incarnation() {
     return incarnation;
   }
 
-  /** Pauses it until a time of the scheduler, or ends a pause where that is past. */
+  /**
+   * Pauses the process until a time of the virtual clock; a time that has passed ends the pause.
+   */
   public final void pauseUntil(long timeNanos) {
     pausedUntilNanos = timeNanos;
   }
 
-  /** Pauses it until a time of the scheduler, unless it is paused for longer already. */
+  /** Pauses the process until a time of the virtual clock, unless a present pause ends later. */
   public final void pauseAtLeastUntil(long timeNanos) {
     pausedUntilNanos = Math.max(pausedUntilNanos, timeNanos);
   }
 
-  /** The end of its last pause, by the scheduler's clock. */
+  /** Returns when the last pause ends or ended, by the virtual clock. */
   public final long pausedUntilNanos() {
     return pausedUntilNanos;
   }
 
-  /** Whether it is paused now. */
+  /** Returns whether the process is paused now. */
   public final boolean isPaused() {
     return scheduler.nowNanos() < pausedUntilNanos;
   }
 
-  /** What its own clock shows. */
+  /** Returns the time by the local clock of the process, in nanoseconds. */
   public final long localNanos() {
     return Simulation.EPOCH_NANOS
         + clockOffsetNanos
         + (long) ((scheduler.nowNanos() - Simulation.EPOCH_NANOS) * clockRate);
   }
 
-  /** Runs a task of this incarnation at a time of the scheduler, or when a pause ends. */
+  /**
+   * Runs a task at a time of the virtual clock or, if the process is paused then, when the pause
+   * ends. The task does not run if the process has been stopped or restarted by that time.
+   */
   public final void schedule(long timeNanos, Runnable task) {
     long scheduledIn = incarnation;
     scheduler.schedule(
@@ -90,7 +96,7 @@
         });
   }
 
-  /** Runs a task of this incarnation so many nanoseconds from now, or when a pause ends. */
+  /** Runs a task after a delay, under the conditions of {@link #schedule}. */
   public final void scheduleAfter(long delayNanos, Runnable task) {
     schedule(scheduler.nowNanos() + delayNanos, task);
   }
--- a/lab/src/main/java/org/amberpath/lab/simulation/Simulation.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/Simulation.java
@@ -5,18 +5,19 @@
 import java.util.function.Consumer;
 
 /**
- * What all parts of one run of a model share: the source of random numbers, the virtual clock, the
- * trace, and the time at which faults end. The order in which parts draw random numbers follows
- * from the seed alone, and is part of a model's behaviour. One thread only.
+ * The context that all parts of one run of a model share: the random number generator, the virtual
+ * clock, the trace, and the time at which fault injection ends. The order in which the parts draw
+ * random numbers is determined by the seed alone and is part of the behaviour of a model. Confined
+ * to one thread.
  */
 public final class Simulation {
-  /** Nanoseconds of a millisecond. */
+  /** Nanoseconds per millisecond. */
   public static final long NANOS_PER_MILLI = 1_000_000;
 
-  /** Nanoseconds of a second. */
+  /** Nanoseconds per second. */
   public static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
 
-  /** What the virtual clock shows when a run starts. */
+  /** The time of the virtual clock at the start of a run, in nanoseconds. */
   public static final long EPOCH_NANOS = 1_700_000_000L * NANOS_PER_SECOND;
 
   private final SplittableRandom random;
@@ -25,11 +26,11 @@
   private final long faultsUntilNanos;
 
   /**
-   * A run that has not started.
+   * Creates a run that has not started.
    *
-   * @param faultPeriodNanos how long from the start faults are injected
-   * @param traceUnit the unit of the times in the trace: microseconds or milliseconds
-   * @param trace takes each line of the trace
+   * @param faultPeriodNanos how long faults are injected from the start, in nanoseconds
+   * @param traceUnit the unit of the timestamps in the trace: microseconds or milliseconds
+   * @param trace receives each line of the trace
    */
   public Simulation(long seed, long faultPeriodNanos, TimeUnit traceUnit, Consumer<String> trace) {
     random = new SplittableRandom(seed);
@@ -43,56 +44,60 @@
                     + line);
   }
 
-  /** The one source of random numbers of the run. */
+  /** Returns the only random number generator of the run. */
   public SplittableRandom random() {
     return random;
   }
 
-  /** The virtual clock of the run. */
+  /** Returns the virtual clock of the run. */
   public VirtualScheduler scheduler() {
     return scheduler;
   }
 
-  /** What the virtual clock shows. */
+  /** Returns the present time of the virtual clock, in nanoseconds. */
   public long nowNanos() {
     return scheduler.nowNanos();
   }
 
-  /** When faults end. */
+  /** Returns the time of the virtual clock at which fault injection ends. */
   public long faultsUntilNanos() {
     return faultsUntilNanos;
   }
 
-  /** Whether faults are injected now. */
+  /** Returns whether faults are injected now. */
   public boolean faultsActive() {
     return scheduler.nowNanos() < faultsUntilNanos;
   }
 
-  /** Writes a line of the trace, after the time. */
+  /** Writes a line to the trace, prefixed with the time since the start of the run. */
   public void trace(String line) {
     trace.accept(line);
   }
 
-  /** Where parts that know nothing of models write the trace. */
+  /** Returns the sink of the trace, for classes that have no access to the simulation. */
   public Consumer<String> traceSink() {
     return trace;
   }
 
-  /** Runs a task so many nanoseconds from now. */
+  /** Runs a task after a delay in nanoseconds. */
   public void after(long delayNanos, Runnable task) {
     scheduler.scheduleAfter(delayNanos, task);
   }
 
-  /** Runs the next fault: in one case of four at once, else after a time up to the given one. */
+  /**
+   * Schedules the next fault: immediately in one case of four, else after a random delay below the
+   * given one.
+   */
   public void scheduleNextFault(long maxDelayNanos, Runnable fault) {
     after(random.nextInt(4) == 0 ? 0 : random.nextLong(maxDelayNanos), fault);
   }
 
   /**
-   * Runs all tasks until the calm after the faults is over.
+   * Runs tasks until the calm period after fault injection has ended.
    *
-   * @param checkInvariants runs after each task; throws {@link InvariantViolation}
-   * @return how many tasks ran
+   * @param calmPeriodNanos how long the run continues without faults, in nanoseconds
+   * @param checkInvariants called after each task; throws {@link InvariantViolation}
+   * @return the number of tasks that ran
    */
   public long run(long calmPeriodNanos, Runnable checkInvariants) {
     long steps = 0;
--- a/lab/src/main/java/org/amberpath/lab/simulation/VirtualScheduler.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/VirtualScheduler.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * A virtual clock with a queue of tasks, run in the order of their time and, within one nanosecond,
- * in the order in which they were scheduled. One thread only.
+ * Discrete-event scheduler with a virtual clock. It runs tasks in the order of their time and, at
+ * the same nanosecond, in the order in which they were scheduled. Confined to one thread.
  */
 public final class VirtualScheduler {
   private record Entry(long timeNanos, long sequence, Runnable task) implements Comparable<Entry> {
@@ -19,30 +19,33 @@
   private long nowNanos;
   private long nextSequence;
 
-  /** A clock that shows a time, and has nothing to run. */
+  /** Creates a scheduler without tasks whose clock starts at the given time. */
   public VirtualScheduler(long epochNanos) {
     nowNanos = epochNanos;
   }
 
-  /** The present time of this clock, in nanoseconds. */
+  /** Returns the present time of the virtual clock, in nanoseconds. */
   public long nowNanos() {
     return nowNanos;
   }
 
-  /** Runs a task at a time; at once where that time has passed. */
+  /**
+   * Schedules a task at a time of the virtual clock; a time that has passed is replaced by the
+   * present one.
+   */
   public void schedule(long timeNanos, Runnable task) {
     entries.add(new Entry(Math.max(nowNanos, timeNanos), nextSequence++, task));
   }
 
-  /** Runs a task so many nanoseconds from now. */
+  /** Schedules a task after a delay in nanoseconds. */
   public void scheduleAfter(long delayNanos, Runnable task) {
     schedule(nowNanos + delayNanos, task);
   }
 
   /**
-   * Runs the next task.
+   * Advances the clock to the next task and runs that task.
    *
-   * @return false, with the clock set to the end, once no task is due at or before the end
+   * @return false if no task is due at or before the end; the clock is then set to the end
    */
   public boolean runNext(long endNanos) {
     if (entries.isEmpty() || entries.peek().timeNanos > endNanos) {
@@ -55,10 +58,10 @@
     return true;
   }
 
-  /** Runs all tasks that are due at or before the end, and sets the clock to the end. */
+  /** Runs all tasks that are due at or before the end, then sets the clock to the end. */
   public void runUntil(long endNanos) {
     while (runNext(endNanos)) {
-      // The condition does the work.
+      // runNext() in the loop condition runs the tasks.
     }
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/simulation/package-info.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/package-info.java
@@ -1,9 +1,10 @@
 /**
- * What all models share: the virtual clock, the run ({@link
- * org.amberpath.lab.simulation.Simulation}), processes with clocks of their own, links and messages
- * with faults, a registry's key with its lease, violations of invariants, many runs from seeds.
+ * Deterministic simulation for models: a scheduler with a virtual clock, the context of a run
+ * ({@link org.amberpath.lab.simulation.Simulation}), processes with drifting local clocks, links
+ * and messages with injected faults, a leased registry key, invariant violations, and batches of
+ * seeded runs.
  *
- * <p>Called by the models on one thread a run. The order of random draws is part of a model's
- * behaviour. Begin with {@link org.amberpath.lab.simulation.Simulation}.
+ * <p>Each run of a model uses one thread. The order of random draws is part of the behaviour of a
+ * model. Start reading at {@link org.amberpath.lab.simulation.Simulation}.
  */
 package org.amberpath.lab.simulation;
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -18,8 +18,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One process of a gateway, from its start to its end. Its ports are read from its log, which goes
- * to a file. It is ended by its own id alone.
+ * One operating system process that runs a gateway. The process appends its log to a file, from
+ * which its ports are read. Signals are sent to its process id only.
  */
 public final class GatewayProcess {
   private static final Pattern CLIENT_PORT_PATTERN =
@@ -38,7 +38,7 @@
           "-Djava.net.preferIPv4Stack=true",
           "-Dvertx.disableDnsResolver=true");
 
-  /** The runtime's flags on the run line of deploy/balancer.toml. */
+  /** The JVM flags on the run line of deploy/balancer.toml. */
   public static final List<String> DEPLOYED_FLAGS =
       List.of(
           "-Djava.net.preferIPv4Stack=true",
@@ -68,17 +68,18 @@
   private volatile int severeLines;
 
   /**
-   * Starts the program of this process's own class path.
+   * Starts a program from the class path of this process.
    *
-   * @param main its main class, then its arguments
-   * @param log where its log goes, after what is there
+   * @param main the main class, then its arguments
+   * @param environment variables that are added to those of this process, without AMBERPATH_FILE
+   * @param log the file to which the standard output and error are appended
    */
   public GatewayProcess(List<String> main, Map<String, String> environment, Path log)
       throws IOException {
     this(DEFAULT_FLAGS, main, environment, log);
   }
 
-  /** Starts the same with the given flags of the runtime. */
+  /** Starts a program from the class path of this process with the given JVM flags. */
   public GatewayProcess(
       List<String> flags, List<String> main, Map<String, String> environment, Path log)
       throws IOException {
@@ -97,7 +98,7 @@
     logReader.start();
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // This thread alone counts; others only read.
+  @SuppressWarnings("NonAtomicVolatileUpdate") // This thread is the only writer.
   private void copyLog(Path log) {
     try (BufferedReader in =
             new BufferedReader(
@@ -113,7 +114,7 @@
         severeLines += line.contains("SEVERE") ? 1 : 0;
       }
     } catch (IOException e) {
-      // The process is gone, and its log with it.
+      // The process has ended and its output pipe is closed.
     }
     for (CompletableFuture<Integer> port : List.of(clientPort, fleetPort, adminPort)) {
       port.completeExceptionally(new IOException("the gateway ended first; its log: " + log));
@@ -127,52 +128,67 @@
     }
   }
 
-  /** The port for clients, once it serves. */
+  /**
+   * Returns the port for clients, completed when the gateway listens; fails if the process ends
+   * before.
+   */
   public CompletableFuture<Integer> clientPort() {
     return clientPort;
   }
 
-  /** The port for datagrams of other gateways. */
+  /**
+   * Returns the port for membership datagrams of other gateways; fails if the process ends before
+   * it has logged the port.
+   */
   public CompletableFuture<Integer> fleetPort() {
     return fleetPort;
   }
 
-  /** The port of the admin endpoint. */
+  /**
+   * Returns the port of the admin endpoint; fails if the process ends before it has logged the
+   * port.
+   */
   public CompletableFuture<Integer> adminPort() {
     return adminPort;
   }
 
-  /** Severe lines of its log. */
+  /** Returns the number of log lines of level SEVERE so far. */
   public int severeLines() {
     return severeLines;
   }
 
-  /** The process id under which the system counts what it uses. */
+  /** Returns the process id. */
   public long processId() {
     return process.pid();
   }
 
-  /** Whether the process has not ended. */
+  /** Returns whether the process has not ended. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL. */
   public void kill() {
     process.destroyForcibly();
   }
 
-  /** SIGTERM; the pipes stay open, since {@link ParentWatchdog} ends a process without them. */
+  /**
+   * Sends SIGTERM and leaves the pipes open: {@link ParentWatchdog} ends a process at the end of
+   * its standard input, which would preempt the shutdown.
+   */
   public void terminate() {
     process.toHandle().destroy();
   }
 
-  /** SIGHUP. */
+  /** Sends SIGHUP. */
   public void hangUp() {
     signal("kill -HUP " + process.pid());
   }
 
-  /** SIGSTOP, and SIGCONT so much later even if this process ends meanwhile. */
+  /**
+   * Sends SIGSTOP, and SIGCONT after the given time. A separate shell process sends both, so that
+   * the gateway is resumed even if this process ends in the meantime.
+   */
   public void pause(long durationMillis) {
     String pid = Long.toString(process.pid());
     signal("kill -STOP " + pid + "; sleep " + durationMillis / 1000.0 + "; kill -CONT " + pid);
@@ -186,7 +202,11 @@
     }
   }
 
-  /** Waits for its end, and kills it if that takes too long. */
+  /**
+   * Waits for the process to end, and kills it after {@value #STOP_TIMEOUT_SECONDS} s.
+   *
+   * @return its exit code
+   */
   public int awaitExit() throws InterruptedException {
     if (!process.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
       kill();
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
@@ -6,17 +6,21 @@
 import org.amberpath.lab.LoadGenerator;
 
 /**
- * One gateway's place in a {@link ProcessTestbed}: its process, if one runs, its clients, and what
- * it said last. Changed on the testbed's event loop.
+ * The position of one gateway in a {@link ProcessTestbed}: its present or last process, its load
+ * generators, the periods in which it could not serve, and the last view of the fleet that its
+ * admin endpoint reported. Modified on the testbed's event loop.
  */
 public final class GatewaySlot {
-  /** How long after a pause its process may still be late. */
+  /** How long after a pause a process may still respond late. */
   static final long WAKE_ALLOWANCE_NANOS = 1_000_000_000;
 
-  /** How many load generators a process has: one of each traffic class. */
+  /** How many load generators each process has: one per traffic class. */
   private static final int GENERATORS_PER_PROCESS = 2;
 
-  /** A time by nanoTime in which it could answer nobody; an end of 0 is not known yet. */
+  /**
+   * A period ({@link System#nanoTime}) in which the gateway could not serve; an end of 0 means that
+   * the period has not ended.
+   */
   private record AwayPeriod(long fromNanos, long toNanos) {
     private boolean isOpen() {
       return toNanos == 0;
@@ -41,30 +45,34 @@
     return index;
   }
 
-  /** The gateway's name in settings and views. */
+  /** Returns the name of the gateway in its settings and in the views of other gateways. */
   public String name() {
     return name;
   }
 
   /**
-   * What the gateway's admin endpoint said last of the fleet; null while it does not run, or has
-   * not answered yet.
+   * Returns the last page {@code /fleet} of the gateway's admin endpoint; null while no process
+   * serves or the endpoint has not answered yet.
    */
   public JsonObject view() {
     return view;
   }
 
-  /** Whether a process runs and serves. */
+  /** Returns whether a process runs and serves. */
   public boolean isRunning() {
     return runningSinceNanos != 0;
   }
 
-  /** Since when it has been there after having been away, by nanoTime. */
+  /**
+   * Returns the time ({@link System#nanoTime}) since which the gateway has been available again
+   * after a start or a pause, the end of a pause lying ahead while it lasts; 0 if no process
+   * serves.
+   */
   public long runningSinceNanos() {
     return runningSinceNanos;
   }
 
-  /** Its process, or the last one; null before the first. */
+  /** Returns the present or last process; null before the first. */
   GatewayProcess process() {
     return process;
   }
@@ -85,12 +93,12 @@
     view = received;
   }
 
-  /** The process serves. */
+  /** Called when the process has started to serve. */
   void serving() {
     runningSinceNanos = System.nanoTime();
   }
 
-  /** Ends the last time in which it was away. */
+  /** Ends the last period in which the gateway could not serve. */
   void endAway() {
     if (!awayPeriods.isEmpty()) {
       int last = awayPeriods.size() - 1;
@@ -98,21 +106,21 @@
     }
   }
 
-  /** It is away from now on; nothing changes if it is already. */
+  /** Starts a period in which the gateway cannot serve, unless one has already started. */
   void beginAway() {
     if (awayPeriods.isEmpty() || !awayPeriods.get(awayPeriods.size() - 1).isOpen()) {
       awayPeriods.add(new AwayPeriod(System.nanoTime(), 0));
     }
   }
 
-  /** The process is paused for so long from now on. */
+  /** Called when the process is paused from now on for the given time. */
   void paused(long durationNanos) {
     long nowNanos = System.nanoTime();
     awayPeriods.add(new AwayPeriod(nowNanos, nowNanos + durationNanos + WAKE_ALLOWANCE_NANOS / 2));
     runningSinceNanos = nowNanos + durationNanos;
   }
 
-  /** Its clients send nothing more, and it counts as not running. */
+  /** Stops the load generators of the present process and marks the slot as not running. */
   void stopServing() {
     loadGenerators
         .subList(Math.max(0, loadGenerators.size() - GENERATORS_PER_PROCESS), loadGenerators.size())
@@ -121,7 +129,10 @@
     view = null;
   }
 
-  /** Whether it was away at some time between two. */
+  /**
+   * Returns whether the gateway could not serve at some time between two times ({@link
+   * System#nanoTime}), including an allowance after each period.
+   */
   boolean wasAway(long fromNanos, long toNanos) {
     return awayPeriods.stream()
         .anyMatch(
@@ -130,7 +141,7 @@
                     && (period.isOpen() || fromNanos <= period.toNanos + WAKE_ALLOWANCE_NANOS));
   }
 
-  /** The clients of all its processes. */
+  /** Returns the load generators of all processes that this slot has had. */
   List<LoadGenerator> loadGenerators() {
     return loadGenerators;
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -13,27 +13,30 @@
 import java.util.SplittableRandom;
 
 /**
- * Every link between two gateways: one relay for each, at which the others send what is for it. A
- * relay knows the sender by its port, and drops, delays, doubles, reorders or cuts as the link has
- * it now, one way. Only for its event loop.
+ * The network between the gateways. Each gateway has one UDP relay, to which the other gateways
+ * send their datagrams for it. A relay identifies the sender by its source port and, as the present
+ * condition of that one-way link demands, drops, delays, duplicates or reorders its datagrams.
+ * Confined to one event loop.
  */
 public final class NetworkLinks {
   private static final int UNKNOWN_SENDER = -1;
   private static final int MIN_DELAY_MILLIS = 1;
 
   /**
-   * How a link is.
+   * The condition of a one-way link.
    *
-   * @param lossRate the part of all datagrams that is lost
-   * @param duplicationRate the part that is passed twice
-   * @param maxDelayMillis the longest delay; 0 for none
+   * @param cut whether all datagrams are dropped
+   * @param lossRate the fraction of datagrams that is dropped, from 0 to 1
+   * @param duplicationRate the fraction of datagrams that is forwarded twice, from 0 to 1
+   * @param maxDelayMillis the longest delay in milliseconds, drawn for each datagram, so that
+   *     delayed datagrams are reordered; 0 for no delay
    */
   public record LinkCondition(
       boolean cut, double lossRate, double duplicationRate, long maxDelayMillis) {
-    /** Passes all at once. */
+    /** Forwards all datagrams without delay. */
     public static final LinkCondition HEALTHY = new LinkCondition(false, 0, 0, 0);
 
-    /** Passes nothing. */
+    /** Drops all datagrams. */
     public static final LinkCondition CUT = new LinkCondition(true, 0, 0, 0);
   }
 
@@ -45,10 +48,10 @@
   private final Map<Integer, Integer> gatewaysByPort = new HashMap<>();
   private final int[] gatewayPorts;
 
-  /** Of each gateway, the last second in which it sent. */
+  /** The last second ({@link System#nanoTime}) in which each gateway sent. */
   private final long[] currentSecond;
 
-  /** Of each gateway, what it sent in that second. */
+  /** How many datagrams each gateway sent in that second. */
   private final long[] datagramsInSecond;
 
   private final long[] bytesInSecond;
@@ -90,12 +93,14 @@
     return Future.all(all);
   }
 
-  /** Where the others find it. */
+  /**
+   * Returns HOST:PORT of the relay to which other gateways send their datagrams for this gateway.
+   */
   String address(int gateway) {
     return "127.0.0.1:" + ports[gateway];
   }
 
-  /** Where it really is; 0 for nowhere. */
+  /** Sets the port on which the gateway itself receives datagrams; 0 while it does not run. */
   void setGatewayPort(int gateway, int port) {
     gatewaysByPort.values().removeIf(known -> known == gateway);
     gatewayPorts[gateway] = port;
@@ -104,41 +109,41 @@
     }
   }
 
-  /** Sets how a link is, one way. */
+  /** Sets the condition of a link, in one direction. */
   public void setCondition(int from, int to, LinkCondition condition) {
     conditions[from][to] = condition;
   }
 
-  /** Sets how all links are. */
+  /** Sets the condition of all links. */
   void setAll(LinkCondition condition) {
     for (LinkCondition[] row : conditions) {
       Arrays.fill(row, condition);
     }
   }
 
-  /** The most datagrams that one gateway sent in any second. */
+  /** Returns the highest number of datagrams that any gateway sent within one second. */
   public long maxDatagramsPerSecond() {
     return maxDatagramsPerSecond;
   }
 
-  /** The most bytes that one gateway sent in any second. */
+  /** Returns the highest number of bytes that any gateway sent within one second. */
   public long maxBytesPerSecond() {
     return maxBytesPerSecond;
   }
 
-  /** Datagrams that were passed on. */
+  /** Returns the number of datagrams that were forwarded. */
   public long forwardedDatagrams() {
     return forwardedDatagrams;
   }
 
-  /** Datagrams that were lost. */
+  /** Returns the number of datagrams that a link condition dropped. */
   public long droppedDatagrams() {
     return droppedDatagrams;
   }
 
   private void datagramReceived(int to, DatagramPacket packet) {
     int from = gatewaysByPort.getOrDefault(packet.sender().port(), UNKNOWN_SENDER);
-    if (from == UNKNOWN_SENDER) { // One that has ended, or has not said yet where it is.
+    if (from == UNKNOWN_SENDER) { // The process has ended, or has not logged its port yet.
       return;
     }
     long second = System.nanoTime() / 1_000_000_000;
--- a/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ParentWatchdog.java
@@ -4,23 +4,28 @@
 import java.lang.reflect.Method;
 
 /**
- * Runs a program's main method, and ends the process when the process that started it is gone: no
- * gateway outlives its testbed, however that ends.
+ * Runs the main method of a program and halts the process when its standard input ends, which
+ * happens when the parent process ends. Guards against gateways that outlive their testbed, however
+ * the testbed ends.
  */
 public final class ParentWatchdog {
   private ParentWatchdog() {}
 
-  /** The class whose main is run, then its own arguments. */
+  /**
+   * Runs a program.
+   *
+   * @param args the name of the class whose main method is run, then the arguments of that method
+   */
   public static void main(String[] args) throws Exception {
     Thread watcher =
         new Thread(
             () -> {
               try {
                 while (System.in.read() >= 0) {
-                  // The condition does the work.
+                  // read() in the loop condition blocks until the input ends.
                 }
               } catch (IOException e) {
-                // Gone, too.
+                // A failing read means that the parent has ended, too.
               }
               Runtime.getRuntime().halt(1);
             },
--- a/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -21,11 +21,11 @@
 import org.amberpath.lab.LoadGenerator;
 
 /**
- * Several gateways as real processes among stand-in caches, a hub, the origin, a journal and
- * clients that send on a schedule, with a relay on every link between two gateways. A scenario
- * calls its public methods from one thread; no process that was started outlives it.
+ * Testbed that runs several gateways as real processes among stand-in caches, a hub, an origin, a
+ * journal and clients that send on a schedule, with a relay on each link between two gateways. A
+ * scenario calls the public methods from one thread. No gateway process outlives the testbed.
  */
-@SuppressWarnings("try") // Closing waits for processes; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class ProcessTestbed implements AutoCloseable {
   private static final long TIMEOUT_SECONDS = 30;
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -36,13 +36,16 @@
   private static final int ORDERS_PART = 10;
 
   /**
-   * What is to be run.
+   * The parameters of a testbed.
    *
+   * @param seed the seed of faults, clients and changes of the caches
    * @param gateways how many slots for gateways there are
-   * @param expectedMembers the most that the operators expect to run; 0 leaves [fleet] off
-   * @param requestsPerSecond to each gateway
-   * @param folder where settings and logs go
-   * @param extraSections sections of the INI besides [fleet]
+   * @param expectedMembers the highest number of gateways that the operators expect to run, as the
+   *     settings name it; 0 omits the section [fleet]
+   * @param requestsPerSecond requests of the repeatable traffic class per second and gateway; a
+   *     tenth of it, at least one, is added in the other class
+   * @param folder the folder of settings and logs
+   * @param extraSections sections of the INI file that follow [fleet]
    */
   public record Plan(
       long seed,
@@ -51,7 +54,7 @@
       int requestsPerSecond,
       Path folder,
       String extraSections) {
-    /** One with no section besides [fleet]. */
+    /** Creates a plan with no section other than [fleet]. */
     public Plan(long seed, int gateways, int expectedMembers, int requestsPerSecond, Path folder) {
       this(seed, gateways, expectedMembers, requestsPerSecond, folder, "");
     }
@@ -72,7 +75,7 @@
   private TestbedCaches caches;
   private int severeLines;
 
-  /** Opens the stand-ins and the links; no gateway runs yet. */
+  /** Starts the stand-ins and the relays; no gateway runs yet. */
   public ProcessTestbed(Plan plan) throws Exception {
     this.plan = plan;
     random = new SplittableRandom(plan.seed());
@@ -91,7 +94,7 @@
     settings.writeKeys();
   }
 
-  /** Runs on the testbed's event loop, and waits for what comes of it. */
+  /** Runs a callable on the testbed's event loop and blocks until its result is available. */
   public <T> T callOnLoop(Callable<T> callable) throws Exception {
     return EventLoopWaiter.callOnLoop(vertx, callable);
   }
@@ -102,7 +105,10 @@
 
   // ---- Processes.
 
-  /** Starts a gateway in each slot, and waits until all serve; then their views are polled. */
+  /**
+   * Starts a gateway in each slot and blocks until all of them serve. From then on the views of all
+   * running gateways are polled.
+   */
   public void startAll() throws Exception {
     for (GatewaySlot slot : slots) {
       launch(slot);
@@ -113,7 +119,7 @@
     runOnLoop(() -> vertx.setPeriodic(POLL_MILLIS, tick -> slots.forEach(this::pollView)));
   }
 
-  /** Starts a gateway in a slot, and waits until it serves. */
+  /** Starts a gateway in a slot and blocks until it serves. */
   public void start(int index) throws Exception {
     launch(slots.get(index));
     awaitServing(slots.get(index));
@@ -172,7 +178,7 @@
     service.returned(slot, response.sentAtNanos());
   }
 
-  /** Kills a gateway (SIGKILL), and waits for its end. */
+  /** Kills a gateway with SIGKILL and blocks until its process has ended. */
   public void kill(int index) throws Exception {
     GatewaySlot slot = slots.get(index);
     runOnLoop(
@@ -184,14 +190,20 @@
     awaitExit(index);
   }
 
-  /** Sends SIGTERM. Its clients send nothing more; what they sent must still be answered. */
+  /**
+   * Sends SIGTERM to a gateway. Its clients stop sending; their open requests must still be
+   * answered.
+   */
   public void terminate(int index) throws Exception {
     GatewaySlot slot = slots.get(index);
     runOnLoop(slot::stopServing);
     slot.process().terminate();
   }
 
-  /** Waits for the end of one that was killed or terminated, and counts severe log lines. */
+  /**
+   * Waits for the end of a process that was killed or terminated, and adds the SEVERE lines of its
+   * log to the total.
+   */
   public void awaitExit(int index) throws Exception {
     GatewaySlot slot = slots.get(index);
     slot.process().awaitExit();
@@ -203,14 +215,17 @@
         });
   }
 
-  /** Pauses a gateway (SIGSTOP) for so long. */
+  /** Pauses a gateway with SIGSTOP for the given time. */
   public void pause(int index, long durationMillis) throws Exception {
     GatewaySlot slot = slots.get(index);
     runOnLoop(() -> slot.paused(durationMillis * NANOS_PER_MILLI));
     slot.process().pause(durationMillis);
   }
 
-  /** Sets the sections that follow [fleet], and has all that run read them again. */
+  /**
+   * Replaces the sections that follow [fleet], and makes all running gateways reload their settings
+   * (SIGHUP).
+   */
   public void reloadAll(String sections) throws Exception {
     settings.setExtraSections(sections);
     for (GatewaySlot slot : slots) {
@@ -223,37 +238,37 @@
 
   // ---- Caches and links.
 
-  /** Has a cache take requests and answer none. */
+  /** Hangs a cache: it accepts requests and answers none. */
   public void hangCache(String id) throws Exception {
     runOnLoop(() -> caches.cache(id).hang());
   }
 
-  /** Has a cache that hangs answer again. */
+  /** Ends the hang of a cache. */
   public void resumeCache(String id) throws Exception {
     runOnLoop(() -> caches.cache(id).resume());
   }
 
-  /** How many requests have come to a cache so far. */
+  /** Returns the number of requests that a cache has received so far. */
   public long cacheRequestCount(String id) throws Exception {
     return callOnLoop(() -> caches.cache(id).requestCount());
   }
 
-  /** Makes one change of the caches, or a purge, and has the journal announce it. */
+  /** Makes one random change of a cache, or purges an object, and announces it in the journal. */
   public void changeDiscovery() throws Exception {
     runOnLoop(caches::change);
   }
 
-  /** Sets a link, one way. */
+  /** Sets the condition of a link, in one direction. */
   public void setLink(int from, int to, NetworkLinks.LinkCondition condition) throws Exception {
     runOnLoop(() -> links.setCondition(from, to, condition));
   }
 
-  /** Sets all links. */
+  /** Sets the condition of all links. */
   public void setAllLinks(NetworkLinks.LinkCondition condition) throws Exception {
     runOnLoop(() -> links.setAll(condition));
   }
 
-  // ---- What a scenario looks at.
+  // ---- Observations of a scenario.
 
   private void pollView(GatewaySlot slot) {
     GatewayProcess process = slot.process();
@@ -276,41 +291,44 @@
         .map(body -> body.toJsonObject());
   }
 
-  /** A page of a gateway's admin endpoint; fails where it does not answer. */
+  /** Returns a page of the admin endpoint of a gateway; throws if the endpoint does not answer. */
   public JsonObject adminPage(int index, String path) throws Exception {
-    // On the loop: elsewhere an answer may come before anybody listens to it.
+    // On the event loop: on another thread the response could arrive before its handler is set.
     return EventLoopWaiter.await(callOnLoop(() -> requestPage(slots.get(index), path)));
   }
 
-  /** The slots of all gateways. */
+  /** Returns the slots of all gateways. */
   public List<GatewaySlot> slots() {
     return slots;
   }
 
-  /** The judge of the rules. */
+  /** Returns the auditor of the service rules. */
   public RuleAuditor auditor() {
     return auditor;
   }
 
-  /** The links between gateways. */
+  /** Returns the links between the gateways. */
   public NetworkLinks links() {
     return links;
   }
 
-  /** Severe lines in the logs of all processes that have ended. */
+  /** Returns the number of SEVERE lines in the logs of all processes that have ended. */
   public int severeLines() {
     return severeLines;
   }
 
   /**
-   * Requests returned of those that were to be sent between two times (nanoTime), to gateways that
-   * were there.
+   * Returns the fraction of scheduled requests that were returned, among the requests that were
+   * scheduled between two times ({@link System#nanoTime}) to gateways that could serve.
    */
   public double servedShare(long fromNanos, long toNanos) throws Exception {
     return callOnLoop(() -> service.share(fromNanos, toNanos));
   }
 
-  /** Stops all clients, waits for what is open, and says how requests ended, by name. */
+  /**
+   * Stops all clients, waits until open requests have ended, and returns the number of requests by
+   * outcome.
+   */
   public Map<String, Long> settle() throws Exception {
     runOnLoop(() -> slots.forEach(slot -> slot.loadGenerators().forEach(LoadGenerator::stop)));
     Thread.sleep(REQUEST_TIMEOUT_MILLIS + 2 * POLL_MILLIS);
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -11,13 +11,14 @@
 import org.amberpath.lab.StandInCache;
 
 /**
- * Judges the rules by what clients, caches and the journal saw, over all gateways together; it
- * knows nothing of the gateways' code. Whatever the event loop reads may have come since its tick
- * before, and is judged by that time: a loop that stalled blames nobody by mistake, and for how
- * long it stalled is counted. Only for the testbed's event loop.
+ * Checks the service rules from what clients, caches and the journal observe, over all gateways
+ * together and without any knowledge of the gateways' code. An event that this event loop handles
+ * may have arrived at any time since the loop's previous tick, so it is judged by the time of that
+ * tick: a stall of the loop never causes a false violation. The total duration of stalls is
+ * measured. Confined to the testbed's event loop.
  *
- * <p>Bounds: the requests of one experiment that may run once, and {@value #MAX_VIOLATIONS} lines
- * of what is wrong.
+ * <p>Bounds: the requests of one experiment that may execute only once, and {@value
+ * #MAX_VIOLATIONS} messages of violations.
  */
 public final class RuleAuditor {
   private static final long NANOS_PER_MILLI = 1_000_000;
@@ -29,14 +30,14 @@
   private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
   private static final int MAX_VIOLATIONS = 20;
 
-  /** The mean work of a request at the stand-in caches. */
+  /** The mean duration of a request at the stand-in caches, in seconds. */
   private static final double MEAN_WORK_SECONDS = 0.01;
 
   private static final class WarmUpWindow {
     final long startedAtNanos;
     final double weight;
 
-    /** When requests came, of the last second. */
+    /** When the requests of the last window arrived ({@link System#nanoTime}). */
     final ArrayDeque<Long> arrivalsNanos = new ArrayDeque<>();
 
     WarmUpWindow(long startedAtNanos, double weight) {
@@ -60,7 +61,7 @@
   private long violationCount;
   private double worstWarmUpLoad;
 
-  /** A judge whose stalls are measured from now on. */
+  /** Creates an auditor and starts the timer that measures stalls of the event loop. */
   public RuleAuditor(Vertx vertx) {
     vertx.setPeriodic(
         TICK_MILLIS,
@@ -72,7 +73,10 @@
         });
   }
 
-  /** Keeps what is wrong, up to a bound, and counts it. */
+  /**
+   * Counts a violation, and keeps its message with the time since the start if fewer than {@value
+   * #MAX_VIOLATIONS} are kept.
+   */
   public void violation(String message) {
     violationCount++;
     if (violations.size() < MAX_VIOLATIONS) {
@@ -80,17 +84,20 @@
     }
   }
 
-  /** What was wrong, the first lines of it. */
+  /** Returns the messages of the first violations. */
   public List<String> violations() {
     return violations;
   }
 
-  /** The part of the time, 0 to 1, that could not be judged. */
+  /**
+   * Returns the fraction of the time, from 0 to 1, in which the event loop was stalled and no rule
+   * could be checked reliably.
+   */
   public double unjudgedShare() {
     return (double) stalledNanos / Math.max(1, System.nanoTime() - beganNanos);
   }
 
-  /** Figures for a report. */
+  /** Returns the figures for a report by name. */
   public Map<String, Object> figures() {
     return Map.of(
         "wants",
@@ -109,31 +116,42 @@
         violationCount);
   }
 
-  // ---- What the testbed did.
+  // ---- Actions of the testbed.
 
-  /** A cache drains from now on. */
+  /** Called when the journal has announced that a cache drains. */
   public void cacheDrained(String cache) {
     drainedAtNanos.put(cache, System.nanoTime());
   }
 
-  /** A cache is ready again. */
+  /** Called before the journal announces that a drained cache is ready again. */
   void cacheReady(String cache) {
     drainedAtNanos.remove(cache);
   }
 
-  /** An object is purged. */
+  /**
+   * Called when an object is purged.
+   *
+   * @param atMillis the timestamp of the purge (Unix time)
+   */
   void objectPurged(String object, long atMillis) {
     purgedAtMillis.put(object, atMillis);
   }
 
-  /** A cache has started with nothing stored. */
+  /**
+   * Called when a cache has started with nothing stored.
+   *
+   * @param weight the weight of the cache, as announced in the journal
+   */
   public void cacheStartedCold(String cache, double weight) {
     warmingUp.put(cache, new WarmUpWindow(System.nanoTime(), weight));
   }
 
-  // ---- What others saw.
+  // ---- Observations of caches and clients.
 
-  /** A cache has received a request. */
+  /**
+   * Called when a cache has received a request; checks the rules on drained caches, on requests
+   * that may execute only once, and on the load of caches that warm up.
+   */
   public void requestReceived(StandInCache.ReceivedRequest request) {
     requestCount++;
     for (String cache : List.of(request.cache(), request.source())) {
@@ -169,8 +187,9 @@
   }
 
   /**
-   * Rule 4, as the platform has it: N + 3 roots of N + 3 requests of mean work in the time that the
-   * settings name.
+   * Checks rule 4, the load of a cache that warms up, with the bound that the platform defines: N +
+   * 3 square roots of N + 3 requests of mean work within the window that the settings name, where N
+   * is the allowed number.
    */
   private void checkWarmUp(WarmUpWindow window, String cache) {
     long nowNanos = System.nanoTime();
@@ -206,7 +225,10 @@
     }
   }
 
-  /** A client has received a response. */
+  /**
+   * Called when a client has received a response; checks that it is not a copy from before a purge
+   * which the gateway must have known when the request was sent.
+   */
   public void responseReceived(LoadGenerator.Response response) {
     Long purgedAt = purgedAtMillis.get(response.object());
     long sentAtMillis =
--- a/lab/src/main/java/org/amberpath/lab/testbed/ServiceRecord.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ServiceRecord.java
@@ -8,10 +8,11 @@
 import org.amberpath.lab.LoadGenerator;
 
 /**
- * Of each second since a testbed began, the requests that were to be sent and those that were
- * returned, while their gateway was there. Only for the testbed's event loop.
+ * Counts, for each second since the start of a testbed, the requests that were scheduled and those
+ * that were returned, excluding requests to gateways that could not serve. Confined to the
+ * testbed's event loop.
  *
- * <p>Bounds: an hour.
+ * <p>Bounds: one hour; later requests are counted in the last second.
  */
 final class ServiceRecord {
   private static final int MAX_SECONDS = 3600;
@@ -44,7 +45,10 @@
     return (timeNanos - beganNanos) / NANOS_PER_SECOND;
   }
 
-  /** Requests returned of those that were to be sent, in the whole seconds between two times. */
+  /**
+   * Returns the fraction of scheduled requests that were returned, in the complete seconds between
+   * two times ({@link System#nanoTime}); 1 if none was scheduled.
+   */
   double share(long fromNanos, long toNanos) {
     long offeredCount = 0;
     long returnedCount = 0;
@@ -55,7 +59,10 @@
     return offeredCount == 0 ? 1 : (double) returnedCount / offeredCount;
   }
 
-  /** How requests ended, by name, over all gateways. */
+  /**
+   * Returns the number of requests of all gateways by outcome, and those whose loss was excused or
+   * that were not sent.
+   */
   static Map<String, Long> outcomes(List<GatewaySlot> slots) {
     Map<String, Long> outcomes = new LinkedHashMap<>();
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
--- a/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import org.amberpath.lab.LabSettings;
 
-/** Writes the settings of the gateways of a {@link ProcessTestbed}. */
+/** Writes the settings files of the gateways of a {@link ProcessTestbed}. */
 final class SlotSettings {
   private static final String KEY_LINE = "k1 " + "6b".repeat(32) + "\n";
 
@@ -29,12 +29,12 @@
     return plan.folder().resolve("keys");
   }
 
-  /** Writes the key that all gateways share. */
+  /** Writes the file with the authentication key that all gateways share. */
   void writeKeys() throws IOException {
     Files.writeString(keys(), KEY_LINE);
   }
 
-  /** Writes the JSON settings of one gateway. */
+  /** Writes the JSON settings of one gateway, and returns their path. */
   Path writeConfig(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".json"),
@@ -42,7 +42,7 @@
             slot.name(), plan.seed() + slot.index(), journal.address(), plan.gateways()));
   }
 
-  /** Writes the INI of one gateway. */
+  /** Writes the INI file of one gateway, and returns its path. */
   Path writeSections(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".ini"),
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -13,25 +13,31 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * The platform's journal service for many gateways: numbered events by long poll. Only for its
- * event loop. Bounds: the events of one experiment; a poll a connection.
+ * Stand-in for the journal service of the platform: serves numbered events to gateways by HTTP long
+ * polling. Confined to one event loop.
+ *
+ * <p>Bounds: at most {@value #MAX_EVENTS} events; one open poll per connection.
  */
 public final class StandInJournal {
   private static final int MAX_EVENTS = 100_000;
 
-  /** What an event of caches lists. */
+  /** The scope of the list of caches in an event. */
   public enum ListScope {
-    /** All caches that there are. */
+    /** All caches that exist; it replaces earlier lists. */
     FULL,
 
-    /** Those that have changed. */
+    /** Only the caches that have changed. */
     CHANGES
   }
 
   /**
    * One cache in an event.
    *
-   * @param startedAtMillis when it started with nothing stored; 0 for one that is warm
+   * @param address HOST:PORT of the cache
+   * @param kind the endpoint kind, written as the machine type
+   * @param weight the capacity of the cache
+   * @param startedAtMillis when the cache started with nothing stored (Unix time); 0 for a cache
+   *     that is warm
    */
   public record Instance(
       String id,
@@ -69,24 +75,24 @@
   private final List<Poll> polls = new ArrayList<>();
   private long bytesSent;
 
-  /** A journal that does not listen yet. */
+  /** Creates a journal that does not listen yet. */
   public StandInJournal(Vertx vertx) {
     this.vertx = vertx;
     server = vertx.createHttpServer(new HttpServerOptions().setHost("127.0.0.1").setPort(0));
     server.requestHandler(this::pollReceived);
   }
 
-  /** Listens on a port from the system. */
+  /** Listens on a port that the system chooses. */
   public Future<StandInJournal> listen() {
     return server.listen().map(this);
   }
 
-  /** The address at which it listens. */
+  /** Returns HOST:PORT on which the journal listens. */
   public String address() {
     return "127.0.0.1:" + server.actualPort();
   }
 
-  /** Adds one event of caches. */
+  /** Adds one event that lists caches. */
   public void announceCaches(ListScope scope, List<Instance> instances) {
     add(
         "\"hosts\":{\"generation\":1,\"reset\":"
@@ -96,17 +102,21 @@
             + "]}");
   }
 
-  /** All events so far, in the form in which a configuration holds them. */
+  /** Returns all events so far, in the JSON form of the settings key {@code known}. */
   public String allEvents() {
     return eventsAfter(0);
   }
 
-  /** Bytes of the answers so far, without their heads. */
+  /** Returns the total size of the response bodies sent so far, in bytes. */
   public long bytesSent() {
     return bytesSent;
   }
 
-  /** Adds the event of a purge. */
+  /**
+   * Adds an event that purges an object.
+   *
+   * @param atMillis the timestamp of the purge (Unix time)
+   */
   void announcePurge(String object, long atMillis) {
     add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
@@ -12,8 +12,8 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * The stand-in caches of a {@link ProcessTestbed}, and what the journal announces of them. Only for
- * the testbed's event loop.
+ * The stand-in caches of a {@link ProcessTestbed} and their announcement in the journal. Confined
+ * to the testbed's event loop.
  */
 final class TestbedCaches {
   private static final int EDGE_CACHES = 8;
@@ -42,7 +42,7 @@
     this.random = random;
   }
 
-  /** Has all caches listen. */
+  /** Makes all caches listen. */
   Future<?> listen() {
     List<Future<?>> listening = new ArrayList<>();
     for (int index = 0; index < EDGE_CACHES; index++) {
@@ -61,7 +61,7 @@
     return cache.listen();
   }
 
-  /** Announces all caches. */
+  /** Announces all caches as ready. */
   void announceAll() {
     caches.keySet().forEach(id -> announce(id, EndpointState.UP, 0));
   }
@@ -86,7 +86,10 @@
     return caches.get(id);
   }
 
-  /** One change: an edge cache drains, returns or restarts, or an object is purged. */
+  /**
+   * Makes one random change: an edge cache is drained, made ready again or restarted, or an object
+   * is purged. Does nothing if the drawn cache does not admit the drawn change.
+   */
   void change() {
     String id = "e" + random.nextInt(EDGE_CACHES);
     switch (random.nextInt(CHANGE_KINDS)) {
@@ -111,7 +114,10 @@
     }
   }
 
-  /** Half of the edge caches stay. */
+  /**
+   * Returns whether an edge cache may leave: it is ready, and more than half of all edge caches
+   * are.
+   */
   private boolean mayGo(String id) {
     long up =
         states.entrySet().stream()
--- a/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
@@ -6,11 +6,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What a scenario does, and when: drawn before it starts, and played on one thread of its own. */
+/**
+ * The timed steps of a scenario. The steps are added before the scenario starts, and run on the
+ * calling thread.
+ */
 public final class Timetable {
-  /** One thing that a scenario does. */
+  /** The action of one step. */
   public interface Action {
-    /** Does it. */
+    /** Runs the action. */
     void run() throws Exception;
   }
 
@@ -20,34 +23,47 @@
 
   private final List<Step> steps = new ArrayList<>();
 
-  /** Adds one step. */
+  /**
+   * Adds a step.
+   *
+   * @param atMillis when the step runs, in milliseconds from the start of the scenario
+   * @param description the text that {@link #print} writes
+   */
   public void add(long atMillis, String description, Action action) {
     steps.add(new Step(atMillis, description, action));
   }
 
-  /** Adds a fault: its beginning, and its end after a time. */
+  /**
+   * Adds the two steps of a fault: one that starts it and one that ends it.
+   *
+   * @param atMillis when the fault starts, in milliseconds from the start of the scenario
+   */
   public void addFault(
       long atMillis, long durationMillis, String description, Action begin, Action end) {
     add(atMillis, description + " for " + durationMillis + " ms", begin);
     add(atMillis + durationMillis, description + ": over", end);
   }
 
-  /** How many steps it has. */
+  /** Returns the number of steps. */
   public int size() {
     return steps.size();
   }
 
-  /** Puts the steps in the order of their time; steps of one time stay as they were added. */
+  /** Sorts the steps by time; steps at the same time keep the order in which they were added. */
   public void sort() {
     steps.sort(Comparator.comparingLong(Step::atMillis));
   }
 
-  /** Prints each step, a line each. */
+  /** Prints one line for each step. */
   public void print(PrintStream out) {
     steps.forEach(step -> out.printf(Locale.ROOT, "%6d ms  %s%n", step.atMillis, step.description));
   }
 
-  /** Runs each step at its time after the beginning (nanoTime), or at once where that is past. */
+  /**
+   * Runs each step at its time, or immediately if that time has passed.
+   *
+   * @param beganNanos the start of the scenario ({@link System#nanoTime})
+   */
   public void play(long beganNanos) throws Exception {
     for (Step step : steps) {
       long waitMillis =
--- a/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.params.aggregator.ArgumentsAccessor;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The table of what a gateway may need at 3,200 endpoints, against a gateway at 200. */
+/**
+ * Checks each bound of {@link UsageBounds} for a gateway with 3,200 endpoints, against one with
+ * 200.
+ */
 class UsageBoundsTest {
   private static final GatewayUsage USUAL = new GatewayUsage(200, 2, 80, 100, 200, 50_000, 0.9);
 
