--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -16,10 +16,10 @@
   private static final int CONNECTIONS = 8;
   private static final int EDGE_CACHES = 4;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
-  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long FINAL_RESPONSE_WAIT_MILLIS = 1700;
   private static final long MAX_DRAIN_NANOS = 300_000_000;
-  private static final String CRASHED = "e1";
-  private static final String DRAINED = "e2";
+  private static final String CRASHED_CACHE = "e1";
+  private static final String DRAINED_CACHE = "e2";
 
   private Demo() {}
 
@@ -30,8 +30,8 @@
    *     and the drain, one third after the drain
    */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
-    ExperimentReport result = new ExperimentReport(seed);
-    long thirdMillis = seconds * 1000L / 3;
+    ExperimentReport report = new ExperimentReport(seed);
+    long phaseMillis = seconds * 1000L / 3;
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
       testbed.open(1, EDGE_CACHES);
       testbed.serve(
@@ -50,23 +50,23 @@
               + seconds
               + " s");
       LoadGenerator loadGenerator = startClients(testbed, seed);
-      Thread.sleep(thirdMillis);
+      Thread.sleep(phaseMillis);
       out.println("cache e1 dies");
-      testbed.runOnLoop(() -> testbed.cache(CRASHED).close());
-      Thread.sleep(thirdMillis);
+      testbed.runOnLoop(() -> testbed.cache(CRASHED_CACHE).close());
+      Thread.sleep(phaseMillis);
       out.println("cache e2 is drained");
       long drainedAtNanos = drain(testbed);
-      Thread.sleep(thirdMillis);
+      Thread.sleep(phaseMillis);
       testbed.runOnLoop(loadGenerator::stop);
-      Thread.sleep(LAST_ANSWER_MILLIS);
+      Thread.sleep(FINAL_RESPONSE_WAIT_MILLIS);
       testbed.runOnLoop(
           () -> {
-            long lastNanos = testbed.cache(DRAINED).lastRequestNanos();
-            print(loadGenerator, testbed, out);
-            report(loadGenerator, lastNanos - drainedAtNanos, out, result);
+            long lastRequestNanos = testbed.cache(DRAINED_CACHE).lastRequestNanos();
+            printOutcomes(loadGenerator, testbed, out);
+            fillReport(loadGenerator, lastRequestNanos - drainedAtNanos, out, report);
           });
     }
-    return result;
+    return report;
   }
 
   private static LoadGenerator startClients(LoopbackTestbed testbed, long seed) throws Exception {
@@ -80,31 +80,32 @@
   private static long drain(LoopbackTestbed testbed) throws Exception {
     return testbed.callOnLoop(
         () -> {
-          testbed.putCache(DRAINED, EndpointState.DRAINING);
+          testbed.putCache(DRAINED_CACHE, EndpointState.DRAINING);
           return System.nanoTime();
         });
   }
 
-  private static void report(
+  private static void fillReport(
       LoadGenerator loadGenerator,
-      long lastAfterDrainNanos,
+      long lastRequestAfterDrainNanos,
       PrintStream out,
-      ExperimentReport result) {
-    out.printf("last GET to e2 %.1f ms after its drain was written%n", lastAfterDrainNanos / 1e6);
+      ExperimentReport report) {
+    out.printf(
+        "last GET to e2 %.1f ms after its drain was written%n", lastRequestAfterDrainNanos / 1e6);
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
-      result.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
+      report.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
     }
-    result
+    report
         .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
         .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
-        .figure("drained_after_ms", lastAfterDrainNanos / 1_000_000)
+        .figure("drained_after_ms", lastRequestAfterDrainNanos / 1_000_000)
         .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
         .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
-        .bar("nothing new 250 ms after a drain", lastAfterDrainNanos < MAX_DRAIN_NANOS);
+        .bar("nothing new 250 ms after a drain", lastRequestAfterDrainNanos < MAX_DRAIN_NANOS);
   }
 
   /** Returns the explanation of an outcome that is printed next to its count. */
-  private static String meaning(LoadGenerator.Outcome outcome) {
+  private static String describe(LoadGenerator.Outcome outcome) {
     return switch (outcome) {
       case RETURNED -> "a cache made it";
       case SHED -> "not run; told when to come back";
@@ -114,9 +115,10 @@
     };
   }
 
-  private static void print(LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
+  private static void printOutcomes(
+      LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
-      out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), meaning(outcome));
+      out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), describe(outcome));
     }
     out.printf(
         "  latency   p50 %.1f ms, p99 %.1f ms, max %.1f ms%n",
--- a/lab/src/main/java/org/amberpath/lab/LabSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/LabSettings.java
@@ -51,7 +51,7 @@
   private static final int IDLE_SECONDS = 30;
 
   @SuppressWarnings("InlineFormatString") // The JSON template is too long for the call.
-  private static final String SETTINGS =
+  private static final String SETTINGS_TEMPLATE =
       """
       {"my-zone":"lab","zones":["lab"],"kinds":["edge","hub","origin"],"replicas-of-me":%d,\
       "weights":"nominal",
@@ -128,7 +128,7 @@
         + "\"settings\":"
         + String.format(
             Locale.ROOT,
-            SETTINGS,
+            SETTINGS_TEMPLATE,
             gateways,
             idleSeconds,
             WARM_UP_INITIAL_SHARE,
--- a/lab/src/main/java/org/amberpath/lab/LoadConnection.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadConnection.java
@@ -47,7 +47,7 @@
   Future<NetSocket> connect() {
     return client
         .connect(port, "127.0.0.1")
-        .onSuccess(this::connected)
+        .onSuccess(this::onConnected)
         .onFailure(e -> vertx.setTimer(RECONNECT_DELAY_MILLIS, timer -> reconnect()));
   }
 
@@ -57,7 +57,7 @@
     }
   }
 
-  private void connected(NetSocket connectedSocket) {
+  private void onConnected(NetSocket connectedSocket) {
     socket = connectedSocket;
     connectedSocket.exceptionHandler(e -> {});
     connectedSocket.closeHandler(
@@ -71,7 +71,7 @@
             new MessageReader.Sink() {
               @Override
               public boolean onMessage(byte[] bytes, int start, int end) {
-                responseListener.accept(LoadMessages.response(bytes, start, end));
+                responseListener.accept(LoadMessages.decodeResponse(bytes, start, end));
                 return true;
               }
 
@@ -82,7 +82,7 @@
             }));
   }
 
-  boolean hasRoom() {
+  boolean canSend() {
     return socket != null && pendingCount < MAX_PENDING;
   }
 
@@ -91,7 +91,7 @@
     socket.write(request);
   }
 
-  void requestEnded() {
+  void onRequestEnded() {
     pendingCount--;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadGenerator.java
@@ -76,11 +76,11 @@
    * How long the ids of answered and lost requests are kept; a duplicate response that arrives
    * later goes undetected.
    */
-  private static final long REMEMBERED_NANOS = 10 * NANOS_PER_SECOND;
+  private static final long ANSWERED_RETENTION_NANOS = 10 * NANOS_PER_SECOND;
 
   private static final long MAX_LATENCY_MICROS = 10_000_000;
-  private static final long NUMBER_MASK = 0xffff_ffffL;
-  private static final int PARTS = 4;
+  private static final long REQUEST_NUMBER_MASK = 0xffff_ffffL;
+  private static final int PARTS_PER_OBJECT = 4;
 
   private final Vertx vertx;
   private final SplittableRandom random;
@@ -100,11 +100,11 @@
   private final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
   private final Histogram latency = new Histogram(MAX_LATENCY_MICROS, 3);
   private final Histogram lateness = new Histogram(MAX_LATENCY_MICROS, 3);
-  private ObjectChoice objects = ObjectChoice.usual();
+  private ObjectChoice objectChoice = ObjectChoice.defaultObjects();
   private LossExcuse lossExcuse = (sentAtNanos, deadlineNanos) -> false;
   private LongConsumer sendListener = sentAtNanos -> {};
-  private long excusedLosses;
-  private long notSent;
+  private long excusedLossCount;
+  private long notSentCount;
   private long lastExpiryNanos = System.nanoTime();
   private boolean stopped;
   private long lastRequestNumber;
@@ -135,7 +135,8 @@
   }
 
   /**
-   * Sets which unanswered requests count as {@link #excusedLosses} and not as {@link Outcome#LOST}.
+   * Sets which unanswered requests count as {@link #excusedLossCount} and not as {@link
+   * Outcome#LOST}.
    */
   public LoadGenerator withLossExcuse(LossExcuse excuse) {
     lossExcuse = excuse;
@@ -156,21 +157,21 @@
    * with this exponent.
    */
   public LoadGenerator withZipfPopularity(int objectCount, double exponent) {
-    objects = ObjectChoice.zipf(objectCount, exponent);
+    objectChoice = ObjectChoice.zipf(objectCount, exponent);
     return this;
   }
 
   /** Returns the number of unanswered requests that were excused. */
-  public long excusedLosses() {
-    return excusedLosses;
+  public long excusedLossCount() {
+    return excusedLossCount;
   }
 
   /**
    * Returns the number of requests that were not sent because their connection was closed or had as
    * many open requests as the protocol allows.
    */
-  public long notSent() {
-    return notSent;
+  public long notSentCount() {
+    return notSentCount;
   }
 
   /**
@@ -240,11 +241,11 @@
   }
 
   private void send(long scheduledNanos, long nowNanos) {
-    long number = ++lastRequestNumber & NUMBER_MASK;
-    String object = objects.name(random.nextDouble());
+    long number = ++lastRequestNumber & REQUEST_NUMBER_MASK;
+    String object = objectChoice.objectName(random.nextDouble());
     LoadConnection connection = connections.get((int) (number % connections.size()));
-    if (!connection.hasRoom()) {
-      notSent++;
+    if (!connection.canSend()) {
+      notSentCount++;
       return;
     }
     long deadlineNanos = nowNanos + timeoutMillis * NANOS_PER_MILLI;
@@ -258,12 +259,12 @@
             "allow",
             Long.toString(timeoutMillis),
             "chunk",
-            Integer.toString(random.nextInt(PARTS)),
+            Integer.toString(random.nextInt(PARTS_PER_OBJECT)),
             "tag",
             "17",
             "room",
             "4.5");
-    connection.send(LoadMessages.request(number, trafficClass, fields));
+    connection.send(LoadMessages.encodeRequest(number, trafficClass, fields));
   }
 
   /**
@@ -272,23 +273,25 @@
    * stalled.
    */
   private void expireOverdue() {
-    long nowNanos = lastExpiryNanos;
+    long previousExpiryNanos = lastExpiryNanos;
     lastExpiryNanos = System.nanoTime();
-    pending.entrySet().removeIf(entry -> expireIfOverdue(entry, nowNanos));
-    answeredAtNanos.values().removeIf(at -> nowNanos - at > REMEMBERED_NANOS);
+    pending.entrySet().removeIf(entry -> expireIfOverdue(entry, previousExpiryNanos));
+    answeredAtNanos
+        .values()
+        .removeIf(endedNanos -> previousExpiryNanos - endedNanos > ANSWERED_RETENTION_NANOS);
   }
 
-  private boolean expireIfOverdue(Map.Entry<Long, PendingRequest> entry, long nowNanos) {
+  private boolean expireIfOverdue(Map.Entry<Long, PendingRequest> entry, long asOfNanos) {
     PendingRequest request = entry.getValue();
-    if (nowNanos <= request.deadlineNanos + LOSS_GRACE_NANOS) {
+    if (asOfNanos <= request.deadlineNanos + LOSS_GRACE_NANOS) {
       return false;
     }
-    request.connection.requestEnded();
+    request.connection.onRequestEnded();
     if (lossExcuse.excuses(request.sentAtNanos, request.deadlineNanos)) {
-      excusedLosses++;
+      excusedLossCount++;
     } else {
       increment(Outcome.LOST);
-      answeredAtNanos.put(entry.getKey(), nowNanos);
+      answeredAtNanos.put(entry.getKey(), asOfNanos);
     }
     return true;
   }
@@ -306,7 +309,7 @@
       }
       return;
     }
-    request.connection.requestEnded();
+    request.connection.onRequestEnded();
     answeredAtNanos.put(response.number(), nowNanos);
     switch (response.kind()) {
       case REJECTED -> increment(Outcome.SHED);
--- a/lab/src/main/java/org/amberpath/lab/LoadMessages.java
+++ b/lab/src/main/java/org/amberpath/lab/LoadMessages.java
@@ -11,10 +11,10 @@
 
 /** Encodes requests and decodes responses of a {@link LoadGenerator} (MessagePack-RPC). */
 final class LoadMessages {
-  private static final int REQUEST = 0;
+  private static final int REQUEST_TYPE = 0;
   private static final int REQUEST_ELEMENTS = 4;
-  private static final int ARGUMENTS = 2;
-  private static final String REJECTED = "Overloaded";
+  private static final int ARGUMENT_ELEMENTS = 2;
+  private static final String REJECTED_ERROR = "Overloaded";
 
   /** The kinds of response, as far as the load generator distinguishes them. */
   enum Kind {
@@ -34,14 +34,14 @@
 
   private LoadMessages() {}
 
-  static Buffer request(long number, String trafficClass, Map<String, String> fields) {
+  static Buffer encodeRequest(long number, String trafficClass, Map<String, String> fields) {
     try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
       packer
           .packArrayHeader(REQUEST_ELEMENTS)
-          .packInt(REQUEST)
+          .packInt(REQUEST_TYPE)
           .packLong(number)
           .packString(trafficClass)
-          .packArrayHeader(ARGUMENTS)
+          .packArrayHeader(ARGUMENT_ELEMENTS)
           .packMapHeader(fields.size());
       for (Map.Entry<String, String> field : fields.entrySet()) {
         packer.packString(field.getKey()).packString(field.getValue());
@@ -53,7 +53,7 @@
     }
   }
 
-  static Response response(byte[] bytes, int start, int end) {
+  static Response decodeResponse(byte[] bytes, int start, int end) {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes, start, end - start)) {
       unpacker.unpackArrayHeader();
       unpacker.unpackInt();
@@ -61,7 +61,7 @@
       boolean succeeded = unpacker.tryUnpackNil();
       unpacker.unpackArrayHeader();
       if (!succeeded) {
-        Kind kind = unpacker.unpackString().equals(REJECTED) ? Kind.REJECTED : Kind.FAILED;
+        Kind kind = unpacker.unpackString().equals(REJECTED_ERROR) ? Kind.REJECTED : Kind.FAILED;
         return new Response(number, kind, 0);
       }
       byte[] payload = unpacker.readPayload(unpacker.unpackBinaryHeader());
--- a/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/LoopbackTestbed.java
@@ -37,7 +37,7 @@
 
   private static final long NANOS_PER_SECOND = 1_000_000_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
-  private static final long MAX_SPIN_NANOS = NANOS_PER_SECOND / 10;
+  private static final long MAX_BUSY_WAIT_NANOS = NANOS_PER_SECOND / 10;
   private static final long PURGE_RETENTION_NANOS = 600 * NANOS_PER_SECOND;
   private static final int MAX_KEYS = 20_000;
   private static final int MAX_MESSAGE_BYTES = 8 << 20;
@@ -45,14 +45,14 @@
   private static final long HIT_MILLIS = 2;
   private static final long EDGE_FILL_MILLIS = 8;
   private static final long HUB_FILL_MILLIS = 10;
-  private static final long ORIGIN_MILLIS = 10;
+  private static final long ORIGIN_RESPONSE_MILLIS = 10;
 
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final Vertx gatewayVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final StandInRegistry registry = new StandInRegistry(vertx, new HttpServerOptions());
   private final Map<String, StandInCache> caches = new LinkedHashMap<>();
   private final long seed;
-  private long writes;
+  private long writeCount;
   private Gateway gateway;
 
   /** Creates a testbed in which nothing listens yet. */
@@ -96,28 +96,28 @@
   /**
    * Starts the registry and the caches, and registers the caches.
    *
-   * @param endpointCount how many endpoints the registry listens on
-   * @param edgeCount how many edge caches there are, next to one hub and one origin
+   * @param registryEndpointCount how many endpoints the registry listens on
+   * @param edgeCacheCount how many edge caches there are, next to one hub and one origin
    */
-  public void open(int endpointCount, int edgeCount) throws Exception {
+  public void open(int registryEndpointCount, int edgeCacheCount) throws Exception {
     EventLoopWaiter.await(
         callOnLoop(
             () -> {
-              List<Future<?>> opening = new ArrayList<>();
-              for (int index = 0; index < endpointCount; index++) {
-                opening.add(registry.open(0));
+              List<Future<?>> starting = new ArrayList<>();
+              for (int index = 0; index < registryEndpointCount; index++) {
+                starting.add(registry.open(0));
               }
-              for (int index = 0; index < edgeCount; index++) {
-                opening.add(listen("e" + index, HIT_MILLIS, EDGE_FILL_MILLIS));
+              for (int index = 0; index < edgeCacheCount; index++) {
+                starting.add(startCache("e" + index, HIT_MILLIS, EDGE_FILL_MILLIS));
               }
-              opening.add(listen("h0", HIT_MILLIS, HUB_FILL_MILLIS));
-              opening.add(listen("o0", ORIGIN_MILLIS, 0));
-              return Future.all(opening);
+              starting.add(startCache("h0", HIT_MILLIS, HUB_FILL_MILLIS));
+              starting.add(startCache("o0", ORIGIN_RESPONSE_MILLIS, 0));
+              return Future.all(starting);
             }));
     runOnLoop(() -> caches.keySet().forEach(id -> putCache(id, EndpointState.UP)));
   }
 
-  private Future<?> listen(String id, long hitMillis, long fillMillis) {
+  private Future<?> startCache(String id, long hitMillis, long fillMillis) {
     StandInCache cache = new StandInCache(vertx, id, hitMillis, fillMillis, caches::get);
     caches.put(id, cache);
     return cache.listen();
@@ -157,7 +157,8 @@
     Map<String, byte[]> transaction = new TreeMap<>();
     transaction.put(key, value.orElse(null));
     transaction.put(
-        PREFIX + RecordCodec.TIP_KEY, Long.toString(++writes).getBytes(StandardCharsets.US_ASCII));
+        PREFIX + RecordCodec.TIP_KEY,
+        Long.toString(++writeCount).getBytes(StandardCharsets.US_ASCII));
     registry.write(transaction);
   }
 
@@ -232,19 +233,21 @@
    * @param shareDivisor the gateway keeps one part in this many of its core's time
    */
   public void slowGatewayLoop(int shareDivisor) {
-    gatewayVertx.getOrCreateContext().runOnContext(loop -> spin(shareDivisor, System.nanoTime()));
+    gatewayVertx
+        .getOrCreateContext()
+        .runOnContext(loop -> busyWait(shareDivisor, System.nanoTime()));
   }
 
-  private void spin(int shareDivisor, long sinceNanos) {
+  private void busyWait(int shareDivisor, long sinceNanos) {
     gatewayVertx.setTimer(
         1,
         timer -> {
-          long spinNanos = (shareDivisor - 1) * (System.nanoTime() - sinceNanos);
-          long endNanos = System.nanoTime() + Math.min(MAX_SPIN_NANOS, spinNanos);
+          long busyWaitNanos = (shareDivisor - 1) * (System.nanoTime() - sinceNanos);
+          long endNanos = System.nanoTime() + Math.min(MAX_BUSY_WAIT_NANOS, busyWaitNanos);
           while (System.nanoTime() < endNanos) {
             Thread.onSpinWait();
           }
-          spin(shareDivisor, System.nanoTime());
+          busyWait(shareDivisor, System.nanoTime());
         });
   }
 
--- a/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
+++ b/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
@@ -4,51 +4,51 @@
 
 /**
  * Chooses the object that a client requests: by Zipf's law, or from the default set of {@value
- * #DEFAULT_OBJECTS} objects.
+ * #DEFAULT_OBJECT_COUNT} objects.
  */
 final class ObjectChoice {
-  private static final int DEFAULT_OBJECTS = 64;
+  private static final int DEFAULT_OBJECT_COUNT = 64;
 
   /** The cumulative probability of each object and all before it; empty for the default set. */
-  private final double[] cumulative;
+  private final double[] cumulativeProbabilities;
 
-  private ObjectChoice(double[] cumulative) {
-    this.cumulative = cumulative;
+  private ObjectChoice(double[] cumulativeProbabilities) {
+    this.cumulativeProbabilities = cumulativeProbabilities;
   }
 
   /**
    * Returns a choice among the default objects, in which lower numbers are requested more often.
    */
-  static ObjectChoice usual() {
+  static ObjectChoice defaultObjects() {
     return new ObjectChoice(new double[0]);
   }
 
   /** Returns a choice among the given number of objects, by Zipf's law with this exponent. */
-  static ObjectChoice zipf(int objects, double exponent) {
-    double[] cumulative = new double[objects];
+  static ObjectChoice zipf(int objectCount, double exponent) {
+    double[] cumulativeProbabilities = new double[objectCount];
     double sum = 0;
-    for (int object = 0; object < objects; object++) {
+    for (int object = 0; object < objectCount; object++) {
       sum += Math.pow(object + 1, -exponent);
-      cumulative[object] = sum;
+      cumulativeProbabilities[object] = sum;
     }
-    for (int object = 0; object < objects; object++) {
-      cumulative[object] /= sum;
+    for (int object = 0; object < objectCount; object++) {
+      cumulativeProbabilities[object] /= sum;
     }
-    return new ObjectChoice(cumulative);
+    return new ObjectChoice(cumulativeProbabilities);
   }
 
   /**
    * Returns the name of the object (16 hex digits) that a number drawn evenly from [0, 1) selects.
    */
-  String name(double uniform) {
-    return String.format("%016x", number(uniform));
+  String objectName(double uniform) {
+    return String.format("%016x", objectNumber(uniform));
   }
 
-  private long number(double uniform) {
-    if (cumulative.length == 0) {
-      return 1 + (long) (uniform * uniform * DEFAULT_OBJECTS);
+  private long objectNumber(double uniform) {
+    if (cumulativeProbabilities.length == 0) {
+      return 1 + (long) (uniform * uniform * DEFAULT_OBJECT_COUNT);
     }
-    int found = Arrays.binarySearch(cumulative, uniform);
-    return 1L + Math.min(cumulative.length - 1, found < 0 ? -found - 1 : found);
+    int found = Arrays.binarySearch(cumulativeProbabilities, uniform);
+    return 1L + Math.min(cumulativeProbabilities.length - 1, found < 0 ? -found - 1 : found);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -22,9 +22,9 @@
   private static final int OVERLOAD_MULTIPLE = 3;
   private static final int GATEWAY_CORE_DIVISOR = 4;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
-  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long FINAL_RESPONSE_WAIT_MILLIS = 1700;
   private static final long TICK_MILLIS = 10;
-  private static final long MAX_LATENCY_MICROS = 10_000_000;
+  private static final long MAX_LAG_MICROS = 10_000_000;
   private static final long MAX_OVERLOADED_LAG_MICROS = 50_000;
   private static final long MAX_SUSTAINED_LAG_MICROS = 40_000;
   private static final double MIN_SUSTAINED_SHARE = 0.98;
@@ -37,19 +37,19 @@
    *
    * @param requestRate requests per second that were offered
    * @param lostCount requests without a response, over the whole measurement
-   * @param loopLagMicros 99th percentile of the delay of the gateway's event loop
-   * @param latencyMicros 99th percentile of the latency of returned requests
+   * @param loopLagP99Micros 99th percentile of the delay of the gateway's event loop
+   * @param latencyP99Micros 99th percentile of the latency of returned requests
    */
   private record RateResult(
       int requestRate,
       double returnedPerSecond,
       double rejectedPerSecond,
       long lostCount,
-      long loopLagMicros,
-      long latencyMicros) {
+      long loopLagP99Micros,
+      long latencyP99Micros) {
     private boolean isSustained() {
       return returnedPerSecond >= MIN_SUSTAINED_SHARE * requestRate
-          && loopLagMicros <= MAX_SUSTAINED_LAG_MICROS;
+          && loopLagP99Micros <= MAX_SUSTAINED_LAG_MICROS;
     }
   }
 
@@ -59,7 +59,7 @@
    * @param seconds the duration of the measurement at each rate, in seconds
    */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
-    ExperimentReport result = new ExperimentReport(seed);
+    ExperimentReport report = new ExperimentReport(seed);
     RateResult sustained = null;
     out.println("first with cold code, which counts for nothing:");
     measure(seed, FIRST_RATE, seconds, out);
@@ -71,20 +71,20 @@
       sustained = measured;
     }
     if (sustained == null) {
-      return result.bar("bears " + FIRST_RATE + " GETs a second", false);
+      return report.bar("bears " + FIRST_RATE + " GETs a second", false);
     }
     RateResult overloaded = measure(seed, OVERLOAD_MULTIPLE * sustained.requestRate, seconds, out);
-    return result
+    return report
         .figure("borne", sustained.requestRate)
         .figure("offered", overloaded.requestRate)
         .figure("returned", (long) overloaded.returnedPerSecond)
         .figure("shed", (long) overloaded.rejectedPerSecond)
         .figure("lost", overloaded.lostCount)
-        .figure("lag_p99_ms", overloaded.loopLagMicros / 1000.0)
-        .figure("latency_p99_ms", overloaded.latencyMicros / 1000.0)
+        .figure("lag_p99_ms", overloaded.loopLagP99Micros / 1000.0)
+        .figure("latency_p99_ms", overloaded.latencyP99Micros / 1000.0)
         .bar(
             "the loop's lag under 50 ms, 99 of 100 ticks",
-            overloaded.loopLagMicros <= MAX_OVERLOADED_LAG_MICROS)
+            overloaded.loopLagP99Micros <= MAX_OVERLOADED_LAG_MICROS)
         .bar("no GET lost", overloaded.lostCount == 0)
         .bar(
             "half of what it bore is still returned",
@@ -118,8 +118,8 @@
           measured.returnedPerSecond,
           measured.rejectedPerSecond,
           measured.lostCount,
-          measured.loopLagMicros / 1e3,
-          measured.latencyMicros / 1e3);
+          measured.loopLagP99Micros / 1e3,
+          measured.latencyP99Micros / 1e3);
       return measured;
     }
   }
@@ -128,14 +128,15 @@
       LoopbackTestbed testbed, LoadGenerator loadGenerator, int rate, int seconds)
       throws Exception {
     long[] before = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
-    Histogram lag = new Histogram(MAX_LATENCY_MICROS, 3);
+    Histogram lagMicros = new Histogram(MAX_LAG_MICROS, 3);
     testbed.watchGatewayLoop(
         TICK_MILLIS,
-        lateNanos -> lag.recordValue(Math.max(0, Math.min(MAX_LATENCY_MICROS, lateNanos / 1000))));
+        lateNanos ->
+            lagMicros.recordValue(Math.max(0, Math.min(MAX_LAG_MICROS, lateNanos / 1000))));
     Thread.sleep(seconds * 1000L);
     long[] after = testbed.callOnLoop(() -> outcomeCounts(loadGenerator));
     testbed.runOnLoop(loadGenerator::stop);
-    Thread.sleep(LAST_ANSWER_MILLIS);
+    Thread.sleep(FINAL_RESPONSE_WAIT_MILLIS);
     return testbed.callOnLoop(
         () ->
             new RateResult(
@@ -143,7 +144,7 @@
                 (after[0] - before[0]) / (double) seconds,
                 (after[1] - before[1]) / (double) seconds,
                 loadGenerator.countOf(LoadGenerator.Outcome.LOST),
-                lag.getValueAtPercentile(99),
+                lagMicros.getValueAtPercentile(99),
                 loadGenerator.latency().getValueAtPercentile(99)));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/StandInCache.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCache.java
@@ -29,24 +29,24 @@
   /**
    * A request that a cache received.
    *
-   * @param cache the id of the cache that received it
-   * @param request the id of the request
-   * @param source the id of the cache from which a miss is filled; empty for none
+   * @param cacheId the id of the cache that received it
+   * @param requestId the id of the request
+   * @param sourceId the id of the cache from which a miss is filled; empty for none
    * @param executes whether the cache executes the request: it holds a copy or finds the source
    */
   public record ReceivedRequest(
-      String cache, String request, String trafficClass, String source, boolean executes) {}
+      String cacheId, String requestId, String trafficClass, String sourceId, boolean executes) {}
 
   private static final int MAX_MESSAGE_BYTES = 300_000;
   private static final int MAX_COPIES = 10_000;
-  private static final int WANT_ELEMENTS = 4;
+  private static final int REQUEST_ELEMENTS = 4;
 
   private final Vertx vertx;
   private final String id;
   private final long hitMillis;
   private final long fillMillis;
   private final Function<String, StandInCache> cachesById;
-  private final Set<NetSocket> sockets = new LinkedHashSet<>();
+  private final Set<NetSocket> openSockets = new LinkedHashSet<>();
   private final Map<String, Long> copies =
       new LinkedHashMap<>() {
         @Override
@@ -87,8 +87,8 @@
   }
 
   /** Sets the loopback address on which this cache will listen. */
-  public StandInCache listeningAt(String address) {
-    host = address;
+  public StandInCache withHost(String loopbackAddress) {
+    host = loopbackAddress;
     return this;
   }
 
@@ -97,12 +97,12 @@
    */
   public Future<StandInCache> listen() {
     server = vertx.createNetServer(new NetServerOptions().setHost(host).setPort(port));
-    server.connectHandler(this::connected);
+    server.connectHandler(this::onConnected);
     return server
         .listen()
         .map(
-            ignored -> {
-              port = ignored.actualPort();
+            listeningServer -> {
+              port = listeningServer.actualPort();
               return this;
             });
   }
@@ -168,13 +168,13 @@
   public void close() {
     server.close();
     copies.clear();
-    new HashSet<>(sockets).forEach(NetSocket::close);
+    new HashSet<>(openSockets).forEach(NetSocket::close);
   }
 
-  private void connected(NetSocket socket) {
+  private void onConnected(NetSocket socket) {
     connectionCount++;
-    sockets.add(socket);
-    socket.closeHandler(ignored -> sockets.remove(socket));
+    openSockets.add(socket);
+    socket.closeHandler(ignored -> openSockets.remove(socket));
     socket.exceptionHandler(e -> {});
     Set<String> openRequests = new HashSet<>();
     socket.handler(
@@ -185,7 +185,7 @@
               public void onReply(List<Buffer> elements) {
                 String status = elements.get(0).toString();
                 String request = elements.get(1).toString();
-                if (status.equals("want") && elements.size() == WANT_ELEMENTS) {
+                if (status.equals("want") && elements.size() == REQUEST_ELEMENTS) {
                   openRequests.add(request);
                   requestReceived(socket, openRequests, request, elements.get(2).toString());
                 } else {
@@ -208,19 +208,19 @@
     String key = request.key();
     Long issuedAtMillis = copies.get(key);
     boolean hit = isFresh(issuedAtMillis, request.maxAgeMillis());
-    StandInCache source = cachesById.apply(request.source());
+    StandInCache source = cachesById.apply(request.sourceId());
     listener.accept(
         new ReceivedRequest(
-            id, requestId, request.trafficClass(), request.source(), hit || source != null));
+            id, requestId, request.trafficClass(), request.sourceId(), hit || source != null));
     if (!hit && source == null) {
       respond(socket, openRequests, requestId, "nothing", "res=n", "");
       return;
     }
-    LongConsumer partReceived =
+    LongConsumer respondWithPart =
         filledAtMillis -> {
           if (hit) {
             hitCount++;
-          } else if (request.stores()) {
+          } else if (request.storesFilledPart()) {
             copies.put(key, filledAtMillis);
           }
           String result =
@@ -233,10 +233,11 @@
           respond(socket, openRequests, requestId, "ok", result, key + "@" + filledAtMillis);
         };
     if (hit) {
-      vertx.setTimer(hitMillis, timer -> partReceived.accept(issuedAtMillis));
+      vertx.setTimer(hitMillis, timer -> respondWithPart.accept(issuedAtMillis));
     } else {
       vertx.setTimer(
-          hitMillis + fillMillis, timer -> source.fill(key, request.maxAgeMillis(), partReceived));
+          hitMillis + fillMillis,
+          timer -> source.fill(key, request.maxAgeMillis(), respondWithPart));
     }
   }
 
@@ -249,43 +250,51 @@
    * Fills another cache with a part: from its own copy if that is fresh enough, else with a copy
    * that the origin issues now.
    */
-  private void fill(String key, long maxAgeMillis, LongConsumer whenFilled) {
+  private void fill(String key, long maxAgeMillis, LongConsumer completion) {
     fillCount++;
     lastRequestNanos = System.nanoTime();
     Long issuedAtMillis = copies.get(key);
     StandInCache origin = cachesById.apply("o0");
-    boolean holds = isFresh(issuedAtMillis, maxAgeMillis);
-    if (!holds && origin != null && origin != this) {
+    boolean hasFreshCopy = isFresh(issuedAtMillis, maxAgeMillis);
+    if (!hasFreshCopy && origin != null && origin != this) {
       vertx.setTimer(
           fillMillis,
-          asked ->
+          fillTimer ->
               origin.fill(
                   key,
                   maxAgeMillis,
                   filledAtMillis -> {
                     copies.put(key, filledAtMillis);
-                    whenFilled.accept(filledAtMillis);
+                    completion.accept(filledAtMillis);
                   }));
     } else if (!hung) {
       vertx.setTimer(
           hitMillis,
-          timer -> whenFilled.accept(holds ? issuedAtMillis : System.currentTimeMillis()));
+          timer -> completion.accept(hasFreshCopy ? issuedAtMillis : System.currentTimeMillis()));
     }
   }
 
   private void respond(
       NetSocket socket,
       Set<String> openRequests,
-      String request,
+      String requestId,
       String status,
       String fields,
       String body) {
-    if (!hung && openRequests.remove(request)) {
-      socket.write(bulk(bulk(bulk(bulk(Buffer.buffer("*4\r\n"), request), status), fields), body));
+    if (!hung && openRequests.remove(requestId)) {
+      socket.write(
+          appendBulkString(
+              appendBulkString(
+                  appendBulkString(appendBulkString(Buffer.buffer("*4\r\n"), requestId), status),
+                  fields),
+              body));
     }
   }
 
-  private static Buffer bulk(Buffer out, String text) {
-    return out.appendString("$" + text.length() + "\r\n").appendString(text).appendString("\r\n");
+  private static Buffer appendBulkString(Buffer buffer, String text) {
+    return buffer
+        .appendString("$" + text.length() + "\r\n")
+        .appendString(text)
+        .appendString("\r\n");
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/StandInCacheRequest.java
+++ b/lab/src/main/java/org/amberpath/lab/StandInCacheRequest.java
@@ -28,7 +28,7 @@
   }
 
   /** Returns the id of the cache from which a miss is filled; empty for none. */
-  String source() {
+  String sourceId() {
     return fields.getOrDefault("miss", "");
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** Returns whether the cache stores a part that it fills. */
-  boolean stores() {
+  boolean storesFilledPart() {
     return Integer.parseInt(fields.getOrDefault("prio", "0")) > 0;
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -37,29 +37,29 @@
 
   /** Measures both sizes one after the other and compares their usage. */
   public static ExperimentReport run(Plan plan, PrintStream out) throws Exception {
-    ExperimentReport result =
+    ExperimentReport report =
         new ExperimentReport(plan.seed())
             .figure("gateways", plan.gateways())
             .figure("request_rate", plan.requestRate())
             .figure("sockets", plan.sockets())
             .figure("seconds", plan.seconds());
-    GatewayUsage usual = measure(plan, plan.endpoints(), "usual", result, out);
-    GatewayUsage scaled = measure(plan, plan.endpoints() * plan.times(), "many", result, out);
-    UsageBounds.compare(usual, scaled, result);
-    return result;
+    GatewayUsage usualUsage = measure(plan, plan.endpoints(), "usual", report, out);
+    GatewayUsage scaledUsage = measure(plan, plan.endpoints() * plan.times(), "many", report, out);
+    UsageBounds.compare(usualUsage, scaledUsage, report);
+    return report;
   }
 
   private static GatewayUsage measure(
-      Plan plan, int endpoints, String name, ExperimentReport result, PrintStream out)
+      Plan plan, int endpoints, String name, ExperimentReport report, PrintStream out)
       throws Exception {
     try (EndpointsTestbed testbed = new EndpointsTestbed(plan, endpoints, name)) {
       GatewayUsage usage = testbed.measure();
       out.println(name + ": " + usage.figures() + " " + testbed.details());
-      result
+      report
           .figure(name, usage.figures())
           .figure(name + "_details", testbed.details())
           .bar(name + ": no rule broken", testbed.violations().isEmpty())
-          .bar(name + ": no request lost or answered twice", testbed.lostOrTwice() == 0);
+          .bar(name + ": no request lost or answered twice", testbed.lostOrDuplicatedCount() == 0);
       testbed.violations().forEach(out::println);
       return usage;
     }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsTestbed.java
@@ -52,21 +52,21 @@
   private static final double ORIGIN_WEIGHT = 1000;
   private static final int HIT_MILLIS = 2;
   private static final int FILL_MILLIS = 8;
-  private static final int ORIGIN_MILLIS = 10;
-  private static final int OBJECTS = 4000;
+  private static final int ORIGIN_RESPONSE_MILLIS = 10;
+  private static final int OBJECT_COUNT = 4000;
   private static final double ZIPF_EXPONENT = 1.05;
   private static final int IDLE_SECONDS = 12;
   private static final int CLIENT_CONNECTIONS = 8;
-  private static final int ORDERS_PART = 10;
-  private static final long ALLOW_MILLIS = 1500;
-  private static final long STEP_MILLIS = 500;
+  private static final int ORDERS_RATE_DIVISOR = 10;
+  private static final long REQUEST_TIMEOUT_MILLIS = 1500;
+  private static final long REPLACEMENT_STEP_MILLIS = 500;
 
   /**
    * The fractions of the measurement after which the replacement begins, and during which it lasts.
    */
-  private static final double REPLACEMENT_START = 0.2;
+  private static final double REPLACEMENT_START_SHARE = 0.2;
 
-  private static final double REPLACEMENT_LENGTH = 0.6;
+  private static final double REPLACEMENT_DURATION_SHARE = 0.6;
   private static final long DRAIN_MILLIS = 1000;
   private static final long SAMPLE_MILLIS = 50;
   private static final long START_TIMEOUT_SECONDS = 30;
@@ -82,10 +82,10 @@
   private final StandInJournal journal = new StandInJournal(vertx);
   private final Map<String, StandInCache> caches = new HashMap<>();
   private final ArrayDeque<String> toReplace = new ArrayDeque<>();
-  private final List<LoadGenerator> clients = new ArrayList<>();
+  private final List<LoadGenerator> loadGenerators = new ArrayList<>();
   private final RuleAuditor auditor;
   private final Map<String, Object> details = new LinkedHashMap<>();
-  private final Thread onExit = new Thread(this::killGateway, "endpoints testbed");
+  private final Thread shutdownHook = new Thread(this::killGateway, "endpoints testbed");
   private GatewayProcess gateway;
   private ProcessUsage usage;
   private int nextId;
@@ -97,61 +97,61 @@
     folder = plan.folder();
     weight = CAPACITY_PER_GATEWAY * plan.gateways() / endpoints;
     random = new SplittableRandom(plan.seed());
-    Runtime.getRuntime().addShutdownHook(onExit);
-    auditor = onLoop(() -> new RuleAuditor(vertx));
-    EventLoopWaiter.await(onLoop(journal::listen));
-    listen();
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
+    auditor = callOnLoop(() -> new RuleAuditor(vertx));
+    EventLoopWaiter.await(callOnLoop(journal::listen));
+    startEndpoints();
   }
 
-  private <T> T onLoop(Callable<T> callable) throws Exception {
+  private <T> T callOnLoop(Callable<T> callable) throws Exception {
     return EventLoopWaiter.callOnLoop(vertx, callable);
   }
 
-  private void listen() throws Exception {
+  private void startEndpoints() throws Exception {
     EventLoopWaiter.await(
-        onLoop(
+        callOnLoop(
             () -> {
-              List<Future<?>> listening = new ArrayList<>(List.of(open(ORIGIN_ID)));
+              List<Future<?>> listening = new ArrayList<>(List.of(startCache(ORIGIN_ID)));
               for (int index = 0; index < endpoints; index++) {
-                listening.add(open(newId(index % ENDPOINTS_PER_PARENT == 0)));
+                listening.add(startCache(newId(index % ENDPOINTS_PER_PARENT == 0)));
               }
               return Future.all(listening);
             }));
-    onLoop(
+    callOnLoop(
         () -> {
           List<String> ids = caches.keySet().stream().sorted().toList();
           journal.announceCaches(
               StandInJournal.ListScope.FULL,
               ids.stream().map(id -> instance(id, EndpointState.UP, 0)).toList());
           ids.stream().filter(id -> !id.equals(ORIGIN_ID)).forEach(toReplace::add);
-          shuffle();
+          selectReplacements();
           return null;
         });
   }
 
   /** Selects half of the endpoints for replacement, in a random order that the seed determines. */
-  private void shuffle() {
+  private void selectReplacements() {
     List<String> ids = new ArrayList<>(toReplace);
     Collections.shuffle(ids, new Random(random.nextLong()));
     toReplace.clear();
     toReplace.addAll(ids.subList(0, endpoints / 2));
   }
 
-  private String newId(boolean parent) {
-    return (parent ? "h" : "e") + nextId++;
+  private String newId(boolean isParent) {
+    return (isParent ? "h" : "e") + nextId++;
   }
 
-  private Future<StandInCache> open(String id) {
-    boolean origin = id.equals(ORIGIN_ID);
+  private Future<StandInCache> startCache(String id) {
+    boolean isOrigin = id.equals(ORIGIN_ID);
     StandInCache cache =
         new StandInCache(
                 vertx,
                 id,
-                origin ? ORIGIN_MILLIS : HIT_MILLIS,
-                origin ? 0 : FILL_MILLIS,
+                isOrigin ? ORIGIN_RESPONSE_MILLIS : HIT_MILLIS,
+                isOrigin ? 0 : FILL_MILLIS,
                 caches::get)
             .withListener(auditor::requestReceived)
-            .listeningAt(LOOPBACK);
+            .withHost(LOOPBACK);
     caches.put(id, cache);
     return cache.listen();
   }
@@ -177,25 +177,25 @@
   GatewayUsage measure() throws Exception {
     int port = startGateway();
     long sampler =
-        onLoop(() -> vertx.setPeriodic(SAMPLE_MILLIS, tick -> usage.sampleDescriptors()));
+        callOnLoop(() -> vertx.setPeriodic(SAMPLE_MILLIS, tick -> usage.sampleDescriptors()));
     details.put("cpu_s_at_start", usage.cpuSeconds());
     details.put("memory_mb_at_start", usage.peakMemoryMegabytes());
-    long bytesAtStart = onLoop(journal::bytesSent);
+    long bytesAtStart = callOnLoop(journal::bytesSent);
     startClients(port);
-    long replacer = onLoop(this::replaceInSteps);
+    long replacer = callOnLoop(this::startReplacement);
     Thread.sleep(plan.seconds() * MILLIS_PER_SECOND);
-    onLoop(
+    callOnLoop(
         () -> {
           vertx.cancelTimer(replacer);
-          clients.forEach(LoadGenerator::stop);
+          loadGenerators.forEach(LoadGenerator::stop);
           return null;
         });
-    Thread.sleep(ALLOW_MILLIS + DRAIN_MILLIS);
-    onLoop(() -> vertx.cancelTimer(sampler));
+    Thread.sleep(REQUEST_TIMEOUT_MILLIS + DRAIN_MILLIS);
+    callOnLoop(() -> vertx.cancelTimer(sampler));
     double cpuSeconds = usage.cpuSeconds();
     double peakMemory = usage.peakMemoryMegabytes();
-    GatewayUsage needed =
-        onLoop(
+    GatewayUsage measured =
+        callOnLoop(
             () ->
                 new GatewayUsage(
                     endpoints,
@@ -205,8 +205,8 @@
                     caches.values().stream().mapToLong(StandInCache::connectionCount).sum(),
                     journal.bytesSent() - bytesAtStart,
                     shareServed()));
-    finish();
-    return needed;
+    stopGateway();
+    return measured;
   }
 
   private int startGateway() throws Exception {
@@ -224,7 +224,7 @@
             "\"limits\":{\"sockets\":"
                 + plan.sockets()
                 + "},\"known\":"
-                + onLoop(journal::allEvents)
+                + callOnLoop(journal::allEvents)
                 + ","));
     gateway =
         new GatewayProcess(
@@ -238,22 +238,24 @@
 
   private void startClients(int port) throws Exception {
     EventLoopWaiter.await(
-        onLoop(
+        callOnLoop(
             () -> {
               List<Future<?>> connecting = new ArrayList<>();
-              for (String service : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
+              for (String trafficClass : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
                 LoadGenerator loadGenerator =
                     new LoadGenerator(
                             vertx,
-                            service,
-                            ALLOW_MILLIS,
+                            trafficClass,
+                            REQUEST_TIMEOUT_MILLIS,
                             random.nextLong(),
                             auditor::responseReceived)
-                        .withZipfPopularity(OBJECTS, ZIPF_EXPONENT);
-                clients.add(loadGenerator);
-                boolean orders = service.equals(LabSettings.ORDERS);
+                        .withZipfPopularity(OBJECT_COUNT, ZIPF_EXPONENT);
+                loadGenerators.add(loadGenerator);
+                boolean isOrders = trafficClass.equals(LabSettings.ORDERS);
                 int rate =
-                    Math.max(1, orders ? plan.requestRate() / ORDERS_PART : plan.requestRate());
+                    Math.max(
+                        1,
+                        isOrders ? plan.requestRate() / ORDERS_RATE_DIVISOR : plan.requestRate());
                 connecting.add(loadGenerator.start(port, CLIENT_CONNECTIONS, rate));
               }
               return Future.all(connecting);
@@ -262,16 +264,17 @@
 
   // ---- Replacement of endpoints.
 
-  private long replaceInSteps() {
-    long lengthMillis = (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_LENGTH);
-    long steps = Math.max(1, lengthMillis / STEP_MILLIS);
-    int atOnce = (int) Math.ceil((double) toReplace.size() / steps);
-    long firstMillis = Math.max(1, (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_START));
+  private long startReplacement() {
+    long lengthMillis = (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_DURATION_SHARE);
+    long steps = Math.max(1, lengthMillis / REPLACEMENT_STEP_MILLIS);
+    int endpointsPerStep = (int) Math.ceil((double) toReplace.size() / steps);
+    long firstMillis =
+        Math.max(1, (long) (plan.seconds() * MILLIS_PER_SECOND * REPLACEMENT_START_SHARE));
     return vertx.setPeriodic(
         firstMillis,
-        STEP_MILLIS,
+        REPLACEMENT_STEP_MILLIS,
         tick -> {
-          for (int generator = 0; generator < atOnce && !toReplace.isEmpty(); generator++) {
+          for (int index = 0; index < endpointsPerStep && !toReplace.isEmpty(); index++) {
             replace(toReplace.remove());
           }
         });
@@ -279,59 +282,59 @@
 
   private void replace(String oldId) {
     String newId = newId(oldId.startsWith("h"));
-    open(newId)
+    startCache(newId)
         .onSuccess(
             ignored -> {
               long now = System.currentTimeMillis();
-              tell(instance(newId, EndpointState.UP, now));
+              announce(instance(newId, EndpointState.UP, now));
               auditor.cacheStartedCold(newId, weight);
-              tell(instance(oldId, EndpointState.DRAINING, 0));
+              announce(instance(oldId, EndpointState.DRAINING, 0));
               auditor.cacheDrained(oldId);
               vertx.setTimer(
                   DRAIN_MILLIS,
                   timer -> {
-                    tell(instance(oldId, EndpointState.GONE, 0));
+                    announce(instance(oldId, EndpointState.GONE, 0));
                     caches.get(oldId).close();
                   });
             });
   }
 
   /** Announces one changed endpoint, in a journal event of its own. */
-  private void tell(Instance changed) {
+  private void announce(Instance changed) {
     journal.announceCaches(StandInJournal.ListScope.CHANGES, List.of(changed));
   }
 
   // ---- Results.
 
   private long countOf(LoadGenerator.Outcome outcome) {
-    return clients.stream().mapToLong(generator -> generator.countOf(outcome)).sum();
+    return loadGenerators.stream().mapToLong(generator -> generator.countOf(outcome)).sum();
   }
 
   private double shareServed() {
-    long all =
-        clients.stream()
-            .mapToLong(generator -> generator.notSent() + generator.pendingCount())
+    long scheduledCount =
+        loadGenerators.stream()
+            .mapToLong(generator -> generator.notSentCount() + generator.pendingCount())
             .sum();
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
       long count = countOf(outcome);
       details.put(outcome.name().toLowerCase(Locale.ROOT), count);
-      all += outcome == LoadGenerator.Outcome.TWICE ? 0 : count;
+      scheduledCount += outcome == LoadGenerator.Outcome.TWICE ? 0 : count;
     }
     details.put("left_to_replace", toReplace.size());
     details.put("hits", caches.values().stream().mapToLong(StandInCache::hitCount).sum());
     details.put(
         "caches_asked",
         caches.values().stream().filter(generator -> generator.requestCount() > 0).count());
-    return all == 0
+    return scheduledCount == 0
         ? 0
-        : UsageBounds.rounded((double) countOf(LoadGenerator.Outcome.RETURNED) / all);
+        : UsageBounds.rounded((double) countOf(LoadGenerator.Outcome.RETURNED) / scheduledCount);
   }
 
-  private void finish() throws Exception {
+  private void stopGateway() throws Exception {
     gateway.terminate();
     details.put("exit_code", gateway.awaitExit());
-    details.put("failures_in_log", gateway.severeLines());
-    details.putAll(onLoop(auditor::figures));
+    details.put("failures_in_log", gateway.severeLineCount());
+    details.putAll(callOnLoop(auditor::figures));
   }
 
   Map<String, Object> details() {
@@ -339,11 +342,12 @@
   }
 
   List<String> violations() throws Exception {
-    return onLoop(() -> List.copyOf(auditor.violations()));
+    return callOnLoop(() -> List.copyOf(auditor.violations()));
   }
 
-  long lostOrTwice() throws Exception {
-    return onLoop(() -> countOf(LoadGenerator.Outcome.LOST) + countOf(LoadGenerator.Outcome.TWICE));
+  long lostOrDuplicatedCount() throws Exception {
+    return callOnLoop(
+        () -> countOf(LoadGenerator.Outcome.LOST) + countOf(LoadGenerator.Outcome.TWICE));
   }
 
   private void killGateway() {
@@ -358,7 +362,7 @@
       gateway.terminate();
       gateway.awaitExit();
     }
-    Runtime.getRuntime().removeShutdownHook(onExit);
+    Runtime.getRuntime().removeShutdownHook(shutdownHook);
     EventLoopWaiter.await(vertx.close());
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/UsageBounds.java
@@ -8,64 +8,67 @@
  * for each thousand endpoints.
  */
 public final class UsageBounds {
-  private static final double CPU_TIMES = 1.4;
-  private static final double CPU_SECONDS = 0.02;
-  private static final double CPU_SECONDS_PER_THOUSAND = 0.12;
-  private static final double MEMORY_TIMES = 1.5;
-  private static final double MEMORY_MEGABYTES = 8;
+  private static final double CPU_FACTOR = 1.4;
+  private static final double EXTRA_CPU_SECONDS = 0.02;
+  private static final double CPU_SECONDS_PER_THOUSAND_ENDPOINTS = 0.12;
+  private static final double MEMORY_FACTOR = 1.5;
+  private static final double EXTRA_MEMORY_MEGABYTES = 8;
   private static final double MEMORY_MEGABYTES_PER_THOUSAND = 4;
-  private static final double DESCRIPTOR_TIMES = 2;
-  private static final double DESCRIPTORS = 40;
-  private static final double CONNECTION_TIMES = 2.5;
-  private static final double CONNECTIONS = 40;
-  private static final double DISCOVERY_TIMES = 2;
-  private static final double DISCOVERY_BYTES = 64_000;
+  private static final double DESCRIPTOR_FACTOR = 2;
+  private static final double EXTRA_DESCRIPTORS = 40;
+  private static final double CONNECTION_FACTOR = 2.5;
+  private static final double EXTRA_CONNECTIONS = 40;
+  private static final double DISCOVERY_FACTOR = 2;
+  private static final double EXTRA_DISCOVERY_BYTES = 64_000;
   private static final double DISCOVERY_BYTES_PER_THOUSAND = 500_000;
-  private static final double SERVED_TIMES = 0.85;
-  private static final double ROUNDING = 1e-9;
+  private static final double MIN_SERVED_FACTOR = 0.85;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private UsageBounds() {}
 
   /** Adds one bar for each figure to a report, and the bound that the figure was compared with. */
-  public static void compare(GatewayUsage usual, GatewayUsage scaled, ExperimentReport result) {
+  public static void compare(GatewayUsage usual, GatewayUsage scaled, ExperimentReport report) {
     double thousands = scaled.endpoints() / 1000.0;
-    atMost(
-        result,
+    addUpperBound(
+        report,
         "cpu_s",
         scaled.cpuSeconds(),
-        CPU_TIMES * usual.cpuSeconds() + CPU_SECONDS + CPU_SECONDS_PER_THOUSAND * thousands);
-    atMost(
-        result,
+        CPU_FACTOR * usual.cpuSeconds()
+            + EXTRA_CPU_SECONDS
+            + CPU_SECONDS_PER_THOUSAND_ENDPOINTS * thousands);
+    addUpperBound(
+        report,
         "peak_memory_mb",
         scaled.peakMemoryMegabytes(),
-        MEMORY_TIMES * usual.peakMemoryMegabytes()
-            + MEMORY_MEGABYTES
+        MEMORY_FACTOR * usual.peakMemoryMegabytes()
+            + EXTRA_MEMORY_MEGABYTES
             + MEMORY_MEGABYTES_PER_THOUSAND * thousands);
-    atMost(
-        result,
+    addUpperBound(
+        report,
         "peak_descriptors",
         scaled.peakDescriptors(),
-        DESCRIPTOR_TIMES * usual.peakDescriptors() + DESCRIPTORS);
-    atMost(
-        result,
+        DESCRIPTOR_FACTOR * usual.peakDescriptors() + EXTRA_DESCRIPTORS);
+    addUpperBound(
+        report,
         "cache_connections",
         (double) scaled.cacheConnections(),
-        CONNECTION_TIMES * usual.cacheConnections() + CONNECTIONS);
-    atMost(
-        result,
+        CONNECTION_FACTOR * usual.cacheConnections() + EXTRA_CONNECTIONS);
+    addUpperBound(
+        report,
         "discovery_bytes",
         (double) scaled.discoveryBytes(),
-        DISCOVERY_TIMES * usual.discoveryBytes()
-            + DISCOVERY_BYTES
+        DISCOVERY_FACTOR * usual.discoveryBytes()
+            + EXTRA_DISCOVERY_BYTES
             + DISCOVERY_BYTES_PER_THOUSAND * thousands);
-    double leastServed = SERVED_TIMES * usual.shareServed();
-    result
-        .figure("least_share_served", rounded(leastServed))
-        .bar("share_served", scaled.shareServed() >= leastServed - ROUNDING);
+    double minShareServed = MIN_SERVED_FACTOR * usual.shareServed();
+    report
+        .figure("least_share_served", rounded(minShareServed))
+        .bar("share_served", scaled.shareServed() >= minShareServed - ROUNDING_TOLERANCE);
   }
 
-  private static void atMost(ExperimentReport result, String name, double value, double bound) {
-    result.figure("most_" + name, rounded(bound)).bar(name, value <= bound + ROUNDING);
+  private static void addUpperBound(
+      ExperimentReport report, String name, double value, double bound) {
+    report.figure("most_" + name, rounded(bound)).bar(name, value <= bound + ROUNDING_TOLERANCE);
   }
 
   static double rounded(double value) {
--- a/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
@@ -21,11 +21,11 @@
   private record ClientRequest(long key, long startedAtNanos, int retries) {}
 
   private static final long REQUEST_TIMEOUT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_RETRY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
-  private static final long DEFAULT_RETRY_NANOS = 300 * Simulation.NANOS_PER_MILLI;
+  private static final long MIN_TIME_FOR_RETRY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+  private static final long DEFAULT_RETRY_DELAY_NANOS = 300 * Simulation.NANOS_PER_MILLI;
   private static final long LATENCY_OBJECTIVE_NANOS = 400 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_STAGGER_NANOS = 8 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_ARRIVALS_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+  private static final long FINAL_PERIOD_WITHOUT_ARRIVALS_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final double MIN_TRAFFIC_SHARE = 0.25;
   private static final double TRAFFIC_SHARE_SPREAD = 1.5;
 
@@ -40,9 +40,9 @@
    */
   private final double trafficShare;
 
-  private final Map<Long, ClientRequest> open = new HashMap<>();
+  private final Map<Long, ClientRequest> openRequests = new HashMap<>();
   private RecoveryRamp recoveryRamp;
-  private long opensAtNanos;
+  private long admitsFromNanos;
 
   ClientTraffic(VirtualFleet fleet, FleetGateway gateway) {
     this.fleet = fleet;
@@ -56,8 +56,8 @@
    * Called when the gateway has started: draws the time at which it begins to admit requests, and
    * resets its admission ramp.
    */
-  void gatewayStarted(OpeningPolicy policy) {
-    opensAtNanos =
+  void onGatewayStarted(OpeningPolicy policy) {
+    admitsFromNanos =
         policy == OpeningPolicy.STAGGERED
             ? scheduler.nowNanos() + random.nextLong(MAX_STAGGER_NANOS)
             : scheduler.nowNanos();
@@ -69,7 +69,7 @@
    * Called when the gateway knows the listed caches: gives the ramp the request rate that this
    * gateway's share of the caches can serve at the start of their warm-up.
    */
-  void endpointsListed(OpeningPolicy policy) {
+  void onEndpointsListed(OpeningPolicy policy) {
     double edgeCapacity =
         fleet.caches().stream()
             .filter(cache -> cache.kind().equals(LabSettings.EDGE))
@@ -85,10 +85,10 @@
   }
 
   /** Called when the gateway has lost power: its clients retry their open requests. */
-  void gatewayCrashed() {
-    List<ClientRequest> interrupted = List.copyOf(open.values());
-    open.clear();
-    interrupted.forEach(request -> retryLater(request, DEFAULT_RETRY_NANOS));
+  void onGatewayCrashed() {
+    List<ClientRequest> interrupted = List.copyOf(openRequests.values());
+    openRequests.clear();
+    interrupted.forEach(request -> scheduleRetry(request, DEFAULT_RETRY_DELAY_NANOS));
   }
 
   void tick(long nowNanos) {
@@ -96,7 +96,7 @@
   }
 
   boolean isOpen(long requestId) {
-    return open.containsKey(requestId);
+    return openRequests.containsKey(requestId);
   }
 
   /** Schedules the arrival of the next request, which in turn schedules the one after it. */
@@ -106,7 +106,7 @@
         (long)
             (-Math.log(1 - random.nextDouble()) / requestsPerSecond * Simulation.NANOS_PER_SECOND),
         () -> {
-          if (scheduler.nowNanos() < fleet.endNanos() - NO_ARRIVALS_NANOS) {
+          if (scheduler.nowNanos() < fleet.endNanos() - FINAL_PERIOD_WITHOUT_ARRIVALS_NANOS) {
             long key = fleet.popularity().drawKey(random);
             requestArrived(new ClientRequest(key, scheduler.nowNanos(), 0));
             scheduleArrivals();
@@ -119,35 +119,38 @@
       fleet.figures().count("asked", request.startedAtNanos);
     }
     if (!gateway.isRunning()) {
-      retryLater(request, DEFAULT_RETRY_NANOS);
+      scheduleRetry(request, DEFAULT_RETRY_DELAY_NANOS);
       return;
     }
     long nowNanos = scheduler.nowNanos();
-    boolean further = ObjectPopularity.part(request.key) > 0;
-    if (nowNanos < opensAtNanos || !recoveryRamp.tryAdmit(nowNanos, further)) {
+    boolean continuesSession = ObjectPopularity.part(request.key) > 0;
+    if (nowNanos < admitsFromNanos || !recoveryRamp.tryAdmit(nowNanos, continuesSession)) {
       fleet.figures().count("turned_away", nowNanos);
-      retryLater(
+      scheduleRetry(
           request,
-          nowNanos < opensAtNanos ? DEFAULT_RETRY_NANOS : recoveryRamp.retryAfterNanos(further));
+          nowNanos < admitsFromNanos
+              ? DEFAULT_RETRY_DELAY_NANOS
+              : recoveryRamp.retryAfterNanos(continuesSession));
       return;
     }
     long id = gateway.newRequestId(request.key);
-    open.put(id, request);
-    gateway.tasks().objectRequested(request.key);
+    openRequests.put(id, request);
+    gateway.tasks().recordRequestedKey(request.key);
     long deadlineNanos = request.startedAtNanos + REQUEST_TIMEOUT_NANOS;
     gateway.enqueue(
         events ->
-            events.requestReceived(details(id, request.key, deadlineNanos - scheduler.nowNanos())));
+            events.requestReceived(
+                requestDetails(id, request.key, deadlineNanos - scheduler.nowNanos())));
     scheduler.schedule(
         deadlineNanos,
         () -> {
-          if (open.remove(id) != null) {
+          if (openRequests.remove(id) != null) {
             gateway.enqueue(events -> events.clientDisconnected(id));
           }
         });
   }
 
-  private static RequestDetails details(long id, long key, long timeLeftNanos) {
+  private static RequestDetails requestDetails(long id, long key, long timeLeftNanos) {
     return new RequestDetails(
         id,
         0,
@@ -159,9 +162,9 @@
         false);
   }
 
-  private void retryLater(ClientRequest request, long delayNanos) {
+  private void scheduleRetry(ClientRequest request, long delayNanos) {
     long deadlineNanos = request.startedAtNanos + REQUEST_TIMEOUT_NANOS;
-    if (scheduler.nowNanos() + delayNanos < deadlineNanos - NO_RETRY_NANOS) {
+    if (scheduler.nowNanos() + delayNanos < deadlineNanos - MIN_TIME_FOR_RETRY_NANOS) {
       scheduler.scheduleAfter(
           delayNanos,
           () ->
@@ -174,8 +177,8 @@
    * Called when a request has been returned; counts it as good within the latency objective of
    * {@value #LATENCY_OBJECTIVE_NANOS} ns.
    */
-  void answered(long requestId) {
-    ClientRequest request = open.remove(requestId);
+  void onAnswered(long requestId) {
+    ClientRequest request = openRequests.remove(requestId);
     if (request != null) {
       if (scheduler.nowNanos() - request.startedAtNanos <= LATENCY_OBJECTIVE_NANOS) {
         fleet.figures().count("good", request.startedAtNanos);
@@ -190,16 +193,16 @@
    * @param retryAfterNanos the delay after which the client is asked to retry; 0 for none, which
    *     selects the default delay
    */
-  void rejected(long requestId, long retryAfterNanos) {
-    ClientRequest request = open.remove(requestId);
+  void onRejected(long requestId, long retryAfterNanos) {
+    ClientRequest request = openRequests.remove(requestId);
     if (request != null) {
       fleet.figures().count("shed", scheduler.nowNanos());
-      retryLater(request, retryAfterNanos > 0 ? retryAfterNanos : DEFAULT_RETRY_NANOS);
+      scheduleRetry(request, retryAfterNanos > 0 ? retryAfterNanos : DEFAULT_RETRY_DELAY_NANOS);
     }
   }
 
   /** Called when a request has failed; its client does not retry it. */
-  void failed(long requestId) {
-    open.remove(requestId);
+  void onFailed(long requestId) {
+    openRequests.remove(requestId);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
@@ -18,10 +18,10 @@
  * its capacity allows, at least one; further transfers wait in a queue without a bound.
  */
 public final class FleetCache {
-  private static final double MIN_WORK = 0.8;
-  private static final double WORK_SPREAD = 0.4;
-  private static final long MISS_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long PARENT_MISS_NANOS = 20 * Simulation.NANOS_PER_MILLI;
+  private static final double MIN_WORK_FACTOR = 0.8;
+  private static final double WORK_FACTOR_SPREAD = 0.4;
+  private static final long MISS_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long PARENT_MISS_DELAY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
 
   private final VirtualFleet fleet;
   private final VirtualScheduler scheduler;
@@ -106,15 +106,16 @@
   }
 
   private void startTransfer(Runnable completed) {
-    long scheduledIn = incarnation;
+    long scheduledIncarnation = incarnation;
     Runnable transfer =
         () -> {
           activeTransfers++;
-          double workSeconds =
+          double workNanos =
               VirtualFleet.WORK_SECONDS
                   * Simulation.NANOS_PER_SECOND
-                  * (MIN_WORK + WORK_SPREAD * fleet.random().nextDouble());
-          scheduler.scheduleAfter((long) workSeconds, () -> endTransfer(scheduledIn, completed));
+                  * (MIN_WORK_FACTOR + WORK_FACTOR_SPREAD * fleet.random().nextDouble());
+          scheduler.scheduleAfter(
+              (long) workNanos, () -> endTransfer(scheduledIncarnation, completed));
         };
     if (activeTransfers < Math.max(1, capacity)) {
       transfer.run();
@@ -123,8 +124,8 @@
     }
   }
 
-  private void endTransfer(long scheduledIn, Runnable completed) {
-    if (incarnation == scheduledIn && !hung) {
+  private void endTransfer(long scheduledIncarnation, Runnable completed) {
+    if (incarnation == scheduledIncarnation && !hung) {
       activeTransfers--;
       if (!waitingTransfers.isEmpty()) {
         waitingTransfers.poll().run();
@@ -151,12 +152,12 @@
       answer(request, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
       return;
     }
-    long receivedIn = incarnation;
+    long receivedIncarnation = incarnation;
     Runnable respond =
         () ->
             startTransfer(
                 () -> {
-                  if (incarnation == receivedIn && request.stores()) {
+                  if (incarnation == receivedIncarnation && request.stores()) {
                     storedKeys.add(request.key());
                   }
                   answer(
@@ -167,7 +168,8 @@
     if (hit) {
       respond.run();
     } else {
-      scheduler.scheduleAfter(MISS_NANOS, () -> request.source().fill(request.key(), respond));
+      scheduler.scheduleAfter(
+          MISS_DELAY_NANOS, () -> request.source().fill(request.key(), respond));
     }
   }
 
@@ -186,7 +188,7 @@
     FleetCache origin = fleet.origin();
     if (storedKeys.contains(key) || this == origin) {
       if (this == origin) {
-        fleet.figures().originFilled(scheduler.nowNanos());
+        fleet.figures().countOriginFill(scheduler.nowNanos());
       }
       startTransfer(filled);
     } else if (fillsInProgress.containsKey(key)) {
@@ -194,14 +196,15 @@
     } else {
       List<Runnable> waiters = new ArrayList<>(List.of(filled));
       fillsInProgress.put(key, waiters);
-      long startedIn = incarnation;
+      long startedIncarnation = incarnation;
       scheduler.scheduleAfter(
-          PARENT_MISS_NANOS, () -> origin.fill(key, () -> fillCompleted(key, startedIn, waiters)));
+          PARENT_MISS_DELAY_NANOS,
+          () -> origin.fill(key, () -> fillCompleted(key, startedIncarnation, waiters)));
     }
   }
 
-  private void fillCompleted(long key, long startedIn, List<Runnable> waiters) {
-    if (incarnation == startedIn) {
+  private void fillCompleted(long key, long startedIncarnation, List<Runnable> waiters) {
+    if (incarnation == startedIncarnation) {
       storedKeys.add(key);
       fillsInProgress.remove(key);
       waiters.forEach(Runnable::run);
@@ -228,7 +231,9 @@
               * capacity
               / VirtualFleet.WORK_SECONDS
               * LabSettings.OVERLOAD_WINDOW_SECONDS;
-      fleet.figures().warmUpLoad(recentArrivalsNanos.size(), allowed + 3 * Math.sqrt(allowed) + 3);
+      fleet
+          .figures()
+          .recordWarmUpLoad(recentArrivalsNanos.size(), allowed + 3 * Math.sqrt(allowed) + 3);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
@@ -8,7 +8,7 @@
 /** The counters of one run of a fleet, each in bins of one second from the start of the run. */
 public final class FleetFigures {
   private static final int BINS_PER_SECOND = 10;
-  private static final int MORE_SECONDS = 10;
+  private static final int EXTRA_SECONDS = 10;
   private static final double RESTORED_SHARE = 0.95;
   private static final double PER_MILLE = 1000;
 
@@ -18,8 +18,8 @@
   private long peakWarmUpLoadPerMille;
   private long warmUpOverloads;
 
-  FleetFigures(int endSeconds) {
-    seconds = endSeconds + MORE_SECONDS;
+  FleetFigures(int durationSeconds) {
+    seconds = durationSeconds + EXTRA_SECONDS;
     originFillBins = new int[seconds * BINS_PER_SECOND];
   }
 
@@ -30,7 +30,7 @@
     counts[(int) Math.min(counts.length - 1, second)]++;
   }
 
-  void originFilled(long timeNanos) {
+  void countOriginFill(long timeNanos) {
     count("origin", timeNanos);
     long bin =
         (timeNanos - Simulation.EPOCH_NANOS) / (Simulation.NANOS_PER_SECOND / BINS_PER_SECOND);
@@ -43,7 +43,7 @@
    * @param requests the requests that the cache received in the present window
    * @param bound the number of requests that it can serve in a window
    */
-  void warmUpLoad(int requests, double bound) {
+  void recordWarmUpLoad(int requests, double bound) {
     peakWarmUpLoadPerMille =
         Math.max(peakWarmUpLoadPerMille, (long) (PER_MILLE * requests / bound));
     warmUpOverloads += requests > bound ? 1 : 0;
@@ -67,8 +67,8 @@
    * latency objective; 1 if none began. {@code toSecond} is excluded.
    */
   public double goodShare(int fromSecond, int toSecond) {
-    double begun = total("asked", fromSecond, toSecond);
-    return begun == 0 ? 1 : total("good", fromSecond, toSecond) / begun;
+    double requested = total("asked", fromSecond, toSecond);
+    return requested == 0 ? 1 : total("good", fromSecond, toSecond) / requested;
   }
 
   /**
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
@@ -30,8 +30,8 @@
  */
 public final class FleetGateway implements RoutingEvents, RoutingActions {
   private static final long TICK_NANOS = 100 * Simulation.NANOS_PER_MILLI;
-  private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_EXTRA_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MIN_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_EXTRA_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long RETURNED_DURATION_NANOS =
       (long) (VirtualFleet.WORK_SECONDS * Simulation.NANOS_PER_SECOND);
 
@@ -97,10 +97,10 @@
     running = true;
     incarnation++;
     router = new RequestRouter(config);
-    tasks.gatewayStarted();
-    traffic.gatewayStarted(policy);
-    enqueue(this::listAll);
-    traffic.endpointsListed(policy);
+    tasks.onGatewayStarted();
+    traffic.onGatewayStarted(policy);
+    enqueue(this::listAllEndpoints);
+    traffic.onEndpointsListed(policy);
     tick();
   }
 
@@ -111,15 +111,15 @@
     openAttempts.clear();
     pendingEvents.clear();
     roundScheduled = false;
-    tasks.gatewayCrashed();
-    traffic.gatewayCrashed();
+    tasks.onGatewayCrashed();
+    traffic.onGatewayCrashed();
   }
 
   private void tick() {
     long nowNanos = scheduler.nowNanos();
     tasks.tick(nowNanos);
     traffic.tick(nowNanos);
-    scheduleHere(TICK_NANOS, this::tick);
+    scheduleInIncarnation(TICK_NANOS, this::tick);
   }
 
   /** Returns a new id for a request for a part. */
@@ -131,13 +131,13 @@
 
   // ---- Events.
 
-  private void listAll(RoutingEventHandler events) {
+  private void listAllEndpoints(RoutingEventHandler events) {
     events.endpointListStarted(EndpointListKind.FULL);
     fleet
         .caches()
         .forEach(
             cache ->
-                list(
+                listEndpoint(
                     events,
                     cache,
                     cache.isDown() ? EndpointState.GONE : EndpointState.UP,
@@ -150,12 +150,12 @@
     enqueue(
         events -> {
           events.endpointListStarted(EndpointListKind.CHANGES);
-          list(events, cache, state, startedAtNanos);
+          listEndpoint(events, cache, state, startedAtNanos);
           events.endpointListCompleted();
         });
   }
 
-  private static void list(
+  private static void listEndpoint(
       RoutingEventHandler events, FleetCache cache, EndpointState state, long startedAtNanos) {
     events.endpointListed(
         new EndpointDescription(
@@ -179,7 +179,7 @@
     pendingEvents.add(event);
     if (!roundScheduled) {
       roundScheduled = true;
-      scheduleHere(
+      scheduleInIncarnation(
           0,
           () -> {
             roundScheduled = false;
@@ -191,12 +191,12 @@
   }
 
   /** Runs a task after a delay, unless the gateway has crashed or restarted by then. */
-  private void scheduleHere(long delayNanos, Runnable task) {
-    long scheduledIn = incarnation;
+  private void scheduleInIncarnation(long delayNanos, Runnable task) {
+    long scheduledIncarnation = incarnation;
     scheduler.scheduleAfter(
         delayNanos,
         () -> {
-          if (incarnation == scheduledIn) {
+          if (incarnation == scheduledIncarnation) {
             task.run();
           }
         });
@@ -209,8 +209,8 @@
 
   // ---- Actions.
 
-  private long drawOneWayNanos() {
-    return MIN_ONE_WAY_NANOS + fleet.random().nextLong(MAX_EXTRA_ONE_WAY_NANOS);
+  private long drawOneWayDelayNanos() {
+    return MIN_ONE_WAY_DELAY_NANOS + fleet.random().nextLong(MAX_EXTRA_ONE_WAY_DELAY_NANOS);
   }
 
   @Override
@@ -229,7 +229,8 @@
             tasks.isSynthetic(requestId));
     openAttempts.add(attemptKey(requestId, attempt));
     scheduler.scheduleAfter(
-        drawOneWayNanos(), () -> fleet.caches().get(command.endpoint()).requestReceived(request));
+        drawOneWayDelayNanos(),
+        () -> fleet.caches().get(command.endpoint()).requestReceived(request));
     scheduler.schedule(
         command.deadlineNanos(),
         () ->
@@ -242,7 +243,7 @@
 
   /** Called when a cache sends its answer; the answer arrives after a random network delay. */
   void attemptAnswered(CacheRequest request, AttemptOutcome outcome, ResponseDetail detail) {
-    scheduler.scheduleAfter(drawOneWayNanos(), () -> endAttempt(request, -1, outcome, detail));
+    scheduler.scheduleAfter(drawOneWayDelayNanos(), () -> endAttempt(request, -1, outcome, detail));
   }
 
   private void endAttempt(
@@ -253,10 +254,10 @@
     }
     boolean returned = outcome == AttemptOutcome.SUCCEEDED;
     if (returned) {
-      traffic.answered(requestId);
+      traffic.onAnswered(requestId);
     }
     if (returned || outcome == AttemptOutcome.NOT_CACHED) {
-      tasks.answered(requestId);
+      tasks.onAnswered(requestId);
     }
     enqueue(
         events ->
@@ -273,14 +274,14 @@
 
   @Override
   public void reject(long requestId, long retryAfterNanos) {
-    traffic.rejected(requestId, retryAfterNanos);
+    traffic.onRejected(requestId, retryAfterNanos);
     fail(requestId);
   }
 
   @Override
   public void fail(long requestId) {
-    traffic.failed(requestId);
-    tasks.ended(
+    traffic.onFailed(requestId);
+    tasks.endSynthetic(
         requestId,
         attemptsByRequest.containsKey(requestId)
             ? HealthCheckOutcome.SILENT
@@ -305,7 +306,7 @@
 
   @Override
   public void scheduleTimer(long delayNanos, String handle) {
-    scheduleHere(delayNanos, () -> enqueue(events -> events.timerFired(handle)));
+    scheduleInIncarnation(delayNanos, () -> enqueue(events -> events.timerFired(handle)));
   }
 
   @Override
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
@@ -20,8 +20,8 @@
  */
 final class FleetTasks {
   private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * Simulation.NANOS_PER_MILLI;
-  private static final long MIN_PEER_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_EXTRA_PEER_NANOS = 4 * Simulation.NANOS_PER_MILLI;
+  private static final long MIN_PEER_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_EXTRA_PEER_DELAY_NANOS = 4 * Simulation.NANOS_PER_MILLI;
   private static final int RECENT_OBJECTS = 256;
   private static final int LEADER = 0;
   private static final int ANY_CACHE = -1;
@@ -41,19 +41,19 @@
     scheduler = fleet.scheduler();
   }
 
-  void gatewayStarted() {
+  void onGatewayStarted() {
     healthChecks = new HealthCheckCoordinator();
     prefetch = new CachePrefetch();
     recentKeys = new RecentRequests<>(RECENT_OBJECTS);
     centralized = false;
   }
 
-  void gatewayCrashed() {
+  void onGatewayCrashed() {
     syntheticRequests.clear();
   }
 
   /** Records that a client has requested a part; synthetic requests reuse the recorded parts. */
-  void objectRequested(long key) {
+  void recordRequestedKey(long key) {
     recentKeys.add(key, key);
   }
 
@@ -62,12 +62,12 @@
   }
 
   /** Called when a cache has answered a synthetic request. */
-  void answered(long requestId) {
-    ended(requestId, HealthCheckOutcome.ANSWERED);
+  void onAnswered(long requestId) {
+    endSynthetic(requestId, HealthCheckOutcome.ANSWERED);
   }
 
   /** Ends a synthetic request with an outcome; does nothing if the request is not synthetic. */
-  void ended(long requestId, HealthCheckOutcome outcome) {
+  void endSynthetic(long requestId, HealthCheckOutcome outcome) {
     Consumer<HealthCheckOutcome> completion = syntheticRequests.remove(requestId);
     if (completion != null) {
       completion.accept(outcome);
@@ -148,15 +148,15 @@
 
   private void sendToPeer(int index, Consumer<FleetTasks> delivery) {
     scheduler.scheduleAfter(
-        MIN_PEER_NANOS + fleet.random().nextLong(MAX_EXTRA_PEER_NANOS),
+        MIN_PEER_DELAY_NANOS + fleet.random().nextLong(MAX_EXTRA_PEER_DELAY_NANOS),
         () -> delivery.accept(fleet.gateways().get(index).tasks()));
   }
 
   private void updateCentralized() {
-    boolean centralizedNow = healthChecks.isCentralized(scheduler.nowNanos(), leadsHealthChecks());
-    if (centralizedNow != centralized) {
-      centralized = centralizedNow;
-      gateway.enqueue(events -> events.healthChecksDelegated(centralizedNow));
+    boolean nowCentralized = healthChecks.isCentralized(scheduler.nowNanos(), leadsHealthChecks());
+    if (nowCentralized != centralized) {
+      centralized = nowCentralized;
+      gateway.enqueue(events -> events.healthChecksDelegated(nowCentralized));
     }
   }
 
@@ -228,7 +228,7 @@
         SYNTHETIC_TIMEOUT_NANOS,
         () -> {
           if (isSynthetic(id)) {
-            ended(id, HealthCheckOutcome.SILENT);
+            endSynthetic(id, HealthCheckOutcome.SILENT);
             gateway.enqueue(events -> events.clientDisconnected(id));
           }
         });
--- a/lab/src/main/java/org/amberpath/lab/fleet/ObjectPopularity.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ObjectPopularity.java
@@ -5,24 +5,24 @@
 
 /** Draws the object and the part that a client requests: objects by Zipf's law, parts uniformly. */
 final class ObjectPopularity {
-  static final int OBJECTS = 3000;
+  static final int OBJECT_COUNT = 3000;
   static final int PARTS_PER_OBJECT = 4;
   private static final double ZIPF_EXPONENT = 0.9;
 
-  private final double[] cumulative = new double[OBJECTS];
+  private final double[] cumulativeWeights = new double[OBJECT_COUNT];
 
   ObjectPopularity() {
     double sum = 0;
-    for (int index = 0; index < OBJECTS; index++) {
+    for (int index = 0; index < OBJECT_COUNT; index++) {
       sum += 1 / Math.pow(index + 1, ZIPF_EXPONENT);
-      cumulative[index] = sum;
+      cumulativeWeights[index] = sum;
     }
   }
 
   /** Draws a key, which encodes the number of the object, from 1 on, and the part. */
   long drawKey(SplittableRandom random) {
-    double drawn = random.nextDouble() * cumulative[OBJECTS - 1];
-    int found = Arrays.binarySearch(cumulative, drawn);
+    double drawn = random.nextDouble() * cumulativeWeights[OBJECT_COUNT - 1];
+    int found = Arrays.binarySearch(cumulativeWeights, drawn);
     long object = 1L + (found < 0 ? -found - 1 : found);
     return key(object, random.nextInt(PARTS_PER_OBJECT));
   }
--- a/lab/src/main/java/org/amberpath/lab/fleet/VirtualFleet.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/VirtualFleet.java
@@ -28,9 +28,9 @@
 
   static final double REQUEST_KILOBYTES = 5000;
   private static final int HUB_COUNT = 2;
-  private static final double UTILIZATION = 0.55;
-  private static final long MAX_START_NANOS = 100 * Simulation.NANOS_PER_MILLI;
-  private static final long MAX_ANNOUNCE_NANOS = 50 * Simulation.NANOS_PER_MILLI;
+  private static final double TARGET_UTILIZATION = 0.55;
+  private static final long MAX_START_DELAY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+  private static final long MAX_ANNOUNCEMENT_DELAY_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
   /**
    * The parameters of a run.
@@ -67,21 +67,25 @@
   private final long endNanos;
 
   /** Creates a fleet whose run ends after the given number of seconds. */
-  protected VirtualFleet(Plan plan, int endSeconds) throws IOException {
+  protected VirtualFleet(Plan plan, int durationSeconds) throws IOException {
     this.plan = plan;
-    endNanos = atSecond(endSeconds);
-    figures = new FleetFigures(endSeconds);
+    endNanos = atSecond(durationSeconds);
+    figures = new FleetFigures(durationSeconds);
     random = new SplittableRandom(plan.seed());
     double edgeCapacity =
-        plan.gateways() * REQUESTS_PER_SECOND * WORK_SECONDS / plan.edgeCaches() / UTILIZATION;
-    double allCapacity = edgeCapacity * plan.edgeCaches();
+        plan.gateways()
+            * REQUESTS_PER_SECOND
+            * WORK_SECONDS
+            / plan.edgeCaches()
+            / TARGET_UTILIZATION;
+    double totalEdgeCapacity = edgeCapacity * plan.edgeCaches();
     for (int index = 0; index < plan.edgeCaches(); index++) {
       addCache(LabSettings.EDGE, edgeCapacity);
     }
     for (int index = 0; index < HUB_COUNT; index++) {
-      addCache(LabSettings.HUB, allCapacity);
+      addCache(LabSettings.HUB, totalEdgeCapacity);
     }
-    addCache(LabSettings.ORIGIN, allCapacity * plan.originCapacity());
+    addCache(LabSettings.ORIGIN, totalEdgeCapacity * plan.originCapacity());
     for (int index = 0; index < plan.gateways(); index++) {
       gateways.add(
           new FleetGateway(
@@ -108,7 +112,7 @@
   public final Map<String, Double> run() {
     for (FleetGateway gateway : gateways) {
       scheduler.scheduleAfter(
-          random.nextLong(MAX_START_NANOS),
+          random.nextLong(MAX_START_DELAY_NANOS),
           () -> {
             gateway.start();
             gateway.traffic().scheduleArrivals();
@@ -169,7 +173,7 @@
   /** Stores all parts of all objects in the hubs, as if the hubs had run for a long time. */
   protected final void fillHubs() {
     List<FleetCache> hubs = caches.subList(plan.edgeCaches(), plan.edgeCaches() + HUB_COUNT);
-    long end = ObjectPopularity.key(ObjectPopularity.OBJECTS + 1L, 0);
+    long end = ObjectPopularity.key(ObjectPopularity.OBJECT_COUNT + 1L, 0);
     for (long key = ObjectPopularity.key(1, 0); key < end; key++) {
       for (FleetCache hub : hubs) {
         hub.store(key);
@@ -183,7 +187,7 @@
   protected final void announceEndpoint(int cache, EndpointState state, long startedAtNanos) {
     for (FleetGateway gateway : gateways) {
       scheduler.scheduleAfter(
-          random.nextLong(MAX_ANNOUNCE_NANOS),
+          random.nextLong(MAX_ANNOUNCEMENT_DELAY_NANOS),
           () -> gateway.endpointChanged(caches.get(cache), state, startedAtNanos));
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
@@ -28,7 +28,7 @@
     ANY_HIGHER
   }
 
-  private static final int NOBODY = -1;
+  private static final int NO_HOLDER = -1;
   private static final long MIN_NOTIFY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_NOTIFY_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
@@ -37,7 +37,7 @@
   private final TermRule termRule;
   private final List<P> watchers;
   private final BiConsumer<P, Observed> listener;
-  private int holder = NOBODY;
+  private int holder = NO_HOLDER;
   private long term;
   private long modRevision;
   private long expiresAtNanos;
@@ -65,7 +65,7 @@
 
   /** Returns the present state of the key. */
   public Observed observe() {
-    return new Observed(term, holder != NOBODY, modRevision);
+    return new Observed(term, holder != NO_HOLDER, modRevision);
   }
 
   /** Returns the duration of a lease, in nanoseconds. */
@@ -79,10 +79,10 @@
    *
    * @return whether the candidate now holds the key
    */
-  boolean tryAcquire(int candidate, long candidateTerm, long seenModRevision) {
+  boolean tryAcquire(int candidate, long candidateTerm, long observedModRevision) {
     boolean termAllowed =
         termRule == TermRule.NEXT ? candidateTerm == term + 1 : candidateTerm > term;
-    if (holder != NOBODY || modRevision != seenModRevision || !termAllowed) {
+    if (holder != NO_HOLDER || modRevision != observedModRevision || !termAllowed) {
       return false;
     }
     holder = candidate;
@@ -98,8 +98,8 @@
    *
    * @return whether the lease was extended
    */
-  boolean tryExtend(int candidate, long ofTerm) {
-    boolean held = holder == candidate && term == ofTerm;
+  boolean tryExtend(int candidate, long heldTerm) {
+    boolean held = holder == candidate && term == heldTerm;
     if (held) {
       extend();
     }
@@ -107,9 +107,9 @@
   }
 
   /** Releases the key if this candidate holds it under this term. */
-  void release(int candidate, long ofTerm) {
-    if (holder == candidate && term == ofTerm) {
-      free();
+  void release(int candidate, long heldTerm) {
+    if (holder == candidate && term == heldTerm) {
+      clearHolder();
     }
   }
 
@@ -118,14 +118,14 @@
    * key afterwards, and no watcher is notified.
    */
   public void restoreFromBackup(long lostTerms) {
-    holder = NOBODY;
+    holder = NO_HOLDER;
     term = Math.max(0, term - lostTerms);
     modRevision++;
     expiresAtNanos = 0;
   }
 
-  private void free() {
-    holder = NOBODY;
+  private void clearHolder() {
+    holder = NO_HOLDER;
     modRevision++;
     notifyWatchers();
   }
@@ -137,10 +137,10 @@
   }
 
   private void expire(long extendedRevision) {
-    if (holder != NOBODY
+    if (holder != NO_HOLDER
         && modRevision == extendedRevision
         && simulation.nowNanos() >= expiresAtNanos) {
-      free();
+      clearHolder();
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
@@ -4,14 +4,14 @@
 
 /**
  * Executes the commands of a {@link RegistryLeadership} against a {@link LeaseKey}. Requests and
- * responses take up to {@value #MAX_ONE_WAY_NANOS} ns each way; while faults are active, one
+ * responses take up to {@value #MAX_ONE_WAY_DELAY_NANOS} ns each way; while faults are active, one
  * request in {@value #UNANSWERED_ONE_IN} is lost.
  */
 public abstract class LeaseKeyClient implements RegistryLeadership.Commands {
   private static final int UNANSWERED_ONE_IN = 20;
-  private static final int TIMEOUT_LEASE_PARTS = 6;
-  private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_ONE_WAY_NANOS = 10 * Simulation.NANOS_PER_MILLI;
+  private static final int RENEWAL_TIMEOUT_LEASE_DIVISOR = 6;
+  private static final long MIN_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_ONE_WAY_DELAY_NANOS = 10 * Simulation.NANOS_PER_MILLI;
 
   private final Simulation simulation;
   private final LeaseKey<?> key;
@@ -62,9 +62,9 @@
   /** Called when the process has received the response that it holds the key. */
   protected void campaignWon(long term) {}
 
-  private void atRegistry(Runnable request) {
+  private void sendToRegistry(Runnable request) {
     simulation.after(
-        drawOneWayNanos(),
+        drawOneWayDelayNanos(),
         () -> {
           if (isRegistryAvailable()
               && (simulation.random().nextInt(UNANSWERED_ONE_IN) > 0
@@ -74,25 +74,25 @@
         });
   }
 
-  private void atProcess(Runnable answer) {
-    process.scheduleAfter(drawOneWayNanos(), () -> runAnswer(answer));
+  private void sendToProcess(Runnable answer) {
+    process.scheduleAfter(drawOneWayDelayNanos(), () -> runAnswer(answer));
   }
 
-  private long drawOneWayNanos() {
-    return simulation.random().nextLong(MIN_ONE_WAY_NANOS, MAX_ONE_WAY_NANOS);
+  private long drawOneWayDelayNanos() {
+    return simulation.random().nextLong(MIN_ONE_WAY_DELAY_NANOS, MAX_ONE_WAY_DELAY_NANOS);
   }
 
   @Override
   public final void campaign(long term, long modRevision) {
-    long sentIn = process.incarnation();
-    atRegistry(
+    long sentIncarnation = process.incarnation();
+    sendToRegistry(
         () -> {
           boolean granted = key.tryAcquire(candidate, term, modRevision);
           if (granted) {
             keyGranted(term);
           }
-          if (answersLaterIncarnations() || process.incarnation() == sentIn) {
-            atProcess(() -> campaignAnswered(term, granted));
+          if (answersLaterIncarnations() || process.incarnation() == sentIncarnation) {
+            sendToProcess(() -> campaignAnswered(term, granted));
           }
         });
   }
@@ -110,10 +110,10 @@
   public final void keepAlive(long requestedAtNanos) {
     long term = leadership().term();
     boolean[] answered = {false};
-    atRegistry(
+    sendToRegistry(
         () -> {
           boolean renewed = key.tryExtend(candidate, term);
-          atProcess(
+          sendToProcess(
               () -> {
                 answered[0] = true;
                 if (renewed) {
@@ -124,7 +124,7 @@
               });
         });
     process.scheduleAfter(
-        key.leaseNanos() / TIMEOUT_LEASE_PARTS,
+        key.leaseNanos() / RENEWAL_TIMEOUT_LEASE_DIVISOR,
         () -> {
           if (!answered[0] && leadership().term() == term) {
             leadership().renewalUnanswered(process.localNanos());
@@ -136,6 +136,6 @@
   @Override
   public final void resign() {
     long term = leadership().term();
-    atRegistry(() -> key.release(candidate, term));
+    sendToRegistry(() -> key.release(candidate, term));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/simulation/LinkMatrix.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LinkMatrix.java
@@ -31,8 +31,8 @@
    * @param side the side of each process, by its index
    */
   public void partitionFor(long durationNanos, boolean[] side) {
-    setBetween(side, true);
-    simulation.after(durationNanos, () -> setBetween(side, false));
+    setLinksBetween(side, true);
+    simulation.after(durationNanos, () -> setLinksBetween(side, false));
   }
 
   /** Restores all links that are cut. */
@@ -42,7 +42,7 @@
     }
   }
 
-  private void setBetween(boolean[] side, boolean isCut) {
+  private void setLinksBetween(boolean[] side, boolean isCut) {
     for (int from = 0; from < side.length; from++) {
       for (int to = 0; to < side.length; to++) {
         if (side[from] != side[to]) {
--- a/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
@@ -16,10 +16,10 @@
     ALWAYS
   }
 
-  private static final int LOST_BELOW = 5;
-  private static final int LATE_BELOW = 12;
-  private static final int DUPLICATED_ABOVE = 96;
-  private static final int DRAWS = 100;
+  private static final int LOST_BELOW_DRAW = 5;
+  private static final int LATE_BELOW_DRAW = 12;
+  private static final int DUPLICATED_ABOVE_DRAW = 96;
+  private static final int DRAW_RANGE = 100;
   private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_ORDINARY_DELAY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_DUPLICATE_DELAY_NANOS = Simulation.NANOS_PER_SECOND;
@@ -44,7 +44,7 @@
    * lost.
    */
   public void deliver(SimulatedProcess recipient, Runnable task) {
-    deliver(recipient, task, simulation.random().nextInt(DRAWS));
+    deliver(recipient, task, simulation.random().nextInt(DRAW_RANGE));
   }
 
   /**
@@ -53,7 +53,7 @@
    */
   public void deliverOver(
       LinkMatrix links, int from, int to, SimulatedProcess recipient, Runnable task) {
-    int draw = simulation.random().nextInt(DRAWS);
+    int draw = simulation.random().nextInt(DRAW_RANGE);
     if (!links.isCut(from, to)) {
       deliver(recipient, task, draw);
     }
@@ -62,15 +62,15 @@
   private void deliver(SimulatedProcess recipient, Runnable task, int draw) {
     SplittableRandom random = simulation.random();
     boolean faultsActive = simulation.faultsActive();
-    if (faultsActive && draw < LOST_BELOW) {
+    if (faultsActive && draw < LOST_BELOW_DRAW) {
       return;
     }
     long delayNanos =
-        faultsActive && draw < LATE_BELOW
+        faultsActive && draw < LATE_BELOW_DRAW
             ? random.nextLong(maxDelayNanos)
             : random.nextLong(MIN_DELAY_NANOS, MAX_ORDINARY_DELAY_NANOS);
     recipient.scheduleAfter(delayNanos, task);
-    if (draw > DUPLICATED_ABOVE && (faultsActive || duplication == Duplication.ALWAYS)) {
+    if (draw > DUPLICATED_ABOVE_DRAW && (faultsActive || duplication == Duplication.ALWAYS)) {
       long fromNanos = duplication == Duplication.ALWAYS ? delayNanos : 0;
       recipient.scheduleAfter(fromNanos + random.nextLong(MAX_DUPLICATE_DELAY_NANOS), task);
     }
--- a/lab/src/main/java/org/amberpath/lab/simulation/SeededRuns.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/SeededRuns.java
@@ -9,7 +9,7 @@
 
 /** Runs a model with one or many seeds. */
 public final class SeededRuns {
-  private static final int MAX_LISTED_FAILURES = 10;
+  private static final int MAX_LISTED_VIOLATIONS = 10;
 
   /** A model whose run is determined by its seed. */
   public interface Model {
@@ -47,13 +47,13 @@
    * @param seed the first seed
    * @param runs how many seeds are run
    * @return the sums, the number of runs, the number of those that failed, and the first {@value
-   *     #MAX_LISTED_FAILURES} violations, each with its seed
+   *     #MAX_LISTED_VIOLATIONS} violations, each with its seed
    */
   public static Map<String, Object> runMany(Model model, long seed, int runs) {
     List<Result> results =
         LongStream.range(seed, seed + runs)
             .parallel()
-            .mapToObj(each -> runOne(model, each, line -> {}))
+            .mapToObj(runSeed -> runOne(model, runSeed, line -> {}))
             .toList();
     Map<String, Object> totals = new TreeMap<>();
     List<String> violations = new ArrayList<>();
@@ -62,7 +62,7 @@
       result
           .figures()
           .forEach((name, value) -> totals.merge(name, value, (a, b) -> (long) a + (long) b));
-      if (result.violation() != null && failed++ < MAX_LISTED_FAILURES) {
+      if (result.violation() != null && failed++ < MAX_LISTED_VIOLATIONS) {
         violations.add(result.seed() + ": " + result.violation());
       }
     }
--- a/lab/src/main/java/org/amberpath/lab/simulation/SimulatedProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/SimulatedProcess.java
@@ -82,11 +82,11 @@
    * ends. The task does not run if the process has been stopped or restarted by that time.
    */
   public final void schedule(long timeNanos, Runnable task) {
-    long scheduledIn = incarnation;
+    long scheduledIncarnation = incarnation;
     scheduler.schedule(
         timeNanos,
         () -> {
-          if (running && incarnation == scheduledIn) {
+          if (running && incarnation == scheduledIncarnation) {
             if (isPaused()) {
               schedule(pausedUntilNanos, task);
             } else {
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -28,7 +28,7 @@
       Pattern.compile(": membership: joining .* listen=127\\.0\\.0\\.1:(\\d+) ");
   private static final Pattern ADMIN_PORT_PATTERN =
       Pattern.compile("operators ask at 127\\.0\\.0\\.1:(\\d+)$");
-  private static final List<String> DEFAULT_FLAGS =
+  private static final List<String> DEFAULT_JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC",
           "-XX:TieredStopAtLevel=1",
@@ -65,30 +65,34 @@
   private final CompletableFuture<Integer> fleetPort = new CompletableFuture<>();
   private final CompletableFuture<Integer> adminPort = new CompletableFuture<>();
   private final Thread logReader;
-  private volatile int severeLines;
+  private volatile int severeLineCount;
 
   /**
    * Starts a program from the class path of this process.
    *
-   * @param main the main class, then its arguments
+   * @param mainClassAndArguments the main class, then its arguments
    * @param environment variables that are added to those of this process, without AMBERPATH_FILE
    * @param log the file to which the standard output and error are appended
    */
-  public GatewayProcess(List<String> main, Map<String, String> environment, Path log)
+  public GatewayProcess(
+      List<String> mainClassAndArguments, Map<String, String> environment, Path log)
       throws IOException {
-    this(DEFAULT_FLAGS, main, environment, log);
+    this(DEFAULT_JVM_FLAGS, mainClassAndArguments, environment, log);
   }
 
   /** Starts a program from the class path of this process with the given JVM flags. */
   public GatewayProcess(
-      List<String> flags, List<String> main, Map<String, String> environment, Path log)
+      List<String> jvmFlags,
+      List<String> mainClassAndArguments,
+      Map<String, String> environment,
+      Path log)
       throws IOException {
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(flags);
+    command.addAll(jvmFlags);
     command.addAll(
         List.of("-cp", System.getProperty("java.class.path"), ParentWatchdog.class.getName()));
-    command.addAll(main);
+    command.addAll(mainClassAndArguments);
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().remove("AMBERPATH_FILE");
     builder.environment().putAll(environment);
@@ -111,7 +115,7 @@
         matchPort(CLIENT_PORT_PATTERN, line, clientPort);
         matchPort(FLEET_PORT_PATTERN, line, fleetPort);
         matchPort(ADMIN_PORT_PATTERN, line, adminPort);
-        severeLines += line.contains("SEVERE") ? 1 : 0;
+        severeLineCount += line.contains("SEVERE") ? 1 : 0;
       }
     } catch (IOException e) {
       // The process has ended and its output pipe is closed.
@@ -153,8 +157,8 @@
   }
 
   /** Returns the number of log lines of level SEVERE so far. */
-  public int severeLines() {
-    return severeLines;
+  public int severeLineCount() {
+    return severeLineCount;
   }
 
   /** Returns the process id. */
@@ -182,7 +186,7 @@
 
   /** Sends SIGHUP. */
   public void hangUp() {
-    signal("kill -HUP " + process.pid());
+    runShellCommand("kill -HUP " + process.pid());
   }
 
   /**
@@ -191,10 +195,11 @@
    */
   public void pause(long durationMillis) {
     String pid = Long.toString(process.pid());
-    signal("kill -STOP " + pid + "; sleep " + durationMillis / 1000.0 + "; kill -CONT " + pid);
+    runShellCommand(
+        "kill -STOP " + pid + "; sleep " + durationMillis / 1000.0 + "; kill -CONT " + pid);
   }
 
-  private static void signal(String command) {
+  private static void runShellCommand(String command) {
     try {
       new ProcessBuilder("sh", "-c", command).start();
     } catch (IOException e) {
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
@@ -12,7 +12,7 @@
  */
 public final class GatewaySlot {
   /** How long after a pause a process may still respond late. */
-  static final long WAKE_ALLOWANCE_NANOS = 1_000_000_000;
+  static final long RESUME_ALLOWANCE_NANOS = 1_000_000_000;
 
   /** How many load generators each process has: one per traffic class. */
   private static final int GENERATORS_PER_PROCESS = 2;
@@ -21,7 +21,7 @@
    * A period ({@link System#nanoTime}) in which the gateway could not serve; an end of 0 means that
    * the period has not ended.
    */
-  private record AwayPeriod(long fromNanos, long toNanos) {
+  private record UnavailablePeriod(long fromNanos, long toNanos) {
     private boolean isOpen() {
       return toNanos == 0;
     }
@@ -30,7 +30,7 @@
   private final int index;
   private final String name;
   private final List<LoadGenerator> loadGenerators = new ArrayList<>();
-  private final List<AwayPeriod> awayPeriods = new ArrayList<>();
+  private final List<UnavailablePeriod> unavailablePeriods = new ArrayList<>();
   private GatewayProcess process;
   private volatile JsonObject view;
   private volatile long runningSinceNanos;
@@ -77,7 +77,7 @@
     return process;
   }
 
-  void launched(GatewayProcess started) {
+  void setProcess(GatewayProcess started) {
     process = started;
   }
 
@@ -89,34 +89,37 @@
     adminPort = port;
   }
 
-  void viewReceived(JsonObject received) {
+  void setView(JsonObject received) {
     view = received;
   }
 
   /** Called when the process has started to serve. */
-  void serving() {
+  void onServing() {
     runningSinceNanos = System.nanoTime();
   }
 
   /** Ends the last period in which the gateway could not serve. */
-  void endAway() {
-    if (!awayPeriods.isEmpty()) {
-      int last = awayPeriods.size() - 1;
-      awayPeriods.set(last, new AwayPeriod(awayPeriods.get(last).fromNanos, System.nanoTime()));
+  void endUnavailability() {
+    if (!unavailablePeriods.isEmpty()) {
+      int last = unavailablePeriods.size() - 1;
+      unavailablePeriods.set(
+          last, new UnavailablePeriod(unavailablePeriods.get(last).fromNanos, System.nanoTime()));
     }
   }
 
   /** Starts a period in which the gateway cannot serve, unless one has already started. */
-  void beginAway() {
-    if (awayPeriods.isEmpty() || !awayPeriods.get(awayPeriods.size() - 1).isOpen()) {
-      awayPeriods.add(new AwayPeriod(System.nanoTime(), 0));
+  void beginUnavailability() {
+    if (unavailablePeriods.isEmpty()
+        || !unavailablePeriods.get(unavailablePeriods.size() - 1).isOpen()) {
+      unavailablePeriods.add(new UnavailablePeriod(System.nanoTime(), 0));
     }
   }
 
   /** Called when the process is paused from now on for the given time. */
-  void paused(long durationNanos) {
+  void onPaused(long durationNanos) {
     long nowNanos = System.nanoTime();
-    awayPeriods.add(new AwayPeriod(nowNanos, nowNanos + durationNanos + WAKE_ALLOWANCE_NANOS / 2));
+    unavailablePeriods.add(
+        new UnavailablePeriod(nowNanos, nowNanos + durationNanos + RESUME_ALLOWANCE_NANOS / 2));
     runningSinceNanos = nowNanos + durationNanos;
   }
 
@@ -133,12 +136,12 @@
    * Returns whether the gateway could not serve at some time between two times ({@link
    * System#nanoTime}), including an allowance after each period.
    */
-  boolean wasAway(long fromNanos, long toNanos) {
-    return awayPeriods.stream()
+  boolean wasUnavailable(long fromNanos, long toNanos) {
+    return unavailablePeriods.stream()
         .anyMatch(
             period ->
                 period.fromNanos <= toNanos
-                    && (period.isOpen() || fromNanos <= period.toNanos + WAKE_ALLOWANCE_NANOS));
+                    && (period.isOpen() || fromNanos <= period.toNanos + RESUME_ALLOWANCE_NANOS));
   }
 
   /** Returns the load generators of all processes that this slot has had. */
--- a/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/NetworkLinks.java
@@ -43,13 +43,13 @@
   private final Vertx vertx;
   private final SplittableRandom random;
   private final List<DatagramSocket> relays = new ArrayList<>();
-  private final int[] ports;
+  private final int[] relayPorts;
   private final LinkCondition[][] conditions;
   private final Map<Integer, Integer> gatewaysByPort = new HashMap<>();
   private final int[] gatewayPorts;
 
   /** The last second ({@link System#nanoTime}) in which each gateway sent. */
-  private final long[] currentSecond;
+  private final long[] lastSendSecond;
 
   /** How many datagrams each gateway sent in that second. */
   private final long[] datagramsInSecond;
@@ -64,9 +64,9 @@
   NetworkLinks(Vertx vertx, int gatewayCount, long seed) {
     this.vertx = vertx;
     random = new SplittableRandom(seed);
-    ports = new int[gatewayCount];
+    relayPorts = new int[gatewayCount];
     gatewayPorts = new int[gatewayCount];
-    currentSecond = new long[gatewayCount];
+    lastSendSecond = new long[gatewayCount];
     datagramsInSecond = new long[gatewayCount];
     bytesInSecond = new long[gatewayCount];
     conditions = new LinkCondition[gatewayCount][gatewayCount];
@@ -75,9 +75,9 @@
     }
   }
 
-  Future<?> open() {
+  Future<?> startRelays() {
     List<Future<?>> all = new ArrayList<>();
-    for (int gateway = 0; gateway < ports.length; gateway++) {
+    for (int gateway = 0; gateway < relayPorts.length; gateway++) {
       int to = gateway;
       DatagramSocket relay = vertx.createDatagramSocket();
       relays.add(relay);
@@ -86,7 +86,7 @@
               .listen(0, "127.0.0.1")
               .onSuccess(
                   listening -> {
-                    ports[to] = listening.localAddress().port();
+                    relayPorts[to] = listening.localAddress().port();
                     listening.handler(packet -> datagramReceived(to, packet));
                   }));
     }
@@ -96,8 +96,8 @@
   /**
    * Returns HOST:PORT of the relay to which other gateways send their datagrams for this gateway.
    */
-  String address(int gateway) {
-    return "127.0.0.1:" + ports[gateway];
+  String relayAddress(int gateway) {
+    return "127.0.0.1:" + relayPorts[gateway];
   }
 
   /** Sets the port on which the gateway itself receives datagrams; 0 while it does not run. */
@@ -115,7 +115,7 @@
   }
 
   /** Sets the condition of all links. */
-  void setAll(LinkCondition condition) {
+  void setAllConditions(LinkCondition condition) {
     for (LinkCondition[] row : conditions) {
       Arrays.fill(row, condition);
     }
@@ -147,8 +147,8 @@
       return;
     }
     long second = System.nanoTime() / 1_000_000_000;
-    if (currentSecond[from] != second) {
-      currentSecond[from] = second;
+    if (lastSendSecond[from] != second) {
+      lastSendSecond[from] = second;
       datagramsInSecond[from] = 0;
       bytesInSecond[from] = 0;
     }
--- a/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ProcessTestbed.java
@@ -27,13 +27,13 @@
  */
 @SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class ProcessTestbed implements AutoCloseable {
-  private static final long TIMEOUT_SECONDS = 30;
+  private static final long START_TIMEOUT_SECONDS = 30;
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
-  private static final long POLL_MILLIS = 200;
+  private static final long VIEW_POLL_MILLIS = 200;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
   private static final int CLIENT_CONNECTIONS = 4;
-  private static final int ORDERS_PART = 10;
+  private static final int ORDERS_RATE_DIVISOR = 10;
 
   /**
    * The parameters of a testbed.
@@ -64,12 +64,13 @@
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
   private final SplittableRandom random;
   private final StandInJournal journal = new StandInJournal(vertx);
-  private final HttpClient client =
+  private final HttpClient adminClient =
       vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MILLIS));
   private final List<GatewaySlot> slots;
-  private final ServiceRecord service = new ServiceRecord(REQUEST_TIMEOUT_MILLIS * NANOS_PER_MILLI);
+  private final ServiceRecord serviceRecord =
+      new ServiceRecord(REQUEST_TIMEOUT_MILLIS * NANOS_PER_MILLI);
   private final NetworkLinks links;
-  private final SlotSettings settings;
+  private final SlotSettings slotSettings;
   private final Thread killOnExit = new Thread(this::killAll, "process testbed");
   private RuleAuditor auditor;
   private TestbedCaches caches;
@@ -80,7 +81,7 @@
     this.plan = plan;
     random = new SplittableRandom(plan.seed());
     links = new NetworkLinks(vertx, plan.gateways(), random.nextLong());
-    settings = new SlotSettings(plan, links, journal);
+    slotSettings = new SlotSettings(plan, links, journal);
     slots = IntStream.range(0, plan.gateways()).mapToObj(GatewaySlot::new).toList();
     Runtime.getRuntime().addShutdownHook(killOnExit);
     EventLoopWaiter.await(
@@ -88,10 +89,10 @@
             () -> {
               auditor = new RuleAuditor(vertx);
               caches = new TestbedCaches(vertx, journal, auditor, random);
-              return Future.all(journal.listen(), links.open(), caches.listen());
+              return Future.all(journal.listen(), links.startRelays(), caches.listen());
             }));
     runOnLoop(caches::announceAll);
-    settings.writeKeys();
+    slotSettings.writeKeyFile();
   }
 
   /** Runs a callable on the testbed's event loop and blocks until its result is available. */
@@ -116,7 +117,7 @@
     for (GatewaySlot slot : slots) {
       awaitServing(slot);
     }
-    runOnLoop(() -> vertx.setPeriodic(POLL_MILLIS, tick -> slots.forEach(this::pollView)));
+    runOnLoop(() -> vertx.setPeriodic(VIEW_POLL_MILLIS, tick -> slots.forEach(this::pollView)));
   }
 
   /** Starts a gateway in a slot and blocks until it serves. */
@@ -126,12 +127,12 @@
   }
 
   private void launch(GatewaySlot slot) throws IOException {
-    Path config = settings.writeConfig(slot);
+    Path config = slotSettings.writeJsonSettings(slot);
     List<String> arguments = new ArrayList<>(List.of("org.amberpath.cli.Main", "serve"));
     if (plan.expectedMembers() > 0) {
-      arguments.addAll(List.of("--file", settings.writeSections(slot).toString()));
+      arguments.addAll(List.of("--file", slotSettings.writeIniFile(slot).toString()));
     }
-    slot.launched(
+    slot.setProcess(
         new GatewayProcess(
             arguments,
             Map.of("PROXY_CONFIG", config.toString()),
@@ -141,17 +142,17 @@
   private void awaitServing(GatewaySlot slot) throws Exception {
     GatewayProcess process = slot.process();
     if (plan.expectedMembers() > 0) {
-      int fleetPort = process.fleetPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
+      int fleetPort = process.fleetPort().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
       runOnLoop(() -> links.setGatewayPort(slot.index(), fleetPort));
-      slot.setAdminPort(process.adminPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS));
+      slot.setAdminPort(process.adminPort().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
-    int clientPort = process.clientPort().get(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-    slot.serving();
+    int clientPort = process.clientPort().get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+    slot.onServing();
     EventLoopWaiter.await(callOnLoop(() -> startClients(slot, clientPort)));
   }
 
   private Future<?> startClients(GatewaySlot slot, int port) {
-    slot.endAway();
+    slot.endUnavailability();
     List<Future<?>> connecting = new ArrayList<>();
     for (String trafficClass : List.of(LabSettings.CLIPS, LabSettings.ORDERS)) {
       LoadGenerator loadGenerator =
@@ -161,13 +162,13 @@
                   REQUEST_TIMEOUT_MILLIS,
                   random.nextLong(),
                   response -> responseReceived(slot, response))
-              .withLossExcuse(slot::wasAway)
-              .withSendListener(sentAtNanos -> service.offered(slot, sentAtNanos));
+              .withLossExcuse(slot::wasUnavailable)
+              .withSendListener(sentAtNanos -> serviceRecord.offered(slot, sentAtNanos));
       slot.loadGenerators().add(loadGenerator);
       int rate =
           trafficClass.equals(LabSettings.CLIPS)
               ? plan.requestsPerSecond()
-              : Math.max(1, plan.requestsPerSecond() / ORDERS_PART);
+              : Math.max(1, plan.requestsPerSecond() / ORDERS_RATE_DIVISOR);
       connecting.add(loadGenerator.start(port, CLIENT_CONNECTIONS, rate));
     }
     return Future.all(connecting);
@@ -175,7 +176,7 @@
 
   private void responseReceived(GatewaySlot slot, LoadGenerator.Response response) {
     auditor.responseReceived(response);
-    service.returned(slot, response.sentAtNanos());
+    serviceRecord.returned(slot, response.sentAtNanos());
   }
 
   /** Kills a gateway with SIGKILL and blocks until its process has ended. */
@@ -184,7 +185,7 @@
     runOnLoop(
         () -> {
           slot.stopServing();
-          slot.beginAway();
+          slot.beginUnavailability();
         });
     slot.process().kill();
     awaitExit(index);
@@ -207,18 +208,18 @@
   public void awaitExit(int index) throws Exception {
     GatewaySlot slot = slots.get(index);
     slot.process().awaitExit();
-    severeLines += slot.process().severeLines();
+    severeLines += slot.process().severeLineCount();
     runOnLoop(
         () -> {
           links.setGatewayPort(slot.index(), 0);
-          slot.beginAway();
+          slot.beginUnavailability();
         });
   }
 
   /** Pauses a gateway with SIGSTOP for the given time. */
   public void pause(int index, long durationMillis) throws Exception {
     GatewaySlot slot = slots.get(index);
-    runOnLoop(() -> slot.paused(durationMillis * NANOS_PER_MILLI));
+    runOnLoop(() -> slot.onPaused(durationMillis * NANOS_PER_MILLI));
     slot.process().pause(durationMillis);
   }
 
@@ -227,9 +228,9 @@
    * (SIGHUP).
    */
   public void reloadAll(String sections) throws Exception {
-    settings.setExtraSections(sections);
+    slotSettings.setExtraSections(sections);
     for (GatewaySlot slot : slots) {
-      settings.writeSections(slot);
+      slotSettings.writeIniFile(slot);
       if (slot.process() != null && slot.process().isAlive()) {
         slot.process().hangUp();
       }
@@ -255,7 +256,7 @@
 
   /** Makes one random change of a cache, or purges an object, and announces it in the journal. */
   public void changeDiscovery() throws Exception {
-    runOnLoop(caches::change);
+    runOnLoop(caches::makeRandomChange);
   }
 
   /** Sets the condition of a link, in one direction. */
@@ -265,7 +266,7 @@
 
   /** Sets the condition of all links. */
   public void setAllLinks(NetworkLinks.LinkCondition condition) throws Exception {
-    runOnLoop(() -> links.setAll(condition));
+    runOnLoop(() -> links.setAllConditions(condition));
   }
 
   // ---- Observations of a scenario.
@@ -277,14 +278,14 @@
           .onSuccess(
               page -> {
                 if (slot.process() == process && slot.isRunning()) {
-                  slot.viewReceived(page.put("asked_at", System.nanoTime()));
+                  slot.setView(page.put("asked_at", System.nanoTime()));
                 }
               });
     }
   }
 
   private Future<JsonObject> requestPage(GatewaySlot slot, String path) {
-    return client
+    return adminClient
         .request(HttpMethod.GET, slot.adminPort(), "127.0.0.1", path)
         .compose(request -> request.send())
         .compose(response -> response.body())
@@ -322,7 +323,7 @@
    * scheduled between two times ({@link System#nanoTime}) to gateways that could serve.
    */
   public double servedShare(long fromNanos, long toNanos) throws Exception {
-    return callOnLoop(() -> service.share(fromNanos, toNanos));
+    return callOnLoop(() -> serviceRecord.returnedShare(fromNanos, toNanos));
   }
 
   /**
@@ -331,7 +332,7 @@
    */
   public Map<String, Long> settle() throws Exception {
     runOnLoop(() -> slots.forEach(slot -> slot.loadGenerators().forEach(LoadGenerator::stop)));
-    Thread.sleep(REQUEST_TIMEOUT_MILLIS + 2 * POLL_MILLIS);
+    Thread.sleep(REQUEST_TIMEOUT_MILLIS + 2 * VIEW_POLL_MILLIS);
     return callOnLoop(() -> ServiceRecord.outcomes(slots));
   }
 
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -25,9 +25,9 @@
   private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final long SOCKET_ALLOWANCE_NANOS = 50 * NANOS_PER_MILLI;
   private static final long TICK_MILLIS = 5;
-  private static final long MAX_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
-  private static final long MAX_PURGE_MILLIS = 350;
-  private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
+  private static final long MAX_AFTER_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
+  private static final long MAX_AFTER_PURGE_MILLIS = 350;
+  private static final long MIN_STALL_NANOS = 25 * NANOS_PER_MILLI;
   private static final int MAX_VIOLATIONS = 20;
 
   /** The mean duration of a request at the stand-in caches, in seconds. */
@@ -48,18 +48,18 @@
 
   private final Map<String, Long> drainedAtNanos = new HashMap<>();
   private final Map<String, Long> purgedAtMillis = new HashMap<>();
-  private final Map<String, WarmUpWindow> warmingUp = new HashMap<>();
-  private final Map<String, String> executedOnce = new HashMap<>();
+  private final Map<String, WarmUpWindow> warmUpWindows = new HashMap<>();
+  private final Map<String, String> executingCaches = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
-  private final long beganNanos = System.nanoTime();
-  private long tickNanos = beganNanos;
+  private final long startedAtNanos = System.nanoTime();
+  private long lastTickNanos = startedAtNanos;
   private long stalledNanos;
   private long requestCount;
-  private long worstDrainNanos;
-  private long worstPurgeMillis;
+  private long latestAfterDrainNanos;
+  private long latestAfterPurgeMillis;
   private long longestStallNanos;
   private long violationCount;
-  private double worstWarmUpLoad;
+  private double peakWarmUpLoad;
 
   /** Creates an auditor and starts the timer that measures stalls of the event loop. */
   public RuleAuditor(Vertx vertx) {
@@ -67,9 +67,9 @@
         TICK_MILLIS,
         tick -> {
           long nowNanos = System.nanoTime();
-          stalledNanos += nowNanos - tickNanos > STALL_NANOS ? nowNanos - tickNanos : 0;
-          longestStallNanos = Math.max(longestStallNanos, nowNanos - tickNanos);
-          tickNanos = nowNanos;
+          stalledNanos += nowNanos - lastTickNanos > MIN_STALL_NANOS ? nowNanos - lastTickNanos : 0;
+          longestStallNanos = Math.max(longestStallNanos, nowNanos - lastTickNanos);
+          lastTickNanos = nowNanos;
         });
   }
 
@@ -80,7 +80,7 @@
   public void violation(String message) {
     violationCount++;
     if (violations.size() < MAX_VIOLATIONS) {
-      violations.add((System.nanoTime() - beganNanos) / NANOS_PER_MILLI + " ms: " + message);
+      violations.add((System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI + " ms: " + message);
     }
   }
 
@@ -94,7 +94,7 @@
    * could be checked reliably.
    */
   public double unjudgedShare() {
-    return (double) stalledNanos / Math.max(1, System.nanoTime() - beganNanos);
+    return (double) stalledNanos / Math.max(1, System.nanoTime() - startedAtNanos);
   }
 
   /** Returns the figures for a report by name. */
@@ -103,11 +103,11 @@
         "wants",
         requestCount,
         "last_get_after_drain_ms",
-        worstDrainNanos / NANOS_PER_MILLI,
+        latestAfterDrainNanos / NANOS_PER_MILLI,
         "oldest_after_purge_ms",
-        worstPurgeMillis,
+        latestAfterPurgeMillis,
         "cold_part_of_bound",
-        Math.round(worstWarmUpLoad * 100) / 100.0,
+        Math.round(peakWarmUpLoad * 100) / 100.0,
         "judge_stood_ms",
         stalledNanos / NANOS_PER_MILLI,
         "judge_stood_most_ms",
@@ -143,7 +143,7 @@
    * @param weight the weight of the cache, as announced in the journal
    */
   public void cacheStartedCold(String cache, double weight) {
-    warmingUp.put(cache, new WarmUpWindow(System.nanoTime(), weight));
+    warmUpWindows.put(cache, new WarmUpWindow(System.nanoTime(), weight));
   }
 
   // ---- Observations of caches and clients.
@@ -154,35 +154,35 @@
    */
   public void requestReceived(StandInCache.ReceivedRequest request) {
     requestCount++;
-    for (String cache : List.of(request.cache(), request.source())) {
+    for (String cache : List.of(request.cacheId(), request.sourceId())) {
       Long drainedNanos = drainedAtNanos.get(cache);
       if (drainedNanos != null) {
-        worstDrainNanos = Math.max(worstDrainNanos, tickNanos - drainedNanos);
-        if (tickNanos - drainedNanos > MAX_DRAIN_NANOS) {
+        latestAfterDrainNanos = Math.max(latestAfterDrainNanos, lastTickNanos - drainedNanos);
+        if (lastTickNanos - drainedNanos > MAX_AFTER_DRAIN_NANOS) {
           violation(
               "rule 3: "
                   + cache
-                  + (cache.equals(request.cache()) ? " got a GET " : " was named as a source ")
-                  + (tickNanos - drainedNanos) / NANOS_PER_MILLI
+                  + (cache.equals(request.cacheId()) ? " got a GET " : " was named as a source ")
+                  + (lastTickNanos - drainedNanos) / NANOS_PER_MILLI
                   + " ms after its drain");
         }
       }
     }
     if (LabSettings.ORDERS.equals(request.trafficClass()) && request.executes()) {
-      String previousCache = executedOnce.putIfAbsent(request.request(), request.cache());
+      String previousCache = executingCaches.putIfAbsent(request.requestId(), request.cacheId());
       if (previousCache != null) {
         violation(
             "rule 2: "
-                + request.request()
+                + request.requestId()
                 + " ran at "
                 + previousCache
                 + " and again at "
-                + request.cache());
+                + request.cacheId());
       }
     }
-    WarmUpWindow window = warmingUp.get(request.cache());
+    WarmUpWindow window = warmUpWindows.get(request.cacheId());
     if (window != null) {
-      checkWarmUp(window, request.cache());
+      checkWarmUp(window, request.cacheId());
     }
   }
 
@@ -195,7 +195,7 @@
     long nowNanos = System.nanoTime();
     double ageSeconds = (nowNanos - window.startedAtNanos) / 1e9;
     if (ageSeconds > LabSettings.WARM_UP_SECONDS) {
-      warmingUp.remove(cache);
+      warmUpWindows.remove(cache);
       return;
     }
     window.arrivalsNanos.add(nowNanos);
@@ -213,7 +213,7 @@
             * LabSettings.OVERLOAD_WINDOW_SECONDS
             / MEAN_WORK_SECONDS;
     double bound = allowed + 3 * Math.sqrt(allowed) + 3;
-    worstWarmUpLoad = Math.max(worstWarmUpLoad, window.arrivalsNanos.size() / bound);
+    peakWarmUpLoad = Math.max(peakWarmUpLoad, window.arrivalsNanos.size() / bound);
     if (window.arrivalsNanos.size() > bound) {
       violation(
           "rule 4: cold "
@@ -234,8 +234,8 @@
     long sentAtMillis =
         System.currentTimeMillis() - (System.nanoTime() - response.sentAtNanos()) / NANOS_PER_MILLI;
     if (purgedAt != null && response.issuedAtMillis() < purgedAt && sentAtMillis > purgedAt) {
-      worstPurgeMillis = Math.max(worstPurgeMillis, sentAtMillis - purgedAt);
-      if (sentAtMillis > purgedAt + MAX_PURGE_MILLIS) {
+      latestAfterPurgeMillis = Math.max(latestAfterPurgeMillis, sentAtMillis - purgedAt);
+      if (sentAtMillis > purgedAt + MAX_AFTER_PURGE_MILLIS) {
         violation(
             "rule 5: object "
                 + response.object()
--- a/lab/src/main/java/org/amberpath/lab/testbed/ServiceRecord.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/ServiceRecord.java
@@ -18,45 +18,45 @@
   private static final int MAX_SECONDS = 3600;
   private static final long NANOS_PER_SECOND = 1_000_000_000;
 
-  private final long beganNanos = System.nanoTime();
+  private final long startedAtNanos = System.nanoTime();
   private final long requestTimeoutNanos;
-  private final long[] offered = new long[MAX_SECONDS];
-  private final long[] returned = new long[MAX_SECONDS];
+  private final long[] scheduledCounts = new long[MAX_SECONDS];
+  private final long[] returnedCounts = new long[MAX_SECONDS];
 
   ServiceRecord(long requestTimeoutNanos) {
     this.requestTimeoutNanos = requestTimeoutNanos;
   }
 
   void offered(GatewaySlot slot, long sentAtNanos) {
-    count(slot, offered, sentAtNanos);
+    count(slot, scheduledCounts, sentAtNanos);
   }
 
   void returned(GatewaySlot slot, long sentAtNanos) {
-    count(slot, returned, sentAtNanos);
+    count(slot, returnedCounts, sentAtNanos);
   }
 
   private void count(GatewaySlot slot, long[] counts, long sentAtNanos) {
-    if (!slot.wasAway(sentAtNanos, sentAtNanos + requestTimeoutNanos)) {
-      counts[(int) Math.min(counts.length - 1, second(sentAtNanos))]++;
+    if (!slot.wasUnavailable(sentAtNanos, sentAtNanos + requestTimeoutNanos)) {
+      counts[(int) Math.min(counts.length - 1, secondOf(sentAtNanos))]++;
     }
   }
 
-  private long second(long timeNanos) {
-    return (timeNanos - beganNanos) / NANOS_PER_SECOND;
+  private long secondOf(long timeNanos) {
+    return (timeNanos - startedAtNanos) / NANOS_PER_SECOND;
   }
 
   /**
    * Returns the fraction of scheduled requests that were returned, in the complete seconds between
    * two times ({@link System#nanoTime}); 1 if none was scheduled.
    */
-  double share(long fromNanos, long toNanos) {
-    long offeredCount = 0;
+  double returnedShare(long fromNanos, long toNanos) {
+    long scheduledCount = 0;
     long returnedCount = 0;
-    for (long second = second(fromNanos) + 1; second < second(toNanos); second++) {
-      offeredCount += offered[(int) second];
-      returnedCount += returned[(int) second];
+    for (long second = secondOf(fromNanos) + 1; second < secondOf(toNanos); second++) {
+      scheduledCount += scheduledCounts[(int) second];
+      returnedCount += returnedCounts[(int) second];
     }
-    return offeredCount == 0 ? 1 : (double) returnedCount / offeredCount;
+    return scheduledCount == 0 ? 1 : (double) returnedCount / scheduledCount;
   }
 
   /**
@@ -69,8 +69,8 @@
       outcomes.put(
           outcome.name().toLowerCase(Locale.ROOT), sum(slots, each -> each.countOf(outcome)));
     }
-    outcomes.put("excused", sum(slots, LoadGenerator::excusedLosses));
-    outcomes.put("unsent", sum(slots, LoadGenerator::notSent));
+    outcomes.put("excused", sum(slots, LoadGenerator::excusedLossCount));
+    outcomes.put("unsent", sum(slots, LoadGenerator::notSentCount));
     return outcomes;
   }
 
--- a/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
@@ -25,17 +25,17 @@
     extraSections = sections;
   }
 
-  private Path keys() {
+  private Path keyFile() {
     return plan.folder().resolve("keys");
   }
 
   /** Writes the file with the authentication key that all gateways share. */
-  void writeKeys() throws IOException {
-    Files.writeString(keys(), KEY_LINE);
+  void writeKeyFile() throws IOException {
+    Files.writeString(keyFile(), KEY_LINE);
   }
 
   /** Writes the JSON settings of one gateway, and returns their path. */
-  Path writeConfig(GatewaySlot slot) throws IOException {
+  Path writeJsonSettings(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".json"),
         LabSettings.json(
@@ -43,17 +43,17 @@
   }
 
   /** Writes the INI file of one gateway, and returns its path. */
-  Path writeSections(GatewaySlot slot) throws IOException {
+  Path writeIniFile(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".ini"),
         "[fleet]\nname = lab\nlisten = 127.0.0.1:0\nadvertise = "
-            + links.address(slot.index())
+            + links.relayAddress(slot.index())
             + "\nseeds = "
-            + String.join(", ", links.address(0), links.address(1), links.address(2))
+            + String.join(", ", links.relayAddress(0), links.relayAddress(1), links.relayAddress(2))
             + "\ntold = "
             + plan.expectedMembers()
             + "\nkey = "
-            + keys()
+            + keyFile()
             + "\noperators = 127.0.0.1:0\n"
             + extraSections);
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -67,7 +67,7 @@
     }
   }
 
-  private record Poll(HttpServerRequest request, int tail) {}
+  private record Poll(HttpServerRequest request, int lastPosition) {}
 
   private final Vertx vertx;
   private final HttpServer server;
@@ -94,7 +94,7 @@
 
   /** Adds one event that lists caches. */
   public void announceCaches(ListScope scope, List<Instance> instances) {
-    add(
+    addEvent(
         "\"hosts\":{\"generation\":1,\"reset\":"
             + (scope == ListScope.FULL)
             + ",\"instances\":["
@@ -118,10 +118,10 @@
    * @param atMillis the timestamp of the purge (Unix time)
    */
   void announcePurge(String object, long atMillis) {
-    add("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
+    addEvent("\"expire\":{\"name\":\"" + object + "\",\"stamp\":" + atMillis + "}");
   }
 
-  private void add(String event) {
+  private void addEvent(String event) {
     if (entries.size() >= MAX_EVENTS) {
       throw new IllegalStateException("more than " + MAX_EVENTS + " events");
     }
@@ -136,7 +136,7 @@
   private void pollReceived(HttpServerRequest request) {
     Poll poll = new Poll(request, Integer.parseInt(request.getParam("tail")));
     long maxWaitMillis = Long.parseLong(request.getParam("max_wait"));
-    if (poll.tail < entries.size()) {
+    if (poll.lastPosition < entries.size()) {
       reply(poll);
       return;
     }
@@ -152,16 +152,16 @@
   }
 
   private void reply(Poll poll) {
-    String body = eventsAfter(poll.tail);
+    String body = eventsAfter(poll.lastPosition);
     bytesSent += body.length();
     poll.request.response().end(body);
   }
 
-  private String eventsAfter(int tail) {
+  private String eventsAfter(int lastPosition) {
     return "{\"pos\":"
         + entries.size()
         + ",\"entries\":["
-        + String.join(",", entries.subList(Math.min(tail, entries.size()), entries.size()))
+        + String.join(",", entries.subList(Math.min(lastPosition, entries.size()), entries.size()))
         + "]}";
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/TestbedCaches.java
@@ -16,15 +16,15 @@
  * to the testbed's event loop.
  */
 final class TestbedCaches {
-  private static final int EDGE_CACHES = 8;
-  private static final int OBJECTS = 64;
+  private static final int EDGE_CACHE_COUNT = 8;
+  private static final int OBJECT_COUNT = 64;
   private static final double EDGE_WEIGHT = 0.5;
   private static final double OTHER_WEIGHT = 10;
   private static final long HIT_MILLIS = 2;
   private static final long EDGE_FILL_MILLIS = 8;
   private static final long HUB_FILL_MILLIS = 10;
-  private static final long ORIGIN_MILLIS = 10;
-  private static final long RESTART_MILLIS = 50;
+  private static final long ORIGIN_RESPONSE_MILLIS = 10;
+  private static final long RESTART_DELAY_MILLIS = 50;
   private static final long MAX_PURGE_DELAY_MILLIS = 1500;
   private static final int CHANGE_KINDS = 4;
 
@@ -45,11 +45,11 @@
   /** Makes all caches listen. */
   Future<?> listen() {
     List<Future<?>> listening = new ArrayList<>();
-    for (int index = 0; index < EDGE_CACHES; index++) {
+    for (int index = 0; index < EDGE_CACHE_COUNT; index++) {
       listening.add(listen("e" + index, HIT_MILLIS, EDGE_FILL_MILLIS));
     }
     listening.add(listen("h0", HIT_MILLIS, HUB_FILL_MILLIS));
-    listening.add(listen("o0", ORIGIN_MILLIS, 0));
+    listening.add(listen("o0", ORIGIN_RESPONSE_MILLIS, 0));
     return Future.all(listening);
   }
 
@@ -90,11 +90,11 @@
    * Makes one random change: an edge cache is drained, made ready again or restarted, or an object
    * is purged. Does nothing if the drawn cache does not admit the drawn change.
    */
-  void change() {
-    String id = "e" + random.nextInt(EDGE_CACHES);
+  void makeRandomChange() {
+    String id = "e" + random.nextInt(EDGE_CACHE_COUNT);
     switch (random.nextInt(CHANGE_KINDS)) {
       case 0 -> {
-        if (mayGo(id)) {
+        if (mayLeave(id)) {
           announce(id, EndpointState.DRAINING, 0);
           auditor.cacheDrained(id);
         }
@@ -106,11 +106,11 @@
         }
       }
       case 2 -> {
-        if (mayGo(id)) {
+        if (mayLeave(id)) {
           restart(id);
         }
       }
-      default -> purge(String.format("%016x", 1 + random.nextInt(OBJECTS)));
+      default -> purge(String.format("%016x", 1 + random.nextInt(OBJECT_COUNT)));
     }
   }
 
@@ -118,19 +118,19 @@
    * Returns whether an edge cache may leave: it is ready, and more than half of all edge caches
    * are.
    */
-  private boolean mayGo(String id) {
+  private boolean mayLeave(String id) {
     long up =
         states.entrySet().stream()
             .filter(entry -> entry.getKey().startsWith("e") && entry.getValue() == EndpointState.UP)
             .count();
-    return states.get(id) == EndpointState.UP && up > EDGE_CACHES / 2;
+    return states.get(id) == EndpointState.UP && up > EDGE_CACHE_COUNT / 2;
   }
 
   private void restart(String id) {
     announce(id, EndpointState.GONE, 0);
     caches.get(id).close();
     vertx.setTimer(
-        RESTART_MILLIS,
+        RESTART_DELAY_MILLIS,
         timer ->
             caches
                 .get(id)
--- a/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/Timetable.java
@@ -62,12 +62,12 @@
   /**
    * Runs each step at its time, or immediately if that time has passed.
    *
-   * @param beganNanos the start of the scenario ({@link System#nanoTime})
+   * @param startedAtNanos the start of the scenario ({@link System#nanoTime})
    */
-  public void play(long beganNanos) throws Exception {
+  public void play(long startedAtNanos) throws Exception {
     for (Step step : steps) {
       long waitMillis =
-          beganNanos / NANOS_PER_MILLI + step.atMillis - System.nanoTime() / NANOS_PER_MILLI;
+          startedAtNanos / NANOS_PER_MILLI + step.atMillis - System.nanoTime() / NANOS_PER_MILLI;
       if (waitMillis > 0) {
         Thread.sleep(waitMillis);
       }
--- a/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
+++ b/lab/src/test/java/org/amberpath/lab/endpoints/UsageBoundsTest.java
@@ -18,19 +18,19 @@
 class UsageBoundsTest {
   private static final GatewayUsage USUAL = new GatewayUsage(200, 2, 80, 100, 200, 50_000, 0.9);
 
-  private static JsonObject compared(
+  private static JsonObject comparisonReport(
       double cpu, double memory, int descriptors, long connections, long bytes, double served) {
-    ExperimentReport result = new ExperimentReport(1);
+    ExperimentReport report = new ExperimentReport(1);
     UsageBounds.compare(
         USUAL,
         new GatewayUsage(3200, cpu, memory, descriptors, connections, bytes, served),
-        result);
-    return new JsonObject(result.json());
+        report);
+    return new JsonObject(report.json());
   }
 
   @Test
   void usageJustWithinEachBoundHolds() {
-    assertTrue(compared(3.204, 140.8, 240, 540, 1_764_000, 0.765).getBoolean("holds"));
+    assertTrue(comparisonReport(3.204, 140.8, 240, 540, 1_764_000, 0.765).getBoolean("holds"));
   }
 
   @ParameterizedTest
@@ -43,10 +43,10 @@
     "share_served,2,80,100,200,50000,0.764"
   })
   void usageJustBeyondOneBoundMissesThatBarAlone(ArgumentsAccessor usage) {
-    String row = usage.getString(0);
+    String exceededFigure = usage.getString(0);
 
     JsonObject bars =
-        compared(
+        comparisonReport(
                 usage.getDouble(1),
                 usage.getDouble(2),
                 usage.getInteger(3),
@@ -56,7 +56,7 @@
             .getJsonObject("bars");
 
     for (Map.Entry<String, Object> bar : bars) {
-      assertEquals(!bar.getKey().equals(row), bar.getValue(), bar.getKey());
+      assertEquals(!bar.getKey().equals(exceededFigure), bar.getValue(), bar.getKey());
     }
     assertEquals(6, bars.size());
   }
