--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -42,16 +42,16 @@
                   listener,
                   random));
       out.println(
-          "a gateway at 127.0.0.1:"
+          "gateway at 127.0.0.1:"
               + testbed.gatewayPort()
-              + ", 4 edge caches, a hub, the origin; "
+              + " with 4 edge caches, a hub and an origin; "
               + REQUESTS_PER_SECOND
-              + " GETs/s for "
+              + " requests/s for "
               + seconds
               + " s");
       LoadGenerator loadGenerator = startClients(testbed, seed);
       Thread.sleep(phaseMillis);
-      out.println("cache e1 dies");
+      out.println("cache e1 crashes");
       testbed.runOnLoop(() -> testbed.cache(CRASHED_CACHE).close());
       Thread.sleep(phaseMillis);
       out.println("cache e2 is drained");
@@ -91,7 +91,8 @@
       PrintStream out,
       ExperimentReport report) {
     out.printf(
-        "last GET to e2 %.1f ms after its drain was written%n", lastRequestAfterDrainNanos / 1e6);
+        "last request to e2 arrived %.1f ms after its drain was written to the registry%n",
+        lastRequestAfterDrainNanos / 1e6);
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
       report.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
     }
@@ -99,19 +100,21 @@
         .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
         .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
         .figure("drained_after_ms", lastRequestAfterDrainNanos / 1_000_000)
-        .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
-        .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
-        .bar("nothing new 250 ms after a drain", lastRequestAfterDrainNanos < MAX_DRAIN_NANOS);
+        .bar("no request lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
+        .bar("no request answered twice", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
+        .bar(
+            "no request to a drained cache after 250 ms (plus 50 ms tolerance)",
+            lastRequestAfterDrainNanos < MAX_DRAIN_NANOS);
   }
 
   /** Returns the explanation of an outcome that is printed next to its count. */
   private static String describe(LoadGenerator.Outcome outcome) {
     return switch (outcome) {
-      case RETURNED -> "a cache made it";
-      case SHED -> "not run; told when to come back";
-      case ERRORED -> "may have run, not returned";
-      case LOST -> "no answer in time";
-      case TWICE -> "more than one answer";
+      case RETURNED -> "returned by a cache";
+      case SHED -> "rejected, not executed; the response names a time to retry after";
+      case ERRORED -> "failed; may have been executed";
+      case LOST -> "no response before the timeout";
+      case TWICE -> "more than one response";
     };
   }
 
@@ -127,7 +130,7 @@
         loadGenerator.latency().getMaxValue() / 1e3);
     for (StandInCache cache : testbed.caches()) {
       out.printf(
-          "  %-3s %6d GETs, %d from its own copies, gave %d parts%n",
+          "  %-3s %6d requests, %d hits, %d fills of other caches%n",
           cache.id(), cache.requestCount(), cache.hitCount(), cache.fillCount());
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -61,7 +61,7 @@
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
     ExperimentReport report = new ExperimentReport(seed);
     RateResult sustained = null;
-    out.println("first with cold code, which counts for nothing:");
+    out.println("warm-up run for the JIT compiler, not part of the results:");
     measure(seed, FIRST_RATE, seconds, out);
     for (int rate = FIRST_RATE; rate <= MAX_RATE; rate *= 2) {
       RateResult measured = measure(seed, rate, seconds, out);
@@ -71,7 +71,7 @@
       sustained = measured;
     }
     if (sustained == null) {
-      return report.bar("bears " + FIRST_RATE + " GETs a second", false);
+      return report.bar("sustains " + FIRST_RATE + " requests/s", false);
     }
     RateResult overloaded = measure(seed, OVERLOAD_MULTIPLE * sustained.requestRate, seconds, out);
     return report
@@ -83,11 +83,11 @@
         .figure("lag_p99_ms", overloaded.loopLagP99Micros / 1000.0)
         .figure("latency_p99_ms", overloaded.latencyP99Micros / 1000.0)
         .bar(
-            "the loop's lag under 50 ms, 99 of 100 ticks",
+            "99th percentile of the event loop's lag at most 50 ms",
             overloaded.loopLagP99Micros <= MAX_OVERLOADED_LAG_MICROS)
-        .bar("no GET lost", overloaded.lostCount == 0)
+        .bar("no request lost", overloaded.lostCount == 0)
         .bar(
-            "half of what it bore is still returned",
+            "returns at least half of the sustained rate",
             overloaded.returnedPerSecond >= MIN_OVERLOADED_SHARE * sustained.requestRate);
   }
 
@@ -113,7 +113,8 @@
       RateResult measured = measure(testbed, loadGenerator, rate, seconds);
       out.printf(
           Locale.ROOT,
-          "%6d GETs/s: returned %.0f, shed %.0f, lost %d; lag p99 %.1f ms, answers p99 %.1f ms%n",
+          "%6d requests/s: returned %.0f/s, rejected %.0f/s, lost %d;"
+              + " loop lag p99 %.1f ms, latency p99 %.1f ms%n",
           rate,
           measured.returnedPerSecond,
           measured.rejectedPerSecond,
--- a/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/EndpointsSizeExperiment.java
@@ -58,7 +58,7 @@
       report
           .figure(name, usage.figures())
           .figure(name + "_details", testbed.details())
-          .bar(name + ": no rule broken", testbed.violations().isEmpty())
+          .bar(name + ": no service rule violated", testbed.violations().isEmpty())
           .bar(name + ": no request lost or answered twice", testbed.lostOrDuplicatedCount() == 0);
       testbed.violations().forEach(out::println);
       return usage;
--- a/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
+++ b/lab/src/main/java/org/amberpath/lab/endpoints/ProcessUsage.java
@@ -44,7 +44,10 @@
     Duration total =
         ProcessHandle.of(processId)
             .flatMap(process -> process.info().totalCpuDuration())
-            .orElseThrow(() -> new IOException("no processor time of process " + processId));
+            .orElseThrow(
+                () ->
+                    new IOException(
+                        "process " + processId + " has no processor time; it may have ended"));
     return total.toMillis() / MILLIS_PER_SECOND;
   }
 
@@ -54,7 +57,15 @@
         lines.stream()
             .filter(each -> each.startsWith(PEAK_MEMORY))
             .findFirst()
-            .orElseThrow(() -> new IOException("no " + PEAK_MEMORY + " of process " + processId));
+            .orElseThrow(
+                () ->
+                    new IOException(
+                        "process "
+                            + processId
+                            + " has no line "
+                            + PEAK_MEMORY
+                            + " in "
+                            + file("status")));
     return UsageBounds.rounded(Long.parseLong(line.replaceAll("\\D", "")) / KILOBYTES_PER_MEGABYTE);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewayProcess.java
@@ -121,7 +121,12 @@
       // The process has ended and its output pipe is closed.
     }
     for (CompletableFuture<Integer> port : List.of(clientPort, fleetPort, adminPort)) {
-      port.completeExceptionally(new IOException("the gateway ended first; its log: " + log));
+      port.completeExceptionally(
+          new IOException(
+              "gateway process "
+                  + process.pid()
+                  + " ended before it logged all of its ports; see "
+                  + log));
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -162,9 +162,13 @@
           violation(
               "rule 3: "
                   + cache
-                  + (cache.equals(request.cacheId()) ? " got a GET " : " was named as a source ")
+                  + (cache.equals(request.cacheId())
+                      ? " received a request "
+                      : " was named as a fill source ")
                   + (lastTickNanos - drainedNanos) / NANOS_PER_MILLI
-                  + " ms after its drain");
+                  + " ms after its drain; the limit is "
+                  + MAX_AFTER_DRAIN_NANOS / NANOS_PER_MILLI
+                  + " ms");
         }
       }
     }
@@ -172,12 +176,13 @@
       String previousCache = executingCaches.putIfAbsent(request.requestId(), request.cacheId());
       if (previousCache != null) {
         violation(
-            "rule 2: "
+            "rule 2: request "
                 + request.requestId()
-                + " ran at "
+                + " was executed at "
                 + previousCache
                 + " and again at "
-                + request.cacheId());
+                + request.cacheId()
+                + "; at most one execution is allowed");
       }
     }
     WarmUpWindow window = warmUpWindows.get(request.cacheId());
@@ -216,11 +221,13 @@
     peakWarmUpLoad = Math.max(peakWarmUpLoad, window.arrivalsNanos.size() / bound);
     if (window.arrivalsNanos.size() > bound) {
       violation(
-          "rule 4: cold "
+          "rule 4: warming-up cache "
               + cache
-              + " got "
+              + " received "
               + window.arrivalsNanos.size()
-              + " GETs in its second, and bears "
+              + " requests within "
+              + LabSettings.OVERLOAD_WINDOW_SECONDS
+              + " s; the limit is "
               + (int) bound);
     }
   }
@@ -239,11 +246,13 @@
         violation(
             "rule 5: object "
                 + response.object()
-                + " from "
+                + " was returned as a copy issued "
                 + (purgedAt - response.issuedAtMillis())
-                + " ms before its purge, "
+                + " ms before its purge, to a request sent "
                 + (sentAtMillis - purgedAt)
-                + " ms after it");
+                + " ms after the purge; the limit is "
+                + MAX_AFTER_PURGE_MILLIS
+                + " ms");
       }
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/StandInJournal.java
@@ -123,7 +123,8 @@
 
   private void addEvent(String event) {
     if (entries.size() >= MAX_EVENTS) {
-      throw new IllegalStateException("more than " + MAX_EVENTS + " events");
+      throw new IllegalStateException(
+          "stand-in journal is full: it already holds " + MAX_EVENTS + " events");
     }
     entries.add("{\"pos\":" + (entries.size() + 1) + "," + event + "}");
     for (Iterator<Poll> iterator = polls.iterator(); iterator.hasNext(); ) {
