--- a/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
+++ b/lab/src/main/java/org/amberpath/lab/OverloadExperiment.java
@@ -36,7 +36,7 @@
    * The measurements at one request rate.
    *
    * @param requestRate requests per second that were offered
-   * @param lostCount requests without a response, over the whole measurement
+   * @param lostCount requests without a response, over the complete measurement
    * @param loopLagP99Micros 99th percentile of the delay of the gateway's event loop
    * @param latencyP99Micros 99th percentile of the latency of returned requests
    */
--- a/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
@@ -21,7 +21,10 @@
   private record ClientRequest(long key, long startedAtNanos, int retries) {}
 
   private static final long REQUEST_TIMEOUT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
+
+  /** A client retries only if more than this time is left before its deadline. */
   private static final long MIN_TIME_FOR_RETRY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+
   private static final long DEFAULT_RETRY_DELAY_NANOS = 300 * Simulation.NANOS_PER_MILLI;
   private static final long LATENCY_OBJECTIVE_NANOS = 400 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_STAGGER_NANOS = 8 * Simulation.NANOS_PER_SECOND;
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetFigures.java
@@ -8,7 +8,10 @@
 /** The counters of one run of a fleet, each in bins of one second from the start of the run. */
 public final class FleetFigures {
   private static final int BINS_PER_SECOND = 10;
+
+  /** Bins after the end of the run; events that are even later are counted in the last bin. */
   private static final int EXTRA_SECONDS = 10;
+
   private static final double RESTORED_SHARE = 0.95;
   private static final double PER_MILLE = 1000;
 
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
@@ -86,7 +86,7 @@
   }
 
   /**
-   * Starts the gateway without any state after a power loss of the whole fleet; it admits requests
+   * Starts the gateway without any state after all gateways have lost power; it admits requests
    * according to the planned opening policy.
    */
   public void startAfterPowerLoss() {
--- a/lab/src/main/java/org/amberpath/lab/fleet/OpeningPolicy.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/OpeningPolicy.java
@@ -1,6 +1,6 @@
 package org.amberpath.lab.fleet;
 
-/** How a gateway admits requests when it starts after a power loss of the whole fleet. */
+/** How a gateway admits requests when it starts after all gateways have lost power. */
 public enum OpeningPolicy {
   /** All requests immediately. */
   AT_ONCE,
--- a/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
@@ -16,7 +16,12 @@
     ALWAYS
   }
 
+  /**
+   * Thresholds for the draw, from 0 to below {@value #DRAW_RANGE}, that decides whether a message
+   * is lost, late or duplicated.
+   */
   private static final int LOST_BELOW_DRAW = 5;
+
   private static final int LATE_BELOW_DRAW = 12;
   private static final int DUPLICATED_ABOVE_DRAW = 96;
   private static final int DRAW_RANGE = 100;
--- a/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/GatewaySlot.java
@@ -64,9 +64,8 @@
   }
 
   /**
-   * Returns the time ({@link System#nanoTime}) since which the gateway has been available again
-   * after a start or a pause, the end of a pause lying ahead while it lasts; 0 if no process
-   * serves.
+   * Returns the time ({@link System#nanoTime}) of the last start of serving or end of a pause;
+   * while a pause lasts, its planned end; 0 if no process serves.
    */
   public long runningSinceNanos() {
     return runningSinceNanos;
