--- a/lab/src/main/java/org/amberpath/lab/Demo.java
+++ b/lab/src/main/java/org/amberpath/lab/Demo.java
@@ -7,26 +7,31 @@
 import org.amberpath.routing.EndpointState;
 
 /**
- * Shows what a gateway does: it serves among stand-ins while one cache crashes and one is drained,
- * and how requests ended is printed.
+ * Demonstration of one gateway among stand-in endpoints: one cache crashes, another is drained, and
+ * the report counts how the clients' requests ended.
  */
-@SuppressWarnings("try") // Closing waits; an interrupt ends the experiment.
+@SuppressWarnings("try") // close() blocks; an InterruptedException ends the experiment.
 public final class Demo {
   private static final int REQUESTS_PER_SECOND = 200;
   private static final int CONNECTIONS = 8;
   private static final int EDGE_CACHES = 4;
   private static final long REQUEST_TIMEOUT_MILLIS = 1500;
-  private static final long LAST_ANSWER_MILLIS = 1700;
+  private static final long FINAL_RESPONSE_WAIT_MILLIS = 1700;
   private static final long MAX_DRAIN_NANOS = 300_000_000;
-  private static final String CRASHED = "e1";
-  private static final String DRAINED = "e2";
+  private static final String CRASHED_CACHE = "e1";
+  private static final String DRAINED_CACHE = "e2";
 
   private Demo() {}
 
-  /** Runs for so many seconds, and prints what happens. */
+  /**
+   * Runs the demonstration and prints its progress.
+   *
+   * @param seconds the duration in seconds: one third before the crash, one third between the crash
+   *     and the drain, one third after the drain
+   */
   public static ExperimentReport run(long seed, int seconds, PrintStream out) throws Exception {
-    ExperimentReport result = new ExperimentReport(seed);
-    long thirdMillis = seconds * 1000L / 3;
+    ExperimentReport report = new ExperimentReport(seed);
+    long phaseMillis = seconds * 1000L / 3;
     try (LoopbackTestbed testbed = new LoopbackTestbed(seed)) {
       testbed.open(1, EDGE_CACHES);
       testbed.serve(
@@ -37,31 +42,31 @@
                   listener,
                   random));
       out.println(
-          "a gateway at 127.0.0.1:"
+          "gateway at 127.0.0.1:"
               + testbed.gatewayPort()
-              + ", 4 edge caches, a hub, the origin; "
+              + " with 4 edge caches, a hub and an origin; "
               + REQUESTS_PER_SECOND
-              + " GETs/s for "
+              + " requests/s for "
               + seconds
               + " s");
       LoadGenerator loadGenerator = startClients(testbed, seed);
-      Thread.sleep(thirdMillis);
-      out.println("cache e1 dies");
-      testbed.runOnLoop(() -> testbed.cache(CRASHED).close());
-      Thread.sleep(thirdMillis);
+      Thread.sleep(phaseMillis);
+      out.println("cache e1 crashes");
+      testbed.runOnLoop(() -> testbed.cache(CRASHED_CACHE).close());
+      Thread.sleep(phaseMillis);
       out.println("cache e2 is drained");
       long drainedAtNanos = drain(testbed);
-      Thread.sleep(thirdMillis);
+      Thread.sleep(phaseMillis);
       testbed.runOnLoop(loadGenerator::stop);
-      Thread.sleep(LAST_ANSWER_MILLIS);
+      Thread.sleep(FINAL_RESPONSE_WAIT_MILLIS);
       testbed.runOnLoop(
           () -> {
-            long lastNanos = testbed.cache(DRAINED).lastRequestNanos();
-            print(loadGenerator, testbed, out);
-            report(loadGenerator, lastNanos - drainedAtNanos, out, result);
+            long lastRequestNanos = testbed.cache(DRAINED_CACHE).lastRequestNanos();
+            printOutcomes(loadGenerator, testbed, out);
+            fillReport(loadGenerator, lastRequestNanos - drainedAtNanos, out, report);
           });
     }
-    return result;
+    return report;
   }
 
   private static LoadGenerator startClients(LoopbackTestbed testbed, long seed) throws Exception {
@@ -75,43 +80,48 @@
   private static long drain(LoopbackTestbed testbed) throws Exception {
     return testbed.callOnLoop(
         () -> {
-          testbed.putCache(DRAINED, EndpointState.DRAINING);
+          testbed.putCache(DRAINED_CACHE, EndpointState.DRAINING);
           return System.nanoTime();
         });
   }
 
-  private static void report(
+  private static void fillReport(
       LoadGenerator loadGenerator,
-      long lastAfterDrainNanos,
+      long lastRequestAfterDrainNanos,
       PrintStream out,
-      ExperimentReport result) {
-    out.printf("last GET to e2 %.1f ms after its drain was written%n", lastAfterDrainNanos / 1e6);
+      ExperimentReport report) {
+    out.printf(
+        "last request to e2 arrived %.1f ms after its drain was written to the registry%n",
+        lastRequestAfterDrainNanos / 1e6);
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
-      result.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
+      report.figure(outcome.name().toLowerCase(Locale.ROOT), loadGenerator.countOf(outcome));
     }
-    result
+    report
         .figure("p50_ms", loadGenerator.latency().getValueAtPercentile(50) / 1000.0)
         .figure("p99_ms", loadGenerator.latency().getValueAtPercentile(99) / 1000.0)
-        .figure("drained_after_ms", lastAfterDrainNanos / 1_000_000)
-        .bar("no GET lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
-        .bar("one answer each", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
-        .bar("nothing new 250 ms after a drain", lastAfterDrainNanos < MAX_DRAIN_NANOS);
+        .figure("drained_after_ms", lastRequestAfterDrainNanos / 1_000_000)
+        .bar("no request lost", loadGenerator.countOf(LoadGenerator.Outcome.LOST) == 0)
+        .bar("no request answered twice", loadGenerator.countOf(LoadGenerator.Outcome.TWICE) == 0)
+        .bar(
+            "no request to a drained cache after 250 ms (plus 50 ms tolerance)",
+            lastRequestAfterDrainNanos < MAX_DRAIN_NANOS);
   }
 
-  /** What an outcome means to the client. */
-  private static String meaning(LoadGenerator.Outcome outcome) {
+  /** Returns the explanation of an outcome that is printed next to its count. */
+  private static String describe(LoadGenerator.Outcome outcome) {
     return switch (outcome) {
-      case RETURNED -> "a cache made it";
-      case SHED -> "not run; told when to come back";
-      case ERRORED -> "may have run, not returned";
-      case LOST -> "no answer in time";
-      case TWICE -> "more than one answer";
+      case RETURNED -> "returned by a cache";
+      case SHED -> "rejected, not executed; the response names a time to retry after";
+      case ERRORED -> "failed; may have been executed";
+      case LOST -> "no response before the timeout";
+      case TWICE -> "more than one response";
     };
   }
 
-  private static void print(LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
+  private static void printOutcomes(
+      LoadGenerator loadGenerator, LoopbackTestbed testbed, PrintStream out) {
     for (LoadGenerator.Outcome outcome : LoadGenerator.Outcome.values()) {
-      out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), meaning(outcome));
+      out.printf("  %-9s %6d  %s%n", outcome, loadGenerator.countOf(outcome), describe(outcome));
     }
     out.printf(
         "  latency   p50 %.1f ms, p99 %.1f ms, max %.1f ms%n",
@@ -120,7 +130,7 @@
         loadGenerator.latency().getMaxValue() / 1e3);
     for (StandInCache cache : testbed.caches()) {
       out.printf(
-          "  %-3s %6d GETs, %d from its own copies, gave %d parts%n",
+          "  %-3s %6d requests, %d hits, %d fills of other caches%n",
           cache.id(), cache.requestCount(), cache.hitCount(), cache.fillCount());
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
+++ b/lab/src/main/java/org/amberpath/lab/ObjectChoice.java
@@ -2,46 +2,53 @@
 
 import java.util.Arrays;
 
-/** Which object a client asks for: by Zipf's law, or the usual few. */
+/**
+ * Chooses the object that a client requests: by Zipf's law, or from the default set of {@value
+ * #DEFAULT_OBJECT_COUNT} objects.
+ */
 final class ObjectChoice {
-  private static final int DEFAULT_OBJECTS = 64;
+  private static final int DEFAULT_OBJECT_COUNT = 64;
 
-  /** Of each object, how likely it or one before it is asked for; empty for the usual few. */
-  private final double[] cumulative;
+  /** The cumulative probability of each object and all before it; empty for the default set. */
+  private final double[] cumulativeProbabilities;
 
-  private ObjectChoice(double[] cumulative) {
-    this.cumulative = cumulative;
+  private ObjectChoice(double[] cumulativeProbabilities) {
+    this.cumulativeProbabilities = cumulativeProbabilities;
   }
 
-  /** A few objects, the first most often. */
-  static ObjectChoice usual() {
+  /**
+   * Returns a choice among the default objects, in which lower numbers are requested more often.
+   */
+  static ObjectChoice defaultObjects() {
     return new ObjectChoice(new double[0]);
   }
 
-  /** So many objects, by Zipf's law with this exponent. */
-  static ObjectChoice zipf(int objects, double exponent) {
-    double[] cumulative = new double[objects];
+  /** Returns a choice among the given number of objects, by Zipf's law with this exponent. */
+  static ObjectChoice zipf(int objectCount, double exponent) {
+    double[] cumulativeProbabilities = new double[objectCount];
     double sum = 0;
-    for (int object = 0; object < objects; object++) {
+    for (int object = 0; object < objectCount; object++) {
       sum += Math.pow(object + 1, -exponent);
-      cumulative[object] = sum;
+      cumulativeProbabilities[object] = sum;
     }
-    for (int object = 0; object < objects; object++) {
-      cumulative[object] /= sum;
+    for (int object = 0; object < objectCount; object++) {
+      cumulativeProbabilities[object] /= sum;
     }
-    return new ObjectChoice(cumulative);
+    return new ObjectChoice(cumulativeProbabilities);
   }
 
-  /** The name of the object for a number drawn evenly from 0 to 1. */
-  String name(double uniform) {
-    return String.format("%016x", number(uniform));
+  /**
+   * Returns the name of the object (16 hex digits) that a number drawn evenly from [0, 1) selects.
+   */
+  String objectName(double uniform) {
+    return String.format("%016x", objectNumber(uniform));
   }
 
-  private long number(double uniform) {
-    if (cumulative.length == 0) {
-      return 1 + (long) (uniform * uniform * DEFAULT_OBJECTS);
+  private long objectNumber(double uniform) {
+    if (cumulativeProbabilities.length == 0) {
+      return 1 + (long) (uniform * uniform * DEFAULT_OBJECT_COUNT);
     }
-    int found = Arrays.binarySearch(cumulative, uniform);
-    return 1L + Math.min(cumulative.length - 1, found < 0 ? -found - 1 : found);
+    int found = Arrays.binarySearch(cumulativeProbabilities, uniform);
+    return 1L + Math.min(cumulativeProbabilities.length - 1, found < 0 ? -found - 1 : found);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/ClientTraffic.java
@@ -11,20 +11,24 @@
 import org.amberpath.routing.RequestDetails;
 
 /**
- * The clients of one gateway, which send on a schedule whatever comes back, and the gateway's
- * opening to them after its start. A client whose request is rejected sends it again until its time
- * is over.
+ * The clients of one gateway and the admission of their requests after a start of the gateway.
+ * Clients send at random intervals (Poisson arrivals) whether or not earlier requests have been
+ * answered. A client whose request is rejected retries until its timeout of {@value
+ * #REQUEST_TIMEOUT_NANOS} ns.
  */
 final class ClientTraffic {
-  /** One request of a client, under all ids that it had. */
+  /** One request of a client, which gets a new request id with each retry. */
   private record ClientRequest(long key, long startedAtNanos, int retries) {}
 
   private static final long REQUEST_TIMEOUT_NANOS = 2 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_RETRY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
-  private static final long DEFAULT_RETRY_NANOS = 300 * Simulation.NANOS_PER_MILLI;
+
+  /** A client retries only if more than this time is left before its deadline. */
+  private static final long MIN_TIME_FOR_RETRY_NANOS = 100 * Simulation.NANOS_PER_MILLI;
+
+  private static final long DEFAULT_RETRY_DELAY_NANOS = 300 * Simulation.NANOS_PER_MILLI;
   private static final long LATENCY_OBJECTIVE_NANOS = 400 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_STAGGER_NANOS = 8 * Simulation.NANOS_PER_SECOND;
-  private static final long NO_ARRIVALS_NANOS = 3 * Simulation.NANOS_PER_SECOND;
+  private static final long FINAL_PERIOD_WITHOUT_ARRIVALS_NANOS = 3 * Simulation.NANOS_PER_SECOND;
   private static final double MIN_TRAFFIC_SHARE = 0.25;
   private static final double TRAFFIC_SHARE_SPREAD = 1.5;
 
@@ -33,12 +37,15 @@
   private final VirtualScheduler scheduler;
   private final SplittableRandom random;
 
-  /** As a part of the mean: some gateways get several times as much as others. */
+  /**
+   * The rate of these clients as a fraction of the mean over all gateways; gateways differ by up to
+   * a factor of seven.
+   */
   private final double trafficShare;
 
-  private final Map<Long, ClientRequest> open = new HashMap<>();
+  private final Map<Long, ClientRequest> openRequests = new HashMap<>();
   private RecoveryRamp recoveryRamp;
-  private long opensAtNanos;
+  private long admitsFromNanos;
 
   ClientTraffic(VirtualFleet fleet, FleetGateway gateway) {
     this.fleet = fleet;
@@ -48,9 +55,12 @@
     trafficShare = MIN_TRAFFIC_SHARE + TRAFFIC_SHARE_SPREAD * random.nextDouble();
   }
 
-  /** The gateway has started: draws when it opens. */
-  void gatewayStarted(OpeningPolicy policy) {
-    opensAtNanos =
+  /**
+   * Called when the gateway has started: draws the time at which it begins to admit requests, and
+   * resets its admission ramp.
+   */
+  void onGatewayStarted(OpeningPolicy policy) {
+    admitsFromNanos =
         policy == OpeningPolicy.STAGGERED
             ? scheduler.nowNanos() + random.nextLong(MAX_STAGGER_NANOS)
             : scheduler.nowNanos();
@@ -58,8 +68,11 @@
         new RecoveryRamp(random.nextLong(), Simulation.NANOS_PER_SECOND, scheduler.nowNanos());
   }
 
-  /** The gateway knows the caches that are there, and what its part of them bears. */
-  void endpointsListed(OpeningPolicy policy) {
+  /**
+   * Called when the gateway knows the listed caches: gives the ramp the request rate that this
+   * gateway's share of the caches can serve at the start of their warm-up.
+   */
+  void onEndpointsListed(OpeningPolicy policy) {
     double edgeCapacity =
         fleet.caches().stream()
             .filter(cache -> cache.kind().equals(LabSettings.EDGE))
@@ -74,11 +87,11 @@
         scheduler.nowNanos(), policy == OpeningPolicy.BY_RETURNS, warmUpCapacity);
   }
 
-  /** The gateway has lost power: its clients send again. */
-  void gatewayCrashed() {
-    List<ClientRequest> interrupted = List.copyOf(open.values());
-    open.clear();
-    interrupted.forEach(request -> retryLater(request, DEFAULT_RETRY_NANOS));
+  /** Called when the gateway has lost power: its clients retry their open requests. */
+  void onGatewayCrashed() {
+    List<ClientRequest> interrupted = List.copyOf(openRequests.values());
+    openRequests.clear();
+    interrupted.forEach(request -> scheduleRetry(request, DEFAULT_RETRY_DELAY_NANOS));
   }
 
   void tick(long nowNanos) {
@@ -86,17 +99,17 @@
   }
 
   boolean isOpen(long requestId) {
-    return open.containsKey(requestId);
+    return openRequests.containsKey(requestId);
   }
 
-  /** Schedules the next request, and so on. */
+  /** Schedules the arrival of the next request, which in turn schedules the one after it. */
   void scheduleArrivals() {
     double requestsPerSecond = VirtualFleet.REQUESTS_PER_SECOND * trafficShare;
     scheduler.scheduleAfter(
         (long)
             (-Math.log(1 - random.nextDouble()) / requestsPerSecond * Simulation.NANOS_PER_SECOND),
         () -> {
-          if (scheduler.nowNanos() < fleet.endNanos() - NO_ARRIVALS_NANOS) {
+          if (scheduler.nowNanos() < fleet.endNanos() - FINAL_PERIOD_WITHOUT_ARRIVALS_NANOS) {
             long key = fleet.popularity().drawKey(random);
             requestArrived(new ClientRequest(key, scheduler.nowNanos(), 0));
             scheduleArrivals();
@@ -109,35 +122,38 @@
       fleet.figures().count("asked", request.startedAtNanos);
     }
     if (!gateway.isRunning()) {
-      retryLater(request, DEFAULT_RETRY_NANOS);
+      scheduleRetry(request, DEFAULT_RETRY_DELAY_NANOS);
       return;
     }
     long nowNanos = scheduler.nowNanos();
-    boolean further = ObjectPopularity.part(request.key) > 0;
-    if (nowNanos < opensAtNanos || !recoveryRamp.tryAdmit(nowNanos, further)) {
+    boolean continuesSession = ObjectPopularity.part(request.key) > 0;
+    if (nowNanos < admitsFromNanos || !recoveryRamp.tryAdmit(nowNanos, continuesSession)) {
       fleet.figures().count("turned_away", nowNanos);
-      retryLater(
+      scheduleRetry(
           request,
-          nowNanos < opensAtNanos ? DEFAULT_RETRY_NANOS : recoveryRamp.retryAfterNanos(further));
+          nowNanos < admitsFromNanos
+              ? DEFAULT_RETRY_DELAY_NANOS
+              : recoveryRamp.retryAfterNanos(continuesSession));
       return;
     }
     long id = gateway.newRequestId(request.key);
-    open.put(id, request);
-    gateway.tasks().objectRequested(request.key);
+    openRequests.put(id, request);
+    gateway.tasks().recordRequestedKey(request.key);
     long deadlineNanos = request.startedAtNanos + REQUEST_TIMEOUT_NANOS;
     gateway.enqueue(
         events ->
-            events.requestReceived(details(id, request.key, deadlineNanos - scheduler.nowNanos())));
+            events.requestReceived(
+                requestDetails(id, request.key, deadlineNanos - scheduler.nowNanos())));
     scheduler.schedule(
         deadlineNanos,
         () -> {
-          if (open.remove(id) != null) {
+          if (openRequests.remove(id) != null) {
             gateway.enqueue(events -> events.clientDisconnected(id));
           }
         });
   }
 
-  private static RequestDetails details(long id, long key, long timeLeftNanos) {
+  private static RequestDetails requestDetails(long id, long key, long timeLeftNanos) {
     return new RequestDetails(
         id,
         0,
@@ -149,9 +165,9 @@
         false);
   }
 
-  private void retryLater(ClientRequest request, long delayNanos) {
+  private void scheduleRetry(ClientRequest request, long delayNanos) {
     long deadlineNanos = request.startedAtNanos + REQUEST_TIMEOUT_NANOS;
-    if (scheduler.nowNanos() + delayNanos < deadlineNanos - NO_RETRY_NANOS) {
+    if (scheduler.nowNanos() + delayNanos < deadlineNanos - MIN_TIME_FOR_RETRY_NANOS) {
       scheduler.scheduleAfter(
           delayNanos,
           () ->
@@ -160,9 +176,12 @@
     }
   }
 
-  /** A request has its answer. */
-  void answered(long requestId) {
-    ClientRequest request = open.remove(requestId);
+  /**
+   * Called when a request has been returned; counts it as good within the latency objective of
+   * {@value #LATENCY_OBJECTIVE_NANOS} ns.
+   */
+  void onAnswered(long requestId) {
+    ClientRequest request = openRequests.remove(requestId);
     if (request != null) {
       if (scheduler.nowNanos() - request.startedAtNanos <= LATENCY_OBJECTIVE_NANOS) {
         fleet.figures().count("good", request.startedAtNanos);
@@ -171,17 +190,22 @@
     }
   }
 
-  /** A request is rejected; a hint of 0 is none. */
-  void rejected(long requestId, long retryAfterNanos) {
-    ClientRequest request = open.remove(requestId);
+  /**
+   * Called when the router rejects a request.
+   *
+   * @param retryAfterNanos the delay after which the client is asked to retry; 0 for none, which
+   *     selects the default delay
+   */
+  void onRejected(long requestId, long retryAfterNanos) {
+    ClientRequest request = openRequests.remove(requestId);
     if (request != null) {
       fleet.figures().count("shed", scheduler.nowNanos());
-      retryLater(request, retryAfterNanos > 0 ? retryAfterNanos : DEFAULT_RETRY_NANOS);
+      scheduleRetry(request, retryAfterNanos > 0 ? retryAfterNanos : DEFAULT_RETRY_DELAY_NANOS);
     }
   }
 
-  /** A request has failed. */
-  void failed(long requestId) {
-    open.remove(requestId);
+  /** Called when a request has failed; its client does not retry it. */
+  void onFailed(long requestId) {
+    openRequests.remove(requestId);
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetCache.java
@@ -14,14 +14,14 @@
 import org.amberpath.routing.ResponseDetail;
 
 /**
- * An edge cache, a hub or the origin of a {@link VirtualFleet}. It works on as many transfers at
- * once as its capacity; what finds no place waits.
+ * An edge cache, hub or origin of a {@link VirtualFleet}. It runs as many transfers concurrently as
+ * its capacity allows, at least one; further transfers wait in a queue without a bound.
  */
 public final class FleetCache {
-  private static final double MIN_WORK = 0.8;
-  private static final double WORK_SPREAD = 0.4;
-  private static final long MISS_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long PARENT_MISS_NANOS = 20 * Simulation.NANOS_PER_MILLI;
+  private static final double MIN_WORK_FACTOR = 0.8;
+  private static final double WORK_FACTOR_SPREAD = 0.4;
+  private static final long MISS_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long PARENT_MISS_DELAY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
 
   private final VirtualFleet fleet;
   private final VirtualScheduler scheduler;
@@ -35,7 +35,9 @@
   private boolean hung;
   private boolean down;
 
-  /** When it started with nothing stored; 0 for one that has been there all the time. */
+  /**
+   * When the cache last started with nothing stored; 0 if it has run since the start of the model.
+   */
   private long startedAtNanos;
 
   private long incarnation;
@@ -49,7 +51,7 @@
     this.capacity = capacity;
   }
 
-  /** Its place in the list of all caches. */
+  /** Returns the index of this cache in the list of all caches. */
   public int index() {
     return index;
   }
@@ -70,7 +72,7 @@
     return startedAtNanos;
   }
 
-  /** Loses all that it has, and takes no connections. */
+  /** Crashes the cache: it loses its copies and its work in progress, and refuses connections. */
   public void crash() {
     down = true;
     incarnation++;
@@ -80,18 +82,18 @@
     activeTransfers = 0;
   }
 
-  /** Starts with nothing stored. */
+  /** Restarts the cache with nothing stored. */
   public void restart() {
     down = false;
     startedAtNanos = scheduler.nowNanos();
   }
 
-  /** Takes requests, and answers none. */
+  /** Hangs the cache: it accepts requests and answers none. */
   public void hang() {
     hung = true;
   }
 
-  /** Ends a hang; what it worked on is gone. */
+  /** Ends a hang; the transfers that were waiting or in progress are lost. */
   public void resume() {
     hung = false;
     waitingTransfers.clear();
@@ -104,15 +106,16 @@
   }
 
   private void startTransfer(Runnable completed) {
-    long scheduledIn = incarnation;
+    long scheduledIncarnation = incarnation;
     Runnable transfer =
         () -> {
           activeTransfers++;
-          double workSeconds =
+          double workNanos =
               VirtualFleet.WORK_SECONDS
                   * Simulation.NANOS_PER_SECOND
-                  * (MIN_WORK + WORK_SPREAD * fleet.random().nextDouble());
-          scheduler.scheduleAfter((long) workSeconds, () -> endTransfer(scheduledIn, completed));
+                  * (MIN_WORK_FACTOR + WORK_FACTOR_SPREAD * fleet.random().nextDouble());
+          scheduler.scheduleAfter(
+              (long) workNanos, () -> endTransfer(scheduledIncarnation, completed));
         };
     if (activeTransfers < Math.max(1, capacity)) {
       transfer.run();
@@ -121,8 +124,8 @@
     }
   }
 
-  private void endTransfer(long scheduledIn, Runnable completed) {
-    if (incarnation == scheduledIn && !hung) {
+  private void endTransfer(long scheduledIncarnation, Runnable completed) {
+    if (incarnation == scheduledIncarnation && !hung) {
       activeTransfers--;
       if (!waitingTransfers.isEmpty()) {
         waitingTransfers.poll().run();
@@ -149,12 +152,12 @@
       answer(request, AttemptOutcome.NOT_CACHED, ResponseDetail.NONE);
       return;
     }
-    long receivedIn = incarnation;
+    long receivedIncarnation = incarnation;
     Runnable respond =
         () ->
             startTransfer(
                 () -> {
-                  if (incarnation == receivedIn && request.stores()) {
+                  if (incarnation == receivedIncarnation && request.stores()) {
                     storedKeys.add(request.key());
                   }
                   answer(
@@ -165,7 +168,8 @@
     if (hit) {
       respond.run();
     } else {
-      scheduler.scheduleAfter(MISS_NANOS, () -> request.source().fill(request.key(), respond));
+      scheduler.scheduleAfter(
+          MISS_DELAY_NANOS, () -> request.source().fill(request.key(), respond));
     }
   }
 
@@ -173,7 +177,10 @@
     request.gateway().attemptAnswered(request, outcome, detail);
   }
 
-  /** Gives a part to another cache: its own copy, or what the origin has. */
+  /**
+   * Fills another cache with a part: from a stored copy, or from the origin. Concurrent fills of
+   * the same part share one request to the origin.
+   */
   private void fill(long key, Runnable filled) {
     if (down || hung) {
       return;
@@ -181,29 +188,34 @@
     FleetCache origin = fleet.origin();
     if (storedKeys.contains(key) || this == origin) {
       if (this == origin) {
-        fleet.figures().originFilled(scheduler.nowNanos());
+        fleet.figures().countOriginFill(scheduler.nowNanos());
       }
       startTransfer(filled);
     } else if (fillsInProgress.containsKey(key)) {
-      fillsInProgress.get(key).add(filled); // Joins the fill that is under way.
+      fillsInProgress.get(key).add(filled); // Joins the fill in progress.
     } else {
       List<Runnable> waiters = new ArrayList<>(List.of(filled));
       fillsInProgress.put(key, waiters);
-      long startedIn = incarnation;
+      long startedIncarnation = incarnation;
       scheduler.scheduleAfter(
-          PARENT_MISS_NANOS, () -> origin.fill(key, () -> fillCompleted(key, startedIn, waiters)));
+          PARENT_MISS_DELAY_NANOS,
+          () -> origin.fill(key, () -> fillCompleted(key, startedIncarnation, waiters)));
     }
   }
 
-  private void fillCompleted(long key, long startedIn, List<Runnable> waiters) {
-    if (incarnation == startedIn) {
+  private void fillCompleted(long key, long startedIncarnation, List<Runnable> waiters) {
+    if (incarnation == startedIncarnation) {
       storedKeys.add(key);
       fillsInProgress.remove(key);
       waiters.forEach(Runnable::run);
     }
   }
 
-  /** What it gets while it warms up, from all gateways, against what the settings promise. */
+  /**
+   * Records how much load this cache receives from all gateways during its warm-up, against the
+   * bound that follows from the settings: the allowed number of requests plus three standard
+   * deviations of Poisson arrivals, plus 3.
+   */
   private void measureWarmUpLoad() {
     long nowNanos = scheduler.nowNanos();
     recentArrivalsNanos.add(nowNanos);
@@ -219,7 +231,9 @@
               * capacity
               / VirtualFleet.WORK_SECONDS
               * LabSettings.OVERLOAD_WINDOW_SECONDS;
-      fleet.figures().warmUpLoad(recentArrivalsNanos.size(), allowed + 3 * Math.sqrt(allowed) + 3);
+      fleet
+          .figures()
+          .recordWarmUpLoad(recentArrivalsNanos.size(), allowed + 3 * Math.sqrt(allowed) + 3);
     }
   }
 
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetGateway.java
@@ -25,15 +25,17 @@
 import org.amberpath.routing.RoutingEventHandler;
 import org.amberpath.routing.RoutingEvents;
 
-/** One gateway of a {@link VirtualFleet}: the real decisions over simulated connections. */
+/**
+ * One gateway of a {@link VirtualFleet}: the real {@link RequestRouter} over simulated connections.
+ */
 public final class FleetGateway implements RoutingEvents, RoutingActions {
   private static final long TICK_NANOS = 100 * Simulation.NANOS_PER_MILLI;
-  private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_EXTRA_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MIN_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_EXTRA_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long RETURNED_DURATION_NANOS =
       (long) (VirtualFleet.WORK_SECONDS * Simulation.NANOS_PER_SECOND);
 
-  /** The decisions look at the duration of what was returned alone. */
+  /** Any duration serves here: the router uses the duration of returned attempts only. */
   private static final long OTHER_DURATION_NANOS = 2 * Simulation.NANOS_PER_SECOND;
 
   private final VirtualFleet fleet;
@@ -78,12 +80,15 @@
     return tasks;
   }
 
-  /** Starts with nothing, and opens at once. */
+  /** Starts the gateway without any state; it admits requests immediately. */
   void start() {
     start(OpeningPolicy.AT_ONCE);
   }
 
-  /** Starts with nothing, as all others do, and opens as planned. */
+  /**
+   * Starts the gateway without any state after all gateways have lost power; it admits requests
+   * according to the planned opening policy.
+   */
   public void startAfterPowerLoss() {
     start(fleet.plan().openingPolicy());
   }
@@ -92,32 +97,32 @@
     running = true;
     incarnation++;
     router = new RequestRouter(config);
-    tasks.gatewayStarted();
-    traffic.gatewayStarted(policy);
-    enqueue(this::listAll);
-    traffic.endpointsListed(policy);
+    tasks.onGatewayStarted();
+    traffic.onGatewayStarted(policy);
+    enqueue(this::listAllEndpoints);
+    traffic.onEndpointsListed(policy);
     tick();
   }
 
-  /** Loses power and all that it held; its clients send again. */
+  /** Crashes the gateway: it loses all state, and its clients retry. */
   public void crash() {
     running = false;
     incarnation++;
     openAttempts.clear();
     pendingEvents.clear();
     roundScheduled = false;
-    tasks.gatewayCrashed();
-    traffic.gatewayCrashed();
+    tasks.onGatewayCrashed();
+    traffic.onGatewayCrashed();
   }
 
   private void tick() {
     long nowNanos = scheduler.nowNanos();
     tasks.tick(nowNanos);
     traffic.tick(nowNanos);
-    scheduleHere(TICK_NANOS, this::tick);
+    scheduleInIncarnation(TICK_NANOS, this::tick);
   }
 
-  /** A new id for a request for a part. */
+  /** Returns a new id for a request for a part. */
   long newRequestId(long key) {
     long id = ++lastRequestId;
     keysByRequest.put(id, key);
@@ -126,13 +131,13 @@
 
   // ---- Events.
 
-  private void listAll(RoutingEventHandler events) {
+  private void listAllEndpoints(RoutingEventHandler events) {
     events.endpointListStarted(EndpointListKind.FULL);
     fleet
         .caches()
         .forEach(
             cache ->
-                list(
+                listEndpoint(
                     events,
                     cache,
                     cache.isDown() ? EndpointState.GONE : EndpointState.UP,
@@ -140,17 +145,17 @@
     events.endpointListCompleted();
   }
 
-  /** The gateway hears of a change of one cache. */
+  /** Notifies the router of a change of one cache. */
   void endpointChanged(FleetCache cache, EndpointState state, long startedAtNanos) {
     enqueue(
         events -> {
           events.endpointListStarted(EndpointListKind.CHANGES);
-          list(events, cache, state, startedAtNanos);
+          listEndpoint(events, cache, state, startedAtNanos);
           events.endpointListCompleted();
         });
   }
 
-  private static void list(
+  private static void listEndpoint(
       RoutingEventHandler events, FleetCache cache, EndpointState state, long startedAtNanos) {
     events.endpointListed(
         new EndpointDescription(
@@ -164,7 +169,9 @@
             startedAtNanos));
   }
 
-  /** Adds an event to the next round of decisions. */
+  /**
+   * Adds an event to the next round of decisions of the router; ignored while the gateway is down.
+   */
   void enqueue(Consumer<RoutingEventHandler> event) {
     if (!running) {
       return;
@@ -172,7 +179,7 @@
     pendingEvents.add(event);
     if (!roundScheduled) {
       roundScheduled = true;
-      scheduleHere(
+      scheduleInIncarnation(
           0,
           () -> {
             roundScheduled = false;
@@ -183,13 +190,13 @@
     }
   }
 
-  /** Runs a task of this incarnation. */
-  private void scheduleHere(long delayNanos, Runnable task) {
-    long scheduledIn = incarnation;
+  /** Runs a task after a delay, unless the gateway has crashed or restarted by then. */
+  private void scheduleInIncarnation(long delayNanos, Runnable task) {
+    long scheduledIncarnation = incarnation;
     scheduler.scheduleAfter(
         delayNanos,
         () -> {
-          if (incarnation == scheduledIn) {
+          if (incarnation == scheduledIncarnation) {
             task.run();
           }
         });
@@ -202,8 +209,8 @@
 
   // ---- Actions.
 
-  private long drawOneWayNanos() {
-    return MIN_ONE_WAY_NANOS + fleet.random().nextLong(MAX_EXTRA_ONE_WAY_NANOS);
+  private long drawOneWayDelayNanos() {
+    return MIN_ONE_WAY_DELAY_NANOS + fleet.random().nextLong(MAX_EXTRA_ONE_WAY_DELAY_NANOS);
   }
 
   @Override
@@ -222,7 +229,8 @@
             tasks.isSynthetic(requestId));
     openAttempts.add(attemptKey(requestId, attempt));
     scheduler.scheduleAfter(
-        drawOneWayNanos(), () -> fleet.caches().get(command.endpoint()).requestReceived(request));
+        drawOneWayDelayNanos(),
+        () -> fleet.caches().get(command.endpoint()).requestReceived(request));
     scheduler.schedule(
         command.deadlineNanos(),
         () ->
@@ -233,9 +241,9 @@
     return requestId + "/" + attempt;
   }
 
-  /** A cache answers; the answer is on its way. */
+  /** Called when a cache sends its answer; the answer arrives after a random network delay. */
   void attemptAnswered(CacheRequest request, AttemptOutcome outcome, ResponseDetail detail) {
-    scheduler.scheduleAfter(drawOneWayNanos(), () -> endAttempt(request, -1, outcome, detail));
+    scheduler.scheduleAfter(drawOneWayDelayNanos(), () -> endAttempt(request, -1, outcome, detail));
   }
 
   private void endAttempt(
@@ -246,10 +254,10 @@
     }
     boolean returned = outcome == AttemptOutcome.SUCCEEDED;
     if (returned) {
-      traffic.answered(requestId);
+      traffic.onAnswered(requestId);
     }
     if (returned || outcome == AttemptOutcome.NOT_CACHED) {
-      tasks.answered(requestId);
+      tasks.onAnswered(requestId);
     }
     enqueue(
         events ->
@@ -266,14 +274,14 @@
 
   @Override
   public void reject(long requestId, long retryAfterNanos) {
-    traffic.rejected(requestId, retryAfterNanos);
+    traffic.onRejected(requestId, retryAfterNanos);
     fail(requestId);
   }
 
   @Override
   public void fail(long requestId) {
-    traffic.failed(requestId);
-    tasks.ended(
+    traffic.onFailed(requestId);
+    tasks.endSynthetic(
         requestId,
         attemptsByRequest.containsKey(requestId)
             ? HealthCheckOutcome.SILENT
@@ -298,7 +306,7 @@
 
   @Override
   public void scheduleTimer(long delayNanos, String handle) {
-    scheduleHere(delayNanos, () -> enqueue(events -> events.timerFired(handle)));
+    scheduleInIncarnation(delayNanos, () -> enqueue(events -> events.timerFired(handle)));
   }
 
   @Override
--- a/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
+++ b/lab/src/main/java/org/amberpath/lab/fleet/FleetTasks.java
@@ -15,13 +15,13 @@
 import org.amberpath.routing.RequestDetails;
 
 /**
- * What one gateway does and knows of the tasks that gateway 0 carries out for the fleet: health
- * checks of ejected caches and the filling of those that warm up, both by synthetic requests.
+ * The part of one gateway in the tasks that gateway 0 carries out for the fleet: health checks of
+ * ejected caches, and prefetching into caches that warm up. Both send synthetic requests.
  */
 final class FleetTasks {
   private static final long SYNTHETIC_TIMEOUT_NANOS = 500 * Simulation.NANOS_PER_MILLI;
-  private static final long MIN_PEER_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_EXTRA_PEER_NANOS = 4 * Simulation.NANOS_PER_MILLI;
+  private static final long MIN_PEER_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_EXTRA_PEER_DELAY_NANOS = 4 * Simulation.NANOS_PER_MILLI;
   private static final int RECENT_OBJECTS = 256;
   private static final int LEADER = 0;
   private static final int ANY_CACHE = -1;
@@ -41,19 +41,19 @@
     scheduler = fleet.scheduler();
   }
 
-  void gatewayStarted() {
+  void onGatewayStarted() {
     healthChecks = new HealthCheckCoordinator();
     prefetch = new CachePrefetch();
     recentKeys = new RecentRequests<>(RECENT_OBJECTS);
     centralized = false;
   }
 
-  void gatewayCrashed() {
+  void onGatewayCrashed() {
     syntheticRequests.clear();
   }
 
-  /** A client has asked for a part, which synthetic requests may ask for later. */
-  void objectRequested(long key) {
+  /** Records that a client has requested a part; synthetic requests reuse the recorded parts. */
+  void recordRequestedKey(long key) {
     recentKeys.add(key, key);
   }
 
@@ -61,13 +61,13 @@
     return syntheticRequests.containsKey(requestId);
   }
 
-  /** A synthetic request has its answer. */
-  void answered(long requestId) {
-    ended(requestId, HealthCheckOutcome.ANSWERED);
+  /** Called when a cache has answered a synthetic request. */
+  void onAnswered(long requestId) {
+    endSynthetic(requestId, HealthCheckOutcome.ANSWERED);
   }
 
-  /** A synthetic request, if it is one, has ended without an answer. */
-  void ended(long requestId, HealthCheckOutcome outcome) {
+  /** Ends a synthetic request with an outcome; does nothing if the request is not synthetic. */
+  void endSynthetic(long requestId, HealthCheckOutcome outcome) {
     Consumer<HealthCheckOutcome> completion = syntheticRequests.remove(requestId);
     if (completion != null) {
       completion.accept(outcome);
@@ -148,15 +148,15 @@
 
   private void sendToPeer(int index, Consumer<FleetTasks> delivery) {
     scheduler.scheduleAfter(
-        MIN_PEER_NANOS + fleet.random().nextLong(MAX_EXTRA_PEER_NANOS),
+        MIN_PEER_DELAY_NANOS + fleet.random().nextLong(MAX_EXTRA_PEER_DELAY_NANOS),
         () -> delivery.accept(fleet.gateways().get(index).tasks()));
   }
 
   private void updateCentralized() {
-    boolean centralizedNow = healthChecks.isCentralized(scheduler.nowNanos(), leadsHealthChecks());
-    if (centralizedNow != centralized) {
-      centralized = centralizedNow;
-      gateway.enqueue(events -> events.healthChecksDelegated(centralizedNow));
+    boolean nowCentralized = healthChecks.isCentralized(scheduler.nowNanos(), leadsHealthChecks());
+    if (nowCentralized != centralized) {
+      centralized = nowCentralized;
+      gateway.enqueue(events -> events.healthChecksDelegated(nowCentralized));
     }
   }
 
@@ -228,7 +228,7 @@
         SYNTHETIC_TIMEOUT_NANOS,
         () -> {
           if (isSynthetic(id)) {
-            ended(id, HealthCheckOutcome.SILENT);
+            endSynthetic(id, HealthCheckOutcome.SILENT);
             gateway.enqueue(events -> events.clientDisconnected(id));
           }
         });
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKey.java
@@ -4,25 +4,31 @@
 import java.util.function.BiConsumer;
 
 /**
- * A key of a simulated registry that one process at a time holds by a lease. All processes that
- * watch it observe each change within {@value #MAX_NOTIFY_NANOS} ns.
+ * A key of a simulated registry that at most one process holds at a time, under a lease. Each
+ * watcher is notified of each change after at most {@value #MAX_NOTIFY_NANOS} ns.
  *
- * @param <P> the processes that watch it
+ * @param <P> the type of the processes that watch the key
  */
 public final class LeaseKey<P extends SimulatedProcess> {
-  /** What a watcher observes: the last term, whether the key is held, and its revision. */
+  /**
+   * The state of the key that a watcher observes.
+   *
+   * @param term the last term under which the key was held
+   * @param held whether the key is held now
+   * @param modRevision the revision of the key, one higher after each change of its holder
+   */
   public record Observed(long term, boolean held, long modRevision) {}
 
-  /** Which terms a candidate may take. */
+  /** The terms under which a candidate may acquire the key. */
   public enum TermRule {
-    /** The one after the last. */
+    /** Only the term after the last one. */
     NEXT,
 
-    /** Any above the last. */
+    /** Any term higher than the last one. */
     ANY_HIGHER
   }
 
-  private static final int NOBODY = -1;
+  private static final int NO_HOLDER = -1;
   private static final long MIN_NOTIFY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_NOTIFY_NANOS = 50 * Simulation.NANOS_PER_MILLI;
 
@@ -31,16 +37,18 @@
   private final TermRule termRule;
   private final List<P> watchers;
   private final BiConsumer<P, Observed> listener;
-  private int holder = NOBODY;
+  private int holder = NO_HOLDER;
   private long term;
   private long modRevision;
   private long expiresAtNanos;
 
   /**
-   * A key that nobody has held.
+   * Creates a key that has never been held.
    *
-   * @param watchers the processes that are notified, those that are added later too
-   * @param listener runs at each watcher with each change
+   * @param leaseNanos the duration of a lease, in nanoseconds
+   * @param watchers the processes that are notified of changes; the live list, so processes that
+   *     are added later are notified too
+   * @param listener called for each watcher with each change
    */
   public LeaseKey(
       Simulation simulation,
@@ -55,21 +63,26 @@
     this.listener = listener;
   }
 
-  /** The key as it is now. */
+  /** Returns the present state of the key. */
   public Observed observe() {
-    return new Observed(term, holder != NOBODY, modRevision);
+    return new Observed(term, holder != NO_HOLDER, modRevision);
   }
 
-  /** The length of a lease. */
+  /** Returns the duration of a lease, in nanoseconds. */
   long leaseNanos() {
     return leaseNanos;
   }
 
-  /** Gives the key to a candidate, if nobody holds it and nothing has changed since it looked. */
-  boolean tryAcquire(int candidate, long candidateTerm, long seenModRevision) {
+  /**
+   * Gives the key to a candidate if the key is free, its revision is still the one that the
+   * candidate observed, and the term rule admits the term.
+   *
+   * @return whether the candidate now holds the key
+   */
+  boolean tryAcquire(int candidate, long candidateTerm, long observedModRevision) {
     boolean termAllowed =
         termRule == TermRule.NEXT ? candidateTerm == term + 1 : candidateTerm > term;
-    if (holder != NOBODY || modRevision != seenModRevision || !termAllowed) {
+    if (holder != NO_HOLDER || modRevision != observedModRevision || !termAllowed) {
       return false;
     }
     holder = candidate;
@@ -80,32 +93,39 @@
     return true;
   }
 
-  /** Extends the lease, if this candidate holds the key under this term. */
-  boolean tryExtend(int candidate, long ofTerm) {
-    boolean held = holder == candidate && term == ofTerm;
+  /**
+   * Extends the lease if this candidate holds the key under this term.
+   *
+   * @return whether the lease was extended
+   */
+  boolean tryExtend(int candidate, long heldTerm) {
+    boolean held = holder == candidate && term == heldTerm;
     if (held) {
       extend();
     }
     return held;
   }
 
-  /** Frees the key, if this candidate holds it under this term. */
-  void release(int candidate, long ofTerm) {
-    if (holder == candidate && term == ofTerm) {
-      free();
+  /** Releases the key if this candidate holds it under this term. */
+  void release(int candidate, long heldTerm) {
+    if (holder == candidate && term == heldTerm) {
+      clearHolder();
     }
   }
 
-  /** Sets the key back to a backup that is older by so many terms; notifies nobody. */
+  /**
+   * Restores the key from a backup that lacks the last {@code lostTerms} terms: nobody holds the
+   * key afterwards, and no watcher is notified.
+   */
   public void restoreFromBackup(long lostTerms) {
-    holder = NOBODY;
+    holder = NO_HOLDER;
     term = Math.max(0, term - lostTerms);
     modRevision++;
     expiresAtNanos = 0;
   }
 
-  private void free() {
-    holder = NOBODY;
+  private void clearHolder() {
+    holder = NO_HOLDER;
     modRevision++;
     notifyWatchers();
   }
@@ -117,14 +137,16 @@
   }
 
   private void expire(long extendedRevision) {
-    if (holder != NOBODY
+    if (holder != NO_HOLDER
         && modRevision == extendedRevision
         && simulation.nowNanos() >= expiresAtNanos) {
-      free();
+      clearHolder();
     }
   }
 
-  /** Has all watchers observe the key as it is now, each in its own time. */
+  /**
+   * Notifies all watchers of the present state of the key, each after a random delay of its own.
+   */
   public void notifyWatchers() {
     Observed observed = observe();
     watchers.forEach(
--- a/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/LeaseKeyClient.java
@@ -3,15 +3,15 @@
 import org.amberpath.leadership.RegistryLeadership;
 
 /**
- * Carries out the commands of a {@link RegistryLeadership}: calls take up to {@value
- * #MAX_ONE_WAY_NANOS} ns each way, and one in {@value #UNANSWERED_ONE_IN} gets no answer while
- * faults are active.
+ * Executes the commands of a {@link RegistryLeadership} against a {@link LeaseKey}. Requests and
+ * responses take up to {@value #MAX_ONE_WAY_DELAY_NANOS} ns each way; while faults are active, one
+ * request in {@value #UNANSWERED_ONE_IN} is lost.
  */
 public abstract class LeaseKeyClient implements RegistryLeadership.Commands {
   private static final int UNANSWERED_ONE_IN = 20;
-  private static final int TIMEOUT_LEASE_PARTS = 6;
-  private static final long MIN_ONE_WAY_NANOS = Simulation.NANOS_PER_MILLI;
-  private static final long MAX_ONE_WAY_NANOS = 10 * Simulation.NANOS_PER_MILLI;
+  private static final int RENEWAL_TIMEOUT_LEASE_DIVISOR = 6;
+  private static final long MIN_ONE_WAY_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
+  private static final long MAX_ONE_WAY_DELAY_NANOS = 10 * Simulation.NANOS_PER_MILLI;
 
   private final Simulation simulation;
   private final LeaseKey<?> key;
@@ -19,9 +19,9 @@
   private final int candidate;
 
   /**
-   * A client in one process.
+   * Creates the client of one process.
    *
-   * @param candidate the name by which this process holds the key
+   * @param candidate the number under which this process holds the key
    */
   protected LeaseKeyClient(
       Simulation simulation, LeaseKey<?> key, SimulatedProcess process, int candidate) {
@@ -31,34 +31,40 @@
     this.candidate = candidate;
   }
 
-  /** The leadership of the process's present incarnation. */
+  /** Returns the leadership of the process's present incarnation. */
   protected abstract RegistryLeadership leadership();
 
-  /** Runs an answer at the process: whatever follows from a change of its leadership. */
+  /**
+   * Runs the handler of a response in the process, together with whatever follows from a change of
+   * its leadership.
+   */
   protected abstract void runAnswer(Runnable answer);
 
-  /** The leadership may want another timer. */
+  /** Called when the leadership may need a timer at another time. */
   protected abstract void timerChanged();
 
-  /** Whether the registry takes calls now. */
+  /** Returns whether the registry accepts requests now. */
   protected boolean isRegistryAvailable() {
     return true;
   }
 
-  /** Whether an answer to an earlier incarnation reaches the present one. */
+  /**
+   * Returns whether the response to a request of an earlier incarnation is delivered to the present
+   * one.
+   */
   protected boolean answersLaterIncarnations() {
     return false;
   }
 
-  /** The registry has given the key to this candidate. */
+  /** Called when the registry has given the key to this candidate, before the process knows. */
   protected void keyGranted(long term) {}
 
-  /** The process has been told that it holds the key. */
+  /** Called when the process has received the response that it holds the key. */
   protected void campaignWon(long term) {}
 
-  private void atRegistry(Runnable request) {
+  private void sendToRegistry(Runnable request) {
     simulation.after(
-        drawOneWayNanos(),
+        drawOneWayDelayNanos(),
         () -> {
           if (isRegistryAvailable()
               && (simulation.random().nextInt(UNANSWERED_ONE_IN) > 0
@@ -68,25 +74,25 @@
         });
   }
 
-  private void atProcess(Runnable answer) {
-    process.scheduleAfter(drawOneWayNanos(), () -> runAnswer(answer));
+  private void sendToProcess(Runnable answer) {
+    process.scheduleAfter(drawOneWayDelayNanos(), () -> runAnswer(answer));
   }
 
-  private long drawOneWayNanos() {
-    return simulation.random().nextLong(MIN_ONE_WAY_NANOS, MAX_ONE_WAY_NANOS);
+  private long drawOneWayDelayNanos() {
+    return simulation.random().nextLong(MIN_ONE_WAY_DELAY_NANOS, MAX_ONE_WAY_DELAY_NANOS);
   }
 
   @Override
   public final void campaign(long term, long modRevision) {
-    long sentIn = process.incarnation();
-    atRegistry(
+    long sentIncarnation = process.incarnation();
+    sendToRegistry(
         () -> {
           boolean granted = key.tryAcquire(candidate, term, modRevision);
           if (granted) {
             keyGranted(term);
           }
-          if (answersLaterIncarnations() || process.incarnation() == sentIn) {
-            atProcess(() -> campaignAnswered(term, granted));
+          if (answersLaterIncarnations() || process.incarnation() == sentIncarnation) {
+            sendToProcess(() -> campaignAnswered(term, granted));
           }
         });
   }
@@ -104,10 +110,10 @@
   public final void keepAlive(long requestedAtNanos) {
     long term = leadership().term();
     boolean[] answered = {false};
-    atRegistry(
+    sendToRegistry(
         () -> {
           boolean renewed = key.tryExtend(candidate, term);
-          atProcess(
+          sendToProcess(
               () -> {
                 answered[0] = true;
                 if (renewed) {
@@ -118,7 +124,7 @@
               });
         });
     process.scheduleAfter(
-        key.leaseNanos() / TIMEOUT_LEASE_PARTS,
+        key.leaseNanos() / RENEWAL_TIMEOUT_LEASE_DIVISOR,
         () -> {
           if (!answered[0] && leadership().term() == term) {
             leadership().renewalUnanswered(process.localNanos());
@@ -130,6 +136,6 @@
   @Override
   public final void resign() {
     long term = leadership().term();
-    atRegistry(() -> key.release(candidate, term));
+    sendToRegistry(() -> key.release(candidate, term));
   }
 }
--- a/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
+++ b/lab/src/main/java/org/amberpath/lab/simulation/MessageFaults.java
@@ -3,23 +3,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Delivers messages to processes of a model: some are lost, late or delivered twice while faults
- * are active.
+ * Delivers messages to the processes of a model. While faults are active, some messages are lost,
+ * delayed or duplicated.
  */
 public final class MessageFaults {
-  /** When a message is delivered a second time. */
+  /** When a message may be delivered a second time. */
   public enum Duplication {
-    /** Only while faults are active, within a second of the sending. */
+    /** Only while faults are active, within a second after the sending. */
     WHILE_FAULTS_ACTIVE,
 
-    /** At any time, within a second of the first delivery. */
+    /** At any time, within a second after the first delivery. */
     ALWAYS
   }
 
-  private static final int LOST_BELOW = 5;
-  private static final int LATE_BELOW = 12;
-  private static final int DUPLICATED_ABOVE = 96;
-  private static final int DRAWS = 100;
+  /**
+   * Thresholds for the draw, from 0 to below {@value #DRAW_RANGE}, that decides whether a message
+   * is lost, late or duplicated.
+   */
+  private static final int LOST_BELOW_DRAW = 5;
+
+  private static final int LATE_BELOW_DRAW = 12;
+  private static final int DUPLICATED_ABOVE_DRAW = 96;
+  private static final int DRAW_RANGE = 100;
   private static final long MIN_DELAY_NANOS = Simulation.NANOS_PER_MILLI;
   private static final long MAX_ORDINARY_DELAY_NANOS = 20 * Simulation.NANOS_PER_MILLI;
   private static final long MAX_DUPLICATE_DELAY_NANOS = Simulation.NANOS_PER_SECOND;
@@ -29,9 +34,9 @@
   private final Duplication duplication;
 
   /**
-   * Faults of the messages of one run.
+   * Creates the message faults of one run.
    *
-   * @param maxDelayNanos the longest delay of a late message
+   * @param maxDelayNanos the longest delay of a late message, in nanoseconds
    */
   public MessageFaults(Simulation simulation, long maxDelayNanos, Duplication duplication) {
     this.simulation = simulation;
@@ -39,15 +44,21 @@
     this.duplication = duplication;
   }
 
-  /** Runs a task at the recipient when, and as often as, the message arrives. */
+  /**
+   * Delivers a message: runs a task in the recipient once, twice, or not at all if the message is
+   * lost.
+   */
   public void deliver(SimulatedProcess recipient, Runnable task) {
-    deliver(recipient, task, simulation.random().nextInt(DRAWS));
+    deliver(recipient, task, simulation.random().nextInt(DRAW_RANGE));
   }
 
-  /** The same over a link, which may be cut at the time of sending. */
+  /**
+   * Delivers a message over a link; the message is lost if the link is cut at the time of sending.
+   * The random draw is made in either case, so that a cut does not shift later draws.
+   */
   public void deliverOver(
       LinkMatrix links, int from, int to, SimulatedProcess recipient, Runnable task) {
-    int draw = simulation.random().nextInt(DRAWS);
+    int draw = simulation.random().nextInt(DRAW_RANGE);
     if (!links.isCut(from, to)) {
       deliver(recipient, task, draw);
     }
@@ -56,15 +67,15 @@
   private void deliver(SimulatedProcess recipient, Runnable task, int draw) {
     SplittableRandom random = simulation.random();
     boolean faultsActive = simulation.faultsActive();
-    if (faultsActive && draw < LOST_BELOW) {
+    if (faultsActive && draw < LOST_BELOW_DRAW) {
       return;
     }
     long delayNanos =
-        faultsActive && draw < LATE_BELOW
+        faultsActive && draw < LATE_BELOW_DRAW
             ? random.nextLong(maxDelayNanos)
             : random.nextLong(MIN_DELAY_NANOS, MAX_ORDINARY_DELAY_NANOS);
     recipient.scheduleAfter(delayNanos, task);
-    if (draw > DUPLICATED_ABOVE && (faultsActive || duplication == Duplication.ALWAYS)) {
+    if (draw > DUPLICATED_ABOVE_DRAW && (faultsActive || duplication == Duplication.ALWAYS)) {
       long fromNanos = duplication == Duplication.ALWAYS ? delayNanos : 0;
       recipient.scheduleAfter(fromNanos + random.nextLong(MAX_DUPLICATE_DELAY_NANOS), task);
     }
--- a/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/RuleAuditor.java
@@ -11,32 +11,33 @@
 import org.amberpath.lab.StandInCache;
 
 /**
- * Judges the rules by what clients, caches and the journal saw, over all gateways together; it
- * knows nothing of the gateways' code. Whatever the event loop reads may have come since its tick
- * before, and is judged by that time: a loop that stalled blames nobody by mistake, and for how
- * long it stalled is counted. Only for the testbed's event loop.
+ * Checks the service rules from what clients, caches and the journal observe, over all gateways
+ * together and without any knowledge of the gateways' code. An event that this event loop handles
+ * may have arrived at any time since the loop's previous tick, so it is judged by the time of that
+ * tick: a stall of the loop never causes a false violation. The total duration of stalls is
+ * measured. Confined to the testbed's event loop.
  *
- * <p>Bounds: the requests of one experiment that may run once, and {@value #MAX_VIOLATIONS} lines
- * of what is wrong.
+ * <p>Bounds: the requests of one experiment that may execute only once, and {@value
+ * #MAX_VIOLATIONS} messages of violations.
  */
 public final class RuleAuditor {
   private static final long NANOS_PER_MILLI = 1_000_000;
   private static final long NANOS_PER_SECOND = 1000 * NANOS_PER_MILLI;
   private static final long SOCKET_ALLOWANCE_NANOS = 50 * NANOS_PER_MILLI;
   private static final long TICK_MILLIS = 5;
-  private static final long MAX_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
-  private static final long MAX_PURGE_MILLIS = 350;
-  private static final long STALL_NANOS = 25 * NANOS_PER_MILLI;
+  private static final long MAX_AFTER_DRAIN_NANOS = 250 * NANOS_PER_MILLI + SOCKET_ALLOWANCE_NANOS;
+  private static final long MAX_AFTER_PURGE_MILLIS = 350;
+  private static final long MIN_STALL_NANOS = 25 * NANOS_PER_MILLI;
   private static final int MAX_VIOLATIONS = 20;
 
-  /** The mean work of a request at the stand-in caches. */
+  /** The mean duration of a request at the stand-in caches, in seconds. */
   private static final double MEAN_WORK_SECONDS = 0.01;
 
   private static final class WarmUpWindow {
     final long startedAtNanos;
     final double weight;
 
-    /** When requests came, of the last second. */
+    /** When the requests of the last window arrived ({@link System#nanoTime}). */
     final ArrayDeque<Long> arrivalsNanos = new ArrayDeque<>();
 
     WarmUpWindow(long startedAtNanos, double weight) {
@@ -47,60 +48,66 @@
 
   private final Map<String, Long> drainedAtNanos = new HashMap<>();
   private final Map<String, Long> purgedAtMillis = new HashMap<>();
-  private final Map<String, WarmUpWindow> warmingUp = new HashMap<>();
-  private final Map<String, String> executedOnce = new HashMap<>();
+  private final Map<String, WarmUpWindow> warmUpWindows = new HashMap<>();
+  private final Map<String, String> executingCaches = new HashMap<>();
   private final List<String> violations = new ArrayList<>();
-  private final long beganNanos = System.nanoTime();
-  private long tickNanos = beganNanos;
+  private final long startedAtNanos = System.nanoTime();
+  private long lastTickNanos = startedAtNanos;
   private long stalledNanos;
   private long requestCount;
-  private long worstDrainNanos;
-  private long worstPurgeMillis;
+  private long latestAfterDrainNanos;
+  private long latestAfterPurgeMillis;
   private long longestStallNanos;
   private long violationCount;
-  private double worstWarmUpLoad;
+  private double peakWarmUpLoad;
 
-  /** A judge whose stalls are measured from now on. */
+  /** Creates an auditor and starts the timer that measures stalls of the event loop. */
   public RuleAuditor(Vertx vertx) {
     vertx.setPeriodic(
         TICK_MILLIS,
         tick -> {
           long nowNanos = System.nanoTime();
-          stalledNanos += nowNanos - tickNanos > STALL_NANOS ? nowNanos - tickNanos : 0;
-          longestStallNanos = Math.max(longestStallNanos, nowNanos - tickNanos);
-          tickNanos = nowNanos;
+          stalledNanos += nowNanos - lastTickNanos > MIN_STALL_NANOS ? nowNanos - lastTickNanos : 0;
+          longestStallNanos = Math.max(longestStallNanos, nowNanos - lastTickNanos);
+          lastTickNanos = nowNanos;
         });
   }
 
-  /** Keeps what is wrong, up to a bound, and counts it. */
+  /**
+   * Counts a violation, and keeps its message with the time since the start if fewer than {@value
+   * #MAX_VIOLATIONS} are kept.
+   */
   public void violation(String message) {
     violationCount++;
     if (violations.size() < MAX_VIOLATIONS) {
-      violations.add((System.nanoTime() - beganNanos) / NANOS_PER_MILLI + " ms: " + message);
+      violations.add((System.nanoTime() - startedAtNanos) / NANOS_PER_MILLI + " ms: " + message);
     }
   }
 
-  /** What was wrong, the first lines of it. */
+  /** Returns the messages of the first violations. */
   public List<String> violations() {
     return violations;
   }
 
-  /** The part of the time, 0 to 1, that could not be judged. */
+  /**
+   * Returns the fraction of the time, from 0 to 1, in which the event loop was stalled and no rule
+   * could be checked reliably.
+   */
   public double unjudgedShare() {
-    return (double) stalledNanos / Math.max(1, System.nanoTime() - beganNanos);
+    return (double) stalledNanos / Math.max(1, System.nanoTime() - startedAtNanos);
   }
 
-  /** Figures for a report. */
+  /** Returns the figures for a report by name. */
   public Map<String, Object> figures() {
     return Map.of(
         "wants",
         requestCount,
         "last_get_after_drain_ms",
-        worstDrainNanos / NANOS_PER_MILLI,
+        latestAfterDrainNanos / NANOS_PER_MILLI,
         "oldest_after_purge_ms",
-        worstPurgeMillis,
+        latestAfterPurgeMillis,
         "cold_part_of_bound",
-        Math.round(worstWarmUpLoad * 100) / 100.0,
+        Math.round(peakWarmUpLoad * 100) / 100.0,
         "judge_stood_ms",
         stalledNanos / NANOS_PER_MILLI,
         "judge_stood_most_ms",
@@ -109,74 +116,91 @@
         violationCount);
   }
 
-  // ---- What the testbed did.
+  // ---- Actions of the testbed.
 
-  /** A cache drains from now on. */
+  /** Called when the journal has announced that a cache drains. */
   public void cacheDrained(String cache) {
     drainedAtNanos.put(cache, System.nanoTime());
   }
 
-  /** A cache is ready again. */
+  /** Called before the journal announces that a drained cache is ready again. */
   void cacheReady(String cache) {
     drainedAtNanos.remove(cache);
   }
 
-  /** An object is purged. */
+  /**
+   * Called when an object is purged.
+   *
+   * @param atMillis the timestamp of the purge (Unix time)
+   */
   void objectPurged(String object, long atMillis) {
     purgedAtMillis.put(object, atMillis);
   }
 
-  /** A cache has started with nothing stored. */
+  /**
+   * Called when a cache has started with nothing stored.
+   *
+   * @param weight the weight of the cache, as announced in the journal
+   */
   public void cacheStartedCold(String cache, double weight) {
-    warmingUp.put(cache, new WarmUpWindow(System.nanoTime(), weight));
+    warmUpWindows.put(cache, new WarmUpWindow(System.nanoTime(), weight));
   }
 
-  // ---- What others saw.
+  // ---- Observations of caches and clients.
 
-  /** A cache has received a request. */
+  /**
+   * Called when a cache has received a request; checks the rules on drained caches, on requests
+   * that may execute only once, and on the load of caches that warm up.
+   */
   public void requestReceived(StandInCache.ReceivedRequest request) {
     requestCount++;
-    for (String cache : List.of(request.cache(), request.source())) {
+    for (String cache : List.of(request.cacheId(), request.sourceId())) {
       Long drainedNanos = drainedAtNanos.get(cache);
       if (drainedNanos != null) {
-        worstDrainNanos = Math.max(worstDrainNanos, tickNanos - drainedNanos);
-        if (tickNanos - drainedNanos > MAX_DRAIN_NANOS) {
+        latestAfterDrainNanos = Math.max(latestAfterDrainNanos, lastTickNanos - drainedNanos);
+        if (lastTickNanos - drainedNanos > MAX_AFTER_DRAIN_NANOS) {
           violation(
               "rule 3: "
                   + cache
-                  + (cache.equals(request.cache()) ? " got a GET " : " was named as a source ")
-                  + (tickNanos - drainedNanos) / NANOS_PER_MILLI
-                  + " ms after its drain");
+                  + (cache.equals(request.cacheId())
+                      ? " received a request "
+                      : " was named as a fill source ")
+                  + (lastTickNanos - drainedNanos) / NANOS_PER_MILLI
+                  + " ms after its drain; the limit is "
+                  + MAX_AFTER_DRAIN_NANOS / NANOS_PER_MILLI
+                  + " ms");
         }
       }
     }
     if (LabSettings.ORDERS.equals(request.trafficClass()) && request.executes()) {
-      String previousCache = executedOnce.putIfAbsent(request.request(), request.cache());
+      String previousCache = executingCaches.putIfAbsent(request.requestId(), request.cacheId());
       if (previousCache != null) {
         violation(
-            "rule 2: "
-                + request.request()
-                + " ran at "
+            "rule 2: request "
+                + request.requestId()
+                + " was executed at "
                 + previousCache
                 + " and again at "
-                + request.cache());
+                + request.cacheId()
+                + "; at most one execution is allowed");
       }
     }
-    WarmUpWindow window = warmingUp.get(request.cache());
+    WarmUpWindow window = warmUpWindows.get(request.cacheId());
     if (window != null) {
-      checkWarmUp(window, request.cache());
+      checkWarmUp(window, request.cacheId());
     }
   }
 
   /**
-   * Rule 4, as the platform has it: N + 3 roots of N + 3 requests of mean work in the time that the
-   * settings name.
+   * Checks rule 4, the load of a cache that warms up, with the bound that the platform defines: N +
+   * 3 square roots of N + 3 requests of mean work within the window that the settings name, where N
+   * is the allowed number.
    */
   private void checkWarmUp(WarmUpWindow window, String cache) {
     long nowNanos = System.nanoTime();
     double ageSeconds = (nowNanos - window.startedAtNanos) / 1e9;
     if (ageSeconds > LabSettings.WARM_UP_SECONDS) {
-      warmingUp.remove(cache);
+      warmUpWindows.remove(cache);
       return;
     }
     window.arrivalsNanos.add(nowNanos);
@@ -194,34 +218,41 @@
             * LabSettings.OVERLOAD_WINDOW_SECONDS
             / MEAN_WORK_SECONDS;
     double bound = allowed + 3 * Math.sqrt(allowed) + 3;
-    worstWarmUpLoad = Math.max(worstWarmUpLoad, window.arrivalsNanos.size() / bound);
+    peakWarmUpLoad = Math.max(peakWarmUpLoad, window.arrivalsNanos.size() / bound);
     if (window.arrivalsNanos.size() > bound) {
       violation(
-          "rule 4: cold "
+          "rule 4: warming-up cache "
               + cache
-              + " got "
+              + " received "
               + window.arrivalsNanos.size()
-              + " GETs in its second, and bears "
+              + " requests within "
+              + LabSettings.OVERLOAD_WINDOW_SECONDS
+              + " s; the limit is "
               + (int) bound);
     }
   }
 
-  /** A client has received a response. */
+  /**
+   * Called when a client has received a response; checks that it is not a copy from before a purge
+   * which the gateway must have known when the request was sent.
+   */
   public void responseReceived(LoadGenerator.Response response) {
     Long purgedAt = purgedAtMillis.get(response.object());
     long sentAtMillis =
         System.currentTimeMillis() - (System.nanoTime() - response.sentAtNanos()) / NANOS_PER_MILLI;
     if (purgedAt != null && response.issuedAtMillis() < purgedAt && sentAtMillis > purgedAt) {
-      worstPurgeMillis = Math.max(worstPurgeMillis, sentAtMillis - purgedAt);
-      if (sentAtMillis > purgedAt + MAX_PURGE_MILLIS) {
+      latestAfterPurgeMillis = Math.max(latestAfterPurgeMillis, sentAtMillis - purgedAt);
+      if (sentAtMillis > purgedAt + MAX_AFTER_PURGE_MILLIS) {
         violation(
             "rule 5: object "
                 + response.object()
-                + " from "
+                + " was returned as a copy issued "
                 + (purgedAt - response.issuedAtMillis())
-                + " ms before its purge, "
+                + " ms before its purge, to a request sent "
                 + (sentAtMillis - purgedAt)
-                + " ms after it");
+                + " ms after the purge; the limit is "
+                + MAX_AFTER_PURGE_MILLIS
+                + " ms");
       }
     }
   }
--- a/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
+++ b/lab/src/main/java/org/amberpath/lab/testbed/SlotSettings.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import org.amberpath.lab.LabSettings;
 
-/** Writes the settings of the gateways of a {@link ProcessTestbed}. */
+/** Writes the settings files of the gateways of a {@link ProcessTestbed}. */
 final class SlotSettings {
   private static final String KEY_LINE = "k1 " + "6b".repeat(32) + "\n";
 
@@ -25,35 +25,35 @@
     extraSections = sections;
   }
 
-  private Path keys() {
+  private Path keyFile() {
     return plan.folder().resolve("keys");
   }
 
-  /** Writes the key that all gateways share. */
-  void writeKeys() throws IOException {
-    Files.writeString(keys(), KEY_LINE);
+  /** Writes the file with the authentication key that all gateways share. */
+  void writeKeyFile() throws IOException {
+    Files.writeString(keyFile(), KEY_LINE);
   }
 
-  /** Writes the JSON settings of one gateway. */
-  Path writeConfig(GatewaySlot slot) throws IOException {
+  /** Writes the JSON settings of one gateway, and returns their path. */
+  Path writeJsonSettings(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".json"),
         LabSettings.json(
             slot.name(), plan.seed() + slot.index(), journal.address(), plan.gateways()));
   }
 
-  /** Writes the INI of one gateway. */
-  Path writeSections(GatewaySlot slot) throws IOException {
+  /** Writes the INI file of one gateway, and returns its path. */
+  Path writeIniFile(GatewaySlot slot) throws IOException {
     return Files.writeString(
         plan.folder().resolve(slot.name() + ".ini"),
         "[fleet]\nname = lab\nlisten = 127.0.0.1:0\nadvertise = "
-            + links.address(slot.index())
+            + links.relayAddress(slot.index())
             + "\nseeds = "
-            + String.join(", ", links.address(0), links.address(1), links.address(2))
+            + String.join(", ", links.relayAddress(0), links.relayAddress(1), links.relayAddress(2))
             + "\ntold = "
             + plan.expectedMembers()
             + "\nkey = "
-            + keys()
+            + keyFile()
             + "\noperators = 127.0.0.1:0\n"
             + extraSections);
   }
