--- a/deploy/archive.sh
+++ b/deploy/archive.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Leaves target/amberpath.jsa: the classes of a gateway that started, took one GET and stopped, ready to be mapped at its next
-# start. Without it a gateway starts all the same, later and with more memory (docs/gateway.md).
+# Creates target/amberpath.jsa, a class data sharing archive of the classes that a gateway loads to start, process one GET
+# and stop. Gateways map it when they start; without it they start more slowly and use more memory (docs/gateway.md).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 work=$(mktemp -d)
@@ -12,7 +12,7 @@
 "settings":{"my-zone":"z","kinds":["box"],"classes":[{"name":"p","idempotency":"repeatable","target-s":0.1}],
 "bounds":{"max-attempts":2}}}
 JSON
-# The archive is made for one set of the runtime's flags, so these come from the line that starts the gateway.
+# An archive is valid only for the JVM flags that it was created with, so they are taken from the gateway's start command.
 flags=$(sed -n 's/^run = "exec java \(.*\) -XX:SharedArchiveFile=[^ ]* -jar .*/\1/p' deploy/balancer.toml)
 rm -f target/amberpath.jsa
 PROXY_CONFIG="$work/config.json" java $flags -XX:ArchiveClassesAtExit=target/amberpath.jsa \
@@ -23,7 +23,7 @@
   [ -n "$port" ] && break
   sleep 0.1
 done
-# One GET: [0, 1, "p", [{ref, lookup, allow, chunk}, bin]]; its answer is an error, since nothing listens at the cache.
+# One GET: [0, 1, "p", [{ref, lookup, allow, chunk}, bin]]; the response is an error, since nothing listens on the cache's port.
 exec 3<> "/dev/tcp/127.0.0.1/$port"
 printf '\x94\x00\x01\xa1p\x92\x84\xa3ref\xb00123456789abcdef\xa6lookup\xb00123456789abcdef\xa5allow\xa4%s\xa5chunk\xa10\xc4\x00' \
   1000 >&3
